--- a/aims/aims.go
+++ b/aims/aims.go
@@ -8,8 +8,9 @@
 	"errors"
 	"io"
 
-	"gopkg.in/yaml.v3"
 	"orchidjunction/wire"
+
+	"gopkg.in/yaml.v3"
 )
 
 // Document is one service-level objective in the form of OpenSLO v1, as far as it
@@ -64,7 +65,7 @@
 
 // Read decodes one or more YAML documents. It returns wire.BadRequest for an
 // unknown field, a form that is not supported, or no document.
-func Read(body []byte) ([]Document, *wire.Mishap) {
+func Read(body []byte) ([]Document, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(body))
 	decoder.KnownFields(true)
 	documents := []Document{}
@@ -88,7 +89,7 @@
 	return documents, nil
 }
 
-func (document *Document) check() *wire.Mishap {
+func (document *Document) check() error {
 	name, ratio := document.Metadata.Name, &document.Spec.Indicator.Spec.RatioMetric
 	switch {
 	case document.APIVersion != "openslo/v1" || document.Kind != "SLO":
--- a/cmd/ojcore/seeds.go
+++ b/cmd/ojcore/seeds.go
@@ -9,7 +9,7 @@
 )
 
 // takeSeeds makes a core that was given seeds one that joins a running system.
-func takeSeeds(place *control.Place, seeds []string) *wire.Mishap {
+func takeSeeds(place *control.Place, seeds []string) error {
 	if len(seeds) == 0 {
 		if place.ID == 0 {
 			return wire.New(wire.BadFlag, "--id or --seed must be given")
--- a/cmd/ojcore/seeds_test.go
+++ b/cmd/ojcore/seeds_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"orchidjunction/control"
+	"orchidjunction/wire"
 )
 
 func TestSeedsAreCheckedAgainstOtherFlags(test *testing.T) {
@@ -23,7 +24,7 @@
 	} {
 		place := try.place
 		mishap := takeSeeds(&place, try.seeds)
-		if try.says == "" && mishap != nil || try.says != "" && (mishap == nil || !strings.Contains(mishap.Cause, try.says)) {
+		if try.says == "" && mishap != nil || try.says != "" && (mishap == nil || !strings.Contains(wire.AsMishap(mishap).Cause, try.says)) {
 			test.Errorf("%+v %v: %v, want %q", try.place, try.seeds, mishap, try.says)
 		}
 		if mishap == nil && len(place.Seeds) != len(try.seeds) {
--- a/cmd/ojctl/cores.go
+++ b/cmd/ojctl/cores.go
@@ -6,16 +6,17 @@
 	"strconv"
 	"time"
 
-	"github.com/integrii/flaggy"
 	"orchidjunction/program"
 	"orchidjunction/wire"
+
+	"github.com/integrii/flaggy"
 )
 
 // orderRest is the pause before an order without a clear answer is sent again.
 const orderRest = 300 * time.Millisecond
 
 // coreCommands adds `core list` and `core remove`.
-func (command *errand) coreCommands(flags *program.Flags, uses map[*flaggy.Subcommand]func(*errand) *wire.Mishap) {
+func (command *errand) coreCommands(flags *program.Flags, uses map[*flaggy.Subcommand]func(*errand) error) {
 	core := flaggy.NewSubcommand("core")
 	core.Description = "lists the cores that vote, or removes one: core list, core remove ID"
 	list := flaggy.NewSubcommand("list")
@@ -26,7 +27,7 @@
 	core.AttachSubcommand(list, 1)
 	core.AttachSubcommand(remove, 1)
 	flags.Parser.AttachSubcommand(core, 1)
-	uses[core] = func(command *errand) *wire.Mishap {
+	uses[core] = func(command *errand) error {
 		switch {
 		case list.Used:
 			return command.listCores()
@@ -37,7 +38,7 @@
 	}
 }
 
-func (command *errand) listCores() *wire.Mishap {
+func (command *errand) listCores() error {
 	membership, mishap := command.client.Cores()
 	if mishap != nil {
 		return mishap
@@ -68,7 +69,7 @@
 
 // removeCore sends the removal, and again while its outcome is unknown: once removed,
 // a core stays so, and the order is acknowledged.
-func (command *errand) removeCore() *wire.Mishap {
+func (command *errand) removeCore() error {
 	id, fault := strconv.Atoi(command.name)
 	if fault != nil || id < 1 || id > wire.PeerMost {
 		return wire.New(wire.BadFlag, "core remove: %q is no core's ID; core list shows them", command.name)
@@ -89,6 +90,6 @@
 }
 
 // asksAgain is whether an order may be sent again to learn its outcome.
-func asksAgain(mishap *wire.Mishap) bool {
-	return mishap != nil && (mishap.Kind == wire.OutcomeUnknown || mishap.Kind == wire.NotStarted || mishap.Kind == wire.Unreachable)
+func asksAgain(mishap error) bool {
+	return mishap != nil && (wire.KindOf(mishap) == wire.OutcomeUnknown || wire.KindOf(mishap) == wire.NotStarted || wire.KindOf(mishap) == wire.Unreachable)
 }
--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -13,7 +13,6 @@
 	"sort"
 	"strings"
 
-	"github.com/integrii/flaggy"
 	"orchidjunction/aims"
 	"orchidjunction/conf"
 	"orchidjunction/control"
@@ -21,6 +20,8 @@
 	"orchidjunction/operator"
 	"orchidjunction/program"
 	"orchidjunction/wire"
+
+	"github.com/integrii/flaggy"
 )
 
 const (
@@ -46,8 +47,8 @@
 	flags := program.NewFlags("ojctl", "reads and changes orchidjunction's settings")
 	command := &errand{base: -1}
 	flags.Parser.StringSlice(&command.daemons, "d", "daemon", "IP:port of a daemon's operators' side; may be given more than once")
-	uses := map[*flaggy.Subcommand]func(*errand) *wire.Mishap{}
-	add := func(name, about string, run func(*errand) *wire.Mishap, shape func(*flaggy.Subcommand)) {
+	uses := map[*flaggy.Subcommand]func(*errand) error{}
+	add := func(name, about string, run func(*errand) error, shape func(*flaggy.Subcommand)) {
 		subcommand := flaggy.NewSubcommand(name)
 		subcommand.Description = about
 		if shape != nil {
@@ -107,28 +108,28 @@
 }
 
 // end prints a mishap and turns it into the exit status that scripts read.
-func end(mishap *wire.Mishap) {
+func end(mishap error) {
 	if mishap == nil {
 		return
 	}
-	for _, detail := range mishap.Details {
+	for _, detail := range wire.AsMishap(mishap).Details {
 		fmt.Fprintf(os.Stderr, "%s: %s: %s\n", detail.Path, detail.Kind, detail.Cause)
 	}
-	plain := *mishap
+	plain := *wire.AsMishap(mishap)
 	plain.Details = nil
 	fmt.Fprintf(os.Stderr, "ojctl: %v\n", &plain)
 	switch {
-	case mishap.Kind == wire.BadFlag:
+	case wire.KindOf(mishap) == wire.BadFlag:
 		os.Exit(2)
-	case mishap.Kind == wire.OutcomeUnknown:
+	case wire.KindOf(mishap) == wire.OutcomeUnknown:
 		os.Exit(exitUnknown)
-	case mishap.Kind == wire.Unreachable || mishap.Kind.Status() == 503:
+	case wire.KindOf(mishap) == wire.Unreachable || wire.KindOf(mishap).Status() == 503:
 		os.Exit(exitSilent)
 	}
 	os.Exit(exitRefused)
 }
 
-func (command *errand) read() ([]byte, *wire.Mishap) {
+func (command *errand) read() ([]byte, error) {
 	var body []byte
 	var err error
 	if command.file == "-" {
@@ -152,7 +153,7 @@
 	}
 }
 
-func (command *errand) check() *wire.Mishap {
+func (command *errand) check() error {
 	body, mishap := command.read()
 	if mishap != nil {
 		return mishap
@@ -165,13 +166,13 @@
 	return nil
 }
 
-func (command *errand) digest() *wire.Mishap {
+func (command *errand) digest() error {
 	sum := sha256.Sum256([]byte(command.name))
 	fmt.Println("sha256:" + hex.EncodeToString(sum[:]))
 	return nil
 }
 
-func (command *errand) show() *wire.Mishap {
+func (command *errand) show() error {
 	settings, mishap := command.client.Read(command.whole)
 	if mishap != nil {
 		return mishap
@@ -202,7 +203,7 @@
 	return nil
 }
 
-func (command *errand) change(body []byte) (operator.Change, *wire.Mishap) {
+func (command *errand) change(body []byte) (operator.Change, error) {
 	change := operator.Change{Base: uint64(max(command.base, 0)), Change: command.changeID, Operator: command.operator, Settings: body}
 	if change.Change == "" {
 		change.Change = member.NewID()
@@ -218,9 +219,9 @@
 }
 
 // apply sends the change; an unknown outcome is asked again under the same id.
-func (command *errand) apply(change operator.Change, send func(operator.Change) (*operator.Outcome, *wire.Mishap)) *wire.Mishap {
+func (command *errand) apply(change operator.Change, send func(operator.Change) (*operator.Outcome, error)) error {
 	outcome, mishap := send(change)
-	for try := 1; try < tries && mishap != nil && mishap.Kind == wire.OutcomeUnknown; try++ {
+	for try := 1; try < tries && mishap != nil && wire.KindOf(mishap) == wire.OutcomeUnknown; try++ {
 		outcome, mishap = send(change)
 	}
 	if mishap != nil {
@@ -231,15 +232,15 @@
 	return nil
 }
 
-func (command *errand) put() *wire.Mishap {
-	return command.send(func(change operator.Change) (*operator.Outcome, *wire.Mishap) { return command.client.Put(change) })
+func (command *errand) put() error {
+	return command.send(func(change operator.Change) (*operator.Outcome, error) { return command.client.Put(change) })
 }
 
-func (command *errand) patch() *wire.Mishap {
-	return command.send(func(change operator.Change) (*operator.Outcome, *wire.Mishap) { return command.client.Patch(change) })
+func (command *errand) patch() error {
+	return command.send(func(change operator.Change) (*operator.Outcome, error) { return command.client.Patch(change) })
 }
 
-func (command *errand) send(send func(operator.Change) (*operator.Outcome, *wire.Mishap)) *wire.Mishap {
+func (command *errand) send(send func(operator.Change) (*operator.Outcome, error)) error {
 	body, mishap := command.read()
 	if mishap != nil {
 		return mishap
@@ -254,11 +255,11 @@
 	return command.apply(change, send)
 }
 
-func (command *errand) drain() *wire.Mishap  { return command.mark(true) }
-func (command *errand) refill() *wire.Mishap { return command.mark(false) }
+func (command *errand) drain() error  { return command.mark(true) }
+func (command *errand) refill() error { return command.mark(false) }
 
 // mark empties or refills; losing a race to another change, it looks again.
-func (command *errand) mark(drained bool) *wire.Mishap {
+func (command *errand) mark(drained bool) error {
 	if command.kind != "zone" && command.kind != "backend" {
 		return wire.New(wire.BadFlag, "%q is neither zone nor backend", command.kind)
 	}
@@ -293,13 +294,13 @@
 			change.Change = member.NewID()
 		}
 		mishap = command.apply(change, command.client.Patch)
-		if mishap == nil || mishap.Kind != wire.StaleBase || command.base >= 0 || try >= tries {
+		if mishap == nil || wire.KindOf(mishap) != wire.StaleBase || command.base >= 0 || try >= tries {
 			return mishap
 		}
 	}
 }
 
-func (command *errand) history() *wire.Mishap {
+func (command *errand) history() error {
 	trail := struct {
 		Serial  uint64       `json:"serial"`
 		Changes []wire.Entry `json:"changes"`
@@ -313,7 +314,7 @@
 	return nil
 }
 
-func (command *errand) status() *wire.Mishap {
+func (command *errand) status() error {
 	status, mishap := command.client.Status()
 	if mishap != nil {
 		return mishap
@@ -335,7 +336,7 @@
 }
 
 // aims asks every daemon that the leader knows for its counters.
-func (command *errand) aims() *wire.Mishap {
+func (command *errand) aims() error {
 	body, mishap := command.read()
 	if mishap != nil {
 		return mishap
--- a/cmd/ojfleet/scale.go
+++ b/cmd/ojfleet/scale.go
@@ -6,11 +6,12 @@
 	"os"
 	"strings"
 
-	"github.com/integrii/flaggy"
 	"orchidjunction/program"
 	"orchidjunction/run"
 	"orchidjunction/scale"
 	"orchidjunction/wire"
+
+	"github.com/integrii/flaggy"
 )
 
 // scaling is the command line of the scale run and of the processes it starts.
@@ -65,14 +66,14 @@
 	return true
 }
 
-func (scaling *scaling) read(spec any) *wire.Mishap {
+func (scaling *scaling) read(spec any) error {
 	if err := json.Unmarshal([]byte(scaling.spec), spec); err != nil {
 		return wire.New(wire.BadFlag, "--spec: %v", err)
 	}
 	return nil
 }
 
-func (scaling *scaling) measure() *wire.Mishap {
+func (scaling *scaling) measure() error {
 	threads := run.NewThreads()
 	program.OnTerm(threads, threads.Stop)
 	defer threads.Stop()
--- a/cmd/ojnode/core.go
+++ b/cmd/ojnode/core.go
@@ -5,12 +5,13 @@
 	"os"
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/control"
 	"orchidjunction/member"
 	"orchidjunction/platform"
 	"orchidjunction/program"
 	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 const (
@@ -42,7 +43,7 @@
 }
 
 // runCore is the life of a core.
-func (node *node) runCore() *wire.Mishap {
+func (node *node) runCore() error {
 	settings := node.source.Settings()
 	if settings.Folder == "" {
 		return wire.New(wire.BadFlag, "a core needs a data folder")
--- a/cmd/ojnode/main.go
+++ b/cmd/ojnode/main.go
@@ -8,11 +8,12 @@
 	"net/netip"
 	"strconv"
 
-	"github.com/integrii/flaggy"
 	"orchidjunction/platform"
 	"orchidjunction/program"
 	"orchidjunction/run"
 	"orchidjunction/wire"
+
+	"github.com/integrii/flaggy"
 )
 
 const headerBytes = 64 << 10
@@ -53,7 +54,7 @@
 }
 
 // open listens on every side that has an address.
-func (node *node) open(sides ...side) *wire.Mishap {
+func (node *node) open(sides ...side) error {
 	for _, side := range sides {
 		if side.address == "" {
 			continue
--- a/cmd/ojnode/proxy.go
+++ b/cmd/ojnode/proxy.go
@@ -7,12 +7,13 @@
 	"net/http"
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/member"
 	"orchidjunction/platform"
 	"orchidjunction/program"
 	"orchidjunction/proxy"
 	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 const (
@@ -25,7 +26,7 @@
 )
 
 // runProxy is the life of a proxy.
-func (node *node) runProxy() *wire.Mishap {
+func (node *node) runProxy() error {
 	settings := node.source.Settings()
 	line := wire.NewLine(program.FarTransport(userTimeout))
 	address := inner(settings, settings.Address)
--- a/cmd/ojplan/main.go
+++ b/cmd/ojplan/main.go
@@ -114,13 +114,13 @@
 	return strings.Join(list, " ")
 }
 
-func end(mishap *wire.Mishap, status int) {
+func end(mishap error, status int) {
 	if mishap == nil {
 		return
 	}
-	for _, detail := range mishap.Details {
+	for _, detail := range wire.AsMishap(mishap).Details {
 		fmt.Fprintf(os.Stderr, "%s: %s: %s\n", detail.Path, detail.Kind, detail.Cause)
 	}
-	fmt.Fprintf(os.Stderr, "ojplan: %s: %s\n", mishap.Kind, mishap.Cause)
+	fmt.Fprintf(os.Stderr, "ojplan: %s: %s\n", wire.KindOf(mishap), wire.AsMishap(mishap).Cause)
 	os.Exit(status)
 }
--- a/conf/branch.go
+++ b/conf/branch.go
@@ -4,8 +4,9 @@
 	"hash/fnv"
 	"strings"
 
-	"github.com/go-faster/jx"
 	"orchidjunction/wire"
+
+	"github.com/go-faster/jx"
 )
 
 // fragment is one branch as it was read.
@@ -64,7 +65,7 @@
 
 // assemble puts the settings together; tenants and services of which nothing
 // changed are those of the version before.
-func (tree *Tree) assemble(before *Tree) *wire.Mishap {
+func (tree *Tree) assemble(before *Tree) error {
 	top := tree.held["top"]
 	if top == nil {
 		return wire.New(wire.DamagedPart, "no top branch")
--- a/conf/patch.go
+++ b/conf/patch.go
@@ -4,14 +4,15 @@
 	"bytes"
 	"encoding/json"
 
-	"github.com/go-faster/jx"
 	"orchidjunction/wire"
+
+	"github.com/go-faster/jx"
 )
 
 // Patch merges a partial tree into a whole one (JSON merge patch, RFC 7396):
 // objects merge, null removes. The result is not checked; a partial tree that is no
 // object or names a field twice is wire.Invalid.
-func Patch(base, partial []byte) ([]byte, *wire.Mishap) {
+func Patch(base, partial []byte) ([]byte, error) {
 	part, mishap := readPartial(partial)
 	if mishap != nil {
 		return nil, mishap
@@ -30,7 +31,7 @@
 }
 
 // readPartial refuses fields that are there twice and all that is no object.
-func readPartial(partial []byte) (map[string]any, *wire.Mishap) {
+func readPartial(partial []byte) (map[string]any, error) {
 	reader := &reader{}
 	reader.once(jx.DecodeBytes(partial), "")
 	if len(reader.details) > 0 {
@@ -39,7 +40,7 @@
 	return decode(partial)
 }
 
-func decode(text []byte) (map[string]any, *wire.Mishap) {
+func decode(text []byte) (map[string]any, error) {
 	var value any
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
--- a/conf/read.go
+++ b/conf/read.go
@@ -4,8 +4,9 @@
 	"fmt"
 	"strings"
 
-	"github.com/go-faster/jx"
 	"orchidjunction/wire"
+
+	"github.com/go-faster/jx"
 )
 
 const (
@@ -24,7 +25,7 @@
 
 // Read decodes and checks whole settings. The error is of kind wire.Invalid and
 // names every field that is wrong, not only the first.
-func Read(body []byte) (*Settings, *wire.Mishap) {
+func Read(body []byte) (*Settings, error) {
 	reader := &reader{}
 	settings := reader.settings(jx.DecodeBytes(body))
 	if reader.broken == nil && !jx.Valid(body) {
@@ -39,7 +40,7 @@
 	return settings, nil
 }
 
-func (reader *reader) refusal() *wire.Mishap {
+func (reader *reader) refusal() error {
 	return &wire.Mishap{Kind: wire.Invalid, Cause: fmt.Sprintf("%d wrong", len(reader.details)), Details: reader.details}
 }
 
--- a/conf/read_test.go
+++ b/conf/read_test.go
@@ -6,8 +6,10 @@
 	"strings"
 	"testing"
 
-	"github.com/cockroachdb/datadriven"
 	"orchidjunction/conf"
+	"orchidjunction/wire"
+
+	"github.com/cockroachdb/datadriven"
 )
 
 // TestTree lays one partial change over the small example and shows what is
@@ -30,7 +32,7 @@
 			settings, mishap := conf.Read(body)
 			if mishap != nil {
 				lines := []string{}
-				for _, detail := range mishap.Details {
+				for _, detail := range wire.AsMishap(mishap).Details {
 					lines = append(lines, fmt.Sprintf("%s: %s: %s", detail.Path, detail.Kind, detail.Cause))
 				}
 				return strings.Join(lines, "\n") + "\n"
--- a/conf/tree.go
+++ b/conf/tree.go
@@ -26,7 +26,7 @@
 }
 
 // Sow reads, checks and splits a whole text.
-func Sow(body []byte, before *Tree) (*Tree, *wire.Mishap) {
+func Sow(body []byte, before *Tree) (*Tree, error) {
 	if _, mishap := Read(body); mishap != nil {
 		return nil, mishap
 	}
@@ -37,7 +37,7 @@
 	return sow(whole, before)
 }
 
-func sow(whole map[string]any, before *Tree) (*Tree, *wire.Mishap) {
+func sow(whole map[string]any, before *Tree) (*Tree, error) {
 	splitter := &splitter{before: before, texts: wire.Texts{}}
 	if before != nil {
 		splitter.old = before.decoded()
@@ -61,7 +61,7 @@
 }
 
 // Patch lays a partial tree over this one; objects merge, null removes.
-func (tree *Tree) Patch(partial []byte) (*Tree, *wire.Mishap) {
+func (tree *Tree) Patch(partial []byte) (*Tree, error) {
 	part, mishap := readPartial(partial)
 	if mishap != nil {
 		return nil, mishap
@@ -70,7 +70,7 @@
 }
 
 // Grow makes the tree of parts whose texts are known by the version before or given.
-func Grow(before *Tree, parts []wire.Part, texts wire.Texts) (*Tree, *wire.Mishap) {
+func Grow(before *Tree, parts []wire.Part, texts wire.Texts) (*Tree, error) {
 	return grow(before, parts, texts, false)
 }
 
@@ -112,7 +112,7 @@
 	return tree.compose()
 }
 
-func grow(before *Tree, parts []wire.Part, texts wire.Texts, check bool) (*Tree, *wire.Mishap) {
+func grow(before *Tree, parts []wire.Part, texts wire.Texts, check bool) (*Tree, error) {
 	tree := &Tree{Parts: parts, texts: make(wire.Texts, len(parts)), held: make(map[string]*fragment, len(parts))}
 	reader := &reader{}
 	for _, part := range parts {
--- a/conf/tree_test.go
+++ b/conf/tree_test.go
@@ -58,7 +58,7 @@
 			test.Fatalf("%.200s: %v", patch, mishap)
 		}
 		if len(lacks) > 0 {
-			if _, mishap := conf.Grow(tree, next.Parts, nil); mishap == nil || mishap.Kind != wire.DamagedPart {
+			if _, mishap := conf.Grow(tree, next.Parts, nil); mishap == nil || wire.KindOf(mishap) != wire.DamagedPart {
 				test.Fatalf("grown without its branches: %v", mishap)
 			}
 		}
--- a/control/change.go
+++ b/control/change.go
@@ -17,7 +17,7 @@
 
 // onChange puts an operator's change in force at the leader, or says why not; a
 // repeat or a refusal is told only by who still leads.
-func (core *Core) onChange(change *wire.Change) (*wire.ChangeTold, *wire.Mishap) {
+func (core *Core) onChange(change *wire.Change) (*wire.ChangeTold, error) {
 	leadership, mishap := core.leading()
 	if mishap != nil {
 		return nil, mishap
@@ -28,12 +28,12 @@
 	if now := leadership.settings(); change.Kind == "whole" && change.Base == now.serial {
 		if sown, mishap = conf.Sow(change.Body, now.tree); mishap != nil {
 			mishap = leadership.proven(mishap)
-			core.counts.Add("changes_"+string(mishap.Kind), 1)
+			core.counts.Add("changes_"+string(wire.KindOf(mishap)), 1)
 			return nil, mishap
 		}
 	}
 	decided := false
-	serial, mishap := leadership.change(func(now *content) (*content, *wire.Mishap) {
+	serial, mishap := leadership.change(func(now *content) (*content, error) {
 		decided = true
 		for _, entry := range now.trail {
 			if entry.Change != change.ID {
@@ -48,7 +48,7 @@
 		if change.Base != now.serial {
 			return nil, &wire.Mishap{Kind: wire.StaleBase, Cause: fmt.Sprintf("based on %d", change.Base), Serial: now.serial}
 		}
-		tree, mishap := sown, (*wire.Mishap)(nil)
+		tree, mishap := sown, (error)(nil)
 		switch {
 		case tree != nil:
 		case change.Kind == "whole":
@@ -66,7 +66,7 @@
 		mishap = leadership.proven(mishap)
 	}
 	if mishap != nil {
-		core.counts.Add("changes_"+string(mishap.Kind), 1)
+		core.counts.Add("changes_"+string(wire.KindOf(mishap)), 1)
 		return nil, mishap
 	}
 	if told.Again {
@@ -81,7 +81,7 @@
 	return told, nil
 }
 
-func (core *Core) onRead(read *wire.Read) (*wire.ReadTold, *wire.Mishap) {
+func (core *Core) onRead(read *wire.Read) (*wire.ReadTold, error) {
 	leadership, mishap := core.leading()
 	if mishap != nil {
 		return nil, mishap
@@ -99,7 +99,7 @@
 	return told, nil
 }
 
-func (core *Core) onConfirm(*wire.Confirm) (*wire.ConfirmTold, *wire.Mishap) {
+func (core *Core) onConfirm(*wire.Confirm) (*wire.ConfirmTold, error) {
 	leadership, mishap := core.leading()
 	if mishap != nil {
 		return nil, mishap
@@ -110,7 +110,7 @@
 	return &wire.ConfirmTold{Serial: leadership.value(wire.SettingsRegister).Serial, Table: core.Table().Mark, Routing: leadership.value(wire.RoutingRegister).Serial}, nil
 }
 
-func (core *Core) onWho(*wire.Who) (*wire.WhoTold, *wire.Mishap) {
+func (core *Core) onWho(*wire.Who) (*wire.WhoTold, error) {
 	leads := core.leads()
 	core.mutex.Lock()
 	view := core.members()
--- a/control/claimkeeper.go
+++ b/control/claimkeeper.go
@@ -3,14 +3,15 @@
 import (
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/run"
 	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 // onKeep keeps claims under the newest membership known and names that one: the asker
 // counts no answers that were given under other voters.
-func (core *Core) onKeep(message *wire.Keep) (*wire.KeepTold, *wire.Mishap) {
+func (core *Core) onKeep(message *wire.Keep) (*wire.KeepTold, error) {
 	core.learnMembers(message.Members)
 	view := core.members()
 	known := view.accepted()
@@ -49,7 +50,7 @@
 // onPull gives a page of claims. Before the first one this core notes, on disk, the
 // newest membership: from then on it keeps nothing that is counted by an older one
 // with other voters, so nothing that the asker should hold comes here behind its back.
-func (core *Core) onPull(pull *wire.Pull) (*wire.PullTold, *wire.Mishap) {
+func (core *Core) onPull(pull *wire.Pull) (*wire.PullTold, error) {
 	core.learnMembers(pull.Members)
 	view := core.members()
 	known := view.accepted()
@@ -152,7 +153,7 @@
 }
 
 // retakeClaims keeps another core's claims, a message's worth at a time.
-func (core *Core) retakeClaims(claims []wire.Claimed) *wire.Mishap {
+func (core *Core) retakeClaims(claims []wire.Claimed) error {
 	for len(claims) > 0 {
 		count := min(len(claims), wire.KeepMost)
 		wait := &keepWait{message: &wire.Keep{Retold: claims[:count]}, members: core.members().accepted()}
--- a/control/claims.go
+++ b/control/claims.go
@@ -4,10 +4,11 @@
 	"sync"
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/keep"
 	"orchidjunction/run"
 	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 const (
@@ -57,7 +58,7 @@
 	wholeAs int
 	told    []wire.ClaimTold
 	refused bool
-	mishap  *wire.Mishap
+	mishap  error
 	done    bool
 }
 
@@ -76,7 +77,7 @@
 
 // openClaimLog reads the log. In groups of a release in which no voter was ever
 // replaced, the voter that is whole has the given ID.
-func openClaimLog(disk Disk, given int, counts *run.Counts) (*ClaimLog, *wire.Mishap) {
+func openClaimLog(disk Disk, given int, counts *run.Counts) (*ClaimLog, error) {
 	log := &ClaimLog{book: keep.NewBook(), ring: run.NewRing[*keepWait](claimsRing), counts: counts, ages: map[uint64]time.Duration{}}
 	log.wake = sync.NewCond(&log.mutex)
 	log.book.Remember(keep.MostSpan)
@@ -89,7 +90,7 @@
 		first = segments[0]
 	}
 	groups := []claimGroup{}
-	log.journal, mishap = loadJournal(disk, claimsName, first, func(segment uint64, payload []byte) *wire.Mishap {
+	log.journal, mishap = loadJournal(disk, claimsName, first, func(segment uint64, payload []byte) error {
 		group := claimGroup{}
 		if fault := wire.Unpack(payload, &group); fault != nil {
 			return wire.AsMishap(fault)
@@ -157,7 +158,7 @@
 
 // writeGroup lays and syncs what came as one group, but for what comes under a
 // membership that is no more.
-func (log *ClaimLog) writeGroup(waits []*keepWait) ([]wire.ClaimTold, *wire.Mishap) {
+func (log *ClaimLog) writeGroup(waits []*keepWait) ([]wire.ClaimTold, error) {
 	group := claimGroup{At: log.age()}
 	for _, wait := range waits {
 		if wait.refused = !log.raise(&group, wait.members); !wait.refused {
@@ -191,7 +192,7 @@
 
 // answer gives each waiting message what became of it. What was told is in order of
 // the claims of all messages that were not refused.
-func (log *ClaimLog) answer(waits []*keepWait, told []wire.ClaimTold, mishap *wire.Mishap) {
+func (log *ClaimLog) answer(waits []*keepWait, told []wire.ClaimTold, mishap error) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	for _, wait := range waits {
@@ -206,7 +207,7 @@
 
 // refuse keeps the group that the disk refused, since the book holds it already: it
 // is written before any later one is answered.
-func (log *ClaimLog) refuse(group *claimGroup, mishap *wire.Mishap) {
+func (log *ClaimLog) refuse(group *claimGroup, mishap error) {
 	log.pending, log.refused = group, time.Now()
 	log.counts.Add("claim_disk_faults", 1)
 	klog.Errorf("claims: refused until the disk takes writes again: %v", mishap)
@@ -214,7 +215,7 @@
 
 // repair is nil while the journal takes groups. After a fault it tries at a pace to
 // rewrite the last segment and to append what the book holds beyond it.
-func (log *ClaimLog) repair() *wire.Mishap {
+func (log *ClaimLog) repair() error {
 	fault := log.journal.fault
 	if fault == nil {
 		return nil
@@ -258,7 +259,7 @@
 }
 
 // syncWhole syncs a group, and notes the voter that it makes whole.
-func (log *ClaimLog) syncWhole(group *claimGroup) *wire.Mishap {
+func (log *ClaimLog) syncWhole(group *claimGroup) error {
 	mishap := log.sync(group)
 	if mishap == nil && group.Whole {
 		log.mutex.Lock()
@@ -268,7 +269,7 @@
 	return mishap
 }
 
-func (log *ClaimLog) sync(group *claimGroup) *wire.Mishap {
+func (log *ClaimLog) sync(group *claimGroup) error {
 	if len(group.Claims)+len(group.Retold)+len(group.Settles) == 0 && !group.Whole && group.Members == nil {
 		return nil
 	}
@@ -287,7 +288,7 @@
 }
 
 // roll begins a segment and removes those that hold only forgotten keys.
-func (log *ClaimLog) roll() *wire.Mishap {
+func (log *ClaimLog) roll() error {
 	first := claimGroup{At: log.age(), Core: log.whole()}
 	first.Whole = first.Core > 0
 	if log.members.Value.Serial > 0 {
@@ -353,7 +354,7 @@
 }
 
 // put hands a message to the writing thread and waits until it lasts.
-func (log *ClaimLog) put(wait *keepWait) *wire.Mishap {
+func (log *ClaimLog) put(wait *keepWait) error {
 	if !log.ring.Put(wait) {
 		log.counts.Add("claim_ring_full", 1)
 		return &wire.Mishap{Kind: wire.Busy, Cause: "too many claims wait for this core's disk"}
--- a/control/claims_power_test.go
+++ b/control/claims_power_test.go
@@ -22,7 +22,7 @@
 	number  int
 }
 
-func (keeper *claimKeeper) open(disk *sim.Disk) *wire.Mishap {
+func (keeper *claimKeeper) open(disk *sim.Disk) error {
 	claims, mishap := control.OpenTestClaims(disk, smallSegment)
 	keeper.claims = claims
 	return mishap
--- a/control/content.go
+++ b/control/content.go
@@ -67,7 +67,7 @@
 
 // readContent makes the content of a value whose branches are among the texts;
 // what the content before has is read no second time.
-func readContent(before *content, value wire.Value, texts wire.Texts) (*content, *wire.Mishap) {
+func readContent(before *content, value wire.Value, texts wire.Texts) (*content, error) {
 	if value.Serial == 0 {
 		return &content{}, nil
 	}
@@ -120,7 +120,7 @@
 }
 
 // content is what this core holds as committed.
-func (core *Core) content() (*content, *wire.Mishap) {
+func (core *Core) content() (*content, error) {
 	core.reading.Take()
 	defer core.reading.Give()
 	core.mutex.Lock()
@@ -140,7 +140,7 @@
 	return now, nil
 }
 
-func (core *Core) onParts(parts *wire.Parts) (*wire.PartsTold, *wire.Mishap) {
+func (core *Core) onParts(parts *wire.Parts) (*wire.PartsTold, error) {
 	state := core.voter.State()
 	core.mutex.Lock()
 	texts := core.texts
@@ -157,7 +157,7 @@
 }
 
 // gatherTexts completes the texts of a value from the core that told of it.
-func (core *Core) gatherTexts(address string, value wire.Value, known wire.Texts) (wire.Texts, *wire.Mishap) {
+func (core *Core) gatherTexts(address string, value wire.Value, known wire.Texts) (wire.Texts, error) {
 	texts := wire.Texts{}
 	for _, part := range value.Parts {
 		if text, found := known[part.Digest]; found {
--- a/control/core.go
+++ b/control/core.go
@@ -57,7 +57,7 @@
 	toldLeader time.Time
 }
 
-func NewCore(place Place, disk Disk, line *wire.Line, threads *run.Threads, counts *run.Counts) (*Core, *wire.Mishap) {
+func NewCore(place Place, disk Disk, line *wire.Line, threads *run.Threads, counts *run.Counts) (*Core, error) {
 	store, mishap := OpenStore(disk)
 	if mishap != nil {
 		return nil, mishap
@@ -168,7 +168,7 @@
 	wire.Take(door, "pull", answer(core.onPull))
 }
 
-func answer[Asked, Told any](inner func(*Asked) (*Told, *wire.Mishap)) func(context.Context, *Asked) (*Told, error) {
+func answer[Asked, Told any](inner func(*Asked) (*Told, error)) func(context.Context, *Asked) (*Told, error) {
 	return func(_ context.Context, asked *Asked) (*Told, error) {
 		told, mishap := inner(asked)
 		if mishap != nil {
@@ -206,7 +206,7 @@
 
 // pushValue sends the value to every voter of a membership, this one too, until a
 // quorum took it; a core gets the branches that it says it lacks.
-func (core *Core) pushValue(view *View, message *wire.Accept, texts wire.Texts) *wire.Mishap {
+func (core *Core) pushValue(view *View, message *wire.Accept, texts wire.Texts) error {
 	until := time.Now().Add(core.place.writeLimit())
 	voters := append([]Peer{{ID: view.ID, Address: view.Wire}}, view.Peers...)
 	push := func(index int) (*wire.AcceptTold, error) {
@@ -377,13 +377,13 @@
 	}
 }
 
-func (core *Core) leading() (*Leadership, *wire.Mishap) {
+func (core *Core) leading() (*Leadership, error) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	if core.leadership == nil {
 		mishap := &wire.Mishap{Kind: wire.NotLeader, Cause: "another core leads or none"}
 		if core.leader.Known() && core.leader.Core != core.members().ID {
-			mishap.Leader = core.leader.Address
+			wire.AsMishap(mishap).Leader = core.leader.Address
 		}
 		return nil, mishap
 	}
--- a/control/decide_test.go
+++ b/control/decide_test.go
@@ -50,7 +50,7 @@
 		"number of the current one, on it":    {changeOf(9, 9, "equal"), wire.StaleVersion},
 		"number below the current one, on it": {changeOf(8, 9, "below"), wire.StaleVersion},
 	} {
-		if next, again, mishap := decide(book, one.change); next != nil || again || mishap == nil || mishap.Kind != one.want {
+		if next, again, mishap := decide(book, one.change); next != nil || again || mishap == nil || wire.KindOf(mishap) != one.want {
 			test.Errorf("%s: again %v, %v, want %s", name, again, mishap, one.want)
 		}
 	}
@@ -67,7 +67,7 @@
 		}
 	}
 	for name, change := range map[string]*route.Change{"another text": changeOf(300, 297, "order 98"), "another number": changeOf(301, 297, "order 99")} {
-		if _, again, mishap := decide(book, change); again || mishap == nil || mishap.Kind != wire.StaleBase {
+		if _, again, mishap := decide(book, change); again || mishap == nil || wire.KindOf(mishap) != wire.StaleBase {
 			test.Errorf("%s: again %v, %v", name, again, mishap)
 		}
 	}
@@ -82,11 +82,11 @@
 		book.Trail = book.Trail.With(12+number*3, "other")
 	}
 	for number, want := range map[uint64]wire.Kind{0: wire.Forgotten, 2: wire.Forgotten, 3: wire.StaleBase} {
-		if _, again, mishap := decide(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); again || mishap == nil || mishap.Kind != want {
+		if _, again, mishap := decide(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); again || mishap == nil || wire.KindOf(mishap) != want {
 			test.Errorf("order %d: again %v, %v, want %s", number, again, mishap, want)
 		}
 	}
-	if _, _, mishap := decide(book, changeOf(book.Config.Version, book.Config.Version, "not above")); mishap == nil || mishap.Kind != wire.StaleVersion {
+	if _, _, mishap := decide(book, changeOf(book.Config.Version, book.Config.Version, "not above")); mishap == nil || wire.KindOf(mishap) != wire.StaleVersion {
 		test.Errorf("a number not above the current one, on it: %v", mishap)
 	}
 }
--- a/control/election.go
+++ b/control/election.go
@@ -3,8 +3,9 @@
 import (
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 const firstStand = 30 * time.Millisecond
@@ -215,7 +216,7 @@
 	}
 }
 
-func (core *Core) voterPromise(message *wire.Promise) (*wire.PromiseTold, *wire.Mishap) {
+func (core *Core) voterPromise(message *wire.Promise) (*wire.PromiseTold, error) {
 	if known := core.members().accepted(); wire.Supersedes(known, message.Members) {
 		return &wire.PromiseTold{Promised: core.voter.State().Promised, Members: known}, nil
 	}
@@ -230,12 +231,12 @@
 	return told, mishap
 }
 
-func (core *Core) voterAccept(message *wire.Accept) (*wire.AcceptTold, *wire.Mishap) {
+func (core *Core) voterAccept(message *wire.Accept) (*wire.AcceptTold, error) {
 	core.sawRound(message.Ballot.Round)
 	return core.voter.Accept(message)
 }
 
-func (core *Core) onPrecheck(message *wire.Precheck) (*wire.PrecheckTold, *wire.Mishap) {
+func (core *Core) onPrecheck(message *wire.Precheck) (*wire.PrecheckTold, error) {
 	state := core.voter.State()
 	core.mutex.Lock()
 	heard := core.leadership != nil || (core.leader.Known() && !core.duck && time.Since(core.heard) < core.place.Suspect)
@@ -248,7 +249,7 @@
 // reach is how many cores told something lately, this one included.
 func (core *Core) reach() int { return 1 + core.sessions.coresHeard(core.place.Suspect*2) }
 
-func (core *Core) onBeat(message *wire.Beat) (*wire.BeatTold, *wire.Mishap) {
+func (core *Core) onBeat(message *wire.Beat) (*wire.BeatTold, error) {
 	state := core.voter.State()
 	core.sawRound(message.Ballot.Round)
 	if message.Ballot.Less(state.Promised) {
@@ -278,7 +279,7 @@
 	return told, nil
 }
 
-func (core *Core) onStepDown(message *wire.StepDown) (*wire.StepDownTold, *wire.Mishap) {
+func (core *Core) onStepDown(message *wire.StepDown) (*wire.StepDownTold, error) {
 	state := core.voter.State()
 	if !core.Sound() || message.Ballot.Less(state.Promised) || core.chart.Now() != Following {
 		return &wire.StepDownTold{}, nil
--- a/control/enlist.go
+++ b/control/enlist.go
@@ -5,9 +5,10 @@
 	"sync"
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/run"
 	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 const (
@@ -132,7 +133,7 @@
 // mayEnrol is whether a core that first hears of a membership is a voter of it at once.
 func mayEnrol(opening bool, view *View) bool { return opening && view.votes() }
 
-func (core *Core) onEnlist(message *wire.Enlist) (*wire.EnlistTold, *wire.Mishap) {
+func (core *Core) onEnlist(message *wire.Enlist) (*wire.EnlistTold, error) {
 	if !core.members().known() {
 		core.enlisted.take(message.Address)
 		return &wire.EnlistTold{}, nil
--- a/control/establishment.go
+++ b/control/establishment.go
@@ -27,12 +27,12 @@
 	learners   []string
 }
 
-func (core *Core) establish(view *View, ballot wire.Ballot, revocation *Revocation) (*Leadership, *wire.Mishap) {
+func (core *Core) establish(view *View, ballot wire.Ballot, revocation *Revocation) (*Leadership, error) {
 	if !revocation.Complete {
 		return nil, wire.New(wire.StaleBallot, "revocation of %s is not complete", revocation.Revoked)
 	}
 	establishment := &Establishment{core: core, view: view, ballot: ballot, revocation: revocation, learners: revocation.Learners}
-	for _, step := range []func() *wire.Mishap{establishment.promised, establishment.revoked, establishment.rewritten} {
+	for _, step := range []func() error{establishment.promised, establishment.revoked, establishment.rewritten} {
 		if mishap := step(); mishap != nil {
 			return nil, mishap
 		}
@@ -50,14 +50,14 @@
 // leadsBy makes the membership that was written again under a ballot the one that this
 // core counts by from then on. Its own replica may not have accepted that yet, and
 // meanwhile it may have learned a step of a former leader's that was never decided.
-func (core *Core) leadsBy(view *View, ballot wire.Ballot) *wire.Mishap {
+func (core *Core) leadsBy(view *View, ballot wire.Ballot) error {
 	rewritten := *view.Membership
 	_, mishap := core.countBy(&rewritten, ballot)
 	return mishap
 }
 
 // promised reuses the fence's promises; after a step-down it asks for its own.
-func (establishment *Establishment) promised() *wire.Mishap {
+func (establishment *Establishment) promised() error {
 	if establishment.revocation.Method == BallotFence && establishment.revocation.Ballot == establishment.ballot {
 		establishment.promises = establishment.revocation.Promises
 	}
@@ -71,7 +71,7 @@
 
 // revoked falls back to the fence that the promises are, when a leader unknown
 // to the step-down shows itself.
-func (establishment *Establishment) revoked() *wire.Mishap {
+func (establishment *Establishment) revoked() error {
 	if establishment.revocation.covers(establishment.promises) {
 		return nil
 	}
@@ -104,7 +104,7 @@
 }
 
 // rewritten writes what the ballot takes over again under it.
-func (establishment *Establishment) rewritten() *wire.Mishap {
+func (establishment *Establishment) rewritten() error {
 	core := establishment.core
 	establishment.newest, establishment.from = takenOver(establishment.view, establishment.promises)
 	settings := establishment.newest[wire.SettingsRegister].Value
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -33,7 +33,7 @@
 // onEvacuate takes a zone's backends out of use, or back into it. An order that was
 // under way while the zone changed is not carried out: its operator gave up on it,
 // and may have been told since that the contrary is in force.
-func (core *Core) onEvacuate(order *wire.Evacuate) (*wire.EvacuateTold, *wire.Mishap) {
+func (core *Core) onEvacuate(order *wire.Evacuate) (*wire.EvacuateTold, error) {
 	leadership, mishap := core.leading()
 	if mishap != nil {
 		return nil, mishap
@@ -42,7 +42,7 @@
 		return &wire.EvacuateTold{Changes: leadership.book().Changes(order.Zone)}, nil
 	}
 	told, changed := &wire.EvacuateTold{}, false
-	told.Serial, mishap = leadership.writeRouting(func(book *route.Book) (*route.Book, *wire.Mishap) {
+	told.Serial, mishap = leadership.writeRouting(func(book *route.Book) (*route.Book, error) {
 		next := evacuate(book, order, core.Now())
 		if told.Changes = book.Changes(order.Zone); next != nil && told.Changes != order.Upon {
 			return nil, wire.New(wire.ZoneChanged, "changed %d times, the order is upon %d", told.Changes, order.Upon)
@@ -54,7 +54,7 @@
 		mishap = leadership.proven(nil)
 	}
 	if mishap != nil {
-		core.counts.Add("evacuations_"+string(mishap.Kind), 1)
+		core.counts.Add("evacuations_"+string(wire.KindOf(mishap)), 1)
 		return nil, mishap
 	}
 	return told, nil
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -14,7 +14,7 @@
 type TestClaims struct{ log *ClaimLog }
 
 // OpenTestClaims opens a log that remembers keys for keep.FirstSpan.
-func OpenTestClaims(disk Disk, segment int64) (*TestClaims, *wire.Mishap) {
+func OpenTestClaims(disk Disk, segment int64) (*TestClaims, error) {
 	log, mishap := openClaimLog(disk, 0, run.NewCounts())
 	if mishap != nil {
 		return nil, mishap
@@ -25,7 +25,7 @@
 }
 
 // Keep is one turn of the writing thread.
-func (claims *TestClaims) Keep(message *wire.Keep) ([]wire.ClaimTold, *wire.Mishap) {
+func (claims *TestClaims) Keep(message *wire.Keep) ([]wire.ClaimTold, error) {
 	if mishap := claims.log.repair(); mishap != nil {
 		return nil, mishap
 	}
--- a/control/journal.go
+++ b/control/journal.go
@@ -6,8 +6,9 @@
 	"sort"
 	"strings"
 
-	"github.com/samber/oops"
 	"orchidjunction/wire"
+
+	"github.com/samber/oops"
 )
 
 const (
@@ -30,10 +31,10 @@
 	size   int64
 	limit  int64
 	file   File
-	fault  *wire.Mishap
+	fault  error
 }
 
-func storeFault(kind wire.Kind, fault error, format string, values ...any) *wire.Mishap {
+func storeFault(kind wire.Kind, fault error, format string, values ...any) error {
 	wrapped := oops.Code(string(kind)).In("store").Wrapf(fault, format, values...)
 	return wire.New(kind, "%v", wrapped)
 }
@@ -41,7 +42,7 @@
 func numbered(name string, number uint64) string { return fmt.Sprintf("%s-%016d", name, number) }
 
 // numbers lists the files of one name in order.
-func numbers(disk Disk, name string) ([]uint64, *wire.Mishap) {
+func numbers(disk Disk, name string) ([]uint64, error) {
 	names, fault := disk.List()
 	if fault != nil {
 		return nil, storeFault(wire.DiskFault, fault, "list")
@@ -62,7 +63,7 @@
 // segment or rewritten the last one. The last one is not extended as it was found,
 // since a failed sync of the former process may have left frames that can be read
 // and are not on the disk.
-func loadJournal(disk Disk, name string, first uint64, lay func(segment uint64, payload []byte) *wire.Mishap) (*Journal, *wire.Mishap) {
+func loadJournal(disk Disk, name string, first uint64, lay func(segment uint64, payload []byte) error) (*Journal, error) {
 	journal := &Journal{disk: disk, name: name, number: first, limit: segmentLimit}
 	segments, mishap := numbers(disk, name)
 	if mishap != nil {
@@ -83,7 +84,7 @@
 	return journal, nil
 }
 
-func (journal *Journal) load(number uint64, last bool, lay func(segment uint64, payload []byte) *wire.Mishap) *wire.Mishap {
+func (journal *Journal) load(number uint64, last bool, lay func(segment uint64, payload []byte) error) error {
 	name := numbered(journal.name, number)
 	body, fault := journal.disk.Read(name)
 	if fault != nil {
@@ -109,7 +110,7 @@
 }
 
 // begin makes an empty segment the last one. Its name lasts before it is used.
-func (journal *Journal) begin(number uint64) *wire.Mishap {
+func (journal *Journal) begin(number uint64) error {
 	name := numbered(journal.name, number)
 	file, fault := journal.disk.Create(name)
 	if fault == nil {
@@ -122,7 +123,7 @@
 }
 
 // rewrite puts a new file with the sound content in the last segment's place.
-func (journal *Journal) rewrite() *wire.Mishap {
+func (journal *Journal) rewrite() error {
 	if journal.size == 0 {
 		return journal.begin(journal.number)
 	}
@@ -139,7 +140,7 @@
 }
 
 // take goes on with a file, or with none after a fault.
-func (journal *Journal) take(file File, number uint64, size int64, fault error) *wire.Mishap {
+func (journal *Journal) take(file File, number uint64, size int64, fault error) error {
 	if fault != nil {
 		if file != nil {
 			_ = file.Close() // its sync or its naming failed already
@@ -185,7 +186,7 @@
 
 // Append lasts once it returns without a mishap; after one the journal takes
 // nothing more.
-func (journal *Journal) Append(block []byte) *wire.Mishap {
+func (journal *Journal) Append(block []byte) error {
 	if journal.fault != nil {
 		return journal.fault
 	}
@@ -203,7 +204,7 @@
 }
 
 // sweep removes files of a name below a number, oldest first.
-func sweep(disk Disk, name string, below uint64, removed func() error) *wire.Mishap {
+func sweep(disk Disk, name string, below uint64, removed func() error) error {
 	found, mishap := numbers(disk, name)
 	if mishap != nil {
 		return mishap
@@ -230,7 +231,7 @@
 }
 
 // packFrame is one frame of a value.
-func packFrame(value any) ([]byte, *wire.Mishap) {
+func packFrame(value any) ([]byte, error) {
 	payload, fault := wire.Pack(value)
 	if fault != nil {
 		return nil, wire.AsMishap(fault)
@@ -240,7 +241,7 @@
 
 // sweepDrafts removes drafts that a crash left. One that stays is overwritten when
 // its name is used again.
-func sweepDrafts(disk Disk) *wire.Mishap {
+func sweepDrafts(disk Disk) error {
 	names, fault := disk.List()
 	if fault != nil {
 		return storeFault(wire.DiskFault, fault, "list")
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -71,7 +71,7 @@
 }
 
 // holds is nil while every condition stands, by the monotonic clock.
-func (leadership *Leadership) holds() *wire.Mishap {
+func (leadership *Leadership) holds() error {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	switch {
@@ -105,9 +105,9 @@
 }
 
 // change writes the settings that build makes of the current ones.
-func (leadership *Leadership) change(build func(now *content) (*content, *wire.Mishap)) (uint64, *wire.Mishap) {
+func (leadership *Leadership) change(build func(now *content) (*content, error)) (uint64, error) {
 	var next *content
-	return leadership.write(wire.SettingsRegister, func(wire.Value) (*wire.Value, wire.Texts, *wire.Mishap) {
+	return leadership.write(wire.SettingsRegister, func(wire.Value) (*wire.Value, wire.Texts, error) {
 		made, mishap := build(leadership.settings())
 		if mishap != nil || made == nil {
 			return nil, nil, mishap
@@ -120,7 +120,7 @@
 
 // write puts the next value in the register; build sees the current one. Once
 // sent, a write ends taken by a majority, or the leadership ends with it.
-func (leadership *Leadership) write(register wire.Register, build func(current wire.Value) (*wire.Value, wire.Texts, *wire.Mishap), taken func()) (uint64, *wire.Mishap) {
+func (leadership *Leadership) write(register wire.Register, build func(current wire.Value) (*wire.Value, wire.Texts, error), taken func()) (uint64, error) {
 	if mishap := leadership.holds(); mishap != nil {
 		return 0, mishap
 	}
@@ -245,14 +245,14 @@
 }
 
 // confirm waits until a beat begun after the call was taken by a majority.
-func (leadership *Leadership) confirm(limit time.Duration) *wire.Mishap {
+func (leadership *Leadership) confirm(limit time.Duration) error {
 	leadership.mutex.Lock()
 	need := leadership.started + 1
 	leadership.mutex.Unlock()
 	until := time.Now().Add(limit)
 	for {
 		seen := leadership.confirmed.Count()
-		if mishap := leadership.holds(); mishap != nil && mishap.Kind != wire.Lameduck {
+		if mishap := leadership.holds(); mishap != nil && wire.KindOf(mishap) != wire.Lameduck {
 			return mishap
 		}
 		leadership.mutex.Lock()
--- a/control/membership.go
+++ b/control/membership.go
@@ -48,7 +48,7 @@
 
 // membershipOf reads an accepted value of the membership register; a value of
 // serial 0 stands for no membership and gives nil.
-func membershipOf(accepted wire.Accepted) (*Membership, *wire.Mishap) {
+func membershipOf(accepted wire.Accepted) (*Membership, error) {
 	if accepted.Value.Serial == 0 {
 		return nil, nil
 	}
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -92,7 +92,7 @@
 // One field of a membership's message changed at a time: what can't be one is refused.
 func TestMembershipIsCheckedByField(test *testing.T) {
 	good := wire.Voters{Current: []Peer{{ID: 1, Address: "10.0.0.1:41"}, {ID: 2, Address: "10.0.0.2:41"}}, LastID: 2}
-	read := func(voters wire.Voters) *wire.Mishap {
+	read := func(voters wire.Voters) error {
 		body, _ := wire.Pack(&voters)
 		_, mishap := membershipOf(wire.Accepted{Value: wire.Value{Serial: 1, Body: body}})
 		return mishap
--- a/control/metering.go
+++ b/control/metering.go
@@ -65,7 +65,7 @@
 	Sealed []sealedWindow
 }
 
-func meterBookOf(value wire.Value) (*meterBook, *wire.Mishap) {
+func meterBookOf(value wire.Value) (*meterBook, error) {
 	book := &meterBook{}
 	if len(value.Body) > 0 {
 		if fault := wire.Unpack(value.Body, book); fault != nil {
@@ -276,7 +276,7 @@
 	if len(sealed) == 0 && book.Next > 0 {
 		return
 	}
-	_, mishap := leadership.write(wire.ReportsRegister, func(current wire.Value) (*wire.Value, wire.Texts, *wire.Mishap) {
+	_, mishap := leadership.write(wire.ReportsRegister, func(current wire.Value) (*wire.Value, wire.Texts, error) {
 		held, mishap := meterBookOf(current)
 		if mishap != nil || held.Next != book.Next {
 			return nil, nil, mishap
--- a/control/model_machine_test.go
+++ b/control/model_machine_test.go
@@ -117,7 +117,7 @@
 	core.place = Place{Wire: address, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}.filled()
 	core.clock = run.NewClock(func() int64 { return 0 })
 	core.sessions = newSessions(core.place.SessionSpan)
-	core.voter = NewVoter(store, func(*wire.Mishap) {}, core.raised)
+	core.voter = NewVoter(store, func(error) {}, core.raised)
 	core.voter.learns = core.learnMembers
 	core.chart = &Chart{now: Following, counts: core.counts}
 	core.known.Store(core.place.view(core.voter.State().Voters()))
--- a/control/model_mutants_test.go
+++ b/control/model_mutants_test.go
@@ -134,7 +134,7 @@
 		}},
 	{name: "a restored voter has promised nothing", near: 4770, form: modelWiped, breaks: []string{acknowledgedIsKept, oneValuePerSerial, servedIsDecided},
 		mutate: func(rules *modelRules) {
-			rules.found = func(voter *Voter, _ wire.Ballot, _ [wire.Registers]wire.Accepted) *wire.Mishap {
+			rules.found = func(voter *Voter, _ wire.Ballot, _ [wire.Registers]wire.Accepted) error {
 				return voter.Found(wire.Ballot{}, [wire.Registers]wire.Accepted{}, nil)
 			}
 		}},
@@ -155,7 +155,7 @@
 			}
 		}},
 	{name: "a leader counts by what it heard", near: 650, form: modelStray, breaks: []string{oneVoterPerStep, servedIsDecided, acknowledgedIsKept, quorumsMeet},
-		mutate: func(rules *modelRules) { rules.leadsBy = func(*Core, *View, wire.Ballot) *wire.Mishap { return nil } }},
+		mutate: func(rules *modelRules) { rules.leadsBy = func(*Core, *View, wire.Ballot) error { return nil } }},
 	{name: "a step ends without catching up or rewriting", near: 220, form: modelThree, breaks: []string{acknowledgedIsKept},
 		mutate: func(rules *modelRules) { rules.catchesUp, rules.rewrites = false, false }},
 }
@@ -165,7 +165,7 @@
 }
 
 // modelFoundAsVotes takes over copies as if this replica had accepted them.
-func modelFoundAsVotes(voter *Voter, ballot wire.Ballot, accepted [wire.Registers]wire.Accepted) *wire.Mishap {
+func modelFoundAsVotes(voter *Voter, ballot wire.Ballot, accepted [wire.Registers]wire.Accepted) error {
 	step := record{Founded: true, Promised: &ballot}
 	for register := range accepted {
 		if accepted[register].Value.Serial > 0 {
--- a/control/model_rules_test.go
+++ b/control/model_rules_test.go
@@ -13,7 +13,7 @@
 	fencesWithout func(view *View, lost int, has func(id int) bool) bool
 	askedMembers  func(view *View) wire.Accepted
 	takenOver     func(view *View, promises map[int]*wire.PromiseTold) ([wire.Registers]wire.Accepted, [wire.Registers]int)
-	found         func(voter *Voter, ballot wire.Ballot, accepted [wire.Registers]wire.Accepted) *wire.Mishap
+	found         func(voter *Voter, ballot wire.Ballot, accepted [wire.Registers]wire.Accepted) error
 	mayLead       func(view *View, id int) bool
 	nextBallot    func(core *Core, view *View) wire.Ballot
 	admits        func(view *View, address string) bool
@@ -21,8 +21,8 @@
 	beginEmpty    func(core *Core, ballot wire.Ballot)
 	replaced      func(view *View, leaving int, address string) *Membership
 	settled       func(view *View) *Membership
-	countsBy      func(core *Core, next *Membership, ballot wire.Ballot) (*View, *wire.Mishap)
-	leadsBy       func(core *Core, view *View, ballot wire.Ballot) *wire.Mishap
+	countsBy      func(core *Core, next *Membership, ballot wire.Ballot) (*View, error)
+	leadsBy       func(core *Core, view *View, ballot wire.Ballot) error
 
 	confirms       bool
 	catchesUp      bool
@@ -43,7 +43,7 @@
 		fencesWithout: func(view *View, lost int, has func(id int) bool) bool { return view.fencesWithout(lost, has) },
 		askedMembers:  func(view *View) wire.Accepted { return view.accepted() },
 		takenOver:     takenOver,
-		found: func(voter *Voter, ballot wire.Ballot, accepted [wire.Registers]wire.Accepted) *wire.Mishap {
+		found: func(voter *Voter, ballot wire.Ballot, accepted [wire.Registers]wire.Accepted) error {
 			return voter.Found(ballot, accepted, nil)
 		},
 		mayLead: func(view *View, id int) bool { return view.mayLead(id) },
--- a/control/model_world_test.go
+++ b/control/model_world_test.go
@@ -121,7 +121,7 @@
 }
 
 // modelMust ends the run where a step of the setting up failed.
-func modelMust(mishap *wire.Mishap) {
+func modelMust(mishap error) {
 	if mishap != nil {
 		panic(mishap)
 	}
--- a/control/place.go
+++ b/control/place.go
@@ -114,7 +114,7 @@
 
 func (place *Place) writeLimit() time.Duration { return max(writeLimit, 2*place.Suspect) }
 
-func (place *Place) Check() *wire.Mishap {
+func (place *Place) Check() error {
 	if place.Beat < 10*time.Millisecond || place.Suspect < 3*place.Beat {
 		return wire.New(wire.BadFlag, "--suspect-ms: %v must be at least three beats of %v, and a beat 10ms", place.Suspect, place.Beat)
 	}
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func (place *Place) checkSeeds() *wire.Mishap {
+func (place *Place) checkSeeds() error {
 	if len(place.Peers) > 0 {
 		return wire.New(wire.BadFlag, "--peer: goes with an id, not with seeds")
 	}
@@ -158,7 +158,7 @@
 	return nil
 }
 
-func CheckAddress(flag, address string) *wire.Mishap {
+func CheckAddress(flag, address string) error {
 	parsed, fault := netip.ParseAddrPort(address)
 	if fault != nil || parsed.Port() == 0 {
 		return wire.New(wire.BadFlag, "%s: %q is not IP:port", flag, address)
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -31,7 +31,7 @@
 		}
 		change(&one, &other)
 		for _, place := range []*Place{&one, &other} {
-			if mishap := place.Check(); mishap == nil || mishap.Kind != wire.BadFlag {
+			if mishap := place.Check(); mishap == nil || wire.KindOf(mishap) != wire.BadFlag {
 				test.Errorf("%s: %+v: %v", name, place, mishap)
 			}
 		}
--- a/control/platform.go
+++ b/control/platform.go
@@ -35,7 +35,7 @@
 	Backends []wire.Backend
 	Next     string
 	Wait     time.Duration
-	Mishap   *wire.Mishap
+	Mishap   error
 }
 
 type platformPage struct {
--- a/control/power_test.go
+++ b/control/power_test.go
@@ -26,14 +26,14 @@
 
 // open starts a voter on the disk; what was answered for must be there, and what
 // is there counts as answered for once the disk has taken it anew.
-func (witness *witness) open(disk *sim.Disk) *wire.Mishap {
+func (witness *witness) open(disk *sim.Disk) error {
 	store, mishap := control.OpenStore(disk)
 	if mishap != nil {
 		return mishap
 	}
 	store.LimitSegments(smallSegment)
 	witness.store = store
-	witness.voter = control.NewVoter(store, func(*wire.Mishap) {}, func(wire.Ballot) {})
+	witness.voter = control.NewVoter(store, func(error) {}, func(wire.Ballot) {})
 	witness.judge()
 	if store.Fault() == nil {
 		witness.promised, witness.marks = witness.voter.State().Promised, witness.voter.State().Marks()
--- a/control/refusal.go
+++ b/control/refusal.go
@@ -3,8 +3,9 @@
 import (
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 const (
@@ -17,13 +18,13 @@
 
 // diskRefusal is a disk's refusal to take writes, under the core's mutex.
 type diskRefusal struct {
-	fault *wire.Mishap
+	fault error
 	since time.Time
 }
 
 // diskFault notes that the disk refused a step. Until a repair succeeds this core
 // does not vote or stand, and a lead it has goes to a core whose disk takes writes.
-func (core *Core) diskFault(fault *wire.Mishap) {
+func (core *Core) diskFault(fault error) {
 	core.mutex.Lock()
 	first := core.refused.fault == nil
 	if first {
@@ -39,7 +40,7 @@
 }
 
 // DiskFault is why this core's disk takes nothing now, nil while it does.
-func (core *Core) DiskFault() *wire.Mishap {
+func (core *Core) DiskFault() error {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	return core.refused.fault
--- a/control/removal.go
+++ b/control/removal.go
@@ -4,8 +4,9 @@
 	"slices"
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 // removalRetry is when to ask again for a removal, in milliseconds.
@@ -14,7 +15,7 @@
 // onRemoval gives a voter's place to a learner at once. Where the leader itself is to
 // go, it hands the lead over, and the order goes on to the next one. The same order
 // again finds the core gone and is acknowledged.
-func (core *Core) onRemoval(message *wire.Removal) (*wire.RemovalTold, *wire.Mishap) {
+func (core *Core) onRemoval(message *wire.Removal) (*wire.RemovalTold, error) {
 	leadership, mishap := core.leading()
 	if mishap != nil {
 		return nil, mishap
@@ -50,7 +51,7 @@
 
 // settledView is the membership that this leadership had decided, after the step
 // under way was ended.
-func (leadership *Leadership) settledView() (*View, *wire.Mishap) {
+func (leadership *Leadership) settledView() (*View, error) {
 	core := leadership.core
 	if core.members().changing() {
 		leadership.settleMembers()
@@ -77,7 +78,7 @@
 
 // removed acknowledges a removal that was decided. One that was written but not
 // decided may come about all the same.
-func (leadership *Leadership) removed(id int) (*wire.RemovalTold, *wire.Mishap) {
+func (leadership *Leadership) removed(id int) (*wire.RemovalTold, error) {
 	view, mishap := leadership.settledView()
 	if mishap != nil {
 		return nil, &wire.Mishap{Kind: wire.OutcomeUnknown, Cause: "the removal may come about: " + mishap.Error(), Retry: removalRetry}
@@ -90,7 +91,7 @@
 
 // handOverForRemoval makes another voter the leader. This core then votes and follows
 // until the order reaches the new leader.
-func (leadership *Leadership) handOverForRemoval() *wire.Mishap {
+func (leadership *Leadership) handOverForRemoval() error {
 	core, passed := leadership.core, map[int]bool{}
 	until := time.Now().Add(core.place.writeLimit())
 	for time.Now().Before(until) {
--- a/control/replace.go
+++ b/control/replace.go
@@ -4,9 +4,10 @@
 	"sync"
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/run"
 	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 const (
@@ -210,7 +211,7 @@
 
 // mayReplace refuses a step that was chosen before another one, by an order or by the
 // leader's duty.
-func (leadership *Leadership) mayReplace(leaving Peer, address string) *wire.Mishap {
+func (leadership *Leadership) mayReplace(leaving Peer, address string) error {
 	view := leadership.core.members()
 	if view.changing() || !contains(view.Voters, leaving.ID) || view.has(address) {
 		return wire.New(wire.NotStarted, "membership %d is another one meanwhile", view.Mark.Serial)
@@ -219,7 +220,7 @@
 }
 
 // catchUp brings a replica all registers as they are; it fails unless that has all.
-func (leadership *Leadership) catchUp(peer Peer) *wire.Mishap {
+func (leadership *Leadership) catchUp(peer Peer) error {
 	leadership.mutex.Lock()
 	values, texts := leadership.values, leadership.content.texts
 	leadership.mutex.Unlock()
@@ -261,7 +262,7 @@
 }
 
 // rewriteAll has a quorum of the step hold every register.
-func (leadership *Leadership) rewriteAll(view *View) *wire.Mishap {
+func (leadership *Leadership) rewriteAll(view *View) error {
 	leadership.mutex.Lock()
 	values, texts := leadership.values, leadership.content.texts
 	leadership.mutex.Unlock()
@@ -280,7 +281,7 @@
 
 // writeMembers writes a membership, within the turn of the writes. It counts from
 // now on, decided or not; where it isn't decided, this leadership ends with it.
-func (leadership *Leadership) writeMembers(next *Membership) *wire.Mishap {
+func (leadership *Leadership) writeMembers(next *Membership) error {
 	if mishap := leadership.holds(); mishap != nil {
 		return mishap
 	}
@@ -305,7 +306,7 @@
 
 // countBy makes a membership, about to be written under a ballot, the one that this
 // core counts by; it fails where a newer one is known.
-func (core *Core) countBy(next *Membership, ballot wire.Ballot) (*View, *wire.Mishap) {
+func (core *Core) countBy(next *Membership, ballot wire.Ballot) (*View, error) {
 	next.Mark.Ballot = ballot
 	core.learnMembers(next.accepted())
 	view := core.members()
@@ -317,7 +318,7 @@
 
 // onLeave takes a voter's word that it ends. It need not wait where no learner is
 // there to take its place, nor once it has no place left.
-func (core *Core) onLeave(message *wire.Leave) (*wire.LeaveTold, *wire.Mishap) {
+func (core *Core) onLeave(message *wire.Leave) (*wire.LeaveTold, error) {
 	leadership, mishap := core.leading()
 	if mishap != nil {
 		return nil, mishap
--- a/control/restore.go
+++ b/control/restore.go
@@ -3,8 +3,9 @@
 import (
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 // restore makes a blank disk a voter again: by founding, when every core is new,
@@ -76,7 +77,7 @@
 
 // markClaimsWhole notes that a voter lacks no claims; one that lost its vote meanwhile
 // has nothing to note.
-func (core *Core) markClaimsWhole(id int) *wire.Mishap {
+func (core *Core) markClaimsWhole(id int) error {
 	view := core.members()
 	if view.ID != id {
 		return nil
@@ -103,7 +104,7 @@
 	core.chart.move(Following)
 }
 
-func (core *Core) onRestore(message *wire.Restore) (*wire.RestoreTold, *wire.Mishap) {
+func (core *Core) onRestore(message *wire.Restore) (*wire.RestoreTold, error) {
 	state := core.voter.State()
 	return &wire.RestoreTold{Voter: state.Founded, Founded: state.Founded, Promised: state.Promised, Marks: state.Marks(), Members: core.newerMembers(message.Members)}, nil
 }
--- a/control/restored_test.go
+++ b/control/restored_test.go
@@ -15,7 +15,7 @@
 	if mishap != nil {
 		test.Fatal(mishap)
 	}
-	voter := control.NewVoter(store, func(mishap *wire.Mishap) { test.Error(mishap) }, func(wire.Ballot) {})
+	voter := control.NewVoter(store, func(mishap error) { test.Error(mishap) }, func(wire.Ballot) {})
 	accepted := [wire.Registers]wire.Accepted{}
 	accepted[wire.RoutingRegister] = wire.Accepted{Ballot: wire.Ballot{Round: 3, Core: 2}, Value: wire.Value{Serial: 7, Body: []byte("routing")}}
 	own := wire.Ballot{Round: 5, Core: 1}
--- a/control/revocation.go
+++ b/control/revocation.go
@@ -25,7 +25,7 @@
 }
 
 // fence pushes the ballot until a majority holds no older one valid.
-func (core *Core) fence(view *View, ballot wire.Ballot, revoked wire.Ballot) (*Revocation, *wire.Mishap) {
+func (core *Core) fence(view *View, ballot wire.Ballot, revoked wire.Ballot) (*Revocation, error) {
 	promises, mishap := core.pushBallot(view, ballot)
 	if mishap != nil {
 		return nil, mishap
@@ -59,7 +59,7 @@
 // pushBallot asks every voter to promise, this one first and synced, until a quorum
 // did. One that knows a newer membership refuses and tells it: the next attempt
 // counts by that.
-func (core *Core) pushBallot(view *View, ballot wire.Ballot) (map[int]*wire.PromiseTold, *wire.Mishap) {
+func (core *Core) pushBallot(view *View, ballot wire.Ballot) (map[int]*wire.PromiseTold, error) {
 	message := &wire.Promise{Ballot: ballot, Members: view.accepted()}
 	own, mishap := core.voter.Promise(message)
 	if mishap != nil {
--- a/control/routing.go
+++ b/control/routing.go
@@ -15,7 +15,7 @@
 }
 
 // of packs a book as daemons need it, and squeezes it.
-func (routed *routedBody) of(value wire.Value) ([]byte, *wire.Mishap) {
+func (routed *routedBody) of(value wire.Value) ([]byte, error) {
 	routed.mutex.Lock()
 	defer routed.mutex.Unlock()
 	if routed.serial == value.Serial {
@@ -48,7 +48,7 @@
 // decide is the book after a change, or that the change was taken before. A base
 // that is no longer current is named before all else that may be wrong: who lost a
 // race sent a valid configuration. Whether a very old order was taken is not known.
-func decide(book *route.Book, change *route.Change) (next *route.Book, again bool, mishap *wire.Mishap) {
+func decide(book *route.Book, change *route.Change) (next *route.Book, again bool, mishap error) {
 	if book.Trail.Holds(change.Version, change.Digest) {
 		return nil, true, nil
 	}
@@ -82,10 +82,10 @@
 
 // writeRouting writes the book that build makes of the current one, and gives
 // the serial that holds it; none made leaves the current serial.
-func (leadership *Leadership) writeRouting(build func(book *route.Book) (*route.Book, *wire.Mishap)) (uint64, *wire.Mishap) {
+func (leadership *Leadership) writeRouting(build func(book *route.Book) (*route.Book, error)) (uint64, error) {
 	var next *route.Book
 	held := uint64(0)
-	serial, mishap := leadership.write(wire.RoutingRegister, func(current wire.Value) (*wire.Value, wire.Texts, *wire.Mishap) {
+	serial, mishap := leadership.write(wire.RoutingRegister, func(current wire.Value) (*wire.Value, wire.Texts, error) {
 		held = current.Serial
 		book, mishap := build(leadership.book())
 		if mishap != nil || book == nil {
@@ -114,7 +114,7 @@
 // onRouteChange puts an operator's routing in force at the leader, or says why not.
 // What needs no write, a repeat or a refusal, is told only by who still leads: the
 // next leader may have taken the order, or others.
-func (core *Core) onRouteChange(message *wire.RouteChange) (*wire.RouteChangeTold, *wire.Mishap) {
+func (core *Core) onRouteChange(message *wire.RouteChange) (*wire.RouteChangeTold, error) {
 	leadership, mishap := core.leading()
 	if mishap != nil {
 		return nil, mishap
@@ -124,7 +124,7 @@
 		return nil, wire.AsMishap(fault)
 	}
 	told, decided := &wire.RouteChangeTold{}, false
-	told.Serial, mishap = leadership.writeRouting(func(book *route.Book) (*route.Book, *wire.Mishap) {
+	told.Serial, mishap = leadership.writeRouting(func(book *route.Book) (*route.Book, error) {
 		next, again, refusal := decide(book, change)
 		told.Again, decided = again, next == nil
 		return next, refusal
@@ -133,7 +133,7 @@
 		mishap = leadership.proven(mishap)
 	}
 	if mishap != nil {
-		core.counts.Add("routings_"+string(mishap.Kind), 1)
+		core.counts.Add("routings_"+string(wire.KindOf(mishap)), 1)
 		return nil, mishap
 	}
 	core.counts.Add("routings_taken", 1)
@@ -142,14 +142,14 @@
 
 // proven is what a caller is told of a decision that needed no write: the decision,
 // once a majority took a beat that was begun after it, and else why there was none.
-func (leadership *Leadership) proven(decision *wire.Mishap) *wire.Mishap {
+func (leadership *Leadership) proven(decision error) error {
 	if unsure := leadership.confirm(leadership.core.roundLimit()); unsure != nil {
 		return unsure
 	}
 	return decision
 }
 
-func (core *Core) onRouteRead(*wire.RouteRead) (*wire.RouteReadTold, *wire.Mishap) {
+func (core *Core) onRouteRead(*wire.RouteRead) (*wire.RouteReadTold, error) {
 	leadership, mishap := core.leading()
 	if mishap != nil {
 		return nil, mishap
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -123,7 +123,7 @@
 	return time.Since(sessions.lapse) < sessions.span
 }
 
-func (core *Core) onSession(session *wire.Session) (*wire.SessionTold, *wire.Mishap) {
+func (core *Core) onSession(session *wire.Session) (*wire.SessionTold, error) {
 	session.AgeMs = 0
 	core.sessions.take(*session, core.members().ID)
 	core.usage.take(session.Member.Incarnation, session.Usage)
@@ -141,7 +141,7 @@
 	return told, nil
 }
 
-func (core *Core) onTell(tell *wire.Tell) (*wire.TellTold, *wire.Mishap) {
+func (core *Core) onTell(tell *wire.Tell) (*wire.TellTold, error) {
 	core.sessions.heardCore(tell.Core)
 	for _, session := range tell.Sessions {
 		core.sessions.take(session, tell.Core)
@@ -209,7 +209,7 @@
 	}
 }
 
-func (core *Core) onWatch(watch *wire.Watch) (*wire.WatchTold, *wire.Mishap) {
+func (core *Core) onWatch(watch *wire.Watch) (*wire.WatchTold, error) {
 	span := min(time.Duration(watch.SpanMs)*time.Millisecond, watchSpan)
 	until := time.Now().Add(span)
 	for {
@@ -226,7 +226,7 @@
 	}
 }
 
-func (core *Core) onFetch(fetch *wire.Fetch) (*wire.FetchTold, *wire.Mishap) {
+func (core *Core) onFetch(fetch *wire.Fetch) (*wire.FetchTold, error) {
 	told := &wire.FetchTold{}
 	core.mutex.Lock()
 	routing := core.committed[wire.RoutingRegister].Value
@@ -264,7 +264,7 @@
 type fetchedKey struct{ serial, routing uint64 }
 
 // of gives the packed answer that says the same; one without a table is small.
-func (answers *fetchedAnswers) of(told *wire.FetchTold) (*wire.FetchTold, *wire.Mishap) {
+func (answers *fetchedAnswers) of(told *wire.FetchTold) (*wire.FetchTold, error) {
 	if told.Table == nil {
 		return told, nil
 	}
--- a/control/stall_test.go
+++ b/control/stall_test.go
@@ -20,17 +20,17 @@
 		if mishap != nil {
 			test.Fatal(mishap)
 		}
-		voter := control.NewVoter(store, func(mishap *wire.Mishap) { test.Error(mishap) }, func(wire.Ballot) {})
+		voter := control.NewVoter(store, func(mishap error) { test.Error(mishap) }, func(wire.Ballot) {})
 		if mishap := voter.Found(wire.Ballot{}, [wire.Registers]wire.Accepted{}, nil); mishap != nil {
 			test.Fatal(mishap)
 		}
 		disk.Stall(true)
-		var early *wire.Mishap
+		var early error
 		threads.Start(func() { _, early = voter.Promise(&wire.Promise{Ballot: wire.Ballot{Round: 1, Core: 1}}) })
 		threads.Rest(time.Second)
 		begin := time.Now()
 		for round := range uint64(20) {
-			if _, mishap := voter.Accept(&wire.Accept{Ballot: wire.Ballot{Round: 2 + round, Core: 1}, Value: wire.Value{Serial: 1}}); mishap == nil || mishap.Kind != wire.DiskFault {
+			if _, mishap := voter.Accept(&wire.Accept{Ballot: wire.Ballot{Round: 2 + round, Core: 1}, Value: wire.Value{Serial: 1}}); mishap == nil || wire.KindOf(mishap) != wire.DiskFault {
 				test.Fatalf("accept: %v", mishap)
 			}
 		}
--- a/control/status.go
+++ b/control/status.go
@@ -7,7 +7,7 @@
 )
 
 // onStatus is this core's view; the leader's is the whole one.
-func (core *Core) onStatus(*wire.Status) (*wire.StatusTold, *wire.Mishap) {
+func (core *Core) onStatus(*wire.Status) (*wire.StatusTold, error) {
 	core.mutex.Lock()
 	told := &wire.StatusTold{Leader: core.leader, Serial: core.committed[wire.SettingsRegister].Value.Serial, Table: core.table.Mark, Backends: core.table.Backends}
 	leadership := core.leadership
--- a/control/store.go
+++ b/control/store.go
@@ -116,7 +116,7 @@
 // OpenStore restores the newest snapshot and the segment after it, and begins
 // another pair. When the disk refuses that, the store holds what it has read and
 // takes nothing until Repair succeeds.
-func OpenStore(disk Disk) (*Store, *wire.Mishap) {
+func OpenStore(disk Disk) (*Store, error) {
 	store := &Store{disk: disk}
 	if mishap := sweepDrafts(disk); mishap != nil {
 		return nil, mishap
@@ -133,7 +133,7 @@
 		}
 	}
 	laid := false
-	store.journal, mishap = loadJournal(disk, segmentName, first, func(_ uint64, payload []byte) *wire.Mishap {
+	store.journal, mishap = loadJournal(disk, segmentName, first, func(_ uint64, payload []byte) error {
 		var step record
 		if fault := wire.Unpack(payload, &step); fault != nil {
 			return wire.AsMishap(fault)
@@ -153,7 +153,7 @@
 	return store, nil
 }
 
-func (store *Store) loadSnapshot(number uint64) *wire.Mishap {
+func (store *Store) loadSnapshot(number uint64) error {
 	name := numbered(snapshotName, number)
 	body, fault := store.disk.Read(name)
 	if fault != nil {
@@ -171,11 +171,11 @@
 }
 
 // Fault is why the store takes nothing now, nil while it does.
-func (store *Store) Fault() *wire.Mishap { return store.journal.fault }
+func (store *Store) Fault() error { return store.journal.fault }
 
 // Repair goes on in a new segment behind a fresh snapshot, when a fault left the
 // last segment's end unknown.
-func (store *Store) Repair() *wire.Mishap {
+func (store *Store) Repair() error {
 	if store.Fault() == nil {
 		return nil
 	}
@@ -184,7 +184,7 @@
 
 // Append lasts once it returns without a mishap; after one the store takes nothing
 // more until it is repaired. A step is one frame: torn in any way, all of it is cut.
-func (store *Store) Append(step record) *wire.Mishap {
+func (store *Store) Append(step record) error {
 	if fault := store.Fault(); fault != nil {
 		return fault
 	}
@@ -207,7 +207,7 @@
 // roll writes a snapshot, begins the next segment and removes what both replace.
 // Until the segment is begun nothing changes for the journal, so that a roll that
 // failed half-way is done again from its start.
-func (store *Store) roll() *wire.Mishap {
+func (store *Store) roll() error {
 	next := store.journal.number + 1
 	frame, mishap := packFrame(&store.state)
 	if mishap != nil {
--- a/control/store_test.go
+++ b/control/store_test.go
@@ -24,7 +24,7 @@
 	if mishap != nil {
 		test.Fatal(mishap)
 	}
-	voter := control.NewVoter(store, func(mishap *wire.Mishap) { test.Error(mishap) }, func(wire.Ballot) {})
+	voter := control.NewVoter(store, func(mishap error) { test.Error(mishap) }, func(wire.Ballot) {})
 	if mishap := voter.Found(wire.Ballot{}, [wire.Registers]wire.Accepted{}, nil); mishap != nil {
 		test.Fatal(mishap)
 	}
@@ -113,7 +113,7 @@
 			continue
 		}
 		disk.Harm(name, random.IntN(length))
-		if _, mishap := control.OpenStore(disk); mishap == nil || mishap.Kind != wire.Corrupt {
+		if _, mishap := control.OpenStore(disk); mishap == nil || wire.KindOf(mishap) != wire.Corrupt {
 			test.Fatalf("seed %d: worn bit gave %v", seed, mishap)
 		}
 		stopped++
@@ -152,7 +152,7 @@
 		if mishap != nil {
 			test.Fatal(mishap)
 		}
-		return control.NewVoter(store, func(mishap *wire.Mishap) { test.Error(mishap) }, func(wire.Ballot) {})
+		return control.NewVoter(store, func(mishap error) { test.Error(mishap) }, func(wire.Ballot) {})
 	}
 	whole := sim.NewDisk(1)
 	if mishap := open(whole).Found(wire.Ballot{Round: 5, Core: 3}, accepted, nil); mishap != nil {
--- a/control/usage.go
+++ b/control/usage.go
@@ -86,7 +86,7 @@
 	}
 }
 
-func (core *Core) onCount(count *wire.Count) (*wire.CountTold, *wire.Mishap) {
+func (core *Core) onCount(count *wire.Count) (*wire.CountTold, error) {
 	if _, mishap := core.leading(); mishap != nil {
 		return nil, mishap
 	}
@@ -182,9 +182,9 @@
 
 // seal keeps the running counts at a majority of disks, and with them the
 // reports of an ended period, before any is sent.
-func (core *Core) seal(leadership *Leadership, tree *conf.Settings) *wire.Mishap {
+func (core *Core) seal(leadership *Leadership, tree *conf.Settings) error {
 	ends, now := core.usage.over(leadership.ballot), time.Now()
-	_, mishap := leadership.write(wire.ReportsRegister, func(current wire.Value) (*wire.Value, wire.Texts, *wire.Mishap) {
+	_, mishap := leadership.write(wire.ReportsRegister, func(current wire.Value) (*wire.Value, wire.Texts, error) {
 		book := usageBook{}
 		if len(current.Body) > 0 {
 			if fault := wire.Unpack(current.Body, &book); fault != nil {
--- a/control/voter.go
+++ b/control/voter.go
@@ -14,7 +14,7 @@
 	turn   *run.Turn
 	store  *Store
 	synced atomic.Pointer[State]
-	fault  func(*wire.Mishap)
+	fault  func(error)
 	raised func(wire.Ballot)
 	learns func(wire.Accepted)
 
@@ -22,7 +22,7 @@
 }
 
 // NewVoter calls raised when the promise rises.
-func NewVoter(store *Store, fault func(*wire.Mishap), raised func(wire.Ballot)) *Voter {
+func NewVoter(store *Store, fault func(error), raised func(wire.Ballot)) *Voter {
 	voter := &Voter{turn: run.NewTurn(), store: store, fault: fault, raised: raised, learns: func(wire.Accepted) {}}
 	voter.publish()
 	return voter
@@ -38,9 +38,9 @@
 func (voter *Voter) Blank() bool { return !voter.State().Founded }
 
 // keep appends within the turn and shows the new state.
-func (voter *Voter) keep(step record) *wire.Mishap {
+func (voter *Voter) keep(step record) error {
 	before, members := voter.store.state.Promised, voter.store.state.Accepted[wire.MembersRegister].Mark()
-	if mishap := voter.written(func() *wire.Mishap { return voter.store.Append(step) }); mishap != nil {
+	if mishap := voter.written(func() error { return voter.store.Append(step) }); mishap != nil {
 		voter.fault(mishap)
 		return mishap
 	}
@@ -55,7 +55,7 @@
 }
 
 // written is one step of the disk, whose length others can see.
-func (voter *Voter) written(step func() *wire.Mishap) *wire.Mishap {
+func (voter *Voter) written(step func() error) error {
 	began := time.Now()
 	voter.writing.Store(&began)
 	defer voter.writing.Store(nil)
@@ -70,7 +70,7 @@
 
 // enter takes the turn, unless the disk is stalled: those who ask again and again
 // must not pile up behind it with what they brought.
-func (voter *Voter) enter() *wire.Mishap {
+func (voter *Voter) enter() error {
 	if voter.Stalled() {
 		return wire.New(wire.DiskFault, "the disk does not answer")
 	}
@@ -79,7 +79,7 @@
 }
 
 // ready is nil while this core may vote; within the turn.
-func (voter *Voter) ready() *wire.Mishap {
+func (voter *Voter) ready() error {
 	if !voter.store.state.Founded {
 		return wire.New(wire.Blank, "not restored yet")
 	}
@@ -88,7 +88,7 @@
 
 // Promise grants a ballot that is not older than those promised before, unless the
 // asker counts by an older membership than the one accepted here.
-func (voter *Voter) Promise(message *wire.Promise) (*wire.PromiseTold, *wire.Mishap) {
+func (voter *Voter) Promise(message *wire.Promise) (*wire.PromiseTold, error) {
 	if mishap := voter.enter(); mishap != nil {
 		return nil, mishap
 	}
@@ -111,7 +111,7 @@
 	return &wire.PromiseTold{Granted: true, Promised: ballot, Accepted: state.Accepted}, nil
 }
 
-func (voter *Voter) Accept(message *wire.Accept) (*wire.AcceptTold, *wire.Mishap) {
+func (voter *Voter) Accept(message *wire.Accept) (*wire.AcceptTold, error) {
 	if mishap := voter.enter(); mishap != nil {
 		return nil, mishap
 	}
@@ -151,7 +151,7 @@
 
 // Found makes a blank disk a voter with what the others hold, accepted under its
 // own ballot: a copy is no vote for the ballot that it was written under.
-func (voter *Voter) Found(promised wire.Ballot, accepted [wire.Registers]wire.Accepted, texts wire.Texts) *wire.Mishap {
+func (voter *Voter) Found(promised wire.Ballot, accepted [wire.Registers]wire.Accepted, texts wire.Texts) error {
 	voter.turn.Take()
 	defer voter.turn.Give()
 	if voter.store.state.Founded {
@@ -171,7 +171,7 @@
 }
 
 // Open marks a blank disk as one of the system's first start.
-func (voter *Voter) Open() *wire.Mishap {
+func (voter *Voter) Open() error {
 	voter.turn.Take()
 	defer voter.turn.Give()
 	return voter.keep(record{Opening: true})
@@ -179,7 +179,7 @@
 
 // Enrol makes a disk of the system's first start a voter under the membership that
 // it was told.
-func (voter *Voter) Enrol(members wire.Accepted) *wire.Mishap {
+func (voter *Voter) Enrol(members wire.Accepted) error {
 	voter.turn.Take()
 	defer voter.turn.Give()
 	if voter.store.state.Founded {
@@ -204,7 +204,7 @@
 }
 
 // Repair makes a store that refused a step take steps again.
-func (voter *Voter) Repair() *wire.Mishap {
+func (voter *Voter) Repair() error {
 	voter.turn.Take()
 	defer voter.turn.Give()
 	return voter.written(voter.store.Repair)
--- a/control/voter_test.go
+++ b/control/voter_test.go
@@ -5,10 +5,11 @@
 	"strings"
 	"testing"
 
-	"github.com/cockroachdb/datadriven"
 	"orchidjunction/control"
 	"orchidjunction/sim"
 	"orchidjunction/wire"
+
+	"github.com/cockroachdb/datadriven"
 )
 
 // TestVoter sends one message after another, each changed in one thing, and
@@ -22,7 +23,7 @@
 			if mishap != nil {
 				test.Fatal(mishap)
 			}
-			return control.NewVoter(store, func(mishap *wire.Mishap) { raised = append(raised, string(mishap.Kind)) }, func(ballot wire.Ballot) { raised = append(raised, "raised to "+ballot.String()) })
+			return control.NewVoter(store, func(mishap error) { raised = append(raised, string(wire.KindOf(mishap))) }, func(ballot wire.Ballot) { raised = append(raised, "raised to "+ballot.String()) })
 		}
 		voter := open()
 		datadriven.RunTest(test, path, func(test *testing.T, line *datadriven.TestData) string {
@@ -41,13 +42,13 @@
 				answer = fmt.Sprint(voter.Found(wire.Ballot{}, [wire.Registers]wire.Accepted{}, nil) == nil)
 			case "promise":
 				if told, mishap := voter.Promise(&wire.Promise{Ballot: ballot}); mishap != nil {
-					answer = string(mishap.Kind)
+					answer = string(wire.KindOf(mishap))
 				} else {
 					answer = fmt.Sprintf("granted %v, promised %s, settings %d under %s", told.Granted, told.Promised, told.Accepted[0].Value.Serial, told.Accepted[0].Ballot)
 				}
 			case "accept":
 				if told, mishap := voter.Accept(&wire.Accept{Ballot: ballot, Register: wire.Register(register), Value: wire.Value{Serial: serial}}); mishap != nil {
-					answer = string(mishap.Kind)
+					answer = string(wire.KindOf(mishap))
 				} else {
 					answer = fmt.Sprintf("taken %v, promised %s", told.Taken, told.Promised)
 				}
--- a/data/admission.go
+++ b/data/admission.go
@@ -5,9 +5,10 @@
 	"sync"
 	"time"
 
-	"golang.org/x/time/rate"
 	"orchidjunction/conf"
 	"orchidjunction/wire"
+
+	"golang.org/x/time/rate"
 )
 
 const (
@@ -128,7 +129,7 @@
 
 // Admit admits one request of a class, given the mean usage of the backends. The
 // error is wire.Busy.
-func (admission *Admission) Admit(class string, usage float64) *wire.Mishap {
+func (admission *Admission) Admit(class string, usage float64) error {
 	admission.mutex.Lock()
 	admission.tasks++
 	held := admission.classes[class]
--- a/data/claims.go
+++ b/data/claims.go
@@ -4,10 +4,11 @@
 	"sync"
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/keep"
 	"orchidjunction/run"
 	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 const (
@@ -115,7 +116,7 @@
 }
 
 // take claims the key at a quorum; when the key is taken, it gives what became of it.
-func (claims *Claims) take(claimed wire.Claimed) (*wire.Claimed, *wire.Mishap) {
+func (claims *Claims) take(claimed wire.Claimed) (*wire.Claimed, error) {
 	claims.mutex.Lock()
 	if claims.running[claimed.Key] != "" {
 		claims.mutex.Unlock()
@@ -164,7 +165,7 @@
 	return nil, keyBusy()
 }
 
-func keyBusy() *wire.Mishap {
+func keyBusy() error {
 	return &wire.Mishap{Kind: wire.KeyBusy, Cause: "another send of this key runs; ask again for its outcome", Retry: comeBack, Outcome: wire.MayHaveRun}
 }
 
@@ -181,9 +182,9 @@
 }
 
 // settle keeps how the task ended here and at its keepers.
-func (claims *Claims) settle(claimed wire.Claimed, receipt *Receipt, mishap *wire.Mishap) {
+func (claims *Claims) settle(claimed wire.Claimed, receipt *Receipt, mishap error) {
 	_, ring, _ := claims.askable(claimed.Key)
-	if mishap != nil && mishap.Outcome == wire.NotRun {
+	if mishap != nil && wire.AsMishap(mishap).Outcome == wire.NotRun {
 		claims.free(ring, claimed)
 		return
 	}
--- a/data/identity.go
+++ b/data/identity.go
@@ -29,7 +29,7 @@
 }
 
 // ask reads the identity on the pipe itself, before anything else goes over it.
-func (identity *Identity) ask(pipe net.Conn, host string, limit time.Time) *wire.Mishap {
+func (identity *Identity) ask(pipe net.Conn, host string, limit time.Time) error {
 	if err := pipe.SetDeadline(limit); err != nil {
 		return wire.New(wire.PipeBroken, "identity: %v", err)
 	}
@@ -57,7 +57,7 @@
 }
 
 // belongs is nil when the identity is that of the listed backend.
-func (identity *Identity) belongs(backend wire.Backend) *wire.Mishap {
+func (identity *Identity) belongs(backend wire.Backend) error {
 	if identity.Service != backend.Service || identity.Instance != backend.Name {
 		return wire.New(wire.WrongIdentity, "%s is %s of %s, listed as %s of %s", backend.Address, identity.Instance, identity.Service, backend.Name, backend.Service)
 	}
--- a/data/lend.go
+++ b/data/lend.go
@@ -4,8 +4,9 @@
 	"sync"
 	"time"
 
-	"golang.org/x/time/rate"
 	"orchidjunction/wire"
+
+	"golang.org/x/time/rate"
 )
 
 const overloadedSpan = time.Second
@@ -30,7 +31,7 @@
 
 // Take admits one request of the other partner; the error is wire.Busy. Each
 // admitted request must be given back by Give.
-func (lend *Lend) Take() *wire.Mishap {
+func (lend *Lend) Take() error {
 	lend.mutex.Lock()
 	defer lend.mutex.Unlock()
 	if lend.owner.admission.Overloaded() || lend.inFlight >= lend.most || !lend.rate.Allow() {
--- a/data/pipe.go
+++ b/data/pipe.go
@@ -54,7 +54,7 @@
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
 // openPipe dials and learns who is there before net/http gets the connection.
-func openPipe(dial Dialer, backend wire.Backend, limit time.Time) (*Pipe, *Identity, *wire.Mishap) {
+func openPipe(dial Dialer, backend wire.Backend, limit time.Time) (*Pipe, *Identity, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), limit)
 	defer cancel()
 	conn, err := dial(ctx, "tcp", backend.Address)
--- a/data/proxy.go
+++ b/data/proxy.go
@@ -190,7 +190,7 @@
 		serial, mishap := target.probe()
 		proxy.counts.Add("probes", 1)
 		if mishap != nil {
-			proxy.counts.Add("probes_"+string(mishap.Kind), 1)
+			proxy.counts.Add("probes_"+string(wire.KindOf(mishap)), 1)
 		} else {
 			proxy.daemon.Seen(serial)
 		}
--- a/data/receipt.go
+++ b/data/receipt.go
@@ -28,7 +28,7 @@
 
 // takeReceipt checks whose answer it is and reads it whole, up to where
 // streaming begins.
-func takeReceipt(response *http.Response, taskID string, most int, whole bool) (*Receipt, *wire.Mishap) {
+func takeReceipt(response *http.Response, taskID string, most int, whole bool) (*Receipt, error) {
 	if echoed := response.Header.Get("Oj-Task"); echoed != taskID {
 		return nil, wire.New(wire.BadReceipt, "the answer is for task %q", echoed)
 	}
--- a/data/target.go
+++ b/data/target.go
@@ -5,9 +5,10 @@
 	"sync/atomic"
 	"time"
 
-	"golang.org/x/time/rate"
 	"orchidjunction/run"
 	"orchidjunction/wire"
+
+	"golang.org/x/time/rate"
 )
 
 const (
@@ -111,11 +112,11 @@
 }
 
 // failed counts a mishap; a wrong identity takes the target out at once.
-func (target *Target) failed(mishap *wire.Mishap) {
+func (target *Target) failed(mishap error) {
 	target.mutex.Lock()
 	stale := []*Pipe{}
 	target.faults++
-	if mishap.Kind == wire.WrongIdentity {
+	if wire.KindOf(mishap) == wire.WrongIdentity {
 		target.wrong = true
 	}
 	if target.wrong || target.faults >= failuresDown {
@@ -159,7 +160,7 @@
 }
 
 // pipe gives an idle pipe of the present incarnation or opens a new one.
-func (target *Target) pipe(limit time.Time) (*Pipe, string, *wire.Mishap) {
+func (target *Target) pipe(limit time.Time) (*Pipe, string, error) {
 	for {
 		target.mutex.Lock()
 		incarnation := target.identity.Incarnation
@@ -213,7 +214,7 @@
 }
 
 // probe opens a fresh pipe, so that who is there now is what counts.
-func (target *Target) probe() (uint64, *wire.Mishap) {
+func (target *Target) probe() (uint64, error) {
 	defer target.looked.Store(true)
 	pipe, identity, mishap := openPipe(target.dial, target.backend(), time.Now().Add(probeLimit))
 	if mishap != nil {
--- a/data/task.go
+++ b/data/task.go
@@ -55,24 +55,28 @@
 	if _, leaving := proxy.daemon.Stays(); leaving {
 		writer.Header().Set("Connection", "close")
 	}
-	mishap := task.serve(writer)
-	if mishap == nil {
-		task.deliver(writer)
+	if err := task.serve(writer); err != nil {
+		task.refuse(writer, *wire.AsMishap(err))
 		return
 	}
-	if mishap.Outcome == "" {
-		mishap.Outcome = wire.NotRun
+	task.deliver(writer)
+}
+
+// refuse writes a refusal; one that names no outcome ran nothing.
+func (task *task) refuse(writer http.ResponseWriter, refusal wire.Mishap) {
+	if refusal.Outcome == "" {
+		refusal.Outcome = wire.NotRun
 	}
-	if mishap.Outcome == wire.NotRun {
+	if refusal.Outcome == wire.NotRun {
 		task.state.advance(Refused)
 	} else {
 		task.state.advance(Unknown)
 	}
 	if task.sent {
-		proxy.retries.recordFailure(task.mark)
+		task.proxy.retries.recordFailure(task.mark)
 	}
-	proxy.counts.Add("refused_"+string(mishap.Kind), 1)
-	member.Refuse(writer, mishap)
+	task.proxy.counts.Add("refused_"+string(refusal.Kind), 1)
+	member.Refuse(writer, &refusal)
 }
 
 func (task *task) deliver(writer http.ResponseWriter) {
@@ -85,7 +89,7 @@
 	}
 }
 
-func (task *task) serve(writer http.ResponseWriter) *wire.Mishap {
+func (task *task) serve(writer http.ResponseWriter) error {
 	task.plan = task.proxy.plan.Load()
 	if task.plan == nil || !task.proxy.daemon.Ready() {
 		return task.redirect(wire.NotReady, "no confirmed settings in force here")
@@ -93,7 +97,7 @@
 	if task.emptied() {
 		writer.Header().Set("Connection", "close")
 	}
-	for _, step := range []func() *wire.Mishap{task.authenticate, task.matchRoute, func() *wire.Mishap { return task.readBody(writer) }} {
+	for _, step := range []func() error{task.authenticate, task.matchRoute, func() error { return task.readBody(writer) }} {
 		if mishap := step(); mishap != nil {
 			return mishap
 		}
@@ -113,7 +117,7 @@
 
 // checkLeaving refuses a request that should go elsewhere: any in a drained zone, and
 // one that might not end before this process stops.
-func (task *task) checkLeaving() *wire.Mishap {
+func (task *task) checkLeaving() error {
 	if task.emptied() {
 		return &wire.Mishap{Kind: wire.ZoneEmptied, Cause: "this zone is emptied; ask a directory where to go", Retry: comeBack, Outcome: wire.NotRun}
 	}
@@ -125,7 +129,7 @@
 
 // redirect refuses a request that another proxy may serve. Whether an idempotency key
 // was used before is not known here, so that its outcome is unknown.
-func (task *task) redirect(kind wire.Kind, cause string) *wire.Mishap {
+func (task *task) redirect(kind wire.Kind, cause string) error {
 	if task.request.Header.Get(moneyHeader) != "" {
 		return &wire.Mishap{Kind: wire.OutcomeUnknown, Cause: cause + "; send the key again there", Retry: comeBack, Outcome: wire.MayHaveRun}
 	}
@@ -133,7 +137,7 @@
 }
 
 // authenticate finds the tenant of the bearer key.
-func (task *task) authenticate() *wire.Mishap {
+func (task *task) authenticate() error {
 	key, bearer := strings.CutPrefix(task.request.Header.Get("Authorization"), "Bearer ")
 	if !bearer || key == "" {
 		return wire.New(wire.UnknownKey, "want Authorization: Bearer and a tenant's key")
@@ -151,7 +155,7 @@
 }
 
 // matchRoute finds the route and the deadline.
-func (task *task) matchRoute() *wire.Mishap {
+func (task *task) matchRoute() error {
 	service, path, _ := strings.Cut(strings.TrimPrefix(task.request.URL.Path, "/"), "/")
 	task.path = "/" + path
 	route, otherMethod := task.plan.routes.Route(service, task.request.Method, task.path)
@@ -179,7 +183,7 @@
 }
 
 // readBody reads the whole body, so that a broken caller starts nothing.
-func (task *task) readBody(writer http.ResponseWriter) *wire.Mishap {
+func (task *task) readBody(writer http.ResponseWriter) error {
 	most := int64(task.rule.BodyBytes)
 	if task.request.ContentLength > most {
 		return wire.New(wire.TooLarge, "%d bytes, allowed %d", task.request.ContentLength, most)
@@ -199,7 +203,7 @@
 }
 
 // sendOnce sends a request once for its idempotency key; later ones get its response.
-func (task *task) sendOnce() *wire.Mishap {
+func (task *task) sendOnce() error {
 	key := task.request.Header.Get(moneyHeader)
 	if key == "" || len(key) > 200 {
 		return wire.New(wire.KeyRequired, "want %s of 1 to 200 letters", moneyHeader)
@@ -221,7 +225,7 @@
 }
 
 // replay returns the recorded response of the key's one send.
-func (task *task) replay(held *wire.Claimed) *wire.Mishap {
+func (task *task) replay(held *wire.Claimed) error {
 	if held.Stage != wire.ClaimRan || held.Status == 0 {
 		return &wire.Mishap{Kind: wire.OutcomeUnknown, Cause: "this key was sent before and its answer is not here", Outcome: wire.MayHaveRun}
 	}
@@ -236,7 +240,7 @@
 
 // send picks a backend and sends until a receipt is whole, or what is left is unsafe,
 // out of budget or out of time.
-func (task *task) send() *wire.Mishap {
+func (task *task) send() error {
 	if mishap := task.checkLeaving(); mishap != nil {
 		return mishap
 	}
@@ -253,7 +257,7 @@
 		task.proxy.counts.Add("quick_retries_refused", 1)
 		return &wire.Mishap{Kind: wire.Busy, Cause: "this task just failed here and the budget for retries is used up", Retry: comeBack, Outcome: wire.NotRun}
 	}
-	last := &wire.Mishap{Kind: wire.NoBackend, Cause: "no backend can take this now", Retry: comeBack, Outcome: wire.NotRun}
+	var last error = &wire.Mishap{Kind: wire.NoBackend, Cause: "no backend can take this now", Retry: comeBack, Outcome: wire.NotRun}
 	mayRun := false
 	for sends := 0; sends < task.rule.Sends; sends++ {
 		if sends > 0 && !task.proxy.budget.allow() {
@@ -280,7 +284,7 @@
 			task.receipt = receipt
 			return nil
 		}
-		task.proxy.counts.Add("sends_"+string(mishap.Kind), 1)
+		task.proxy.counts.Add("sends_"+string(wire.KindOf(mishap)), 1)
 		last, mayRun = mishap, mayRun || ran
 		if ran && task.rule.Money || ran && task.request.Method != http.MethodGet && task.request.Method != http.MethodHead {
 			break
@@ -293,27 +297,25 @@
 }
 
 // final never says 503 of a task that may have run.
-func (task *task) final(last *wire.Mishap, mayRun bool) *wire.Mishap {
-	mishap := *last
-	mishap.Outcome = wire.NotRun
+func (task *task) final(last error, mayRun bool) error {
+	final := *wire.AsMishap(last)
+	final.Outcome = wire.NotRun
 	if mayRun {
-		mishap.Outcome = wire.MayHaveRun
-		if mishap.Kind.Status() == http.StatusServiceUnavailable {
-			mishap.Kind, mishap.Retry = wire.OutcomeUnknown, 0
+		final.Outcome = wire.MayHaveRun
+		if final.Kind.Status() == http.StatusServiceUnavailable {
+			final.Kind, final.Retry = wire.OutcomeUnknown, 0
 		}
-		return &mishap
+		return &final
 	}
-	switch mishap.Kind {
-	case wire.LimitPassed:
-	default:
-		mishap.Cause = string(mishap.Kind) + ": " + mishap.Cause
-		mishap.Kind, mishap.Retry = wire.NoBackend, comeBack
+	if final.Kind != wire.LimitPassed {
+		final.Cause = string(final.Kind) + ": " + final.Cause
+		final.Kind, final.Retry = wire.NoBackend, comeBack
 	}
-	return &mishap
+	return &final
 }
 
 // sendTo makes one send over one pipe.
-func (task *task) sendTo(target *Target) (*Receipt, bool, *wire.Mishap) {
+func (task *task) sendTo(target *Target) (*Receipt, bool, error) {
 	left := false
 	leave := func() {
 		if !left {
@@ -342,10 +344,11 @@
 		leave()
 		pipe.close()
 		if time.Now().Before(task.limit) {
-			mishap = wire.New(wire.PipeBroken, "%v", err)
+			kind := wire.PipeBroken
 			if ran {
-				mishap.Kind = wire.BadReceipt
+				kind = wire.BadReceipt
 			}
+			mishap = wire.New(kind, "%v", err)
 			target.failed(mishap)
 			return nil, ran, mishap
 		}
@@ -362,7 +365,7 @@
 		leave()
 		pipe.close()
 		if !time.Now().Before(task.limit) {
-			mishap.Kind = wire.LimitPassed
+			mishap = wire.New(wire.LimitPassed, "%s", wire.AsMishap(mishap).Cause)
 		}
 		return nil, true, mishap
 	}
--- a/fleet/changes.go
+++ b/fleet/changes.go
@@ -108,7 +108,7 @@
 	fleet.ledger.Operate(24, 2*time.Second)
 	for range 2 {
 		huge := operator.Change{Base: 1, Settings: []byte(`{"fill":"` + strings.Repeat("x", 17<<20) + `"}`)}
-		if _, mishap := fleet.Operator(0).Put(huge); mishap == nil || mishap.Kind != wire.TooLarge {
+		if _, mishap := fleet.Operator(0).Put(huge); mishap == nil || wire.KindOf(mishap) != wire.TooLarge {
 			fleet.codes = append(fleet.codes, fmt.Sprintf("17 MB taken: %v", mishap))
 		}
 		leaderChanges(fleet)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -51,7 +51,7 @@
 
 // NewFleet decides names, addresses and command lines of all processes; it starts
 // none.
-func NewFleet(spec Spec, threads *run.Threads) (*Fleet, *wire.Mishap) {
+func NewFleet(spec Spec, threads *run.Threads) (*Fleet, error) {
 	settings, body, mishap := spec.Check()
 	if mishap != nil {
 		return nil, mishap
--- a/fleet/layout.go
+++ b/fleet/layout.go
@@ -34,7 +34,7 @@
 }
 
 // lay decides every process's place and command line.
-func (fleet *Fleet) lay() *wire.Mishap {
+func (fleet *Fleet) lay() error {
 	platform := fleet.address()
 	for index := range fleet.Spec.Backends {
 		process := fleet.process(fmt.Sprintf("back-%02d", index), "ojback")
--- a/fleet/load.go
+++ b/fleet/load.go
@@ -15,7 +15,7 @@
 )
 
 // Call starts the callers.
-func (fleet *Fleet) Call() *wire.Mishap {
+func (fleet *Fleet) Call() error {
 	plan := stand.OriginPlan{PerSecond: fleet.Spec.Rate, Seconds: fleet.Spec.Seconds + 3600, Tries: fleet.Spec.Tries, Seed: fleet.Spec.Seed, Patient: true}
 	for _, directory := range fleet.Directories {
 		plan.Directories = append(plan.Directories, directory.Outer)
@@ -68,7 +68,7 @@
 
 // Callers waits until the load has lasted as long as the Spec says, stops the
 // callers and returns their report.
-func (fleet *Fleet) Callers() (*stand.OriginReport, *wire.Mishap) {
+func (fleet *Fleet) Callers() (*stand.OriginReport, error) {
 	fleet.threads.Rest(time.Until(fleet.called.Add(time.Duration(fleet.Spec.Seconds * float64(time.Second)))))
 	fleet.origin.Signal(syscall.SIGTERM)
 	fleet.origin.Wait(60 * time.Second)
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -40,7 +40,7 @@
 }
 
 // Start starts the process unless it runs. Its output is appended to its log file.
-func (process *Process) Start() *wire.Mishap {
+func (process *Process) Start() error {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
 	if process.alive {
--- a/fleet/readiness.go
+++ b/fleet/readiness.go
@@ -13,14 +13,14 @@
 
 // Up starts all processes, puts the first settings in force and waits until every
 // daemon is ready.
-func (fleet *Fleet) Up() *wire.Mishap {
+func (fleet *Fleet) Up() error {
 	for _, process := range fleet.all() {
 		if mishap := process.Start(); mishap != nil {
 			return mishap
 		}
 	}
 	limit := time.Now().Add(30 * time.Second)
-	var last *wire.Mishap
+	var last error
 	if fleet.peer != nil {
 		fleet.body = fleet.short()
 	}
@@ -81,7 +81,7 @@
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-func (fleet *Fleet) ready(limit time.Time) *wire.Mishap {
+func (fleet *Fleet) ready(limit time.Time) error {
 	for time.Now().Before(limit) {
 		ready := true
 		for _, serial := range fleet.Serials() {
--- a/fleet/scenario.go
+++ b/fleet/scenario.go
@@ -88,7 +88,7 @@
 }
 
 // Play runs a scenario from the start of the fleet to the verdicts.
-func (fleet *Fleet) Play(scenario Scenario) ([]judge.Verdict, *wire.Mishap) {
+func (fleet *Fleet) Play(scenario Scenario) ([]judge.Verdict, error) {
 	defer fleet.Down()
 	defer fleet.wait()
 	if mishap := fleet.Up(); mishap != nil {
@@ -164,7 +164,7 @@
 
 // PlayBoth runs a scenario on several fleets at once and returns the verdicts of
 // each.
-func PlayBoth(fleets []*Fleet, scenario Scenario, threads *run.Threads) ([][]judge.Verdict, *wire.Mishap) {
+func PlayBoth(fleets []*Fleet, scenario Scenario, threads *run.Threads) ([][]judge.Verdict, error) {
 	got, failed := run.Gather(threads, len(fleets), func(index int) ([]judge.Verdict, error) {
 		verdicts, mishap := fleets[index].Play(scenario)
 		if mishap != nil {
--- a/fleet/spec.go
+++ b/fleet/spec.go
@@ -57,7 +57,7 @@
 
 // Check reads the settings and returns wire.BadFlag or wire.Invalid for what could
 // not run, before anything starts.
-func (spec *Spec) Check() (*conf.Settings, []byte, *wire.Mishap) {
+func (spec *Spec) Check() (*conf.Settings, []byte, error) {
 	if spec.Cores%2 == 0 || spec.Cores < 1 || spec.Cores > 7 || spec.Directories < 1 || spec.Proxies < 1 || spec.Proxies > 64 || spec.Backends < 1 || spec.Backends > 256 {
 		return nil, nil, wire.New(wire.BadFlag, "impossible size: %d cores, %d directories, %d proxies, %d backends", spec.Cores, spec.Directories, spec.Proxies, spec.Backends)
 	}
--- a/judge/ledger.go
+++ b/judge/ledger.go
@@ -101,7 +101,7 @@
 	}
 }
 
-func (ledger *Ledger) timed(what string, call func() *wire.Mishap) *wire.Mishap {
+func (ledger *Ledger) timed(what string, call func() error) error {
 	begin := time.Now()
 	mishap := call()
 	took := time.Since(begin)
@@ -129,7 +129,7 @@
 		return
 	}
 	var settings *operator.Settings
-	mishap := ledger.timed("read", func() (mishap *wire.Mishap) { settings, mishap = client.Read(false); return })
+	mishap := ledger.timed("read", func() (mishap error) { settings, mishap = client.Read(false); return })
 	if mishap != nil || !settings.Confirmed {
 		return
 	}
@@ -138,13 +138,13 @@
 	change := operator.Change{Base: settings.Serial, Change: fmt.Sprintf("change-%d-%d", ledger.seed, ledger.number), Operator: "ledger"}
 	ledger.mutex.Unlock()
 	change.Settings = []byte(fmt.Sprintf(`{"rule":{"hold_ms":%d}}`, 1000+random.IntN(2000)))
-	send := func(client *operator.Client) (*operator.Outcome, *wire.Mishap) { return client.Patch(change) }
+	send := func(client *operator.Client) (*operator.Outcome, error) { return client.Patch(change) }
 	switch draw := random.IntN(8); {
 	case draw == 0:
 		change.Settings = []byte(`{"rule":{"hold_ms":-4,"nonsense":true}}`)
 	case draw < 4 && len(settings.Settings) < wholeMost:
 		change.Settings = held(settings.Settings, 1000+random.IntN(2000))
-		send = func(client *operator.Client) (*operator.Outcome, *wire.Mishap) { return client.Put(change) }
+		send = func(client *operator.Client) (*operator.Outcome, error) { return client.Put(change) }
 	}
 	_ = ledger.Make(change, client, random, send) // kept in the ledger
 }
@@ -164,14 +164,14 @@
 
 // Make sends one change, again while its outcome is unknown, records the outcome
 // and returns it.
-func (ledger *Ledger) Make(change operator.Change, client *operator.Client, random *rand.Rand, send func(*operator.Client) (*operator.Outcome, *wire.Mishap)) *wire.Mishap {
+func (ledger *Ledger) Make(change operator.Change, client *operator.Client, random *rand.Rand, send func(*operator.Client) (*operator.Outcome, error)) error {
 	var outcome *operator.Outcome
-	mishap := ledger.timed(change.Change, func() (mishap *wire.Mishap) { outcome, mishap = send(client); return })
-	for try := 0; try < 6 && mishap != nil && (mishap.Kind == wire.OutcomeUnknown || mishap.Kind == wire.Unreachable); try++ {
+	mishap := ledger.timed(change.Change, func() (mishap error) { outcome, mishap = send(client); return })
+	for try := 0; try < 6 && mishap != nil && (wire.KindOf(mishap) == wire.OutcomeUnknown || wire.KindOf(mishap) == wire.Unreachable); try++ {
 		ledger.system.Rest(50 * time.Millisecond)
 		if client, found := ledger.door(random); found {
-			again := ledger.timed(change.Change+" again", func() (mishap *wire.Mishap) { outcome, mishap = send(client); return })
-			if again == nil || again.Kind != wire.NotStarted && again.Kind != wire.HoldFull {
+			again := ledger.timed(change.Change+" again", func() (mishap error) { outcome, mishap = send(client); return })
+			if again == nil || wire.KindOf(again) != wire.NotStarted && wire.KindOf(again) != wire.HoldFull {
 				mishap = again
 			}
 		}
@@ -183,10 +183,10 @@
 		ledger.Acked[change.Change] = Ack{Serial: outcome.Serial, Base: change.Base, AtMs: now.UnixMilli()}
 		ledger.GapMs = max(ledger.GapMs, now.Sub(ledger.lastAck).Milliseconds())
 		ledger.lastAck = now
-	case mishap.Kind == wire.OutcomeUnknown || mishap.Kind == wire.Unreachable:
+	case wire.KindOf(mishap) == wire.OutcomeUnknown || wire.KindOf(mishap) == wire.Unreachable:
 		ledger.Unknown[change.Change] = true
 	default:
-		ledger.Refused[change.Change] = mishap.Kind
+		ledger.Refused[change.Change] = wire.KindOf(mishap)
 	}
 	ledger.mutex.Unlock()
 	if mishap == nil {
@@ -232,7 +232,7 @@
 
 // Trail reads the history of changes from the cores, from any that answers within
 // the limit.
-func (ledger *Ledger) Trail(limit time.Duration) ([]wire.Entry, *wire.Mishap) {
+func (ledger *Ledger) Trail(limit time.Duration) ([]wire.Entry, error) {
 	trail := struct {
 		Changes []wire.Entry `json:"changes"`
 	}{}
--- a/member/daemon.go
+++ b/member/daemon.go
@@ -7,10 +7,11 @@
 	"sync/atomic"
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/control"
 	"orchidjunction/run"
 	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 // Place is what a daemon learns of itself from flags or its file.
@@ -32,7 +33,7 @@
 	Wall        func() int64
 }
 
-func (place *Place) Check() *wire.Mishap {
+func (place *Place) Check() error {
 	if place.Name == "" || place.Zone == "" {
 		return wire.New(wire.BadFlag, "--name and --zone must be given")
 	}
--- a/member/evacuate.go
+++ b/member/evacuate.go
@@ -11,7 +11,7 @@
 // is asked first how often the zone changed, and carries out only what builds on
 // that: whatever was acknowledged since stays in force. Nothing is ordered for a
 // caller that has gone meanwhile.
-func Evacuate(ctx context.Context, hold *Hold, zone string, begin bool) (*wire.EvacuateTold, *wire.Mishap) {
+func Evacuate(ctx context.Context, hold *Hold, zone string, begin bool) (*wire.EvacuateTold, error) {
 	ctx, cancel := context.WithDeadline(ctx, hold.until(ctx))
 	defer cancel()
 	order := wire.Evacuate{Zone: zone, Begin: begin}
@@ -23,15 +23,17 @@
 	}
 	order.Upon = now.Changes
 	told, mishap := SendIn[wire.Evacuate, wire.EvacuateTold](ctx, hold, "evacuate", &order)
-	if mishap != nil && mishap.Kind == wire.ZoneChanged {
-		mishap.Retry = comeBack
+	if mishap != nil && wire.KindOf(mishap) == wire.ZoneChanged {
+		raced := *wire.AsMishap(mishap)
+		raced.Retry = comeBack
+		return nil, &raced
 	}
 	return told, mishap
 }
 
 // notStarted is a question's mishap as an order's: a question starts nothing.
-func notStarted(mishap *wire.Mishap) *wire.Mishap {
-	if mishap.Kind == wire.OutcomeUnknown {
+func notStarted(mishap error) error {
+	if wire.KindOf(mishap) == wire.OutcomeUnknown {
 		return givenUp(false)
 	}
 	return mishap
--- a/member/hold.go
+++ b/member/hold.go
@@ -87,12 +87,12 @@
 }
 
 // Send brings one message to the leader, whoever that becomes within the limit.
-func Send[Asked, Told any](hold *Hold, name string, asked *Asked) (*Told, *wire.Mishap) {
+func Send[Asked, Told any](hold *Hold, name string, asked *Asked) (*Told, error) {
 	return SendIn[Asked, Told](context.Background(), hold, name, asked)
 }
 
 // SendIn is a Send that ends with its context, too.
-func SendIn[Asked, Told any](ctx context.Context, hold *Hold, name string, asked *Asked) (*Told, *wire.Mishap) {
+func SendIn[Asked, Told any](ctx context.Context, hold *Hold, name string, asked *Asked) (*Told, error) {
 	sent, holding := false, false
 	defer func() {
 		if holding {
@@ -132,9 +132,9 @@
 			}
 			return told, nil
 		}
-		switch mishap := wire.AsMishap(fault); mishap.Kind {
+		switch mishap := wire.AsMishap(fault); wire.KindOf(mishap) {
 		case wire.NotLeader, wire.Lameduck, wire.NoLeader:
-			hold.finder.Drop(leader, mishap.Kind == wire.Lameduck)
+			hold.finder.Drop(leader, wire.KindOf(mishap) == wire.Lameduck)
 		case wire.Unreached:
 			hold.finder.Drop(leader, false)
 		case wire.Unreachable, wire.OutcomeUnknown:
@@ -160,7 +160,7 @@
 }
 
 // givenUp is the answer to a message that found no leader in time.
-func givenUp(sent bool) *wire.Mishap {
+func givenUp(sent bool) error {
 	if sent {
 		return &wire.Mishap{Kind: wire.OutcomeUnknown, Cause: "the leader fell silent; send the same change id again", Retry: comeBack}
 	}
--- a/member/hold_test.go
+++ b/member/hold_test.go
@@ -63,7 +63,7 @@
 	transport.gaveUp = func() { finder.Heard(leaderOf(2, "10.0.0.2:1")) }
 	finder.Heard(leaderOf(1, frozen))
 	begin := time.Now()
-	if _, mishap := Send[wire.Evacuate, wire.EvacuateTold](hold, "evacuate", &wire.Evacuate{Zone: "osu", Begin: true}); mishap == nil || mishap.Kind != wire.OutcomeUnknown {
+	if _, mishap := Send[wire.Evacuate, wire.EvacuateTold](hold, "evacuate", &wire.Evacuate{Zone: "osu", Begin: true}); mishap == nil || wire.KindOf(mishap) != wire.OutcomeUnknown {
 		test.Fatalf("answered %v", mishap)
 	}
 	if took := time.Since(begin); took > 2200*time.Millisecond {
@@ -94,7 +94,7 @@
 	hold, finder := holdAt(test, transport, HoldLimits{Answer: 200 * time.Millisecond, Send: 150 * time.Millisecond})
 	hold.Follow(func() wire.Leader { return wire.Leader{} })
 	finder.Heard(leaderOf(1, frozen))
-	if _, mishap := Send[wire.Evacuate, wire.EvacuateTold](hold, "evacuate", &wire.Evacuate{Zone: "osu", Begin: true}); mishap == nil || mishap.Kind != wire.NotStarted {
+	if _, mishap := Send[wire.Evacuate, wire.EvacuateTold](hold, "evacuate", &wire.Evacuate{Zone: "osu", Begin: true}); mishap == nil || wire.KindOf(mishap) != wire.NotStarted {
 		test.Fatalf("answered %v", mishap)
 	}
 	if asked := transport.silent.Load(); asked != 0 {
--- a/member/operate.go
+++ b/member/operate.go
@@ -60,11 +60,17 @@
 }
 
 // Refuse writes a mishap and, where it has one, the time to come back.
-func Refuse(writer http.ResponseWriter, mishap *wire.Mishap) {
-	if mishap.Retry > 0 {
-		writer.Header().Set("Retry-After", strconv.Itoa((mishap.Retry+999)/1000))
+func Refuse(writer http.ResponseWriter, mishap error) {
+	refusal := wire.AsMishap(mishap)
+	refuse(writer, refusal, refusal)
+}
+
+// refuse writes a document with the status and the time to come back of a refusal.
+func refuse(writer http.ResponseWriter, refusal *wire.Mishap, document any) {
+	if refusal.Retry > 0 {
+		writer.Header().Set("Retry-After", strconv.Itoa((refusal.Retry+999)/1000))
 	}
-	Answer(writer, mishap.Kind.Status(), mishap)
+	Answer(writer, refusal.Kind.Status(), document)
 }
 
 type settingsDocument struct {
@@ -144,11 +150,9 @@
 	change := &wire.Change{ID: document.Change, Base: *document.Base, Kind: kind, Body: document.Settings, Operator: document.Operator}
 	told, mishap := Send[wire.Change, wire.ChangeTold](operate.hold, "change", change)
 	if mishap != nil {
-		operate.counts.Add("operator_refused_"+string(mishap.Kind), 1)
-		if mishap.Retry > 0 {
-			writer.Header().Set("Retry-After", strconv.Itoa((mishap.Retry+999)/1000))
-		}
-		Answer(writer, mishap.Kind.Status(), refusalDocument{Mishap: *mishap, Change: document.Change})
+		operate.counts.Add("operator_refused_"+string(wire.KindOf(mishap)), 1)
+		refusal := wire.AsMishap(mishap)
+		refuse(writer, refusal, refusalDocument{Mishap: *refusal, Change: document.Change})
 		return
 	}
 	operate.counts.Add("operator_changes", 1)
--- a/member/relay.go
+++ b/member/relay.go
@@ -4,8 +4,9 @@
 	"context"
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 // relay waits at the parent for news and fetches the bodies from it.
@@ -82,8 +83,8 @@
 			daemon.counts.Add("branches_fetched", uint64(len(lacks)))
 			return daemon.take(told, texts)
 		}
-		daemon.counts.Add("branches_"+string(mishap.Kind), 1)
-		if mishap.Kind != wire.DamagedPart {
+		daemon.counts.Add("branches_"+string(wire.KindOf(mishap)), 1)
+		if wire.KindOf(mishap) != wire.DamagedPart {
 			return false
 		}
 	}
--- a/member/version.go
+++ b/member/version.go
@@ -25,7 +25,7 @@
 }
 
 // after is the version with newer parts laid in; serials and tables only rise.
-func (version *Version) after(told *wire.FetchTold, texts wire.Texts) (*Version, *wire.Mishap) {
+func (version *Version) after(told *wire.FetchTold, texts wire.Texts) (*Version, error) {
 	next := *version
 	if told.Serial > version.Serial {
 		tree, mishap := conf.Grow(version.Tree, told.Parts, texts)
--- a/operator/client.go
+++ b/operator/client.go
@@ -32,7 +32,7 @@
 // be sent the same body again, so that a change must carry its own id. It returns
 // the refusal of a daemon, wire.Unreachable if none answered, or wire.BadMessage
 // for an answer that can't be decoded.
-func (client *Client) Ask(method, path string, body []byte, into any) *wire.Mishap {
+func (client *Client) Ask(method, path string, body []byte, into any) error {
 	last := wire.New(wire.Unreachable, "no daemon given")
 	for _, daemon := range client.daemons {
 		request, err := http.NewRequest(method, "http://"+daemon+path, bytes.NewReader(body))
@@ -57,18 +57,24 @@
 			}
 			return nil
 		}
-		mishap := &wire.Mishap{}
-		if err := json.Unmarshal(answer, mishap); err != nil || mishap.Kind == "" {
-			mishap = wire.New(wire.BadMessage, "status %d: %s", response.StatusCode, answer)
+		last = readRefusal(response.StatusCode, answer)
+		kind := wire.KindOf(last)
+		if kind.Status() != http.StatusServiceUnavailable && kind != wire.OutcomeUnknown {
+			return last
 		}
-		if mishap.Kind.Status() != http.StatusServiceUnavailable && mishap.Kind != wire.OutcomeUnknown {
-			return mishap
-		}
-		last = mishap
 	}
 	return last
 }
 
+// readRefusal returns the error that a daemon's answer holds.
+func readRefusal(status int, body []byte) error {
+	refusal := &wire.Mishap{}
+	if err := json.Unmarshal(body, refusal); err != nil || refusal.Kind == "" {
+		return wire.New(wire.BadMessage, "status %d: %s", status, body)
+	}
+	return refusal
+}
+
 // Settings is the answer to Read: the settings in force at the daemon that
 // answered. Confirmed says that a leader in contact with a majority confirmed the
 // serial.
@@ -99,7 +105,7 @@
 
 // Read returns the settings in force, with the resolved values of every route if
 // effective is set.
-func (client *Client) Read(effective bool) (*Settings, *wire.Mishap) {
+func (client *Client) Read(effective bool) (*Settings, error) {
 	path := "/v1/settings"
 	if effective {
 		path += "?effective=1"
@@ -109,16 +115,16 @@
 }
 
 // Put replaces the whole settings.
-func (client *Client) Put(change Change) (*Outcome, *wire.Mishap) {
+func (client *Client) Put(change Change) (*Outcome, error) {
 	return client.change(http.MethodPut, change)
 }
 
 // Patch merges a partial tree into the settings; null removes a field.
-func (client *Client) Patch(change Change) (*Outcome, *wire.Mishap) {
+func (client *Client) Patch(change Change) (*Outcome, error) {
 	return client.change(http.MethodPatch, change)
 }
 
-func (client *Client) change(method string, change Change) (*Outcome, *wire.Mishap) {
+func (client *Client) change(method string, change Change) (*Outcome, error) {
 	body, err := json.Marshal(change)
 	if err != nil {
 		return nil, wire.New(wire.BadRequest, "%v", err)
@@ -128,13 +134,13 @@
 }
 
 // Status returns the leader, the members and the backends as the cores know them.
-func (client *Client) Status() (*wire.StatusTold, *wire.Mishap) {
+func (client *Client) Status() (*wire.StatusTold, error) {
 	status := &wire.StatusTold{}
 	return status, client.Ask(http.MethodGet, "/v1/status", nil, status)
 }
 
 // Cores tells who votes and who waits for a vote.
-func (client *Client) Cores() (*wire.MembershipStatus, *wire.Mishap) {
+func (client *Client) Cores() (*wire.MembershipStatus, error) {
 	membership := &wire.MembershipStatus{}
 	return membership, client.Ask(http.MethodGet, "/v1/cores", nil, membership)
 }
@@ -146,7 +152,7 @@
 }
 
 // RemoveCore gives a core's vote to a waiting learner.
-func (client *Client) RemoveCore(id int) (*Removed, *wire.Mishap) {
+func (client *Client) RemoveCore(id int) (*Removed, error) {
 	removed := &Removed{}
 	return removed, client.Ask(http.MethodDelete, fmt.Sprintf("/v1/cores/%d", id), nil, removed)
 }
--- a/place/directory.go
+++ b/place/directory.go
@@ -112,7 +112,7 @@
 	}
 	placement, mishap := directory.answer(request)
 	if mishap != nil {
-		directory.counts.Add("places_"+string(mishap.Kind), 1)
+		directory.counts.Add("places_"+string(wire.KindOf(mishap)), 1)
 		member.Refuse(writer, mishap)
 		return
 	}
@@ -120,7 +120,7 @@
 	member.Answer(writer, http.StatusOK, placement)
 }
 
-func (directory *Directory) answer(request *http.Request) (*Placement, *wire.Mishap) {
+func (directory *Directory) answer(request *http.Request) (*Placement, error) {
 	if request.URL.Path != "/v1/place" {
 		return nil, wire.New(wire.NotFound, "%s", request.URL.Path)
 	}
@@ -142,7 +142,7 @@
 // Place returns the proxies for a tenant by rendezvous hashing, those in the zone
 // near first, spread over zones before a second one of any zone is taken. It
 // returns wire.NoBackend if no proxy may serve the tenant.
-func (view *View) Place(tenant int, near string) (*Placement, *wire.Mishap) {
+func (view *View) Place(tenant int, near string) (*Placement, error) {
 	settings := view.routes.Settings()
 	name := view.routes.TenantName(tenant)
 	ranked := view.rank(view.fronts, tenant, near)
--- a/program/daemon.go
+++ b/program/daemon.go
@@ -4,10 +4,11 @@
 	"net/http"
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/member"
 	"orchidjunction/run"
 	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 // Plane is what a daemon does besides being a member.
@@ -115,8 +116,7 @@
 	if guest != nil && guest.given() {
 		guest.Place.Kind, guest.Place.Guest = kind, true
 		if mishap := guest.Place.Check(); mishap != nil {
-			mishap.Cause = "as a guest: " + mishap.Cause
-			flags.Exit(mishap)
+			flags.Exit(wire.Prefixed("as a guest", mishap))
 		}
 		if guest.PerSecond <= 0 || guest.InFlight < 1 {
 			flags.Exit(wire.New(wire.BadFlag, "--lend-rps and --lend-in-flight: a guest lends something of both"))
--- a/program/program.go
+++ b/program/program.go
@@ -15,11 +15,12 @@
 	"syscall"
 	"time"
 
-	"github.com/integrii/flaggy"
-	"k8s.io/klog/v2"
 	"orchidjunction/control"
 	"orchidjunction/run"
 	"orchidjunction/wire"
+
+	"github.com/integrii/flaggy"
+	"k8s.io/klog/v2"
 )
 
 // Release is the version that the programs tell.
@@ -68,7 +69,7 @@
 }
 
 // known refuses what flaggy would pass over in silence.
-func (flags *Flags) known(arguments []string) *wire.Mishap {
+func (flags *Flags) known(arguments []string) error {
 	takesValue := map[string]bool{"help": false, "h": false, "version": false}
 	learn := func(known []*flaggy.Flag) {
 		for _, one := range known {
@@ -100,7 +101,7 @@
 }
 
 // Exit ends with status 2 and one line, where there is a mishap.
-func (flags *Flags) Exit(mishap *wire.Mishap) {
+func (flags *Flags) Exit(mishap error) {
 	if mishap != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", flags.name, mishap)
 		os.Exit(2)
@@ -108,7 +109,7 @@
 }
 
 // placeFile turns the lines "flag value" of a file into arguments; the command line wins.
-func placeFile(arguments []string) ([]string, *wire.Mishap) {
+func placeFile(arguments []string) ([]string, error) {
 	for index, argument := range arguments {
 		path, given := strings.CutPrefix(argument, "--place=")
 		width := 1
@@ -175,7 +176,7 @@
 
 // Listen opens an address; what the handler does not answer there gets a typed
 // refusal, and the library answers nothing in its place.
-func Listen(address string, handler http.Handler, header int) (*Listener, *wire.Mishap) {
+func Listen(address string, handler http.Handler, header int) (*Listener, error) {
 	if mishap := control.CheckAddress("listen", address); mishap != nil {
 		return nil, mishap
 	}
--- a/route/check.go
+++ b/route/check.go
@@ -1,6 +1,7 @@
 package route
 
 import (
+	"fmt"
 	"strconv"
 	"strings"
 
@@ -51,7 +52,7 @@
 }
 
 // Check finds everything that keeps the config from being put in force.
-func (config *Config) Check() *wire.Mishap {
+func (config *Config) Check() error {
 	checker := &checker{}
 	services := make(map[string]bool, len(config.Services))
 	for index := range config.Services {
@@ -66,9 +67,7 @@
 	if checker.wrongs == 0 {
 		return nil
 	}
-	mishap := wire.New(wire.Invalid, "%d wrong", checker.wrongs)
-	mishap.Details = checker.details
-	return mishap
+	return &wire.Mishap{Kind: wire.Invalid, Cause: fmt.Sprintf("%d wrong", checker.wrongs), Details: checker.details}
 }
 
 type place struct{ host, prefix string }
--- a/route/check_test.go
+++ b/route/check_test.go
@@ -79,7 +79,7 @@
 		switch {
 		case one.want == "" && mishap != nil:
 			test.Errorf("%s: %v", name, mishap)
-		case one.want != "" && (mishap == nil || mishap.Kind != wire.Invalid || len(mishap.Details) != 1 || mishap.Details[0].Kind != one.want):
+		case one.want != "" && (mishap == nil || wire.KindOf(mishap) != wire.Invalid || len(wire.AsMishap(mishap).Details) != 1 || wire.AsMishap(mishap).Details[0].Kind != one.want):
 			test.Errorf("%s: %v, want one %s", name, mishap, one.want)
 		}
 	}
@@ -88,7 +88,7 @@
 func TestCheckBoundsWhatItNames(test *testing.T) {
 	config := &Config{Routes: make([]Route, 1000)}
 	mishap := config.Check()
-	if mishap == nil || len(mishap.Details) != detailsLimit || !strings.Contains(mishap.Cause, "wrong") {
-		test.Fatalf("%d details", len(mishap.Details))
+	if mishap == nil || len(wire.AsMishap(mishap).Details) != detailsLimit || !strings.Contains(wire.AsMishap(mishap).Cause, "wrong") {
+		test.Fatalf("%d details", len(wire.AsMishap(mishap).Details))
 	}
 }
--- a/route/config.go
+++ b/route/config.go
@@ -169,7 +169,7 @@
 }
 
 // BookOf reads the register's body; none is an empty book.
-func BookOf(body []byte) (*Book, *wire.Mishap) {
+func BookOf(body []byte) (*Book, error) {
 	book := &Book{}
 	if len(body) == 0 {
 		return book, nil
--- a/route/patch.go
+++ b/route/patch.go
@@ -4,8 +4,8 @@
 
 // Apply is the config with a patch laid over it; the receiver stays as it is.
 // Whoever takes it on sets its version and checks it.
-func (config Config) Apply(patch *Patch) (Config, *wire.Mishap) {
-	var mishap *wire.Mishap
+func (config Config) Apply(patch *Patch) (Config, error) {
+	var mishap error
 	if config.Routes, mishap = overlay(config.Routes, patch.Routes, patch.RemoveRoutes, "routes", func(route *Route) string { return route.Name }); mishap != nil {
 		return Config{}, mishap
 	}
@@ -24,7 +24,7 @@
 
 // overlay replaces items in their place, adds new ones at the end and leaves
 // out the removed; an item both given and removed is given.
-func overlay[Item any](held, given []Item, removed []string, list string, name func(*Item) string) ([]Item, *wire.Mishap) {
+func overlay[Item any](held, given []Item, removed []string, list string, name func(*Item) string) ([]Item, error) {
 	if len(given) == 0 && len(removed) == 0 {
 		return held, nil
 	}
--- a/route/patch_test.go
+++ b/route/patch_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"orchidjunction/wire"
 	"reflect"
 	"strings"
 	"testing"
@@ -54,7 +55,7 @@
 		"services": {Services: []Service{{Name: "alder"}, {Name: "alder"}}},
 		"tenants":  {Tenants: []Tenant{{Name: "ann"}, {Name: "ann"}}},
 	} {
-		if _, mishap := goodConfig().Apply(&patch); mishap == nil || mishap.Details[0].Kind != doubleName {
+		if _, mishap := goodConfig().Apply(&patch); mishap == nil || wire.AsMishap(mishap).Details[0].Kind != doubleName {
 			test.Errorf("%s: %v", name, mishap)
 		}
 	}
--- a/scale/bench.go
+++ b/scale/bench.go
@@ -35,7 +35,7 @@
 		Steady: map[string]Rates{}, Changing: map[string]Rates{}, Restarting: map[string]Rates{}}}
 	defer bench.down()
 	threads.OnStop(bench.threads.Stop)
-	for _, phase := range []func() *wire.Mishap{bench.up, bench.steady, bench.change, bench.restart, bench.kill} {
+	for _, phase := range []func() error{bench.up, bench.steady, bench.change, bench.restart, bench.kill} {
 		if mishap := phase(); mishap != nil {
 			bench.result.Failed = append(bench.result.Failed, mishap.Error())
 			break
@@ -62,7 +62,7 @@
 }
 
 // until asks again and again, at most so long.
-func (bench *bench) until(limit time.Duration, what string, done func() bool) *wire.Mishap {
+func (bench *bench) until(limit time.Duration, what string, done func() bool) error {
 	for end := time.Now().Add(limit); !done(); {
 		if time.Now().After(end) || !bench.threads.Rest(50*time.Millisecond) {
 			return wire.New(wire.NotReady, "%s not within %v", what, limit)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func (bench *bench) up() *wire.Mishap {
+func (bench *bench) up() error {
 	begin, point := time.Now(), bench.point
 	folder, err := os.MkdirTemp("", "ojfleet-scale-")
 	if err != nil {
@@ -125,7 +125,7 @@
 	return mishap
 }
 
-func (bench *bench) order(change *route.Change) (uint64, *wire.Mishap) {
+func (bench *bench) order(change *route.Change) (uint64, error) {
 	body, err := wire.Pack(change)
 	if err != nil {
 		return 0, wire.AsMishap(err)
@@ -161,7 +161,7 @@
 }
 
 // over measures what goes on during a duty.
-func (bench *bench) over(duty func() *wire.Mishap) (map[string]Rates, *wire.Mishap) {
+func (bench *bench) over(duty func() error) (map[string]Rates, error) {
 	before, mishap := bench.readings()
 	if mishap != nil {
 		return nil, mishap
--- a/scale/child.go
+++ b/scale/child.go
@@ -19,7 +19,7 @@
 	dead    bool
 }
 
-func (bench *bench) begin(kind string, spec any, report, address string, processors int) *wire.Mishap {
+func (bench *bench) begin(kind string, spec any, report, address string, processors int) error {
 	body, err := json.Marshal(spec)
 	if err != nil {
 		return wire.New(wire.BadFlag, "%v", err)
--- a/scale/core.go
+++ b/scale/core.go
@@ -61,7 +61,7 @@
 
 // RunCore is the main function of a core process; it returns when the process is
 // stopped.
-func RunCore(spec CoreSpec) *wire.Mishap {
+func RunCore(spec CoreSpec) error {
 	threads, counts, tap := run.NewThreads(), run.NewCounts(), newTap()
 	line := wire.NewLine(tap.transport())
 	place := control.Place{Name: spec.Name, Zone: spec.Zone, Wire: spec.Wire, Seeds: spec.Seeds, Found: true, Least: spec.Cores, Platform: spec.Platform,
--- a/scale/hollow.go
+++ b/scale/hollow.go
@@ -149,7 +149,7 @@
 
 // RunHollow is the main function of a process of hollow daemons; it returns when
 // the process is stopped.
-func RunHollow(spec HollowSpec) *wire.Mishap {
+func RunHollow(spec HollowSpec) error {
 	threads, tap := run.NewThreads(), newTap()
 	all := &hollows{spec: spec, tap: tap, applied: map[uint64][]int64{}}
 	for number := range spec.Daemons {
--- a/scale/page.go
+++ b/scale/page.go
@@ -47,7 +47,7 @@
 	states *States
 }
 
-func readEvidence(folder string) (*evidence, *wire.Mishap) {
+func readEvidence(folder string) (*evidence, error) {
 	found := &evidence{folder: folder, runs: map[string]*Run{}, states: &States{}}
 	names, _ := filepath.Glob(filepath.Join(folder, "*.json"))
 	for _, path := range names {
@@ -179,7 +179,7 @@
 
 // WritePage writes the tables and plots of the results in a folder into their
 // marked places of the page.
-func WritePage(page, results string) *wire.Mishap {
+func WritePage(page, results string) error {
 	found, mishap := readEvidence(results)
 	if mishap != nil {
 		return mishap
--- a/scale/page_test.go
+++ b/scale/page_test.go
@@ -50,10 +50,10 @@
 		test.Error(err)
 	}
 	writeText(test, page, "no place")
-	if mishap := WritePage(page, folder); mishap == nil || mishap.Kind != wire.BadFlag {
+	if mishap := WritePage(page, folder); mishap == nil || wire.KindOf(mishap) != wire.BadFlag {
 		test.Errorf("%v for a page without a place", mishap)
 	}
-	if mishap := WritePage(page, test.TempDir()); mishap == nil || mishap.Kind != wire.NotFound {
+	if mishap := WritePage(page, test.TempDir()); mishap == nil || wire.KindOf(mishap) != wire.NotFound {
 		test.Errorf("%v without results", mishap)
 	}
 }
--- a/scale/phases.go
+++ b/scale/phases.go
@@ -32,9 +32,9 @@
 	}
 }
 
-func (bench *bench) steady() (mishap *wire.Mishap) {
+func (bench *bench) steady() (mishap error) {
 	bench.settle()
-	bench.result.Steady, mishap = bench.over(func() *wire.Mishap {
+	bench.result.Steady, mishap = bench.over(func() error {
 		bench.threads.Rest(bench.span())
 		return nil
 	})
@@ -42,8 +42,8 @@
 }
 
 // change sends small patches, one a second, and waits until each is in force.
-func (bench *bench) change() (mishap *wire.Mishap) {
-	bench.result.Changing, mishap = bench.over(func() *wire.Mishap {
+func (bench *bench) change() (mishap error) {
+	bench.result.Changing, mishap = bench.over(func() error {
 		for range bench.point.Changes {
 			begin := time.Now()
 			spread, mishap := bench.patch()
@@ -58,7 +58,7 @@
 	return mishap
 }
 
-func (bench *bench) patch() (Spread, *wire.Mishap) {
+func (bench *bench) patch() (Spread, error) {
 	changed := routeOf(int(bench.version)%bench.point.Routes, bench.point.Services)
 	changed.TimeoutMs += int(bench.version)
 	begin := time.Now()
@@ -72,8 +72,7 @@
 		return len(times) >= bench.point.Daemons
 	})
 	if mishap != nil {
-		mishap.Cause += fmt.Sprintf(", at %d of %d", len(times), bench.point.Daemons)
-		return Spread{}, mishap
+		return Spread{}, wire.Prefixed(fmt.Sprintf("%d of %d daemons", len(times), bench.point.Daemons), mishap)
 	}
 	return spreadOf(times, begin), nil
 }
@@ -99,8 +98,8 @@
 }
 
 // restart ends a tenth of the daemons at once and starts them anew.
-func (bench *bench) restart() (mishap *wire.Mishap) {
-	bench.result.Restarting, mishap = bench.over(func() *wire.Mishap {
+func (bench *bench) restart() (mishap error) {
+	bench.result.Restarting, mishap = bench.over(func() error {
 		begin := time.Now()
 		for _, one := range bench.hollows {
 			count := max(1, bench.point.Daemons/len(bench.hollows)/10)
@@ -121,7 +120,7 @@
 }
 
 // kill ends the leader, and sends a change as soon as another one takes it.
-func (bench *bench) kill() *wire.Mishap {
+func (bench *bench) kill() error {
 	leader := bench.leader()
 	if leader == nil {
 		return wire.New(wire.NoLeader, "nobody to kill")
--- a/scale/plot.go
+++ b/scale/plot.go
@@ -3,11 +3,12 @@
 import (
 	"path/filepath"
 
+	"orchidjunction/wire"
+
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
-	"orchidjunction/wire"
 )
 
 var plotted = []struct {
@@ -24,7 +25,7 @@
 
 // plot draws each run's points; two runs of the leader beside each other show
 // what a slowed mechanism does.
-func (found *evidence) plot() *wire.Mishap {
+func (found *evidence) plot() error {
 	for _, each := range plotted {
 		run := found.runs[each.run]
 		if run == nil {
@@ -61,7 +62,7 @@
 	return points
 }
 
-func (found *evidence) draw(name, title, along, unit string, lines []any) *wire.Mishap {
+func (found *evidence) draw(name, title, along, unit string, lines []any) error {
 	drawn := plot.New()
 	drawn.Title.Text, drawn.X.Label.Text, drawn.Y.Label.Text = title, along, unit
 	drawn.Legend.Top, drawn.Legend.Left = true, true
--- a/scale/point_test.go
+++ b/scale/point_test.go
@@ -13,15 +13,15 @@
 // TestMain lets this binary be the processes that a run starts, as ojfleet is.
 func TestMain(tests *testing.M) {
 	if len(os.Args) == 4 && os.Args[2] == "--spec" {
-		begun := map[string]func() *wire.Mishap{
-			"scale-core": func() *wire.Mishap {
+		begun := map[string]func() error{
+			"scale-core": func() error {
 				spec := CoreSpec{}
 				if err := json.Unmarshal([]byte(os.Args[3]), &spec); err != nil {
 					return wire.New(wire.BadFlag, "%v", err)
 				}
 				return RunCore(spec)
 			},
-			"scale-hollow": func() *wire.Mishap {
+			"scale-hollow": func() error {
 				spec := HollowSpec{}
 				if err := json.Unmarshal([]byte(os.Args[3]), &spec); err != nil {
 					return wire.New(wire.BadFlag, "%v", err)
--- a/scale/rates.go
+++ b/scale/rates.go
@@ -2,8 +2,6 @@
 
 import (
 	"strings"
-
-	"orchidjunction/wire"
 )
 
 // Rates are what one process of a role used in a second: Processor in cores,
@@ -18,7 +16,7 @@
 }
 
 // readings are those of all processes, by their report address.
-func (bench *bench) readings() (map[string]Reading, *wire.Mishap) {
+func (bench *bench) readings() (map[string]Reading, error) {
 	all := map[string]Reading{}
 	for _, one := range append(append([]*child{}, bench.cores...), bench.hollows...) {
 		if one.dead {
--- a/scale/state.go
+++ b/scale/state.go
@@ -46,7 +46,7 @@
 // PlayStates measures configurations and tables as a daemon takes them: decoded
 // from a message, then applied to a proxy. The kind "owners" is members beside
 // 1,000 backends.
-func PlayStates(folder string, progress io.Writer) *wire.Mishap {
+func PlayStates(folder string, progress io.Writer) error {
 	all := &States{}
 	for _, kind := range stateKinds {
 		for _, size := range stateSizes[kind] {
@@ -69,7 +69,7 @@
 	return stats.HeapAlloc
 }
 
-func measureState(kind string, size int) (*State, *wire.Mishap) {
+func measureState(kind string, size int) (*State, error) {
 	book, table := &route.Book{Config: *config(1, 1, 1, 0)}, &wire.Table{Mark: wire.TableMark{Ballot: wire.Ballot{Round: 1, Core: 1}, Number: 1}, Complete: true}
 	services := max(1, min(size, 3100))
 	switch kind {
--- a/scale/sweep.go
+++ b/scale/sweep.go
@@ -59,7 +59,7 @@
 }
 
 // Play measures a sweep and writes the results to the folder after each point.
-func (sweep *Sweep) Play(folder string, port int, threads *run.Threads, progress io.Writer) *wire.Mishap {
+func (sweep *Sweep) Play(folder string, port int, threads *run.Threads, progress io.Writer) error {
 	played := &Run{Name: sweep.Name, Along: sweep.Along, Machine: "shared with benchmarks and builds while this ran", Processors: Processors()}
 	for _, point := range sweep.Points {
 		result := Measure(point, port, threads)
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func write(folder, name string, value any) *wire.Mishap {
+func write(folder, name string, value any) error {
 	body, err := json.MarshalIndent(value, "", " ")
 	if err == nil {
 		err = os.MkdirAll(folder, 0o755)
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func read(folder, name string, value any) *wire.Mishap {
+func read(folder, name string, value any) error {
 	body, err := os.ReadFile(filepath.Join(folder, name+".json"))
 	if err == nil {
 		err = json.Unmarshal(body, value)
--- a/scale/tap.go
+++ b/scale/tap.go
@@ -104,7 +104,7 @@
 }
 
 // serve opens an address whose messages and bytes are counted.
-func (tap *Tap) serve(address string, handler http.Handler, threads *run.Threads) *wire.Mishap {
+func (tap *Tap) serve(address string, handler http.Handler, threads *run.Threads) error {
 	open, err := net.Listen("tcp", address)
 	if err != nil {
 		return wire.New(wire.BadFlag, "%s: %v", address, err)
@@ -164,7 +164,7 @@
 	_ = json.NewEncoder(writer).Encode(value) // the client is gone
 }
 
-func getJSON(address, path string, value any) *wire.Mishap {
+func getJSON(address, path string, value any) error {
 	client := &http.Client{Timeout: 20 * time.Second}
 	defer client.CloseIdleConnections()
 	response, err := client.Get("http://" + address + path)
--- a/sim/claims_test.go
+++ b/sim/claims_test.go
@@ -92,7 +92,7 @@
 			world.KillCore(0, true)
 			name := "claims-0000000000000000"
 			length := world.Cores[0].Disk.Size(name)
-			open := func(disk *Disk) *wire.Mishap {
+			open := func(disk *Disk) error {
 				line := wire.NewLine(world.Net.Transport("10.7.0.8"))
 				core, mishap := control.NewCore(control.Place{ID: 1, Wire: "10.0.0.1:41", Beat: Beat, Suspect: Suspect}, disk, line, run.NewThreads(), run.NewCounts())
 				if mishap == nil {
@@ -106,7 +106,7 @@
 			if mishap := open(torn); mishap != nil {
 				test.Errorf("a torn tail: %v", mishap)
 			}
-			if mishap := open(worn); mishap == nil || mishap.Kind != wire.Corrupt {
+			if mishap := open(worn); mishap == nil || wire.KindOf(mishap) != wire.Corrupt {
 				test.Errorf("a worn record: %v", mishap)
 			}
 		})
--- a/sim/control_test.go
+++ b/sim/control_test.go
@@ -36,7 +36,7 @@
 	emptied       bool
 	serial        uint64
 	begin, end    time.Time
-	mishap        *wire.Mishap
+	mishap        error
 }
 
 // acted is one call to the platform that was not refused for its fence.
@@ -139,7 +139,7 @@
 	return version, serial
 }
 
-func (side *Control) note(order *answered, serial uint64, mishap *wire.Mishap) {
+func (side *Control) note(order *answered, serial uint64, mishap error) {
 	side.mutex.Lock()
 	defer side.mutex.Unlock()
 	order.serial, order.mishap, order.end = serial, mishap, time.Now()
@@ -316,7 +316,7 @@
 	acknowledged, late, longest := 0, 0, time.Duration(0)
 	for _, order := range side.orders {
 		took := order.end.Sub(order.begin)
-		proper := order.mishap == nil || order.mishap.Retry > 0
+		proper := order.mishap == nil || wire.AsMishap(order.mishap).Retry > 0
 		if took > ackSpan && proper {
 			late++
 			side.mutex.Unlock()
@@ -331,7 +331,7 @@
 		}
 		taken := orders[route.DigestOf(fmt.Sprintf("%d on %d", order.version, order.base))]
 		if order.mishap != nil {
-			if taken && order.mishap.Retry == 0 {
+			if taken && wire.AsMishap(order.mishap).Retry == 0 {
 				world.broke("%d on %d was refused and is in the trail: %v", order.version, order.base, order.mishap)
 			}
 			continue
--- a/sim/everything.go
+++ b/sim/everything.go
@@ -8,7 +8,6 @@
 
 	"orchidjunction/judge"
 	"orchidjunction/operator"
-	"orchidjunction/wire"
 )
 
 // Everything injects faults into a whole partner, every kind of process, one draw
@@ -103,7 +102,7 @@
 		client := all.world.Client(doors[all.random.IntN(len(doors))])
 		if settings, mishap := client.Read(false); mishap == nil && settings.Confirmed {
 			change := operator.Change{Base: settings.Serial, Change: fmt.Sprint("all-", all.number), Settings: []byte(body)}
-			if all.ledger.Make(change, client, all.random, func(client *operator.Client) (*operator.Outcome, *wire.Mishap) { return client.Patch(change) }) == nil {
+			if all.ledger.Make(change, client, all.random, func(client *operator.Client) (*operator.Outcome, error) { return client.Patch(change) }) == nil {
 				return time.Now().UnixMilli()
 			}
 		}
--- a/sim/far.go
+++ b/sim/far.go
@@ -162,15 +162,15 @@
 }
 
 // order sends an order by some holds in turn until it has an answer that ends it.
-func order[Asked, Told any](world *World, holds []*member.Hold, name string, asked *Asked) (*Told, *wire.Mishap) {
-	return again(world, holds, func(hold *member.Hold) (*Told, *wire.Mishap) { return member.Send[Asked, Told](hold, name, asked) })
+func order[Asked, Told any](world *World, holds []*member.Hold, name string, asked *Asked) (*Told, error) {
+	return again(world, holds, func(hold *member.Hold) (*Told, error) { return member.Send[Asked, Told](hold, name, asked) })
 }
 
 // again sends by some holds in turn until there is an answer that ends it.
-func again[Told any](world *World, holds []*member.Hold, send func(*member.Hold) (*Told, *wire.Mishap)) (*Told, *wire.Mishap) {
+func again[Told any](world *World, holds []*member.Hold, send func(*member.Hold) (*Told, error)) (*Told, error) {
 	for try := 0; ; try++ {
 		told, mishap := send(holds[try%len(holds)])
-		if mishap == nil || mishap.Retry == 0 || try > 20 {
+		if mishap == nil || wire.AsMishap(mishap).Retry == 0 || try > 20 {
 			return told, mishap
 		}
 		world.Rest(200 * time.Millisecond)
@@ -188,25 +188,25 @@
 }
 
 // Put sends a routing until it is taken or refused.
-func (world *World) Put(version, base uint64) *wire.Mishap {
+func (world *World) Put(version, base uint64) error {
 	_, mishap := order[wire.RouteChange, wire.RouteChangeTold](world, world.holds(), "routechange", Whole(version, base))
 	return mishap
 }
 
 // Evacuate sends an order on a zone until it is acknowledged or refused.
-func (world *World) Evacuate(zone string, begin bool) *wire.Mishap {
+func (world *World) Evacuate(zone string, begin bool) error {
 	_, mishap := world.evacuateBy(world.holds(), zone, begin)
 	return mishap
 }
 
-func (world *World) evacuateBy(holds []*member.Hold, zone string, begin bool) (*wire.EvacuateTold, *wire.Mishap) {
-	return again(world, holds, func(hold *member.Hold) (*wire.EvacuateTold, *wire.Mishap) {
+func (world *World) evacuateBy(holds []*member.Hold, zone string, begin bool) (*wire.EvacuateTold, error) {
+	return again(world, holds, func(hold *member.Hold) (*wire.EvacuateTold, error) {
 		return member.Evacuate(context.Background(), hold, zone, begin)
 	})
 }
 
 // Book reads the confirmed routing back.
-func (world *World) Book() (*route.Book, *wire.Mishap) {
+func (world *World) Book() (*route.Book, error) {
 	told, mishap := order[wire.RouteRead, wire.RouteReadTold](world, world.holds(), "routeread", &wire.RouteRead{})
 	if mishap != nil {
 		return nil, mishap
--- a/sim/recovery_test.go
+++ b/sim/recovery_test.go
@@ -168,7 +168,7 @@
 	if mishap != nil {
 		test.Fatal(mishap)
 	}
-	voter := control.NewVoter(store, func(mishap *wire.Mishap) { test.Error(mishap) }, func(wire.Ballot) {})
+	voter := control.NewVoter(store, func(mishap error) { test.Error(mishap) }, func(wire.Ballot) {})
 	held := voter.State().Accepted[wire.RoutingRegister]
 	body, _ := wire.Pack(Book(version))
 	told, mishap := voter.Accept(&wire.Accept{Ballot: voter.State().Promised, Register: wire.RoutingRegister, Value: wire.Value{Serial: held.Value.Serial + 1, Body: body}})
--- a/sim/removal_test.go
+++ b/sim/removal_test.go
@@ -24,7 +24,7 @@
 func (world *World) membership(test *testing.T, client *operator.Client) *wire.MembershipStatus {
 	test.Helper()
 	var told *wire.MembershipStatus
-	var mishap *wire.Mishap
+	var mishap error
 	if !world.Until(10*time.Second, func() bool { told, mishap = client.Cores(); return mishap == nil }) {
 		test.Fatalf("who votes: %v", mishap)
 	}
@@ -32,9 +32,9 @@
 }
 
 // remove sends the order until its answer is clear.
-func (world *World) remove(client *operator.Client, id int) (*operator.Removed, *wire.Mishap) {
+func (world *World) remove(client *operator.Client, id int) (*operator.Removed, error) {
 	removed, mishap := client.RemoveCore(id)
-	for try := 0; try < 10 && mishap != nil && mishap.Kind.Status() >= 500; try++ {
+	for try := 0; try < 10 && mishap != nil && wire.KindOf(mishap).Status() >= 500; try++ {
 		world.Rest(300 * time.Millisecond)
 		removed, mishap = client.RemoveCore(id)
 	}
@@ -62,10 +62,10 @@
 		client := world.Client(world.Daemons[1].Operate)
 		leader := world.Leader()
 		goes, stays := world.Cores[(leader+1)%3], world.Cores[(leader+2)%3]
-		if _, mishap := world.remove(client, goes.ID); mishap == nil || mishap.Kind != wire.NoLearner {
+		if _, mishap := world.remove(client, goes.ID); mishap == nil || wire.KindOf(mishap) != wire.NoLearner {
 			test.Errorf("removed without a learner: %v", mishap)
 		}
-		if _, mishap := world.remove(client, 9); mishap == nil || mishap.Kind != wire.NotFound {
+		if _, mishap := world.remove(client, 9); mishap == nil || wire.KindOf(mishap) != wire.NotFound {
 			test.Errorf("removed one that never was: %v", mishap)
 		}
 		if told := world.membership(test, client); voters(told) != "[1 2 3]" || told.Version != 1 || len(told.Learners) != 0 || len(told.Next) != 0 {
@@ -111,8 +111,8 @@
 }
 
 // changeSettings makes a change of the settings in force.
-func (world *World) changeSettings(client *operator.Client, number uint64) *wire.Mishap {
-	var mishap *wire.Mishap
+func (world *World) changeSettings(client *operator.Client, number uint64) error {
+	var mishap error
 	world.Until(10*time.Second, func() bool {
 		var held *operator.Settings
 		if held, mishap = client.Read(false); mishap != nil {
@@ -146,7 +146,7 @@
 			}
 		}
 		race := func(ids []int) (removed int) {
-			answers := make(chan *wire.Mishap, len(ids))
+			answers := make(chan error, len(ids))
 			for index, id := range ids {
 				world.threads.Start(func() {
 					_, mishap := world.remove(clients[index], id)
@@ -156,7 +156,7 @@
 			for range ids {
 				if mishap := <-answers; mishap == nil {
 					removed++
-				} else if mishap.Kind != wire.NoLearner {
+				} else if wire.KindOf(mishap) != wire.NoLearner {
 					test.Errorf("refused: %v", mishap)
 				}
 			}
--- a/sim/routing_test.go
+++ b/sim/routing_test.go
@@ -68,7 +68,7 @@
 		}{{5, 1, ""}, {5, 1, ""}, {1, 0, ""}, {4, 5, wire.StaleVersion}, {5, 5, wire.StaleVersion}, {9, 1, wire.StaleBase}, {9, 5, ""}} {
 			got := wire.Kind("")
 			if mishap := world.Put(step.version, step.base); mishap != nil {
-				got = mishap.Kind
+				got = wire.KindOf(mishap)
 			}
 			if got != step.want {
 				world.broke("%d on %d: %q, want %q", step.version, step.base, got, step.want)
--- a/sim/trial_test.go
+++ b/sim/trial_test.go
@@ -84,7 +84,7 @@
 			one.newest++
 			one.orders++
 			return true
-		case mishap.Retry == 0:
+		case wire.AsMishap(mishap).Retry == 0:
 			one.broke("%d on %d is refused: %v", one.newest+1, one.newest, mishap)
 			return false
 		}
--- a/wire/change.go
+++ b/wire/change.go
@@ -10,7 +10,7 @@
 }
 
 // Check refuses an ID of the wrong length and an unknown kind.
-func (change *Change) Check() *Mishap {
+func (change *Change) Check() error {
 	if change.ID == "" || len(change.ID) > 128 {
 		return New(BadMessage, "change id has %d letters, allowed 1 to 128", len(change.ID))
 	}
--- a/wire/claim.go
+++ b/wire/claim.go
@@ -125,7 +125,7 @@
 // KeepMost is how much one message may hold of each.
 const KeepMost = 1024
 
-func (claimed *Claimed) check() *Mishap {
+func (claimed *Claimed) check() error {
 	if claimed.Key.Key == "" || claimed.ID == "" || claimed.Holder == "" {
 		return New(BadMessage, "claim without key, id or holder")
 	}
@@ -139,20 +139,20 @@
 }
 
 // Check refuses a claim with missing or oversized fields.
-func (message *Claim) Check() *Mishap { return message.Claimed.check() }
+func (message *Claim) Check() error { return message.Claimed.check() }
 
 // Check refuses a claim with missing or oversized fields.
-func (message *Settle) Check() *Mishap { return message.Claimed.check() }
+func (message *Settle) Check() error { return message.Claimed.check() }
 
 // Check refuses the message where one of its claims is refused.
-func (message *Retell) Check() *Mishap { return checkAll(message.Claims, (*Claimed).check) }
+func (message *Retell) Check() error { return checkAll(message.Claims, (*Claimed).check) }
 
 // Check refuses more than KeepMost entries of a sort, and any entry that is refused by itself.
-func (message *Keep) Check() *Mishap {
+func (message *Keep) Check() error {
 	if len(message.Claims) > KeepMost || len(message.Retold) > KeepMost || len(message.Settles) > KeepMost {
 		return New(BadMessage, "%d claims, %d retold, %d settled", len(message.Claims), len(message.Retold), len(message.Settles))
 	}
-	for _, mishap := range []*Mishap{checkAll(message.Claims, (*Claim).Check), checkAll(message.Retold, (*Claimed).check), checkAll(message.Settles, (*Settle).Check)} {
+	for _, mishap := range []error{checkAll(message.Claims, (*Claim).Check), checkAll(message.Retold, (*Claimed).check), checkAll(message.Settles, (*Settle).Check)} {
 		if mishap != nil {
 			return mishap
 		}
@@ -160,7 +160,7 @@
 	return nil
 }
 
-func checkAll[T any](all []T, check func(*T) *Mishap) *Mishap {
+func checkAll[T any](all []T, check func(*T) error) error {
 	for index := range all {
 		if mishap := check(&all[index]); mishap != nil {
 			return mishap
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -30,7 +30,7 @@
 	if mishap := unpack(body, message); mishap != nil {
 		return mishap
 	}
-	if checked, able := message.(interface{ Check() *Mishap }); able {
+	if checked, able := message.(interface{ Check() error }); able {
 		if mishap := checked.Check(); mishap != nil {
 			return mishap
 		}
--- a/wire/core.go
+++ b/wire/core.go
@@ -119,10 +119,10 @@
 type TellTold struct{}
 
 // Check refuses a ballot without a round or of a core out of range.
-func (message *Promise) Check() *Mishap { return message.Ballot.check() }
+func (message *Promise) Check() error { return message.Ballot.check() }
 
 // Check refuses an unknown register, a damaged branch and a bad ballot.
-func (message *Accept) Check() *Mishap {
+func (message *Accept) Check() error {
 	if message.Register < 0 || message.Register >= Registers {
 		return New(BadMessage, "no register %d", message.Register)
 	}
@@ -133,10 +133,10 @@
 }
 
 // Check refuses a ballot without a round or of a core out of range.
-func (message *Beat) Check() *Mishap { return message.Ballot.check() }
+func (message *Beat) Check() error { return message.Ballot.check() }
 
 // Check refuses a learner's address that is none, and a bad ballot.
-func (message *StepDown) Check() *Mishap {
+func (message *StepDown) Check() error {
 	for _, address := range message.Learners {
 		if mishap := (Peer{ID: 1, Address: address}).check(); mishap != nil {
 			return mishap
@@ -146,13 +146,13 @@
 }
 
 // Check refuses a core out of range.
-func (message *Precheck) Check() *Mishap { return checkCore(message.Core) }
+func (message *Precheck) Check() error { return checkCore(message.Core) }
 
 // Check refuses a core out of range.
-func (message *Restore) Check() *Mishap { return checkCore(message.Core) }
+func (message *Restore) Check() error { return checkCore(message.Core) }
 
 // Check refuses a session that is refused by itself, and a core out of range.
-func (message *Tell) Check() *Mishap {
+func (message *Tell) Check() error {
 	for index := range message.Sessions {
 		if mishap := message.Sessions[index].Check(); mishap != nil {
 			return mishap
@@ -161,14 +161,14 @@
 	return checkCore(message.Core)
 }
 
-func (ballot Ballot) check() *Mishap {
+func (ballot Ballot) check() error {
 	if ballot.Round == 0 {
 		return New(BadMessage, "ballot without a round")
 	}
 	return checkCore(ballot.Core)
 }
 
-func checkCore(core int) *Mishap {
+func checkCore(core int) error {
 	if core < 1 || core > PeerMost {
 		return New(BadMessage, "core id %d is not in 1 to %d", core, PeerMost)
 	}
--- a/wire/door.go
+++ b/wire/door.go
@@ -5,8 +5,9 @@
 	"net/http"
 	"strings"
 
-	"connectrpc.com/connect"
 	"orchidjunction/run"
+
+	"connectrpc.com/connect"
 )
 
 // Door takes messages from other processes and counts what it refuses.
@@ -54,7 +55,7 @@
 		connect.WithCompression("gzip", nil, nil),
 		connect.WithRecover(func(_ context.Context, _ connect.Spec, _ http.Header, cause any) error {
 			door.counts.Add("wire_handler_panic", 1)
-			return New(BadMessage, "handler: %v", cause).toConnect()
+			return AsMishap(New(BadMessage, "handler: %v", cause)).toConnect()
 		}))
 	door.mux.Handle(path, handler)
 }
--- a/wire/member.go
+++ b/wire/member.go
@@ -71,7 +71,7 @@
 }
 
 // Check refuses a session without a name, an incarnation, a known kind or an address.
-func (session *Session) Check() *Mishap {
+func (session *Session) Check() error {
 	if session.Member.Name == "" || session.Member.Incarnation == "" {
 		return New(BadMessage, "session without name or incarnation")
 	}
@@ -107,7 +107,7 @@
 type CountTold struct{}
 
 // Check refuses a count that names no process.
-func (message *Count) Check() *Mishap {
+func (message *Count) Check() error {
 	if message.Incarnation == "" {
 		return New(BadMessage, "count without incarnation")
 	}
@@ -177,7 +177,7 @@
 }
 
 // Seal packs the answer once for all that get the same; it is not changed after.
-func (told *FetchTold) Seal() *Mishap {
+func (told *FetchTold) Seal() error {
 	body, fault := pack(told)
 	if fault != nil {
 		return AsMishap(fault)
--- a/wire/membership.go
+++ b/wire/membership.go
@@ -15,7 +15,7 @@
 // PeerMost bounds the IDs of cores; a replacement takes the next one.
 const PeerMost = 1<<20 - 1
 
-func (peer Peer) check() *Mishap {
+func (peer Peer) check() error {
 	if _, fault := netip.ParseAddrPort(peer.Address); fault != nil {
 		return New(BadMessage, "peer at %q: %v", peer.Address, fault)
 	}
@@ -118,19 +118,19 @@
 }
 
 // Check refuses an address that is none.
-func (message *Enlist) Check() *Mishap {
+func (message *Enlist) Check() error {
 	return Peer{ID: 1, Address: message.Address}.check()
 }
 
 // Check refuses an ID out of range.
-func (message *Removal) Check() *Mishap { return checkCore(message.Core) }
+func (message *Removal) Check() error { return checkCore(message.Core) }
 
 // Check refuses an ID out of range.
-func (message *Leave) Check() *Mishap { return checkCore(message.Core) }
+func (message *Leave) Check() error { return checkCore(message.Core) }
 
 // Check refuses voters without a group, with an ID given twice within a group or
 // above LastID.
-func (voters *Voters) Check() *Mishap {
+func (voters *Voters) Check() error {
 	if len(voters.Current) == 0 {
 		return New(BadMessage, "membership without voters")
 	}
--- a/wire/mishap.go
+++ b/wire/mishap.go
@@ -99,7 +99,7 @@
 }
 
 // New is a mishap of a kind with a formatted cause.
-func New(kind Kind, format string, values ...any) *Mishap {
+func New(kind Kind, format string, values ...any) error {
 	return &Mishap{Kind: kind, Cause: fmt.Sprintf(format, values...)}
 }
 
@@ -121,6 +121,13 @@
 	return &Mishap{Kind: Unreachable, Cause: err.Error()}
 }
 
+// Prefixed is the error with text in front of its cause and with the same kind.
+func Prefixed(text string, err error) error {
+	prefixed := *AsMishap(err)
+	prefixed.Cause = text + ": " + prefixed.Cause
+	return &prefixed
+}
+
 // Status is the HTTP status an outer side gives for a kind.
 func (kind Kind) Status() int {
 	switch kind {
@@ -165,7 +172,7 @@
 	return packed
 }
 
-func fromConnect(err error) *Mishap {
+func fromConnect(err error) error {
 	var packed *connect.Error
 	if errors.As(err, &packed) {
 		if header := packed.Meta().Get(mishapHeader); header != "" {
--- a/wire/part.go
+++ b/wire/part.go
@@ -22,7 +22,7 @@
 type Texts map[string][]byte
 
 // check finds a text that is not what its name says.
-func (texts Texts) check() *Mishap {
+func (texts Texts) check() error {
 	for digest, text := range texts {
 		if DigestOf(text) != digest {
 			return New(DamagedPart, "a branch of %d bytes is not what its digest names", len(text))
@@ -63,7 +63,7 @@
 
 // AskParts brings branches into the texts, a bounded number a message; one that
 // the teller lacks, or that came damaged, is never guessed.
-func (texts Texts) AskParts(line *Line, address string, limit time.Duration, lacks []string) *Mishap {
+func (texts Texts) AskParts(line *Line, address string, limit time.Duration, lacks []string) error {
 	for len(lacks) > 0 {
 		count := min(len(lacks), PartsMost)
 		told, fault := Ask[Parts, PartsTold](line, address, "parts", limit, &Parts{Digests: lacks[:count]})
@@ -82,7 +82,7 @@
 }
 
 // Check refuses more than PartsMost branches.
-func (message *Parts) Check() *Mishap {
+func (message *Parts) Check() error {
 	if len(message.Digests) > PartsMost {
 		return New(BadMessage, "%d branches asked for, allowed %d", len(message.Digests), PartsMost)
 	}
@@ -90,4 +90,4 @@
 }
 
 // Check refuses a branch that is not what its digest names.
-func (message *PartsTold) Check() *Mishap { return message.Texts.check() }
+func (message *PartsTold) Check() error { return message.Texts.check() }
--- a/wire/routing.go
+++ b/wire/routing.go
@@ -38,7 +38,7 @@
 }
 
 // Check refuses a zone's name of the wrong length.
-func (message *Evacuate) Check() *Mishap {
+func (message *Evacuate) Check() error {
 	if message.Zone == "" || len(message.Zone) > 200 {
 		return New(BadMessage, "evacuate: zone of %d letters", len(message.Zone))
 	}
--- a/wire/squeeze.go
+++ b/wire/squeeze.go
@@ -18,7 +18,7 @@
 }
 
 // Unpacked is the routing's body as it was before it was squeezed.
-func (told *FetchTold) Unpacked() ([]byte, *Mishap) {
+func (told *FetchTold) Unpacked() ([]byte, error) {
 	if !told.RoutingPacked {
 		return told.RoutingBody, nil
 	}
