--- a/aims/aims.go
+++ b/aims/aims.go
@@ -76,15 +76,15 @@
 			break
 		}
 		if err != nil {
-			return nil, wire.New(wire.BadRequest, "document %d: %v", len(documents)+1, err)
+			return nil, wire.Errorf(wire.BadRequest, "document %d: %v", len(documents)+1, err)
 		}
-		if mishap := document.check(); mishap != nil {
-			return nil, mishap
+		if err := document.check(); err != nil {
+			return nil, err
 		}
 		documents = append(documents, document)
 	}
 	if len(documents) == 0 {
-		return nil, wire.New(wire.BadRequest, "no document")
+		return nil, wire.Errorf(wire.BadRequest, "no document")
 	}
 	return documents, nil
 }
@@ -93,22 +93,22 @@
 	name, ratio := document.Metadata.Name, &document.Spec.Indicator.Spec.RatioMetric
 	switch {
 	case document.APIVersion != "openslo/v1" || document.Kind != "SLO":
-		return wire.New(wire.BadRequest, "%s: want apiVersion openslo/v1 and kind SLO", name)
+		return wire.Errorf(wire.BadRequest, "%s: want apiVersion openslo/v1 and kind SLO", name)
 	case name == "":
-		return wire.New(wire.BadRequest, "metadata.name must be given")
+		return wire.Errorf(wire.BadRequest, "metadata.name must be given")
 	case document.Spec.BudgetingMethod != "Occurrences":
-		return wire.New(wire.BadRequest, "%s: spec.budgetingMethod: want Occurrences", name)
+		return wire.Errorf(wire.BadRequest, "%s: spec.budgetingMethod: want Occurrences", name)
 	case len(document.Spec.Objectives) == 0:
-		return wire.New(wire.BadRequest, "%s: spec.objectives must be given", name)
+		return wire.Errorf(wire.BadRequest, "%s: spec.objectives must be given", name)
 	}
 	for path, metric := range map[string]*Metric{"good": &ratio.Good, "total": &ratio.Total} {
 		if metric.MetricSource.Type != source || len(metric.MetricSource.Spec.Counters) == 0 {
-			return wire.New(wire.BadRequest, "%s: ratioMetric.%s: want a metricSource of type %s with counters", name, path, source)
+			return wire.Errorf(wire.BadRequest, "%s: ratioMetric.%s: want a metricSource of type %s with counters", name, path, source)
 		}
 	}
 	for _, objective := range document.Spec.Objectives {
 		if objective.Target <= 0 || objective.Target >= 1 {
-			return wire.New(wire.BadRequest, "%s: target %v is not between 0 and 1", name, objective.Target)
+			return wire.Errorf(wire.BadRequest, "%s: target %v is not between 0 and 1", name, objective.Target)
 		}
 	}
 	return nil
--- a/aims/aims_test.go
+++ b/aims/aims_test.go
@@ -11,9 +11,9 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	documents, mishap := Read(body)
-	if mishap != nil {
-		test.Fatal(mishap)
+	documents, err := Read(body)
+	if err != nil {
+		test.Fatal(err)
 	}
 	reports := Against(documents, map[string]uint64{"tasks_answered": 980, "tasks_replayed": 10, "tasks_refused": 10, "operator_changes": 5, "operator_refused_not_started": 1})
 	if reports[0].Good != 990 || reports[0].Total != 1000 || reports[0].Met {
@@ -31,7 +31,7 @@
 		if !strings.Contains(text, wrong[0]) {
 			test.Fatalf("the example lacks %q", wrong[0])
 		}
-		if _, mishap := Read([]byte(strings.Replace(text, wrong[0], wrong[1], 1))); mishap == nil {
+		if _, err := Read([]byte(strings.Replace(text, wrong[0], wrong[1], 1))); err == nil {
 			test.Errorf("%q is taken", wrong[1])
 		}
 	}
--- a/cmd/ojback/main.go
+++ b/cmd/ojback/main.go
@@ -27,16 +27,16 @@
 	flags.Parse()
 	flags.Exit(control.CheckAddress("--listen", listen))
 	if place.Service == "" || place.Instance == "" {
-		flags.Exit(wire.New(wire.BadFlag, "--service and --instance must be given"))
+		flags.Exit(wire.Errorf(wire.BadFlag, "--service and --instance must be given"))
 	}
 	place.Incarnation = member.NewID()
 	backend, err := stand.NewBackend(place)
 	if err != nil {
-		flags.Exit(wire.New(wire.BadFlag, "--journal: %v", err))
+		flags.Exit(wire.Errorf(wire.BadFlag, "--journal: %v", err))
 	}
 	threads := run.NewThreads()
-	listener, mishap := program.Listen(listen, backend, 64<<10)
-	flags.Exit(mishap)
+	listener, err := program.Listen(listen, backend, 64<<10)
+	flags.Exit(err)
 	listener.Serve(threads)
 	program.OnTerm(threads, func() {
 		backend.Leave()
--- a/cmd/ojcore/main.go
+++ b/cmd/ojcore/main.go
@@ -39,7 +39,7 @@
 		id, address, _ := strings.Cut(text, "=")
 		number, err := strconv.Atoi(id)
 		if err != nil {
-			flags.Exit(wire.New(wire.BadFlag, "--peer: %q is not id=IP:port", text))
+			flags.Exit(wire.Errorf(wire.BadFlag, "--peer: %q is not id=IP:port", text))
 		}
 		place.Peers = append(place.Peers, control.Peer{ID: number, Address: address})
 	}
@@ -52,29 +52,29 @@
 		flags.Exit(control.CheckAddress("--platform", place.Platform))
 	}
 	if data == "" {
-		flags.Exit(wire.New(wire.BadFlag, "--data must be given"))
+		flags.Exit(wire.Errorf(wire.BadFlag, "--data must be given"))
 	}
 	if err := os.MkdirAll(data, 0o700); err != nil {
-		flags.Exit(wire.New(wire.BadFlag, "--data: %v", err))
+		flags.Exit(wire.Errorf(wire.BadFlag, "--data: %v", err))
 	}
 	threads, counts := run.NewThreads(), run.NewCounts()
-	line := wire.NewLine(program.Transport())
+	line := wire.NewClient(program.Transport())
 	finder := member.NewFinder(line, threads, knownCores(&place))
 	place.MembersChanged = finder.Learn
-	core, mishap := control.NewCore(place, control.Folder(data), line, threads, counts)
-	if mishap != nil {
-		fmt.Fprintf(os.Stderr, "ojcore: %v\n", mishap)
+	core, err := control.NewCore(place, control.Folder(data), line, threads, counts)
+	if err != nil {
+		fmt.Fprintf(os.Stderr, "ojcore: %v\n", err)
 		os.Exit(3)
 	}
-	door := wire.NewDoor(counts)
+	door := wire.NewServer(counts)
 	core.Register(door)
 	hold := member.NewHold(finder, line, counts)
 	name := nameOf(&place)
 	operate := member.NewOperate(name, hold, counts, core.Settings, core.Sound)
-	wired, mishap := program.Listen(place.Wire, door, 64<<10)
-	flags.Exit(mishap)
-	operated, mishap := program.Listen(place.Operate, operate, 64<<10)
-	flags.Exit(mishap)
+	wired, err := program.Listen(place.Wire, door, 64<<10)
+	flags.Exit(err)
+	operated, err := program.Listen(place.Operate, operate, 64<<10)
+	flags.Exit(err)
 	wired.Serve(threads)
 	operated.Serve(threads)
 	finder.Run()
--- a/cmd/ojcore/seeds.go
+++ b/cmd/ojcore/seeds.go
@@ -12,18 +12,18 @@
 func takeSeeds(place *control.Place, seeds []string) error {
 	if len(seeds) == 0 {
 		if place.ID == 0 {
-			return wire.New(wire.BadFlag, "--id or --seed must be given")
+			return wire.Errorf(wire.BadFlag, "--id or --seed must be given")
 		}
 		return nil
 	}
 	if place.ID != 0 || len(place.Peers) > 0 {
-		return wire.New(wire.BadFlag, "--seed: a core that joins gets its id from the others; leave out --id and --peer")
+		return wire.Errorf(wire.BadFlag, "--seed: a core that joins gets its id from the others; leave out --id and --peer")
 	}
 	if place.Found {
-		return wire.New(wire.BadFlag, "--found: a core that joins founds nothing; leave it out beside --seed")
+		return wire.Errorf(wire.BadFlag, "--found: a core that joins founds nothing; leave it out beside --seed")
 	}
 	if slices.Contains(seeds, place.Wire) {
-		return wire.New(wire.BadFlag, "--seed: %s is this core's own --wire", place.Wire)
+		return wire.Errorf(wire.BadFlag, "--seed: %s is this core's own --wire", place.Wire)
 	}
 	place.Seeds, place.Least = seeds, 1
 	return nil
--- a/cmd/ojcore/seeds_test.go
+++ b/cmd/ojcore/seeds_test.go
@@ -23,11 +23,11 @@
 		{control.Place{Wire: "10.0.0.4:1"}, []string{"10.0.0.1:1", "10.0.0.2:1"}, ""},
 	} {
 		place := try.place
-		mishap := takeSeeds(&place, try.seeds)
-		if try.says == "" && mishap != nil || try.says != "" && (mishap == nil || !strings.Contains(wire.AsMishap(mishap).Cause, try.says)) {
-			test.Errorf("%+v %v: %v, want %q", try.place, try.seeds, mishap, try.says)
+		err := takeSeeds(&place, try.seeds)
+		if try.says == "" && err != nil || try.says != "" && (err == nil || !strings.Contains(wire.AsError(err).Message, try.says)) {
+			test.Errorf("%+v %v: %v, want %q", try.place, try.seeds, err, try.says)
 		}
-		if mishap == nil && len(place.Seeds) != len(try.seeds) {
+		if err == nil && len(place.Seeds) != len(try.seeds) {
 			test.Errorf("%+v: seeds %v", try.place, place.Seeds)
 		}
 	}
--- a/cmd/ojctl/cores.go
+++ b/cmd/ojctl/cores.go
@@ -34,14 +34,14 @@
 		case remove.Used:
 			return command.removeCore()
 		}
-		return wire.New(wire.BadFlag, "want core list or core remove ID")
+		return wire.Errorf(wire.BadFlag, "want core list or core remove ID")
 	}
 }
 
 func (command *errand) listCores() error {
-	membership, mishap := command.client.Cores()
-	if mishap != nil {
-		return mishap
+	membership, err := command.client.Cores()
+	if err != nil {
+		return err
 	}
 	showMembership(membership)
 	return nil
@@ -49,11 +49,11 @@
 
 // showMembership prints a membership, one core a line.
 func showMembership(membership *wire.MembershipStatus) {
-	fmt.Printf("membership %d, ballot %s\n", membership.Version, membership.Ballot)
+	fmt.Printf("membership %d, ballot %s\n", membership.Version, membership.Term)
 	showVoters("voter", membership.Voters)
 	showVoters("next", membership.Next)
 	for _, learner := range membership.Learners {
-		fmt.Printf("learner   - %-21s seen %s, silent %d ms, synced %s\n", learner.Address, mark(learner.Seen), learner.Silent, mark(learner.Synced))
+		fmt.Printf("learner   - %-21s seen %s, silent %d ms, synced %s\n", learner.Address, mark(learner.Seen), learner.SilentMs, mark(learner.Synced))
 	}
 }
 
@@ -63,24 +63,24 @@
 		if voter.Leaving {
 			leaving = ", leaving"
 		}
-		fmt.Printf("%-7s %3d %-21s seen %s, silent %d ms%s\n", kind, voter.ID, voter.Address, mark(voter.Seen), voter.Silent, leaving)
+		fmt.Printf("%-7s %3d %-21s seen %s, silent %d ms%s\n", kind, voter.ID, voter.Address, mark(voter.Seen), voter.SilentMs, leaving)
 	}
 }
 
 // removeCore sends the removal, and again while its outcome is unknown: once removed,
 // a core stays so, and the order is acknowledged.
 func (command *errand) removeCore() error {
-	id, fault := strconv.Atoi(command.name)
-	if fault != nil || id < 1 || id > wire.PeerMost {
-		return wire.New(wire.BadFlag, "core remove: %q is no core's ID; core list shows them", command.name)
+	id, err := strconv.Atoi(command.name)
+	if err != nil || id < 1 || id > wire.MaxPeerID {
+		return wire.Errorf(wire.BadFlag, "core remove: %q is no core's ID; core list shows them", command.name)
 	}
-	removed, mishap := command.client.RemoveCore(id)
-	for try := 1; try < tries && asksAgain(mishap); try++ {
+	removed, err := command.client.RemoveCore(id)
+	for try := 1; try < tries && asksAgain(err); try++ {
 		time.Sleep(orderRest)
-		removed, mishap = command.client.RemoveCore(id)
+		removed, err = command.client.RemoveCore(id)
 	}
-	if mishap != nil {
-		return mishap
+	if err != nil {
+		return err
 	}
 	show(removed)
 	if removed.Again {
@@ -90,6 +90,6 @@
 }
 
 // asksAgain is whether an order may be sent again to learn its outcome.
-func asksAgain(mishap error) bool {
-	return mishap != nil && (wire.KindOf(mishap) == wire.OutcomeUnknown || wire.KindOf(mishap) == wire.NotStarted || wire.KindOf(mishap) == wire.Unreachable)
+func asksAgain(err error) bool {
+	return err != nil && (wire.CodeOf(err) == wire.OutcomeUnknown || wire.CodeOf(err) == wire.NotStarted || wire.CodeOf(err) == wire.Unreachable)
 }
--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -94,7 +94,7 @@
 		}
 		if subcommand.Name != "check" && subcommand.Name != "digest" {
 			if len(command.daemons) == 0 {
-				flags.Exit(wire.New(wire.BadFlag, "--daemon must be given"))
+				flags.Exit(wire.Errorf(wire.BadFlag, "--daemon must be given"))
 			}
 			for _, daemon := range command.daemons {
 				flags.Exit(control.CheckAddress("--daemon", daemon))
@@ -104,26 +104,26 @@
 		end(run(command))
 		return
 	}
-	flags.Exit(wire.New(wire.BadFlag, "want a command: check, digest, show, put, patch, drain, refill, history, aims, core or status"))
+	flags.Exit(wire.Errorf(wire.BadFlag, "want a command: check, digest, show, put, patch, drain, refill, history, aims, core or status"))
 }
 
 // end prints a mishap and turns it into the exit status that scripts read.
-func end(mishap error) {
-	if mishap == nil {
+func end(err error) {
+	if err == nil {
 		return
 	}
-	for _, detail := range wire.AsMishap(mishap).Details {
-		fmt.Fprintf(os.Stderr, "%s: %s: %s\n", detail.Path, detail.Kind, detail.Cause)
+	for _, detail := range wire.AsError(err).Details {
+		fmt.Fprintf(os.Stderr, "%s: %s: %s\n", detail.Path, detail.Code, detail.Message)
 	}
-	plain := *wire.AsMishap(mishap)
+	plain := *wire.AsError(err)
 	plain.Details = nil
 	fmt.Fprintf(os.Stderr, "ojctl: %v\n", &plain)
 	switch {
-	case wire.KindOf(mishap) == wire.BadFlag:
+	case wire.CodeOf(err) == wire.BadFlag:
 		os.Exit(2)
-	case wire.KindOf(mishap) == wire.OutcomeUnknown:
+	case wire.CodeOf(err) == wire.OutcomeUnknown:
 		os.Exit(exitUnknown)
-	case wire.KindOf(mishap) == wire.Unreachable || wire.KindOf(mishap).Status() == 503:
+	case wire.CodeOf(err) == wire.Unreachable || wire.CodeOf(err).Status() == 503:
 		os.Exit(exitSilent)
 	}
 	os.Exit(exitRefused)
@@ -140,7 +140,7 @@
 		body, err = os.ReadFile(command.file)
 	}
 	if err != nil {
-		return nil, wire.New(wire.BadFlag, "%v", err)
+		return nil, wire.Errorf(wire.BadFlag, "%v", err)
 	}
 	return body, nil
 }
@@ -149,18 +149,18 @@
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(document); err != nil {
-		end(wire.New(wire.OutcomeUnknown, "output: %v", err))
+		end(wire.Errorf(wire.OutcomeUnknown, "output: %v", err))
 	}
 }
 
 func (command *errand) check() error {
-	body, mishap := command.read()
-	if mishap != nil {
-		return mishap
+	body, err := command.read()
+	if err != nil {
+		return err
 	}
-	settings, mishap := conf.Read(body)
-	if mishap != nil {
-		return mishap
+	settings, err := conf.Read(body)
+	if err != nil {
+		return err
 	}
 	fmt.Printf("valid: %d classes, %d routes, %d tenants\n", len(settings.Classes), len(settings.Resolve()), len(settings.Tenants))
 	return nil
@@ -173,9 +173,9 @@
 }
 
 func (command *errand) show() error {
-	settings, mishap := command.client.Read(command.whole)
-	if mishap != nil {
-		return mishap
+	settings, err := command.client.Read(command.whole)
+	if err != nil {
+		return err
 	}
 	if !settings.Confirmed {
 		fmt.Fprintln(os.Stderr, "ojctl: no leader; this is what the asked daemon has in force")
@@ -186,7 +186,7 @@
 	}
 	routes := []conf.Effective{}
 	if err := json.Unmarshal(settings.Effective, &routes); err != nil {
-		return wire.New(wire.BadMessage, "effective routes: %v", err)
+		return wire.Errorf(wire.BadMessage, "effective routes: %v", err)
 	}
 	fmt.Printf("serial %d\n", settings.Serial)
 	for _, route := range routes {
@@ -209,9 +209,9 @@
 		change.Change = member.NewID()
 	}
 	if command.base < 0 {
-		settings, mishap := command.client.Read(false)
-		if mishap != nil {
-			return change, mishap
+		settings, err := command.client.Read(false)
+		if err != nil {
+			return change, err
 		}
 		change.Base = settings.Serial
 	}
@@ -220,13 +220,13 @@
 
 // apply sends the change; an unknown outcome is asked again under the same id.
 func (command *errand) apply(change operator.Change, send func(operator.Change) (*operator.Outcome, error)) error {
-	outcome, mishap := send(change)
-	for try := 1; try < tries && mishap != nil && wire.KindOf(mishap) == wire.OutcomeUnknown; try++ {
-		outcome, mishap = send(change)
+	outcome, err := send(change)
+	for try := 1; try < tries && err != nil && wire.CodeOf(err) == wire.OutcomeUnknown; try++ {
+		outcome, err = send(change)
 	}
-	if mishap != nil {
+	if err != nil {
 		fmt.Fprintf(os.Stderr, "change id %s\n", change.Change)
-		return mishap
+		return err
 	}
 	show(outcome)
 	return nil
@@ -241,16 +241,16 @@
 }
 
 func (command *errand) send(send func(operator.Change) (*operator.Outcome, error)) error {
-	body, mishap := command.read()
-	if mishap != nil {
-		return mishap
+	body, err := command.read()
+	if err != nil {
+		return err
 	}
 	if !json.Valid(body) {
-		return wire.New(wire.BadFlag, "%s is not JSON", command.file)
+		return wire.Errorf(wire.BadFlag, "%s is not JSON", command.file)
 	}
-	change, mishap := command.change(body)
-	if mishap != nil {
-		return mishap
+	change, err := command.change(body)
+	if err != nil {
+		return err
 	}
 	return command.apply(change, send)
 }
@@ -261,16 +261,16 @@
 // mark empties or refills; losing a race to another change, it looks again.
 func (command *errand) mark(drained bool) error {
 	if command.kind != "zone" && command.kind != "backend" {
-		return wire.New(wire.BadFlag, "%q is neither zone nor backend", command.kind)
+		return wire.Errorf(wire.BadFlag, "%q is neither zone nor backend", command.kind)
 	}
 	for try := 0; ; try++ {
-		settings, mishap := command.client.Read(false)
-		if mishap != nil {
-			return mishap
+		settings, err := command.client.Read(false)
+		if err != nil {
+			return err
 		}
-		tree, mishap := conf.Read(settings.Settings)
-		if mishap != nil {
-			return mishap
+		tree, err := conf.Read(settings.Settings)
+		if err != nil {
+			return err
 		}
 		names := tree.Drained.Zones
 		if command.kind == "backend" {
@@ -293,20 +293,20 @@
 		if change.Change == "" {
 			change.Change = member.NewID()
 		}
-		mishap = command.apply(change, command.client.Patch)
-		if mishap == nil || wire.KindOf(mishap) != wire.StaleBase || command.base >= 0 || try >= tries {
-			return mishap
+		err = command.apply(change, command.client.Patch)
+		if err == nil || wire.CodeOf(err) != wire.StaleBase || command.base >= 0 || try >= tries {
+			return err
 		}
 	}
 }
 
 func (command *errand) history() error {
 	trail := struct {
-		Serial  uint64       `json:"serial"`
-		Changes []wire.Entry `json:"changes"`
+		Serial  uint64              `json:"serial"`
+		Changes []wire.HistoryEntry `json:"changes"`
 	}{}
-	if mishap := command.client.Ask("GET", "/v1/changes", nil, &trail); mishap != nil {
-		return mishap
+	if err := command.client.Ask("GET", "/v1/changes", nil, &trail); err != nil {
+		return err
 	}
 	for _, entry := range trail.Changes {
 		fmt.Printf("%6d  %-8s %-26s %s\n", entry.Serial, entry.Kind, entry.Change, entry.Operator)
@@ -315,18 +315,18 @@
 }
 
 func (command *errand) status() error {
-	status, mishap := command.client.Status()
-	if mishap != nil {
-		return mishap
+	status, err := command.client.Status()
+	if err != nil {
+		return err
 	}
 	fmt.Printf("leader core %d at %s, ballot %s, %s, revoked by %s\n", status.Leader.Core, status.Leader.Address, status.Leader.Ballot, status.State, status.Revocation)
 	for _, condition := range status.Conditions {
 		fmt.Printf("  [%s] %s (%s)\n", mark(condition.Holds), condition.Name, condition.Detail)
 	}
-	fmt.Printf("settings serial %d, table %s/%d, %d backends\n", status.Serial, status.Table.Ballot, status.Table.Number, len(status.Backends))
+	fmt.Printf("settings serial %d, table %s/%d, %d backends\n", status.Serial, status.Table.Term, status.Table.Number, len(status.Backends))
 	showMembership(&status.Membership)
 	for _, core := range status.Cores {
-		fmt.Printf("core %d %-21s voter %s seen %s serial %d under %s\n", core.Core, core.Address, mark(core.Voter), mark(core.Seen), core.Marks[0].Serial, core.Marks[0].Ballot)
+		fmt.Printf("core %d %-21s voter %s seen %s serial %d under %s\n", core.Core, core.Address, mark(core.Voter), mark(core.Seen), core.Versions[0].Serial, core.Versions[0].Term)
 	}
 	for _, daemon := range status.Members {
 		fmt.Printf("%-5s %-16s %-12s ready %s leaving %s serial %d table %d parent %s\n", daemon.Member.Kind, daemon.Member.Name, daemon.Member.Zone,
@@ -337,22 +337,22 @@
 
 // aims asks every daemon that the leader knows for its counters.
 func (command *errand) aims() error {
-	body, mishap := command.read()
-	if mishap != nil {
-		return mishap
+	body, err := command.read()
+	if err != nil {
+		return err
 	}
-	documents, mishap := aims.Read(body)
-	if mishap != nil {
-		return mishap
+	documents, err := aims.Read(body)
+	if err != nil {
+		return err
 	}
-	status, mishap := command.client.Status()
-	if mishap != nil {
-		return mishap
+	status, err := command.client.Status()
+	if err != nil {
+		return err
 	}
 	sums, silent := status.Counts, 0
 	for _, daemon := range status.Members {
 		counts := map[string]uint64{}
-		if mishap := operator.NewClient([]string{daemon.Member.Operate}, program.Transport()).Ask("GET", "/v1/counts", nil, &counts); mishap != nil {
+		if err := operator.NewClient([]string{daemon.Member.OperatorAddress}, program.Transport()).Ask("GET", "/v1/counts", nil, &counts); err != nil {
 			silent++
 			continue
 		}
@@ -371,7 +371,7 @@
 		}
 	}
 	if missed > 0 {
-		return wire.New(wire.AimMissed, "%d aims are missed", missed)
+		return wire.Errorf(wire.ObjectiveMissed, "%d aims are missed", missed)
 	}
 	return nil
 }
--- a/cmd/ojfleet/main.go
+++ b/cmd/ojfleet/main.go
@@ -43,7 +43,7 @@
 	}
 	chosen, found := fleet.Scenarios[scenario]
 	if !found {
-		flags.Exit(wire.New(wire.BadFlag, "--scenario: no scenario %q; there are %s", scenario, strings.Join(fleet.Names(), ", ")))
+		flags.Exit(wire.Errorf(wire.BadFlag, "--scenario: no scenario %q; there are %s", scenario, strings.Join(fleet.Names(), ", ")))
 	}
 	sizes := []string{size}
 	if size == fleet.Both {
@@ -52,7 +52,7 @@
 	if folder == "" {
 		made, err := os.MkdirTemp("", "ojfleet-")
 		if err != nil {
-			flags.Exit(wire.New(wire.BadFlag, "--folder: %v", err))
+			flags.Exit(wire.Errorf(wire.BadFlag, "--folder: %v", err))
 		}
 		folder = made
 	}
@@ -61,7 +61,7 @@
 	for _, name := range sizes {
 		base, found := fleet.Sizes[name]
 		if !found {
-			flags.Exit(wire.New(wire.BadFlag, "--size: no size %q; there are small, volta, saqtau and both", name))
+			flags.Exit(wire.Errorf(wire.BadFlag, "--size: no size %q; there are small, volta, saqtau and both", name))
 		}
 		one := spec
 		one.Settings, one.Cores, one.Directories, one.Proxies, one.Backends = filepath.Join(examples, base.Settings+".json"), base.Cores, base.Directories, base.Proxies, base.Backends
@@ -76,8 +76,8 @@
 		if rate > 0 {
 			one.Rate = rate
 		}
-		laid, mishap := fleet.NewFleet(one, threads)
-		flags.Exit(mishap)
+		laid, err := fleet.NewFleet(one, threads)
+		flags.Exit(err)
 		fleets = append(fleets, laid)
 		port += one.Ports()
 		fmt.Printf("%s of %s, seed %d: %d cores, %d directories, %d proxies, %d backends, %d tasks a second for %v s; data and logs in %s\n",
@@ -89,10 +89,10 @@
 	}
 	program.OnTerm(threads, threads.Stop)
 	begin := time.Now()
-	verdicts, mishap := fleet.PlayBoth(fleets, chosen, threads)
+	verdicts, err := fleet.PlayBoth(fleets, chosen, threads)
 	threads.Stop()
-	if mishap != nil {
-		fmt.Fprintf(os.Stderr, "ojfleet: %v\n", mishap)
+	if err != nil {
+		fmt.Fprintf(os.Stderr, "ojfleet: %v\n", err)
 		os.Exit(1)
 	}
 	all := true
--- a/cmd/ojfleet/scale.go
+++ b/cmd/ojfleet/scale.go
@@ -68,7 +68,7 @@
 
 func (scaling *scaling) read(spec any) error {
 	if err := json.Unmarshal([]byte(scaling.spec), spec); err != nil {
-		return wire.New(wire.BadFlag, "--spec: %v", err)
+		return wire.Errorf(wire.BadFlag, "--spec: %v", err)
 	}
 	return nil
 }
@@ -81,21 +81,21 @@
 	for _, name := range strings.Split(scaling.sweep, ",") {
 		if name == "all" || name == "state" {
 			played = true
-			if mishap := scale.PlayStates(scaling.results, os.Stdout); mishap != nil {
-				return mishap
+			if err := scale.PlayStates(scaling.results, os.Stdout); err != nil {
+				return err
 			}
 		}
 		for index := range scale.Sweeps {
 			if sweep := &scale.Sweeps[index]; name == "all" || name == sweep.Name {
 				played = true
-				if mishap := sweep.Play(scaling.results, scaling.port, threads, os.Stdout); mishap != nil {
-					return mishap
+				if err := sweep.Play(scaling.results, scaling.port, threads, os.Stdout); err != nil {
+					return err
 				}
 			}
 		}
 	}
 	if !played {
-		return wire.New(wire.BadFlag, "--sweep: nothing is called %s", scaling.sweep)
+		return wire.Errorf(wire.BadFlag, "--sweep: nothing is called %s", scaling.sweep)
 	}
 	fmt.Println("results in", scaling.results)
 	return nil
--- a/cmd/ojnode/core.go
+++ b/cmd/ojnode/core.go
@@ -46,12 +46,12 @@
 func (node *node) runCore() error {
 	settings := node.source.Settings()
 	if settings.Folder == "" {
-		return wire.New(wire.BadFlag, "a core needs a data folder")
+		return wire.Errorf(wire.BadFlag, "a core needs a data folder")
 	}
-	if fault := os.MkdirAll(settings.Folder, 0o700); fault != nil {
-		return wire.New(wire.BadFlag, "data folder: %v", fault)
+	if err := os.MkdirAll(settings.Folder, 0o700); err != nil {
+		return wire.Errorf(wire.BadFlag, "data folder: %v", err)
 	}
-	line := wire.NewLine(program.FarTransport(userTimeout))
+	line := wire.NewClient(program.FarTransport(userTimeout))
 	var core *control.Core
 	finder := member.NewFinder(line, node.threads, innerSeeds(settings)).Paced(member.Paces{Seek: seekPace})
 	client := platform.NewClient(settings.Platform.Address, program.FarTransport(userTimeout), func() int64 { return core.Now() })
@@ -66,20 +66,20 @@
 			return client.Report(ctx, report)
 		}}
 	}
-	if mishap := place.Check(); mishap != nil {
-		return mishap
+	if err := place.Check(); err != nil {
+		return err
 	}
-	core, mishap := control.NewCore(place, control.Folder(settings.Folder), line, node.threads, node.counts)
-	if mishap != nil {
-		return mishap
+	core, err := control.NewCore(place, control.Folder(settings.Folder), line, node.threads, node.counts)
+	if err != nil {
+		return err
 	}
-	door := wire.NewDoor(node.counts)
+	door := wire.NewServer(node.counts)
 	core.Register(door)
 	hold := member.NewHold(finder, line, node.counts).Within(member.HoldLimits{Send: sendLimit})
 	hold.Follow(core.Leader)
 	orders := platform.NewControl(platform.NewLeaderOrders(hold), func() map[string]string { return node.source.Settings().Zones }, node.counts)
-	if mishap := node.open(side{place.Wire, door}, side{settings.Listen.Operators, orders}); mishap != nil {
-		return mishap
+	if err := node.open(side{place.Wire, door}, side{settings.Listen.Operators, orders}); err != nil {
+		return err
 	}
 	finder.Run()
 	core.Run()
--- a/cmd/ojnode/main.go
+++ b/cmd/ojnode/main.go
@@ -27,10 +27,10 @@
 	flags.Parser.AttachSubcommand(core, 1)
 	flags.Parse()
 	if !proxy.Used && !core.Used {
-		flags.Exit(wire.New(wire.BadFlag, "want proxy or core"))
+		flags.Exit(wire.Errorf(wire.BadFlag, "want proxy or core"))
 	}
-	source, mishap := platform.NewSource()
-	flags.Exit(mishap)
+	source, err := platform.NewSource()
+	flags.Exit(err)
 	node := &node{source: source, threads: run.NewThreads(), counts: run.NewCounts()}
 	if proxy.Used {
 		flags.Exit(node.runProxy())
@@ -59,9 +59,9 @@
 		if side.address == "" {
 			continue
 		}
-		listener, mishap := program.Listen(side.address, side.handler, headerBytes)
-		if mishap != nil {
-			return mishap
+		listener, err := program.Listen(side.address, side.handler, headerBytes)
+		if err != nil {
+			return err
 		}
 		node.listeners = append(node.listeners, listener)
 	}
@@ -74,7 +74,7 @@
 
 // inner is where a machine's process takes messages from the others.
 func inner(settings *platform.Settings, address string) string {
-	if parsed, fault := netip.ParseAddrPort(address); fault == nil {
+	if parsed, err := netip.ParseAddrPort(address); err == nil {
 		address = parsed.Addr().String()
 	}
 	return address + ":" + strconv.Itoa(settings.FirstPort)
--- a/cmd/ojnode/proxy.go
+++ b/cmd/ojnode/proxy.go
@@ -28,13 +28,13 @@
 // runProxy is the life of a proxy.
 func (node *node) runProxy() error {
 	settings := node.source.Settings()
-	line := wire.NewLine(program.FarTransport(userTimeout))
+	line := wire.NewClient(program.FarTransport(userTimeout))
 	address := inner(settings, settings.Address)
 	place := member.Place{Name: settings.Name, Kind: "proxy", Zone: settings.Zone, Wire: address, Outer: settings.Listen.Clients, Operate: address, Seeds: innerSeeds(settings),
 		Paces: member.Paces{Session: sessionPace, Watch: watchPace, Seek: seekPace, Feel: feelPace, Look: lookPace, Count: -1},
 		Hold:  member.HoldLimits{Send: sendLimit}, Direct: true, ServesAlone: true, Routed: true}
-	if mishap := place.Check(); mishap != nil {
-		return mishap
+	if err := place.Check(); err != nil {
+		return err
 	}
 	daemon := member.NewDaemon(place, incarnation(), line, node.threads, node.counts)
 	dialer := &net.Dialer{Control: program.UserTimeout(backendSilent), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}}
@@ -48,7 +48,7 @@
 	}, nil)
 	daemon.Meter(plane.Windows)
 	daemon.Warm(plane.Ready)
-	door := wire.NewDoor(node.counts)
+	door := wire.NewServer(node.counts)
 	daemon.Register(door)
 	lookups := platform.NewLookup(node.source.Settings, func() *wire.Table { return daemon.Version().Table },
 		func() (string, bool) { return settings.Listen.Clients, plane.Ready() })
@@ -57,8 +57,8 @@
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	if mishap := node.open(side{settings.Listen.Clients, plane}, side{address, door}, side{settings.Listen.Ready, ready}, side{settings.Listen.Lookups, lookups}); mishap != nil {
-		return mishap
+	if err := node.open(side{settings.Listen.Clients, plane}, side{address, door}, side{settings.Listen.Ready, ready}, side{settings.Listen.Lookups, lookups}); err != nil {
+		return err
 	}
 	daemon.Run()
 	plane.Run()
--- a/cmd/ojplat/main.go
+++ b/cmd/ojplat/main.go
@@ -31,15 +31,15 @@
 			err = json.Unmarshal(body, &items)
 		}
 		if err != nil {
-			flags.Exit(wire.New(wire.BadFlag, "--backends: %v", err))
+			flags.Exit(wire.Errorf(wire.BadFlag, "--backends: %v", err))
 		}
 	}
 	if rate < 1 || page < 1 || lag < 0 {
-		flags.Exit(wire.New(wire.BadFlag, "--rate and --page are at least 1, --lag-ms at least 0"))
+		flags.Exit(wire.Errorf(wire.BadFlag, "--rate and --page are at least 1, --lag-ms at least 0"))
 	}
 	threads := run.NewThreads()
-	listener, mishap := program.Listen(listen, stand.NewPlatform(page, time.Duration(lag)*time.Millisecond, float64(rate), items), 64<<10)
-	flags.Exit(mishap)
+	listener, err := program.Listen(listen, stand.NewPlatform(page, time.Duration(lag)*time.Millisecond, float64(rate), items), 64<<10)
+	flags.Exit(err)
 	listener.Serve(threads)
 	program.OnTerm(threads, func() {
 		listener.Drain(time.Second)
--- a/conf/patch.go
+++ b/conf/patch.go
@@ -13,19 +13,19 @@
 // objects merge, null removes. The result is not checked; a partial tree that is no
 // object or names a field twice is wire.Invalid.
 func Patch(base, partial []byte) ([]byte, error) {
-	part, mishap := readPartial(partial)
-	if mishap != nil {
-		return nil, mishap
+	part, err := readPartial(partial)
+	if err != nil {
+		return nil, err
 	}
 	var whole any
 	if len(bytes.TrimSpace(base)) > 0 {
-		if whole, mishap = decode(base); mishap != nil {
-			return nil, mishap
+		if whole, err = decode(base); err != nil {
+			return nil, err
 		}
 	}
 	body, err := json.Marshal(merge(whole, part))
 	if err != nil {
-		return nil, wire.New(wire.Invalid, "%v", err)
+		return nil, wire.Errorf(wire.Invalid, "%v", err)
 	}
 	return body, nil
 }
@@ -45,11 +45,11 @@
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
 	if err := decoder.Decode(&value); err != nil {
-		return nil, &wire.Mishap{Kind: wire.Invalid, Cause: "1 wrong", Details: []wire.Detail{{Path: ".", Cause: err.Error(), Kind: badSyntax}}}
+		return nil, &wire.Error{Code: wire.Invalid, Message: "1 wrong", Details: []wire.Detail{{Path: ".", Message: err.Error(), Code: badSyntax}}}
 	}
 	object, able := value.(map[string]any)
 	if !able {
-		return nil, &wire.Mishap{Kind: wire.Invalid, Cause: "1 wrong", Details: []wire.Detail{{Path: ".", Cause: "a partial change is an object", Kind: wrongType}}}
+		return nil, &wire.Error{Code: wire.Invalid, Message: "1 wrong", Details: []wire.Detail{{Path: ".", Message: "a partial change is an object", Code: wrongType}}}
 	}
 	return object, nil
 }
--- a/conf/read.go
+++ b/conf/read.go
@@ -41,7 +41,7 @@
 }
 
 func (reader *reader) refusal() error {
-	return &wire.Mishap{Kind: wire.Invalid, Cause: fmt.Sprintf("%d wrong", len(reader.details)), Details: reader.details}
+	return &wire.Error{Code: wire.Invalid, Message: fmt.Sprintf("%d wrong", len(reader.details)), Details: reader.details}
 }
 
 type reader struct {
@@ -53,7 +53,7 @@
 	if path == "" {
 		path = "."
 	}
-	reader.details = append(reader.details, wire.Detail{Path: path, Kind: kind, Cause: fmt.Sprintf(format, values...)})
+	reader.details = append(reader.details, wire.Detail{Path: path, Code: kind, Message: fmt.Sprintf(format, values...)})
 }
 
 // syntax keeps the first syntax error of the text, which ends the reading, and
--- a/conf/read_test.go
+++ b/conf/read_test.go
@@ -23,17 +23,17 @@
 		datadriven.RunTest(test, path, func(test *testing.T, line *datadriven.TestData) string {
 			body := []byte(line.Input)
 			if line.Cmd != "text" {
-				patched, mishap := conf.Patch(base, body)
-				if mishap != nil {
-					return mishap.Error() + "\n"
+				patched, err := conf.Patch(base, body)
+				if err != nil {
+					return err.Error() + "\n"
 				}
 				body = patched
 			}
-			settings, mishap := conf.Read(body)
-			if mishap != nil {
+			settings, err := conf.Read(body)
+			if err != nil {
 				lines := []string{}
-				for _, detail := range wire.AsMishap(mishap).Details {
-					lines = append(lines, fmt.Sprintf("%s: %s: %s", detail.Path, detail.Kind, detail.Cause))
+				for _, detail := range wire.AsError(err).Details {
+					lines = append(lines, fmt.Sprintf("%s: %s: %s", detail.Path, detail.Code, detail.Message))
 				}
 				return strings.Join(lines, "\n") + "\n"
 			}
--- a/conf/splitter.go
+++ b/conf/splitter.go
@@ -14,8 +14,8 @@
 type splitter struct {
 	before *Tree
 	old    map[string]any
-	parts  []wire.Part
-	texts  wire.Texts
+	parts  []wire.ChunkRef
+	texts  wire.Chunks
 }
 
 // same is whether two decoded values are one and the same.
@@ -43,7 +43,7 @@
 func (splitter *splitter) put(path string, value any) {
 	text, _ := json.Marshal(value)
 	digest := wire.DigestOf(text)
-	splitter.parts = append(splitter.parts, wire.Part{Path: path, Digest: digest})
+	splitter.parts = append(splitter.parts, wire.ChunkRef{Path: path, Digest: digest})
 	splitter.texts[digest] = text
 }
 
@@ -149,7 +149,7 @@
 		case len(dirty[bucket]) > 0:
 			splitter.put(spot(bucket), dirty[bucket])
 		case dirty[bucket] == nil && !fresh && splitter.before.held[spot(bucket)] != nil:
-			splitter.parts = append(splitter.parts, wire.Part{Path: spot(bucket), Digest: splitter.before.held[spot(bucket)].digest})
+			splitter.parts = append(splitter.parts, wire.ChunkRef{Path: spot(bucket), Digest: splitter.before.held[spot(bucket)].digest})
 		}
 	}
 }
--- a/conf/tree.go
+++ b/conf/tree.go
@@ -16,8 +16,8 @@
 // before is shared with it, read only once.
 type Tree struct {
 	Settings *Settings
-	Parts    []wire.Part
-	texts    wire.Texts
+	Parts    []wire.ChunkRef
+	texts    wire.Chunks
 	held     map[string]*fragment
 
 	mutex sync.Mutex
@@ -27,34 +27,34 @@
 
 // Sow reads, checks and splits a whole text.
 func Sow(body []byte, before *Tree) (*Tree, error) {
-	if _, mishap := Read(body); mishap != nil {
-		return nil, mishap
+	if _, err := Read(body); err != nil {
+		return nil, err
 	}
-	whole, mishap := decode(body)
-	if mishap != nil {
-		return nil, mishap
+	whole, err := decode(body)
+	if err != nil {
+		return nil, err
 	}
 	return sow(whole, before)
 }
 
 func sow(whole map[string]any, before *Tree) (*Tree, error) {
-	splitter := &splitter{before: before, texts: wire.Texts{}}
+	splitter := &splitter{before: before, texts: wire.Chunks{}}
 	if before != nil {
 		splitter.old = before.decoded()
 	}
 	if !splitter.split(whole) {
 		body, err := json.Marshal(whole)
 		if err != nil {
-			return nil, wire.New(wire.Invalid, "%v", err)
+			return nil, wire.Errorf(wire.Invalid, "%v", err)
 		}
-		if _, mishap := Read(body); mishap != nil {
-			return nil, mishap
+		if _, err := Read(body); err != nil {
+			return nil, err
 		}
-		return nil, wire.New(wire.Invalid, "the tree has no known shape")
+		return nil, wire.Errorf(wire.Invalid, "the tree has no known shape")
 	}
-	tree, mishap := grow(before, splitter.parts, splitter.texts, true)
-	if mishap != nil {
-		return nil, mishap
+	tree, err := grow(before, splitter.parts, splitter.texts, true)
+	if err != nil {
+		return nil, err
 	}
 	tree.whole = whole
 	return tree, nil
@@ -62,24 +62,24 @@
 
 // Patch lays a partial tree over this one; objects merge, null removes.
 func (tree *Tree) Patch(partial []byte) (*Tree, error) {
-	part, mishap := readPartial(partial)
-	if mishap != nil {
-		return nil, mishap
+	part, err := readPartial(partial)
+	if err != nil {
+		return nil, err
 	}
 	return sow(merge(tree.decoded(), part).(map[string]any), tree)
 }
 
 // Grow makes the tree of parts whose texts are known by the version before or given.
-func Grow(before *Tree, parts []wire.Part, texts wire.Texts) (*Tree, error) {
+func Grow(before *Tree, parts []wire.ChunkRef, texts wire.Chunks) (*Tree, error) {
 	return grow(before, parts, texts, false)
 }
 
 // Lacks are the digests among parts that this tree does not hold.
-func (tree *Tree) Lacks(parts []wire.Part) []string {
+func (tree *Tree) Lacks(parts []wire.ChunkRef) []string {
 	if tree == nil {
-		return wire.Lacks(parts)
+		return wire.MissingChunks(parts)
 	}
-	return wire.Lacks(parts, tree.texts)
+	return wire.MissingChunks(parts, tree.texts)
 }
 
 // Text is a branch of this tree.
@@ -112,8 +112,8 @@
 	return tree.compose()
 }
 
-func grow(before *Tree, parts []wire.Part, texts wire.Texts, check bool) (*Tree, error) {
-	tree := &Tree{Parts: parts, texts: make(wire.Texts, len(parts)), held: make(map[string]*fragment, len(parts))}
+func grow(before *Tree, parts []wire.ChunkRef, texts wire.Chunks, check bool) (*Tree, error) {
+	tree := &Tree{Parts: parts, texts: make(wire.Chunks, len(parts)), held: make(map[string]*fragment, len(parts))}
 	reader := &reader{}
 	for _, part := range parts {
 		text := texts[part.Digest]
@@ -121,7 +121,7 @@
 			text = before.Text(part.Digest)
 		}
 		if text == nil {
-			return nil, wire.New(wire.DamagedPart, "branch %s is missing", part.Path)
+			return nil, wire.Errorf(wire.CorruptChunk, "branch %s is missing", part.Path)
 		}
 		tree.texts[part.Digest] = text
 		if before != nil {
@@ -135,8 +135,8 @@
 	if len(reader.details) > 0 {
 		return nil, reader.refusal()
 	}
-	if mishap := tree.assemble(before); mishap != nil {
-		return nil, mishap
+	if err := tree.assemble(before); err != nil {
+		return nil, err
 	}
 	if check {
 		var former *Settings
--- a/conf/tree_test.go
+++ b/conf/tree_test.go
@@ -21,22 +21,22 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	tree, mishap := conf.Sow(base, nil)
-	if mishap != nil {
-		test.Fatal(mishap)
+	tree, err := conf.Sow(base, nil)
+	if err != nil {
+		test.Fatal(err)
 	}
-	follower, texts := tree, wire.Texts{}
+	follower, texts := tree, wire.Chunks{}
 	random := rand.New(rand.NewPCG(1, 2))
 	refused := 0
 	for turn := range 300 {
 		patch := draw(random, turn)
 		body, _ := conf.Patch(tree.Body(), patch)
 		settings, whole := conf.Read(body)
-		next, mishap := tree.Patch(patch)
-		if (mishap == nil) != (whole == nil) {
-			test.Fatalf("%.200s: whole %v, in branches %v", patch, whole, mishap)
+		next, err := tree.Patch(patch)
+		if (err == nil) != (whole == nil) {
+			test.Fatalf("%.200s: whole %v, in branches %v", patch, whole, err)
 		}
-		if mishap != nil {
+		if err != nil {
 			refused++
 			continue
 		}
@@ -54,12 +54,12 @@
 		for _, digest := range lacks {
 			texts[digest] = next.Text(digest)
 		}
-		if follower, mishap = conf.Grow(follower, next.Parts, texts); mishap != nil || !bytes.Equal(follower.Body(), next.Body()) {
-			test.Fatalf("%.200s: %v", patch, mishap)
+		if follower, err = conf.Grow(follower, next.Parts, texts); err != nil || !bytes.Equal(follower.Body(), next.Body()) {
+			test.Fatalf("%.200s: %v", patch, err)
 		}
 		if len(lacks) > 0 {
-			if _, mishap := conf.Grow(tree, next.Parts, nil); mishap == nil || wire.KindOf(mishap) != wire.DamagedPart {
-				test.Fatalf("grown without its branches: %v", mishap)
+			if _, err := conf.Grow(tree, next.Parts, nil); err == nil || wire.CodeOf(err) != wire.CorruptChunk {
+				test.Fatalf("grown without its branches: %v", err)
 			}
 		}
 		tree = next
--- a/control/begin_claims_test.go
+++ b/control/begin_claims_test.go
@@ -15,11 +15,11 @@
 func TestClaimsBeginOnceTheRingHasRoom(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		threads, counts := run.NewThreads(), run.NewCounts()
-		core, mishap := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true}, Folder(test.TempDir()), wire.NewLine(http.DefaultTransport), threads, counts)
-		if mishap != nil {
-			test.Fatal(mishap)
+		core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true}, Folder(test.TempDir()), wire.NewClient(http.DefaultTransport), threads, counts)
+		if err != nil {
+			test.Fatal(err)
 		}
-		for core.claims.ring.Put(&keepWait{message: &wire.Keep{}}) {
+		for core.claims.ring.Put(&keepWait{message: &wire.RecordClaimsRequest{}}) {
 		}
 		core.beginClaims(1)
 		if core.claims.Whole(1) || counts.Get("claims_not_begun") != 1 {
--- a/control/claimfence_test.go
+++ b/control/claimfence_test.go
@@ -11,9 +11,9 @@
 func claimLogOn(test *testing.T, folder string) (*ClaimLog, func()) {
 	test.Helper()
 	threads := run.NewThreads()
-	log, mishap := openClaimLog(Folder(folder), 0, run.NewCounts())
-	if mishap != nil {
-		test.Fatal(mishap)
+	log, err := openClaimLog(Folder(folder), 0, run.NewCounts())
+	if err != nil {
+		test.Fatal(err)
 	}
 	threads.Start(log.write)
 	return log, func() {
@@ -26,9 +26,9 @@
 	}
 }
 
-func claimOf(key string) *wire.Keep {
-	claimed := wire.Claimed{Key: wire.ClaimKey{Tenant: "t", Service: "s", Key: key}, ID: "id-" + key, Holder: "p/1", Stage: wire.ClaimRunning}
-	return &wire.Keep{Claims: []wire.Claim{{Claimed: claimed}}}
+func claimOf(key string) *wire.RecordClaimsRequest {
+	claimed := wire.ClaimRecord{Key: wire.ClaimKey{Tenant: "t", Service: "s", Key: key}, ID: "id-" + key, Holder: "p/1", Stage: wire.ClaimRunning}
+	return &wire.RecordClaimsRequest{Claims: []wire.ClaimRequest{{Record: claimed}}}
 }
 
 // Once another core was told the claims under a membership, nothing is kept that is
@@ -36,9 +36,9 @@
 func TestClaimsAreFencedByMembership(test *testing.T) {
 	former := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	step := former.replaced(3, "10.0.0.4:1")
-	step.Mark.Ballot = wire.Ballot{Round: 4, Core: 1}
+	step.Mark.Term = wire.Term{Number: 4, Core: 1}
 	again := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
-	again.Mark.Ballot = wire.Ballot{Round: 6, Core: 2}
+	again.Mark.Term = wire.Term{Number: 6, Core: 2}
 	folder := test.TempDir()
 	log, end := claimLogOn(test, folder)
 	for number, try := range []struct {
@@ -60,10 +60,10 @@
 			log, end = claimLogOn(test, folder)
 		}
 		wait := &keepWait{message: claimOf(string(rune('a' + number))), members: try.under.accepted()}
-		if mishap := log.put(wait); mishap != nil || wait.refused != try.refused {
-			test.Errorf("try %d: refused %v, %v", number, wait.refused, mishap)
+		if err := log.put(wait); err != nil || wait.refused != try.refused {
+			test.Errorf("try %d: refused %v, %v", number, wait.refused, err)
 		}
-		if _, found := log.book.Held(wait.message.Claims[0].Claimed.Key); found == try.refused {
+		if _, found := log.book.Held(wait.message.Claims[0].Record.Key); found == try.refused {
 			test.Errorf("try %d: kept %v", number, found)
 		}
 	}
@@ -76,8 +76,8 @@
 	folder := test.TempDir()
 	members := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	log, end := claimLogOn(test, folder)
-	if mishap := log.put(&keepWait{message: &wire.Keep{}, members: members.accepted(), wholeAs: 2}); mishap != nil {
-		test.Fatal(mishap)
+	if err := log.put(&keepWait{message: &wire.RecordClaimsRequest{}, members: members.accepted(), wholeAs: 2}); err != nil {
+		test.Fatal(err)
 	}
 	for range 2 {
 		if !log.Whole(2) || log.Whole(5) || log.Whole(0) {
--- a/control/claimkeeper.go
+++ b/control/claimkeeper.go
@@ -11,33 +11,33 @@
 
 // onKeep keeps claims under the newest membership known and names that one: the asker
 // counts no answers that were given under other voters.
-func (core *Core) onKeep(message *wire.Keep) (*wire.KeepTold, error) {
-	core.learnMembers(message.Members)
+func (core *Core) onKeep(message *wire.RecordClaimsRequest) (*wire.RecordClaimsResponse, error) {
+	core.learnMembers(message.Membership)
 	view := core.members()
 	known := view.accepted()
-	told := &wire.KeepTold{Core: view.ID, Members: otherThan(message.Members, known), Refused: true}
+	told := &wire.RecordClaimsResponse{Core: view.ID, Membership: otherThan(message.Membership, known), Refused: true}
 	if !view.votes() {
 		core.counts.Add("claims_refused_without_vote", 1)
 		return told, nil
 	}
 	whole := core.claimsWhole(view)
 	wait := &keepWait{message: message, members: known}
-	if mishap := core.claims.put(wait); mishap != nil {
-		return nil, mishap
+	if err := core.claims.put(wait); err != nil {
+		return nil, err
 	}
 	if wait.refused {
-		told.Members = core.members().accepted()
+		told.Membership = core.members().accepted()
 		return told, nil
 	}
 	core.counts.Add("claims_kept", uint64(len(message.Claims)))
-	told.Refused, told.Whole, told.Told = false, whole, wait.told
+	told.Refused, told.Complete, told.Results = false, whole, wait.told
 	return told, nil
 }
 
 // otherThan is the known membership where its mark is not the asker's.
-func otherThan(asked, known wire.Accepted) wire.Accepted {
-	if asked.Mark() == known.Mark() {
-		return wire.Accepted{}
+func otherThan(asked, known wire.AcceptedValue) wire.AcceptedValue {
+	if asked.Version() == known.Version() {
+		return wire.AcceptedValue{}
 	}
 	return known
 }
@@ -50,20 +50,20 @@
 // onPull gives a page of claims. Before the first one this core notes, on disk, the
 // newest membership: from then on it keeps nothing that is counted by an older one
 // with other voters, so nothing that the asker should hold comes here behind its back.
-func (core *Core) onPull(pull *wire.Pull) (*wire.PullTold, error) {
-	core.learnMembers(pull.Members)
+func (core *Core) onPull(pull *wire.FetchClaimsRequest) (*wire.FetchClaimsResponse, error) {
+	core.learnMembers(pull.Membership)
 	view := core.members()
 	known := view.accepted()
 	if pull.After == 0 && view.known() {
-		fence := &keepWait{message: &wire.Keep{}, members: known}
-		if mishap := core.claims.put(fence); mishap != nil {
-			return nil, mishap
+		fence := &keepWait{message: &wire.RecordClaimsRequest{}, members: known}
+		if err := core.claims.put(fence); err != nil {
+			return nil, err
 		}
 		if fence.refused {
-			return nil, wire.New(wire.NotReady, "membership %v is no more", known.Mark())
+			return nil, wire.Errorf(wire.NotReady, "membership %v is no more", known.Version())
 		}
 	}
-	told := &wire.PullTold{Members: otherThan(pull.Members, known), Core: view.ID, Whole: core.claimsWhole(view)}
+	told := &wire.FetchClaimsResponse{Membership: otherThan(pull.Membership, known), Core: view.ID, Complete: core.claimsWhole(view)}
 	told.Claims, told.Last, told.Done = core.claims.book.Page(pull.After, claimsPage)
 	return told, nil
 }
@@ -72,7 +72,7 @@
 // took another voter's place: those of so many whole voters that no quorum is missed
 // make it whole. Of n voters that takes n - majority + 1.
 func (core *Core) mendClaims() {
-	if now, mishap := core.content(); mishap == nil && now.serial > 0 {
+	if now, err := core.content(); err == nil && now.serial > 0 {
 		core.claims.book.Remember(now.tree.Settings.Remember())
 	}
 	view := core.members()
@@ -94,7 +94,7 @@
 		core.counts.Add("claims_not_mended", 1)
 		return
 	}
-	mend := &keepWait{message: &wire.Keep{}, members: view.accepted(), wholeAs: view.ID}
+	mend := &keepWait{message: &wire.RecordClaimsRequest{}, members: view.accepted(), wholeAs: view.ID}
 	if core.claims.put(mend) == nil && !mend.refused {
 		core.counts.Add("claims_mended", 1)
 		klog.Infof("core %d: claims are whole, told by %d of %d cores", view.ID, whole, others)
@@ -134,34 +134,34 @@
 func (core *Core) pullClaims(view *View, peer Peer) (pulled, error) {
 	members := view.accepted()
 	for after := uint64(0); ; {
-		told, fault := wire.Ask[wire.Pull, wire.PullTold](core.line, peer.Address, "pull", pullLimit, &wire.Pull{After: after, Members: members})
-		if fault != nil {
-			return pulled{}, fault
+		told, err := wire.Call[wire.FetchClaimsRequest, wire.FetchClaimsResponse](core.line, peer.Address, "pull", pullLimit, &wire.FetchClaimsRequest{After: after, Membership: members})
+		if err != nil {
+			return pulled{}, err
 		}
-		core.learnMembers(told.Members)
-		if wire.Supersedes(told.Members, members) || told.Core != peer.ID {
-			return pulled{}, wire.New(wire.NotReady, "core at %s counts by other voters", peer.Address)
+		core.learnMembers(told.Membership)
+		if wire.Supersedes(told.Membership, members) || told.Core != peer.ID {
+			return pulled{}, wire.Errorf(wire.NotReady, "core at %s counts by other voters", peer.Address)
 		}
-		if mishap := core.retakeClaims(told.Claims); mishap != nil {
-			return pulled{}, mishap
+		if err := core.retakeClaims(told.Claims); err != nil {
+			return pulled{}, err
 		}
-		if !told.Whole || told.Done {
-			return pulled{fenced: true, whole: told.Whole}, nil
+		if !told.Complete || told.Done {
+			return pulled{fenced: true, whole: told.Complete}, nil
 		}
 		after = told.Last
 	}
 }
 
 // retakeClaims keeps another core's claims, a message's worth at a time.
-func (core *Core) retakeClaims(claims []wire.Claimed) error {
+func (core *Core) retakeClaims(claims []wire.ClaimRecord) error {
 	for len(claims) > 0 {
-		count := min(len(claims), wire.KeepMost)
-		wait := &keepWait{message: &wire.Keep{Retold: claims[:count]}, members: core.members().accepted()}
-		if mishap := core.claims.put(wait); mishap != nil {
-			return mishap
+		count := min(len(claims), wire.MaxClaimsPerMessage)
+		wait := &keepWait{message: &wire.RecordClaimsRequest{Merged: claims[:count]}, members: core.members().accepted()}
+		if err := core.claims.put(wait); err != nil {
+			return err
 		}
 		if wait.refused {
-			return wire.New(wire.NotReady, "the membership changed meanwhile")
+			return wire.Errorf(wire.NotReady, "the membership changed meanwhile")
 		}
 		claims = claims[count:]
 	}
--- a/control/claimrefusal_test.go
+++ b/control/claimrefusal_test.go
@@ -10,18 +10,18 @@
 )
 
 // claimMemberships are a founding membership and one that replaces a voter of it.
-func claimMemberships() (former, step wire.Accepted) {
+func claimMemberships() (former, step wire.AcceptedValue) {
 	first := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	next := first.replaced(3, "10.0.0.4:1")
-	next.Mark.Ballot = wire.Ballot{Round: 4, Core: 1}
+	next.Mark.Term = wire.Term{Number: 4, Core: 1}
 	return first.accepted(), next.accepted()
 }
 
 func openClaimsOn(test *testing.T, disk *modelDisk) *ClaimLog {
 	test.Helper()
-	log, mishap := openClaimLog(disk, 0, run.NewCounts())
-	if mishap != nil {
-		test.Fatal(mishap)
+	log, err := openClaimLog(disk, 0, run.NewCounts())
+	if err != nil {
+		test.Fatal(err)
 	}
 	return log
 }
@@ -42,7 +42,7 @@
 }
 
 func (log *ClaimLog) holds(key string) bool {
-	_, found := log.book.Held(claimOf(key).Claims[0].Claimed.Key)
+	_, found := log.book.Held(claimOf(key).Claims[0].Record.Key)
 	return found
 }
 
@@ -62,13 +62,13 @@
 		}
 		disk.failing = false
 		time.Sleep(repairPace)
-		if mishap := log.repair(); mishap != nil || !log.Whole(2) {
-			test.Fatalf("does not go on: %v, whole %v", mishap, log.Whole(2))
+		if err := log.repair(); err != nil || !log.Whole(2) {
+			test.Fatalf("does not go on: %v, whole %v", err, log.Whole(2))
 		}
 		disk.losePower(0)
 		log = openClaimsOn(test, disk)
-		if log.members.Mark() != step.Mark() || !log.Whole(2) || !log.holds("kept") || log.holds("late") {
-			test.Errorf("after a restart: members %v, whole %v, kept %v, late %v", log.members.Mark(), log.Whole(2), log.holds("kept"), log.holds("late"))
+		if log.members.Version() != step.Version() || !log.Whole(2) || !log.holds("kept") || log.holds("late") {
+			test.Errorf("after a restart: members %v, whole %v, kept %v, late %v", log.members.Version(), log.Whole(2), log.holds("kept"), log.holds("late"))
 		}
 		again := &keepWait{message: claimOf("again"), members: former}
 		writeAtOnce(test, log, again)
@@ -86,10 +86,10 @@
 	former, step := claimMemberships()
 	log := openClaimsOn(test, newModelDisk())
 	taken := claimOf("first")
-	taken.Claims[0].Claimed.ID = "another"
+	taken.Claims[0].Record.ID = "another"
 	first := &keepWait{message: claimOf("first"), members: step}
-	late := &keepWait{message: &wire.Keep{Claims: append(claimOf("late").Claims, claimOf("later").Claims...)}, members: former}
-	second := &keepWait{message: &wire.Keep{Claims: append(taken.Claims, claimOf("second").Claims...)}, members: step}
+	late := &keepWait{message: &wire.RecordClaimsRequest{Claims: append(claimOf("late").Claims, claimOf("later").Claims...)}, members: former}
+	second := &keepWait{message: &wire.RecordClaimsRequest{Claims: append(taken.Claims, claimOf("second").Claims...)}, members: step}
 	writeAtOnce(test, log, first, late, second)
 	for _, wait := range []*keepWait{first, late, second} {
 		if wait.mishap != nil || !wait.done || wait.refused != (wait == late) {
@@ -99,7 +99,7 @@
 	if len(first.told) != 1 || !first.told[0].Granted || len(late.told) != 0 {
 		test.Errorf("first %+v, late %+v", first.told, late.told)
 	}
-	if len(second.told) != 2 || second.told[0].Granted || second.told[0].Held.ID != "id-first" || !second.told[1].Granted {
+	if len(second.told) != 2 || second.told[0].Granted || second.told[0].Existing.ID != "id-first" || !second.told[1].Granted {
 		test.Errorf("second %+v", second.told)
 	}
 	if log.holds("late") || log.holds("later") {
--- a/control/claims.go
+++ b/control/claims.go
@@ -35,7 +35,7 @@
 
 	// members is the newest membership that anything here was kept or told under. Only
 	// the writing thread uses it once the log is open.
-	members wire.Accepted
+	members wire.AcceptedValue
 
 	mutex   sync.Mutex
 	wake    *sync.Cond
@@ -53,10 +53,10 @@
 // keepWait is one message under way to the disk, kept under a membership. WholeAs is
 // the voter that lacks nothing once this lasts, 0 for none.
 type keepWait struct {
-	message *wire.Keep
-	members wire.Accepted
+	message *wire.RecordClaimsRequest
+	members wire.AcceptedValue
 	wholeAs int
-	told    []wire.ClaimTold
+	told    []wire.ClaimResponse
 	refused bool
 	mishap  error
 	done    bool
@@ -69,10 +69,10 @@
 	At      time.Duration
 	Whole   bool
 	Core    int
-	Members *wire.Accepted
-	Claims  []wire.Claim
-	Retold  []wire.Claimed
-	Settles []wire.Settle
+	Members *wire.AcceptedValue
+	Claims  []wire.ClaimRequest
+	Retold  []wire.ClaimRecord
+	Settles []wire.CompleteClaimRequest
 }
 
 // openClaimLog reads the log. In groups of a release in which no voter was ever
@@ -81,27 +81,27 @@
 	log := &ClaimLog{book: keep.NewBook(), ring: run.NewRing[*keepWait](claimsRing), counts: counts, ages: map[uint64]time.Duration{}}
 	log.wake = sync.NewCond(&log.mutex)
 	log.book.Remember(keep.MostSpan)
-	segments, mishap := numbers(disk, claimsName)
-	if mishap != nil {
-		return nil, mishap
+	segments, err := numbers(disk, claimsName)
+	if err != nil {
+		return nil, err
 	}
 	first := uint64(0)
 	if len(segments) > 0 {
 		first = segments[0]
 	}
 	groups := []claimGroup{}
-	log.journal, mishap = loadJournal(disk, claimsName, first, func(segment uint64, payload []byte) error {
+	log.journal, err = loadJournal(disk, claimsName, first, func(segment uint64, payload []byte) error {
 		group := claimGroup{}
-		if fault := wire.Unpack(payload, &group); fault != nil {
-			return wire.AsMishap(fault)
+		if err := wire.Unmarshal(payload, &group); err != nil {
+			return wire.AsError(err)
 		}
 		groups = append(groups, group)
 		log.base = max(log.base, group.At)
 		log.ages[segment] = log.base
 		return nil
 	})
-	if mishap != nil {
-		return nil, mishap
+	if err != nil {
+		return nil, err
 	}
 	_ = log.journal.rewrite() // the journal keeps its fault, and repair tries again
 	log.opened = time.Now()
@@ -123,10 +123,10 @@
 func (log *ClaimLog) age() time.Duration { return log.base + time.Since(log.opened) }
 
 // lay puts a group that is so old into the book.
-func (log *ClaimLog) lay(group *claimGroup, old time.Duration) []wire.ClaimTold {
-	told := make([]wire.ClaimTold, len(group.Claims))
+func (log *ClaimLog) lay(group *claimGroup, old time.Duration) []wire.ClaimResponse {
+	told := make([]wire.ClaimResponse, len(group.Claims))
 	for index := range group.Claims {
-		group.Claims[index].Claimed.AgeMs = old.Milliseconds()
+		group.Claims[index].Record.AgeMs = old.Milliseconds()
 		told[index] = *log.book.Claim(&group.Claims[index])
 	}
 	for index := range group.Retold {
@@ -148,17 +148,17 @@
 			log.leave()
 			return
 		}
-		mishap, told := log.repair(), []wire.ClaimTold(nil)
-		if mishap == nil {
-			told, mishap = log.writeGroup(waits)
+		err, told := log.repair(), []wire.ClaimResponse(nil)
+		if err == nil {
+			told, err = log.writeGroup(waits)
 		}
-		log.answer(waits, told, mishap)
+		log.answer(waits, told, err)
 	}
 }
 
 // writeGroup lays and syncs what came as one group, but for what comes under a
 // membership that is no more.
-func (log *ClaimLog) writeGroup(waits []*keepWait) ([]wire.ClaimTold, error) {
+func (log *ClaimLog) writeGroup(waits []*keepWait) ([]wire.ClaimResponse, error) {
 	group := claimGroup{At: log.age()}
 	for _, wait := range waits {
 		if wait.refused = !log.raise(&group, wait.members); !wait.refused {
@@ -173,18 +173,18 @@
 			lasting.Claims = append(lasting.Claims, group.Claims[index])
 		}
 	}
-	mishap := log.syncWhole(&lasting)
-	if mishap != nil {
-		log.refuse(&lasting, mishap)
+	err := log.syncWhole(&lasting)
+	if err != nil {
+		log.refuse(&lasting, err)
 	}
-	return told, mishap
+	return told, err
 }
 
 // add puts a message, and whom it makes whole, into the group.
 func (group *claimGroup) add(wait *keepWait) {
 	group.Claims = append(group.Claims, wait.message.Claims...)
-	group.Retold = append(group.Retold, wait.message.Retold...)
-	group.Settles = append(group.Settles, wait.message.Settles...)
+	group.Retold = append(group.Retold, wait.message.Merged...)
+	group.Settles = append(group.Settles, wait.message.Completed...)
 	if wait.wholeAs > 0 {
 		group.Whole, group.Core = true, wait.wholeAs
 	}
@@ -192,44 +192,44 @@
 
 // answer gives each waiting message what became of it. What was told is in order of
 // the claims of all messages that were not refused.
-func (log *ClaimLog) answer(waits []*keepWait, told []wire.ClaimTold, mishap error) {
+func (log *ClaimLog) answer(waits []*keepWait, told []wire.ClaimResponse, err error) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	for _, wait := range waits {
-		if mishap == nil && !wait.refused {
+		if err == nil && !wait.refused {
 			count := len(wait.message.Claims)
 			wait.told, told = told[:count], told[count:]
 		}
-		wait.mishap, wait.done = mishap, true
+		wait.mishap, wait.done = err, true
 	}
 	log.wake.Broadcast()
 }
 
 // refuse keeps the group that the disk refused, since the book holds it already: it
 // is written before any later one is answered.
-func (log *ClaimLog) refuse(group *claimGroup, mishap error) {
+func (log *ClaimLog) refuse(group *claimGroup, err error) {
 	log.pending, log.refused = group, time.Now()
 	log.counts.Add("claim_disk_faults", 1)
-	klog.Errorf("claims: refused until the disk takes writes again: %v", mishap)
+	klog.Errorf("claims: refused until the disk takes writes again: %v", err)
 }
 
 // repair is nil while the journal takes groups. After a fault it tries at a pace to
 // rewrite the last segment and to append what the book holds beyond it.
 func (log *ClaimLog) repair() error {
-	fault := log.journal.fault
-	if fault == nil {
+	err := log.journal.fault
+	if err == nil {
 		return nil
 	}
 	if time.Since(log.refused) < repairPace {
-		return fault
+		return err
 	}
 	log.refused = time.Now()
-	if mishap := log.journal.rewrite(); mishap != nil {
-		return mishap
+	if err := log.journal.rewrite(); err != nil {
+		return err
 	}
 	if log.pending != nil {
-		if mishap := log.syncWhole(log.pending); mishap != nil {
-			return mishap
+		if err := log.syncWhole(log.pending); err != nil {
+			return err
 		}
 		log.pending = nil
 	}
@@ -240,11 +240,11 @@
 
 // raise notes the membership that something is kept under; false where one with other
 // voters was noted before, so that a quorum of this one may decide no more.
-func (log *ClaimLog) raise(group *claimGroup, members wire.Accepted) bool {
+func (log *ClaimLog) raise(group *claimGroup, members wire.AcceptedValue) bool {
 	if wire.Supersedes(log.members, members) {
 		return false
 	}
-	if log.members.Mark().Less(members.Mark()) {
+	if log.members.Version().Less(members.Version()) {
 		log.members, group.Members = members, &members
 	}
 	return true
@@ -260,26 +260,26 @@
 
 // syncWhole syncs a group, and notes the voter that it makes whole.
 func (log *ClaimLog) syncWhole(group *claimGroup) error {
-	mishap := log.sync(group)
-	if mishap == nil && group.Whole {
+	err := log.sync(group)
+	if err == nil && group.Whole {
 		log.mutex.Lock()
 		log.wholeAs = group.Core
 		log.mutex.Unlock()
 	}
-	return mishap
+	return err
 }
 
 func (log *ClaimLog) sync(group *claimGroup) error {
 	if len(group.Claims)+len(group.Retold)+len(group.Settles) == 0 && !group.Whole && group.Members == nil {
 		return nil
 	}
-	frame, mishap := packFrame(group)
-	if mishap != nil {
-		return mishap
+	frame, err := packFrame(group)
+	if err != nil {
+		return err
 	}
 	if log.journal.full(frame) {
-		if mishap := log.roll(); mishap != nil {
-			return mishap
+		if err := log.roll(); err != nil {
+			return err
 		}
 	}
 	log.counts.Add("claim_groups", 1)
@@ -294,16 +294,16 @@
 	if log.members.Value.Serial > 0 {
 		first.Members = &log.members
 	}
-	if mishap := log.journal.begin(log.journal.number + 1); mishap != nil {
-		return mishap
+	if err := log.journal.begin(log.journal.number + 1); err != nil {
+		return err
 	}
 	if first.Whole || first.Members != nil {
-		frame, mishap := packFrame(&first)
-		if mishap != nil {
-			return mishap
+		frame, err := packFrame(&first)
+		if err != nil {
+			return err
 		}
-		if mishap := log.journal.Append(frame); mishap != nil {
-			return mishap
+		if err := log.journal.Append(frame); err != nil {
+			return err
 		}
 	}
 	log.sweep()
@@ -325,7 +325,7 @@
 			delete(log.ages, number)
 		}
 	}
-	if mishap := sweep(log.journal.disk, claimsName, keeps, log.journal.disk.Sync); mishap != nil {
+	if err := sweep(log.journal.disk, claimsName, keeps, log.journal.disk.Sync); err != nil {
 		log.counts.Add("claim_sweeps_short", 1)
 	}
 }
@@ -357,7 +357,7 @@
 func (log *ClaimLog) put(wait *keepWait) error {
 	if !log.ring.Put(wait) {
 		log.counts.Add("claim_ring_full", 1)
-		return &wire.Mishap{Kind: wire.Busy, Cause: "too many claims wait for this core's disk"}
+		return &wire.Error{Code: wire.Overloaded, Message: "too many claims wait for this core's disk"}
 	}
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
@@ -365,7 +365,7 @@
 		log.wake.Wait()
 	}
 	if !wait.done {
-		return wire.New(wire.Stopping, "this core stops")
+		return wire.Errorf(wire.Stopping, "this core stops")
 	}
 	return wait.mishap
 }
--- a/control/claims_power_test.go
+++ b/control/claims_power_test.go
@@ -23,9 +23,9 @@
 }
 
 func (keeper *claimKeeper) open(disk *sim.Disk) error {
-	claims, mishap := control.OpenTestClaims(disk, smallSegment)
+	claims, err := control.OpenTestClaims(disk, smallSegment)
 	keeper.claims = claims
-	return mishap
+	return err
 }
 
 // relied notes that the log would tell others of claims that it refused: once the
@@ -46,14 +46,14 @@
 func (keeper *claimKeeper) step() bool {
 	keeper.number++
 	key := wire.ClaimKey{Tenant: "birch", Service: "desk", Key: fmt.Sprint(keeper.number)}
-	claimed := wire.Claimed{Key: key, ID: fmt.Sprint(keeper.number), Stage: wire.ClaimRunning, Body: make([]byte, 200+keeper.random.IntN(800))}
-	told, mishap := keeper.claims.Keep(&wire.Keep{Claims: []wire.Claim{{Claimed: claimed}}})
-	if mishap == nil && told[0].Granted {
+	claimed := wire.ClaimRecord{Key: key, ID: fmt.Sprint(keeper.number), Stage: wire.ClaimRunning, Body: make([]byte, 200+keeper.random.IntN(800))}
+	told, err := keeper.claims.Keep(&wire.RecordClaimsRequest{Claims: []wire.ClaimRequest{{Record: claimed}}})
+	if err == nil && told[0].Granted {
 		keeper.granted[key] = time.Now()
 	} else {
 		keeper.refused[key] = time.Now()
 	}
-	return mishap == nil
+	return err == nil
 }
 
 // lost names a key that was granted, is not yet to be forgotten, and is not held.
@@ -78,9 +78,9 @@
 			disk := sim.NewDisk(seed)
 			keeper := &claimKeeper{random: random, granted: map[wire.ClaimKey]time.Time{}, refused: map[wire.ClaimKey]time.Time{}}
 			for round := range 12 {
-				if mishap := keeper.open(disk); mishap != nil {
+				if err := keeper.open(disk); err != nil {
 					names, _ := disk.List()
-					test.Fatalf("seed %d round %d: %v, files %v", seed, round, mishap, names)
+					test.Fatalf("seed %d round %d: %v, files %v", seed, round, err, names)
 				}
 				if lost := keeper.lost(); lost != "" {
 					test.Fatalf("seed %d round %d: %s was granted and is lost", seed, round, lost)
@@ -108,8 +108,8 @@
 			disk := sim.NewDisk(seed)
 			keeper := &claimKeeper{random: random, granted: map[wire.ClaimKey]time.Time{}, refused: map[wire.ClaimKey]time.Time{}}
 			for round := range 10 {
-				if mishap := keeper.open(disk); mishap != nil {
-					test.Fatalf("seed %d round %d: %v", seed, round, mishap)
+				if err := keeper.open(disk); err != nil {
+					test.Fatalf("seed %d round %d: %v", seed, round, err)
 				}
 				if lost := keeper.lost(); lost != "" {
 					test.Fatalf("seed %d round %d: %s was granted and is lost", seed, round, lost)
--- a/control/clock.go
+++ b/control/clock.go
@@ -63,7 +63,7 @@
 
 // sawClock takes another core's clock from the answer to a beat; the middle one
 // of a majority's clocks is the time.
-func (core *Core) sawClock(peer Peer, told *wire.BeatTold, trip time.Duration) {
+func (core *Core) sawClock(peer Peer, told *wire.HeartbeatResponse, trip time.Duration) {
 	if told.AnchorMs == 0 || trip > core.roundLimit() {
 		return
 	}
@@ -86,7 +86,7 @@
 }
 
 // beatFor is a beat with the time at which it will arrive, once the way is known.
-func (core *Core) beatFor(peer Peer, message *wire.Beat) *wire.Beat {
+func (core *Core) beatFor(peer Peer, message *wire.HeartbeatRequest) *wire.HeartbeatRequest {
 	timed, trip := *message, core.clocks.trip(peer.ID)
 	if _, now := core.toldClock(); now > 0 && trip > 0 {
 		timed.NowMs = now + trip.Milliseconds()/2
--- a/control/content.go
+++ b/control/content.go
@@ -18,13 +18,13 @@
 type content struct {
 	serial uint64
 	tree   *conf.Tree
-	trail  []wire.Entry
-	texts  wire.Texts
+	trail  []wire.HistoryEntry
+	texts  wire.Chunks
 }
 
 // next is the content after a change.
-func (now *content) next(tree *conf.Tree, entry wire.Entry) *content {
-	next := &content{serial: entry.Serial, tree: tree, texts: wire.Texts{}}
+func (now *content) next(tree *conf.Tree, entry wire.HistoryEntry) *content {
+	next := &content{serial: entry.Serial, tree: tree, texts: wire.Chunks{}}
 	oldest := uint64(0)
 	if group := entry.Serial / trailGroup; group >= trailGroups {
 		oldest = (group - trailGroups + 1) * trailGroup
@@ -41,7 +41,7 @@
 // value is the register's: which branches make the content up.
 func (now *content) value() wire.Value {
 	value := wire.Value{Serial: now.serial}
-	groups := map[uint64][]wire.Entry{}
+	groups := map[uint64][]wire.HistoryEntry{}
 	order := []uint64{}
 	for _, entry := range now.trail {
 		group := entry.Serial / trailGroup
@@ -51,15 +51,15 @@
 		groups[group] = append(groups[group], entry)
 	}
 	if now.tree != nil {
-		value.Parts = append(value.Parts, now.tree.Parts...)
+		value.Chunks = append(value.Chunks, now.tree.Parts...)
 		for _, part := range now.tree.Parts {
 			now.texts[part.Digest] = now.tree.Text(part.Digest)
 		}
 	}
 	for _, group := range order {
-		text, _ := wire.Pack(groups[group])
+		text, _ := wire.Marshal(groups[group])
 		digest := wire.DigestOf(text)
-		value.Parts = append(value.Parts, wire.Part{Path: fmt.Sprintf("%s%016d", trailSign, group), Digest: digest})
+		value.Chunks = append(value.Chunks, wire.ChunkRef{Path: fmt.Sprintf("%s%016d", trailSign, group), Digest: digest})
 		now.texts[digest] = text
 	}
 	return value
@@ -67,21 +67,21 @@
 
 // readContent makes the content of a value whose branches are among the texts;
 // what the content before has is read no second time.
-func readContent(before *content, value wire.Value, texts wire.Texts) (*content, error) {
+func readContent(before *content, value wire.Value, texts wire.Chunks) (*content, error) {
 	if value.Serial == 0 {
 		return &content{}, nil
 	}
-	now := &content{serial: value.Serial, texts: make(wire.Texts, len(value.Parts))}
-	for _, part := range value.Parts {
+	now := &content{serial: value.Serial, texts: make(wire.Chunks, len(value.Chunks))}
+	for _, part := range value.Chunks {
 		text, found := texts[part.Digest]
 		if !found {
-			return nil, wire.New(wire.DamagedPart, "branch %s of serial %d is missing", part.Path, value.Serial)
+			return nil, wire.Errorf(wire.CorruptChunk, "branch %s of serial %d is missing", part.Path, value.Serial)
 		}
 		now.texts[part.Digest] = text
 		if len(part.Path) > len(trailSign) && part.Path[:len(trailSign)] == trailSign {
-			entries := []wire.Entry{}
-			if fault := wire.Unpack(text, &entries); fault != nil {
-				return nil, wire.AsMishap(fault)
+			entries := []wire.HistoryEntry{}
+			if err := wire.Unmarshal(text, &entries); err != nil {
+				return nil, wire.AsError(err)
 			}
 			now.trail = append(now.trail, entries...)
 		}
@@ -90,13 +90,13 @@
 	if before != nil {
 		former = before.tree
 	}
-	tree, mishap := conf.Grow(former, treeParts(value.Parts), now.texts)
+	tree, err := conf.Grow(former, treeParts(value.Chunks), now.texts)
 	now.tree = tree
-	return now, mishap
+	return now, err
 }
 
 // treeParts are the branches of the settings, without those of the trail.
-func treeParts(parts []wire.Part) []wire.Part {
+func treeParts(parts []wire.ChunkRef) []wire.ChunkRef {
 	for index, part := range parts {
 		if len(part.Path) > len(trailSign) && part.Path[:len(trailSign)] == trailSign {
 			return parts[:index]
@@ -106,12 +106,12 @@
 }
 
 // fresh are the texts of a value's branches that another value does not have.
-func fresh(value, former wire.Value, texts wire.Texts) wire.Texts {
-	held, missing := map[string]bool{}, wire.Texts{}
-	for _, part := range former.Parts {
+func fresh(value, former wire.Value, texts wire.Chunks) wire.Chunks {
+	held, missing := map[string]bool{}, wire.Chunks{}
+	for _, part := range former.Chunks {
 		held[part.Digest] = true
 	}
-	for _, part := range value.Parts {
+	for _, part := range value.Chunks {
 		if !held[part.Digest] {
 			missing[part.Digest] = texts[part.Digest]
 		}
@@ -129,10 +129,10 @@
 	if held != nil && held.serial == value.Serial {
 		return held, nil
 	}
-	now, mishap := readContent(held, value, texts)
-	if mishap != nil {
+	now, err := readContent(held, value, texts)
+	if err != nil {
 		core.counts.Add("contents_unreadable", 1)
-		return nil, mishap
+		return nil, err
 	}
 	core.mutex.Lock()
 	core.held = now
@@ -140,31 +140,31 @@
 	return now, nil
 }
 
-func (core *Core) onParts(parts *wire.Parts) (*wire.PartsTold, error) {
+func (core *Core) onParts(parts *wire.FetchChunksRequest) (*wire.FetchChunksResponse, error) {
 	state := core.voter.State()
 	core.mutex.Lock()
 	texts := core.texts
 	core.mutex.Unlock()
-	told := &wire.PartsTold{Texts: wire.Texts{}}
+	told := &wire.FetchChunksResponse{Chunks: wire.Chunks{}}
 	for _, digest := range parts.Digests {
 		if text, found := state.Texts[digest]; found {
-			told.Texts[digest] = text
+			told.Chunks[digest] = text
 		} else if text, found := texts[digest]; found {
-			told.Texts[digest] = text
+			told.Chunks[digest] = text
 		}
 	}
 	return told, nil
 }
 
 // gatherTexts completes the texts of a value from the core that told of it.
-func (core *Core) gatherTexts(address string, value wire.Value, known wire.Texts) (wire.Texts, error) {
-	texts := wire.Texts{}
-	for _, part := range value.Parts {
+func (core *Core) gatherTexts(address string, value wire.Value, known wire.Chunks) (wire.Chunks, error) {
+	texts := wire.Chunks{}
+	for _, part := range value.Chunks {
 		if text, found := known[part.Digest]; found {
 			texts[part.Digest] = text
 		}
 	}
-	lacks := wire.Lacks(value.Parts, texts)
+	lacks := wire.MissingChunks(value.Chunks, texts)
 	core.counts.Add("branches_fetched", uint64(len(lacks)))
-	return texts, texts.AskParts(core.line, address, core.roundLimit(), lacks)
+	return texts, texts.Fetch(core.line, address, core.roundLimit(), lacks)
 }
--- a/control/core.go
+++ b/control/core.go
@@ -14,7 +14,7 @@
 // Core is one core machine's part in the control plane.
 type Core struct {
 	place   Place
-	line    *wire.Line
+	line    *wire.Client
 	threads *run.Threads
 	counts  *run.Counts
 	voter   *Voter
@@ -43,24 +43,24 @@
 	duck       bool
 	successor  wire.Leader
 	round      uint64
-	passed     *wire.StepDown
+	passed     *wire.TransferLeadershipRequest
 	leadership *Leadership
-	committed  [wire.Registers]wire.Accepted
-	texts      wire.Texts
+	committed  [wire.Registers]wire.AcceptedValue
+	texts      wire.Chunks
 	held       *content
 	table      *wire.Table
 	tableLog   *wire.TableLog
-	wanted     wire.TableMark
+	wanted     wire.TableVersion
 	refused    diskRefusal
 	patience   time.Duration
 	asked      int
 	toldLeader time.Time
 }
 
-func NewCore(place Place, disk Disk, line *wire.Line, threads *run.Threads, counts *run.Counts) (*Core, error) {
-	store, mishap := OpenStore(disk)
-	if mishap != nil {
-		return nil, mishap
+func NewCore(place Place, disk Disk, line *wire.Client, threads *run.Threads, counts *run.Counts) (*Core, error) {
+	store, err := OpenStore(disk)
+	if err != nil {
+		return nil, err
 	}
 	place = place.filled()
 	core := &Core{place: place, line: line, threads: threads, counts: counts, news: run.NewBell(), prompt: run.NewBell(), reading: run.NewTurn(),
@@ -71,8 +71,8 @@
 	core.voter = NewVoter(store, core.diskFault, core.raised)
 	core.voter.learns = core.learnMembers
 	core.known.Store(place.view(core.voter.State().Voters()))
-	if core.claims, mishap = openClaimLog(disk, place.ID, counts); mishap != nil {
-		return nil, mishap
+	if core.claims, err = openClaimLog(disk, place.ID, counts); err != nil {
+		return nil, err
 	}
 	core.chart = &Chart{now: Blank, counts: counts, core: core.members().ID}
 	if !core.voter.Blank() {
@@ -81,10 +81,10 @@
 	if kept := core.claims.members; kept.Value.Serial > firstSerial {
 		core.learnMembers(kept)
 	}
-	if fault := store.Fault(); fault != nil {
-		core.diskFault(fault)
+	if err := store.Fault(); err != nil {
+		core.diskFault(err)
 	}
-	core.round = core.voter.State().Promised.Round
+	core.round = core.voter.State().Promised.Number
 	core.patience = core.firstPatience()
 	core.sessions = newSessions(place.SessionSpan)
 	core.stirs = newStirs()
@@ -132,7 +132,7 @@
 // its start; other cores only look whether they lead.
 func (core *Core) paced(leads func() time.Duration) func() time.Duration {
 	return func() time.Duration {
-		if _, mishap := core.leading(); mishap != nil && !core.cold() {
+		if _, err := core.leading(); err != nil && !core.cold() {
 			return core.place.Suspect / 3
 		}
 		return leads()
@@ -140,39 +140,39 @@
 }
 
 // Register opens the core's side of the wire.
-func (core *Core) Register(door *wire.Door) {
-	wire.Take(door, "precheck", answer(core.onPrecheck))
-	wire.Take(door, "promise", answer(core.voterPromise))
-	wire.Take(door, "accept", answer(core.voterAccept))
-	wire.Take(door, "beat", answer(core.onBeat))
-	wire.Take(door, "stepdown", answer(core.onStepDown))
-	wire.Take(door, "restore", answer(core.onRestore))
-	wire.Take(door, "tell", answer(core.onTell))
-	wire.Take(door, "session", answer(core.onSession))
-	wire.Take(door, "watch", answer(core.onWatch))
-	wire.Take(door, "fetch", answer(core.onFetch))
-	wire.Take(door, "who", answer(core.onWho))
-	wire.Take(door, "confirm", answer(core.onConfirm))
-	wire.Take(door, "change", answer(core.onChange))
-	wire.Take(door, "routechange", answer(core.onRouteChange))
-	wire.Take(door, "routeread", answer(core.onRouteRead))
-	wire.Take(door, "evacuate", answer(core.onEvacuate))
-	wire.Take(door, "enlist", answer(core.onEnlist))
-	wire.Take(door, "leave", answer(core.onLeave))
-	wire.Take(door, "removal", answer(core.onRemoval))
-	wire.Take(door, "read", answer(core.onRead))
-	wire.Take(door, "status", answer(core.onStatus))
-	wire.Take(door, "count", answer(core.onCount))
-	wire.Take(door, "parts", answer(core.onParts))
-	wire.Take(door, "keep", answer(core.onKeep))
-	wire.Take(door, "pull", answer(core.onPull))
+func (core *Core) Register(door *wire.Server) {
+	wire.Handle(door, "precheck", answer(core.onPrecheck))
+	wire.Handle(door, "promise", answer(core.voterPromise))
+	wire.Handle(door, "accept", answer(core.voterAccept))
+	wire.Handle(door, "beat", answer(core.onBeat))
+	wire.Handle(door, "stepdown", answer(core.onStepDown))
+	wire.Handle(door, "restore", answer(core.onRestore))
+	wire.Handle(door, "tell", answer(core.onTell))
+	wire.Handle(door, "session", answer(core.onSession))
+	wire.Handle(door, "watch", answer(core.onWatch))
+	wire.Handle(door, "fetch", answer(core.onFetch))
+	wire.Handle(door, "who", answer(core.onWho))
+	wire.Handle(door, "confirm", answer(core.onConfirm))
+	wire.Handle(door, "change", answer(core.onChange))
+	wire.Handle(door, "routechange", answer(core.onRouteChange))
+	wire.Handle(door, "routeread", answer(core.onRouteRead))
+	wire.Handle(door, "evacuate", answer(core.onEvacuate))
+	wire.Handle(door, "enlist", answer(core.onEnlist))
+	wire.Handle(door, "leave", answer(core.onLeave))
+	wire.Handle(door, "removal", answer(core.onRemoval))
+	wire.Handle(door, "read", answer(core.onRead))
+	wire.Handle(door, "status", answer(core.onStatus))
+	wire.Handle(door, "count", answer(core.onCount))
+	wire.Handle(door, "parts", answer(core.onParts))
+	wire.Handle(door, "keep", answer(core.onKeep))
+	wire.Handle(door, "pull", answer(core.onPull))
 }
 
 func answer[Asked, Told any](inner func(*Asked) (*Told, error)) func(context.Context, *Asked) (*Told, error) {
 	return func(_ context.Context, asked *Asked) (*Told, error) {
-		told, mishap := inner(asked)
-		if mishap != nil {
-			return nil, mishap
+		told, err := inner(asked)
+		if err != nil {
+			return nil, err
 		}
 		return told, nil
 	}
@@ -206,94 +206,94 @@
 
 // pushValue sends the value to every voter of a membership, this one too, until a
 // quorum took it; a core gets the branches that it says it lacks.
-func (core *Core) pushValue(view *View, message *wire.Accept, texts wire.Texts) error {
+func (core *Core) pushValue(view *View, message *wire.AcceptRequest, texts wire.Chunks) error {
 	until := time.Now().Add(core.place.writeLimit())
 	voters := append([]Peer{{ID: view.ID, Address: view.Wire}}, view.Peers...)
-	push := func(index int) (*wire.AcceptTold, error) {
+	push := func(index int) (*wire.AcceptResponse, error) {
 		if index == 0 {
 			return core.acceptHere(message, texts)
 		}
 		return core.pushTo(voters[index], message, texts, until)
 	}
-	took := func(got map[int]*wire.AcceptTold) func(id int) bool {
+	took := func(got map[int]*wire.AcceptResponse) func(id int) bool {
 		return func(id int) bool {
 			told := got[slices.IndexFunc(voters, func(voter Peer) bool { return voter.ID == id })]
-			return told != nil && told.Taken
+			return told != nil && told.Accepted
 		}
 	}
-	got, _ := run.Gather(core.threads, len(voters), push, func(got map[int]*wire.AcceptTold, failed map[int]error) bool {
+	got, _ := run.Gather(core.threads, len(voters), push, func(got map[int]*wire.AcceptResponse, failed map[int]error) bool {
 		open := func(id int) bool {
 			index := slices.IndexFunc(voters, func(voter Peer) bool { return voter.ID == id })
 			told := got[index]
-			return failed[index] == nil && (told == nil || told.Taken)
+			return failed[index] == nil && (told == nil || told.Accepted)
 		}
 		return view.quorum(took(got)) || !view.quorum(open) || time.Until(until) <= 0
 	})
 	for _, told := range got {
-		if !told.Taken {
-			core.sawRound(told.Promised.Round)
+		if !told.Accepted {
+			core.sawRound(told.Promised.Number)
 		}
 	}
 	if !view.votes() || !view.quorum(took(got)) {
-		return wire.New(wire.StaleBallot, "no quorum of membership %d took serial %d under %s", view.Mark.Serial, message.Value.Serial, message.Ballot)
+		return wire.Errorf(wire.StaleTerm, "no quorum of membership %d took serial %d under %s", view.Mark.Serial, message.Value.Serial, message.Term)
 	}
 	return nil
 }
 
 // acceptHere offers a value to this core's own replica.
-func (core *Core) acceptHere(message *wire.Accept, texts wire.Texts) (*wire.AcceptTold, error) {
-	return offer(message, texts, func(message *wire.Accept) (*wire.AcceptTold, error) {
-		told, mishap := core.voter.Accept(message)
-		if mishap != nil {
-			return nil, mishap
+func (core *Core) acceptHere(message *wire.AcceptRequest, texts wire.Chunks) (*wire.AcceptResponse, error) {
+	return offer(message, texts, func(message *wire.AcceptRequest) (*wire.AcceptResponse, error) {
+		told, err := core.voter.Accept(message)
+		if err != nil {
+			return nil, err
 		}
 		return told, nil
 	})
 }
 
 // pushTo offers a value to another core, again while that is out of reach.
-func (core *Core) pushTo(peer Peer, message *wire.Accept, texts wire.Texts, until time.Time) (*wire.AcceptTold, error) {
+func (core *Core) pushTo(peer Peer, message *wire.AcceptRequest, texts wire.Chunks, until time.Time) (*wire.AcceptResponse, error) {
 	for {
-		told, fault := core.offerTo(peer, message, texts, time.Until(until))
-		if fault == nil || wire.KindOf(fault) != wire.Unreachable && wire.KindOf(fault) != wire.Unreached || time.Until(until) < core.place.Beat {
-			return told, fault
+		told, err := core.offerTo(peer, message, texts, time.Until(until))
+		if err == nil || wire.CodeOf(err) != wire.Unreachable && wire.CodeOf(err) != wire.ConnectFailed || time.Until(until) < core.place.Beat {
+			return told, err
 		}
 		if !core.threads.Rest(core.place.Beat / 2) {
-			return nil, wire.New(wire.Stopping, "stopping")
+			return nil, wire.Errorf(wire.Stopping, "stopping")
 		}
 	}
 }
 
 // offer sends a value, and again with what is lacking.
-func offer(message *wire.Accept, texts wire.Texts, send func(*wire.Accept) (*wire.AcceptTold, error)) (*wire.AcceptTold, error) {
-	told, fault := send(message)
-	if fault != nil || len(told.Lacks) == 0 {
-		return told, fault
+func offer(message *wire.AcceptRequest, texts wire.Chunks, send func(*wire.AcceptRequest) (*wire.AcceptResponse, error)) (*wire.AcceptResponse, error) {
+	told, err := send(message)
+	if err != nil || len(told.Missing) == 0 {
+		return told, err
 	}
 	fuller := *message
-	fuller.Texts = make(wire.Texts, len(message.Texts)+len(told.Lacks))
-	for digest, text := range message.Texts {
-		fuller.Texts[digest] = text
+	fuller.Chunks = make(wire.Chunks, len(message.Chunks)+len(told.Missing))
+	for digest, text := range message.Chunks {
+		fuller.Chunks[digest] = text
 	}
-	for _, digest := range told.Lacks {
+	for _, digest := range told.Missing {
 		if texts[digest] == nil {
-			return nil, wire.New(wire.DamagedPart, "a branch that was asked for is not here")
+			return nil, wire.Errorf(wire.CorruptChunk, "a branch that was asked for is not here")
 		}
-		fuller.Texts[digest] = texts[digest]
+		fuller.Chunks[digest] = texts[digest]
 	}
 	return send(&fuller)
 }
 
-func (core *Core) offerTo(peer Peer, message *wire.Accept, texts wire.Texts, limit time.Duration) (*wire.AcceptTold, error) {
+func (core *Core) offerTo(peer Peer, message *wire.AcceptRequest, texts wire.Chunks, limit time.Duration) (*wire.AcceptResponse, error) {
 	until := time.Now().Add(limit)
-	return offer(message, texts, func(message *wire.Accept) (*wire.AcceptTold, error) {
-		return wire.Ask[wire.Accept, wire.AcceptTold](core.line, peer.Address, "accept", time.Until(until), message)
+	return offer(message, texts, func(message *wire.AcceptRequest) (*wire.AcceptResponse, error) {
+		return wire.Call[wire.AcceptRequest, wire.AcceptResponse](core.line, peer.Address, "accept", time.Until(until), message)
 	})
 }
 
 // raised is called when this core's own promise rose; an older leadership here ends.
-func (core *Core) raised(ballot wire.Ballot) {
-	core.sawRound(ballot.Round)
+func (core *Core) raised(ballot wire.Term) {
+	core.sawRound(ballot.Number)
 	core.mutex.Lock()
 	leadership := core.leadership
 	core.mutex.Unlock()
@@ -330,7 +330,7 @@
 }
 
 // commit keeps the texts as they are now, since the next vote may drop some.
-func (core *Core) commit(register wire.Register, accepted wire.Accepted, texts wire.Texts) {
+func (core *Core) commit(register wire.Register, accepted wire.AcceptedValue, texts wire.Chunks) {
 	core.mutex.Lock()
 	fresh := core.committed[register].Value.Serial < accepted.Value.Serial
 	if fresh {
@@ -344,15 +344,15 @@
 		core.counts.Add("commits", 1)
 		core.news.Ring()
 		if register == wire.RoutingRegister && core.place.enlists() {
-			core.threads.Start(func() { core.voter.Committed(register, accepted.Mark()) })
+			core.threads.Start(func() { core.voter.Committed(register, accepted.Version()) })
 		}
 	}
 }
 
 // Settings are the committed ones and their whole text.
 func (core *Core) Settings() (uint64, []byte) {
-	now, mishap := core.content()
-	if mishap != nil {
+	now, err := core.content()
+	if err != nil {
 		return 0, nil
 	}
 	return now.serial, now.tree.Body()
@@ -366,9 +366,9 @@
 
 func (core *Core) holdTable(table *wire.Table) {
 	core.mutex.Lock()
-	fresh := core.table.Mark.Less(table.Mark)
+	fresh := core.table.Version.Less(table.Version)
 	if fresh {
-		core.tableLog.Next(core.table, table)
+		core.tableLog.Record(core.table, table)
 		core.table = table
 	}
 	core.mutex.Unlock()
@@ -381,11 +381,11 @@
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	if core.leadership == nil {
-		mishap := &wire.Mishap{Kind: wire.NotLeader, Cause: "another core leads or none"}
+		err := &wire.Error{Code: wire.NotLeader, Message: "another core leads or none"}
 		if core.leader.Known() && core.leader.Core != core.members().ID {
-			wire.AsMishap(mishap).Leader = core.leader.Address
+			wire.AsError(err).Leader = core.leader.Address
 		}
-		return nil, mishap
+		return nil, err
 	}
 	return core.leadership, nil
 }
@@ -400,12 +400,12 @@
 // leads is whether this core leads as far as its daemons need to know: in a
 // system whose daemons speak to the leader itself, one that is cut off says no.
 func (core *Core) leads() bool {
-	leadership, mishap := core.leading()
-	return mishap == nil && (!core.place.Direct || leadership.holds() == nil)
+	leadership, err := core.leading()
+	return err == nil && (!core.place.Direct || leadership.holds() == nil)
 }
 
 // Leads is true while this core leads and every condition stands.
 func (core *Core) Leads() bool {
-	leadership, mishap := core.leading()
-	return mishap == nil && leadership.holds() == nil
+	leadership, err := core.leading()
+	return err == nil && leadership.holds() == nil
 }
--- a/control/decide_test.go
+++ b/control/decide_test.go
@@ -23,9 +23,9 @@
 	test.Helper()
 	book := &route.Book{}
 	for number := range uint64(orders) {
-		next, again, mishap := decide(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number)))
-		if mishap != nil || again {
-			test.Fatalf("order %d: again %v, %v", number, again, mishap)
+		next, again, err := decide(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number)))
+		if err != nil || again {
+			test.Fatalf("order %d: again %v, %v", number, again, err)
 		}
 		book = next
 	}
@@ -40,7 +40,7 @@
 	invalid.Whole.Routes[0].Service = "nobody"
 	for name, one := range map[string]struct {
 		change *route.Change
-		want   wire.Kind
+		want   wire.Code
 	}{
 		"lost a race with a lower number":     {changeOf(8, 6, "lower"), wire.StaleBase},
 		"lost a race with the same number":    {changeOf(9, 6, "same"), wire.StaleBase},
@@ -50,8 +50,8 @@
 		"number of the current one, on it":    {changeOf(9, 9, "equal"), wire.StaleVersion},
 		"number below the current one, on it": {changeOf(8, 9, "below"), wire.StaleVersion},
 	} {
-		if next, again, mishap := decide(book, one.change); next != nil || again || mishap == nil || wire.KindOf(mishap) != one.want {
-			test.Errorf("%s: again %v, %v, want %s", name, again, mishap, one.want)
+		if next, again, err := decide(book, one.change); next != nil || again || err == nil || wire.CodeOf(err) != one.want {
+			test.Errorf("%s: again %v, %v, want %s", name, again, err, one.want)
 		}
 	}
 }
@@ -62,13 +62,13 @@
 	const orders = 2000
 	book := grown(test, orders)
 	for number := range uint64(orders) {
-		if _, again, mishap := decide(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); !again {
-			test.Fatalf("order %d of %d sent again: %v", number, orders, mishap)
+		if _, again, err := decide(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); !again {
+			test.Fatalf("order %d of %d sent again: %v", number, orders, err)
 		}
 	}
 	for name, change := range map[string]*route.Change{"another text": changeOf(300, 297, "order 98"), "another number": changeOf(301, 297, "order 99")} {
-		if _, again, mishap := decide(book, change); again || mishap == nil || wire.KindOf(mishap) != wire.StaleBase {
-			test.Errorf("%s: again %v, %v", name, again, mishap)
+		if _, again, err := decide(book, change); again || err == nil || wire.CodeOf(err) != wire.StaleBase {
+			test.Errorf("%s: again %v, %v", name, again, err)
 		}
 	}
 }
@@ -81,13 +81,13 @@
 	for number := range uint64(route.TrailMost) {
 		book.Trail = book.Trail.With(12+number*3, "other")
 	}
-	for number, want := range map[uint64]wire.Kind{0: wire.Forgotten, 2: wire.Forgotten, 3: wire.StaleBase} {
-		if _, again, mishap := decide(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); again || mishap == nil || wire.KindOf(mishap) != want {
-			test.Errorf("order %d: again %v, %v, want %s", number, again, mishap, want)
+	for number, want := range map[uint64]wire.Code{0: wire.Forgotten, 2: wire.Forgotten, 3: wire.StaleBase} {
+		if _, again, err := decide(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); again || err == nil || wire.CodeOf(err) != want {
+			test.Errorf("order %d: again %v, %v, want %s", number, again, err, want)
 		}
 	}
-	if _, _, mishap := decide(book, changeOf(book.Config.Version, book.Config.Version, "not above")); mishap == nil || wire.KindOf(mishap) != wire.StaleVersion {
-		test.Errorf("a number not above the current one, on it: %v", mishap)
+	if _, _, err := decide(book, changeOf(book.Config.Version, book.Config.Version, "not above")); err == nil || wire.CodeOf(err) != wire.StaleVersion {
+		test.Errorf("a number not above the current one, on it: %v", err)
 	}
 }
 
@@ -95,8 +95,8 @@
 func TestDecideKeepsTheZones(test *testing.T) {
 	book := grown(test, 1)
 	book.Evacuated, book.Reopened = []string{"a"}, []route.Reopened{{Zone: "b", AtMs: 7}}
-	next, _, mishap := decide(book, changeOf(6, 3, "more"))
-	if mishap != nil || !slices.Equal(next.Evacuated, book.Evacuated) || !slices.Equal(next.Reopened, book.Reopened) {
-		test.Errorf("%+v, %v", next, mishap)
+	next, _, err := decide(book, changeOf(6, 3, "more"))
+	if err != nil || !slices.Equal(next.Evacuated, book.Evacuated) || !slices.Equal(next.Reopened, book.Reopened) {
+		test.Errorf("%+v, %v", next, err)
 	}
 }
--- a/control/disk.go
+++ b/control/disk.go
@@ -30,9 +30,9 @@
 func (folder Folder) path(name string) string { return filepath.Join(string(folder), name) }
 
 func (folder Folder) List() ([]string, error) {
-	entries, fault := os.ReadDir(string(folder))
-	if fault != nil {
-		return nil, fault
+	entries, err := os.ReadDir(string(folder))
+	if err != nil {
+		return nil, err
 	}
 	names := []string{}
 	for _, entry := range entries {
@@ -54,10 +54,10 @@
 func (folder Folder) Remove(name string) error { return os.Remove(folder.path(name)) }
 
 func (folder Folder) Sync() error {
-	handle, fault := os.Open(string(folder))
-	if fault != nil {
-		return fault
+	handle, err := os.Open(string(folder))
+	if err != nil {
+		return err
 	}
-	fault = handle.Sync()
-	return errors.Join(fault, handle.Close())
+	err = handle.Sync()
+	return errors.Join(err, handle.Close())
 }
--- a/control/election.go
+++ b/control/election.go
@@ -27,7 +27,7 @@
 func (core *Core) cold() bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	return core.place.enlists() && core.leader.Ballot.Round == 0
+	return core.place.enlists() && core.leader.Ballot.Number == 0
 }
 
 // elect is the duty of the election thread.
@@ -100,30 +100,30 @@
 	defer core.chart.moveBack()
 	core.counts.Add("prechecks", 1)
 	marks, view := core.voter.State().Marks(), core.members()
-	told := askPeers(core, view, func(peer Peer) (*wire.PrecheckTold, error) {
-		return wire.Ask[wire.Precheck, wire.PrecheckTold](core.line, peer.Address, "precheck", core.roundLimit()/2, &wire.Precheck{Core: view.ID, Marks: marks, Members: view.Mark})
-	}, func(*wire.PrecheckTold) bool { return true }, never)
+	told := askPeers(core, view, func(peer Peer) (*wire.PreVoteResponse, error) {
+		return wire.Call[wire.PreVoteRequest, wire.PreVoteResponse](core.line, peer.Address, "precheck", core.roundLimit()/2, &wire.PreVoteRequest{Core: view.ID, Versions: marks, Membership: view.Mark})
+	}, func(*wire.PreVoteResponse) bool { return true }, never)
 	reach := 1 + len(told)
 	for _, answer := range told {
-		core.sawRound(answer.Round)
-		core.learnMembers(answer.Members)
+		core.sawRound(answer.TermNumber)
+		core.learnMembers(answer.Membership)
 	}
 	if !core.members().same(view) {
 		core.counts.Add("prechecks_by_old_members", 1)
 		return false
 	}
 	for _, answer := range told {
-		if answer.Heard {
+		if answer.LeaderAlive {
 			core.counts.Add("prechecks_leader_alive", 1)
 			return false
 		}
 	}
-	if !view.decides(agreed(told, func(answer *wire.PrecheckTold) bool { return answer.Willing })) {
+	if !view.decides(agreed(told, func(answer *wire.PreVoteResponse) bool { return answer.Granted })) {
 		core.counts.Add("prechecks_short", 1)
 		return false
 	}
 	for id, answer := range told {
-		if !yielded && view.mayLead(id) && answer.Voter && fitter(answer.Marks, answer.Reach, id, marks, reach, view.ID) {
+		if !yielded && view.mayLead(id) && answer.Voter && fitter(answer.Versions, answer.Reachable, id, marks, reach, view.ID) {
 			core.counts.Add("prechecks_yielded", 1)
 			return true
 		}
@@ -132,8 +132,8 @@
 		return false
 	}
 	ballot, revoked := core.nextBallot(view)
-	revocation, mishap := core.fence(view, ballot, revoked)
-	if mishap != nil {
+	revocation, err := core.fence(view, ballot, revoked)
+	if err != nil {
 		core.counts.Add("revocations_short", 1)
 		return false
 	}
@@ -142,7 +142,7 @@
 }
 
 // succeed takes over from a leader that stepped down in this core's favour.
-func (core *Core) succeed(message *wire.StepDown) {
+func (core *Core) succeed(message *wire.TransferLeadershipRequest) {
 	if !core.chart.move(Revoking) {
 		return
 	}
@@ -153,21 +153,21 @@
 }
 
 // nextBallot is a new ballot of this core's, and the one of the leader it knows.
-func (core *Core) nextBallot(view *View) (next, revoked wire.Ballot) {
+func (core *Core) nextBallot(view *View) (next, revoked wire.Term) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	core.round++
-	return wire.Ballot{Round: core.round, Core: view.ID}, core.leader.Ballot
+	return wire.Term{Number: core.round, Core: view.ID}, core.leader.Ballot
 }
 
 // found establishes under the ballot, by the membership that its revocation counted
 // by, and takes the lead.
-func (core *Core) found(view *View, ballot wire.Ballot, revocation *Revocation) {
+func (core *Core) found(view *View, ballot wire.Term, revocation *Revocation) {
 	if !view.mayLead(view.ID) || !core.chart.move(Establishing) {
 		return
 	}
-	leadership, mishap := core.establish(view, ballot, revocation)
-	if mishap != nil {
+	leadership, err := core.establish(view, ballot, revocation)
+	if err != nil {
 		core.counts.Add("establishments_short", 1)
 		return
 	}
@@ -183,7 +183,7 @@
 	core.place.Observe(Leading, ballot)
 	klog.Infof("core %d: leads under %s, revoked %s by %s", core.members().ID, ballot, leadership.revocation.Revoked, leadership.revocation.Method)
 	for register := range wire.Registers {
-		core.commit(register, wire.Accepted{Ballot: ballot, Value: leadership.value(register)}, leadership.settings().texts)
+		core.commit(register, wire.AcceptedValue{Term: ballot, Value: leadership.value(register)}, leadership.settings().texts)
 	}
 	core.platform.begin(core.Table().Backends)
 	core.news.Ring()
@@ -200,8 +200,8 @@
 
 // lead is the duty of the beat thread.
 func (core *Core) lead() {
-	leadership, mishap := core.leading()
-	if mishap != nil {
+	leadership, err := core.leading()
+	if err != nil {
 		return
 	}
 	if leadership.beat() {
@@ -216,49 +216,49 @@
 	}
 }
 
-func (core *Core) voterPromise(message *wire.Promise) (*wire.PromiseTold, error) {
-	if known := core.members().accepted(); wire.Supersedes(known, message.Members) {
-		return &wire.PromiseTold{Promised: core.voter.State().Promised, Members: known}, nil
+func (core *Core) voterPromise(message *wire.PrepareRequest) (*wire.PrepareResponse, error) {
+	if known := core.members().accepted(); wire.Supersedes(known, message.Membership) {
+		return &wire.PrepareResponse{Promised: core.voter.State().Promised, Membership: known}, nil
 	}
-	core.sawRound(message.Ballot.Round)
-	told, mishap := core.voter.Promise(message)
-	if mishap == nil && told.Granted {
+	core.sawRound(message.Term.Number)
+	told, err := core.voter.Promise(message)
+	if err == nil && told.Granted {
 		core.mutex.Lock()
 		core.heard = time.Now()
 		core.patience = core.nextPatience()
 		core.mutex.Unlock()
 	}
-	return told, mishap
+	return told, err
 }
 
-func (core *Core) voterAccept(message *wire.Accept) (*wire.AcceptTold, error) {
-	core.sawRound(message.Ballot.Round)
+func (core *Core) voterAccept(message *wire.AcceptRequest) (*wire.AcceptResponse, error) {
+	core.sawRound(message.Term.Number)
 	return core.voter.Accept(message)
 }
 
-func (core *Core) onPrecheck(message *wire.Precheck) (*wire.PrecheckTold, error) {
+func (core *Core) onPrecheck(message *wire.PreVoteRequest) (*wire.PreVoteResponse, error) {
 	state := core.voter.State()
 	core.mutex.Lock()
 	heard := core.leadership != nil || (core.leader.Known() && !core.duck && time.Since(core.heard) < core.place.Suspect)
-	round := max(core.round, state.Promised.Round)
+	round := max(core.round, state.Promised.Number)
 	core.mutex.Unlock()
 	votes := core.Sound()
-	return &wire.PrecheckTold{Willing: votes && !heard, Heard: heard, Voter: votes, Marks: state.Marks(), Reach: core.reach(), Round: round, Members: core.newerMembers(message.Members)}, nil
+	return &wire.PreVoteResponse{Granted: votes && !heard, LeaderAlive: heard, Voter: votes, Versions: state.Marks(), Reachable: core.reach(), TermNumber: round, Membership: core.newerMembers(message.Membership)}, nil
 }
 
 // reach is how many cores told something lately, this one included.
 func (core *Core) reach() int { return 1 + core.sessions.coresHeard(core.place.Suspect*2) }
 
-func (core *Core) onBeat(message *wire.Beat) (*wire.BeatTold, error) {
+func (core *Core) onBeat(message *wire.HeartbeatRequest) (*wire.HeartbeatResponse, error) {
 	state := core.voter.State()
-	core.sawRound(message.Ballot.Round)
-	if message.Ballot.Less(state.Promised) {
-		return &wire.BeatTold{Voter: state.Founded, Promised: state.Promised, Marks: state.Marks()}, nil
+	core.sawRound(message.Term.Number)
+	if message.Term.Less(state.Promised) {
+		return &wire.HeartbeatResponse{Voter: state.Founded, Promised: state.Promised, Versions: state.Marks()}, nil
 	}
 	core.mutex.Lock()
-	moved := core.leader.Ballot != message.Ballot
+	moved := core.leader.Ballot != message.Term
 	core.leader, core.heard = message.Leader, time.Now()
-	core.duck, core.successor = message.Duck, message.Successor
+	core.duck, core.successor = message.Lameduck, message.Successor
 	core.wanted = message.Table
 	core.patience = core.nextPatience()
 	core.mutex.Unlock()
@@ -266,27 +266,27 @@
 		core.clock.Heard(message.NowMs)
 	}
 	if moved {
-		klog.Infof("core %d: follows core %d under %s", core.members().ID, message.Leader.Core, message.Ballot)
+		klog.Infof("core %d: follows core %d under %s", core.members().ID, message.Leader.Core, message.Term)
 		core.news.Ring()
 	}
 	for register := range message.Committed {
-		if accepted := state.Accepted[register]; accepted.Mark() == message.Committed[register] {
+		if accepted := state.Accepted[register]; accepted.Version() == message.Committed[register] {
 			core.commit(wire.Register(register), accepted, state.Texts)
 		}
 	}
-	told := &wire.BeatTold{Taken: true, Voter: state.Founded, Refuses: !core.takesWrites(), Promised: state.Promised, Marks: state.Marks(), Reach: core.reach()}
+	told := &wire.HeartbeatResponse{Accepted: true, Voter: state.Founded, RefusesWrites: !core.takesWrites(), Promised: state.Promised, Versions: state.Marks(), Reachable: core.reach()}
 	told.AnchorMs, told.NowMs = core.toldClock()
 	return told, nil
 }
 
-func (core *Core) onStepDown(message *wire.StepDown) (*wire.StepDownTold, error) {
+func (core *Core) onStepDown(message *wire.TransferLeadershipRequest) (*wire.TransferLeadershipResponse, error) {
 	state := core.voter.State()
-	if !core.Sound() || message.Ballot.Less(state.Promised) || core.chart.Now() != Following {
-		return &wire.StepDownTold{}, nil
+	if !core.Sound() || message.Term.Less(state.Promised) || core.chart.Now() != Following {
+		return &wire.TransferLeadershipResponse{}, nil
 	}
 	core.mutex.Lock()
 	core.passed = message
 	core.mutex.Unlock()
 	core.prompt.Ring()
-	return &wire.StepDownTold{Taken: true}, nil
+	return &wire.TransferLeadershipResponse{Accepted: true}, nil
 }
--- a/control/enlist.go
+++ b/control/enlist.go
@@ -80,20 +80,20 @@
 			seeds = append(seeds, seed)
 		}
 	}
-	message := &wire.Enlist{Address: core.place.Wire, Opening: core.opening()}
-	got, _ := run.Gather(core.threads, len(seeds), func(index int) (*wire.EnlistTold, error) {
-		return wire.Ask[wire.Enlist, wire.EnlistTold](core.line, seeds[index], "enlist", core.roundLimit(), message)
-	}, func(got map[int]*wire.EnlistTold, _ map[int]error) bool {
+	message := &wire.JoinRequest{Address: core.place.Wire, SinceBootstrap: core.opening()}
+	got, _ := run.Gather(core.threads, len(seeds), func(index int) (*wire.JoinResponse, error) {
+		return wire.Call[wire.JoinRequest, wire.JoinResponse](core.line, seeds[index], "enlist", core.roundLimit(), message)
+	}, func(got map[int]*wire.JoinResponse, _ map[int]error) bool {
 		for _, told := range got {
-			if told.Members.Value.Serial > 0 {
+			if told.Membership.Value.Serial > 0 {
 				return true
 			}
 		}
 		return false
 	})
 	for _, told := range got {
-		if told.Members.Value.Serial > 0 {
-			core.join(told.Members)
+		if told.Membership.Value.Serial > 0 {
+			core.join(told.Membership)
 			return
 		}
 	}
@@ -108,15 +108,15 @@
 
 // join takes the first membership that this core hears of. At the system's first
 // start it votes by it at once: a disk that has been there since then never voted.
-func (core *Core) join(accepted wire.Accepted) {
-	membership, mishap := membershipOf(accepted)
-	if mishap != nil || membership == nil {
+func (core *Core) join(accepted wire.AcceptedValue) {
+	membership, err := membershipOf(accepted)
+	if err != nil || membership == nil {
 		return
 	}
 	view := viewOf(core.place.Wire, membership)
 	founds := mayEnrol(core.opening(), view)
 	if founds {
-		if mishap := core.voter.Enrol(accepted); mishap != nil {
+		if err := core.voter.Enrol(accepted); err != nil {
 			core.threads.Rest(enlistPace)
 			return
 		}
@@ -133,17 +133,17 @@
 // mayEnrol is whether a core that first hears of a membership is a voter of it at once.
 func mayEnrol(opening bool, view *View) bool { return opening && view.votes() }
 
-func (core *Core) onEnlist(message *wire.Enlist) (*wire.EnlistTold, error) {
+func (core *Core) onEnlist(message *wire.JoinRequest) (*wire.JoinResponse, error) {
 	if !core.members().known() {
 		core.enlisted.take(message.Address)
-		return &wire.EnlistTold{}, nil
+		return &wire.JoinResponse{}, nil
 	}
-	told := &wire.EnlistTold{}
-	if leadership, mishap := core.leading(); mishap == nil && !core.members().has(message.Address) {
+	told := &wire.JoinResponse{}
+	if leadership, err := core.leading(); err == nil && !core.members().has(message.Address) {
 		told.Admitted = leadership.admit(message.Address)
-		told.Ballot = leadership.ballot
+		told.Term = leadership.ballot
 	}
-	told.Members = core.newerMembers(message.Known)
+	told.Membership = core.newerMembers(message.Known)
 	leads := core.leads()
 	core.mutex.Lock()
 	if leads || time.Since(core.heard) < core.place.Suspect {
--- a/control/establishment.go
+++ b/control/establishment.go
@@ -17,32 +17,32 @@
 type Establishment struct {
 	core       *Core
 	view       *View
-	ballot     wire.Ballot
+	ballot     wire.Term
 	revocation *Revocation
-	promises   map[int]*wire.PromiseTold
-	newest     [wire.Registers]wire.Accepted
+	promises   map[int]*wire.PrepareResponse
+	newest     [wire.Registers]wire.AcceptedValue
 	from       [wire.Registers]int
 	content    *content
 	routing    *route.Book
 	learners   []string
 }
 
-func (core *Core) establish(view *View, ballot wire.Ballot, revocation *Revocation) (*Leadership, error) {
+func (core *Core) establish(view *View, ballot wire.Term, revocation *Revocation) (*Leadership, error) {
 	if !revocation.Complete {
-		return nil, wire.New(wire.StaleBallot, "revocation of %s is not complete", revocation.Revoked)
+		return nil, wire.Errorf(wire.StaleTerm, "revocation of %s is not complete", revocation.Revoked)
 	}
 	establishment := &Establishment{core: core, view: view, ballot: ballot, revocation: revocation, learners: revocation.Learners}
 	for _, step := range []func() error{establishment.promised, establishment.revoked, establishment.rewritten} {
-		if mishap := step(); mishap != nil {
-			return nil, mishap
+		if err := step(); err != nil {
+			return nil, err
 		}
 	}
-	if mishap := core.leadsBy(view, ballot); mishap != nil {
-		return nil, mishap
+	if err := core.leadsBy(view, ballot); err != nil {
+		return nil, err
 	}
 	leadership := newLeadership(core, ballot, establishment)
 	if !leadership.beat() {
-		return nil, wire.New(wire.StaleBallot, "no majority took the first beat of %s", ballot)
+		return nil, wire.Errorf(wire.StaleTerm, "no majority took the first beat of %s", ballot)
 	}
 	return leadership, nil
 }
@@ -50,10 +50,10 @@
 // leadsBy makes the membership that was written again under a ballot the one that this
 // core counts by from then on. Its own replica may not have accepted that yet, and
 // meanwhile it may have learned a step of a former leader's that was never decided.
-func (core *Core) leadsBy(view *View, ballot wire.Ballot) error {
+func (core *Core) leadsBy(view *View, ballot wire.Term) error {
 	rewritten := *view.Membership
-	_, mishap := core.countBy(&rewritten, ballot)
-	return mishap
+	_, err := core.countBy(&rewritten, ballot)
+	return err
 }
 
 // promised reuses the fence's promises; after a step-down it asks for its own.
@@ -64,9 +64,9 @@
 	if establishment.view.decides(agreed(establishment.promises, granted)) {
 		return nil
 	}
-	promises, mishap := establishment.core.pushBallot(establishment.view, establishment.ballot)
+	promises, err := establishment.core.pushBallot(establishment.view, establishment.ballot)
 	establishment.promises = promises
-	return mishap
+	return err
 }
 
 // revoked falls back to the fence that the promises are, when a leader unknown
@@ -83,10 +83,10 @@
 
 // newestOf is, for each register, the newest value that those that promised accepted,
 // and which of them it is from.
-func newestOf(promises map[int]*wire.PromiseTold) (newest [wire.Registers]wire.Accepted, from [wire.Registers]int) {
+func newestOf(promises map[int]*wire.PrepareResponse) (newest [wire.Registers]wire.AcceptedValue, from [wire.Registers]int) {
 	for id, promise := range promises {
 		for register := range promise.Accepted {
-			if newest[register].Mark().Less(promise.Accepted[register].Mark()) {
+			if newest[register].Version().Less(promise.Accepted[register].Version()) {
 				newest[register], from[register] = promise.Accepted[register], id
 			}
 		}
@@ -97,7 +97,7 @@
 // takenOver is what a ballot takes over from those that promised it: the newest value
 // of each register, and the membership that counted them. None of them accepted a
 // newer membership with other voters: they would have refused.
-func takenOver(view *View, promises map[int]*wire.PromiseTold) (newest [wire.Registers]wire.Accepted, from [wire.Registers]int) {
+func takenOver(view *View, promises map[int]*wire.PrepareResponse) (newest [wire.Registers]wire.AcceptedValue, from [wire.Registers]int) {
 	newest, from = newestOf(promises)
 	newest[wire.MembersRegister] = view.accepted()
 	return newest, from
@@ -108,29 +108,29 @@
 	core := establishment.core
 	establishment.newest, establishment.from = takenOver(establishment.view, establishment.promises)
 	settings := establishment.newest[wire.SettingsRegister].Value
-	texts, mishap := core.gatherTexts(establishment.view.address(establishment.from[wire.SettingsRegister]), settings, core.voter.State().Texts)
-	if mishap != nil {
-		return mishap
+	texts, err := core.gatherTexts(establishment.view.address(establishment.from[wire.SettingsRegister]), settings, core.voter.State().Texts)
+	if err != nil {
+		return err
 	}
-	if establishment.routing, mishap = route.BookOf(establishment.newest[wire.RoutingRegister].Value.Body); mishap != nil {
-		return mishap
+	if establishment.routing, err = route.BookOf(establishment.newest[wire.RoutingRegister].Value.Body); err != nil {
+		return err
 	}
 	for register := range establishment.newest {
-		establishment.newest[register].Ballot = establishment.ballot
+		establishment.newest[register].Term = establishment.ballot
 	}
 	_, failed := run.Gather(core.threads, len(establishment.newest), func(register int) (bool, error) {
-		message := &wire.Accept{Ballot: establishment.ballot, Register: wire.Register(register), Value: establishment.newest[register].Value}
-		if mishap := core.pushValue(establishment.view, message, texts); mishap != nil {
-			return false, mishap
+		message := &wire.AcceptRequest{Term: establishment.ballot, Register: wire.Register(register), Value: establishment.newest[register].Value}
+		if err := core.pushValue(establishment.view, message, texts); err != nil {
+			return false, err
 		}
 		return true, nil
 	}, func(_ map[int]bool, failed map[int]error) bool { return len(failed) > 0 })
-	for _, fault := range failed {
-		return wire.AsMishap(fault)
+	for _, err := range failed {
+		return wire.AsError(err)
 	}
 	core.mutex.Lock()
 	held := core.held
 	core.mutex.Unlock()
-	establishment.content, mishap = readContent(held, settings, texts)
-	return mishap
+	establishment.content, err = readContent(held, settings, texts)
+	return err
 }
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -11,7 +11,7 @@
 const reopenedStays = time.Minute
 
 // evacuate is the book after an order on a zone, nil when the order changes nothing.
-func evacuate(book *route.Book, order *wire.Evacuate, now int64) *route.Book {
+func evacuate(book *route.Book, order *wire.EvacuateRequest, now int64) *route.Book {
 	index, found := slices.BinarySearch(book.Evacuated, order.Zone)
 	if found == order.Begin {
 		return nil
@@ -33,29 +33,29 @@
 // onEvacuate takes a zone's backends out of use, or back into it. An order that was
 // under way while the zone changed is not carried out: its operator gave up on it,
 // and may have been told since that the contrary is in force.
-func (core *Core) onEvacuate(order *wire.Evacuate) (*wire.EvacuateTold, error) {
-	leadership, mishap := core.leading()
-	if mishap != nil {
-		return nil, mishap
+func (core *Core) onEvacuate(order *wire.EvacuateRequest) (*wire.EvacuateResponse, error) {
+	leadership, err := core.leading()
+	if err != nil {
+		return nil, err
 	}
-	if order.Ask {
-		return &wire.EvacuateTold{Changes: leadership.book().Changes(order.Zone)}, nil
+	if order.QueryOnly {
+		return &wire.EvacuateResponse{Changes: leadership.book().Changes(order.Zone)}, nil
 	}
-	told, changed := &wire.EvacuateTold{}, false
-	told.Serial, mishap = leadership.writeRouting(func(book *route.Book) (*route.Book, error) {
+	told, changed := &wire.EvacuateResponse{}, false
+	told.Serial, err = leadership.writeRouting(func(book *route.Book) (*route.Book, error) {
 		next := evacuate(book, order, core.Now())
-		if told.Changes = book.Changes(order.Zone); next != nil && told.Changes != order.Upon {
-			return nil, wire.New(wire.ZoneChanged, "changed %d times, the order is upon %d", told.Changes, order.Upon)
+		if told.Changes = book.Changes(order.Zone); next != nil && told.Changes != order.ExpectedChanges {
+			return nil, wire.Errorf(wire.ZoneChanged, "changed %d times, the order is upon %d", told.Changes, order.ExpectedChanges)
 		}
 		changed = next != nil
 		return next, nil
 	})
-	if mishap == nil && !changed {
-		mishap = leadership.proven(nil)
+	if err == nil && !changed {
+		err = leadership.proven(nil)
 	}
-	if mishap != nil {
-		core.counts.Add("evacuations_"+string(wire.KindOf(mishap)), 1)
-		return nil, mishap
+	if err != nil {
+		core.counts.Add("evacuations_"+string(wire.CodeOf(err)), 1)
+		return nil, err
 	}
 	return told, nil
 }
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -15,9 +15,9 @@
 
 // OpenTestClaims opens a log that remembers keys for keep.FirstSpan.
 func OpenTestClaims(disk Disk, segment int64) (*TestClaims, error) {
-	log, mishap := openClaimLog(disk, 0, run.NewCounts())
-	if mishap != nil {
-		return nil, mishap
+	log, err := openClaimLog(disk, 0, run.NewCounts())
+	if err != nil {
+		return nil, err
 	}
 	log.journal.limit = segment
 	log.book.Remember(keep.FirstSpan)
@@ -25,14 +25,14 @@
 }
 
 // Keep is one turn of the writing thread.
-func (claims *TestClaims) Keep(message *wire.Keep) ([]wire.ClaimTold, error) {
-	if mishap := claims.log.repair(); mishap != nil {
-		return nil, mishap
+func (claims *TestClaims) Keep(message *wire.RecordClaimsRequest) ([]wire.ClaimResponse, error) {
+	if err := claims.log.repair(); err != nil {
+		return nil, err
 	}
 	return claims.log.writeGroup([]*keepWait{{message: message}})
 }
 
-func (claims *TestClaims) Held(key wire.ClaimKey) (wire.Claimed, bool) {
+func (claims *TestClaims) Held(key wire.ClaimKey) (wire.ClaimRecord, bool) {
 	return claims.log.book.Held(key)
 }
 
--- a/control/journal.go
+++ b/control/journal.go
@@ -34,23 +34,23 @@
 	fault  error
 }
 
-func storeFault(kind wire.Kind, fault error, format string, values ...any) error {
-	wrapped := oops.Code(string(kind)).In("store").Wrapf(fault, format, values...)
-	return wire.New(kind, "%v", wrapped)
+func storeFault(kind wire.Code, err error, format string, values ...any) error {
+	wrapped := oops.Code(string(kind)).In("store").Wrapf(err, format, values...)
+	return wire.Errorf(kind, "%v", wrapped)
 }
 
 func numbered(name string, number uint64) string { return fmt.Sprintf("%s-%016d", name, number) }
 
 // numbers lists the files of one name in order.
 func numbers(disk Disk, name string) ([]uint64, error) {
-	names, fault := disk.List()
-	if fault != nil {
-		return nil, storeFault(wire.DiskFault, fault, "list")
+	names, err := disk.List()
+	if err != nil {
+		return nil, storeFault(wire.DiskFailure, err, "list")
 	}
 	found := []uint64{}
 	for _, file := range names {
 		var number uint64
-		if _, fault := fmt.Sscanf(file, name+"-%d", &number); fault == nil && file == numbered(name, number) {
+		if _, err := fmt.Sscanf(file, name+"-%d", &number); err == nil && file == numbered(name, number) {
 			found = append(found, number)
 		}
 	}
@@ -65,19 +65,19 @@
 // and are not on the disk.
 func loadJournal(disk Disk, name string, first uint64, lay func(segment uint64, payload []byte) error) (*Journal, error) {
 	journal := &Journal{disk: disk, name: name, number: first, limit: segmentLimit}
-	segments, mishap := numbers(disk, name)
-	if mishap != nil {
-		return nil, mishap
+	segments, err := numbers(disk, name)
+	if err != nil {
+		return nil, err
 	}
 	for len(segments) > 0 && segments[0] < first {
 		segments = segments[1:]
 	}
 	for index, number := range segments {
 		if number != first+uint64(index) {
-			return nil, wire.New(wire.Corrupt, "%s is missing", numbered(name, first+uint64(index)))
+			return nil, wire.Errorf(wire.CorruptStore, "%s is missing", numbered(name, first+uint64(index)))
 		}
-		if mishap := journal.load(number, index == len(segments)-1, lay); mishap != nil {
-			return nil, mishap
+		if err := journal.load(number, index == len(segments)-1, lay); err != nil {
+			return nil, err
 		}
 		journal.number = number
 	}
@@ -86,21 +86,21 @@
 
 func (journal *Journal) load(number uint64, last bool, lay func(segment uint64, payload []byte) error) error {
 	name := numbered(journal.name, number)
-	body, fault := journal.disk.Read(name)
-	if fault != nil {
-		return storeFault(wire.DiskFault, fault, "read %s", name)
+	body, err := journal.disk.Read(name)
+	if err != nil {
+		return storeFault(wire.DiskFailure, err, "read %s", name)
 	}
 	rest, taken := Frame(body), int64(0)
 	for len(rest) > 0 {
 		payload, sound := rest.payload()
 		if !sound {
 			if !last || rest.soundAfter() {
-				return wire.New(wire.Corrupt, "%s fails its checksum at byte %d", name, taken)
+				return wire.Errorf(wire.CorruptStore, "%s fails its checksum at byte %d", name, taken)
 			}
 			break
 		}
-		if mishap := lay(number, payload); mishap != nil {
-			return wire.New(wire.Corrupt, "%s at byte %d: %v", name, taken, mishap)
+		if err := lay(number, payload); err != nil {
+			return wire.Errorf(wire.CorruptStore, "%s at byte %d: %v", name, taken, err)
 		}
 		rest = rest[frameHeader+len(payload):]
 		taken += int64(frameHeader + len(payload))
@@ -112,14 +112,14 @@
 // begin makes an empty segment the last one. Its name lasts before it is used.
 func (journal *Journal) begin(number uint64) error {
 	name := numbered(journal.name, number)
-	file, fault := journal.disk.Create(name)
-	if fault == nil {
-		fault = file.Sync()
+	file, err := journal.disk.Create(name)
+	if err == nil {
+		err = file.Sync()
 	}
-	if fault == nil {
-		fault = journal.disk.Sync()
+	if err == nil {
+		err = journal.disk.Sync()
 	}
-	return journal.take(file, number, 0, fault)
+	return journal.take(file, number, 0, err)
 }
 
 // rewrite puts a new file with the sound content in the last segment's place.
@@ -128,24 +128,24 @@
 		return journal.begin(journal.number)
 	}
 	name := numbered(journal.name, journal.number)
-	body, fault := journal.disk.Read(name)
-	if fault == nil && int64(len(body)) < journal.size {
-		fault = io.ErrUnexpectedEOF
+	body, err := journal.disk.Read(name)
+	if err == nil && int64(len(body)) < journal.size {
+		err = io.ErrUnexpectedEOF
 	}
-	if fault != nil {
-		return journal.take(nil, journal.number, journal.size, fault)
+	if err != nil {
+		return journal.take(nil, journal.number, journal.size, err)
 	}
-	file, fault := replaceFile(journal.disk, name, body[:journal.size])
-	return journal.take(file, journal.number, journal.size, fault)
+	file, err := replaceFile(journal.disk, name, body[:journal.size])
+	return journal.take(file, journal.number, journal.size, err)
 }
 
 // take goes on with a file, or with none after a fault.
-func (journal *Journal) take(file File, number uint64, size int64, fault error) error {
-	if fault != nil {
+func (journal *Journal) take(file File, number uint64, size int64, err error) error {
+	if err != nil {
 		if file != nil {
 			_ = file.Close() // its sync or its naming failed already
 		}
-		journal.fault = storeFault(wire.DiskFault, fault, "begin %s", numbered(journal.name, number))
+		journal.fault = storeFault(wire.DiskFailure, err, "begin %s", numbered(journal.name, number))
 		return journal.fault
 	}
 	journal.Close()
@@ -157,24 +157,24 @@
 // then what was there before does. The caller closes the file.
 func replaceFile(disk Disk, name string, body []byte) (File, error) {
 	draft := name + draftSuffix
-	file, fault := disk.Create(draft)
-	if fault != nil {
-		return nil, fault
+	file, err := disk.Create(draft)
+	if err != nil {
+		return nil, err
 	}
-	_, fault = file.Write(body)
-	if fault == nil {
-		fault = file.Sync()
+	_, err = file.Write(body)
+	if err == nil {
+		err = file.Sync()
 	}
-	if fault == nil {
-		fault = disk.Rename(draft, name)
+	if err == nil {
+		err = disk.Rename(draft, name)
 	}
-	if fault == nil {
-		fault = disk.Sync()
+	if err == nil {
+		err = disk.Sync()
 	}
-	if fault != nil {
+	if err != nil {
 		_ = file.Close()       // fault says more
 		_ = disk.Remove(draft) // overwritten when its name is used again
-		return nil, fault
+		return nil, err
 	}
 	return file, nil
 }
@@ -191,12 +191,12 @@
 		return journal.fault
 	}
 	name := numbered(journal.name, journal.number)
-	if _, fault := journal.file.Write(block); fault != nil {
-		journal.fault = storeFault(wire.DiskFault, fault, "write %s", name)
+	if _, err := journal.file.Write(block); err != nil {
+		journal.fault = storeFault(wire.DiskFailure, err, "write %s", name)
 		return journal.fault
 	}
-	if fault := journal.file.Sync(); fault != nil {
-		journal.fault = storeFault(wire.DiskFault, fault, "sync %s", name)
+	if err := journal.file.Sync(); err != nil {
+		journal.fault = storeFault(wire.DiskFailure, err, "sync %s", name)
 		return journal.fault
 	}
 	journal.size += int64(len(block))
@@ -205,20 +205,20 @@
 
 // sweep removes files of a name below a number, oldest first.
 func sweep(disk Disk, name string, below uint64, removed func() error) error {
-	found, mishap := numbers(disk, name)
-	if mishap != nil {
-		return mishap
+	found, err := numbers(disk, name)
+	if err != nil {
+		return err
 	}
 	for _, number := range found {
 		if number >= below {
 			break
 		}
-		fault := disk.Remove(numbered(name, number))
-		if fault == nil {
-			fault = removed()
+		err := disk.Remove(numbered(name, number))
+		if err == nil {
+			err = removed()
 		}
-		if fault != nil {
-			return storeFault(wire.DiskFault, fault, "remove %s", numbered(name, number))
+		if err != nil {
+			return storeFault(wire.DiskFailure, err, "remove %s", numbered(name, number))
 		}
 	}
 	return nil
@@ -232,9 +232,9 @@
 
 // packFrame is one frame of a value.
 func packFrame(value any) ([]byte, error) {
-	payload, fault := wire.Pack(value)
-	if fault != nil {
-		return nil, wire.AsMishap(fault)
+	payload, err := wire.Marshal(value)
+	if err != nil {
+		return nil, wire.AsError(err)
 	}
 	return newFrame(payload), nil
 }
@@ -242,9 +242,9 @@
 // sweepDrafts removes drafts that a crash left. One that stays is overwritten when
 // its name is used again.
 func sweepDrafts(disk Disk) error {
-	names, fault := disk.List()
-	if fault != nil {
-		return storeFault(wire.DiskFault, fault, "list")
+	names, err := disk.List()
+	if err != nil {
+		return storeFault(wire.DiskFailure, err, "list")
 	}
 	for _, name := range names {
 		if strings.HasSuffix(name, draftSuffix) {
--- a/control/lameduck.go
+++ b/control/lameduck.go
@@ -11,8 +11,8 @@
 // new ones are refused with the heir's name, and the heir is asked to take over.
 func (core *Core) Retire(limit time.Duration) {
 	until := time.Now().Add(limit)
-	leadership, mishap := core.leading()
-	if mishap != nil || !core.chart.move(Lameduck) {
+	leadership, err := core.leading()
+	if err != nil || !core.chart.move(Lameduck) {
 		core.chart.move(Retired)
 		core.leave(until)
 		return
@@ -46,12 +46,12 @@
 	leadership.writes.Take()
 	defer leadership.writes.Give()
 	klog.Infof("core %d: lameduck, hands over to core %d", core.members().ID, heir.ID)
-	message := &wire.StepDown{Ballot: leadership.ballot, From: core.members().ID, Marks: core.voter.State().Marks()}
+	message := &wire.TransferLeadershipRequest{Term: leadership.ballot, From: core.members().ID, Versions: core.voter.State().Marks()}
 	for _, waiting := range leadership.succession.waiting(learnerSpan*core.place.Suspect, core.members()) {
 		message.Learners = append(message.Learners, waiting.Address)
 	}
-	told, fault := wire.Ask[wire.StepDown, wire.StepDownTold](core.line, heir.Address, "stepdown", core.roundLimit(), message)
-	if fault != nil || !told.Taken {
+	told, err := wire.Call[wire.TransferLeadershipRequest, wire.TransferLeadershipResponse](core.line, heir.Address, "stepdown", core.roundLimit(), message)
+	if err != nil || !told.Accepted {
 		core.counts.Add("handovers_refused", 1)
 		return false
 	}
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -15,7 +15,7 @@
 // Leadership lives from one establishment to the next revocation.
 type Leadership struct {
 	core       *Core
-	ballot     wire.Ballot
+	ballot     wire.Term
 	revocation *Revocation
 	since      time.Time
 	rewritten  [wire.Registers]uint64
@@ -31,7 +31,7 @@
 	values    [wire.Registers]wire.Value
 	content   *content
 	routing   *route.Book
-	reports   map[int]*wire.BeatTold
+	reports   map[int]*wire.HeartbeatResponse
 	confirmed *run.Bell
 	started   uint64
 	finished  uint64
@@ -39,9 +39,9 @@
 	succession *Succession
 }
 
-func newLeadership(core *Core, ballot wire.Ballot, establishment *Establishment) *Leadership {
+func newLeadership(core *Core, ballot wire.Term, establishment *Establishment) *Leadership {
 	leadership := &Leadership{core: core, ballot: ballot, revocation: establishment.revocation, since: time.Now(), content: establishment.content, routing: establishment.routing,
-		reports: map[int]*wire.BeatTold{}, confirmed: run.NewBell(), writes: run.NewTurn(), succession: newSuccession()}
+		reports: map[int]*wire.HeartbeatResponse{}, confirmed: run.NewBell(), writes: run.NewTurn(), succession: newSuccession()}
 	for _, address := range establishment.learners {
 		leadership.succession.enlisted(address)
 	}
@@ -76,11 +76,11 @@
 	defer leadership.mutex.Unlock()
 	switch {
 	case leadership.ended:
-		return &wire.Mishap{Kind: wire.NotLeader, Cause: "leadership " + leadership.ballot.String() + " ended"}
+		return &wire.Error{Code: wire.NotLeader, Message: "leadership " + leadership.ballot.String() + " ended"}
 	case leadership.duck:
-		return &wire.Mishap{Kind: wire.Lameduck, Cause: "stepping down", Leader: leadership.successor.Address}
+		return &wire.Error{Code: wire.Lameduck, Message: "stepping down", Leader: leadership.successor.Address}
 	case time.Since(leadership.majority) > leadership.core.place.Suspect:
-		return &wire.Mishap{Kind: wire.NotLeader, Cause: "no majority took a beat lately"}
+		return &wire.Error{Code: wire.NotLeader, Message: "no majority took a beat lately"}
 	}
 	return nil
 }
@@ -107,10 +107,10 @@
 // change writes the settings that build makes of the current ones.
 func (leadership *Leadership) change(build func(now *content) (*content, error)) (uint64, error) {
 	var next *content
-	return leadership.write(wire.SettingsRegister, func(wire.Value) (*wire.Value, wire.Texts, error) {
-		made, mishap := build(leadership.settings())
-		if mishap != nil || made == nil {
-			return nil, nil, mishap
+	return leadership.write(wire.SettingsRegister, func(wire.Value) (*wire.Value, wire.Chunks, error) {
+		made, err := build(leadership.settings())
+		if err != nil || made == nil {
+			return nil, nil, err
 		}
 		next = made
 		value := next.value()
@@ -120,31 +120,31 @@
 
 // write puts the next value in the register; build sees the current one. Once
 // sent, a write ends taken by a majority, or the leadership ends with it.
-func (leadership *Leadership) write(register wire.Register, build func(current wire.Value) (*wire.Value, wire.Texts, error), taken func()) (uint64, error) {
-	if mishap := leadership.holds(); mishap != nil {
-		return 0, mishap
+func (leadership *Leadership) write(register wire.Register, build func(current wire.Value) (*wire.Value, wire.Chunks, error), taken func()) (uint64, error) {
+	if err := leadership.holds(); err != nil {
+		return 0, err
 	}
 	leadership.writes.Take()
 	defer leadership.writes.Give()
-	if mishap := leadership.holds(); mishap != nil {
-		return 0, mishap
+	if err := leadership.holds(); err != nil {
+		return 0, err
 	}
 	current := leadership.value(register)
-	next, texts, mishap := build(current)
-	if mishap != nil || next == nil {
-		return 0, mishap
+	next, texts, err := build(current)
+	if err != nil || next == nil {
+		return 0, err
 	}
-	message := &wire.Accept{Ballot: leadership.ballot, Register: register, Value: *next, Texts: fresh(*next, current, texts)}
-	if mishap := leadership.core.pushValue(leadership.core.members(), message, texts); mishap != nil {
+	message := &wire.AcceptRequest{Term: leadership.ballot, Register: register, Value: *next, Chunks: fresh(*next, current, texts)}
+	if err := leadership.core.pushValue(leadership.core.members(), message, texts); err != nil {
 		leadership.core.counts.Add("write_unknown", 1)
 		leadership.core.revoke(leadership)
-		return 0, &wire.Mishap{Kind: wire.OutcomeUnknown, Cause: mishap.Error()}
+		return 0, &wire.Error{Code: wire.OutcomeUnknown, Message: err.Error()}
 	}
 	leadership.mutex.Lock()
 	leadership.values[register] = *next
 	taken()
 	leadership.mutex.Unlock()
-	leadership.core.commit(register, wire.Accepted{Ballot: leadership.ballot, Value: *next}, texts)
+	leadership.core.commit(register, wire.AcceptedValue{Term: leadership.ballot, Value: *next}, texts)
 	return next.Serial, nil
 }
 
@@ -162,12 +162,12 @@
 	view := core.members()
 	number, message := leadership.nextBeat(view)
 	peers := append(slices.Clone(view.Peers), leadership.succession.waiting(learnerSpan*core.place.Suspect, view)...)
-	got, _ := run.Gather(core.threads, len(peers), func(index int) (*wire.BeatTold, error) {
+	got, _ := run.Gather(core.threads, len(peers), func(index int) (*wire.HeartbeatResponse, error) {
 		return leadership.beatTo(peers[index], message)
-	}, func(got map[int]*wire.BeatTold, _ map[int]error) bool { return view.decides(took(peers, got)) })
+	}, func(got map[int]*wire.HeartbeatResponse, _ map[int]error) bool { return view.decides(took(peers, got)) })
 	for _, answer := range got {
 		if leadership.ballot.Less(answer.Promised) {
-			core.sawRound(answer.Promised.Round)
+			core.sawRound(answer.Promised.Number)
 			core.revoke(leadership)
 			return false
 		}
@@ -186,32 +186,32 @@
 }
 
 // took is which voters took a heartbeat, of the answers by the peers' places.
-func took(peers []Peer, got map[int]*wire.BeatTold) func(id int) bool {
+func took(peers []Peer, got map[int]*wire.HeartbeatResponse) func(id int) bool {
 	return func(id int) bool {
 		told := got[slices.IndexFunc(peers, func(peer Peer) bool { return peer.ID == id })]
-		return told != nil && told.Taken && told.Voter
+		return told != nil && told.Accepted && told.Voter
 	}
 }
 
 // nextBeat is the next heartbeat and its number.
-func (leadership *Leadership) nextBeat(view *View) (uint64, *wire.Beat) {
-	table := leadership.core.Table().Mark
+func (leadership *Leadership) nextBeat(view *View) (uint64, *wire.HeartbeatRequest) {
+	table := leadership.core.Table().Version
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	leadership.started++
-	message := &wire.Beat{Ballot: leadership.ballot, Leader: view.leader(leadership.ballot), Duck: leadership.duck, Successor: leadership.successor, Table: table}
+	message := &wire.HeartbeatRequest{Term: leadership.ballot, Leader: view.leader(leadership.ballot), Lameduck: leadership.duck, Successor: leadership.successor, Table: table}
 	for register := range leadership.values {
-		message.Committed[register] = wire.Mark{Ballot: leadership.ballot, Serial: leadership.values[register].Serial}
+		message.Committed[register] = wire.Version{Term: leadership.ballot, Serial: leadership.values[register].Serial}
 	}
 	return leadership.started, message
 }
 
 // beatTo is one heartbeat to one core and what its answer tells.
-func (leadership *Leadership) beatTo(peer Peer, message *wire.Beat) (*wire.BeatTold, error) {
+func (leadership *Leadership) beatTo(peer Peer, message *wire.HeartbeatRequest) (*wire.HeartbeatResponse, error) {
 	core, asked := leadership.core, time.Now()
-	told, fault := wire.Ask[wire.Beat, wire.BeatTold](core.line, peer.Address, "beat", core.roundLimit(), core.beatFor(peer, message))
-	if fault != nil {
-		return nil, fault
+	told, err := wire.Call[wire.HeartbeatRequest, wire.HeartbeatResponse](core.line, peer.Address, "beat", core.roundLimit(), core.beatFor(peer, message))
+	if err != nil {
+		return nil, err
 	}
 	if peer.ID > 0 {
 		core.sawClock(peer, told, time.Since(asked))
@@ -221,7 +221,7 @@
 }
 
 // note keeps what a core told and sends it the values it lacks.
-func (leadership *Leadership) note(peer Peer, told *wire.BeatTold, committed wire.Marks) {
+func (leadership *Leadership) note(peer Peer, told *wire.HeartbeatResponse, committed wire.Versions) {
 	leadership.succession.heard(peer, told)
 	leadership.mutex.Lock()
 	if peer.ID > 0 {
@@ -229,15 +229,15 @@
 	}
 	values, now := leadership.values, leadership.content
 	leadership.mutex.Unlock()
-	if !told.Taken || !told.Voter || told.Refuses {
+	if !told.Accepted || !told.Voter || told.RefusesWrites {
 		return
 	}
 	for register := range committed {
-		if told.Marks[register].Less(committed[register]) {
+		if told.Versions[register].Less(committed[register]) {
 			leadership.core.counts.Add("copies_mended", 1)
-			value := &wire.Accept{Ballot: leadership.ballot, Register: wire.Register(register), Value: values[register]}
-			answer, fault := leadership.core.offerTo(peer, value, now.texts, leadership.core.roundLimit())
-			if fault != nil || !answer.Taken { // its next answer to a beat shows that it still lacks it
+			value := &wire.AcceptRequest{Term: leadership.ballot, Register: wire.Register(register), Value: values[register]}
+			answer, err := leadership.core.offerTo(peer, value, now.texts, leadership.core.roundLimit())
+			if err != nil || !answer.Accepted { // its next answer to a beat shows that it still lacks it
 				leadership.core.counts.Add("copies_not_mended", 1)
 			}
 		}
@@ -252,8 +252,8 @@
 	until := time.Now().Add(limit)
 	for {
 		seen := leadership.confirmed.Count()
-		if mishap := leadership.holds(); mishap != nil && wire.KindOf(mishap) != wire.Lameduck {
-			return mishap
+		if err := leadership.holds(); err != nil && wire.CodeOf(err) != wire.Lameduck {
+			return err
 		}
 		leadership.mutex.Lock()
 		done := leadership.finished >= need
@@ -262,7 +262,7 @@
 			return nil
 		}
 		if !leadership.confirmed.Wait(seen, time.Until(until)) {
-			return wire.New(wire.NoLeader, "no beat confirmed in %v", limit)
+			return wire.Errorf(wire.NoLeader, "no beat confirmed in %v", limit)
 		}
 	}
 }
@@ -275,10 +275,10 @@
 	view := leadership.core.members()
 	for _, peer := range view.Peers {
 		told := leadership.reports[peer.ID]
-		if told == nil || !view.mayLead(peer.ID) || !told.Voter || !told.Taken || told.Refuses || passed[peer.ID] {
+		if told == nil || !view.mayLead(peer.ID) || !told.Voter || !told.Accepted || told.RefusesWrites || passed[peer.ID] {
 			continue
 		}
-		if !found || fitter(told.Marks, told.Reach, peer.ID, leadership.reports[best.ID].Marks, leadership.reports[best.ID].Reach, best.ID) {
+		if !found || fitter(told.Versions, told.Reachable, peer.ID, leadership.reports[best.ID].Versions, leadership.reports[best.ID].Reachable, best.ID) {
 			best, found = peer, true
 		}
 	}
@@ -286,7 +286,7 @@
 }
 
 // fitter is the rule for candidates.
-func fitter(marks wire.Marks, reach, id int, otherMarks wire.Marks, otherReach, otherID int) bool {
+func fitter(marks wire.Versions, reach, id int, otherMarks wire.Versions, otherReach, otherID int) bool {
 	if marks != otherMarks {
 		return otherMarks.Less(marks)
 	}
--- a/control/learner.go
+++ b/control/learner.go
@@ -14,9 +14,9 @@
 // learnMembers takes a membership that is newer than the one known. It need not be
 // decided: who counts by it needs a quorum of it, which meets every quorum of the
 // version before it.
-func (core *Core) learnMembers(accepted wire.Accepted) {
-	membership, mishap := membershipOf(accepted)
-	if mishap != nil {
+func (core *Core) learnMembers(accepted wire.AcceptedValue) {
+	membership, err := membershipOf(accepted)
+	if err != nil {
 		core.counts.Add("memberships_unreadable", 1)
 		return
 	}
@@ -50,10 +50,10 @@
 
 // newerMembers is the membership that this core knows where it is newer than the
 // one at the mark, and nothing otherwise.
-func (core *Core) newerMembers(known wire.Mark) wire.Accepted {
+func (core *Core) newerMembers(known wire.Version) wire.AcceptedValue {
 	view := core.members()
 	if !view.known() || !known.Less(view.Mark) {
-		return wire.Accepted{}
+		return wire.AcceptedValue{}
 	}
 	return view.accepted()
 }
@@ -65,18 +65,18 @@
 func (core *Core) learn() {
 	core.chart.move(Learner)
 	address := core.enlistsAt()
-	message := &wire.Enlist{Address: core.place.Wire, Opening: core.opening(), Known: core.members().Mark}
-	told, fault := wire.Ask[wire.Enlist, wire.EnlistTold](core.line, address, "enlist", core.roundLimit(), message)
-	if fault != nil {
+	message := &wire.JoinRequest{Address: core.place.Wire, SinceBootstrap: core.opening(), Known: core.members().Mark}
+	told, err := wire.Call[wire.JoinRequest, wire.JoinResponse](core.line, address, "enlist", core.roundLimit(), message)
+	if err != nil {
 		core.mutex.Lock()
 		core.asked++
 		core.mutex.Unlock()
 		core.threads.Rest(core.place.Beat)
 		return
 	}
-	core.learnMembers(told.Members)
+	core.learnMembers(told.Membership)
 	if core.mayBeginEmpty(told) {
-		core.beginEmpty(told.Ballot)
+		core.beginEmpty(told.Term)
 	}
 	core.mutex.Lock()
 	if told.Leader.Known() {
@@ -113,7 +113,7 @@
 }
 
 // mayBeginEmpty is whether an answer lets this core's blank disk begin as a replica.
-func (core *Core) mayBeginEmpty(told *wire.EnlistTold) bool {
+func (core *Core) mayBeginEmpty(told *wire.JoinResponse) bool {
 	return told.Admitted && core.voter.Blank() && !core.members().votes()
 }
 
@@ -122,14 +122,14 @@
 // the membership then did not count this core. An earlier one may have, and its disk
 // was lost since, so the replica must refuse whoever counts by an earlier one. It
 // waits for the membership that the admitting leader wrote under its ballot.
-func (core *Core) beginEmpty(ballot wire.Ballot) {
+func (core *Core) beginEmpty(ballot wire.Term) {
 	view := core.members()
-	if view.votes() || view.Mark.Ballot != ballot {
+	if view.votes() || view.Mark.Term != ballot {
 		return
 	}
-	accepted := [wire.Registers]wire.Accepted{}
+	accepted := [wire.Registers]wire.AcceptedValue{}
 	accepted[wire.MembersRegister] = view.accepted()
-	if mishap := core.voter.Found(ballot, accepted, nil); mishap != nil {
+	if err := core.voter.Found(ballot, accepted, nil); err != nil {
 		return
 	}
 	core.counts.Add("learners_begun", 1)
--- a/control/membership.go
+++ b/control/membership.go
@@ -16,7 +16,7 @@
 // majority of both. So any quorum of a version meets any quorum of the version
 // before it, and a leadership under an older version can't decide unnoticed.
 type Membership struct {
-	Mark   wire.Mark
+	Mark   wire.Version
 	Voters []Peer
 	Next   []Peer
 	LastID int
@@ -38,7 +38,7 @@
 
 // givenMembership is the first version, made of peers that were named.
 func givenMembership(peers []Peer) *Membership {
-	membership := &Membership{Mark: wire.Mark{Serial: firstSerial}, Voters: slices.Clone(peers)}
+	membership := &Membership{Mark: wire.Version{Serial: firstSerial}, Voters: slices.Clone(peers)}
 	slices.SortFunc(membership.Voters, comparePeers)
 	for _, peer := range peers {
 		membership.LastID = max(membership.LastID, peer.ID)
@@ -48,32 +48,32 @@
 
 // membershipOf reads an accepted value of the membership register; a value of
 // serial 0 stands for no membership and gives nil.
-func membershipOf(accepted wire.Accepted) (*Membership, error) {
+func membershipOf(accepted wire.AcceptedValue) (*Membership, error) {
 	if accepted.Value.Serial == 0 {
 		return nil, nil
 	}
-	var voters wire.Voters
-	if fault := wire.Unpack(accepted.Value.Body, &voters); fault != nil {
-		return nil, wire.AsMishap(fault)
+	var voters wire.VoterSet
+	if err := wire.Unmarshal(accepted.Value.Body, &voters); err != nil {
+		return nil, wire.AsError(err)
 	}
-	if mishap := voters.Check(); mishap != nil {
-		return nil, mishap
+	if err := voters.Check(); err != nil {
+		return nil, err
 	}
-	return &Membership{Mark: accepted.Mark(), Voters: voters.Current, Next: voters.Next, LastID: voters.LastID}, nil
+	return &Membership{Mark: accepted.Version(), Voters: voters.Current, Next: voters.Next, LastID: voters.LastID}, nil
 }
 
 // accepted is the membership as the register's value under its mark.
-func (membership *Membership) accepted() wire.Accepted {
+func (membership *Membership) accepted() wire.AcceptedValue {
 	if membership == nil {
-		return wire.Accepted{}
+		return wire.AcceptedValue{}
 	}
-	body, _ := wire.Pack(membership.voters())
-	return wire.Accepted{Ballot: membership.Mark.Ballot, Value: wire.Value{Serial: membership.Mark.Serial, Body: body}}
+	body, _ := wire.Marshal(membership.voters())
+	return wire.AcceptedValue{Term: membership.Mark.Term, Value: wire.Value{Serial: membership.Mark.Serial, Body: body}}
 }
 
 // voters is the membership as the register's content.
-func (membership *Membership) voters() *wire.Voters {
-	return &wire.Voters{Current: membership.Voters, Next: membership.Next, LastID: membership.LastID}
+func (membership *Membership) voters() *wire.VoterSet {
+	return &wire.VoterSet{Current: membership.Voters, Next: membership.Next, LastID: membership.LastID}
 }
 
 func comparePeers(left, right Peer) int { return left.ID - right.ID }
@@ -215,7 +215,7 @@
 	return max(slices.IndexFunc(view.Voters, func(peer Peer) bool { return peer.ID == view.ID }), 0)
 }
 
-func (view *View) leader(ballot wire.Ballot) wire.Leader {
+func (view *View) leader(ballot wire.Term) wire.Leader {
 	return wire.Leader{Ballot: ballot, Core: view.ID, Address: view.Wire}
 }
 
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -91,23 +91,23 @@
 
 // One field of a membership's message changed at a time: what can't be one is refused.
 func TestMembershipIsCheckedByField(test *testing.T) {
-	good := wire.Voters{Current: []Peer{{ID: 1, Address: "10.0.0.1:41"}, {ID: 2, Address: "10.0.0.2:41"}}, LastID: 2}
-	read := func(voters wire.Voters) error {
-		body, _ := wire.Pack(&voters)
-		_, mishap := membershipOf(wire.Accepted{Value: wire.Value{Serial: 1, Body: body}})
-		return mishap
+	good := wire.VoterSet{Current: []Peer{{ID: 1, Address: "10.0.0.1:41"}, {ID: 2, Address: "10.0.0.2:41"}}, LastID: 2}
+	read := func(voters wire.VoterSet) error {
+		body, _ := wire.Marshal(&voters)
+		_, err := membershipOf(wire.AcceptedValue{Value: wire.Value{Serial: 1, Body: body}})
+		return err
 	}
-	if mishap := read(good); mishap != nil {
-		test.Fatal(mishap)
+	if err := read(good); err != nil {
+		test.Fatal(err)
 	}
-	for name, change := range map[string]func(voters *wire.Voters){
-		"no voters":      func(voters *wire.Voters) { voters.Current = nil },
-		"ID 0":           func(voters *wire.Voters) { voters.Current = []Peer{{ID: 0, Address: "10.0.0.1:41"}} },
-		"ID above last":  func(voters *wire.Voters) { voters.LastID = 1 },
-		"ID twice":       func(voters *wire.Voters) { voters.Current = []Peer{good.Current[0], good.Current[0]} },
-		"no address":     func(voters *wire.Voters) { voters.Current = []Peer{{ID: 1, Address: "core-1"}} },
-		"next ID twice":  func(voters *wire.Voters) { voters.Next = []Peer{good.Current[1], good.Current[1]} },
-		"next above all": func(voters *wire.Voters) { voters.Next = []Peer{{ID: 3, Address: "10.0.0.3:41"}} },
+	for name, change := range map[string]func(voters *wire.VoterSet){
+		"no voters":      func(voters *wire.VoterSet) { voters.Current = nil },
+		"ID 0":           func(voters *wire.VoterSet) { voters.Current = []Peer{{ID: 0, Address: "10.0.0.1:41"}} },
+		"ID above last":  func(voters *wire.VoterSet) { voters.LastID = 1 },
+		"ID twice":       func(voters *wire.VoterSet) { voters.Current = []Peer{good.Current[0], good.Current[0]} },
+		"no address":     func(voters *wire.VoterSet) { voters.Current = []Peer{{ID: 1, Address: "core-1"}} },
+		"next ID twice":  func(voters *wire.VoterSet) { voters.Next = []Peer{good.Current[1], good.Current[1]} },
+		"next above all": func(voters *wire.VoterSet) { voters.Next = []Peer{{ID: 3, Address: "10.0.0.3:41"}} },
 	} {
 		changed := good
 		change(&changed)
@@ -115,11 +115,11 @@
 			test.Errorf("%s is taken", name)
 		}
 	}
-	if _, mishap := membershipOf(wire.Accepted{Value: wire.Value{Serial: 1, Body: []byte{0xc1}}}); mishap == nil {
+	if _, err := membershipOf(wire.AcceptedValue{Value: wire.Value{Serial: 1, Body: []byte{0xc1}}}); err == nil {
 		test.Error("bytes that are no membership are taken")
 	}
-	if membership, mishap := membershipOf(wire.Accepted{}); membership != nil || mishap != nil {
-		test.Errorf("no value: %v, %v", membership, mishap)
+	if membership, err := membershipOf(wire.AcceptedValue{}); membership != nil || err != nil {
+		test.Errorf("no value: %v, %v", membership, err)
 	}
 }
 
@@ -127,10 +127,10 @@
 // as another core; a membership survives being written and read.
 func TestViewOfMembership(test *testing.T) {
 	step := foundedBy(3).replaced(1, "10.9.0.1:41")
-	step.Mark.Ballot = wire.Ballot{Round: 4, Core: 2}
-	read, mishap := membershipOf(step.accepted())
-	if mishap != nil || !viewOf("", read).same(viewOf("", step)) || read.Mark != step.Mark {
-		test.Fatalf("%v: %+v", mishap, read)
+	step.Mark.Term = wire.Term{Number: 4, Core: 2}
+	read, err := membershipOf(step.accepted())
+	if err != nil || !viewOf("", read).same(viewOf("", step)) || read.Mark != step.Mark {
+		test.Fatalf("%v: %+v", err, read)
 	}
 	outside := viewOf("10.8.0.1:41", step)
 	if outside.votes() || len(outside.Peers) != 4 || outside.decides(func(int) bool { return true }) {
--- a/control/memberstatus.go
+++ b/control/memberstatus.go
@@ -11,7 +11,7 @@
 // seen and who waits for a place.
 func (core *Core) membershipStatus(leadership *Leadership) wire.MembershipStatus {
 	view := core.members()
-	status := wire.MembershipStatus{Version: view.Mark.Serial, Ballot: view.Mark.Ballot, Learners: []wire.LearnerStatus{}}
+	status := wire.MembershipStatus{Version: view.Mark.Serial, Term: view.Mark.Term, Learners: []wire.LearnerStatus{}}
 	status.Voters = core.voterStatus(leadership, view.Voters)
 	if view.changing() {
 		status.Next = core.voterStatus(leadership, view.Next)
@@ -31,7 +31,7 @@
 			status.Seen = true
 		case leadership != nil:
 			silent, leaving := leadership.succession.silence(peer.ID, leadership.since)
-			status.Silent, status.Seen, status.Leaving = silent.Milliseconds(), silent < core.place.Suspect, leaving
+			status.SilentMs, status.Seen, status.Leaving = silent.Milliseconds(), silent < core.place.Suspect, leaving
 		}
 		all = append(all, status)
 	}
@@ -61,11 +61,11 @@
 		if held == nil {
 			continue
 		}
-		status := wire.LearnerStatus{Address: peer.Address, Silent: time.Since(held.asked).Milliseconds()}
+		status := wire.LearnerStatus{Address: peer.Address, SilentMs: time.Since(held.asked).Milliseconds()}
 		if held.report != nil {
-			status.Silent = time.Since(held.answered).Milliseconds()
+			status.SilentMs = time.Since(held.answered).Milliseconds()
 			status.Seen = time.Since(held.answered) < suspect
-			status.Synced = held.report.Taken && held.report.Voter && leadership.near(held.report.Marks)
+			status.Synced = held.report.Accepted && held.report.Voter && leadership.near(held.report.Versions)
 		}
 		all = append(all, status)
 	}
--- a/control/metering.go
+++ b/control/metering.go
@@ -68,8 +68,8 @@
 func meterBookOf(value wire.Value) (*meterBook, error) {
 	book := &meterBook{}
 	if len(value.Body) > 0 {
-		if fault := wire.Unpack(value.Body, book); fault != nil {
-			return nil, wire.AsMishap(fault)
+		if err := wire.Unmarshal(value.Body, book); err != nil {
+			return nil, wire.AsError(err)
 		}
 	}
 	return book, nil
@@ -82,9 +82,9 @@
 	spoke    map[string]int64
 	ended    map[string]bool
 	reported map[int64]bool
-	fenced   wire.Ballot
+	fenced   wire.Term
 	begun    time.Time
-	holding  wire.Ballot
+	holding  wire.Term
 	held     time.Time
 	names    map[string]string
 	process  uint64
@@ -98,10 +98,10 @@
 	incarnation := session.Member.Incarnation
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
-	if session.Upon == 0 || session.Upon == meter.process {
+	if session.BaseProcess == 0 || session.BaseProcess == meter.process {
 		meter.spoke[incarnation] = max(meter.spoke[incarnation], session.NowMs)
 	}
-	meter.ended[incarnation] = meter.ended[incarnation] || session.Gone
+	meter.ended[incarnation] = meter.ended[incarnation] || session.Ended
 	if former := meter.names[session.Member.Name]; former != "" && former != incarnation {
 		meter.ended[former] = true
 	}
@@ -128,7 +128,7 @@
 func (meter *Meter) of(session *wire.Session) ([]wire.WindowCount, bool) {
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
-	if session.Upon != 0 && session.Upon != meter.process {
+	if session.BaseProcess != 0 && session.BaseProcess != meter.process {
 		return nil, false
 	}
 	all := []wire.WindowCount{}
@@ -213,8 +213,8 @@
 
 // metered is the leader's book, nil where there is none to work on.
 func (core *Core) metered() (*Leadership, *meterBook) {
-	leadership, mishap := core.leading()
-	if mishap != nil || leadership.holds() != nil {
+	leadership, err := core.leading()
+	if err != nil || leadership.holds() != nil {
 		return nil, nil
 	}
 	core.meter.mutex.Lock()
@@ -223,8 +223,8 @@
 	if fenced || leadership.value(wire.RoutingRegister).Serial == 0 {
 		return nil, nil
 	}
-	book, mishap := meterBookOf(leadership.value(wire.ReportsRegister))
-	if mishap != nil {
+	book, err := meterBookOf(leadership.value(wire.ReportsRegister))
+	if err != nil {
 		core.counts.Add("meter_book_unreadable", 1)
 		return nil, nil
 	}
@@ -276,23 +276,23 @@
 	if len(sealed) == 0 && book.Next > 0 {
 		return
 	}
-	_, mishap := leadership.write(wire.ReportsRegister, func(current wire.Value) (*wire.Value, wire.Texts, error) {
-		held, mishap := meterBookOf(current)
-		if mishap != nil || held.Next != book.Next {
-			return nil, nil, mishap
+	_, err := leadership.write(wire.ReportsRegister, func(current wire.Value) (*wire.Value, wire.Chunks, error) {
+		held, err := meterBookOf(current)
+		if err != nil || held.Next != book.Next {
+			return nil, nil, err
 		}
 		held.Next, held.Sealed = next, append(held.Sealed, sealed...)
 		held.Sealed = held.Sealed[max(len(held.Sealed)-meterBooked, 0):]
 		for index := range held.Sealed {
 			held.Sealed[index].Reported = held.Sealed[index].Reported || core.meter.sent(held.Sealed[index].Window)
 		}
-		body, fault := wire.Pack(held)
-		if fault != nil {
-			return nil, nil, wire.AsMishap(fault)
+		body, err := wire.Marshal(held)
+		if err != nil {
+			return nil, nil, wire.AsError(err)
 		}
 		return &wire.Value{Serial: current.Serial + 1, Body: body}, nil, nil
 	}, func() {})
-	if mishap != nil {
+	if err != nil {
 		core.counts.Add("windows_not_sealed", 1)
 		return
 	}
@@ -354,4 +354,4 @@
 }
 
 // fence is a number that rises with each leadership and that no two share.
-func fence(ballot wire.Ballot) uint64 { return ballot.Round*(wire.PeerMost+1) + uint64(ballot.Core) }
+func fence(ballot wire.Term) uint64 { return ballot.Number*(wire.MaxPeerID+1) + uint64(ballot.Core) }
--- a/control/model_actions_test.go
+++ b/control/model_actions_test.go
@@ -259,7 +259,7 @@
 		return
 	}
 	world.flight = world.flight[:before]
-	if message, offered := packet.message.(*wire.Accept); offered && machine.holds(message) {
+	if message, offered := packet.message.(*wire.AcceptRequest); offered && machine.holds(message) {
 		world.ledger.accepted(machine.index, message)
 	}
 }
@@ -288,20 +288,20 @@
 
 func modelBrief(message any) string {
 	switch message := message.(type) {
-	case *wire.Promise:
-		return fmt.Sprintf(" ballot %s by membership %v", message.Ballot, message.Members.Mark())
-	case *wire.PromiseTold:
+	case *wire.PrepareRequest:
+		return fmt.Sprintf(" ballot %s by membership %v", message.Term, message.Membership.Version())
+	case *wire.PrepareResponse:
 		return fmt.Sprintf(" granted %v promised %s", message.Granted, message.Promised)
-	case *wire.Accept:
-		return fmt.Sprintf(" register %d under %s serial %d", message.Register, message.Ballot, message.Value.Serial)
-	case *wire.AcceptTold:
-		return fmt.Sprintf(" taken %v", message.Taken)
-	case *wire.EnlistTold:
-		return fmt.Sprintf(" admitted %v under %s", message.Admitted, message.Ballot)
-	case *wire.Beat:
-		return fmt.Sprintf(" under %s", message.Ballot)
-	case *wire.BeatTold:
-		return fmt.Sprintf(" taken %v voter %v", message.Taken, message.Voter)
+	case *wire.AcceptRequest:
+		return fmt.Sprintf(" register %d under %s serial %d", message.Register, message.Term, message.Value.Serial)
+	case *wire.AcceptResponse:
+		return fmt.Sprintf(" taken %v", message.Accepted)
+	case *wire.JoinResponse:
+		return fmt.Sprintf(" admitted %v under %s", message.Admitted, message.Term)
+	case *wire.HeartbeatRequest:
+		return fmt.Sprintf(" under %s", message.Term)
+	case *wire.HeartbeatResponse:
+		return fmt.Sprintf(" taken %v voter %v", message.Accepted, message.Voter)
 	}
 	return ""
 }
--- a/control/model_digest_test.go
+++ b/control/model_digest_test.go
@@ -34,12 +34,12 @@
 	}
 }
 
-func (digest *modelDigest) ballot(ballot wire.Ballot) {
-	digest.numbers(int(ballot.Round), ballot.Core)
+func (digest *modelDigest) ballot(ballot wire.Term) {
+	digest.numbers(int(ballot.Number), ballot.Core)
 }
 
-func (digest *modelDigest) mark(mark wire.Mark) {
-	digest.ballot(mark.Ballot)
+func (digest *modelDigest) mark(mark wire.Version) {
+	digest.ballot(mark.Term)
 	digest.numbers(int(mark.Serial))
 }
 
@@ -48,9 +48,9 @@
 	digest.text(string(value.Body))
 }
 
-func (digest *modelDigest) accepted(all [wire.Registers]wire.Accepted) {
+func (digest *modelDigest) accepted(all [wire.Registers]wire.AcceptedValue) {
 	for _, accepted := range all {
-		digest.ballot(accepted.Ballot)
+		digest.ballot(accepted.Term)
 		digest.value(accepted.Value)
 	}
 }
@@ -70,9 +70,9 @@
 }
 
 func (digest *modelDigest) message(message any) {
-	packed, fault := wire.Pack(message)
-	if fault != nil {
-		panic(fault)
+	packed, err := wire.Marshal(message)
+	if err != nil {
+		panic(err)
 	}
 	digest.text(string(packed))
 }
@@ -104,7 +104,7 @@
 		digest := modelDigest{}
 		digest.numbers(packet.from, packet.to, packet.life, packet.call, packet.as, int(packet.register))
 		digest.flag(packet.answers, packet.amnesiac)
-		if told, beats := packet.message.(*wire.BeatTold); beats {
+		if told, beats := packet.message.(*wire.HeartbeatResponse); beats {
 			untimed := *told
 			untimed.NowMs, untimed.AnchorMs = 0, 0
 			digest.message(&untimed)
@@ -133,9 +133,9 @@
 
 // modelLasting is what a stopped machine's disk holds, read by the real store.
 func modelLasting(disk *modelDisk) *State {
-	store, mishap := OpenStore(disk.clone())
-	if mishap != nil {
-		panic(mishap)
+	store, err := OpenStore(disk.clone())
+	if err != nil {
+		panic(err)
 	}
 	return &store.state
 }
@@ -210,7 +210,7 @@
 	}
 }
 
-func compareBallots(left, right wire.Ballot) int {
+func compareBallots(left, right wire.Term) int {
 	if left.Less(right) {
 		return -1
 	}
--- a/control/model_ledger_test.go
+++ b/control/model_ledger_test.go
@@ -34,7 +34,7 @@
 // modelProposal is one value of a register under one ballot, and which machines
 // accepted it. Its groups are those of all memberships that it was counted by.
 type modelProposal struct {
-	ballot    wire.Ballot
+	ballot    wire.Term
 	register  wire.Register
 	value     wire.Value
 	versions  []*View
@@ -50,13 +50,13 @@
 	// mark of each order that led to it, so later values begin with earlier ones.
 	history [wire.Registers]string
 	// under is the lowest ballot that the end of the history was decided under.
-	under [wire.Registers]wire.Ballot
+	under [wire.Registers]wire.Term
 	// acknowledged is what a leader counted as decided.
 	acknowledged [wire.Registers]string
 	version      *Membership
 	versions     []*Membership
 	given        map[int]string
-	leaders      map[wire.Ballot]int
+	leaders      map[wire.Term]int
 	broken       *modelViolation
 	// outcomesOnly leaves out the invariants on single answers, so that a seeded bug
 	// has to show in what the system does.
@@ -64,7 +64,7 @@
 }
 
 func newModelLedger(first *Membership) *modelLedger {
-	ledger := &modelLedger{version: first, versions: []*Membership{first}, given: map[int]string{}, leaders: map[wire.Ballot]int{}}
+	ledger := &modelLedger{version: first, versions: []*Membership{first}, given: map[int]string{}, leaders: map[wire.Term]int{}}
 	for _, peer := range first.Voters {
 		ledger.given[peer.ID] = peer.Address
 	}
@@ -82,7 +82,7 @@
 	ledger.broken = &modelViolation{invariant: invariant, detail: fmt.Sprintf(format, values...)}
 }
 
-func (ledger *modelLedger) find(ballot wire.Ballot, register wire.Register, serial uint64) *modelProposal {
+func (ledger *modelLedger) find(ballot wire.Term, register wire.Register, serial uint64) *modelProposal {
 	for index := len(ledger.proposals) - 1; index >= 0; index-- {
 		proposal := &ledger.proposals[index]
 		if proposal.ballot == ballot && proposal.register == register && proposal.value.Serial == serial {
@@ -93,7 +93,7 @@
 }
 
 // proposed notes that a leader sends a value and counts its acceptors by a membership.
-func (ledger *modelLedger) proposed(ballot wire.Ballot, register wire.Register, value wire.Value, view *View) {
+func (ledger *modelLedger) proposed(ballot wire.Term, register wire.Register, value wire.Value, view *View) {
 	proposal := ledger.find(ballot, register, value.Serial)
 	if proposal == nil {
 		ledger.proposals = append(ledger.proposals, modelProposal{ballot: ballot, register: register, value: value})
@@ -119,8 +119,8 @@
 }
 
 // accepted notes that a machine accepted a value, synced.
-func (ledger *modelLedger) accepted(machine int, message *wire.Accept) {
-	if proposal := ledger.find(message.Ballot, message.Register, message.Value.Serial); proposal != nil {
+func (ledger *modelLedger) accepted(machine int, message *wire.AcceptRequest) {
+	if proposal := ledger.find(message.Term, message.Register, message.Value.Serial); proposal != nil {
 		proposal.acceptors = proposal.acceptors.with(machine)
 		ledger.judge(proposal)
 	}
@@ -188,9 +188,9 @@
 }
 
 func (ledger *modelLedger) decidedMembers(proposal *modelProposal) {
-	next, mishap := membershipOf(wire.Accepted{Ballot: proposal.ballot, Value: proposal.value})
-	if mishap != nil || next == nil {
-		ledger.violated(oneVoterPerStep, "no membership is decided: %v", mishap)
+	next, err := membershipOf(wire.AcceptedValue{Term: proposal.ballot, Value: proposal.value})
+	if err != nil || next == nil {
+		ledger.violated(oneVoterPerStep, "no membership is decided: %v", err)
 		return
 	}
 	now := ledger.version
--- a/control/model_machine_test.go
+++ b/control/model_machine_test.go
@@ -49,15 +49,15 @@
 type modelSurvey struct {
 	call int
 	view *View
-	told map[int]*wire.RestoreTold
+	told map[int]*wire.ReplicaStateResponse
 }
 
 // modelCandidacy is a ballot that is being pushed.
 type modelCandidacy struct {
 	call     int
 	view     *View
-	ballot   wire.Ballot
-	promises map[int]*wire.PromiseTold
+	ballot   wire.Term
+	promises map[int]*wire.PrepareResponse
 	restores bool
 }
 
@@ -77,7 +77,7 @@
 	call    int
 	purpose modelPurpose
 	view    *View
-	ballot  wire.Ballot
+	ballot  wire.Term
 	values  map[wire.Register]wire.Value
 	took    map[wire.Register]modelIDs
 	learner string
@@ -121,24 +121,24 @@
 	core.voter.learns = core.learnMembers
 	core.chart = &Chart{now: Following, counts: core.counts}
 	core.known.Store(core.place.view(core.voter.State().Voters()))
-	core.round = core.voter.State().Promised.Round
+	core.round = core.voter.State().Promised.Number
 	return core
 }
 
 // start runs a process on the disk as it is.
 func (machine *modelMachine) start() {
-	store, mishap := OpenStore(machine.disk)
-	if mishap != nil {
-		panic(mishap)
+	store, err := OpenStore(machine.disk)
+	if err != nil {
+		panic(err)
 	}
 	machine.lives++
 	machine.process = &modelProcess{core: newModelCore(machine.address, store), life: machine.lives}
 }
 
 // holds is whether the disk of a stopped machine has accepted what was offered.
-func (machine *modelMachine) holds(message *wire.Accept) bool {
-	offered := wire.Mark{Ballot: message.Ballot, Serial: message.Value.Serial}
-	return modelLasting(machine.disk).Accepted[message.Register].Mark() == offered
+func (machine *modelMachine) holds(message *wire.AcceptRequest) bool {
+	offered := wire.Version{Term: message.Term, Serial: message.Value.Serial}
+	return modelLasting(machine.disk).Accepted[message.Register].Version() == offered
 }
 
 // wipe replaces the disk by an empty one.
--- a/control/model_mutants_test.go
+++ b/control/model_mutants_test.go
@@ -43,11 +43,11 @@
 }
 
 // modelOldest takes over the oldest values in place of the newest.
-func modelOldest(view *View, promises map[int]*wire.PromiseTold) (oldest [wire.Registers]wire.Accepted, from [wire.Registers]int) {
+func modelOldest(view *View, promises map[int]*wire.PrepareResponse) (oldest [wire.Registers]wire.AcceptedValue, from [wire.Registers]int) {
 	oldest, from = takenOver(view, promises)
 	for id, promise := range promises {
 		for register := range wire.MembersRegister {
-			if promise.Accepted[register].Mark().Less(oldest[register].Mark()) {
+			if promise.Accepted[register].Version().Less(oldest[register].Version()) {
 				oldest[register], from[register] = promise.Accepted[register], id
 			}
 		}
@@ -82,9 +82,9 @@
 		}},
 	{name: "nobody refuses an older membership", form: modelThree, breaks: []string{acknowledgedIsKept, oneVoterPerStep, quorumsMeet},
 		mutate: func(rules *modelRules) {
-			rules.askedMembers = func(view *View) wire.Accepted {
+			rules.askedMembers = func(view *View) wire.AcceptedValue {
 				asked := view.accepted()
-				asked.Ballot.Round = math.MaxUint32
+				asked.Term.Number = math.MaxUint32
 				return asked
 			}
 		}},
@@ -111,7 +111,7 @@
 		}},
 	{name: "ballots without the core's ID", form: modelThree, breaks: []string{oneLeaderPerBallot, oneValuePerSerial, acknowledgedIsKept},
 		mutate: func(rules *modelRules) {
-			rules.nextBallot = func(core *Core, view *View) wire.Ballot {
+			rules.nextBallot = func(core *Core, view *View) wire.Term {
 				ballot, _ := core.nextBallot(view)
 				ballot.Core = 1
 				return ballot
@@ -128,14 +128,14 @@
 	{name: "a blank voter fences one other voter less", form: modelWiped, breaks: []string{acknowledgedIsKept},
 		mutate: func(rules *modelRules) {
 			rules.fencesWithout = modelFenceTooFew
-			rules.mayRestore = func(core *Core, view *View, told map[int]*wire.RestoreTold) bool {
-				return view.mayLead(view.ID) && modelFenceTooFew(view, view.ID, agreed(told, func(answer *wire.RestoreTold) bool { return answer.Founded }))
+			rules.mayRestore = func(core *Core, view *View, told map[int]*wire.ReplicaStateResponse) bool {
+				return view.mayLead(view.ID) && modelFenceTooFew(view, view.ID, agreed(told, func(answer *wire.ReplicaStateResponse) bool { return answer.Initialized }))
 			}
 		}},
 	{name: "a restored voter has promised nothing", near: 4770, form: modelWiped, breaks: []string{acknowledgedIsKept, oneValuePerSerial, servedIsDecided},
 		mutate: func(rules *modelRules) {
-			rules.found = func(voter *Voter, _ wire.Ballot, _ [wire.Registers]wire.Accepted) error {
-				return voter.Found(wire.Ballot{}, [wire.Registers]wire.Accepted{}, nil)
+			rules.found = func(voter *Voter, _ wire.Term, _ [wire.Registers]wire.AcceptedValue) error {
+				return voter.Found(wire.Term{}, [wire.Registers]wire.AcceptedValue{}, nil)
 			}
 		}},
 	{name: "a restored voter keeps copies as votes of former ballots", near: 800, form: modelWiped, breaks: []string{acknowledgedIsKept, servedIsDecided},
@@ -143,19 +143,19 @@
 	{name: "a voter is admitted as a learner", near: 1800, form: modelWiped, breaks: []string{acknowledgedIsKept, servedIsDecided},
 		mutate: func(rules *modelRules) {
 			rules.admits = func(*View, string) bool { return true }
-			rules.mayBeginEmpty = func(core *Core, told *wire.EnlistTold) bool { return told.Admitted && core.voter.Blank() }
+			rules.mayBeginEmpty = func(core *Core, told *wire.JoinResponse) bool { return told.Admitted && core.voter.Blank() }
 			rules.beginEmpty = modelBeginEmpty
 		}},
 	{name: "a learner is admitted unconfirmed", form: modelStale, breaks: []string{acknowledgedIsKept, onlyVotersCount}, detailed: true,
 		mutate: func(rules *modelRules) { rules.confirms = false }},
 	{name: "a learner forgets who votes", near: 660, form: modelEmptied, breaks: []string{acknowledgedIsKept, quorumsMeet, onlyVotersCount}, detailed: true,
 		mutate: func(rules *modelRules) {
-			rules.beginEmpty = func(core *Core, ballot wire.Ballot) {
+			rules.beginEmpty = func(core *Core, ballot wire.Term) {
 				modelBeginEmpty(core, ballot)
 			}
 		}},
 	{name: "a leader counts by what it heard", near: 650, form: modelStray, breaks: []string{oneVoterPerStep, servedIsDecided, acknowledgedIsKept, quorumsMeet},
-		mutate: func(rules *modelRules) { rules.leadsBy = func(*Core, *View, wire.Ballot) error { return nil } }},
+		mutate: func(rules *modelRules) { rules.leadsBy = func(*Core, *View, wire.Term) error { return nil } }},
 	{name: "a step ends without catching up or rewriting", near: 220, form: modelThree, breaks: []string{acknowledgedIsKept},
 		mutate: func(rules *modelRules) { rules.catchesUp, rules.rewrites = false, false }},
 }
@@ -165,7 +165,7 @@
 }
 
 // modelFoundAsVotes takes over copies as if this replica had accepted them.
-func modelFoundAsVotes(voter *Voter, ballot wire.Ballot, accepted [wire.Registers]wire.Accepted) error {
+func modelFoundAsVotes(voter *Voter, ballot wire.Term, accepted [wire.Registers]wire.AcceptedValue) error {
 	step := record{Founded: true, Promised: &ballot}
 	for register := range accepted {
 		if accepted[register].Value.Serial > 0 {
@@ -176,8 +176,8 @@
 }
 
 // modelBeginEmpty begins without a look at the membership.
-func modelBeginEmpty(core *Core, ballot wire.Ballot) {
-	modelMust(core.voter.Found(ballot, [wire.Registers]wire.Accepted{}, nil))
+func modelBeginEmpty(core *Core, ballot wire.Term) {
+	modelMust(core.voter.Found(ballot, [wire.Registers]wire.AcceptedValue{}, nil))
 }
 
 // modelMutantWalks bound the search for one mutant.
--- a/control/model_rules_test.go
+++ b/control/model_rules_test.go
@@ -9,20 +9,20 @@
 type modelRules struct {
 	decides       func(view *View, has func(id int) bool) bool
 	pushed        func(view *View, took func(id int) bool) bool
-	mayRestore    func(core *Core, view *View, told map[int]*wire.RestoreTold) bool
+	mayRestore    func(core *Core, view *View, told map[int]*wire.ReplicaStateResponse) bool
 	fencesWithout func(view *View, lost int, has func(id int) bool) bool
-	askedMembers  func(view *View) wire.Accepted
-	takenOver     func(view *View, promises map[int]*wire.PromiseTold) ([wire.Registers]wire.Accepted, [wire.Registers]int)
-	found         func(voter *Voter, ballot wire.Ballot, accepted [wire.Registers]wire.Accepted) error
+	askedMembers  func(view *View) wire.AcceptedValue
+	takenOver     func(view *View, promises map[int]*wire.PrepareResponse) ([wire.Registers]wire.AcceptedValue, [wire.Registers]int)
+	found         func(voter *Voter, ballot wire.Term, accepted [wire.Registers]wire.AcceptedValue) error
 	mayLead       func(view *View, id int) bool
-	nextBallot    func(core *Core, view *View) wire.Ballot
+	nextBallot    func(core *Core, view *View) wire.Term
 	admits        func(view *View, address string) bool
-	mayBeginEmpty func(core *Core, told *wire.EnlistTold) bool
-	beginEmpty    func(core *Core, ballot wire.Ballot)
+	mayBeginEmpty func(core *Core, told *wire.JoinResponse) bool
+	beginEmpty    func(core *Core, ballot wire.Term)
 	replaced      func(view *View, leaving int, address string) *Membership
 	settled       func(view *View) *Membership
-	countsBy      func(core *Core, next *Membership, ballot wire.Ballot) (*View, error)
-	leadsBy       func(core *Core, view *View, ballot wire.Ballot) error
+	countsBy      func(core *Core, next *Membership, ballot wire.Term) (*View, error)
+	leadsBy       func(core *Core, view *View, ballot wire.Term) error
 
 	confirms       bool
 	catchesUp      bool
@@ -41,13 +41,13 @@
 		},
 		mayRestore:    (*Core).mayRestore,
 		fencesWithout: func(view *View, lost int, has func(id int) bool) bool { return view.fencesWithout(lost, has) },
-		askedMembers:  func(view *View) wire.Accepted { return view.accepted() },
+		askedMembers:  func(view *View) wire.AcceptedValue { return view.accepted() },
 		takenOver:     takenOver,
-		found: func(voter *Voter, ballot wire.Ballot, accepted [wire.Registers]wire.Accepted) error {
+		found: func(voter *Voter, ballot wire.Term, accepted [wire.Registers]wire.AcceptedValue) error {
 			return voter.Found(ballot, accepted, nil)
 		},
 		mayLead: func(view *View, id int) bool { return view.mayLead(id) },
-		nextBallot: func(core *Core, view *View) wire.Ballot {
+		nextBallot: func(core *Core, view *View) wire.Term {
 			ballot, _ := core.nextBallot(view)
 			return ballot
 		},
--- a/control/model_steps_test.go
+++ b/control/model_steps_test.go
@@ -13,15 +13,15 @@
 	process := machine.process
 	core, view := process.core, process.core.members()
 	ballot := world.rules.nextBallot(core, view)
-	message := &wire.Promise{Ballot: ballot, Members: world.rules.askedMembers(view)}
-	own, mishap := core.voter.Promise(message)
-	if mishap != nil || !own.Granted {
-		if mishap == nil {
-			core.sawRound(own.Promised.Round)
+	message := &wire.PrepareRequest{Term: ballot, Membership: world.rules.askedMembers(view)}
+	own, err := core.voter.Promise(message)
+	if err != nil || !own.Granted {
+		if err == nil {
+			core.sawRound(own.Promised.Number)
 		}
 		return
 	}
-	process.candidacy = &modelCandidacy{call: process.nextCall(), view: view, ballot: ballot, promises: map[int]*wire.PromiseTold{view.ID: own}}
+	process.candidacy = &modelCandidacy{call: process.nextCall(), view: view, ballot: ballot, promises: map[int]*wire.PrepareResponse{view.ID: own}}
 	for _, peer := range view.Peers {
 		world.ask(machine, process.candidacy.call, peer, message)
 	}
@@ -32,9 +32,9 @@
 func (world *modelWorld) surveys(machine *modelMachine) {
 	process := machine.process
 	view := process.core.members()
-	process.survey = &modelSurvey{call: process.nextCall(), view: view, told: map[int]*wire.RestoreTold{}}
+	process.survey = &modelSurvey{call: process.nextCall(), view: view, told: map[int]*wire.ReplicaStateResponse{}}
 	for _, peer := range view.Peers {
-		world.ask(machine, process.survey.call, peer, &wire.Restore{Core: max(view.ID, 1), Members: view.Mark})
+		world.ask(machine, process.survey.call, peer, &wire.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Mark})
 	}
 }
 
@@ -42,7 +42,7 @@
 func (world *modelWorld) enlists(machine *modelMachine, at int) {
 	process := machine.process
 	process.enlisting = process.nextCall()
-	message := &wire.Enlist{Address: machine.address, Opening: process.core.opening(), Known: process.core.members().Mark}
+	message := &wire.JoinRequest{Address: machine.address, SinceBootstrap: process.core.opening(), Known: process.core.members().Mark}
 	world.ask(machine, process.enlisting, Peer{Address: world.machines[at].address}, message)
 }
 
@@ -88,8 +88,8 @@
 
 func (world *modelWorld) writesMembers(machine *modelMachine, purpose modelPurpose, next *Membership) {
 	process := machine.process
-	view, mishap := world.rules.countsBy(process.core, next, process.leadership.ballot)
-	if mishap != nil {
+	view, err := world.rules.countsBy(process.core, next, process.leadership.ballot)
+	if err != nil {
 		process.revoke()
 		return
 	}
@@ -100,7 +100,7 @@
 // mends sends a leader's value to a core that seems to lack it; nobody counts that.
 func (world *modelWorld) mends(machine *modelMachine, to int, register wire.Register) {
 	leadership := machine.process.leadership
-	message := &wire.Accept{Ballot: leadership.ballot, Register: register, Value: leadership.value(register)}
+	message := &wire.AcceptRequest{Term: leadership.ballot, Register: register, Value: leadership.value(register)}
 	world.ask(machine, 0, Peer{Address: world.machines[to].address}, message)
 }
 
@@ -135,7 +135,7 @@
 			world.ledger.proposed(push.ballot, register, value, push.view)
 		}
 		for _, peer := range targets {
-			world.ask(machine, push.call, peer, &wire.Accept{Ballot: push.ballot, Register: register, Value: value})
+			world.ask(machine, push.call, peer, &wire.AcceptRequest{Term: push.ballot, Register: register, Value: value})
 		}
 	}
 }
@@ -155,7 +155,7 @@
 			return
 		}
 		machine.forgotten = machine.forgotten.without(candidacy.view.ID)
-		candidacy.promises[candidacy.view.ID] = &wire.PromiseTold{Granted: true, Promised: candidacy.ballot, Accepted: process.core.voter.State().Accepted}
+		candidacy.promises[candidacy.view.ID] = &wire.PrepareResponse{Granted: true, Promised: candidacy.ballot, Accepted: process.core.voter.State().Accepted}
 	}
 	if !world.rules.decides(candidacy.view, has) {
 		return
@@ -180,8 +180,8 @@
 func (world *modelWorld) holdsCopies(machine *modelMachine, push *modelPush) {
 	accepted := machine.process.core.voter.State().Accepted
 	for register, value := range push.values {
-		if accepted[register].Mark() == (wire.Mark{Ballot: push.ballot, Serial: value.Serial}) {
-			world.ledger.accepted(machine.index, &wire.Accept{Ballot: push.ballot, Register: register, Value: value})
+		if accepted[register].Version() == (wire.Version{Term: push.ballot, Serial: value.Serial}) {
+			world.ledger.accepted(machine.index, &wire.AcceptRequest{Term: push.ballot, Register: register, Value: value})
 		}
 	}
 }
@@ -193,16 +193,18 @@
 	own, view := core.voter.State(), core.members()
 	for _, register := range world.bounds.registers {
 		accepted := own.Accepted[register]
-		same := func(told *wire.RestoreTold) bool { return told.Founded && told.Marks[register] == accepted.Mark() }
-		told := map[int]*wire.RestoreTold{}
+		same := func(told *wire.ReplicaStateResponse) bool {
+			return told.Initialized && told.Versions[register] == accepted.Version()
+		}
+		told := map[int]*wire.ReplicaStateResponse{}
 		for _, peer := range view.Peers {
 			other := world.machines[modelIndex(peer.Address)]
 			if other.process == nil || world.cut[machine.index][other.index] || world.cut[other.index][machine.index] {
 				continue
 			}
-			if answer, mishap := other.process.core.onRestore(&wire.Restore{Core: max(view.ID, 1), Members: view.Mark}); mishap == nil {
+			if answer, err := other.process.core.onRestore(&wire.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Mark}); err == nil {
 				told[peer.ID] = answer
-				core.learnMembers(answer.Members)
+				core.learnMembers(answer.Membership)
 			}
 		}
 		if accepted.Value.Serial > 0 && core.members().same(view) && view.decides(agreed(told, same)) {
@@ -226,32 +228,32 @@
 		return
 	}
 	switch message := packet.message.(type) {
-	case *wire.Promise:
-		if told, mishap := process.core.voterPromise(message); mishap == nil {
+	case *wire.PrepareRequest:
+		if told, err := process.core.voterPromise(message); err == nil {
 			world.counts(machine, packet, told.Granted)
 			world.answer(packet, told)
 		}
-	case *wire.Accept:
-		if told, mishap := process.core.voterAccept(message); mishap == nil {
-			world.counts(machine, packet, told.Taken)
-			if told.Taken {
+	case *wire.AcceptRequest:
+		if told, err := process.core.voterAccept(message); err == nil {
+			world.counts(machine, packet, told.Accepted)
+			if told.Accepted {
 				world.ledger.accepted(machine.index, message)
 			}
 			world.answer(packet, told)
 		}
-	case *wire.Beat:
-		if told, mishap := process.core.onBeat(message); mishap == nil {
-			world.counts(machine, packet, told.Taken && told.Voter)
+	case *wire.HeartbeatRequest:
+		if told, err := process.core.onBeat(message); err == nil {
+			world.counts(machine, packet, told.Accepted && told.Voter)
 			for register, accepted := range process.core.committed {
 				world.ledger.serves(machine.index, wire.Register(register), accepted.Value)
 			}
 			world.answer(packet, told)
 		}
-	case *wire.Restore:
-		if told, mishap := process.core.onRestore(message); mishap == nil {
+	case *wire.ReplicaStateRequest:
+		if told, err := process.core.onRestore(message); err == nil {
 			world.answer(packet, told)
 		}
-	case *wire.Enlist:
+	case *wire.JoinRequest:
 		world.hearsEnlist(machine, packet, message)
 	}
 }
@@ -271,14 +273,14 @@
 
 // hearsEnlist is onEnlist: a leader answers a learner once a heartbeat begun later was
 // taken by a quorum.
-func (world *modelWorld) hearsEnlist(machine *modelMachine, packet *modelPacket, message *wire.Enlist) {
+func (world *modelWorld) hearsEnlist(machine *modelMachine, packet *modelPacket, message *wire.JoinRequest) {
 	process := machine.process
 	view := process.core.members()
 	if !view.known() {
 		return
 	}
 	if process.leadership == nil || !world.rules.admits(view, message.Address) {
-		world.answer(packet, &wire.EnlistTold{Members: process.core.newerMembers(message.Known)})
+		world.answer(packet, &wire.JoinResponse{Membership: process.core.newerMembers(message.Known)})
 		return
 	}
 	if process.admission != nil {
@@ -305,9 +307,9 @@
 		}
 	}
 	process.admission = nil
-	message := admission.asked.message.(*wire.Enlist)
-	told := &wire.EnlistTold{Ballot: process.leadership.ballot, Admitted: world.rules.admits(process.core.members(), message.Address)}
-	told.Members = process.core.newerMembers(message.Known)
+	message := admission.asked.message.(*wire.JoinRequest)
+	told := &wire.JoinResponse{Term: process.leadership.ballot, Admitted: world.rules.admits(process.core.members(), message.Address)}
+	told.Membership = process.core.newerMembers(message.Known)
 	world.answer(admission.asked, told)
 }
 
@@ -321,24 +323,24 @@
 		world.ledger.violated(onlyVotersCount, "%T of machine %d counts for ID %d without the disk that voted so", packet.message, packet.from+1, packet.as)
 	}
 	switch told := packet.message.(type) {
-	case *wire.PromiseTold:
-		for id, promise := range process.core.promisesOf(map[int]*wire.PromiseTold{packet.as: told}) {
+	case *wire.PrepareResponse:
+		for id, promise := range process.core.promisesOf(map[int]*wire.PrepareResponse{packet.as: told}) {
 			process.candidacy.promises[id] = promise
 			world.fenced(machine)
 		}
-	case *wire.AcceptTold:
+	case *wire.AcceptResponse:
 		world.hearsAccept(machine, packet, told)
-	case *wire.BeatTold:
+	case *wire.HeartbeatResponse:
 		if process.leadership == nil {
 			return
 		}
-		if told.Taken && told.Voter {
+		if told.Accepted && told.Voter {
 			process.admission.took = process.admission.took.with(packet.as)
 			world.confirmed(machine)
 		}
-	case *wire.RestoreTold:
+	case *wire.ReplicaStateResponse:
 		world.hearsSurvey(machine, packet, told)
-	case *wire.EnlistTold:
+	case *wire.JoinResponse:
 		world.hearsEnlisted(machine, told)
 	}
 }
@@ -346,56 +348,56 @@
 // modelAgrees is whether an answer would count.
 func modelAgrees(message any) bool {
 	switch told := message.(type) {
-	case *wire.PromiseTold:
+	case *wire.PrepareResponse:
 		return told.Granted
-	case *wire.AcceptTold:
-		return told.Taken
-	case *wire.BeatTold:
-		return told.Taken && told.Voter
+	case *wire.AcceptResponse:
+		return told.Accepted
+	case *wire.HeartbeatResponse:
+		return told.Accepted && told.Voter
 	}
 	return false
 }
 
-func (world *modelWorld) hearsSurvey(machine *modelMachine, packet *modelPacket, told *wire.RestoreTold) {
+func (world *modelWorld) hearsSurvey(machine *modelMachine, packet *modelPacket, told *wire.ReplicaStateResponse) {
 	process := machine.process
 	survey, core := process.survey, process.core
-	core.sawRound(told.Promised.Round)
-	core.learnMembers(told.Members)
+	core.sawRound(told.Promised.Number)
+	core.learnMembers(told.Membership)
 	survey.told[packet.as] = told
 	if !world.rules.mayRestore(core, survey.view, survey.told) {
 		return
 	}
 	process.survey = nil
 	ballot := world.rules.nextBallot(core, survey.view)
-	process.candidacy = &modelCandidacy{call: process.nextCall(), view: survey.view, ballot: ballot, promises: map[int]*wire.PromiseTold{}, restores: true}
-	message := &wire.Promise{Ballot: ballot, Members: world.rules.askedMembers(survey.view)}
+	process.candidacy = &modelCandidacy{call: process.nextCall(), view: survey.view, ballot: ballot, promises: map[int]*wire.PrepareResponse{}, restores: true}
+	message := &wire.PrepareRequest{Term: ballot, Membership: world.rules.askedMembers(survey.view)}
 	for _, peer := range survey.view.Peers {
 		world.ask(machine, process.candidacy.call, peer, message)
 	}
 }
 
 // hearsEnlisted is join for a core that knew no membership, and learn for others.
-func (world *modelWorld) hearsEnlisted(machine *modelMachine, told *wire.EnlistTold) {
+func (world *modelWorld) hearsEnlisted(machine *modelMachine, told *wire.JoinResponse) {
 	process := machine.process
 	core := process.core
 	process.enlisting = 0
-	membership, mishap := membershipOf(told.Members)
-	if !core.members().known() && mishap == nil && membership != nil && core.voter.Blank() && mayEnrol(core.opening(), viewOf(machine.address, membership)) {
-		if core.voter.Enrol(told.Members) != nil {
+	membership, err := membershipOf(told.Membership)
+	if !core.members().known() && err == nil && membership != nil && core.voter.Blank() && mayEnrol(core.opening(), viewOf(machine.address, membership)) {
+		if core.voter.Enrol(told.Membership) != nil {
 			return
 		}
 	}
-	core.learnMembers(told.Members)
+	core.learnMembers(told.Membership)
 	if world.rules.mayBeginEmpty(core, told) {
-		world.rules.beginEmpty(core, told.Ballot)
+		world.rules.beginEmpty(core, told.Term)
 	}
 }
 
-func (world *modelWorld) hearsAccept(machine *modelMachine, packet *modelPacket, told *wire.AcceptTold) {
+func (world *modelWorld) hearsAccept(machine *modelMachine, packet *modelPacket, told *wire.AcceptResponse) {
 	process := machine.process
 	push := process.push
-	if !told.Taken {
-		process.core.sawRound(told.Promised.Round)
+	if !told.Accepted {
+		process.core.sawRound(told.Promised.Number)
 		return
 	}
 	push.took[packet.register] = push.took[packet.register].with(packet.as)
--- a/control/model_world_test.go
+++ b/control/model_world_test.go
@@ -71,8 +71,8 @@
 }
 
 func modelIndex(address string) int {
-	parsed, fault := netip.ParseAddrPort(address)
-	if fault != nil {
+	parsed, err := netip.ParseAddrPort(address)
+	if err != nil {
 		return 63
 	}
 	return int(parsed.Addr().As4()[3]) - 1
@@ -121,9 +121,9 @@
 }
 
 // modelMust ends the run where a step of the setting up failed.
-func modelMust(mishap error) {
-	if mishap != nil {
-		panic(mishap)
+func modelMust(err error) {
+	if err != nil {
+		panic(err)
 	}
 }
 
@@ -142,7 +142,7 @@
 // ask sends a request of a call to a voter, counted by the voter's ID.
 func (world *modelWorld) ask(machine *modelMachine, call int, peer Peer, message any) {
 	packet := &modelPacket{from: machine.index, to: modelIndex(peer.Address), life: machine.process.life, call: call, as: peer.ID, message: message}
-	if accept, offers := message.(*wire.Accept); offers {
+	if accept, offers := message.(*wire.AcceptRequest); offers {
 		packet.register = accept.Register
 	}
 	world.send(packet)
@@ -185,11 +185,11 @@
 	}
 	promised := teller.core.voter.State().Promised
 	switch message := packet.message.(type) {
-	case *wire.Promise:
-		return message.Ballot.Less(promised)
-	case *wire.Accept:
-		return message.Ballot.Less(promised)
-	case *wire.Beat, *wire.Restore:
+	case *wire.PrepareRequest:
+		return message.Term.Less(promised)
+	case *wire.AcceptRequest:
+		return message.Term.Less(promised)
+	case *wire.HeartbeatRequest, *wire.ReplicaStateRequest:
 		return true
 	}
 	return false
--- a/control/place.go
+++ b/control/place.go
@@ -28,11 +28,11 @@
 	Beat     time.Duration
 	Suspect  time.Duration
 	Seed     uint64
-	Observe  func(standing Standing, ballot wire.Ballot)
+	Observe  func(standing Standing, ballot wire.Term)
 	Wall     func() int64
 
 	// MembersChanged is told the addresses of the voters whenever they change.
-	MembersChanged func(version wire.Mark, addresses []string)
+	MembersChanged func(version wire.Version, addresses []string)
 	// ReplaceAfter is how long a voter is silent before a learner takes its place.
 	ReplaceAfter time.Duration
 
@@ -58,10 +58,10 @@
 		place.Wall = func() int64 { return time.Now().UnixMilli() }
 	}
 	if place.Observe == nil {
-		place.Observe = func(Standing, wire.Ballot) {}
+		place.Observe = func(Standing, wire.Term) {}
 	}
 	if place.MembersChanged == nil {
-		place.MembersChanged = func(wire.Mark, []string) {}
+		place.MembersChanged = func(wire.Version, []string) {}
 	}
 	if place.ReplaceAfter == 0 {
 		place.ReplaceAfter = max(replaceAfter, 2*place.Suspect)
@@ -116,52 +116,52 @@
 
 func (place *Place) Check() error {
 	if place.Beat < 10*time.Millisecond || place.Suspect < 3*place.Beat {
-		return wire.New(wire.BadFlag, "--suspect-ms: %v must be at least three beats of %v, and a beat 10ms", place.Suspect, place.Beat)
+		return wire.Errorf(wire.BadFlag, "--suspect-ms: %v must be at least three beats of %v, and a beat 10ms", place.Suspect, place.Beat)
 	}
-	if mishap := CheckAddress("--wire", place.Wire); mishap != nil {
-		return mishap
+	if err := CheckAddress("--wire", place.Wire); err != nil {
+		return err
 	}
 	if place.enlists() && len(place.Seeds) > 0 {
 		return place.checkSeeds()
 	}
 	if place.ID < 1 || place.ID > 99 {
-		return wire.New(wire.BadFlag, "--id: %d is not in 1 to 99", place.ID)
+		return wire.Errorf(wire.BadFlag, "--id: %d is not in 1 to 99", place.ID)
 	}
 	seen := map[int]bool{place.ID: true}
 	for _, peer := range place.Peers {
 		if seen[peer.ID] {
-			return wire.New(wire.BadFlag, "--peer: id %d is there twice", peer.ID)
+			return wire.Errorf(wire.BadFlag, "--peer: id %d is there twice", peer.ID)
 		}
 		seen[peer.ID] = true
-		if mishap := CheckAddress("--peer", peer.Address); mishap != nil {
-			return mishap
+		if err := CheckAddress("--peer", peer.Address); err != nil {
+			return err
 		}
 	}
 	if len(place.Peers)%2 != 0 {
-		return wire.New(wire.BadFlag, "--peer: %d cores in all; want an odd count", len(place.Peers)+1)
+		return wire.Errorf(wire.BadFlag, "--peer: %d cores in all; want an odd count", len(place.Peers)+1)
 	}
 	return nil
 }
 
 func (place *Place) checkSeeds() error {
 	if len(place.Peers) > 0 {
-		return wire.New(wire.BadFlag, "--peer: goes with an id, not with seeds")
+		return wire.Errorf(wire.BadFlag, "--peer: goes with an id, not with seeds")
 	}
 	if place.Least < 1 || place.Least > foundersMost {
-		return wire.New(wire.BadFlag, "--least: %d is not in 1 to %d", place.Least, foundersMost)
+		return wire.Errorf(wire.BadFlag, "--least: %d is not in 1 to %d", place.Least, foundersMost)
 	}
 	for _, seed := range place.Seeds {
-		if mishap := CheckAddress("--seed", seed); mishap != nil {
-			return mishap
+		if err := CheckAddress("--seed", seed); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
 func CheckAddress(flag, address string) error {
-	parsed, fault := netip.ParseAddrPort(address)
-	if fault != nil || parsed.Port() == 0 {
-		return wire.New(wire.BadFlag, "%s: %q is not IP:port", flag, address)
+	parsed, err := netip.ParseAddrPort(address)
+	if err != nil || parsed.Port() == 0 {
+		return wire.Errorf(wire.BadFlag, "%s: %q is not IP:port", flag, address)
 	}
 	return nil
 }
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -23,16 +23,16 @@
 	} {
 		one, other := given, seeded
 		one.Peers, other.Seeds = append([]Peer{}, given.Peers...), append([]string{}, seeded.Seeds...)
-		if mishap := one.Check(); mishap != nil {
-			test.Fatal(mishap)
+		if err := one.Check(); err != nil {
+			test.Fatal(err)
 		}
-		if mishap := other.Check(); mishap != nil {
-			test.Fatal(mishap)
+		if err := other.Check(); err != nil {
+			test.Fatal(err)
 		}
 		change(&one, &other)
 		for _, place := range []*Place{&one, &other} {
-			if mishap := place.Check(); mishap == nil || wire.KindOf(mishap) != wire.BadFlag {
-				test.Errorf("%s: %+v: %v", name, place, mishap)
+			if err := place.Check(); err == nil || wire.CodeOf(err) != wire.BadFlag {
+				test.Errorf("%s: %+v: %v", name, place, err)
 			}
 		}
 	}
--- a/control/platform.go
+++ b/control/platform.go
@@ -120,12 +120,12 @@
 }
 
 func (core *Core) readPlatform() {
-	leadership, mishap := core.leading()
-	if mishap != nil && core.cold() {
+	leadership, err := core.leading()
+	if err != nil && core.cold() {
 		core.platform.read(core.threads.Rest, core.cold)
 		return
 	}
-	if mishap != nil || leadership.holds() != nil {
+	if err != nil || leadership.holds() != nil {
 		return
 	}
 	core.platform.read(core.threads.Rest, func() bool { return leadership.holds() == nil })
@@ -151,7 +151,7 @@
 			return
 		}
 		for _, backend := range page.Backends {
-			if _, fault := netip.ParseAddrPort(backend.Address); fault != nil || backend.Name == "" || backend.Service == "" {
+			if _, err := netip.ParseAddrPort(backend.Address); err != nil || backend.Name == "" || backend.Service == "" {
 				reader.counts.Add("platform_items_refused", 1)
 				continue
 			}
@@ -200,9 +200,9 @@
 		return backend
 	}
 	backend.Leaving = backend.Leaving || before.Leaving
-	near := backend.WarmAt > before.WarmAt-warmSlip && backend.WarmAt < before.WarmAt+warmSlip
-	if before.WarmAt > 0 && near || backend.WarmAt == 0 && before.WarmAt > reader.now() {
-		backend.WarmAt = before.WarmAt
+	near := backend.WarmAtMs > before.WarmAtMs-warmSlip && backend.WarmAtMs < before.WarmAtMs+warmSlip
+	if before.WarmAtMs > 0 && near || backend.WarmAtMs == 0 && before.WarmAtMs > reader.now() {
+		backend.WarmAtMs = before.WarmAtMs
 	}
 	return backend
 }
@@ -221,33 +221,33 @@
 }
 
 func (pages *platformPages) list(ctx context.Context, next string) Listing {
-	request, fault := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+pages.address+"/v1/backends?page="+url.QueryEscape(next), nil)
-	if fault != nil {
-		return Listing{Mishap: wire.New(wire.PlatformFault, "%v", fault)}
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+pages.address+"/v1/backends?page="+url.QueryEscape(next), nil)
+	if err != nil {
+		return Listing{Mishap: wire.Errorf(wire.PlatformError, "%v", err)}
 	}
-	response, fault := pages.client.Do(request)
-	if fault != nil {
-		return Listing{Mishap: wire.New(wire.PlatformFault, "%v", fault)}
+	response, err := pages.client.Do(request)
+	if err != nil {
+		return Listing{Mishap: wire.Errorf(wire.PlatformError, "%v", err)}
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusTooManyRequests {
 		pages.counts.Add("platform_rate_limited", 1)
-		seconds, fault := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
-		if fault != nil || seconds < 0 || seconds > 60 {
+		seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
+		if err != nil || seconds < 0 || seconds > 60 {
 			seconds = 1
 		}
-		return Listing{Wait: time.Duration(seconds*float64(time.Second)) + 10*time.Millisecond, Mishap: wire.New(wire.PlatformFault, "rate limited")}
+		return Listing{Wait: time.Duration(seconds*float64(time.Second)) + 10*time.Millisecond, Mishap: wire.Errorf(wire.PlatformError, "rate limited")}
 	}
 	if response.StatusCode != http.StatusOK {
-		return Listing{Mishap: wire.New(wire.PlatformFault, "%s", fmt.Sprint(response.Status))}
+		return Listing{Mishap: wire.Errorf(wire.PlatformError, "%s", fmt.Sprint(response.Status))}
 	}
-	body, fault := io.ReadAll(io.LimitReader(response.Body, pageBytes+1))
-	if fault != nil || len(body) > pageBytes {
-		return Listing{Mishap: wire.New(wire.PlatformFault, "page of %d bytes: %v", len(body), fault)}
+	body, err := io.ReadAll(io.LimitReader(response.Body, pageBytes+1))
+	if err != nil || len(body) > pageBytes {
+		return Listing{Mishap: wire.Errorf(wire.PlatformError, "page of %d bytes: %v", len(body), err)}
 	}
 	page := &platformPage{}
-	if fault := json.Unmarshal(body, page); fault != nil {
-		return Listing{Mishap: wire.New(wire.PlatformFault, "page: %v", fault)}
+	if err := json.Unmarshal(body, page); err != nil {
+		return Listing{Mishap: wire.Errorf(wire.PlatformError, "page: %v", err)}
 	}
 	return Listing{Backends: page.Items, Next: page.Next}
 }
--- a/control/power_test.go
+++ b/control/power_test.go
@@ -19,21 +19,21 @@
 	voter    *control.Voter
 	store    *control.Store
 	round    uint64
-	promised wire.Ballot
-	marks    wire.Marks
-	bodies   map[wire.Mark]byte
+	promised wire.Term
+	marks    wire.Versions
+	bodies   map[wire.Version]byte
 }
 
 // open starts a voter on the disk; what was answered for must be there, and what
 // is there counts as answered for once the disk has taken it anew.
 func (witness *witness) open(disk *sim.Disk) error {
-	store, mishap := control.OpenStore(disk)
-	if mishap != nil {
-		return mishap
+	store, err := control.OpenStore(disk)
+	if err != nil {
+		return err
 	}
 	store.LimitSegments(smallSegment)
 	witness.store = store
-	witness.voter = control.NewVoter(store, func(error) {}, func(wire.Ballot) {})
+	witness.voter = control.NewVoter(store, func(error) {}, func(wire.Term) {})
 	witness.judge()
 	if store.Fault() == nil {
 		witness.promised, witness.marks = witness.voter.State().Promised, witness.voter.State().Marks()
@@ -61,17 +61,17 @@
 }
 
 // promise asks for a ballot by the membership that the voter holds.
-func (witness *witness) promise(ballot wire.Ballot) *wire.Promise {
-	return &wire.Promise{Ballot: ballot, Members: witness.voter.State().Accepted[wire.MembersRegister]}
+func (witness *witness) promise(ballot wire.Term) *wire.PrepareRequest {
+	return &wire.PrepareRequest{Term: ballot, Membership: witness.voter.State().Accepted[wire.MembersRegister]}
 }
 
 // step promises or accepts once; false when the voter has not answered.
 func (witness *witness) step() bool {
-	witness.round = max(witness.round, witness.voter.State().Promised.Round) + 1
-	ballot := wire.Ballot{Round: witness.round, Core: 1}
+	witness.round = max(witness.round, witness.voter.State().Promised.Number) + 1
+	ballot := wire.Term{Number: witness.round, Core: 1}
 	if witness.random.IntN(3) == 0 {
-		told, mishap := witness.voter.Promise(witness.promise(ballot))
-		if mishap != nil {
+		told, err := witness.voter.Promise(witness.promise(ballot))
+		if err != nil {
 			return false
 		}
 		if !told.Granted {
@@ -83,13 +83,13 @@
 	register := wire.Register(witness.random.IntN(int(wire.Registers)))
 	body := make([]byte, 1+witness.random.IntN(4000))
 	body[len(body)-1] = byte(witness.random.IntN(255) + 1)
-	mark := wire.Mark{Ballot: ballot, Serial: ballot.Round}
+	mark := wire.Version{Term: ballot, Serial: ballot.Number}
 	witness.bodies[mark] = body[len(body)-1]
-	told, mishap := witness.voter.Accept(&wire.Accept{Ballot: ballot, Register: register, Value: wire.Value{Serial: ballot.Round, Body: body}})
-	if mishap != nil {
+	told, err := witness.voter.Accept(&wire.AcceptRequest{Term: ballot, Register: register, Value: wire.Value{Serial: ballot.Number, Body: body}})
+	if err != nil {
 		return false
 	}
-	if !told.Taken {
+	if !told.Accepted {
 		witness.test.Fatalf("%v not taken under %v", ballot, told.Promised)
 	}
 	witness.promised, witness.marks[register] = ballot, mark
@@ -104,19 +104,19 @@
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		disk := sim.NewDisk(seed)
-		witness := &witness{test: test, random: random, bodies: map[wire.Mark]byte{}}
+		witness := &witness{test: test, random: random, bodies: map[wire.Version]byte{}}
 		for round := range 12 {
 			if random.IntN(3) == 0 {
 				disk.DieAfter(1 + random.IntN(10))
 				_ = witness.open(disk) // dies on the way or not
 				disk = disk.Sever(random.IntN(2) == 0)
 			}
-			if mishap := witness.open(disk); mishap != nil {
+			if err := witness.open(disk); err != nil {
 				names, _ := disk.List()
-				test.Fatalf("seed %d round %d: %v, files %v", seed, round, mishap, names)
+				test.Fatalf("seed %d round %d: %v, files %v", seed, round, err, names)
 			}
-			if mishap := witness.voter.Found(wire.Ballot{}, [wire.Registers]wire.Accepted{}, nil); mishap != nil {
-				test.Fatalf("seed %d: founding: %v", seed, mishap)
+			if err := witness.voter.Found(wire.Term{}, [wire.Registers]wire.AcceptedValue{}, nil); err != nil {
+				test.Fatalf("seed %d: founding: %v", seed, err)
 			}
 			disk.DieAfter(1 + random.IntN(120))
 			for witness.step() {
@@ -145,13 +145,13 @@
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 4))
 		disk := sim.NewDisk(seed)
-		witness := &witness{test: test, random: random, bodies: map[wire.Mark]byte{}}
+		witness := &witness{test: test, random: random, bodies: map[wire.Version]byte{}}
 		for range 10 {
-			if mishap := witness.open(disk); mishap != nil {
-				test.Fatalf("seed %d: %v", seed, mishap)
+			if err := witness.open(disk); err != nil {
+				test.Fatalf("seed %d: %v", seed, err)
 			}
-			if mishap := witness.voter.Found(wire.Ballot{}, [wire.Registers]wire.Accepted{}, nil); mishap != nil {
-				test.Fatalf("seed %d: founding: %v", seed, mishap)
+			if err := witness.voter.Found(wire.Term{}, [wire.Registers]wire.AcceptedValue{}, nil); err != nil {
+				test.Fatalf("seed %d: founding: %v", seed, err)
 			}
 			for range random.IntN(9) {
 				if !witness.step() {
@@ -165,7 +165,7 @@
 					if witness.store.Fault() != nil {
 						refused++
 						witness.judge()
-						if _, mishap := witness.voter.Promise(witness.promise(witness.promised)); mishap == nil {
+						if _, err := witness.voter.Promise(witness.promise(witness.promised)); err == nil {
 							test.Fatalf("seed %d: promised by a disk that refuses", seed)
 						}
 						_ = witness.voter.Repair() // the disk may still refuse
@@ -177,8 +177,8 @@
 				}
 				disk.Refuse(sim.Refusal{})
 				disk.Room(0)
-				if mishap := witness.voter.Repair(); mishap != nil {
-					test.Fatalf("seed %d: %v", seed, mishap)
+				if err := witness.voter.Repair(); err != nil {
+					test.Fatalf("seed %d: %v", seed, err)
 				}
 				for range random.IntN(4) {
 					if !witness.step() {
