--- a/control/refusal.go
+++ b/control/refusal.go
@@ -24,18 +24,18 @@
 
 // diskFault notes that the disk refused a step. Until a repair succeeds this core
 // does not vote or stand, and a lead it has goes to a core whose disk takes writes.
-func (core *Core) diskFault(fault error) {
+func (core *Core) diskFault(err error) {
 	core.mutex.Lock()
 	first := core.refused.fault == nil
 	if first {
-		core.refused = diskRefusal{fault: fault, since: time.Now()}
+		core.refused = diskRefusal{fault: err, since: time.Now()}
 	}
 	core.mutex.Unlock()
 	if !first {
 		return
 	}
 	core.counts.Add("disk_faults", 1)
-	klog.Errorf("core %d: does not vote until its disk takes writes again: %v", core.members().ID, fault)
+	klog.Errorf("core %d: does not vote until its disk takes writes again: %v", core.members().ID, err)
 	core.threads.Start(core.yieldLead)
 }
 
@@ -57,8 +57,8 @@
 // yieldLead hands the lead to a core that votes. Without one it goes on, since
 // values may still be accepted by a majority of the others.
 func (core *Core) yieldLead() {
-	leadership, mishap := core.leading()
-	if mishap != nil {
+	leadership, err := core.leading()
+	if err != nil {
 		return
 	}
 	heir, found := leadership.heir(nil)
@@ -84,23 +84,23 @@
 	klog.Infof("core %d: votes again, its disk refused writes for %v", core.members().ID, time.Since(refusal.since).Round(time.Millisecond))
 	core.prompt.Ring()
 	if core.place.enlists() {
-		core.voter.Committed(wire.RoutingRegister, committed.Mark())
+		core.voter.Committed(wire.RoutingRegister, committed.Version())
 	}
 }
 
 // mendOwn makes a leader accept itself what a majority of the others accepted while
 // its disk took nothing.
 func (core *Core) mendOwn() {
-	leadership, mishap := core.leading()
-	if mishap != nil || !core.takesWrites() {
+	leadership, err := core.leading()
+	if err != nil || !core.takesWrites() {
 		return
 	}
 	texts := leadership.settings().texts
 	for register, held := range core.voter.State().Marks() {
 		value := leadership.value(wire.Register(register))
-		if held.Less(wire.Mark{Ballot: leadership.ballot, Serial: value.Serial}) {
-			told, mishap := core.voter.Accept(&wire.Accept{Ballot: leadership.ballot, Register: wire.Register(register), Value: value, Texts: texts})
-			if mishap != nil || !told.Taken { // tried again at the next turn, while this core leads
+		if held.Less(wire.Version{Term: leadership.ballot, Serial: value.Serial}) {
+			told, err := core.voter.Accept(&wire.AcceptRequest{Term: leadership.ballot, Register: wire.Register(register), Value: value, Chunks: texts})
+			if err != nil || !told.Accepted { // tried again at the next turn, while this core leads
 				core.counts.Add("own_copies_not_mended", 1)
 				continue
 			}
--- a/control/relayed_test.go
+++ b/control/relayed_test.go
@@ -13,18 +13,18 @@
 // gets all that the core was told, or it would seal what came since alone.
 func TestRelayedSessionTellsAllCountsNotTheLastChange(test *testing.T) {
 	threads := run.NewThreads()
-	core, mishap := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), wire.NewLine(http.DefaultTransport), threads, run.NewCounts())
-	if mishap != nil {
-		test.Fatal(mishap)
+	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), wire.NewClient(http.DefaultTransport), threads, run.NewCounts())
+	if err != nil {
+		test.Fatal(err)
 	}
 	defer core.Close()
 	member := wire.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}
 	for _, session := range []*wire.Session{
 		{Member: member, NowMs: 1, Windows: []wire.WindowCount{{Window: 10, Tenants: map[string]uint64{"first": 5, "second": 2}}}},
-		{Member: member, NowMs: 2, Upon: core.meter.process, Windows: []wire.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}}},
+		{Member: member, NowMs: 2, BaseProcess: core.meter.process, Windows: []wire.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}}},
 	} {
-		if _, mishap := core.onSession(session); mishap != nil {
-			test.Fatal(mishap)
+		if _, err := core.onSession(session); err != nil {
+			test.Fatal(err)
 		}
 	}
 	next := newMeter()
@@ -46,15 +46,15 @@
 // What adds to a former process of the core is not all, and does not pass for it.
 func TestRelayedChangesUponAFormerProcessStayChanges(test *testing.T) {
 	threads := run.NewThreads()
-	core, mishap := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), wire.NewLine(http.DefaultTransport), threads, run.NewCounts())
-	if mishap != nil {
-		test.Fatal(mishap)
+	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), wire.NewClient(http.DefaultTransport), threads, run.NewCounts())
+	if err != nil {
+		test.Fatal(err)
 	}
 	defer core.Close()
-	session := wire.Session{Member: wire.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}, NowMs: 2, Upon: core.meter.process + 2,
+	session := wire.Session{Member: wire.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}, NowMs: 2, BaseProcess: core.meter.process + 2,
 		Windows: []wire.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}}}
-	if _, mishap := core.onSession(&session); mishap != nil {
-		test.Fatal(mishap)
+	if _, err := core.onSession(&session); err != nil {
+		test.Fatal(err)
 	}
 	next := newMeter()
 	for _, held := range core.sessions.own(core.members().ID) {
--- a/control/removal.go
+++ b/control/removal.go
@@ -15,31 +15,31 @@
 // onRemoval gives a voter's place to a learner at once. Where the leader itself is to
 // go, it hands the lead over, and the order goes on to the next one. The same order
 // again finds the core gone and is acknowledged.
-func (core *Core) onRemoval(message *wire.Removal) (*wire.RemovalTold, error) {
-	leadership, mishap := core.leading()
-	if mishap != nil {
-		return nil, mishap
+func (core *Core) onRemoval(message *wire.RemoveVoterRequest) (*wire.RemoveVoterResponse, error) {
+	leadership, err := core.leading()
+	if err != nil {
+		return nil, err
 	}
-	if mishap := leadership.confirm(core.roundLimit()); mishap != nil {
-		return nil, mishap
+	if err := leadership.confirm(core.roundLimit()); err != nil {
+		return nil, err
 	}
-	view, mishap := leadership.settledView()
-	if mishap != nil {
-		return nil, mishap
+	view, err := leadership.settledView()
+	if err != nil {
+		return nil, err
 	}
 	place := slices.IndexFunc(view.Voters, func(peer Peer) bool { return peer.ID == message.Core })
 	if message.Core > view.LastID {
-		return nil, wire.New(wire.NotFound, "no core %d ever voted; the last one is %d", message.Core, view.LastID)
+		return nil, wire.Errorf(wire.NotFound, "no core %d ever voted; the last one is %d", message.Core, view.LastID)
 	}
 	if place < 0 {
-		return &wire.RemovalTold{Version: view.Mark.Serial, Again: true}, nil
+		return &wire.RemoveVoterResponse{Version: view.Mark.Serial, Duplicate: true}, nil
 	}
 	address, found := leadership.readyLearner(view)
 	if !found && time.Since(leadership.since) < learnerSpan*core.place.Suspect {
-		return nil, &wire.Mishap{Kind: wire.NotStarted, Cause: "the leader just began and may not know the learners yet", Retry: removalRetry}
+		return nil, &wire.Error{Code: wire.NotStarted, Message: "the leader just began and may not know the learners yet", RetryAfterMs: removalRetry}
 	}
 	if !found {
-		return nil, wire.New(wire.NoLearner, "no learner holds everything yet, so core %d keeps its place; start a new core and ask again", message.Core)
+		return nil, wire.Errorf(wire.NoLearner, "no learner holds everything yet, so core %d keeps its place; start a new core and ask again", message.Core)
 	}
 	if message.Core == view.ID {
 		return nil, leadership.handOverForRemoval()
@@ -56,13 +56,13 @@
 	if core.members().changing() {
 		leadership.settleMembers()
 	}
-	if mishap := leadership.holds(); mishap != nil {
-		return nil, mishap
+	if err := leadership.holds(); err != nil {
+		return nil, err
 	}
 	view := core.members()
-	decided := wire.Mark{Ballot: leadership.ballot, Serial: leadership.value(wire.MembersRegister).Serial}
+	decided := wire.Version{Term: leadership.ballot, Serial: leadership.value(wire.MembersRegister).Serial}
 	if view.changing() || view.Mark != decided {
-		return nil, &wire.Mishap{Kind: wire.NotStarted, Cause: "another replacement is under way", Retry: removalRetry}
+		return nil, &wire.Error{Code: wire.NotStarted, Message: "another replacement is under way", RetryAfterMs: removalRetry}
 	}
 	return view, nil
 }
@@ -70,7 +70,7 @@
 // readyLearner is a learner that may take a place now.
 func (leadership *Leadership) readyLearner(view *View) (string, bool) {
 	span := leadership.core.place.Suspect
-	if len(leadership.succession.waiting(learnerSpan*span, view)) == 0 || view.LastID >= wire.PeerMost {
+	if len(leadership.succession.waiting(learnerSpan*span, view)) == 0 || view.LastID >= wire.MaxPeerID {
 		return "", false
 	}
 	return leadership.succession.ready(span, leadership.near)
@@ -78,15 +78,15 @@
 
 // removed acknowledges a removal that was decided. One that was written but not
 // decided may come about all the same.
-func (leadership *Leadership) removed(id int) (*wire.RemovalTold, error) {
-	view, mishap := leadership.settledView()
-	if mishap != nil {
-		return nil, &wire.Mishap{Kind: wire.OutcomeUnknown, Cause: "the removal may come about: " + mishap.Error(), Retry: removalRetry}
+func (leadership *Leadership) removed(id int) (*wire.RemoveVoterResponse, error) {
+	view, err := leadership.settledView()
+	if err != nil {
+		return nil, &wire.Error{Code: wire.OutcomeUnknown, Message: "the removal may come about: " + err.Error(), RetryAfterMs: removalRetry}
 	}
 	if contains(view.Voters, id) {
-		return nil, &wire.Mishap{Kind: wire.NotStarted, Cause: "the learner did not take the place", Retry: removalRetry}
+		return nil, &wire.Error{Code: wire.NotStarted, Message: "the learner did not take the place", RetryAfterMs: removalRetry}
 	}
-	return &wire.RemovalTold{Version: view.Mark.Serial}, nil
+	return &wire.RemoveVoterResponse{Version: view.Mark.Serial}, nil
 }
 
 // handOverForRemoval makes another voter the leader. This core then votes and follows
@@ -105,5 +105,5 @@
 		}
 	}
 	core.revoke(leadership)
-	return &wire.Mishap{Kind: wire.NotLeader, Cause: "the leader is to be removed and stepped down"}
+	return &wire.Error{Code: wire.NotLeader, Message: "the leader is to be removed and stepped down"}
 }
--- a/control/replace.go
+++ b/control/replace.go
@@ -25,7 +25,7 @@
 type learner struct {
 	asked    time.Time
 	answered time.Time
-	report   *wire.BeatTold
+	report   *wire.HeartbeatResponse
 }
 
 // Succession is what a leadership knows of those that may take a voter's place and
@@ -52,7 +52,7 @@
 }
 
 // heard notes a heartbeat's answer; a learner has no ID.
-func (succession *Succession) heard(peer Peer, told *wire.BeatTold) {
+func (succession *Succession) heard(peer Peer, told *wire.HeartbeatResponse) {
 	succession.mutex.Lock()
 	defer succession.mutex.Unlock()
 	if peer.ID > 0 {
@@ -88,13 +88,13 @@
 
 // ready is a learner that votes as soon as it is counted: it answered lately as a
 // replica and holds every register as far as the marks say, or nearly so.
-func (succession *Succession) ready(span time.Duration, near func(marks wire.Marks) bool) (string, bool) {
+func (succession *Succession) ready(span time.Duration, near func(marks wire.Versions) bool) (string, bool) {
 	succession.mutex.Lock()
 	defer succession.mutex.Unlock()
 	best := ""
 	for address, held := range succession.learners {
 		report := held.report
-		if report == nil || !report.Taken || !report.Voter || report.Refuses || time.Since(held.answered) > span || !near(report.Marks) {
+		if report == nil || !report.Accepted || !report.Voter || report.RefusesWrites || time.Since(held.answered) > span || !near(report.Versions) {
 			continue
 		}
 		if best == "" || compareAddresses(address, best) < 0 {
@@ -140,7 +140,7 @@
 // confirmed after it was asked, under a membership without that address.
 func (leadership *Leadership) admit(address string) bool {
 	core := leadership.core
-	if mishap := leadership.confirm(core.roundLimit()); mishap != nil || core.members().has(address) {
+	if err := leadership.confirm(core.roundLimit()); err != nil || core.members().has(address) {
 		return false
 	}
 	leadership.succession.enlisted(address)
@@ -151,8 +151,8 @@
 // begin one when a learner can take the place of a voter that is gone or leaves.
 // Nothing else removes a voter, so a minority never shrinks the quorum to itself.
 func (core *Core) changeMembers() {
-	leadership, mishap := core.leading()
-	if mishap != nil || leadership.holds() != nil {
+	leadership, err := core.leading()
+	if err != nil || leadership.holds() != nil {
 		return
 	}
 	view := core.members()
@@ -161,7 +161,7 @@
 		return
 	}
 	span := core.place.Suspect
-	if len(leadership.succession.waiting(learnerSpan*span, view)) == 0 || view.LastID >= wire.PeerMost {
+	if len(leadership.succession.waiting(learnerSpan*span, view)) == 0 || view.LastID >= wire.MaxPeerID {
 		return
 	}
 	leaving, found := leadership.succession.departing(view.Voters, view.ID, leadership.since, core.place.ReplaceAfter)
@@ -175,9 +175,9 @@
 
 // near is whether a replica holds registers of this leadership, so that it lacks
 // no more than the last few writes.
-func (leadership *Leadership) near(marks wire.Marks) bool {
+func (leadership *Leadership) near(marks wire.Versions) bool {
 	for register := range marks {
-		if marks[register].Ballot != leadership.ballot {
+		if marks[register].Term != leadership.ballot {
 			return false
 		}
 	}
@@ -190,19 +190,19 @@
 func (leadership *Leadership) replace(leaving Peer, address string) {
 	core := leadership.core
 	leadership.writes.Take()
-	mishap := leadership.mayReplace(leaving, address)
-	if mishap == nil {
-		mishap = leadership.catchUp(Peer{Address: address})
+	err := leadership.mayReplace(leaving, address)
+	if err == nil {
+		err = leadership.catchUp(Peer{Address: address})
 	}
-	if mishap == nil {
+	if err == nil {
 		step := core.members().replaced(leaving.ID, address)
 		leadership.succession.joined(step.LastID)
-		mishap = leadership.writeMembers(step)
+		err = leadership.writeMembers(step)
 	}
 	leadership.writes.Give()
-	if mishap != nil {
+	if err != nil {
 		core.counts.Add("replacements_failed", 1)
-		klog.Infof("core %d: %s does not take core %d's place: %v", core.members().ID, address, leaving.ID, mishap)
+		klog.Infof("core %d: %s does not take core %d's place: %v", core.members().ID, address, leaving.ID, err)
 		return
 	}
 	core.counts.Add("replacements_begun", 1)
@@ -214,7 +214,7 @@
 func (leadership *Leadership) mayReplace(leaving Peer, address string) error {
 	view := leadership.core.members()
 	if view.changing() || !contains(view.Voters, leaving.ID) || view.has(address) {
-		return wire.New(wire.NotStarted, "membership %d is another one meanwhile", view.Mark.Serial)
+		return wire.Errorf(wire.NotStarted, "membership %d is another one meanwhile", view.Mark.Serial)
 	}
 	return nil
 }
@@ -226,15 +226,15 @@
 	leadership.mutex.Unlock()
 	core := leadership.core
 	_, failed := run.Gather(core.threads, len(values), func(register int) (bool, error) {
-		message := &wire.Accept{Ballot: leadership.ballot, Register: wire.Register(register), Value: values[register]}
-		told, fault := core.offerTo(peer, message, texts, core.roundLimit())
-		if fault == nil && !told.Taken {
-			fault = wire.New(wire.StaleBallot, "%s promised %s", peer.Address, told.Promised)
+		message := &wire.AcceptRequest{Term: leadership.ballot, Register: wire.Register(register), Value: values[register]}
+		told, err := core.offerTo(peer, message, texts, core.roundLimit())
+		if err == nil && !told.Accepted {
+			err = wire.Errorf(wire.StaleTerm, "%s promised %s", peer.Address, told.Promised)
 		}
-		return fault == nil, fault
+		return err == nil, err
 	}, func(_ map[int]bool, failed map[int]error) bool { return len(failed) > 0 })
-	for _, fault := range failed {
-		return wire.AsMishap(fault)
+	for _, err := range failed {
+		return wire.AsError(err)
 	}
 	return nil
 }
@@ -249,7 +249,7 @@
 	if !view.changing() || leadership.holds() != nil {
 		return
 	}
-	if mishap := leadership.rewriteAll(view); mishap != nil {
+	if err := leadership.rewriteAll(view); err != nil {
 		core.counts.Add("replacements_stuck", 1)
 		core.revoke(leadership)
 		return
@@ -267,14 +267,14 @@
 	values, texts := leadership.values, leadership.content.texts
 	leadership.mutex.Unlock()
 	_, failed := run.Gather(leadership.core.threads, len(values), func(register int) (bool, error) {
-		message := &wire.Accept{Ballot: leadership.ballot, Register: wire.Register(register), Value: values[register]}
-		if mishap := leadership.core.pushValue(view, message, texts); mishap != nil {
-			return false, mishap
+		message := &wire.AcceptRequest{Term: leadership.ballot, Register: wire.Register(register), Value: values[register]}
+		if err := leadership.core.pushValue(view, message, texts); err != nil {
+			return false, err
 		}
 		return true, nil
 	}, func(_ map[int]bool, failed map[int]error) bool { return len(failed) > 0 })
-	for _, fault := range failed {
-		return wire.AsMishap(fault)
+	for _, err := range failed {
+		return wire.AsError(err)
 	}
 	return nil
 }
@@ -282,21 +282,21 @@
 // writeMembers writes a membership, within the turn of the writes. It counts from
 // now on, decided or not; where it isn't decided, this leadership ends with it.
 func (leadership *Leadership) writeMembers(next *Membership) error {
-	if mishap := leadership.holds(); mishap != nil {
-		return mishap
+	if err := leadership.holds(); err != nil {
+		return err
 	}
 	core := leadership.core
-	view, mishap := core.countBy(next, leadership.ballot)
-	if mishap != nil {
+	view, err := core.countBy(next, leadership.ballot)
+	if err != nil {
 		core.revoke(leadership)
-		return mishap
+		return err
 	}
 	accepted := view.accepted()
-	message := &wire.Accept{Ballot: leadership.ballot, Register: wire.MembersRegister, Value: accepted.Value}
-	if mishap := core.pushValue(view, message, nil); mishap != nil {
+	message := &wire.AcceptRequest{Term: leadership.ballot, Register: wire.MembersRegister, Value: accepted.Value}
+	if err := core.pushValue(view, message, nil); err != nil {
 		core.counts.Add("write_unknown", 1)
 		core.revoke(leadership)
-		return mishap
+		return err
 	}
 	leadership.mutex.Lock()
 	leadership.values[wire.MembersRegister] = accepted.Value
@@ -306,31 +306,31 @@
 
 // countBy makes a membership, about to be written under a ballot, the one that this
 // core counts by; it fails where a newer one is known.
-func (core *Core) countBy(next *Membership, ballot wire.Ballot) (*View, error) {
-	next.Mark.Ballot = ballot
+func (core *Core) countBy(next *Membership, ballot wire.Term) (*View, error) {
+	next.Mark.Term = ballot
 	core.learnMembers(next.accepted())
 	view := core.members()
 	if view.Mark != next.Mark {
-		return nil, wire.New(wire.StaleBallot, "a newer membership %v is known", view.Mark)
+		return nil, wire.Errorf(wire.StaleTerm, "a newer membership %v is known", view.Mark)
 	}
 	return view, nil
 }
 
 // onLeave takes a voter's word that it ends. It need not wait where no learner is
 // there to take its place, nor once it has no place left.
-func (core *Core) onLeave(message *wire.Leave) (*wire.LeaveTold, error) {
-	leadership, mishap := core.leading()
-	if mishap != nil {
-		return nil, mishap
+func (core *Core) onLeave(message *wire.LeaveRequest) (*wire.LeaveResponse, error) {
+	leadership, err := core.leading()
+	if err != nil {
+		return nil, err
 	}
 	view := core.members()
 	learners := leadership.succession.waiting(learnerSpan*core.place.Suspect, view)
 	place := contains(view.Voters, message.Core) || contains(view.Next, message.Core)
 	if !place || len(learners) == 0 && !view.changing() {
-		return &wire.LeaveTold{Members: view.accepted()}, nil
+		return &wire.LeaveResponse{Membership: view.accepted()}, nil
 	}
 	leadership.succession.leaves(message.Core)
-	return &wire.LeaveTold{Wait: true}, nil
+	return &wire.LeaveResponse{Wait: true}, nil
 }
 
 // leave is the end of a voter that does not lead: it keeps voting until a learner,
@@ -341,11 +341,11 @@
 		until = limit
 	}
 	for time.Now().Before(until) && core.members().votes() && len(core.members().Peers) > 0 {
-		told, fault := core.announceLeave()
-		if fault == nil {
-			core.learnMembers(told.Members)
+		told, err := core.announceLeave()
+		if err == nil {
+			core.learnMembers(told.Membership)
 		}
-		if fault == nil && !told.Wait || fault != nil && time.Since(begin) > leaveRetries {
+		if err == nil && !told.Wait || err != nil && time.Since(begin) > leaveRetries {
 			return
 		}
 		if !core.threads.Rest(core.place.Beat / 2) {
@@ -355,12 +355,12 @@
 }
 
 // announceLeave tells the leader that this voter ends.
-func (core *Core) announceLeave() (*wire.LeaveTold, error) {
+func (core *Core) announceLeave() (*wire.LeaveResponse, error) {
 	core.mutex.Lock()
 	leader := core.leader
 	core.mutex.Unlock()
 	if !leader.Known() || leader.Address == core.place.Wire {
-		return nil, wire.New(wire.NoLeader, "nobody leads")
+		return nil, wire.Errorf(wire.NoLeader, "nobody leads")
 	}
-	return wire.Ask[wire.Leave, wire.LeaveTold](core.line, leader.Address, "leave", core.roundLimit(), &wire.Leave{Core: core.members().ID})
+	return wire.Call[wire.LeaveRequest, wire.LeaveResponse](core.line, leader.Address, "leave", core.roundLimit(), &wire.LeaveRequest{Core: core.members().ID})
 }
--- a/control/restore.go
+++ b/control/restore.go
@@ -13,19 +13,19 @@
 func (core *Core) restore() {
 	core.threads.Rest(core.random.span(core.place.Beat, 2*core.place.Beat))
 	view := core.members()
-	told := askPeers(core, view, func(peer Peer) (*wire.RestoreTold, error) {
-		return wire.Ask[wire.Restore, wire.RestoreTold](core.line, peer.Address, "restore", core.roundLimit(), &wire.Restore{Core: view.ID, Members: view.Mark})
-	}, func(answer *wire.RestoreTold) bool { return answer.Founded }, never)
+	told := askPeers(core, view, func(peer Peer) (*wire.ReplicaStateResponse, error) {
+		return wire.Call[wire.ReplicaStateRequest, wire.ReplicaStateResponse](core.line, peer.Address, "restore", core.roundLimit(), &wire.ReplicaStateRequest{Core: view.ID, Membership: view.Mark})
+	}, func(answer *wire.ReplicaStateResponse) bool { return answer.Initialized }, never)
 	untouched := len(told) == len(view.Peers) && !core.place.enlists()
 	for _, answer := range told {
-		core.sawRound(answer.Promised.Round)
-		core.learnMembers(answer.Members)
-		if answer.Promised.Round > 0 || answer.Marks != (wire.Marks{}) {
+		core.sawRound(answer.Promised.Number)
+		core.learnMembers(answer.Membership)
+		if answer.Promised.Number > 0 || answer.Versions != (wire.Versions{}) {
 			untouched = false
 		}
 	}
 	if untouched && core.place.Found {
-		if mishap := core.voter.Found(wire.Ballot{}, [wire.Registers]wire.Accepted{}, nil); mishap == nil {
+		if err := core.voter.Found(wire.Term{}, [wire.Registers]wire.AcceptedValue{}, nil); err == nil {
 			klog.Infof("core %d: founded", view.ID)
 			core.beginClaims(view.ID)
 			core.begin()
@@ -37,25 +37,25 @@
 		return
 	}
 	ballot, revoked := core.nextBallot(view)
-	promises := core.promisesOf(askPeers(core, view, func(peer Peer) (*wire.PromiseTold, error) {
-		return wire.Ask[wire.Promise, wire.PromiseTold](core.line, peer.Address, "promise", core.roundLimit(), &wire.Promise{Ballot: ballot, Members: view.accepted()})
+	promises := core.promisesOf(askPeers(core, view, func(peer Peer) (*wire.PrepareResponse, error) {
+		return wire.Call[wire.PrepareRequest, wire.PrepareResponse](core.line, peer.Address, "promise", core.roundLimit(), &wire.PrepareRequest{Term: ballot, Membership: view.accepted()})
 	}, granted, never))
 	if !view.fencesWithout(view.ID, agreed(promises, granted)) {
 		core.counts.Add("restores_short", 1)
 		return
 	}
 	accepted, from := takenOver(view, promises)
-	texts, mishap := core.gatherTexts(view.address(from[wire.SettingsRegister]), accepted[wire.SettingsRegister].Value, nil)
-	if mishap != nil {
+	texts, err := core.gatherTexts(view.address(from[wire.SettingsRegister]), accepted[wire.SettingsRegister].Value, nil)
+	if err != nil {
 		core.counts.Add("restores_short", 1)
 		return
 	}
-	if mishap := core.voter.Found(ballot, accepted, texts); mishap != nil {
+	if err := core.voter.Found(ballot, accepted, texts); err != nil {
 		return
 	}
 	core.counts.Add("restores", 1)
 	klog.Infof("core %d: restored from %d cores under %s", view.ID, len(promises), ballot)
-	promises[view.ID] = &wire.PromiseTold{Granted: true, Promised: ballot, Accepted: core.voter.State().Accepted}
+	promises[view.ID] = &wire.PrepareResponse{Granted: true, Promised: ballot, Accepted: core.voter.State().Accepted}
 	if core.chart.move(Revoking) {
 		core.found(view, ballot, &Revocation{Method: BallotFence, Ballot: ballot, Revoked: revoked, Promises: promises, Complete: true})
 		core.chart.moveBack()
@@ -82,17 +82,17 @@
 	if view.ID != id {
 		return nil
 	}
-	mishap := core.claims.put(&keepWait{message: &wire.Keep{}, members: view.accepted(), wholeAs: view.ID})
-	if mishap != nil {
+	err := core.claims.put(&keepWait{message: &wire.RecordClaimsRequest{}, members: view.accepted(), wholeAs: view.ID})
+	if err != nil {
 		core.counts.Add("claims_not_begun", 1)
 	}
-	return mishap
+	return err
 }
 
 // mayRestore is whether enough other replicas answered a blank voter that it may fence
 // them, by the membership that it asked them under.
-func (core *Core) mayRestore(view *View, told map[int]*wire.RestoreTold) bool {
-	founded := func(answer *wire.RestoreTold) bool { return answer.Founded }
+func (core *Core) mayRestore(view *View, told map[int]*wire.ReplicaStateResponse) bool {
+	founded := func(answer *wire.ReplicaStateResponse) bool { return answer.Initialized }
 	return core.members().same(view) && view.mayLead(view.ID) && view.fencesWithout(view.ID, agreed(told, founded))
 }
 
@@ -104,7 +104,7 @@
 	core.chart.move(Following)
 }
 
-func (core *Core) onRestore(message *wire.Restore) (*wire.RestoreTold, error) {
+func (core *Core) onRestore(message *wire.ReplicaStateRequest) (*wire.ReplicaStateResponse, error) {
 	state := core.voter.State()
-	return &wire.RestoreTold{Voter: state.Founded, Founded: state.Founded, Promised: state.Promised, Marks: state.Marks(), Members: core.newerMembers(message.Members)}, nil
+	return &wire.ReplicaStateResponse{Voter: state.Founded, Initialized: state.Founded, Promised: state.Promised, Versions: state.Marks(), Membership: core.newerMembers(message.Membership)}, nil
 }
--- a/control/routing.go
+++ b/control/routing.go
@@ -21,15 +21,15 @@
 	if routed.serial == value.Serial {
 		return routed.body, nil
 	}
-	book, mishap := route.BookOf(value.Body)
-	if mishap != nil {
-		return nil, mishap
+	book, err := route.BookOf(value.Body)
+	if err != nil {
+		return nil, err
 	}
-	body, fault := wire.Pack(book.Bare())
-	if fault != nil {
-		return nil, wire.AsMishap(fault)
+	body, err := wire.Marshal(book.Bare())
+	if err != nil {
+		return nil, wire.AsError(err)
 	}
-	routed.serial, routed.body = value.Serial, wire.Squeeze(body)
+	routed.serial, routed.body = value.Serial, wire.Compress(body)
 	return routed.body, nil
 }
 
@@ -38,8 +38,8 @@
 	core.mutex.Lock()
 	value := core.committed[wire.RoutingRegister].Value
 	core.mutex.Unlock()
-	book, mishap := route.BookOf(value.Body)
-	if mishap != nil {
+	book, err := route.BookOf(value.Body)
+	if err != nil {
 		return 0, &route.Book{}
 	}
 	return value.Serial, book
@@ -48,32 +48,32 @@
 // decide is the book after a change, or that the change was taken before. A base
 // that is no longer current is named before all else that may be wrong: who lost a
 // race sent a valid configuration. Whether a very old order was taken is not known.
-func decide(book *route.Book, change *route.Change) (next *route.Book, again bool, mishap error) {
+func decide(book *route.Book, change *route.Change) (next *route.Book, again bool, err error) {
 	if book.Trail.Holds(change.Version, change.Digest) {
 		return nil, true, nil
 	}
 	switch {
 	case change.Base != book.Config.Version && book.Trail.Forgets(change.Version):
-		return nil, false, &wire.Mishap{Kind: wire.Forgotten, Cause: "too long ago to know whether it was taken", Serial: book.Config.Version}
+		return nil, false, &wire.Error{Code: wire.Forgotten, Message: "too long ago to know whether it was taken", Serial: book.Config.Version}
 	case change.Base != book.Config.Version:
-		return nil, false, &wire.Mishap{Kind: wire.StaleBase, Cause: "another version is in place", Serial: book.Config.Version}
+		return nil, false, &wire.Error{Code: wire.StaleBase, Message: "another version is in place", Serial: book.Config.Version}
 	case change.Version <= book.Config.Version:
-		return nil, false, &wire.Mishap{Kind: wire.StaleVersion, Cause: "a version as high is in place", Serial: book.Config.Version}
+		return nil, false, &wire.Error{Code: wire.StaleVersion, Message: "a version as high is in place", Serial: book.Config.Version}
 	}
 	config := book.Config
 	switch {
 	case change.Whole != nil:
 		config = *change.Whole
 	case change.Patch != nil:
-		if config, mishap = config.Apply(change.Patch); mishap != nil {
-			return nil, false, mishap
+		if config, err = config.Apply(change.Patch); err != nil {
+			return nil, false, err
 		}
 	default:
-		return nil, false, wire.New(wire.BadRequest, "neither a whole routing nor a patch")
+		return nil, false, wire.Errorf(wire.BadRequest, "neither a whole routing nor a patch")
 	}
 	config.Version = change.Version
-	if mishap := config.Check(); mishap != nil {
-		return nil, false, mishap
+	if err := config.Check(); err != nil {
+		return nil, false, err
 	}
 	changed := *book
 	changed.Config, changed.Trail = config, book.Trail.With(change.Version, change.Digest)
@@ -85,23 +85,23 @@
 func (leadership *Leadership) writeRouting(build func(book *route.Book) (*route.Book, error)) (uint64, error) {
 	var next *route.Book
 	held := uint64(0)
-	serial, mishap := leadership.write(wire.RoutingRegister, func(current wire.Value) (*wire.Value, wire.Texts, error) {
+	serial, err := leadership.write(wire.RoutingRegister, func(current wire.Value) (*wire.Value, wire.Chunks, error) {
 		held = current.Serial
-		book, mishap := build(leadership.book())
-		if mishap != nil || book == nil {
-			return nil, nil, mishap
+		book, err := build(leadership.book())
+		if err != nil || book == nil {
+			return nil, nil, err
 		}
-		body, fault := wire.Pack(book)
-		if fault != nil {
-			return nil, nil, wire.AsMishap(fault)
+		body, err := wire.Marshal(book)
+		if err != nil {
+			return nil, nil, wire.AsError(err)
 		}
 		next = book
 		return &wire.Value{Serial: current.Serial + 1, Body: body}, nil, nil
 	}, func() { leadership.routing = next })
-	if mishap == nil && serial == 0 {
+	if err == nil && serial == 0 {
 		serial = held
 	}
-	return serial, mishap
+	return serial, err
 }
 
 // book is the routing that the leadership wrote or took over.
@@ -114,27 +114,27 @@
 // onRouteChange puts an operator's routing in force at the leader, or says why not.
 // What needs no write, a repeat or a refusal, is told only by who still leads: the
 // next leader may have taken the order, or others.
-func (core *Core) onRouteChange(message *wire.RouteChange) (*wire.RouteChangeTold, error) {
-	leadership, mishap := core.leading()
-	if mishap != nil {
-		return nil, mishap
+func (core *Core) onRouteChange(message *wire.RoutingChangeRequest) (*wire.RoutingChangeResponse, error) {
+	leadership, err := core.leading()
+	if err != nil {
+		return nil, err
 	}
 	change := &route.Change{}
-	if fault := wire.Unpack(message.Body, change); fault != nil {
-		return nil, wire.AsMishap(fault)
+	if err := wire.Unmarshal(message.Body, change); err != nil {
+		return nil, wire.AsError(err)
 	}
-	told, decided := &wire.RouteChangeTold{}, false
-	told.Serial, mishap = leadership.writeRouting(func(book *route.Book) (*route.Book, error) {
+	told, decided := &wire.RoutingChangeResponse{}, false
+	told.Serial, err = leadership.writeRouting(func(book *route.Book) (*route.Book, error) {
 		next, again, refusal := decide(book, change)
-		told.Again, decided = again, next == nil
+		told.Duplicate, decided = again, next == nil
 		return next, refusal
 	})
 	if decided {
-		mishap = leadership.proven(mishap)
+		err = leadership.proven(err)
 	}
-	if mishap != nil {
-		core.counts.Add("routings_"+string(wire.KindOf(mishap)), 1)
-		return nil, mishap
+	if err != nil {
+		core.counts.Add("routings_"+string(wire.CodeOf(err)), 1)
+		return nil, err
 	}
 	core.counts.Add("routings_taken", 1)
 	return told, nil
@@ -149,14 +149,14 @@
 	return decision
 }
 
-func (core *Core) onRouteRead(*wire.RouteRead) (*wire.RouteReadTold, error) {
-	leadership, mishap := core.leading()
-	if mishap != nil {
-		return nil, mishap
+func (core *Core) onRouteRead(*wire.RoutingReadRequest) (*wire.RoutingReadResponse, error) {
+	leadership, err := core.leading()
+	if err != nil {
+		return nil, err
 	}
-	if mishap := leadership.confirm(core.roundLimit()); mishap != nil {
-		return nil, mishap
+	if err := leadership.confirm(core.roundLimit()); err != nil {
+		return nil, err
 	}
 	value := leadership.value(wire.RoutingRegister)
-	return &wire.RouteReadTold{Serial: value.Serial, Body: value.Body}, nil
+	return &wire.RoutingReadResponse{Serial: value.Serial, Body: value.Body}, nil
 }
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -86,7 +86,7 @@
 			delete(sessions.held, name)
 			continue
 		}
-		if !held.session.Gone && (core == 0 || held.core == core) {
+		if !held.session.Ended && (core == 0 || held.core == core) {
 			all = append(all, held)
 		}
 	}
@@ -98,7 +98,7 @@
 func (sessions *Sessions) gone(name string) bool {
 	sessions.mutex.Lock()
 	defer sessions.mutex.Unlock()
-	return sessions.held[name].session.Gone
+	return sessions.held[name].session.Ended
 }
 
 // lapsed is whether more than half of the members fell silent just now. Then it
@@ -123,7 +123,7 @@
 	return time.Since(sessions.lapse) < sessions.span
 }
 
-func (core *Core) onSession(session *wire.Session) (*wire.SessionTold, error) {
+func (core *Core) onSession(session *wire.Session) (*wire.SessionResponse, error) {
 	session.AgeMs = 0
 	core.sessions.take(*session, core.members().ID)
 	core.usage.take(session.Member.Incarnation, session.Usage)
@@ -134,14 +134,14 @@
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	view := core.members()
-	told := &wire.SessionTold{Members: view.Mark, Process: core.meter.process, Serial: core.committed[wire.SettingsRegister].Value.Serial, Table: core.table.Mark, Cores: view.addresses(), Routing: core.committed[wire.RoutingRegister].Value.Serial}
+	told := &wire.SessionResponse{Membership: view.Mark, Process: core.meter.process, Serial: core.committed[wire.SettingsRegister].Value.Serial, Table: core.table.Version, Cores: view.addresses(), Routing: core.committed[wire.RoutingRegister].Value.Serial}
 	if !core.duck && (leads || time.Since(core.heard) < core.place.Suspect) {
 		told.Leader, told.NowMs = core.leader, now
 	}
 	return told, nil
 }
 
-func (core *Core) onTell(tell *wire.Tell) (*wire.TellTold, error) {
+func (core *Core) onTell(tell *wire.ShareSessionsRequest) (*wire.ShareSessionsResponse, error) {
 	core.sessions.heardCore(tell.Core)
 	for _, session := range tell.Sessions {
 		core.sessions.take(session, tell.Core)
@@ -149,7 +149,7 @@
 		core.stirs.take(&session)
 		core.meter.take(&session)
 	}
-	return &wire.TellTold{}, nil
+	return &wire.ShareSessionsResponse{}, nil
 }
 
 // tellSessions sends what daemons told this core to the other cores or, where
@@ -163,14 +163,14 @@
 	if !view.votes() {
 		return
 	}
-	tell := &wire.Tell{Core: view.ID}
+	tell := &wire.ShareSessionsRequest{Core: view.ID}
 	for _, held := range core.sessions.standing(view.ID) {
 		held.session.AgeMs = time.Since(held.told).Milliseconds()
 		tell.Sessions = append(tell.Sessions, held.session)
 	}
-	askPeers(core, view, func(peer Peer) (*wire.TellTold, error) {
-		return wire.Ask[wire.Tell, wire.TellTold](core.line, peer.Address, "tell", core.roundLimit(), tell)
-	}, func(*wire.TellTold) bool { return true }, never)
+	askPeers(core, view, func(peer Peer) (*wire.ShareSessionsResponse, error) {
+		return wire.Call[wire.ShareSessionsRequest, wire.ShareSessionsResponse](core.line, peer.Address, "tell", core.roundLimit(), tell)
+	}, func(*wire.ShareSessionsResponse) bool { return true }, never)
 }
 
 // relayed is a session as the leader gets it from this core: with all counts that
@@ -179,7 +179,7 @@
 	session := held.session
 	session.AgeMs = time.Since(held.told).Milliseconds()
 	if all, whole := core.meter.of(&session); whole {
-		session.Windows, session.Upon = all, 0
+		session.Windows, session.BaseProcess = all, 0
 	}
 	return session
 }
@@ -193,7 +193,7 @@
 		return
 	}
 	begin := time.Now()
-	tell := &wire.Tell{Core: core.members().ID}
+	tell := &wire.ShareSessionsRequest{Core: core.members().ID}
 	for _, held := range core.sessions.own(core.members().ID) {
 		if held.told.After(since) {
 			tell.Sessions = append(tell.Sessions, core.relayed(held))
@@ -202,20 +202,20 @@
 	if len(tell.Sessions) == 0 {
 		return
 	}
-	if _, fault := wire.Ask[wire.Tell, wire.TellTold](core.line, leader.Address, "tell", core.roundLimit(), tell); fault == nil {
+	if _, err := wire.Call[wire.ShareSessionsRequest, wire.ShareSessionsResponse](core.line, leader.Address, "tell", core.roundLimit(), tell); err == nil {
 		core.mutex.Lock()
 		core.toldLeader = begin
 		core.mutex.Unlock()
 	}
 }
 
-func (core *Core) onWatch(watch *wire.Watch) (*wire.WatchTold, error) {
+func (core *Core) onWatch(watch *wire.WatchRequest) (*wire.WatchResponse, error) {
 	span := min(time.Duration(watch.SpanMs)*time.Millisecond, watchSpan)
 	until := time.Now().Add(span)
 	for {
 		seen := core.news.Count()
 		core.mutex.Lock()
-		told := &wire.WatchTold{Serial: core.committed[wire.SettingsRegister].Value.Serial, Table: core.table.Mark, Routing: core.committed[wire.RoutingRegister].Value.Serial}
+		told := &wire.WatchResponse{Serial: core.committed[wire.SettingsRegister].Value.Serial, Table: core.table.Version, Routing: core.committed[wire.RoutingRegister].Value.Serial}
 		core.mutex.Unlock()
 		if told.Serial > watch.Serial || told.Routing > watch.Routing || watch.Table.Less(told.Table) || core.threads.Stopping() {
 			return told, nil
@@ -226,23 +226,23 @@
 	}
 }
 
-func (core *Core) onFetch(fetch *wire.Fetch) (*wire.FetchTold, error) {
-	told := &wire.FetchTold{}
+func (core *Core) onFetch(fetch *wire.FetchRequest) (*wire.FetchResponse, error) {
+	told := &wire.FetchResponse{}
 	core.mutex.Lock()
 	routing := core.committed[wire.RoutingRegister].Value
 	core.mutex.Unlock()
 	if routing.Serial > fetch.Routing {
-		body, mishap := core.routed.of(routing)
-		if mishap != nil {
-			return nil, mishap
+		body, err := core.routed.of(routing)
+		if err != nil {
+			return nil, err
 		}
-		told.Routing, told.RoutingBody, told.RoutingPacked = routing.Serial, body, true
+		told.Routing, told.RoutingBody, told.RoutingCompressed = routing.Serial, body, true
 	}
 	core.mutex.Lock()
 	if value := core.committed[wire.SettingsRegister].Value; value.Serial > fetch.Serial {
-		told.Serial, told.Parts = value.Serial, treeParts(value.Parts)
+		told.Serial, told.Chunks = value.Serial, treeParts(value.Chunks)
 	}
-	if fetch.Table.Less(core.table.Mark) {
+	if fetch.Table.Less(core.table.Version) {
 		delta, known := core.tableLog.Since(fetch.Table, core.table)
 		if told.Delta = delta; !known {
 			told.Table = core.table
@@ -258,13 +258,13 @@
 type fetchedAnswers struct {
 	mutex sync.Mutex
 	table *wire.Table
-	held  map[fetchedKey]*wire.FetchTold
+	held  map[fetchedKey]*wire.FetchResponse
 }
 
 type fetchedKey struct{ serial, routing uint64 }
 
 // of gives the packed answer that says the same; one without a table is small.
-func (answers *fetchedAnswers) of(told *wire.FetchTold) (*wire.FetchTold, error) {
+func (answers *fetchedAnswers) of(told *wire.FetchResponse) (*wire.FetchResponse, error) {
 	if told.Table == nil {
 		return told, nil
 	}
@@ -274,11 +274,11 @@
 	if held := answers.held[key]; held != nil && answers.table == told.Table {
 		return held, nil
 	}
-	if mishap := told.Seal(); mishap != nil {
-		return nil, mishap
+	if err := told.Encode(); err != nil {
+		return nil, err
 	}
 	if answers.table != told.Table || len(answers.held) >= fetchedMost {
-		answers.table, answers.held = told.Table, map[fetchedKey]*wire.FetchTold{}
+		answers.table, answers.held = told.Table, map[fetchedKey]*wire.FetchResponse{}
 	}
 	answers.held[key] = told
 	return told, nil
--- a/control/stall_test.go
+++ b/control/stall_test.go
@@ -16,30 +16,30 @@
 func TestStalledVoterRefusesWhoComesLate(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		disk, threads := sim.NewDisk(1), run.NewThreads()
-		store, mishap := control.OpenStore(disk)
-		if mishap != nil {
-			test.Fatal(mishap)
+		store, err := control.OpenStore(disk)
+		if err != nil {
+			test.Fatal(err)
 		}
-		voter := control.NewVoter(store, func(mishap error) { test.Error(mishap) }, func(wire.Ballot) {})
-		if mishap := voter.Found(wire.Ballot{}, [wire.Registers]wire.Accepted{}, nil); mishap != nil {
-			test.Fatal(mishap)
+		voter := control.NewVoter(store, func(err error) { test.Error(err) }, func(wire.Term) {})
+		if err := voter.Found(wire.Term{}, [wire.Registers]wire.AcceptedValue{}, nil); err != nil {
+			test.Fatal(err)
 		}
 		disk.Stall(true)
 		var early error
-		threads.Start(func() { _, early = voter.Promise(&wire.Promise{Ballot: wire.Ballot{Round: 1, Core: 1}}) })
+		threads.Start(func() { _, early = voter.Promise(&wire.PrepareRequest{Term: wire.Term{Number: 1, Core: 1}}) })
 		threads.Rest(time.Second)
 		begin := time.Now()
 		for round := range uint64(20) {
-			if _, mishap := voter.Accept(&wire.Accept{Ballot: wire.Ballot{Round: 2 + round, Core: 1}, Value: wire.Value{Serial: 1}}); mishap == nil || wire.KindOf(mishap) != wire.DiskFault {
-				test.Fatalf("accept: %v", mishap)
+			if _, err := voter.Accept(&wire.AcceptRequest{Term: wire.Term{Number: 2 + round, Core: 1}, Value: wire.Value{Serial: 1}}); err == nil || wire.CodeOf(err) != wire.DiskFailure {
+				test.Fatalf("accept: %v", err)
 			}
 		}
-		if !voter.Stalled() || voter.State().Promised.Round != 0 || time.Since(begin) > 0 {
+		if !voter.Stalled() || voter.State().Promised.Number != 0 || time.Since(begin) > 0 {
 			test.Errorf("stalled %v, promised %v, after %v", voter.Stalled(), voter.State().Promised, time.Since(begin))
 		}
 		disk.Stall(false)
 		threads.Wait()
-		if early != nil || voter.Stalled() || voter.State().Promised.Round != 1 {
+		if early != nil || voter.Stalled() || voter.State().Promised.Number != 1 {
 			test.Errorf("then %v, stalled %v, promised %v", early, voter.Stalled(), voter.State().Promised)
 		}
 	})
--- a/control/status.go
+++ b/control/status.go
@@ -7,16 +7,16 @@
 )
 
 // onStatus is this core's view; the leader's is the whole one.
-func (core *Core) onStatus(*wire.Status) (*wire.StatusTold, error) {
+func (core *Core) onStatus(*wire.StatusRequest) (*wire.StatusResponse, error) {
 	core.mutex.Lock()
-	told := &wire.StatusTold{Leader: core.leader, Serial: core.committed[wire.SettingsRegister].Value.Serial, Table: core.table.Mark, Backends: core.table.Backends}
+	told := &wire.StatusResponse{Leader: core.leader, Serial: core.committed[wire.SettingsRegister].Value.Serial, Table: core.table.Version, Backends: core.table.Backends}
 	leadership := core.leadership
 	core.mutex.Unlock()
 	told.Membership = core.membershipStatus(leadership)
 	told.State = string(core.chart.Now())
 	told.Counts = core.counts.All()
 	state := core.voter.State()
-	told.Cores = []wire.CoreStatus{{Core: core.members().ID, Address: core.place.Wire, Voter: state.Founded, Seen: true, Marks: state.Marks()}}
+	told.Cores = []wire.CoreStatus{{Core: core.members().ID, Address: core.place.Wire, Voter: state.Founded, Seen: true, Versions: state.Marks()}}
 	if leadership != nil {
 		told.Conditions = leadership.conditions()
 		told.Revocation = string(leadership.revocation.Method)
@@ -24,7 +24,7 @@
 		for _, peer := range core.members().Peers {
 			status := wire.CoreStatus{Core: peer.ID, Address: peer.Address}
 			if report := leadership.reports[peer.ID]; report != nil {
-				status.Voter, status.Seen, status.Marks = report.Voter, report.Taken, report.Marks
+				status.Voter, status.Seen, status.Versions = report.Voter, report.Accepted, report.Versions
 			}
 			told.Cores = append(told.Cores, status)
 		}
--- a/control/stirs.go
+++ b/control/stirs.go
@@ -39,7 +39,7 @@
 	stirs.mutex.Lock()
 	defer stirs.mutex.Unlock()
 	for _, probe := range session.Probes {
-		now := finding{incarnation: probe.Incarnation, healthy: probe.Healthy, leaving: probe.Leaving, cold: probe.Cold}
+		now := finding{incarnation: probe.Incarnation, healthy: probe.Healthy, leaving: probe.Leaving, cold: probe.WarmingUp}
 		told := stirs.told[probe.Backend]
 		if told == nil {
 			told = map[string]finding{}
@@ -65,17 +65,17 @@
 	stirs.mutex.Lock()
 	defer stirs.mutex.Unlock()
 	for index := range before {
-		if before[index].Stir > 0 {
-			stirs.counts[before[index].Name] = max(stirs.counts[before[index].Name], before[index].Stir)
+		if before[index].ProbeHint > 0 {
+			stirs.counts[before[index].Name] = max(stirs.counts[before[index].Name], before[index].ProbeHint)
 		}
 	}
 	laid := backends
 	for index := range backends {
-		if count := stirs.counts[backends[index].Name]; backends[index].Stir != count {
+		if count := stirs.counts[backends[index].Name]; backends[index].ProbeHint != count {
 			if &laid[0] == &backends[0] {
 				laid = slices.Clone(backends)
 			}
-			laid[index].Stir = count
+			laid[index].ProbeHint = count
 		}
 	}
 	if len(stirs.told) == 0 {
--- a/control/store.go
+++ b/control/store.go
@@ -14,18 +14,18 @@
 	Opening  bool
 	Roster   []Peer // as disks of former versions hold it; see upgrade
 	Founded  bool
-	Promised wire.Ballot
-	Accepted [wire.Registers]wire.Accepted
-	Texts    wire.Texts
+	Promised wire.Term
+	Accepted [wire.Registers]wire.AcceptedValue
+	Texts    wire.Chunks
 
-	Committed wire.Marks
+	Committed wire.Versions
 }
 
 // proven is a register's accepted value where this core knew it committed: what a
 // later ballot holds under the same serial is the same value.
-func (state State) proven(register wire.Register) (wire.Accepted, bool) {
+func (state State) proven(register wire.Register) (wire.AcceptedValue, bool) {
 	accepted, mark := state.Accepted[register], state.Committed[register]
-	return accepted, mark.Serial > 0 && mark.Serial == accepted.Value.Serial && !accepted.Ballot.Less(mark.Ballot)
+	return accepted, mark.Serial > 0 && mark.Serial == accepted.Value.Serial && !accepted.Term.Less(mark.Term)
 }
 
 // upgrade makes the roster of a former version, which was fixed, the first membership.
@@ -38,17 +38,17 @@
 
 // Voters is the membership that was accepted last; nil where none was.
 func (state State) Voters() *Membership {
-	membership, mishap := membershipOf(state.Accepted[wire.MembersRegister])
-	if mishap != nil {
+	membership, err := membershipOf(state.Accepted[wire.MembersRegister])
+	if err != nil {
 		return nil
 	}
 	return membership
 }
 
-func (state State) Marks() wire.Marks {
-	marks := wire.Marks{}
+func (state State) Marks() wire.Versions {
+	marks := wire.Versions{}
 	for register := range marks {
-		marks[register] = state.Accepted[register].Mark()
+		marks[register] = state.Accepted[register].Version()
 	}
 	return marks
 }
@@ -58,12 +58,12 @@
 	Opening  bool
 	Roster   []Peer // as disks of former versions hold it; see upgrade
 	Founded  bool
-	Promised *wire.Ballot
+	Promised *wire.Term
 	Register wire.Register
-	Accepted *wire.Accepted
-	Texts    wire.Texts
+	Accepted *wire.AcceptedValue
+	Texts    wire.Chunks
 
-	Committed *wire.Mark
+	Committed *wire.Version
 	Then      []record
 }
 
@@ -79,7 +79,7 @@
 	}
 	if step.Accepted != nil {
 		state.Accepted[step.Register] = *step.Accepted
-		if len(step.Texts) > 0 || len(step.Accepted.Value.Parts) > 0 {
+		if len(step.Texts) > 0 || len(step.Accepted.Value.Chunks) > 0 {
 			state.trim(step.Texts)
 		}
 	}
@@ -89,10 +89,10 @@
 }
 
 // trim keeps the texts that accepted values name; readers may hold the former map.
-func (state *State) trim(more wire.Texts) {
-	kept := make(wire.Texts, len(state.Texts)+len(more))
+func (state *State) trim(more wire.Chunks) {
+	kept := make(wire.Chunks, len(state.Texts)+len(more))
 	for register := range state.Accepted {
-		for _, part := range state.Accepted[register].Value.Parts {
+		for _, part := range state.Accepted[register].Value.Chunks {
 			if text, found := more[part.Digest]; found {
 				kept[part.Digest] = text
 			} else if text, found := state.Texts[part.Digest]; found {
@@ -118,32 +118,32 @@
 // takes nothing until Repair succeeds.
 func OpenStore(disk Disk) (*Store, error) {
 	store := &Store{disk: disk}
-	if mishap := sweepDrafts(disk); mishap != nil {
-		return nil, mishap
+	if err := sweepDrafts(disk); err != nil {
+		return nil, err
 	}
-	snapshots, mishap := numbers(disk, snapshotName)
-	if mishap != nil {
-		return nil, mishap
+	snapshots, err := numbers(disk, snapshotName)
+	if err != nil {
+		return nil, err
 	}
 	first := uint64(0)
 	if len(snapshots) > 0 {
 		first = snapshots[len(snapshots)-1]
-		if mishap := store.loadSnapshot(first); mishap != nil {
-			return nil, mishap
+		if err := store.loadSnapshot(first); err != nil {
+			return nil, err
 		}
 	}
 	laid := false
-	store.journal, mishap = loadJournal(disk, segmentName, first, func(_ uint64, payload []byte) error {
+	store.journal, err = loadJournal(disk, segmentName, first, func(_ uint64, payload []byte) error {
 		var step record
-		if fault := wire.Unpack(payload, &step); fault != nil {
-			return wire.AsMishap(fault)
+		if err := wire.Unmarshal(payload, &step); err != nil {
+			return wire.AsError(err)
 		}
 		store.state.lay(step)
 		laid = true
 		return nil
 	})
-	if mishap != nil {
-		return nil, mishap
+	if err != nil {
+		return nil, err
 	}
 	if laid || len(snapshots) > 0 {
 		_ = store.roll() // Fault tells it until Repair succeeds
@@ -155,16 +155,16 @@
 
 func (store *Store) loadSnapshot(number uint64) error {
 	name := numbered(snapshotName, number)
-	body, fault := store.disk.Read(name)
-	if fault != nil {
-		return storeFault(wire.DiskFault, fault, "read %s", name)
+	body, err := store.disk.Read(name)
+	if err != nil {
+		return storeFault(wire.DiskFailure, err, "read %s", name)
 	}
 	payload, sound := Frame(body).payload()
 	if !sound {
-		return wire.New(wire.Corrupt, "%s fails its checksum", name)
+		return wire.Errorf(wire.CorruptStore, "%s fails its checksum", name)
 	}
-	if fault := wire.Unpack(payload, &store.state); fault != nil {
-		return storeFault(wire.Corrupt, fault, "%s", name)
+	if err := wire.Unmarshal(payload, &store.state); err != nil {
+		return storeFault(wire.CorruptStore, err, "%s", name)
 	}
 	store.state.upgrade(store.state.Roster)
 	return nil
@@ -185,20 +185,20 @@
 // Append lasts once it returns without a mishap; after one the store takes nothing
 // more until it is repaired. A step is one frame: torn in any way, all of it is cut.
 func (store *Store) Append(step record) error {
-	if fault := store.Fault(); fault != nil {
-		return fault
+	if err := store.Fault(); err != nil {
+		return err
 	}
-	frame, mishap := packFrame(&step)
-	if mishap != nil {
-		return mishap
+	frame, err := packFrame(&step)
+	if err != nil {
+		return err
 	}
 	if store.journal.full(frame) {
-		if mishap := store.roll(); mishap != nil {
-			return mishap
+		if err := store.roll(); err != nil {
+			return err
 		}
 	}
-	if mishap := store.journal.Append(frame); mishap != nil {
-		return mishap
+	if err := store.journal.Append(frame); err != nil {
+		return err
 	}
 	store.state.lay(step)
 	return nil
@@ -209,19 +209,19 @@
 // failed half-way is done again from its start.
 func (store *Store) roll() error {
 	next := store.journal.number + 1
-	frame, mishap := packFrame(&store.state)
-	if mishap != nil {
-		return mishap
+	frame, err := packFrame(&store.state)
+	if err != nil {
+		return err
 	}
 	name := numbered(snapshotName, next)
-	file, fault := replaceFile(store.disk, name, frame)
-	if fault != nil {
-		store.journal.fault = storeFault(wire.DiskFault, fault, "snapshot %s", name)
+	file, err := replaceFile(store.disk, name, frame)
+	if err != nil {
+		store.journal.fault = storeFault(wire.DiskFailure, err, "snapshot %s", name)
 		return store.journal.fault
 	}
 	_ = file.Close() // its content is synced
-	if mishap := store.journal.begin(next); mishap != nil {
-		return mishap
+	if err := store.journal.begin(next); err != nil {
+		return err
 	}
 	store.sweep(next)
 	return nil
--- a/control/store_test.go
+++ b/control/store_test.go
@@ -20,13 +20,13 @@
 // founded is a voter on the disk.
 func founded(test *testing.T, disk *sim.Disk) *control.Voter {
 	test.Helper()
-	store, mishap := control.OpenStore(disk)
-	if mishap != nil {
-		test.Fatal(mishap)
+	store, err := control.OpenStore(disk)
+	if err != nil {
+		test.Fatal(err)
 	}
-	voter := control.NewVoter(store, func(mishap error) { test.Error(mishap) }, func(wire.Ballot) {})
-	if mishap := voter.Found(wire.Ballot{}, [wire.Registers]wire.Accepted{}, nil); mishap != nil {
-		test.Fatal(mishap)
+	voter := control.NewVoter(store, func(err error) { test.Error(err) }, func(wire.Term) {})
+	if err := voter.Found(wire.Term{}, [wire.Registers]wire.AcceptedValue{}, nil); err != nil {
+		test.Fatal(err)
 	}
 	return voter
 }
@@ -35,13 +35,13 @@
 func take(voter *control.Voter, random *rand.Rand, steps int) control.State {
 	for range steps {
 		ballot := voter.State().Promised
-		ballot.Round++
+		ballot.Number++
 		ballot.Core = 1
 		if random.IntN(2) == 0 {
-			_, _ = voter.Promise(&wire.Promise{Ballot: ballot}) // the state tells what was answered for
+			_, _ = voter.Promise(&wire.PrepareRequest{Term: ballot}) // the state tells what was answered for
 			continue
 		}
-		_, _ = voter.Accept(&wire.Accept{Ballot: ballot, Register: wire.Register(random.IntN(2)), Value: wire.Value{Serial: ballot.Round, Body: make([]byte, random.IntN(300_000))}})
+		_, _ = voter.Accept(&wire.AcceptRequest{Term: ballot, Register: wire.Register(random.IntN(2)), Value: wire.Value{Serial: ballot.Number, Body: make([]byte, random.IntN(300_000))}})
 	}
 	return *voter.State()
 }
@@ -70,9 +70,9 @@
 		for round := range 4 {
 			answered := fill(test, disk, random, 15)
 			disk = disk.Sever(true)
-			store, mishap := control.OpenStore(disk)
-			if mishap != nil {
-				test.Fatalf("seed %d round %d: %v", seed, round, mishap)
+			store, err := control.OpenStore(disk)
+			if err != nil {
+				test.Fatalf("seed %d round %d: %v", seed, round, err)
 			}
 			if !same(answered, store.State()) {
 				test.Fatalf("seed %d round %d: answered %v %v, kept %v %v", seed, round, answered.Promised, answered.Marks(), store.State().Promised, store.State().Marks())
@@ -104,21 +104,21 @@
 		}
 		torn := disk.Fork()
 		torn.Cut(name, length+random.IntN(grown-length))
-		store, mishap := control.OpenStore(torn)
-		if mishap != nil || !same(before, store.State()) {
-			test.Fatalf("seed %d: torn tail gave %v", seed, mishap)
+		store, err := control.OpenStore(torn)
+		if err != nil || !same(before, store.State()) {
+			test.Fatalf("seed %d: torn tail gave %v", seed, err)
 		}
 		cut++
 		if length == 0 {
 			continue
 		}
 		disk.Harm(name, random.IntN(length))
-		if _, mishap := control.OpenStore(disk); mishap == nil || wire.KindOf(mishap) != wire.Corrupt {
-			test.Fatalf("seed %d: worn bit gave %v", seed, mishap)
+		if _, err := control.OpenStore(disk); err == nil || wire.CodeOf(err) != wire.CorruptStore {
+			test.Fatalf("seed %d: worn bit gave %v", seed, err)
 		}
 		stopped++
-		if store, mishap := control.OpenStore(whole); mishap != nil || !same(before, store.State()) {
-			test.Fatalf("seed %d: %v", seed, mishap)
+		if store, err := control.OpenStore(whole); err != nil || !same(before, store.State()) {
+			test.Fatalf("seed %d: %v", seed, err)
 		}
 	}
 	if stopped < 20 || cut < 20 {
@@ -130,47 +130,47 @@
 // named before the next process appends to it.
 func TestFoundSegmentLastsOnceAppended(test *testing.T) {
 	disk := sim.NewDisk(1)
-	if _, fault := disk.Create("segment-0000000000000000"); fault != nil {
-		test.Fatal(fault)
+	if _, err := disk.Create("segment-0000000000000000"); err != nil {
+		test.Fatal(err)
 	}
 	answered := fill(test, disk, rand.New(rand.NewPCG(1, 1)), 8)
-	store, mishap := control.OpenStore(disk.Sever(true))
-	if mishap != nil || !same(answered, store.State()) {
-		test.Fatalf("answered %v %v, kept %+v: %v", answered.Promised, answered.Marks(), store, mishap)
+	store, err := control.OpenStore(disk.Sever(true))
+	if err != nil || !same(answered, store.State()) {
+		test.Fatalf("answered %v %v, kept %+v: %v", answered.Promised, answered.Marks(), store, err)
 	}
 }
 
 // What a blank disk takes over is torn in its first bytes only, or in any others:
 // the disk is blank again, and works.
 func TestTornTakeoverLeavesABlankDisk(test *testing.T) {
-	accepted := [wire.Registers]wire.Accepted{}
+	accepted := [wire.Registers]wire.AcceptedValue{}
 	for register := range accepted {
-		accepted[register] = wire.Accepted{Ballot: wire.Ballot{Round: 2, Core: 1}, Value: wire.Value{Serial: 3, Body: make([]byte, 300)}}
+		accepted[register] = wire.AcceptedValue{Term: wire.Term{Number: 2, Core: 1}, Value: wire.Value{Serial: 3, Body: make([]byte, 300)}}
 	}
 	open := func(disk *sim.Disk) *control.Voter {
-		store, mishap := control.OpenStore(disk)
-		if mishap != nil {
-			test.Fatal(mishap)
+		store, err := control.OpenStore(disk)
+		if err != nil {
+			test.Fatal(err)
 		}
-		return control.NewVoter(store, func(mishap error) { test.Error(mishap) }, func(wire.Ballot) {})
+		return control.NewVoter(store, func(err error) { test.Error(err) }, func(wire.Term) {})
 	}
 	whole := sim.NewDisk(1)
-	if mishap := open(whole).Found(wire.Ballot{Round: 5, Core: 3}, accepted, nil); mishap != nil {
-		test.Fatal(mishap)
+	if err := open(whole).Found(wire.Term{Number: 5, Core: 3}, accepted, nil); err != nil {
+		test.Fatal(err)
 	}
 	size := whole.Size("segment-0000000000000000")
 	for at := 0; at < size; at += 7 {
 		disk := whole.Fork()
 		disk.Harm("segment-0000000000000000", at)
 		voter := open(disk)
-		if !voter.Blank() || voter.State().Marks() != (wire.Marks{}) {
+		if !voter.Blank() || voter.State().Marks() != (wire.Versions{}) {
 			test.Fatalf("byte %d: %+v", at, voter.State())
 		}
-		if mishap := voter.Found(wire.Ballot{Round: 6, Core: 3}, accepted, nil); mishap != nil || voter.Blank() {
-			test.Fatalf("byte %d: %v", at, mishap)
+		if err := voter.Found(wire.Term{Number: 6, Core: 3}, accepted, nil); err != nil || voter.Blank() {
+			test.Fatalf("byte %d: %v", at, err)
 		}
 		voter.Close()
-		if again := open(disk.Sever(true)); again.Blank() || again.State().Promised.Round != 6 {
+		if again := open(disk.Sever(true)); again.Blank() || again.State().Promised.Number != 6 {
 			test.Fatalf("byte %d: %+v", at, again.State())
 		}
 	}
@@ -184,9 +184,9 @@
 	voter := founded(test, disk)
 	written := 0
 	for serial := uint64(1); serial <= 60; serial++ {
-		told, mishap := voter.Accept(&wire.Accept{Ballot: wire.Ballot{Round: 1, Core: 1}, Register: wire.RoutingRegister, Value: wire.Value{Serial: serial, Body: make([]byte, large)}})
-		if mishap != nil || !told.Taken {
-			test.Fatal(told, mishap)
+		told, err := voter.Accept(&wire.AcceptRequest{Term: wire.Term{Number: 1, Core: 1}, Register: wire.RoutingRegister, Value: wire.Value{Serial: serial, Body: make([]byte, large)}})
+		if err != nil || !told.Accepted {
+			test.Fatal(told, err)
 		}
 		written += large
 	}
--- a/control/stored_test.go
+++ b/control/stored_test.go
@@ -29,16 +29,16 @@
 }
 
 func describeStore(text *bytes.Buffer, state State) {
-	fmt.Fprintf(text, "founded %v, opening %v, promised %d.%d\n", state.Founded, state.Opening, state.Promised.Round, state.Promised.Core)
+	fmt.Fprintf(text, "founded %v, opening %v, promised %d.%d\n", state.Founded, state.Opening, state.Promised.Number, state.Promised.Core)
 	for register, accepted := range state.Accepted {
 		fmt.Fprintf(text, "register %d: serial %d under %d.%d, body %x, %d parts, committed %d\n", register, accepted.Value.Serial,
-			accepted.Ballot.Round, accepted.Ballot.Core, wire.DigestOf(accepted.Value.Body), len(accepted.Value.Parts), state.Committed[register].Serial)
-		for _, part := range accepted.Value.Parts {
+			accepted.Term.Number, accepted.Term.Core, wire.DigestOf(accepted.Value.Body), len(accepted.Value.Chunks), state.Committed[register].Serial)
+		for _, part := range accepted.Value.Chunks {
 			fmt.Fprintf(text, "  part %s %x, %d bytes\n", part.Path, part.Digest, len(state.Texts[part.Digest]))
 		}
 	}
 	if voters := state.Voters(); voters != nil {
-		fmt.Fprintf(text, "membership %d under %d.%d: last id %d\n", voters.Mark.Serial, voters.Mark.Ballot.Round, voters.Mark.Ballot.Core, voters.LastID)
+		fmt.Fprintf(text, "membership %d under %d.%d: last id %d\n", voters.Mark.Serial, voters.Mark.Term.Number, voters.Mark.Term.Core, voters.LastID)
 		for _, peer := range voters.Voters {
 			fmt.Fprintf(text, "  voter %d at %s\n", peer.ID, peer.Address)
 		}
@@ -50,9 +50,9 @@
 
 func describeSettings(test *testing.T, text *bytes.Buffer, state State) {
 	value := state.Accepted[wire.SettingsRegister].Value
-	now, mishap := readContent(nil, value, state.Texts)
-	if mishap != nil {
-		test.Fatal(mishap)
+	now, err := readContent(nil, value, state.Texts)
+	if err != nil {
+		test.Fatal(err)
 	}
 	if now.tree == nil {
 		return
@@ -64,9 +64,9 @@
 }
 
 func describeRouting(test *testing.T, text *bytes.Buffer, state State) {
-	book, mishap := route.BookOf(state.Accepted[wire.RoutingRegister].Value.Body)
-	if mishap != nil {
-		test.Fatal(mishap)
+	book, err := route.BookOf(state.Accepted[wire.RoutingRegister].Value.Body)
+	if err != nil {
+		test.Fatal(err)
 	}
 	fmt.Fprintf(text, "routing %d: %d routes, %d services, evacuated %v, %d reopened\n", book.Config.Version, len(book.Config.Routes), len(book.Config.Services), book.Evacuated, len(book.Reopened))
 	for version := range uint64(10) {
@@ -94,7 +94,7 @@
 func describeReports(test *testing.T, text *bytes.Buffer, state State) {
 	value := state.Accepted[wire.ReportsRegister].Value
 	sums := &usageBook{}
-	if len(value.Body) > 0 && wire.Unpack(value.Body, sums) == nil {
+	if len(value.Body) > 0 && wire.Unmarshal(value.Body, sums) == nil {
 		fmt.Fprintf(text, "reports of period %d until %d, age %d: open%s\n", sums.Period, sums.ToMs, sums.AgeMs, sortedCounts(sums.Open))
 		for _, report := range sums.Pending {
 			fmt.Fprintf(text, "  report %s of %s, period %d: %d tasks\n", report.ID, report.Tenant, report.Period, report.Tasks)
@@ -109,9 +109,9 @@
 		}
 		return
 	}
-	windows, mishap := meterBookOf(value)
-	if mishap != nil {
-		test.Fatal(mishap)
+	windows, err := meterBookOf(value)
+	if err != nil {
+		test.Fatal(err)
 	}
 	fmt.Fprintf(text, "windows: next %d\n", windows.Next)
 	for _, sealed := range windows.Sealed {
@@ -120,9 +120,9 @@
 }
 
 func describeClaims(test *testing.T, text *bytes.Buffer, disk Disk) {
-	log, mishap := openClaimLog(disk, 0, run.NewCounts())
-	if mishap != nil {
-		test.Fatal(mishap)
+	log, err := openClaimLog(disk, 0, run.NewCounts())
+	if err != nil {
+		test.Fatal(err)
 	}
 	defer log.journal.Close()
 	claims, last, done := log.book.Page(0, 1<<20)
@@ -136,9 +136,9 @@
 // describe opens a core's data folder and says all that is in it.
 func describe(test *testing.T, disk Disk) string {
 	test.Helper()
-	store, mishap := OpenStore(disk)
-	if mishap != nil {
-		test.Fatal(mishap)
+	store, err := OpenStore(disk)
+	if err != nil {
+		test.Fatal(err)
 	}
 	defer store.Close()
 	text := &bytes.Buffer{}
--- a/control/survey.go
+++ b/control/survey.go
@@ -24,15 +24,15 @@
 	if accepted.Value.Serial == 0 {
 		return false
 	}
-	same := func(told *wire.RestoreTold) bool {
-		return told.Founded && told.Marks[wire.RoutingRegister] == accepted.Mark()
+	same := func(told *wire.ReplicaStateResponse) bool {
+		return told.Initialized && told.Versions[wire.RoutingRegister] == accepted.Version()
 	}
 	view := core.members()
-	told := askPeers(core, view, func(peer Peer) (*wire.RestoreTold, error) {
-		return wire.Ask[wire.Restore, wire.RestoreTold](core.line, peer.Address, "restore", core.roundLimit(), &wire.Restore{Core: view.ID, Members: view.Mark})
+	told := askPeers(core, view, func(peer Peer) (*wire.ReplicaStateResponse, error) {
+		return wire.Call[wire.ReplicaStateRequest, wire.ReplicaStateResponse](core.line, peer.Address, "restore", core.roundLimit(), &wire.ReplicaStateRequest{Core: view.ID, Membership: view.Mark})
 	}, same, view.decides)
 	for _, answer := range told {
-		core.learnMembers(answer.Members)
+		core.learnMembers(answer.Membership)
 	}
 	if !view.decides(agreed(told, same)) || !core.members().same(view) {
 		return false
--- a/control/table.go
+++ b/control/table.go
@@ -10,24 +10,24 @@
 
 // buildTable is the leader's duty: members by their sessions, backends by the platform.
 func (core *Core) buildTable() {
-	leadership, mishap := core.leading()
-	if mishap != nil && core.place.Direct && core.cold() {
+	leadership, err := core.leading()
+	if err != nil && core.place.Direct && core.cold() {
 		core.buildFirst()
 	}
-	if mishap != nil || leadership.holds() != nil {
+	if err != nil || leadership.holds() != nil {
 		return
 	}
 	before := core.Table()
 	sessions := core.sessions.standing(0)
-	if before.Mark.Ballot.Round == 0 || !before.Complete {
+	if before.Version.Term.Number == 0 || !before.Complete {
 		before = core.askHeld(before, sessions)
 	}
-	if before.Mark.Ballot.Round == 0 && time.Since(leadership.since) < core.place.firstTable() {
+	if before.Version.Term.Number == 0 && time.Since(leadership.since) < core.place.firstTable() {
 		return
 	}
-	next := &wire.Table{Mark: wire.TableMark{Ballot: leadership.ballot, Number: 1}, Members: []wire.Member{}, Backends: before.Backends, Complete: before.Complete}
-	if before.Mark.Ballot == leadership.ballot {
-		next.Mark.Number = before.Mark.Number + 1
+	next := &wire.Table{Version: wire.TableVersion{Term: leadership.ballot, Number: 1}, Members: []wire.Member{}, Backends: before.Backends, Complete: before.Complete}
+	if before.Version.Term == leadership.ballot {
+		next.Version.Number = before.Version.Number + 1
 	}
 	known := map[string]bool{}
 	for _, held := range sessions {
@@ -46,7 +46,7 @@
 		next.Backends, next.Complete = backends, true
 	}
 	next.Backends = core.stirs.lay(next.Backends, before.Backends)
-	if before.Mark.Ballot == leadership.ballot && sameTable(before, next) {
+	if before.Version.Term == leadership.ballot && sameTable(before, next) {
 		return
 	}
 	core.counts.Add("tables", 1)
@@ -69,13 +69,13 @@
 func (core *Core) buildFirst() {
 	before := core.Table()
 	backends, whole := core.platform.list()
-	if before.Mark.Ballot.Round > 0 || !whole {
+	if before.Version.Term.Number > 0 || !whole {
 		return
 	}
-	next := &wire.Table{Mark: wire.TableMark{Number: before.Mark.Number + 1}, Complete: true}
+	next := &wire.Table{Version: wire.TableVersion{Number: before.Version.Number + 1}, Complete: true}
 	now := core.Now()
 	for _, backend := range backends {
-		if backend.WarmAt <= now {
+		if backend.WarmAtMs <= now {
 			next.Backends = append(next.Backends, backend)
 		}
 	}
@@ -91,20 +91,20 @@
 
 // askHeld rebuilds from a daemon that still holds what the cores lost.
 func (core *Core) askHeld(table *wire.Table, sessions []heldSession) *wire.Table {
-	best, from := table.Mark, ""
+	best, from := table.Version, ""
 	for _, held := range sessions {
 		if best.Less(held.session.Table) {
-			best, from = held.session.Table, held.session.Member.Wire
+			best, from = held.session.Table, held.session.Member.InternalAddress
 		}
 	}
 	if from == "" {
 		return table
 	}
-	told, fault := wire.Ask[wire.Fetch, wire.FetchTold](core.line, from, "fetch", core.roundLimit(), &wire.Fetch{Serial: ^uint64(0), Routing: ^uint64(0), Table: table.Mark})
-	if fault == nil && told.Delta != nil {
+	told, err := wire.Call[wire.FetchRequest, wire.FetchResponse](core.line, from, "fetch", core.roundLimit(), &wire.FetchRequest{Serial: ^uint64(0), Routing: ^uint64(0), Table: table.Version})
+	if err == nil && told.Delta != nil {
 		told.Table, _ = table.Apply(told.Delta)
 	}
-	if fault != nil || told.Table == nil {
+	if err != nil || told.Table == nil {
 		core.counts.Add("tables_not_rebuilt", 1)
 		return table
 	}
@@ -115,13 +115,13 @@
 // copyTable keeps the leader's table at the other cores.
 func (core *Core) copyTable() {
 	core.mutex.Lock()
-	leader, wanted, held, leads := core.leader, core.wanted, core.table.Mark, core.leadership != nil
+	leader, wanted, held, leads := core.leader, core.wanted, core.table.Version, core.leadership != nil
 	core.mutex.Unlock()
 	if leads || !leader.Known() || !held.Less(wanted) {
 		return
 	}
-	told, fault := wire.Ask[wire.Fetch, wire.FetchTold](core.line, leader.Address, "fetch", core.roundLimit(), &wire.Fetch{Serial: ^uint64(0), Routing: ^uint64(0), Table: held})
-	if fault != nil {
+	told, err := wire.Call[wire.FetchRequest, wire.FetchResponse](core.line, leader.Address, "fetch", core.roundLimit(), &wire.FetchRequest{Serial: ^uint64(0), Routing: ^uint64(0), Table: held})
+	if err != nil {
 		return
 	}
 	if told.Table != nil {
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -15,7 +15,7 @@
 func listed(count int) (*PlatformReader, *[]wire.Backend) {
 	list := make([]wire.Backend, 0, count)
 	for number := range count {
-		list = append(list, wire.Backend{Name: fmt.Sprintf("backend-%06d", (number*7919)%count), Service: "service", Address: "10.0.0.1:80", Zone: "zone", Slots: 16})
+		list = append(list, wire.Backend{Name: fmt.Sprintf("backend-%06d", (number*7919)%count), Service: "service", Address: "10.0.0.1:80", Zone: "zone", Capacity: 16})
 	}
 	place := &Place{GoneAfter: 2, ListPace: time.Second, Lister: func(context.Context, string) Listing { return Listing{Backends: list} }}
 	reader := newPlatformReader(place, nil, func() int64 { return 0 }, run.NewCounts())
@@ -85,12 +85,12 @@
 // Counts are laid over backends without changing the list they come from, and
 // never fall below those of the table before.
 func TestStirsAreLaidOnACopy(test *testing.T) {
-	stirs, listed := newStirs(), []wire.Backend{{Name: "a"}, {Name: "b"}, {Name: "c", Stir: 9}}
-	laid := stirs.lay(listed, []wire.Backend{{Name: "b", Stir: 4}})
-	if laid[0].Stir != 0 || laid[1].Stir != 4 || laid[2].Stir != 0 {
+	stirs, listed := newStirs(), []wire.Backend{{Name: "a"}, {Name: "b"}, {Name: "c", ProbeHint: 9}}
+	laid := stirs.lay(listed, []wire.Backend{{Name: "b", ProbeHint: 4}})
+	if laid[0].ProbeHint != 0 || laid[1].ProbeHint != 4 || laid[2].ProbeHint != 0 {
 		test.Errorf("%v", laid)
 	}
-	if listed[1].Stir != 0 || listed[2].Stir != 9 {
+	if listed[1].ProbeHint != 0 || listed[2].ProbeHint != 9 {
 		test.Errorf("the list itself changed: %v", listed)
 	}
 	if again := stirs.lay(laid, nil); &again[0] != &laid[0] {
@@ -102,11 +102,11 @@
 }
 
 func TestSameTable(test *testing.T) {
-	member, backend := []wire.Member{{Name: "p", Ready: true}}, []wire.Backend{{Name: "b", WarmAt: 5}}
+	member, backend := []wire.Member{{Name: "p", Ready: true}}, []wire.Backend{{Name: "b", WarmAtMs: 5}}
 	table := &wire.Table{Members: member, Backends: backend, Complete: true}
 	for name, next := range map[string]*wire.Table{
 		"a member":            {Members: []wire.Member{{Name: "p"}}, Backends: backend, Complete: true},
-		"a backend":           {Members: member, Backends: []wire.Backend{{Name: "b", WarmAt: 6}}, Complete: true},
+		"a backend":           {Members: member, Backends: []wire.Backend{{Name: "b", WarmAtMs: 6}}, Complete: true},
 		"no backends":         {Members: member, Complete: true},
 		"one backend more":    {Members: member, Backends: append(slices.Clone(backend), wire.Backend{}), Complete: true},
 		"whether it is whole": {Members: member, Backends: backend},
@@ -124,22 +124,22 @@
 // of an older table or of another routing.
 func TestFetchesArePackedOnce(test *testing.T) {
 	answers := &fetchedAnswers{}
-	tables := []*wire.Table{{Mark: wire.TableMark{Number: 1}}, {Mark: wire.TableMark{Number: 2}, Members: []wire.Member{{Name: "p"}}}}
-	seen := map[string]*wire.FetchTold{}
+	tables := []*wire.Table{{Version: wire.TableVersion{Number: 1}}, {Version: wire.TableVersion{Number: 2}, Members: []wire.Member{{Name: "p"}}}}
+	seen := map[string]*wire.FetchResponse{}
 	for round := range 3 {
 		for _, table := range tables {
 			for routing := range uint64(6) {
-				asked := &wire.FetchTold{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}}
-				want, _ := wire.Pack(asked)
-				told, mishap := answers.of(asked)
-				if mishap != nil {
-					test.Fatal(mishap)
+				asked := &wire.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}}
+				want, _ := wire.Marshal(asked)
+				told, err := answers.of(asked)
+				if err != nil {
+					test.Fatal(err)
 				}
 				body, _ := wire.Codec{}.Marshal(told)
 				if string(body) != string(want) {
-					test.Errorf("round %d: another answer for table %d, routing %d", round, table.Mark.Number, routing)
+					test.Errorf("round %d: another answer for table %d, routing %d", round, table.Version.Number, routing)
 				}
-				again, _ := answers.of(&wire.FetchTold{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}})
+				again, _ := answers.of(&wire.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}})
 				if again != told {
 					test.Error("packed twice")
 				}
@@ -154,7 +154,7 @@
 	if len(seen) != 12 {
 		test.Errorf("%d answers", len(seen))
 	}
-	if told, _ := answers.of(&wire.FetchTold{Routing: 9}); told.Routing != 9 || told.Table != nil {
+	if told, _ := answers.of(&wire.FetchResponse{Routing: 9}); told.Routing != 9 || told.Table != nil {
 		test.Errorf("%+v", told)
 	}
 }
@@ -162,24 +162,24 @@
 // What a fetch of the whole table costs the core that answers.
 func BenchmarkFetch(bench *testing.B) {
 	for _, count := range []int{192, 768, 16000} {
-		table := &wire.Table{Mark: wire.TableMark{Number: 1}}
+		table := &wire.Table{Version: wire.TableVersion{Number: 1}}
 		for number := range count {
-			table.Members = append(table.Members, wire.Member{Name: fmt.Sprintf("proxy-%05d", number), Kind: "proxy", Zone: "zone", Wire: "10.0.0.1:7000", Outer: "10.0.0.1:8000",
-				Operate: "10.0.0.1:7000", Incarnation: "0123456789abcdef", Ready: true})
+			table.Members = append(table.Members, wire.Member{Name: fmt.Sprintf("proxy-%05d", number), Kind: "proxy", Zone: "zone", InternalAddress: "10.0.0.1:7000", PublicAddress: "10.0.0.1:8000",
+				OperatorAddress: "10.0.0.1:7000", Incarnation: "0123456789abcdef", Ready: true})
 		}
 		bench.Run(fmt.Sprint(count, "-before"), func(bench *testing.B) {
 			for bench.Loop() {
-				if _, fault := (wire.Codec{}).Marshal(&wire.FetchTold{Table: table}); fault != nil {
-					bench.Fatal(fault)
+				if _, err := (wire.Codec{}).Marshal(&wire.FetchResponse{Table: table}); err != nil {
+					bench.Fatal(err)
 				}
 			}
 		})
 		bench.Run(fmt.Sprint(count, "-packed-once"), func(bench *testing.B) {
 			answers := &fetchedAnswers{}
 			for bench.Loop() {
-				told, _ := answers.of(&wire.FetchTold{Table: table})
-				if _, fault := (wire.Codec{}).Marshal(told); fault != nil {
-					bench.Fatal(fault)
+				told, _ := answers.of(&wire.FetchResponse{Table: table})
+				if _, err := (wire.Codec{}).Marshal(told); err != nil {
+					bench.Fatal(err)
 				}
 			}
 		})
--- a/control/upgrade_test.go
+++ b/control/upgrade_test.go
@@ -14,30 +14,30 @@
 	Opening  bool
 	Roster   []control.Peer
 	Founded  bool
-	Promised *wire.Ballot
+	Promised *wire.Term
 	Register wire.Register
-	Accepted *wire.Accepted
-	Texts    wire.Texts
+	Accepted *wire.AcceptedValue
+	Texts    wire.Chunks
 
-	Committed *wire.Mark
+	Committed *wire.Version
 }
 
 type formerState struct {
 	Opening  bool
 	Roster   []control.Peer
 	Founded  bool
-	Promised wire.Ballot
-	Accepted [3]wire.Accepted
-	Texts    wire.Texts
+	Promised wire.Term
+	Accepted [3]wire.AcceptedValue
+	Texts    wire.Chunks
 
-	Committed [3]wire.Mark
+	Committed [3]wire.Version
 }
 
 // A disk of the former version is read: its roster is the first membership.
 func TestDiskOfFormerVersionIsRead(test *testing.T) {
 	roster := []control.Peer{{ID: 1, Address: "10.0.0.1:41"}, {ID: 2, Address: "10.0.0.2:41"}, {ID: 3, Address: "10.0.0.3:41"}}
-	ballot := wire.Ballot{Round: 7, Core: 2}
-	routing := wire.Accepted{Ballot: ballot, Value: wire.Value{Serial: 5, Body: []byte("routing")}}
+	ballot := wire.Term{Number: 7, Core: 2}
+	routing := wire.AcceptedValue{Term: ballot, Value: wire.Value{Serial: 5, Body: []byte("routing")}}
 	snapshot := formerState{Roster: roster, Founded: true, Promised: ballot}
 	snapshot.Accepted[wire.RoutingRegister] = routing
 	for name, files := range map[string]map[string]any{
@@ -46,7 +46,7 @@
 	} {
 		disk := sim.NewDisk(1)
 		for file, content := range files {
-			body, err := wire.Pack(content)
+			body, err := wire.Marshal(content)
 			if err != nil {
 				test.Fatal(err)
 			}
@@ -61,9 +61,9 @@
 				test.Fatal(err)
 			}
 		}
-		store, mishap := control.OpenStore(disk)
-		if mishap != nil {
-			test.Errorf("%s: %v", name, mishap)
+		store, err := control.OpenStore(disk)
+		if err != nil {
+			test.Errorf("%s: %v", name, err)
 			continue
 		}
 		state := store.State()
--- a/control/usage.go
+++ b/control/usage.go
@@ -58,7 +58,7 @@
 	begun     time.Time
 	told      map[string]time.Time
 	delivered map[string]bool
-	ballot    wire.Ballot
+	ballot    wire.Term
 	sealed    time.Time
 	ended     time.Time
 	client    *http.Client
@@ -86,24 +86,24 @@
 	}
 }
 
-func (core *Core) onCount(count *wire.Count) (*wire.CountTold, error) {
-	if _, mishap := core.leading(); mishap != nil {
-		return nil, mishap
+func (core *Core) onCount(count *wire.UsageCountRequest) (*wire.UsageCountResponse, error) {
+	if _, err := core.leading(); err != nil {
+		return nil, err
 	}
 	core.usage.take(count.Incarnation, count.Usage)
-	return &wire.CountTold{}, nil
+	return &wire.UsageCountResponse{}, nil
 }
 
 // book is the leader's, nil where there is none to work on.
 func (core *Core) book() (*Leadership, *usageBook) {
-	leadership, mishap := core.leading()
-	if mishap != nil || leadership.holds() != nil || core.place.Platform == "" {
+	leadership, err := core.leading()
+	if err != nil || leadership.holds() != nil || core.place.Platform == "" {
 		return nil, nil
 	}
 	value := leadership.value(wire.ReportsRegister)
 	book := &usageBook{}
 	if len(value.Body) > 0 {
-		if fault := wire.Unpack(value.Body, book); fault != nil {
+		if err := wire.Unmarshal(value.Body, book); err != nil {
 			core.counts.Add("usage_book_unreadable", 1)
 			return nil, nil
 		}
@@ -122,7 +122,7 @@
 		return
 	}
 	if core.usage.fresh(book) || core.usage.over(leadership.ballot) {
-		if mishap := core.seal(leadership, settings.tree.Settings); mishap != nil {
+		if err := core.seal(leadership, settings.tree.Settings); err != nil {
 			core.counts.Add("usage_seals_failed", 1)
 		}
 	}
@@ -154,7 +154,7 @@
 
 // over is whether the period ended, by the monotonic clock; the first one of a
 // leadership does so at once, since nobody knows how long it has gone on.
-func (usage *Usage) over(ballot wire.Ballot) bool {
+func (usage *Usage) over(ballot wire.Term) bool {
 	usage.mutex.Lock()
 	defer usage.mutex.Unlock()
 	return usage.ballot != ballot || time.Since(usage.ended) >= usagePeriod
@@ -184,25 +184,25 @@
 // reports of an ended period, before any is sent.
 func (core *Core) seal(leadership *Leadership, tree *conf.Settings) error {
 	ends, now := core.usage.over(leadership.ballot), time.Now()
-	_, mishap := leadership.write(wire.ReportsRegister, func(current wire.Value) (*wire.Value, wire.Texts, error) {
+	_, err := leadership.write(wire.ReportsRegister, func(current wire.Value) (*wire.Value, wire.Chunks, error) {
 		book := usageBook{}
 		if len(current.Body) > 0 {
-			if fault := wire.Unpack(current.Body, &book); fault != nil {
-				return nil, nil, wire.AsMishap(fault)
+			if err := wire.Unmarshal(current.Body, &book); err != nil {
+				return nil, nil, wire.AsError(err)
 			}
 		}
 		next := core.usage.advance(book, tree, core.place.Wall(), core.usage.passed(leadership.ballot, now), ends)
-		body, fault := wire.Pack(&next)
-		if fault != nil {
-			return nil, nil, wire.AsMishap(fault)
+		body, err := wire.Marshal(&next)
+		if err != nil {
+			return nil, nil, wire.AsError(err)
 		}
 		return &wire.Value{Serial: current.Serial + 1, Body: body}, nil, nil
 	}, func() { core.usage.wrote(leadership.ballot, now, ends) })
-	return mishap
+	return err
 }
 
 // passed is how long ago this leadership sealed last, in milliseconds.
-func (usage *Usage) passed(ballot wire.Ballot, now time.Time) int64 {
+func (usage *Usage) passed(ballot wire.Term, now time.Time) int64 {
 	usage.mutex.Lock()
 	defer usage.mutex.Unlock()
 	if usage.ballot != ballot {
@@ -211,7 +211,7 @@
 	return now.Sub(usage.sealed).Milliseconds()
 }
 
-func (usage *Usage) wrote(ballot wire.Ballot, now time.Time, ended bool) {
+func (usage *Usage) wrote(ballot wire.Term, now time.Time, ended bool) {
 	usage.mutex.Lock()
 	defer usage.mutex.Unlock()
 	usage.ballot, usage.sealed = ballot, now
@@ -290,19 +290,19 @@
 }
 
 func (core *Core) deliver(report UsageReport) bool {
-	body, fault := json.Marshal(report)
-	if fault != nil {
+	body, err := json.Marshal(report)
+	if err != nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), platformLimit)
 	defer cancel()
-	request, fault := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+core.place.Platform+"/v1/usage", bytes.NewReader(body))
-	if fault != nil {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+core.place.Platform+"/v1/usage", bytes.NewReader(body))
+	if err != nil {
 		return false
 	}
 	request.Header.Set("Content-Type", "application/json")
-	response, fault := core.usage.client.Do(request)
-	if fault != nil {
+	response, err := core.usage.client.Do(request)
+	if err != nil {
 		core.counts.Add("usage_reports_unsent", 1)
 		return false
 	}
--- a/control/usage_test.go
+++ b/control/usage_test.go
@@ -13,13 +13,13 @@
 // Clocks jump by hours, leaders change and proxies come and go: every task is
 // reported once, and no period is there twice.
 func TestUsageBookWhileClocksJump(test *testing.T) {
-	body, fault := os.ReadFile("../examples/small.json")
-	if fault != nil {
-		test.Fatal(fault)
+	body, err := os.ReadFile("../examples/small.json")
+	if err != nil {
+		test.Fatal(err)
 	}
-	tree, mishap := conf.Read(body)
-	if mishap != nil {
-		test.Fatal(mishap)
+	tree, err := conf.Read(body)
+	if err != nil {
+		test.Fatal(err)
 	}
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 59))
--- a/control/voter.go
+++ b/control/voter.go
@@ -15,15 +15,15 @@
 	store  *Store
 	synced atomic.Pointer[State]
 	fault  func(error)
-	raised func(wire.Ballot)
-	learns func(wire.Accepted)
+	raised func(wire.Term)
+	learns func(wire.AcceptedValue)
 
 	writing atomic.Pointer[time.Time]
 }
 
 // NewVoter calls raised when the promise rises.
-func NewVoter(store *Store, fault func(error), raised func(wire.Ballot)) *Voter {
-	voter := &Voter{turn: run.NewTurn(), store: store, fault: fault, raised: raised, learns: func(wire.Accepted) {}}
+func NewVoter(store *Store, err func(error), raised func(wire.Term)) *Voter {
+	voter := &Voter{turn: run.NewTurn(), store: store, fault: err, raised: raised, learns: func(wire.AcceptedValue) {}}
 	voter.publish()
 	return voter
 }
@@ -39,16 +39,16 @@
 
 // keep appends within the turn and shows the new state.
 func (voter *Voter) keep(step record) error {
-	before, members := voter.store.state.Promised, voter.store.state.Accepted[wire.MembersRegister].Mark()
-	if mishap := voter.written(func() error { return voter.store.Append(step) }); mishap != nil {
-		voter.fault(mishap)
-		return mishap
+	before, members := voter.store.state.Promised, voter.store.state.Accepted[wire.MembersRegister].Version()
+	if err := voter.written(func() error { return voter.store.Append(step) }); err != nil {
+		voter.fault(err)
+		return err
 	}
 	voter.publish()
 	if after := voter.store.state.Promised; before != after {
 		voter.raised(after)
 	}
-	if after := voter.store.state.Accepted[wire.MembersRegister]; after.Mark() != members {
+	if after := voter.store.state.Accepted[wire.MembersRegister]; after.Version() != members {
 		voter.learns(after)
 	}
 	return nil
@@ -72,7 +72,7 @@
 // must not pile up behind it with what they brought.
 func (voter *Voter) enter() error {
 	if voter.Stalled() {
-		return wire.New(wire.DiskFault, "the disk does not answer")
+		return wire.Errorf(wire.DiskFailure, "the disk does not answer")
 	}
 	voter.turn.Take()
 	return nil
@@ -81,89 +81,89 @@
 // ready is nil while this core may vote; within the turn.
 func (voter *Voter) ready() error {
 	if !voter.store.state.Founded {
-		return wire.New(wire.Blank, "not restored yet")
+		return wire.Errorf(wire.BlankDisk, "not restored yet")
 	}
 	return voter.store.Fault()
 }
 
 // Promise grants a ballot that is not older than those promised before, unless the
 // asker counts by an older membership than the one accepted here.
-func (voter *Voter) Promise(message *wire.Promise) (*wire.PromiseTold, error) {
-	if mishap := voter.enter(); mishap != nil {
-		return nil, mishap
+func (voter *Voter) Promise(message *wire.PrepareRequest) (*wire.PrepareResponse, error) {
+	if err := voter.enter(); err != nil {
+		return nil, err
 	}
 	defer voter.turn.Give()
-	if mishap := voter.ready(); mishap != nil {
-		return nil, mishap
+	if err := voter.ready(); err != nil {
+		return nil, err
 	}
-	state, ballot := &voter.store.state, message.Ballot
-	if members := state.Accepted[wire.MembersRegister]; wire.Supersedes(members, message.Members) {
-		return &wire.PromiseTold{Promised: state.Promised, Members: members}, nil
+	state, ballot := &voter.store.state, message.Term
+	if members := state.Accepted[wire.MembersRegister]; wire.Supersedes(members, message.Membership) {
+		return &wire.PrepareResponse{Promised: state.Promised, Membership: members}, nil
 	}
 	if ballot.Less(state.Promised) {
-		return &wire.PromiseTold{Promised: state.Promised}, nil
+		return &wire.PrepareResponse{Promised: state.Promised}, nil
 	}
 	if state.Promised.Less(ballot) {
-		if mishap := voter.keep(record{Promised: &ballot}); mishap != nil {
-			return nil, mishap
+		if err := voter.keep(record{Promised: &ballot}); err != nil {
+			return nil, err
 		}
 	}
-	return &wire.PromiseTold{Granted: true, Promised: ballot, Accepted: state.Accepted}, nil
+	return &wire.PrepareResponse{Granted: true, Promised: ballot, Accepted: state.Accepted}, nil
 }
 
-func (voter *Voter) Accept(message *wire.Accept) (*wire.AcceptTold, error) {
-	if mishap := voter.enter(); mishap != nil {
-		return nil, mishap
+func (voter *Voter) Accept(message *wire.AcceptRequest) (*wire.AcceptResponse, error) {
+	if err := voter.enter(); err != nil {
+		return nil, err
 	}
 	defer voter.turn.Give()
-	if mishap := voter.ready(); mishap != nil {
-		return nil, mishap
+	if err := voter.ready(); err != nil {
+		return nil, err
 	}
 	state := &voter.store.state
-	if message.Ballot.Less(state.Promised) {
-		return &wire.AcceptTold{Promised: state.Promised}, nil
+	if message.Term.Less(state.Promised) {
+		return &wire.AcceptResponse{Promised: state.Promised}, nil
 	}
-	held := state.Accepted[message.Register].Mark()
-	offered := wire.Mark{Ballot: message.Ballot, Serial: message.Value.Serial}
+	held := state.Accepted[message.Register].Version()
+	offered := wire.Version{Term: message.Term, Serial: message.Value.Serial}
 	if held == offered {
-		return &wire.AcceptTold{Taken: true, Promised: state.Promised}, nil
+		return &wire.AcceptResponse{Accepted: true, Promised: state.Promised}, nil
 	}
 	if offered.Less(held) {
-		return &wire.AcceptTold{Promised: state.Promised}, nil
+		return &wire.AcceptResponse{Promised: state.Promised}, nil
 	}
-	if lacks := wire.Lacks(message.Value.Parts, state.Texts, message.Texts); len(lacks) > 0 {
-		return &wire.AcceptTold{Promised: state.Promised, Lacks: lacks}, nil
+	if lacks := wire.MissingChunks(message.Value.Chunks, state.Texts, message.Chunks); len(lacks) > 0 {
+		return &wire.AcceptResponse{Promised: state.Promised, Missing: lacks}, nil
 	}
-	step := record{Register: message.Register, Accepted: &wire.Accepted{Ballot: message.Ballot, Value: message.Value}, Texts: wire.Texts{}}
-	for _, part := range message.Value.Parts {
+	step := record{Register: message.Register, Accepted: &wire.AcceptedValue{Term: message.Term, Value: message.Value}, Texts: wire.Chunks{}}
+	for _, part := range message.Value.Chunks {
 		if state.Texts[part.Digest] == nil {
-			step.Texts[part.Digest] = message.Texts[part.Digest]
+			step.Texts[part.Digest] = message.Chunks[part.Digest]
 		}
 	}
-	if state.Promised.Less(message.Ballot) {
-		step.Promised = &message.Ballot
+	if state.Promised.Less(message.Term) {
+		step.Promised = &message.Term
 	}
-	if mishap := voter.keep(step); mishap != nil {
-		return nil, mishap
+	if err := voter.keep(step); err != nil {
+		return nil, err
 	}
-	return &wire.AcceptTold{Taken: true, Promised: state.Promised}, nil
+	return &wire.AcceptResponse{Accepted: true, Promised: state.Promised}, nil
 }
 
 // Found makes a blank disk a voter with what the others hold, accepted under its
 // own ballot: a copy is no vote for the ballot that it was written under.
-func (voter *Voter) Found(promised wire.Ballot, accepted [wire.Registers]wire.Accepted, texts wire.Texts) error {
+func (voter *Voter) Found(promised wire.Term, accepted [wire.Registers]wire.AcceptedValue, texts wire.Chunks) error {
 	voter.turn.Take()
 	defer voter.turn.Give()
 	if voter.store.state.Founded {
 		return nil
 	}
 	step := record{Founded: true}
-	if promised.Round > 0 {
+	if promised.Number > 0 {
 		step.Promised = &promised
 	}
 	for register := range accepted {
-		if accepted[register].Ballot.Round > 0 || accepted[register].Value.Serial > 0 {
-			accepted[register].Ballot = promised
+		if accepted[register].Term.Number > 0 || accepted[register].Value.Serial > 0 {
+			accepted[register].Term = promised
 			step.Then = append(step.Then, record{Register: wire.Register(register), Accepted: &accepted[register], Texts: texts})
 		}
 	}
@@ -179,22 +179,22 @@
 
 // Enrol makes a disk of the system's first start a voter under the membership that
 // it was told.
-func (voter *Voter) Enrol(members wire.Accepted) error {
+func (voter *Voter) Enrol(members wire.AcceptedValue) error {
 	voter.turn.Take()
 	defer voter.turn.Give()
 	if voter.store.state.Founded {
-		return wire.New(wire.BadMessage, "votes already")
+		return wire.Errorf(wire.BadMessage, "votes already")
 	}
 	step := record{Founded: true, Register: wire.MembersRegister, Accepted: &members}
-	if members.Ballot.Round > 0 {
-		step.Promised = &members.Ballot
+	if members.Term.Number > 0 {
+		step.Promised = &members.Term
 	}
 	return voter.keep(step)
 }
 
 // Committed keeps that a register's accepted value is known to be committed, so
 // that it can be served after a restart before anybody leads.
-func (voter *Voter) Committed(register wire.Register, mark wire.Mark) {
+func (voter *Voter) Committed(register wire.Register, mark wire.Version) {
 	voter.turn.Take()
 	defer voter.turn.Give()
 	state := &voter.store.state
--- a/control/voter_test.go
+++ b/control/voter_test.go
@@ -19,11 +19,11 @@
 		disk := sim.NewDisk(1)
 		raised := []string{}
 		open := func() *control.Voter {
-			store, mishap := control.OpenStore(disk)
-			if mishap != nil {
-				test.Fatal(mishap)
+			store, err := control.OpenStore(disk)
+			if err != nil {
+				test.Fatal(err)
 			}
-			return control.NewVoter(store, func(mishap error) { raised = append(raised, string(wire.KindOf(mishap))) }, func(ballot wire.Ballot) { raised = append(raised, "raised to "+ballot.String()) })
+			return control.NewVoter(store, func(err error) { raised = append(raised, string(wire.CodeOf(err))) }, func(ballot wire.Term) { raised = append(raised, "raised to "+ballot.String()) })
 		}
 		voter := open()
 		datadriven.RunTest(test, path, func(test *testing.T, line *datadriven.TestData) string {
@@ -34,23 +34,23 @@
 			line.MaybeScanArgs(test, "core", &core)
 			line.MaybeScanArgs(test, "register", &register)
 			line.MaybeScanArgs(test, "serial", &serial)
-			ballot := wire.Ballot{Round: round, Core: core}
+			ballot := wire.Term{Number: round, Core: core}
 			answer := ""
 			raised = nil
 			switch line.Cmd {
 			case "found":
-				answer = fmt.Sprint(voter.Found(wire.Ballot{}, [wire.Registers]wire.Accepted{}, nil) == nil)
+				answer = fmt.Sprint(voter.Found(wire.Term{}, [wire.Registers]wire.AcceptedValue{}, nil) == nil)
 			case "promise":
-				if told, mishap := voter.Promise(&wire.Promise{Ballot: ballot}); mishap != nil {
-					answer = string(wire.KindOf(mishap))
+				if told, err := voter.Promise(&wire.PrepareRequest{Term: ballot}); err != nil {
+					answer = string(wire.CodeOf(err))
 				} else {
-					answer = fmt.Sprintf("granted %v, promised %s, settings %d under %s", told.Granted, told.Promised, told.Accepted[0].Value.Serial, told.Accepted[0].Ballot)
+					answer = fmt.Sprintf("granted %v, promised %s, settings %d under %s", told.Granted, told.Promised, told.Accepted[0].Value.Serial, told.Accepted[0].Term)
 				}
 			case "accept":
-				if told, mishap := voter.Accept(&wire.Accept{Ballot: ballot, Register: wire.Register(register), Value: wire.Value{Serial: serial}}); mishap != nil {
-					answer = string(wire.KindOf(mishap))
+				if told, err := voter.Accept(&wire.AcceptRequest{Term: ballot, Register: wire.Register(register), Value: wire.Value{Serial: serial}}); err != nil {
+					answer = string(wire.CodeOf(err))
 				} else {
-					answer = fmt.Sprintf("taken %v, promised %s", told.Taken, told.Promised)
+					answer = fmt.Sprintf("taken %v, promised %s", told.Accepted, told.Promised)
 				}
 			case "fail":
 				disk.Fail(true)
@@ -65,7 +65,7 @@
 				voter = open()
 				state := voter.State()
 				answer = fmt.Sprintf("founded %v, promised %s, settings %d under %s, reports %d under %s", state.Founded, state.Promised,
-					state.Accepted[0].Value.Serial, state.Accepted[0].Ballot, state.Accepted[1].Value.Serial, state.Accepted[1].Ballot)
+					state.Accepted[0].Value.Serial, state.Accepted[0].Term, state.Accepted[1].Value.Serial, state.Accepted[1].Term)
 			default:
 				test.Fatalf("no command %s", line.Cmd)
 			}
--- a/control/who_test.go
+++ b/control/who_test.go
@@ -13,9 +13,9 @@
 // other's lock for good.
 func TestWhoWhileBeating(test *testing.T) {
 	threads := run.NewThreads()
-	core, mishap := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), wire.NewLine(http.DefaultTransport), threads, run.NewCounts())
-	if mishap != nil {
-		test.Fatal(mishap)
+	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), wire.NewClient(http.DefaultTransport), threads, run.NewCounts())
+	if err != nil {
+		test.Fatal(err)
 	}
 	core.Run()
 	for !core.Leads() {
@@ -24,8 +24,8 @@
 	leadership, _ := core.leading()
 	ended := run.NewBell()
 	ask := func() {
-		if _, mishap := core.onWho(&wire.Who{}); mishap != nil {
-			test.Error(mishap)
+		if _, err := core.onWho(&wire.LeaderRequest{}); err != nil {
+			test.Error(err)
 		}
 	}
 	for _, duty := range []func(){ask, func() { leadership.beat() }} {
--- a/data/admission.go
+++ b/data/admission.go
@@ -147,10 +147,10 @@
 		admission.mutex.Unlock()
 	}
 	if full {
-		return &wire.Mishap{Kind: wire.Busy, Cause: "class " + class + " is above its floor and backends have no room to lend", Retry: comeBack, Outcome: wire.NotRun}
+		return &wire.Error{Code: wire.Overloaded, Message: "class " + class + " is above its floor and backends have no room to lend", RetryAfterMs: comeBack, Outcome: wire.NotRun}
 	}
 	if !allowed {
-		return &wire.Mishap{Kind: wire.Busy, Cause: "class " + class + " has its floor and all it may borrow", Retry: comeBack, Outcome: wire.NotRun}
+		return &wire.Error{Code: wire.Overloaded, Message: "class " + class + " has its floor and all it may borrow", RetryAfterMs: comeBack, Outcome: wire.NotRun}
 	}
 	return nil
 }
--- a/data/claim_poll.go
+++ b/data/claim_poll.go
@@ -23,18 +23,18 @@
 
 // claimAnswer is a keeper's or a core's.
 type claimAnswer struct {
-	keeper *wire.ClaimTold
-	core   *wire.KeepTold
+	keeper *wire.ClaimResponse
+	core   *wire.RecordClaimsResponse
 }
 
-func (answer claimAnswer) told() *wire.ClaimTold {
+func (answer claimAnswer) told() *wire.ClaimResponse {
 	if answer.keeper != nil {
 		return answer.keeper
 	}
-	if len(answer.core.Told) == 1 {
-		return &answer.core.Told[0]
+	if len(answer.core.Results) == 1 {
+		return &answer.core.Results[0]
 	}
-	return &wire.ClaimTold{}
+	return &wire.ClaimResponse{}
 }
 
 // poll is one round of asking for a claim. Roster is the membership by which the
@@ -47,10 +47,10 @@
 }
 
 // refused is what somebody holds of the key; what is settled tells most.
-func (poll *poll) refused() (refusal *wire.Claimed) {
+func (poll *poll) refused() (refusal *wire.ClaimRecord) {
 	for _, answer := range poll.got {
-		if told := answer.told(); !told.Granted && told.Held.ID != "" && (refusal == nil || refusal.Stage == wire.ClaimRunning) {
-			refusal = &told.Held
+		if told := answer.told(); !told.Granted && told.Existing.ID != "" && (refusal == nil || refusal.Stage == wire.ClaimRunning) {
+			refusal = &told.Existing
 		}
 	}
 	return refusal
@@ -61,7 +61,7 @@
 	votes := newCoreVotes(poll.roster)
 	for _, answer := range poll.got {
 		if answer.core != nil {
-			votes.add(answer.core.Members, answer.core.Core, answer.told().Granted, answer.core.Whole)
+			votes.add(answer.core.Membership, answer.core.Core, answer.told().Granted, answer.core.Complete)
 		}
 	}
 	return votes
@@ -72,7 +72,7 @@
 func (poll *poll) quorums(wholes bool) bool {
 	granting := []wire.Member{}
 	for index, answer := range poll.got {
-		if answer.keeper != nil && answer.keeper.Granted && (answer.keeper.Whole || !wholes) {
+		if answer.keeper != nil && answer.keeper.Granted && (answer.keeper.Complete || !wholes) {
 			granting = append(granting, poll.members[index])
 		}
 	}
@@ -81,7 +81,7 @@
 
 // ask sends the claim to all keepers and cores, and again where the cores that vote
 // changed meanwhile.
-func (claims *Claims) ask(rings [][]wire.Member, members []wire.Member, claim *wire.Claim) (*wire.Claimed, bool) {
+func (claims *Claims) ask(rings [][]wire.Member, members []wire.Member, claim *wire.ClaimRequest) (*wire.ClaimRecord, bool) {
 	away := claims.coreStore.unavailable()
 	round := claims.poll(rings, members, claim, away)
 	if round.cores().outdated() && round.refused() == nil && !round.granted(away) {
@@ -100,7 +100,7 @@
 		return nil, false
 	}
 	claims.proxy.counts.Add("claims_without_core", 1)
-	claims.coreStore.enqueue(pendingUpdate{retold: &claim.Claimed})
+	claims.coreStore.enqueue(pendingUpdate{retold: &claim.Record})
 	return nil, true
 }
 
@@ -114,18 +114,18 @@
 
 // poll sends the claim to all keepers and cores once; one refusal is enough to stop,
 // and so is an answer by other voters.
-func (claims *Claims) poll(rings [][]wire.Member, members []wire.Member, claim *wire.Claim, away bool) *poll {
+func (claims *Claims) poll(rings [][]wire.Member, members []wire.Member, claim *wire.ClaimRequest, away bool) *poll {
 	roster, cores := claims.coreStore.coresToAsk()
 	round := &poll{roster: roster, rings: rings, members: members}
 	round.got, _ = run.Gather(claims.proxy.threads, len(members)+len(cores), func(index int) (claimAnswer, error) {
 		if index >= len(members) {
-			told, err := claims.coreStore.ask(cores[index-len(members)], &wire.Keep{Members: roster.accepted, Claims: []wire.Claim{*claim}}, coreStoreLimit)
+			told, err := claims.coreStore.ask(cores[index-len(members)], &wire.RecordClaimsRequest{Membership: roster.accepted, Claims: []wire.ClaimRequest{*claim}}, coreStoreLimit)
 			return claimAnswer{core: told}, err
 		}
 		if members[index].Name == claims.proxy.daemon.Name() {
 			return claimAnswer{keeper: claims.grant(claim)}, nil
 		}
-		told, err := wire.Ask[wire.Claim, wire.ClaimTold](claims.proxy.daemon.Line(), members[index].Wire, "claim", claimLimit, claim)
+		told, err := wire.Call[wire.ClaimRequest, wire.ClaimResponse](claims.proxy.daemon.Line(), members[index].InternalAddress, "claim", claimLimit, claim)
 		return claimAnswer{keeper: told}, err
 	}, func(got map[int]claimAnswer, _ map[int]error) bool {
 		now := *round
--- a/data/claim_rings.go
+++ b/data/claim_rings.go
@@ -10,7 +10,7 @@
 // heldRing is a ring and, once another replaced it, how long a quorum of it is still asked for.
 type heldRing struct {
 	keepers *Keepers
-	mark    wire.TableMark
+	mark    wire.TableVersion
 	at      time.Time
 	until   time.Time
 }
@@ -35,7 +35,7 @@
 
 // outdated is whether a claim comes from a proxy that does not know this ring
 // though it stands for longer than the former one is still asked.
-func (claims *Claims) outdated(claim *wire.Claim) bool {
+func (claims *Claims) outdated(claim *wire.ClaimRequest) bool {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
 	ring := claims.current()
@@ -44,7 +44,7 @@
 
 // apply takes a new ring and tells new keepers what they lack; the former ring
 // is asked too for a while.
-func (claims *Claims) apply(next *Keepers, mark wire.TableMark) {
+func (claims *Claims) apply(next *Keepers, mark wire.TableVersion) {
 	claims.mutex.Lock()
 	before := claims.current()
 	former := before.keepers
@@ -101,15 +101,15 @@
 }
 
 func (claims *Claims) retell(before, next *Keepers) {
-	batches := map[string][]wire.Claimed{}
+	batches := map[string][]wire.ClaimRecord{}
 	for after, done := uint64(0), false; !done; {
-		var page []wire.Claimed
+		var page []wire.ClaimRecord
 		page, after, done = claims.keeper.Page(after, pullPage)
 		for _, held := range page {
 			former := before.of(held.Key)
 			for _, keeper := range next.of(held.Key) {
 				if !among(former, keeper.Name) && keeper.Name != claims.proxy.daemon.Name() {
-					batches[keeper.Wire] = append(batches[keeper.Wire], held)
+					batches[keeper.InternalAddress] = append(batches[keeper.InternalAddress], held)
 				}
 			}
 		}
@@ -117,7 +117,7 @@
 	for address, batch := range batches {
 		for len(batch) > 0 {
 			count := min(len(batch), 2000)
-			if _, err := wire.Ask[wire.Retell, wire.RetellTold](claims.proxy.daemon.Line(), address, "retell", pullLimit, &wire.Retell{Claims: batch[:count]}); err != nil {
+			if _, err := wire.Call[wire.MergeClaimsRequest, wire.MergeClaimsResponse](claims.proxy.daemon.Line(), address, "retell", pullLimit, &wire.MergeClaimsRequest{Claims: batch[:count]}); err != nil {
 				claims.proxy.counts.Add("claims_not_retold", uint64(count))
 			}
 			batch = batch[count:]
@@ -126,7 +126,7 @@
 }
 
 // askable gives every ring in use for a key, and all their members once.
-func (claims *Claims) askable(key wire.ClaimKey) ([][]wire.Member, []wire.Member, wire.TableMark) {
+func (claims *Claims) askable(key wire.ClaimKey) ([][]wire.Member, []wire.Member, wire.TableVersion) {
 	claims.mutex.Lock()
 	mark := claims.current().mark
 	held := append([]heldRing{}, claims.rings...)
--- a/data/claims.go
+++ b/data/claims.go
@@ -82,7 +82,7 @@
 		switch {
 		case known.Name == claims.proxy.daemon.Name():
 			listed = known.Incarnation == claims.proxy.daemon.Incarnation()
-		case known.Kind == "proxy" && known.Keeper:
+		case known.Kind == "proxy" && known.KeyReplica:
 			others = append(others, known)
 		case known.Kind == "proxy":
 			peers = append(peers, known)
@@ -92,14 +92,14 @@
 		return
 	}
 	asked := append(append([]wire.Member{}, others...), peers...)
-	got, _ := run.Gather(claims.proxy.threads, len(asked), func(index int) (*wire.PullTold, error) {
-		return pullAll(claims.proxy.daemon.Line(), asked[index].Wire, wire.Accepted{}, claims.keeper.Retell)
-	}, func(map[int]*wire.PullTold, map[int]error) bool { return false })
+	got, _ := run.Gather(claims.proxy.threads, len(asked), func(index int) (*wire.FetchClaimsResponse, error) {
+		return pullAll(claims.proxy.daemon.Line(), asked[index].InternalAddress, wire.AcceptedValue{}, claims.keeper.Retell)
+	}, func(map[int]*wire.FetchClaimsResponse, map[int]error) bool { return false })
 	grown, wholes := 0, 0
 	for index, told := range got {
-		if told.Grown && index < len(others) {
+		if told.Joined && index < len(others) {
 			grown++
-			if told.Whole {
+			if told.Complete {
 				wholes++
 			}
 		}
@@ -116,7 +116,7 @@
 }
 
 // take claims the key at a quorum; when the key is taken, it gives what became of it.
-func (claims *Claims) take(claimed wire.Claimed) (*wire.Claimed, error) {
+func (claims *Claims) take(claimed wire.ClaimRecord) (*wire.ClaimRecord, error) {
 	claims.mutex.Lock()
 	if claims.running[claimed.Key] != "" {
 		claims.mutex.Unlock()
@@ -127,18 +127,18 @@
 	instead := ""
 	for range 3 {
 		rings, ring, mark := claims.askable(claimed.Key)
-		refusal, granted := claims.ask(rings, ring, &wire.Claim{Claimed: claimed, Instead: instead, Table: mark})
+		refusal, granted := claims.ask(rings, ring, &wire.ClaimRequest{Record: claimed, Replaces: instead, Table: mark})
 		if granted {
 			return nil, nil
 		}
 		if refusal == nil {
 			claims.free(ring, claimed)
 			claims.proxy.counts.Add("claims_short", 1)
-			return nil, &wire.Mishap{Kind: wire.OutcomeUnknown, Cause: "too few keepers of money keys answer; send the same key again", Retry: comeBack, Outcome: wire.MayHaveRun}
+			return nil, &wire.Error{Code: wire.OutcomeUnknown, Message: "too few keepers of money keys answer; send the same key again", RetryAfterMs: comeBack, Outcome: wire.MayHaveRun}
 		}
 		if refusal.Digest != claimed.Digest {
 			claims.free(ring, claimed)
-			return nil, &wire.Mishap{Kind: wire.KeyReused, Cause: "the key came with another task"}
+			return nil, &wire.Error{Code: wire.KeyReused, Message: "the key came with another task"}
 		}
 		if refusal.Stage != wire.ClaimRunning {
 			claims.free(ring, claimed)
@@ -166,31 +166,31 @@
 }
 
 func keyBusy() error {
-	return &wire.Mishap{Kind: wire.KeyBusy, Cause: "another send of this key runs; ask again for its outcome", Retry: comeBack, Outcome: wire.MayHaveRun}
+	return &wire.Error{Code: wire.KeyInFlight, Message: "another send of this key runs; ask again for its outcome", RetryAfterMs: comeBack, Outcome: wire.MayHaveRun}
 }
 
 func holderName(member wire.Member) string { return member.Name + "/" + member.Incarnation }
 
 // free gives the key back at every keeper: this claim's task was never sent.
-func (claims *Claims) free(ring []wire.Member, claimed wire.Claimed) {
+func (claims *Claims) free(ring []wire.Member, claimed wire.ClaimRecord) {
 	claims.mutex.Lock()
 	if claims.running[claimed.Key] == claimed.ID {
 		delete(claims.running, claimed.Key)
 	}
 	claims.mutex.Unlock()
-	claims.tell(ring, &wire.Settle{Claimed: claimed, Free: true})
+	claims.tell(ring, &wire.CompleteClaimRequest{Record: claimed, Release: true})
 }
 
 // settle keeps how the task ended here and at its keepers.
-func (claims *Claims) settle(claimed wire.Claimed, receipt *Receipt, mishap error) {
+func (claims *Claims) settle(claimed wire.ClaimRecord, receipt *Receipt, err error) {
 	_, ring, _ := claims.askable(claimed.Key)
-	if mishap != nil && wire.AsMishap(mishap).Outcome == wire.NotRun {
+	if err != nil && wire.AsError(err).Outcome == wire.NotRun {
 		claims.free(ring, claimed)
 		return
 	}
 	claimed.Stage = wire.ClaimUnknown
 	if receipt != nil {
-		claimed.Stage, claimed.Status = wire.ClaimRan, receipt.status
+		claimed.Stage, claimed.Status = wire.ClaimCompleted, receipt.status
 		claimed.Header = receipt.kept()
 		if len(receipt.body) <= replayBytes {
 			claimed.Body = receipt.body
@@ -198,9 +198,9 @@
 			claimed.Status = 0
 		}
 	}
-	claims.keeper.Settle(&wire.Settle{Claimed: claimed})
+	claims.keeper.Settle(&wire.CompleteClaimRequest{Record: claimed})
 	claims.mutex.Lock()
 	delete(claims.running, claimed.Key)
 	claims.mutex.Unlock()
-	claims.tell(ring, &wire.Settle{Claimed: claimed})
+	claims.tell(ring, &wire.CompleteClaimRequest{Record: claimed})
 }
--- a/data/core_store.go
+++ b/data/core_store.go
@@ -32,8 +32,8 @@
 // pendingUpdate is an update that the cores don't have yet: a claim granted without
 // them, or how one ended.
 type pendingUpdate struct {
-	retold *wire.Claimed
-	settle *wire.Settle
+	retold *wire.ClaimRecord
+	settle *wire.CompleteClaimRequest
 }
 
 func newCoreStore(proxy *Proxy) *coreStore {
@@ -70,7 +70,7 @@
 	}
 	addresses := roster.voters.Addresses()
 	for _, core := range cores {
-		if roster.accepted.Mark().Less(known) && !slices.Contains(addresses, core) {
+		if roster.accepted.Version().Less(known) && !slices.Contains(addresses, core) {
 			addresses = append(addresses, core)
 		}
 	}
@@ -84,8 +84,8 @@
 	store.mutex.Unlock()
 }
 
-func (store *coreStore) ask(address string, message *wire.Keep, limit time.Duration) (*wire.KeepTold, error) {
-	return wire.Ask[wire.Keep, wire.KeepTold](store.proxy.daemon.Line(), address, "keep", limit, message)
+func (store *coreStore) ask(address string, message *wire.RecordClaimsRequest, limit time.Duration) (*wire.RecordClaimsResponse, error) {
+	return wire.Call[wire.RecordClaimsRequest, wire.RecordClaimsResponse](store.proxy.daemon.Line(), address, "keep", limit, message)
 }
 
 // enqueue queues an update for deliver; if the queue is full the update is lost and
@@ -121,12 +121,12 @@
 		if len(batch) == 0 {
 			return
 		}
-		message := &wire.Keep{}
+		message := &wire.RecordClaimsRequest{}
 		for _, one := range batch {
 			if one.retold != nil {
-				message.Retold = append(message.Retold, *one.retold)
+				message.Merged = append(message.Merged, *one.retold)
 			} else {
-				message.Settles = append(message.Settles, *one.settle)
+				message.Completed = append(message.Completed, *one.settle)
 			}
 		}
 		for !store.sendToMajority(message) {
@@ -143,36 +143,38 @@
 
 // sendToMajority sends an update to the cores. It returns whether a majority of the
 // cores that vote has it.
-func (store *coreStore) sendToMajority(message *wire.Keep) bool {
+func (store *coreStore) sendToMajority(message *wire.RecordClaimsRequest) bool {
 	roster, cores := store.coresToAsk()
-	message.Members = roster.accepted
-	got, _ := run.Gather(store.proxy.threads, len(cores), func(index int) (*wire.KeepTold, error) {
+	message.Membership = roster.accepted
+	got, _ := run.Gather(store.proxy.threads, len(cores), func(index int) (*wire.RecordClaimsResponse, error) {
 		return store.ask(cores[index], message, settleLimit)
-	}, func(got map[int]*wire.KeepTold, _ map[int]error) bool { return keptBy(roster, got).lasting() })
+	}, func(got map[int]*wire.RecordClaimsResponse, _ map[int]error) bool {
+		return keptBy(roster, got).lasting()
+	})
 	votes := keptBy(roster, got)
 	store.learn(votes.newest)
 	return votes.lasting()
 }
 
 // keptBy returns the votes of the cores that answered an update.
-func keptBy(roster Roster, got map[int]*wire.KeepTold) *coreVotes {
+func keptBy(roster Roster, got map[int]*wire.RecordClaimsResponse) *coreVotes {
 	votes := newCoreVotes(roster)
 	for _, told := range got {
-		votes.add(told.Members, told.Core, !told.Refused, told.Whole)
+		votes.add(told.Membership, told.Core, !told.Refused, told.Complete)
 	}
 	return votes
 }
 
 // restore passes every claim that the cores hold to take. It returns whether a
 // majority of the cores that vote answered and hold all claims.
-func (store *coreStore) restore(take func([]wire.Claimed)) bool {
+func (store *coreStore) restore(take func([]wire.ClaimRecord)) bool {
 	roster, cores := store.coresToAsk()
-	got, _ := run.Gather(store.proxy.threads, len(cores), func(index int) (*wire.PullTold, error) {
+	got, _ := run.Gather(store.proxy.threads, len(cores), func(index int) (*wire.FetchClaimsResponse, error) {
 		return pullAll(store.proxy.daemon.Line(), cores[index], roster.accepted, take)
-	}, func(map[int]*wire.PullTold, map[int]error) bool { return false })
+	}, func(map[int]*wire.FetchClaimsResponse, map[int]error) bool { return false })
 	votes := newCoreVotes(roster)
 	for _, told := range got {
-		votes.add(told.Members, told.Core, true, told.Whole)
+		votes.add(told.Membership, told.Core, true, told.Complete)
 	}
 	store.learn(votes.newest)
 	return votes.whole()
@@ -180,10 +182,10 @@
 
 // pullAll passes every page of claims of a proxy or core to take. It returns the last
 // page, with the membership under which the first one was told.
-func pullAll(line *wire.Line, address string, members wire.Accepted, take func([]wire.Claimed)) (*wire.PullTold, error) {
-	var first *wire.PullTold
+func pullAll(line *wire.Client, address string, members wire.AcceptedValue, take func([]wire.ClaimRecord)) (*wire.FetchClaimsResponse, error) {
+	var first *wire.FetchClaimsResponse
 	for after, whole := uint64(0), true; ; {
-		told, err := wire.Ask[wire.Pull, wire.PullTold](line, address, "pull", pullLimit, &wire.Pull{After: after, Members: members})
+		told, err := wire.Call[wire.FetchClaimsRequest, wire.FetchClaimsResponse](line, address, "pull", pullLimit, &wire.FetchClaimsRequest{After: after, Membership: members})
 		if err != nil {
 			return nil, err
 		}
@@ -191,9 +193,9 @@
 			first = told
 		}
 		take(told.Claims)
-		whole = whole && told.Whole
+		whole = whole && told.Complete
 		if told.Done {
-			told.Whole, told.Members, told.Core = whole, first.Members, first.Core
+			told.Complete, told.Membership, told.Core = whole, first.Membership, first.Core
 			return told, nil
 		}
 		after = told.Last
--- a/data/corevotes.go
+++ b/data/corevotes.go
@@ -9,14 +9,14 @@
 // Roster is a membership of the cores as a proxy counts by it; its voters are nil
 // while none is known.
 type Roster struct {
-	accepted wire.Accepted
-	voters   *wire.Voters
+	accepted wire.AcceptedValue
+	voters   *wire.VoterSet
 }
 
 // rosterOf reads a membership; one that can't be read is as good as none.
-func rosterOf(accepted wire.Accepted) Roster {
-	var voters wire.Voters
-	if accepted.Value.Serial == 0 || wire.Unpack(accepted.Value.Body, &voters) != nil || voters.Check() != nil {
+func rosterOf(accepted wire.AcceptedValue) Roster {
+	var voters wire.VoterSet
+	if accepted.Value.Serial == 0 || wire.Unmarshal(accepted.Value.Body, &voters) != nil || voters.Check() != nil {
 		return Roster{}
 	}
 	return Roster{accepted: accepted, voters: &voters}
@@ -24,7 +24,7 @@
 
 // newer is the newer of two rosters.
 func (roster Roster) newer(other Roster) Roster {
-	if other.voters != nil && roster.accepted.Mark().Less(other.accepted.Mark()) {
+	if other.voters != nil && roster.accepted.Version().Less(other.accepted.Version()) {
 		return other
 	}
 	return roster
@@ -54,7 +54,7 @@
 func newCoreVotes(asked Roster) *coreVotes { return &coreVotes{asked: asked, newest: asked} }
 
 // add takes an answer; one without a membership was given under that of the question.
-func (votes *coreVotes) add(members wire.Accepted, core int, taken, whole bool) {
+func (votes *coreVotes) add(members wire.AcceptedValue, core int, taken, whole bool) {
 	roster := votes.asked
 	if members.Value.Serial > 0 {
 		roster = rosterOf(members)
--- a/data/corevotes_test.go
+++ b/data/corevotes_test.go
@@ -8,11 +8,11 @@
 
 func rosterFor(test *testing.T, round uint64, serial uint64, current, next []wire.Peer) Roster {
 	test.Helper()
-	body, fault := wire.Pack(&wire.Voters{Current: current, Next: next, LastID: 9})
-	if fault != nil {
-		test.Fatal(fault)
+	body, err := wire.Marshal(&wire.VoterSet{Current: current, Next: next, LastID: 9})
+	if err != nil {
+		test.Fatal(err)
 	}
-	roster := rosterOf(wire.Accepted{Ballot: wire.Ballot{Round: round, Core: 1}, Value: wire.Value{Serial: serial, Body: body}})
+	roster := rosterOf(wire.AcceptedValue{Term: wire.Term{Number: round, Core: 1}, Value: wire.Value{Serial: serial, Body: body}})
 	if roster.voters == nil {
 		test.Fatal("not read")
 	}
--- a/data/identity.go
+++ b/data/identity.go
@@ -31,27 +31,27 @@
 // ask reads the identity on the pipe itself, before anything else goes over it.
 func (identity *Identity) ask(pipe net.Conn, host string, limit time.Time) error {
 	if err := pipe.SetDeadline(limit); err != nil {
-		return wire.New(wire.PipeBroken, "identity: %v", err)
+		return wire.Errorf(wire.ConnectionBroken, "identity: %v", err)
 	}
 	defer func() { _ = pipe.SetDeadline(time.Time{}) }() // the next use meets a closed connection anyway
 	if _, err := io.WriteString(pipe, "GET /oj/identity HTTP/1.1\r\nHost: "+host+"\r\nAccept: application/json\r\n\r\n"); err != nil {
-		return wire.New(wire.PipeBroken, "identity: %v", err)
+		return wire.Errorf(wire.ConnectionBroken, "identity: %v", err)
 	}
 	reader := bufio.NewReader(pipe)
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		return wire.New(wire.BadReceipt, "identity: %v", err)
+		return wire.Errorf(wire.BadResponse, "identity: %v", err)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, identityBytes+1))
 	response.Body.Close()
 	if err != nil || len(body) > identityBytes || response.StatusCode != http.StatusOK || response.Close || reader.Buffered() > 0 {
-		return wire.New(wire.BadReceipt, "identity: status %d, %d bytes, %v", response.StatusCode, len(body), err)
+		return wire.Errorf(wire.BadResponse, "identity: status %d, %d bytes, %v", response.StatusCode, len(body), err)
 	}
 	if err := json.Unmarshal(body, identity); err != nil {
-		return wire.New(wire.BadReceipt, "identity: %v", err)
+		return wire.Errorf(wire.BadResponse, "identity: %v", err)
 	}
 	if identity.Incarnation == "" {
-		return wire.New(wire.BadReceipt, "identity without incarnation")
+		return wire.Errorf(wire.BadResponse, "identity without incarnation")
 	}
 	return nil
 }
@@ -59,7 +59,7 @@
 // belongs is nil when the identity is that of the listed backend.
 func (identity *Identity) belongs(backend wire.Backend) error {
 	if identity.Service != backend.Service || identity.Instance != backend.Name {
-		return wire.New(wire.WrongIdentity, "%s is %s of %s, listed as %s of %s", backend.Address, identity.Instance, identity.Service, backend.Name, backend.Service)
+		return wire.Errorf(wire.WrongBackend, "%s is %s of %s, listed as %s of %s", backend.Address, identity.Instance, identity.Service, backend.Name, backend.Service)
 	}
 	return nil
 }
--- a/data/key_replicas.go
+++ b/data/key_replicas.go
@@ -19,7 +19,7 @@
 func newKeepers(table *wire.Table, regions map[string]string) *Keepers {
 	keepers := &Keepers{regions: regions}
 	for _, member := range table.Members {
-		if member.Kind == "proxy" && member.Keeper {
+		if member.Kind == "proxy" && member.KeyReplica {
 			keepers.members = append(keepers.members, member)
 		}
 	}
--- a/data/lend.go
+++ b/data/lend.go
@@ -36,7 +36,7 @@
 	defer lend.mutex.Unlock()
 	if lend.owner.admission.Overloaded() || lend.inFlight >= lend.most || !lend.rate.Allow() {
 		lend.owner.counts.Add("lending_refused", 1)
-		return &wire.Mishap{Kind: wire.Busy, Cause: "the lender needs its room", Retry: comeBack, Outcome: wire.NotRun}
+		return &wire.Error{Code: wire.Overloaded, Message: "the lender needs its room", RetryAfterMs: comeBack, Outcome: wire.NotRun}
 	}
 	lend.inFlight++
 	lend.owner.counts.Add("lent", 1)
--- a/data/pipe.go
+++ b/data/pipe.go
@@ -59,7 +59,7 @@
 	defer cancel()
 	conn, err := dial(ctx, "tcp", backend.Address)
 	if err != nil {
-		return nil, nil, wire.New(wire.Unreached, "%v", err)
+		return nil, nil, wire.Errorf(wire.ConnectFailed, "%v", err)
 	}
 	identity := &Identity{}
 	mishap := identity.ask(conn, backend.Address, limit)
@@ -79,7 +79,7 @@
 	client, err := transport.NewClientConn(ctx, "http", backend.Address)
 	if err != nil {
 		conn.Close()
-		return nil, nil, wire.New(wire.PipeBroken, "%v", err)
+		return nil, nil, wire.Errorf(wire.ConnectionBroken, "%v", err)
 	}
 	return &Pipe{conn: counted, client: client, used: time.Now()}, identity, nil
 }
--- a/data/proxy.go
+++ b/data/proxy.go
@@ -119,7 +119,7 @@
 		}
 	}
 	proxy.plan.Store(next)
-	proxy.claims.apply(newKeepers(version.Table, next.routes.regions), version.Table.Mark)
+	proxy.claims.apply(newKeepers(version.Table, next.routes.regions), version.Table.Version)
 }
 
 // next are the routes of a version, those of this plan where it is the same.
@@ -187,15 +187,15 @@
 			return
 		}
 		seen := target.stirred.Count()
-		serial, mishap := target.probe()
+		serial, err := target.probe()
 		proxy.counts.Add("probes", 1)
-		if mishap != nil {
-			proxy.counts.Add("probes_"+string(wire.KindOf(mishap)), 1)
+		if err != nil {
+			proxy.counts.Add("probes_"+string(wire.CodeOf(err)), 1)
 		} else {
 			proxy.daemon.Seen(serial)
 		}
 		span := probePace
-		if plan := proxy.plan.Load(); plan != nil && mishap == nil {
+		if plan := proxy.plan.Load(); plan != nil && err == nil {
 			span = probeSpan(plan.proxies)
 		}
 		target.stirred.Wait(seen, span)
--- a/data/receipt.go
+++ b/data/receipt.go
@@ -30,13 +30,13 @@
 // streaming begins.
 func takeReceipt(response *http.Response, taskID string, most int, whole bool) (*Receipt, error) {
 	if echoed := response.Header.Get("Oj-Task"); echoed != taskID {
-		return nil, wire.New(wire.BadReceipt, "the answer is for task %q", echoed)
+		return nil, wire.Errorf(wire.BadResponse, "the answer is for task %q", echoed)
 	}
 	if response.StatusCode < 200 {
-		return nil, wire.New(wire.BadReceipt, "status %d", response.StatusCode)
+		return nil, wire.Errorf(wire.BadResponse, "status %d", response.StatusCode)
 	}
 	if response.ContentLength > int64(most) {
-		return nil, wire.New(wire.BadReceipt, "%d bytes, allowed %d", response.ContentLength, most)
+		return nil, wire.Errorf(wire.BadResponse, "%d bytes, allowed %d", response.ContentLength, most)
 	}
 	receipt := &Receipt{status: response.StatusCode, header: response.Header, length: response.ContentLength}
 	first := most
@@ -45,10 +45,10 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, int64(first)+1))
 	if err != nil {
-		return nil, wire.New(wire.BadReceipt, "after %d bytes: %v", len(body), err)
+		return nil, wire.Errorf(wire.BadResponse, "after %d bytes: %v", len(body), err)
 	}
 	if len(body) > most {
-		return nil, wire.New(wire.BadReceipt, "more than %d bytes", most)
+		return nil, wire.Errorf(wire.BadResponse, "more than %d bytes", most)
 	}
 	receipt.body = body
 	if len(body) > first {
--- a/data/target.go
+++ b/data/target.go
@@ -57,7 +57,7 @@
 func (target *Target) relist(backend wire.Backend, shares int) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	if backend.Stir > target.backend().Stir {
+	if backend.ProbeHint > target.backend().ProbeHint {
 		target.stirred.Ring()
 	}
 	target.listing.Store(&backend)
@@ -112,11 +112,11 @@
 }
 
 // failed counts a mishap; a wrong identity takes the target out at once.
-func (target *Target) failed(mishap error) {
+func (target *Target) failed(err error) {
 	target.mutex.Lock()
 	stale := []*Pipe{}
 	target.faults++
-	if wire.KindOf(mishap) == wire.WrongIdentity {
+	if wire.CodeOf(err) == wire.WrongBackend {
 		target.wrong = true
 	}
 	if target.wrong || target.faults >= failuresDown {
@@ -180,15 +180,15 @@
 	if limit.Before(until) {
 		until = limit
 	}
-	pipe, identity, mishap := openPipe(target.dial, target.backend(), until)
-	if mishap != nil {
-		target.failed(mishap)
-		return nil, "", mishap
+	pipe, identity, err := openPipe(target.dial, target.backend(), until)
+	if err != nil {
+		target.failed(err)
+		return nil, "", err
 	}
 	target.learn(*identity)
 	if identity.Leaving {
 		pipe.close()
-		return nil, "", wire.New(wire.NoBackend, "%s is leaving", target.backend().Name)
+		return nil, "", wire.Errorf(wire.NoBackend, "%s is leaving", target.backend().Name)
 	}
 	return pipe, identity.Incarnation, nil
 }
@@ -216,10 +216,10 @@
 // probe opens a fresh pipe, so that who is there now is what counts.
 func (target *Target) probe() (uint64, error) {
 	defer target.looked.Store(true)
-	pipe, identity, mishap := openPipe(target.dial, target.backend(), time.Now().Add(probeLimit))
-	if mishap != nil {
-		target.failed(mishap)
-		return 0, mishap
+	pipe, identity, err := openPipe(target.dial, target.backend(), time.Now().Add(probeLimit))
+	if err != nil {
+		target.failed(err)
+		return 0, err
 	}
 	target.learn(*identity)
 	target.giveBack(pipe, identity.Incarnation, 4)
@@ -230,7 +230,7 @@
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	return wire.Probe{Backend: target.backend().Name, Incarnation: target.identity.Incarnation, Healthy: target.healthy(), Leaving: target.identity.Leaving,
-		Cold: target.identity.Cold, Gentle: target.identity.GentleRate, Usage: target.identity.Usage, Serial: target.identity.Serial}
+		WarmingUp: target.identity.Cold, WarmupRate: target.identity.GentleRate, Utilization: target.identity.Usage, Serial: target.identity.Serial}
 }
 
 func (target *Target) close() {
--- a/data/task.go
+++ b/data/task.go
@@ -56,14 +56,14 @@
 		writer.Header().Set("Connection", "close")
 	}
 	if err := task.serve(writer); err != nil {
-		task.refuse(writer, *wire.AsMishap(err))
+		task.refuse(writer, *wire.AsError(err))
 		return
 	}
 	task.deliver(writer)
 }
 
 // refuse writes a refusal; one that names no outcome ran nothing.
-func (task *task) refuse(writer http.ResponseWriter, refusal wire.Mishap) {
+func (task *task) refuse(writer http.ResponseWriter, refusal wire.Error) {
 	if refusal.Outcome == "" {
 		refusal.Outcome = wire.NotRun
 	}
@@ -75,7 +75,7 @@
 	if task.sent {
 		task.proxy.retries.recordFailure(task.mark)
 	}
-	task.proxy.counts.Add("refused_"+string(refusal.Kind), 1)
+	task.proxy.counts.Add("refused_"+string(refusal.Code), 1)
 	member.Refuse(writer, &refusal)
 }
 
@@ -98,8 +98,8 @@
 		writer.Header().Set("Connection", "close")
 	}
 	for _, step := range []func() error{task.authenticate, task.matchRoute, func() error { return task.readBody(writer) }} {
-		if mishap := step(); mishap != nil {
-			return mishap
+		if err := step(); err != nil {
+			return err
 		}
 	}
 	origin, _, _ := net.SplitHostPort(task.request.RemoteAddr)
@@ -119,35 +119,35 @@
 // one that might not end before this process stops.
 func (task *task) checkLeaving() error {
 	if task.emptied() {
-		return &wire.Mishap{Kind: wire.ZoneEmptied, Cause: "this zone is emptied; ask a directory where to go", Retry: comeBack, Outcome: wire.NotRun}
+		return &wire.Error{Code: wire.ZoneDrained, Message: "this zone is emptied; ask a directory where to go", RetryAfterMs: comeBack, Outcome: wire.NotRun}
 	}
 	if rest, leaving := task.proxy.daemon.Stays(); leaving && time.Until(task.limit) > rest-endMargin {
-		return &wire.Mishap{Kind: wire.Stopping, Cause: "this front stops; ask a directory where to go", Retry: comeBack, Outcome: wire.NotRun}
+		return &wire.Error{Code: wire.Stopping, Message: "this front stops; ask a directory where to go", RetryAfterMs: comeBack, Outcome: wire.NotRun}
 	}
 	return nil
 }
 
 // redirect refuses a request that another proxy may serve. Whether an idempotency key
 // was used before is not known here, so that its outcome is unknown.
-func (task *task) redirect(kind wire.Kind, cause string) error {
+func (task *task) redirect(kind wire.Code, cause string) error {
 	if task.request.Header.Get(moneyHeader) != "" {
-		return &wire.Mishap{Kind: wire.OutcomeUnknown, Cause: cause + "; send the key again there", Retry: comeBack, Outcome: wire.MayHaveRun}
+		return &wire.Error{Code: wire.OutcomeUnknown, Message: cause + "; send the key again there", RetryAfterMs: comeBack, Outcome: wire.MayHaveRun}
 	}
-	return &wire.Mishap{Kind: kind, Cause: cause, Retry: comeBack}
+	return &wire.Error{Code: kind, Message: cause, RetryAfterMs: comeBack}
 }
 
 // authenticate finds the tenant of the bearer key.
 func (task *task) authenticate() error {
 	key, bearer := strings.CutPrefix(task.request.Header.Get("Authorization"), "Bearer ")
 	if !bearer || key == "" {
-		return wire.New(wire.UnknownKey, "want Authorization: Bearer and a tenant's key")
+		return wire.Errorf(wire.UnknownKey, "want Authorization: Bearer and a tenant's key")
 	}
 	tenant, found := task.plan.routes.Tenant(key)
 	if !found {
-		return wire.New(wire.UnknownKey, "no tenant has this key")
+		return wire.Errorf(wire.UnknownKey, "no tenant has this key")
 	}
 	if named := task.request.Header.Get("Oj-Tenant"); named != "" && named != task.plan.routes.TenantName(tenant) {
-		return wire.New(wire.WrongTenant, "the key is not that of %q", named)
+		return wire.Errorf(wire.WrongTenant, "the key is not that of %q", named)
 	}
 	task.tenant = tenant
 	task.state.advance(Authenticated)
@@ -160,20 +160,20 @@
 	task.path = "/" + path
 	route, otherMethod := task.plan.routes.Route(service, task.request.Method, task.path)
 	if otherMethod {
-		return wire.New(wire.WrongMethod, "%s is not for %s", task.request.Method, task.request.URL.Path)
+		return wire.Errorf(wire.MethodNotAllowed, "%s is not for %s", task.request.Method, task.request.URL.Path)
 	}
 	if route == nil {
-		return wire.New(wire.UnknownRoute, "%s", task.request.URL.Path)
+		return wire.Errorf(wire.UnknownRoute, "%s", task.request.URL.Path)
 	}
 	task.rule = route
 	if !task.plan.routes.allowed(task.proxy.daemon.Zone(), task.tenant, route) {
-		return wire.New(wire.ForbiddenPlace, "zone %s is closed to this task", task.proxy.daemon.Zone())
+		return wire.Errorf(wire.ForbiddenRegion, "zone %s is closed to this task", task.proxy.daemon.Zone())
 	}
 	span := time.Duration(task.rule.LimitMs) * time.Millisecond
 	if asked := task.request.Header.Get("Oj-Limit-Ms"); asked != "" {
 		own, err := strconv.Atoi(asked)
 		if err != nil || own < 1 {
-			return wire.New(wire.BadRequest, "Oj-Limit-Ms: %q is not a whole number above 0", asked)
+			return wire.Errorf(wire.BadRequest, "Oj-Limit-Ms: %q is not a whole number above 0", asked)
 		}
 		span = min(span, time.Duration(own)*time.Millisecond)
 	}
@@ -186,7 +186,7 @@
 func (task *task) readBody(writer http.ResponseWriter) error {
 	most := int64(task.rule.BodyBytes)
 	if task.request.ContentLength > most {
-		return wire.New(wire.TooLarge, "%d bytes, allowed %d", task.request.ContentLength, most)
+		return wire.Errorf(wire.TooLarge, "%d bytes, allowed %d", task.request.ContentLength, most)
 	}
 	controller := http.NewResponseController(writer)
 	_ = controller.SetReadDeadline(task.limit) // a writer without deadlines is read to its end
@@ -194,9 +194,9 @@
 	_ = controller.SetReadDeadline(time.Time{})
 	if err != nil {
 		if int64(len(body)) >= most {
-			return wire.New(wire.TooLarge, "allowed %d bytes", most)
+			return wire.Errorf(wire.TooLarge, "allowed %d bytes", most)
 		}
-		return wire.New(wire.BadRequest, "body: %v", err)
+		return wire.Errorf(wire.BadRequest, "body: %v", err)
 	}
 	task.body = body
 	return nil
@@ -206,28 +206,28 @@
 func (task *task) sendOnce() error {
 	key := task.request.Header.Get(moneyHeader)
 	if key == "" || len(key) > 200 {
-		return wire.New(wire.KeyRequired, "want %s of 1 to 200 letters", moneyHeader)
+		return wire.Errorf(wire.KeyRequired, "want %s of 1 to 200 letters", moneyHeader)
 	}
 	sum := sha256.Sum256(append([]byte(fmt.Sprintf("%s %s?%s\n", task.request.Method, task.path, task.request.URL.RawQuery)), task.body...))
-	claimed := wire.Claimed{Key: wire.ClaimKey{Tenant: task.plan.routes.TenantName(task.tenant), Service: task.rule.Service, Key: key},
+	claimed := wire.ClaimRecord{Key: wire.ClaimKey{Tenant: task.plan.routes.TenantName(task.tenant), Service: task.rule.Service, Key: key},
 		ID: task.id, Digest: hex.EncodeToString(sum[:]), Holder: task.proxy.claims.holder(), Stage: wire.ClaimRunning}
-	held, mishap := task.proxy.claims.take(claimed)
-	if mishap != nil {
-		return mishap
+	held, err := task.proxy.claims.take(claimed)
+	if err != nil {
+		return err
 	}
 	task.state.advance(Claimed)
 	if held != nil {
 		return task.replay(held)
 	}
-	mishap = task.send()
-	task.proxy.claims.settle(claimed, task.receipt, mishap)
-	return mishap
+	err = task.send()
+	task.proxy.claims.settle(claimed, task.receipt, err)
+	return err
 }
 
 // replay returns the recorded response of the key's one send.
-func (task *task) replay(held *wire.Claimed) error {
-	if held.Stage != wire.ClaimRan || held.Status == 0 {
-		return &wire.Mishap{Kind: wire.OutcomeUnknown, Cause: "this key was sent before and its answer is not here", Outcome: wire.MayHaveRun}
+func (task *task) replay(held *wire.ClaimRecord) error {
+	if held.Stage != wire.ClaimCompleted || held.Status == 0 {
+		return &wire.Error{Code: wire.OutcomeUnknown, Message: "this key was sent before and its answer is not here", Outcome: wire.MayHaveRun}
 	}
 	task.receipt, task.replayed = &Receipt{status: held.Status, header: http.Header{}, body: held.Body, length: int64(len(held.Body))}, true
 	for name, value := range held.Header {
@@ -241,23 +241,23 @@
 // send picks a backend and sends until a receipt is whole, or what is left is unsafe,
 // out of budget or out of time.
 func (task *task) send() error {
-	if mishap := task.checkLeaving(); mishap != nil {
-		return mishap
+	if err := task.checkLeaving(); err != nil {
+		return err
 	}
 	if lend := task.proxy.lend; lend != nil {
-		if mishap := lend.Take(); mishap != nil {
-			return mishap
+		if err := lend.Take(); err != nil {
+			return err
 		}
 		defer lend.Give()
 	}
-	if mishap := task.proxy.admission.Admit(task.rule.Class, task.plan.usage(task.rule.Service)); mishap != nil {
-		return mishap
+	if err := task.proxy.admission.Admit(task.rule.Class, task.plan.usage(task.rule.Service)); err != nil {
+		return err
 	}
 	if task.proxy.retries.isRetry(task.mark) && !task.proxy.budget.allow() {
 		task.proxy.counts.Add("quick_retries_refused", 1)
-		return &wire.Mishap{Kind: wire.Busy, Cause: "this task just failed here and the budget for retries is used up", Retry: comeBack, Outcome: wire.NotRun}
+		return &wire.Error{Code: wire.Overloaded, Message: "this task just failed here and the budget for retries is used up", RetryAfterMs: comeBack, Outcome: wire.NotRun}
 	}
-	var last error = &wire.Mishap{Kind: wire.NoBackend, Cause: "no backend can take this now", Retry: comeBack, Outcome: wire.NotRun}
+	var last error = &wire.Error{Code: wire.NoBackend, Message: "no backend can take this now", RetryAfterMs: comeBack, Outcome: wire.NotRun}
 	mayRun := false
 	for sends := 0; sends < task.rule.Sends; sends++ {
 		if sends > 0 && !task.proxy.budget.allow() {
@@ -275,17 +275,17 @@
 		} else {
 			task.proxy.counts.Add("resends", 1)
 		}
-		receipt, ran, mishap := task.sendTo(target)
+		receipt, ran, err := task.sendTo(target)
 		task.sent = task.sent || ran
 		if ran && !mayRun {
 			task.proxy.usage.Add(task.plan.routes.TenantName(task.tenant), 1)
 		}
-		if mishap == nil {
+		if err == nil {
 			task.receipt = receipt
 			return nil
 		}
-		task.proxy.counts.Add("sends_"+string(wire.KindOf(mishap)), 1)
-		last, mayRun = mishap, mayRun || ran
+		task.proxy.counts.Add("sends_"+string(wire.CodeOf(err)), 1)
+		last, mayRun = err, mayRun || ran
 		if ran && task.rule.Money || ran && task.request.Method != http.MethodGet && task.request.Method != http.MethodHead {
 			break
 		}
@@ -298,18 +298,18 @@
 
 // final never says 503 of a task that may have run.
 func (task *task) final(last error, mayRun bool) error {
-	final := *wire.AsMishap(last)
+	final := *wire.AsError(last)
 	final.Outcome = wire.NotRun
 	if mayRun {
 		final.Outcome = wire.MayHaveRun
-		if final.Kind.Status() == http.StatusServiceUnavailable {
-			final.Kind, final.Retry = wire.OutcomeUnknown, 0
+		if final.Code.Status() == http.StatusServiceUnavailable {
+			final.Code, final.RetryAfterMs = wire.OutcomeUnknown, 0
 		}
 		return &final
 	}
-	if final.Kind != wire.LimitPassed {
-		final.Cause = string(final.Kind) + ": " + final.Cause
-		final.Kind, final.Retry = wire.NoBackend, comeBack
+	if final.Code != wire.DeadlineExceeded {
+		final.Message = string(final.Code) + ": " + final.Message
+		final.Code, final.RetryAfterMs = wire.NoBackend, comeBack
 	}
 	return &final
 }
@@ -335,7 +335,7 @@
 		cancel()
 		leave()
 		target.giveBack(pipe, incarnation, task.rule.Pipes)
-		return nil, false, wire.New(wire.BadRequest, "%v", err)
+		return nil, false, wire.Errorf(wire.BadRequest, "%v", err)
 	}
 	task.state.advance(Sent)
 	response, ran, err := pipe.send(request)
@@ -344,15 +344,15 @@
 		leave()
 		pipe.close()
 		if time.Now().Before(task.limit) {
-			kind := wire.PipeBroken
+			kind := wire.ConnectionBroken
 			if ran {
-				kind = wire.BadReceipt
+				kind = wire.BadResponse
 			}
-			mishap = wire.New(kind, "%v", err)
+			mishap = wire.Errorf(kind, "%v", err)
 			target.failed(mishap)
 			return nil, ran, mishap
 		}
-		return nil, ran, wire.New(wire.LimitPassed, "no answer within the limit")
+		return nil, ran, wire.Errorf(wire.DeadlineExceeded, "no answer within the limit")
 	}
 	task.state.advance(Receiving)
 	target.learnReceipt(incarnation, func(identity *Identity) { identity.fromReceipt(response.Header) })
@@ -365,7 +365,7 @@
 		leave()
 		pipe.close()
 		if !time.Now().Before(task.limit) {
-			mishap = wire.New(wire.LimitPassed, "%s", wire.AsMishap(mishap).Cause)
+			mishap = wire.Errorf(wire.DeadlineExceeded, "%s", wire.AsError(mishap).Message)
 		}
 		return nil, true, mishap
 	}
@@ -374,9 +374,9 @@
 		leave()
 		target.giveBack(pipe, incarnation, task.rule.Pipes)
 		if receipt.header.Get("Oj-Not-Run") == "true" {
-			return nil, false, &wire.Mishap{Kind: wire.Busy, Cause: "the backend is busy", Retry: comeBack}
+			return nil, false, &wire.Error{Code: wire.Overloaded, Message: "the backend is busy", RetryAfterMs: comeBack}
 		}
-		return nil, true, &wire.Mishap{Kind: wire.OutcomeUnknown, Cause: fmt.Sprintf("the backend said %d and not whether it ran", receipt.status)}
+		return nil, true, &wire.Error{Code: wire.OutcomeUnknown, Message: fmt.Sprintf("the backend said %d and not whether it ran", receipt.status)}
 	}
 	done := func() {
 		cancel()
--- a/fleet/changes.go
+++ b/fleet/changes.go
@@ -60,9 +60,9 @@
 // patch makes a partial change, again after lost races.
 func (fleet *Fleet) patch(body []byte) bool {
 	for try := range 20 {
-		settings, mishap := fleet.Operator(try).Read(false)
-		if mishap == nil && settings.Confirmed {
-			if _, mishap = fleet.Operator(try).Patch(operator.Change{Base: settings.Serial, Change: fmt.Sprintf("fleet-%d-%d", time.Now().UnixNano(), try), Operator: "ojfleet", Settings: body}); mishap == nil {
+		settings, err := fleet.Operator(try).Read(false)
+		if err == nil && settings.Confirmed {
+			if _, err = fleet.Operator(try).Patch(operator.Change{Base: settings.Serial, Change: fmt.Sprintf("fleet-%d-%d", time.Now().UnixNano(), try), Operator: "ojfleet", Settings: body}); err == nil {
 				return true
 			}
 		}
@@ -108,8 +108,8 @@
 	fleet.ledger.Operate(24, 2*time.Second)
 	for range 2 {
 		huge := operator.Change{Base: 1, Settings: []byte(`{"fill":"` + strings.Repeat("x", 17<<20) + `"}`)}
-		if _, mishap := fleet.Operator(0).Put(huge); mishap == nil || wire.KindOf(mishap) != wire.TooLarge {
-			fleet.codes = append(fleet.codes, fmt.Sprintf("17 MB taken: %v", mishap))
+		if _, err := fleet.Operator(0).Put(huge); err == nil || wire.CodeOf(err) != wire.TooLarge {
+			fleet.codes = append(fleet.codes, fmt.Sprintf("17 MB taken: %v", err))
 		}
 		leaderChanges(fleet)
 	}
--- a/fleet/comparison.go
+++ b/fleet/comparison.go
@@ -53,13 +53,13 @@
 
 // forecast is what the planner says of emptying a zone.
 func (fleet *Fleet) forecast(zone string) *plan.Forecast {
-	held, mishap := fleet.Operator(0).Read(false)
+	held, err := fleet.Operator(0).Read(false)
 	status, silent := fleet.Operator(0).Status()
-	if mishap != nil || silent != nil {
+	if err != nil || silent != nil {
 		return nil
 	}
-	before, mishap := conf.Read(held.Settings)
-	if mishap != nil {
+	before, err := conf.Read(held.Settings)
+	if err != nil {
 		return nil
 	}
 	after := *before
--- a/fleet/daemon_faults.go
+++ b/fleet/daemon_faults.go
@@ -23,8 +23,8 @@
 
 // start starts a process again; one that doesn't start counts as a wrong exit.
 func (fleet *Fleet) start(process *Process) {
-	if mishap := process.Start(); mishap != nil {
-		fleet.codes = append(fleet.codes, mishap.Error())
+	if err := process.Start(); err != nil {
+		fleet.codes = append(fleet.codes, err.Error())
 	}
 }
 
@@ -170,8 +170,8 @@
 	for _, process := range ours {
 		fleet.start(process)
 	}
-	if mishap := fleet.ready(begin.Add(15 * time.Second)); mishap != nil {
-		fleet.codes = append(fleet.codes, "not back in 15 s: "+mishap.Error())
+	if err := fleet.ready(begin.Add(15 * time.Second)); err != nil {
+		fleet.codes = append(fleet.codes, "not back in 15 s: "+err.Error())
 	}
 	fmt.Printf("%s: all down: ready again after %v\n", fleet.name, time.Since(begin).Round(time.Millisecond))
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -52,15 +52,15 @@
 // NewFleet decides names, addresses and command lines of all processes; it starts
 // none.
 func NewFleet(spec Spec, threads *run.Threads) (*Fleet, error) {
-	settings, body, mishap := spec.Check()
-	if mishap != nil {
-		return nil, mishap
+	settings, body, err := spec.Check()
+	if err != nil {
+		return nil, err
 	}
 	if err := os.MkdirAll(spec.Folder, 0o700); err != nil {
-		return nil, wire.New(wire.BadFlag, "--folder: %v", err)
+		return nil, wire.Errorf(wire.BadFlag, "--folder: %v", err)
 	}
 	if entries, _ := os.ReadDir(spec.Folder); len(entries) > 0 {
-		return nil, wire.New(wire.BadFlag, "--folder: %s is not empty", spec.Folder)
+		return nil, wire.Errorf(wire.BadFlag, "--folder: %s is not empty", spec.Folder)
 	}
 	fleet := &Fleet{Spec: spec, settings: settings, body: body, threads: threads, port: spec.BasePort, guests: map[string]string{}, name: settings.Partner,
 		client: &http.Client{Timeout: 2 * time.Second}}
@@ -129,8 +129,8 @@
 
 // Leader returns the core that leads, nil if none is known.
 func (fleet *Fleet) Leader() *Process {
-	status, mishap := fleet.Operator(0).Status()
-	if mishap != nil {
+	status, err := fleet.Operator(0).Status()
+	if err != nil {
 		return nil
 	}
 	for _, process := range fleet.cores() {
--- a/fleet/load.go
+++ b/fleet/load.go
@@ -59,7 +59,7 @@
 	path := filepath.Join(fleet.Spec.Folder, "origin.json")
 	body, _ := json.Marshal(plan)
 	if err := os.WriteFile(path, body, 0o600); err != nil {
-		return wire.New(wire.DiskFault, "%v", err)
+		return wire.Errorf(wire.DiskFailure, "%v", err)
 	}
 	fleet.called = time.Now()
 	fleet.origin = fleet.process("origin", "ojorigin", "--plan", path)
@@ -78,7 +78,7 @@
 		err = json.Unmarshal(body, report)
 	}
 	if err != nil {
-		return nil, wire.New(wire.BadMessage, "callers' report: %v", err)
+		return nil, wire.Errorf(wire.BadMessage, "callers' report: %v", err)
 	}
 	return report, nil
 }
--- a/fleet/readiness.go
+++ b/fleet/readiness.go
@@ -15,8 +15,8 @@
 // daemon is ready.
 func (fleet *Fleet) Up() error {
 	for _, process := range fleet.all() {
-		if mishap := process.Start(); mishap != nil {
-			return mishap
+		if err := process.Start(); err != nil {
+			return err
 		}
 	}
 	limit := time.Now().Add(30 * time.Second)
@@ -25,17 +25,17 @@
 		fleet.body = fleet.short()
 	}
 	for time.Now().Before(limit) {
-		settings, mishap := fleet.Operator(0).Read(false)
-		if mishap == nil && settings.Confirmed && settings.Serial == 0 {
-			_, mishap = fleet.Operator(0).Put(operator.Change{Base: 0, Change: "first", Operator: "ojfleet", Settings: fleet.body})
+		settings, err := fleet.Operator(0).Read(false)
+		if err == nil && settings.Confirmed && settings.Serial == 0 {
+			_, err = fleet.Operator(0).Put(operator.Change{Base: 0, Change: "first", Operator: "ojfleet", Settings: fleet.body})
 		}
-		if mishap == nil && settings.Confirmed {
+		if err == nil && settings.Confirmed {
 			return fleet.ready(limit)
 		}
-		last = mishap
+		last = err
 		fleet.threads.Rest(50 * time.Millisecond)
 	}
-	return wire.New(wire.NotReady, "no settings in force in time: %v", last)
+	return wire.Errorf(wire.NotReady, "no settings in force in time: %v", last)
 }
 
 // short are the settings of a partner whose fronts carry less than it
@@ -92,18 +92,18 @@
 		}
 		fleet.threads.Rest(50 * time.Millisecond)
 	}
-	return wire.New(wire.NotReady, "serials in force: %v", fleet.Serials())
+	return wire.Errorf(wire.NotReady, "serials in force: %v", fleet.Serials())
 }
 
 // keeping is true once every proxy that lives keeps claims.
 func (fleet *Fleet) keeping() bool {
-	status, mishap := fleet.Operator(0).Status()
-	if mishap != nil {
+	status, err := fleet.Operator(0).Status()
+	if err != nil {
 		return false
 	}
 	keepers, proxies := 0, 0
 	for _, known := range status.Members {
-		if known.Member.Keeper {
+		if known.Member.KeyReplica {
 			keepers++
 		}
 	}
--- a/fleet/replace.go
+++ b/fleet/replace.go
@@ -78,8 +78,8 @@
 	for _, seed := range fleet.Cores {
 		core.arguments = append(core.arguments, "--seed", seed.Wire)
 	}
-	if mishap := core.Start(); mishap != nil {
-		fleet.codes = append(fleet.codes, mishap.Error())
+	if err := core.Start(); err != nil {
+		fleet.codes = append(fleet.codes, err.Error())
 	}
 	return core
 }
@@ -131,7 +131,7 @@
 // membershipComes waits until the leader tells of such a membership.
 func (fleet *Fleet) membershipComes(holds func(*wire.MembershipStatus) bool) bool {
 	for limit := time.Now().Add(replaceLimit); time.Now().Before(limit); fleet.threads.Rest(lookPace) {
-		if membership, mishap := fleet.Operator(0).Cores(); mishap == nil && holds(membership) {
+		if membership, err := fleet.Operator(0).Cores(); err == nil && holds(membership) {
 			return true
 		}
 	}
--- a/fleet/scenario.go
+++ b/fleet/scenario.go
@@ -91,11 +91,11 @@
 func (fleet *Fleet) Play(scenario Scenario) ([]judge.Verdict, error) {
 	defer fleet.Down()
 	defer fleet.wait()
-	if mishap := fleet.Up(); mishap != nil {
-		return nil, mishap
+	if err := fleet.Up(); err != nil {
+		return nil, err
 	}
-	if mishap := fleet.Call(); mishap != nil {
-		return nil, mishap
+	if err := fleet.Call(); err != nil {
+		return nil, err
 	}
 	ledger := judge.NewLedger(fleet, fleet.Spec.Seed)
 	fleet.ledger = ledger
@@ -103,18 +103,18 @@
 		ledger.Operate(2, 2*time.Second/time.Duration(fleet.Spec.Changes))
 	}
 	scenario.Inject(fleet)
-	report, mishap := fleet.Callers()
+	report, err := fleet.Callers()
 	ledger.Stop()
-	if mishap != nil {
-		return nil, mishap
+	if err != nil {
+		return nil, err
 	}
 	evidence := &judge.Evidence{Callers: []stand.OriginReport{*report}, Settings: fleet.settings, Zones: fleet.Zones(), Guests: fleet.guests, Ledger: ledger, Planned: scenario.Planned, Windows: fleet.windows}
-	if evidence.Trail, mishap = ledger.Trail(10 * time.Second); mishap != nil {
-		return nil, mishap
+	if evidence.Trail, err = ledger.Trail(10 * time.Second); err != nil {
+		return nil, err
 	}
 	if body, err := os.ReadFile(filepath.Join(fleet.Spec.Folder, "origin.log")); err == nil {
 		if err := os.WriteFile(filepath.Join(fleet.Spec.Folder, "callers.json"), body, 0o600); err != nil {
-			return nil, wire.New(wire.DiskFault, "%v", err)
+			return nil, wire.Errorf(wire.DiskFailure, "%v", err)
 		}
 	}
 	fleet.threads.Rest(1500 * time.Millisecond)
@@ -124,7 +124,7 @@
 		AtMs    map[string]int64    `json:"at_ms"`
 	}{}
 	if err := fleet.get(fleet.Platform.Outer, "/stand/reports", &reports); err != nil {
-		return nil, wire.New(wire.PlatformFault, "reports: %v", err)
+		return nil, wire.Errorf(wire.PlatformError, "reports: %v", err)
 	}
 	evidence.Reports, evidence.ReportAt = reports.Reports, reports.AtMs
 	fleet.wait()
@@ -166,14 +166,14 @@
 // each.
 func PlayBoth(fleets []*Fleet, scenario Scenario, threads *run.Threads) ([][]judge.Verdict, error) {
 	got, failed := run.Gather(threads, len(fleets), func(index int) ([]judge.Verdict, error) {
-		verdicts, mishap := fleets[index].Play(scenario)
-		if mishap != nil {
-			return nil, mishap
+		verdicts, err := fleets[index].Play(scenario)
+		if err != nil {
+			return nil, err
 		}
 		return verdicts, nil
 	}, func(map[int][]judge.Verdict, map[int]error) bool { return false })
 	for _, err := range failed {
-		return nil, wire.AsMishap(err)
+		return nil, wire.AsError(err)
 	}
 	all := make([][]judge.Verdict, len(fleets))
 	for index, verdicts := range got {
--- a/judge/evidence.go
+++ b/judge/evidence.go
@@ -41,7 +41,7 @@
 	Zones    map[string]string
 	Guests   map[string]string
 	Ledger   *Ledger
-	Trail    []wire.Entry
+	Trail    []wire.HistoryEntry
 	Planned  bool
 	Jumps    bool
 	Codes    []string
--- a/judge/ledger.go
+++ b/judge/ledger.go
@@ -36,7 +36,7 @@
 
 	mutex     sync.Mutex
 	Acked     map[string]Ack
-	Refused   map[string]wire.Kind
+	Refused   map[string]wire.Code
 	Unknown   map[string]bool
 	AnswerMs  []float64
 	Late      []string
@@ -57,7 +57,7 @@
 // NewLedger returns a Ledger that changes the settings of system, with decisions
 // drawn from seed.
 func NewLedger(system System, seed uint64) *Ledger {
-	return &Ledger{system: system, seed: seed, Acked: map[string]Ack{}, Refused: map[string]wire.Kind{}, Unknown: map[string]bool{}, lastAck: time.Now()}
+	return &Ledger{system: system, seed: seed, Acked: map[string]Ack{}, Refused: map[string]wire.Code{}, Unknown: map[string]bool{}, lastAck: time.Now()}
 }
 
 // Operate starts operators that each change settings at the mean pace. Some changes
@@ -103,7 +103,7 @@
 
 func (ledger *Ledger) timed(what string, call func() error) error {
 	begin := time.Now()
-	mishap := call()
+	err := call()
 	took := time.Since(begin)
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
@@ -111,7 +111,7 @@
 	if took > answerMost {
 		ledger.Late = append(ledger.Late, fmt.Sprintf("%s: %d ms", what, took.Milliseconds()))
 	}
-	return mishap
+	return err
 }
 
 func (ledger *Ledger) door(random *rand.Rand) (*operator.Client, bool) {
@@ -129,8 +129,8 @@
 		return
 	}
 	var settings *operator.Settings
-	mishap := ledger.timed("read", func() (mishap error) { settings, mishap = client.Read(false); return })
-	if mishap != nil || !settings.Confirmed {
+	err := ledger.timed("read", func() (err error) { settings, err = client.Read(false); return })
+	if err != nil || !settings.Confirmed {
 		return
 	}
 	ledger.mutex.Lock()
@@ -166,33 +166,33 @@
 // and returns it.
 func (ledger *Ledger) Make(change operator.Change, client *operator.Client, random *rand.Rand, send func(*operator.Client) (*operator.Outcome, error)) error {
 	var outcome *operator.Outcome
-	mishap := ledger.timed(change.Change, func() (mishap error) { outcome, mishap = send(client); return })
-	for try := 0; try < 6 && mishap != nil && (wire.KindOf(mishap) == wire.OutcomeUnknown || wire.KindOf(mishap) == wire.Unreachable); try++ {
+	err := ledger.timed(change.Change, func() (err error) { outcome, err = send(client); return })
+	for try := 0; try < 6 && err != nil && (wire.CodeOf(err) == wire.OutcomeUnknown || wire.CodeOf(err) == wire.Unreachable); try++ {
 		ledger.system.Rest(50 * time.Millisecond)
 		if client, found := ledger.door(random); found {
-			again := ledger.timed(change.Change+" again", func() (mishap error) { outcome, mishap = send(client); return })
-			if again == nil || wire.KindOf(again) != wire.NotStarted && wire.KindOf(again) != wire.HoldFull {
-				mishap = again
+			again := ledger.timed(change.Change+" again", func() (err error) { outcome, err = send(client); return })
+			if again == nil || wire.CodeOf(again) != wire.NotStarted && wire.CodeOf(again) != wire.QueueFull {
+				err = again
 			}
 		}
 	}
 	ledger.mutex.Lock()
 	now := time.Now()
 	switch {
-	case mishap == nil:
+	case err == nil:
 		ledger.Acked[change.Change] = Ack{Serial: outcome.Serial, Base: change.Base, AtMs: now.UnixMilli()}
 		ledger.GapMs = max(ledger.GapMs, now.Sub(ledger.lastAck).Milliseconds())
 		ledger.lastAck = now
-	case wire.KindOf(mishap) == wire.OutcomeUnknown || wire.KindOf(mishap) == wire.Unreachable:
+	case wire.CodeOf(err) == wire.OutcomeUnknown || wire.CodeOf(err) == wire.Unreachable:
 		ledger.Unknown[change.Change] = true
 	default:
-		ledger.Refused[change.Change] = wire.KindOf(mishap)
+		ledger.Refused[change.Change] = wire.CodeOf(err)
 	}
 	ledger.mutex.Unlock()
-	if mishap == nil {
+	if err == nil {
 		ledger.follow(outcome.Serial, now)
 	}
-	return mishap
+	return err
 }
 
 // follow looks until every daemon that says it is ready has the serial.
@@ -232,11 +232,11 @@
 
 // Trail reads the history of changes from the cores, from any that answers within
 // the limit.
-func (ledger *Ledger) Trail(limit time.Duration) ([]wire.Entry, error) {
+func (ledger *Ledger) Trail(limit time.Duration) ([]wire.HistoryEntry, error) {
 	trail := struct {
-		Changes []wire.Entry `json:"changes"`
+		Changes []wire.HistoryEntry `json:"changes"`
 	}{}
-	last := wire.New(wire.Unreachable, "no door")
+	last := wire.Errorf(wire.Unreachable, "no door")
 	for until := time.Now().Add(limit); time.Now().Before(until); {
 		for _, door := range ledger.system.Doors() {
 			if last = ledger.system.Client(door).Ask(http.MethodGet, "/v1/changes", nil, &trail); last == nil {
--- a/keep/book.go
+++ b/keep/book.go
@@ -30,7 +30,7 @@
 }
 
 type keptClaim struct {
-	wire.Claimed
+	wire.ClaimRecord
 	at     time.Time
 	number uint64
 }
@@ -74,63 +74,63 @@
 }
 
 // put keeps a claim; one that is known already keeps its turn and its age.
-func (book *Book) put(claimed wire.Claimed) {
+func (book *Book) put(claimed wire.ClaimRecord) {
 	if held, found := book.claims[claimed.Key]; found && held.ID == claimed.ID {
-		held.Claimed = claimed
+		held.ClaimRecord = claimed
 		book.claims[claimed.Key] = held
 		return
 	}
 	book.number++
 	book.order = append(book.order, turn{key: claimed.Key, number: book.number})
-	book.claims[claimed.Key] = keptClaim{Claimed: claimed, at: time.Now().Add(-time.Duration(claimed.AgeMs) * time.Millisecond), number: book.number}
+	book.claims[claimed.Key] = keptClaim{ClaimRecord: claimed, at: time.Now().Add(-time.Duration(claimed.AgeMs) * time.Millisecond), number: book.number}
 }
 
 // Claim grants the key to the first claim, and to the same claim again. A claim
 // that names the running one in Instead replaces it. A refusal holds the claim that
 // has the key, or nothing if the store is full.
-func (book *Book) Claim(claim *wire.Claim) *wire.ClaimTold {
+func (book *Book) Claim(claim *wire.ClaimRequest) *wire.ClaimResponse {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
 	book.forget()
-	held, found := book.claims[claim.Claimed.Key]
-	if found && held.ID != claim.Claimed.ID && (claim.Instead == "" || held.ID != claim.Instead || held.Stage != wire.ClaimRunning) {
-		return &wire.ClaimTold{Held: held.Claimed}
+	held, found := book.claims[claim.Record.Key]
+	if found && held.ID != claim.Record.ID && (claim.Replaces == "" || held.ID != claim.Replaces || held.Stage != wire.ClaimRunning) {
+		return &wire.ClaimResponse{Existing: held.ClaimRecord}
 	}
 	if !found && len(book.claims) >= bookMost {
-		return &wire.ClaimTold{}
+		return &wire.ClaimResponse{}
 	}
-	if !found || held.ID != claim.Claimed.ID {
-		book.put(claim.Claimed)
+	if !found || held.ID != claim.Record.ID {
+		book.put(claim.Record)
 	}
-	return &wire.ClaimTold{Granted: true, Held: claim.Claimed}
+	return &wire.ClaimResponse{Granted: true, Existing: claim.Record}
 }
 
 // Settle records how the request of a claim ended, or frees the key of one that
 // surely did not run. Whoever settles was granted a quorum, so a claim of another
 // that is held here will be given back and is replaced.
-func (book *Book) Settle(settle *wire.Settle) {
+func (book *Book) Settle(settle *wire.CompleteClaimRequest) {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
-	if settle.Free {
-		if book.claims[settle.Claimed.Key].ID == settle.Claimed.ID {
-			delete(book.claims, settle.Claimed.Key)
+	if settle.Release {
+		if book.claims[settle.Record.Key].ID == settle.Record.ID {
+			delete(book.claims, settle.Record.Key)
 		}
 		return
 	}
-	book.put(settle.Claimed)
+	book.put(settle.Record)
 }
 
 // Held returns the claim that has the key.
-func (book *Book) Held(key wire.ClaimKey) (wire.Claimed, bool) {
+func (book *Book) Held(key wire.ClaimKey) (wire.ClaimRecord, bool) {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
 	held, found := book.claims[key]
-	return held.Claimed, found
+	return held.ClaimRecord, found
 }
 
 // Retell merges claims that other stores hold; a settled claim replaces the same
 // one that still runs.
-func (book *Book) Retell(claims []wire.Claimed) {
+func (book *Book) Retell(claims []wire.ClaimRecord) {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
 	for _, claimed := range claims {
@@ -143,7 +143,7 @@
 
 // Page returns at most so many claims put after a sequence number, with their ages,
 // the last sequence number looked at, and whether none is left.
-func (book *Book) Page(after uint64, most int) (claims []wire.Claimed, last uint64, done bool) {
+func (book *Book) Page(after uint64, most int) (claims []wire.ClaimRecord, last uint64, done bool) {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
 	book.forget()
@@ -156,7 +156,7 @@
 		last = next.number
 		if held, found := book.claims[next.key]; found && held.number == next.number {
 			held.AgeMs = time.Since(held.at).Milliseconds()
-			claims = append(claims, held.Claimed)
+			claims = append(claims, held.ClaimRecord)
 		}
 	}
 	return claims, last, true
--- a/member/corechoice.go
+++ b/member/corechoice.go
@@ -76,10 +76,10 @@
 	}
 	rand.Shuffle(len(others), func(left, right int) { others[left], others[right] = others[right], others[left] })
 	asked := others[:min(len(others), askAroundMost)]
-	got, _ := run.Gather(daemon.threads, len(asked), func(index int) (*wire.WhoTold, error) {
-		return wire.Ask[wire.Who, wire.WhoTold](daemon.line, asked[index].Wire, "who", reachLimit, &wire.Who{})
-	}, func(map[int]*wire.WhoTold, map[int]error) bool { return false })
+	got, _ := run.Gather(daemon.threads, len(asked), func(index int) (*wire.LeaderResponse, error) {
+		return wire.Call[wire.LeaderRequest, wire.LeaderResponse](daemon.line, asked[index].InternalAddress, "who", reachLimit, &wire.LeaderRequest{})
+	}, func(map[int]*wire.LeaderResponse, map[int]error) bool { return false })
 	for _, told := range got {
-		daemon.Finder.Learn(told.Members, told.Cores)
+		daemon.Finder.Learn(told.Membership, told.Cores)
 	}
 }
--- a/member/corechoice_test.go
+++ b/member/corechoice_test.go
@@ -13,12 +13,12 @@
 )
 
 // doors is a net without sockets: each host has a door or is dead.
-type doors map[string]*wire.Door
+type doors map[string]*wire.Server
 
 func (all doors) RoundTrip(request *http.Request) (*http.Response, error) {
 	door := all[request.URL.Host]
 	if door == nil {
-		return nil, wire.New(wire.Unreached, "%s is dead", request.URL.Host)
+		return nil, wire.Errorf(wire.ConnectFailed, "%s is dead", request.URL.Host)
 	}
 	recorder := httptest.NewRecorder()
 	door.ServeHTTP(recorder, request)
@@ -35,21 +35,21 @@
 	return all
 }
 
-func versionMark(round, serial uint64) wire.Mark {
-	return wire.Mark{Ballot: wire.Ballot{Round: round, Core: 1}, Serial: serial}
+func versionMark(round, serial uint64) wire.Version {
+	return wire.Version{Term: wire.Term{Number: round, Core: 1}, Serial: serial}
 }
 
 func daemonOn(all doors, seeds []string) *Daemon {
 	place := Place{Name: "p1", Kind: "proxy", Zone: "e1", Wire: "10.0.1.1:41", Outer: "10.0.1.1:80", Operate: "10.0.1.1:42", Seeds: seeds}
-	return NewDaemon(place, "i1", wire.NewLine(all), run.NewThreads(), run.NewCounts())
+	return NewDaemon(place, "i1", wire.NewClient(all), run.NewThreads(), run.NewCounts())
 }
 
 // saysMembers opens a core's door: it knows a membership, and a leader or none.
-func (all doors) saysMembers(number int, mark wire.Mark, cores []string, leader wire.Leader, sessions map[string]int) {
-	door := wire.NewDoor(run.NewCounts())
-	wire.Take(door, "session", func(context.Context, *wire.Session) (*wire.SessionTold, error) {
+func (all doors) saysMembers(number int, mark wire.Version, cores []string, leader wire.Leader, sessions map[string]int) {
+	door := wire.NewServer(run.NewCounts())
+	wire.Handle(door, "session", func(context.Context, *wire.Session) (*wire.SessionResponse, error) {
 		sessions[coreAt(number)]++
-		return &wire.SessionTold{Members: mark, Cores: cores, Leader: leader}, nil
+		return &wire.SessionResponse{Membership: mark, Cores: cores, Leader: leader}, nil
 	})
 	all[coreAt(number)] = door
 }
@@ -58,7 +58,7 @@
 // lost its vote may answer as if all were well, and what it is told reaches nobody.
 func TestSessionIsKeptAtAVoter(test *testing.T) {
 	all, sessions := doors{}, map[string]int{}
-	leader := wire.Leader{Ballot: wire.Ballot{Round: 9, Core: 5}, Core: 5, Address: coreAt(5)}
+	leader := wire.Leader{Ballot: wire.Term{Number: 9, Core: 5}, Core: 5, Address: coreAt(5)}
 	now := coresAt(4, 5, 6)
 	for _, number := range []int{4, 5, 6} {
 		all.saysMembers(number, versionMark(9, 7), now, leader, sessions)
@@ -95,8 +95,8 @@
 // replaces what a daemon knows.
 func TestRemovedCoreMisleadsNobody(test *testing.T) {
 	all, sessions := doors{}, map[string]int{}
-	leader := wire.Leader{Ballot: wire.Ballot{Round: 9, Core: 5}, Core: 5, Address: coreAt(5)}
-	former := wire.Leader{Ballot: wire.Ballot{Round: 3, Core: 1}, Core: 1, Address: coreAt(1)}
+	leader := wire.Leader{Ballot: wire.Term{Number: 9, Core: 5}, Core: 5, Address: coreAt(5)}
+	former := wire.Leader{Ballot: wire.Term{Number: 3, Core: 1}, Core: 1, Address: coreAt(1)}
 	all.saysMembers(5, versionMark(9, 7), coresAt(4, 5, 6), leader, sessions)
 	all.saysMembers(1, versionMark(3, 1), coresAt(1, 2, 3), former, sessions)
 	daemon := daemonOn(all, coresAt(1, 2, 3))
@@ -124,11 +124,11 @@
 	all := doors{}
 	other := daemonOn(all, coresAt(1, 2, 3))
 	other.Finder.Learn(versionMark(9, 7), coresAt(4, 5, 6))
-	door := wire.NewDoor(run.NewCounts())
+	door := wire.NewServer(run.NewCounts())
 	other.Register(door)
 	all["10.0.1.2:41"] = door
 	daemon := daemonOn(all, coresAt(1, 2, 3))
-	daemon.version.Store(&Version{Table: &wire.Table{Members: []wire.Member{{Name: "p1", Wire: "10.0.1.1:41"}, {Name: "p2", Wire: "10.0.1.2:41"}, {Name: "p3", Wire: "10.0.1.3:41"}}}})
+	daemon.version.Store(&Version{Table: &wire.Table{Members: []wire.Member{{Name: "p1", InternalAddress: "10.0.1.1:41"}, {Name: "p2", InternalAddress: "10.0.1.2:41"}, {Name: "p3", InternalAddress: "10.0.1.3:41"}}}})
 	daemon.reach.heardCore(time.Now())
 	if daemon.asksAround() {
 		test.Error("asks while a core is reached")
@@ -148,17 +148,17 @@
 // version: it may be what was in force when it was removed.
 func TestNoFirstVersionFromARemovedCore(test *testing.T) {
 	for number, try := range []struct {
-		learned wire.Mark
+		learned wire.Version
 		taken   bool
-	}{{wire.Mark{}, true}, {versionMark(9, 7), false}} {
+	}{{wire.Version{}, true}, {versionMark(9, 7), false}} {
 		all := doors{}
-		door := wire.NewDoor(run.NewCounts())
-		wire.Take(door, "who", func(context.Context, *wire.Who) (*wire.WhoTold, error) {
-			return &wire.WhoTold{Members: versionMark(3, 1), Cores: coresAt(1, 2, 3), Routing: 4}, nil
+		door := wire.NewServer(run.NewCounts())
+		wire.Handle(door, "who", func(context.Context, *wire.LeaderRequest) (*wire.LeaderResponse, error) {
+			return &wire.LeaderResponse{Membership: versionMark(3, 1), Cores: coresAt(1, 2, 3), Routing: 4}, nil
 		})
 		all[coreAt(1)] = door
 		place := Place{Name: "p1", Kind: "proxy", Zone: "e1", Wire: "10.0.1.1:41", Outer: "10.0.1.1:80", Operate: "10.0.1.1:42", Seeds: coresAt(1, 2, 3), Direct: true, Routed: true}
-		daemon := NewDaemon(place, "i1", wire.NewLine(all), run.NewThreads(), run.NewCounts())
+		daemon := NewDaemon(place, "i1", wire.NewClient(all), run.NewThreads(), run.NewCounts())
 		daemon.Finder.Learn(try.learned, coresAt(4, 5, 6))
 		daemon.Finder.seek()
 		if begun := daemon.counts.Get("begun_before_a_leader") > 0; begun != try.taken {
--- a/member/daemon.go
+++ b/member/daemon.go
@@ -35,19 +35,19 @@
 
 func (place *Place) Check() error {
 	if place.Name == "" || place.Zone == "" {
-		return wire.New(wire.BadFlag, "--name and --zone must be given")
+		return wire.Errorf(wire.BadFlag, "--name and --zone must be given")
 	}
 	if len(place.Seeds) == 0 || len(place.Seeds) > 3 {
-		return wire.New(wire.BadFlag, "--seed: %d seeds, want one to three", len(place.Seeds))
+		return wire.Errorf(wire.BadFlag, "--seed: %d seeds, want one to three", len(place.Seeds))
 	}
 	for _, seed := range place.Seeds {
-		if mishap := control.CheckAddress("--seed", seed); mishap != nil {
-			return mishap
+		if err := control.CheckAddress("--seed", seed); err != nil {
+			return err
 		}
 	}
 	for flag, address := range map[string]string{"--wire": place.Wire, "--listen": place.Outer, "--operate": place.Operate} {
-		if mishap := control.CheckAddress(flag, address); mishap != nil {
-			return mishap
+		if err := control.CheckAddress(flag, address); err != nil {
+			return err
 		}
 	}
 	return nil
@@ -66,7 +66,7 @@
 type Daemon struct {
 	place       Place
 	incarnation string
-	line        *wire.Line
+	line        *wire.Client
 	threads     *run.Threads
 	counts      *run.Counts
 	Finder      *Finder
@@ -93,7 +93,7 @@
 
 	mutex     sync.Mutex
 	core      string
-	told      wire.SessionTold
+	told      wire.SessionResponse
 	heard     time.Time
 	behind    time.Time
 	seen      uint64
@@ -108,10 +108,10 @@
 	parent    string
 	failed    map[string]time.Time
 	around    time.Time
-	led       wire.Ballot
+	led       wire.Term
 }
 
-func NewDaemon(place Place, incarnation string, line *wire.Line, threads *run.Threads, counts *run.Counts) *Daemon {
+func NewDaemon(place Place, incarnation string, line *wire.Client, threads *run.Threads, counts *run.Counts) *Daemon {
 	daemon := &Daemon{place: place, incarnation: incarnation, line: line, threads: threads, counts: counts,
 		news: run.NewBell(), saying: run.NewTurn(), pulse: time.Now(), failed: map[string]time.Time{}, apply: func(*Version) {}, probes: func() []wire.Probe { return nil }, keeper: func() bool { return false }, warm: func() bool { return true }, usage: func() map[string]uint64 { return nil }, demand: func() float64 { return 0 }, finish: func(time.Duration) {}}
 	if place.Wall == nil {
@@ -156,7 +156,7 @@
 // Finish names what must be told to others before a planned end.
 func (daemon *Daemon) Finish(finish func(rest time.Duration)) { daemon.finish = finish }
 
-func (daemon *Daemon) Line() *wire.Line { return daemon.line }
+func (daemon *Daemon) Line() *wire.Client { return daemon.line }
 
 func (daemon *Daemon) Incarnation() string { return daemon.incarnation }
 
@@ -211,15 +211,15 @@
 	}
 }
 
-func (daemon *Daemon) Register(door *wire.Door) {
-	wire.Take(door, "watch", daemon.onWatch)
-	wire.Take(door, "fetch", daemon.onFetch)
-	wire.Take(door, "parts", daemon.onParts)
-	wire.Take(door, "who", daemon.onWho)
-	wire.Take(door, "change", func(_ context.Context, change *wire.Change) (*wire.ChangeTold, error) {
-		told, mishap := Send[wire.Change, wire.ChangeTold](daemon.Hold, "change", change)
-		if mishap != nil {
-			return nil, mishap
+func (daemon *Daemon) Register(door *wire.Server) {
+	wire.Handle(door, "watch", daemon.onWatch)
+	wire.Handle(door, "fetch", daemon.onFetch)
+	wire.Handle(door, "parts", daemon.onParts)
+	wire.Handle(door, "who", daemon.onWho)
+	wire.Handle(door, "change", func(_ context.Context, change *wire.ChangeRequest) (*wire.ChangeResponse, error) {
+		told, err := Send[wire.ChangeRequest, wire.ChangeResponse](daemon.Hold, "change", change)
+		if err != nil {
+			return nil, err
 		}
 		return told, nil
 	})
@@ -272,8 +272,8 @@
 	ready, keeper, demand := daemon.Ready(), daemon.keeper(), daemon.demand()
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
-	return wire.Member{Name: daemon.place.Name, Kind: daemon.place.Kind, Zone: daemon.place.Zone, Wire: daemon.place.Wire,
-		Outer: daemon.place.Outer, Operate: daemon.place.Operate, Incarnation: daemon.incarnation, Leaving: daemon.leaving, Ready: ready && !daemon.leaving, Keeper: keeper && !daemon.leaving, Demand: demand, Guest: daemon.place.Guest}
+	return wire.Member{Name: daemon.place.Name, Kind: daemon.place.Kind, Zone: daemon.place.Zone, InternalAddress: daemon.place.Wire,
+		PublicAddress: daemon.place.Outer, OperatorAddress: daemon.place.Operate, Incarnation: daemon.incarnation, Leaving: daemon.leaving, Ready: ready && !daemon.leaving, KeyReplica: keeper && !daemon.leaving, Demand: demand, Guest: daemon.place.Guest}
 }
 
 // session tells a core that this daemon lives; a silent core is left for the next.
@@ -287,13 +287,13 @@
 	daemon.mutex.Unlock()
 	core := daemon.sessionCore()
 	now := daemon.Now()
-	session := &wire.Session{Member: daemon.member(), Serial: version.Serial, Table: version.Table.Mark, Parent: parent, Probes: daemon.probes(), Usage: daemon.usage(),
-		Routing: version.Routing, NowMs: now, Gone: gone}
-	session.Windows, session.Upon = daemon.metered.fresh(core, daemon.windows())
-	told, fault := wire.Ask[wire.Session, wire.SessionTold](daemon.line, core, "session", daemon.paces.ask(), session)
+	session := &wire.Session{Member: daemon.member(), Serial: version.Serial, Table: version.Table.Version, Parent: parent, Probes: daemon.probes(), Usage: daemon.usage(),
+		Routing: version.Routing, NowMs: now, Ended: gone}
+	session.Windows, session.BaseProcess = daemon.metered.fresh(core, daemon.windows())
+	told, err := wire.Call[wire.Session, wire.SessionResponse](daemon.line, core, "session", daemon.paces.ask(), session)
 	trip := time.Since(asked)
 	daemon.mutex.Lock()
-	if fault != nil {
+	if err != nil {
 		daemon.failed[core] = time.Now()
 		daemon.mutex.Unlock()
 		daemon.counts.Add("sessions_failed", 1)
@@ -316,7 +316,7 @@
 	}
 	daemon.mutex.Unlock()
 	daemon.note(told.Serial)
-	daemon.Finder.Learn(told.Members, told.Cores)
+	daemon.Finder.Learn(told.Membership, told.Cores)
 	before := daemon.Finder.Leader().Ballot
 	daemon.Finder.Heard(told.Leader)
 	if told.NowMs > 0 {
@@ -335,7 +335,7 @@
 	if !leader.Known() || maps.Equal(usage, daemon.counted) {
 		return
 	}
-	if _, fault := wire.Ask[wire.Count, wire.CountTold](daemon.line, leader.Address, "count", daemon.paces.ask(), &wire.Count{Incarnation: daemon.incarnation, Usage: usage}); fault == nil {
+	if _, err := wire.Call[wire.UsageCountRequest, wire.UsageCountResponse](daemon.line, leader.Address, "count", daemon.paces.ask(), &wire.UsageCountRequest{Incarnation: daemon.incarnation, Usage: usage}); err == nil {
 		daemon.counted = usage
 	}
 }
@@ -394,8 +394,8 @@
 	for !daemon.threads.Stopping() {
 		leader := daemon.Finder.Wait(time.Second)
 		if leader.Known() {
-			told, fault := wire.Ask[wire.Confirm, wire.ConfirmTold](daemon.line, leader.Address, "confirm", daemon.paces.ask(), &wire.Confirm{})
-			if fault == nil && daemon.upTo(leader, told) {
+			told, err := wire.Call[wire.ReadIndexRequest, wire.ReadIndexResponse](daemon.line, leader.Address, "confirm", daemon.paces.ask(), &wire.ReadIndexRequest{})
+			if err == nil && daemon.upTo(leader, told) {
 				daemon.mutex.Lock()
 				daemon.confirmed, daemon.once = true, true
 				daemon.mutex.Unlock()
@@ -403,7 +403,7 @@
 				klog.Infof("%s: serial %d, routing %d confirmed", daemon.place.Name, told.Serial, told.Routing)
 				return
 			}
-			if fault != nil {
+			if err != nil {
 				daemon.Finder.Drop(leader, false)
 			}
 		}
@@ -412,11 +412,11 @@
 }
 
 // upTo is whether what the leader proved is in force here, after a fetch if need be.
-func (daemon *Daemon) upTo(leader wire.Leader, told *wire.ConfirmTold) bool {
+func (daemon *Daemon) upTo(leader wire.Leader, told *wire.ReadIndexResponse) bool {
 	if told.Serial == 0 && !daemon.place.Routed || told.Routing == 0 && daemon.place.Routed {
 		return false
 	}
-	holds := func() bool { return !daemon.Version().behind(told.Serial, told.Routing, wire.TableMark{}) }
+	holds := func() bool { return !daemon.Version().behind(told.Serial, told.Routing, wire.TableVersion{}) }
 	return holds() || daemon.fetch(context.Background(), leader.Address) && holds()
 }
 
--- a/member/daemon_test.go
+++ b/member/daemon_test.go
@@ -13,7 +13,7 @@
 // daemon what it is.
 func TestReadyWhileAVersionIsPutInForce(test *testing.T) {
 	threads, answered := run.NewThreads(), run.NewBell()
-	daemon := NewDaemon(Place{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, Direct: true, Routed: true}, "life", wire.NewLine(http.DefaultTransport), threads, run.NewCounts())
+	daemon := NewDaemon(Place{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, Direct: true, Routed: true}, "life", wire.NewClient(http.DefaultTransport), threads, run.NewCounts())
 	applied := uint64(0)
 	daemon.Serve(func(version *Version) {
 		applied++
@@ -26,12 +26,12 @@
 		}
 	}, nil)
 	for number := uint64(1); number <= 2; number++ {
-		if !daemon.take(&wire.FetchTold{Table: &wire.Table{Mark: wire.TableMark{Number: number}}}, nil) {
+		if !daemon.take(&wire.FetchResponse{Table: &wire.Table{Version: wire.TableVersion{Number: number}}}, nil) {
 			test.Error("not taken")
 		}
 	}
-	if daemon.take(&wire.FetchTold{Table: &wire.Table{Mark: wire.TableMark{Number: 1}}}, nil); applied != 2 || daemon.Version().Table.Mark.Number != 2 {
-		test.Errorf("put in force %d times, table %v", applied, daemon.Version().Table.Mark)
+	if daemon.take(&wire.FetchResponse{Table: &wire.Table{Version: wire.TableVersion{Number: 1}}}, nil); applied != 2 || daemon.Version().Table.Version.Number != 2 {
+		test.Errorf("put in force %d times, table %v", applied, daemon.Version().Table.Version)
 	}
 	threads.Wait()
 }
@@ -44,13 +44,13 @@
 func (slow *slowFetch) RoundTrip(request *http.Request) (*http.Response, error) {
 	slow.asked.Ring()
 	slow.let.Wait(0, 5*time.Second)
-	return nil, wire.New(wire.Unreachable, "nobody there")
+	return nil, wire.Errorf(wire.Unreachable, "nobody there")
 }
 
 func TestSessionGoesOnWhileCatchingUp(test *testing.T) {
 	threads, slow := run.NewThreads(), &slowFetch{asked: run.NewBell(), let: run.NewBell()}
 	counts := run.NewCounts()
-	daemon := NewDaemon(Place{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, Direct: true, Routed: true}, "life", wire.NewLine(slow), threads, counts)
+	daemon := NewDaemon(Place{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, Direct: true, Routed: true}, "life", wire.NewClient(slow), threads, counts)
 	daemon.behind = time.Now().Add(-time.Minute)
 	begin := time.Now()
 	daemon.catchUp("127.0.0.1:1")
--- a/member/direct.go
+++ b/member/direct.go
@@ -53,9 +53,9 @@
 // hear is one wait for news and what it brings; false when the core is of no use.
 func (daemon *Daemon) hear(ctx context.Context, core string) bool {
 	version := daemon.Version()
-	told, fault := wire.AskIn[wire.Watch, wire.WatchTold](ctx, daemon.line, core, "watch", daemon.paces.Watch+daemon.paces.ask(),
-		&wire.Watch{Name: daemon.place.Name, Serial: version.Serial, Table: version.Table.Mark, Routing: version.Routing, SpanMs: int(daemon.paces.Watch.Milliseconds())})
-	if fault != nil {
+	told, err := wire.CallContext[wire.WatchRequest, wire.WatchResponse](ctx, daemon.line, core, "watch", daemon.paces.Watch+daemon.paces.ask(),
+		&wire.WatchRequest{Name: daemon.place.Name, Serial: version.Serial, Table: version.Table.Version, Routing: version.Routing, SpanMs: int(daemon.paces.Watch.Milliseconds())})
+	if err != nil {
 		return ctx.Err() != nil
 	}
 	return !version.behind(told.Serial, told.Routing, told.Table) || daemon.fetch(ctx, core) || ctx.Err() != nil
@@ -63,7 +63,7 @@
 
 // begin takes a first version from whichever core has one: before a leader stands,
 // cores tell what they know committed.
-func (daemon *Daemon) begin(core string, told *wire.WhoTold) {
+func (daemon *Daemon) begin(core string, told *wire.LeaderResponse) {
 	version := daemon.Version()
 	if version.Routing > 0 && version.Table.Complete || !version.behind(0, told.Routing, told.Table) {
 		return
@@ -99,7 +99,7 @@
 
 // turn leaves a core that knows no leader, and ends a wait for news at one that
 // does not lead while another one does.
-func (daemon *Daemon) turn(core string, leader wire.Leader, before wire.Ballot) {
+func (daemon *Daemon) turn(core string, leader wire.Leader, before wire.Term) {
 	daemon.mutex.Lock()
 	if !leader.Known() {
 		daemon.failed[core] = time.Now()
--- a/member/evacuate.go
+++ b/member/evacuate.go
@@ -11,30 +11,30 @@
 // is asked first how often the zone changed, and carries out only what builds on
 // that: whatever was acknowledged since stays in force. Nothing is ordered for a
 // caller that has gone meanwhile.
-func Evacuate(ctx context.Context, hold *Hold, zone string, begin bool) (*wire.EvacuateTold, error) {
+func Evacuate(ctx context.Context, hold *Hold, zone string, begin bool) (*wire.EvacuateResponse, error) {
 	ctx, cancel := context.WithDeadline(ctx, hold.until(ctx))
 	defer cancel()
-	order := wire.Evacuate{Zone: zone, Begin: begin}
+	order := wire.EvacuateRequest{Zone: zone, Begin: begin}
 	ask := order
-	ask.Ask = true
-	now, mishap := SendIn[wire.Evacuate, wire.EvacuateTold](ctx, hold, "evacuate", &ask)
-	if mishap != nil {
-		return nil, notStarted(mishap)
+	ask.QueryOnly = true
+	now, err := SendIn[wire.EvacuateRequest, wire.EvacuateResponse](ctx, hold, "evacuate", &ask)
+	if err != nil {
+		return nil, notStarted(err)
 	}
-	order.Upon = now.Changes
-	told, mishap := SendIn[wire.Evacuate, wire.EvacuateTold](ctx, hold, "evacuate", &order)
-	if mishap != nil && wire.KindOf(mishap) == wire.ZoneChanged {
-		raced := *wire.AsMishap(mishap)
-		raced.Retry = comeBack
+	order.ExpectedChanges = now.Changes
+	told, err := SendIn[wire.EvacuateRequest, wire.EvacuateResponse](ctx, hold, "evacuate", &order)
+	if err != nil && wire.CodeOf(err) == wire.ZoneChanged {
+		raced := *wire.AsError(err)
+		raced.RetryAfterMs = comeBack
 		return nil, &raced
 	}
-	return told, mishap
+	return told, err
 }
 
 // notStarted is a question's mishap as an order's: a question starts nothing.
-func notStarted(mishap error) error {
-	if wire.KindOf(mishap) == wire.OutcomeUnknown {
+func notStarted(err error) error {
+	if wire.CodeOf(err) == wire.OutcomeUnknown {
 		return givenUp(false)
 	}
-	return mishap
+	return err
 }
--- a/member/finder.go
+++ b/member/finder.go
@@ -13,28 +13,28 @@
 
 // Finder knows the leader, and looks for it while somebody waits.
 type Finder struct {
-	line    *wire.Line
+	line    *wire.Client
 	threads *run.Threads
 	bell    *run.Bell
 	wanted  *run.Bell
 	paces   Paces
-	told    func(core string, told *wire.WhoTold)
+	told    func(core string, told *wire.LeaderResponse)
 
 	seeds []string
 
 	mutex   sync.Mutex
 	cores   []string
 	voting  int
-	members wire.Mark
+	members wire.Version
 	leader  wire.Leader
-	dropped wire.Ballot
+	dropped wire.Term
 	waiting int
 }
 
 const finderIdle = time.Minute
 
-func NewFinder(line *wire.Line, threads *run.Threads, cores []string) *Finder {
-	return &Finder{line: line, threads: threads, bell: run.NewBell(), wanted: run.NewBell(), paces: Paces{}.filled(), told: func(string, *wire.WhoTold) {}, seeds: slices.Clone(cores), cores: slices.Clone(cores), voting: len(cores)}
+func NewFinder(line *wire.Client, threads *run.Threads, cores []string) *Finder {
+	return &Finder{line: line, threads: threads, bell: run.NewBell(), wanted: run.NewBell(), paces: Paces{}.filled(), told: func(string, *wire.LeaderResponse) {}, seeds: slices.Clone(cores), cores: slices.Clone(cores), voting: len(cores)}
 }
 
 // Paced sets how often a leader is looked for.
@@ -77,7 +77,7 @@
 }
 
 // Members is the mark of the newest membership that was heard of.
-func (finder *Finder) Members() wire.Mark {
+func (finder *Finder) Members() wire.Version {
 	finder.mutex.Lock()
 	defer finder.mutex.Unlock()
 	return finder.members
@@ -142,15 +142,15 @@
 func (finder *Finder) seek() {
 	cores := finder.Cores()
 	run.Gather(finder.threads, len(cores), func(index int) (bool, error) {
-		told, fault := wire.Ask[wire.Who, wire.WhoTold](finder.line, cores[index], "who", finder.paces.seek(), &wire.Who{})
-		if fault != nil {
-			return false, fault
+		told, err := wire.Call[wire.LeaderRequest, wire.LeaderResponse](finder.line, cores[index], "who", finder.paces.seek(), &wire.LeaderRequest{})
+		if err != nil {
+			return false, err
 		}
-		finder.Learn(told.Members, told.Cores)
+		finder.Learn(told.Membership, told.Cores)
 		if finder.votes(cores[index]) {
 			finder.told(cores[index], told)
 		}
-		if !told.Duck {
+		if !told.Lameduck {
 			finder.Heard(told.Leader)
 		}
 		return told.Leader.Known(), nil
@@ -167,7 +167,7 @@
 
 // Learn takes the addresses of the voting cores under a membership's mark, unless a
 // newer one is known. Seeds that vote no more are asked after all others.
-func (finder *Finder) Learn(members wire.Mark, cores []string) {
+func (finder *Finder) Learn(members wire.Version, cores []string) {
 	finder.mutex.Lock()
 	defer finder.mutex.Unlock()
 	if len(cores) == 0 || !finder.members.Less(members) {
--- a/member/hold.go
+++ b/member/hold.go
@@ -13,7 +13,7 @@
 // count and time, and sends it to the new leader.
 type Hold struct {
 	finder *Finder
-	line   *wire.Line
+	line   *wire.Client
 	counts *run.Counts
 	depth  int
 	limit  time.Duration
@@ -39,7 +39,7 @@
 	comeBack    = 500
 )
 
-func NewHold(finder *Finder, line *wire.Line, counts *run.Counts) *Hold {
+func NewHold(finder *Finder, line *wire.Client, counts *run.Counts) *Hold {
 	return &Hold{finder: finder, line: line, counts: counts, depth: holdDepth, limit: answerLimit, send: sendLimit}
 }
 
@@ -109,7 +109,7 @@
 				if sent {
 					return nil, givenUp(sent)
 				}
-				return nil, &wire.Mishap{Kind: wire.HoldFull, Cause: "too much waits for a leader", Retry: comeBack}
+				return nil, &wire.Error{Code: wire.QueueFull, Message: "too much waits for a leader", RetryAfterMs: comeBack}
 			}
 			if !holding {
 				holding = true
@@ -125,17 +125,17 @@
 		if rest <= 0 {
 			break
 		}
-		told, fault := wire.AskIn[Asked, Told](ctx, hold.line, leader.Address, name, min(rest, hold.send), asked)
-		if fault == nil {
+		told, err := wire.CallContext[Asked, Told](ctx, hold.line, leader.Address, name, min(rest, hold.send), asked)
+		if err == nil {
 			if holding {
 				hold.counts.Add("held_flushed", 1)
 			}
 			return told, nil
 		}
-		switch mishap := wire.AsMishap(fault); wire.KindOf(mishap) {
+		switch mishap := wire.AsError(err); wire.CodeOf(mishap) {
 		case wire.NotLeader, wire.Lameduck, wire.NoLeader:
-			hold.finder.Drop(leader, wire.KindOf(mishap) == wire.Lameduck)
-		case wire.Unreached:
+			hold.finder.Drop(leader, wire.CodeOf(mishap) == wire.Lameduck)
+		case wire.ConnectFailed:
 			hold.finder.Drop(leader, false)
 		case wire.Unreachable, wire.OutcomeUnknown:
 			sent = true
@@ -162,7 +162,7 @@
 // givenUp is the answer to a message that found no leader in time.
 func givenUp(sent bool) error {
 	if sent {
-		return &wire.Mishap{Kind: wire.OutcomeUnknown, Cause: "the leader fell silent; send the same change id again", Retry: comeBack}
+		return &wire.Error{Code: wire.OutcomeUnknown, Message: "the leader fell silent; send the same change id again", RetryAfterMs: comeBack}
 	}
-	return &wire.Mishap{Kind: wire.NotStarted, Cause: "no leader within the hold; nothing was started", Retry: comeBack}
+	return &wire.Error{Code: wire.NotStarted, Message: "no leader within the hold; nothing was started", RetryAfterMs: comeBack}
 }
--- a/member/hold_test.go
+++ b/member/hold_test.go
@@ -18,7 +18,7 @@
 // leaders are a frozen leader and, where it has an address, one that answers.
 type leaders struct {
 	answering string
-	door      *wire.Door
+	door      *wire.Server
 	silent    atomic.Int32
 	gaveUp    func()
 }
@@ -38,16 +38,16 @@
 }
 
 func leaderOf(round uint64, address string) wire.Leader {
-	return wire.Leader{Ballot: wire.Ballot{Round: round, Core: int(round)}, Core: int(round), Address: address}
+	return wire.Leader{Ballot: wire.Term{Number: round, Core: int(round)}, Core: int(round), Address: address}
 }
 
 func holdAt(test *testing.T, transport *leaders, limits HoldLimits) (*Hold, *Finder) {
-	transport.door = wire.NewDoor(run.NewCounts())
-	wire.Take(transport.door, "evacuate", func(context.Context, *wire.Evacuate) (*wire.EvacuateTold, error) {
-		return &wire.EvacuateTold{Serial: 7}, nil
+	transport.door = wire.NewServer(run.NewCounts())
+	wire.Handle(transport.door, "evacuate", func(context.Context, *wire.EvacuateRequest) (*wire.EvacuateResponse, error) {
+		return &wire.EvacuateResponse{Serial: 7}, nil
 	})
 	threads := run.NewThreads()
-	line := wire.NewLine(transport)
+	line := wire.NewClient(transport)
 	finder := NewFinder(line, threads, []string{frozen})
 	test.Cleanup(func() {
 		threads.Stop()
@@ -63,8 +63,8 @@
 	transport.gaveUp = func() { finder.Heard(leaderOf(2, "10.0.0.2:1")) }
 	finder.Heard(leaderOf(1, frozen))
 	begin := time.Now()
-	if _, mishap := Send[wire.Evacuate, wire.EvacuateTold](hold, "evacuate", &wire.Evacuate{Zone: "osu", Begin: true}); mishap == nil || wire.KindOf(mishap) != wire.OutcomeUnknown {
-		test.Fatalf("answered %v", mishap)
+	if _, err := Send[wire.EvacuateRequest, wire.EvacuateResponse](hold, "evacuate", &wire.EvacuateRequest{Zone: "osu", Begin: true}); err == nil || wire.CodeOf(err) != wire.OutcomeUnknown {
+		test.Fatalf("answered %v", err)
 	}
 	if took := time.Since(begin); took > 2200*time.Millisecond {
 		test.Fatalf("took %v, the limit is 2 s", took)
@@ -78,9 +78,9 @@
 	hold, finder := holdAt(test, transport, HoldLimits{Answer: 2 * time.Second, Send: 1500 * time.Millisecond})
 	hold.Follow(func() wire.Leader { return leaderOf(2, transport.answering) })
 	finder.Heard(leaderOf(1, frozen))
-	told, mishap := Send[wire.Evacuate, wire.EvacuateTold](hold, "evacuate", &wire.Evacuate{Zone: "osu", Begin: true})
-	if mishap != nil || told.Serial != 7 {
-		test.Fatalf("told %v, %v", told, mishap)
+	told, err := Send[wire.EvacuateRequest, wire.EvacuateResponse](hold, "evacuate", &wire.EvacuateRequest{Zone: "osu", Begin: true})
+	if err != nil || told.Serial != 7 {
+		test.Fatalf("told %v, %v", told, err)
 	}
 	if asked := transport.silent.Load(); asked != 0 {
 		test.Fatalf("the frozen leader was asked %d times", asked)
@@ -94,8 +94,8 @@
 	hold, finder := holdAt(test, transport, HoldLimits{Answer: 200 * time.Millisecond, Send: 150 * time.Millisecond})
 	hold.Follow(func() wire.Leader { return wire.Leader{} })
 	finder.Heard(leaderOf(1, frozen))
-	if _, mishap := Send[wire.Evacuate, wire.EvacuateTold](hold, "evacuate", &wire.Evacuate{Zone: "osu", Begin: true}); mishap == nil || wire.KindOf(mishap) != wire.NotStarted {
-		test.Fatalf("answered %v", mishap)
+	if _, err := Send[wire.EvacuateRequest, wire.EvacuateResponse](hold, "evacuate", &wire.EvacuateRequest{Zone: "osu", Begin: true}); err == nil || wire.CodeOf(err) != wire.NotStarted {
+		test.Fatalf("answered %v", err)
 	}
 	if asked := transport.silent.Load(); asked != 0 {
 		test.Fatalf("the frozen leader was asked %d times", asked)
--- a/member/operate.go
+++ b/member/operate.go
@@ -38,7 +38,7 @@
 	operate.mux.HandleFunc("GET /v1/counts", func(writer http.ResponseWriter, _ *http.Request) { Answer(writer, http.StatusOK, counts.All()) })
 	operate.mux.HandleFunc("GET /v1/health", operate.health)
 	operate.mux.HandleFunc("/", func(writer http.ResponseWriter, request *http.Request) {
-		Refuse(writer, wire.New(wire.NotFound, "%s %s", request.Method, request.URL.Path))
+		Refuse(writer, wire.Errorf(wire.NotFound, "%s %s", request.Method, request.URL.Path))
 	})
 	return operate
 }
@@ -49,8 +49,8 @@
 
 // Answer writes one JSON document.
 func Answer(writer http.ResponseWriter, status int, document any) {
-	body, fault := json.Marshal(document)
-	if fault != nil {
+	body, err := json.Marshal(document)
+	if err != nil {
 		status, body = http.StatusInternalServerError, []byte(`{"code":"bad_message"}`)
 	}
 	writer.Header().Set("Content-Type", "application/json")
@@ -60,17 +60,17 @@
 }
 
 // Refuse writes a mishap and, where it has one, the time to come back.
-func Refuse(writer http.ResponseWriter, mishap error) {
-	refusal := wire.AsMishap(mishap)
+func Refuse(writer http.ResponseWriter, err error) {
+	refusal := wire.AsError(err)
 	refuse(writer, refusal, refusal)
 }
 
 // refuse writes a document with the status and the time to come back of a refusal.
-func refuse(writer http.ResponseWriter, refusal *wire.Mishap, document any) {
-	if refusal.Retry > 0 {
-		writer.Header().Set("Retry-After", strconv.Itoa((refusal.Retry+999)/1000))
+func refuse(writer http.ResponseWriter, refusal *wire.Error, document any) {
+	if refusal.RetryAfterMs > 0 {
+		writer.Header().Set("Retry-After", strconv.Itoa((refusal.RetryAfterMs+999)/1000))
 	}
-	Answer(writer, refusal.Kind.Status(), document)
+	Answer(writer, refusal.Code.Status(), document)
 }
 
 type settingsDocument struct {
@@ -85,9 +85,9 @@
 	document := settingsDocument{Confirmed: true}
 	var body []byte
 	serial, held := operate.local()
-	told, mishap := Send[wire.Read, wire.ReadTold](operate.hold, "read", &wire.Read{Held: serial})
+	told, err := Send[wire.ReadRequest, wire.ReadResponse](operate.hold, "read", &wire.ReadRequest{HeldSerial: serial})
 	switch {
-	case mishap != nil:
+	case err != nil:
 		operate.counts.Add("reads_unconfirmed", 1)
 		document.Confirmed = false
 		document.Serial, body = serial, held
@@ -101,9 +101,9 @@
 	}
 	document.Settings = body
 	if request.URL.Query().Get("effective") != "" && document.Serial > 0 {
-		settings, mishap := conf.Read(body)
-		if mishap != nil {
-			Refuse(writer, mishap)
+		settings, err := conf.Read(body)
+		if err != nil {
+			Refuse(writer, err)
 			return
 		}
 		document.Effective = settings.Resolve()
@@ -125,69 +125,69 @@
 }
 
 type refusalDocument struct {
-	wire.Mishap
+	wire.Error
 	Change string `json:"change,omitempty"`
 }
 
 func (operate *Operate) change(writer http.ResponseWriter, request *http.Request, kind string) {
-	body, fault := io.ReadAll(http.MaxBytesReader(writer, request.Body, changeBytes))
-	if fault != nil {
-		Refuse(writer, wire.New(wire.TooLarge, "at most %d bytes: %v", changeBytes, fault))
+	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, changeBytes))
+	if err != nil {
+		Refuse(writer, wire.Errorf(wire.TooLarge, "at most %d bytes: %v", changeBytes, err))
 		return
 	}
 	document := changeDocument{}
-	if fault := json.Unmarshal(body, &document); fault != nil {
-		Refuse(writer, wire.New(wire.BadRequest, "%v", fault))
+	if err := json.Unmarshal(body, &document); err != nil {
+		Refuse(writer, wire.Errorf(wire.BadRequest, "%v", err))
 		return
 	}
 	if document.Base == nil || len(document.Settings) == 0 || len(document.Change) > 128 {
-		Refuse(writer, wire.New(wire.BadRequest, "base and settings must be given; change has at most 128 letters"))
+		Refuse(writer, wire.Errorf(wire.BadRequest, "base and settings must be given; change has at most 128 letters"))
 		return
 	}
 	if document.Change == "" {
 		document.Change = NewID()
 	}
-	change := &wire.Change{ID: document.Change, Base: *document.Base, Kind: kind, Body: document.Settings, Operator: document.Operator}
-	told, mishap := Send[wire.Change, wire.ChangeTold](operate.hold, "change", change)
-	if mishap != nil {
-		operate.counts.Add("operator_refused_"+string(wire.KindOf(mishap)), 1)
-		refusal := wire.AsMishap(mishap)
-		refuse(writer, refusal, refusalDocument{Mishap: *refusal, Change: document.Change})
+	change := &wire.ChangeRequest{ID: document.Change, Base: *document.Base, Kind: kind, Body: document.Settings, Operator: document.Operator}
+	told, err := Send[wire.ChangeRequest, wire.ChangeResponse](operate.hold, "change", change)
+	if err != nil {
+		operate.counts.Add("operator_refused_"+string(wire.CodeOf(err)), 1)
+		refusal := wire.AsError(err)
+		refuse(writer, refusal, refusalDocument{Error: *refusal, Change: document.Change})
 		return
 	}
 	operate.counts.Add("operator_changes", 1)
-	Answer(writer, http.StatusOK, outcomeDocument{Serial: told.Serial, Change: document.Change, Again: told.Again})
+	Answer(writer, http.StatusOK, outcomeDocument{Serial: told.Serial, Change: document.Change, Again: told.Duplicate})
 }
 
 func (operate *Operate) check(writer http.ResponseWriter, request *http.Request) {
-	body, fault := io.ReadAll(http.MaxBytesReader(writer, request.Body, changeBytes))
-	if fault != nil {
-		Refuse(writer, wire.New(wire.TooLarge, "at most %d bytes", changeBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, changeBytes))
+	if err != nil {
+		Refuse(writer, wire.Errorf(wire.TooLarge, "at most %d bytes", changeBytes))
 		return
 	}
-	if _, mishap := conf.Read(body); mishap != nil {
-		Refuse(writer, mishap)
+	if _, err := conf.Read(body); err != nil {
+		Refuse(writer, err)
 		return
 	}
 	Answer(writer, http.StatusOK, map[string]string{"code": "valid"})
 }
 
 func (operate *Operate) trail(writer http.ResponseWriter, _ *http.Request) {
-	told, mishap := Send[wire.Read, wire.ReadTold](operate.hold, "read", &wire.Read{Trail: true})
-	if mishap != nil {
-		Refuse(writer, mishap)
+	told, err := Send[wire.ReadRequest, wire.ReadResponse](operate.hold, "read", &wire.ReadRequest{History: true})
+	if err != nil {
+		Refuse(writer, err)
 		return
 	}
-	if told.Trail == nil {
-		told.Trail = []wire.Entry{}
+	if told.History == nil {
+		told.History = []wire.HistoryEntry{}
 	}
-	Answer(writer, http.StatusOK, map[string]any{"serial": told.Serial, "changes": told.Trail})
+	Answer(writer, http.StatusOK, map[string]any{"serial": told.Serial, "changes": told.History})
 }
 
 func (operate *Operate) status(writer http.ResponseWriter, _ *http.Request) {
-	told, mishap := Send[wire.Status, wire.StatusTold](operate.hold, "status", &wire.Status{})
-	if mishap != nil {
-		Refuse(writer, mishap)
+	told, err := Send[wire.StatusRequest, wire.StatusResponse](operate.hold, "status", &wire.StatusRequest{})
+	if err != nil {
+		Refuse(writer, err)
 		return
 	}
 	Answer(writer, http.StatusOK, told)
@@ -195,9 +195,9 @@
 
 // cores tells who votes, who is about to and who waits.
 func (operate *Operate) cores(writer http.ResponseWriter, _ *http.Request) {
-	told, mishap := Send[wire.Status, wire.StatusTold](operate.hold, "status", &wire.Status{})
-	if mishap != nil {
-		Refuse(writer, mishap)
+	told, err := Send[wire.StatusRequest, wire.StatusResponse](operate.hold, "status", &wire.StatusRequest{})
+	if err != nil {
+		Refuse(writer, err)
 		return
 	}
 	Answer(writer, http.StatusOK, told.Membership)
@@ -210,18 +210,18 @@
 
 // remove gives a core's vote to a learner; the same order again is acknowledged.
 func (operate *Operate) remove(writer http.ResponseWriter, request *http.Request) {
-	id, fault := strconv.Atoi(request.PathValue("id"))
-	if fault != nil || id < 1 || id > wire.PeerMost {
-		Refuse(writer, wire.New(wire.BadRequest, "%q is no core's ID: want 1 to %d", request.PathValue("id"), wire.PeerMost))
+	id, err := strconv.Atoi(request.PathValue("id"))
+	if err != nil || id < 1 || id > wire.MaxPeerID {
+		Refuse(writer, wire.Errorf(wire.BadRequest, "%q is no core's ID: want 1 to %d", request.PathValue("id"), wire.MaxPeerID))
 		return
 	}
-	told, mishap := Send[wire.Removal, wire.RemovalTold](operate.hold, "removal", &wire.Removal{Core: id})
-	if mishap != nil {
-		Refuse(writer, mishap)
+	told, err := Send[wire.RemoveVoterRequest, wire.RemoveVoterResponse](operate.hold, "removal", &wire.RemoveVoterRequest{Core: id})
+	if err != nil {
+		Refuse(writer, err)
 		return
 	}
 	operate.counts.Add("operator_removals", 1)
-	Answer(writer, http.StatusOK, removalDocument{Version: told.Version, Again: told.Again})
+	Answer(writer, http.StatusOK, removalDocument{Version: told.Version, Again: told.Duplicate})
 }
 
 func (operate *Operate) health(writer http.ResponseWriter, _ *http.Request) {
--- a/member/reach.go
+++ b/member/reach.go
@@ -95,13 +95,13 @@
 	for first := 0; first < len(others) && reached < half; {
 		part := others[first:min(first+half-reached, len(others))]
 		first += len(part)
-		got, _ := run.Gather(daemon.threads, len(part), func(index int) (*wire.WhoTold, error) {
-			return wire.Ask[wire.Who, wire.WhoTold](daemon.line, part[index].Wire, "who", reachLimit, &wire.Who{})
-		}, func(map[int]*wire.WhoTold, map[int]error) bool { return false })
+		got, _ := run.Gather(daemon.threads, len(part), func(index int) (*wire.LeaderResponse, error) {
+			return wire.Call[wire.LeaderRequest, wire.LeaderResponse](daemon.line, part[index].InternalAddress, "who", reachLimit, &wire.LeaderRequest{})
+		}, func(map[int]*wire.LeaderResponse, map[int]error) bool { return false })
 		reached += len(got)
 		for index, told := range got {
 			if told.Serial > newest {
-				newest, from = told.Serial, part[index].Wire
+				newest, from = told.Serial, part[index].InternalAddress
 			}
 		}
 	}
