--- a/member/relay.go
+++ b/member/relay.go
@@ -18,9 +18,9 @@
 			continue
 		}
 		version := daemon.Version()
-		told, fault := wire.Ask[wire.Watch, wire.WatchTold](daemon.line, parent, "watch", daemon.paces.Watch+daemon.paces.ask(),
-			&wire.Watch{Name: daemon.place.Name, Serial: version.Serial, Table: version.Table.Mark, Routing: version.Routing, SpanMs: int(daemon.paces.Watch.Milliseconds())})
-		if fault != nil {
+		told, err := wire.Call[wire.WatchRequest, wire.WatchResponse](daemon.line, parent, "watch", daemon.paces.Watch+daemon.paces.ask(),
+			&wire.WatchRequest{Name: daemon.place.Name, Serial: version.Serial, Table: version.Table.Version, Routing: version.Routing, SpanMs: int(daemon.paces.Watch.Milliseconds())})
+		if err != nil {
 			daemon.lost(parent)
 			continue
 		}
@@ -44,8 +44,8 @@
 	late := !daemon.behind.IsZero() && time.Since(daemon.behind) > behindSpan || daemon.seen > daemon.Version().Serial && time.Since(daemon.seenSince) > daemon.paces.Seek
 	if !late || chosen == "" {
 		for _, parent := range parents {
-			if time.Since(daemon.failed[parent.Wire]) > aloneSpan {
-				chosen = parent.Wire
+			if time.Since(daemon.failed[parent.InternalAddress]) > aloneSpan {
+				chosen = parent.InternalAddress
 				break
 			}
 		}
@@ -73,18 +73,18 @@
 func (daemon *Daemon) fetch(within context.Context, parent string) bool {
 	for range fetchTries {
 		version := daemon.Version()
-		told, fault := wire.AskIn[wire.Fetch, wire.FetchTold](within, daemon.line, parent, "fetch", daemon.paces.fetch(), &wire.Fetch{Serial: version.Serial, Table: version.Table.Mark, Routing: version.Routing})
-		if fault != nil {
+		told, err := wire.CallContext[wire.FetchRequest, wire.FetchResponse](within, daemon.line, parent, "fetch", daemon.paces.fetch(), &wire.FetchRequest{Serial: version.Serial, Table: version.Table.Version, Routing: version.Routing})
+		if err != nil {
 			return false
 		}
-		texts, lacks := wire.Texts{}, version.Tree.Lacks(told.Parts)
-		mishap := texts.AskParts(daemon.line, parent, daemon.paces.fetch(), lacks)
-		if mishap == nil {
+		texts, lacks := wire.Chunks{}, version.Tree.Lacks(told.Chunks)
+		err = texts.Fetch(daemon.line, parent, daemon.paces.fetch(), lacks)
+		if err == nil {
 			daemon.counts.Add("branches_fetched", uint64(len(lacks)))
 			return daemon.take(told, texts)
 		}
-		daemon.counts.Add("branches_"+string(wire.KindOf(mishap)), 1)
-		if wire.KindOf(mishap) != wire.DamagedPart {
+		daemon.counts.Add("branches_"+string(wire.CodeOf(err)), 1)
+		if wire.CodeOf(err) != wire.CorruptChunk {
 			return false
 		}
 	}
@@ -93,11 +93,11 @@
 
 // take puts fetched parts in force, unless newer ones came meanwhile. Its mutex
 // is not the daemon's, so that the session goes on while a large version is laid.
-func (daemon *Daemon) take(told *wire.FetchTold, texts wire.Texts) bool {
+func (daemon *Daemon) take(told *wire.FetchResponse, texts wire.Chunks) bool {
 	daemon.taking.Lock()
 	before := daemon.Version()
-	next, mishap := before.after(told, texts)
-	if mishap != nil {
+	next, err := before.after(told, texts)
+	if err != nil {
 		daemon.taking.Unlock()
 		daemon.counts.Add("versions_refused", 1)
 		return false
@@ -121,47 +121,47 @@
 	return true
 }
 
-func (daemon *Daemon) onWatch(_ context.Context, watch *wire.Watch) (*wire.WatchTold, error) {
+func (daemon *Daemon) onWatch(_ context.Context, watch *wire.WatchRequest) (*wire.WatchResponse, error) {
 	until := time.Now().Add(min(time.Duration(watch.SpanMs)*time.Millisecond, watchMost))
 	for {
 		seen := daemon.news.Count()
 		version := daemon.Version()
-		told := &wire.WatchTold{Serial: version.Serial, Table: version.Table.Mark, Routing: version.Routing}
+		told := &wire.WatchResponse{Serial: version.Serial, Table: version.Table.Version, Routing: version.Routing}
 		if told.Serial > watch.Serial || told.Routing > watch.Routing || watch.Table.Less(told.Table) || daemon.threads.Stopping() || !daemon.news.Wait(seen, time.Until(until)) {
 			return told, nil
 		}
 	}
 }
 
-func (daemon *Daemon) onFetch(_ context.Context, fetch *wire.Fetch) (*wire.FetchTold, error) {
+func (daemon *Daemon) onFetch(_ context.Context, fetch *wire.FetchRequest) (*wire.FetchResponse, error) {
 	version := daemon.Version()
-	told := &wire.FetchTold{}
+	told := &wire.FetchResponse{}
 	if version.Serial > fetch.Serial {
-		told.Serial, told.Parts = version.Serial, version.Tree.Parts
+		told.Serial, told.Chunks = version.Serial, version.Tree.Parts
 	}
 	if version.Routing > fetch.Routing {
-		body, fault := wire.Pack(version.Book)
-		if fault != nil {
-			return nil, fault
+		body, err := wire.Marshal(version.Book)
+		if err != nil {
+			return nil, err
 		}
 		told.Routing, told.RoutingBody = version.Routing, body
 	}
-	if fetch.Table.Less(version.Table.Mark) {
+	if fetch.Table.Less(version.Table.Version) {
 		told.Table = version.Table
 	}
 	return told, nil
 }
 
-func (daemon *Daemon) onParts(_ context.Context, parts *wire.Parts) (*wire.PartsTold, error) {
-	tree, told := daemon.Version().Tree, &wire.PartsTold{Texts: wire.Texts{}}
+func (daemon *Daemon) onParts(_ context.Context, parts *wire.FetchChunksRequest) (*wire.FetchChunksResponse, error) {
+	tree, told := daemon.Version().Tree, &wire.FetchChunksResponse{Chunks: wire.Chunks{}}
 	for _, digest := range parts.Digests {
 		if text := tree.Text(digest); text != nil {
-			told.Texts[digest] = text
+			told.Chunks[digest] = text
 		}
 	}
 	return told, nil
 }
 
-func (daemon *Daemon) onWho(context.Context, *wire.Who) (*wire.WhoTold, error) {
-	return &wire.WhoTold{Leader: daemon.Finder.Leader(), Members: daemon.Finder.Members(), Cores: daemon.votingCores(), Serial: daemon.Version().Serial}, nil
+func (daemon *Daemon) onWho(context.Context, *wire.LeaderRequest) (*wire.LeaderResponse, error) {
+	return &wire.LeaderResponse{Leader: daemon.Finder.Leader(), Membership: daemon.Finder.Members(), Cores: daemon.votingCores(), Serial: daemon.Version().Serial}, nil
 }
--- a/member/version.go
+++ b/member/version.go
@@ -20,34 +20,34 @@
 func (version *Version) Body() []byte { return version.Tree.Body() }
 
 // behind is whether any of these is newer.
-func (version *Version) behind(serial, routing uint64, table wire.TableMark) bool {
-	return serial > version.Serial || routing > version.Routing || version.Table.Mark.Less(table)
+func (version *Version) behind(serial, routing uint64, table wire.TableVersion) bool {
+	return serial > version.Serial || routing > version.Routing || version.Table.Version.Less(table)
 }
 
 // after is the version with newer parts laid in; serials and tables only rise.
-func (version *Version) after(told *wire.FetchTold, texts wire.Texts) (*Version, error) {
+func (version *Version) after(told *wire.FetchResponse, texts wire.Chunks) (*Version, error) {
 	next := *version
 	if told.Serial > version.Serial {
-		tree, mishap := conf.Grow(version.Tree, told.Parts, texts)
-		if mishap != nil {
-			return nil, mishap
+		tree, err := conf.Grow(version.Tree, told.Chunks, texts)
+		if err != nil {
+			return nil, err
 		}
 		next.Serial, next.Tree, next.Settings = told.Serial, tree, tree.Settings
 	}
 	if told.Routing > version.Routing {
-		body, mishap := told.Unpacked()
-		if mishap != nil {
-			return nil, mishap
+		body, err := told.DecompressRouting()
+		if err != nil {
+			return nil, err
 		}
-		book, mishap := route.BookOf(body)
-		if mishap != nil {
-			return nil, mishap
+		book, err := route.BookOf(body)
+		if err != nil {
+			return nil, err
 		}
 		next.Routing, next.Book = told.Routing, book
 	}
-	if told.Table != nil && version.Table.Mark.Less(told.Table.Mark) {
+	if told.Table != nil && version.Table.Version.Less(told.Table.Version) {
 		next.Table = told.Table
-	} else if told.Delta != nil && version.Table.Mark.Less(told.Delta.Mark) {
+	} else if told.Delta != nil && version.Table.Version.Less(told.Delta.Version) {
 		next.Table, _ = version.Table.Apply(told.Delta)
 	}
 	return &next, nil
--- a/operator/client.go
+++ b/operator/client.go
@@ -33,32 +33,32 @@
 // the refusal of a daemon, wire.Unreachable if none answered, or wire.BadMessage
 // for an answer that can't be decoded.
 func (client *Client) Ask(method, path string, body []byte, into any) error {
-	last := wire.New(wire.Unreachable, "no daemon given")
+	last := wire.Errorf(wire.Unreachable, "no daemon given")
 	for _, daemon := range client.daemons {
 		request, err := http.NewRequest(method, "http://"+daemon+path, bytes.NewReader(body))
 		if err != nil {
-			return wire.New(wire.BadRequest, "%v", err)
+			return wire.Errorf(wire.BadRequest, "%v", err)
 		}
 		request.GetBody = nil
 		response, err := client.client.Do(request)
 		if err != nil {
-			last = wire.New(wire.Unreachable, "%v", err)
+			last = wire.Errorf(wire.Unreachable, "%v", err)
 			continue
 		}
 		answer, err := io.ReadAll(response.Body)
 		response.Body.Close()
 		if err != nil {
-			last = wire.New(wire.Unreachable, "%v", err)
+			last = wire.Errorf(wire.Unreachable, "%v", err)
 			continue
 		}
 		if response.StatusCode == http.StatusOK {
 			if err := json.Unmarshal(answer, into); err != nil {
-				return wire.New(wire.BadMessage, "%v", err)
+				return wire.Errorf(wire.BadMessage, "%v", err)
 			}
 			return nil
 		}
 		last = readRefusal(response.StatusCode, answer)
-		kind := wire.KindOf(last)
+		kind := wire.CodeOf(last)
 		if kind.Status() != http.StatusServiceUnavailable && kind != wire.OutcomeUnknown {
 			return last
 		}
@@ -68,9 +68,9 @@
 
 // readRefusal returns the error that a daemon's answer holds.
 func readRefusal(status int, body []byte) error {
-	refusal := &wire.Mishap{}
-	if err := json.Unmarshal(body, refusal); err != nil || refusal.Kind == "" {
-		return wire.New(wire.BadMessage, "status %d: %s", status, body)
+	refusal := &wire.Error{}
+	if err := json.Unmarshal(body, refusal); err != nil || refusal.Code == "" {
+		return wire.Errorf(wire.BadMessage, "status %d: %s", status, body)
 	}
 	return refusal
 }
@@ -127,15 +127,15 @@
 func (client *Client) change(method string, change Change) (*Outcome, error) {
 	body, err := json.Marshal(change)
 	if err != nil {
-		return nil, wire.New(wire.BadRequest, "%v", err)
+		return nil, wire.Errorf(wire.BadRequest, "%v", err)
 	}
 	outcome := &Outcome{}
 	return outcome, client.Ask(method, "/v1/settings", body, outcome)
 }
 
 // Status returns the leader, the members and the backends as the cores know them.
-func (client *Client) Status() (*wire.StatusTold, error) {
-	status := &wire.StatusTold{}
+func (client *Client) Status() (*wire.StatusResponse, error) {
+	status := &wire.StatusResponse{}
 	return status, client.Ask(http.MethodGet, "/v1/status", nil, status)
 }
 
--- a/place/directory.go
+++ b/place/directory.go
@@ -59,7 +59,7 @@
 }
 
 // Register does nothing: directories don't call each other.
-func (directory *Directory) Register(*wire.Door) {}
+func (directory *Directory) Register(*wire.Server) {}
 
 // Run does nothing: a directory has no duties of its own.
 func (directory *Directory) Run() {}
@@ -110,10 +110,10 @@
 	if _, leaving := directory.daemon.Stays(); leaving {
 		writer.Header().Set("Connection", "close")
 	}
-	placement, mishap := directory.answer(request)
-	if mishap != nil {
-		directory.counts.Add("places_"+string(wire.KindOf(mishap)), 1)
-		member.Refuse(writer, mishap)
+	placement, err := directory.answer(request)
+	if err != nil {
+		directory.counts.Add("places_"+string(wire.CodeOf(err)), 1)
+		member.Refuse(writer, err)
 		return
 	}
 	directory.counts.Add("places", 1)
@@ -122,19 +122,19 @@
 
 func (directory *Directory) answer(request *http.Request) (*Placement, error) {
 	if request.URL.Path != "/v1/place" {
-		return nil, wire.New(wire.NotFound, "%s", request.URL.Path)
+		return nil, wire.Errorf(wire.NotFound, "%s", request.URL.Path)
 	}
 	if request.Method != http.MethodGet {
-		return nil, wire.New(wire.WrongMethod, "want GET")
+		return nil, wire.Errorf(wire.MethodNotAllowed, "want GET")
 	}
 	view := directory.view.Load()
 	if view == nil || !directory.daemon.Ready() {
-		return nil, &wire.Mishap{Kind: wire.NotReady, Cause: "no confirmed settings in force here", Retry: comeBack}
+		return nil, &wire.Error{Code: wire.NotReady, Message: "no confirmed settings in force here", RetryAfterMs: comeBack}
 	}
 	key, bearer := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 	tenant, found := view.routes.Tenant(key)
 	if !bearer || !found {
-		return nil, wire.New(wire.UnknownKey, "no tenant has this key")
+		return nil, wire.Errorf(wire.UnknownKey, "no tenant has this key")
 	}
 	return view.Place(tenant, request.URL.Query().Get("zone"))
 }
@@ -148,7 +148,7 @@
 	ranked := view.rank(view.fronts, tenant, near)
 	guests := view.rank(view.guests, tenant, near)
 	if len(ranked)+len(guests) == 0 {
-		return nil, &wire.Mishap{Kind: wire.NoBackend, Cause: "no front machine may take this tenant now", Retry: comeBack}
+		return nil, &wire.Error{Code: wire.NoBackend, Message: "no front machine may take this tenant now", RetryAfterMs: comeBack}
 	}
 	most := view.routes.Fronts(tenant)
 	placement := &Placement{Serial: view.routes.Serial, Tenant: name, HoldMs: (time.Duration(*settings.Rule.HoldMs) * time.Millisecond).Milliseconds(), Fronts: []Front{}}
@@ -157,7 +157,7 @@
 		for _, front := range ranked {
 			if zones[front.Zone] == round && len(placement.Fronts) < most && !placement.has(front.Name) {
 				zones[front.Zone]++
-				placement.Fronts = append(placement.Fronts, Front{Name: front.Name, Address: front.Outer, Zone: front.Zone})
+				placement.Fronts = append(placement.Fronts, Front{Name: front.Name, Address: front.PublicAddress, Zone: front.Zone})
 			}
 		}
 	}
@@ -167,7 +167,7 @@
 		}
 		for _, guest := range guests {
 			if len(placement.Fronts) < most {
-				placement.Fronts = append(placement.Fronts, Front{Name: guest.Name, Address: guest.Outer, Zone: guest.Zone})
+				placement.Fronts = append(placement.Fronts, Front{Name: guest.Name, Address: guest.PublicAddress, Zone: guest.Zone})
 			}
 		}
 	}
--- a/plan/forecast.go
+++ b/plan/forecast.go
@@ -101,8 +101,8 @@
 	if !found {
 		return []string{}
 	}
-	placement, mishap := view.Place(index, "")
-	if mishap != nil {
+	placement, err := view.Place(index, "")
+	if err != nil {
 		return []string{}
 	}
 	names := []string{}
--- a/plan/forecast_test.go
+++ b/plan/forecast_test.go
@@ -17,9 +17,9 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	settings, mishap := conf.Read(body)
-	if mishap != nil {
-		test.Fatal(mishap)
+	settings, err := conf.Read(body)
+	if err != nil {
+		test.Fatal(err)
 	}
 	look := Fleet{Serial: 1, Settings: settings, Capacity: 30}
 	zones := []string{"accra", "kumasi", "tamale", "tema", "sunyani", "bolga"}
@@ -71,9 +71,9 @@
 		chart, all := place.NewView(routes, members), map[string][]place.Front{}
 		for name := range look.Settings.Tenants {
 			index, _ := routes.TenantNamed(name)
-			placement, mishap := chart.Place(index, "")
-			if mishap != nil {
-				test.Fatal(mishap)
+			placement, err := chart.Place(index, "")
+			if err != nil {
+				test.Fatal(err)
 			}
 			all[name] = placement.Fronts
 		}
--- a/program/daemon.go
+++ b/program/daemon.go
@@ -15,7 +15,7 @@
 type Plane interface {
 	http.Handler
 	Apply(*member.Version)
-	Register(*wire.Door)
+	Register(*wire.Server)
 	Run()
 }
 
@@ -27,18 +27,18 @@
 type Station struct {
 	Daemon    *member.Daemon
 	Plane     Plane
-	line      *wire.Line
+	line      *wire.Client
 	counts    *run.Counts
 	listeners []*Listener
 }
 
 func newStation(flags *Flags, place member.Place, threads *run.Threads, make Make) *Station {
-	station := &Station{line: wire.NewLine(Transport()), counts: run.NewCounts()}
+	station := &Station{line: wire.NewClient(Transport()), counts: run.NewCounts()}
 	station.Daemon = member.NewDaemon(place, member.NewID(), station.line, threads, station.counts)
 	plane, probes := make(station.Daemon, threads, station.counts)
 	station.Plane = plane
 	station.Daemon.Serve(plane.Apply, probes)
-	door := wire.NewDoor(station.counts)
+	door := wire.NewServer(station.counts)
 	station.Daemon.Register(door)
 	plane.Register(door)
 	operate := member.NewOperate(place.Name, station.Daemon.Hold, station.counts, func() (uint64, []byte) {
@@ -49,8 +49,8 @@
 		address string
 		handler http.Handler
 	}{{place.Outer, plane}, {place.Wire, door}, {place.Operate, operate}} {
-		listener, mishap := Listen(side.address, side.handler, 32<<10)
-		flags.Exit(mishap)
+		listener, err := Listen(side.address, side.handler, 32<<10)
+		flags.Exit(err)
 		station.listeners = append(station.listeners, listener)
 	}
 	return station
@@ -109,17 +109,17 @@
 	flags.Parse()
 	flags.Exit(place.Check())
 	if grace < 0 || settle < 0 || settle > grace {
-		flags.Exit(wire.New(wire.BadFlag, "--settle-ms: %d is not in 0 to the grace of %d", settle, grace))
+		flags.Exit(wire.Errorf(wire.BadFlag, "--settle-ms: %d is not in 0 to the grace of %d", settle, grace))
 	}
 	threads := run.NewThreads()
 	stations := []*Station{newStation(flags, place, threads, make)}
 	if guest != nil && guest.given() {
 		guest.Place.Kind, guest.Place.Guest = kind, true
-		if mishap := guest.Place.Check(); mishap != nil {
-			flags.Exit(wire.Prefixed("as a guest", mishap))
+		if err := guest.Place.Check(); err != nil {
+			flags.Exit(wire.WithPrefix("as a guest", err))
 		}
 		if guest.PerSecond <= 0 || guest.InFlight < 1 {
-			flags.Exit(wire.New(wire.BadFlag, "--lend-rps and --lend-in-flight: a guest lends something of both"))
+			flags.Exit(wire.Errorf(wire.BadFlag, "--lend-rps and --lend-in-flight: a guest lends something of both"))
 		}
 		stations = append(stations, newStation(flags, guest.Place, threads, make))
 		guest.Join(stations[0].Plane, stations[1].Plane)
--- a/program/far.go
+++ b/program/far.go
@@ -21,12 +21,12 @@
 // UserTimeout is a dialer's Control that sets TCP_USER_TIMEOUT.
 func UserTimeout(span time.Duration) func(network, address string, conn syscall.RawConn) error {
 	return func(_, _ string, conn syscall.RawConn) error {
-		var fault error
+		var err error
 		if opened := conn.Control(func(handle uintptr) {
-			fault = unix.SetsockoptInt(int(handle), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(span.Milliseconds()))
+			err = unix.SetsockoptInt(int(handle), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(span.Milliseconds()))
 		}); opened != nil {
 			return opened
 		}
-		return fault
+		return err
 	}
 }
--- a/program/far_test.go
+++ b/program/far_test.go
@@ -11,25 +11,25 @@
 
 // A connection of the far transport has the user timeout that was asked for.
 func TestFarTransportSetsUserTimeout(test *testing.T) {
-	open, fault := net.Listen("tcp", "127.0.0.1:0")
-	if fault != nil {
-		test.Fatal(fault)
+	open, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		test.Fatal(err)
 	}
 	defer open.Close()
-	conn, fault := FarTransport(1500*time.Millisecond).DialContext(test.Context(), "tcp", open.Addr().String())
-	if fault != nil {
-		test.Fatal(fault)
+	conn, err := FarTransport(1500*time.Millisecond).DialContext(test.Context(), "tcp", open.Addr().String())
+	if err != nil {
+		test.Fatal(err)
 	}
 	defer conn.Close()
-	raw, fault := conn.(syscall.Conn).SyscallConn()
-	if fault != nil {
-		test.Fatal(fault)
+	raw, err := conn.(syscall.Conn).SyscallConn()
+	if err != nil {
+		test.Fatal(err)
 	}
 	set := 0
 	opened := raw.Control(func(handle uintptr) {
-		set, fault = unix.GetsockoptInt(int(handle), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
+		set, err = unix.GetsockoptInt(int(handle), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 	})
-	if opened != nil || fault != nil || set != 1500 {
-		test.Errorf("%d ms, %v, %v", set, fault, opened)
+	if opened != nil || err != nil || set != 1500 {
+		test.Errorf("%d ms, %v, %v", set, err, opened)
 	}
 }
--- a/program/framing_test.go
+++ b/program/framing_test.go
@@ -42,8 +42,8 @@
 // say sends a text whole.
 func say(test *testing.T, conn net.Conn, text string) {
 	test.Helper()
-	if _, fault := io.WriteString(conn, text); fault != nil {
-		test.Error(fault)
+	if _, err := io.WriteString(conn, text); err != nil {
+		test.Error(err)
 	}
 }
 
@@ -60,18 +60,18 @@
 	reader := bufio.NewReader(conn)
 	for range 2 {
 		say(test, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-		response, fault := http.ReadResponse(reader, nil)
-		if fault != nil {
-			test.Fatal(fault)
+		response, err := http.ReadResponse(reader, nil)
+		if err != nil {
+			test.Fatal(err)
 		}
-		if got, fault := io.ReadAll(response.Body); fault != nil || string(got) != body {
-			test.Errorf("%d bytes of %d, beginning with %.60q: %v", len(got), len(body), got, fault)
+		if got, err := io.ReadAll(response.Body); err != nil || string(got) != body {
+			test.Errorf("%d bytes of %d, beginning with %.60q: %v", len(got), len(body), got, err)
 		}
 	}
 	say(test, conn, "BLAH\r\n\r\n")
-	response, fault := http.ReadResponse(reader, nil)
-	if fault != nil || response.StatusCode != 400 || response.Header.Get("Content-Type") != "application/json" {
-		test.Errorf("a refusal after answers: %+v, %v", response, fault)
+	response, err := http.ReadResponse(reader, nil)
+	if err != nil || response.StatusCode != 400 || response.Header.Get("Content-Type") != "application/json" {
+		test.Errorf("a refusal after answers: %+v, %v", response, err)
 	}
 }
 
@@ -79,8 +79,8 @@
 func TestNoAnswerOfTheLibrarysOwn(test *testing.T) {
 	conn := listen(test, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusNotFound) }))
 	say(test, conn, "OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n")
-	response, fault := http.ReadResponse(bufio.NewReader(conn), nil)
-	if fault != nil || response.StatusCode != http.StatusNotFound {
-		test.Errorf("%+v, %v", response, fault)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil || response.StatusCode != http.StatusNotFound {
+		test.Errorf("%+v, %v", response, err)
 	}
 }
--- a/program/program.go
+++ b/program/program.go
@@ -45,25 +45,25 @@
 
 // Parse reads the arguments, with those of a --place file laid under them.
 func (flags *Flags) Parse() {
-	arguments, mishap := placeFile(os.Args[1:])
-	flags.Exit(mishap)
+	arguments, err := placeFile(os.Args[1:])
+	flags.Exit(err)
 	for index, argument := range arguments {
 		if argument == "-" {
 			arguments[index] = "/dev/stdin"
 		}
 	}
 	flags.Exit(flags.known(arguments))
-	if fault := flags.Parser.ParseArgs(arguments); fault != nil {
-		flags.Exit(wire.New(wire.BadFlag, "%v", fault))
+	if err := flags.Parser.ParseArgs(arguments); err != nil {
+		flags.Exit(wire.Errorf(wire.BadFlag, "%v", err))
 	}
 	if flags.levels < 0 || flags.levels > 9 {
-		flags.Exit(wire.New(wire.BadFlag, "--log-level: %d is not in 0 to 9", flags.levels))
+		flags.Exit(wire.Errorf(wire.BadFlag, "--log-level: %d is not in 0 to 9", flags.levels))
 	}
 	set := flag.NewFlagSet("log", flag.ContinueOnError)
 	klog.InitFlags(set)
 	for name, value := range map[string]string{"logtostderr": "true", "v": strconv.Itoa(flags.levels)} {
-		if fault := set.Set(name, value); fault != nil {
-			flags.Exit(wire.New(wire.BadFlag, "log: %v", fault))
+		if err := set.Set(name, value); err != nil {
+			flags.Exit(wire.Errorf(wire.BadFlag, "log: %v", err))
 		}
 	}
 }
@@ -85,13 +85,13 @@
 		name, _, joined := strings.Cut(strings.TrimLeft(arguments[index], "-"), "=")
 		if !strings.HasPrefix(arguments[index], "-") {
 			if len(flags.Parser.Subcommands) == 0 {
-				return wire.New(wire.BadFlag, "%q belongs to no flag", arguments[index])
+				return wire.Errorf(wire.BadFlag, "%q belongs to no flag", arguments[index])
 			}
 			continue
 		}
 		valued, found := takesValue[name]
 		if !found || name == "" {
-			return wire.New(wire.BadFlag, "no flag %s", arguments[index])
+			return wire.Errorf(wire.BadFlag, "no flag %s", arguments[index])
 		}
 		if valued && !joined {
 			index++
@@ -101,9 +101,9 @@
 }
 
 // Exit ends with status 2 and one line, where there is a mishap.
-func (flags *Flags) Exit(mishap error) {
-	if mishap != nil {
-		fmt.Fprintf(os.Stderr, "%s: %v\n", flags.name, mishap)
+func (flags *Flags) Exit(err error) {
+	if err != nil {
+		fmt.Fprintf(os.Stderr, "%s: %v\n", flags.name, err)
 		os.Exit(2)
 	}
 }
@@ -120,9 +120,9 @@
 			continue
 		}
 		rest := append(append([]string{}, arguments[:index]...), arguments[index+width:]...)
-		body, fault := os.ReadFile(path)
-		if fault != nil {
-			return nil, wire.New(wire.BadFlag, "--place: %v", fault)
+		body, err := os.ReadFile(path)
+		if err != nil {
+			return nil, wire.Errorf(wire.BadFlag, "--place: %v", err)
 		}
 		fromFile := []string{}
 		for number, line := range strings.Split(string(body), "\n") {
@@ -132,7 +132,7 @@
 			}
 			name, value, _ := strings.Cut(line, " ")
 			if strings.HasPrefix(name, "-") {
-				return nil, wire.New(wire.BadFlag, "%s:%d: want \"flag value\"", path, number+1)
+				return nil, wire.Errorf(wire.BadFlag, "%s:%d: want \"flag value\"", path, number+1)
 			}
 			if !overridden(rest, name) {
 				fromFile = append(fromFile, "--"+name+"="+strings.TrimSpace(value))
@@ -177,12 +177,12 @@
 // Listen opens an address; what the handler does not answer there gets a typed
 // refusal, and the library answers nothing in its place.
 func Listen(address string, handler http.Handler, header int) (*Listener, error) {
-	if mishap := control.CheckAddress("listen", address); mishap != nil {
-		return nil, mishap
+	if err := control.CheckAddress("listen", address); err != nil {
+		return nil, err
 	}
-	open, fault := net.Listen("tcp", address)
-	if fault != nil {
-		return nil, wire.New(wire.BadFlag, "%s: %v", address, fault)
+	open, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, wire.Errorf(wire.BadFlag, "%s: %v", address, err)
 	}
 	standing := newStanding()
 	server := &http.Server{
@@ -206,9 +206,9 @@
 // Serve accepts connections until the listener is drained or closed.
 func (listener *Listener) Serve(threads *run.Threads) {
 	threads.Start(func() {
-		fault := listener.server.Serve(listener.open)
-		if !errors.Is(fault, http.ErrServerClosed) && !errors.Is(fault, net.ErrClosed) {
-			klog.Errorf("%s: takes no connections any more: %v", listener.open.Addr(), fault)
+		err := listener.server.Serve(listener.open)
+		if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+			klog.Errorf("%s: takes no connections any more: %v", listener.open.Addr(), err)
 		}
 	})
 }
--- a/program/standing.go
+++ b/program/standing.go
@@ -43,7 +43,7 @@
 	now := time.Now()
 	for conn, since := range standing.waiting {
 		if now.Sub(since) > freshConnection {
-			if fault := conn.SetReadDeadline(now); fault != nil {
+			if err := conn.SetReadDeadline(now); err != nil {
 				conn.Close()
 			}
 		}
--- a/program/standing_test.go
+++ b/program/standing_test.go
@@ -20,9 +20,9 @@
 }
 
 func (listener slowListener) Accept() (net.Conn, error) {
-	conn, fault := listener.Listener.Accept()
-	if fault != nil {
-		return nil, fault
+	conn, err := listener.Listener.Accept()
+	if err != nil {
+		return nil, err
 	}
 	return &slowConn{Conn: conn, held: listener.held, read: listener.read}, nil
 }
@@ -36,7 +36,7 @@
 }
 
 func (conn *slowConn) Read(body []byte) (int, error) {
-	count, fault := conn.Conn.Read(body)
+	count, err := conn.Conn.Read(body)
 	if count > 1 {
 		conn.mutex.Lock()
 		conn.reads++
@@ -47,15 +47,15 @@
 			conn.held.Wait()
 		}
 	}
-	return count, fault
+	return count, err
 }
 
 // A request that this process has read is served in a planned stop, also before the
 // server knows of it; an idle connection ends at once, and nothing new is taken.
 func TestDrainServesWhatWasRead(test *testing.T) {
-	open, fault := net.Listen("tcp", "127.0.0.1:0")
-	if fault != nil {
-		test.Fatal(fault)
+	open, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		test.Fatal(err)
 	}
 	held, read := &sync.WaitGroup{}, &sync.WaitGroup{}
 	held.Add(1)
@@ -67,17 +67,17 @@
 	listener.Serve(threads)
 	ask := func(conn net.Conn) { say(test, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n") }
 	answer := func(reader *bufio.Reader) string {
-		response, fault := http.ReadResponse(reader, nil)
-		if fault != nil {
-			return fault.Error()
+		response, err := http.ReadResponse(reader, nil)
+		if err != nil {
+			return err.Error()
 		}
 		body, _ := io.ReadAll(response.Body)
 		return string(body)
 	}
 	dial := func() (net.Conn, *bufio.Reader) {
-		conn, fault := net.Dial("tcp", open.Addr().String())
-		if fault != nil {
-			test.Fatal(fault)
+		conn, err := net.Dial("tcp", open.Addr().String())
+		if err != nil {
+			test.Fatal(err)
 		}
 		ask(conn)
 		reader := bufio.NewReader(conn)
@@ -97,7 +97,7 @@
 		defer ended.Done()
 		drained[0] = listener.Drain(10 * time.Second)
 	})
-	if _, fault := idle.ReadByte(); fault == nil {
+	if _, err := idle.ReadByte(); err == nil {
 		test.Error("the idle connection got something")
 	}
 	held.Done()
@@ -108,7 +108,7 @@
 	if !drained[0] {
 		test.Error("not drained")
 	}
-	if conn, fault := net.Dial("tcp", open.Addr().String()); fault == nil {
+	if conn, err := net.Dial("tcp", open.Addr().String()); err == nil {
 		conn.Close()
 		test.Error("taken after the stop began")
 	}
--- a/program/typed.go
+++ b/program/typed.go
@@ -18,9 +18,9 @@
 type typedListener struct{ net.Listener }
 
 func (listener typedListener) Accept() (net.Conn, error) {
-	conn, fault := listener.Listener.Accept()
-	if fault != nil {
-		return nil, fault
+	conn, err := listener.Listener.Accept()
+	if err != nil {
+		return nil, err
 	}
 	return &typedConn{Conn: conn}, nil
 }
@@ -81,9 +81,9 @@
 	if strings.Contains(string(line), " 431 ") || strings.Contains(string(line), " 413 ") {
 		kind = wire.TooLarge
 	}
-	refusal, _ := json.Marshal(&wire.Mishap{Kind: kind, Cause: strings.TrimSpace(string(text)), Outcome: wire.NotRun})
-	if _, fault := fmt.Fprintf(conn.Conn, "%s\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s\n", line, len(refusal)+1, refusal); fault != nil {
-		return 0, fault
+	refusal, _ := json.Marshal(&wire.Error{Code: kind, Message: strings.TrimSpace(string(text)), Outcome: wire.NotRun})
+	if _, err := fmt.Fprintf(conn.Conn, "%s\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s\n", line, len(refusal)+1, refusal); err != nil {
+		return 0, err
 	}
 	return len(body), nil
 }
--- a/program/typed_test.go
+++ b/program/typed_test.go
@@ -16,16 +16,16 @@
 
 // Malformed and oversized requests get a typed refusal and reach no handler.
 func TestMalformedRequestsAreTyped(test *testing.T) {
-	probe, fault := net.Listen("tcp", "127.0.0.1:0")
-	if fault != nil {
-		test.Fatal(fault)
+	probe, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		test.Fatal(err)
 	}
 	address := probe.Addr().String()
 	probe.Close()
 	touched := 0
-	listener, mishap := Listen(address, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { touched++ }), 4<<10)
-	if mishap != nil {
-		test.Fatal(mishap)
+	listener, err := Listen(address, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { touched++ }), 4<<10)
+	if err != nil {
+		test.Fatal(err)
 	}
 	threads := run.NewThreads()
 	listener.Serve(threads)
@@ -37,20 +37,20 @@
 		"GET / HTTP/1.1\r\nHost: a\r\nX\r\n\r\n": "400 bad_request",
 		"GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("a", 20_000) + "\r\n\r\n": "431 too_large",
 	} {
-		conn, fault := net.Dial("tcp", address)
-		if fault != nil {
-			test.Fatal(fault)
+		conn, err := net.Dial("tcp", address)
+		if err != nil {
+			test.Fatal(err)
 		}
 		_, _ = io.WriteString(conn, text) // refused before all of an oversized one is read
-		response, fault := http.ReadResponse(bufio.NewReader(conn), nil)
-		if fault != nil {
-			test.Errorf("%.20q: %v", text, fault)
+		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		if err != nil {
+			test.Errorf("%.20q: %v", text, err)
 			continue
 		}
-		refusal := wire.Mishap{}
-		fault = json.NewDecoder(response.Body).Decode(&refusal)
-		if got := fmt.Sprintf("%d %s", response.StatusCode, refusal.Kind); got != want || fault != nil {
-			test.Errorf("%.20q: %s, %v, want %s", text, got, fault, want)
+		refusal := wire.Error{}
+		err = json.NewDecoder(response.Body).Decode(&refusal)
+		if got := fmt.Sprintf("%d %s", response.StatusCode, refusal.Code); got != want || err != nil {
+			test.Errorf("%.20q: %s, %v, want %s", text, got, err, want)
 		}
 		conn.Close()
 	}
--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -44,7 +44,7 @@
 
 // admit finds the route and the tenant, and reads the body; a status where the request
 // goes no further.
-func (proxy *Proxy) admit(request *request, view *View) (int, wire.Kind) {
+func (proxy *Proxy) admit(request *request, view *View) (int, wire.Code) {
 	source, config := request.source, &view.book.Config
 	path, _, _ := strings.Cut(source.RequestURI, "?")
 	compiled, is := view.index.Find(source.Host, path)
@@ -81,15 +81,15 @@
 // timeout where that is shorter.
 func (proxy *Proxy) patience(request *request) time.Duration {
 	timeout := float64(request.route.TimeoutMs)
-	milliseconds, fault := strconv.ParseFloat(request.source.Header.Get(proxy.place.Headers.Deadline), 64)
-	if fault == nil && milliseconds >= 0 && milliseconds < timeout {
+	milliseconds, err := strconv.ParseFloat(request.source.Header.Get(proxy.place.Headers.Deadline), 64)
+	if err == nil && milliseconds >= 0 && milliseconds < timeout {
 		timeout = milliseconds
 	}
 	return time.Duration(timeout * float64(time.Millisecond))
 }
 
 // readRequestBody reads the whole body before anything is sent to a backend.
-func (proxy *Proxy) readRequestBody(request *request, most int64) (int, wire.Kind) {
+func (proxy *Proxy) readRequestBody(request *request, most int64) (int, wire.Code) {
 	source := request.source
 	proxy.inward.pass(int(max(source.ContentLength, 0)), request.begin)
 	if most <= 0 {
@@ -103,11 +103,11 @@
 	}
 	size := max(source.ContentLength, 1<<10)
 	if !proxy.bodies.take(size) {
-		return http.StatusServiceUnavailable, wire.Busy
+		return http.StatusServiceUnavailable, wire.Overloaded
 	}
-	body, fault := io.ReadAll(io.LimitReader(source.Body, most+1))
+	body, err := io.ReadAll(io.LimitReader(source.Body, most+1))
 	proxy.bodies.give(size)
-	if fault != nil {
+	if err != nil {
 		return http.StatusBadRequest, wire.BadRequest
 	}
 	if int64(len(body)) > most {
--- a/proxy/answer.go
+++ b/proxy/answer.go
@@ -122,8 +122,8 @@
 func (proxy *Proxy) receive(request *request, held *candidate, connection *connection, stop func() bool) (*answer, outcome) {
 	interim, surplus := 0, 0
 	for {
-		response, fault := connection.answer(request.source)
-		if fault != nil {
+		response, err := connection.answer(request.source)
+		if err != nil {
 			return nil, lost
 		}
 		kind := proxy.place.Headers.classify(response, request.id, request.route.Kind.Repeats())
@@ -159,16 +159,16 @@
 // drained reads an answer's body that nobody needs; false when another answer
 // cannot follow it on the connection.
 func drained(response *http.Response) bool {
-	count, fault := io.Copy(io.Discard, io.LimitReader(response.Body, wholeMost))
-	return fault == nil && count < wholeMost && !response.Close
+	count, err := io.Copy(io.Discard, io.LimitReader(response.Body, wholeMost))
+	return err == nil && count < wholeMost && !response.Close
 }
 
 // takeRefusal gives the connection of a refusal back. The head alone says that the
 // request did not run, so its body is waited for only briefly.
 func (proxy *Proxy) takeRefusal(target *target, connection *connection, response *http.Response, stop func() bool) {
 	if stop() {
-		fault := connection.conn.SetDeadline(proxy.clock().Add(refusalDrain))
-		proxy.release(target, connection, fault == nil && drained(response))
+		err := connection.conn.SetDeadline(proxy.clock().Add(refusalDrain))
+		proxy.release(target, connection, err == nil && drained(response))
 	} else {
 		target.drop(connection)
 	}
@@ -192,8 +192,8 @@
 		buffer.Grow(int(response.ContentLength) + bytes.MinRead)
 	}
 	source := &paced{from: response.Body, lane: proxy.inward, ctx: request.within, clock: proxy.clock, large: response.ContentLength > bulkLeast}
-	count, fault := io.Copy(&buffer, io.LimitReader(source, wholeMost))
-	if fault != nil {
+	count, err := io.Copy(&buffer, io.LimitReader(source, wholeMost))
+	if err != nil {
 		return nil, lost
 	}
 	got.body = buffer.Bytes()
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -31,7 +31,7 @@
 		if fragment.pause > 0 {
 			exchange.backend.threads.Rest(fragment.pause)
 		}
-		if _, fault := exchange.pipe.Write([]byte(fragment.bytes)); fault != nil {
+		if _, err := exchange.pipe.Write([]byte(fragment.bytes)); err != nil {
 			return false
 		}
 	}
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -71,9 +71,9 @@
 		limit = until
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), limit)
-	conn, fault := proxy.dial(ctx, "tcp", held.target.backend.Address)
+	conn, err := proxy.dial(ctx, "tcp", held.target.backend.Address)
 	cancel()
-	if fault != nil {
+	if err != nil {
 		held.target.unreserve()
 		held.target.failed(proxy.clock(), true)
 		proxy.counts.Add("connections_failed", 1)
@@ -115,7 +115,7 @@
 // given back, or closed, in every case but that of an answer that still streams.
 func (proxy *Proxy) exchange(request *request, held *candidate, connection *connection) (*answer, outcome) {
 	begin := proxy.clock()
-	if fault := connection.conn.SetDeadline(request.limit.Add(limitSlack)); fault != nil {
+	if err := connection.conn.SetDeadline(request.limit.Add(limitSlack)); err != nil {
 		held.target.drop(connection)
 		held.target.failed(begin, false)
 		return nil, unsent
@@ -124,7 +124,7 @@
 		_ = connection.conn.SetDeadline(time.Unix(1, 0)) // fails where the connection is closed, and nobody waits at it
 	})
 	head := proxy.head(request, held.target.backend.Name, request.limit.Sub(begin))
-	if sent, fault := proxy.send(connection, head, request.body); fault != nil {
+	if sent, err := proxy.send(connection, head, request.body); err != nil {
 		stop()
 		held.target.drop(connection)
 		held.target.failed(proxy.clock(), false)
@@ -159,7 +159,7 @@
 		target.drop(connection)
 		return
 	}
-	if fault := connection.conn.SetDeadline(time.Time{}); fault != nil {
+	if err := connection.conn.SetDeadline(time.Time{}); err != nil {
 		target.drop(connection)
 		return
 	}
@@ -171,14 +171,14 @@
 func (proxy *Proxy) send(connection *connection, head, body []byte) (bool, error) {
 	connection.upload = nil
 	if len(body) <= smallBody {
-		count, fault := connection.conn.Write(append(head, body...))
-		return count > 0, fault
+		count, err := connection.conn.Write(append(head, body...))
+		return count > 0, err
 	}
-	count, fault := connection.conn.Write(head)
-	if fault == nil {
+	count, err := connection.conn.Write(head)
+	if err == nil {
 		connection.upload = startUpload(proxy.threads, connection, body)
 	}
-	return count > 0, fault
+	return count > 0, err
 }
 
 // head is the request's line and fields as this backend gets them.
--- a/proxy/attempt_test.go
+++ b/proxy/attempt_test.go
@@ -412,7 +412,7 @@
 		world.add("b1").ever(func(exchange *exchange) bool {
 			exchange.say("HTTP/1.1 200 OK\r\nX: ")
 			for part := letters(0, 32<<10); written < 64<<20; written += len(part) {
-				if _, fault := exchange.pipe.Write(part); fault != nil {
+				if _, err := exchange.pipe.Write(part); err != nil {
 					return false
 				}
 			}
@@ -488,8 +488,8 @@
 			test.Errorf("%d running while an answer streams", running)
 		}
 		response, _ := http.ReadResponse(client.reader, nil)
-		if _, fault := io.Copy(io.Discard, response.Body); fault != nil {
-			test.Error(fault)
+		if _, err := io.Copy(io.Discard, response.Body); err != nil {
+			test.Error(err)
 		}
 		synctest.Wait()
 		if _, running := world.held("b1"); running != 0 {
--- a/proxy/backend_test.go
+++ b/proxy/backend_test.go
@@ -122,8 +122,8 @@
 func (backend *backend) serve(pipe *pipe, number int) {
 	reader := bufio.NewReader(pipe)
 	for {
-		arrived, fault := readArrival(reader)
-		if fault != nil {
+		arrived, err := readArrival(reader)
+		if err != nil {
 			return
 		}
 		arrived.backend, arrived.connection, arrived.at = backend.name, number, time.Now()
@@ -146,9 +146,9 @@
 func readArrival(reader *bufio.Reader) (*arrival, error) {
 	arrived, length := &arrival{}, 0
 	for {
-		line, fault := reader.ReadString('\n')
-		if fault != nil {
-			return nil, fault
+		line, err := reader.ReadString('\n')
+		if err != nil {
+			return nil, err
 		}
 		line = strings.TrimSuffix(line, "\r\n")
 		if arrived.line == "" {
@@ -161,21 +161,21 @@
 		arrived.fields = append(arrived.fields, line)
 		switch name, value, _ := strings.Cut(line, ": "); strings.ToLower(name) {
 		case "content-length":
-			if length, fault = strconv.Atoi(value); fault != nil {
-				return nil, fault
+			if length, err = strconv.Atoi(value); err != nil {
+				return nil, err
 			}
 		case "transfer-encoding":
 			arrived.chunked = true
 		}
 	}
-	var fault error
+	var err error
 	if arrived.chunked {
-		arrived.body, fault = io.ReadAll(httputil.NewChunkedReader(reader))
-		return arrived, fault
+		arrived.body, err = io.ReadAll(httputil.NewChunkedReader(reader))
+		return arrived, err
 	}
 	arrived.body = make([]byte, length)
-	_, fault = io.ReadFull(reader, arrived.body)
-	return arrived, fault
+	_, err = io.ReadFull(reader, arrived.body)
+	return arrived, err
 }
 
 // stop closes all connections, as a backend does that ends.
@@ -356,7 +356,7 @@
 			part := letters(sent, min(16<<10, comes-sent))
 			if inChunks {
 				exchange.say("%x\r\n%s\r\n", len(part), part)
-			} else if _, fault := exchange.pipe.Write(part); fault != nil {
+			} else if _, err := exchange.pipe.Write(part); err != nil {
 				return false
 			}
 			sent += len(part)
--- a/proxy/budget_test.go
+++ b/proxy/budget_test.go
@@ -150,7 +150,7 @@
 	proxy := many([]string{"p1"}, []string{"e1"})[0]
 	proxy.place.RetryRatio, proxy.place.RetryExtra = 0.2, 60
 	for _, round := range []uint64{0, 1} {
-		proxy.Lay(&route.Book{Config: ownConfig()}, &wire.Table{Mark: wire.TableMark{Ballot: wire.Ballot{Round: round}, Number: 1}, Members: members([]string{"p1"}, []string{"e1"})})
+		proxy.Lay(&route.Book{Config: ownConfig()}, &wire.Table{Version: wire.TableVersion{Term: wire.Term{Number: round}, Number: 1}, Members: members([]string{"p1"}, []string{"e1"})})
 		budget := proxy.budgets["plain"]
 		for range 1000 {
 			budget.request()
--- a/proxy/carry.go
+++ b/proxy/carry.go
@@ -128,5 +128,5 @@
 		proxy.finish(request, request.last)
 		return
 	}
-	proxy.refuse(request, http.StatusServiceUnavailable, wire.Busy)
+	proxy.refuse(request, http.StatusServiceUnavailable, wire.Overloaded)
 }
--- a/proxy/choose_test.go
+++ b/proxy/choose_test.go
@@ -48,9 +48,9 @@
 		proxy := many([]string{"p1"}, []string{"e1"})[0]
 		backends := []wire.Backend{}
 		for _, name := range []string{"a", "b", "c", "d"} {
-			backends = append(backends, wire.Backend{Name: name, Service: "plain", Zone: "e1", Slots: 4})
+			backends = append(backends, wire.Backend{Name: name, Service: "plain", Zone: "e1", Capacity: 4})
 		}
-		proxy.Lay(&route.Book{Config: ownConfig()}, &wire.Table{Mark: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends})
+		proxy.Lay(&route.Book{Config: ownConfig()}, &wire.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends})
 		counts := map[string]int{}
 		for range 400 {
 			held, _ := proxy.pick(nil, nil)
@@ -124,7 +124,7 @@
 
 // An idle connection is worth a little waiting, not much.
 func TestIdleConnectionIsPreferred(test *testing.T) {
-	target := newTarget(wire.Backend{Name: "b", Slots: 4})
+	target := newTarget(wire.Backend{Name: "b", Capacity: 4})
 	now := time.Now()
 	bare, _, _ := target.weigh(now, 100, 0)
 	target.idle = append(target.idle, &connection{})
--- a/proxy/connection.go
+++ b/proxy/connection.go
@@ -43,9 +43,9 @@
 // answer reads the head of an answer; one that does not end is cut off.
 func (connection *connection) answer(to *http.Request) (*http.Response, error) {
 	connection.head.N = headMost
-	response, fault := http.ReadResponse(connection.reader, to)
+	response, err := http.ReadResponse(connection.reader, to)
 	connection.head.N = math.MaxInt64
-	return response, fault
+	return response, err
 }
 
 // sound is whether an idle connection may carry another request: not too old, not
@@ -58,18 +58,18 @@
 	if !is {
 		return true
 	}
-	raw, fault := able.SyscallConn()
-	if fault != nil {
+	raw, err := able.SyscallConn()
+	if err != nil {
 		return false
 	}
 	quiet := false
 	var one [1]byte
-	fault = raw.Read(func(descriptor uintptr) bool {
-		_, fault := syscall.Read(int(descriptor), one[:])
-		quiet = errors.Is(fault, syscall.EAGAIN)
+	err = raw.Read(func(descriptor uintptr) bool {
+		_, err := syscall.Read(int(descriptor), one[:])
+		quiet = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return fault == nil && quiet
+	return err == nil && quiet
 }
 
 // heed lays down what an answer's Keep-Alive field says of idle time.
@@ -79,7 +79,7 @@
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
-		if seconds, fault := strconv.Atoi(value); fault == nil && seconds >= 0 {
+		if seconds, err := strconv.Atoi(value); err == nil && seconds >= 0 {
 			connection.idle = min(connectionIdle, time.Duration(min(seconds, 3600))*time.Second*3/4)
 		}
 	}
--- a/proxy/connection_test.go
+++ b/proxy/connection_test.go
@@ -12,18 +12,18 @@
 // there for the other at once.
 func sockets(test *testing.T) (net.Conn, net.Conn) {
 	test.Helper()
-	pair, fault := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
-	if fault != nil {
-		test.Fatal(fault)
+	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
+	if err != nil {
+		test.Fatal(err)
 	}
 	ends := [2]net.Conn{}
 	for index, descriptor := range pair {
 		file := os.NewFile(uintptr(descriptor), "pair")
-		if ends[index], fault = net.FileConn(file); fault != nil {
-			test.Fatal(fault)
+		if ends[index], err = net.FileConn(file); err != nil {
+			test.Fatal(err)
 		}
-		if fault := file.Close(); fault != nil {
-			test.Fatal(fault)
+		if err := file.Close(); err != nil {
+			test.Fatal(err)
 		}
 		test.Cleanup(func() { ends[index].Close() })
 	}
@@ -34,8 +34,8 @@
 func TestIdleConnectionIsSound(test *testing.T) {
 	now := time.Now()
 	write := func(far net.Conn, text string) {
-		if _, fault := far.Write([]byte(text)); fault != nil {
-			test.Error(fault)
+		if _, err := far.Write([]byte(text)); err != nil {
+			test.Error(err)
 		}
 	}
 	for name, play := range map[string]struct {
@@ -50,8 +50,8 @@
 		"told so":     {func(near *connection, _ net.Conn) { near.heed("timeout=0") }, false},
 		"left over": {func(near *connection, far net.Conn) {
 			write(far, "xy")
-			if _, fault := near.reader.ReadByte(); fault != nil {
-				test.Error(fault)
+			if _, err := near.reader.ReadByte(); err != nil {
+				test.Error(err)
 			}
 		}, false},
 		"not so old": {func(near *connection, _ net.Conn) { near.used = now.Add(time.Millisecond - connectionIdle) }, true},
@@ -79,8 +79,8 @@
 		fars = append(fars, far)
 	}
 	fars[2].Close()
-	if _, fault := fars[1].Write([]byte("HTTP/1.1 200 OK\r\n")); fault != nil {
-		test.Fatal(fault)
+	if _, err := fars[1].Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
+		test.Fatal(err)
 	}
 	taken := held.take(time.Now())
 	if taken == nil || held.open != 1 || len(held.idle) != 0 {
--- a/proxy/framing_test.go
+++ b/proxy/framing_test.go
@@ -61,8 +61,8 @@
 			if reply.status != 505 || !reply.last {
 				test.Errorf("%s: %d %v", name, reply.status, reply.header)
 			}
-			if rest, fault := io.ReadAll(client.reader); fault != nil || len(rest) > 0 || len(world.arrivals()) != 0 {
-				test.Errorf("%s: %d arrivals, then %q, %v", name, len(world.arrivals()), rest, fault)
+			if rest, err := io.ReadAll(client.reader); err != nil || len(rest) > 0 || len(world.arrivals()) != 0 {
+				test.Errorf("%s: %d arrivals, then %q, %v", name, len(world.arrivals()), rest, err)
 			}
 		})
 	}
--- a/proxy/fuzz_test.go
+++ b/proxy/fuzz_test.go
@@ -82,8 +82,8 @@
 		witness.arrive(exchange, true)
 		text := body(id)
 		number := 0
-		if _, fault := fmt.Sscan(status, &number); fault != nil {
-			panic(fault)
+		if _, err := fmt.Sscan(status, &number); err != nil {
+			panic(err)
 		}
 		witness.tell(id, number, text)
 		return write(exchange, whole(id, status, "", text), raw)
--- a/proxy/link.go
+++ b/proxy/link.go
@@ -118,8 +118,8 @@
 	lane.mutex.Unlock()
 	for bytes > 0 {
 		part := min(bytes, bulkBurst)
-		if fault := lane.bulk.WaitN(ctx, part); fault != nil {
-			return fault
+		if err := lane.bulk.WaitN(ctx, part); err != nil {
+			return err
 		}
 		bytes -= part
 	}
@@ -140,7 +140,7 @@
 	if paced.lane == nil {
 		return paced.from.Read(body)
 	}
-	count, fault := paced.from.Read(body[:min(len(body), bulkChunk)])
+	count, err := paced.from.Read(body[:min(len(body), bulkChunk)])
 	if paced.count += count; paced.large || paced.count > bulkLeast {
 		if late := paced.lane.wait(paced.ctx, count, paced.clock()); late != nil {
 			return count, late
@@ -148,7 +148,7 @@
 	} else {
 		paced.lane.pass(count, paced.clock())
 	}
-	return count, fault
+	return count, err
 }
 
 // pacedWriter writes through a lane in the same way.
@@ -174,9 +174,9 @@
 		if late := paced.lane.wait(paced.ctx, len(part), paced.clock()); late != nil {
 			return written, late
 		}
-		count, fault := paced.to.Write(part)
-		if written += count; fault != nil {
-			return written, fault
+		count, err := paced.to.Write(part)
+		if written += count; err != nil {
+			return written, err
 		}
 	}
 	return written, nil
--- a/proxy/link_test.go
+++ b/proxy/link_test.go
@@ -60,19 +60,19 @@
 		lane.large(time.Second)
 		begin := time.Now()
 		small := &paced{from: bytes.NewReader(make([]byte, bulkLeast)), lane: lane, ctx: context.Background(), clock: time.Now}
-		if body, fault := io.ReadAll(small); len(body) != bulkLeast || fault != nil {
-			test.Errorf("%d bytes, %v", len(body), fault)
+		if body, err := io.ReadAll(small); len(body) != bulkLeast || err != nil {
+			test.Errorf("%d bytes, %v", len(body), err)
 		}
 		written := &bytes.Buffer{}
-		if _, fault := (&pacedWriter{to: written, lane: lane, ctx: context.Background(), clock: time.Now}).Write(make([]byte, 20<<10)); fault != nil {
-			test.Error(fault)
+		if _, err := (&pacedWriter{to: written, lane: lane, ctx: context.Background(), clock: time.Now}).Write(make([]byte, 20<<10)); err != nil {
+			test.Error(err)
 		}
 		if took := time.Since(begin); took > 0 || written.Len() != 20<<10 {
 			test.Errorf("%v for %d bytes", took, written.Len())
 		}
 		grows := &paced{from: bytes.NewReader(make([]byte, 2*bulkLeast)), lane: lane, ctx: context.Background(), clock: time.Now}
-		if _, fault := io.ReadAll(grows); fault != nil {
-			test.Error(fault)
+		if _, err := io.ReadAll(grows); err != nil {
+			test.Error(err)
 		}
 		if time.Since(begin) < 200*time.Millisecond {
 			test.Errorf("a large answer without a length took %v", time.Since(begin))
@@ -87,9 +87,9 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		begin, written := time.Now(), &bytes.Buffer{}
-		count, fault := (&pacedWriter{to: written, lane: lane, ctx: ctx, clock: time.Now, large: true}).Write(make([]byte, 200<<10))
-		if fault == nil || count != written.Len() || count < bulkBurst || count > 64<<10 || time.Since(begin) > time.Second {
-			test.Errorf("%d of %d bytes after %v: %v", count, written.Len(), time.Since(begin), fault)
+		count, err := (&pacedWriter{to: written, lane: lane, ctx: ctx, clock: time.Now, large: true}).Write(make([]byte, 200<<10))
+		if err == nil || count != written.Len() || count < bulkBurst || count > 64<<10 || time.Since(begin) > time.Second {
+			test.Errorf("%d of %d bytes after %v: %v", count, written.Len(), time.Since(begin), err)
 		}
 	})
 }
@@ -97,8 +97,8 @@
 func TestLinkWithoutABound(test *testing.T) {
 	lane := newLane(0, time.Now())
 	lane.pass(1<<30, time.Now())
-	if fault := lane.wait(context.Background(), 1<<30, time.Now()); fault != nil || lane != nil {
-		test.Errorf("%v, %v", lane, fault)
+	if err := lane.wait(context.Background(), 1<<30, time.Now()); err != nil || lane != nil {
+		test.Errorf("%v, %v", lane, err)
 	}
 }
 
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -93,8 +93,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), dialFar)
 	defer cancel()
-	conn, fault := proxy.dial(ctx, "tcp", target.backend.Address)
-	if fault != nil {
+	conn, err := proxy.dial(ctx, "tcp", target.backend.Address)
+	if err != nil {
 		target.unreserve()
 		target.revived(proxy.clock(), false)
 		return
--- a/proxy/repeat_test.go
+++ b/proxy/repeat_test.go
@@ -14,9 +14,9 @@
 // The proxy writes and reads its connections itself: the library's clients send some
 // requests again by themselves, and none of them is used.
 func TestNoClientOfTheLibrary(test *testing.T) {
-	names, fault := filepath.Glob("*.go")
-	if fault != nil {
-		test.Fatal(fault)
+	names, err := filepath.Glob("*.go")
+	if err != nil {
+		test.Fatal(err)
 	}
 	read := 0
 	forbidden := map[string]bool{"Transport": true, "DefaultTransport": true, "Client": true, "DefaultClient": true, "ClientConn": true, "RoundTripper": true,
@@ -25,9 +25,9 @@
 		if strings.HasSuffix(name, "_test.go") {
 			continue
 		}
-		file, fault := parser.ParseFile(token.NewFileSet(), name, nil, 0)
-		if fault != nil {
-			test.Fatal(fault)
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, 0)
+		if err != nil {
+			test.Fatal(err)
 		}
 		read++
 		for _, imported := range file.Imports {
--- a/proxy/reply.go
+++ b/proxy/reply.go
@@ -12,7 +12,7 @@
 
 // refuse ends a request that has not run and will not. One that may have run fails
 // instead, whoever refuses it.
-func (proxy *Proxy) refuse(request *request, status int, kind wire.Kind) {
+func (proxy *Proxy) refuse(request *request, status int, kind wire.Code) {
 	if request.exposed {
 		proxy.fail(request)
 		return
@@ -44,9 +44,9 @@
 // fail ends a request of which nobody knows whether it ran.
 func (proxy *Proxy) fail(request *request) {
 	proxy.move(request, ending)
-	status, kind := http.StatusBadGateway, wire.BadReceipt
+	status, kind := http.StatusBadGateway, wire.BadResponse
 	if !proxy.clock().Before(request.limit) {
-		status, kind = http.StatusGatewayTimeout, wire.LimitPassed
+		status, kind = http.StatusGatewayTimeout, wire.DeadlineExceeded
 	}
 	proxy.counts.Add("failed_"+string(kind), 1)
 	request.writer.Header().Set("Content-Type", "application/json")
@@ -78,7 +78,7 @@
 	}
 	request.writer.WriteHeader(answer.response.StatusCode)
 	writer := &pacedWriter{to: request.writer, lane: proxy.outward, ctx: request.within, clock: proxy.clock, large: size > bulkLeast || answer.rest != nil}
-	if _, fault := writer.Write(answer.body); fault != nil {
+	if _, err := writer.Write(answer.body); err != nil {
 		if answer.rest != nil {
 			answer.release(false)
 		}
@@ -86,9 +86,9 @@
 		panic(http.ErrAbortHandler)
 	}
 	if answer.rest != nil {
-		copied, fault := io.Copy(writer, answer.rest)
+		copied, err := io.Copy(writer, answer.rest)
 		size += int(copied)
-		whole := fault == nil && (answer.response.ContentLength < 0 || int64(size) == answer.response.ContentLength)
+		whole := err == nil && (answer.response.ContentLength < 0 || int64(size) == answer.response.ContentLength)
 		answer.release(whole && !answer.response.Close)
 		if !whole {
 			proxy.counts.Add("answers_cut_short", 1)
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -114,7 +114,7 @@
 	}
 	if request.route.Kind == route.Download {
 		if !proxy.pass(request) {
-			proxy.refuse(request, http.StatusServiceUnavailable, wire.Busy)
+			proxy.refuse(request, http.StatusServiceUnavailable, wire.Overloaded)
 			return
 		}
 		defer func() {
--- a/proxy/request_test.go
+++ b/proxy/request_test.go
@@ -305,8 +305,8 @@
 	inWorld(test, func(world *world) {
 		world.fill(3, time.Second)
 		reply, _ := world.get("/once/a")
-		seconds, fault := strconv.ParseFloat(reply.header.Get("Retry-After"), 64)
-		if reply.status != 503 || fault != nil || seconds <= 0 || seconds > 0.5 || reply.took > 200*time.Millisecond || reply.took < 190*time.Millisecond {
+		seconds, err := strconv.ParseFloat(reply.header.Get("Retry-After"), 64)
+		if reply.status != 503 || err != nil || seconds <= 0 || seconds > 0.5 || reply.took > 200*time.Millisecond || reply.took < 190*time.Millisecond {
 			test.Errorf("%d after %s, come back in %q", reply.status, reply.took, reply.header.Get("Retry-After"))
 		}
 		if count := len(world.arrivals()); count != 3 {
--- a/proxy/target.go
+++ b/proxy/target.go
@@ -82,7 +82,7 @@
 func (target *target) weigh(now time.Time, mean float64, far float64) (cost float64, full, ejected bool) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	slots := float64(max(target.backend.Slots, 1))
+	slots := float64(max(target.backend.Capacity, 1))
 	load, service := target.load(now), mean*target.speed
 	cost = service + far + float64(target.roundTrip.Milliseconds()) + 0.4*service*min(1, load/slots) + 4*mean*target.failing
 	if len(target.idle) == 0 {
--- a/proxy/target_test.go
+++ b/proxy/target_test.go
@@ -12,7 +12,7 @@
 )
 
 func ownBackend() wire.Backend {
-	return wire.Backend{Name: "b1", Service: "plain", Address: "b1:80", Zone: "e1", Slots: 4}
+	return wire.Backend{Name: "b1", Service: "plain", Address: "b1:80", Zone: "e1", Capacity: 4}
 }
 
 // A dead backend is left out, for longer each time, and is back after a dial.
@@ -130,8 +130,8 @@
 	if held.open != 2 || held.reserve(3) {
 		test.Errorf("%d open", held.open)
 	}
-	if _, fault := far.Read(make([]byte, 1)); !errors.Is(fault, io.EOF) {
-		test.Errorf("an idle one of a retired target: %v", fault)
+	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		test.Errorf("an idle one of a retired target: %v", err)
 	}
 	near, _ = newPipes("b1")
 	if held.give(newConnection(near)); held.open != 1 || len(held.idle) != 0 {
--- a/proxy/upload.go
+++ b/proxy/upload.go
@@ -20,7 +20,7 @@
 func startUpload(threads *run.Threads, connection *connection, body []byte) *upload {
 	upload := &upload{}
 	threads.Start(func() {
-		if _, fault := connection.conn.Write(body); fault == nil {
+		if _, err := connection.conn.Write(body); err == nil {
 			upload.whole.Store(true)
 		}
 	})
--- a/proxy/upload_test.go
+++ b/proxy/upload_test.go
@@ -13,7 +13,7 @@
 		var got []byte
 		for {
 			var one [1]byte
-			if _, fault := io.ReadFull(pipe, one[:]); fault != nil {
+			if _, err := io.ReadFull(pipe, one[:]); err != nil {
 				return
 			}
 			if got = append(got, one[0]); len(got) > 4 && string(got[len(got)-4:]) == "\r\n\r\n" {
--- a/proxy/view.go
+++ b/proxy/view.go
@@ -53,7 +53,7 @@
 	}
 	proxy.most = max(proxy.most, len(proxies))
 	shares := max(1, proxy.most)
-	led := table.Mark.Ballot.Round > 0
+	led := table.Version.Term.Number > 0
 	if !led {
 		shares = max(shares, sharesUnknown)
 	}
@@ -104,7 +104,7 @@
 		}
 		service := view.index.Services[number]
 		view.services[number] = append(view.services[number], candidate{target: held, region: proxy.place.Regions[backend.Zone], far: proxy.place.distance(backend.Zone),
-			warmAt: backend.WarmAt, owned: led && (backend.WarmAt > 0 || held.doubted(now)) && owner(backend, proxies, proxy.place.Regions) == proxy.place.Name,
+			warmAt: backend.WarmAtMs, owned: led && (backend.WarmAtMs > 0 || held.doubted(now)) && owner(backend, proxies, proxy.place.Regions) == proxy.place.Name,
 			warming: warmupRate(service.WarmupRate, proxy.place.WarmupExcess, proxy.place.WarmupExtra)})
 	}
 	proxy.evacuated = evacuated
--- a/proxy/view_test.go
+++ b/proxy/view_test.go
@@ -34,9 +34,9 @@
 
 func placed() ([]*Proxy, *wire.Table) {
 	proxies := many([]string{"p1"}, []string{"e1"})
-	return proxies, &wire.Table{Mark: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []wire.Backend{
-		{Name: "near", Service: "plain", Zone: "e1", Slots: 4}, {Name: "beside", Service: "plain", Zone: "e2", Slots: 4}, {Name: "far", Service: "plain", Zone: "w1", Slots: 4},
-		{Name: "foreign", Service: "other", Zone: "e1", Slots: 4}, {Name: "stray", Service: "unknown", Zone: "e1", Slots: 4}, {Name: "nowhere", Service: "plain", Zone: "z9", Slots: 4}}}
+	return proxies, &wire.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []wire.Backend{
+		{Name: "near", Service: "plain", Zone: "e1", Capacity: 4}, {Name: "beside", Service: "plain", Zone: "e2", Capacity: 4}, {Name: "far", Service: "plain", Zone: "w1", Capacity: 4},
+		{Name: "foreign", Service: "other", Zone: "e1", Capacity: 4}, {Name: "stray", Service: "unknown", Zone: "e1", Capacity: 4}, {Name: "nowhere", Service: "plain", Zone: "z9", Capacity: 4}}}
 }
 
 // Homes of route and tenant both bind, also where nothing is left.
@@ -120,7 +120,7 @@
 		if proxies[0].targets["near"] != first || proxies[0].view.Load().index != index {
 			test.Error("made anew")
 		}
-		proxies[0].Lay(book, &wire.Table{Mark: leaderMark, Members: table.Members})
+		proxies[0].Lay(book, &wire.Table{Version: leaderMark, Members: table.Members})
 		proxies[0].Lay(book, table)
 		if proxies[0].targets["near"] == first {
 			test.Error("a retired target is back")
@@ -158,9 +158,9 @@
 func TestTableBeforeALeader(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies := many([]string{"p1"}, []string{"e1"})
-		cold := wire.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Slots: 4, WarmAt: time.Now().UnixMilli() + 60000}
+		cold := wire.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Capacity: 4, WarmAtMs: time.Now().UnixMilli() + 60000}
 		for round, want := range map[uint64]choice{0: noneLeft, 1: chosen} {
-			table := &wire.Table{Mark: wire.TableMark{Ballot: wire.Ballot{Round: round}, Number: 1}, Members: members([]string{"p1"}, []string{"e1"}), Backends: []wire.Backend{cold}}
+			table := &wire.Table{Version: wire.TableVersion{Term: wire.Term{Number: round}, Number: 1}, Members: members([]string{"p1"}, []string{"e1"}), Backends: []wire.Backend{cold}}
 			proxies[0].Lay(&route.Book{Config: ownConfig()}, table)
 			proxies[0].pick(nil, nil)
 			time.Sleep(time.Second)
@@ -177,9 +177,9 @@
 	synctest.Test(test, func(test *testing.T) {
 		for ago, want := range map[time.Duration]choice{500 * time.Millisecond: allFull, time.Minute: chosen} {
 			proxies := many([]string{"p1"}, []string{"e1"})
-			backend := wire.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Slots: 4}
+			backend := wire.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Capacity: 4}
 			book := &route.Book{Config: ownConfig(), Reopened: []route.Reopened{{Zone: "e1", AtMs: time.Now().Add(-ago).UnixMilli()}}}
-			proxies[0].Lay(book, &wire.Table{Mark: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []wire.Backend{backend}})
+			proxies[0].Lay(book, &wire.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []wire.Backend{backend}})
 			if _, how := proxies[0].pick(nil, nil); how != want {
 				test.Errorf("taken back %v ago: choice %d, want %d", ago, how, want)
 			}
--- a/proxy/warmup_test.go
+++ b/proxy/warmup_test.go
@@ -80,11 +80,11 @@
 				config := ownConfig()
 				config.Services[0].WarmupRate = 1 + 15*random.Float64()
 				book := &route.Book{Config: config}
-				backend := wire.Backend{Name: fmt.Sprint("b", seed), Service: "plain", Address: "b:80", Zone: "e1", Slots: 8, WarmAt: time.Now().Add(time.Hour).UnixMilli()}
+				backend := wire.Backend{Name: fmt.Sprint("b", seed), Service: "plain", Address: "b:80", Zone: "e1", Capacity: 8, WarmAtMs: time.Now().Add(time.Hour).UnixMilli()}
 				news, olds := members(names, zones), members(names[1:], zones[1:])
 				lay := func() {
 					for index, proxy := range proxies {
-						table := &wire.Table{Mark: leaderMark, Members: news, Backends: []wire.Backend{backend}}
+						table := &wire.Table{Version: leaderMark, Members: news, Backends: []wire.Backend{backend}}
 						if differing && index%2 == 1 {
 							table.Members = olds
 						}
@@ -109,9 +109,9 @@
 func TestColdIsTheLastResort(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies := many([]string{"p1"}, []string{"e1"})
-		cold := wire.Backend{Name: "cold", Service: "plain", Zone: "e1", Slots: 8, WarmAt: time.Now().Add(3 * time.Second).UnixMilli()}
-		warm := wire.Backend{Name: "warm", Service: "plain", Zone: "w1", Slots: 2}
-		proxies[0].Lay(&route.Book{Config: ownConfig()}, &wire.Table{Mark: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []wire.Backend{cold, warm}})
+		cold := wire.Backend{Name: "cold", Service: "plain", Zone: "e1", Capacity: 8, WarmAtMs: time.Now().Add(3 * time.Second).UnixMilli()}
+		warm := wire.Backend{Name: "warm", Service: "plain", Zone: "w1", Capacity: 2}
+		proxies[0].Lay(&route.Book{Config: ownConfig()}, &wire.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []wire.Backend{cold, warm}})
 		proxies[0].targets["cold"].warm(time.Now(), 1)
 		time.Sleep(time.Second)
 		for range 6 {
--- a/proxy/world_test.go
+++ b/proxy/world_test.go
@@ -63,7 +63,7 @@
 
 func newWorld(test *testing.T) *world {
 	world := &world{test: test, threads: run.NewThreads(), counts: run.NewCounts(), doors: newDoors(), listener: newListener(), backends: map[string]*backend{},
-		book: &route.Book{Config: ownConfig()}, table: &wire.Table{Mark: leaderMark, Complete: true, Members: []wire.Member{{Name: "p1", Kind: "proxy", Zone: "e1", Ready: true}}}}
+		book: &route.Book{Config: ownConfig()}, table: &wire.Table{Version: leaderMark, Complete: true, Members: []wire.Member{{Name: "p1", Kind: "proxy", Zone: "e1", Ready: true}}}}
 	world.proxy = NewProxy(ownPlace("p1", "e1"), world.doors.dial, func() int64 { return time.Now().UnixMilli() }, world.threads, world.counts)
 	world.server = &http.Server{Handler: world.proxy, ErrorLog: log.New(io.Discard, "", 0)}
 	world.threads.Start(func() { _ = world.server.Serve(world.listener) }) // until close
@@ -95,7 +95,7 @@
 	world.backends[name] = added
 	world.doors.serve(added.address, added.accept)
 	world.lay(func() {
-		world.table.Backends = append(world.table.Backends, wire.Backend{Name: name, Service: service, Address: added.address, Zone: zone, Slots: slots})
+		world.table.Backends = append(world.table.Backends, wire.Backend{Name: name, Service: service, Address: added.address, Zone: zone, Capacity: slots})
 	})
 	return added
 }
@@ -164,12 +164,12 @@
 func (client *client) ask(method, raw string) reply {
 	begin := time.Now()
 	client.send(raw)
-	response, fault := http.ReadResponse(client.reader, &http.Request{Method: method})
-	if fault != nil {
-		return reply{broken: fault, took: time.Since(begin)}
+	response, err := http.ReadResponse(client.reader, &http.Request{Method: method})
+	if err != nil {
+		return reply{broken: err, took: time.Since(begin)}
 	}
-	body, fault := io.ReadAll(response.Body)
-	return reply{status: response.StatusCode, header: response.Header, body: string(body), broken: fault, last: response.Close, took: time.Since(begin)}
+	body, err := io.ReadAll(response.Body)
+	return reply{status: response.StatusCode, header: response.Header, body: string(body), broken: err, last: response.Close, took: time.Since(begin)}
 }
 
 // id gives every request one of its own.
@@ -214,4 +214,4 @@
 func unreachable(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
 
 // leaderMark is a table's that some leader made.
-var leaderMark = wire.TableMark{Ballot: wire.Ballot{Round: 1, Core: 1}, Number: 1}
+var leaderMark = wire.TableVersion{Term: wire.Term{Number: 1, Core: 1}, Number: 1}
--- a/route/check.go
+++ b/route/check.go
@@ -28,7 +28,7 @@
 func (checker *checker) wrong(path, kind, cause string) {
 	checker.wrongs++
 	if len(checker.details) < detailsLimit {
-		checker.details = append(checker.details, wire.Detail{Path: path, Kind: kind, Cause: cause})
+		checker.details = append(checker.details, wire.Detail{Path: path, Code: kind, Message: cause})
 	}
 }
 
@@ -67,7 +67,7 @@
 	if checker.wrongs == 0 {
 		return nil
 	}
-	return &wire.Mishap{Kind: wire.Invalid, Cause: fmt.Sprintf("%d wrong", checker.wrongs), Details: checker.details}
+	return &wire.Error{Code: wire.Invalid, Message: fmt.Sprintf("%d wrong", checker.wrongs), Details: checker.details}
 }
 
 type place struct{ host, prefix string }
--- a/route/check_test.go
+++ b/route/check_test.go
@@ -75,20 +75,20 @@
 	} {
 		config := goodConfig()
 		one.change(config)
-		mishap := config.Check()
+		err := config.Check()
 		switch {
-		case one.want == "" && mishap != nil:
-			test.Errorf("%s: %v", name, mishap)
-		case one.want != "" && (mishap == nil || wire.KindOf(mishap) != wire.Invalid || len(wire.AsMishap(mishap).Details) != 1 || wire.AsMishap(mishap).Details[0].Kind != one.want):
-			test.Errorf("%s: %v, want one %s", name, mishap, one.want)
+		case one.want == "" && err != nil:
+			test.Errorf("%s: %v", name, err)
+		case one.want != "" && (err == nil || wire.CodeOf(err) != wire.Invalid || len(wire.AsError(err).Details) != 1 || wire.AsError(err).Details[0].Code != one.want):
+			test.Errorf("%s: %v, want one %s", name, err, one.want)
 		}
 	}
 }
 
 func TestCheckBoundsWhatItNames(test *testing.T) {
 	config := &Config{Routes: make([]Route, 1000)}
-	mishap := config.Check()
-	if mishap == nil || len(wire.AsMishap(mishap).Details) != detailsLimit || !strings.Contains(wire.AsMishap(mishap).Cause, "wrong") {
-		test.Fatalf("%d details", len(wire.AsMishap(mishap).Details))
+	err := config.Check()
+	if err == nil || len(wire.AsError(err).Details) != detailsLimit || !strings.Contains(wire.AsError(err).Message, "wrong") {
+		test.Fatalf("%d details", len(wire.AsError(err).Details))
 	}
 }
--- a/route/config.go
+++ b/route/config.go
@@ -174,8 +174,8 @@
 	if len(body) == 0 {
 		return book, nil
 	}
-	if fault := wire.Unpack(body, book); fault != nil {
-		return nil, wire.AsMishap(fault)
+	if err := wire.Unmarshal(body, book); err != nil {
+		return nil, wire.AsError(err)
 	}
 	return book, nil
 }
--- a/route/golden_test.go
+++ b/route/golden_test.go
@@ -10,6 +10,6 @@
 // The routing register and an operator's order are encoded as they were when the file
 // was written, and what was written then is read back.
 func TestRoutingEncodingsStay(test *testing.T) {
-	format := golden.Format{Marshal: wire.Pack, Unmarshal: wire.Unpack}
+	format := golden.Format{Marshal: wire.Marshal, Unmarshal: wire.Unmarshal}
 	format.Check(test, "testdata/routing.golden", map[string]any{"Book": &Book{}, "Change": &Change{}})
 }
--- a/route/patch.go
+++ b/route/patch.go
@@ -5,15 +5,15 @@
 // Apply is the config with a patch laid over it; the receiver stays as it is.
 // Whoever takes it on sets its version and checks it.
 func (config Config) Apply(patch *Patch) (Config, error) {
-	var mishap error
-	if config.Routes, mishap = overlay(config.Routes, patch.Routes, patch.RemoveRoutes, "routes", func(route *Route) string { return route.Name }); mishap != nil {
-		return Config{}, mishap
+	var err error
+	if config.Routes, err = overlay(config.Routes, patch.Routes, patch.RemoveRoutes, "routes", func(route *Route) string { return route.Name }); err != nil {
+		return Config{}, err
 	}
-	if config.Services, mishap = overlay(config.Services, patch.Services, patch.RemoveServices, "services", func(service *Service) string { return service.Name }); mishap != nil {
-		return Config{}, mishap
+	if config.Services, err = overlay(config.Services, patch.Services, patch.RemoveServices, "services", func(service *Service) string { return service.Name }); err != nil {
+		return Config{}, err
 	}
-	if config.Tenants, mishap = overlay(config.Tenants, patch.Tenants, patch.RemoveTenants, "tenants", func(tenant *Tenant) string { return tenant.Name }); mishap != nil {
-		return Config{}, mishap
+	if config.Tenants, err = overlay(config.Tenants, patch.Tenants, patch.RemoveTenants, "tenants", func(tenant *Tenant) string { return tenant.Name }); err != nil {
+		return Config{}, err
 	}
 	config.Keyed = config.Keyed || len(patch.Tenants) > 0
 	if patch.Limits != nil {
@@ -32,7 +32,7 @@
 	for index := range given {
 		key := name(&given[index])
 		if _, twice := places[key]; twice {
-			return nil, &wire.Mishap{Kind: wire.Invalid, Cause: "1 wrong", Details: []wire.Detail{{Path: list + "." + key, Kind: doubleName, Cause: "given twice"}}}
+			return nil, &wire.Error{Code: wire.Invalid, Message: "1 wrong", Details: []wire.Detail{{Path: list + "." + key, Code: doubleName, Message: "given twice"}}}
 		}
 		places[key] = index
 	}
--- a/route/patch_test.go
+++ b/route/patch_test.go
@@ -39,9 +39,9 @@
 		"all tenants remove": {Patch{RemoveTenants: []string{"ann", "bob"}}, "cart:900 shelf:700 film:5000 alder birch"},
 	} {
 		config := goodConfig()
-		next, mishap := config.Apply(&one.patch)
-		if mishap != nil || names(&next) != one.want || !next.Keyed {
-			test.Errorf("%s: %s, %v, want %s", name, names(&next), mishap, one.want)
+		next, err := config.Apply(&one.patch)
+		if err != nil || names(&next) != one.want || !next.Keyed {
+			test.Errorf("%s: %s, %v, want %s", name, names(&next), err, one.want)
 		}
 		if !reflect.DeepEqual(config, goodConfig()) {
 			test.Errorf("%s: the receiver changed", name)
@@ -55,8 +55,8 @@
 		"services": {Services: []Service{{Name: "alder"}, {Name: "alder"}}},
 		"tenants":  {Tenants: []Tenant{{Name: "ann"}, {Name: "ann"}}},
 	} {
-		if _, mishap := goodConfig().Apply(&patch); mishap == nil || wire.AsMishap(mishap).Details[0].Kind != doubleName {
-			test.Errorf("%s: %v", name, mishap)
+		if _, err := goodConfig().Apply(&patch); err == nil || wire.AsError(err).Details[0].Code != doubleName {
+			test.Errorf("%s: %v", name, err)
 		}
 	}
 }
--- a/route/trail_test.go
+++ b/route/trail_test.go
@@ -36,13 +36,13 @@
 // its own bytes though two longer ones were made of it.
 func TestTrailLastsAndIsNotShared(test *testing.T) {
 	trail := Trail{}.With(300, "a").With(70000, "b")
-	body, fault := wire.Pack(&Book{Trail: trail})
-	if fault != nil {
-		test.Fatal(fault)
+	body, err := wire.Marshal(&Book{Trail: trail})
+	if err != nil {
+		test.Fatal(err)
 	}
-	book, mishap := BookOf(body)
-	if mishap != nil {
-		test.Fatal(mishap)
+	book, err := BookOf(body)
+	if err != nil {
+		test.Fatal(err)
 	}
 	left, right := book.Trail.With(70001, "left"), book.Trail.With(70002, "right")
 	if !left.Holds(70001, "left") || !right.Holds(70002, "right") || !left.Holds(300, "a") || !right.Holds(70000, "b") || book.Trail.Holds(70001, "left") {
@@ -58,19 +58,19 @@
 		Reopened  []Reopened
 		Trail     []formerApplied
 	}
-	body, err := wire.Pack(&formerBook{Config: Config{Version: 9}, Evacuated: []string{"z1"}, Trail: []formerApplied{{4, "four"}, {9, "nine"}}})
+	body, err := wire.Marshal(&formerBook{Config: Config{Version: 9}, Evacuated: []string{"z1"}, Trail: []formerApplied{{4, "four"}, {9, "nine"}}})
 	if err != nil {
 		test.Fatal(err)
 	}
-	book, mishap := BookOf(body)
-	if mishap != nil || book.Config.Version != 9 || len(book.Evacuated) != 1 {
-		test.Fatalf("%v: %+v", mishap, book)
+	book, err := BookOf(body)
+	if err != nil || book.Config.Version != 9 || len(book.Evacuated) != 1 {
+		test.Fatalf("%v: %+v", err, book)
 	}
 	if !book.Trail.Holds(4, "four") || !book.Trail.Holds(9, "nine") || book.Trail.Holds(9, "ten") || book.Trail.Count != 2 {
 		test.Errorf("%+v", book.Trail.Entries())
 	}
-	again, _ := wire.Pack(book)
-	if back, mishap := BookOf(again); mishap != nil || !back.Trail.Holds(9, "nine") {
-		test.Errorf("%v: %+v", mishap, back)
+	again, _ := wire.Marshal(book)
+	if back, err := BookOf(again); err != nil || !back.Trail.Holds(9, "nine") {
+		test.Errorf("%v: %+v", err, back)
 	}
 }
--- a/run/gather.go
+++ b/run/gather.go
@@ -11,10 +11,10 @@
 	got, failed := map[int]T{}, map[int]error{}
 	for index := range count {
 		threads.Start(func() {
-			value, mishap := ask(index)
+			value, err := ask(index)
 			mutex.Lock()
-			if mishap != nil {
-				failed[index] = mishap
+			if err != nil {
+				failed[index] = err
 			} else {
 				got[index] = value
 			}
@@ -31,8 +31,8 @@
 	for index, value := range got {
 		gotNow[index] = value
 	}
-	for index, mishap := range failed {
-		failedNow[index] = mishap
+	for index, err := range failed {
+		failedNow[index] = err
 	}
 	return gotNow, failedNow
 }
--- a/scale/bench.go
+++ b/scale/bench.go
@@ -36,8 +36,8 @@
 	defer bench.down()
 	threads.OnStop(bench.threads.Stop)
 	for _, phase := range []func() error{bench.up, bench.steady, bench.change, bench.restart, bench.kill} {
-		if mishap := phase(); mishap != nil {
-			bench.result.Failed = append(bench.result.Failed, mishap.Error())
+		if err := phase(); err != nil {
+			bench.result.Failed = append(bench.result.Failed, err.Error())
 			break
 		}
 	}
@@ -65,7 +65,7 @@
 func (bench *bench) until(limit time.Duration, what string, done func() bool) error {
 	for end := time.Now().Add(limit); !done(); {
 		if time.Now().After(end) || !bench.threads.Rest(50*time.Millisecond) {
-			return wire.New(wire.NotReady, "%s not within %v", what, limit)
+			return wire.Errorf(wire.NotReady, "%s not within %v", what, limit)
 		}
 	}
 	return nil
@@ -75,12 +75,12 @@
 	begin, point := time.Now(), bench.point
 	folder, err := os.MkdirTemp("", "ojfleet-scale-")
 	if err != nil {
-		return wire.New(wire.DiskFault, "%v", err)
+		return wire.Errorf(wire.DiskFailure, "%v", err)
 	}
 	bench.folder = folder
 	list := fmt.Sprintf("127.0.0.1:%d", bench.port)
-	if mishap := newTap().serve(list, listOf(backends(point.Backends, point.Services)), bench.threads); mishap != nil {
-		return mishap
+	if err := newTap().serve(list, listOf(backends(point.Backends, point.Services)), bench.threads); err != nil {
+		return err
 	}
 	seeds := []string{}
 	for number := range min(point.Cores, seedMost) {
@@ -90,49 +90,49 @@
 		address, report := fmt.Sprintf("127.0.0.1:%d", bench.port+(number+1)*portStep), fmt.Sprintf("127.0.0.1:%d", bench.port+(number+1)*portStep+1)
 		data := filepath.Join(folder, fmt.Sprintf("core-%d", number))
 		if err := os.MkdirAll(data, 0o700); err != nil {
-			return wire.New(wire.DiskFault, "%v", err)
+			return wire.Errorf(wire.DiskFailure, "%v", err)
 		}
 		spec := CoreSpec{Name: fmt.Sprintf("core-%02d", number), Zone: zoneName(number), Wire: address, Report: report, Seeds: seeds, Folder: data, Cores: point.Cores,
 			Platform: list, Metered: true, SlowUs: point.SlowUs}
-		if mishap := bench.begin("scale-core", spec, report, address, 2); mishap != nil {
-			return mishap
+		if err := bench.begin("scale-core", spec, report, address, 2); err != nil {
+			return err
 		}
 	}
-	if mishap := bench.until(30*time.Second, "a leader", func() bool { return bench.leader() != nil }); mishap != nil {
-		return mishap
+	if err := bench.until(30*time.Second, "a leader", func() bool { return bench.leader() != nil }); err != nil {
+		return err
 	}
-	line := wire.NewLine(program.FarTransport(userTimeout))
+	line := wire.NewClient(program.FarTransport(userTimeout))
 	finder := member.NewFinder(line, bench.threads, seeds).Paced(member.Paces{Seek: seekPace})
 	finder.Run()
 	bench.hold = member.NewHold(finder, line, run.NewCounts()).Within(member.HoldLimits{Answer: 20 * time.Second, Send: 15 * time.Second})
 	whole := config(1, point.Routes, point.Services, point.Tenants)
-	if body, err := wire.Pack(whole); err == nil {
+	if body, err := wire.Marshal(whole); err == nil {
 		bench.result.ConfigKB = float64(len(body)) / 1024
 	}
-	if _, mishap := bench.order(&route.Change{Version: 1, Digest: "1", Whole: whole}); mishap != nil {
-		return mishap
+	if _, err := bench.order(&route.Change{Version: 1, Digest: "1", Whole: whole}); err != nil {
+		return err
 	}
 	for first := 0; first < point.Daemons; first += hollowMost {
 		port := bench.port + 1000 + len(bench.hollows)*portStep
 		spec := HollowSpec{First: first, Daemons: min(hollowMost, point.Daemons-first), Wire: fmt.Sprintf("127.0.0.1:%d", port), Report: fmt.Sprintf("127.0.0.1:%d", port+1),
 			Seeds: seeds, Apply: point.Apply, Active: point.Active, Tenants: point.Tenants}
-		if mishap := bench.begin("scale-hollow", spec, spec.Report, spec.Wire, 4); mishap != nil {
-			return mishap
+		if err := bench.begin("scale-hollow", spec, spec.Report, spec.Wire, 4); err != nil {
+			return err
 		}
 	}
-	mishap := bench.until(90*time.Second, "readiness of all daemons", bench.ready)
+	err = bench.until(90*time.Second, "readiness of all daemons", bench.ready)
 	bench.result.StartMs = float64(time.Since(begin).Milliseconds())
-	return mishap
+	return err
 }
 
 func (bench *bench) order(change *route.Change) (uint64, error) {
-	body, err := wire.Pack(change)
+	body, err := wire.Marshal(change)
 	if err != nil {
-		return 0, wire.AsMishap(err)
+		return 0, wire.AsError(err)
 	}
-	told, mishap := member.Send[wire.RouteChange, wire.RouteChangeTold](bench.hold, "routechange", &wire.RouteChange{Body: body})
-	if mishap != nil {
-		return 0, mishap
+	told, err := member.Send[wire.RoutingChangeRequest, wire.RoutingChangeResponse](bench.hold, "routechange", &wire.RoutingChangeRequest{Body: body})
+	if err != nil {
+		return 0, err
 	}
 	bench.version = change.Version
 	return told.Serial, nil
@@ -162,16 +162,16 @@
 
 // over measures what goes on during a duty.
 func (bench *bench) over(duty func() error) (map[string]Rates, error) {
-	before, mishap := bench.readings()
-	if mishap != nil {
-		return nil, mishap
+	before, err := bench.readings()
+	if err != nil {
+		return nil, err
 	}
-	if mishap := duty(); mishap != nil {
-		return nil, mishap
+	if err := duty(); err != nil {
+		return nil, err
 	}
-	after, mishap := bench.readings()
-	if mishap != nil {
-		return nil, mishap
+	after, err := bench.readings()
+	if err != nil {
+		return nil, err
 	}
 	return bench.rates(before, after), nil
 }
--- a/scale/content.go
+++ b/scale/content.go
@@ -37,7 +37,7 @@
 	all := make([]wire.Backend, 0, count)
 	for number := range count {
 		all = append(all, wire.Backend{Name: fmt.Sprintf("backend-%06d", number), Service: serviceName(number % services),
-			Address: fmt.Sprintf("10.%d.%d.%d:8080", number>>16&255, number>>8&255, number&255), Zone: zoneName(number), Slots: 16})
+			Address: fmt.Sprintf("10.%d.%d.%d:8080", number>>16&255, number>>8&255, number&255), Zone: zoneName(number), Capacity: 16})
 	}
 	return all
 }
@@ -46,8 +46,8 @@
 	all := make([]wire.Member, 0, count)
 	for number := range count {
 		address := fmt.Sprintf("10.%d.%d.%d", 128+number>>16&127, number>>8&255, number&255)
-		all = append(all, wire.Member{Name: fmt.Sprintf("proxy-%05d", number), Kind: "proxy", Zone: zoneName(number), Wire: address + ":7000", Outer: address + ":8000",
-			Operate: address + ":7000", Incarnation: fmt.Sprintf("%016x", number), Ready: true})
+		all = append(all, wire.Member{Name: fmt.Sprintf("proxy-%05d", number), Kind: "proxy", Zone: zoneName(number), InternalAddress: address + ":7000", PublicAddress: address + ":8000",
+			OperatorAddress: address + ":7000", Incarnation: fmt.Sprintf("%016x", number), Ready: true})
 	}
 	return all
 }
--- a/scale/core.go
+++ b/scale/core.go
@@ -63,24 +63,24 @@
 // stopped.
 func RunCore(spec CoreSpec) error {
 	threads, counts, tap := run.NewThreads(), run.NewCounts(), newTap()
-	line := wire.NewLine(tap.transport())
+	line := wire.NewClient(tap.transport())
 	place := control.Place{Name: spec.Name, Zone: spec.Zone, Wire: spec.Wire, Seeds: spec.Seeds, Found: true, Least: spec.Cores, Platform: spec.Platform,
 		Beat: beatPace, Suspect: suspectSpan, Seed: uint64(time.Now().UnixNano()), Direct: true, Table: tablePace, SessionSpan: sessionSpan, ListPace: listPace, GoneAfter: goneAfter}
 	if spec.Metered {
 		place.Metering = control.Metering{Window: meterWindow, Settle: settleSpan, Quiet: meterQuiet,
 			Report: func(control.WindowReport) control.ReportResult { return control.ReportAccepted }}
 	}
-	if mishap := place.Check(); mishap != nil {
-		return mishap
+	if err := place.Check(); err != nil {
+		return err
 	}
-	core, mishap := control.NewCore(place, control.Folder(spec.Folder), line, threads, counts)
-	if mishap != nil {
-		return mishap
+	core, err := control.NewCore(place, control.Folder(spec.Folder), line, threads, counts)
+	if err != nil {
+		return err
 	}
-	door := wire.NewDoor(counts)
+	door := wire.NewServer(counts)
 	core.Register(door)
-	if mishap := tap.serve(spec.Wire, slowed(door, "/oj/session", time.Duration(spec.SlowUs)*time.Microsecond), threads); mishap != nil {
-		return mishap
+	if err := tap.serve(spec.Wire, slowed(door, "/oj/session", time.Duration(spec.SlowUs)*time.Microsecond), threads); err != nil {
+		return err
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/reading", func(writer http.ResponseWriter, _ *http.Request) {
@@ -90,8 +90,8 @@
 		reading.Leads, reading.Routing, reading.Members, reading.Backends, reading.Counts = core.Leads(), serial, len(table.Members), len(table.Backends), counts.All()
 		writeJSON(writer, reading)
 	})
-	if mishap := newTap().serve(spec.Report, mux, threads); mishap != nil {
-		return mishap
+	if err := newTap().serve(spec.Report, mux, threads); err != nil {
+		return err
 	}
 	core.Run()
 	program.OnTerm(threads, threads.Stop)
--- a/scale/hollow.go
+++ b/scale/hollow.go
@@ -73,7 +73,7 @@
 	number  int
 	all     *hollows
 	threads *run.Threads
-	line    *wire.Line
+	line    *wire.Client
 	daemon  *member.Daemon
 	held    atomic.Pointer[route.Index]
 	routing uint64
@@ -82,7 +82,7 @@
 func (all *hollows) start(number int) *hollow {
 	spec := all.spec
 	threads, counts := run.NewThreads(), run.NewCounts()
-	line := wire.NewLine(all.tap.transport())
+	line := wire.NewClient(all.tap.transport())
 	name := fmt.Sprintf("proxy-%05d", spec.First+number)
 	place := member.Place{Name: name, Kind: "proxy", Zone: zoneName(number), Wire: spec.Wire, Outer: spec.Wire, Operate: spec.Wire, Seeds: spec.Seeds,
 		Paces: member.Paces{Session: sessionPace, Watch: watchPace, Seek: seekPace, Feel: feelPace, Look: lookPace, Count: -1},
@@ -156,10 +156,10 @@
 		all.daemons = append(all.daemons, all.start(number))
 		threads.Rest(startPace(number))
 	}
-	door := wire.NewDoor(run.NewCounts())
+	door := wire.NewServer(run.NewCounts())
 	all.daemons[0].daemon.Register(door)
-	if mishap := tap.serve(spec.Wire, door, threads); mishap != nil {
-		return mishap
+	if err := tap.serve(spec.Wire, door, threads); err != nil {
+		return err
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/reading", func(writer http.ResponseWriter, _ *http.Request) {
@@ -187,8 +187,8 @@
 		all.restart(min(count, spec.Daemons), threads)
 		writeJSON(writer, true)
 	})
-	if mishap := newTap().serve(spec.Report, mux, threads); mishap != nil {
-		return mishap
+	if err := newTap().serve(spec.Report, mux, threads); err != nil {
+		return err
 	}
 	program.OnTerm(threads, threads.Stop)
 	threads.Wait()
--- a/scale/page.go
+++ b/scale/page.go
@@ -52,15 +52,15 @@
 	names, _ := filepath.Glob(filepath.Join(folder, "*.json"))
 	for _, path := range names {
 		run, name := &Run{}, strings.TrimSuffix(filepath.Base(path), ".json")
-		if mishap := read(folder, name, run); mishap != nil {
-			return nil, mishap
+		if err := read(folder, name, run); err != nil {
+			return nil, err
 		}
 		if run.Along != "" {
 			found.runs[name] = run
 		}
 	}
-	if mishap := read(folder, "state", found.states); mishap != nil {
-		return nil, mishap
+	if err := read(folder, "state", found.states); err != nil {
+		return nil, err
 	}
 	return found, nil
 }
@@ -180,25 +180,25 @@
 // WritePage writes the tables and plots of the results in a folder into their
 // marked places of the page.
 func WritePage(page, results string) error {
-	found, mishap := readEvidence(results)
-	if mishap != nil {
-		return mishap
+	found, err := readEvidence(results)
+	if err != nil {
+		return err
 	}
 	body, err := os.ReadFile(page)
 	if err != nil {
-		return wire.New(wire.NotFound, "%v", err)
+		return wire.Errorf(wire.NotFound, "%v", err)
 	}
 	before, rest, begins := strings.Cut(string(body), pageBegin)
 	_, after, ends := strings.Cut(rest, pageEnd)
 	if !begins || !ends {
-		return wire.New(wire.BadFlag, "%s has no place for the tables", page)
+		return wire.Errorf(wire.BadFlag, "%s has no place for the tables", page)
 	}
-	if mishap := found.plot(); mishap != nil {
-		return mishap
+	if err := found.plot(); err != nil {
+		return err
 	}
 	text := before + pageBegin + "\n\n" + found.tables() + "\n" + pageEnd + after
 	if err := os.WriteFile(page, []byte(text), 0o644); err != nil {
-		return wire.New(wire.DiskFault, "%v", err)
+		return wire.Errorf(wire.DiskFailure, "%v", err)
 	}
 	return nil
 }
--- a/scale/page_test.go
+++ b/scale/page_test.go
@@ -24,15 +24,15 @@
 	folder := test.TempDir()
 	page := filepath.Join(folder, "page.md")
 	writeText(test, page, "before\n"+pageBegin+"\nold\n"+pageEnd+"\nafter\n")
-	if mishap := write(folder, "daemons", linear(0.001)); mishap != nil {
-		test.Fatal(mishap)
+	if err := write(folder, "daemons", linear(0.001)); err != nil {
+		test.Fatal(err)
 	}
-	if mishap := write(folder, "state", &States{Results: []State{{Kind: "routes", Size: 1, PackedKB: 1}, {Kind: "routes", Size: 2, PackedKB: 2}}}); mishap != nil {
-		test.Fatal(mishap)
+	if err := write(folder, "state", &States{Results: []State{{Kind: "routes", Size: 1, PackedKB: 1}, {Kind: "routes", Size: 2, PackedKB: 2}}}); err != nil {
+		test.Fatal(err)
 	}
 	for range 2 {
-		if mishap := WritePage(page, folder); mishap != nil {
-			test.Fatal(mishap)
+		if err := WritePage(page, folder); err != nil {
+			test.Fatal(err)
 		}
 	}
 	body, _ := os.ReadFile(page)
@@ -50,11 +50,11 @@
 		test.Error(err)
 	}
 	writeText(test, page, "no place")
-	if mishap := WritePage(page, folder); mishap == nil || wire.KindOf(mishap) != wire.BadFlag {
-		test.Errorf("%v for a page without a place", mishap)
+	if err := WritePage(page, folder); err == nil || wire.CodeOf(err) != wire.BadFlag {
+		test.Errorf("%v for a page without a place", err)
 	}
-	if mishap := WritePage(page, test.TempDir()); mishap == nil || wire.KindOf(mishap) != wire.NotFound {
-		test.Errorf("%v without results", mishap)
+	if err := WritePage(page, test.TempDir()); err == nil || wire.CodeOf(err) != wire.NotFound {
+		test.Errorf("%v without results", err)
 	}
 }
 
@@ -76,8 +76,8 @@
 func TestConfigsOfAllSizesAreSound(test *testing.T) {
 	for _, sweep := range Sweeps {
 		for _, point := range sweep.Points[:1] {
-			if mishap := config(1, point.Routes, point.Services, point.Tenants).Check(); mishap != nil {
-				test.Errorf("%s: %v", sweep.Name, mishap)
+			if err := config(1, point.Routes, point.Services, point.Tenants).Check(); err != nil {
+				test.Errorf("%s: %v", sweep.Name, err)
 			}
 		}
 		for index := range sweep.Points {
--- a/scale/phases.go
+++ b/scale/phases.go
@@ -32,47 +32,47 @@
 	}
 }
 
-func (bench *bench) steady() (mishap error) {
+func (bench *bench) steady() (err error) {
 	bench.settle()
-	bench.result.Steady, mishap = bench.over(func() error {
+	bench.result.Steady, err = bench.over(func() error {
 		bench.threads.Rest(bench.span())
 		return nil
 	})
-	return mishap
+	return err
 }
 
 // change sends small patches, one a second, and waits until each is in force.
-func (bench *bench) change() (mishap error) {
-	bench.result.Changing, mishap = bench.over(func() error {
+func (bench *bench) change() (err error) {
+	bench.result.Changing, err = bench.over(func() error {
 		for range bench.point.Changes {
 			begin := time.Now()
-			spread, mishap := bench.patch()
-			if mishap != nil {
-				return mishap
+			spread, err := bench.patch()
+			if err != nil {
+				return err
 			}
 			bench.result.Changes = append(bench.result.Changes, spread)
 			bench.threads.Rest(time.Second - time.Since(begin))
 		}
 		return nil
 	})
-	return mishap
+	return err
 }
 
 func (bench *bench) patch() (Spread, error) {
 	changed := routeOf(int(bench.version)%bench.point.Routes, bench.point.Services)
 	changed.TimeoutMs += int(bench.version)
 	begin := time.Now()
-	serial, mishap := bench.order(&route.Change{Version: bench.version + 1, Base: bench.version, Digest: strconv.FormatUint(bench.version+1, 10), Patch: &route.Patch{Routes: []route.Route{changed}}})
-	if mishap != nil {
-		return Spread{}, mishap
+	serial, err := bench.order(&route.Change{Version: bench.version + 1, Base: bench.version, Digest: strconv.FormatUint(bench.version+1, 10), Patch: &route.Patch{Routes: []route.Route{changed}}})
+	if err != nil {
+		return Spread{}, err
 	}
 	times := []int64{}
-	mishap = bench.until(30*time.Second, fmt.Sprintf("serial %d in force everywhere", serial), func() bool {
+	err = bench.until(30*time.Second, fmt.Sprintf("serial %d in force everywhere", serial), func() bool {
 		times = bench.applied(serial)
 		return len(times) >= bench.point.Daemons
 	})
-	if mishap != nil {
-		return Spread{}, wire.Prefixed(fmt.Sprintf("%d of %d daemons", len(times), bench.point.Daemons), mishap)
+	if err != nil {
+		return Spread{}, wire.WithPrefix(fmt.Sprintf("%d of %d daemons", len(times), bench.point.Daemons), err)
 	}
 	return spreadOf(times, begin), nil
 }
@@ -98,37 +98,37 @@
 }
 
 // restart ends a tenth of the daemons at once and starts them anew.
-func (bench *bench) restart() (mishap error) {
-	bench.result.Restarting, mishap = bench.over(func() error {
+func (bench *bench) restart() (err error) {
+	bench.result.Restarting, err = bench.over(func() error {
 		begin := time.Now()
 		for _, one := range bench.hollows {
 			count := max(1, bench.point.Daemons/len(bench.hollows)/10)
 			bench.result.Restarted += count
 			done := false
-			if mishap := getJSON(one.report, "/restart?count="+strconv.Itoa(count), &done); mishap != nil {
-				return mishap
+			if err := getJSON(one.report, "/restart?count="+strconv.Itoa(count), &done); err != nil {
+				return err
 			}
 		}
-		if mishap := bench.until(60*time.Second, "readiness after restarts", bench.ready); mishap != nil {
-			return mishap
+		if err := bench.until(60*time.Second, "readiness after restarts", bench.ready); err != nil {
+			return err
 		}
 		bench.result.ReadyMs = float64(time.Since(begin).Microseconds()) / 1000
 		bench.threads.Rest(3*time.Second - time.Since(begin))
 		return nil
 	})
-	return mishap
+	return err
 }
 
 // kill ends the leader, and sends a change as soon as another one takes it.
 func (bench *bench) kill() error {
 	leader := bench.leader()
 	if leader == nil {
-		return wire.New(wire.NoLeader, "nobody to kill")
+		return wire.Errorf(wire.NoLeader, "nobody to kill")
 	}
 	begin := time.Now()
 	leader.end(syscall.SIGKILL)
-	spread, mishap := bench.patch()
+	spread, err := bench.patch()
 	bench.result.Killed = spread
 	bench.result.KilledMs = float64(time.Since(begin).Milliseconds())
-	return mishap
+	return err
 }
--- a/scale/plot.go
+++ b/scale/plot.go
@@ -38,14 +38,14 @@
 		if slowedRun := found.runs[each.run+"-slowed"]; slowedRun != nil {
 			lines = append(lines, "leader, slowed on purpose", pointsOf(slowedRun, steady(leaderRole, each.of)))
 		}
-		if mishap := found.draw(each.run, each.title, run.Along, each.unit, lines); mishap != nil {
-			return mishap
+		if err := found.draw(each.run, each.title, run.Along, each.unit, lines); err != nil {
+			return err
 		}
 	}
 	for _, name := range []string{"routes", "tenants", "daemons"} {
 		if run := found.runs[name]; run != nil {
-			if mishap := found.draw(name+"-change", "Milliseconds until a change is in force everywhere", run.Along, "ms", []any{"all daemons", pointsOf(run, everywhere)}); mishap != nil {
-				return mishap
+			if err := found.draw(name+"-change", "Milliseconds until a change is in force everywhere", run.Along, "ms", []any{"all daemons", pointsOf(run, everywhere)}); err != nil {
+				return err
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 		err = drawn.Save(6*vg.Inch, 4*vg.Inch, filepath.Join(found.folder, name+".png"))
 	}
 	if err != nil {
-		return wire.New(wire.DiskFault, "%s: %v", name, err)
+		return wire.Errorf(wire.DiskFailure, "%s: %v", name, err)
 	}
 	return nil
 }
--- a/scale/point_test.go
+++ b/scale/point_test.go
@@ -17,20 +17,20 @@
 			"scale-core": func() error {
 				spec := CoreSpec{}
 				if err := json.Unmarshal([]byte(os.Args[3]), &spec); err != nil {
-					return wire.New(wire.BadFlag, "%v", err)
+					return wire.Errorf(wire.BadFlag, "%v", err)
 				}
 				return RunCore(spec)
 			},
 			"scale-hollow": func() error {
 				spec := HollowSpec{}
 				if err := json.Unmarshal([]byte(os.Args[3]), &spec); err != nil {
-					return wire.New(wire.BadFlag, "%v", err)
+					return wire.Errorf(wire.BadFlag, "%v", err)
 				}
 				return RunHollow(spec)
 			},
 		}[os.Args[1]]
-		if mishap := begun(); mishap != nil {
-			fmt.Fprintln(os.Stderr, mishap)
+		if err := begun(); err != nil {
+			fmt.Fprintln(os.Stderr, err)
 			os.Exit(2)
 		}
 		os.Exit(0)
--- a/scale/rates.go
+++ b/scale/rates.go
@@ -23,8 +23,8 @@
 			continue
 		}
 		reading := Reading{}
-		if mishap := getJSON(one.report, "/reading", &reading); mishap != nil {
-			return nil, mishap
+		if err := getJSON(one.report, "/reading", &reading); err != nil {
+			return nil, err
 		}
 		all[one.report] = reading
 	}
--- a/scale/state.go
+++ b/scale/state.go
@@ -50,9 +50,9 @@
 	all := &States{}
 	for _, kind := range stateKinds {
 		for _, size := range stateSizes[kind] {
-			state, mishap := measureState(kind, size)
-			if mishap != nil {
-				return mishap
+			state, err := measureState(kind, size)
+			if err != nil {
+				return err
 			}
 			all.Results = append(all.Results, *state)
 			_, _ = fmt.Fprintf(progress, "%s %d: %+v\n", kind, size, *state)
@@ -70,7 +70,7 @@
 }
 
 func measureState(kind string, size int) (*State, error) {
-	book, table := &route.Book{Config: *config(1, 1, 1, 0)}, &wire.Table{Mark: wire.TableMark{Ballot: wire.Ballot{Round: 1, Core: 1}, Number: 1}, Complete: true}
+	book, table := &route.Book{Config: *config(1, 1, 1, 0)}, &wire.Table{Version: wire.TableVersion{Term: wire.Term{Number: 1, Core: 1}, Number: 1}, Complete: true}
 	services := max(1, min(size, 3100))
 	switch kind {
 	case "routes":
@@ -90,12 +90,12 @@
 	var body []byte
 	var err error
 	if inBook {
-		body, err = wire.Pack(book)
+		body, err = wire.Marshal(book)
 	} else {
-		body, err = wire.Pack(table)
+		body, err = wire.Marshal(table)
 	}
 	if err != nil {
-		return nil, wire.AsMishap(err)
+		return nil, wire.AsError(err)
 	}
 	state.PackMs, state.PackedKB = processorMs()-begin, float64(len(body))/1024
 	plane := proxy.NewProxy(proxy.Place{Name: "proxy-00000", Zone: zoneName(0), Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1},
@@ -105,13 +105,13 @@
 	begin = processorMs()
 	if inBook {
 		taken = &route.Book{}
-		err = wire.Unpack(body, taken)
+		err = wire.Unmarshal(body, taken)
 	} else {
 		laid = &wire.Table{}
-		err = wire.Unpack(body, laid)
+		err = wire.Unmarshal(body, laid)
 	}
 	if err != nil {
-		return nil, wire.AsMishap(err)
+		return nil, wire.AsError(err)
 	}
 	state.UnpackMs = processorMs() - begin
 	begin = processorMs()
--- a/scale/sweep.go
+++ b/scale/sweep.go
@@ -67,11 +67,11 @@
 		_, _ = fmt.Fprintf(progress, "%s %v: leader %.3f, follower %.3f, daemon %.5f of a core; daemon %.0f bytes/s in, %.0f out; changes %v; failed %v\n", sweep.Name, point.Size(sweep.Along),
 			result.Steady[leaderRole].Processor, result.Steady[followerRole].Processor, result.Steady[daemonRole].Processor,
 			result.Steady[daemonRole].BytesIn, result.Steady[daemonRole].BytesOut, result.Changes, result.Failed)
-		if mishap := write(folder, sweep.Name, played); mishap != nil {
-			return mishap
+		if err := write(folder, sweep.Name, played); err != nil {
+			return err
 		}
 		if threads.Stopping() {
-			return wire.New(wire.Stopping, "stopped")
+			return wire.Errorf(wire.Stopping, "stopped")
 		}
 	}
 	return nil
@@ -86,7 +86,7 @@
 		err = os.WriteFile(filepath.Join(folder, name+".json"), append(body, '\n'), 0o644)
 	}
 	if err != nil {
-		return wire.New(wire.DiskFault, "%s: %v", name, err)
+		return wire.Errorf(wire.DiskFailure, "%s: %v", name, err)
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 		err = json.Unmarshal(body, value)
 	}
 	if err != nil {
-		return wire.New(wire.NotFound, "%s: %v", name, err)
+		return wire.Errorf(wire.NotFound, "%s: %v", name, err)
 	}
 	return nil
 }
--- a/sim/catchup_test.go
+++ b/sim/catchup_test.go
@@ -36,8 +36,8 @@
 func (world *World) change(version *atomic.Uint64, count int) {
 	for range count {
 		last := version.Load()
-		if mishap := world.Put(last+1, last); mishap != nil {
-			world.broke("%d on %d: %v", last+1, last, mishap)
+		if err := world.Put(last+1, last); err != nil {
+			world.broke("%d on %d: %v", last+1, last, err)
 			return
 		}
 		version.Store(last + 1)
@@ -112,9 +112,9 @@
 	} else {
 		world.StartCore(leader)
 	}
-	book, mishap := world.Book()
-	if mishap != nil || book.Config.Version != acknowledged {
-		world.broke("read back %+v after the leader was lost, %d was acknowledged: %v", book, acknowledged, mishap)
+	book, err := world.Book()
+	if err != nil || book.Config.Version != acknowledged {
+		world.broke("read back %+v after the leader was lost, %d was acknowledged: %v", book, acknowledged, err)
 	}
 	for _, machine := range world.Cores {
 		if used := machine.Disk.MostUsed(); used > diskBound {
@@ -221,9 +221,9 @@
 	if !world.Until(10*time.Second, func() bool { return world.Leader() >= 0 }) {
 		world.broke("nobody leads")
 	}
-	book, mishap := world.Book()
-	if mishap != nil || book.Config.Version != version.Load() {
-		world.broke("read back %+v, %d was acknowledged: %v", book, version.Load(), mishap)
+	book, err := world.Book()
+	if err != nil || book.Config.Version != version.Load() {
+		world.broke("read back %+v, %d was acknowledged: %v", book, version.Load(), err)
 	}
 	world.report(test)
 	return world.Leader() == index
--- a/sim/claims_test.go
+++ b/sim/claims_test.go
@@ -14,11 +14,11 @@
 )
 
 // claim is a message that claims so many keys for the first time.
-func claim(first, count int) *wire.Keep {
-	message := &wire.Keep{}
+func claim(first, count int) *wire.RecordClaimsRequest {
+	message := &wire.RecordClaimsRequest{}
 	for number := range count {
 		key := wire.ClaimKey{Tenant: "coast-grid", Service: "reading-grid", Key: fmt.Sprintf("key-%032d", first+number)}
-		message.Claims = append(message.Claims, wire.Claim{Claimed: wire.Claimed{Key: key, ID: fmt.Sprintf("0a1b2c3d4e-%d", first+number), Digest: strings.Repeat("d", 64), Holder: "proxy-00/0123456789abcdef01234567", Stage: wire.ClaimRunning}})
+		message.Claims = append(message.Claims, wire.ClaimRequest{Record: wire.ClaimRecord{Key: key, ID: fmt.Sprintf("0a1b2c3d4e-%d", first+number), Digest: strings.Repeat("d", 64), Holder: "proxy-00/0123456789abcdef01234567", Stage: wire.ClaimRunning}})
 	}
 	return message
 }
@@ -32,7 +32,7 @@
 		defer world.Close()
 		world.StartCore(0)
 		world.first(test)
-		core, line := world.Cores[0], wire.NewLine(world.Net.Transport("10.7.0.9"))
+		core, line := world.Cores[0], wire.NewClient(world.Net.Transport("10.7.0.9"))
 		defer line.Close()
 		size := func() (bytes, files int) {
 			names, _ := core.Disk.List()
@@ -56,8 +56,8 @@
 		}
 		before := heap()
 		for second := range 3 * seconds {
-			if _, fault := wire.Ask[wire.Keep, wire.KeepTold](line, core.Wire, "keep", time.Second, claim(second*115, 115)); fault != nil {
-				test.Fatal(fault)
+			if _, err := wire.Call[wire.RecordClaimsRequest, wire.RecordClaimsResponse](line, core.Wire, "keep", time.Second, claim(second*115, 115)); err != nil {
+				test.Fatal(err)
 			}
 			world.Rest(10 * time.Second / 10 * time.Duration(600/seconds))
 			bytes, _ := size()
@@ -82,32 +82,32 @@
 			defer world.Close()
 			world.StartCore(0)
 			world.first(test)
-			line := wire.NewLine(world.Net.Transport("10.7.0.9"))
+			line := wire.NewClient(world.Net.Transport("10.7.0.9"))
 			defer line.Close()
 			for group := range 6 {
-				if _, fault := wire.Ask[wire.Keep, wire.KeepTold](line, world.Cores[0].Wire, "keep", time.Second, claim(group*3, 3)); fault != nil {
-					test.Fatal(fault)
+				if _, err := wire.Call[wire.RecordClaimsRequest, wire.RecordClaimsResponse](line, world.Cores[0].Wire, "keep", time.Second, claim(group*3, 3)); err != nil {
+					test.Fatal(err)
 				}
 			}
 			world.KillCore(0, true)
 			name := "claims-0000000000000000"
 			length := world.Cores[0].Disk.Size(name)
 			open := func(disk *Disk) error {
-				line := wire.NewLine(world.Net.Transport("10.7.0.8"))
-				core, mishap := control.NewCore(control.Place{ID: 1, Wire: "10.0.0.1:41", Beat: Beat, Suspect: Suspect}, disk, line, run.NewThreads(), run.NewCounts())
-				if mishap == nil {
+				line := wire.NewClient(world.Net.Transport("10.7.0.8"))
+				core, err := control.NewCore(control.Place{ID: 1, Wire: "10.0.0.1:41", Beat: Beat, Suspect: Suspect}, disk, line, run.NewThreads(), run.NewCounts())
+				if err == nil {
 					core.Close()
 				}
-				return mishap
+				return err
 			}
 			torn, worn := world.Cores[0].Disk.Fork(), world.Cores[0].Disk.Fork()
 			torn.Cut(name, length-1-int(seed)*7)
 			worn.Harm(name, length/3+int(seed)*5)
-			if mishap := open(torn); mishap != nil {
-				test.Errorf("a torn tail: %v", mishap)
+			if err := open(torn); err != nil {
+				test.Errorf("a torn tail: %v", err)
 			}
-			if mishap := open(worn); mishap == nil || wire.KindOf(mishap) != wire.Corrupt {
-				test.Errorf("a worn record: %v", mishap)
+			if err := open(worn); err == nil || wire.CodeOf(err) != wire.CorruptStore {
+				test.Errorf("a worn record: %v", err)
 			}
 		})
 	}
@@ -122,14 +122,14 @@
 			world.StartCore(index)
 		}
 		world.first(test)
-		line := wire.NewLine(world.Net.Transport("10.7.0.9"))
+		line := wire.NewClient(world.Net.Transport("10.7.0.9"))
 		defer line.Close()
 		other := claim(0, 1)
-		other.Claims[0].Claimed.ID = "ffff-1"
-		for index, message := range []*wire.Keep{claim(0, 1), other, claim(0, 1)} {
-			told, fault := wire.Ask[wire.Keep, wire.KeepTold](line, world.Cores[1].Wire, "keep", time.Second, message)
-			if fault != nil || told.Told[0].Granted != (index != 1) || index == 1 && told.Told[0].Held.ID != "0a1b2c3d4e-0" {
-				test.Errorf("claim %d: %+v %v", index, told, fault)
+		other.Claims[0].Record.ID = "ffff-1"
+		for index, message := range []*wire.RecordClaimsRequest{claim(0, 1), other, claim(0, 1)} {
+			told, err := wire.Call[wire.RecordClaimsRequest, wire.RecordClaimsResponse](line, world.Cores[1].Wire, "keep", time.Second, message)
+			if err != nil || told.Results[0].Granted != (index != 1) || index == 1 && told.Results[0].Existing.ID != "0a1b2c3d4e-0" {
+				test.Errorf("claim %d: %+v %v", index, told, err)
 			}
 		}
 	})
--- a/sim/control_test.go
+++ b/sim/control_test.go
@@ -55,7 +55,7 @@
 	orders   []*answered
 	acts     []acted
 	versions map[uint64]uint64
-	tables   map[wire.TableMark]string
+	tables   map[wire.TableVersion]string
 	stopped  bool
 	running  int
 
@@ -64,7 +64,7 @@
 }
 
 func (world *World) Control() *Control {
-	side := &Control{world: world, versions: map[uint64]uint64{}, tables: map[wire.TableMark]string{}}
+	side := &Control{world: world, versions: map[uint64]uint64{}, tables: map[wire.TableVersion]string{}}
 	side.meters = newMeters(world)
 	world.Metering.Report = side.report
 	return side
@@ -87,14 +87,14 @@
 	side.mutex.Lock()
 	defer side.mutex.Unlock()
 	touched, calm := map[int]bool{}, true
-	for _, fault := range side.faults {
-		if fault.begin.After(until) || !fault.end.IsZero() && fault.end.Before(from) {
+	for _, err := range side.faults {
+		if err.begin.After(until) || !err.end.IsZero() && err.end.Before(from) {
 			continue
 		}
-		for _, index := range fault.cores {
+		for _, index := range err.cores {
 			touched[index] = true
 		}
-		calm = calm && !slices.Contains(fault.members, one)
+		calm = calm && !slices.Contains(err.members, one)
 	}
 	return len(side.world.Cores) - len(touched), calm
 }
@@ -139,10 +139,10 @@
 	return version, serial
 }
 
-func (side *Control) note(order *answered, serial uint64, mishap error) {
+func (side *Control) note(order *answered, serial uint64, err error) {
 	side.mutex.Lock()
 	defer side.mutex.Unlock()
-	order.serial, order.mishap, order.end = serial, mishap, time.Now()
+	order.serial, order.mishap, order.end = serial, err, time.Now()
 }
 
 func (side *Control) begun(order *answered) *answered {
@@ -159,13 +159,13 @@
 		return
 	}
 	begin := time.Now()
-	told, mishap := order[wire.RouteRead, wire.RouteReadTold](side.world, holds, "routeread", &wire.RouteRead{})
-	if mishap != nil {
+	told, err := order[wire.RoutingReadRequest, wire.RoutingReadResponse](side.world, holds, "routeread", &wire.RoutingReadRequest{})
+	if err != nil {
 		return
 	}
-	book, mishap := route.BookOf(told.Body)
-	if mishap != nil {
-		side.world.broke("read back: %v", mishap)
+	book, err := route.BookOf(told.Body)
+	if err != nil {
+		side.world.broke("read back: %v", err)
 		return
 	}
 	base := book.Config.Version
@@ -173,9 +173,9 @@
 		side.world.broke("%d was acknowledged, then %d read back", acknowledged, base)
 	}
 	one := side.begun(&answered{what: "routing", base: base, version: base + 1 + uint64(random.IntN(3))*8 + number})
-	taken, mishap := order[wire.RouteChange, wire.RouteChangeTold](side.world, holds, "routechange", Whole(one.version, base))
-	if mishap != nil {
-		side.note(one, 0, mishap)
+	taken, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](side.world, holds, "routechange", Whole(one.version, base))
+	if err != nil {
+		side.note(one, 0, err)
 		return
 	}
 	side.note(one, taken.Serial, nil)
@@ -188,9 +188,9 @@
 // reached.
 func (side *Control) repeat(holds []*member.Hold, acknowledged *answered) {
 	again := side.begun(&answered{what: acknowledged.what, base: acknowledged.base, version: acknowledged.version})
-	told, mishap := order[wire.RouteChange, wire.RouteChangeTold](side.world, append(holds[1:], holds[0]), "routechange", Whole(again.version, again.base))
-	if mishap != nil {
-		side.note(again, 0, mishap)
+	told, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](side.world, append(holds[1:], holds[0]), "routechange", Whole(again.version, again.base))
+	if err != nil {
+		side.note(again, 0, err)
 		return
 	}
 	side.note(again, told.Serial, nil)
@@ -213,9 +213,9 @@
 		}
 		begin = !begin
 		one := side.begun(&answered{what: zone, emptied: begin})
-		told, mishap := side.world.evacuateBy(holds, zone, begin)
-		if mishap != nil {
-			side.note(one, 0, mishap)
+		told, err := side.world.evacuateBy(holds, zone, begin)
+		if err != nil {
+			side.note(one, 0, err)
 			return true
 		}
 		side.note(one, told.Serial, nil)
@@ -227,8 +227,8 @@
 // many are blank.
 func (side *Control) held(serial uint64) (held, blank int) {
 	for _, disk := range side.world.voterDisks() {
-		store, mishap := control.OpenStore(disk.Copy())
-		if mishap != nil || !store.State().Founded {
+		store, err := control.OpenStore(disk.Copy())
+		if err != nil || !store.State().Founded {
 			blank++
 		} else if store.State().Accepted[wire.RoutingRegister].Value.Serial >= serial {
 			held++
@@ -303,9 +303,9 @@
 // judge looks at the end at all that operators were told.
 func (side *Control) judge(test *testing.T) {
 	world := side.world
-	book, mishap := world.Book()
-	if mishap != nil {
-		test.Fatal(mishap)
+	book, err := world.Book()
+	if err != nil {
+		test.Fatal(err)
 	}
 	applied, orders, bases, zones := map[uint64]bool{1: true}, map[route.ShortDigest]bool{}, map[uint64]uint64{}, map[string]*answered{}
 	for _, one := range book.Trail.Entries() {
@@ -316,7 +316,7 @@
 	acknowledged, late, longest := 0, 0, time.Duration(0)
 	for _, order := range side.orders {
 		took := order.end.Sub(order.begin)
-		proper := order.mishap == nil || wire.AsMishap(order.mishap).Retry > 0
+		proper := order.mishap == nil || wire.AsError(order.mishap).RetryAfterMs > 0
 		if took > ackSpan && proper {
 			late++
 			side.mutex.Unlock()
@@ -331,7 +331,7 @@
 		}
 		taken := orders[route.DigestOf(fmt.Sprintf("%d on %d", order.version, order.base))]
 		if order.mishap != nil {
-			if taken && wire.AsMishap(order.mishap).Retry == 0 {
+			if taken && wire.AsError(order.mishap).RetryAfterMs == 0 {
 				world.broke("%d on %d was refused and is in the trail: %v", order.version, order.base, order.mishap)
 			}
 			continue
--- a/sim/core.go
+++ b/sim/core.go
@@ -16,7 +16,7 @@
 type Lead struct {
 	Core   int
 	Host   string
-	Ballot wire.Ballot
+	Ballot wire.Term
 	At     time.Time
 }
 
@@ -32,7 +32,7 @@
 	Seeds   []string
 	threads *run.Threads
 	servers []*http.Server
-	line    *wire.Line
+	line    *wire.Client
 	starts  uint64
 	jump    atomic.Int64
 	wiped   bool
@@ -73,16 +73,16 @@
 	}
 	place := world.corePlace(machine)
 	machine.threads = run.NewThreads()
-	machine.line = wire.NewLine(world.Net.Transport(machine.Host))
+	machine.line = wire.NewClient(world.Net.Transport(machine.Host))
 	counts := run.NewCounts()
 	finder := world.coreFinder(machine, &place)
 	place.MembersChanged = finder.Learn
-	core, mishap := control.NewCore(place, machine.Disk, machine.line, machine.threads, counts)
-	if mishap != nil {
-		world.broke("core %d does not start: %v", machine.ID, mishap)
+	core, err := control.NewCore(place, machine.Disk, machine.line, machine.threads, counts)
+	if err != nil {
+		world.broke("core %d does not start: %v", machine.ID, err)
 		return
 	}
-	door := wire.NewDoor(counts)
+	door := wire.NewServer(counts)
 	core.Register(door)
 	hold := member.NewHold(finder, machine.line, counts).Within(world.Limits)
 	if len(place.Seeds) > 0 {
@@ -108,11 +108,11 @@
 	place.Wall = func() int64 { return time.Now().UnixMilli() + machine.jump.Load() }
 	if world.Shape != nil {
 		world.Shape(machine, &place)
-		if mishap := place.Check(); mishap != nil {
-			world.broke("%s: %v", machine.Host, mishap)
+		if err := place.Check(); err != nil {
+			world.broke("%s: %v", machine.Host, err)
 		}
 	}
-	place.Observe = func(_ control.Standing, ballot wire.Ballot) { world.led(machine, ballot) }
+	place.Observe = func(_ control.Standing, ballot wire.Term) { world.led(machine, ballot) }
 	return place
 }
 
@@ -130,20 +130,20 @@
 // led judges each leadership as it comes to stand: its ballot must by then be
 // lasting at a majority of the voters that it knows, in a step between two groups of
 // both, and no register it left behind may be newer.
-func (world *World) led(leader *Core, ballot wire.Ballot) {
-	own, mishap := control.OpenStore(world.diskOf(leader).Copy())
-	if mishap != nil {
+func (world *World) led(leader *Core, ballot wire.Term) {
+	own, err := control.OpenStore(world.diskOf(leader).Copy())
+	if err != nil {
 		return
 	}
 	promised, rewritten := map[string]bool{}, map[string]bool{}
 	for _, machine := range world.everyMachine() {
-		store, mishap := control.OpenStore(world.diskOf(machine).Copy())
-		if mishap != nil {
+		store, err := control.OpenStore(world.diskOf(machine).Copy())
+		if err != nil {
 			continue
 		}
 		state := store.State()
 		promised[machine.Wire] = !state.Promised.Less(ballot)
-		rewritten[machine.Wire] = !state.Accepted[wire.SettingsRegister].Ballot.Less(ballot)
+		rewritten[machine.Wire] = !state.Accepted[wire.SettingsRegister].Term.Less(ballot)
 	}
 	for _, group := range world.votersOf(own.State()) {
 		if count, need := among(group, promised), len(group)/2+1; count < need {
--- a/sim/cut_test.go
+++ b/sim/cut_test.go
@@ -85,9 +85,9 @@
 	body := []byte(fmt.Sprintf(`{"tenants":{%q:{"keys":[]}}}`, tenant))
 	for try := range 50 {
 		client := world.Client(world.Cores[try%len(world.Cores)].Operate)
-		settings, mishap := client.Read(false)
-		if mishap == nil && settings.Confirmed {
-			if _, mishap = client.Patch(operator.Change{Base: settings.Serial, Change: fmt.Sprint("withdraw-", try), Settings: body}); mishap == nil {
+		settings, err := client.Read(false)
+		if err == nil && settings.Confirmed {
+			if _, err = client.Patch(operator.Change{Base: settings.Serial, Change: fmt.Sprint("withdraw-", try), Settings: body}); err == nil {
 				world.windows = append(world.windows, judge.Window{Kind: "tenant", Subject: tenant, From: time.Now().UnixMilli() + 4500})
 				return
 			}
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -257,8 +257,8 @@
 func (disk *Disk) Create(name string) (control.File, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	if fault := disk.changeNames(); fault != nil {
-		return nil, fault
+	if err := disk.changeNames(); err != nil {
+		return nil, err
 	}
 	disk.files[name] = newBlob(nil)
 	return &file{disk: disk, blob: disk.files[name]}, nil
@@ -267,8 +267,8 @@
 func (disk *Disk) Rename(before, after string) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	if fault := disk.changeNames(); fault != nil {
-		return fault
+	if err := disk.changeNames(); err != nil {
+		return err
 	}
 	if disk.files[before] == nil {
 		return errGone
@@ -281,8 +281,8 @@
 func (disk *Disk) Remove(name string) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	if fault := disk.changeNames(); fault != nil {
-		return fault
+	if err := disk.changeNames(); err != nil {
+		return err
 	}
 	delete(disk.files, name)
 	return nil
@@ -292,8 +292,8 @@
 func (disk *Disk) Sync() error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	if fault := disk.answers(); fault != nil {
-		return fault
+	if err := disk.answers(); err != nil {
+		return err
 	}
 	disk.lasting = map[string]*blob{}
 	for name, held := range disk.files {
@@ -315,13 +315,13 @@
 
 // sync is one file's; what a failed one left behind, no later one covers.
 func (disk *Disk) sync(held *blob) error {
-	fault := disk.answers()
-	if fault == nil {
+	err := disk.answers()
+	if err == nil {
 		held.sync()
 	} else if !disk.dead {
 		held.drop()
 	}
-	return fault
+	return err
 }
 
 type file struct {
--- a/sim/emptied_test.go
+++ b/sim/emptied_test.go
@@ -28,8 +28,8 @@
 		}
 		drain := func(base uint64, zones []string) {
 			body, _ := json.Marshal(map[string]any{"drained": map[string]any{"zones": zones}})
-			if _, mishap := world.Client(world.Cores[1].Operate).Patch(operator.Change{Base: base, Change: fmt.Sprint("drain-", base), Settings: body}); mishap != nil {
-				test.Fatal(mishap)
+			if _, err := world.Client(world.Cores[1].Operate).Patch(operator.Change{Base: base, Change: fmt.Sprint("drain-", base), Settings: body}); err != nil {
+				test.Fatal(err)
 			}
 		}
 		if status, code := call(""); status != 200 {
--- a/sim/everything.go
+++ b/sim/everything.go
@@ -100,7 +100,7 @@
 		}
 		all.number++
 		client := all.world.Client(doors[all.random.IntN(len(doors))])
-		if settings, mishap := client.Read(false); mishap == nil && settings.Confirmed {
+		if settings, err := client.Read(false); err == nil && settings.Confirmed {
 			change := operator.Change{Base: settings.Serial, Change: fmt.Sprint("all-", all.number), Settings: []byte(body)}
 			if all.ledger.Make(change, client, all.random, func(client *operator.Client) (*operator.Outcome, error) { return client.Patch(change) }) == nil {
 				return time.Now().UnixMilli()
--- a/sim/far.go
+++ b/sim/far.go
@@ -37,7 +37,7 @@
 	Seeds   []string
 	threads *run.Threads
 	server  *http.Server
-	line    *wire.Line
+	line    *wire.Client
 }
 
 // NewFarWorld is a system in three regions far from each other, whose cores
@@ -109,7 +109,7 @@
 		Paces: world.Paces, Hold: world.Limits, Direct: true, ServesAlone: true, Routed: true, Wall: func() int64 { return time.Now().UnixMilli() + one.Jump }}
 	spot.Seeds = world.seedsFor(&one.Seeds)
 	one.threads, one.Counts = run.NewThreads(), run.NewCounts()
-	one.line = wire.NewLine(world.Net.Transport(one.Host))
+	one.line = wire.NewClient(world.Net.Transport(one.Host))
 	one.Daemon = member.NewDaemon(spot, member.NewID(), one.line, one.threads, one.Counts)
 	last := uint64(0)
 	one.Daemon.Serve(func(version *member.Version) {
@@ -121,7 +121,7 @@
 	if world.Requests != nil {
 		one.Daemon.Meter(func() []wire.WindowCount { return world.Requests(one) })
 	}
-	door := wire.NewDoor(one.Counts)
+	door := wire.NewServer(one.Counts)
 	one.Daemon.Register(door)
 	one.server = world.serve(one.threads, spot.Wire, door)
 	one.Alive = true
@@ -156,9 +156,9 @@
 func Book(version uint64) *route.Book { return &route.Book{Config: *Routing(version)} }
 
 // Whole is an operator's order of a whole routing on top of a version.
-func Whole(version, base uint64) *wire.RouteChange {
-	body, _ := wire.Pack(&route.Change{Version: version, Base: base, Digest: fmt.Sprintf("%d on %d", version, base), Whole: Routing(version)})
-	return &wire.RouteChange{Body: body}
+func Whole(version, base uint64) *wire.RoutingChangeRequest {
+	body, _ := wire.Marshal(&route.Change{Version: version, Base: base, Digest: fmt.Sprintf("%d on %d", version, base), Whole: Routing(version)})
+	return &wire.RoutingChangeRequest{Body: body}
 }
 
 // order sends an order by some holds in turn until it has an answer that ends it.
@@ -169,9 +169,9 @@
 // again sends by some holds in turn until there is an answer that ends it.
 func again[Told any](world *World, holds []*member.Hold, send func(*member.Hold) (*Told, error)) (*Told, error) {
 	for try := 0; ; try++ {
-		told, mishap := send(holds[try%len(holds)])
-		if mishap == nil || wire.AsMishap(mishap).Retry == 0 || try > 20 {
-			return told, mishap
+		told, err := send(holds[try%len(holds)])
+		if err == nil || wire.AsError(err).RetryAfterMs == 0 || try > 20 {
+			return told, err
 		}
 		world.Rest(200 * time.Millisecond)
 	}
@@ -189,27 +189,27 @@
 
 // Put sends a routing until it is taken or refused.
 func (world *World) Put(version, base uint64) error {
-	_, mishap := order[wire.RouteChange, wire.RouteChangeTold](world, world.holds(), "routechange", Whole(version, base))
-	return mishap
+	_, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world, world.holds(), "routechange", Whole(version, base))
+	return err
 }
 
 // Evacuate sends an order on a zone until it is acknowledged or refused.
 func (world *World) Evacuate(zone string, begin bool) error {
-	_, mishap := world.evacuateBy(world.holds(), zone, begin)
-	return mishap
+	_, err := world.evacuateBy(world.holds(), zone, begin)
+	return err
 }
 
-func (world *World) evacuateBy(holds []*member.Hold, zone string, begin bool) (*wire.EvacuateTold, error) {
-	return again(world, holds, func(hold *member.Hold) (*wire.EvacuateTold, error) {
+func (world *World) evacuateBy(holds []*member.Hold, zone string, begin bool) (*wire.EvacuateResponse, error) {
+	return again(world, holds, func(hold *member.Hold) (*wire.EvacuateResponse, error) {
 		return member.Evacuate(context.Background(), hold, zone, begin)
 	})
 }
 
 // Book reads the confirmed routing back.
 func (world *World) Book() (*route.Book, error) {
-	told, mishap := order[wire.RouteRead, wire.RouteReadTold](world, world.holds(), "routeread", &wire.RouteRead{})
-	if mishap != nil {
-		return nil, mishap
+	told, err := order[wire.RoutingReadRequest, wire.RoutingReadResponse](world, world.holds(), "routeread", &wire.RoutingReadRequest{})
+	if err != nil {
+		return nil, err
 	}
 	return route.BookOf(told.Body)
 }
--- a/sim/far_test.go
+++ b/sim/far_test.go
@@ -45,19 +45,19 @@
 		world.Rest(time.Duration(random.IntN(300)) * time.Millisecond)
 		if random.IntN(4) == 0 {
 			begin := random.IntN(2) == 0
-			_, mishap := world.evacuateBy(holds(), zone, begin)
+			_, err := world.evacuateBy(holds(), zone, begin)
 			racer.mutex.Lock()
-			racer.zones[zone], racer.unsure[zone] = begin, mishap != nil
+			racer.zones[zone], racer.unsure[zone] = begin, err != nil
 			racer.mutex.Unlock()
 			continue
 		}
-		told, mishap := order[wire.RouteRead, wire.RouteReadTold](world, holds(), "routeread", &wire.RouteRead{})
-		if mishap != nil {
+		told, err := order[wire.RoutingReadRequest, wire.RoutingReadResponse](world, holds(), "routeread", &wire.RoutingReadRequest{})
+		if err != nil {
 			continue
 		}
-		book, mishap := route.BookOf(told.Body)
-		if mishap != nil {
-			world.broke("read back: %v", mishap)
+		book, err := route.BookOf(told.Body)
+		if err != nil {
+			world.broke("read back: %v", err)
 			return
 		}
 		base := book.Config.Version
@@ -69,7 +69,7 @@
 		}
 		racer.mutex.Unlock()
 		version := base + 1 + uint64(random.IntN(3))*3 + uint64(number)
-		if _, mishap := order[wire.RouteChange, wire.RouteChangeTold](world, holds(), "routechange", Whole(version, base)); mishap == nil {
+		if _, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world, holds(), "routechange", Whole(version, base)); err == nil {
 			racer.mutex.Lock()
 			racer.acked[version] = base
 			racer.mutex.Unlock()
@@ -114,9 +114,9 @@
 		if !world.Until(60*time.Second, func() bool { racers.mutex.Lock(); defer racers.mutex.Unlock(); return racers.ended == 3 }) {
 			test.Fatal("operators have no answer")
 		}
-		book, mishap := world.Book()
-		if mishap != nil {
-			test.Fatal(mishap)
+		book, err := world.Book()
+		if err != nil {
+			test.Fatal(err)
 		}
 		applied, bases := map[uint64]bool{}, map[uint64]uint64{}
 		for _, one := range book.Trail.Entries() {
--- a/sim/judge.go
+++ b/sim/judge.go
@@ -39,9 +39,9 @@
 // judge makes the fleet's verdicts of what was seen in this world; each detail
 // by its line's name.
 func (world *World) judge(ledger *judge.Ledger, reports ...stand.OriginReport) map[string]string {
-	settings, mishap := conf.Read(Settings(1000))
-	if mishap != nil {
-		world.broke("%v", mishap)
+	settings, err := conf.Read(Settings(1000))
+	if err != nil {
+		world.broke("%v", err)
 		return nil
 	}
 	evidence := &judge.Evidence{Callers: reports, Backends: world.seen(), Settings: settings, Zones: map[string]string{}, Ledger: ledger, Windows: world.windows, Planned: world.planned, Jumps: world.reports}
@@ -52,8 +52,8 @@
 		evidence.Zones[daemon.Outer] = daemon.Zone
 	}
 	if ledger != nil {
-		if evidence.Trail, mishap = ledger.Trail(20 * time.Second); mishap != nil {
-			world.broke("no trail at the end: %v", mishap)
+		if evidence.Trail, err = ledger.Trail(20 * time.Second); err != nil {
+			world.broke("no trail at the end: %v", err)
 		}
 	}
 	if world.reports {
--- a/sim/metering_test.go
+++ b/sim/metering_test.go
@@ -232,8 +232,8 @@
 			test.Fatal("no leader")
 		}
 		world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%meters.span > meters.span-500 })
-		if mishap := world.Put(1, 0); mishap != nil {
-			test.Fatal(mishap)
+		if err := world.Put(1, 0); err != nil {
+			test.Fatal(err)
 		}
 		world.KillCore(world.Leader(), true)
 		window := time.Now().UnixMilli() / meters.span
--- a/sim/money_test.go
+++ b/sim/money_test.go
@@ -103,7 +103,7 @@
 func (world *World) keepers() int {
 	count := 0
 	for _, member := range world.Daemons[0].Daemon.Version().Table.Members {
-		if member.Keeper {
+		if member.KeyReplica {
 			count++
 		}
 	}
--- a/sim/net.go
+++ b/sim/net.go
@@ -346,21 +346,21 @@
 		return nil, errLost
 	}
 	if twice && request.Body != nil {
-		body, fault := io.ReadAll(request.Body)
+		body, err := io.ReadAll(request.Body)
 		request.Body.Close()
-		if fault != nil {
-			return nil, fault
+		if err != nil {
+			return nil, err
 		}
 		request.Body = io.NopCloser(bytes.NewReader(body))
 		network.threads.Start(func() { transport.again(request, body) })
 	}
-	response, fault := transport.inner.RoundTrip(request)
-	if fault == nil && loseTold {
+	response, err := transport.inner.RoundTrip(request)
+	if err == nil && loseTold {
 		response.Body.Close()
 		<-request.Context().Done()
 		return nil, errLost
 	}
-	return response, fault
+	return response, err
 }
 
 // again sends the same message once more, later, and drops the answer.
@@ -373,7 +373,7 @@
 	defer cancel()
 	copied := request.Clone(ctx)
 	copied.Body = io.NopCloser(bytes.NewReader(body))
-	if response, fault := transport.inner.RoundTrip(copied); fault == nil {
+	if response, err := transport.inner.RoundTrip(copied); err == nil {
 		_, _ = io.Copy(io.Discard, response.Body) // nobody waits for this answer
 		response.Body.Close()
 	}
--- a/sim/operator_test.go
+++ b/sim/operator_test.go
@@ -51,13 +51,13 @@
 func (caller *operatorCaller) within(limit time.Duration, index int, method, path, body string) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	request, fault := http.NewRequestWithContext(ctx, method, "http://"+caller.world.Cores[index].Host+":43"+path, strings.NewReader(body))
-	if fault != nil {
-		return 0, fault.Error()
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+caller.world.Cores[index].Host+":43"+path, strings.NewReader(body))
+	if err != nil {
+		return 0, err.Error()
 	}
-	response, fault := caller.client.Do(request)
-	if fault != nil {
-		return 0, fault.Error()
+	response, err := caller.client.Do(request)
+	if err != nil {
+		return 0, err.Error()
 	}
 	defer response.Body.Close()
 	answer, _ := io.ReadAll(response.Body)
@@ -83,9 +83,9 @@
 // zoned breaks unless a zone is as it was acknowledged last.
 func (world *World) zoned(test *testing.T, zone string, evacuated bool, when string) {
 	test.Helper()
-	book, mishap := world.Book()
-	if mishap != nil {
-		test.Fatal(mishap)
+	book, err := world.Book()
+	if err != nil {
+		test.Fatal(err)
 	}
 	if slices.Contains(book.Evacuated, zone) != evacuated {
 		world.broke("%s: %s was acknowledged evacuated %v, is %v", when, zone, evacuated, !evacuated)
@@ -153,9 +153,9 @@
 					world.Rest(time.Duration(300+seed*131%400) * time.Millisecond)
 				}
 				operator.until(test, others, http.MethodPut, "/config", first)
-				book, mishap := world.Book()
-				if mishap != nil {
-					test.Fatal(mishap)
+				book, err := world.Book()
+				if err != nil {
+					test.Fatal(err)
 				}
 				last := wholeBody(10, book.Config.Version)
 				operator.until(test, others, http.MethodPut, "/config", last)
--- a/sim/orders_test.go
+++ b/sim/orders_test.go
@@ -12,13 +12,13 @@
 // call is one message to a core, by its name.
 type call struct {
 	name string
-	ask  func(line *wire.Line, address string, limit time.Duration) error
+	ask  func(line *wire.Client, address string, limit time.Duration) error
 }
 
 func callOf[Asked, Told any](name, message string, asked *Asked) call {
-	return call{name: name, ask: func(line *wire.Line, address string, limit time.Duration) error {
-		_, fault := wire.Ask[Asked, Told](line, address, message, limit, asked)
-		return fault
+	return call{name: name, ask: func(line *wire.Client, address string, limit time.Duration) error {
+		_, err := wire.Call[Asked, Told](line, address, message, limit, asked)
+		return err
 	}}
 }
 
@@ -27,36 +27,36 @@
 func leaderCalls() []call {
 	invalid := Routing(2)
 	invalid.Routes[0].Service = "nobody"
-	broken, _ := wire.Pack(&route.Change{Version: 2, Base: 1, Digest: "invalid", Whole: invalid})
-	dangling, _ := wire.Pack(&route.Change{Version: 2, Base: 1, Digest: "dangling", Patch: &route.Patch{RemoveServices: []string{"desk"}}})
-	low, _ := wire.Pack(&route.Change{Version: 1, Base: 1, Digest: "low", Whole: Routing(1)})
+	broken, _ := wire.Marshal(&route.Change{Version: 2, Base: 1, Digest: "invalid", Whole: invalid})
+	dangling, _ := wire.Marshal(&route.Change{Version: 2, Base: 1, Digest: "dangling", Patch: &route.Patch{RemoveServices: []string{"desk"}}})
+	low, _ := wire.Marshal(&route.Change{Version: 1, Base: 1, Digest: "low", Whole: Routing(1)})
 	return []call{
-		callOf[wire.RouteChange, wire.RouteChangeTold]("repeat", "routechange", Whole(1, 0)),
-		callOf[wire.RouteChange, wire.RouteChangeTold]("stale base", "routechange", Whole(9, 0)),
-		callOf[wire.RouteChange, wire.RouteChangeTold]("newer base", "routechange", Whole(9, 3)),
-		callOf[wire.RouteChange, wire.RouteChangeTold]("stale version", "routechange", &wire.RouteChange{Body: low}),
-		callOf[wire.RouteChange, wire.RouteChangeTold]("invalid", "routechange", &wire.RouteChange{Body: broken}),
-		callOf[wire.RouteChange, wire.RouteChangeTold]("invalid patch", "routechange", &wire.RouteChange{Body: dangling}),
-		callOf[wire.Evacuate, wire.EvacuateTold]("evacuated before", "evacuate", &wire.Evacuate{Zone: "z1", Begin: true}),
-		callOf[wire.Evacuate, wire.EvacuateTold]("never evacuated", "evacuate", &wire.Evacuate{Zone: "z2", Begin: false}),
-		callOf[wire.RouteRead, wire.RouteReadTold]("read", "routeread", &wire.RouteRead{}),
-		callOf[wire.Read, wire.ReadTold]("settings", "read", &wire.Read{}),
-		callOf[wire.Confirm, wire.ConfirmTold]("confirm", "confirm", &wire.Confirm{}),
-		callOf[wire.Change, wire.ChangeTold]("settings repeat", "change", &wire.Change{ID: "first", Kind: "whole", Body: Settings(1000)}),
-		callOf[wire.Change, wire.ChangeTold]("settings stale base", "change", &wire.Change{ID: "other", Base: 7, Kind: "whole", Body: Settings(900)}),
-		callOf[wire.Change, wire.ChangeTold]("settings id reused", "change", &wire.Change{ID: "first", Kind: "whole", Body: Settings(900)}),
-		callOf[wire.Change, wire.ChangeTold]("settings invalid", "change", &wire.Change{ID: "third", Base: 1, Kind: "partial", Body: []byte(`{"ack_ms":-4}`)}),
+		callOf[wire.RoutingChangeRequest, wire.RoutingChangeResponse]("repeat", "routechange", Whole(1, 0)),
+		callOf[wire.RoutingChangeRequest, wire.RoutingChangeResponse]("stale base", "routechange", Whole(9, 0)),
+		callOf[wire.RoutingChangeRequest, wire.RoutingChangeResponse]("newer base", "routechange", Whole(9, 3)),
+		callOf[wire.RoutingChangeRequest, wire.RoutingChangeResponse]("stale version", "routechange", &wire.RoutingChangeRequest{Body: low}),
+		callOf[wire.RoutingChangeRequest, wire.RoutingChangeResponse]("invalid", "routechange", &wire.RoutingChangeRequest{Body: broken}),
+		callOf[wire.RoutingChangeRequest, wire.RoutingChangeResponse]("invalid patch", "routechange", &wire.RoutingChangeRequest{Body: dangling}),
+		callOf[wire.EvacuateRequest, wire.EvacuateResponse]("evacuated before", "evacuate", &wire.EvacuateRequest{Zone: "z1", Begin: true}),
+		callOf[wire.EvacuateRequest, wire.EvacuateResponse]("never evacuated", "evacuate", &wire.EvacuateRequest{Zone: "z2", Begin: false}),
+		callOf[wire.RoutingReadRequest, wire.RoutingReadResponse]("read", "routeread", &wire.RoutingReadRequest{}),
+		callOf[wire.ReadRequest, wire.ReadResponse]("settings", "read", &wire.ReadRequest{}),
+		callOf[wire.ReadIndexRequest, wire.ReadIndexResponse]("confirm", "confirm", &wire.ReadIndexRequest{}),
+		callOf[wire.ChangeRequest, wire.ChangeResponse]("settings repeat", "change", &wire.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)}),
+		callOf[wire.ChangeRequest, wire.ChangeResponse]("settings stale base", "change", &wire.ChangeRequest{ID: "other", Base: 7, Kind: "whole", Body: Settings(900)}),
+		callOf[wire.ChangeRequest, wire.ChangeResponse]("settings id reused", "change", &wire.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(900)}),
+		callOf[wire.ChangeRequest, wire.ChangeResponse]("settings invalid", "change", &wire.ChangeRequest{ID: "third", Base: 1, Kind: "partial", Body: []byte(`{"ack_ms":-4}`)}),
 	}
 }
 
 // unclear is whether an answer lets its caller move on: it neither acknowledges nor
 // refuses anything.
-func unclear(fault error) bool {
-	if fault == nil {
+func unclear(err error) bool {
+	if err == nil {
 		return false
 	}
-	switch wire.KindOf(fault) {
-	case wire.NotLeader, wire.NoLeader, wire.Lameduck, wire.OutcomeUnknown, wire.NotStarted, wire.Unreachable, wire.Unreached:
+	switch wire.CodeOf(err) {
+	case wire.NotLeader, wire.NoLeader, wire.Lameduck, wire.OutcomeUnknown, wire.NotStarted, wire.Unreachable, wire.ConnectFailed:
 		return true
 	}
 	return false
@@ -85,11 +85,11 @@
 func (world *World) withSettings(test *testing.T) {
 	test.Helper()
 	world.farUp(test, 3)
-	if mishap := world.Evacuate("z1", true); mishap != nil {
-		test.Fatal(mishap)
+	if err := world.Evacuate("z1", true); err != nil {
+		test.Fatal(err)
 	}
-	if _, mishap := order[wire.Change, wire.ChangeTold](world, world.holds(), "change", &wire.Change{ID: "first", Kind: "whole", Body: Settings(1000)}); mishap != nil {
-		test.Fatal(mishap)
+	if _, err := order[wire.ChangeRequest, wire.ChangeResponse](world, world.holds(), "change", &wire.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)}); err != nil {
+		test.Fatal(err)
 	}
 }
 
@@ -103,10 +103,10 @@
 				world := NewFarWorld(seed, 3+2*int(seed%2))
 				world.withSettings(test)
 				leader := world.calm(test)
-				line := wire.NewLine(world.Net.Transport(world.Members[0].Host))
+				line := wire.NewClient(world.Net.Transport(world.Members[0].Host))
 				for _, one := range leaderCalls() {
-					if fault := one.ask(line, world.Cores[leader].Wire, time.Second); unclear(fault) {
-						world.broke("in touch, %s: %v", one.name, fault)
+					if err := one.ask(line, world.Cores[leader].Wire, time.Second); unclear(err) {
+						world.broke("in touch, %s: %v", one.name, err)
 					}
 				}
 				world.lose(leader, kind, true)
@@ -124,8 +124,8 @@
 						mutex.Unlock()
 						asked := time.Since(begin)
 						world.threads.Start(func() {
-							if fault := one.ask(line, world.Cores[leader].Wire, 30*time.Second); !unclear(fault) {
-								world.broke("%s, restarted %v, %s asked after %v: %v", kind, restarted, one.name, asked, fault)
+							if err := one.ask(line, world.Cores[leader].Wire, 30*time.Second); !unclear(err) {
+								world.broke("%s, restarted %v, %s asked after %v: %v", kind, restarted, one.name, asked, err)
 							}
 							mutex.Lock()
 							open--
--- a/sim/partner_test.go
+++ b/sim/partner_test.go
@@ -64,7 +64,7 @@
 			lender.broke("the lender served %d below its floor: %v", storm.Served, storm.Statuses)
 		}
 		for _, member := range guests[0].Daemon.Version().Table.Members {
-			if member.Guest && member.Keeper {
+			if member.Guest && member.KeyReplica {
 				borrower.broke("%s keeps claims on the other partner's machine", member.Name)
 			}
 		}
--- a/sim/recovery_test.go
+++ b/sim/recovery_test.go
@@ -112,8 +112,8 @@
 					cut = append(cut, (leader+offset)%cores)
 					world.isolate((leader+offset)%cores, true)
 				}
-				if mishap := world.Put(version+1, version); mishap != nil {
-					test.Fatal(mishap)
+				if err := world.Put(version+1, version); err != nil {
+					test.Fatal(err)
 				}
 				version++
 				world.killAll(kind != "killed", true)
@@ -151,8 +151,8 @@
 				}
 				world.startAll()
 				world.calm(test)
-				if book, mishap := world.Book(); mishap != nil || book.Config.Version != version {
-					world.broke("%d cores, %s: read back %+v %v", cores, kind, book, mishap)
+				if book, err := world.Book(); err != nil || book.Config.Version != version {
+					world.broke("%d cores, %s: read back %+v %v", cores, kind, book, err)
 				}
 			}
 			world.report(test)
@@ -164,16 +164,16 @@
 // accepted lays an uncommitted routing on a stopped core's disk.
 func (world *World) accepted(test *testing.T, index int, version uint64) {
 	test.Helper()
-	store, mishap := control.OpenStore(world.Cores[index].Disk)
-	if mishap != nil {
-		test.Fatal(mishap)
+	store, err := control.OpenStore(world.Cores[index].Disk)
+	if err != nil {
+		test.Fatal(err)
 	}
-	voter := control.NewVoter(store, func(mishap error) { test.Error(mishap) }, func(wire.Ballot) {})
+	voter := control.NewVoter(store, func(err error) { test.Error(err) }, func(wire.Term) {})
 	held := voter.State().Accepted[wire.RoutingRegister]
-	body, _ := wire.Pack(Book(version))
-	told, mishap := voter.Accept(&wire.Accept{Ballot: voter.State().Promised, Register: wire.RoutingRegister, Value: wire.Value{Serial: held.Value.Serial + 1, Body: body}})
-	if mishap != nil || !told.Taken {
-		test.Fatal(told, mishap)
+	body, _ := wire.Marshal(Book(version))
+	told, err := voter.Accept(&wire.AcceptRequest{Term: voter.State().Promised, Register: wire.RoutingRegister, Value: wire.Value{Serial: held.Value.Serial + 1, Body: body}})
+	if err != nil || !told.Accepted {
+		test.Fatal(told, err)
 	}
 	store.Close()
 }
@@ -219,9 +219,9 @@
 				world.coresApart(false)
 				world.startAll()
 				world.calm(test)
-				book, mishap := world.Book()
-				if mishap != nil {
-					test.Fatal(mishap)
+				book, err := world.Book()
+				if err != nil {
+					test.Fatal(err)
 				}
 				if took, done := world.serving(book.Config.Version, true, 5*time.Second); !done {
 					world.broke("%d cores: %d not everywhere after %v", cores, book.Config.Version, took)
@@ -255,8 +255,8 @@
 				world.Rest(time.Duration(round) * 400 * time.Millisecond)
 				world.StartCore(index)
 				world.Rest(2 * time.Second)
-				if mishap := world.Evacuate("z", round%2 == 0); mishap != nil {
-					world.broke("%v", mishap)
+				if err := world.Evacuate("z", round%2 == 0); err != nil {
+					world.broke("%v", err)
 				}
 			}
 		}
@@ -274,9 +274,9 @@
 		if machine.life(world) == nil {
 			continue
 		}
-		told, fault := wire.Ask[wire.Status, wire.StatusTold](machine.line, machine.Wire, "status", time.Second, &wire.Status{})
-		if fault != nil {
-			world.broke("no status of core %d: %v", machine.ID, fault)
+		told, err := wire.Call[wire.StatusRequest, wire.StatusResponse](machine.line, machine.Wire, "status", time.Second, &wire.StatusRequest{})
+		if err != nil {
+			world.broke("no status of core %d: %v", machine.ID, err)
 			continue
 		}
 		sum += told.Counts[name]
@@ -336,8 +336,8 @@
 		world.Rest(time.Second)
 		world.KillCore(lone, true)
 		world.isolate(lone, true)
-		if mishap := world.Put(2, 1); mishap != nil {
-			test.Fatal(mishap)
+		if err := world.Put(2, 1); err != nil {
+			test.Fatal(err)
 		}
 		for index, machine := range world.Cores {
 			world.Net.Cut(machine.Host, near.Host, index != lone)
@@ -370,14 +370,14 @@
 }
 
 // sameTables judges that all who hold a leader's table hold the same under one mark.
-func (world *World) sameTables(contents map[wire.TableMark]string) {
+func (world *World) sameTables(contents map[wire.TableVersion]string) {
 	for _, one := range world.Members {
 		table := one.Daemon.Version().Table
 		content := fmt.Sprint(table.Members, table.Backends)
-		if known, found := contents[table.Mark]; found && known != content && table.Mark.Ballot.Round > 0 {
-			world.broke("table %v is not the same at %s:\n%s\n%s", table.Mark, one.Name, known, content)
+		if known, found := contents[table.Version]; found && known != content && table.Version.Term.Number > 0 {
+			world.broke("table %v is not the same at %s:\n%s\n%s", table.Version, one.Name, known, content)
 		}
-		contents[table.Mark] = content
+		contents[table.Version] = content
 	}
 }
 
@@ -390,7 +390,7 @@
 			backends := []wire.Backend{}
 			world.Listed = func(string) control.Listing { return control.Listing{Backends: backends} }
 			for index := range 3 {
-				backends = append(backends, wire.Backend{Name: fmt.Sprint("b", index), Service: "desk", Address: "10.9.9.9:80", Slots: 4})
+				backends = append(backends, wire.Backend{Name: fmt.Sprint("b", index), Service: "desk", Address: "10.9.9.9:80", Capacity: 4})
 			}
 			world.farUp(test, 6)
 			world.Rest(time.Second)
@@ -409,12 +409,12 @@
 					world.Net.Cut(machine.Host, one.Host, false)
 				}
 			}
-			contents := map[wire.TableMark]string{}
+			contents := map[wire.TableVersion]string{}
 			for until := time.Now().Add(6 * time.Second); time.Now().Before(until); world.Rest(20 * time.Millisecond) {
 				world.sameTables(contents)
 			}
 			for _, one := range world.Members {
-				if table := one.Daemon.Version().Table; table.Mark.Ballot.Round == 0 || len(table.Members) != 6 {
+				if table := one.Daemon.Version().Table; table.Version.Term.Number == 0 || len(table.Members) != 6 {
 					world.broke("%s holds %+v", one.Name, table)
 				}
 			}
@@ -431,11 +431,11 @@
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.Listed = func(string) control.Listing {
-			return control.Listing{Backends: []wire.Backend{{Name: "b", Service: "desk", Address: "10.9.9.9:80", Slots: 4}}}
+			return control.Listing{Backends: []wire.Backend{{Name: "b", Service: "desk", Address: "10.9.9.9:80", Capacity: 4}}}
 		}
 		world.farUp(test, 5)
 		world.Rest(3 * time.Second)
-		mute, marks := world.Members[int(seed)%5], map[string]wire.TableMark{}
+		mute, marks := world.Members[int(seed)%5], map[string]wire.TableVersion{}
 		for round := range 4 {
 			world.calm(test)
 			world.Rest(3 * time.Second)
@@ -454,19 +454,19 @@
 			for time.Since(begin) < 1400*time.Millisecond {
 				for _, one := range world.Members {
 					table := one.Daemon.Version().Table
-					if table.Mark.Less(marks[one.Name]) {
-						world.broke("round %d: %s went back from table %v to %v", round, one.Name, marks[one.Name], table.Mark)
+					if table.Version.Less(marks[one.Name]) {
+						world.broke("round %d: %s went back from table %v to %v", round, one.Name, marks[one.Name], table.Version)
 					}
-					marks[one.Name] = table.Mark
-					if one != late && table.Mark.Ballot.Round == 0 {
+					marks[one.Name] = table.Version
+					if one != late && table.Version.Term.Number == 0 {
 						world.broke("round %d: %s took a table of no leader", round, one.Name)
 					}
 					listed := false
 					for _, known := range table.Members {
 						listed = listed || known.Name == mute.Name
 					}
-					if !listed && table.Mark.Ballot.Round > 0 {
-						test.Fatalf("round %d: %s lost %s from its table %v after %v", round, one.Name, mute.Name, table.Mark, time.Since(begin))
+					if !listed && table.Version.Term.Number > 0 {
+						test.Fatalf("round %d: %s lost %s from its table %v after %v", round, one.Name, mute.Name, table.Version, time.Since(begin))
 					}
 				}
 				world.Rest(10 * time.Millisecond)
@@ -511,21 +511,21 @@
 				test.Fatal("no second leader")
 			}
 			ask := func(index int, version, base uint64) error {
-				_, fault := wire.Ask[wire.RouteChange, wire.RouteChangeTold](world.Cores[other].line, world.Cores[index].Wire, "routechange", 500*time.Millisecond, Whole(version, base))
-				return fault
+				_, err := wire.Call[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world.Cores[other].line, world.Cores[index].Wire, "routechange", 500*time.Millisecond, Whole(version, base))
+				return err
 			}
-			if fault := ask(other, 2, 1); fault != nil {
-				test.Fatal(fault)
+			if err := ask(other, 2, 1); err != nil {
+				test.Fatal(err)
 			}
-			line := wire.NewLine(world.Net.Transport("10.8.0.1"))
-			if read, fault := wire.Ask[wire.RouteRead, wire.RouteReadTold](line, world.Cores[leader].Wire, "routeread", time.Second, &wire.RouteRead{}); fault == nil {
+			line := wire.NewClient(world.Net.Transport("10.8.0.1"))
+			if read, err := wire.Call[wire.RoutingReadRequest, wire.RoutingReadResponse](line, world.Cores[leader].Wire, "routeread", time.Second, &wire.RoutingReadRequest{}); err == nil {
 				world.broke("the replaced leader read serial %d back", read.Serial)
 			}
-			_, fault := wire.Ask[wire.RouteChange, wire.RouteChangeTold](line, world.Cores[leader].Wire, "routechange", time.Second, Whole(3, 2))
-			if kind := wire.KindOf(fault); kind == wire.StaleBase {
-				world.broke("the replaced leader refused: %v", fault)
+			_, err := wire.Call[wire.RoutingChangeRequest, wire.RoutingChangeResponse](line, world.Cores[leader].Wire, "routechange", time.Second, Whole(3, 2))
+			if kind := wire.CodeOf(err); kind == wire.StaleBase {
+				world.broke("the replaced leader refused: %v", err)
 			} else if kind != wire.NotLeader && kind != wire.NoLeader {
-				world.broke("the replaced leader answered %v", fault)
+				world.broke("the replaced leader answered %v", err)
 			} else {
 				refused++
 			}
--- a/sim/refuse_test.go
+++ b/sim/refuse_test.go
@@ -39,8 +39,8 @@
 			slowest := time.Duration(0)
 			for until := time.Now().Add(20 * time.Second); time.Now().Before(until); {
 				begin := time.Now()
-				if mishap := world.Put(version+1, version); mishap != nil {
-					world.broke("%s: %v", kind, mishap)
+				if err := world.Put(version+1, version); err != nil {
+					world.broke("%s: %v", kind, err)
 					break
 				}
 				version++
@@ -83,8 +83,8 @@
 		before := world.counted("copies_mended")
 		world.Cores[index].Disk.Stall(true)
 		for version := uint64(1); version < 9; version++ {
-			if mishap := world.Put(version+1, version); mishap != nil {
-				world.broke("%d: %v", version+1, mishap)
+			if err := world.Put(version+1, version); err != nil {
+				world.broke("%d: %v", version+1, err)
 			}
 			world.Rest(time.Second)
 		}
@@ -114,8 +114,8 @@
 		leader := world.calm(test)
 		world.Cores[leader].Disk.Stall(true)
 		for version := uint64(1); version < 5; version++ {
-			if mishap := world.Put(version+1, version); mishap != nil {
-				world.broke("%d: %v", version+1, mishap)
+			if err := world.Put(version+1, version); err != nil {
+				world.broke("%d: %v", version+1, err)
 			}
 			world.Rest(time.Second)
 		}
@@ -130,8 +130,8 @@
 
 // lasts is the routing's serial that a core's disk would keep through a power loss.
 func (world *World) lasts(index int) uint64 {
-	store, mishap := control.OpenStore(world.Cores[index].Disk.Copy())
-	if mishap != nil {
+	store, err := control.OpenStore(world.Cores[index].Disk.Copy())
+	if err != nil {
 		return 0
 	}
 	return store.State().Accepted[wire.RoutingRegister].Value.Serial
--- a/sim/removal_test.go
+++ b/sim/removal_test.go
@@ -24,21 +24,21 @@
 func (world *World) membership(test *testing.T, client *operator.Client) *wire.MembershipStatus {
 	test.Helper()
 	var told *wire.MembershipStatus
-	var mishap error
-	if !world.Until(10*time.Second, func() bool { told, mishap = client.Cores(); return mishap == nil }) {
-		test.Fatalf("who votes: %v", mishap)
+	var err error
+	if !world.Until(10*time.Second, func() bool { told, err = client.Cores(); return err == nil }) {
+		test.Fatalf("who votes: %v", err)
 	}
 	return told
 }
 
 // remove sends the order until its answer is clear.
 func (world *World) remove(client *operator.Client, id int) (*operator.Removed, error) {
-	removed, mishap := client.RemoveCore(id)
-	for try := 0; try < 10 && mishap != nil && wire.KindOf(mishap).Status() >= 500; try++ {
+	removed, err := client.RemoveCore(id)
+	for try := 0; try < 10 && err != nil && wire.CodeOf(err).Status() >= 500; try++ {
 		world.Rest(300 * time.Millisecond)
-		removed, mishap = client.RemoveCore(id)
+		removed, err = client.RemoveCore(id)
 	}
-	return removed, mishap
+	return removed, err
 }
 
 // reportWithSpares leaves out what World judges of leaderships: it counts the disks of
@@ -62,11 +62,11 @@
 		client := world.Client(world.Daemons[1].Operate)
 		leader := world.Leader()
 		goes, stays := world.Cores[(leader+1)%3], world.Cores[(leader+2)%3]
-		if _, mishap := world.remove(client, goes.ID); mishap == nil || wire.KindOf(mishap) != wire.NoLearner {
-			test.Errorf("removed without a learner: %v", mishap)
+		if _, err := world.remove(client, goes.ID); err == nil || wire.CodeOf(err) != wire.NoLearner {
+			test.Errorf("removed without a learner: %v", err)
 		}
-		if _, mishap := world.remove(client, 9); mishap == nil || wire.KindOf(mishap) != wire.NotFound {
-			test.Errorf("removed one that never was: %v", mishap)
+		if _, err := world.remove(client, 9); err == nil || wire.CodeOf(err) != wire.NotFound {
+			test.Errorf("removed one that never was: %v", err)
 		}
 		if told := world.membership(test, client); voters(told) != "[1 2 3]" || told.Version != 1 || len(told.Learners) != 0 || len(told.Next) != 0 {
 			test.Errorf("at first %+v", told)
@@ -85,20 +85,20 @@
 				test.Errorf("the learner isn't ready: %+v", world.membership(test, client))
 			}
 			begin := time.Now()
-			removed, mishap := world.remove(client, order.remove)
-			if mishap != nil {
-				test.Fatalf("core %d is not removed: %v", order.remove, mishap)
+			removed, err := world.remove(client, order.remove)
+			if err != nil {
+				test.Fatalf("core %d is not removed: %v", order.remove, err)
 			}
 			test.Logf("core %d removed after %v: version %d", order.remove, time.Since(begin), removed.Version)
 			slices.Sort(order.left)
 			if told := world.membership(test, client); voters(told) != fmt.Sprint(order.left) || told.Version != removed.Version || len(told.Next) != 0 {
 				test.Errorf("order %d: %+v", number, told)
 			}
-			if again, mishap := world.remove(client, order.remove); mishap != nil || !again.Again {
-				test.Errorf("the same order again: %+v %v", again, mishap)
+			if again, err := world.remove(client, order.remove); err != nil || !again.Again {
+				test.Errorf("the same order again: %+v %v", again, err)
 			}
-			if mishap := world.changeSettings(client, uint64(number)); mishap != nil {
-				test.Errorf("a change after order %d: %v", number, mishap)
+			if err := world.changeSettings(client, uint64(number)); err != nil {
+				test.Errorf("a change after order %d: %v", number, err)
 			}
 			for index, core := range world.Cores {
 				if core.ID == order.remove {
@@ -112,16 +112,16 @@
 
 // changeSettings makes a change of the settings in force.
 func (world *World) changeSettings(client *operator.Client, number uint64) error {
-	var mishap error
+	var err error
 	world.Until(10*time.Second, func() bool {
 		var held *operator.Settings
-		if held, mishap = client.Read(false); mishap != nil {
+		if held, err = client.Read(false); err != nil {
 			return false
 		}
-		_, mishap = client.Put(operator.Change{Base: held.Serial, Change: fmt.Sprint("change-", number), Settings: Settings(900 + int(number))})
-		return mishap == nil
+		_, err = client.Put(operator.Change{Base: held.Serial, Change: fmt.Sprint("change-", number), Settings: Settings(900 + int(number))})
+		return err == nil
 	})
-	return mishap
+	return err
 }
 
 // Two operators remove two cores at once while one learner waits, and then one core
@@ -149,15 +149,15 @@
 			answers := make(chan error, len(ids))
 			for index, id := range ids {
 				world.threads.Start(func() {
-					_, mishap := world.remove(clients[index], id)
-					answers <- mishap
+					_, err := world.remove(clients[index], id)
+					answers <- err
 				})
 			}
 			for range ids {
-				if mishap := <-answers; mishap == nil {
+				if err := <-answers; err == nil {
 					removed++
-				} else if wire.KindOf(mishap) != wire.NoLearner {
-					test.Errorf("refused: %v", mishap)
+				} else if wire.CodeOf(err) != wire.NoLearner {
+					test.Errorf("refused: %v", err)
 				}
 			}
 			return removed
--- a/sim/replace.go
+++ b/sim/replace.go
@@ -149,8 +149,8 @@
 // region is the number of the region that a far core stands in.
 func (machine *Core) region() int {
 	region := 0
-	if _, fault := fmt.Sscanf(machine.Host, "10.%d.", &region); fault != nil {
-		panic(fmt.Sprintf("%s is no far core's host: %v", machine.Host, fault))
+	if _, err := fmt.Sscanf(machine.Host, "10.%d.", &region); err != nil {
+		panic(fmt.Sprintf("%s is no far core's host: %v", machine.Host, err))
 	}
 	return region / 10
 }
--- a/sim/replace_test.go
+++ b/sim/replace_test.go
@@ -442,20 +442,20 @@
 
 // refuses is whether a core that can't reach a majority acknowledges an order.
 func (one *trial) refuses(machine *Core) {
-	line := wire.NewLine(one.Net.Transport("10.8.0.1"))
+	line := wire.NewClient(one.Net.Transport("10.8.0.1"))
 	defer line.Close()
 	for _, ask := range []func() error{
 		func() error {
-			_, fault := wire.Ask[wire.RouteChange, wire.RouteChangeTold](line, machine.Wire, "routechange", time.Second, Whole(1000+one.newest, one.newest))
-			return fault
+			_, err := wire.Call[wire.RoutingChangeRequest, wire.RoutingChangeResponse](line, machine.Wire, "routechange", time.Second, Whole(1000+one.newest, one.newest))
+			return err
 		},
 		func() error {
-			_, fault := wire.Ask[wire.Evacuate, wire.EvacuateTold](line, machine.Wire, "evacuate", time.Second, &wire.Evacuate{Zone: "z-not", Begin: true})
-			return fault
+			_, err := wire.Call[wire.EvacuateRequest, wire.EvacuateResponse](line, machine.Wire, "evacuate", time.Second, &wire.EvacuateRequest{Zone: "z-not", Begin: true})
+			return err
 		},
 		func() error {
-			_, fault := wire.Ask[wire.RouteRead, wire.RouteReadTold](line, machine.Wire, "routeread", time.Second, &wire.RouteRead{})
-			return fault
+			_, err := wire.Call[wire.RoutingReadRequest, wire.RoutingReadResponse](line, machine.Wire, "routeread", time.Second, &wire.RoutingReadRequest{})
+			return err
 		},
 	} {
 		if ask() == nil {
@@ -545,8 +545,8 @@
 
 // voterID is the number under which a machine votes by its own disk, 0 for none.
 func voterID(machine *Core) int {
-	store, mishap := control.OpenStore(machine.Disk.Copy())
-	if mishap != nil || store.State().Voters() == nil {
+	store, err := control.OpenStore(machine.Disk.Copy())
+	if err != nil || store.State().Voters() == nil {
 		return 0
 	}
 	for _, peer := range store.State().Voters().Voters {
--- a/sim/replaced_test.go
+++ b/sim/replaced_test.go
@@ -28,19 +28,19 @@
 		seeds = append(seeds, core.Wire)
 	}
 	place := control.Place{Zone: "z", Wire: spare.Wire, Operate: spare.Operate, Seeds: seeds, Least: 1, Platform: world.platformAddress(), Beat: Beat, Suspect: Suspect, Seed: world.Seed + uint64(number)*7919}
-	if mishap := place.Check(); mishap != nil {
-		world.broke("spare %d: %v", number, mishap)
+	if err := place.Check(); err != nil {
+		world.broke("spare %d: %v", number, err)
 	}
-	spare.threads, spare.line = run.NewThreads(), wire.NewLine(world.Net.Transport(host))
+	spare.threads, spare.line = run.NewThreads(), wire.NewClient(world.Net.Transport(host))
 	finder := member.NewFinder(spare.line, spare.threads, seeds)
 	place.MembersChanged = finder.Learn
-	core, mishap := control.NewCore(place, spare.Disk, spare.line, spare.threads, spare.counts)
-	if mishap != nil {
-		world.broke("spare %d does not start: %v", number, mishap)
+	core, err := control.NewCore(place, spare.Disk, spare.line, spare.threads, spare.counts)
+	if err != nil {
+		world.broke("spare %d does not start: %v", number, err)
 		return spare
 	}
 	spare.Core.Core, spare.Alive = core, true
-	door := wire.NewDoor(spare.counts)
+	door := wire.NewServer(spare.counts)
 	core.Register(door)
 	spare.Hold = member.NewHold(finder, spare.line, spare.counts)
 	operate := member.NewOperate(fmt.Sprint("spare-", number), spare.Hold, spare.counts, core.Settings, core.Sound)
@@ -72,8 +72,8 @@
 
 // wholeClaims is whether a core says that it lacks no claim it should hold.
 func wholeClaims(core *Core) bool {
-	told, fault := wire.Ask[wire.Pull, wire.PullTold](core.line, core.Wire, "pull", time.Second, &wire.Pull{})
-	return fault == nil && told.Whole
+	told, err := wire.Call[wire.FetchClaimsRequest, wire.FetchClaimsResponse](core.line, core.Wire, "pull", time.Second, &wire.FetchClaimsRequest{})
+	return err == nil && told.Complete
 }
 
 // upWithKeepers starts the system with a backend in each zone, and waits until all
--- a/sim/returned_test.go
+++ b/sim/returned_test.go
@@ -33,8 +33,8 @@
 		spare := world.replaceCore(test, old, 1)
 		defer world.EndSpare(spare)
 		client := world.Client(world.Daemons[1].Operate)
-		if mishap := world.changeSettings(client, 1); mishap != nil {
-			test.Fatalf("after the replacement: %v", mishap)
+		if err := world.changeSettings(client, 1); err != nil {
+			test.Fatalf("after the replacement: %v", err)
 		}
 		for _, index := range []int{one, two} {
 			world.KillCore(index, true)
@@ -47,8 +47,8 @@
 			test.Errorf("a replaced core makes a majority: leader %d, it votes: %v", world.Leader(), world.Cores[old].Core.Sound())
 		}
 		world.Net.Freeze(spare.Host, false)
-		if mishap := world.changeSettings(client, 2); mishap != nil {
-			test.Errorf("with one founding core and the spare one: %v", mishap)
+		if err := world.changeSettings(client, 2); err != nil {
+			test.Errorf("with one founding core and the spare one: %v", err)
 		}
 		again := func() bool {
 			told := world.membership(test, client)
@@ -64,8 +64,8 @@
 		if world.Cores[two].Core.Sound() {
 			test.Error("the next replaced core votes when it is back")
 		}
-		if mishap := world.changeSettings(client, 3); mishap != nil {
-			test.Errorf("at the end: %v", mishap)
+		if err := world.changeSettings(client, 3); err != nil {
+			test.Errorf("at the end: %v", err)
 		}
 		world.reportWithSpares(test)
 	})
@@ -79,8 +79,8 @@
 		defer world.Close()
 		world.up(test, 2)
 		client := world.Client(world.Cores[0].Operate)
-		if mishap := world.changeSettings(client, 1); mishap != nil {
-			test.Fatal(mishap)
+		if err := world.changeSettings(client, 1); err != nil {
+			test.Fatal(err)
 		}
 		for index := range world.Cores {
 			world.KillCore(index, true)
@@ -98,13 +98,13 @@
 			}
 		}
 		client = world.Client(world.Cores[0].Operate)
-		if mishap := world.changeSettings(client, 2); mishap != nil {
-			test.Error(mishap)
+		if err := world.changeSettings(client, 2); err != nil {
+			test.Error(err)
 		}
 		world.KillCore((int(seed)+1)%3, true)
 		client = world.Client(moved.Operate)
-		if mishap := world.changeSettings(client, 3); mishap != nil {
-			test.Errorf("with the moved core and one other: %v", mishap)
+		if err := world.changeSettings(client, 3); err != nil {
+			test.Errorf("with the moved core and one other: %v", err)
 		}
 		told := world.membership(test, client)
 		if told.Version != 1 || voters(told) != "[1 2 3]" || told.Voters[moved.ID-1].Address != moved.Wire {
--- a/sim/roster_test.go
+++ b/sim/roster_test.go
@@ -14,8 +14,8 @@
 func (world *World) rosters() map[string]int {
 	held := map[string]int{}
 	for _, machine := range world.Cores {
-		store, mishap := control.OpenStore(machine.Disk.Copy())
-		if mishap == nil && store.State().Voters() != nil {
+		store, err := control.OpenStore(machine.Disk.Copy())
+		if err == nil && store.State().Voters() != nil {
 			held[fmt.Sprint(store.State().Voters().Voters)]++
 		}
 	}
@@ -35,8 +35,8 @@
 	}
 	if !world.Until(10*time.Second, func() bool { return world.Leader() >= 0 }) {
 		world.broke("%s: no leader", what)
-	} else if mishap := world.Put(1, 0); mishap != nil {
-		world.broke("%s: %v", what, mishap)
+	} else if err := world.Put(1, 0); err != nil {
+		world.broke("%s: %v", what, err)
 	}
 }
 
@@ -146,8 +146,8 @@
 			world.broke("a core outside the roster votes")
 		}
 		for version := uint64(2); version < 6; version++ {
-			if _, mishap := order[wire.RouteChange, wire.RouteChangeTold](world, world.holds()[3:], "routechange", Whole(version, version-1)); mishap != nil {
-				world.broke("through the late core: %v", mishap)
+			if _, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world, world.holds()[3:], "routechange", Whole(version, version-1)); err != nil {
+				world.broke("through the late core: %v", err)
 			}
 			leader := world.Leader()
 			world.KillCore(leader, true)
@@ -172,8 +172,8 @@
 			world.oneRoster(test, "at first", cores)
 			for round := range 4 {
 				lost := (int(seed) + round) % cores
-				if mishap := world.Put(uint64(round+2), uint64(round+1)); mishap != nil {
-					world.broke("%v", mishap)
+				if err := world.Put(uint64(round+2), uint64(round+1)); err != nil {
+					world.broke("%v", err)
 				}
 				world.WipeCore(lost)
 				world.Rest(time.Duration(round) * 400 * time.Millisecond)
@@ -181,9 +181,9 @@
 				if !world.Until(15*time.Second, func() bool { return world.Cores[lost].Core.Sound() }) {
 					world.broke("core %d does not vote again", lost)
 				}
-				book, mishap := world.Book()
-				if mishap != nil || book.Config.Version != uint64(round+2) {
-					world.broke("read back %+v %v", book, mishap)
+				book, err := world.Book()
+				if err != nil || book.Config.Version != uint64(round+2) {
+					world.broke("read back %+v %v", book, err)
 				}
 			}
 			if held := world.rosters(); len(held) != 1 {
--- a/sim/routing_test.go
+++ b/sim/routing_test.go
@@ -24,8 +24,8 @@
 	if !world.Until(10*time.Second, func() bool { return world.Leader() >= 0 }) {
 		test.Fatal("no leader")
 	}
-	if mishap := world.Put(1, 0); mishap != nil {
-		test.Fatal(mishap)
+	if err := world.Put(1, 0); err != nil {
+		test.Fatal(err)
 	}
 	if !world.Until(5*time.Second, world.membersReady) {
 		test.Fatal("members not ready")
@@ -64,11 +64,11 @@
 		world.farUp(test, 3)
 		for _, step := range []struct {
 			version, base uint64
-			want          wire.Kind
+			want          wire.Code
 		}{{5, 1, ""}, {5, 1, ""}, {1, 0, ""}, {4, 5, wire.StaleVersion}, {5, 5, wire.StaleVersion}, {9, 1, wire.StaleBase}, {9, 5, ""}} {
-			got := wire.Kind("")
-			if mishap := world.Put(step.version, step.base); mishap != nil {
-				got = wire.KindOf(mishap)
+			got := wire.Code("")
+			if err := world.Put(step.version, step.base); err != nil {
+				got = wire.CodeOf(err)
 			}
 			if got != step.want {
 				world.broke("%d on %d: %q, want %q", step.version, step.base, got, step.want)
@@ -76,8 +76,8 @@
 		}
 		invalid := Routing(10)
 		invalid.Routes[0].Service = "nobody"
-		body, _ := wire.Pack(&route.Change{Version: 10, Base: 9, Digest: "wrong", Whole: invalid})
-		if _, mishap := order[wire.RouteChange, wire.RouteChangeTold](world, world.holds(), "routechange", &wire.RouteChange{Body: body}); mishap == nil {
+		body, _ := wire.Marshal(&route.Change{Version: 10, Base: 9, Digest: "wrong", Whole: invalid})
+		if _, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world, world.holds(), "routechange", &wire.RoutingChangeRequest{Body: body}); err == nil {
 			world.broke("an invalid routing was taken")
 		}
 		last := uint64(9)
@@ -87,10 +87,10 @@
 			for racer := range uint64(2) {
 				version := last + 1 + racer
 				world.threads.Start(func() {
-					_, mishap := order[wire.RouteChange, wire.RouteChangeTold](world, world.holds()[racer:], "routechange", Whole(version, last))
+					_, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world, world.holds()[racer:], "routechange", Whole(version, last))
 					mutex.Lock()
 					defer mutex.Unlock()
-					if done++; mishap == nil {
+					if done++; err == nil {
 						taken = append(taken, version)
 					} else {
 						refused++
@@ -110,9 +110,9 @@
 			if len(taken) != 1 || refused != 1 {
 				world.broke("round %d on %d: %v taken, %d refused", round, last, taken, refused)
 			}
-			book, mishap := world.Book()
-			if mishap != nil || len(taken) > 0 && book.Config.Version != taken[0] {
-				world.broke("round %d: %v taken, read back %+v %v", round, taken, book, mishap)
+			book, err := world.Book()
+			if err != nil || len(taken) > 0 && book.Config.Version != taken[0] {
+				world.broke("round %d: %v taken, read back %+v %v", round, taken, book, err)
 				break
 			}
 			last = book.Config.Version
@@ -131,18 +131,18 @@
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 1)
-		if mishap := world.Evacuate("z1", true); mishap != nil {
-			test.Fatal(mishap)
+		if err := world.Evacuate("z1", true); err != nil {
+			test.Fatal(err)
 		}
 		more := Routing(2).Routes
 		more[0].Prefix = "/b/"
-		body, _ := wire.Pack(&route.Change{Version: 2, Base: 1, Digest: "patch", Patch: &route.Patch{Routes: more}})
-		if _, mishap := order[wire.RouteChange, wire.RouteChangeTold](world, world.holds(), "routechange", &wire.RouteChange{Body: body}); mishap != nil {
-			test.Fatal(mishap)
+		body, _ := wire.Marshal(&route.Change{Version: 2, Base: 1, Digest: "patch", Patch: &route.Patch{Routes: more}})
+		if _, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world, world.holds(), "routechange", &wire.RoutingChangeRequest{Body: body}); err != nil {
+			test.Fatal(err)
 		}
-		book, mishap := world.Book()
-		if mishap != nil || book.Config.Version != 2 || len(book.Config.Routes) != 2 || fmt.Sprint(book.Evacuated) != "[z1]" {
-			world.broke("after the patch: %+v %v", book, mishap)
+		book, err := world.Book()
+		if err != nil || book.Config.Version != 2 || len(book.Config.Routes) != 2 || fmt.Sprint(book.Evacuated) != "[z1]" {
+			world.broke("after the patch: %+v %v", book, err)
 		}
 		if took, whole := world.reached(2, time.Second); !whole {
 			world.broke("not everywhere after %v", took)
@@ -163,12 +163,12 @@
 		version, want := uint64(1), map[string]bool{}
 		for round := range 9 {
 			zone := fmt.Sprint("z", round%4)
-			if mishap := world.Evacuate(zone, !want[zone]); mishap != nil {
-				test.Fatal(mishap)
+			if err := world.Evacuate(zone, !want[zone]); err != nil {
+				test.Fatal(err)
 			}
 			want[zone] = !want[zone]
-			if mishap := world.Put(version+1, version); mishap != nil {
-				test.Fatal(mishap)
+			if err := world.Put(version+1, version); err != nil {
+				test.Fatal(err)
 			}
 			version++
 			switch leader := world.Leader(); round % 3 {
@@ -193,9 +193,9 @@
 			if !world.Until(15*time.Second, func() bool { return world.Leader() >= 0 }) {
 				test.Fatal("no leader")
 			}
-			book, mishap := world.Book()
-			if mishap != nil {
-				test.Fatal(mishap)
+			book, err := world.Book()
+			if err != nil {
+				test.Fatal(err)
 			}
 			held := map[string]bool{}
 			for _, zone := range book.Evacuated {
@@ -250,10 +250,10 @@
 				world.isolate(leader, true)
 			}
 			begin := time.Now()
-			_, mishap := order[wire.RouteChange, wire.RouteChangeTold](world, holds, "routechange", Whole(version+1, version))
+			_, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world, holds, "routechange", Whole(version+1, version))
 			wait := time.Since(begin)
-			if mishap != nil {
-				test.Fatalf("%s: %v", kind, mishap)
+			if err != nil {
+				test.Fatalf("%s: %v", kind, err)
 			}
 			version++
 			spread, whole := world.reached(version, 5*time.Second)
@@ -274,8 +274,8 @@
 			case "cut":
 				world.isolate(leader, false)
 			case "planned":
-				if _, mishap := world.evacuateBy(holds[:1], "z", true); mishap != nil {
-					world.broke("a retired core does not forward: %v", mishap)
+				if _, err := world.evacuateBy(holds[:1], "z", true); err != nil {
+					world.broke("a retired core does not forward: %v", err)
 				}
 				world.KillCore(leader, false)
 				world.StartCore(leader)
@@ -301,8 +301,8 @@
 			}
 		}
 		cut(true)
-		if mishap := world.Put(2, 1); mishap != nil {
-			test.Fatal(mishap)
+		if err := world.Put(2, 1); err != nil {
+			test.Fatal(err)
 		}
 		for range 100 {
 			world.Rest(100 * time.Millisecond)
@@ -341,10 +341,10 @@
 					if left = left || backend.Leaving; left && !backend.Leaving {
 						world.broke("a backend stays again")
 					}
-					if warm > 0 && backend.WarmAt != 0 && backend.WarmAt != warm {
-						world.broke("warm at %d, then %d", warm, backend.WarmAt)
+					if warm > 0 && backend.WarmAtMs != 0 && backend.WarmAtMs != warm {
+						world.broke("warm at %d, then %d", warm, backend.WarmAtMs)
 					}
-					warm = backend.WarmAt
+					warm = backend.WarmAtMs
 				}
 			}
 			if held := world.Members[0].Daemon.Version().Table.Backends; len(held) != 0 || !left {
@@ -359,9 +359,9 @@
 			if call > 40 {
 				return nil
 			}
-			one := wire.Backend{Name: "b", Service: "desk", Address: "10.9.9.9:80", Slots: 4, WarmAt: warm + int64(call%5)*90, Leaving: call > 15 && call%3 > 0}
+			one := wire.Backend{Name: "b", Service: "desk", Address: "10.9.9.9:80", Capacity: 4, WarmAtMs: warm + int64(call%5)*90, Leaving: call > 15 && call%3 > 0}
 			if call%4 == 0 {
-				one.WarmAt = 0
+				one.WarmAtMs = 0
 			}
 			return []wire.Backend{one}
 		})
--- a/sim/scale_test.go
+++ b/sim/scale_test.go
@@ -45,15 +45,15 @@
 			perDaemon[size] = float64(later-calm) / 10 / float64(size)
 			slowest := time.Duration(0)
 			for number := range 5 {
-				outcome, mishap := world.Client(world.Cores[0].Operate).Put(operator.Change{Base: uint64(1 + number), Change: fmt.Sprint("scale-", number), Settings: Settings(2000 + number)})
-				if mishap != nil {
-					test.Fatal(mishap)
+				outcome, err := world.Client(world.Cores[0].Operate).Put(operator.Change{Base: uint64(1 + number), Change: fmt.Sprint("scale-", number), Settings: Settings(2000 + number)})
+				if err != nil {
+					test.Fatal(err)
 				}
 				slowest = max(slowest, world.everywhere(test, outcome.Serial))
 			}
 			large := map[string]any{}
-			if fault := json.Unmarshal(Settings(3000), &large); fault != nil {
-				test.Fatal(fault)
+			if err := json.Unmarshal(Settings(3000), &large); err != nil {
+				test.Fatal(err)
 			}
 			routes := map[string]any{}
 			for index := range 2000 {
@@ -61,9 +61,9 @@
 			}
 			large["classes"].(map[string]any)["pages"].(map[string]any)["services"].(map[string]any)["bulk"] = map[string]any{"routes": routes}
 			body, _ := json.Marshal(large)
-			outcome, mishap := world.Client(world.Cores[0].Operate).Put(operator.Change{Base: 6, Change: "scale-large", Settings: body})
-			if mishap != nil {
-				test.Fatal(mishap)
+			outcome, err := world.Client(world.Cores[0].Operate).Put(operator.Change{Base: 6, Change: "scale-large", Settings: body})
+			if err != nil {
+				test.Fatal(err)
 			}
 			slowLarge := world.everywhere(test, outcome.Serial)
 			leader := world.Leader()
--- a/sim/start_test.go
+++ b/sim/start_test.go
@@ -10,8 +10,8 @@
 func (world *World) first(test *testing.T) {
 	test.Helper()
 	if !world.Until(10*time.Second, func() bool {
-		_, mishap := world.Client(world.Cores[0].Operate).Put(operator.Change{Base: 0, Change: "first", Settings: Settings(1000)})
-		return mishap == nil
+		_, err := world.Client(world.Cores[0].Operate).Put(operator.Change{Base: 0, Change: "first", Settings: Settings(1000)})
+		return err == nil
 	}) {
 		test.Fatal("no first settings")
 	}
--- a/sim/stop_test.go
+++ b/sim/stop_test.go
@@ -22,8 +22,8 @@
 			world.AddBackend("meters", zone, stand.BackendPlace{WorkMs: 5, Room: 64})
 		}
 		world.up(test, 6)
-		if _, mishap := world.Client(world.Cores[0].Operate).Patch(operator.Change{Base: 1, Change: "hold", Settings: []byte(`{"rule":{"hold_ms":8000}}`)}); mishap != nil {
-			test.Fatal(mishap)
+		if _, err := world.Client(world.Cores[0].Operate).Patch(operator.Change{Base: 1, Change: "hold", Settings: []byte(`{"rule":{"hold_ms":8000}}`)}); err != nil {
+			test.Fatal(err)
 		}
 		plan := world.plan(25, 600)
 		plan.Patient, plan.Tries = true, 8
--- a/sim/trial_test.go
+++ b/sim/trial_test.go
@@ -39,8 +39,8 @@
 	one := &trial{World: NewFarWorld(seed, cores), test: test, name: fmt.Sprintf("%d cores, %s", cores, name), random: rand.New(rand.NewPCG(seed, 53)), newest: 1}
 	one.farUp(test, members)
 	one.calm(test)
-	if mishap := one.Evacuate(evacuatedOne, true); mishap != nil {
-		test.Fatal(one.name, mishap)
+	if err := one.Evacuate(evacuatedOne, true); err != nil {
+		test.Fatal(one.name, err)
 	}
 	one.mustOrder("at first")
 	return one
@@ -75,17 +75,17 @@
 			one.Rest(orderRest)
 			continue
 		}
-		_, mishap := member.Send[wire.RouteChange, wire.RouteChangeTold](holds[try%len(holds)], "routechange", Whole(one.newest+1, one.newest))
+		_, err := member.Send[wire.RoutingChangeRequest, wire.RoutingChangeResponse](holds[try%len(holds)], "routechange", Whole(one.newest+1, one.newest))
 		switch {
-		case mishap == nil && lost:
+		case err == nil && lost:
 			lost = false
 			continue
-		case mishap == nil:
+		case err == nil:
 			one.newest++
 			one.orders++
 			return true
-		case wire.AsMishap(mishap).Retry == 0:
-			one.broke("%d on %d is refused: %v", one.newest+1, one.newest, mishap)
+		case wire.AsError(err).RetryAfterMs == 0:
+			one.broke("%d on %d is refused: %v", one.newest+1, one.newest, err)
 			return false
 		}
 		one.Rest(orderRest)
@@ -104,10 +104,10 @@
 // orders are acknowledged.
 func (one *trial) keepsAll(what string) {
 	one.mustOrder(what)
-	book, mishap := one.Book()
+	book, err := one.Book()
 	switch {
-	case mishap != nil:
-		one.broke("%s: no read back: %v", what, mishap)
+	case err != nil:
+		one.broke("%s: no read back: %v", what, err)
 	case book.Config.Version != one.newest:
 		one.broke("%s: %d was acknowledged, %d read back", what, one.newest, book.Config.Version)
 	case !slices.Contains(book.Evacuated, evacuatedOne):
@@ -131,8 +131,8 @@
 // seats are the addresses of those that vote by what a disk holds, in a step between
 // two groups those of both.
 func seats(disk *Disk) []string {
-	store, mishap := control.OpenStore(disk.Copy())
-	if mishap != nil {
+	store, err := control.OpenStore(disk.Copy())
+	if err != nil {
 		return nil
 	}
 	membership := store.State().Voters()
--- a/sim/world.go
+++ b/sim/world.go
@@ -72,7 +72,7 @@
 	Alive   bool
 	threads *run.Threads
 	servers []*http.Server
-	line    *wire.Line
+	line    *wire.Client
 	highest uint64
 	Lender  *Daemon
 }
@@ -116,9 +116,9 @@
 }
 
 func (world *World) serve(threads *run.Threads, address string, handler http.Handler) *http.Server {
-	open, fault := world.Net.Listen(address)
-	if fault != nil {
-		world.broke("listen %s: %v", address, fault)
+	open, err := world.Net.Listen(address)
+	if err != nil {
+		world.broke("listen %s: %v", address, err)
 		return &http.Server{}
 	}
 	server := &http.Server{Handler: handler}
@@ -161,7 +161,7 @@
 	}
 	spot := member.Place{Name: daemon.Name, Kind: daemon.Kind, Zone: daemon.Zone, Wire: daemon.Wire, Outer: daemon.Outer, Operate: daemon.Operate, Seeds: seeds, Guest: daemon.Lender != nil}
 	daemon.threads, daemon.Counts = run.NewThreads(), run.NewCounts()
-	daemon.line = wire.NewLine(world.Net.Transport(daemon.Host))
+	daemon.line = wire.NewClient(world.Net.Transport(daemon.Host))
 	made := member.NewDaemon(spot, member.NewID(), daemon.line, daemon.threads, daemon.Counts)
 	world.mutex.Lock()
 	daemon.Daemon = made
@@ -179,7 +179,7 @@
 		outer = directory
 		daemon.Daemon.Serve(func(version *member.Version) { world.takes(daemon, version); directory.Apply(version) }, nil)
 	}
-	door := wire.NewDoor(daemon.Counts)
+	door := wire.NewServer(daemon.Counts)
 	daemon.Daemon.Register(door)
 	if daemon.Proxy != nil {
 		daemon.Proxy.Register(door)
--- a/stand/backend.go
+++ b/stand/backend.go
@@ -92,9 +92,9 @@
 }
 
 // Misbehave makes the next count requests end with the named fault.
-func (backend *Backend) Misbehave(fault string, count int) {
+func (backend *Backend) Misbehave(err string, count int) {
 	backend.mutex.Lock()
-	backend.fault, backend.faults = fault, count
+	backend.fault, backend.faults = err, count
 	backend.mutex.Unlock()
 }
 
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -8,7 +8,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-const messageLimit = 32 << 20
+const maxMessageBytes = 32 << 20
 
 // Codec is msgpack on plain structs; a field nobody knows is refused.
 type Codec struct{}
@@ -22,45 +22,45 @@
 	if sealed, able := message.(interface{ body() []byte }); able && sealed.body() != nil {
 		return slices.Clone(sealed.body()), nil
 	}
-	return pack(message)
+	return marshal(message)
 }
 
 // Unmarshal reads a message and checks it by its Check method, where it has one.
 func (Codec) Unmarshal(body []byte, message any) error {
-	if mishap := unpack(body, message); mishap != nil {
-		return mishap
+	if err := unmarshal(body, message); err != nil {
+		return err
 	}
 	if checked, able := message.(interface{ Check() error }); able {
-		if mishap := checked.Check(); mishap != nil {
-			return mishap
+		if err := checked.Check(); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-func pack(message any) ([]byte, error) {
-	body, fault := msgpack.Marshal(message)
-	if fault != nil {
-		return nil, New(BadMessage, "%T: %v", message, fault)
+func marshal(message any) ([]byte, error) {
+	body, err := msgpack.Marshal(message)
+	if err != nil {
+		return nil, Errorf(BadMessage, "%T: %v", message, err)
 	}
 	return body, nil
 }
 
-func unpack(body []byte, message any) error {
+func unmarshal(body []byte, message any) error {
 	reader := bytes.NewReader(body)
 	decoder := msgpack.NewDecoder(reader)
 	decoder.DisallowUnknownFields(true)
-	if fault := decoder.Decode(message); fault != nil {
-		return New(BadMessage, "%T: %v", message, fault)
+	if err := decoder.Decode(message); err != nil {
+		return Errorf(BadMessage, "%T: %v", message, err)
 	}
 	if reader.Len() > 0 {
-		return New(BadMessage, "%T: %d bytes too many", message, reader.Len())
+		return Errorf(BadMessage, "%T: %d bytes too many", message, reader.Len())
 	}
 	return nil
 }
 
-// Pack and Unpack serve the store, which keeps the same structs.
-func Pack(message any) ([]byte, error) { return pack(message) }
+// Marshal and Unpack serve the store, which keeps the same structs.
+func Marshal(message any) ([]byte, error) { return marshal(message) }
 
-// Unpack reads what Pack made; unknown fields and trailing bytes are refused.
-func Unpack(body []byte, message any) error { return unpack(body, message) }
+// Unmarshal reads what Pack made; unknown fields and trailing bytes are refused.
+func Unmarshal(body []byte, message any) error { return unmarshal(body, message) }
--- a/wire/codec_test.go
+++ b/wire/codec_test.go
@@ -15,11 +15,11 @@
 // wrong type and what lies out of range is refused and counted, and the door lives on.
 func TestDoorRefusesOneFieldAtATime(test *testing.T) {
 	counts := run.NewCounts()
-	door := NewDoor(counts)
+	door := NewServer(counts)
 	taken := 0
-	Take(door, "beat", func(context.Context, *Beat) (*BeatTold, error) {
+	Handle(door, "beat", func(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error) {
 		taken++
-		return &BeatTold{Taken: true}, nil
+		return &HeartbeatResponse{Accepted: true}, nil
 	})
 	good := map[string]any{"Ballot": map[string]any{"Round": 3, "Core": 1}, "Duck": false}
 	send := func(path, kind string, body []byte) int {
@@ -35,9 +35,9 @@
 			message[name] = value
 		}
 		change(message)
-		body, fault := msgpack.Marshal(message)
-		if fault != nil {
-			test.Fatal(fault)
+		body, err := msgpack.Marshal(message)
+		if err != nil {
+			test.Fatal(err)
 		}
 		return body
 	}
@@ -54,7 +54,7 @@
 		"no ballot":          pack(func(message map[string]any) { delete(message, "Ballot") }),
 		"round 0":            pack(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 0, "Core": 1} }),
 		"core 0":             pack(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 3, "Core": 0} }),
-		"core too high":      pack(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 3, "Core": PeerMost + 1} }),
+		"core too high":      pack(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 3, "Core": MaxPeerID + 1} }),
 		"truncated":          plain[:len(plain)-1],
 		"bytes behind":       append(append([]byte{}, plain...), 0),
 		"not msgpack":        []byte("{\"Ballot\":1}"),
@@ -83,22 +83,22 @@
 // A branch whose digest is not its text's is refused, and nothing of its message is taken.
 func TestDamagedBranchIsRefused(test *testing.T) {
 	text := []byte(`{"a":1}`)
-	good := &PartsTold{Texts: Texts{DigestOf(text): text}}
-	body, fault := Codec{}.Marshal(good)
-	if fault != nil || (Codec{}).Unmarshal(body, &PartsTold{}) != nil {
+	good := &FetchChunksResponse{Chunks: Chunks{DigestOf(text): text}}
+	body, err := Codec{}.Marshal(good)
+	if err != nil || (Codec{}).Unmarshal(body, &FetchChunksResponse{}) != nil {
 		test.Fatal("the good message is refused")
 	}
 	for index := range text {
 		worn := append([]byte{}, text...)
 		worn[index] ^= 4
-		for name, message := range map[string]any{"parts": &PartsTold{Texts: Texts{DigestOf(text): worn}}, "accept": &Accept{Ballot: Ballot{Round: 1, Core: 1}, Texts: Texts{DigestOf(text): worn}}} {
+		for name, message := range map[string]any{"parts": &FetchChunksResponse{Chunks: Chunks{DigestOf(text): worn}}, "accept": &AcceptRequest{Term: Term{Number: 1, Core: 1}, Chunks: Chunks{DigestOf(text): worn}}} {
 			body, _ := Codec{}.Marshal(message)
-			into := any(&PartsTold{})
+			into := any(&FetchChunksResponse{})
 			if name == "accept" {
-				into = &Accept{}
+				into = &AcceptRequest{}
 			}
-			if fault := (Codec{}).Unmarshal(body, into); KindOf(fault) != DamagedPart {
-				test.Errorf("%s with byte %d worn: %v", name, index, fault)
+			if err := (Codec{}).Unmarshal(body, into); CodeOf(err) != CorruptChunk {
+				test.Errorf("%s with byte %d worn: %v", name, index, err)
 			}
 		}
 	}
--- a/wire/door.go
+++ b/wire/door.go
@@ -10,21 +10,21 @@
 	"connectrpc.com/connect"
 )
 
-// Door takes messages from other processes and counts what it refuses.
-type Door struct {
+// Server takes messages from other processes and counts what it refuses.
+type Server struct {
 	mux    *http.ServeMux
 	counts *run.Counts
-	known  map[string]bool
+	paths  map[string]bool
 }
 
-// NewDoor makes a door that takes nothing until messages are registered by Take.
-func NewDoor(counts *run.Counts) *Door {
-	return &Door{mux: http.NewServeMux(), counts: counts, known: map[string]bool{}}
+// NewServer makes a door that takes nothing until messages are registered by Take.
+func NewServer(counts *run.Counts) *Server {
+	return &Server{mux: http.NewServeMux(), counts: counts, paths: map[string]bool{}}
 }
 
 // ServeHTTP refuses unknown messages and content types, and hands on the others.
-func (door *Door) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	if !door.known[request.URL.Path] {
+func (door *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	if !door.paths[request.URL.Path] {
 		door.counts.Add("wire_unknown_message", 1)
 		http.Error(writer, string(UnknownMessage), http.StatusNotFound)
 		return
@@ -34,28 +34,28 @@
 		http.Error(writer, string(BadMessage), http.StatusUnsupportedMediaType)
 		return
 	}
-	request.Body = http.MaxBytesReader(writer, request.Body, messageLimit+1)
+	request.Body = http.MaxBytesReader(writer, request.Body, maxMessageBytes+1)
 	door.mux.ServeHTTP(writer, request)
 }
 
-// Take registers what answers one message.
-func Take[Asked, Told any](door *Door, name string, answer func(context.Context, *Asked) (*Told, error)) {
+// Handle registers what answers one message.
+func Handle[Asked, Told any](door *Server, name string, answer func(context.Context, *Asked) (*Told, error)) {
 	path := "/oj/" + name
-	door.known[path] = true
+	door.paths[path] = true
 	handler := connect.NewUnaryHandler(path,
 		func(ctx context.Context, request *connect.Request[Asked]) (*connect.Response[Told], error) {
-			told, fault := answer(ctx, request.Msg)
-			if fault != nil {
-				return nil, AsMishap(fault).toConnect()
+			told, err := answer(ctx, request.Msg)
+			if err != nil {
+				return nil, AsError(err).toConnect()
 			}
 			return connect.NewResponse(told), nil
 		},
 		connect.WithCodec(countingCodec{counts: door.counts}),
-		connect.WithReadMaxBytes(messageLimit),
+		connect.WithReadMaxBytes(maxMessageBytes),
 		connect.WithCompression("gzip", nil, nil),
 		connect.WithRecover(func(_ context.Context, _ connect.Spec, _ http.Header, cause any) error {
 			door.counts.Add("wire_handler_panic", 1)
-			return AsMishap(New(BadMessage, "handler: %v", cause)).toConnect()
+			return AsError(Errorf(BadMessage, "handler: %v", cause)).toConnect()
 		}))
 	door.mux.Handle(path, handler)
 }
@@ -66,9 +66,9 @@
 }
 
 func (codec countingCodec) Unmarshal(body []byte, message any) error {
-	fault := codec.Codec.Unmarshal(body, message)
-	if fault != nil {
+	err := codec.Codec.Unmarshal(body, message)
+	if err != nil {
 		codec.counts.Add("wire_bad_message", 1)
 	}
-	return fault
+	return err
 }
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -11,30 +11,30 @@
 // run side by side, and disks hold some of these structures.
 func goldenMessages() map[string]any {
 	return map[string]any{
-		"Change": &Change{}, "ChangeTold": &ChangeTold{}, "Read": &Read{}, "ReadTold": &ReadTold{},
-		"Status": &Status{}, "StatusTold": &StatusTold{},
-		"Claim": &Claim{}, "ClaimTold": &ClaimTold{}, "Settle": &Settle{}, "SettleTold": &SettleTold{},
-		"Holds": &Holds{}, "HoldsTold": &HoldsTold{}, "Retell": &Retell{}, "RetellTold": &RetellTold{},
-		"Pull": &Pull{}, "PullTold": &PullTold{}, "Keep": &Keep{}, "KeepTold": &KeepTold{},
-		"Precheck": &Precheck{}, "PrecheckTold": &PrecheckTold{}, "Promise": &Promise{}, "PromiseTold": &PromiseTold{},
-		"Accept": &Accept{}, "AcceptTold": &AcceptTold{}, "Beat": &Beat{}, "BeatTold": &BeatTold{},
-		"StepDown": &StepDown{}, "StepDownTold": &StepDownTold{}, "Restore": &Restore{}, "RestoreTold": &RestoreTold{},
-		"Tell": &Tell{}, "TellTold": &TellTold{},
-		"Session": &Session{}, "SessionTold": &SessionTold{}, "Count": &Count{}, "CountTold": &CountTold{},
-		"Watch": &Watch{}, "WatchTold": &WatchTold{}, "Fetch": &Fetch{}, "FetchTold": &FetchTold{},
-		"Who": &Who{}, "WhoTold": &WhoTold{}, "Confirm": &Confirm{}, "ConfirmTold": &ConfirmTold{},
-		"Voters": &Voters{}, "Enlist": &Enlist{}, "EnlistTold": &EnlistTold{}, "Removal": &Removal{}, "RemovalTold": &RemovalTold{},
-		"Leave": &Leave{}, "LeaveTold": &LeaveTold{},
-		"Parts": &Parts{}, "PartsTold": &PartsTold{}, "Accepted": &Accepted{}, "Entry": &Entry{},
-		"RouteChange": &RouteChange{}, "RouteChangeTold": &RouteChangeTold{}, "RouteRead": &RouteRead{}, "RouteReadTold": &RouteReadTold{},
-		"Evacuate": &Evacuate{}, "EvacuateTold": &EvacuateTold{},
-		"Mishap": &Mishap{}, "Table": &Table{},
+		"Change": &ChangeRequest{}, "ChangeTold": &ChangeResponse{}, "Read": &ReadRequest{}, "ReadTold": &ReadResponse{},
+		"Status": &StatusRequest{}, "StatusTold": &StatusResponse{},
+		"Claim": &ClaimRequest{}, "ClaimTold": &ClaimResponse{}, "Settle": &CompleteClaimRequest{}, "SettleTold": &CompleteClaimResponse{},
+		"Holds": &QueryHolderRequest{}, "HoldsTold": &QueryHolderResponse{}, "Retell": &MergeClaimsRequest{}, "RetellTold": &MergeClaimsResponse{},
+		"Pull": &FetchClaimsRequest{}, "PullTold": &FetchClaimsResponse{}, "Keep": &RecordClaimsRequest{}, "KeepTold": &RecordClaimsResponse{},
+		"Precheck": &PreVoteRequest{}, "PrecheckTold": &PreVoteResponse{}, "Promise": &PrepareRequest{}, "PromiseTold": &PrepareResponse{},
+		"Accept": &AcceptRequest{}, "AcceptTold": &AcceptResponse{}, "Beat": &HeartbeatRequest{}, "BeatTold": &HeartbeatResponse{},
+		"StepDown": &TransferLeadershipRequest{}, "StepDownTold": &TransferLeadershipResponse{}, "Restore": &ReplicaStateRequest{}, "RestoreTold": &ReplicaStateResponse{},
+		"Tell": &ShareSessionsRequest{}, "TellTold": &ShareSessionsResponse{},
+		"Session": &Session{}, "SessionTold": &SessionResponse{}, "Count": &UsageCountRequest{}, "CountTold": &UsageCountResponse{},
+		"Watch": &WatchRequest{}, "WatchTold": &WatchResponse{}, "Fetch": &FetchRequest{}, "FetchTold": &FetchResponse{},
+		"Who": &LeaderRequest{}, "WhoTold": &LeaderResponse{}, "Confirm": &ReadIndexRequest{}, "ConfirmTold": &ReadIndexResponse{},
+		"Voters": &VoterSet{}, "Enlist": &JoinRequest{}, "EnlistTold": &JoinResponse{}, "Removal": &RemoveVoterRequest{}, "RemovalTold": &RemoveVoterResponse{},
+		"Leave": &LeaveRequest{}, "LeaveTold": &LeaveResponse{},
+		"Parts": &FetchChunksRequest{}, "PartsTold": &FetchChunksResponse{}, "Accepted": &AcceptedValue{}, "Entry": &HistoryEntry{},
+		"RouteChange": &RoutingChangeRequest{}, "RouteChangeTold": &RoutingChangeResponse{}, "RouteRead": &RoutingReadRequest{}, "RouteReadTold": &RoutingReadResponse{},
+		"Evacuate": &EvacuateRequest{}, "EvacuateTold": &EvacuateResponse{},
+		"Mishap": &Error{}, "Table": &Table{},
 	}
 }
 
 // Every message is encoded as it was when the file was written, byte for byte, and
 // what was written then is read back into equal messages.
 func TestMessageEncodingsStay(test *testing.T) {
-	format := golden.Format{Marshal: Codec{}.Marshal, Unmarshal: unpack}
+	format := golden.Format{Marshal: Codec{}.Marshal, Unmarshal: unmarshal}
 	format.Check(test, "testdata/messages.golden", goldenMessages())
 }
--- a/wire/line.go
+++ b/wire/line.go
@@ -9,47 +9,47 @@
 	"connectrpc.com/connect"
 )
 
-// Line calls other processes by address.
-type Line struct {
-	client *http.Client
-	mutex  sync.Mutex
-	made   map[string]any
+// Client calls other processes by address.
+type Client struct {
+	httpClient *http.Client
+	mutex      sync.Mutex
+	clients    map[string]any
 }
 
-// NewLine makes a line over a transport.
-func NewLine(transport http.RoundTripper) *Line {
-	return &Line{client: &http.Client{Transport: transport}, made: map[string]any{}}
+// NewClient makes a line over a transport.
+func NewClient(transport http.RoundTripper) *Client {
+	return &Client{httpClient: &http.Client{Transport: transport}, clients: map[string]any{}}
 }
 
 // Transport is what the line goes over.
-func (line *Line) Transport() http.RoundTripper { return line.client.Transport }
+func (line *Client) Transport() http.RoundTripper { return line.httpClient.Transport }
 
 // Close closes idle connections; calls under way go on.
-func (line *Line) Close() { line.client.CloseIdleConnections() }
+func (line *Client) Close() { line.httpClient.CloseIdleConnections() }
 
-// Ask sends one message and waits for its answer at most the limit.
-func Ask[Asked, Told any](line *Line, address, name string, limit time.Duration, asked *Asked) (*Told, error) {
-	return AskIn[Asked, Told](context.Background(), line, address, name, limit, asked)
+// Call sends one message and waits for its answer at most the limit.
+func Call[Asked, Told any](line *Client, address, name string, limit time.Duration, asked *Asked) (*Told, error) {
+	return CallContext[Asked, Told](context.Background(), line, address, name, limit, asked)
 }
 
-// AskIn is an Ask that ends with its context, too.
-func AskIn[Asked, Told any](within context.Context, line *Line, address, name string, limit time.Duration, asked *Asked) (*Told, error) {
+// CallContext is an Ask that ends with its context, too.
+func CallContext[Asked, Told any](within context.Context, line *Client, address, name string, limit time.Duration, asked *Asked) (*Told, error) {
 	if address == "" {
-		return nil, New(Unreachable, "no address for %s", name)
+		return nil, Errorf(Unreachable, "no address for %s", name)
 	}
 	url := "http://" + address + "/oj/" + name
 	line.mutex.Lock()
-	client, found := line.made[url].(*connect.Client[Asked, Told])
+	client, found := line.clients[url].(*connect.Client[Asked, Told])
 	if !found {
-		client = connect.NewClient[Asked, Told](line.client, url, connect.WithCodec(Codec{}), connect.WithAcceptCompression("gzip", nil, nil), connect.WithReadMaxBytes(messageLimit))
-		line.made[url] = client
+		client = connect.NewClient[Asked, Told](line.httpClient, url, connect.WithCodec(Codec{}), connect.WithAcceptCompression("gzip", nil, nil), connect.WithReadMaxBytes(maxMessageBytes))
+		line.clients[url] = client
 	}
 	line.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(within, limit)
 	defer cancel()
-	response, fault := client.CallUnary(ctx, connect.NewRequest(asked))
-	if fault != nil {
-		return nil, fromConnect(fault)
+	response, err := client.CallUnary(ctx, connect.NewRequest(asked))
+	if err != nil {
+		return nil, fromConnect(err)
 	}
 	return response.Msg, nil
 }
