--- a/wire/member.go
+++ b/wire/member.go
@@ -4,7 +4,7 @@
 
 // Leader is who leads the cores, as far as the teller knows.
 type Leader struct {
-	Ballot  Ballot `json:"ballot"`
+	Ballot  Term   `json:"ballot"`
 	Core    int    `json:"core"`
 	Address string `json:"address"`
 }
@@ -14,30 +14,30 @@
 
 // Member is one daemon as the others see it.
 type Member struct {
-	Name        string  `json:"name"`
-	Kind        string  `json:"kind"`
-	Zone        string  `json:"zone"`
-	Wire        string  `json:"wire"`
-	Outer       string  `json:"outer"`
-	Operate     string  `json:"operate"`
-	Incarnation string  `json:"incarnation"`
-	Leaving     bool    `json:"leaving"`
-	Ready       bool    `json:"ready"`
-	Keeper      bool    `json:"keeper,omitempty"`
-	Demand      float64 `json:"demand,omitempty"`
-	Guest       bool    `json:"guest,omitempty"`
+	Name            string  `json:"name"`
+	Kind            string  `json:"kind"`
+	Zone            string  `json:"zone"`
+	InternalAddress string  `json:"wire" msgpack:"Wire"`
+	PublicAddress   string  `json:"outer" msgpack:"Outer"`
+	OperatorAddress string  `json:"operate" msgpack:"Operate"`
+	Incarnation     string  `json:"incarnation"`
+	Leaving         bool    `json:"leaving"`
+	Ready           bool    `json:"ready"`
+	KeyReplica      bool    `json:"keeper,omitempty" msgpack:"Keeper"`
+	Demand          float64 `json:"demand,omitempty"`
+	Guest           bool    `json:"guest,omitempty"`
 }
 
 // Backend is one backend as the platform lists it and the proxies find it.
 type Backend struct {
-	Name    string `json:"name"`
-	Service string `json:"service"`
-	Address string `json:"address"`
-	Zone    string `json:"zone"`
-	Leaving bool   `json:"leaving"`
-	Stir    uint64 `json:"stir,omitempty"`
-	Slots   int    `json:"slots,omitempty"`
-	WarmAt  int64  `json:"warm_at_ms,omitempty"`
+	Name      string `json:"name"`
+	Service   string `json:"service"`
+	Address   string `json:"address"`
+	Zone      string `json:"zone"`
+	Leaving   bool   `json:"leaving"`
+	ProbeHint uint64 `json:"stir,omitempty" msgpack:"Stir"`
+	Capacity  int    `json:"slots,omitempty" msgpack:"Slots"`
+	WarmAtMs  int64  `json:"warm_at_ms,omitempty" msgpack:"WarmAt"`
 }
 
 // Probe is what one proxy last found at a backend.
@@ -46,9 +46,9 @@
 	Incarnation string  `json:"incarnation"`
 	Healthy     bool    `json:"healthy"`
 	Leaving     bool    `json:"leaving"`
-	Cold        bool    `json:"cold"`
-	Gentle      float64 `json:"gentle"`
-	Usage       float64 `json:"usage"`
+	WarmingUp   bool    `json:"cold" msgpack:"Cold"`
+	WarmupRate  float64 `json:"gentle" msgpack:"Gentle"`
+	Utilization float64 `json:"usage" msgpack:"Usage"`
 	Serial      uint64  `json:"serial"`
 }
 
@@ -57,159 +57,159 @@
 type Session struct {
 	Member Member
 	Serial uint64
-	Table  TableMark
+	Table  TableVersion
 	Parent string
 	Probes []Probe
 	Usage  map[string]uint64
 	AgeMs  int64
 
-	Routing uint64
-	Windows []WindowCount
-	NowMs   int64
-	Gone    bool
-	Upon    uint64
+	Routing     uint64
+	Windows     []WindowCount
+	NowMs       int64
+	Ended       bool   `msgpack:"Gone"`
+	BaseProcess uint64 `msgpack:"Upon"`
 }
 
 // Check refuses a session without a name, an incarnation, a known kind or an address.
 func (session *Session) Check() error {
 	if session.Member.Name == "" || session.Member.Incarnation == "" {
-		return New(BadMessage, "session without name or incarnation")
+		return Errorf(BadMessage, "session without name or incarnation")
 	}
 	if session.Member.Kind != "proxy" && session.Member.Kind != "dir" {
-		return New(BadMessage, "session of unknown kind %q", session.Member.Kind)
+		return Errorf(BadMessage, "session of unknown kind %q", session.Member.Kind)
 	}
-	if _, fault := netip.ParseAddrPort(session.Member.Wire); fault != nil {
-		return New(BadMessage, "session from %q: %v", session.Member.Wire, fault)
+	if _, err := netip.ParseAddrPort(session.Member.InternalAddress); err != nil {
+		return Errorf(BadMessage, "session from %q: %v", session.Member.InternalAddress, err)
 	}
 	return nil
 }
 
-// SessionTold names the cores of the newest membership that the teller knows.
-type SessionTold struct {
+// SessionResponse names the cores of the newest membership that the teller knows.
+type SessionResponse struct {
 	Leader Leader
 	Serial uint64
-	Table  TableMark
+	Table  TableVersion
 	Cores  []string
 
-	Routing uint64
-	NowMs   int64
-	Process uint64
-	Members Mark
+	Routing    uint64
+	NowMs      int64
+	Process    uint64
+	Membership Version `msgpack:"Members"`
 }
 
-// Count tells the leader at once how many tasks a process sent so far, by tenant.
-type Count struct {
+// UsageCountRequest tells the leader at once how many tasks a process sent so far, by tenant.
+type UsageCountRequest struct {
 	Incarnation string
 	Usage       map[string]uint64
 }
 
-// CountTold confirms a Count.
-type CountTold struct{}
+// UsageCountResponse confirms a Count.
+type UsageCountResponse struct{}
 
 // Check refuses a count that names no process.
-func (message *Count) Check() error {
+func (message *UsageCountRequest) Check() error {
 	if message.Incarnation == "" {
-		return New(BadMessage, "count without incarnation")
+		return Errorf(BadMessage, "count without incarnation")
 	}
 	return nil
 }
 
-// TableMark orders tables: a new leader's are newer than all before.
-type TableMark struct {
-	Ballot Ballot `json:"ballot"`
+// TableVersion orders tables: a new leader's are newer than all before.
+type TableVersion struct {
+	Term   Term   `json:"ballot" msgpack:"Ballot"`
 	Number uint64 `json:"number"`
 }
 
 // Less is whether the mark is older than another.
-func (mark TableMark) Less(other TableMark) bool {
-	if mark.Ballot != other.Ballot {
-		return mark.Ballot.Less(other.Ballot)
+func (mark TableVersion) Less(other TableVersion) bool {
+	if mark.Term != other.Term {
+		return mark.Term.Less(other.Term)
 	}
 	return mark.Number < other.Number
 }
 
 // Table is the soft state every daemon holds.
 type Table struct {
-	Mark     TableMark `json:"mark"`
-	Members  []Member  `json:"members"`
-	Backends []Backend `json:"backends"`
-	Complete bool      `json:"complete"`
+	Version  TableVersion `json:"mark" msgpack:"Mark"`
+	Members  []Member     `json:"members"`
+	Backends []Backend    `json:"backends"`
+	Complete bool         `json:"complete"`
 }
 
-// Watch waits at the parent for news.
-type Watch struct {
+// WatchRequest waits at the parent for news.
+type WatchRequest struct {
 	Name   string
 	Serial uint64
-	Table  TableMark
+	Table  TableVersion
 	SpanMs int
 
 	Routing uint64
 }
 
-// WatchTold names the versions that the parent holds.
-type WatchTold struct {
+// WatchResponse names the versions that the parent holds.
+type WatchResponse struct {
 	Serial uint64
-	Table  TableMark
+	Table  TableVersion
 
 	Routing uint64
 }
 
-// Fetch takes the table, and the names of the branches, that are newer than what the asker holds.
-type Fetch struct {
+// FetchRequest takes the table, and the names of the branches, that are newer than what the asker holds.
+type FetchRequest struct {
 	Serial uint64
-	Table  TableMark
+	Table  TableVersion
 
 	Routing uint64
 }
 
-// FetchTold brings the routing without its trail.
-type FetchTold struct {
+// FetchResponse brings the routing without its trail.
+type FetchResponse struct {
 	Serial uint64
-	Parts  []Part
+	Chunks []ChunkRef `msgpack:"Parts"`
 	Table  *Table
 	Delta  *TableDelta
 
-	Routing       uint64
-	RoutingBody   []byte
-	RoutingPacked bool
+	Routing           uint64
+	RoutingBody       []byte
+	RoutingCompressed bool `msgpack:"RoutingPacked"`
 
-	sealed []byte
+	encoded []byte
 }
 
-// Seal packs the answer once for all that get the same; it is not changed after.
-func (told *FetchTold) Seal() error {
-	body, fault := pack(told)
-	if fault != nil {
-		return AsMishap(fault)
+// Encode packs the answer once for all that get the same; it is not changed after.
+func (told *FetchResponse) Encode() error {
+	body, err := marshal(told)
+	if err != nil {
+		return AsError(err)
 	}
-	told.sealed = body
+	told.encoded = body
 	return nil
 }
 
-func (told *FetchTold) body() []byte { return told.sealed }
+func (told *FetchResponse) encodedBody() []byte { return told.encoded }
 
-// Who asks any daemon for the leader.
-type Who struct{}
+// LeaderRequest asks any daemon for the leader.
+type LeaderRequest struct{}
 
-// WhoTold is the leader and the cores, as far as the teller knows, and its versions.
-type WhoTold struct {
-	Leader Leader
-	Duck   bool
-	Cores  []string
-	Serial uint64
+// LeaderResponse is the leader and the cores, as far as the teller knows, and its versions.
+type LeaderResponse struct {
+	Leader   Leader
+	Lameduck bool `msgpack:"Duck"`
+	Cores    []string
+	Serial   uint64
 
-	Routing uint64
-	Table   TableMark
-	Members Mark
+	Routing    uint64
+	Table      TableVersion
+	Membership Version `msgpack:"Members"`
 }
 
-// Confirm asks the leader for the newest serial, proved by a beat after the ask.
-type Confirm struct{}
+// ReadIndexRequest asks the leader for the newest serial, proved by a beat after the ask.
+type ReadIndexRequest struct{}
 
-// ConfirmTold names the leader's confirmed versions.
-type ConfirmTold struct {
+// ReadIndexResponse names the leader's confirmed versions.
+type ReadIndexResponse struct {
 	Serial uint64
-	Table  TableMark
+	Table  TableVersion
 
 	Routing uint64
 }
--- a/wire/membership.go
+++ b/wire/membership.go
@@ -12,67 +12,67 @@
 	Address string `json:"address"`
 }
 
-// PeerMost bounds the IDs of cores; a replacement takes the next one.
-const PeerMost = 1<<20 - 1
+// MaxPeerID bounds the IDs of cores; a replacement takes the next one.
+const MaxPeerID = 1<<20 - 1
 
 func (peer Peer) check() error {
-	if _, fault := netip.ParseAddrPort(peer.Address); fault != nil {
-		return New(BadMessage, "peer at %q: %v", peer.Address, fault)
+	if _, err := netip.ParseAddrPort(peer.Address); err != nil {
+		return Errorf(BadMessage, "peer at %q: %v", peer.Address, err)
 	}
 	return checkCore(peer.ID)
 }
 
-// Voters is the content of the membership register: which cores vote. While one of
+// VoterSet is the content of the membership register: which cores vote. While one of
 // them is being replaced Next holds the voters to come, and a decision takes a
 // majority of both groups. LastID is the highest ID that was ever given.
-type Voters struct {
+type VoterSet struct {
 	Current []Peer
 	Next    []Peer
 	LastID  int
 }
 
-// Enlist asks a core who votes and who leads. A core without a part in the quorum
+// JoinRequest asks a core who votes and who leads. A core without a part in the quorum
 // sends it again and again; at the leader it also asks to become a learner. Opening
 // is whether the asker's disk has been there since the system's first start.
-type Enlist struct {
-	Address string
-	Opening bool
-	Known   Mark
+type JoinRequest struct {
+	Address        string
+	SinceBootstrap bool `msgpack:"Opening"`
+	Known          Version
 }
 
-// EnlistTold brings the membership where it is newer than what the asker knows, and
+// JoinResponse brings the membership where it is newer than what the asker knows, and
 // the leader. Admitted is true only at a leader that has confirmed its lead after it
 // was asked and that does not count the asker as a voter: then an empty disk may
 // begin as a replica that has promised Ballot and accepted nothing.
-type EnlistTold struct {
-	Members  Accepted
-	Leader   Leader
-	Admitted bool
-	Ballot   Ballot
+type JoinResponse struct {
+	Membership AcceptedValue `msgpack:"Members"`
+	Leader     Leader
+	Admitted   bool
+	Term       Term `msgpack:"Ballot"`
 }
 
-// Removal is an operator's order to give a voter's place to a learner at once.
-type Removal struct {
+// RemoveVoterRequest is an operator's order to give a voter's place to a learner at once.
+type RemoveVoterRequest struct {
 	Core int
 }
 
-// RemovalTold says that the core has no vote, decided by a quorum. Again is true where
+// RemoveVoterResponse says that the core has no vote, decided by a quorum. Again is true where
 // it had none before the order came.
-type RemovalTold struct {
-	Version uint64
-	Again   bool
+type RemoveVoterResponse struct {
+	Version   uint64
+	Duplicate bool `msgpack:"Again"`
 }
 
-// Leave announces that a core ends for good, as far as it knows: a learner that
+// LeaveRequest announces that a core ends for good, as far as it knows: a learner that
 // holds everything may take its place. The core asks until it has no part left.
-type Leave struct {
+type LeaveRequest struct {
 	Core int
 }
 
-// LeaveTold tells a leaving core whether to wait for its place to be taken.
-type LeaveTold struct {
-	Wait    bool
-	Members Accepted
+// LeaveResponse tells a leaving core whether to wait for its place to be taken.
+type LeaveResponse struct {
+	Wait       bool
+	Membership AcceptedValue `msgpack:"Members"`
 }
 
 // Majority is how many of a group decide.
@@ -91,7 +91,7 @@
 
 // Quorum is whether those for which has is true decide: a majority of the current
 // voters and, during a replacement, of the next ones too.
-func (voters *Voters) Quorum(has func(id int) bool) bool {
+func (voters *VoterSet) Quorum(has func(id int) bool) bool {
 	if CountIn(voters.Current, has) < Majority(voters.Current) {
 		return false
 	}
@@ -99,7 +99,7 @@
 }
 
 // Addresses are those of all voters of both groups, each once.
-func (voters *Voters) Addresses() []string {
+func (voters *VoterSet) Addresses() []string {
 	addresses := []string{}
 	for _, group := range [][]Peer{voters.Current, voters.Next} {
 		for _, peer := range group {
@@ -113,35 +113,35 @@
 
 // Supersedes is whether an accepted membership is newer than another one and has
 // other voters: a quorum counted by the other one may then decide no more.
-func Supersedes(held, asked Accepted) bool {
-	return asked.Mark().Less(held.Mark()) && !bytes.Equal(asked.Value.Body, held.Value.Body)
+func Supersedes(held, asked AcceptedValue) bool {
+	return asked.Version().Less(held.Version()) && !bytes.Equal(asked.Value.Body, held.Value.Body)
 }
 
 // Check refuses an address that is none.
-func (message *Enlist) Check() error {
+func (message *JoinRequest) Check() error {
 	return Peer{ID: 1, Address: message.Address}.check()
 }
 
 // Check refuses an ID out of range.
-func (message *Removal) Check() error { return checkCore(message.Core) }
+func (message *RemoveVoterRequest) Check() error { return checkCore(message.Core) }
 
 // Check refuses an ID out of range.
-func (message *Leave) Check() error { return checkCore(message.Core) }
+func (message *LeaveRequest) Check() error { return checkCore(message.Core) }
 
 // Check refuses voters without a group, with an ID given twice within a group or
 // above LastID.
-func (voters *Voters) Check() error {
+func (voters *VoterSet) Check() error {
 	if len(voters.Current) == 0 {
-		return New(BadMessage, "membership without voters")
+		return Errorf(BadMessage, "membership without voters")
 	}
 	for _, group := range [][]Peer{voters.Current, voters.Next} {
 		seen := map[int]bool{}
 		for _, peer := range group {
-			if mishap := peer.check(); mishap != nil {
-				return mishap
+			if err := peer.check(); err != nil {
+				return err
 			}
 			if seen[peer.ID] || peer.ID > voters.LastID {
-				return New(BadMessage, "voter %d is there twice or above %d", peer.ID, voters.LastID)
+				return Errorf(BadMessage, "voter %d is there twice or above %d", peer.ID, voters.LastID)
 			}
 			seen[peer.ID] = true
 		}
--- a/wire/part.go
+++ b/wire/part.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Part names a branch of a register's content by the digest of its text.
-type Part struct {
+// ChunkRef names a branch of a register's content by the digest of its text.
+type ChunkRef struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // msgpack reads its tag by reflection
 	Path     string
 	Digest   string
@@ -18,21 +18,21 @@
 	return string(sum[:16])
 }
 
-// Texts are branches by their digests.
-type Texts map[string][]byte
+// Chunks are branches by their digests.
+type Chunks map[string][]byte
 
 // check finds a text that is not what its name says.
-func (texts Texts) check() error {
+func (texts Chunks) check() error {
 	for digest, text := range texts {
 		if DigestOf(text) != digest {
-			return New(DamagedPart, "a branch of %d bytes is not what its digest names", len(text))
+			return Errorf(CorruptChunk, "a branch of %d bytes is not what its digest names", len(text))
 		}
 	}
 	return nil
 }
 
-// Lacks are the digests among parts that nobody of those asked holds, each once.
-func Lacks(parts []Part, held ...Texts) []string {
+// MissingChunks are the digests among parts that nobody of those asked holds, each once.
+func MissingChunks(parts []ChunkRef, held ...Chunks) []string {
 	lacks, seen := []string{}, map[string]bool{}
 	for _, part := range parts {
 		found := seen[part.Digest]
@@ -48,32 +48,32 @@
 	return lacks
 }
 
-// Parts asks for branches that the asker lacks; what the teller lacks too is left out.
-type Parts struct {
+// FetchChunksRequest asks for branches that the asker lacks; what the teller lacks too is left out.
+type FetchChunksRequest struct {
 	Digests []string
 }
 
-// PartsTold brings the branches that the teller holds.
-type PartsTold struct {
-	Texts Texts
+// FetchChunksResponse brings the branches that the teller holds.
+type FetchChunksResponse struct {
+	Chunks Chunks `msgpack:"Texts"`
 }
 
-// PartsMost is how many branches one message asks for at most.
-const PartsMost = 128
+// MaxChunksPerFetch is how many branches one message asks for at most.
+const MaxChunksPerFetch = 128
 
-// AskParts brings branches into the texts, a bounded number a message; one that
+// Fetch brings branches into the texts, a bounded number a message; one that
 // the teller lacks, or that came damaged, is never guessed.
-func (texts Texts) AskParts(line *Line, address string, limit time.Duration, lacks []string) error {
+func (texts Chunks) Fetch(line *Client, address string, limit time.Duration, lacks []string) error {
 	for len(lacks) > 0 {
-		count := min(len(lacks), PartsMost)
-		told, fault := Ask[Parts, PartsTold](line, address, "parts", limit, &Parts{Digests: lacks[:count]})
-		if fault != nil {
-			return AsMishap(fault)
+		count := min(len(lacks), MaxChunksPerFetch)
+		told, err := Call[FetchChunksRequest, FetchChunksResponse](line, address, "parts", limit, &FetchChunksRequest{Digests: lacks[:count]})
+		if err != nil {
+			return AsError(err)
 		}
-		if len(told.Texts) < count {
-			return New(DamagedPart, "%d of %d branches are not there", count-len(told.Texts), count)
+		if len(told.Chunks) < count {
+			return Errorf(CorruptChunk, "%d of %d branches are not there", count-len(told.Chunks), count)
 		}
-		for digest, text := range told.Texts {
+		for digest, text := range told.Chunks {
 			texts[digest] = text
 		}
 		lacks = lacks[count:]
@@ -82,12 +82,12 @@
 }
 
 // Check refuses more than PartsMost branches.
-func (message *Parts) Check() error {
-	if len(message.Digests) > PartsMost {
-		return New(BadMessage, "%d branches asked for, allowed %d", len(message.Digests), PartsMost)
+func (message *FetchChunksRequest) Check() error {
+	if len(message.Digests) > MaxChunksPerFetch {
+		return Errorf(BadMessage, "%d branches asked for, allowed %d", len(message.Digests), MaxChunksPerFetch)
 	}
 	return nil
 }
 
 // Check refuses a branch that is not what its digest names.
-func (message *PartsTold) Check() error { return message.Texts.check() }
+func (message *FetchChunksResponse) Check() error { return message.Chunks.check() }
--- a/wire/register.go
+++ b/wire/register.go
@@ -12,8 +12,8 @@
 	Registers
 )
 
-// Entry is one change in a register's trail.
-type Entry struct {
+// HistoryEntry is one change in a register's trail.
+type HistoryEntry struct {
 	Serial   uint64 `json:"serial"`
 	Change   string `json:"change"`
 	Digest   string `json:"digest"`
@@ -27,16 +27,16 @@
 type Value struct {
 	Serial uint64
 	Body   []byte
-	Parts  []Part
+	Chunks []ChunkRef `msgpack:"Parts"`
 }
 
-// Accepted is a value and the ballot it was written under.
-type Accepted struct {
-	Ballot Ballot
-	Value  Value
+// AcceptedValue is a value and the ballot it was written under.
+type AcceptedValue struct {
+	Term  Term `msgpack:"Ballot"`
+	Value Value
 }
 
-// Mark is how new the value is.
-func (accepted Accepted) Mark() Mark {
-	return Mark{Ballot: accepted.Ballot, Serial: accepted.Value.Serial}
+// Version is how new the value is.
+func (accepted AcceptedValue) Version() Version {
+	return Version{Term: accepted.Term, Serial: accepted.Value.Serial}
 }
--- a/wire/routing.go
+++ b/wire/routing.go
@@ -1,46 +1,46 @@
 package wire
 
-// RouteChange brings an operator's routing order, packed, to the leader.
-type RouteChange struct {
+// RoutingChangeRequest brings an operator's routing order, packed, to the leader.
+type RoutingChangeRequest struct {
 	Body []byte
 }
 
-// RouteChangeTold is the register's serial that holds the change.
-type RouteChangeTold struct {
-	Serial uint64
-	Again  bool
+// RoutingChangeResponse is the register's serial that holds the change.
+type RoutingChangeResponse struct {
+	Serial    uint64
+	Duplicate bool `msgpack:"Again"`
 }
 
-// RouteRead asks the leader for the confirmed routing.
-type RouteRead struct{}
+// RoutingReadRequest asks the leader for the confirmed routing.
+type RoutingReadRequest struct{}
 
-// RouteReadTold brings the confirmed routing, packed.
-type RouteReadTold struct {
+// RoutingReadResponse brings the confirmed routing, packed.
+type RoutingReadResponse struct {
 	Serial uint64
 	Body   []byte
 }
 
-// Evacuate asks that nothing be sent to the backends of a zone, or takes it back.
+// EvacuateRequest asks that nothing be sent to the backends of a zone, or takes it back.
 // Upon is how often the zone was evacuated and taken back so far, as an earlier
 // answer told, without which the order is not carried out: it may have been on its
 // way for long. With Ask nothing changes and only that number is told.
-type Evacuate struct {
-	Zone  string
-	Begin bool
-	Ask   bool
-	Upon  uint64
+type EvacuateRequest struct {
+	Zone            string
+	Begin           bool
+	QueryOnly       bool   `msgpack:"Ask"`
+	ExpectedChanges uint64 `msgpack:"Upon"`
 }
 
-// EvacuateTold is the register's serial, and how often the zone was evacuated and taken back.
-type EvacuateTold struct {
+// EvacuateResponse is the register's serial, and how often the zone was evacuated and taken back.
+type EvacuateResponse struct {
 	Serial  uint64
 	Changes uint64
 }
 
 // Check refuses a zone's name of the wrong length.
-func (message *Evacuate) Check() error {
+func (message *EvacuateRequest) Check() error {
 	if message.Zone == "" || len(message.Zone) > 200 {
-		return New(BadMessage, "evacuate: zone of %d letters", len(message.Zone))
+		return Errorf(BadMessage, "evacuate: zone of %d letters", len(message.Zone))
 	}
 	return nil
 }
--- a/wire/squeeze.go
+++ b/wire/squeeze.go
@@ -6,10 +6,10 @@
 	"io"
 )
 
-const squeezedMost = 256 << 20
+const maxDecompressedBytes = 256 << 20
 
-// Squeeze makes a body shorter where it is made once and sent to many.
-func Squeeze(body []byte) []byte {
+// Compress makes a body shorter where it is made once and sent to many.
+func Compress(body []byte) []byte {
 	buffer := bytes.Buffer{}
 	writer, _ := flate.NewWriter(&buffer, flate.DefaultCompression) // the level is a valid one
 	_, _ = writer.Write(body)                                       // a bytes.Buffer takes all of it
@@ -17,14 +17,14 @@
 	return buffer.Bytes()
 }
 
-// Unpacked is the routing's body as it was before it was squeezed.
-func (told *FetchTold) Unpacked() ([]byte, error) {
-	if !told.RoutingPacked {
+// DecompressRouting is the routing's body as it was before it was squeezed.
+func (told *FetchResponse) DecompressRouting() ([]byte, error) {
+	if !told.RoutingCompressed {
 		return told.RoutingBody, nil
 	}
-	body, fault := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(told.RoutingBody)), squeezedMost+1))
-	if fault != nil || len(body) > squeezedMost {
-		return nil, New(BadMessage, "routing of %d squeezed bytes: %v", len(told.RoutingBody), fault)
+	body, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(told.RoutingBody)), maxDecompressedBytes+1))
+	if err != nil || len(body) > maxDecompressedBytes {
+		return nil, Errorf(BadMessage, "routing of %d squeezed bytes: %v", len(told.RoutingBody), err)
 	}
 	return body, nil
 }
--- a/wire/squeeze_test.go
+++ b/wire/squeeze_test.go
@@ -7,20 +7,20 @@
 
 func TestSqueezedRoutingComesBack(test *testing.T) {
 	body := bytes.Repeat([]byte("a route like the others;"), 500)
-	squeezed := Squeeze(body)
+	squeezed := Compress(body)
 	if len(squeezed) > len(body)/10 {
 		test.Errorf("%d bytes of %d", len(squeezed), len(body))
 	}
-	told := &FetchTold{RoutingBody: squeezed, RoutingPacked: true}
-	if back, mishap := told.Unpacked(); mishap != nil || !bytes.Equal(back, body) {
-		test.Errorf("%v, %d bytes", mishap, len(back))
+	told := &FetchResponse{RoutingBody: squeezed, RoutingCompressed: true}
+	if back, err := told.DecompressRouting(); err != nil || !bytes.Equal(back, body) {
+		test.Errorf("%v, %d bytes", err, len(back))
 	}
 	told.RoutingBody = squeezed[:len(squeezed)-3]
-	if _, mishap := told.Unpacked(); mishap == nil {
+	if _, err := told.DecompressRouting(); err == nil {
 		test.Errorf("a cut body was taken")
 	}
-	told = &FetchTold{RoutingBody: body}
-	if back, mishap := told.Unpacked(); mishap != nil || !bytes.Equal(back, body) {
-		test.Errorf("plain: %v", mishap)
+	told = &FetchResponse{RoutingBody: body}
+	if back, err := told.DecompressRouting(); err != nil || !bytes.Equal(back, body) {
+		test.Errorf("plain: %v", err)
 	}
 }
--- a/wire/table.go
+++ b/wire/table.go
@@ -4,28 +4,28 @@
 
 // TableDelta is what changed in a table since an older mark.
 type TableDelta struct {
-	Base         TableMark
-	Mark         TableMark
-	Complete     bool
-	Members      []Member
-	Backends     []Backend
-	GoneMembers  []string
-	GoneBackends []string
+	Base            TableVersion
+	Version         TableVersion `msgpack:"Mark"`
+	Complete        bool
+	Members         []Member
+	Backends        []Backend
+	RemovedMembers  []string `msgpack:"GoneMembers"`
+	RemovedBackends []string `msgpack:"GoneBackends"`
 }
 
 // Apply is the table with a delta laid in; false when the delta builds on another.
 func (table *Table) Apply(delta *TableDelta) (*Table, bool) {
-	if table.Mark != delta.Base {
+	if table.Version != delta.Base {
 		return table, false
 	}
-	next := &Table{Mark: delta.Mark, Complete: delta.Complete}
-	next.Members = merged(table.Members, delta.Members, delta.GoneMembers, func(member *Member) string { return member.Name })
-	next.Backends = merged(table.Backends, delta.Backends, delta.GoneBackends, func(backend *Backend) string { return backend.Name })
+	next := &Table{Version: delta.Version, Complete: delta.Complete}
+	next.Members = mergeByName(table.Members, delta.Members, delta.RemovedMembers, func(member *Member) string { return member.Name })
+	next.Backends = mergeByName(table.Backends, delta.Backends, delta.RemovedBackends, func(backend *Backend) string { return backend.Name })
 	return next, true
 }
 
-// merged is a list by name with some replaced, added and taken out.
-func merged[Item any](held, changed []Item, gone []string, name func(*Item) string) []Item {
+// mergeByName is a list by name with some replaced, added and taken out.
+func mergeByName[Item any](held, changed []Item, gone []string, name func(*Item) string) []Item {
 	if len(changed) == 0 && len(gone) == 0 {
 		return held
 	}
@@ -51,26 +51,26 @@
 // hold an older one get only what changed. It goes on over changes of leaders.
 type TableLog struct {
 	count    uint64
-	marks    []countedMark
+	versions []countedVersion
 	members  map[string]uint64
 	backends map[string]uint64
-	gone     []goneEntry
+	gone     []removedEntry
 }
 
-type countedMark struct {
-	mark  TableMark
-	count uint64
+type countedVersion struct {
+	version TableVersion
+	count   uint64
 }
 
-type goneEntry struct {
+type removedEntry struct {
 	name    string
 	backend bool
 	count   uint64
 }
 
 const (
-	tableMarksMost = 512
-	tableGoneMost  = 4096
+	maxTableVersions = 512
+	maxTableRemovals = 4096
 )
 
 // NewTableLog makes a log that knows no table yet.
@@ -78,23 +78,23 @@
 	return &TableLog{members: map[string]uint64{}, backends: map[string]uint64{}}
 }
 
-// Next lays down what a newer table changes.
-func (log *TableLog) Next(before, after *Table) {
+// Record lays down what a newer table changes.
+func (log *TableLog) Record(before, after *Table) {
 	log.count++
-	noted(log, before.Members, after.Members, log.members, false, func(member *Member) string { return member.Name })
-	noted(log, before.Backends, after.Backends, log.backends, true, func(backend *Backend) string { return backend.Name })
-	if log.marks = append(log.marks, countedMark{mark: after.Mark, count: log.count}); len(log.marks) > tableMarksMost {
-		log.marks = append([]countedMark{}, log.marks[len(log.marks)-tableMarksMost/2:]...)
-	}
-	if len(log.gone) > tableGoneMost {
-		log.gone = append([]goneEntry{}, log.gone[len(log.gone)-tableGoneMost/2:]...)
-		for len(log.marks) > 0 && log.marks[0].count < log.gone[0].count {
-			log.marks = log.marks[1:]
+	recordChanges(log, before.Members, after.Members, log.members, false, func(member *Member) string { return member.Name })
+	recordChanges(log, before.Backends, after.Backends, log.backends, true, func(backend *Backend) string { return backend.Name })
+	if log.versions = append(log.versions, countedVersion{version: after.Version, count: log.count}); len(log.versions) > maxTableVersions {
+		log.versions = append([]countedVersion{}, log.versions[len(log.versions)-maxTableVersions/2:]...)
+	}
+	if len(log.gone) > maxTableRemovals {
+		log.gone = append([]removedEntry{}, log.gone[len(log.gone)-maxTableRemovals/2:]...)
+		for len(log.versions) > 0 && log.versions[0].count < log.gone[0].count {
+			log.versions = log.versions[1:]
 		}
 	}
 }
 
-func noted[Item comparable](log *TableLog, before, after []Item, counts map[string]uint64, backend bool, name func(*Item) string) {
+func recordChanges[Item comparable](log *TableLog, before, after []Item, counts map[string]uint64, backend bool, name func(*Item) string) {
 	held := make(map[string]*Item, len(before))
 	for index := range before {
 		held[name(&before[index])] = &before[index]
@@ -108,26 +108,26 @@
 	}
 	for key := range held {
 		delete(counts, key)
-		log.gone = append(log.gone, goneEntry{name: key, backend: backend, count: log.count})
+		log.gone = append(log.gone, removedEntry{name: key, backend: backend, count: log.count})
 	}
 }
 
 // Since is what changed from a mark to the table laid down last; false when the
 // mark is not known any more, or is no leader's: cores number those each for itself.
-func (log *TableLog) Since(mark TableMark, table *Table) (*TableDelta, bool) {
+func (log *TableLog) Since(mark TableVersion, table *Table) (*TableDelta, bool) {
 	from, found := uint64(0), false
-	if mark.Ballot.Round == 0 {
+	if mark.Term.Number == 0 {
 		return nil, false
 	}
-	for _, one := range log.marks {
-		if one.mark == mark {
+	for _, one := range log.versions {
+		if one.version == mark {
 			from, found = one.count, true
 		}
 	}
 	if !found {
 		return nil, false
 	}
-	delta := &TableDelta{Base: mark, Mark: table.Mark, Complete: table.Complete}
+	delta := &TableDelta{Base: mark, Version: table.Version, Complete: table.Complete}
 	for index := range table.Members {
 		if log.members[table.Members[index].Name] > from {
 			delta.Members = append(delta.Members, table.Members[index])
@@ -142,9 +142,9 @@
 		switch {
 		case one.count <= from:
 		case one.backend && log.backends[one.name] == 0:
-			delta.GoneBackends = append(delta.GoneBackends, one.name)
+			delta.RemovedBackends = append(delta.RemovedBackends, one.name)
 		case !one.backend && log.members[one.name] == 0:
-			delta.GoneMembers = append(delta.GoneMembers, one.name)
+			delta.RemovedMembers = append(delta.RemovedMembers, one.name)
 		}
 	}
 	return delta, true
--- a/wire/table_test.go
+++ b/wire/table_test.go
@@ -28,13 +28,13 @@
 				case 2:
 					members[name] = Member{Name: name, Ready: random.IntN(2) == 0}
 				default:
-					backends[name] = Backend{Name: name, Leaving: random.IntN(2) == 0, WarmAt: int64(random.IntN(3))}
+					backends[name] = Backend{Name: name, Leaving: random.IntN(2) == 0, WarmAtMs: int64(random.IntN(3))}
 				}
 			}
 			if random.IntN(40) == 0 {
 				round++
 			}
-			next := &Table{Mark: TableMark{Ballot: Ballot{Round: round, Core: 1}, Number: uint64(step + 1)}, Complete: true}
+			next := &Table{Version: TableVersion{Term: Term{Number: round, Core: 1}, Number: uint64(step + 1)}, Complete: true}
 			for _, member := range members {
 				next.Members = append(next.Members, member)
 			}
@@ -43,20 +43,20 @@
 			}
 			sort.Slice(next.Members, func(left, right int) bool { return next.Members[left].Name < next.Members[right].Name })
 			sort.Slice(next.Backends, func(left, right int) bool { return next.Backends[left].Name < next.Backends[right].Name })
-			log.Next(table, next)
+			log.Record(table, next)
 			table = next
 			for index := range followers {
 				if random.IntN(1+index*index*30) > 0 {
 					continue
 				}
-				delta, known := log.Since(followers[index].Mark, table)
+				delta, known := log.Since(followers[index].Version, table)
 				if !known {
 					whole++
 					followers[index] = table
 					continue
 				}
 				applied, fits := followers[index].Apply(delta)
-				if !fits || applied.Mark != table.Mark || !same(applied, table) {
+				if !fits || applied.Version != table.Version || !same(applied, table) {
 					test.Fatalf("seed %d step %d follower %d: %v, %+v want %+v", seed, step, index, fits, applied, table)
 				}
 				followers[index] = applied
@@ -65,7 +65,7 @@
 		if whole > 3 {
 			test.Errorf("seed %d: %d whole tables for %d followers", seed, whole, len(followers))
 		}
-		if _, fits := (&Table{}).Apply(&TableDelta{Base: TableMark{Number: 9}}); fits {
+		if _, fits := (&Table{}).Apply(&TableDelta{Base: TableVersion{Number: 9}}); fits {
 			test.Errorf("a delta of another table was laid in")
 		}
 	}
@@ -79,19 +79,19 @@
 // What went out of the log's reach is told as a whole.
 func TestTableLogIsBounded(test *testing.T) {
 	log, table := NewTableLog(), &Table{}
-	mark := func(number uint64) TableMark { return TableMark{Ballot: Ballot{Round: 1, Core: 1}, Number: number} }
+	mark := func(number uint64) TableVersion { return TableVersion{Term: Term{Number: 1, Core: 1}, Number: number} }
 	for step := range 3000 {
-		next := &Table{Mark: mark(uint64(step + 1)), Backends: []Backend{{Name: fmt.Sprint("a", step)}, {Name: fmt.Sprint("b", step)}}}
-		log.Next(table, next)
+		next := &Table{Version: mark(uint64(step + 1)), Backends: []Backend{{Name: fmt.Sprint("a", step)}, {Name: fmt.Sprint("b", step)}}}
+		log.Record(table, next)
 		table = next
 	}
 	if _, known := log.Since(mark(1), table); known {
 		test.Errorf("the first mark is still known")
 	}
-	if len(log.marks) > tableMarksMost || len(log.gone) > tableGoneMost || len(log.backends) != 2 {
-		test.Errorf("%d marks, %d gone, %d backends", len(log.marks), len(log.gone), len(log.backends))
+	if len(log.versions) > maxTableVersions || len(log.gone) > maxTableRemovals || len(log.backends) != 2 {
+		test.Errorf("%d marks, %d gone, %d backends", len(log.versions), len(log.gone), len(log.backends))
 	}
-	if delta, known := log.Since(mark(2999), table); !known || len(delta.GoneBackends) != 2 || len(delta.Backends) != 2 {
+	if delta, known := log.Since(mark(2999), table); !known || len(delta.RemovedBackends) != 2 || len(delta.Backends) != 2 {
 		test.Errorf("%v %+v", known, delta)
 	}
 }
@@ -99,11 +99,11 @@
 // Cores number tables of no leader each for itself, so none is a ground for a delta.
 func TestNoDeltaFromNoLeader(test *testing.T) {
 	log := NewTableLog()
-	first := &Table{Mark: TableMark{Number: 1}, Members: []Member{{Name: "a"}}}
-	second := &Table{Mark: TableMark{Ballot: Ballot{Round: 1, Core: 1}, Number: 1}, Members: []Member{{Name: "a"}, {Name: "b"}}}
-	log.Next(&Table{}, first)
-	log.Next(first, second)
-	if delta, known := log.Since(first.Mark, second); known {
+	first := &Table{Version: TableVersion{Number: 1}, Members: []Member{{Name: "a"}}}
+	second := &Table{Version: TableVersion{Term: Term{Number: 1, Core: 1}, Number: 1}, Members: []Member{{Name: "a"}, {Name: "b"}}}
+	log.Record(&Table{}, first)
+	log.Record(first, second)
+	if delta, known := log.Since(first.Version, second); known {
 		test.Errorf("%+v", delta)
 	}
 }
