--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -319,7 +319,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("leader core %d at %s, ballot %s, %s, revoked by %s\n", status.Leader.Core, status.Leader.Address, status.Leader.Ballot, status.State, status.Revocation)
+	fmt.Printf("leader core %d at %s, ballot %s, %s, revoked by %s\n", status.Leader.Core, status.Leader.Address, status.Leader.Term, status.State, status.Revocation)
 	for _, condition := range status.Conditions {
 		fmt.Printf("  [%s] %s (%s)\n", mark(condition.Holds), condition.Name, condition.Detail)
 	}
--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -22,7 +22,7 @@
 	}
 	ballot := wire.Term{Number: 4, Core: 1}
 	leadership := newLeadership(core, ballot, &Establishment{core: core, ballot: ballot})
-	core.leadership, core.leader = leadership, wire.Leader{Ballot: ballot, Core: 1, Address: "127.0.0.1:1"}
+	core.leadership, core.leader = leadership, wire.Leader{Term: ballot, Core: 1, Address: "127.0.0.1:1"}
 	core.revoke(leadership)
 	if core.cold() || core.leader.Known() {
 		test.Errorf("cold %v, leader %+v", core.cold(), core.leader)
--- a/control/core.go
+++ b/control/core.go
@@ -308,8 +308,8 @@
 	mine := core.leadership == leadership
 	if mine {
 		core.leadership = nil
-		if core.leader.Ballot == leadership.ballot {
-			core.leader = wire.Leader{Ballot: leadership.ballot}
+		if core.leader.Term == leadership.ballot {
+			core.leader = wire.Leader{Term: leadership.ballot}
 		}
 		core.heard = time.Now()
 	}
--- a/control/election.go
+++ b/control/election.go
@@ -27,7 +27,7 @@
 func (core *Core) cold() bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	return core.place.enlists() && core.leader.Ballot.Number == 0
+	return core.place.enlists() && core.leader.Term.Number == 0
 }
 
 // elect is the duty of the election thread.
@@ -157,7 +157,7 @@
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	core.round++
-	return wire.Term{Number: core.round, Core: view.ID}, core.leader.Ballot
+	return wire.Term{Number: core.round, Core: view.ID}, core.leader.Term
 }
 
 // found establishes under the ballot, by the membership that its revocation counted
@@ -256,7 +256,7 @@
 		return &wire.HeartbeatResponse{Voter: state.Founded, Promised: state.Promised, Versions: state.Marks()}, nil
 	}
 	core.mutex.Lock()
-	moved := core.leader.Ballot != message.Term
+	moved := core.leader.Term != message.Term
 	core.leader, core.heard = message.Leader, time.Now()
 	core.duck, core.successor = message.Lameduck, message.Successor
 	core.wanted = message.Table
--- a/control/lameduck.go
+++ b/control/lameduck.go
@@ -58,7 +58,7 @@
 	patience := time.Now().Add(2 * core.place.Suspect)
 	for time.Now().Before(patience) && time.Now().Before(until) {
 		core.mutex.Lock()
-		led := leadership.ballot.Less(core.leader.Ballot)
+		led := leadership.ballot.Less(core.leader.Term)
 		core.mutex.Unlock()
 		if led {
 			core.counts.Add("handovers", 1)
--- a/control/learner.go
+++ b/control/learner.go
@@ -80,7 +80,7 @@
 	}
 	core.mutex.Lock()
 	if told.Leader.Known() {
-		if !told.Leader.Ballot.Less(core.leader.Ballot) {
+		if !told.Leader.Term.Less(core.leader.Term) {
 			core.leader = told.Leader
 		}
 		core.heard = time.Now()
--- a/control/membership.go
+++ b/control/membership.go
@@ -216,7 +216,7 @@
 }
 
 func (view *View) leader(ballot wire.Term) wire.Leader {
-	return wire.Leader{Ballot: ballot, Core: view.ID, Address: view.Wire}
+	return wire.Leader{Term: ballot, Core: view.ID, Address: view.Wire}
 }
 
 // address is where a voter is; this core's where there is no such voter.
--- a/control/model_digest_test.go
+++ b/control/model_digest_test.go
@@ -144,7 +144,7 @@
 	digest.state(process.core.voter.State())
 	digest.membership(process.core.members().Membership)
 	digest.numbers(process.life, process.calls, process.enlisting, int(process.core.round))
-	digest.ballot(process.core.leader.Ballot)
+	digest.ballot(process.core.leader.Term)
 	digest.accepted(process.core.committed)
 	if survey := process.survey; survey != nil {
 		digest.numbers(1, survey.call)
--- a/member/corechoice_test.go
+++ b/member/corechoice_test.go
@@ -58,7 +58,7 @@
 // lost its vote may answer as if all were well, and what it is told reaches nobody.
 func TestSessionIsKeptAtAVoter(test *testing.T) {
 	all, sessions := doors{}, map[string]int{}
-	leader := wire.Leader{Ballot: wire.Term{Number: 9, Core: 5}, Core: 5, Address: coreAt(5)}
+	leader := wire.Leader{Term: wire.Term{Number: 9, Core: 5}, Core: 5, Address: coreAt(5)}
 	now := coresAt(4, 5, 6)
 	for _, number := range []int{4, 5, 6} {
 		all.saysMembers(number, versionMark(9, 7), now, leader, sessions)
@@ -95,8 +95,8 @@
 // replaces what a daemon knows.
 func TestRemovedCoreMisleadsNobody(test *testing.T) {
 	all, sessions := doors{}, map[string]int{}
-	leader := wire.Leader{Ballot: wire.Term{Number: 9, Core: 5}, Core: 5, Address: coreAt(5)}
-	former := wire.Leader{Ballot: wire.Term{Number: 3, Core: 1}, Core: 1, Address: coreAt(1)}
+	leader := wire.Leader{Term: wire.Term{Number: 9, Core: 5}, Core: 5, Address: coreAt(5)}
+	former := wire.Leader{Term: wire.Term{Number: 3, Core: 1}, Core: 1, Address: coreAt(1)}
 	all.saysMembers(5, versionMark(9, 7), coresAt(4, 5, 6), leader, sessions)
 	all.saysMembers(1, versionMark(3, 1), coresAt(1, 2, 3), former, sessions)
 	daemon := daemonOn(all, coresAt(1, 2, 3))
--- a/member/daemon.go
+++ b/member/daemon.go
@@ -317,7 +317,7 @@
 	daemon.mutex.Unlock()
 	daemon.note(told.Serial)
 	daemon.Finder.Learn(told.Membership, told.Cores)
-	before := daemon.Finder.Leader().Ballot
+	before := daemon.Finder.Leader().Term
 	daemon.Finder.Heard(told.Leader)
 	if told.NowMs > 0 {
 		daemon.clock.Told(told.NowMs, trip)
--- a/member/direct.go
+++ b/member/direct.go
@@ -79,8 +79,8 @@
 	leader := daemon.Finder.Leader()
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
-	if leader.Known() && daemon.led.Less(leader.Ballot) {
-		daemon.led = leader.Ballot
+	if leader.Known() && daemon.led.Less(leader.Term) {
+		daemon.led = leader.Term
 		delete(daemon.failed, leader.Address)
 	}
 	if leader.Known() && time.Since(daemon.failed[leader.Address]) > aloneSpan {
@@ -103,7 +103,7 @@
 	daemon.mutex.Lock()
 	if !leader.Known() {
 		daemon.failed[core] = time.Now()
-	} else if before.Less(leader.Ballot) {
+	} else if before.Less(leader.Term) {
 		delete(daemon.failed, leader.Address)
 	}
 	daemon.mutex.Unlock()
--- a/member/finder.go
+++ b/member/finder.go
@@ -93,7 +93,7 @@
 // Heard takes anyone's word of a leader; older ballots are passed over.
 func (finder *Finder) Heard(leader wire.Leader) {
 	finder.mutex.Lock()
-	fresh := leader.Known() && !leader.Ballot.Less(finder.leader.Ballot) && finder.dropped.Less(leader.Ballot) && leader != finder.leader
+	fresh := leader.Known() && !leader.Term.Less(finder.leader.Term) && finder.dropped.Less(leader.Term) && leader != finder.leader
 	if fresh {
 		finder.leader = leader
 	}
@@ -106,11 +106,11 @@
 // Drop forgets a leader that said it leads no more, or fell silent.
 func (finder *Finder) Drop(leader wire.Leader, ended bool) {
 	finder.mutex.Lock()
-	if finder.leader.Ballot == leader.Ballot {
-		finder.leader = wire.Leader{Ballot: leader.Ballot}
+	if finder.leader.Term == leader.Term {
+		finder.leader = wire.Leader{Term: leader.Term}
 	}
-	if ended && finder.dropped.Less(leader.Ballot) {
-		finder.dropped = leader.Ballot
+	if ended && finder.dropped.Less(leader.Term) {
+		finder.dropped = leader.Term
 	}
 	finder.mutex.Unlock()
 	finder.wanted.Ring()
--- a/member/hold_test.go
+++ b/member/hold_test.go
@@ -38,7 +38,7 @@
 }
 
 func leaderOf(round uint64, address string) wire.Leader {
-	return wire.Leader{Ballot: wire.Term{Number: round, Core: int(round)}, Core: int(round), Address: address}
+	return wire.Leader{Term: wire.Term{Number: round, Core: int(round)}, Core: int(round), Address: address}
 }
 
 func holdAt(test *testing.T, transport *leaders, limits HoldLimits) (*Hold, *Finder) {
--- a/wire/claim.go
+++ b/wire/claim.go
@@ -1,25 +1,34 @@
 package wire
 
-// What proxies say to each other of money keys.
+// MaxClaimsPerMessage is how many entries of each kind one message may hold.
+const MaxClaimsPerMessage = 1024
+
+const (
+	maxKeyLength   = 200
+	maxRecordBytes = 1 << 16
+)
 
-// ClaimKey is one caller's key within its tenant and service.
+// ClaimKey is a caller's idempotency key within its tenant and service.
 type ClaimKey struct {
 	Tenant  string
 	Service string
 	Key     string
 }
 
-// ClaimStage is how far the holder of a claim came.
+// ClaimStage is how far the request of a claim has come.
 type ClaimStage int
 
-// Stages of a claim: its task runs, ran and its answer is known, or ended with an unknown outcome.
+// The stages: the request runs, ran and its response is known, or ended with an unknown
+// outcome.
 const (
 	ClaimRunning ClaimStage = iota + 1
 	ClaimCompleted
 	ClaimUnknown
 )
 
-// ClaimRecord is what keepers remember of a key.
+// ClaimRecord is what replicas remember of a key. ID is that of the request which claimed
+// it, Digest that of the request's content, and Holder the proxy that sends it. Status,
+// Header and Body are the recorded response.
 type ClaimRecord struct {
 	Key    ClaimKey
 	ID     string
@@ -32,32 +41,47 @@
 	Body   []byte
 }
 
-// ClaimRequest asks a keeper to hold a key for one task; Instead names a claim that
-// its holder said it gave back.
+func (record *ClaimRecord) check() error {
+	if record.Key.Key == "" || record.ID == "" || record.Holder == "" {
+		return Errorf(BadMessage, "claim without key, id or holder")
+	}
+	if len(record.Key.Key) > maxKeyLength || len(record.Body) > maxRecordBytes {
+		return Errorf(BadMessage, "claim of a key with %d letters and %d bytes", len(record.Key.Key), len(record.Body))
+	}
+	if record.Stage < ClaimRunning || record.Stage > ClaimUnknown {
+		return Errorf(BadMessage, "claim stage %d", record.Stage)
+	}
+	return nil
+}
+
+// ClaimRequest asks a replica to record a claim for one request. Replaces names a claim
+// whose holder said that it gave the key back.
 type ClaimRequest struct {
 	Record   ClaimRecord `msgpack:"Claimed"`
 	Replaces string      `msgpack:"Instead"`
 	Table    TableVersion
 }
 
-// ClaimResponse counts without the cores only when the keeper's memory is whole.
+// ClaimResponse says whether the claim was granted, and else which claim has the key. It
+// counts without the cores only if Complete: the replica's memory lacks nothing.
 type ClaimResponse struct {
 	Granted  bool
 	Complete bool        `msgpack:"Whole"`
 	Existing ClaimRecord `msgpack:"Held"`
 }
 
-// CompleteClaimRequest tells keepers how a claimed task ended; Free gives the key back.
+// CompleteClaimRequest tells replicas how a claimed request ended; Release gives the key
+// back, since the request did not run.
 type CompleteClaimRequest struct {
 	Record  ClaimRecord `msgpack:"Claimed"`
 	Release bool        `msgpack:"Free"`
 }
 
-// CompleteClaimResponse confirms a Settle.
+// CompleteClaimResponse confirms a CompleteClaimRequest.
 type CompleteClaimResponse struct{}
 
-// QueryHolderRequest asks a claim's holder what became of it; another process that has the
-// holder's name and address since does not know.
+// QueryHolderRequest asks a claim's holder what became of it. Another process that has
+// the holder's name and address since does not know.
 type QueryHolderRequest struct {
 	Holder string
 	Key    ClaimKey
@@ -70,25 +94,25 @@
 	Record ClaimRecord `msgpack:"Held"`
 }
 
-// MergeClaimsRequest gives a keeper claims that it may lack.
+// MergeClaimsRequest brings a replica claims that it may lack.
 type MergeClaimsRequest struct {
 	Claims []ClaimRecord
 }
 
-// MergeClaimsResponse confirms a Retell.
+// MergeClaimsResponse confirms a MergeClaimsRequest.
 type MergeClaimsResponse struct{}
 
-// FetchClaimsRequest asks a keeper or a core for what it remembers, a page at a time. Members is
-// the membership by which the asker counts cores: a core keeps nothing under an older
-// one with other voters once it has answered.
+// FetchClaimsRequest asks a replica or a core for its claims, a page at a time, after a
+// sequence number. Membership is the one by which the sender counts cores: once a core
+// has answered, it records nothing under an older one with other voters.
 type FetchClaimsRequest struct {
 	After      uint64
 	Membership AcceptedValue `msgpack:"Members"`
 }
 
-// FetchClaimsResponse is one page of claims; Done tells that it is the last one.
-// Members is the membership of the answering core where it knows another one than the
-// asker, and Core is its ID in it.
+// FetchClaimsResponse is one page of claims; Done says that it is the last one.
+// Membership is that of the answering core if it knows another one than the sender, and
+// Core is its ID in it.
 type FetchClaimsResponse struct {
 	Membership AcceptedValue `msgpack:"Members"`
 	Core       int
@@ -99,10 +123,10 @@
 	Done       bool
 }
 
-// RecordClaimsRequest asks a core to claim keys, and to keep what was claimed without it and
-// what became of claims; all of it lasts once it answers. Members is the membership
-// by which the asker counts the answers; an asker that knows none leaves that to the
-// core's own.
+// RecordClaimsRequest asks a core to claim keys, and to record claims made without it
+// and what became of claims; all of it is durable once the core answers. Membership is
+// the one by which the sender counts the answers; a sender that knows none leaves that
+// to the core's own.
 type RecordClaimsRequest struct {
 	Membership AcceptedValue `msgpack:"Members"`
 	Claims     []ClaimRequest
@@ -110,10 +134,10 @@
 	Completed  []CompleteClaimRequest `msgpack:"Settles"`
 }
 
-// RecordClaimsResponse answers each claim; a core that is not whole may have lost some. Members
-// is the membership that the core kept them under where that is another one than the
-// asker's, and Core is its ID in it. Refused is true where nothing was kept, since this
-// core is none of the voters or their membership just changed.
+// RecordClaimsResponse answers each claim; a core that is not Complete may have lost
+// some. Membership is the one that the core recorded them under if that is not the
+// sender's, and Core is its ID in it. Refused is true if nothing was recorded, since
+// this core is no voter or the membership just changed.
 type RecordClaimsResponse struct {
 	Membership AcceptedValue `msgpack:"Members"`
 	Core       int
@@ -122,49 +146,36 @@
 	Results    []ClaimResponse `msgpack:"Told"`
 }
 
-// MaxClaimsPerMessage is how much one message may hold of each.
-const MaxClaimsPerMessage = 1024
-
-func (claimed *ClaimRecord) check() error {
-	if claimed.Key.Key == "" || claimed.ID == "" || claimed.Holder == "" {
-		return Errorf(BadMessage, "claim without key, id or holder")
-	}
-	if len(claimed.Key.Key) > 200 || len(claimed.Body) > 1<<16 {
-		return Errorf(BadMessage, "claim of a key with %d letters and %d bytes", len(claimed.Key.Key), len(claimed.Body))
-	}
-	if claimed.Stage < ClaimRunning || claimed.Stage > ClaimUnknown {
-		return Errorf(BadMessage, "claim stage %d", claimed.Stage)
-	}
-	return nil
-}
-
 // Check refuses a claim with missing or oversized fields.
-func (message *ClaimRequest) Check() error { return message.Record.check() }
+func (request *ClaimRequest) Check() error { return request.Record.check() }
 
 // Check refuses a claim with missing or oversized fields.
-func (message *CompleteClaimRequest) Check() error { return message.Record.check() }
+func (request *CompleteClaimRequest) Check() error { return request.Record.check() }
 
-// Check refuses the message where one of its claims is refused.
-func (message *MergeClaimsRequest) Check() error {
-	return checkAll(message.Claims, (*ClaimRecord).check)
+// Check refuses the message if one of its claims is invalid.
+func (request *MergeClaimsRequest) Check() error {
+	return checkAll(request.Claims, (*ClaimRecord).check)
 }
 
-// Check refuses more than KeepMost entries of a sort, and any entry that is refused by itself.
-func (message *RecordClaimsRequest) Check() error {
-	if len(message.Claims) > MaxClaimsPerMessage || len(message.Merged) > MaxClaimsPerMessage || len(message.Completed) > MaxClaimsPerMessage {
-		return Errorf(BadMessage, "%d claims, %d retold, %d settled", len(message.Claims), len(message.Merged), len(message.Completed))
+// Check refuses more than MaxClaimsPerMessage entries of a kind, and an invalid entry.
+func (request *RecordClaimsRequest) Check() error {
+	claims, merged, completed := len(request.Claims), len(request.Merged), len(request.Completed)
+	if max(claims, merged, completed) > MaxClaimsPerMessage {
+		return Errorf(BadMessage, "%d claims, %d merged, %d completed", claims, merged, completed)
 	}
-	for _, err := range []error{checkAll(message.Claims, (*ClaimRequest).Check), checkAll(message.Merged, (*ClaimRecord).check), checkAll(message.Completed, (*CompleteClaimRequest).Check)} {
-		if err != nil {
-			return err
-		}
+	if err := checkAll(request.Claims, (*ClaimRequest).Check); err != nil {
+		return err
 	}
-	return nil
+	if err := checkAll(request.Merged, (*ClaimRecord).check); err != nil {
+		return err
+	}
+	return checkAll(request.Completed, (*CompleteClaimRequest).Check)
 }
 
-func checkAll[T any](all []T, check func(*T) error) error {
-	for index := range all {
-		if err := check(&all[index]); err != nil {
+// checkAll returns the first error that check finds in a list.
+func checkAll[Item any](items []Item, check func(*Item) error) error {
+	for index := range items {
+		if err := check(&items[index]); err != nil {
 			return err
 		}
 	}
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -1,4 +1,3 @@
-// Package wire holds what the system's own processes say to each other.
 package wire
 
 import (
@@ -8,59 +7,67 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
+// maxMessageBytes is the longest message that a process accepts.
 const maxMessageBytes = 32 << 20
 
-// Codec is msgpack on plain structs; a field nobody knows is refused.
+// PreEncoded is a message that may have been encoded before it is sent, because many
+// processes get the same one. EncodedBody returns nil if it was not.
+type PreEncoded interface {
+	EncodedBody() []byte
+}
+
+// Checked is a message that can say whether its content is valid.
+type Checked interface {
+	Check() error
+}
+
+// Codec encodes messages as msgpack maps by the names of their fields. It refuses
+// unknown fields, trailing bytes, and messages whose Check method returns an error.
 type Codec struct{}
 
-// Name is the codec in the content type of a message.
+// Name returns the codec's name in the content type of a message.
 func (Codec) Name() string { return "msgpack" }
 
-// Marshal gives bytes of their own also for a sealed message, since the sender
-// uses them again.
+// Marshal encodes a message. The result belongs to the caller, also that of a
+// PreEncoded message.
 func (Codec) Marshal(message any) ([]byte, error) {
-	if sealed, able := message.(interface{ body() []byte }); able && sealed.body() != nil {
-		return slices.Clone(sealed.body()), nil
+	encoded, isPreEncoded := message.(PreEncoded)
+	if isPreEncoded && encoded.EncodedBody() != nil {
+		return slices.Clone(encoded.EncodedBody()), nil
 	}
-	return marshal(message)
+	return Marshal(message)
 }
 
-// Unmarshal reads a message and checks it by its Check method, where it has one.
+// Unmarshal decodes a message and checks it.
 func (Codec) Unmarshal(body []byte, message any) error {
-	if err := unmarshal(body, message); err != nil {
+	if err := Unmarshal(body, message); err != nil {
 		return err
 	}
-	if checked, able := message.(interface{ Check() error }); able {
-		if err := checked.Check(); err != nil {
-			return err
-		}
+	if checked, isChecked := message.(Checked); isChecked {
+		return checked.Check()
 	}
 	return nil
 }
 
-func marshal(message any) ([]byte, error) {
-	body, err := msgpack.Marshal(message)
+// Marshal encodes a structure as messages are encoded, for storage.
+func Marshal(value any) ([]byte, error) {
+	body, err := msgpack.Marshal(value)
 	if err != nil {
-		return nil, Errorf(BadMessage, "%T: %v", message, err)
+		return nil, Errorf(BadMessage, "%T: %w", value, err)
 	}
 	return body, nil
 }
 
-func unmarshal(body []byte, message any) error {
+// Unmarshal decodes what Marshal encoded; it refuses unknown fields and trailing bytes.
+func Unmarshal(body []byte, value any) error {
 	reader := bytes.NewReader(body)
 	decoder := msgpack.NewDecoder(reader)
 	decoder.DisallowUnknownFields(true)
-	if err := decoder.Decode(message); err != nil {
-		return Errorf(BadMessage, "%T: %v", message, err)
+	if err := decoder.Decode(value); err != nil {
+		return Errorf(BadMessage, "%T: %w", value, err)
 	}
 	if reader.Len() > 0 {
-		return Errorf(BadMessage, "%T: %d bytes too many", message, reader.Len())
+		return Errorf(BadMessage, "%T: %d bytes too many", value, reader.Len())
 	}
 	return nil
 }
-
-// Marshal and Unpack serve the store, which keeps the same structs.
-func Marshal(message any) ([]byte, error) { return marshal(message) }
-
-// Unmarshal reads what Pack made; unknown fields and trailing bytes are refused.
-func Unmarshal(body []byte, message any) error { return unmarshal(body, message) }
--- /dev/null
+++ b/wire/compress.go
@@ -0,0 +1,34 @@
+package wire
+
+import (
+	"bytes"
+	"compress/flate"
+	"io"
+)
+
+const maxDecompressedBytes = 256 << 20
+
+// Compress returns body compressed by DEFLATE (RFC 1951).
+func Compress(body []byte) []byte {
+	buffer := bytes.Buffer{}
+	writer, _ := flate.NewWriter(&buffer, flate.DefaultCompression) // the level is a valid one
+	_, _ = writer.Write(body)                                       // a bytes.Buffer accepts all of it
+	_ = writer.Close()                                              // as above
+	return buffer.Bytes()
+}
+
+// DecompressRouting returns the routing's body as it was before it was compressed.
+func (response *FetchResponse) DecompressRouting() ([]byte, error) {
+	if !response.RoutingCompressed {
+		return response.RoutingBody, nil
+	}
+	reader := flate.NewReader(bytes.NewReader(response.RoutingBody))
+	body, err := io.ReadAll(io.LimitReader(reader, maxDecompressedBytes+1))
+	if err != nil {
+		return nil, Errorf(BadMessage, "routing of %d compressed bytes: %w", len(response.RoutingBody), err)
+	}
+	if len(body) > maxDecompressedBytes {
+		return nil, Errorf(BadMessage, "routing of more than %d bytes", maxDecompressedBytes)
+	}
+	return body, nil
+}
--- /dev/null
+++ b/wire/error.go
@@ -0,0 +1,239 @@
+package wire
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+
+	"connectrpc.com/connect"
+)
+
+// Code says what kind of failure an Error is. Its text is part of the interface
+// towards operators and callers and never changes. A Code is itself an error, so
+// that errors.Is(err, NotLeader) reports whether err carries that code.
+type Code string
+
+// Error returns the code's text.
+func (code Code) Error() string { return string(code) }
+
+// Codes of leadership and of changes to the replicated state.
+const (
+	NotLeader      Code = "not_leader"
+	Lameduck       Code = "lameduck"
+	NoLeader       Code = "no_leader"
+	StaleTerm      Code = "stale_ballot"
+	StaleBase      Code = "stale_base"
+	StaleVersion   Code = "stale_version"
+	StaleSerial    Code = "old_serial"
+	Invalid        Code = "invalid_settings"
+	ChangeIDReused Code = "change_id_reused"
+	OutcomeUnknown Code = "outcome_unknown"
+	NotStarted     Code = "not_started"
+	Forgotten      Code = "order_forgotten"
+	ZoneChanged    Code = "zone_changed"
+	QueueFull      Code = "hold_full"
+	NoLearner      Code = "no_learner"
+)
+
+// Codes of processes, disks and calls between processes.
+const (
+	BadMessage     Code = "bad_message"
+	UnknownMessage Code = "unknown_message"
+	Unreachable    Code = "unreachable" // the call may have been received
+	ConnectFailed  Code = "unreached"   // the call was not sent
+	BlankDisk      Code = "blank_disk"
+	CorruptStore   Code = "corrupt_store"
+	CorruptChunk   Code = "damaged_part"
+	DiskFailure    Code = "disk_fault"
+	BadFlag        Code = "bad_flag"
+	NotReady       Code = "not_ready"
+	Stopping       Code = "stopping"
+	PlatformError  Code = "platform_fault"
+)
+
+// Codes of callers' requests.
+const (
+	BadRequest       Code = "bad_request"
+	UnknownKey       Code = "unknown_key"
+	WrongTenant      Code = "wrong_tenant"
+	ForbiddenRegion  Code = "forbidden_region"
+	UnknownRoute     Code = "unknown_route"
+	MethodNotAllowed Code = "wrong_method"
+	KeyRequired      Code = "money_key_required"
+	KeyInFlight      Code = "money_key_in_flight"
+	KeyReused        Code = "money_key_reused"
+	TooLarge         Code = "too_large"
+	NoBackend        Code = "no_backend"
+	Overloaded       Code = "busy"
+	BadResponse      Code = "bad_receipt"
+	DeadlineExceeded Code = "limit_passed"
+	WrongBackend     Code = "wrong_identity"
+	ConnectionBroken Code = "pipe_broken"
+	NotFound         Code = "not_found"
+	ZoneDrained      Code = "zone_emptied"
+	ObjectiveMissed  Code = "aim_missed"
+)
+
+// Status returns the HTTP status with which the code is answered outside the system.
+func (code Code) Status() int {
+	switch code {
+	case StaleBase, StaleVersion, KeyInFlight, NoLearner:
+		return http.StatusConflict
+	case Invalid, BadRequest, BadMessage, KeyRequired:
+		return http.StatusBadRequest
+	case ChangeIDReused, KeyReused:
+		return http.StatusUnprocessableEntity
+	case UnknownKey:
+		return http.StatusUnauthorized
+	case WrongTenant, ForbiddenRegion, ObjectiveMissed:
+		return http.StatusForbidden
+	case UnknownRoute, NotFound:
+		return http.StatusNotFound
+	case MethodNotAllowed:
+		return http.StatusMethodNotAllowed
+	case TooLarge:
+		return http.StatusRequestEntityTooLarge
+	case OutcomeUnknown, DeadlineExceeded:
+		return http.StatusGatewayTimeout
+	case BadResponse, WrongBackend, ConnectionBroken:
+		return http.StatusBadGateway
+	}
+	return http.StatusServiceUnavailable
+}
+
+// Detail is one mistake in a configuration: where it is, what it is, and its code.
+type Detail struct {
+	Path    string `json:"path"`
+	Message string `json:"cause" msgpack:"Cause"`
+	Code    string `json:"kind" msgpack:"Kind"`
+}
+
+// Values of Error.Outcome: whether the caller's request may have run.
+const (
+	NotRun     = "not_run"
+	MayHaveRun = "unknown"
+)
+
+// Error is a failure with a code. It crosses the borders between processes as it is.
+type Error struct {
+	Code    Code   `json:"code" msgpack:"Kind"`
+	Message string `json:"cause,omitempty" msgpack:"Cause"`
+	// Serial is the current serial, where a change was based on another one.
+	Serial uint64 `json:"serial,omitempty"`
+	// Leader is the address of the leader, where the call went to another core.
+	Leader string `json:"leader,omitempty"`
+	// RetryAfterMs is when to try again, in milliseconds; 0 where that is not known.
+	RetryAfterMs int `json:"retry_after_ms,omitempty" msgpack:"Retry"`
+	// Outcome is NotRun, MayHaveRun or empty.
+	Outcome string `json:"outcome,omitempty"`
+	// Details are the mistakes found in a configuration.
+	Details []Detail `json:"details,omitempty"`
+
+	cause error
+}
+
+// Errorf returns an Error with a message formatted as by fmt.Errorf; an error that is
+// formatted with %w is its cause.
+func Errorf(code Code, format string, values ...any) error {
+	formatted := fmt.Errorf(format, values...)
+	return &Error{Code: code, Message: formatted.Error(), cause: errors.Unwrap(formatted)}
+}
+
+// Error returns the code, the message and all details in one line.
+func (err *Error) Error() string {
+	text := string(err.Code)
+	if err.Message != "" {
+		text += ": " + err.Message
+	}
+	for _, detail := range err.Details {
+		text += fmt.Sprintf("; %s: %s (%s)", detail.Path, detail.Message, detail.Code)
+	}
+	return text
+}
+
+// Unwrap returns the cause in this process, if any. It is not sent to other processes.
+func (err *Error) Unwrap() error { return err.cause }
+
+// Is reports whether target is the error's code.
+func (err *Error) Is(target error) bool {
+	code, isCode := target.(Code)
+	return isCode && err.Code == code
+}
+
+// CodeOf returns the code of the first Error in err's chain, and Unreachable for an
+// error of a library.
+func CodeOf(err error) Code {
+	var known *Error
+	if errors.As(err, &known) {
+		return known.Code
+	}
+	return Unreachable
+}
+
+// AsError returns the first Error in the chain of err, which must not be nil. An error
+// of a library becomes one with the code Unreachable.
+func AsError(err error) *Error {
+	var known *Error
+	if errors.As(err, &known) {
+		return known
+	}
+	return &Error{Code: Unreachable, Message: err.Error(), cause: err}
+}
+
+// WithPrefix returns a copy of err, which must not be nil, with text before its message.
+func WithPrefix(text string, err error) error {
+	prefixed := *AsError(err)
+	prefixed.Message = text + ": " + prefixed.Message
+	return &prefixed
+}
+
+// errorHeader carries an Error between processes. Its name is that of former releases.
+const errorHeader = "Oj-Mishap"
+
+func (err *Error) toConnect() *connect.Error {
+	code := connect.CodeFailedPrecondition
+	switch err.Code {
+	case BadMessage:
+		code = connect.CodeInvalidArgument
+	case UnknownMessage:
+		code = connect.CodeUnimplemented
+	}
+	packed := connect.NewError(code, err)
+	if body, failed := Marshal(err); failed == nil {
+		packed.Meta().Set(errorHeader, connect.EncodeBinaryHeader(body))
+	}
+	return packed
+}
+
+func fromConnect(err error) error {
+	if remote := remoteError(err); remote != nil {
+		return remote
+	}
+	var dialed *net.OpError
+	if errors.As(err, &dialed) && dialed.Op == "dial" {
+		return &Error{Code: ConnectFailed, Message: err.Error(), cause: err}
+	}
+	return &Error{Code: Unreachable, Message: err.Error(), cause: err}
+}
+
+// remoteError returns the Error that the other process answered with, nil if none came.
+func remoteError(err error) *Error {
+	var packed *connect.Error
+	if !errors.As(err, &packed) {
+		return nil
+	}
+	header := packed.Meta().Get(errorHeader)
+	if header == "" {
+		return nil
+	}
+	body, err := connect.DecodeBinaryHeader(header)
+	if err != nil {
+		return nil
+	}
+	remote := &Error{}
+	if Unmarshal(body, remote) != nil {
+		return nil
+	}
+	return remote
+}
--- /dev/null
+++ b/wire/error_test.go
@@ -0,0 +1,40 @@
+package wire
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"testing"
+)
+
+// An Error is found in a chain by its code and by its cause, and a nil error stays nil
+// through the functions that return error.
+func TestErrorsAreFoundByCodeAndCause(test *testing.T) {
+	cause := Errorf(DiskFailure, "sync: %w", io.ErrShortWrite)
+	wrapped := fmt.Errorf("roll: %w", cause)
+	if !errors.Is(wrapped, DiskFailure) || !errors.Is(wrapped, io.ErrShortWrite) || errors.Is(wrapped, NotLeader) {
+		test.Errorf("%v is not found by its code and its cause alone", wrapped)
+	}
+	if CodeOf(wrapped) != DiskFailure || CodeOf(io.EOF) != Unreachable {
+		test.Errorf("codes %s and %s", CodeOf(wrapped), CodeOf(io.EOF))
+	}
+	if prefixed := WithPrefix("file", wrapped); prefixed.Error() != "disk_fault: file: sync: short write" || !errors.Is(prefixed, io.ErrShortWrite) {
+		test.Errorf("prefixed: %v", prefixed)
+	}
+	if err := (Codec{}).Unmarshal([]byte{0x80}, &struct{}{}); err != nil {
+		test.Errorf("an empty message gives %v", err)
+	}
+}
+
+// An Error keeps all that it says on its way between processes, but not its cause.
+func TestErrorCrossesProcesses(test *testing.T) {
+	sent := &Error{Code: StaleBase, Message: "based on 3", Serial: 7, Leader: "10.0.0.1:41", RetryAfterMs: 500, Outcome: NotRun,
+		Details: []Detail{{Path: "routes.a", Message: "dangling", Code: "dangling"}}, cause: io.EOF}
+	received := AsError(fromConnect(sent.toConnect()))
+	if received.Error() != sent.Error() || received.Serial != 7 || received.Leader != sent.Leader || received.RetryAfterMs != 500 || received.Outcome != NotRun {
+		test.Errorf("%+v arrives as %+v", sent, received)
+	}
+	if errors.Is(received, io.EOF) || !errors.Is(received, StaleBase) {
+		test.Errorf("arrived with cause %v and code %s", received.cause, received.Code)
+	}
+}
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -35,6 +35,6 @@
 // Every message is encoded as it was when the file was written, byte for byte, and
 // what was written then is read back into equal messages.
 func TestMessageEncodingsStay(test *testing.T) {
-	format := golden.Format{Marshal: Codec{}.Marshal, Unmarshal: unmarshal}
+	format := golden.Format{Marshal: Codec{}.Marshal, Unmarshal: Unmarshal}
 	format.Check(test, "testdata/messages.golden", goldenMessages())
 }
--- a/wire/membership.go
+++ b/wire/membership.go
@@ -6,79 +6,79 @@
 	"slices"
 )
 
-// Peer is one core machine that votes. Its ID is never given to another machine.
+// MaxPeerID bounds the IDs of cores. Each replacement uses up one.
+const MaxPeerID = 1<<20 - 1
+
+// Peer is a core that votes. Its ID is never given to another machine.
 type Peer struct {
 	ID      int    `json:"id"`
 	Address string `json:"address"`
 }
 
-// MaxPeerID bounds the IDs of cores; a replacement takes the next one.
-const MaxPeerID = 1<<20 - 1
-
 func (peer Peer) check() error {
-	if _, err := netip.ParseAddrPort(peer.Address); err != nil {
-		return Errorf(BadMessage, "peer at %q: %v", peer.Address, err)
+	if err := checkAddress(peer.Address); err != nil {
+		return err
+	}
+	return checkCoreID(peer.ID)
+}
+
+func checkAddress(address string) error {
+	if _, err := netip.ParseAddrPort(address); err != nil {
+		return Errorf(BadMessage, "peer at %q: %w", address, err)
+	}
+	return nil
+}
+
+func checkCoreID(id int) error {
+	if id < 1 || id > MaxPeerID {
+		return Errorf(BadMessage, "core id %d is not in 1 to %d", id, MaxPeerID)
 	}
-	return checkCore(peer.ID)
+	return nil
 }
 
 // VoterSet is the content of the membership register: which cores vote. While one of
-// them is being replaced Next holds the voters to come, and a decision takes a
-// majority of both groups. LastID is the highest ID that was ever given.
+// them is being replaced, Next holds the voters to come and a quorum is a majority of
+// both groups (joint consensus). LastID is the highest ID that was ever given.
 type VoterSet struct {
 	Current []Peer
 	Next    []Peer
 	LastID  int
 }
 
-// JoinRequest asks a core who votes and who leads. A core without a part in the quorum
-// sends it again and again; at the leader it also asks to become a learner. Opening
-// is whether the asker's disk has been there since the system's first start.
-type JoinRequest struct {
-	Address        string
-	SinceBootstrap bool `msgpack:"Opening"`
-	Known          Version
-}
-
-// JoinResponse brings the membership where it is newer than what the asker knows, and
-// the leader. Admitted is true only at a leader that has confirmed its lead after it
-// was asked and that does not count the asker as a voter: then an empty disk may
-// begin as a replica that has promised Ballot and accepted nothing.
-type JoinResponse struct {
-	Membership AcceptedValue `msgpack:"Members"`
-	Leader     Leader
-	Admitted   bool
-	Term       Term `msgpack:"Ballot"`
-}
-
-// RemoveVoterRequest is an operator's order to give a voter's place to a learner at once.
-type RemoveVoterRequest struct {
-	Core int
-}
-
-// RemoveVoterResponse says that the core has no vote, decided by a quorum. Again is true where
-// it had none before the order came.
-type RemoveVoterResponse struct {
-	Version   uint64
-	Duplicate bool `msgpack:"Again"`
+// Check refuses a set without voters, and an ID that stands twice in a group or is
+// above LastID.
+func (voters *VoterSet) Check() error {
+	if len(voters.Current) == 0 {
+		return Errorf(BadMessage, "membership without voters")
+	}
+	for _, group := range voters.groups() {
+		if err := voters.checkGroup(group); err != nil {
+			return err
+		}
+	}
+	return nil
 }
 
-// LeaveRequest announces that a core ends for good, as far as it knows: a learner that
-// holds everything may take its place. The core asks until it has no part left.
-type LeaveRequest struct {
-	Core int
+func (voters *VoterSet) checkGroup(group []Peer) error {
+	seen := map[int]bool{}
+	for _, peer := range group {
+		if err := peer.check(); err != nil {
+			return err
+		}
+		if seen[peer.ID] || peer.ID > voters.LastID {
+			return Errorf(BadMessage, "voter %d is there twice or above %d", peer.ID, voters.LastID)
+		}
+		seen[peer.ID] = true
+	}
+	return nil
 }
 
-// LeaveResponse tells a leaving core whether to wait for its place to be taken.
-type LeaveResponse struct {
-	Wait       bool
-	Membership AcceptedValue `msgpack:"Members"`
-}
+func (voters *VoterSet) groups() [][]Peer { return [][]Peer{voters.Current, voters.Next} }
 
-// Majority is how many of a group decide.
+// Majority returns how many peers of a group are a majority of it.
 func Majority(group []Peer) int { return len(group)/2 + 1 }
 
-// CountIn is how many of a group has is true for.
+// CountIn returns for how many peers of a group has returns true.
 func CountIn(group []Peer, has func(id int) bool) int {
 	count := 0
 	for _, peer := range group {
@@ -89,8 +89,8 @@
 	return count
 }
 
-// Quorum is whether those for which has is true decide: a majority of the current
-// voters and, during a replacement, of the next ones too.
+// Quorum reports whether the peers for which has returns true are a quorum: a majority
+// of the current voters and, during a replacement, of the next ones too.
 func (voters *VoterSet) Quorum(has func(id int) bool) bool {
 	if CountIn(voters.Current, has) < Majority(voters.Current) {
 		return false
@@ -98,10 +98,10 @@
 	return len(voters.Next) == 0 || CountIn(voters.Next, has) >= Majority(voters.Next)
 }
 
-// Addresses are those of all voters of both groups, each once.
+// Addresses returns those of all voters of both groups, each once.
 func (voters *VoterSet) Addresses() []string {
 	addresses := []string{}
-	for _, group := range [][]Peer{voters.Current, voters.Next} {
+	for _, group := range voters.groups() {
 		for _, peer := range group {
 			if !slices.Contains(addresses, peer.Address) {
 				addresses = append(addresses, peer.Address)
@@ -111,40 +111,63 @@
 	return addresses
 }
 
-// Supersedes is whether an accepted membership is newer than another one and has
-// other voters: a quorum counted by the other one may then decide no more.
-func Supersedes(held, asked AcceptedValue) bool {
-	return asked.Version().Less(held.Version()) && !bytes.Equal(asked.Value.Body, held.Value.Body)
+// Supersedes reports whether known is a newer membership than asked and has other
+// voters, so that a quorum counted by asked may no longer decide.
+func Supersedes(known, asked AcceptedValue) bool {
+	return asked.Version().Less(known.Version()) && !bytes.Equal(asked.Value.Body, known.Value.Body)
 }
 
-// Check refuses an address that is none.
-func (message *JoinRequest) Check() error {
-	return Peer{ID: 1, Address: message.Address}.check()
+// JoinRequest asks a core who votes and who leads. A core that is no voter repeats it;
+// at the leader it also asks to become a learner. SinceBootstrap says that the sender's
+// disk has been there since the system's first start. Known is the version of the newest
+// membership that the sender knows.
+type JoinRequest struct {
+	Address        string
+	SinceBootstrap bool `msgpack:"Opening"`
+	Known          Version
 }
 
-// Check refuses an ID out of range.
-func (message *RemoveVoterRequest) Check() error { return checkCore(message.Core) }
+// JoinResponse brings the leader, and the membership if it is newer than the sender's.
+// Admitted is true only at a leader that has confirmed its leadership after it was asked
+// and does not count the sender as a voter: a blank disk may then begin as a replica that
+// has promised Term and accepted nothing.
+type JoinResponse struct {
+	Membership AcceptedValue `msgpack:"Members"`
+	Leader     Leader
+	Admitted   bool
+	Term       Term `msgpack:"Ballot"`
+}
+
+// Check refuses an address that is not IP:port.
+func (request *JoinRequest) Check() error { return checkAddress(request.Address) }
+
+// RemoveVoterRequest is an operator's order to give a voter's place to a learner at once.
+type RemoveVoterRequest struct {
+	Core int
+}
+
+// RemoveVoterResponse says that a quorum decided that the core has no vote. Duplicate is
+// true if it had none before the order came.
+type RemoveVoterResponse struct {
+	Version   uint64
+	Duplicate bool `msgpack:"Again"`
+}
 
 // Check refuses an ID out of range.
-func (message *LeaveRequest) Check() error { return checkCore(message.Core) }
+func (request *RemoveVoterRequest) Check() error { return checkCoreID(request.Core) }
 
-// Check refuses voters without a group, with an ID given twice within a group or
-// above LastID.
-func (voters *VoterSet) Check() error {
-	if len(voters.Current) == 0 {
-		return Errorf(BadMessage, "membership without voters")
-	}
-	for _, group := range [][]Peer{voters.Current, voters.Next} {
-		seen := map[int]bool{}
-		for _, peer := range group {
-			if err := peer.check(); err != nil {
-				return err
-			}
-			if seen[peer.ID] || peer.ID > voters.LastID {
-				return Errorf(BadMessage, "voter %d is there twice or above %d", peer.ID, voters.LastID)
-			}
-			seen[peer.ID] = true
-		}
-	}
-	return nil
+// LeaveRequest announces that a voter ends for good, as far as it knows, so that a
+// learner which holds everything may take its place. The voter repeats it until it has
+// no vote.
+type LeaveRequest struct {
+	Core int
 }
+
+// LeaveResponse tells a leaving voter whether to wait until its place is taken.
+type LeaveResponse struct {
+	Wait       bool
+	Membership AcceptedValue `msgpack:"Members"`
+}
+
+// Check refuses an ID out of range.
+func (request *LeaveRequest) Check() error { return checkCoreID(request.Core) }
--- a/wire/register.go
+++ b/wire/register.go
@@ -1,6 +1,6 @@
 package wire
 
-// Register names one of the whole values that the cores agree on.
+// Register names one of the values that the cores replicate, each as a whole.
 type Register int
 
 // The registers; Registers is their number.
@@ -12,7 +12,8 @@
 	Registers
 )
 
-// HistoryEntry is one change in a register's trail.
+// HistoryEntry is one change of the settings register, by which a repeated request for
+// the same change is recognized.
 type HistoryEntry struct {
 	Serial   uint64 `json:"serial"`
 	Change   string `json:"change"`
@@ -22,21 +23,20 @@
 	AtMs     int64  `json:"at_ms"`
 }
 
-// Value is the whole content of a register at a serial: a body, or the branches
-// that make it up.
+// Value is the content of a register at a serial: a body, or the chunks that make it up.
 type Value struct {
 	Serial uint64
 	Body   []byte
 	Chunks []ChunkRef `msgpack:"Parts"`
 }
 
-// AcceptedValue is a value and the ballot it was written under.
+// AcceptedValue is a value and the term under which a replica accepted it.
 type AcceptedValue struct {
 	Term  Term `msgpack:"Ballot"`
 	Value Value
 }
 
-// Version is how new the value is.
+// Version returns how new the value is.
 func (accepted AcceptedValue) Version() Version {
 	return Version{Term: accepted.Term, Serial: accepted.Value.Serial}
 }
--- /dev/null
+++ b/wire/server.go
@@ -0,0 +1,82 @@
+// Package rpc carries calls between the system's own processes: a Client and a Server
+// over HTTP (package connect), a Codec, and an Error with a Code that keeps its meaning
+// from one process to the next. The messages themselves are in package message.
+package wire
+
+import (
+	"context"
+	"net/http"
+	"strings"
+
+	"connectrpc.com/connect"
+	"orchidjunction/run"
+)
+
+// Server is an http.Handler that answers the calls registered by Handle. It counts
+// what it refuses: wire_unknown_message, wire_bad_message, wire_handler_panic.
+type Server struct {
+	mux    *http.ServeMux
+	counts *run.Counts
+	paths  map[string]bool
+}
+
+// NewServer returns a server that answers no call yet.
+func NewServer(counts *run.Counts) *Server {
+	return &Server{mux: http.NewServeMux(), counts: counts, paths: map[string]bool{}}
+}
+
+// ServeHTTP answers a call, 404 for an unknown message and 415 for another content type.
+func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	if !server.paths[request.URL.Path] {
+		server.counts.Add("wire_unknown_message", 1)
+		http.Error(writer, string(UnknownMessage), http.StatusNotFound)
+		return
+	}
+	if !strings.HasPrefix(request.Header.Get("Content-Type"), "application/msgpack") {
+		server.counts.Add("wire_bad_message", 1)
+		http.Error(writer, string(BadMessage), http.StatusUnsupportedMediaType)
+		return
+	}
+	request.Body = http.MaxBytesReader(writer, request.Body, maxMessageBytes+1)
+	server.mux.ServeHTTP(writer, request)
+}
+
+// Handle registers the function that answers the named message. It must not be called
+// once the server serves.
+func Handle[Request, Response any](server *Server, name string, answer func(context.Context, *Request) (*Response, error)) {
+	path := pathPrefix + name
+	server.paths[path] = true
+	handler := connect.NewUnaryHandler(path,
+		func(ctx context.Context, request *connect.Request[Request]) (*connect.Response[Response], error) {
+			response, err := answer(ctx, request.Msg)
+			if err != nil {
+				return nil, AsError(err).toConnect()
+			}
+			return connect.NewResponse(response), nil
+		},
+		connect.WithCodec(countingCodec{counts: server.counts}),
+		connect.WithReadMaxBytes(maxMessageBytes),
+		connect.WithCompression("gzip", nil, nil),
+		connect.WithRecover(server.recovered))
+	server.mux.Handle(path, handler)
+}
+
+// recovered turns a handler's panic into an error for the caller.
+func (server *Server) recovered(_ context.Context, _ connect.Spec, _ http.Header, cause any) error {
+	server.counts.Add("wire_handler_panic", 1)
+	return AsError(Errorf(BadMessage, "handler: %v", cause)).toConnect()
+}
+
+// countingCodec counts messages that can't be decoded.
+type countingCodec struct {
+	Codec
+	counts *run.Counts
+}
+
+func (codec countingCodec) Unmarshal(body []byte, message any) error {
+	err := codec.Codec.Unmarshal(body, message)
+	if err != nil {
+		codec.counts.Add("wire_bad_message", 1)
+	}
+	return err
+}
--- /dev/null
+++ b/wire/session.go
@@ -0,0 +1,75 @@
+package wire
+
+import "net/netip"
+
+// Kinds of daemons.
+const (
+	ProxyKind     = "proxy"
+	DirectoryKind = "dir"
+)
+
+// Session is a daemon's heartbeat to a core: who it is, which versions are in force at
+// it, what it found at backends, and what it counted. Windows hold what changed since
+// the core's process BaseProcess was last told, or everything if that is 0. Times are in
+// milliseconds.
+type Session struct {
+	Member Member
+	Serial uint64
+	Table  TableVersion
+	Parent string
+	Probes []Probe
+	Usage  map[string]uint64
+	AgeMs  int64
+
+	Routing     uint64
+	Windows     []WindowCount
+	NowMs       int64
+	Ended       bool   `msgpack:"Gone"`
+	BaseProcess uint64 `msgpack:"Upon"`
+}
+
+// Check refuses a session without a name, an incarnation, a known kind or an address.
+func (session *Session) Check() error {
+	if session.Member.Name == "" || session.Member.Incarnation == "" {
+		return Errorf(BadMessage, "session without name or incarnation")
+	}
+	if session.Member.Kind != ProxyKind && session.Member.Kind != DirectoryKind {
+		return Errorf(BadMessage, "session of unknown kind %q", session.Member.Kind)
+	}
+	if _, err := netip.ParseAddrPort(session.Member.InternalAddress); err != nil {
+		return Errorf(BadMessage, "session from %q: %w", session.Member.InternalAddress, err)
+	}
+	return nil
+}
+
+// SessionResponse is the leader and the newest versions, as far as the core knows. Cores
+// are the addresses of the voters, and Process identifies the core's process.
+type SessionResponse struct {
+	Leader Leader
+	Serial uint64
+	Table  TableVersion
+	Cores  []string
+
+	Routing    uint64
+	NowMs      int64
+	Process    uint64
+	Membership Version `msgpack:"Members"`
+}
+
+// UsageCountRequest tells the leader at once how many requests of each tenant a process
+// has sent so far.
+type UsageCountRequest struct {
+	Incarnation string
+	Usage       map[string]uint64
+}
+
+// UsageCountResponse confirms a UsageCountRequest.
+type UsageCountResponse struct{}
+
+// Check refuses a count that names no process.
+func (request *UsageCountRequest) Check() error {
+	if request.Incarnation == "" {
+		return Errorf(BadMessage, "count without incarnation")
+	}
+	return nil
+}
--- a/wire/change.go
+++ b/wire/status.go
@@ -1,49 +1,25 @@
 package wire
 
-// ChangeRequest is an operator's new settings, whole or partial.
-type ChangeRequest struct {
-	ID       string
-	Base     uint64
-	Kind     string
-	Body     []byte
-	Operator string
-}
-
-// Check refuses an ID of the wrong length and an unknown kind.
-func (change *ChangeRequest) Check() error {
-	if change.ID == "" || len(change.ID) > 128 {
-		return Errorf(BadMessage, "change id has %d letters, allowed 1 to 128", len(change.ID))
-	}
-	if change.Kind != "whole" && change.Kind != "partial" {
-		return Errorf(BadMessage, "change kind %q", change.Kind)
-	}
-	return nil
-}
-
-// ChangeResponse is the serial that holds the change; Again tells that an earlier send of it was taken.
-type ChangeResponse struct {
-	Serial    uint64
-	Duplicate bool `msgpack:"Again"`
-}
+// StatusRequest asks a core for its view of the deployment. The leader's is complete.
+type StatusRequest struct{}
 
-// ReadRequest asks the leader for the confirmed settings; an asker that holds their
-// serial gets no body.
-type ReadRequest struct {
-	HeldSerial uint64 `msgpack:"Held"`
-	History    bool   `msgpack:"Trail"`
-}
+// StatusResponse is a core's view of the deployment.
+type StatusResponse struct {
+	Membership MembershipStatus `json:"membership"`
 
-// ReadResponse brings the confirmed settings, and their trail where it was asked for.
-type ReadResponse struct {
-	Serial  uint64
-	Body    []byte
-	History []HistoryEntry `msgpack:"Trail"`
+	Leader     Leader            `json:"leader"`
+	State      string            `json:"state"`
+	Revocation string            `json:"revocation"`
+	Conditions []Condition       `json:"conditions"`
+	Serial     uint64            `json:"serial"`
+	Table      TableVersion      `json:"table"`
+	Cores      []CoreStatus      `json:"cores"`
+	Members    []MemberStatus    `json:"members"`
+	Backends   []Backend         `json:"backends"`
+	Counts     map[string]uint64 `json:"counts"`
 }
 
-// StatusRequest asks the leader for the fleet as it sees it.
-type StatusRequest struct{}
-
-// Condition is one named thing a leadership needs.
+// Condition is one thing that must hold for a leadership, and whether it does.
 type Condition struct {
 	Name   string `json:"name"`
 	Holds  bool   `json:"holds"`
@@ -59,7 +35,8 @@
 	Versions Versions `json:"marks" msgpack:"Marks"`
 }
 
-// MemberStatus is one daemon as the leader sees it.
+// MemberStatus is one daemon as the leader sees it. AgeMs is how long ago its session
+// was renewed, and Core the core that it spoke to.
 type MemberStatus struct {
 	Member Member       `json:"member"`
 	Serial uint64       `json:"serial"`
@@ -70,9 +47,9 @@
 	Probes []Probe      `json:"probes,omitempty"`
 }
 
-// VoterStatus is a core that votes. Seen is whether it answered the leader within the
-// suspicion span, Silent how many milliseconds ago it did, and Leaving whether it
-// announced its end.
+// VoterStatus is a core that votes. Seen says whether it answered the leader within the
+// suspicion time-out, SilentMs how long ago it did, and Leaving whether it announced its
+// end.
 type VoterStatus struct {
 	ID       int    `json:"id"`
 	Address  string `json:"address"`
@@ -81,7 +58,7 @@
 	Leaving  bool   `json:"leaving,omitempty"`
 }
 
-// LearnerStatus is a core that waits for a voter's place. Synced is whether it holds
+// LearnerStatus is a core that waits for a voter's place. Synced says whether it holds
 // all that was decided, or nearly so, and may take one.
 type LearnerStatus struct {
 	Address  string `json:"address"`
@@ -90,7 +67,7 @@
 	Synced   bool   `json:"synced"`
 }
 
-// MembershipStatus is who votes. Next is there during a replacement: the voters to
+// MembershipStatus is which cores vote. Next is set during a replacement: the voters to
 // come. Only the leader knows who was seen, and the learners.
 type MembershipStatus struct {
 	Version  uint64          `json:"version"`
@@ -99,19 +76,3 @@
 	Next     []VoterStatus   `json:"next,omitempty"`
 	Learners []LearnerStatus `json:"learners"`
 }
-
-// StatusResponse is the fleet as the leader sees it.
-type StatusResponse struct {
-	Membership MembershipStatus `json:"membership"`
-
-	Leader     Leader            `json:"leader"`
-	State      string            `json:"state"`
-	Revocation string            `json:"revocation"`
-	Conditions []Condition       `json:"conditions"`
-	Serial     uint64            `json:"serial"`
-	Table      TableVersion      `json:"table"`
-	Cores      []CoreStatus      `json:"cores"`
-	Members    []MemberStatus    `json:"members"`
-	Backends   []Backend         `json:"backends"`
-	Counts     map[string]uint64 `json:"counts"`
-}
--- a/wire/table.go
+++ b/wire/table.go
@@ -2,7 +2,75 @@
 
 import "sort"
 
-// TableDelta is what changed in a table since an older mark.
+// Member is one daemon, as it announces itself to the others. Incarnation identifies
+// its process. Demand is in requests a second. A Guest serves another partner's requests
+// with capacity that it is lent.
+type Member struct {
+	Name            string  `json:"name"`
+	Kind            string  `json:"kind"`
+	Zone            string  `json:"zone"`
+	InternalAddress string  `json:"wire" msgpack:"Wire"`
+	PublicAddress   string  `json:"outer" msgpack:"Outer"`
+	OperatorAddress string  `json:"operate" msgpack:"Operate"`
+	Incarnation     string  `json:"incarnation"`
+	Leaving         bool    `json:"leaving"`
+	Ready           bool    `json:"ready"`
+	KeyReplica      bool    `json:"keeper,omitempty" msgpack:"Keeper"`
+	Demand          float64 `json:"demand,omitempty"`
+	Guest           bool    `json:"guest,omitempty"`
+}
+
+// Backend is one backend. ProbeHint rises whenever some proxy found it changed, so that
+// the others probe it at once. Capacity is the requests it handles at once, and WarmAtMs
+// when it is warm, in milliseconds since the Unix epoch.
+type Backend struct {
+	Name      string `json:"name"`
+	Service   string `json:"service"`
+	Address   string `json:"address"`
+	Zone      string `json:"zone"`
+	Leaving   bool   `json:"leaving"`
+	ProbeHint uint64 `json:"stir,omitempty" msgpack:"Stir"`
+	Capacity  int    `json:"slots,omitempty" msgpack:"Slots"`
+	WarmAtMs  int64  `json:"warm_at_ms,omitempty" msgpack:"WarmAt"`
+}
+
+// Probe is the last health check of a backend by one proxy. WarmupRate is the requests a
+// second that the backend bears while it warms up, Utilization its load between 0 and 1.
+type Probe struct {
+	Backend     string  `json:"backend"`
+	Incarnation string  `json:"incarnation"`
+	Healthy     bool    `json:"healthy"`
+	Leaving     bool    `json:"leaving"`
+	WarmingUp   bool    `json:"cold" msgpack:"Cold"`
+	WarmupRate  float64 `json:"gentle" msgpack:"Gentle"`
+	Utilization float64 `json:"usage" msgpack:"Usage"`
+	Serial      uint64  `json:"serial"`
+}
+
+// TableVersion orders tables: those of a newer leader are newer.
+type TableVersion struct {
+	Term   Term   `json:"ballot" msgpack:"Ballot"`
+	Number uint64 `json:"number"`
+}
+
+// Less reports whether the version is older than another.
+func (version TableVersion) Less(other TableVersion) bool {
+	if version.Term != other.Term {
+		return version.Term.Less(other.Term)
+	}
+	return version.Number < other.Number
+}
+
+// Table is the soft state that every daemon holds: the daemons and the backends, both
+// sorted by name. It is immutable.
+type Table struct {
+	Version  TableVersion `json:"mark" msgpack:"Mark"`
+	Members  []Member     `json:"members"`
+	Backends []Backend    `json:"backends"`
+	Complete bool         `json:"complete"`
+}
+
+// TableDelta is what changed in a table since an older version.
 type TableDelta struct {
 	Base            TableVersion
 	Version         TableVersion `msgpack:"Mark"`
@@ -13,139 +81,42 @@
 	RemovedBackends []string `msgpack:"GoneBackends"`
 }
 
-// Apply is the table with a delta laid in; false when the delta builds on another.
+// Apply returns the table after a delta; it returns the table itself and false if the
+// delta is based on another version.
 func (table *Table) Apply(delta *TableDelta) (*Table, bool) {
 	if table.Version != delta.Base {
 		return table, false
 	}
 	next := &Table{Version: delta.Version, Complete: delta.Complete}
-	next.Members = mergeByName(table.Members, delta.Members, delta.RemovedMembers, func(member *Member) string { return member.Name })
-	next.Backends = mergeByName(table.Backends, delta.Backends, delta.RemovedBackends, func(backend *Backend) string { return backend.Name })
+	next.Members = mergeByName(table.Members, delta.Members, delta.RemovedMembers, memberName)
+	next.Backends = mergeByName(table.Backends, delta.Backends, delta.RemovedBackends, backendName)
 	return next, true
 }
 
-// mergeByName is a list by name with some replaced, added and taken out.
-func mergeByName[Item any](held, changed []Item, gone []string, name func(*Item) string) []Item {
-	if len(changed) == 0 && len(gone) == 0 {
-		return held
-	}
-	out := make(map[string]bool, len(changed)+len(gone))
-	for _, one := range gone {
-		out[one] = true
-	}
-	for index := range changed {
-		out[name(&changed[index])] = true
-	}
-	all := make([]Item, 0, len(held)+len(changed))
-	for index := range held {
-		if !out[name(&held[index])] {
-			all = append(all, held[index])
-		}
-	}
-	all = append(all, changed...)
-	sort.Slice(all, func(left, right int) bool { return name(&all[left]) < name(&all[right]) })
-	return all
-}
+func memberName(member *Member) string { return member.Name }
 
-// TableLog knows since when each entry of a table is as it is, so that those who
-// hold an older one get only what changed. It goes on over changes of leaders.
-type TableLog struct {
-	count    uint64
-	versions []countedVersion
-	members  map[string]uint64
-	backends map[string]uint64
-	gone     []removedEntry
-}
-
-type countedVersion struct {
-	version TableVersion
-	count   uint64
-}
+func backendName(backend *Backend) string { return backend.Name }
 
-type removedEntry struct {
-	name    string
-	backend bool
-	count   uint64
-}
-
-const (
-	maxTableVersions = 512
-	maxTableRemovals = 4096
-)
-
-// NewTableLog makes a log that knows no table yet.
-func NewTableLog() *TableLog {
-	return &TableLog{members: map[string]uint64{}, backends: map[string]uint64{}}
-}
-
-// Record lays down what a newer table changes.
-func (log *TableLog) Record(before, after *Table) {
-	log.count++
-	recordChanges(log, before.Members, after.Members, log.members, false, func(member *Member) string { return member.Name })
-	recordChanges(log, before.Backends, after.Backends, log.backends, true, func(backend *Backend) string { return backend.Name })
-	if log.versions = append(log.versions, countedVersion{version: after.Version, count: log.count}); len(log.versions) > maxTableVersions {
-		log.versions = append([]countedVersion{}, log.versions[len(log.versions)-maxTableVersions/2:]...)
-	}
-	if len(log.gone) > maxTableRemovals {
-		log.gone = append([]removedEntry{}, log.gone[len(log.gone)-maxTableRemovals/2:]...)
-		for len(log.versions) > 0 && log.versions[0].count < log.gone[0].count {
-			log.versions = log.versions[1:]
-		}
-	}
-}
-
-func recordChanges[Item comparable](log *TableLog, before, after []Item, counts map[string]uint64, backend bool, name func(*Item) string) {
-	held := make(map[string]*Item, len(before))
-	for index := range before {
-		held[name(&before[index])] = &before[index]
-	}
-	for index := range after {
-		key := name(&after[index])
-		if former := held[key]; former == nil || *former != after[index] {
-			counts[key] = log.count
-		}
-		delete(held, key)
-	}
-	for key := range held {
-		delete(counts, key)
-		log.gone = append(log.gone, removedEntry{name: key, backend: backend, count: log.count})
-	}
-}
-
-// Since is what changed from a mark to the table laid down last; false when the
-// mark is not known any more, or is no leader's: cores number those each for itself.
-func (log *TableLog) Since(mark TableVersion, table *Table) (*TableDelta, bool) {
-	from, found := uint64(0), false
-	if mark.Term.Number == 0 {
-		return nil, false
+// mergeByName returns a list sorted by name, without the removed items and with the
+// changed ones in place of those of the same name.
+func mergeByName[Item any](items, changed []Item, removed []string, name func(*Item) string) []Item {
+	if len(changed) == 0 && len(removed) == 0 {
+		return items
 	}
-	for _, one := range log.versions {
-		if one.version == mark {
-			from, found = one.count, true
-		}
+	replaced := make(map[string]bool, len(changed)+len(removed))
+	for _, one := range removed {
+		replaced[one] = true
 	}
-	if !found {
-		return nil, false
-	}
-	delta := &TableDelta{Base: mark, Version: table.Version, Complete: table.Complete}
-	for index := range table.Members {
-		if log.members[table.Members[index].Name] > from {
-			delta.Members = append(delta.Members, table.Members[index])
-		}
-	}
-	for index := range table.Backends {
-		if log.backends[table.Backends[index].Name] > from {
-			delta.Backends = append(delta.Backends, table.Backends[index])
-		}
+	for index := range changed {
+		replaced[name(&changed[index])] = true
 	}
-	for _, one := range log.gone {
-		switch {
-		case one.count <= from:
-		case one.backend && log.backends[one.name] == 0:
-			delta.RemovedBackends = append(delta.RemovedBackends, one.name)
-		case !one.backend && log.members[one.name] == 0:
-			delta.RemovedMembers = append(delta.RemovedMembers, one.name)
+	merged := make([]Item, 0, len(items)+len(changed))
+	for index := range items {
+		if !replaced[name(&items[index])] {
+			merged = append(merged, items[index])
 		}
 	}
-	return delta, true
+	merged = append(merged, changed...)
+	sort.Slice(merged, func(left, right int) bool { return name(&merged[left]) < name(&merged[right]) })
+	return merged
 }
--- /dev/null
+++ b/wire/table_log.go
@@ -0,0 +1,140 @@
+package wire
+
+const (
+	// maxTableVersions is how many versions a TableLog knows a delta from.
+	maxTableVersions = 512
+	// maxTableRemovals is how many removed names a TableLog remembers.
+	maxTableRemovals = 4096
+)
+
+// TableLog remembers since when each entry of a table is as it is, so that a process
+// which holds an older version gets only what changed. It continues over changes of the
+// leader. It is not safe for concurrent use.
+type TableLog struct {
+	count    uint64
+	versions []countedVersion
+	members  map[string]uint64
+	backends map[string]uint64
+	removals []removal
+}
+
+// countedVersion is a version and the log's count when it was recorded.
+type countedVersion struct {
+	version TableVersion
+	count   uint64
+}
+
+// removal is an entry that a version no longer has.
+type removal struct {
+	name    string
+	backend bool
+	count   uint64
+}
+
+// NewTableLog returns a log that knows no table yet.
+func NewTableLog() *TableLog {
+	return &TableLog{members: map[string]uint64{}, backends: map[string]uint64{}}
+}
+
+// Record notes what changed from one table to the next.
+func (log *TableLog) Record(before, after *Table) {
+	log.count++
+	for _, name := range recordChanges(log.members, log.count, before.Members, after.Members, memberName) {
+		log.removals = append(log.removals, removal{name: name, count: log.count})
+	}
+	for _, name := range recordChanges(log.backends, log.count, before.Backends, after.Backends, backendName) {
+		log.removals = append(log.removals, removal{name: name, backend: true, count: log.count})
+	}
+	log.versions = append(log.versions, countedVersion{version: after.Version, count: log.count})
+	log.trim()
+}
+
+// trim forgets the older half of a list that has become too long, and versions from
+// which the removals are no longer known.
+func (log *TableLog) trim() {
+	if len(log.versions) > maxTableVersions {
+		log.versions = newerHalf(log.versions, maxTableVersions)
+	}
+	if len(log.removals) > maxTableRemovals {
+		log.removals = newerHalf(log.removals, maxTableRemovals)
+		for len(log.versions) > 0 && log.versions[0].count < log.removals[0].count {
+			log.versions = log.versions[1:]
+		}
+	}
+}
+
+// newerHalf returns a copy of the last limit/2 items.
+func newerHalf[Item any](items []Item, limit int) []Item {
+	return append([]Item{}, items[len(items)-limit/2:]...)
+}
+
+// recordChanges sets the count of the items that are new or changed and returns the
+// names of those that were removed.
+func recordChanges[Item comparable](counts map[string]uint64, count uint64, before, after []Item, name func(*Item) string) []string {
+	left := make(map[string]*Item, len(before))
+	for index := range before {
+		left[name(&before[index])] = &before[index]
+	}
+	for index := range after {
+		key := name(&after[index])
+		if former := left[key]; former == nil || *former != after[index] {
+			counts[key] = count
+		}
+		delete(left, key)
+	}
+	removed := []string{}
+	for key := range left {
+		delete(counts, key)
+		removed = append(removed, key)
+	}
+	return removed
+}
+
+// Since returns what changed from a version to the table recorded last. It returns false
+// if the version is not known any more, or is of no leader: each core numbers those for
+// itself.
+func (log *TableLog) Since(version TableVersion, table *Table) (*TableDelta, bool) {
+	from, found := log.countOf(version)
+	if !found {
+		return nil, false
+	}
+	delta := &TableDelta{Base: version, Version: table.Version, Complete: table.Complete}
+	for index := range table.Members {
+		if log.members[table.Members[index].Name] > from {
+			delta.Members = append(delta.Members, table.Members[index])
+		}
+	}
+	for index := range table.Backends {
+		if log.backends[table.Backends[index].Name] > from {
+			delta.Backends = append(delta.Backends, table.Backends[index])
+		}
+	}
+	log.addRemovals(delta, from)
+	return delta, true
+}
+
+// countOf returns the count at which a leader's version was recorded.
+func (log *TableLog) countOf(version TableVersion) (uint64, bool) {
+	if version.Term.Number == 0 {
+		return 0, false
+	}
+	for index := len(log.versions) - 1; index >= 0; index-- {
+		if log.versions[index].version == version {
+			return log.versions[index].count, true
+		}
+	}
+	return 0, false
+}
+
+// addRemovals adds the entries that were removed after a count and have not come back.
+func (log *TableLog) addRemovals(delta *TableDelta, from uint64) {
+	for _, one := range log.removals {
+		switch {
+		case one.count <= from:
+		case one.backend && log.backends[one.name] == 0:
+			delta.RemovedBackends = append(delta.RemovedBackends, one.name)
+		case !one.backend && log.members[one.name] == 0:
+			delta.RemovedMembers = append(delta.RemovedMembers, one.name)
+		}
+	}
+}
--- a/wire/table_test.go
+++ b/wire/table_test.go
@@ -88,8 +88,8 @@
 	if _, known := log.Since(mark(1), table); known {
 		test.Errorf("the first mark is still known")
 	}
-	if len(log.versions) > maxTableVersions || len(log.gone) > maxTableRemovals || len(log.backends) != 2 {
-		test.Errorf("%d marks, %d gone, %d backends", len(log.versions), len(log.gone), len(log.backends))
+	if len(log.versions) > maxTableVersions || len(log.removals) > maxTableRemovals || len(log.backends) != 2 {
+		test.Errorf("%d marks, %d gone, %d backends", len(log.versions), len(log.removals), len(log.backends))
 	}
 	if delta, known := log.Since(mark(2999), table); !known || len(delta.RemovedBackends) != 2 || len(delta.Backends) != 2 {
 		test.Errorf("%v %+v", known, delta)
--- /dev/null
+++ b/wire/update.go
@@ -0,0 +1,57 @@
+package wire
+
+// WatchRequest waits at a process for versions newer than those given, at most SpanMs
+// milliseconds.
+type WatchRequest struct {
+	Name   string
+	Serial uint64
+	Table  TableVersion
+	SpanMs int
+
+	Routing uint64
+}
+
+// WatchResponse is the versions that the process holds.
+type WatchResponse struct {
+	Serial uint64
+	Table  TableVersion
+
+	Routing uint64
+}
+
+// FetchRequest asks for what is newer than the versions given.
+type FetchRequest struct {
+	Serial uint64
+	Table  TableVersion
+
+	Routing uint64
+}
+
+// FetchResponse brings what is newer: the chunks that make up the settings, the table or
+// its delta, and the routing without its history.
+type FetchResponse struct {
+	Serial uint64
+	Chunks []ChunkRef `msgpack:"Parts"`
+	Table  *Table
+	Delta  *TableDelta
+
+	Routing           uint64
+	RoutingBody       []byte
+	RoutingCompressed bool `msgpack:"RoutingPacked"`
+
+	encoded []byte
+}
+
+// Encode encodes the response once for all processes that get the same one. It must not
+// be changed afterwards.
+func (response *FetchResponse) Encode() error {
+	body, err := Marshal(response)
+	if err != nil {
+		return err
+	}
+	response.encoded = body
+	return nil
+}
+
+// EncodedBody returns what Encode made, nil if it was not called.
+func (response *FetchResponse) EncodedBody() []byte { return response.encoded }
