--- a/aims/aims.go
+++ b/aims/aims.go
@@ -7,8 +7,7 @@
 	"bytes"
 	"errors"
 	"io"
-
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 
 	"gopkg.in/yaml.v3"
 )
@@ -76,7 +75,7 @@
 			break
 		}
 		if err != nil {
-			return nil, wire.Errorf(wire.BadRequest, "document %d: %v", len(documents)+1, err)
+			return nil, rpc.Errorf(rpc.BadRequest, "document %d: %v", len(documents)+1, err)
 		}
 		if err := document.check(); err != nil {
 			return nil, err
@@ -84,7 +83,7 @@
 		documents = append(documents, document)
 	}
 	if len(documents) == 0 {
-		return nil, wire.Errorf(wire.BadRequest, "no document")
+		return nil, rpc.Errorf(rpc.BadRequest, "no document")
 	}
 	return documents, nil
 }
@@ -93,22 +92,22 @@
 	name, ratio := document.Metadata.Name, &document.Spec.Indicator.Spec.RatioMetric
 	switch {
 	case document.APIVersion != "openslo/v1" || document.Kind != "SLO":
-		return wire.Errorf(wire.BadRequest, "%s: want apiVersion openslo/v1 and kind SLO", name)
+		return rpc.Errorf(rpc.BadRequest, "%s: want apiVersion openslo/v1 and kind SLO", name)
 	case name == "":
-		return wire.Errorf(wire.BadRequest, "metadata.name must be given")
+		return rpc.Errorf(rpc.BadRequest, "metadata.name must be given")
 	case document.Spec.BudgetingMethod != "Occurrences":
-		return wire.Errorf(wire.BadRequest, "%s: spec.budgetingMethod: want Occurrences", name)
+		return rpc.Errorf(rpc.BadRequest, "%s: spec.budgetingMethod: want Occurrences", name)
 	case len(document.Spec.Objectives) == 0:
-		return wire.Errorf(wire.BadRequest, "%s: spec.objectives must be given", name)
+		return rpc.Errorf(rpc.BadRequest, "%s: spec.objectives must be given", name)
 	}
 	for path, metric := range map[string]*Metric{"good": &ratio.Good, "total": &ratio.Total} {
 		if metric.MetricSource.Type != source || len(metric.MetricSource.Spec.Counters) == 0 {
-			return wire.Errorf(wire.BadRequest, "%s: ratioMetric.%s: want a metricSource of type %s with counters", name, path, source)
+			return rpc.Errorf(rpc.BadRequest, "%s: ratioMetric.%s: want a metricSource of type %s with counters", name, path, source)
 		}
 	}
 	for _, objective := range document.Spec.Objectives {
 		if objective.Target <= 0 || objective.Target >= 1 {
-			return wire.Errorf(wire.BadRequest, "%s: target %v is not between 0 and 1", name, objective.Target)
+			return rpc.Errorf(rpc.BadRequest, "%s: target %v is not between 0 and 1", name, objective.Target)
 		}
 	}
 	return nil
--- a/cmd/ojback/main.go
+++ b/cmd/ojback/main.go
@@ -5,9 +5,9 @@
 	"orchidjunction/control"
 	"orchidjunction/member"
 	"orchidjunction/program"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
 	"orchidjunction/stand"
-	"orchidjunction/wire"
 	"time"
 )
 
@@ -27,12 +27,12 @@
 	flags.Parse()
 	flags.Exit(control.CheckAddress("--listen", listen))
 	if place.Service == "" || place.Instance == "" {
-		flags.Exit(wire.Errorf(wire.BadFlag, "--service and --instance must be given"))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--service and --instance must be given"))
 	}
 	place.Incarnation = member.NewID()
 	backend, err := stand.NewBackend(place)
 	if err != nil {
-		flags.Exit(wire.Errorf(wire.BadFlag, "--journal: %v", err))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--journal: %v", err))
 	}
 	threads := run.NewThreads()
 	listener, err := program.Listen(listen, backend, 64<<10)
--- a/cmd/ojcore/main.go
+++ b/cmd/ojcore/main.go
@@ -9,12 +9,13 @@
 	"strings"
 	"time"
 
-	"k8s.io/klog/v2"
 	"orchidjunction/control"
 	"orchidjunction/member"
 	"orchidjunction/program"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 func main() {
@@ -39,7 +40,7 @@
 		id, address, _ := strings.Cut(text, "=")
 		number, err := strconv.Atoi(id)
 		if err != nil {
-			flags.Exit(wire.Errorf(wire.BadFlag, "--peer: %q is not id=IP:port", text))
+			flags.Exit(rpc.Errorf(rpc.BadFlag, "--peer: %q is not id=IP:port", text))
 		}
 		place.Peers = append(place.Peers, control.Peer{ID: number, Address: address})
 	}
@@ -52,26 +53,26 @@
 		flags.Exit(control.CheckAddress("--platform", place.Platform))
 	}
 	if data == "" {
-		flags.Exit(wire.Errorf(wire.BadFlag, "--data must be given"))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--data must be given"))
 	}
 	if err := os.MkdirAll(data, 0o700); err != nil {
-		flags.Exit(wire.Errorf(wire.BadFlag, "--data: %v", err))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--data: %v", err))
 	}
 	threads, counts := run.NewThreads(), run.NewCounts()
-	line := wire.NewClient(program.Transport())
-	finder := member.NewFinder(line, threads, knownCores(&place))
+	client := rpc.NewClient(program.Transport())
+	finder := member.NewFinder(client, threads, knownCores(&place))
 	place.MembersChanged = finder.Learn
-	core, err := control.NewCore(place, control.Folder(data), line, threads, counts)
+	core, err := control.NewCore(place, control.Folder(data), client, threads, counts)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "ojcore: %v\n", err)
 		os.Exit(3)
 	}
-	door := wire.NewServer(counts)
-	core.Register(door)
-	hold := member.NewHold(finder, line, counts)
+	server := rpc.NewServer(counts)
+	core.Register(server)
+	hold := member.NewHold(finder, client, counts)
 	name := nameOf(&place)
 	operate := member.NewOperate(name, hold, counts, core.Settings, core.Sound)
-	wired, err := program.Listen(place.Wire, door, 64<<10)
+	wired, err := program.Listen(place.Wire, server, 64<<10)
 	flags.Exit(err)
 	operated, err := program.Listen(place.Operate, operate, 64<<10)
 	flags.Exit(err)
--- a/cmd/ojcore/seeds.go
+++ b/cmd/ojcore/seeds.go
@@ -5,25 +5,25 @@
 	"slices"
 
 	"orchidjunction/control"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 // takeSeeds makes a core that was given seeds one that joins a running system.
 func takeSeeds(place *control.Place, seeds []string) error {
 	if len(seeds) == 0 {
 		if place.ID == 0 {
-			return wire.Errorf(wire.BadFlag, "--id or --seed must be given")
+			return rpc.Errorf(rpc.BadFlag, "--id or --seed must be given")
 		}
 		return nil
 	}
 	if place.ID != 0 || len(place.Peers) > 0 {
-		return wire.Errorf(wire.BadFlag, "--seed: a core that joins gets its id from the others; leave out --id and --peer")
+		return rpc.Errorf(rpc.BadFlag, "--seed: a core that joins gets its id from the others; leave out --id and --peer")
 	}
 	if place.Found {
-		return wire.Errorf(wire.BadFlag, "--found: a core that joins founds nothing; leave it out beside --seed")
+		return rpc.Errorf(rpc.BadFlag, "--found: a core that joins founds nothing; leave it out beside --seed")
 	}
 	if slices.Contains(seeds, place.Wire) {
-		return wire.Errorf(wire.BadFlag, "--seed: %s is this core's own --wire", place.Wire)
+		return rpc.Errorf(rpc.BadFlag, "--seed: %s is this core's own --wire", place.Wire)
 	}
 	place.Seeds, place.Least = seeds, 1
 	return nil
--- a/cmd/ojcore/seeds_test.go
+++ b/cmd/ojcore/seeds_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"orchidjunction/control"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 func TestSeedsAreCheckedAgainstOtherFlags(test *testing.T) {
@@ -24,7 +24,7 @@
 	} {
 		place := try.place
 		err := takeSeeds(&place, try.seeds)
-		if try.says == "" && err != nil || try.says != "" && (err == nil || !strings.Contains(wire.AsError(err).Message, try.says)) {
+		if try.says == "" && err != nil || try.says != "" && (err == nil || !strings.Contains(rpc.AsError(err).Message, try.says)) {
 			test.Errorf("%+v %v: %v, want %q", try.place, try.seeds, err, try.says)
 		}
 		if err == nil && len(place.Seeds) != len(try.seeds) {
--- a/cmd/ojctl/cores.go
+++ b/cmd/ojctl/cores.go
@@ -6,8 +6,9 @@
 	"strconv"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/program"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 
 	"github.com/integrii/flaggy"
 )
@@ -34,7 +35,7 @@
 		case remove.Used:
 			return command.removeCore()
 		}
-		return wire.Errorf(wire.BadFlag, "want core list or core remove ID")
+		return rpc.Errorf(rpc.BadFlag, "want core list or core remove ID")
 	}
 }
 
@@ -48,7 +49,7 @@
 }
 
 // showMembership prints a membership, one core a line.
-func showMembership(membership *wire.MembershipStatus) {
+func showMembership(membership *message.MembershipStatus) {
 	fmt.Printf("membership %d, ballot %s\n", membership.Version, membership.Term)
 	showVoters("voter", membership.Voters)
 	showVoters("next", membership.Next)
@@ -57,7 +58,7 @@
 	}
 }
 
-func showVoters(kind string, voters []wire.VoterStatus) {
+func showVoters(kind string, voters []message.VoterStatus) {
 	for _, voter := range voters {
 		leaving := ""
 		if voter.Leaving {
@@ -71,8 +72,8 @@
 // a core stays so, and the order is acknowledged.
 func (command *errand) removeCore() error {
 	id, err := strconv.Atoi(command.name)
-	if err != nil || id < 1 || id > wire.MaxPeerID {
-		return wire.Errorf(wire.BadFlag, "core remove: %q is no core's ID; core list shows them", command.name)
+	if err != nil || id < 1 || id > message.MaxPeerID {
+		return rpc.Errorf(rpc.BadFlag, "core remove: %q is no core's ID; core list shows them", command.name)
 	}
 	removed, err := command.client.RemoveCore(id)
 	for try := 1; try < tries && asksAgain(err); try++ {
@@ -91,5 +92,5 @@
 
 // asksAgain is whether an order may be sent again to learn its outcome.
 func asksAgain(err error) bool {
-	return err != nil && (wire.CodeOf(err) == wire.OutcomeUnknown || wire.CodeOf(err) == wire.NotStarted || wire.CodeOf(err) == wire.Unreachable)
+	return err != nil && (rpc.CodeOf(err) == rpc.OutcomeUnknown || rpc.CodeOf(err) == rpc.NotStarted || rpc.CodeOf(err) == rpc.Unreachable)
 }
--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -17,9 +17,10 @@
 	"orchidjunction/conf"
 	"orchidjunction/control"
 	"orchidjunction/member"
+	"orchidjunction/message"
 	"orchidjunction/operator"
 	"orchidjunction/program"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 
 	"github.com/integrii/flaggy"
 )
@@ -94,7 +95,7 @@
 		}
 		if subcommand.Name != "check" && subcommand.Name != "digest" {
 			if len(command.daemons) == 0 {
-				flags.Exit(wire.Errorf(wire.BadFlag, "--daemon must be given"))
+				flags.Exit(rpc.Errorf(rpc.BadFlag, "--daemon must be given"))
 			}
 			for _, daemon := range command.daemons {
 				flags.Exit(control.CheckAddress("--daemon", daemon))
@@ -104,7 +105,7 @@
 		end(run(command))
 		return
 	}
-	flags.Exit(wire.Errorf(wire.BadFlag, "want a command: check, digest, show, put, patch, drain, refill, history, aims, core or status"))
+	flags.Exit(rpc.Errorf(rpc.BadFlag, "want a command: check, digest, show, put, patch, drain, refill, history, aims, core or status"))
 }
 
 // end prints a mishap and turns it into the exit status that scripts read.
@@ -112,18 +113,18 @@
 	if err == nil {
 		return
 	}
-	for _, detail := range wire.AsError(err).Details {
+	for _, detail := range rpc.AsError(err).Details {
 		fmt.Fprintf(os.Stderr, "%s: %s: %s\n", detail.Path, detail.Code, detail.Message)
 	}
-	plain := *wire.AsError(err)
+	plain := *rpc.AsError(err)
 	plain.Details = nil
 	fmt.Fprintf(os.Stderr, "ojctl: %v\n", &plain)
 	switch {
-	case wire.CodeOf(err) == wire.BadFlag:
+	case rpc.CodeOf(err) == rpc.BadFlag:
 		os.Exit(2)
-	case wire.CodeOf(err) == wire.OutcomeUnknown:
+	case rpc.CodeOf(err) == rpc.OutcomeUnknown:
 		os.Exit(exitUnknown)
-	case wire.CodeOf(err) == wire.Unreachable || wire.CodeOf(err).Status() == 503:
+	case rpc.CodeOf(err) == rpc.Unreachable || rpc.CodeOf(err).Status() == 503:
 		os.Exit(exitSilent)
 	}
 	os.Exit(exitRefused)
@@ -140,7 +141,7 @@
 		body, err = os.ReadFile(command.file)
 	}
 	if err != nil {
-		return nil, wire.Errorf(wire.BadFlag, "%v", err)
+		return nil, rpc.Errorf(rpc.BadFlag, "%v", err)
 	}
 	return body, nil
 }
@@ -149,7 +150,7 @@
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(document); err != nil {
-		end(wire.Errorf(wire.OutcomeUnknown, "output: %v", err))
+		end(rpc.Errorf(rpc.OutcomeUnknown, "output: %v", err))
 	}
 }
 
@@ -186,7 +187,7 @@
 	}
 	routes := []conf.Effective{}
 	if err := json.Unmarshal(settings.Effective, &routes); err != nil {
-		return wire.Errorf(wire.BadMessage, "effective routes: %v", err)
+		return rpc.Errorf(rpc.BadMessage, "effective routes: %v", err)
 	}
 	fmt.Printf("serial %d\n", settings.Serial)
 	for _, route := range routes {
@@ -221,7 +222,7 @@
 // apply sends the change; an unknown outcome is asked again under the same id.
 func (command *errand) apply(change operator.Change, send func(operator.Change) (*operator.Outcome, error)) error {
 	outcome, err := send(change)
-	for try := 1; try < tries && err != nil && wire.CodeOf(err) == wire.OutcomeUnknown; try++ {
+	for try := 1; try < tries && err != nil && rpc.CodeOf(err) == rpc.OutcomeUnknown; try++ {
 		outcome, err = send(change)
 	}
 	if err != nil {
@@ -246,7 +247,7 @@
 		return err
 	}
 	if !json.Valid(body) {
-		return wire.Errorf(wire.BadFlag, "%s is not JSON", command.file)
+		return rpc.Errorf(rpc.BadFlag, "%s is not JSON", command.file)
 	}
 	change, err := command.change(body)
 	if err != nil {
@@ -261,7 +262,7 @@
 // mark empties or refills; losing a race to another change, it looks again.
 func (command *errand) mark(drained bool) error {
 	if command.kind != "zone" && command.kind != "backend" {
-		return wire.Errorf(wire.BadFlag, "%q is neither zone nor backend", command.kind)
+		return rpc.Errorf(rpc.BadFlag, "%q is neither zone nor backend", command.kind)
 	}
 	for try := 0; ; try++ {
 		settings, err := command.client.Read(false)
@@ -294,7 +295,7 @@
 			change.Change = member.NewID()
 		}
 		err = command.apply(change, command.client.Patch)
-		if err == nil || wire.CodeOf(err) != wire.StaleBase || command.base >= 0 || try >= tries {
+		if err == nil || rpc.CodeOf(err) != rpc.StaleBase || command.base >= 0 || try >= tries {
 			return err
 		}
 	}
@@ -302,8 +303,8 @@
 
 func (command *errand) history() error {
 	trail := struct {
-		Serial  uint64              `json:"serial"`
-		Changes []wire.HistoryEntry `json:"changes"`
+		Serial  uint64                 `json:"serial"`
+		Changes []message.HistoryEntry `json:"changes"`
 	}{}
 	if err := command.client.Ask("GET", "/v1/changes", nil, &trail); err != nil {
 		return err
@@ -371,7 +372,7 @@
 		}
 	}
 	if missed > 0 {
-		return wire.Errorf(wire.ObjectiveMissed, "%d aims are missed", missed)
+		return rpc.Errorf(rpc.ObjectiveMissed, "%d aims are missed", missed)
 	}
 	return nil
 }
--- a/cmd/ojdir/main.go
+++ b/cmd/ojdir/main.go
@@ -3,15 +3,15 @@
 
 import (
 	"orchidjunction/member"
+	"orchidjunction/message"
 	"orchidjunction/place"
 	"orchidjunction/program"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 func main() {
 	flags := program.NewFlags("ojdir", "a directory node of orchidjunction: tells callers where to go")
-	program.RunDaemon(flags, "dir", nil, func(daemon *member.Daemon, _ *run.Threads, counts *run.Counts) (program.Plane, func() []wire.Probe) {
+	program.RunDaemon(flags, "dir", nil, func(daemon *member.Daemon, _ *run.Threads, counts *run.Counts) (program.Plane, func() []message.Probe) {
 		return place.NewDirectory(daemon, counts), nil
 	})
 }
--- a/cmd/ojfleet/main.go
+++ b/cmd/ojfleet/main.go
@@ -13,8 +13,8 @@
 	"orchidjunction/fleet"
 	"orchidjunction/judge"
 	"orchidjunction/program"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 func main() {
@@ -43,7 +43,7 @@
 	}
 	chosen, found := fleet.Scenarios[scenario]
 	if !found {
-		flags.Exit(wire.Errorf(wire.BadFlag, "--scenario: no scenario %q; there are %s", scenario, strings.Join(fleet.Names(), ", ")))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--scenario: no scenario %q; there are %s", scenario, strings.Join(fleet.Names(), ", ")))
 	}
 	sizes := []string{size}
 	if size == fleet.Both {
@@ -52,7 +52,7 @@
 	if folder == "" {
 		made, err := os.MkdirTemp("", "ojfleet-")
 		if err != nil {
-			flags.Exit(wire.Errorf(wire.BadFlag, "--folder: %v", err))
+			flags.Exit(rpc.Errorf(rpc.BadFlag, "--folder: %v", err))
 		}
 		folder = made
 	}
@@ -61,7 +61,7 @@
 	for _, name := range sizes {
 		base, found := fleet.Sizes[name]
 		if !found {
-			flags.Exit(wire.Errorf(wire.BadFlag, "--size: no size %q; there are small, volta, saqtau and both", name))
+			flags.Exit(rpc.Errorf(rpc.BadFlag, "--size: no size %q; there are small, volta, saqtau and both", name))
 		}
 		one := spec
 		one.Settings, one.Cores, one.Directories, one.Proxies, one.Backends = filepath.Join(examples, base.Settings+".json"), base.Cores, base.Directories, base.Proxies, base.Backends
--- a/cmd/ojfleet/scale.go
+++ b/cmd/ojfleet/scale.go
@@ -7,9 +7,9 @@
 	"strings"
 
 	"orchidjunction/program"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
 	"orchidjunction/scale"
-	"orchidjunction/wire"
 
 	"github.com/integrii/flaggy"
 )
@@ -68,7 +68,7 @@
 
 func (scaling *scaling) read(spec any) error {
 	if err := json.Unmarshal([]byte(scaling.spec), spec); err != nil {
-		return wire.Errorf(wire.BadFlag, "--spec: %v", err)
+		return rpc.Errorf(rpc.BadFlag, "--spec: %v", err)
 	}
 	return nil
 }
@@ -95,7 +95,7 @@
 		}
 	}
 	if !played {
-		return wire.Errorf(wire.BadFlag, "--sweep: nothing is called %s", scaling.sweep)
+		return rpc.Errorf(rpc.BadFlag, "--sweep: nothing is called %s", scaling.sweep)
 	}
 	fmt.Println("results in", scaling.results)
 	return nil
--- a/cmd/ojnode/core.go
+++ b/cmd/ojnode/core.go
@@ -9,7 +9,7 @@
 	"orchidjunction/member"
 	"orchidjunction/platform"
 	"orchidjunction/program"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 
 	"k8s.io/klog/v2"
 )
@@ -46,12 +46,12 @@
 func (node *node) runCore() error {
 	settings := node.source.Settings()
 	if settings.Folder == "" {
-		return wire.Errorf(wire.BadFlag, "a core needs a data folder")
+		return rpc.Errorf(rpc.BadFlag, "a core needs a data folder")
 	}
 	if err := os.MkdirAll(settings.Folder, 0o700); err != nil {
-		return wire.Errorf(wire.BadFlag, "data folder: %v", err)
+		return rpc.Errorf(rpc.BadFlag, "data folder: %v", err)
 	}
-	line := wire.NewClient(program.FarTransport(userTimeout))
+	line := rpc.NewClient(program.FarTransport(userTimeout))
 	var core *control.Core
 	finder := member.NewFinder(line, node.threads, innerSeeds(settings)).Paced(member.Paces{Seek: seekPace})
 	client := platform.NewClient(settings.Platform.Address, program.FarTransport(userTimeout), func() int64 { return core.Now() })
@@ -73,12 +73,12 @@
 	if err != nil {
 		return err
 	}
-	door := wire.NewServer(node.counts)
-	core.Register(door)
+	server := rpc.NewServer(node.counts)
+	core.Register(server)
 	hold := member.NewHold(finder, line, node.counts).Within(member.HoldLimits{Send: sendLimit})
 	hold.Follow(core.Leader)
 	orders := platform.NewControl(platform.NewLeaderOrders(hold), func() map[string]string { return node.source.Settings().Zones }, node.counts)
-	if err := node.open(side{place.Wire, door}, side{settings.Listen.Operators, orders}); err != nil {
+	if err := node.open(side{place.Wire, server}, side{settings.Listen.Operators, orders}); err != nil {
 		return err
 	}
 	finder.Run()
--- a/cmd/ojnode/main.go
+++ b/cmd/ojnode/main.go
@@ -10,8 +10,8 @@
 
 	"orchidjunction/platform"
 	"orchidjunction/program"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 
 	"github.com/integrii/flaggy"
 )
@@ -27,7 +27,7 @@
 	flags.Parser.AttachSubcommand(core, 1)
 	flags.Parse()
 	if !proxy.Used && !core.Used {
-		flags.Exit(wire.Errorf(wire.BadFlag, "want proxy or core"))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "want proxy or core"))
 	}
 	source, err := platform.NewSource()
 	flags.Exit(err)
--- a/cmd/ojnode/proxy.go
+++ b/cmd/ojnode/proxy.go
@@ -8,10 +8,11 @@
 	"time"
 
 	"orchidjunction/member"
+	"orchidjunction/message"
 	"orchidjunction/platform"
 	"orchidjunction/program"
 	"orchidjunction/proxy"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 
 	"k8s.io/klog/v2"
 )
@@ -28,7 +29,7 @@
 // runProxy is the life of a proxy.
 func (node *node) runProxy() error {
 	settings := node.source.Settings()
-	line := wire.NewClient(program.FarTransport(userTimeout))
+	client := rpc.NewClient(program.FarTransport(userTimeout))
 	address := inner(settings, settings.Address)
 	place := member.Place{Name: settings.Name, Kind: "proxy", Zone: settings.Zone, Wire: address, Outer: settings.Listen.Clients, Operate: address, Seeds: innerSeeds(settings),
 		Paces: member.Paces{Session: sessionPace, Watch: watchPace, Seek: seekPace, Feel: feelPace, Look: lookPace, Count: -1},
@@ -36,7 +37,7 @@
 	if err := place.Check(); err != nil {
 		return err
 	}
-	daemon := member.NewDaemon(place, incarnation(), line, node.threads, node.counts)
+	daemon := member.NewDaemon(place, incarnation(), client, node.threads, node.counts)
 	dialer := &net.Dialer{Control: program.UserTimeout(backendSilent), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}}
 	plane := proxy.NewProxy(proxy.Place{Name: settings.Name, Zone: settings.Zone, Regions: settings.Zones, Headers: platform.RequestHeaders(),
 		RetryRatio: settings.Bounds.RetryRatio, RetryExtra: float64(settings.Bounds.RetryExtra), WarmupExcess: settings.Bounds.WarmupExcess,
@@ -48,16 +49,16 @@
 	}, nil)
 	daemon.Meter(plane.Windows)
 	daemon.Warm(plane.Ready)
-	door := wire.NewServer(node.counts)
-	daemon.Register(door)
-	lookups := platform.NewLookup(node.source.Settings, func() *wire.Table { return daemon.Version().Table },
+	server := rpc.NewServer(node.counts)
+	daemon.Register(server)
+	lookups := platform.NewLookup(node.source.Settings, func() *message.Table { return daemon.Version().Table },
 		func() (string, bool) { return settings.Listen.Clients, plane.Ready() })
 	ready := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		if !daemon.Ready() || plane.Leaving() {
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	if err := node.open(side{settings.Listen.Clients, plane}, side{address, door}, side{settings.Listen.Ready, ready}, side{settings.Listen.Lookups, lookups}); err != nil {
+	if err := node.open(side{settings.Listen.Clients, plane}, side{address, server}, side{settings.Listen.Ready, ready}, side{settings.Listen.Lookups, lookups}); err != nil {
 		return err
 	}
 	daemon.Run()
@@ -73,7 +74,7 @@
 	})
 	klog.Infof("%s: proxy started in zone %s", settings.Name, settings.Zone)
 	node.threads.Wait()
-	line.Close()
+	client.Close()
 	return nil
 }
 
--- a/cmd/ojorigin/main.go
+++ b/cmd/ojorigin/main.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"orchidjunction/program"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
 	"orchidjunction/stand"
-	"orchidjunction/wire"
 )
 
 func main() {
@@ -25,10 +25,10 @@
 		err = json.Unmarshal(body, &plan)
 	}
 	if err != nil {
-		flags.Exit(wire.Errorf(wire.BadFlag, "--plan: %v", err))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--plan: %v", err))
 	}
 	if plan.PerSecond < 1 || plan.Seconds <= 0 || len(plan.Directories) == 0 || len(plan.Callers) == 0 || len(plan.Calls) == 0 {
-		flags.Exit(wire.Errorf(wire.BadFlag, "--plan: directories, callers, calls, per_second and seconds must be given"))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--plan: directories, callers, calls, per_second and seconds must be given"))
 	}
 	threads := run.NewThreads()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
@@ -39,6 +39,6 @@
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(report); err != nil {
-		flags.Exit(wire.Errorf(wire.DiskFailure, "output: %v", err))
+		flags.Exit(rpc.Errorf(rpc.DiskFailure, "output: %v", err))
 	}
 }
--- a/cmd/ojplan/main.go
+++ b/cmd/ojplan/main.go
@@ -12,7 +12,7 @@
 	"orchidjunction/operator"
 	"orchidjunction/plan"
 	"orchidjunction/program"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 const (
@@ -33,16 +33,16 @@
 	flags.Parser.Bool(&asJSON, "", "json", "print the forecast as JSON")
 	flags.Parse()
 	if len(daemons) == 0 {
-		flags.Exit(wire.Errorf(wire.BadFlag, "--daemon must be given"))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--daemon must be given"))
 	}
 	for _, daemon := range daemons {
 		flags.Exit(control.CheckAddress("--daemon", daemon))
 	}
 	if whole != "" && partial != "" || whole == "" && partial == "" && len(empties) == 0 {
-		flags.Exit(wire.Errorf(wire.BadFlag, "want one of --whole and --partial, or --empty"))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "want one of --whole and --partial, or --empty"))
 	}
 	if capacity <= 0 {
-		flags.Exit(wire.Errorf(wire.BadFlag, "--backend-rps: %v is not above 0", capacity))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--backend-rps: %v is not above 0", capacity))
 	}
 	client := operator.NewClient(daemons, program.Transport())
 	held, mishap := client.Read(false)
@@ -55,7 +55,7 @@
 	if file := whole + partial; file != "" {
 		change, err := os.ReadFile(file)
 		if err != nil {
-			flags.Exit(wire.Errorf(wire.BadFlag, "%v", err))
+			flags.Exit(rpc.Errorf(rpc.BadFlag, "%v", err))
 		}
 		if body = change; partial != "" {
 			body, mishap = conf.Patch(held.Settings, change)
@@ -78,7 +78,7 @@
 		encoder := json.NewEncoder(os.Stdout)
 		encoder.SetIndent("", "  ")
 		if err := encoder.Encode(forecast); err != nil {
-			flags.Exit(wire.Errorf(wire.DiskFailure, "output: %v", err))
+			flags.Exit(rpc.Errorf(rpc.DiskFailure, "output: %v", err))
 		}
 	} else {
 		show(forecast)
@@ -118,9 +118,9 @@
 	if err == nil {
 		return
 	}
-	for _, detail := range wire.AsError(err).Details {
+	for _, detail := range rpc.AsError(err).Details {
 		fmt.Fprintf(os.Stderr, "%s: %s: %s\n", detail.Path, detail.Code, detail.Message)
 	}
-	fmt.Fprintf(os.Stderr, "ojplan: %s: %s\n", wire.CodeOf(err), wire.AsError(err).Message)
+	fmt.Fprintf(os.Stderr, "ojplan: %s: %s\n", rpc.CodeOf(err), rpc.AsError(err).Message)
 	os.Exit(status)
 }
--- a/cmd/ojplat/main.go
+++ b/cmd/ojplat/main.go
@@ -9,9 +9,9 @@
 
 	"orchidjunction/control"
 	"orchidjunction/program"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
 	"orchidjunction/stand"
-	"orchidjunction/wire"
 )
 
 func main() {
@@ -31,11 +31,11 @@
 			err = json.Unmarshal(body, &items)
 		}
 		if err != nil {
-			flags.Exit(wire.Errorf(wire.BadFlag, "--backends: %v", err))
+			flags.Exit(rpc.Errorf(rpc.BadFlag, "--backends: %v", err))
 		}
 	}
 	if rate < 1 || page < 1 || lag < 0 {
-		flags.Exit(wire.Errorf(wire.BadFlag, "--rate and --page are at least 1, --lag-ms at least 0"))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--rate and --page are at least 1, --lag-ms at least 0"))
 	}
 	threads := run.NewThreads()
 	listener, err := program.Listen(listen, stand.NewPlatform(page, time.Duration(lag)*time.Millisecond, float64(rate), items), 64<<10)
--- a/cmd/ojproxy/main.go
+++ b/cmd/ojproxy/main.go
@@ -7,9 +7,9 @@
 
 	"orchidjunction/data"
 	"orchidjunction/member"
+	"orchidjunction/message"
 	"orchidjunction/program"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 func main() {
@@ -19,7 +19,7 @@
 	guest.Join = func(owner, borrower program.Plane) {
 		borrower.(*data.Proxy).Borrow(data.NewLend(owner.(*data.Proxy), guest.PerSecond, guest.InFlight))
 	}
-	program.RunDaemon(flags, "proxy", guest, func(daemon *member.Daemon, threads *run.Threads, counts *run.Counts) (program.Plane, func() []wire.Probe) {
+	program.RunDaemon(flags, "proxy", guest, func(daemon *member.Daemon, threads *run.Threads, counts *run.Counts) (program.Plane, func() []message.Probe) {
 		proxy := data.NewProxy(daemon, threads, counts, dialer.DialContext)
 		return proxy, proxy.Probes
 	})
--- a/conf/branch.go
+++ b/conf/branch.go
@@ -2,10 +2,10 @@
 
 import (
 	"hash/fnv"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"strings"
 
-	"orchidjunction/wire"
-
 	"github.com/go-faster/jx"
 )
 
@@ -37,7 +37,7 @@
 }
 
 // fragment reads one branch.
-func (reader *reader) fragment(part wire.ChunkRef, text []byte) *fragment {
+func (reader *reader) fragment(part message.ChunkRef, text []byte) *fragment {
 	held := &fragment{digest: part.Digest}
 	decoder := jx.DecodeBytes(text)
 	names := strings.Split(part.Path, "/")
@@ -68,7 +68,7 @@
 func (tree *Tree) assemble(before *Tree) error {
 	top := tree.held["top"]
 	if top == nil {
-		return wire.Errorf(wire.CorruptChunk, "no top branch")
+		return rpc.Errorf(rpc.CorruptChunk, "no top branch")
 	}
 	settings := *top.top
 	settings.Classes = map[string]Class{}
@@ -104,7 +104,7 @@
 		}
 		class, found := settings.Classes[names[1]]
 		if !found {
-			return wire.Errorf(wire.CorruptChunk, "branch %s has no class", part.Path)
+			return rpc.Errorf(rpc.CorruptChunk, "branch %s has no class", part.Path)
 		}
 		service := *tree.held[part.Path].service
 		paths := below[names[1]+"/"+names[2]]
@@ -134,5 +134,5 @@
 		sum = append(sum, path...)
 		sum = append(sum, tree.held[path].digest...)
 	}
-	return wire.DigestOf(sum)
+	return message.DigestOf(sum)
 }
--- a/conf/patch.go
+++ b/conf/patch.go
@@ -3,8 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
-
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 
 	"github.com/go-faster/jx"
 )
@@ -25,7 +24,7 @@
 	}
 	body, err := json.Marshal(merge(whole, part))
 	if err != nil {
-		return nil, wire.Errorf(wire.Invalid, "%v", err)
+		return nil, rpc.Errorf(rpc.Invalid, "%v", err)
 	}
 	return body, nil
 }
@@ -45,11 +44,11 @@
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
 	if err := decoder.Decode(&value); err != nil {
-		return nil, &wire.Error{Code: wire.Invalid, Message: "1 wrong", Details: []wire.Detail{{Path: ".", Message: err.Error(), Code: badSyntax}}}
+		return nil, &rpc.Error{Code: rpc.Invalid, Message: "1 wrong", Details: []rpc.Detail{{Path: ".", Message: err.Error(), Code: badSyntax}}}
 	}
 	object, able := value.(map[string]any)
 	if !able {
-		return nil, &wire.Error{Code: wire.Invalid, Message: "1 wrong", Details: []wire.Detail{{Path: ".", Message: "a partial change is an object", Code: wrongType}}}
+		return nil, &rpc.Error{Code: rpc.Invalid, Message: "1 wrong", Details: []rpc.Detail{{Path: ".", Message: "a partial change is an object", Code: wrongType}}}
 	}
 	return object, nil
 }
--- a/conf/read.go
+++ b/conf/read.go
@@ -2,10 +2,9 @@
 
 import (
 	"fmt"
+	"orchidjunction/rpc"
 	"strings"
 
-	"orchidjunction/wire"
-
 	"github.com/go-faster/jx"
 )
 
@@ -41,11 +40,11 @@
 }
 
 func (reader *reader) refusal() error {
-	return &wire.Error{Code: wire.Invalid, Message: fmt.Sprintf("%d wrong", len(reader.details)), Details: reader.details}
+	return &rpc.Error{Code: rpc.Invalid, Message: fmt.Sprintf("%d wrong", len(reader.details)), Details: reader.details}
 }
 
 type reader struct {
-	details []wire.Detail
+	details []rpc.Detail
 	broken  error
 }
 
@@ -53,7 +52,7 @@
 	if path == "" {
 		path = "."
 	}
-	reader.details = append(reader.details, wire.Detail{Path: path, Code: kind, Message: fmt.Sprintf(format, values...)})
+	reader.details = append(reader.details, rpc.Detail{Path: path, Code: kind, Message: fmt.Sprintf(format, values...)})
 }
 
 // syntax keeps the first syntax error of the text, which ends the reading, and
--- a/conf/read_test.go
+++ b/conf/read_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"orchidjunction/conf"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 
 	"github.com/cockroachdb/datadriven"
 )
@@ -32,7 +32,7 @@
 			settings, err := conf.Read(body)
 			if err != nil {
 				lines := []string{}
-				for _, detail := range wire.AsError(err).Details {
+				for _, detail := range rpc.AsError(err).Details {
 					lines = append(lines, fmt.Sprintf("%s: %s: %s", detail.Path, detail.Code, detail.Message))
 				}
 				return strings.Join(lines, "\n") + "\n"
--- a/conf/splitter.go
+++ b/conf/splitter.go
@@ -3,19 +3,18 @@
 import (
 	"encoding/json"
 	"fmt"
+	"orchidjunction/message"
 	"reflect"
 	"sort"
 	"strings"
-
-	"orchidjunction/wire"
 )
 
 // splitter cuts a decoded tree into branches.
 type splitter struct {
 	before *Tree
 	old    map[string]any
-	parts  []wire.ChunkRef
-	texts  wire.Chunks
+	parts  []message.ChunkRef
+	texts  message.Chunks
 }
 
 // same is whether two decoded values are one and the same.
@@ -42,8 +41,8 @@
 
 func (splitter *splitter) put(path string, value any) {
 	text, _ := json.Marshal(value)
-	digest := wire.DigestOf(text)
-	splitter.parts = append(splitter.parts, wire.ChunkRef{Path: path, Digest: digest})
+	digest := message.DigestOf(text)
+	splitter.parts = append(splitter.parts, message.ChunkRef{Path: path, Digest: digest})
 	splitter.texts[digest] = text
 }
 
@@ -149,7 +148,7 @@
 		case len(dirty[bucket]) > 0:
 			splitter.put(spot(bucket), dirty[bucket])
 		case dirty[bucket] == nil && !fresh && splitter.before.held[spot(bucket)] != nil:
-			splitter.parts = append(splitter.parts, wire.ChunkRef{Path: spot(bucket), Digest: splitter.before.held[spot(bucket)].digest})
+			splitter.parts = append(splitter.parts, message.ChunkRef{Path: spot(bucket), Digest: splitter.before.held[spot(bucket)].digest})
 		}
 	}
 }
--- a/conf/tree.go
+++ b/conf/tree.go
@@ -4,10 +4,10 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"strings"
 	"sync"
-
-	"orchidjunction/wire"
 )
 
 // Tree is one version of the settings in branches. A branch is a part of the
@@ -16,8 +16,8 @@
 // before is shared with it, read only once.
 type Tree struct {
 	Settings *Settings
-	Parts    []wire.ChunkRef
-	texts    wire.Chunks
+	Parts    []message.ChunkRef
+	texts    message.Chunks
 	held     map[string]*fragment
 
 	mutex sync.Mutex
@@ -38,19 +38,19 @@
 }
 
 func sow(whole map[string]any, before *Tree) (*Tree, error) {
-	splitter := &splitter{before: before, texts: wire.Chunks{}}
+	splitter := &splitter{before: before, texts: message.Chunks{}}
 	if before != nil {
 		splitter.old = before.decoded()
 	}
 	if !splitter.split(whole) {
 		body, err := json.Marshal(whole)
 		if err != nil {
-			return nil, wire.Errorf(wire.Invalid, "%v", err)
+			return nil, rpc.Errorf(rpc.Invalid, "%v", err)
 		}
 		if _, err := Read(body); err != nil {
 			return nil, err
 		}
-		return nil, wire.Errorf(wire.Invalid, "the tree has no known shape")
+		return nil, rpc.Errorf(rpc.Invalid, "the tree has no known shape")
 	}
 	tree, err := grow(before, splitter.parts, splitter.texts, true)
 	if err != nil {
@@ -70,16 +70,16 @@
 }
 
 // Grow makes the tree of parts whose texts are known by the version before or given.
-func Grow(before *Tree, parts []wire.ChunkRef, texts wire.Chunks) (*Tree, error) {
+func Grow(before *Tree, parts []message.ChunkRef, texts message.Chunks) (*Tree, error) {
 	return grow(before, parts, texts, false)
 }
 
 // Lacks are the digests among parts that this tree does not hold.
-func (tree *Tree) Lacks(parts []wire.ChunkRef) []string {
+func (tree *Tree) Lacks(parts []message.ChunkRef) []string {
 	if tree == nil {
-		return wire.MissingChunks(parts)
+		return message.MissingChunks(parts)
 	}
-	return wire.MissingChunks(parts, tree.texts)
+	return message.MissingChunks(parts, tree.texts)
 }
 
 // Text is a branch of this tree.
@@ -112,8 +112,8 @@
 	return tree.compose()
 }
 
-func grow(before *Tree, parts []wire.ChunkRef, texts wire.Chunks, check bool) (*Tree, error) {
-	tree := &Tree{Parts: parts, texts: make(wire.Chunks, len(parts)), held: make(map[string]*fragment, len(parts))}
+func grow(before *Tree, parts []message.ChunkRef, texts message.Chunks, check bool) (*Tree, error) {
+	tree := &Tree{Parts: parts, texts: make(message.Chunks, len(parts)), held: make(map[string]*fragment, len(parts))}
 	reader := &reader{}
 	for _, part := range parts {
 		text := texts[part.Digest]
@@ -121,7 +121,7 @@
 			text = before.Text(part.Digest)
 		}
 		if text == nil {
-			return nil, wire.Errorf(wire.CorruptChunk, "branch %s is missing", part.Path)
+			return nil, rpc.Errorf(rpc.CorruptChunk, "branch %s is missing", part.Path)
 		}
 		tree.texts[part.Digest] = text
 		if before != nil {
--- a/conf/tree_test.go
+++ b/conf/tree_test.go
@@ -10,7 +10,8 @@
 	"testing"
 
 	"orchidjunction/conf"
-	"orchidjunction/wire"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 // Random partial changes, some of them invalid, on a tree with many routes: in
@@ -25,7 +26,7 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	follower, texts := tree, wire.Chunks{}
+	follower, texts := tree, message.Chunks{}
 	random := rand.New(rand.NewPCG(1, 2))
 	refused := 0
 	for turn := range 300 {
@@ -58,7 +59,7 @@
 			test.Fatalf("%.200s: %v", patch, err)
 		}
 		if len(lacks) > 0 {
-			if _, err := conf.Grow(tree, next.Parts, nil); err == nil || wire.CodeOf(err) != wire.CorruptChunk {
+			if _, err := conf.Grow(tree, next.Parts, nil); err == nil || rpc.CodeOf(err) != rpc.CorruptChunk {
 				test.Fatalf("grown without its branches: %v", err)
 			}
 		}
--- a/control/begin_claims_test.go
+++ b/control/begin_claims_test.go
@@ -6,8 +6,9 @@
 	"testing/synctest"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // A voter that began while the claims' ring was full marks its claims as whole later:
@@ -15,11 +16,11 @@
 func TestClaimsBeginOnceTheRingHasRoom(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		threads, counts := run.NewThreads(), run.NewCounts()
-		core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true}, Folder(test.TempDir()), wire.NewClient(http.DefaultTransport), threads, counts)
+		core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), threads, counts)
 		if err != nil {
 			test.Fatal(err)
 		}
-		for core.claims.ring.Put(&keepWait{message: &wire.RecordClaimsRequest{}}) {
+		for core.claims.ring.Put(&keepWait{message: &message.RecordClaimsRequest{}}) {
 		}
 		core.beginClaims(1)
 		if core.claims.Whole(1) || counts.Get("claims_not_begun") != 1 {
--- a/control/change.go
+++ b/control/change.go
@@ -7,28 +7,29 @@
 	"time"
 
 	"orchidjunction/conf"
-	"orchidjunction/wire"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
-func digest(change *wire.ChangeRequest) string {
+func digest(change *message.ChangeRequest) string {
 	sum := sha256.Sum256(append([]byte(fmt.Sprintf("%s %d ", change.Kind, change.Base)), change.Body...))
 	return hex.EncodeToString(sum[:16])
 }
 
 // onChange puts an operator's change in force at the leader, or says why not; a
 // repeat or a refusal is told only by who still leads.
-func (core *Core) onChange(change *wire.ChangeRequest) (*wire.ChangeResponse, error) {
+func (core *Core) onChange(change *message.ChangeRequest) (*message.ChangeResponse, error) {
 	leadership, err := core.leading()
 	if err != nil {
 		return nil, err
 	}
 	begin := time.Now()
-	told, mark := &wire.ChangeResponse{}, digest(change)
+	response, mark := &message.ChangeResponse{}, digest(change)
 	var sown *conf.Tree
 	if now := leadership.settings(); change.Kind == "whole" && change.Base == now.serial {
 		if sown, err = conf.Sow(change.Body, now.tree); err != nil {
 			err = leadership.proven(err)
-			core.counts.Add("changes_"+string(wire.CodeOf(err)), 1)
+			core.counts.Add("changes_"+string(rpc.CodeOf(err)), 1)
 			return nil, err
 		}
 	}
@@ -40,13 +41,13 @@
 				continue
 			}
 			if entry.Digest != mark {
-				return nil, &wire.Error{Code: wire.ChangeIDReused, Message: "the id named another change", Serial: entry.Serial}
+				return nil, &rpc.Error{Code: rpc.ChangeIDReused, Message: "the id named another change", Serial: entry.Serial}
 			}
-			told.Serial, told.Duplicate = entry.Serial, true
+			response.Serial, response.Duplicate = entry.Serial, true
 			return nil, nil
 		}
 		if change.Base != now.serial {
-			return nil, &wire.Error{Code: wire.StaleBase, Message: fmt.Sprintf("based on %d", change.Base), Serial: now.serial}
+			return nil, &rpc.Error{Code: rpc.StaleBase, Message: fmt.Sprintf("based on %d", change.Base), Serial: now.serial}
 		}
 		tree, err := sown, (error)(nil)
 		switch {
@@ -60,28 +61,28 @@
 			return nil, err
 		}
 		decided = false
-		return now.next(tree, wire.HistoryEntry{Serial: now.serial + 1, Change: change.ID, Digest: mark, Kind: change.Kind, Operator: change.Operator, AtMs: core.place.Wall()}), nil
+		return now.next(tree, message.HistoryEntry{Serial: now.serial + 1, Change: change.ID, Digest: mark, Kind: change.Kind, Operator: change.Operator, AtMs: core.place.Wall()}), nil
 	})
 	if decided {
 		err = leadership.proven(err)
 	}
 	if err != nil {
-		core.counts.Add("changes_"+string(wire.CodeOf(err)), 1)
+		core.counts.Add("changes_"+string(rpc.CodeOf(err)), 1)
 		return nil, err
 	}
-	if told.Duplicate {
+	if response.Duplicate {
 		core.counts.Add("changes_again", 1)
-		return told, nil
+		return response, nil
 	}
 	core.counts.Add("changes_taken", 1)
 	if settings := leadership.settings().tree.Settings; time.Since(begin) > time.Duration(settings.AckMs)*time.Millisecond {
 		core.counts.Add("changes_later_than_ack_ms", 1)
 	}
-	told.Serial = serial
-	return told, nil
+	response.Serial = serial
+	return response, nil
 }
 
-func (core *Core) onRead(read *wire.ReadRequest) (*wire.ReadResponse, error) {
+func (core *Core) onRead(read *message.ReadRequest) (*message.ReadResponse, error) {
 	leadership, err := core.leading()
 	if err != nil {
 		return nil, err
@@ -90,16 +91,16 @@
 		return nil, err
 	}
 	now := leadership.settings()
-	told := &wire.ReadResponse{Serial: now.serial}
+	response := &message.ReadResponse{Serial: now.serial}
 	if read.History {
-		told.History = now.trail
+		response.History = now.trail
 	} else if read.HeldSerial != now.serial {
-		told.Body = now.tree.Body()
+		response.Body = now.tree.Body()
 	}
-	return told, nil
+	return response, nil
 }
 
-func (core *Core) onConfirm(*wire.ReadIndexRequest) (*wire.ReadIndexResponse, error) {
+func (core *Core) onConfirm(*message.ReadIndexRequest) (*message.ReadIndexResponse, error) {
 	leadership, err := core.leading()
 	if err != nil {
 		return nil, err
@@ -107,30 +108,30 @@
 	if err := leadership.confirm(core.roundLimit()); err != nil {
 		return nil, err
 	}
-	return &wire.ReadIndexResponse{Serial: leadership.value(wire.SettingsRegister).Serial, Table: core.Table().Version, Routing: leadership.value(wire.RoutingRegister).Serial}, nil
+	return &message.ReadIndexResponse{Serial: leadership.value(message.SettingsRegister).Serial, Table: core.Table().Version, Routing: leadership.value(message.RoutingRegister).Serial}, nil
 }
 
-func (core *Core) onWho(*wire.LeaderRequest) (*wire.LeaderResponse, error) {
+func (core *Core) onWho(*message.LeaderRequest) (*message.LeaderResponse, error) {
 	leads := core.leads()
 	core.mutex.Lock()
 	view := core.members()
-	told := &wire.LeaderResponse{Lameduck: core.duck, Cores: view.addresses(), Membership: view.Mark, Routing: core.committed[wire.RoutingRegister].Value.Serial, Table: core.table.Version}
+	response := &message.LeaderResponse{Lameduck: core.duck, Cores: view.addresses(), Membership: view.Mark, Routing: core.committed[message.RoutingRegister].Value.Serial, Table: core.table.Version}
 	leadership := core.leadership
 	if leads || time.Since(core.heard) < core.place.Suspect {
-		told.Leader = core.leader
+		response.Leader = core.leader
 	}
 	core.mutex.Unlock()
 	if leadership != nil {
-		told.Lameduck = leadership.ducks()
+		response.Lameduck = leadership.ducks()
 	}
-	return told, nil
+	return response, nil
 }
 
 // Leader is who leads as far as this core knows at the moment; nobody while it
 // hears of none or the leader steps down.
-func (core *Core) Leader() wire.Leader {
-	if told, _ := core.onWho(&wire.LeaderRequest{}); !told.Lameduck {
-		return told.Leader
+func (core *Core) Leader() message.Leader {
+	if response, _ := core.onWho(&message.LeaderRequest{}); !response.Lameduck {
+		return response.Leader
 	}
-	return wire.Leader{}
+	return message.Leader{}
 }
--- a/control/claimfence_test.go
+++ b/control/claimfence_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
+	"orchidjunction/message"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // claimLogOn opens the claim log of a folder and runs its writing thread.
@@ -26,9 +26,9 @@
 	}
 }
 
-func claimOf(key string) *wire.RecordClaimsRequest {
-	claimed := wire.ClaimRecord{Key: wire.ClaimKey{Tenant: "t", Service: "s", Key: key}, ID: "id-" + key, Holder: "p/1", Stage: wire.ClaimRunning}
-	return &wire.RecordClaimsRequest{Claims: []wire.ClaimRequest{{Record: claimed}}}
+func claimOf(key string) *message.RecordClaimsRequest {
+	claimed := message.ClaimRecord{Key: message.ClaimKey{Tenant: "t", Service: "s", Key: key}, ID: "id-" + key, Holder: "p/1", Stage: message.ClaimRunning}
+	return &message.RecordClaimsRequest{Claims: []message.ClaimRequest{{Record: claimed}}}
 }
 
 // Once another core was told the claims under a membership, nothing is kept that is
@@ -36,9 +36,9 @@
 func TestClaimsAreFencedByMembership(test *testing.T) {
 	former := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	step := former.replaced(3, "10.0.0.4:1")
-	step.Mark.Term = wire.Term{Number: 4, Core: 1}
+	step.Mark.Term = message.Term{Number: 4, Core: 1}
 	again := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
-	again.Mark.Term = wire.Term{Number: 6, Core: 2}
+	again.Mark.Term = message.Term{Number: 6, Core: 2}
 	folder := test.TempDir()
 	log, end := claimLogOn(test, folder)
 	for number, try := range []struct {
@@ -76,7 +76,7 @@
 	folder := test.TempDir()
 	members := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	log, end := claimLogOn(test, folder)
-	if err := log.put(&keepWait{message: &wire.RecordClaimsRequest{}, members: members.accepted(), wholeAs: 2}); err != nil {
+	if err := log.put(&keepWait{message: &message.RecordClaimsRequest{}, members: members.accepted(), wholeAs: 2}); err != nil {
 		test.Fatal(err)
 	}
 	for range 2 {
--- a/control/claimkeeper.go
+++ b/control/claimkeeper.go
@@ -3,41 +3,42 @@
 import (
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 
 	"k8s.io/klog/v2"
 )
 
 // onKeep keeps claims under the newest membership known and names that one: the asker
 // counts no answers that were given under other voters.
-func (core *Core) onKeep(message *wire.RecordClaimsRequest) (*wire.RecordClaimsResponse, error) {
-	core.learnMembers(message.Membership)
+func (core *Core) onKeep(request *message.RecordClaimsRequest) (*message.RecordClaimsResponse, error) {
+	core.learnMembers(request.Membership)
 	view := core.members()
 	known := view.accepted()
-	told := &wire.RecordClaimsResponse{Core: view.ID, Membership: otherThan(message.Membership, known), Refused: true}
+	response := &message.RecordClaimsResponse{Core: view.ID, Membership: otherThan(request.Membership, known), Refused: true}
 	if !view.votes() {
 		core.counts.Add("claims_refused_without_vote", 1)
-		return told, nil
+		return response, nil
 	}
 	whole := core.claimsWhole(view)
-	wait := &keepWait{message: message, members: known}
+	wait := &keepWait{message: request, members: known}
 	if err := core.claims.put(wait); err != nil {
 		return nil, err
 	}
 	if wait.refused {
-		told.Membership = core.members().accepted()
-		return told, nil
+		response.Membership = core.members().accepted()
+		return response, nil
 	}
-	core.counts.Add("claims_kept", uint64(len(message.Claims)))
-	told.Refused, told.Complete, told.Results = false, whole, wait.told
-	return told, nil
+	core.counts.Add("claims_kept", uint64(len(request.Claims)))
+	response.Refused, response.Complete, response.Results = false, whole, wait.told
+	return response, nil
 }
 
 // otherThan is the known membership where its mark is not the asker's.
-func otherThan(asked, known wire.AcceptedValue) wire.AcceptedValue {
+func otherThan(asked, known message.AcceptedValue) message.AcceptedValue {
 	if asked.Version() == known.Version() {
-		return wire.AcceptedValue{}
+		return message.AcceptedValue{}
 	}
 	return known
 }
@@ -50,22 +51,22 @@
 // onPull gives a page of claims. Before the first one this core notes, on disk, the
 // newest membership: from then on it keeps nothing that is counted by an older one
 // with other voters, so nothing that the asker should hold comes here behind its back.
-func (core *Core) onPull(pull *wire.FetchClaimsRequest) (*wire.FetchClaimsResponse, error) {
+func (core *Core) onPull(pull *message.FetchClaimsRequest) (*message.FetchClaimsResponse, error) {
 	core.learnMembers(pull.Membership)
 	view := core.members()
 	known := view.accepted()
 	if pull.After == 0 && view.known() {
-		fence := &keepWait{message: &wire.RecordClaimsRequest{}, members: known}
+		fence := &keepWait{message: &message.RecordClaimsRequest{}, members: known}
 		if err := core.claims.put(fence); err != nil {
 			return nil, err
 		}
 		if fence.refused {
-			return nil, wire.Errorf(wire.NotReady, "membership %v is no more", known.Version())
+			return nil, rpc.Errorf(rpc.NotReady, "membership %v is no more", known.Version())
 		}
 	}
-	told := &wire.FetchClaimsResponse{Membership: otherThan(pull.Membership, known), Core: view.ID, Complete: core.claimsWhole(view)}
-	told.Claims, told.Last, told.Done = core.claims.book.Page(pull.After, claimsPage)
-	return told, nil
+	response := &message.FetchClaimsResponse{Membership: otherThan(pull.Membership, known), Core: view.ID, Complete: core.claimsWhole(view)}
+	response.Claims, response.Last, response.Done = core.claims.book.Page(pull.After, claimsPage)
+	return response, nil
 }
 
 // mendClaims is the duty of a voter that lacks claims, since its disk was lost or it
@@ -86,7 +87,7 @@
 	if !core.members().same(view) {
 		return
 	}
-	need := len(view.Voters) - wire.Majority(view.Voters) + 1
+	need := len(view.Voters) - message.Majority(view.Voters) + 1
 	if fenced >= need {
 		core.claims.countFrom(view.ID, time.Now())
 	}
@@ -94,7 +95,7 @@
 		core.counts.Add("claims_not_mended", 1)
 		return
 	}
-	mend := &keepWait{message: &wire.RecordClaimsRequest{}, members: view.accepted(), wholeAs: view.ID}
+	mend := &keepWait{message: &message.RecordClaimsRequest{}, members: view.accepted(), wholeAs: view.ID}
 	if core.claims.put(mend) == nil && !mend.refused {
 		core.counts.Add("claims_mended", 1)
 		klog.Infof("core %d: claims are whole, told by %d of %d cores", view.ID, whole, others)
@@ -134,34 +135,34 @@
 func (core *Core) pullClaims(view *View, peer Peer) (pulled, error) {
 	members := view.accepted()
 	for after := uint64(0); ; {
-		told, err := wire.Call[wire.FetchClaimsRequest, wire.FetchClaimsResponse](core.line, peer.Address, "pull", pullLimit, &wire.FetchClaimsRequest{After: after, Membership: members})
+		response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](core.line, peer.Address, "pull", pullLimit, &message.FetchClaimsRequest{After: after, Membership: members})
 		if err != nil {
 			return pulled{}, err
 		}
-		core.learnMembers(told.Membership)
-		if wire.Supersedes(told.Membership, members) || told.Core != peer.ID {
-			return pulled{}, wire.Errorf(wire.NotReady, "core at %s counts by other voters", peer.Address)
+		core.learnMembers(response.Membership)
+		if message.Supersedes(response.Membership, members) || response.Core != peer.ID {
+			return pulled{}, rpc.Errorf(rpc.NotReady, "core at %s counts by other voters", peer.Address)
 		}
-		if err := core.retakeClaims(told.Claims); err != nil {
+		if err := core.retakeClaims(response.Claims); err != nil {
 			return pulled{}, err
 		}
-		if !told.Complete || told.Done {
-			return pulled{fenced: true, whole: told.Complete}, nil
+		if !response.Complete || response.Done {
+			return pulled{fenced: true, whole: response.Complete}, nil
 		}
-		after = told.Last
+		after = response.Last
 	}
 }
 
 // retakeClaims keeps another core's claims, a message's worth at a time.
-func (core *Core) retakeClaims(claims []wire.ClaimRecord) error {
+func (core *Core) retakeClaims(claims []message.ClaimRecord) error {
 	for len(claims) > 0 {
-		count := min(len(claims), wire.MaxClaimsPerMessage)
-		wait := &keepWait{message: &wire.RecordClaimsRequest{Merged: claims[:count]}, members: core.members().accepted()}
+		count := min(len(claims), message.MaxClaimsPerMessage)
+		wait := &keepWait{message: &message.RecordClaimsRequest{Merged: claims[:count]}, members: core.members().accepted()}
 		if err := core.claims.put(wait); err != nil {
 			return err
 		}
 		if wait.refused {
-			return wire.Errorf(wire.NotReady, "the membership changed meanwhile")
+			return rpc.Errorf(rpc.NotReady, "the membership changed meanwhile")
 		}
 		claims = claims[count:]
 	}
--- a/control/claimrefusal_test.go
+++ b/control/claimrefusal_test.go
@@ -5,15 +5,15 @@
 	"testing/synctest"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // claimMemberships are a founding membership and one that replaces a voter of it.
-func claimMemberships() (former, step wire.AcceptedValue) {
+func claimMemberships() (former, step message.AcceptedValue) {
 	first := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	next := first.replaced(3, "10.0.0.4:1")
-	next.Mark.Term = wire.Term{Number: 4, Core: 1}
+	next.Mark.Term = message.Term{Number: 4, Core: 1}
 	return first.accepted(), next.accepted()
 }
 
@@ -88,8 +88,8 @@
 	taken := claimOf("first")
 	taken.Claims[0].Record.ID = "another"
 	first := &keepWait{message: claimOf("first"), members: step}
-	late := &keepWait{message: &wire.RecordClaimsRequest{Claims: append(claimOf("late").Claims, claimOf("later").Claims...)}, members: former}
-	second := &keepWait{message: &wire.RecordClaimsRequest{Claims: append(taken.Claims, claimOf("second").Claims...)}, members: step}
+	late := &keepWait{message: &message.RecordClaimsRequest{Claims: append(claimOf("late").Claims, claimOf("later").Claims...)}, members: former}
+	second := &keepWait{message: &message.RecordClaimsRequest{Claims: append(taken.Claims, claimOf("second").Claims...)}, members: step}
 	writeAtOnce(test, log, first, late, second)
 	for _, wait := range []*keepWait{first, late, second} {
 		if wait.mishap != nil || !wait.done || wait.refused != (wait == late) {
--- a/control/claims.go
+++ b/control/claims.go
@@ -5,8 +5,9 @@
 	"time"
 
 	"orchidjunction/keep"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 
 	"k8s.io/klog/v2"
 )
@@ -35,7 +36,7 @@
 
 	// members is the newest membership that anything here was kept or told under. Only
 	// the writing thread uses it once the log is open.
-	members wire.AcceptedValue
+	members message.AcceptedValue
 
 	mutex   sync.Mutex
 	wake    *sync.Cond
@@ -53,10 +54,10 @@
 // keepWait is one message under way to the disk, kept under a membership. WholeAs is
 // the voter that lacks nothing once this lasts, 0 for none.
 type keepWait struct {
-	message *wire.RecordClaimsRequest
-	members wire.AcceptedValue
+	message *message.RecordClaimsRequest
+	members message.AcceptedValue
 	wholeAs int
-	told    []wire.ClaimResponse
+	told    []message.ClaimResponse
 	refused bool
 	mishap  error
 	done    bool
@@ -69,10 +70,10 @@
 	At      time.Duration
 	Whole   bool
 	Core    int
-	Members *wire.AcceptedValue
-	Claims  []wire.ClaimRequest
-	Retold  []wire.ClaimRecord
-	Settles []wire.CompleteClaimRequest
+	Members *message.AcceptedValue
+	Claims  []message.ClaimRequest
+	Retold  []message.ClaimRecord
+	Settles []message.CompleteClaimRequest
 }
 
 // openClaimLog reads the log. In groups of a release in which no voter was ever
@@ -92,8 +93,8 @@
 	groups := []claimGroup{}
 	log.journal, err = loadJournal(disk, claimsName, first, func(segment uint64, payload []byte) error {
 		group := claimGroup{}
-		if err := wire.Unmarshal(payload, &group); err != nil {
-			return wire.AsError(err)
+		if err := rpc.Unmarshal(payload, &group); err != nil {
+			return rpc.AsError(err)
 		}
 		groups = append(groups, group)
 		log.base = max(log.base, group.At)
@@ -123,11 +124,11 @@
 func (log *ClaimLog) age() time.Duration { return log.base + time.Since(log.opened) }
 
 // lay puts a group that is so old into the book.
-func (log *ClaimLog) lay(group *claimGroup, old time.Duration) []wire.ClaimResponse {
-	told := make([]wire.ClaimResponse, len(group.Claims))
+func (log *ClaimLog) lay(group *claimGroup, old time.Duration) []message.ClaimResponse {
+	response := make([]message.ClaimResponse, len(group.Claims))
 	for index := range group.Claims {
 		group.Claims[index].Record.AgeMs = old.Milliseconds()
-		told[index] = *log.book.Claim(&group.Claims[index])
+		response[index] = *log.book.Claim(&group.Claims[index])
 	}
 	for index := range group.Retold {
 		group.Retold[index].AgeMs += old.Milliseconds()
@@ -136,7 +137,7 @@
 	for index := range group.Settles {
 		log.book.Settle(&group.Settles[index])
 	}
-	return told
+	return response
 }
 
 // write is the duty of the writing thread. While the disk refuses groups, nothing is
@@ -148,28 +149,28 @@
 			log.leave()
 			return
 		}
-		err, told := log.repair(), []wire.ClaimResponse(nil)
+		err, response := log.repair(), []message.ClaimResponse(nil)
 		if err == nil {
-			told, err = log.writeGroup(waits)
+			response, err = log.writeGroup(waits)
 		}
-		log.answer(waits, told, err)
+		log.answer(waits, response, err)
 	}
 }
 
 // writeGroup lays and syncs what came as one group, but for what comes under a
 // membership that is no more.
-func (log *ClaimLog) writeGroup(waits []*keepWait) ([]wire.ClaimResponse, error) {
+func (log *ClaimLog) writeGroup(waits []*keepWait) ([]message.ClaimResponse, error) {
 	group := claimGroup{At: log.age()}
 	for _, wait := range waits {
 		if wait.refused = !log.raise(&group, wait.members); !wait.refused {
 			group.add(wait)
 		}
 	}
-	told := log.lay(&group, 0)
+	response := log.lay(&group, 0)
 	lasting := group
 	lasting.Claims = nil
-	for index := range told {
-		if told[index].Granted {
+	for index := range response {
+		if response[index].Granted {
 			lasting.Claims = append(lasting.Claims, group.Claims[index])
 		}
 	}
@@ -177,7 +178,7 @@
 	if err != nil {
 		log.refuse(&lasting, err)
 	}
-	return told, err
+	return response, err
 }
 
 // add puts a message, and whom it makes whole, into the group.
@@ -192,13 +193,13 @@
 
 // answer gives each waiting message what became of it. What was told is in order of
 // the claims of all messages that were not refused.
-func (log *ClaimLog) answer(waits []*keepWait, told []wire.ClaimResponse, err error) {
+func (log *ClaimLog) answer(waits []*keepWait, response []message.ClaimResponse, err error) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	for _, wait := range waits {
 		if err == nil && !wait.refused {
 			count := len(wait.message.Claims)
-			wait.told, told = told[:count], told[count:]
+			wait.told, response = response[:count], response[count:]
 		}
 		wait.mishap, wait.done = err, true
 	}
@@ -240,8 +241,8 @@
 
 // raise notes the membership that something is kept under; false where one with other
 // voters was noted before, so that a quorum of this one may decide no more.
-func (log *ClaimLog) raise(group *claimGroup, members wire.AcceptedValue) bool {
-	if wire.Supersedes(log.members, members) {
+func (log *ClaimLog) raise(group *claimGroup, members message.AcceptedValue) bool {
+	if message.Supersedes(log.members, members) {
 		return false
 	}
 	if log.members.Version().Less(members.Version()) {
@@ -357,7 +358,7 @@
 func (log *ClaimLog) put(wait *keepWait) error {
 	if !log.ring.Put(wait) {
 		log.counts.Add("claim_ring_full", 1)
-		return &wire.Error{Code: wire.Overloaded, Message: "too many claims wait for this core's disk"}
+		return &rpc.Error{Code: rpc.Overloaded, Message: "too many claims wait for this core's disk"}
 	}
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
@@ -365,7 +366,7 @@
 		log.wake.Wait()
 	}
 	if !wait.done {
-		return wire.Errorf(wire.Stopping, "this core stops")
+		return rpc.Errorf(rpc.Stopping, "this core stops")
 	}
 	return wait.mishap
 }
--- a/control/claims_power_test.go
+++ b/control/claims_power_test.go
@@ -9,16 +9,16 @@
 
 	"orchidjunction/control"
 	"orchidjunction/keep"
+	"orchidjunction/message"
 	"orchidjunction/sim"
-	"orchidjunction/wire"
 )
 
 // claimKeeper drives a claim log and remembers what was granted, and when.
 type claimKeeper struct {
 	claims  *control.TestClaims
 	random  *rand.Rand
-	granted map[wire.ClaimKey]time.Time
-	refused map[wire.ClaimKey]time.Time
+	granted map[message.ClaimKey]time.Time
+	refused map[message.ClaimKey]time.Time
 	number  int
 }
 
@@ -45,10 +45,10 @@
 // step claims one key; false when it was refused.
 func (keeper *claimKeeper) step() bool {
 	keeper.number++
-	key := wire.ClaimKey{Tenant: "birch", Service: "desk", Key: fmt.Sprint(keeper.number)}
-	claimed := wire.ClaimRecord{Key: key, ID: fmt.Sprint(keeper.number), Stage: wire.ClaimRunning, Body: make([]byte, 200+keeper.random.IntN(800))}
-	told, err := keeper.claims.Keep(&wire.RecordClaimsRequest{Claims: []wire.ClaimRequest{{Record: claimed}}})
-	if err == nil && told[0].Granted {
+	key := message.ClaimKey{Tenant: "birch", Service: "desk", Key: fmt.Sprint(keeper.number)}
+	claimed := message.ClaimRecord{Key: key, ID: fmt.Sprint(keeper.number), Stage: message.ClaimRunning, Body: make([]byte, 200+keeper.random.IntN(800))}
+	response, err := keeper.claims.Keep(&message.RecordClaimsRequest{Claims: []message.ClaimRequest{{Record: claimed}}})
+	if err == nil && response[0].Granted {
 		keeper.granted[key] = time.Now()
 	} else {
 		keeper.refused[key] = time.Now()
@@ -76,7 +76,7 @@
 		synctest.Test(test, func(test *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 5))
 			disk := sim.NewDisk(seed)
-			keeper := &claimKeeper{random: random, granted: map[wire.ClaimKey]time.Time{}, refused: map[wire.ClaimKey]time.Time{}}
+			keeper := &claimKeeper{random: random, granted: map[message.ClaimKey]time.Time{}, refused: map[message.ClaimKey]time.Time{}}
 			for round := range 12 {
 				if err := keeper.open(disk); err != nil {
 					names, _ := disk.List()
@@ -106,7 +106,7 @@
 		synctest.Test(test, func(test *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 6))
 			disk := sim.NewDisk(seed)
-			keeper := &claimKeeper{random: random, granted: map[wire.ClaimKey]time.Time{}, refused: map[wire.ClaimKey]time.Time{}}
+			keeper := &claimKeeper{random: random, granted: map[message.ClaimKey]time.Time{}, refused: map[message.ClaimKey]time.Time{}}
 			for round := range 10 {
 				if err := keeper.open(disk); err != nil {
 					test.Fatalf("seed %d round %d: %v", seed, round, err)
--- a/control/clock.go
+++ b/control/clock.go
@@ -4,8 +4,8 @@
 	"sync"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // Clocks are what the leader knows of the other cores' clocks: how far each is
@@ -63,15 +63,15 @@
 
 // sawClock takes another core's clock from the answer to a beat; the middle one
 // of a majority's clocks is the time.
-func (core *Core) sawClock(peer Peer, told *wire.HeartbeatResponse, trip time.Duration) {
-	if told.AnchorMs == 0 || trip > core.roundLimit() {
+func (core *Core) sawClock(peer Peer, response *message.HeartbeatResponse, trip time.Duration) {
+	if response.AnchorMs == 0 || trip > core.roundLimit() {
 		return
 	}
 	half, anchored := trip.Milliseconds()/2, core.clock.Anchored()
-	if told.NowMs > 0 && !core.clock.Laid() {
-		core.clock.Lay(told.NowMs + half - anchored)
+	if response.NowMs > 0 && !core.clock.Laid() {
+		core.clock.Lay(response.NowMs + half - anchored)
 	}
-	core.clocks.take(peer.ID, told.AnchorMs+half-anchored, trip)
+	core.clocks.take(peer.ID, response.AnchorMs+half-anchored, trip)
 	if ahead, count := core.clocks.median(core.clock.Offset()); count >= core.members().needs() {
 		core.clock.Lay(ahead)
 	}
@@ -86,8 +86,8 @@
 }
 
 // beatFor is a beat with the time at which it will arrive, once the way is known.
-func (core *Core) beatFor(peer Peer, message *wire.HeartbeatRequest) *wire.HeartbeatRequest {
-	timed, trip := *message, core.clocks.trip(peer.ID)
+func (core *Core) beatFor(peer Peer, request *message.HeartbeatRequest) *message.HeartbeatRequest {
+	timed, trip := *request, core.clocks.trip(peer.ID)
 	if _, now := core.toldClock(); now > 0 && trip > 0 {
 		timed.NowMs = now + trip.Milliseconds()/2
 	}
--- a/control/content.go
+++ b/control/content.go
@@ -4,7 +4,8 @@
 	"fmt"
 
 	"orchidjunction/conf"
-	"orchidjunction/wire"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 const (
@@ -18,13 +19,13 @@
 type content struct {
 	serial uint64
 	tree   *conf.Tree
-	trail  []wire.HistoryEntry
-	texts  wire.Chunks
+	trail  []message.HistoryEntry
+	texts  message.Chunks
 }
 
 // next is the content after a change.
-func (now *content) next(tree *conf.Tree, entry wire.HistoryEntry) *content {
-	next := &content{serial: entry.Serial, tree: tree, texts: wire.Chunks{}}
+func (now *content) next(tree *conf.Tree, entry message.HistoryEntry) *content {
+	next := &content{serial: entry.Serial, tree: tree, texts: message.Chunks{}}
 	oldest := uint64(0)
 	if group := entry.Serial / trailGroup; group >= trailGroups {
 		oldest = (group - trailGroups + 1) * trailGroup
@@ -39,9 +40,9 @@
 }
 
 // value is the register's: which branches make the content up.
-func (now *content) value() wire.Value {
-	value := wire.Value{Serial: now.serial}
-	groups := map[uint64][]wire.HistoryEntry{}
+func (now *content) value() message.Value {
+	value := message.Value{Serial: now.serial}
+	groups := map[uint64][]message.HistoryEntry{}
 	order := []uint64{}
 	for _, entry := range now.trail {
 		group := entry.Serial / trailGroup
@@ -57,9 +58,9 @@
 		}
 	}
 	for _, group := range order {
-		text, _ := wire.Marshal(groups[group])
-		digest := wire.DigestOf(text)
-		value.Chunks = append(value.Chunks, wire.ChunkRef{Path: fmt.Sprintf("%s%016d", trailSign, group), Digest: digest})
+		text, _ := rpc.Marshal(groups[group])
+		digest := message.DigestOf(text)
+		value.Chunks = append(value.Chunks, message.ChunkRef{Path: fmt.Sprintf("%s%016d", trailSign, group), Digest: digest})
 		now.texts[digest] = text
 	}
 	return value
@@ -67,21 +68,21 @@
 
 // readContent makes the content of a value whose branches are among the texts;
 // what the content before has is read no second time.
-func readContent(before *content, value wire.Value, texts wire.Chunks) (*content, error) {
+func readContent(before *content, value message.Value, texts message.Chunks) (*content, error) {
 	if value.Serial == 0 {
 		return &content{}, nil
 	}
-	now := &content{serial: value.Serial, texts: make(wire.Chunks, len(value.Chunks))}
+	now := &content{serial: value.Serial, texts: make(message.Chunks, len(value.Chunks))}
 	for _, part := range value.Chunks {
 		text, found := texts[part.Digest]
 		if !found {
-			return nil, wire.Errorf(wire.CorruptChunk, "branch %s of serial %d is missing", part.Path, value.Serial)
+			return nil, rpc.Errorf(rpc.CorruptChunk, "branch %s of serial %d is missing", part.Path, value.Serial)
 		}
 		now.texts[part.Digest] = text
 		if len(part.Path) > len(trailSign) && part.Path[:len(trailSign)] == trailSign {
-			entries := []wire.HistoryEntry{}
-			if err := wire.Unmarshal(text, &entries); err != nil {
-				return nil, wire.AsError(err)
+			entries := []message.HistoryEntry{}
+			if err := rpc.Unmarshal(text, &entries); err != nil {
+				return nil, rpc.AsError(err)
 			}
 			now.trail = append(now.trail, entries...)
 		}
@@ -96,7 +97,7 @@
 }
 
 // treeParts are the branches of the settings, without those of the trail.
-func treeParts(parts []wire.ChunkRef) []wire.ChunkRef {
+func treeParts(parts []message.ChunkRef) []message.ChunkRef {
 	for index, part := range parts {
 		if len(part.Path) > len(trailSign) && part.Path[:len(trailSign)] == trailSign {
 			return parts[:index]
@@ -106,8 +107,8 @@
 }
 
 // fresh are the texts of a value's branches that another value does not have.
-func fresh(value, former wire.Value, texts wire.Chunks) wire.Chunks {
-	held, missing := map[string]bool{}, wire.Chunks{}
+func fresh(value, former message.Value, texts message.Chunks) message.Chunks {
+	held, missing := map[string]bool{}, message.Chunks{}
 	for _, part := range former.Chunks {
 		held[part.Digest] = true
 	}
@@ -124,7 +125,7 @@
 	core.reading.Take()
 	defer core.reading.Give()
 	core.mutex.Lock()
-	value, texts, held := core.committed[wire.SettingsRegister].Value, core.texts, core.held
+	value, texts, held := core.committed[message.SettingsRegister].Value, core.texts, core.held
 	core.mutex.Unlock()
 	if held != nil && held.serial == value.Serial {
 		return held, nil
@@ -140,31 +141,31 @@
 	return now, nil
 }
 
-func (core *Core) onParts(parts *wire.FetchChunksRequest) (*wire.FetchChunksResponse, error) {
+func (core *Core) onParts(parts *message.FetchChunksRequest) (*message.FetchChunksResponse, error) {
 	state := core.voter.State()
 	core.mutex.Lock()
 	texts := core.texts
 	core.mutex.Unlock()
-	told := &wire.FetchChunksResponse{Chunks: wire.Chunks{}}
+	response := &message.FetchChunksResponse{Chunks: message.Chunks{}}
 	for _, digest := range parts.Digests {
 		if text, found := state.Texts[digest]; found {
-			told.Chunks[digest] = text
+			response.Chunks[digest] = text
 		} else if text, found := texts[digest]; found {
-			told.Chunks[digest] = text
+			response.Chunks[digest] = text
 		}
 	}
-	return told, nil
+	return response, nil
 }
 
 // gatherTexts completes the texts of a value from the core that told of it.
-func (core *Core) gatherTexts(address string, value wire.Value, known wire.Chunks) (wire.Chunks, error) {
-	texts := wire.Chunks{}
+func (core *Core) gatherTexts(address string, value message.Value, known message.Chunks) (message.Chunks, error) {
+	texts := message.Chunks{}
 	for _, part := range value.Chunks {
 		if text, found := known[part.Digest]; found {
 			texts[part.Digest] = text
 		}
 	}
-	lacks := wire.MissingChunks(value.Chunks, texts)
+	lacks := message.MissingChunks(value.Chunks, texts)
 	core.counts.Add("branches_fetched", uint64(len(lacks)))
 	return texts, texts.Fetch(core.line, address, core.roundLimit(), lacks)
 }
--- a/control/core.go
+++ b/control/core.go
@@ -7,14 +7,15 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // Core is one core machine's part in the control plane.
 type Core struct {
 	place   Place
-	line    *wire.Client
+	line    *rpc.Client
 	threads *run.Threads
 	counts  *run.Counts
 	voter   *Voter
@@ -38,35 +39,35 @@
 	meter    *Meter
 
 	mutex      sync.Mutex
-	leader     wire.Leader
+	leader     message.Leader
 	heard      time.Time
 	duck       bool
-	successor  wire.Leader
+	successor  message.Leader
 	round      uint64
-	passed     *wire.TransferLeadershipRequest
+	passed     *message.TransferLeadershipRequest
 	leadership *Leadership
-	committed  [wire.Registers]wire.AcceptedValue
-	texts      wire.Chunks
+	committed  [message.Registers]message.AcceptedValue
+	texts      message.Chunks
 	held       *content
-	table      *wire.Table
-	tableLog   *wire.TableLog
-	wanted     wire.TableVersion
+	table      *message.Table
+	tableLog   *message.TableLog
+	wanted     message.TableVersion
 	refused    diskRefusal
 	patience   time.Duration
 	asked      int
 	toldLeader time.Time
 }
 
-func NewCore(place Place, disk Disk, line *wire.Client, threads *run.Threads, counts *run.Counts) (*Core, error) {
+func NewCore(place Place, disk Disk, client *rpc.Client, threads *run.Threads, counts *run.Counts) (*Core, error) {
 	store, err := OpenStore(disk)
 	if err != nil {
 		return nil, err
 	}
 	place = place.filled()
-	core := &Core{place: place, line: line, threads: threads, counts: counts, news: run.NewBell(), prompt: run.NewBell(), reading: run.NewTurn(),
-		random: newDraws(place.Seed + uint64(place.ID)), table: &wire.Table{}, heard: time.Now()}
+	core := &Core{place: place, line: client, threads: threads, counts: counts, news: run.NewBell(), prompt: run.NewBell(), reading: run.NewTurn(),
+		random: newDraws(place.Seed + uint64(place.ID)), table: &message.Table{}, heard: time.Now()}
 	core.clock, core.clocks = run.NewClock(place.Wall), newClocks()
-	core.tableLog = wire.NewTableLog()
+	core.tableLog = message.NewTableLog()
 	core.enlisted, core.meter = newEnlisted(place.Wire), newMeter()
 	core.voter = NewVoter(store, core.diskFault, core.raised)
 	core.voter.learns = core.learnMembers
@@ -88,10 +89,10 @@
 	core.patience = core.firstPatience()
 	core.sessions = newSessions(place.SessionSpan)
 	core.stirs = newStirs()
-	core.usage = newUsage(line.Transport())
-	core.platform = newPlatformReader(&core.place, line.Transport(), core.Now, counts)
-	if accepted, proven := core.voter.State().proven(wire.RoutingRegister); proven {
-		core.committed[wire.RoutingRegister] = accepted
+	core.usage = newUsage(client.Transport())
+	core.platform = newPlatformReader(&core.place, client.Transport(), core.Now, counts)
+	if accepted, proven := core.voter.State().proven(message.RoutingRegister); proven {
+		core.committed[message.RoutingRegister] = accepted
 	}
 	return core, nil
 }
@@ -140,32 +141,32 @@
 }
 
 // Register opens the core's side of the wire.
-func (core *Core) Register(door *wire.Server) {
-	wire.Handle(door, "precheck", answer(core.onPrecheck))
-	wire.Handle(door, "promise", answer(core.voterPromise))
-	wire.Handle(door, "accept", answer(core.voterAccept))
-	wire.Handle(door, "beat", answer(core.onBeat))
-	wire.Handle(door, "stepdown", answer(core.onStepDown))
-	wire.Handle(door, "restore", answer(core.onRestore))
-	wire.Handle(door, "tell", answer(core.onTell))
-	wire.Handle(door, "session", answer(core.onSession))
-	wire.Handle(door, "watch", answer(core.onWatch))
-	wire.Handle(door, "fetch", answer(core.onFetch))
-	wire.Handle(door, "who", answer(core.onWho))
-	wire.Handle(door, "confirm", answer(core.onConfirm))
-	wire.Handle(door, "change", answer(core.onChange))
-	wire.Handle(door, "routechange", answer(core.onRouteChange))
-	wire.Handle(door, "routeread", answer(core.onRouteRead))
-	wire.Handle(door, "evacuate", answer(core.onEvacuate))
-	wire.Handle(door, "enlist", answer(core.onEnlist))
-	wire.Handle(door, "leave", answer(core.onLeave))
-	wire.Handle(door, "removal", answer(core.onRemoval))
-	wire.Handle(door, "read", answer(core.onRead))
-	wire.Handle(door, "status", answer(core.onStatus))
-	wire.Handle(door, "count", answer(core.onCount))
-	wire.Handle(door, "parts", answer(core.onParts))
-	wire.Handle(door, "keep", answer(core.onKeep))
-	wire.Handle(door, "pull", answer(core.onPull))
+func (core *Core) Register(server *rpc.Server) {
+	rpc.Handle(server, "precheck", answer(core.onPrecheck))
+	rpc.Handle(server, "promise", answer(core.voterPromise))
+	rpc.Handle(server, "accept", answer(core.voterAccept))
+	rpc.Handle(server, "beat", answer(core.onBeat))
+	rpc.Handle(server, "stepdown", answer(core.onStepDown))
+	rpc.Handle(server, "restore", answer(core.onRestore))
+	rpc.Handle(server, "tell", answer(core.onTell))
+	rpc.Handle(server, "session", answer(core.onSession))
+	rpc.Handle(server, "watch", answer(core.onWatch))
+	rpc.Handle(server, "fetch", answer(core.onFetch))
+	rpc.Handle(server, "who", answer(core.onWho))
+	rpc.Handle(server, "confirm", answer(core.onConfirm))
+	rpc.Handle(server, "change", answer(core.onChange))
+	rpc.Handle(server, "routechange", answer(core.onRouteChange))
+	rpc.Handle(server, "routeread", answer(core.onRouteRead))
+	rpc.Handle(server, "evacuate", answer(core.onEvacuate))
+	rpc.Handle(server, "enlist", answer(core.onEnlist))
+	rpc.Handle(server, "leave", answer(core.onLeave))
+	rpc.Handle(server, "removal", answer(core.onRemoval))
+	rpc.Handle(server, "read", answer(core.onRead))
+	rpc.Handle(server, "status", answer(core.onStatus))
+	rpc.Handle(server, "count", answer(core.onCount))
+	rpc.Handle(server, "parts", answer(core.onParts))
+	rpc.Handle(server, "keep", answer(core.onKeep))
+	rpc.Handle(server, "pull", answer(core.onPull))
 }
 
 func answer[Asked, Told any](inner func(*Asked) (*Told, error)) func(context.Context, *Asked) (*Told, error) {
@@ -206,98 +207,98 @@
 
 // pushValue sends the value to every voter of a membership, this one too, until a
 // quorum took it; a core gets the branches that it says it lacks.
-func (core *Core) pushValue(view *View, message *wire.AcceptRequest, texts wire.Chunks) error {
+func (core *Core) pushValue(view *View, request *message.AcceptRequest, texts message.Chunks) error {
 	until := time.Now().Add(core.place.writeLimit())
 	voters := append([]Peer{{ID: view.ID, Address: view.Wire}}, view.Peers...)
-	push := func(index int) (*wire.AcceptResponse, error) {
+	push := func(index int) (*message.AcceptResponse, error) {
 		if index == 0 {
-			return core.acceptHere(message, texts)
+			return core.acceptHere(request, texts)
 		}
-		return core.pushTo(voters[index], message, texts, until)
+		return core.pushTo(voters[index], request, texts, until)
 	}
-	took := func(got map[int]*wire.AcceptResponse) func(id int) bool {
+	took := func(got map[int]*message.AcceptResponse) func(id int) bool {
 		return func(id int) bool {
-			told := got[slices.IndexFunc(voters, func(voter Peer) bool { return voter.ID == id })]
-			return told != nil && told.Accepted
+			response := got[slices.IndexFunc(voters, func(voter Peer) bool { return voter.ID == id })]
+			return response != nil && response.Accepted
 		}
 	}
-	got, _ := run.Gather(core.threads, len(voters), push, func(got map[int]*wire.AcceptResponse, failed map[int]error) bool {
+	got, _ := run.Gather(core.threads, len(voters), push, func(got map[int]*message.AcceptResponse, failed map[int]error) bool {
 		open := func(id int) bool {
 			index := slices.IndexFunc(voters, func(voter Peer) bool { return voter.ID == id })
-			told := got[index]
-			return failed[index] == nil && (told == nil || told.Accepted)
+			response := got[index]
+			return failed[index] == nil && (response == nil || response.Accepted)
 		}
 		return view.quorum(took(got)) || !view.quorum(open) || time.Until(until) <= 0
 	})
-	for _, told := range got {
-		if !told.Accepted {
-			core.sawRound(told.Promised.Number)
+	for _, response := range got {
+		if !response.Accepted {
+			core.sawRound(response.Promised.Number)
 		}
 	}
 	if !view.votes() || !view.quorum(took(got)) {
-		return wire.Errorf(wire.StaleTerm, "no quorum of membership %d took serial %d under %s", view.Mark.Serial, message.Value.Serial, message.Term)
+		return rpc.Errorf(rpc.StaleTerm, "no quorum of membership %d took serial %d under %s", view.Mark.Serial, request.Value.Serial, request.Term)
 	}
 	return nil
 }
 
 // acceptHere offers a value to this core's own replica.
-func (core *Core) acceptHere(message *wire.AcceptRequest, texts wire.Chunks) (*wire.AcceptResponse, error) {
-	return offer(message, texts, func(message *wire.AcceptRequest) (*wire.AcceptResponse, error) {
-		told, err := core.voter.Accept(message)
+func (core *Core) acceptHere(request *message.AcceptRequest, texts message.Chunks) (*message.AcceptResponse, error) {
+	return offer(request, texts, func(request *message.AcceptRequest) (*message.AcceptResponse, error) {
+		response, err := core.voter.Accept(request)
 		if err != nil {
 			return nil, err
 		}
-		return told, nil
+		return response, nil
 	})
 }
 
 // pushTo offers a value to another core, again while that is out of reach.
-func (core *Core) pushTo(peer Peer, message *wire.AcceptRequest, texts wire.Chunks, until time.Time) (*wire.AcceptResponse, error) {
+func (core *Core) pushTo(peer Peer, request *message.AcceptRequest, texts message.Chunks, until time.Time) (*message.AcceptResponse, error) {
 	for {
-		told, err := core.offerTo(peer, message, texts, time.Until(until))
-		if err == nil || wire.CodeOf(err) != wire.Unreachable && wire.CodeOf(err) != wire.ConnectFailed || time.Until(until) < core.place.Beat {
-			return told, err
+		response, err := core.offerTo(peer, request, texts, time.Until(until))
+		if err == nil || rpc.CodeOf(err) != rpc.Unreachable && rpc.CodeOf(err) != rpc.ConnectFailed || time.Until(until) < core.place.Beat {
+			return response, err
 		}
 		if !core.threads.Rest(core.place.Beat / 2) {
-			return nil, wire.Errorf(wire.Stopping, "stopping")
+			return nil, rpc.Errorf(rpc.Stopping, "stopping")
 		}
 	}
 }
 
 // offer sends a value, and again with what is lacking.
-func offer(message *wire.AcceptRequest, texts wire.Chunks, send func(*wire.AcceptRequest) (*wire.AcceptResponse, error)) (*wire.AcceptResponse, error) {
-	told, err := send(message)
-	if err != nil || len(told.Missing) == 0 {
-		return told, err
+func offer(request *message.AcceptRequest, texts message.Chunks, send func(*message.AcceptRequest) (*message.AcceptResponse, error)) (*message.AcceptResponse, error) {
+	response, err := send(request)
+	if err != nil || len(response.Missing) == 0 {
+		return response, err
 	}
-	fuller := *message
-	fuller.Chunks = make(wire.Chunks, len(message.Chunks)+len(told.Missing))
-	for digest, text := range message.Chunks {
+	fuller := *request
+	fuller.Chunks = make(message.Chunks, len(request.Chunks)+len(response.Missing))
+	for digest, text := range request.Chunks {
 		fuller.Chunks[digest] = text
 	}
-	for _, digest := range told.Missing {
+	for _, digest := range response.Missing {
 		if texts[digest] == nil {
-			return nil, wire.Errorf(wire.CorruptChunk, "a branch that was asked for is not here")
+			return nil, rpc.Errorf(rpc.CorruptChunk, "a branch that was asked for is not here")
 		}
 		fuller.Chunks[digest] = texts[digest]
 	}
 	return send(&fuller)
 }
 
-func (core *Core) offerTo(peer Peer, message *wire.AcceptRequest, texts wire.Chunks, limit time.Duration) (*wire.AcceptResponse, error) {
+func (core *Core) offerTo(peer Peer, request *message.AcceptRequest, texts message.Chunks, limit time.Duration) (*message.AcceptResponse, error) {
 	until := time.Now().Add(limit)
-	return offer(message, texts, func(message *wire.AcceptRequest) (*wire.AcceptResponse, error) {
-		return wire.Call[wire.AcceptRequest, wire.AcceptResponse](core.line, peer.Address, "accept", time.Until(until), message)
+	return offer(request, texts, func(request *message.AcceptRequest) (*message.AcceptResponse, error) {
+		return rpc.Call[message.AcceptRequest, message.AcceptResponse](core.line, peer.Address, "accept", time.Until(until), request)
 	})
 }
 
 // raised is called when this core's own promise rose; an older leadership here ends.
-func (core *Core) raised(ballot wire.Term) {
-	core.sawRound(ballot.Number)
+func (core *Core) raised(term message.Term) {
+	core.sawRound(term.Number)
 	core.mutex.Lock()
 	leadership := core.leadership
 	core.mutex.Unlock()
-	if leadership != nil && leadership.ballot.Less(ballot) {
+	if leadership != nil && leadership.ballot.Less(term) {
 		core.revoke(leadership)
 	}
 }
@@ -309,7 +310,7 @@
 	if mine {
 		core.leadership = nil
 		if core.leader.Term == leadership.ballot {
-			core.leader = wire.Leader{Term: leadership.ballot}
+			core.leader = message.Leader{Term: leadership.ballot}
 		}
 		core.heard = time.Now()
 	}
@@ -330,12 +331,12 @@
 }
 
 // commit keeps the texts as they are now, since the next vote may drop some.
-func (core *Core) commit(register wire.Register, accepted wire.AcceptedValue, texts wire.Chunks) {
+func (core *Core) commit(register message.Register, accepted message.AcceptedValue, texts message.Chunks) {
 	core.mutex.Lock()
 	fresh := core.committed[register].Value.Serial < accepted.Value.Serial
 	if fresh {
 		core.committed[register] = accepted
-		if register == wire.SettingsRegister {
+		if register == message.SettingsRegister {
 			core.texts = texts
 		}
 	}
@@ -343,7 +344,7 @@
 	if fresh {
 		core.counts.Add("commits", 1)
 		core.news.Ring()
-		if register == wire.RoutingRegister && core.place.enlists() {
+		if register == message.RoutingRegister && core.place.enlists() {
 			core.threads.Start(func() { core.voter.Committed(register, accepted.Version()) })
 		}
 	}
@@ -358,13 +359,13 @@
 	return now.serial, now.tree.Body()
 }
 
-func (core *Core) Table() *wire.Table {
+func (core *Core) Table() *message.Table {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	return core.table
 }
 
-func (core *Core) holdTable(table *wire.Table) {
+func (core *Core) holdTable(table *message.Table) {
 	core.mutex.Lock()
 	fresh := core.table.Version.Less(table.Version)
 	if fresh {
@@ -381,9 +382,9 @@
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	if core.leadership == nil {
-		err := &wire.Error{Code: wire.NotLeader, Message: "another core leads or none"}
+		err := &rpc.Error{Code: rpc.NotLeader, Message: "another core leads or none"}
 		if core.leader.Known() && core.leader.Core != core.members().ID {
-			wire.AsError(err).Leader = core.leader.Address
+			rpc.AsError(err).Leader = core.leader.Address
 		}
 		return nil, err
 	}
--- a/control/decide_test.go
+++ b/control/decide_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"orchidjunction/route"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 func configOf(version uint64) *route.Config {
@@ -40,17 +40,17 @@
 	invalid.Whole.Routes[0].Service = "nobody"
 	for name, one := range map[string]struct {
 		change *route.Change
-		want   wire.Code
+		want   rpc.Code
 	}{
-		"lost a race with a lower number":     {changeOf(8, 6, "lower"), wire.StaleBase},
-		"lost a race with the same number":    {changeOf(9, 6, "same"), wire.StaleBase},
-		"lost a race with a higher number":    {changeOf(12, 6, "higher"), wire.StaleBase},
-		"lost a race, invalid too":            {invalid, wire.StaleBase},
-		"base of the future":                  {changeOf(14, 12, "future"), wire.StaleBase},
-		"number of the current one, on it":    {changeOf(9, 9, "equal"), wire.StaleVersion},
-		"number below the current one, on it": {changeOf(8, 9, "below"), wire.StaleVersion},
+		"lost a race with a lower number":     {changeOf(8, 6, "lower"), rpc.StaleBase},
+		"lost a race with the same number":    {changeOf(9, 6, "same"), rpc.StaleBase},
+		"lost a race with a higher number":    {changeOf(12, 6, "higher"), rpc.StaleBase},
+		"lost a race, invalid too":            {invalid, rpc.StaleBase},
+		"base of the future":                  {changeOf(14, 12, "future"), rpc.StaleBase},
+		"number of the current one, on it":    {changeOf(9, 9, "equal"), rpc.StaleVersion},
+		"number below the current one, on it": {changeOf(8, 9, "below"), rpc.StaleVersion},
 	} {
-		if next, again, err := decide(book, one.change); next != nil || again || err == nil || wire.CodeOf(err) != one.want {
+		if next, again, err := decide(book, one.change); next != nil || again || err == nil || rpc.CodeOf(err) != one.want {
 			test.Errorf("%s: again %v, %v, want %s", name, again, err, one.want)
 		}
 	}
@@ -67,7 +67,7 @@
 		}
 	}
 	for name, change := range map[string]*route.Change{"another text": changeOf(300, 297, "order 98"), "another number": changeOf(301, 297, "order 99")} {
-		if _, again, err := decide(book, change); again || err == nil || wire.CodeOf(err) != wire.StaleBase {
+		if _, again, err := decide(book, change); again || err == nil || rpc.CodeOf(err) != rpc.StaleBase {
 			test.Errorf("%s: again %v, %v", name, again, err)
 		}
 	}
@@ -81,12 +81,12 @@
 	for number := range uint64(route.TrailMost) {
 		book.Trail = book.Trail.With(12+number*3, "other")
 	}
-	for number, want := range map[uint64]wire.Code{0: wire.Forgotten, 2: wire.Forgotten, 3: wire.StaleBase} {
-		if _, again, err := decide(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); again || err == nil || wire.CodeOf(err) != want {
+	for number, want := range map[uint64]rpc.Code{0: rpc.Forgotten, 2: rpc.Forgotten, 3: rpc.StaleBase} {
+		if _, again, err := decide(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); again || err == nil || rpc.CodeOf(err) != want {
 			test.Errorf("order %d: again %v, %v, want %s", number, again, err, want)
 		}
 	}
-	if _, _, err := decide(book, changeOf(book.Config.Version, book.Config.Version, "not above")); err == nil || wire.CodeOf(err) != wire.StaleVersion {
+	if _, _, err := decide(book, changeOf(book.Config.Version, book.Config.Version, "not above")); err == nil || rpc.CodeOf(err) != rpc.StaleVersion {
 		test.Errorf("a number not above the current one, on it: %v", err)
 	}
 }
--- a/control/election.go
+++ b/control/election.go
@@ -1,10 +1,10 @@
 package control
 
 import (
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"time"
 
-	"orchidjunction/wire"
-
 	"k8s.io/klog/v2"
 )
 
@@ -99,12 +99,12 @@
 	}
 	defer core.chart.moveBack()
 	core.counts.Add("prechecks", 1)
-	marks, view := core.voter.State().Marks(), core.members()
-	told := askPeers(core, view, func(peer Peer) (*wire.PreVoteResponse, error) {
-		return wire.Call[wire.PreVoteRequest, wire.PreVoteResponse](core.line, peer.Address, "precheck", core.roundLimit()/2, &wire.PreVoteRequest{Core: view.ID, Versions: marks, Membership: view.Mark})
-	}, func(*wire.PreVoteResponse) bool { return true }, never)
-	reach := 1 + len(told)
-	for _, answer := range told {
+	versions, view := core.voter.State().Marks(), core.members()
+	response := askPeers(core, view, func(peer Peer) (*message.PreVoteResponse, error) {
+		return rpc.Call[message.PreVoteRequest, message.PreVoteResponse](core.line, peer.Address, "precheck", core.roundLimit()/2, &message.PreVoteRequest{Core: view.ID, Versions: versions, Membership: view.Mark})
+	}, func(*message.PreVoteResponse) bool { return true }, never)
+	reach := 1 + len(response)
+	for _, answer := range response {
 		core.sawRound(answer.TermNumber)
 		core.learnMembers(answer.Membership)
 	}
@@ -112,18 +112,18 @@
 		core.counts.Add("prechecks_by_old_members", 1)
 		return false
 	}
-	for _, answer := range told {
+	for _, answer := range response {
 		if answer.LeaderAlive {
 			core.counts.Add("prechecks_leader_alive", 1)
 			return false
 		}
 	}
-	if !view.decides(agreed(told, func(answer *wire.PreVoteResponse) bool { return answer.Granted })) {
+	if !view.decides(agreed(response, func(answer *message.PreVoteResponse) bool { return answer.Granted })) {
 		core.counts.Add("prechecks_short", 1)
 		return false
 	}
-	for id, answer := range told {
-		if !yielded && view.mayLead(id) && answer.Voter && fitter(answer.Versions, answer.Reachable, id, marks, reach, view.ID) {
+	for id, answer := range response {
+		if !yielded && view.mayLead(id) && answer.Voter && fitter(answer.Versions, answer.Reachable, id, versions, reach, view.ID) {
 			core.counts.Add("prechecks_yielded", 1)
 			return true
 		}
@@ -131,59 +131,59 @@
 	if !core.chart.move(Revoking) {
 		return false
 	}
-	ballot, revoked := core.nextBallot(view)
-	revocation, err := core.fence(view, ballot, revoked)
+	term, revoked := core.nextBallot(view)
+	revocation, err := core.fence(view, term, revoked)
 	if err != nil {
 		core.counts.Add("revocations_short", 1)
 		return false
 	}
-	core.found(view, ballot, revocation)
+	core.found(view, term, revocation)
 	return false
 }
 
 // succeed takes over from a leader that stepped down in this core's favour.
-func (core *Core) succeed(message *wire.TransferLeadershipRequest) {
+func (core *Core) succeed(request *message.TransferLeadershipRequest) {
 	if !core.chart.move(Revoking) {
 		return
 	}
 	defer core.chart.moveBack()
 	view := core.members()
-	ballot, _ := core.nextBallot(view)
-	core.found(view, ballot, steppedDown(message))
+	term, _ := core.nextBallot(view)
+	core.found(view, term, steppedDown(request))
 }
 
 // nextBallot is a new ballot of this core's, and the one of the leader it knows.
-func (core *Core) nextBallot(view *View) (next, revoked wire.Term) {
+func (core *Core) nextBallot(view *View) (next, revoked message.Term) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	core.round++
-	return wire.Term{Number: core.round, Core: view.ID}, core.leader.Term
+	return message.Term{Number: core.round, Core: view.ID}, core.leader.Term
 }
 
 // found establishes under the ballot, by the membership that its revocation counted
 // by, and takes the lead.
-func (core *Core) found(view *View, ballot wire.Term, revocation *Revocation) {
+func (core *Core) found(view *View, term message.Term, revocation *Revocation) {
 	if !view.mayLead(view.ID) || !core.chart.move(Establishing) {
 		return
 	}
-	leadership, err := core.establish(view, ballot, revocation)
+	leadership, err := core.establish(view, term, revocation)
 	if err != nil {
 		core.counts.Add("establishments_short", 1)
 		return
 	}
 	core.mutex.Lock()
 	core.leadership = leadership
-	core.leader = core.members().leader(ballot)
-	core.duck, core.successor = false, wire.Leader{}
+	core.leader = core.members().leader(term)
+	core.duck, core.successor = false, message.Leader{}
 	core.mutex.Unlock()
-	if core.voter.State().Promised != ballot || !core.chart.move(Leading) {
+	if core.voter.State().Promised != term || !core.chart.move(Leading) {
 		core.revoke(leadership)
 		return
 	}
-	core.place.Observe(Leading, ballot)
-	klog.Infof("core %d: leads under %s, revoked %s by %s", core.members().ID, ballot, leadership.revocation.Revoked, leadership.revocation.Method)
-	for register := range wire.Registers {
-		core.commit(register, wire.AcceptedValue{Term: ballot, Value: leadership.value(register)}, leadership.settings().texts)
+	core.place.Observe(Leading, term)
+	klog.Infof("core %d: leads under %s, revoked %s by %s", core.members().ID, term, leadership.revocation.Revoked, leadership.revocation.Method)
+	for register := range message.Registers {
+		core.commit(register, message.AcceptedValue{Term: term, Value: leadership.value(register)}, leadership.settings().texts)
 	}
 	core.platform.begin(core.Table().Backends)
 	core.news.Ring()
@@ -216,77 +216,77 @@
 	}
 }
 
-func (core *Core) voterPromise(message *wire.PrepareRequest) (*wire.PrepareResponse, error) {
-	if known := core.members().accepted(); wire.Supersedes(known, message.Membership) {
-		return &wire.PrepareResponse{Promised: core.voter.State().Promised, Membership: known}, nil
+func (core *Core) voterPromise(request *message.PrepareRequest) (*message.PrepareResponse, error) {
+	if known := core.members().accepted(); message.Supersedes(known, request.Membership) {
+		return &message.PrepareResponse{Promised: core.voter.State().Promised, Membership: known}, nil
 	}
-	core.sawRound(message.Term.Number)
-	told, err := core.voter.Promise(message)
-	if err == nil && told.Granted {
+	core.sawRound(request.Term.Number)
+	response, err := core.voter.Promise(request)
+	if err == nil && response.Granted {
 		core.mutex.Lock()
 		core.heard = time.Now()
 		core.patience = core.nextPatience()
 		core.mutex.Unlock()
 	}
-	return told, err
+	return response, err
 }
 
-func (core *Core) voterAccept(message *wire.AcceptRequest) (*wire.AcceptResponse, error) {
-	core.sawRound(message.Term.Number)
-	return core.voter.Accept(message)
+func (core *Core) voterAccept(request *message.AcceptRequest) (*message.AcceptResponse, error) {
+	core.sawRound(request.Term.Number)
+	return core.voter.Accept(request)
 }
 
-func (core *Core) onPrecheck(message *wire.PreVoteRequest) (*wire.PreVoteResponse, error) {
+func (core *Core) onPrecheck(request *message.PreVoteRequest) (*message.PreVoteResponse, error) {
 	state := core.voter.State()
 	core.mutex.Lock()
 	heard := core.leadership != nil || (core.leader.Known() && !core.duck && time.Since(core.heard) < core.place.Suspect)
 	round := max(core.round, state.Promised.Number)
 	core.mutex.Unlock()
 	votes := core.Sound()
-	return &wire.PreVoteResponse{Granted: votes && !heard, LeaderAlive: heard, Voter: votes, Versions: state.Marks(), Reachable: core.reach(), TermNumber: round, Membership: core.newerMembers(message.Membership)}, nil
+	return &message.PreVoteResponse{Granted: votes && !heard, LeaderAlive: heard, Voter: votes, Versions: state.Marks(), Reachable: core.reach(), TermNumber: round, Membership: core.newerMembers(request.Membership)}, nil
 }
 
 // reach is how many cores told something lately, this one included.
 func (core *Core) reach() int { return 1 + core.sessions.coresHeard(core.place.Suspect*2) }
 
-func (core *Core) onBeat(message *wire.HeartbeatRequest) (*wire.HeartbeatResponse, error) {
+func (core *Core) onBeat(request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
 	state := core.voter.State()
-	core.sawRound(message.Term.Number)
-	if message.Term.Less(state.Promised) {
-		return &wire.HeartbeatResponse{Voter: state.Founded, Promised: state.Promised, Versions: state.Marks()}, nil
+	core.sawRound(request.Term.Number)
+	if request.Term.Less(state.Promised) {
+		return &message.HeartbeatResponse{Voter: state.Founded, Promised: state.Promised, Versions: state.Marks()}, nil
 	}
 	core.mutex.Lock()
-	moved := core.leader.Term != message.Term
-	core.leader, core.heard = message.Leader, time.Now()
-	core.duck, core.successor = message.Lameduck, message.Successor
-	core.wanted = message.Table
+	moved := core.leader.Term != request.Term
+	core.leader, core.heard = request.Leader, time.Now()
+	core.duck, core.successor = request.Lameduck, request.Successor
+	core.wanted = request.Table
 	core.patience = core.nextPatience()
 	core.mutex.Unlock()
-	if message.NowMs > 0 {
-		core.clock.Heard(message.NowMs)
+	if request.NowMs > 0 {
+		core.clock.Heard(request.NowMs)
 	}
 	if moved {
-		klog.Infof("core %d: follows core %d under %s", core.members().ID, message.Leader.Core, message.Term)
+		klog.Infof("core %d: follows core %d under %s", core.members().ID, request.Leader.Core, request.Term)
 		core.news.Ring()
 	}
-	for register := range message.Committed {
-		if accepted := state.Accepted[register]; accepted.Version() == message.Committed[register] {
-			core.commit(wire.Register(register), accepted, state.Texts)
+	for register := range request.Committed {
+		if accepted := state.Accepted[register]; accepted.Version() == request.Committed[register] {
+			core.commit(message.Register(register), accepted, state.Texts)
 		}
 	}
-	told := &wire.HeartbeatResponse{Accepted: true, Voter: state.Founded, RefusesWrites: !core.takesWrites(), Promised: state.Promised, Versions: state.Marks(), Reachable: core.reach()}
-	told.AnchorMs, told.NowMs = core.toldClock()
-	return told, nil
+	response := &message.HeartbeatResponse{Accepted: true, Voter: state.Founded, RefusesWrites: !core.takesWrites(), Promised: state.Promised, Versions: state.Marks(), Reachable: core.reach()}
+	response.AnchorMs, response.NowMs = core.toldClock()
+	return response, nil
 }
 
-func (core *Core) onStepDown(message *wire.TransferLeadershipRequest) (*wire.TransferLeadershipResponse, error) {
+func (core *Core) onStepDown(request *message.TransferLeadershipRequest) (*message.TransferLeadershipResponse, error) {
 	state := core.voter.State()
-	if !core.Sound() || message.Term.Less(state.Promised) || core.chart.Now() != Following {
-		return &wire.TransferLeadershipResponse{}, nil
+	if !core.Sound() || request.Term.Less(state.Promised) || core.chart.Now() != Following {
+		return &message.TransferLeadershipResponse{}, nil
 	}
 	core.mutex.Lock()
-	core.passed = message
+	core.passed = request
 	core.mutex.Unlock()
 	core.prompt.Ring()
-	return &wire.TransferLeadershipResponse{Accepted: true}, nil
+	return &message.TransferLeadershipResponse{Accepted: true}, nil
 }
--- a/control/enlist.go
+++ b/control/enlist.go
@@ -5,8 +5,9 @@
 	"sync"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 
 	"k8s.io/klog/v2"
 )
@@ -80,20 +81,20 @@
 			seeds = append(seeds, seed)
 		}
 	}
-	message := &wire.JoinRequest{Address: core.place.Wire, SinceBootstrap: core.opening()}
-	got, _ := run.Gather(core.threads, len(seeds), func(index int) (*wire.JoinResponse, error) {
-		return wire.Call[wire.JoinRequest, wire.JoinResponse](core.line, seeds[index], "enlist", core.roundLimit(), message)
-	}, func(got map[int]*wire.JoinResponse, _ map[int]error) bool {
-		for _, told := range got {
-			if told.Membership.Value.Serial > 0 {
+	request := &message.JoinRequest{Address: core.place.Wire, SinceBootstrap: core.opening()}
+	got, _ := run.Gather(core.threads, len(seeds), func(index int) (*message.JoinResponse, error) {
+		return rpc.Call[message.JoinRequest, message.JoinResponse](core.line, seeds[index], "enlist", core.roundLimit(), request)
+	}, func(got map[int]*message.JoinResponse, _ map[int]error) bool {
+		for _, response := range got {
+			if response.Membership.Value.Serial > 0 {
 				return true
 			}
 		}
 		return false
 	})
-	for _, told := range got {
-		if told.Membership.Value.Serial > 0 {
-			core.join(told.Membership)
+	for _, response := range got {
+		if response.Membership.Value.Serial > 0 {
+			core.join(response.Membership)
 			return
 		}
 	}
@@ -108,7 +109,7 @@
 
 // join takes the first membership that this core hears of. At the system's first
 // start it votes by it at once: a disk that has been there since then never voted.
-func (core *Core) join(accepted wire.AcceptedValue) {
+func (core *Core) join(accepted message.AcceptedValue) {
 	membership, err := membershipOf(accepted)
 	if err != nil || membership == nil {
 		return
@@ -133,22 +134,22 @@
 // mayEnrol is whether a core that first hears of a membership is a voter of it at once.
 func mayEnrol(opening bool, view *View) bool { return opening && view.votes() }
 
-func (core *Core) onEnlist(message *wire.JoinRequest) (*wire.JoinResponse, error) {
+func (core *Core) onEnlist(request *message.JoinRequest) (*message.JoinResponse, error) {
 	if !core.members().known() {
-		core.enlisted.take(message.Address)
-		return &wire.JoinResponse{}, nil
+		core.enlisted.take(request.Address)
+		return &message.JoinResponse{}, nil
 	}
-	told := &wire.JoinResponse{}
-	if leadership, err := core.leading(); err == nil && !core.members().has(message.Address) {
-		told.Admitted = leadership.admit(message.Address)
-		told.Term = leadership.ballot
+	response := &message.JoinResponse{}
+	if leadership, err := core.leading(); err == nil && !core.members().has(request.Address) {
+		response.Admitted = leadership.admit(request.Address)
+		response.Term = leadership.ballot
 	}
-	told.Membership = core.newerMembers(message.Known)
+	response.Membership = core.newerMembers(request.Known)
 	leads := core.leads()
 	core.mutex.Lock()
 	if leads || time.Since(core.heard) < core.place.Suspect {
-		told.Leader = core.leader
+		response.Leader = core.leader
 	}
 	core.mutex.Unlock()
-	return told, nil
+	return response, nil
 }
--- a/control/establishment.go
+++ b/control/establishment.go
@@ -1,9 +1,10 @@
 package control
 
 import (
+	"orchidjunction/message"
 	"orchidjunction/route"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 const (
@@ -17,32 +18,32 @@
 type Establishment struct {
 	core       *Core
 	view       *View
-	ballot     wire.Term
+	ballot     message.Term
 	revocation *Revocation
-	promises   map[int]*wire.PrepareResponse
-	newest     [wire.Registers]wire.AcceptedValue
-	from       [wire.Registers]int
+	promises   map[int]*message.PrepareResponse
+	newest     [message.Registers]message.AcceptedValue
+	from       [message.Registers]int
 	content    *content
 	routing    *route.Book
 	learners   []string
 }
 
-func (core *Core) establish(view *View, ballot wire.Term, revocation *Revocation) (*Leadership, error) {
+func (core *Core) establish(view *View, term message.Term, revocation *Revocation) (*Leadership, error) {
 	if !revocation.Complete {
-		return nil, wire.Errorf(wire.StaleTerm, "revocation of %s is not complete", revocation.Revoked)
+		return nil, rpc.Errorf(rpc.StaleTerm, "revocation of %s is not complete", revocation.Revoked)
 	}
-	establishment := &Establishment{core: core, view: view, ballot: ballot, revocation: revocation, learners: revocation.Learners}
+	establishment := &Establishment{core: core, view: view, ballot: term, revocation: revocation, learners: revocation.Learners}
 	for _, step := range []func() error{establishment.promised, establishment.revoked, establishment.rewritten} {
 		if err := step(); err != nil {
 			return nil, err
 		}
 	}
-	if err := core.leadsBy(view, ballot); err != nil {
+	if err := core.leadsBy(view, term); err != nil {
 		return nil, err
 	}
-	leadership := newLeadership(core, ballot, establishment)
+	leadership := newLeadership(core, term, establishment)
 	if !leadership.beat() {
-		return nil, wire.Errorf(wire.StaleTerm, "no majority took the first beat of %s", ballot)
+		return nil, rpc.Errorf(rpc.StaleTerm, "no majority took the first beat of %s", term)
 	}
 	return leadership, nil
 }
@@ -50,9 +51,9 @@
 // leadsBy makes the membership that was written again under a ballot the one that this
 // core counts by from then on. Its own replica may not have accepted that yet, and
 // meanwhile it may have learned a step of a former leader's that was never decided.
-func (core *Core) leadsBy(view *View, ballot wire.Term) error {
+func (core *Core) leadsBy(view *View, term message.Term) error {
 	rewritten := *view.Membership
-	_, err := core.countBy(&rewritten, ballot)
+	_, err := core.countBy(&rewritten, term)
 	return err
 }
 
@@ -83,7 +84,7 @@
 
 // newestOf is, for each register, the newest value that those that promised accepted,
 // and which of them it is from.
-func newestOf(promises map[int]*wire.PrepareResponse) (newest [wire.Registers]wire.AcceptedValue, from [wire.Registers]int) {
+func newestOf(promises map[int]*message.PrepareResponse) (newest [message.Registers]message.AcceptedValue, from [message.Registers]int) {
 	for id, promise := range promises {
 		for register := range promise.Accepted {
 			if newest[register].Version().Less(promise.Accepted[register].Version()) {
@@ -97,9 +98,9 @@
 // takenOver is what a ballot takes over from those that promised it: the newest value
 // of each register, and the membership that counted them. None of them accepted a
 // newer membership with other voters: they would have refused.
-func takenOver(view *View, promises map[int]*wire.PrepareResponse) (newest [wire.Registers]wire.AcceptedValue, from [wire.Registers]int) {
+func takenOver(view *View, promises map[int]*message.PrepareResponse) (newest [message.Registers]message.AcceptedValue, from [message.Registers]int) {
 	newest, from = newestOf(promises)
-	newest[wire.MembersRegister] = view.accepted()
+	newest[message.MembersRegister] = view.accepted()
 	return newest, from
 }
 
@@ -107,26 +108,26 @@
 func (establishment *Establishment) rewritten() error {
 	core := establishment.core
 	establishment.newest, establishment.from = takenOver(establishment.view, establishment.promises)
-	settings := establishment.newest[wire.SettingsRegister].Value
-	texts, err := core.gatherTexts(establishment.view.address(establishment.from[wire.SettingsRegister]), settings, core.voter.State().Texts)
+	settings := establishment.newest[message.SettingsRegister].Value
+	texts, err := core.gatherTexts(establishment.view.address(establishment.from[message.SettingsRegister]), settings, core.voter.State().Texts)
 	if err != nil {
 		return err
 	}
-	if establishment.routing, err = route.BookOf(establishment.newest[wire.RoutingRegister].Value.Body); err != nil {
+	if establishment.routing, err = route.BookOf(establishment.newest[message.RoutingRegister].Value.Body); err != nil {
 		return err
 	}
 	for register := range establishment.newest {
 		establishment.newest[register].Term = establishment.ballot
 	}
 	_, failed := run.Gather(core.threads, len(establishment.newest), func(register int) (bool, error) {
-		message := &wire.AcceptRequest{Term: establishment.ballot, Register: wire.Register(register), Value: establishment.newest[register].Value}
-		if err := core.pushValue(establishment.view, message, texts); err != nil {
+		request := &message.AcceptRequest{Term: establishment.ballot, Register: message.Register(register), Value: establishment.newest[register].Value}
+		if err := core.pushValue(establishment.view, request, texts); err != nil {
 			return false, err
 		}
 		return true, nil
 	}, func(_ map[int]bool, failed map[int]error) bool { return len(failed) > 0 })
 	for _, err := range failed {
-		return wire.AsError(err)
+		return rpc.AsError(err)
 	}
 	core.mutex.Lock()
 	held := core.held
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -4,14 +4,15 @@
 	"slices"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/route"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 const reopenedStays = time.Minute
 
 // evacuate is the book after an order on a zone, nil when the order changes nothing.
-func evacuate(book *route.Book, order *wire.EvacuateRequest, now int64) *route.Book {
+func evacuate(book *route.Book, order *message.EvacuateRequest, now int64) *route.Book {
 	index, found := slices.BinarySearch(book.Evacuated, order.Zone)
 	if found == order.Begin {
 		return nil
@@ -33,19 +34,19 @@
 // onEvacuate takes a zone's backends out of use, or back into it. An order that was
 // under way while the zone changed is not carried out: its operator gave up on it,
 // and may have been told since that the contrary is in force.
-func (core *Core) onEvacuate(order *wire.EvacuateRequest) (*wire.EvacuateResponse, error) {
+func (core *Core) onEvacuate(order *message.EvacuateRequest) (*message.EvacuateResponse, error) {
 	leadership, err := core.leading()
 	if err != nil {
 		return nil, err
 	}
 	if order.QueryOnly {
-		return &wire.EvacuateResponse{Changes: leadership.book().Changes(order.Zone)}, nil
+		return &message.EvacuateResponse{Changes: leadership.book().Changes(order.Zone)}, nil
 	}
-	told, changed := &wire.EvacuateResponse{}, false
-	told.Serial, err = leadership.writeRouting(func(book *route.Book) (*route.Book, error) {
+	response, changed := &message.EvacuateResponse{}, false
+	response.Serial, err = leadership.writeRouting(func(book *route.Book) (*route.Book, error) {
 		next := evacuate(book, order, core.Now())
-		if told.Changes = book.Changes(order.Zone); next != nil && told.Changes != order.ExpectedChanges {
-			return nil, wire.Errorf(wire.ZoneChanged, "changed %d times, the order is upon %d", told.Changes, order.ExpectedChanges)
+		if response.Changes = book.Changes(order.Zone); next != nil && response.Changes != order.ExpectedChanges {
+			return nil, rpc.Errorf(rpc.ZoneChanged, "changed %d times, the order is upon %d", response.Changes, order.ExpectedChanges)
 		}
 		changed = next != nil
 		return next, nil
@@ -54,8 +55,8 @@
 		err = leadership.proven(nil)
 	}
 	if err != nil {
-		core.counts.Add("evacuations_"+string(wire.CodeOf(err)), 1)
+		core.counts.Add("evacuations_"+string(rpc.CodeOf(err)), 1)
 		return nil, err
 	}
-	return told, nil
+	return response, nil
 }
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"orchidjunction/keep"
+	"orchidjunction/message"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // LimitSegments makes a store begin a segment after fewer bytes, so that short
@@ -25,14 +25,14 @@
 }
 
 // Keep is one turn of the writing thread.
-func (claims *TestClaims) Keep(message *wire.RecordClaimsRequest) ([]wire.ClaimResponse, error) {
+func (claims *TestClaims) Keep(request *message.RecordClaimsRequest) ([]message.ClaimResponse, error) {
 	if err := claims.log.repair(); err != nil {
 		return nil, err
 	}
-	return claims.log.writeGroup([]*keepWait{{message: message}})
+	return claims.log.writeGroup([]*keepWait{{message: request}})
 }
 
-func (claims *TestClaims) Held(key wire.ClaimKey) (wire.ClaimRecord, bool) {
+func (claims *TestClaims) Held(key message.ClaimKey) (message.ClaimRecord, bool) {
 	return claims.log.book.Held(key)
 }
 
--- a/control/journal.go
+++ b/control/journal.go
@@ -3,11 +3,10 @@
 import (
 	"fmt"
 	"io"
+	"orchidjunction/rpc"
 	"sort"
 	"strings"
 
-	"orchidjunction/wire"
-
 	"github.com/samber/oops"
 )
 
@@ -34,9 +33,9 @@
 	fault  error
 }
 
-func storeFault(kind wire.Code, err error, format string, values ...any) error {
+func storeFault(kind rpc.Code, err error, format string, values ...any) error {
 	wrapped := oops.Code(string(kind)).In("store").Wrapf(err, format, values...)
-	return wire.Errorf(kind, "%v", wrapped)
+	return rpc.Errorf(kind, "%v", wrapped)
 }
 
 func numbered(name string, number uint64) string { return fmt.Sprintf("%s-%016d", name, number) }
@@ -45,7 +44,7 @@
 func numbers(disk Disk, name string) ([]uint64, error) {
 	names, err := disk.List()
 	if err != nil {
-		return nil, storeFault(wire.DiskFailure, err, "list")
+		return nil, storeFault(rpc.DiskFailure, err, "list")
 	}
 	found := []uint64{}
 	for _, file := range names {
@@ -74,7 +73,7 @@
 	}
 	for index, number := range segments {
 		if number != first+uint64(index) {
-			return nil, wire.Errorf(wire.CorruptStore, "%s is missing", numbered(name, first+uint64(index)))
+			return nil, rpc.Errorf(rpc.CorruptStore, "%s is missing", numbered(name, first+uint64(index)))
 		}
 		if err := journal.load(number, index == len(segments)-1, lay); err != nil {
 			return nil, err
@@ -88,19 +87,19 @@
 	name := numbered(journal.name, number)
 	body, err := journal.disk.Read(name)
 	if err != nil {
-		return storeFault(wire.DiskFailure, err, "read %s", name)
+		return storeFault(rpc.DiskFailure, err, "read %s", name)
 	}
 	rest, taken := Frame(body), int64(0)
 	for len(rest) > 0 {
 		payload, sound := rest.payload()
 		if !sound {
 			if !last || rest.soundAfter() {
-				return wire.Errorf(wire.CorruptStore, "%s fails its checksum at byte %d", name, taken)
+				return rpc.Errorf(rpc.CorruptStore, "%s fails its checksum at byte %d", name, taken)
 			}
 			break
 		}
 		if err := lay(number, payload); err != nil {
-			return wire.Errorf(wire.CorruptStore, "%s at byte %d: %v", name, taken, err)
+			return rpc.Errorf(rpc.CorruptStore, "%s at byte %d: %v", name, taken, err)
 		}
 		rest = rest[frameHeader+len(payload):]
 		taken += int64(frameHeader + len(payload))
@@ -145,7 +144,7 @@
 		if file != nil {
 			_ = file.Close() // its sync or its naming failed already
 		}
-		journal.fault = storeFault(wire.DiskFailure, err, "begin %s", numbered(journal.name, number))
+		journal.fault = storeFault(rpc.DiskFailure, err, "begin %s", numbered(journal.name, number))
 		return journal.fault
 	}
 	journal.Close()
@@ -192,11 +191,11 @@
 	}
 	name := numbered(journal.name, journal.number)
 	if _, err := journal.file.Write(block); err != nil {
-		journal.fault = storeFault(wire.DiskFailure, err, "write %s", name)
+		journal.fault = storeFault(rpc.DiskFailure, err, "write %s", name)
 		return journal.fault
 	}
 	if err := journal.file.Sync(); err != nil {
-		journal.fault = storeFault(wire.DiskFailure, err, "sync %s", name)
+		journal.fault = storeFault(rpc.DiskFailure, err, "sync %s", name)
 		return journal.fault
 	}
 	journal.size += int64(len(block))
@@ -218,7 +217,7 @@
 			err = removed()
 		}
 		if err != nil {
-			return storeFault(wire.DiskFailure, err, "remove %s", numbered(name, number))
+			return storeFault(rpc.DiskFailure, err, "remove %s", numbered(name, number))
 		}
 	}
 	return nil
@@ -232,9 +231,9 @@
 
 // packFrame is one frame of a value.
 func packFrame(value any) ([]byte, error) {
-	payload, err := wire.Marshal(value)
+	payload, err := rpc.Marshal(value)
 	if err != nil {
-		return nil, wire.AsError(err)
+		return nil, rpc.AsError(err)
 	}
 	return newFrame(payload), nil
 }
@@ -244,7 +243,7 @@
 func sweepDrafts(disk Disk) error {
 	names, err := disk.List()
 	if err != nil {
-		return storeFault(wire.DiskFailure, err, "list")
+		return storeFault(rpc.DiskFailure, err, "list")
 	}
 	for _, name := range names {
 		if strings.HasSuffix(name, draftSuffix) {
--- a/control/lameduck.go
+++ b/control/lameduck.go
@@ -1,10 +1,11 @@
 package control
 
 import (
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"time"
 
 	"k8s.io/klog/v2"
-	"orchidjunction/wire"
 )
 
 // Retire is the planned change that SIGTERM brings: in-flight writes finish,
@@ -40,18 +41,18 @@
 	core := leadership.core
 	leadership.mutex.Lock()
 	leadership.duck = true
-	leadership.successor = wire.Leader{Core: heir.ID, Address: heir.Address}
+	leadership.successor = message.Leader{Core: heir.ID, Address: heir.Address}
 	leadership.mutex.Unlock()
 	leadership.beat()
 	leadership.writes.Take()
 	defer leadership.writes.Give()
 	klog.Infof("core %d: lameduck, hands over to core %d", core.members().ID, heir.ID)
-	message := &wire.TransferLeadershipRequest{Term: leadership.ballot, From: core.members().ID, Versions: core.voter.State().Marks()}
+	request := &message.TransferLeadershipRequest{Term: leadership.ballot, From: core.members().ID, Versions: core.voter.State().Marks()}
 	for _, waiting := range leadership.succession.waiting(learnerSpan*core.place.Suspect, core.members()) {
-		message.Learners = append(message.Learners, waiting.Address)
+		request.Learners = append(request.Learners, waiting.Address)
 	}
-	told, err := wire.Call[wire.TransferLeadershipRequest, wire.TransferLeadershipResponse](core.line, heir.Address, "stepdown", core.roundLimit(), message)
-	if err != nil || !told.Accepted {
+	response, err := rpc.Call[message.TransferLeadershipRequest, message.TransferLeadershipResponse](core.line, heir.Address, "stepdown", core.roundLimit(), request)
+	if err != nil || !response.Accepted {
 		core.counts.Add("handovers_refused", 1)
 		return false
 	}
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -7,18 +7,19 @@
 	"sync"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/route"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // Leadership lives from one establishment to the next revocation.
 type Leadership struct {
 	core       *Core
-	ballot     wire.Term
+	ballot     message.Term
 	revocation *Revocation
 	since      time.Time
-	rewritten  [wire.Registers]uint64
+	rewritten  [message.Registers]uint64
 	promised   []int
 
 	writes *run.Turn
@@ -26,12 +27,12 @@
 	mutex     sync.Mutex
 	ended     bool
 	duck      bool
-	successor wire.Leader
+	successor message.Leader
 	majority  time.Time
-	values    [wire.Registers]wire.Value
+	values    [message.Registers]message.Value
 	content   *content
 	routing   *route.Book
-	reports   map[int]*wire.HeartbeatResponse
+	reports   map[int]*message.HeartbeatResponse
 	confirmed *run.Bell
 	started   uint64
 	finished  uint64
@@ -39,9 +40,9 @@
 	succession *Succession
 }
 
-func newLeadership(core *Core, ballot wire.Term, establishment *Establishment) *Leadership {
-	leadership := &Leadership{core: core, ballot: ballot, revocation: establishment.revocation, since: time.Now(), content: establishment.content, routing: establishment.routing,
-		reports: map[int]*wire.HeartbeatResponse{}, confirmed: run.NewBell(), writes: run.NewTurn(), succession: newSuccession()}
+func newLeadership(core *Core, term message.Term, establishment *Establishment) *Leadership {
+	leadership := &Leadership{core: core, ballot: term, revocation: establishment.revocation, since: time.Now(), content: establishment.content, routing: establishment.routing,
+		reports: map[int]*message.HeartbeatResponse{}, confirmed: run.NewBell(), writes: run.NewTurn(), succession: newSuccession()}
 	for _, address := range establishment.learners {
 		leadership.succession.enlisted(address)
 	}
@@ -64,7 +65,7 @@
 	leadership.confirmed.Ring()
 }
 
-func (leadership *Leadership) value(register wire.Register) wire.Value {
+func (leadership *Leadership) value(register message.Register) message.Value {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	return leadership.values[register]
@@ -76,23 +77,23 @@
 	defer leadership.mutex.Unlock()
 	switch {
 	case leadership.ended:
-		return &wire.Error{Code: wire.NotLeader, Message: "leadership " + leadership.ballot.String() + " ended"}
+		return &rpc.Error{Code: rpc.NotLeader, Message: "leadership " + leadership.ballot.String() + " ended"}
 	case leadership.duck:
-		return &wire.Error{Code: wire.Lameduck, Message: "stepping down", Leader: leadership.successor.Address}
+		return &rpc.Error{Code: rpc.Lameduck, Message: "stepping down", Leader: leadership.successor.Address}
 	case time.Since(leadership.majority) > leadership.core.place.Suspect:
-		return &wire.Error{Code: wire.NotLeader, Message: "no majority took a beat lately"}
+		return &rpc.Error{Code: rpc.NotLeader, Message: "no majority took a beat lately"}
 	}
 	return nil
 }
 
-func (leadership *Leadership) conditions() []wire.Condition {
+func (leadership *Leadership) conditions() []message.Condition {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	since := time.Since(leadership.majority)
-	return []wire.Condition{
+	return []message.Condition{
 		{Name: RevokedCondition, Holds: leadership.revocation.Complete, Detail: string(leadership.revocation.Method) + ", ballot " + leadership.revocation.Revoked.String()},
 		{Name: PromisedCondition, Holds: !leadership.ended, Detail: fmt.Sprintf("ballot %s at cores %v", leadership.ballot, leadership.promised)},
-		{Name: RewrittenCondition, Holds: !leadership.ended, Detail: fmt.Sprintf("settings from serial %d, reports from %d", leadership.rewritten[wire.SettingsRegister], leadership.rewritten[wire.ReportsRegister])},
+		{Name: RewrittenCondition, Holds: !leadership.ended, Detail: fmt.Sprintf("settings from serial %d, reports from %d", leadership.rewritten[message.SettingsRegister], leadership.rewritten[message.ReportsRegister])},
 		{Name: BeatingCondition, Holds: since <= leadership.core.place.Suspect, Detail: since.Round(time.Millisecond).String() + " ago"},
 	}
 }
@@ -107,7 +108,7 @@
 // change writes the settings that build makes of the current ones.
 func (leadership *Leadership) change(build func(now *content) (*content, error)) (uint64, error) {
 	var next *content
-	return leadership.write(wire.SettingsRegister, func(wire.Value) (*wire.Value, wire.Chunks, error) {
+	return leadership.write(message.SettingsRegister, func(message.Value) (*message.Value, message.Chunks, error) {
 		made, err := build(leadership.settings())
 		if err != nil || made == nil {
 			return nil, nil, err
@@ -120,7 +121,7 @@
 
 // write puts the next value in the register; build sees the current one. Once
 // sent, a write ends taken by a majority, or the leadership ends with it.
-func (leadership *Leadership) write(register wire.Register, build func(current wire.Value) (*wire.Value, wire.Chunks, error), taken func()) (uint64, error) {
+func (leadership *Leadership) write(register message.Register, build func(current message.Value) (*message.Value, message.Chunks, error), taken func()) (uint64, error) {
 	if err := leadership.holds(); err != nil {
 		return 0, err
 	}
@@ -134,17 +135,17 @@
 	if err != nil || next == nil {
 		return 0, err
 	}
-	message := &wire.AcceptRequest{Term: leadership.ballot, Register: register, Value: *next, Chunks: fresh(*next, current, texts)}
-	if err := leadership.core.pushValue(leadership.core.members(), message, texts); err != nil {
+	request := &message.AcceptRequest{Term: leadership.ballot, Register: register, Value: *next, Chunks: fresh(*next, current, texts)}
+	if err := leadership.core.pushValue(leadership.core.members(), request, texts); err != nil {
 		leadership.core.counts.Add("write_unknown", 1)
 		leadership.core.revoke(leadership)
-		return 0, &wire.Error{Code: wire.OutcomeUnknown, Message: err.Error()}
+		return 0, &rpc.Error{Code: rpc.OutcomeUnknown, Message: err.Error()}
 	}
 	leadership.mutex.Lock()
 	leadership.values[register] = *next
 	taken()
 	leadership.mutex.Unlock()
-	leadership.core.commit(register, wire.AcceptedValue{Term: leadership.ballot, Value: *next}, texts)
+	leadership.core.commit(register, message.AcceptedValue{Term: leadership.ballot, Value: *next}, texts)
 	return next.Serial, nil
 }
 
@@ -160,11 +161,13 @@
 func (leadership *Leadership) beat() bool {
 	core, begin := leadership.core, time.Now()
 	view := core.members()
-	number, message := leadership.nextBeat(view)
+	number, request := leadership.nextBeat(view)
 	peers := append(slices.Clone(view.Peers), leadership.succession.waiting(learnerSpan*core.place.Suspect, view)...)
-	got, _ := run.Gather(core.threads, len(peers), func(index int) (*wire.HeartbeatResponse, error) {
-		return leadership.beatTo(peers[index], message)
-	}, func(got map[int]*wire.HeartbeatResponse, _ map[int]error) bool { return view.decides(took(peers, got)) })
+	got, _ := run.Gather(core.threads, len(peers), func(index int) (*message.HeartbeatResponse, error) {
+		return leadership.beatTo(peers[index], request)
+	}, func(got map[int]*message.HeartbeatResponse, _ map[int]error) bool {
+		return view.decides(took(peers, got))
+	})
 	for _, answer := range got {
 		if leadership.ballot.Less(answer.Promised) {
 			core.sawRound(answer.Promised.Number)
@@ -186,56 +189,56 @@
 }
 
 // took is which voters took a heartbeat, of the answers by the peers' places.
-func took(peers []Peer, got map[int]*wire.HeartbeatResponse) func(id int) bool {
+func took(peers []Peer, got map[int]*message.HeartbeatResponse) func(id int) bool {
 	return func(id int) bool {
-		told := got[slices.IndexFunc(peers, func(peer Peer) bool { return peer.ID == id })]
-		return told != nil && told.Accepted && told.Voter
+		response := got[slices.IndexFunc(peers, func(peer Peer) bool { return peer.ID == id })]
+		return response != nil && response.Accepted && response.Voter
 	}
 }
 
 // nextBeat is the next heartbeat and its number.
-func (leadership *Leadership) nextBeat(view *View) (uint64, *wire.HeartbeatRequest) {
+func (leadership *Leadership) nextBeat(view *View) (uint64, *message.HeartbeatRequest) {
 	table := leadership.core.Table().Version
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	leadership.started++
-	message := &wire.HeartbeatRequest{Term: leadership.ballot, Leader: view.leader(leadership.ballot), Lameduck: leadership.duck, Successor: leadership.successor, Table: table}
+	request := &message.HeartbeatRequest{Term: leadership.ballot, Leader: view.leader(leadership.ballot), Lameduck: leadership.duck, Successor: leadership.successor, Table: table}
 	for register := range leadership.values {
-		message.Committed[register] = wire.Version{Term: leadership.ballot, Serial: leadership.values[register].Serial}
+		request.Committed[register] = message.Version{Term: leadership.ballot, Serial: leadership.values[register].Serial}
 	}
-	return leadership.started, message
+	return leadership.started, request
 }
 
 // beatTo is one heartbeat to one core and what its answer tells.
-func (leadership *Leadership) beatTo(peer Peer, message *wire.HeartbeatRequest) (*wire.HeartbeatResponse, error) {
+func (leadership *Leadership) beatTo(peer Peer, request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
 	core, asked := leadership.core, time.Now()
-	told, err := wire.Call[wire.HeartbeatRequest, wire.HeartbeatResponse](core.line, peer.Address, "beat", core.roundLimit(), core.beatFor(peer, message))
+	response, err := rpc.Call[message.HeartbeatRequest, message.HeartbeatResponse](core.line, peer.Address, "beat", core.roundLimit(), core.beatFor(peer, request))
 	if err != nil {
 		return nil, err
 	}
 	if peer.ID > 0 {
-		core.sawClock(peer, told, time.Since(asked))
+		core.sawClock(peer, response, time.Since(asked))
 	}
-	leadership.note(peer, told, message.Committed)
-	return told, nil
+	leadership.note(peer, response, request.Committed)
+	return response, nil
 }
 
 // note keeps what a core told and sends it the values it lacks.
-func (leadership *Leadership) note(peer Peer, told *wire.HeartbeatResponse, committed wire.Versions) {
-	leadership.succession.heard(peer, told)
+func (leadership *Leadership) note(peer Peer, response *message.HeartbeatResponse, committed message.Versions) {
+	leadership.succession.heard(peer, response)
 	leadership.mutex.Lock()
 	if peer.ID > 0 {
-		leadership.reports[peer.ID] = told
+		leadership.reports[peer.ID] = response
 	}
 	values, now := leadership.values, leadership.content
 	leadership.mutex.Unlock()
-	if !told.Accepted || !told.Voter || told.RefusesWrites {
+	if !response.Accepted || !response.Voter || response.RefusesWrites {
 		return
 	}
 	for register := range committed {
-		if told.Versions[register].Less(committed[register]) {
+		if response.Versions[register].Less(committed[register]) {
 			leadership.core.counts.Add("copies_mended", 1)
-			value := &wire.AcceptRequest{Term: leadership.ballot, Register: wire.Register(register), Value: values[register]}
+			value := &message.AcceptRequest{Term: leadership.ballot, Register: message.Register(register), Value: values[register]}
 			answer, err := leadership.core.offerTo(peer, value, now.texts, leadership.core.roundLimit())
 			if err != nil || !answer.Accepted { // its next answer to a beat shows that it still lacks it
 				leadership.core.counts.Add("copies_not_mended", 1)
@@ -252,7 +255,7 @@
 	until := time.Now().Add(limit)
 	for {
 		seen := leadership.confirmed.Count()
-		if err := leadership.holds(); err != nil && wire.CodeOf(err) != wire.Lameduck {
+		if err := leadership.holds(); err != nil && rpc.CodeOf(err) != rpc.Lameduck {
 			return err
 		}
 		leadership.mutex.Lock()
@@ -262,7 +265,7 @@
 			return nil
 		}
 		if !leadership.confirmed.Wait(seen, time.Until(until)) {
-			return wire.Errorf(wire.NoLeader, "no beat confirmed in %v", limit)
+			return rpc.Errorf(rpc.NoLeader, "no beat confirmed in %v", limit)
 		}
 	}
 }
@@ -274,11 +277,11 @@
 	best, found := Peer{}, false
 	view := leadership.core.members()
 	for _, peer := range view.Peers {
-		told := leadership.reports[peer.ID]
-		if told == nil || !view.mayLead(peer.ID) || !told.Voter || !told.Accepted || told.RefusesWrites || passed[peer.ID] {
+		response := leadership.reports[peer.ID]
+		if response == nil || !view.mayLead(peer.ID) || !response.Voter || !response.Accepted || response.RefusesWrites || passed[peer.ID] {
 			continue
 		}
-		if !found || fitter(told.Versions, told.Reachable, peer.ID, leadership.reports[best.ID].Versions, leadership.reports[best.ID].Reachable, best.ID) {
+		if !found || fitter(response.Versions, response.Reachable, peer.ID, leadership.reports[best.ID].Versions, leadership.reports[best.ID].Reachable, best.ID) {
 			best, found = peer, true
 		}
 	}
@@ -286,9 +289,9 @@
 }
 
 // fitter is the rule for candidates.
-func fitter(marks wire.Versions, reach, id int, otherMarks wire.Versions, otherReach, otherID int) bool {
-	if marks != otherMarks {
-		return otherMarks.Less(marks)
+func fitter(versions message.Versions, reach, id int, otherMarks message.Versions, otherReach, otherID int) bool {
+	if versions != otherMarks {
+		return otherMarks.Less(versions)
 	}
 	if reach != otherReach {
 		return reach > otherReach
--- a/control/learner.go
+++ b/control/learner.go
@@ -1,10 +1,11 @@
 package control
 
 import (
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"time"
 
 	"k8s.io/klog/v2"
-	"orchidjunction/wire"
 )
 
 // members is the newest membership that this core knows: accepted on its disk, or
@@ -14,7 +15,7 @@
 // learnMembers takes a membership that is newer than the one known. It need not be
 // decided: who counts by it needs a quorum of it, which meets every quorum of the
 // version before it.
-func (core *Core) learnMembers(accepted wire.AcceptedValue) {
+func (core *Core) learnMembers(accepted message.AcceptedValue) {
 	membership, err := membershipOf(accepted)
 	if err != nil {
 		core.counts.Add("memberships_unreadable", 1)
@@ -50,10 +51,10 @@
 
 // newerMembers is the membership that this core knows where it is newer than the
 // one at the mark, and nothing otherwise.
-func (core *Core) newerMembers(known wire.Version) wire.AcceptedValue {
+func (core *Core) newerMembers(known message.Version) message.AcceptedValue {
 	view := core.members()
 	if !view.known() || !known.Less(view.Mark) {
-		return wire.AcceptedValue{}
+		return message.AcceptedValue{}
 	}
 	return view.accepted()
 }
@@ -65,8 +66,8 @@
 func (core *Core) learn() {
 	core.chart.move(Learner)
 	address := core.enlistsAt()
-	message := &wire.JoinRequest{Address: core.place.Wire, SinceBootstrap: core.opening(), Known: core.members().Mark}
-	told, err := wire.Call[wire.JoinRequest, wire.JoinResponse](core.line, address, "enlist", core.roundLimit(), message)
+	request := &message.JoinRequest{Address: core.place.Wire, SinceBootstrap: core.opening(), Known: core.members().Mark}
+	response, err := rpc.Call[message.JoinRequest, message.JoinResponse](core.line, address, "enlist", core.roundLimit(), request)
 	if err != nil {
 		core.mutex.Lock()
 		core.asked++
@@ -74,19 +75,19 @@
 		core.threads.Rest(core.place.Beat)
 		return
 	}
-	core.learnMembers(told.Membership)
-	if core.mayBeginEmpty(told) {
-		core.beginEmpty(told.Term)
+	core.learnMembers(response.Membership)
+	if core.mayBeginEmpty(response) {
+		core.beginEmpty(response.Term)
 	}
 	core.mutex.Lock()
-	if told.Leader.Known() {
-		if !told.Leader.Term.Less(core.leader.Term) {
-			core.leader = told.Leader
+	if response.Leader.Known() {
+		if !response.Leader.Term.Less(core.leader.Term) {
+			core.leader = response.Leader
 		}
 		core.heard = time.Now()
 	}
-	found := told.Leader.Known() && told.Leader.Address != address
-	if !told.Admitted {
+	found := response.Leader.Known() && response.Leader.Address != address
+	if !response.Admitted {
 		core.asked++
 	}
 	core.mutex.Unlock()
@@ -113,8 +114,8 @@
 }
 
 // mayBeginEmpty is whether an answer lets this core's blank disk begin as a replica.
-func (core *Core) mayBeginEmpty(told *wire.JoinResponse) bool {
-	return told.Admitted && core.voter.Blank() && !core.members().votes()
+func (core *Core) mayBeginEmpty(response *message.JoinResponse) bool {
+	return response.Admitted && core.voter.Blank() && !core.members().votes()
 }
 
 // beginEmpty makes a blank disk a replica that accepted nothing but the membership. It
@@ -122,16 +123,16 @@
 // the membership then did not count this core. An earlier one may have, and its disk
 // was lost since, so the replica must refuse whoever counts by an earlier one. It
 // waits for the membership that the admitting leader wrote under its ballot.
-func (core *Core) beginEmpty(ballot wire.Term) {
+func (core *Core) beginEmpty(term message.Term) {
 	view := core.members()
-	if view.votes() || view.Mark.Term != ballot {
+	if view.votes() || view.Mark.Term != term {
 		return
 	}
-	accepted := [wire.Registers]wire.AcceptedValue{}
-	accepted[wire.MembersRegister] = view.accepted()
-	if err := core.voter.Found(ballot, accepted, nil); err != nil {
+	accepted := [message.Registers]message.AcceptedValue{}
+	accepted[message.MembersRegister] = view.accepted()
+	if err := core.voter.Found(term, accepted, nil); err != nil {
 		return
 	}
 	core.counts.Add("learners_begun", 1)
-	klog.Infof("core at %s: learns from the leader under %s", core.place.Wire, ballot)
+	klog.Infof("core at %s: learns from the leader under %s", core.place.Wire, term)
 }
--- a/control/membership.go
+++ b/control/membership.go
@@ -3,9 +3,9 @@
 import (
 	"math"
 	"net/netip"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"slices"
-
-	"orchidjunction/wire"
 )
 
 // Membership is one version of who votes, with the mark it was accepted under.
@@ -16,7 +16,7 @@
 // majority of both. So any quorum of a version meets any quorum of the version
 // before it, and a leadership under an older version can't decide unnoticed.
 type Membership struct {
-	Mark   wire.Version
+	Mark   message.Version
 	Voters []Peer
 	Next   []Peer
 	LastID int
@@ -38,7 +38,7 @@
 
 // givenMembership is the first version, made of peers that were named.
 func givenMembership(peers []Peer) *Membership {
-	membership := &Membership{Mark: wire.Version{Serial: firstSerial}, Voters: slices.Clone(peers)}
+	membership := &Membership{Mark: message.Version{Serial: firstSerial}, Voters: slices.Clone(peers)}
 	slices.SortFunc(membership.Voters, comparePeers)
 	for _, peer := range peers {
 		membership.LastID = max(membership.LastID, peer.ID)
@@ -48,13 +48,13 @@
 
 // membershipOf reads an accepted value of the membership register; a value of
 // serial 0 stands for no membership and gives nil.
-func membershipOf(accepted wire.AcceptedValue) (*Membership, error) {
+func membershipOf(accepted message.AcceptedValue) (*Membership, error) {
 	if accepted.Value.Serial == 0 {
 		return nil, nil
 	}
-	var voters wire.VoterSet
-	if err := wire.Unmarshal(accepted.Value.Body, &voters); err != nil {
-		return nil, wire.AsError(err)
+	var voters message.VoterSet
+	if err := rpc.Unmarshal(accepted.Value.Body, &voters); err != nil {
+		return nil, rpc.AsError(err)
 	}
 	if err := voters.Check(); err != nil {
 		return nil, err
@@ -63,17 +63,17 @@
 }
 
 // accepted is the membership as the register's value under its mark.
-func (membership *Membership) accepted() wire.AcceptedValue {
+func (membership *Membership) accepted() message.AcceptedValue {
 	if membership == nil {
-		return wire.AcceptedValue{}
+		return message.AcceptedValue{}
 	}
-	body, _ := wire.Marshal(membership.voters())
-	return wire.AcceptedValue{Term: membership.Mark.Term, Value: wire.Value{Serial: membership.Mark.Serial, Body: body}}
+	body, _ := rpc.Marshal(membership.voters())
+	return message.AcceptedValue{Term: membership.Mark.Term, Value: message.Value{Serial: membership.Mark.Serial, Body: body}}
 }
 
 // voters is the membership as the register's content.
-func (membership *Membership) voters() *wire.VoterSet {
-	return &wire.VoterSet{Current: membership.Voters, Next: membership.Next, LastID: membership.LastID}
+func (membership *Membership) voters() *message.VoterSet {
+	return &message.VoterSet{Current: membership.Voters, Next: membership.Next, LastID: membership.LastID}
 }
 
 func comparePeers(left, right Peer) int { return left.ID - right.ID }
@@ -118,11 +118,11 @@
 func (membership *Membership) fencesWithout(lost int, has func(id int) bool) bool {
 	others := func(id int) bool { return id != lost && has(id) }
 	for _, group := range membership.groups() {
-		need := wire.Majority(group)
+		need := message.Majority(group)
 		if contains(group, lost) {
-			need = len(group) - wire.Majority(group) + 1
+			need = len(group) - message.Majority(group) + 1
 		}
-		if wire.CountIn(group, others) < need {
+		if message.CountIn(group, others) < need {
 			return false
 		}
 	}
@@ -207,7 +207,7 @@
 	if !view.votes() {
 		return math.MaxInt
 	}
-	return wire.Majority(view.Voters)
+	return message.Majority(view.Voters)
 }
 
 // rank is this core's place among the voters, from 0.
@@ -215,8 +215,8 @@
 	return max(slices.IndexFunc(view.Voters, func(peer Peer) bool { return peer.ID == view.ID }), 0)
 }
 
-func (view *View) leader(ballot wire.Term) wire.Leader {
-	return wire.Leader{Term: ballot, Core: view.ID, Address: view.Wire}
+func (view *View) leader(term message.Term) message.Leader {
+	return message.Leader{Term: term, Core: view.ID, Address: view.Wire}
 }
 
 // address is where a voter is; this core's where there is no such voter.
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -2,9 +2,9 @@
 
 import (
 	"fmt"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"testing"
-
-	"orchidjunction/wire"
 )
 
 func foundedBy(count int) *Membership {
@@ -91,23 +91,23 @@
 
 // One field of a membership's message changed at a time: what can't be one is refused.
 func TestMembershipIsCheckedByField(test *testing.T) {
-	good := wire.VoterSet{Current: []Peer{{ID: 1, Address: "10.0.0.1:41"}, {ID: 2, Address: "10.0.0.2:41"}}, LastID: 2}
-	read := func(voters wire.VoterSet) error {
-		body, _ := wire.Marshal(&voters)
-		_, err := membershipOf(wire.AcceptedValue{Value: wire.Value{Serial: 1, Body: body}})
+	good := message.VoterSet{Current: []Peer{{ID: 1, Address: "10.0.0.1:41"}, {ID: 2, Address: "10.0.0.2:41"}}, LastID: 2}
+	read := func(voters message.VoterSet) error {
+		body, _ := rpc.Marshal(&voters)
+		_, err := membershipOf(message.AcceptedValue{Value: message.Value{Serial: 1, Body: body}})
 		return err
 	}
 	if err := read(good); err != nil {
 		test.Fatal(err)
 	}
-	for name, change := range map[string]func(voters *wire.VoterSet){
-		"no voters":      func(voters *wire.VoterSet) { voters.Current = nil },
-		"ID 0":           func(voters *wire.VoterSet) { voters.Current = []Peer{{ID: 0, Address: "10.0.0.1:41"}} },
-		"ID above last":  func(voters *wire.VoterSet) { voters.LastID = 1 },
-		"ID twice":       func(voters *wire.VoterSet) { voters.Current = []Peer{good.Current[0], good.Current[0]} },
-		"no address":     func(voters *wire.VoterSet) { voters.Current = []Peer{{ID: 1, Address: "core-1"}} },
-		"next ID twice":  func(voters *wire.VoterSet) { voters.Next = []Peer{good.Current[1], good.Current[1]} },
-		"next above all": func(voters *wire.VoterSet) { voters.Next = []Peer{{ID: 3, Address: "10.0.0.3:41"}} },
+	for name, change := range map[string]func(voters *message.VoterSet){
+		"no voters":      func(voters *message.VoterSet) { voters.Current = nil },
+		"ID 0":           func(voters *message.VoterSet) { voters.Current = []Peer{{ID: 0, Address: "10.0.0.1:41"}} },
+		"ID above last":  func(voters *message.VoterSet) { voters.LastID = 1 },
+		"ID twice":       func(voters *message.VoterSet) { voters.Current = []Peer{good.Current[0], good.Current[0]} },
+		"no address":     func(voters *message.VoterSet) { voters.Current = []Peer{{ID: 1, Address: "core-1"}} },
+		"next ID twice":  func(voters *message.VoterSet) { voters.Next = []Peer{good.Current[1], good.Current[1]} },
+		"next above all": func(voters *message.VoterSet) { voters.Next = []Peer{{ID: 3, Address: "10.0.0.3:41"}} },
 	} {
 		changed := good
 		change(&changed)
@@ -115,10 +115,10 @@
 			test.Errorf("%s is taken", name)
 		}
 	}
-	if _, err := membershipOf(wire.AcceptedValue{Value: wire.Value{Serial: 1, Body: []byte{0xc1}}}); err == nil {
+	if _, err := membershipOf(message.AcceptedValue{Value: message.Value{Serial: 1, Body: []byte{0xc1}}}); err == nil {
 		test.Error("bytes that are no membership are taken")
 	}
-	if membership, err := membershipOf(wire.AcceptedValue{}); membership != nil || err != nil {
+	if membership, err := membershipOf(message.AcceptedValue{}); membership != nil || err != nil {
 		test.Errorf("no value: %v, %v", membership, err)
 	}
 }
@@ -127,7 +127,7 @@
 // as another core; a membership survives being written and read.
 func TestViewOfMembership(test *testing.T) {
 	step := foundedBy(3).replaced(1, "10.9.0.1:41")
-	step.Mark.Term = wire.Term{Number: 4, Core: 2}
+	step.Mark.Term = message.Term{Number: 4, Core: 2}
 	read, err := membershipOf(step.accepted())
 	if err != nil || !viewOf("", read).same(viewOf("", step)) || read.Mark != step.Mark {
 		test.Fatalf("%v: %+v", err, read)
--- a/control/memberstatus.go
+++ b/control/memberstatus.go
@@ -1,17 +1,16 @@
 package control
 
 import (
+	"orchidjunction/message"
 	"slices"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // membershipStatus is who votes as this core knows it; a leader also tells who was
 // seen and who waits for a place.
-func (core *Core) membershipStatus(leadership *Leadership) wire.MembershipStatus {
+func (core *Core) membershipStatus(leadership *Leadership) message.MembershipStatus {
 	view := core.members()
-	status := wire.MembershipStatus{Version: view.Mark.Serial, Term: view.Mark.Term, Learners: []wire.LearnerStatus{}}
+	status := message.MembershipStatus{Version: view.Mark.Serial, Term: view.Mark.Term, Learners: []message.LearnerStatus{}}
 	status.Voters = core.voterStatus(leadership, view.Voters)
 	if view.changing() {
 		status.Next = core.voterStatus(leadership, view.Next)
@@ -22,10 +21,10 @@
 	return status
 }
 
-func (core *Core) voterStatus(leadership *Leadership, group []Peer) []wire.VoterStatus {
-	all := []wire.VoterStatus{}
+func (core *Core) voterStatus(leadership *Leadership, group []Peer) []message.VoterStatus {
+	all := []message.VoterStatus{}
 	for _, peer := range group {
-		status := wire.VoterStatus{ID: peer.ID, Address: peer.Address}
+		status := message.VoterStatus{ID: peer.ID, Address: peer.Address}
 		switch {
 		case peer.Address == core.place.Wire:
 			status.Seen = true
@@ -50,18 +49,18 @@
 }
 
 // learnerStatus are the learners by address.
-func (leadership *Leadership) learnerStatus(view *View) []wire.LearnerStatus {
+func (leadership *Leadership) learnerStatus(view *View) []message.LearnerStatus {
 	suspect, succession := leadership.core.place.Suspect, leadership.succession
 	waiting := succession.waiting(learnerSpan*suspect, view)
 	succession.mutex.Lock()
 	defer succession.mutex.Unlock()
-	all := []wire.LearnerStatus{}
+	all := []message.LearnerStatus{}
 	for _, peer := range waiting {
 		held := succession.learners[peer.Address]
 		if held == nil {
 			continue
 		}
-		status := wire.LearnerStatus{Address: peer.Address, SilentMs: time.Since(held.asked).Milliseconds()}
+		status := message.LearnerStatus{Address: peer.Address, SilentMs: time.Since(held.asked).Milliseconds()}
 		if held.report != nil {
 			status.SilentMs = time.Since(held.answered).Milliseconds()
 			status.Seen = time.Since(held.answered) < suspect
@@ -69,6 +68,6 @@
 		}
 		all = append(all, status)
 	}
-	slices.SortFunc(all, func(left, right wire.LearnerStatus) int { return compareAddresses(left.Address, right.Address) })
+	slices.SortFunc(all, func(left, right message.LearnerStatus) int { return compareAddresses(left.Address, right.Address) })
 	return all
 }
--- a/control/metering.go
+++ b/control/metering.go
@@ -4,11 +4,11 @@
 	"cmp"
 	"maps"
 	"math/rand/v2"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"slices"
 	"sync"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 const (
@@ -65,11 +65,11 @@
 	Sealed []sealedWindow
 }
 
-func meterBookOf(value wire.Value) (*meterBook, error) {
+func meterBookOf(value message.Value) (*meterBook, error) {
 	book := &meterBook{}
 	if len(value.Body) > 0 {
-		if err := wire.Unmarshal(value.Body, book); err != nil {
-			return nil, wire.AsError(err)
+		if err := rpc.Unmarshal(value.Body, book); err != nil {
+			return nil, rpc.AsError(err)
 		}
 	}
 	return book, nil
@@ -82,9 +82,9 @@
 	spoke    map[string]int64
 	ended    map[string]bool
 	reported map[int64]bool
-	fenced   wire.Term
+	fenced   message.Term
 	begun    time.Time
-	holding  wire.Term
+	holding  message.Term
 	held     time.Time
 	names    map[string]string
 	process  uint64
@@ -94,7 +94,7 @@
 	return &Meter{open: map[int64]map[string]map[string]uint64{}, spoke: map[string]int64{}, ended: map[string]bool{}, reported: map[int64]bool{}, begun: time.Now(), names: map[string]string{}, process: rand.Uint64() | 1}
 }
 
-func (meter *Meter) take(session *wire.Session) {
+func (meter *Meter) take(session *message.Session) {
 	incarnation := session.Member.Incarnation
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
@@ -125,19 +125,19 @@
 
 // of is all that a session's process was told to have counted; whole is whether
 // that is all it counted, which changes upon another core's process can't say.
-func (meter *Meter) of(session *wire.Session) ([]wire.WindowCount, bool) {
+func (meter *Meter) of(session *message.Session) ([]message.WindowCount, bool) {
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
 	if session.BaseProcess != 0 && session.BaseProcess != meter.process {
 		return nil, false
 	}
-	all := []wire.WindowCount{}
+	all := []message.WindowCount{}
 	for window, processes := range meter.open {
 		if tenants := processes[session.Member.Incarnation]; len(tenants) > 0 {
-			all = append(all, wire.WindowCount{Window: window, Tenants: maps.Clone(tenants)})
+			all = append(all, message.WindowCount{Window: window, Tenants: maps.Clone(tenants)})
 		}
 	}
-	slices.SortFunc(all, func(left, right wire.WindowCount) int { return cmp.Compare(left.Window, right.Window) })
+	slices.SortFunc(all, func(left, right message.WindowCount) int { return cmp.Compare(left.Window, right.Window) })
 	return all, true
 }
 
@@ -183,7 +183,7 @@
 
 // heard is whether every proxy that stands said what it counted until the end, to
 // this core: a new leader knows nothing of those that have not spoken to it yet.
-func (meter *Meter) heard(table *wire.Table, end int64) bool {
+func (meter *Meter) heard(table *message.Table, end int64) bool {
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
 	for index := range table.Members {
@@ -220,10 +220,10 @@
 	core.meter.mutex.Lock()
 	fenced := core.meter.fenced == leadership.ballot
 	core.meter.mutex.Unlock()
-	if fenced || leadership.value(wire.RoutingRegister).Serial == 0 {
+	if fenced || leadership.value(message.RoutingRegister).Serial == 0 {
 		return nil, nil
 	}
-	book, err := meterBookOf(leadership.value(wire.ReportsRegister))
+	book, err := meterBookOf(leadership.value(message.ReportsRegister))
 	if err != nil {
 		core.counts.Add("meter_book_unreadable", 1)
 		return nil, nil
@@ -248,7 +248,7 @@
 // firstWindow is the one that duty begins with: the present one or, under a
 // routing that a former leadership took, the one before.
 func (leadership *Leadership) firstWindow(present int64) int64 {
-	if leadership.rewritten[wire.RoutingRegister] > 0 {
+	if leadership.rewritten[message.RoutingRegister] > 0 {
 		return present - 1
 	}
 	return present
@@ -276,7 +276,7 @@
 	if len(sealed) == 0 && book.Next > 0 {
 		return
 	}
-	_, err := leadership.write(wire.ReportsRegister, func(current wire.Value) (*wire.Value, wire.Chunks, error) {
+	_, err := leadership.write(message.ReportsRegister, func(current message.Value) (*message.Value, message.Chunks, error) {
 		held, err := meterBookOf(current)
 		if err != nil || held.Next != book.Next {
 			return nil, nil, err
@@ -286,11 +286,11 @@
 		for index := range held.Sealed {
 			held.Sealed[index].Reported = held.Sealed[index].Reported || core.meter.sent(held.Sealed[index].Window)
 		}
-		body, err := wire.Marshal(held)
+		body, err := rpc.Marshal(held)
 		if err != nil {
-			return nil, nil, wire.AsError(err)
+			return nil, nil, rpc.AsError(err)
 		}
-		return &wire.Value{Serial: current.Serial + 1, Body: body}, nil, nil
+		return &message.Value{Serial: current.Serial + 1, Body: body}, nil, nil
 	}, func() {})
 	if err != nil {
 		core.counts.Add("windows_not_sealed", 1)
@@ -354,4 +354,4 @@
 }
 
 // fence is a number that rises with each leadership and that no two share.
-func fence(ballot wire.Term) uint64 { return ballot.Number*(wire.MaxPeerID+1) + uint64(ballot.Core) }
+func fence(term message.Term) uint64 { return term.Number*(message.MaxPeerID+1) + uint64(term.Core) }
--- a/control/model_actions_test.go
+++ b/control/model_actions_test.go
@@ -2,8 +2,7 @@
 
 import (
 	"fmt"
-
-	"orchidjunction/wire"
+	"orchidjunction/message"
 )
 
 // modelKind is a kind of step that the model can take.
@@ -34,7 +33,7 @@
 	kind     modelKind
 	machine  int
 	other    int
-	register wire.Register
+	register message.Register
 }
 
 // actions are all steps that may be taken now, within the bounds.
@@ -134,7 +133,7 @@
 	process, bounds, spent := machine.process, world.bounds, &world.spent
 	if spent.mends < bounds.mends {
 		for _, other := range world.machines {
-			for _, register := range append([]wire.Register{wire.MembersRegister}, bounds.registers...) {
+			for _, register := range append([]message.Register{message.MembersRegister}, bounds.registers...) {
 				if other.index != machine.index && other.process != nil {
 					add(modelAction{kind: modelMend, machine: machine.index, other: other.index, register: register})
 				}
@@ -259,8 +258,8 @@
 		return
 	}
 	world.flight = world.flight[:before]
-	if message, offered := packet.message.(*wire.AcceptRequest); offered && machine.holds(message) {
-		world.ledger.accepted(machine.index, message)
+	if request, offered := packet.message.(*message.AcceptRequest); offered && machine.holds(request) {
+		world.ledger.accepted(machine.index, request)
 	}
 }
 
@@ -286,22 +285,22 @@
 	return fmt.Sprintf("machine %d: %s", action.machine+1, action.kind)
 }
 
-func modelBrief(message any) string {
-	switch message := message.(type) {
-	case *wire.PrepareRequest:
-		return fmt.Sprintf(" ballot %s by membership %v", message.Term, message.Membership.Version())
-	case *wire.PrepareResponse:
-		return fmt.Sprintf(" granted %v promised %s", message.Granted, message.Promised)
-	case *wire.AcceptRequest:
-		return fmt.Sprintf(" register %d under %s serial %d", message.Register, message.Term, message.Value.Serial)
-	case *wire.AcceptResponse:
-		return fmt.Sprintf(" taken %v", message.Accepted)
-	case *wire.JoinResponse:
-		return fmt.Sprintf(" admitted %v under %s", message.Admitted, message.Term)
-	case *wire.HeartbeatRequest:
-		return fmt.Sprintf(" under %s", message.Term)
-	case *wire.HeartbeatResponse:
-		return fmt.Sprintf(" taken %v voter %v", message.Accepted, message.Voter)
+func modelBrief(request any) string {
+	switch request := request.(type) {
+	case *message.PrepareRequest:
+		return fmt.Sprintf(" ballot %s by membership %v", request.Term, request.Membership.Version())
+	case *message.PrepareResponse:
+		return fmt.Sprintf(" granted %v promised %s", request.Granted, request.Promised)
+	case *message.AcceptRequest:
+		return fmt.Sprintf(" register %d under %s serial %d", request.Register, request.Term, request.Value.Serial)
+	case *message.AcceptResponse:
+		return fmt.Sprintf(" taken %v", request.Accepted)
+	case *message.JoinResponse:
+		return fmt.Sprintf(" admitted %v under %s", request.Admitted, request.Term)
+	case *message.HeartbeatRequest:
+		return fmt.Sprintf(" under %s", request.Term)
+	case *message.HeartbeatResponse:
+		return fmt.Sprintf(" taken %v voter %v", request.Accepted, request.Voter)
 	}
 	return ""
 }
--- a/control/model_digest_test.go
+++ b/control/model_digest_test.go
@@ -4,10 +4,10 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"maps"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"slices"
 	"sort"
-
-	"orchidjunction/wire"
 )
 
 // modelDigest collects what tells two states of the model apart.
@@ -34,21 +34,21 @@
 	}
 }
 
-func (digest *modelDigest) ballot(ballot wire.Term) {
-	digest.numbers(int(ballot.Number), ballot.Core)
+func (digest *modelDigest) ballot(term message.Term) {
+	digest.numbers(int(term.Number), term.Core)
 }
 
-func (digest *modelDigest) mark(mark wire.Version) {
-	digest.ballot(mark.Term)
-	digest.numbers(int(mark.Serial))
+func (digest *modelDigest) mark(version message.Version) {
+	digest.ballot(version.Term)
+	digest.numbers(int(version.Serial))
 }
 
-func (digest *modelDigest) value(value wire.Value) {
+func (digest *modelDigest) value(value message.Value) {
 	digest.numbers(int(value.Serial))
 	digest.text(string(value.Body))
 }
 
-func (digest *modelDigest) accepted(all [wire.Registers]wire.AcceptedValue) {
+func (digest *modelDigest) accepted(all [message.Registers]message.AcceptedValue) {
 	for _, accepted := range all {
 		digest.ballot(accepted.Term)
 		digest.value(accepted.Value)
@@ -69,8 +69,8 @@
 	digest.accepted(state.Accepted)
 }
 
-func (digest *modelDigest) message(message any) {
-	packed, err := wire.Marshal(message)
+func (digest *modelDigest) message(request any) {
+	packed, err := rpc.Marshal(request)
 	if err != nil {
 		panic(err)
 	}
@@ -104,8 +104,8 @@
 		digest := modelDigest{}
 		digest.numbers(packet.from, packet.to, packet.life, packet.call, packet.as, int(packet.register))
 		digest.flag(packet.answers, packet.amnesiac)
-		if told, beats := packet.message.(*wire.HeartbeatResponse); beats {
-			untimed := *told
+		if response, beats := packet.message.(*message.HeartbeatResponse); beats {
+			untimed := *response
 			untimed.NowMs, untimed.AnchorMs = 0, 0
 			digest.message(&untimed)
 		} else {
@@ -170,7 +170,7 @@
 		if push.view != nil {
 			digest.membership(push.view.Membership)
 		}
-		for register := range wire.Registers {
+		for register := range message.Registers {
 			digest.numbers(int(push.took[register]))
 			digest.value(push.values[register])
 		}
@@ -195,9 +195,9 @@
 		digest.ballot(ledger.under[register])
 	}
 	digest.membership(ledger.version)
-	for _, ballot := range slices.SortedFunc(maps.Keys(ledger.leaders), compareBallots) {
-		digest.ballot(ballot)
-		digest.numbers(ledger.leaders[ballot])
+	for _, term := range slices.SortedFunc(maps.Keys(ledger.leaders), compareBallots) {
+		digest.ballot(term)
+		digest.numbers(ledger.leaders[term])
 	}
 	for _, id := range slices.Sorted(maps.Keys(ledger.given)) {
 		digest.numbers(id, modelIndex(ledger.given[id]))
@@ -210,7 +210,7 @@
 	}
 }
 
-func compareBallots(left, right wire.Term) int {
+func compareBallots(left, right message.Term) int {
 	if left.Less(right) {
 		return -1
 	}
--- a/control/model_explore_test.go
+++ b/control/model_explore_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"flag"
+	"orchidjunction/message"
 	"strings"
 	"testing"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 var modelStates = flag.Int("states", 0, "how many states each exploration of the model may visit; 0 is the default")
@@ -19,7 +18,7 @@
 	prepare func(script *modelScript)
 }
 
-var modelOne = []wire.Register{wire.SettingsRegister}
+var modelOne = []message.Register{message.SettingsRegister}
 
 var modelExplorations = []modelExploration{
 	{name: "3 voters, two candidacies", bounds: modelBounds{founders: 3, candidates: 2, prompt: true}},
@@ -36,7 +35,7 @@
 	{name: "3 voters, an order at one replica, its leader down, a disk lost", bounds: modelBounds{founders: 3, registers: modelOne, candidates: 2, wipes: 1, prompt: true},
 		prepare: func(script *modelScript) {
 			script.leads(1, 2, 3)
-			script.do(modelAction{kind: modelOrder, machine: 0, register: wire.SettingsRegister})
+			script.do(modelAction{kind: modelOrder, machine: 0, register: message.SettingsRegister})
 			script.among(1, 2)
 			script.crashes(1)
 		}},
--- a/control/model_ledger_test.go
+++ b/control/model_ledger_test.go
@@ -2,10 +2,9 @@
 
 import (
 	"fmt"
+	"orchidjunction/message"
 	"slices"
 	"strings"
-
-	"orchidjunction/wire"
 )
 
 // The model's invariants; a violation is reported under one of these names.
@@ -34,9 +33,9 @@
 // modelProposal is one value of a register under one ballot, and which machines
 // accepted it. Its groups are those of all memberships that it was counted by.
 type modelProposal struct {
-	ballot    wire.Term
-	register  wire.Register
-	value     wire.Value
+	ballot    message.Term
+	register  message.Register
+	value     message.Value
 	versions  []*View
 	acceptors modelIDs
 	decided   bool
@@ -48,15 +47,15 @@
 	proposals []modelProposal
 	// history is what was decided of each register of data: a value's body holds the
 	// mark of each order that led to it, so later values begin with earlier ones.
-	history [wire.Registers]string
+	history [message.Registers]string
 	// under is the lowest ballot that the end of the history was decided under.
-	under [wire.Registers]wire.Term
+	under [message.Registers]message.Term
 	// acknowledged is what a leader counted as decided.
-	acknowledged [wire.Registers]string
+	acknowledged [message.Registers]string
 	version      *Membership
 	versions     []*Membership
 	given        map[int]string
-	leaders      map[wire.Term]int
+	leaders      map[message.Term]int
 	broken       *modelViolation
 	// outcomesOnly leaves out the invariants on single answers, so that a seeded bug
 	// has to show in what the system does.
@@ -64,7 +63,7 @@
 }
 
 func newModelLedger(first *Membership) *modelLedger {
-	ledger := &modelLedger{version: first, versions: []*Membership{first}, given: map[int]string{}, leaders: map[wire.Term]int{}}
+	ledger := &modelLedger{version: first, versions: []*Membership{first}, given: map[int]string{}, leaders: map[message.Term]int{}}
 	for _, peer := range first.Voters {
 		ledger.given[peer.ID] = peer.Address
 	}
@@ -82,10 +81,10 @@
 	ledger.broken = &modelViolation{invariant: invariant, detail: fmt.Sprintf(format, values...)}
 }
 
-func (ledger *modelLedger) find(ballot wire.Term, register wire.Register, serial uint64) *modelProposal {
+func (ledger *modelLedger) find(term message.Term, register message.Register, serial uint64) *modelProposal {
 	for index := len(ledger.proposals) - 1; index >= 0; index-- {
 		proposal := &ledger.proposals[index]
-		if proposal.ballot == ballot && proposal.register == register && proposal.value.Serial == serial {
+		if proposal.ballot == term && proposal.register == register && proposal.value.Serial == serial {
 			return proposal
 		}
 	}
@@ -93,14 +92,14 @@
 }
 
 // proposed notes that a leader sends a value and counts its acceptors by a membership.
-func (ledger *modelLedger) proposed(ballot wire.Term, register wire.Register, value wire.Value, view *View) {
-	proposal := ledger.find(ballot, register, value.Serial)
+func (ledger *modelLedger) proposed(term message.Term, register message.Register, value message.Value, view *View) {
+	proposal := ledger.find(term, register, value.Serial)
 	if proposal == nil {
-		ledger.proposals = append(ledger.proposals, modelProposal{ballot: ballot, register: register, value: value})
+		ledger.proposals = append(ledger.proposals, modelProposal{ballot: term, register: register, value: value})
 		proposal = &ledger.proposals[len(ledger.proposals)-1]
 	}
 	if string(proposal.value.Body) != string(value.Body) {
-		ledger.violated(oneValuePerSerial, "ballot %s proposes two values of register %d under serial %d", ballot, register, value.Serial)
+		ledger.violated(oneValuePerSerial, "ballot %s proposes two values of register %d under serial %d", term, register, value.Serial)
 	}
 	proposal.versions = append(slices.Clip(proposal.versions), view)
 	ledger.keeps(proposal)
@@ -110,7 +109,7 @@
 // keeps checks that a proposal goes on from what was decided under lower ballots.
 func (ledger *modelLedger) keeps(proposal *modelProposal) {
 	register := proposal.register
-	if register == wire.MembersRegister || !ledger.under[register].Less(proposal.ballot) {
+	if register == message.MembersRegister || !ledger.under[register].Less(proposal.ballot) {
 		return
 	}
 	if history := ledger.history[register]; !strings.HasPrefix(string(proposal.value.Body), history) {
@@ -119,8 +118,8 @@
 }
 
 // accepted notes that a machine accepted a value, synced.
-func (ledger *modelLedger) accepted(machine int, message *wire.AcceptRequest) {
-	if proposal := ledger.find(message.Term, message.Register, message.Value.Serial); proposal != nil {
+func (ledger *modelLedger) accepted(machine int, request *message.AcceptRequest) {
+	if proposal := ledger.find(request.Term, request.Register, request.Value.Serial); proposal != nil {
 		proposal.acceptors = proposal.acceptors.with(machine)
 		ledger.judge(proposal)
 	}
@@ -156,7 +155,7 @@
 			continue
 		}
 		proposal.decided = true
-		if proposal.register == wire.MembersRegister {
+		if proposal.register == message.MembersRegister {
 			ledger.decidedMembers(proposal)
 		} else {
 			ledger.decidedData(proposal, view)
@@ -188,7 +187,7 @@
 }
 
 func (ledger *modelLedger) decidedMembers(proposal *modelProposal) {
-	next, err := membershipOf(wire.AcceptedValue{Term: proposal.ballot, Value: proposal.value})
+	next, err := membershipOf(message.AcceptedValue{Term: proposal.ballot, Value: proposal.value})
 	if err != nil || next == nil {
 		ledger.violated(oneVoterPerStep, "no membership is decided: %v", err)
 		return
@@ -236,16 +235,16 @@
 }
 
 // counted checks a leader's count: the observer must find the value decided too.
-func (ledger *modelLedger) counted(push *modelPush, register wire.Register) {
+func (ledger *modelLedger) counted(push *modelPush, register message.Register) {
 	proposal := ledger.find(push.ballot, register, push.values[register].Serial)
 	if !modelMajorities(push.view.Membership, proposal.acceptors) {
 		ledger.violated(countedIsDecided, "serial %d of register %d under %s counts as decided by membership %d",
 			proposal.value.Serial, register, push.ballot, push.view.Mark.Serial)
 	}
-	if register != wire.MembersRegister && !strings.HasPrefix(ledger.history[register], string(proposal.value.Body)) {
+	if register != message.MembersRegister && !strings.HasPrefix(ledger.history[register], string(proposal.value.Body)) {
 		ledger.violated(acknowledgedIsKept, "register %d: %q is acknowledged, decided was %q", register, proposal.value.Body, ledger.history[register])
 	}
-	if body := string(proposal.value.Body); register != wire.MembersRegister && len(body) > len(ledger.acknowledged[register]) {
+	if body := string(proposal.value.Body); register != message.MembersRegister && len(body) > len(ledger.acknowledged[register]) {
 		ledger.acknowledged[register] = body
 	}
 }
@@ -262,8 +261,8 @@
 }
 
 // serves checks a value that a core takes as committed.
-func (ledger *modelLedger) serves(machine int, register wire.Register, value wire.Value) {
-	if register != wire.MembersRegister && !strings.HasPrefix(ledger.history[register], string(value.Body)) {
+func (ledger *modelLedger) serves(machine int, register message.Register, value message.Value) {
+	if register != message.MembersRegister && !strings.HasPrefix(ledger.history[register], string(value.Body)) {
 		ledger.violated(servedIsDecided, "machine %d serves %q of register %d, decided was %q", machine, value.Body, register, ledger.history[register])
 	}
 }
--- a/control/model_machine_test.go
+++ b/control/model_machine_test.go
@@ -5,8 +5,8 @@
 	"maps"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // modelMachine is one machine of the model: its disk, and the process on it while one runs.
@@ -49,15 +49,15 @@
 type modelSurvey struct {
 	call int
 	view *View
-	told map[int]*wire.ReplicaStateResponse
+	told map[int]*message.ReplicaStateResponse
 }
 
 // modelCandidacy is a ballot that is being pushed.
 type modelCandidacy struct {
 	call     int
 	view     *View
-	ballot   wire.Term
-	promises map[int]*wire.PrepareResponse
+	ballot   message.Term
+	promises map[int]*message.PrepareResponse
 	restores bool
 }
 
@@ -77,9 +77,9 @@
 	call    int
 	purpose modelPurpose
 	view    *View
-	ballot  wire.Term
-	values  map[wire.Register]wire.Value
-	took    map[wire.Register]modelIDs
+	ballot  message.Term
+	values  map[message.Register]message.Value
+	took    map[message.Register]modelIDs
 	learner string
 	leaving int
 }
@@ -113,7 +113,7 @@
 
 func newModelCore(address string, store *Store) *Core {
 	store.journal.limit = modelSegmentLimit
-	core := &Core{counts: run.NewCounts(), news: run.NewBell(), prompt: run.NewBell(), random: newDraws(1), clocks: newClocks(), table: &wire.Table{}}
+	core := &Core{counts: run.NewCounts(), news: run.NewBell(), prompt: run.NewBell(), random: newDraws(1), clocks: newClocks(), table: &message.Table{}}
 	core.place = Place{Wire: address, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}.filled()
 	core.clock = run.NewClock(func() int64 { return 0 })
 	core.sessions = newSessions(core.place.SessionSpan)
@@ -136,9 +136,9 @@
 }
 
 // holds is whether the disk of a stopped machine has accepted what was offered.
-func (machine *modelMachine) holds(message *wire.AcceptRequest) bool {
-	offered := wire.Version{Term: message.Term, Serial: message.Value.Serial}
-	return modelLasting(machine.disk).Accepted[message.Register].Version() == offered
+func (machine *modelMachine) holds(request *message.AcceptRequest) bool {
+	offered := message.Version{Term: request.Term, Serial: request.Value.Serial}
+	return modelLasting(machine.disk).Accepted[request.Register].Version() == offered
 }
 
 // wipe replaces the disk by an empty one.
--- a/control/model_mutants_test.go
+++ b/control/model_mutants_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"math"
+	"orchidjunction/message"
 	"slices"
 	"testing"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // modelMutant is a seeded bug, and the invariants of which it must break one.
@@ -30,7 +29,7 @@
 		return false
 	}
 	for _, group := range view.groups() {
-		if wire.CountIn(group, func(id int) bool { return id == view.ID || has(id) }) < wire.Majority(group)-1 {
+		if message.CountIn(group, func(id int) bool { return id == view.ID || has(id) }) < message.Majority(group)-1 {
 			return false
 		}
 	}
@@ -39,14 +38,14 @@
 
 // modelFirstGroup counts a majority of the former voters only, also during a step.
 func modelFirstGroup(view *View, has func(id int) bool) bool {
-	return view.votes() && wire.CountIn(view.Voters, has) >= wire.Majority(view.Voters)
+	return view.votes() && message.CountIn(view.Voters, has) >= message.Majority(view.Voters)
 }
 
 // modelOldest takes over the oldest values in place of the newest.
-func modelOldest(view *View, promises map[int]*wire.PrepareResponse) (oldest [wire.Registers]wire.AcceptedValue, from [wire.Registers]int) {
+func modelOldest(view *View, promises map[int]*message.PrepareResponse) (oldest [message.Registers]message.AcceptedValue, from [message.Registers]int) {
 	oldest, from = takenOver(view, promises)
 	for id, promise := range promises {
-		for register := range wire.MembersRegister {
+		for register := range message.MembersRegister {
 			if promise.Accepted[register].Version().Less(oldest[register].Version()) {
 				oldest[register], from[register] = promise.Accepted[register], id
 			}
@@ -82,7 +81,7 @@
 		}},
 	{name: "nobody refuses an older membership", form: modelThree, breaks: []string{acknowledgedIsKept, oneVoterPerStep, quorumsMeet},
 		mutate: func(rules *modelRules) {
-			rules.askedMembers = func(view *View) wire.AcceptedValue {
+			rules.askedMembers = func(view *View) message.AcceptedValue {
 				asked := view.accepted()
 				asked.Term.Number = math.MaxUint32
 				return asked
@@ -111,10 +110,10 @@
 		}},
 	{name: "ballots without the core's ID", form: modelThree, breaks: []string{oneLeaderPerBallot, oneValuePerSerial, acknowledgedIsKept},
 		mutate: func(rules *modelRules) {
-			rules.nextBallot = func(core *Core, view *View) wire.Term {
-				ballot, _ := core.nextBallot(view)
-				ballot.Core = 1
-				return ballot
+			rules.nextBallot = func(core *Core, view *View) message.Term {
+				term, _ := core.nextBallot(view)
+				term.Core = 1
+				return term
 			}
 		}},
 	{name: "a joining core stands", form: modelThree, breaks: []string{onlyVotersLead}, detailed: true,
@@ -128,14 +127,14 @@
 	{name: "a blank voter fences one other voter less", form: modelWiped, breaks: []string{acknowledgedIsKept},
 		mutate: func(rules *modelRules) {
 			rules.fencesWithout = modelFenceTooFew
-			rules.mayRestore = func(core *Core, view *View, told map[int]*wire.ReplicaStateResponse) bool {
-				return view.mayLead(view.ID) && modelFenceTooFew(view, view.ID, agreed(told, func(answer *wire.ReplicaStateResponse) bool { return answer.Initialized }))
+			rules.mayRestore = func(core *Core, view *View, response map[int]*message.ReplicaStateResponse) bool {
+				return view.mayLead(view.ID) && modelFenceTooFew(view, view.ID, agreed(response, func(answer *message.ReplicaStateResponse) bool { return answer.Initialized }))
 			}
 		}},
 	{name: "a restored voter has promised nothing", near: 4770, form: modelWiped, breaks: []string{acknowledgedIsKept, oneValuePerSerial, servedIsDecided},
 		mutate: func(rules *modelRules) {
-			rules.found = func(voter *Voter, _ wire.Term, _ [wire.Registers]wire.AcceptedValue) error {
-				return voter.Found(wire.Term{}, [wire.Registers]wire.AcceptedValue{}, nil)
+			rules.found = func(voter *Voter, _ message.Term, _ [message.Registers]message.AcceptedValue) error {
+				return voter.Found(message.Term{}, [message.Registers]message.AcceptedValue{}, nil)
 			}
 		}},
 	{name: "a restored voter keeps copies as votes of former ballots", near: 800, form: modelWiped, breaks: []string{acknowledgedIsKept, servedIsDecided},
@@ -143,41 +142,41 @@
 	{name: "a voter is admitted as a learner", near: 1800, form: modelWiped, breaks: []string{acknowledgedIsKept, servedIsDecided},
 		mutate: func(rules *modelRules) {
 			rules.admits = func(*View, string) bool { return true }
-			rules.mayBeginEmpty = func(core *Core, told *wire.JoinResponse) bool { return told.Admitted && core.voter.Blank() }
+			rules.mayBeginEmpty = func(core *Core, response *message.JoinResponse) bool { return response.Admitted && core.voter.Blank() }
 			rules.beginEmpty = modelBeginEmpty
 		}},
 	{name: "a learner is admitted unconfirmed", form: modelStale, breaks: []string{acknowledgedIsKept, onlyVotersCount}, detailed: true,
 		mutate: func(rules *modelRules) { rules.confirms = false }},
 	{name: "a learner forgets who votes", near: 660, form: modelEmptied, breaks: []string{acknowledgedIsKept, quorumsMeet, onlyVotersCount}, detailed: true,
 		mutate: func(rules *modelRules) {
-			rules.beginEmpty = func(core *Core, ballot wire.Term) {
-				modelBeginEmpty(core, ballot)
+			rules.beginEmpty = func(core *Core, term message.Term) {
+				modelBeginEmpty(core, term)
 			}
 		}},
 	{name: "a leader counts by what it heard", near: 650, form: modelStray, breaks: []string{oneVoterPerStep, servedIsDecided, acknowledgedIsKept, quorumsMeet},
-		mutate: func(rules *modelRules) { rules.leadsBy = func(*Core, *View, wire.Term) error { return nil } }},
+		mutate: func(rules *modelRules) { rules.leadsBy = func(*Core, *View, message.Term) error { return nil } }},
 	{name: "a step ends without catching up or rewriting", near: 220, form: modelThree, breaks: []string{acknowledgedIsKept},
 		mutate: func(rules *modelRules) { rules.catchesUp, rules.rewrites = false, false }},
 }
 
 func modelFenceTooFew(view *View, lost int, has func(id int) bool) bool {
-	return wire.CountIn(view.Voters, func(id int) bool { return id != lost && has(id) }) >= len(view.Voters)-wire.Majority(view.Voters)
+	return message.CountIn(view.Voters, func(id int) bool { return id != lost && has(id) }) >= len(view.Voters)-message.Majority(view.Voters)
 }
 
 // modelFoundAsVotes takes over copies as if this replica had accepted them.
-func modelFoundAsVotes(voter *Voter, ballot wire.Term, accepted [wire.Registers]wire.AcceptedValue) error {
-	step := record{Founded: true, Promised: &ballot}
+func modelFoundAsVotes(voter *Voter, term message.Term, accepted [message.Registers]message.AcceptedValue) error {
+	step := record{Founded: true, Promised: &term}
 	for register := range accepted {
 		if accepted[register].Value.Serial > 0 {
-			step.Then = append(step.Then, record{Register: wire.Register(register), Accepted: &accepted[register]})
+			step.Then = append(step.Then, record{Register: message.Register(register), Accepted: &accepted[register]})
 		}
 	}
 	return voter.keep(step)
 }
 
 // modelBeginEmpty begins without a look at the membership.
-func modelBeginEmpty(core *Core, ballot wire.Term) {
-	modelMust(core.voter.Found(ballot, [wire.Registers]wire.AcceptedValue{}, nil))
+func modelBeginEmpty(core *Core, term message.Term) {
+	modelMust(core.voter.Found(term, [message.Registers]message.AcceptedValue{}, nil))
 }
 
 // modelMutantWalks bound the search for one mutant.
--- a/control/model_rules_test.go
+++ b/control/model_rules_test.go
@@ -1,28 +1,26 @@
 package control
 
-import (
-	"orchidjunction/wire"
-)
+import "orchidjunction/message"
 
 // modelRules are the rules that the model's steps follow. modelRealRules are those of
 // the package; a seeded bug replaces one of them.
 type modelRules struct {
 	decides       func(view *View, has func(id int) bool) bool
 	pushed        func(view *View, took func(id int) bool) bool
-	mayRestore    func(core *Core, view *View, told map[int]*wire.ReplicaStateResponse) bool
+	mayRestore    func(core *Core, view *View, response map[int]*message.ReplicaStateResponse) bool
 	fencesWithout func(view *View, lost int, has func(id int) bool) bool
-	askedMembers  func(view *View) wire.AcceptedValue
-	takenOver     func(view *View, promises map[int]*wire.PrepareResponse) ([wire.Registers]wire.AcceptedValue, [wire.Registers]int)
-	found         func(voter *Voter, ballot wire.Term, accepted [wire.Registers]wire.AcceptedValue) error
+	askedMembers  func(view *View) message.AcceptedValue
+	takenOver     func(view *View, promises map[int]*message.PrepareResponse) ([message.Registers]message.AcceptedValue, [message.Registers]int)
+	found         func(voter *Voter, term message.Term, accepted [message.Registers]message.AcceptedValue) error
 	mayLead       func(view *View, id int) bool
-	nextBallot    func(core *Core, view *View) wire.Term
+	nextBallot    func(core *Core, view *View) message.Term
 	admits        func(view *View, address string) bool
-	mayBeginEmpty func(core *Core, told *wire.JoinResponse) bool
-	beginEmpty    func(core *Core, ballot wire.Term)
+	mayBeginEmpty func(core *Core, response *message.JoinResponse) bool
+	beginEmpty    func(core *Core, term message.Term)
 	replaced      func(view *View, leaving int, address string) *Membership
 	settled       func(view *View) *Membership
-	countsBy      func(core *Core, next *Membership, ballot wire.Term) (*View, error)
-	leadsBy       func(core *Core, view *View, ballot wire.Term) error
+	countsBy      func(core *Core, next *Membership, term message.Term) (*View, error)
+	leadsBy       func(core *Core, view *View, term message.Term) error
 
 	confirms       bool
 	catchesUp      bool
@@ -41,15 +39,15 @@
 		},
 		mayRestore:    (*Core).mayRestore,
 		fencesWithout: func(view *View, lost int, has func(id int) bool) bool { return view.fencesWithout(lost, has) },
-		askedMembers:  func(view *View) wire.AcceptedValue { return view.accepted() },
+		askedMembers:  func(view *View) message.AcceptedValue { return view.accepted() },
 		takenOver:     takenOver,
-		found: func(voter *Voter, ballot wire.Term, accepted [wire.Registers]wire.AcceptedValue) error {
-			return voter.Found(ballot, accepted, nil)
+		found: func(voter *Voter, term message.Term, accepted [message.Registers]message.AcceptedValue) error {
+			return voter.Found(term, accepted, nil)
 		},
 		mayLead: func(view *View, id int) bool { return view.mayLead(id) },
-		nextBallot: func(core *Core, view *View) wire.Term {
-			ballot, _ := core.nextBallot(view)
-			return ballot
+		nextBallot: func(core *Core, view *View) message.Term {
+			term, _ := core.nextBallot(view)
+			return term
 		},
 		admits:        func(view *View, address string) bool { return !view.has(address) },
 		mayBeginEmpty: (*Core).mayBeginEmpty,
--- a/control/model_script_test.go
+++ b/control/model_script_test.go
@@ -1,10 +1,9 @@
 package control
 
 import (
+	"orchidjunction/message"
 	"slices"
 	"testing"
-
-	"orchidjunction/wire"
 )
 
 // modelScript takes chosen steps of a world, for states that random walks rarely reach.
@@ -73,7 +72,7 @@
 
 // orders has a leader write an order.
 func (script *modelScript) orders(leader int, others ...int) {
-	script.do(modelAction{kind: modelOrder, machine: leader - 1, register: wire.SettingsRegister})
+	script.do(modelAction{kind: modelOrder, machine: leader - 1, register: message.SettingsRegister})
 	script.among(append(others, leader)...)
 }
 
--- a/control/model_steps_test.go
+++ b/control/model_steps_test.go
@@ -1,9 +1,8 @@
 package control
 
 import (
+	"orchidjunction/message"
 	"strings"
-
-	"orchidjunction/wire"
 )
 
 // What a machine does of itself.
@@ -12,18 +11,18 @@
 func (world *modelWorld) stand(machine *modelMachine) {
 	process := machine.process
 	core, view := process.core, process.core.members()
-	ballot := world.rules.nextBallot(core, view)
-	message := &wire.PrepareRequest{Term: ballot, Membership: world.rules.askedMembers(view)}
-	own, err := core.voter.Promise(message)
+	term := world.rules.nextBallot(core, view)
+	request := &message.PrepareRequest{Term: term, Membership: world.rules.askedMembers(view)}
+	own, err := core.voter.Promise(request)
 	if err != nil || !own.Granted {
 		if err == nil {
 			core.sawRound(own.Promised.Number)
 		}
 		return
 	}
-	process.candidacy = &modelCandidacy{call: process.nextCall(), view: view, ballot: ballot, promises: map[int]*wire.PrepareResponse{view.ID: own}}
+	process.candidacy = &modelCandidacy{call: process.nextCall(), view: view, ballot: term, promises: map[int]*message.PrepareResponse{view.ID: own}}
 	for _, peer := range view.Peers {
-		world.ask(machine, process.candidacy.call, peer, message)
+		world.ask(machine, process.candidacy.call, peer, request)
 	}
 	world.fenced(machine)
 }
@@ -32,9 +31,9 @@
 func (world *modelWorld) surveys(machine *modelMachine) {
 	process := machine.process
 	view := process.core.members()
-	process.survey = &modelSurvey{call: process.nextCall(), view: view, told: map[int]*wire.ReplicaStateResponse{}}
+	process.survey = &modelSurvey{call: process.nextCall(), view: view, told: map[int]*message.ReplicaStateResponse{}}
 	for _, peer := range view.Peers {
-		world.ask(machine, process.survey.call, peer, &wire.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Mark})
+		world.ask(machine, process.survey.call, peer, &message.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Mark})
 	}
 }
 
@@ -42,17 +41,17 @@
 func (world *modelWorld) enlists(machine *modelMachine, at int) {
 	process := machine.process
 	process.enlisting = process.nextCall()
-	message := &wire.JoinRequest{Address: machine.address, SinceBootstrap: process.core.opening(), Known: process.core.members().Mark}
-	world.ask(machine, process.enlisting, Peer{Address: world.machines[at].address}, message)
+	request := &message.JoinRequest{Address: machine.address, SinceBootstrap: process.core.opening(), Known: process.core.members().Mark}
+	world.ask(machine, process.enlisting, Peer{Address: world.machines[at].address}, request)
 }
 
 // order has the leader write an operator's order.
-func (world *modelWorld) order(machine *modelMachine, register wire.Register) {
+func (world *modelWorld) order(machine *modelMachine, register message.Register) {
 	leadership := machine.process.leadership
 	current := leadership.value(register)
 	tag := byte('a' + world.spent.orders)
-	value := wire.Value{Serial: current.Serial + 1, Body: append([]byte(string(current.Body)), tag)}
-	world.pushes(machine, &modelPush{purpose: modelWrite, view: machine.process.core.members(), ballot: leadership.ballot, values: map[wire.Register]wire.Value{register: value}})
+	value := message.Value{Serial: current.Serial + 1, Body: append([]byte(string(current.Body)), tag)}
+	world.pushes(machine, &modelPush{purpose: modelWrite, view: machine.process.core.members(), ballot: leadership.ballot, values: map[message.Register]message.Value{register: value}})
 }
 
 // replaces begins to give a voter's place to a learner.
@@ -93,20 +92,20 @@
 		process.revoke()
 		return
 	}
-	values := map[wire.Register]wire.Value{wire.MembersRegister: view.accepted().Value}
+	values := map[message.Register]message.Value{message.MembersRegister: view.accepted().Value}
 	world.pushes(machine, &modelPush{purpose: purpose, view: view, values: values})
 }
 
 // mends sends a leader's value to a core that seems to lack it; nobody counts that.
-func (world *modelWorld) mends(machine *modelMachine, to int, register wire.Register) {
+func (world *modelWorld) mends(machine *modelMachine, to int, register message.Register) {
 	leadership := machine.process.leadership
-	message := &wire.AcceptRequest{Term: leadership.ballot, Register: register, Value: leadership.value(register)}
-	world.ask(machine, 0, Peer{Address: world.machines[to].address}, message)
+	request := &message.AcceptRequest{Term: leadership.ballot, Register: register, Value: leadership.value(register)}
+	world.ask(machine, 0, Peer{Address: world.machines[to].address}, request)
 }
 
 // held are the values that a leadership holds.
-func (world *modelWorld) held(machine *modelMachine) map[wire.Register]wire.Value {
-	values := map[wire.Register]wire.Value{wire.MembersRegister: machine.process.leadership.value(wire.MembersRegister)}
+func (world *modelWorld) held(machine *modelMachine) map[message.Register]message.Value {
+	values := map[message.Register]message.Value{message.MembersRegister: machine.process.leadership.value(message.MembersRegister)}
 	for _, register := range world.bounds.registers {
 		values[register] = machine.process.leadership.value(register)
 	}
@@ -117,7 +116,7 @@
 func (world *modelWorld) pushes(machine *modelMachine, push *modelPush) {
 	process := machine.process
 	push.call = process.nextCall()
-	push.took = map[wire.Register]modelIDs{}
+	push.took = map[message.Register]modelIDs{}
 	if process.leadership != nil {
 		push.ballot = process.leadership.ballot
 	}
@@ -126,7 +125,7 @@
 	if push.purpose != modelCatchUp {
 		targets = append([]Peer{{ID: push.view.ID, Address: machine.address}}, push.view.Peers...)
 	}
-	for register := range wire.Registers {
+	for register := range message.Registers {
 		value, found := push.values[register]
 		if !found {
 			continue
@@ -135,7 +134,7 @@
 			world.ledger.proposed(push.ballot, register, value, push.view)
 		}
 		for _, peer := range targets {
-			world.ask(machine, push.call, peer, &wire.AcceptRequest{Term: push.ballot, Register: register, Value: value})
+			world.ask(machine, push.call, peer, &message.AcceptRequest{Term: push.ballot, Register: register, Value: value})
 		}
 	}
 }
@@ -155,7 +154,7 @@
 			return
 		}
 		machine.forgotten = machine.forgotten.without(candidacy.view.ID)
-		candidacy.promises[candidacy.view.ID] = &wire.PrepareResponse{Granted: true, Promised: candidacy.ballot, Accepted: process.core.voter.State().Accepted}
+		candidacy.promises[candidacy.view.ID] = &message.PrepareResponse{Granted: true, Promised: candidacy.ballot, Accepted: process.core.voter.State().Accepted}
 	}
 	if !world.rules.decides(candidacy.view, has) {
 		return
@@ -165,8 +164,8 @@
 		return
 	}
 	newest, _ := world.rules.takenOver(candidacy.view, candidacy.promises)
-	push := &modelPush{purpose: modelEstablish, view: candidacy.view, ballot: candidacy.ballot, values: map[wire.Register]wire.Value{}}
-	push.values[wire.MembersRegister] = newest[wire.MembersRegister].Value
+	push := &modelPush{purpose: modelEstablish, view: candidacy.view, ballot: candidacy.ballot, values: map[message.Register]message.Value{}}
+	push.values[message.MembersRegister] = newest[message.MembersRegister].Value
 	for _, register := range world.bounds.registers {
 		push.values[register] = newest[register].Value
 	}
@@ -180,8 +179,8 @@
 func (world *modelWorld) holdsCopies(machine *modelMachine, push *modelPush) {
 	accepted := machine.process.core.voter.State().Accepted
 	for register, value := range push.values {
-		if accepted[register].Version() == (wire.Version{Term: push.ballot, Serial: value.Serial}) {
-			world.ledger.accepted(machine.index, &wire.AcceptRequest{Term: push.ballot, Register: register, Value: value})
+		if accepted[register].Version() == (message.Version{Term: push.ballot, Serial: value.Serial}) {
+			world.ledger.accepted(machine.index, &message.AcceptRequest{Term: push.ballot, Register: register, Value: value})
 		}
 	}
 }
@@ -193,21 +192,21 @@
 	own, view := core.voter.State(), core.members()
 	for _, register := range world.bounds.registers {
 		accepted := own.Accepted[register]
-		same := func(told *wire.ReplicaStateResponse) bool {
-			return told.Initialized && told.Versions[register] == accepted.Version()
+		same := func(response *message.ReplicaStateResponse) bool {
+			return response.Initialized && response.Versions[register] == accepted.Version()
 		}
-		told := map[int]*wire.ReplicaStateResponse{}
+		response := map[int]*message.ReplicaStateResponse{}
 		for _, peer := range view.Peers {
 			other := world.machines[modelIndex(peer.Address)]
 			if other.process == nil || world.cut[machine.index][other.index] || world.cut[other.index][machine.index] {
 				continue
 			}
-			if answer, err := other.process.core.onRestore(&wire.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Mark}); err == nil {
-				told[peer.ID] = answer
+			if answer, err := other.process.core.onRestore(&message.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Mark}); err == nil {
+				response[peer.ID] = answer
 				core.learnMembers(answer.Membership)
 			}
 		}
-		if accepted.Value.Serial > 0 && core.members().same(view) && view.decides(agreed(told, same)) {
+		if accepted.Value.Serial > 0 && core.members().same(view) && view.decides(agreed(response, same)) {
 			world.ledger.serves(machine.index, register, accepted.Value)
 		}
 	}
@@ -227,34 +226,34 @@
 		}
 		return
 	}
-	switch message := packet.message.(type) {
-	case *wire.PrepareRequest:
-		if told, err := process.core.voterPromise(message); err == nil {
-			world.counts(machine, packet, told.Granted)
-			world.answer(packet, told)
+	switch request := packet.message.(type) {
+	case *message.PrepareRequest:
+		if response, err := process.core.voterPromise(request); err == nil {
+			world.counts(machine, packet, response.Granted)
+			world.answer(packet, response)
 		}
-	case *wire.AcceptRequest:
-		if told, err := process.core.voterAccept(message); err == nil {
-			world.counts(machine, packet, told.Accepted)
-			if told.Accepted {
-				world.ledger.accepted(machine.index, message)
+	case *message.AcceptRequest:
+		if response, err := process.core.voterAccept(request); err == nil {
+			world.counts(machine, packet, response.Accepted)
+			if response.Accepted {
+				world.ledger.accepted(machine.index, request)
 			}
-			world.answer(packet, told)
+			world.answer(packet, response)
 		}
-	case *wire.HeartbeatRequest:
-		if told, err := process.core.onBeat(message); err == nil {
-			world.counts(machine, packet, told.Accepted && told.Voter)
+	case *message.HeartbeatRequest:
+		if response, err := process.core.onBeat(request); err == nil {
+			world.counts(machine, packet, response.Accepted && response.Voter)
 			for register, accepted := range process.core.committed {
-				world.ledger.serves(machine.index, wire.Register(register), accepted.Value)
+				world.ledger.serves(machine.index, message.Register(register), accepted.Value)
 			}
-			world.answer(packet, told)
+			world.answer(packet, response)
 		}
-	case *wire.ReplicaStateRequest:
-		if told, err := process.core.onRestore(message); err == nil {
-			world.answer(packet, told)
+	case *message.ReplicaStateRequest:
+		if response, err := process.core.onRestore(request); err == nil {
+			world.answer(packet, response)
 		}
-	case *wire.JoinRequest:
-		world.hearsEnlist(machine, packet, message)
+	case *message.JoinRequest:
+		world.hearsEnlist(machine, packet, request)
 	}
 }
 
@@ -273,20 +272,20 @@
 
 // hearsEnlist is onEnlist: a leader answers a learner once a heartbeat begun later was
 // taken by a quorum.
-func (world *modelWorld) hearsEnlist(machine *modelMachine, packet *modelPacket, message *wire.JoinRequest) {
+func (world *modelWorld) hearsEnlist(machine *modelMachine, packet *modelPacket, request *message.JoinRequest) {
 	process := machine.process
 	view := process.core.members()
 	if !view.known() {
 		return
 	}
-	if process.leadership == nil || !world.rules.admits(view, message.Address) {
-		world.answer(packet, &wire.JoinResponse{Membership: process.core.newerMembers(message.Known)})
+	if process.leadership == nil || !world.rules.admits(view, request.Address) {
+		world.answer(packet, &message.JoinResponse{Membership: process.core.newerMembers(request.Known)})
 		return
 	}
 	if process.admission != nil {
 		return
 	}
-	process.admission = &modelAdmission{call: process.nextCall(), view: view, asked: packet, history: world.ledger.acknowledged[wire.SettingsRegister]}
+	process.admission = &modelAdmission{call: process.nextCall(), view: view, asked: packet, history: world.ledger.acknowledged[message.SettingsRegister]}
 	_, beat := process.leadership.nextBeat(view)
 	for _, peer := range view.Peers {
 		world.ask(machine, process.admission.call, peer, beat)
@@ -302,15 +301,15 @@
 		if !world.rules.decides(admission.view, admission.took.has) || process.core.voter.State().Promised != process.leadership.ballot {
 			return
 		}
-		if body := string(process.leadership.value(wire.SettingsRegister).Body); !strings.HasPrefix(body, admission.history) {
+		if body := string(process.leadership.value(message.SettingsRegister).Body); !strings.HasPrefix(body, admission.history) {
 			world.ledger.violated(confirmedReadIsNewest, "machine %d holds %q, acknowledged was %q", machine.index, body, admission.history)
 		}
 	}
 	process.admission = nil
-	message := admission.asked.message.(*wire.JoinRequest)
-	told := &wire.JoinResponse{Term: process.leadership.ballot, Admitted: world.rules.admits(process.core.members(), message.Address)}
-	told.Membership = process.core.newerMembers(message.Known)
-	world.answer(admission.asked, told)
+	request := admission.asked.message.(*message.JoinRequest)
+	response := &message.JoinResponse{Term: process.leadership.ballot, Admitted: world.rules.admits(process.core.members(), request.Address)}
+	response.Membership = process.core.newerMembers(request.Known)
+	world.answer(admission.asked, response)
 }
 
 // hears is what a process does with an answer to its call.
@@ -322,82 +321,82 @@
 	if packet.amnesiac && modelAgrees(packet.message) {
 		world.ledger.violated(onlyVotersCount, "%T of machine %d counts for ID %d without the disk that voted so", packet.message, packet.from+1, packet.as)
 	}
-	switch told := packet.message.(type) {
-	case *wire.PrepareResponse:
-		for id, promise := range process.core.promisesOf(map[int]*wire.PrepareResponse{packet.as: told}) {
+	switch response := packet.message.(type) {
+	case *message.PrepareResponse:
+		for id, promise := range process.core.promisesOf(map[int]*message.PrepareResponse{packet.as: response}) {
 			process.candidacy.promises[id] = promise
 			world.fenced(machine)
 		}
-	case *wire.AcceptResponse:
-		world.hearsAccept(machine, packet, told)
-	case *wire.HeartbeatResponse:
+	case *message.AcceptResponse:
+		world.hearsAccept(machine, packet, response)
+	case *message.HeartbeatResponse:
 		if process.leadership == nil {
 			return
 		}
-		if told.Accepted && told.Voter {
+		if response.Accepted && response.Voter {
 			process.admission.took = process.admission.took.with(packet.as)
 			world.confirmed(machine)
 		}
-	case *wire.ReplicaStateResponse:
-		world.hearsSurvey(machine, packet, told)
-	case *wire.JoinResponse:
-		world.hearsEnlisted(machine, told)
+	case *message.ReplicaStateResponse:
+		world.hearsSurvey(machine, packet, response)
+	case *message.JoinResponse:
+		world.hearsEnlisted(machine, response)
 	}
 }
 
 // modelAgrees is whether an answer would count.
-func modelAgrees(message any) bool {
-	switch told := message.(type) {
-	case *wire.PrepareResponse:
-		return told.Granted
-	case *wire.AcceptResponse:
-		return told.Accepted
-	case *wire.HeartbeatResponse:
-		return told.Accepted && told.Voter
+func modelAgrees(request any) bool {
+	switch response := request.(type) {
+	case *message.PrepareResponse:
+		return response.Granted
+	case *message.AcceptResponse:
+		return response.Accepted
+	case *message.HeartbeatResponse:
+		return response.Accepted && response.Voter
 	}
 	return false
 }
 
-func (world *modelWorld) hearsSurvey(machine *modelMachine, packet *modelPacket, told *wire.ReplicaStateResponse) {
+func (world *modelWorld) hearsSurvey(machine *modelMachine, packet *modelPacket, response *message.ReplicaStateResponse) {
 	process := machine.process
 	survey, core := process.survey, process.core
-	core.sawRound(told.Promised.Number)
-	core.learnMembers(told.Membership)
-	survey.told[packet.as] = told
+	core.sawRound(response.Promised.Number)
+	core.learnMembers(response.Membership)
+	survey.told[packet.as] = response
 	if !world.rules.mayRestore(core, survey.view, survey.told) {
 		return
 	}
 	process.survey = nil
-	ballot := world.rules.nextBallot(core, survey.view)
-	process.candidacy = &modelCandidacy{call: process.nextCall(), view: survey.view, ballot: ballot, promises: map[int]*wire.PrepareResponse{}, restores: true}
-	message := &wire.PrepareRequest{Term: ballot, Membership: world.rules.askedMembers(survey.view)}
+	term := world.rules.nextBallot(core, survey.view)
+	process.candidacy = &modelCandidacy{call: process.nextCall(), view: survey.view, ballot: term, promises: map[int]*message.PrepareResponse{}, restores: true}
+	request := &message.PrepareRequest{Term: term, Membership: world.rules.askedMembers(survey.view)}
 	for _, peer := range survey.view.Peers {
-		world.ask(machine, process.candidacy.call, peer, message)
+		world.ask(machine, process.candidacy.call, peer, request)
 	}
 }
 
 // hearsEnlisted is join for a core that knew no membership, and learn for others.
-func (world *modelWorld) hearsEnlisted(machine *modelMachine, told *wire.JoinResponse) {
+func (world *modelWorld) hearsEnlisted(machine *modelMachine, response *message.JoinResponse) {
 	process := machine.process
 	core := process.core
 	process.enlisting = 0
-	membership, err := membershipOf(told.Membership)
+	membership, err := membershipOf(response.Membership)
 	if !core.members().known() && err == nil && membership != nil && core.voter.Blank() && mayEnrol(core.opening(), viewOf(machine.address, membership)) {
-		if core.voter.Enrol(told.Membership) != nil {
+		if core.voter.Enrol(response.Membership) != nil {
 			return
 		}
 	}
-	core.learnMembers(told.Membership)
-	if world.rules.mayBeginEmpty(core, told) {
-		world.rules.beginEmpty(core, told.Term)
+	core.learnMembers(response.Membership)
+	if world.rules.mayBeginEmpty(core, response) {
+		world.rules.beginEmpty(core, response.Term)
 	}
 }
 
-func (world *modelWorld) hearsAccept(machine *modelMachine, packet *modelPacket, told *wire.AcceptResponse) {
+func (world *modelWorld) hearsAccept(machine *modelMachine, packet *modelPacket, response *message.AcceptResponse) {
 	process := machine.process
 	push := process.push
-	if !told.Accepted {
-		process.core.sawRound(told.Promised.Number)
+	if !response.Accepted {
+		process.core.sawRound(response.Promised.Number)
 		return
 	}
 	push.took[packet.register] = push.took[packet.register].with(packet.as)
--- a/control/model_walk_test.go
+++ b/control/model_walk_test.go
@@ -4,13 +4,13 @@
 	"flag"
 	"io"
 	"math/rand/v2"
+	"orchidjunction/message"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"k8s.io/klog/v2"
-	"orchidjunction/wire"
 )
 
 var (
@@ -188,7 +188,7 @@
 	pace  int
 }
 
-var modelData = []wire.Register{wire.SettingsRegister, wire.ReportsRegister}
+var modelData = []message.Register{message.SettingsRegister, message.ReportsRegister}
 
 // modelMany are bounds that a walk hardly reaches.
 func modelMany(founders, spares, late int) modelBounds {
