--- a/control/model_world_test.go
+++ b/control/model_world_test.go
@@ -2,9 +2,8 @@
 
 import (
 	"net/netip"
+	"orchidjunction/message"
 	"slices"
-
-	"orchidjunction/wire"
 )
 
 // modelBounds limit a walk or an exploration.
@@ -13,7 +12,7 @@
 	spares   int
 	// late is how many of the founders have yet to hear of the first membership.
 	late       int
-	registers  []wire.Register
+	registers  []message.Register
 	candidates int
 	orders     int
 	crashes    int
@@ -48,7 +47,7 @@
 	call     int
 	// as is the ID that the asker counts the receiver by; 0 where it does not count it.
 	as       int
-	register wire.Register
+	register message.Register
 	message  any
 	answers  bool
 	// amnesiac marks an answer of a replica that voted under this ID and lost that disk.
@@ -140,9 +139,9 @@
 func (world *modelWorld) send(packet *modelPacket) { world.flight = append(world.flight, packet) }
 
 // ask sends a request of a call to a voter, counted by the voter's ID.
-func (world *modelWorld) ask(machine *modelMachine, call int, peer Peer, message any) {
-	packet := &modelPacket{from: machine.index, to: modelIndex(peer.Address), life: machine.process.life, call: call, as: peer.ID, message: message}
-	if accept, offers := message.(*wire.AcceptRequest); offers {
+func (world *modelWorld) ask(machine *modelMachine, call int, peer Peer, request any) {
+	packet := &modelPacket{from: machine.index, to: modelIndex(peer.Address), life: machine.process.life, call: call, as: peer.ID, message: request}
+	if accept, offers := request.(*message.AcceptRequest); offers {
 		packet.register = accept.Register
 	}
 	world.send(packet)
@@ -184,12 +183,12 @@
 		return false
 	}
 	promised := teller.core.voter.State().Promised
-	switch message := packet.message.(type) {
-	case *wire.PrepareRequest:
-		return message.Term.Less(promised)
-	case *wire.AcceptRequest:
-		return message.Term.Less(promised)
-	case *wire.HeartbeatRequest, *wire.ReplicaStateRequest:
+	switch request := packet.message.(type) {
+	case *message.PrepareRequest:
+		return request.Term.Less(promised)
+	case *message.AcceptRequest:
+		return request.Term.Less(promised)
+	case *message.HeartbeatRequest, *message.ReplicaStateRequest:
 		return true
 	}
 	return false
--- a/control/place.go
+++ b/control/place.go
@@ -3,13 +3,13 @@
 import (
 	"context"
 	"net/netip"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // Peer is another core machine.
-type Peer = wire.Peer
+type Peer = message.Peer
 
 // Place is what a core learns of itself from flags or its file. A core without
 // an ID finds the others through its seeds and keeps who they are on its disk.
@@ -28,11 +28,11 @@
 	Beat     time.Duration
 	Suspect  time.Duration
 	Seed     uint64
-	Observe  func(standing Standing, ballot wire.Term)
+	Observe  func(standing Standing, term message.Term)
 	Wall     func() int64
 
 	// MembersChanged is told the addresses of the voters whenever they change.
-	MembersChanged func(version wire.Version, addresses []string)
+	MembersChanged func(version message.Version, addresses []string)
 	// ReplaceAfter is how long a voter is silent before a learner takes its place.
 	ReplaceAfter time.Duration
 
@@ -58,10 +58,10 @@
 		place.Wall = func() int64 { return time.Now().UnixMilli() }
 	}
 	if place.Observe == nil {
-		place.Observe = func(Standing, wire.Term) {}
+		place.Observe = func(Standing, message.Term) {}
 	}
 	if place.MembersChanged == nil {
-		place.MembersChanged = func(wire.Version, []string) {}
+		place.MembersChanged = func(message.Version, []string) {}
 	}
 	if place.ReplaceAfter == 0 {
 		place.ReplaceAfter = max(replaceAfter, 2*place.Suspect)
@@ -116,7 +116,7 @@
 
 func (place *Place) Check() error {
 	if place.Beat < 10*time.Millisecond || place.Suspect < 3*place.Beat {
-		return wire.Errorf(wire.BadFlag, "--suspect-ms: %v must be at least three beats of %v, and a beat 10ms", place.Suspect, place.Beat)
+		return rpc.Errorf(rpc.BadFlag, "--suspect-ms: %v must be at least three beats of %v, and a beat 10ms", place.Suspect, place.Beat)
 	}
 	if err := CheckAddress("--wire", place.Wire); err != nil {
 		return err
@@ -125,12 +125,12 @@
 		return place.checkSeeds()
 	}
 	if place.ID < 1 || place.ID > 99 {
-		return wire.Errorf(wire.BadFlag, "--id: %d is not in 1 to 99", place.ID)
+		return rpc.Errorf(rpc.BadFlag, "--id: %d is not in 1 to 99", place.ID)
 	}
 	seen := map[int]bool{place.ID: true}
 	for _, peer := range place.Peers {
 		if seen[peer.ID] {
-			return wire.Errorf(wire.BadFlag, "--peer: id %d is there twice", peer.ID)
+			return rpc.Errorf(rpc.BadFlag, "--peer: id %d is there twice", peer.ID)
 		}
 		seen[peer.ID] = true
 		if err := CheckAddress("--peer", peer.Address); err != nil {
@@ -138,17 +138,17 @@
 		}
 	}
 	if len(place.Peers)%2 != 0 {
-		return wire.Errorf(wire.BadFlag, "--peer: %d cores in all; want an odd count", len(place.Peers)+1)
+		return rpc.Errorf(rpc.BadFlag, "--peer: %d cores in all; want an odd count", len(place.Peers)+1)
 	}
 	return nil
 }
 
 func (place *Place) checkSeeds() error {
 	if len(place.Peers) > 0 {
-		return wire.Errorf(wire.BadFlag, "--peer: goes with an id, not with seeds")
+		return rpc.Errorf(rpc.BadFlag, "--peer: goes with an id, not with seeds")
 	}
 	if place.Least < 1 || place.Least > foundersMost {
-		return wire.Errorf(wire.BadFlag, "--least: %d is not in 1 to %d", place.Least, foundersMost)
+		return rpc.Errorf(rpc.BadFlag, "--least: %d is not in 1 to %d", place.Least, foundersMost)
 	}
 	for _, seed := range place.Seeds {
 		if err := CheckAddress("--seed", seed); err != nil {
@@ -161,7 +161,7 @@
 func CheckAddress(flag, address string) error {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || parsed.Port() == 0 {
-		return wire.Errorf(wire.BadFlag, "%s: %q is not IP:port", flag, address)
+		return rpc.Errorf(rpc.BadFlag, "%s: %q is not IP:port", flag, address)
 	}
 	return nil
 }
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -1,10 +1,9 @@
 package control
 
 import (
+	"orchidjunction/rpc"
 	"testing"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // A place with an id names its peers, one without finds them by seeds; one thing
@@ -31,7 +30,7 @@
 		}
 		change(&one, &other)
 		for _, place := range []*Place{&one, &other} {
-			if err := place.Check(); err == nil || wire.CodeOf(err) != wire.BadFlag {
+			if err := place.Check(); err == nil || rpc.CodeOf(err) != rpc.BadFlag {
 				test.Errorf("%s: %+v: %v", name, place, err)
 			}
 		}
--- a/control/placeview_test.go
+++ b/control/placeview_test.go
@@ -1,9 +1,8 @@
 package control
 
 import (
+	"orchidjunction/message"
 	"testing"
-
-	"orchidjunction/wire"
 )
 
 // As long as no core was ever replaced the flags say where the cores are; afterwards
@@ -11,14 +10,14 @@
 func TestFlagsCountUntilACoreIsReplaced(test *testing.T) {
 	place := &Place{ID: 1, Wire: "10.0.0.1:1", Peers: []Peer{{ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}}
 	former := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
-	former.Mark.Term = wire.Term{Number: 4, Core: 2}
+	former.Mark.Term = message.Term{Number: 4, Core: 2}
 	step := former.replaced(3, "10.0.0.4:1")
 	for number, try := range []struct {
 		accepted *Membership
 		want     []Peer
-		mark     wire.Version
+		mark     message.Version
 	}{
-		{nil, []Peer{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}, wire.Version{Serial: 1}},
+		{nil, []Peer{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}, message.Version{Serial: 1}},
 		{former, []Peer{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}, former.Mark},
 		{step, former.Voters, step.Mark},
 		{step.settled(), step.Next, step.settled().Mark},
--- a/control/platform.go
+++ b/control/platform.go
@@ -13,8 +13,9 @@
 	"sync"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 const (
@@ -32,15 +33,15 @@
 // Listing is one page of the list of backends and the name of the next, or why
 // there is none; with a wait, the page may be asked for again after it.
 type Listing struct {
-	Backends []wire.Backend
+	Backends []message.Backend
 	Next     string
 	Wait     time.Duration
 	Mishap   error
 }
 
 type platformPage struct {
-	Items []wire.Backend `json:"items"`
-	Next  string         `json:"next"`
+	Items []message.Backend `json:"items"`
+	Next  string            `json:"next"`
 }
 
 // PlatformReader reads the paged list; only a list read to its end counts, and
@@ -54,8 +55,8 @@
 	counts    *run.Counts
 
 	mutex    sync.Mutex
-	backends map[string]wire.Backend
-	sorted   []wire.Backend
+	backends map[string]message.Backend
+	sorted   []message.Backend
 	missed   map[string]int
 	whole    bool
 	finished time.Time
@@ -64,7 +65,7 @@
 
 func newPlatformReader(place *Place, transport http.RoundTripper, now func() int64, counts *run.Counts) *PlatformReader {
 	reader := &PlatformReader{lister: place.Lister, listPace: place.ListPace, goneAfter: place.GoneAfter, now: now, counts: counts,
-		backends: map[string]wire.Backend{}, missed: map[string]int{}}
+		backends: map[string]message.Backend{}, missed: map[string]int{}}
 	if reader.lister == nil && place.Platform != "" {
 		pages := &platformPages{address: place.Platform, client: &http.Client{Transport: transport}, counts: counts}
 		reader.lister = pages.list
@@ -75,14 +76,14 @@
 // begin starts a leadership's reading from the table it holds, so that a first
 // list that lags or shifted between pages takes nothing away. Where there is no
 // table, a list read a moment ago stands.
-func (reader *PlatformReader) begin(held []wire.Backend) {
+func (reader *PlatformReader) begin(held []message.Backend) {
 	reader.mutex.Lock()
 	if len(held) == 0 && reader.whole && time.Since(reader.finished) < firstListStands {
 		reader.mutex.Unlock()
 		return
 	}
 	reader.whole = false
-	reader.backends, reader.missed, reader.sorted = map[string]wire.Backend{}, map[string]int{}, nil
+	reader.backends, reader.missed, reader.sorted = map[string]message.Backend{}, map[string]int{}, nil
 	for _, backend := range held {
 		reader.backends[backend.Name] = backend
 	}
@@ -104,13 +105,13 @@
 
 // list gives the backends by name; who gets them changes nothing in them, since
 // the same ones are given until a list differs.
-func (reader *PlatformReader) list() ([]wire.Backend, bool) {
+func (reader *PlatformReader) list() ([]message.Backend, bool) {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	if reader.sorted != nil {
 		return reader.sorted, reader.whole
 	}
-	all := make([]wire.Backend, 0, len(reader.backends))
+	all := make([]message.Backend, 0, len(reader.backends))
 	for _, backend := range reader.backends {
 		all = append(all, backend)
 	}
@@ -134,7 +135,7 @@
 // read goes through all pages; one that the platform puts off is asked again,
 // not the whole list, or a list longer than the allowed burst would never end.
 func (reader *PlatformReader) read(rest func(time.Duration) bool, going func() bool) {
-	listed, twice := map[string]wire.Backend{}, false
+	listed, twice := map[string]message.Backend{}, false
 	next := ""
 	for pages, putOff := 0, 0; ; pages++ {
 		page := reader.page(next)
@@ -194,7 +195,7 @@
 // laid is a listed backend over what is known of it: who leaves never stays
 // again, and the time of being warm doesn't change by jitter, nor by a page
 // from before the cold began.
-func (reader *PlatformReader) laid(backend wire.Backend) wire.Backend {
+func (reader *PlatformReader) laid(backend message.Backend) message.Backend {
 	before, found := reader.backends[backend.Name]
 	if !found {
 		return backend
@@ -223,11 +224,11 @@
 func (pages *platformPages) list(ctx context.Context, next string) Listing {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+pages.address+"/v1/backends?page="+url.QueryEscape(next), nil)
 	if err != nil {
-		return Listing{Mishap: wire.Errorf(wire.PlatformError, "%v", err)}
+		return Listing{Mishap: rpc.Errorf(rpc.PlatformError, "%v", err)}
 	}
 	response, err := pages.client.Do(request)
 	if err != nil {
-		return Listing{Mishap: wire.Errorf(wire.PlatformError, "%v", err)}
+		return Listing{Mishap: rpc.Errorf(rpc.PlatformError, "%v", err)}
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusTooManyRequests {
@@ -236,18 +237,18 @@
 		if err != nil || seconds < 0 || seconds > 60 {
 			seconds = 1
 		}
-		return Listing{Wait: time.Duration(seconds*float64(time.Second)) + 10*time.Millisecond, Mishap: wire.Errorf(wire.PlatformError, "rate limited")}
+		return Listing{Wait: time.Duration(seconds*float64(time.Second)) + 10*time.Millisecond, Mishap: rpc.Errorf(rpc.PlatformError, "rate limited")}
 	}
 	if response.StatusCode != http.StatusOK {
-		return Listing{Mishap: wire.Errorf(wire.PlatformError, "%s", fmt.Sprint(response.Status))}
+		return Listing{Mishap: rpc.Errorf(rpc.PlatformError, "%s", fmt.Sprint(response.Status))}
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, pageBytes+1))
 	if err != nil || len(body) > pageBytes {
-		return Listing{Mishap: wire.Errorf(wire.PlatformError, "page of %d bytes: %v", len(body), err)}
+		return Listing{Mishap: rpc.Errorf(rpc.PlatformError, "page of %d bytes: %v", len(body), err)}
 	}
 	page := &platformPage{}
 	if err := json.Unmarshal(body, page); err != nil {
-		return Listing{Mishap: wire.Errorf(wire.PlatformError, "page: %v", err)}
+		return Listing{Mishap: rpc.Errorf(rpc.PlatformError, "page: %v", err)}
 	}
 	return Listing{Backends: page.Items, Next: page.Next}
 }
--- a/control/power_test.go
+++ b/control/power_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"orchidjunction/control"
+	"orchidjunction/message"
 	"orchidjunction/sim"
-	"orchidjunction/wire"
 )
 
 const smallSegment = 6000
@@ -19,9 +19,9 @@
 	voter    *control.Voter
 	store    *control.Store
 	round    uint64
-	promised wire.Term
-	marks    wire.Versions
-	bodies   map[wire.Version]byte
+	promised message.Term
+	marks    message.Versions
+	bodies   map[message.Version]byte
 }
 
 // open starts a voter on the disk; what was answered for must be there, and what
@@ -33,7 +33,7 @@
 	}
 	store.LimitSegments(smallSegment)
 	witness.store = store
-	witness.voter = control.NewVoter(store, func(error) {}, func(wire.Term) {})
+	witness.voter = control.NewVoter(store, func(error) {}, func(message.Term) {})
 	witness.judge()
 	if store.Fault() == nil {
 		witness.promised, witness.marks = witness.voter.State().Promised, witness.voter.State().Marks()
@@ -49,50 +49,50 @@
 	if state.Promised.Less(witness.promised) {
 		witness.test.Fatalf("promised %v, holds %v", witness.promised, state.Promised)
 	}
-	for register, mark := range state.Marks() {
-		if mark.Less(witness.marks[register]) {
-			witness.test.Fatalf("register %d: took %v, holds %v", register, witness.marks[register], mark)
+	for register, version := range state.Marks() {
+		if version.Less(witness.marks[register]) {
+			witness.test.Fatalf("register %d: took %v, holds %v", register, witness.marks[register], version)
 		}
 		body := state.Accepted[register].Value.Body
-		if mark.Serial > 0 && (len(body) == 0 || body[len(body)-1] != witness.bodies[mark]) {
-			witness.test.Fatalf("register %d: other content under %v", register, mark)
+		if version.Serial > 0 && (len(body) == 0 || body[len(body)-1] != witness.bodies[version]) {
+			witness.test.Fatalf("register %d: other content under %v", register, version)
 		}
 	}
 }
 
 // promise asks for a ballot by the membership that the voter holds.
-func (witness *witness) promise(ballot wire.Term) *wire.PrepareRequest {
-	return &wire.PrepareRequest{Term: ballot, Membership: witness.voter.State().Accepted[wire.MembersRegister]}
+func (witness *witness) promise(term message.Term) *message.PrepareRequest {
+	return &message.PrepareRequest{Term: term, Membership: witness.voter.State().Accepted[message.MembersRegister]}
 }
 
 // step promises or accepts once; false when the voter has not answered.
 func (witness *witness) step() bool {
 	witness.round = max(witness.round, witness.voter.State().Promised.Number) + 1
-	ballot := wire.Term{Number: witness.round, Core: 1}
+	term := message.Term{Number: witness.round, Core: 1}
 	if witness.random.IntN(3) == 0 {
-		told, err := witness.voter.Promise(witness.promise(ballot))
+		response, err := witness.voter.Promise(witness.promise(term))
 		if err != nil {
 			return false
 		}
-		if !told.Granted {
-			witness.test.Fatalf("%v not promised over %v", ballot, told.Promised)
+		if !response.Granted {
+			witness.test.Fatalf("%v not promised over %v", term, response.Promised)
 		}
-		witness.promised = ballot
+		witness.promised = term
 		return true
 	}
-	register := wire.Register(witness.random.IntN(int(wire.Registers)))
+	register := message.Register(witness.random.IntN(int(message.Registers)))
 	body := make([]byte, 1+witness.random.IntN(4000))
 	body[len(body)-1] = byte(witness.random.IntN(255) + 1)
-	mark := wire.Version{Term: ballot, Serial: ballot.Number}
-	witness.bodies[mark] = body[len(body)-1]
-	told, err := witness.voter.Accept(&wire.AcceptRequest{Term: ballot, Register: register, Value: wire.Value{Serial: ballot.Number, Body: body}})
+	version := message.Version{Term: term, Serial: term.Number}
+	witness.bodies[version] = body[len(body)-1]
+	response, err := witness.voter.Accept(&message.AcceptRequest{Term: term, Register: register, Value: message.Value{Serial: term.Number, Body: body}})
 	if err != nil {
 		return false
 	}
-	if !told.Accepted {
-		witness.test.Fatalf("%v not taken under %v", ballot, told.Promised)
+	if !response.Accepted {
+		witness.test.Fatalf("%v not taken under %v", term, response.Promised)
 	}
-	witness.promised, witness.marks[register] = ballot, mark
+	witness.promised, witness.marks[register] = term, version
 	return true
 }
 
@@ -104,7 +104,7 @@
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		disk := sim.NewDisk(seed)
-		witness := &witness{test: test, random: random, bodies: map[wire.Version]byte{}}
+		witness := &witness{test: test, random: random, bodies: map[message.Version]byte{}}
 		for round := range 12 {
 			if random.IntN(3) == 0 {
 				disk.DieAfter(1 + random.IntN(10))
@@ -115,7 +115,7 @@
 				names, _ := disk.List()
 				test.Fatalf("seed %d round %d: %v, files %v", seed, round, err, names)
 			}
-			if err := witness.voter.Found(wire.Term{}, [wire.Registers]wire.AcceptedValue{}, nil); err != nil {
+			if err := witness.voter.Found(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
 				test.Fatalf("seed %d: founding: %v", seed, err)
 			}
 			disk.DieAfter(1 + random.IntN(120))
@@ -145,12 +145,12 @@
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 4))
 		disk := sim.NewDisk(seed)
-		witness := &witness{test: test, random: random, bodies: map[wire.Version]byte{}}
+		witness := &witness{test: test, random: random, bodies: map[message.Version]byte{}}
 		for range 10 {
 			if err := witness.open(disk); err != nil {
 				test.Fatalf("seed %d: %v", seed, err)
 			}
-			if err := witness.voter.Found(wire.Term{}, [wire.Registers]wire.AcceptedValue{}, nil); err != nil {
+			if err := witness.voter.Found(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
 				test.Fatalf("seed %d: founding: %v", seed, err)
 			}
 			for range random.IntN(9) {
--- a/control/refusal.go
+++ b/control/refusal.go
@@ -1,10 +1,9 @@
 package control
 
 import (
+	"orchidjunction/message"
 	"time"
 
-	"orchidjunction/wire"
-
 	"k8s.io/klog/v2"
 )
 
@@ -77,14 +76,14 @@
 		return
 	}
 	core.mutex.Lock()
-	refusal, committed := core.refused, core.committed[wire.RoutingRegister]
+	refusal, committed := core.refused, core.committed[message.RoutingRegister]
 	core.refused = diskRefusal{}
 	core.mutex.Unlock()
 	core.counts.Add("disk_repairs", 1)
 	klog.Infof("core %d: votes again, its disk refused writes for %v", core.members().ID, time.Since(refusal.since).Round(time.Millisecond))
 	core.prompt.Ring()
 	if core.place.enlists() {
-		core.voter.Committed(wire.RoutingRegister, committed.Version())
+		core.voter.Committed(message.RoutingRegister, committed.Version())
 	}
 }
 
@@ -97,10 +96,10 @@
 	}
 	texts := leadership.settings().texts
 	for register, held := range core.voter.State().Marks() {
-		value := leadership.value(wire.Register(register))
-		if held.Less(wire.Version{Term: leadership.ballot, Serial: value.Serial}) {
-			told, err := core.voter.Accept(&wire.AcceptRequest{Term: leadership.ballot, Register: wire.Register(register), Value: value, Chunks: texts})
-			if err != nil || !told.Accepted { // tried again at the next turn, while this core leads
+		value := leadership.value(message.Register(register))
+		if held.Less(message.Version{Term: leadership.ballot, Serial: value.Serial}) {
+			response, err := core.voter.Accept(&message.AcceptRequest{Term: leadership.ballot, Register: message.Register(register), Value: value, Chunks: texts})
+			if err != nil || !response.Accepted { // tried again at the next turn, while this core leads
 				core.counts.Add("own_copies_not_mended", 1)
 				continue
 			}
--- a/control/relayed_test.go
+++ b/control/relayed_test.go
@@ -5,23 +5,24 @@
 	"testing"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // A daemon that stays with a core which led tells it changes only. The next leader
 // gets all that the core was told, or it would seal what came since alone.
 func TestRelayedSessionTellsAllCountsNotTheLastChange(test *testing.T) {
 	threads := run.NewThreads()
-	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), wire.NewClient(http.DefaultTransport), threads, run.NewCounts())
+	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), threads, run.NewCounts())
 	if err != nil {
 		test.Fatal(err)
 	}
 	defer core.Close()
-	member := wire.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}
-	for _, session := range []*wire.Session{
-		{Member: member, NowMs: 1, Windows: []wire.WindowCount{{Window: 10, Tenants: map[string]uint64{"first": 5, "second": 2}}}},
-		{Member: member, NowMs: 2, BaseProcess: core.meter.process, Windows: []wire.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}}},
+	member := message.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}
+	for _, session := range []*message.Session{
+		{Member: member, NowMs: 1, Windows: []message.WindowCount{{Window: 10, Tenants: map[string]uint64{"first": 5, "second": 2}}}},
+		{Member: member, NowMs: 2, BaseProcess: core.meter.process, Windows: []message.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}}},
 	} {
 		if _, err := core.onSession(session); err != nil {
 			test.Fatal(err)
@@ -46,13 +47,13 @@
 // What adds to a former process of the core is not all, and does not pass for it.
 func TestRelayedChangesUponAFormerProcessStayChanges(test *testing.T) {
 	threads := run.NewThreads()
-	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), wire.NewClient(http.DefaultTransport), threads, run.NewCounts())
+	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), threads, run.NewCounts())
 	if err != nil {
 		test.Fatal(err)
 	}
 	defer core.Close()
-	session := wire.Session{Member: wire.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}, NowMs: 2, BaseProcess: core.meter.process + 2,
-		Windows: []wire.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}}}
+	session := message.Session{Member: message.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}, NowMs: 2, BaseProcess: core.meter.process + 2,
+		Windows: []message.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}}}
 	if _, err := core.onSession(&session); err != nil {
 		test.Fatal(err)
 	}
--- a/control/removal.go
+++ b/control/removal.go
@@ -1,11 +1,11 @@
 package control
 
 import (
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"slices"
 	"time"
 
-	"orchidjunction/wire"
-
 	"k8s.io/klog/v2"
 )
 
@@ -15,7 +15,7 @@
 // onRemoval gives a voter's place to a learner at once. Where the leader itself is to
 // go, it hands the lead over, and the order goes on to the next one. The same order
 // again finds the core gone and is acknowledged.
-func (core *Core) onRemoval(message *wire.RemoveVoterRequest) (*wire.RemoveVoterResponse, error) {
+func (core *Core) onRemoval(request *message.RemoveVoterRequest) (*message.RemoveVoterResponse, error) {
 	leadership, err := core.leading()
 	if err != nil {
 		return nil, err
@@ -27,26 +27,26 @@
 	if err != nil {
 		return nil, err
 	}
-	place := slices.IndexFunc(view.Voters, func(peer Peer) bool { return peer.ID == message.Core })
-	if message.Core > view.LastID {
-		return nil, wire.Errorf(wire.NotFound, "no core %d ever voted; the last one is %d", message.Core, view.LastID)
+	place := slices.IndexFunc(view.Voters, func(peer Peer) bool { return peer.ID == request.Core })
+	if request.Core > view.LastID {
+		return nil, rpc.Errorf(rpc.NotFound, "no core %d ever voted; the last one is %d", request.Core, view.LastID)
 	}
 	if place < 0 {
-		return &wire.RemoveVoterResponse{Version: view.Mark.Serial, Duplicate: true}, nil
+		return &message.RemoveVoterResponse{Version: view.Mark.Serial, Duplicate: true}, nil
 	}
 	address, found := leadership.readyLearner(view)
 	if !found && time.Since(leadership.since) < learnerSpan*core.place.Suspect {
-		return nil, &wire.Error{Code: wire.NotStarted, Message: "the leader just began and may not know the learners yet", RetryAfterMs: removalRetry}
+		return nil, &rpc.Error{Code: rpc.NotStarted, Message: "the leader just began and may not know the learners yet", RetryAfterMs: removalRetry}
 	}
 	if !found {
-		return nil, wire.Errorf(wire.NoLearner, "no learner holds everything yet, so core %d keeps its place; start a new core and ask again", message.Core)
+		return nil, rpc.Errorf(rpc.NoLearner, "no learner holds everything yet, so core %d keeps its place; start a new core and ask again", request.Core)
 	}
-	if message.Core == view.ID {
+	if request.Core == view.ID {
 		return nil, leadership.handOverForRemoval()
 	}
-	klog.Infof("core %d: core %d is removed by order", view.ID, message.Core)
+	klog.Infof("core %d: core %d is removed by order", view.ID, request.Core)
 	leadership.replace(view.Voters[place], address)
-	return leadership.removed(message.Core)
+	return leadership.removed(request.Core)
 }
 
 // settledView is the membership that this leadership had decided, after the step
@@ -60,9 +60,9 @@
 		return nil, err
 	}
 	view := core.members()
-	decided := wire.Version{Term: leadership.ballot, Serial: leadership.value(wire.MembersRegister).Serial}
+	decided := message.Version{Term: leadership.ballot, Serial: leadership.value(message.MembersRegister).Serial}
 	if view.changing() || view.Mark != decided {
-		return nil, &wire.Error{Code: wire.NotStarted, Message: "another replacement is under way", RetryAfterMs: removalRetry}
+		return nil, &rpc.Error{Code: rpc.NotStarted, Message: "another replacement is under way", RetryAfterMs: removalRetry}
 	}
 	return view, nil
 }
@@ -70,7 +70,7 @@
 // readyLearner is a learner that may take a place now.
 func (leadership *Leadership) readyLearner(view *View) (string, bool) {
 	span := leadership.core.place.Suspect
-	if len(leadership.succession.waiting(learnerSpan*span, view)) == 0 || view.LastID >= wire.MaxPeerID {
+	if len(leadership.succession.waiting(learnerSpan*span, view)) == 0 || view.LastID >= message.MaxPeerID {
 		return "", false
 	}
 	return leadership.succession.ready(span, leadership.near)
@@ -78,15 +78,15 @@
 
 // removed acknowledges a removal that was decided. One that was written but not
 // decided may come about all the same.
-func (leadership *Leadership) removed(id int) (*wire.RemoveVoterResponse, error) {
+func (leadership *Leadership) removed(id int) (*message.RemoveVoterResponse, error) {
 	view, err := leadership.settledView()
 	if err != nil {
-		return nil, &wire.Error{Code: wire.OutcomeUnknown, Message: "the removal may come about: " + err.Error(), RetryAfterMs: removalRetry}
+		return nil, &rpc.Error{Code: rpc.OutcomeUnknown, Message: "the removal may come about: " + err.Error(), RetryAfterMs: removalRetry}
 	}
 	if contains(view.Voters, id) {
-		return nil, &wire.Error{Code: wire.NotStarted, Message: "the learner did not take the place", RetryAfterMs: removalRetry}
+		return nil, &rpc.Error{Code: rpc.NotStarted, Message: "the learner did not take the place", RetryAfterMs: removalRetry}
 	}
-	return &wire.RemoveVoterResponse{Version: view.Mark.Serial}, nil
+	return &message.RemoveVoterResponse{Version: view.Mark.Serial}, nil
 }
 
 // handOverForRemoval makes another voter the leader. This core then votes and follows
@@ -105,5 +105,5 @@
 		}
 	}
 	core.revoke(leadership)
-	return &wire.Error{Code: wire.NotLeader, Message: "the leader is to be removed and stepped down"}
+	return &rpc.Error{Code: rpc.NotLeader, Message: "the leader is to be removed and stepped down"}
 }
--- a/control/replace.go
+++ b/control/replace.go
@@ -4,8 +4,9 @@
 	"sync"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 
 	"k8s.io/klog/v2"
 )
@@ -25,7 +26,7 @@
 type learner struct {
 	asked    time.Time
 	answered time.Time
-	report   *wire.HeartbeatResponse
+	report   *message.HeartbeatResponse
 }
 
 // Succession is what a leadership knows of those that may take a voter's place and
@@ -52,7 +53,7 @@
 }
 
 // heard notes a heartbeat's answer; a learner has no ID.
-func (succession *Succession) heard(peer Peer, told *wire.HeartbeatResponse) {
+func (succession *Succession) heard(peer Peer, response *message.HeartbeatResponse) {
 	succession.mutex.Lock()
 	defer succession.mutex.Unlock()
 	if peer.ID > 0 {
@@ -60,7 +61,7 @@
 		return
 	}
 	if held := succession.learners[peer.Address]; held != nil {
-		held.answered, held.report = time.Now(), told
+		held.answered, held.report = time.Now(), response
 	}
 }
 
@@ -88,7 +89,7 @@
 
 // ready is a learner that votes as soon as it is counted: it answered lately as a
 // replica and holds every register as far as the marks say, or nearly so.
-func (succession *Succession) ready(span time.Duration, near func(marks wire.Versions) bool) (string, bool) {
+func (succession *Succession) ready(span time.Duration, near func(versions message.Versions) bool) (string, bool) {
 	succession.mutex.Lock()
 	defer succession.mutex.Unlock()
 	best := ""
@@ -161,7 +162,7 @@
 		return
 	}
 	span := core.place.Suspect
-	if len(leadership.succession.waiting(learnerSpan*span, view)) == 0 || view.LastID >= wire.MaxPeerID {
+	if len(leadership.succession.waiting(learnerSpan*span, view)) == 0 || view.LastID >= message.MaxPeerID {
 		return
 	}
 	leaving, found := leadership.succession.departing(view.Voters, view.ID, leadership.since, core.place.ReplaceAfter)
@@ -175,9 +176,9 @@
 
 // near is whether a replica holds registers of this leadership, so that it lacks
 // no more than the last few writes.
-func (leadership *Leadership) near(marks wire.Versions) bool {
-	for register := range marks {
-		if marks[register].Term != leadership.ballot {
+func (leadership *Leadership) near(versions message.Versions) bool {
+	for register := range versions {
+		if versions[register].Term != leadership.ballot {
 			return false
 		}
 	}
@@ -214,7 +215,7 @@
 func (leadership *Leadership) mayReplace(leaving Peer, address string) error {
 	view := leadership.core.members()
 	if view.changing() || !contains(view.Voters, leaving.ID) || view.has(address) {
-		return wire.Errorf(wire.NotStarted, "membership %d is another one meanwhile", view.Mark.Serial)
+		return rpc.Errorf(rpc.NotStarted, "membership %d is another one meanwhile", view.Mark.Serial)
 	}
 	return nil
 }
@@ -226,15 +227,15 @@
 	leadership.mutex.Unlock()
 	core := leadership.core
 	_, failed := run.Gather(core.threads, len(values), func(register int) (bool, error) {
-		message := &wire.AcceptRequest{Term: leadership.ballot, Register: wire.Register(register), Value: values[register]}
-		told, err := core.offerTo(peer, message, texts, core.roundLimit())
-		if err == nil && !told.Accepted {
-			err = wire.Errorf(wire.StaleTerm, "%s promised %s", peer.Address, told.Promised)
+		request := &message.AcceptRequest{Term: leadership.ballot, Register: message.Register(register), Value: values[register]}
+		response, err := core.offerTo(peer, request, texts, core.roundLimit())
+		if err == nil && !response.Accepted {
+			err = rpc.Errorf(rpc.StaleTerm, "%s promised %s", peer.Address, response.Promised)
 		}
 		return err == nil, err
 	}, func(_ map[int]bool, failed map[int]error) bool { return len(failed) > 0 })
 	for _, err := range failed {
-		return wire.AsError(err)
+		return rpc.AsError(err)
 	}
 	return nil
 }
@@ -267,14 +268,14 @@
 	values, texts := leadership.values, leadership.content.texts
 	leadership.mutex.Unlock()
 	_, failed := run.Gather(leadership.core.threads, len(values), func(register int) (bool, error) {
-		message := &wire.AcceptRequest{Term: leadership.ballot, Register: wire.Register(register), Value: values[register]}
-		if err := leadership.core.pushValue(view, message, texts); err != nil {
+		request := &message.AcceptRequest{Term: leadership.ballot, Register: message.Register(register), Value: values[register]}
+		if err := leadership.core.pushValue(view, request, texts); err != nil {
 			return false, err
 		}
 		return true, nil
 	}, func(_ map[int]bool, failed map[int]error) bool { return len(failed) > 0 })
 	for _, err := range failed {
-		return wire.AsError(err)
+		return rpc.AsError(err)
 	}
 	return nil
 }
@@ -292,45 +293,45 @@
 		return err
 	}
 	accepted := view.accepted()
-	message := &wire.AcceptRequest{Term: leadership.ballot, Register: wire.MembersRegister, Value: accepted.Value}
-	if err := core.pushValue(view, message, nil); err != nil {
+	request := &message.AcceptRequest{Term: leadership.ballot, Register: message.MembersRegister, Value: accepted.Value}
+	if err := core.pushValue(view, request, nil); err != nil {
 		core.counts.Add("write_unknown", 1)
 		core.revoke(leadership)
 		return err
 	}
 	leadership.mutex.Lock()
-	leadership.values[wire.MembersRegister] = accepted.Value
+	leadership.values[message.MembersRegister] = accepted.Value
 	leadership.mutex.Unlock()
 	return nil
 }
 
 // countBy makes a membership, about to be written under a ballot, the one that this
 // core counts by; it fails where a newer one is known.
-func (core *Core) countBy(next *Membership, ballot wire.Term) (*View, error) {
-	next.Mark.Term = ballot
+func (core *Core) countBy(next *Membership, term message.Term) (*View, error) {
+	next.Mark.Term = term
 	core.learnMembers(next.accepted())
 	view := core.members()
 	if view.Mark != next.Mark {
-		return nil, wire.Errorf(wire.StaleTerm, "a newer membership %v is known", view.Mark)
+		return nil, rpc.Errorf(rpc.StaleTerm, "a newer membership %v is known", view.Mark)
 	}
 	return view, nil
 }
 
 // onLeave takes a voter's word that it ends. It need not wait where no learner is
 // there to take its place, nor once it has no place left.
-func (core *Core) onLeave(message *wire.LeaveRequest) (*wire.LeaveResponse, error) {
+func (core *Core) onLeave(request *message.LeaveRequest) (*message.LeaveResponse, error) {
 	leadership, err := core.leading()
 	if err != nil {
 		return nil, err
 	}
 	view := core.members()
 	learners := leadership.succession.waiting(learnerSpan*core.place.Suspect, view)
-	place := contains(view.Voters, message.Core) || contains(view.Next, message.Core)
+	place := contains(view.Voters, request.Core) || contains(view.Next, request.Core)
 	if !place || len(learners) == 0 && !view.changing() {
-		return &wire.LeaveResponse{Membership: view.accepted()}, nil
+		return &message.LeaveResponse{Membership: view.accepted()}, nil
 	}
-	leadership.succession.leaves(message.Core)
-	return &wire.LeaveResponse{Wait: true}, nil
+	leadership.succession.leaves(request.Core)
+	return &message.LeaveResponse{Wait: true}, nil
 }
 
 // leave is the end of a voter that does not lead: it keeps voting until a learner,
@@ -341,11 +342,11 @@
 		until = limit
 	}
 	for time.Now().Before(until) && core.members().votes() && len(core.members().Peers) > 0 {
-		told, err := core.announceLeave()
+		response, err := core.announceLeave()
 		if err == nil {
-			core.learnMembers(told.Membership)
+			core.learnMembers(response.Membership)
 		}
-		if err == nil && !told.Wait || err != nil && time.Since(begin) > leaveRetries {
+		if err == nil && !response.Wait || err != nil && time.Since(begin) > leaveRetries {
 			return
 		}
 		if !core.threads.Rest(core.place.Beat / 2) {
@@ -355,12 +356,12 @@
 }
 
 // announceLeave tells the leader that this voter ends.
-func (core *Core) announceLeave() (*wire.LeaveResponse, error) {
+func (core *Core) announceLeave() (*message.LeaveResponse, error) {
 	core.mutex.Lock()
 	leader := core.leader
 	core.mutex.Unlock()
 	if !leader.Known() || leader.Address == core.place.Wire {
-		return nil, wire.Errorf(wire.NoLeader, "nobody leads")
+		return nil, rpc.Errorf(rpc.NoLeader, "nobody leads")
 	}
-	return wire.Call[wire.LeaveRequest, wire.LeaveResponse](core.line, leader.Address, "leave", core.roundLimit(), &wire.LeaveRequest{Core: core.members().ID})
+	return rpc.Call[message.LeaveRequest, message.LeaveResponse](core.line, leader.Address, "leave", core.roundLimit(), &message.LeaveRequest{Core: core.members().ID})
 }
--- a/control/restore.go
+++ b/control/restore.go
@@ -1,10 +1,10 @@
 package control
 
 import (
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"time"
 
-	"orchidjunction/wire"
-
 	"k8s.io/klog/v2"
 )
 
@@ -13,51 +13,51 @@
 func (core *Core) restore() {
 	core.threads.Rest(core.random.span(core.place.Beat, 2*core.place.Beat))
 	view := core.members()
-	told := askPeers(core, view, func(peer Peer) (*wire.ReplicaStateResponse, error) {
-		return wire.Call[wire.ReplicaStateRequest, wire.ReplicaStateResponse](core.line, peer.Address, "restore", core.roundLimit(), &wire.ReplicaStateRequest{Core: view.ID, Membership: view.Mark})
-	}, func(answer *wire.ReplicaStateResponse) bool { return answer.Initialized }, never)
-	untouched := len(told) == len(view.Peers) && !core.place.enlists()
-	for _, answer := range told {
+	response := askPeers(core, view, func(peer Peer) (*message.ReplicaStateResponse, error) {
+		return rpc.Call[message.ReplicaStateRequest, message.ReplicaStateResponse](core.line, peer.Address, "restore", core.roundLimit(), &message.ReplicaStateRequest{Core: view.ID, Membership: view.Mark})
+	}, func(answer *message.ReplicaStateResponse) bool { return answer.Initialized }, never)
+	untouched := len(response) == len(view.Peers) && !core.place.enlists()
+	for _, answer := range response {
 		core.sawRound(answer.Promised.Number)
 		core.learnMembers(answer.Membership)
-		if answer.Promised.Number > 0 || answer.Versions != (wire.Versions{}) {
+		if answer.Promised.Number > 0 || answer.Versions != (message.Versions{}) {
 			untouched = false
 		}
 	}
 	if untouched && core.place.Found {
-		if err := core.voter.Found(wire.Term{}, [wire.Registers]wire.AcceptedValue{}, nil); err == nil {
+		if err := core.voter.Found(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err == nil {
 			klog.Infof("core %d: founded", view.ID)
 			core.beginClaims(view.ID)
 			core.begin()
 		}
 		return
 	}
-	if !core.mayRestore(view, told) {
+	if !core.mayRestore(view, response) {
 		core.counts.Add("restores_short", 1)
 		return
 	}
-	ballot, revoked := core.nextBallot(view)
-	promises := core.promisesOf(askPeers(core, view, func(peer Peer) (*wire.PrepareResponse, error) {
-		return wire.Call[wire.PrepareRequest, wire.PrepareResponse](core.line, peer.Address, "promise", core.roundLimit(), &wire.PrepareRequest{Term: ballot, Membership: view.accepted()})
+	term, revoked := core.nextBallot(view)
+	promises := core.promisesOf(askPeers(core, view, func(peer Peer) (*message.PrepareResponse, error) {
+		return rpc.Call[message.PrepareRequest, message.PrepareResponse](core.line, peer.Address, "promise", core.roundLimit(), &message.PrepareRequest{Term: term, Membership: view.accepted()})
 	}, granted, never))
 	if !view.fencesWithout(view.ID, agreed(promises, granted)) {
 		core.counts.Add("restores_short", 1)
 		return
 	}
 	accepted, from := takenOver(view, promises)
-	texts, err := core.gatherTexts(view.address(from[wire.SettingsRegister]), accepted[wire.SettingsRegister].Value, nil)
+	texts, err := core.gatherTexts(view.address(from[message.SettingsRegister]), accepted[message.SettingsRegister].Value, nil)
 	if err != nil {
 		core.counts.Add("restores_short", 1)
 		return
 	}
-	if err := core.voter.Found(ballot, accepted, texts); err != nil {
+	if err := core.voter.Found(term, accepted, texts); err != nil {
 		return
 	}
 	core.counts.Add("restores", 1)
-	klog.Infof("core %d: restored from %d cores under %s", view.ID, len(promises), ballot)
-	promises[view.ID] = &wire.PrepareResponse{Granted: true, Promised: ballot, Accepted: core.voter.State().Accepted}
+	klog.Infof("core %d: restored from %d cores under %s", view.ID, len(promises), term)
+	promises[view.ID] = &message.PrepareResponse{Granted: true, Promised: term, Accepted: core.voter.State().Accepted}
 	if core.chart.move(Revoking) {
-		core.found(view, ballot, &Revocation{Method: BallotFence, Ballot: ballot, Revoked: revoked, Promises: promises, Complete: true})
+		core.found(view, term, &Revocation{Method: BallotFence, Ballot: term, Revoked: revoked, Promises: promises, Complete: true})
 		core.chart.moveBack()
 	}
 }
@@ -82,7 +82,7 @@
 	if view.ID != id {
 		return nil
 	}
-	err := core.claims.put(&keepWait{message: &wire.RecordClaimsRequest{}, members: view.accepted(), wholeAs: view.ID})
+	err := core.claims.put(&keepWait{message: &message.RecordClaimsRequest{}, members: view.accepted(), wholeAs: view.ID})
 	if err != nil {
 		core.counts.Add("claims_not_begun", 1)
 	}
@@ -91,9 +91,9 @@
 
 // mayRestore is whether enough other replicas answered a blank voter that it may fence
 // them, by the membership that it asked them under.
-func (core *Core) mayRestore(view *View, told map[int]*wire.ReplicaStateResponse) bool {
-	founded := func(answer *wire.ReplicaStateResponse) bool { return answer.Initialized }
-	return core.members().same(view) && view.mayLead(view.ID) && view.fencesWithout(view.ID, agreed(told, founded))
+func (core *Core) mayRestore(view *View, response map[int]*message.ReplicaStateResponse) bool {
+	founded := func(answer *message.ReplicaStateResponse) bool { return answer.Initialized }
+	return core.members().same(view) && view.mayLead(view.ID) && view.fencesWithout(view.ID, agreed(response, founded))
 }
 
 func (core *Core) begin() {
@@ -104,7 +104,7 @@
 	core.chart.move(Following)
 }
 
-func (core *Core) onRestore(message *wire.ReplicaStateRequest) (*wire.ReplicaStateResponse, error) {
+func (core *Core) onRestore(request *message.ReplicaStateRequest) (*message.ReplicaStateResponse, error) {
 	state := core.voter.State()
-	return &wire.ReplicaStateResponse{Voter: state.Founded, Initialized: state.Founded, Promised: state.Promised, Versions: state.Marks(), Membership: core.newerMembers(message.Membership)}, nil
+	return &message.ReplicaStateResponse{Voter: state.Founded, Initialized: state.Founded, Promised: state.Promised, Versions: state.Marks(), Membership: core.newerMembers(request.Membership)}, nil
 }
--- a/control/revocation.go
+++ b/control/revocation.go
@@ -1,9 +1,9 @@
 package control
 
 import (
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // Method is how a round makes the former leadership's conditions false.
@@ -17,29 +17,29 @@
 // Revocation ends the former leadership; establishment takes only a complete one.
 type Revocation struct {
 	Method   Method
-	Ballot   wire.Term
-	Revoked  wire.Term
-	Promises map[int]*wire.PrepareResponse
+	Ballot   message.Term
+	Revoked  message.Term
+	Promises map[int]*message.PrepareResponse
 	Complete bool
 	Learners []string
 }
 
 // fence pushes the ballot until a majority holds no older one valid.
-func (core *Core) fence(view *View, ballot wire.Term, revoked wire.Term) (*Revocation, error) {
-	promises, err := core.pushBallot(view, ballot)
+func (core *Core) fence(view *View, term message.Term, revoked message.Term) (*Revocation, error) {
+	promises, err := core.pushBallot(view, term)
 	if err != nil {
 		return nil, err
 	}
-	return &Revocation{Method: BallotFence, Ballot: ballot, Revoked: revoked, Promises: promises, Complete: true}, nil
+	return &Revocation{Method: BallotFence, Ballot: term, Revoked: revoked, Promises: promises, Complete: true}, nil
 }
 
 // steppedDown takes the leader's own word that it writes no more.
-func steppedDown(message *wire.TransferLeadershipRequest) *Revocation {
-	return &Revocation{Method: SteppedDown, Revoked: message.Term, Complete: true, Learners: message.Learners}
+func steppedDown(request *message.TransferLeadershipRequest) *Revocation {
+	return &Revocation{Method: SteppedDown, Revoked: request.Term, Complete: true, Learners: request.Learners}
 }
 
 // covers is false when a promise shows a leadership newer than the one revoked.
-func (revocation *Revocation) covers(promises map[int]*wire.PrepareResponse) bool {
+func (revocation *Revocation) covers(promises map[int]*message.PrepareResponse) bool {
 	if !revocation.Complete {
 		return false
 	}
@@ -59,33 +59,33 @@
 // pushBallot asks every voter to promise, this one first and synced, until a quorum
 // did. One that knows a newer membership refuses and tells it: the next attempt
 // counts by that.
-func (core *Core) pushBallot(view *View, ballot wire.Term) (map[int]*wire.PrepareResponse, error) {
-	message := &wire.PrepareRequest{Term: ballot, Membership: view.accepted()}
-	own, err := core.voter.Promise(message)
+func (core *Core) pushBallot(view *View, term message.Term) (map[int]*message.PrepareResponse, error) {
+	request := &message.PrepareRequest{Term: term, Membership: view.accepted()}
+	own, err := core.voter.Promise(request)
 	if err != nil {
 		return nil, err
 	}
 	if !own.Granted {
 		core.sawRound(own.Promised.Number)
-		return nil, &wire.Error{Code: wire.StaleTerm, Message: "own promise " + own.Promised.String()}
+		return nil, &rpc.Error{Code: rpc.StaleTerm, Message: "own promise " + own.Promised.String()}
 	}
-	told := askPeers(core, view, func(peer Peer) (*wire.PrepareResponse, error) {
-		return wire.Call[wire.PrepareRequest, wire.PrepareResponse](core.line, peer.Address, "promise", core.roundLimit(), message)
+	response := askPeers(core, view, func(peer Peer) (*message.PrepareResponse, error) {
+		return rpc.Call[message.PrepareRequest, message.PrepareResponse](core.line, peer.Address, "promise", core.roundLimit(), request)
 	}, granted, view.decides)
-	promises := core.promisesOf(told)
+	promises := core.promisesOf(response)
 	promises[view.ID] = own
 	if !view.decides(agreed(promises, granted)) {
-		return nil, wire.Errorf(wire.StaleTerm, "%d cores and no quorum of membership %d promised %s", len(promises), view.Mark.Serial, ballot)
+		return nil, rpc.Errorf(rpc.StaleTerm, "%d cores and no quorum of membership %d promised %s", len(promises), view.Mark.Serial, term)
 	}
 	return promises, nil
 }
 
-func granted(told *wire.PrepareResponse) bool { return told.Granted }
+func granted(response *message.PrepareResponse) bool { return response.Granted }
 
 // promisesOf are those that were granted; what the others know is learned.
-func (core *Core) promisesOf(told map[int]*wire.PrepareResponse) map[int]*wire.PrepareResponse {
-	promises := map[int]*wire.PrepareResponse{}
-	for id, promise := range told {
+func (core *Core) promisesOf(response map[int]*message.PrepareResponse) map[int]*message.PrepareResponse {
+	promises := map[int]*message.PrepareResponse{}
+	for id, promise := range response {
 		if promise.Granted {
 			promises[id] = promise
 			continue
--- a/control/routing.go
+++ b/control/routing.go
@@ -3,8 +3,9 @@
 import (
 	"sync"
 
+	"orchidjunction/message"
 	"orchidjunction/route"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 // routedBody is a committed routing as daemons get it, packed once.
@@ -15,7 +16,7 @@
 }
 
 // of packs a book as daemons need it, and squeezes it.
-func (routed *routedBody) of(value wire.Value) ([]byte, error) {
+func (routed *routedBody) of(value message.Value) ([]byte, error) {
 	routed.mutex.Lock()
 	defer routed.mutex.Unlock()
 	if routed.serial == value.Serial {
@@ -25,18 +26,18 @@
 	if err != nil {
 		return nil, err
 	}
-	body, err := wire.Marshal(book.Bare())
+	body, err := rpc.Marshal(book.Bare())
 	if err != nil {
-		return nil, wire.AsError(err)
+		return nil, rpc.AsError(err)
 	}
-	routed.serial, routed.body = value.Serial, wire.Compress(body)
+	routed.serial, routed.body = value.Serial, message.Compress(body)
 	return routed.body, nil
 }
 
 // Routing is the committed routing as this core holds it.
 func (core *Core) Routing() (uint64, *route.Book) {
 	core.mutex.Lock()
-	value := core.committed[wire.RoutingRegister].Value
+	value := core.committed[message.RoutingRegister].Value
 	core.mutex.Unlock()
 	book, err := route.BookOf(value.Body)
 	if err != nil {
@@ -54,11 +55,11 @@
 	}
 	switch {
 	case change.Base != book.Config.Version && book.Trail.Forgets(change.Version):
-		return nil, false, &wire.Error{Code: wire.Forgotten, Message: "too long ago to know whether it was taken", Serial: book.Config.Version}
+		return nil, false, &rpc.Error{Code: rpc.Forgotten, Message: "too long ago to know whether it was taken", Serial: book.Config.Version}
 	case change.Base != book.Config.Version:
-		return nil, false, &wire.Error{Code: wire.StaleBase, Message: "another version is in place", Serial: book.Config.Version}
+		return nil, false, &rpc.Error{Code: rpc.StaleBase, Message: "another version is in place", Serial: book.Config.Version}
 	case change.Version <= book.Config.Version:
-		return nil, false, &wire.Error{Code: wire.StaleVersion, Message: "a version as high is in place", Serial: book.Config.Version}
+		return nil, false, &rpc.Error{Code: rpc.StaleVersion, Message: "a version as high is in place", Serial: book.Config.Version}
 	}
 	config := book.Config
 	switch {
@@ -69,7 +70,7 @@
 			return nil, false, err
 		}
 	default:
-		return nil, false, wire.Errorf(wire.BadRequest, "neither a whole routing nor a patch")
+		return nil, false, rpc.Errorf(rpc.BadRequest, "neither a whole routing nor a patch")
 	}
 	config.Version = change.Version
 	if err := config.Check(); err != nil {
@@ -85,18 +86,18 @@
 func (leadership *Leadership) writeRouting(build func(book *route.Book) (*route.Book, error)) (uint64, error) {
 	var next *route.Book
 	held := uint64(0)
-	serial, err := leadership.write(wire.RoutingRegister, func(current wire.Value) (*wire.Value, wire.Chunks, error) {
+	serial, err := leadership.write(message.RoutingRegister, func(current message.Value) (*message.Value, message.Chunks, error) {
 		held = current.Serial
 		book, err := build(leadership.book())
 		if err != nil || book == nil {
 			return nil, nil, err
 		}
-		body, err := wire.Marshal(book)
+		body, err := rpc.Marshal(book)
 		if err != nil {
-			return nil, nil, wire.AsError(err)
+			return nil, nil, rpc.AsError(err)
 		}
 		next = book
-		return &wire.Value{Serial: current.Serial + 1, Body: body}, nil, nil
+		return &message.Value{Serial: current.Serial + 1, Body: body}, nil, nil
 	}, func() { leadership.routing = next })
 	if err == nil && serial == 0 {
 		serial = held
@@ -114,30 +115,30 @@
 // onRouteChange puts an operator's routing in force at the leader, or says why not.
 // What needs no write, a repeat or a refusal, is told only by who still leads: the
 // next leader may have taken the order, or others.
-func (core *Core) onRouteChange(message *wire.RoutingChangeRequest) (*wire.RoutingChangeResponse, error) {
+func (core *Core) onRouteChange(request *message.RoutingChangeRequest) (*message.RoutingChangeResponse, error) {
 	leadership, err := core.leading()
 	if err != nil {
 		return nil, err
 	}
 	change := &route.Change{}
-	if err := wire.Unmarshal(message.Body, change); err != nil {
-		return nil, wire.AsError(err)
+	if err := rpc.Unmarshal(request.Body, change); err != nil {
+		return nil, rpc.AsError(err)
 	}
-	told, decided := &wire.RoutingChangeResponse{}, false
-	told.Serial, err = leadership.writeRouting(func(book *route.Book) (*route.Book, error) {
+	response, decided := &message.RoutingChangeResponse{}, false
+	response.Serial, err = leadership.writeRouting(func(book *route.Book) (*route.Book, error) {
 		next, again, refusal := decide(book, change)
-		told.Duplicate, decided = again, next == nil
+		response.Duplicate, decided = again, next == nil
 		return next, refusal
 	})
 	if decided {
 		err = leadership.proven(err)
 	}
 	if err != nil {
-		core.counts.Add("routings_"+string(wire.CodeOf(err)), 1)
+		core.counts.Add("routings_"+string(rpc.CodeOf(err)), 1)
 		return nil, err
 	}
 	core.counts.Add("routings_taken", 1)
-	return told, nil
+	return response, nil
 }
 
 // proven is what a caller is told of a decision that needed no write: the decision,
@@ -149,7 +150,7 @@
 	return decision
 }
 
-func (core *Core) onRouteRead(*wire.RoutingReadRequest) (*wire.RoutingReadResponse, error) {
+func (core *Core) onRouteRead(*message.RoutingReadRequest) (*message.RoutingReadResponse, error) {
 	leadership, err := core.leading()
 	if err != nil {
 		return nil, err
@@ -157,6 +158,6 @@
 	if err := leadership.confirm(core.roundLimit()); err != nil {
 		return nil, err
 	}
-	value := leadership.value(wire.RoutingRegister)
-	return &wire.RoutingReadResponse{Serial: value.Serial, Body: value.Body}, nil
+	value := leadership.value(message.RoutingRegister)
+	return &message.RoutingReadResponse{Serial: value.Serial, Body: value.Body}, nil
 }
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -1,11 +1,11 @@
 package control
 
 import (
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"sort"
 	"sync"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 const (
@@ -13,7 +13,7 @@
 )
 
 type heldSession struct {
-	session wire.Session
+	session message.Session
 	core    int
 	until   time.Time
 	told    time.Time
@@ -33,7 +33,7 @@
 }
 
 // take keeps the newer word on a daemon.
-func (sessions *Sessions) take(session wire.Session, core int) {
+func (sessions *Sessions) take(session message.Session, core int) {
 	told := time.Now().Add(-time.Duration(session.AgeMs) * time.Millisecond)
 	sessions.mutex.Lock()
 	defer sessions.mutex.Unlock()
@@ -104,7 +104,7 @@
 // lapsed is whether more than half of the members fell silent just now. Then it
 // may be this side that was cut off: nobody is dropped until all had the time
 // to speak again, which begins anew while nobody speaks at all.
-func (sessions *Sessions) lapsed(members []wire.Member, known map[string]bool) bool {
+func (sessions *Sessions) lapsed(members []message.Member, known map[string]bool) bool {
 	silent := 0
 	for _, member := range members {
 		if !known[member.Name] && !sessions.gone(member.Name) {
@@ -123,7 +123,7 @@
 	return time.Since(sessions.lapse) < sessions.span
 }
 
-func (core *Core) onSession(session *wire.Session) (*wire.SessionResponse, error) {
+func (core *Core) onSession(session *message.Session) (*message.SessionResponse, error) {
 	session.AgeMs = 0
 	core.sessions.take(*session, core.members().ID)
 	core.usage.take(session.Member.Incarnation, session.Usage)
@@ -134,14 +134,14 @@
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	view := core.members()
-	told := &wire.SessionResponse{Membership: view.Mark, Process: core.meter.process, Serial: core.committed[wire.SettingsRegister].Value.Serial, Table: core.table.Version, Cores: view.addresses(), Routing: core.committed[wire.RoutingRegister].Value.Serial}
+	response := &message.SessionResponse{Membership: view.Mark, Process: core.meter.process, Serial: core.committed[message.SettingsRegister].Value.Serial, Table: core.table.Version, Cores: view.addresses(), Routing: core.committed[message.RoutingRegister].Value.Serial}
 	if !core.duck && (leads || time.Since(core.heard) < core.place.Suspect) {
-		told.Leader, told.NowMs = core.leader, now
+		response.Leader, response.NowMs = core.leader, now
 	}
-	return told, nil
+	return response, nil
 }
 
-func (core *Core) onTell(tell *wire.ShareSessionsRequest) (*wire.ShareSessionsResponse, error) {
+func (core *Core) onTell(tell *message.ShareSessionsRequest) (*message.ShareSessionsResponse, error) {
 	core.sessions.heardCore(tell.Core)
 	for _, session := range tell.Sessions {
 		core.sessions.take(session, tell.Core)
@@ -149,7 +149,7 @@
 		core.stirs.take(&session)
 		core.meter.take(&session)
 	}
-	return &wire.ShareSessionsResponse{}, nil
+	return &message.ShareSessionsResponse{}, nil
 }
 
 // tellSessions sends what daemons told this core to the other cores or, where
@@ -163,19 +163,19 @@
 	if !view.votes() {
 		return
 	}
-	tell := &wire.ShareSessionsRequest{Core: view.ID}
+	tell := &message.ShareSessionsRequest{Core: view.ID}
 	for _, held := range core.sessions.standing(view.ID) {
 		held.session.AgeMs = time.Since(held.told).Milliseconds()
 		tell.Sessions = append(tell.Sessions, held.session)
 	}
-	askPeers(core, view, func(peer Peer) (*wire.ShareSessionsResponse, error) {
-		return wire.Call[wire.ShareSessionsRequest, wire.ShareSessionsResponse](core.line, peer.Address, "tell", core.roundLimit(), tell)
-	}, func(*wire.ShareSessionsResponse) bool { return true }, never)
+	askPeers(core, view, func(peer Peer) (*message.ShareSessionsResponse, error) {
+		return rpc.Call[message.ShareSessionsRequest, message.ShareSessionsResponse](core.line, peer.Address, "tell", core.roundLimit(), tell)
+	}, func(*message.ShareSessionsResponse) bool { return true }, never)
 }
 
 // relayed is a session as the leader gets it from this core: with all counts that
 // this core was told, since what the session itself brought may only add to them.
-func (core *Core) relayed(held heldSession) wire.Session {
+func (core *Core) relayed(held heldSession) message.Session {
 	session := held.session
 	session.AgeMs = time.Since(held.told).Milliseconds()
 	if all, whole := core.meter.of(&session); whole {
@@ -193,7 +193,7 @@
 		return
 	}
 	begin := time.Now()
-	tell := &wire.ShareSessionsRequest{Core: core.members().ID}
+	tell := &message.ShareSessionsRequest{Core: core.members().ID}
 	for _, held := range core.sessions.own(core.members().ID) {
 		if held.told.After(since) {
 			tell.Sessions = append(tell.Sessions, core.relayed(held))
@@ -202,54 +202,54 @@
 	if len(tell.Sessions) == 0 {
 		return
 	}
-	if _, err := wire.Call[wire.ShareSessionsRequest, wire.ShareSessionsResponse](core.line, leader.Address, "tell", core.roundLimit(), tell); err == nil {
+	if _, err := rpc.Call[message.ShareSessionsRequest, message.ShareSessionsResponse](core.line, leader.Address, "tell", core.roundLimit(), tell); err == nil {
 		core.mutex.Lock()
 		core.toldLeader = begin
 		core.mutex.Unlock()
 	}
 }
 
-func (core *Core) onWatch(watch *wire.WatchRequest) (*wire.WatchResponse, error) {
+func (core *Core) onWatch(watch *message.WatchRequest) (*message.WatchResponse, error) {
 	span := min(time.Duration(watch.SpanMs)*time.Millisecond, watchSpan)
 	until := time.Now().Add(span)
 	for {
 		seen := core.news.Count()
 		core.mutex.Lock()
-		told := &wire.WatchResponse{Serial: core.committed[wire.SettingsRegister].Value.Serial, Table: core.table.Version, Routing: core.committed[wire.RoutingRegister].Value.Serial}
+		response := &message.WatchResponse{Serial: core.committed[message.SettingsRegister].Value.Serial, Table: core.table.Version, Routing: core.committed[message.RoutingRegister].Value.Serial}
 		core.mutex.Unlock()
-		if told.Serial > watch.Serial || told.Routing > watch.Routing || watch.Table.Less(told.Table) || core.threads.Stopping() {
-			return told, nil
+		if response.Serial > watch.Serial || response.Routing > watch.Routing || watch.Table.Less(response.Table) || core.threads.Stopping() {
+			return response, nil
 		}
 		if !core.news.Wait(seen, time.Until(until)) {
-			return told, nil
+			return response, nil
 		}
 	}
 }
 
-func (core *Core) onFetch(fetch *wire.FetchRequest) (*wire.FetchResponse, error) {
-	told := &wire.FetchResponse{}
+func (core *Core) onFetch(fetch *message.FetchRequest) (*message.FetchResponse, error) {
+	response := &message.FetchResponse{}
 	core.mutex.Lock()
-	routing := core.committed[wire.RoutingRegister].Value
+	routing := core.committed[message.RoutingRegister].Value
 	core.mutex.Unlock()
 	if routing.Serial > fetch.Routing {
 		body, err := core.routed.of(routing)
 		if err != nil {
 			return nil, err
 		}
-		told.Routing, told.RoutingBody, told.RoutingCompressed = routing.Serial, body, true
+		response.Routing, response.RoutingBody, response.RoutingCompressed = routing.Serial, body, true
 	}
 	core.mutex.Lock()
-	if value := core.committed[wire.SettingsRegister].Value; value.Serial > fetch.Serial {
-		told.Serial, told.Chunks = value.Serial, treeParts(value.Chunks)
+	if value := core.committed[message.SettingsRegister].Value; value.Serial > fetch.Serial {
+		response.Serial, response.Chunks = value.Serial, treeParts(value.Chunks)
 	}
 	if fetch.Table.Less(core.table.Version) {
 		delta, known := core.tableLog.Since(fetch.Table, core.table)
-		if told.Delta = delta; !known {
-			told.Table = core.table
+		if response.Delta = delta; !known {
+			response.Table = core.table
 		}
 	}
 	core.mutex.Unlock()
-	return core.fetched.of(told)
+	return core.fetched.of(response)
 }
 
 const fetchedMost = 4
@@ -257,29 +257,29 @@
 // fetchedAnswers are answers with the newest table, packed once for all daemons.
 type fetchedAnswers struct {
 	mutex sync.Mutex
-	table *wire.Table
-	held  map[fetchedKey]*wire.FetchResponse
+	table *message.Table
+	held  map[fetchedKey]*message.FetchResponse
 }
 
 type fetchedKey struct{ serial, routing uint64 }
 
 // of gives the packed answer that says the same; one without a table is small.
-func (answers *fetchedAnswers) of(told *wire.FetchResponse) (*wire.FetchResponse, error) {
-	if told.Table == nil {
-		return told, nil
+func (answers *fetchedAnswers) of(response *message.FetchResponse) (*message.FetchResponse, error) {
+	if response.Table == nil {
+		return response, nil
 	}
 	answers.mutex.Lock()
 	defer answers.mutex.Unlock()
-	key := fetchedKey{told.Serial, told.Routing}
-	if held := answers.held[key]; held != nil && answers.table == told.Table {
+	key := fetchedKey{response.Serial, response.Routing}
+	if held := answers.held[key]; held != nil && answers.table == response.Table {
 		return held, nil
 	}
-	if err := told.Encode(); err != nil {
+	if err := response.Encode(); err != nil {
 		return nil, err
 	}
-	if answers.table != told.Table || len(answers.held) >= fetchedMost {
-		answers.table, answers.held = told.Table, map[fetchedKey]*wire.FetchResponse{}
+	if answers.table != response.Table || len(answers.held) >= fetchedMost {
+		answers.table, answers.held = response.Table, map[fetchedKey]*message.FetchResponse{}
 	}
-	answers.held[key] = told
-	return told, nil
+	answers.held[key] = response
+	return response, nil
 }
--- a/control/stall_test.go
+++ b/control/stall_test.go
@@ -6,9 +6,10 @@
 	"time"
 
 	"orchidjunction/control"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
 	"orchidjunction/sim"
-	"orchidjunction/wire"
 )
 
 // While a disk does not answer, who comes late is refused at once and who came early
@@ -20,17 +21,17 @@
 		if err != nil {
 			test.Fatal(err)
 		}
-		voter := control.NewVoter(store, func(err error) { test.Error(err) }, func(wire.Term) {})
-		if err := voter.Found(wire.Term{}, [wire.Registers]wire.AcceptedValue{}, nil); err != nil {
+		voter := control.NewVoter(store, func(err error) { test.Error(err) }, func(message.Term) {})
+		if err := voter.Found(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
 			test.Fatal(err)
 		}
 		disk.Stall(true)
 		var early error
-		threads.Start(func() { _, early = voter.Promise(&wire.PrepareRequest{Term: wire.Term{Number: 1, Core: 1}}) })
+		threads.Start(func() { _, early = voter.Promise(&message.PrepareRequest{Term: message.Term{Number: 1, Core: 1}}) })
 		threads.Rest(time.Second)
 		begin := time.Now()
 		for round := range uint64(20) {
-			if _, err := voter.Accept(&wire.AcceptRequest{Term: wire.Term{Number: 2 + round, Core: 1}, Value: wire.Value{Serial: 1}}); err == nil || wire.CodeOf(err) != wire.DiskFailure {
+			if _, err := voter.Accept(&message.AcceptRequest{Term: message.Term{Number: 2 + round, Core: 1}, Value: message.Value{Serial: 1}}); err == nil || rpc.CodeOf(err) != rpc.DiskFailure {
 				test.Fatalf("accept: %v", err)
 			}
 		}
--- a/control/stirs.go
+++ b/control/stirs.go
@@ -1,11 +1,10 @@
 package control
 
 import (
+	"orchidjunction/message"
 	"slices"
 	"sync"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // Stirs counts, for each backend, how often some proxy found it changed. The
@@ -35,7 +34,7 @@
 }
 
 // take counts a finding that is new to the proxy that tells it and to everybody.
-func (stirs *Stirs) take(session *wire.Session) {
+func (stirs *Stirs) take(session *message.Session) {
 	stirs.mutex.Lock()
 	defer stirs.mutex.Unlock()
 	for _, probe := range session.Probes {
@@ -61,7 +60,7 @@
 
 // lay gives backends with their counts, which never fall below what was given
 // out; the same ones where they have them already.
-func (stirs *Stirs) lay(backends, before []wire.Backend) []wire.Backend {
+func (stirs *Stirs) lay(backends, before []message.Backend) []message.Backend {
 	stirs.mutex.Lock()
 	defer stirs.mutex.Unlock()
 	for index := range before {
--- a/control/store.go
+++ b/control/store.go
@@ -1,7 +1,8 @@
 package control
 
 import (
-	"orchidjunction/wire"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 const (
@@ -14,43 +15,43 @@
 	Opening  bool
 	Roster   []Peer // as disks of former versions hold it; see upgrade
 	Founded  bool
-	Promised wire.Term
-	Accepted [wire.Registers]wire.AcceptedValue
-	Texts    wire.Chunks
+	Promised message.Term
+	Accepted [message.Registers]message.AcceptedValue
+	Texts    message.Chunks
 
-	Committed wire.Versions
+	Committed message.Versions
 }
 
 // proven is a register's accepted value where this core knew it committed: what a
 // later ballot holds under the same serial is the same value.
-func (state State) proven(register wire.Register) (wire.AcceptedValue, bool) {
-	accepted, mark := state.Accepted[register], state.Committed[register]
-	return accepted, mark.Serial > 0 && mark.Serial == accepted.Value.Serial && !accepted.Term.Less(mark.Term)
+func (state State) proven(register message.Register) (message.AcceptedValue, bool) {
+	accepted, version := state.Accepted[register], state.Committed[register]
+	return accepted, version.Serial > 0 && version.Serial == accepted.Value.Serial && !accepted.Term.Less(version.Term)
 }
 
 // upgrade makes the roster of a former version, which was fixed, the first membership.
 func (state *State) upgrade(roster []Peer) {
 	state.Roster = nil
-	if len(roster) > 0 && state.Accepted[wire.MembersRegister].Value.Serial == 0 {
-		state.Accepted[wire.MembersRegister] = givenMembership(roster).accepted()
+	if len(roster) > 0 && state.Accepted[message.MembersRegister].Value.Serial == 0 {
+		state.Accepted[message.MembersRegister] = givenMembership(roster).accepted()
 	}
 }
 
 // Voters is the membership that was accepted last; nil where none was.
 func (state State) Voters() *Membership {
-	membership, err := membershipOf(state.Accepted[wire.MembersRegister])
+	membership, err := membershipOf(state.Accepted[message.MembersRegister])
 	if err != nil {
 		return nil
 	}
 	return membership
 }
 
-func (state State) Marks() wire.Versions {
-	marks := wire.Versions{}
-	for register := range marks {
-		marks[register] = state.Accepted[register].Version()
+func (state State) Marks() message.Versions {
+	versions := message.Versions{}
+	for register := range versions {
+		versions[register] = state.Accepted[register].Version()
 	}
-	return marks
+	return versions
 }
 
 // record is one synced step; only what changed is set.
@@ -58,12 +59,12 @@
 	Opening  bool
 	Roster   []Peer // as disks of former versions hold it; see upgrade
 	Founded  bool
-	Promised *wire.Term
-	Register wire.Register
-	Accepted *wire.AcceptedValue
-	Texts    wire.Chunks
+	Promised *message.Term
+	Register message.Register
+	Accepted *message.AcceptedValue
+	Texts    message.Chunks
 
-	Committed *wire.Version
+	Committed *message.Version
 	Then      []record
 }
 
@@ -89,8 +90,8 @@
 }
 
 // trim keeps the texts that accepted values name; readers may hold the former map.
-func (state *State) trim(more wire.Chunks) {
-	kept := make(wire.Chunks, len(state.Texts)+len(more))
+func (state *State) trim(more message.Chunks) {
+	kept := make(message.Chunks, len(state.Texts)+len(more))
 	for register := range state.Accepted {
 		for _, part := range state.Accepted[register].Value.Chunks {
 			if text, found := more[part.Digest]; found {
@@ -135,8 +136,8 @@
 	laid := false
 	store.journal, err = loadJournal(disk, segmentName, first, func(_ uint64, payload []byte) error {
 		var step record
-		if err := wire.Unmarshal(payload, &step); err != nil {
-			return wire.AsError(err)
+		if err := rpc.Unmarshal(payload, &step); err != nil {
+			return rpc.AsError(err)
 		}
 		store.state.lay(step)
 		laid = true
@@ -157,14 +158,14 @@
 	name := numbered(snapshotName, number)
 	body, err := store.disk.Read(name)
 	if err != nil {
-		return storeFault(wire.DiskFailure, err, "read %s", name)
+		return storeFault(rpc.DiskFailure, err, "read %s", name)
 	}
 	payload, sound := Frame(body).payload()
 	if !sound {
-		return wire.Errorf(wire.CorruptStore, "%s fails its checksum", name)
+		return rpc.Errorf(rpc.CorruptStore, "%s fails its checksum", name)
 	}
-	if err := wire.Unmarshal(payload, &store.state); err != nil {
-		return storeFault(wire.CorruptStore, err, "%s", name)
+	if err := rpc.Unmarshal(payload, &store.state); err != nil {
+		return storeFault(rpc.CorruptStore, err, "%s", name)
 	}
 	store.state.upgrade(store.state.Roster)
 	return nil
@@ -216,7 +217,7 @@
 	name := numbered(snapshotName, next)
 	file, err := replaceFile(store.disk, name, frame)
 	if err != nil {
-		store.journal.fault = storeFault(wire.DiskFailure, err, "snapshot %s", name)
+		store.journal.fault = storeFault(rpc.DiskFailure, err, "snapshot %s", name)
 		return store.journal.fault
 	}
 	_ = file.Close() // its content is synced
--- a/control/store_test.go
+++ b/control/store_test.go
@@ -7,8 +7,9 @@
 	"testing"
 
 	"orchidjunction/control"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/sim"
-	"orchidjunction/wire"
 )
 
 // fill makes steps on a voter and returns what it answered for last.
@@ -24,8 +25,8 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	voter := control.NewVoter(store, func(err error) { test.Error(err) }, func(wire.Term) {})
-	if err := voter.Found(wire.Term{}, [wire.Registers]wire.AcceptedValue{}, nil); err != nil {
+	voter := control.NewVoter(store, func(err error) { test.Error(err) }, func(message.Term) {})
+	if err := voter.Found(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
 		test.Fatal(err)
 	}
 	return voter
@@ -34,14 +35,14 @@
 // take makes steps and returns what was answered for last.
 func take(voter *control.Voter, random *rand.Rand, steps int) control.State {
 	for range steps {
-		ballot := voter.State().Promised
-		ballot.Number++
-		ballot.Core = 1
+		term := voter.State().Promised
+		term.Number++
+		term.Core = 1
 		if random.IntN(2) == 0 {
-			_, _ = voter.Promise(&wire.PrepareRequest{Term: ballot}) // the state tells what was answered for
+			_, _ = voter.Promise(&message.PrepareRequest{Term: term}) // the state tells what was answered for
 			continue
 		}
-		_, _ = voter.Accept(&wire.AcceptRequest{Term: ballot, Register: wire.Register(random.IntN(2)), Value: wire.Value{Serial: ballot.Number, Body: make([]byte, random.IntN(300_000))}})
+		_, _ = voter.Accept(&message.AcceptRequest{Term: term, Register: message.Register(random.IntN(2)), Value: message.Value{Serial: term.Number, Body: make([]byte, random.IntN(300_000))}})
 	}
 	return *voter.State()
 }
@@ -113,7 +114,7 @@
 			continue
 		}
 		disk.Harm(name, random.IntN(length))
-		if _, err := control.OpenStore(disk); err == nil || wire.CodeOf(err) != wire.CorruptStore {
+		if _, err := control.OpenStore(disk); err == nil || rpc.CodeOf(err) != rpc.CorruptStore {
 			test.Fatalf("seed %d: worn bit gave %v", seed, err)
 		}
 		stopped++
@@ -143,19 +144,19 @@
 // What a blank disk takes over is torn in its first bytes only, or in any others:
 // the disk is blank again, and works.
 func TestTornTakeoverLeavesABlankDisk(test *testing.T) {
-	accepted := [wire.Registers]wire.AcceptedValue{}
+	accepted := [message.Registers]message.AcceptedValue{}
 	for register := range accepted {
-		accepted[register] = wire.AcceptedValue{Term: wire.Term{Number: 2, Core: 1}, Value: wire.Value{Serial: 3, Body: make([]byte, 300)}}
+		accepted[register] = message.AcceptedValue{Term: message.Term{Number: 2, Core: 1}, Value: message.Value{Serial: 3, Body: make([]byte, 300)}}
 	}
 	open := func(disk *sim.Disk) *control.Voter {
 		store, err := control.OpenStore(disk)
 		if err != nil {
 			test.Fatal(err)
 		}
-		return control.NewVoter(store, func(err error) { test.Error(err) }, func(wire.Term) {})
+		return control.NewVoter(store, func(err error) { test.Error(err) }, func(message.Term) {})
 	}
 	whole := sim.NewDisk(1)
-	if err := open(whole).Found(wire.Term{Number: 5, Core: 3}, accepted, nil); err != nil {
+	if err := open(whole).Found(message.Term{Number: 5, Core: 3}, accepted, nil); err != nil {
 		test.Fatal(err)
 	}
 	size := whole.Size("segment-0000000000000000")
@@ -163,10 +164,10 @@
 		disk := whole.Fork()
 		disk.Harm("segment-0000000000000000", at)
 		voter := open(disk)
-		if !voter.Blank() || voter.State().Marks() != (wire.Versions{}) {
+		if !voter.Blank() || voter.State().Marks() != (message.Versions{}) {
 			test.Fatalf("byte %d: %+v", at, voter.State())
 		}
-		if err := voter.Found(wire.Term{Number: 6, Core: 3}, accepted, nil); err != nil || voter.Blank() {
+		if err := voter.Found(message.Term{Number: 6, Core: 3}, accepted, nil); err != nil || voter.Blank() {
 			test.Fatalf("byte %d: %v", at, err)
 		}
 		voter.Close()
@@ -184,9 +185,9 @@
 	voter := founded(test, disk)
 	written := 0
 	for serial := uint64(1); serial <= 60; serial++ {
-		told, err := voter.Accept(&wire.AcceptRequest{Term: wire.Term{Number: 1, Core: 1}, Register: wire.RoutingRegister, Value: wire.Value{Serial: serial, Body: make([]byte, large)}})
-		if err != nil || !told.Accepted {
-			test.Fatal(told, err)
+		response, err := voter.Accept(&message.AcceptRequest{Term: message.Term{Number: 1, Core: 1}, Register: message.RoutingRegister, Value: message.Value{Serial: serial, Body: make([]byte, large)}})
+		if err != nil || !response.Accepted {
+			test.Fatal(response, err)
 		}
 		written += large
 	}
--- a/control/stored_test.go
+++ b/control/stored_test.go
@@ -9,9 +9,10 @@
 	"sort"
 	"testing"
 
+	"orchidjunction/message"
 	"orchidjunction/route"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 var updateStored = flag.Bool("update-stored", false, "write the descriptions of testdata/stored anew")
@@ -32,7 +33,7 @@
 	fmt.Fprintf(text, "founded %v, opening %v, promised %d.%d\n", state.Founded, state.Opening, state.Promised.Number, state.Promised.Core)
 	for register, accepted := range state.Accepted {
 		fmt.Fprintf(text, "register %d: serial %d under %d.%d, body %x, %d parts, committed %d\n", register, accepted.Value.Serial,
-			accepted.Term.Number, accepted.Term.Core, wire.DigestOf(accepted.Value.Body), len(accepted.Value.Chunks), state.Committed[register].Serial)
+			accepted.Term.Number, accepted.Term.Core, message.DigestOf(accepted.Value.Body), len(accepted.Value.Chunks), state.Committed[register].Serial)
 		for _, part := range accepted.Value.Chunks {
 			fmt.Fprintf(text, "  part %s %x, %d bytes\n", part.Path, part.Digest, len(state.Texts[part.Digest]))
 		}
@@ -49,7 +50,7 @@
 }
 
 func describeSettings(test *testing.T, text *bytes.Buffer, state State) {
-	value := state.Accepted[wire.SettingsRegister].Value
+	value := state.Accepted[message.SettingsRegister].Value
 	now, err := readContent(nil, value, state.Texts)
 	if err != nil {
 		test.Fatal(err)
@@ -57,14 +58,14 @@
 	if now.tree == nil {
 		return
 	}
-	fmt.Fprintf(text, "settings %d: %x\n", now.serial, wire.DigestOf(now.tree.Body()))
+	fmt.Fprintf(text, "settings %d: %x\n", now.serial, message.DigestOf(now.tree.Body()))
 	for _, entry := range now.trail {
 		fmt.Fprintf(text, "  change %d %s %s %s by %q\n", entry.Serial, entry.Change, entry.Digest, entry.Kind, entry.Operator)
 	}
 }
 
 func describeRouting(test *testing.T, text *bytes.Buffer, state State) {
-	book, err := route.BookOf(state.Accepted[wire.RoutingRegister].Value.Body)
+	book, err := route.BookOf(state.Accepted[message.RoutingRegister].Value.Body)
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -92,9 +93,9 @@
 
 // describeReports reads the reports register as sums by tenants, or else as windows.
 func describeReports(test *testing.T, text *bytes.Buffer, state State) {
-	value := state.Accepted[wire.ReportsRegister].Value
+	value := state.Accepted[message.ReportsRegister].Value
 	sums := &usageBook{}
-	if len(value.Body) > 0 && wire.Unmarshal(value.Body, sums) == nil {
+	if len(value.Body) > 0 && rpc.Unmarshal(value.Body, sums) == nil {
 		fmt.Fprintf(text, "reports of period %d until %d, age %d: open%s\n", sums.Period, sums.ToMs, sums.AgeMs, sortedCounts(sums.Open))
 		for _, report := range sums.Pending {
 			fmt.Fprintf(text, "  report %s of %s, period %d: %d tasks\n", report.ID, report.Tenant, report.Period, report.Tasks)
@@ -129,7 +130,7 @@
 	fmt.Fprintf(text, "claims: %d, last %d, done %v, whole as %d, membership %d\n", len(claims), last, done, log.whole(), log.members.Value.Serial)
 	for _, claimed := range claims {
 		fmt.Fprintf(text, "  %s/%s/%s %s by %s: stage %d, status %d, %d headers, body %x\n", claimed.Key.Tenant, claimed.Key.Service, claimed.Key.Key,
-			claimed.ID, claimed.Holder, claimed.Stage, claimed.Status, len(claimed.Header), wire.DigestOf(claimed.Body))
+			claimed.ID, claimed.Holder, claimed.Stage, claimed.Status, len(claimed.Header), message.DigestOf(claimed.Body))
 	}
 }
 
--- a/control/survey.go
+++ b/control/survey.go
@@ -1,7 +1,8 @@
 package control
 
 import (
-	"orchidjunction/wire"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 // survey is the duty of a core that restarted: until a leader is heard of it asks
@@ -20,24 +21,24 @@
 
 func (core *Core) surveyed() bool {
 	own := core.voter.State()
-	accepted := own.Accepted[wire.RoutingRegister]
+	accepted := own.Accepted[message.RoutingRegister]
 	if accepted.Value.Serial == 0 {
 		return false
 	}
-	same := func(told *wire.ReplicaStateResponse) bool {
-		return told.Initialized && told.Versions[wire.RoutingRegister] == accepted.Version()
+	same := func(response *message.ReplicaStateResponse) bool {
+		return response.Initialized && response.Versions[message.RoutingRegister] == accepted.Version()
 	}
 	view := core.members()
-	told := askPeers(core, view, func(peer Peer) (*wire.ReplicaStateResponse, error) {
-		return wire.Call[wire.ReplicaStateRequest, wire.ReplicaStateResponse](core.line, peer.Address, "restore", core.roundLimit(), &wire.ReplicaStateRequest{Core: view.ID, Membership: view.Mark})
+	response := askPeers(core, view, func(peer Peer) (*message.ReplicaStateResponse, error) {
+		return rpc.Call[message.ReplicaStateRequest, message.ReplicaStateResponse](core.line, peer.Address, "restore", core.roundLimit(), &message.ReplicaStateRequest{Core: view.ID, Membership: view.Mark})
 	}, same, view.decides)
-	for _, answer := range told {
+	for _, answer := range response {
 		core.learnMembers(answer.Membership)
 	}
-	if !view.decides(agreed(told, same)) || !core.members().same(view) {
+	if !view.decides(agreed(response, same)) || !core.members().same(view) {
 		return false
 	}
 	core.counts.Add("surveys_proved", 1)
-	core.commit(wire.RoutingRegister, accepted, own.Texts)
+	core.commit(message.RoutingRegister, accepted, own.Texts)
 	return true
 }
--- a/control/table.go
+++ b/control/table.go
@@ -1,11 +1,11 @@
 package control
 
 import (
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"slices"
 	"sort"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // buildTable is the leader's duty: members by their sessions, backends by the platform.
@@ -25,7 +25,7 @@
 	if before.Version.Term.Number == 0 && time.Since(leadership.since) < core.place.firstTable() {
 		return
 	}
-	next := &wire.Table{Version: wire.TableVersion{Term: leadership.ballot, Number: 1}, Members: []wire.Member{}, Backends: before.Backends, Complete: before.Complete}
+	next := &message.Table{Version: message.TableVersion{Term: leadership.ballot, Number: 1}, Members: []message.Member{}, Backends: before.Backends, Complete: before.Complete}
 	if before.Version.Term == leadership.ballot {
 		next.Version.Number = before.Version.Number + 1
 	}
@@ -54,12 +54,12 @@
 }
 
 // sameTable is whether two tables say the same.
-func sameTable(before, next *wire.Table) bool {
+func sameTable(before, next *message.Table) bool {
 	return before.Complete == next.Complete && slices.Equal(before.Members, next.Members) && sameBackends(before.Backends, next.Backends)
 }
 
 // sameBackends is quick where both are one list.
-func sameBackends(before, next []wire.Backend) bool {
+func sameBackends(before, next []message.Backend) bool {
 	return len(before) == len(next) && (len(before) == 0 || &before[0] == &next[0] || slices.Equal(before, next))
 }
 
@@ -72,7 +72,7 @@
 	if before.Version.Term.Number > 0 || !whole {
 		return
 	}
-	next := &wire.Table{Version: wire.TableVersion{Number: before.Version.Number + 1}, Complete: true}
+	next := &message.Table{Version: message.TableVersion{Number: before.Version.Number + 1}, Complete: true}
 	now := core.Now()
 	for _, backend := range backends {
 		if backend.WarmAtMs <= now {
@@ -90,7 +90,7 @@
 }
 
 // askHeld rebuilds from a daemon that still holds what the cores lost.
-func (core *Core) askHeld(table *wire.Table, sessions []heldSession) *wire.Table {
+func (core *Core) askHeld(table *message.Table, sessions []heldSession) *message.Table {
 	best, from := table.Version, ""
 	for _, held := range sessions {
 		if best.Less(held.session.Table) {
@@ -100,16 +100,16 @@
 	if from == "" {
 		return table
 	}
-	told, err := wire.Call[wire.FetchRequest, wire.FetchResponse](core.line, from, "fetch", core.roundLimit(), &wire.FetchRequest{Serial: ^uint64(0), Routing: ^uint64(0), Table: table.Version})
-	if err == nil && told.Delta != nil {
-		told.Table, _ = table.Apply(told.Delta)
+	response, err := rpc.Call[message.FetchRequest, message.FetchResponse](core.line, from, "fetch", core.roundLimit(), &message.FetchRequest{Serial: ^uint64(0), Routing: ^uint64(0), Table: table.Version})
+	if err == nil && response.Delta != nil {
+		response.Table, _ = table.Apply(response.Delta)
 	}
-	if err != nil || told.Table == nil {
+	if err != nil || response.Table == nil {
 		core.counts.Add("tables_not_rebuilt", 1)
 		return table
 	}
 	core.counts.Add("tables_rebuilt", 1)
-	return told.Table
+	return response.Table
 }
 
 // copyTable keeps the leader's table at the other cores.
@@ -120,14 +120,14 @@
 	if leads || !leader.Known() || !held.Less(wanted) {
 		return
 	}
-	told, err := wire.Call[wire.FetchRequest, wire.FetchResponse](core.line, leader.Address, "fetch", core.roundLimit(), &wire.FetchRequest{Serial: ^uint64(0), Routing: ^uint64(0), Table: held})
+	response, err := rpc.Call[message.FetchRequest, message.FetchResponse](core.line, leader.Address, "fetch", core.roundLimit(), &message.FetchRequest{Serial: ^uint64(0), Routing: ^uint64(0), Table: held})
 	if err != nil {
 		return
 	}
-	if told.Table != nil {
-		core.holdTable(told.Table)
-	} else if told.Delta != nil {
-		if table, fits := core.Table().Apply(told.Delta); fits {
+	if response.Table != nil {
+		core.holdTable(response.Table)
+	} else if response.Delta != nil {
+		if table, fits := core.Table().Apply(response.Delta); fits {
 			core.holdTable(table)
 		}
 	}
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -7,15 +7,16 @@
 	"testing"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // listed is a reader that has read a list of so many backends, and the list.
-func listed(count int) (*PlatformReader, *[]wire.Backend) {
-	list := make([]wire.Backend, 0, count)
+func listed(count int) (*PlatformReader, *[]message.Backend) {
+	list := make([]message.Backend, 0, count)
 	for number := range count {
-		list = append(list, wire.Backend{Name: fmt.Sprintf("backend-%06d", (number*7919)%count), Service: "service", Address: "10.0.0.1:80", Zone: "zone", Capacity: 16})
+		list = append(list, message.Backend{Name: fmt.Sprintf("backend-%06d", (number*7919)%count), Service: "service", Address: "10.0.0.1:80", Zone: "zone", Capacity: 16})
 	}
 	place := &Place{GoneAfter: 2, ListPace: time.Second, Lister: func(context.Context, string) Listing { return Listing{Backends: list} }}
 	reader := newPlatformReader(place, nil, func() int64 { return 0 }, run.NewCounts())
@@ -34,10 +35,10 @@
 			reader, _ := listed(count)
 			stirs := newStirs()
 			backends, _ := reader.list()
-			before := &wire.Table{Backends: stirs.lay(backends, nil), Complete: true}
+			before := &message.Table{Backends: stirs.lay(backends, nil), Complete: true}
 			for bench.Loop() {
 				backends, _ := reader.list()
-				next := &wire.Table{Backends: stirs.lay(backends, before.Backends), Complete: true}
+				next := &message.Table{Backends: stirs.lay(backends, before.Backends), Complete: true}
 				if !sameTable(before, next) {
 					bench.Fatal("a table that did not change is called another one")
 				}
@@ -64,7 +65,7 @@
 	if changed, _ := reader.list(); !changed[0].Leaving {
 		test.Error("a backend that leaves is not told")
 	}
-	*list = append((*list)[:1:1], append((*list)[2:], wire.Backend{Name: "backend-000009", Service: "service", Address: "10.0.0.9:80"})...)
+	*list = append((*list)[:1:1], append((*list)[2:], message.Backend{Name: "backend-000009", Service: "service", Address: "10.0.0.9:80"})...)
 	readOnce(reader)
 	if more, _ := reader.list(); len(more) != 6 {
 		test.Errorf("%d backends after one came and one was missed once", len(more))
@@ -85,8 +86,8 @@
 // Counts are laid over backends without changing the list they come from, and
 // never fall below those of the table before.
 func TestStirsAreLaidOnACopy(test *testing.T) {
-	stirs, listed := newStirs(), []wire.Backend{{Name: "a"}, {Name: "b"}, {Name: "c", ProbeHint: 9}}
-	laid := stirs.lay(listed, []wire.Backend{{Name: "b", ProbeHint: 4}})
+	stirs, listed := newStirs(), []message.Backend{{Name: "a"}, {Name: "b"}, {Name: "c", ProbeHint: 9}}
+	laid := stirs.lay(listed, []message.Backend{{Name: "b", ProbeHint: 4}})
 	if laid[0].ProbeHint != 0 || laid[1].ProbeHint != 4 || laid[2].ProbeHint != 0 {
 		test.Errorf("%v", laid)
 	}
@@ -102,20 +103,20 @@
 }
 
 func TestSameTable(test *testing.T) {
-	member, backend := []wire.Member{{Name: "p", Ready: true}}, []wire.Backend{{Name: "b", WarmAtMs: 5}}
-	table := &wire.Table{Members: member, Backends: backend, Complete: true}
-	for name, next := range map[string]*wire.Table{
-		"a member":            {Members: []wire.Member{{Name: "p"}}, Backends: backend, Complete: true},
-		"a backend":           {Members: member, Backends: []wire.Backend{{Name: "b", WarmAtMs: 6}}, Complete: true},
+	member, backend := []message.Member{{Name: "p", Ready: true}}, []message.Backend{{Name: "b", WarmAtMs: 5}}
+	table := &message.Table{Members: member, Backends: backend, Complete: true}
+	for name, next := range map[string]*message.Table{
+		"a member":            {Members: []message.Member{{Name: "p"}}, Backends: backend, Complete: true},
+		"a backend":           {Members: member, Backends: []message.Backend{{Name: "b", WarmAtMs: 6}}, Complete: true},
 		"no backends":         {Members: member, Complete: true},
-		"one backend more":    {Members: member, Backends: append(slices.Clone(backend), wire.Backend{}), Complete: true},
+		"one backend more":    {Members: member, Backends: append(slices.Clone(backend), message.Backend{}), Complete: true},
 		"whether it is whole": {Members: member, Backends: backend},
 	} {
 		if sameTable(table, next) {
 			test.Errorf("same, though %s differs", name)
 		}
 	}
-	if !sameTable(table, &wire.Table{Members: slices.Clone(member), Backends: slices.Clone(backend), Complete: true}) {
+	if !sameTable(table, &message.Table{Members: slices.Clone(member), Backends: slices.Clone(backend), Complete: true}) {
 		test.Error("a copy is not the same")
 	}
 }
@@ -124,52 +125,52 @@
 // of an older table or of another routing.
 func TestFetchesArePackedOnce(test *testing.T) {
 	answers := &fetchedAnswers{}
-	tables := []*wire.Table{{Version: wire.TableVersion{Number: 1}}, {Version: wire.TableVersion{Number: 2}, Members: []wire.Member{{Name: "p"}}}}
-	seen := map[string]*wire.FetchResponse{}
+	tables := []*message.Table{{Version: message.TableVersion{Number: 1}}, {Version: message.TableVersion{Number: 2}, Members: []message.Member{{Name: "p"}}}}
+	seen := map[string]*message.FetchResponse{}
 	for round := range 3 {
 		for _, table := range tables {
 			for routing := range uint64(6) {
-				asked := &wire.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}}
-				want, _ := wire.Marshal(asked)
-				told, err := answers.of(asked)
+				asked := &message.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}}
+				want, _ := rpc.Marshal(asked)
+				response, err := answers.of(asked)
 				if err != nil {
 					test.Fatal(err)
 				}
-				body, _ := wire.Codec{}.Marshal(told)
+				body, _ := rpc.Codec{}.Marshal(response)
 				if string(body) != string(want) {
 					test.Errorf("round %d: another answer for table %d, routing %d", round, table.Version.Number, routing)
 				}
-				again, _ := answers.of(&wire.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}})
-				if again != told {
+				again, _ := answers.of(&message.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}})
+				if again != response {
 					test.Error("packed twice")
 				}
 				body[0] ^= 0xff
-				if second, _ := (wire.Codec{}).Marshal(again); string(second) != string(want) {
+				if second, _ := (rpc.Codec{}).Marshal(again); string(second) != string(want) {
 					test.Error("who was given bytes changed those of others")
 				}
-				seen[string(want)] = told
+				seen[string(want)] = response
 			}
 		}
 	}
 	if len(seen) != 12 {
 		test.Errorf("%d answers", len(seen))
 	}
-	if told, _ := answers.of(&wire.FetchResponse{Routing: 9}); told.Routing != 9 || told.Table != nil {
-		test.Errorf("%+v", told)
+	if response, _ := answers.of(&message.FetchResponse{Routing: 9}); response.Routing != 9 || response.Table != nil {
+		test.Errorf("%+v", response)
 	}
 }
 
 // What a fetch of the whole table costs the core that answers.
 func BenchmarkFetch(bench *testing.B) {
 	for _, count := range []int{192, 768, 16000} {
-		table := &wire.Table{Version: wire.TableVersion{Number: 1}}
+		table := &message.Table{Version: message.TableVersion{Number: 1}}
 		for number := range count {
-			table.Members = append(table.Members, wire.Member{Name: fmt.Sprintf("proxy-%05d", number), Kind: "proxy", Zone: "zone", InternalAddress: "10.0.0.1:7000", PublicAddress: "10.0.0.1:8000",
+			table.Members = append(table.Members, message.Member{Name: fmt.Sprintf("proxy-%05d", number), Kind: "proxy", Zone: "zone", InternalAddress: "10.0.0.1:7000", PublicAddress: "10.0.0.1:8000",
 				OperatorAddress: "10.0.0.1:7000", Incarnation: "0123456789abcdef", Ready: true})
 		}
 		bench.Run(fmt.Sprint(count, "-before"), func(bench *testing.B) {
 			for bench.Loop() {
-				if _, err := (wire.Codec{}).Marshal(&wire.FetchResponse{Table: table}); err != nil {
+				if _, err := (rpc.Codec{}).Marshal(&message.FetchResponse{Table: table}); err != nil {
 					bench.Fatal(err)
 				}
 			}
@@ -177,8 +178,8 @@
 		bench.Run(fmt.Sprint(count, "-packed-once"), func(bench *testing.B) {
 			answers := &fetchedAnswers{}
 			for bench.Loop() {
-				told, _ := answers.of(&wire.FetchResponse{Table: table})
-				if _, err := (wire.Codec{}).Marshal(told); err != nil {
+				response, _ := answers.of(&message.FetchResponse{Table: table})
+				if _, err := (rpc.Codec{}).Marshal(response); err != nil {
 					bench.Fatal(err)
 				}
 			}
--- a/control/upgrade_test.go
+++ b/control/upgrade_test.go
@@ -4,8 +4,9 @@
 	"testing"
 
 	"orchidjunction/control"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/sim"
-	"orchidjunction/wire"
 )
 
 // formerRecord is a log entry, and formerState a snapshot, as the version before
@@ -14,39 +15,39 @@
 	Opening  bool
 	Roster   []control.Peer
 	Founded  bool
-	Promised *wire.Term
-	Register wire.Register
-	Accepted *wire.AcceptedValue
-	Texts    wire.Chunks
+	Promised *message.Term
+	Register message.Register
+	Accepted *message.AcceptedValue
+	Texts    message.Chunks
 
-	Committed *wire.Version
+	Committed *message.Version
 }
 
 type formerState struct {
 	Opening  bool
 	Roster   []control.Peer
 	Founded  bool
-	Promised wire.Term
-	Accepted [3]wire.AcceptedValue
-	Texts    wire.Chunks
+	Promised message.Term
+	Accepted [3]message.AcceptedValue
+	Texts    message.Chunks
 
-	Committed [3]wire.Version
+	Committed [3]message.Version
 }
 
 // A disk of the former version is read: its roster is the first membership.
 func TestDiskOfFormerVersionIsRead(test *testing.T) {
 	roster := []control.Peer{{ID: 1, Address: "10.0.0.1:41"}, {ID: 2, Address: "10.0.0.2:41"}, {ID: 3, Address: "10.0.0.3:41"}}
-	ballot := wire.Term{Number: 7, Core: 2}
-	routing := wire.AcceptedValue{Term: ballot, Value: wire.Value{Serial: 5, Body: []byte("routing")}}
-	snapshot := formerState{Roster: roster, Founded: true, Promised: ballot}
-	snapshot.Accepted[wire.RoutingRegister] = routing
+	term := message.Term{Number: 7, Core: 2}
+	routing := message.AcceptedValue{Term: term, Value: message.Value{Serial: 5, Body: []byte("routing")}}
+	snapshot := formerState{Roster: roster, Founded: true, Promised: term}
+	snapshot.Accepted[message.RoutingRegister] = routing
 	for name, files := range map[string]map[string]any{
-		"log":      {"segment-0000000000000000": &formerRecord{Roster: roster, Founded: true, Promised: &ballot, Register: wire.RoutingRegister, Accepted: &routing}},
+		"log":      {"segment-0000000000000000": &formerRecord{Roster: roster, Founded: true, Promised: &term, Register: message.RoutingRegister, Accepted: &routing}},
 		"snapshot": {"snapshot-0000000000000001": &snapshot, "segment-0000000000000001": &formerRecord{Founded: true}},
 	} {
 		disk := sim.NewDisk(1)
 		for file, content := range files {
-			body, err := wire.Marshal(content)
+			body, err := rpc.Marshal(content)
 			if err != nil {
 				test.Fatal(err)
 			}
@@ -71,7 +72,7 @@
 		if voters == nil || len(voters.Voters) != 3 || voters.LastID != 3 || voters.Mark.Serial != 1 {
 			test.Errorf("%s: voters %+v", name, voters)
 		}
-		if !state.Founded || state.Promised != ballot || state.Accepted[wire.RoutingRegister].Value.Serial != 5 {
+		if !state.Founded || state.Promised != term || state.Accepted[message.RoutingRegister].Value.Serial != 5 {
 			test.Errorf("%s: %+v", name, state)
 		}
 	}
--- a/control/usage.go
+++ b/control/usage.go
@@ -12,8 +12,9 @@
 	"time"
 
 	"orchidjunction/conf"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 const (
@@ -58,7 +59,7 @@
 	begun     time.Time
 	told      map[string]time.Time
 	delivered map[string]bool
-	ballot    wire.Term
+	ballot    message.Term
 	sealed    time.Time
 	ended     time.Time
 	client    *http.Client
@@ -86,12 +87,12 @@
 	}
 }
 
-func (core *Core) onCount(count *wire.UsageCountRequest) (*wire.UsageCountResponse, error) {
+func (core *Core) onCount(count *message.UsageCountRequest) (*message.UsageCountResponse, error) {
 	if _, err := core.leading(); err != nil {
 		return nil, err
 	}
 	core.usage.take(count.Incarnation, count.Usage)
-	return &wire.UsageCountResponse{}, nil
+	return &message.UsageCountResponse{}, nil
 }
 
 // book is the leader's, nil where there is none to work on.
@@ -100,10 +101,10 @@
 	if err != nil || leadership.holds() != nil || core.place.Platform == "" {
 		return nil, nil
 	}
-	value := leadership.value(wire.ReportsRegister)
+	value := leadership.value(message.ReportsRegister)
 	book := &usageBook{}
 	if len(value.Body) > 0 {
-		if err := wire.Unmarshal(value.Body, book); err != nil {
+		if err := rpc.Unmarshal(value.Body, book); err != nil {
 			core.counts.Add("usage_book_unreadable", 1)
 			return nil, nil
 		}
@@ -154,10 +155,10 @@
 
 // over is whether the period ended, by the monotonic clock; the first one of a
 // leadership does so at once, since nobody knows how long it has gone on.
-func (usage *Usage) over(ballot wire.Term) bool {
+func (usage *Usage) over(term message.Term) bool {
 	usage.mutex.Lock()
 	defer usage.mutex.Unlock()
-	return usage.ballot != ballot || time.Since(usage.ended) >= usagePeriod
+	return usage.ballot != term || time.Since(usage.ended) >= usagePeriod
 }
 
 // fresh is whether proxies told counts that the book does not hold yet.
@@ -184,37 +185,37 @@
 // reports of an ended period, before any is sent.
 func (core *Core) seal(leadership *Leadership, tree *conf.Settings) error {
 	ends, now := core.usage.over(leadership.ballot), time.Now()
-	_, err := leadership.write(wire.ReportsRegister, func(current wire.Value) (*wire.Value, wire.Chunks, error) {
+	_, err := leadership.write(message.ReportsRegister, func(current message.Value) (*message.Value, message.Chunks, error) {
 		book := usageBook{}
 		if len(current.Body) > 0 {
-			if err := wire.Unmarshal(current.Body, &book); err != nil {
-				return nil, nil, wire.AsError(err)
+			if err := rpc.Unmarshal(current.Body, &book); err != nil {
+				return nil, nil, rpc.AsError(err)
 			}
 		}
 		next := core.usage.advance(book, tree, core.place.Wall(), core.usage.passed(leadership.ballot, now), ends)
-		body, err := wire.Marshal(&next)
+		body, err := rpc.Marshal(&next)
 		if err != nil {
-			return nil, nil, wire.AsError(err)
+			return nil, nil, rpc.AsError(err)
 		}
-		return &wire.Value{Serial: current.Serial + 1, Body: body}, nil, nil
+		return &message.Value{Serial: current.Serial + 1, Body: body}, nil, nil
 	}, func() { core.usage.wrote(leadership.ballot, now, ends) })
 	return err
 }
 
 // passed is how long ago this leadership sealed last, in milliseconds.
-func (usage *Usage) passed(ballot wire.Term, now time.Time) int64 {
+func (usage *Usage) passed(term message.Term, now time.Time) int64 {
 	usage.mutex.Lock()
 	defer usage.mutex.Unlock()
-	if usage.ballot != ballot {
+	if usage.ballot != term {
 		return 0
 	}
 	return now.Sub(usage.sealed).Milliseconds()
 }
 
-func (usage *Usage) wrote(ballot wire.Term, now time.Time, ended bool) {
+func (usage *Usage) wrote(term message.Term, now time.Time, ended bool) {
 	usage.mutex.Lock()
 	defer usage.mutex.Unlock()
-	usage.ballot, usage.sealed = ballot, now
+	usage.ballot, usage.sealed = term, now
 	if ended {
 		usage.ended = now
 	}
--- a/control/voter.go
+++ b/control/voter.go
@@ -4,8 +4,9 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // Voter is the part of a core that promises ballots and accepts values, synced
@@ -15,15 +16,15 @@
 	store  *Store
 	synced atomic.Pointer[State]
 	fault  func(error)
-	raised func(wire.Term)
-	learns func(wire.AcceptedValue)
+	raised func(message.Term)
+	learns func(message.AcceptedValue)
 
 	writing atomic.Pointer[time.Time]
 }
 
 // NewVoter calls raised when the promise rises.
-func NewVoter(store *Store, err func(error), raised func(wire.Term)) *Voter {
-	voter := &Voter{turn: run.NewTurn(), store: store, fault: err, raised: raised, learns: func(wire.AcceptedValue) {}}
+func NewVoter(store *Store, err func(error), raised func(message.Term)) *Voter {
+	voter := &Voter{turn: run.NewTurn(), store: store, fault: err, raised: raised, learns: func(message.AcceptedValue) {}}
 	voter.publish()
 	return voter
 }
@@ -39,7 +40,7 @@
 
 // keep appends within the turn and shows the new state.
 func (voter *Voter) keep(step record) error {
-	before, members := voter.store.state.Promised, voter.store.state.Accepted[wire.MembersRegister].Version()
+	before, members := voter.store.state.Promised, voter.store.state.Accepted[message.MembersRegister].Version()
 	if err := voter.written(func() error { return voter.store.Append(step) }); err != nil {
 		voter.fault(err)
 		return err
@@ -48,7 +49,7 @@
 	if after := voter.store.state.Promised; before != after {
 		voter.raised(after)
 	}
-	if after := voter.store.state.Accepted[wire.MembersRegister]; after.Version() != members {
+	if after := voter.store.state.Accepted[message.MembersRegister]; after.Version() != members {
 		voter.learns(after)
 	}
 	return nil
@@ -72,7 +73,7 @@
 // must not pile up behind it with what they brought.
 func (voter *Voter) enter() error {
 	if voter.Stalled() {
-		return wire.Errorf(wire.DiskFailure, "the disk does not answer")
+		return rpc.Errorf(rpc.DiskFailure, "the disk does not answer")
 	}
 	voter.turn.Take()
 	return nil
@@ -81,14 +82,14 @@
 // ready is nil while this core may vote; within the turn.
 func (voter *Voter) ready() error {
 	if !voter.store.state.Founded {
-		return wire.Errorf(wire.BlankDisk, "not restored yet")
+		return rpc.Errorf(rpc.BlankDisk, "not restored yet")
 	}
 	return voter.store.Fault()
 }
 
 // Promise grants a ballot that is not older than those promised before, unless the
 // asker counts by an older membership than the one accepted here.
-func (voter *Voter) Promise(message *wire.PrepareRequest) (*wire.PrepareResponse, error) {
+func (voter *Voter) Promise(request *message.PrepareRequest) (*message.PrepareResponse, error) {
 	if err := voter.enter(); err != nil {
 		return nil, err
 	}
@@ -96,22 +97,22 @@
 	if err := voter.ready(); err != nil {
 		return nil, err
 	}
-	state, ballot := &voter.store.state, message.Term
-	if members := state.Accepted[wire.MembersRegister]; wire.Supersedes(members, message.Membership) {
-		return &wire.PrepareResponse{Promised: state.Promised, Membership: members}, nil
+	state, term := &voter.store.state, request.Term
+	if members := state.Accepted[message.MembersRegister]; message.Supersedes(members, request.Membership) {
+		return &message.PrepareResponse{Promised: state.Promised, Membership: members}, nil
 	}
-	if ballot.Less(state.Promised) {
-		return &wire.PrepareResponse{Promised: state.Promised}, nil
+	if term.Less(state.Promised) {
+		return &message.PrepareResponse{Promised: state.Promised}, nil
 	}
-	if state.Promised.Less(ballot) {
-		if err := voter.keep(record{Promised: &ballot}); err != nil {
+	if state.Promised.Less(term) {
+		if err := voter.keep(record{Promised: &term}); err != nil {
 			return nil, err
 		}
 	}
-	return &wire.PrepareResponse{Granted: true, Promised: ballot, Accepted: state.Accepted}, nil
+	return &message.PrepareResponse{Granted: true, Promised: term, Accepted: state.Accepted}, nil
 }
 
-func (voter *Voter) Accept(message *wire.AcceptRequest) (*wire.AcceptResponse, error) {
+func (voter *Voter) Accept(request *message.AcceptRequest) (*message.AcceptResponse, error) {
 	if err := voter.enter(); err != nil {
 		return nil, err
 	}
@@ -120,38 +121,38 @@
 		return nil, err
 	}
 	state := &voter.store.state
-	if message.Term.Less(state.Promised) {
-		return &wire.AcceptResponse{Promised: state.Promised}, nil
+	if request.Term.Less(state.Promised) {
+		return &message.AcceptResponse{Promised: state.Promised}, nil
 	}
-	held := state.Accepted[message.Register].Version()
-	offered := wire.Version{Term: message.Term, Serial: message.Value.Serial}
+	held := state.Accepted[request.Register].Version()
+	offered := message.Version{Term: request.Term, Serial: request.Value.Serial}
 	if held == offered {
-		return &wire.AcceptResponse{Accepted: true, Promised: state.Promised}, nil
+		return &message.AcceptResponse{Accepted: true, Promised: state.Promised}, nil
 	}
 	if offered.Less(held) {
-		return &wire.AcceptResponse{Promised: state.Promised}, nil
+		return &message.AcceptResponse{Promised: state.Promised}, nil
 	}
-	if lacks := wire.MissingChunks(message.Value.Chunks, state.Texts, message.Chunks); len(lacks) > 0 {
-		return &wire.AcceptResponse{Promised: state.Promised, Missing: lacks}, nil
+	if lacks := message.MissingChunks(request.Value.Chunks, state.Texts, request.Chunks); len(lacks) > 0 {
+		return &message.AcceptResponse{Promised: state.Promised, Missing: lacks}, nil
 	}
-	step := record{Register: message.Register, Accepted: &wire.AcceptedValue{Term: message.Term, Value: message.Value}, Texts: wire.Chunks{}}
-	for _, part := range message.Value.Chunks {
+	step := record{Register: request.Register, Accepted: &message.AcceptedValue{Term: request.Term, Value: request.Value}, Texts: message.Chunks{}}
+	for _, part := range request.Value.Chunks {
 		if state.Texts[part.Digest] == nil {
-			step.Texts[part.Digest] = message.Chunks[part.Digest]
+			step.Texts[part.Digest] = request.Chunks[part.Digest]
 		}
 	}
-	if state.Promised.Less(message.Term) {
-		step.Promised = &message.Term
+	if state.Promised.Less(request.Term) {
+		step.Promised = &request.Term
 	}
 	if err := voter.keep(step); err != nil {
 		return nil, err
 	}
-	return &wire.AcceptResponse{Accepted: true, Promised: state.Promised}, nil
+	return &message.AcceptResponse{Accepted: true, Promised: state.Promised}, nil
 }
 
 // Found makes a blank disk a voter with what the others hold, accepted under its
 // own ballot: a copy is no vote for the ballot that it was written under.
-func (voter *Voter) Found(promised wire.Term, accepted [wire.Registers]wire.AcceptedValue, texts wire.Chunks) error {
+func (voter *Voter) Found(promised message.Term, accepted [message.Registers]message.AcceptedValue, texts message.Chunks) error {
 	voter.turn.Take()
 	defer voter.turn.Give()
 	if voter.store.state.Founded {
@@ -164,7 +165,7 @@
 	for register := range accepted {
 		if accepted[register].Term.Number > 0 || accepted[register].Value.Serial > 0 {
 			accepted[register].Term = promised
-			step.Then = append(step.Then, record{Register: wire.Register(register), Accepted: &accepted[register], Texts: texts})
+			step.Then = append(step.Then, record{Register: message.Register(register), Accepted: &accepted[register], Texts: texts})
 		}
 	}
 	return voter.keep(step)
@@ -179,13 +180,13 @@
 
 // Enrol makes a disk of the system's first start a voter under the membership that
 // it was told.
-func (voter *Voter) Enrol(members wire.AcceptedValue) error {
+func (voter *Voter) Enrol(members message.AcceptedValue) error {
 	voter.turn.Take()
 	defer voter.turn.Give()
 	if voter.store.state.Founded {
-		return wire.Errorf(wire.BadMessage, "votes already")
+		return rpc.Errorf(rpc.BadMessage, "votes already")
 	}
-	step := record{Founded: true, Register: wire.MembersRegister, Accepted: &members}
+	step := record{Founded: true, Register: message.MembersRegister, Accepted: &members}
 	if members.Term.Number > 0 {
 		step.Promised = &members.Term
 	}
@@ -194,12 +195,12 @@
 
 // Committed keeps that a register's accepted value is known to be committed, so
 // that it can be served after a restart before anybody leads.
-func (voter *Voter) Committed(register wire.Register, mark wire.Version) {
+func (voter *Voter) Committed(register message.Register, version message.Version) {
 	voter.turn.Take()
 	defer voter.turn.Give()
 	state := &voter.store.state
-	if state.Committed[register].Serial < mark.Serial && state.Accepted[register].Value.Serial == mark.Serial {
-		_ = voter.keep(record{Register: register, Committed: &mark}) // its fault is reported by keep; the mark only saves a survey
+	if state.Committed[register].Serial < version.Serial && state.Accepted[register].Value.Serial == version.Serial {
+		_ = voter.keep(record{Register: register, Committed: &version}) // its fault is reported by keep; the mark only saves a survey
 	}
 }
 
--- a/control/voter_test.go
+++ b/control/voter_test.go
@@ -6,8 +6,9 @@
 	"testing"
 
 	"orchidjunction/control"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/sim"
-	"orchidjunction/wire"
 
 	"github.com/cockroachdb/datadriven"
 )
@@ -23,7 +24,7 @@
 			if err != nil {
 				test.Fatal(err)
 			}
-			return control.NewVoter(store, func(err error) { raised = append(raised, string(wire.CodeOf(err))) }, func(ballot wire.Term) { raised = append(raised, "raised to "+ballot.String()) })
+			return control.NewVoter(store, func(err error) { raised = append(raised, string(rpc.CodeOf(err))) }, func(term message.Term) { raised = append(raised, "raised to "+term.String()) })
 		}
 		voter := open()
 		datadriven.RunTest(test, path, func(test *testing.T, line *datadriven.TestData) string {
@@ -34,23 +35,23 @@
 			line.MaybeScanArgs(test, "core", &core)
 			line.MaybeScanArgs(test, "register", &register)
 			line.MaybeScanArgs(test, "serial", &serial)
-			ballot := wire.Term{Number: round, Core: core}
+			term := message.Term{Number: round, Core: core}
 			answer := ""
 			raised = nil
 			switch line.Cmd {
 			case "found":
-				answer = fmt.Sprint(voter.Found(wire.Term{}, [wire.Registers]wire.AcceptedValue{}, nil) == nil)
+				answer = fmt.Sprint(voter.Found(message.Term{}, [message.Registers]message.AcceptedValue{}, nil) == nil)
 			case "promise":
-				if told, err := voter.Promise(&wire.PrepareRequest{Term: ballot}); err != nil {
-					answer = string(wire.CodeOf(err))
+				if response, err := voter.Promise(&message.PrepareRequest{Term: term}); err != nil {
+					answer = string(rpc.CodeOf(err))
 				} else {
-					answer = fmt.Sprintf("granted %v, promised %s, settings %d under %s", told.Granted, told.Promised, told.Accepted[0].Value.Serial, told.Accepted[0].Term)
+					answer = fmt.Sprintf("granted %v, promised %s, settings %d under %s", response.Granted, response.Promised, response.Accepted[0].Value.Serial, response.Accepted[0].Term)
 				}
 			case "accept":
-				if told, err := voter.Accept(&wire.AcceptRequest{Term: ballot, Register: wire.Register(register), Value: wire.Value{Serial: serial}}); err != nil {
-					answer = string(wire.CodeOf(err))
+				if response, err := voter.Accept(&message.AcceptRequest{Term: term, Register: message.Register(register), Value: message.Value{Serial: serial}}); err != nil {
+					answer = string(rpc.CodeOf(err))
 				} else {
-					answer = fmt.Sprintf("taken %v, promised %s", told.Accepted, told.Promised)
+					answer = fmt.Sprintf("taken %v, promised %s", response.Accepted, response.Promised)
 				}
 			case "fail":
 				disk.Fail(true)
--- a/control/who_test.go
+++ b/control/who_test.go
@@ -5,15 +5,16 @@
 	"testing"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // Who leads is asked while the leader beats, very often: neither waits for the
 // other's lock for good.
 func TestWhoWhileBeating(test *testing.T) {
 	threads := run.NewThreads()
-	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), wire.NewClient(http.DefaultTransport), threads, run.NewCounts())
+	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), threads, run.NewCounts())
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -24,7 +25,7 @@
 	leadership, _ := core.leading()
 	ended := run.NewBell()
 	ask := func() {
-		if _, err := core.onWho(&wire.LeaderRequest{}); err != nil {
+		if _, err := core.onWho(&message.LeaderRequest{}); err != nil {
 			test.Error(err)
 		}
 	}
--- a/data/admission.go
+++ b/data/admission.go
@@ -6,7 +6,8 @@
 	"time"
 
 	"orchidjunction/conf"
-	"orchidjunction/wire"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 
 	"golang.org/x/time/rate"
 )
@@ -57,7 +58,7 @@
 // Apply sets floors and borrowing to this proxy's share of the settings. The share
 // follows demand, a part of it is even; all proxies compute it from the same table,
 // so that the shares add up to the whole.
-func (admission *Admission) Apply(settings *conf.Settings, table *wire.Table, name string) {
+func (admission *Admission) Apply(settings *conf.Settings, table *message.Table, name string) {
 	part := partOf(table, name)
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
@@ -88,7 +89,7 @@
 
 // partOf is a proxy's part of all that are ready; one whose demand is not known
 // yet counts as the mean of the others.
-func partOf(table *wire.Table, name string) float64 {
+func partOf(table *message.Table, name string) float64 {
 	count, known, total, own := 0, 0, 0.0, 0.0
 	for _, member := range table.Members {
 		if member.Kind != "proxy" || !member.Ready && member.Name != name {
@@ -147,10 +148,10 @@
 		admission.mutex.Unlock()
 	}
 	if full {
-		return &wire.Error{Code: wire.Overloaded, Message: "class " + class + " is above its floor and backends have no room to lend", RetryAfterMs: comeBack, Outcome: wire.NotRun}
+		return &rpc.Error{Code: rpc.Overloaded, Message: "class " + class + " is above its floor and backends have no room to lend", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
 	}
 	if !allowed {
-		return &wire.Error{Code: wire.Overloaded, Message: "class " + class + " has its floor and all it may borrow", RetryAfterMs: comeBack, Outcome: wire.NotRun}
+		return &rpc.Error{Code: rpc.Overloaded, Message: "class " + class + " has its floor and all it may borrow", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
 	}
 	return nil
 }
--- a/data/claim_poll.go
+++ b/data/claim_poll.go
@@ -1,12 +1,13 @@
 package data
 
 import (
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // enough is whether the granting members make a quorum of every ring.
-func enough(rings [][]wire.Member, granting []wire.Member) bool {
+func enough(rings [][]message.Member, granting []message.Member) bool {
 	for _, ring := range rings {
 		count := 0
 		for _, keeper := range ring {
@@ -23,34 +24,34 @@
 
 // claimAnswer is a keeper's or a core's.
 type claimAnswer struct {
-	keeper *wire.ClaimResponse
-	core   *wire.RecordClaimsResponse
+	keeper *message.ClaimResponse
+	core   *message.RecordClaimsResponse
 }
 
-func (answer claimAnswer) told() *wire.ClaimResponse {
+func (answer claimAnswer) told() *message.ClaimResponse {
 	if answer.keeper != nil {
 		return answer.keeper
 	}
 	if len(answer.core.Results) == 1 {
 		return &answer.core.Results[0]
 	}
-	return &wire.ClaimResponse{}
+	return &message.ClaimResponse{}
 }
 
 // poll is one round of asking for a claim. Roster is the membership by which the
 // cores that keep it are counted.
 type poll struct {
 	roster  Roster
-	rings   [][]wire.Member
-	members []wire.Member
+	rings   [][]message.Member
+	members []message.Member
 	got     map[int]claimAnswer
 }
 
 // refused is what somebody holds of the key; what is settled tells most.
-func (poll *poll) refused() (refusal *wire.ClaimRecord) {
+func (poll *poll) refused() (refusal *message.ClaimRecord) {
 	for _, answer := range poll.got {
-		if told := answer.told(); !told.Granted && told.Existing.ID != "" && (refusal == nil || refusal.Stage == wire.ClaimRunning) {
-			refusal = &told.Existing
+		if response := answer.told(); !response.Granted && response.Existing.ID != "" && (refusal == nil || refusal.Stage == message.ClaimRunning) {
+			refusal = &response.Existing
 		}
 	}
 	return refusal
@@ -70,7 +71,7 @@
 // quorums is whether the keepers that granted make a quorum of every ring; with
 // wholes, only those whose memory is whole count.
 func (poll *poll) quorums(wholes bool) bool {
-	granting := []wire.Member{}
+	granting := []message.Member{}
 	for index, answer := range poll.got {
 		if answer.keeper != nil && answer.keeper.Granted && (answer.keeper.Complete || !wholes) {
 			granting = append(granting, poll.members[index])
@@ -81,7 +82,7 @@
 
 // ask sends the claim to all keepers and cores, and again where the cores that vote
 // changed meanwhile.
-func (claims *Claims) ask(rings [][]wire.Member, members []wire.Member, claim *wire.ClaimRequest) (*wire.ClaimRecord, bool) {
+func (claims *Claims) ask(rings [][]message.Member, members []message.Member, claim *message.ClaimRequest) (*message.ClaimRecord, bool) {
 	away := claims.coreStore.unavailable()
 	round := claims.poll(rings, members, claim, away)
 	if round.cores().outdated() && round.refused() == nil && !round.granted(away) {
@@ -114,19 +115,19 @@
 
 // poll sends the claim to all keepers and cores once; one refusal is enough to stop,
 // and so is an answer by other voters.
-func (claims *Claims) poll(rings [][]wire.Member, members []wire.Member, claim *wire.ClaimRequest, away bool) *poll {
+func (claims *Claims) poll(rings [][]message.Member, members []message.Member, claim *message.ClaimRequest, away bool) *poll {
 	roster, cores := claims.coreStore.coresToAsk()
 	round := &poll{roster: roster, rings: rings, members: members}
 	round.got, _ = run.Gather(claims.proxy.threads, len(members)+len(cores), func(index int) (claimAnswer, error) {
 		if index >= len(members) {
-			told, err := claims.coreStore.ask(cores[index-len(members)], &wire.RecordClaimsRequest{Membership: roster.accepted, Claims: []wire.ClaimRequest{*claim}}, coreStoreLimit)
-			return claimAnswer{core: told}, err
+			response, err := claims.coreStore.ask(cores[index-len(members)], &message.RecordClaimsRequest{Membership: roster.accepted, Claims: []message.ClaimRequest{*claim}}, coreStoreLimit)
+			return claimAnswer{core: response}, err
 		}
 		if members[index].Name == claims.proxy.daemon.Name() {
 			return claimAnswer{keeper: claims.grant(claim)}, nil
 		}
-		told, err := wire.Call[wire.ClaimRequest, wire.ClaimResponse](claims.proxy.daemon.Line(), members[index].InternalAddress, "claim", claimLimit, claim)
-		return claimAnswer{keeper: told}, err
+		response, err := rpc.Call[message.ClaimRequest, message.ClaimResponse](claims.proxy.daemon.Line(), members[index].InternalAddress, "claim", claimLimit, claim)
+		return claimAnswer{keeper: response}, err
 	}, func(got map[int]claimAnswer, _ map[int]error) bool {
 		now := *round
 		now.got = got
--- a/data/claim_rings.go
+++ b/data/claim_rings.go
@@ -1,16 +1,16 @@
 package data
 
 import (
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"slices"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // heldRing is a ring and, once another replaced it, how long a quorum of it is still asked for.
 type heldRing struct {
 	keepers *Keepers
-	mark    wire.TableVersion
+	mark    message.TableVersion
 	at      time.Time
 	until   time.Time
 }
@@ -35,7 +35,7 @@
 
 // outdated is whether a claim comes from a proxy that does not know this ring
 // though it stands for longer than the former one is still asked.
-func (claims *Claims) outdated(claim *wire.ClaimRequest) bool {
+func (claims *Claims) outdated(claim *message.ClaimRequest) bool {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
 	ring := claims.current()
@@ -44,7 +44,7 @@
 
 // apply takes a new ring and tells new keepers what they lack; the former ring
 // is asked too for a while.
-func (claims *Claims) apply(next *Keepers, mark wire.TableVersion) {
+func (claims *Claims) apply(next *Keepers, version message.TableVersion) {
 	claims.mutex.Lock()
 	before := claims.current()
 	former := before.keepers
@@ -58,17 +58,17 @@
 		before.until = now
 	}
 	claims.left(former.members, next.members, now)
-	claims.rings = append(claims.rings, heldRing{keepers: next, mark: mark, at: now})
+	claims.rings = append(claims.rings, heldRing{keepers: next, mark: version, at: now})
 	claims.mutex.Unlock()
 	claims.proxy.threads.Start(func() { claims.retell(former, next) })
 }
 
 // left doubts this memory when so many keepers are gone within a short time
 // that all who granted a key may be among them.
-func (claims *Claims) left(former, next []wire.Member, now time.Time) {
+func (claims *Claims) left(former, next []message.Member, now time.Time) {
 	gone := goneKeepers{at: now}
 	for _, member := range former {
-		if !slices.ContainsFunc(next, func(other wire.Member) bool { return holderName(other) == holderName(member) }) {
+		if !slices.ContainsFunc(next, func(other message.Member) bool { return holderName(other) == holderName(member) }) {
 			gone.count++
 		}
 	}
@@ -88,7 +88,7 @@
 	}
 }
 
-func sameMembers(left, right []wire.Member) bool {
+func sameMembers(left, right []message.Member) bool {
 	if len(left) != len(right) {
 		return false
 	}
@@ -101,9 +101,9 @@
 }
 
 func (claims *Claims) retell(before, next *Keepers) {
-	batches := map[string][]wire.ClaimRecord{}
+	batches := map[string][]message.ClaimRecord{}
 	for after, done := uint64(0), false; !done; {
-		var page []wire.ClaimRecord
+		var page []message.ClaimRecord
 		page, after, done = claims.keeper.Page(after, pullPage)
 		for _, held := range page {
 			former := before.of(held.Key)
@@ -117,7 +117,7 @@
 	for address, batch := range batches {
 		for len(batch) > 0 {
 			count := min(len(batch), 2000)
-			if _, err := wire.Call[wire.MergeClaimsRequest, wire.MergeClaimsResponse](claims.proxy.daemon.Line(), address, "retell", pullLimit, &wire.MergeClaimsRequest{Claims: batch[:count]}); err != nil {
+			if _, err := rpc.Call[message.MergeClaimsRequest, message.MergeClaimsResponse](claims.proxy.daemon.Line(), address, "retell", pullLimit, &message.MergeClaimsRequest{Claims: batch[:count]}); err != nil {
 				claims.proxy.counts.Add("claims_not_retold", uint64(count))
 			}
 			batch = batch[count:]
@@ -126,12 +126,12 @@
 }
 
 // askable gives every ring in use for a key, and all their members once.
-func (claims *Claims) askable(key wire.ClaimKey) ([][]wire.Member, []wire.Member, wire.TableVersion) {
+func (claims *Claims) askable(key message.ClaimKey) ([][]message.Member, []message.Member, message.TableVersion) {
 	claims.mutex.Lock()
-	mark := claims.current().mark
+	version := claims.current().mark
 	held := append([]heldRing{}, claims.rings...)
 	claims.mutex.Unlock()
-	rings, all := [][]wire.Member{}, []wire.Member{}
+	rings, all := [][]message.Member{}, []message.Member{}
 	for _, one := range held {
 		ring := one.keepers.of(key)
 		rings = append(rings, ring)
@@ -141,5 +141,5 @@
 			}
 		}
 	}
-	return rings, all, mark
+	return rings, all, version
 }
--- a/data/claims.go
+++ b/data/claims.go
@@ -5,8 +5,9 @@
 	"time"
 
 	"orchidjunction/keep"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 
 	"k8s.io/klog/v2"
 )
@@ -35,11 +36,11 @@
 	whole   bool
 	gone    []goneKeepers
 	rings   []heldRing
-	running map[wire.ClaimKey]string
+	running map[message.ClaimKey]string
 }
 
 func newClaims(proxy *Proxy) *Claims {
-	return &Claims{proxy: proxy, keeper: keep.NewBook(), coreStore: newCoreStore(proxy), rings: []heldRing{{keepers: &Keepers{}}}, running: map[wire.ClaimKey]string{}}
+	return &Claims{proxy: proxy, keeper: keep.NewBook(), coreStore: newCoreStore(proxy), rings: []heldRing{{keepers: &Keepers{}}}, running: map[message.ClaimKey]string{}}
 }
 
 // Whole reports whether this proxy holds every key that it should, so that its
@@ -77,7 +78,7 @@
 		return
 	}
 	version := claims.proxy.daemon.Version()
-	others, listed, peers := []wire.Member{}, false, []wire.Member{}
+	others, listed, peers := []message.Member{}, false, []message.Member{}
 	for _, known := range version.Table.Members {
 		switch {
 		case known.Name == claims.proxy.daemon.Name():
@@ -91,15 +92,15 @@
 	if !listed {
 		return
 	}
-	asked := append(append([]wire.Member{}, others...), peers...)
-	got, _ := run.Gather(claims.proxy.threads, len(asked), func(index int) (*wire.FetchClaimsResponse, error) {
-		return pullAll(claims.proxy.daemon.Line(), asked[index].InternalAddress, wire.AcceptedValue{}, claims.keeper.Retell)
-	}, func(map[int]*wire.FetchClaimsResponse, map[int]error) bool { return false })
+	asked := append(append([]message.Member{}, others...), peers...)
+	got, _ := run.Gather(claims.proxy.threads, len(asked), func(index int) (*message.FetchClaimsResponse, error) {
+		return pullAll(claims.proxy.daemon.Line(), asked[index].InternalAddress, message.AcceptedValue{}, claims.keeper.Retell)
+	}, func(map[int]*message.FetchClaimsResponse, map[int]error) bool { return false })
 	grown, wholes := 0, 0
-	for index, told := range got {
-		if told.Joined && index < len(others) {
+	for index, response := range got {
+		if response.Joined && index < len(others) {
 			grown++
-			if told.Complete {
+			if response.Complete {
 				wholes++
 			}
 		}
@@ -116,7 +117,7 @@
 }
 
 // take claims the key at a quorum; when the key is taken, it gives what became of it.
-func (claims *Claims) take(claimed wire.ClaimRecord) (*wire.ClaimRecord, error) {
+func (claims *Claims) take(claimed message.ClaimRecord) (*message.ClaimRecord, error) {
 	claims.mutex.Lock()
 	if claims.running[claimed.Key] != "" {
 		claims.mutex.Unlock()
@@ -126,31 +127,31 @@
 	claims.mutex.Unlock()
 	instead := ""
 	for range 3 {
-		rings, ring, mark := claims.askable(claimed.Key)
-		refusal, granted := claims.ask(rings, ring, &wire.ClaimRequest{Record: claimed, Replaces: instead, Table: mark})
+		rings, ring, version := claims.askable(claimed.Key)
+		refusal, granted := claims.ask(rings, ring, &message.ClaimRequest{Record: claimed, Replaces: instead, Table: version})
 		if granted {
 			return nil, nil
 		}
 		if refusal == nil {
 			claims.free(ring, claimed)
 			claims.proxy.counts.Add("claims_short", 1)
-			return nil, &wire.Error{Code: wire.OutcomeUnknown, Message: "too few keepers of money keys answer; send the same key again", RetryAfterMs: comeBack, Outcome: wire.MayHaveRun}
+			return nil, &rpc.Error{Code: rpc.OutcomeUnknown, Message: "too few keepers of money keys answer; send the same key again", RetryAfterMs: comeBack, Outcome: rpc.MayHaveRun}
 		}
 		if refusal.Digest != claimed.Digest {
 			claims.free(ring, claimed)
-			return nil, &wire.Error{Code: wire.KeyReused, Message: "the key came with another task"}
+			return nil, &rpc.Error{Code: rpc.KeyReused, Message: "the key came with another task"}
 		}
-		if refusal.Stage != wire.ClaimRunning {
+		if refusal.Stage != message.ClaimRunning {
 			claims.free(ring, claimed)
 			return refusal, nil
 		}
 		held, known := claims.askHolder(refusal)
 		if !known && held == nil {
 			claims.free(ring, claimed)
-			refusal.Stage = wire.ClaimUnknown
+			refusal.Stage = message.ClaimUnknown
 			return refusal, nil
 		}
-		if known && held.Stage != wire.ClaimRunning {
+		if known && held.Stage != message.ClaimRunning {
 			claims.free(ring, claimed)
 			return held, nil
 		}
@@ -166,31 +167,31 @@
 }
 
 func keyBusy() error {
-	return &wire.Error{Code: wire.KeyInFlight, Message: "another send of this key runs; ask again for its outcome", RetryAfterMs: comeBack, Outcome: wire.MayHaveRun}
+	return &rpc.Error{Code: rpc.KeyInFlight, Message: "another send of this key runs; ask again for its outcome", RetryAfterMs: comeBack, Outcome: rpc.MayHaveRun}
 }
 
-func holderName(member wire.Member) string { return member.Name + "/" + member.Incarnation }
+func holderName(member message.Member) string { return member.Name + "/" + member.Incarnation }
 
 // free gives the key back at every keeper: this claim's task was never sent.
-func (claims *Claims) free(ring []wire.Member, claimed wire.ClaimRecord) {
+func (claims *Claims) free(ring []message.Member, claimed message.ClaimRecord) {
 	claims.mutex.Lock()
 	if claims.running[claimed.Key] == claimed.ID {
 		delete(claims.running, claimed.Key)
 	}
 	claims.mutex.Unlock()
-	claims.tell(ring, &wire.CompleteClaimRequest{Record: claimed, Release: true})
+	claims.tell(ring, &message.CompleteClaimRequest{Record: claimed, Release: true})
 }
 
 // settle keeps how the task ended here and at its keepers.
-func (claims *Claims) settle(claimed wire.ClaimRecord, receipt *Receipt, err error) {
+func (claims *Claims) settle(claimed message.ClaimRecord, receipt *Receipt, err error) {
 	_, ring, _ := claims.askable(claimed.Key)
-	if err != nil && wire.AsError(err).Outcome == wire.NotRun {
+	if err != nil && rpc.AsError(err).Outcome == rpc.NotRun {
 		claims.free(ring, claimed)
 		return
 	}
-	claimed.Stage = wire.ClaimUnknown
+	claimed.Stage = message.ClaimUnknown
 	if receipt != nil {
-		claimed.Stage, claimed.Status = wire.ClaimCompleted, receipt.status
+		claimed.Stage, claimed.Status = message.ClaimCompleted, receipt.status
 		claimed.Header = receipt.kept()
 		if len(receipt.body) <= replayBytes {
 			claimed.Body = receipt.body
@@ -198,9 +199,9 @@
 			claimed.Status = 0
 		}
 	}
-	claims.keeper.Settle(&wire.CompleteClaimRequest{Record: claimed})
+	claims.keeper.Settle(&message.CompleteClaimRequest{Record: claimed})
 	claims.mutex.Lock()
 	delete(claims.running, claimed.Key)
 	claims.mutex.Unlock()
-	claims.tell(ring, &wire.CompleteClaimRequest{Record: claimed})
+	claims.tell(ring, &message.CompleteClaimRequest{Record: claimed})
 }
--- a/data/core_store.go
+++ b/data/core_store.go
@@ -5,8 +5,9 @@
 	"sync"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 const (
@@ -32,8 +33,8 @@
 // pendingUpdate is an update that the cores don't have yet: a claim granted without
 // them, or how one ended.
 type pendingUpdate struct {
-	retold *wire.ClaimRecord
-	settle *wire.CompleteClaimRequest
+	retold *message.ClaimRecord
+	settle *message.CompleteClaimRequest
 }
 
 func newCoreStore(proxy *Proxy) *coreStore {
@@ -84,8 +85,8 @@
 	store.mutex.Unlock()
 }
 
-func (store *coreStore) ask(address string, message *wire.RecordClaimsRequest, limit time.Duration) (*wire.RecordClaimsResponse, error) {
-	return wire.Call[wire.RecordClaimsRequest, wire.RecordClaimsResponse](store.proxy.daemon.Line(), address, "keep", limit, message)
+func (store *coreStore) ask(address string, request *message.RecordClaimsRequest, limit time.Duration) (*message.RecordClaimsResponse, error) {
+	return rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](store.proxy.daemon.Line(), address, "keep", limit, request)
 }
 
 // enqueue queues an update for deliver; if the queue is full the update is lost and
@@ -121,15 +122,15 @@
 		if len(batch) == 0 {
 			return
 		}
-		message := &wire.RecordClaimsRequest{}
+		request := &message.RecordClaimsRequest{}
 		for _, one := range batch {
 			if one.retold != nil {
-				message.Merged = append(message.Merged, *one.retold)
+				request.Merged = append(request.Merged, *one.retold)
 			} else {
-				message.Completed = append(message.Completed, *one.settle)
+				request.Completed = append(request.Completed, *one.settle)
 			}
 		}
-		for !store.sendToMajority(message) {
+		for !store.sendToMajority(request) {
 			store.proxy.counts.Add("claims_told_late", 1)
 			if !threads.Rest(coreStorePace) {
 				return
@@ -143,12 +144,12 @@
 
 // sendToMajority sends an update to the cores. It returns whether a majority of the
 // cores that vote has it.
-func (store *coreStore) sendToMajority(message *wire.RecordClaimsRequest) bool {
+func (store *coreStore) sendToMajority(request *message.RecordClaimsRequest) bool {
 	roster, cores := store.coresToAsk()
-	message.Membership = roster.accepted
-	got, _ := run.Gather(store.proxy.threads, len(cores), func(index int) (*wire.RecordClaimsResponse, error) {
-		return store.ask(cores[index], message, settleLimit)
-	}, func(got map[int]*wire.RecordClaimsResponse, _ map[int]error) bool {
+	request.Membership = roster.accepted
+	got, _ := run.Gather(store.proxy.threads, len(cores), func(index int) (*message.RecordClaimsResponse, error) {
+		return store.ask(cores[index], request, settleLimit)
+	}, func(got map[int]*message.RecordClaimsResponse, _ map[int]error) bool {
 		return keptBy(roster, got).lasting()
 	})
 	votes := keptBy(roster, got)
@@ -157,24 +158,24 @@
 }
 
 // keptBy returns the votes of the cores that answered an update.
-func keptBy(roster Roster, got map[int]*wire.RecordClaimsResponse) *coreVotes {
+func keptBy(roster Roster, got map[int]*message.RecordClaimsResponse) *coreVotes {
 	votes := newCoreVotes(roster)
-	for _, told := range got {
-		votes.add(told.Membership, told.Core, !told.Refused, told.Complete)
+	for _, response := range got {
+		votes.add(response.Membership, response.Core, !response.Refused, response.Complete)
 	}
 	return votes
 }
 
 // restore passes every claim that the cores hold to take. It returns whether a
 // majority of the cores that vote answered and hold all claims.
-func (store *coreStore) restore(take func([]wire.ClaimRecord)) bool {
+func (store *coreStore) restore(take func([]message.ClaimRecord)) bool {
 	roster, cores := store.coresToAsk()
-	got, _ := run.Gather(store.proxy.threads, len(cores), func(index int) (*wire.FetchClaimsResponse, error) {
+	got, _ := run.Gather(store.proxy.threads, len(cores), func(index int) (*message.FetchClaimsResponse, error) {
 		return pullAll(store.proxy.daemon.Line(), cores[index], roster.accepted, take)
-	}, func(map[int]*wire.FetchClaimsResponse, map[int]error) bool { return false })
+	}, func(map[int]*message.FetchClaimsResponse, map[int]error) bool { return false })
 	votes := newCoreVotes(roster)
-	for _, told := range got {
-		votes.add(told.Membership, told.Core, true, told.Complete)
+	for _, response := range got {
+		votes.add(response.Membership, response.Core, true, response.Complete)
 	}
 	store.learn(votes.newest)
 	return votes.whole()
@@ -182,22 +183,22 @@
 
 // pullAll passes every page of claims of a proxy or core to take. It returns the last
 // page, with the membership under which the first one was told.
-func pullAll(line *wire.Client, address string, members wire.AcceptedValue, take func([]wire.ClaimRecord)) (*wire.FetchClaimsResponse, error) {
-	var first *wire.FetchClaimsResponse
+func pullAll(client *rpc.Client, address string, members message.AcceptedValue, take func([]message.ClaimRecord)) (*message.FetchClaimsResponse, error) {
+	var first *message.FetchClaimsResponse
 	for after, whole := uint64(0), true; ; {
-		told, err := wire.Call[wire.FetchClaimsRequest, wire.FetchClaimsResponse](line, address, "pull", pullLimit, &wire.FetchClaimsRequest{After: after, Membership: members})
+		response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](client, address, "pull", pullLimit, &message.FetchClaimsRequest{After: after, Membership: members})
 		if err != nil {
 			return nil, err
 		}
 		if first == nil {
-			first = told
+			first = response
 		}
-		take(told.Claims)
-		whole = whole && told.Complete
-		if told.Done {
-			told.Complete, told.Membership, told.Core = whole, first.Membership, first.Core
-			return told, nil
+		take(response.Claims)
+		whole = whole && response.Complete
+		if response.Done {
+			response.Complete, response.Membership, response.Core = whole, first.Membership, first.Core
+			return response, nil
 		}
-		after = told.Last
+		after = response.Last
 	}
 }
--- a/data/corevotes.go
+++ b/data/corevotes.go
@@ -2,21 +2,21 @@
 
 import (
 	"bytes"
-
-	"orchidjunction/wire"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 // Roster is a membership of the cores as a proxy counts by it; its voters are nil
 // while none is known.
 type Roster struct {
-	accepted wire.AcceptedValue
-	voters   *wire.VoterSet
+	accepted message.AcceptedValue
+	voters   *message.VoterSet
 }
 
 // rosterOf reads a membership; one that can't be read is as good as none.
-func rosterOf(accepted wire.AcceptedValue) Roster {
-	var voters wire.VoterSet
-	if accepted.Value.Serial == 0 || wire.Unmarshal(accepted.Value.Body, &voters) != nil || voters.Check() != nil {
+func rosterOf(accepted message.AcceptedValue) Roster {
+	var voters message.VoterSet
+	if accepted.Value.Serial == 0 || rpc.Unmarshal(accepted.Value.Body, &voters) != nil || voters.Check() != nil {
 		return Roster{}
 	}
 	return Roster{accepted: accepted, voters: &voters}
@@ -54,7 +54,7 @@
 func newCoreVotes(asked Roster) *coreVotes { return &coreVotes{asked: asked, newest: asked} }
 
 // add takes an answer; one without a membership was given under that of the question.
-func (votes *coreVotes) add(members wire.AcceptedValue, core int, taken, whole bool) {
+func (votes *coreVotes) add(members message.AcceptedValue, core int, taken, whole bool) {
 	roster := votes.asked
 	if members.Value.Serial > 0 {
 		roster = rosterOf(members)
@@ -85,7 +85,7 @@
 // that are only joining don't count: nobody vouches yet for what they hold.
 func (votes *coreVotes) whole() bool {
 	voters := votes.newest.voters
-	return voters != nil && wire.CountIn(voters.Current, votes.has(true)) >= wire.Majority(voters.Current)
+	return voters != nil && message.CountIn(voters.Current, votes.has(true)) >= message.Majority(voters.Current)
 }
 
 // outdated is whether the question counted by voters that are no more.
--- a/data/corevotes_test.go
+++ b/data/corevotes_test.go
@@ -1,28 +1,28 @@
 package data
 
 import (
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"testing"
-
-	"orchidjunction/wire"
 )
 
-func rosterFor(test *testing.T, round uint64, serial uint64, current, next []wire.Peer) Roster {
+func rosterFor(test *testing.T, round uint64, serial uint64, current, next []message.Peer) Roster {
 	test.Helper()
-	body, err := wire.Marshal(&wire.VoterSet{Current: current, Next: next, LastID: 9})
+	body, err := rpc.Marshal(&message.VoterSet{Current: current, Next: next, LastID: 9})
 	if err != nil {
 		test.Fatal(err)
 	}
-	roster := rosterOf(wire.AcceptedValue{Term: wire.Term{Number: round, Core: 1}, Value: wire.Value{Serial: serial, Body: body}})
+	roster := rosterOf(message.AcceptedValue{Term: message.Term{Number: round, Core: 1}, Value: message.Value{Serial: serial, Body: body}})
 	if roster.voters == nil {
 		test.Fatal("not read")
 	}
 	return roster
 }
 
-func peers(ids ...int) []wire.Peer {
-	all := []wire.Peer{}
+func peers(ids ...int) []message.Peer {
+	all := []message.Peer{}
 	for _, id := range ids {
-		all = append(all, wire.Peer{ID: id, Address: "10.0.0." + string(rune('0'+id)) + ":41"})
+		all = append(all, message.Peer{ID: id, Address: "10.0.0." + string(rune('0'+id)) + ":41"})
 	}
 	return all
 }
--- a/data/identity.go
+++ b/data/identity.go
@@ -6,10 +6,10 @@
 	"io"
 	"net"
 	"net/http"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"strconv"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 const identityBytes = 16 << 10
@@ -31,35 +31,35 @@
 // ask reads the identity on the pipe itself, before anything else goes over it.
 func (identity *Identity) ask(pipe net.Conn, host string, limit time.Time) error {
 	if err := pipe.SetDeadline(limit); err != nil {
-		return wire.Errorf(wire.ConnectionBroken, "identity: %v", err)
+		return rpc.Errorf(rpc.ConnectionBroken, "identity: %v", err)
 	}
 	defer func() { _ = pipe.SetDeadline(time.Time{}) }() // the next use meets a closed connection anyway
 	if _, err := io.WriteString(pipe, "GET /oj/identity HTTP/1.1\r\nHost: "+host+"\r\nAccept: application/json\r\n\r\n"); err != nil {
-		return wire.Errorf(wire.ConnectionBroken, "identity: %v", err)
+		return rpc.Errorf(rpc.ConnectionBroken, "identity: %v", err)
 	}
 	reader := bufio.NewReader(pipe)
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		return wire.Errorf(wire.BadResponse, "identity: %v", err)
+		return rpc.Errorf(rpc.BadResponse, "identity: %v", err)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, identityBytes+1))
 	response.Body.Close()
 	if err != nil || len(body) > identityBytes || response.StatusCode != http.StatusOK || response.Close || reader.Buffered() > 0 {
-		return wire.Errorf(wire.BadResponse, "identity: status %d, %d bytes, %v", response.StatusCode, len(body), err)
+		return rpc.Errorf(rpc.BadResponse, "identity: status %d, %d bytes, %v", response.StatusCode, len(body), err)
 	}
 	if err := json.Unmarshal(body, identity); err != nil {
-		return wire.Errorf(wire.BadResponse, "identity: %v", err)
+		return rpc.Errorf(rpc.BadResponse, "identity: %v", err)
 	}
 	if identity.Incarnation == "" {
-		return wire.Errorf(wire.BadResponse, "identity without incarnation")
+		return rpc.Errorf(rpc.BadResponse, "identity without incarnation")
 	}
 	return nil
 }
 
 // belongs is nil when the identity is that of the listed backend.
-func (identity *Identity) belongs(backend wire.Backend) error {
+func (identity *Identity) belongs(backend message.Backend) error {
 	if identity.Service != backend.Service || identity.Instance != backend.Name {
-		return wire.Errorf(wire.WrongBackend, "%s is %s of %s, listed as %s of %s", backend.Address, identity.Instance, identity.Service, backend.Name, backend.Service)
+		return rpc.Errorf(rpc.WrongBackend, "%s is %s of %s, listed as %s of %s", backend.Address, identity.Instance, identity.Service, backend.Name, backend.Service)
 	}
 	return nil
 }
--- a/data/key_replicas.go
+++ b/data/key_replicas.go
@@ -2,9 +2,8 @@
 
 import (
 	"hash/fnv"
+	"orchidjunction/message"
 	"sort"
-
-	"orchidjunction/wire"
 )
 
 const keepersMost = 5
@@ -12,11 +11,11 @@
 // Keepers is the set of proxies that keep idempotency keys, as one version of the
 // table names them.
 type Keepers struct {
-	members []wire.Member
+	members []message.Member
 	regions map[string]string
 }
 
-func newKeepers(table *wire.Table, regions map[string]string) *Keepers {
+func newKeepers(table *message.Table, regions map[string]string) *Keepers {
 	keepers := &Keepers{regions: regions}
 	for _, member := range table.Members {
 		if member.Kind == "proxy" && member.KeyReplica {
@@ -27,9 +26,9 @@
 }
 
 // of ranks the ring for a key and takes the first of each region in turn.
-func (keepers *Keepers) of(key wire.ClaimKey) []wire.Member {
+func (keepers *Keepers) of(key message.ClaimKey) []message.Member {
 	type ranked struct {
-		member wire.Member
+		member message.Member
 		score  uint64
 	}
 	ranks := make([]ranked, len(keepers.members))
@@ -37,7 +36,7 @@
 		ranks[index] = ranked{member, Rank(key.Tenant+"\x00"+key.Service+"\x00"+key.Key, member.Name)}
 	}
 	sort.Slice(ranks, func(left, right int) bool { return ranks[left].score > ranks[right].score })
-	taken, chosen := map[string]int{}, []wire.Member{}
+	taken, chosen := map[string]int{}, []message.Member{}
 	for round := 0; len(chosen) < min(keepersMost, len(ranks)); round++ {
 		for _, one := range ranks {
 			region := keepers.regions[one.member.Zone]
@@ -61,7 +60,7 @@
 	return mixed ^ mixed>>33
 }
 
-func among(members []wire.Member, name string) bool {
+func among(members []message.Member, name string) bool {
 	for _, member := range members {
 		if member.Name == name {
 			return true
--- a/data/lend.go
+++ b/data/lend.go
@@ -1,11 +1,10 @@
 package data
 
 import (
+	"orchidjunction/rpc"
 	"sync"
 	"time"
 
-	"orchidjunction/wire"
-
 	"golang.org/x/time/rate"
 )
 
@@ -36,7 +35,7 @@
 	defer lend.mutex.Unlock()
 	if lend.owner.admission.Overloaded() || lend.inFlight >= lend.most || !lend.rate.Allow() {
 		lend.owner.counts.Add("lending_refused", 1)
-		return &wire.Error{Code: wire.Overloaded, Message: "the lender needs its room", RetryAfterMs: comeBack, Outcome: wire.NotRun}
+		return &rpc.Error{Code: rpc.Overloaded, Message: "the lender needs its room", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
 	}
 	lend.inFlight++
 	lend.owner.counts.Add("lent", 1)
--- a/data/pipe.go
+++ b/data/pipe.go
@@ -4,10 +4,10 @@
 	"context"
 	"net"
 	"net/http"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"sync"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // countedConn knows how many bytes went out, so that "surely not run" is known.
@@ -54,12 +54,12 @@
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
 // openPipe dials and learns who is there before net/http gets the connection.
-func openPipe(dial Dialer, backend wire.Backend, limit time.Time) (*Pipe, *Identity, error) {
+func openPipe(dial Dialer, backend message.Backend, limit time.Time) (*Pipe, *Identity, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), limit)
 	defer cancel()
 	conn, err := dial(ctx, "tcp", backend.Address)
 	if err != nil {
-		return nil, nil, wire.Errorf(wire.ConnectFailed, "%v", err)
+		return nil, nil, rpc.Errorf(rpc.ConnectFailed, "%v", err)
 	}
 	identity := &Identity{}
 	mishap := identity.ask(conn, backend.Address, limit)
@@ -79,7 +79,7 @@
 	client, err := transport.NewClientConn(ctx, "http", backend.Address)
 	if err != nil {
 		conn.Close()
-		return nil, nil, wire.Errorf(wire.ConnectionBroken, "%v", err)
+		return nil, nil, rpc.Errorf(rpc.ConnectionBroken, "%v", err)
 	}
 	return &Pipe{conn: counted, client: client, used: time.Now()}, identity, nil
 }
--- a/data/proxy.go
+++ b/data/proxy.go
@@ -8,8 +8,9 @@
 
 	"orchidjunction/conf"
 	"orchidjunction/member"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // Proxy is the HTTP handler that carries requests of the settings' routes to
@@ -135,7 +136,7 @@
 
 // coldShares is among how many proxies a backend's gentle rate is split: the
 // same few for all that read this table, and 0 for the others.
-func coldShares(table *wire.Table, backend wire.Backend, name string) int {
+func coldShares(table *message.Table, backend message.Backend, name string) int {
 	ahead, count, own := 0, 0, Rank(backend.Name, name)
 	for _, known := range table.Members {
 		if known.Kind != "proxy" || known.Leaving {
@@ -190,7 +191,7 @@
 		serial, err := target.probe()
 		proxy.counts.Add("probes", 1)
 		if err != nil {
-			proxy.counts.Add("probes_"+string(wire.CodeOf(err)), 1)
+			proxy.counts.Add("probes_"+string(rpc.CodeOf(err)), 1)
 		} else {
 			proxy.daemon.Seen(serial)
 		}
@@ -207,12 +208,12 @@
 
 // Probes returns what this proxy knows of each backend's health, for its report to
 // the cores.
-func (proxy *Proxy) Probes() []wire.Probe {
+func (proxy *Proxy) Probes() []message.Probe {
 	plan := proxy.plan.Load()
 	if plan == nil {
 		return nil
 	}
-	probes := make([]wire.Probe, 0, len(plan.all))
+	probes := make([]message.Probe, 0, len(plan.all))
 	for _, target := range plan.all {
 		probes = append(probes, target.report())
 	}
--- a/data/receipt.go
+++ b/data/receipt.go
@@ -4,10 +4,9 @@
 	"errors"
 	"io"
 	"net/http"
+	"orchidjunction/rpc"
 	"slices"
 	"strconv"
-
-	"orchidjunction/wire"
 )
 
 const wholeBytes = 1 << 20
@@ -30,13 +29,13 @@
 // streaming begins.
 func takeReceipt(response *http.Response, taskID string, most int, whole bool) (*Receipt, error) {
 	if echoed := response.Header.Get("Oj-Task"); echoed != taskID {
-		return nil, wire.Errorf(wire.BadResponse, "the answer is for task %q", echoed)
+		return nil, rpc.Errorf(rpc.BadResponse, "the answer is for task %q", echoed)
 	}
 	if response.StatusCode < 200 {
-		return nil, wire.Errorf(wire.BadResponse, "status %d", response.StatusCode)
+		return nil, rpc.Errorf(rpc.BadResponse, "status %d", response.StatusCode)
 	}
 	if response.ContentLength > int64(most) {
-		return nil, wire.Errorf(wire.BadResponse, "%d bytes, allowed %d", response.ContentLength, most)
+		return nil, rpc.Errorf(rpc.BadResponse, "%d bytes, allowed %d", response.ContentLength, most)
 	}
 	receipt := &Receipt{status: response.StatusCode, header: response.Header, length: response.ContentLength}
 	first := most
@@ -45,10 +44,10 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, int64(first)+1))
 	if err != nil {
-		return nil, wire.Errorf(wire.BadResponse, "after %d bytes: %v", len(body), err)
+		return nil, rpc.Errorf(rpc.BadResponse, "after %d bytes: %v", len(body), err)
 	}
 	if len(body) > most {
-		return nil, wire.Errorf(wire.BadResponse, "more than %d bytes", most)
+		return nil, rpc.Errorf(rpc.BadResponse, "more than %d bytes", most)
 	}
 	receipt.body = body
 	if len(body) > first {
@@ -94,7 +93,7 @@
 	}
 	rest, err := io.Copy(writer, io.LimitReader(receipt.rest, int64(most-len(receipt.body))+1))
 	if err == nil && rest > int64(most-len(receipt.body)) {
-		err = errors.New(string(wire.TooLarge))
+		err = errors.New(string(rpc.TooLarge))
 	}
 	return err
 }
--- a/data/target.go
+++ b/data/target.go
@@ -5,8 +5,9 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 
 	"golang.org/x/time/rate"
 )
@@ -26,7 +27,7 @@
 // and responses, and idle connections, which belong to the incarnation that opened
 // them.
 type Target struct {
-	listing atomic.Pointer[wire.Backend]
+	listing atomic.Pointer[message.Backend]
 	dial    Dialer
 	looked  atomic.Bool
 	stirred *run.Bell
@@ -43,18 +44,18 @@
 	chosen   time.Time
 }
 
-func newTarget(backend wire.Backend, dial Dialer) *Target {
+func newTarget(backend message.Backend, dial Dialer) *Target {
 	target := &Target{dial: dial, stirred: run.NewBell()}
 	target.listing.Store(&backend)
 	return target
 }
 
-func (target *Target) backend() wire.Backend { return *target.listing.Load() }
+func (target *Target) backend() message.Backend { return *target.listing.Load() }
 
 // relist keeps what is known of a backend whose listing changed elsewhere than
 // in its address. While it is cold only shares proxies send to it; 0 means that
 // this one does not.
-func (target *Target) relist(backend wire.Backend, shares int) {
+func (target *Target) relist(backend message.Backend, shares int) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	if backend.ProbeHint > target.backend().ProbeHint {
@@ -116,7 +117,7 @@
 	target.mutex.Lock()
 	stale := []*Pipe{}
 	target.faults++
-	if wire.CodeOf(err) == wire.WrongBackend {
+	if rpc.CodeOf(err) == rpc.WrongBackend {
 		target.wrong = true
 	}
 	if target.wrong || target.faults >= failuresDown {
@@ -188,7 +189,7 @@
 	target.learn(*identity)
 	if identity.Leaving {
 		pipe.close()
-		return nil, "", wire.Errorf(wire.NoBackend, "%s is leaving", target.backend().Name)
+		return nil, "", rpc.Errorf(rpc.NoBackend, "%s is leaving", target.backend().Name)
 	}
 	return pipe, identity.Incarnation, nil
 }
@@ -226,10 +227,10 @@
 	return identity.Serial, nil
 }
 
-func (target *Target) report() wire.Probe {
+func (target *Target) report() message.Probe {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	return wire.Probe{Backend: target.backend().Name, Incarnation: target.identity.Incarnation, Healthy: target.healthy(), Leaving: target.identity.Leaving,
+	return message.Probe{Backend: target.backend().Name, Incarnation: target.identity.Incarnation, Healthy: target.healthy(), Leaving: target.identity.Leaving,
 		WarmingUp: target.identity.Cold, WarmupRate: target.identity.GentleRate, Utilization: target.identity.Usage, Serial: target.identity.Serial}
 }
 
--- a/data/task.go
+++ b/data/task.go
@@ -15,7 +15,8 @@
 
 	"orchidjunction/conf"
 	"orchidjunction/member"
-	"orchidjunction/wire"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 const (
@@ -56,18 +57,18 @@
 		writer.Header().Set("Connection", "close")
 	}
 	if err := task.serve(writer); err != nil {
-		task.refuse(writer, *wire.AsError(err))
+		task.refuse(writer, *rpc.AsError(err))
 		return
 	}
 	task.deliver(writer)
 }
 
 // refuse writes a refusal; one that names no outcome ran nothing.
-func (task *task) refuse(writer http.ResponseWriter, refusal wire.Error) {
+func (task *task) refuse(writer http.ResponseWriter, refusal rpc.Error) {
 	if refusal.Outcome == "" {
-		refusal.Outcome = wire.NotRun
+		refusal.Outcome = rpc.NotRun
 	}
-	if refusal.Outcome == wire.NotRun {
+	if refusal.Outcome == rpc.NotRun {
 		task.state.advance(Refused)
 	} else {
 		task.state.advance(Unknown)
@@ -92,7 +93,7 @@
 func (task *task) serve(writer http.ResponseWriter) error {
 	task.plan = task.proxy.plan.Load()
 	if task.plan == nil || !task.proxy.daemon.Ready() {
-		return task.redirect(wire.NotReady, "no confirmed settings in force here")
+		return task.redirect(rpc.NotReady, "no confirmed settings in force here")
 	}
 	if task.emptied() {
 		writer.Header().Set("Connection", "close")
@@ -119,35 +120,35 @@
 // one that might not end before this process stops.
 func (task *task) checkLeaving() error {
 	if task.emptied() {
-		return &wire.Error{Code: wire.ZoneDrained, Message: "this zone is emptied; ask a directory where to go", RetryAfterMs: comeBack, Outcome: wire.NotRun}
+		return &rpc.Error{Code: rpc.ZoneDrained, Message: "this zone is emptied; ask a directory where to go", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
 	}
 	if rest, leaving := task.proxy.daemon.Stays(); leaving && time.Until(task.limit) > rest-endMargin {
-		return &wire.Error{Code: wire.Stopping, Message: "this front stops; ask a directory where to go", RetryAfterMs: comeBack, Outcome: wire.NotRun}
+		return &rpc.Error{Code: rpc.Stopping, Message: "this front stops; ask a directory where to go", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
 	}
 	return nil
 }
 
 // redirect refuses a request that another proxy may serve. Whether an idempotency key
 // was used before is not known here, so that its outcome is unknown.
-func (task *task) redirect(kind wire.Code, cause string) error {
+func (task *task) redirect(kind rpc.Code, cause string) error {
 	if task.request.Header.Get(moneyHeader) != "" {
-		return &wire.Error{Code: wire.OutcomeUnknown, Message: cause + "; send the key again there", RetryAfterMs: comeBack, Outcome: wire.MayHaveRun}
+		return &rpc.Error{Code: rpc.OutcomeUnknown, Message: cause + "; send the key again there", RetryAfterMs: comeBack, Outcome: rpc.MayHaveRun}
 	}
-	return &wire.Error{Code: kind, Message: cause, RetryAfterMs: comeBack}
+	return &rpc.Error{Code: kind, Message: cause, RetryAfterMs: comeBack}
 }
 
 // authenticate finds the tenant of the bearer key.
 func (task *task) authenticate() error {
 	key, bearer := strings.CutPrefix(task.request.Header.Get("Authorization"), "Bearer ")
 	if !bearer || key == "" {
-		return wire.Errorf(wire.UnknownKey, "want Authorization: Bearer and a tenant's key")
+		return rpc.Errorf(rpc.UnknownKey, "want Authorization: Bearer and a tenant's key")
 	}
 	tenant, found := task.plan.routes.Tenant(key)
 	if !found {
-		return wire.Errorf(wire.UnknownKey, "no tenant has this key")
+		return rpc.Errorf(rpc.UnknownKey, "no tenant has this key")
 	}
 	if named := task.request.Header.Get("Oj-Tenant"); named != "" && named != task.plan.routes.TenantName(tenant) {
-		return wire.Errorf(wire.WrongTenant, "the key is not that of %q", named)
+		return rpc.Errorf(rpc.WrongTenant, "the key is not that of %q", named)
 	}
 	task.tenant = tenant
 	task.state.advance(Authenticated)
@@ -160,20 +161,20 @@
 	task.path = "/" + path
 	route, otherMethod := task.plan.routes.Route(service, task.request.Method, task.path)
 	if otherMethod {
-		return wire.Errorf(wire.MethodNotAllowed, "%s is not for %s", task.request.Method, task.request.URL.Path)
+		return rpc.Errorf(rpc.MethodNotAllowed, "%s is not for %s", task.request.Method, task.request.URL.Path)
 	}
 	if route == nil {
-		return wire.Errorf(wire.UnknownRoute, "%s", task.request.URL.Path)
+		return rpc.Errorf(rpc.UnknownRoute, "%s", task.request.URL.Path)
 	}
 	task.rule = route
 	if !task.plan.routes.allowed(task.proxy.daemon.Zone(), task.tenant, route) {
-		return wire.Errorf(wire.ForbiddenRegion, "zone %s is closed to this task", task.proxy.daemon.Zone())
+		return rpc.Errorf(rpc.ForbiddenRegion, "zone %s is closed to this task", task.proxy.daemon.Zone())
 	}
 	span := time.Duration(task.rule.LimitMs) * time.Millisecond
 	if asked := task.request.Header.Get("Oj-Limit-Ms"); asked != "" {
 		own, err := strconv.Atoi(asked)
 		if err != nil || own < 1 {
-			return wire.Errorf(wire.BadRequest, "Oj-Limit-Ms: %q is not a whole number above 0", asked)
+			return rpc.Errorf(rpc.BadRequest, "Oj-Limit-Ms: %q is not a whole number above 0", asked)
 		}
 		span = min(span, time.Duration(own)*time.Millisecond)
 	}
@@ -186,7 +187,7 @@
 func (task *task) readBody(writer http.ResponseWriter) error {
 	most := int64(task.rule.BodyBytes)
 	if task.request.ContentLength > most {
-		return wire.Errorf(wire.TooLarge, "%d bytes, allowed %d", task.request.ContentLength, most)
+		return rpc.Errorf(rpc.TooLarge, "%d bytes, allowed %d", task.request.ContentLength, most)
 	}
 	controller := http.NewResponseController(writer)
 	_ = controller.SetReadDeadline(task.limit) // a writer without deadlines is read to its end
@@ -194,9 +195,9 @@
 	_ = controller.SetReadDeadline(time.Time{})
 	if err != nil {
 		if int64(len(body)) >= most {
-			return wire.Errorf(wire.TooLarge, "allowed %d bytes", most)
+			return rpc.Errorf(rpc.TooLarge, "allowed %d bytes", most)
 		}
-		return wire.Errorf(wire.BadRequest, "body: %v", err)
+		return rpc.Errorf(rpc.BadRequest, "body: %v", err)
 	}
 	task.body = body
 	return nil
@@ -206,11 +207,11 @@
 func (task *task) sendOnce() error {
 	key := task.request.Header.Get(moneyHeader)
 	if key == "" || len(key) > 200 {
-		return wire.Errorf(wire.KeyRequired, "want %s of 1 to 200 letters", moneyHeader)
+		return rpc.Errorf(rpc.KeyRequired, "want %s of 1 to 200 letters", moneyHeader)
 	}
 	sum := sha256.Sum256(append([]byte(fmt.Sprintf("%s %s?%s\n", task.request.Method, task.path, task.request.URL.RawQuery)), task.body...))
-	claimed := wire.ClaimRecord{Key: wire.ClaimKey{Tenant: task.plan.routes.TenantName(task.tenant), Service: task.rule.Service, Key: key},
-		ID: task.id, Digest: hex.EncodeToString(sum[:]), Holder: task.proxy.claims.holder(), Stage: wire.ClaimRunning}
+	claimed := message.ClaimRecord{Key: message.ClaimKey{Tenant: task.plan.routes.TenantName(task.tenant), Service: task.rule.Service, Key: key},
+		ID: task.id, Digest: hex.EncodeToString(sum[:]), Holder: task.proxy.claims.holder(), Stage: message.ClaimRunning}
 	held, err := task.proxy.claims.take(claimed)
 	if err != nil {
 		return err
@@ -225,9 +226,9 @@
 }
 
 // replay returns the recorded response of the key's one send.
-func (task *task) replay(held *wire.ClaimRecord) error {
-	if held.Stage != wire.ClaimCompleted || held.Status == 0 {
-		return &wire.Error{Code: wire.OutcomeUnknown, Message: "this key was sent before and its answer is not here", Outcome: wire.MayHaveRun}
+func (task *task) replay(held *message.ClaimRecord) error {
+	if held.Stage != message.ClaimCompleted || held.Status == 0 {
+		return &rpc.Error{Code: rpc.OutcomeUnknown, Message: "this key was sent before and its answer is not here", Outcome: rpc.MayHaveRun}
 	}
 	task.receipt, task.replayed = &Receipt{status: held.Status, header: http.Header{}, body: held.Body, length: int64(len(held.Body))}, true
 	for name, value := range held.Header {
@@ -255,9 +256,9 @@
 	}
 	if task.proxy.retries.isRetry(task.mark) && !task.proxy.budget.allow() {
 		task.proxy.counts.Add("quick_retries_refused", 1)
-		return &wire.Error{Code: wire.Overloaded, Message: "this task just failed here and the budget for retries is used up", RetryAfterMs: comeBack, Outcome: wire.NotRun}
+		return &rpc.Error{Code: rpc.Overloaded, Message: "this task just failed here and the budget for retries is used up", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
 	}
-	var last error = &wire.Error{Code: wire.NoBackend, Message: "no backend can take this now", RetryAfterMs: comeBack, Outcome: wire.NotRun}
+	var last error = &rpc.Error{Code: rpc.NoBackend, Message: "no backend can take this now", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
 	mayRun := false
 	for sends := 0; sends < task.rule.Sends; sends++ {
 		if sends > 0 && !task.proxy.budget.allow() {
@@ -284,7 +285,7 @@
 			task.receipt = receipt
 			return nil
 		}
-		task.proxy.counts.Add("sends_"+string(wire.CodeOf(err)), 1)
+		task.proxy.counts.Add("sends_"+string(rpc.CodeOf(err)), 1)
 		last, mayRun = err, mayRun || ran
 		if ran && task.rule.Money || ran && task.request.Method != http.MethodGet && task.request.Method != http.MethodHead {
 			break
@@ -298,18 +299,18 @@
 
 // final never says 503 of a task that may have run.
 func (task *task) final(last error, mayRun bool) error {
-	final := *wire.AsError(last)
-	final.Outcome = wire.NotRun
+	final := *rpc.AsError(last)
+	final.Outcome = rpc.NotRun
 	if mayRun {
-		final.Outcome = wire.MayHaveRun
+		final.Outcome = rpc.MayHaveRun
 		if final.Code.Status() == http.StatusServiceUnavailable {
-			final.Code, final.RetryAfterMs = wire.OutcomeUnknown, 0
+			final.Code, final.RetryAfterMs = rpc.OutcomeUnknown, 0
 		}
 		return &final
 	}
-	if final.Code != wire.DeadlineExceeded {
+	if final.Code != rpc.DeadlineExceeded {
 		final.Message = string(final.Code) + ": " + final.Message
-		final.Code, final.RetryAfterMs = wire.NoBackend, comeBack
+		final.Code, final.RetryAfterMs = rpc.NoBackend, comeBack
 	}
 	return &final
 }
@@ -335,7 +336,7 @@
 		cancel()
 		leave()
 		target.giveBack(pipe, incarnation, task.rule.Pipes)
-		return nil, false, wire.Errorf(wire.BadRequest, "%v", err)
+		return nil, false, rpc.Errorf(rpc.BadRequest, "%v", err)
 	}
 	task.state.advance(Sent)
 	response, ran, err := pipe.send(request)
@@ -344,15 +345,15 @@
 		leave()
 		pipe.close()
 		if time.Now().Before(task.limit) {
-			kind := wire.ConnectionBroken
+			kind := rpc.ConnectionBroken
 			if ran {
-				kind = wire.BadResponse
+				kind = rpc.BadResponse
 			}
-			mishap = wire.Errorf(kind, "%v", err)
+			mishap = rpc.Errorf(kind, "%v", err)
 			target.failed(mishap)
 			return nil, ran, mishap
 		}
-		return nil, ran, wire.Errorf(wire.DeadlineExceeded, "no answer within the limit")
+		return nil, ran, rpc.Errorf(rpc.DeadlineExceeded, "no answer within the limit")
 	}
 	task.state.advance(Receiving)
 	target.learnReceipt(incarnation, func(identity *Identity) { identity.fromReceipt(response.Header) })
@@ -365,7 +366,7 @@
 		leave()
 		pipe.close()
 		if !time.Now().Before(task.limit) {
-			mishap = wire.Errorf(wire.DeadlineExceeded, "%s", wire.AsError(mishap).Message)
+			mishap = rpc.Errorf(rpc.DeadlineExceeded, "%s", rpc.AsError(mishap).Message)
 		}
 		return nil, true, mishap
 	}
@@ -374,9 +375,9 @@
 		leave()
 		target.giveBack(pipe, incarnation, task.rule.Pipes)
 		if receipt.header.Get("Oj-Not-Run") == "true" {
-			return nil, false, &wire.Error{Code: wire.Overloaded, Message: "the backend is busy", RetryAfterMs: comeBack}
+			return nil, false, &rpc.Error{Code: rpc.Overloaded, Message: "the backend is busy", RetryAfterMs: comeBack}
 		}
-		return nil, true, &wire.Error{Code: wire.OutcomeUnknown, Message: fmt.Sprintf("the backend said %d and not whether it ran", receipt.status)}
+		return nil, true, &rpc.Error{Code: rpc.OutcomeUnknown, Message: fmt.Sprintf("the backend said %d and not whether it ran", receipt.status)}
 	}
 	done := func() {
 		cancel()
--- a/fleet/changes.go
+++ b/fleet/changes.go
@@ -8,7 +8,7 @@
 
 	"orchidjunction/judge"
 	"orchidjunction/operator"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 func backendDrained(fleet *Fleet) {
@@ -108,7 +108,7 @@
 	fleet.ledger.Operate(24, 2*time.Second)
 	for range 2 {
 		huge := operator.Change{Base: 1, Settings: []byte(`{"fill":"` + strings.Repeat("x", 17<<20) + `"}`)}
-		if _, err := fleet.Operator(0).Put(huge); err == nil || wire.CodeOf(err) != wire.TooLarge {
+		if _, err := fleet.Operator(0).Put(huge); err == nil || rpc.CodeOf(err) != rpc.TooLarge {
 			fleet.codes = append(fleet.codes, fmt.Sprintf("17 MB taken: %v", err))
 		}
 		leaderChanges(fleet)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -13,9 +13,9 @@
 	"orchidjunction/conf"
 	"orchidjunction/judge"
 	"orchidjunction/operator"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
 	"orchidjunction/stand"
-	"orchidjunction/wire"
 )
 
 // Fleet is the processes of one run and what is recorded about them.
@@ -57,10 +57,10 @@
 		return nil, err
 	}
 	if err := os.MkdirAll(spec.Folder, 0o700); err != nil {
-		return nil, wire.Errorf(wire.BadFlag, "--folder: %v", err)
+		return nil, rpc.Errorf(rpc.BadFlag, "--folder: %v", err)
 	}
 	if entries, _ := os.ReadDir(spec.Folder); len(entries) > 0 {
-		return nil, wire.Errorf(wire.BadFlag, "--folder: %s is not empty", spec.Folder)
+		return nil, rpc.Errorf(rpc.BadFlag, "--folder: %s is not empty", spec.Folder)
 	}
 	fleet := &Fleet{Spec: spec, settings: settings, body: body, threads: threads, port: spec.BasePort, guests: map[string]string{}, name: settings.Partner,
 		client: &http.Client{Timeout: 2 * time.Second}}
--- a/fleet/layout.go
+++ b/fleet/layout.go
@@ -6,8 +6,8 @@
 	"os"
 	"path/filepath"
 
+	"orchidjunction/rpc"
 	"orchidjunction/stand"
-	"orchidjunction/wire"
 )
 
 // Lend makes the first proxies guests of the other partner's fleet too.
@@ -46,7 +46,7 @@
 	list := filepath.Join(fleet.Spec.Folder, "backends.json")
 	body, _ := json.Marshal(fleet.listed)
 	if err := os.WriteFile(list, body, 0o600); err != nil {
-		return wire.Errorf(wire.DiskFailure, "%v", err)
+		return rpc.Errorf(rpc.DiskFailure, "%v", err)
 	}
 	fleet.Platform = fleet.process("platform", "ojplat", "--listen", platform, "--backends", list, "--lag-ms", fmt.Sprint(fleet.Spec.LagMs))
 	fleet.Platform.Outer = platform
--- a/fleet/load.go
+++ b/fleet/load.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
+	"orchidjunction/rpc"
 	"orchidjunction/stand"
-	"orchidjunction/wire"
 )
 
 // Call starts the callers.
@@ -59,7 +59,7 @@
 	path := filepath.Join(fleet.Spec.Folder, "origin.json")
 	body, _ := json.Marshal(plan)
 	if err := os.WriteFile(path, body, 0o600); err != nil {
-		return wire.Errorf(wire.DiskFailure, "%v", err)
+		return rpc.Errorf(rpc.DiskFailure, "%v", err)
 	}
 	fleet.called = time.Now()
 	fleet.origin = fleet.process("origin", "ojorigin", "--plan", path)
@@ -78,7 +78,7 @@
 		err = json.Unmarshal(body, report)
 	}
 	if err != nil {
-		return nil, wire.Errorf(wire.BadMessage, "callers' report: %v", err)
+		return nil, rpc.Errorf(rpc.BadMessage, "callers' report: %v", err)
 	}
 	return report, nil
 }
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // Process is one program of the fleet; it can be started again after it ended.
@@ -48,13 +48,13 @@
 	}
 	log, err := os.OpenFile(process.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return wire.Errorf(wire.DiskFailure, "%v", err)
+		return rpc.Errorf(rpc.DiskFailure, "%v", err)
 	}
 	command := exec.Command(process.path, process.arguments...)
 	command.Stdout, command.Stderr = log, log
 	if err := command.Start(); err != nil {
 		_ = log.Close() // nothing was written
-		return wire.Errorf(wire.BadFlag, "%s: %v", process.Name, err)
+		return rpc.Errorf(rpc.BadFlag, "%s: %v", process.Name, err)
 	}
 	process.command, process.alive = command, true
 	process.threads.Start(func() {
--- a/fleet/readiness.go
+++ b/fleet/readiness.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"orchidjunction/operator"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // Up starts all processes, puts the first settings in force and waits until every
@@ -35,7 +35,7 @@
 		last = err
 		fleet.threads.Rest(50 * time.Millisecond)
 	}
-	return wire.Errorf(wire.NotReady, "no settings in force in time: %v", last)
+	return rpc.Errorf(rpc.NotReady, "no settings in force in time: %v", last)
 }
 
 // short are the settings of a partner whose fronts carry less than it
@@ -92,7 +92,7 @@
 		}
 		fleet.threads.Rest(50 * time.Millisecond)
 	}
-	return wire.Errorf(wire.NotReady, "serials in force: %v", fleet.Serials())
+	return rpc.Errorf(rpc.NotReady, "serials in force: %v", fleet.Serials())
 }
 
 // keeping is true once every proxy that lives keeps claims.
--- a/fleet/replace.go
+++ b/fleet/replace.go
@@ -2,12 +2,11 @@
 
 import (
 	"fmt"
+	"orchidjunction/message"
 	"path/filepath"
 	"slices"
 	"syscall"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 const (
@@ -96,8 +95,8 @@
 // replaceByPlan starts a core first, and ends the old one once the new one is ready.
 func (fleet *Fleet) replaceByPlan(name string, old *Process) {
 	core := fleet.newCore(old.Zone)
-	if !fleet.membershipComes(func(membership *wire.MembershipStatus) bool {
-		return slices.ContainsFunc(membership.Learners, func(learner wire.LearnerStatus) bool {
+	if !fleet.membershipComes(func(membership *message.MembershipStatus) bool {
+		return slices.ContainsFunc(membership.Learners, func(learner message.LearnerStatus) bool {
 			return learner.Address == core.Wire && learner.Synced
 		})
 	}) {
@@ -113,9 +112,9 @@
 
 // succeeds waits until the new core votes in the old one's place.
 func (fleet *Fleet) succeeds(name string, old, core *Process, begin time.Time) {
-	taken := fleet.membershipComes(func(membership *wire.MembershipStatus) bool {
+	taken := fleet.membershipComes(func(membership *message.MembershipStatus) bool {
 		votes := func(address string) bool {
-			return slices.ContainsFunc(membership.Voters, func(voter wire.VoterStatus) bool { return voter.Address == address })
+			return slices.ContainsFunc(membership.Voters, func(voter message.VoterStatus) bool { return voter.Address == address })
 		}
 		return len(membership.Next) == 0 && len(membership.Voters) == fleet.Spec.Cores && votes(core.Wire) && !votes(old.Wire)
 	})
@@ -129,7 +128,7 @@
 }
 
 // membershipComes waits until the leader tells of such a membership.
-func (fleet *Fleet) membershipComes(holds func(*wire.MembershipStatus) bool) bool {
+func (fleet *Fleet) membershipComes(holds func(*message.MembershipStatus) bool) bool {
 	for limit := time.Now().Add(replaceLimit); time.Now().Before(limit); fleet.threads.Rest(lookPace) {
 		if membership, err := fleet.Operator(0).Cores(); err == nil && holds(membership) {
 			return true
--- a/fleet/scenario.go
+++ b/fleet/scenario.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"orchidjunction/judge"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
 	"orchidjunction/stand"
-	"orchidjunction/wire"
 )
 
 // Scenario injects faults into a running fleet. Planned says that it does nothing
@@ -114,7 +114,7 @@
 	}
 	if body, err := os.ReadFile(filepath.Join(fleet.Spec.Folder, "origin.log")); err == nil {
 		if err := os.WriteFile(filepath.Join(fleet.Spec.Folder, "callers.json"), body, 0o600); err != nil {
-			return nil, wire.Errorf(wire.DiskFailure, "%v", err)
+			return nil, rpc.Errorf(rpc.DiskFailure, "%v", err)
 		}
 	}
 	fleet.threads.Rest(1500 * time.Millisecond)
@@ -124,7 +124,7 @@
 		AtMs    map[string]int64    `json:"at_ms"`
 	}{}
 	if err := fleet.get(fleet.Platform.Outer, "/stand/reports", &reports); err != nil {
-		return nil, wire.Errorf(wire.PlatformError, "reports: %v", err)
+		return nil, rpc.Errorf(rpc.PlatformError, "reports: %v", err)
 	}
 	evidence.Reports, evidence.ReportAt = reports.Reports, reports.AtMs
 	fleet.wait()
@@ -173,7 +173,7 @@
 		return verdicts, nil
 	}, func(map[int][]judge.Verdict, map[int]error) bool { return false })
 	for _, err := range failed {
-		return nil, wire.AsError(err)
+		return nil, rpc.AsError(err)
 	}
 	all := make([][]judge.Verdict, len(fleets))
 	for index, verdicts := range got {
--- a/fleet/spec.go
+++ b/fleet/spec.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 
 	"orchidjunction/conf"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 // Spec is the size of a fleet and its load: Rate requests a second for Seconds,
@@ -59,17 +59,17 @@
 // not run, before anything starts.
 func (spec *Spec) Check() (*conf.Settings, []byte, error) {
 	if spec.Cores%2 == 0 || spec.Cores < 1 || spec.Cores > 7 || spec.Directories < 1 || spec.Proxies < 1 || spec.Proxies > 64 || spec.Backends < 1 || spec.Backends > 256 {
-		return nil, nil, wire.Errorf(wire.BadFlag, "impossible size: %d cores, %d directories, %d proxies, %d backends", spec.Cores, spec.Directories, spec.Proxies, spec.Backends)
+		return nil, nil, rpc.Errorf(rpc.BadFlag, "impossible size: %d cores, %d directories, %d proxies, %d backends", spec.Cores, spec.Directories, spec.Proxies, spec.Backends)
 	}
 	if spec.Rate < 1 || spec.Rate > 5000 || spec.Seconds < 1 || spec.Seconds > 3600 {
-		return nil, nil, wire.Errorf(wire.BadFlag, "impossible load: %d a second for %v seconds", spec.Rate, spec.Seconds)
+		return nil, nil, rpc.Errorf(rpc.BadFlag, "impossible load: %d a second for %v seconds", spec.Rate, spec.Seconds)
 	}
 	if spec.BasePort < 1024 || spec.BasePort+spec.Ports() > outgoingPorts {
-		return nil, nil, wire.Errorf(wire.BadFlag, "--base-port: %d and the %d after it are not all between 1024 and %d, below those of outgoing connections", spec.BasePort, spec.Ports(), outgoingPorts)
+		return nil, nil, rpc.Errorf(rpc.BadFlag, "--base-port: %d and the %d after it are not all between 1024 and %d, below those of outgoing connections", spec.BasePort, spec.Ports(), outgoingPorts)
 	}
 	body, err := os.ReadFile(spec.Settings)
 	if err != nil {
-		return nil, nil, wire.Errorf(wire.BadFlag, "--settings: %v", err)
+		return nil, nil, rpc.Errorf(rpc.BadFlag, "--settings: %v", err)
 	}
 	settings, err := conf.Read(body)
 	if err != nil {
@@ -77,13 +77,13 @@
 	}
 	for _, program := range []string{"ojcore", "ojdir", "ojproxy", "ojback", "ojplat", "ojorigin"} {
 		if _, err := os.Stat(filepath.Join(spec.Bin, program)); err != nil {
-			return nil, nil, wire.Errorf(wire.BadFlag, "--bin: %v", err)
+			return nil, nil, rpc.Errorf(rpc.BadFlag, "--bin: %v", err)
 		}
 	}
 	for port := spec.BasePort; port < spec.BasePort+spec.Ports(); port++ {
 		open, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
-			return nil, nil, wire.Errorf(wire.BadFlag, "--base-port: %v", err)
+			return nil, nil, rpc.Errorf(rpc.BadFlag, "--base-port: %v", err)
 		}
 		open.Close()
 	}
--- a/judge/evidence.go
+++ b/judge/evidence.go
@@ -10,8 +10,8 @@
 	"sort"
 
 	"orchidjunction/conf"
+	"orchidjunction/message"
 	"orchidjunction/stand"
-	"orchidjunction/wire"
 )
 
 // Verdict is whether one guarantee held. A Timed one can fail on a slow machine
@@ -41,7 +41,7 @@
 	Zones    map[string]string
 	Guests   map[string]string
 	Ledger   *Ledger
-	Trail    []wire.HistoryEntry
+	Trail    []message.HistoryEntry
 	Planned  bool
 	Jumps    bool
 	Codes    []string
--- a/judge/evidence_test.go
+++ b/judge/evidence_test.go
@@ -6,8 +6,9 @@
 	"testing"
 
 	"orchidjunction/conf"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/stand"
-	"orchidjunction/wire"
 )
 
 // clean is evidence of a small run in which nothing went wrong.
@@ -33,8 +34,8 @@
 	}
 	callers.Placed = []stand.Placed{{AtMs: 20_000, Directory: "dir", Serial: 7}}
 	evidence.Callers, evidence.Backends = []stand.OriginReport{callers}, []stand.Witness{witness}
-	evidence.Ledger.Acked["one"], evidence.Ledger.Refused["two"] = Ack{Serial: 7, Base: 6, AtMs: 900}, wire.StaleBase
-	evidence.Trail = []wire.HistoryEntry{{Serial: 7, Change: "one"}}
+	evidence.Ledger.Acked["one"], evidence.Ledger.Refused["two"] = Ack{Serial: 7, Base: 6, AtMs: 900}, rpc.StaleBase
+	evidence.Trail = []message.HistoryEntry{{Serial: 7, Change: "one"}}
 	for period := range int64(6) {
 		id := fmt.Sprintf("small-alder-%d", period+1)
 		evidence.Reports[id] = []string{fmt.Sprintf(`{"id":%q,"tenant":"alder","period":%d,"from_ms":%d,"to_ms":%d,"tasks":40}`, id, period+1, 1000+period*4000, 1000+(period+1)*4000)}
@@ -93,13 +94,13 @@
 		}},
 		{"acknowledged settings in force in 4 s", func(evidence *Evidence) {
 			evidence.Ledger.Acked["more"] = Ack{Serial: 8, Base: 7, AtMs: 1000}
-			evidence.Trail = append(evidence.Trail, wire.HistoryEntry{Serial: 8, Change: "more"})
+			evidence.Trail = append(evidence.Trail, message.HistoryEntry{Serial: 8, Change: "more"})
 			evidence.Callers[0].Placed = nil
 		}},
 		{"acknowledged settings in force in 4 s", func(evidence *Evidence) { evidence.Callers[0].Placed[0].Serial = 6 }},
 		{"acknowledged settings in force in 4 s", func(evidence *Evidence) { evidence.Ledger.Behind = []string{"serial 7"} }},
 		{"refused and lost changes never in force", func(evidence *Evidence) {
-			evidence.Trail = append(evidence.Trail, wire.HistoryEntry{Serial: 8, Change: "two"})
+			evidence.Trail = append(evidence.Trail, message.HistoryEntry{Serial: 8, Change: "two"})
 		}},
 		{"no acknowledged change lost", func(evidence *Evidence) { evidence.Trail = nil }},
 		{"no acknowledged change lost", func(evidence *Evidence) { evidence.Ledger.Acked["one"] = Ack{Serial: 7, Base: 5} }},
--- a/judge/ledger.go
+++ b/judge/ledger.go
@@ -8,8 +8,9 @@
 	"sync"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/operator"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 // System is the system that operators work on, real or simulated.
@@ -36,7 +37,7 @@
 
 	mutex     sync.Mutex
 	Acked     map[string]Ack
-	Refused   map[string]wire.Code
+	Refused   map[string]rpc.Code
 	Unknown   map[string]bool
 	AnswerMs  []float64
 	Late      []string
@@ -57,7 +58,7 @@
 // NewLedger returns a Ledger that changes the settings of system, with decisions
 // drawn from seed.
 func NewLedger(system System, seed uint64) *Ledger {
-	return &Ledger{system: system, seed: seed, Acked: map[string]Ack{}, Refused: map[string]wire.Code{}, Unknown: map[string]bool{}, lastAck: time.Now()}
+	return &Ledger{system: system, seed: seed, Acked: map[string]Ack{}, Refused: map[string]rpc.Code{}, Unknown: map[string]bool{}, lastAck: time.Now()}
 }
 
 // Operate starts operators that each change settings at the mean pace. Some changes
@@ -167,11 +168,11 @@
 func (ledger *Ledger) Make(change operator.Change, client *operator.Client, random *rand.Rand, send func(*operator.Client) (*operator.Outcome, error)) error {
 	var outcome *operator.Outcome
 	err := ledger.timed(change.Change, func() (err error) { outcome, err = send(client); return })
-	for try := 0; try < 6 && err != nil && (wire.CodeOf(err) == wire.OutcomeUnknown || wire.CodeOf(err) == wire.Unreachable); try++ {
+	for try := 0; try < 6 && err != nil && (rpc.CodeOf(err) == rpc.OutcomeUnknown || rpc.CodeOf(err) == rpc.Unreachable); try++ {
 		ledger.system.Rest(50 * time.Millisecond)
 		if client, found := ledger.door(random); found {
 			again := ledger.timed(change.Change+" again", func() (err error) { outcome, err = send(client); return })
-			if again == nil || wire.CodeOf(again) != wire.NotStarted && wire.CodeOf(again) != wire.QueueFull {
+			if again == nil || rpc.CodeOf(again) != rpc.NotStarted && rpc.CodeOf(again) != rpc.QueueFull {
 				err = again
 			}
 		}
@@ -183,10 +184,10 @@
 		ledger.Acked[change.Change] = Ack{Serial: outcome.Serial, Base: change.Base, AtMs: now.UnixMilli()}
 		ledger.GapMs = max(ledger.GapMs, now.Sub(ledger.lastAck).Milliseconds())
 		ledger.lastAck = now
-	case wire.CodeOf(err) == wire.OutcomeUnknown || wire.CodeOf(err) == wire.Unreachable:
+	case rpc.CodeOf(err) == rpc.OutcomeUnknown || rpc.CodeOf(err) == rpc.Unreachable:
 		ledger.Unknown[change.Change] = true
 	default:
-		ledger.Refused[change.Change] = wire.CodeOf(err)
+		ledger.Refused[change.Change] = rpc.CodeOf(err)
 	}
 	ledger.mutex.Unlock()
 	if err == nil {
@@ -232,11 +233,11 @@
 
 // Trail reads the history of changes from the cores, from any that answers within
 // the limit.
-func (ledger *Ledger) Trail(limit time.Duration) ([]wire.HistoryEntry, error) {
+func (ledger *Ledger) Trail(limit time.Duration) ([]message.HistoryEntry, error) {
 	trail := struct {
-		Changes []wire.HistoryEntry `json:"changes"`
+		Changes []message.HistoryEntry `json:"changes"`
 	}{}
-	last := wire.Errorf(wire.Unreachable, "no door")
+	last := rpc.Errorf(rpc.Unreachable, "no door")
 	for until := time.Now().Add(limit); time.Now().Before(until); {
 		for _, door := range ledger.system.Doors() {
 			if last = ledger.system.Client(door).Ask(http.MethodGet, "/v1/changes", nil, &trail); last == nil {
--- a/keep/book.go
+++ b/keep/book.go
@@ -4,11 +4,10 @@
 package keep
 
 import (
+	"orchidjunction/message"
 	"sort"
 	"sync"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 const (
@@ -23,26 +22,26 @@
 // It is safe for concurrent use.
 type Book struct {
 	mutex  sync.Mutex
-	claims map[wire.ClaimKey]keptClaim
+	claims map[message.ClaimKey]keptClaim
 	order  []turn
 	number uint64
 	span   time.Duration
 }
 
 type keptClaim struct {
-	wire.ClaimRecord
+	message.ClaimRecord
 	at     time.Time
 	number uint64
 }
 
 // turn is when a key was put, in order.
 type turn struct {
-	key    wire.ClaimKey
+	key    message.ClaimKey
 	number uint64
 }
 
 // NewBook returns an empty Book that remembers keys for FirstSpan.
-func NewBook() *Book { return &Book{claims: map[wire.ClaimKey]keptClaim{}, span: FirstSpan} }
+func NewBook() *Book { return &Book{claims: map[message.ClaimKey]keptClaim{}, span: FirstSpan} }
 
 // Remember sets how long keys are remembered from now on.
 func (book *Book) Remember(span time.Duration) {
@@ -74,7 +73,7 @@
 }
 
 // put keeps a claim; one that is known already keeps its turn and its age.
-func (book *Book) put(claimed wire.ClaimRecord) {
+func (book *Book) put(claimed message.ClaimRecord) {
 	if held, found := book.claims[claimed.Key]; found && held.ID == claimed.ID {
 		held.ClaimRecord = claimed
 		book.claims[claimed.Key] = held
@@ -88,27 +87,27 @@
 // Claim grants the key to the first claim, and to the same claim again. A claim
 // that names the running one in Instead replaces it. A refusal holds the claim that
 // has the key, or nothing if the store is full.
-func (book *Book) Claim(claim *wire.ClaimRequest) *wire.ClaimResponse {
+func (book *Book) Claim(claim *message.ClaimRequest) *message.ClaimResponse {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
 	book.forget()
 	held, found := book.claims[claim.Record.Key]
-	if found && held.ID != claim.Record.ID && (claim.Replaces == "" || held.ID != claim.Replaces || held.Stage != wire.ClaimRunning) {
-		return &wire.ClaimResponse{Existing: held.ClaimRecord}
+	if found && held.ID != claim.Record.ID && (claim.Replaces == "" || held.ID != claim.Replaces || held.Stage != message.ClaimRunning) {
+		return &message.ClaimResponse{Existing: held.ClaimRecord}
 	}
 	if !found && len(book.claims) >= bookMost {
-		return &wire.ClaimResponse{}
+		return &message.ClaimResponse{}
 	}
 	if !found || held.ID != claim.Record.ID {
 		book.put(claim.Record)
 	}
-	return &wire.ClaimResponse{Granted: true, Existing: claim.Record}
+	return &message.ClaimResponse{Granted: true, Existing: claim.Record}
 }
 
 // Settle records how the request of a claim ended, or frees the key of one that
 // surely did not run. Whoever settles was granted a quorum, so a claim of another
 // that is held here will be given back and is replaced.
-func (book *Book) Settle(settle *wire.CompleteClaimRequest) {
+func (book *Book) Settle(settle *message.CompleteClaimRequest) {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
 	if settle.Release {
@@ -121,7 +120,7 @@
 }
 
 // Held returns the claim that has the key.
-func (book *Book) Held(key wire.ClaimKey) (wire.ClaimRecord, bool) {
+func (book *Book) Held(key message.ClaimKey) (message.ClaimRecord, bool) {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
 	held, found := book.claims[key]
@@ -130,12 +129,12 @@
 
 // Retell merges claims that other stores hold; a settled claim replaces the same
 // one that still runs.
-func (book *Book) Retell(claims []wire.ClaimRecord) {
+func (book *Book) Retell(claims []message.ClaimRecord) {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
 	for _, claimed := range claims {
 		held, found := book.claims[claimed.Key]
-		if !found || held.ID == claimed.ID && held.Stage == wire.ClaimRunning && claimed.Stage != wire.ClaimRunning {
+		if !found || held.ID == claimed.ID && held.Stage == message.ClaimRunning && claimed.Stage != message.ClaimRunning {
 			book.put(claimed)
 		}
 	}
@@ -143,7 +142,7 @@
 
 // Page returns at most so many claims put after a sequence number, with their ages,
 // the last sequence number looked at, and whether none is left.
-func (book *Book) Page(after uint64, most int) (claims []wire.ClaimRecord, last uint64, done bool) {
+func (book *Book) Page(after uint64, most int) (claims []message.ClaimRecord, last uint64, done bool) {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
 	book.forget()
--- a/member/corechoice.go
+++ b/member/corechoice.go
@@ -5,8 +5,9 @@
 	"slices"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 const (
@@ -68,7 +69,7 @@
 
 // askAround asks some other daemons which cores vote.
 func (daemon *Daemon) askAround() {
-	others := []wire.Member{}
+	others := []message.Member{}
 	for _, known := range daemon.Version().Table.Members {
 		if known.Name != daemon.place.Name {
 			others = append(others, known)
@@ -76,10 +77,10 @@
 	}
 	rand.Shuffle(len(others), func(left, right int) { others[left], others[right] = others[right], others[left] })
 	asked := others[:min(len(others), askAroundMost)]
-	got, _ := run.Gather(daemon.threads, len(asked), func(index int) (*wire.LeaderResponse, error) {
-		return wire.Call[wire.LeaderRequest, wire.LeaderResponse](daemon.line, asked[index].InternalAddress, "who", reachLimit, &wire.LeaderRequest{})
-	}, func(map[int]*wire.LeaderResponse, map[int]error) bool { return false })
-	for _, told := range got {
-		daemon.Finder.Learn(told.Membership, told.Cores)
+	got, _ := run.Gather(daemon.threads, len(asked), func(index int) (*message.LeaderResponse, error) {
+		return rpc.Call[message.LeaderRequest, message.LeaderResponse](daemon.line, asked[index].InternalAddress, "who", reachLimit, &message.LeaderRequest{})
+	}, func(map[int]*message.LeaderResponse, map[int]error) bool { return false })
+	for _, response := range got {
+		daemon.Finder.Learn(response.Membership, response.Cores)
 	}
 }
--- a/member/corechoice_test.go
+++ b/member/corechoice_test.go
@@ -8,20 +8,21 @@
 	"testing"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // doors is a net without sockets: each host has a door or is dead.
-type doors map[string]*wire.Server
+type doors map[string]*rpc.Server
 
 func (all doors) RoundTrip(request *http.Request) (*http.Response, error) {
-	door := all[request.URL.Host]
-	if door == nil {
-		return nil, wire.Errorf(wire.ConnectFailed, "%s is dead", request.URL.Host)
+	server := all[request.URL.Host]
+	if server == nil {
+		return nil, rpc.Errorf(rpc.ConnectFailed, "%s is dead", request.URL.Host)
 	}
 	recorder := httptest.NewRecorder()
-	door.ServeHTTP(recorder, request)
+	server.ServeHTTP(recorder, request)
 	return recorder.Result(), nil
 }
 
@@ -35,30 +36,30 @@
 	return all
 }
 
-func versionMark(round, serial uint64) wire.Version {
-	return wire.Version{Term: wire.Term{Number: round, Core: 1}, Serial: serial}
+func versionMark(round, serial uint64) message.Version {
+	return message.Version{Term: message.Term{Number: round, Core: 1}, Serial: serial}
 }
 
 func daemonOn(all doors, seeds []string) *Daemon {
 	place := Place{Name: "p1", Kind: "proxy", Zone: "e1", Wire: "10.0.1.1:41", Outer: "10.0.1.1:80", Operate: "10.0.1.1:42", Seeds: seeds}
-	return NewDaemon(place, "i1", wire.NewClient(all), run.NewThreads(), run.NewCounts())
+	return NewDaemon(place, "i1", rpc.NewClient(all), run.NewThreads(), run.NewCounts())
 }
 
 // saysMembers opens a core's door: it knows a membership, and a leader or none.
-func (all doors) saysMembers(number int, mark wire.Version, cores []string, leader wire.Leader, sessions map[string]int) {
-	door := wire.NewServer(run.NewCounts())
-	wire.Handle(door, "session", func(context.Context, *wire.Session) (*wire.SessionResponse, error) {
+func (all doors) saysMembers(number int, version message.Version, cores []string, leader message.Leader, sessions map[string]int) {
+	server := rpc.NewServer(run.NewCounts())
+	rpc.Handle(server, "session", func(context.Context, *message.Session) (*message.SessionResponse, error) {
 		sessions[coreAt(number)]++
-		return &wire.SessionResponse{Membership: mark, Cores: cores, Leader: leader}, nil
+		return &message.SessionResponse{Membership: version, Cores: cores, Leader: leader}, nil
 	})
-	all[coreAt(number)] = door
+	all[coreAt(number)] = server
 }
 
 // A session is kept at a voter, whatever order the cores' list comes in: a seed that
 // lost its vote may answer as if all were well, and what it is told reaches nobody.
 func TestSessionIsKeptAtAVoter(test *testing.T) {
 	all, sessions := doors{}, map[string]int{}
-	leader := wire.Leader{Term: wire.Term{Number: 9, Core: 5}, Core: 5, Address: coreAt(5)}
+	leader := message.Leader{Term: message.Term{Number: 9, Core: 5}, Core: 5, Address: coreAt(5)}
 	now := coresAt(4, 5, 6)
 	for _, number := range []int{4, 5, 6} {
 		all.saysMembers(number, versionMark(9, 7), now, leader, sessions)
@@ -95,8 +96,8 @@
 // replaces what a daemon knows.
 func TestRemovedCoreMisleadsNobody(test *testing.T) {
 	all, sessions := doors{}, map[string]int{}
-	leader := wire.Leader{Term: wire.Term{Number: 9, Core: 5}, Core: 5, Address: coreAt(5)}
-	former := wire.Leader{Term: wire.Term{Number: 3, Core: 1}, Core: 1, Address: coreAt(1)}
+	leader := message.Leader{Term: message.Term{Number: 9, Core: 5}, Core: 5, Address: coreAt(5)}
+	former := message.Leader{Term: message.Term{Number: 3, Core: 1}, Core: 1, Address: coreAt(1)}
 	all.saysMembers(5, versionMark(9, 7), coresAt(4, 5, 6), leader, sessions)
 	all.saysMembers(1, versionMark(3, 1), coresAt(1, 2, 3), former, sessions)
 	daemon := daemonOn(all, coresAt(1, 2, 3))
@@ -124,11 +125,11 @@
 	all := doors{}
 	other := daemonOn(all, coresAt(1, 2, 3))
 	other.Finder.Learn(versionMark(9, 7), coresAt(4, 5, 6))
-	door := wire.NewServer(run.NewCounts())
-	other.Register(door)
-	all["10.0.1.2:41"] = door
+	server := rpc.NewServer(run.NewCounts())
+	other.Register(server)
+	all["10.0.1.2:41"] = server
 	daemon := daemonOn(all, coresAt(1, 2, 3))
-	daemon.version.Store(&Version{Table: &wire.Table{Members: []wire.Member{{Name: "p1", InternalAddress: "10.0.1.1:41"}, {Name: "p2", InternalAddress: "10.0.1.2:41"}, {Name: "p3", InternalAddress: "10.0.1.3:41"}}}})
+	daemon.version.Store(&Version{Table: &message.Table{Members: []message.Member{{Name: "p1", InternalAddress: "10.0.1.1:41"}, {Name: "p2", InternalAddress: "10.0.1.2:41"}, {Name: "p3", InternalAddress: "10.0.1.3:41"}}}})
 	daemon.reach.heardCore(time.Now())
 	if daemon.asksAround() {
 		test.Error("asks while a core is reached")
@@ -148,17 +149,17 @@
 // version: it may be what was in force when it was removed.
 func TestNoFirstVersionFromARemovedCore(test *testing.T) {
 	for number, try := range []struct {
-		learned wire.Version
+		learned message.Version
 		taken   bool
-	}{{wire.Version{}, true}, {versionMark(9, 7), false}} {
+	}{{message.Version{}, true}, {versionMark(9, 7), false}} {
 		all := doors{}
-		door := wire.NewServer(run.NewCounts())
-		wire.Handle(door, "who", func(context.Context, *wire.LeaderRequest) (*wire.LeaderResponse, error) {
-			return &wire.LeaderResponse{Membership: versionMark(3, 1), Cores: coresAt(1, 2, 3), Routing: 4}, nil
+		server := rpc.NewServer(run.NewCounts())
+		rpc.Handle(server, "who", func(context.Context, *message.LeaderRequest) (*message.LeaderResponse, error) {
+			return &message.LeaderResponse{Membership: versionMark(3, 1), Cores: coresAt(1, 2, 3), Routing: 4}, nil
 		})
-		all[coreAt(1)] = door
+		all[coreAt(1)] = server
 		place := Place{Name: "p1", Kind: "proxy", Zone: "e1", Wire: "10.0.1.1:41", Outer: "10.0.1.1:80", Operate: "10.0.1.1:42", Seeds: coresAt(1, 2, 3), Direct: true, Routed: true}
-		daemon := NewDaemon(place, "i1", wire.NewClient(all), run.NewThreads(), run.NewCounts())
+		daemon := NewDaemon(place, "i1", rpc.NewClient(all), run.NewThreads(), run.NewCounts())
 		daemon.Finder.Learn(try.learned, coresAt(4, 5, 6))
 		daemon.Finder.seek()
 		if begun := daemon.counts.Get("begun_before_a_leader") > 0; begun != try.taken {
