--- a/member/daemon.go
+++ b/member/daemon.go
@@ -8,8 +8,9 @@
 	"time"
 
 	"orchidjunction/control"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 
 	"k8s.io/klog/v2"
 )
@@ -35,10 +36,10 @@
 
 func (place *Place) Check() error {
 	if place.Name == "" || place.Zone == "" {
-		return wire.Errorf(wire.BadFlag, "--name and --zone must be given")
+		return rpc.Errorf(rpc.BadFlag, "--name and --zone must be given")
 	}
 	if len(place.Seeds) == 0 || len(place.Seeds) > 3 {
-		return wire.Errorf(wire.BadFlag, "--seed: %d seeds, want one to three", len(place.Seeds))
+		return rpc.Errorf(rpc.BadFlag, "--seed: %d seeds, want one to three", len(place.Seeds))
 	}
 	for _, seed := range place.Seeds {
 		if err := control.CheckAddress("--seed", seed); err != nil {
@@ -66,7 +67,7 @@
 type Daemon struct {
 	place       Place
 	incarnation string
-	line        *wire.Client
+	line        *rpc.Client
 	threads     *run.Threads
 	counts      *run.Counts
 	Finder      *Finder
@@ -74,11 +75,11 @@
 	news        *run.Bell
 	version     atomic.Pointer[Version]
 	apply       func(*Version)
-	probes      func() []wire.Probe
+	probes      func() []message.Probe
 	keeper      func() bool
 	warm        func() bool
 	usage       func() map[string]uint64
-	windows     func() []wire.WindowCount
+	windows     func() []message.WindowCount
 	demand      func() float64
 	finish      func(rest time.Duration)
 	counted     map[string]uint64
@@ -93,7 +94,7 @@
 
 	mutex     sync.Mutex
 	core      string
-	told      wire.SessionResponse
+	told      message.SessionResponse
 	heard     time.Time
 	behind    time.Time
 	seen      uint64
@@ -108,29 +109,29 @@
 	parent    string
 	failed    map[string]time.Time
 	around    time.Time
-	led       wire.Term
+	led       message.Term
 }
 
-func NewDaemon(place Place, incarnation string, line *wire.Client, threads *run.Threads, counts *run.Counts) *Daemon {
-	daemon := &Daemon{place: place, incarnation: incarnation, line: line, threads: threads, counts: counts,
-		news: run.NewBell(), saying: run.NewTurn(), pulse: time.Now(), failed: map[string]time.Time{}, apply: func(*Version) {}, probes: func() []wire.Probe { return nil }, keeper: func() bool { return false }, warm: func() bool { return true }, usage: func() map[string]uint64 { return nil }, demand: func() float64 { return 0 }, finish: func(time.Duration) {}}
+func NewDaemon(place Place, incarnation string, client *rpc.Client, threads *run.Threads, counts *run.Counts) *Daemon {
+	daemon := &Daemon{place: place, incarnation: incarnation, line: client, threads: threads, counts: counts,
+		news: run.NewBell(), saying: run.NewTurn(), pulse: time.Now(), failed: map[string]time.Time{}, apply: func(*Version) {}, probes: func() []message.Probe { return nil }, keeper: func() bool { return false }, warm: func() bool { return true }, usage: func() map[string]uint64 { return nil }, demand: func() float64 { return 0 }, finish: func(time.Duration) {}}
 	if place.Wall == nil {
 		place.Wall = func() int64 { return time.Now().UnixMilli() }
 	}
 	daemon.paces, daemon.clock = place.Paces.filled(), run.NewClock(place.Wall)
-	daemon.windows = func() []wire.WindowCount { return nil }
+	daemon.windows = func() []message.WindowCount { return nil }
 	daemon.reach.core, daemon.doubted = time.Now(), time.Now()
-	daemon.Finder = NewFinder(line, threads, place.Seeds).Paced(daemon.paces)
+	daemon.Finder = NewFinder(client, threads, place.Seeds).Paced(daemon.paces)
 	if place.Direct && place.Routed {
 		daemon.Finder.told = daemon.begin
 	}
-	daemon.Hold = NewHold(daemon.Finder, line, counts).Within(place.Hold)
-	daemon.version.Store(&Version{Table: &wire.Table{}})
+	daemon.Hold = NewHold(daemon.Finder, client, counts).Within(place.Hold)
+	daemon.version.Store(&Version{Table: &message.Table{}})
 	return daemon
 }
 
 // Serve names what uses each new version and what it found at the backends.
-func (daemon *Daemon) Serve(apply func(*Version), probes func() []wire.Probe) {
+func (daemon *Daemon) Serve(apply func(*Version), probes func() []message.Probe) {
 	daemon.apply = apply
 	if probes != nil {
 		daemon.probes = probes
@@ -148,7 +149,7 @@
 
 // Meter names what gives the requests begun so far, by window and tenant, of the
 // last few windows.
-func (daemon *Daemon) Meter(windows func() []wire.WindowCount) { daemon.windows = windows }
+func (daemon *Daemon) Meter(windows func() []message.WindowCount) { daemon.windows = windows }
 
 // Now is the time of day as the cores agree on it, in milliseconds.
 func (daemon *Daemon) Now() int64 { return daemon.clock.Now() }
@@ -156,7 +157,7 @@
 // Finish names what must be told to others before a planned end.
 func (daemon *Daemon) Finish(finish func(rest time.Duration)) { daemon.finish = finish }
 
-func (daemon *Daemon) Line() *wire.Client { return daemon.line }
+func (daemon *Daemon) Line() *rpc.Client { return daemon.line }
 
 func (daemon *Daemon) Incarnation() string { return daemon.incarnation }
 
@@ -211,17 +212,17 @@
 	}
 }
 
-func (daemon *Daemon) Register(door *wire.Server) {
-	wire.Handle(door, "watch", daemon.onWatch)
-	wire.Handle(door, "fetch", daemon.onFetch)
-	wire.Handle(door, "parts", daemon.onParts)
-	wire.Handle(door, "who", daemon.onWho)
-	wire.Handle(door, "change", func(_ context.Context, change *wire.ChangeRequest) (*wire.ChangeResponse, error) {
-		told, err := Send[wire.ChangeRequest, wire.ChangeResponse](daemon.Hold, "change", change)
+func (daemon *Daemon) Register(server *rpc.Server) {
+	rpc.Handle(server, "watch", daemon.onWatch)
+	rpc.Handle(server, "fetch", daemon.onFetch)
+	rpc.Handle(server, "parts", daemon.onParts)
+	rpc.Handle(server, "who", daemon.onWho)
+	rpc.Handle(server, "change", func(_ context.Context, change *message.ChangeRequest) (*message.ChangeResponse, error) {
+		response, err := Send[message.ChangeRequest, message.ChangeResponse](daemon.Hold, "change", change)
 		if err != nil {
 			return nil, err
 		}
-		return told, nil
+		return response, nil
 	})
 }
 
@@ -268,11 +269,11 @@
 	return true
 }
 
-func (daemon *Daemon) member() wire.Member {
+func (daemon *Daemon) member() message.Member {
 	ready, keeper, demand := daemon.Ready(), daemon.keeper(), daemon.demand()
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
-	return wire.Member{Name: daemon.place.Name, Kind: daemon.place.Kind, Zone: daemon.place.Zone, InternalAddress: daemon.place.Wire,
+	return message.Member{Name: daemon.place.Name, Kind: daemon.place.Kind, Zone: daemon.place.Zone, InternalAddress: daemon.place.Wire,
 		PublicAddress: daemon.place.Outer, OperatorAddress: daemon.place.Operate, Incarnation: daemon.incarnation, Leaving: daemon.leaving, Ready: ready && !daemon.leaving, KeyReplica: keeper && !daemon.leaving, Demand: demand, Guest: daemon.place.Guest}
 }
 
@@ -287,10 +288,10 @@
 	daemon.mutex.Unlock()
 	core := daemon.sessionCore()
 	now := daemon.Now()
-	session := &wire.Session{Member: daemon.member(), Serial: version.Serial, Table: version.Table.Version, Parent: parent, Probes: daemon.probes(), Usage: daemon.usage(),
+	session := &message.Session{Member: daemon.member(), Serial: version.Serial, Table: version.Table.Version, Parent: parent, Probes: daemon.probes(), Usage: daemon.usage(),
 		Routing: version.Routing, NowMs: now, Ended: gone}
 	session.Windows, session.BaseProcess = daemon.metered.fresh(core, daemon.windows())
-	told, err := wire.Call[wire.Session, wire.SessionResponse](daemon.line, core, "session", daemon.paces.ask(), session)
+	response, err := rpc.Call[message.Session, message.SessionResponse](daemon.line, core, "session", daemon.paces.ask(), session)
 	trip := time.Since(asked)
 	daemon.mutex.Lock()
 	if err != nil {
@@ -302,28 +303,28 @@
 		}
 		return
 	}
-	daemon.metered.took(session.Windows, told.Process)
-	daemon.told, daemon.heard = *told, time.Now()
-	if told.Leader.Known() {
+	daemon.metered.took(session.Windows, response.Process)
+	daemon.told, daemon.heard = *response, time.Now()
+	if response.Leader.Known() {
 		daemon.reach.heardCore(asked)
 	} else if daemon.place.Direct || daemon.reach.quiet() {
 		daemon.failed[core] = time.Now()
 	}
-	if !version.behind(told.Serial, told.Routing, told.Table) {
+	if !version.behind(response.Serial, response.Routing, response.Table) {
 		daemon.behind = time.Time{}
 	} else if daemon.behind.IsZero() {
 		daemon.behind = time.Now()
 	}
 	daemon.mutex.Unlock()
-	daemon.note(told.Serial)
-	daemon.Finder.Learn(told.Membership, told.Cores)
+	daemon.note(response.Serial)
+	daemon.Finder.Learn(response.Membership, response.Cores)
 	before := daemon.Finder.Leader().Term
-	daemon.Finder.Heard(told.Leader)
-	if told.NowMs > 0 {
-		daemon.clock.Told(told.NowMs, trip)
+	daemon.Finder.Heard(response.Leader)
+	if response.NowMs > 0 {
+		daemon.clock.Told(response.NowMs, trip)
 	}
 	if daemon.place.Direct {
-		daemon.turn(core, told.Leader, before)
+		daemon.turn(core, response.Leader, before)
 		daemon.catchUp(core)
 	}
 }
@@ -335,7 +336,7 @@
 	if !leader.Known() || maps.Equal(usage, daemon.counted) {
 		return
 	}
-	if _, err := wire.Call[wire.UsageCountRequest, wire.UsageCountResponse](daemon.line, leader.Address, "count", daemon.paces.ask(), &wire.UsageCountRequest{Incarnation: daemon.incarnation, Usage: usage}); err == nil {
+	if _, err := rpc.Call[message.UsageCountRequest, message.UsageCountResponse](daemon.line, leader.Address, "count", daemon.paces.ask(), &message.UsageCountRequest{Incarnation: daemon.incarnation, Usage: usage}); err == nil {
 		daemon.counted = usage
 	}
 }
@@ -394,13 +395,13 @@
 	for !daemon.threads.Stopping() {
 		leader := daemon.Finder.Wait(time.Second)
 		if leader.Known() {
-			told, err := wire.Call[wire.ReadIndexRequest, wire.ReadIndexResponse](daemon.line, leader.Address, "confirm", daemon.paces.ask(), &wire.ReadIndexRequest{})
-			if err == nil && daemon.upTo(leader, told) {
+			response, err := rpc.Call[message.ReadIndexRequest, message.ReadIndexResponse](daemon.line, leader.Address, "confirm", daemon.paces.ask(), &message.ReadIndexRequest{})
+			if err == nil && daemon.upTo(leader, response) {
 				daemon.mutex.Lock()
 				daemon.confirmed, daemon.once = true, true
 				daemon.mutex.Unlock()
 				daemon.Finder.bell.Ring()
-				klog.Infof("%s: serial %d, routing %d confirmed", daemon.place.Name, told.Serial, told.Routing)
+				klog.Infof("%s: serial %d, routing %d confirmed", daemon.place.Name, response.Serial, response.Routing)
 				return
 			}
 			if err != nil {
@@ -412,11 +413,13 @@
 }
 
 // upTo is whether what the leader proved is in force here, after a fetch if need be.
-func (daemon *Daemon) upTo(leader wire.Leader, told *wire.ReadIndexResponse) bool {
-	if told.Serial == 0 && !daemon.place.Routed || told.Routing == 0 && daemon.place.Routed {
+func (daemon *Daemon) upTo(leader message.Leader, response *message.ReadIndexResponse) bool {
+	if response.Serial == 0 && !daemon.place.Routed || response.Routing == 0 && daemon.place.Routed {
 		return false
 	}
-	holds := func() bool { return !daemon.Version().behind(told.Serial, told.Routing, wire.TableVersion{}) }
+	holds := func() bool {
+		return !daemon.Version().behind(response.Serial, response.Routing, message.TableVersion{})
+	}
 	return holds() || daemon.fetch(context.Background(), leader.Address) && holds()
 }
 
--- a/member/daemon_test.go
+++ b/member/daemon_test.go
@@ -5,15 +5,16 @@
 	"testing"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // While a large version is put in force the session must go on: it asks this
 // daemon what it is.
 func TestReadyWhileAVersionIsPutInForce(test *testing.T) {
 	threads, answered := run.NewThreads(), run.NewBell()
-	daemon := NewDaemon(Place{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, Direct: true, Routed: true}, "life", wire.NewClient(http.DefaultTransport), threads, run.NewCounts())
+	daemon := NewDaemon(Place{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, Direct: true, Routed: true}, "life", rpc.NewClient(http.DefaultTransport), threads, run.NewCounts())
 	applied := uint64(0)
 	daemon.Serve(func(version *Version) {
 		applied++
@@ -26,11 +27,11 @@
 		}
 	}, nil)
 	for number := uint64(1); number <= 2; number++ {
-		if !daemon.take(&wire.FetchResponse{Table: &wire.Table{Version: wire.TableVersion{Number: number}}}, nil) {
+		if !daemon.take(&message.FetchResponse{Table: &message.Table{Version: message.TableVersion{Number: number}}}, nil) {
 			test.Error("not taken")
 		}
 	}
-	if daemon.take(&wire.FetchResponse{Table: &wire.Table{Version: wire.TableVersion{Number: 1}}}, nil); applied != 2 || daemon.Version().Table.Version.Number != 2 {
+	if daemon.take(&message.FetchResponse{Table: &message.Table{Version: message.TableVersion{Number: 1}}}, nil); applied != 2 || daemon.Version().Table.Version.Number != 2 {
 		test.Errorf("put in force %d times, table %v", applied, daemon.Version().Table.Version)
 	}
 	threads.Wait()
@@ -44,13 +45,13 @@
 func (slow *slowFetch) RoundTrip(request *http.Request) (*http.Response, error) {
 	slow.asked.Ring()
 	slow.let.Wait(0, 5*time.Second)
-	return nil, wire.Errorf(wire.Unreachable, "nobody there")
+	return nil, rpc.Errorf(rpc.Unreachable, "nobody there")
 }
 
 func TestSessionGoesOnWhileCatchingUp(test *testing.T) {
 	threads, slow := run.NewThreads(), &slowFetch{asked: run.NewBell(), let: run.NewBell()}
 	counts := run.NewCounts()
-	daemon := NewDaemon(Place{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, Direct: true, Routed: true}, "life", wire.NewClient(slow), threads, counts)
+	daemon := NewDaemon(Place{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, Direct: true, Routed: true}, "life", rpc.NewClient(slow), threads, counts)
 	daemon.behind = time.Now().Add(-time.Minute)
 	begin := time.Now()
 	daemon.catchUp("127.0.0.1:1")
--- a/member/direct.go
+++ b/member/direct.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"sync"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // Watched is the core whose news is waited for, and how to wait no longer.
@@ -53,19 +53,19 @@
 // hear is one wait for news and what it brings; false when the core is of no use.
 func (daemon *Daemon) hear(ctx context.Context, core string) bool {
 	version := daemon.Version()
-	told, err := wire.CallContext[wire.WatchRequest, wire.WatchResponse](ctx, daemon.line, core, "watch", daemon.paces.Watch+daemon.paces.ask(),
-		&wire.WatchRequest{Name: daemon.place.Name, Serial: version.Serial, Table: version.Table.Version, Routing: version.Routing, SpanMs: int(daemon.paces.Watch.Milliseconds())})
+	response, err := rpc.CallContext[message.WatchRequest, message.WatchResponse](ctx, daemon.line, core, "watch", daemon.paces.Watch+daemon.paces.ask(),
+		&message.WatchRequest{Name: daemon.place.Name, Serial: version.Serial, Table: version.Table.Version, Routing: version.Routing, SpanMs: int(daemon.paces.Watch.Milliseconds())})
 	if err != nil {
 		return ctx.Err() != nil
 	}
-	return !version.behind(told.Serial, told.Routing, told.Table) || daemon.fetch(ctx, core) || ctx.Err() != nil
+	return !version.behind(response.Serial, response.Routing, response.Table) || daemon.fetch(ctx, core) || ctx.Err() != nil
 }
 
 // begin takes a first version from whichever core has one: before a leader stands,
 // cores tell what they know committed.
-func (daemon *Daemon) begin(core string, told *wire.LeaderResponse) {
+func (daemon *Daemon) begin(core string, response *message.LeaderResponse) {
 	version := daemon.Version()
-	if version.Routing > 0 && version.Table.Complete || !version.behind(0, told.Routing, told.Table) {
+	if version.Routing > 0 && version.Table.Complete || !version.behind(0, response.Routing, response.Table) {
 		return
 	}
 	daemon.counts.Add("begun_before_a_leader", 1)
@@ -99,7 +99,7 @@
 
 // turn leaves a core that knows no leader, and ends a wait for news at one that
 // does not lead while another one does.
-func (daemon *Daemon) turn(core string, leader wire.Leader, before wire.Term) {
+func (daemon *Daemon) turn(core string, leader message.Leader, before message.Term) {
 	daemon.mutex.Lock()
 	if !leader.Known() {
 		daemon.failed[core] = time.Now()
--- a/member/direct_test.go
+++ b/member/direct_test.go
@@ -5,16 +5,17 @@
 	"testing"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // A core that failed is kept off for a while, unless it leads anew.
 func TestNewLeaderIsHeardThoughItsCoreFailed(test *testing.T) {
 	place := Place{Name: "p1", Kind: "proxy", Zone: "e1", Wire: "10.0.0.9:1", Outer: "10.0.0.9:2", Operate: "10.0.0.9:3", Seeds: []string{"10.0.0.1:1", "10.0.0.2:1"}, Direct: true, Routed: true}
-	daemon := NewDaemon(place, "i1", wire.NewClient(http.DefaultTransport), run.NewThreads(), run.NewCounts())
+	daemon := NewDaemon(place, "i1", rpc.NewClient(http.DefaultTransport), run.NewThreads(), run.NewCounts())
 	lead := func(round uint64) {
-		daemon.Finder.Heard(wire.Leader{Term: wire.Term{Number: round, Core: 1}, Core: 1, Address: "10.0.0.1:1"})
+		daemon.Finder.Heard(message.Leader{Term: message.Term{Number: round, Core: 1}, Core: 1, Address: "10.0.0.1:1"})
 	}
 	for number, step := range []struct {
 		do   func()
--- a/member/finder.go
+++ b/member/finder.go
@@ -7,34 +7,35 @@
 	"sync"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // Finder knows the leader, and looks for it while somebody waits.
 type Finder struct {
-	line    *wire.Client
+	line    *rpc.Client
 	threads *run.Threads
 	bell    *run.Bell
 	wanted  *run.Bell
 	paces   Paces
-	told    func(core string, told *wire.LeaderResponse)
+	told    func(core string, response *message.LeaderResponse)
 
 	seeds []string
 
 	mutex   sync.Mutex
 	cores   []string
 	voting  int
-	members wire.Version
-	leader  wire.Leader
-	dropped wire.Term
+	members message.Version
+	leader  message.Leader
+	dropped message.Term
 	waiting int
 }
 
 const finderIdle = time.Minute
 
-func NewFinder(line *wire.Client, threads *run.Threads, cores []string) *Finder {
-	return &Finder{line: line, threads: threads, bell: run.NewBell(), wanted: run.NewBell(), paces: Paces{}.filled(), told: func(string, *wire.LeaderResponse) {}, seeds: slices.Clone(cores), cores: slices.Clone(cores), voting: len(cores)}
+func NewFinder(client *rpc.Client, threads *run.Threads, cores []string) *Finder {
+	return &Finder{line: client, threads: threads, bell: run.NewBell(), wanted: run.NewBell(), paces: Paces{}.filled(), told: func(string, *message.LeaderResponse) {}, seeds: slices.Clone(cores), cores: slices.Clone(cores), voting: len(cores)}
 }
 
 // Paced sets how often a leader is looked for.
@@ -64,7 +65,7 @@
 	return finder.waiting == 0 || finder.leader.Known()
 }
 
-func (finder *Finder) Leader() wire.Leader {
+func (finder *Finder) Leader() message.Leader {
 	finder.mutex.Lock()
 	defer finder.mutex.Unlock()
 	return finder.leader
@@ -77,7 +78,7 @@
 }
 
 // Members is the mark of the newest membership that was heard of.
-func (finder *Finder) Members() wire.Version {
+func (finder *Finder) Members() message.Version {
 	finder.mutex.Lock()
 	defer finder.mutex.Unlock()
 	return finder.members
@@ -91,7 +92,7 @@
 }
 
 // Heard takes anyone's word of a leader; older ballots are passed over.
-func (finder *Finder) Heard(leader wire.Leader) {
+func (finder *Finder) Heard(leader message.Leader) {
 	finder.mutex.Lock()
 	fresh := leader.Known() && !leader.Term.Less(finder.leader.Term) && finder.dropped.Less(leader.Term) && leader != finder.leader
 	if fresh {
@@ -104,10 +105,10 @@
 }
 
 // Drop forgets a leader that said it leads no more, or fell silent.
-func (finder *Finder) Drop(leader wire.Leader, ended bool) {
+func (finder *Finder) Drop(leader message.Leader, ended bool) {
 	finder.mutex.Lock()
 	if finder.leader.Term == leader.Term {
-		finder.leader = wire.Leader{Term: leader.Term}
+		finder.leader = message.Leader{Term: leader.Term}
 	}
 	if ended && finder.dropped.Less(leader.Term) {
 		finder.dropped = leader.Term
@@ -117,7 +118,7 @@
 }
 
 // Wait holds until a leader is known or the span is over.
-func (finder *Finder) Wait(span time.Duration) wire.Leader {
+func (finder *Finder) Wait(span time.Duration) message.Leader {
 	until := time.Now().Add(span)
 	finder.mutex.Lock()
 	finder.waiting++
@@ -142,18 +143,18 @@
 func (finder *Finder) seek() {
 	cores := finder.Cores()
 	run.Gather(finder.threads, len(cores), func(index int) (bool, error) {
-		told, err := wire.Call[wire.LeaderRequest, wire.LeaderResponse](finder.line, cores[index], "who", finder.paces.seek(), &wire.LeaderRequest{})
+		response, err := rpc.Call[message.LeaderRequest, message.LeaderResponse](finder.line, cores[index], "who", finder.paces.seek(), &message.LeaderRequest{})
 		if err != nil {
 			return false, err
 		}
-		finder.Learn(told.Membership, told.Cores)
+		finder.Learn(response.Membership, response.Cores)
 		if finder.votes(cores[index]) {
-			finder.told(cores[index], told)
+			finder.told(cores[index], response)
 		}
-		if !told.Lameduck {
-			finder.Heard(told.Leader)
+		if !response.Lameduck {
+			finder.Heard(response.Leader)
 		}
-		return told.Leader.Known(), nil
+		return response.Leader.Known(), nil
 	}, func(map[int]bool, map[int]error) bool { return finder.Leader().Known() })
 }
 
@@ -167,7 +168,7 @@
 
 // Learn takes the addresses of the voting cores under a membership's mark, unless a
 // newer one is known. Seeds that vote no more are asked after all others.
-func (finder *Finder) Learn(members wire.Version, cores []string) {
+func (finder *Finder) Learn(members message.Version, cores []string) {
 	finder.mutex.Lock()
 	defer finder.mutex.Unlock()
 	if len(cores) == 0 || !finder.members.Less(members) {
--- a/member/hold.go
+++ b/member/hold.go
@@ -5,20 +5,21 @@
 	"sync"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // Hold keeps work that has not started while the lead changes, bounded in
 // count and time, and sends it to the new leader.
 type Hold struct {
 	finder *Finder
-	line   *wire.Client
+	line   *rpc.Client
 	counts *run.Counts
 	depth  int
 	limit  time.Duration
 	send   time.Duration
-	known  func() wire.Leader
+	known  func() message.Leader
 
 	mutex sync.Mutex
 	held  int
@@ -39,8 +40,8 @@
 	comeBack    = 500
 )
 
-func NewHold(finder *Finder, line *wire.Client, counts *run.Counts) *Hold {
-	return &Hold{finder: finder, line: line, counts: counts, depth: holdDepth, limit: answerLimit, send: sendLimit}
+func NewHold(finder *Finder, client *rpc.Client, counts *run.Counts) *Hold {
+	return &Hold{finder: finder, line: client, counts: counts, depth: holdDepth, limit: answerLimit, send: sendLimit}
 }
 
 // Within sets other limits than the defaults.
@@ -56,7 +57,7 @@
 
 // Follow names what tells the leader that this process itself knows at the moment,
 // where it is a core: its finder only hears of a new one by asking.
-func (hold *Hold) Follow(known func() wire.Leader) { hold.known = known }
+func (hold *Hold) Follow(known func() message.Leader) { hold.known = known }
 
 // catchUp brings the finder to what this process knows.
 func (hold *Hold) catchUp() {
@@ -109,7 +110,7 @@
 				if sent {
 					return nil, givenUp(sent)
 				}
-				return nil, &wire.Error{Code: wire.QueueFull, Message: "too much waits for a leader", RetryAfterMs: comeBack}
+				return nil, &rpc.Error{Code: rpc.QueueFull, Message: "too much waits for a leader", RetryAfterMs: comeBack}
 			}
 			if !holding {
 				holding = true
@@ -125,19 +126,19 @@
 		if rest <= 0 {
 			break
 		}
-		told, err := wire.CallContext[Asked, Told](ctx, hold.line, leader.Address, name, min(rest, hold.send), asked)
+		told, err := rpc.CallContext[Asked, Told](ctx, hold.line, leader.Address, name, min(rest, hold.send), asked)
 		if err == nil {
 			if holding {
 				hold.counts.Add("held_flushed", 1)
 			}
 			return told, nil
 		}
-		switch mishap := wire.AsError(err); wire.CodeOf(mishap) {
-		case wire.NotLeader, wire.Lameduck, wire.NoLeader:
-			hold.finder.Drop(leader, wire.CodeOf(mishap) == wire.Lameduck)
-		case wire.ConnectFailed:
+		switch mishap := rpc.AsError(err); rpc.CodeOf(mishap) {
+		case rpc.NotLeader, rpc.Lameduck, rpc.NoLeader:
+			hold.finder.Drop(leader, rpc.CodeOf(mishap) == rpc.Lameduck)
+		case rpc.ConnectFailed:
 			hold.finder.Drop(leader, false)
-		case wire.Unreachable, wire.OutcomeUnknown:
+		case rpc.Unreachable, rpc.OutcomeUnknown:
 			sent = true
 			hold.finder.Drop(leader, false)
 		default:
@@ -162,7 +163,7 @@
 // givenUp is the answer to a message that found no leader in time.
 func givenUp(sent bool) error {
 	if sent {
-		return &wire.Error{Code: wire.OutcomeUnknown, Message: "the leader fell silent; send the same change id again", RetryAfterMs: comeBack}
+		return &rpc.Error{Code: rpc.OutcomeUnknown, Message: "the leader fell silent; send the same change id again", RetryAfterMs: comeBack}
 	}
-	return &wire.Error{Code: wire.NotStarted, Message: "no leader within the hold; nothing was started", RetryAfterMs: comeBack}
+	return &rpc.Error{Code: rpc.NotStarted, Message: "no leader within the hold; nothing was started", RetryAfterMs: comeBack}
 }
--- a/member/hold_test.go
+++ b/member/hold_test.go
@@ -8,8 +8,9 @@
 	"testing"
 	"time"
 
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // frozen takes what it is asked and says nothing, as a process that stands still.
@@ -18,7 +19,7 @@
 // leaders are a frozen leader and, where it has an address, one that answers.
 type leaders struct {
 	answering string
-	door      *wire.Server
+	door      *rpc.Server
 	silent    atomic.Int32
 	gaveUp    func()
 }
@@ -37,23 +38,23 @@
 	return recorder.Result(), nil
 }
 
-func leaderOf(round uint64, address string) wire.Leader {
-	return wire.Leader{Term: wire.Term{Number: round, Core: int(round)}, Core: int(round), Address: address}
+func leaderOf(round uint64, address string) message.Leader {
+	return message.Leader{Term: message.Term{Number: round, Core: int(round)}, Core: int(round), Address: address}
 }
 
 func holdAt(test *testing.T, transport *leaders, limits HoldLimits) (*Hold, *Finder) {
-	transport.door = wire.NewServer(run.NewCounts())
-	wire.Handle(transport.door, "evacuate", func(context.Context, *wire.EvacuateRequest) (*wire.EvacuateResponse, error) {
-		return &wire.EvacuateResponse{Serial: 7}, nil
+	transport.door = rpc.NewServer(run.NewCounts())
+	rpc.Handle(transport.door, "evacuate", func(context.Context, *message.EvacuateRequest) (*message.EvacuateResponse, error) {
+		return &message.EvacuateResponse{Serial: 7}, nil
 	})
 	threads := run.NewThreads()
-	line := wire.NewClient(transport)
-	finder := NewFinder(line, threads, []string{frozen})
+	client := rpc.NewClient(transport)
+	finder := NewFinder(client, threads, []string{frozen})
 	test.Cleanup(func() {
 		threads.Stop()
 		threads.Wait()
 	})
-	return NewHold(finder, line, run.NewCounts()).Within(limits), finder
+	return NewHold(finder, client, run.NewCounts()).Within(limits), finder
 }
 
 // Who asks goes elsewhere once the limit has passed, so an answer after it is lost.
@@ -63,7 +64,7 @@
 	transport.gaveUp = func() { finder.Heard(leaderOf(2, "10.0.0.2:1")) }
 	finder.Heard(leaderOf(1, frozen))
 	begin := time.Now()
-	if _, err := Send[wire.EvacuateRequest, wire.EvacuateResponse](hold, "evacuate", &wire.EvacuateRequest{Zone: "osu", Begin: true}); err == nil || wire.CodeOf(err) != wire.OutcomeUnknown {
+	if _, err := Send[message.EvacuateRequest, message.EvacuateResponse](hold, "evacuate", &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil || rpc.CodeOf(err) != rpc.OutcomeUnknown {
 		test.Fatalf("answered %v", err)
 	}
 	if took := time.Since(begin); took > 2200*time.Millisecond {
@@ -76,11 +77,11 @@
 func TestHoldGoesToTheLeaderThatItsOwnCoreKnows(test *testing.T) {
 	transport := &leaders{answering: "10.0.0.2:1"}
 	hold, finder := holdAt(test, transport, HoldLimits{Answer: 2 * time.Second, Send: 1500 * time.Millisecond})
-	hold.Follow(func() wire.Leader { return leaderOf(2, transport.answering) })
+	hold.Follow(func() message.Leader { return leaderOf(2, transport.answering) })
 	finder.Heard(leaderOf(1, frozen))
-	told, err := Send[wire.EvacuateRequest, wire.EvacuateResponse](hold, "evacuate", &wire.EvacuateRequest{Zone: "osu", Begin: true})
-	if err != nil || told.Serial != 7 {
-		test.Fatalf("told %v, %v", told, err)
+	response, err := Send[message.EvacuateRequest, message.EvacuateResponse](hold, "evacuate", &message.EvacuateRequest{Zone: "osu", Begin: true})
+	if err != nil || response.Serial != 7 {
+		test.Fatalf("told %v, %v", response, err)
 	}
 	if asked := transport.silent.Load(); asked != 0 {
 		test.Fatalf("the frozen leader was asked %d times", asked)
@@ -92,9 +93,9 @@
 func TestHoldStartsNothingAtALeaderThatItsOwnCoreNoLongerHears(test *testing.T) {
 	transport := &leaders{}
 	hold, finder := holdAt(test, transport, HoldLimits{Answer: 200 * time.Millisecond, Send: 150 * time.Millisecond})
-	hold.Follow(func() wire.Leader { return wire.Leader{} })
+	hold.Follow(func() message.Leader { return message.Leader{} })
 	finder.Heard(leaderOf(1, frozen))
-	if _, err := Send[wire.EvacuateRequest, wire.EvacuateResponse](hold, "evacuate", &wire.EvacuateRequest{Zone: "osu", Begin: true}); err == nil || wire.CodeOf(err) != wire.NotStarted {
+	if _, err := Send[message.EvacuateRequest, message.EvacuateResponse](hold, "evacuate", &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil || rpc.CodeOf(err) != rpc.NotStarted {
 		test.Fatalf("answered %v", err)
 	}
 	if asked := transport.silent.Load(); asked != 0 {
--- a/member/metered.go
+++ b/member/metered.go
@@ -1,8 +1,6 @@
 package member
 
-import (
-	"orchidjunction/wire"
-)
+import "orchidjunction/message"
 
 // Metered is what the process that gets this daemon's sessions was told of its
 // counts. Only what changed since is told; another one is told all.
@@ -13,11 +11,11 @@
 }
 
 // fresh is what is to be told, and to which process it adds.
-func (metered *Metered) fresh(core string, windows []wire.WindowCount) ([]wire.WindowCount, uint64) {
+func (metered *Metered) fresh(core string, windows []message.WindowCount) ([]message.WindowCount, uint64) {
 	if metered.told == nil || metered.core != core {
 		*metered = Metered{core: core, told: map[int64]map[string]uint64{}}
 	}
-	news, standing := []wire.WindowCount{}, map[int64]bool{}
+	news, standing := []message.WindowCount{}, map[int64]bool{}
 	for _, window := range windows {
 		standing[window.Window] = true
 		changed := map[string]uint64{}
@@ -27,7 +25,7 @@
 			}
 		}
 		if len(changed) > 0 {
-			news = append(news, wire.WindowCount{Window: window.Window, Tenants: changed})
+			news = append(news, message.WindowCount{Window: window.Window, Tenants: changed})
 		}
 	}
 	for window := range metered.told {
@@ -39,7 +37,7 @@
 }
 
 // took lays down what the process has; one that began since has nothing.
-func (metered *Metered) took(news []wire.WindowCount, process uint64) {
+func (metered *Metered) took(news []message.WindowCount, process uint64) {
 	if metered.process != 0 && metered.process != process {
 		*metered = Metered{}
 		return
--- a/member/metered_test.go
+++ b/member/metered_test.go
@@ -1,32 +1,31 @@
 package member
 
 import (
+	"orchidjunction/message"
 	"reflect"
 	"testing"
-
-	"orchidjunction/wire"
 )
 
 func TestMeteredTellsWhatChanged(test *testing.T) {
 	metered := &Metered{}
-	counts := func(ann, bob uint64) []wire.WindowCount {
-		return []wire.WindowCount{{Window: 7, Tenants: map[string]uint64{"ann": ann, "bob": bob}}}
+	counts := func(ann, bob uint64) []message.WindowCount {
+		return []message.WindowCount{{Window: 7, Tenants: map[string]uint64{"ann": ann, "bob": bob}}}
 	}
 	for number, step := range []struct {
 		core    string
-		windows []wire.WindowCount
+		windows []message.WindowCount
 		process uint64
-		want    []wire.WindowCount
+		want    []message.WindowCount
 		upon    uint64
 	}{
 		{"a", counts(1, 2), 0, counts(1, 2), 0},
 		{"a", counts(1, 2), 5, counts(1, 2), 0},
-		{"a", counts(1, 2), 5, []wire.WindowCount{}, 5},
-		{"a", counts(1, 3), 5, []wire.WindowCount{{Window: 7, Tenants: map[string]uint64{"bob": 3}}}, 5},
+		{"a", counts(1, 2), 5, []message.WindowCount{}, 5},
+		{"a", counts(1, 3), 5, []message.WindowCount{{Window: 7, Tenants: map[string]uint64{"bob": 3}}}, 5},
 		{"b", counts(1, 3), 6, counts(1, 3), 0},
-		{"b", counts(1, 4), 7, []wire.WindowCount{{Window: 7, Tenants: map[string]uint64{"bob": 4}}}, 6},
+		{"b", counts(1, 4), 7, []message.WindowCount{{Window: 7, Tenants: map[string]uint64{"bob": 4}}}, 6},
 		{"b", counts(1, 4), 7, counts(1, 4), 0},
-		{"b", []wire.WindowCount{{Window: 8, Tenants: map[string]uint64{"ann": 1}}}, 7, []wire.WindowCount{{Window: 8, Tenants: map[string]uint64{"ann": 1}}}, 7},
+		{"b", []message.WindowCount{{Window: 8, Tenants: map[string]uint64{"ann": 1}}}, 7, []message.WindowCount{{Window: 8, Tenants: map[string]uint64{"ann": 1}}}, 7},
 	} {
 		news, upon := metered.fresh(step.core, step.windows)
 		if !reflect.DeepEqual(news, step.want) || upon != step.upon {
--- a/member/operate.go
+++ b/member/operate.go
@@ -9,8 +9,9 @@
 	"strconv"
 
 	"orchidjunction/conf"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 const changeBytes = 16 << 20
@@ -38,7 +39,7 @@
 	operate.mux.HandleFunc("GET /v1/counts", func(writer http.ResponseWriter, _ *http.Request) { Answer(writer, http.StatusOK, counts.All()) })
 	operate.mux.HandleFunc("GET /v1/health", operate.health)
 	operate.mux.HandleFunc("/", func(writer http.ResponseWriter, request *http.Request) {
-		Refuse(writer, wire.Errorf(wire.NotFound, "%s %s", request.Method, request.URL.Path))
+		Refuse(writer, rpc.Errorf(rpc.NotFound, "%s %s", request.Method, request.URL.Path))
 	})
 	return operate
 }
@@ -61,12 +62,12 @@
 
 // Refuse writes a mishap and, where it has one, the time to come back.
 func Refuse(writer http.ResponseWriter, err error) {
-	refusal := wire.AsError(err)
+	refusal := rpc.AsError(err)
 	refuse(writer, refusal, refusal)
 }
 
 // refuse writes a document with the status and the time to come back of a refusal.
-func refuse(writer http.ResponseWriter, refusal *wire.Error, document any) {
+func refuse(writer http.ResponseWriter, refusal *rpc.Error, document any) {
 	if refusal.RetryAfterMs > 0 {
 		writer.Header().Set("Retry-After", strconv.Itoa((refusal.RetryAfterMs+999)/1000))
 	}
@@ -85,16 +86,16 @@
 	document := settingsDocument{Confirmed: true}
 	var body []byte
 	serial, held := operate.local()
-	told, err := Send[wire.ReadRequest, wire.ReadResponse](operate.hold, "read", &wire.ReadRequest{HeldSerial: serial})
+	response, err := Send[message.ReadRequest, message.ReadResponse](operate.hold, "read", &message.ReadRequest{HeldSerial: serial})
 	switch {
 	case err != nil:
 		operate.counts.Add("reads_unconfirmed", 1)
 		document.Confirmed = false
 		document.Serial, body = serial, held
-	case told.Serial == serial:
+	case response.Serial == serial:
 		document.Serial, body = serial, held
 	default:
-		document.Serial, body = told.Serial, told.Body
+		document.Serial, body = response.Serial, response.Body
 	}
 	if len(body) == 0 {
 		body = []byte("null")
@@ -125,44 +126,44 @@
 }
 
 type refusalDocument struct {
-	wire.Error
+	rpc.Error
 	Change string `json:"change,omitempty"`
 }
 
 func (operate *Operate) change(writer http.ResponseWriter, request *http.Request, kind string) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, changeBytes))
 	if err != nil {
-		Refuse(writer, wire.Errorf(wire.TooLarge, "at most %d bytes: %v", changeBytes, err))
+		Refuse(writer, rpc.Errorf(rpc.TooLarge, "at most %d bytes: %v", changeBytes, err))
 		return
 	}
 	document := changeDocument{}
 	if err := json.Unmarshal(body, &document); err != nil {
-		Refuse(writer, wire.Errorf(wire.BadRequest, "%v", err))
+		Refuse(writer, rpc.Errorf(rpc.BadRequest, "%v", err))
 		return
 	}
 	if document.Base == nil || len(document.Settings) == 0 || len(document.Change) > 128 {
-		Refuse(writer, wire.Errorf(wire.BadRequest, "base and settings must be given; change has at most 128 letters"))
+		Refuse(writer, rpc.Errorf(rpc.BadRequest, "base and settings must be given; change has at most 128 letters"))
 		return
 	}
 	if document.Change == "" {
 		document.Change = NewID()
 	}
-	change := &wire.ChangeRequest{ID: document.Change, Base: *document.Base, Kind: kind, Body: document.Settings, Operator: document.Operator}
-	told, err := Send[wire.ChangeRequest, wire.ChangeResponse](operate.hold, "change", change)
+	change := &message.ChangeRequest{ID: document.Change, Base: *document.Base, Kind: kind, Body: document.Settings, Operator: document.Operator}
+	response, err := Send[message.ChangeRequest, message.ChangeResponse](operate.hold, "change", change)
 	if err != nil {
-		operate.counts.Add("operator_refused_"+string(wire.CodeOf(err)), 1)
-		refusal := wire.AsError(err)
+		operate.counts.Add("operator_refused_"+string(rpc.CodeOf(err)), 1)
+		refusal := rpc.AsError(err)
 		refuse(writer, refusal, refusalDocument{Error: *refusal, Change: document.Change})
 		return
 	}
 	operate.counts.Add("operator_changes", 1)
-	Answer(writer, http.StatusOK, outcomeDocument{Serial: told.Serial, Change: document.Change, Again: told.Duplicate})
+	Answer(writer, http.StatusOK, outcomeDocument{Serial: response.Serial, Change: document.Change, Again: response.Duplicate})
 }
 
 func (operate *Operate) check(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, changeBytes))
 	if err != nil {
-		Refuse(writer, wire.Errorf(wire.TooLarge, "at most %d bytes", changeBytes))
+		Refuse(writer, rpc.Errorf(rpc.TooLarge, "at most %d bytes", changeBytes))
 		return
 	}
 	if _, err := conf.Read(body); err != nil {
@@ -173,34 +174,34 @@
 }
 
 func (operate *Operate) trail(writer http.ResponseWriter, _ *http.Request) {
-	told, err := Send[wire.ReadRequest, wire.ReadResponse](operate.hold, "read", &wire.ReadRequest{History: true})
+	response, err := Send[message.ReadRequest, message.ReadResponse](operate.hold, "read", &message.ReadRequest{History: true})
 	if err != nil {
 		Refuse(writer, err)
 		return
 	}
-	if told.History == nil {
-		told.History = []wire.HistoryEntry{}
+	if response.History == nil {
+		response.History = []message.HistoryEntry{}
 	}
-	Answer(writer, http.StatusOK, map[string]any{"serial": told.Serial, "changes": told.History})
+	Answer(writer, http.StatusOK, map[string]any{"serial": response.Serial, "changes": response.History})
 }
 
 func (operate *Operate) status(writer http.ResponseWriter, _ *http.Request) {
-	told, err := Send[wire.StatusRequest, wire.StatusResponse](operate.hold, "status", &wire.StatusRequest{})
+	response, err := Send[message.StatusRequest, message.StatusResponse](operate.hold, "status", &message.StatusRequest{})
 	if err != nil {
 		Refuse(writer, err)
 		return
 	}
-	Answer(writer, http.StatusOK, told)
+	Answer(writer, http.StatusOK, response)
 }
 
 // cores tells who votes, who is about to and who waits.
 func (operate *Operate) cores(writer http.ResponseWriter, _ *http.Request) {
-	told, err := Send[wire.StatusRequest, wire.StatusResponse](operate.hold, "status", &wire.StatusRequest{})
+	response, err := Send[message.StatusRequest, message.StatusResponse](operate.hold, "status", &message.StatusRequest{})
 	if err != nil {
 		Refuse(writer, err)
 		return
 	}
-	Answer(writer, http.StatusOK, told.Membership)
+	Answer(writer, http.StatusOK, response.Membership)
 }
 
 type removalDocument struct {
@@ -211,17 +212,17 @@
 // remove gives a core's vote to a learner; the same order again is acknowledged.
 func (operate *Operate) remove(writer http.ResponseWriter, request *http.Request) {
 	id, err := strconv.Atoi(request.PathValue("id"))
-	if err != nil || id < 1 || id > wire.MaxPeerID {
-		Refuse(writer, wire.Errorf(wire.BadRequest, "%q is no core's ID: want 1 to %d", request.PathValue("id"), wire.MaxPeerID))
+	if err != nil || id < 1 || id > message.MaxPeerID {
+		Refuse(writer, rpc.Errorf(rpc.BadRequest, "%q is no core's ID: want 1 to %d", request.PathValue("id"), message.MaxPeerID))
 		return
 	}
-	told, err := Send[wire.RemoveVoterRequest, wire.RemoveVoterResponse](operate.hold, "removal", &wire.RemoveVoterRequest{Core: id})
+	response, err := Send[message.RemoveVoterRequest, message.RemoveVoterResponse](operate.hold, "removal", &message.RemoveVoterRequest{Core: id})
 	if err != nil {
 		Refuse(writer, err)
 		return
 	}
 	operate.counts.Add("operator_removals", 1)
-	Answer(writer, http.StatusOK, removalDocument{Version: told.Version, Again: told.Duplicate})
+	Answer(writer, http.StatusOK, removalDocument{Version: response.Version, Again: response.Duplicate})
 }
 
 func (operate *Operate) health(writer http.ResponseWriter, _ *http.Request) {
--- a/member/reach.go
+++ b/member/reach.go
@@ -6,9 +6,11 @@
 	"sync"
 	"time"
 
-	"k8s.io/klog/v2"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
+
+	"k8s.io/klog/v2"
 )
 
 const (
@@ -79,7 +81,7 @@
 	}
 	asked := time.Now()
 	version := daemon.Version()
-	proxies, others := 0, []wire.Member{}
+	proxies, others := 0, []message.Member{}
 	for _, known := range version.Table.Members {
 		if known.Kind != "proxy" {
 			continue
@@ -95,13 +97,13 @@
 	for first := 0; first < len(others) && reached < half; {
 		part := others[first:min(first+half-reached, len(others))]
 		first += len(part)
-		got, _ := run.Gather(daemon.threads, len(part), func(index int) (*wire.LeaderResponse, error) {
-			return wire.Call[wire.LeaderRequest, wire.LeaderResponse](daemon.line, part[index].InternalAddress, "who", reachLimit, &wire.LeaderRequest{})
-		}, func(map[int]*wire.LeaderResponse, map[int]error) bool { return false })
+		got, _ := run.Gather(daemon.threads, len(part), func(index int) (*message.LeaderResponse, error) {
+			return rpc.Call[message.LeaderRequest, message.LeaderResponse](daemon.line, part[index].InternalAddress, "who", reachLimit, &message.LeaderRequest{})
+		}, func(map[int]*message.LeaderResponse, map[int]error) bool { return false })
 		reached += len(got)
-		for index, told := range got {
-			if told.Serial > newest {
-				newest, from = told.Serial, part[index].InternalAddress
+		for index, response := range got {
+			if response.Serial > newest {
+				newest, from = response.Serial, part[index].InternalAddress
 			}
 		}
 	}
--- a/member/relay.go
+++ b/member/relay.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"time"
 
-	"orchidjunction/wire"
-
 	"k8s.io/klog/v2"
 )
 
@@ -18,13 +18,13 @@
 			continue
 		}
 		version := daemon.Version()
-		told, err := wire.Call[wire.WatchRequest, wire.WatchResponse](daemon.line, parent, "watch", daemon.paces.Watch+daemon.paces.ask(),
-			&wire.WatchRequest{Name: daemon.place.Name, Serial: version.Serial, Table: version.Table.Version, Routing: version.Routing, SpanMs: int(daemon.paces.Watch.Milliseconds())})
+		response, err := rpc.Call[message.WatchRequest, message.WatchResponse](daemon.line, parent, "watch", daemon.paces.Watch+daemon.paces.ask(),
+			&message.WatchRequest{Name: daemon.place.Name, Serial: version.Serial, Table: version.Table.Version, Routing: version.Routing, SpanMs: int(daemon.paces.Watch.Milliseconds())})
 		if err != nil {
 			daemon.lost(parent)
 			continue
 		}
-		if !version.behind(told.Serial, told.Routing, told.Table) {
+		if !version.behind(response.Serial, response.Routing, response.Table) {
 			continue
 		}
 		if !daemon.fetch(context.Background(), parent) {
@@ -73,18 +73,18 @@
 func (daemon *Daemon) fetch(within context.Context, parent string) bool {
 	for range fetchTries {
 		version := daemon.Version()
-		told, err := wire.CallContext[wire.FetchRequest, wire.FetchResponse](within, daemon.line, parent, "fetch", daemon.paces.fetch(), &wire.FetchRequest{Serial: version.Serial, Table: version.Table.Version, Routing: version.Routing})
+		response, err := rpc.CallContext[message.FetchRequest, message.FetchResponse](within, daemon.line, parent, "fetch", daemon.paces.fetch(), &message.FetchRequest{Serial: version.Serial, Table: version.Table.Version, Routing: version.Routing})
 		if err != nil {
 			return false
 		}
-		texts, lacks := wire.Chunks{}, version.Tree.Lacks(told.Chunks)
+		texts, lacks := message.Chunks{}, version.Tree.Lacks(response.Chunks)
 		err = texts.Fetch(daemon.line, parent, daemon.paces.fetch(), lacks)
 		if err == nil {
 			daemon.counts.Add("branches_fetched", uint64(len(lacks)))
-			return daemon.take(told, texts)
+			return daemon.take(response, texts)
 		}
-		daemon.counts.Add("branches_"+string(wire.CodeOf(err)), 1)
-		if wire.CodeOf(err) != wire.CorruptChunk {
+		daemon.counts.Add("branches_"+string(rpc.CodeOf(err)), 1)
+		if rpc.CodeOf(err) != rpc.CorruptChunk {
 			return false
 		}
 	}
@@ -93,10 +93,10 @@
 
 // take puts fetched parts in force, unless newer ones came meanwhile. Its mutex
 // is not the daemon's, so that the session goes on while a large version is laid.
-func (daemon *Daemon) take(told *wire.FetchResponse, texts wire.Chunks) bool {
+func (daemon *Daemon) take(response *message.FetchResponse, texts message.Chunks) bool {
 	daemon.taking.Lock()
 	before := daemon.Version()
-	next, err := before.after(told, texts)
+	next, err := before.after(response, texts)
 	if err != nil {
 		daemon.taking.Unlock()
 		daemon.counts.Add("versions_refused", 1)
@@ -121,47 +121,47 @@
 	return true
 }
 
-func (daemon *Daemon) onWatch(_ context.Context, watch *wire.WatchRequest) (*wire.WatchResponse, error) {
+func (daemon *Daemon) onWatch(_ context.Context, watch *message.WatchRequest) (*message.WatchResponse, error) {
 	until := time.Now().Add(min(time.Duration(watch.SpanMs)*time.Millisecond, watchMost))
 	for {
 		seen := daemon.news.Count()
 		version := daemon.Version()
-		told := &wire.WatchResponse{Serial: version.Serial, Table: version.Table.Version, Routing: version.Routing}
-		if told.Serial > watch.Serial || told.Routing > watch.Routing || watch.Table.Less(told.Table) || daemon.threads.Stopping() || !daemon.news.Wait(seen, time.Until(until)) {
-			return told, nil
+		response := &message.WatchResponse{Serial: version.Serial, Table: version.Table.Version, Routing: version.Routing}
+		if response.Serial > watch.Serial || response.Routing > watch.Routing || watch.Table.Less(response.Table) || daemon.threads.Stopping() || !daemon.news.Wait(seen, time.Until(until)) {
+			return response, nil
 		}
 	}
 }
 
-func (daemon *Daemon) onFetch(_ context.Context, fetch *wire.FetchRequest) (*wire.FetchResponse, error) {
+func (daemon *Daemon) onFetch(_ context.Context, fetch *message.FetchRequest) (*message.FetchResponse, error) {
 	version := daemon.Version()
-	told := &wire.FetchResponse{}
+	response := &message.FetchResponse{}
 	if version.Serial > fetch.Serial {
-		told.Serial, told.Chunks = version.Serial, version.Tree.Parts
+		response.Serial, response.Chunks = version.Serial, version.Tree.Parts
 	}
 	if version.Routing > fetch.Routing {
-		body, err := wire.Marshal(version.Book)
+		body, err := rpc.Marshal(version.Book)
 		if err != nil {
 			return nil, err
 		}
-		told.Routing, told.RoutingBody = version.Routing, body
+		response.Routing, response.RoutingBody = version.Routing, body
 	}
 	if fetch.Table.Less(version.Table.Version) {
-		told.Table = version.Table
+		response.Table = version.Table
 	}
-	return told, nil
+	return response, nil
 }
 
-func (daemon *Daemon) onParts(_ context.Context, parts *wire.FetchChunksRequest) (*wire.FetchChunksResponse, error) {
-	tree, told := daemon.Version().Tree, &wire.FetchChunksResponse{Chunks: wire.Chunks{}}
+func (daemon *Daemon) onParts(_ context.Context, parts *message.FetchChunksRequest) (*message.FetchChunksResponse, error) {
+	tree, response := daemon.Version().Tree, &message.FetchChunksResponse{Chunks: message.Chunks{}}
 	for _, digest := range parts.Digests {
 		if text := tree.Text(digest); text != nil {
-			told.Chunks[digest] = text
+			response.Chunks[digest] = text
 		}
 	}
-	return told, nil
+	return response, nil
 }
 
-func (daemon *Daemon) onWho(context.Context, *wire.LeaderRequest) (*wire.LeaderResponse, error) {
-	return &wire.LeaderResponse{Leader: daemon.Finder.Leader(), Membership: daemon.Finder.Members(), Cores: daemon.votingCores(), Serial: daemon.Version().Serial}, nil
+func (daemon *Daemon) onWho(context.Context, *message.LeaderRequest) (*message.LeaderResponse, error) {
+	return &message.LeaderResponse{Leader: daemon.Finder.Leader(), Membership: daemon.Finder.Members(), Cores: daemon.votingCores(), Serial: daemon.Version().Serial}, nil
 }
--- a/member/tree.go
+++ b/member/tree.go
@@ -1,9 +1,8 @@
 package member
 
 import (
+	"orchidjunction/message"
 	"sort"
-
-	"orchidjunction/wire"
 )
 
 const (
@@ -12,9 +11,9 @@
 )
 
 // Tree is the relay order that every holder of one table reads alike.
-type Tree []wire.Member
+type Tree []message.Member
 
-func newTree(table *wire.Table) Tree {
+func newTree(table *message.Table) Tree {
 	tree := Tree{}
 	for _, member := range table.Members {
 		if !member.Leaving {
@@ -26,12 +25,12 @@
 }
 
 // parents lists whom a daemon asks, nearest first; none means the leader itself.
-func (tree Tree) parents(name string) []wire.Member {
+func (tree Tree) parents(name string) []message.Member {
 	index := sort.Search(len(tree), func(index int) bool { return tree[index].Name >= name })
 	if index == len(tree) || tree[index].Name != name {
 		return nil
 	}
-	parents := []wire.Member{}
+	parents := []message.Member{}
 	for index >= treeRoots {
 		index = (index - treeRoots) / treeFanout
 		parents = append(parents, tree[index])
--- a/member/version.go
+++ b/member/version.go
@@ -2,8 +2,8 @@
 
 import (
 	"orchidjunction/conf"
+	"orchidjunction/message"
 	"orchidjunction/route"
-	"orchidjunction/wire"
 )
 
 // Version is what a daemon has in force; it is swapped whole.
@@ -11,7 +11,7 @@
 	Serial   uint64
 	Tree     *conf.Tree
 	Settings *conf.Settings
-	Table    *wire.Table
+	Table    *message.Table
 	Routing  uint64
 	Book     *route.Book
 }
@@ -20,22 +20,22 @@
 func (version *Version) Body() []byte { return version.Tree.Body() }
 
 // behind is whether any of these is newer.
-func (version *Version) behind(serial, routing uint64, table wire.TableVersion) bool {
+func (version *Version) behind(serial, routing uint64, table message.TableVersion) bool {
 	return serial > version.Serial || routing > version.Routing || version.Table.Version.Less(table)
 }
 
 // after is the version with newer parts laid in; serials and tables only rise.
-func (version *Version) after(told *wire.FetchResponse, texts wire.Chunks) (*Version, error) {
+func (version *Version) after(response *message.FetchResponse, texts message.Chunks) (*Version, error) {
 	next := *version
-	if told.Serial > version.Serial {
-		tree, err := conf.Grow(version.Tree, told.Chunks, texts)
+	if response.Serial > version.Serial {
+		tree, err := conf.Grow(version.Tree, response.Chunks, texts)
 		if err != nil {
 			return nil, err
 		}
-		next.Serial, next.Tree, next.Settings = told.Serial, tree, tree.Settings
+		next.Serial, next.Tree, next.Settings = response.Serial, tree, tree.Settings
 	}
-	if told.Routing > version.Routing {
-		body, err := told.DecompressRouting()
+	if response.Routing > version.Routing {
+		body, err := response.DecompressRouting()
 		if err != nil {
 			return nil, err
 		}
@@ -43,12 +43,12 @@
 		if err != nil {
 			return nil, err
 		}
-		next.Routing, next.Book = told.Routing, book
+		next.Routing, next.Book = response.Routing, book
 	}
-	if told.Table != nil && version.Table.Version.Less(told.Table.Version) {
-		next.Table = told.Table
-	} else if told.Delta != nil && version.Table.Version.Less(told.Delta.Version) {
-		next.Table, _ = version.Table.Apply(told.Delta)
+	if response.Table != nil && version.Table.Version.Less(response.Table.Version) {
+		next.Table = response.Table
+	} else if response.Delta != nil && version.Table.Version.Less(response.Delta.Version) {
+		next.Table, _ = version.Table.Apply(response.Delta)
 	}
 	return &next, nil
 }
--- a/wire/chunk.go
+++ b/message/chunk.go
@@ -1,7 +1,8 @@
-package wire
+package message
 
 import (
 	"crypto/sha256"
+	"orchidjunction/rpc"
 	"time"
 )
 
@@ -32,7 +33,7 @@
 func (chunks Chunks) check() error {
 	for digest, text := range chunks {
 		if DigestOf(text) != digest {
-			return Errorf(CorruptChunk, "a chunk of %d bytes does not match its digest", len(text))
+			return rpc.Errorf(rpc.CorruptChunk, "a chunk of %d bytes does not match its digest", len(text))
 		}
 	}
 	return nil
@@ -63,16 +64,16 @@
 
 // Fetch adds the missing chunks from the process at an address, a bounded number in
 // each message. It returns an error if one of them is not there or arrives corrupt.
-func (chunks Chunks) Fetch(client *Client, address string, timeout time.Duration, missing []string) error {
+func (chunks Chunks) Fetch(client *rpc.Client, address string, timeout time.Duration, missing []string) error {
 	for len(missing) > 0 {
 		count := min(len(missing), MaxChunksPerFetch)
 		request := &FetchChunksRequest{Digests: missing[:count]}
-		response, err := Call[FetchChunksRequest, FetchChunksResponse](client, address, "parts", timeout, request)
+		response, err := rpc.Call[FetchChunksRequest, FetchChunksResponse](client, address, "parts", timeout, request)
 		if err != nil {
 			return err
 		}
 		if len(response.Chunks) < count {
-			return Errorf(CorruptChunk, "%d of %d chunks are not there", count-len(response.Chunks), count)
+			return rpc.Errorf(rpc.CorruptChunk, "%d of %d chunks are not there", count-len(response.Chunks), count)
 		}
 		for digest, text := range response.Chunks {
 			chunks[digest] = text
@@ -91,7 +92,7 @@
 // Check refuses more than MaxChunksPerFetch digests.
 func (request *FetchChunksRequest) Check() error {
 	if len(request.Digests) > MaxChunksPerFetch {
-		return Errorf(BadMessage, "%d chunks asked for, allowed %d", len(request.Digests), MaxChunksPerFetch)
+		return rpc.Errorf(rpc.BadMessage, "%d chunks asked for, allowed %d", len(request.Digests), MaxChunksPerFetch)
 	}
 	return nil
 }
--- a/wire/claim.go
+++ b/message/claim.go
@@ -1,4 +1,6 @@
-package wire
+package message
+
+import "orchidjunction/rpc"
 
 // MaxClaimsPerMessage is how many entries of each kind one message may hold.
 const MaxClaimsPerMessage = 1024
@@ -43,13 +45,13 @@
 
 func (record *ClaimRecord) check() error {
 	if record.Key.Key == "" || record.ID == "" || record.Holder == "" {
-		return Errorf(BadMessage, "claim without key, id or holder")
+		return rpc.Errorf(rpc.BadMessage, "claim without key, id or holder")
 	}
 	if len(record.Key.Key) > maxKeyLength || len(record.Body) > maxRecordBytes {
-		return Errorf(BadMessage, "claim of a key with %d letters and %d bytes", len(record.Key.Key), len(record.Body))
+		return rpc.Errorf(rpc.BadMessage, "claim of a key with %d letters and %d bytes", len(record.Key.Key), len(record.Body))
 	}
 	if record.Stage < ClaimRunning || record.Stage > ClaimUnknown {
-		return Errorf(BadMessage, "claim stage %d", record.Stage)
+		return rpc.Errorf(rpc.BadMessage, "claim stage %d", record.Stage)
 	}
 	return nil
 }
@@ -161,7 +163,7 @@
 func (request *RecordClaimsRequest) Check() error {
 	claims, merged, completed := len(request.Claims), len(request.Merged), len(request.Completed)
 	if max(claims, merged, completed) > MaxClaimsPerMessage {
-		return Errorf(BadMessage, "%d claims, %d merged, %d completed", claims, merged, completed)
+		return rpc.Errorf(rpc.BadMessage, "%d claims, %d merged, %d completed", claims, merged, completed)
 	}
 	if err := checkAll(request.Claims, (*ClaimRequest).Check); err != nil {
 		return err
--- a/wire/codec_test.go
+++ b/message/codec_test.go
@@ -1,4 +1,4 @@
-package wire
+package message
 
 import (
 	"bytes"
@@ -7,17 +7,19 @@
 	"net/http/httptest"
 	"testing"
 
-	"github.com/vmihailenco/msgpack/v5"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
+
+	"github.com/vmihailenco/msgpack/v5"
 )
 
 // One message, changed in one field at a time: what nobody knows, what has the
 // wrong type and what lies out of range is refused and counted, and the door lives on.
 func TestDoorRefusesOneFieldAtATime(test *testing.T) {
 	counts := run.NewCounts()
-	door := NewServer(counts)
+	server := rpc.NewServer(counts)
 	taken := 0
-	Handle(door, "beat", func(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error) {
+	rpc.Handle(server, "beat", func(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error) {
 		taken++
 		return &HeartbeatResponse{Accepted: true}, nil
 	})
@@ -26,7 +28,7 @@
 		request := httptest.NewRequest(http.MethodPost, path, bytes.NewReader(body))
 		request.Header.Set("Content-Type", kind)
 		recorder := httptest.NewRecorder()
-		door.ServeHTTP(recorder, request)
+		server.ServeHTTP(recorder, request)
 		return recorder.Code
 	}
 	pack := func(change func(map[string]any)) []byte {
@@ -84,20 +86,20 @@
 func TestDamagedBranchIsRefused(test *testing.T) {
 	text := []byte(`{"a":1}`)
 	good := &FetchChunksResponse{Chunks: Chunks{DigestOf(text): text}}
-	body, err := Codec{}.Marshal(good)
-	if err != nil || (Codec{}).Unmarshal(body, &FetchChunksResponse{}) != nil {
+	body, err := rpc.Codec{}.Marshal(good)
+	if err != nil || (rpc.Codec{}).Unmarshal(body, &FetchChunksResponse{}) != nil {
 		test.Fatal("the good message is refused")
 	}
 	for index := range text {
 		worn := append([]byte{}, text...)
 		worn[index] ^= 4
 		for name, message := range map[string]any{"parts": &FetchChunksResponse{Chunks: Chunks{DigestOf(text): worn}}, "accept": &AcceptRequest{Term: Term{Number: 1, Core: 1}, Chunks: Chunks{DigestOf(text): worn}}} {
-			body, _ := Codec{}.Marshal(message)
+			body, _ := rpc.Codec{}.Marshal(message)
 			into := any(&FetchChunksResponse{})
 			if name == "accept" {
 				into = &AcceptRequest{}
 			}
-			if err := (Codec{}).Unmarshal(body, into); CodeOf(err) != CorruptChunk {
+			if err := (rpc.Codec{}).Unmarshal(body, into); rpc.CodeOf(err) != rpc.CorruptChunk {
 				test.Errorf("%s with byte %d worn: %v", name, index, err)
 			}
 		}
--- a/wire/compress.go
+++ b/message/compress.go
@@ -1,9 +1,10 @@
-package wire
+package message
 
 import (
 	"bytes"
 	"compress/flate"
 	"io"
+	"orchidjunction/rpc"
 )
 
 const maxDecompressedBytes = 256 << 20
@@ -25,10 +26,10 @@
 	reader := flate.NewReader(bytes.NewReader(response.RoutingBody))
 	body, err := io.ReadAll(io.LimitReader(reader, maxDecompressedBytes+1))
 	if err != nil {
-		return nil, Errorf(BadMessage, "routing of %d compressed bytes: %w", len(response.RoutingBody), err)
+		return nil, rpc.Errorf(rpc.BadMessage, "routing of %d compressed bytes: %w", len(response.RoutingBody), err)
 	}
 	if len(body) > maxDecompressedBytes {
-		return nil, Errorf(BadMessage, "routing of more than %d bytes", maxDecompressedBytes)
+		return nil, rpc.Errorf(rpc.BadMessage, "routing of more than %d bytes", maxDecompressedBytes)
 	}
 	return body, nil
 }
--- a/wire/consensus.go
+++ b/message/consensus.go
@@ -1,4 +1,6 @@
-package wire
+package message
+
+import "orchidjunction/rpc"
 
 // PreVoteRequest asks whether a candidate would win, before it raises its term.
 // Membership is the version of the newest membership that the candidate knows.
@@ -130,7 +132,7 @@
 // Check refuses an unknown register, a corrupt chunk and an invalid term.
 func (request *AcceptRequest) Check() error {
 	if request.Register < 0 || request.Register >= Registers {
-		return Errorf(BadMessage, "no register %d", request.Register)
+		return rpc.Errorf(rpc.BadMessage, "no register %d", request.Register)
 	}
 	if err := request.Chunks.check(); err != nil {
 		return err
--- a/wire/golden_test.go
+++ b/message/golden_test.go
@@ -1,9 +1,10 @@
-package wire
+package message
 
 import (
 	"testing"
 
 	"orchidjunction/harness/golden"
+	"orchidjunction/rpc"
 )
 
 // goldenMessages are all messages by the names that they had when the file of their
@@ -28,13 +29,13 @@
 		"Parts": &FetchChunksRequest{}, "PartsTold": &FetchChunksResponse{}, "Accepted": &AcceptedValue{}, "Entry": &HistoryEntry{},
 		"RouteChange": &RoutingChangeRequest{}, "RouteChangeTold": &RoutingChangeResponse{}, "RouteRead": &RoutingReadRequest{}, "RouteReadTold": &RoutingReadResponse{},
 		"Evacuate": &EvacuateRequest{}, "EvacuateTold": &EvacuateResponse{},
-		"Mishap": &Error{}, "Table": &Table{},
+		"Mishap": &rpc.Error{}, "Table": &Table{},
 	}
 }
 
 // Every message is encoded as it was when the file was written, byte for byte, and
 // what was written then is read back into equal messages.
 func TestMessageEncodingsStay(test *testing.T) {
-	format := golden.Format{Marshal: Codec{}.Marshal, Unmarshal: Unmarshal}
+	format := golden.Format{Marshal: rpc.Codec{}.Marshal, Unmarshal: rpc.Unmarshal}
 	format.Check(test, "testdata/messages.golden", goldenMessages())
 }
--- a/wire/leader.go
+++ b/message/leader.go
@@ -1,4 +1,4 @@
-package wire
+package message
 
 // Leader is the core that leads, as far as the sender knows.
 type Leader struct {
--- a/wire/membership.go
+++ b/message/membership.go
@@ -1,8 +1,9 @@
-package wire
+package message
 
 import (
 	"bytes"
 	"net/netip"
+	"orchidjunction/rpc"
 	"slices"
 )
 
@@ -24,14 +25,14 @@
 
 func checkAddress(address string) error {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		return Errorf(BadMessage, "peer at %q: %w", address, err)
+		return rpc.Errorf(rpc.BadMessage, "peer at %q: %w", address, err)
 	}
 	return nil
 }
 
 func checkCoreID(id int) error {
 	if id < 1 || id > MaxPeerID {
-		return Errorf(BadMessage, "core id %d is not in 1 to %d", id, MaxPeerID)
+		return rpc.Errorf(rpc.BadMessage, "core id %d is not in 1 to %d", id, MaxPeerID)
 	}
 	return nil
 }
@@ -49,7 +50,7 @@
 // above LastID.
 func (voters *VoterSet) Check() error {
 	if len(voters.Current) == 0 {
-		return Errorf(BadMessage, "membership without voters")
+		return rpc.Errorf(rpc.BadMessage, "membership without voters")
 	}
 	for _, group := range voters.groups() {
 		if err := voters.checkGroup(group); err != nil {
@@ -66,7 +67,7 @@
 			return err
 		}
 		if seen[peer.ID] || peer.ID > voters.LastID {
-			return Errorf(BadMessage, "voter %d is there twice or above %d", peer.ID, voters.LastID)
+			return rpc.Errorf(rpc.BadMessage, "voter %d is there twice or above %d", peer.ID, voters.LastID)
 		}
 		seen[peer.ID] = true
 	}
--- a/wire/register.go
+++ b/message/register.go
@@ -1,4 +1,4 @@
-package wire
+package message
 
 // Register names one of the values that the cores replicate, each as a whole.
 type Register int
--- a/wire/routing.go
+++ b/message/routing.go
@@ -1,4 +1,6 @@
-package wire
+package message
+
+import "orchidjunction/rpc"
 
 // maxZoneName is the longest name of a zone, in bytes.
 const maxZoneName = 200
@@ -46,7 +48,7 @@
 // Check refuses a zone's name of the wrong length.
 func (request *EvacuateRequest) Check() error {
 	if request.Zone == "" || len(request.Zone) > maxZoneName {
-		return Errorf(BadMessage, "evacuate: zone of %d letters", len(request.Zone))
+		return rpc.Errorf(rpc.BadMessage, "evacuate: zone of %d letters", len(request.Zone))
 	}
 	return nil
 }
--- a/wire/session.go
+++ b/message/session.go
@@ -1,6 +1,9 @@
-package wire
+package message
 
-import "net/netip"
+import (
+	"net/netip"
+	"orchidjunction/rpc"
+)
 
 // Kinds of daemons.
 const (
@@ -31,13 +34,13 @@
 // Check refuses a session without a name, an incarnation, a known kind or an address.
 func (session *Session) Check() error {
 	if session.Member.Name == "" || session.Member.Incarnation == "" {
-		return Errorf(BadMessage, "session without name or incarnation")
+		return rpc.Errorf(rpc.BadMessage, "session without name or incarnation")
 	}
 	if session.Member.Kind != ProxyKind && session.Member.Kind != DirectoryKind {
-		return Errorf(BadMessage, "session of unknown kind %q", session.Member.Kind)
+		return rpc.Errorf(rpc.BadMessage, "session of unknown kind %q", session.Member.Kind)
 	}
 	if _, err := netip.ParseAddrPort(session.Member.InternalAddress); err != nil {
-		return Errorf(BadMessage, "session from %q: %w", session.Member.InternalAddress, err)
+		return rpc.Errorf(rpc.BadMessage, "session from %q: %w", session.Member.InternalAddress, err)
 	}
 	return nil
 }
@@ -69,7 +72,7 @@
 // Check refuses a count that names no process.
 func (request *UsageCountRequest) Check() error {
 	if request.Incarnation == "" {
-		return Errorf(BadMessage, "count without incarnation")
+		return rpc.Errorf(rpc.BadMessage, "count without incarnation")
 	}
 	return nil
 }
--- a/wire/settings.go
+++ b/message/settings.go
@@ -1,4 +1,6 @@
-package wire
+package message
+
+import "orchidjunction/rpc"
 
 // Kinds of a ChangeRequest: its body replaces all settings, or is merged into them.
 const (
@@ -21,10 +23,10 @@
 // Check refuses an ID of the wrong length and an unknown kind.
 func (request *ChangeRequest) Check() error {
 	if request.ID == "" || len(request.ID) > maxChangeID {
-		return Errorf(BadMessage, "change id has %d letters, allowed 1 to %d", len(request.ID), maxChangeID)
+		return rpc.Errorf(rpc.BadMessage, "change id has %d letters, allowed 1 to %d", len(request.ID), maxChangeID)
 	}
 	if request.Kind != WholeChange && request.Kind != PartialChange {
-		return Errorf(BadMessage, "change kind %q", request.Kind)
+		return rpc.Errorf(rpc.BadMessage, "change kind %q", request.Kind)
 	}
 	return nil
 }
--- a/wire/status.go
+++ b/message/status.go
@@ -1,4 +1,4 @@
-package wire
+package message
 
 // StatusRequest asks a core for its view of the deployment. The leader's is complete.
 type StatusRequest struct{}
--- a/wire/table.go
+++ b/message/table.go
@@ -1,4 +1,4 @@
-package wire
+package message
 
 import "sort"
 
--- a/wire/table_log.go
+++ b/message/table_log.go
@@ -1,4 +1,4 @@
-package wire
+package message
 
 const (
 	// maxTableVersions is how many versions a TableLog knows a delta from.
--- a/wire/table_test.go
+++ b/message/table_test.go
@@ -1,4 +1,4 @@
-package wire
+package message
 
 import (
 	"fmt"
@@ -79,19 +79,19 @@
 // What went out of the log's reach is told as a whole.
 func TestTableLogIsBounded(test *testing.T) {
 	log, table := NewTableLog(), &Table{}
-	mark := func(number uint64) TableVersion { return TableVersion{Term: Term{Number: 1, Core: 1}, Number: number} }
+	version := func(number uint64) TableVersion { return TableVersion{Term: Term{Number: 1, Core: 1}, Number: number} }
 	for step := range 3000 {
-		next := &Table{Version: mark(uint64(step + 1)), Backends: []Backend{{Name: fmt.Sprint("a", step)}, {Name: fmt.Sprint("b", step)}}}
+		next := &Table{Version: version(uint64(step + 1)), Backends: []Backend{{Name: fmt.Sprint("a", step)}, {Name: fmt.Sprint("b", step)}}}
 		log.Record(table, next)
 		table = next
 	}
-	if _, known := log.Since(mark(1), table); known {
+	if _, known := log.Since(version(1), table); known {
 		test.Errorf("the first mark is still known")
 	}
 	if len(log.versions) > maxTableVersions || len(log.removals) > maxTableRemovals || len(log.backends) != 2 {
 		test.Errorf("%d marks, %d gone, %d backends", len(log.versions), len(log.removals), len(log.backends))
 	}
-	if delta, known := log.Since(mark(2999), table); !known || len(delta.RemovedBackends) != 2 || len(delta.Backends) != 2 {
+	if delta, known := log.Since(version(2999), table); !known || len(delta.RemovedBackends) != 2 || len(delta.Backends) != 2 {
 		test.Errorf("%v %+v", known, delta)
 	}
 }
--- a/wire/term.go
+++ b/message/term.go
@@ -1,6 +1,9 @@
-package wire
+package message
 
-import "fmt"
+import (
+	"fmt"
+	"orchidjunction/rpc"
+)
 
 // Term numbers a leadership. Each term belongs to one core, so that no two cores ever
 // lead under the same one. It is the proposal number of the agreement (Paxos' ballot).
@@ -23,7 +26,7 @@
 // check refuses a term without a number or of a core out of range.
 func (term Term) check() error {
 	if term.Number == 0 {
-		return Errorf(BadMessage, "term without a number")
+		return rpc.Errorf(rpc.BadMessage, "term without a number")
 	}
 	return checkCoreID(term.Core)
 }
--- a/wire/update.go
+++ b/message/update.go
@@ -1,4 +1,6 @@
-package wire
+package message
+
+import "orchidjunction/rpc"
 
 // WatchRequest waits at a process for versions newer than those given, at most SpanMs
 // milliseconds.
@@ -45,7 +47,7 @@
 // Encode encodes the response once for all processes that get the same one. It must not
 // be changed afterwards.
 func (response *FetchResponse) Encode() error {
-	body, err := Marshal(response)
+	body, err := rpc.Marshal(response)
 	if err != nil {
 		return err
 	}
--- a/operator/client.go
+++ b/operator/client.go
@@ -9,9 +9,9 @@
 	"fmt"
 	"io"
 	"net/http"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // Client sends each call to the daemons in their order and goes on to the next one
@@ -33,33 +33,33 @@
 // the refusal of a daemon, wire.Unreachable if none answered, or wire.BadMessage
 // for an answer that can't be decoded.
 func (client *Client) Ask(method, path string, body []byte, into any) error {
-	last := wire.Errorf(wire.Unreachable, "no daemon given")
+	last := rpc.Errorf(rpc.Unreachable, "no daemon given")
 	for _, daemon := range client.daemons {
 		request, err := http.NewRequest(method, "http://"+daemon+path, bytes.NewReader(body))
 		if err != nil {
-			return wire.Errorf(wire.BadRequest, "%v", err)
+			return rpc.Errorf(rpc.BadRequest, "%v", err)
 		}
 		request.GetBody = nil
 		response, err := client.client.Do(request)
 		if err != nil {
-			last = wire.Errorf(wire.Unreachable, "%v", err)
+			last = rpc.Errorf(rpc.Unreachable, "%v", err)
 			continue
 		}
 		answer, err := io.ReadAll(response.Body)
 		response.Body.Close()
 		if err != nil {
-			last = wire.Errorf(wire.Unreachable, "%v", err)
+			last = rpc.Errorf(rpc.Unreachable, "%v", err)
 			continue
 		}
 		if response.StatusCode == http.StatusOK {
 			if err := json.Unmarshal(answer, into); err != nil {
-				return wire.Errorf(wire.BadMessage, "%v", err)
+				return rpc.Errorf(rpc.BadMessage, "%v", err)
 			}
 			return nil
 		}
 		last = readRefusal(response.StatusCode, answer)
-		kind := wire.CodeOf(last)
-		if kind.Status() != http.StatusServiceUnavailable && kind != wire.OutcomeUnknown {
+		kind := rpc.CodeOf(last)
+		if kind.Status() != http.StatusServiceUnavailable && kind != rpc.OutcomeUnknown {
 			return last
 		}
 	}
@@ -68,9 +68,9 @@
 
 // readRefusal returns the error that a daemon's answer holds.
 func readRefusal(status int, body []byte) error {
-	refusal := &wire.Error{}
+	refusal := &rpc.Error{}
 	if err := json.Unmarshal(body, refusal); err != nil || refusal.Code == "" {
-		return wire.Errorf(wire.BadMessage, "status %d: %s", status, body)
+		return rpc.Errorf(rpc.BadMessage, "status %d: %s", status, body)
 	}
 	return refusal
 }
@@ -127,21 +127,21 @@
 func (client *Client) change(method string, change Change) (*Outcome, error) {
 	body, err := json.Marshal(change)
 	if err != nil {
-		return nil, wire.Errorf(wire.BadRequest, "%v", err)
+		return nil, rpc.Errorf(rpc.BadRequest, "%v", err)
 	}
 	outcome := &Outcome{}
 	return outcome, client.Ask(method, "/v1/settings", body, outcome)
 }
 
 // Status returns the leader, the members and the backends as the cores know them.
-func (client *Client) Status() (*wire.StatusResponse, error) {
-	status := &wire.StatusResponse{}
+func (client *Client) Status() (*message.StatusResponse, error) {
+	status := &message.StatusResponse{}
 	return status, client.Ask(http.MethodGet, "/v1/status", nil, status)
 }
 
 // Cores tells who votes and who waits for a vote.
-func (client *Client) Cores() (*wire.MembershipStatus, error) {
-	membership := &wire.MembershipStatus{}
+func (client *Client) Cores() (*message.MembershipStatus, error) {
+	membership := &message.MembershipStatus{}
 	return membership, client.Ask(http.MethodGet, "/v1/cores", nil, membership)
 }
 
--- a/place/directory.go
+++ b/place/directory.go
@@ -12,8 +12,9 @@
 
 	"orchidjunction/data"
 	"orchidjunction/member"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 const (
@@ -32,8 +33,8 @@
 // callers may be sent to.
 type View struct {
 	routes *data.Routes
-	fronts []wire.Member
-	guests []wire.Member
+	fronts []message.Member
+	guests []message.Member
 }
 
 // Front is one proxy that a caller may use; Address is host:port.
@@ -59,7 +60,7 @@
 }
 
 // Register does nothing: directories don't call each other.
-func (directory *Directory) Register(*wire.Server) {}
+func (directory *Directory) Register(*rpc.Server) {}
 
 // Run does nothing: a directory has no duties of its own.
 func (directory *Directory) Run() {}
@@ -82,7 +83,7 @@
 // NewView selects the proxies that callers may be sent to: those ready and not
 // leaving. Proxies lent by the other partner are used only while the own ones are
 // too few or nearly full.
-func NewView(routes *data.Routes, members []wire.Member) *View {
+func NewView(routes *data.Routes, members []message.Member) *View {
 	next, demand := &View{routes: routes}, 0.0
 	for _, known := range members {
 		if known.Kind != "proxy" || !known.Ready || known.Leaving {
@@ -112,7 +113,7 @@
 	}
 	placement, err := directory.answer(request)
 	if err != nil {
-		directory.counts.Add("places_"+string(wire.CodeOf(err)), 1)
+		directory.counts.Add("places_"+string(rpc.CodeOf(err)), 1)
 		member.Refuse(writer, err)
 		return
 	}
@@ -122,19 +123,19 @@
 
 func (directory *Directory) answer(request *http.Request) (*Placement, error) {
 	if request.URL.Path != "/v1/place" {
-		return nil, wire.Errorf(wire.NotFound, "%s", request.URL.Path)
+		return nil, rpc.Errorf(rpc.NotFound, "%s", request.URL.Path)
 	}
 	if request.Method != http.MethodGet {
-		return nil, wire.Errorf(wire.MethodNotAllowed, "want GET")
+		return nil, rpc.Errorf(rpc.MethodNotAllowed, "want GET")
 	}
 	view := directory.view.Load()
 	if view == nil || !directory.daemon.Ready() {
-		return nil, &wire.Error{Code: wire.NotReady, Message: "no confirmed settings in force here", RetryAfterMs: comeBack}
+		return nil, &rpc.Error{Code: rpc.NotReady, Message: "no confirmed settings in force here", RetryAfterMs: comeBack}
 	}
 	key, bearer := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 	tenant, found := view.routes.Tenant(key)
 	if !bearer || !found {
-		return nil, wire.Errorf(wire.UnknownKey, "no tenant has this key")
+		return nil, rpc.Errorf(rpc.UnknownKey, "no tenant has this key")
 	}
 	return view.Place(tenant, request.URL.Query().Get("zone"))
 }
@@ -148,7 +149,7 @@
 	ranked := view.rank(view.fronts, tenant, near)
 	guests := view.rank(view.guests, tenant, near)
 	if len(ranked)+len(guests) == 0 {
-		return nil, &wire.Error{Code: wire.NoBackend, Message: "no front machine may take this tenant now", RetryAfterMs: comeBack}
+		return nil, &rpc.Error{Code: rpc.NoBackend, Message: "no front machine may take this tenant now", RetryAfterMs: comeBack}
 	}
 	most := view.routes.Fronts(tenant)
 	placement := &Placement{Serial: view.routes.Serial, Tenant: name, HoldMs: (time.Duration(*settings.Rule.HoldMs) * time.Millisecond).Milliseconds(), Fronts: []Front{}}
@@ -175,8 +176,8 @@
 }
 
 // rank orders the fronts that a tenant may use: near ones first, then its own order.
-func (view *View) rank(fronts []wire.Member, tenant int, near string) []wire.Member {
-	name, ranked := view.routes.TenantName(tenant), []wire.Member{}
+func (view *View) rank(fronts []message.Member, tenant int, near string) []message.Member {
+	name, ranked := view.routes.TenantName(tenant), []message.Member{}
 	for _, front := range fronts {
 		if !view.routes.Drained(front.Zone) && view.routes.ZoneAllowed(front.Zone, tenant) {
 			ranked = append(ranked, front)
--- a/plan/forecast.go
+++ b/plan/forecast.go
@@ -8,8 +8,8 @@
 
 	"orchidjunction/conf"
 	"orchidjunction/data"
+	"orchidjunction/message"
 	"orchidjunction/place"
-	"orchidjunction/wire"
 )
 
 // Fleet is the state that a forecast starts from. Capacity is the requests a second
@@ -17,8 +17,8 @@
 type Fleet struct {
 	Serial   uint64
 	Settings *conf.Settings
-	Members  []wire.Member
-	Backends []wire.Backend
+	Members  []message.Member
+	Backends []message.Backend
 	Capacity float64
 }
 
--- a/plan/forecast_test.go
+++ b/plan/forecast_test.go
@@ -7,8 +7,8 @@
 
 	"orchidjunction/conf"
 	"orchidjunction/data"
+	"orchidjunction/message"
 	"orchidjunction/place"
-	"orchidjunction/wire"
 )
 
 func fleet(test *testing.T) Fleet {
@@ -24,10 +24,10 @@
 	look := Fleet{Serial: 1, Settings: settings, Capacity: 30}
 	zones := []string{"accra", "kumasi", "tamale", "tema", "sunyani", "bolga"}
 	for index := range 9 {
-		look.Members = append(look.Members, wire.Member{Name: fmt.Sprint("proxy-", index), Kind: "proxy", Zone: zones[index%6], Ready: true})
+		look.Members = append(look.Members, message.Member{Name: fmt.Sprint("proxy-", index), Kind: "proxy", Zone: zones[index%6], Ready: true})
 	}
 	for index := range 12 {
-		look.Backends = append(look.Backends, wire.Backend{Name: fmt.Sprint("back-", index), Service: []string{"reading-grid", "office-review"}[index%2], Zone: zones[index/2]})
+		look.Backends = append(look.Backends, message.Backend{Name: fmt.Sprint("back-", index), Service: []string{"reading-grid", "office-review"}[index%2], Zone: zones[index/2]})
 	}
 	return look
 }
@@ -67,7 +67,7 @@
 func TestPlacements(test *testing.T) {
 	look := fleet(test)
 	routes := data.NewRoutes(1, look.Settings, nil)
-	placed := func(members []wire.Member) map[string][]place.Front {
+	placed := func(members []message.Member) map[string][]place.Front {
 		chart, all := place.NewView(routes, members), map[string][]place.Front{}
 		for name := range look.Settings.Tenants {
 			index, _ := routes.TenantNamed(name)
@@ -106,7 +106,7 @@
 	if kept*4 < all*3 {
 		test.Errorf("only %d of %d placements stay when one of nine fronts leaves", kept, all)
 	}
-	guest := append([]wire.Member{{Name: "guest", Kind: "proxy", Zone: "accra", Ready: true, Guest: true}}, look.Members...)
+	guest := append([]message.Member{{Name: "guest", Kind: "proxy", Zone: "accra", Ready: true, Guest: true}}, look.Members...)
 	for name, fronts := range placed(guest) {
 		for _, front := range fronts {
 			if front.Name == "guest" {
--- a/program/daemon.go
+++ b/program/daemon.go
@@ -5,8 +5,9 @@
 	"time"
 
 	"orchidjunction/member"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 
 	"k8s.io/klog/v2"
 )
@@ -15,32 +16,32 @@
 type Plane interface {
 	http.Handler
 	Apply(*member.Version)
-	Register(*wire.Server)
+	Register(*rpc.Server)
 	Run()
 }
 
 // Make makes the plane of one daemon.
-type Make func(*member.Daemon, *run.Threads, *run.Counts) (Plane, func() []wire.Probe)
+type Make func(*member.Daemon, *run.Threads, *run.Counts) (Plane, func() []message.Probe)
 
 // Station is one daemon with its open sides; a process has one, or two when it
 // is a guest at the other partner as well.
 type Station struct {
 	Daemon    *member.Daemon
 	Plane     Plane
-	line      *wire.Client
+	line      *rpc.Client
 	counts    *run.Counts
 	listeners []*Listener
 }
 
 func newStation(flags *Flags, place member.Place, threads *run.Threads, make Make) *Station {
-	station := &Station{line: wire.NewClient(Transport()), counts: run.NewCounts()}
+	station := &Station{line: rpc.NewClient(Transport()), counts: run.NewCounts()}
 	station.Daemon = member.NewDaemon(place, member.NewID(), station.line, threads, station.counts)
 	plane, probes := make(station.Daemon, threads, station.counts)
 	station.Plane = plane
 	station.Daemon.Serve(plane.Apply, probes)
-	door := wire.NewServer(station.counts)
-	station.Daemon.Register(door)
-	plane.Register(door)
+	server := rpc.NewServer(station.counts)
+	station.Daemon.Register(server)
+	plane.Register(server)
 	operate := member.NewOperate(place.Name, station.Daemon.Hold, station.counts, func() (uint64, []byte) {
 		version := station.Daemon.Version()
 		return version.Serial, version.Body()
@@ -48,7 +49,7 @@
 	for _, side := range []struct {
 		address string
 		handler http.Handler
-	}{{place.Outer, plane}, {place.Wire, door}, {place.Operate, operate}} {
+	}{{place.Outer, plane}, {place.Wire, server}, {place.Operate, operate}} {
 		listener, err := Listen(side.address, side.handler, 32<<10)
 		flags.Exit(err)
 		station.listeners = append(station.listeners, listener)
@@ -109,17 +110,17 @@
 	flags.Parse()
 	flags.Exit(place.Check())
 	if grace < 0 || settle < 0 || settle > grace {
-		flags.Exit(wire.Errorf(wire.BadFlag, "--settle-ms: %d is not in 0 to the grace of %d", settle, grace))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--settle-ms: %d is not in 0 to the grace of %d", settle, grace))
 	}
 	threads := run.NewThreads()
 	stations := []*Station{newStation(flags, place, threads, make)}
 	if guest != nil && guest.given() {
 		guest.Place.Kind, guest.Place.Guest = kind, true
 		if err := guest.Place.Check(); err != nil {
-			flags.Exit(wire.WithPrefix("as a guest", err))
+			flags.Exit(rpc.WithPrefix("as a guest", err))
 		}
 		if guest.PerSecond <= 0 || guest.InFlight < 1 {
-			flags.Exit(wire.Errorf(wire.BadFlag, "--lend-rps and --lend-in-flight: a guest lends something of both"))
+			flags.Exit(rpc.Errorf(rpc.BadFlag, "--lend-rps and --lend-in-flight: a guest lends something of both"))
 		}
 		stations = append(stations, newStation(flags, guest.Place, threads, make))
 		guest.Join(stations[0].Plane, stations[1].Plane)
--- a/program/program.go
+++ b/program/program.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"orchidjunction/control"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 
 	"github.com/integrii/flaggy"
 	"k8s.io/klog/v2"
@@ -54,16 +54,16 @@
 	}
 	flags.Exit(flags.known(arguments))
 	if err := flags.Parser.ParseArgs(arguments); err != nil {
-		flags.Exit(wire.Errorf(wire.BadFlag, "%v", err))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "%v", err))
 	}
 	if flags.levels < 0 || flags.levels > 9 {
-		flags.Exit(wire.Errorf(wire.BadFlag, "--log-level: %d is not in 0 to 9", flags.levels))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--log-level: %d is not in 0 to 9", flags.levels))
 	}
 	set := flag.NewFlagSet("log", flag.ContinueOnError)
 	klog.InitFlags(set)
 	for name, value := range map[string]string{"logtostderr": "true", "v": strconv.Itoa(flags.levels)} {
 		if err := set.Set(name, value); err != nil {
-			flags.Exit(wire.Errorf(wire.BadFlag, "log: %v", err))
+			flags.Exit(rpc.Errorf(rpc.BadFlag, "log: %v", err))
 		}
 	}
 }
@@ -85,13 +85,13 @@
 		name, _, joined := strings.Cut(strings.TrimLeft(arguments[index], "-"), "=")
 		if !strings.HasPrefix(arguments[index], "-") {
 			if len(flags.Parser.Subcommands) == 0 {
-				return wire.Errorf(wire.BadFlag, "%q belongs to no flag", arguments[index])
+				return rpc.Errorf(rpc.BadFlag, "%q belongs to no flag", arguments[index])
 			}
 			continue
 		}
 		valued, found := takesValue[name]
 		if !found || name == "" {
-			return wire.Errorf(wire.BadFlag, "no flag %s", arguments[index])
+			return rpc.Errorf(rpc.BadFlag, "no flag %s", arguments[index])
 		}
 		if valued && !joined {
 			index++
@@ -122,7 +122,7 @@
 		rest := append(append([]string{}, arguments[:index]...), arguments[index+width:]...)
 		body, err := os.ReadFile(path)
 		if err != nil {
-			return nil, wire.Errorf(wire.BadFlag, "--place: %v", err)
+			return nil, rpc.Errorf(rpc.BadFlag, "--place: %v", err)
 		}
 		fromFile := []string{}
 		for number, line := range strings.Split(string(body), "\n") {
@@ -132,7 +132,7 @@
 			}
 			name, value, _ := strings.Cut(line, " ")
 			if strings.HasPrefix(name, "-") {
-				return nil, wire.Errorf(wire.BadFlag, "%s:%d: want \"flag value\"", path, number+1)
+				return nil, rpc.Errorf(rpc.BadFlag, "%s:%d: want \"flag value\"", path, number+1)
 			}
 			if !overridden(rest, name) {
 				fromFile = append(fromFile, "--"+name+"="+strings.TrimSpace(value))
@@ -182,7 +182,7 @@
 	}
 	open, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, wire.Errorf(wire.BadFlag, "%s: %v", address, err)
+		return nil, rpc.Errorf(rpc.BadFlag, "%s: %v", address, err)
 	}
 	standing := newStanding()
 	server := &http.Server{
--- a/program/typed.go
+++ b/program/typed.go
@@ -7,10 +7,9 @@
 	"fmt"
 	"net"
 	"net/http"
+	"orchidjunction/rpc"
 	"strings"
 	"sync/atomic"
-
-	"orchidjunction/wire"
 )
 
 // typedListener gives net/http's own refusals of malformed requests the form
@@ -77,11 +76,11 @@
 	if !found || !bytes.HasPrefix(line, []byte("HTTP/1.")) || bytes.Contains(line, []byte("\r\n")) {
 		return conn.Conn.Write(body)
 	}
-	kind := wire.BadRequest
+	kind := rpc.BadRequest
 	if strings.Contains(string(line), " 431 ") || strings.Contains(string(line), " 413 ") {
-		kind = wire.TooLarge
+		kind = rpc.TooLarge
 	}
-	refusal, _ := json.Marshal(&wire.Error{Code: kind, Message: strings.TrimSpace(string(text)), Outcome: wire.NotRun})
+	refusal, _ := json.Marshal(&rpc.Error{Code: kind, Message: strings.TrimSpace(string(text)), Outcome: rpc.NotRun})
 	if _, err := fmt.Fprintf(conn.Conn, "%s\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s\n", line, len(refusal)+1, refusal); err != nil {
 		return 0, err
 	}
--- a/program/typed_test.go
+++ b/program/typed_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // Malformed and oversized requests get a typed refusal and reach no handler.
@@ -47,7 +47,7 @@
 			test.Errorf("%.20q: %v", text, err)
 			continue
 		}
-		refusal := wire.Error{}
+		refusal := rpc.Error{}
 		err = json.NewDecoder(response.Body).Decode(&refusal)
 		if got := fmt.Sprintf("%d %s", response.StatusCode, refusal.Code); got != want || err != nil {
 			test.Errorf("%.20q: %s, %v, want %s", text, got, err, want)
--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -4,11 +4,10 @@
 	"io"
 	"math/rand/v2"
 	"net/http"
+	"orchidjunction/rpc"
 	"strconv"
 	"strings"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // isKey is whether an Authorization value carries a key of the scheme.
@@ -44,19 +43,19 @@
 
 // admit finds the route and the tenant, and reads the body; a status where the request
 // goes no further.
-func (proxy *Proxy) admit(request *request, view *View) (int, wire.Code) {
+func (proxy *Proxy) admit(request *request, view *View) (int, rpc.Code) {
 	source, config := request.source, &view.book.Config
 	path, _, _ := strings.Cut(source.RequestURI, "?")
 	compiled, is := view.index.Find(source.Host, path)
 	if !is {
-		return http.StatusNotFound, wire.UnknownRoute
+		return http.StatusNotFound, rpc.UnknownRoute
 	}
 	request.route = compiled.Route
 	if key, given := proxy.key(source.Header.Get("Authorization")); given {
 		request.tenant, _ = view.index.TenantOf(key)
 	}
 	if config.Keyed && !request.route.Public && request.tenant == nil {
-		return http.StatusUnauthorized, wire.UnknownKey
+		return http.StatusUnauthorized, rpc.UnknownKey
 	}
 	request.rank = request.route.Priority
 	if request.tenant != nil && request.tenant.Ranked {
@@ -67,7 +66,7 @@
 		return status, kind
 	}
 	if len(compiled.Services) == 0 {
-		return http.StatusServiceUnavailable, wire.NoBackend
+		return http.StatusServiceUnavailable, rpc.NoBackend
 	}
 	service := compiled.Services[0]
 	if compiled.Total > 0 {
@@ -89,29 +88,29 @@
 }
 
 // readRequestBody reads the whole body before anything is sent to a backend.
-func (proxy *Proxy) readRequestBody(request *request, most int64) (int, wire.Code) {
+func (proxy *Proxy) readRequestBody(request *request, most int64) (int, rpc.Code) {
 	source := request.source
 	proxy.inward.pass(int(max(source.ContentLength, 0)), request.begin)
 	if most <= 0 {
 		most = bodiesMost
 	}
 	if source.ContentLength > most {
-		return http.StatusRequestEntityTooLarge, wire.TooLarge
+		return http.StatusRequestEntityTooLarge, rpc.TooLarge
 	}
 	if source.ContentLength == 0 {
 		return 0, ""
 	}
 	size := max(source.ContentLength, 1<<10)
 	if !proxy.bodies.take(size) {
-		return http.StatusServiceUnavailable, wire.Overloaded
+		return http.StatusServiceUnavailable, rpc.Overloaded
 	}
 	body, err := io.ReadAll(io.LimitReader(source.Body, most+1))
 	proxy.bodies.give(size)
 	if err != nil {
-		return http.StatusBadRequest, wire.BadRequest
+		return http.StatusBadRequest, rpc.BadRequest
 	}
 	if int64(len(body)) > most {
-		return http.StatusRequestEntityTooLarge, wire.TooLarge
+		return http.StatusRequestEntityTooLarge, rpc.TooLarge
 	}
 	request.body = body
 	return 0, ""
--- a/proxy/budget_test.go
+++ b/proxy/budget_test.go
@@ -6,8 +6,8 @@
 	"testing/synctest"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/route"
-	"orchidjunction/wire"
 )
 
 // spending is what several proxies did of late, for the sum over any window.
@@ -150,7 +150,7 @@
 	proxy := many([]string{"p1"}, []string{"e1"})[0]
 	proxy.place.RetryRatio, proxy.place.RetryExtra = 0.2, 60
 	for _, round := range []uint64{0, 1} {
-		proxy.Lay(&route.Book{Config: ownConfig()}, &wire.Table{Version: wire.TableVersion{Term: wire.Term{Number: round}, Number: 1}, Members: members([]string{"p1"}, []string{"e1"})})
+		proxy.Lay(&route.Book{Config: ownConfig()}, &message.Table{Version: message.TableVersion{Term: message.Term{Number: round}, Number: 1}, Members: members([]string{"p1"}, []string{"e1"})})
 		budget := proxy.budgets["plain"]
 		for range 1000 {
 			budget.request()
--- a/proxy/carry.go
+++ b/proxy/carry.go
@@ -2,9 +2,8 @@
 
 import (
 	"net/http"
+	"orchidjunction/rpc"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // leastTarget stands in for a route's target time where that is shorter or not given.
@@ -93,7 +92,7 @@
 	repeats := request.route.Kind.Repeats()
 	if ended == unsent {
 		if len(request.tried) > unsentMost {
-			proxy.refuse(request, http.StatusServiceUnavailable, wire.NoBackend)
+			proxy.refuse(request, http.StatusServiceUnavailable, rpc.NoBackend)
 			return true
 		}
 		return false
@@ -128,5 +127,5 @@
 		proxy.finish(request, request.last)
 		return
 	}
-	proxy.refuse(request, http.StatusServiceUnavailable, wire.Overloaded)
+	proxy.refuse(request, http.StatusServiceUnavailable, rpc.Overloaded)
 }
--- a/proxy/choose_test.go
+++ b/proxy/choose_test.go
@@ -5,8 +5,8 @@
 	"testing/synctest"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/route"
-	"orchidjunction/wire"
 )
 
 // Near backends go first until they are busy; then the next nearest share.
@@ -46,11 +46,11 @@
 func TestChoosesEvenly(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxy := many([]string{"p1"}, []string{"e1"})[0]
-		backends := []wire.Backend{}
+		backends := []message.Backend{}
 		for _, name := range []string{"a", "b", "c", "d"} {
-			backends = append(backends, wire.Backend{Name: name, Service: "plain", Zone: "e1", Capacity: 4})
+			backends = append(backends, message.Backend{Name: name, Service: "plain", Zone: "e1", Capacity: 4})
 		}
-		proxy.Lay(&route.Book{Config: ownConfig()}, &wire.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends})
+		proxy.Lay(&route.Book{Config: ownConfig()}, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends})
 		counts := map[string]int{}
 		for range 400 {
 			held, _ := proxy.pick(nil, nil)
@@ -124,7 +124,7 @@
 
 // An idle connection is worth a little waiting, not much.
 func TestIdleConnectionIsPreferred(test *testing.T) {
-	target := newTarget(wire.Backend{Name: "b", Capacity: 4})
+	target := newTarget(message.Backend{Name: "b", Capacity: 4})
 	now := time.Now()
 	bare, _, _ := target.weigh(now, 100, 0)
 	target.idle = append(target.idle, &connection{})
--- a/proxy/meter.go
+++ b/proxy/meter.go
@@ -2,11 +2,10 @@
 
 import (
 	"maps"
+	"orchidjunction/message"
 	"sort"
 	"sync"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 const meterWindows = 7
@@ -94,7 +93,7 @@
 }
 
 // Windows are the running counts of the last windows.
-func (meter *Meter) Windows() []wire.WindowCount {
+func (meter *Meter) Windows() []message.WindowCount {
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
 	for begun := range meter.running {
@@ -103,9 +102,9 @@
 			meter.lay(begun.tenant, begun.at)
 		}
 	}
-	all := make([]wire.WindowCount, 0, len(meter.windows))
+	all := make([]message.WindowCount, 0, len(meter.windows))
 	for number, counts := range meter.windows {
-		all = append(all, wire.WindowCount{Window: number, Tenants: maps.Clone(counts)})
+		all = append(all, message.WindowCount{Window: number, Tenants: maps.Clone(counts)})
 	}
 	sort.Slice(all, func(left, right int) bool { return all[left].Window < all[right].Window })
 	return all
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 const (
@@ -117,4 +117,4 @@
 func (proxy *Proxy) Ready() bool { return proxy.view.Load() != nil && !proxy.Leaving() }
 
 // Windows are the usage counts of the last windows.
-func (proxy *Proxy) Windows() []wire.WindowCount { return proxy.meter.Windows() }
+func (proxy *Proxy) Windows() []message.WindowCount { return proxy.meter.Windows() }
--- a/proxy/reply.go
+++ b/proxy/reply.go
@@ -4,15 +4,14 @@
 	"io"
 	"math/rand/v2"
 	"net/http"
+	"orchidjunction/rpc"
 	"strconv"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // refuse ends a request that has not run and will not. One that may have run fails
 // instead, whoever refuses it.
-func (proxy *Proxy) refuse(request *request, status int, kind wire.Code) {
+func (proxy *Proxy) refuse(request *request, status int, kind rpc.Code) {
 	if request.exposed {
 		proxy.fail(request)
 		return
@@ -44,9 +43,9 @@
 // fail ends a request of which nobody knows whether it ran.
 func (proxy *Proxy) fail(request *request) {
 	proxy.move(request, ending)
-	status, kind := http.StatusBadGateway, wire.BadResponse
+	status, kind := http.StatusBadGateway, rpc.BadResponse
 	if !proxy.clock().Before(request.limit) {
-		status, kind = http.StatusGatewayTimeout, wire.DeadlineExceeded
+		status, kind = http.StatusGatewayTimeout, rpc.DeadlineExceeded
 	}
 	proxy.counts.Add("failed_"+string(kind), 1)
 	request.writer.Header().Set("Content-Type", "application/json")
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"orchidjunction/route"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 // stage is where a request stands on its way through the proxy.
@@ -93,12 +93,12 @@
 	proxy.flight.enter()
 	defer proxy.flight.leave()
 	if status := proxy.malformed(request); status != 0 {
-		proxy.refuse(request, status, wire.BadRequest)
+		proxy.refuse(request, status, rpc.BadRequest)
 		return
 	}
 	view := proxy.await(request)
 	if view == nil {
-		proxy.refuse(request, http.StatusServiceUnavailable, wire.NotReady)
+		proxy.refuse(request, http.StatusServiceUnavailable, rpc.NotReady)
 		return
 	}
 	if status, kind := proxy.admit(request, view); status != 0 {
@@ -114,7 +114,7 @@
 	}
 	if request.route.Kind == route.Download {
 		if !proxy.pass(request) {
-			proxy.refuse(request, http.StatusServiceUnavailable, wire.Overloaded)
+			proxy.refuse(request, http.StatusServiceUnavailable, rpc.Overloaded)
 			return
 		}
 		defer func() {
--- a/proxy/target.go
+++ b/proxy/target.go
@@ -2,12 +2,11 @@
 
 import (
 	"math"
+	"orchidjunction/message"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 const (
@@ -23,7 +22,7 @@
 
 // target is one life of a backend as this process knows it; it outlives views.
 type target struct {
-	backend wire.Backend
+	backend message.Backend
 
 	mutex      sync.Mutex
 	idle       []*connection
@@ -45,7 +44,7 @@
 	suspect    time.Time
 }
 
-func newTarget(backend wire.Backend) *target {
+func newTarget(backend message.Backend) *target {
 	return &target{backend: backend, speed: 1}
 }
 
--- a/proxy/target_test.go
+++ b/proxy/target_test.go
@@ -4,15 +4,14 @@
 	"errors"
 	"io"
 	"math"
+	"orchidjunction/message"
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"orchidjunction/wire"
 )
 
-func ownBackend() wire.Backend {
-	return wire.Backend{Name: "b1", Service: "plain", Address: "b1:80", Zone: "e1", Capacity: 4}
+func ownBackend() message.Backend {
+	return message.Backend{Name: "b1", Service: "plain", Address: "b1:80", Zone: "e1", Capacity: 4}
 }
 
 // A dead backend is left out, for longer each time, and is back after a dial.
--- a/proxy/view.go
+++ b/proxy/view.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/route"
-	"orchidjunction/wire"
 )
 
 // candidate is a backend in a view: its target, and what the view says of it.
@@ -35,7 +35,7 @@
 }
 
 // Lay puts a routing book and a table in force.
-func (proxy *Proxy) Lay(book *route.Book, table *wire.Table) {
+func (proxy *Proxy) Lay(book *route.Book, table *message.Table) {
 	proxy.laying.Lock()
 	defer proxy.laying.Unlock()
 	before := proxy.view.Load()
@@ -45,7 +45,7 @@
 	} else {
 		view.index = route.NewIndex(book)
 	}
-	proxies := []wire.Member{}
+	proxies := []message.Member{}
 	for _, member := range table.Members {
 		if member.Kind == "proxy" && !member.Leaving {
 			proxies = append(proxies, member)
--- a/proxy/view_test.go
+++ b/proxy/view_test.go
@@ -5,8 +5,8 @@
 	"testing/synctest"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/route"
-	"orchidjunction/wire"
 )
 
 // names are the backends that a proxy may choose, with those chosen put aside.
@@ -32,9 +32,9 @@
 	return len(names) == len(wanted)
 }
 
-func placed() ([]*Proxy, *wire.Table) {
+func placed() ([]*Proxy, *message.Table) {
 	proxies := many([]string{"p1"}, []string{"e1"})
-	return proxies, &wire.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []wire.Backend{
+	return proxies, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{
 		{Name: "near", Service: "plain", Zone: "e1", Capacity: 4}, {Name: "beside", Service: "plain", Zone: "e2", Capacity: 4}, {Name: "far", Service: "plain", Zone: "w1", Capacity: 4},
 		{Name: "foreign", Service: "other", Zone: "e1", Capacity: 4}, {Name: "stray", Service: "unknown", Zone: "e1", Capacity: 4}, {Name: "nowhere", Service: "plain", Zone: "z9", Capacity: 4}}}
 }
@@ -71,7 +71,7 @@
 		book := &route.Book{Config: ownConfig()}
 		lay := func(change func()) {
 			copied, moved := *book, *table
-			moved.Backends = append([]wire.Backend{}, table.Backends...)
+			moved.Backends = append([]message.Backend{}, table.Backends...)
 			book, table = &copied, &moved
 			change()
 			proxies[0].Lay(book, table)
@@ -120,7 +120,7 @@
 		if proxies[0].targets["near"] != first || proxies[0].view.Load().index != index {
 			test.Error("made anew")
 		}
-		proxies[0].Lay(book, &wire.Table{Version: leaderMark, Members: table.Members})
+		proxies[0].Lay(book, &message.Table{Version: leaderMark, Members: table.Members})
 		proxies[0].Lay(book, table)
 		if proxies[0].targets["near"] == first {
 			test.Error("a retired target is back")
@@ -144,7 +144,7 @@
 			}
 		}
 		table.Members[1].Leaving = true
-		table.Members = append(table.Members, wire.Member{Name: "d1", Kind: "dir"})
+		table.Members = append(table.Members, message.Member{Name: "d1", Kind: "dir"})
 		fresh := many([]string{"p1"}, []string{"e1"})[0]
 		fresh.Lay(&route.Book{Config: config}, table)
 		if most := fresh.view.Load().most[0]; most != 104 {
@@ -158,9 +158,9 @@
 func TestTableBeforeALeader(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies := many([]string{"p1"}, []string{"e1"})
-		cold := wire.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Capacity: 4, WarmAtMs: time.Now().UnixMilli() + 60000}
+		cold := message.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Capacity: 4, WarmAtMs: time.Now().UnixMilli() + 60000}
 		for round, want := range map[uint64]choice{0: noneLeft, 1: chosen} {
-			table := &wire.Table{Version: wire.TableVersion{Term: wire.Term{Number: round}, Number: 1}, Members: members([]string{"p1"}, []string{"e1"}), Backends: []wire.Backend{cold}}
+			table := &message.Table{Version: message.TableVersion{Term: message.Term{Number: round}, Number: 1}, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{cold}}
 			proxies[0].Lay(&route.Book{Config: ownConfig()}, table)
 			proxies[0].pick(nil, nil)
 			time.Sleep(time.Second)
@@ -177,9 +177,9 @@
 	synctest.Test(test, func(test *testing.T) {
 		for ago, want := range map[time.Duration]choice{500 * time.Millisecond: allFull, time.Minute: chosen} {
 			proxies := many([]string{"p1"}, []string{"e1"})
-			backend := wire.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Capacity: 4}
+			backend := message.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Capacity: 4}
 			book := &route.Book{Config: ownConfig(), Reopened: []route.Reopened{{Zone: "e1", AtMs: time.Now().Add(-ago).UnixMilli()}}}
-			proxies[0].Lay(book, &wire.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []wire.Backend{backend}})
+			proxies[0].Lay(book, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{backend}})
 			if _, how := proxies[0].pick(nil, nil); how != want {
 				test.Errorf("taken back %v ago: choice %d, want %d", ago, how, want)
 			}
--- a/proxy/warmup.go
+++ b/proxy/warmup.go
@@ -2,9 +2,8 @@
 
 import (
 	"hash/fnv"
+	"orchidjunction/message"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // Warmup paces the requests to one cold backend. Only its owner sends any, so that
@@ -38,7 +37,7 @@
 
 // owner is the one proxy that may send to a cold backend: by hash among those of
 // its zone, else of its region, else all.
-func owner(backend wire.Backend, proxies []wire.Member, regions map[string]string) string {
+func owner(backend message.Backend, proxies []message.Member, regions map[string]string) string {
 	best, bestRank, bestScore := "", 3, uint32(0)
 	for index := range proxies {
 		rank := 2
--- a/proxy/warmup_test.go
+++ b/proxy/warmup_test.go
@@ -8,9 +8,9 @@
 	"testing/synctest"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/route"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // many are proxies that only choose; no request of theirs is sent.
@@ -22,10 +22,10 @@
 	return proxies
 }
 
-func members(names []string, zones []string) []wire.Member {
-	all := []wire.Member{}
+func members(names []string, zones []string) []message.Member {
+	all := []message.Member{}
 	for index, name := range names {
-		all = append(all, wire.Member{Name: name, Kind: "proxy", Zone: zones[index], Ready: true})
+		all = append(all, message.Member{Name: name, Kind: "proxy", Zone: zones[index], Ready: true})
 	}
 	return all
 }
@@ -80,11 +80,11 @@
 				config := ownConfig()
 				config.Services[0].WarmupRate = 1 + 15*random.Float64()
 				book := &route.Book{Config: config}
-				backend := wire.Backend{Name: fmt.Sprint("b", seed), Service: "plain", Address: "b:80", Zone: "e1", Capacity: 8, WarmAtMs: time.Now().Add(time.Hour).UnixMilli()}
+				backend := message.Backend{Name: fmt.Sprint("b", seed), Service: "plain", Address: "b:80", Zone: "e1", Capacity: 8, WarmAtMs: time.Now().Add(time.Hour).UnixMilli()}
 				news, olds := members(names, zones), members(names[1:], zones[1:])
 				lay := func() {
 					for index, proxy := range proxies {
-						table := &wire.Table{Version: leaderMark, Members: news, Backends: []wire.Backend{backend}}
+						table := &message.Table{Version: leaderMark, Members: news, Backends: []message.Backend{backend}}
 						if differing && index%2 == 1 {
 							table.Members = olds
 						}
@@ -109,9 +109,9 @@
 func TestColdIsTheLastResort(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies := many([]string{"p1"}, []string{"e1"})
-		cold := wire.Backend{Name: "cold", Service: "plain", Zone: "e1", Capacity: 8, WarmAtMs: time.Now().Add(3 * time.Second).UnixMilli()}
-		warm := wire.Backend{Name: "warm", Service: "plain", Zone: "w1", Capacity: 2}
-		proxies[0].Lay(&route.Book{Config: ownConfig()}, &wire.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []wire.Backend{cold, warm}})
+		cold := message.Backend{Name: "cold", Service: "plain", Zone: "e1", Capacity: 8, WarmAtMs: time.Now().Add(3 * time.Second).UnixMilli()}
+		warm := message.Backend{Name: "warm", Service: "plain", Zone: "w1", Capacity: 2}
+		proxies[0].Lay(&route.Book{Config: ownConfig()}, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{cold, warm}})
 		proxies[0].targets["cold"].warm(time.Now(), 1)
 		time.Sleep(time.Second)
 		for range 6 {
@@ -141,23 +141,23 @@
 	all := members([]string{"a", "b", "c", "d", "e"}, []string{"e1", "e1", "e2", "w1", "w1"})
 	owned := map[string]int{}
 	for number := range 200 {
-		name := owner(wire.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, all, regions)
+		name := owner(message.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, all, regions)
 		owned[name]++
-		turned := append(append([]wire.Member{}, all[3:]...), all[:3]...)
-		if owner(wire.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, turned, regions) != name {
+		turned := append(append([]message.Member{}, all[3:]...), all[:3]...)
+		if owner(message.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, turned, regions) != name {
 			test.Errorf("x%d has two owners", number)
 		}
-		if name = owner(wire.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, all[2:], regions); name != "c" {
+		if name = owner(message.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, all[2:], regions); name != "c" {
 			test.Errorf("x%d is owned by %s", number, name)
 		}
-		if name = owner(wire.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, all[3:], regions); name != "d" && name != "e" {
+		if name = owner(message.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, all[3:], regions); name != "d" && name != "e" {
 			test.Errorf("x%d is owned by %s", number, name)
 		}
 	}
 	if len(owned) != 2 || owned["a"] < 50 || owned["b"] < 50 {
 		test.Errorf("%v", owned)
 	}
-	if name := owner(wire.Backend{Name: "x", Zone: "e1"}, nil, regions); name != "" {
+	if name := owner(message.Backend{Name: "x", Zone: "e1"}, nil, regions); name != "" {
 		test.Errorf("nobody is %q", name)
 	}
 }
--- a/proxy/world_test.go
+++ b/proxy/world_test.go
@@ -14,9 +14,9 @@
 	"testing/synctest"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/route"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // world is one proxy behind a server of its own, and its scripted backends; all
@@ -30,7 +30,7 @@
 	server   *http.Server
 	listener *listener
 	book     *route.Book
-	table    *wire.Table
+	table    *message.Table
 	backends map[string]*backend
 	asked    int
 }
@@ -63,7 +63,7 @@
 
 func newWorld(test *testing.T) *world {
 	world := &world{test: test, threads: run.NewThreads(), counts: run.NewCounts(), doors: newDoors(), listener: newListener(), backends: map[string]*backend{},
-		book: &route.Book{Config: ownConfig()}, table: &wire.Table{Version: leaderMark, Complete: true, Members: []wire.Member{{Name: "p1", Kind: "proxy", Zone: "e1", Ready: true}}}}
+		book: &route.Book{Config: ownConfig()}, table: &message.Table{Version: leaderMark, Complete: true, Members: []message.Member{{Name: "p1", Kind: "proxy", Zone: "e1", Ready: true}}}}
 	world.proxy = NewProxy(ownPlace("p1", "e1"), world.doors.dial, func() int64 { return time.Now().UnixMilli() }, world.threads, world.counts)
 	world.server = &http.Server{Handler: world.proxy, ErrorLog: log.New(io.Discard, "", 0)}
 	world.threads.Start(func() { _ = world.server.Serve(world.listener) }) // until close
@@ -95,7 +95,7 @@
 	world.backends[name] = added
 	world.doors.serve(added.address, added.accept)
 	world.lay(func() {
-		world.table.Backends = append(world.table.Backends, wire.Backend{Name: name, Service: service, Address: added.address, Zone: zone, Capacity: slots})
+		world.table.Backends = append(world.table.Backends, message.Backend{Name: name, Service: service, Address: added.address, Zone: zone, Capacity: slots})
 	})
 	return added
 }
@@ -103,8 +103,8 @@
 // lay changes copies of book and table, and puts them in force.
 func (world *world) lay(change func()) {
 	book, table := *world.book, *world.table
-	table.Backends = append([]wire.Backend{}, table.Backends...)
-	table.Members = append([]wire.Member{}, table.Members...)
+	table.Backends = append([]message.Backend{}, table.Backends...)
+	table.Members = append([]message.Member{}, table.Members...)
 	book.Config.Routes = append([]route.Route{}, book.Config.Routes...)
 	book.Config.Services = append([]route.Service{}, book.Config.Services...)
 	world.book, world.table = &book, &table
@@ -214,4 +214,4 @@
 func unreachable(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
 
 // leaderMark is a table's that some leader made.
-var leaderMark = wire.TableVersion{Term: wire.Term{Number: 1, Core: 1}, Number: 1}
+var leaderMark = message.TableVersion{Term: message.Term{Number: 1, Core: 1}, Number: 1}
--- a/route/check.go
+++ b/route/check.go
@@ -2,10 +2,9 @@
 
 import (
 	"fmt"
+	"orchidjunction/rpc"
 	"strconv"
 	"strings"
-
-	"orchidjunction/wire"
 )
 
 const (
@@ -21,14 +20,14 @@
 const detailsLimit = 20
 
 type checker struct {
-	details []wire.Detail
+	details []rpc.Detail
 	wrongs  int
 }
 
 func (checker *checker) wrong(path, kind, cause string) {
 	checker.wrongs++
 	if len(checker.details) < detailsLimit {
-		checker.details = append(checker.details, wire.Detail{Path: path, Code: kind, Message: cause})
+		checker.details = append(checker.details, rpc.Detail{Path: path, Code: kind, Message: cause})
 	}
 }
 
@@ -67,7 +66,7 @@
 	if checker.wrongs == 0 {
 		return nil
 	}
-	return &wire.Error{Code: wire.Invalid, Message: fmt.Sprintf("%d wrong", checker.wrongs), Details: checker.details}
+	return &rpc.Error{Code: rpc.Invalid, Message: fmt.Sprintf("%d wrong", checker.wrongs), Details: checker.details}
 }
 
 type place struct{ host, prefix string }
--- a/route/check_test.go
+++ b/route/check_test.go
@@ -1,10 +1,9 @@
 package route
 
 import (
+	"orchidjunction/rpc"
 	"strings"
 	"testing"
-
-	"orchidjunction/wire"
 )
 
 func goodConfig() *Config {
@@ -79,7 +78,7 @@
 		switch {
 		case one.want == "" && err != nil:
 			test.Errorf("%s: %v", name, err)
-		case one.want != "" && (err == nil || wire.CodeOf(err) != wire.Invalid || len(wire.AsError(err).Details) != 1 || wire.AsError(err).Details[0].Code != one.want):
+		case one.want != "" && (err == nil || rpc.CodeOf(err) != rpc.Invalid || len(rpc.AsError(err).Details) != 1 || rpc.AsError(err).Details[0].Code != one.want):
 			test.Errorf("%s: %v, want one %s", name, err, one.want)
 		}
 	}
@@ -88,7 +87,7 @@
 func TestCheckBoundsWhatItNames(test *testing.T) {
 	config := &Config{Routes: make([]Route, 1000)}
 	err := config.Check()
-	if err == nil || len(wire.AsError(err).Details) != detailsLimit || !strings.Contains(wire.AsError(err).Message, "wrong") {
-		test.Fatalf("%d details", len(wire.AsError(err).Details))
+	if err == nil || len(rpc.AsError(err).Details) != detailsLimit || !strings.Contains(rpc.AsError(err).Message, "wrong") {
+		test.Fatalf("%d details", len(rpc.AsError(err).Details))
 	}
 }
--- a/route/config.go
+++ b/route/config.go
@@ -3,10 +3,9 @@
 package route
 
 import (
+	"orchidjunction/rpc"
 	"slices"
 	"strings"
-
-	"orchidjunction/wire"
 )
 
 // Kind says how often a request of a route may run.
@@ -174,8 +173,8 @@
 	if len(body) == 0 {
 		return book, nil
 	}
-	if err := wire.Unmarshal(body, book); err != nil {
-		return nil, wire.AsError(err)
+	if err := rpc.Unmarshal(body, book); err != nil {
+		return nil, rpc.AsError(err)
 	}
 	return book, nil
 }
--- a/route/golden_test.go
+++ b/route/golden_test.go
@@ -4,12 +4,12 @@
 	"testing"
 
 	"orchidjunction/harness/golden"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 // The routing register and an operator's order are encoded as they were when the file
 // was written, and what was written then is read back.
 func TestRoutingEncodingsStay(test *testing.T) {
-	format := golden.Format{Marshal: wire.Marshal, Unmarshal: wire.Unmarshal}
+	format := golden.Format{Marshal: rpc.Marshal, Unmarshal: rpc.Unmarshal}
 	format.Check(test, "testdata/routing.golden", map[string]any{"Book": &Book{}, "Change": &Change{}})
 }
--- a/route/patch.go
+++ b/route/patch.go
@@ -1,6 +1,6 @@
 package route
 
-import "orchidjunction/wire"
+import "orchidjunction/rpc"
 
 // Apply is the config with a patch laid over it; the receiver stays as it is.
 // Whoever takes it on sets its version and checks it.
@@ -32,7 +32,7 @@
 	for index := range given {
 		key := name(&given[index])
 		if _, twice := places[key]; twice {
-			return nil, &wire.Error{Code: wire.Invalid, Message: "1 wrong", Details: []wire.Detail{{Path: list + "." + key, Code: doubleName, Message: "given twice"}}}
+			return nil, &rpc.Error{Code: rpc.Invalid, Message: "1 wrong", Details: []rpc.Detail{{Path: list + "." + key, Code: doubleName, Message: "given twice"}}}
 		}
 		places[key] = index
 	}
--- a/route/patch_test.go
+++ b/route/patch_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 	"reflect"
 	"strings"
 	"testing"
@@ -55,7 +55,7 @@
 		"services": {Services: []Service{{Name: "alder"}, {Name: "alder"}}},
 		"tenants":  {Tenants: []Tenant{{Name: "ann"}, {Name: "ann"}}},
 	} {
-		if _, err := goodConfig().Apply(&patch); err == nil || wire.AsError(err).Details[0].Code != doubleName {
+		if _, err := goodConfig().Apply(&patch); err == nil || rpc.AsError(err).Details[0].Code != doubleName {
 			test.Errorf("%s: %v", name, err)
 		}
 	}
--- a/route/trail_test.go
+++ b/route/trail_test.go
@@ -2,9 +2,8 @@
 
 import (
 	"fmt"
+	"orchidjunction/rpc"
 	"testing"
-
-	"orchidjunction/wire"
 )
 
 // A trail knows the newest orders exactly, says what it forgot, and stays short.
@@ -36,7 +35,7 @@
 // its own bytes though two longer ones were made of it.
 func TestTrailLastsAndIsNotShared(test *testing.T) {
 	trail := Trail{}.With(300, "a").With(70000, "b")
-	body, err := wire.Marshal(&Book{Trail: trail})
+	body, err := rpc.Marshal(&Book{Trail: trail})
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -58,7 +57,7 @@
 		Reopened  []Reopened
 		Trail     []formerApplied
 	}
-	body, err := wire.Marshal(&formerBook{Config: Config{Version: 9}, Evacuated: []string{"z1"}, Trail: []formerApplied{{4, "four"}, {9, "nine"}}})
+	body, err := rpc.Marshal(&formerBook{Config: Config{Version: 9}, Evacuated: []string{"z1"}, Trail: []formerApplied{{4, "four"}, {9, "nine"}}})
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -69,7 +68,7 @@
 	if !book.Trail.Holds(4, "four") || !book.Trail.Holds(9, "nine") || book.Trail.Holds(9, "ten") || book.Trail.Count != 2 {
 		test.Errorf("%+v", book.Trail.Entries())
 	}
-	again, _ := wire.Marshal(book)
+	again, _ := rpc.Marshal(book)
 	if back, err := BookOf(again); err != nil || !back.Trail.Holds(9, "nine") {
 		test.Errorf("%v: %+v", err, back)
 	}
--- a/wire/server.go
+++ b/rpc/server.go
@@ -1,15 +1,16 @@
 // Package rpc carries calls between the system's own processes: a Client and a Server
 // over HTTP (package connect), a Codec, and an Error with a Code that keeps its meaning
 // from one process to the next. The messages themselves are in package message.
-package wire
+package rpc
 
 import (
 	"context"
 	"net/http"
 	"strings"
 
-	"connectrpc.com/connect"
 	"orchidjunction/run"
+
+	"connectrpc.com/connect"
 )
 
 // Server is an http.Handler that answers the calls registered by Handle. It counts
--- a/scale/backend_list.go
+++ b/scale/backend_list.go
@@ -3,13 +3,12 @@
 import (
 	"encoding/json"
 	"net/http"
+	"orchidjunction/message"
 	"strconv"
-
-	"orchidjunction/wire"
 )
 
 // listOf serves the backends as the product's own platform does.
-func listOf(all []wire.Backend) http.Handler {
+func listOf(all []message.Backend) http.Handler {
 	pages := [][]byte{}
 	for first := 0; first < len(all); first += pageItems {
 		next := ""
--- a/scale/bench.go
+++ b/scale/bench.go
@@ -10,10 +10,11 @@
 	"time"
 
 	"orchidjunction/member"
+	"orchidjunction/message"
 	"orchidjunction/program"
 	"orchidjunction/route"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 type bench struct {
@@ -65,7 +66,7 @@
 func (bench *bench) until(limit time.Duration, what string, done func() bool) error {
 	for end := time.Now().Add(limit); !done(); {
 		if time.Now().After(end) || !bench.threads.Rest(50*time.Millisecond) {
-			return wire.Errorf(wire.NotReady, "%s not within %v", what, limit)
+			return rpc.Errorf(rpc.NotReady, "%s not within %v", what, limit)
 		}
 	}
 	return nil
@@ -75,7 +76,7 @@
 	begin, point := time.Now(), bench.point
 	folder, err := os.MkdirTemp("", "ojfleet-scale-")
 	if err != nil {
-		return wire.Errorf(wire.DiskFailure, "%v", err)
+		return rpc.Errorf(rpc.DiskFailure, "%v", err)
 	}
 	bench.folder = folder
 	list := fmt.Sprintf("127.0.0.1:%d", bench.port)
@@ -90,7 +91,7 @@
 		address, report := fmt.Sprintf("127.0.0.1:%d", bench.port+(number+1)*portStep), fmt.Sprintf("127.0.0.1:%d", bench.port+(number+1)*portStep+1)
 		data := filepath.Join(folder, fmt.Sprintf("core-%d", number))
 		if err := os.MkdirAll(data, 0o700); err != nil {
-			return wire.Errorf(wire.DiskFailure, "%v", err)
+			return rpc.Errorf(rpc.DiskFailure, "%v", err)
 		}
 		spec := CoreSpec{Name: fmt.Sprintf("core-%02d", number), Zone: zoneName(number), Wire: address, Report: report, Seeds: seeds, Folder: data, Cores: point.Cores,
 			Platform: list, Metered: true, SlowUs: point.SlowUs}
@@ -101,12 +102,12 @@
 	if err := bench.until(30*time.Second, "a leader", func() bool { return bench.leader() != nil }); err != nil {
 		return err
 	}
-	line := wire.NewClient(program.FarTransport(userTimeout))
-	finder := member.NewFinder(line, bench.threads, seeds).Paced(member.Paces{Seek: seekPace})
+	client := rpc.NewClient(program.FarTransport(userTimeout))
+	finder := member.NewFinder(client, bench.threads, seeds).Paced(member.Paces{Seek: seekPace})
 	finder.Run()
-	bench.hold = member.NewHold(finder, line, run.NewCounts()).Within(member.HoldLimits{Answer: 20 * time.Second, Send: 15 * time.Second})
+	bench.hold = member.NewHold(finder, client, run.NewCounts()).Within(member.HoldLimits{Answer: 20 * time.Second, Send: 15 * time.Second})
 	whole := config(1, point.Routes, point.Services, point.Tenants)
-	if body, err := wire.Marshal(whole); err == nil {
+	if body, err := rpc.Marshal(whole); err == nil {
 		bench.result.ConfigKB = float64(len(body)) / 1024
 	}
 	if _, err := bench.order(&route.Change{Version: 1, Digest: "1", Whole: whole}); err != nil {
@@ -126,16 +127,16 @@
 }
 
 func (bench *bench) order(change *route.Change) (uint64, error) {
-	body, err := wire.Marshal(change)
+	body, err := rpc.Marshal(change)
 	if err != nil {
-		return 0, wire.AsError(err)
+		return 0, rpc.AsError(err)
 	}
-	told, err := member.Send[wire.RoutingChangeRequest, wire.RoutingChangeResponse](bench.hold, "routechange", &wire.RoutingChangeRequest{Body: body})
+	response, err := member.Send[message.RoutingChangeRequest, message.RoutingChangeResponse](bench.hold, "routechange", &message.RoutingChangeRequest{Body: body})
 	if err != nil {
 		return 0, err
 	}
 	bench.version = change.Version
-	return told.Serial, nil
+	return response.Serial, nil
 }
 
 func (bench *bench) ready() bool {
--- a/scale/child.go
+++ b/scale/child.go
@@ -2,14 +2,13 @@
 
 import (
 	"encoding/json"
+	"orchidjunction/rpc"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"strconv"
 	"strings"
 	"syscall"
-
-	"orchidjunction/wire"
 )
 
 type child struct {
@@ -22,11 +21,11 @@
 func (bench *bench) begin(kind string, spec any, report, address string, processors int) error {
 	body, err := json.Marshal(spec)
 	if err != nil {
-		return wire.Errorf(wire.BadFlag, "%v", err)
+		return rpc.Errorf(rpc.BadFlag, "%v", err)
 	}
 	log, err := os.Create(filepath.Join(bench.folder, kind+"-"+strings.ReplaceAll(address, ":", "-")+".log"))
 	if err != nil {
-		return wire.Errorf(wire.DiskFailure, "%v", err)
+		return rpc.Errorf(rpc.DiskFailure, "%v", err)
 	}
 	defer func() { _ = log.Close() }() // the process writes through a descriptor of its own
 	command := exec.Command("/proc/self/exe", kind, "--spec", string(body))
@@ -34,7 +33,7 @@
 	command.Env = append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(processors))
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
-		return wire.Errorf(wire.BadFlag, "%v", err)
+		return rpc.Errorf(rpc.BadFlag, "%v", err)
 	}
 	begun := &child{command: command, report: report, wire: address}
 	if kind == "scale-core" {
--- a/scale/content.go
+++ b/scale/content.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
+	"orchidjunction/message"
 	"orchidjunction/route"
-	"orchidjunction/wire"
 )
 
 const hostsShare = 8
@@ -33,20 +33,20 @@
 	return made
 }
 
-func backends(count, services int) []wire.Backend {
-	all := make([]wire.Backend, 0, count)
+func backends(count, services int) []message.Backend {
+	all := make([]message.Backend, 0, count)
 	for number := range count {
-		all = append(all, wire.Backend{Name: fmt.Sprintf("backend-%06d", number), Service: serviceName(number % services),
+		all = append(all, message.Backend{Name: fmt.Sprintf("backend-%06d", number), Service: serviceName(number % services),
 			Address: fmt.Sprintf("10.%d.%d.%d:8080", number>>16&255, number>>8&255, number&255), Zone: zoneName(number), Capacity: 16})
 	}
 	return all
 }
 
-func members(count int) []wire.Member {
-	all := make([]wire.Member, 0, count)
+func members(count int) []message.Member {
+	all := make([]message.Member, 0, count)
 	for number := range count {
 		address := fmt.Sprintf("10.%d.%d.%d", 128+number>>16&127, number>>8&255, number&255)
-		all = append(all, wire.Member{Name: fmt.Sprintf("proxy-%05d", number), Kind: "proxy", Zone: zoneName(number), InternalAddress: address + ":7000", PublicAddress: address + ":8000",
+		all = append(all, message.Member{Name: fmt.Sprintf("proxy-%05d", number), Kind: "proxy", Zone: zoneName(number), InternalAddress: address + ":7000", PublicAddress: address + ":8000",
 			OperatorAddress: address + ":7000", Incarnation: fmt.Sprintf("%016x", number), Ready: true})
 	}
 	return all
--- a/scale/core.go
+++ b/scale/core.go
@@ -6,8 +6,8 @@
 
 	"orchidjunction/control"
 	"orchidjunction/program"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // The paces are those of cmd/ojnode.
@@ -63,7 +63,7 @@
 // stopped.
 func RunCore(spec CoreSpec) error {
 	threads, counts, tap := run.NewThreads(), run.NewCounts(), newTap()
-	line := wire.NewClient(tap.transport())
+	client := rpc.NewClient(tap.transport())
 	place := control.Place{Name: spec.Name, Zone: spec.Zone, Wire: spec.Wire, Seeds: spec.Seeds, Found: true, Least: spec.Cores, Platform: spec.Platform,
 		Beat: beatPace, Suspect: suspectSpan, Seed: uint64(time.Now().UnixNano()), Direct: true, Table: tablePace, SessionSpan: sessionSpan, ListPace: listPace, GoneAfter: goneAfter}
 	if spec.Metered {
@@ -73,13 +73,13 @@
 	if err := place.Check(); err != nil {
 		return err
 	}
-	core, err := control.NewCore(place, control.Folder(spec.Folder), line, threads, counts)
+	core, err := control.NewCore(place, control.Folder(spec.Folder), client, threads, counts)
 	if err != nil {
 		return err
 	}
-	door := wire.NewServer(counts)
-	core.Register(door)
-	if err := tap.serve(spec.Wire, slowed(door, "/oj/session", time.Duration(spec.SlowUs)*time.Microsecond), threads); err != nil {
+	server := rpc.NewServer(counts)
+	core.Register(server)
+	if err := tap.serve(spec.Wire, slowed(server, "/oj/session", time.Duration(spec.SlowUs)*time.Microsecond), threads); err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
--- a/scale/hollow.go
+++ b/scale/hollow.go
@@ -13,11 +13,12 @@
 	"time"
 
 	"orchidjunction/member"
+	"orchidjunction/message"
 	"orchidjunction/program"
 	"orchidjunction/proxy"
 	"orchidjunction/route"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // What a hollow daemon does with a version that it takes.
@@ -73,7 +74,7 @@
 	number  int
 	all     *hollows
 	threads *run.Threads
-	line    *wire.Client
+	line    *rpc.Client
 	daemon  *member.Daemon
 	held    atomic.Pointer[route.Index]
 	routing uint64
@@ -82,15 +83,15 @@
 func (all *hollows) start(number int) *hollow {
 	spec := all.spec
 	threads, counts := run.NewThreads(), run.NewCounts()
-	line := wire.NewClient(all.tap.transport())
+	client := rpc.NewClient(all.tap.transport())
 	name := fmt.Sprintf("proxy-%05d", spec.First+number)
 	place := member.Place{Name: name, Kind: "proxy", Zone: zoneName(number), Wire: spec.Wire, Outer: spec.Wire, Operate: spec.Wire, Seeds: spec.Seeds,
 		Paces: member.Paces{Session: sessionPace, Watch: watchPace, Seek: seekPace, Feel: feelPace, Look: lookPace, Count: -1},
 		Hold:  member.HoldLimits{Send: sendLimit}, Direct: true, ServesAlone: true, Routed: true}
 	var random [8]byte
 	rand.Read(random[:])
-	one := &hollow{number: number, all: all, threads: threads, line: line}
-	one.daemon = member.NewDaemon(place, hex.EncodeToString(random[:]), line, threads, counts)
+	one := &hollow{number: number, all: all, threads: threads, line: client}
+	one.daemon = member.NewDaemon(place, hex.EncodeToString(random[:]), client, threads, counts)
 	apply := func(*member.Version) {}
 	switch spec.Apply {
 	case ApplyIndex:
@@ -126,18 +127,18 @@
 
 // windows are counts as a proxy tells them: those of its last windows, each
 // with as many tenants.
-func (one *hollow) windows() []wire.WindowCount {
+func (one *hollow) windows() []message.WindowCount {
 	if one.all.spec.Active == 0 {
 		return nil
 	}
 	now := one.daemon.Now() / meterWindow.Milliseconds()
-	all := make([]wire.WindowCount, 0, heldWindows)
+	all := make([]message.WindowCount, 0, heldWindows)
 	for window := now - heldWindows + 1; window <= now; window++ {
 		counts := make(map[string]uint64, one.all.spec.Active)
 		for number := range one.all.spec.Active {
 			counts[tenantName((one.number*7919+int(window)*31+number*104729)%max(one.all.spec.Tenants, 1))] = uint64(now%100) + 1
 		}
-		all = append(all, wire.WindowCount{Window: window, Tenants: counts})
+		all = append(all, message.WindowCount{Window: window, Tenants: counts})
 	}
 	return all
 }
@@ -156,9 +157,9 @@
 		all.daemons = append(all.daemons, all.start(number))
 		threads.Rest(startPace(number))
 	}
-	door := wire.NewServer(run.NewCounts())
-	all.daemons[0].daemon.Register(door)
-	if err := tap.serve(spec.Wire, door, threads); err != nil {
+	server := rpc.NewServer(run.NewCounts())
+	all.daemons[0].daemon.Register(server)
+	if err := tap.serve(spec.Wire, server, threads); err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
--- a/scale/page.go
+++ b/scale/page.go
@@ -3,14 +3,13 @@
 import (
 	"fmt"
 	"maps"
+	"orchidjunction/rpc"
 	"os"
 	"path/filepath"
 	"slices"
 	"sort"
 	"strings"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // The size asked for within two years.
@@ -186,19 +185,19 @@
 	}
 	body, err := os.ReadFile(page)
 	if err != nil {
-		return wire.Errorf(wire.NotFound, "%v", err)
+		return rpc.Errorf(rpc.NotFound, "%v", err)
 	}
 	before, rest, begins := strings.Cut(string(body), pageBegin)
 	_, after, ends := strings.Cut(rest, pageEnd)
 	if !begins || !ends {
-		return wire.Errorf(wire.BadFlag, "%s has no place for the tables", page)
+		return rpc.Errorf(rpc.BadFlag, "%s has no place for the tables", page)
 	}
 	if err := found.plot(); err != nil {
 		return err
 	}
 	text := before + pageBegin + "\n\n" + found.tables() + "\n" + pageEnd + after
 	if err := os.WriteFile(page, []byte(text), 0o644); err != nil {
-		return wire.Errorf(wire.DiskFailure, "%v", err)
+		return rpc.Errorf(rpc.DiskFailure, "%v", err)
 	}
 	return nil
 }
--- a/scale/page_test.go
+++ b/scale/page_test.go
@@ -1,12 +1,11 @@
 package scale
 
 import (
+	"orchidjunction/rpc"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
-
-	"orchidjunction/wire"
 )
 
 func linear(processorEach float64) *Run {
@@ -50,10 +49,10 @@
 		test.Error(err)
 	}
 	writeText(test, page, "no place")
-	if err := WritePage(page, folder); err == nil || wire.CodeOf(err) != wire.BadFlag {
+	if err := WritePage(page, folder); err == nil || rpc.CodeOf(err) != rpc.BadFlag {
 		test.Errorf("%v for a page without a place", err)
 	}
-	if err := WritePage(page, test.TempDir()); err == nil || wire.CodeOf(err) != wire.NotFound {
+	if err := WritePage(page, test.TempDir()); err == nil || rpc.CodeOf(err) != rpc.NotFound {
 		test.Errorf("%v without results", err)
 	}
 }
--- a/scale/phases.go
+++ b/scale/phases.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"orchidjunction/route"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 // settle waits until no table was made for a while, or at most so long that a
@@ -72,7 +72,7 @@
 		return len(times) >= bench.point.Daemons
 	})
 	if err != nil {
-		return Spread{}, wire.WithPrefix(fmt.Sprintf("%d of %d daemons", len(times), bench.point.Daemons), err)
+		return Spread{}, rpc.WithPrefix(fmt.Sprintf("%d of %d daemons", len(times), bench.point.Daemons), err)
 	}
 	return spreadOf(times, begin), nil
 }
@@ -123,7 +123,7 @@
 func (bench *bench) kill() error {
 	leader := bench.leader()
 	if leader == nil {
-		return wire.Errorf(wire.NoLeader, "nobody to kill")
+		return rpc.Errorf(rpc.NoLeader, "nobody to kill")
 	}
 	begin := time.Now()
 	leader.end(syscall.SIGKILL)
--- a/scale/plot.go
+++ b/scale/plot.go
@@ -1,10 +1,9 @@
 package scale
 
 import (
+	"orchidjunction/rpc"
 	"path/filepath"
 
-	"orchidjunction/wire"
-
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
@@ -71,7 +70,7 @@
 		err = drawn.Save(6*vg.Inch, 4*vg.Inch, filepath.Join(found.folder, name+".png"))
 	}
 	if err != nil {
-		return wire.Errorf(wire.DiskFailure, "%s: %v", name, err)
+		return rpc.Errorf(rpc.DiskFailure, "%s: %v", name, err)
 	}
 	return nil
 }
--- a/scale/point_test.go
+++ b/scale/point_test.go
@@ -6,8 +6,8 @@
 	"os"
 	"testing"
 
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // TestMain lets this binary be the processes that a run starts, as ojfleet is.
@@ -17,14 +17,14 @@
 			"scale-core": func() error {
 				spec := CoreSpec{}
 				if err := json.Unmarshal([]byte(os.Args[3]), &spec); err != nil {
-					return wire.Errorf(wire.BadFlag, "%v", err)
+					return rpc.Errorf(rpc.BadFlag, "%v", err)
 				}
 				return RunCore(spec)
 			},
 			"scale-hollow": func() error {
 				spec := HollowSpec{}
 				if err := json.Unmarshal([]byte(os.Args[3]), &spec); err != nil {
-					return wire.Errorf(wire.BadFlag, "%v", err)
+					return rpc.Errorf(rpc.BadFlag, "%v", err)
 				}
 				return RunHollow(spec)
 			},
--- a/scale/state.go
+++ b/scale/state.go
@@ -8,10 +8,11 @@
 	"syscall"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/proxy"
 	"orchidjunction/route"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // State is what one size of one kind of state costs a process that holds nothing
@@ -70,7 +71,7 @@
 }
 
 func measureState(kind string, size int) (*State, error) {
-	book, table := &route.Book{Config: *config(1, 1, 1, 0)}, &wire.Table{Version: wire.TableVersion{Term: wire.Term{Number: 1, Core: 1}, Number: 1}, Complete: true}
+	book, table := &route.Book{Config: *config(1, 1, 1, 0)}, &message.Table{Version: message.TableVersion{Term: message.Term{Number: 1, Core: 1}, Number: 1}, Complete: true}
 	services := max(1, min(size, 3100))
 	switch kind {
 	case "routes":
@@ -90,12 +91,12 @@
 	var body []byte
 	var err error
 	if inBook {
-		body, err = wire.Marshal(book)
+		body, err = rpc.Marshal(book)
 	} else {
-		body, err = wire.Marshal(table)
+		body, err = rpc.Marshal(table)
 	}
 	if err != nil {
-		return nil, wire.AsError(err)
+		return nil, rpc.AsError(err)
 	}
 	state.PackMs, state.PackedKB = processorMs()-begin, float64(len(body))/1024
 	plane := proxy.NewProxy(proxy.Place{Name: "proxy-00000", Zone: zoneName(0), Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1},
@@ -105,13 +106,13 @@
 	begin = processorMs()
 	if inBook {
 		taken = &route.Book{}
-		err = wire.Unmarshal(body, taken)
+		err = rpc.Unmarshal(body, taken)
 	} else {
-		laid = &wire.Table{}
-		err = wire.Unmarshal(body, laid)
+		laid = &message.Table{}
+		err = rpc.Unmarshal(body, laid)
 	}
 	if err != nil {
-		return nil, wire.AsError(err)
+		return nil, rpc.AsError(err)
 	}
 	state.UnpackMs = processorMs() - begin
 	begin = processorMs()
--- a/scale/sweep.go
+++ b/scale/sweep.go
@@ -7,8 +7,8 @@
 	"os"
 	"path/filepath"
 
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // Sweep is a set of points that differ in one size.
@@ -71,7 +71,7 @@
 			return err
 		}
 		if threads.Stopping() {
-			return wire.Errorf(wire.Stopping, "stopped")
+			return rpc.Errorf(rpc.Stopping, "stopped")
 		}
 	}
 	return nil
@@ -86,7 +86,7 @@
 		err = os.WriteFile(filepath.Join(folder, name+".json"), append(body, '\n'), 0o644)
 	}
 	if err != nil {
-		return wire.Errorf(wire.DiskFailure, "%s: %v", name, err)
+		return rpc.Errorf(rpc.DiskFailure, "%s: %v", name, err)
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 		err = json.Unmarshal(body, value)
 	}
 	if err != nil {
-		return wire.Errorf(wire.NotFound, "%s: %v", name, err)
+		return rpc.Errorf(rpc.NotFound, "%s: %v", name, err)
 	}
 	return nil
 }
--- a/scale/tap.go
+++ b/scale/tap.go
@@ -19,8 +19,8 @@
 	"time"
 
 	"orchidjunction/program"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // Tap counts the bytes and messages that pass one process's listeners and
@@ -107,7 +107,7 @@
 func (tap *Tap) serve(address string, handler http.Handler, threads *run.Threads) error {
 	open, err := net.Listen("tcp", address)
 	if err != nil {
-		return wire.Errorf(wire.BadFlag, "%s: %v", address, err)
+		return rpc.Errorf(rpc.BadFlag, "%s: %v", address, err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		tap.message(request.URL.Path)
@@ -169,11 +169,11 @@
 	defer client.CloseIdleConnections()
 	response, err := client.Get("http://" + address + path)
 	if err != nil {
-		return wire.Errorf(wire.Unreachable, "%s%s: %v", address, path, err)
+		return rpc.Errorf(rpc.Unreachable, "%s%s: %v", address, path, err)
 	}
 	defer response.Body.Close()
 	if err := json.NewDecoder(response.Body).Decode(value); err != nil {
-		return wire.Errorf(wire.BadMessage, "%s%s: %v", address, path, err)
+		return rpc.Errorf(rpc.BadMessage, "%s%s: %v", address, path, err)
 	}
 	return nil
 }
--- a/sim/claims_test.go
+++ b/sim/claims_test.go
@@ -9,18 +9,19 @@
 	"time"
 
 	"orchidjunction/control"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // claim is a message that claims so many keys for the first time.
-func claim(first, count int) *wire.RecordClaimsRequest {
-	message := &wire.RecordClaimsRequest{}
+func claim(first, count int) *message.RecordClaimsRequest {
+	request := &message.RecordClaimsRequest{}
 	for number := range count {
-		key := wire.ClaimKey{Tenant: "coast-grid", Service: "reading-grid", Key: fmt.Sprintf("key-%032d", first+number)}
-		message.Claims = append(message.Claims, wire.ClaimRequest{Record: wire.ClaimRecord{Key: key, ID: fmt.Sprintf("0a1b2c3d4e-%d", first+number), Digest: strings.Repeat("d", 64), Holder: "proxy-00/0123456789abcdef01234567", Stage: wire.ClaimRunning}})
+		key := message.ClaimKey{Tenant: "coast-grid", Service: "reading-grid", Key: fmt.Sprintf("key-%032d", first+number)}
+		request.Claims = append(request.Claims, message.ClaimRequest{Record: message.ClaimRecord{Key: key, ID: fmt.Sprintf("0a1b2c3d4e-%d", first+number), Digest: strings.Repeat("d", 64), Holder: "proxy-00/0123456789abcdef01234567", Stage: message.ClaimRunning}})
 	}
-	return message
+	return request
 }
 
 // Ten times today's money for as long as keys are remembered: what a core needs
@@ -32,8 +33,8 @@
 		defer world.Close()
 		world.StartCore(0)
 		world.first(test)
-		core, line := world.Cores[0], wire.NewClient(world.Net.Transport("10.7.0.9"))
-		defer line.Close()
+		core, client := world.Cores[0], rpc.NewClient(world.Net.Transport("10.7.0.9"))
+		defer client.Close()
 		size := func() (bytes, files int) {
 			names, _ := core.Disk.List()
 			for _, name := range names {
@@ -56,7 +57,7 @@
 		}
 		before := heap()
 		for second := range 3 * seconds {
-			if _, err := wire.Call[wire.RecordClaimsRequest, wire.RecordClaimsResponse](line, core.Wire, "keep", time.Second, claim(second*115, 115)); err != nil {
+			if _, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](client, core.Wire, "keep", time.Second, claim(second*115, 115)); err != nil {
 				test.Fatal(err)
 			}
 			world.Rest(10 * time.Second / 10 * time.Duration(600/seconds))
@@ -82,10 +83,10 @@
 			defer world.Close()
 			world.StartCore(0)
 			world.first(test)
-			line := wire.NewClient(world.Net.Transport("10.7.0.9"))
-			defer line.Close()
+			client := rpc.NewClient(world.Net.Transport("10.7.0.9"))
+			defer client.Close()
 			for group := range 6 {
-				if _, err := wire.Call[wire.RecordClaimsRequest, wire.RecordClaimsResponse](line, world.Cores[0].Wire, "keep", time.Second, claim(group*3, 3)); err != nil {
+				if _, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](client, world.Cores[0].Wire, "keep", time.Second, claim(group*3, 3)); err != nil {
 					test.Fatal(err)
 				}
 			}
@@ -93,8 +94,8 @@
 			name := "claims-0000000000000000"
 			length := world.Cores[0].Disk.Size(name)
 			open := func(disk *Disk) error {
-				line := wire.NewClient(world.Net.Transport("10.7.0.8"))
-				core, err := control.NewCore(control.Place{ID: 1, Wire: "10.0.0.1:41", Beat: Beat, Suspect: Suspect}, disk, line, run.NewThreads(), run.NewCounts())
+				client := rpc.NewClient(world.Net.Transport("10.7.0.8"))
+				core, err := control.NewCore(control.Place{ID: 1, Wire: "10.0.0.1:41", Beat: Beat, Suspect: Suspect}, disk, client, run.NewThreads(), run.NewCounts())
 				if err == nil {
 					core.Close()
 				}
@@ -106,7 +107,7 @@
 			if err := open(torn); err != nil {
 				test.Errorf("a torn tail: %v", err)
 			}
-			if err := open(worn); err == nil || wire.CodeOf(err) != wire.CorruptStore {
+			if err := open(worn); err == nil || rpc.CodeOf(err) != rpc.CorruptStore {
 				test.Errorf("a worn record: %v", err)
 			}
 		})
@@ -122,14 +123,14 @@
 			world.StartCore(index)
 		}
 		world.first(test)
-		line := wire.NewClient(world.Net.Transport("10.7.0.9"))
-		defer line.Close()
+		client := rpc.NewClient(world.Net.Transport("10.7.0.9"))
+		defer client.Close()
 		other := claim(0, 1)
 		other.Claims[0].Record.ID = "ffff-1"
-		for index, message := range []*wire.RecordClaimsRequest{claim(0, 1), other, claim(0, 1)} {
-			told, err := wire.Call[wire.RecordClaimsRequest, wire.RecordClaimsResponse](line, world.Cores[1].Wire, "keep", time.Second, message)
-			if err != nil || told.Results[0].Granted != (index != 1) || index == 1 && told.Results[0].Existing.ID != "0a1b2c3d4e-0" {
-				test.Errorf("claim %d: %+v %v", index, told, err)
+		for index, request := range []*message.RecordClaimsRequest{claim(0, 1), other, claim(0, 1)} {
+			response, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](client, world.Cores[1].Wire, "keep", time.Second, request)
+			if err != nil || response.Results[0].Granted != (index != 1) || index == 1 && response.Results[0].Existing.ID != "0a1b2c3d4e-0" {
+				test.Errorf("claim %d: %+v %v", index, response, err)
 			}
 		}
 	})
--- a/sim/control_test.go
+++ b/sim/control_test.go
@@ -10,8 +10,9 @@
 
 	"orchidjunction/control"
 	"orchidjunction/member"
+	"orchidjunction/message"
 	"orchidjunction/route"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 const (
@@ -55,7 +56,7 @@
 	orders   []*answered
 	acts     []acted
 	versions map[uint64]uint64
-	tables   map[wire.TableVersion]string
+	tables   map[message.TableVersion]string
 	stopped  bool
 	running  int
 
@@ -64,7 +65,7 @@
 }
 
 func (world *World) Control() *Control {
-	side := &Control{world: world, versions: map[uint64]uint64{}, tables: map[wire.TableVersion]string{}}
+	side := &Control{world: world, versions: map[uint64]uint64{}, tables: map[message.TableVersion]string{}}
 	side.meters = newMeters(world)
 	world.Metering.Report = side.report
 	return side
@@ -159,11 +160,11 @@
 		return
 	}
 	begin := time.Now()
-	told, err := order[wire.RoutingReadRequest, wire.RoutingReadResponse](side.world, holds, "routeread", &wire.RoutingReadRequest{})
+	response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](side.world, holds, "routeread", &message.RoutingReadRequest{})
 	if err != nil {
 		return
 	}
-	book, err := route.BookOf(told.Body)
+	book, err := route.BookOf(response.Body)
 	if err != nil {
 		side.world.broke("read back: %v", err)
 		return
@@ -173,7 +174,7 @@
 		side.world.broke("%d was acknowledged, then %d read back", acknowledged, base)
 	}
 	one := side.begun(&answered{what: "routing", base: base, version: base + 1 + uint64(random.IntN(3))*8 + number})
-	taken, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](side.world, holds, "routechange", Whole(one.version, base))
+	taken, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](side.world, holds, "routechange", Whole(one.version, base))
 	if err != nil {
 		side.note(one, 0, err)
 		return
@@ -188,12 +189,12 @@
 // reached.
 func (side *Control) repeat(holds []*member.Hold, acknowledged *answered) {
 	again := side.begun(&answered{what: acknowledged.what, base: acknowledged.base, version: acknowledged.version})
-	told, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](side.world, append(holds[1:], holds[0]), "routechange", Whole(again.version, again.base))
+	response, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](side.world, append(holds[1:], holds[0]), "routechange", Whole(again.version, again.base))
 	if err != nil {
 		side.note(again, 0, err)
 		return
 	}
-	side.note(again, told.Serial, nil)
+	side.note(again, response.Serial, nil)
 }
 
 // operate is one of several operators, by any door.
@@ -213,12 +214,12 @@
 		}
 		begin = !begin
 		one := side.begun(&answered{what: zone, emptied: begin})
-		told, err := side.world.evacuateBy(holds, zone, begin)
+		response, err := side.world.evacuateBy(holds, zone, begin)
 		if err != nil {
 			side.note(one, 0, err)
 			return true
 		}
-		side.note(one, told.Serial, nil)
+		side.note(one, response.Serial, nil)
 		return true
 	}
 }
@@ -230,7 +231,7 @@
 		store, err := control.OpenStore(disk.Copy())
 		if err != nil || !store.State().Founded {
 			blank++
-		} else if store.State().Accepted[wire.RoutingRegister].Value.Serial >= serial {
+		} else if store.State().Accepted[message.RoutingRegister].Value.Serial >= serial {
 			held++
 		}
 	}
@@ -316,7 +317,7 @@
 	acknowledged, late, longest := 0, 0, time.Duration(0)
 	for _, order := range side.orders {
 		took := order.end.Sub(order.begin)
-		proper := order.mishap == nil || wire.AsError(order.mishap).RetryAfterMs > 0
+		proper := order.mishap == nil || rpc.AsError(order.mishap).RetryAfterMs > 0
 		if took > ackSpan && proper {
 			late++
 			side.mutex.Unlock()
@@ -331,7 +332,7 @@
 		}
 		taken := orders[route.DigestOf(fmt.Sprintf("%d on %d", order.version, order.base))]
 		if order.mishap != nil {
-			if taken && wire.AsError(order.mishap).RetryAfterMs == 0 {
+			if taken && rpc.AsError(order.mishap).RetryAfterMs == 0 {
 				world.broke("%d on %d was refused and is in the trail: %v", order.version, order.base, order.mishap)
 			}
 			continue
--- a/sim/core.go
+++ b/sim/core.go
@@ -8,15 +8,16 @@
 
 	"orchidjunction/control"
 	"orchidjunction/member"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 // Lead is one leadership that came to stand.
 type Lead struct {
 	Core   int
 	Host   string
-	Ballot wire.Term
+	Ballot message.Term
 	At     time.Time
 }
 
@@ -32,7 +33,7 @@
 	Seeds   []string
 	threads *run.Threads
 	servers []*http.Server
-	line    *wire.Client
+	line    *rpc.Client
 	starts  uint64
 	jump    atomic.Int64
 	wiped   bool
@@ -73,7 +74,7 @@
 	}
 	place := world.corePlace(machine)
 	machine.threads = run.NewThreads()
-	machine.line = wire.NewClient(world.Net.Transport(machine.Host))
+	machine.line = rpc.NewClient(world.Net.Transport(machine.Host))
 	counts := run.NewCounts()
 	finder := world.coreFinder(machine, &place)
 	place.MembersChanged = finder.Learn
@@ -82,8 +83,8 @@
 		world.broke("core %d does not start: %v", machine.ID, err)
 		return
 	}
-	door := wire.NewServer(counts)
-	core.Register(door)
+	server := rpc.NewServer(counts)
+	core.Register(server)
 	hold := member.NewHold(finder, machine.line, counts).Within(world.Limits)
 	if len(place.Seeds) > 0 {
 		hold.Follow(core.Leader)
@@ -92,7 +93,7 @@
 	machine.Core, machine.Hold, machine.Alive = core, hold, true
 	world.mutex.Unlock()
 	operate := member.NewOperate(fmt.Sprint(machine.ID), hold, counts, core.Settings, core.Sound)
-	machine.servers = []*http.Server{world.serve(machine.threads, machine.Wire, door), world.serve(machine.threads, machine.Operate, operate)}
+	machine.servers = []*http.Server{world.serve(machine.threads, machine.Wire, server), world.serve(machine.threads, machine.Operate, operate)}
 	finder.Run()
 	core.Run()
 }
@@ -112,7 +113,7 @@
 			world.broke("%s: %v", machine.Host, err)
 		}
 	}
-	place.Observe = func(_ control.Standing, ballot wire.Term) { world.led(machine, ballot) }
+	place.Observe = func(_ control.Standing, term message.Term) { world.led(machine, term) }
 	return place
 }
 
@@ -130,7 +131,7 @@
 // led judges each leadership as it comes to stand: its ballot must by then be
 // lasting at a majority of the voters that it knows, in a step between two groups of
 // both, and no register it left behind may be newer.
-func (world *World) led(leader *Core, ballot wire.Term) {
+func (world *World) led(leader *Core, term message.Term) {
 	own, err := control.OpenStore(world.diskOf(leader).Copy())
 	if err != nil {
 		return
@@ -142,25 +143,25 @@
 			continue
 		}
 		state := store.State()
-		promised[machine.Wire] = !state.Promised.Less(ballot)
-		rewritten[machine.Wire] = !state.Accepted[wire.SettingsRegister].Term.Less(ballot)
+		promised[machine.Wire] = !state.Promised.Less(term)
+		rewritten[machine.Wire] = !state.Accepted[message.SettingsRegister].Term.Less(term)
 	}
 	for _, group := range world.votersOf(own.State()) {
 		if count, need := among(group, promised), len(group)/2+1; count < need {
-			world.broke("core %d leads under %s, fenced at %d of %d", leader.ID, ballot, count, need)
+			world.broke("core %d leads under %s, fenced at %d of %d", leader.ID, term, count, need)
 		}
 		if count, need := among(group, rewritten), len(group)/2+1; count < need {
-			world.broke("core %d leads under %s, re-written at %d of %d", leader.ID, ballot, count, need)
+			world.broke("core %d leads under %s, re-written at %d of %d", leader.ID, term, count, need)
 		}
 	}
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	for _, other := range world.Leads {
-		if other.Ballot == ballot {
-			world.Broken = append(world.Broken, fmt.Sprintf("%s and %s both led under %s", other.Host, leader.Host, ballot))
+		if other.Ballot == term {
+			world.Broken = append(world.Broken, fmt.Sprintf("%s and %s both led under %s", other.Host, leader.Host, term))
 		}
 	}
-	world.Leads = append(world.Leads, Lead{Core: leader.ID, Host: leader.Host, Ballot: ballot, At: time.Now()})
+	world.Leads = append(world.Leads, Lead{Core: leader.ID, Host: leader.Host, Ballot: term, At: time.Now()})
 }
 
 // votersOf are the addresses of each group that decides by a core's state; where
--- a/sim/far.go
+++ b/sim/far.go
@@ -9,9 +9,10 @@
 
 	"orchidjunction/control"
 	"orchidjunction/member"
+	"orchidjunction/message"
 	"orchidjunction/route"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
-	"orchidjunction/wire"
 )
 
 const (
@@ -37,7 +38,7 @@
 	Seeds   []string
 	threads *run.Threads
 	server  *http.Server
-	line    *wire.Client
+	line    *rpc.Client
 }
 
 // NewFarWorld is a system in three regions far from each other, whose cores
@@ -109,7 +110,7 @@
 		Paces: world.Paces, Hold: world.Limits, Direct: true, ServesAlone: true, Routed: true, Wall: func() int64 { return time.Now().UnixMilli() + one.Jump }}
 	spot.Seeds = world.seedsFor(&one.Seeds)
 	one.threads, one.Counts = run.NewThreads(), run.NewCounts()
-	one.line = wire.NewClient(world.Net.Transport(one.Host))
+	one.line = rpc.NewClient(world.Net.Transport(one.Host))
 	one.Daemon = member.NewDaemon(spot, member.NewID(), one.line, one.threads, one.Counts)
 	last := uint64(0)
 	one.Daemon.Serve(func(version *member.Version) {
@@ -119,11 +120,11 @@
 		last = version.Routing
 	}, nil)
 	if world.Requests != nil {
-		one.Daemon.Meter(func() []wire.WindowCount { return world.Requests(one) })
+		one.Daemon.Meter(func() []message.WindowCount { return world.Requests(one) })
 	}
-	door := wire.NewServer(one.Counts)
-	one.Daemon.Register(door)
-	one.server = world.serve(one.threads, spot.Wire, door)
+	server := rpc.NewServer(one.Counts)
+	one.Daemon.Register(server)
+	one.server = world.serve(one.threads, spot.Wire, server)
 	one.Alive = true
 	one.Daemon.Run()
 }
@@ -156,9 +157,9 @@
 func Book(version uint64) *route.Book { return &route.Book{Config: *Routing(version)} }
 
 // Whole is an operator's order of a whole routing on top of a version.
-func Whole(version, base uint64) *wire.RoutingChangeRequest {
-	body, _ := wire.Marshal(&route.Change{Version: version, Base: base, Digest: fmt.Sprintf("%d on %d", version, base), Whole: Routing(version)})
-	return &wire.RoutingChangeRequest{Body: body}
+func Whole(version, base uint64) *message.RoutingChangeRequest {
+	body, _ := rpc.Marshal(&route.Change{Version: version, Base: base, Digest: fmt.Sprintf("%d on %d", version, base), Whole: Routing(version)})
+	return &message.RoutingChangeRequest{Body: body}
 }
 
 // order sends an order by some holds in turn until it has an answer that ends it.
@@ -170,7 +171,7 @@
 func again[Told any](world *World, holds []*member.Hold, send func(*member.Hold) (*Told, error)) (*Told, error) {
 	for try := 0; ; try++ {
 		told, err := send(holds[try%len(holds)])
-		if err == nil || wire.AsError(err).RetryAfterMs == 0 || try > 20 {
+		if err == nil || rpc.AsError(err).RetryAfterMs == 0 || try > 20 {
 			return told, err
 		}
 		world.Rest(200 * time.Millisecond)
@@ -189,7 +190,7 @@
 
 // Put sends a routing until it is taken or refused.
 func (world *World) Put(version, base uint64) error {
-	_, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world, world.holds(), "routechange", Whole(version, base))
+	_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds(), "routechange", Whole(version, base))
 	return err
 }
 
@@ -199,17 +200,17 @@
 	return err
 }
 
-func (world *World) evacuateBy(holds []*member.Hold, zone string, begin bool) (*wire.EvacuateResponse, error) {
-	return again(world, holds, func(hold *member.Hold) (*wire.EvacuateResponse, error) {
+func (world *World) evacuateBy(holds []*member.Hold, zone string, begin bool) (*message.EvacuateResponse, error) {
+	return again(world, holds, func(hold *member.Hold) (*message.EvacuateResponse, error) {
 		return member.Evacuate(context.Background(), hold, zone, begin)
 	})
 }
 
 // Book reads the confirmed routing back.
 func (world *World) Book() (*route.Book, error) {
-	told, err := order[wire.RoutingReadRequest, wire.RoutingReadResponse](world, world.holds(), "routeread", &wire.RoutingReadRequest{})
+	response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](world, world.holds(), "routeread", &message.RoutingReadRequest{})
 	if err != nil {
 		return nil, err
 	}
-	return route.BookOf(told.Body)
+	return route.BookOf(response.Body)
 }
--- a/sim/far_test.go
+++ b/sim/far_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"orchidjunction/member"
+	"orchidjunction/message"
 	"orchidjunction/route"
-	"orchidjunction/wire"
 )
 
 // racer orders routings on top of what it reads, each by a number of its own.
@@ -51,11 +51,11 @@
 			racer.mutex.Unlock()
 			continue
 		}
-		told, err := order[wire.RoutingReadRequest, wire.RoutingReadResponse](world, holds(), "routeread", &wire.RoutingReadRequest{})
+		response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](world, holds(), "routeread", &message.RoutingReadRequest{})
 		if err != nil {
 			continue
 		}
-		book, err := route.BookOf(told.Body)
+		book, err := route.BookOf(response.Body)
 		if err != nil {
 			world.broke("read back: %v", err)
 			return
@@ -69,7 +69,7 @@
 		}
 		racer.mutex.Unlock()
 		version := base + 1 + uint64(random.IntN(3))*3 + uint64(number)
-		if _, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world, holds(), "routechange", Whole(version, base)); err == nil {
+		if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, holds(), "routechange", Whole(version, base)); err == nil {
 			racer.mutex.Lock()
 			racer.acked[version] = base
 			racer.mutex.Unlock()
--- a/sim/metering_test.go
+++ b/sim/metering_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"orchidjunction/control"
-	"orchidjunction/wire"
+	"orchidjunction/message"
 )
 
 // meters is the platform that windows are reported to, and what was truly counted.
@@ -54,14 +54,14 @@
 	meters.begun[time.Now().UnixMilli()/meters.span]++
 }
 
-func (meters *meters) windows(one *Member) []wire.WindowCount {
+func (meters *meters) windows(one *Member) []message.WindowCount {
 	meters.mutex.Lock()
 	defer meters.mutex.Unlock()
-	all := []wire.WindowCount{}
+	all := []message.WindowCount{}
 	now := one.Daemon.Now() / meters.span
 	for window, tenants := range meters.counted[one.Daemon.Incarnation()] {
 		if window > now-6 {
-			all = append(all, wire.WindowCount{Window: window, Tenants: maps.Clone(tenants)})
+			all = append(all, message.WindowCount{Window: window, Tenants: maps.Clone(tenants)})
 		}
 	}
 	return all
--- a/sim/orders_test.go
+++ b/sim/orders_test.go
@@ -5,19 +5,20 @@
 	"testing"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/route"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 // call is one message to a core, by its name.
 type call struct {
 	name string
-	ask  func(line *wire.Client, address string, limit time.Duration) error
+	ask  func(client *rpc.Client, address string, limit time.Duration) error
 }
 
 func callOf[Asked, Told any](name, message string, asked *Asked) call {
-	return call{name: name, ask: func(line *wire.Client, address string, limit time.Duration) error {
-		_, err := wire.Call[Asked, Told](line, address, message, limit, asked)
+	return call{name: name, ask: func(client *rpc.Client, address string, limit time.Duration) error {
+		_, err := rpc.Call[Asked, Told](client, address, message, limit, asked)
 		return err
 	}}
 }
@@ -27,25 +28,25 @@
 func leaderCalls() []call {
 	invalid := Routing(2)
 	invalid.Routes[0].Service = "nobody"
-	broken, _ := wire.Marshal(&route.Change{Version: 2, Base: 1, Digest: "invalid", Whole: invalid})
-	dangling, _ := wire.Marshal(&route.Change{Version: 2, Base: 1, Digest: "dangling", Patch: &route.Patch{RemoveServices: []string{"desk"}}})
-	low, _ := wire.Marshal(&route.Change{Version: 1, Base: 1, Digest: "low", Whole: Routing(1)})
+	broken, _ := rpc.Marshal(&route.Change{Version: 2, Base: 1, Digest: "invalid", Whole: invalid})
+	dangling, _ := rpc.Marshal(&route.Change{Version: 2, Base: 1, Digest: "dangling", Patch: &route.Patch{RemoveServices: []string{"desk"}}})
+	low, _ := rpc.Marshal(&route.Change{Version: 1, Base: 1, Digest: "low", Whole: Routing(1)})
 	return []call{
-		callOf[wire.RoutingChangeRequest, wire.RoutingChangeResponse]("repeat", "routechange", Whole(1, 0)),
-		callOf[wire.RoutingChangeRequest, wire.RoutingChangeResponse]("stale base", "routechange", Whole(9, 0)),
-		callOf[wire.RoutingChangeRequest, wire.RoutingChangeResponse]("newer base", "routechange", Whole(9, 3)),
-		callOf[wire.RoutingChangeRequest, wire.RoutingChangeResponse]("stale version", "routechange", &wire.RoutingChangeRequest{Body: low}),
-		callOf[wire.RoutingChangeRequest, wire.RoutingChangeResponse]("invalid", "routechange", &wire.RoutingChangeRequest{Body: broken}),
-		callOf[wire.RoutingChangeRequest, wire.RoutingChangeResponse]("invalid patch", "routechange", &wire.RoutingChangeRequest{Body: dangling}),
-		callOf[wire.EvacuateRequest, wire.EvacuateResponse]("evacuated before", "evacuate", &wire.EvacuateRequest{Zone: "z1", Begin: true}),
-		callOf[wire.EvacuateRequest, wire.EvacuateResponse]("never evacuated", "evacuate", &wire.EvacuateRequest{Zone: "z2", Begin: false}),
-		callOf[wire.RoutingReadRequest, wire.RoutingReadResponse]("read", "routeread", &wire.RoutingReadRequest{}),
-		callOf[wire.ReadRequest, wire.ReadResponse]("settings", "read", &wire.ReadRequest{}),
-		callOf[wire.ReadIndexRequest, wire.ReadIndexResponse]("confirm", "confirm", &wire.ReadIndexRequest{}),
-		callOf[wire.ChangeRequest, wire.ChangeResponse]("settings repeat", "change", &wire.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)}),
-		callOf[wire.ChangeRequest, wire.ChangeResponse]("settings stale base", "change", &wire.ChangeRequest{ID: "other", Base: 7, Kind: "whole", Body: Settings(900)}),
-		callOf[wire.ChangeRequest, wire.ChangeResponse]("settings id reused", "change", &wire.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(900)}),
-		callOf[wire.ChangeRequest, wire.ChangeResponse]("settings invalid", "change", &wire.ChangeRequest{ID: "third", Base: 1, Kind: "partial", Body: []byte(`{"ack_ms":-4}`)}),
+		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("repeat", "routechange", Whole(1, 0)),
+		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("stale base", "routechange", Whole(9, 0)),
+		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("newer base", "routechange", Whole(9, 3)),
+		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("stale version", "routechange", &message.RoutingChangeRequest{Body: low}),
+		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("invalid", "routechange", &message.RoutingChangeRequest{Body: broken}),
+		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("invalid patch", "routechange", &message.RoutingChangeRequest{Body: dangling}),
+		callOf[message.EvacuateRequest, message.EvacuateResponse]("evacuated before", "evacuate", &message.EvacuateRequest{Zone: "z1", Begin: true}),
+		callOf[message.EvacuateRequest, message.EvacuateResponse]("never evacuated", "evacuate", &message.EvacuateRequest{Zone: "z2", Begin: false}),
+		callOf[message.RoutingReadRequest, message.RoutingReadResponse]("read", "routeread", &message.RoutingReadRequest{}),
+		callOf[message.ReadRequest, message.ReadResponse]("settings", "read", &message.ReadRequest{}),
+		callOf[message.ReadIndexRequest, message.ReadIndexResponse]("confirm", "confirm", &message.ReadIndexRequest{}),
+		callOf[message.ChangeRequest, message.ChangeResponse]("settings repeat", "change", &message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)}),
+		callOf[message.ChangeRequest, message.ChangeResponse]("settings stale base", "change", &message.ChangeRequest{ID: "other", Base: 7, Kind: "whole", Body: Settings(900)}),
+		callOf[message.ChangeRequest, message.ChangeResponse]("settings id reused", "change", &message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(900)}),
+		callOf[message.ChangeRequest, message.ChangeResponse]("settings invalid", "change", &message.ChangeRequest{ID: "third", Base: 1, Kind: "partial", Body: []byte(`{"ack_ms":-4}`)}),
 	}
 }
 
@@ -55,8 +56,8 @@
 	if err == nil {
 		return false
 	}
-	switch wire.CodeOf(err) {
-	case wire.NotLeader, wire.NoLeader, wire.Lameduck, wire.OutcomeUnknown, wire.NotStarted, wire.Unreachable, wire.ConnectFailed:
+	switch rpc.CodeOf(err) {
+	case rpc.NotLeader, rpc.NoLeader, rpc.Lameduck, rpc.OutcomeUnknown, rpc.NotStarted, rpc.Unreachable, rpc.ConnectFailed:
 		return true
 	}
 	return false
@@ -88,7 +89,7 @@
 	if err := world.Evacuate("z1", true); err != nil {
 		test.Fatal(err)
 	}
-	if _, err := order[wire.ChangeRequest, wire.ChangeResponse](world, world.holds(), "change", &wire.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)}); err != nil {
+	if _, err := order[message.ChangeRequest, message.ChangeResponse](world, world.holds(), "change", &message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)}); err != nil {
 		test.Fatal(err)
 	}
 }
@@ -103,9 +104,9 @@
 				world := NewFarWorld(seed, 3+2*int(seed%2))
 				world.withSettings(test)
 				leader := world.calm(test)
-				line := wire.NewClient(world.Net.Transport(world.Members[0].Host))
+				client := rpc.NewClient(world.Net.Transport(world.Members[0].Host))
 				for _, one := range leaderCalls() {
-					if err := one.ask(line, world.Cores[leader].Wire, time.Second); unclear(err) {
+					if err := one.ask(client, world.Cores[leader].Wire, time.Second); unclear(err) {
 						world.broke("in touch, %s: %v", one.name, err)
 					}
 				}
@@ -124,7 +125,7 @@
 						mutex.Unlock()
 						asked := time.Since(begin)
 						world.threads.Start(func() {
-							if err := one.ask(line, world.Cores[leader].Wire, 30*time.Second); !unclear(err) {
+							if err := one.ask(client, world.Cores[leader].Wire, 30*time.Second); !unclear(err) {
 								world.broke("%s, restarted %v, %s asked after %v: %v", kind, restarted, one.name, asked, err)
 							}
 							mutex.Lock()
@@ -141,7 +142,7 @@
 				if !world.Until(40*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return open == 0 }) {
 					world.broke("%s: %d calls open", kind, open)
 				}
-				line.Close()
+				client.Close()
 				world.report(test)
 				world.CloseFar()
 			}
--- a/sim/recovery_test.go
+++ b/sim/recovery_test.go
@@ -6,7 +6,8 @@
 	"time"
 
 	"orchidjunction/control"
-	"orchidjunction/wire"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 // killAll ends every core, and every member too where wanted.
@@ -168,12 +169,12 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	voter := control.NewVoter(store, func(err error) { test.Error(err) }, func(wire.Term) {})
-	held := voter.State().Accepted[wire.RoutingRegister]
-	body, _ := wire.Marshal(Book(version))
-	told, err := voter.Accept(&wire.AcceptRequest{Term: voter.State().Promised, Register: wire.RoutingRegister, Value: wire.Value{Serial: held.Value.Serial + 1, Body: body}})
-	if err != nil || !told.Accepted {
-		test.Fatal(told, err)
+	voter := control.NewVoter(store, func(err error) { test.Error(err) }, func(message.Term) {})
+	held := voter.State().Accepted[message.RoutingRegister]
+	body, _ := rpc.Marshal(Book(version))
+	response, err := voter.Accept(&message.AcceptRequest{Term: voter.State().Promised, Register: message.RoutingRegister, Value: message.Value{Serial: held.Value.Serial + 1, Body: body}})
+	if err != nil || !response.Accepted {
+		test.Fatal(response, err)
 	}
 	store.Close()
 }
@@ -274,12 +275,12 @@
 		if machine.life(world) == nil {
 			continue
 		}
-		told, err := wire.Call[wire.StatusRequest, wire.StatusResponse](machine.line, machine.Wire, "status", time.Second, &wire.StatusRequest{})
+		response, err := rpc.Call[message.StatusRequest, message.StatusResponse](machine.line, machine.Wire, "status", time.Second, &message.StatusRequest{})
 		if err != nil {
 			world.broke("no status of core %d: %v", machine.ID, err)
 			continue
 		}
-		sum += told.Counts[name]
+		sum += response.Counts[name]
 	}
 	return sum
 }
@@ -370,7 +371,7 @@
 }
 
 // sameTables judges that all who hold a leader's table hold the same under one mark.
-func (world *World) sameTables(contents map[wire.TableVersion]string) {
+func (world *World) sameTables(contents map[message.TableVersion]string) {
 	for _, one := range world.Members {
 		table := one.Daemon.Version().Table
 		content := fmt.Sprint(table.Members, table.Backends)
@@ -387,10 +388,10 @@
 	each(test, func(test *testing.T, seed uint64) {
 		for range 3 {
 			world := NewFarWorld(seed, 3)
-			backends := []wire.Backend{}
+			backends := []message.Backend{}
 			world.Listed = func(string) control.Listing { return control.Listing{Backends: backends} }
 			for index := range 3 {
-				backends = append(backends, wire.Backend{Name: fmt.Sprint("b", index), Service: "desk", Address: "10.9.9.9:80", Capacity: 4})
+				backends = append(backends, message.Backend{Name: fmt.Sprint("b", index), Service: "desk", Address: "10.9.9.9:80", Capacity: 4})
 			}
 			world.farUp(test, 6)
 			world.Rest(time.Second)
@@ -409,7 +410,7 @@
 					world.Net.Cut(machine.Host, one.Host, false)
 				}
 			}
-			contents := map[wire.TableVersion]string{}
+			contents := map[message.TableVersion]string{}
 			for until := time.Now().Add(6 * time.Second); time.Now().Before(until); world.Rest(20 * time.Millisecond) {
 				world.sameTables(contents)
 			}
@@ -431,11 +432,11 @@
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.Listed = func(string) control.Listing {
-			return control.Listing{Backends: []wire.Backend{{Name: "b", Service: "desk", Address: "10.9.9.9:80", Capacity: 4}}}
+			return control.Listing{Backends: []message.Backend{{Name: "b", Service: "desk", Address: "10.9.9.9:80", Capacity: 4}}}
 		}
 		world.farUp(test, 5)
 		world.Rest(3 * time.Second)
-		mute, marks := world.Members[int(seed)%5], map[string]wire.TableVersion{}
+		mute, marks := world.Members[int(seed)%5], map[string]message.TableVersion{}
 		for round := range 4 {
 			world.calm(test)
 			world.Rest(3 * time.Second)
@@ -511,25 +512,25 @@
 				test.Fatal("no second leader")
 			}
 			ask := func(index int, version, base uint64) error {
-				_, err := wire.Call[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world.Cores[other].line, world.Cores[index].Wire, "routechange", 500*time.Millisecond, Whole(version, base))
+				_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](world.Cores[other].line, world.Cores[index].Wire, "routechange", 500*time.Millisecond, Whole(version, base))
 				return err
 			}
 			if err := ask(other, 2, 1); err != nil {
 				test.Fatal(err)
 			}
-			line := wire.NewClient(world.Net.Transport("10.8.0.1"))
-			if read, err := wire.Call[wire.RoutingReadRequest, wire.RoutingReadResponse](line, world.Cores[leader].Wire, "routeread", time.Second, &wire.RoutingReadRequest{}); err == nil {
+			client := rpc.NewClient(world.Net.Transport("10.8.0.1"))
+			if read, err := rpc.Call[message.RoutingReadRequest, message.RoutingReadResponse](client, world.Cores[leader].Wire, "routeread", time.Second, &message.RoutingReadRequest{}); err == nil {
 				world.broke("the replaced leader read serial %d back", read.Serial)
 			}
-			_, err := wire.Call[wire.RoutingChangeRequest, wire.RoutingChangeResponse](line, world.Cores[leader].Wire, "routechange", time.Second, Whole(3, 2))
-			if kind := wire.CodeOf(err); kind == wire.StaleBase {
+			_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](client, world.Cores[leader].Wire, "routechange", time.Second, Whole(3, 2))
+			if kind := rpc.CodeOf(err); kind == rpc.StaleBase {
 				world.broke("the replaced leader refused: %v", err)
-			} else if kind != wire.NotLeader && kind != wire.NoLeader {
+			} else if kind != rpc.NotLeader && kind != rpc.NoLeader {
 				world.broke("the replaced leader answered %v", err)
 			} else {
 				refused++
 			}
-			line.Close()
+			client.Close()
 			world.report(test)
 			world.CloseFar()
 		}
--- a/sim/refuse_test.go
+++ b/sim/refuse_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"orchidjunction/control"
-	"orchidjunction/wire"
+	"orchidjunction/message"
 )
 
 // A core's disk refuses all for twenty seconds. The core stays up and does not vote;
@@ -134,5 +134,5 @@
 	if err != nil {
 		return 0
 	}
-	return store.State().Accepted[wire.RoutingRegister].Value.Serial
+	return store.State().Accepted[message.RoutingRegister].Value.Serial
 }
--- a/sim/removal_test.go
+++ b/sim/removal_test.go
@@ -7,12 +7,13 @@
 	"testing"
 	"time"
 
+	"orchidjunction/message"
 	"orchidjunction/operator"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 // voters are the IDs of those that vote, as an operators' door tells.
-func voters(membership *wire.MembershipStatus) string {
+func voters(membership *message.MembershipStatus) string {
 	ids := []int{}
 	for _, voter := range membership.Voters {
 		ids = append(ids, voter.ID)
@@ -21,20 +22,20 @@
 }
 
 // membership asks an operators' door until it answers.
-func (world *World) membership(test *testing.T, client *operator.Client) *wire.MembershipStatus {
+func (world *World) membership(test *testing.T, client *operator.Client) *message.MembershipStatus {
 	test.Helper()
-	var told *wire.MembershipStatus
+	var response *message.MembershipStatus
 	var err error
-	if !world.Until(10*time.Second, func() bool { told, err = client.Cores(); return err == nil }) {
+	if !world.Until(10*time.Second, func() bool { response, err = client.Cores(); return err == nil }) {
 		test.Fatalf("who votes: %v", err)
 	}
-	return told
+	return response
 }
 
 // remove sends the order until its answer is clear.
 func (world *World) remove(client *operator.Client, id int) (*operator.Removed, error) {
 	removed, err := client.RemoveCore(id)
-	for try := 0; try < 10 && err != nil && wire.CodeOf(err).Status() >= 500; try++ {
+	for try := 0; try < 10 && err != nil && rpc.CodeOf(err).Status() >= 500; try++ {
 		world.Rest(300 * time.Millisecond)
 		removed, err = client.RemoveCore(id)
 	}
@@ -62,14 +63,14 @@
 		client := world.Client(world.Daemons[1].Operate)
 		leader := world.Leader()
 		goes, stays := world.Cores[(leader+1)%3], world.Cores[(leader+2)%3]
-		if _, err := world.remove(client, goes.ID); err == nil || wire.CodeOf(err) != wire.NoLearner {
+		if _, err := world.remove(client, goes.ID); err == nil || rpc.CodeOf(err) != rpc.NoLearner {
 			test.Errorf("removed without a learner: %v", err)
 		}
-		if _, err := world.remove(client, 9); err == nil || wire.CodeOf(err) != wire.NotFound {
+		if _, err := world.remove(client, 9); err == nil || rpc.CodeOf(err) != rpc.NotFound {
 			test.Errorf("removed one that never was: %v", err)
 		}
-		if told := world.membership(test, client); voters(told) != "[1 2 3]" || told.Version != 1 || len(told.Learners) != 0 || len(told.Next) != 0 {
-			test.Errorf("at first %+v", told)
+		if response := world.membership(test, client); voters(response) != "[1 2 3]" || response.Version != 1 || len(response.Learners) != 0 || len(response.Next) != 0 {
+			test.Errorf("at first %+v", response)
 		}
 		for number, order := range []struct {
 			remove int
@@ -78,8 +79,8 @@
 			spare := world.StartSpare(number + 1)
 			defer world.EndSpare(spare)
 			ready := func() bool {
-				told := world.membership(test, client)
-				return slices.ContainsFunc(told.Learners, func(one wire.LearnerStatus) bool { return one.Address == spare.Wire && one.Synced && one.Seen })
+				response := world.membership(test, client)
+				return slices.ContainsFunc(response.Learners, func(one message.LearnerStatus) bool { return one.Address == spare.Wire && one.Synced && one.Seen })
 			}
 			if !world.Until(10*time.Second, ready) {
 				test.Errorf("the learner isn't ready: %+v", world.membership(test, client))
@@ -91,8 +92,8 @@
 			}
 			test.Logf("core %d removed after %v: version %d", order.remove, time.Since(begin), removed.Version)
 			slices.Sort(order.left)
-			if told := world.membership(test, client); voters(told) != fmt.Sprint(order.left) || told.Version != removed.Version || len(told.Next) != 0 {
-				test.Errorf("order %d: %+v", number, told)
+			if response := world.membership(test, client); voters(response) != fmt.Sprint(order.left) || response.Version != removed.Version || len(response.Next) != 0 {
+				test.Errorf("order %d: %+v", number, response)
 			}
 			if again, err := world.remove(client, order.remove); err != nil || !again.Again {
 				test.Errorf("the same order again: %+v %v", again, err)
@@ -136,8 +137,8 @@
 		clients := []*operator.Client{world.Client(world.Daemons[0].Operate), world.Client(world.Daemons[1].Operate)}
 		learners := func(count int) func() bool {
 			return func() bool {
-				told, synced := world.membership(test, clients[0]), 0
-				for _, one := range told.Learners {
+				response, synced := world.membership(test, clients[0]), 0
+				for _, one := range response.Learners {
 					if one.Synced {
 						synced++
 					}
@@ -156,7 +157,7 @@
 			for range ids {
 				if err := <-answers; err == nil {
 					removed++
-				} else if wire.CodeOf(err) != wire.NoLearner {
+				} else if rpc.CodeOf(err) != rpc.NoLearner {
 					test.Errorf("refused: %v", err)
 				}
 			}
@@ -168,9 +169,9 @@
 		if removed := race(others); removed != 1 {
 			test.Errorf("%d of two cores removed for one learner", removed)
 		}
-		told := world.membership(test, clients[0])
-		if len(told.Voters) != 3 || told.Version != 3 {
-			test.Errorf("after the first race %+v", told)
+		response := world.membership(test, clients[0])
+		if len(response.Voters) != 3 || response.Version != 3 {
+			test.Errorf("after the first race %+v", response)
 		}
 		for number := range 2 {
 			more := world.StartSpare(2 + number)
@@ -180,8 +181,8 @@
 		if removed := race([]int{4, 4}); removed != 2 {
 			test.Errorf("%d of two orders for one core acknowledged", removed)
 		}
-		if told := world.membership(test, clients[0]); len(told.Voters) != 3 || told.Version != 5 {
-			test.Errorf("after the second race %+v", told)
+		if response := world.membership(test, clients[0]); len(response.Voters) != 3 || response.Version != 5 {
+			test.Errorf("after the second race %+v", response)
 		}
 		world.reportWithSpares(test)
 	})
--- a/sim/replace_test.go
+++ b/sim/replace_test.go
@@ -7,7 +7,8 @@
 	"time"
 
 	"orchidjunction/control"
-	"orchidjunction/wire"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 // A core is gone for good and an empty one comes at another address. The next loss
@@ -442,19 +443,19 @@
 
 // refuses is whether a core that can't reach a majority acknowledges an order.
 func (one *trial) refuses(machine *Core) {
-	line := wire.NewClient(one.Net.Transport("10.8.0.1"))
-	defer line.Close()
+	client := rpc.NewClient(one.Net.Transport("10.8.0.1"))
+	defer client.Close()
 	for _, ask := range []func() error{
 		func() error {
-			_, err := wire.Call[wire.RoutingChangeRequest, wire.RoutingChangeResponse](line, machine.Wire, "routechange", time.Second, Whole(1000+one.newest, one.newest))
+			_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](client, machine.Wire, "routechange", time.Second, Whole(1000+one.newest, one.newest))
 			return err
 		},
 		func() error {
-			_, err := wire.Call[wire.EvacuateRequest, wire.EvacuateResponse](line, machine.Wire, "evacuate", time.Second, &wire.EvacuateRequest{Zone: "z-not", Begin: true})
+			_, err := rpc.Call[message.EvacuateRequest, message.EvacuateResponse](client, machine.Wire, "evacuate", time.Second, &message.EvacuateRequest{Zone: "z-not", Begin: true})
 			return err
 		},
 		func() error {
-			_, err := wire.Call[wire.RoutingReadRequest, wire.RoutingReadResponse](line, machine.Wire, "routeread", time.Second, &wire.RoutingReadRequest{})
+			_, err := rpc.Call[message.RoutingReadRequest, message.RoutingReadResponse](client, machine.Wire, "routeread", time.Second, &message.RoutingReadRequest{})
 			return err
 		},
 	} {
--- a/sim/replaced_test.go
+++ b/sim/replaced_test.go
@@ -8,9 +8,10 @@
 
 	"orchidjunction/control"
 	"orchidjunction/member"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
 	"orchidjunction/stand"
-	"orchidjunction/wire"
 )
 
 // Spare is a core machine beside the founding ones: it has seeds and no ID.
@@ -31,7 +32,7 @@
 	if err := place.Check(); err != nil {
 		world.broke("spare %d: %v", number, err)
 	}
-	spare.threads, spare.line = run.NewThreads(), wire.NewClient(world.Net.Transport(host))
+	spare.threads, spare.line = run.NewThreads(), rpc.NewClient(world.Net.Transport(host))
 	finder := member.NewFinder(spare.line, spare.threads, seeds)
 	place.MembersChanged = finder.Learn
 	core, err := control.NewCore(place, spare.Disk, spare.line, spare.threads, spare.counts)
@@ -40,11 +41,11 @@
 		return spare
 	}
 	spare.Core.Core, spare.Alive = core, true
-	door := wire.NewServer(spare.counts)
-	core.Register(door)
+	server := rpc.NewServer(spare.counts)
+	core.Register(server)
 	spare.Hold = member.NewHold(finder, spare.line, spare.counts)
 	operate := member.NewOperate(fmt.Sprint("spare-", number), spare.Hold, spare.counts, core.Settings, core.Sound)
-	spare.servers = []*http.Server{world.serve(spare.threads, spare.Wire, door), world.serve(spare.threads, spare.Operate, operate)}
+	spare.servers = []*http.Server{world.serve(spare.threads, spare.Wire, server), world.serve(spare.threads, spare.Operate, operate)}
 	finder.Run()
 	core.Run()
 	return spare
@@ -72,8 +73,8 @@
 
 // wholeClaims is whether a core says that it lacks no claim it should hold.
 func wholeClaims(core *Core) bool {
-	told, err := wire.Call[wire.FetchClaimsRequest, wire.FetchClaimsResponse](core.line, core.Wire, "pull", time.Second, &wire.FetchClaimsRequest{})
-	return err == nil && told.Complete
+	response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](core.line, core.Wire, "pull", time.Second, &message.FetchClaimsRequest{})
+	return err == nil && response.Complete
 }
 
 // upWithKeepers starts the system with a backend in each zone, and waits until all
--- a/sim/returned_test.go
+++ b/sim/returned_test.go
@@ -1,11 +1,10 @@
 package sim
 
 import (
+	"orchidjunction/message"
 	"slices"
 	"testing"
 	"time"
-
-	"orchidjunction/wire"
 )
 
 // replaceCore kills a core for good and lets a spare one take its place.
@@ -51,8 +50,8 @@
 			test.Errorf("with one founding core and the spare one: %v", err)
 		}
 		again := func() bool {
-			told := world.membership(test, client)
-			return len(told.Next) == 0 && slices.ContainsFunc(told.Voters, func(voter wire.VoterStatus) bool {
+			response := world.membership(test, client)
+			return len(response.Next) == 0 && slices.ContainsFunc(response.Voters, func(voter message.VoterStatus) bool {
 				return voter.Address == world.Cores[old].Wire && voter.ID == 5
 			})
 		}
@@ -106,9 +105,9 @@
 		if err := world.changeSettings(client, 3); err != nil {
 			test.Errorf("with the moved core and one other: %v", err)
 		}
-		told := world.membership(test, client)
-		if told.Version != 1 || voters(told) != "[1 2 3]" || told.Voters[moved.ID-1].Address != moved.Wire {
-			test.Errorf("%+v", told)
+		response := world.membership(test, client)
+		if response.Version != 1 || voters(response) != "[1 2 3]" || response.Voters[moved.ID-1].Address != moved.Wire {
+			test.Errorf("%+v", response)
 		}
 		world.report(test)
 	})
--- a/sim/roster_test.go
+++ b/sim/roster_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"orchidjunction/control"
-	"orchidjunction/wire"
+	"orchidjunction/message"
 )
 
 // rosters are those that the disks hold now, each once, with how many hold it.
@@ -146,7 +146,7 @@
 			world.broke("a core outside the roster votes")
 		}
 		for version := uint64(2); version < 6; version++ {
-			if _, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world, world.holds()[3:], "routechange", Whole(version, version-1)); err != nil {
+			if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds()[3:], "routechange", Whole(version, version-1)); err != nil {
 				world.broke("through the late core: %v", err)
 			}
 			leader := world.Leader()
--- a/sim/routing_test.go
+++ b/sim/routing_test.go
@@ -8,8 +8,9 @@
 
 	"orchidjunction/control"
 	"orchidjunction/member"
+	"orchidjunction/message"
 	"orchidjunction/route"
-	"orchidjunction/wire"
+	"orchidjunction/rpc"
 )
 
 // farUp starts the cores and members of a far world and puts routing 1 in force.
@@ -64,11 +65,11 @@
 		world.farUp(test, 3)
 		for _, step := range []struct {
 			version, base uint64
-			want          wire.Code
-		}{{5, 1, ""}, {5, 1, ""}, {1, 0, ""}, {4, 5, wire.StaleVersion}, {5, 5, wire.StaleVersion}, {9, 1, wire.StaleBase}, {9, 5, ""}} {
-			got := wire.Code("")
+			want          rpc.Code
+		}{{5, 1, ""}, {5, 1, ""}, {1, 0, ""}, {4, 5, rpc.StaleVersion}, {5, 5, rpc.StaleVersion}, {9, 1, rpc.StaleBase}, {9, 5, ""}} {
+			got := rpc.Code("")
 			if err := world.Put(step.version, step.base); err != nil {
-				got = wire.CodeOf(err)
+				got = rpc.CodeOf(err)
 			}
 			if got != step.want {
 				world.broke("%d on %d: %q, want %q", step.version, step.base, got, step.want)
@@ -76,8 +77,8 @@
 		}
 		invalid := Routing(10)
 		invalid.Routes[0].Service = "nobody"
-		body, _ := wire.Marshal(&route.Change{Version: 10, Base: 9, Digest: "wrong", Whole: invalid})
-		if _, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world, world.holds(), "routechange", &wire.RoutingChangeRequest{Body: body}); err == nil {
+		body, _ := rpc.Marshal(&route.Change{Version: 10, Base: 9, Digest: "wrong", Whole: invalid})
+		if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds(), "routechange", &message.RoutingChangeRequest{Body: body}); err == nil {
 			world.broke("an invalid routing was taken")
 		}
 		last := uint64(9)
@@ -87,7 +88,7 @@
 			for racer := range uint64(2) {
 				version := last + 1 + racer
 				world.threads.Start(func() {
-					_, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world, world.holds()[racer:], "routechange", Whole(version, last))
+					_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds()[racer:], "routechange", Whole(version, last))
 					mutex.Lock()
 					defer mutex.Unlock()
 					if done++; err == nil {
@@ -136,8 +137,8 @@
 		}
 		more := Routing(2).Routes
 		more[0].Prefix = "/b/"
-		body, _ := wire.Marshal(&route.Change{Version: 2, Base: 1, Digest: "patch", Patch: &route.Patch{Routes: more}})
-		if _, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world, world.holds(), "routechange", &wire.RoutingChangeRequest{Body: body}); err != nil {
+		body, _ := rpc.Marshal(&route.Change{Version: 2, Base: 1, Digest: "patch", Patch: &route.Patch{Routes: more}})
+		if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds(), "routechange", &message.RoutingChangeRequest{Body: body}); err != nil {
 			test.Fatal(err)
 		}
 		book, err := world.Book()
@@ -250,7 +251,7 @@
 				world.isolate(leader, true)
 			}
 			begin := time.Now()
-			_, err := order[wire.RoutingChangeRequest, wire.RoutingChangeResponse](world, holds, "routechange", Whole(version+1, version))
+			_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, holds, "routechange", Whole(version+1, version))
 			wait := time.Since(begin)
 			if err != nil {
 				test.Fatalf("%s: %v", kind, err)
@@ -322,7 +323,7 @@
 // A backend that leaves stays leaving, its warm time moves by no jitter, and it
 // is gone once two whole lists lack it.
 func TestListedBackendsOnlyMoveOn(test *testing.T) {
-	world := func(seed uint64, listed func(call int) []wire.Backend) func(test *testing.T) {
+	world := func(seed uint64, listed func(call int) []message.Backend) func(test *testing.T) {
 		return func(test *testing.T) {
 			world := NewFarWorld(seed, 3)
 			defer world.CloseFar()
@@ -355,15 +356,15 @@
 	}
 	eachWorld(test, func(seed uint64) func(test *testing.T) {
 		warm := time.Now().Add(time.Hour).UnixMilli()
-		return world(seed, func(call int) []wire.Backend {
+		return world(seed, func(call int) []message.Backend {
 			if call > 40 {
 				return nil
 			}
-			one := wire.Backend{Name: "b", Service: "desk", Address: "10.9.9.9:80", Capacity: 4, WarmAtMs: warm + int64(call%5)*90, Leaving: call > 15 && call%3 > 0}
+			one := message.Backend{Name: "b", Service: "desk", Address: "10.9.9.9:80", Capacity: 4, WarmAtMs: warm + int64(call%5)*90, Leaving: call > 15 && call%3 > 0}
 			if call%4 == 0 {
 				one.WarmAtMs = 0
 			}
-			return []wire.Backend{one}
+			return []message.Backend{one}
 		})
 	})
 }
--- a/sim/trial_test.go
+++ b/sim/trial_test.go
@@ -10,7 +10,8 @@
 
 	"orchidjunction/control"
 	"orchidjunction/member"
-	"orchidjunction/wire"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 const (
@@ -75,7 +76,7 @@
 			one.Rest(orderRest)
 			continue
 		}
-		_, err := member.Send[wire.RoutingChangeRequest, wire.RoutingChangeResponse](holds[try%len(holds)], "routechange", Whole(one.newest+1, one.newest))
+		_, err := member.Send[message.RoutingChangeRequest, message.RoutingChangeResponse](holds[try%len(holds)], "routechange", Whole(one.newest+1, one.newest))
 		switch {
 		case err == nil && lost:
 			lost = false
@@ -84,7 +85,7 @@
 			one.newest++
 			one.orders++
 			return true
-		case wire.AsError(err).RetryAfterMs == 0:
+		case rpc.AsError(err).RetryAfterMs == 0:
 			one.broke("%d on %d is refused: %v", one.newest+1, one.newest, err)
 			return false
 		}
--- a/sim/world.go
+++ b/sim/world.go
@@ -13,11 +13,12 @@
 	"orchidjunction/data"
 	"orchidjunction/judge"
 	"orchidjunction/member"
+	"orchidjunction/message"
 	"orchidjunction/operator"
 	"orchidjunction/place"
+	"orchidjunction/rpc"
 	"orchidjunction/run"
 	"orchidjunction/stand"
-	"orchidjunction/wire"
 )
 
 // World is a whole fleet in one bubble of virtual time.
@@ -52,7 +53,7 @@
 	Limits    member.HoldLimits
 
 	Members  []*Member
-	Requests func(*Member) []wire.WindowCount
+	Requests func(*Member) []message.WindowCount
 	Metering control.Metering
 	Listed   func(page string) control.Listing
 }
@@ -72,7 +73,7 @@
 	Alive   bool
 	threads *run.Threads
 	servers []*http.Server
-	line    *wire.Client
+	line    *rpc.Client
 	highest uint64
 	Lender  *Daemon
 }
@@ -161,7 +162,7 @@
 	}
 	spot := member.Place{Name: daemon.Name, Kind: daemon.Kind, Zone: daemon.Zone, Wire: daemon.Wire, Outer: daemon.Outer, Operate: daemon.Operate, Seeds: seeds, Guest: daemon.Lender != nil}
 	daemon.threads, daemon.Counts = run.NewThreads(), run.NewCounts()
-	daemon.line = wire.NewClient(world.Net.Transport(daemon.Host))
+	daemon.line = rpc.NewClient(world.Net.Transport(daemon.Host))
 	made := member.NewDaemon(spot, member.NewID(), daemon.line, daemon.threads, daemon.Counts)
 	world.mutex.Lock()
 	daemon.Daemon = made
@@ -179,16 +180,16 @@
 		outer = directory
 		daemon.Daemon.Serve(func(version *member.Version) { world.takes(daemon, version); directory.Apply(version) }, nil)
 	}
-	door := wire.NewServer(daemon.Counts)
-	daemon.Daemon.Register(door)
+	server := rpc.NewServer(daemon.Counts)
+	daemon.Daemon.Register(server)
 	if daemon.Proxy != nil {
-		daemon.Proxy.Register(door)
+		daemon.Proxy.Register(server)
 	}
 	operate := member.NewOperate(daemon.Name, daemon.Daemon.Hold, daemon.Counts, func() (uint64, []byte) {
 		version := daemon.Daemon.Version()
 		return version.Serial, version.Body()
 	}, daemon.Daemon.Ready)
-	daemon.servers = []*http.Server{world.serve(daemon.threads, daemon.Outer, outer), world.serve(daemon.threads, daemon.Wire, door), world.serve(daemon.threads, daemon.Operate, operate)}
+	daemon.servers = []*http.Server{world.serve(daemon.threads, daemon.Outer, outer), world.serve(daemon.threads, daemon.Wire, server), world.serve(daemon.threads, daemon.Operate, operate)}
 	world.mutex.Lock()
 	daemon.Alive, daemon.highest = true, 0
 	world.mutex.Unlock()
