--- a/cmd/ojback/main.go
+++ b/cmd/ojback/main.go
@@ -2,11 +2,11 @@
 package main
 
 import (
+	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/member"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 	"orchidjunction/stand"
 	"time"
 )
@@ -34,15 +34,15 @@
 	if err != nil {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--journal: %v", err))
 	}
-	threads := run.NewThreads()
+	goroutines := concurrent.NewGroup()
 	listener, err := program.Listen(listen, backend, 64<<10)
 	flags.Exit(err)
-	listener.Serve(threads)
-	program.OnTerm(threads, func() {
+	listener.Serve(goroutines)
+	program.OnTerm(goroutines, func() {
 		backend.Leave()
-		threads.Rest(time.Duration(leaveMs) * time.Millisecond)
+		goroutines.Sleep(time.Duration(leaveMs) * time.Millisecond)
 		listener.Drain(6*time.Second - time.Duration(leaveMs)*time.Millisecond)
-		threads.Stop()
+		goroutines.Stop()
 	})
-	threads.Wait()
+	goroutines.Wait()
 }
--- a/cmd/ojcore/main.go
+++ b/cmd/ojcore/main.go
@@ -9,11 +9,12 @@
 	"strings"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/member"
+	"orchidjunction/metrics"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 
 	"k8s.io/klog/v2"
 )
@@ -58,40 +59,40 @@
 	if err := os.MkdirAll(data, 0o700); err != nil {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--data: %v", err))
 	}
-	threads, counts := run.NewThreads(), run.NewCounts()
+	goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
 	client := rpc.NewClient(program.Transport())
-	finder := member.NewFinder(client, threads, knownCores(&place))
+	finder := member.NewFinder(client, goroutines, knownCores(&place))
 	place.MembersChanged = finder.Learn
-	core, err := control.NewCore(place, control.Folder(data), client, threads, counts)
+	core, err := control.NewCore(place, control.Folder(data), client, goroutines, counters)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "ojcore: %v\n", err)
 		os.Exit(3)
 	}
-	server := rpc.NewServer(counts)
+	server := rpc.NewServer(counters)
 	core.Register(server)
-	hold := member.NewHold(finder, client, counts)
+	hold := member.NewHold(finder, client, counters)
 	name := nameOf(&place)
-	operate := member.NewOperate(name, hold, counts, core.Settings, core.Sound)
+	operate := member.NewOperate(name, hold, counters, core.Settings, core.Sound)
 	wired, err := program.Listen(place.Wire, server, 64<<10)
 	flags.Exit(err)
 	operated, err := program.Listen(place.Operate, operate, 64<<10)
 	flags.Exit(err)
-	wired.Serve(threads)
-	operated.Serve(threads)
+	wired.Serve(goroutines)
+	operated.Serve(goroutines)
 	finder.Run()
 	core.Run()
-	program.LogCounts(threads, counts, name)
-	program.OnTerm(threads, func() {
+	program.LogCounts(goroutines, counters, name)
+	program.OnTerm(goroutines, func() {
 		begin := time.Now()
 		core.Retire(time.Duration(grace) * time.Millisecond)
 		operated.Drain(time.Duration(grace)*time.Millisecond - time.Since(begin))
-		threads.Stop()
+		goroutines.Stop()
 	})
 	klog.Infof("%s: started in zone %s", name, place.Zone)
-	threads.OnStop(func() {
+	goroutines.OnStop(func() {
 		wired.Close()
 		operated.Close()
 	})
-	threads.Wait()
+	goroutines.Wait()
 	core.Close()
 }
--- a/cmd/ojdir/main.go
+++ b/cmd/ojdir/main.go
@@ -2,16 +2,17 @@
 package main
 
 import (
+	"orchidjunction/concurrent"
 	"orchidjunction/member"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/place"
 	"orchidjunction/program"
-	"orchidjunction/run"
 )
 
 func main() {
 	flags := program.NewFlags("ojdir", "a directory node of orchidjunction: tells callers where to go")
-	program.RunDaemon(flags, "dir", nil, func(daemon *member.Daemon, _ *run.Threads, counts *run.Counts) (program.Plane, func() []message.Probe) {
-		return place.NewDirectory(daemon, counts), nil
+	program.RunDaemon(flags, "dir", nil, func(daemon *member.Daemon, _ *concurrent.Group, counters *metrics.Counters) (program.Plane, func() []message.Probe) {
+		return place.NewDirectory(daemon, counters), nil
 	})
 }
--- a/cmd/ojfleet/main.go
+++ b/cmd/ojfleet/main.go
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/fleet"
 	"orchidjunction/judge"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 func main() {
@@ -56,7 +56,7 @@
 		}
 		folder = made
 	}
-	threads := run.NewThreads()
+	goroutines := concurrent.NewGroup()
 	fleets, port := []*fleet.Fleet{}, spec.BasePort
 	for _, name := range sizes {
 		base, found := fleet.Sizes[name]
@@ -76,7 +76,7 @@
 		if rate > 0 {
 			one.Rate = rate
 		}
-		laid, err := fleet.NewFleet(one, threads)
+		laid, err := fleet.NewFleet(one, goroutines)
 		flags.Exit(err)
 		fleets = append(fleets, laid)
 		port += one.Ports()
@@ -87,10 +87,10 @@
 		fleets[0].Lend(fleets[1])
 		fleets[1].Lend(fleets[0])
 	}
-	program.OnTerm(threads, threads.Stop)
+	program.OnTerm(goroutines, goroutines.Stop)
 	begin := time.Now()
-	verdicts, err := fleet.PlayBoth(fleets, chosen, threads)
-	threads.Stop()
+	verdicts, err := fleet.PlayBoth(fleets, chosen, goroutines)
+	goroutines.Stop()
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "ojfleet: %v\n", err)
 		os.Exit(1)
--- a/cmd/ojfleet/scale.go
+++ b/cmd/ojfleet/scale.go
@@ -6,9 +6,9 @@
 	"os"
 	"strings"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 	"orchidjunction/scale"
 
 	"github.com/integrii/flaggy"
@@ -74,9 +74,9 @@
 }
 
 func (scaling *scaling) measure() error {
-	threads := run.NewThreads()
-	program.OnTerm(threads, threads.Stop)
-	defer threads.Stop()
+	goroutines := concurrent.NewGroup()
+	program.OnTerm(goroutines, goroutines.Stop)
+	defer goroutines.Stop()
 	played := false
 	for _, name := range strings.Split(scaling.sweep, ",") {
 		if name == "all" || name == "state" {
@@ -88,7 +88,7 @@
 		for index := range scale.Sweeps {
 			if sweep := &scale.Sweeps[index]; name == "all" || name == sweep.Name {
 				played = true
-				if err := sweep.Play(scaling.results, scaling.port, threads, os.Stdout); err != nil {
+				if err := sweep.Play(scaling.results, scaling.port, goroutines, os.Stdout); err != nil {
 					return err
 				}
 			}
--- a/cmd/ojnode/core.go
+++ b/cmd/ojnode/core.go
@@ -53,7 +53,7 @@
 	}
 	line := rpc.NewClient(program.FarTransport(userTimeout))
 	var core *control.Core
-	finder := member.NewFinder(line, node.threads, innerSeeds(settings)).Paced(member.Paces{Seek: seekPace})
+	finder := member.NewFinder(line, node.goroutines, innerSeeds(settings)).Paced(member.Paces{Seek: seekPace})
 	client := platform.NewClient(settings.Platform.Address, program.FarTransport(userTimeout), func() int64 { return core.Now() })
 	place := control.Place{Name: settings.Name, Zone: settings.Zone, Wire: inner(settings, settings.Address), Seeds: innerSeeds(settings), Found: settings.First,
 		Least: 2*settings.Survive.Machines + 1, Beat: beat, Suspect: suspect, Seed: uint64(time.Now().UnixNano()), Direct: true, Table: tablePace,
@@ -69,30 +69,30 @@
 	if err := place.Check(); err != nil {
 		return err
 	}
-	core, err := control.NewCore(place, control.Folder(settings.Folder), line, node.threads, node.counts)
+	core, err := control.NewCore(place, control.Folder(settings.Folder), line, node.goroutines, node.counters)
 	if err != nil {
 		return err
 	}
-	server := rpc.NewServer(node.counts)
+	server := rpc.NewServer(node.counters)
 	core.Register(server)
-	hold := member.NewHold(finder, line, node.counts).Within(member.HoldLimits{Send: sendLimit})
+	hold := member.NewHold(finder, line, node.counters).Within(member.HoldLimits{Send: sendLimit})
 	hold.Follow(core.Leader)
-	orders := platform.NewControl(platform.NewLeaderOrders(hold), func() map[string]string { return node.source.Settings().Zones }, node.counts)
+	orders := platform.NewControl(platform.NewLeaderOrders(hold), func() map[string]string { return node.source.Settings().Zones }, node.counters)
 	if err := node.open(side{place.Wire, server}, side{settings.Listen.Operators, orders}); err != nil {
 		return err
 	}
 	finder.Run()
 	core.Run()
-	node.source.Follow(node.threads)
-	program.LogCounts(node.threads, node.counts, settings.Name)
-	program.OnTerm(node.threads, func() {
+	node.source.Follow(node.goroutines)
+	program.LogCounts(node.goroutines, node.counters, settings.Name)
+	program.OnTerm(node.goroutines, func() {
 		begin, grace := time.Now(), settings.Bounds.Grace-graceRest
 		core.Retire(grace)
 		node.listeners[1].Drain(grace - time.Since(begin))
-		node.threads.Stop()
+		node.goroutines.Stop()
 	})
 	klog.Infof("%s: core started in zone %s", settings.Name, settings.Zone)
-	node.threads.Wait()
+	node.goroutines.Wait()
 	core.Close()
 	return nil
 }
--- a/cmd/ojnode/main.go
+++ b/cmd/ojnode/main.go
@@ -8,10 +8,11 @@
 	"net/netip"
 	"strconv"
 
+	"orchidjunction/concurrent"
+	"orchidjunction/metrics"
 	"orchidjunction/platform"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 
 	"github.com/integrii/flaggy"
 )
@@ -31,7 +32,7 @@
 	}
 	source, err := platform.NewSource()
 	flags.Exit(err)
-	node := &node{source: source, threads: run.NewThreads(), counts: run.NewCounts()}
+	node := &node{source: source, goroutines: concurrent.NewGroup(), counters: metrics.NewCounters()}
 	if proxy.Used {
 		flags.Exit(node.runProxy())
 	} else {
@@ -41,10 +42,10 @@
 
 // node is one process with its open sides.
 type node struct {
-	source    *platform.Source
-	threads   *run.Threads
-	counts    *run.Counts
-	listeners []*program.Listener
+	source     *platform.Source
+	goroutines *concurrent.Group
+	counters   *metrics.Counters
+	listeners  []*program.Listener
 }
 
 // side is one address and what serves it.
@@ -66,8 +67,8 @@
 		node.listeners = append(node.listeners, listener)
 	}
 	for _, listener := range node.listeners {
-		listener.Serve(node.threads)
-		node.threads.OnStop(listener.Close)
+		listener.Serve(node.goroutines)
+		node.goroutines.OnStop(listener.Close)
 	}
 	return nil
 }
--- a/cmd/ojnode/proxy.go
+++ b/cmd/ojnode/proxy.go
@@ -37,11 +37,11 @@
 	if err := place.Check(); err != nil {
 		return err
 	}
-	daemon := member.NewDaemon(place, incarnation(), client, node.threads, node.counts)
+	daemon := member.NewDaemon(place, incarnation(), client, node.goroutines, node.counters)
 	dialer := &net.Dialer{Control: program.UserTimeout(backendSilent), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}}
 	plane := proxy.NewProxy(proxy.Place{Name: settings.Name, Zone: settings.Zone, Regions: settings.Zones, Headers: platform.RequestHeaders(),
 		RetryRatio: settings.Bounds.RetryRatio, RetryExtra: float64(settings.Bounds.RetryExtra), WarmupExcess: settings.Bounds.WarmupExcess,
-		WarmupExtra: settings.Bounds.WarmupExtra, UsageWindow: settings.Bounds.ReportWindow, ListLag: settings.Platform.Lag, LinkBytes: settings.Machine.LinkMbps * 1e6 / 8}, dialer.DialContext, daemon.Now, node.threads, node.counts)
+		WarmupExtra: settings.Bounds.WarmupExtra, UsageWindow: settings.Bounds.ReportWindow, ListLag: settings.Platform.Lag, LinkBytes: settings.Machine.LinkMbps * 1e6 / 8}, dialer.DialContext, daemon.Now, node.goroutines, node.counters)
 	daemon.Serve(func(version *member.Version) {
 		if version.Book != nil && version.Routing > 0 && version.Table.Complete {
 			plane.Lay(version.Book, version.Table)
@@ -49,7 +49,7 @@
 	}, nil)
 	daemon.Meter(plane.Windows)
 	daemon.Warm(plane.Ready)
-	server := rpc.NewServer(node.counts)
+	server := rpc.NewServer(node.counters)
 	daemon.Register(server)
 	lookups := platform.NewLookup(node.source.Settings, func() *message.Table { return daemon.Version().Table },
 		func() (string, bool) { return settings.Listen.Clients, plane.Ready() })
@@ -63,17 +63,17 @@
 	}
 	daemon.Run()
 	plane.Run()
-	node.source.Follow(node.threads)
-	program.LogCounts(node.threads, node.counts, settings.Name)
-	program.OnTerm(node.threads, func() {
+	node.source.Follow(node.goroutines)
+	program.LogCounts(node.goroutines, node.counters, settings.Name)
+	program.OnTerm(node.goroutines, func() {
 		plane.Leave()
 		grace := settings.Bounds.Grace - graceRest
 		whole := daemon.Retire(min(linger, grace/2), grace, node.listeners[0].Drain)
 		klog.Infof("%s: stops, all in flight finished: %v", settings.Name, whole)
-		node.threads.Stop()
+		node.goroutines.Stop()
 	})
 	klog.Infof("%s: proxy started in zone %s", settings.Name, settings.Zone)
-	node.threads.Wait()
+	node.goroutines.Wait()
 	client.Close()
 	return nil
 }
--- a/cmd/ojorigin/main.go
+++ b/cmd/ojorigin/main.go
@@ -8,9 +8,9 @@
 	"os"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 	"orchidjunction/stand"
 )
 
@@ -30,12 +30,12 @@
 	if plan.PerSecond < 1 || plan.Seconds <= 0 || len(plan.Directories) == 0 || len(plan.Callers) == 0 || len(plan.Calls) == 0 {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--plan: directories, callers, calls, per_second and seconds must be given"))
 	}
-	threads := run.NewThreads()
+	goroutines := concurrent.NewGroup()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
-	origin := stand.NewOrigin(plan, client, threads.Start)
-	program.OnTerm(threads, threads.Stop)
-	report := origin.Run(threads.Rest)
-	threads.Stop()
+	origin := stand.NewOrigin(plan, client, goroutines.Start)
+	program.OnTerm(goroutines, goroutines.Stop)
+	report := origin.Run(goroutines.Sleep)
+	goroutines.Stop()
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(report); err != nil {
--- a/cmd/ojplat/main.go
+++ b/cmd/ojplat/main.go
@@ -7,10 +7,10 @@
 	"os"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 	"orchidjunction/stand"
 )
 
@@ -37,13 +37,13 @@
 	if rate < 1 || page < 1 || lag < 0 {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--rate and --page are at least 1, --lag-ms at least 0"))
 	}
-	threads := run.NewThreads()
+	goroutines := concurrent.NewGroup()
 	listener, err := program.Listen(listen, stand.NewPlatform(page, time.Duration(lag)*time.Millisecond, float64(rate), items), 64<<10)
 	flags.Exit(err)
-	listener.Serve(threads)
-	program.OnTerm(threads, func() {
+	listener.Serve(goroutines)
+	program.OnTerm(goroutines, func() {
 		listener.Drain(time.Second)
-		threads.Stop()
+		goroutines.Stop()
 	})
-	threads.Wait()
+	goroutines.Wait()
 }
--- a/cmd/ojproxy/main.go
+++ b/cmd/ojproxy/main.go
@@ -5,11 +5,12 @@
 	"net"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/data"
 	"orchidjunction/member"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/program"
-	"orchidjunction/run"
 )
 
 func main() {
@@ -19,8 +20,8 @@
 	guest.Join = func(owner, borrower program.Plane) {
 		borrower.(*data.Proxy).Borrow(data.NewLend(owner.(*data.Proxy), guest.PerSecond, guest.InFlight))
 	}
-	program.RunDaemon(flags, "proxy", guest, func(daemon *member.Daemon, threads *run.Threads, counts *run.Counts) (program.Plane, func() []message.Probe) {
-		proxy := data.NewProxy(daemon, threads, counts, dialer.DialContext)
+	program.RunDaemon(flags, "proxy", guest, func(daemon *member.Daemon, goroutines *concurrent.Group, counters *metrics.Counters) (program.Plane, func() []message.Probe) {
+		proxy := data.NewProxy(daemon, goroutines, counters, dialer.DialContext)
 		return proxy, proxy.Probes
 	})
 }
--- /dev/null
+++ b/concurrent/concurrent_test.go
@@ -0,0 +1,131 @@
+package concurrent
+
+import (
+	"errors"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// A queue gives its items in order, refuses more than its capacity, and gives none once
+// it is closed.
+func TestQueueIsBoundedAndOrdered(test *testing.T) {
+	queue := NewQueue[int](3)
+	for item := range 3 {
+		if !queue.Put(item) {
+			test.Errorf("item %d is refused", item)
+		}
+	}
+	if queue.Put(3) {
+		test.Error("an item above the capacity is accepted")
+	}
+	if first := queue.Take(2); len(first) != 2 || first[0] != 0 || first[1] != 1 {
+		test.Errorf("took %v", first)
+	}
+	if !queue.Put(4) {
+		test.Error("an item is refused after others were taken")
+	}
+	if rest := queue.Take(5); len(rest) != 2 || rest[0] != 2 || rest[1] != 4 {
+		test.Errorf("took %v", rest)
+	}
+	queue.Put(5)
+	queue.Close()
+	if queue.Put(6) || queue.Take(1) != nil {
+		test.Error("a closed queue gives or accepts items")
+	}
+}
+
+// A sleep lasts as long as it says, and ends at once when the group is stopped.
+func TestSleepEndsWhenTheGroupStops(test *testing.T) {
+	synctest.Test(test, func(test *testing.T) {
+		group := NewGroup()
+		begin := time.Now()
+		if !group.Sleep(time.Second) || time.Since(begin) != time.Second {
+			test.Errorf("slept %v", time.Since(begin))
+		}
+		calls := 0
+		group.Every(Fixed(time.Second), func() { calls++ })
+		group.Start(func() {
+			group.Sleep(3500 * time.Millisecond)
+			group.Stop()
+		})
+		begin = time.Now()
+		if group.Sleep(time.Hour) || time.Since(begin) != 3500*time.Millisecond {
+			test.Errorf("slept %v over the stop", time.Since(begin))
+		}
+		group.Wait()
+		if calls != 3 {
+			test.Errorf("%d periodic calls, want 3", calls)
+		}
+		stopped := false
+		group.OnStop(func() { stopped = true })
+		if !stopped {
+			test.Error("a hook registered after the stop is not called")
+		}
+	})
+}
+
+// A waiter is woken by a notification that comes between its look at the count and its
+// wait, and gives up after its time-out.
+func TestConditionLosesNoNotification(test *testing.T) {
+	synctest.Test(test, func(test *testing.T) {
+		condition := NewCondition()
+		seen := condition.Count()
+		condition.Notify()
+		if !condition.Wait(seen, time.Second) {
+			test.Error("a notification before the wait is lost")
+		}
+		begin := time.Now()
+		if condition.Wait(condition.Count(), time.Second) || time.Since(begin) != time.Second {
+			test.Errorf("waited %v for nothing", time.Since(begin))
+		}
+	})
+}
+
+// Gather returns as soon as it has enough, and all results and errors otherwise.
+func TestGatherReturnsWhenItHasEnough(test *testing.T) {
+	synctest.Test(test, func(test *testing.T) {
+		group := NewGroup()
+		failure := errors.New("the odd ones fail")
+		call := func(index int) (int, error) {
+			time.Sleep(time.Duration(index) * time.Second)
+			if index%2 == 1 {
+				return 0, failure
+			}
+			return index, nil
+		}
+		begin := time.Now()
+		results, errs := Gather(group, 5, call, func(results map[int]int, _ map[int]error) bool { return len(results) == 2 })
+		if len(results) != 2 || len(errs) != 1 || time.Since(begin) != 2*time.Second {
+			test.Errorf("%d results and %d errors after %v", len(results), len(errs), time.Since(begin))
+		}
+		results, errs = Gather(group, 4, call, func(map[int]int, map[int]error) bool { return false })
+		if len(results) != 2 || results[2] != 2 || !errors.Is(errs[3], failure) {
+			test.Errorf("results %v and errors %v", results, errs)
+		}
+		group.Wait()
+	})
+}
+
+// A lock is held by one goroutine at a time, also while that sleeps.
+func TestLockIsHeldOverWaits(test *testing.T) {
+	synctest.Test(test, func(test *testing.T) {
+		group, lock := NewGroup(), NewLock()
+		holders, most := 0, 0
+		begin := time.Now()
+		for range 3 {
+			group.Start(func() {
+				lock.Lock()
+				defer lock.Unlock()
+				holders++
+				most = max(most, holders)
+				time.Sleep(time.Second)
+				holders--
+			})
+		}
+		group.Wait()
+		if most != 1 || time.Since(begin) != 3*time.Second {
+			test.Errorf("%d holders at once, %v in all", most, time.Since(begin))
+		}
+	})
+}
--- /dev/null
+++ b/concurrent/condition.go
@@ -0,0 +1,62 @@
+package concurrent
+
+import (
+	"sync"
+	"time"
+)
+
+// Condition counts notifications, so that none is lost between a look at the count and
+// the wait for the next one. It is safe for concurrent use.
+type Condition struct {
+	mutex sync.Mutex
+	wake  *sync.Cond
+	count uint64
+}
+
+// NewCondition returns a Condition whose count is zero.
+func NewCondition() *Condition {
+	condition := &Condition{}
+	condition.wake = sync.NewCond(&condition.mutex)
+	return condition
+}
+
+// Notify counts one notification and wakes all waiters.
+func (condition *Condition) Notify() {
+	condition.mutex.Lock()
+	condition.count++
+	condition.wake.Broadcast()
+	condition.mutex.Unlock()
+}
+
+// Count returns the number of notifications so far.
+func (condition *Condition) Count() uint64 {
+	condition.mutex.Lock()
+	defer condition.mutex.Unlock()
+	return condition.count
+}
+
+// Wait blocks until the count exceeds seen and returns true, or returns false once the
+// timeout has passed. With a timeout of zero or less it only looks.
+func (condition *Condition) Wait(seen uint64, timeout time.Duration) bool {
+	if timeout <= 0 {
+		return condition.Count() > seen
+	}
+	deadline := time.Now().Add(timeout)
+	timer := time.AfterFunc(timeout, condition.broadcast)
+	defer timer.Stop()
+	condition.mutex.Lock()
+	defer condition.mutex.Unlock()
+	for condition.count <= seen {
+		if !time.Now().Before(deadline) {
+			return false
+		}
+		condition.wake.Wait()
+	}
+	return true
+}
+
+func (condition *Condition) broadcast() {
+	condition.mutex.Lock()
+	condition.wake.Broadcast()
+	condition.mutex.Unlock()
+}
--- /dev/null
+++ b/concurrent/group.go
@@ -0,0 +1,132 @@
+// Package concurrent starts the goroutines of a process in one place and stops them
+// together (Group), and hands work from one to another: conditions (Condition), bounded
+// queues (Queue), locks that may be held over a wait (Lock), and concurrent calls (Gather).
+//
+// Waits use mutexes and conditions rather than channels and sync.WaitGroup, and a Lock
+// rather than a sync.Mutex where another goroutine may sleep while it holds it: tests run
+// on the virtual time of testing/synctest, which stands still while a goroutine waits for
+// a sync.Mutex.
+package concurrent
+
+import (
+	"sync"
+	"time"
+)
+
+// Group starts the goroutines of a process, or of a simulated machine, and stops them
+// together. It is safe for concurrent use.
+type Group struct {
+	mutex    sync.Mutex
+	wake     *sync.Cond
+	running  int
+	stopping bool
+	hooks    []func()
+}
+
+// NewGroup returns a Group that runs nothing yet.
+func NewGroup() *Group {
+	group := &Group{}
+	group.wake = sync.NewCond(&group.mutex)
+	return group
+}
+
+// Start runs task in a goroutine that Wait waits for. It runs also after Stop.
+func (group *Group) Start(task func()) {
+	group.mutex.Lock()
+	group.running++
+	group.mutex.Unlock()
+	go func() {
+		defer group.done()
+		task()
+	}()
+}
+
+func (group *Group) done() {
+	group.mutex.Lock()
+	group.running--
+	group.wake.Broadcast()
+	group.mutex.Unlock()
+}
+
+// Every calls task periodically until Stop: interval returns the pause before each call.
+func (group *Group) Every(interval func() time.Duration, task func()) {
+	group.Start(func() {
+		for group.Sleep(interval()) {
+			task()
+		}
+	})
+}
+
+// Fixed returns a constant interval for Every.
+func Fixed(interval time.Duration) func() time.Duration {
+	return func() time.Duration { return interval }
+}
+
+// Stopping reports whether Stop was called.
+func (group *Group) Stopping() bool {
+	group.mutex.Lock()
+	defer group.mutex.Unlock()
+	return group.stopping
+}
+
+// OnStop registers a hook that Stop calls once. After Stop it is called at once.
+func (group *Group) OnStop(hook func()) {
+	group.mutex.Lock()
+	if !group.stopping {
+		group.hooks = append(group.hooks, hook)
+		group.mutex.Unlock()
+		return
+	}
+	group.mutex.Unlock()
+	hook()
+}
+
+// Stop ends all sleeps and calls the hooks in the order in which they were registered.
+// Only its first call has an effect.
+func (group *Group) Stop() {
+	group.mutex.Lock()
+	if group.stopping {
+		group.mutex.Unlock()
+		return
+	}
+	group.stopping = true
+	hooks := group.hooks
+	group.hooks = nil
+	group.wake.Broadcast()
+	group.mutex.Unlock()
+	for _, hook := range hooks {
+		hook()
+	}
+}
+
+// Wait blocks until every goroutine that Start started has ended.
+func (group *Group) Wait() {
+	group.mutex.Lock()
+	for group.running > 0 {
+		group.wake.Wait()
+	}
+	group.mutex.Unlock()
+}
+
+// Sleep pauses for the duration. It returns false, at once, when Stop was called before
+// or meanwhile.
+func (group *Group) Sleep(duration time.Duration) bool {
+	if duration <= 0 {
+		return !group.Stopping()
+	}
+	deadline := time.Now().Add(duration)
+	timer := time.AfterFunc(duration, group.broadcast)
+	defer timer.Stop()
+	group.mutex.Lock()
+	defer group.mutex.Unlock()
+	for !group.stopping && time.Now().Before(deadline) {
+		group.wake.Wait()
+	}
+	return !group.stopping
+}
+
+func (group *Group) broadcast() {
+	group.mutex.Lock()
+	group.wake.Broadcast()
+	group.mutex.Unlock()
+}
--- a/control/begin_claims_test.go
+++ b/control/begin_claims_test.go
@@ -6,38 +6,39 @@
 	"testing/synctest"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // A voter that began while the claims' ring was full marks its claims as whole later:
 // nobody else mends them at the first start, when no other core is whole either.
 func TestClaimsBeginOnceTheRingHasRoom(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		threads, counts := run.NewThreads(), run.NewCounts()
-		core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), threads, counts)
+		goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
+		core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, counters)
 		if err != nil {
 			test.Fatal(err)
 		}
 		for core.claims.ring.Put(&keepWait{message: &message.RecordClaimsRequest{}}) {
 		}
 		core.beginClaims(1)
-		if core.claims.Whole(1) || counts.Get("claims_not_begun") != 1 {
-			test.Errorf("whole %v, not begun %d times", core.claims.Whole(1), counts.Get("claims_not_begun"))
+		if core.claims.Whole(1) || counters.Get("claims_not_begun") != 1 {
+			test.Errorf("whole %v, not begun %d times", core.claims.Whole(1), counters.Get("claims_not_begun"))
 		}
-		threads.OnStop(core.claims.ring.Close)
-		threads.Start(core.claims.write)
-		threads.Rest(2 * repairPace)
+		goroutines.OnStop(core.claims.ring.Close)
+		goroutines.Start(core.claims.write)
+		goroutines.Sleep(2 * repairPace)
 		if !core.claims.Whole(1) {
 			test.Error("not whole though the ring has room")
 		}
 		time.Sleep(time.Minute)
-		if count := counts.Get("claims_not_begun"); count != 1 {
+		if count := counters.Get("claims_not_begun"); count != 1 {
 			test.Errorf("%d times not begun", count)
 		}
-		threads.Stop()
-		threads.Wait()
+		goroutines.Stop()
+		goroutines.Wait()
 		core.Close()
 	})
 }
--- a/control/change.go
+++ b/control/change.go
@@ -29,7 +29,7 @@
 	if now := leadership.settings(); change.Kind == "whole" && change.Base == now.serial {
 		if sown, err = conf.Sow(change.Body, now.tree); err != nil {
 			err = leadership.proven(err)
-			core.counts.Add("changes_"+string(rpc.CodeOf(err)), 1)
+			core.counters.Add("changes_"+string(rpc.CodeOf(err)), 1)
 			return nil, err
 		}
 	}
@@ -67,16 +67,16 @@
 		err = leadership.proven(err)
 	}
 	if err != nil {
-		core.counts.Add("changes_"+string(rpc.CodeOf(err)), 1)
+		core.counters.Add("changes_"+string(rpc.CodeOf(err)), 1)
 		return nil, err
 	}
 	if response.Duplicate {
-		core.counts.Add("changes_again", 1)
+		core.counters.Add("changes_again", 1)
 		return response, nil
 	}
-	core.counts.Add("changes_taken", 1)
+	core.counters.Add("changes_taken", 1)
 	if settings := leadership.settings().tree.Settings; time.Since(begin) > time.Duration(settings.AckMs)*time.Millisecond {
-		core.counts.Add("changes_later_than_ack_ms", 1)
+		core.counters.Add("changes_later_than_ack_ms", 1)
 	}
 	response.Serial = serial
 	return response, nil
--- a/control/claimfence_test.go
+++ b/control/claimfence_test.go
@@ -3,23 +3,24 @@
 import (
 	"testing"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
-	"orchidjunction/run"
+	"orchidjunction/metrics"
 )
 
 // claimLogOn opens the claim log of a folder and runs its writing thread.
 func claimLogOn(test *testing.T, folder string) (*ClaimLog, func()) {
 	test.Helper()
-	threads := run.NewThreads()
-	log, err := openClaimLog(Folder(folder), 0, run.NewCounts())
+	goroutines := concurrent.NewGroup()
+	log, err := openClaimLog(Folder(folder), 0, metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
 	}
-	threads.Start(log.write)
+	goroutines.Start(log.write)
 	return log, func() {
 		log.ring.Close()
-		threads.Wait()
-		if log.journal.fault != nil || log.counts.All()["claim_disk_faults"] > 0 {
+		goroutines.Wait()
+		if log.journal.fault != nil || log.counters.All()["claim_disk_faults"] > 0 {
 			test.Error("refused by the disk: ", log.journal.fault)
 		}
 		log.journal.Close()
--- a/control/claimkeeper.go
+++ b/control/claimkeeper.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 
 	"k8s.io/klog/v2"
 )
@@ -18,7 +18,7 @@
 	known := view.accepted()
 	response := &message.RecordClaimsResponse{Core: view.ID, Membership: otherThan(request.Membership, known), Refused: true}
 	if !view.votes() {
-		core.counts.Add("claims_refused_without_vote", 1)
+		core.counters.Add("claims_refused_without_vote", 1)
 		return response, nil
 	}
 	whole := core.claimsWhole(view)
@@ -30,7 +30,7 @@
 		response.Membership = core.members().accepted()
 		return response, nil
 	}
-	core.counts.Add("claims_kept", uint64(len(request.Claims)))
+	core.counters.Add("claims_kept", uint64(len(request.Claims)))
 	response.Refused, response.Complete, response.Results = false, whole, wait.told
 	return response, nil
 }
@@ -92,12 +92,12 @@
 		core.claims.countFrom(view.ID, time.Now())
 	}
 	if whole < need {
-		core.counts.Add("claims_not_mended", 1)
+		core.counters.Add("claims_not_mended", 1)
 		return
 	}
 	mend := &keepWait{message: &message.RecordClaimsRequest{}, members: view.accepted(), wholeAs: view.ID}
 	if core.claims.put(mend) == nil && !mend.refused {
-		core.counts.Add("claims_mended", 1)
+		core.counters.Add("claims_mended", 1)
 		klog.Infof("core %d: claims are whole, told by %d of %d cores", view.ID, whole, others)
 	}
 }
@@ -117,7 +117,7 @@
 			peers = append(peers, peer)
 		}
 	}
-	got, _ := run.Gather(core.threads, len(peers), func(index int) (pulled, error) {
+	got, _ := concurrent.Gather(core.goroutines, len(peers), func(index int) (pulled, error) {
 		return core.pullClaims(view, peers[index])
 	}, func(map[int]pulled, map[int]error) bool { return false })
 	for _, one := range got {
--- a/control/claimrefusal_test.go
+++ b/control/claimrefusal_test.go
@@ -5,8 +5,9 @@
 	"testing/synctest"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
-	"orchidjunction/run"
+	"orchidjunction/metrics"
 )
 
 // claimMemberships are a founding membership and one that replaces a voter of it.
@@ -19,7 +20,7 @@
 
 func openClaimsOn(test *testing.T, disk *modelDisk) *ClaimLog {
 	test.Helper()
-	log, err := openClaimLog(disk, 0, run.NewCounts())
+	log, err := openClaimLog(disk, 0, metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -34,11 +35,11 @@
 			test.Fatal("ring is full")
 		}
 	}
-	threads := run.NewThreads()
-	threads.Start(log.write)
+	goroutines := concurrent.NewGroup()
+	goroutines.Start(log.write)
 	synctest.Wait()
 	log.ring.Close()
-	threads.Wait()
+	goroutines.Wait()
 }
 
 func (log *ClaimLog) holds(key string) bool {
--- a/control/claims.go
+++ b/control/claims.go
@@ -4,10 +4,11 @@
 	"sync"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/keep"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 
 	"k8s.io/klog/v2"
 )
@@ -24,15 +25,15 @@
 // ClaimLog is what this core remembers of money keys: a book, and a journal
 // apart from the election's. One thread writes what came meanwhile as one group.
 type ClaimLog struct {
-	book    *keep.Book
-	journal *Journal
-	ring    *run.Ring[*keepWait]
-	counts  *run.Counts
-	pending *claimGroup
-	refused time.Time
-	opened  time.Time
-	base    time.Duration
-	ages    map[uint64]time.Duration
+	book     *keep.Book
+	journal  *Journal
+	ring     *concurrent.Queue[*keepWait]
+	counters *metrics.Counters
+	pending  *claimGroup
+	refused  time.Time
+	opened   time.Time
+	base     time.Duration
+	ages     map[uint64]time.Duration
 
 	// members is the newest membership that anything here was kept or told under. Only
 	// the writing thread uses it once the log is open.
@@ -78,8 +79,8 @@
 
 // openClaimLog reads the log. In groups of a release in which no voter was ever
 // replaced, the voter that is whole has the given ID.
-func openClaimLog(disk Disk, given int, counts *run.Counts) (*ClaimLog, error) {
-	log := &ClaimLog{book: keep.NewBook(), ring: run.NewRing[*keepWait](claimsRing), counts: counts, ages: map[uint64]time.Duration{}}
+func openClaimLog(disk Disk, given int, counters *metrics.Counters) (*ClaimLog, error) {
+	log := &ClaimLog{book: keep.NewBook(), ring: concurrent.NewQueue[*keepWait](claimsRing), counters: counters, ages: map[uint64]time.Duration{}}
 	log.wake = sync.NewCond(&log.mutex)
 	log.book.Remember(keep.MostSpan)
 	segments, err := numbers(disk, claimsName)
@@ -210,7 +211,7 @@
 // is written before any later one is answered.
 func (log *ClaimLog) refuse(group *claimGroup, err error) {
 	log.pending, log.refused = group, time.Now()
-	log.counts.Add("claim_disk_faults", 1)
+	log.counters.Add("claim_disk_faults", 1)
 	klog.Errorf("claims: refused until the disk takes writes again: %v", err)
 }
 
@@ -234,7 +235,7 @@
 		}
 		log.pending = nil
 	}
-	log.counts.Add("claim_disk_repairs", 1)
+	log.counters.Add("claim_disk_repairs", 1)
 	klog.Infof("claims: the disk takes writes again")
 	return nil
 }
@@ -283,7 +284,7 @@
 			return err
 		}
 	}
-	log.counts.Add("claim_groups", 1)
+	log.counters.Add("claim_groups", 1)
 	log.ages[log.journal.number] = group.At
 	return log.journal.Append(frame)
 }
@@ -327,7 +328,7 @@
 		}
 	}
 	if err := sweep(log.journal.disk, claimsName, keeps, log.journal.disk.Sync); err != nil {
-		log.counts.Add("claim_sweeps_short", 1)
+		log.counters.Add("claim_sweeps_short", 1)
 	}
 }
 
@@ -357,7 +358,7 @@
 // put hands a message to the writing thread and waits until it lasts.
 func (log *ClaimLog) put(wait *keepWait) error {
 	if !log.ring.Put(wait) {
-		log.counts.Add("claim_ring_full", 1)
+		log.counters.Add("claim_ring_full", 1)
 		return &rpc.Error{Code: rpc.Overloaded, Message: "too many claims wait for this core's disk"}
 	}
 	log.mutex.Lock()
--- a/control/clock.go
+++ b/control/clock.go
@@ -4,26 +4,26 @@
 	"sync"
 	"time"
 
+	"orchidjunction/clock"
 	"orchidjunction/message"
-	"orchidjunction/run"
 )
 
 // Clocks are what the leader knows of the other cores' clocks: how far each is
 // ahead of this one's.
 type Clocks struct {
 	mutex sync.Mutex
-	held  map[int]*run.Samples
+	held  map[int]*clock.OffsetEstimator
 }
 
-func newClocks() *Clocks { return &Clocks{held: map[int]*run.Samples{}} }
+func newClocks() *Clocks { return &Clocks{held: map[int]*clock.OffsetEstimator{}} }
 
 func (clocks *Clocks) take(core int, ahead int64, trip time.Duration) {
 	clocks.mutex.Lock()
 	defer clocks.mutex.Unlock()
 	if clocks.held[core] == nil {
-		clocks.held[core] = &run.Samples{}
+		clocks.held[core] = &clock.OffsetEstimator{}
 	}
-	clocks.held[core].Take(ahead, trip)
+	clocks.held[core].Add(ahead, trip)
 }
 
 // retain forgets the clocks of cores that vote no more.
@@ -44,7 +44,7 @@
 	if clocks.held[core] == nil {
 		return 0
 	}
-	return clocks.held[core].Trip()
+	return clocks.held[core].RoundTrip()
 }
 
 // median is how far the middle one of all clocks is ahead, and how many there are.
@@ -53,9 +53,9 @@
 	defer clocks.mutex.Unlock()
 	all := []int64{0}
 	for _, samples := range clocks.held {
-		all = append(all, samples.Best())
+		all = append(all, samples.Offset())
 	}
-	return run.Median(all, before), len(all)
+	return clock.Median(all, before), len(all)
 }
 
 // Now is the time of day as the cores agree on it.
@@ -68,18 +68,18 @@
 		return
 	}
 	half, anchored := trip.Milliseconds()/2, core.clock.Anchored()
-	if response.NowMs > 0 && !core.clock.Laid() {
-		core.clock.Lay(response.NowMs + half - anchored)
+	if response.NowMs > 0 && !core.clock.Synced() {
+		core.clock.SetOffset(response.NowMs + half - anchored)
 	}
 	core.clocks.take(peer.ID, response.AnchorMs+half-anchored, trip)
 	if ahead, count := core.clocks.median(core.clock.Offset()); count >= core.members().needs() {
-		core.clock.Lay(ahead)
+		core.clock.SetOffset(ahead)
 	}
 }
 
 // told is this core's clock, and the time of day if it knows it from others.
 func (core *Core) toldClock() (anchored, now int64) {
-	if core.clock.Laid() {
+	if core.clock.Synced() {
 		now = core.clock.Now()
 	}
 	return core.clock.Anchored(), now
--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -5,16 +5,17 @@
 	"testing"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // A core whose leadership ended is not taken for one that has heard of no leader
 // since it started.
 func TestFormerLeaderIsNotCold(test *testing.T) {
 	core, err := NewCore(Place{Wire: "127.0.0.1:1", Seeds: []string{"127.0.0.1:1"}, Least: 1, Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond},
-		Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), run.NewThreads(), run.NewCounts())
+		Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), concurrent.NewGroup(), metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
 	}
--- a/control/content.go
+++ b/control/content.go
@@ -122,8 +122,8 @@
 
 // content is what this core holds as committed.
 func (core *Core) content() (*content, error) {
-	core.reading.Take()
-	defer core.reading.Give()
+	core.reading.Lock()
+	defer core.reading.Unlock()
 	core.mutex.Lock()
 	value, texts, held := core.committed[message.SettingsRegister].Value, core.texts, core.held
 	core.mutex.Unlock()
@@ -132,7 +132,7 @@
 	}
 	now, err := readContent(held, value, texts)
 	if err != nil {
-		core.counts.Add("contents_unreadable", 1)
+		core.counters.Add("contents_unreadable", 1)
 		return nil, err
 	}
 	core.mutex.Lock()
@@ -166,6 +166,6 @@
 		}
 	}
 	lacks := message.MissingChunks(value.Chunks, texts)
-	core.counts.Add("branches_fetched", uint64(len(lacks)))
+	core.counters.Add("branches_fetched", uint64(len(lacks)))
 	return texts, texts.Fetch(core.line, address, core.roundLimit(), lacks)
 }
--- a/control/core.go
+++ b/control/core.go
@@ -7,32 +7,34 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/clock"
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // Core is one core machine's part in the control plane.
 type Core struct {
-	place   Place
-	line    *rpc.Client
-	threads *run.Threads
-	counts  *run.Counts
-	voter   *Voter
-	chart   *Chart
-	news    *run.Bell
-	prompt  *run.Bell
-	random  *draws
-	clock   *run.Clock
-	clocks  *Clocks
-	known   atomic.Pointer[View]
+	place      Place
+	line       *rpc.Client
+	goroutines *concurrent.Group
+	counters   *metrics.Counters
+	voter      *Voter
+	chart      *Chart
+	news       *concurrent.Condition
+	prompt     *concurrent.Condition
+	random     *draws
+	clock      *clock.Clock
+	clocks     *Clocks
+	known      atomic.Pointer[View]
 
 	sessions *Sessions
 	stirs    *Stirs
 	platform *PlatformReader
 	usage    *Usage
 	claims   *ClaimLog
-	reading  *run.Turn
+	reading  *concurrent.Lock
 	enlisted *Enlisted
 	routed   routedBody
 	fetched  fetchedAnswers
@@ -58,24 +60,24 @@
 	toldLeader time.Time
 }
 
-func NewCore(place Place, disk Disk, client *rpc.Client, threads *run.Threads, counts *run.Counts) (*Core, error) {
+func NewCore(place Place, disk Disk, client *rpc.Client, goroutines *concurrent.Group, counters *metrics.Counters) (*Core, error) {
 	store, err := OpenStore(disk)
 	if err != nil {
 		return nil, err
 	}
 	place = place.filled()
-	core := &Core{place: place, line: client, threads: threads, counts: counts, news: run.NewBell(), prompt: run.NewBell(), reading: run.NewTurn(),
+	core := &Core{place: place, line: client, goroutines: goroutines, counters: counters, news: concurrent.NewCondition(), prompt: concurrent.NewCondition(), reading: concurrent.NewLock(),
 		random: newDraws(place.Seed + uint64(place.ID)), table: &message.Table{}, heard: time.Now()}
-	core.clock, core.clocks = run.NewClock(place.Wall), newClocks()
+	core.clock, core.clocks = clock.NewClock(place.Wall), newClocks()
 	core.tableLog = message.NewTableLog()
 	core.enlisted, core.meter = newEnlisted(place.Wire), newMeter()
 	core.voter = NewVoter(store, core.diskFault, core.raised)
 	core.voter.learns = core.learnMembers
 	core.known.Store(place.view(core.voter.State().Voters()))
-	if core.claims, err = openClaimLog(disk, place.ID, counts); err != nil {
+	if core.claims, err = openClaimLog(disk, place.ID, counters); err != nil {
 		return nil, err
 	}
-	core.chart = &Chart{now: Blank, counts: counts, core: core.members().ID}
+	core.chart = &Chart{now: Blank, counters: counters, core: core.members().ID}
 	if !core.voter.Blank() {
 		core.chart.now = Following
 	}
@@ -90,7 +92,7 @@
 	core.sessions = newSessions(place.SessionSpan)
 	core.stirs = newStirs()
 	core.usage = newUsage(client.Transport())
-	core.platform = newPlatformReader(&core.place, client.Transport(), core.Now, counts)
+	core.platform = newPlatformReader(&core.place, client.Transport(), core.Now, counters)
 	if accepted, proven := core.voter.State().proven(message.RoutingRegister); proven {
 		core.committed[message.RoutingRegister] = accepted
 	}
@@ -102,30 +104,30 @@
 	if view := core.members(); view.known() {
 		core.place.MembersChanged(view.Mark, view.addresses())
 	}
-	core.threads.OnStop(core.news.Ring)
-	core.threads.OnStop(core.prompt.Ring)
-	core.threads.Start(core.elect)
-	core.threads.Start(core.claims.write)
-	core.threads.Beat(run.Each(repairPace), core.repairDisk)
-	core.threads.OnStop(core.claims.ring.Close)
-	core.threads.Beat(run.Each(mendPace), core.mendClaims)
-	core.threads.Beat(run.Each(core.place.Beat), core.lead)
-	core.threads.Beat(run.Each(2*core.place.Beat), core.tellSessions)
-	core.threads.Beat(run.Each(core.place.Table), core.buildTable)
-	core.threads.Beat(run.Each(core.place.Table), core.copyTable)
-	core.threads.Beat(core.paced(run.Each(core.place.Beat)), core.changeMembers)
+	core.goroutines.OnStop(core.news.Notify)
+	core.goroutines.OnStop(core.prompt.Notify)
+	core.goroutines.Start(core.elect)
+	core.goroutines.Start(core.claims.write)
+	core.goroutines.Every(concurrent.Fixed(repairPace), core.repairDisk)
+	core.goroutines.OnStop(core.claims.ring.Close)
+	core.goroutines.Every(concurrent.Fixed(mendPace), core.mendClaims)
+	core.goroutines.Every(concurrent.Fixed(core.place.Beat), core.lead)
+	core.goroutines.Every(concurrent.Fixed(2*core.place.Beat), core.tellSessions)
+	core.goroutines.Every(concurrent.Fixed(core.place.Table), core.buildTable)
+	core.goroutines.Every(concurrent.Fixed(core.place.Table), core.copyTable)
+	core.goroutines.Every(core.paced(concurrent.Fixed(core.place.Beat)), core.changeMembers)
 	if core.place.enlists() {
-		core.threads.Start(core.survey)
+		core.goroutines.Start(core.survey)
 	}
 	if core.platform.lister != nil {
-		core.threads.Beat(core.paced(core.platform.pace), core.readPlatform)
+		core.goroutines.Every(core.paced(core.platform.pace), core.readPlatform)
 	}
 	if core.place.Metering.Report != nil {
-		core.threads.Beat(core.paced(run.Each(meterPace)), core.sealWindows)
-		core.threads.Beat(core.paced(run.Each(meterPace)), core.reportWindows)
+		core.goroutines.Every(core.paced(concurrent.Fixed(meterPace)), core.sealWindows)
+		core.goroutines.Every(core.paced(concurrent.Fixed(meterPace)), core.reportWindows)
 	} else if core.place.Platform != "" {
-		core.threads.Beat(run.Each(usagePace), core.sealUsage)
-		core.threads.Beat(run.Each(usagePace), core.deliverUsage)
+		core.goroutines.Every(concurrent.Fixed(usagePace), core.sealUsage)
+		core.goroutines.Every(concurrent.Fixed(usagePace), core.deliverUsage)
 	}
 }
 
@@ -189,7 +191,7 @@
 		}
 		return told
 	}
-	got, _ := run.Gather(core.threads, len(view.Peers), func(index int) (*Told, error) { return ask(view.Peers[index]) },
+	got, _ := concurrent.Gather(core.goroutines, len(view.Peers), func(index int) (*Told, error) { return ask(view.Peers[index]) },
 		func(got map[int]*Told, _ map[int]error) bool { return enough(agreed(byID(got), agrees)) })
 	return byID(got)
 }
@@ -222,7 +224,7 @@
 			return response != nil && response.Accepted
 		}
 	}
-	got, _ := run.Gather(core.threads, len(voters), push, func(got map[int]*message.AcceptResponse, failed map[int]error) bool {
+	got, _ := concurrent.Gather(core.goroutines, len(voters), push, func(got map[int]*message.AcceptResponse, failed map[int]error) bool {
 		open := func(id int) bool {
 			index := slices.IndexFunc(voters, func(voter Peer) bool { return voter.ID == id })
 			response := got[index]
@@ -259,7 +261,7 @@
 		if err == nil || rpc.CodeOf(err) != rpc.Unreachable && rpc.CodeOf(err) != rpc.ConnectFailed || time.Until(until) < core.place.Beat {
 			return response, err
 		}
-		if !core.threads.Rest(core.place.Beat / 2) {
+		if !core.goroutines.Sleep(core.place.Beat / 2) {
 			return nil, rpc.Errorf(rpc.Stopping, "stopping")
 		}
 	}
@@ -316,11 +318,11 @@
 	}
 	core.mutex.Unlock()
 	if mine {
-		core.counts.Add("leaderships_ended", 1)
+		core.counters.Add("leaderships_ended", 1)
 		if core.chart.Now() == Leading {
 			core.chart.move(Following)
 		}
-		core.prompt.Ring()
+		core.prompt.Notify()
 	}
 }
 
@@ -342,10 +344,10 @@
 	}
 	core.mutex.Unlock()
 	if fresh {
-		core.counts.Add("commits", 1)
-		core.news.Ring()
+		core.counters.Add("commits", 1)
+		core.news.Notify()
 		if register == message.RoutingRegister && core.place.enlists() {
-			core.threads.Start(func() { core.voter.Committed(register, accepted.Version()) })
+			core.goroutines.Start(func() { core.voter.Committed(register, accepted.Version()) })
 		}
 	}
 }
@@ -374,7 +376,7 @@
 	}
 	core.mutex.Unlock()
 	if fresh {
-		core.news.Ring()
+		core.news.Notify()
 	}
 }
 
--- a/control/election.go
+++ b/control/election.go
@@ -33,7 +33,7 @@
 // elect is the duty of the election thread.
 func (core *Core) elect() {
 	yielded := false
-	for !core.threads.Stopping() {
+	for !core.goroutines.Stopping() {
 		seen := core.prompt.Count()
 		core.mutex.Lock()
 		passed := core.passed
@@ -98,7 +98,7 @@
 		return false
 	}
 	defer core.chart.moveBack()
-	core.counts.Add("prechecks", 1)
+	core.counters.Add("prechecks", 1)
 	versions, view := core.voter.State().Marks(), core.members()
 	response := askPeers(core, view, func(peer Peer) (*message.PreVoteResponse, error) {
 		return rpc.Call[message.PreVoteRequest, message.PreVoteResponse](core.line, peer.Address, "precheck", core.roundLimit()/2, &message.PreVoteRequest{Core: view.ID, Versions: versions, Membership: view.Mark})
@@ -109,22 +109,22 @@
 		core.learnMembers(answer.Membership)
 	}
 	if !core.members().same(view) {
-		core.counts.Add("prechecks_by_old_members", 1)
+		core.counters.Add("prechecks_by_old_members", 1)
 		return false
 	}
 	for _, answer := range response {
 		if answer.LeaderAlive {
-			core.counts.Add("prechecks_leader_alive", 1)
+			core.counters.Add("prechecks_leader_alive", 1)
 			return false
 		}
 	}
 	if !view.decides(agreed(response, func(answer *message.PreVoteResponse) bool { return answer.Granted })) {
-		core.counts.Add("prechecks_short", 1)
+		core.counters.Add("prechecks_short", 1)
 		return false
 	}
 	for id, answer := range response {
 		if !yielded && view.mayLead(id) && answer.Voter && fitter(answer.Versions, answer.Reachable, id, versions, reach, view.ID) {
-			core.counts.Add("prechecks_yielded", 1)
+			core.counters.Add("prechecks_yielded", 1)
 			return true
 		}
 	}
@@ -134,7 +134,7 @@
 	term, revoked := core.nextBallot(view)
 	revocation, err := core.fence(view, term, revoked)
 	if err != nil {
-		core.counts.Add("revocations_short", 1)
+		core.counters.Add("revocations_short", 1)
 		return false
 	}
 	core.found(view, term, revocation)
@@ -168,7 +168,7 @@
 	}
 	leadership, err := core.establish(view, term, revocation)
 	if err != nil {
-		core.counts.Add("establishments_short", 1)
+		core.counters.Add("establishments_short", 1)
 		return
 	}
 	core.mutex.Lock()
@@ -186,7 +186,7 @@
 		core.commit(register, message.AcceptedValue{Term: term, Value: leadership.value(register)}, leadership.settings().texts)
 	}
 	core.platform.begin(core.Table().Backends)
-	core.news.Ring()
+	core.news.Notify()
 	leadership.beat()
 }
 
@@ -211,7 +211,7 @@
 	silent := time.Since(leadership.majority)
 	leadership.mutex.Unlock()
 	if silent > 2*core.place.Suspect {
-		core.counts.Add("leaderships_lost_reach", 1)
+		core.counters.Add("leaderships_lost_reach", 1)
 		core.revoke(leadership)
 	}
 }
@@ -263,11 +263,11 @@
 	core.patience = core.nextPatience()
 	core.mutex.Unlock()
 	if request.NowMs > 0 {
-		core.clock.Heard(request.NowMs)
+		core.clock.AddOneWay(request.NowMs)
 	}
 	if moved {
 		klog.Infof("core %d: follows core %d under %s", core.members().ID, request.Leader.Core, request.Term)
-		core.news.Ring()
+		core.news.Notify()
 	}
 	for register := range request.Committed {
 		if accepted := state.Accepted[register]; accepted.Version() == request.Committed[register] {
@@ -287,6 +287,6 @@
 	core.mutex.Lock()
 	core.passed = request
 	core.mutex.Unlock()
-	core.prompt.Ring()
+	core.prompt.Notify()
 	return &message.TransferLeadershipResponse{Accepted: true}, nil
 }
--- a/control/enlist.go
+++ b/control/enlist.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 
 	"k8s.io/klog/v2"
 )
@@ -71,7 +71,7 @@
 func (core *Core) enlist() {
 	if core.place.Found && !core.voter.State().Opening {
 		if core.voter.Open() != nil {
-			core.threads.Rest(enlistPace)
+			core.goroutines.Sleep(enlistPace)
 			return
 		}
 	}
@@ -82,7 +82,7 @@
 		}
 	}
 	request := &message.JoinRequest{Address: core.place.Wire, SinceBootstrap: core.opening()}
-	got, _ := run.Gather(core.threads, len(seeds), func(index int) (*message.JoinResponse, error) {
+	got, _ := concurrent.Gather(core.goroutines, len(seeds), func(index int) (*message.JoinResponse, error) {
 		return rpc.Call[message.JoinRequest, message.JoinResponse](core.line, seeds[index], "enlist", core.roundLimit(), request)
 	}, func(got map[int]*message.JoinResponse, _ map[int]error) bool {
 		for _, response := range got {
@@ -104,7 +104,7 @@
 			return
 		}
 	}
-	core.threads.Rest(enlistPace)
+	core.goroutines.Sleep(enlistPace)
 }
 
 // join takes the first membership that this core hears of. At the system's first
@@ -118,12 +118,12 @@
 	founds := mayEnrol(core.opening(), view)
 	if founds {
 		if err := core.voter.Enrol(accepted); err != nil {
-			core.threads.Rest(enlistPace)
+			core.goroutines.Sleep(enlistPace)
 			return
 		}
 	}
 	core.learnMembers(accepted)
-	core.counts.Add("memberships_joined", 1)
+	core.counters.Add("memberships_joined", 1)
 	klog.Infof("core %d at %s: %d cores vote, a voter at once: %v", view.ID, view.Wire, len(membership.Voters), founds)
 	if founds {
 		core.beginClaims(view.ID)
--- a/control/establishment.go
+++ b/control/establishment.go
@@ -1,10 +1,10 @@
 package control
 
 import (
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/route"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 const (
@@ -76,7 +76,7 @@
 	if establishment.revocation.covers(establishment.promises) {
 		return nil
 	}
-	establishment.core.counts.Add("revocation_fell_back", 1)
+	establishment.core.counters.Add("revocation_fell_back", 1)
 	establishment.revocation = &Revocation{Method: BallotFence, Ballot: establishment.ballot,
 		Revoked: establishment.revocation.Revoked, Promises: establishment.promises, Complete: true}
 	return nil
@@ -119,7 +119,7 @@
 	for register := range establishment.newest {
 		establishment.newest[register].Term = establishment.ballot
 	}
-	_, failed := run.Gather(core.threads, len(establishment.newest), func(register int) (bool, error) {
+	_, failed := concurrent.Gather(core.goroutines, len(establishment.newest), func(register int) (bool, error) {
 		request := &message.AcceptRequest{Term: establishment.ballot, Register: message.Register(register), Value: establishment.newest[register].Value}
 		if err := core.pushValue(establishment.view, request, texts); err != nil {
 			return false, err
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -55,7 +55,7 @@
 		err = leadership.proven(nil)
 	}
 	if err != nil {
-		core.counts.Add("evacuations_"+string(rpc.CodeOf(err)), 1)
+		core.counters.Add("evacuations_"+string(rpc.CodeOf(err)), 1)
 		return nil, err
 	}
 	return response, nil
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -3,7 +3,7 @@
 import (
 	"orchidjunction/keep"
 	"orchidjunction/message"
-	"orchidjunction/run"
+	"orchidjunction/metrics"
 )
 
 // LimitSegments makes a store begin a segment after fewer bytes, so that short
@@ -15,7 +15,7 @@
 
 // OpenTestClaims opens a log that remembers keys for keep.FirstSpan.
 func OpenTestClaims(disk Disk, segment int64) (*TestClaims, error) {
-	log, err := openClaimLog(disk, 0, run.NewCounts())
+	log, err := openClaimLog(disk, 0, metrics.NewCounters())
 	if err != nil {
 		return nil, err
 	}
--- a/control/lameduck.go
+++ b/control/lameduck.go
@@ -18,7 +18,7 @@
 		core.leave(until)
 		return
 	}
-	core.counts.Add("lameducks", 1)
+	core.counters.Add("lameducks", 1)
 	passed := map[int]bool{}
 	for time.Now().Before(until) {
 		heir, found := leadership.heir(passed)
@@ -44,8 +44,8 @@
 	leadership.successor = message.Leader{Core: heir.ID, Address: heir.Address}
 	leadership.mutex.Unlock()
 	leadership.beat()
-	leadership.writes.Take()
-	defer leadership.writes.Give()
+	leadership.writes.Lock()
+	defer leadership.writes.Unlock()
 	klog.Infof("core %d: lameduck, hands over to core %d", core.members().ID, heir.ID)
 	request := &message.TransferLeadershipRequest{Term: leadership.ballot, From: core.members().ID, Versions: core.voter.State().Marks()}
 	for _, waiting := range leadership.succession.waiting(learnerSpan*core.place.Suspect, core.members()) {
@@ -53,7 +53,7 @@
 	}
 	response, err := rpc.Call[message.TransferLeadershipRequest, message.TransferLeadershipResponse](core.line, heir.Address, "stepdown", core.roundLimit(), request)
 	if err != nil || !response.Accepted {
-		core.counts.Add("handovers_refused", 1)
+		core.counters.Add("handovers_refused", 1)
 		return false
 	}
 	patience := time.Now().Add(2 * core.place.Suspect)
@@ -62,13 +62,13 @@
 		led := leadership.ballot.Less(core.leader.Term)
 		core.mutex.Unlock()
 		if led {
-			core.counts.Add("handovers", 1)
+			core.counters.Add("handovers", 1)
 			return true
 		}
-		if !core.threads.Rest(core.place.Beat / 8) {
+		if !core.goroutines.Sleep(core.place.Beat / 8) {
 			return false
 		}
 	}
-	core.counts.Add("handovers_late", 1)
+	core.counters.Add("handovers_late", 1)
 	return false
 }
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/route"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // Leadership lives from one establishment to the next revocation.
@@ -22,7 +22,7 @@
 	rewritten  [message.Registers]uint64
 	promised   []int
 
-	writes *run.Turn
+	writes *concurrent.Lock
 
 	mutex     sync.Mutex
 	ended     bool
@@ -33,7 +33,7 @@
 	content   *content
 	routing   *route.Book
 	reports   map[int]*message.HeartbeatResponse
-	confirmed *run.Bell
+	confirmed *concurrent.Condition
 	started   uint64
 	finished  uint64
 
@@ -42,7 +42,7 @@
 
 func newLeadership(core *Core, term message.Term, establishment *Establishment) *Leadership {
 	leadership := &Leadership{core: core, ballot: term, revocation: establishment.revocation, since: time.Now(), content: establishment.content, routing: establishment.routing,
-		reports: map[int]*message.HeartbeatResponse{}, confirmed: run.NewBell(), writes: run.NewTurn(), succession: newSuccession()}
+		reports: map[int]*message.HeartbeatResponse{}, confirmed: concurrent.NewCondition(), writes: concurrent.NewLock(), succession: newSuccession()}
 	for _, address := range establishment.learners {
 		leadership.succession.enlisted(address)
 	}
@@ -62,7 +62,7 @@
 	leadership.mutex.Lock()
 	leadership.ended = true
 	leadership.mutex.Unlock()
-	leadership.confirmed.Ring()
+	leadership.confirmed.Notify()
 }
 
 func (leadership *Leadership) value(register message.Register) message.Value {
@@ -125,8 +125,8 @@
 	if err := leadership.holds(); err != nil {
 		return 0, err
 	}
-	leadership.writes.Take()
-	defer leadership.writes.Give()
+	leadership.writes.Lock()
+	defer leadership.writes.Unlock()
 	if err := leadership.holds(); err != nil {
 		return 0, err
 	}
@@ -137,7 +137,7 @@
 	}
 	request := &message.AcceptRequest{Term: leadership.ballot, Register: register, Value: *next, Chunks: fresh(*next, current, texts)}
 	if err := leadership.core.pushValue(leadership.core.members(), request, texts); err != nil {
-		leadership.core.counts.Add("write_unknown", 1)
+		leadership.core.counters.Add("write_unknown", 1)
 		leadership.core.revoke(leadership)
 		return 0, &rpc.Error{Code: rpc.OutcomeUnknown, Message: err.Error()}
 	}
@@ -163,7 +163,7 @@
 	view := core.members()
 	number, request := leadership.nextBeat(view)
 	peers := append(slices.Clone(view.Peers), leadership.succession.waiting(learnerSpan*core.place.Suspect, view)...)
-	got, _ := run.Gather(core.threads, len(peers), func(index int) (*message.HeartbeatResponse, error) {
+	got, _ := concurrent.Gather(core.goroutines, len(peers), func(index int) (*message.HeartbeatResponse, error) {
 		return leadership.beatTo(peers[index], request)
 	}, func(got map[int]*message.HeartbeatResponse, _ map[int]error) bool {
 		return view.decides(took(peers, got))
@@ -184,7 +184,7 @@
 	}
 	leadership.finished = max(leadership.finished, number)
 	leadership.mutex.Unlock()
-	leadership.confirmed.Ring()
+	leadership.confirmed.Notify()
 	return true
 }
 
@@ -237,11 +237,11 @@
 	}
 	for register := range committed {
 		if response.Versions[register].Less(committed[register]) {
-			leadership.core.counts.Add("copies_mended", 1)
+			leadership.core.counters.Add("copies_mended", 1)
 			value := &message.AcceptRequest{Term: leadership.ballot, Register: message.Register(register), Value: values[register]}
 			answer, err := leadership.core.offerTo(peer, value, now.texts, leadership.core.roundLimit())
 			if err != nil || !answer.Accepted { // its next answer to a beat shows that it still lacks it
-				leadership.core.counts.Add("copies_not_mended", 1)
+				leadership.core.counters.Add("copies_not_mended", 1)
 			}
 		}
 	}
--- a/control/learner.go
+++ b/control/learner.go
@@ -18,7 +18,7 @@
 func (core *Core) learnMembers(accepted message.AcceptedValue) {
 	membership, err := membershipOf(accepted)
 	if err != nil {
-		core.counts.Add("memberships_unreadable", 1)
+		core.counters.Add("memberships_unreadable", 1)
 		return
 	}
 	if membership == nil {
@@ -44,9 +44,9 @@
 	core.place.MembersChanged(after.Mark, after.addresses())
 	if before.Mark.Serial != after.Mark.Serial {
 		klog.Infof("core %d at %s: membership %d: voters %v, next %v", after.ID, after.Wire, after.Mark.Serial, after.Voters, after.Next)
-		core.counts.Add("memberships_learned", 1)
+		core.counters.Add("memberships_learned", 1)
 	}
-	core.prompt.Ring()
+	core.prompt.Notify()
 }
 
 // newerMembers is the membership that this core knows where it is newer than the
@@ -72,7 +72,7 @@
 		core.mutex.Lock()
 		core.asked++
 		core.mutex.Unlock()
-		core.threads.Rest(core.place.Beat)
+		core.goroutines.Sleep(core.place.Beat)
 		return
 	}
 	core.learnMembers(response.Membership)
@@ -92,7 +92,7 @@
 	}
 	core.mutex.Unlock()
 	if !found {
-		core.threads.Rest(core.place.Suspect / 2)
+		core.goroutines.Sleep(core.place.Suspect / 2)
 	}
 }
 
@@ -133,6 +133,6 @@
 	if err := core.voter.Found(term, accepted, nil); err != nil {
 		return
 	}
-	core.counts.Add("learners_begun", 1)
+	core.counters.Add("learners_begun", 1)
 	klog.Infof("core at %s: learns from the leader under %s", core.place.Wire, term)
 }
--- a/control/metering.go
+++ b/control/metering.go
@@ -225,7 +225,7 @@
 	}
 	book, err := meterBookOf(leadership.value(message.ReportsRegister))
 	if err != nil {
-		core.counts.Add("meter_book_unreadable", 1)
+		core.counters.Add("meter_book_unreadable", 1)
 		return nil, nil
 	}
 	return leadership, book
@@ -293,10 +293,10 @@
 		return &message.Value{Serial: current.Serial + 1, Body: body}, nil, nil
 	}, func() {})
 	if err != nil {
-		core.counts.Add("windows_not_sealed", 1)
+		core.counters.Add("windows_not_sealed", 1)
 		return
 	}
-	core.counts.Add("windows_sealed", uint64(len(sealed)))
+	core.counters.Add("windows_sealed", uint64(len(sealed)))
 }
 
 // settled is whether a window's counts are in: it ended a while ago, and who
@@ -338,16 +338,16 @@
 			core.meter.mutex.Lock()
 			core.meter.reported[sealed.Window] = true
 			core.meter.mutex.Unlock()
-			core.counts.Add("windows_reported", 1)
+			core.counters.Add("windows_reported", 1)
 		case ReportFenced:
 			core.meter.mutex.Lock()
 			core.meter.fenced = leadership.ballot
 			core.meter.mutex.Unlock()
-			core.counts.Add("windows_fenced", 1)
+			core.counters.Add("windows_fenced", 1)
 			return
 		default:
-			core.counts.Add("windows_put_off", 1)
-			core.threads.Rest(meterAgain)
+			core.counters.Add("windows_put_off", 1)
+			core.goroutines.Sleep(meterAgain)
 			return
 		}
 	}
--- a/control/model_machine_test.go
+++ b/control/model_machine_test.go
@@ -5,8 +5,10 @@
 	"maps"
 	"time"
 
+	"orchidjunction/clock"
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
-	"orchidjunction/run"
+	"orchidjunction/metrics"
 )
 
 // modelMachine is one machine of the model: its disk, and the process on it while one runs.
@@ -113,13 +115,13 @@
 
 func newModelCore(address string, store *Store) *Core {
 	store.journal.limit = modelSegmentLimit
-	core := &Core{counts: run.NewCounts(), news: run.NewBell(), prompt: run.NewBell(), random: newDraws(1), clocks: newClocks(), table: &message.Table{}}
+	core := &Core{counters: metrics.NewCounters(), news: concurrent.NewCondition(), prompt: concurrent.NewCondition(), random: newDraws(1), clocks: newClocks(), table: &message.Table{}}
 	core.place = Place{Wire: address, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}.filled()
-	core.clock = run.NewClock(func() int64 { return 0 })
+	core.clock = clock.NewClock(func() int64 { return 0 })
 	core.sessions = newSessions(core.place.SessionSpan)
 	core.voter = NewVoter(store, func(error) {}, core.raised)
 	core.voter.learns = core.learnMembers
-	core.chart = &Chart{now: Following, counts: core.counts}
+	core.chart = &Chart{now: Following, counters: core.counters}
 	core.known.Store(core.place.view(core.voter.State().Voters()))
 	core.round = core.voter.State().Promised.Number
 	return core
--- a/control/platform.go
+++ b/control/platform.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 const (
@@ -52,7 +52,7 @@
 	listPace  time.Duration
 	goneAfter int
 	now       func() int64
-	counts    *run.Counts
+	counters  *metrics.Counters
 
 	mutex    sync.Mutex
 	backends map[string]message.Backend
@@ -63,11 +63,11 @@
 	wait     time.Duration
 }
 
-func newPlatformReader(place *Place, transport http.RoundTripper, now func() int64, counts *run.Counts) *PlatformReader {
-	reader := &PlatformReader{lister: place.Lister, listPace: place.ListPace, goneAfter: place.GoneAfter, now: now, counts: counts,
+func newPlatformReader(place *Place, transport http.RoundTripper, now func() int64, counters *metrics.Counters) *PlatformReader {
+	reader := &PlatformReader{lister: place.Lister, listPace: place.ListPace, goneAfter: place.GoneAfter, now: now, counters: counters,
 		backends: map[string]message.Backend{}, missed: map[string]int{}}
 	if reader.lister == nil && place.Platform != "" {
-		pages := &platformPages{address: place.Platform, client: &http.Client{Transport: transport}, counts: counts}
+		pages := &platformPages{address: place.Platform, client: &http.Client{Transport: transport}, counters: counters}
 		reader.lister = pages.list
 	}
 	return reader
@@ -123,13 +123,13 @@
 func (core *Core) readPlatform() {
 	leadership, err := core.leading()
 	if err != nil && core.cold() {
-		core.platform.read(core.threads.Rest, core.cold)
+		core.platform.read(core.goroutines.Sleep, core.cold)
 		return
 	}
 	if err != nil || leadership.holds() != nil {
 		return
 	}
-	core.platform.read(core.threads.Rest, func() bool { return leadership.holds() == nil })
+	core.platform.read(core.goroutines.Sleep, func() bool { return leadership.holds() == nil })
 }
 
 // read goes through all pages; one that the platform puts off is asked again,
@@ -145,7 +145,7 @@
 			continue
 		}
 		if page.Mishap != nil || pages >= pagesLimit {
-			reader.counts.Add("platform_reads_broken", 1)
+			reader.counters.Add("platform_reads_broken", 1)
 			reader.mutex.Lock()
 			reader.wait = page.Wait
 			reader.mutex.Unlock()
@@ -153,7 +153,7 @@
 		}
 		for _, backend := range page.Backends {
 			if _, err := netip.ParseAddrPort(backend.Address); err != nil || backend.Name == "" || backend.Service == "" {
-				reader.counts.Add("platform_items_refused", 1)
+				reader.counters.Add("platform_items_refused", 1)
 				continue
 			}
 			_, again := listed[backend.Name]
@@ -164,7 +164,7 @@
 			break
 		}
 	}
-	reader.counts.Add("platform_reads_whole", 1)
+	reader.counters.Add("platform_reads_whole", 1)
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	reader.wait = 0
@@ -177,7 +177,7 @@
 		delete(reader.missed, name)
 	}
 	if twice {
-		reader.counts.Add("platform_lists_shifted", 1)
+		reader.counters.Add("platform_lists_shifted", 1)
 		return
 	}
 	for name := range reader.backends {
@@ -216,9 +216,9 @@
 
 // platformPages is the list as the product's own platform serves it.
 type platformPages struct {
-	address string
-	client  *http.Client
-	counts  *run.Counts
+	address  string
+	client   *http.Client
+	counters *metrics.Counters
 }
 
 func (pages *platformPages) list(ctx context.Context, next string) Listing {
@@ -232,7 +232,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusTooManyRequests {
-		pages.counts.Add("platform_rate_limited", 1)
+		pages.counters.Add("platform_rate_limited", 1)
 		seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 		if err != nil || seconds < 0 || seconds > 60 {
 			seconds = 1
--- a/control/refusal.go
+++ b/control/refusal.go
@@ -33,9 +33,9 @@
 	if !first {
 		return
 	}
-	core.counts.Add("disk_faults", 1)
+	core.counters.Add("disk_faults", 1)
 	klog.Errorf("core %d: does not vote until its disk takes writes again: %v", core.members().ID, err)
-	core.threads.Start(core.yieldLead)
+	core.goroutines.Start(core.yieldLead)
 }
 
 // DiskFault is why this core's disk takes nothing now, nil while it does.
@@ -64,7 +64,7 @@
 	if !found {
 		return
 	}
-	core.counts.Add("leads_yielded", 1)
+	core.counters.Add("leads_yielded", 1)
 	leadership.handOver(heir, time.Now().Add(2*core.place.Suspect))
 	core.revoke(leadership)
 }
@@ -79,9 +79,9 @@
 	refusal, committed := core.refused, core.committed[message.RoutingRegister]
 	core.refused = diskRefusal{}
 	core.mutex.Unlock()
-	core.counts.Add("disk_repairs", 1)
+	core.counters.Add("disk_repairs", 1)
 	klog.Infof("core %d: votes again, its disk refused writes for %v", core.members().ID, time.Since(refusal.since).Round(time.Millisecond))
-	core.prompt.Ring()
+	core.prompt.Notify()
 	if core.place.enlists() {
 		core.voter.Committed(message.RoutingRegister, committed.Version())
 	}
@@ -100,10 +100,10 @@
 		if held.Less(message.Version{Term: leadership.ballot, Serial: value.Serial}) {
 			response, err := core.voter.Accept(&message.AcceptRequest{Term: leadership.ballot, Register: message.Register(register), Value: value, Chunks: texts})
 			if err != nil || !response.Accepted { // tried again at the next turn, while this core leads
-				core.counts.Add("own_copies_not_mended", 1)
+				core.counters.Add("own_copies_not_mended", 1)
 				continue
 			}
-			core.counts.Add("own_copies_mended", 1)
+			core.counters.Add("own_copies_mended", 1)
 		}
 	}
 }
--- a/control/relayed_test.go
+++ b/control/relayed_test.go
@@ -5,16 +5,17 @@
 	"testing"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // A daemon that stays with a core which led tells it changes only. The next leader
 // gets all that the core was told, or it would seal what came since alone.
 func TestRelayedSessionTellsAllCountsNotTheLastChange(test *testing.T) {
-	threads := run.NewThreads()
-	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), threads, run.NewCounts())
+	goroutines := concurrent.NewGroup()
+	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -46,8 +47,8 @@
 
 // What adds to a former process of the core is not all, and does not pass for it.
 func TestRelayedChangesUponAFormerProcessStayChanges(test *testing.T) {
-	threads := run.NewThreads()
-	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), threads, run.NewCounts())
+	goroutines := concurrent.NewGroup()
+	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
 	}
--- a/control/replace.go
+++ b/control/replace.go
@@ -4,9 +4,9 @@
 	"sync"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 
 	"k8s.io/klog/v2"
 )
@@ -190,7 +190,7 @@
 // majority, then the following group goes on alone.
 func (leadership *Leadership) replace(leaving Peer, address string) {
 	core := leadership.core
-	leadership.writes.Take()
+	leadership.writes.Lock()
 	err := leadership.mayReplace(leaving, address)
 	if err == nil {
 		err = leadership.catchUp(Peer{Address: address})
@@ -200,13 +200,13 @@
 		leadership.succession.joined(step.LastID)
 		err = leadership.writeMembers(step)
 	}
-	leadership.writes.Give()
+	leadership.writes.Unlock()
 	if err != nil {
-		core.counts.Add("replacements_failed", 1)
+		core.counters.Add("replacements_failed", 1)
 		klog.Infof("core %d: %s does not take core %d's place: %v", core.members().ID, address, leaving.ID, err)
 		return
 	}
-	core.counts.Add("replacements_begun", 1)
+	core.counters.Add("replacements_begun", 1)
 	leadership.settleMembers()
 }
 
@@ -226,7 +226,7 @@
 	values, texts := leadership.values, leadership.content.texts
 	leadership.mutex.Unlock()
 	core := leadership.core
-	_, failed := run.Gather(core.threads, len(values), func(register int) (bool, error) {
+	_, failed := concurrent.Gather(core.goroutines, len(values), func(register int) (bool, error) {
 		request := &message.AcceptRequest{Term: leadership.ballot, Register: message.Register(register), Value: values[register]}
 		response, err := core.offerTo(peer, request, texts, core.roundLimit())
 		if err == nil && !response.Accepted {
@@ -244,21 +244,21 @@
 // voters by now, since every write of this leadership under the step was.
 func (leadership *Leadership) settleMembers() {
 	core := leadership.core
-	leadership.writes.Take()
-	defer leadership.writes.Give()
+	leadership.writes.Lock()
+	defer leadership.writes.Unlock()
 	view := core.members()
 	if !view.changing() || leadership.holds() != nil {
 		return
 	}
 	if err := leadership.rewriteAll(view); err != nil {
-		core.counts.Add("replacements_stuck", 1)
+		core.counters.Add("replacements_stuck", 1)
 		core.revoke(leadership)
 		return
 	}
 	if leadership.writeMembers(view.settled()) != nil {
 		return
 	}
-	core.counts.Add("replacements", 1)
+	core.counters.Add("replacements", 1)
 	klog.Infof("core %d: membership %d settled: voters %v", view.ID, core.members().Mark.Serial, core.members().Voters)
 }
 
@@ -267,7 +267,7 @@
 	leadership.mutex.Lock()
 	values, texts := leadership.values, leadership.content.texts
 	leadership.mutex.Unlock()
-	_, failed := run.Gather(leadership.core.threads, len(values), func(register int) (bool, error) {
+	_, failed := concurrent.Gather(leadership.core.goroutines, len(values), func(register int) (bool, error) {
 		request := &message.AcceptRequest{Term: leadership.ballot, Register: message.Register(register), Value: values[register]}
 		if err := leadership.core.pushValue(view, request, texts); err != nil {
 			return false, err
@@ -295,7 +295,7 @@
 	accepted := view.accepted()
 	request := &message.AcceptRequest{Term: leadership.ballot, Register: message.MembersRegister, Value: accepted.Value}
 	if err := core.pushValue(view, request, nil); err != nil {
-		core.counts.Add("write_unknown", 1)
+		core.counters.Add("write_unknown", 1)
 		core.revoke(leadership)
 		return err
 	}
@@ -349,7 +349,7 @@
 		if err == nil && !response.Wait || err != nil && time.Since(begin) > leaveRetries {
 			return
 		}
-		if !core.threads.Rest(core.place.Beat / 2) {
+		if !core.goroutines.Sleep(core.place.Beat / 2) {
 			return
 		}
 	}
--- a/control/restore.go
+++ b/control/restore.go
@@ -11,7 +11,7 @@
 // restore makes a blank disk a voter again: by founding, when every core is new,
 // or by fencing so many others that no quorum the lost disk helped to make is missed.
 func (core *Core) restore() {
-	core.threads.Rest(core.random.span(core.place.Beat, 2*core.place.Beat))
+	core.goroutines.Sleep(core.random.span(core.place.Beat, 2*core.place.Beat))
 	view := core.members()
 	response := askPeers(core, view, func(peer Peer) (*message.ReplicaStateResponse, error) {
 		return rpc.Call[message.ReplicaStateRequest, message.ReplicaStateResponse](core.line, peer.Address, "restore", core.roundLimit(), &message.ReplicaStateRequest{Core: view.ID, Membership: view.Mark})
@@ -33,7 +33,7 @@
 		return
 	}
 	if !core.mayRestore(view, response) {
-		core.counts.Add("restores_short", 1)
+		core.counters.Add("restores_short", 1)
 		return
 	}
 	term, revoked := core.nextBallot(view)
@@ -41,19 +41,19 @@
 		return rpc.Call[message.PrepareRequest, message.PrepareResponse](core.line, peer.Address, "promise", core.roundLimit(), &message.PrepareRequest{Term: term, Membership: view.accepted()})
 	}, granted, never))
 	if !view.fencesWithout(view.ID, agreed(promises, granted)) {
-		core.counts.Add("restores_short", 1)
+		core.counters.Add("restores_short", 1)
 		return
 	}
 	accepted, from := takenOver(view, promises)
 	texts, err := core.gatherTexts(view.address(from[message.SettingsRegister]), accepted[message.SettingsRegister].Value, nil)
 	if err != nil {
-		core.counts.Add("restores_short", 1)
+		core.counters.Add("restores_short", 1)
 		return
 	}
 	if err := core.voter.Found(term, accepted, texts); err != nil {
 		return
 	}
-	core.counts.Add("restores", 1)
+	core.counters.Add("restores", 1)
 	klog.Infof("core %d: restored from %d cores under %s", view.ID, len(promises), term)
 	promises[view.ID] = &message.PrepareResponse{Granted: true, Promised: term, Accepted: core.voter.State().Accepted}
 	if core.chart.move(Revoking) {
@@ -69,8 +69,8 @@
 	if core.markClaimsWhole(id) == nil {
 		return
 	}
-	core.threads.Start(func() {
-		for core.threads.Rest(repairPace) && core.markClaimsWhole(id) != nil {
+	core.goroutines.Start(func() {
+		for core.goroutines.Sleep(repairPace) && core.markClaimsWhole(id) != nil {
 		}
 	})
 }
@@ -84,7 +84,7 @@
 	}
 	err := core.claims.put(&keepWait{message: &message.RecordClaimsRequest{}, members: view.accepted(), wholeAs: view.ID})
 	if err != nil {
-		core.counts.Add("claims_not_begun", 1)
+		core.counters.Add("claims_not_begun", 1)
 	}
 	return err
 }
--- a/control/routing.go
+++ b/control/routing.go
@@ -134,10 +134,10 @@
 		err = leadership.proven(err)
 	}
 	if err != nil {
-		core.counts.Add("routings_"+string(rpc.CodeOf(err)), 1)
+		core.counters.Add("routings_"+string(rpc.CodeOf(err)), 1)
 		return nil, err
 	}
-	core.counts.Add("routings_taken", 1)
+	core.counters.Add("routings_taken", 1)
 	return response, nil
 }
 
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -217,7 +217,7 @@
 		core.mutex.Lock()
 		response := &message.WatchResponse{Serial: core.committed[message.SettingsRegister].Value.Serial, Table: core.table.Version, Routing: core.committed[message.RoutingRegister].Value.Serial}
 		core.mutex.Unlock()
-		if response.Serial > watch.Serial || response.Routing > watch.Routing || watch.Table.Less(response.Table) || core.threads.Stopping() {
+		if response.Serial > watch.Serial || response.Routing > watch.Routing || watch.Table.Less(response.Table) || core.goroutines.Stopping() {
 			return response, nil
 		}
 		if !core.news.Wait(seen, time.Until(until)) {
--- a/control/stall_test.go
+++ b/control/stall_test.go
@@ -5,10 +5,10 @@
 	"testing/synctest"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 	"orchidjunction/sim"
 )
 
@@ -16,7 +16,7 @@
 // waits; what is synced can be read; once it answers the voter goes on.
 func TestStalledVoterRefusesWhoComesLate(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		disk, threads := sim.NewDisk(1), run.NewThreads()
+		disk, goroutines := sim.NewDisk(1), concurrent.NewGroup()
 		store, err := control.OpenStore(disk)
 		if err != nil {
 			test.Fatal(err)
@@ -27,8 +27,8 @@
 		}
 		disk.Stall(true)
 		var early error
-		threads.Start(func() { _, early = voter.Promise(&message.PrepareRequest{Term: message.Term{Number: 1, Core: 1}}) })
-		threads.Rest(time.Second)
+		goroutines.Start(func() { _, early = voter.Promise(&message.PrepareRequest{Term: message.Term{Number: 1, Core: 1}}) })
+		goroutines.Sleep(time.Second)
 		begin := time.Now()
 		for round := range uint64(20) {
 			if _, err := voter.Accept(&message.AcceptRequest{Term: message.Term{Number: 2 + round, Core: 1}, Value: message.Value{Serial: 1}}); err == nil || rpc.CodeOf(err) != rpc.DiskFailure {
@@ -39,7 +39,7 @@
 			test.Errorf("stalled %v, promised %v, after %v", voter.Stalled(), voter.State().Promised, time.Since(begin))
 		}
 		disk.Stall(false)
-		threads.Wait()
+		goroutines.Wait()
 		if early != nil || voter.Stalled() || voter.State().Promised.Number != 1 {
 			test.Errorf("then %v, stalled %v, promised %v", early, voter.Stalled(), voter.State().Promised)
 		}
--- a/control/standing.go
+++ b/control/standing.go
@@ -1,10 +1,10 @@
 package control
 
 import (
+	"orchidjunction/metrics"
 	"sync"
 
 	"k8s.io/klog/v2"
-	"orchidjunction/run"
 )
 
 // Standing is the state a core is in.
@@ -36,10 +36,10 @@
 
 // Chart holds the standing and refuses moves that the chart lacks.
 type Chart struct {
-	mutex  sync.Mutex
-	now    Standing
-	counts *run.Counts
-	core   int
+	mutex    sync.Mutex
+	now      Standing
+	counters *metrics.Counters
+	core     int
 }
 
 func (chart *Chart) Now() Standing {
@@ -64,7 +64,7 @@
 	for _, next := range standingChart[chart.now] {
 		if next == to {
 			klog.Infof("core %d: %s -> %s", chart.core, chart.now, to)
-			chart.counts.Add("standing_"+string(to), 1)
+			chart.counters.Add("standing_"+string(to), 1)
 			chart.now = to
 			return true
 		}
--- a/control/status.go
+++ b/control/status.go
@@ -13,7 +13,7 @@
 	core.mutex.Unlock()
 	response.Membership = core.membershipStatus(leadership)
 	response.State = string(core.chart.Now())
-	response.Counts = core.counts.All()
+	response.Counts = core.counters.All()
 	state := core.voter.State()
 	response.Cores = []message.CoreStatus{{Core: core.members().ID, Address: core.place.Wire, Voter: state.Founded, Seen: true, Versions: state.Marks()}}
 	if leadership != nil {
--- a/control/stored_test.go
+++ b/control/stored_test.go
@@ -10,9 +10,9 @@
 	"testing"
 
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/route"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 var updateStored = flag.Bool("update-stored", false, "write the descriptions of testdata/stored anew")
@@ -121,7 +121,7 @@
 }
 
 func describeClaims(test *testing.T, text *bytes.Buffer, disk Disk) {
-	log, err := openClaimLog(disk, 0, run.NewCounts())
+	log, err := openClaimLog(disk, 0, metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
 	}
--- a/control/survey.go
+++ b/control/survey.go
@@ -9,11 +9,11 @@
 // the others what they accepted. What a majority accepted under one ballot is
 // committed, and daemons may have it before anybody leads.
 func (core *Core) survey() {
-	for core.cold() && !core.threads.Stopping() {
+	for core.cold() && !core.goroutines.Stopping() {
 		if core.members().votes() && !core.voter.Blank() && core.surveyed() {
 			return
 		}
-		if !core.threads.Rest(core.place.Beat) {
+		if !core.goroutines.Sleep(core.place.Beat) {
 			return
 		}
 	}
@@ -38,7 +38,7 @@
 	if !view.decides(agreed(response, same)) || !core.members().same(view) {
 		return false
 	}
-	core.counts.Add("surveys_proved", 1)
+	core.counters.Add("surveys_proved", 1)
 	core.commit(message.RoutingRegister, accepted, own.Texts)
 	return true
 }
--- a/control/table.go
+++ b/control/table.go
@@ -49,7 +49,7 @@
 	if before.Version.Term == leadership.ballot && sameTable(before, next) {
 		return
 	}
-	core.counts.Add("tables", 1)
+	core.counters.Add("tables", 1)
 	core.holdTable(next)
 }
 
@@ -85,7 +85,7 @@
 	if sameTable(before, next) {
 		return
 	}
-	core.counts.Add("tables_before_a_leader", 1)
+	core.counters.Add("tables_before_a_leader", 1)
 	core.holdTable(next)
 }
 
@@ -105,10 +105,10 @@
 		response.Table, _ = table.Apply(response.Delta)
 	}
 	if err != nil || response.Table == nil {
-		core.counts.Add("tables_not_rebuilt", 1)
+		core.counters.Add("tables_not_rebuilt", 1)
 		return table
 	}
-	core.counts.Add("tables_rebuilt", 1)
+	core.counters.Add("tables_rebuilt", 1)
 	return response.Table
 }
 
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // listed is a reader that has read a list of so many backends, and the list.
@@ -19,7 +19,7 @@
 		list = append(list, message.Backend{Name: fmt.Sprintf("backend-%06d", (number*7919)%count), Service: "service", Address: "10.0.0.1:80", Zone: "zone", Capacity: 16})
 	}
 	place := &Place{GoneAfter: 2, ListPace: time.Second, Lister: func(context.Context, string) Listing { return Listing{Backends: list} }}
-	reader := newPlatformReader(place, nil, func() int64 { return 0 }, run.NewCounts())
+	reader := newPlatformReader(place, nil, func() int64 { return 0 }, metrics.NewCounters())
 	readOnce(reader)
 	return reader, &list
 }
--- a/control/usage.go
+++ b/control/usage.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/conf"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 const (
@@ -105,7 +105,7 @@
 	book := &usageBook{}
 	if len(value.Body) > 0 {
 		if err := rpc.Unmarshal(value.Body, book); err != nil {
-			core.counts.Add("usage_book_unreadable", 1)
+			core.counters.Add("usage_book_unreadable", 1)
 			return nil, nil
 		}
 	}
@@ -124,7 +124,7 @@
 	}
 	if core.usage.fresh(book) || core.usage.over(leadership.ballot) {
 		if err := core.seal(leadership, settings.tree.Settings); err != nil {
-			core.counts.Add("usage_seals_failed", 1)
+			core.counters.Add("usage_seals_failed", 1)
 		}
 	}
 }
@@ -142,12 +142,12 @@
 			unsent = append(unsent, report)
 		}
 	}
-	run.Gather(core.threads, len(unsent), func(index int) (bool, error) {
+	concurrent.Gather(core.goroutines, len(unsent), func(index int) (bool, error) {
 		if core.deliver(unsent[index]) {
 			core.usage.mutex.Lock()
 			core.usage.delivered[unsent[index].ID] = true
 			core.usage.mutex.Unlock()
-			core.counts.Add("usage_reports_delivered", 1)
+			core.counters.Add("usage_reports_delivered", 1)
 		}
 		return true, nil
 	}, func(map[int]bool, map[int]error) bool { return false })
@@ -304,7 +304,7 @@
 	request.Header.Set("Content-Type", "application/json")
 	response, err := core.usage.client.Do(request)
 	if err != nil {
-		core.counts.Add("usage_reports_unsent", 1)
+		core.counters.Add("usage_reports_unsent", 1)
 		return false
 	}
 	defer response.Body.Close()
--- a/control/voter.go
+++ b/control/voter.go
@@ -4,15 +4,15 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // Voter is the part of a core that promises ballots and accepts values, synced
 // before it answers. Reads see the last synced state without waiting for the disk.
 type Voter struct {
-	turn   *run.Turn
+	turn   *concurrent.Lock
 	store  *Store
 	synced atomic.Pointer[State]
 	fault  func(error)
@@ -24,7 +24,7 @@
 
 // NewVoter calls raised when the promise rises.
 func NewVoter(store *Store, err func(error), raised func(message.Term)) *Voter {
-	voter := &Voter{turn: run.NewTurn(), store: store, fault: err, raised: raised, learns: func(message.AcceptedValue) {}}
+	voter := &Voter{turn: concurrent.NewLock(), store: store, fault: err, raised: raised, learns: func(message.AcceptedValue) {}}
 	voter.publish()
 	return voter
 }
@@ -75,7 +75,7 @@
 	if voter.Stalled() {
 		return rpc.Errorf(rpc.DiskFailure, "the disk does not answer")
 	}
-	voter.turn.Take()
+	voter.turn.Lock()
 	return nil
 }
 
@@ -93,7 +93,7 @@
 	if err := voter.enter(); err != nil {
 		return nil, err
 	}
-	defer voter.turn.Give()
+	defer voter.turn.Unlock()
 	if err := voter.ready(); err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 	if err := voter.enter(); err != nil {
 		return nil, err
 	}
-	defer voter.turn.Give()
+	defer voter.turn.Unlock()
 	if err := voter.ready(); err != nil {
 		return nil, err
 	}
@@ -153,8 +153,8 @@
 // Found makes a blank disk a voter with what the others hold, accepted under its
 // own ballot: a copy is no vote for the ballot that it was written under.
 func (voter *Voter) Found(promised message.Term, accepted [message.Registers]message.AcceptedValue, texts message.Chunks) error {
-	voter.turn.Take()
-	defer voter.turn.Give()
+	voter.turn.Lock()
+	defer voter.turn.Unlock()
 	if voter.store.state.Founded {
 		return nil
 	}
@@ -173,16 +173,16 @@
 
 // Open marks a blank disk as one of the system's first start.
 func (voter *Voter) Open() error {
-	voter.turn.Take()
-	defer voter.turn.Give()
+	voter.turn.Lock()
+	defer voter.turn.Unlock()
 	return voter.keep(record{Opening: true})
 }
 
 // Enrol makes a disk of the system's first start a voter under the membership that
 // it was told.
 func (voter *Voter) Enrol(members message.AcceptedValue) error {
-	voter.turn.Take()
-	defer voter.turn.Give()
+	voter.turn.Lock()
+	defer voter.turn.Unlock()
 	if voter.store.state.Founded {
 		return rpc.Errorf(rpc.BadMessage, "votes already")
 	}
@@ -196,8 +196,8 @@
 // Committed keeps that a register's accepted value is known to be committed, so
 // that it can be served after a restart before anybody leads.
 func (voter *Voter) Committed(register message.Register, version message.Version) {
-	voter.turn.Take()
-	defer voter.turn.Give()
+	voter.turn.Lock()
+	defer voter.turn.Unlock()
 	state := &voter.store.state
 	if state.Committed[register].Serial < version.Serial && state.Accepted[register].Value.Serial == version.Serial {
 		_ = voter.keep(record{Register: register, Committed: &version}) // its fault is reported by keep; the mark only saves a survey
@@ -206,13 +206,13 @@
 
 // Repair makes a store that refused a step take steps again.
 func (voter *Voter) Repair() error {
-	voter.turn.Take()
-	defer voter.turn.Give()
+	voter.turn.Lock()
+	defer voter.turn.Unlock()
 	return voter.written(voter.store.Repair)
 }
 
 func (voter *Voter) Close() {
-	voter.turn.Take()
-	defer voter.turn.Give()
+	voter.turn.Lock()
+	defer voter.turn.Unlock()
 	voter.store.Close()
 }
--- a/control/who_test.go
+++ b/control/who_test.go
@@ -5,36 +5,37 @@
 	"testing"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // Who leads is asked while the leader beats, very often: neither waits for the
 // other's lock for good.
 func TestWhoWhileBeating(test *testing.T) {
-	threads := run.NewThreads()
-	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), threads, run.NewCounts())
+	goroutines := concurrent.NewGroup()
+	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
 	}
 	core.Run()
 	for !core.Leads() {
-		threads.Rest(time.Millisecond)
+		goroutines.Sleep(time.Millisecond)
 	}
 	leadership, _ := core.leading()
-	ended := run.NewBell()
+	ended := concurrent.NewCondition()
 	ask := func() {
 		if _, err := core.onWho(&message.LeaderRequest{}); err != nil {
 			test.Error(err)
 		}
 	}
 	for _, duty := range []func(){ask, func() { leadership.beat() }} {
-		threads.Start(func() {
+		goroutines.Start(func() {
 			for range 100_000 {
 				duty()
 			}
-			ended.Ring()
+			ended.Notify()
 		})
 	}
 	for seen := uint64(0); seen < 2; seen++ {
@@ -42,7 +43,7 @@
 			test.Fatal("the locks wait for each other")
 		}
 	}
-	threads.Stop()
-	threads.Wait()
+	goroutines.Stop()
+	goroutines.Wait()
 	core.Close()
 }
--- a/data/claim_messages.go
+++ b/data/claim_messages.go
@@ -14,7 +14,7 @@
 			return nil, rpc.Errorf(rpc.NotReady, "not a keeper yet")
 		}
 		if claims.outdated(claim) {
-			claims.proxy.counts.Add("claims_outdated", 1)
+			claims.proxy.counters.Add("claims_outdated", 1)
 			return nil, rpc.Errorf(rpc.StaleSerial, "the ring of keepers changed")
 		}
 		return claims.grant(claim), nil
@@ -81,9 +81,9 @@
 			claims.keeper.Settle(settle)
 			continue
 		}
-		claims.proxy.threads.Start(func() {
+		claims.proxy.goroutines.Start(func() {
 			if _, err := rpc.Call[message.CompleteClaimRequest, message.CompleteClaimResponse](claims.proxy.daemon.Line(), keeper.InternalAddress, "settle", settleLimit, settle); err != nil {
-				claims.proxy.counts.Add("claims_not_settled", 1)
+				claims.proxy.counters.Add("claims_not_settled", 1)
 			}
 		})
 	}
--- a/data/claim_poll.go
+++ b/data/claim_poll.go
@@ -1,9 +1,9 @@
 package data
 
 import (
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // enough is whether the granting members make a quorum of every ring.
@@ -86,7 +86,7 @@
 	away := claims.coreStore.unavailable()
 	round := claims.poll(rings, members, claim, away)
 	if round.cores().outdated() && round.refused() == nil && !round.granted(away) {
-		claims.proxy.counts.Add("claims_by_former_voters", 1)
+		claims.proxy.counters.Add("claims_by_former_voters", 1)
 		round = claims.poll(rings, members, claim, away)
 	}
 	if refusal := round.refused(); refusal != nil {
@@ -100,7 +100,7 @@
 	if !round.quorums(true) {
 		return nil, false
 	}
-	claims.proxy.counts.Add("claims_without_core", 1)
+	claims.proxy.counters.Add("claims_without_core", 1)
 	claims.coreStore.enqueue(pendingUpdate{retold: &claim.Record})
 	return nil, true
 }
@@ -118,7 +118,7 @@
 func (claims *Claims) poll(rings [][]message.Member, members []message.Member, claim *message.ClaimRequest, away bool) *poll {
 	roster, cores := claims.coreStore.coresToAsk()
 	round := &poll{roster: roster, rings: rings, members: members}
-	round.got, _ = run.Gather(claims.proxy.threads, len(members)+len(cores), func(index int) (claimAnswer, error) {
+	round.got, _ = concurrent.Gather(claims.proxy.goroutines, len(members)+len(cores), func(index int) (claimAnswer, error) {
 		if index >= len(members) {
 			response, err := claims.coreStore.ask(cores[index-len(members)], &message.RecordClaimsRequest{Membership: roster.accepted, Claims: []message.ClaimRequest{*claim}}, coreStoreLimit)
 			return claimAnswer{core: response}, err
--- a/data/claim_rings.go
+++ b/data/claim_rings.go
@@ -60,7 +60,7 @@
 	claims.left(former.members, next.members, now)
 	claims.rings = append(claims.rings, heldRing{keepers: next, mark: version, at: now})
 	claims.mutex.Unlock()
-	claims.proxy.threads.Start(func() { claims.retell(former, next) })
+	claims.proxy.goroutines.Start(func() { claims.retell(former, next) })
 }
 
 // left doubts this memory when so many keepers are gone within a short time
@@ -84,7 +84,7 @@
 	}
 	if lost >= quorum(min(keepersMost, len(former)+lost-gone.count)) && claims.whole {
 		claims.whole = false
-		claims.proxy.counts.Add("claims_doubted", 1)
+		claims.proxy.counters.Add("claims_doubted", 1)
 	}
 }
 
@@ -118,7 +118,7 @@
 		for len(batch) > 0 {
 			count := min(len(batch), 2000)
 			if _, err := rpc.Call[message.MergeClaimsRequest, message.MergeClaimsResponse](claims.proxy.daemon.Line(), address, "retell", pullLimit, &message.MergeClaimsRequest{Claims: batch[:count]}); err != nil {
-				claims.proxy.counts.Add("claims_not_retold", uint64(count))
+				claims.proxy.counters.Add("claims_not_retold", uint64(count))
 			}
 			batch = batch[count:]
 		}
--- a/data/claims.go
+++ b/data/claims.go
@@ -4,10 +4,10 @@
 	"sync"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/keep"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 
 	"k8s.io/klog/v2"
 )
@@ -71,7 +71,7 @@
 		claims.mutex.Lock()
 		claims.whole = true
 		claims.mutex.Unlock()
-		claims.proxy.counts.Add("claims_recalled", 1)
+		claims.proxy.counters.Add("claims_recalled", 1)
 		klog.Infof("%s: %d claims read back from the cores", claims.proxy.daemon.Name(), claims.keeper.Count())
 	}
 	if claims.Grown() || claims.proxy.lend != nil || !claims.proxy.daemon.Ready() {
@@ -93,7 +93,7 @@
 		return
 	}
 	asked := append(append([]message.Member{}, others...), peers...)
-	got, _ := run.Gather(claims.proxy.threads, len(asked), func(index int) (*message.FetchClaimsResponse, error) {
+	got, _ := concurrent.Gather(claims.proxy.goroutines, len(asked), func(index int) (*message.FetchClaimsResponse, error) {
 		return pullAll(claims.proxy.daemon.Line(), asked[index].InternalAddress, message.AcceptedValue{}, claims.keeper.Retell)
 	}, func(map[int]*message.FetchClaimsResponse, map[int]error) bool { return false })
 	grown, wholes := 0, 0
@@ -106,14 +106,14 @@
 		}
 	}
 	if grown < len(others)-1 || len(others) == 1 && grown == 0 {
-		claims.proxy.counts.Add("claims_not_grown", 1)
+		claims.proxy.counters.Add("claims_not_grown", 1)
 		return
 	}
 	claims.mutex.Lock()
 	claims.grown, claims.whole = true, grown > 0 && wholes == grown
 	claims.mutex.Unlock()
 	klog.Infof("%s: keeps claims, told by %d keepers", claims.proxy.daemon.Name(), grown)
-	claims.proxy.counts.Add("claims_grown", 1)
+	claims.proxy.counters.Add("claims_grown", 1)
 }
 
 // take claims the key at a quorum; when the key is taken, it gives what became of it.
@@ -134,7 +134,7 @@
 		}
 		if refusal == nil {
 			claims.free(ring, claimed)
-			claims.proxy.counts.Add("claims_short", 1)
+			claims.proxy.counters.Add("claims_short", 1)
 			return nil, &rpc.Error{Code: rpc.OutcomeUnknown, Message: "too few keepers of money keys answer; send the same key again", RetryAfterMs: comeBack, Outcome: rpc.MayHaveRun}
 		}
 		if refusal.Digest != claimed.Digest {
--- a/data/core_store.go
+++ b/data/core_store.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 const (
@@ -22,7 +22,7 @@
 // loss of all proxies.
 type coreStore struct {
 	proxy *Proxy
-	ring  *run.Ring[pendingUpdate]
+	ring  *concurrent.Queue[pendingUpdate]
 
 	mutex    sync.Mutex
 	failedAt time.Time
@@ -38,7 +38,7 @@
 }
 
 func newCoreStore(proxy *Proxy) *coreStore {
-	return &coreStore{proxy: proxy, ring: run.NewRing[pendingUpdate](coreStoreRing)}
+	return &coreStore{proxy: proxy, ring: concurrent.NewQueue[pendingUpdate](coreStoreRing)}
 }
 
 // unavailable reports whether the last attempt, within a second, found no majority of
@@ -93,7 +93,7 @@
 // counted.
 func (store *coreStore) enqueue(one pendingUpdate) {
 	if !store.ring.Put(one) {
-		store.proxy.counts.Add("claims_not_owed", 1)
+		store.proxy.counters.Add("claims_not_owed", 1)
 		return
 	}
 	store.mutex.Lock()
@@ -107,16 +107,16 @@
 		store.mutex.Lock()
 		pending := store.pending
 		store.mutex.Unlock()
-		if pending <= 0 || !store.proxy.threads.Rest(coreStorePace/10) {
+		if pending <= 0 || !store.proxy.goroutines.Sleep(coreStorePace/10) {
 			return
 		}
 	}
-	store.proxy.counts.Add("claims_untold_at_end", 1)
+	store.proxy.counters.Add("claims_untold_at_end", 1)
 }
 
 // deliver sends queued updates in order, each until a majority of cores has it.
 func (store *coreStore) deliver() {
-	threads := store.proxy.threads
+	goroutines := store.proxy.goroutines
 	for {
 		batch := store.ring.Take(coreStoreGroup)
 		if len(batch) == 0 {
@@ -131,8 +131,8 @@
 			}
 		}
 		for !store.sendToMajority(request) {
-			store.proxy.counts.Add("claims_told_late", 1)
-			if !threads.Rest(coreStorePace) {
+			store.proxy.counters.Add("claims_told_late", 1)
+			if !goroutines.Sleep(coreStorePace) {
 				return
 			}
 		}
@@ -147,7 +147,7 @@
 func (store *coreStore) sendToMajority(request *message.RecordClaimsRequest) bool {
 	roster, cores := store.coresToAsk()
 	request.Membership = roster.accepted
-	got, _ := run.Gather(store.proxy.threads, len(cores), func(index int) (*message.RecordClaimsResponse, error) {
+	got, _ := concurrent.Gather(store.proxy.goroutines, len(cores), func(index int) (*message.RecordClaimsResponse, error) {
 		return store.ask(cores[index], request, settleLimit)
 	}, func(got map[int]*message.RecordClaimsResponse, _ map[int]error) bool {
 		return keptBy(roster, got).lasting()
@@ -170,7 +170,7 @@
 // majority of the cores that vote answered and hold all claims.
 func (store *coreStore) restore(take func([]message.ClaimRecord)) bool {
 	roster, cores := store.coresToAsk()
-	got, _ := run.Gather(store.proxy.threads, len(cores), func(index int) (*message.FetchClaimsResponse, error) {
+	got, _ := concurrent.Gather(store.proxy.goroutines, len(cores), func(index int) (*message.FetchClaimsResponse, error) {
 		return pullAll(store.proxy.daemon.Line(), cores[index], roster.accepted, take)
 	}, func(map[int]*message.FetchClaimsResponse, map[int]error) bool { return false })
 	votes := newCoreVotes(roster)
--- a/data/lend.go
+++ b/data/lend.go
@@ -34,11 +34,11 @@
 	lend.mutex.Lock()
 	defer lend.mutex.Unlock()
 	if lend.owner.admission.Overloaded() || lend.inFlight >= lend.most || !lend.rate.Allow() {
-		lend.owner.counts.Add("lending_refused", 1)
+		lend.owner.counters.Add("lending_refused", 1)
 		return &rpc.Error{Code: rpc.Overloaded, Message: "the lender needs its room", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
 	}
 	lend.inFlight++
-	lend.owner.counts.Add("lent", 1)
+	lend.owner.counters.Add("lent", 1)
 	return nil
 }
 
--- a/data/proxy.go
+++ b/data/proxy.go
@@ -6,33 +6,34 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/conf"
 	"orchidjunction/member"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // Proxy is the HTTP handler that carries requests of the settings' routes to
 // backends. It lives as long as the process and replaces its plan with each
 // version.
 type Proxy struct {
-	daemon    *member.Daemon
-	threads   *run.Threads
-	counts    *run.Counts
-	dial      Dialer
-	budget    *retryBudget
-	claims    *Claims
-	usage     *run.Counts
-	admission *Admission
-	retries   *retryDetector
-	lend      *Lend
-	warmed    atomic.Bool
-	plan      atomic.Pointer[plan]
-	mutex     sync.Mutex
-	targets   map[string]*Target
-	taskIDs   atomic.Uint64
-	prefix    string
+	daemon     *member.Daemon
+	goroutines *concurrent.Group
+	counters   *metrics.Counters
+	dial       Dialer
+	budget     *retryBudget
+	claims     *Claims
+	usage      *metrics.Counters
+	admission  *Admission
+	retries    *retryDetector
+	lend       *Lend
+	warmed     atomic.Bool
+	plan       atomic.Pointer[plan]
+	mutex      sync.Mutex
+	targets    map[string]*Target
+	taskIDs    atomic.Uint64
+	prefix     string
 }
 
 // plan is one version as this proxy uses it: whole, and never changed.
@@ -47,8 +48,8 @@
 
 // NewProxy returns a proxy without a version; it refuses requests until Apply. It
 // registers its usage, demand and readiness with the daemon.
-func NewProxy(daemon *member.Daemon, threads *run.Threads, counts *run.Counts, dial Dialer) *Proxy {
-	proxy := &Proxy{daemon: daemon, threads: threads, counts: counts, dial: dial, budget: newRetryBudget(), usage: run.NewCounts(), admission: NewAdmission(), retries: newRetryDetector(),
+func NewProxy(daemon *member.Daemon, goroutines *concurrent.Group, counters *metrics.Counters, dial Dialer) *Proxy {
+	proxy := &Proxy{daemon: daemon, goroutines: goroutines, counters: counters, dial: dial, budget: newRetryBudget(), usage: metrics.NewCounters(), admission: NewAdmission(), retries: newRetryDetector(),
 		targets: map[string]*Target{}, prefix: member.NewID()[:10]}
 	proxy.claims = newClaims(proxy)
 	daemon.Keep(proxy.claims.Grown)
@@ -61,12 +62,12 @@
 
 // Run starts the proxy's background duties.
 func (proxy *Proxy) Run() {
-	proxy.threads.Beat(run.Each(growPace), proxy.claims.grow)
-	proxy.threads.Start(proxy.claims.coreStore.deliver)
-	proxy.threads.OnStop(func() {
+	proxy.goroutines.Every(concurrent.Fixed(growPace), proxy.claims.grow)
+	proxy.goroutines.Start(proxy.claims.coreStore.deliver)
+	proxy.goroutines.OnStop(func() {
 		proxy.claims.coreStore.ring.Close()
 		for _, target := range proxy.plan.Load().targets() {
-			target.stirred.Ring()
+			target.stirred.Notify()
 		}
 	})
 }
@@ -100,7 +101,7 @@
 			}
 			target = newTarget(backend, proxy.dial)
 			proxy.targets[backend.Name] = target
-			proxy.threads.Start(func() { proxy.watchTarget(target) })
+			proxy.goroutines.Start(func() { proxy.watchTarget(target) })
 		}
 		target.relist(backend, coldShares(version.Table, backend, proxy.daemon.Name()))
 		next.services[backend.Service] = append(next.services[backend.Service], target)
@@ -189,9 +190,9 @@
 		}
 		seen := target.stirred.Count()
 		serial, err := target.probe()
-		proxy.counts.Add("probes", 1)
+		proxy.counters.Add("probes", 1)
 		if err != nil {
-			proxy.counts.Add("probes_"+string(rpc.CodeOf(err)), 1)
+			proxy.counters.Add("probes_"+string(rpc.CodeOf(err)), 1)
 		} else {
 			proxy.daemon.Seen(serial)
 		}
@@ -200,7 +201,7 @@
 			span = probeSpan(plan.proxies)
 		}
 		target.stirred.Wait(seen, span)
-		if proxy.threads.Stopping() {
+		if proxy.goroutines.Stopping() {
 			return
 		}
 	}
--- a/data/state_machine.go
+++ b/data/state_machine.go
@@ -10,7 +10,7 @@
 // Proxy.Probes.
 package data
 
-import "orchidjunction/run"
+import "orchidjunction/metrics"
 
 // State is where a request stands on its way through a proxy.
 type State string
@@ -44,12 +44,12 @@
 // stateMachine is the state machine of one request; a transition that is not allowed is
 // counted as a defect.
 type stateMachine struct {
-	now    State
-	counts *run.Counts
+	now      State
+	counters *metrics.Counters
 }
 
-func newStateMachine(counts *run.Counts) *stateMachine {
-	return &stateMachine{now: Arrived, counts: counts}
+func newStateMachine(counters *metrics.Counters) *stateMachine {
+	return &stateMachine{now: Arrived, counters: counters}
 }
 
 func (machine *stateMachine) advance(to State) bool {
@@ -57,11 +57,11 @@
 		if next == to {
 			machine.now = to
 			if len(transitions[to]) == 0 {
-				machine.counts.Add("tasks_"+string(to), 1)
+				machine.counters.Add("tasks_"+string(to), 1)
 			}
 			return true
 		}
 	}
-	machine.counts.Add("task_steps_off_chart", 1)
+	machine.counters.Add("task_steps_off_chart", 1)
 	return false
 }
--- a/data/state_machine_test.go
+++ b/data/state_machine_test.go
@@ -1,9 +1,8 @@
 package data
 
 import (
+	"orchidjunction/metrics"
 	"testing"
-
-	"orchidjunction/run"
 )
 
 // Every state but the first is reached, and every way ends.
@@ -28,9 +27,9 @@
 		}
 	}
 	for _, unsafe := range [][2]State{{Answered, Assigned}, {Unknown, Assigned}, {Aborted, Answered}, {Arrived, Sent}, {Authenticated, Assigned}} {
-		counts := run.NewCounts()
-		machine := &stateMachine{now: unsafe[0], counts: counts}
-		if machine.advance(unsafe[1]) || counts.Get("task_steps_off_chart") != 1 {
+		counters := metrics.NewCounters()
+		machine := &stateMachine{now: unsafe[0], counters: counters}
+		if machine.advance(unsafe[1]) || counters.Get("task_steps_off_chart") != 1 {
 			test.Errorf("%s to %s is taken", unsafe[0], unsafe[1])
 		}
 	}
--- a/data/target.go
+++ b/data/target.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 
 	"golang.org/x/time/rate"
 )
@@ -30,7 +30,7 @@
 	listing atomic.Pointer[message.Backend]
 	dial    Dialer
 	looked  atomic.Bool
-	stirred *run.Bell
+	stirred *concurrent.Condition
 
 	mutex    sync.Mutex
 	identity Identity
@@ -45,7 +45,7 @@
 }
 
 func newTarget(backend message.Backend, dial Dialer) *Target {
-	target := &Target{dial: dial, stirred: run.NewBell()}
+	target := &Target{dial: dial, stirred: concurrent.NewCondition()}
 	target.listing.Store(&backend)
 	return target
 }
@@ -59,7 +59,7 @@
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	if backend.ProbeHint > target.backend().ProbeHint {
-		target.stirred.Ring()
+		target.stirred.Notify()
 	}
 	target.listing.Store(&backend)
 	if target.shares != shares {
--- a/data/task.go
+++ b/data/task.go
@@ -49,7 +49,7 @@
 
 // ServeHTTP carries a caller's request to a backend and the response back.
 func (proxy *Proxy) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	task := &task{proxy: proxy, state: newStateMachine(proxy.counts), request: request, tried: map[*Target]bool{}, finish: func() {},
+	task := &task{proxy: proxy, state: newStateMachine(proxy.counters), request: request, tried: map[*Target]bool{}, finish: func() {},
 		id: proxy.prefix + "-" + strconv.FormatUint(proxy.taskIDs.Add(1), 36)}
 	defer func() { task.finish() }()
 	writer.Header().Set("Oj-Task", task.id)
@@ -76,7 +76,7 @@
 	if task.sent {
 		task.proxy.retries.recordFailure(task.mark)
 	}
-	task.proxy.counts.Add("refused_"+string(refusal.Code), 1)
+	task.proxy.counters.Add("refused_"+string(refusal.Code), 1)
 	member.Refuse(writer, &refusal)
 }
 
@@ -234,7 +234,7 @@
 	for name, value := range held.Header {
 		task.receipt.header.Set(name, value)
 	}
-	task.proxy.counts.Add("replays", 1)
+	task.proxy.counters.Add("replays", 1)
 	task.state.advance(Replayed)
 	return nil
 }
@@ -255,14 +255,14 @@
 		return err
 	}
 	if task.proxy.retries.isRetry(task.mark) && !task.proxy.budget.allow() {
-		task.proxy.counts.Add("quick_retries_refused", 1)
+		task.proxy.counters.Add("quick_retries_refused", 1)
 		return &rpc.Error{Code: rpc.Overloaded, Message: "this task just failed here and the budget for retries is used up", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
 	}
 	var last error = &rpc.Error{Code: rpc.NoBackend, Message: "no backend can take this now", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
 	mayRun := false
 	for sends := 0; sends < task.rule.Sends; sends++ {
 		if sends > 0 && !task.proxy.budget.allow() {
-			task.proxy.counts.Add("resends_refused", 1)
+			task.proxy.counters.Add("resends_refused", 1)
 			break
 		}
 		target, found := task.plan.pickBackend(task.rule, task.tenant, task.tried)
@@ -274,7 +274,7 @@
 		if sends == 0 {
 			task.proxy.budget.recordSend()
 		} else {
-			task.proxy.counts.Add("resends", 1)
+			task.proxy.counters.Add("resends", 1)
 		}
 		receipt, ran, err := task.sendTo(target)
 		task.sent = task.sent || ran
@@ -285,7 +285,7 @@
 			task.receipt = receipt
 			return nil
 		}
-		task.proxy.counts.Add("sends_"+string(rpc.CodeOf(err)), 1)
+		task.proxy.counters.Add("sends_"+string(rpc.CodeOf(err)), 1)
 		last, mayRun = err, mayRun || ran
 		if ran && task.rule.Money || ran && task.request.Method != http.MethodGet && task.request.Method != http.MethodHead {
 			break
--- a/fleet/backend_faults.go
+++ b/fleet/backend_faults.go
@@ -69,7 +69,7 @@
 		if err == nil {
 			response.Body.Close()
 		}
-		fleet.threads.Rest(2500 * time.Millisecond)
+		fleet.goroutines.Sleep(2500 * time.Millisecond)
 	}
 }
 
@@ -80,7 +80,7 @@
 		process.arguments = fleet.backArguments(process, 5000)
 		process.Signal(syscall.SIGKILL)
 	}
-	fleet.threads.Rest(500 * time.Millisecond)
+	fleet.goroutines.Sleep(500 * time.Millisecond)
 	for _, process := range herd {
 		process.Wait(time.Second)
 		fleet.start(process)
--- a/fleet/changes.go
+++ b/fleet/changes.go
@@ -22,7 +22,7 @@
 	fleet.rest(0.2)
 	forecast := fleet.forecast(fleet.zones[0])
 	fleet.drain("zones", fleet.zones[0])
-	fleet.threads.Rest(2 * time.Second)
+	fleet.goroutines.Sleep(2 * time.Second)
 	fleet.compareForecast(forecast)
 	fleet.rest(0.4)
 	fleet.drain("zones", "")
@@ -66,7 +66,7 @@
 				return true
 			}
 		}
-		fleet.threads.Rest(30 * time.Millisecond)
+		fleet.goroutines.Sleep(30 * time.Millisecond)
 	}
 	return false
 }
--- a/fleet/daemon_faults.go
+++ b/fleet/daemon_faults.go
@@ -17,7 +17,7 @@
 	if code := process.Wait(9 * time.Second); signal == syscall.SIGTERM && code != 0 {
 		fleet.codes = append(fleet.codes, fmt.Sprintf("%s exit %d", process.Name, code))
 	}
-	fleet.threads.Rest(away)
+	fleet.goroutines.Sleep(away)
 	fleet.start(process)
 }
 
@@ -57,7 +57,7 @@
 		}
 		fleet.rest(0.1)
 		process.Signal(syscall.SIGTERM)
-		fleet.threads.Rest(700 * time.Millisecond)
+		fleet.goroutines.Sleep(700 * time.Millisecond)
 		fleet.stop(process, syscall.SIGKILL, 300*time.Millisecond)
 	}
 }
@@ -86,7 +86,7 @@
 func restartedInTurn(fleet *Fleet) {
 	for _, process := range append(append(append([]*Process{}, fleet.Cores...), fleet.Directories...), fleet.Proxies...) {
 		fleet.stop(process, syscall.SIGTERM, 100*time.Millisecond)
-		fleet.threads.Rest(700 * time.Millisecond)
+		fleet.goroutines.Sleep(700 * time.Millisecond)
 	}
 }
 
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -10,23 +10,23 @@
 	"syscall"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/conf"
 	"orchidjunction/judge"
 	"orchidjunction/operator"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 	"orchidjunction/stand"
 )
 
 // Fleet is the processes of one run and what is recorded about them.
 type Fleet struct {
-	Spec     Spec
-	settings *conf.Settings
-	body     []byte
-	threads  *run.Threads
-	client   *http.Client
-	zones    []string
-	services []string
+	Spec       Spec
+	settings   *conf.Settings
+	body       []byte
+	goroutines *concurrent.Group
+	client     *http.Client
+	zones      []string
+	services   []string
 
 	Cores       []*Process
 	Directories []*Process
@@ -51,7 +51,7 @@
 
 // NewFleet decides names, addresses and command lines of all processes; it starts
 // none.
-func NewFleet(spec Spec, threads *run.Threads) (*Fleet, error) {
+func NewFleet(spec Spec, goroutines *concurrent.Group) (*Fleet, error) {
 	settings, body, err := spec.Check()
 	if err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 	if entries, _ := os.ReadDir(spec.Folder); len(entries) > 0 {
 		return nil, rpc.Errorf(rpc.BadFlag, "--folder: %s is not empty", spec.Folder)
 	}
-	fleet := &Fleet{Spec: spec, settings: settings, body: body, threads: threads, port: spec.BasePort, guests: map[string]string{}, name: settings.Partner,
+	fleet := &Fleet{Spec: spec, settings: settings, body: body, goroutines: goroutines, port: spec.BasePort, guests: map[string]string{}, name: settings.Partner,
 		client: &http.Client{Timeout: 2 * time.Second}}
 	names := sortedKeys(settings.Regions)
 	for depth := 0; len(fleet.zones) < len(names)*8 && depth < 8; depth++ {
@@ -94,7 +94,7 @@
 		fleet.peer.mutex.Lock()
 		judged := fleet.peer.judged
 		fleet.peer.mutex.Unlock()
-		if judged || !fleet.threads.Rest(50*time.Millisecond) {
+		if judged || !fleet.goroutines.Sleep(50*time.Millisecond) {
 			return
 		}
 	}
@@ -185,10 +185,10 @@
 }
 
 // Rest sleeps; it returns false once the run is stopped.
-func (fleet *Fleet) Rest(span time.Duration) bool { return fleet.threads.Rest(span) }
+func (fleet *Fleet) Rest(span time.Duration) bool { return fleet.goroutines.Sleep(span) }
 
 // Start runs duty in a goroutine of the run.
-func (fleet *Fleet) Start(duty func()) { fleet.threads.Start(duty) }
+func (fleet *Fleet) Start(duty func()) { fleet.goroutines.Start(duty) }
 
 // Down stops all processes in order and records exit codes other than 0.
 func (fleet *Fleet) Down() {
--- a/fleet/layout.go
+++ b/fleet/layout.go
@@ -30,7 +30,7 @@
 }
 
 func (fleet *Fleet) process(name, kind string, arguments ...string) *Process {
-	return newProcess(fleet.threads, fleet.Spec.Bin, fleet.Spec.Folder, name, kind, arguments...)
+	return newProcess(fleet.goroutines, fleet.Spec.Bin, fleet.Spec.Folder, name, kind, arguments...)
 }
 
 // lay decides every process's place and command line.
--- a/fleet/load.go
+++ b/fleet/load.go
@@ -69,7 +69,7 @@
 // Callers waits until the load has lasted as long as the Spec says, stops the
 // callers and returns their report.
 func (fleet *Fleet) Callers() (*stand.OriginReport, error) {
-	fleet.threads.Rest(time.Until(fleet.called.Add(time.Duration(fleet.Spec.Seconds * float64(time.Second)))))
+	fleet.goroutines.Sleep(time.Until(fleet.called.Add(time.Duration(fleet.Spec.Seconds * float64(time.Second)))))
 	fleet.origin.Signal(syscall.SIGTERM)
 	fleet.origin.Wait(60 * time.Second)
 	body, err := os.ReadFile(fleet.origin.log)
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -12,25 +12,25 @@
 	"syscall"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // Process is one program of the fleet; it can be started again after it ended.
 // Outer, Wire and Operate are the addresses (host:port) at which it serves callers,
 // other daemons and operators.
 type Process struct {
-	Name      string
-	Kind      string
-	Zone      string
-	Service   string
-	Outer     string
-	Wire      string
-	Operate   string
-	path      string
-	arguments []string
-	log       string
-	threads   *run.Threads
+	Name       string
+	Kind       string
+	Zone       string
+	Service    string
+	Outer      string
+	Wire       string
+	Operate    string
+	path       string
+	arguments  []string
+	log        string
+	goroutines *concurrent.Group
 
 	mutex   sync.Mutex
 	wake    *sync.Cond
@@ -57,7 +57,7 @@
 		return rpc.Errorf(rpc.BadFlag, "%s: %v", process.Name, err)
 	}
 	process.command, process.alive = command, true
-	process.threads.Start(func() {
+	process.goroutines.Start(func() {
 		_ = command.Wait() // its exit code is read below
 		_ = log.Close()    // the process wrote through a descriptor of its own
 		process.mutex.Lock()
@@ -97,8 +97,8 @@
 	return process.code
 }
 
-func newProcess(threads *run.Threads, bin, folder, name, kind string, arguments ...string) *Process {
-	process := &Process{Name: name, Kind: kind, path: filepath.Join(bin, kind), arguments: arguments, log: filepath.Join(folder, name+".log"), threads: threads}
+func newProcess(goroutines *concurrent.Group, bin, folder, name, kind string, arguments ...string) *Process {
+	process := &Process{Name: name, Kind: kind, path: filepath.Join(bin, kind), arguments: arguments, log: filepath.Join(folder, name+".log"), goroutines: goroutines}
 	process.wake = sync.NewCond(&process.mutex)
 	return process
 }
--- a/fleet/readiness.go
+++ b/fleet/readiness.go
@@ -6,9 +6,9 @@
 	"net/http"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/operator"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // Up starts all processes, puts the first settings in force and waits until every
@@ -33,7 +33,7 @@
 			return fleet.ready(limit)
 		}
 		last = err
-		fleet.threads.Rest(50 * time.Millisecond)
+		fleet.goroutines.Sleep(50 * time.Millisecond)
 	}
 	return rpc.Errorf(rpc.NotReady, "no settings in force in time: %v", last)
 }
@@ -54,7 +54,7 @@
 // ready.
 func (fleet *Fleet) Serials() []uint64 {
 	daemons := fleet.daemons()
-	got, _ := run.Gather(fleet.threads, len(daemons), func(index int) (uint64, error) {
+	got, _ := concurrent.Gather(fleet.goroutines, len(daemons), func(index int) (uint64, error) {
 		health := struct {
 			Serial uint64 `json:"serial"`
 			Ready  bool   `json:"ready"`
@@ -90,7 +90,7 @@
 		if ready && fleet.placing() && fleet.keeping() {
 			return nil
 		}
-		fleet.threads.Rest(50 * time.Millisecond)
+		fleet.goroutines.Sleep(50 * time.Millisecond)
 	}
 	return rpc.Errorf(rpc.NotReady, "serials in force: %v", fleet.Serials())
 }
--- a/fleet/replace.go
+++ b/fleet/replace.go
@@ -129,7 +129,7 @@
 
 // membershipComes waits until the leader tells of such a membership.
 func (fleet *Fleet) membershipComes(holds func(*message.MembershipStatus) bool) bool {
-	for limit := time.Now().Add(replaceLimit); time.Now().Before(limit); fleet.threads.Rest(lookPace) {
+	for limit := time.Now().Add(replaceLimit); time.Now().Before(limit); fleet.goroutines.Sleep(lookPace) {
 		if membership, err := fleet.Operator(0).Cores(); err == nil && holds(membership) {
 			return true
 		}
--- a/fleet/scenario.go
+++ b/fleet/scenario.go
@@ -9,9 +9,9 @@
 	"syscall"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/judge"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 	"orchidjunction/stand"
 )
 
@@ -84,7 +84,7 @@
 
 // rest waits for a part of the run's whole time.
 func (fleet *Fleet) rest(part float64) {
-	fleet.threads.Rest(time.Duration(part * fleet.Spec.Seconds * float64(time.Second)))
+	fleet.goroutines.Sleep(time.Duration(part * fleet.Spec.Seconds * float64(time.Second)))
 }
 
 // Play runs a scenario from the start of the fleet to the verdicts.
@@ -117,8 +117,8 @@
 			return nil, rpc.Errorf(rpc.DiskFailure, "%v", err)
 		}
 	}
-	fleet.threads.Rest(1500 * time.Millisecond)
-	fleet.threads.Rest(4500 * time.Millisecond)
+	fleet.goroutines.Sleep(1500 * time.Millisecond)
+	fleet.goroutines.Sleep(4500 * time.Millisecond)
 	reports := struct {
 		Reports map[string][]string `json:"reports"`
 		AtMs    map[string]int64    `json:"at_ms"`
@@ -164,8 +164,8 @@
 
 // PlayBoth runs a scenario on several fleets at once and returns the verdicts of
 // each.
-func PlayBoth(fleets []*Fleet, scenario Scenario, threads *run.Threads) ([][]judge.Verdict, error) {
-	got, failed := run.Gather(threads, len(fleets), func(index int) ([]judge.Verdict, error) {
+func PlayBoth(fleets []*Fleet, scenario Scenario, goroutines *concurrent.Group) ([][]judge.Verdict, error) {
+	got, failed := concurrent.Gather(goroutines, len(fleets), func(index int) ([]judge.Verdict, error) {
 		verdicts, err := fleets[index].Play(scenario)
 		if err != nil {
 			return nil, err
--- a/member/corechoice.go
+++ b/member/corechoice.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 const (
@@ -77,7 +77,7 @@
 	}
 	rand.Shuffle(len(others), func(left, right int) { others[left], others[right] = others[right], others[left] })
 	asked := others[:min(len(others), askAroundMost)]
-	got, _ := run.Gather(daemon.threads, len(asked), func(index int) (*message.LeaderResponse, error) {
+	got, _ := concurrent.Gather(daemon.goroutines, len(asked), func(index int) (*message.LeaderResponse, error) {
 		return rpc.Call[message.LeaderRequest, message.LeaderResponse](daemon.line, asked[index].InternalAddress, "who", reachLimit, &message.LeaderRequest{})
 	}, func(map[int]*message.LeaderResponse, map[int]error) bool { return false })
 	for _, response := range got {
--- a/member/corechoice_test.go
+++ b/member/corechoice_test.go
@@ -8,9 +8,10 @@
 	"testing"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // doors is a net without sockets: each host has a door or is dead.
@@ -42,12 +43,12 @@
 
 func daemonOn(all doors, seeds []string) *Daemon {
 	place := Place{Name: "p1", Kind: "proxy", Zone: "e1", Wire: "10.0.1.1:41", Outer: "10.0.1.1:80", Operate: "10.0.1.1:42", Seeds: seeds}
-	return NewDaemon(place, "i1", rpc.NewClient(all), run.NewThreads(), run.NewCounts())
+	return NewDaemon(place, "i1", rpc.NewClient(all), concurrent.NewGroup(), metrics.NewCounters())
 }
 
 // saysMembers opens a core's door: it knows a membership, and a leader or none.
 func (all doors) saysMembers(number int, version message.Version, cores []string, leader message.Leader, sessions map[string]int) {
-	server := rpc.NewServer(run.NewCounts())
+	server := rpc.NewServer(metrics.NewCounters())
 	rpc.Handle(server, "session", func(context.Context, *message.Session) (*message.SessionResponse, error) {
 		sessions[coreAt(number)]++
 		return &message.SessionResponse{Membership: version, Cores: cores, Leader: leader}, nil
@@ -78,8 +79,8 @@
 		daemon.mutex.Unlock()
 		daemon.session()
 	}
-	if sessions[coreAt(3)] != 1 || daemon.counts.Get("sessions_failed") != 2 {
-		test.Errorf("kept at a core without a vote, or asked dead seeds: %v, %d failed", sessions, daemon.counts.Get("sessions_failed"))
+	if sessions[coreAt(3)] != 1 || daemon.counters.Get("sessions_failed") != 2 {
+		test.Errorf("kept at a core without a vote, or asked dead seeds: %v, %d failed", sessions, daemon.counters.Get("sessions_failed"))
 	}
 	at := daemon.core
 	daemon.Finder.Learn(versionMark(9, 9), coresAt(7, 6, 5, 4))
@@ -125,7 +126,7 @@
 	all := doors{}
 	other := daemonOn(all, coresAt(1, 2, 3))
 	other.Finder.Learn(versionMark(9, 7), coresAt(4, 5, 6))
-	server := rpc.NewServer(run.NewCounts())
+	server := rpc.NewServer(metrics.NewCounters())
 	other.Register(server)
 	all["10.0.1.2:41"] = server
 	daemon := daemonOn(all, coresAt(1, 2, 3))
@@ -153,16 +154,16 @@
 		taken   bool
 	}{{message.Version{}, true}, {versionMark(9, 7), false}} {
 		all := doors{}
-		server := rpc.NewServer(run.NewCounts())
+		server := rpc.NewServer(metrics.NewCounters())
 		rpc.Handle(server, "who", func(context.Context, *message.LeaderRequest) (*message.LeaderResponse, error) {
 			return &message.LeaderResponse{Membership: versionMark(3, 1), Cores: coresAt(1, 2, 3), Routing: 4}, nil
 		})
 		all[coreAt(1)] = server
 		place := Place{Name: "p1", Kind: "proxy", Zone: "e1", Wire: "10.0.1.1:41", Outer: "10.0.1.1:80", Operate: "10.0.1.1:42", Seeds: coresAt(1, 2, 3), Direct: true, Routed: true}
-		daemon := NewDaemon(place, "i1", rpc.NewClient(all), run.NewThreads(), run.NewCounts())
+		daemon := NewDaemon(place, "i1", rpc.NewClient(all), concurrent.NewGroup(), metrics.NewCounters())
 		daemon.Finder.Learn(try.learned, coresAt(4, 5, 6))
 		daemon.Finder.seek()
-		if begun := daemon.counts.Get("begun_before_a_leader") > 0; begun != try.taken {
+		if begun := daemon.counters.Get("begun_before_a_leader") > 0; begun != try.taken {
 			test.Errorf("try %d: begun %v", number, begun)
 		}
 	}
--- a/member/daemon.go
+++ b/member/daemon.go
@@ -7,10 +7,12 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/clock"
+	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 
 	"k8s.io/klog/v2"
 )
@@ -68,11 +70,11 @@
 	place       Place
 	incarnation string
 	line        *rpc.Client
-	threads     *run.Threads
-	counts      *run.Counts
+	goroutines  *concurrent.Group
+	counters    *metrics.Counters
 	Finder      *Finder
 	Hold        *Hold
-	news        *run.Bell
+	news        *concurrent.Condition
 	version     atomic.Pointer[Version]
 	apply       func(*Version)
 	probes      func() []message.Probe
@@ -85,9 +87,9 @@
 	counted     map[string]uint64
 	reach       Reach
 	paces       Paces
-	clock       *run.Clock
+	clock       *clock.Clock
 	metered     Metered
-	saying      *run.Turn
+	saying      *concurrent.Lock
 	watched     Watched
 	taking      sync.Mutex
 	catching    atomic.Bool
@@ -112,20 +114,20 @@
 	led       message.Term
 }
 
-func NewDaemon(place Place, incarnation string, client *rpc.Client, threads *run.Threads, counts *run.Counts) *Daemon {
-	daemon := &Daemon{place: place, incarnation: incarnation, line: client, threads: threads, counts: counts,
-		news: run.NewBell(), saying: run.NewTurn(), pulse: time.Now(), failed: map[string]time.Time{}, apply: func(*Version) {}, probes: func() []message.Probe { return nil }, keeper: func() bool { return false }, warm: func() bool { return true }, usage: func() map[string]uint64 { return nil }, demand: func() float64 { return 0 }, finish: func(time.Duration) {}}
+func NewDaemon(place Place, incarnation string, client *rpc.Client, goroutines *concurrent.Group, counters *metrics.Counters) *Daemon {
+	daemon := &Daemon{place: place, incarnation: incarnation, line: client, goroutines: goroutines, counters: counters,
+		news: concurrent.NewCondition(), saying: concurrent.NewLock(), pulse: time.Now(), failed: map[string]time.Time{}, apply: func(*Version) {}, probes: func() []message.Probe { return nil }, keeper: func() bool { return false }, warm: func() bool { return true }, usage: func() map[string]uint64 { return nil }, demand: func() float64 { return 0 }, finish: func(time.Duration) {}}
 	if place.Wall == nil {
 		place.Wall = func() int64 { return time.Now().UnixMilli() }
 	}
-	daemon.paces, daemon.clock = place.Paces.filled(), run.NewClock(place.Wall)
+	daemon.paces, daemon.clock = place.Paces.filled(), clock.NewClock(place.Wall)
 	daemon.windows = func() []message.WindowCount { return nil }
 	daemon.reach.core, daemon.doubted = time.Now(), time.Now()
-	daemon.Finder = NewFinder(client, threads, place.Seeds).Paced(daemon.paces)
+	daemon.Finder = NewFinder(client, goroutines, place.Seeds).Paced(daemon.paces)
 	if place.Direct && place.Routed {
 		daemon.Finder.told = daemon.begin
 	}
-	daemon.Hold = NewHold(daemon.Finder, client, counts).Within(place.Hold)
+	daemon.Hold = NewHold(daemon.Finder, client, counters).Within(place.Hold)
 	daemon.version.Store(&Version{Table: &message.Table{}})
 	return daemon
 }
@@ -163,21 +165,21 @@
 
 func (daemon *Daemon) Run() {
 	daemon.Finder.Run()
-	daemon.threads.OnStop(daemon.news.Ring)
-	daemon.threads.Start(daemon.speak)
+	daemon.goroutines.OnStop(daemon.news.Notify)
+	daemon.goroutines.Start(daemon.speak)
 	if daemon.place.Direct {
-		daemon.threads.OnStop(func() { daemon.watched.leave(daemon.watched.now()) })
-		daemon.threads.Start(daemon.follow)
+		daemon.goroutines.OnStop(func() { daemon.watched.leave(daemon.watched.now()) })
+		daemon.goroutines.Start(daemon.follow)
 	} else {
-		daemon.threads.Start(daemon.relay)
+		daemon.goroutines.Start(daemon.relay)
 	}
-	daemon.threads.Start(daemon.confirm)
-	daemon.threads.Beat(run.Each(daemon.paces.Feel), daemon.feel)
+	daemon.goroutines.Start(daemon.confirm)
+	daemon.goroutines.Every(concurrent.Fixed(daemon.paces.Feel), daemon.feel)
 	if !daemon.place.ServesAlone {
-		daemon.threads.Beat(run.Each(daemon.paces.Look), daemon.look)
+		daemon.goroutines.Every(concurrent.Fixed(daemon.paces.Look), daemon.look)
 	}
 	if daemon.paces.Count > 0 {
-		daemon.threads.Beat(run.Each(daemon.paces.Count), daemon.count)
+		daemon.goroutines.Every(concurrent.Fixed(daemon.paces.Count), daemon.count)
 	}
 }
 
@@ -185,10 +187,10 @@
 // became ready.
 func (daemon *Daemon) speak() {
 	if !daemon.place.Direct {
-		daemon.threads.Beat(run.Each(daemon.paces.Session), daemon.session)
+		daemon.goroutines.Every(concurrent.Fixed(daemon.paces.Session), daemon.session)
 		return
 	}
-	for !daemon.threads.Stopping() {
+	for !daemon.goroutines.Stopping() {
 		seen := daemon.Finder.bell.Count()
 		daemon.session()
 		daemon.Finder.bell.Wait(seen, daemon.paces.Session)
@@ -203,12 +205,12 @@
 	daemon.pulse = time.Now()
 	daemon.mutex.Unlock()
 	if stood {
-		daemon.counts.Add("stood_still", 1)
+		daemon.counters.Add("stood_still", 1)
 		klog.Infof("%s: stood still, asks for a newly confirmed serial", daemon.place.Name)
 		daemon.doubt()
 	}
 	if daemon.asksAround() {
-		daemon.threads.Start(daemon.askAround)
+		daemon.goroutines.Start(daemon.askAround)
 	}
 }
 
@@ -249,7 +251,7 @@
 // Seen takes a serial that a backend has seen; being behind it starts a catching up.
 func (daemon *Daemon) Seen(serial uint64) {
 	if daemon.note(serial) {
-		daemon.counts.Add("behind_a_backend", 1)
+		daemon.counters.Add("behind_a_backend", 1)
 	}
 }
 
@@ -279,8 +281,8 @@
 
 // session tells a core that this daemon lives; a silent core is left for the next.
 func (daemon *Daemon) session() {
-	daemon.saying.Take()
-	defer daemon.saying.Give()
+	daemon.saying.Lock()
+	defer daemon.saying.Unlock()
 	version := daemon.Version()
 	asked := time.Now()
 	daemon.mutex.Lock()
@@ -297,7 +299,7 @@
 	if err != nil {
 		daemon.failed[core] = time.Now()
 		daemon.mutex.Unlock()
-		daemon.counts.Add("sessions_failed", 1)
+		daemon.counters.Add("sessions_failed", 1)
 		if daemon.place.Direct {
 			daemon.silent(core)
 		}
@@ -321,7 +323,7 @@
 	before := daemon.Finder.Leader().Term
 	daemon.Finder.Heard(response.Leader)
 	if response.NowMs > 0 {
-		daemon.clock.Told(response.NowMs, trip)
+		daemon.clock.AddRoundTrip(response.NowMs, trip)
 	}
 	if daemon.place.Direct {
 		daemon.turn(core, response.Leader, before)
@@ -357,7 +359,7 @@
 	daemon.ends = begin.Add(grace)
 	daemon.mutex.Unlock()
 	daemon.Leave()
-	daemon.threads.Rest(settle)
+	daemon.goroutines.Sleep(settle)
 	whole := drain(grace - time.Since(begin))
 	daemon.finish(grace - time.Since(begin))
 	daemon.Farewell()
@@ -392,7 +394,7 @@
 
 // confirm lets a started daemon serve only on a serial that the leader proved.
 func (daemon *Daemon) confirm() {
-	for !daemon.threads.Stopping() {
+	for !daemon.goroutines.Stopping() {
 		leader := daemon.Finder.Wait(time.Second)
 		if leader.Known() {
 			response, err := rpc.Call[message.ReadIndexRequest, message.ReadIndexResponse](daemon.line, leader.Address, "confirm", daemon.paces.ask(), &message.ReadIndexRequest{})
@@ -400,7 +402,7 @@
 				daemon.mutex.Lock()
 				daemon.confirmed, daemon.once = true, true
 				daemon.mutex.Unlock()
-				daemon.Finder.bell.Ring()
+				daemon.Finder.bell.Notify()
 				klog.Infof("%s: serial %d, routing %d confirmed", daemon.place.Name, response.Serial, response.Routing)
 				return
 			}
@@ -408,7 +410,7 @@
 				daemon.Finder.Drop(leader, false)
 			}
 		}
-		daemon.threads.Rest(daemon.paces.Session / 3)
+		daemon.goroutines.Sleep(daemon.paces.Session / 3)
 	}
 }
 
--- a/member/daemon_test.go
+++ b/member/daemon_test.go
@@ -5,22 +5,23 @@
 	"testing"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // While a large version is put in force the session must go on: it asks this
 // daemon what it is.
 func TestReadyWhileAVersionIsPutInForce(test *testing.T) {
-	threads, answered := run.NewThreads(), run.NewBell()
-	daemon := NewDaemon(Place{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, Direct: true, Routed: true}, "life", rpc.NewClient(http.DefaultTransport), threads, run.NewCounts())
+	goroutines, answered := concurrent.NewGroup(), concurrent.NewCondition()
+	daemon := NewDaemon(Place{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, Direct: true, Routed: true}, "life", rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
 	applied := uint64(0)
 	daemon.Serve(func(version *Version) {
 		applied++
-		threads.Start(func() {
+		goroutines.Start(func() {
 			daemon.member()
-			answered.Ring()
+			answered.Notify()
 		})
 		if !answered.Wait(applied-1, 5*time.Second) {
 			test.Error("what the session asks waits until the version is in force")
@@ -34,24 +35,24 @@
 	if daemon.take(&message.FetchResponse{Table: &message.Table{Version: message.TableVersion{Number: 1}}}, nil); applied != 2 || daemon.Version().Table.Version.Number != 2 {
 		test.Errorf("put in force %d times, table %v", applied, daemon.Version().Table.Version)
 	}
-	threads.Wait()
+	goroutines.Wait()
 }
 
 // slowFetch answers a fetch only once it is let go.
 type slowFetch struct {
-	asked, let *run.Bell
+	asked, let *concurrent.Condition
 }
 
 func (slow *slowFetch) RoundTrip(request *http.Request) (*http.Response, error) {
-	slow.asked.Ring()
+	slow.asked.Notify()
 	slow.let.Wait(0, 5*time.Second)
 	return nil, rpc.Errorf(rpc.Unreachable, "nobody there")
 }
 
 func TestSessionGoesOnWhileCatchingUp(test *testing.T) {
-	threads, slow := run.NewThreads(), &slowFetch{asked: run.NewBell(), let: run.NewBell()}
-	counts := run.NewCounts()
-	daemon := NewDaemon(Place{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, Direct: true, Routed: true}, "life", rpc.NewClient(slow), threads, counts)
+	goroutines, slow := concurrent.NewGroup(), &slowFetch{asked: concurrent.NewCondition(), let: concurrent.NewCondition()}
+	counters := metrics.NewCounters()
+	daemon := NewDaemon(Place{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, Direct: true, Routed: true}, "life", rpc.NewClient(slow), goroutines, counters)
 	daemon.behind = time.Now().Add(-time.Minute)
 	begin := time.Now()
 	daemon.catchUp("127.0.0.1:1")
@@ -62,14 +63,14 @@
 	if !slow.asked.Wait(0, 5*time.Second) {
 		test.Error("nothing was fetched")
 	}
-	if caught := counts.Get("caught_up"); caught != 1 {
+	if caught := counters.Get("caught_up"); caught != 1 {
 		test.Errorf("%d fetches at once", caught)
 	}
-	slow.let.Ring()
-	threads.Wait()
+	slow.let.Notify()
+	goroutines.Wait()
 	daemon.catchUp("127.0.0.1:1")
-	threads.Wait()
-	if caught := counts.Get("caught_up"); caught != 2 {
+	goroutines.Wait()
+	if caught := counters.Get("caught_up"); caught != 2 {
 		test.Errorf("%d fetches in all after the first one ended", caught)
 	}
 }
--- a/member/direct.go
+++ b/member/direct.go
@@ -40,7 +40,7 @@
 
 // follow waits for news at the leader or, while that is silent, at another core.
 func (daemon *Daemon) follow() {
-	for !daemon.threads.Stopping() {
+	for !daemon.goroutines.Stopping() {
 		core := daemon.chooseCore()
 		ctx := daemon.watched.begin(core)
 		if !daemon.hear(ctx, core) {
@@ -68,7 +68,7 @@
 	if version.Routing > 0 && version.Table.Complete || !version.behind(0, response.Routing, response.Table) {
 		return
 	}
-	daemon.counts.Add("begun_before_a_leader", 1)
+	daemon.counters.Add("begun_before_a_leader", 1)
 	daemon.fetch(context.Background(), core)
 }
 
@@ -124,8 +124,8 @@
 	if !late || !daemon.catching.CompareAndSwap(false, true) {
 		return
 	}
-	daemon.counts.Add("caught_up", 1)
-	daemon.threads.Start(func() {
+	daemon.counters.Add("caught_up", 1)
+	daemon.goroutines.Start(func() {
 		defer daemon.catching.Store(false)
 		daemon.fetch(context.Background(), core)
 	})
--- a/member/direct_test.go
+++ b/member/direct_test.go
@@ -5,15 +5,16 @@
 	"testing"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // A core that failed is kept off for a while, unless it leads anew.
 func TestNewLeaderIsHeardThoughItsCoreFailed(test *testing.T) {
 	place := Place{Name: "p1", Kind: "proxy", Zone: "e1", Wire: "10.0.0.9:1", Outer: "10.0.0.9:2", Operate: "10.0.0.9:3", Seeds: []string{"10.0.0.1:1", "10.0.0.2:1"}, Direct: true, Routed: true}
-	daemon := NewDaemon(place, "i1", rpc.NewClient(http.DefaultTransport), run.NewThreads(), run.NewCounts())
+	daemon := NewDaemon(place, "i1", rpc.NewClient(http.DefaultTransport), concurrent.NewGroup(), metrics.NewCounters())
 	lead := func(round uint64) {
 		daemon.Finder.Heard(message.Leader{Term: message.Term{Number: round, Core: 1}, Core: 1, Address: "10.0.0.1:1"})
 	}
--- a/member/finder.go
+++ b/member/finder.go
@@ -7,19 +7,19 @@
 	"sync"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // Finder knows the leader, and looks for it while somebody waits.
 type Finder struct {
-	line    *rpc.Client
-	threads *run.Threads
-	bell    *run.Bell
-	wanted  *run.Bell
-	paces   Paces
-	told    func(core string, response *message.LeaderResponse)
+	line       *rpc.Client
+	goroutines *concurrent.Group
+	bell       *concurrent.Condition
+	wanted     *concurrent.Condition
+	paces      Paces
+	told       func(core string, response *message.LeaderResponse)
 
 	seeds []string
 
@@ -34,8 +34,8 @@
 
 const finderIdle = time.Minute
 
-func NewFinder(client *rpc.Client, threads *run.Threads, cores []string) *Finder {
-	return &Finder{line: client, threads: threads, bell: run.NewBell(), wanted: run.NewBell(), paces: Paces{}.filled(), told: func(string, *message.LeaderResponse) {}, seeds: slices.Clone(cores), cores: slices.Clone(cores), voting: len(cores)}
+func NewFinder(client *rpc.Client, goroutines *concurrent.Group, cores []string) *Finder {
+	return &Finder{line: client, goroutines: goroutines, bell: concurrent.NewCondition(), wanted: concurrent.NewCondition(), paces: Paces{}.filled(), told: func(string, *message.LeaderResponse) {}, seeds: slices.Clone(cores), cores: slices.Clone(cores), voting: len(cores)}
 }
 
 // Paced sets how often a leader is looked for.
@@ -45,10 +45,10 @@
 }
 
 func (finder *Finder) Run() {
-	finder.threads.OnStop(finder.wanted.Ring)
-	finder.threads.OnStop(finder.bell.Ring)
-	finder.threads.Start(func() {
-		for finder.threads.Rest(finder.paces.Seek) {
+	finder.goroutines.OnStop(finder.wanted.Notify)
+	finder.goroutines.OnStop(finder.bell.Notify)
+	finder.goroutines.Start(func() {
+		for finder.goroutines.Sleep(finder.paces.Seek) {
 			if seen := finder.wanted.Count(); finder.idle() {
 				finder.wanted.Wait(seen, finderIdle)
 			} else {
@@ -100,7 +100,7 @@
 	}
 	finder.mutex.Unlock()
 	if fresh {
-		finder.bell.Ring()
+		finder.bell.Notify()
 	}
 }
 
@@ -114,7 +114,7 @@
 		finder.dropped = leader.Term
 	}
 	finder.mutex.Unlock()
-	finder.wanted.Ring()
+	finder.wanted.Notify()
 }
 
 // Wait holds until a leader is known or the span is over.
@@ -123,7 +123,7 @@
 	finder.mutex.Lock()
 	finder.waiting++
 	finder.mutex.Unlock()
-	finder.wanted.Ring()
+	finder.wanted.Notify()
 	defer func() {
 		finder.mutex.Lock()
 		finder.waiting--
@@ -131,7 +131,7 @@
 	}()
 	for {
 		seen := finder.bell.Count()
-		if leader := finder.Leader(); leader.Known() || finder.threads.Stopping() {
+		if leader := finder.Leader(); leader.Known() || finder.goroutines.Stopping() {
 			return leader
 		}
 		if !finder.bell.Wait(seen, time.Until(until)) {
@@ -142,7 +142,7 @@
 
 func (finder *Finder) seek() {
 	cores := finder.Cores()
-	run.Gather(finder.threads, len(cores), func(index int) (bool, error) {
+	concurrent.Gather(finder.goroutines, len(cores), func(index int) (bool, error) {
 		response, err := rpc.Call[message.LeaderRequest, message.LeaderResponse](finder.line, cores[index], "who", finder.paces.seek(), &message.LeaderRequest{})
 		if err != nil {
 			return false, err
--- a/member/hold.go
+++ b/member/hold.go
@@ -6,20 +6,20 @@
 	"time"
 
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // Hold keeps work that has not started while the lead changes, bounded in
 // count and time, and sends it to the new leader.
 type Hold struct {
-	finder *Finder
-	line   *rpc.Client
-	counts *run.Counts
-	depth  int
-	limit  time.Duration
-	send   time.Duration
-	known  func() message.Leader
+	finder   *Finder
+	line     *rpc.Client
+	counters *metrics.Counters
+	depth    int
+	limit    time.Duration
+	send     time.Duration
+	known    func() message.Leader
 
 	mutex sync.Mutex
 	held  int
@@ -40,8 +40,8 @@
 	comeBack    = 500
 )
 
-func NewHold(finder *Finder, client *rpc.Client, counts *run.Counts) *Hold {
-	return &Hold{finder: finder, line: client, counts: counts, depth: holdDepth, limit: answerLimit, send: sendLimit}
+func NewHold(finder *Finder, client *rpc.Client, counters *metrics.Counters) *Hold {
+	return &Hold{finder: finder, line: client, counters: counters, depth: holdDepth, limit: answerLimit, send: sendLimit}
 }
 
 // Within sets other limits than the defaults.
@@ -106,7 +106,7 @@
 		leader := hold.finder.Leader()
 		if !leader.Known() {
 			if !holding && !hold.enter() {
-				hold.counts.Add("hold_full", 1)
+				hold.counters.Add("hold_full", 1)
 				if sent {
 					return nil, givenUp(sent)
 				}
@@ -114,11 +114,11 @@
 			}
 			if !holding {
 				holding = true
-				hold.counts.Add("held", 1)
+				hold.counters.Add("held", 1)
 			}
 			leader = hold.finder.Wait(time.Until(until) - holdRest)
 			if !leader.Known() {
-				hold.counts.Add("hold_given_up", 1)
+				hold.counters.Add("hold_given_up", 1)
 				return nil, givenUp(sent)
 			}
 		}
@@ -129,7 +129,7 @@
 		told, err := rpc.CallContext[Asked, Told](ctx, hold.line, leader.Address, name, min(rest, hold.send), asked)
 		if err == nil {
 			if holding {
-				hold.counts.Add("held_flushed", 1)
+				hold.counters.Add("held_flushed", 1)
 			}
 			return told, nil
 		}
@@ -145,7 +145,7 @@
 			return nil, mishap
 		}
 		if time.Now().Before(until) {
-			hold.finder.threads.Rest(hold.finder.paces.Seek / 4)
+			hold.finder.goroutines.Sleep(hold.finder.paces.Seek / 4)
 		}
 	}
 	return nil, givenUp(sent)
--- a/member/hold_test.go
+++ b/member/hold_test.go
@@ -8,9 +8,10 @@
 	"testing"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // frozen takes what it is asked and says nothing, as a process that stands still.
@@ -43,18 +44,18 @@
 }
 
 func holdAt(test *testing.T, transport *leaders, limits HoldLimits) (*Hold, *Finder) {
-	transport.door = rpc.NewServer(run.NewCounts())
+	transport.door = rpc.NewServer(metrics.NewCounters())
 	rpc.Handle(transport.door, "evacuate", func(context.Context, *message.EvacuateRequest) (*message.EvacuateResponse, error) {
 		return &message.EvacuateResponse{Serial: 7}, nil
 	})
-	threads := run.NewThreads()
+	goroutines := concurrent.NewGroup()
 	client := rpc.NewClient(transport)
-	finder := NewFinder(client, threads, []string{frozen})
+	finder := NewFinder(client, goroutines, []string{frozen})
 	test.Cleanup(func() {
-		threads.Stop()
-		threads.Wait()
+		goroutines.Stop()
+		goroutines.Wait()
 	})
-	return NewHold(finder, client, run.NewCounts()).Within(limits), finder
+	return NewHold(finder, client, metrics.NewCounters()).Within(limits), finder
 }
 
 // Who asks goes elsewhere once the limit has passed, so an answer after it is lost.
--- a/member/operate.go
+++ b/member/operate.go
@@ -10,24 +10,24 @@
 
 	"orchidjunction/conf"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 const changeBytes = 16 << 20
 
 // Operate is the operators' door that every daemon opens.
 type Operate struct {
-	hold   *Hold
-	counts *run.Counts
-	name   string
-	local  func() (uint64, []byte)
-	ready  func() bool
-	mux    *http.ServeMux
+	hold     *Hold
+	counters *metrics.Counters
+	name     string
+	local    func() (uint64, []byte)
+	ready    func() bool
+	mux      *http.ServeMux
 }
 
-func NewOperate(name string, hold *Hold, counts *run.Counts, local func() (uint64, []byte), ready func() bool) *Operate {
-	operate := &Operate{hold: hold, counts: counts, name: name, local: local, ready: ready, mux: http.NewServeMux()}
+func NewOperate(name string, hold *Hold, counters *metrics.Counters, local func() (uint64, []byte), ready func() bool) *Operate {
+	operate := &Operate{hold: hold, counters: counters, name: name, local: local, ready: ready, mux: http.NewServeMux()}
 	operate.mux.HandleFunc("GET /v1/settings", operate.read)
 	operate.mux.HandleFunc("PUT /v1/settings", func(writer http.ResponseWriter, request *http.Request) { operate.change(writer, request, "whole") })
 	operate.mux.HandleFunc("PATCH /v1/settings", func(writer http.ResponseWriter, request *http.Request) { operate.change(writer, request, "partial") })
@@ -36,7 +36,7 @@
 	operate.mux.HandleFunc("GET /v1/status", operate.status)
 	operate.mux.HandleFunc("GET /v1/cores", operate.cores)
 	operate.mux.HandleFunc("DELETE /v1/cores/{id}", operate.remove)
-	operate.mux.HandleFunc("GET /v1/counts", func(writer http.ResponseWriter, _ *http.Request) { Answer(writer, http.StatusOK, counts.All()) })
+	operate.mux.HandleFunc("GET /v1/counts", func(writer http.ResponseWriter, _ *http.Request) { Answer(writer, http.StatusOK, counters.All()) })
 	operate.mux.HandleFunc("GET /v1/health", operate.health)
 	operate.mux.HandleFunc("/", func(writer http.ResponseWriter, request *http.Request) {
 		Refuse(writer, rpc.Errorf(rpc.NotFound, "%s %s", request.Method, request.URL.Path))
@@ -89,7 +89,7 @@
 	response, err := Send[message.ReadRequest, message.ReadResponse](operate.hold, "read", &message.ReadRequest{HeldSerial: serial})
 	switch {
 	case err != nil:
-		operate.counts.Add("reads_unconfirmed", 1)
+		operate.counters.Add("reads_unconfirmed", 1)
 		document.Confirmed = false
 		document.Serial, body = serial, held
 	case response.Serial == serial:
@@ -151,12 +151,12 @@
 	change := &message.ChangeRequest{ID: document.Change, Base: *document.Base, Kind: kind, Body: document.Settings, Operator: document.Operator}
 	response, err := Send[message.ChangeRequest, message.ChangeResponse](operate.hold, "change", change)
 	if err != nil {
-		operate.counts.Add("operator_refused_"+string(rpc.CodeOf(err)), 1)
+		operate.counters.Add("operator_refused_"+string(rpc.CodeOf(err)), 1)
 		refusal := rpc.AsError(err)
 		refuse(writer, refusal, refusalDocument{Error: *refusal, Change: document.Change})
 		return
 	}
-	operate.counts.Add("operator_changes", 1)
+	operate.counters.Add("operator_changes", 1)
 	Answer(writer, http.StatusOK, outcomeDocument{Serial: response.Serial, Change: document.Change, Again: response.Duplicate})
 }
 
@@ -221,7 +221,7 @@
 		Refuse(writer, err)
 		return
 	}
-	operate.counts.Add("operator_removals", 1)
+	operate.counters.Add("operator_removals", 1)
 	Answer(writer, http.StatusOK, removalDocument{Version: response.Version, Again: response.Duplicate})
 }
 
--- a/member/reach.go
+++ b/member/reach.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 
 	"k8s.io/klog/v2"
 )
@@ -72,7 +72,7 @@
 	if cut, fresh := daemon.reach.turned(); fresh {
 		klog.Infof("%s: cut off %v", daemon.place.Name, cut)
 		if cut {
-			daemon.counts.Add("cut_off", 1)
+			daemon.counters.Add("cut_off", 1)
 			daemon.doubt()
 		}
 	}
@@ -97,7 +97,7 @@
 	for first := 0; first < len(others) && reached < half; {
 		part := others[first:min(first+half-reached, len(others))]
 		first += len(part)
-		got, _ := run.Gather(daemon.threads, len(part), func(index int) (*message.LeaderResponse, error) {
+		got, _ := concurrent.Gather(daemon.goroutines, len(part), func(index int) (*message.LeaderResponse, error) {
 			return rpc.Call[message.LeaderRequest, message.LeaderResponse](daemon.line, part[index].InternalAddress, "who", reachLimit, &message.LeaderRequest{})
 		}, func(map[int]*message.LeaderResponse, map[int]error) bool { return false })
 		reached += len(got)
@@ -124,5 +124,5 @@
 	daemon.mutex.Lock()
 	daemon.confirmed, daemon.doubted = false, time.Now()
 	daemon.mutex.Unlock()
-	daemon.threads.Start(daemon.confirm)
+	daemon.goroutines.Start(daemon.confirm)
 }
--- a/member/relay.go
+++ b/member/relay.go
@@ -11,7 +11,7 @@
 
 // relay waits at the parent for news and fetches the bodies from it.
 func (daemon *Daemon) relay() {
-	for !daemon.threads.Stopping() {
+	for !daemon.goroutines.Stopping() {
 		parent := daemon.chooseParent()
 		if parent == "" {
 			daemon.Finder.Wait(time.Second)
@@ -52,20 +52,20 @@
 	}
 	if chosen != daemon.parent {
 		daemon.parent = chosen
-		daemon.counts.Add("parents_changed", 1)
+		daemon.counters.Add("parents_changed", 1)
 	}
 	return chosen
 }
 
 func (daemon *Daemon) lost(parent string) {
-	daemon.counts.Add("parents_lost", 1)
+	daemon.counters.Add("parents_lost", 1)
 	if leader := daemon.Finder.Leader(); leader.Address == parent {
 		daemon.Finder.Drop(leader, false)
 	}
 	daemon.mutex.Lock()
 	daemon.failed[parent] = time.Now()
 	daemon.mutex.Unlock()
-	daemon.threads.Rest(daemon.paces.Seek)
+	daemon.goroutines.Sleep(daemon.paces.Seek)
 }
 
 // fetch takes news from a parent: names of branches first, then those that are
@@ -80,10 +80,10 @@
 		texts, lacks := message.Chunks{}, version.Tree.Lacks(response.Chunks)
 		err = texts.Fetch(daemon.line, parent, daemon.paces.fetch(), lacks)
 		if err == nil {
-			daemon.counts.Add("branches_fetched", uint64(len(lacks)))
+			daemon.counters.Add("branches_fetched", uint64(len(lacks)))
 			return daemon.take(response, texts)
 		}
-		daemon.counts.Add("branches_"+string(rpc.CodeOf(err)), 1)
+		daemon.counters.Add("branches_"+string(rpc.CodeOf(err)), 1)
 		if rpc.CodeOf(err) != rpc.CorruptChunk {
 			return false
 		}
@@ -99,7 +99,7 @@
 	next, err := before.after(response, texts)
 	if err != nil {
 		daemon.taking.Unlock()
-		daemon.counts.Add("versions_refused", 1)
+		daemon.counters.Add("versions_refused", 1)
 		return false
 	}
 	if next.Serial == before.Serial && next.Routing == before.Routing && next.Table == before.Table {
@@ -111,13 +111,13 @@
 	daemon.taking.Unlock()
 	if next.Serial != before.Serial {
 		klog.Infof("%s: serial %d in force", daemon.place.Name, next.Serial)
-		daemon.counts.Add("serials_in_force", 1)
+		daemon.counters.Add("serials_in_force", 1)
 	}
 	if next.Routing != before.Routing {
 		klog.Infof("%s: routing %d in force, version %d", daemon.place.Name, next.Routing, next.Book.Config.Version)
-		daemon.counts.Add("routings_in_force", 1)
+		daemon.counters.Add("routings_in_force", 1)
 	}
-	daemon.news.Ring()
+	daemon.news.Notify()
 	return true
 }
 
@@ -127,7 +127,7 @@
 		seen := daemon.news.Count()
 		version := daemon.Version()
 		response := &message.WatchResponse{Serial: version.Serial, Table: version.Table.Version, Routing: version.Routing}
-		if response.Serial > watch.Serial || response.Routing > watch.Routing || watch.Table.Less(response.Table) || daemon.threads.Stopping() || !daemon.news.Wait(seen, time.Until(until)) {
+		if response.Serial > watch.Serial || response.Routing > watch.Routing || watch.Table.Less(response.Table) || daemon.goroutines.Stopping() || !daemon.news.Wait(seen, time.Until(until)) {
 			return response, nil
 		}
 	}
--- a/message/codec_test.go
+++ b/message/codec_test.go
@@ -7,8 +7,8 @@
 	"net/http/httptest"
 	"testing"
 
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -16,8 +16,8 @@
 // One message, changed in one field at a time: what nobody knows, what has the
 // wrong type and what lies out of range is refused and counted, and the door lives on.
 func TestDoorRefusesOneFieldAtATime(test *testing.T) {
-	counts := run.NewCounts()
-	server := rpc.NewServer(counts)
+	counters := metrics.NewCounters()
+	server := rpc.NewServer(counters)
 	taken := 0
 	rpc.Handle(server, "beat", func(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error) {
 		taken++
@@ -63,15 +63,15 @@
 		"a list":             {0x93, 1, 2, 3},
 		"huge announced map": {0xdf, 0xff, 0xff, 0xff, 0xff},
 	} {
-		before := counts.Get("wire_bad_message")
+		before := counters.Get("wire_bad_message")
 		if code := send("/oj/beat", "application/msgpack", body); code == http.StatusOK {
 			test.Errorf("%s is taken", name)
 		}
-		if counts.Get("wire_bad_message") != before+1 {
+		if counters.Get("wire_bad_message") != before+1 {
 			test.Errorf("%s is not counted", name)
 		}
 	}
-	if code := send("/oj/nothing", "application/msgpack", plain); code != http.StatusNotFound || counts.Get("wire_unknown_message") != 1 {
+	if code := send("/oj/nothing", "application/msgpack", plain); code != http.StatusNotFound || counters.Get("wire_unknown_message") != 1 {
 		test.Errorf("unknown message: %d", code)
 	}
 	if code := send("/oj/beat", "application/json", []byte("{}")); code == http.StatusOK {
--- a/place/directory.go
+++ b/place/directory.go
@@ -13,8 +13,8 @@
 	"orchidjunction/data"
 	"orchidjunction/member"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 const (
@@ -24,9 +24,9 @@
 
 // Directory answers callers from one immutable view per version.
 type Directory struct {
-	daemon *member.Daemon
-	counts *run.Counts
-	view   atomic.Pointer[View]
+	daemon   *member.Daemon
+	counters *metrics.Counters
+	view     atomic.Pointer[View]
 }
 
 // View is the immutable view of one version: its routes and the proxies that
@@ -55,8 +55,8 @@
 
 // NewDirectory returns a directory without a version; it refuses callers until
 // Apply.
-func NewDirectory(daemon *member.Daemon, counts *run.Counts) *Directory {
-	return &Directory{daemon: daemon, counts: counts}
+func NewDirectory(daemon *member.Daemon, counters *metrics.Counters) *Directory {
+	return &Directory{daemon: daemon, counters: counters}
 }
 
 // Register does nothing: directories don't call each other.
@@ -113,11 +113,11 @@
 	}
 	placement, err := directory.answer(request)
 	if err != nil {
-		directory.counts.Add("places_"+string(rpc.CodeOf(err)), 1)
+		directory.counters.Add("places_"+string(rpc.CodeOf(err)), 1)
 		member.Refuse(writer, err)
 		return
 	}
-	directory.counts.Add("places", 1)
+	directory.counters.Add("places", 1)
 	member.Answer(writer, http.StatusOK, placement)
 }
 
--- a/program/daemon.go
+++ b/program/daemon.go
@@ -4,10 +4,11 @@
 	"net/http"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/member"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 
 	"k8s.io/klog/v2"
 )
@@ -21,7 +22,7 @@
 }
 
 // Make makes the plane of one daemon.
-type Make func(*member.Daemon, *run.Threads, *run.Counts) (Plane, func() []message.Probe)
+type Make func(*member.Daemon, *concurrent.Group, *metrics.Counters) (Plane, func() []message.Probe)
 
 // Station is one daemon with its open sides; a process has one, or two when it
 // is a guest at the other partner as well.
@@ -29,20 +30,20 @@
 	Daemon    *member.Daemon
 	Plane     Plane
 	line      *rpc.Client
-	counts    *run.Counts
+	counters  *metrics.Counters
 	listeners []*Listener
 }
 
-func newStation(flags *Flags, place member.Place, threads *run.Threads, make Make) *Station {
-	station := &Station{line: rpc.NewClient(Transport()), counts: run.NewCounts()}
-	station.Daemon = member.NewDaemon(place, member.NewID(), station.line, threads, station.counts)
-	plane, probes := make(station.Daemon, threads, station.counts)
+func newStation(flags *Flags, place member.Place, goroutines *concurrent.Group, make Make) *Station {
+	station := &Station{line: rpc.NewClient(Transport()), counters: metrics.NewCounters()}
+	station.Daemon = member.NewDaemon(place, member.NewID(), station.line, goroutines, station.counters)
+	plane, probes := make(station.Daemon, goroutines, station.counters)
 	station.Plane = plane
 	station.Daemon.Serve(plane.Apply, probes)
-	server := rpc.NewServer(station.counts)
+	server := rpc.NewServer(station.counters)
 	station.Daemon.Register(server)
 	plane.Register(server)
-	operate := member.NewOperate(place.Name, station.Daemon.Hold, station.counts, func() (uint64, []byte) {
+	operate := member.NewOperate(place.Name, station.Daemon.Hold, station.counters, func() (uint64, []byte) {
 		version := station.Daemon.Version()
 		return version.Serial, version.Body()
 	}, station.Daemon.Ready)
@@ -57,14 +58,14 @@
 	return station
 }
 
-func (station *Station) run(threads *run.Threads) {
+func (station *Station) run(goroutines *concurrent.Group) {
 	for _, listener := range station.listeners {
-		listener.Serve(threads)
+		listener.Serve(goroutines)
 	}
 	station.Daemon.Run()
 	station.Plane.Run()
-	LogCounts(threads, station.counts, station.Daemon.Name())
-	threads.OnStop(func() {
+	LogCounts(goroutines, station.counters, station.Daemon.Name())
+	goroutines.OnStop(func() {
 		for _, listener := range station.listeners {
 			listener.Close()
 		}
@@ -112,8 +113,8 @@
 	if grace < 0 || settle < 0 || settle > grace {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--settle-ms: %d is not in 0 to the grace of %d", settle, grace))
 	}
-	threads := run.NewThreads()
-	stations := []*Station{newStation(flags, place, threads, make)}
+	goroutines := concurrent.NewGroup()
+	stations := []*Station{newStation(flags, place, goroutines, make)}
 	if guest != nil && guest.given() {
 		guest.Place.Kind, guest.Place.Guest = kind, true
 		if err := guest.Place.Check(); err != nil {
@@ -122,14 +123,14 @@
 		if guest.PerSecond <= 0 || guest.InFlight < 1 {
 			flags.Exit(rpc.Errorf(rpc.BadFlag, "--lend-rps and --lend-in-flight: a guest lends something of both"))
 		}
-		stations = append(stations, newStation(flags, guest.Place, threads, make))
+		stations = append(stations, newStation(flags, guest.Place, goroutines, make))
 		guest.Join(stations[0].Plane, stations[1].Plane)
 	}
 	for _, station := range stations {
-		station.run(threads)
+		station.run(goroutines)
 	}
-	OnTerm(threads, func() {
-		ended, _ := run.Gather(threads, len(stations), func(index int) (bool, error) {
+	OnTerm(goroutines, func() {
+		ended, _ := concurrent.Gather(goroutines, len(stations), func(index int) (bool, error) {
 			return stations[index].Daemon.Retire(time.Duration(settle)*time.Millisecond, time.Duration(grace)*time.Millisecond, stations[index].listeners[0].Drain), nil
 		}, func(map[int]bool, map[int]error) bool { return false })
 		whole := true
@@ -137,10 +138,10 @@
 			whole = whole && one
 		}
 		klog.Infof("%s: stops, all in flight finished: %v", place.Name, whole)
-		threads.Stop()
+		goroutines.Stop()
 	})
 	klog.Infof("%s: started in zone %s", place.Name, place.Zone)
-	threads.Wait()
+	goroutines.Wait()
 	for _, station := range stations {
 		station.line.Close()
 	}
--- a/program/framing_test.go
+++ b/program/framing_test.go
@@ -5,11 +5,10 @@
 	"io"
 	"net"
 	"net/http"
+	"orchidjunction/concurrent"
 	"strconv"
 	"strings"
 	"testing"
-
-	"orchidjunction/run"
 )
 
 // listen serves a handler on a free port of this machine, until the test's end.
@@ -25,11 +24,11 @@
 	if mishap != nil {
 		test.Fatal(mishap)
 	}
-	threads := run.NewThreads()
-	listener.Serve(threads)
+	goroutines := concurrent.NewGroup()
+	listener.Serve(goroutines)
 	test.Cleanup(func() {
 		listener.Close()
-		threads.Wait()
+		goroutines.Wait()
 	})
 	conn, fault := net.Dial("tcp", address)
 	if fault != nil {
--- a/program/program.go
+++ b/program/program.go
@@ -15,9 +15,10 @@
 	"syscall"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/control"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 
 	"github.com/integrii/flaggy"
 	"k8s.io/klog/v2"
@@ -204,8 +205,8 @@
 }
 
 // Serve accepts connections until the listener is drained or closed.
-func (listener *Listener) Serve(threads *run.Threads) {
-	threads.Start(func() {
+func (listener *Listener) Serve(goroutines *concurrent.Group) {
+	goroutines.Start(func() {
 		err := listener.server.Serve(listener.open)
 		if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 			klog.Errorf("%s: takes no connections any more: %v", listener.open.Addr(), err)
@@ -235,21 +236,21 @@
 func (listener *Listener) Close() { _ = listener.server.Close() } // what it cannot close is closed already
 
 // OnTerm calls the hook at SIGTERM or SIGINT.
-func OnTerm(threads *run.Threads, hook func()) {
+func OnTerm(goroutines *concurrent.Group, hook func()) {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	threads.OnStop(cancel)
-	threads.Start(func() {
+	goroutines.OnStop(cancel)
+	goroutines.Start(func() {
 		<-ctx.Done()
 		hook()
 	})
 }
 
 // LogCounts writes the counters now and then.
-func LogCounts(threads *run.Threads, counts *run.Counts, name string) {
-	threads.Beat(run.Each(time.Minute), func() {
+func LogCounts(goroutines *concurrent.Group, counters *metrics.Counters, name string) {
+	goroutines.Every(concurrent.Fixed(time.Minute), func() {
 		line := ""
-		for _, counter := range counts.Names() {
-			line += fmt.Sprintf(" %s=%d", counter, counts.Get(counter))
+		for _, counter := range counters.Names() {
+			line += fmt.Sprintf(" %s=%d", counter, counters.Get(counter))
 		}
 		klog.Infof("%s counts:%s", name, line)
 	})
--- a/program/standing_test.go
+++ b/program/standing_test.go
@@ -5,11 +5,10 @@
 	"io"
 	"net"
 	"net/http"
+	"orchidjunction/concurrent"
 	"sync"
 	"testing"
 	"time"
-
-	"orchidjunction/run"
 )
 
 // slowListener's connections hold what they read back until they are let go.
@@ -63,8 +62,8 @@
 	standing := newStanding()
 	listener := &Listener{open: slowListener{open, held, read}, standing: standing, server: &http.Server{ConnState: standing.turned,
 		Handler: http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { writer.Write([]byte("served")) })}}
-	threads := run.NewThreads()
-	listener.Serve(threads)
+	goroutines := concurrent.NewGroup()
+	listener.Serve(goroutines)
 	ask := func(conn net.Conn) { say(test, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n") }
 	answer := func(reader *bufio.Reader) string {
 		response, err := http.ReadResponse(reader, nil)
@@ -93,7 +92,7 @@
 	drained := make([]bool, 1)
 	ended := &sync.WaitGroup{}
 	ended.Add(1)
-	threads.Start(func() {
+	goroutines.Start(func() {
 		defer ended.Done()
 		drained[0] = listener.Drain(10 * time.Second)
 	})
--- a/program/typed_test.go
+++ b/program/typed_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // Malformed and oversized requests get a typed refusal and reach no handler.
@@ -27,9 +27,9 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	threads := run.NewThreads()
-	listener.Serve(threads)
-	defer threads.Wait()
+	goroutines := concurrent.NewGroup()
+	listener.Serve(goroutines)
+	defer goroutines.Wait()
 	defer listener.Close()
 	for text, want := range map[string]string{
 		"BLAH\r\n\r\n":                           "400 bad_request",
--- a/proxy/answer.go
+++ b/proxy/answer.go
@@ -138,7 +138,7 @@
 				return nil, lost
 			}
 		case surplusHead:
-			proxy.counts.Add("answers_surplus", 1)
+			proxy.counters.Add("answers_surplus", 1)
 			if surplus++; surplus > surplusMost {
 				return nil, lost
 			}
@@ -174,7 +174,7 @@
 	}
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		target.displace(proxy.clock())
-		proxy.counts.Add("backends_replaced", 1)
+		proxy.counters.Add("backends_replaced", 1)
 	}
 }
 
--- a/proxy/answers_test.go
+++ b/proxy/answers_test.go
@@ -29,7 +29,7 @@
 func (script script) play(exchange *exchange) bool {
 	for _, fragment := range script.fragments {
 		if fragment.pause > 0 {
-			exchange.backend.threads.Rest(fragment.pause)
+			exchange.backend.goroutines.Sleep(fragment.pause)
 		}
 		if _, err := exchange.pipe.Write([]byte(fragment.bytes)); err != nil {
 			return false
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -59,7 +59,7 @@
 		return taken
 	}
 	if !held.target.reserve(most) {
-		proxy.counts.Add("connections_capped", 1)
+		proxy.counters.Add("connections_capped", 1)
 		return nil
 	}
 	patience := dialNear
@@ -76,11 +76,11 @@
 	if err != nil {
 		held.target.unreserve()
 		held.target.failed(proxy.clock(), true)
-		proxy.counts.Add("connections_failed", 1)
+		proxy.counters.Add("connections_failed", 1)
 		return nil
 	}
 	held.target.dialled(proxy.clock().Sub(begin))
-	proxy.counts.Add("connections_opened", 1)
+	proxy.counters.Add("connections_opened", 1)
 	return newConnection(conn)
 }
 
@@ -88,7 +88,7 @@
 // have run already, and may run only once, is sent nowhere.
 func (proxy *Proxy) attempt(request *request, held *candidate, most int) (*answer, outcome) {
 	if request.exposed && !request.route.Kind.Repeats() {
-		proxy.counts.Add("repeats_prevented", 1)
+		proxy.counters.Add("repeats_prevented", 1)
 		return nil, lost
 	}
 	connection := proxy.connect(held, most, request.limit)
@@ -176,7 +176,7 @@
 	}
 	count, err := connection.conn.Write(head)
 	if err == nil {
-		connection.upload = startUpload(proxy.threads, connection, body)
+		connection.upload = startUpload(proxy.goroutines, connection, body)
 	}
 	return count > 0, err
 }
--- a/proxy/attempt_test.go
+++ b/proxy/attempt_test.go
@@ -255,15 +255,15 @@
 // Bytes that were taken but not read may have run all the same.
 func TestResetBeforeReadingMayHaveRun(test *testing.T) {
 	inWorld(test, func(world *world) {
-		late := func(pipe *pipe) { world.threads.Rest(10 * time.Millisecond); pipe.reset() }
+		late := func(pipe *pipe) { world.goroutines.Sleep(10 * time.Millisecond); pipe.reset() }
 		world.add("b1").greet(late)
 		world.add("b2").greet(late)
 		reply, _ := world.get("/once/a")
 		if reply.status != 502 || len(world.arrivals()) != 0 {
 			test.Errorf("%d, %d arrivals", reply.status, len(world.arrivals()))
 		}
-		if world.counts.Get("connections_opened") != 1 {
-			test.Errorf("%d connections", world.counts.Get("connections_opened"))
+		if world.counters.Get("connections_opened") != 1 {
+			test.Errorf("%d connections", world.counters.Get("connections_opened"))
 		}
 	})
 }
@@ -280,8 +280,8 @@
 		client := world.client()
 		defer client.pipe.Close()
 		reply := client.ask("POST", raw("POST", "/once/a", "id", "", string(letters(0, 400<<10))))
-		if reply.status != 502 || world.counts.Get("connections_opened") != 1 {
-			test.Errorf("%d, %d connections", reply.status, world.counts.Get("connections_opened"))
+		if reply.status != 502 || world.counters.Get("connections_opened") != 1 {
+			test.Errorf("%d, %d connections", reply.status, world.counters.Get("connections_opened"))
 		}
 	})
 }
@@ -320,7 +320,7 @@
 		"while idle":          {surplusLate(20 * time.Millisecond), 100 * time.Millisecond, 1, 1},
 		"while idle, in chunks": {func(exchange *exchange) bool {
 			well(exchange)
-			exchange.backend.threads.Rest(time.Millisecond)
+			exchange.backend.goroutines.Sleep(time.Millisecond)
 			return chunked(exchange)
 		}, 100 * time.Millisecond, 1, 1},
 		"garbage in one go": {func(exchange *exchange) bool {
@@ -335,9 +335,9 @@
 				for range 4 {
 					reply, id := world.get("/once/a")
 					world.good(reply, id)
-					world.threads.Rest(play.rest)
+					world.goroutines.Sleep(play.rest)
 				}
-				if surplus := world.counts.Get("answers_surplus"); surplus != play.surplus {
+				if surplus := world.counters.Get("answers_surplus"); surplus != play.surplus {
 					test.Errorf("%d surplus answers read", surplus)
 				}
 				if connections := world.backends["b1"].connections(); connections != play.connections {
@@ -354,13 +354,13 @@
 	inWorld(test, func(world *world) {
 		world.add("b1").then(func(exchange *exchange) bool {
 			well(exchange)
-			exchange.backend.threads.Rest(time.Millisecond)
+			exchange.backend.goroutines.Sleep(time.Millisecond)
 			exchange.say("HTTP/1.1 200 OK\r\nSeal: x\r\nContent-Length: 3\r\n\r\nbad")
 			return true
 		})
 		reply, id := world.get("/once/a")
 		world.good(reply, id)
-		world.threads.Rest(10 * time.Millisecond)
+		world.goroutines.Sleep(10 * time.Millisecond)
 		if reply, _ = world.get("/once/b"); reply.status != 502 {
 			test.Errorf("%d %q", reply.status, reply.body)
 		}
@@ -390,7 +390,7 @@
 		world.add("b1").then(func(exchange *exchange) bool {
 			all := bare(exchange.get("Attempt"), "503 Service Unavailable", "Not-Executed: full\r\n", string(letters(0, wholeMost+connectionBuffer)))
 			exchange.say("%s", all[:len(all)-connectionBuffer])
-			exchange.backend.threads.Rest(5 * time.Millisecond)
+			exchange.backend.goroutines.Sleep(5 * time.Millisecond)
 			exchange.say("%s", all[len(all)-connectionBuffer:])
 			return true
 		})
@@ -567,9 +567,9 @@
 		world.add("b1").ever(silent)
 		client := world.client()
 		client.send(raw("GET", "/again/a", "id", "", ""))
-		world.threads.Rest(50 * time.Millisecond)
+		world.goroutines.Sleep(50 * time.Millisecond)
 		client.pipe.Close()
-		world.threads.Rest(10 * time.Millisecond)
+		world.goroutines.Sleep(10 * time.Millisecond)
 		if open, running := world.held("b1"); open != 0 || running != 0 || world.proxy.InFlight() != 0 {
 			test.Errorf("open %d, running %d, under way %d", open, running, world.proxy.InFlight())
 		}
@@ -621,12 +621,12 @@
 		for range 100 {
 			reply, id := world.get("/once/a")
 			world.good(reply, id)
-			world.threads.Rest(100 * time.Millisecond)
+			world.goroutines.Sleep(100 * time.Millisecond)
 		}
 		if count := len(world.backends["b1"].seen()); count > 3 {
 			test.Errorf("asked %d times in 10 s", count)
 		}
-		if revived := world.counts.Get("backends_revived"); revived != 0 {
+		if revived := world.counters.Get("backends_revived"); revived != 0 {
 			test.Errorf("revived %d times", revived)
 		}
 	})
--- a/proxy/backend_test.go
+++ b/proxy/backend_test.go
@@ -5,12 +5,11 @@
 	"fmt"
 	"io"
 	"net/http/httputil"
+	"orchidjunction/concurrent"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
-
-	"orchidjunction/run"
 )
 
 // arrival is one request as it reached a backend, byte for byte.
@@ -54,9 +53,9 @@
 // backend speaks raw HTTP/1.1 and does to each request what its script says; after
 // the script's end it answers well. Greets meet connections before they are read.
 type backend struct {
-	name    string
-	address string
-	threads *run.Threads
+	name       string
+	address    string
+	goroutines *concurrent.Group
 
 	mutex    sync.Mutex
 	script   []act
@@ -68,8 +67,8 @@
 	ending   bool
 }
 
-func newBackend(name, address string, threads *run.Threads) *backend {
-	return &backend{name: name, address: address, threads: threads}
+func newBackend(name, address string, goroutines *concurrent.Group) *backend {
+	return &backend{name: name, address: address, goroutines: goroutines}
 }
 
 func (backend *backend) then(acts ...act) *backend {
@@ -108,7 +107,7 @@
 		pipe.reset()
 		return
 	}
-	backend.threads.Start(func() {
+	backend.goroutines.Start(func() {
 		defer func() { _ = pipe.Close() }() // never fails
 		if greet != nil {
 			greet(pipe)
@@ -244,7 +243,7 @@
 
 func after(span time.Duration, does act) act {
 	return func(exchange *exchange) bool {
-		exchange.backend.threads.Rest(span)
+		exchange.backend.goroutines.Sleep(span)
 		return does(exchange)
 	}
 }
@@ -330,7 +329,7 @@
 	return func(exchange *exchange) bool {
 		id := exchange.get("Attempt")
 		exchange.say("%s", whole(id, "200 OK", "", text(id)))
-		exchange.backend.threads.Rest(span)
+		exchange.backend.goroutines.Sleep(span)
 		exchange.say("%s", whole(id, "200 OK", "", "surplus"))
 		return true
 	}
--- a/proxy/carry.go
+++ b/proxy/carry.go
@@ -25,14 +25,14 @@
 		if ended == answered && answer.rest != nil {
 			defer func() {
 				held.target.leave()
-				proxy.freed.Ring()
+				proxy.freed.Notify()
 			}()
 			proxy.finish(request, answer)
 			return
 		}
 		held.target.leave()
 		if ended != unsent && proxy.lines.waiting() {
-			proxy.freed.Ring()
+			proxy.freed.Notify()
 		}
 		request.tried = append(request.tried, held.target)
 		if proxy.settle(request, answer, ended) {
@@ -64,7 +64,7 @@
 		}
 		if request.attempts > 0 && !view.budgets[service].take() {
 			held.target.leave()
-			proxy.counts.Add("budget_empty", 1)
+			proxy.counters.Add("budget_empty", 1)
 			return nil, 0
 		}
 		return held, view.most[service]
@@ -107,9 +107,9 @@
 		}
 		request.last = answer
 	case refused:
-		proxy.counts.Add("attempts_refused", 1)
+		proxy.counters.Add("attempts_refused", 1)
 	case lost:
-		proxy.counts.Add("attempts_lost", 1)
+		proxy.counters.Add("attempts_lost", 1)
 		if !repeats {
 			proxy.fail(request)
 			return true
--- a/proxy/connection_test.go
+++ b/proxy/connection_test.go
@@ -130,7 +130,7 @@
 		inWorld(test, func(world *world) {
 			world.add("b1").then(play.does)
 			world.get("/once/a")
-			world.threads.Rest(play.rest)
+			world.goroutines.Sleep(play.rest)
 			reply, id := world.get("/once/b")
 			world.good(reply, id)
 			if connections := world.backends["b1"].connections(); connections != play.want {
@@ -146,11 +146,11 @@
 		world.add("b1")
 		reply, id := world.get("/once/a")
 		world.good(reply, id)
-		world.threads.Rest(connectionIdle - time.Second)
+		world.goroutines.Sleep(connectionIdle - time.Second)
 		if open, _ := world.held("b1"); open != 1 {
 			test.Errorf("%d open early", open)
 		}
-		world.threads.Rest(time.Second + 2*tendPace)
+		world.goroutines.Sleep(time.Second + 2*tendPace)
 		if open, _ := world.held("b1"); open != 0 {
 			test.Errorf("%d open late", open)
 		}
--- a/proxy/framing_test.go
+++ b/proxy/framing_test.go
@@ -118,7 +118,7 @@
 				test.Errorf("%s: %d", name, reply.status)
 			}
 			client.pipe.Close()
-			world.threads.Rest(time.Second)
+			world.goroutines.Sleep(time.Second)
 			for _, arrival := range world.arrivals() {
 				test.Errorf("%s: arrived %s of %s", name, arrival.line, arrival.get("Attempt"))
 			}
--- a/proxy/fuzz_test.go
+++ b/proxy/fuzz_test.go
@@ -123,7 +123,7 @@
 
 func rawLate(exchange *exchange, answer, raw string) bool {
 	exchange.say("%s", answer)
-	exchange.backend.threads.Rest(3 * time.Millisecond)
+	exchange.backend.goroutines.Sleep(3 * time.Millisecond)
 	exchange.say("%s", raw)
 	return true
 }
@@ -132,7 +132,7 @@
 	for len(answer) > 0 {
 		size := min(7, len(answer))
 		exchange.say("%s", answer[:size])
-		exchange.backend.threads.Rest(time.Millisecond)
+		exchange.backend.goroutines.Sleep(time.Millisecond)
 		answer = answer[size:]
 	}
 	return true
@@ -144,7 +144,7 @@
 
 func twice(exchange *exchange, answer, _ string) bool {
 	exchange.say("%s", answer)
-	exchange.backend.threads.Rest(3 * time.Millisecond)
+	exchange.backend.goroutines.Sleep(3 * time.Millisecond)
 	exchange.say("%s", strings.Replace(answer, "answer to", "second to", 1))
 	return true
 }
@@ -261,7 +261,7 @@
 		case 5:
 			fuzzed.ask("GET", "/once/a", "", true)
 		case 6:
-			fuzzed.world.threads.Rest(time.Duration(fuzzed.next()) * 40 * time.Millisecond)
+			fuzzed.world.goroutines.Sleep(time.Duration(fuzzed.next()) * 40 * time.Millisecond)
 		case 7:
 			backend := fuzzed.world.backends[[]string{"b1", "b2"}[kind/8%2]]
 			if kind/16%2 == 0 {
@@ -271,7 +271,7 @@
 			}
 		}
 	}
-	fuzzed.world.threads.Rest(3 * time.Second)
+	fuzzed.world.goroutines.Sleep(3 * time.Second)
 	synctest.Wait()
 	fuzzed.judge()
 }
@@ -313,7 +313,7 @@
 	defer client.pipe.Close()
 	if leaves {
 		client.send(raw(method, path, id, "", body))
-		world.threads.Rest(time.Millisecond)
+		world.goroutines.Sleep(time.Millisecond)
 		return
 	}
 	fuzzed.check(id, method, client.ask(method, raw(method, path, id, "", body)))
--- a/proxy/link_test.go
+++ b/proxy/link_test.go
@@ -119,10 +119,10 @@
 			test.Errorf("not refused after half of the target time: %v", time.Since(begin))
 		}
 		request.begin, request.limit = time.Now(), time.Now().Add(2*time.Second)
-		world.threads.Start(func() {
-			world.threads.Rest(200 * time.Millisecond)
+		world.goroutines.Start(func() {
+			world.goroutines.Sleep(200 * time.Millisecond)
 			world.proxy.gate.leave()
-			world.proxy.freed.Ring()
+			world.proxy.freed.Notify()
 		})
 		begin = time.Now()
 		if !world.proxy.pass(request) || time.Since(begin) < 200*time.Millisecond || time.Since(begin) > 250*time.Millisecond {
--- a/proxy/meter_test.go
+++ b/proxy/meter_test.go
@@ -81,7 +81,7 @@
 	inWorld(test, func(world *world) {
 		world.add("b1").ever(after(800*time.Millisecond, well))
 		world.keyed()
-		world.threads.Rest(5*time.Second - time.Duration(time.Now().UnixMilli()%5000)*time.Millisecond - 400*time.Millisecond)
+		world.goroutines.Sleep(5*time.Second - time.Duration(time.Now().UnixMilli()%5000)*time.Millisecond - 400*time.Millisecond)
 		number := time.Now().UnixMilli() / 5000
 		client := world.client()
 		defer client.pipe.Close()
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -7,8 +7,9 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
-	"orchidjunction/run"
+	"orchidjunction/metrics"
 )
 
 const (
@@ -20,24 +21,24 @@
 
 // Proxy carries clients' requests to backends by the view in force.
 type Proxy struct {
-	place    Place
-	dial     Dialer
-	threads  *run.Threads
-	counts   *run.Counts
-	clock    func() time.Time
-	now      func() int64
-	withheld map[string]bool
-	view     atomic.Pointer[View]
-	stat     *Stat
-	meter    *Meter
-	freed    *run.Bell
-	lines    lines
-	flight   flight
-	bodies   bodies
-	inward   *Lane
-	outward  *Lane
-	gate     *Gate
-	leaving  atomic.Bool
+	place      Place
+	dial       Dialer
+	goroutines *concurrent.Group
+	counters   *metrics.Counters
+	clock      func() time.Time
+	now        func() int64
+	withheld   map[string]bool
+	view       atomic.Pointer[View]
+	stat       *Stat
+	meter      *Meter
+	freed      *concurrent.Condition
+	lines      lines
+	flight     flight
+	bodies     bodies
+	inward     *Lane
+	outward    *Lane
+	gate       *Gate
+	leaving    atomic.Bool
 
 	laying    sync.Mutex
 	targets   map[string]*target
@@ -47,8 +48,8 @@
 }
 
 // NewProxy makes a proxy; now gives true time in milliseconds.
-func NewProxy(place Place, dial Dialer, now func() int64, threads *run.Threads, counts *run.Counts) *Proxy {
-	proxy := &Proxy{place: place, dial: dial, threads: threads, counts: counts, clock: time.Now, now: now, stat: newStat(), freed: run.NewBell(),
+func NewProxy(place Place, dial Dialer, now func() int64, goroutines *concurrent.Group, counters *metrics.Counters) *Proxy {
+	proxy := &Proxy{place: place, dial: dial, goroutines: goroutines, counters: counters, clock: time.Now, now: now, stat: newStat(), freed: concurrent.NewCondition(),
 		targets: map[string]*target{}, budgets: map[string]*Budget{}, evacuated: map[string]bool{}, withheld: map[string]bool{}}
 	proxy.inward, proxy.outward = newLane(place.LinkBytes, proxy.clock()), newLane(place.LinkBytes, proxy.clock())
 	proxy.gate = newGate(place.LinkBytes)
@@ -63,7 +64,7 @@
 
 // Run starts the proxy's own duty: old connections go, silent backends are tried.
 func (proxy *Proxy) Run() {
-	proxy.threads.Beat(run.Each(tendPace), proxy.tend)
+	proxy.goroutines.Every(concurrent.Fixed(tendPace), proxy.tend)
 }
 
 func (proxy *Proxy) tend() {
@@ -77,7 +78,7 @@
 	for _, target := range targets {
 		target.expire(now)
 		if target.wakes(now) {
-			proxy.threads.Start(func() { proxy.revive(target) })
+			proxy.goroutines.Start(func() { proxy.revive(target) })
 		}
 	}
 	if view := proxy.view.Load(); view != nil {
@@ -99,10 +100,10 @@
 		target.revived(proxy.clock(), false)
 		return
 	}
-	proxy.counts.Add("backends_revived", 1)
+	proxy.counters.Add("backends_revived", 1)
 	target.revived(proxy.clock(), true)
 	target.give(newConnection(conn))
-	proxy.freed.Ring()
+	proxy.freed.Notify()
 }
 
 // Leave makes answers tell clients to go elsewhere.
--- a/proxy/repeat_test.go
+++ b/proxy/repeat_test.go
@@ -86,10 +86,10 @@
 			for range 3 {
 				reply, id := world.get("/once/b")
 				world.good(reply, id)
-				world.threads.Rest(20 * time.Millisecond)
+				world.goroutines.Sleep(20 * time.Millisecond)
 			}
-			if connections := world.backends["b1"].connections(); connections != 2 || world.counts.Get("answers_surplus") != 0 {
-				test.Errorf("%s: %d connections, %d surplus answers", path, connections, world.counts.Get("answers_surplus"))
+			if connections := world.backends["b1"].connections(); connections != 2 || world.counters.Get("answers_surplus") != 0 {
+				test.Errorf("%s: %d connections, %d surplus answers", path, connections, world.counters.Get("answers_surplus"))
 			}
 		})
 	}
@@ -124,8 +124,8 @@
 		client := world.client()
 		defer client.pipe.Close()
 		reply := client.ask("GET", raw("GET", "/once/a", "id", "Long: "+string(letters(0, 200<<10))+"\r\n", ""))
-		if reply.status != 502 || world.counts.Get("connections_opened") != 1 {
-			test.Errorf("%d, %d connections", reply.status, world.counts.Get("connections_opened"))
+		if reply.status != 502 || world.counters.Get("connections_opened") != 1 {
+			test.Errorf("%d, %d connections", reply.status, world.counters.Get("connections_opened"))
 		}
 	})
 }
--- a/proxy/reply.go
+++ b/proxy/reply.go
@@ -17,7 +17,7 @@
 		return
 	}
 	proxy.move(request, ending)
-	proxy.counts.Add("refused_"+string(kind), 1)
+	proxy.counters.Add("refused_"+string(kind), 1)
 	header := request.writer.Header()
 	if status == http.StatusServiceUnavailable {
 		header.Set("Retry-After", strconv.FormatFloat(proxy.comeBack(request).Seconds(), 'f', 3, 64))
@@ -47,7 +47,7 @@
 	if !proxy.clock().Before(request.limit) {
 		status, kind = http.StatusGatewayTimeout, rpc.DeadlineExceeded
 	}
-	proxy.counts.Add("failed_"+string(kind), 1)
+	proxy.counters.Add("failed_"+string(kind), 1)
 	request.writer.Header().Set("Content-Type", "application/json")
 	request.writer.WriteHeader(status)
 	request.writer.Write([]byte(`{"code":"` + string(kind) + `"}`))
@@ -81,7 +81,7 @@
 		if answer.rest != nil {
 			answer.release(false)
 		}
-		proxy.counts.Add("answers_cut_short", 1)
+		proxy.counters.Add("answers_cut_short", 1)
 		panic(http.ErrAbortHandler)
 	}
 	if answer.rest != nil {
@@ -90,11 +90,11 @@
 		whole := err == nil && (answer.response.ContentLength < 0 || int64(size) == answer.response.ContentLength)
 		answer.release(whole && !answer.response.Close)
 		if !whole {
-			proxy.counts.Add("answers_cut_short", 1)
+			proxy.counters.Add("answers_cut_short", 1)
 			panic(http.ErrAbortHandler)
 		}
 	}
-	proxy.counts.Add("answered", 1)
+	proxy.counters.Add("answered", 1)
 	if answer.response.StatusCode < 400 {
 		proxy.stat.served(request.route, proxy.clock().Sub(request.begin), size)
 	}
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -82,14 +82,14 @@
 			return
 		}
 	}
-	proxy.counts.Add("requests_off_the_chart", 1)
+	proxy.counters.Add("requests_off_the_chart", 1)
 	request.stage = to
 }
 
 // ServeHTTP carries one request of a client.
 func (proxy *Proxy) ServeHTTP(writer http.ResponseWriter, source *http.Request) {
 	request := &request{source: source, writer: writer, context: source.Context(), begin: proxy.clock(), stat: proxy.stat}
-	proxy.counts.Add("requests", 1)
+	proxy.counters.Add("requests", 1)
 	proxy.flight.enter()
 	defer proxy.flight.leave()
 	if status := proxy.malformed(request); status != 0 {
@@ -119,7 +119,7 @@
 		}
 		defer func() {
 			proxy.gate.leave()
-			proxy.freed.Ring()
+			proxy.freed.Notify()
 		}()
 	}
 	proxy.carry(request)
@@ -132,7 +132,7 @@
 		now := proxy.clock()
 		proxy.endIfGone(request)
 		if !now.Before(until) {
-			proxy.counts.Add("link_full", 1)
+			proxy.counters.Add("link_full", 1)
 			return false
 		}
 		proxy.freed.Wait(proxy.freed.Count(), min(until.Sub(now), waitPace))
@@ -155,7 +155,7 @@
 // endIfGone ends a request whose client has closed its connection.
 func (proxy *Proxy) endIfGone(request *request) {
 	if request.context.Err() != nil {
-		proxy.counts.Add("clients_gone", 1)
+		proxy.counters.Add("clients_gone", 1)
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/proxy/request_test.go
+++ b/proxy/request_test.go
@@ -150,7 +150,7 @@
 			client := world.client()
 			defer client.pipe.Close()
 			client.ask("POST", text)
-			world.threads.Rest(100 * time.Millisecond)
+			world.goroutines.Sleep(100 * time.Millisecond)
 			all := world.arrivals()
 			if len(all) > 1 {
 				test.Errorf("%s: %d arrivals", name, len(all))
@@ -236,7 +236,7 @@
 			defer client.pipe.Close()
 			if name == "chunks" {
 				body := string(letters(0, 1<<20+1))
-				world.threads.Start(func() {
+				world.goroutines.Start(func() {
 					client.send(raw("POST", "/once/a", "id", fields, "") + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body))
 				})
 			} else {
@@ -268,7 +268,7 @@
 			client := world.client()
 			client.send(raw("POST", "/once/a", "id", fields, "") + "5\r\nab")
 			client.pipe.Close()
-			world.threads.Rest(3 * time.Second)
+			world.goroutines.Sleep(3 * time.Second)
 			if len(world.arrivals()) != 0 {
 				test.Errorf("%d arrivals", len(world.arrivals()))
 			}
--- a/proxy/target_test.go
+++ b/proxy/target_test.go
@@ -27,7 +27,7 @@
 		if dials := world.doors.dialled("b1:80"); dials != 1 {
 			test.Errorf("%d dials by 20 requests", dials)
 		}
-		world.threads.Rest(20 * time.Second)
+		world.goroutines.Sleep(20 * time.Second)
 		if dials := world.doors.dialled("b1:80"); dials < 4 || dials > 10 {
 			test.Errorf("%d dials in 20 s", dials)
 		}
@@ -39,7 +39,7 @@
 			test.Errorf("%d requests at the dead one", count)
 		}
 		world.doors.serve("b1:80", world.backends["b1"].accept)
-		world.threads.Rest(ejectMost + 2*tendPace)
+		world.goroutines.Sleep(ejectMost + 2*tendPace)
 		for range 5 {
 			reply, id := world.get("/once/a")
 			world.good(reply, id)
@@ -47,8 +47,8 @@
 		if count := len(world.backends["b1"].seen()); count != 5 {
 			test.Errorf("%d requests once it was back", count)
 		}
-		if world.counts.Get("backends_revived") != 1 {
-			test.Errorf("revived %d times", world.counts.Get("backends_revived"))
+		if world.counters.Get("backends_revived") != 1 {
+			test.Errorf("revived %d times", world.counters.Get("backends_revived"))
 		}
 	})
 }
@@ -153,11 +153,11 @@
 			open, _ := world.held("b1")
 			most = max(most, open)
 		}
-		world.threads.Rest(time.Second)
+		world.goroutines.Sleep(time.Second)
 		if most != 4 || world.backends["b1"].connections() != 4 {
 			test.Errorf("%d open, %d opened", most, world.backends["b1"].connections())
 		}
-		if capped := world.counts.Get("connections_capped"); capped > 100 {
+		if capped := world.counters.Get("connections_capped"); capped > 100 {
 			test.Errorf("asked for a connection %d times in vain", capped)
 		}
 	})
--- a/proxy/upload.go
+++ b/proxy/upload.go
@@ -1,9 +1,8 @@
 package proxy
 
 import (
+	"orchidjunction/concurrent"
 	"sync/atomic"
-
-	"orchidjunction/run"
 )
 
 // smallBody is what is written in one go with a request's head; a larger body goes
@@ -17,9 +16,9 @@
 }
 
 // startUpload writes a body in a thread of its own.
-func startUpload(threads *run.Threads, connection *connection, body []byte) *upload {
+func startUpload(goroutines *concurrent.Group, connection *connection, body []byte) *upload {
 	upload := &upload{}
-	threads.Start(func() {
+	goroutines.Start(func() {
 		if _, err := connection.conn.Write(body); err == nil {
 			upload.whole.Store(true)
 		}
--- a/proxy/upload_test.go
+++ b/proxy/upload_test.go
@@ -21,7 +21,7 @@
 			}
 		}
 		_, _ = io.WriteString(pipe, answer("id")) // the proxy may have left
-		world.threads.Rest(10 * time.Second)
+		world.goroutines.Sleep(10 * time.Second)
 	}
 }
 
@@ -62,7 +62,7 @@
 // A body that a backend reads slowly arrives whole, and the connection is kept.
 func TestSlowlyReadBody(test *testing.T) {
 	inWorld(test, func(world *world) {
-		world.add("b1").greet(func(*pipe) { world.threads.Rest(300 * time.Millisecond) })
+		world.add("b1").greet(func(*pipe) { world.goroutines.Sleep(300 * time.Millisecond) })
 		client := world.client()
 		defer client.pipe.Close()
 		body := string(letters(0, 900<<10))
@@ -79,7 +79,7 @@
 // A backend that takes no more of a body and says nothing may have run it.
 func TestStalledBodyMayHaveRun(test *testing.T) {
 	inWorld(test, func(world *world) {
-		world.add("b1").greet(func(*pipe) { world.threads.Rest(10 * time.Second) })
+		world.add("b1").greet(func(*pipe) { world.goroutines.Sleep(10 * time.Second) })
 		world.addAt("b2", "plain", "e2", 8)
 		client := world.client()
 		defer client.pipe.Close()
--- a/proxy/view.go
+++ b/proxy/view.go
@@ -115,5 +115,5 @@
 		}
 	}
 	proxy.view.Store(view)
-	proxy.freed.Ring()
+	proxy.freed.Notify()
 }
--- a/proxy/warmup_test.go
+++ b/proxy/warmup_test.go
@@ -8,16 +8,17 @@
 	"testing/synctest"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/route"
-	"orchidjunction/run"
 )
 
 // many are proxies that only choose; no request of theirs is sent.
 func many(names []string, zones []string) []*Proxy {
 	proxies := []*Proxy{}
 	for index, name := range names {
-		proxies = append(proxies, NewProxy(ownPlace(name, zones[index]), unreachable, func() int64 { return time.Now().UnixMilli() }, run.NewThreads(), run.NewCounts()))
+		proxies = append(proxies, NewProxy(ownPlace(name, zones[index]), unreachable, func() int64 { return time.Now().UnixMilli() }, concurrent.NewGroup(), metrics.NewCounters()))
 	}
 	return proxies
 }
--- a/proxy/world_test.go
+++ b/proxy/world_test.go
@@ -14,25 +14,26 @@
 	"testing/synctest"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/route"
-	"orchidjunction/run"
 )
 
 // world is one proxy behind a server of its own, and its scripted backends; all
 // time in it is virtual.
 type world struct {
-	test     *testing.T
-	threads  *run.Threads
-	counts   *run.Counts
-	doors    *doors
-	proxy    *Proxy
-	server   *http.Server
-	listener *listener
-	book     *route.Book
-	table    *message.Table
-	backends map[string]*backend
-	asked    int
+	test       *testing.T
+	goroutines *concurrent.Group
+	counters   *metrics.Counters
+	doors      *doors
+	proxy      *Proxy
+	server     *http.Server
+	listener   *listener
+	book       *route.Book
+	table      *message.Table
+	backends   map[string]*backend
+	asked      int
 }
 
 var ownHeaders = Headers{Attempt: "Attempt", Deadline: "Deadline", Seal: "Seal", Tenant: "Tenant", Target: "Target", Load: "Load", NotExecuted: "Not-Executed",
@@ -62,26 +63,26 @@
 }
 
 func newWorld(test *testing.T) *world {
-	world := &world{test: test, threads: run.NewThreads(), counts: run.NewCounts(), doors: newDoors(), listener: newListener(), backends: map[string]*backend{},
+	world := &world{test: test, goroutines: concurrent.NewGroup(), counters: metrics.NewCounters(), doors: newDoors(), listener: newListener(), backends: map[string]*backend{},
 		book: &route.Book{Config: ownConfig()}, table: &message.Table{Version: leaderMark, Complete: true, Members: []message.Member{{Name: "p1", Kind: "proxy", Zone: "e1", Ready: true}}}}
-	world.proxy = NewProxy(ownPlace("p1", "e1"), world.doors.dial, func() int64 { return time.Now().UnixMilli() }, world.threads, world.counts)
+	world.proxy = NewProxy(ownPlace("p1", "e1"), world.doors.dial, func() int64 { return time.Now().UnixMilli() }, world.goroutines, world.counters)
 	world.server = &http.Server{Handler: world.proxy, ErrorLog: log.New(io.Discard, "", 0)}
-	world.threads.Start(func() { _ = world.server.Serve(world.listener) }) // until close
+	world.goroutines.Start(func() { _ = world.server.Serve(world.listener) }) // until close
 	world.proxy.Run()
 	return world
 }
 
 func (world *world) close() {
-	if off := world.counts.Get("requests_off_the_chart"); off != 0 {
+	if off := world.counters.Get("requests_off_the_chart"); off != 0 {
 		world.test.Errorf("%d steps off the chart of requests", off)
 	}
 	_ = world.server.Close() // what is open still, the test ends
 	for _, backend := range world.backends {
 		backend.stop()
 	}
-	world.threads.Stop()
+	world.goroutines.Stop()
 	world.lay(func() { world.table.Backends = nil })
-	world.threads.Wait()
+	world.goroutines.Wait()
 	time.Sleep(time.Second)
 }
 
@@ -91,7 +92,7 @@
 }
 
 func (world *world) addAt(name, service, zone string, slots int) *backend {
-	added := newBackend(name, name+":80", world.threads)
+	added := newBackend(name, name+":80", world.goroutines)
 	world.backends[name] = added
 	world.doors.serve(added.address, added.accept)
 	world.lay(func() {
--- a/rpc/server.go
+++ b/rpc/server.go
@@ -6,35 +6,34 @@
 import (
 	"context"
 	"net/http"
+	"orchidjunction/metrics"
 	"strings"
 
-	"orchidjunction/run"
-
 	"connectrpc.com/connect"
 )
 
 // Server is an http.Handler that answers the calls registered by Handle. It counts
 // what it refuses: wire_unknown_message, wire_bad_message, wire_handler_panic.
 type Server struct {
-	mux    *http.ServeMux
-	counts *run.Counts
-	paths  map[string]bool
+	mux      *http.ServeMux
+	counters *metrics.Counters
+	paths    map[string]bool
 }
 
 // NewServer returns a server that answers no call yet.
-func NewServer(counts *run.Counts) *Server {
-	return &Server{mux: http.NewServeMux(), counts: counts, paths: map[string]bool{}}
+func NewServer(counters *metrics.Counters) *Server {
+	return &Server{mux: http.NewServeMux(), counters: counters, paths: map[string]bool{}}
 }
 
 // ServeHTTP answers a call, 404 for an unknown message and 415 for another content type.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if !server.paths[request.URL.Path] {
-		server.counts.Add("wire_unknown_message", 1)
+		server.counters.Add("wire_unknown_message", 1)
 		http.Error(writer, string(UnknownMessage), http.StatusNotFound)
 		return
 	}
 	if !strings.HasPrefix(request.Header.Get("Content-Type"), "application/msgpack") {
-		server.counts.Add("wire_bad_message", 1)
+		server.counters.Add("wire_bad_message", 1)
 		http.Error(writer, string(BadMessage), http.StatusUnsupportedMediaType)
 		return
 	}
@@ -55,7 +54,7 @@
 			}
 			return connect.NewResponse(response), nil
 		},
-		connect.WithCodec(countingCodec{counts: server.counts}),
+		connect.WithCodec(countingCodec{counters: server.counters}),
 		connect.WithReadMaxBytes(maxMessageBytes),
 		connect.WithCompression("gzip", nil, nil),
 		connect.WithRecover(server.recovered))
@@ -64,20 +63,20 @@
 
 // recovered turns a handler's panic into an error for the caller.
 func (server *Server) recovered(_ context.Context, _ connect.Spec, _ http.Header, cause any) error {
-	server.counts.Add("wire_handler_panic", 1)
+	server.counters.Add("wire_handler_panic", 1)
 	return AsError(Errorf(BadMessage, "handler: %v", cause)).toConnect()
 }
 
 // countingCodec counts messages that can't be decoded.
 type countingCodec struct {
 	Codec
-	counts *run.Counts
+	counters *metrics.Counters
 }
 
 func (codec countingCodec) Unmarshal(body []byte, message any) error {
 	err := codec.Codec.Unmarshal(body, message)
 	if err != nil {
-		codec.counts.Add("wire_bad_message", 1)
+		codec.counters.Add("wire_bad_message", 1)
 	}
 	return err
 }
--- a/scale/bench.go
+++ b/scale/bench.go
@@ -9,33 +9,34 @@
 	"syscall"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/member"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/program"
 	"orchidjunction/route"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 type bench struct {
-	point   Point
-	port    int
-	folder  string
-	threads *run.Threads
-	cores   []*child
-	hollows []*child
-	hold    *member.Hold
-	result  *Result
-	version uint64
+	point      Point
+	port       int
+	folder     string
+	goroutines *concurrent.Group
+	cores      []*child
+	hollows    []*child
+	hold       *member.Hold
+	result     *Result
+	version    uint64
 }
 
 // Measure runs a deployment of a size on ports from port on, through all phases.
 // Result.Failed says what went wrong.
-func Measure(point Point, port int, threads *run.Threads) *Result {
-	bench := &bench{point: point, port: port, threads: run.NewThreads(), result: &Result{Point: point, AtMs: time.Now().UnixMilli(), LoadBefore: load(),
+func Measure(point Point, port int, goroutines *concurrent.Group) *Result {
+	bench := &bench{point: point, port: port, goroutines: concurrent.NewGroup(), result: &Result{Point: point, AtMs: time.Now().UnixMilli(), LoadBefore: load(),
 		Steady: map[string]Rates{}, Changing: map[string]Rates{}, Restarting: map[string]Rates{}}}
 	defer bench.down()
-	threads.OnStop(bench.threads.Stop)
+	goroutines.OnStop(bench.goroutines.Stop)
 	for _, phase := range []func() error{bench.up, bench.steady, bench.change, bench.restart, bench.kill} {
 		if err := phase(); err != nil {
 			bench.result.Failed = append(bench.result.Failed, err.Error())
@@ -56,7 +57,7 @@
 	for _, one := range append(append([]*child{}, bench.cores...), bench.hollows...) {
 		one.end(syscall.SIGKILL)
 	}
-	bench.threads.Stop()
+	bench.goroutines.Stop()
 	if err := os.RemoveAll(bench.folder); err != nil {
 		bench.result.Failed = append(bench.result.Failed, err.Error())
 	}
@@ -65,7 +66,7 @@
 // until asks again and again, at most so long.
 func (bench *bench) until(limit time.Duration, what string, done func() bool) error {
 	for end := time.Now().Add(limit); !done(); {
-		if time.Now().After(end) || !bench.threads.Rest(50*time.Millisecond) {
+		if time.Now().After(end) || !bench.goroutines.Sleep(50*time.Millisecond) {
 			return rpc.Errorf(rpc.NotReady, "%s not within %v", what, limit)
 		}
 	}
@@ -80,7 +81,7 @@
 	}
 	bench.folder = folder
 	list := fmt.Sprintf("127.0.0.1:%d", bench.port)
-	if err := newTap().serve(list, listOf(backends(point.Backends, point.Services)), bench.threads); err != nil {
+	if err := newTap().serve(list, listOf(backends(point.Backends, point.Services)), bench.goroutines); err != nil {
 		return err
 	}
 	seeds := []string{}
@@ -103,9 +104,9 @@
 		return err
 	}
 	client := rpc.NewClient(program.FarTransport(userTimeout))
-	finder := member.NewFinder(client, bench.threads, seeds).Paced(member.Paces{Seek: seekPace})
+	finder := member.NewFinder(client, bench.goroutines, seeds).Paced(member.Paces{Seek: seekPace})
 	finder.Run()
-	bench.hold = member.NewHold(finder, client, run.NewCounts()).Within(member.HoldLimits{Answer: 20 * time.Second, Send: 15 * time.Second})
+	bench.hold = member.NewHold(finder, client, metrics.NewCounters()).Within(member.HoldLimits{Answer: 20 * time.Second, Send: 15 * time.Second})
 	whole := config(1, point.Routes, point.Services, point.Tenants)
 	if body, err := rpc.Marshal(whole); err == nil {
 		bench.result.ConfigKB = float64(len(body)) / 1024
