--- a/scale/core.go
+++ b/scale/core.go
@@ -4,10 +4,11 @@
 	"net/http"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/control"
+	"orchidjunction/metrics"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // The paces are those of cmd/ojnode.
@@ -62,7 +63,7 @@
 // RunCore is the main function of a core process; it returns when the process is
 // stopped.
 func RunCore(spec CoreSpec) error {
-	threads, counts, tap := run.NewThreads(), run.NewCounts(), newTap()
+	goroutines, counters, tap := concurrent.NewGroup(), metrics.NewCounters(), newTap()
 	client := rpc.NewClient(tap.transport())
 	place := control.Place{Name: spec.Name, Zone: spec.Zone, Wire: spec.Wire, Seeds: spec.Seeds, Found: true, Least: spec.Cores, Platform: spec.Platform,
 		Beat: beatPace, Suspect: suspectSpan, Seed: uint64(time.Now().UnixNano()), Direct: true, Table: tablePace, SessionSpan: sessionSpan, ListPace: listPace, GoneAfter: goneAfter}
@@ -73,13 +74,13 @@
 	if err := place.Check(); err != nil {
 		return err
 	}
-	core, err := control.NewCore(place, control.Folder(spec.Folder), client, threads, counts)
+	core, err := control.NewCore(place, control.Folder(spec.Folder), client, goroutines, counters)
 	if err != nil {
 		return err
 	}
-	server := rpc.NewServer(counts)
+	server := rpc.NewServer(counters)
 	core.Register(server)
-	if err := tap.serve(spec.Wire, slowed(server, "/oj/session", time.Duration(spec.SlowUs)*time.Microsecond), threads); err != nil {
+	if err := tap.serve(spec.Wire, slowed(server, "/oj/session", time.Duration(spec.SlowUs)*time.Microsecond), goroutines); err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
@@ -87,15 +88,15 @@
 		reading := tap.read()
 		serial, _ := core.Routing()
 		table := core.Table()
-		reading.Leads, reading.Routing, reading.Members, reading.Backends, reading.Counts = core.Leads(), serial, len(table.Members), len(table.Backends), counts.All()
+		reading.Leads, reading.Routing, reading.Members, reading.Backends, reading.Counts = core.Leads(), serial, len(table.Members), len(table.Backends), counters.All()
 		writeJSON(writer, reading)
 	})
-	if err := newTap().serve(spec.Report, mux, threads); err != nil {
+	if err := newTap().serve(spec.Report, mux, goroutines); err != nil {
 		return err
 	}
 	core.Run()
-	program.OnTerm(threads, threads.Stop)
-	threads.Wait()
+	program.OnTerm(goroutines, goroutines.Stop)
+	goroutines.Wait()
 	core.Close()
 	return nil
 }
--- a/scale/hollow.go
+++ b/scale/hollow.go
@@ -12,13 +12,14 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/member"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/program"
 	"orchidjunction/proxy"
 	"orchidjunction/route"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // What a hollow daemon does with a version that it takes.
@@ -71,18 +72,18 @@
 
 // hollow is one daemon whose data plane carries no requests.
 type hollow struct {
-	number  int
-	all     *hollows
-	threads *run.Threads
-	line    *rpc.Client
-	daemon  *member.Daemon
-	held    atomic.Pointer[route.Index]
-	routing uint64
+	number     int
+	all        *hollows
+	goroutines *concurrent.Group
+	line       *rpc.Client
+	daemon     *member.Daemon
+	held       atomic.Pointer[route.Index]
+	routing    uint64
 }
 
 func (all *hollows) start(number int) *hollow {
 	spec := all.spec
-	threads, counts := run.NewThreads(), run.NewCounts()
+	goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
 	client := rpc.NewClient(all.tap.transport())
 	name := fmt.Sprintf("proxy-%05d", spec.First+number)
 	place := member.Place{Name: name, Kind: "proxy", Zone: zoneName(number), Wire: spec.Wire, Outer: spec.Wire, Operate: spec.Wire, Seeds: spec.Seeds,
@@ -90,15 +91,15 @@
 		Hold:  member.HoldLimits{Send: sendLimit}, Direct: true, ServesAlone: true, Routed: true}
 	var random [8]byte
 	rand.Read(random[:])
-	one := &hollow{number: number, all: all, threads: threads, line: client}
-	one.daemon = member.NewDaemon(place, hex.EncodeToString(random[:]), client, threads, counts)
+	one := &hollow{number: number, all: all, goroutines: goroutines, line: client}
+	one.daemon = member.NewDaemon(place, hex.EncodeToString(random[:]), client, goroutines, counters)
 	apply := func(*member.Version) {}
 	switch spec.Apply {
 	case ApplyIndex:
 		apply = func(version *member.Version) { one.held.Store(route.NewIndex(version.Book)) }
 	case ApplyLay:
 		plane := proxy.NewProxy(proxy.Place{Name: name, Zone: place.Zone, Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1, UsageWindow: meterWindow},
-			(&net.Dialer{}).DialContext, one.daemon.Now, threads, counts)
+			(&net.Dialer{}).DialContext, one.daemon.Now, goroutines, counters)
 		plane.Run()
 		apply = func(version *member.Version) { plane.Lay(version.Book, version.Table) }
 	}
@@ -144,22 +145,22 @@
 }
 
 func (one *hollow) stop() {
-	one.threads.Stop()
+	one.goroutines.Stop()
 	one.line.Close()
 }
 
 // RunHollow is the main function of a process of hollow daemons; it returns when
 // the process is stopped.
 func RunHollow(spec HollowSpec) error {
-	threads, tap := run.NewThreads(), newTap()
+	goroutines, tap := concurrent.NewGroup(), newTap()
 	all := &hollows{spec: spec, tap: tap, applied: map[uint64][]int64{}}
 	for number := range spec.Daemons {
 		all.daemons = append(all.daemons, all.start(number))
-		threads.Rest(startPace(number))
+		goroutines.Sleep(startPace(number))
 	}
-	server := rpc.NewServer(run.NewCounts())
+	server := rpc.NewServer(metrics.NewCounters())
 	all.daemons[0].daemon.Register(server)
-	if err := tap.serve(spec.Wire, server, threads); err != nil {
+	if err := tap.serve(spec.Wire, server, goroutines); err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
@@ -185,14 +186,14 @@
 	})
 	mux.HandleFunc("/restart", func(writer http.ResponseWriter, request *http.Request) {
 		count, _ := strconv.Atoi(request.URL.Query().Get("count"))
-		all.restart(min(count, spec.Daemons), threads)
+		all.restart(min(count, spec.Daemons), goroutines)
 		writeJSON(writer, true)
 	})
-	if err := newTap().serve(spec.Report, mux, threads); err != nil {
+	if err := newTap().serve(spec.Report, mux, goroutines); err != nil {
 		return err
 	}
-	program.OnTerm(threads, threads.Stop)
-	threads.Wait()
+	program.OnTerm(goroutines, goroutines.Stop)
+	goroutines.Wait()
 	return nil
 }
 
@@ -206,14 +207,14 @@
 }
 
 // restart ends some daemons without a word and starts others in their place.
-func (all *hollows) restart(count int, threads *run.Threads) {
+func (all *hollows) restart(count int, goroutines *concurrent.Group) {
 	all.mutex.Lock()
 	ended := append([]*hollow{}, all.daemons[len(all.daemons)-count:]...)
 	all.mutex.Unlock()
 	for _, one := range ended {
 		one.stop()
 	}
-	threads.Rest(200 * time.Millisecond)
+	goroutines.Sleep(200 * time.Millisecond)
 	for _, one := range ended {
 		next := all.start(one.number)
 		all.mutex.Lock()
--- a/scale/phases.go
+++ b/scale/phases.go
@@ -26,7 +26,7 @@
 		if made != tables {
 			tables, since = made, time.Now()
 		}
-		if !bench.threads.Rest(200 * time.Millisecond) {
+		if !bench.goroutines.Sleep(200 * time.Millisecond) {
 			return
 		}
 	}
@@ -35,7 +35,7 @@
 func (bench *bench) steady() (err error) {
 	bench.settle()
 	bench.result.Steady, err = bench.over(func() error {
-		bench.threads.Rest(bench.span())
+		bench.goroutines.Sleep(bench.span())
 		return nil
 	})
 	return err
@@ -51,7 +51,7 @@
 				return err
 			}
 			bench.result.Changes = append(bench.result.Changes, spread)
-			bench.threads.Rest(time.Second - time.Since(begin))
+			bench.goroutines.Sleep(time.Second - time.Since(begin))
 		}
 		return nil
 	})
@@ -113,7 +113,7 @@
 			return err
 		}
 		bench.result.ReadyMs = float64(time.Since(begin).Microseconds()) / 1000
-		bench.threads.Rest(3*time.Second - time.Since(begin))
+		bench.goroutines.Sleep(3*time.Second - time.Since(begin))
 		return nil
 	})
 	return err
--- a/scale/point_test.go
+++ b/scale/point_test.go
@@ -6,8 +6,8 @@
 	"os"
 	"testing"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // TestMain lets this binary be the processes that a run starts, as ojfleet is.
@@ -50,7 +50,7 @@
 		sizes, values := []float64{}, []float64{}
 		for _, daemons := range []int{2, 8} {
 			point := Point{Cores: 3, Daemons: daemons, Backends: 20, Routes: 10, Services: 5, Tenants: 10, Active: 2, Apply: ApplyIndex, Seconds: 3, Changes: 1, SlowUs: burnt}
-			result := Measure(point, 29000, run.NewThreads())
+			result := Measure(point, 29000, concurrent.NewGroup())
 			if len(result.Failed) > 0 {
 				test.Fatalf("%d daemons: %v", daemons, result.Failed)
 			}
--- a/scale/state.go
+++ b/scale/state.go
@@ -8,11 +8,12 @@
 	"syscall"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/proxy"
 	"orchidjunction/route"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // State is what one size of one kind of state costs a process that holds nothing
@@ -100,7 +101,7 @@
 	}
 	state.PackMs, state.PackedKB = processorMs()-begin, float64(len(body))/1024
 	plane := proxy.NewProxy(proxy.Place{Name: "proxy-00000", Zone: zoneName(0), Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1},
-		(&net.Dialer{}).DialContext, func() int64 { return time.Now().UnixMilli() }, run.NewThreads(), run.NewCounts())
+		(&net.Dialer{}).DialContext, func() int64 { return time.Now().UnixMilli() }, concurrent.NewGroup(), metrics.NewCounters())
 	before := heldBytes()
 	taken, laid := book, table
 	begin = processorMs()
--- a/scale/sweep.go
+++ b/scale/sweep.go
@@ -7,8 +7,8 @@
 	"os"
 	"path/filepath"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // Sweep is a set of points that differ in one size.
@@ -59,10 +59,10 @@
 }
 
 // Play measures a sweep and writes the results to the folder after each point.
-func (sweep *Sweep) Play(folder string, port int, threads *run.Threads, progress io.Writer) error {
+func (sweep *Sweep) Play(folder string, port int, goroutines *concurrent.Group, progress io.Writer) error {
 	played := &Run{Name: sweep.Name, Along: sweep.Along, Machine: "shared with benchmarks and builds while this ran", Processors: Processors()}
 	for _, point := range sweep.Points {
-		result := Measure(point, port, threads)
+		result := Measure(point, port, goroutines)
 		played.Results = append(played.Results, result)
 		_, _ = fmt.Fprintf(progress, "%s %v: leader %.3f, follower %.3f, daemon %.5f of a core; daemon %.0f bytes/s in, %.0f out; changes %v; failed %v\n", sweep.Name, point.Size(sweep.Along),
 			result.Steady[leaderRole].Processor, result.Steady[followerRole].Processor, result.Steady[daemonRole].Processor,
@@ -70,7 +70,7 @@
 		if err := write(folder, sweep.Name, played); err != nil {
 			return err
 		}
-		if threads.Stopping() {
+		if goroutines.Stopping() {
 			return rpc.Errorf(rpc.Stopping, "stopped")
 		}
 	}
--- a/scale/tap.go
+++ b/scale/tap.go
@@ -18,9 +18,9 @@
 	"syscall"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // Tap counts the bytes and messages that pass one process's listeners and
@@ -104,7 +104,7 @@
 }
 
 // serve opens an address whose messages and bytes are counted.
-func (tap *Tap) serve(address string, handler http.Handler, threads *run.Threads) error {
+func (tap *Tap) serve(address string, handler http.Handler, goroutines *concurrent.Group) error {
 	open, err := net.Listen("tcp", address)
 	if err != nil {
 		return rpc.Errorf(rpc.BadFlag, "%s: %v", address, err)
@@ -113,8 +113,8 @@
 		tap.message(request.URL.Path)
 		handler.ServeHTTP(writer, request)
 	}), IdleTimeout: time.Minute}
-	threads.Start(func() { _ = server.Serve(tappedListener{open, tap}) }) // ends by Close
-	threads.OnStop(func() { _ = server.Close() })
+	goroutines.Start(func() { _ = server.Serve(tappedListener{open, tap}) }) // ends by Close
+	goroutines.OnStop(func() { _ = server.Close() })
 	return nil
 }
 
--- a/sim/budget_test.go
+++ b/sim/budget_test.go
@@ -20,7 +20,7 @@
 		}
 		world.up(test, 5)
 		late := world.AddDaemon("proxy", "w1")
-		world.threads.Start(func() {
+		world.goroutines.Start(func() {
 			world.Rest(3 * time.Second)
 			for _, backend := range world.Backends[:3] {
 				backend.Backend.Misbehave("lose", 1_000_000)
@@ -35,7 +35,7 @@
 		plan := world.plan(35, 22)
 		plan.Calls, plan.Tries = plan.Calls[1:2], 3
 		origin, client := world.Origin(plan)
-		report := origin.Run(world.threads.Rest)
+		report := origin.Run(world.goroutines.Sleep)
 		client.CloseIdleConnections()
 		verdicts := world.judge(nil, report)
 		if resends, _ := strconv.Atoi(strings.Fields(verdicts["resends within a fifth and sixty in ten seconds"])[0]); resends < 30 {
@@ -58,7 +58,7 @@
 			world.AddBackend("meters", "e1", stand.BackendPlace{WorkMs: 5, Room: 32})
 		}
 		world.up(test, 5)
-		world.threads.Start(func() {
+		world.goroutines.Start(func() {
 			world.Rest(3 * time.Second)
 			for _, backend := range world.Backends[:3] {
 				backend.Backend.Misbehave("lose", 1_000_000)
@@ -71,7 +71,7 @@
 		plan := world.plan(40, 45)
 		plan.Calls, plan.Tries, plan.Hasty, plan.Patient, plan.Eager = plan.Calls[:2], 6, true, true, 20
 		origin, client := world.Origin(plan)
-		report := origin.Run(world.threads.Rest)
+		report := origin.Run(world.goroutines.Sleep)
 		client.CloseIdleConnections()
 		verdicts := world.judge(nil, report)
 		test.Logf("%s; %s; %d tries for %d tasks, %v", verdicts["resends within a fifth and sixty in ten seconds"], verdicts["no key charged twice"], len(report.Tries), report.Asked, report.Statuses)
--- a/sim/catchup_test.go
+++ b/sim/catchup_test.go
@@ -87,7 +87,7 @@
 	back()
 	missed, begin := world.lasts((index+1)%3), time.Now()
 	stop, ended := atomic.Bool{}, atomic.Bool{}
-	world.threads.Start(func() {
+	world.goroutines.Start(func() {
 		for !stop.Load() && going {
 			world.change(&version, 1)
 		}
--- a/sim/change_test.go
+++ b/sim/change_test.go
@@ -30,7 +30,7 @@
 			switch kind {
 			case "planned":
 				ended.Store(false)
-				world.threads.Start(func() {
+				world.goroutines.Start(func() {
 					world.TermCore(leader)
 					ended.Store(true)
 				})
--- a/sim/cold_test.go
+++ b/sim/cold_test.go
@@ -23,7 +23,7 @@
 		plan := world.plan(70, 14)
 		plan.Calls = plan.Calls[1:2]
 		origin, client := world.Origin(plan)
-		world.threads.Start(func() {
+		world.goroutines.Start(func() {
 			world.Rest(time.Second)
 			for range 2 {
 				world.AddBackend("meters", "w1", stand.BackendPlace{WorkMs: 5, Room: 32, ColdMs: 9000, GentleRate: 6})
@@ -43,7 +43,7 @@
 				world.Net.Cut(world.Daemons[2].Host, core.Host, false)
 			}
 		})
-		report := origin.Run(world.threads.Rest)
+		report := origin.Run(world.goroutines.Sleep)
 		client.CloseIdleConnections()
 		detail := world.judge(nil, report)["cold backends within their gentle rate"]
 		if used, _ := strconv.Atoi(strings.Fields(detail)[0]); used < 20 {
--- a/sim/control_test.go
+++ b/sim/control_test.go
@@ -106,7 +106,7 @@
 	side.mutex.Lock()
 	side.running++
 	side.mutex.Unlock()
-	side.world.threads.Start(func() {
+	side.world.goroutines.Start(func() {
 		for duty() {
 			side.mutex.Lock()
 			ends := side.stopped
@@ -391,7 +391,7 @@
 		side.begin()
 		hard, links := side.injector(0, SideFaults, CoreFaults), side.injector(1, SideLinkFaults, CoreLinkFaults)
 		ended := false
-		world.threads.Start(func() {
+		world.goroutines.Start(func() {
 			links.Run(2 * chaosSpan())
 			side.mutex.Lock()
 			ended = true
--- a/sim/core.go
+++ b/sim/core.go
@@ -6,11 +6,12 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/member"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 // Lead is one leadership that came to stand.
@@ -23,21 +24,21 @@
 
 // Core is one core machine of the world.
 type Core struct {
-	ID      int
-	Host    string
-	Wire    string
-	Operate string
-	Disk    *Disk
-	Core    *control.Core
-	Alive   bool
-	Seeds   []string
-	threads *run.Threads
-	servers []*http.Server
-	line    *rpc.Client
-	starts  uint64
-	jump    atomic.Int64
-	wiped   bool
-	gone    bool
+	ID         int
+	Host       string
+	Wire       string
+	Operate    string
+	Disk       *Disk
+	Core       *control.Core
+	Alive      bool
+	Seeds      []string
+	goroutines *concurrent.Group
+	servers    []*http.Server
+	line       *rpc.Client
+	starts     uint64
+	jump       atomic.Int64
+	wiped      bool
+	gone       bool
 	// returned is whether a removed machine was started again.
 	returned bool
 	Hold     *member.Hold
@@ -73,27 +74,27 @@
 		return
 	}
 	place := world.corePlace(machine)
-	machine.threads = run.NewThreads()
+	machine.goroutines = concurrent.NewGroup()
 	machine.line = rpc.NewClient(world.Net.Transport(machine.Host))
-	counts := run.NewCounts()
+	counters := metrics.NewCounters()
 	finder := world.coreFinder(machine, &place)
 	place.MembersChanged = finder.Learn
-	core, err := control.NewCore(place, machine.Disk, machine.line, machine.threads, counts)
+	core, err := control.NewCore(place, machine.Disk, machine.line, machine.goroutines, counters)
 	if err != nil {
 		world.broke("core %d does not start: %v", machine.ID, err)
 		return
 	}
-	server := rpc.NewServer(counts)
+	server := rpc.NewServer(counters)
 	core.Register(server)
-	hold := member.NewHold(finder, machine.line, counts).Within(world.Limits)
+	hold := member.NewHold(finder, machine.line, counters).Within(world.Limits)
 	if len(place.Seeds) > 0 {
 		hold.Follow(core.Leader)
 	}
 	world.mutex.Lock()
 	machine.Core, machine.Hold, machine.Alive = core, hold, true
 	world.mutex.Unlock()
-	operate := member.NewOperate(fmt.Sprint(machine.ID), hold, counts, core.Settings, core.Sound)
-	machine.servers = []*http.Server{world.serve(machine.threads, machine.Wire, server), world.serve(machine.threads, machine.Operate, operate)}
+	operate := member.NewOperate(fmt.Sprint(machine.ID), hold, counters, core.Settings, core.Sound)
+	machine.servers = []*http.Server{world.serve(machine.goroutines, machine.Wire, server), world.serve(machine.goroutines, machine.Operate, operate)}
 	finder.Run()
 	core.Run()
 }
@@ -125,7 +126,7 @@
 			addresses = append(addresses, other.Wire)
 		}
 	}
-	return member.NewFinder(machine.line, machine.threads, addresses).Paced(world.Paces)
+	return member.NewFinder(machine.line, machine.goroutines, addresses).Paced(world.Paces)
 }
 
 // led judges each leadership as it comes to stand: its ballot must by then be
@@ -261,7 +262,7 @@
 	machine.Disk = machine.Disk.Sever(power)
 	world.mutex.Unlock()
 	disconnect(machine.Host)
-	machine.threads.Stop()
+	machine.goroutines.Stop()
 	for _, server := range machine.servers {
 		_ = server.Close() // its listeners are the net's
 	}
--- a/sim/cut_test.go
+++ b/sim/cut_test.go
@@ -34,7 +34,7 @@
 			}
 			origin, client := world.Origin(plan)
 			ledger := world.Operators(2, 400*time.Millisecond)
-			world.threads.Start(func() {
+			world.goroutines.Start(func() {
 				world.Rest(2 * time.Second)
 				world.part(lone, cut)
 				world.Rest(100 * time.Millisecond)
@@ -118,7 +118,7 @@
 				}
 			}
 		}
-		world.threads.Start(func() {
+		world.goroutines.Start(func() {
 			world.Rest(2 * time.Second)
 			turn(true)
 			world.Rest(8 * time.Second)
--- a/sim/everything.go
+++ b/sim/everything.go
@@ -172,7 +172,7 @@
 		world.TermDaemon(proxies[0])
 		world.StartDaemon(proxies[0])
 	case "warned-then-killed":
-		world.threads.Start(func() { proxies[0].Daemon.Leave() })
+		world.goroutines.Start(func() { proxies[0].Daemon.Leave() })
 		world.Rest(all.span(50, 1200))
 		all.away(proxies[:1], all.span(50, 500))
 	case "proxy-frozen":
--- a/sim/everything_test.go
+++ b/sim/everything_test.go
@@ -34,7 +34,7 @@
 			span = 8 * time.Second
 		}
 		for _, world := range worlds {
-			worlds[0].threads.Start(func() {
+			worlds[0].goroutines.Start(func() {
 				world.everything(test, span)
 				worlds[0].mutex.Lock()
 				ended++
@@ -60,7 +60,7 @@
 	origin, client := world.Origin(plan)
 	all := world.Everything(ledger)
 	begin, done := time.Now(), false
-	world.threads.Start(func() {
+	world.goroutines.Start(func() {
 		all.Run(span)
 		world.Rest(6 * time.Second)
 		world.mutex.Lock()
--- a/sim/far.go
+++ b/sim/far.go
@@ -7,12 +7,13 @@
 	"strings"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/member"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/route"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 )
 
 const (
@@ -28,17 +29,17 @@
 
 // Member is a daemon without a data plane.
 type Member struct {
-	Name    string
-	Host    string
-	Region  int
-	Daemon  *member.Daemon
-	Counts  *run.Counts
-	Alive   bool
-	Jump    int64
-	Seeds   []string
-	threads *run.Threads
-	server  *http.Server
-	line    *rpc.Client
+	Name       string
+	Host       string
+	Region     int
+	Daemon     *member.Daemon
+	Counts     *metrics.Counters
+	Alive      bool
+	Jump       int64
+	Seeds      []string
+	goroutines *concurrent.Group
+	server     *http.Server
+	line       *rpc.Client
 }
 
 // NewFarWorld is a system in three regions far from each other, whose cores
@@ -109,9 +110,9 @@
 	spot := member.Place{Name: one.Name, Kind: "proxy", Zone: fmt.Sprint("z", one.Region), Wire: one.Host + ":41", Outer: one.Host + ":80", Operate: one.Host + ":42",
 		Paces: world.Paces, Hold: world.Limits, Direct: true, ServesAlone: true, Routed: true, Wall: func() int64 { return time.Now().UnixMilli() + one.Jump }}
 	spot.Seeds = world.seedsFor(&one.Seeds)
-	one.threads, one.Counts = run.NewThreads(), run.NewCounts()
+	one.goroutines, one.Counts = concurrent.NewGroup(), metrics.NewCounters()
 	one.line = rpc.NewClient(world.Net.Transport(one.Host))
-	one.Daemon = member.NewDaemon(spot, member.NewID(), one.line, one.threads, one.Counts)
+	one.Daemon = member.NewDaemon(spot, member.NewID(), one.line, one.goroutines, one.Counts)
 	last := uint64(0)
 	one.Daemon.Serve(func(version *member.Version) {
 		if version.Routing < last {
@@ -124,7 +125,7 @@
 	}
 	server := rpc.NewServer(one.Counts)
 	one.Daemon.Register(server)
-	one.server = world.serve(one.threads, spot.Wire, server)
+	one.server = world.serve(one.goroutines, spot.Wire, server)
 	one.Alive = true
 	one.Daemon.Run()
 }
@@ -134,7 +135,7 @@
 		return
 	}
 	world.Net.Kill(one.Host)
-	one.threads.Stop()
+	one.goroutines.Stop()
 	_ = one.server.Close() // its listener is the net's
 	one.line.Close()
 }
--- a/sim/far_test.go
+++ b/sim/far_test.go
@@ -93,9 +93,9 @@
 			return !stop
 		}
 		for number := range 3 {
-			world.threads.Start(func() { racers.run(number, going) })
+			world.goroutines.Start(func() { racers.run(number, going) })
 		}
-		world.threads.Start(func() {
+		world.goroutines.Start(func() {
 			for going() {
 				for _, one := range world.Members {
 					meters.begin(one)
--- a/sim/judge.go
+++ b/sim/judge.go
@@ -16,7 +16,7 @@
 }
 
 // Start and Serials make the world a ground for operators.
-func (world *World) Start(duty func()) { world.threads.Start(duty) }
+func (world *World) Start(duty func()) { world.goroutines.Start(duty) }
 
 func (world *World) Serials() []uint64 {
 	serials := []uint64{}
--- a/sim/lending_test.go
+++ b/sim/lending_test.go
@@ -34,8 +34,8 @@
 			first, firstClient := world.Origin(calm)
 			second, secondClient := world.Origin(storm)
 			ended := make(chan stand.OriginReport, 1)
-			world.threads.Start(func() { ended <- second.Run(world.threads.Rest) })
-			served := first.Run(world.threads.Rest)
+			world.goroutines.Start(func() { ended <- second.Run(world.goroutines.Sleep) })
+			served := first.Run(world.goroutines.Sleep)
 			stormed := <-ended
 			firstClient.CloseIdleConnections()
 			secondClient.CloseIdleConnections()
--- a/sim/metering_test.go
+++ b/sim/metering_test.go
@@ -154,7 +154,7 @@
 			case 1:
 				meters.stop(true)
 				load(4 * time.Second)
-				world.threads.Start(func() { world.TermCore(leader); world.StartCore(leader) })
+				world.goroutines.Start(func() { world.TermCore(leader); world.StartCore(leader) })
 				load(2 * time.Second)
 				meters.stop(false)
 			case 2:
--- a/sim/money_test.go
+++ b/sim/money_test.go
@@ -38,7 +38,7 @@
 			}
 		}
 		harms := map[string]int{}
-		world.threads.Start(func() {
+		world.goroutines.Start(func() {
 			for !done.Load() {
 				proxy := proxies[random.IntN(len(proxies))]
 				wait := time.Duration(100+random.IntN(2500)) * time.Millisecond
@@ -87,7 +87,7 @@
 				world.Rest(time.Duration(random.IntN(1500)) * time.Millisecond)
 			}
 		})
-		report := origin.Run(world.threads.Rest)
+		report := origin.Run(world.goroutines.Sleep)
 		done.Store(true)
 		client.CloseIdleConnections()
 		world.Rest(4 * time.Second)
--- a/sim/net.go
+++ b/sim/net.go
@@ -8,10 +8,9 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
+	"orchidjunction/concurrent"
 	"sync"
 	"time"
-
-	"orchidjunction/run"
 )
 
 // Faults are the odds, in a thousand, of what happens to a message.
@@ -24,20 +23,20 @@
 
 // Net joins hosts; the host of an address is its IP.
 type Net struct {
-	mutex     sync.Mutex
-	random    *rand.Rand
-	listeners map[string]*listener
-	conns     []*conn
-	cut       map[[2]string]bool
-	frozen    map[string]bool
-	gone      map[string]bool
-	lives     map[string]int
-	faults    Faults
-	slow      map[string]time.Duration
-	lag       func(from, to string) time.Duration
-	threads   *run.Threads
-	Messages  int
-	Bytes     int
+	mutex      sync.Mutex
+	random     *rand.Rand
+	listeners  map[string]*listener
+	conns      []*conn
+	cut        map[[2]string]bool
+	frozen     map[string]bool
+	gone       map[string]bool
+	lives      map[string]int
+	faults     Faults
+	slow       map[string]time.Duration
+	lag        func(from, to string) time.Duration
+	goroutines *concurrent.Group
+	Messages   int
+	Bytes      int
 }
 
 var (
@@ -46,7 +45,7 @@
 )
 
 func NewNet(seed uint64) *Net {
-	return &Net{random: rand.New(rand.NewPCG(seed, 13)), listeners: map[string]*listener{}, cut: map[[2]string]bool{}, frozen: map[string]bool{}, gone: map[string]bool{}, lives: map[string]int{}, threads: run.NewThreads()}
+	return &Net{random: rand.New(rand.NewPCG(seed, 13)), listeners: map[string]*listener{}, cut: map[[2]string]bool{}, frozen: map[string]bool{}, gone: map[string]bool{}, lives: map[string]int{}, goroutines: concurrent.NewGroup()}
 }
 
 func (net *Net) odds(of int) bool { return of > 0 && net.random.IntN(1000) < of }
@@ -352,7 +351,7 @@
 			return nil, err
 		}
 		request.Body = io.NopCloser(bytes.NewReader(body))
-		network.threads.Start(func() { transport.again(request, body) })
+		network.goroutines.Start(func() { transport.again(request, body) })
 	}
 	response, err := transport.inner.RoundTrip(request)
 	if err == nil && loseTold {
@@ -381,7 +380,7 @@
 
 // Close ends what is left once a world ends.
 func (net *Net) Close() {
-	net.threads.Wait()
+	net.goroutines.Wait()
 	net.mutex.Lock()
 	conns := net.conns
 	net.conns = nil
--- a/sim/operator_test.go
+++ b/sim/operator_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
+	"orchidjunction/metrics"
 	"orchidjunction/platform"
 	"orchidjunction/route"
-	"orchidjunction/run"
 )
 
 // callerSilence is after how long a platform's operator leaves a daemon that says nothing.
@@ -39,8 +39,8 @@
 func (world *World) openOperators(index int) {
 	machine := world.Cores[index]
 	machine.Hold.Follow(machine.Core.Leader)
-	control := platform.NewControl(platform.NewLeaderOrders(machine.Hold), func() map[string]string { return nil }, run.NewCounts())
-	machine.servers = append(machine.servers, world.serve(machine.threads, machine.Host+":43", control))
+	control := platform.NewControl(platform.NewLeaderOrders(machine.Hold), func() map[string]string { return nil }, metrics.NewCounters())
+	machine.servers = append(machine.servers, world.serve(machine.goroutines, machine.Host+":43", control))
 }
 
 // call asks one core once and gives the status; 0 means that no answer came in time.
@@ -140,7 +140,7 @@
 						mutex.Lock()
 						open++
 						mutex.Unlock()
-						world.threads.Start(func() {
+						world.goroutines.Start(func() {
 							code, answer := operator.within(answered, lost, one.method, one.path, one.body)
 							if code != http.StatusServiceUnavailable && code != http.StatusRequestTimeout {
 								world.broke("%s, leads %v: %s %s asked after %v: %d %.100s", kind, leads, one.method, one.path, asked, code, answer)
@@ -236,7 +236,7 @@
 							world.Net.Freeze(world.Cores[entry].Host, lost)
 						}
 					}
-					world.threads.Start(func() {
+					world.goroutines.Start(func() {
 						world.Rest(wait)
 						lose(true)
 					})
--- a/sim/orders_test.go
+++ b/sim/orders_test.go
@@ -124,7 +124,7 @@
 						open++
 						mutex.Unlock()
 						asked := time.Since(begin)
-						world.threads.Start(func() {
+						world.goroutines.Start(func() {
 							if err := one.ask(client, world.Cores[leader].Wire, 30*time.Second); !unclear(err) {
 								world.broke("%s, restarted %v, %s asked after %v: %v", kind, restarted, one.name, asked, err)
 							}
--- a/sim/outage_test.go
+++ b/sim/outage_test.go
@@ -106,7 +106,7 @@
 			world.Backends[random.IntN(len(world.Backends))].Backend.Misbehave("lose", 1)
 		}
 		key, front := fmt.Sprintf("pay-%d", first+number), fronts[random.IntN(len(fronts))]
-		world.threads.Start(func() { origin.Once(plan.Callers[0], plan.Calls[0], key, key+".0", front) })
+		world.goroutines.Start(func() { origin.Once(plan.Callers[0], plan.Calls[0], key, key+".0", front) })
 		world.Rest(time.Duration(random.IntN(60)) * time.Millisecond)
 	}
 	client.CloseIdleConnections()
--- a/sim/partner_test.go
+++ b/sim/partner_test.go
@@ -38,7 +38,7 @@
 			plan := world.plan(rate, seconds)
 			plan.Calls = plan.Calls[:2]
 			origin, client := world.Origin(plan)
-			report := origin.Run(world.threads.Rest)
+			report := origin.Run(world.goroutines.Sleep)
 			client.CloseIdleConnections()
 			return report
 		}
@@ -49,7 +49,7 @@
 		}
 		borrower.judge(nil, report)
 		stormed := make(chan stand.OriginReport, 1)
-		lender.threads.Start(func() { stormed <- calls(lender, 150, 6) })
+		lender.goroutines.Start(func() { stormed <- calls(lender, 150, 6) })
 		borrower.Rest(2 * time.Second)
 		pressed := calls(borrower, 20, 3)
 		storm := <-stormed
--- a/sim/platform_test.go
+++ b/sim/platform_test.go
@@ -22,7 +22,7 @@
 			stays = append(stays, stand.Listed{Name: fmt.Sprintf("back-%03d", index), Service: "meters", Address: fmt.Sprintf("10.5.0.%d:80", index+1), Zone: "e1"})
 		}
 		world.Platform = stand.NewPlatform(7, 300*time.Millisecond, 2, stays)
-		world.servers = append(world.servers, world.serve(world.threads, world.platformAddress(), world.Platform))
+		world.servers = append(world.servers, world.serve(world.goroutines, world.platformAddress(), world.Platform))
 		for index := range world.Cores {
 			world.StartCore(index)
 		}
--- a/sim/refuse_test.go
+++ b/sim/refuse_test.go
@@ -50,7 +50,7 @@
 			if slowest > 2*time.Second {
 				world.broke("%s: an order took %v", kind, slowest)
 			}
-			if machine.threads.Stopping() {
+			if machine.goroutines.Stopping() {
 				world.broke("%s: the core ended", kind)
 				break
 			}
--- a/sim/removal_test.go
+++ b/sim/removal_test.go
@@ -149,7 +149,7 @@
 		race := func(ids []int) (removed int) {
 			answers := make(chan error, len(ids))
 			for index, id := range ids {
-				world.threads.Start(func() {
+				world.goroutines.Start(func() {
 					_, err := world.remove(clients[index], id)
 					answers <- err
 				})
--- a/sim/replace_run_test.go
+++ b/sim/replace_run_test.go
@@ -206,7 +206,7 @@
 		hard, links := &replacer{side.injector(0, ReplacementFaults, SurvivedCoreFaults)}, side.injector(1, SideLinkFaults, SurvivedLinkFaults)
 		hard.losses, links.losses = losses, losses
 		ended := atomic.Bool{}
-		world.threads.Start(func() {
+		world.goroutines.Start(func() {
 			links.Run(2 * chaosSpan())
 			ended.Store(true)
 		})
--- a/sim/replaced_test.go
+++ b/sim/replaced_test.go
@@ -6,24 +6,25 @@
 	"testing"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/member"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 	"orchidjunction/stand"
 )
 
 // Spare is a core machine beside the founding ones: it has seeds and no ID.
 type Spare struct {
 	*Core
-	counts *run.Counts
+	counters *metrics.Counters
 }
 
 // StartSpare starts a core on an empty disk that finds the others by its seeds.
 func (world *World) StartSpare(number int) *Spare {
 	host := fmt.Sprintf("10.%d.1.%d", world.Base, number)
-	spare := &Spare{Core: &Core{Host: host, Wire: host + ":41", Operate: host + ":42", Disk: NewDisk(world.Seed + uint64(100+number))}, counts: run.NewCounts()}
+	spare := &Spare{Core: &Core{Host: host, Wire: host + ":41", Operate: host + ":42", Disk: NewDisk(world.Seed + uint64(100+number))}, counters: metrics.NewCounters()}
 	seeds := []string{}
 	for _, core := range world.Cores {
 		seeds = append(seeds, core.Wire)
@@ -32,20 +33,20 @@
 	if err := place.Check(); err != nil {
 		world.broke("spare %d: %v", number, err)
 	}
-	spare.threads, spare.line = run.NewThreads(), rpc.NewClient(world.Net.Transport(host))
-	finder := member.NewFinder(spare.line, spare.threads, seeds)
+	spare.goroutines, spare.line = concurrent.NewGroup(), rpc.NewClient(world.Net.Transport(host))
+	finder := member.NewFinder(spare.line, spare.goroutines, seeds)
 	place.MembersChanged = finder.Learn
-	core, err := control.NewCore(place, spare.Disk, spare.line, spare.threads, spare.counts)
+	core, err := control.NewCore(place, spare.Disk, spare.line, spare.goroutines, spare.counters)
 	if err != nil {
 		world.broke("spare %d does not start: %v", number, err)
 		return spare
 	}
 	spare.Core.Core, spare.Alive = core, true
-	server := rpc.NewServer(spare.counts)
+	server := rpc.NewServer(spare.counters)
 	core.Register(server)
-	spare.Hold = member.NewHold(finder, spare.line, spare.counts)
-	operate := member.NewOperate(fmt.Sprint("spare-", number), spare.Hold, spare.counts, core.Settings, core.Sound)
-	spare.servers = []*http.Server{world.serve(spare.threads, spare.Wire, server), world.serve(spare.threads, spare.Operate, operate)}
+	spare.Hold = member.NewHold(finder, spare.line, spare.counters)
+	operate := member.NewOperate(fmt.Sprint("spare-", number), spare.Hold, spare.counters, core.Settings, core.Sound)
+	spare.servers = []*http.Server{world.serve(spare.goroutines, spare.Wire, server), world.serve(spare.goroutines, spare.Operate, operate)}
 	finder.Run()
 	core.Run()
 	return spare
@@ -57,7 +58,7 @@
 		return
 	}
 	world.Net.Kill(spare.Host)
-	spare.threads.Stop()
+	spare.goroutines.Stop()
 	for _, server := range spare.servers {
 		_ = server.Close()
 	}
--- a/sim/routing_test.go
+++ b/sim/routing_test.go
@@ -87,7 +87,7 @@
 			mutex, done := sync.Mutex{}, 0
 			for racer := range uint64(2) {
 				version := last + 1 + racer
-				world.threads.Start(func() {
+				world.goroutines.Start(func() {
 					_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds()[racer:], "routechange", Whole(version, last))
 					mutex.Lock()
 					defer mutex.Unlock()
@@ -239,7 +239,7 @@
 			holds := []*member.Hold{world.Members[round%9].Daemon.Hold, world.Members[(round+1)%9].Daemon.Hold}
 			switch kind {
 			case "planned":
-				world.threads.Start(func() {
+				world.goroutines.Start(func() {
 					world.Cores[leader].Core.Retire(6 * time.Second)
 				})
 				holds[0] = world.Cores[leader].Hold
--- a/sim/stop_test.go
+++ b/sim/stop_test.go
@@ -31,7 +31,7 @@
 		plan.Calls = append(plan.Calls, stand.Call{Weight: 20, Class: "pages", Method: "GET", Path: "/meters/slow/7?bytes=1500000&work=4700", LimitMs: 5500})
 		origin, client := world.Origin(plan)
 		done := atomic.Bool{}
-		world.threads.Start(func() {
+		world.goroutines.Start(func() {
 			for _, daemon := range world.Daemons {
 				world.Rest(time.Duration(300+seed%7*100) * time.Millisecond)
 				world.TermDaemon(daemon)
--- a/sim/traffic_test.go
+++ b/sim/traffic_test.go
@@ -39,18 +39,18 @@
 		origin, client := world.Origin(world.plan(40, 20))
 		random := rand.New(rand.NewPCG(seed, 31))
 		done := atomic.Bool{}
-		world.threads.Start(func() {
+		world.goroutines.Start(func() {
 			for !done.Load() {
 				kinds := []string{"lose", "garbage", "truncate", "foreign", "overlong", "vanish", "busy"}
 				world.Backends[random.IntN(6)].Backend.Misbehave(kinds[random.IntN(len(kinds))], 1+random.IntN(3))
-				world.threads.Rest(time.Duration(50+random.IntN(300)) * time.Millisecond)
+				world.goroutines.Sleep(time.Duration(50+random.IntN(300)) * time.Millisecond)
 			}
 		})
-		world.threads.Start(func() {
-			world.threads.Rest(8 * time.Second)
+		world.goroutines.Start(func() {
+			world.goroutines.Sleep(8 * time.Second)
 			world.Backends[1].Backend.Leave()
 		})
-		report := origin.Run(world.threads.Rest)
+		report := origin.Run(world.goroutines.Sleep)
 		done.Store(true)
 		client.CloseIdleConnections()
 		world.judge(nil, report)
@@ -73,13 +73,13 @@
 		world.up(test, 5)
 		origin, client := world.Origin(world.plan(60, 10))
 		old := world.Backends[0].Backend
-		world.threads.Start(func() {
+		world.goroutines.Start(func() {
 			world.Rest(3 * time.Second)
 			world.StopBackend(world.Backends[0])
 			other, _ := stand.NewBackend(stand.BackendPlace{Service: "gifts", Instance: "stranger", Incarnation: "2", WorkMs: 5})
 			world.ServeBackend(world.Backends[0], other)
 		})
-		report := origin.Run(world.threads.Rest)
+		report := origin.Run(world.goroutines.Sleep)
 		client.CloseIdleConnections()
 		stranger := world.Backends[0].Backend.Seen()
 		if len(stranger.Arrivals) != 0 {
--- a/sim/trial_test.go
+++ b/sim/trial_test.go
@@ -199,7 +199,7 @@
 // meanwhile does something at the same time; wait is until that has ended.
 func (one *trial) meanwhile(do func()) (wait func()) {
 	done := atomic.Bool{}
-	one.threads.Start(func() {
+	one.goroutines.Start(func() {
 		do()
 		done.Store(true)
 	})
--- a/sim/world.go
+++ b/sim/world.go
@@ -9,32 +9,33 @@
 	"sync"
 	"time"
 
+	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/data"
 	"orchidjunction/judge"
 	"orchidjunction/member"
 	"orchidjunction/message"
+	"orchidjunction/metrics"
 	"orchidjunction/operator"
 	"orchidjunction/place"
 	"orchidjunction/rpc"
-	"orchidjunction/run"
 	"orchidjunction/stand"
 )
 
 // World is a whole fleet in one bubble of virtual time.
 type World struct {
-	Net      *Net
-	Seed     uint64
-	Cores    []*Core
-	Removed  []*Core
-	Seeds    []string
-	Daemons  []*Daemon
-	Backends []*Backend
-	Platform *stand.Platform
-	Base     int
-	random   *rand.Rand
-	threads  *run.Threads
-	servers  []*http.Server
+	Net        *Net
+	Seed       uint64
+	Cores      []*Core
+	Removed    []*Core
+	Seeds      []string
+	Daemons    []*Daemon
+	Backends   []*Backend
+	Platform   *stand.Platform
+	Base       int
+	random     *rand.Rand
+	goroutines *concurrent.Group
+	servers    []*http.Server
 
 	mutex   sync.Mutex
 	Broken  []string
@@ -60,22 +61,22 @@
 
 // Daemon is one directory node or proxy of the world.
 type Daemon struct {
-	Name    string
-	Kind    string
-	Host    string
-	Zone    string
-	Outer   string
-	Wire    string
-	Operate string
-	Daemon  *member.Daemon
-	Proxy   *data.Proxy
-	Counts  *run.Counts
-	Alive   bool
-	threads *run.Threads
-	servers []*http.Server
-	line    *rpc.Client
-	highest uint64
-	Lender  *Daemon
+	Name       string
+	Kind       string
+	Host       string
+	Zone       string
+	Outer      string
+	Wire       string
+	Operate    string
+	Daemon     *member.Daemon
+	Proxy      *data.Proxy
+	Counts     *metrics.Counters
+	Alive      bool
+	goroutines *concurrent.Group
+	servers    []*http.Server
+	line       *rpc.Client
+	highest    uint64
+	Lender     *Daemon
 }
 
 // Backend is one backend of the world.
@@ -102,7 +103,7 @@
 }
 
 func newWorld(net *Net, base int, seed uint64, cores int) *World {
-	world := &World{Net: net, Base: base, Seed: seed, random: rand.New(rand.NewPCG(seed, 17)), threads: run.NewThreads(), applied: map[uint64]string{}, laidOut: cores, replacing: rand.New(rand.NewPCG(seed, 41))}
+	world := &World{Net: net, Base: base, Seed: seed, random: rand.New(rand.NewPCG(seed, 17)), goroutines: concurrent.NewGroup(), applied: map[uint64]string{}, laidOut: cores, replacing: rand.New(rand.NewPCG(seed, 41))}
 	for index := range cores {
 		host := fmt.Sprintf("10.%d.0.%d", base, index+1)
 		world.Cores = append(world.Cores, newCore(index+1, host, NewDisk(seed+uint64(index))))
@@ -116,14 +117,14 @@
 	world.mutex.Unlock()
 }
 
-func (world *World) serve(threads *run.Threads, address string, handler http.Handler) *http.Server {
+func (world *World) serve(goroutines *concurrent.Group, address string, handler http.Handler) *http.Server {
 	open, err := world.Net.Listen(address)
 	if err != nil {
 		world.broke("listen %s: %v", address, err)
 		return &http.Server{}
 	}
 	server := &http.Server{Handler: handler}
-	threads.Start(func() { _ = server.Serve(open) }) // ends when the server or its host does
+	goroutines.Start(func() { _ = server.Serve(open) }) // ends when the server or its host does
 	return server
 }
 
@@ -161,15 +162,15 @@
 		seeds = append(seeds, core.Wire)
 	}
 	spot := member.Place{Name: daemon.Name, Kind: daemon.Kind, Zone: daemon.Zone, Wire: daemon.Wire, Outer: daemon.Outer, Operate: daemon.Operate, Seeds: seeds, Guest: daemon.Lender != nil}
-	daemon.threads, daemon.Counts = run.NewThreads(), run.NewCounts()
+	daemon.goroutines, daemon.Counts = concurrent.NewGroup(), metrics.NewCounters()
 	daemon.line = rpc.NewClient(world.Net.Transport(daemon.Host))
-	made := member.NewDaemon(spot, member.NewID(), daemon.line, daemon.threads, daemon.Counts)
+	made := member.NewDaemon(spot, member.NewID(), daemon.line, daemon.goroutines, daemon.Counts)
 	world.mutex.Lock()
 	daemon.Daemon = made
 	world.mutex.Unlock()
 	var outer http.Handler
 	if daemon.Kind == "proxy" {
-		daemon.Proxy = data.NewProxy(daemon.Daemon, daemon.threads, daemon.Counts, world.Net.Dialer(daemon.Host))
+		daemon.Proxy = data.NewProxy(daemon.Daemon, daemon.goroutines, daemon.Counts, world.Net.Dialer(daemon.Host))
 		outer = daemon.Proxy
 		if daemon.Lender != nil {
 			daemon.Proxy.Borrow(data.NewLend(daemon.Lender.Proxy, 50, 32))
@@ -189,7 +190,7 @@
 		version := daemon.Daemon.Version()
 		return version.Serial, version.Body()
 	}, daemon.Daemon.Ready)
-	daemon.servers = []*http.Server{world.serve(daemon.threads, daemon.Outer, outer), world.serve(daemon.threads, daemon.Wire, server), world.serve(daemon.threads, daemon.Operate, operate)}
+	daemon.servers = []*http.Server{world.serve(daemon.goroutines, daemon.Outer, outer), world.serve(daemon.goroutines, daemon.Wire, server), world.serve(daemon.goroutines, daemon.Operate, operate)}
 	world.mutex.Lock()
 	daemon.Alive, daemon.highest = true, 0
 	world.mutex.Unlock()
@@ -218,7 +219,7 @@
 		return
 	}
 	world.Net.Kill(daemon.Host)
-	daemon.threads.Stop()
+	daemon.goroutines.Stop()
 	for _, server := range daemon.servers {
 		_ = server.Close() // its listeners are the net's
 	}
@@ -245,7 +246,7 @@
 	}
 	inner, _ := stand.NewBackend(place)
 	backend := &Backend{Backend: inner, Listed: stand.Listed{Name: place.Instance, Service: service, Address: address, Zone: zone}}
-	backend.server = world.serve(world.threads, address, inner)
+	backend.server = world.serve(world.goroutines, address, inner)
 	world.Backends = append(world.Backends, backend)
 	return backend
 }
@@ -269,7 +270,7 @@
 func (world *World) ServeBackend(backend *Backend, inner *stand.Backend) {
 	world.past = append(world.past, backend.Backend.Seen())
 	backend.Backend = inner
-	backend.server = world.serve(world.threads, backend.Listed.Address, inner)
+	backend.server = world.serve(world.goroutines, backend.Listed.Address, inner)
 }
 
 func (world *World) List() {
@@ -279,7 +280,7 @@
 	}
 	if world.Platform == nil {
 		world.Platform = stand.NewPlatform(10, 200*time.Millisecond, 50, items)
-		world.servers = append(world.servers, world.serve(world.threads, world.platformAddress(), world.Platform))
+		world.servers = append(world.servers, world.serve(world.goroutines, world.platformAddress(), world.Platform))
 		return
 	}
 	world.Platform.Set(items)
@@ -322,17 +323,17 @@
 		if holds() {
 			return true
 		}
-		world.threads.Rest(5 * time.Millisecond)
+		world.goroutines.Sleep(5 * time.Millisecond)
 	}
 	return holds()
 }
 
-func (world *World) Rest(span time.Duration) bool { return world.threads.Rest(span) }
+func (world *World) Rest(span time.Duration) bool { return world.goroutines.Sleep(span) }
 
 // Origin plays callers from outside.
 func (world *World) Origin(plan stand.OriginPlan) (*stand.Origin, *http.Client) {
 	client := &http.Client{Transport: &http.Transport{DialContext: world.Net.Dialer("10.7.0.1"), MaxIdleConnsPerHost: 16, IdleConnTimeout: 5 * time.Second, DisableCompression: true}}
-	return stand.NewOrigin(plan, client, world.threads.Start), client
+	return stand.NewOrigin(plan, client, world.goroutines.Start), client
 }
 
 // Close ends everything, so that the bubble can end.
@@ -343,7 +344,7 @@
 	for _, machine := range world.everyMachine() {
 		world.kill(machine, false)
 	}
-	world.threads.Stop()
+	world.goroutines.Stop()
 	for _, backend := range world.Backends {
 		_ = backend.server.Close() // its listener is the net's
 	}
