--- a/cmd/ojcore/main.go
+++ b/cmd/ojcore/main.go
@@ -21,18 +21,18 @@
 
 func main() {
 	flags := program.NewFlags("ojcore", "a core machine of orchidjunction: keeps settings on disk and elects the leader")
-	place := control.Place{}
+	place := control.Config{}
 	data, peers, seeds := "", []string{}, []string{}
 	beat, suspect, grace := 75, 300, 6000
 	flags.Parser.Int(&place.ID, "", "id", "this core's id, 1 to 99, where it founds the system")
 	flags.Parser.String(&place.Zone, "", "zone", "zone this core stands in")
-	flags.Parser.String(&place.Wire, "", "wire", "IP:port for the system's own processes")
-	flags.Parser.String(&place.Operate, "", "operate", "IP:port for operators")
+	flags.Parser.String(&place.InternalAddress, "", "wire", "IP:port for the system's own processes")
+	flags.Parser.String(&place.OperatorAddress, "", "operate", "IP:port for operators")
 	flags.Parser.StringSlice(&peers, "", "peer", "another core as id=IP:port; once per core")
 	flags.Parser.StringSlice(&seeds, "", "seed", "IP:port of a core that may know who votes, for a new core instead of --id and --peer; once per core")
 	flags.Parser.String(&data, "", "data", "data folder; only this one is written")
-	flags.Parser.String(&place.Platform, "", "platform", "IP:port of the platform's list")
-	flags.Parser.Bool(&place.Found, "", "found", "let a blank disk found a new system when every core is blank")
+	flags.Parser.String(&place.PlatformAddress, "", "platform", "IP:port of the platform's list")
+	flags.Parser.Bool(&place.Bootstrap, "", "found", "let a blank disk found a new system when every core is blank")
 	flags.Parser.Int(&beat, "", "beat-ms", "milliseconds between the leader's beats")
 	flags.Parser.Int(&suspect, "", "suspect-ms", "silence after which a leader is suspected")
 	flags.Parser.Int(&grace, "", "grace-ms", "grace after SIGTERM")
@@ -46,12 +46,12 @@
 		place.Peers = append(place.Peers, control.Peer{ID: number, Address: address})
 	}
 	flags.Exit(takeSeeds(&place, seeds))
-	place.Beat, place.Suspect = time.Duration(beat)*time.Millisecond, time.Duration(suspect)*time.Millisecond
+	place.HeartbeatInterval, place.SuspicionTimeout = time.Duration(beat)*time.Millisecond, time.Duration(suspect)*time.Millisecond
 	place.Seed = uint64(time.Now().UnixNano())
 	flags.Exit(place.Check())
-	flags.Exit(control.CheckAddress("--operate", place.Operate))
-	if place.Platform != "" {
-		flags.Exit(control.CheckAddress("--platform", place.Platform))
+	flags.Exit(control.CheckAddress("--operate", place.OperatorAddress))
+	if place.PlatformAddress != "" {
+		flags.Exit(control.CheckAddress("--platform", place.PlatformAddress))
 	}
 	if data == "" {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--data must be given"))
@@ -62,7 +62,7 @@
 	goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
 	client := rpc.NewClient(program.Transport())
 	finder := member.NewFinder(client, goroutines, knownCores(&place))
-	place.MembersChanged = finder.Learn
+	place.OnMembershipChange = finder.Learn
 	core, err := control.NewCore(place, control.Folder(data), client, goroutines, counters)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "ojcore: %v\n", err)
@@ -72,10 +72,10 @@
 	core.Register(server)
 	hold := member.NewHold(finder, client, counters)
 	name := nameOf(&place)
-	operate := member.NewOperate(name, hold, counters, core.Settings, core.Sound)
-	wired, err := program.Listen(place.Wire, server, 64<<10)
+	operate := member.NewOperate(name, hold, counters, core.Settings, core.CanVote)
+	wired, err := program.Listen(place.InternalAddress, server, 64<<10)
 	flags.Exit(err)
-	operated, err := program.Listen(place.Operate, operate, 64<<10)
+	operated, err := program.Listen(place.OperatorAddress, operate, 64<<10)
 	flags.Exit(err)
 	wired.Serve(goroutines)
 	operated.Serve(goroutines)
--- a/cmd/ojcore/seeds_test.go
+++ b/cmd/ojcore/seeds_test.go
@@ -10,17 +10,17 @@
 
 func TestSeedsAreCheckedAgainstOtherFlags(test *testing.T) {
 	for _, try := range []struct {
-		place control.Place
+		place control.Config
 		seeds []string
 		says  string
 	}{
-		{control.Place{Wire: "10.0.0.4:1"}, nil, "--id or --seed"},
-		{control.Place{Wire: "10.0.0.4:1", ID: 1}, nil, ""},
-		{control.Place{Wire: "10.0.0.4:1", ID: 1}, []string{"10.0.0.1:1"}, "leave out --id"},
-		{control.Place{Wire: "10.0.0.4:1", Peers: []control.Peer{{ID: 2, Address: "10.0.0.2:1"}}}, []string{"10.0.0.1:1"}, "--peer"},
-		{control.Place{Wire: "10.0.0.4:1", Found: true}, []string{"10.0.0.1:1"}, "--found"},
-		{control.Place{Wire: "10.0.0.4:1"}, []string{"10.0.0.4:1"}, "own --wire"},
-		{control.Place{Wire: "10.0.0.4:1"}, []string{"10.0.0.1:1", "10.0.0.2:1"}, ""},
+		{control.Config{InternalAddress: "10.0.0.4:1"}, nil, "--id or --seed"},
+		{control.Config{InternalAddress: "10.0.0.4:1", ID: 1}, nil, ""},
+		{control.Config{InternalAddress: "10.0.0.4:1", ID: 1}, []string{"10.0.0.1:1"}, "leave out --id"},
+		{control.Config{InternalAddress: "10.0.0.4:1", Peers: []control.Peer{{ID: 2, Address: "10.0.0.2:1"}}}, []string{"10.0.0.1:1"}, "--peer"},
+		{control.Config{InternalAddress: "10.0.0.4:1", Bootstrap: true}, []string{"10.0.0.1:1"}, "--found"},
+		{control.Config{InternalAddress: "10.0.0.4:1"}, []string{"10.0.0.4:1"}, "own --wire"},
+		{control.Config{InternalAddress: "10.0.0.4:1"}, []string{"10.0.0.1:1", "10.0.0.2:1"}, ""},
 	} {
 		place := try.place
 		err := takeSeeds(&place, try.seeds)
--- a/cmd/ojnode/core.go
+++ b/cmd/ojnode/core.go
@@ -55,12 +55,12 @@
 	var core *control.Core
 	finder := member.NewFinder(line, node.goroutines, innerSeeds(settings)).Paced(member.Paces{Seek: seekPace})
 	client := platform.NewClient(settings.Platform.Address, program.FarTransport(userTimeout), func() int64 { return core.Now() })
-	place := control.Place{Name: settings.Name, Zone: settings.Zone, Wire: inner(settings, settings.Address), Seeds: innerSeeds(settings), Found: settings.First,
-		Least: 2*settings.Survive.Machines + 1, Beat: beat, Suspect: suspect, Seed: uint64(time.Now().UnixNano()), Direct: true, Table: tablePace,
-		SessionSpan: sessionSpan, Lister: client.List, ListPace: listPace(settings), GoneAfter: goneAfter,
-		ReplaceAfter: settings.Bounds.CatchUp / replaceShare, MembersChanged: finder.Learn}
+	place := control.Config{Name: settings.Name, Zone: settings.Zone, InternalAddress: inner(settings, settings.Address), Seeds: innerSeeds(settings), Bootstrap: settings.First,
+		MinFounders: 2*settings.Survive.Machines + 1, HeartbeatInterval: beat, SuspicionTimeout: suspect, Seed: uint64(time.Now().UnixNano()), DirectSessions: true, TableInterval: tablePace,
+		SessionTTL: sessionSpan, ListBackends: client.List, ListInterval: listPace(settings), ListsUntilGone: goneAfter,
+		ReplaceAfter: settings.Bounds.CatchUp / replaceShare, OnMembershipChange: finder.Learn}
 	if settings.Metered() {
-		place.Metering = control.Metering{Window: settings.Bounds.ReportWindow, Settle: settle, Latest: settings.Bounds.UsageDelay - reportRest, Quiet: settings.Bounds.Lease, Report: func(report control.WindowReport) control.ReportResult {
+		place.Metering = control.Metering{Window: settings.Bounds.ReportWindow, SettleAfter: settle, SettleLatest: settings.Bounds.UsageDelay - reportRest, TakeoverQuiet: settings.Bounds.Lease, Report: func(report control.WindowReport) control.ReportResult {
 			ctx, cancel := context.WithTimeout(context.Background(), callLimit)
 			defer cancel()
 			return client.Report(ctx, report)
@@ -78,7 +78,7 @@
 	hold := member.NewHold(finder, line, node.counters).Within(member.HoldLimits{Send: sendLimit})
 	hold.Follow(core.Leader)
 	orders := platform.NewControl(platform.NewLeaderOrders(hold), func() map[string]string { return node.source.Settings().Zones }, node.counters)
-	if err := node.open(side{place.Wire, server}, side{settings.Listen.Operators, orders}); err != nil {
+	if err := node.open(side{place.InternalAddress, server}, side{settings.Listen.Operators, orders}); err != nil {
 		return err
 	}
 	finder.Run()
--- a/control/begin_claims_test.go
+++ b/control/begin_claims_test.go
@@ -17,20 +17,20 @@
 func TestClaimsBeginOnceTheRingHasRoom(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
-		core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, counters)
+		core, err := NewCore(Config{ID: 1, InternalAddress: "127.0.0.1:1", Bootstrap: true}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, counters)
 		if err != nil {
 			test.Fatal(err)
 		}
-		for core.claims.ring.Put(&keepWait{message: &message.RecordClaimsRequest{}}) {
+		for core.claims.queue.Put(&pendingWrite{request: &message.RecordClaimsRequest{}}) {
 		}
-		core.beginClaims(1)
-		if core.claims.Whole(1) || counters.Get("claims_not_begun") != 1 {
-			test.Errorf("whole %v, not begun %d times", core.claims.Whole(1), counters.Get("claims_not_begun"))
+		core.startClaims(1)
+		if core.claims.Complete(1) || counters.Get("claims_not_begun") != 1 {
+			test.Errorf("whole %v, not begun %d times", core.claims.Complete(1), counters.Get("claims_not_begun"))
 		}
-		goroutines.OnStop(core.claims.ring.Close)
-		goroutines.Start(core.claims.write)
-		goroutines.Sleep(2 * repairPace)
-		if !core.claims.Whole(1) {
+		goroutines.OnStop(core.claims.queue.Close)
+		goroutines.Start(core.claims.runWriter)
+		goroutines.Sleep(2 * repairInterval)
+		if !core.claims.Complete(1) {
 			test.Error("not whole though the ring has room")
 		}
 		time.Sleep(time.Minute)
--- a/control/change.go
+++ b/control/change.go
@@ -11,7 +11,7 @@
 	"orchidjunction/rpc"
 )
 
-func digest(change *message.ChangeRequest) string {
+func changeDigest(change *message.ChangeRequest) string {
 	sum := sha256.Sum256(append([]byte(fmt.Sprintf("%s %d ", change.Kind, change.Base)), change.Body...))
 	return hex.EncodeToString(sum[:16])
 }
@@ -19,24 +19,24 @@
 // onChange puts an operator's change in force at the leader, or says why not; a
 // repeat or a refusal is told only by who still leads.
 func (core *Core) onChange(change *message.ChangeRequest) (*message.ChangeResponse, error) {
-	leadership, err := core.leading()
+	leadership, err := core.currentLeadership()
 	if err != nil {
 		return nil, err
 	}
 	begin := time.Now()
-	response, mark := &message.ChangeResponse{}, digest(change)
+	response, mark := &message.ChangeResponse{}, changeDigest(change)
 	var sown *conf.Tree
 	if now := leadership.settings(); change.Kind == "whole" && change.Base == now.serial {
 		if sown, err = conf.Sow(change.Body, now.tree); err != nil {
-			err = leadership.proven(err)
+			err = leadership.confirmDecision(err)
 			core.counters.Add("changes_"+string(rpc.CodeOf(err)), 1)
 			return nil, err
 		}
 	}
 	decided := false
-	serial, err := leadership.change(func(now *content) (*content, error) {
+	serial, err := leadership.writeSettings(func(now *content) (*content, error) {
 		decided = true
-		for _, entry := range now.trail {
+		for _, entry := range now.history {
 			if entry.Change != change.ID {
 				continue
 			}
@@ -61,10 +61,10 @@
 			return nil, err
 		}
 		decided = false
-		return now.next(tree, message.HistoryEntry{Serial: now.serial + 1, Change: change.ID, Digest: mark, Kind: change.Kind, Operator: change.Operator, AtMs: core.place.Wall()}), nil
+		return now.next(tree, message.HistoryEntry{Serial: now.serial + 1, Change: change.ID, Digest: mark, Kind: change.Kind, Operator: change.Operator, AtMs: core.config.Wall()}), nil
 	})
 	if decided {
-		err = leadership.proven(err)
+		err = leadership.confirmDecision(err)
 	}
 	if err != nil {
 		core.counters.Add("changes_"+string(rpc.CodeOf(err)), 1)
@@ -83,46 +83,46 @@
 }
 
 func (core *Core) onRead(read *message.ReadRequest) (*message.ReadResponse, error) {
-	leadership, err := core.leading()
+	leadership, err := core.currentLeadership()
 	if err != nil {
 		return nil, err
 	}
-	if err := leadership.confirm(core.roundLimit()); err != nil {
+	if err := leadership.confirm(core.callTimeout()); err != nil {
 		return nil, err
 	}
 	now := leadership.settings()
 	response := &message.ReadResponse{Serial: now.serial}
 	if read.History {
-		response.History = now.trail
+		response.History = now.history
 	} else if read.HeldSerial != now.serial {
 		response.Body = now.tree.Body()
 	}
 	return response, nil
 }
 
-func (core *Core) onConfirm(*message.ReadIndexRequest) (*message.ReadIndexResponse, error) {
-	leadership, err := core.leading()
+func (core *Core) onReadIndex(*message.ReadIndexRequest) (*message.ReadIndexResponse, error) {
+	leadership, err := core.currentLeadership()
 	if err != nil {
 		return nil, err
 	}
-	if err := leadership.confirm(core.roundLimit()); err != nil {
+	if err := leadership.confirm(core.callTimeout()); err != nil {
 		return nil, err
 	}
 	return &message.ReadIndexResponse{Serial: leadership.value(message.SettingsRegister).Serial, Table: core.Table().Version, Routing: leadership.value(message.RoutingRegister).Serial}, nil
 }
 
-func (core *Core) onWho(*message.LeaderRequest) (*message.LeaderResponse, error) {
-	leads := core.leads()
+func (core *Core) onLeader(*message.LeaderRequest) (*message.LeaderResponse, error) {
+	isLeader := core.servesAsLeader()
 	core.mutex.Lock()
-	view := core.members()
-	response := &message.LeaderResponse{Lameduck: core.duck, Cores: view.addresses(), Membership: view.Mark, Routing: core.committed[message.RoutingRegister].Value.Serial, Table: core.table.Version}
+	view := core.membership()
+	response := &message.LeaderResponse{Lameduck: core.lameduck, Cores: view.addresses(), Membership: view.Version, Routing: core.committed[message.RoutingRegister].Value.Serial, Table: core.table.Version}
 	leadership := core.leadership
-	if leads || time.Since(core.heard) < core.place.Suspect {
+	if isLeader || time.Since(core.leaderSeenAt) < core.config.SuspicionTimeout {
 		response.Leader = core.leader
 	}
 	core.mutex.Unlock()
 	if leadership != nil {
-		response.Lameduck = leadership.ducks()
+		response.Lameduck = leadership.inLameduck()
 	}
 	return response, nil
 }
@@ -130,7 +130,7 @@
 // Leader is who leads as far as this core knows at the moment; nobody while it
 // hears of none or the leader steps down.
 func (core *Core) Leader() message.Leader {
-	if response, _ := core.onWho(&message.LeaderRequest{}); !response.Lameduck {
+	if response, _ := core.onLeader(&message.LeaderRequest{}); !response.Lameduck {
 		return response.Leader
 	}
 	return message.Leader{}
--- a/control/claimfence_test.go
+++ b/control/claimfence_test.go
@@ -16,12 +16,12 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	goroutines.Start(log.write)
+	goroutines.Start(log.runWriter)
 	return log, func() {
-		log.ring.Close()
+		log.queue.Close()
 		goroutines.Wait()
-		if log.journal.fault != nil || log.counters.All()["claim_disk_faults"] > 0 {
-			test.Error("refused by the disk: ", log.journal.fault)
+		if log.journal.err != nil || log.counters.All()["claim_disk_faults"] > 0 {
+			test.Error("refused by the disk: ", log.journal.err)
 		}
 		log.journal.Close()
 	}
@@ -36,10 +36,10 @@
 // counted by an older one, also after a restart: the other core would never see it.
 func TestClaimsAreFencedByMembership(test *testing.T) {
 	former := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
-	step := former.replaced(3, "10.0.0.4:1")
-	step.Mark.Term = message.Term{Number: 4, Core: 1}
+	step := former.withReplacement(3, "10.0.0.4:1")
+	step.Version.Term = message.Term{Number: 4, Core: 1}
 	again := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
-	again.Mark.Term = message.Term{Number: 6, Core: 2}
+	again.Version.Term = message.Term{Number: 6, Core: 2}
 	folder := test.TempDir()
 	log, end := claimLogOn(test, folder)
 	for number, try := range []struct {
@@ -60,11 +60,11 @@
 			end()
 			log, end = claimLogOn(test, folder)
 		}
-		wait := &keepWait{message: claimOf(string(rune('a' + number))), members: try.under.accepted()}
-		if err := log.put(wait); err != nil || wait.refused != try.refused {
+		wait := &pendingWrite{request: claimOf(string(rune('a' + number))), membership: try.under.accepted()}
+		if err := log.submit(wait); err != nil || wait.refused != try.refused {
 			test.Errorf("try %d: refused %v, %v", number, wait.refused, err)
 		}
-		if _, found := log.book.Held(wait.message.Claims[0].Record.Key); found == try.refused {
+		if _, found := log.store.Held(wait.request.Claims[0].Record.Key); found == try.refused {
 			test.Errorf("try %d: kept %v", number, found)
 		}
 	}
@@ -77,12 +77,12 @@
 	folder := test.TempDir()
 	members := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	log, end := claimLogOn(test, folder)
-	if err := log.put(&keepWait{message: &message.RecordClaimsRequest{}, members: members.accepted(), wholeAs: 2}); err != nil {
+	if err := log.submit(&pendingWrite{request: &message.RecordClaimsRequest{}, membership: members.accepted(), completeAs: 2}); err != nil {
 		test.Fatal(err)
 	}
 	for range 2 {
-		if !log.Whole(2) || log.Whole(5) || log.Whole(0) {
-			test.Errorf("whole as 2: %v, as 5: %v, without a vote: %v", log.Whole(2), log.Whole(5), log.Whole(0))
+		if !log.Complete(2) || log.Complete(5) || log.Complete(0) {
+			test.Errorf("whole as 2: %v, as 5: %v, without a vote: %v", log.Complete(2), log.Complete(5), log.Complete(0))
 		}
 		end()
 		log, end = claimLogOn(test, folder)
--- a/control/claimrefusal_test.go
+++ b/control/claimrefusal_test.go
@@ -13,8 +13,8 @@
 // claimMemberships are a founding membership and one that replaces a voter of it.
 func claimMemberships() (former, step message.AcceptedValue) {
 	first := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
-	next := first.replaced(3, "10.0.0.4:1")
-	next.Mark.Term = message.Term{Number: 4, Core: 1}
+	next := first.withReplacement(3, "10.0.0.4:1")
+	next.Version.Term = message.Term{Number: 4, Core: 1}
 	return first.accepted(), next.accepted()
 }
 
@@ -28,22 +28,22 @@
 }
 
 // writeAtOnce lets the writing thread take the messages as one group and end.
-func writeAtOnce(test *testing.T, log *ClaimLog, waits ...*keepWait) {
+func writeAtOnce(test *testing.T, log *ClaimLog, waits ...*pendingWrite) {
 	test.Helper()
 	for _, wait := range waits {
-		if !log.ring.Put(wait) {
+		if !log.queue.Put(wait) {
 			test.Fatal("ring is full")
 		}
 	}
 	goroutines := concurrent.NewGroup()
-	goroutines.Start(log.write)
+	goroutines.Start(log.runWriter)
 	synctest.Wait()
-	log.ring.Close()
+	log.queue.Close()
 	goroutines.Wait()
 }
 
 func (log *ClaimLog) holds(key string) bool {
-	_, found := log.book.Held(claimOf(key).Claims[0].Record.Key)
+	_, found := log.store.Held(claimOf(key).Claims[0].Record.Key)
 	return found
 }
 
@@ -55,26 +55,26 @@
 		disk := newModelDisk()
 		log := openClaimsOn(test, disk)
 		disk.failing = true
-		kept := &keepWait{message: claimOf("kept"), members: step, wholeAs: 2}
-		late := &keepWait{message: claimOf("late"), members: former}
+		kept := &pendingWrite{request: claimOf("kept"), membership: step, completeAs: 2}
+		late := &pendingWrite{request: claimOf("late"), membership: former}
 		writeAtOnce(test, log, kept, late)
-		if kept.mishap == nil || late.mishap == nil || log.Whole(2) {
-			test.Fatalf("answered by a disk that refuses: %v, %v, whole %v", kept.mishap, late.mishap, log.Whole(2))
+		if kept.err == nil || late.err == nil || log.Complete(2) {
+			test.Fatalf("answered by a disk that refuses: %v, %v, whole %v", kept.err, late.err, log.Complete(2))
 		}
 		disk.failing = false
-		time.Sleep(repairPace)
-		if err := log.repair(); err != nil || !log.Whole(2) {
-			test.Fatalf("does not go on: %v, whole %v", err, log.Whole(2))
+		time.Sleep(repairInterval)
+		if err := log.repair(); err != nil || !log.Complete(2) {
+			test.Fatalf("does not go on: %v, whole %v", err, log.Complete(2))
 		}
 		disk.losePower(0)
 		log = openClaimsOn(test, disk)
-		if log.members.Version() != step.Version() || !log.Whole(2) || !log.holds("kept") || log.holds("late") {
-			test.Errorf("after a restart: members %v, whole %v, kept %v, late %v", log.members.Version(), log.Whole(2), log.holds("kept"), log.holds("late"))
+		if log.membership.Version() != step.Version() || !log.Complete(2) || !log.holds("kept") || log.holds("late") {
+			test.Errorf("after a restart: members %v, whole %v, kept %v, late %v", log.membership.Version(), log.Complete(2), log.holds("kept"), log.holds("late"))
 		}
-		again := &keepWait{message: claimOf("again"), members: former}
+		again := &pendingWrite{request: claimOf("again"), membership: former}
 		writeAtOnce(test, log, again)
-		if !again.refused || again.mishap != nil {
-			test.Errorf("under the former membership: refused %v, %v", again.refused, again.mishap)
+		if !again.refused || again.err != nil {
+			test.Errorf("under the former membership: refused %v, %v", again.refused, again.err)
 		}
 	})
 }
@@ -88,20 +88,20 @@
 	log := openClaimsOn(test, newModelDisk())
 	taken := claimOf("first")
 	taken.Claims[0].Record.ID = "another"
-	first := &keepWait{message: claimOf("first"), members: step}
-	late := &keepWait{message: &message.RecordClaimsRequest{Claims: append(claimOf("late").Claims, claimOf("later").Claims...)}, members: former}
-	second := &keepWait{message: &message.RecordClaimsRequest{Claims: append(taken.Claims, claimOf("second").Claims...)}, members: step}
+	first := &pendingWrite{request: claimOf("first"), membership: step}
+	late := &pendingWrite{request: &message.RecordClaimsRequest{Claims: append(claimOf("late").Claims, claimOf("later").Claims...)}, membership: former}
+	second := &pendingWrite{request: &message.RecordClaimsRequest{Claims: append(taken.Claims, claimOf("second").Claims...)}, membership: step}
 	writeAtOnce(test, log, first, late, second)
-	for _, wait := range []*keepWait{first, late, second} {
-		if wait.mishap != nil || !wait.done || wait.refused != (wait == late) {
-			test.Fatalf("done %v, refused %v, %v", wait.done, wait.refused, wait.mishap)
+	for _, wait := range []*pendingWrite{first, late, second} {
+		if wait.err != nil || !wait.done || wait.refused != (wait == late) {
+			test.Fatalf("done %v, refused %v, %v", wait.done, wait.refused, wait.err)
 		}
 	}
-	if len(first.told) != 1 || !first.told[0].Granted || len(late.told) != 0 {
-		test.Errorf("first %+v, late %+v", first.told, late.told)
+	if len(first.results) != 1 || !first.results[0].Granted || len(late.results) != 0 {
+		test.Errorf("first %+v, late %+v", first.results, late.results)
 	}
-	if len(second.told) != 2 || second.told[0].Granted || second.told[0].Existing.ID != "id-first" || !second.told[1].Granted {
-		test.Errorf("second %+v", second.told)
+	if len(second.results) != 2 || second.results[0].Granted || second.results[0].Existing.ID != "id-first" || !second.results[1].Granted {
+		test.Errorf("second %+v", second.results)
 	}
 	if log.holds("late") || log.holds("later") {
 		test.Error("kept what was refused")
--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -14,20 +14,20 @@
 // A core whose leadership ended is not taken for one that has heard of no leader
 // since it started.
 func TestFormerLeaderIsNotCold(test *testing.T) {
-	core, err := NewCore(Place{Wire: "127.0.0.1:1", Seeds: []string{"127.0.0.1:1"}, Least: 1, Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond},
+	core, err := NewCore(Config{InternalAddress: "127.0.0.1:1", Seeds: []string{"127.0.0.1:1"}, MinFounders: 1, Bootstrap: true, HeartbeatInterval: 10 * time.Millisecond, SuspicionTimeout: 30 * time.Millisecond},
 		Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), concurrent.NewGroup(), metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
 	}
-	if !core.cold() {
+	if !core.neverHeardLeader() {
 		test.Error("not cold after the start")
 	}
 	term := message.Term{Number: 4, Core: 1}
-	leadership := newLeadership(core, term, &Establishment{core: core, ballot: term})
+	leadership := newLeadership(core, term, &Establishment{core: core, term: term})
 	core.leadership, core.leader = leadership, message.Leader{Term: term, Core: 1, Address: "127.0.0.1:1"}
-	core.revoke(leadership)
-	if core.cold() || core.leader.Known() {
-		test.Errorf("cold %v, leader %+v", core.cold(), core.leader)
+	core.endLeadership(leadership)
+	if core.neverHeardLeader() || core.leader.Known() {
+		test.Errorf("cold %v, leader %+v", core.neverHeardLeader(), core.leader)
 	}
 	core.Close()
 }
--- a/control/core.go
+++ b/control/core.go
@@ -16,84 +16,84 @@
 
 // Core is one core machine's part in the control plane.
 type Core struct {
-	place      Place
-	line       *rpc.Client
-	goroutines *concurrent.Group
-	counters   *metrics.Counters
-	voter      *Voter
-	chart      *Chart
-	news       *concurrent.Condition
-	prompt     *concurrent.Condition
-	random     *draws
-	clock      *clock.Clock
-	clocks     *Clocks
-	known      atomic.Pointer[View]
+	config       Config
+	client       *rpc.Client
+	goroutines   *concurrent.Group
+	counters     *metrics.Counters
+	replica      *Replica
+	role         *RoleState
+	updates      *concurrent.Condition
+	wakeElection *concurrent.Condition
+	random       *randomSource
+	clock        *clock.Clock
+	peerClocks   *PeerClocks
+	view         atomic.Pointer[View]
 
-	sessions *Sessions
-	stirs    *Stirs
-	platform *PlatformReader
-	usage    *Usage
-	claims   *ClaimLog
-	reading  *concurrent.Lock
-	enlisted *Enlisted
-	routed   routedBody
-	fetched  fetchedAnswers
-	meter    *Meter
+	sessions     *Sessions
+	probeHints   *ProbeHints
+	backends     *BackendReader
+	usage        *Usage
+	claims       *ClaimLog
+	contentLock  *concurrent.Lock
+	founding     *Founding
+	routingCache routingCache
+	fetchCache   fetchCache
+	windows      *WindowMeter
 
-	mutex      sync.Mutex
-	leader     message.Leader
-	heard      time.Time
-	duck       bool
-	successor  message.Leader
-	round      uint64
-	passed     *message.TransferLeadershipRequest
-	leadership *Leadership
-	committed  [message.Registers]message.AcceptedValue
-	texts      message.Chunks
-	held       *content
-	table      *message.Table
-	tableLog   *message.TableLog
-	wanted     message.TableVersion
-	refused    diskRefusal
-	patience   time.Duration
-	asked      int
-	toldLeader time.Time
+	mutex           sync.Mutex
+	leader          message.Leader
+	leaderSeenAt    time.Time
+	lameduck        bool
+	successor       message.Leader
+	highestTerm     uint64
+	transfer        *message.TransferLeadershipRequest
+	leadership      *Leadership
+	committed       [message.Registers]message.AcceptedValue
+	chunks          message.Chunks
+	cachedContent   *content
+	table           *message.Table
+	tableLog        *message.TableLog
+	wantedTable     message.TableVersion
+	diskFailure     diskFailure
+	electionTimeout time.Duration
+	joinAttempts    int
+	sharedAt        time.Time
 }
 
-func NewCore(place Place, disk Disk, client *rpc.Client, goroutines *concurrent.Group, counters *metrics.Counters) (*Core, error) {
+func NewCore(place Config, disk Disk, client *rpc.Client, goroutines *concurrent.Group, counters *metrics.Counters) (*Core, error) {
 	store, err := OpenStore(disk)
 	if err != nil {
 		return nil, err
 	}
-	place = place.filled()
-	core := &Core{place: place, line: client, goroutines: goroutines, counters: counters, news: concurrent.NewCondition(), prompt: concurrent.NewCondition(), reading: concurrent.NewLock(),
-		random: newDraws(place.Seed + uint64(place.ID)), table: &message.Table{}, heard: time.Now()}
-	core.clock, core.clocks = clock.NewClock(place.Wall), newClocks()
+	place = place.withDefaults()
+	core := &Core{config: place, client: client, goroutines: goroutines, counters: counters, updates: concurrent.NewCondition(), wakeElection: concurrent.NewCondition(), contentLock: concurrent.NewLock(),
+		random: newRandomSource(place.Seed + uint64(place.ID)), table: &message.Table{}, leaderSeenAt: time.Now()}
+	core.clock, core.peerClocks = clock.NewClock(place.Wall), newPeerClocks()
 	core.tableLog = message.NewTableLog()
-	core.enlisted, core.meter = newEnlisted(place.Wire), newMeter()
-	core.voter = NewVoter(store, core.diskFault, core.raised)
-	core.voter.learns = core.learnMembers
-	core.known.Store(place.view(core.voter.State().Voters()))
+	core.founding, core.windows = newFounding(place.InternalAddress), newWindowMeter()
+	core.replica = NewReplica(store, core.diskFailed, core.promiseRaised)
+	core.replica.onMembership = core.learnMembership
+	core.view.Store(place.view(core.replica.State().Membership()))
 	if core.claims, err = openClaimLog(disk, place.ID, counters); err != nil {
 		return nil, err
 	}
-	core.chart = &Chart{now: Blank, counters: counters, core: core.members().ID}
-	if !core.voter.Blank() {
-		core.chart.now = Following
+	core.role = &RoleState{current: Blank, counters: counters, core: core.membership().ID}
+	if !core.replica.Blank() {
+		core.role.current = Following
 	}
-	if kept := core.claims.members; kept.Value.Serial > firstSerial {
-		core.learnMembers(kept)
+	if kept := core.claims.membership; kept.Value.Serial > firstSerial {
+		core.learnMembership(kept)
 	}
-	if err := store.Fault(); err != nil {
-		core.diskFault(err)
+	if err := store.Err(); err != nil {
+		core.diskFailed(err)
 	}
-	core.round = core.voter.State().Promised.Number
-	core.patience = core.firstPatience()
-	core.sessions = newSessions(place.SessionSpan)
-	core.stirs = newStirs()
+	core.highestTerm = core.replica.State().Promised.Number
+	core.electionTimeout = core.firstElectionTimeout()
+	core.sessions = newSessions(place.SessionTTL)
+	core.probeHints = newProbeHints()
 	core.usage = newUsage(client.Transport())
-	core.platform = newPlatformReader(&core.place, client.Transport(), core.Now, counters)
-	if accepted, proven := core.voter.State().proven(message.RoutingRegister); proven {
+	core.backends = newBackendReader(&core.config, client.Transport(), core.Now, counters)
+	if accepted, proven := core.replica.State().provenCommitted(message.RoutingRegister); proven {
 		core.committed[message.RoutingRegister] = accepted
 	}
 	return core, nil
@@ -101,42 +101,42 @@
 
 // Run starts the core's duties.
 func (core *Core) Run() {
-	if view := core.members(); view.known() {
-		core.place.MembersChanged(view.Mark, view.addresses())
+	if view := core.membership(); view.known() {
+		core.config.OnMembershipChange(view.Version, view.addresses())
 	}
-	core.goroutines.OnStop(core.news.Notify)
-	core.goroutines.OnStop(core.prompt.Notify)
-	core.goroutines.Start(core.elect)
-	core.goroutines.Start(core.claims.write)
-	core.goroutines.Every(concurrent.Fixed(repairPace), core.repairDisk)
-	core.goroutines.OnStop(core.claims.ring.Close)
-	core.goroutines.Every(concurrent.Fixed(mendPace), core.mendClaims)
-	core.goroutines.Every(concurrent.Fixed(core.place.Beat), core.lead)
-	core.goroutines.Every(concurrent.Fixed(2*core.place.Beat), core.tellSessions)
-	core.goroutines.Every(concurrent.Fixed(core.place.Table), core.buildTable)
-	core.goroutines.Every(concurrent.Fixed(core.place.Table), core.copyTable)
-	core.goroutines.Every(core.paced(concurrent.Fixed(core.place.Beat)), core.changeMembers)
-	if core.place.enlists() {
-		core.goroutines.Start(core.survey)
+	core.goroutines.OnStop(core.updates.Notify)
+	core.goroutines.OnStop(core.wakeElection.Notify)
+	core.goroutines.Start(core.runElections)
+	core.goroutines.Start(core.claims.runWriter)
+	core.goroutines.Every(concurrent.Fixed(repairInterval), core.repairDisk)
+	core.goroutines.OnStop(core.claims.queue.Close)
+	core.goroutines.Every(concurrent.Fixed(claimRepairInterval), core.repairClaims)
+	core.goroutines.Every(concurrent.Fixed(core.config.HeartbeatInterval), core.sendHeartbeats)
+	core.goroutines.Every(concurrent.Fixed(2*core.config.HeartbeatInterval), core.shareSessions)
+	core.goroutines.Every(concurrent.Fixed(core.config.TableInterval), core.buildTable)
+	core.goroutines.Every(concurrent.Fixed(core.config.TableInterval), core.followTable)
+	core.goroutines.Every(core.leaderInterval(concurrent.Fixed(core.config.HeartbeatInterval)), core.changeMembership)
+	if core.config.discoversPeers() {
+		core.goroutines.Start(core.proveCommittedRouting)
 	}
-	if core.platform.lister != nil {
-		core.goroutines.Every(core.paced(core.platform.pace), core.readPlatform)
+	if core.backends.lister != nil {
+		core.goroutines.Every(core.leaderInterval(core.backends.interval), core.readBackends)
 	}
-	if core.place.Metering.Report != nil {
-		core.goroutines.Every(core.paced(concurrent.Fixed(meterPace)), core.sealWindows)
-		core.goroutines.Every(core.paced(concurrent.Fixed(meterPace)), core.reportWindows)
-	} else if core.place.Platform != "" {
-		core.goroutines.Every(concurrent.Fixed(usagePace), core.sealUsage)
-		core.goroutines.Every(concurrent.Fixed(usagePace), core.deliverUsage)
+	if core.config.Metering.Report != nil {
+		core.goroutines.Every(core.leaderInterval(concurrent.Fixed(windowInterval)), core.sealWindows)
+		core.goroutines.Every(core.leaderInterval(concurrent.Fixed(windowInterval)), core.reportWindows)
+	} else if core.config.PlatformAddress != "" {
+		core.goroutines.Every(concurrent.Fixed(usageInterval), core.sealUsage)
+		core.goroutines.Every(concurrent.Fixed(usageInterval), core.deliverUsage)
 	}
 }
 
-// paced is the pace of a leader's duty, and of a core's that heard of no leader since
+// leaderInterval is the pace of a leader's duty, and of a core's that heard of no leader since
 // its start; other cores only look whether they lead.
-func (core *Core) paced(leads func() time.Duration) func() time.Duration {
+func (core *Core) leaderInterval(leads func() time.Duration) func() time.Duration {
 	return func() time.Duration {
-		if _, err := core.leading(); err != nil && !core.cold() {
-			return core.place.Suspect / 3
+		if _, err := core.currentLeadership(); err != nil && !core.neverHeardLeader() {
+			return core.config.SuspicionTimeout / 3
 		}
 		return leads()
 	}
@@ -144,34 +144,34 @@
 
 // Register opens the core's side of the wire.
 func (core *Core) Register(server *rpc.Server) {
-	rpc.Handle(server, "precheck", answer(core.onPrecheck))
-	rpc.Handle(server, "promise", answer(core.voterPromise))
-	rpc.Handle(server, "accept", answer(core.voterAccept))
-	rpc.Handle(server, "beat", answer(core.onBeat))
-	rpc.Handle(server, "stepdown", answer(core.onStepDown))
-	rpc.Handle(server, "restore", answer(core.onRestore))
-	rpc.Handle(server, "tell", answer(core.onTell))
-	rpc.Handle(server, "session", answer(core.onSession))
-	rpc.Handle(server, "watch", answer(core.onWatch))
-	rpc.Handle(server, "fetch", answer(core.onFetch))
-	rpc.Handle(server, "who", answer(core.onWho))
-	rpc.Handle(server, "confirm", answer(core.onConfirm))
-	rpc.Handle(server, "change", answer(core.onChange))
-	rpc.Handle(server, "routechange", answer(core.onRouteChange))
-	rpc.Handle(server, "routeread", answer(core.onRouteRead))
-	rpc.Handle(server, "evacuate", answer(core.onEvacuate))
-	rpc.Handle(server, "enlist", answer(core.onEnlist))
-	rpc.Handle(server, "leave", answer(core.onLeave))
-	rpc.Handle(server, "removal", answer(core.onRemoval))
-	rpc.Handle(server, "read", answer(core.onRead))
-	rpc.Handle(server, "status", answer(core.onStatus))
-	rpc.Handle(server, "count", answer(core.onCount))
-	rpc.Handle(server, "parts", answer(core.onParts))
-	rpc.Handle(server, "keep", answer(core.onKeep))
-	rpc.Handle(server, "pull", answer(core.onPull))
+	rpc.Handle(server, "precheck", handler(core.onPreVote))
+	rpc.Handle(server, "promise", handler(core.onPrepare))
+	rpc.Handle(server, "accept", handler(core.onAccept))
+	rpc.Handle(server, "beat", handler(core.onHeartbeat))
+	rpc.Handle(server, "stepdown", handler(core.onTransferLeadership))
+	rpc.Handle(server, "restore", handler(core.onReplicaState))
+	rpc.Handle(server, "tell", handler(core.onShareSessions))
+	rpc.Handle(server, "session", handler(core.onSession))
+	rpc.Handle(server, "watch", handler(core.onWatch))
+	rpc.Handle(server, "fetch", handler(core.onFetch))
+	rpc.Handle(server, "who", handler(core.onLeader))
+	rpc.Handle(server, "confirm", handler(core.onReadIndex))
+	rpc.Handle(server, "change", handler(core.onChange))
+	rpc.Handle(server, "routechange", handler(core.onRouteChange))
+	rpc.Handle(server, "routeread", handler(core.onRouteRead))
+	rpc.Handle(server, "evacuate", handler(core.onEvacuate))
+	rpc.Handle(server, "enlist", handler(core.onJoin))
+	rpc.Handle(server, "leave", handler(core.onLeave))
+	rpc.Handle(server, "removal", handler(core.onRemoveVoter))
+	rpc.Handle(server, "read", handler(core.onRead))
+	rpc.Handle(server, "status", handler(core.onStatus))
+	rpc.Handle(server, "count", handler(core.onCount))
+	rpc.Handle(server, "parts", handler(core.onFetchChunks))
+	rpc.Handle(server, "keep", handler(core.onRecordClaims))
+	rpc.Handle(server, "pull", handler(core.onFetchClaims))
 }
 
-func answer[Asked, Told any](inner func(*Asked) (*Told, error)) func(context.Context, *Asked) (*Told, error) {
+func handler[Asked, Told any](inner func(*Asked) (*Told, error)) func(context.Context, *Asked) (*Told, error) {
 	return func(_ context.Context, asked *Asked) (*Told, error) {
 		told, err := inner(asked)
 		if err != nil {
@@ -181,9 +181,9 @@
 	}
 }
 
-// askPeers asks every other voter of a membership at once, until those that agreed
+// callPeers asks every other voter of a membership at once, until those that agreed
 // are enough.
-func askPeers[Told any](core *Core, view *View, ask func(peer Peer) (*Told, error), agrees func(*Told) bool, enough func(has func(id int) bool) bool) map[int]*Told {
+func callPeers[Told any](core *Core, view *View, ask func(peer Peer) (*Told, error), agrees func(*Told) bool, enough func(has func(id int) bool) bool) map[int]*Told {
 	byID := func(got map[int]*Told) map[int]*Told {
 		told := make(map[int]*Told, len(got))
 		for index, answer := range got {
@@ -204,19 +204,19 @@
 	}
 }
 
-// never waits for all that are asked.
-func never(func(id int) bool) bool { return false }
+// waitForAll waits for all that are asked.
+func waitForAll(func(id int) bool) bool { return false }
 
-// pushValue sends the value to every voter of a membership, this one too, until a
+// replicate sends the value to every voter of a membership, this one too, until a
 // quorum took it; a core gets the branches that it says it lacks.
-func (core *Core) pushValue(view *View, request *message.AcceptRequest, texts message.Chunks) error {
-	until := time.Now().Add(core.place.writeLimit())
-	voters := append([]Peer{{ID: view.ID, Address: view.Wire}}, view.Peers...)
+func (core *Core) replicate(view *View, request *message.AcceptRequest, chunks message.Chunks) error {
+	until := time.Now().Add(core.config.writeTimeout())
+	voters := append([]Peer{{ID: view.ID, Address: view.Address}}, view.Peers...)
 	push := func(index int) (*message.AcceptResponse, error) {
 		if index == 0 {
-			return core.acceptHere(request, texts)
+			return core.acceptLocally(request, chunks)
 		}
-		return core.pushTo(voters[index], request, texts, until)
+		return core.replicateTo(voters[index], request, chunks, until)
 	}
 	took := func(got map[int]*message.AcceptResponse) func(id int) bool {
 		return func(id int) bool {
@@ -234,19 +234,19 @@
 	})
 	for _, response := range got {
 		if !response.Accepted {
-			core.sawRound(response.Promised.Number)
+			core.observeTermNumber(response.Promised.Number)
 		}
 	}
 	if !view.votes() || !view.quorum(took(got)) {
-		return rpc.Errorf(rpc.StaleTerm, "no quorum of membership %d took serial %d under %s", view.Mark.Serial, request.Value.Serial, request.Term)
+		return rpc.Errorf(rpc.StaleTerm, "no quorum of membership %d took serial %d under %s", view.Version.Serial, request.Value.Serial, request.Term)
 	}
 	return nil
 }
 
-// acceptHere offers a value to this core's own replica.
-func (core *Core) acceptHere(request *message.AcceptRequest, texts message.Chunks) (*message.AcceptResponse, error) {
-	return offer(request, texts, func(request *message.AcceptRequest) (*message.AcceptResponse, error) {
-		response, err := core.voter.Accept(request)
+// acceptLocally offers a value to this core's own replica.
+func (core *Core) acceptLocally(request *message.AcceptRequest, chunks message.Chunks) (*message.AcceptResponse, error) {
+	return sendAccept(request, chunks, func(request *message.AcceptRequest) (*message.AcceptResponse, error) {
+		response, err := core.replica.Accept(request)
 		if err != nil {
 			return nil, err
 		}
@@ -254,21 +254,21 @@
 	})
 }
 
-// pushTo offers a value to another core, again while that is out of reach.
-func (core *Core) pushTo(peer Peer, request *message.AcceptRequest, texts message.Chunks, until time.Time) (*message.AcceptResponse, error) {
+// replicateTo offers a value to another core, again while that is out of reach.
+func (core *Core) replicateTo(peer Peer, request *message.AcceptRequest, chunks message.Chunks, until time.Time) (*message.AcceptResponse, error) {
 	for {
-		response, err := core.offerTo(peer, request, texts, time.Until(until))
-		if err == nil || rpc.CodeOf(err) != rpc.Unreachable && rpc.CodeOf(err) != rpc.ConnectFailed || time.Until(until) < core.place.Beat {
+		response, err := core.offerTo(peer, request, chunks, time.Until(until))
+		if err == nil || rpc.CodeOf(err) != rpc.Unreachable && rpc.CodeOf(err) != rpc.ConnectFailed || time.Until(until) < core.config.HeartbeatInterval {
 			return response, err
 		}
-		if !core.goroutines.Sleep(core.place.Beat / 2) {
+		if !core.goroutines.Sleep(core.config.HeartbeatInterval / 2) {
 			return nil, rpc.Errorf(rpc.Stopping, "stopping")
 		}
 	}
 }
 
-// offer sends a value, and again with what is lacking.
-func offer(request *message.AcceptRequest, texts message.Chunks, send func(*message.AcceptRequest) (*message.AcceptResponse, error)) (*message.AcceptResponse, error) {
+// sendAccept sends a value, and again with what is lacking.
+func sendAccept(request *message.AcceptRequest, chunks message.Chunks, send func(*message.AcceptRequest) (*message.AcceptResponse, error)) (*message.AcceptResponse, error) {
 	response, err := send(request)
 	if err != nil || len(response.Missing) == 0 {
 		return response, err
@@ -279,75 +279,75 @@
 		fuller.Chunks[digest] = text
 	}
 	for _, digest := range response.Missing {
-		if texts[digest] == nil {
+		if chunks[digest] == nil {
 			return nil, rpc.Errorf(rpc.CorruptChunk, "a branch that was asked for is not here")
 		}
-		fuller.Chunks[digest] = texts[digest]
+		fuller.Chunks[digest] = chunks[digest]
 	}
 	return send(&fuller)
 }
 
-func (core *Core) offerTo(peer Peer, request *message.AcceptRequest, texts message.Chunks, limit time.Duration) (*message.AcceptResponse, error) {
+func (core *Core) offerTo(peer Peer, request *message.AcceptRequest, chunks message.Chunks, limit time.Duration) (*message.AcceptResponse, error) {
 	until := time.Now().Add(limit)
-	return offer(request, texts, func(request *message.AcceptRequest) (*message.AcceptResponse, error) {
-		return rpc.Call[message.AcceptRequest, message.AcceptResponse](core.line, peer.Address, "accept", time.Until(until), request)
+	return sendAccept(request, chunks, func(request *message.AcceptRequest) (*message.AcceptResponse, error) {
+		return rpc.Call[message.AcceptRequest, message.AcceptResponse](core.client, peer.Address, "accept", time.Until(until), request)
 	})
 }
 
-// raised is called when this core's own promise rose; an older leadership here ends.
-func (core *Core) raised(term message.Term) {
-	core.sawRound(term.Number)
+// promiseRaised is called when this core's own promise rose; an older leadership here ends.
+func (core *Core) promiseRaised(term message.Term) {
+	core.observeTermNumber(term.Number)
 	core.mutex.Lock()
 	leadership := core.leadership
 	core.mutex.Unlock()
-	if leadership != nil && leadership.ballot.Less(term) {
-		core.revoke(leadership)
+	if leadership != nil && leadership.term.Less(term) {
+		core.endLeadership(leadership)
 	}
 }
 
-func (core *Core) revoke(leadership *Leadership) {
+func (core *Core) endLeadership(leadership *Leadership) {
 	leadership.end()
 	core.mutex.Lock()
 	mine := core.leadership == leadership
 	if mine {
 		core.leadership = nil
-		if core.leader.Term == leadership.ballot {
-			core.leader = message.Leader{Term: leadership.ballot}
+		if core.leader.Term == leadership.term {
+			core.leader = message.Leader{Term: leadership.term}
 		}
-		core.heard = time.Now()
+		core.leaderSeenAt = time.Now()
 	}
 	core.mutex.Unlock()
 	if mine {
 		core.counters.Add("leaderships_ended", 1)
-		if core.chart.Now() == Leading {
-			core.chart.move(Following)
+		if core.role.Current() == Leading {
+			core.role.transition(Following)
 		}
-		core.prompt.Notify()
+		core.wakeElection.Notify()
 	}
 }
 
-func (core *Core) sawRound(round uint64) {
+func (core *Core) observeTermNumber(round uint64) {
 	core.mutex.Lock()
-	core.round = max(core.round, round)
+	core.highestTerm = max(core.highestTerm, round)
 	core.mutex.Unlock()
 }
 
 // commit keeps the texts as they are now, since the next vote may drop some.
-func (core *Core) commit(register message.Register, accepted message.AcceptedValue, texts message.Chunks) {
+func (core *Core) commit(register message.Register, accepted message.AcceptedValue, chunks message.Chunks) {
 	core.mutex.Lock()
 	fresh := core.committed[register].Value.Serial < accepted.Value.Serial
 	if fresh {
 		core.committed[register] = accepted
 		if register == message.SettingsRegister {
-			core.texts = texts
+			core.chunks = chunks
 		}
 	}
 	core.mutex.Unlock()
 	if fresh {
 		core.counters.Add("commits", 1)
-		core.news.Notify()
-		if register == message.RoutingRegister && core.place.enlists() {
-			core.goroutines.Start(func() { core.voter.Committed(register, accepted.Version()) })
+		core.updates.Notify()
+		if register == message.RoutingRegister && core.config.discoversPeers() {
+			core.goroutines.Start(func() { core.replica.MarkCommitted(register, accepted.Version()) })
 		}
 	}
 }
@@ -367,7 +367,7 @@
 	return core.table
 }
 
-func (core *Core) holdTable(table *message.Table) {
+func (core *Core) setTable(table *message.Table) {
 	core.mutex.Lock()
 	fresh := core.table.Version.Less(table.Version)
 	if fresh {
@@ -376,16 +376,16 @@
 	}
 	core.mutex.Unlock()
 	if fresh {
-		core.news.Notify()
+		core.updates.Notify()
 	}
 }
 
-func (core *Core) leading() (*Leadership, error) {
+func (core *Core) currentLeadership() (*Leadership, error) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	if core.leadership == nil {
 		err := &rpc.Error{Code: rpc.NotLeader, Message: "another core leads or none"}
-		if core.leader.Known() && core.leader.Core != core.members().ID {
+		if core.leader.Known() && core.leader.Core != core.membership().ID {
 			rpc.AsError(err).Leader = core.leader.Address
 		}
 		return nil, err
@@ -395,20 +395,20 @@
 
 // Close lets go of the disk, after the threads ended.
 func (core *Core) Close() {
-	core.voter.Close()
+	core.replica.Close()
 	core.claims.journal.Close()
-	core.line.Close()
+	core.client.Close()
 }
 
-// leads is whether this core leads as far as its daemons need to know: in a
+// servesAsLeader is whether this core leads as far as its daemons need to know: in a
 // system whose daemons speak to the leader itself, one that is cut off says no.
-func (core *Core) leads() bool {
-	leadership, err := core.leading()
-	return err == nil && (!core.place.Direct || leadership.holds() == nil)
+func (core *Core) servesAsLeader() bool {
+	leadership, err := core.currentLeadership()
+	return err == nil && (!core.config.DirectSessions || leadership.check() == nil)
 }
 
 // Leads is true while this core leads and every condition stands.
 func (core *Core) Leads() bool {
-	leadership, err := core.leading()
-	return err == nil && leadership.holds() == nil
+	leadership, err := core.currentLeadership()
+	return err == nil && leadership.check() == nil
 }
--- a/control/decide_test.go
+++ b/control/decide_test.go
@@ -23,7 +23,7 @@
 	test.Helper()
 	book := &route.Book{}
 	for number := range uint64(orders) {
-		next, again, err := decide(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number)))
+		next, again, err := applyRoutingChange(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number)))
 		if err != nil || again {
 			test.Fatalf("order %d: again %v, %v", number, again, err)
 		}
@@ -50,7 +50,7 @@
 		"number of the current one, on it":    {changeOf(9, 9, "equal"), rpc.StaleVersion},
 		"number below the current one, on it": {changeOf(8, 9, "below"), rpc.StaleVersion},
 	} {
-		if next, again, err := decide(book, one.change); next != nil || again || err == nil || rpc.CodeOf(err) != one.want {
+		if next, again, err := applyRoutingChange(book, one.change); next != nil || again || err == nil || rpc.CodeOf(err) != one.want {
 			test.Errorf("%s: again %v, %v, want %s", name, again, err, one.want)
 		}
 	}
@@ -62,12 +62,12 @@
 	const orders = 2000
 	book := grown(test, orders)
 	for number := range uint64(orders) {
-		if _, again, err := decide(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); !again {
+		if _, again, err := applyRoutingChange(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); !again {
 			test.Fatalf("order %d of %d sent again: %v", number, orders, err)
 		}
 	}
 	for name, change := range map[string]*route.Change{"another text": changeOf(300, 297, "order 98"), "another number": changeOf(301, 297, "order 99")} {
-		if _, again, err := decide(book, change); again || err == nil || rpc.CodeOf(err) != rpc.StaleBase {
+		if _, again, err := applyRoutingChange(book, change); again || err == nil || rpc.CodeOf(err) != rpc.StaleBase {
 			test.Errorf("%s: again %v, %v", name, again, err)
 		}
 	}
@@ -82,11 +82,11 @@
 		book.Trail = book.Trail.With(12+number*3, "other")
 	}
 	for number, want := range map[uint64]rpc.Code{0: rpc.Forgotten, 2: rpc.Forgotten, 3: rpc.StaleBase} {
-		if _, again, err := decide(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); again || err == nil || rpc.CodeOf(err) != want {
+		if _, again, err := applyRoutingChange(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); again || err == nil || rpc.CodeOf(err) != want {
 			test.Errorf("order %d: again %v, %v, want %s", number, again, err, want)
 		}
 	}
-	if _, _, err := decide(book, changeOf(book.Config.Version, book.Config.Version, "not above")); err == nil || rpc.CodeOf(err) != rpc.StaleVersion {
+	if _, _, err := applyRoutingChange(book, changeOf(book.Config.Version, book.Config.Version, "not above")); err == nil || rpc.CodeOf(err) != rpc.StaleVersion {
 		test.Errorf("a number not above the current one, on it: %v", err)
 	}
 }
@@ -95,7 +95,7 @@
 func TestDecideKeepsTheZones(test *testing.T) {
 	book := grown(test, 1)
 	book.Evacuated, book.Reopened = []string{"a"}, []route.Reopened{{Zone: "b", AtMs: 7}}
-	next, _, err := decide(book, changeOf(6, 3, "more"))
+	next, _, err := applyRoutingChange(book, changeOf(6, 3, "more"))
 	if err != nil || !slices.Equal(next.Evacuated, book.Evacuated) || !slices.Equal(next.Reopened, book.Reopened) {
 		test.Errorf("%+v, %v", next, err)
 	}
--- a/control/draws.go
+++ b/control/draws.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// draws are seeded, so a run can be had again.
-type draws struct {
+// randomSource are seeded, so a run can be had again.
+type randomSource struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 }
 
-func newDraws(seed uint64) *draws {
-	return &draws{random: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15))}
+func newRandomSource(seed uint64) *randomSource {
+	return &randomSource{random: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15))}
 }
 
-func (draws *draws) span(least, most time.Duration) time.Duration {
-	draws.mutex.Lock()
-	defer draws.mutex.Unlock()
+func (source *randomSource) between(least, most time.Duration) time.Duration {
+	source.mutex.Lock()
+	defer source.mutex.Unlock()
 	if most <= least {
 		return least
 	}
-	return least + time.Duration(draws.random.Int64N(int64(most-least)))
+	return least + time.Duration(source.random.Int64N(int64(most-least)))
 }
--- a/control/election.go
+++ b/control/election.go
@@ -8,107 +8,107 @@
 	"k8s.io/klog/v2"
 )
 
-const firstStand = 30 * time.Millisecond
+const firstElectionDelay = 30 * time.Millisecond
 
-func (core *Core) nextPatience() time.Duration {
-	return core.random.span(core.place.Suspect, core.place.Suspect*3/2)
+func (core *Core) nextElectionTimeout() time.Duration {
+	return core.random.between(core.config.SuspicionTimeout, core.config.SuspicionTimeout*3/2)
 }
 
-// firstPatience is that of a core that has heard of no leader since it started:
+// firstElectionTimeout is that of a core that has heard of no leader since it started:
 // where cores know each other by a membership they stand one after the other, so that they don't race.
-func (core *Core) firstPatience() time.Duration {
-	if !core.place.enlists() {
-		return core.nextPatience()
+func (core *Core) firstElectionTimeout() time.Duration {
+	if !core.config.discoversPeers() {
+		return core.nextElectionTimeout()
 	}
-	return firstStand + time.Duration(core.members().rank())*core.place.Suspect*3/5
+	return firstElectionDelay + time.Duration(core.membership().rank())*core.config.SuspicionTimeout*3/5
 }
 
-// cold is whether this core has heard of no leader since it started.
-func (core *Core) cold() bool {
+// neverHeardLeader is whether this core has heard of no leader since it started.
+func (core *Core) neverHeardLeader() bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	return core.place.enlists() && core.leader.Term.Number == 0
+	return core.config.discoversPeers() && core.leader.Term.Number == 0
 }
 
-// elect is the duty of the election thread.
-func (core *Core) elect() {
+// runElections is the duty of the election thread.
+func (core *Core) runElections() {
 	yielded := false
 	for !core.goroutines.Stopping() {
-		seen := core.prompt.Count()
+		seen := core.wakeElection.Count()
 		core.mutex.Lock()
-		passed := core.passed
-		core.passed = nil
-		silent := time.Since(core.heard)
-		patience := core.patience
-		leads := core.leadership != nil
+		passed := core.transfer
+		core.transfer = nil
+		silent := time.Since(core.leaderSeenAt)
+		patience := core.electionTimeout
+		isLeader := core.leadership != nil
 		core.mutex.Unlock()
-		switch standing := core.chart.Now(); {
-		case standing == Retired || standing == Lameduck || leads:
-		case !core.members().known():
-			core.enlist()
+		switch standing := core.role.Current(); {
+		case standing == Retired || standing == Lameduck || isLeader:
+		case !core.membership().known():
+			core.discoverMembership()
 			continue
-		case !core.members().votes():
-			core.learn()
+		case !core.membership().votes():
+			core.followAsLearner()
 			continue
-		case core.voter.Blank():
-			core.chart.move(Blank)
-			core.restore()
+		case core.replica.Blank():
+			core.role.transition(Blank)
+			core.restoreReplica()
 		case standing == Learner:
-			core.begin()
+			core.startFollowing()
 		case passed != nil:
-			core.succeed(passed)
-		case silent > patience && core.members().mayLead(core.members().ID):
-			cold := core.cold()
+			core.takeOver(passed)
+		case silent > patience && core.membership().mayLead(core.membership().ID):
+			cold := core.neverHeardLeader()
 			core.mutex.Lock()
-			heard := core.heard
+			heard := core.leaderSeenAt
 			core.mutex.Unlock()
-			yielded = core.stand(yielded || cold)
-			again := core.random.span(core.place.Beat/2, core.place.Suspect)
+			yielded = core.campaign(yielded || cold)
+			again := core.random.between(core.config.HeartbeatInterval/2, core.config.SuspicionTimeout)
 			if cold {
-				again = core.random.span(core.place.Beat/2, core.place.Beat) + core.firstPatience()
+				again = core.random.between(core.config.HeartbeatInterval/2, core.config.HeartbeatInterval) + core.firstElectionTimeout()
 			}
 			core.mutex.Lock()
-			if core.heard.Equal(heard) {
-				core.patience = time.Since(core.heard) + again
+			if core.leaderSeenAt.Equal(heard) {
+				core.electionTimeout = time.Since(core.leaderSeenAt) + again
 			}
 			core.mutex.Unlock()
 			continue
 		}
-		core.prompt.Wait(seen, core.idle(silent, patience))
+		core.wakeElection.Wait(seen, core.electionIdle(silent, patience))
 	}
 }
 
-// idle is how long nothing is due to the election thread, unless it is prompted.
-func (core *Core) idle(silent, patience time.Duration) time.Duration {
-	switch core.chart.Now() {
+// electionIdle is how long nothing is due to the election thread, unless it is prompted.
+func (core *Core) electionIdle(silent, patience time.Duration) time.Duration {
+	switch core.role.Current() {
 	case Retired, Lameduck, Leading:
-		return core.place.Suspect
+		return core.config.SuspicionTimeout
 	case Following:
 		if silent > patience {
-			return core.place.Beat
+			return core.config.HeartbeatInterval
 		}
 		return max(patience-silent, time.Millisecond)
 	}
-	return core.place.Beat / 4
+	return core.config.HeartbeatInterval / 4
 }
 
-// stand runs one candidacy by fence; true when it gave way to a fitter core.
-func (core *Core) stand(yielded bool) bool {
-	if !core.takesWrites() || !core.chart.move(Prechecking) {
+// campaign runs one candidacy by fence; true when it gave way to a fitter core.
+func (core *Core) campaign(yielded bool) bool {
+	if !core.diskWritable() || !core.role.transition(Prechecking) {
 		return false
 	}
-	defer core.chart.moveBack()
+	defer core.role.abandonCandidacy()
 	core.counters.Add("prechecks", 1)
-	versions, view := core.voter.State().Marks(), core.members()
-	response := askPeers(core, view, func(peer Peer) (*message.PreVoteResponse, error) {
-		return rpc.Call[message.PreVoteRequest, message.PreVoteResponse](core.line, peer.Address, "precheck", core.roundLimit()/2, &message.PreVoteRequest{Core: view.ID, Versions: versions, Membership: view.Mark})
-	}, func(*message.PreVoteResponse) bool { return true }, never)
+	versions, view := core.replica.State().Versions(), core.membership()
+	response := callPeers(core, view, func(peer Peer) (*message.PreVoteResponse, error) {
+		return rpc.Call[message.PreVoteRequest, message.PreVoteResponse](core.client, peer.Address, "precheck", core.callTimeout()/2, &message.PreVoteRequest{Core: view.ID, Versions: versions, Membership: view.Version})
+	}, func(*message.PreVoteResponse) bool { return true }, waitForAll)
 	reach := 1 + len(response)
 	for _, answer := range response {
-		core.sawRound(answer.TermNumber)
-		core.learnMembers(answer.Membership)
+		core.observeTermNumber(answer.TermNumber)
+		core.learnMembership(answer.Membership)
 	}
-	if !core.members().same(view) {
+	if !core.membership().same(view) {
 		core.counters.Add("prechecks_by_old_members", 1)
 		return false
 	}
@@ -123,47 +123,47 @@
 		return false
 	}
 	for id, answer := range response {
-		if !yielded && view.mayLead(id) && answer.Voter && fitter(answer.Versions, answer.Reachable, id, versions, reach, view.ID) {
+		if !yielded && view.mayLead(id) && answer.Voter && betterCandidate(answer.Versions, answer.Reachable, id, versions, reach, view.ID) {
 			core.counters.Add("prechecks_yielded", 1)
 			return true
 		}
 	}
-	if !core.chart.move(Revoking) {
+	if !core.role.transition(Revoking) {
 		return false
 	}
-	term, revoked := core.nextBallot(view)
+	term, revoked := core.nextTerm(view)
 	revocation, err := core.fence(view, term, revoked)
 	if err != nil {
 		core.counters.Add("revocations_short", 1)
 		return false
 	}
-	core.found(view, term, revocation)
+	core.establishLeadership(view, term, revocation)
 	return false
 }
 
-// succeed takes over from a leader that stepped down in this core's favour.
-func (core *Core) succeed(request *message.TransferLeadershipRequest) {
-	if !core.chart.move(Revoking) {
+// takeOver takes over from a leader that stepped down in this core's favour.
+func (core *Core) takeOver(request *message.TransferLeadershipRequest) {
+	if !core.role.transition(Revoking) {
 		return
 	}
-	defer core.chart.moveBack()
-	view := core.members()
-	term, _ := core.nextBallot(view)
-	core.found(view, term, steppedDown(request))
+	defer core.role.abandonCandidacy()
+	view := core.membership()
+	term, _ := core.nextTerm(view)
+	core.establishLeadership(view, term, resigned(request))
 }
 
-// nextBallot is a new ballot of this core's, and the one of the leader it knows.
-func (core *Core) nextBallot(view *View) (next, revoked message.Term) {
+// nextTerm is a new ballot of this core's, and the one of the leader it knows.
+func (core *Core) nextTerm(view *View) (next, revoked message.Term) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	core.round++
-	return message.Term{Number: core.round, Core: view.ID}, core.leader.Term
+	core.highestTerm++
+	return message.Term{Number: core.highestTerm, Core: view.ID}, core.leader.Term
 }
 
-// found establishes under the ballot, by the membership that its revocation counted
+// establishLeadership establishes under the ballot, by the membership that its revocation counted
 // by, and takes the lead.
-func (core *Core) found(view *View, term message.Term, revocation *Revocation) {
-	if !view.mayLead(view.ID) || !core.chart.move(Establishing) {
+func (core *Core) establishLeadership(view *View, term message.Term, revocation *Revocation) {
+	if !view.mayLead(view.ID) || !core.role.transition(Establishing) {
 		return
 	}
 	leadership, err := core.establish(view, term, revocation)
@@ -173,120 +173,122 @@
 	}
 	core.mutex.Lock()
 	core.leadership = leadership
-	core.leader = core.members().leader(term)
-	core.duck, core.successor = false, message.Leader{}
+	core.leader = core.membership().leader(term)
+	core.lameduck, core.successor = false, message.Leader{}
 	core.mutex.Unlock()
-	if core.voter.State().Promised != term || !core.chart.move(Leading) {
-		core.revoke(leadership)
+	if core.replica.State().Promised != term || !core.role.transition(Leading) {
+		core.endLeadership(leadership)
 		return
 	}
-	core.place.Observe(Leading, term)
-	klog.Infof("core %d: leads under %s, revoked %s by %s", core.members().ID, term, leadership.revocation.Revoked, leadership.revocation.Method)
+	core.config.OnRole(Leading, term)
+	klog.Infof("core %d: leads under %s, revoked %s by %s", core.membership().ID, term, leadership.revocation.Revoked, leadership.revocation.Method)
 	for register := range message.Registers {
-		core.commit(register, message.AcceptedValue{Term: term, Value: leadership.value(register)}, leadership.settings().texts)
+		core.commit(register, message.AcceptedValue{Term: term, Value: leadership.value(register)}, leadership.settings().chunks)
 	}
-	core.platform.begin(core.Table().Backends)
-	core.news.Notify()
-	leadership.beat()
+	core.backends.reset(core.Table().Backends)
+	core.updates.Notify()
+	leadership.heartbeat()
 }
 
-// moveBack ends a candidacy that did not come to lead.
-func (chart *Chart) moveBack() {
-	switch chart.Now() {
+// abandonCandidacy ends a candidacy that did not come to lead.
+func (role *RoleState) abandonCandidacy() {
+	switch role.Current() {
 	case Prechecking, Revoking, Establishing:
-		chart.move(Following)
+		role.transition(Following)
 	}
 }
 
-// lead is the duty of the beat thread.
-func (core *Core) lead() {
-	leadership, err := core.leading()
+// sendHeartbeats is the duty of the beat thread.
+func (core *Core) sendHeartbeats() {
+	leadership, err := core.currentLeadership()
 	if err != nil {
 		return
 	}
-	if leadership.beat() {
+	if leadership.heartbeat() {
 		return
 	}
 	leadership.mutex.Lock()
-	silent := time.Since(leadership.majority)
+	silent := time.Since(leadership.lastQuorum)
 	leadership.mutex.Unlock()
-	if silent > 2*core.place.Suspect {
+	if silent > 2*core.config.SuspicionTimeout {
 		core.counters.Add("leaderships_lost_reach", 1)
-		core.revoke(leadership)
+		core.endLeadership(leadership)
 	}
 }
 
-func (core *Core) voterPromise(request *message.PrepareRequest) (*message.PrepareResponse, error) {
-	if known := core.members().accepted(); message.Supersedes(known, request.Membership) {
-		return &message.PrepareResponse{Promised: core.voter.State().Promised, Membership: known}, nil
+func (core *Core) onPrepare(request *message.PrepareRequest) (*message.PrepareResponse, error) {
+	if known := core.membership().accepted(); message.Supersedes(known, request.Membership) {
+		return &message.PrepareResponse{Promised: core.replica.State().Promised, Membership: known}, nil
 	}
-	core.sawRound(request.Term.Number)
-	response, err := core.voter.Promise(request)
+	core.observeTermNumber(request.Term.Number)
+	response, err := core.replica.Prepare(request)
 	if err == nil && response.Granted {
 		core.mutex.Lock()
-		core.heard = time.Now()
-		core.patience = core.nextPatience()
+		core.leaderSeenAt = time.Now()
+		core.electionTimeout = core.nextElectionTimeout()
 		core.mutex.Unlock()
 	}
 	return response, err
 }
 
-func (core *Core) voterAccept(request *message.AcceptRequest) (*message.AcceptResponse, error) {
-	core.sawRound(request.Term.Number)
-	return core.voter.Accept(request)
+func (core *Core) onAccept(request *message.AcceptRequest) (*message.AcceptResponse, error) {
+	core.observeTermNumber(request.Term.Number)
+	return core.replica.Accept(request)
 }
 
-func (core *Core) onPrecheck(request *message.PreVoteRequest) (*message.PreVoteResponse, error) {
-	state := core.voter.State()
+func (core *Core) onPreVote(request *message.PreVoteRequest) (*message.PreVoteResponse, error) {
+	state := core.replica.State()
 	core.mutex.Lock()
-	heard := core.leadership != nil || (core.leader.Known() && !core.duck && time.Since(core.heard) < core.place.Suspect)
-	round := max(core.round, state.Promised.Number)
+	heard := core.leadership != nil || (core.leader.Known() && !core.lameduck && time.Since(core.leaderSeenAt) < core.config.SuspicionTimeout)
+	round := max(core.highestTerm, state.Promised.Number)
 	core.mutex.Unlock()
-	votes := core.Sound()
-	return &message.PreVoteResponse{Granted: votes && !heard, LeaderAlive: heard, Voter: votes, Versions: state.Marks(), Reachable: core.reach(), TermNumber: round, Membership: core.newerMembers(request.Membership)}, nil
+	votes := core.CanVote()
+	return &message.PreVoteResponse{Granted: votes && !heard, LeaderAlive: heard, Voter: votes, Versions: state.Versions(), Reachable: core.reachableCores(), TermNumber: round, Membership: core.newerMembership(request.Membership)}, nil
 }
 
-// reach is how many cores told something lately, this one included.
-func (core *Core) reach() int { return 1 + core.sessions.coresHeard(core.place.Suspect*2) }
+// reachableCores is how many cores told something lately, this one included.
+func (core *Core) reachableCores() int {
+	return 1 + core.sessions.recentCores(core.config.SuspicionTimeout*2)
+}
 
-func (core *Core) onBeat(request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
-	state := core.voter.State()
-	core.sawRound(request.Term.Number)
+func (core *Core) onHeartbeat(request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
+	state := core.replica.State()
+	core.observeTermNumber(request.Term.Number)
 	if request.Term.Less(state.Promised) {
-		return &message.HeartbeatResponse{Voter: state.Founded, Promised: state.Promised, Versions: state.Marks()}, nil
+		return &message.HeartbeatResponse{Voter: state.Initialized, Promised: state.Promised, Versions: state.Versions()}, nil
 	}
 	core.mutex.Lock()
 	moved := core.leader.Term != request.Term
-	core.leader, core.heard = request.Leader, time.Now()
-	core.duck, core.successor = request.Lameduck, request.Successor
-	core.wanted = request.Table
-	core.patience = core.nextPatience()
+	core.leader, core.leaderSeenAt = request.Leader, time.Now()
+	core.lameduck, core.successor = request.Lameduck, request.Successor
+	core.wantedTable = request.Table
+	core.electionTimeout = core.nextElectionTimeout()
 	core.mutex.Unlock()
 	if request.NowMs > 0 {
 		core.clock.AddOneWay(request.NowMs)
 	}
 	if moved {
-		klog.Infof("core %d: follows core %d under %s", core.members().ID, request.Leader.Core, request.Term)
-		core.news.Notify()
+		klog.Infof("core %d: follows core %d under %s", core.membership().ID, request.Leader.Core, request.Term)
+		core.updates.Notify()
 	}
 	for register := range request.Committed {
 		if accepted := state.Accepted[register]; accepted.Version() == request.Committed[register] {
-			core.commit(message.Register(register), accepted, state.Texts)
+			core.commit(message.Register(register), accepted, state.Chunks)
 		}
 	}
-	response := &message.HeartbeatResponse{Accepted: true, Voter: state.Founded, RefusesWrites: !core.takesWrites(), Promised: state.Promised, Versions: state.Marks(), Reachable: core.reach()}
-	response.AnchorMs, response.NowMs = core.toldClock()
+	response := &message.HeartbeatResponse{Accepted: true, Voter: state.Initialized, RefusesWrites: !core.diskWritable(), Promised: state.Promised, Versions: state.Versions(), Reachable: core.reachableCores()}
+	response.AnchorMs, response.NowMs = core.clockTimes()
 	return response, nil
 }
 
-func (core *Core) onStepDown(request *message.TransferLeadershipRequest) (*message.TransferLeadershipResponse, error) {
-	state := core.voter.State()
-	if !core.Sound() || request.Term.Less(state.Promised) || core.chart.Now() != Following {
+func (core *Core) onTransferLeadership(request *message.TransferLeadershipRequest) (*message.TransferLeadershipResponse, error) {
+	state := core.replica.State()
+	if !core.CanVote() || request.Term.Less(state.Promised) || core.role.Current() != Following {
 		return &message.TransferLeadershipResponse{}, nil
 	}
 	core.mutex.Lock()
-	core.passed = request
+	core.transfer = request
 	core.mutex.Unlock()
-	core.prompt.Notify()
+	core.wakeElection.Notify()
 	return &message.TransferLeadershipResponse{Accepted: true}, nil
 }
--- a/control/enlist.go
+++ b/control/enlist.go
@@ -13,77 +13,79 @@
 )
 
 const (
-	foundersMost = 99
-	enlistPace   = 150 * time.Millisecond
+	maxFounders  = 99
+	joinInterval = 150 * time.Millisecond
 )
 
-// Enlisted are the cores that asked who votes before anybody did.
-type Enlisted struct {
-	mutex sync.Mutex
-	seen  map[string]bool
-	newer time.Time
+// Founding are the cores that asked who votes before anybody did.
+type Founding struct {
+	mutex       sync.Mutex
+	seen        map[string]bool
+	lastAddedAt time.Time
 }
 
-func newEnlisted(wire string) *Enlisted {
-	return &Enlisted{seen: map[string]bool{wire: true}, newer: time.Now()}
+func newFounding(wire string) *Founding {
+	return &Founding{seen: map[string]bool{wire: true}, lastAddedAt: time.Now()}
 }
 
-func (enlisted *Enlisted) take(address string) {
-	enlisted.mutex.Lock()
-	defer enlisted.mutex.Unlock()
-	if !enlisted.seen[address] && len(enlisted.seen) < foundersMost {
-		enlisted.seen[address] = true
-		enlisted.newer = time.Now()
+func (founding *Founding) add(address string) {
+	founding.mutex.Lock()
+	defer founding.mutex.Unlock()
+	if !founding.seen[address] && len(founding.seen) < maxFounders {
+		founding.seen[address] = true
+		founding.lastAddedAt = time.Now()
 	}
 }
 
 // complete gives the addresses once all seeds and at least so many are there,
 // and none came for a while.
-func (enlisted *Enlisted) complete(seeds []string, least int, quiet time.Duration) ([]string, bool) {
-	enlisted.mutex.Lock()
-	defer enlisted.mutex.Unlock()
-	if len(enlisted.seen) < least || time.Since(enlisted.newer) < quiet {
+func (founding *Founding) complete(seeds []string, least int, quiet time.Duration) ([]string, bool) {
+	founding.mutex.Lock()
+	defer founding.mutex.Unlock()
+	if len(founding.seen) < least || time.Since(founding.lastAddedAt) < quiet {
 		return nil, false
 	}
 	for _, seed := range seeds {
-		if !enlisted.seen[seed] {
+		if !founding.seen[seed] {
 			return nil, false
 		}
 	}
 	addresses := []string{}
-	for address := range enlisted.seen {
+	for address := range founding.seen {
 		addresses = append(addresses, address)
 	}
 	return addresses, true
 }
 
-// opening is whether this disk has been there since the system's first start:
+// sinceBootstrap is whether this disk has been there since the system's first start:
 // only such a disk may become a voter without asking those that vote.
-func (core *Core) opening() bool { return core.place.Found || core.voter.State().Opening }
+func (core *Core) sinceBootstrap() bool {
+	return core.config.Bootstrap || core.replica.State().SinceBootstrap
+}
 
 // founder is the seed that says who votes at the first start.
 func (core *Core) founder() string {
-	return slices.MinFunc(core.place.Seeds, compareAddresses)
+	return slices.MinFunc(core.config.Seeds, compareAddresses)
 }
 
-// enlist is the duty of a core that knows no membership: it asks the seeds for one
+// discoverMembership is the duty of a core that knows no membership: it asks the seeds for one
 // and, being the founder at the first start, makes it of all that asked.
-func (core *Core) enlist() {
-	if core.place.Found && !core.voter.State().Opening {
-		if core.voter.Open() != nil {
-			core.goroutines.Sleep(enlistPace)
+func (core *Core) discoverMembership() {
+	if core.config.Bootstrap && !core.replica.State().SinceBootstrap {
+		if core.replica.MarkSinceBootstrap() != nil {
+			core.goroutines.Sleep(joinInterval)
 			return
 		}
 	}
 	seeds := []string{}
-	for _, seed := range core.place.Seeds {
-		if seed != core.place.Wire {
+	for _, seed := range core.config.Seeds {
+		if seed != core.config.InternalAddress {
 			seeds = append(seeds, seed)
 		}
 	}
-	request := &message.JoinRequest{Address: core.place.Wire, SinceBootstrap: core.opening()}
+	request := &message.JoinRequest{Address: core.config.InternalAddress, SinceBootstrap: core.sinceBootstrap()}
 	got, _ := concurrent.Gather(core.goroutines, len(seeds), func(index int) (*message.JoinResponse, error) {
-		return rpc.Call[message.JoinRequest, message.JoinResponse](core.line, seeds[index], "enlist", core.roundLimit(), request)
+		return rpc.Call[message.JoinRequest, message.JoinResponse](core.client, seeds[index], "enlist", core.callTimeout(), request)
 	}, func(got map[int]*message.JoinResponse, _ map[int]error) bool {
 		for _, response := range got {
 			if response.Membership.Value.Serial > 0 {
@@ -94,60 +96,60 @@
 	})
 	for _, response := range got {
 		if response.Membership.Value.Serial > 0 {
-			core.join(response.Membership)
+			core.adoptFirstMembership(response.Membership)
 			return
 		}
 	}
-	if core.opening() && core.founder() == core.place.Wire {
-		if addresses, complete := core.enlisted.complete(core.place.Seeds, core.place.Least, core.place.Quiet); complete {
-			core.join(firstMembership(addresses).accepted())
+	if core.sinceBootstrap() && core.founder() == core.config.InternalAddress {
+		if addresses, complete := core.founding.complete(core.config.Seeds, core.config.MinFounders, core.config.FoundingQuiet); complete {
+			core.adoptFirstMembership(firstMembership(addresses).accepted())
 			return
 		}
 	}
-	core.goroutines.Sleep(enlistPace)
+	core.goroutines.Sleep(joinInterval)
 }
 
-// join takes the first membership that this core hears of. At the system's first
+// adoptFirstMembership takes the first membership that this core hears of. At the system's first
 // start it votes by it at once: a disk that has been there since then never voted.
-func (core *Core) join(accepted message.AcceptedValue) {
+func (core *Core) adoptFirstMembership(accepted message.AcceptedValue) {
 	membership, err := membershipOf(accepted)
 	if err != nil || membership == nil {
 		return
 	}
-	view := viewOf(core.place.Wire, membership)
-	founds := mayEnrol(core.opening(), view)
+	view := viewOf(core.config.InternalAddress, membership)
+	founds := mayVoteAtOnce(core.sinceBootstrap(), view)
 	if founds {
-		if err := core.voter.Enrol(accepted); err != nil {
-			core.goroutines.Sleep(enlistPace)
+		if err := core.replica.Join(accepted); err != nil {
+			core.goroutines.Sleep(joinInterval)
 			return
 		}
 	}
-	core.learnMembers(accepted)
+	core.learnMembership(accepted)
 	core.counters.Add("memberships_joined", 1)
-	klog.Infof("core %d at %s: %d cores vote, a voter at once: %v", view.ID, view.Wire, len(membership.Voters), founds)
+	klog.Infof("core %d at %s: %d cores vote, a voter at once: %v", view.ID, view.Address, len(membership.Voters), founds)
 	if founds {
-		core.beginClaims(view.ID)
-		core.begin()
+		core.startClaims(view.ID)
+		core.startFollowing()
 	}
 }
 
-// mayEnrol is whether a core that first hears of a membership is a voter of it at once.
-func mayEnrol(opening bool, view *View) bool { return opening && view.votes() }
+// mayVoteAtOnce is whether a core that first hears of a membership is a voter of it at once.
+func mayVoteAtOnce(opening bool, view *View) bool { return opening && view.votes() }
 
-func (core *Core) onEnlist(request *message.JoinRequest) (*message.JoinResponse, error) {
-	if !core.members().known() {
-		core.enlisted.take(request.Address)
+func (core *Core) onJoin(request *message.JoinRequest) (*message.JoinResponse, error) {
+	if !core.membership().known() {
+		core.founding.add(request.Address)
 		return &message.JoinResponse{}, nil
 	}
 	response := &message.JoinResponse{}
-	if leadership, err := core.leading(); err == nil && !core.members().has(request.Address) {
+	if leadership, err := core.currentLeadership(); err == nil && !core.membership().has(request.Address) {
 		response.Admitted = leadership.admit(request.Address)
-		response.Term = leadership.ballot
+		response.Term = leadership.term
 	}
-	response.Membership = core.newerMembers(request.Known)
-	leads := core.leads()
+	response.Membership = core.newerMembership(request.Known)
+	isLeader := core.servesAsLeader()
 	core.mutex.Lock()
-	if leads || time.Since(core.heard) < core.place.Suspect {
+	if isLeader || time.Since(core.leaderSeenAt) < core.config.SuspicionTimeout {
 		response.Leader = core.leader
 	}
 	core.mutex.Unlock()
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -9,10 +9,10 @@
 	"orchidjunction/rpc"
 )
 
-const reopenedStays = time.Minute
+const restoredZoneTTL = time.Minute
 
-// evacuate is the book after an order on a zone, nil when the order changes nothing.
-func evacuate(book *route.Book, order *message.EvacuateRequest, now int64) *route.Book {
+// applyEvacuation is the book after an order on a zone, nil when the order changes nothing.
+func applyEvacuation(book *route.Book, order *message.EvacuateRequest, now int64) *route.Book {
 	index, found := slices.BinarySearch(book.Evacuated, order.Zone)
 	if found == order.Begin {
 		return nil
@@ -24,7 +24,7 @@
 	} else {
 		next.Evacuated = slices.Delete(slices.Clone(book.Evacuated), index, index+1)
 		next.Reopened = slices.DeleteFunc(slices.Clone(book.Reopened), func(one route.Reopened) bool {
-			return one.Zone == order.Zone || now-one.AtMs > reopenedStays.Milliseconds()
+			return one.Zone == order.Zone || now-one.AtMs > restoredZoneTTL.Milliseconds()
 		})
 		next.Reopened = append(next.Reopened, route.Reopened{Zone: order.Zone, AtMs: now})
 	}
@@ -35,16 +35,16 @@
 // under way while the zone changed is not carried out: its operator gave up on it,
 // and may have been told since that the contrary is in force.
 func (core *Core) onEvacuate(order *message.EvacuateRequest) (*message.EvacuateResponse, error) {
-	leadership, err := core.leading()
+	leadership, err := core.currentLeadership()
 	if err != nil {
 		return nil, err
 	}
 	if order.QueryOnly {
-		return &message.EvacuateResponse{Changes: leadership.book().Changes(order.Zone)}, nil
+		return &message.EvacuateResponse{Changes: leadership.currentRouting().Changes(order.Zone)}, nil
 	}
 	response, changed := &message.EvacuateResponse{}, false
 	response.Serial, err = leadership.writeRouting(func(book *route.Book) (*route.Book, error) {
-		next := evacuate(book, order, core.Now())
+		next := applyEvacuation(book, order, core.Now())
 		if response.Changes = book.Changes(order.Zone); next != nil && response.Changes != order.ExpectedChanges {
 			return nil, rpc.Errorf(rpc.ZoneChanged, "changed %d times, the order is upon %d", response.Changes, order.ExpectedChanges)
 		}
@@ -52,7 +52,7 @@
 		return next, nil
 	})
 	if err == nil && !changed {
-		err = leadership.proven(nil)
+		err = leadership.confirmDecision(nil)
 	}
 	if err != nil {
 		core.counters.Add("evacuations_"+string(rpc.CodeOf(err)), 1)
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -20,7 +20,7 @@
 		return nil, err
 	}
 	log.journal.limit = segment
-	log.book.Remember(keep.FirstSpan)
+	log.store.Remember(keep.FirstSpan)
 	return &TestClaims{log: log}, nil
 }
 
@@ -29,15 +29,15 @@
 	if err := claims.log.repair(); err != nil {
 		return nil, err
 	}
-	return claims.log.writeGroup([]*keepWait{{message: request}})
+	return claims.log.writeGroup([]*pendingWrite{{request: request}})
 }
 
 func (claims *TestClaims) Held(key message.ClaimKey) (message.ClaimRecord, bool) {
-	return claims.log.book.Held(key)
+	return claims.log.store.Held(key)
 }
 
 // Refuses is whether the disk refused the last group.
-func (claims *TestClaims) Refuses() bool { return claims.log.journal.fault != nil }
+func (claims *TestClaims) Refuses() bool { return claims.log.journal.err != nil }
 
 // PackedFrame is a payload as it stands in a file.
 func PackedFrame(payload []byte) []byte { return newFrame(payload) }
--- a/control/frame.go
+++ b/control/frame.go
@@ -39,8 +39,8 @@
 	return payload, binary.BigEndian.Uint32(frame[6:]) == crc32.Checksum(payload, frameTable)
 }
 
-// soundAfter tells whether any whole frame begins later in the bytes.
-func (frame Frame) soundAfter() bool {
+// validFrameFollows tells whether any whole frame begins later in the bytes.
+func (frame Frame) validFrameFollows() bool {
 	for start := 1; start+frameHeader <= len(frame); start++ {
 		if frame[start] != frameMagic>>8 || frame[start+1] != frameMagic&0xff {
 			continue
--- a/control/journal.go
+++ b/control/journal.go
@@ -30,26 +30,26 @@
 	size   int64
 	limit  int64
 	file   File
-	fault  error
+	err    error
 }
 
-func storeFault(kind rpc.Code, err error, format string, values ...any) error {
+func diskError(kind rpc.Code, err error, format string, values ...any) error {
 	wrapped := oops.Code(string(kind)).In("store").Wrapf(err, format, values...)
 	return rpc.Errorf(kind, "%v", wrapped)
 }
 
-func numbered(name string, number uint64) string { return fmt.Sprintf("%s-%016d", name, number) }
+func fileName(name string, number uint64) string { return fmt.Sprintf("%s-%016d", name, number) }
 
-// numbers lists the files of one name in order.
-func numbers(disk Disk, name string) ([]uint64, error) {
+// fileNumbers lists the files of one name in order.
+func fileNumbers(disk Disk, name string) ([]uint64, error) {
 	names, err := disk.List()
 	if err != nil {
-		return nil, storeFault(rpc.DiskFailure, err, "list")
+		return nil, diskError(rpc.DiskFailure, err, "list")
 	}
 	found := []uint64{}
 	for _, file := range names {
 		var number uint64
-		if _, err := fmt.Sscanf(file, name+"-%d", &number); err == nil && file == numbered(name, number) {
+		if _, err := fmt.Sscanf(file, name+"-%d", &number); err == nil && file == fileName(name, number) {
 			found = append(found, number)
 		}
 	}
@@ -57,14 +57,14 @@
 	return found, nil
 }
 
-// loadJournal lays every frame from the first segment on; segments before it are
+// OpenJournal lays every frame from the first segment on; segments before it are
 // passed over. It only reads: the journal takes blocks once its owner has begun a
 // segment or rewritten the last one. The last one is not extended as it was found,
 // since a failed sync of the former process may have left frames that can be read
 // and are not on the disk.
-func loadJournal(disk Disk, name string, first uint64, lay func(segment uint64, payload []byte) error) (*Journal, error) {
+func OpenJournal(disk Disk, name string, first uint64, lay func(segment uint64, payload []byte) error) (*Journal, error) {
 	journal := &Journal{disk: disk, name: name, number: first, limit: segmentLimit}
-	segments, err := numbers(disk, name)
+	segments, err := fileNumbers(disk, name)
 	if err != nil {
 		return nil, err
 	}
@@ -73,9 +73,9 @@
 	}
 	for index, number := range segments {
 		if number != first+uint64(index) {
-			return nil, rpc.Errorf(rpc.CorruptStore, "%s is missing", numbered(name, first+uint64(index)))
+			return nil, rpc.Errorf(rpc.CorruptStore, "%s is missing", fileName(name, first+uint64(index)))
 		}
-		if err := journal.load(number, index == len(segments)-1, lay); err != nil {
+		if err := journal.loadSegment(number, index == len(segments)-1, lay); err != nil {
 			return nil, err
 		}
 		journal.number = number
@@ -83,17 +83,17 @@
 	return journal, nil
 }
 
-func (journal *Journal) load(number uint64, last bool, lay func(segment uint64, payload []byte) error) error {
-	name := numbered(journal.name, number)
+func (journal *Journal) loadSegment(number uint64, last bool, lay func(segment uint64, payload []byte) error) error {
+	name := fileName(journal.name, number)
 	body, err := journal.disk.Read(name)
 	if err != nil {
-		return storeFault(rpc.DiskFailure, err, "read %s", name)
+		return diskError(rpc.DiskFailure, err, "read %s", name)
 	}
 	rest, taken := Frame(body), int64(0)
 	for len(rest) > 0 {
 		payload, sound := rest.payload()
 		if !sound {
-			if !last || rest.soundAfter() {
+			if !last || rest.validFrameFollows() {
 				return rpc.Errorf(rpc.CorruptStore, "%s fails its checksum at byte %d", name, taken)
 			}
 			break
@@ -108,9 +108,9 @@
 	return nil
 }
 
-// begin makes an empty segment the last one. Its name lasts before it is used.
-func (journal *Journal) begin(number uint64) error {
-	name := numbered(journal.name, number)
+// Begin makes an empty segment the last one. Its name lasts before it is used.
+func (journal *Journal) Begin(number uint64) error {
+	name := fileName(journal.name, number)
 	file, err := journal.disk.Create(name)
 	if err == nil {
 		err = file.Sync()
@@ -118,37 +118,37 @@
 	if err == nil {
 		err = journal.disk.Sync()
 	}
-	return journal.take(file, number, 0, err)
+	return journal.use(file, number, 0, err)
 }
 
-// rewrite puts a new file with the sound content in the last segment's place.
-func (journal *Journal) rewrite() error {
+// Rewrite puts a new file with the sound content in the last segment's place.
+func (journal *Journal) Rewrite() error {
 	if journal.size == 0 {
-		return journal.begin(journal.number)
+		return journal.Begin(journal.number)
 	}
-	name := numbered(journal.name, journal.number)
+	name := fileName(journal.name, journal.number)
 	body, err := journal.disk.Read(name)
 	if err == nil && int64(len(body)) < journal.size {
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil {
-		return journal.take(nil, journal.number, journal.size, err)
+		return journal.use(nil, journal.number, journal.size, err)
 	}
 	file, err := replaceFile(journal.disk, name, body[:journal.size])
-	return journal.take(file, journal.number, journal.size, err)
+	return journal.use(file, journal.number, journal.size, err)
 }
 
-// take goes on with a file, or with none after a fault.
-func (journal *Journal) take(file File, number uint64, size int64, err error) error {
+// use goes on with a file, or with none after a fault.
+func (journal *Journal) use(file File, number uint64, size int64, err error) error {
 	if err != nil {
 		if file != nil {
 			_ = file.Close() // its sync or its naming failed already
 		}
-		journal.fault = storeFault(rpc.DiskFailure, err, "begin %s", numbered(journal.name, number))
-		return journal.fault
+		journal.err = diskError(rpc.DiskFailure, err, "begin %s", fileName(journal.name, number))
+		return journal.err
 	}
 	journal.Close()
-	journal.file, journal.number, journal.size, journal.fault = file, number, size, nil
+	journal.file, journal.number, journal.size, journal.err = file, number, size, nil
 	return nil
 }
 
@@ -178,33 +178,33 @@
 	return file, nil
 }
 
-// full is whether a block should go into the next segment.
-func (journal *Journal) full(block []byte) bool {
+// Full is whether a block should go into the next segment.
+func (journal *Journal) Full(block []byte) bool {
 	return journal.size > 0 && journal.size+int64(len(block)) > journal.limit
 }
 
 // Append lasts once it returns without a mishap; after one the journal takes
 // nothing more.
 func (journal *Journal) Append(block []byte) error {
-	if journal.fault != nil {
-		return journal.fault
+	if journal.err != nil {
+		return journal.err
 	}
-	name := numbered(journal.name, journal.number)
+	name := fileName(journal.name, journal.number)
 	if _, err := journal.file.Write(block); err != nil {
-		journal.fault = storeFault(rpc.DiskFailure, err, "write %s", name)
-		return journal.fault
+		journal.err = diskError(rpc.DiskFailure, err, "write %s", name)
+		return journal.err
 	}
 	if err := journal.file.Sync(); err != nil {
-		journal.fault = storeFault(rpc.DiskFailure, err, "sync %s", name)
-		return journal.fault
+		journal.err = diskError(rpc.DiskFailure, err, "sync %s", name)
+		return journal.err
 	}
 	journal.size += int64(len(block))
 	return nil
 }
 
-// sweep removes files of a name below a number, oldest first.
-func sweep(disk Disk, name string, below uint64, removed func() error) error {
-	found, err := numbers(disk, name)
+// RemoveBefore removes files of a name below a number, oldest first.
+func RemoveBefore(disk Disk, name string, below uint64, removed func() error) error {
+	found, err := fileNumbers(disk, name)
 	if err != nil {
 		return err
 	}
@@ -212,12 +212,12 @@
 		if number >= below {
 			break
 		}
-		err := disk.Remove(numbered(name, number))
+		err := disk.Remove(fileName(name, number))
 		if err == nil {
 			err = removed()
 		}
 		if err != nil {
-			return storeFault(rpc.DiskFailure, err, "remove %s", numbered(name, number))
+			return diskError(rpc.DiskFailure, err, "remove %s", fileName(name, number))
 		}
 	}
 	return nil
@@ -229,8 +229,8 @@
 	}
 }
 
-// packFrame is one frame of a value.
-func packFrame(value any) ([]byte, error) {
+// EncodeFrame is one frame of a value.
+func EncodeFrame(value any) ([]byte, error) {
 	payload, err := rpc.Marshal(value)
 	if err != nil {
 		return nil, rpc.AsError(err)
@@ -238,12 +238,12 @@
 	return newFrame(payload), nil
 }
 
-// sweepDrafts removes drafts that a crash left. One that stays is overwritten when
+// RemoveDrafts removes drafts that a crash left. One that stays is overwritten when
 // its name is used again.
-func sweepDrafts(disk Disk) error {
+func RemoveDrafts(disk Disk) error {
 	names, err := disk.List()
 	if err != nil {
-		return storeFault(rpc.DiskFailure, err, "list")
+		return diskError(rpc.DiskFailure, err, "list")
 	}
 	for _, name := range names {
 		if strings.HasSuffix(name, draftSuffix) {
--- a/control/lameduck.go
+++ b/control/lameduck.go
@@ -12,60 +12,60 @@
 // new ones are refused with the heir's name, and the heir is asked to take over.
 func (core *Core) Retire(limit time.Duration) {
 	until := time.Now().Add(limit)
-	leadership, err := core.leading()
-	if err != nil || !core.chart.move(Lameduck) {
-		core.chart.move(Retired)
-		core.leave(until)
+	leadership, err := core.currentLeadership()
+	if err != nil || !core.role.transition(Lameduck) {
+		core.role.transition(Retired)
+		core.leaveMembership(until)
 		return
 	}
 	core.counters.Add("lameducks", 1)
 	passed := map[int]bool{}
 	for time.Now().Before(until) {
-		heir, found := leadership.heir(passed)
+		heir, found := leadership.bestSuccessor(passed)
 		if !found {
 			break
 		}
 		passed[heir.ID] = true
-		if leadership.handOver(heir, until) {
+		if leadership.transferTo(heir, until) {
 			break
 		}
 	}
-	core.revoke(leadership)
-	core.chart.move(Retired)
-	core.leave(until)
+	core.endLeadership(leadership)
+	core.role.transition(Retired)
+	core.leaveMembership(until)
 }
 
-// handOver names the heir, lets the write in flight end and steps down; true
+// transferTo names the heir, lets the write in flight end and steps down; true
 // once this core promised a newer ballot, which is the heir's revocation seen from here.
-func (leadership *Leadership) handOver(heir Peer, until time.Time) bool {
+func (leadership *Leadership) transferTo(heir Peer, until time.Time) bool {
 	core := leadership.core
 	leadership.mutex.Lock()
-	leadership.duck = true
+	leadership.lameduck = true
 	leadership.successor = message.Leader{Core: heir.ID, Address: heir.Address}
 	leadership.mutex.Unlock()
-	leadership.beat()
-	leadership.writes.Lock()
-	defer leadership.writes.Unlock()
-	klog.Infof("core %d: lameduck, hands over to core %d", core.members().ID, heir.ID)
-	request := &message.TransferLeadershipRequest{Term: leadership.ballot, From: core.members().ID, Versions: core.voter.State().Marks()}
-	for _, waiting := range leadership.succession.waiting(learnerSpan*core.place.Suspect, core.members()) {
+	leadership.heartbeat()
+	leadership.writeLock.Lock()
+	defer leadership.writeLock.Unlock()
+	klog.Infof("core %d: lameduck, hands over to core %d", core.membership().ID, heir.ID)
+	request := &message.TransferLeadershipRequest{Term: leadership.term, From: core.membership().ID, Versions: core.replica.State().Versions()}
+	for _, waiting := range leadership.replacements.waitingLearners(learnerTimeouts*core.config.SuspicionTimeout, core.membership()) {
 		request.Learners = append(request.Learners, waiting.Address)
 	}
-	response, err := rpc.Call[message.TransferLeadershipRequest, message.TransferLeadershipResponse](core.line, heir.Address, "stepdown", core.roundLimit(), request)
+	response, err := rpc.Call[message.TransferLeadershipRequest, message.TransferLeadershipResponse](core.client, heir.Address, "stepdown", core.callTimeout(), request)
 	if err != nil || !response.Accepted {
 		core.counters.Add("handovers_refused", 1)
 		return false
 	}
-	patience := time.Now().Add(2 * core.place.Suspect)
-	for time.Now().Before(patience) && time.Now().Before(until) {
+	deadline := time.Now().Add(2 * core.config.SuspicionTimeout)
+	for time.Now().Before(deadline) && time.Now().Before(until) {
 		core.mutex.Lock()
-		led := leadership.ballot.Less(core.leader.Term)
+		led := leadership.term.Less(core.leader.Term)
 		core.mutex.Unlock()
 		if led {
 			core.counters.Add("handovers", 1)
 			return true
 		}
-		if !core.goroutines.Sleep(core.place.Beat / 8) {
+		if !core.goroutines.Sleep(core.config.HeartbeatInterval / 8) {
 			return false
 		}
 	}
--- a/control/membership.go
+++ b/control/membership.go
@@ -16,10 +16,10 @@
 // majority of both. So any quorum of a version meets any quorum of the version
 // before it, and a leadership under an older version can't decide unnoticed.
 type Membership struct {
-	Mark   message.Version
-	Voters []Peer
-	Next   []Peer
-	LastID int
+	Version message.Version
+	Voters  []Peer
+	Next    []Peer
+	LastID  int
 }
 
 // firstSerial is that of the founding membership: no voter was ever replaced.
@@ -38,7 +38,7 @@
 
 // givenMembership is the first version, made of peers that were named.
 func givenMembership(peers []Peer) *Membership {
-	membership := &Membership{Mark: message.Version{Serial: firstSerial}, Voters: slices.Clone(peers)}
+	membership := &Membership{Version: message.Version{Serial: firstSerial}, Voters: slices.Clone(peers)}
 	slices.SortFunc(membership.Voters, comparePeers)
 	for _, peer := range peers {
 		membership.LastID = max(membership.LastID, peer.ID)
@@ -59,7 +59,7 @@
 	if err := voters.Check(); err != nil {
 		return nil, err
 	}
-	return &Membership{Mark: accepted.Version(), Voters: voters.Current, Next: voters.Next, LastID: voters.LastID}, nil
+	return &Membership{Version: accepted.Version(), Voters: voters.Current, Next: voters.Next, LastID: voters.LastID}, nil
 }
 
 // accepted is the membership as the register's value under its mark.
@@ -68,7 +68,7 @@
 		return message.AcceptedValue{}
 	}
 	body, _ := rpc.Marshal(membership.voters())
-	return message.AcceptedValue{Term: membership.Mark.Term, Value: message.Value{Serial: membership.Mark.Serial, Body: body}}
+	return message.AcceptedValue{Term: membership.Version.Term, Value: message.Value{Serial: membership.Version.Serial, Body: body}}
 }
 
 // voters is the membership as the register's content.
@@ -137,11 +137,11 @@
 // its own for certain only once the step that gave it is decided.
 func (membership *Membership) mayLead(id int) bool { return contains(membership.Voters, id) }
 
-// replaced is the step that puts a machine at an address into a voter's place,
+// withReplacement is the step that puts a machine at an address into a voter's place,
 // under a new ID.
-func (membership *Membership) replaced(leaving int, address string) *Membership {
+func (membership *Membership) withReplacement(leaving int, address string) *Membership {
 	step := &Membership{Voters: membership.Voters, LastID: membership.LastID + 1}
-	step.Mark.Serial = membership.Mark.Serial + 1
+	step.Version.Serial = membership.Version.Serial + 1
 	for _, peer := range membership.Voters {
 		if peer.ID != leaving {
 			step.Next = append(step.Next, peer)
@@ -151,10 +151,10 @@
 	return step
 }
 
-// settled is the version that ends a step: only the following voters are left.
-func (membership *Membership) settled() *Membership {
+// withoutFormer is the version that ends a step: only the following voters are left.
+func (membership *Membership) withoutFormer() *Membership {
 	next := &Membership{Voters: membership.Next, LastID: membership.LastID}
-	next.Mark.Serial = membership.Mark.Serial + 1
+	next.Version.Serial = membership.Version.Serial + 1
 	return next
 }
 
@@ -162,14 +162,14 @@
 // vote, and Peers are all voters but that core.
 type View struct {
 	*Membership
-	Wire  string
-	ID    int
-	Peers []Peer
+	Address string
+	ID      int
+	Peers   []Peer
 }
 
 // viewOf is the membership seen from an address; nil stands for none known yet.
 func viewOf(wire string, membership *Membership) *View {
-	view := &View{Membership: membership, Wire: wire}
+	view := &View{Membership: membership, Address: wire}
 	if membership == nil {
 		view.Membership = &Membership{}
 		return view
@@ -190,7 +190,7 @@
 }
 
 // known is whether there is a membership at all.
-func (view *View) known() bool { return view.Mark.Serial > 0 }
+func (view *View) known() bool { return view.Version.Serial > 0 }
 
 // votes is whether this core is a voter.
 func (view *View) votes() bool { return view.ID > 0 }
@@ -201,9 +201,9 @@
 	return view.votes() && view.quorum(func(id int) bool { return id == view.ID || has(id) })
 }
 
-// needs is how many cores of the group that votes now make a majority; no number
+// majoritySize is how many cores of the group that votes now make a majority; no number
 // suffices for a core without a vote.
-func (view *View) needs() int {
+func (view *View) majoritySize() int {
 	if !view.votes() {
 		return math.MaxInt
 	}
@@ -216,7 +216,7 @@
 }
 
 func (view *View) leader(term message.Term) message.Leader {
-	return message.Leader{Term: term, Core: view.ID, Address: view.Wire}
+	return message.Leader{Term: term, Core: view.ID, Address: view.Address}
 }
 
 // address is where a voter is; this core's where there is no such voter.
@@ -226,14 +226,14 @@
 			return peer.Address
 		}
 	}
-	return view.Wire
+	return view.Address
 }
 
 // addresses are those of all voters, this core's first if it is one or if none is known.
 func (view *View) addresses() []string {
 	all := []string{}
 	if view.votes() || !view.known() {
-		all = append(all, view.Wire)
+		all = append(all, view.Address)
 	}
 	for _, peer := range view.Peers {
 		all = append(all, peer.Address)
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -38,8 +38,8 @@
 func TestQuorumsOfConsecutiveMembershipsMeet(test *testing.T) {
 	for count := 1; count <= 9; count++ {
 		before := foundedBy(count)
-		step := before.replaced(count, "10.9.0.1:41")
-		after := step.settled()
+		step := before.withReplacement(count, "10.9.0.1:41")
+		after := step.withoutFormer()
 		for _, pair := range [][2]*Membership{{before, before}, {before, step}, {step, step}, {step, after}, {after, after}} {
 			subsets(pair[:], func(has func(id int) bool) {
 				if pair[0].quorum(has) && pair[1].quorum(func(id int) bool { return !has(id) }) {
@@ -47,7 +47,7 @@
 				}
 			})
 		}
-		if before.changing() || !step.changing() || after.changing() || len(after.Voters) != count || after.Mark.Serial != 3 || after.LastID != count+1 {
+		if before.changing() || !step.changing() || after.changing() || len(after.Voters) != count || after.Version.Serial != 3 || after.LastID != count+1 {
 			test.Fatalf("%d cores: %+v, %+v, %+v", count, before, step, after)
 		}
 		if step.mayLead(step.LastID) || !after.mayLead(step.LastID) || after.mayLead(count) {
@@ -60,7 +60,7 @@
 // voters need not meet: the reason for the step.
 func TestReplacementWithoutStepIsUnsafe(test *testing.T) {
 	before := foundedBy(3)
-	after := before.replaced(3, "10.9.0.1:41").settled()
+	after := before.withReplacement(3, "10.9.0.1:41").withoutFormer()
 	disjoint := false
 	subsets([]*Membership{before, after}, func(has func(id int) bool) {
 		disjoint = disjoint || before.quorum(has) && after.quorum(func(id int) bool { return !has(id) })
@@ -75,8 +75,8 @@
 func TestFenceOfBlankVoterMeetsItsQuorums(test *testing.T) {
 	for count := 1; count <= 7; count++ {
 		before := foundedBy(count)
-		step := before.replaced(count, "10.9.0.1:41")
-		for _, membership := range []*Membership{before, step, step.settled()} {
+		step := before.withReplacement(count, "10.9.0.1:41")
+		for _, membership := range []*Membership{before, step, step.withoutFormer()} {
 			for _, lost := range membership.all() {
 				subsets([]*Membership{membership}, func(has func(id int) bool) {
 					others := func(id int) bool { return id != lost.ID && !has(id) }
@@ -126,10 +126,10 @@
 // A view from an address that doesn't vote decides nothing and counts every voter
 // as another core; a membership survives being written and read.
 func TestViewOfMembership(test *testing.T) {
-	step := foundedBy(3).replaced(1, "10.9.0.1:41")
-	step.Mark.Term = message.Term{Number: 4, Core: 2}
+	step := foundedBy(3).withReplacement(1, "10.9.0.1:41")
+	step.Version.Term = message.Term{Number: 4, Core: 2}
 	read, err := membershipOf(step.accepted())
-	if err != nil || !viewOf("", read).same(viewOf("", step)) || read.Mark != step.Mark {
+	if err != nil || !viewOf("", read).same(viewOf("", step)) || read.Version != step.Version {
 		test.Fatalf("%v: %+v", err, read)
 	}
 	outside := viewOf("10.8.0.1:41", step)
--- a/control/model_actions_test.go
+++ b/control/model_actions_test.go
@@ -72,7 +72,7 @@
 // processActions are the steps that a process may take of itself.
 func (world *modelWorld) processActions(machine *modelMachine, add func(modelAction)) {
 	process, bounds, spent := machine.process, world.bounds, &world.spent
-	view, blank := process.core.members(), process.core.voter.Blank()
+	view, blank := process.core.membership(), process.core.replica.Blank()
 	if !process.idle() && spent.giveUps < bounds.giveUps {
 		add(modelAction{kind: modelGiveUp, machine: machine.index})
 	}
@@ -111,7 +111,7 @@
 	if process.idle() {
 		return false
 	}
-	if process.leadership != nil && process.leadership.ballot.Less(process.core.voter.State().Promised) {
+	if process.leadership != nil && process.leadership.term.Less(process.core.replica.State().Promised) {
 		return true
 	}
 	if process.leadership != nil && process.push == nil {
@@ -198,8 +198,8 @@
 	case modelRestart:
 		machine := world.own(action.machine)
 		machine.start()
-		if voter := machine.process.core.voter; world.rules.blankDiskVotes && voter.Blank() {
-			modelMust(voter.Enrol(newModelFirst(world.bounds).accepted()))
+		if voter := machine.process.core.replica; world.rules.blankDiskVotes && voter.Blank() {
+			modelMust(voter.Join(newModelFirst(world.bounds).accepted()))
 		}
 	case modelStand:
 		spent.candidates++
--- a/control/model_digest_test.go
+++ b/control/model_digest_test.go
@@ -56,7 +56,7 @@
 }
 
 func (digest *modelDigest) membership(membership *Membership) {
-	digest.mark(membership.Mark)
+	digest.mark(membership.Version)
 	digest.numbers(membership.LastID, len(membership.Voters), len(membership.Next))
 	for _, peer := range append(slices.Clip(membership.Voters), membership.Next...) {
 		digest.numbers(peer.ID, modelIndex(peer.Address))
@@ -64,7 +64,7 @@
 }
 
 func (digest *modelDigest) state(state *State) {
-	digest.flag(state.Opening, state.Founded)
+	digest.flag(state.SinceBootstrap, state.Initialized)
 	digest.ballot(state.Promised)
 	digest.accepted(state.Accepted)
 }
@@ -141,14 +141,14 @@
 }
 
 func (digest *modelDigest) process(process *modelProcess) {
-	digest.state(process.core.voter.State())
-	digest.membership(process.core.members().Membership)
-	digest.numbers(process.life, process.calls, process.enlisting, int(process.core.round))
+	digest.state(process.core.replica.State())
+	digest.membership(process.core.membership().Membership)
+	digest.numbers(process.life, process.calls, process.enlisting, int(process.core.highestTerm))
 	digest.ballot(process.core.leader.Term)
 	digest.accepted(process.core.committed)
 	if survey := process.survey; survey != nil {
 		digest.numbers(1, survey.call)
-		digest.mark(survey.view.Mark)
+		digest.mark(survey.view.Version)
 		for _, id := range slices.Sorted(maps.Keys(survey.told)) {
 			digest.numbers(id)
 			digest.message(survey.told[id])
@@ -157,7 +157,7 @@
 	if candidacy := process.candidacy; candidacy != nil {
 		digest.numbers(2, candidacy.call)
 		digest.ballot(candidacy.ballot)
-		digest.mark(candidacy.view.Mark)
+		digest.mark(candidacy.view.Version)
 		for _, id := range slices.Sorted(maps.Keys(candidacy.promises)) {
 			digest.numbers(id)
 			digest.accepted(candidacy.promises[id].Accepted)
@@ -178,11 +178,11 @@
 	if admission := process.admission; admission != nil {
 		digest.numbers(4, admission.call, int(admission.took))
 		digest.text(admission.asked.digest() + admission.history)
-		digest.mark(admission.view.Mark)
+		digest.mark(admission.view.Version)
 	}
 	if leadership := process.leadership; leadership != nil {
 		digest.numbers(5)
-		digest.ballot(leadership.ballot)
+		digest.ballot(leadership.term)
 		for _, value := range leadership.values {
 			digest.value(value)
 		}
--- a/control/model_ledger_test.go
+++ b/control/model_ledger_test.go
@@ -169,9 +169,9 @@
 func (ledger *modelLedger) decidedData(proposal *modelProposal, view *View) {
 	body, history := string(proposal.value.Body), ledger.history[proposal.register]
 	switch {
-	case len(body) > len(history) && view.Mark.Serial < ledger.version.Mark.Serial:
+	case len(body) > len(history) && view.Version.Serial < ledger.version.Version.Serial:
 		ledger.violated(quorumsMeet, "membership %d decides %q of register %d under %s after membership %d was decided",
-			view.Mark.Serial, body, proposal.register, proposal.ballot, ledger.version.Mark.Serial)
+			view.Version.Serial, body, proposal.register, proposal.ballot, ledger.version.Version.Serial)
 	case len(body) > len(history) && strings.HasPrefix(body, history):
 		ledger.history[proposal.register], ledger.under[proposal.register] = body, proposal.ballot
 		for index := range ledger.proposals {
@@ -194,12 +194,12 @@
 	}
 	now := ledger.version
 	switch {
-	case next.Mark.Serial <= now.Mark.Serial:
-		if decided := ledger.versions[next.Mark.Serial-1]; !sameVoters(next, decided) {
-			ledger.violated(quorumsMeet, "membership %d is decided twice: %v and %v", next.Mark.Serial, decided, next)
+	case next.Version.Serial <= now.Version.Serial:
+		if decided := ledger.versions[next.Version.Serial-1]; !sameVoters(next, decided) {
+			ledger.violated(quorumsMeet, "membership %d is decided twice: %v and %v", next.Version.Serial, decided, next)
 		}
 		return
-	case next.Mark.Serial > now.Mark.Serial+1 || !modelIsStep(now, next):
+	case next.Version.Serial > now.Version.Serial+1 || !modelIsStep(now, next):
 		ledger.violated(oneVoterPerStep, "from %v to %v", now, next)
 	}
 	ledger.version = next
@@ -239,7 +239,7 @@
 	proposal := ledger.find(push.ballot, register, push.values[register].Serial)
 	if !modelMajorities(push.view.Membership, proposal.acceptors) {
 		ledger.violated(countedIsDecided, "serial %d of register %d under %s counts as decided by membership %d",
-			proposal.value.Serial, register, push.ballot, push.view.Mark.Serial)
+			proposal.value.Serial, register, push.ballot, push.view.Version.Serial)
 	}
 	if register != message.MembersRegister && !strings.HasPrefix(ledger.history[register], string(proposal.value.Body)) {
 		ledger.violated(acknowledgedIsKept, "register %d: %q is acknowledged, decided was %q", register, proposal.value.Body, ledger.history[register])
--- a/control/model_machine_test.go
+++ b/control/model_machine_test.go
@@ -115,15 +115,15 @@
 
 func newModelCore(address string, store *Store) *Core {
 	store.journal.limit = modelSegmentLimit
-	core := &Core{counters: metrics.NewCounters(), news: concurrent.NewCondition(), prompt: concurrent.NewCondition(), random: newDraws(1), clocks: newClocks(), table: &message.Table{}}
-	core.place = Place{Wire: address, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}.filled()
+	core := &Core{counters: metrics.NewCounters(), updates: concurrent.NewCondition(), wakeElection: concurrent.NewCondition(), random: newRandomSource(1), peerClocks: newPeerClocks(), table: &message.Table{}}
+	core.config = Config{InternalAddress: address, HeartbeatInterval: 10 * time.Millisecond, SuspicionTimeout: 30 * time.Millisecond}.withDefaults()
 	core.clock = clock.NewClock(func() int64 { return 0 })
-	core.sessions = newSessions(core.place.SessionSpan)
-	core.voter = NewVoter(store, func(error) {}, core.raised)
-	core.voter.learns = core.learnMembers
-	core.chart = &Chart{now: Following, counters: core.counters}
-	core.known.Store(core.place.view(core.voter.State().Voters()))
-	core.round = core.voter.State().Promised.Number
+	core.sessions = newSessions(core.config.SessionTTL)
+	core.replica = NewReplica(store, func(error) {}, core.promiseRaised)
+	core.replica.onMembership = core.learnMembership
+	core.role = &RoleState{current: Following, counters: core.counters}
+	core.view.Store(core.config.view(core.replica.State().Membership()))
+	core.highestTerm = core.replica.State().Promised.Number
 	return core
 }
 
@@ -153,13 +153,13 @@
 
 func (process *modelProcess) clone(address string, disk *modelDisk) *modelProcess {
 	next := *process
-	former := process.core.voter.store
+	former := process.core.replica.store
 	journal := *former.journal
 	journal.disk = disk
 	journal.file = &modelFile{disk: disk, inode: former.journal.file.(*modelFile).inode}
 	next.core = newModelCore(address, &Store{disk: disk, state: former.state, journal: &journal})
-	next.core.known.Store(process.core.known.Load())
-	next.core.round, next.core.leader, next.core.committed = process.core.round, process.core.leader, process.core.committed
+	next.core.view.Store(process.core.view.Load())
+	next.core.highestTerm, next.core.leader, next.core.committed = process.core.highestTerm, process.core.leader, process.core.committed
 	if process.survey != nil {
 		survey := *process.survey
 		survey.told = maps.Clone(survey.told)
@@ -180,7 +180,7 @@
 		next.admission = &admission
 	}
 	if process.leadership != nil {
-		next.leadership = &Leadership{core: next.core, ballot: process.leadership.ballot, values: process.leadership.values}
+		next.leadership = &Leadership{core: next.core, term: process.leadership.term, values: process.leadership.values}
 	}
 	return &next
 }
--- a/control/model_mutants_test.go
+++ b/control/model_mutants_test.go
@@ -43,7 +43,7 @@
 
 // modelOldest takes over the oldest values in place of the newest.
 func modelOldest(view *View, promises map[int]*message.PrepareResponse) (oldest [message.Registers]message.AcceptedValue, from [message.Registers]int) {
-	oldest, from = takenOver(view, promises)
+	oldest, from = inheritedValues(view, promises)
 	for id, promise := range promises {
 		for register := range message.MembersRegister {
 			if promise.Accepted[register].Version().Less(oldest[register].Version()) {
@@ -92,7 +92,7 @@
 	{name: "two voters change in a step", form: modelFour, breaks: []string{oneVoterPerStep},
 		mutate: func(rules *modelRules) {
 			rules.replaced = func(view *View, leaving int, address string) *Membership {
-				step := view.replaced(leaving, address)
+				step := view.withReplacement(leaving, address)
 				other := slices.IndexFunc(step.Next, func(peer Peer) bool { return peer.ID != view.ID && peer.Address != address })
 				step.LastID++
 				step.Next[other] = Peer{ID: step.LastID, Address: step.Next[other].Address}
@@ -102,7 +102,7 @@
 	{name: "a newcomer gets the ID of the one that left", form: modelThree, breaks: []string{idsAreUsedOnce},
 		mutate: func(rules *modelRules) {
 			rules.replaced = func(view *View, leaving int, address string) *Membership {
-				step := view.replaced(leaving, address)
+				step := view.withReplacement(leaving, address)
 				step.LastID = view.LastID
 				step.Next[len(step.Next)-1].ID = leaving
 				return step
@@ -111,7 +111,7 @@
 	{name: "ballots without the core's ID", form: modelThree, breaks: []string{oneLeaderPerBallot, oneValuePerSerial, acknowledgedIsKept},
 		mutate: func(rules *modelRules) {
 			rules.nextBallot = func(core *Core, view *View) message.Term {
-				term, _ := core.nextBallot(view)
+				term, _ := core.nextTerm(view)
 				term.Core = 1
 				return term
 			}
@@ -133,8 +133,8 @@
 		}},
 	{name: "a restored voter has promised nothing", near: 4770, form: modelWiped, breaks: []string{acknowledgedIsKept, oneValuePerSerial, servedIsDecided},
 		mutate: func(rules *modelRules) {
-			rules.found = func(voter *Voter, _ message.Term, _ [message.Registers]message.AcceptedValue) error {
-				return voter.Found(message.Term{}, [message.Registers]message.AcceptedValue{}, nil)
+			rules.found = func(voter *Replica, _ message.Term, _ [message.Registers]message.AcceptedValue) error {
+				return voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil)
 			}
 		}},
 	{name: "a restored voter keeps copies as votes of former ballots", near: 800, form: modelWiped, breaks: []string{acknowledgedIsKept, servedIsDecided},
@@ -142,7 +142,9 @@
 	{name: "a voter is admitted as a learner", near: 1800, form: modelWiped, breaks: []string{acknowledgedIsKept, servedIsDecided},
 		mutate: func(rules *modelRules) {
 			rules.admits = func(*View, string) bool { return true }
-			rules.mayBeginEmpty = func(core *Core, response *message.JoinResponse) bool { return response.Admitted && core.voter.Blank() }
+			rules.mayBeginEmpty = func(core *Core, response *message.JoinResponse) bool {
+				return response.Admitted && core.replica.Blank()
+			}
 			rules.beginEmpty = modelBeginEmpty
 		}},
 	{name: "a learner is admitted unconfirmed", form: modelStale, breaks: []string{acknowledgedIsKept, onlyVotersCount}, detailed: true,
@@ -164,19 +166,19 @@
 }
 
 // modelFoundAsVotes takes over copies as if this replica had accepted them.
-func modelFoundAsVotes(voter *Voter, term message.Term, accepted [message.Registers]message.AcceptedValue) error {
-	step := record{Founded: true, Promised: &term}
+func modelFoundAsVotes(voter *Replica, term message.Term, accepted [message.Registers]message.AcceptedValue) error {
+	step := Record{Initialized: true, Promised: &term}
 	for register := range accepted {
 		if accepted[register].Value.Serial > 0 {
-			step.Then = append(step.Then, record{Register: message.Register(register), Accepted: &accepted[register]})
+			step.Then = append(step.Then, Record{Register: message.Register(register), Accepted: &accepted[register]})
 		}
 	}
-	return voter.keep(step)
+	return voter.append(step)
 }
 
 // modelBeginEmpty begins without a look at the membership.
 func modelBeginEmpty(core *Core, term message.Term) {
-	modelMust(core.voter.Found(term, [message.Registers]message.AcceptedValue{}, nil))
+	modelMust(core.replica.Initialize(term, [message.Registers]message.AcceptedValue{}, nil))
 }
 
 // modelMutantWalks bound the search for one mutant.
--- a/control/model_rules_test.go
+++ b/control/model_rules_test.go
@@ -11,7 +11,7 @@
 	fencesWithout func(view *View, lost int, has func(id int) bool) bool
 	askedMembers  func(view *View) message.AcceptedValue
 	takenOver     func(view *View, promises map[int]*message.PrepareResponse) ([message.Registers]message.AcceptedValue, [message.Registers]int)
-	found         func(voter *Voter, term message.Term, accepted [message.Registers]message.AcceptedValue) error
+	found         func(voter *Replica, term message.Term, accepted [message.Registers]message.AcceptedValue) error
 	mayLead       func(view *View, id int) bool
 	nextBallot    func(core *Core, view *View) message.Term
 	admits        func(view *View, address string) bool
@@ -40,22 +40,24 @@
 		mayRestore:    (*Core).mayRestore,
 		fencesWithout: func(view *View, lost int, has func(id int) bool) bool { return view.fencesWithout(lost, has) },
 		askedMembers:  func(view *View) message.AcceptedValue { return view.accepted() },
-		takenOver:     takenOver,
-		found: func(voter *Voter, term message.Term, accepted [message.Registers]message.AcceptedValue) error {
-			return voter.Found(term, accepted, nil)
+		takenOver:     inheritedValues,
+		found: func(voter *Replica, term message.Term, accepted [message.Registers]message.AcceptedValue) error {
+			return voter.Initialize(term, accepted, nil)
 		},
 		mayLead: func(view *View, id int) bool { return view.mayLead(id) },
 		nextBallot: func(core *Core, view *View) message.Term {
-			term, _ := core.nextBallot(view)
+			term, _ := core.nextTerm(view)
 			return term
 		},
 		admits:        func(view *View, address string) bool { return !view.has(address) },
 		mayBeginEmpty: (*Core).mayBeginEmpty,
 		beginEmpty:    (*Core).beginEmpty,
-		replaced:      func(view *View, leaving int, address string) *Membership { return view.replaced(leaving, address) },
-		settled:       func(view *View) *Membership { return view.settled() },
-		countsBy:      (*Core).countBy,
-		leadsBy:       (*Core).leadsBy,
+		replaced: func(view *View, leaving int, address string) *Membership {
+			return view.withReplacement(leaving, address)
+		},
+		settled:  func(view *View) *Membership { return view.withoutFormer() },
+		countsBy: (*Core).adoptNextMembership,
+		leadsBy:  (*Core).adoptMembership,
 
 		confirms:     true,
 		catchesUp:    true,
--- a/control/model_script_test.go
+++ b/control/model_script_test.go
@@ -134,14 +134,14 @@
 	bounds := modelMany(3, 2, 0)
 	world := newModelWorld(modelRealRules(), &bounds)
 	modelTwoReplaced(world)
-	if world.ledger.version.Mark.Serial != 5 {
+	if world.ledger.version.Version.Serial != 5 {
 		test.Fatalf("the preparation ends at membership %v", world.ledger.version)
 	}
 	script := &modelScript{world: world, fail: func(format string, values ...any) { test.Fatalf(format, values...) }}
 	world.ledger.outcomesOnly = true
 	script.renews(2)
 	script.joins(2, 3, 4)
-	if world.machines[1].process.core.voter.Blank() {
+	if world.machines[1].process.core.replica.Blank() {
 		test.Fatal("machine 2 is no learner")
 	}
 	script.crashes(2)
@@ -151,7 +151,7 @@
 		script.do(modelAction{kind: modelStand, machine: 0})
 		script.among(1, 2)
 	}
-	if world.machines[0].process.core.members().Mark.Serial == 1 {
+	if world.machines[0].process.core.membership().Version.Serial == 1 {
 		test.Error("machine 1 still goes by the first membership")
 	}
 }
@@ -164,7 +164,7 @@
 	modelStrayStep(world)
 	serials := []uint64{}
 	for _, machine := range world.machines[:3] {
-		serials = append(serials, machine.process.core.members().Mark.Serial)
+		serials = append(serials, machine.process.core.membership().Version.Serial)
 	}
 	if !slices.Equal(serials, []uint64{1, 1, 2}) {
 		test.Errorf("machines know memberships %v", serials)
@@ -172,7 +172,7 @@
 	bounds = modelMany(3, 2, 0)
 	world = newModelWorld(modelRealRules(), &bounds)
 	modelTwoEmptied(world)
-	if world.ledger.version.Mark.Serial != 5 || !world.machines[1].process.core.voter.Blank() || world.machines[0].process.leadership == nil {
-		test.Errorf("membership %v, machine 2 blank %v, machine 1 leads %v", world.ledger.version, world.machines[1].process.core.voter.Blank(), world.machines[0].process.leadership)
+	if world.ledger.version.Version.Serial != 5 || !world.machines[1].process.core.replica.Blank() || world.machines[0].process.leadership == nil {
+		test.Errorf("membership %v, machine 2 blank %v, machine 1 leads %v", world.ledger.version, world.machines[1].process.core.replica.Blank(), world.machines[0].process.leadership)
 	}
 }
--- a/control/model_steps_test.go
+++ b/control/model_steps_test.go
@@ -10,13 +10,13 @@
 // stand begins a candidacy; the pre-check, which only saves rounds, is left out.
 func (world *modelWorld) stand(machine *modelMachine) {
 	process := machine.process
-	core, view := process.core, process.core.members()
+	core, view := process.core, process.core.membership()
 	term := world.rules.nextBallot(core, view)
 	request := &message.PrepareRequest{Term: term, Membership: world.rules.askedMembers(view)}
-	own, err := core.voter.Promise(request)
+	own, err := core.replica.Prepare(request)
 	if err != nil || !own.Granted {
 		if err == nil {
-			core.sawRound(own.Promised.Number)
+			core.observeTermNumber(own.Promised.Number)
 		}
 		return
 	}
@@ -30,10 +30,10 @@
 // surveys begins the return of a blank voter.
 func (world *modelWorld) surveys(machine *modelMachine) {
 	process := machine.process
-	view := process.core.members()
+	view := process.core.membership()
 	process.survey = &modelSurvey{call: process.nextCall(), view: view, told: map[int]*message.ReplicaStateResponse{}}
 	for _, peer := range view.Peers {
-		world.ask(machine, process.survey.call, peer, &message.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Mark})
+		world.ask(machine, process.survey.call, peer, &message.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Version})
 	}
 }
 
@@ -41,7 +41,7 @@
 func (world *modelWorld) enlists(machine *modelMachine, at int) {
 	process := machine.process
 	process.enlisting = process.nextCall()
-	request := &message.JoinRequest{Address: machine.address, SinceBootstrap: process.core.opening(), Known: process.core.members().Mark}
+	request := &message.JoinRequest{Address: machine.address, SinceBootstrap: process.core.sinceBootstrap(), Known: process.core.membership().Version}
 	world.ask(machine, process.enlisting, Peer{Address: world.machines[at].address}, request)
 }
 
@@ -51,7 +51,7 @@
 	current := leadership.value(register)
 	tag := byte('a' + world.spent.orders)
 	value := message.Value{Serial: current.Serial + 1, Body: append([]byte(string(current.Body)), tag)}
-	world.pushes(machine, &modelPush{purpose: modelWrite, view: machine.process.core.members(), ballot: leadership.ballot, values: map[message.Register]message.Value{register: value}})
+	world.pushes(machine, &modelPush{purpose: modelWrite, view: machine.process.core.membership(), ballot: leadership.term, values: map[message.Register]message.Value{register: value}})
 }
 
 // replaces begins to give a voter's place to a learner.
@@ -67,11 +67,11 @@
 
 // steps writes the joint membership once the learner has everything.
 func (world *modelWorld) steps(machine *modelMachine, former *modelPush) {
-	next := world.rules.replaced(machine.process.core.members(), former.leaving, former.learner)
+	next := world.rules.replaced(machine.process.core.membership(), former.leaving, former.learner)
 	if !world.rules.beginsByStep {
 		joint := &View{Membership: next}
 		next = world.rules.settled(joint)
-		next.Mark.Serial = joint.Mark.Serial
+		next.Version.Serial = joint.Version.Serial
 	}
 	world.writesMembers(machine, modelStep, next)
 }
@@ -79,15 +79,15 @@
 // settles ends a step between two memberships.
 func (world *modelWorld) settles(machine *modelMachine) {
 	if !world.rules.rewrites {
-		world.writesMembers(machine, modelSettle, world.rules.settled(machine.process.core.members()))
+		world.writesMembers(machine, modelSettle, world.rules.settled(machine.process.core.membership()))
 		return
 	}
-	world.pushes(machine, &modelPush{purpose: modelRewrite, view: machine.process.core.members(), values: world.held(machine)})
+	world.pushes(machine, &modelPush{purpose: modelRewrite, view: machine.process.core.membership(), values: world.held(machine)})
 }
 
 func (world *modelWorld) writesMembers(machine *modelMachine, purpose modelPurpose, next *Membership) {
 	process := machine.process
-	view, err := world.rules.countsBy(process.core, next, process.leadership.ballot)
+	view, err := world.rules.countsBy(process.core, next, process.leadership.term)
 	if err != nil {
 		process.revoke()
 		return
@@ -99,7 +99,7 @@
 // mends sends a leader's value to a core that seems to lack it; nobody counts that.
 func (world *modelWorld) mends(machine *modelMachine, to int, register message.Register) {
 	leadership := machine.process.leadership
-	request := &message.AcceptRequest{Term: leadership.ballot, Register: register, Value: leadership.value(register)}
+	request := &message.AcceptRequest{Term: leadership.term, Register: register, Value: leadership.value(register)}
 	world.ask(machine, 0, Peer{Address: world.machines[to].address}, request)
 }
 
@@ -118,7 +118,7 @@
 	push.call = process.nextCall()
 	push.took = map[message.Register]modelIDs{}
 	if process.leadership != nil {
-		push.ballot = process.leadership.ballot
+		push.ballot = process.leadership.term
 	}
 	process.push = push
 	targets := []Peer{{Address: push.learner}}
@@ -149,12 +149,12 @@
 			return
 		}
 		accepted, _ := world.rules.takenOver(candidacy.view, candidacy.promises)
-		if world.rules.found(process.core.voter, candidacy.ballot, accepted) != nil {
+		if world.rules.found(process.core.replica, candidacy.ballot, accepted) != nil {
 			process.revoke()
 			return
 		}
 		machine.forgotten = machine.forgotten.without(candidacy.view.ID)
-		candidacy.promises[candidacy.view.ID] = &message.PrepareResponse{Granted: true, Promised: candidacy.ballot, Accepted: process.core.voter.State().Accepted}
+		candidacy.promises[candidacy.view.ID] = &message.PrepareResponse{Granted: true, Promised: candidacy.ballot, Accepted: process.core.replica.State().Accepted}
 	}
 	if !world.rules.decides(candidacy.view, has) {
 		return
@@ -177,7 +177,7 @@
 
 // holdsCopies notes what a restored voter holds under its own ballot: that is a vote.
 func (world *modelWorld) holdsCopies(machine *modelMachine, push *modelPush) {
-	accepted := machine.process.core.voter.State().Accepted
+	accepted := machine.process.core.replica.State().Accepted
 	for register, value := range push.values {
 		if accepted[register].Version() == (message.Version{Term: push.ballot, Serial: value.Serial}) {
 			world.ledger.accepted(machine.index, &message.AcceptRequest{Term: push.ballot, Register: register, Value: value})
@@ -189,7 +189,7 @@
 // accepted under one ballot. The others are asked at one moment.
 func (world *modelWorld) surveyed(machine *modelMachine) {
 	core := machine.process.core
-	own, view := core.voter.State(), core.members()
+	own, view := core.replica.State(), core.membership()
 	for _, register := range world.bounds.registers {
 		accepted := own.Accepted[register]
 		same := func(response *message.ReplicaStateResponse) bool {
@@ -201,12 +201,12 @@
 			if other.process == nil || world.cut[machine.index][other.index] || world.cut[other.index][machine.index] {
 				continue
 			}
-			if answer, err := other.process.core.onRestore(&message.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Mark}); err == nil {
+			if answer, err := other.process.core.onReplicaState(&message.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Version}); err == nil {
 				response[peer.ID] = answer
-				core.learnMembers(answer.Membership)
+				core.learnMembership(answer.Membership)
 			}
 		}
-		if accepted.Value.Serial > 0 && core.members().same(view) && view.decides(agreed(response, same)) {
+		if accepted.Value.Serial > 0 && core.membership().same(view) && view.decides(agreed(response, same)) {
 			world.ledger.serves(machine.index, register, accepted.Value)
 		}
 	}
@@ -228,12 +228,12 @@
 	}
 	switch request := packet.message.(type) {
 	case *message.PrepareRequest:
-		if response, err := process.core.voterPromise(request); err == nil {
+		if response, err := process.core.onPrepare(request); err == nil {
 			world.counts(machine, packet, response.Granted)
 			world.answer(packet, response)
 		}
 	case *message.AcceptRequest:
-		if response, err := process.core.voterAccept(request); err == nil {
+		if response, err := process.core.onAccept(request); err == nil {
 			world.counts(machine, packet, response.Accepted)
 			if response.Accepted {
 				world.ledger.accepted(machine.index, request)
@@ -241,7 +241,7 @@
 			world.answer(packet, response)
 		}
 	case *message.HeartbeatRequest:
-		if response, err := process.core.onBeat(request); err == nil {
+		if response, err := process.core.onHeartbeat(request); err == nil {
 			world.counts(machine, packet, response.Accepted && response.Voter)
 			for register, accepted := range process.core.committed {
 				world.ledger.serves(machine.index, message.Register(register), accepted.Value)
@@ -249,7 +249,7 @@
 			world.answer(packet, response)
 		}
 	case *message.ReplicaStateRequest:
-		if response, err := process.core.onRestore(request); err == nil {
+		if response, err := process.core.onReplicaState(request); err == nil {
 			world.answer(packet, response)
 		}
 	case *message.JoinRequest:
@@ -262,7 +262,7 @@
 	if !agrees || packet.as == 0 {
 		return
 	}
-	if machine.process.core.voter.Blank() {
+	if machine.process.core.replica.Blank() {
 		world.ledger.violated(onlyVotersCount, "machine %d answers %T as ID %d on a blank disk", machine.index+1, packet.message, packet.as)
 	}
 	if world.ledger.given[packet.as] == machine.address {
@@ -274,19 +274,19 @@
 // taken by a quorum.
 func (world *modelWorld) hearsEnlist(machine *modelMachine, packet *modelPacket, request *message.JoinRequest) {
 	process := machine.process
-	view := process.core.members()
+	view := process.core.membership()
 	if !view.known() {
 		return
 	}
 	if process.leadership == nil || !world.rules.admits(view, request.Address) {
-		world.answer(packet, &message.JoinResponse{Membership: process.core.newerMembers(request.Known)})
+		world.answer(packet, &message.JoinResponse{Membership: process.core.newerMembership(request.Known)})
 		return
 	}
 	if process.admission != nil {
 		return
 	}
 	process.admission = &modelAdmission{call: process.nextCall(), view: view, asked: packet, history: world.ledger.acknowledged[message.SettingsRegister]}
-	_, beat := process.leadership.nextBeat(view)
+	_, beat := process.leadership.nextHeartbeat(view)
 	for _, peer := range view.Peers {
 		world.ask(machine, process.admission.call, peer, beat)
 	}
@@ -298,7 +298,7 @@
 	process := machine.process
 	admission := process.admission
 	if world.rules.confirms {
-		if !world.rules.decides(admission.view, admission.took.has) || process.core.voter.State().Promised != process.leadership.ballot {
+		if !world.rules.decides(admission.view, admission.took.has) || process.core.replica.State().Promised != process.leadership.term {
 			return
 		}
 		if body := string(process.leadership.value(message.SettingsRegister).Body); !strings.HasPrefix(body, admission.history) {
@@ -307,8 +307,8 @@
 	}
 	process.admission = nil
 	request := admission.asked.message.(*message.JoinRequest)
-	response := &message.JoinResponse{Term: process.leadership.ballot, Admitted: world.rules.admits(process.core.members(), request.Address)}
-	response.Membership = process.core.newerMembers(request.Known)
+	response := &message.JoinResponse{Term: process.leadership.term, Admitted: world.rules.admits(process.core.membership(), request.Address)}
+	response.Membership = process.core.newerMembership(request.Known)
 	world.answer(admission.asked, response)
 }
 
@@ -323,7 +323,7 @@
 	}
 	switch response := packet.message.(type) {
 	case *message.PrepareResponse:
-		for id, promise := range process.core.promisesOf(map[int]*message.PrepareResponse{packet.as: response}) {
+		for id, promise := range process.core.grantedPromises(map[int]*message.PrepareResponse{packet.as: response}) {
 			process.candidacy.promises[id] = promise
 			world.fenced(machine)
 		}
@@ -360,8 +360,8 @@
 func (world *modelWorld) hearsSurvey(machine *modelMachine, packet *modelPacket, response *message.ReplicaStateResponse) {
 	process := machine.process
 	survey, core := process.survey, process.core
-	core.sawRound(response.Promised.Number)
-	core.learnMembers(response.Membership)
+	core.observeTermNumber(response.Promised.Number)
+	core.learnMembership(response.Membership)
 	survey.told[packet.as] = response
 	if !world.rules.mayRestore(core, survey.view, survey.told) {
 		return
@@ -381,12 +381,12 @@
 	core := process.core
 	process.enlisting = 0
 	membership, err := membershipOf(response.Membership)
-	if !core.members().known() && err == nil && membership != nil && core.voter.Blank() && mayEnrol(core.opening(), viewOf(machine.address, membership)) {
-		if core.voter.Enrol(response.Membership) != nil {
+	if !core.membership().known() && err == nil && membership != nil && core.replica.Blank() && mayVoteAtOnce(core.sinceBootstrap(), viewOf(machine.address, membership)) {
+		if core.replica.Join(response.Membership) != nil {
 			return
 		}
 	}
-	core.learnMembers(response.Membership)
+	core.learnMembership(response.Membership)
 	if world.rules.mayBeginEmpty(core, response) {
 		world.rules.beginEmpty(core, response.Term)
 	}
@@ -396,7 +396,7 @@
 	process := machine.process
 	push := process.push
 	if !response.Accepted {
-		process.core.sawRound(response.Promised.Number)
+		process.core.observeTermNumber(response.Promised.Number)
 		return
 	}
 	push.took[packet.register] = push.took[packet.register].with(packet.as)
@@ -420,10 +420,10 @@
 	process := machine.process
 	switch push.purpose {
 	case modelEstablish:
-		if process.core.voter.State().Promised != push.ballot || world.rules.leadsBy(process.core, push.view, push.ballot) != nil {
+		if process.core.replica.State().Promised != push.ballot || world.rules.leadsBy(process.core, push.view, push.ballot) != nil {
 			return
 		}
-		process.leadership = &Leadership{core: process.core, ballot: push.ballot}
+		process.leadership = &Leadership{core: process.core, term: push.ballot}
 		for register, value := range push.values {
 			process.leadership.values[register] = value
 		}
--- a/control/model_walk_test.go
+++ b/control/model_walk_test.go
@@ -227,7 +227,7 @@
 					tally[kind] += done
 				}
 				leaderships += len(walk.world.ledger.leaders)
-				versions += int(walk.world.ledger.version.Mark.Serial) - 1
+				versions += int(walk.world.ledger.version.Version.Serial) - 1
 				for _, register := range modelData {
 					orders += len(walk.world.ledger.history[register])
 				}
--- a/control/model_world_test.go
+++ b/control/model_world_test.go
@@ -95,12 +95,12 @@
 		lying := machine.disk.lying
 		machine.disk.lying = false
 		machine.start()
-		voter := machine.process.core.voter
+		voter := machine.process.core.replica
 		if index < bounds.founders {
-			modelMust(voter.Open())
+			modelMust(voter.MarkSinceBootstrap())
 		}
 		if index < bounds.founders-bounds.late {
-			modelMust(voter.Enrol(first.accepted()))
+			modelMust(voter.Join(first.accepted()))
 		}
 		machine.disk.lying = lying
 	}
@@ -182,7 +182,7 @@
 	if teller == nil || world.spent.wipes < world.bounds.wipes {
 		return false
 	}
-	promised := teller.core.voter.State().Promised
+	promised := teller.core.replica.State().Promised
 	switch request := packet.message.(type) {
 	case *message.PrepareRequest:
 		return request.Term.Less(promised)
--- a/control/place.go
+++ b/control/place.go
@@ -11,117 +11,119 @@
 // Peer is another core machine.
 type Peer = message.Peer
 
-// Place is what a core learns of itself from flags or its file. A core without
+// Config is what a core learns of itself from flags or its file. A core without
 // an ID finds the others through its seeds and keeps who they are on its disk.
-type Place struct {
-	ID       int
-	Name     string
-	Zone     string
-	Wire     string
-	Operate  string
-	Peers    []Peer
-	Seeds    []string
-	Found    bool
-	Least    int
-	Quiet    time.Duration
-	Platform string
-	Beat     time.Duration
-	Suspect  time.Duration
-	Seed     uint64
-	Observe  func(standing Standing, term message.Term)
-	Wall     func() int64
+type Config struct {
+	ID                int
+	Name              string
+	Zone              string
+	InternalAddress   string
+	OperatorAddress   string
+	Peers             []Peer
+	Seeds             []string
+	Bootstrap         bool
+	MinFounders       int
+	FoundingQuiet     time.Duration
+	PlatformAddress   string
+	HeartbeatInterval time.Duration
+	SuspicionTimeout  time.Duration
+	Seed              uint64
+	OnRole            func(standing Role, term message.Term)
+	Wall              func() int64
 
-	// MembersChanged is told the addresses of the voters whenever they change.
-	MembersChanged func(version message.Version, addresses []string)
+	// OnMembershipChange is told the addresses of the voters whenever they change.
+	OnMembershipChange func(version message.Version, addresses []string)
 	// ReplaceAfter is how long a voter is silent before a learner takes its place.
 	ReplaceAfter time.Duration
 
-	Direct      bool
-	Table       time.Duration
-	SessionSpan time.Duration
-	Lister      func(ctx context.Context, page string) Listing
-	ListPace    time.Duration
-	GoneAfter   int
-	Metering    Metering
+	DirectSessions bool
+	TableInterval  time.Duration
+	SessionTTL     time.Duration
+	ListBackends   func(ctx context.Context, page string) Listing
+	ListInterval   time.Duration
+	ListsUntilGone int
+	Metering       Metering
 }
 
 const (
-	foundingQuiet = 700 * time.Millisecond
-	sessionSpan   = 1500 * time.Millisecond
-	writeLimit    = 600 * time.Millisecond
-	replaceAfter  = time.Second
+	foundingQuiet   = 700 * time.Millisecond
+	sessionTTL      = 1500 * time.Millisecond
+	minWriteTimeout = 600 * time.Millisecond
+	minReplaceAfter = time.Second
 )
 
-// filled has the defaults of what was left open.
-func (place Place) filled() Place {
+// withDefaults has the defaults of what was left open.
+func (place Config) withDefaults() Config {
 	if place.Wall == nil {
 		place.Wall = func() int64 { return time.Now().UnixMilli() }
 	}
-	if place.Observe == nil {
-		place.Observe = func(Standing, message.Term) {}
+	if place.OnRole == nil {
+		place.OnRole = func(Role, message.Term) {}
 	}
-	if place.MembersChanged == nil {
-		place.MembersChanged = func(message.Version, []string) {}
+	if place.OnMembershipChange == nil {
+		place.OnMembershipChange = func(message.Version, []string) {}
 	}
 	if place.ReplaceAfter == 0 {
-		place.ReplaceAfter = max(replaceAfter, 2*place.Suspect)
+		place.ReplaceAfter = max(minReplaceAfter, 2*place.SuspicionTimeout)
 	}
-	if place.Quiet == 0 {
-		place.Quiet = foundingQuiet
+	if place.FoundingQuiet == 0 {
+		place.FoundingQuiet = foundingQuiet
 	}
-	if place.Table == 0 {
-		place.Table = place.Beat
+	if place.TableInterval == 0 {
+		place.TableInterval = place.HeartbeatInterval
 	}
-	if place.SessionSpan == 0 {
-		place.SessionSpan = sessionSpan
+	if place.SessionTTL == 0 {
+		place.SessionTTL = sessionTTL
 	}
-	if place.ListPace == 0 {
-		place.ListPace = platformPace
+	if place.ListInterval == 0 {
+		place.ListInterval = listInterval
 	}
-	if place.GoneAfter == 0 {
-		place.GoneAfter = goneAfter
+	if place.ListsUntilGone == 0 {
+		place.ListsUntilGone = listsUntilGone
 	}
 	return place
 }
 
 // view is the membership that was accepted last, or else the one that was given. As
 // long as no core was ever replaced, addresses are as they were given.
-func (place *Place) view(accepted *Membership) *View {
-	if place.enlists() {
-		return viewOf(place.Wire, accepted)
+func (place *Config) view(accepted *Membership) *View {
+	if place.discoversPeers() {
+		return viewOf(place.InternalAddress, accepted)
 	}
-	given := givenMembership(append([]Peer{{ID: place.ID, Address: place.Wire}}, place.Peers...))
-	if accepted != nil && accepted.Mark.Serial > given.Mark.Serial {
-		return viewOf(place.Wire, accepted)
+	given := givenMembership(append([]Peer{{ID: place.ID, Address: place.InternalAddress}}, place.Peers...))
+	if accepted != nil && accepted.Version.Serial > given.Version.Serial {
+		return viewOf(place.InternalAddress, accepted)
 	}
 	if accepted != nil {
-		given.Mark = accepted.Mark
+		given.Version = accepted.Version
 	}
-	return viewOf(place.Wire, given)
+	return viewOf(place.InternalAddress, given)
 }
 
-// enlists is whether this core learns who the others are from its seeds.
-func (place *Place) enlists() bool { return place.ID == 0 }
+// discoversPeers is whether this core learns who the others are from its seeds.
+func (place *Config) discoversPeers() bool { return place.ID == 0 }
 
-// firstTable is how long a leader that nobody can tell a table waits for the
+// firstTableDelay is how long a leader that nobody can tell a table waits for the
 // daemons' sessions before it makes the first one.
-func (place *Place) firstTable() time.Duration {
-	if place.Direct {
-		return place.SessionSpan / 5
+func (place *Config) firstTableDelay() time.Duration {
+	if place.DirectSessions {
+		return place.SessionTTL / 5
 	}
-	return place.SessionSpan
+	return place.SessionTTL
 }
 
-func (place *Place) writeLimit() time.Duration { return max(writeLimit, 2*place.Suspect) }
+func (place *Config) writeTimeout() time.Duration {
+	return max(minWriteTimeout, 2*place.SuspicionTimeout)
+}
 
-func (place *Place) Check() error {
-	if place.Beat < 10*time.Millisecond || place.Suspect < 3*place.Beat {
-		return rpc.Errorf(rpc.BadFlag, "--suspect-ms: %v must be at least three beats of %v, and a beat 10ms", place.Suspect, place.Beat)
+func (place *Config) Check() error {
+	if place.HeartbeatInterval < 10*time.Millisecond || place.SuspicionTimeout < 3*place.HeartbeatInterval {
+		return rpc.Errorf(rpc.BadFlag, "--suspect-ms: %v must be at least three beats of %v, and a beat 10ms", place.SuspicionTimeout, place.HeartbeatInterval)
 	}
-	if err := CheckAddress("--wire", place.Wire); err != nil {
+	if err := CheckAddress("--wire", place.InternalAddress); err != nil {
 		return err
 	}
-	if place.enlists() && len(place.Seeds) > 0 {
+	if place.discoversPeers() && len(place.Seeds) > 0 {
 		return place.checkSeeds()
 	}
 	if place.ID < 1 || place.ID > 99 {
@@ -143,12 +145,12 @@
 	return nil
 }
 
-func (place *Place) checkSeeds() error {
+func (place *Config) checkSeeds() error {
 	if len(place.Peers) > 0 {
 		return rpc.Errorf(rpc.BadFlag, "--peer: goes with an id, not with seeds")
 	}
-	if place.Least < 1 || place.Least > foundersMost {
-		return rpc.Errorf(rpc.BadFlag, "--least: %d is not in 1 to %d", place.Least, foundersMost)
+	if place.MinFounders < 1 || place.MinFounders > maxFounders {
+		return rpc.Errorf(rpc.BadFlag, "--least: %d is not in 1 to %d", place.MinFounders, maxFounders)
 	}
 	for _, seed := range place.Seeds {
 		if err := CheckAddress("--seed", seed); err != nil {
--- a/control/platform.go
+++ b/control/platform.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	platformPace  = time.Second
-	platformLimit = 2 * time.Second
-	pageBytes     = 4 << 20
-	pagesLimit    = 1000
-	putOffLimit   = 60
-	goneAfter     = 3
-
-	firstListStands = 2 * time.Second
-	warmSlip        = 400
+	listInterval    = time.Second
+	platformTimeout = 2 * time.Second
+	maxPageBytes    = 4 << 20
+	maxPages        = 1000
+	maxPageRetries  = 60
+	listsUntilGone  = 3
+
+	firstListTTL = 2 * time.Second
+	warmJitterMs = 400
 )
 
 // Listing is one page of the list of backends and the name of the next, or why
 // there is none; with a wait, the page may be asked for again after it.
 type Listing struct {
-	Backends []message.Backend
-	Next     string
-	Wait     time.Duration
-	Mishap   error
+	Backends   []message.Backend
+	Next       string
+	RetryAfter time.Duration
+	Err        error
 }
 
 type platformPage struct {
@@ -44,72 +44,72 @@
 	Next  string            `json:"next"`
 }
 
-// PlatformReader reads the paged list; only a list read to its end counts, and
+// BackendReader reads the paged list; only a list read to its end counts, and
 // a backend is gone only when several whole lists in a row lack it. A list that
 // names one twice shifted while it was read, and what it lacks says nothing.
-type PlatformReader struct {
-	lister    func(ctx context.Context, page string) Listing
-	listPace  time.Duration
-	goneAfter int
-	now       func() int64
-	counters  *metrics.Counters
-
-	mutex    sync.Mutex
-	backends map[string]message.Backend
-	sorted   []message.Backend
-	missed   map[string]int
-	whole    bool
-	finished time.Time
-	wait     time.Duration
+type BackendReader struct {
+	lister         func(ctx context.Context, page string) Listing
+	listInterval   time.Duration
+	listsUntilGone int
+	now            func() int64
+	counters       *metrics.Counters
+
+	mutex       sync.Mutex
+	backends    map[string]message.Backend
+	sorted      []message.Backend
+	missed      map[string]int
+	complete    bool
+	completedAt time.Time
+	retryAfter  time.Duration
 }
 
-func newPlatformReader(place *Place, transport http.RoundTripper, now func() int64, counters *metrics.Counters) *PlatformReader {
-	reader := &PlatformReader{lister: place.Lister, listPace: place.ListPace, goneAfter: place.GoneAfter, now: now, counters: counters,
+func newBackendReader(place *Config, transport http.RoundTripper, now func() int64, counters *metrics.Counters) *BackendReader {
+	reader := &BackendReader{lister: place.ListBackends, listInterval: place.ListInterval, listsUntilGone: place.ListsUntilGone, now: now, counters: counters,
 		backends: map[string]message.Backend{}, missed: map[string]int{}}
-	if reader.lister == nil && place.Platform != "" {
-		pages := &platformPages{address: place.Platform, client: &http.Client{Transport: transport}, counters: counters}
+	if reader.lister == nil && place.PlatformAddress != "" {
+		pages := &platformPages{address: place.PlatformAddress, client: &http.Client{Transport: transport}, counters: counters}
 		reader.lister = pages.list
 	}
 	return reader
 }
 
-// begin starts a leadership's reading from the table it holds, so that a first
+// reset starts a leadership's reading from the table it holds, so that a first
 // list that lags or shifted between pages takes nothing away. Where there is no
 // table, a list read a moment ago stands.
-func (reader *PlatformReader) begin(held []message.Backend) {
+func (reader *BackendReader) reset(held []message.Backend) {
 	reader.mutex.Lock()
-	if len(held) == 0 && reader.whole && time.Since(reader.finished) < firstListStands {
+	if len(held) == 0 && reader.complete && time.Since(reader.completedAt) < firstListTTL {
 		reader.mutex.Unlock()
 		return
 	}
-	reader.whole = false
+	reader.complete = false
 	reader.backends, reader.missed, reader.sorted = map[string]message.Backend{}, map[string]int{}, nil
 	for _, backend := range held {
 		reader.backends[backend.Name] = backend
 	}
-	reader.wait = 0
+	reader.retryAfter = 0
 	reader.mutex.Unlock()
 }
 
-func (reader *PlatformReader) pace() time.Duration {
+func (reader *BackendReader) interval() time.Duration {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	if reader.wait > 0 {
-		return reader.wait
+	if reader.retryAfter > 0 {
+		return reader.retryAfter
 	}
-	if !reader.whole {
-		return reader.listPace / 10
+	if !reader.complete {
+		return reader.listInterval / 10
 	}
-	return reader.listPace
+	return reader.listInterval
 }
 
-// list gives the backends by name; who gets them changes nothing in them, since
+// sortedBackends gives the backends by name; who gets them changes nothing in them, since
 // the same ones are given until a list differs.
-func (reader *PlatformReader) list() ([]message.Backend, bool) {
+func (reader *BackendReader) sortedBackends() ([]message.Backend, bool) {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	if reader.sorted != nil {
-		return reader.sorted, reader.whole
+		return reader.sorted, reader.complete
 	}
 	all := make([]message.Backend, 0, len(reader.backends))
 	for _, backend := range reader.backends {
@@ -117,37 +117,37 @@
 	}
 	sort.Slice(all, func(left, right int) bool { return all[left].Name < all[right].Name })
 	reader.sorted = all
-	return all, reader.whole
+	return all, reader.complete
 }
 
-func (core *Core) readPlatform() {
-	leadership, err := core.leading()
-	if err != nil && core.cold() {
-		core.platform.read(core.goroutines.Sleep, core.cold)
+func (core *Core) readBackends() {
+	leadership, err := core.currentLeadership()
+	if err != nil && core.neverHeardLeader() {
+		core.backends.read(core.goroutines.Sleep, core.neverHeardLeader)
 		return
 	}
-	if err != nil || leadership.holds() != nil {
+	if err != nil || leadership.check() != nil {
 		return
 	}
-	core.platform.read(core.goroutines.Sleep, func() bool { return leadership.holds() == nil })
+	core.backends.read(core.goroutines.Sleep, func() bool { return leadership.check() == nil })
 }
 
 // read goes through all pages; one that the platform puts off is asked again,
 // not the whole list, or a list longer than the allowed burst would never end.
-func (reader *PlatformReader) read(rest func(time.Duration) bool, going func() bool) {
+func (reader *BackendReader) read(rest func(time.Duration) bool, going func() bool) {
 	listed, twice := map[string]message.Backend{}, false
 	next := ""
 	for pages, putOff := 0, 0; ; pages++ {
 		page := reader.page(next)
-		if page.Mishap != nil && page.Wait > 0 && putOff < putOffLimit && rest(page.Wait) && going() {
+		if page.Err != nil && page.RetryAfter > 0 && putOff < maxPageRetries && rest(page.RetryAfter) && going() {
 			putOff++
 			pages--
 			continue
 		}
-		if page.Mishap != nil || pages >= pagesLimit {
+		if page.Err != nil || pages >= maxPages {
 			reader.counters.Add("platform_reads_broken", 1)
 			reader.mutex.Lock()
-			reader.wait = page.Wait
+			reader.retryAfter = page.RetryAfter
 			reader.mutex.Unlock()
 			return
 		}
@@ -167,11 +167,11 @@
 	reader.counters.Add("platform_reads_whole", 1)
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	reader.wait = 0
-	reader.whole, reader.finished = true, time.Now()
+	reader.retryAfter = 0
+	reader.complete, reader.completedAt = true, time.Now()
 	for name, backend := range listed {
 		before, found := reader.backends[name]
-		if next := reader.laid(backend); !found || next != before {
+		if next := reader.merge(backend); !found || next != before {
 			reader.backends[name], reader.sorted = next, nil
 		}
 		delete(reader.missed, name)
@@ -184,7 +184,7 @@
 		if _, found := listed[name]; found {
 			continue
 		}
-		if reader.missed[name]++; reader.missed[name] >= reader.goneAfter {
+		if reader.missed[name]++; reader.missed[name] >= reader.listsUntilGone {
 			delete(reader.backends, name)
 			delete(reader.missed, name)
 			reader.sorted = nil
@@ -192,24 +192,24 @@
 	}
 }
 
-// laid is a listed backend over what is known of it: who leaves never stays
+// merge is a listed backend over what is known of it: who leaves never stays
 // again, and the time of being warm doesn't change by jitter, nor by a page
 // from before the cold began.
-func (reader *PlatformReader) laid(backend message.Backend) message.Backend {
+func (reader *BackendReader) merge(backend message.Backend) message.Backend {
 	before, found := reader.backends[backend.Name]
 	if !found {
 		return backend
 	}
 	backend.Leaving = backend.Leaving || before.Leaving
-	near := backend.WarmAtMs > before.WarmAtMs-warmSlip && backend.WarmAtMs < before.WarmAtMs+warmSlip
+	near := backend.WarmAtMs > before.WarmAtMs-warmJitterMs && backend.WarmAtMs < before.WarmAtMs+warmJitterMs
 	if before.WarmAtMs > 0 && near || backend.WarmAtMs == 0 && before.WarmAtMs > reader.now() {
 		backend.WarmAtMs = before.WarmAtMs
 	}
 	return backend
 }
 
-func (reader *PlatformReader) page(next string) Listing {
-	ctx, cancel := context.WithTimeout(context.Background(), platformLimit)
+func (reader *BackendReader) page(next string) Listing {
+	ctx, cancel := context.WithTimeout(context.Background(), platformTimeout)
 	defer cancel()
 	return reader.lister(ctx, next)
 }
@@ -224,11 +224,11 @@
 func (pages *platformPages) list(ctx context.Context, next string) Listing {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+pages.address+"/v1/backends?page="+url.QueryEscape(next), nil)
 	if err != nil {
-		return Listing{Mishap: rpc.Errorf(rpc.PlatformError, "%v", err)}
+		return Listing{Err: rpc.Errorf(rpc.PlatformError, "%v", err)}
 	}
 	response, err := pages.client.Do(request)
 	if err != nil {
-		return Listing{Mishap: rpc.Errorf(rpc.PlatformError, "%v", err)}
+		return Listing{Err: rpc.Errorf(rpc.PlatformError, "%v", err)}
 	}
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusTooManyRequests {
@@ -237,18 +237,18 @@
 		if err != nil || seconds < 0 || seconds > 60 {
 			seconds = 1
 		}
-		return Listing{Wait: time.Duration(seconds*float64(time.Second)) + 10*time.Millisecond, Mishap: rpc.Errorf(rpc.PlatformError, "rate limited")}
+		return Listing{RetryAfter: time.Duration(seconds*float64(time.Second)) + 10*time.Millisecond, Err: rpc.Errorf(rpc.PlatformError, "rate limited")}
 	}
 	if response.StatusCode != http.StatusOK {
-		return Listing{Mishap: rpc.Errorf(rpc.PlatformError, "%s", fmt.Sprint(response.Status))}
+		return Listing{Err: rpc.Errorf(rpc.PlatformError, "%s", fmt.Sprint(response.Status))}
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, pageBytes+1))
-	if err != nil || len(body) > pageBytes {
-		return Listing{Mishap: rpc.Errorf(rpc.PlatformError, "page of %d bytes: %v", len(body), err)}
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes+1))
+	if err != nil || len(body) > maxPageBytes {
+		return Listing{Err: rpc.Errorf(rpc.PlatformError, "page of %d bytes: %v", len(body), err)}
 	}
 	page := &platformPage{}
 	if err := json.Unmarshal(body, page); err != nil {
-		return Listing{Mishap: rpc.Errorf(rpc.PlatformError, "page: %v", err)}
+		return Listing{Err: rpc.Errorf(rpc.PlatformError, "page: %v", err)}
 	}
 	return Listing{Backends: page.Items, Next: page.Next}
 }
--- a/control/power_test.go
+++ b/control/power_test.go
@@ -16,7 +16,7 @@
 type witness struct {
 	test     *testing.T
 	random   *rand.Rand
-	voter    *control.Voter
+	voter    *control.Replica
 	store    *control.Store
 	round    uint64
 	promised message.Term
@@ -33,10 +33,10 @@
 	}
 	store.LimitSegments(smallSegment)
 	witness.store = store
-	witness.voter = control.NewVoter(store, func(error) {}, func(message.Term) {})
+	witness.voter = control.NewReplica(store, func(error) {}, func(message.Term) {})
 	witness.judge()
-	if store.Fault() == nil {
-		witness.promised, witness.marks = witness.voter.State().Promised, witness.voter.State().Marks()
+	if store.Err() == nil {
+		witness.promised, witness.marks = witness.voter.State().Promised, witness.voter.State().Versions()
 	}
 	return nil
 }
@@ -49,7 +49,7 @@
 	if state.Promised.Less(witness.promised) {
 		witness.test.Fatalf("promised %v, holds %v", witness.promised, state.Promised)
 	}
-	for register, version := range state.Marks() {
+	for register, version := range state.Versions() {
 		if version.Less(witness.marks[register]) {
 			witness.test.Fatalf("register %d: took %v, holds %v", register, witness.marks[register], version)
 		}
@@ -70,7 +70,7 @@
 	witness.round = max(witness.round, witness.voter.State().Promised.Number) + 1
 	term := message.Term{Number: witness.round, Core: 1}
 	if witness.random.IntN(3) == 0 {
-		response, err := witness.voter.Promise(witness.promise(term))
+		response, err := witness.voter.Prepare(witness.promise(term))
 		if err != nil {
 			return false
 		}
@@ -115,7 +115,7 @@
 				names, _ := disk.List()
 				test.Fatalf("seed %d round %d: %v, files %v", seed, round, err, names)
 			}
-			if err := witness.voter.Found(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
+			if err := witness.voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
 				test.Fatalf("seed %d: founding: %v", seed, err)
 			}
 			disk.DieAfter(1 + random.IntN(120))
@@ -150,7 +150,7 @@
 			if err := witness.open(disk); err != nil {
 				test.Fatalf("seed %d: %v", seed, err)
 			}
-			if err := witness.voter.Found(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
+			if err := witness.voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
 				test.Fatalf("seed %d: founding: %v", seed, err)
 			}
 			for range random.IntN(9) {
@@ -162,10 +162,10 @@
 				disk.Refuse([]sim.Refusal{{Writes: true}, {Syncs: true}, {Names: true}, {Writes: true, Syncs: true, Names: true}, {}}[random.IntN(5)])
 				disk.Room(disk.Used() + 1 + random.IntN(9000))
 				for range 8 {
-					if witness.store.Fault() != nil {
+					if witness.store.Err() != nil {
 						refused++
 						witness.judge()
-						if _, err := witness.voter.Promise(witness.promise(witness.promised)); err == nil {
+						if _, err := witness.voter.Prepare(witness.promise(witness.promised)); err == nil {
 							test.Fatalf("seed %d: promised by a disk that refuses", seed)
 						}
 						_ = witness.voter.Repair() // the disk may still refuse
--- a/control/relayed_test.go
+++ b/control/relayed_test.go
@@ -15,7 +15,7 @@
 // gets all that the core was told, or it would seal what came since alone.
 func TestRelayedSessionTellsAllCountsNotTheLastChange(test *testing.T) {
 	goroutines := concurrent.NewGroup()
-	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
+	core, err := NewCore(Config{ID: 1, InternalAddress: "127.0.0.1:1", Bootstrap: true, HeartbeatInterval: 10 * time.Millisecond, SuspicionTimeout: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -23,16 +23,16 @@
 	member := message.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}
 	for _, session := range []*message.Session{
 		{Member: member, NowMs: 1, Windows: []message.WindowCount{{Window: 10, Tenants: map[string]uint64{"first": 5, "second": 2}}}},
-		{Member: member, NowMs: 2, BaseProcess: core.meter.process, Windows: []message.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}}},
+		{Member: member, NowMs: 2, BaseProcess: core.windows.process, Windows: []message.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}}},
 	} {
 		if _, err := core.onSession(session); err != nil {
 			test.Fatal(err)
 		}
 	}
-	next := newMeter()
-	for _, held := range core.sessions.own(core.members().ID) {
-		relayed := core.relayed(held)
-		next.take(&relayed)
+	next := newWindowMeter()
+	for _, held := range core.sessions.ownedBy(core.membership().ID) {
+		relayed := core.forForwarding(held)
+		next.add(&relayed)
 	}
 	if sum := next.sum(10); sum["first"] != 5 || sum["second"] != 2 {
 		test.Fatalf("window 10 at the next leader: %v", sum)
@@ -40,30 +40,30 @@
 	if sum := next.sum(11); sum["first"] != 1 {
 		test.Fatalf("window 11 at the next leader: %v", sum)
 	}
-	if next.spoke["a"] != 2 {
-		test.Fatalf("spoke %d, want 2: all was told", next.spoke["a"])
+	if next.reportedUntil["a"] != 2 {
+		test.Fatalf("spoke %d, want 2: all was told", next.reportedUntil["a"])
 	}
 }
 
 // What adds to a former process of the core is not all, and does not pass for it.
 func TestRelayedChangesUponAFormerProcessStayChanges(test *testing.T) {
 	goroutines := concurrent.NewGroup()
-	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
+	core, err := NewCore(Config{ID: 1, InternalAddress: "127.0.0.1:1", Bootstrap: true, HeartbeatInterval: 10 * time.Millisecond, SuspicionTimeout: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
 	}
 	defer core.Close()
-	session := message.Session{Member: message.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}, NowMs: 2, BaseProcess: core.meter.process + 2,
+	session := message.Session{Member: message.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}, NowMs: 2, BaseProcess: core.windows.process + 2,
 		Windows: []message.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}}}
 	if _, err := core.onSession(&session); err != nil {
 		test.Fatal(err)
 	}
-	next := newMeter()
-	for _, held := range core.sessions.own(core.members().ID) {
-		relayed := core.relayed(held)
-		next.take(&relayed)
+	next := newWindowMeter()
+	for _, held := range core.sessions.ownedBy(core.membership().ID) {
+		relayed := core.forForwarding(held)
+		next.add(&relayed)
 	}
-	if next.spoke["a"] != 0 || next.sum(11)["first"] != 1 {
-		test.Fatalf("spoke %d, window 11 %v", next.spoke["a"], next.sum(11))
+	if next.reportedUntil["a"] != 0 || next.sum(11)["first"] != 1 {
+		test.Fatalf("spoke %d, window 11 %v", next.reportedUntil["a"], next.sum(11))
 	}
 }
--- a/control/restore.go
+++ b/control/restore.go
@@ -8,27 +8,27 @@
 	"k8s.io/klog/v2"
 )
 
-// restore makes a blank disk a voter again: by founding, when every core is new,
+// restoreReplica makes a blank disk a voter again: by founding, when every core is new,
 // or by fencing so many others that no quorum the lost disk helped to make is missed.
-func (core *Core) restore() {
-	core.goroutines.Sleep(core.random.span(core.place.Beat, 2*core.place.Beat))
-	view := core.members()
-	response := askPeers(core, view, func(peer Peer) (*message.ReplicaStateResponse, error) {
-		return rpc.Call[message.ReplicaStateRequest, message.ReplicaStateResponse](core.line, peer.Address, "restore", core.roundLimit(), &message.ReplicaStateRequest{Core: view.ID, Membership: view.Mark})
-	}, func(answer *message.ReplicaStateResponse) bool { return answer.Initialized }, never)
-	untouched := len(response) == len(view.Peers) && !core.place.enlists()
+func (core *Core) restoreReplica() {
+	core.goroutines.Sleep(core.random.between(core.config.HeartbeatInterval, 2*core.config.HeartbeatInterval))
+	view := core.membership()
+	response := callPeers(core, view, func(peer Peer) (*message.ReplicaStateResponse, error) {
+		return rpc.Call[message.ReplicaStateRequest, message.ReplicaStateResponse](core.client, peer.Address, "restore", core.callTimeout(), &message.ReplicaStateRequest{Core: view.ID, Membership: view.Version})
+	}, func(answer *message.ReplicaStateResponse) bool { return answer.Initialized }, waitForAll)
+	untouched := len(response) == len(view.Peers) && !core.config.discoversPeers()
 	for _, answer := range response {
-		core.sawRound(answer.Promised.Number)
-		core.learnMembers(answer.Membership)
+		core.observeTermNumber(answer.Promised.Number)
+		core.learnMembership(answer.Membership)
 		if answer.Promised.Number > 0 || answer.Versions != (message.Versions{}) {
 			untouched = false
 		}
 	}
-	if untouched && core.place.Found {
-		if err := core.voter.Found(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err == nil {
+	if untouched && core.config.Bootstrap {
+		if err := core.replica.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err == nil {
 			klog.Infof("core %d: founded", view.ID)
-			core.beginClaims(view.ID)
-			core.begin()
+			core.startClaims(view.ID)
+			core.startFollowing()
 		}
 		return
 	}
@@ -36,53 +36,53 @@
 		core.counters.Add("restores_short", 1)
 		return
 	}
-	term, revoked := core.nextBallot(view)
-	promises := core.promisesOf(askPeers(core, view, func(peer Peer) (*message.PrepareResponse, error) {
-		return rpc.Call[message.PrepareRequest, message.PrepareResponse](core.line, peer.Address, "promise", core.roundLimit(), &message.PrepareRequest{Term: term, Membership: view.accepted()})
-	}, granted, never))
+	term, revoked := core.nextTerm(view)
+	promises := core.grantedPromises(callPeers(core, view, func(peer Peer) (*message.PrepareResponse, error) {
+		return rpc.Call[message.PrepareRequest, message.PrepareResponse](core.client, peer.Address, "promise", core.callTimeout(), &message.PrepareRequest{Term: term, Membership: view.accepted()})
+	}, granted, waitForAll))
 	if !view.fencesWithout(view.ID, agreed(promises, granted)) {
 		core.counters.Add("restores_short", 1)
 		return
 	}
-	accepted, from := takenOver(view, promises)
-	texts, err := core.gatherTexts(view.address(from[message.SettingsRegister]), accepted[message.SettingsRegister].Value, nil)
+	accepted, from := inheritedValues(view, promises)
+	chunks, err := core.gatherChunks(view.address(from[message.SettingsRegister]), accepted[message.SettingsRegister].Value, nil)
 	if err != nil {
 		core.counters.Add("restores_short", 1)
 		return
 	}
-	if err := core.voter.Found(term, accepted, texts); err != nil {
+	if err := core.replica.Initialize(term, accepted, chunks); err != nil {
 		return
 	}
 	core.counters.Add("restores", 1)
 	klog.Infof("core %d: restored from %d cores under %s", view.ID, len(promises), term)
-	promises[view.ID] = &message.PrepareResponse{Granted: true, Promised: term, Accepted: core.voter.State().Accepted}
-	if core.chart.move(Revoking) {
-		core.found(view, term, &Revocation{Method: BallotFence, Ballot: term, Revoked: revoked, Promises: promises, Complete: true})
-		core.chart.moveBack()
+	promises[view.ID] = &message.PrepareResponse{Granted: true, Promised: term, Accepted: core.replica.State().Accepted}
+	if core.role.transition(Revoking) {
+		core.establishLeadership(view, term, &Revocation{Method: TermFence, Term: term, Revoked: revoked, Promises: promises, Complete: true})
+		core.role.abandonCandidacy()
 	}
 }
 
-// beginClaims marks the claims of a new voter as whole, since nothing was kept on its
+// startClaims marks the claims of a new voter as whole, since nothing was kept on its
 // disk before. While its claims' ring is full or its disk refuses groups that is tried
 // again: until the mark lasts, this core counts as one that may have lost claims.
-func (core *Core) beginClaims(id int) {
-	if core.markClaimsWhole(id) == nil {
+func (core *Core) startClaims(id int) {
+	if core.markClaimsComplete(id) == nil {
 		return
 	}
 	core.goroutines.Start(func() {
-		for core.goroutines.Sleep(repairPace) && core.markClaimsWhole(id) != nil {
+		for core.goroutines.Sleep(repairInterval) && core.markClaimsComplete(id) != nil {
 		}
 	})
 }
 
-// markClaimsWhole notes that a voter lacks no claims; one that lost its vote meanwhile
+// markClaimsComplete notes that a voter lacks no claims; one that lost its vote meanwhile
 // has nothing to note.
-func (core *Core) markClaimsWhole(id int) error {
-	view := core.members()
+func (core *Core) markClaimsComplete(id int) error {
+	view := core.membership()
 	if view.ID != id {
 		return nil
 	}
-	err := core.claims.put(&keepWait{message: &message.RecordClaimsRequest{}, members: view.accepted(), wholeAs: view.ID})
+	err := core.claims.submit(&pendingWrite{request: &message.RecordClaimsRequest{}, membership: view.accepted(), completeAs: view.ID})
 	if err != nil {
 		core.counters.Add("claims_not_begun", 1)
 	}
@@ -93,18 +93,18 @@
 // them, by the membership that it asked them under.
 func (core *Core) mayRestore(view *View, response map[int]*message.ReplicaStateResponse) bool {
 	founded := func(answer *message.ReplicaStateResponse) bool { return answer.Initialized }
-	return core.members().same(view) && view.mayLead(view.ID) && view.fencesWithout(view.ID, agreed(response, founded))
+	return core.membership().same(view) && view.mayLead(view.ID) && view.fencesWithout(view.ID, agreed(response, founded))
 }
 
-func (core *Core) begin() {
+func (core *Core) startFollowing() {
 	core.mutex.Lock()
-	core.heard = time.Now()
-	core.patience = core.firstPatience()
+	core.leaderSeenAt = time.Now()
+	core.electionTimeout = core.firstElectionTimeout()
 	core.mutex.Unlock()
-	core.chart.move(Following)
+	core.role.transition(Following)
 }
 
-func (core *Core) onRestore(request *message.ReplicaStateRequest) (*message.ReplicaStateResponse, error) {
-	state := core.voter.State()
-	return &message.ReplicaStateResponse{Voter: state.Founded, Initialized: state.Founded, Promised: state.Promised, Versions: state.Marks(), Membership: core.newerMembers(request.Membership)}, nil
+func (core *Core) onReplicaState(request *message.ReplicaStateRequest) (*message.ReplicaStateResponse, error) {
+	state := core.replica.State()
+	return &message.ReplicaStateResponse{Voter: state.Initialized, Initialized: state.Initialized, Promised: state.Promised, Versions: state.Versions(), Membership: core.newerMembership(request.Membership)}, nil
 }
--- a/control/restored_test.go
+++ b/control/restored_test.go
@@ -15,18 +15,18 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	voter := control.NewVoter(store, func(err error) { test.Error(err) }, func(message.Term) {})
+	voter := control.NewReplica(store, func(err error) { test.Error(err) }, func(message.Term) {})
 	accepted := [message.Registers]message.AcceptedValue{}
 	accepted[message.RoutingRegister] = message.AcceptedValue{Term: message.Term{Number: 3, Core: 2}, Value: message.Value{Serial: 7, Body: []byte("routing")}}
 	own := message.Term{Number: 5, Core: 1}
-	if err := voter.Found(own, accepted, nil); err != nil {
+	if err := voter.Initialize(own, accepted, nil); err != nil {
 		test.Fatal(err)
 	}
 	state := voter.State()
-	if want := (message.Version{Term: own, Serial: 7}); state.Marks()[message.RoutingRegister] != want || state.Promised != own {
-		test.Errorf("promised %v, routing %v", state.Promised, state.Marks()[message.RoutingRegister])
+	if want := (message.Version{Term: own, Serial: 7}); state.Versions()[message.RoutingRegister] != want || state.Promised != own {
+		test.Errorf("promised %v, routing %v", state.Promised, state.Versions()[message.RoutingRegister])
 	}
-	if never := state.Marks()[message.ReportsRegister]; never != (message.Version{}) {
+	if never := state.Versions()[message.ReportsRegister]; never != (message.Version{}) {
 		test.Errorf("reports, never written, %v", never)
 	}
 }
--- a/control/revocation.go
+++ b/control/revocation.go
@@ -10,14 +10,14 @@
 type Method string
 
 const (
-	BallotFence Method = "ballot fence at a majority"
-	SteppedDown Method = "leader stepped down"
+	TermFence Method = "ballot fence at a majority"
+	Resigned  Method = "leader stepped down"
 )
 
 // Revocation ends the former leadership; establishment takes only a complete one.
 type Revocation struct {
 	Method   Method
-	Ballot   message.Term
+	Term     message.Term
 	Revoked  message.Term
 	Promises map[int]*message.PrepareResponse
 	Complete bool
@@ -26,16 +26,16 @@
 
 // fence pushes the ballot until a majority holds no older one valid.
 func (core *Core) fence(view *View, term message.Term, revoked message.Term) (*Revocation, error) {
-	promises, err := core.pushBallot(view, term)
+	promises, err := core.prepare(view, term)
 	if err != nil {
 		return nil, err
 	}
-	return &Revocation{Method: BallotFence, Ballot: term, Revoked: revoked, Promises: promises, Complete: true}, nil
+	return &Revocation{Method: TermFence, Term: term, Revoked: revoked, Promises: promises, Complete: true}, nil
 }
 
-// steppedDown takes the leader's own word that it writes no more.
-func steppedDown(request *message.TransferLeadershipRequest) *Revocation {
-	return &Revocation{Method: SteppedDown, Revoked: request.Term, Complete: true, Learners: request.Learners}
+// resigned takes the leader's own word that it writes no more.
+func resigned(request *message.TransferLeadershipRequest) *Revocation {
+	return &Revocation{Method: Resigned, Revoked: request.Term, Complete: true, Learners: request.Learners}
 }
 
 // covers is false when a promise shows a leadership newer than the one revoked.
@@ -43,7 +43,7 @@
 	if !revocation.Complete {
 		return false
 	}
-	if revocation.Method == BallotFence {
+	if revocation.Method == TermFence {
 		return true
 	}
 	for _, promise := range promises {
@@ -56,44 +56,44 @@
 	return true
 }
 
-// pushBallot asks every voter to promise, this one first and synced, until a quorum
+// prepare asks every voter to promise, this one first and synced, until a quorum
 // did. One that knows a newer membership refuses and tells it: the next attempt
 // counts by that.
-func (core *Core) pushBallot(view *View, term message.Term) (map[int]*message.PrepareResponse, error) {
+func (core *Core) prepare(view *View, term message.Term) (map[int]*message.PrepareResponse, error) {
 	request := &message.PrepareRequest{Term: term, Membership: view.accepted()}
-	own, err := core.voter.Promise(request)
+	own, err := core.replica.Prepare(request)
 	if err != nil {
 		return nil, err
 	}
 	if !own.Granted {
-		core.sawRound(own.Promised.Number)
+		core.observeTermNumber(own.Promised.Number)
 		return nil, &rpc.Error{Code: rpc.StaleTerm, Message: "own promise " + own.Promised.String()}
 	}
-	response := askPeers(core, view, func(peer Peer) (*message.PrepareResponse, error) {
-		return rpc.Call[message.PrepareRequest, message.PrepareResponse](core.line, peer.Address, "promise", core.roundLimit(), request)
+	response := callPeers(core, view, func(peer Peer) (*message.PrepareResponse, error) {
+		return rpc.Call[message.PrepareRequest, message.PrepareResponse](core.client, peer.Address, "promise", core.callTimeout(), request)
 	}, granted, view.decides)
-	promises := core.promisesOf(response)
+	promises := core.grantedPromises(response)
 	promises[view.ID] = own
 	if !view.decides(agreed(promises, granted)) {
-		return nil, rpc.Errorf(rpc.StaleTerm, "%d cores and no quorum of membership %d promised %s", len(promises), view.Mark.Serial, term)
+		return nil, rpc.Errorf(rpc.StaleTerm, "%d cores and no quorum of membership %d promised %s", len(promises), view.Version.Serial, term)
 	}
 	return promises, nil
 }
 
 func granted(response *message.PrepareResponse) bool { return response.Granted }
 
-// promisesOf are those that were granted; what the others know is learned.
-func (core *Core) promisesOf(response map[int]*message.PrepareResponse) map[int]*message.PrepareResponse {
+// grantedPromises are those that were granted; what the others know is learned.
+func (core *Core) grantedPromises(response map[int]*message.PrepareResponse) map[int]*message.PrepareResponse {
 	promises := map[int]*message.PrepareResponse{}
 	for id, promise := range response {
 		if promise.Granted {
 			promises[id] = promise
 			continue
 		}
-		core.sawRound(promise.Promised.Number)
-		core.learnMembers(promise.Membership)
+		core.observeTermNumber(promise.Promised.Number)
+		core.learnMembership(promise.Membership)
 	}
 	return promises
 }
 
-func (core *Core) roundLimit() time.Duration { return core.place.Suspect }
+func (core *Core) callTimeout() time.Duration { return core.config.SuspicionTimeout }
--- a/control/routing.go
+++ b/control/routing.go
@@ -8,19 +8,19 @@
 	"orchidjunction/rpc"
 )
 
-// routedBody is a committed routing as daemons get it, packed once.
-type routedBody struct {
+// routingCache is a committed routing as daemons get it, packed once.
+type routingCache struct {
 	mutex  sync.Mutex
 	serial uint64
 	body   []byte
 }
 
-// of packs a book as daemons need it, and squeezes it.
-func (routed *routedBody) of(value message.Value) ([]byte, error) {
-	routed.mutex.Lock()
-	defer routed.mutex.Unlock()
-	if routed.serial == value.Serial {
-		return routed.body, nil
+// get packs a book as daemons need it, and squeezes it.
+func (cache *routingCache) get(value message.Value) ([]byte, error) {
+	cache.mutex.Lock()
+	defer cache.mutex.Unlock()
+	if cache.serial == value.Serial {
+		return cache.body, nil
 	}
 	book, err := route.BookOf(value.Body)
 	if err != nil {
@@ -30,8 +30,8 @@
 	if err != nil {
 		return nil, rpc.AsError(err)
 	}
-	routed.serial, routed.body = value.Serial, message.Compress(body)
-	return routed.body, nil
+	cache.serial, cache.body = value.Serial, message.Compress(body)
+	return cache.body, nil
 }
 
 // Routing is the committed routing as this core holds it.
@@ -46,10 +46,10 @@
 	return value.Serial, book
 }
 
-// decide is the book after a change, or that the change was taken before. A base
+// applyRoutingChange is the book after a change, or that the change was taken before. A base
 // that is no longer current is named before all else that may be wrong: who lost a
 // race sent a valid configuration. Whether a very old order was taken is not known.
-func decide(book *route.Book, change *route.Change) (next *route.Book, again bool, err error) {
+func applyRoutingChange(book *route.Book, change *route.Change) (next *route.Book, again bool, err error) {
 	if book.Trail.Holds(change.Version, change.Digest) {
 		return nil, true, nil
 	}
@@ -88,7 +88,7 @@
 	held := uint64(0)
 	serial, err := leadership.write(message.RoutingRegister, func(current message.Value) (*message.Value, message.Chunks, error) {
 		held = current.Serial
-		book, err := build(leadership.book())
+		book, err := build(leadership.currentRouting())
 		if err != nil || book == nil {
 			return nil, nil, err
 		}
@@ -105,8 +105,8 @@
 	return serial, err
 }
 
-// book is the routing that the leadership wrote or took over.
-func (leadership *Leadership) book() *route.Book {
+// currentRouting is the routing that the leadership wrote or took over.
+func (leadership *Leadership) currentRouting() *route.Book {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	return leadership.routing
@@ -116,7 +116,7 @@
 // What needs no write, a repeat or a refusal, is told only by who still leads: the
 // next leader may have taken the order, or others.
 func (core *Core) onRouteChange(request *message.RoutingChangeRequest) (*message.RoutingChangeResponse, error) {
-	leadership, err := core.leading()
+	leadership, err := core.currentLeadership()
 	if err != nil {
 		return nil, err
 	}
@@ -126,12 +126,12 @@
 	}
 	response, decided := &message.RoutingChangeResponse{}, false
 	response.Serial, err = leadership.writeRouting(func(book *route.Book) (*route.Book, error) {
-		next, again, refusal := decide(book, change)
+		next, again, refusal := applyRoutingChange(book, change)
 		response.Duplicate, decided = again, next == nil
 		return next, refusal
 	})
 	if decided {
-		err = leadership.proven(err)
+		err = leadership.confirmDecision(err)
 	}
 	if err != nil {
 		core.counters.Add("routings_"+string(rpc.CodeOf(err)), 1)
@@ -141,21 +141,21 @@
 	return response, nil
 }
 
-// proven is what a caller is told of a decision that needed no write: the decision,
+// confirmDecision is what a caller is told of a decision that needed no write: the decision,
 // once a majority took a beat that was begun after it, and else why there was none.
-func (leadership *Leadership) proven(decision error) error {
-	if unsure := leadership.confirm(leadership.core.roundLimit()); unsure != nil {
+func (leadership *Leadership) confirmDecision(decision error) error {
+	if unsure := leadership.confirm(leadership.core.callTimeout()); unsure != nil {
 		return unsure
 	}
 	return decision
 }
 
 func (core *Core) onRouteRead(*message.RoutingReadRequest) (*message.RoutingReadResponse, error) {
-	leadership, err := core.leading()
+	leadership, err := core.currentLeadership()
 	if err != nil {
 		return nil, err
 	}
-	if err := leadership.confirm(core.roundLimit()); err != nil {
+	if err := leadership.confirm(core.callTimeout()); err != nil {
 		return nil, err
 	}
 	value := leadership.value(message.RoutingRegister)
--- a/control/routing_test.go
+++ b/control/routing_test.go
@@ -25,10 +25,10 @@
 		{"b", true, 5000, []string{"b"}, []route.Reopened{{Zone: "b", AtMs: 3000}, {Zone: "a", AtMs: 4000}}},
 		{"b", false, 63500, []string{}, []route.Reopened{{Zone: "a", AtMs: 4000}, {Zone: "b", AtMs: 63500}}},
 	} {
-		if again := evacuate(book, &message.EvacuateRequest{Zone: step.zone, Begin: !step.begin}, step.at); again != nil {
+		if again := applyEvacuation(book, &message.EvacuateRequest{Zone: step.zone, Begin: !step.begin}, step.at); again != nil {
 			test.Errorf("step %d: the contrary changed something", number)
 		}
-		next := evacuate(book, &message.EvacuateRequest{Zone: step.zone, Begin: step.begin}, step.at)
+		next := applyEvacuation(book, &message.EvacuateRequest{Zone: step.zone, Begin: step.begin}, step.at)
 		if next == nil || len(next.Evacuated) != len(step.evacuated) || len(step.evacuated) > 0 && !reflect.DeepEqual(next.Evacuated, step.evacuated) || !reflect.DeepEqual(next.Reopened, step.reopened) {
 			test.Fatalf("step %d: %+v", number, next)
 		}
--- a/control/stall_test.go
+++ b/control/stall_test.go
@@ -21,13 +21,13 @@
 		if err != nil {
 			test.Fatal(err)
 		}
-		voter := control.NewVoter(store, func(err error) { test.Error(err) }, func(message.Term) {})
-		if err := voter.Found(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
+		voter := control.NewReplica(store, func(err error) { test.Error(err) }, func(message.Term) {})
+		if err := voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
 			test.Fatal(err)
 		}
 		disk.Stall(true)
 		var early error
-		goroutines.Start(func() { _, early = voter.Promise(&message.PrepareRequest{Term: message.Term{Number: 1, Core: 1}}) })
+		goroutines.Start(func() { _, early = voter.Prepare(&message.PrepareRequest{Term: message.Term{Number: 1, Core: 1}}) })
 		goroutines.Sleep(time.Second)
 		begin := time.Now()
 		for round := range uint64(20) {
--- a/control/standing.go
+++ b/control/standing.go
@@ -7,22 +7,22 @@
 	"k8s.io/klog/v2"
 )
 
-// Standing is the state a core is in.
-type Standing string
+// Role is the state a core is in.
+type Role string
 
 const (
-	Blank        Standing = "blank"
-	Learner      Standing = "learner"
-	Following    Standing = "following"
-	Prechecking  Standing = "prechecking"
-	Revoking     Standing = "revoking"
-	Establishing Standing = "establishing"
-	Leading      Standing = "leading"
-	Lameduck     Standing = "lameduck"
-	Retired      Standing = "retired"
+	Blank        Role = "blank"
+	Learner      Role = "learner"
+	Following    Role = "following"
+	Prechecking  Role = "prechecking"
+	Revoking     Role = "revoking"
+	Establishing Role = "establishing"
+	Leading      Role = "leading"
+	Lameduck     Role = "lameduck"
+	Retired      Role = "retired"
 )
 
-var standingChart = map[Standing][]Standing{
+var roleTransitions = map[Role][]Role{
 	Blank:        {Learner, Following, Revoking, Retired},
 	Learner:      {Following, Blank, Retired},
 	Following:    {Learner, Prechecking, Revoking, Establishing, Retired},
@@ -34,38 +34,38 @@
 	Retired:      {},
 }
 
-// Chart holds the standing and refuses moves that the chart lacks.
-type Chart struct {
+// RoleState holds the standing and refuses moves that the chart lacks.
+type RoleState struct {
 	mutex    sync.Mutex
-	now      Standing
+	current  Role
 	counters *metrics.Counters
 	core     int
 }
 
-func (chart *Chart) Now() Standing {
-	chart.mutex.Lock()
-	defer chart.mutex.Unlock()
-	return chart.now
+func (role *RoleState) Current() Role {
+	role.mutex.Lock()
+	defer role.mutex.Unlock()
+	return role.current
 }
 
-// name sets the core's number, once it is known.
-func (chart *Chart) name(core int) {
-	chart.mutex.Lock()
-	chart.core = core
-	chart.mutex.Unlock()
+// setCore sets the core's number, once it is known.
+func (role *RoleState) setCore(core int) {
+	role.mutex.Lock()
+	role.core = core
+	role.mutex.Unlock()
 }
 
-func (chart *Chart) move(to Standing) bool {
-	chart.mutex.Lock()
-	defer chart.mutex.Unlock()
-	if chart.now == to {
+func (role *RoleState) transition(to Role) bool {
+	role.mutex.Lock()
+	defer role.mutex.Unlock()
+	if role.current == to {
 		return true
 	}
-	for _, next := range standingChart[chart.now] {
+	for _, next := range roleTransitions[role.current] {
 		if next == to {
-			klog.Infof("core %d: %s -> %s", chart.core, chart.now, to)
-			chart.counters.Add("standing_"+string(to), 1)
-			chart.now = to
+			klog.Infof("core %d: %s -> %s", role.core, role.current, to)
+			role.counters.Add("standing_"+string(to), 1)
+			role.current = to
 			return true
 		}
 	}
--- a/control/status.go
+++ b/control/status.go
@@ -12,26 +12,26 @@
 	leadership := core.leadership
 	core.mutex.Unlock()
 	response.Membership = core.membershipStatus(leadership)
-	response.State = string(core.chart.Now())
+	response.State = string(core.role.Current())
 	response.Counts = core.counters.All()
-	state := core.voter.State()
-	response.Cores = []message.CoreStatus{{Core: core.members().ID, Address: core.place.Wire, Voter: state.Founded, Seen: true, Versions: state.Marks()}}
+	state := core.replica.State()
+	response.Cores = []message.CoreStatus{{Core: core.membership().ID, Address: core.config.InternalAddress, Voter: state.Initialized, Seen: true, Versions: state.Versions()}}
 	if leadership != nil {
 		response.Conditions = leadership.conditions()
 		response.Revocation = string(leadership.revocation.Method)
 		leadership.mutex.Lock()
-		for _, peer := range core.members().Peers {
+		for _, peer := range core.membership().Peers {
 			status := message.CoreStatus{Core: peer.ID, Address: peer.Address}
-			if report := leadership.reports[peer.ID]; report != nil {
+			if report := leadership.responses[peer.ID]; report != nil {
 				status.Voter, status.Seen, status.Versions = report.Voter, report.Accepted, report.Versions
 			}
 			response.Cores = append(response.Cores, status)
 		}
 		leadership.mutex.Unlock()
 	}
-	for _, held := range core.sessions.standing(0) {
+	for _, held := range core.sessions.active(0) {
 		response.Members = append(response.Members, message.MemberStatus{Member: held.session.Member, Serial: held.session.Serial, Table: held.session.Table,
-			Parent: held.session.Parent, AgeMs: time.Since(held.told).Milliseconds(), Core: held.core, Probes: held.session.Probes})
+			Parent: held.session.Parent, AgeMs: time.Since(held.renewedAt).Milliseconds(), Core: held.core, Probes: held.session.Probes})
 	}
 	return response, nil
 }
--- a/control/store.go
+++ b/control/store.go
@@ -12,33 +12,33 @@
 
 // State is all that a core must never forget.
 type State struct {
-	Opening  bool
-	Roster   []Peer // as disks of former versions hold it; see upgrade
-	Founded  bool
-	Promised message.Term
-	Accepted [message.Registers]message.AcceptedValue
-	Texts    message.Chunks
+	SinceBootstrap bool   `msgpack:"Opening"`
+	FormerRoster   []Peer `msgpack:"Roster"` // as disks of former versions hold it; see upgrade
+	Initialized    bool   `msgpack:"Founded"`
+	Promised       message.Term
+	Accepted       [message.Registers]message.AcceptedValue
+	Chunks         message.Chunks `msgpack:"Texts"`
 
 	Committed message.Versions
 }
 
-// proven is a register's accepted value where this core knew it committed: what a
+// provenCommitted is a register's accepted value where this core knew it committed: what a
 // later ballot holds under the same serial is the same value.
-func (state State) proven(register message.Register) (message.AcceptedValue, bool) {
+func (state State) provenCommitted(register message.Register) (message.AcceptedValue, bool) {
 	accepted, version := state.Accepted[register], state.Committed[register]
 	return accepted, version.Serial > 0 && version.Serial == accepted.Value.Serial && !accepted.Term.Less(version.Term)
 }
 
 // upgrade makes the roster of a former version, which was fixed, the first membership.
 func (state *State) upgrade(roster []Peer) {
-	state.Roster = nil
+	state.FormerRoster = nil
 	if len(roster) > 0 && state.Accepted[message.MembersRegister].Value.Serial == 0 {
 		state.Accepted[message.MembersRegister] = givenMembership(roster).accepted()
 	}
 }
 
-// Voters is the membership that was accepted last; nil where none was.
-func (state State) Voters() *Membership {
+// Membership is the membership that was accepted last; nil where none was.
+func (state State) Membership() *Membership {
 	membership, err := membershipOf(state.Accepted[message.MembersRegister])
 	if err != nil {
 		return nil
@@ -46,7 +46,7 @@
 	return membership
 }
 
-func (state State) Marks() message.Versions {
+func (state State) Versions() message.Versions {
 	versions := message.Versions{}
 	for register := range versions {
 		versions[register] = state.Accepted[register].Version()
@@ -54,24 +54,24 @@
 	return versions
 }
 
-// record is one synced step; only what changed is set.
-type record struct {
-	Opening  bool
-	Roster   []Peer // as disks of former versions hold it; see upgrade
-	Founded  bool
-	Promised *message.Term
-	Register message.Register
-	Accepted *message.AcceptedValue
-	Texts    message.Chunks
+// Record is one synced step; only what changed is set.
+type Record struct {
+	SinceBootstrap bool   `msgpack:"Opening"`
+	FormerRoster   []Peer `msgpack:"Roster"` // as disks of former versions hold it; see upgrade
+	Initialized    bool   `msgpack:"Founded"`
+	Promised       *message.Term
+	Register       message.Register
+	Accepted       *message.AcceptedValue
+	Chunks         message.Chunks `msgpack:"Texts"`
 
 	Committed *message.Version
-	Then      []record
+	Then      []Record
 }
 
-func (state *State) lay(step record) {
-	state.Opening = state.Opening || step.Opening
-	state.Founded = state.Founded || step.Founded
-	state.upgrade(step.Roster)
+func (state *State) apply(step Record) {
+	state.SinceBootstrap = state.SinceBootstrap || step.SinceBootstrap
+	state.Initialized = state.Initialized || step.Initialized
+	state.upgrade(step.FormerRoster)
 	if step.Promised != nil {
 		state.Promised = *step.Promised
 	}
@@ -80,28 +80,28 @@
 	}
 	if step.Accepted != nil {
 		state.Accepted[step.Register] = *step.Accepted
-		if len(step.Texts) > 0 || len(step.Accepted.Value.Chunks) > 0 {
-			state.trim(step.Texts)
+		if len(step.Chunks) > 0 || len(step.Accepted.Value.Chunks) > 0 {
+			state.trimChunks(step.Chunks)
 		}
 	}
 	for _, next := range step.Then {
-		state.lay(next)
+		state.apply(next)
 	}
 }
 
-// trim keeps the texts that accepted values name; readers may hold the former map.
-func (state *State) trim(more message.Chunks) {
-	kept := make(message.Chunks, len(state.Texts)+len(more))
+// trimChunks keeps the texts that accepted values name; readers may hold the former map.
+func (state *State) trimChunks(more message.Chunks) {
+	kept := make(message.Chunks, len(state.Chunks)+len(more))
 	for register := range state.Accepted {
 		for _, part := range state.Accepted[register].Value.Chunks {
 			if text, found := more[part.Digest]; found {
 				kept[part.Digest] = text
-			} else if text, found := state.Texts[part.Digest]; found {
+			} else if text, found := state.Chunks[part.Digest]; found {
 				kept[part.Digest] = text
 			}
 		}
 	}
-	state.Texts = kept
+	state.Chunks = kept
 }
 
 // Store is a journal with snapshots beside it: segment n holds the steps since
@@ -119,10 +119,10 @@
 // takes nothing until Repair succeeds.
 func OpenStore(disk Disk) (*Store, error) {
 	store := &Store{disk: disk}
-	if err := sweepDrafts(disk); err != nil {
+	if err := RemoveDrafts(disk); err != nil {
 		return nil, err
 	}
-	snapshots, err := numbers(disk, snapshotName)
+	snapshots, err := fileNumbers(disk, snapshotName)
 	if err != nil {
 		return nil, err
 	}
@@ -133,108 +133,108 @@
 			return nil, err
 		}
 	}
-	laid := false
-	store.journal, err = loadJournal(disk, segmentName, first, func(_ uint64, payload []byte) error {
-		var step record
+	applied := false
+	store.journal, err = OpenJournal(disk, segmentName, first, func(_ uint64, payload []byte) error {
+		var step Record
 		if err := rpc.Unmarshal(payload, &step); err != nil {
 			return rpc.AsError(err)
 		}
-		store.state.lay(step)
-		laid = true
+		store.state.apply(step)
+		applied = true
 		return nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	if laid || len(snapshots) > 0 {
-		_ = store.roll() // Fault tells it until Repair succeeds
+	if applied || len(snapshots) > 0 {
+		_ = store.rotate() // Fault tells it until Repair succeeds
 	} else {
-		_ = store.journal.begin(first) // as above
+		_ = store.journal.Begin(first) // as above
 	}
 	return store, nil
 }
 
 func (store *Store) loadSnapshot(number uint64) error {
-	name := numbered(snapshotName, number)
+	name := fileName(snapshotName, number)
 	body, err := store.disk.Read(name)
 	if err != nil {
-		return storeFault(rpc.DiskFailure, err, "read %s", name)
+		return diskError(rpc.DiskFailure, err, "read %s", name)
 	}
 	payload, sound := Frame(body).payload()
 	if !sound {
 		return rpc.Errorf(rpc.CorruptStore, "%s fails its checksum", name)
 	}
 	if err := rpc.Unmarshal(payload, &store.state); err != nil {
-		return storeFault(rpc.CorruptStore, err, "%s", name)
+		return diskError(rpc.CorruptStore, err, "%s", name)
 	}
-	store.state.upgrade(store.state.Roster)
+	store.state.upgrade(store.state.FormerRoster)
 	return nil
 }
 
-// Fault is why the store takes nothing now, nil while it does.
-func (store *Store) Fault() error { return store.journal.fault }
+// Err is why the store takes nothing now, nil while it does.
+func (store *Store) Err() error { return store.journal.err }
 
 // Repair goes on in a new segment behind a fresh snapshot, when a fault left the
 // last segment's end unknown.
 func (store *Store) Repair() error {
-	if store.Fault() == nil {
+	if store.Err() == nil {
 		return nil
 	}
-	return store.roll()
+	return store.rotate()
 }
 
 // Append lasts once it returns without a mishap; after one the store takes nothing
 // more until it is repaired. A step is one frame: torn in any way, all of it is cut.
-func (store *Store) Append(step record) error {
-	if err := store.Fault(); err != nil {
+func (store *Store) Append(step Record) error {
+	if err := store.Err(); err != nil {
 		return err
 	}
-	frame, err := packFrame(&step)
+	frame, err := EncodeFrame(&step)
 	if err != nil {
 		return err
 	}
-	if store.journal.full(frame) {
-		if err := store.roll(); err != nil {
+	if store.journal.Full(frame) {
+		if err := store.rotate(); err != nil {
 			return err
 		}
 	}
 	if err := store.journal.Append(frame); err != nil {
 		return err
 	}
-	store.state.lay(step)
+	store.state.apply(step)
 	return nil
 }
 
-// roll writes a snapshot, begins the next segment and removes what both replace.
+// rotate writes a snapshot, begins the next segment and removes what both replace.
 // Until the segment is begun nothing changes for the journal, so that a roll that
 // failed half-way is done again from its start.
-func (store *Store) roll() error {
+func (store *Store) rotate() error {
 	next := store.journal.number + 1
-	frame, err := packFrame(&store.state)
+	frame, err := EncodeFrame(&store.state)
 	if err != nil {
 		return err
 	}
-	name := numbered(snapshotName, next)
+	name := fileName(snapshotName, next)
 	file, err := replaceFile(store.disk, name, frame)
 	if err != nil {
-		store.journal.fault = storeFault(rpc.DiskFailure, err, "snapshot %s", name)
-		return store.journal.fault
+		store.journal.err = diskError(rpc.DiskFailure, err, "snapshot %s", name)
+		return store.journal.err
 	}
 	_ = file.Close() // its content is synced
-	if err := store.journal.begin(next); err != nil {
+	if err := store.journal.Begin(next); err != nil {
 		return err
 	}
-	store.sweep(next)
+	store.removeBefore(next)
 	return nil
 }
 
-// sweep removes what the snapshot of that number replaces, as far as the disk lets
+// removeBefore removes what the snapshot of that number replaces, as far as the disk lets
 // it; the next one removes the rest. Removals that a power loss undoes bring back
 // files that opening passes over.
-func (store *Store) sweep(number uint64) {
+func (store *Store) removeBefore(number uint64) {
 	unsynced := func() error { return nil }
-	_ = sweep(store.disk, segmentName, number, unsynced)
-	_ = sweep(store.disk, snapshotName, number, unsynced)
+	_ = RemoveBefore(store.disk, segmentName, number, unsynced)
+	_ = RemoveBefore(store.disk, snapshotName, number, unsynced)
 }
 
 func (store *Store) Close() { store.journal.Close() }
