--- a/control/store_test.go
+++ b/control/store_test.go
@@ -19,27 +19,27 @@
 }
 
 // founded is a voter on the disk.
-func founded(test *testing.T, disk *sim.Disk) *control.Voter {
+func founded(test *testing.T, disk *sim.Disk) *control.Replica {
 	test.Helper()
 	store, err := control.OpenStore(disk)
 	if err != nil {
 		test.Fatal(err)
 	}
-	voter := control.NewVoter(store, func(err error) { test.Error(err) }, func(message.Term) {})
-	if err := voter.Found(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
+	voter := control.NewReplica(store, func(err error) { test.Error(err) }, func(message.Term) {})
+	if err := voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
 		test.Fatal(err)
 	}
 	return voter
 }
 
 // take makes steps and returns what was answered for last.
-func take(voter *control.Voter, random *rand.Rand, steps int) control.State {
+func take(voter *control.Replica, random *rand.Rand, steps int) control.State {
 	for range steps {
 		term := voter.State().Promised
 		term.Number++
 		term.Core = 1
 		if random.IntN(2) == 0 {
-			_, _ = voter.Promise(&message.PrepareRequest{Term: term}) // the state tells what was answered for
+			_, _ = voter.Prepare(&message.PrepareRequest{Term: term}) // the state tells what was answered for
 			continue
 		}
 		_, _ = voter.Accept(&message.AcceptRequest{Term: term, Register: message.Register(random.IntN(2)), Value: message.Value{Serial: term.Number, Body: make([]byte, random.IntN(300_000))}})
@@ -60,7 +60,7 @@
 }
 
 func same(left, right control.State) bool {
-	return left.Founded == right.Founded && left.Promised == right.Promised && left.Marks() == right.Marks()
+	return left.Initialized == right.Initialized && left.Promised == right.Promised && left.Versions() == right.Versions()
 }
 
 // Whatever was answered lasts through a power loss, over many segments.
@@ -76,7 +76,7 @@
 				test.Fatalf("seed %d round %d: %v", seed, round, err)
 			}
 			if !same(answered, store.State()) {
-				test.Fatalf("seed %d round %d: answered %v %v, kept %v %v", seed, round, answered.Promised, answered.Marks(), store.State().Promised, store.State().Marks())
+				test.Fatalf("seed %d round %d: answered %v %v, kept %v %v", seed, round, answered.Promised, answered.Versions(), store.State().Promised, store.State().Versions())
 			}
 			store.Close()
 		}
@@ -137,7 +137,7 @@
 	answered := fill(test, disk, rand.New(rand.NewPCG(1, 1)), 8)
 	store, err := control.OpenStore(disk.Sever(true))
 	if err != nil || !same(answered, store.State()) {
-		test.Fatalf("answered %v %v, kept %+v: %v", answered.Promised, answered.Marks(), store, err)
+		test.Fatalf("answered %v %v, kept %+v: %v", answered.Promised, answered.Versions(), store, err)
 	}
 }
 
@@ -148,15 +148,15 @@
 	for register := range accepted {
 		accepted[register] = message.AcceptedValue{Term: message.Term{Number: 2, Core: 1}, Value: message.Value{Serial: 3, Body: make([]byte, 300)}}
 	}
-	open := func(disk *sim.Disk) *control.Voter {
+	open := func(disk *sim.Disk) *control.Replica {
 		store, err := control.OpenStore(disk)
 		if err != nil {
 			test.Fatal(err)
 		}
-		return control.NewVoter(store, func(err error) { test.Error(err) }, func(message.Term) {})
+		return control.NewReplica(store, func(err error) { test.Error(err) }, func(message.Term) {})
 	}
 	whole := sim.NewDisk(1)
-	if err := open(whole).Found(message.Term{Number: 5, Core: 3}, accepted, nil); err != nil {
+	if err := open(whole).Initialize(message.Term{Number: 5, Core: 3}, accepted, nil); err != nil {
 		test.Fatal(err)
 	}
 	size := whole.Size("segment-0000000000000000")
@@ -164,10 +164,10 @@
 		disk := whole.Fork()
 		disk.Harm("segment-0000000000000000", at)
 		voter := open(disk)
-		if !voter.Blank() || voter.State().Marks() != (message.Versions{}) {
+		if !voter.Blank() || voter.State().Versions() != (message.Versions{}) {
 			test.Fatalf("byte %d: %+v", at, voter.State())
 		}
-		if err := voter.Found(message.Term{Number: 6, Core: 3}, accepted, nil); err != nil || voter.Blank() {
+		if err := voter.Initialize(message.Term{Number: 6, Core: 3}, accepted, nil); err != nil || voter.Blank() {
 			test.Fatalf("byte %d: %v", at, err)
 		}
 		voter.Close()
--- a/control/stored_test.go
+++ b/control/stored_test.go
@@ -30,16 +30,16 @@
 }
 
 func describeStore(text *bytes.Buffer, state State) {
-	fmt.Fprintf(text, "founded %v, opening %v, promised %d.%d\n", state.Founded, state.Opening, state.Promised.Number, state.Promised.Core)
+	fmt.Fprintf(text, "founded %v, opening %v, promised %d.%d\n", state.Initialized, state.SinceBootstrap, state.Promised.Number, state.Promised.Core)
 	for register, accepted := range state.Accepted {
 		fmt.Fprintf(text, "register %d: serial %d under %d.%d, body %x, %d parts, committed %d\n", register, accepted.Value.Serial,
 			accepted.Term.Number, accepted.Term.Core, message.DigestOf(accepted.Value.Body), len(accepted.Value.Chunks), state.Committed[register].Serial)
 		for _, part := range accepted.Value.Chunks {
-			fmt.Fprintf(text, "  part %s %x, %d bytes\n", part.Path, part.Digest, len(state.Texts[part.Digest]))
+			fmt.Fprintf(text, "  part %s %x, %d bytes\n", part.Path, part.Digest, len(state.Chunks[part.Digest]))
 		}
 	}
-	if voters := state.Voters(); voters != nil {
-		fmt.Fprintf(text, "membership %d under %d.%d: last id %d\n", voters.Mark.Serial, voters.Mark.Term.Number, voters.Mark.Term.Core, voters.LastID)
+	if voters := state.Membership(); voters != nil {
+		fmt.Fprintf(text, "membership %d under %d.%d: last id %d\n", voters.Version.Serial, voters.Version.Term.Number, voters.Version.Term.Core, voters.LastID)
 		for _, peer := range voters.Voters {
 			fmt.Fprintf(text, "  voter %d at %s\n", peer.ID, peer.Address)
 		}
@@ -51,7 +51,7 @@
 
 func describeSettings(test *testing.T, text *bytes.Buffer, state State) {
 	value := state.Accepted[message.SettingsRegister].Value
-	now, err := readContent(nil, value, state.Texts)
+	now, err := readContent(nil, value, state.Chunks)
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 		return
 	}
 	fmt.Fprintf(text, "settings %d: %x\n", now.serial, message.DigestOf(now.tree.Body()))
-	for _, entry := range now.trail {
+	for _, entry := range now.history {
 		fmt.Fprintf(text, "  change %d %s %s %s by %q\n", entry.Serial, entry.Change, entry.Digest, entry.Kind, entry.Operator)
 	}
 }
@@ -94,23 +94,23 @@
 // describeReports reads the reports register as sums by tenants, or else as windows.
 func describeReports(test *testing.T, text *bytes.Buffer, state State) {
 	value := state.Accepted[message.ReportsRegister].Value
-	sums := &usageBook{}
+	sums := &usageState{}
 	if len(value.Body) > 0 && rpc.Unmarshal(value.Body, sums) == nil {
 		fmt.Fprintf(text, "reports of period %d until %d, age %d: open%s\n", sums.Period, sums.ToMs, sums.AgeMs, sortedCounts(sums.Open))
 		for _, report := range sums.Pending {
 			fmt.Fprintf(text, "  report %s of %s, period %d: %d tasks\n", report.ID, report.Tenant, report.Period, report.Tasks)
 		}
 		processes := []string{}
-		for process := range sums.Marks {
+		for process := range sums.Reported {
 			processes = append(processes, process)
 		}
 		sort.Strings(processes)
 		for _, process := range processes {
-			fmt.Fprintf(text, "  process %s seen at %d:%s\n", process, sums.Marks[process].SeenMs, sortedCounts(sums.Marks[process].Counts))
+			fmt.Fprintf(text, "  process %s seen at %d:%s\n", process, sums.Reported[process].SeenMs, sortedCounts(sums.Reported[process].Counts))
 		}
 		return
 	}
-	windows, err := meterBookOf(value)
+	windows, err := decodeWindowState(value)
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -126,8 +126,8 @@
 		test.Fatal(err)
 	}
 	defer log.journal.Close()
-	claims, last, done := log.book.Page(0, 1<<20)
-	fmt.Fprintf(text, "claims: %d, last %d, done %v, whole as %d, membership %d\n", len(claims), last, done, log.whole(), log.members.Value.Serial)
+	claims, last, done := log.store.Page(0, 1<<20)
+	fmt.Fprintf(text, "claims: %d, last %d, done %v, whole as %d, membership %d\n", len(claims), last, done, log.completeVoter(), log.membership.Value.Serial)
 	for _, claimed := range claims {
 		fmt.Fprintf(text, "  %s/%s/%s %s by %s: stage %d, status %d, %d headers, body %x\n", claimed.Key.Tenant, claimed.Key.Service, claimed.Key.Key,
 			claimed.ID, claimed.Holder, claimed.Stage, claimed.Status, len(claimed.Header), message.DigestOf(claimed.Body))
--- a/control/survey.go
+++ b/control/survey.go
@@ -5,22 +5,22 @@
 	"orchidjunction/rpc"
 )
 
-// survey is the duty of a core that restarted: until a leader is heard of it asks
+// proveCommittedRouting is the duty of a core that restarted: until a leader is heard of it asks
 // the others what they accepted. What a majority accepted under one ballot is
 // committed, and daemons may have it before anybody leads.
-func (core *Core) survey() {
-	for core.cold() && !core.goroutines.Stopping() {
-		if core.members().votes() && !core.voter.Blank() && core.surveyed() {
+func (core *Core) proveCommittedRouting() {
+	for core.neverHeardLeader() && !core.goroutines.Stopping() {
+		if core.membership().votes() && !core.replica.Blank() && core.provesCommittedRouting() {
 			return
 		}
-		if !core.goroutines.Sleep(core.place.Beat) {
+		if !core.goroutines.Sleep(core.config.HeartbeatInterval) {
 			return
 		}
 	}
 }
 
-func (core *Core) surveyed() bool {
-	own := core.voter.State()
+func (core *Core) provesCommittedRouting() bool {
+	own := core.replica.State()
 	accepted := own.Accepted[message.RoutingRegister]
 	if accepted.Value.Serial == 0 {
 		return false
@@ -28,17 +28,17 @@
 	same := func(response *message.ReplicaStateResponse) bool {
 		return response.Initialized && response.Versions[message.RoutingRegister] == accepted.Version()
 	}
-	view := core.members()
-	response := askPeers(core, view, func(peer Peer) (*message.ReplicaStateResponse, error) {
-		return rpc.Call[message.ReplicaStateRequest, message.ReplicaStateResponse](core.line, peer.Address, "restore", core.roundLimit(), &message.ReplicaStateRequest{Core: view.ID, Membership: view.Mark})
+	view := core.membership()
+	response := callPeers(core, view, func(peer Peer) (*message.ReplicaStateResponse, error) {
+		return rpc.Call[message.ReplicaStateRequest, message.ReplicaStateResponse](core.client, peer.Address, "restore", core.callTimeout(), &message.ReplicaStateRequest{Core: view.ID, Membership: view.Version})
 	}, same, view.decides)
 	for _, answer := range response {
-		core.learnMembers(answer.Membership)
+		core.learnMembership(answer.Membership)
 	}
-	if !view.decides(agreed(response, same)) || !core.members().same(view) {
+	if !view.decides(agreed(response, same)) || !core.membership().same(view) {
 		return false
 	}
 	core.counters.Add("surveys_proved", 1)
-	core.commit(message.RoutingRegister, accepted, own.Texts)
+	core.commit(message.RoutingRegister, accepted, own.Chunks)
 	return true
 }
--- a/control/table.go
+++ b/control/table.go
@@ -10,23 +10,23 @@
 
 // buildTable is the leader's duty: members by their sessions, backends by the platform.
 func (core *Core) buildTable() {
-	leadership, err := core.leading()
-	if err != nil && core.place.Direct && core.cold() {
-		core.buildFirst()
+	leadership, err := core.currentLeadership()
+	if err != nil && core.config.DirectSessions && core.neverHeardLeader() {
+		core.buildTableBeforeLeader()
 	}
-	if err != nil || leadership.holds() != nil {
+	if err != nil || leadership.check() != nil {
 		return
 	}
 	before := core.Table()
-	sessions := core.sessions.standing(0)
+	sessions := core.sessions.active(0)
 	if before.Version.Term.Number == 0 || !before.Complete {
-		before = core.askHeld(before, sessions)
+		before = core.recoverTable(before, sessions)
 	}
-	if before.Version.Term.Number == 0 && time.Since(leadership.since) < core.place.firstTable() {
+	if before.Version.Term.Number == 0 && time.Since(leadership.since) < core.config.firstTableDelay() {
 		return
 	}
-	next := &message.Table{Version: message.TableVersion{Term: leadership.ballot, Number: 1}, Members: []message.Member{}, Backends: before.Backends, Complete: before.Complete}
-	if before.Version.Term == leadership.ballot {
+	next := &message.Table{Version: message.TableVersion{Term: leadership.term, Number: 1}, Members: []message.Member{}, Backends: before.Backends, Complete: before.Complete}
+	if before.Version.Term == leadership.term {
 		next.Version.Number = before.Version.Number + 1
 	}
 	known := map[string]bool{}
@@ -34,23 +34,23 @@
 		next.Members = append(next.Members, held.session.Member)
 		known[held.session.Member.Name] = true
 	}
-	if time.Since(leadership.since) < core.place.SessionSpan || core.sessions.lapsed(before.Members, known) {
+	if time.Since(leadership.since) < core.config.SessionTTL || core.sessions.massLapse(before.Members, known) {
 		for _, member := range before.Members {
-			if !known[member.Name] && !core.sessions.gone(member.Name) {
+			if !known[member.Name] && !core.sessions.ended(member.Name) {
 				next.Members = append(next.Members, member)
 			}
 		}
 	}
 	sort.Slice(next.Members, func(left, right int) bool { return next.Members[left].Name < next.Members[right].Name })
-	if backends, whole := core.platform.list(); whole {
+	if backends, whole := core.backends.sortedBackends(); whole {
 		next.Backends, next.Complete = backends, true
 	}
-	next.Backends = core.stirs.lay(next.Backends, before.Backends)
-	if before.Version.Term == leadership.ballot && sameTable(before, next) {
+	next.Backends = core.probeHints.apply(next.Backends, before.Backends)
+	if before.Version.Term == leadership.term && sameTable(before, next) {
 		return
 	}
 	core.counters.Add("tables", 1)
-	core.holdTable(next)
+	core.setTable(next)
 }
 
 // sameTable is whether two tables say the same.
@@ -63,12 +63,12 @@
 	return len(before) == len(next) && (len(before) == 0 || &before[0] == &next[0] || slices.Equal(before, next))
 }
 
-// buildFirst is what a core that heard of no leader since its start tells the
+// buildTableBeforeLeader is what a core that heard of no leader since its start tells the
 // daemons that come to it. Every leader's table is newer. It names no cold backend:
 // that has no owner yet, and cores differ on when it is warm.
-func (core *Core) buildFirst() {
+func (core *Core) buildTableBeforeLeader() {
 	before := core.Table()
-	backends, whole := core.platform.list()
+	backends, whole := core.backends.sortedBackends()
 	if before.Version.Term.Number > 0 || !whole {
 		return
 	}
@@ -79,18 +79,18 @@
 			next.Backends = append(next.Backends, backend)
 		}
 	}
-	for _, held := range core.sessions.standing(0) {
+	for _, held := range core.sessions.active(0) {
 		next.Members = append(next.Members, held.session.Member)
 	}
 	if sameTable(before, next) {
 		return
 	}
 	core.counters.Add("tables_before_a_leader", 1)
-	core.holdTable(next)
+	core.setTable(next)
 }
 
-// askHeld rebuilds from a daemon that still holds what the cores lost.
-func (core *Core) askHeld(table *message.Table, sessions []heldSession) *message.Table {
+// recoverTable rebuilds from a daemon that still holds what the cores lost.
+func (core *Core) recoverTable(table *message.Table, sessions []trackedSession) *message.Table {
 	best, from := table.Version, ""
 	for _, held := range sessions {
 		if best.Less(held.session.Table) {
@@ -100,7 +100,7 @@
 	if from == "" {
 		return table
 	}
-	response, err := rpc.Call[message.FetchRequest, message.FetchResponse](core.line, from, "fetch", core.roundLimit(), &message.FetchRequest{Serial: ^uint64(0), Routing: ^uint64(0), Table: table.Version})
+	response, err := rpc.Call[message.FetchRequest, message.FetchResponse](core.client, from, "fetch", core.callTimeout(), &message.FetchRequest{Serial: ^uint64(0), Routing: ^uint64(0), Table: table.Version})
 	if err == nil && response.Delta != nil {
 		response.Table, _ = table.Apply(response.Delta)
 	}
@@ -112,23 +112,23 @@
 	return response.Table
 }
 
-// copyTable keeps the leader's table at the other cores.
-func (core *Core) copyTable() {
+// followTable keeps the leader's table at the other cores.
+func (core *Core) followTable() {
 	core.mutex.Lock()
-	leader, wanted, held, leads := core.leader, core.wanted, core.table.Version, core.leadership != nil
+	leader, wanted, held, isLeader := core.leader, core.wantedTable, core.table.Version, core.leadership != nil
 	core.mutex.Unlock()
-	if leads || !leader.Known() || !held.Less(wanted) {
+	if isLeader || !leader.Known() || !held.Less(wanted) {
 		return
 	}
-	response, err := rpc.Call[message.FetchRequest, message.FetchResponse](core.line, leader.Address, "fetch", core.roundLimit(), &message.FetchRequest{Serial: ^uint64(0), Routing: ^uint64(0), Table: held})
+	response, err := rpc.Call[message.FetchRequest, message.FetchResponse](core.client, leader.Address, "fetch", core.callTimeout(), &message.FetchRequest{Serial: ^uint64(0), Routing: ^uint64(0), Table: held})
 	if err != nil {
 		return
 	}
 	if response.Table != nil {
-		core.holdTable(response.Table)
+		core.setTable(response.Table)
 	} else if response.Delta != nil {
 		if table, fits := core.Table().Apply(response.Delta); fits {
-			core.holdTable(table)
+			core.setTable(table)
 		}
 	}
 }
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -13,18 +13,18 @@
 )
 
 // listed is a reader that has read a list of so many backends, and the list.
-func listed(count int) (*PlatformReader, *[]message.Backend) {
+func listed(count int) (*BackendReader, *[]message.Backend) {
 	list := make([]message.Backend, 0, count)
 	for number := range count {
 		list = append(list, message.Backend{Name: fmt.Sprintf("backend-%06d", (number*7919)%count), Service: "service", Address: "10.0.0.1:80", Zone: "zone", Capacity: 16})
 	}
-	place := &Place{GoneAfter: 2, ListPace: time.Second, Lister: func(context.Context, string) Listing { return Listing{Backends: list} }}
-	reader := newPlatformReader(place, nil, func() int64 { return 0 }, metrics.NewCounters())
+	place := &Config{ListsUntilGone: 2, ListInterval: time.Second, ListBackends: func(context.Context, string) Listing { return Listing{Backends: list} }}
+	reader := newBackendReader(place, nil, func() int64 { return 0 }, metrics.NewCounters())
 	readOnce(reader)
 	return reader, &list
 }
 
-func readOnce(reader *PlatformReader) {
+func readOnce(reader *BackendReader) {
 	reader.read(func(time.Duration) bool { return true }, func() bool { return true })
 }
 
@@ -33,12 +33,12 @@
 	for _, count := range []int{100, 1000, 10000, 85000} {
 		bench.Run(fmt.Sprint(count), func(bench *testing.B) {
 			reader, _ := listed(count)
-			stirs := newStirs()
-			backends, _ := reader.list()
-			before := &message.Table{Backends: stirs.lay(backends, nil), Complete: true}
+			hints := newProbeHints()
+			backends, _ := reader.sortedBackends()
+			before := &message.Table{Backends: hints.apply(backends, nil), Complete: true}
 			for bench.Loop() {
-				backends, _ := reader.list()
-				next := &message.Table{Backends: stirs.lay(backends, before.Backends), Complete: true}
+				backends, _ := reader.sortedBackends()
+				next := &message.Table{Backends: hints.apply(backends, before.Backends), Complete: true}
 				if !sameTable(before, next) {
 					bench.Fatal("a table that did not change is called another one")
 				}
@@ -51,34 +51,34 @@
 // given out before stays as it was.
 func TestListFollowsWhatIsRead(test *testing.T) {
 	reader, list := listed(5)
-	first, whole := reader.list()
+	first, whole := reader.sortedBackends()
 	if !whole || len(first) != 5 || first[0].Name != "backend-000000" || first[4].Name != "backend-000004" {
 		test.Fatalf("%v, whole %v", first, whole)
 	}
 	kept := slices.Clone(first)
 	readOnce(reader)
-	if again, _ := reader.list(); &again[0] != &first[0] {
+	if again, _ := reader.sortedBackends(); &again[0] != &first[0] {
 		test.Error("sorted anew though nothing changed")
 	}
 	(*list)[0].Leaving = true
 	readOnce(reader)
-	if changed, _ := reader.list(); !changed[0].Leaving {
+	if changed, _ := reader.sortedBackends(); !changed[0].Leaving {
 		test.Error("a backend that leaves is not told")
 	}
 	*list = append((*list)[:1:1], append((*list)[2:], message.Backend{Name: "backend-000009", Service: "service", Address: "10.0.0.9:80"})...)
 	readOnce(reader)
-	if more, _ := reader.list(); len(more) != 6 {
+	if more, _ := reader.sortedBackends(); len(more) != 6 {
 		test.Errorf("%d backends after one came and one was missed once", len(more))
 	}
 	readOnce(reader)
-	if fewer, _ := reader.list(); len(fewer) != 5 || fewer[4].Name != "backend-000009" {
+	if fewer, _ := reader.sortedBackends(); len(fewer) != 5 || fewer[4].Name != "backend-000009" {
 		test.Errorf("%v after one was missed twice", fewer)
 	}
 	if !slices.Equal(first, kept) {
 		test.Error("a list that was given out changed")
 	}
-	reader.begin(first)
-	if begun, whole := reader.list(); whole || !slices.Equal(begun, kept) {
+	reader.reset(first)
+	if begun, whole := reader.sortedBackends(); whole || !slices.Equal(begun, kept) {
 		test.Errorf("%v, whole %v, though reading began from another table", begun, whole)
 	}
 }
@@ -86,18 +86,18 @@
 // Counts are laid over backends without changing the list they come from, and
 // never fall below those of the table before.
 func TestStirsAreLaidOnACopy(test *testing.T) {
-	stirs, listed := newStirs(), []message.Backend{{Name: "a"}, {Name: "b"}, {Name: "c", ProbeHint: 9}}
-	laid := stirs.lay(listed, []message.Backend{{Name: "b", ProbeHint: 4}})
+	hints, listed := newProbeHints(), []message.Backend{{Name: "a"}, {Name: "b"}, {Name: "c", ProbeHint: 9}}
+	laid := hints.apply(listed, []message.Backend{{Name: "b", ProbeHint: 4}})
 	if laid[0].ProbeHint != 0 || laid[1].ProbeHint != 4 || laid[2].ProbeHint != 0 {
 		test.Errorf("%v", laid)
 	}
 	if listed[1].ProbeHint != 0 || listed[2].ProbeHint != 9 {
 		test.Errorf("the list itself changed: %v", listed)
 	}
-	if again := stirs.lay(laid, nil); &again[0] != &laid[0] {
+	if again := hints.apply(laid, nil); &again[0] != &laid[0] {
 		test.Error("copied though the counts are there")
 	}
-	if none := stirs.lay(nil, laid); len(none) != 0 {
+	if none := hints.apply(nil, laid); len(none) != 0 {
 		test.Errorf("%v", none)
 	}
 }
@@ -124,7 +124,7 @@
 // Daemons that hold the same get the same bytes, packed once, and never those
 // of an older table or of another routing.
 func TestFetchesArePackedOnce(test *testing.T) {
-	answers := &fetchedAnswers{}
+	answers := &fetchCache{}
 	tables := []*message.Table{{Version: message.TableVersion{Number: 1}}, {Version: message.TableVersion{Number: 2}, Members: []message.Member{{Name: "p"}}}}
 	seen := map[string]*message.FetchResponse{}
 	for round := range 3 {
@@ -132,7 +132,7 @@
 			for routing := range uint64(6) {
 				asked := &message.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}}
 				want, _ := rpc.Marshal(asked)
-				response, err := answers.of(asked)
+				response, err := answers.get(asked)
 				if err != nil {
 					test.Fatal(err)
 				}
@@ -140,7 +140,7 @@
 				if string(body) != string(want) {
 					test.Errorf("round %d: another answer for table %d, routing %d", round, table.Version.Number, routing)
 				}
-				again, _ := answers.of(&message.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}})
+				again, _ := answers.get(&message.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}})
 				if again != response {
 					test.Error("packed twice")
 				}
@@ -155,7 +155,7 @@
 	if len(seen) != 12 {
 		test.Errorf("%d answers", len(seen))
 	}
-	if response, _ := answers.of(&message.FetchResponse{Routing: 9}); response.Routing != 9 || response.Table != nil {
+	if response, _ := answers.get(&message.FetchResponse{Routing: 9}); response.Routing != 9 || response.Table != nil {
 		test.Errorf("%+v", response)
 	}
 }
@@ -176,9 +176,9 @@
 			}
 		})
 		bench.Run(fmt.Sprint(count, "-packed-once"), func(bench *testing.B) {
-			answers := &fetchedAnswers{}
+			answers := &fetchCache{}
 			for bench.Loop() {
-				response, _ := answers.of(&message.FetchResponse{Table: table})
+				response, _ := answers.get(&message.FetchResponse{Table: table})
 				if _, err := (rpc.Codec{}).Marshal(response); err != nil {
 					bench.Fatal(err)
 				}
--- a/control/upgrade_test.go
+++ b/control/upgrade_test.go
@@ -68,11 +68,11 @@
 			continue
 		}
 		state := store.State()
-		voters := state.Voters()
-		if voters == nil || len(voters.Voters) != 3 || voters.LastID != 3 || voters.Mark.Serial != 1 {
+		voters := state.Membership()
+		if voters == nil || len(voters.Voters) != 3 || voters.LastID != 3 || voters.Version.Serial != 1 {
 			test.Errorf("%s: voters %+v", name, voters)
 		}
-		if !state.Founded || state.Promised != term || state.Accepted[message.RoutingRegister].Value.Serial != 5 {
+		if !state.Initialized || state.Promised != term || state.Accepted[message.RoutingRegister].Value.Serial != 5 {
 			test.Errorf("%s: %+v", name, state)
 		}
 	}
--- a/control/usage.go
+++ b/control/usage.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	usagePeriod = 4 * time.Second
-	usagePace   = 50 * time.Millisecond
-	usageSilent = time.Minute
-	usageForget = time.Hour
-	usageGap    = 10 * time.Minute
-	usageAtOnce = 64
+	usagePeriod        = 4 * time.Second
+	usageInterval      = 50 * time.Millisecond
+	usageSilence       = time.Minute
+	usageTTL           = time.Hour
+	maxUsageGap        = 10 * time.Minute
+	maxUsageDeliveries = 64
 )
 
 // UsageReport is what the platform bills; once sealed it never changes.
@@ -36,41 +36,41 @@
 	Tasks  uint64 `json:"tasks"`
 }
 
-// usageBook is the content of the reports register.
-type usageBook struct {
-	Period  uint64
-	ToMs    int64
-	AgeMs   int64
-	Marks   map[string]usageMark
-	Open    map[string]uint64
-	Pending []UsageReport
+// usageState is the content of the reports register.
+type usageState struct {
+	Period   uint64
+	ToMs     int64
+	AgeMs    int64
+	Reported map[string]reportedUsage `msgpack:"Marks"`
+	Open     map[string]uint64
+	Pending  []UsageReport
 }
 
-// usageMark is how much of a proxy's running counts the reports so far hold.
-type usageMark struct {
+// reportedUsage is how much of a proxy's running counts the reports so far hold.
+type reportedUsage struct {
 	Counts map[string]uint64
 	SeenMs int64
 }
 
 // Usage gathers the proxies' running counts and reports them, sealed first.
 type Usage struct {
-	mutex     sync.Mutex
-	counts    map[string]map[string]uint64
-	begun     time.Time
-	told      map[string]time.Time
-	delivered map[string]bool
-	ballot    message.Term
-	sealed    time.Time
-	ended     time.Time
-	client    *http.Client
+	mutex         sync.Mutex
+	counts        map[string]map[string]uint64
+	startedAt     time.Time
+	toldAt        map[string]time.Time
+	delivered     map[string]bool
+	term          message.Term
+	sealedAt      time.Time
+	periodEndedAt time.Time
+	client        *http.Client
 }
 
 func newUsage(transport http.RoundTripper) *Usage {
-	return &Usage{begun: time.Now(), counts: map[string]map[string]uint64{}, told: map[string]time.Time{}, delivered: map[string]bool{}, client: &http.Client{Transport: transport}}
+	return &Usage{startedAt: time.Now(), counts: map[string]map[string]uint64{}, toldAt: map[string]time.Time{}, delivered: map[string]bool{}, client: &http.Client{Transport: transport}}
 }
 
-// take keeps the highest counts told by one process; counts never fall.
-func (usage *Usage) take(incarnation string, told map[string]uint64) {
+// add keeps the highest counts told by one process; counts never fall.
+func (usage *Usage) add(incarnation string, told map[string]uint64) {
 	if len(told) == 0 {
 		return
 	}
@@ -81,28 +81,28 @@
 		held = map[string]uint64{}
 		usage.counts[incarnation] = held
 	}
-	usage.told[incarnation] = time.Now()
+	usage.toldAt[incarnation] = time.Now()
 	for tenant, count := range told {
 		held[tenant] = max(held[tenant], count)
 	}
 }
 
 func (core *Core) onCount(count *message.UsageCountRequest) (*message.UsageCountResponse, error) {
-	if _, err := core.leading(); err != nil {
+	if _, err := core.currentLeadership(); err != nil {
 		return nil, err
 	}
-	core.usage.take(count.Incarnation, count.Usage)
+	core.usage.add(count.Incarnation, count.Usage)
 	return &message.UsageCountResponse{}, nil
 }
 
-// book is the leader's, nil where there is none to work on.
-func (core *Core) book() (*Leadership, *usageBook) {
-	leadership, err := core.leading()
-	if err != nil || leadership.holds() != nil || core.place.Platform == "" {
+// usageDuty is the leader's, nil where there is none to work on.
+func (core *Core) usageDuty() (*Leadership, *usageState) {
+	leadership, err := core.currentLeadership()
+	if err != nil || leadership.check() != nil || core.config.PlatformAddress == "" {
 		return nil, nil
 	}
 	value := leadership.value(message.ReportsRegister)
-	book := &usageBook{}
+	book := &usageState{}
 	if len(value.Body) > 0 {
 		if err := rpc.Unmarshal(value.Body, book); err != nil {
 			core.counters.Add("usage_book_unreadable", 1)
@@ -114,7 +114,7 @@
 
 // sealUsage is the leader's duty: seal what was told, and end a period that is over.
 func (core *Core) sealUsage() {
-	leadership, book := core.book()
+	leadership, book := core.usageDuty()
 	if book == nil {
 		return
 	}
@@ -122,7 +122,7 @@
 	if settings.serial == 0 {
 		return
 	}
-	if core.usage.fresh(book) || core.usage.over(leadership.ballot) {
+	if core.usage.hasNewCounts(book) || core.usage.periodOver(leadership.term) {
 		if err := core.seal(leadership, settings.tree.Settings); err != nil {
 			core.counters.Add("usage_seals_failed", 1)
 		}
@@ -132,13 +132,13 @@
 // deliverUsage is the leader's duty to send what is sealed; one slow answer
 // keeps no other report back.
 func (core *Core) deliverUsage() {
-	_, book := core.book()
+	_, book := core.usageDuty()
 	if book == nil {
 		return
 	}
 	unsent := []UsageReport{}
 	for _, report := range book.Pending {
-		if len(unsent) < usageAtOnce && !core.usage.sent(report.ID) {
+		if len(unsent) < maxUsageDeliveries && !core.usage.isDelivered(report.ID) {
 			unsent = append(unsent, report)
 		}
 	}
@@ -153,21 +153,21 @@
 	}, func(map[int]bool, map[int]error) bool { return false })
 }
 
-// over is whether the period ended, by the monotonic clock; the first one of a
+// periodOver is whether the period ended, by the monotonic clock; the first one of a
 // leadership does so at once, since nobody knows how long it has gone on.
-func (usage *Usage) over(term message.Term) bool {
+func (usage *Usage) periodOver(term message.Term) bool {
 	usage.mutex.Lock()
 	defer usage.mutex.Unlock()
-	return usage.ballot != term || time.Since(usage.ended) >= usagePeriod
+	return usage.term != term || time.Since(usage.periodEndedAt) >= usagePeriod
 }
 
-// fresh is whether proxies told counts that the book does not hold yet.
-func (usage *Usage) fresh(book *usageBook) bool {
+// hasNewCounts is whether proxies told counts that the book does not hold yet.
+func (usage *Usage) hasNewCounts(book *usageState) bool {
 	usage.mutex.Lock()
 	defer usage.mutex.Unlock()
 	for incarnation, counts := range usage.counts {
 		for tenant, count := range counts {
-			if count > book.Marks[incarnation].Counts[tenant] {
+			if count > book.Reported[incarnation].Counts[tenant] {
 				return true
 			}
 		}
@@ -175,7 +175,7 @@
 	return false
 }
 
-func (usage *Usage) sent(id string) bool {
+func (usage *Usage) isDelivered(id string) bool {
 	usage.mutex.Lock()
 	defer usage.mutex.Unlock()
 	return usage.delivered[id]
@@ -184,89 +184,89 @@
 // seal keeps the running counts at a majority of disks, and with them the
 // reports of an ended period, before any is sent.
 func (core *Core) seal(leadership *Leadership, tree *conf.Settings) error {
-	ends, now := core.usage.over(leadership.ballot), time.Now()
+	ends, now := core.usage.periodOver(leadership.term), time.Now()
 	_, err := leadership.write(message.ReportsRegister, func(current message.Value) (*message.Value, message.Chunks, error) {
-		book := usageBook{}
+		book := usageState{}
 		if len(current.Body) > 0 {
 			if err := rpc.Unmarshal(current.Body, &book); err != nil {
 				return nil, nil, rpc.AsError(err)
 			}
 		}
-		next := core.usage.advance(book, tree, core.place.Wall(), core.usage.passed(leadership.ballot, now), ends)
+		next := core.usage.advance(book, tree, core.config.Wall(), core.usage.sinceSealed(leadership.term, now), ends)
 		body, err := rpc.Marshal(&next)
 		if err != nil {
 			return nil, nil, rpc.AsError(err)
 		}
 		return &message.Value{Serial: current.Serial + 1, Body: body}, nil, nil
-	}, func() { core.usage.wrote(leadership.ballot, now, ends) })
+	}, func() { core.usage.sealedBy(leadership.term, now, ends) })
 	return err
 }
 
-// passed is how long ago this leadership sealed last, in milliseconds.
-func (usage *Usage) passed(term message.Term, now time.Time) int64 {
+// sinceSealed is how long ago this leadership sealed last, in milliseconds.
+func (usage *Usage) sinceSealed(term message.Term, now time.Time) int64 {
 	usage.mutex.Lock()
 	defer usage.mutex.Unlock()
-	if usage.ballot != term {
+	if usage.term != term {
 		return 0
 	}
-	return now.Sub(usage.sealed).Milliseconds()
+	return now.Sub(usage.sealedAt).Milliseconds()
 }
 
-func (usage *Usage) wrote(term message.Term, now time.Time, ended bool) {
+func (usage *Usage) sealedBy(term message.Term, now time.Time, ended bool) {
 	usage.mutex.Lock()
 	defer usage.mutex.Unlock()
-	usage.ballot, usage.sealed = term, now
+	usage.term, usage.sealedAt = term, now
 	if ended {
-		usage.ended = now
+		usage.periodEndedAt = now
 	}
 }
 
 // advance lays what proxies told since into the book, and ends the period when
 // it is over. What is old is told by the book's own age, which no clock moves.
-func (usage *Usage) advance(before usageBook, tree *conf.Settings, wall, passed int64, ends bool) usageBook {
+func (usage *Usage) advance(before usageState, tree *conf.Settings, wall, passed int64, ends bool) usageState {
 	usage.mutex.Lock()
 	defer usage.mutex.Unlock()
-	next := usageBook{Period: before.Period, ToMs: before.ToMs, AgeMs: before.AgeMs + passed, Marks: map[string]usageMark{}, Open: map[string]uint64{}, Pending: before.Pending}
+	next := usageState{Period: before.Period, ToMs: before.ToMs, AgeMs: before.AgeMs + passed, Reported: map[string]reportedUsage{}, Open: map[string]uint64{}, Pending: before.Pending}
 	for tenant, count := range before.Open {
 		next.Open[tenant] = count
 	}
 	now := next.AgeMs
-	for incarnation, mark := range before.Marks {
-		if now-mark.SeenMs < usageForget.Milliseconds() || time.Since(usage.begun) < usageSilent {
-			next.Marks[incarnation] = mark
+	for incarnation, mark := range before.Reported {
+		if now-mark.SeenMs < usageTTL.Milliseconds() || time.Since(usage.startedAt) < usageSilence {
+			next.Reported[incarnation] = mark
 		}
 	}
 	for incarnation, counts := range usage.counts {
-		mark := usageMark{Counts: map[string]uint64{}, SeenMs: now}
+		mark := reportedUsage{Counts: map[string]uint64{}, SeenMs: now}
 		for tenant, count := range counts {
-			reported := before.Marks[incarnation].Counts[tenant]
+			reported := before.Reported[incarnation].Counts[tenant]
 			if count > reported {
 				next.Open[tenant] += count - reported
 			}
 			mark.Counts[tenant] = max(count, reported)
 		}
-		if _, known := before.Marks[incarnation]; known && time.Since(usage.told[incarnation]) > usageSilent {
-			mark.SeenMs = before.Marks[incarnation].SeenMs
+		if _, known := before.Reported[incarnation]; known && time.Since(usage.toldAt[incarnation]) > usageSilence {
+			mark.SeenMs = before.Reported[incarnation].SeenMs
 		}
-		next.Marks[incarnation] = mark
-		if now-mark.SeenMs >= usageForget.Milliseconds() {
+		next.Reported[incarnation] = mark
+		if now-mark.SeenMs >= usageTTL.Milliseconds() {
 			delete(usage.counts, incarnation)
-			delete(usage.told, incarnation)
-			delete(next.Marks, incarnation)
+			delete(usage.toldAt, incarnation)
+			delete(next.Reported, incarnation)
 		}
 	}
 	if ends {
-		next.end(tree, wall, usage.delivered)
+		next.endPeriod(tree, wall, usage.delivered)
 	}
 	return next
 }
 
-// end turns the open counts into reports, one for every tenant, and drops what was delivered.
-func (book *usageBook) end(tree *conf.Settings, now int64, delivered map[string]bool) {
+// endPeriod turns the open counts into reports, one for every tenant, and drops what was delivered.
+func (book *usageState) endPeriod(tree *conf.Settings, now int64, delivered map[string]bool) {
 	from := book.ToMs
 	book.Period++
 	book.ToMs = now
-	if from > now || now-from > usageGap.Milliseconds() {
+	if from > now || now-from > maxUsageGap.Milliseconds() {
 		from = now - usagePeriod.Milliseconds()
 	}
 	pending := []UsageReport{}
@@ -295,9 +295,9 @@
 	if err != nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), platformLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), platformTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+core.place.Platform+"/v1/usage", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+core.config.PlatformAddress+"/v1/usage", bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
--- a/control/usage_test.go
+++ b/control/usage_test.go
@@ -23,7 +23,7 @@
 	}
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 59))
-		usage, book, now := newUsage(http.DefaultTransport), usageBook{}, int64(1_700_000_000_000)
+		usage, book, now := newUsage(http.DefaultTransport), usageState{}, int64(1_700_000_000_000)
 		since := int64(0)
 		counts, total, reported, periods := map[string]uint64{}, uint64(0), uint64(0), map[string]bool{}
 		for step := range 400 {
@@ -31,7 +31,7 @@
 			added := uint64(random.IntN(20))
 			counts[incarnation] += added
 			total += added
-			usage.take(incarnation, map[string]uint64{"alder": counts[incarnation]})
+			usage.add(incarnation, map[string]uint64{"alder": counts[incarnation]})
 			passed := int64(random.IntN(900))
 			now += passed
 			since += passed
@@ -43,7 +43,7 @@
 			case 2:
 				usage = newUsage(http.DefaultTransport)
 				for known, count := range counts {
-					usage.take(known, map[string]uint64{"alder": count})
+					usage.add(known, map[string]uint64{"alder": count})
 				}
 			}
 			before := book.Period
--- a/control/voter.go
+++ b/control/voter.go
@@ -9,92 +9,92 @@
 	"orchidjunction/rpc"
 )
 
-// Voter is the part of a core that promises ballots and accepts values, synced
+// Replica is the part of a core that promises ballots and accepts values, synced
 // before it answers. Reads see the last synced state without waiting for the disk.
-type Voter struct {
-	turn   *concurrent.Lock
-	store  *Store
-	synced atomic.Pointer[State]
-	fault  func(error)
-	raised func(message.Term)
-	learns func(message.AcceptedValue)
+type Replica struct {
+	lock         *concurrent.Lock
+	store        *Store
+	published    atomic.Pointer[State]
+	onFailure    func(error)
+	onPromise    func(message.Term)
+	onMembership func(message.AcceptedValue)
 
-	writing atomic.Pointer[time.Time]
+	writingSince atomic.Pointer[time.Time]
 }
 
-// NewVoter calls raised when the promise rises.
-func NewVoter(store *Store, err func(error), raised func(message.Term)) *Voter {
-	voter := &Voter{turn: concurrent.NewLock(), store: store, fault: err, raised: raised, learns: func(message.AcceptedValue) {}}
+// NewReplica calls raised when the promise rises.
+func NewReplica(store *Store, err func(error), raised func(message.Term)) *Replica {
+	voter := &Replica{lock: concurrent.NewLock(), store: store, onFailure: err, onPromise: raised, onMembership: func(message.AcceptedValue) {}}
 	voter.publish()
 	return voter
 }
 
-func (voter *Voter) publish() {
+func (voter *Replica) publish() {
 	state := voter.store.state
-	voter.synced.Store(&state)
+	voter.published.Store(&state)
 }
 
-func (voter *Voter) State() *State { return voter.synced.Load() }
+func (voter *Replica) State() *State { return voter.published.Load() }
 
-func (voter *Voter) Blank() bool { return !voter.State().Founded }
+func (voter *Replica) Blank() bool { return !voter.State().Initialized }
 
-// keep appends within the turn and shows the new state.
-func (voter *Voter) keep(step record) error {
+// append appends within the turn and shows the new state.
+func (voter *Replica) append(step Record) error {
 	before, members := voter.store.state.Promised, voter.store.state.Accepted[message.MembersRegister].Version()
-	if err := voter.written(func() error { return voter.store.Append(step) }); err != nil {
-		voter.fault(err)
+	if err := voter.timed(func() error { return voter.store.Append(step) }); err != nil {
+		voter.onFailure(err)
 		return err
 	}
 	voter.publish()
 	if after := voter.store.state.Promised; before != after {
-		voter.raised(after)
+		voter.onPromise(after)
 	}
 	if after := voter.store.state.Accepted[message.MembersRegister]; after.Version() != members {
-		voter.learns(after)
+		voter.onMembership(after)
 	}
 	return nil
 }
 
-// written is one step of the disk, whose length others can see.
-func (voter *Voter) written(step func() error) error {
+// timed is one step of the disk, whose length others can see.
+func (voter *Replica) timed(step func() error) error {
 	began := time.Now()
-	voter.writing.Store(&began)
-	defer voter.writing.Store(nil)
+	voter.writingSince.Store(&began)
+	defer voter.writingSince.Store(nil)
 	return step()
 }
 
 // Stalled is whether the disk has not answered for so long that nobody should wait.
-func (voter *Voter) Stalled() bool {
-	began := voter.writing.Load()
-	return began != nil && time.Since(*began) > stallLimit
+func (voter *Replica) Stalled() bool {
+	began := voter.writingSince.Load()
+	return began != nil && time.Since(*began) > stallTimeout
 }
 
-// enter takes the turn, unless the disk is stalled: those who ask again and again
+// lockUnlessStalled takes the turn, unless the disk is stalled: those who ask again and again
 // must not pile up behind it with what they brought.
-func (voter *Voter) enter() error {
+func (voter *Replica) lockUnlessStalled() error {
 	if voter.Stalled() {
 		return rpc.Errorf(rpc.DiskFailure, "the disk does not answer")
 	}
-	voter.turn.Lock()
+	voter.lock.Lock()
 	return nil
 }
 
-// ready is nil while this core may vote; within the turn.
-func (voter *Voter) ready() error {
-	if !voter.store.state.Founded {
+// checkReady is nil while this core may vote; within the turn.
+func (voter *Replica) checkReady() error {
+	if !voter.store.state.Initialized {
 		return rpc.Errorf(rpc.BlankDisk, "not restored yet")
 	}
-	return voter.store.Fault()
+	return voter.store.Err()
 }
 
-// Promise grants a ballot that is not older than those promised before, unless the
+// Prepare grants a ballot that is not older than those promised before, unless the
 // asker counts by an older membership than the one accepted here.
-func (voter *Voter) Promise(request *message.PrepareRequest) (*message.PrepareResponse, error) {
-	if err := voter.enter(); err != nil {
+func (voter *Replica) Prepare(request *message.PrepareRequest) (*message.PrepareResponse, error) {
+	if err := voter.lockUnlessStalled(); err != nil {
 		return nil, err
 	}
-	defer voter.turn.Unlock()
-	if err := voter.ready(); err != nil {
+	defer voter.lock.Unlock()
+	if err := voter.checkReady(); err != nil {
 		return nil, err
 	}
 	state, term := &voter.store.state, request.Term
@@ -105,19 +105,19 @@
 		return &message.PrepareResponse{Promised: state.Promised}, nil
 	}
 	if state.Promised.Less(term) {
-		if err := voter.keep(record{Promised: &term}); err != nil {
+		if err := voter.append(Record{Promised: &term}); err != nil {
 			return nil, err
 		}
 	}
 	return &message.PrepareResponse{Granted: true, Promised: term, Accepted: state.Accepted}, nil
 }
 
-func (voter *Voter) Accept(request *message.AcceptRequest) (*message.AcceptResponse, error) {
-	if err := voter.enter(); err != nil {
+func (voter *Replica) Accept(request *message.AcceptRequest) (*message.AcceptResponse, error) {
+	if err := voter.lockUnlessStalled(); err != nil {
 		return nil, err
 	}
-	defer voter.turn.Unlock()
-	if err := voter.ready(); err != nil {
+	defer voter.lock.Unlock()
+	if err := voter.checkReady(); err != nil {
 		return nil, err
 	}
 	state := &voter.store.state
@@ -132,87 +132,87 @@
 	if offered.Less(held) {
 		return &message.AcceptResponse{Promised: state.Promised}, nil
 	}
-	if lacks := message.MissingChunks(request.Value.Chunks, state.Texts, request.Chunks); len(lacks) > 0 {
-		return &message.AcceptResponse{Promised: state.Promised, Missing: lacks}, nil
+	if missing := message.MissingChunks(request.Value.Chunks, state.Chunks, request.Chunks); len(missing) > 0 {
+		return &message.AcceptResponse{Promised: state.Promised, Missing: missing}, nil
 	}
-	step := record{Register: request.Register, Accepted: &message.AcceptedValue{Term: request.Term, Value: request.Value}, Texts: message.Chunks{}}
+	step := Record{Register: request.Register, Accepted: &message.AcceptedValue{Term: request.Term, Value: request.Value}, Chunks: message.Chunks{}}
 	for _, part := range request.Value.Chunks {
-		if state.Texts[part.Digest] == nil {
-			step.Texts[part.Digest] = request.Chunks[part.Digest]
+		if state.Chunks[part.Digest] == nil {
+			step.Chunks[part.Digest] = request.Chunks[part.Digest]
 		}
 	}
 	if state.Promised.Less(request.Term) {
 		step.Promised = &request.Term
 	}
-	if err := voter.keep(step); err != nil {
+	if err := voter.append(step); err != nil {
 		return nil, err
 	}
 	return &message.AcceptResponse{Accepted: true, Promised: state.Promised}, nil
 }
 
-// Found makes a blank disk a voter with what the others hold, accepted under its
+// Initialize makes a blank disk a voter with what the others hold, accepted under its
 // own ballot: a copy is no vote for the ballot that it was written under.
-func (voter *Voter) Found(promised message.Term, accepted [message.Registers]message.AcceptedValue, texts message.Chunks) error {
-	voter.turn.Lock()
-	defer voter.turn.Unlock()
-	if voter.store.state.Founded {
+func (voter *Replica) Initialize(promised message.Term, accepted [message.Registers]message.AcceptedValue, chunks message.Chunks) error {
+	voter.lock.Lock()
+	defer voter.lock.Unlock()
+	if voter.store.state.Initialized {
 		return nil
 	}
-	step := record{Founded: true}
+	step := Record{Initialized: true}
 	if promised.Number > 0 {
 		step.Promised = &promised
 	}
 	for register := range accepted {
 		if accepted[register].Term.Number > 0 || accepted[register].Value.Serial > 0 {
 			accepted[register].Term = promised
-			step.Then = append(step.Then, record{Register: message.Register(register), Accepted: &accepted[register], Texts: texts})
+			step.Then = append(step.Then, Record{Register: message.Register(register), Accepted: &accepted[register], Chunks: chunks})
 		}
 	}
-	return voter.keep(step)
+	return voter.append(step)
 }
 
-// Open marks a blank disk as one of the system's first start.
-func (voter *Voter) Open() error {
-	voter.turn.Lock()
-	defer voter.turn.Unlock()
-	return voter.keep(record{Opening: true})
+// MarkSinceBootstrap marks a blank disk as one of the system's first start.
+func (voter *Replica) MarkSinceBootstrap() error {
+	voter.lock.Lock()
+	defer voter.lock.Unlock()
+	return voter.append(Record{SinceBootstrap: true})
 }
 
-// Enrol makes a disk of the system's first start a voter under the membership that
+// Join makes a disk of the system's first start a voter under the membership that
 // it was told.
-func (voter *Voter) Enrol(members message.AcceptedValue) error {
-	voter.turn.Lock()
-	defer voter.turn.Unlock()
-	if voter.store.state.Founded {
+func (voter *Replica) Join(members message.AcceptedValue) error {
+	voter.lock.Lock()
+	defer voter.lock.Unlock()
+	if voter.store.state.Initialized {
 		return rpc.Errorf(rpc.BadMessage, "votes already")
 	}
-	step := record{Founded: true, Register: message.MembersRegister, Accepted: &members}
+	step := Record{Initialized: true, Register: message.MembersRegister, Accepted: &members}
 	if members.Term.Number > 0 {
 		step.Promised = &members.Term
 	}
-	return voter.keep(step)
+	return voter.append(step)
 }
 
-// Committed keeps that a register's accepted value is known to be committed, so
+// MarkCommitted keeps that a register's accepted value is known to be committed, so
 // that it can be served after a restart before anybody leads.
-func (voter *Voter) Committed(register message.Register, version message.Version) {
-	voter.turn.Lock()
-	defer voter.turn.Unlock()
+func (voter *Replica) MarkCommitted(register message.Register, version message.Version) {
+	voter.lock.Lock()
+	defer voter.lock.Unlock()
 	state := &voter.store.state
 	if state.Committed[register].Serial < version.Serial && state.Accepted[register].Value.Serial == version.Serial {
-		_ = voter.keep(record{Register: register, Committed: &version}) // its fault is reported by keep; the mark only saves a survey
+		_ = voter.append(Record{Register: register, Committed: &version}) // its fault is reported by keep; the mark only saves a survey
 	}
 }
 
 // Repair makes a store that refused a step take steps again.
-func (voter *Voter) Repair() error {
-	voter.turn.Lock()
-	defer voter.turn.Unlock()
-	return voter.written(voter.store.Repair)
+func (voter *Replica) Repair() error {
+	voter.lock.Lock()
+	defer voter.lock.Unlock()
+	return voter.timed(voter.store.Repair)
 }
 
-func (voter *Voter) Close() {
-	voter.turn.Lock()
-	defer voter.turn.Unlock()
+func (voter *Replica) Close() {
+	voter.lock.Lock()
+	defer voter.lock.Unlock()
 	voter.store.Close()
 }
--- a/control/voter_test.go
+++ b/control/voter_test.go
@@ -19,12 +19,12 @@
 	datadriven.Walk(test, "testdata/voter", func(test *testing.T, path string) {
 		disk := sim.NewDisk(1)
 		raised := []string{}
-		open := func() *control.Voter {
+		open := func() *control.Replica {
 			store, err := control.OpenStore(disk)
 			if err != nil {
 				test.Fatal(err)
 			}
-			return control.NewVoter(store, func(err error) { raised = append(raised, string(rpc.CodeOf(err))) }, func(term message.Term) { raised = append(raised, "raised to "+term.String()) })
+			return control.NewReplica(store, func(err error) { raised = append(raised, string(rpc.CodeOf(err))) }, func(term message.Term) { raised = append(raised, "raised to "+term.String()) })
 		}
 		voter := open()
 		datadriven.RunTest(test, path, func(test *testing.T, line *datadriven.TestData) string {
@@ -40,9 +40,9 @@
 			raised = nil
 			switch line.Cmd {
 			case "found":
-				answer = fmt.Sprint(voter.Found(message.Term{}, [message.Registers]message.AcceptedValue{}, nil) == nil)
+				answer = fmt.Sprint(voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil) == nil)
 			case "promise":
-				if response, err := voter.Promise(&message.PrepareRequest{Term: term}); err != nil {
+				if response, err := voter.Prepare(&message.PrepareRequest{Term: term}); err != nil {
 					answer = string(rpc.CodeOf(err))
 				} else {
 					answer = fmt.Sprintf("granted %v, promised %s, settings %d under %s", response.Granted, response.Promised, response.Accepted[0].Value.Serial, response.Accepted[0].Term)
@@ -65,7 +65,7 @@
 				disk = disk.Sever(true)
 				voter = open()
 				state := voter.State()
-				answer = fmt.Sprintf("founded %v, promised %s, settings %d under %s, reports %d under %s", state.Founded, state.Promised,
+				answer = fmt.Sprintf("founded %v, promised %s, settings %d under %s, reports %d under %s", state.Initialized, state.Promised,
 					state.Accepted[0].Value.Serial, state.Accepted[0].Term, state.Accepted[1].Value.Serial, state.Accepted[1].Term)
 			default:
 				test.Fatalf("no command %s", line.Cmd)
--- a/control/who_test.go
+++ b/control/who_test.go
@@ -15,7 +15,7 @@
 // other's lock for good.
 func TestWhoWhileBeating(test *testing.T) {
 	goroutines := concurrent.NewGroup()
-	core, err := NewCore(Place{ID: 1, Wire: "127.0.0.1:1", Found: true, Beat: 10 * time.Millisecond, Suspect: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
+	core, err := NewCore(Config{ID: 1, InternalAddress: "127.0.0.1:1", Bootstrap: true, HeartbeatInterval: 10 * time.Millisecond, SuspicionTimeout: 30 * time.Millisecond}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -23,14 +23,14 @@
 	for !core.Leads() {
 		goroutines.Sleep(time.Millisecond)
 	}
-	leadership, _ := core.leading()
+	leadership, _ := core.currentLeadership()
 	ended := concurrent.NewCondition()
 	ask := func() {
-		if _, err := core.onWho(&message.LeaderRequest{}); err != nil {
+		if _, err := core.onLeader(&message.LeaderRequest{}); err != nil {
 			test.Error(err)
 		}
 	}
-	for _, duty := range []func(){ask, func() { leadership.beat() }} {
+	for _, duty := range []func(){ask, func() { leadership.heartbeat() }} {
 		goroutines.Start(func() {
 			for range 100_000 {
 				duty()
--- a/scale/core.go
+++ b/scale/core.go
@@ -65,10 +65,10 @@
 func RunCore(spec CoreSpec) error {
 	goroutines, counters, tap := concurrent.NewGroup(), metrics.NewCounters(), newTap()
 	client := rpc.NewClient(tap.transport())
-	place := control.Place{Name: spec.Name, Zone: spec.Zone, Wire: spec.Wire, Seeds: spec.Seeds, Found: true, Least: spec.Cores, Platform: spec.Platform,
-		Beat: beatPace, Suspect: suspectSpan, Seed: uint64(time.Now().UnixNano()), Direct: true, Table: tablePace, SessionSpan: sessionSpan, ListPace: listPace, GoneAfter: goneAfter}
+	place := control.Config{Name: spec.Name, Zone: spec.Zone, InternalAddress: spec.Wire, Seeds: spec.Seeds, Bootstrap: true, MinFounders: spec.Cores, PlatformAddress: spec.Platform,
+		HeartbeatInterval: beatPace, SuspicionTimeout: suspectSpan, Seed: uint64(time.Now().UnixNano()), DirectSessions: true, TableInterval: tablePace, SessionTTL: sessionSpan, ListInterval: listPace, ListsUntilGone: goneAfter}
 	if spec.Metered {
-		place.Metering = control.Metering{Window: meterWindow, Settle: settleSpan, Quiet: meterQuiet,
+		place.Metering = control.Metering{Window: meterWindow, SettleAfter: settleSpan, TakeoverQuiet: meterQuiet,
 			Report: func(control.WindowReport) control.ReportResult { return control.ReportAccepted }}
 	}
 	if err := place.Check(); err != nil {
--- a/sim/chaos.go
+++ b/sim/chaos.go
@@ -71,7 +71,7 @@
 		world.wipe(machine)
 		world.Rest(chaos.span(10*time.Millisecond, 800*time.Millisecond))
 		world.start(machine)
-		world.Until(10*time.Second, func() bool { return machine.Core.Sound() })
+		world.Until(10*time.Second, func() bool { return machine.Core.CanVote() })
 	case "all":
 		for _, each := range machines {
 			world.kill(each, true)
@@ -128,7 +128,7 @@
 	world.Until(4*time.Second, func() bool { return world.Leader() >= 0 })
 	world.Rest(chaos.span(10*time.Millisecond, 500*time.Millisecond))
 	world.StartCore(leader)
-	world.Until(10*time.Second, func() bool { return world.Cores[lost].Core.Sound() })
+	world.Until(10*time.Second, func() bool { return world.Cores[lost].Core.CanVote() })
 }
 
 // refuse makes a core's disk refuse what it is asked to keep for a while, at times
@@ -152,7 +152,7 @@
 	}
 	machine.Disk.Refuse(Refusal{})
 	machine.Disk.Room(0)
-	if !world.Until(10*time.Second, func() bool { return machine.Core.Sound() }) {
+	if !world.Until(10*time.Second, func() bool { return machine.Core.CanVote() }) {
 		world.broke("core %d does not vote again, its disk takes writes", machine.ID)
 	}
 }
--- a/sim/control_test.go
+++ b/sim/control_test.go
@@ -229,7 +229,7 @@
 func (side *Control) held(serial uint64) (held, blank int) {
 	for _, disk := range side.world.voterDisks() {
 		store, err := control.OpenStore(disk.Copy())
-		if err != nil || !store.State().Founded {
+		if err != nil || !store.State().Initialized {
 			blank++
 		} else if store.State().Accepted[message.RoutingRegister].Value.Serial >= serial {
 			held++
--- a/sim/core.go
+++ b/sim/core.go
@@ -78,7 +78,7 @@
 	machine.line = rpc.NewClient(world.Net.Transport(machine.Host))
 	counters := metrics.NewCounters()
 	finder := world.coreFinder(machine, &place)
-	place.MembersChanged = finder.Learn
+	place.OnMembershipChange = finder.Learn
 	core, err := control.NewCore(place, machine.Disk, machine.line, machine.goroutines, counters)
 	if err != nil {
 		world.broke("core %d does not start: %v", machine.ID, err)
@@ -93,14 +93,14 @@
 	world.mutex.Lock()
 	machine.Core, machine.Hold, machine.Alive = core, hold, true
 	world.mutex.Unlock()
-	operate := member.NewOperate(fmt.Sprint(machine.ID), hold, counters, core.Settings, core.Sound)
+	operate := member.NewOperate(fmt.Sprint(machine.ID), hold, counters, core.Settings, core.CanVote)
 	machine.servers = []*http.Server{world.serve(machine.goroutines, machine.Wire, server), world.serve(machine.goroutines, machine.Operate, operate)}
 	finder.Run()
 	core.Run()
 }
 
-func (world *World) corePlace(machine *Core) control.Place {
-	place := control.Place{ID: machine.ID, Zone: "z", Wire: machine.Wire, Operate: machine.Operate, Found: true, Platform: world.platformAddress(), Beat: Beat, Suspect: Suspect, Seed: world.Seed + machine.starts*1000}
+func (world *World) corePlace(machine *Core) control.Config {
+	place := control.Config{ID: machine.ID, Zone: "z", InternalAddress: machine.Wire, OperatorAddress: machine.Operate, Bootstrap: true, PlatformAddress: world.platformAddress(), HeartbeatInterval: Beat, SuspicionTimeout: Suspect, Seed: world.Seed + machine.starts*1000}
 	machine.starts++
 	for _, other := range world.machines() {
 		if other != machine {
@@ -114,12 +114,12 @@
 			world.broke("%s: %v", machine.Host, err)
 		}
 	}
-	place.Observe = func(_ control.Standing, term message.Term) { world.led(machine, term) }
+	place.OnRole = func(_ control.Role, term message.Term) { world.led(machine, term) }
 	return place
 }
 
 // coreFinder knows at first what the core was told: all cores, or its seeds.
-func (world *World) coreFinder(machine *Core, place *control.Place) *member.Finder {
+func (world *World) coreFinder(machine *Core, place *control.Config) *member.Finder {
 	addresses := append([]string{}, place.Seeds...)
 	if len(addresses) == 0 {
 		for _, other := range world.machines() {
@@ -168,7 +168,7 @@
 // votersOf are the addresses of each group that decides by a core's state; where
 // that has no membership, all cores that there are.
 func (world *World) votersOf(state control.State) [][]string {
-	membership := state.Voters()
+	membership := state.Membership()
 	if membership == nil {
 		return [][]string{wires(world.machines())}
 	}
--- a/sim/duty_test.go
+++ b/sim/duty_test.go
@@ -20,7 +20,7 @@
 				mutex.Lock()
 				defer mutex.Unlock()
 				reported[report.Holder] = append(reported[report.Holder], time.Now())
-				return control.ReportAgain
+				return control.ReportRetry
 			}
 			world.farUp(test, 1)
 			for range 5 {
--- a/sim/far.go
+++ b/sim/far.go
@@ -67,15 +67,15 @@
 	return world
 }
 
-func (world *World) farPlace(machine *Core, place *control.Place) {
-	place.ID, place.Peers, place.Platform = 0, nil, ""
+func (world *World) farPlace(machine *Core, place *control.Config) {
+	place.ID, place.Peers, place.PlatformAddress = 0, nil, ""
 	place.Seed += uint64(machine.ID) * drawsApart
-	place.Name, place.Found, place.Least = machine.Host, !machine.wiped, 3
+	place.Name, place.Bootstrap, place.MinFounders = machine.Host, !machine.wiped, 3
 	place.Seeds = world.seedsFor(&machine.Seeds)
-	place.Beat, place.Suspect, place.Table = farBeat, farSuspect, 250*time.Millisecond
+	place.HeartbeatInterval, place.SuspicionTimeout, place.TableInterval = farBeat, farSuspect, 250*time.Millisecond
 	place.ReplaceAfter = farReplace
-	place.Direct, place.SessionSpan = true, 2500*time.Millisecond
-	place.Lister, place.GoneAfter = world.lists, 2
+	place.DirectSessions, place.SessionTTL = true, 2500*time.Millisecond
+	place.ListBackends, place.ListsUntilGone = world.lists, 2
 	place.Metering = world.Metering
 }
 
--- a/sim/recovery_test.go
+++ b/sim/recovery_test.go
@@ -66,7 +66,7 @@
 
 func (world *World) sound() bool {
 	for _, machine := range world.machines() {
-		if core := machine.life(world); core == nil || !core.Sound() {
+		if core := machine.life(world); core == nil || !core.CanVote() {
 			return false
 		}
 	}
@@ -169,7 +169,7 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	voter := control.NewVoter(store, func(err error) { test.Error(err) }, func(message.Term) {})
+	voter := control.NewReplica(store, func(err error) { test.Error(err) }, func(message.Term) {})
 	held := voter.State().Accepted[message.RoutingRegister]
 	body, _ := rpc.Marshal(Book(version))
 	response, err := voter.Accept(&message.AcceptRequest{Term: voter.State().Promised, Register: message.RoutingRegister, Value: message.Value{Serial: held.Value.Serial + 1, Body: body}})
--- a/sim/refuse_test.go
+++ b/sim/refuse_test.go
@@ -54,12 +54,12 @@
 				world.broke("%s: the core ended", kind)
 				break
 			}
-			if machine.Core.Sound() || world.Leader() == index {
-				world.broke("%s: votes %v, leads %v", kind, machine.Core.Sound(), world.Leader() == index)
+			if machine.Core.CanVote() || world.Leader() == index {
+				world.broke("%s: votes %v, leads %v", kind, machine.Core.CanVote(), world.Leader() == index)
 			}
 			machine.Disk.Fail(false)
 			machine.Disk.Room(0)
-			if !world.Until(2*time.Second, func() bool { return machine.Core.Sound() }) {
+			if !world.Until(2*time.Second, func() bool { return machine.Core.CanVote() }) {
 				world.broke("%s: does not vote again", kind)
 			}
 			world.Rest(time.Second)
--- a/sim/replace_test.go
+++ b/sim/replace_test.go
@@ -547,10 +547,10 @@
 // voterID is the number under which a machine votes by its own disk, 0 for none.
 func voterID(machine *Core) int {
 	store, err := control.OpenStore(machine.Disk.Copy())
-	if err != nil || store.State().Voters() == nil {
+	if err != nil || store.State().Membership() == nil {
 		return 0
 	}
-	for _, peer := range store.State().Voters().Voters {
+	for _, peer := range store.State().Membership().Voters {
 		if peer.Address == machine.Wire {
 			return peer.ID
 		}
@@ -564,7 +564,7 @@
 	running := func(address string) bool {
 		return slices.ContainsFunc(one.everyMachine(), func(other *Core) bool {
 			core := other.life(one.World)
-			return other.Wire == address && core != nil && core.Sound()
+			return other.Wire == address && core != nil && core.CanVote()
 		})
 	}
 	held := []string{}
--- a/sim/replaced_test.go
+++ b/sim/replaced_test.go
@@ -29,13 +29,13 @@
 	for _, core := range world.Cores {
 		seeds = append(seeds, core.Wire)
 	}
-	place := control.Place{Zone: "z", Wire: spare.Wire, Operate: spare.Operate, Seeds: seeds, Least: 1, Platform: world.platformAddress(), Beat: Beat, Suspect: Suspect, Seed: world.Seed + uint64(number)*7919}
+	place := control.Config{Zone: "z", InternalAddress: spare.Wire, OperatorAddress: spare.Operate, Seeds: seeds, MinFounders: 1, PlatformAddress: world.platformAddress(), HeartbeatInterval: Beat, SuspicionTimeout: Suspect, Seed: world.Seed + uint64(number)*7919}
 	if err := place.Check(); err != nil {
 		world.broke("spare %d: %v", number, err)
 	}
 	spare.goroutines, spare.line = concurrent.NewGroup(), rpc.NewClient(world.Net.Transport(host))
 	finder := member.NewFinder(spare.line, spare.goroutines, seeds)
-	place.MembersChanged = finder.Learn
+	place.OnMembershipChange = finder.Learn
 	core, err := control.NewCore(place, spare.Disk, spare.line, spare.goroutines, spare.counters)
 	if err != nil {
 		world.broke("spare %d does not start: %v", number, err)
@@ -45,7 +45,7 @@
 	server := rpc.NewServer(spare.counters)
 	core.Register(server)
 	spare.Hold = member.NewHold(finder, spare.line, spare.counters)
-	operate := member.NewOperate(fmt.Sprint("spare-", number), spare.Hold, spare.counters, core.Settings, core.Sound)
+	operate := member.NewOperate(fmt.Sprint("spare-", number), spare.Hold, spare.counters, core.Settings, core.CanVote)
 	spare.servers = []*http.Server{world.serve(spare.goroutines, spare.Wire, server), world.serve(spare.goroutines, spare.Operate, operate)}
 	finder.Run()
 	core.Run()
@@ -109,7 +109,7 @@
 		spare := world.StartSpare(1)
 		defer world.EndSpare(spare)
 		world.Net.Cut(goes.Host, spare.Host, true)
-		if !world.Until(10*time.Second, func() bool { return spare.Core.Core.Sound() && wholeClaims(spare.Core) }) {
+		if !world.Until(10*time.Second, func() bool { return spare.Core.Core.CanVote() && wholeClaims(spare.Core) }) {
 			test.Fatal("the spare core does not vote with all claims")
 		}
 		tries = append(tries, world.pay(20, 0)...)
--- a/sim/returned_test.go
+++ b/sim/returned_test.go
@@ -12,7 +12,7 @@
 	test.Helper()
 	world.KillCore(index, true)
 	spare := world.StartSpare(number)
-	if !world.Until(10*time.Second, spare.Core.Core.Sound) {
+	if !world.Until(10*time.Second, spare.Core.Core.CanVote) {
 		test.Fatal("the spare core does not vote")
 	}
 	world.Rest(time.Second)
@@ -42,8 +42,8 @@
 		world.StartCore(one)
 		world.StartCore(old)
 		world.Rest(8 * time.Second)
-		if world.Leader() >= 0 || world.Cores[old].Core.Sound() {
-			test.Errorf("a replaced core makes a majority: leader %d, it votes: %v", world.Leader(), world.Cores[old].Core.Sound())
+		if world.Leader() >= 0 || world.Cores[old].Core.CanVote() {
+			test.Errorf("a replaced core makes a majority: leader %d, it votes: %v", world.Leader(), world.Cores[old].Core.CanVote())
 		}
 		world.Net.Freeze(spare.Host, false)
 		if err := world.changeSettings(client, 2); err != nil {
@@ -60,7 +60,7 @@
 		}
 		world.StartCore(two)
 		world.Rest(2 * time.Second)
-		if world.Cores[two].Core.Sound() {
+		if world.Cores[two].Core.CanVote() {
 			test.Error("the next replaced core votes when it is back")
 		}
 		if err := world.changeSettings(client, 3); err != nil {
@@ -92,7 +92,7 @@
 		}
 		world.Rest(3 * time.Second)
 		for index := range world.Cores {
-			if !world.Cores[index].Core.Sound() {
+			if !world.Cores[index].Core.CanVote() {
 				test.Errorf("core %d does not vote", index+1)
 			}
 		}
--- a/sim/roster_test.go
+++ b/sim/roster_test.go
@@ -15,8 +15,8 @@
 	held := map[string]int{}
 	for _, machine := range world.Cores {
 		store, err := control.OpenStore(machine.Disk.Copy())
-		if err == nil && store.State().Voters() != nil {
-			held[fmt.Sprint(store.State().Voters().Voters)]++
+		if err == nil && store.State().Membership() != nil {
+			held[fmt.Sprint(store.State().Membership().Voters)]++
 		}
 	}
 	return held
@@ -142,7 +142,7 @@
 		world.StartCore(3)
 		world.Rest(3 * time.Second)
 		late := world.Cores[3]
-		if late.Core.Sound() {
+		if late.Core.CanVote() {
 			world.broke("a core outside the roster votes")
 		}
 		for version := uint64(2); version < 6; version++ {
@@ -178,7 +178,7 @@
 				world.WipeCore(lost)
 				world.Rest(time.Duration(round) * 400 * time.Millisecond)
 				world.StartCore(lost)
-				if !world.Until(15*time.Second, func() bool { return world.Cores[lost].Core.Sound() }) {
+				if !world.Until(15*time.Second, func() bool { return world.Cores[lost].Core.CanVote() }) {
 					world.broke("core %d does not vote again", lost)
 				}
 				book, err := world.Book()
--- a/sim/routing_test.go
+++ b/sim/routing_test.go
@@ -212,7 +212,7 @@
 			}
 			world.Until(15*time.Second, func() bool {
 				for _, machine := range world.Cores {
-					if !machine.Core.Sound() {
+					if !machine.Core.CanVote() {
 						return false
 					}
 				}
--- a/sim/trial_test.go
+++ b/sim/trial_test.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		return nil
 	}
-	membership := store.State().Voters()
+	membership := store.State().Membership()
 	if membership == nil {
 		return nil
 	}
@@ -153,7 +153,7 @@
 	agreed := func() bool {
 		for _, machine := range machines {
 			core := machine.life(one.World)
-			if core == nil || !core.Sound() || !slices.Equal(seats(machine.Disk), wanted) {
+			if core == nil || !core.CanVote() || !slices.Equal(seats(machine.Disk), wanted) {
 				return false
 			}
 		}
@@ -164,7 +164,7 @@
 	}
 	for _, machine := range machines {
 		core := machine.life(one.World)
-		one.broke("%s: %s votes %v, its disk has the seats %v, want %v", what, machine.Host, core != nil && core.Sound(), seats(machine.Disk), wanted)
+		one.broke("%s: %s votes %v, its disk has the seats %v, want %v", what, machine.Host, core != nil && core.CanVote(), seats(machine.Disk), wanted)
 	}
 }
 
--- a/sim/world.go
+++ b/sim/world.go
@@ -49,7 +49,7 @@
 	laidOut   int
 	replacing *rand.Rand
 	planned   bool
-	Shape     func(machine *Core, place *control.Place)
+	Shape     func(machine *Core, place *control.Config)
 	Paces     member.Paces
 	Limits    member.HoldLimits
 
