--- a/cmd/ojcore/main.go
+++ b/cmd/ojcore/main.go
@@ -15,6 +15,7 @@
 	"orchidjunction/metrics"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
+	"orchidjunction/storage"
 
 	"k8s.io/klog/v2"
 )
@@ -63,7 +64,7 @@
 	client := rpc.NewClient(program.Transport())
 	finder := member.NewFinder(client, goroutines, knownCores(&place))
 	place.OnMembershipChange = finder.Learn
-	core, err := control.NewCore(place, control.Folder(data), client, goroutines, counters)
+	core, err := control.NewCore(place, storage.Folder(data), client, goroutines, counters)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "ojcore: %v\n", err)
 		os.Exit(3)
--- a/cmd/ojnode/core.go
+++ b/cmd/ojnode/core.go
@@ -10,6 +10,7 @@
 	"orchidjunction/platform"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
+	"orchidjunction/storage"
 
 	"k8s.io/klog/v2"
 )
@@ -69,7 +70,7 @@
 	if err := place.Check(); err != nil {
 		return err
 	}
-	core, err := control.NewCore(place, control.Folder(settings.Folder), line, node.goroutines, node.counters)
+	core, err := control.NewCore(place, storage.Folder(settings.Folder), line, node.goroutines, node.counters)
 	if err != nil {
 		return err
 	}
--- a/control/begin_claims_test.go
+++ b/control/begin_claims_test.go
@@ -10,6 +10,7 @@
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
+	"orchidjunction/storage"
 )
 
 // A voter that began while the claims' ring was full marks its claims as whole later:
@@ -17,7 +18,7 @@
 func TestClaimsBeginOnceTheRingHasRoom(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
-		core, err := NewCore(Config{ID: 1, InternalAddress: "127.0.0.1:1", Bootstrap: true}, Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, counters)
+		core, err := NewCore(Config{ID: 1, InternalAddress: "127.0.0.1:1", Bootstrap: true}, storage.Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, counters)
 		if err != nil {
 			test.Fatal(err)
 		}
--- a/control/claimfence_test.go
+++ b/control/claimfence_test.go
@@ -6,13 +6,14 @@
 	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
+	"orchidjunction/storage"
 )
 
 // claimLogOn opens the claim log of a folder and runs its writing thread.
 func claimLogOn(test *testing.T, folder string) (*ClaimLog, func()) {
 	test.Helper()
 	goroutines := concurrent.NewGroup()
-	log, err := openClaimLog(Folder(folder), 0, metrics.NewCounters())
+	log, err := openClaimLog(storage.Folder(folder), 0, metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -20,8 +21,8 @@
 	return log, func() {
 		log.queue.Close()
 		goroutines.Wait()
-		if log.journal.err != nil || log.counters.All()["claim_disk_faults"] > 0 {
-			test.Error("refused by the disk: ", log.journal.err)
+		if log.journal.Err() != nil || log.counters.All()["claim_disk_faults"] > 0 {
+			test.Error("refused by the disk: ", log.journal.Err())
 		}
 		log.journal.Close()
 	}
--- a/control/claims.go
+++ b/control/claims.go
@@ -9,6 +9,7 @@
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
+	"orchidjunction/storage"
 
 	"k8s.io/klog/v2"
 )
@@ -26,7 +27,8 @@
 // apart from the election's. One thread writes what came meanwhile as one group.
 type ClaimLog struct {
 	store    *keep.Book
-	journal  *Journal
+	disk     storage.Disk
+	journal  *storage.Journal
 	queue    *concurrent.Queue[*pendingWrite]
 	counters *metrics.Counters
 	pending  *claimGroup
@@ -79,11 +81,11 @@
 
 // openClaimLog reads the log. In groups of a release in which no voter was ever
 // replaced, the voter that is whole has the given ID.
-func openClaimLog(disk Disk, given int, counters *metrics.Counters) (*ClaimLog, error) {
-	log := &ClaimLog{store: keep.NewBook(), queue: concurrent.NewQueue[*pendingWrite](claimsQueueSize), counters: counters, ages: map[uint64]time.Duration{}}
+func openClaimLog(disk storage.Disk, given int, counters *metrics.Counters) (*ClaimLog, error) {
+	log := &ClaimLog{disk: disk, store: keep.NewBook(), queue: concurrent.NewQueue[*pendingWrite](claimsQueueSize), counters: counters, ages: map[uint64]time.Duration{}}
 	log.wake = sync.NewCond(&log.mutex)
 	log.store.Remember(keep.MostSpan)
-	segments, err := fileNumbers(disk, claimsFile)
+	segments, err := storage.FileNumbers(disk, claimsFile)
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +94,7 @@
 		first = segments[0]
 	}
 	groups := []claimGroup{}
-	log.journal, err = OpenJournal(disk, claimsFile, first, func(segment uint64, payload []byte) error {
+	log.journal, err = storage.OpenJournal(disk, claimsFile, first, func(segment uint64, payload []byte) error {
 		group := claimGroup{}
 		if err := rpc.Unmarshal(payload, &group); err != nil {
 			return rpc.AsError(err)
@@ -218,7 +220,7 @@
 // repair is nil while the journal takes groups. After a fault it tries at a pace to
 // rewrite the last segment and to append what the book holds beyond it.
 func (log *ClaimLog) repair() error {
-	err := log.journal.err
+	err := log.journal.Err()
 	if err == nil {
 		return nil
 	}
@@ -275,7 +277,7 @@
 	if len(group.Claims)+len(group.Merged)+len(group.Completed) == 0 && !group.Complete && group.Membership == nil {
 		return nil
 	}
-	frame, err := EncodeFrame(group)
+	frame, err := storage.EncodeFrame(group)
 	if err != nil {
 		return err
 	}
@@ -285,7 +287,7 @@
 		}
 	}
 	log.counters.Add("claim_groups", 1)
-	log.ages[log.journal.number] = group.At
+	log.ages[log.journal.Number()] = group.At
 	return log.journal.Append(frame)
 }
 
@@ -296,11 +298,11 @@
 	if log.membership.Value.Serial > 0 {
 		first.Membership = &log.membership
 	}
-	if err := log.journal.Begin(log.journal.number + 1); err != nil {
+	if err := log.journal.Begin(log.journal.Number() + 1); err != nil {
 		return err
 	}
 	if first.Complete || first.Membership != nil {
-		frame, err := EncodeFrame(&first)
+		frame, err := storage.EncodeFrame(&first)
 		if err != nil {
 			return err
 		}
@@ -316,7 +318,7 @@
 // of several that a power loss may undo one by one, an older one could come back
 // and leave a gap. What the disk does not let go now goes at the next sweep.
 func (log *ClaimLog) removeForgotten() {
-	keeps := log.journal.number
+	keeps := log.journal.Number()
 	for number, newest := range log.ages {
 		if log.age()-newest < log.store.Span() {
 			keeps = min(keeps, number)
@@ -327,7 +329,7 @@
 			delete(log.ages, number)
 		}
 	}
-	if err := RemoveBefore(log.journal.disk, claimsFile, keeps, log.journal.disk.Sync); err != nil {
+	if err := storage.RemoveBefore(log.disk, claimsFile, keeps, log.disk.Sync); err != nil {
 		log.counters.Add("claim_sweeps_short", 1)
 	}
 }
--- a/control/core.go
+++ b/control/core.go
@@ -12,6 +12,7 @@
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
+	"orchidjunction/storage"
 )
 
 // Core is one core machine's part in the control plane.
@@ -60,7 +61,7 @@
 	sharedAt        time.Time
 }
 
-func NewCore(place Config, disk Disk, client *rpc.Client, goroutines *concurrent.Group, counters *metrics.Counters) (*Core, error) {
+func NewCore(place Config, disk storage.Disk, client *rpc.Client, goroutines *concurrent.Group, counters *metrics.Counters) (*Core, error) {
 	store, err := OpenStore(disk)
 	if err != nil {
 		return nil, err
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -4,22 +4,23 @@
 	"orchidjunction/keep"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
+	"orchidjunction/storage"
 )
 
 // LimitSegments makes a store begin a segment after fewer bytes, so that short
 // tests see many.
-func (store *Store) LimitSegments(bytes int64) { store.journal.limit = bytes }
+func (store *Store) LimitSegments(bytes int64) { store.journal.LimitSegments(bytes) }
 
 // TestClaims is a claim log without its writing thread.
 type TestClaims struct{ log *ClaimLog }
 
 // OpenTestClaims opens a log that remembers keys for keep.FirstSpan.
-func OpenTestClaims(disk Disk, segment int64) (*TestClaims, error) {
+func OpenTestClaims(disk storage.Disk, segment int64) (*TestClaims, error) {
 	log, err := openClaimLog(disk, 0, metrics.NewCounters())
 	if err != nil {
 		return nil, err
 	}
-	log.journal.limit = segment
+	log.journal.LimitSegments(segment)
 	log.store.Remember(keep.FirstSpan)
 	return &TestClaims{log: log}, nil
 }
@@ -37,7 +38,4 @@
 }
 
 // Refuses is whether the disk refused the last group.
-func (claims *TestClaims) Refuses() bool { return claims.log.journal.err != nil }
-
-// PackedFrame is a payload as it stands in a file.
-func PackedFrame(payload []byte) []byte { return newFrame(payload) }
+func (claims *TestClaims) Refuses() bool { return claims.log.journal.Err() != nil }
--- a/control/model_disk_test.go
+++ b/control/model_disk_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"maps"
+	"orchidjunction/storage"
 	"slices"
 )
 
@@ -58,13 +59,13 @@
 	return slices.Clone(disk.inodes[disk.names[name]].body), nil
 }
 
-func (disk *modelDisk) Create(name string) (File, error) {
+func (disk *modelDisk) Create(name string) (storage.File, error) {
 	disk.inodes = append(disk.inodes, modelInode{})
 	disk.names[name] = len(disk.inodes) - 1
 	return &modelFile{disk: disk, inode: disk.names[name]}, nil
 }
 
-func (disk *modelDisk) Extend(name string, size int64) (File, error) {
+func (disk *modelDisk) Extend(name string, size int64) (storage.File, error) {
 	inode := &disk.inodes[disk.names[name]]
 	inode.body = slices.Clone(inode.body[:size])
 	inode.synced = len(inode.body)
--- a/control/model_machine_test.go
+++ b/control/model_machine_test.go
@@ -114,7 +114,7 @@
 const modelSegmentLimit = 1500
 
 func newModelCore(address string, store *Store) *Core {
-	store.journal.limit = modelSegmentLimit
+	store.journal.LimitSegments(modelSegmentLimit)
 	core := &Core{counters: metrics.NewCounters(), updates: concurrent.NewCondition(), wakeElection: concurrent.NewCondition(), random: newRandomSource(1), peerClocks: newPeerClocks(), table: &message.Table{}}
 	core.config = Config{InternalAddress: address, HeartbeatInterval: 10 * time.Millisecond, SuspicionTimeout: 30 * time.Millisecond}.withDefaults()
 	core.clock = clock.NewClock(func() int64 { return 0 })
@@ -154,10 +154,8 @@
 func (process *modelProcess) clone(address string, disk *modelDisk) *modelProcess {
 	next := *process
 	former := process.core.replica.store
-	journal := *former.journal
-	journal.disk = disk
-	journal.file = &modelFile{disk: disk, inode: former.journal.file.(*modelFile).inode}
-	next.core = newModelCore(address, &Store{disk: disk, state: former.state, journal: &journal})
+	segment := &modelFile{disk: disk, inode: former.journal.LastSegment().(*modelFile).inode}
+	next.core = newModelCore(address, &Store{disk: disk, state: former.state, journal: former.journal.CloneFor(disk, segment)})
 	next.core.view.Store(process.core.view.Load())
 	next.core.highestTerm, next.core.leader, next.core.committed = process.core.highestTerm, process.core.leader, process.core.committed
 	if process.survey != nil {
--- a/control/store.go
+++ b/control/store.go
@@ -3,6 +3,7 @@
 import (
 	"orchidjunction/message"
 	"orchidjunction/rpc"
+	"orchidjunction/storage"
 )
 
 const (
@@ -104,78 +105,72 @@
 	state.Chunks = kept
 }
 
-// Store is a journal with snapshots beside it: segment n holds the steps since
-// snapshot n. A snapshot and its segment are named on the disk before anything is
-// appended, so that the newest snapshot and the segment of its number are always
-// the whole state, whichever older files are still there.
+// Store keeps a State on disk: a journal with a snapshot beside it. Segment n holds the
+// records since snapshot n. A snapshot and its segment are durable before anything is
+// appended, so that the newest snapshot and the segment of its number are always the
+// whole state, whichever older files are still there.
 type Store struct {
-	disk    Disk
+	disk    storage.Disk
 	state   State
-	journal *Journal
+	journal *storage.Journal
 }
 
-// OpenStore restores the newest snapshot and the segment after it, and begins
-// another pair. When the disk refuses that, the store holds what it has read and
-// takes nothing until Repair succeeds.
-func OpenStore(disk Disk) (*Store, error) {
+// OpenStore restores the newest snapshot and the segment after it, and begins another
+// pair. If the disk refuses that, the store holds what it has read and accepts nothing
+// until Repair succeeds.
+func OpenStore(disk storage.Disk) (*Store, error) {
 	store := &Store{disk: disk}
-	if err := RemoveDrafts(disk); err != nil {
+	if err := storage.RemoveDrafts(disk); err != nil {
 		return nil, err
 	}
-	snapshots, err := fileNumbers(disk, snapshotName)
+	newest, hasSnapshot, err := store.readSnapshot()
 	if err != nil {
 		return nil, err
 	}
-	first := uint64(0)
-	if len(snapshots) > 0 {
-		first = snapshots[len(snapshots)-1]
-		if err := store.loadSnapshot(first); err != nil {
-			return nil, err
-		}
-	}
-	applied := false
-	store.journal, err = OpenJournal(disk, segmentName, first, func(_ uint64, payload []byte) error {
-		var step Record
-		if err := rpc.Unmarshal(payload, &step); err != nil {
-			return rpc.AsError(err)
-		}
-		store.state.apply(step)
-		applied = true
-		return nil
+	replayed := false
+	store.journal, err = storage.OpenJournal(disk, segmentName, newest, func(_ uint64, payload []byte) error {
+		replayed = true
+		return store.replay(payload)
 	})
 	if err != nil {
 		return nil, err
 	}
-	if applied || len(snapshots) > 0 {
-		_ = store.rotate() // Fault tells it until Repair succeeds
+	if replayed || hasSnapshot {
+		_ = store.rotate() // Err returns it until Repair succeeds
 	} else {
-		_ = store.journal.Begin(first) // as above
+		_ = store.journal.Begin(newest) // as above
 	}
 	return store, nil
 }
 
-func (store *Store) loadSnapshot(number uint64) error {
-	name := fileName(snapshotName, number)
-	body, err := store.disk.Read(name)
-	if err != nil {
-		return diskError(rpc.DiskFailure, err, "read %s", name)
-	}
-	payload, sound := Frame(body).payload()
-	if !sound {
-		return rpc.Errorf(rpc.CorruptStore, "%s fails its checksum", name)
+// readSnapshot restores the newest snapshot, if there is one, and returns its number.
+func (store *Store) readSnapshot() (uint64, bool, error) {
+	numbers, err := storage.FileNumbers(store.disk, snapshotName)
+	if err != nil || len(numbers) == 0 {
+		return 0, false, err
 	}
-	if err := rpc.Unmarshal(payload, &store.state); err != nil {
-		return diskError(rpc.CorruptStore, err, "%s", name)
+	newest := numbers[len(numbers)-1]
+	if err := storage.ReadSnapshot(store.disk, snapshotName, newest, &store.state); err != nil {
+		return 0, false, err
 	}
 	store.state.upgrade(store.state.FormerRoster)
+	return newest, true, nil
+}
+
+func (store *Store) replay(payload []byte) error {
+	var record Record
+	if err := rpc.Unmarshal(payload, &record); err != nil {
+		return err
+	}
+	store.state.apply(record)
 	return nil
 }
 
-// Err is why the store takes nothing now, nil while it does.
-func (store *Store) Err() error { return store.journal.err }
+// Err returns why the store accepts nothing now, nil while it does.
+func (store *Store) Err() error { return store.journal.Err() }
 
-// Repair goes on in a new segment behind a fresh snapshot, when a fault left the
-// last segment's end unknown.
+// Repair continues in a new segment behind a fresh snapshot, after an error left the
+// end of the last segment unknown.
 func (store *Store) Repair() error {
 	if store.Err() == nil {
 		return nil
@@ -183,13 +178,14 @@
 	return store.rotate()
 }
 
-// Append lasts once it returns without a mishap; after one the store takes nothing
-// more until it is repaired. A step is one frame: torn in any way, all of it is cut.
-func (store *Store) Append(step Record) error {
+// Append applies a record. It is durable once Append returns without an error; after an
+// error the store accepts nothing until it is repaired. A record is one frame: torn in
+// any way, all of it is cut.
+func (store *Store) Append(record Record) error {
 	if err := store.Err(); err != nil {
 		return err
 	}
-	frame, err := EncodeFrame(&step)
+	frame, err := storage.EncodeFrame(&record)
 	if err != nil {
 		return err
 	}
@@ -201,26 +197,18 @@
 	if err := store.journal.Append(frame); err != nil {
 		return err
 	}
-	store.state.apply(step)
+	store.state.apply(record)
 	return nil
 }
 
 // rotate writes a snapshot, begins the next segment and removes what both replace.
-// Until the segment is begun nothing changes for the journal, so that a roll that
-// failed half-way is done again from its start.
+// Until the segment is begun nothing changes for the journal, so that a rotation which
+// failed halfway is done again from its start.
 func (store *Store) rotate() error {
-	next := store.journal.number + 1
-	frame, err := EncodeFrame(&store.state)
-	if err != nil {
-		return err
-	}
-	name := fileName(snapshotName, next)
-	file, err := replaceFile(store.disk, name, frame)
-	if err != nil {
-		store.journal.err = diskError(rpc.DiskFailure, err, "snapshot %s", name)
-		return store.journal.err
+	next := store.journal.Number() + 1
+	if err := storage.WriteSnapshot(store.disk, snapshotName, next, &store.state); err != nil {
+		return store.journal.Fail(err)
 	}
-	_ = file.Close() // its content is synced
 	if err := store.journal.Begin(next); err != nil {
 		return err
 	}
@@ -228,16 +216,17 @@
 	return nil
 }
 
-// removeBefore removes what the snapshot of that number replaces, as far as the disk lets
-// it; the next one removes the rest. Removals that a power loss undoes bring back
-// files that opening passes over.
+// removeBefore removes what the snapshot of that number replaces, as far as the disk
+// lets it; the next one removes the rest. Removals that a power loss undoes bring back
+// files that OpenStore ignores.
 func (store *Store) removeBefore(number uint64) {
 	unsynced := func() error { return nil }
-	_ = RemoveBefore(store.disk, segmentName, number, unsynced)
-	_ = RemoveBefore(store.disk, snapshotName, number, unsynced)
+	_ = storage.RemoveBefore(store.disk, segmentName, number, unsynced)
+	_ = storage.RemoveBefore(store.disk, snapshotName, number, unsynced)
 }
 
+// Close closes the last segment.
 func (store *Store) Close() { store.journal.Close() }
 
-// State is a copy of what is stored.
+// State returns a copy of what is stored.
 func (store *Store) State() State { return store.state }
--- a/control/stored_test.go
+++ b/control/stored_test.go
@@ -13,6 +13,7 @@
 	"orchidjunction/metrics"
 	"orchidjunction/route"
 	"orchidjunction/rpc"
+	"orchidjunction/storage"
 )
 
 var updateStored = flag.Bool("update-stored", false, "write the descriptions of testdata/stored anew")
@@ -20,13 +21,13 @@
 const storedFolder = "testdata/stored"
 
 // copyOf is a folder's files in a new folder, which a test may change.
-func copyOf(test *testing.T, folder string) Folder {
+func copyOf(test *testing.T, folder string) storage.Folder {
 	test.Helper()
 	copied := test.TempDir()
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
 		test.Fatal(err)
 	}
-	return Folder(copied)
+	return storage.Folder(copied)
 }
 
 func describeStore(text *bytes.Buffer, state State) {
@@ -120,7 +121,7 @@
 	}
 }
 
-func describeClaims(test *testing.T, text *bytes.Buffer, disk Disk) {
+func describeClaims(test *testing.T, text *bytes.Buffer, disk storage.Disk) {
 	log, err := openClaimLog(disk, 0, metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
@@ -135,7 +136,7 @@
 }
 
 // describe opens a core's data folder and says all that is in it.
-func describe(test *testing.T, disk Disk) string {
+func describe(test *testing.T, disk storage.Disk) string {
 	test.Helper()
 	store, err := OpenStore(disk)
 	if err != nil {
--- a/control/upgrade_test.go
+++ b/control/upgrade_test.go
@@ -7,6 +7,7 @@
 	"orchidjunction/message"
 	"orchidjunction/rpc"
 	"orchidjunction/sim"
+	"orchidjunction/storage"
 )
 
 // formerRecord is a log entry, and formerState a snapshot, as the version before
@@ -55,7 +56,7 @@
 			if err != nil {
 				test.Fatal(err)
 			}
-			if _, err := handle.Write(control.PackedFrame(body)); err != nil {
+			if _, err := handle.Write(storage.NewFrame(body)); err != nil {
 				test.Fatal(err)
 			}
 			if err := handle.Sync(); err != nil {
--- a/scale/core.go
+++ b/scale/core.go
@@ -9,6 +9,7 @@
 	"orchidjunction/metrics"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
+	"orchidjunction/storage"
 )
 
 // The paces are those of cmd/ojnode.
@@ -74,7 +75,7 @@
 	if err := place.Check(); err != nil {
 		return err
 	}
-	core, err := control.NewCore(place, control.Folder(spec.Folder), client, goroutines, counters)
+	core, err := control.NewCore(place, storage.Folder(spec.Folder), client, goroutines, counters)
 	if err != nil {
 		return err
 	}
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -4,10 +4,9 @@
 import (
 	"errors"
 	"math/rand/v2"
+	"orchidjunction/storage"
 	"sort"
 	"sync"
-
-	"orchidjunction/control"
 )
 
 // sectorSize is what a torn write keeps or loses as one.
@@ -254,7 +253,7 @@
 	return nil
 }
 
-func (disk *Disk) Create(name string) (control.File, error) {
+func (disk *Disk) Create(name string) (storage.File, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	if err := disk.changeNames(); err != nil {
