--- a/cmd/ojcore/main.go
+++ b/cmd/ojcore/main.go
@@ -12,6 +12,7 @@
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/member"
+	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
@@ -22,18 +23,18 @@
 
 func main() {
 	flags := program.NewFlags("ojcore", "a core machine of orchidjunction: keeps settings on disk and elects the leader")
-	place := control.Config{}
+	config := control.Config{}
 	data, peers, seeds := "", []string{}, []string{}
 	beat, suspect, grace := 75, 300, 6000
-	flags.Parser.Int(&place.ID, "", "id", "this core's id, 1 to 99, where it founds the system")
-	flags.Parser.String(&place.Zone, "", "zone", "zone this core stands in")
-	flags.Parser.String(&place.InternalAddress, "", "wire", "IP:port for the system's own processes")
-	flags.Parser.String(&place.OperatorAddress, "", "operate", "IP:port for operators")
+	flags.Parser.Int(&config.ID, "", "id", "this core's id, 1 to 99, where it founds the system")
+	flags.Parser.String(&config.Zone, "", "zone", "zone this core stands in")
+	flags.Parser.String(&config.InternalAddress, "", "wire", "IP:port for the system's own processes")
+	flags.Parser.String(&config.OperatorAddress, "", "operate", "IP:port for operators")
 	flags.Parser.StringSlice(&peers, "", "peer", "another core as id=IP:port; once per core")
 	flags.Parser.StringSlice(&seeds, "", "seed", "IP:port of a core that may know who votes, for a new core instead of --id and --peer; once per core")
 	flags.Parser.String(&data, "", "data", "data folder; only this one is written")
-	flags.Parser.String(&place.PlatformAddress, "", "platform", "IP:port of the platform's list")
-	flags.Parser.Bool(&place.Bootstrap, "", "found", "let a blank disk found a new system when every core is blank")
+	flags.Parser.String(&config.PlatformAddress, "", "platform", "IP:port of the platform's list")
+	flags.Parser.Bool(&config.Bootstrap, "", "found", "let a blank disk found a new system when every core is blank")
 	flags.Parser.Int(&beat, "", "beat-ms", "milliseconds between the leader's beats")
 	flags.Parser.Int(&suspect, "", "suspect-ms", "silence after which a leader is suspected")
 	flags.Parser.Int(&grace, "", "grace-ms", "grace after SIGTERM")
@@ -44,15 +45,15 @@
 		if err != nil {
 			flags.Exit(rpc.Errorf(rpc.BadFlag, "--peer: %q is not id=IP:port", text))
 		}
-		place.Peers = append(place.Peers, control.Peer{ID: number, Address: address})
+		config.Peers = append(config.Peers, message.Peer{ID: number, Address: address})
 	}
-	flags.Exit(takeSeeds(&place, seeds))
-	place.HeartbeatInterval, place.SuspicionTimeout = time.Duration(beat)*time.Millisecond, time.Duration(suspect)*time.Millisecond
-	place.Seed = uint64(time.Now().UnixNano())
-	flags.Exit(place.Check())
-	flags.Exit(control.CheckAddress("--operate", place.OperatorAddress))
-	if place.PlatformAddress != "" {
-		flags.Exit(control.CheckAddress("--platform", place.PlatformAddress))
+	flags.Exit(takeSeeds(&config, seeds))
+	config.HeartbeatInterval, config.SuspicionTimeout = time.Duration(beat)*time.Millisecond, time.Duration(suspect)*time.Millisecond
+	config.Seed = uint64(time.Now().UnixNano())
+	flags.Exit(config.Check())
+	flags.Exit(control.CheckAddress("--operate", config.OperatorAddress))
+	if config.PlatformAddress != "" {
+		flags.Exit(control.CheckAddress("--platform", config.PlatformAddress))
 	}
 	if data == "" {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--data must be given"))
@@ -62,9 +63,9 @@
 	}
 	goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
 	client := rpc.NewClient(program.Transport())
-	finder := member.NewFinder(client, goroutines, knownCores(&place))
-	place.OnMembershipChange = finder.Learn
-	core, err := control.NewCore(place, storage.Folder(data), client, goroutines, counters)
+	finder := member.NewFinder(client, goroutines, knownCores(&config))
+	config.OnMembershipChange = finder.Learn
+	core, err := control.NewCore(config, storage.Folder(data), client, goroutines, counters)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "ojcore: %v\n", err)
 		os.Exit(3)
@@ -72,11 +73,11 @@
 	server := rpc.NewServer(counters)
 	core.Register(server)
 	hold := member.NewHold(finder, client, counters)
-	name := nameOf(&place)
+	name := nameOf(&config)
 	operate := member.NewOperate(name, hold, counters, core.Settings, core.CanVote)
-	wired, err := program.Listen(place.InternalAddress, server, 64<<10)
+	wired, err := program.Listen(config.InternalAddress, server, 64<<10)
 	flags.Exit(err)
-	operated, err := program.Listen(place.OperatorAddress, operate, 64<<10)
+	operated, err := program.Listen(config.OperatorAddress, operate, 64<<10)
 	flags.Exit(err)
 	wired.Serve(goroutines)
 	operated.Serve(goroutines)
@@ -89,7 +90,7 @@
 		operated.Drain(time.Duration(grace)*time.Millisecond - time.Since(begin))
 		goroutines.Stop()
 	})
-	klog.Infof("%s: started in zone %s", name, place.Zone)
+	klog.Infof("%s: started in zone %s", name, config.Zone)
 	goroutines.OnStop(func() {
 		wired.Close()
 		operated.Close()
--- a/cmd/ojcore/seeds_test.go
+++ b/cmd/ojcore/seeds_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"orchidjunction/control"
+	"orchidjunction/message"
 	"orchidjunction/rpc"
 )
 
@@ -17,18 +18,18 @@
 		{control.Config{InternalAddress: "10.0.0.4:1"}, nil, "--id or --seed"},
 		{control.Config{InternalAddress: "10.0.0.4:1", ID: 1}, nil, ""},
 		{control.Config{InternalAddress: "10.0.0.4:1", ID: 1}, []string{"10.0.0.1:1"}, "leave out --id"},
-		{control.Config{InternalAddress: "10.0.0.4:1", Peers: []control.Peer{{ID: 2, Address: "10.0.0.2:1"}}}, []string{"10.0.0.1:1"}, "--peer"},
+		{control.Config{InternalAddress: "10.0.0.4:1", Peers: []message.Peer{{ID: 2, Address: "10.0.0.2:1"}}}, []string{"10.0.0.1:1"}, "--peer"},
 		{control.Config{InternalAddress: "10.0.0.4:1", Bootstrap: true}, []string{"10.0.0.1:1"}, "--found"},
 		{control.Config{InternalAddress: "10.0.0.4:1"}, []string{"10.0.0.4:1"}, "own --wire"},
 		{control.Config{InternalAddress: "10.0.0.4:1"}, []string{"10.0.0.1:1", "10.0.0.2:1"}, ""},
 	} {
-		place := try.place
-		err := takeSeeds(&place, try.seeds)
+		config := try.place
+		err := takeSeeds(&config, try.seeds)
 		if try.says == "" && err != nil || try.says != "" && (err == nil || !strings.Contains(rpc.AsError(err).Message, try.says)) {
 			test.Errorf("%+v %v: %v, want %q", try.place, try.seeds, err, try.says)
 		}
-		if err == nil && len(place.Seeds) != len(try.seeds) {
-			test.Errorf("%+v: seeds %v", try.place, place.Seeds)
+		if err == nil && len(config.Seeds) != len(try.seeds) {
+			test.Errorf("%+v: seeds %v", try.place, config.Seeds)
 		}
 	}
 }
--- a/cmd/ojnode/core.go
+++ b/cmd/ojnode/core.go
@@ -56,21 +56,21 @@
 	var core *control.Core
 	finder := member.NewFinder(line, node.goroutines, innerSeeds(settings)).Paced(member.Paces{Seek: seekPace})
 	client := platform.NewClient(settings.Platform.Address, program.FarTransport(userTimeout), func() int64 { return core.Now() })
-	place := control.Config{Name: settings.Name, Zone: settings.Zone, InternalAddress: inner(settings, settings.Address), Seeds: innerSeeds(settings), Bootstrap: settings.First,
+	config := control.Config{Name: settings.Name, Zone: settings.Zone, InternalAddress: inner(settings, settings.Address), Seeds: innerSeeds(settings), Bootstrap: settings.First,
 		MinFounders: 2*settings.Survive.Machines + 1, HeartbeatInterval: beat, SuspicionTimeout: suspect, Seed: uint64(time.Now().UnixNano()), DirectSessions: true, TableInterval: tablePace,
 		SessionTTL: sessionSpan, ListBackends: client.List, ListInterval: listPace(settings), ListsUntilGone: goneAfter,
 		ReplaceAfter: settings.Bounds.CatchUp / replaceShare, OnMembershipChange: finder.Learn}
 	if settings.Metered() {
-		place.Metering = control.Metering{Window: settings.Bounds.ReportWindow, SettleAfter: settle, SettleLatest: settings.Bounds.UsageDelay - reportRest, TakeoverQuiet: settings.Bounds.Lease, Report: func(report control.WindowReport) control.ReportResult {
+		config.Metering = control.Metering{Window: settings.Bounds.ReportWindow, SettleAfter: settle, SettleLatest: settings.Bounds.UsageDelay - reportRest, TakeoverQuiet: settings.Bounds.Lease, Report: func(report control.WindowReport) control.ReportResult {
 			ctx, cancel := context.WithTimeout(context.Background(), callLimit)
 			defer cancel()
 			return client.Report(ctx, report)
 		}}
 	}
-	if err := place.Check(); err != nil {
+	if err := config.Check(); err != nil {
 		return err
 	}
-	core, err := control.NewCore(place, storage.Folder(settings.Folder), line, node.goroutines, node.counters)
+	core, err := control.NewCore(config, storage.Folder(settings.Folder), line, node.goroutines, node.counters)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 	hold := member.NewHold(finder, line, node.counters).Within(member.HoldLimits{Send: sendLimit})
 	hold.Follow(core.Leader)
 	orders := platform.NewControl(platform.NewLeaderOrders(hold), func() map[string]string { return node.source.Settings().Zones }, node.counters)
-	if err := node.open(side{place.InternalAddress, server}, side{settings.Listen.Operators, orders}); err != nil {
+	if err := node.open(side{config.InternalAddress, server}, side{settings.Listen.Operators, orders}); err != nil {
 		return err
 	}
 	finder.Run()
--- a/conf/settings.go
+++ b/conf/settings.go
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"orchidjunction/keep"
+	"orchidjunction/idempotency"
 )
 
 // Rule is the values that each level of the settings may override: partner, class,
@@ -113,7 +113,7 @@
 // Remember returns how long idempotency keys are remembered.
 func (settings *Settings) Remember() time.Duration {
 	if settings.Money.RememberS == 0 {
-		return keep.FirstSpan
+		return idempotency.DefaultTTL
 	}
 	return time.Duration(settings.Money.RememberS) * time.Second
 }
@@ -134,3 +134,6 @@
 	}
 	return true
 }
+
+// TenantNames returns the names of all tenants.
+func (settings *Settings) TenantNames() []string { return sortedNames(settings.Tenants) }
--- /dev/null
+++ b/consensus/acceptor.go
@@ -0,0 +1,106 @@
+package consensus
+
+import (
+	"orchidjunction/message"
+	"orchidjunction/rpc"
+)
+
+// Prepare returns a replica's answer to a PrepareRequest, and the record that must be
+// durable before the answer is given, nil if there is none. It grants a term that is not
+// older than those promised before, unless the candidate counts by an older membership
+// than the one accepted here.
+func (state *State) Prepare(request *message.PrepareRequest) (*message.PrepareResponse, *Record) {
+	if membership := state.Accepted[message.MembersRegister]; message.Supersedes(membership, request.Membership) {
+		return &message.PrepareResponse{Promised: state.Promised, Membership: membership}, nil
+	}
+	if request.Term.Less(state.Promised) {
+		return &message.PrepareResponse{Promised: state.Promised}, nil
+	}
+	response := &message.PrepareResponse{Granted: true, Promised: request.Term, Accepted: state.Accepted}
+	if !state.Promised.Less(request.Term) {
+		return response, nil
+	}
+	return response, &Record{Promised: &request.Term}
+}
+
+// Accept returns a replica's answer to an AcceptRequest, and the record that must be
+// durable before the answer is given, nil if there is none. It accepts a value of a term
+// that is not older than the one promised, if the value is not older than the accepted
+// one and none of its chunks is missing.
+func (state *State) Accept(request *message.AcceptRequest) (*message.AcceptResponse, *Record) {
+	if request.Term.Less(state.Promised) {
+		return &message.AcceptResponse{Promised: state.Promised}, nil
+	}
+	held := state.Accepted[request.Register].Version()
+	offered := message.Version{Term: request.Term, Serial: request.Value.Serial}
+	if held == offered {
+		return &message.AcceptResponse{Accepted: true, Promised: state.Promised}, nil
+	}
+	if offered.Less(held) {
+		return &message.AcceptResponse{Promised: state.Promised}, nil
+	}
+	if missing := message.MissingChunks(request.Value.Chunks, state.Chunks, request.Chunks); len(missing) > 0 {
+		return &message.AcceptResponse{Promised: state.Promised, Missing: missing}, nil
+	}
+	return &message.AcceptResponse{Accepted: true, Promised: request.Term}, state.acceptRecord(request)
+}
+
+// acceptRecord returns the record of an accepted value with the chunks that are new.
+func (state *State) acceptRecord(request *message.AcceptRequest) *Record {
+	record := &Record{
+		Register: request.Register,
+		Accepted: &message.AcceptedValue{Term: request.Term, Value: request.Value},
+		Chunks:   message.Chunks{},
+	}
+	for _, ref := range request.Value.Chunks {
+		if state.Chunks[ref.Digest] == nil {
+			record.Chunks[ref.Digest] = request.Chunks[ref.Digest]
+		}
+	}
+	if state.Promised.Less(request.Term) {
+		record.Promised = &request.Term
+	}
+	return record
+}
+
+// InitializeRecord returns the record that makes a blank disk a replica which promised a
+// term and accepted values under it: a copy is no vote for the term that it was written
+// under. It returns nil if the replica is initialized already.
+func (state *State) InitializeRecord(promised message.Term, accepted [message.Registers]message.AcceptedValue, chunks message.Chunks) *Record {
+	if state.Initialized {
+		return nil
+	}
+	record := &Record{Initialized: true}
+	if promised.Number > 0 {
+		record.Promised = &promised
+	}
+	for register := range accepted {
+		if accepted[register].Term.Number > 0 || accepted[register].Value.Serial > 0 {
+			accepted[register].Term = promised
+			record.Then = append(record.Then, Record{Register: message.Register(register), Accepted: &accepted[register], Chunks: chunks})
+		}
+	}
+	return record
+}
+
+// JoinRecord returns the record that makes a disk of the system's first start a voter
+// under the membership that it was told.
+func (state *State) JoinRecord(membership message.AcceptedValue) (*Record, error) {
+	if state.Initialized {
+		return nil, rpc.Errorf(rpc.BadMessage, "votes already")
+	}
+	record := &Record{Initialized: true, Register: message.MembersRegister, Accepted: &membership}
+	if membership.Term.Number > 0 {
+		record.Promised = &membership.Term
+	}
+	return record, nil
+}
+
+// CommittedRecord returns the record that a register's accepted value is committed, nil
+// if that is known already or another value is accepted.
+func (state *State) CommittedRecord(register message.Register, version message.Version) *Record {
+	if state.Committed[register].Serial >= version.Serial || state.Accepted[register].Value.Serial != version.Serial {
+		return nil
+	}
+	return &Record{Register: register, Committed: &version}
+}
--- /dev/null
+++ b/consensus/membership.go
@@ -0,0 +1,170 @@
+package consensus
+
+import (
+	"net/netip"
+	"slices"
+
+	"orchidjunction/message"
+	"orchidjunction/rpc"
+)
+
+// InitialSerial is the serial of a membership in which no voter was ever replaced.
+const InitialSerial = 1
+
+// Membership is one version of who votes, with the term it was accepted under. It is
+// immutable.
+//
+// A version either has one group of voters, or is a step between two versions: Voters is
+// the former group, Next the following one, and a quorum is a majority of both. So every
+// quorum of a version meets every quorum of the version before it, and a leadership
+// under an older version can't decide unnoticed.
+type Membership struct {
+	Version message.Version
+	Voters  []message.Peer
+	Next    []message.Peer
+	LastID  int
+}
+
+// InitialMembership returns the membership of the system's first start. It numbers the
+// founding cores from 1, in the order of their addresses.
+func InitialMembership(addresses []string) *Membership {
+	sorted := slices.SortedFunc(slices.Values(addresses), CompareAddresses)
+	peers := make([]message.Peer, 0, len(sorted))
+	for index, address := range sorted {
+		peers = append(peers, message.Peer{ID: index + 1, Address: address})
+	}
+	return NewMembership(peers)
+}
+
+// NewMembership returns the first version, made of the given peers.
+func NewMembership(peers []message.Peer) *Membership {
+	membership := &Membership{Version: message.Version{Serial: InitialSerial}}
+	membership.Voters = slices.SortedFunc(slices.Values(peers), comparePeers)
+	for _, peer := range peers {
+		membership.LastID = max(membership.LastID, peer.ID)
+	}
+	return membership
+}
+
+// DecodeMembership decodes an accepted value of the membership register. A value of
+// serial 0 stands for no membership; it returns nil for that.
+func DecodeMembership(accepted message.AcceptedValue) (*Membership, error) {
+	if accepted.Value.Serial == 0 {
+		return nil, nil
+	}
+	var voters message.VoterSet
+	if err := rpc.Unmarshal(accepted.Value.Body, &voters); err != nil {
+		return nil, err
+	}
+	if err := voters.Check(); err != nil {
+		return nil, err
+	}
+	return &Membership{Version: accepted.Version(), Voters: voters.Current, Next: voters.Next, LastID: voters.LastID}, nil
+}
+
+// Accepted returns the membership as an accepted value of its register; of a nil
+// Membership, the value of serial 0.
+func (membership *Membership) Accepted() message.AcceptedValue {
+	if membership == nil {
+		return message.AcceptedValue{}
+	}
+	body, _ := rpc.Marshal(membership.VoterSet()) // a structure of numbers and texts is always encoded
+	return message.AcceptedValue{
+		Term:  membership.Version.Term,
+		Value: message.Value{Serial: membership.Version.Serial, Body: body},
+	}
+}
+
+// VoterSet returns the membership as the register's content.
+func (membership *Membership) VoterSet() *message.VoterSet {
+	return &message.VoterSet{Current: membership.Voters, Next: membership.Next, LastID: membership.LastID}
+}
+
+// Changing reports whether this version is a step between two groups.
+func (membership *Membership) Changing() bool { return len(membership.Next) > 0 }
+
+// Groups returns the groups of voters of each of which a quorum has a majority.
+func (membership *Membership) Groups() [][]message.Peer {
+	if membership.Changing() {
+		return [][]message.Peer{membership.Voters, membership.Next}
+	}
+	return [][]message.Peer{membership.Voters}
+}
+
+// All returns the voters of both groups by ID, each once.
+func (membership *Membership) All() []message.Peer {
+	all := slices.Clone(membership.Voters)
+	for _, peer := range membership.Next {
+		if !slices.Contains(all, peer) {
+			all = append(all, peer)
+		}
+	}
+	slices.SortFunc(all, comparePeers)
+	return all
+}
+
+// HasAddress reports whether a voter has the address.
+func (membership *Membership) HasAddress(address string) bool {
+	return slices.ContainsFunc(membership.All(), func(peer message.Peer) bool { return peer.Address == address })
+}
+
+// Quorum reports whether the voters for which has returns true are a quorum.
+func (membership *Membership) Quorum(has func(id int) bool) bool {
+	return membership.VoterSet().Quorum(has)
+}
+
+// FencesWithout reports whether a voter whose disk was lost may take part again: the
+// other voters for which has returns true meet every quorum that it took part in, and
+// are a quorum together with it. Of n voters that takes n - majority + 1 others.
+func (membership *Membership) FencesWithout(lost int, has func(id int) bool) bool {
+	others := func(id int) bool { return id != lost && has(id) }
+	for _, group := range membership.Groups() {
+		need := message.Majority(group)
+		if ContainsPeer(group, lost) {
+			need = len(group) - message.Majority(group) + 1
+		}
+		if message.CountIn(group, others) < need {
+			return false
+		}
+	}
+	return true
+}
+
+// MayLead reports whether a core may be a candidate. One that is only joining may not:
+// its ID is certainly its own only once the step that gave it is decided.
+func (membership *Membership) MayLead(id int) bool { return ContainsPeer(membership.Voters, id) }
+
+// WithReplacement returns the step that puts a machine at an address into a voter's
+// place, under a new ID.
+func (membership *Membership) WithReplacement(leaving int, address string) *Membership {
+	step := &Membership{Voters: membership.Voters, LastID: membership.LastID + 1}
+	step.Version.Serial = membership.Version.Serial + 1
+	for _, peer := range membership.Voters {
+		if peer.ID != leaving {
+			step.Next = append(step.Next, peer)
+		}
+	}
+	step.Next = append(step.Next, message.Peer{ID: step.LastID, Address: address})
+	return step
+}
+
+// WithoutFormer returns the version that ends a step: only the following voters are left.
+func (membership *Membership) WithoutFormer() *Membership {
+	next := &Membership{Voters: membership.Next, LastID: membership.LastID}
+	next.Version.Serial = membership.Version.Serial + 1
+	return next
+}
+
+// ContainsPeer reports whether a group has a peer with the ID.
+func ContainsPeer(group []message.Peer, id int) bool {
+	return slices.ContainsFunc(group, func(peer message.Peer) bool { return peer.ID == id })
+}
+
+// CompareAddresses orders addresses of the form IP:port, as cmp.Compare does.
+func CompareAddresses(left, right string) int {
+	parsedLeft, _ := netip.ParseAddrPort(left)   // the zero address comes first
+	parsedRight, _ := netip.ParseAddrPort(right) // as above
+	return parsedLeft.Compare(parsedRight)
+}
+
+func comparePeers(left, right message.Peer) int { return left.ID - right.ID }
--- /dev/null
+++ b/consensus/quorum.go
@@ -0,0 +1,55 @@
+package consensus
+
+import "orchidjunction/message"
+
+// Agreed returns which voters gave a response that agrees.
+func Agreed[Response any](responses map[int]*Response, agrees func(*Response) bool) func(id int) bool {
+	return func(id int) bool {
+		response, answered := responses[id]
+		return answered && agrees(response)
+	}
+}
+
+// Granted reports whether a promise was granted.
+func Granted(response *message.PrepareResponse) bool { return response.Granted }
+
+// newestValues returns for each register the newest value among those accepted by the
+// replicas that promised, and which of them it is from.
+func newestValues(promises map[int]*message.PrepareResponse) (newest [message.Registers]message.AcceptedValue, sources [message.Registers]int) {
+	for id, promise := range promises {
+		for register, accepted := range promise.Accepted {
+			if newest[register].Version().Less(accepted.Version()) {
+				newest[register], sources[register] = accepted, id
+			}
+		}
+	}
+	return newest, sources
+}
+
+// InheritedValues returns what a term takes over from the replicas that promised it: the
+// newest value of each register, and the membership that counted them. None of them
+// accepted a newer membership with other voters: they would have refused.
+func InheritedValues(view *View, promises map[int]*message.PrepareResponse) (newest [message.Registers]message.AcceptedValue, sources [message.Registers]int) {
+	newest, sources = newestValues(promises)
+	newest[message.MembersRegister] = view.Accepted()
+	return newest, sources
+}
+
+// Candidate is what the choice between two candidates depends on: how new a core's
+// registers are, how many cores it reaches, and its ID.
+type Candidate struct {
+	ID        int
+	Versions  message.Versions
+	Reachable int
+}
+
+// BetterThan reports whether a candidate goes before another one.
+func (candidate Candidate) BetterThan(other Candidate) bool {
+	if candidate.Versions != other.Versions {
+		return other.Versions.Less(candidate.Versions)
+	}
+	if candidate.Reachable != other.Reachable {
+		return candidate.Reachable > other.Reachable
+	}
+	return candidate.ID > other.ID
+}
--- /dev/null
+++ b/control/backends.go
@@ -0,0 +1,34 @@
+package control
+
+import (
+	"orchidjunction/discovery"
+)
+
+// discoveryOptions returns how this core reads the list of backends.
+func (core *Core) discoveryOptions() discovery.Options {
+	options := discovery.Options{
+		Lister:         core.config.ListBackends,
+		Interval:       core.config.ListInterval,
+		ListsUntilGone: core.config.ListsUntilGone,
+		Now:            core.Now,
+	}
+	if options.Lister == nil && core.config.PlatformAddress != "" {
+		options.Lister = discovery.HTTPLister(core.config.PlatformAddress, core.client.Transport(), core.counters)
+	}
+	core.readsBackends = options.Lister != nil
+	return options
+}
+
+// readBackends is the leader's task to read the list of backends, and that of a core that
+// has heard of no leader since its start.
+func (core *Core) readBackends() {
+	leadership, err := core.currentLeadership()
+	if err != nil && core.neverHeardLeader() {
+		core.backends.Read(core.goroutines.Sleep, core.neverHeardLeader)
+		return
+	}
+	if err != nil || leadership.check() != nil {
+		return
+	}
+	core.backends.Read(core.goroutines.Sleep, func() bool { return leadership.check() == nil })
+}
--- a/control/begin_claims_test.go
+++ b/control/begin_claims_test.go
@@ -7,12 +7,16 @@
 	"time"
 
 	"orchidjunction/concurrent"
+	"orchidjunction/idempotency"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
 	"orchidjunction/storage"
 )
 
+// claimsBeyondTheQueue is more than the queue of claims holds.
+const claimsBeyondTheQueue = 5000
+
 // A voter that began while the claims' ring was full marks its claims as whole later:
 // nobody else mends them at the first start, when no other core is whole either.
 func TestClaimsBeginOnceTheRingHasRoom(test *testing.T) {
@@ -22,16 +26,20 @@
 		if err != nil {
 			test.Fatal(err)
 		}
-		for core.claims.queue.Put(&pendingWrite{request: &message.RecordClaimsRequest{}}) {
+		for range claimsBeyondTheQueue {
+			goroutines.Start(func() {
+				_ = core.claims.Submit(&idempotency.Write{Request: &message.RecordClaimsRequest{}}) // refused once the queue is full
+			})
 		}
+		synctest.Wait()
 		core.startClaims(1)
-		if core.claims.Complete(1) || counters.Get("claims_not_begun") != 1 {
-			test.Errorf("whole %v, not begun %d times", core.claims.Complete(1), counters.Get("claims_not_begun"))
+		if core.claims.CompleteFor(1) || counters.Get("claims_not_begun") != 1 {
+			test.Errorf("whole %v, not begun %d times", core.claims.CompleteFor(1), counters.Get("claims_not_begun"))
 		}
-		goroutines.OnStop(core.claims.queue.Close)
-		goroutines.Start(core.claims.runWriter)
+		goroutines.OnStop(core.claims.Stop)
+		goroutines.Start(core.claims.RunWriter)
 		goroutines.Sleep(2 * repairInterval)
-		if !core.claims.Complete(1) {
+		if !core.claims.CompleteFor(1) {
 			test.Error("not whole though the ring has room")
 		}
 		time.Sleep(time.Minute)
--- a/control/clock.go
+++ b/control/clock.go
@@ -5,11 +5,12 @@
 	"time"
 
 	"orchidjunction/clock"
+	"orchidjunction/consensus"
 	"orchidjunction/message"
 )
 
-// PeerClocks are what the leader knows of the other cores' clocks: how far each is
-// ahead of this one's.
+// PeerClocks estimate how far the other cores' clocks are ahead of this one's. It is safe
+// for concurrent use.
 type PeerClocks struct {
 	mutex      sync.Mutex
 	estimators map[int]*clock.OffsetEstimator
@@ -17,27 +18,27 @@
 
 func newPeerClocks() *PeerClocks { return &PeerClocks{estimators: map[int]*clock.OffsetEstimator{}} }
 
-func (clocks *PeerClocks) add(core int, ahead int64, trip time.Duration) {
+func (clocks *PeerClocks) add(core int, aheadMs int64, roundTrip time.Duration) {
 	clocks.mutex.Lock()
 	defer clocks.mutex.Unlock()
 	if clocks.estimators[core] == nil {
 		clocks.estimators[core] = &clock.OffsetEstimator{}
 	}
-	clocks.estimators[core].Add(ahead, trip)
+	clocks.estimators[core].Add(aheadMs, roundTrip)
 }
 
-// retain forgets the clocks of cores that vote no more.
-func (clocks *PeerClocks) retain(voters []Peer) {
+// retain forgets the clocks of cores that have no vote.
+func (clocks *PeerClocks) retain(voters []message.Peer) {
 	clocks.mutex.Lock()
 	defer clocks.mutex.Unlock()
 	for id := range clocks.estimators {
-		if !contains(voters, id) {
+		if !consensus.ContainsPeer(voters, id) {
 			delete(clocks.estimators, id)
 		}
 	}
 }
 
-// roundTrip is how long a message to a core and back takes.
+// roundTrip returns how long a message to a core and back takes, 0 if that is not known.
 func (clocks *PeerClocks) roundTrip(core int) time.Duration {
 	clocks.mutex.Lock()
 	defer clocks.mutex.Unlock()
@@ -47,37 +48,40 @@
 	return clocks.estimators[core].RoundTrip()
 }
 
-// median is how far the middle one of all clocks is ahead, and how many there are.
+// median returns how far the middle one of all clocks, this core's included, is ahead in
+// milliseconds, and how many there are.
 func (clocks *PeerClocks) median(before int64) (int64, int) {
 	clocks.mutex.Lock()
 	defer clocks.mutex.Unlock()
-	all := []int64{0}
-	for _, samples := range clocks.estimators {
-		all = append(all, samples.Offset())
+	offsets := []int64{0}
+	for _, estimator := range clocks.estimators {
+		offsets = append(offsets, estimator.Offset())
 	}
-	return clock.Median(all, before), len(all)
+	return clock.Median(offsets, before), len(offsets)
 }
 
-// Now is the time of day as the cores agree on it.
+// Now returns the time of day as the cores agree on it, in milliseconds since the Unix
+// epoch.
 func (core *Core) Now() int64 { return core.clock.Now() }
 
-// observeClock takes another core's clock from the answer to a beat; the middle one
-// of a majority's clocks is the time.
-func (core *Core) observeClock(peer Peer, response *message.HeartbeatResponse, trip time.Duration) {
-	if response.AnchorMs == 0 || trip > core.callTimeout() {
+// observeClock takes another core's clock from its response to a heartbeat. The middle
+// one of a majority's clocks is the time.
+func (core *Core) observeClock(peer message.Peer, response *message.HeartbeatResponse, roundTrip time.Duration) {
+	if response.AnchorMs == 0 || roundTrip > core.callTimeout() {
 		return
 	}
-	half, anchored := trip.Milliseconds()/2, core.clock.Anchored()
+	oneWay, anchored := roundTrip.Milliseconds()/2, core.clock.Anchored()
 	if response.NowMs > 0 && !core.clock.Synced() {
-		core.clock.SetOffset(response.NowMs + half - anchored)
+		core.clock.SetOffset(response.NowMs + oneWay - anchored)
 	}
-	core.peerClocks.add(peer.ID, response.AnchorMs+half-anchored, trip)
-	if ahead, count := core.peerClocks.median(core.clock.Offset()); count >= core.membership().majoritySize() {
+	core.peerClocks.add(peer.ID, response.AnchorMs+oneWay-anchored, roundTrip)
+	if ahead, count := core.peerClocks.median(core.clock.Offset()); count >= core.membership().MajoritySize() {
 		core.clock.SetOffset(ahead)
 	}
 }
 
-// told is this core's clock, and the time of day if it knows it from others.
+// clockTimes returns this core's own clock, and the time of day if other cores' clocks
+// are known, else 0. Both are in milliseconds since the Unix epoch.
 func (core *Core) clockTimes() (anchored, now int64) {
 	if core.clock.Synced() {
 		now = core.clock.Now()
@@ -85,11 +89,13 @@
 	return core.clock.Anchored(), now
 }
 
-// withTime is a beat with the time at which it will arrive, once the way is known.
-func (core *Core) withTime(peer Peer, request *message.HeartbeatRequest) *message.HeartbeatRequest {
-	timed, trip := *request, core.peerClocks.roundTrip(peer.ID)
-	if _, now := core.clockTimes(); now > 0 && trip > 0 {
-		timed.NowMs = now + trip.Milliseconds()/2
+// withTime returns a heartbeat with the time at which it will arrive, if the round trip
+// to the peer is known.
+func (core *Core) withTime(peer message.Peer, request *message.HeartbeatRequest) *message.HeartbeatRequest {
+	timed := *request
+	roundTrip := core.peerClocks.roundTrip(peer.ID)
+	if _, now := core.clockTimes(); now > 0 && roundTrip > 0 {
+		timed.NowMs = now + roundTrip.Milliseconds()/2
 	}
 	return &timed
 }
--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -24,11 +24,11 @@
 		test.Error("not cold after the start")
 	}
 	term := message.Term{Number: 4, Core: 1}
-	leadership := newLeadership(core, term, &Establishment{core: core, term: term})
-	core.leadership, core.leader = leadership, message.Leader{Term: term, Core: 1, Address: "127.0.0.1:1"}
+	leadership := newLeadership(&Establishment{core: core, term: term}, nil)
+	core.leadership, core.election.leader = leadership, message.Leader{Term: term, Core: 1, Address: "127.0.0.1:1"}
 	core.endLeadership(leadership)
-	if core.neverHeardLeader() || core.leader.Known() {
-		test.Errorf("cold %v, leader %+v", core.neverHeardLeader(), core.leader)
+	if core.neverHeardLeader() || core.election.leader.Known() {
+		test.Errorf("cold %v, leader %+v", core.neverHeardLeader(), core.election.leader)
 	}
 	core.Close()
 }
--- /dev/null
+++ b/control/commit_proof.go
@@ -0,0 +1,41 @@
+package control
+
+import (
+	"orchidjunction/consensus"
+	"orchidjunction/message"
+)
+
+// proveCommittedRouting is the goroutine of a core that restarted: until a leader is
+// heard of it asks the others what they accepted. What a quorum accepted under one term
+// is committed, and daemons may have it before anybody leads.
+func (core *Core) proveCommittedRouting() {
+	for core.neverHeardLeader() && !core.goroutines.Stopping() {
+		if core.membership().Votes() && !core.replica.Blank() && core.provesCommittedRouting() {
+			return
+		}
+		if !core.goroutines.Sleep(core.config.HeartbeatInterval) {
+			return
+		}
+	}
+}
+
+// provesCommittedRouting asks the other voters once and reports whether the routing that
+// this core has accepted is committed.
+func (core *Core) provesCommittedRouting() bool {
+	own := core.replica.State()
+	accepted := own.Accepted[message.RoutingRegister]
+	if accepted.Value.Serial == 0 {
+		return false
+	}
+	hasSame := func(response *message.ReplicaStateResponse) bool {
+		return response.Initialized && response.Versions[message.RoutingRegister] == accepted.Version()
+	}
+	view := core.membership()
+	responses := core.askReplicaStates(view, hasSame, view.Decides)
+	if !view.Decides(consensus.Agreed(responses, hasSame)) || !core.membership().SameVoters(view) {
+		return false
+	}
+	core.counters.Add("surveys_proved", 1)
+	core.commit(message.RoutingRegister, accepted, own.Chunks)
+	return true
+}
--- /dev/null
+++ b/control/config.go
@@ -0,0 +1,183 @@
+package control
+
+import (
+	"net/netip"
+	"time"
+
+	"orchidjunction/consensus"
+	"orchidjunction/discovery"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
+)
+
+const (
+	foundingQuiet   = 700 * time.Millisecond
+	sessionTTL      = 1500 * time.Millisecond
+	minWriteTimeout = 600 * time.Millisecond
+	minReplaceAfter = time.Second
+	minHeartbeat    = 10 * time.Millisecond
+	maxGivenID      = 99
+)
+
+// Config is what a core learns of itself from its flags or its settings file. A core
+// without an ID finds the others through its seeds and stores who they are.
+type Config struct {
+	ID              int
+	Name            string
+	Zone            string
+	InternalAddress string // IP:port, for other processes
+	OperatorAddress string // IP:port, for operators
+	Peers           []message.Peer
+	Seeds           []string // the internal addresses of some cores
+	Seed            uint64   // of all that is drawn
+
+	// Bootstrap allows a blank disk to begin a new system, which takes MinFounders cores
+	// at least, and none more for FoundingQuiet.
+	Bootstrap     bool
+	MinFounders   int
+	FoundingQuiet time.Duration
+
+	HeartbeatInterval time.Duration
+	SuspicionTimeout  time.Duration
+	// ReplaceAfter is how long a voter is silent before a learner takes its place.
+	ReplaceAfter time.Duration
+
+	// DirectSessions says that daemons hold their sessions with the leader itself.
+	DirectSessions bool
+	SessionTTL     time.Duration
+	TableInterval  time.Duration
+
+	// PlatformAddress is where the platform that the product brings itself lists the
+	// backends and takes reports. ListBackends and Metering replace it.
+	PlatformAddress string
+	ListBackends    discovery.Lister
+	ListInterval    time.Duration
+	ListsUntilGone  int
+	Metering        Metering
+
+	// Wall returns the wall clock in milliseconds since the Unix epoch.
+	Wall func() int64
+	// OnRole is called when this core has begun to lead.
+	OnRole func(role Role, term message.Term)
+	// OnMembershipChange is called with the voters' addresses whenever they change.
+	OnMembershipChange func(version message.Version, addresses []string)
+}
+
+// withDefaults returns the config with defaults in place of what was left open.
+func (config Config) withDefaults() Config {
+	if config.Wall == nil {
+		config.Wall = func() int64 { return time.Now().UnixMilli() }
+	}
+	if config.OnRole == nil {
+		config.OnRole = func(Role, message.Term) {}
+	}
+	if config.OnMembershipChange == nil {
+		config.OnMembershipChange = func(message.Version, []string) {}
+	}
+	setDefault(&config.ReplaceAfter, max(minReplaceAfter, 2*config.SuspicionTimeout))
+	setDefault(&config.FoundingQuiet, foundingQuiet)
+	setDefault(&config.TableInterval, config.HeartbeatInterval)
+	setDefault(&config.SessionTTL, sessionTTL)
+	setDefault(&config.ListInterval, discovery.DefaultInterval)
+	setDefault(&config.ListsUntilGone, discovery.DefaultListsUntilGone)
+	return config
+}
+
+// setDefault sets a value that is zero.
+func setDefault[T comparable](value *T, standard T) {
+	var zero T
+	if *value == zero {
+		*value = standard
+	}
+}
+
+// view returns the membership that was accepted last, or else the one that was given. As
+// long as no core was ever replaced, addresses are as they were given.
+func (config *Config) view(accepted *consensus.Membership) *consensus.View {
+	if config.discoversPeers() {
+		return consensus.NewView(config.InternalAddress, accepted)
+	}
+	given := consensus.NewMembership(append([]message.Peer{{ID: config.ID, Address: config.InternalAddress}}, config.Peers...))
+	if accepted != nil && accepted.Version.Serial > given.Version.Serial {
+		return consensus.NewView(config.InternalAddress, accepted)
+	}
+	if accepted != nil {
+		given.Version = accepted.Version
+	}
+	return consensus.NewView(config.InternalAddress, given)
+}
+
+// discoversPeers reports whether this core learns who the others are from its seeds.
+func (config *Config) discoversPeers() bool { return config.ID == 0 }
+
+// firstTableDelay returns how long a leader that nobody can give a table waits for the
+// daemons' sessions before it makes the first one.
+func (config *Config) firstTableDelay() time.Duration {
+	if config.DirectSessions {
+		return config.SessionTTL / 5
+	}
+	return config.SessionTTL
+}
+
+// writeTimeout returns how long a value is offered to the other cores.
+func (config *Config) writeTimeout() time.Duration {
+	return max(minWriteTimeout, 2*config.SuspicionTimeout)
+}
+
+// Check returns BadFlag if the config can't work; its message names the flag of ojcore.
+func (config *Config) Check() error {
+	if config.HeartbeatInterval < minHeartbeat || config.SuspicionTimeout < 3*config.HeartbeatInterval {
+		return rpc.Errorf(rpc.BadFlag, "--suspect-ms: %v must be at least three heartbeats of %v, and a heartbeat %v", config.SuspicionTimeout, config.HeartbeatInterval, minHeartbeat)
+	}
+	if err := CheckAddress("--wire", config.InternalAddress); err != nil {
+		return err
+	}
+	if config.discoversPeers() && len(config.Seeds) > 0 {
+		return config.checkSeeds()
+	}
+	return config.checkPeers()
+}
+
+func (config *Config) checkPeers() error {
+	if config.ID < 1 || config.ID > maxGivenID {
+		return rpc.Errorf(rpc.BadFlag, "--id: %d is not in 1 to %d", config.ID, maxGivenID)
+	}
+	seen := map[int]bool{config.ID: true}
+	for _, peer := range config.Peers {
+		if seen[peer.ID] {
+			return rpc.Errorf(rpc.BadFlag, "--peer: id %d is there twice", peer.ID)
+		}
+		seen[peer.ID] = true
+		if err := CheckAddress("--peer", peer.Address); err != nil {
+			return err
+		}
+	}
+	if len(config.Peers)%2 != 0 {
+		return rpc.Errorf(rpc.BadFlag, "--peer: %d cores in all; want an odd count", len(config.Peers)+1)
+	}
+	return nil
+}
+
+func (config *Config) checkSeeds() error {
+	if len(config.Peers) > 0 {
+		return rpc.Errorf(rpc.BadFlag, "--peer: goes with an id, not with seeds")
+	}
+	if config.MinFounders < 1 || config.MinFounders > maxFounders {
+		return rpc.Errorf(rpc.BadFlag, "--least: %d is not in 1 to %d", config.MinFounders, maxFounders)
+	}
+	for _, seed := range config.Seeds {
+		if err := CheckAddress("--seed", seed); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// CheckAddress returns BadFlag if the value of a flag is not IP:port.
+func CheckAddress(flag, address string) error {
+	parsed, err := netip.ParseAddrPort(address)
+	if err != nil || parsed.Port() == 0 {
+		return rpc.Errorf(rpc.BadFlag, "%s: %q is not IP:port", flag, address)
+	}
+	return nil
+}
--- a/control/content.go
+++ b/control/content.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 
 	"orchidjunction/conf"
 	"orchidjunction/message"
@@ -9,13 +10,15 @@
 )
 
 const (
+	// historyGroup is how many serials one chunk of the history spans, and
+	// maxHistoryGroups how many such chunks are kept.
 	historyGroup     = 16
 	maxHistoryGroups = 32
 	historyPrefix    = "trail/"
 )
 
-// content is what a settings value says: the tree and the trail of changes. Both
-// travel and are kept in branches named by digest.
+// content is the content of the settings register: the tree of settings and the history
+// of changes. Both are sent and stored as chunks. It is immutable but for chunks.
 type content struct {
 	serial  uint64
 	tree    *conf.Tree
@@ -23,146 +26,161 @@
 	chunks  message.Chunks
 }
 
-// next is the content after a change.
-func (now *content) next(tree *conf.Tree, entry message.HistoryEntry) *content {
+// next returns the content after a change, with the older entries of the history dropped
+// by whole chunks.
+func (current *content) next(tree *conf.Tree, entry message.HistoryEntry) *content {
 	next := &content{serial: entry.Serial, tree: tree, chunks: message.Chunks{}}
 	oldest := uint64(0)
 	if group := entry.Serial / historyGroup; group >= maxHistoryGroups {
 		oldest = (group - maxHistoryGroups + 1) * historyGroup
 	}
-	for _, held := range now.history {
-		if held.Serial >= oldest {
-			next.history = append(next.history, held)
+	for _, former := range current.history {
+		if former.Serial >= oldest {
+			next.history = append(next.history, former)
 		}
 	}
 	next.history = append(next.history, entry)
 	return next
 }
 
-// value is the register's: which branches make the content up.
-func (now *content) value() message.Value {
-	value := message.Value{Serial: now.serial}
+// value returns the register's value: the references of the chunks that make the content
+// up. It adds their texts to the content's chunks.
+func (current *content) value() message.Value {
+	value := message.Value{Serial: current.serial}
+	if current.tree != nil {
+		value.Chunks = append(value.Chunks, current.tree.Parts...)
+		for _, ref := range current.tree.Parts {
+			current.chunks[ref.Digest] = current.tree.Text(ref.Digest)
+		}
+	}
+	return current.addHistory(value)
+}
+
+// addHistory adds the references of the history to a value.
+func (current *content) addHistory(value message.Value) message.Value {
 	groups := map[uint64][]message.HistoryEntry{}
 	order := []uint64{}
-	for _, entry := range now.history {
+	for _, entry := range current.history {
 		group := entry.Serial / historyGroup
 		if groups[group] == nil {
 			order = append(order, group)
 		}
 		groups[group] = append(groups[group], entry)
 	}
-	if now.tree != nil {
-		value.Chunks = append(value.Chunks, now.tree.Parts...)
-		for _, part := range now.tree.Parts {
-			now.chunks[part.Digest] = now.tree.Text(part.Digest)
-		}
-	}
 	for _, group := range order {
-		text, _ := rpc.Marshal(groups[group])
+		text, _ := rpc.Marshal(groups[group]) // structures of numbers and texts are always encoded
 		digest := message.DigestOf(text)
 		value.Chunks = append(value.Chunks, message.ChunkRef{Path: fmt.Sprintf("%s%016d", historyPrefix, group), Digest: digest})
-		now.chunks[digest] = text
+		current.chunks[digest] = text
 	}
 	return value
 }
 
-// readContent makes the content of a value whose branches are among the texts;
-// what the content before has is read no second time.
-func readContent(before *content, value message.Value, chunks message.Chunks) (*content, error) {
+// readContent returns the content of a value whose chunks are all given. Chunks that the
+// former content has too are not parsed again.
+func readContent(former *content, value message.Value, chunks message.Chunks) (*content, error) {
 	if value.Serial == 0 {
 		return &content{}, nil
 	}
-	now := &content{serial: value.Serial, chunks: make(message.Chunks, len(value.Chunks))}
-	for _, part := range value.Chunks {
-		text, found := chunks[part.Digest]
+	current := &content{serial: value.Serial, chunks: make(message.Chunks, len(value.Chunks))}
+	for _, ref := range value.Chunks {
+		text, found := chunks[ref.Digest]
 		if !found {
-			return nil, rpc.Errorf(rpc.CorruptChunk, "branch %s of serial %d is missing", part.Path, value.Serial)
+			return nil, rpc.Errorf(rpc.CorruptChunk, "chunk %s of serial %d is missing", ref.Path, value.Serial)
+		}
+		current.chunks[ref.Digest] = text
+		if !isHistory(ref) {
+			continue
 		}
-		now.chunks[part.Digest] = text
-		if len(part.Path) > len(historyPrefix) && part.Path[:len(historyPrefix)] == historyPrefix {
-			entries := []message.HistoryEntry{}
-			if err := rpc.Unmarshal(text, &entries); err != nil {
-				return nil, rpc.AsError(err)
-			}
-			now.history = append(now.history, entries...)
+		entries := []message.HistoryEntry{}
+		if err := rpc.Unmarshal(text, &entries); err != nil {
+			return nil, err
 		}
+		current.history = append(current.history, entries...)
 	}
-	var former *conf.Tree
-	if before != nil {
-		former = before.tree
+	var formerTree *conf.Tree
+	if former != nil {
+		formerTree = former.tree
 	}
-	tree, err := conf.Grow(former, treeChunks(value.Chunks), now.chunks)
-	now.tree = tree
-	return now, err
+	tree, err := conf.Grow(formerTree, treeChunks(value.Chunks), current.chunks)
+	current.tree = tree
+	return current, err
+}
+
+func isHistory(ref message.ChunkRef) bool {
+	return len(ref.Path) > len(historyPrefix) && strings.HasPrefix(ref.Path, historyPrefix)
 }
 
-// treeChunks are the branches of the settings, without those of the trail.
-func treeChunks(parts []message.ChunkRef) []message.ChunkRef {
-	for index, part := range parts {
-		if len(part.Path) > len(historyPrefix) && part.Path[:len(historyPrefix)] == historyPrefix {
-			return parts[:index]
+// treeChunks returns the references of the settings, without those of the history.
+func treeChunks(refs []message.ChunkRef) []message.ChunkRef {
+	for index, ref := range refs {
+		if isHistory(ref) {
+			return refs[:index]
 		}
 	}
-	return parts
+	return refs
 }
 
-// newChunks are the texts of a value's branches that another value does not have.
+// newChunks returns the texts of those chunks of a value that a former value lacks.
 func newChunks(value, former message.Value, chunks message.Chunks) message.Chunks {
-	held, missing := map[string]bool{}, message.Chunks{}
-	for _, part := range former.Chunks {
-		held[part.Digest] = true
+	isKnown := map[string]bool{}
+	for _, ref := range former.Chunks {
+		isKnown[ref.Digest] = true
 	}
-	for _, part := range value.Chunks {
-		if !held[part.Digest] {
-			missing[part.Digest] = chunks[part.Digest]
+	added := message.Chunks{}
+	for _, ref := range value.Chunks {
+		if !isKnown[ref.Digest] {
+			added[ref.Digest] = chunks[ref.Digest]
 		}
 	}
-	return missing
+	return added
 }
 
-// content is what this core holds as committed.
-func (core *Core) content() (*content, error) {
+// committedContent returns the committed settings, parsed at most once.
+func (core *Core) committedContent() (*content, error) {
 	core.contentLock.Lock()
 	defer core.contentLock.Unlock()
 	core.mutex.Lock()
-	value, chunks, held := core.committed[message.SettingsRegister].Value, core.chunks, core.cachedContent
+	value, chunks, former := core.committed[message.SettingsRegister].Value, core.chunks, core.content
 	core.mutex.Unlock()
-	if held != nil && held.serial == value.Serial {
-		return held, nil
+	if former != nil && former.serial == value.Serial {
+		return former, nil
 	}
-	now, err := readContent(held, value, chunks)
+	current, err := readContent(former, value, chunks)
 	if err != nil {
 		core.counters.Add("contents_unreadable", 1)
 		return nil, err
 	}
 	core.mutex.Lock()
-	core.cachedContent = now
+	core.content = current
 	core.mutex.Unlock()
-	return now, nil
+	return current, nil
 }
 
-func (core *Core) onFetchChunks(parts *message.FetchChunksRequest) (*message.FetchChunksResponse, error) {
-	state := core.replica.State()
+// onFetchChunks returns the chunks that this core has accepted or knows as committed.
+func (core *Core) onFetchChunks(request *message.FetchChunksRequest) (*message.FetchChunksResponse, error) {
+	accepted := core.replica.State().Chunks
 	core.mutex.Lock()
-	chunks := core.chunks
+	committed := core.chunks
 	core.mutex.Unlock()
 	response := &message.FetchChunksResponse{Chunks: message.Chunks{}}
-	for _, digest := range parts.Digests {
-		if text, found := state.Chunks[digest]; found {
+	for _, digest := range request.Digests {
+		if text, found := accepted[digest]; found {
 			response.Chunks[digest] = text
-		} else if text, found := chunks[digest]; found {
+		} else if text, found := committed[digest]; found {
 			response.Chunks[digest] = text
 		}
 	}
 	return response, nil
 }
 
-// gatherChunks completes the texts of a value from the core that told of it.
+// gatherChunks returns the chunks of a value: those known, and the others from the core
+// at an address.
 func (core *Core) gatherChunks(address string, value message.Value, known message.Chunks) (message.Chunks, error) {
 	chunks := message.Chunks{}
-	for _, part := range value.Chunks {
-		if text, found := known[part.Digest]; found {
-			chunks[part.Digest] = text
+	for _, ref := range value.Chunks {
+		if text, found := known[ref.Digest]; found {
+			chunks[ref.Digest] = text
 		}
 	}
 	missing := message.MissingChunks(value.Chunks, chunks)
--- /dev/null
+++ b/control/disk_failure.go
@@ -0,0 +1,109 @@
+package control
+
+import (
+	"time"
+
+	"orchidjunction/message"
+
+	"k8s.io/klog/v2"
+)
+
+// repairInterval is how often a disk that refused something is tried again.
+const repairInterval = 250 * time.Millisecond
+
+// diskFailure is a disk's refusal of writes; the core's mutex guards it. Its zero value
+// stands for a disk that accepts writes.
+type diskFailure struct {
+	err   error
+	since time.Time
+}
+
+// diskFailed notes that the disk refused a record. Until a repair succeeds this core does
+// not vote and is no candidate, and a leader hands over to a core whose disk accepts
+// writes.
+func (core *Core) diskFailed(err error) {
+	core.mutex.Lock()
+	isFirst := core.diskFailure.err == nil
+	if isFirst {
+		core.diskFailure = diskFailure{err: err, since: time.Now()}
+	}
+	core.mutex.Unlock()
+	if !isFirst {
+		return
+	}
+	core.counters.Add("disk_faults", 1)
+	klog.Errorf("core %d: does not vote until its disk takes writes again: %v", core.membership().ID, err)
+	core.goroutines.Start(core.yieldLeadership)
+}
+
+// DiskError returns why this core's disk accepts nothing now, nil while it does.
+func (core *Core) DiskError() error {
+	core.mutex.Lock()
+	defer core.mutex.Unlock()
+	return core.diskFailure.err
+}
+
+// CanVote reports whether this core votes and its disk accepts writes.
+func (core *Core) CanVote() bool {
+	return !core.replica.Blank() && core.membership().Votes() && core.diskWritable()
+}
+
+// diskWritable reports whether the disk neither refuses writes nor stalls.
+func (core *Core) diskWritable() bool { return core.DiskError() == nil && !core.replica.Stalled() }
+
+// yieldLeadership hands the lead over to a core that votes. Without one this core goes
+// on, since values may still be accepted by a majority of the others.
+func (core *Core) yieldLeadership() {
+	leadership, err := core.currentLeadership()
+	if err != nil {
+		return
+	}
+	successor, found := leadership.bestSuccessor(nil)
+	if !found {
+		return
+	}
+	core.counters.Add("leads_yielded", 1)
+	leadership.transferTo(successor, time.Now().Add(2*core.config.SuspicionTimeout))
+	core.endLeadership(leadership)
+}
+
+// repairDisk tries a disk again that refused a record.
+func (core *Core) repairDisk() {
+	core.repairOwnReplica()
+	if core.DiskError() == nil || core.replica.Repair() != nil {
+		return
+	}
+	core.mutex.Lock()
+	failure, committed := core.diskFailure, core.committed[message.RoutingRegister]
+	core.diskFailure = diskFailure{}
+	core.mutex.Unlock()
+	core.counters.Add("disk_repairs", 1)
+	klog.Infof("core %d: votes again, its disk refused writes for %v", core.membership().ID, time.Since(failure.since).Round(time.Millisecond))
+	core.wakeElection.Notify()
+	if core.config.discoversPeers() {
+		core.replica.MarkCommitted(message.RoutingRegister, committed.Version())
+	}
+}
+
+// repairOwnReplica makes a leader accept itself what a majority of the others accepted
+// while its disk refused writes.
+func (core *Core) repairOwnReplica() {
+	leadership, err := core.currentLeadership()
+	if err != nil || !core.diskWritable() {
+		return
+	}
+	values, chunks := leadership.snapshot()
+	for register, held := range core.replica.State().Versions() {
+		value := values[register]
+		if !held.Less(message.Version{Term: leadership.term, Serial: value.Serial}) {
+			continue
+		}
+		request := &message.AcceptRequest{Term: leadership.term, Register: message.Register(register), Value: value, Chunks: chunks}
+		response, err := core.replica.Accept(request)
+		if err != nil || !response.Accepted { // tried again in a while, if this core still leads
+			core.counters.Add("own_copies_not_mended", 1)
+			continue
+		}
+		core.counters.Add("own_copies_mended", 1)
+	}
+}
--- a/control/election.go
+++ b/control/election.go
@@ -1,138 +1,127 @@
 package control
 
 import (
+	"time"
+
+	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"time"
 
 	"k8s.io/klog/v2"
 )
 
-const firstElectionDelay = 30 * time.Millisecond
-
-func (core *Core) nextElectionTimeout() time.Duration {
-	return core.random.between(core.config.SuspicionTimeout, core.config.SuspicionTimeout*3/2)
-}
-
-// firstElectionTimeout is that of a core that has heard of no leader since it started:
-// where cores know each other by a membership they stand one after the other, so that they don't race.
-func (core *Core) firstElectionTimeout() time.Duration {
-	if !core.config.discoversPeers() {
-		return core.nextElectionTimeout()
-	}
-	return firstElectionDelay + time.Duration(core.membership().rank())*core.config.SuspicionTimeout*3/5
-}
-
-// neverHeardLeader is whether this core has heard of no leader since it started.
-func (core *Core) neverHeardLeader() bool {
-	core.mutex.Lock()
-	defer core.mutex.Unlock()
-	return core.config.discoversPeers() && core.leader.Term.Number == 0
-}
-
-// runElections is the duty of the election thread.
+// runElections is the goroutine that makes this core a voter, a candidate or the leader
+// as soon as it should be.
 func (core *Core) runElections() {
-	yielded := false
+	deferred := false
 	for !core.goroutines.Stopping() {
 		seen := core.wakeElection.Count()
-		core.mutex.Lock()
-		passed := core.transfer
-		core.transfer = nil
-		silent := time.Since(core.leaderSeenAt)
-		patience := core.electionTimeout
-		isLeader := core.leadership != nil
-		core.mutex.Unlock()
-		switch standing := core.role.Current(); {
-		case standing == Retired || standing == Lameduck || isLeader:
-		case !core.membership().known():
+		now := core.takeElectionView()
+		switch {
+		case now.role == Retired || now.role == Lameduck || now.isLeader:
+		case !core.membership().Known():
 			core.discoverMembership()
 			continue
-		case !core.membership().votes():
+		case !core.membership().Votes():
 			core.followAsLearner()
 			continue
 		case core.replica.Blank():
 			core.role.transition(Blank)
 			core.restoreReplica()
-		case standing == Learner:
+		case now.role == Learner:
 			core.startFollowing()
-		case passed != nil:
-			core.takeOver(passed)
-		case silent > patience && core.membership().mayLead(core.membership().ID):
-			cold := core.neverHeardLeader()
-			core.mutex.Lock()
-			heard := core.leaderSeenAt
-			core.mutex.Unlock()
-			yielded = core.campaign(yielded || cold)
-			again := core.random.between(core.config.HeartbeatInterval/2, core.config.SuspicionTimeout)
-			if cold {
-				again = core.random.between(core.config.HeartbeatInterval/2, core.config.HeartbeatInterval) + core.firstElectionTimeout()
-			}
-			core.mutex.Lock()
-			if core.leaderSeenAt.Equal(heard) {
-				core.electionTimeout = time.Since(core.leaderSeenAt) + again
-			}
-			core.mutex.Unlock()
+		case now.transfer != nil:
+			core.takeOver(now.transfer)
+		case now.leaderIsSilent() && core.membership().MayLead(core.membership().ID):
+			deferred = core.campaignOnce(deferred)
 			continue
 		}
-		core.wakeElection.Wait(seen, core.electionIdle(silent, patience))
+		core.wakeElection.Wait(seen, core.electionIdle(now))
 	}
 }
 
-// electionIdle is how long nothing is due to the election thread, unless it is prompted.
-func (core *Core) electionIdle(silent, patience time.Duration) time.Duration {
+// electionView is what decides on the next step of an election.
+type electionView struct {
+	role     Role
+	isLeader bool
+	transfer *message.TransferLeadershipRequest
+	silence  time.Duration
+	timeout  time.Duration
+}
+
+func (view *electionView) leaderIsSilent() bool { return view.silence > view.timeout }
+
+// takeElectionView also takes the leader's request to take over, so that it is carried
+// out at most once.
+func (core *Core) takeElectionView() *electionView {
+	core.mutex.Lock()
+	view := &electionView{
+		isLeader: core.leadership != nil,
+		transfer: core.election.transfer,
+		silence:  time.Since(core.election.leaderSeenAt),
+		timeout:  core.election.timeout,
+	}
+	core.election.transfer = nil
+	core.mutex.Unlock()
+	view.role = core.role.Current()
+	return view
+}
+
+// electionIdle returns how long nothing is due, unless the election is woken.
+func (core *Core) electionIdle(now *electionView) time.Duration {
 	switch core.role.Current() {
 	case Retired, Lameduck, Leading:
 		return core.config.SuspicionTimeout
 	case Following:
-		if silent > patience {
+		if now.leaderIsSilent() {
 			return core.config.HeartbeatInterval
 		}
-		return max(patience-silent, time.Millisecond)
+		return max(now.timeout-now.silence, time.Millisecond)
 	}
 	return core.config.HeartbeatInterval / 4
 }
 
-// campaign runs one candidacy by fence; true when it gave way to a fitter core.
-func (core *Core) campaign(yielded bool) bool {
+// campaignOnce runs one candidacy and sets the time-out until the next one. It returns
+// whether the core deferred to a better candidate; having done so once, it does not defer
+// again.
+func (core *Core) campaignOnce(deferred bool) bool {
+	isFirst := core.neverHeardLeader()
+	core.mutex.Lock()
+	seenBefore := core.election.leaderSeenAt
+	core.mutex.Unlock()
+	deferred = core.campaign(deferred || isFirst)
+	pause := core.random.between(core.config.HeartbeatInterval/2, core.config.SuspicionTimeout)
+	if isFirst {
+		pause = core.random.between(core.config.HeartbeatInterval/2, core.config.HeartbeatInterval) + core.firstElectionTimeout()
+	}
+	core.mutex.Lock()
+	defer core.mutex.Unlock()
+	if core.election.leaderSeenAt.Equal(seenBefore) {
+		core.election.timeout = time.Since(core.election.leaderSeenAt) + pause
+	}
+	return deferred
+}
+
+// campaign runs one candidacy: pre-vote, revocation by a fence, establishment. It returns
+// true if it deferred to a better candidate.
+func (core *Core) campaign(mayNotDefer bool) bool {
 	if !core.diskWritable() || !core.role.transition(Prechecking) {
 		return false
 	}
 	defer core.role.abandonCandidacy()
 	core.counters.Add("prechecks", 1)
-	versions, view := core.replica.State().Versions(), core.membership()
-	response := callPeers(core, view, func(peer Peer) (*message.PreVoteResponse, error) {
-		return rpc.Call[message.PreVoteRequest, message.PreVoteResponse](core.client, peer.Address, "precheck", core.callTimeout()/2, &message.PreVoteRequest{Core: view.ID, Versions: versions, Membership: view.Version})
-	}, func(*message.PreVoteResponse) bool { return true }, waitForAll)
-	reach := 1 + len(response)
-	for _, answer := range response {
-		core.observeTermNumber(answer.TermNumber)
-		core.learnMembership(answer.Membership)
-	}
-	if !core.membership().same(view) {
-		core.counters.Add("prechecks_by_old_members", 1)
-		return false
-	}
-	for _, answer := range response {
-		if answer.LeaderAlive {
-			core.counters.Add("prechecks_leader_alive", 1)
-			return false
-		}
-	}
-	if !view.decides(agreed(response, func(answer *message.PreVoteResponse) bool { return answer.Granted })) {
-		core.counters.Add("prechecks_short", 1)
+	view := core.membership()
+	switch core.preVote(view, mayNotDefer) {
+	case preVoteLost:
 		return false
-	}
-	for id, answer := range response {
-		if !yielded && view.mayLead(id) && answer.Voter && betterCandidate(answer.Versions, answer.Reachable, id, versions, reach, view.ID) {
-			core.counters.Add("prechecks_yielded", 1)
-			return true
-		}
+	case preVoteDeferred:
+		return true
 	}
 	if !core.role.transition(Revoking) {
 		return false
 	}
-	term, revoked := core.nextTerm(view)
-	revocation, err := core.fence(view, term, revoked)
+	term, former := core.nextTerm(view)
+	revocation, err := core.fence(view, term, former)
 	if err != nil {
 		core.counters.Add("revocations_short", 1)
 		return false
@@ -141,7 +130,59 @@
 	return false
 }
 
-// takeOver takes over from a leader that stepped down in this core's favour.
+// preVoteResult is what came of asking the other voters before a candidacy.
+type preVoteResult int
+
+const (
+	preVoteLost preVoteResult = iota
+	preVoteDeferred
+	preVoteWon
+)
+
+// preVote asks the other voters whether they would support this core, before it raises
+// its term and so ends the leadership of a leader that others still see.
+func (core *Core) preVote(view *consensus.View, mayNotDefer bool) preVoteResult {
+	own := consensus.Candidate{ID: view.ID, Versions: core.replica.State().Versions()}
+	request := &message.PreVoteRequest{Core: view.ID, Versions: own.Versions, Membership: view.Version}
+	responses := callPeers(core, view, func(peer message.Peer) (*message.PreVoteResponse, error) {
+		return rpc.Call[message.PreVoteRequest, message.PreVoteResponse](core.client, peer.Address, "precheck", core.callTimeout()/2, request)
+	}, func(*message.PreVoteResponse) bool { return true }, waitForAll)
+	own.Reachable = 1 + len(responses)
+	leaderAlive := false
+	for _, response := range responses {
+		core.observeTermNumber(response.TermNumber)
+		core.learnMembership(response.Membership)
+		leaderAlive = leaderAlive || response.LeaderAlive
+	}
+	granted := consensus.Agreed(responses, func(response *message.PreVoteResponse) bool { return response.Granted })
+	switch {
+	case !core.membership().SameVoters(view):
+		core.counters.Add("prechecks_by_old_members", 1)
+	case leaderAlive:
+		core.counters.Add("prechecks_leader_alive", 1)
+	case !view.Decides(granted):
+		core.counters.Add("prechecks_short", 1)
+	case !mayNotDefer && hasBetterCandidate(view, own, responses):
+		core.counters.Add("prechecks_yielded", 1)
+		return preVoteDeferred
+	default:
+		return preVoteWon
+	}
+	return preVoteLost
+}
+
+// hasBetterCandidate reports whether a voter that answered goes before this core.
+func hasBetterCandidate(view *consensus.View, own consensus.Candidate, responses map[int]*message.PreVoteResponse) bool {
+	for id, response := range responses {
+		other := consensus.Candidate{ID: id, Versions: response.Versions, Reachable: response.Reachable}
+		if view.MayLead(id) && response.Voter && other.BetterThan(own) {
+			return true
+		}
+	}
+	return false
+}
+
+// takeOver becomes the leader in the place of one that resigned in this core's favour.
 func (core *Core) takeOver(request *message.TransferLeadershipRequest) {
 	if !core.role.transition(Revoking) {
 		return
@@ -152,18 +193,10 @@
 	core.establishLeadership(view, term, resigned(request))
 }
 
-// nextTerm is a new ballot of this core's, and the one of the leader it knows.
-func (core *Core) nextTerm(view *View) (next, revoked message.Term) {
-	core.mutex.Lock()
-	defer core.mutex.Unlock()
-	core.highestTerm++
-	return message.Term{Number: core.highestTerm, Core: view.ID}, core.leader.Term
-}
-
-// establishLeadership establishes under the ballot, by the membership that its revocation counted
-// by, and takes the lead.
-func (core *Core) establishLeadership(view *View, term message.Term, revocation *Revocation) {
-	if !view.mayLead(view.ID) || !core.role.transition(Establishing) {
+// establishLeadership establishes a leadership under a term, by the membership that its
+// revocation counted by, and takes the lead.
+func (core *Core) establishLeadership(view *consensus.View, term message.Term, revocation *Revocation) {
+	if !view.MayLead(view.ID) || !core.role.transition(Establishing) {
 		return
 	}
 	leadership, err := core.establish(view, term, revocation)
@@ -173,122 +206,99 @@
 	}
 	core.mutex.Lock()
 	core.leadership = leadership
-	core.leader = core.membership().leader(term)
-	core.lameduck, core.successor = false, message.Leader{}
+	core.election.leader = core.membership().Leader(term)
+	core.election.lameduck, core.election.successor = false, message.Leader{}
 	core.mutex.Unlock()
 	if core.replica.State().Promised != term || !core.role.transition(Leading) {
 		core.endLeadership(leadership)
 		return
 	}
-	core.config.OnRole(Leading, term)
-	klog.Infof("core %d: leads under %s, revoked %s by %s", core.membership().ID, term, leadership.revocation.Revoked, leadership.revocation.Method)
+	core.startLeading(leadership)
+}
+
+// startLeading makes known what the new leadership holds.
+func (core *Core) startLeading(leadership *Leadership) {
+	core.config.OnRole(Leading, leadership.term)
+	klog.Infof("core %d: leads under %s, revoked %s by %s", core.membership().ID, leadership.term, leadership.revocation.Revoked, leadership.revocation.Method)
 	for register := range message.Registers {
-		core.commit(register, message.AcceptedValue{Term: term, Value: leadership.value(register)}, leadership.settings().chunks)
+		accepted := message.AcceptedValue{Term: leadership.term, Value: leadership.value(register)}
+		core.commit(register, accepted, leadership.settings().chunks)
 	}
-	core.backends.reset(core.Table().Backends)
+	core.backends.Reset(core.Table().Backends)
 	core.updates.Notify()
 	leadership.heartbeat()
 }
 
-// abandonCandidacy ends a candidacy that did not come to lead.
-func (role *RoleState) abandonCandidacy() {
-	switch role.Current() {
-	case Prechecking, Revoking, Establishing:
-		role.transition(Following)
-	}
+// onPreVote says whether this core would support a candidate. It does not while it leads
+// or sees a leader that goes on.
+func (core *Core) onPreVote(request *message.PreVoteRequest) (*message.PreVoteResponse, error) {
+	state := core.replica.State()
+	core.mutex.Lock()
+	election := &core.election
+	followsLeader := election.leader.Known() && !election.lameduck && election.leaderAlive(core.config.SuspicionTimeout)
+	leaderAlive := core.leadership != nil || followsLeader
+	termNumber := max(election.highestTerm, state.Promised.Number)
+	core.mutex.Unlock()
+	canVote := core.CanVote()
+	return &message.PreVoteResponse{
+		Granted:     canVote && !leaderAlive,
+		LeaderAlive: leaderAlive,
+		Voter:       canVote,
+		Versions:    state.Versions(),
+		Reachable:   core.reachableCores(),
+		TermNumber:  termNumber,
+		Membership:  core.members.NewerThan(request.Membership),
+	}, nil
 }
 
-// sendHeartbeats is the duty of the beat thread.
-func (core *Core) sendHeartbeats() {
-	leadership, err := core.currentLeadership()
-	if err != nil {
-		return
-	}
-	if leadership.heartbeat() {
-		return
-	}
-	leadership.mutex.Lock()
-	silent := time.Since(leadership.lastQuorum)
-	leadership.mutex.Unlock()
-	if silent > 2*core.config.SuspicionTimeout {
-		core.counters.Add("leaderships_lost_reach", 1)
-		core.endLeadership(leadership)
-	}
+// reachableCores returns how many cores spoke to this one lately, this one included.
+func (core *Core) reachableCores() int {
+	return 1 + core.sessions.recentCores(core.config.SuspicionTimeout*2)
 }
 
+// onPrepare promises a term to a candidate, unless this core knows a newer membership
+// with other voters than the candidate counts by.
 func (core *Core) onPrepare(request *message.PrepareRequest) (*message.PrepareResponse, error) {
-	if known := core.membership().accepted(); message.Supersedes(known, request.Membership) {
+	if known := core.membership().Accepted(); message.Supersedes(known, request.Membership) {
 		return &message.PrepareResponse{Promised: core.replica.State().Promised, Membership: known}, nil
 	}
 	core.observeTermNumber(request.Term.Number)
 	response, err := core.replica.Prepare(request)
 	if err == nil && response.Granted {
 		core.mutex.Lock()
-		core.leaderSeenAt = time.Now()
-		core.electionTimeout = core.nextElectionTimeout()
+		core.election.leaderSeenAt = time.Now()
+		core.election.timeout = core.nextElectionTimeout()
 		core.mutex.Unlock()
 	}
 	return response, err
 }
 
+// onAccept accepts a leader's value.
 func (core *Core) onAccept(request *message.AcceptRequest) (*message.AcceptResponse, error) {
 	core.observeTermNumber(request.Term.Number)
 	return core.replica.Accept(request)
 }
 
-func (core *Core) onPreVote(request *message.PreVoteRequest) (*message.PreVoteResponse, error) {
-	state := core.replica.State()
-	core.mutex.Lock()
-	heard := core.leadership != nil || (core.leader.Known() && !core.lameduck && time.Since(core.leaderSeenAt) < core.config.SuspicionTimeout)
-	round := max(core.highestTerm, state.Promised.Number)
-	core.mutex.Unlock()
-	votes := core.CanVote()
-	return &message.PreVoteResponse{Granted: votes && !heard, LeaderAlive: heard, Voter: votes, Versions: state.Versions(), Reachable: core.reachableCores(), TermNumber: round, Membership: core.newerMembership(request.Membership)}, nil
-}
-
-// reachableCores is how many cores told something lately, this one included.
-func (core *Core) reachableCores() int {
-	return 1 + core.sessions.recentCores(core.config.SuspicionTimeout*2)
-}
-
-func (core *Core) onHeartbeat(request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
-	state := core.replica.State()
-	core.observeTermNumber(request.Term.Number)
-	if request.Term.Less(state.Promised) {
-		return &message.HeartbeatResponse{Voter: state.Initialized, Promised: state.Promised, Versions: state.Versions()}, nil
-	}
-	core.mutex.Lock()
-	moved := core.leader.Term != request.Term
-	core.leader, core.leaderSeenAt = request.Leader, time.Now()
-	core.lameduck, core.successor = request.Lameduck, request.Successor
-	core.wantedTable = request.Table
-	core.electionTimeout = core.nextElectionTimeout()
-	core.mutex.Unlock()
-	if request.NowMs > 0 {
-		core.clock.AddOneWay(request.NowMs)
-	}
-	if moved {
-		klog.Infof("core %d: follows core %d under %s", core.membership().ID, request.Leader.Core, request.Term)
-		core.updates.Notify()
-	}
-	for register := range request.Committed {
-		if accepted := state.Accepted[register]; accepted.Version() == request.Committed[register] {
-			core.commit(message.Register(register), accepted, state.Chunks)
-		}
-	}
-	response := &message.HeartbeatResponse{Accepted: true, Voter: state.Initialized, RefusesWrites: !core.diskWritable(), Promised: state.Promised, Versions: state.Versions(), Reachable: core.reachableCores()}
-	response.AnchorMs, response.NowMs = core.clockTimes()
-	return response, nil
-}
-
+// onTransferLeadership takes a leader's request to take over from it.
 func (core *Core) onTransferLeadership(request *message.TransferLeadershipRequest) (*message.TransferLeadershipResponse, error) {
-	state := core.replica.State()
-	if !core.CanVote() || request.Term.Less(state.Promised) || core.role.Current() != Following {
+	isStale := request.Term.Less(core.replica.State().Promised)
+	if !core.CanVote() || isStale || core.role.Current() != Following {
 		return &message.TransferLeadershipResponse{}, nil
 	}
 	core.mutex.Lock()
-	core.transfer = request
+	core.election.transfer = request
 	core.mutex.Unlock()
 	core.wakeElection.Notify()
 	return &message.TransferLeadershipResponse{Accepted: true}, nil
 }
+
+// promiseRaised ends an older leadership of this core: it promised a newer term itself.
+func (core *Core) promiseRaised(term message.Term) {
+	core.observeTermNumber(term.Number)
+	core.mutex.Lock()
+	leadership := core.leadership
+	core.mutex.Unlock()
+	if leadership != nil && leadership.term.Less(term) {
+		core.endLeadership(leadership)
+	}
+}
--- a/control/establishment.go
+++ b/control/establishment.go
@@ -1,12 +1,13 @@
 package control
 
 import (
-	"orchidjunction/concurrent"
+	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"orchidjunction/route"
 	"orchidjunction/rpc"
 )
 
+// Names of the conditions of a leadership, as operators see them.
 const (
 	RevokedCondition   = "former leadership revoked"
 	PromisedCondition  = "majority promised the ballot"
@@ -14,55 +15,50 @@
 	HeartbeatCondition = "beats reach a majority"
 )
 
-// Establishment makes every condition of a leadership true, each round anew.
+// Establishment makes every condition of a leadership true.
 type Establishment struct {
 	core       *Core
-	view       *View
+	view       *consensus.View
 	term       message.Term
 	revocation *Revocation
 	promises   map[int]*message.PrepareResponse
-	newest     [message.Registers]message.AcceptedValue
-	sources    [message.Registers]int
+	values     [message.Registers]message.Value
 	content    *content
 	routing    *route.Book
-	learners   []string
 }
 
-func (core *Core) establish(view *View, term message.Term, revocation *Revocation) (*Leadership, error) {
+// establish returns a leadership under a term. Every step is done anew: none of a former
+// attempt counts.
+func (core *Core) establish(view *consensus.View, term message.Term, revocation *Revocation) (*Leadership, error) {
 	if !revocation.Complete {
 		return nil, rpc.Errorf(rpc.StaleTerm, "revocation of %s is not complete", revocation.Revoked)
 	}
-	establishment := &Establishment{core: core, view: view, term: term, revocation: revocation, learners: revocation.Learners}
-	for _, step := range []func() error{establishment.collectPromises, establishment.completeRevocation, establishment.rewriteRegisters} {
-		if err := step(); err != nil {
-			return nil, err
-		}
+	establishment := &Establishment{core: core, view: view, term: term, revocation: revocation}
+	if err := establishment.collectPromises(); err != nil {
+		return nil, err
+	}
+	establishment.completeRevocation()
+	if err := establishment.rewriteRegisters(); err != nil {
+		return nil, err
 	}
-	if err := core.adoptMembership(view, term); err != nil {
+	if err := core.members.AdoptRewritten(view, term); err != nil {
 		return nil, err
 	}
-	leadership := newLeadership(core, term, establishment)
+	leadership := newLeadership(establishment, revocation.Learners)
 	if !leadership.heartbeat() {
-		return nil, rpc.Errorf(rpc.StaleTerm, "no majority took the first beat of %s", term)
+		return nil, rpc.Errorf(rpc.StaleTerm, "no majority took the first heartbeat of %s", term)
 	}
 	return leadership, nil
 }
 
-// adoptMembership makes the membership that was written again under a ballot the one that this
-// core counts by from then on. Its own replica may not have accepted that yet, and
-// meanwhile it may have learned a step of a former leader's that was never decided.
-func (core *Core) adoptMembership(view *View, term message.Term) error {
-	rewritten := *view.Membership
-	_, err := core.adoptNextMembership(&rewritten, term)
-	return err
-}
-
-// collectPromises reuses the fence's promises; after a step-down it asks for its own.
+// collectPromises uses the promises of the fence. After a resignation there are none, and
+// it asks for them.
 func (establishment *Establishment) collectPromises() error {
-	if establishment.revocation.Method == TermFence && establishment.revocation.Term == establishment.term {
-		establishment.promises = establishment.revocation.Promises
+	revocation := establishment.revocation
+	if revocation.Method == TermFence && revocation.Term == establishment.term {
+		establishment.promises = revocation.Promises
 	}
-	if establishment.view.decides(agreed(establishment.promises, granted)) {
+	if establishment.view.Decides(consensus.Agreed(establishment.promises, consensus.Granted)) {
 		return nil
 	}
 	promises, err := establishment.core.prepare(establishment.view, establishment.term)
@@ -70,68 +66,39 @@
 	return err
 }
 
-// completeRevocation falls back to the fence that the promises are, when a leader unknown
-// to the step-down shows itself.
-func (establishment *Establishment) completeRevocation() error {
+// completeRevocation takes the promises as the fence that they are, if they show a leader
+// that the one which resigned did not know.
+func (establishment *Establishment) completeRevocation() {
 	if establishment.revocation.covers(establishment.promises) {
-		return nil
+		return
 	}
 	establishment.core.counters.Add("revocation_fell_back", 1)
-	establishment.revocation = &Revocation{Method: TermFence, Term: establishment.term,
-		Revoked: establishment.revocation.Revoked, Promises: establishment.promises, Complete: true}
-	return nil
-}
-
-// newestValues is, for each register, the newest value that those that promised accepted,
-// and which of them it is from.
-func newestValues(promises map[int]*message.PrepareResponse) (newest [message.Registers]message.AcceptedValue, from [message.Registers]int) {
-	for id, promise := range promises {
-		for register := range promise.Accepted {
-			if newest[register].Version().Less(promise.Accepted[register].Version()) {
-				newest[register], from[register] = promise.Accepted[register], id
-			}
-		}
-	}
-	return newest, from
-}
-
-// inheritedValues is what a ballot takes over from those that promised it: the newest value
-// of each register, and the membership that counted them. None of them accepted a
-// newer membership with other voters: they would have refused.
-func inheritedValues(view *View, promises map[int]*message.PrepareResponse) (newest [message.Registers]message.AcceptedValue, from [message.Registers]int) {
-	newest, from = newestValues(promises)
-	newest[message.MembersRegister] = view.accepted()
-	return newest, from
+	establishment.revocation = fenced(establishment.term, establishment.revocation.Revoked, establishment.promises)
 }
 
-// rewriteRegisters writes what the ballot takes over again under it.
+// rewriteRegisters writes the inherited values again under the new term.
 func (establishment *Establishment) rewriteRegisters() error {
 	core := establishment.core
-	establishment.newest, establishment.sources = inheritedValues(establishment.view, establishment.promises)
-	settings := establishment.newest[message.SettingsRegister].Value
-	chunks, err := core.gatherChunks(establishment.view.address(establishment.sources[message.SettingsRegister]), settings, core.replica.State().Chunks)
+	inherited, sources := consensus.InheritedValues(establishment.view, establishment.promises)
+	for register := range inherited {
+		establishment.values[register] = inherited[register].Value
+	}
+	settings := establishment.values[message.SettingsRegister]
+	source := establishment.view.AddressOf(sources[message.SettingsRegister])
+	chunks, err := core.gatherChunks(source, settings, core.replica.State().Chunks)
 	if err != nil {
 		return err
 	}
-	if establishment.routing, err = route.BookOf(establishment.newest[message.RoutingRegister].Value.Body); err != nil {
+	establishment.routing, err = route.BookOf(establishment.values[message.RoutingRegister].Body)
+	if err != nil {
 		return err
 	}
-	for register := range establishment.newest {
-		establishment.newest[register].Term = establishment.term
-	}
-	_, failed := concurrent.Gather(core.goroutines, len(establishment.newest), func(register int) (bool, error) {
-		request := &message.AcceptRequest{Term: establishment.term, Register: message.Register(register), Value: establishment.newest[register].Value}
-		if err := core.replicate(establishment.view, request, chunks); err != nil {
-			return false, err
-		}
-		return true, nil
-	}, func(_ map[int]bool, failed map[int]error) bool { return len(failed) > 0 })
-	for _, err := range failed {
-		return rpc.AsError(err)
+	if err := core.replicateAll(establishment.view, establishment.term, establishment.values, chunks); err != nil {
+		return err
 	}
 	core.mutex.Lock()
-	held := core.cachedContent
+	former := core.content
 	core.mutex.Unlock()
-	establishment.content, err = readContent(held, settings, chunks)
+	establishment.content, err = readContent(former, settings, chunks)
 	return err
 }
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -9,49 +9,52 @@
 	"orchidjunction/rpc"
 )
 
+// restoredZoneTTL is how long it is remembered when a zone was taken back.
 const restoredZoneTTL = time.Minute
 
-// applyEvacuation is the book after an order on a zone, nil when the order changes nothing.
-func applyEvacuation(book *route.Book, order *message.EvacuateRequest, now int64) *route.Book {
-	index, found := slices.BinarySearch(book.Evacuated, order.Zone)
-	if found == order.Begin {
+// applyEvacuation returns the routing after an order on a zone at a time in milliseconds,
+// nil if the order changes nothing.
+func applyEvacuation(book *route.Book, request *message.EvacuateRequest, now int64) *route.Book {
+	index, isEvacuated := slices.BinarySearch(book.Evacuated, request.Zone)
+	if isEvacuated == request.Begin {
 		return nil
 	}
 	next := *book
-	next.Zones = book.Changed(order.Zone)
-	if order.Begin {
-		next.Evacuated = slices.Insert(slices.Clone(book.Evacuated), index, order.Zone)
-	} else {
-		next.Evacuated = slices.Delete(slices.Clone(book.Evacuated), index, index+1)
-		next.Reopened = slices.DeleteFunc(slices.Clone(book.Reopened), func(one route.Reopened) bool {
-			return one.Zone == order.Zone || now-one.AtMs > restoredZoneTTL.Milliseconds()
-		})
-		next.Reopened = append(next.Reopened, route.Reopened{Zone: order.Zone, AtMs: now})
+	next.Zones = book.Changed(request.Zone)
+	if request.Begin {
+		next.Evacuated = slices.Insert(slices.Clone(book.Evacuated), index, request.Zone)
+		return &next
 	}
+	next.Evacuated = slices.Delete(slices.Clone(book.Evacuated), index, index+1)
+	next.Reopened = slices.DeleteFunc(slices.Clone(book.Reopened), func(former route.Reopened) bool {
+		return former.Zone == request.Zone || now-former.AtMs > restoredZoneTTL.Milliseconds()
+	})
+	next.Reopened = append(next.Reopened, route.Reopened{Zone: request.Zone, AtMs: now})
 	return &next
 }
 
-// onEvacuate takes a zone's backends out of use, or back into it. An order that was
-// under way while the zone changed is not carried out: its operator gave up on it,
-// and may have been told since that the contrary is in force.
-func (core *Core) onEvacuate(order *message.EvacuateRequest) (*message.EvacuateResponse, error) {
+// onEvacuate takes a zone's backends out of use, or back into it. An order that was under
+// way while the zone changed is not carried out: its operator gave up on it, and may have
+// been told since that the contrary is in force.
+func (core *Core) onEvacuate(request *message.EvacuateRequest) (*message.EvacuateResponse, error) {
 	leadership, err := core.currentLeadership()
 	if err != nil {
 		return nil, err
 	}
-	if order.QueryOnly {
-		return &message.EvacuateResponse{Changes: leadership.currentRouting().Changes(order.Zone)}, nil
+	if request.QueryOnly {
+		return &message.EvacuateResponse{Changes: leadership.currentRouting().Changes(request.Zone)}, nil
 	}
-	response, changed := &message.EvacuateResponse{}, false
-	response.Serial, err = leadership.writeRouting(func(book *route.Book) (*route.Book, error) {
-		next := applyEvacuation(book, order, core.Now())
-		if response.Changes = book.Changes(order.Zone); next != nil && response.Changes != order.ExpectedChanges {
-			return nil, rpc.Errorf(rpc.ZoneChanged, "changed %d times, the order is upon %d", response.Changes, order.ExpectedChanges)
+	response, isChanged := &message.EvacuateResponse{}, false
+	response.Serial, err = leadership.writeRouting(func(current *route.Book) (*route.Book, error) {
+		next := applyEvacuation(current, request, core.Now())
+		response.Changes = current.Changes(request.Zone)
+		if next != nil && response.Changes != request.ExpectedChanges {
+			return nil, rpc.Errorf(rpc.ZoneChanged, "changed %d times, the order is upon %d", response.Changes, request.ExpectedChanges)
 		}
-		changed = next != nil
+		isChanged = next != nil
 		return next, nil
 	})
-	if err == nil && !changed {
+	if err == nil && !isChanged {
 		err = leadership.confirmDecision(nil)
 	}
 	if err != nil {
--- /dev/null
+++ b/control/fetch_cache.go
@@ -0,0 +1,71 @@
+package control
+
+import (
+	"sync"
+
+	"orchidjunction/message"
+	"orchidjunction/route"
+	"orchidjunction/rpc"
+)
+
+// fetchCacheSize is how many responses with the newest table are kept.
+const fetchCacheSize = 4
+
+// fetchCache keeps responses with the newest table, encoded once for all daemons. It is
+// safe for concurrent use.
+type fetchCache struct {
+	mutex     sync.Mutex
+	table     *message.Table
+	responses map[fetchKey]*message.FetchResponse
+}
+
+type fetchKey struct{ serial, routing uint64 }
+
+// get returns the encoded response that says the same. One without a table is small and
+// is returned as it is.
+func (cache *fetchCache) get(response *message.FetchResponse) (*message.FetchResponse, error) {
+	if response.Table == nil {
+		return response, nil
+	}
+	cache.mutex.Lock()
+	defer cache.mutex.Unlock()
+	key := fetchKey{response.Serial, response.Routing}
+	if known := cache.responses[key]; known != nil && cache.table == response.Table {
+		return known, nil
+	}
+	if err := response.Encode(); err != nil {
+		return nil, err
+	}
+	if cache.table != response.Table || len(cache.responses) >= fetchCacheSize {
+		cache.table, cache.responses = response.Table, map[fetchKey]*message.FetchResponse{}
+	}
+	cache.responses[key] = response
+	return response, nil
+}
+
+// routingCache keeps a committed routing as daemons get it, encoded once. It is safe for
+// concurrent use.
+type routingCache struct {
+	mutex  sync.Mutex
+	serial uint64
+	body   []byte
+}
+
+// get returns the routing without what only orders are judged by, encoded and compressed.
+func (cache *routingCache) get(value message.Value) ([]byte, error) {
+	cache.mutex.Lock()
+	defer cache.mutex.Unlock()
+	if cache.serial == value.Serial {
+		return cache.body, nil
+	}
+	book, err := route.BookOf(value.Body)
+	if err != nil {
+		return nil, err
+	}
+	body, err := rpc.Marshal(book.Bare())
+	if err != nil {
+		return nil, err
+	}
+	cache.serial, cache.body = value.Serial, message.Compress(body)
+	return cache.body, nil
+}
--- /dev/null
+++ b/control/heartbeat.go
@@ -0,0 +1,172 @@
+package control
+
+import (
+	"slices"
+	"time"
+
+	"orchidjunction/concurrent"
+	"orchidjunction/consensus"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
+
+	"k8s.io/klog/v2"
+)
+
+// sendHeartbeats sends the leader's heartbeats, and ends a leadership that has reached no
+// quorum for long.
+func (core *Core) sendHeartbeats() {
+	leadership, err := core.currentLeadership()
+	if err != nil || leadership.heartbeat() {
+		return
+	}
+	leadership.mutex.Lock()
+	silence := time.Since(leadership.lastQuorum)
+	leadership.mutex.Unlock()
+	if silence > 2*core.config.SuspicionTimeout {
+		core.counters.Add("leaderships_lost_reach", 1)
+		core.endLeadership(leadership)
+	}
+}
+
+// heartbeat sends one heartbeat to every voter and learner and reports whether a quorum
+// accepted it.
+func (leadership *Leadership) heartbeat() bool {
+	core, begin := leadership.core, time.Now()
+	view := core.membership()
+	number, request := leadership.nextHeartbeat(view)
+	peers := append(slices.Clone(view.Peers), leadership.waitingLearners(view)...)
+	responses, _ := concurrent.Gather(core.goroutines, len(peers), func(index int) (*message.HeartbeatResponse, error) {
+		return leadership.heartbeatTo(peers[index], request)
+	}, func(responses map[int]*message.HeartbeatResponse, _ map[int]error) bool {
+		return view.Decides(acceptedHeartbeat(peers, responses))
+	})
+	for _, response := range responses {
+		if leadership.term.Less(response.Promised) {
+			core.observeTermNumber(response.Promised.Number)
+			core.endLeadership(leadership)
+			return false
+		}
+	}
+	if !view.Decides(acceptedHeartbeat(peers, responses)) || core.replica.State().Promised != leadership.term {
+		return false
+	}
+	leadership.heartbeatAccepted(number, begin)
+	return true
+}
+
+// heartbeatAccepted notes that a quorum accepted a heartbeat that began at a time.
+func (leadership *Leadership) heartbeatAccepted(number uint64, begin time.Time) {
+	leadership.mutex.Lock()
+	if leadership.lastQuorum.Before(begin) {
+		leadership.lastQuorum = begin
+	}
+	leadership.heartbeatsConfirmed = max(leadership.heartbeatsConfirmed, number)
+	leadership.mutex.Unlock()
+	leadership.heartbeatDone.Notify()
+}
+
+// acceptedHeartbeat returns which voters accepted a heartbeat, from the responses by the
+// peers' positions.
+func acceptedHeartbeat(peers []message.Peer, responses map[int]*message.HeartbeatResponse) func(id int) bool {
+	accepted := map[int]bool{}
+	for index, response := range responses {
+		if response.Accepted && response.Voter {
+			accepted[peers[index].ID] = true
+		}
+	}
+	return func(id int) bool { return accepted[id] }
+}
+
+// nextHeartbeat returns the next heartbeat and its number.
+func (leadership *Leadership) nextHeartbeat(view *consensus.View) (uint64, *message.HeartbeatRequest) {
+	table := leadership.core.Table().Version
+	leadership.mutex.Lock()
+	defer leadership.mutex.Unlock()
+	leadership.heartbeatsSent++
+	request := &message.HeartbeatRequest{
+		Term:      leadership.term,
+		Leader:    view.Leader(leadership.term),
+		Lameduck:  leadership.lameduck,
+		Successor: leadership.successor,
+		Table:     table,
+	}
+	for register, value := range leadership.values {
+		request.Committed[register] = message.Version{Term: leadership.term, Serial: value.Serial}
+	}
+	return leadership.heartbeatsSent, request
+}
+
+// heartbeatTo sends a heartbeat to one core and uses what the response says.
+func (leadership *Leadership) heartbeatTo(peer message.Peer, request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
+	core, begin := leadership.core, time.Now()
+	response, err := rpc.Call[message.HeartbeatRequest, message.HeartbeatResponse](core.client, peer.Address, "beat", core.callTimeout(), core.withTime(peer, request))
+	if err != nil {
+		return nil, err
+	}
+	if peer.ID > 0 {
+		core.observeClock(peer, response, time.Since(begin))
+	}
+	leadership.replacements.observeResponse(peer, response)
+	leadership.mutex.Lock()
+	if peer.ID > 0 {
+		leadership.responses[peer.ID] = response
+	}
+	leadership.mutex.Unlock()
+	if response.Accepted && response.Voter && !response.RefusesWrites {
+		leadership.sendMissingValues(peer, response.Versions, request.Committed)
+	}
+	return response, nil
+}
+
+// sendMissingValues sends a core the values that it lacks.
+func (leadership *Leadership) sendMissingValues(peer message.Peer, held, committed message.Versions) {
+	core := leadership.core
+	values, chunks := leadership.snapshot()
+	for register := range committed {
+		if !held[register].Less(committed[register]) {
+			continue
+		}
+		core.counters.Add("copies_mended", 1)
+		request := &message.AcceptRequest{Term: leadership.term, Register: message.Register(register), Value: values[register]}
+		response, err := core.offerTo(peer, request, chunks, core.callTimeout())
+		if err != nil || !response.Accepted { // its next response to a heartbeat shows that it still lacks it
+			core.counters.Add("copies_not_mended", 1)
+		}
+	}
+}
+
+// onHeartbeat follows a leader whose term is not older than the one promised here.
+func (core *Core) onHeartbeat(request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
+	state := core.replica.State()
+	core.observeTermNumber(request.Term.Number)
+	if request.Term.Less(state.Promised) {
+		return &message.HeartbeatResponse{Voter: state.Initialized, Promised: state.Promised, Versions: state.Versions()}, nil
+	}
+	core.mutex.Lock()
+	isOtherLeader := core.election.follow(request)
+	core.election.timeout = core.nextElectionTimeout()
+	core.tables.wanted = request.Table
+	core.mutex.Unlock()
+	if request.NowMs > 0 {
+		core.clock.AddOneWay(request.NowMs)
+	}
+	if isOtherLeader {
+		klog.Infof("core %d: follows core %d under %s", core.membership().ID, request.Leader.Core, request.Term)
+		core.updates.Notify()
+	}
+	for register, version := range request.Committed {
+		if accepted := state.Accepted[register]; accepted.Version() == version {
+			core.commit(message.Register(register), accepted, state.Chunks)
+		}
+	}
+	response := &message.HeartbeatResponse{
+		Accepted:      true,
+		Voter:         state.Initialized,
+		RefusesWrites: !core.diskWritable(),
+		Promised:      state.Promised,
+		Versions:      state.Versions(),
+		Reachable:     core.reachableCores(),
+	}
+	response.AnchorMs, response.NowMs = core.clockTimes()
+	return response, nil
+}
--- /dev/null
+++ b/control/join.go
@@ -0,0 +1,161 @@
+package control
+
+import (
+	"maps"
+	"slices"
+	"sync"
+	"time"
+
+	"orchidjunction/concurrent"
+	"orchidjunction/consensus"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
+
+	"k8s.io/klog/v2"
+)
+
+const (
+	maxFounders  = 99
+	joinInterval = 150 * time.Millisecond
+)
+
+// Founding collects the cores that ask who votes at the system's first start, before any
+// does. It is safe for concurrent use.
+type Founding struct {
+	mutex       sync.Mutex
+	seen        map[string]bool
+	lastAddedAt time.Time
+}
+
+func newFounding(address string) *Founding {
+	return &Founding{seen: map[string]bool{address: true}, lastAddedAt: time.Now()}
+}
+
+func (founding *Founding) add(address string) {
+	founding.mutex.Lock()
+	defer founding.mutex.Unlock()
+	if !founding.seen[address] && len(founding.seen) < maxFounders {
+		founding.seen[address] = true
+		founding.lastAddedAt = time.Now()
+	}
+}
+
+// complete returns the addresses once all seeds and at least so many are there, and none
+// came for a while.
+func (founding *Founding) complete(seeds []string, atLeast int, quiet time.Duration) ([]string, bool) {
+	founding.mutex.Lock()
+	defer founding.mutex.Unlock()
+	if len(founding.seen) < atLeast || time.Since(founding.lastAddedAt) < quiet {
+		return nil, false
+	}
+	for _, seed := range seeds {
+		if !founding.seen[seed] {
+			return nil, false
+		}
+	}
+	return slices.Collect(maps.Keys(founding.seen)), true
+}
+
+// sinceBootstrap reports whether this disk has been there since the system's first start.
+// Only such a disk may become a voter without asking those that vote.
+func (core *Core) sinceBootstrap() bool {
+	return core.config.Bootstrap || core.replica.State().SinceBootstrap
+}
+
+// otherSeeds returns the seeds but this core.
+func (core *Core) otherSeeds() []string {
+	return slices.DeleteFunc(slices.Clone(core.config.Seeds), func(seed string) bool { return seed == core.config.InternalAddress })
+}
+
+// founds reports whether this core says who votes at the first start: the one of the
+// lowest address among the seeds does.
+func (core *Core) founds() bool {
+	return core.sinceBootstrap() && slices.MinFunc(core.config.Seeds, consensus.CompareAddresses) == core.config.InternalAddress
+}
+
+// discoverMembership asks the seeds who votes, as a core that knows no membership. The
+// founder makes the first one of all cores that asked.
+func (core *Core) discoverMembership() {
+	if core.config.Bootstrap && !core.replica.State().SinceBootstrap {
+		if core.replica.MarkSinceBootstrap() != nil {
+			core.goroutines.Sleep(joinInterval)
+			return
+		}
+	}
+	if known, found := core.askSeeds(); found {
+		core.adoptFirstMembership(known)
+		return
+	}
+	if core.founds() {
+		if addresses, isComplete := core.founding.complete(core.config.Seeds, core.config.MinFounders, core.config.FoundingQuiet); isComplete {
+			core.adoptFirstMembership(consensus.InitialMembership(addresses).Accepted())
+			return
+		}
+	}
+	core.goroutines.Sleep(joinInterval)
+}
+
+// askSeeds returns the membership that one of the seeds knows.
+func (core *Core) askSeeds() (message.AcceptedValue, bool) {
+	seeds := core.otherSeeds()
+	request := &message.JoinRequest{Address: core.config.InternalAddress, SinceBootstrap: core.sinceBootstrap()}
+	responses, _ := concurrent.Gather(core.goroutines, len(seeds), func(index int) (*message.JoinResponse, error) {
+		return rpc.Call[message.JoinRequest, message.JoinResponse](core.client, seeds[index], "enlist", core.callTimeout(), request)
+	}, func(responses map[int]*message.JoinResponse, _ map[int]error) bool {
+		_, found := anyMembership(responses)
+		return found
+	})
+	return anyMembership(responses)
+}
+
+func anyMembership(responses map[int]*message.JoinResponse) (message.AcceptedValue, bool) {
+	for _, response := range responses {
+		if response.Membership.Value.Serial > 0 {
+			return response.Membership, true
+		}
+	}
+	return message.AcceptedValue{}, false
+}
+
+// adoptFirstMembership takes the first membership that this core hears of. At the
+// system's first start it votes by it at once.
+func (core *Core) adoptFirstMembership(accepted message.AcceptedValue) {
+	membership, err := consensus.DecodeMembership(accepted)
+	if err != nil || membership == nil {
+		return
+	}
+	view := consensus.NewView(core.config.InternalAddress, membership)
+	votesAtOnce := view.MayVoteAtOnce(core.sinceBootstrap())
+	if votesAtOnce && core.replica.Join(accepted) != nil {
+		core.goroutines.Sleep(joinInterval)
+		return
+	}
+	core.learnMembership(accepted)
+	core.counters.Add("memberships_joined", 1)
+	klog.Infof("core %d at %s: %d cores vote, a voter at once: %v", view.ID, view.Address, len(membership.Voters), votesAtOnce)
+	if votesAtOnce {
+		core.startClaims(view.ID)
+		core.startFollowing()
+	}
+}
+
+// onJoin says who votes and who leads. A leader makes a core without a vote a learner.
+func (core *Core) onJoin(request *message.JoinRequest) (*message.JoinResponse, error) {
+	if !core.membership().Known() {
+		core.founding.add(request.Address)
+		return &message.JoinResponse{}, nil
+	}
+	response := &message.JoinResponse{}
+	if leadership, err := core.currentLeadership(); err == nil && !core.membership().HasAddress(request.Address) {
+		response.Admitted = leadership.admit(request.Address)
+		response.Term = leadership.term
+	}
+	response.Membership = core.members.NewerThan(request.Known)
+	isLeader := core.servesAsLeader()
+	core.mutex.Lock()
+	defer core.mutex.Unlock()
+	if isLeader || core.election.leaderAlive(core.config.SuspicionTimeout) {
+		response.Leader = core.election.leader
+	}
+	return response, nil
+}
--- a/control/lameduck.go
+++ b/control/lameduck.go
@@ -1,67 +1,87 @@
 package control
 
 import (
+	"time"
+
+	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"time"
 
 	"k8s.io/klog/v2"
 )
 
-// Retire is the planned change that SIGTERM brings: in-flight writes finish,
-// new ones are refused with the heir's name, and the heir is asked to take over.
-func (core *Core) Retire(limit time.Duration) {
-	until := time.Now().Add(limit)
+// Retire is the planned end of this core, at most as long as timeout. A leader enters
+// lameduck first: the write under way finishes, new ones are refused with the successor's
+// address, and the successor is asked to take over. Then the core waits until a learner
+// has its place, if there is one.
+func (core *Core) Retire(timeout time.Duration) {
+	deadline := time.Now().Add(timeout)
 	leadership, err := core.currentLeadership()
-	if err != nil || !core.role.transition(Lameduck) {
-		core.role.transition(Retired)
-		core.leaveMembership(until)
-		return
+	if err == nil && core.role.transition(Lameduck) {
+		core.counters.Add("lameducks", 1)
+		leadership.transferToAny(deadline)
+		core.endLeadership(leadership)
 	}
-	core.counters.Add("lameducks", 1)
-	passed := map[int]bool{}
-	for time.Now().Before(until) {
-		heir, found := leadership.bestSuccessor(passed)
+	core.role.transition(Retired)
+	core.leaveMembership(deadline)
+}
+
+// transferToAny hands the lead over to the best successor, or to the next best one if
+// that does not take over.
+func (leadership *Leadership) transferToAny(deadline time.Time) {
+	tried := map[int]bool{}
+	for time.Now().Before(deadline) {
+		successor, found := leadership.bestSuccessor(tried)
 		if !found {
-			break
+			return
 		}
-		passed[heir.ID] = true
-		if leadership.transferTo(heir, until) {
-			break
+		tried[successor.ID] = true
+		if leadership.transferTo(successor, deadline) {
+			return
 		}
 	}
-	core.endLeadership(leadership)
-	core.role.transition(Retired)
-	core.leaveMembership(until)
 }
 
-// transferTo names the heir, lets the write in flight end and steps down; true
-// once this core promised a newer ballot, which is the heir's revocation seen from here.
-func (leadership *Leadership) transferTo(heir Peer, until time.Time) bool {
+// transferTo announces a successor, waits for the write under way and asks the successor
+// to take over. It returns true once this core has seen a newer leader.
+func (leadership *Leadership) transferTo(successor message.Peer, deadline time.Time) bool {
 	core := leadership.core
 	leadership.mutex.Lock()
 	leadership.lameduck = true
-	leadership.successor = message.Leader{Core: heir.ID, Address: heir.Address}
+	leadership.successor = message.Leader{Core: successor.ID, Address: successor.Address}
 	leadership.mutex.Unlock()
 	leadership.heartbeat()
 	leadership.writeLock.Lock()
 	defer leadership.writeLock.Unlock()
-	klog.Infof("core %d: lameduck, hands over to core %d", core.membership().ID, heir.ID)
-	request := &message.TransferLeadershipRequest{Term: leadership.term, From: core.membership().ID, Versions: core.replica.State().Versions()}
-	for _, waiting := range leadership.replacements.waitingLearners(learnerTimeouts*core.config.SuspicionTimeout, core.membership()) {
-		request.Learners = append(request.Learners, waiting.Address)
-	}
-	response, err := rpc.Call[message.TransferLeadershipRequest, message.TransferLeadershipResponse](core.client, heir.Address, "stepdown", core.callTimeout(), request)
+	klog.Infof("core %d: lameduck, hands over to core %d", core.membership().ID, successor.ID)
+	request := leadership.transferRequest()
+	response, err := rpc.Call[message.TransferLeadershipRequest, message.TransferLeadershipResponse](core.client, successor.Address, "stepdown", core.callTimeout(), request)
 	if err != nil || !response.Accepted {
 		core.counters.Add("handovers_refused", 1)
 		return false
 	}
-	deadline := time.Now().Add(2 * core.config.SuspicionTimeout)
-	for time.Now().Before(deadline) && time.Now().Before(until) {
+	return leadership.awaitSuccessor(deadline)
+}
+
+func (leadership *Leadership) transferRequest() *message.TransferLeadershipRequest {
+	core := leadership.core
+	view := core.membership()
+	request := &message.TransferLeadershipRequest{Term: leadership.term, From: view.ID, Versions: core.replica.State().Versions()}
+	for _, learner := range leadership.waitingLearners(view) {
+		request.Learners = append(request.Learners, learner.Address)
+	}
+	return request
+}
+
+// awaitSuccessor waits until this core has seen a newer leader.
+func (leadership *Leadership) awaitSuccessor(deadline time.Time) bool {
+	core := leadership.core
+	patience := time.Now().Add(2 * core.config.SuspicionTimeout)
+	for time.Now().Before(patience) && time.Now().Before(deadline) {
 		core.mutex.Lock()
-		led := leadership.term.Less(core.leader.Term)
+		isReplaced := leadership.term.Less(core.election.leader.Term)
 		core.mutex.Unlock()
-		if led {
+		if isReplaced {
 			core.counters.Add("handovers", 1)
 			return true
 		}
@@ -72,3 +92,24 @@
 	core.counters.Add("handovers_late", 1)
 	return false
 }
+
+// bestSuccessor returns the best core to hand over to among those not tried yet.
+func (leadership *Leadership) bestSuccessor(tried map[int]bool) (message.Peer, bool) {
+	leadership.mutex.Lock()
+	defer leadership.mutex.Unlock()
+	var best message.Peer
+	var bestCandidate consensus.Candidate
+	found := false
+	view := leadership.core.membership()
+	for _, peer := range view.Peers {
+		response := leadership.responses[peer.ID]
+		if tried[peer.ID] || !view.MayLead(peer.ID) || response == nil || !response.Voter || !response.Accepted || response.RefusesWrites {
+			continue
+		}
+		candidate := consensus.Candidate{ID: peer.ID, Versions: response.Versions, Reachable: response.Reachable}
+		if !found || candidate.BetterThan(bestCandidate) {
+			best, bestCandidate, found = peer, candidate, true
+		}
+	}
+	return best, found
+}
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -2,8 +2,8 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
-	"sort"
 	"sync"
 	"time"
 
@@ -13,51 +13,62 @@
 	"orchidjunction/rpc"
 )
 
-// Leadership lives from one establishment to the next revocation.
+// Leadership is this core's lead under one term, from its establishment until it is
+// revoked. It is safe for concurrent use. Its mutex and the core's are never held at the
+// same time.
 type Leadership struct {
 	core       *Core
 	term       message.Term
 	revocation *Revocation
 	since      time.Time
-	rewritten  [message.Registers]uint64
-	promised   []int
+	inherited  [message.Registers]uint64 // serials
+	promisedBy []int
 
+	// writeLock is held over each write, so that one value follows the other.
 	writeLock *concurrent.Lock
+	// heartbeatDone is notified when a quorum has accepted a heartbeat, and at the end.
+	heartbeatDone *concurrent.Condition
+	replacements  *Replacements
 
+	// mutex guards what follows.
 	mutex               sync.Mutex
 	ended               bool
 	lameduck            bool
 	successor           message.Leader
-	lastQuorum          time.Time
 	values              [message.Registers]message.Value
 	content             *content
 	routing             *route.Book
 	responses           map[int]*message.HeartbeatResponse
-	heartbeatDone       *concurrent.Condition
+	lastQuorum          time.Time // when the last heartbeat began that a quorum accepted
 	heartbeatsSent      uint64
 	heartbeatsConfirmed uint64
-
-	replacements *Replacements
 }
 
-func newLeadership(core *Core, term message.Term, establishment *Establishment) *Leadership {
-	leadership := &Leadership{core: core, term: term, revocation: establishment.revocation, since: time.Now(), content: establishment.content, routing: establishment.routing,
-		responses: map[int]*message.HeartbeatResponse{}, heartbeatDone: concurrent.NewCondition(), writeLock: concurrent.NewLock(), replacements: newReplacements()}
-	for _, address := range establishment.learners {
+func newLeadership(establishment *Establishment, learners []string) *Leadership {
+	leadership := &Leadership{
+		core:          establishment.core,
+		term:          establishment.term,
+		revocation:    establishment.revocation,
+		since:         time.Now(),
+		promisedBy:    slices.Sorted(maps.Keys(establishment.promises)),
+		writeLock:     concurrent.NewLock(),
+		heartbeatDone: concurrent.NewCondition(),
+		replacements:  newReplacements(),
+		values:        establishment.values,
+		content:       establishment.content,
+		routing:       establishment.routing,
+		responses:     map[int]*message.HeartbeatResponse{},
+	}
+	for register, value := range establishment.values {
+		leadership.inherited[register] = value.Serial
+	}
+	for _, address := range learners {
 		leadership.replacements.addLearner(address)
 	}
-	for register := range establishment.newest {
-		leadership.values[register] = establishment.newest[register].Value
-		leadership.rewritten[register] = establishment.newest[register].Value.Serial
-	}
-	for id := range establishment.promises {
-		leadership.promised = append(leadership.promised, id)
-	}
-	sort.Ints(leadership.promised)
 	return leadership
 }
 
-// end is a revocation of this leadership; it never holds again.
+// end revokes this leadership; it never holds again.
 func (leadership *Leadership) end() {
 	leadership.mutex.Lock()
 	leadership.ended = true
@@ -65,63 +76,76 @@
 	leadership.heartbeatDone.Notify()
 }
 
+// value returns the newest value of a register.
 func (leadership *Leadership) value(register message.Register) message.Value {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	return leadership.values[register]
 }
 
-// check is nil while every condition stands, by the monotonic clock.
+// settings returns the content of the settings register.
+func (leadership *Leadership) settings() *content {
+	leadership.mutex.Lock()
+	defer leadership.mutex.Unlock()
+	return leadership.content
+}
+
+// snapshot returns the newest values of all registers and the chunks of the settings.
+func (leadership *Leadership) snapshot() ([message.Registers]message.Value, message.Chunks) {
+	leadership.mutex.Lock()
+	defer leadership.mutex.Unlock()
+	return leadership.values, leadership.content.chunks
+}
+
+// inLameduck reports whether this leadership is being handed over.
+func (leadership *Leadership) inLameduck() bool {
+	leadership.mutex.Lock()
+	defer leadership.mutex.Unlock()
+	return leadership.lameduck
+}
+
+// check returns nil while every condition of the leadership holds, by the monotonic
+// clock, and else NotLeader or Lameduck.
 func (leadership *Leadership) check() error {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	switch {
 	case leadership.ended:
-		return &rpc.Error{Code: rpc.NotLeader, Message: "leadership " + leadership.term.String() + " ended"}
+		return rpc.Errorf(rpc.NotLeader, "leadership %s ended", leadership.term)
 	case leadership.lameduck:
 		return &rpc.Error{Code: rpc.Lameduck, Message: "stepping down", Leader: leadership.successor.Address}
 	case time.Since(leadership.lastQuorum) > leadership.core.config.SuspicionTimeout:
-		return &rpc.Error{Code: rpc.NotLeader, Message: "no majority took a beat lately"}
+		return rpc.Errorf(rpc.NotLeader, "no majority took a heartbeat lately")
 	}
 	return nil
 }
 
+// conditions returns the conditions of the leadership for operators.
 func (leadership *Leadership) conditions() []message.Condition {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
-	since := time.Since(leadership.lastQuorum)
+	sinceQuorum := time.Since(leadership.lastQuorum)
+	settings, reports := leadership.inherited[message.SettingsRegister], leadership.inherited[message.ReportsRegister]
 	return []message.Condition{
 		{Name: RevokedCondition, Holds: leadership.revocation.Complete, Detail: string(leadership.revocation.Method) + ", ballot " + leadership.revocation.Revoked.String()},
-		{Name: PromisedCondition, Holds: !leadership.ended, Detail: fmt.Sprintf("ballot %s at cores %v", leadership.term, leadership.promised)},
-		{Name: RewrittenCondition, Holds: !leadership.ended, Detail: fmt.Sprintf("settings from serial %d, reports from %d", leadership.rewritten[message.SettingsRegister], leadership.rewritten[message.ReportsRegister])},
-		{Name: HeartbeatCondition, Holds: since <= leadership.core.config.SuspicionTimeout, Detail: since.Round(time.Millisecond).String() + " ago"},
+		{Name: PromisedCondition, Holds: !leadership.ended, Detail: fmt.Sprintf("ballot %s at cores %v", leadership.term, leadership.promisedBy)},
+		{Name: RewrittenCondition, Holds: !leadership.ended, Detail: fmt.Sprintf("settings from serial %d, reports from %d", settings, reports)},
+		{Name: HeartbeatCondition, Holds: sinceQuorum <= leadership.core.config.SuspicionTimeout, Detail: sinceQuorum.Round(time.Millisecond).String() + " ago"},
 	}
 }
 
-// settings is the content that the leadership's settings value stands for.
-func (leadership *Leadership) settings() *content {
-	leadership.mutex.Lock()
-	defer leadership.mutex.Unlock()
-	return leadership.content
+// proposal is a value that a write puts into a register. Accepted, if it is set, is
+// called with the leadership's mutex held once a quorum has accepted the value.
+type proposal struct {
+	value    message.Value
+	chunks   message.Chunks
+	accepted func()
 }
 
-// writeSettings writes the settings that build makes of the current ones.
-func (leadership *Leadership) writeSettings(build func(now *content) (*content, error)) (uint64, error) {
-	var next *content
-	return leadership.write(message.SettingsRegister, func(message.Value) (*message.Value, message.Chunks, error) {
-		made, err := build(leadership.settings())
-		if err != nil || made == nil {
-			return nil, nil, err
-		}
-		next = made
-		value := next.value()
-		return &value, next.chunks, nil
-	}, func() { leadership.content = next })
-}
-
-// write puts the next value in the register; build sees the current one. Once
-// sent, a write ends taken by a majority, or the leadership ends with it.
-func (leadership *Leadership) write(register message.Register, build func(current message.Value) (*message.Value, message.Chunks, error), taken func()) (uint64, error) {
+// write puts a value into a register and returns its serial. Build makes the value from
+// the current one; if it makes none, nothing is written and write returns 0. A value that
+// was sent is accepted by a quorum, or the leadership ends: its outcome is unknown then.
+func (leadership *Leadership) write(register message.Register, build func(current message.Value) (*proposal, error)) (uint64, error) {
 	if err := leadership.check(); err != nil {
 		return 0, err
 	}
@@ -131,170 +155,77 @@
 		return 0, err
 	}
 	current := leadership.value(register)
-	next, chunks, err := build(current)
+	next, err := build(current)
 	if err != nil || next == nil {
 		return 0, err
 	}
-	request := &message.AcceptRequest{Term: leadership.term, Register: register, Value: *next, Chunks: newChunks(*next, current, chunks)}
-	if err := leadership.core.replicate(leadership.core.membership(), request, chunks); err != nil {
-		leadership.core.counters.Add("write_unknown", 1)
-		leadership.core.endLeadership(leadership)
-		return 0, &rpc.Error{Code: rpc.OutcomeUnknown, Message: err.Error()}
-	}
-	leadership.mutex.Lock()
-	leadership.values[register] = *next
-	taken()
-	leadership.mutex.Unlock()
-	leadership.core.commit(register, message.AcceptedValue{Term: leadership.term, Value: *next}, chunks)
-	return next.Serial, nil
-}
-
-// inLameduck is whether this leadership is stepping down. Its mutex and the core's are
-// never held at once.
-func (leadership *Leadership) inLameduck() bool {
-	leadership.mutex.Lock()
-	defer leadership.mutex.Unlock()
-	return leadership.lameduck
-}
-
-// heartbeat tells every voter and learner once; true when a quorum took it.
-func (leadership *Leadership) heartbeat() bool {
-	core, begin := leadership.core, time.Now()
-	view := core.membership()
-	number, request := leadership.nextHeartbeat(view)
-	peers := append(slices.Clone(view.Peers), leadership.replacements.waitingLearners(learnerTimeouts*core.config.SuspicionTimeout, view)...)
-	got, _ := concurrent.Gather(core.goroutines, len(peers), func(index int) (*message.HeartbeatResponse, error) {
-		return leadership.heartbeatTo(peers[index], request)
-	}, func(got map[int]*message.HeartbeatResponse, _ map[int]error) bool {
-		return view.decides(acceptedHeartbeat(peers, got))
-	})
-	for _, answer := range got {
-		if leadership.term.Less(answer.Promised) {
-			core.observeTermNumber(answer.Promised.Number)
-			core.endLeadership(leadership)
-			return false
-		}
-	}
-	if !view.decides(acceptedHeartbeat(peers, got)) || core.replica.State().Promised != leadership.term {
-		return false
-	}
-	leadership.mutex.Lock()
-	if leadership.lastQuorum.Before(begin) {
-		leadership.lastQuorum = begin
+	if err := leadership.replicate(register, current, next); err != nil {
+		return 0, err
 	}
-	leadership.heartbeatsConfirmed = max(leadership.heartbeatsConfirmed, number)
-	leadership.mutex.Unlock()
-	leadership.heartbeatDone.Notify()
-	return true
+	core := leadership.core
+	core.commit(register, message.AcceptedValue{Term: leadership.term, Value: next.value}, next.chunks)
+	return next.value.Serial, nil
 }
 
-// acceptedHeartbeat is which voters took a heartbeat, of the answers by the peers' places.
-func acceptedHeartbeat(peers []Peer, got map[int]*message.HeartbeatResponse) func(id int) bool {
-	return func(id int) bool {
-		response := got[slices.IndexFunc(peers, func(peer Peer) bool { return peer.ID == id })]
-		return response != nil && response.Accepted && response.Voter
+// replicate has a quorum accept a value, with the write lock held.
+func (leadership *Leadership) replicate(register message.Register, current message.Value, next *proposal) error {
+	core := leadership.core
+	request := &message.AcceptRequest{Term: leadership.term, Register: register, Value: next.value, Chunks: newChunks(next.value, current, next.chunks)}
+	if err := core.replicate(core.membership(), request, next.chunks); err != nil {
+		core.counters.Add("write_unknown", 1)
+		core.endLeadership(leadership)
+		return rpc.Errorf(rpc.OutcomeUnknown, "%w", err)
 	}
-}
-
-// nextHeartbeat is the next heartbeat and its number.
-func (leadership *Leadership) nextHeartbeat(view *View) (uint64, *message.HeartbeatRequest) {
-	table := leadership.core.Table().Version
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
-	leadership.heartbeatsSent++
-	request := &message.HeartbeatRequest{Term: leadership.term, Leader: view.leader(leadership.term), Lameduck: leadership.lameduck, Successor: leadership.successor, Table: table}
-	for register := range leadership.values {
-		request.Committed[register] = message.Version{Term: leadership.term, Serial: leadership.values[register].Serial}
-	}
-	return leadership.heartbeatsSent, request
-}
-
-// heartbeatTo is one heartbeat to one core and what its answer tells.
-func (leadership *Leadership) heartbeatTo(peer Peer, request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
-	core, asked := leadership.core, time.Now()
-	response, err := rpc.Call[message.HeartbeatRequest, message.HeartbeatResponse](core.client, peer.Address, "beat", core.callTimeout(), core.withTime(peer, request))
-	if err != nil {
-		return nil, err
-	}
-	if peer.ID > 0 {
-		core.observeClock(peer, response, time.Since(asked))
+	leadership.values[register] = next.value
+	if next.accepted != nil {
+		next.accepted()
 	}
-	leadership.handleResponse(peer, response, request.Committed)
-	return response, nil
+	return nil
 }
 
-// handleResponse keeps what a core told and sends it the values it lacks.
-func (leadership *Leadership) handleResponse(peer Peer, response *message.HeartbeatResponse, committed message.Versions) {
-	leadership.replacements.observeResponse(peer, response)
-	leadership.mutex.Lock()
-	if peer.ID > 0 {
-		leadership.responses[peer.ID] = response
-	}
-	values, now := leadership.values, leadership.content
-	leadership.mutex.Unlock()
-	if !response.Accepted || !response.Voter || response.RefusesWrites {
-		return
-	}
-	for register := range committed {
-		if response.Versions[register].Less(committed[register]) {
-			leadership.core.counters.Add("copies_mended", 1)
-			value := &message.AcceptRequest{Term: leadership.term, Register: message.Register(register), Value: values[register]}
-			answer, err := leadership.core.offerTo(peer, value, now.chunks, leadership.core.callTimeout())
-			if err != nil || !answer.Accepted { // its next answer to a beat shows that it still lacks it
-				leadership.core.counters.Add("copies_not_mended", 1)
-			}
+// writeSettings writes the settings that build makes of the current ones.
+func (leadership *Leadership) writeSettings(build func(current *content) (*content, error)) (uint64, error) {
+	return leadership.write(message.SettingsRegister, func(message.Value) (*proposal, error) {
+		next, err := build(leadership.settings())
+		if err != nil || next == nil {
+			return nil, err
 		}
-	}
+		value := next.value()
+		return &proposal{value: value, chunks: next.chunks, accepted: func() { leadership.content = next }}, nil
+	})
 }
 
-// confirm waits until a beat begun after the call was taken by a majority.
-func (leadership *Leadership) confirm(limit time.Duration) error {
+// confirm waits until a quorum has accepted a heartbeat that began after the call, which
+// proves that no other core led until then. It returns NoLeader after the time-out.
+func (leadership *Leadership) confirm(timeout time.Duration) error {
 	leadership.mutex.Lock()
-	need := leadership.heartbeatsSent + 1
+	needed := leadership.heartbeatsSent + 1
 	leadership.mutex.Unlock()
-	until := time.Now().Add(limit)
+	deadline := time.Now().Add(timeout)
 	for {
 		seen := leadership.heartbeatDone.Count()
 		if err := leadership.check(); err != nil && rpc.CodeOf(err) != rpc.Lameduck {
 			return err
 		}
 		leadership.mutex.Lock()
-		done := leadership.heartbeatsConfirmed >= need
+		confirmed := leadership.heartbeatsConfirmed >= needed
 		leadership.mutex.Unlock()
-		if done {
+		if confirmed {
 			return nil
 		}
-		if !leadership.heartbeatDone.Wait(seen, time.Until(until)) {
-			return rpc.Errorf(rpc.NoLeader, "no beat confirmed in %v", limit)
+		if !leadership.heartbeatDone.Wait(seen, time.Until(deadline)) {
+			return rpc.Errorf(rpc.NoLeader, "no heartbeat confirmed in %v", timeout)
 		}
 	}
 }
 
-// bestSuccessor is the best core to step down to: newest register, then reach, then id.
-func (leadership *Leadership) bestSuccessor(passed map[int]bool) (Peer, bool) {
-	leadership.mutex.Lock()
-	defer leadership.mutex.Unlock()
-	best, found := Peer{}, false
-	view := leadership.core.membership()
-	for _, peer := range view.Peers {
-		response := leadership.responses[peer.ID]
-		if response == nil || !view.mayLead(peer.ID) || !response.Voter || !response.Accepted || response.RefusesWrites || passed[peer.ID] {
-			continue
-		}
-		if !found || betterCandidate(response.Versions, response.Reachable, peer.ID, leadership.responses[best.ID].Versions, leadership.responses[best.ID].Reachable, best.ID) {
-			best, found = peer, true
-		}
-	}
-	return best, found
-}
-
-// betterCandidate is the rule for candidates.
-func betterCandidate(versions message.Versions, reach, id int, otherMarks message.Versions, otherReach, otherID int) bool {
-	if versions != otherMarks {
-		return otherMarks.Less(versions)
-	}
-	if reach != otherReach {
-		return reach > otherReach
+// confirmDecision returns what a caller is told of a decision that needed no write: the
+// decision, once the leadership is confirmed after it, and else why it is not.
+func (leadership *Leadership) confirmDecision(decision error) error {
+	if err := leadership.confirm(leadership.core.callTimeout()); err != nil {
+		return err
 	}
-	return id > otherID
+	return decision
 }
--- a/control/model_actions_test.go
+++ b/control/model_actions_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"orchidjunction/consensus"
 	"orchidjunction/message"
 )
 
@@ -83,19 +84,19 @@
 		world.leaderActions(machine, view, add)
 		return
 	}
-	if view.votes() && !blank && spent.surveys < bounds.surveys {
+	if view.Votes() && !blank && spent.surveys < bounds.surveys {
 		add(modelAction{kind: modelSurveyed, machine: machine.index})
 	}
 	if !process.idle() {
 		return
 	}
-	if view.votes() && !blank && world.rules.mayLead(view, view.ID) && spent.candidates < bounds.candidates {
+	if view.Votes() && !blank && world.rules.mayLead(view, view.ID) && spent.candidates < bounds.candidates {
 		add(modelAction{kind: modelStand, machine: machine.index})
 	}
-	if view.votes() && blank && spent.candidates < bounds.candidates {
+	if view.Votes() && blank && spent.candidates < bounds.candidates {
 		add(modelAction{kind: modelRestore, machine: machine.index})
 	}
-	if !view.votes() && process.enlisting == 0 && spent.enlists < bounds.enlists {
+	if !view.Votes() && process.enlisting == 0 && spent.enlists < bounds.enlists {
 		for _, other := range world.machines {
 			if other.index != machine.index && other.process != nil {
 				add(modelAction{kind: modelEnlist, machine: machine.index, other: other.index})
@@ -129,7 +130,7 @@
 	return true
 }
 
-func (world *modelWorld) leaderActions(machine *modelMachine, view *View, add func(modelAction)) {
+func (world *modelWorld) leaderActions(machine *modelMachine, view *consensus.View, add func(modelAction)) {
 	process, bounds, spent := machine.process, world.bounds, &world.spent
 	if spent.mends < bounds.mends {
 		for _, other := range world.machines {
@@ -148,7 +149,7 @@
 			add(modelAction{kind: modelOrder, machine: machine.index, register: register})
 		}
 	}
-	if view.changing() {
+	if view.Changing() {
 		add(modelAction{kind: modelSettles, machine: machine.index})
 		return
 	}
@@ -156,7 +157,7 @@
 		return
 	}
 	for _, other := range world.machines {
-		if other.process == nil || view.has(other.address) {
+		if other.process == nil || view.HasAddress(other.address) {
 			continue
 		}
 		for _, leaving := range view.Voters {
@@ -199,7 +200,7 @@
 		machine := world.own(action.machine)
 		machine.start()
 		if voter := machine.process.core.replica; world.rules.blankDiskVotes && voter.Blank() {
-			modelMust(voter.Join(newModelFirst(world.bounds).accepted()))
+			modelMust(voter.Join(newModelFirst(world.bounds).Accepted()))
 		}
 	case modelStand:
 		spent.candidates++
@@ -250,10 +251,10 @@
 func (world *modelWorld) losesPower(packet *modelPacket, much int) {
 	machine := world.own(packet.to)
 	before := len(world.flight)
-	machine.disk.failing = true
+	machine.disk.Failing = true
 	world.deliver(packet)
 	machine.process = nil
-	machine.disk.losePower([]int{0, 7, 1 << 20}[much])
+	machine.disk.LosePower([]int{0, 7, 1 << 20}[much])
 	if !world.rules.syncs {
 		return
 	}
@@ -263,12 +264,12 @@
 	}
 }
 
-func newModelFirst(bounds *modelBounds) *Membership {
+func newModelFirst(bounds *modelBounds) *consensus.Membership {
 	addresses := []string{}
 	for index := range bounds.founders {
 		addresses = append(addresses, fmt.Sprintf("10.0.0.%d:7000", index+1))
 	}
-	return firstMembership(addresses)
+	return consensus.InitialMembership(addresses)
 }
 
 // tell is an action in words, for the trace of a violation.
--- a/control/model_digest_test.go
+++ b/control/model_digest_test.go
@@ -4,7 +4,10 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"maps"
+	"orchidjunction/consensus"
+	"orchidjunction/harness/testdisk"
 	"orchidjunction/message"
+	"orchidjunction/replica"
 	"orchidjunction/rpc"
 	"slices"
 	"sort"
@@ -55,7 +58,7 @@
 	}
 }
 
-func (digest *modelDigest) membership(membership *Membership) {
+func (digest *modelDigest) membership(membership *consensus.Membership) {
 	digest.mark(membership.Version)
 	digest.numbers(membership.LastID, len(membership.Voters), len(membership.Next))
 	for _, peer := range append(slices.Clip(membership.Voters), membership.Next...) {
@@ -63,7 +66,7 @@
 	}
 }
 
-func (digest *modelDigest) state(state *State) {
+func (digest *modelDigest) state(state *consensus.State) {
 	digest.flag(state.SinceBootstrap, state.Initialized)
 	digest.ballot(state.Promised)
 	digest.accepted(state.Accepted)
@@ -132,19 +135,19 @@
 }
 
 // modelLasting is what a stopped machine's disk holds, read by the real store.
-func modelLasting(disk *modelDisk) *State {
-	store, err := OpenStore(disk.clone())
+func modelLasting(disk *testdisk.Disk) *consensus.State {
+	store, err := replica.OpenStore(disk.Clone())
 	if err != nil {
 		panic(err)
 	}
-	return &store.state
+	return store.State()
 }
 
 func (digest *modelDigest) process(process *modelProcess) {
 	digest.state(process.core.replica.State())
 	digest.membership(process.core.membership().Membership)
-	digest.numbers(process.life, process.calls, process.enlisting, int(process.core.highestTerm))
-	digest.ballot(process.core.leader.Term)
+	digest.numbers(process.life, process.calls, process.enlisting, int(process.core.election.highestTerm))
+	digest.ballot(process.core.election.leader.Term)
 	digest.accepted(process.core.committed)
 	if survey := process.survey; survey != nil {
 		digest.numbers(1, survey.call)
--- a/control/model_ledger_test.go
+++ b/control/model_ledger_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"slices"
 	"strings"
@@ -36,7 +37,7 @@
 	ballot    message.Term
 	register  message.Register
 	value     message.Value
-	versions  []*View
+	versions  []*consensus.View
 	acceptors modelIDs
 	decided   bool
 }
@@ -52,8 +53,8 @@
 	under [message.Registers]message.Term
 	// acknowledged is what a leader counted as decided.
 	acknowledged [message.Registers]string
-	version      *Membership
-	versions     []*Membership
+	version      *consensus.Membership
+	versions     []*consensus.Membership
 	given        map[int]string
 	leaders      map[message.Term]int
 	broken       *modelViolation
@@ -62,8 +63,8 @@
 	outcomesOnly bool
 }
 
-func newModelLedger(first *Membership) *modelLedger {
-	ledger := &modelLedger{version: first, versions: []*Membership{first}, given: map[int]string{}, leaders: map[message.Term]int{}}
+func newModelLedger(first *consensus.Membership) *modelLedger {
+	ledger := &modelLedger{version: first, versions: []*consensus.Membership{first}, given: map[int]string{}, leaders: map[message.Term]int{}}
 	for _, peer := range first.Voters {
 		ledger.given[peer.ID] = peer.Address
 	}
@@ -92,7 +93,7 @@
 }
 
 // proposed notes that a leader sends a value and counts its acceptors by a membership.
-func (ledger *modelLedger) proposed(term message.Term, register message.Register, value message.Value, view *View) {
+func (ledger *modelLedger) proposed(term message.Term, register message.Register, value message.Value, view *consensus.View) {
 	proposal := ledger.find(term, register, value.Serial)
 	if proposal == nil {
 		ledger.proposals = append(ledger.proposals, modelProposal{ballot: term, register: register, value: value})
@@ -126,8 +127,8 @@
 }
 
 // modelMajorities is the observer's own count: a majority of each group, by machine.
-func modelMajorities(membership *Membership, machines modelIDs) bool {
-	groups := [][]Peer{membership.Voters}
+func modelMajorities(membership *consensus.Membership, machines modelIDs) bool {
+	groups := [][]message.Peer{membership.Voters}
 	if len(membership.Next) > 0 {
 		groups = append(groups, membership.Next)
 	}
@@ -166,7 +167,7 @@
 
 // decidedData checks a decision. One that comes late, since an old message reached one
 // more acceptor, is no harm where its value is among those that were decided.
-func (ledger *modelLedger) decidedData(proposal *modelProposal, view *View) {
+func (ledger *modelLedger) decidedData(proposal *modelProposal, view *consensus.View) {
 	body, history := string(proposal.value.Body), ledger.history[proposal.register]
 	switch {
 	case len(body) > len(history) && view.Version.Serial < ledger.version.Version.Serial:
@@ -187,7 +188,7 @@
 }
 
 func (ledger *modelLedger) decidedMembers(proposal *modelProposal) {
-	next, err := membershipOf(message.AcceptedValue{Term: proposal.ballot, Value: proposal.value})
+	next, err := consensus.DecodeMembership(message.AcceptedValue{Term: proposal.ballot, Value: proposal.value})
 	if err != nil || next == nil {
 		ledger.violated(oneVoterPerStep, "no membership is decided: %v", err)
 		return
@@ -204,7 +205,7 @@
 	}
 	ledger.version = next
 	ledger.versions = append(slices.Clip(ledger.versions), next)
-	for _, peer := range next.all() {
+	for _, peer := range next.All() {
 		if address, found := ledger.given[peer.ID]; found && address != peer.Address {
 			ledger.violated(idsAreUsedOnce, "ID %d was %s's and is now %s's", peer.ID, address, peer.Address)
 		}
@@ -212,13 +213,13 @@
 	}
 }
 
-func sameVoters(left, right *Membership) bool {
+func sameVoters(left, right *consensus.Membership) bool {
 	return slices.Equal(left.Voters, right.Voters) && slices.Equal(left.Next, right.Next) && left.LastID == right.LastID
 }
 
 // modelIsStep is whether a membership follows another one by the book: a joint step
 // that changes one voter, or the end of such a step.
-func modelIsStep(now, next *Membership) bool {
+func modelIsStep(now, next *consensus.Membership) bool {
 	if len(now.Next) > 0 {
 		return len(next.Next) == 0 && slices.Equal(now.Next, next.Voters)
 	}
@@ -255,7 +256,7 @@
 		ledger.violated(oneLeaderPerBallot, "machines %d and %d lead under %s", other, machine, push.ballot)
 	}
 	ledger.leaders[push.ballot] = machine
-	if !slices.ContainsFunc(push.view.Voters, func(peer Peer) bool { return modelIndex(peer.Address) == machine }) {
+	if !slices.ContainsFunc(push.view.Voters, func(peer message.Peer) bool { return modelIndex(peer.Address) == machine }) {
 		ledger.violated(onlyVotersLead, "machine %d leads under %s by membership %v", machine, push.ballot, push.view.Membership)
 	}
 }
--- a/control/model_machine_test.go
+++ b/control/model_machine_test.go
@@ -7,15 +7,18 @@
 
 	"orchidjunction/clock"
 	"orchidjunction/concurrent"
+	"orchidjunction/consensus"
+	"orchidjunction/harness/testdisk"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
+	"orchidjunction/replica"
 )
 
 // modelMachine is one machine of the model: its disk, and the process on it while one runs.
 type modelMachine struct {
 	index   int
 	address string
-	disk    *modelDisk
+	disk    *testdisk.Disk
 	process *modelProcess
 	lives   int
 	// voted are the decided IDs under which this disk answered somebody who counted it,
@@ -50,14 +53,14 @@
 // modelSurvey is a blank voter's question to all others, before it fences them.
 type modelSurvey struct {
 	call int
-	view *View
+	view *consensus.View
 	told map[int]*message.ReplicaStateResponse
 }
 
 // modelCandidacy is a ballot that is being pushed.
 type modelCandidacy struct {
 	call     int
-	view     *View
+	view     *consensus.View
 	ballot   message.Term
 	promises map[int]*message.PrepareResponse
 	restores bool
@@ -78,7 +81,7 @@
 type modelPush struct {
 	call    int
 	purpose modelPurpose
-	view    *View
+	view    *consensus.View
 	ballot  message.Term
 	values  map[message.Register]message.Value
 	took    map[message.Register]modelIDs
@@ -89,21 +92,21 @@
 // modelAdmission is a learner's question that waits for a confirmed heartbeat.
 type modelAdmission struct {
 	call    int
-	view    *View
+	view    *consensus.View
 	asked   *modelPacket
 	took    modelIDs
 	history string
 }
 
 func newModelMachine(index int, lying bool) *modelMachine {
-	machine := &modelMachine{index: index, address: fmt.Sprintf("10.0.0.%d:7000", index+1), disk: newModelDisk()}
-	machine.disk.lying = lying
+	machine := &modelMachine{index: index, address: fmt.Sprintf("10.0.0.%d:7000", index+1), disk: testdisk.New()}
+	machine.disk.Lying = lying
 	return machine
 }
 
 func (machine *modelMachine) clone() *modelMachine {
 	next := *machine
-	next.disk = machine.disk.clone()
+	next.disk = machine.disk.Clone()
 	if machine.process != nil {
 		next.process = machine.process.clone(machine.address, next.disk)
 	}
@@ -113,23 +116,27 @@
 // modelSegmentLimit makes the store write snapshots often.
 const modelSegmentLimit = 1500
 
-func newModelCore(address string, store *Store) *Core {
-	store.journal.LimitSegments(modelSegmentLimit)
-	core := &Core{counters: metrics.NewCounters(), updates: concurrent.NewCondition(), wakeElection: concurrent.NewCondition(), random: newRandomSource(1), peerClocks: newPeerClocks(), table: &message.Table{}}
+func newModelCore(address string, store *replica.Store) *Core {
+	store.LimitSegments(modelSegmentLimit)
+	core := &Core{counters: metrics.NewCounters(), updates: concurrent.NewCondition(), wakeElection: concurrent.NewCondition(), random: newRandomSource(1), peerClocks: newPeerClocks(), tables: newTableState()}
 	core.config = Config{InternalAddress: address, HeartbeatInterval: 10 * time.Millisecond, SuspicionTimeout: 30 * time.Millisecond}.withDefaults()
 	core.clock = clock.NewClock(func() int64 { return 0 })
 	core.sessions = newSessions(core.config.SessionTTL)
-	core.replica = NewReplica(store, func(error) {}, core.promiseRaised)
-	core.replica.onMembership = core.learnMembership
-	core.role = &RoleState{current: Following, counters: core.counters}
-	core.view.Store(core.config.view(core.replica.State().Membership()))
-	core.highestTerm = core.replica.State().Promised.Number
+	core.openReplica(store)
+	core.role = newRoleState(Following, 0, core.counters)
+	core.members = consensus.NewTracker(core.config.view(core.replica.State().Membership()), core.membershipChanged)
+	core.election.highestTerm = core.replica.State().Promised.Number
 	return core
 }
 
+// openReplica makes the replica of a store the core's own.
+func (core *Core) openReplica(store *replica.Store) {
+	core.replica = replica.New(store, replica.Callbacks{DiskFailed: func(error) {}, PromiseRaised: core.promiseRaised, MembershipAccepted: core.learnMembership})
+}
+
 // start runs a process on the disk as it is.
 func (machine *modelMachine) start() {
-	store, err := OpenStore(machine.disk)
+	store, err := replica.OpenStore(machine.disk)
 	if err != nil {
 		panic(err)
 	}
@@ -145,19 +152,19 @@
 
 // wipe replaces the disk by an empty one.
 func (machine *modelMachine) wipe() {
-	lying := machine.disk.lying
-	machine.process, machine.disk = nil, newModelDisk()
-	machine.disk.lying = lying
+	lying := machine.disk.Lying
+	machine.process, machine.disk = nil, testdisk.New()
+	machine.disk.Lying = lying
 	machine.forgotten, machine.voted = machine.forgotten.and(machine.voted), 0
 }
 
-func (process *modelProcess) clone(address string, disk *modelDisk) *modelProcess {
+func (process *modelProcess) clone(address string, disk *testdisk.Disk) *modelProcess {
 	next := *process
-	former := process.core.replica.store
-	segment := &modelFile{disk: disk, inode: former.journal.LastSegment().(*modelFile).inode}
-	next.core = newModelCore(address, &Store{disk: disk, state: former.state, journal: former.journal.CloneFor(disk, segment)})
-	next.core.view.Store(process.core.view.Load())
-	next.core.highestTerm, next.core.leader, next.core.committed = process.core.highestTerm, process.core.leader, process.core.committed
+	former := process.core.replica.Store()
+	next.core = newModelCore(address, former.CloneFor(disk, disk.FileOf(former.LastSegment())))
+	next.core.members = consensus.NewTracker(process.core.membership(), next.core.membershipChanged)
+	next.core.election.highestTerm, next.core.election.leader = process.core.election.highestTerm, process.core.election.leader
+	next.core.committed = process.core.committed
 	if process.survey != nil {
 		survey := *process.survey
 		survey.told = maps.Clone(survey.told)
--- a/control/model_mutants_test.go
+++ b/control/model_mutants_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"slices"
 	"testing"
@@ -24,11 +25,11 @@
 }
 
 // modelTooFew counts with one voter less than a majority of each group.
-func modelTooFew(view *View, has func(id int) bool) bool {
-	if !view.votes() {
+func modelTooFew(view *consensus.View, has func(id int) bool) bool {
+	if !view.Votes() {
 		return false
 	}
-	for _, group := range view.groups() {
+	for _, group := range view.Groups() {
 		if message.CountIn(group, func(id int) bool { return id == view.ID || has(id) }) < message.Majority(group)-1 {
 			return false
 		}
@@ -37,13 +38,13 @@
 }
 
 // modelFirstGroup counts a majority of the former voters only, also during a step.
-func modelFirstGroup(view *View, has func(id int) bool) bool {
-	return view.votes() && message.CountIn(view.Voters, has) >= message.Majority(view.Voters)
+func modelFirstGroup(view *consensus.View, has func(id int) bool) bool {
+	return view.Votes() && message.CountIn(view.Voters, has) >= message.Majority(view.Voters)
 }
 
 // modelOldest takes over the oldest values in place of the newest.
-func modelOldest(view *View, promises map[int]*message.PrepareResponse) (oldest [message.Registers]message.AcceptedValue, from [message.Registers]int) {
-	oldest, from = inheritedValues(view, promises)
+func modelOldest(view *consensus.View, promises map[int]*message.PrepareResponse) (oldest [message.Registers]message.AcceptedValue, from [message.Registers]int) {
+	oldest, from = consensus.InheritedValues(view, promises)
 	for id, promise := range promises {
 		for register := range message.MembersRegister {
 			if promise.Accepted[register].Version().Less(oldest[register].Version()) {
@@ -75,14 +76,14 @@
 	{name: "a step counts the former voters only", form: modelThree, breaks: []string{oneVoterPerStep, acknowledgedIsKept, quorumsMeet},
 		mutate: func(rules *modelRules) {
 			rules.pushed = modelFirstGroup
-			rules.decides = func(view *View, has func(id int) bool) bool {
+			rules.decides = func(view *consensus.View, has func(id int) bool) bool {
 				return modelFirstGroup(view, func(id int) bool { return id == view.ID || has(id) })
 			}
 		}},
 	{name: "nobody refuses an older membership", form: modelThree, breaks: []string{acknowledgedIsKept, oneVoterPerStep, quorumsMeet},
 		mutate: func(rules *modelRules) {
-			rules.askedMembers = func(view *View) message.AcceptedValue {
-				asked := view.accepted()
+			rules.askedMembers = func(view *consensus.View) message.AcceptedValue {
+				asked := view.Accepted()
 				asked.Term.Number = math.MaxUint32
 				return asked
 			}
@@ -91,18 +92,18 @@
 		mutate: func(rules *modelRules) { rules.beginsByStep = false }},
 	{name: "two voters change in a step", form: modelFour, breaks: []string{oneVoterPerStep},
 		mutate: func(rules *modelRules) {
-			rules.replaced = func(view *View, leaving int, address string) *Membership {
-				step := view.withReplacement(leaving, address)
-				other := slices.IndexFunc(step.Next, func(peer Peer) bool { return peer.ID != view.ID && peer.Address != address })
+			rules.replaced = func(view *consensus.View, leaving int, address string) *consensus.Membership {
+				step := view.WithReplacement(leaving, address)
+				other := slices.IndexFunc(step.Next, func(peer message.Peer) bool { return peer.ID != view.ID && peer.Address != address })
 				step.LastID++
-				step.Next[other] = Peer{ID: step.LastID, Address: step.Next[other].Address}
+				step.Next[other] = message.Peer{ID: step.LastID, Address: step.Next[other].Address}
 				return step
 			}
 		}},
 	{name: "a newcomer gets the ID of the one that left", form: modelThree, breaks: []string{idsAreUsedOnce},
 		mutate: func(rules *modelRules) {
-			rules.replaced = func(view *View, leaving int, address string) *Membership {
-				step := view.withReplacement(leaving, address)
+			rules.replaced = func(view *consensus.View, leaving int, address string) *consensus.Membership {
+				step := view.WithReplacement(leaving, address)
 				step.LastID = view.LastID
 				step.Next[len(step.Next)-1].ID = leaving
 				return step
@@ -110,14 +111,14 @@
 		}},
 	{name: "ballots without the core's ID", form: modelThree, breaks: []string{oneLeaderPerBallot, oneValuePerSerial, acknowledgedIsKept},
 		mutate: func(rules *modelRules) {
-			rules.nextBallot = func(core *Core, view *View) message.Term {
+			rules.nextBallot = func(core *Core, view *consensus.View) message.Term {
 				term, _ := core.nextTerm(view)
 				term.Core = 1
 				return term
 			}
 		}},
 	{name: "a joining core stands", form: modelThree, breaks: []string{onlyVotersLead}, detailed: true,
-		mutate: func(rules *modelRules) { rules.mayLead = func(view *View, id int) bool { return id > 0 } }},
+		mutate: func(rules *modelRules) { rules.mayLead = func(view *consensus.View, id int) bool { return id > 0 } }},
 	{name: "a ballot takes over the oldest values", form: modelThree, breaks: []string{acknowledgedIsKept},
 		mutate: func(rules *modelRules) { rules.takenOver = modelOldest }},
 	{name: "a blank disk votes", form: modelThree, breaks: []string{acknowledgedIsKept},
@@ -127,21 +128,21 @@
 	{name: "a blank voter fences one other voter less", form: modelWiped, breaks: []string{acknowledgedIsKept},
 		mutate: func(rules *modelRules) {
 			rules.fencesWithout = modelFenceTooFew
-			rules.mayRestore = func(core *Core, view *View, response map[int]*message.ReplicaStateResponse) bool {
-				return view.mayLead(view.ID) && modelFenceTooFew(view, view.ID, agreed(response, func(answer *message.ReplicaStateResponse) bool { return answer.Initialized }))
+			rules.mayRestore = func(core *Core, view *consensus.View, response map[int]*message.ReplicaStateResponse) bool {
+				return view.MayLead(view.ID) && modelFenceTooFew(view, view.ID, consensus.Agreed(response, func(answer *message.ReplicaStateResponse) bool { return answer.Initialized }))
 			}
 		}},
 	{name: "a restored voter has promised nothing", near: 4770, form: modelWiped, breaks: []string{acknowledgedIsKept, oneValuePerSerial, servedIsDecided},
 		mutate: func(rules *modelRules) {
-			rules.found = func(voter *Replica, _ message.Term, _ [message.Registers]message.AcceptedValue) error {
-				return voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil)
+			rules.found = func(core *Core, _ message.Term, _ [message.Registers]message.AcceptedValue) error {
+				return core.replica.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil)
 			}
 		}},
 	{name: "a restored voter keeps copies as votes of former ballots", near: 800, form: modelWiped, breaks: []string{acknowledgedIsKept, servedIsDecided},
 		mutate: func(rules *modelRules) { rules.found = modelFoundAsVotes }},
 	{name: "a voter is admitted as a learner", near: 1800, form: modelWiped, breaks: []string{acknowledgedIsKept, servedIsDecided},
 		mutate: func(rules *modelRules) {
-			rules.admits = func(*View, string) bool { return true }
+			rules.admits = func(*consensus.View, string) bool { return true }
 			rules.mayBeginEmpty = func(core *Core, response *message.JoinResponse) bool {
 				return response.Admitted && core.replica.Blank()
 			}
@@ -156,24 +157,31 @@
 			}
 		}},
 	{name: "a leader counts by what it heard", near: 650, form: modelStray, breaks: []string{oneVoterPerStep, servedIsDecided, acknowledgedIsKept, quorumsMeet},
-		mutate: func(rules *modelRules) { rules.leadsBy = func(*Core, *View, message.Term) error { return nil } }},
+		mutate: func(rules *modelRules) {
+			rules.leadsBy = func(*Core, *consensus.View, message.Term) error { return nil }
+		}},
 	{name: "a step ends without catching up or rewriting", near: 220, form: modelThree, breaks: []string{acknowledgedIsKept},
 		mutate: func(rules *modelRules) { rules.catchesUp, rules.rewrites = false, false }},
 }
 
-func modelFenceTooFew(view *View, lost int, has func(id int) bool) bool {
+func modelFenceTooFew(view *consensus.View, lost int, has func(id int) bool) bool {
 	return message.CountIn(view.Voters, func(id int) bool { return id != lost && has(id) }) >= len(view.Voters)-message.Majority(view.Voters)
 }
 
 // modelFoundAsVotes takes over copies as if this replica had accepted them.
-func modelFoundAsVotes(voter *Replica, term message.Term, accepted [message.Registers]message.AcceptedValue) error {
-	step := Record{Initialized: true, Promised: &term}
+func modelFoundAsVotes(core *Core, term message.Term, accepted [message.Registers]message.AcceptedValue) error {
+	step := consensus.Record{Initialized: true, Promised: &term}
 	for register := range accepted {
 		if accepted[register].Value.Serial > 0 {
-			step.Then = append(step.Then, Record{Register: message.Register(register), Accepted: &accepted[register]})
+			step.Then = append(step.Then, consensus.Record{Register: message.Register(register), Accepted: &accepted[register]})
 		}
 	}
-	return voter.append(step)
+	store := core.replica.Store()
+	if err := store.Append(step); err != nil {
+		return err
+	}
+	core.openReplica(store)
+	return nil
 }
 
 // modelBeginEmpty begins without a look at the membership.
--- a/control/model_steps_test.go
+++ b/control/model_steps_test.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"strings"
 )
@@ -42,7 +43,7 @@
 	process := machine.process
 	process.enlisting = process.nextCall()
 	request := &message.JoinRequest{Address: machine.address, SinceBootstrap: process.core.sinceBootstrap(), Known: process.core.membership().Version}
-	world.ask(machine, process.enlisting, Peer{Address: world.machines[at].address}, request)
+	world.ask(machine, process.enlisting, message.Peer{Address: world.machines[at].address}, request)
 }
 
 // order has the leader write an operator's order.
@@ -69,7 +70,7 @@
 func (world *modelWorld) steps(machine *modelMachine, former *modelPush) {
 	next := world.rules.replaced(machine.process.core.membership(), former.leaving, former.learner)
 	if !world.rules.beginsByStep {
-		joint := &View{Membership: next}
+		joint := &consensus.View{Membership: next}
 		next = world.rules.settled(joint)
 		next.Version.Serial = joint.Version.Serial
 	}
@@ -85,14 +86,14 @@
 	world.pushes(machine, &modelPush{purpose: modelRewrite, view: machine.process.core.membership(), values: world.held(machine)})
 }
 
-func (world *modelWorld) writesMembers(machine *modelMachine, purpose modelPurpose, next *Membership) {
+func (world *modelWorld) writesMembers(machine *modelMachine, purpose modelPurpose, next *consensus.Membership) {
 	process := machine.process
 	view, err := world.rules.countsBy(process.core, next, process.leadership.term)
 	if err != nil {
 		process.revoke()
 		return
 	}
-	values := map[message.Register]message.Value{message.MembersRegister: view.accepted().Value}
+	values := map[message.Register]message.Value{message.MembersRegister: view.Accepted().Value}
 	world.pushes(machine, &modelPush{purpose: purpose, view: view, values: values})
 }
 
@@ -100,7 +101,7 @@
 func (world *modelWorld) mends(machine *modelMachine, to int, register message.Register) {
 	leadership := machine.process.leadership
 	request := &message.AcceptRequest{Term: leadership.term, Register: register, Value: leadership.value(register)}
-	world.ask(machine, 0, Peer{Address: world.machines[to].address}, request)
+	world.ask(machine, 0, message.Peer{Address: world.machines[to].address}, request)
 }
 
 // held are the values that a leadership holds.
@@ -121,9 +122,9 @@
 		push.ballot = process.leadership.term
 	}
 	process.push = push
-	targets := []Peer{{Address: push.learner}}
+	targets := []message.Peer{{Address: push.learner}}
 	if push.purpose != modelCatchUp {
-		targets = append([]Peer{{ID: push.view.ID, Address: machine.address}}, push.view.Peers...)
+		targets = append([]message.Peer{{ID: push.view.ID, Address: machine.address}}, push.view.Peers...)
 	}
 	for register := range message.Registers {
 		value, found := push.values[register]
@@ -143,13 +144,13 @@
 func (world *modelWorld) fenced(machine *modelMachine) {
 	process := machine.process
 	candidacy := process.candidacy
-	has := agreed(candidacy.promises, granted)
+	has := consensus.Agreed(candidacy.promises, consensus.Granted)
 	if candidacy.restores {
 		if !world.rules.fencesWithout(candidacy.view, candidacy.view.ID, has) {
 			return
 		}
 		accepted, _ := world.rules.takenOver(candidacy.view, candidacy.promises)
-		if world.rules.found(process.core.replica, candidacy.ballot, accepted) != nil {
+		if world.rules.found(process.core, candidacy.ballot, accepted) != nil {
 			process.revoke()
 			return
 		}
@@ -206,7 +207,7 @@
 				core.learnMembership(answer.Membership)
 			}
 		}
-		if accepted.Value.Serial > 0 && core.membership().same(view) && view.decides(agreed(response, same)) {
+		if accepted.Value.Serial > 0 && core.membership().SameVoters(view) && view.Decides(consensus.Agreed(response, same)) {
 			world.ledger.serves(machine.index, register, accepted.Value)
 		}
 	}
@@ -275,11 +276,11 @@
 func (world *modelWorld) hearsEnlist(machine *modelMachine, packet *modelPacket, request *message.JoinRequest) {
 	process := machine.process
 	view := process.core.membership()
-	if !view.known() {
+	if !view.Known() {
 		return
 	}
 	if process.leadership == nil || !world.rules.admits(view, request.Address) {
-		world.answer(packet, &message.JoinResponse{Membership: process.core.newerMembership(request.Known)})
+		world.answer(packet, &message.JoinResponse{Membership: process.core.members.NewerThan(request.Known)})
 		return
 	}
 	if process.admission != nil {
@@ -308,7 +309,7 @@
 	process.admission = nil
 	request := admission.asked.message.(*message.JoinRequest)
 	response := &message.JoinResponse{Term: process.leadership.term, Admitted: world.rules.admits(process.core.membership(), request.Address)}
-	response.Membership = process.core.newerMembership(request.Known)
+	response.Membership = process.core.members.NewerThan(request.Known)
 	world.answer(admission.asked, response)
 }
 
@@ -380,8 +381,8 @@
 	process := machine.process
 	core := process.core
 	process.enlisting = 0
-	membership, err := membershipOf(response.Membership)
-	if !core.membership().known() && err == nil && membership != nil && core.replica.Blank() && mayVoteAtOnce(core.sinceBootstrap(), viewOf(machine.address, membership)) {
+	membership, err := consensus.DecodeMembership(response.Membership)
+	if !core.membership().Known() && err == nil && membership != nil && core.replica.Blank() && consensus.NewView(machine.address, membership).MayVoteAtOnce(core.sinceBootstrap()) {
 		if core.replica.Join(response.Membership) != nil {
 			return
 		}
--- a/control/model_world_test.go
+++ b/control/model_world_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/netip"
+	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"slices"
 )
@@ -89,20 +90,20 @@
 			addresses = append(addresses, machine.address)
 		}
 	}
-	first := firstMembership(addresses)
+	first := consensus.InitialMembership(addresses)
 	world.ledger = newModelLedger(first)
 	for index, machine := range world.machines {
-		lying := machine.disk.lying
-		machine.disk.lying = false
+		lying := machine.disk.Lying
+		machine.disk.Lying = false
 		machine.start()
 		voter := machine.process.core.replica
 		if index < bounds.founders {
 			modelMust(voter.MarkSinceBootstrap())
 		}
 		if index < bounds.founders-bounds.late {
-			modelMust(voter.Join(first.accepted()))
+			modelMust(voter.Join(first.Accepted()))
 		}
-		machine.disk.lying = lying
+		machine.disk.Lying = lying
 	}
 	return world
 }
@@ -139,7 +140,7 @@
 func (world *modelWorld) send(packet *modelPacket) { world.flight = append(world.flight, packet) }
 
 // ask sends a request of a call to a voter, counted by the voter's ID.
-func (world *modelWorld) ask(machine *modelMachine, call int, peer Peer, request any) {
+func (world *modelWorld) ask(machine *modelMachine, call int, peer message.Peer, request any) {
 	packet := &modelPacket{from: machine.index, to: modelIndex(peer.Address), life: machine.process.life, call: call, as: peer.ID, message: request}
 	if accept, offers := request.(*message.AcceptRequest); offers {
 		packet.register = accept.Register
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"orchidjunction/message"
 	"orchidjunction/rpc"
 	"testing"
 	"time"
@@ -9,7 +10,7 @@
 // A place with an id names its peers, one without finds them by seeds; one thing
 // changed at a time, each is refused.
 func TestPlaceOneThingAtATime(test *testing.T) {
-	given := Config{ID: 1, InternalAddress: "10.0.0.1:41", Peers: []Peer{{ID: 2, Address: "10.0.0.2:41"}, {ID: 3, Address: "10.0.0.3:41"}}, HeartbeatInterval: 75 * time.Millisecond, SuspicionTimeout: 300 * time.Millisecond}
+	given := Config{ID: 1, InternalAddress: "10.0.0.1:41", Peers: []message.Peer{{ID: 2, Address: "10.0.0.2:41"}, {ID: 3, Address: "10.0.0.3:41"}}, HeartbeatInterval: 75 * time.Millisecond, SuspicionTimeout: 300 * time.Millisecond}
 	seeded := Config{InternalAddress: "10.0.0.1:41", Seeds: []string{"10.0.0.1:41", "10.0.0.2:41"}, MinFounders: 2, HeartbeatInterval: 150 * time.Millisecond, SuspicionTimeout: 750 * time.Millisecond}
 	for name, change := range map[string]func(*Config, *Config){
 		"no id and no seed":   func(given, seeded *Config) { given.ID, seeded.Seeds = 0, nil },
@@ -23,7 +24,7 @@
 		},
 	} {
 		one, other := given, seeded
-		one.Peers, other.Seeds = append([]Peer{}, given.Peers...), append([]string{}, seeded.Seeds...)
+		one.Peers, other.Seeds = append([]message.Peer{}, given.Peers...), append([]string{}, seeded.Seeds...)
 		if err := one.Check(); err != nil {
 			test.Fatal(err)
 		}
@@ -31,9 +32,9 @@
 			test.Fatal(err)
 		}
 		change(&one, &other)
-		for _, place := range []*Config{&one, &other} {
-			if err := place.Check(); err == nil || rpc.CodeOf(err) != rpc.BadFlag {
-				test.Errorf("%s: %+v: %v", name, place, err)
+		for _, config := range []*Config{&one, &other} {
+			if err := config.Check(); err == nil || rpc.CodeOf(err) != rpc.BadFlag {
+				test.Errorf("%s: %+v: %v", name, config, err)
 			}
 		}
 	}
--- a/control/placeview_test.go
+++ b/control/placeview_test.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"testing"
 )
@@ -8,21 +9,21 @@
 // As long as no core was ever replaced the flags say where the cores are; afterwards
 // the disk does, whatever the flags still name.
 func TestFlagsCountUntilACoreIsReplaced(test *testing.T) {
-	place := &Config{ID: 1, InternalAddress: "10.0.0.1:1", Peers: []Peer{{ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}}
-	former := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
+	config := &Config{ID: 1, InternalAddress: "10.0.0.1:1", Peers: []message.Peer{{ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}}
+	former := consensus.InitialMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	former.Version.Term = message.Term{Number: 4, Core: 2}
-	step := former.withReplacement(3, "10.0.0.4:1")
+	step := former.WithReplacement(3, "10.0.0.4:1")
 	for number, try := range []struct {
-		accepted *Membership
-		want     []Peer
+		accepted *consensus.Membership
+		want     []message.Peer
 		mark     message.Version
 	}{
-		{nil, []Peer{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}, message.Version{Serial: 1}},
-		{former, []Peer{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}, former.Version},
+		{nil, []message.Peer{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}, message.Version{Serial: 1}},
+		{former, []message.Peer{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}, former.Version},
 		{step, former.Voters, step.Version},
-		{step.withoutFormer(), step.Next, step.withoutFormer().Version},
+		{step.WithoutFormer(), step.Next, step.WithoutFormer().Version},
 	} {
-		view := place.view(try.accepted)
+		view := config.view(try.accepted)
 		if len(view.Voters) != len(try.want) || view.Version != try.mark {
 			test.Errorf("try %d: %+v", number, view.Membership)
 			continue
@@ -36,9 +37,9 @@
 			test.Errorf("try %d: is core %d", number, view.ID)
 		}
 	}
-	removed := *place
-	removed.ID, removed.InternalAddress, removed.Peers = 3, "10.0.0.3:1", []Peer{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}}
-	if view := removed.view(step.withoutFormer()); view.ID != 0 || view.votes() {
+	removed := *config
+	removed.ID, removed.InternalAddress, removed.Peers = 3, "10.0.0.3:1", []message.Peer{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}}
+	if view := removed.view(step.WithoutFormer()); view.ID != 0 || view.Votes() {
 		test.Errorf("a removed core takes its ID from its flags: %d", view.ID)
 	}
 }
--- /dev/null
+++ b/control/registers.go
@@ -0,0 +1,168 @@
+package control
+
+import (
+	"time"
+
+	"orchidjunction/message"
+)
+
+// commit takes a register's value as committed if it is newer than the one known. Chunks
+// are those of the settings, as the replica has them at the time: it drops some with the
+// next value.
+func (core *Core) commit(register message.Register, accepted message.AcceptedValue, chunks message.Chunks) {
+	core.mutex.Lock()
+	isNewer := core.committed[register].Value.Serial < accepted.Value.Serial
+	if isNewer {
+		core.committed[register] = accepted
+		if register == message.SettingsRegister {
+			core.chunks = chunks
+		}
+	}
+	core.mutex.Unlock()
+	if !isNewer {
+		return
+	}
+	core.counters.Add("commits", 1)
+	core.updates.Notify()
+	if register == message.RoutingRegister && core.config.discoversPeers() {
+		core.goroutines.Start(func() { core.replica.MarkCommitted(register, accepted.Version()) })
+	}
+}
+
+// committedSerial returns the serial of a register's committed value, with the mutex held.
+func (core *Core) committedSerial(register message.Register) uint64 {
+	return core.committed[register].Value.Serial
+}
+
+// onReadIndex returns the newest versions, after the leadership has been confirmed.
+func (core *Core) onReadIndex(*message.ReadIndexRequest) (*message.ReadIndexResponse, error) {
+	leadership, err := core.confirmedLeadership()
+	if err != nil {
+		return nil, err
+	}
+	return &message.ReadIndexResponse{
+		Serial:  leadership.value(message.SettingsRegister).Serial,
+		Table:   core.Table().Version,
+		Routing: leadership.value(message.RoutingRegister).Serial,
+	}, nil
+}
+
+// confirmedLeadership returns this core's leadership once a quorum has confirmed it.
+func (core *Core) confirmedLeadership() (*Leadership, error) {
+	leadership, err := core.currentLeadership()
+	if err != nil {
+		return nil, err
+	}
+	if err := leadership.confirm(core.callTimeout()); err != nil {
+		return nil, err
+	}
+	return leadership, nil
+}
+
+// onLeader says who leads, if this core leads or has seen the leader lately.
+func (core *Core) onLeader(*message.LeaderRequest) (*message.LeaderResponse, error) {
+	isLeader := core.servesAsLeader()
+	view := core.membership()
+	core.mutex.Lock()
+	response := &message.LeaderResponse{
+		Lameduck:   core.election.lameduck,
+		Cores:      view.Addresses(),
+		Membership: view.Version,
+		Routing:    core.committedSerial(message.RoutingRegister),
+		Table:      core.tables.current.Version,
+	}
+	if isLeader || core.election.leaderAlive(core.config.SuspicionTimeout) {
+		response.Leader = core.election.leader
+	}
+	leadership := core.leadership
+	core.mutex.Unlock()
+	if leadership != nil {
+		response.Lameduck = leadership.inLameduck()
+	}
+	return response, nil
+}
+
+// Leader returns who leads as far as this core knows; nobody while it sees none or the
+// leader steps down.
+func (core *Core) Leader() message.Leader {
+	if response, _ := core.onLeader(&message.LeaderRequest{}); !response.Lameduck {
+		return response.Leader
+	}
+	return message.Leader{}
+}
+
+// newerThan reports whether any of the versions is newer than those in a request.
+func newerThan(response *message.WatchResponse, request *message.WatchRequest) bool {
+	return response.Serial > request.Serial || response.Routing > request.Routing || request.Table.Less(response.Table)
+}
+
+// maxWatch bounds how long a daemon's watch may wait.
+const maxWatch = 10 * time.Second
+
+// watched returns the versions that daemons wait for.
+func (core *Core) watched() *message.WatchResponse {
+	core.mutex.Lock()
+	defer core.mutex.Unlock()
+	return &message.WatchResponse{
+		Serial:  core.committedSerial(message.SettingsRegister),
+		Table:   core.tables.current.Version,
+		Routing: core.committedSerial(message.RoutingRegister),
+	}
+}
+
+// onWatch waits until something is newer than what a daemon holds.
+func (core *Core) onWatch(request *message.WatchRequest) (*message.WatchResponse, error) {
+	wait := min(time.Duration(request.SpanMs)*time.Millisecond, maxWatch)
+	deadline := time.Now().Add(wait)
+	for {
+		seen := core.updates.Count()
+		response := core.watched()
+		if newerThan(response, request) || core.goroutines.Stopping() {
+			return response, nil
+		}
+		if !core.updates.Wait(seen, time.Until(deadline)) {
+			return response, nil
+		}
+	}
+}
+
+// onFetch returns what is newer than what a daemon holds.
+func (core *Core) onFetch(request *message.FetchRequest) (*message.FetchResponse, error) {
+	response := &message.FetchResponse{}
+	if err := core.addRouting(response, request.Routing); err != nil {
+		return nil, err
+	}
+	core.mutex.Lock()
+	if value := core.committed[message.SettingsRegister].Value; value.Serial > request.Serial {
+		response.Serial, response.Chunks = value.Serial, treeChunks(value.Chunks)
+	}
+	core.tables.addTo(response, request.Table)
+	core.mutex.Unlock()
+	return core.fetchCache.get(response)
+}
+
+// addRouting adds the committed routing to a response if it is newer than a serial.
+func (core *Core) addRouting(response *message.FetchResponse, than uint64) error {
+	core.mutex.Lock()
+	routing := core.committed[message.RoutingRegister].Value
+	core.mutex.Unlock()
+	if routing.Serial <= than {
+		return nil
+	}
+	body, err := core.routingCache.get(routing)
+	if err != nil {
+		return err
+	}
+	response.Routing, response.RoutingBody, response.RoutingCompressed = routing.Serial, body, true
+	return nil
+}
+
+// Settings returns the serial and the whole text of the committed settings, 0 and nothing
+// if they can't be read.
+func (core *Core) Settings() (uint64, []byte) {
+	current, err := core.committedContent()
+	if err != nil {
+		return 0, nil
+	}
+	return current.serial, current.tree.Body()
+}
--- a/control/relayed_test.go
+++ b/control/relayed_test.go
@@ -10,6 +10,7 @@
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
 	"orchidjunction/storage"
+	"orchidjunction/usage"
 )
 
 // A daemon that stays with a core which led tells it changes only. The next leader
@@ -24,25 +25,25 @@
 	member := message.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}
 	for _, session := range []*message.Session{
 		{Member: member, NowMs: 1, Windows: []message.WindowCount{{Window: 10, Tenants: map[string]uint64{"first": 5, "second": 2}}}},
-		{Member: member, NowMs: 2, BaseProcess: core.windows.process, Windows: []message.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}}},
+		{Member: member, NowMs: 2, BaseProcess: core.windows.Process(), Windows: []message.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}}},
 	} {
 		if _, err := core.onSession(session); err != nil {
 			test.Fatal(err)
 		}
 	}
-	next := newWindowMeter()
+	next := usage.NewWindows()
 	for _, held := range core.sessions.ownedBy(core.membership().ID) {
 		relayed := core.forForwarding(held)
-		next.add(&relayed)
+		next.Add(&relayed)
 	}
-	if sum := next.sum(10); sum["first"] != 5 || sum["second"] != 2 {
+	if sum := next.Sum(10); sum["first"] != 5 || sum["second"] != 2 {
 		test.Fatalf("window 10 at the next leader: %v", sum)
 	}
-	if sum := next.sum(11); sum["first"] != 1 {
+	if sum := next.Sum(11); sum["first"] != 1 {
 		test.Fatalf("window 11 at the next leader: %v", sum)
 	}
-	if next.reportedUntil["a"] != 2 {
-		test.Fatalf("spoke %d, want 2: all was told", next.reportedUntil["a"])
+	if next.AwaitsProcess(11, 2) || !next.AwaitsProcess(11, 3) {
+		test.Fatalf("awaits the process at 2: %v, at 3: %v; all was told until 2", next.AwaitsProcess(11, 2), next.AwaitsProcess(11, 3))
 	}
 }
 
@@ -54,17 +55,17 @@
 		test.Fatal(err)
 	}
 	defer core.Close()
-	session := message.Session{Member: message.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}, NowMs: 2, BaseProcess: core.windows.process + 2,
+	session := message.Session{Member: message.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}, NowMs: 2, BaseProcess: core.windows.Process() + 2,
 		Windows: []message.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}}}
 	if _, err := core.onSession(&session); err != nil {
 		test.Fatal(err)
 	}
-	next := newWindowMeter()
+	next := usage.NewWindows()
 	for _, held := range core.sessions.ownedBy(core.membership().ID) {
 		relayed := core.forForwarding(held)
-		next.add(&relayed)
+		next.Add(&relayed)
 	}
-	if next.reportedUntil["a"] != 0 || next.sum(11)["first"] != 1 {
-		test.Fatalf("spoke %d, window 11 %v", next.reportedUntil["a"], next.sum(11))
+	if !next.AwaitsProcess(11, 1) || next.Sum(11)["first"] != 1 {
+		test.Fatalf("awaits the process at 1: %v, window 11 %v", next.AwaitsProcess(11, 1), next.Sum(11))
 	}
 }
--- a/control/removal.go
+++ b/control/remove_voter.go
@@ -1,20 +1,22 @@
 package control
 
 import (
-	"orchidjunction/message"
-	"orchidjunction/rpc"
 	"slices"
 	"time"
 
+	"orchidjunction/consensus"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
+
 	"k8s.io/klog/v2"
 )
 
 // removalRetryMs is when to ask again for a removal, in milliseconds.
 const removalRetryMs = 500
 
-// onRemoveVoter gives a voter's place to a learner at once. Where the leader itself is to
-// go, it hands the lead over, and the order goes on to the next one. The same order
-// again finds the core gone and is acknowledged.
+// onRemoveVoter gives a voter's place to a learner at once. If the leader itself is to
+// go, it hands over the lead, and the order goes to the next leader. The same order again
+// finds the core gone and is acknowledged.
 func (core *Core) onRemoveVoter(request *message.RemoveVoterRequest) (*message.RemoveVoterResponse, error) {
 	leadership, err := core.currentLeadership()
 	if err != nil {
@@ -27,33 +29,30 @@
 	if err != nil {
 		return nil, err
 	}
-	place := slices.IndexFunc(view.Voters, func(peer Peer) bool { return peer.ID == request.Core })
 	if request.Core > view.LastID {
 		return nil, rpc.Errorf(rpc.NotFound, "no core %d ever voted; the last one is %d", request.Core, view.LastID)
 	}
-	if place < 0 {
+	position := slices.IndexFunc(view.Voters, func(peer message.Peer) bool { return peer.ID == request.Core })
+	if position < 0 {
 		return &message.RemoveVoterResponse{Version: view.Version.Serial, Duplicate: true}, nil
 	}
-	address, found := leadership.readyLearner(view)
-	if !found && time.Since(leadership.since) < learnerTimeouts*core.config.SuspicionTimeout {
-		return nil, &rpc.Error{Code: rpc.NotStarted, Message: "the leader just began and may not know the learners yet", RetryAfterMs: removalRetryMs}
-	}
-	if !found {
-		return nil, rpc.Errorf(rpc.NoLearner, "no learner holds everything yet, so core %d keeps its place; start a new core and ask again", request.Core)
+	learner, err := leadership.learnerFor(request.Core, view)
+	if err != nil {
+		return nil, err
 	}
 	if request.Core == view.ID {
 		return nil, leadership.transferForRemoval()
 	}
 	klog.Infof("core %d: core %d is removed by order", view.ID, request.Core)
-	leadership.replaceVoter(view.Voters[place], address)
+	leadership.replaceVoter(view.Voters[position], learner)
 	return leadership.removalResponse(request.Core)
 }
 
-// decidedMembership is the membership that this leadership had decided, after the step
-// under way was ended.
-func (leadership *Leadership) decidedMembership() (*View, error) {
+// decidedMembership returns the membership that this leadership had decided, after it has
+// finished the replacement under way.
+func (leadership *Leadership) decidedMembership() (*consensus.View, error) {
 	core := leadership.core
-	if core.membership().changing() {
+	if core.membership().Changing() {
 		leadership.finishReplacement()
 	}
 	if err := leadership.check(); err != nil {
@@ -61,19 +60,25 @@
 	}
 	view := core.membership()
 	decided := message.Version{Term: leadership.term, Serial: leadership.value(message.MembersRegister).Serial}
-	if view.changing() || view.Version != decided {
+	if view.Changing() || view.Version != decided {
 		return nil, &rpc.Error{Code: rpc.NotStarted, Message: "another replacement is under way", RetryAfterMs: removalRetryMs}
 	}
 	return view, nil
 }
 
-// readyLearner is a learner that may take a place now.
-func (leadership *Leadership) readyLearner(view *View) (string, bool) {
-	span := leadership.core.config.SuspicionTimeout
-	if len(leadership.replacements.waitingLearners(learnerTimeouts*span, view)) == 0 || view.LastID >= message.MaxPeerID {
-		return "", false
+// learnerFor returns the address of a learner that may take a voter's place now.
+func (leadership *Leadership) learnerFor(leaving int, view *consensus.View) (string, error) {
+	core := leadership.core
+	if len(leadership.waitingLearners(view)) > 0 && view.LastID < message.MaxPeerID {
+		learner, found := leadership.replacements.readyLearner(core.config.SuspicionTimeout, leadership.nearlySynced)
+		if found {
+			return learner, nil
+		}
 	}
-	return leadership.replacements.readyLearner(span, leadership.nearlySynced)
+	if time.Since(leadership.since) < learnerTimeouts*core.config.SuspicionTimeout {
+		return "", &rpc.Error{Code: rpc.NotStarted, Message: "the leader just began and may not know the learners yet", RetryAfterMs: removalRetryMs}
+	}
+	return "", rpc.Errorf(rpc.NoLearner, "no learner holds everything yet, so core %d keeps its place; start a new core and ask again", leaving)
 }
 
 // removalResponse acknowledges a removal that was decided. One that was written but not
@@ -83,7 +88,7 @@
 	if err != nil {
 		return nil, &rpc.Error{Code: rpc.OutcomeUnknown, Message: "the removal may come about: " + err.Error(), RetryAfterMs: removalRetryMs}
 	}
-	if contains(view.Voters, id) {
+	if consensus.ContainsPeer(view.Voters, id) {
 		return nil, &rpc.Error{Code: rpc.NotStarted, Message: "the learner did not take the place", RetryAfterMs: removalRetryMs}
 	}
 	return &message.RemoveVoterResponse{Version: view.Version.Serial}, nil
@@ -92,18 +97,8 @@
 // transferForRemoval makes another voter the leader. This core then votes and follows
 // until the order reaches the new leader.
 func (leadership *Leadership) transferForRemoval() error {
-	core, passed := leadership.core, map[int]bool{}
-	until := time.Now().Add(core.config.writeTimeout())
-	for time.Now().Before(until) {
-		heir, found := leadership.bestSuccessor(passed)
-		if !found {
-			break
-		}
-		passed[heir.ID] = true
-		if leadership.transferTo(heir, until) {
-			break
-		}
-	}
+	core := leadership.core
+	leadership.transferToAny(time.Now().Add(core.config.writeTimeout()))
 	core.endLeadership(leadership)
-	return &rpc.Error{Code: rpc.NotLeader, Message: "the leader is to be removed and stepped down"}
+	return rpc.Errorf(rpc.NotLeader, "the leader is to be removed and stepped down")
 }
--- a/control/restore.go
+++ b/control/restore.go
@@ -1,70 +1,110 @@
 package control
 
 import (
+	"orchidjunction/consensus"
+	"orchidjunction/idempotency"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"time"
 
 	"k8s.io/klog/v2"
 )
 
-// restoreReplica makes a blank disk a voter again: by founding, when every core is new,
-// or by fencing so many others that no quorum the lost disk helped to make is missed.
+// restoreReplica makes a blank disk a voter again: by initializing it, if every core is
+// new, or by fencing so many others that no quorum is missed which the lost disk was part
+// of. The core then goes on to establish a leadership under the term of the fence.
 func (core *Core) restoreReplica() {
-	core.goroutines.Sleep(core.random.between(core.config.HeartbeatInterval, 2*core.config.HeartbeatInterval))
+	interval := core.config.HeartbeatInterval
+	core.goroutines.Sleep(core.random.between(interval, 2*interval))
 	view := core.membership()
-	response := callPeers(core, view, func(peer Peer) (*message.ReplicaStateResponse, error) {
-		return rpc.Call[message.ReplicaStateRequest, message.ReplicaStateResponse](core.client, peer.Address, "restore", core.callTimeout(), &message.ReplicaStateRequest{Core: view.ID, Membership: view.Version})
-	}, func(answer *message.ReplicaStateResponse) bool { return answer.Initialized }, waitForAll)
-	untouched := len(response) == len(view.Peers) && !core.config.discoversPeers()
-	for _, answer := range response {
-		core.observeTermNumber(answer.Promised.Number)
-		core.learnMembership(answer.Membership)
-		if answer.Promised.Number > 0 || answer.Versions != (message.Versions{}) {
-			untouched = false
-		}
+	responses := core.askReplicaStates(view, isInitialized, waitForAll)
+	for _, response := range responses {
+		core.observeTermNumber(response.Promised.Number)
 	}
-	if untouched && core.config.Bootstrap {
-		if err := core.replica.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err == nil {
-			klog.Infof("core %d: founded", view.ID)
-			core.startClaims(view.ID)
-			core.startFollowing()
-		}
+	if core.config.Bootstrap && !core.config.discoversPeers() && areAllNew(view, responses) {
+		core.initializeReplica(view)
 		return
 	}
-	if !core.mayRestore(view, response) {
+	if !core.members.MayRestore(view, responses) {
 		core.counters.Add("restores_short", 1)
 		return
 	}
-	term, revoked := core.nextTerm(view)
-	promises := core.grantedPromises(callPeers(core, view, func(peer Peer) (*message.PrepareResponse, error) {
-		return rpc.Call[message.PrepareRequest, message.PrepareResponse](core.client, peer.Address, "promise", core.callTimeout(), &message.PrepareRequest{Term: term, Membership: view.accepted()})
-	}, granted, waitForAll))
-	if !view.fencesWithout(view.ID, agreed(promises, granted)) {
+	term, former := core.nextTerm(view)
+	promises, err := core.restoreFromPeers(view, term)
+	if err != nil {
 		core.counters.Add("restores_short", 1)
 		return
 	}
-	accepted, from := inheritedValues(view, promises)
-	chunks, err := core.gatherChunks(view.address(from[message.SettingsRegister]), accepted[message.SettingsRegister].Value, nil)
-	if err != nil {
-		core.counters.Add("restores_short", 1)
+	if promises == nil || !core.role.transition(Revoking) {
 		return
 	}
-	if err := core.replica.Initialize(term, accepted, chunks); err != nil {
+	core.establishLeadership(view, term, fenced(term, former, promises))
+	core.role.abandonCandidacy()
+}
+
+func isInitialized(response *message.ReplicaStateResponse) bool { return response.Initialized }
+
+// askReplicaStates asks the other voters what they hold, until those that agree are
+// enough, and learns the memberships that they know.
+func (core *Core) askReplicaStates(view *consensus.View, agrees func(*message.ReplicaStateResponse) bool, enough func(has func(id int) bool) bool) map[int]*message.ReplicaStateResponse {
+	request := &message.ReplicaStateRequest{Core: view.ID, Membership: view.Version}
+	responses := callPeers(core, view, func(peer message.Peer) (*message.ReplicaStateResponse, error) {
+		return rpc.Call[message.ReplicaStateRequest, message.ReplicaStateResponse](core.client, peer.Address, "restore", core.callTimeout(), request)
+	}, agrees, enough)
+	for _, response := range responses {
+		core.learnMembership(response.Membership)
+	}
+	return responses
+}
+
+// areAllNew reports whether all other voters answered, and none holds anything.
+func areAllNew(view *consensus.View, responses map[int]*message.ReplicaStateResponse) bool {
+	if len(responses) != len(view.Peers) {
+		return false
+	}
+	for _, response := range responses {
+		if response.Promised.Number > 0 || response.Versions != (message.Versions{}) {
+			return false
+		}
+	}
+	return true
+}
+
+// initializeReplica begins a new system at this core.
+func (core *Core) initializeReplica(view *consensus.View) {
+	if core.replica.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil) != nil {
 		return
 	}
+	klog.Infof("core %d: founded", view.ID)
+	core.startClaims(view.ID)
+	core.startFollowing()
+}
+
+// restoreFromPeers fences the other voters by a term and copies what they accepted. It
+// returns the promises, with this core's own, or none if the disk refused the copies.
+func (core *Core) restoreFromPeers(view *consensus.View, term message.Term) (map[int]*message.PrepareResponse, error) {
+	request := &message.PrepareRequest{Term: term, Membership: view.Accepted()}
+	promises := core.preparePeers(view, request, waitForAll)
+	if !view.FencesWithout(view.ID, consensus.Agreed(promises, consensus.Granted)) {
+		return nil, rpc.Errorf(rpc.StaleTerm, "%d cores promised %s", len(promises), term)
+	}
+	accepted, sources := consensus.InheritedValues(view, promises)
+	source := view.AddressOf(sources[message.SettingsRegister])
+	chunks, err := core.gatherChunks(source, accepted[message.SettingsRegister].Value, nil)
+	if err != nil {
+		return nil, err
+	}
+	if core.replica.Initialize(term, accepted, chunks) != nil {
+		return nil, nil
+	}
 	core.counters.Add("restores", 1)
 	klog.Infof("core %d: restored from %d cores under %s", view.ID, len(promises), term)
 	promises[view.ID] = &message.PrepareResponse{Granted: true, Promised: term, Accepted: core.replica.State().Accepted}
-	if core.role.transition(Revoking) {
-		core.establishLeadership(view, term, &Revocation{Method: TermFence, Term: term, Revoked: revoked, Promises: promises, Complete: true})
-		core.role.abandonCandidacy()
-	}
+	return promises, nil
 }
 
-// startClaims marks the claims of a new voter as whole, since nothing was kept on its
-// disk before. While its claims' ring is full or its disk refuses groups that is tried
-// again: until the mark lasts, this core counts as one that may have lost claims.
+// startClaims marks the claims of a new voter as complete, since nothing was recorded on
+// its disk before. While the queue of claims is full or the disk refuses them that is
+// tried again: until the mark is durable, this core counts as one that may have lost some.
 func (core *Core) startClaims(id int) {
 	if core.markClaimsComplete(id) == nil {
 		return
@@ -82,29 +122,21 @@
 	if view.ID != id {
 		return nil
 	}
-	err := core.claims.submit(&pendingWrite{request: &message.RecordClaimsRequest{}, membership: view.accepted(), completeAs: view.ID})
+	err := core.claims.Submit(&idempotency.Write{Request: &message.RecordClaimsRequest{}, Membership: view.Accepted(), CompleteAs: view.ID})
 	if err != nil {
 		core.counters.Add("claims_not_begun", 1)
 	}
 	return err
 }
 
-// mayRestore is whether enough other replicas answered a blank voter that it may fence
-// them, by the membership that it asked them under.
-func (core *Core) mayRestore(view *View, response map[int]*message.ReplicaStateResponse) bool {
-	founded := func(answer *message.ReplicaStateResponse) bool { return answer.Initialized }
-	return core.membership().same(view) && view.mayLead(view.ID) && view.fencesWithout(view.ID, agreed(response, founded))
-}
-
-func (core *Core) startFollowing() {
-	core.mutex.Lock()
-	core.leaderSeenAt = time.Now()
-	core.electionTimeout = core.firstElectionTimeout()
-	core.mutex.Unlock()
-	core.role.transition(Following)
-}
-
+// onReplicaState says what this core holds.
 func (core *Core) onReplicaState(request *message.ReplicaStateRequest) (*message.ReplicaStateResponse, error) {
 	state := core.replica.State()
-	return &message.ReplicaStateResponse{Voter: state.Initialized, Initialized: state.Initialized, Promised: state.Promised, Versions: state.Versions(), Membership: core.newerMembership(request.Membership)}, nil
+	return &message.ReplicaStateResponse{
+		Voter:       state.Initialized,
+		Initialized: state.Initialized,
+		Promised:    state.Promised,
+		Versions:    state.Versions(),
+		Membership:  core.members.NewerThan(request.Membership),
+	}, nil
 }
--- a/control/revocation.go
+++ b/control/revocation.go
@@ -1,20 +1,21 @@
 package control
 
 import (
+	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"time"
 )
 
-// Method is how a round makes the former leadership's conditions false.
+// Method is how a former leadership was ended. Its text is shown to operators.
 type Method string
 
+// The methods: a quorum promised a newer term, or the leader said that it writes no more.
 const (
 	TermFence Method = "ballot fence at a majority"
 	Resigned  Method = "leader stepped down"
 )
 
-// Revocation ends the former leadership; establishment takes only a complete one.
+// Revocation ends a former leadership. Establishment needs a complete one.
 type Revocation struct {
 	Method   Method
 	Term     message.Term
@@ -24,21 +25,26 @@
 	Learners []string
 }
 
-// fence pushes the ballot until a majority holds no older one valid.
-func (core *Core) fence(view *View, term message.Term, revoked message.Term) (*Revocation, error) {
+// fence has a quorum promise a term, so that no older one can write any more.
+func (core *Core) fence(view *consensus.View, term message.Term, former message.Term) (*Revocation, error) {
 	promises, err := core.prepare(view, term)
 	if err != nil {
 		return nil, err
 	}
-	return &Revocation{Method: TermFence, Term: term, Revoked: revoked, Promises: promises, Complete: true}, nil
+	return fenced(term, former, promises), nil
 }
 
-// resigned takes the leader's own word that it writes no more.
+// fenced returns the revocation that promises of a quorum are.
+func fenced(term, former message.Term, promises map[int]*message.PrepareResponse) *Revocation {
+	return &Revocation{Method: TermFence, Term: term, Revoked: former, Promises: promises, Complete: true}
+}
+
+// resigned returns the revocation that a leader's own word is.
 func resigned(request *message.TransferLeadershipRequest) *Revocation {
 	return &Revocation{Method: Resigned, Revoked: request.Term, Complete: true, Learners: request.Learners}
 }
 
-// covers is false when a promise shows a leadership newer than the one revoked.
+// covers reports whether no promise shows a leadership newer than the revoked one.
 func (revocation *Revocation) covers(promises map[int]*message.PrepareResponse) bool {
 	if !revocation.Complete {
 		return false
@@ -56,44 +62,46 @@
 	return true
 }
 
-// prepare asks every voter to promise, this one first and synced, until a quorum
-// did. One that knows a newer membership refuses and tells it: the next attempt
-// counts by that.
-func (core *Core) prepare(view *View, term message.Term) (map[int]*message.PrepareResponse, error) {
-	request := &message.PrepareRequest{Term: term, Membership: view.accepted()}
+// prepare asks every voter to promise a term, this core first, until a quorum did. A
+// voter that knows a newer membership refuses and returns it: the next attempt counts by
+// that.
+func (core *Core) prepare(view *consensus.View, term message.Term) (map[int]*message.PrepareResponse, error) {
+	request := &message.PrepareRequest{Term: term, Membership: view.Accepted()}
 	own, err := core.replica.Prepare(request)
 	if err != nil {
 		return nil, err
 	}
 	if !own.Granted {
 		core.observeTermNumber(own.Promised.Number)
-		return nil, &rpc.Error{Code: rpc.StaleTerm, Message: "own promise " + own.Promised.String()}
+		return nil, rpc.Errorf(rpc.StaleTerm, "own promise %s", own.Promised)
 	}
-	response := callPeers(core, view, func(peer Peer) (*message.PrepareResponse, error) {
-		return rpc.Call[message.PrepareRequest, message.PrepareResponse](core.client, peer.Address, "promise", core.callTimeout(), request)
-	}, granted, view.decides)
-	promises := core.grantedPromises(response)
+	promises := core.preparePeers(view, request, view.Decides)
 	promises[view.ID] = own
-	if !view.decides(agreed(promises, granted)) {
+	if !view.Decides(consensus.Agreed(promises, consensus.Granted)) {
 		return nil, rpc.Errorf(rpc.StaleTerm, "%d cores and no quorum of membership %d promised %s", len(promises), view.Version.Serial, term)
 	}
 	return promises, nil
 }
 
-func granted(response *message.PrepareResponse) bool { return response.Granted }
+// preparePeers asks the other voters to promise, until those that did are enough, and
+// returns the promises that were granted.
+func (core *Core) preparePeers(view *consensus.View, request *message.PrepareRequest, enough func(has func(id int) bool) bool) map[int]*message.PrepareResponse {
+	responses := callPeers(core, view, func(peer message.Peer) (*message.PrepareResponse, error) {
+		return rpc.Call[message.PrepareRequest, message.PrepareResponse](core.client, peer.Address, "promise", core.callTimeout(), request)
+	}, consensus.Granted, enough)
+	return core.grantedPromises(responses)
+}
 
-// grantedPromises are those that were granted; what the others know is learned.
-func (core *Core) grantedPromises(response map[int]*message.PrepareResponse) map[int]*message.PrepareResponse {
+// grantedPromises returns the granted promises, and learns what the other voters know.
+func (core *Core) grantedPromises(responses map[int]*message.PrepareResponse) map[int]*message.PrepareResponse {
 	promises := map[int]*message.PrepareResponse{}
-	for id, promise := range response {
-		if promise.Granted {
-			promises[id] = promise
+	for id, response := range responses {
+		if response.Granted {
+			promises[id] = response
 			continue
 		}
-		core.observeTermNumber(promise.Promised.Number)
-		core.learnMembership(promise.Membership)
+		core.observeTermNumber(response.Promised.Number)
+		core.learnMembership(response.Membership)
 	}
 	return promises
 }
-
-func (core *Core) callTimeout() time.Duration { return core.config.SuspicionTimeout }
--- /dev/null
+++ b/control/settings.go
@@ -0,0 +1,146 @@
+package control
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"time"
+
+	"orchidjunction/conf"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
+)
+
+const changeDigestBytes = 16
+
+// changeDigest identifies what a change does, so that an ID which names two changes is
+// found out.
+func changeDigest(request *message.ChangeRequest) string {
+	text := append([]byte(fmt.Sprintf("%s %d ", request.Kind, request.Base)), request.Body...)
+	sum := sha256.Sum256(text)
+	return hex.EncodeToString(sum[:changeDigestBytes])
+}
+
+// onChange makes an operator's change of the settings at the leader, or returns why not.
+// A repeated or refused change is answered only by who still leads.
+func (core *Core) onChange(request *message.ChangeRequest) (*message.ChangeResponse, error) {
+	leadership, err := core.currentLeadership()
+	if err != nil {
+		return nil, err
+	}
+	begin := time.Now()
+	response, err := leadership.changeSettings(request)
+	if err != nil {
+		core.counters.Add("changes_"+string(rpc.CodeOf(err)), 1)
+		return nil, err
+	}
+	if response.Duplicate {
+		core.counters.Add("changes_again", 1)
+		return response, nil
+	}
+	core.counters.Add("changes_taken", 1)
+	ackLimit := time.Duration(leadership.settings().tree.Settings.AckMs) * time.Millisecond
+	if time.Since(begin) > ackLimit {
+		core.counters.Add("changes_later_than_ack_ms", 1)
+	}
+	return response, nil
+}
+
+func (leadership *Leadership) changeSettings(request *message.ChangeRequest) (*message.ChangeResponse, error) {
+	parsed, err := parseAhead(request, leadership.settings())
+	if err != nil {
+		return nil, leadership.confirmDecision(err)
+	}
+	digest := changeDigest(request)
+	var duplicate *message.HistoryEntry
+	isDecided := false
+	serial, err := leadership.writeSettings(func(current *content) (*content, error) {
+		isDecided = true
+		var err error
+		duplicate, err = findDuplicate(current.history, request.ID, digest)
+		if duplicate != nil || err != nil {
+			return nil, err
+		}
+		next, err := leadership.applyChange(request, current, parsed, digest)
+		isDecided = err != nil
+		return next, err
+	})
+	if isDecided {
+		err = leadership.confirmDecision(err)
+	}
+	if err != nil {
+		return nil, err
+	}
+	if duplicate != nil {
+		return &message.ChangeResponse{Serial: duplicate.Serial, Duplicate: true}, nil
+	}
+	return &message.ChangeResponse{Serial: serial}, nil
+}
+
+// parseAhead parses a whole change before the write lock is taken, if it is based on the
+// current settings. It returns nil for other changes.
+func parseAhead(request *message.ChangeRequest, current *content) (*conf.Tree, error) {
+	if request.Kind != message.WholeChange || request.Base != current.serial {
+		return nil, nil
+	}
+	return conf.Sow(request.Body, current.tree)
+}
+
+// findDuplicate returns the entry of a change that was made before. It returns
+// ChangeIDReused if the ID named another one.
+func findDuplicate(history []message.HistoryEntry, id, digest string) (*message.HistoryEntry, error) {
+	for index := range history {
+		entry := &history[index]
+		if entry.Change != id {
+			continue
+		}
+		if entry.Digest != digest {
+			return nil, &rpc.Error{Code: rpc.ChangeIDReused, Message: "the id named another change", Serial: entry.Serial}
+		}
+		return entry, nil
+	}
+	return nil, nil
+}
+
+// applyChange returns the content after a change.
+func (leadership *Leadership) applyChange(request *message.ChangeRequest, current *content, parsed *conf.Tree, digest string) (*content, error) {
+	if request.Base != current.serial {
+		return nil, &rpc.Error{Code: rpc.StaleBase, Message: fmt.Sprintf("based on %d", request.Base), Serial: current.serial}
+	}
+	tree, err := parsed, error(nil)
+	switch {
+	case parsed != nil:
+	case request.Kind == message.WholeChange:
+		tree, err = conf.Sow(request.Body, current.tree)
+	default:
+		tree, err = current.tree.Patch(request.Body)
+	}
+	if err != nil {
+		return nil, err
+	}
+	entry := message.HistoryEntry{
+		Serial:   current.serial + 1,
+		Change:   request.ID,
+		Digest:   digest,
+		Kind:     request.Kind,
+		Operator: request.Operator,
+		AtMs:     leadership.core.config.Wall(),
+	}
+	return current.next(tree, entry), nil
+}
+
+// onRead returns the confirmed settings, or their history.
+func (core *Core) onRead(request *message.ReadRequest) (*message.ReadResponse, error) {
+	leadership, err := core.confirmedLeadership()
+	if err != nil {
+		return nil, err
+	}
+	current := leadership.settings()
+	response := &message.ReadResponse{Serial: current.serial}
+	if request.History {
+		response.History = current.history
+	} else if request.HeldSerial != current.serial {
+		response.Body = current.tree.Body()
+	}
+	return response, nil
+}
--- a/control/status.go
+++ b/control/status.go
@@ -1,14 +1,20 @@
 package control
 
 import (
-	"orchidjunction/message"
 	"time"
+
+	"orchidjunction/message"
 )
 
-// onStatus is this core's view; the leader's is the whole one.
+// onStatus returns this core's view of the deployment; the leader's is the complete one.
 func (core *Core) onStatus(*message.StatusRequest) (*message.StatusResponse, error) {
 	core.mutex.Lock()
-	response := &message.StatusResponse{Leader: core.leader, Serial: core.committed[message.SettingsRegister].Value.Serial, Table: core.table.Version, Backends: core.table.Backends}
+	response := &message.StatusResponse{
+		Leader:   core.election.leader,
+		Serial:   core.committed[message.SettingsRegister].Value.Serial,
+		Table:    core.tables.current.Version,
+		Backends: core.tables.current.Backends,
+	}
 	leadership := core.leadership
 	core.mutex.Unlock()
 	response.Membership = core.membershipStatus(leadership)
@@ -19,19 +25,38 @@
 	if leadership != nil {
 		response.Conditions = leadership.conditions()
 		response.Revocation = string(leadership.revocation.Method)
-		leadership.mutex.Lock()
-		for _, peer := range core.membership().Peers {
-			status := message.CoreStatus{Core: peer.ID, Address: peer.Address}
-			if report := leadership.responses[peer.ID]; report != nil {
-				status.Voter, status.Seen, status.Versions = report.Voter, report.Accepted, report.Versions
-			}
-			response.Cores = append(response.Cores, status)
-		}
-		leadership.mutex.Unlock()
+		response.Cores = append(response.Cores, leadership.peerStatus()...)
 	}
-	for _, held := range core.sessions.active(0) {
-		response.Members = append(response.Members, message.MemberStatus{Member: held.session.Member, Serial: held.session.Serial, Table: held.session.Table,
-			Parent: held.session.Parent, AgeMs: time.Since(held.renewedAt).Milliseconds(), Core: held.core, Probes: held.session.Probes})
+	for _, tracked := range core.sessions.active(0) {
+		response.Members = append(response.Members, tracked.status())
 	}
 	return response, nil
 }
+
+// peerStatus returns the other voters as the leader sees them.
+func (leadership *Leadership) peerStatus() []message.CoreStatus {
+	leadership.mutex.Lock()
+	defer leadership.mutex.Unlock()
+	all := []message.CoreStatus{}
+	for _, peer := range leadership.core.membership().Peers {
+		status := message.CoreStatus{Core: peer.ID, Address: peer.Address}
+		if response := leadership.responses[peer.ID]; response != nil {
+			status.Voter, status.Seen, status.Versions = response.Voter, response.Accepted, response.Versions
+		}
+		all = append(all, status)
+	}
+	return all
+}
+
+func (tracked *trackedSession) status() message.MemberStatus {
+	session := &tracked.session
+	return message.MemberStatus{
+		Member: session.Member,
+		Serial: session.Serial,
+		Table:  session.Table,
+		Parent: session.Parent,
+		AgeMs:  time.Since(tracked.renewedAt).Milliseconds(),
+		Core:   tracked.core,
+		Probes: session.Probes,
+	}
+}
