--- a/control/stored_test.go
+++ b/control/stored_test.go
@@ -9,11 +9,15 @@
 	"sort"
 	"testing"
 
+	"orchidjunction/consensus"
+	"orchidjunction/idempotency"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
+	"orchidjunction/replica"
 	"orchidjunction/route"
 	"orchidjunction/rpc"
 	"orchidjunction/storage"
+	"orchidjunction/usage"
 )
 
 var updateStored = flag.Bool("update-stored", false, "write the descriptions of testdata/stored anew")
@@ -30,7 +34,7 @@
 	return storage.Folder(copied)
 }
 
-func describeStore(text *bytes.Buffer, state State) {
+func describeStore(text *bytes.Buffer, state *consensus.State) {
 	fmt.Fprintf(text, "founded %v, opening %v, promised %d.%d\n", state.Initialized, state.SinceBootstrap, state.Promised.Number, state.Promised.Core)
 	for register, accepted := range state.Accepted {
 		fmt.Fprintf(text, "register %d: serial %d under %d.%d, body %x, %d parts, committed %d\n", register, accepted.Value.Serial,
@@ -50,7 +54,7 @@
 	}
 }
 
-func describeSettings(test *testing.T, text *bytes.Buffer, state State) {
+func describeSettings(test *testing.T, text *bytes.Buffer, state *consensus.State) {
 	value := state.Accepted[message.SettingsRegister].Value
 	now, err := readContent(nil, value, state.Chunks)
 	if err != nil {
@@ -65,7 +69,7 @@
 	}
 }
 
-func describeRouting(test *testing.T, text *bytes.Buffer, state State) {
+func describeRouting(test *testing.T, text *bytes.Buffer, state *consensus.State) {
 	book, err := route.BookOf(state.Accepted[message.RoutingRegister].Value.Body)
 	if err != nil {
 		test.Fatal(err)
@@ -93,9 +97,9 @@
 }
 
 // describeReports reads the reports register as sums by tenants, or else as windows.
-func describeReports(test *testing.T, text *bytes.Buffer, state State) {
+func describeReports(test *testing.T, text *bytes.Buffer, state *consensus.State) {
 	value := state.Accepted[message.ReportsRegister].Value
-	sums := &usageState{}
+	sums := &usage.State{}
 	if len(value.Body) > 0 && rpc.Unmarshal(value.Body, sums) == nil {
 		fmt.Fprintf(text, "reports of period %d until %d, age %d: open%s\n", sums.Period, sums.ToMs, sums.AgeMs, sortedCounts(sums.Open))
 		for _, report := range sums.Pending {
@@ -111,7 +115,7 @@
 		}
 		return
 	}
-	windows, err := decodeWindowState(value)
+	windows, err := usage.DecodeWindowState(value)
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -121,14 +125,24 @@
 	}
 }
 
+// completeAs is the voter that lacks no claim, 0 for none.
+func completeAs(log *idempotency.Log) int {
+	for id := range 100 {
+		if log.CompleteFor(id) {
+			return id
+		}
+	}
+	return 0
+}
+
 func describeClaims(test *testing.T, text *bytes.Buffer, disk storage.Disk) {
-	log, err := openClaimLog(disk, 0, metrics.NewCounters())
+	log, err := idempotency.OpenLog(disk, 0, metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
 	}
-	defer log.journal.Close()
-	claims, last, done := log.store.Page(0, 1<<20)
-	fmt.Fprintf(text, "claims: %d, last %d, done %v, whole as %d, membership %d\n", len(claims), last, done, log.completeVoter(), log.membership.Value.Serial)
+	defer log.Close()
+	claims, last, done := log.Store().Page(0, 1<<20)
+	fmt.Fprintf(text, "claims: %d, last %d, done %v, whole as %d, membership %d\n", len(claims), last, done, completeAs(log), log.Membership().Value.Serial)
 	for _, claimed := range claims {
 		fmt.Fprintf(text, "  %s/%s/%s %s by %s: stage %d, status %d, %d headers, body %x\n", claimed.Key.Tenant, claimed.Key.Service, claimed.Key.Key,
 			claimed.ID, claimed.Holder, claimed.Stage, claimed.Status, len(claimed.Header), message.DigestOf(claimed.Body))
@@ -138,7 +152,7 @@
 // describe opens a core's data folder and says all that is in it.
 func describe(test *testing.T, disk storage.Disk) string {
 	test.Helper()
-	store, err := OpenStore(disk)
+	store, err := replica.OpenStore(disk)
 	if err != nil {
 		test.Fatal(err)
 	}
--- a/control/table.go
+++ b/control/table.go
@@ -1,14 +1,65 @@
 package control
 
 import (
-	"orchidjunction/message"
-	"orchidjunction/rpc"
 	"slices"
-	"sort"
+	"strings"
 	"time"
+
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
-// buildTable is the leader's duty: members by their sessions, backends by the platform.
+// everything is a serial that is newer than any: a FetchRequest with it asks for nothing
+// of that kind.
+const everything = ^uint64(0)
+
+// tableState is the newest table that a core holds, and the version that the leader
+// announced. The core's mutex guards it.
+type tableState struct {
+	current *message.Table
+	log     *message.TableLog
+	wanted  message.TableVersion
+}
+
+func newTableState() tableState {
+	return tableState{current: &message.Table{}, log: message.NewTableLog()}
+}
+
+// addTo adds the table, or what changed in it, to a response if it is newer than a version.
+func (state *tableState) addTo(response *message.FetchResponse, than message.TableVersion) {
+	if !than.Less(state.current.Version) {
+		return
+	}
+	delta, isKnown := state.log.Since(than, state.current)
+	response.Delta = delta
+	if !isKnown {
+		response.Table = state.current
+	}
+}
+
+// Table returns the newest table. It must not be changed.
+func (core *Core) Table() *message.Table {
+	core.mutex.Lock()
+	defer core.mutex.Unlock()
+	return core.tables.current
+}
+
+// setTable takes a table if it is newer than the one held.
+func (core *Core) setTable(table *message.Table) {
+	core.mutex.Lock()
+	isNewer := core.tables.current.Version.Less(table.Version)
+	if isNewer {
+		core.tables.log.Record(core.tables.current, table)
+		core.tables.current = table
+	}
+	core.mutex.Unlock()
+	if isNewer {
+		core.updates.Notify()
+	}
+}
+
+// buildTable is the leader's task to make a table of the daemons that have a session and
+// of the backends that the platform lists, if anything changed.
 func (core *Core) buildTable() {
 	leadership, err := core.currentLeadership()
 	if err != nil && core.config.DirectSessions && core.neverHeardLeader() {
@@ -17,118 +68,146 @@
 	if err != nil || leadership.check() != nil {
 		return
 	}
-	before := core.Table()
+	former := core.Table()
 	sessions := core.sessions.active(0)
-	if before.Version.Term.Number == 0 || !before.Complete {
-		before = core.recoverTable(before, sessions)
+	if former.Version.Term.Number == 0 || !former.Complete {
+		former = core.recoverTable(former, sessions)
 	}
-	if before.Version.Term.Number == 0 && time.Since(leadership.since) < core.config.firstTableDelay() {
+	if former.Version.Term.Number == 0 && time.Since(leadership.since) < core.config.firstTableDelay() {
 		return
 	}
-	next := &message.Table{Version: message.TableVersion{Term: leadership.term, Number: 1}, Members: []message.Member{}, Backends: before.Backends, Complete: before.Complete}
-	if before.Version.Term == leadership.term {
-		next.Version.Number = before.Version.Number + 1
+	next := core.nextTable(leadership, former, sessions)
+	if former.Version.Term == leadership.term && sameTable(former, next) {
+		return
 	}
-	known := map[string]bool{}
-	for _, held := range sessions {
-		next.Members = append(next.Members, held.session.Member)
-		known[held.session.Member.Name] = true
+	core.counters.Add("tables", 1)
+	core.setTable(next)
+}
+
+// nextTable returns the table that follows a former one.
+func (core *Core) nextTable(leadership *Leadership, former *message.Table, sessions []trackedSession) *message.Table {
+	next := &message.Table{
+		Version:  message.TableVersion{Term: leadership.term, Number: 1},
+		Members:  core.nextMembers(leadership, former.Members, sessions),
+		Backends: former.Backends,
+		Complete: former.Complete,
+	}
+	if former.Version.Term == leadership.term {
+		next.Version.Number = former.Version.Number + 1
+	}
+	if backends, isComplete := core.backends.Backends(); isComplete {
+		next.Backends, next.Complete = backends, true
 	}
-	if time.Since(leadership.since) < core.config.SessionTTL || core.sessions.massLapse(before.Members, known) {
-		for _, member := range before.Members {
-			if !known[member.Name] && !core.sessions.ended(member.Name) {
-				next.Members = append(next.Members, member)
+	next.Backends = core.probeHints.apply(next.Backends, former.Backends)
+	return next
+}
+
+// nextMembers returns the daemons that have a session and those that are not given up
+// yet: all until daemons had the time to speak to a new leader, or to the cores that they
+// were cut off from.
+func (core *Core) nextMembers(leadership *Leadership, former []message.Member, sessions []trackedSession) []message.Member {
+	members := []message.Member{}
+	isActive := map[string]bool{}
+	for _, tracked := range sessions {
+		members = append(members, tracked.session.Member)
+		isActive[tracked.session.Member.Name] = true
+	}
+	isNewLeader := time.Since(leadership.since) < core.config.SessionTTL
+	if isNewLeader || core.sessions.massLapse(former, isActive) {
+		for _, member := range former {
+			if !isActive[member.Name] && !core.sessions.ended(member.Name) {
+				members = append(members, member)
 			}
 		}
 	}
-	sort.Slice(next.Members, func(left, right int) bool { return next.Members[left].Name < next.Members[right].Name })
-	if backends, whole := core.backends.sortedBackends(); whole {
-		next.Backends, next.Complete = backends, true
-	}
-	next.Backends = core.probeHints.apply(next.Backends, before.Backends)
-	if before.Version.Term == leadership.term && sameTable(before, next) {
-		return
-	}
-	core.counters.Add("tables", 1)
-	core.setTable(next)
+	slices.SortFunc(members, func(left, right message.Member) int { return strings.Compare(left.Name, right.Name) })
+	return members
 }
 
-// sameTable is whether two tables say the same.
-func sameTable(before, next *message.Table) bool {
-	return before.Complete == next.Complete && slices.Equal(before.Members, next.Members) && sameBackends(before.Backends, next.Backends)
+// sameTable reports whether two tables differ in their versions alone.
+func sameTable(former, next *message.Table) bool {
+	return former.Complete == next.Complete && slices.Equal(former.Members, next.Members) && sameBackends(former.Backends, next.Backends)
 }
 
-// sameBackends is quick where both are one list.
-func sameBackends(before, next []message.Backend) bool {
-	return len(before) == len(next) && (len(before) == 0 || &before[0] == &next[0] || slices.Equal(before, next))
+// sameBackends compares two lists; it is fast if both are one.
+func sameBackends(former, next []message.Backend) bool {
+	if len(former) != len(next) {
+		return false
+	}
+	return len(former) == 0 || &former[0] == &next[0] || slices.Equal(former, next)
 }
 
-// buildTableBeforeLeader is what a core that heard of no leader since its start tells the
-// daemons that come to it. Every leader's table is newer. It names no cold backend:
-// that has no owner yet, and cores differ on when it is warm.
+// buildTableBeforeLeader makes the table of a core that has heard of no leader since its
+// start, for the daemons that come to it. Every leader's table is newer. It names no cold
+// backend: that has no owner yet, and cores differ on when it is warm.
 func (core *Core) buildTableBeforeLeader() {
-	before := core.Table()
-	backends, whole := core.backends.sortedBackends()
-	if before.Version.Term.Number > 0 || !whole {
+	former := core.Table()
+	backends, isComplete := core.backends.Backends()
+	if former.Version.Term.Number > 0 || !isComplete {
 		return
 	}
-	next := &message.Table{Version: message.TableVersion{Number: before.Version.Number + 1}, Complete: true}
+	next := &message.Table{Version: message.TableVersion{Number: former.Version.Number + 1}, Complete: true}
 	now := core.Now()
 	for _, backend := range backends {
 		if backend.WarmAtMs <= now {
 			next.Backends = append(next.Backends, backend)
 		}
 	}
-	for _, held := range core.sessions.active(0) {
-		next.Members = append(next.Members, held.session.Member)
+	for _, tracked := range core.sessions.active(0) {
+		next.Members = append(next.Members, tracked.session.Member)
 	}
-	if sameTable(before, next) {
+	if sameTable(former, next) {
 		return
 	}
 	core.counters.Add("tables_before_a_leader", 1)
 	core.setTable(next)
 }
 
-// recoverTable rebuilds from a daemon that still holds what the cores lost.
+// recoverTable fetches the newest table from a daemon that still holds what the cores lost.
 func (core *Core) recoverTable(table *message.Table, sessions []trackedSession) *message.Table {
-	best, from := table.Version, ""
-	for _, held := range sessions {
-		if best.Less(held.session.Table) {
-			best, from = held.session.Table, held.session.Member.InternalAddress
+	newest, source := table.Version, ""
+	for _, tracked := range sessions {
+		if newest.Less(tracked.session.Table) {
+			newest, source = tracked.session.Table, tracked.session.Member.InternalAddress
 		}
 	}
-	if from == "" {
+	if source == "" {
 		return table
 	}
-	response, err := rpc.Call[message.FetchRequest, message.FetchResponse](core.client, from, "fetch", core.callTimeout(), &message.FetchRequest{Serial: ^uint64(0), Routing: ^uint64(0), Table: table.Version})
-	if err == nil && response.Delta != nil {
-		response.Table, _ = table.Apply(response.Delta)
-	}
-	if err != nil || response.Table == nil {
+	recovered, err := core.fetchTable(source, table)
+	if err != nil || recovered == nil {
 		core.counters.Add("tables_not_rebuilt", 1)
 		return table
 	}
 	core.counters.Add("tables_rebuilt", 1)
-	return response.Table
+	return recovered
 }
 
-// followTable keeps the leader's table at the other cores.
+// followTable fetches the leader's table at the other cores.
 func (core *Core) followTable() {
 	core.mutex.Lock()
-	leader, wanted, held, isLeader := core.leader, core.wantedTable, core.table.Version, core.leadership != nil
+	leader, isLeader := core.election.leader, core.leadership != nil
+	held, wanted := core.tables.current, core.tables.wanted
 	core.mutex.Unlock()
-	if isLeader || !leader.Known() || !held.Less(wanted) {
+	if isLeader || !leader.Known() || !held.Version.Less(wanted) {
 		return
 	}
-	response, err := rpc.Call[message.FetchRequest, message.FetchResponse](core.client, leader.Address, "fetch", core.callTimeout(), &message.FetchRequest{Serial: ^uint64(0), Routing: ^uint64(0), Table: held})
+	if table, err := core.fetchTable(leader.Address, held); err == nil && table != nil {
+		core.setTable(table)
+	}
+}
+
+// fetchTable returns the newer table that a process at an address holds, nil if it has
+// none.
+func (core *Core) fetchTable(address string, held *message.Table) (*message.Table, error) {
+	request := &message.FetchRequest{Serial: everything, Routing: everything, Table: held.Version}
+	response, err := rpc.Call[message.FetchRequest, message.FetchResponse](core.client, address, "fetch", core.callTimeout(), request)
 	if err != nil {
-		return
+		return nil, err
 	}
-	if response.Table != nil {
-		core.setTable(response.Table)
-	} else if response.Delta != nil {
-		if table, fits := core.Table().Apply(response.Delta); fits {
-			core.setTable(table)
-		}
+	if response.Table != nil || response.Delta == nil {
+		return response.Table, nil
 	}
+	table, _ := held.Apply(response.Delta)
+	return table, nil
 }
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -7,37 +7,34 @@
 	"testing"
 	"time"
 
+	"orchidjunction/discovery"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
 )
 
-// listed is a reader that has read a list of so many backends, and the list.
-func listed(count int) (*BackendReader, *[]message.Backend) {
+// listed is a reader that has read a list of so many backends.
+func listed(count int) *discovery.Reader {
 	list := make([]message.Backend, 0, count)
 	for number := range count {
 		list = append(list, message.Backend{Name: fmt.Sprintf("backend-%06d", (number*7919)%count), Service: "service", Address: "10.0.0.1:80", Zone: "zone", Capacity: 16})
 	}
-	place := &Config{ListsUntilGone: 2, ListInterval: time.Second, ListBackends: func(context.Context, string) Listing { return Listing{Backends: list} }}
-	reader := newBackendReader(place, nil, func() int64 { return 0 }, metrics.NewCounters())
-	readOnce(reader)
-	return reader, &list
-}
-
-func readOnce(reader *BackendReader) {
-	reader.read(func(time.Duration) bool { return true }, func() bool { return true })
+	lister := func(context.Context, string) discovery.Page { return discovery.Page{Backends: list} }
+	reader := discovery.NewReader(discovery.Options{Lister: lister, Interval: time.Second, ListsUntilGone: 2, Now: func() int64 { return 0 }}, metrics.NewCounters())
+	reader.Read(func(time.Duration) bool { return true }, func() bool { return true })
+	return reader
 }
 
 // What the leader does at each table pace while nothing changes.
 func BenchmarkUnchangedTable(bench *testing.B) {
 	for _, count := range []int{100, 1000, 10000, 85000} {
 		bench.Run(fmt.Sprint(count), func(bench *testing.B) {
-			reader, _ := listed(count)
+			reader := listed(count)
 			hints := newProbeHints()
-			backends, _ := reader.sortedBackends()
+			backends, _ := reader.Backends()
 			before := &message.Table{Backends: hints.apply(backends, nil), Complete: true}
 			for bench.Loop() {
-				backends, _ := reader.sortedBackends()
+				backends, _ := reader.Backends()
 				next := &message.Table{Backends: hints.apply(backends, before.Backends), Complete: true}
 				if !sameTable(before, next) {
 					bench.Fatal("a table that did not change is called another one")
@@ -47,42 +44,6 @@
 	}
 }
 
-// A list that is kept sorted changes with every list that differs, and what was
-// given out before stays as it was.
-func TestListFollowsWhatIsRead(test *testing.T) {
-	reader, list := listed(5)
-	first, whole := reader.sortedBackends()
-	if !whole || len(first) != 5 || first[0].Name != "backend-000000" || first[4].Name != "backend-000004" {
-		test.Fatalf("%v, whole %v", first, whole)
-	}
-	kept := slices.Clone(first)
-	readOnce(reader)
-	if again, _ := reader.sortedBackends(); &again[0] != &first[0] {
-		test.Error("sorted anew though nothing changed")
-	}
-	(*list)[0].Leaving = true
-	readOnce(reader)
-	if changed, _ := reader.sortedBackends(); !changed[0].Leaving {
-		test.Error("a backend that leaves is not told")
-	}
-	*list = append((*list)[:1:1], append((*list)[2:], message.Backend{Name: "backend-000009", Service: "service", Address: "10.0.0.9:80"})...)
-	readOnce(reader)
-	if more, _ := reader.sortedBackends(); len(more) != 6 {
-		test.Errorf("%d backends after one came and one was missed once", len(more))
-	}
-	readOnce(reader)
-	if fewer, _ := reader.sortedBackends(); len(fewer) != 5 || fewer[4].Name != "backend-000009" {
-		test.Errorf("%v after one was missed twice", fewer)
-	}
-	if !slices.Equal(first, kept) {
-		test.Error("a list that was given out changed")
-	}
-	reader.reset(first)
-	if begun, whole := reader.sortedBackends(); whole || !slices.Equal(begun, kept) {
-		test.Errorf("%v, whole %v, though reading began from another table", begun, whole)
-	}
-}
-
 // Counts are laid over backends without changing the list they come from, and
 // never fall below those of the table before.
 func TestStirsAreLaidOnACopy(test *testing.T) {
--- /dev/null
+++ b/control/usage_reports.go
@@ -0,0 +1,137 @@
+package control
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"time"
+
+	"orchidjunction/concurrent"
+	"orchidjunction/conf"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
+	"orchidjunction/usage"
+)
+
+const (
+	usageInterval      = 50 * time.Millisecond
+	maxUsageDeliveries = 64
+	reportTimeout      = 2 * time.Second
+	maxReportResponse  = 1 << 16
+)
+
+// onUsageCount takes the counts that a process tells at once, if this core leads.
+func (core *Core) onUsageCount(request *message.UsageCountRequest) (*message.UsageCountResponse, error) {
+	if _, err := core.currentLeadership(); err != nil {
+		return nil, err
+	}
+	core.usage.Add(request.Incarnation, request.Usage)
+	return &message.UsageCountResponse{}, nil
+}
+
+// usageState returns this core's leadership and the state of its reports register, nil if
+// there is none to work on.
+func (core *Core) usageState() (*Leadership, *usage.State) {
+	leadership, err := core.currentLeadership()
+	if err != nil || leadership.check() != nil || core.config.PlatformAddress == "" {
+		return nil, nil
+	}
+	state, err := usage.DecodeState(leadership.value(message.ReportsRegister))
+	if err != nil {
+		core.counters.Add("usage_book_unreadable", 1)
+		return nil, nil
+	}
+	return leadership, state
+}
+
+// sealUsage is the leader's task to seal what it was told, and to end a period that is
+// over.
+func (core *Core) sealUsage() {
+	leadership, state := core.usageState()
+	if state == nil {
+		return
+	}
+	settings := leadership.settings()
+	if settings.serial == 0 {
+		return
+	}
+	if !core.usage.HasNew(state) && !core.usage.PeriodOver(leadership.term) {
+		return
+	}
+	if err := core.writeUsage(leadership, settings.tree.Settings); err != nil {
+		core.counters.Add("usage_seals_failed", 1)
+	}
+}
+
+// writeUsage has a quorum accept the running counts, and with them the reports of an
+// ended period, before any is sent.
+func (core *Core) writeUsage(leadership *Leadership, settings *conf.Settings) error {
+	endsPeriod, now := core.usage.PeriodOver(leadership.term), time.Now()
+	_, err := leadership.write(message.ReportsRegister, func(current message.Value) (*proposal, error) {
+		former, err := usage.DecodeState(current)
+		if err != nil {
+			return nil, err
+		}
+		next := core.usage.Next(former, usage.Sealing{
+			Partner:    settings.Partner,
+			Tenants:    settings.TenantNames(),
+			WallMs:     core.config.Wall(),
+			SinceMs:    core.usage.SinceSealed(leadership.term, now),
+			EndsPeriod: endsPeriod,
+		})
+		body, err := rpc.Marshal(next)
+		if err != nil {
+			return nil, err
+		}
+		value := message.Value{Serial: current.Serial + 1, Body: body}
+		return &proposal{value: value, accepted: func() { core.usage.Sealed(leadership.term, now, endsPeriod) }}, nil
+	})
+	return err
+}
+
+// deliverUsage is the leader's task to send what is sealed. A slow response holds up no
+// other report.
+func (core *Core) deliverUsage() {
+	_, state := core.usageState()
+	if state == nil {
+		return
+	}
+	unsent := []usage.Report{}
+	for _, report := range state.Pending {
+		if len(unsent) < maxUsageDeliveries && !core.usage.IsDelivered(report.ID) {
+			unsent = append(unsent, report)
+		}
+	}
+	concurrent.Gather(core.goroutines, len(unsent), func(index int) (struct{}, error) {
+		if core.deliverReport(unsent[index]) {
+			core.usage.Deliver(unsent[index].ID)
+			core.counters.Add("usage_reports_delivered", 1)
+		}
+		return struct{}{}, nil
+	}, func(map[int]struct{}, map[int]error) bool { return false })
+}
+
+// deliverReport sends a report to the platform and reports whether it was accepted.
+func (core *Core) deliverReport(report usage.Report) bool {
+	body, err := json.Marshal(report)
+	if err != nil {
+		return false
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+core.config.PlatformAddress+"/v1/usage", bytes.NewReader(body))
+	if err != nil {
+		return false
+	}
+	request.Header.Set("Content-Type", "application/json")
+	response, err := core.platformClient.Do(request)
+	if err != nil {
+		core.counters.Add("usage_reports_unsent", 1)
+		return false
+	}
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReportResponse)) // the status alone tells; the rest only frees the connection
+	return response.StatusCode >= 200 && response.StatusCode < 300
+}
--- a/data/claim_messages.go
+++ b/data/claim_messages.go
@@ -20,7 +20,7 @@
 		return claims.grant(claim), nil
 	})
 	rpc.Handle(server, "settle", func(_ context.Context, settle *message.CompleteClaimRequest) (*message.CompleteClaimResponse, error) {
-		claims.keeper.Settle(settle)
+		claims.keeper.Complete(settle)
 		return &message.CompleteClaimResponse{}, nil
 	})
 	rpc.Handle(server, "holds", func(_ context.Context, holds *message.QueryHolderRequest) (*message.QueryHolderResponse, error) {
@@ -30,7 +30,7 @@
 		return claims.onHolds(holds), nil
 	})
 	rpc.Handle(server, "retell", func(_ context.Context, retell *message.MergeClaimsRequest) (*message.MergeClaimsResponse, error) {
-		claims.keeper.Retell(retell.Claims)
+		claims.keeper.Merge(retell.Claims)
 		return &message.MergeClaimsResponse{}, nil
 	})
 	rpc.Handle(server, "pull", func(_ context.Context, pull *message.FetchClaimsRequest) (*message.FetchClaimsResponse, error) {
@@ -53,7 +53,7 @@
 	claims.mutex.Lock()
 	runs := claims.running[holds.Key] == holds.ID
 	claims.mutex.Unlock()
-	if held, found := claims.keeper.Held(holds.Key); found && held.ID == holds.ID && held.Stage != message.ClaimRunning {
+	if held, found := claims.keeper.Get(holds.Key); found && held.ID == holds.ID && held.Stage != message.ClaimRunning {
 		return &message.QueryHolderResponse{Known: true, Record: held}
 	}
 	return &message.QueryHolderResponse{Known: runs, Record: message.ClaimRecord{Key: holds.Key, ID: holds.ID, Stage: message.ClaimRunning}}
@@ -78,7 +78,7 @@
 	claims.coreStore.enqueue(pendingUpdate{settle: settle})
 	for _, keeper := range ring {
 		if keeper.Name == claims.proxy.daemon.Name() {
-			claims.keeper.Settle(settle)
+			claims.keeper.Complete(settle)
 			continue
 		}
 		claims.proxy.goroutines.Start(func() {
--- a/data/claims.go
+++ b/data/claims.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"orchidjunction/concurrent"
-	"orchidjunction/keep"
+	"orchidjunction/idempotency"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
 
@@ -28,7 +28,7 @@
 // by a majority of cores while they can be reached.
 type Claims struct {
 	proxy     *Proxy
-	keeper    *keep.Book
+	keeper    *idempotency.Store
 	coreStore *coreStore
 
 	mutex   sync.Mutex
@@ -40,7 +40,7 @@
 }
 
 func newClaims(proxy *Proxy) *Claims {
-	return &Claims{proxy: proxy, keeper: keep.NewBook(), coreStore: newCoreStore(proxy), rings: []heldRing{{keepers: &Keepers{}}}, running: map[message.ClaimKey]string{}}
+	return &Claims{proxy: proxy, keeper: idempotency.NewStore(), coreStore: newCoreStore(proxy), rings: []heldRing{{keepers: &Keepers{}}}, running: map[message.ClaimKey]string{}}
 }
 
 // Whole reports whether this proxy holds every key that it should, so that its
@@ -67,7 +67,7 @@
 // grow makes this proxy a keeper once it knows what the others keep, or when
 // no keeper is known to anybody.
 func (claims *Claims) grow() {
-	if claims.Grown() && !claims.Whole() && claims.coreStore.restore(claims.keeper.Retell) {
+	if claims.Grown() && !claims.Whole() && claims.coreStore.restore(claims.keeper.Merge) {
 		claims.mutex.Lock()
 		claims.whole = true
 		claims.mutex.Unlock()
@@ -94,7 +94,7 @@
 	}
 	asked := append(append([]message.Member{}, others...), peers...)
 	got, _ := concurrent.Gather(claims.proxy.goroutines, len(asked), func(index int) (*message.FetchClaimsResponse, error) {
-		return pullAll(claims.proxy.daemon.Line(), asked[index].InternalAddress, message.AcceptedValue{}, claims.keeper.Retell)
+		return pullAll(claims.proxy.daemon.Line(), asked[index].InternalAddress, message.AcceptedValue{}, claims.keeper.Merge)
 	}, func(map[int]*message.FetchClaimsResponse, map[int]error) bool { return false })
 	grown, wholes := 0, 0
 	for index, response := range got {
@@ -199,7 +199,7 @@
 			claimed.Status = 0
 		}
 	}
-	claims.keeper.Settle(&message.CompleteClaimRequest{Record: claimed})
+	claims.keeper.Complete(&message.CompleteClaimRequest{Record: claimed})
 	claims.mutex.Lock()
 	delete(claims.running, claimed.Key)
 	claims.mutex.Unlock()
--- a/data/proxy.go
+++ b/data/proxy.go
@@ -86,7 +86,7 @@
 	shares = max(shares, 1)
 	proxy.budget.setProxies(shares)
 	proxy.budget.setLimits(version.Settings.Retry.Fraction, version.Settings.Retry.Floor)
-	proxy.claims.keeper.Remember(version.Settings.Remember())
+	proxy.claims.keeper.SetTTL(version.Settings.Remember())
 	proxy.admission.Apply(version.Settings, version.Table, proxy.daemon.Name())
 	next := &plan{services: map[string][]*Target{}, complete: version.Table.Complete, proxies: shares}
 	next.routes = proxy.plan.Load().next(version)
--- a/control/claimfence_test.go
+++ b/idempotency/fence_test.go
@@ -1,30 +1,31 @@
-package control
+package idempotency
 
 import (
 	"testing"
 
 	"orchidjunction/concurrent"
+	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/storage"
 )
 
 // claimLogOn opens the claim log of a folder and runs its writing thread.
-func claimLogOn(test *testing.T, folder string) (*ClaimLog, func()) {
+func claimLogOn(test *testing.T, folder string) (*Log, func()) {
 	test.Helper()
 	goroutines := concurrent.NewGroup()
-	log, err := openClaimLog(storage.Folder(folder), 0, metrics.NewCounters())
+	log, err := OpenLog(storage.Folder(folder), 0, metrics.NewCounters())
 	if err != nil {
 		test.Fatal(err)
 	}
-	goroutines.Start(log.runWriter)
+	goroutines.Start(log.RunWriter)
 	return log, func() {
-		log.queue.Close()
+		log.Stop()
 		goroutines.Wait()
 		if log.journal.Err() != nil || log.counters.All()["claim_disk_faults"] > 0 {
 			test.Error("refused by the disk: ", log.journal.Err())
 		}
-		log.journal.Close()
+		log.Close()
 	}
 }
 
@@ -36,15 +37,15 @@
 // Once another core was told the claims under a membership, nothing is kept that is
 // counted by an older one, also after a restart: the other core would never see it.
 func TestClaimsAreFencedByMembership(test *testing.T) {
-	former := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
-	step := former.withReplacement(3, "10.0.0.4:1")
+	former := consensus.InitialMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
+	step := former.WithReplacement(3, "10.0.0.4:1")
 	step.Version.Term = message.Term{Number: 4, Core: 1}
-	again := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
+	again := consensus.InitialMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	again.Version.Term = message.Term{Number: 6, Core: 2}
 	folder := test.TempDir()
 	log, end := claimLogOn(test, folder)
 	for number, try := range []struct {
-		under   *Membership
+		under   *consensus.Membership
 		restart bool
 		refused bool
 	}{
@@ -61,11 +62,11 @@
 			end()
 			log, end = claimLogOn(test, folder)
 		}
-		wait := &pendingWrite{request: claimOf(string(rune('a' + number))), membership: try.under.accepted()}
-		if err := log.submit(wait); err != nil || wait.refused != try.refused {
-			test.Errorf("try %d: refused %v, %v", number, wait.refused, err)
+		wait := &Write{Request: claimOf(string(rune('a' + number))), Membership: try.under.Accepted()}
+		if err := log.Submit(wait); err != nil || wait.Refused != try.refused {
+			test.Errorf("try %d: refused %v, %v", number, wait.Refused, err)
 		}
-		if _, found := log.store.Held(wait.request.Claims[0].Record.Key); found == try.refused {
+		if _, found := log.store.Get(wait.Request.Claims[0].Record.Key); found == try.refused {
 			test.Errorf("try %d: kept %v", number, found)
 		}
 	}
@@ -76,14 +77,14 @@
 // core without a vote.
 func TestWholeClaimsAreOneVoters(test *testing.T) {
 	folder := test.TempDir()
-	members := firstMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
+	members := consensus.InitialMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	log, end := claimLogOn(test, folder)
-	if err := log.submit(&pendingWrite{request: &message.RecordClaimsRequest{}, membership: members.accepted(), completeAs: 2}); err != nil {
+	if err := log.Submit(&Write{Request: &message.RecordClaimsRequest{}, Membership: members.Accepted(), CompleteAs: 2}); err != nil {
 		test.Fatal(err)
 	}
 	for range 2 {
-		if !log.Complete(2) || log.Complete(5) || log.Complete(0) {
-			test.Errorf("whole as 2: %v, as 5: %v, without a vote: %v", log.Complete(2), log.Complete(5), log.Complete(0))
+		if !log.CompleteFor(2) || log.CompleteFor(5) || log.CompleteFor(0) {
+			test.Errorf("whole as 2: %v, as 5: %v, without a vote: %v", log.CompleteFor(2), log.CompleteFor(5), log.CompleteFor(0))
 		}
 		end()
 		log, end = claimLogOn(test, folder)
--- a/control/claims_power_test.go
+++ b/idempotency/power_test.go
@@ -1,4 +1,4 @@
-package control_test
+package idempotency_test
 
 import (
 	"fmt"
@@ -7,15 +7,16 @@
 	"testing/synctest"
 	"time"
 
-	"orchidjunction/control"
-	"orchidjunction/keep"
+	"orchidjunction/idempotency"
 	"orchidjunction/message"
 	"orchidjunction/sim"
 )
 
+const smallSegment = 6000
+
 // claimKeeper drives a claim log and remembers what was granted, and when.
 type claimKeeper struct {
-	claims  *control.TestClaims
+	claims  *idempotency.TestLog
 	random  *rand.Rand
 	granted map[message.ClaimKey]time.Time
 	refused map[message.ClaimKey]time.Time
@@ -23,7 +24,7 @@
 }
 
 func (keeper *claimKeeper) open(disk *sim.Disk) error {
-	claims, err := control.OpenTestClaims(disk, smallSegment)
+	claims, err := idempotency.OpenTestLog(disk, smallSegment)
 	keeper.claims = claims
 	return err
 }
@@ -59,7 +60,7 @@
 // lost names a key that was granted, is not yet to be forgotten, and is not held.
 func (keeper *claimKeeper) lost() string {
 	for key, at := range keeper.granted {
-		if time.Since(at) >= keep.FirstSpan {
+		if time.Since(at) >= idempotency.DefaultTTL {
 			delete(keeper.granted, key)
 		} else if _, found := keeper.claims.Held(key); !found {
 			return key.Key
@@ -90,7 +91,7 @@
 				for keeper.step() {
 					time.Sleep(time.Duration(random.IntN(40)) * time.Second)
 					if random.IntN(30) == 0 {
-						time.Sleep(keep.FirstSpan)
+						time.Sleep(idempotency.DefaultTTL)
 					}
 				}
 				disk = disk.Sever(random.IntN(4) > 0)
--- a/control/power_test.go
+++ b/replica/power_test.go
@@ -1,12 +1,12 @@
-package control_test
+package replica_test
 
 import (
 	"math/rand/v2"
 	"strings"
 	"testing"
 
-	"orchidjunction/control"
 	"orchidjunction/message"
+	"orchidjunction/replica"
 	"orchidjunction/sim"
 )
 
@@ -16,8 +16,8 @@
 type witness struct {
 	test     *testing.T
 	random   *rand.Rand
-	voter    *control.Replica
-	store    *control.Store
+	voter    *replica.Replica
+	store    *replica.Store
 	round    uint64
 	promised message.Term
 	marks    message.Versions
@@ -27,13 +27,13 @@
 // open starts a voter on the disk; what was answered for must be there, and what
 // is there counts as answered for once the disk has taken it anew.
 func (witness *witness) open(disk *sim.Disk) error {
-	store, err := control.OpenStore(disk)
+	store, err := replica.OpenStore(disk)
 	if err != nil {
 		return err
 	}
 	store.LimitSegments(smallSegment)
 	witness.store = store
-	witness.voter = control.NewReplica(store, func(error) {}, func(message.Term) {})
+	witness.voter = replica.New(store, noCallbacks())
 	witness.judge()
 	if store.Err() == nil {
 		witness.promised, witness.marks = witness.voter.State().Promised, witness.voter.State().Versions()
--- a/control/voter_test.go
+++ b/replica/replica_test.go
@@ -1,30 +1,45 @@
-package control_test
+package replica_test
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"orchidjunction/control"
 	"orchidjunction/message"
+	"orchidjunction/replica"
 	"orchidjunction/rpc"
 	"orchidjunction/sim"
 
 	"github.com/cockroachdb/datadriven"
 )
 
+// noCallbacks ignore all that changes.
+func noCallbacks() replica.Callbacks {
+	return replica.Callbacks{DiskFailed: func(error) {}, PromiseRaised: func(message.Term) {}, MembershipAccepted: func(message.AcceptedValue) {}}
+}
+
+// failing are callbacks that fail the test when the disk fails.
+func failing(test *testing.T) replica.Callbacks {
+	callbacks := noCallbacks()
+	callbacks.DiskFailed = func(err error) { test.Error(err) }
+	return callbacks
+}
+
 // TestVoter sends one message after another, each changed in one thing, and
 // shows what was answered and what a power loss would leave.
 func TestVoter(test *testing.T) {
-	datadriven.Walk(test, "testdata/voter", func(test *testing.T, path string) {
+	datadriven.Walk(test, "testdata/replica", func(test *testing.T, path string) {
 		disk := sim.NewDisk(1)
 		raised := []string{}
-		open := func() *control.Replica {
-			store, err := control.OpenStore(disk)
+		open := func() *replica.Replica {
+			store, err := replica.OpenStore(disk)
 			if err != nil {
 				test.Fatal(err)
 			}
-			return control.NewReplica(store, func(err error) { raised = append(raised, string(rpc.CodeOf(err))) }, func(term message.Term) { raised = append(raised, "raised to "+term.String()) })
+			callbacks := noCallbacks()
+			callbacks.DiskFailed = func(err error) { raised = append(raised, string(rpc.CodeOf(err))) }
+			callbacks.PromiseRaised = func(term message.Term) { raised = append(raised, "raised to "+term.String()) }
+			return replica.New(store, callbacks)
 		}
 		voter := open()
 		datadriven.RunTest(test, path, func(test *testing.T, line *datadriven.TestData) string {
--- a/control/restored_test.go
+++ b/replica/restored_test.go
@@ -1,21 +1,21 @@
-package control_test
+package replica_test
 
 import (
 	"testing"
 
-	"orchidjunction/control"
 	"orchidjunction/message"
+	"orchidjunction/replica"
 	"orchidjunction/sim"
 )
 
 // A blank disk that took over what others hold has accepted it under its own
 // ballot only: counted under theirs, copies of one vote would look like a majority.
 func TestTakenOverIsNoVoteOfTheFormerBallot(test *testing.T) {
-	store, err := control.OpenStore(sim.NewDisk(1))
+	store, err := replica.OpenStore(sim.NewDisk(1))
 	if err != nil {
 		test.Fatal(err)
 	}
-	voter := control.NewReplica(store, func(err error) { test.Error(err) }, func(message.Term) {})
+	voter := replica.New(store, failing(test))
 	accepted := [message.Registers]message.AcceptedValue{}
 	accepted[message.RoutingRegister] = message.AcceptedValue{Term: message.Term{Number: 3, Core: 2}, Value: message.Value{Serial: 7, Body: []byte("routing")}}
 	own := message.Term{Number: 5, Core: 1}
--- a/control/stall_test.go
+++ b/replica/stall_test.go
@@ -1,4 +1,4 @@
-package control_test
+package replica_test
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 	"time"
 
 	"orchidjunction/concurrent"
-	"orchidjunction/control"
 	"orchidjunction/message"
+	"orchidjunction/replica"
 	"orchidjunction/rpc"
 	"orchidjunction/sim"
 )
@@ -17,11 +17,11 @@
 func TestStalledVoterRefusesWhoComesLate(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		disk, goroutines := sim.NewDisk(1), concurrent.NewGroup()
-		store, err := control.OpenStore(disk)
+		store, err := replica.OpenStore(disk)
 		if err != nil {
 			test.Fatal(err)
 		}
-		voter := control.NewReplica(store, func(err error) { test.Error(err) }, func(message.Term) {})
+		voter := replica.New(store, failing(test))
 		if err := voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
 			test.Fatal(err)
 		}
--- a/control/store_test.go
+++ b/replica/store_test.go
@@ -1,4 +1,4 @@
-package control_test
+package replica_test
 
 import (
 	"fmt"
@@ -6,26 +6,27 @@
 	"strings"
 	"testing"
 
-	"orchidjunction/control"
+	"orchidjunction/consensus"
 	"orchidjunction/message"
+	"orchidjunction/replica"
 	"orchidjunction/rpc"
 	"orchidjunction/sim"
 )
 
 // fill makes steps on a voter and returns what it answered for last.
-func fill(test *testing.T, disk *sim.Disk, random *rand.Rand, steps int) control.State {
+func fill(test *testing.T, disk *sim.Disk, random *rand.Rand, steps int) *consensus.State {
 	test.Helper()
 	return take(founded(test, disk), random, steps)
 }
 
 // founded is a voter on the disk.
-func founded(test *testing.T, disk *sim.Disk) *control.Replica {
+func founded(test *testing.T, disk *sim.Disk) *replica.Replica {
 	test.Helper()
-	store, err := control.OpenStore(disk)
+	store, err := replica.OpenStore(disk)
 	if err != nil {
 		test.Fatal(err)
 	}
-	voter := control.NewReplica(store, func(err error) { test.Error(err) }, func(message.Term) {})
+	voter := replica.New(store, failing(test))
 	if err := voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
 		test.Fatal(err)
 	}
@@ -33,7 +34,7 @@
 }
 
 // take makes steps and returns what was answered for last.
-func take(voter *control.Replica, random *rand.Rand, steps int) control.State {
+func take(voter *replica.Replica, random *rand.Rand, steps int) *consensus.State {
 	for range steps {
 		term := voter.State().Promised
 		term.Number++
@@ -44,7 +45,7 @@
 		}
 		_, _ = voter.Accept(&message.AcceptRequest{Term: term, Register: message.Register(random.IntN(2)), Value: message.Value{Serial: term.Number, Body: make([]byte, random.IntN(300_000))}})
 	}
-	return *voter.State()
+	return voter.State()
 }
 
 // newestSegment is the file that steps are appended to.
@@ -59,7 +60,7 @@
 	return newest
 }
 
-func same(left, right control.State) bool {
+func same(left, right *consensus.State) bool {
 	return left.Initialized == right.Initialized && left.Promised == right.Promised && left.Versions() == right.Versions()
 }
 
@@ -71,7 +72,7 @@
 		for round := range 4 {
 			answered := fill(test, disk, random, 15)
 			disk = disk.Sever(true)
-			store, err := control.OpenStore(disk)
+			store, err := replica.OpenStore(disk)
 			if err != nil {
 				test.Fatalf("seed %d round %d: %v", seed, round, err)
 			}
@@ -105,7 +106,7 @@
 		}
 		torn := disk.Fork()
 		torn.Cut(name, length+random.IntN(grown-length))
-		store, err := control.OpenStore(torn)
+		store, err := replica.OpenStore(torn)
 		if err != nil || !same(before, store.State()) {
 			test.Fatalf("seed %d: torn tail gave %v", seed, err)
 		}
@@ -114,11 +115,11 @@
 			continue
 		}
 		disk.Harm(name, random.IntN(length))
-		if _, err := control.OpenStore(disk); err == nil || rpc.CodeOf(err) != rpc.CorruptStore {
+		if _, err := replica.OpenStore(disk); err == nil || rpc.CodeOf(err) != rpc.CorruptStore {
 			test.Fatalf("seed %d: worn bit gave %v", seed, err)
 		}
 		stopped++
-		if store, err := control.OpenStore(whole); err != nil || !same(before, store.State()) {
+		if store, err := replica.OpenStore(whole); err != nil || !same(before, store.State()) {
 			test.Fatalf("seed %d: %v", seed, err)
 		}
 	}
@@ -135,7 +136,7 @@
 		test.Fatal(err)
 	}
 	answered := fill(test, disk, rand.New(rand.NewPCG(1, 1)), 8)
-	store, err := control.OpenStore(disk.Sever(true))
+	store, err := replica.OpenStore(disk.Sever(true))
 	if err != nil || !same(answered, store.State()) {
 		test.Fatalf("answered %v %v, kept %+v: %v", answered.Promised, answered.Versions(), store, err)
 	}
@@ -148,12 +149,12 @@
 	for register := range accepted {
 		accepted[register] = message.AcceptedValue{Term: message.Term{Number: 2, Core: 1}, Value: message.Value{Serial: 3, Body: make([]byte, 300)}}
 	}
-	open := func(disk *sim.Disk) *control.Replica {
-		store, err := control.OpenStore(disk)
+	open := func(disk *sim.Disk) *replica.Replica {
+		store, err := replica.OpenStore(disk)
 		if err != nil {
 			test.Fatal(err)
 		}
-		return control.NewReplica(store, func(err error) { test.Error(err) }, func(message.Term) {})
+		return replica.New(store, failing(test))
 	}
 	whole := sim.NewDisk(1)
 	if err := open(whole).Initialize(message.Term{Number: 5, Core: 3}, accepted, nil); err != nil {
--- a/control/upgrade_test.go
+++ b/replica/upgrade_test.go
@@ -1,10 +1,10 @@
-package control_test
+package replica_test
 
 import (
 	"testing"
 
-	"orchidjunction/control"
 	"orchidjunction/message"
+	"orchidjunction/replica"
 	"orchidjunction/rpc"
 	"orchidjunction/sim"
 	"orchidjunction/storage"
@@ -14,7 +14,7 @@
 // memberships could change wrote them: the roster by itself, and three registers.
 type formerRecord struct {
 	Opening  bool
-	Roster   []control.Peer
+	Roster   []message.Peer
 	Founded  bool
 	Promised *message.Term
 	Register message.Register
@@ -26,7 +26,7 @@
 
 type formerState struct {
 	Opening  bool
-	Roster   []control.Peer
+	Roster   []message.Peer
 	Founded  bool
 	Promised message.Term
 	Accepted [3]message.AcceptedValue
@@ -37,7 +37,7 @@
 
 // A disk of the former version is read: its roster is the first membership.
 func TestDiskOfFormerVersionIsRead(test *testing.T) {
-	roster := []control.Peer{{ID: 1, Address: "10.0.0.1:41"}, {ID: 2, Address: "10.0.0.2:41"}, {ID: 3, Address: "10.0.0.3:41"}}
+	roster := []message.Peer{{ID: 1, Address: "10.0.0.1:41"}, {ID: 2, Address: "10.0.0.2:41"}, {ID: 3, Address: "10.0.0.3:41"}}
 	term := message.Term{Number: 7, Core: 2}
 	routing := message.AcceptedValue{Term: term, Value: message.Value{Serial: 5, Body: []byte("routing")}}
 	snapshot := formerState{Roster: roster, Founded: true, Promised: term}
@@ -63,7 +63,7 @@
 				test.Fatal(err)
 			}
 		}
-		store, err := control.OpenStore(disk)
+		store, err := replica.OpenStore(disk)
 		if err != nil {
 			test.Errorf("%s: %v", name, err)
 			continue
--- a/scale/core.go
+++ b/scale/core.go
@@ -66,16 +66,16 @@
 func RunCore(spec CoreSpec) error {
 	goroutines, counters, tap := concurrent.NewGroup(), metrics.NewCounters(), newTap()
 	client := rpc.NewClient(tap.transport())
-	place := control.Config{Name: spec.Name, Zone: spec.Zone, InternalAddress: spec.Wire, Seeds: spec.Seeds, Bootstrap: true, MinFounders: spec.Cores, PlatformAddress: spec.Platform,
+	config := control.Config{Name: spec.Name, Zone: spec.Zone, InternalAddress: spec.Wire, Seeds: spec.Seeds, Bootstrap: true, MinFounders: spec.Cores, PlatformAddress: spec.Platform,
 		HeartbeatInterval: beatPace, SuspicionTimeout: suspectSpan, Seed: uint64(time.Now().UnixNano()), DirectSessions: true, TableInterval: tablePace, SessionTTL: sessionSpan, ListInterval: listPace, ListsUntilGone: goneAfter}
 	if spec.Metered {
-		place.Metering = control.Metering{Window: meterWindow, SettleAfter: settleSpan, TakeoverQuiet: meterQuiet,
+		config.Metering = control.Metering{Window: meterWindow, SettleAfter: settleSpan, TakeoverQuiet: meterQuiet,
 			Report: func(control.WindowReport) control.ReportResult { return control.ReportAccepted }}
 	}
-	if err := place.Check(); err != nil {
+	if err := config.Check(); err != nil {
 		return err
 	}
-	core, err := control.NewCore(place, storage.Folder(spec.Folder), client, goroutines, counters)
+	core, err := control.NewCore(config, storage.Folder(spec.Folder), client, goroutines, counters)
 	if err != nil {
 		return err
 	}
--- a/sim/control_test.go
+++ b/sim/control_test.go
@@ -11,6 +11,7 @@
 	"orchidjunction/control"
 	"orchidjunction/member"
 	"orchidjunction/message"
+	"orchidjunction/replica"
 	"orchidjunction/route"
 	"orchidjunction/rpc"
 )
@@ -228,7 +229,7 @@
 // many are blank.
 func (side *Control) held(serial uint64) (held, blank int) {
 	for _, disk := range side.world.voterDisks() {
-		store, err := control.OpenStore(disk.Copy())
+		store, err := replica.OpenStore(disk.Copy())
 		if err != nil || !store.State().Initialized {
 			blank++
 		} else if store.State().Accepted[message.RoutingRegister].Value.Serial >= serial {
--- a/sim/core.go
+++ b/sim/core.go
@@ -7,10 +7,12 @@
 	"time"
 
 	"orchidjunction/concurrent"
+	"orchidjunction/consensus"
 	"orchidjunction/control"
 	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
+	"orchidjunction/replica"
 	"orchidjunction/rpc"
 )
 
@@ -73,13 +75,13 @@
 	if machine.life(world) != nil || world.isGone(machine) {
 		return
 	}
-	place := world.corePlace(machine)
+	config := world.corePlace(machine)
 	machine.goroutines = concurrent.NewGroup()
 	machine.line = rpc.NewClient(world.Net.Transport(machine.Host))
 	counters := metrics.NewCounters()
-	finder := world.coreFinder(machine, &place)
-	place.OnMembershipChange = finder.Learn
-	core, err := control.NewCore(place, machine.Disk, machine.line, machine.goroutines, counters)
+	finder := world.coreFinder(machine, &config)
+	config.OnMembershipChange = finder.Learn
+	core, err := control.NewCore(config, machine.Disk, machine.line, machine.goroutines, counters)
 	if err != nil {
 		world.broke("core %d does not start: %v", machine.ID, err)
 		return
@@ -87,7 +89,7 @@
 	server := rpc.NewServer(counters)
 	core.Register(server)
 	hold := member.NewHold(finder, machine.line, counters).Within(world.Limits)
-	if len(place.Seeds) > 0 {
+	if len(config.Seeds) > 0 {
 		hold.Follow(core.Leader)
 	}
 	world.mutex.Lock()
@@ -100,27 +102,27 @@
 }
 
 func (world *World) corePlace(machine *Core) control.Config {
-	place := control.Config{ID: machine.ID, Zone: "z", InternalAddress: machine.Wire, OperatorAddress: machine.Operate, Bootstrap: true, PlatformAddress: world.platformAddress(), HeartbeatInterval: Beat, SuspicionTimeout: Suspect, Seed: world.Seed + machine.starts*1000}
+	config := control.Config{ID: machine.ID, Zone: "z", InternalAddress: machine.Wire, OperatorAddress: machine.Operate, Bootstrap: true, PlatformAddress: world.platformAddress(), HeartbeatInterval: Beat, SuspicionTimeout: Suspect, Seed: world.Seed + machine.starts*1000}
 	machine.starts++
 	for _, other := range world.machines() {
 		if other != machine {
-			place.Peers = append(place.Peers, control.Peer{ID: other.ID, Address: other.Wire})
+			config.Peers = append(config.Peers, message.Peer{ID: other.ID, Address: other.Wire})
 		}
 	}
-	place.Wall = func() int64 { return time.Now().UnixMilli() + machine.jump.Load() }
+	config.Wall = func() int64 { return time.Now().UnixMilli() + machine.jump.Load() }
 	if world.Shape != nil {
-		world.Shape(machine, &place)
-		if err := place.Check(); err != nil {
+		world.Shape(machine, &config)
+		if err := config.Check(); err != nil {
 			world.broke("%s: %v", machine.Host, err)
 		}
 	}
-	place.OnRole = func(_ control.Role, term message.Term) { world.led(machine, term) }
-	return place
+	config.OnRole = func(_ control.Role, term message.Term) { world.led(machine, term) }
+	return config
 }
 
 // coreFinder knows at first what the core was told: all cores, or its seeds.
-func (world *World) coreFinder(machine *Core, place *control.Config) *member.Finder {
-	addresses := append([]string{}, place.Seeds...)
+func (world *World) coreFinder(machine *Core, config *control.Config) *member.Finder {
+	addresses := append([]string{}, config.Seeds...)
 	if len(addresses) == 0 {
 		for _, other := range world.machines() {
 			addresses = append(addresses, other.Wire)
@@ -133,13 +135,13 @@
 // lasting at a majority of the voters that it knows, in a step between two groups of
 // both, and no register it left behind may be newer.
 func (world *World) led(leader *Core, term message.Term) {
-	own, err := control.OpenStore(world.diskOf(leader).Copy())
+	own, err := replica.OpenStore(world.diskOf(leader).Copy())
 	if err != nil {
 		return
 	}
 	promised, rewritten := map[string]bool{}, map[string]bool{}
 	for _, machine := range world.everyMachine() {
-		store, err := control.OpenStore(world.diskOf(machine).Copy())
+		store, err := replica.OpenStore(world.diskOf(machine).Copy())
 		if err != nil {
 			continue
 		}
@@ -167,7 +169,7 @@
 
 // votersOf are the addresses of each group that decides by a core's state; where
 // that has no membership, all cores that there are.
-func (world *World) votersOf(state control.State) [][]string {
+func (world *World) votersOf(state *consensus.State) [][]string {
 	membership := state.Membership()
 	if membership == nil {
 		return [][]string{wires(world.machines())}
@@ -179,7 +181,7 @@
 	return groups
 }
 
-func addressesOf(peers []control.Peer) []string {
+func addressesOf(peers []message.Peer) []string {
 	addresses := []string{}
 	for _, peer := range peers {
 		addresses = append(addresses, peer.Address)
--- a/sim/far.go
+++ b/sim/far.go
@@ -9,6 +9,7 @@
 
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
+	"orchidjunction/discovery"
 	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
@@ -67,16 +68,16 @@
 	return world
 }
 
-func (world *World) farPlace(machine *Core, place *control.Config) {
-	place.ID, place.Peers, place.PlatformAddress = 0, nil, ""
-	place.Seed += uint64(machine.ID) * drawsApart
-	place.Name, place.Bootstrap, place.MinFounders = machine.Host, !machine.wiped, 3
-	place.Seeds = world.seedsFor(&machine.Seeds)
-	place.HeartbeatInterval, place.SuspicionTimeout, place.TableInterval = farBeat, farSuspect, 250*time.Millisecond
-	place.ReplaceAfter = farReplace
-	place.DirectSessions, place.SessionTTL = true, 2500*time.Millisecond
-	place.ListBackends, place.ListsUntilGone = world.lists, 2
-	place.Metering = world.Metering
+func (world *World) farPlace(machine *Core, config *control.Config) {
+	config.ID, config.Peers, config.PlatformAddress = 0, nil, ""
+	config.Seed += uint64(machine.ID) * drawsApart
+	config.Name, config.Bootstrap, config.MinFounders = machine.Host, !machine.wiped, 3
+	config.Seeds = world.seedsFor(&machine.Seeds)
+	config.HeartbeatInterval, config.SuspicionTimeout, config.TableInterval = farBeat, farSuspect, 250*time.Millisecond
+	config.ReplaceAfter = farReplace
+	config.DirectSessions, config.SessionTTL = true, 2500*time.Millisecond
+	config.ListBackends, config.ListsUntilGone = world.lists, 2
+	config.Metering = world.Metering
 }
 
 // seedsFor gives a process the seeds that its settings name; those that it is told
@@ -91,9 +92,9 @@
 }
 
 // lists is an empty list of backends unless the world has its own.
-func (world *World) lists(_ context.Context, page string) control.Listing {
+func (world *World) lists(_ context.Context, page string) discovery.Page {
 	if world.Listed == nil {
-		return control.Listing{}
+		return discovery.Page{}
 	}
 	return world.Listed(page)
 }
--- a/sim/recovery_test.go
+++ b/sim/recovery_test.go
@@ -5,8 +5,9 @@
 	"testing"
 	"time"
 
-	"orchidjunction/control"
+	"orchidjunction/discovery"
 	"orchidjunction/message"
+	"orchidjunction/replica"
 	"orchidjunction/rpc"
 )
 
@@ -165,11 +166,11 @@
 // accepted lays an uncommitted routing on a stopped core's disk.
 func (world *World) accepted(test *testing.T, index int, version uint64) {
 	test.Helper()
-	store, err := control.OpenStore(world.Cores[index].Disk)
+	store, err := replica.OpenStore(world.Cores[index].Disk)
 	if err != nil {
 		test.Fatal(err)
 	}
-	voter := control.NewReplica(store, func(err error) { test.Error(err) }, func(message.Term) {})
+	voter := replica.New(store, replica.Callbacks{DiskFailed: func(err error) { test.Error(err) }, PromiseRaised: func(message.Term) {}, MembershipAccepted: func(message.AcceptedValue) {}})
 	held := voter.State().Accepted[message.RoutingRegister]
 	body, _ := rpc.Marshal(Book(version))
 	response, err := voter.Accept(&message.AcceptRequest{Term: voter.State().Promised, Register: message.RoutingRegister, Value: message.Value{Serial: held.Value.Serial + 1, Body: body}})
@@ -389,7 +390,7 @@
 		for range 3 {
 			world := NewFarWorld(seed, 3)
 			backends := []message.Backend{}
-			world.Listed = func(string) control.Listing { return control.Listing{Backends: backends} }
+			world.Listed = func(string) discovery.Page { return discovery.Page{Backends: backends} }
 			for index := range 3 {
 				backends = append(backends, message.Backend{Name: fmt.Sprint("b", index), Service: "desk", Address: "10.9.9.9:80", Capacity: 4})
 			}
@@ -431,8 +432,8 @@
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
-		world.Listed = func(string) control.Listing {
-			return control.Listing{Backends: []message.Backend{{Name: "b", Service: "desk", Address: "10.9.9.9:80", Capacity: 4}}}
+		world.Listed = func(string) discovery.Page {
+			return discovery.Page{Backends: []message.Backend{{Name: "b", Service: "desk", Address: "10.9.9.9:80", Capacity: 4}}}
 		}
 		world.farUp(test, 5)
 		world.Rest(3 * time.Second)
--- a/sim/refuse_test.go
+++ b/sim/refuse_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"orchidjunction/control"
 	"orchidjunction/message"
+	"orchidjunction/replica"
 )
 
 // A core's disk refuses all for twenty seconds. The core stays up and does not vote;
@@ -130,7 +130,7 @@
 
 // lasts is the routing's serial that a core's disk would keep through a power loss.
 func (world *World) lasts(index int) uint64 {
-	store, err := control.OpenStore(world.Cores[index].Disk.Copy())
+	store, err := replica.OpenStore(world.Cores[index].Disk.Copy())
 	if err != nil {
 		return 0
 	}
--- a/sim/replace_test.go
+++ b/sim/replace_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"orchidjunction/control"
 	"orchidjunction/message"
+	"orchidjunction/replica"
 	"orchidjunction/rpc"
 )
 
@@ -546,7 +546,7 @@
 
 // voterID is the number under which a machine votes by its own disk, 0 for none.
 func voterID(machine *Core) int {
-	store, err := control.OpenStore(machine.Disk.Copy())
+	store, err := replica.OpenStore(machine.Disk.Copy())
 	if err != nil || store.State().Membership() == nil {
 		return 0
 	}
--- a/sim/replaced_test.go
+++ b/sim/replaced_test.go
@@ -29,14 +29,14 @@
 	for _, core := range world.Cores {
 		seeds = append(seeds, core.Wire)
 	}
-	place := control.Config{Zone: "z", InternalAddress: spare.Wire, OperatorAddress: spare.Operate, Seeds: seeds, MinFounders: 1, PlatformAddress: world.platformAddress(), HeartbeatInterval: Beat, SuspicionTimeout: Suspect, Seed: world.Seed + uint64(number)*7919}
-	if err := place.Check(); err != nil {
+	config := control.Config{Zone: "z", InternalAddress: spare.Wire, OperatorAddress: spare.Operate, Seeds: seeds, MinFounders: 1, PlatformAddress: world.platformAddress(), HeartbeatInterval: Beat, SuspicionTimeout: Suspect, Seed: world.Seed + uint64(number)*7919}
+	if err := config.Check(); err != nil {
 		world.broke("spare %d: %v", number, err)
 	}
 	spare.goroutines, spare.line = concurrent.NewGroup(), rpc.NewClient(world.Net.Transport(host))
 	finder := member.NewFinder(spare.line, spare.goroutines, seeds)
-	place.OnMembershipChange = finder.Learn
-	core, err := control.NewCore(place, spare.Disk, spare.line, spare.goroutines, spare.counters)
+	config.OnMembershipChange = finder.Learn
+	core, err := control.NewCore(config, spare.Disk, spare.line, spare.goroutines, spare.counters)
 	if err != nil {
 		world.broke("spare %d does not start: %v", number, err)
 		return spare
--- a/sim/roster_test.go
+++ b/sim/roster_test.go
@@ -6,15 +6,15 @@
 	"testing"
 	"time"
 
-	"orchidjunction/control"
 	"orchidjunction/message"
+	"orchidjunction/replica"
 )
 
 // rosters are those that the disks hold now, each once, with how many hold it.
 func (world *World) rosters() map[string]int {
 	held := map[string]int{}
 	for _, machine := range world.Cores {
-		store, err := control.OpenStore(machine.Disk.Copy())
+		store, err := replica.OpenStore(machine.Disk.Copy())
 		if err == nil && store.State().Membership() != nil {
 			held[fmt.Sprint(store.State().Membership().Voters)]++
 		}
--- a/sim/routing_test.go
+++ b/sim/routing_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"orchidjunction/control"
+	"orchidjunction/discovery"
 	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/route"
@@ -328,11 +328,11 @@
 			world := NewFarWorld(seed, 3)
 			defer world.CloseFar()
 			mutex, call := sync.Mutex{}, 0
-			world.Listed = func(string) control.Listing {
+			world.Listed = func(string) discovery.Page {
 				mutex.Lock()
 				defer mutex.Unlock()
 				call++
-				return control.Listing{Backends: listed(call)}
+				return discovery.Page{Backends: listed(call)}
 			}
 			world.farUp(test, 1)
 			left, warm := false, int64(0)
--- a/sim/trial_test.go
+++ b/sim/trial_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"orchidjunction/control"
 	"orchidjunction/member"
 	"orchidjunction/message"
+	"orchidjunction/replica"
 	"orchidjunction/rpc"
 )
 
@@ -132,7 +132,7 @@
 // seats are the addresses of those that vote by what a disk holds, in a step between
 // two groups those of both.
 func seats(disk *Disk) []string {
-	store, err := control.OpenStore(disk.Copy())
+	store, err := replica.OpenStore(disk.Copy())
 	if err != nil {
 		return nil
 	}
--- a/sim/world.go
+++ b/sim/world.go
@@ -12,6 +12,7 @@
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/data"
+	"orchidjunction/discovery"
 	"orchidjunction/judge"
 	"orchidjunction/member"
 	"orchidjunction/message"
@@ -49,14 +50,14 @@
 	laidOut   int
 	replacing *rand.Rand
 	planned   bool
-	Shape     func(machine *Core, place *control.Config)
+	Shape     func(machine *Core, config *control.Config)
 	Paces     member.Paces
 	Limits    member.HoldLimits
 
 	Members  []*Member
 	Requests func(*Member) []message.WindowCount
 	Metering control.Metering
-	Listed   func(page string) control.Listing
+	Listed   func(page string) discovery.Page
 }
 
 // Daemon is one directory node or proxy of the world.
--- a/control/usage_test.go
+++ b/usage/sums_test.go
@@ -1,9 +1,8 @@
-package control
+package usage
 
 import (
 	"fmt"
 	"math/rand/v2"
-	"net/http"
 	"os"
 	"testing"
 
@@ -23,7 +22,7 @@
 	}
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 59))
-		usage, book, now := newUsage(http.DefaultTransport), usageState{}, int64(1_700_000_000_000)
+		sums, state, now := NewSums(), &State{}, int64(1_700_000_000_000)
 		since := int64(0)
 		counts, total, reported, periods := map[string]uint64{}, uint64(0), uint64(0), map[string]bool{}
 		for step := range 400 {
@@ -31,7 +30,7 @@
 			added := uint64(random.IntN(20))
 			counts[incarnation] += added
 			total += added
-			usage.add(incarnation, map[string]uint64{"alder": counts[incarnation]})
+			sums.Add(incarnation, map[string]uint64{"alder": counts[incarnation]})
 			passed := int64(random.IntN(900))
 			now += passed
 			since += passed
@@ -41,22 +40,22 @@
 			case 1:
 				now += 1_800_000
 			case 2:
-				usage = newUsage(http.DefaultTransport)
+				sums = NewSums()
 				for known, count := range counts {
-					usage.add(known, map[string]uint64{"alder": count})
+					sums.Add(known, map[string]uint64{"alder": count})
 				}
 			}
-			before := book.Period
-			ends := since > usagePeriod.Milliseconds()
+			before := state.Period
+			ends := since > Period.Milliseconds()
 			if ends {
 				since = 0
 			}
-			book = usage.advance(book, tree, now, passed, ends)
-			if book.Period == before {
+			state = sums.Next(state, Sealing{Partner: tree.Partner, Tenants: tree.TenantNames(), WallMs: now, SinceMs: passed, EndsPeriod: ends})
+			if state.Period == before {
 				continue
 			}
-			for _, report := range book.Pending {
-				if report.Period != book.Period {
+			for _, report := range state.Pending {
+				if report.Period != state.Period {
 					continue
 				}
 				if periods[report.ID] {
@@ -67,10 +66,10 @@
 				}
 				periods[report.ID] = true
 				reported += report.Tasks
-				usage.delivered[report.ID] = true
+				sums.Deliver(report.ID)
 			}
 		}
-		for _, open := range book.Open {
+		for _, open := range state.Open {
 			reported += open
 		}
 		if reported != total || len(periods) < 30 {
