--- a/member/corechoice_test.go
+++ b/agent/core_choice_test.go
@@ -1,4 +1,4 @@
-package member
+package agent
 
 import (
 	"context"
@@ -42,8 +42,8 @@
 }
 
 func daemonOn(all doors, seeds []string) *Daemon {
-	place := Place{Name: "p1", Kind: "proxy", Zone: "e1", Wire: "10.0.1.1:41", Outer: "10.0.1.1:80", Operate: "10.0.1.1:42", Seeds: seeds}
-	return NewDaemon(place, "i1", rpc.NewClient(all), concurrent.NewGroup(), metrics.NewCounters())
+	config := Config{Name: "p1", Kind: "proxy", Zone: "e1", InternalAddress: "10.0.1.1:41", PublicAddress: "10.0.1.1:80", OperatorAddress: "10.0.1.1:42", Seeds: seeds}
+	return NewDaemon(config, "i1", rpc.NewClient(all), concurrent.NewGroup(), metrics.NewCounters())
 }
 
 // saysMembers opens a core's door: it knows a membership, and a leader or none.
@@ -68,26 +68,26 @@
 	all.saysMembers(3, versionMark(9, 7), now, leader, sessions)
 	daemon := daemonOn(all, coresAt(1, 2, 3))
 	for range 3 {
-		daemon.session()
+		daemon.renewSession()
 	}
 	if sessions[coreAt(3)] != 1 {
 		test.Fatalf("the only seed that lives was not asked once: %v", sessions)
 	}
 	for round := range 12 {
 		daemon.mutex.Lock()
-		daemon.failed[daemon.core] = time.Now().Add(-time.Duration(round) * aloneSpan / 8)
+		daemon.failedAt[daemon.lastCore] = time.Now().Add(-time.Duration(round) * failedCoreTimeout / 8)
 		daemon.mutex.Unlock()
-		daemon.session()
+		daemon.renewSession()
 	}
 	if sessions[coreAt(3)] != 1 || daemon.counters.Get("sessions_failed") != 2 {
 		test.Errorf("kept at a core without a vote, or asked dead seeds: %v, %d failed", sessions, daemon.counters.Get("sessions_failed"))
 	}
-	at := daemon.core
-	daemon.Finder.Learn(versionMark(9, 9), coresAt(7, 6, 5, 4))
-	if daemon.session(); daemon.core != at {
-		test.Errorf("the session moved from %s to %s though the core votes on", at, daemon.core)
+	at := daemon.lastCore
+	daemon.LeaderFinder.ObserveMembership(versionMark(9, 9), coresAt(7, 6, 5, 4))
+	if daemon.renewSession(); daemon.lastCore != at {
+		test.Errorf("the session moved from %s to %s though the core votes on", at, daemon.lastCore)
 	}
-	daemon.Finder.Learn(versionMark(9, 11), coresAt(1, 2, 8))
+	daemon.LeaderFinder.ObserveMembership(versionMark(9, 11), coresAt(1, 2, 8))
 	if daemon.sessionCore() == at {
 		test.Error("the session stays at a core that votes no more")
 	}
@@ -102,21 +102,21 @@
 	all.saysMembers(5, versionMark(9, 7), coresAt(4, 5, 6), leader, sessions)
 	all.saysMembers(1, versionMark(3, 1), coresAt(1, 2, 3), former, sessions)
 	daemon := daemonOn(all, coresAt(1, 2, 3))
-	daemon.session()
-	if daemon.Finder.Leader() != former {
-		test.Fatalf("the first that answers is %v", daemon.Finder.Leader())
+	daemon.renewSession()
+	if daemon.LeaderFinder.Leader() != former {
+		test.Fatalf("the first that answers is %v", daemon.LeaderFinder.Leader())
 	}
-	daemon.Finder.Learn(versionMark(9, 7), coresAt(4, 5, 6))
+	daemon.LeaderFinder.ObserveMembership(versionMark(9, 7), coresAt(4, 5, 6))
 	for range 4 {
-		daemon.session()
+		daemon.renewSession()
 	}
-	if daemon.Finder.Leader() != leader || sessions[coreAt(1)] != 1 {
-		test.Errorf("leader %v, sessions %v", daemon.Finder.Leader(), sessions)
+	if daemon.LeaderFinder.Leader() != leader || sessions[coreAt(1)] != 1 {
+		test.Errorf("leader %v, sessions %v", daemon.LeaderFinder.Leader(), sessions)
 	}
-	daemon.Finder.Learn(versionMark(3, 1), coresAt(1, 2, 3))
-	daemon.Finder.Heard(former)
-	if voters, _ := daemon.Finder.Voters(); daemon.Finder.Leader() != leader || voters[0] != coreAt(4) {
-		test.Errorf("misled: leader %v, voters %v", daemon.Finder.Leader(), voters)
+	daemon.LeaderFinder.ObserveMembership(versionMark(3, 1), coresAt(1, 2, 3))
+	daemon.LeaderFinder.Observe(former)
+	if voters, _ := daemon.LeaderFinder.Voters(); daemon.LeaderFinder.Leader() != leader || voters[0] != coreAt(4) {
+		test.Errorf("misled: leader %v, voters %v", daemon.LeaderFinder.Leader(), voters)
 	}
 }
 
@@ -125,22 +125,22 @@
 func TestDaemonsTellEachOtherWhoVotes(test *testing.T) {
 	all := doors{}
 	other := daemonOn(all, coresAt(1, 2, 3))
-	other.Finder.Learn(versionMark(9, 7), coresAt(4, 5, 6))
+	other.LeaderFinder.ObserveMembership(versionMark(9, 7), coresAt(4, 5, 6))
 	server := rpc.NewServer(metrics.NewCounters())
 	other.Register(server)
 	all["10.0.1.2:41"] = server
 	daemon := daemonOn(all, coresAt(1, 2, 3))
 	daemon.version.Store(&Version{Table: &message.Table{Members: []message.Member{{Name: "p1", InternalAddress: "10.0.1.1:41"}, {Name: "p2", InternalAddress: "10.0.1.2:41"}, {Name: "p3", InternalAddress: "10.0.1.3:41"}}}})
-	daemon.reach.heardCore(time.Now())
-	if daemon.asksAround() {
+	daemon.connectivity.reachedCore(time.Now())
+	if daemon.shouldAskPeers() {
 		test.Error("asks while a core is reached")
 	}
-	daemon.reach.heardCore(time.Now().Add(-time.Minute))
-	if !daemon.asksAround() || daemon.asksAround() {
+	daemon.connectivity.reachedCore(time.Now().Add(-time.Minute))
+	if !daemon.shouldAskPeers() || daemon.shouldAskPeers() {
 		test.Error("does not ask, or asks twice at once")
 	}
-	daemon.askAround()
-	voters, others := daemon.Finder.Voters()
+	daemon.askPeers()
+	voters, others := daemon.LeaderFinder.Voters()
 	if fmt.Sprint(voters) != fmt.Sprint(coresAt(4, 5, 6)) || fmt.Sprint(others) != fmt.Sprint(coresAt(1, 2, 3)) {
 		test.Errorf("voters %v, others %v", voters, others)
 	}
@@ -159,10 +159,10 @@
 			return &message.LeaderResponse{Membership: versionMark(3, 1), Cores: coresAt(1, 2, 3), Routing: 4}, nil
 		})
 		all[coreAt(1)] = server
-		place := Place{Name: "p1", Kind: "proxy", Zone: "e1", Wire: "10.0.1.1:41", Outer: "10.0.1.1:80", Operate: "10.0.1.1:42", Seeds: coresAt(1, 2, 3), Direct: true, Routed: true}
-		daemon := NewDaemon(place, "i1", rpc.NewClient(all), concurrent.NewGroup(), metrics.NewCounters())
-		daemon.Finder.Learn(try.learned, coresAt(4, 5, 6))
-		daemon.Finder.seek()
+		config := Config{Name: "p1", Kind: "proxy", Zone: "e1", InternalAddress: "10.0.1.1:41", PublicAddress: "10.0.1.1:80", OperatorAddress: "10.0.1.1:42", Seeds: coresAt(1, 2, 3), DirectSessions: true, Routed: true}
+		daemon := NewDaemon(config, "i1", rpc.NewClient(all), concurrent.NewGroup(), metrics.NewCounters())
+		daemon.LeaderFinder.ObserveMembership(try.learned, coresAt(4, 5, 6))
+		daemon.LeaderFinder.findLeader()
 		if begun := daemon.counters.Get("begun_before_a_leader") > 0; begun != try.taken {
 			test.Errorf("try %d: begun %v", number, begun)
 		}
--- a/member/daemon_test.go
+++ b/agent/daemon_test.go
@@ -1,4 +1,4 @@
-package member
+package agent
 
 import (
 	"net/http"
@@ -15,12 +15,12 @@
 // daemon what it is.
 func TestReadyWhileAVersionIsPutInForce(test *testing.T) {
 	goroutines, answered := concurrent.NewGroup(), concurrent.NewCondition()
-	daemon := NewDaemon(Place{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, Direct: true, Routed: true}, "life", rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
+	daemon := NewDaemon(Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true}, "life", rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
 	applied := uint64(0)
-	daemon.Serve(func(version *Version) {
+	daemon.OnVersion(func(version *Version) {
 		applied++
 		goroutines.Start(func() {
-			daemon.member()
+			daemon.memberInfo()
 			answered.Notify()
 		})
 		if !answered.Wait(applied-1, 5*time.Second) {
@@ -28,11 +28,11 @@
 		}
 	}, nil)
 	for number := uint64(1); number <= 2; number++ {
-		if !daemon.take(&message.FetchResponse{Table: &message.Table{Version: message.TableVersion{Number: number}}}, nil) {
+		if !daemon.applyUpdate(&message.FetchResponse{Table: &message.Table{Version: message.TableVersion{Number: number}}}, nil) {
 			test.Error("not taken")
 		}
 	}
-	if daemon.take(&message.FetchResponse{Table: &message.Table{Version: message.TableVersion{Number: 1}}}, nil); applied != 2 || daemon.Version().Table.Version.Number != 2 {
+	if daemon.applyUpdate(&message.FetchResponse{Table: &message.Table{Version: message.TableVersion{Number: 1}}}, nil); applied != 2 || daemon.Version().Table.Version.Number != 2 {
 		test.Errorf("put in force %d times, table %v", applied, daemon.Version().Table.Version)
 	}
 	goroutines.Wait()
@@ -52,8 +52,8 @@
 func TestSessionGoesOnWhileCatchingUp(test *testing.T) {
 	goroutines, slow := concurrent.NewGroup(), &slowFetch{asked: concurrent.NewCondition(), let: concurrent.NewCondition()}
 	counters := metrics.NewCounters()
-	daemon := NewDaemon(Place{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, Direct: true, Routed: true}, "life", rpc.NewClient(slow), goroutines, counters)
-	daemon.behind = time.Now().Add(-time.Minute)
+	daemon := NewDaemon(Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true}, "life", rpc.NewClient(slow), goroutines, counters)
+	daemon.behindSince = time.Now().Add(-time.Minute)
 	begin := time.Now()
 	daemon.catchUp("127.0.0.1:1")
 	daemon.catchUp("127.0.0.1:1")
--- /dev/null
+++ b/agent/direct_test.go
@@ -0,0 +1,34 @@
+package agent
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"orchidjunction/concurrent"
+	"orchidjunction/message"
+	"orchidjunction/metrics"
+	"orchidjunction/rpc"
+)
+
+// A core that failed is kept off for a while, unless it leads anew.
+func TestNewLeaderIsHeardThoughItsCoreFailed(test *testing.T) {
+	config := Config{Name: "p1", Kind: "proxy", Zone: "e1", InternalAddress: "10.0.0.9:1", PublicAddress: "10.0.0.9:2", OperatorAddress: "10.0.0.9:3", Seeds: []string{"10.0.0.1:1", "10.0.0.2:1"}, DirectSessions: true, Routed: true}
+	daemon := NewDaemon(config, "i1", rpc.NewClient(http.DefaultTransport), concurrent.NewGroup(), metrics.NewCounters())
+	lead := func(round uint64) {
+		daemon.LeaderFinder.Observe(message.Leader{Term: message.Term{Number: round, Core: 1}, Core: 1, Address: "10.0.0.1:1"})
+	}
+	for number, step := range []struct {
+		do   func()
+		want string
+	}{
+		{func() { lead(1) }, "10.0.0.1:1"},
+		{func() { daemon.failedAt["10.0.0.1:1"] = time.Now() }, "10.0.0.2:1"},
+		{func() { lead(2) }, "10.0.0.1:1"},
+		{func() { daemon.failedAt["10.0.0.1:1"] = time.Now() }, "10.0.0.2:1"},
+	} {
+		if step.do(); daemon.chooseCore() != step.want {
+			test.Errorf("step %d: %s, want %s", number, daemon.chooseCore(), step.want)
+		}
+	}
+}
--- a/member/hold_test.go
+++ b/agent/forwarder_test.go
@@ -1,4 +1,4 @@
-package member
+package agent
 
 import (
 	"context"
@@ -43,29 +43,29 @@
 	return message.Leader{Term: message.Term{Number: round, Core: int(round)}, Core: int(round), Address: address}
 }
 
-func holdAt(test *testing.T, transport *leaders, limits HoldLimits) (*Hold, *Finder) {
+func holdAt(test *testing.T, transport *leaders, limits ForwardLimits) (*Forwarder, *LeaderFinder) {
 	transport.door = rpc.NewServer(metrics.NewCounters())
 	rpc.Handle(transport.door, "evacuate", func(context.Context, *message.EvacuateRequest) (*message.EvacuateResponse, error) {
 		return &message.EvacuateResponse{Serial: 7}, nil
 	})
 	goroutines := concurrent.NewGroup()
 	client := rpc.NewClient(transport)
-	finder := NewFinder(client, goroutines, []string{frozen})
+	finder := NewLeaderFinder(client, goroutines, []string{frozen})
 	test.Cleanup(func() {
 		goroutines.Stop()
 		goroutines.Wait()
 	})
-	return NewHold(finder, client, metrics.NewCounters()).Within(limits), finder
+	return NewForwarder(finder, client, metrics.NewCounters()).WithLimits(limits), finder
 }
 
 // Who asks goes elsewhere once the limit has passed, so an answer after it is lost.
 func TestHoldEndsAtItsLimitThoughALeaderTurnsUpLate(test *testing.T) {
 	transport := &leaders{}
-	hold, finder := holdAt(test, transport, HoldLimits{Answer: 2 * time.Second, Send: 1500 * time.Millisecond})
-	transport.gaveUp = func() { finder.Heard(leaderOf(2, "10.0.0.2:1")) }
-	finder.Heard(leaderOf(1, frozen))
+	forwarder, finder := holdAt(test, transport, ForwardLimits{Response: 2 * time.Second, Attempt: 1500 * time.Millisecond})
+	transport.gaveUp = func() { finder.Observe(leaderOf(2, "10.0.0.2:1")) }
+	finder.Observe(leaderOf(1, frozen))
 	begin := time.Now()
-	if _, err := Send[message.EvacuateRequest, message.EvacuateResponse](hold, "evacuate", &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil || rpc.CodeOf(err) != rpc.OutcomeUnknown {
+	if _, err := Forward[message.EvacuateRequest, message.EvacuateResponse](forwarder, "evacuate", &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil || rpc.CodeOf(err) != rpc.OutcomeUnknown {
 		test.Fatalf("answered %v", err)
 	}
 	if took := time.Since(begin); took > 2200*time.Millisecond {
@@ -77,10 +77,10 @@
 // finder heard of last.
 func TestHoldGoesToTheLeaderThatItsOwnCoreKnows(test *testing.T) {
 	transport := &leaders{answering: "10.0.0.2:1"}
-	hold, finder := holdAt(test, transport, HoldLimits{Answer: 2 * time.Second, Send: 1500 * time.Millisecond})
-	hold.Follow(func() message.Leader { return leaderOf(2, transport.answering) })
-	finder.Heard(leaderOf(1, frozen))
-	response, err := Send[message.EvacuateRequest, message.EvacuateResponse](hold, "evacuate", &message.EvacuateRequest{Zone: "osu", Begin: true})
+	forwarder, finder := holdAt(test, transport, ForwardLimits{Response: 2 * time.Second, Attempt: 1500 * time.Millisecond})
+	forwarder.SetLocalLeader(func() message.Leader { return leaderOf(2, transport.answering) })
+	finder.Observe(leaderOf(1, frozen))
+	response, err := Forward[message.EvacuateRequest, message.EvacuateResponse](forwarder, "evacuate", &message.EvacuateRequest{Zone: "osu", Begin: true})
 	if err != nil || response.Serial != 7 {
 		test.Fatalf("told %v, %v", response, err)
 	}
@@ -93,10 +93,10 @@
 // what it holds has surely not run.
 func TestHoldStartsNothingAtALeaderThatItsOwnCoreNoLongerHears(test *testing.T) {
 	transport := &leaders{}
-	hold, finder := holdAt(test, transport, HoldLimits{Answer: 200 * time.Millisecond, Send: 150 * time.Millisecond})
-	hold.Follow(func() message.Leader { return message.Leader{} })
-	finder.Heard(leaderOf(1, frozen))
-	if _, err := Send[message.EvacuateRequest, message.EvacuateResponse](hold, "evacuate", &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil || rpc.CodeOf(err) != rpc.NotStarted {
+	forwarder, finder := holdAt(test, transport, ForwardLimits{Response: 200 * time.Millisecond, Attempt: 150 * time.Millisecond})
+	forwarder.SetLocalLeader(func() message.Leader { return message.Leader{} })
+	finder.Observe(leaderOf(1, frozen))
+	if _, err := Forward[message.EvacuateRequest, message.EvacuateResponse](forwarder, "evacuate", &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil || rpc.CodeOf(err) != rpc.NotStarted {
 		test.Fatalf("answered %v", err)
 	}
 	if asked := transport.silent.Load(); asked != 0 {
--- /dev/null
+++ b/agent/leader_finder.go
@@ -0,0 +1,202 @@
+package agent
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"orchidjunction/concurrent"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
+)
+
+// maxFinderIdle bounds how long the search for the leader pauses while nobody waits.
+const maxFinderIdle = time.Minute
+
+// LeaderFinder knows the leader and the cores, and searches for the leader while somebody
+// waits for it. It is safe for concurrent use.
+type LeaderFinder struct {
+	client      *rpc.Client
+	goroutines  *concurrent.Group
+	intervals   Intervals
+	seeds       []string
+	leaderFound *concurrent.Condition // notified when another leader is known
+	wanted      *concurrent.Condition // notified when a leader is waited for
+	// onResponse is called with what a voter answered to a search.
+	onResponse func(core string, response *message.LeaderResponse)
+
+	mutex       sync.Mutex
+	cores       []string // the voters, then the seeds without a vote
+	voterCount  int
+	membership  message.Version // of the voters
+	leader      message.Leader
+	droppedTerm message.Term // of the newest leadership that has ended
+	waiting     int
+}
+
+// NewLeaderFinder returns a LeaderFinder that knows some cores.
+func NewLeaderFinder(client *rpc.Client, goroutines *concurrent.Group, cores []string) *LeaderFinder {
+	return &LeaderFinder{
+		client:      client,
+		goroutines:  goroutines,
+		intervals:   Intervals{}.withDefaults(),
+		seeds:       slices.Clone(cores),
+		leaderFound: concurrent.NewCondition(),
+		wanted:      concurrent.NewCondition(),
+		onResponse:  func(string, *message.LeaderResponse) {},
+		cores:       slices.Clone(cores),
+		voterCount:  len(cores),
+	}
+}
+
+// WithIntervals sets how often the leader is searched for, and returns the finder.
+func (finder *LeaderFinder) WithIntervals(intervals Intervals) *LeaderFinder {
+	finder.intervals = intervals.withDefaults()
+	return finder
+}
+
+// Run starts the search. It ends when the group is stopped.
+func (finder *LeaderFinder) Run() {
+	finder.goroutines.OnStop(finder.wanted.Notify)
+	finder.goroutines.OnStop(finder.leaderFound.Notify)
+	finder.goroutines.Start(func() {
+		for finder.goroutines.Sleep(finder.intervals.FindLeader) {
+			if seen := finder.wanted.Count(); finder.idle() {
+				finder.wanted.Wait(seen, maxFinderIdle)
+			} else {
+				finder.findLeader()
+			}
+		}
+	})
+}
+
+// idle reports whether nobody waits for a leader.
+func (finder *LeaderFinder) idle() bool {
+	finder.mutex.Lock()
+	defer finder.mutex.Unlock()
+	return finder.waiting == 0 || finder.leader.Known()
+}
+
+// Leader returns the leader, which may be unknown.
+func (finder *LeaderFinder) Leader() message.Leader {
+	finder.mutex.Lock()
+	defer finder.mutex.Unlock()
+	return finder.leader
+}
+
+// Cores returns the addresses of the voters, then those of the seeds that have no vote.
+func (finder *LeaderFinder) Cores() []string {
+	finder.mutex.Lock()
+	defer finder.mutex.Unlock()
+	return slices.Clone(finder.cores)
+}
+
+// Membership returns the version of the newest membership that was heard of.
+func (finder *LeaderFinder) Membership() message.Version {
+	finder.mutex.Lock()
+	defer finder.mutex.Unlock()
+	return finder.membership
+}
+
+// Voters returns the cores that vote as far as is known, and the seeds that do not.
+func (finder *LeaderFinder) Voters() (voters, others []string) {
+	finder.mutex.Lock()
+	defer finder.mutex.Unlock()
+	return slices.Clone(finder.cores[:finder.voterCount]), slices.Clone(finder.cores[finder.voterCount:])
+}
+
+// isVoter reports whether a core votes as far as is known: one that has lost its vote may
+// tell what was in force when it had it.
+func (finder *LeaderFinder) isVoter(core string) bool {
+	voters, _ := finder.Voters()
+	return slices.Contains(voters, core)
+}
+
+// Observe takes a leader that anyone names, unless a newer one is known or that
+// leadership has ended.
+func (finder *LeaderFinder) Observe(leader message.Leader) {
+	finder.mutex.Lock()
+	isNewer := leader.Known() && !leader.Term.Less(finder.leader.Term) && finder.droppedTerm.Less(leader.Term) && leader != finder.leader
+	if isNewer {
+		finder.leader = leader
+	}
+	finder.mutex.Unlock()
+	if isNewer {
+		finder.leaderFound.Notify()
+	}
+}
+
+// Drop forgets a leader that did not answer or, with ended, said that it leads no more.
+func (finder *LeaderFinder) Drop(leader message.Leader, ended bool) {
+	finder.mutex.Lock()
+	if finder.leader.Term == leader.Term {
+		finder.leader = message.Leader{Term: leader.Term}
+	}
+	if ended && finder.droppedTerm.Less(leader.Term) {
+		finder.droppedTerm = leader.Term
+	}
+	finder.mutex.Unlock()
+	finder.wanted.Notify()
+}
+
+// Wait waits until a leader is known, at most as long as timeout, and returns it.
+func (finder *LeaderFinder) Wait(timeout time.Duration) message.Leader {
+	deadline := time.Now().Add(timeout)
+	finder.addWaiting(1)
+	finder.wanted.Notify()
+	defer finder.addWaiting(-1)
+	for {
+		seen := finder.leaderFound.Count()
+		if leader := finder.Leader(); leader.Known() || finder.goroutines.Stopping() {
+			return leader
+		}
+		if !finder.leaderFound.Wait(seen, time.Until(deadline)) {
+			return finder.Leader()
+		}
+	}
+}
+
+func (finder *LeaderFinder) addWaiting(count int) {
+	finder.mutex.Lock()
+	finder.waiting += count
+	finder.mutex.Unlock()
+}
+
+// findLeader asks all cores at once, until one names a leader.
+func (finder *LeaderFinder) findLeader() {
+	cores := finder.Cores()
+	concurrent.Gather(finder.goroutines, len(cores), func(index int) (struct{}, error) {
+		return struct{}{}, finder.ask(cores[index])
+	}, func(map[int]struct{}, map[int]error) bool { return finder.Leader().Known() })
+}
+
+func (finder *LeaderFinder) ask(core string) error {
+	response, err := rpc.Call[message.LeaderRequest, message.LeaderResponse](finder.client, core, "who", finder.intervals.findTimeout(), &message.LeaderRequest{})
+	if err != nil {
+		return err
+	}
+	finder.ObserveMembership(response.Membership, response.Cores)
+	if finder.isVoter(core) {
+		finder.onResponse(core, response)
+	}
+	if !response.Lameduck {
+		finder.Observe(response.Leader)
+	}
+	return nil
+}
+
+// ObserveMembership takes the addresses of the voters under a membership, unless a newer
+// one is known. Seeds that have no vote are asked after all others.
+func (finder *LeaderFinder) ObserveMembership(membership message.Version, cores []string) {
+	finder.mutex.Lock()
+	defer finder.mutex.Unlock()
+	if len(cores) == 0 || !finder.membership.Less(membership) {
+		return
+	}
+	finder.membership, finder.cores, finder.voterCount = membership, slices.Clone(cores), len(cores)
+	for _, seed := range finder.seeds {
+		if !slices.Contains(finder.cores, seed) {
+			finder.cores = append(finder.cores, seed)
+		}
+	}
+}
--- /dev/null
+++ b/agent/relay.go
@@ -0,0 +1,74 @@
+package agent
+
+import (
+	"context"
+	"time"
+)
+
+// behindTimeout is how long a daemon that is behind its core waits for its parent until
+// it asks the leader.
+const behindTimeout = 500 * time.Millisecond
+
+// watchParents waits for updates at a parent in the relay tree and fetches them there.
+func (daemon *Daemon) watchParents() {
+	for !daemon.goroutines.Stopping() {
+		parent := daemon.chooseParent()
+		if parent == "" {
+			daemon.LeaderFinder.Wait(time.Second)
+			continue
+		}
+		version := daemon.Version()
+		response, err := daemon.watch(context.Background(), parent, version)
+		if err != nil {
+			daemon.parentFailed(parent)
+			continue
+		}
+		isNewer := version.isBehind(response.Serial, response.Routing, response.Table)
+		if isNewer && !daemon.fetch(context.Background(), parent) {
+			daemon.parentFailed(parent)
+		}
+	}
+}
+
+// chooseParent returns the nearest living relay above this daemon, or the leader if there
+// is none or this daemon stayed behind what its core said.
+func (daemon *Daemon) chooseParent() string {
+	parents := newRelayTree(daemon.Version().Table).parents(daemon.config.Name)
+	leader := daemon.LeaderFinder.Leader()
+	daemon.mutex.Lock()
+	defer daemon.mutex.Unlock()
+	chosen := leader.Address
+	if !daemon.isLate() || chosen == "" {
+		for _, parent := range parents {
+			if time.Since(daemon.failedAt[parent.InternalAddress]) > failedCoreTimeout {
+				chosen = parent.InternalAddress
+				break
+			}
+		}
+	}
+	if chosen != daemon.parent {
+		daemon.parent = chosen
+		daemon.counters.Add("parents_changed", 1)
+	}
+	return chosen
+}
+
+// isLate reports whether this daemon has been behind its core, or what it has heard of,
+// for too long. The caller holds the mutex.
+func (daemon *Daemon) isLate() bool {
+	isBehindCore := !daemon.behindSince.IsZero() && time.Since(daemon.behindSince) > behindTimeout
+	hasSeenNewer := daemon.newestSeen > daemon.Version().Serial && time.Since(daemon.newestSeenAt) > daemon.intervals.FindLeader
+	return isBehindCore || hasSeenNewer
+}
+
+// parentFailed leaves a parent, or a core, that did not answer.
+func (daemon *Daemon) parentFailed(parent string) {
+	daemon.counters.Add("parents_lost", 1)
+	if leader := daemon.LeaderFinder.Leader(); leader.Address == parent {
+		daemon.LeaderFinder.Drop(leader, false)
+	}
+	daemon.mutex.Lock()
+	daemon.failedAt[parent] = time.Now()
+	daemon.mutex.Unlock()
+	daemon.goroutines.Sleep(daemon.intervals.FindLeader)
+}
--- a/member/metered_test.go
+++ b/agent/sent_counts_test.go
@@ -1,4 +1,4 @@
-package member
+package agent
 
 import (
 	"orchidjunction/message"
@@ -7,7 +7,7 @@
 )
 
 func TestMeteredTellsWhatChanged(test *testing.T) {
-	metered := &Metered{}
+	metered := &sentCounts{}
 	counts := func(ann, bob uint64) []message.WindowCount {
 		return []message.WindowCount{{Window: 7, Tenants: map[string]uint64{"ann": ann, "bob": bob}}}
 	}
@@ -27,15 +27,15 @@
 		{"b", counts(1, 4), 7, counts(1, 4), 0},
 		{"b", []message.WindowCount{{Window: 8, Tenants: map[string]uint64{"ann": 1}}}, 7, []message.WindowCount{{Window: 8, Tenants: map[string]uint64{"ann": 1}}}, 7},
 	} {
-		news, upon := metered.fresh(step.core, step.windows)
+		news, upon := metered.unsent(step.core, step.windows)
 		if !reflect.DeepEqual(news, step.want) || upon != step.upon {
 			test.Errorf("step %d: %v upon %d, want %v upon %d", number, news, upon, step.want, step.upon)
 		}
 		if step.process != 0 {
-			metered.took(news, step.process)
+			metered.accepted(news, step.process)
 		}
 	}
-	if len(metered.told) != 1 {
-		test.Errorf("old windows are kept: %v", metered.told)
+	if len(metered.sent) != 1 {
+		test.Errorf("old windows are kept: %v", metered.sent)
 	}
 }
--- /dev/null
+++ b/agent/session.go
@@ -0,0 +1,139 @@
+package agent
+
+import (
+	"maps"
+	"time"
+
+	"orchidjunction/concurrent"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
+)
+
+// runSessions renews the session periodically. With direct sessions it does so at once
+// when another leader is known or this daemon became ready.
+func (daemon *Daemon) runSessions() {
+	if !daemon.config.DirectSessions {
+		daemon.goroutines.Every(concurrent.Fixed(daemon.intervals.Session), daemon.renewSession)
+		return
+	}
+	for !daemon.goroutines.Stopping() {
+		seen := daemon.LeaderFinder.leaderFound.Count()
+		daemon.renewSession()
+		daemon.LeaderFinder.leaderFound.Wait(seen, daemon.intervals.Session)
+	}
+}
+
+// memberInfo returns this daemon as it announces itself.
+func (daemon *Daemon) memberInfo() message.Member {
+	isReady, keepsClaims, demand := daemon.Ready(), daemon.callbacks.keepsClaims(), daemon.callbacks.demand()
+	daemon.mutex.Lock()
+	defer daemon.mutex.Unlock()
+	return message.Member{
+		Name:            daemon.config.Name,
+		Kind:            daemon.config.Kind,
+		Zone:            daemon.config.Zone,
+		InternalAddress: daemon.config.InternalAddress,
+		PublicAddress:   daemon.config.PublicAddress,
+		OperatorAddress: daemon.config.OperatorAddress,
+		Incarnation:     daemon.incarnation,
+		Leaving:         daemon.leaving,
+		Ready:           isReady && !daemon.leaving,
+		KeyReplica:      keepsClaims && !daemon.leaving,
+		Demand:          demand,
+		Guest:           daemon.config.Guest,
+	}
+}
+
+// renewSession sends a core this daemon's heartbeat. A core that does not answer is left
+// for the next one.
+func (daemon *Daemon) renewSession() {
+	daemon.sessionLock.Lock()
+	defer daemon.sessionLock.Unlock()
+	begin := time.Now()
+	core := daemon.sessionCore()
+	session := daemon.newSession(core)
+	response, err := rpc.Call[message.Session, message.SessionResponse](daemon.client, core, "session", daemon.intervals.callTimeout(), session)
+	roundTrip := time.Since(begin)
+	if err != nil {
+		daemon.sessionFailed(core)
+		return
+	}
+	daemon.sentCounts.accepted(session.Windows, response.Process)
+	daemon.sessionRenewed(core, session, response, begin)
+	daemon.noteSerial(response.Serial)
+	daemon.LeaderFinder.ObserveMembership(response.Membership, response.Cores)
+	formerTerm := daemon.LeaderFinder.Leader().Term
+	daemon.LeaderFinder.Observe(response.Leader)
+	if response.NowMs > 0 {
+		daemon.clock.AddRoundTrip(response.NowMs, roundTrip)
+	}
+	if daemon.config.DirectSessions {
+		daemon.updateCores(core, response.Leader, formerTerm)
+		daemon.catchUp(core)
+	}
+}
+
+// newSession returns the heartbeat for a core.
+func (daemon *Daemon) newSession(core string) *message.Session {
+	version := daemon.Version()
+	daemon.mutex.Lock()
+	parent, hasEnded := daemon.parent, daemon.ended && daemon.config.DirectSessions
+	daemon.mutex.Unlock()
+	now := daemon.Now()
+	session := &message.Session{
+		Member:  daemon.memberInfo(),
+		Serial:  version.Serial,
+		Table:   version.Table.Version,
+		Parent:  parent,
+		Probes:  daemon.callbacks.probes(),
+		Usage:   daemon.callbacks.usage(),
+		Routing: version.RoutingSerial,
+		NowMs:   now,
+		Ended:   hasEnded,
+	}
+	session.Windows, session.BaseProcess = daemon.sentCounts.unsent(core, daemon.callbacks.windows())
+	return session
+}
+
+func (daemon *Daemon) sessionFailed(core string) {
+	daemon.mutex.Lock()
+	daemon.failedAt[core] = time.Now()
+	daemon.mutex.Unlock()
+	daemon.counters.Add("sessions_failed", 1)
+	if daemon.config.DirectSessions {
+		daemon.coreSilent(core)
+	}
+}
+
+// sessionRenewed notes a core's response to a heartbeat that began at a time. A core that
+// follows no leader counts as failed.
+func (daemon *Daemon) sessionRenewed(core string, session *message.Session, response *message.SessionResponse, begin time.Time) {
+	daemon.mutex.Lock()
+	defer daemon.mutex.Unlock()
+	daemon.lastResponseAt = time.Now()
+	if response.Leader.Known() {
+		daemon.connectivity.reachedCore(begin)
+	} else if daemon.config.DirectSessions || daemon.connectivity.coresSilent() {
+		daemon.failedAt[core] = time.Now()
+	}
+	isBehind := response.Serial > session.Serial || response.Routing > session.Routing || session.Table.Less(response.Table)
+	if !isBehind {
+		daemon.behindSince = time.Time{}
+	} else if daemon.behindSince.IsZero() {
+		daemon.behindSince = time.Now()
+	}
+}
+
+// sendUsage tells the leader what was served since it was told last: what only this
+// process knows is lost with it. Sessions tell it too, to whichever core.
+func (daemon *Daemon) sendUsage() {
+	leader, usage := daemon.LeaderFinder.Leader(), daemon.callbacks.usage()
+	if !leader.Known() || maps.Equal(usage, daemon.countedUsage) {
+		return
+	}
+	request := &message.UsageCountRequest{Incarnation: daemon.incarnation, Usage: usage}
+	_, err := rpc.Call[message.UsageCountRequest, message.UsageCountResponse](daemon.client, leader.Address, "count", daemon.intervals.callTimeout(), request)
+	if err == nil {
+		daemon.countedUsage = usage
+	}
+}
--- /dev/null
+++ b/agent/updates.go
@@ -0,0 +1,146 @@
+package agent
+
+import (
+	"context"
+	"time"
+
+	"k8s.io/klog/v2"
+	"orchidjunction/message"
+	"orchidjunction/rpc"
+)
+
+const (
+	// maxWatch bounds how long another daemon's watch may wait here.
+	maxWatch = 10 * time.Second
+	// fetchAttempts is how often an update is fetched whose chunks are gone meanwhile.
+	fetchAttempts = 3
+)
+
+// watch waits at a process until it has something newer, or the interval is over.
+func (daemon *Daemon) watch(ctx context.Context, address string, version *Version) (*message.WatchResponse, error) {
+	interval := daemon.intervals.Watch
+	request := &message.WatchRequest{
+		Name:    daemon.config.Name,
+		Serial:  version.Serial,
+		Table:   version.Table.Version,
+		Routing: version.RoutingSerial,
+		SpanMs:  int(interval.Milliseconds()),
+	}
+	return rpc.CallContext[message.WatchRequest, message.WatchResponse](ctx, daemon.client, address, "watch", interval+daemon.intervals.callTimeout(), request)
+}
+
+// fetch puts in force what a process has that is newer: first it asks for the references
+// of the chunks, then for those that are missing here. A process that moved on meanwhile
+// is asked again.
+func (daemon *Daemon) fetch(ctx context.Context, address string) bool {
+	for range fetchAttempts {
+		version := daemon.Version()
+		request := &message.FetchRequest{Serial: version.Serial, Table: version.Table.Version, Routing: version.RoutingSerial}
+		response, err := rpc.CallContext[message.FetchRequest, message.FetchResponse](ctx, daemon.client, address, "fetch", daemon.intervals.fetchTimeout(), request)
+		if err != nil {
+			return false
+		}
+		chunks, missing := message.Chunks{}, version.Tree.Lacks(response.Chunks)
+		err = chunks.Fetch(daemon.client, address, daemon.intervals.fetchTimeout(), missing)
+		if err == nil {
+			daemon.counters.Add("branches_fetched", uint64(len(missing)))
+			return daemon.applyUpdate(response, chunks)
+		}
+		daemon.counters.Add("branches_"+string(rpc.CodeOf(err)), 1)
+		if rpc.CodeOf(err) != rpc.CorruptChunk {
+			return false
+		}
+	}
+	return false
+}
+
+// applyUpdate puts what was fetched in force, unless newer parts came meanwhile. It holds
+// a mutex of its own, so that the session goes on while a large version is put in force.
+func (daemon *Daemon) applyUpdate(response *message.FetchResponse, chunks message.Chunks) bool {
+	daemon.applyMutex.Lock()
+	before := daemon.Version()
+	next, err := before.with(response, chunks)
+	isSame := err == nil && next.Serial == before.Serial && next.RoutingSerial == before.RoutingSerial && next.Table == before.Table
+	if err == nil && !isSame {
+		daemon.callbacks.apply(next)
+		daemon.version.Store(next)
+	}
+	daemon.applyMutex.Unlock()
+	if err != nil {
+		daemon.counters.Add("versions_refused", 1)
+		return false
+	}
+	if !isSame {
+		daemon.logUpdate(before, next)
+		daemon.updates.Notify()
+	}
+	return true
+}
+
+func (daemon *Daemon) logUpdate(before, next *Version) {
+	if next.Serial != before.Serial {
+		klog.Infof("%s: serial %d in force", daemon.config.Name, next.Serial)
+		daemon.counters.Add("serials_in_force", 1)
+	}
+	if next.RoutingSerial != before.RoutingSerial {
+		klog.Infof("%s: routing %d in force, version %d", daemon.config.Name, next.RoutingSerial, next.Routing.Config.Version)
+		daemon.counters.Add("routings_in_force", 1)
+	}
+}
+
+// onWatch waits until something is newer here than what another daemon holds.
+func (daemon *Daemon) onWatch(_ context.Context, request *message.WatchRequest) (*message.WatchResponse, error) {
+	wait := min(time.Duration(request.SpanMs)*time.Millisecond, maxWatch)
+	deadline := time.Now().Add(wait)
+	for {
+		seen := daemon.updates.Count()
+		version := daemon.Version()
+		response := &message.WatchResponse{Serial: version.Serial, Table: version.Table.Version, Routing: version.RoutingSerial}
+		isNewer := response.Serial > request.Serial || response.Routing > request.Routing || request.Table.Less(response.Table)
+		if isNewer || daemon.goroutines.Stopping() || !daemon.updates.Wait(seen, time.Until(deadline)) {
+			return response, nil
+		}
+	}
+}
+
+// onFetch returns what is newer here than what another daemon holds.
+func (daemon *Daemon) onFetch(_ context.Context, request *message.FetchRequest) (*message.FetchResponse, error) {
+	version := daemon.Version()
+	response := &message.FetchResponse{}
+	if version.Serial > request.Serial {
+		response.Serial, response.Chunks = version.Serial, version.Tree.Parts
+	}
+	if version.RoutingSerial > request.Routing {
+		body, err := rpc.Marshal(version.Routing)
+		if err != nil {
+			return nil, err
+		}
+		response.Routing, response.RoutingBody = version.RoutingSerial, body
+	}
+	if request.Table.Less(version.Table.Version) {
+		response.Table = version.Table
+	}
+	return response, nil
+}
+
+// onFetchChunks returns the chunks that are in force here.
+func (daemon *Daemon) onFetchChunks(_ context.Context, request *message.FetchChunksRequest) (*message.FetchChunksResponse, error) {
+	tree, response := daemon.Version().Tree, &message.FetchChunksResponse{Chunks: message.Chunks{}}
+	for _, digest := range request.Digests {
+		if text := tree.Text(digest); text != nil {
+			response.Chunks[digest] = text
+		}
+	}
+	return response, nil
+}
+
+// onLeader says who leads and who votes, as far as this daemon knows.
+func (daemon *Daemon) onLeader(context.Context, *message.LeaderRequest) (*message.LeaderResponse, error) {
+	voters, _ := daemon.LeaderFinder.Voters()
+	return &message.LeaderResponse{
+		Leader:     daemon.LeaderFinder.Leader(),
+		Membership: daemon.LeaderFinder.Membership(),
+		Cores:      voters,
+		Serial:     daemon.Version().Serial,
+	}, nil
+}
--- /dev/null
+++ b/agent/version.go
@@ -0,0 +1,67 @@
+package agent
+
+import (
+	"orchidjunction/conf"
+	"orchidjunction/message"
+	"orchidjunction/route"
+)
+
+// Version is what is in force in a daemon: settings, routing and table, with the serials
+// of the first two. It is immutable and replaced as a whole.
+type Version struct {
+	Serial        uint64
+	Tree          *conf.Tree
+	Settings      *conf.Settings
+	Table         *message.Table
+	RoutingSerial uint64
+	Routing       *route.Book
+}
+
+// Body returns the whole text of the settings.
+func (version *Version) Body() []byte { return version.Tree.Body() }
+
+// isBehind reports whether any of the given versions is newer.
+func (version *Version) isBehind(serial, routing uint64, table message.TableVersion) bool {
+	return serial > version.Serial || routing > version.RoutingSerial || version.Table.Version.Less(table)
+}
+
+// with returns the version with the newer parts of a response.
+func (version *Version) with(response *message.FetchResponse, chunks message.Chunks) (*Version, error) {
+	next := *version
+	if response.Serial > version.Serial {
+		tree, err := conf.Grow(version.Tree, response.Chunks, chunks)
+		if err != nil {
+			return nil, err
+		}
+		next.Serial, next.Tree, next.Settings = response.Serial, tree, tree.Settings
+	}
+	if response.Routing > version.RoutingSerial {
+		routing, err := decodeRouting(response)
+		if err != nil {
+			return nil, err
+		}
+		next.RoutingSerial, next.Routing = response.Routing, routing
+	}
+	next.Table = newerTable(version.Table, response)
+	return &next, nil
+}
+
+func decodeRouting(response *message.FetchResponse) (*route.Book, error) {
+	body, err := response.DecompressRouting()
+	if err != nil {
+		return nil, err
+	}
+	return route.BookOf(body)
+}
+
+// newerTable returns the table of a response, or the present one if that is newer.
+func newerTable(table *message.Table, response *message.FetchResponse) *message.Table {
+	switch {
+	case response.Table != nil && table.Version.Less(response.Table.Version):
+		return response.Table
+	case response.Delta != nil && table.Version.Less(response.Delta.Version):
+		next, _ := table.Apply(response.Delta) // the table itself if the delta has another base
+		return next
+	}
+	return table
+}
--- /dev/null
+++ b/agent/watch.go
@@ -0,0 +1,121 @@
+package agent
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"orchidjunction/message"
+)
+
+// watching is the core at which a daemon with direct sessions waits for updates, and how
+// to wait no longer. It is safe for concurrent use.
+type watching struct {
+	mutex  sync.Mutex
+	core   string
+	cancel context.CancelFunc
+}
+
+// begin notes the core and returns the context of the wait.
+func (watching *watching) begin(core string) context.Context {
+	ctx, cancel := context.WithCancel(context.Background())
+	watching.mutex.Lock()
+	defer watching.mutex.Unlock()
+	watching.core, watching.cancel = core, cancel
+	return ctx
+}
+
+// stop ends the wait at a core, if that is still the one.
+func (watching *watching) stop(core string) {
+	watching.mutex.Lock()
+	defer watching.mutex.Unlock()
+	if watching.core == core && watching.cancel != nil {
+		watching.cancel()
+	}
+}
+
+func (watching *watching) current() string {
+	watching.mutex.Lock()
+	defer watching.mutex.Unlock()
+	return watching.core
+}
+
+// watchCores waits for updates at the leader or, while that does not answer, at another
+// core.
+func (daemon *Daemon) watchCores() {
+	for !daemon.goroutines.Stopping() {
+		core := daemon.chooseCore()
+		ctx := daemon.watching.begin(core)
+		if !daemon.watchOnce(ctx, core) {
+			daemon.parentFailed(core)
+		}
+		daemon.watching.stop(core)
+	}
+}
+
+// watchOnce waits for an update at a core and fetches it. It returns false if the core
+// failed.
+func (daemon *Daemon) watchOnce(ctx context.Context, core string) bool {
+	version := daemon.Version()
+	response, err := daemon.watch(ctx, core, version)
+	if err != nil {
+		return ctx.Err() != nil
+	}
+	isNewer := version.isBehind(response.Serial, response.Routing, response.Table)
+	return !isNewer || daemon.fetch(ctx, core) || ctx.Err() != nil
+}
+
+// fetchFirstVersion takes a first version from whichever core has one: before anybody
+// leads, cores say what they know to be committed.
+func (daemon *Daemon) fetchFirstVersion(core string, response *message.LeaderResponse) {
+	version := daemon.Version()
+	hasVersion := version.RoutingSerial > 0 && version.Table.Complete
+	if hasVersion || !version.isBehind(0, response.Routing, response.Table) {
+		return
+	}
+	daemon.counters.Add("begun_before_a_leader", 1)
+	daemon.fetch(context.Background(), core)
+}
+
+// coreSilent forgets a leader that did not answer, and waits for no updates from it.
+func (daemon *Daemon) coreSilent(core string) {
+	if leader := daemon.LeaderFinder.Leader(); leader.Address == core {
+		daemon.LeaderFinder.Drop(leader, false)
+	}
+	daemon.watching.stop(core)
+}
+
+// updateCores leaves a core that knows no leader, and ends a wait for updates at one that
+// does not lead while another one does.
+func (daemon *Daemon) updateCores(core string, leader message.Leader, formerTerm message.Term) {
+	daemon.mutex.Lock()
+	if !leader.Known() {
+		daemon.failedAt[core] = time.Now()
+	} else if formerTerm.Less(leader.Term) {
+		delete(daemon.failedAt, leader.Address)
+	}
+	daemon.mutex.Unlock()
+	if !leader.Known() {
+		daemon.coreSilent(core)
+	}
+	watched := daemon.watching.current()
+	if watched != daemon.chooseCore() && daemon.LeaderFinder.Leader().Known() {
+		daemon.watching.stop(watched)
+	}
+}
+
+// catchUp fetches an update from the core that has it, if the wait for updates did not;
+// the session does not wait for that.
+func (daemon *Daemon) catchUp(core string) {
+	daemon.mutex.Lock()
+	isLate := !daemon.behindSince.IsZero() && time.Since(daemon.behindSince) > daemon.intervals.Session/2
+	daemon.mutex.Unlock()
+	if !isLate || !daemon.catchingUp.CompareAndSwap(false, true) {
+		return
+	}
+	daemon.counters.Add("caught_up", 1)
+	daemon.goroutines.Start(func() {
+		defer daemon.catchingUp.Store(false)
+		daemon.fetch(context.Background(), core)
+	})
+}
--- a/cmd/ojback/main.go
+++ b/cmd/ojback/main.go
@@ -2,9 +2,9 @@
 package main
 
 import (
+	"orchidjunction/agent"
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
-	"orchidjunction/member"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
 	"orchidjunction/stand"
@@ -29,7 +29,7 @@
 	if place.Service == "" || place.Instance == "" {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--service and --instance must be given"))
 	}
-	place.Incarnation = member.NewID()
+	place.Incarnation = agent.NewID()
 	backend, err := stand.NewBackend(place)
 	if err != nil {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--journal: %v", err))
--- a/cmd/ojcore/main.go
+++ b/cmd/ojcore/main.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/program"
@@ -63,8 +63,8 @@
 	}
 	goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
 	client := rpc.NewClient(program.Transport())
-	finder := member.NewFinder(client, goroutines, knownCores(&config))
-	config.OnMembershipChange = finder.Learn
+	finder := agent.NewLeaderFinder(client, goroutines, knownCores(&config))
+	config.OnMembershipChange = finder.ObserveMembership
 	core, err := control.NewCore(config, storage.Folder(data), client, goroutines, counters)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "ojcore: %v\n", err)
@@ -72,9 +72,9 @@
 	}
 	server := rpc.NewServer(counters)
 	core.Register(server)
-	hold := member.NewHold(finder, client, counters)
+	forwarder := agent.NewForwarder(finder, client, counters)
 	name := nameOf(&config)
-	operate := member.NewOperate(name, hold, counters, core.Settings, core.CanVote)
+	operate := agent.NewOperatorAPI(name, forwarder, counters, core.Settings, core.CanVote)
 	wired, err := program.Listen(config.InternalAddress, server, 64<<10)
 	flags.Exit(err)
 	operated, err := program.Listen(config.OperatorAddress, operate, 64<<10)
--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -13,10 +13,10 @@
 	"sort"
 	"strings"
 
+	"orchidjunction/agent"
 	"orchidjunction/aims"
 	"orchidjunction/conf"
 	"orchidjunction/control"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/operator"
 	"orchidjunction/program"
@@ -207,7 +207,7 @@
 func (command *errand) change(body []byte) (operator.Change, error) {
 	change := operator.Change{Base: uint64(max(command.base, 0)), Change: command.changeID, Operator: command.operator, Settings: body}
 	if change.Change == "" {
-		change.Change = member.NewID()
+		change.Change = agent.NewID()
 	}
 	if command.base < 0 {
 		settings, err := command.client.Read(false)
@@ -292,7 +292,7 @@
 			change.Base = uint64(command.base)
 		}
 		if change.Change == "" {
-			change.Change = member.NewID()
+			change.Change = agent.NewID()
 		}
 		err = command.apply(change, command.client.Patch)
 		if err == nil || rpc.CodeOf(err) != rpc.StaleBase || command.base >= 0 || try >= tries {
--- a/cmd/ojnode/core.go
+++ b/cmd/ojnode/core.go
@@ -5,8 +5,8 @@
 	"os"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/control"
-	"orchidjunction/member"
 	"orchidjunction/platform"
 	"orchidjunction/program"
 	"orchidjunction/rpc"
@@ -54,12 +54,12 @@
 	}
 	line := rpc.NewClient(program.FarTransport(userTimeout))
 	var core *control.Core
-	finder := member.NewFinder(line, node.goroutines, innerSeeds(settings)).Paced(member.Paces{Seek: seekPace})
+	finder := agent.NewLeaderFinder(line, node.goroutines, innerSeeds(settings)).WithIntervals(agent.Intervals{FindLeader: seekPace})
 	client := platform.NewClient(settings.Platform.Address, program.FarTransport(userTimeout), func() int64 { return core.Now() })
 	config := control.Config{Name: settings.Name, Zone: settings.Zone, InternalAddress: inner(settings, settings.Address), Seeds: innerSeeds(settings), Bootstrap: settings.First,
 		MinFounders: 2*settings.Survive.Machines + 1, HeartbeatInterval: beat, SuspicionTimeout: suspect, Seed: uint64(time.Now().UnixNano()), DirectSessions: true, TableInterval: tablePace,
 		SessionTTL: sessionSpan, ListBackends: client.List, ListInterval: listPace(settings), ListsUntilGone: goneAfter,
-		ReplaceAfter: settings.Bounds.CatchUp / replaceShare, OnMembershipChange: finder.Learn}
+		ReplaceAfter: settings.Bounds.CatchUp / replaceShare, OnMembershipChange: finder.ObserveMembership}
 	if settings.Metered() {
 		config.Metering = control.Metering{Window: settings.Bounds.ReportWindow, SettleAfter: settle, SettleLatest: settings.Bounds.UsageDelay - reportRest, TakeoverQuiet: settings.Bounds.Lease, Report: func(report control.WindowReport) control.ReportResult {
 			ctx, cancel := context.WithTimeout(context.Background(), callLimit)
@@ -76,9 +76,9 @@
 	}
 	server := rpc.NewServer(node.counters)
 	core.Register(server)
-	hold := member.NewHold(finder, line, node.counters).Within(member.HoldLimits{Send: sendLimit})
-	hold.Follow(core.Leader)
-	orders := platform.NewControl(platform.NewLeaderOrders(hold), func() map[string]string { return node.source.Settings().Zones }, node.counters)
+	forwarder := agent.NewForwarder(finder, line, node.counters).WithLimits(agent.ForwardLimits{Attempt: sendLimit})
+	forwarder.SetLocalLeader(core.Leader)
+	orders := platform.NewControl(platform.NewLeaderOrders(forwarder), func() map[string]string { return node.source.Settings().Zones }, node.counters)
 	if err := node.open(side{config.InternalAddress, server}, side{settings.Listen.Operators, orders}); err != nil {
 		return err
 	}
--- a/cmd/ojnode/proxy.go
+++ b/cmd/ojnode/proxy.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"orchidjunction/member"
+	"orchidjunction/agent"
 	"orchidjunction/message"
 	"orchidjunction/platform"
 	"orchidjunction/program"
@@ -31,24 +31,24 @@
 	settings := node.source.Settings()
 	client := rpc.NewClient(program.FarTransport(userTimeout))
 	address := inner(settings, settings.Address)
-	place := member.Place{Name: settings.Name, Kind: "proxy", Zone: settings.Zone, Wire: address, Outer: settings.Listen.Clients, Operate: address, Seeds: innerSeeds(settings),
-		Paces: member.Paces{Session: sessionPace, Watch: watchPace, Seek: seekPace, Feel: feelPace, Look: lookPace, Count: -1},
-		Hold:  member.HoldLimits{Send: sendLimit}, Direct: true, ServesAlone: true, Routed: true}
-	if err := place.Check(); err != nil {
+	config := agent.Config{Name: settings.Name, Kind: "proxy", Zone: settings.Zone, InternalAddress: address, PublicAddress: settings.Listen.Clients, OperatorAddress: address, Seeds: innerSeeds(settings),
+		Intervals: agent.Intervals{Session: sessionPace, Watch: watchPace, FindLeader: seekPace, Pulse: feelPace, CheckReach: lookPace, UsageCount: -1},
+		ForwardLimits: agent.ForwardLimits{Attempt: sendLimit}, DirectSessions: true, ServesAlone: true, Routed: true}
+	if err := config.Check(); err != nil {
 		return err
 	}
-	daemon := member.NewDaemon(place, incarnation(), client, node.goroutines, node.counters)
+	daemon := agent.NewDaemon(config, incarnation(), client, node.goroutines, node.counters)
 	dialer := &net.Dialer{Control: program.UserTimeout(backendSilent), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}}
 	plane := proxy.NewProxy(proxy.Place{Name: settings.Name, Zone: settings.Zone, Regions: settings.Zones, Headers: platform.RequestHeaders(),
 		RetryRatio: settings.Bounds.RetryRatio, RetryExtra: float64(settings.Bounds.RetryExtra), WarmupExcess: settings.Bounds.WarmupExcess,
 		WarmupExtra: settings.Bounds.WarmupExtra, UsageWindow: settings.Bounds.ReportWindow, ListLag: settings.Platform.Lag, LinkBytes: settings.Machine.LinkMbps * 1e6 / 8}, dialer.DialContext, daemon.Now, node.goroutines, node.counters)
-	daemon.Serve(func(version *member.Version) {
-		if version.Book != nil && version.Routing > 0 && version.Table.Complete {
-			plane.Lay(version.Book, version.Table)
+	daemon.OnVersion(func(version *agent.Version) {
+		if version.Routing != nil && version.RoutingSerial > 0 && version.Table.Complete {
+			plane.Lay(version.Routing, version.Table)
 		}
 	}, nil)
-	daemon.Meter(plane.Windows)
-	daemon.Warm(plane.Ready)
+	daemon.SetWindows(plane.Windows)
+	daemon.SetWarm(plane.Ready)
 	server := rpc.NewServer(node.counters)
 	daemon.Register(server)
 	lookups := platform.NewLookup(node.source.Settings, func() *message.Table { return daemon.Version().Table },
--- a/cmd/ojproxy/main.go
+++ b/cmd/ojproxy/main.go
@@ -5,9 +5,9 @@
 	"net"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/concurrent"
 	"orchidjunction/data"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/program"
@@ -20,7 +20,7 @@
 	guest.Join = func(owner, borrower program.Plane) {
 		borrower.(*data.Proxy).Borrow(data.NewLend(owner.(*data.Proxy), guest.PerSecond, guest.InFlight))
 	}
-	program.RunDaemon(flags, "proxy", guest, func(daemon *member.Daemon, goroutines *concurrent.Group, counters *metrics.Counters) (program.Plane, func() []message.Probe) {
+	program.RunDaemon(flags, "proxy", guest, func(daemon *agent.Daemon, goroutines *concurrent.Group, counters *metrics.Counters) (program.Plane, func() []message.Probe) {
 		proxy := data.NewProxy(daemon, goroutines, counters, dialer.DialContext)
 		return proxy, proxy.Probes
 	})
--- a/data/claim_messages.go
+++ b/data/claim_messages.go
@@ -65,7 +65,7 @@
 		if holderName(known) != claimed.Holder {
 			continue
 		}
-		response, err := rpc.Call[message.QueryHolderRequest, message.QueryHolderResponse](claims.proxy.daemon.Line(), known.InternalAddress, "holds", claimLimit, &message.QueryHolderRequest{Holder: claimed.Holder, Key: claimed.Key, ID: claimed.ID})
+		response, err := rpc.Call[message.QueryHolderRequest, message.QueryHolderResponse](claims.proxy.daemon.Client(), known.InternalAddress, "holds", claimLimit, &message.QueryHolderRequest{Holder: claimed.Holder, Key: claimed.Key, ID: claimed.ID})
 		if err != nil {
 			return nil, false
 		}
@@ -82,7 +82,7 @@
 			continue
 		}
 		claims.proxy.goroutines.Start(func() {
-			if _, err := rpc.Call[message.CompleteClaimRequest, message.CompleteClaimResponse](claims.proxy.daemon.Line(), keeper.InternalAddress, "settle", settleLimit, settle); err != nil {
+			if _, err := rpc.Call[message.CompleteClaimRequest, message.CompleteClaimResponse](claims.proxy.daemon.Client(), keeper.InternalAddress, "settle", settleLimit, settle); err != nil {
 				claims.proxy.counters.Add("claims_not_settled", 1)
 			}
 		})
--- a/data/claim_poll.go
+++ b/data/claim_poll.go
@@ -126,7 +126,7 @@
 		if members[index].Name == claims.proxy.daemon.Name() {
 			return claimAnswer{keeper: claims.grant(claim)}, nil
 		}
-		response, err := rpc.Call[message.ClaimRequest, message.ClaimResponse](claims.proxy.daemon.Line(), members[index].InternalAddress, "claim", claimLimit, claim)
+		response, err := rpc.Call[message.ClaimRequest, message.ClaimResponse](claims.proxy.daemon.Client(), members[index].InternalAddress, "claim", claimLimit, claim)
 		return claimAnswer{keeper: response}, err
 	}, func(got map[int]claimAnswer, _ map[int]error) bool {
 		now := *round
--- a/data/claims.go
+++ b/data/claims.go
@@ -94,7 +94,7 @@
 	}
 	asked := append(append([]message.Member{}, others...), peers...)
 	got, _ := concurrent.Gather(claims.proxy.goroutines, len(asked), func(index int) (*message.FetchClaimsResponse, error) {
-		return pullAll(claims.proxy.daemon.Line(), asked[index].InternalAddress, message.AcceptedValue{}, claims.keeper.Merge)
+		return pullAll(claims.proxy.daemon.Client(), asked[index].InternalAddress, message.AcceptedValue{}, claims.keeper.Merge)
 	}, func(map[int]*message.FetchClaimsResponse, map[int]error) bool { return false })
 	grown, wholes := 0, 0
 	for index, response := range got {
--- a/data/core_store.go
+++ b/data/core_store.go
@@ -65,7 +65,7 @@
 	store.mutex.Lock()
 	roster := store.roster
 	store.mutex.Unlock()
-	known, cores := store.proxy.daemon.Finder.Members(), store.proxy.daemon.Finder.Cores()
+	known, cores := store.proxy.daemon.LeaderFinder.Membership(), store.proxy.daemon.LeaderFinder.Cores()
 	if roster.voters == nil {
 		return roster, cores
 	}
@@ -86,7 +86,7 @@
 }
 
 func (store *coreStore) ask(address string, request *message.RecordClaimsRequest, limit time.Duration) (*message.RecordClaimsResponse, error) {
-	return rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](store.proxy.daemon.Line(), address, "keep", limit, request)
+	return rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](store.proxy.daemon.Client(), address, "keep", limit, request)
 }
 
 // enqueue queues an update for deliver; if the queue is full the update is lost and
@@ -171,7 +171,7 @@
 func (store *coreStore) restore(take func([]message.ClaimRecord)) bool {
 	roster, cores := store.coresToAsk()
 	got, _ := concurrent.Gather(store.proxy.goroutines, len(cores), func(index int) (*message.FetchClaimsResponse, error) {
-		return pullAll(store.proxy.daemon.Line(), cores[index], roster.accepted, take)
+		return pullAll(store.proxy.daemon.Client(), cores[index], roster.accepted, take)
 	}, func(map[int]*message.FetchClaimsResponse, map[int]error) bool { return false })
 	votes := newCoreVotes(roster)
 	for _, response := range got {
--- a/data/proxy.go
+++ b/data/proxy.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/concurrent"
 	"orchidjunction/conf"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
@@ -18,7 +18,7 @@
 // backends. It lives as long as the process and replaces its plan with each
 // version.
 type Proxy struct {
-	daemon     *member.Daemon
+	daemon     *agent.Daemon
 	goroutines *concurrent.Group
 	counters   *metrics.Counters
 	dial       Dialer
@@ -48,15 +48,15 @@
 
 // NewProxy returns a proxy without a version; it refuses requests until Apply. It
 // registers its usage, demand and readiness with the daemon.
-func NewProxy(daemon *member.Daemon, goroutines *concurrent.Group, counters *metrics.Counters, dial Dialer) *Proxy {
+func NewProxy(daemon *agent.Daemon, goroutines *concurrent.Group, counters *metrics.Counters, dial Dialer) *Proxy {
 	proxy := &Proxy{daemon: daemon, goroutines: goroutines, counters: counters, dial: dial, budget: newRetryBudget(), usage: metrics.NewCounters(), admission: NewAdmission(), retries: newRetryDetector(),
-		targets: map[string]*Target{}, prefix: member.NewID()[:10]}
+		targets: map[string]*Target{}, prefix: agent.NewID()[:10]}
 	proxy.claims = newClaims(proxy)
-	daemon.Keep(proxy.claims.Grown)
-	daemon.Warm(proxy.warm)
-	daemon.Count(proxy.usage.All)
-	daemon.Ask(proxy.admission.Demand)
-	daemon.Finish(proxy.claims.coreStore.flush)
+	daemon.SetKeepsClaims(proxy.claims.Grown)
+	daemon.SetWarm(proxy.warm)
+	daemon.SetUsage(proxy.usage.All)
+	daemon.SetDemand(proxy.admission.Demand)
+	daemon.OnRetire(proxy.claims.coreStore.flush)
 	return proxy
 }
 
@@ -73,7 +73,7 @@
 }
 
 // Apply puts a version in force; one without settings is ignored.
-func (proxy *Proxy) Apply(version *member.Version) {
+func (proxy *Proxy) Apply(version *agent.Version) {
 	if version.Settings == nil {
 		return
 	}
@@ -125,7 +125,7 @@
 }
 
 // next are the routes of a version, those of this plan where it is the same.
-func (plan *plan) next(version *member.Version) *Routes {
+func (plan *plan) next(version *agent.Version) *Routes {
 	if plan == nil {
 		return NewRoutes(version.Serial, version.Settings, nil)
 	}
@@ -194,7 +194,7 @@
 		if err != nil {
 			proxy.counters.Add("probes_"+string(rpc.CodeOf(err)), 1)
 		} else {
-			proxy.daemon.Seen(serial)
+			proxy.daemon.ObserveSerial(serial)
 		}
 		span := probePace
 		if plan := proxy.plan.Load(); plan != nil && err == nil {
--- a/data/task.go
+++ b/data/task.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/conf"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
 )
@@ -53,7 +53,7 @@
 		id: proxy.prefix + "-" + strconv.FormatUint(proxy.taskIDs.Add(1), 36)}
 	defer func() { task.finish() }()
 	writer.Header().Set("Oj-Task", task.id)
-	if _, leaving := proxy.daemon.Stays(); leaving {
+	if _, leaving := proxy.daemon.StopsIn(); leaving {
 		writer.Header().Set("Connection", "close")
 	}
 	if err := task.serve(writer); err != nil {
@@ -77,7 +77,7 @@
 		task.proxy.retries.recordFailure(task.mark)
 	}
 	task.proxy.counters.Add("refused_"+string(refusal.Code), 1)
-	member.Refuse(writer, &refusal)
+	agent.WriteError(writer, &refusal)
 }
 
 func (task *task) deliver(writer http.ResponseWriter) {
@@ -122,7 +122,7 @@
 	if task.emptied() {
 		return &rpc.Error{Code: rpc.ZoneDrained, Message: "this zone is emptied; ask a directory where to go", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
 	}
-	if rest, leaving := task.proxy.daemon.Stays(); leaving && time.Until(task.limit) > rest-endMargin {
+	if rest, leaving := task.proxy.daemon.StopsIn(); leaving && time.Until(task.limit) > rest-endMargin {
 		return &rpc.Error{Code: rpc.Stopping, Message: "this front stops; ask a directory where to go", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
 	}
 	return nil
@@ -358,7 +358,7 @@
 	task.state.advance(Receiving)
 	target.learnReceipt(incarnation, func(identity *Identity) { identity.fromReceipt(response.Header) })
 	if serial, err := strconv.ParseUint(response.Header.Get("Oj-Serial"), 10, 64); err == nil {
-		task.proxy.daemon.Seen(serial)
+		task.proxy.daemon.ObserveSerial(serial)
 	}
 	receipt, mishap := takeReceipt(response, task.id, task.rule.ReceiptBytes, task.rule.Money)
 	if mishap != nil {
--- a/place/directory.go
+++ b/place/directory.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/data"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
@@ -24,7 +24,7 @@
 
 // Directory answers callers from one immutable view per version.
 type Directory struct {
-	daemon   *member.Daemon
+	daemon   *agent.Daemon
 	counters *metrics.Counters
 	view     atomic.Pointer[View]
 }
@@ -55,7 +55,7 @@
 
 // NewDirectory returns a directory without a version; it refuses callers until
 // Apply.
-func NewDirectory(daemon *member.Daemon, counters *metrics.Counters) *Directory {
+func NewDirectory(daemon *agent.Daemon, counters *metrics.Counters) *Directory {
 	return &Directory{daemon: daemon, counters: counters}
 }
 
@@ -66,7 +66,7 @@
 func (directory *Directory) Run() {}
 
 // Apply puts a version in force; one without settings is ignored.
-func (directory *Directory) Apply(version *member.Version) {
+func (directory *Directory) Apply(version *agent.Version) {
 	if version.Settings == nil {
 		return
 	}
@@ -108,17 +108,17 @@
 // ServeHTTP answers GET /v1/place with a Placement for the tenant of the bearer
 // key.
 func (directory *Directory) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	if _, leaving := directory.daemon.Stays(); leaving {
+	if _, leaving := directory.daemon.StopsIn(); leaving {
 		writer.Header().Set("Connection", "close")
 	}
 	placement, err := directory.answer(request)
 	if err != nil {
 		directory.counters.Add("places_"+string(rpc.CodeOf(err)), 1)
-		member.Refuse(writer, err)
+		agent.WriteError(writer, err)
 		return
 	}
 	directory.counters.Add("places", 1)
-	member.Answer(writer, http.StatusOK, placement)
+	agent.WriteJSON(writer, http.StatusOK, placement)
 }
 
 func (directory *Directory) answer(request *http.Request) (*Placement, error) {
--- a/program/daemon.go
+++ b/program/daemon.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/concurrent"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
@@ -16,41 +16,41 @@
 // Plane is what a daemon does besides being a member.
 type Plane interface {
 	http.Handler
-	Apply(*member.Version)
+	Apply(*agent.Version)
 	Register(*rpc.Server)
 	Run()
 }
 
 // Make makes the plane of one daemon.
-type Make func(*member.Daemon, *concurrent.Group, *metrics.Counters) (Plane, func() []message.Probe)
+type Make func(*agent.Daemon, *concurrent.Group, *metrics.Counters) (Plane, func() []message.Probe)
 
 // Station is one daemon with its open sides; a process has one, or two when it
 // is a guest at the other partner as well.
 type Station struct {
-	Daemon    *member.Daemon
+	Daemon    *agent.Daemon
 	Plane     Plane
 	line      *rpc.Client
 	counters  *metrics.Counters
 	listeners []*Listener
 }
 
-func newStation(flags *Flags, place member.Place, goroutines *concurrent.Group, make Make) *Station {
+func newStation(flags *Flags, config agent.Config, goroutines *concurrent.Group, make Make) *Station {
 	station := &Station{line: rpc.NewClient(Transport()), counters: metrics.NewCounters()}
-	station.Daemon = member.NewDaemon(place, member.NewID(), station.line, goroutines, station.counters)
+	station.Daemon = agent.NewDaemon(config, agent.NewID(), station.line, goroutines, station.counters)
 	plane, probes := make(station.Daemon, goroutines, station.counters)
 	station.Plane = plane
-	station.Daemon.Serve(plane.Apply, probes)
+	station.Daemon.OnVersion(plane.Apply, probes)
 	server := rpc.NewServer(station.counters)
 	station.Daemon.Register(server)
 	plane.Register(server)
-	operate := member.NewOperate(place.Name, station.Daemon.Hold, station.counters, func() (uint64, []byte) {
+	operate := agent.NewOperatorAPI(config.Name, station.Daemon.Forwarder, station.counters, func() (uint64, []byte) {
 		version := station.Daemon.Version()
 		return version.Serial, version.Body()
 	}, station.Daemon.Ready)
 	for _, side := range []struct {
 		address string
 		handler http.Handler
-	}{{place.Outer, plane}, {place.Wire, server}, {place.Operate, operate}} {
+	}{{config.PublicAddress, plane}, {config.InternalAddress, server}, {config.OperatorAddress, operate}} {
 		listener, err := Listen(side.address, side.handler, 32<<10)
 		flags.Exit(err)
 		station.listeners = append(station.listeners, listener)
@@ -74,7 +74,7 @@
 
 // Guest is a second place at the other partner, if it is given, and what is lent there.
 type Guest struct {
-	Place     member.Place
+	Place     agent.Config
 	PerSecond float64
 	InFlight  int
 	Join      func(owner, guest Plane)
@@ -83,9 +83,9 @@
 func (guest *Guest) add(flags *Flags) {
 	flags.Parser.String(&guest.Place.Name, "", "guest-name", "this machine's name at the other partner, when it lends room there")
 	flags.Parser.String(&guest.Place.Zone, "", "guest-zone", "zone of the other partner's that this machine counts as")
-	flags.Parser.String(&guest.Place.Outer, "", "guest-listen", "IP:port for the other partner's callers")
-	flags.Parser.String(&guest.Place.Wire, "", "guest-wire", "IP:port for the other partner's processes")
-	flags.Parser.String(&guest.Place.Operate, "", "guest-operate", "IP:port for the other partner's operators")
+	flags.Parser.String(&guest.Place.PublicAddress, "", "guest-listen", "IP:port for the other partner's callers")
+	flags.Parser.String(&guest.Place.InternalAddress, "", "guest-wire", "IP:port for the other partner's processes")
+	flags.Parser.String(&guest.Place.OperatorAddress, "", "guest-operate", "IP:port for the other partner's operators")
 	flags.Parser.StringSlice(&guest.Place.Seeds, "", "guest-seed", "IP:port of a core of the other partner's; up to three")
 	flags.Parser.Float64(&guest.PerSecond, "", "lend-rps", "tasks a second lent to the other partner at most")
 	flags.Parser.Int(&guest.InFlight, "", "lend-in-flight", "tasks at once lent to the other partner at most")
@@ -95,26 +95,26 @@
 
 // RunDaemon is the life of a directory node or a proxy.
 func RunDaemon(flags *Flags, kind string, guest *Guest, make Make) {
-	place := member.Place{Kind: kind}
+	config := agent.Config{Kind: kind}
 	grace, settle := 6000, 2500
-	flags.Parser.String(&place.Name, "", "name", "this daemon's name, unlike any other's")
-	flags.Parser.String(&place.Zone, "", "zone", "zone this daemon stands in")
-	flags.Parser.String(&place.Outer, "", "listen", "IP:port for callers")
-	flags.Parser.String(&place.Wire, "", "wire", "IP:port for the system's own processes")
-	flags.Parser.String(&place.Operate, "", "operate", "IP:port for operators")
-	flags.Parser.StringSlice(&place.Seeds, "", "seed", "IP:port of a core's wire side; up to three")
+	flags.Parser.String(&config.Name, "", "name", "this daemon's name, unlike any other's")
+	flags.Parser.String(&config.Zone, "", "zone", "zone this daemon stands in")
+	flags.Parser.String(&config.PublicAddress, "", "listen", "IP:port for callers")
+	flags.Parser.String(&config.InternalAddress, "", "wire", "IP:port for the system's own processes")
+	flags.Parser.String(&config.OperatorAddress, "", "operate", "IP:port for operators")
+	flags.Parser.StringSlice(&config.Seeds, "", "seed", "IP:port of a core's wire side; up to three")
 	flags.Parser.Int(&grace, "", "grace-ms", "grace after SIGTERM for what is in flight")
 	flags.Parser.Int(&settle, "", "settle-ms", "part of the grace in which callers learn to go elsewhere")
 	if guest != nil {
 		guest.add(flags)
 	}
 	flags.Parse()
-	flags.Exit(place.Check())
+	flags.Exit(config.Check())
 	if grace < 0 || settle < 0 || settle > grace {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--settle-ms: %d is not in 0 to the grace of %d", settle, grace))
 	}
 	goroutines := concurrent.NewGroup()
-	stations := []*Station{newStation(flags, place, goroutines, make)}
+	stations := []*Station{newStation(flags, config, goroutines, make)}
 	if guest != nil && guest.given() {
 		guest.Place.Kind, guest.Place.Guest = kind, true
 		if err := guest.Place.Check(); err != nil {
@@ -137,10 +137,10 @@
 		for _, one := range ended {
 			whole = whole && one
 		}
-		klog.Infof("%s: stops, all in flight finished: %v", place.Name, whole)
+		klog.Infof("%s: stops, all in flight finished: %v", config.Name, whole)
 		goroutines.Stop()
 	})
-	klog.Infof("%s: started in zone %s", place.Name, place.Zone)
+	klog.Infof("%s: started in zone %s", config.Name, config.Zone)
 	goroutines.Wait()
 	for _, station := range stations {
 		station.line.Close()
--- a/scale/bench.go
+++ b/scale/bench.go
@@ -9,8 +9,8 @@
 	"syscall"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/concurrent"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/program"
@@ -25,7 +25,7 @@
 	goroutines *concurrent.Group
 	cores      []*child
 	hollows    []*child
-	hold       *member.Hold
+	forwarder  *agent.Forwarder
 	result     *Result
 	version    uint64
 }
@@ -104,9 +104,9 @@
 		return err
 	}
 	client := rpc.NewClient(program.FarTransport(userTimeout))
-	finder := member.NewFinder(client, bench.goroutines, seeds).Paced(member.Paces{Seek: seekPace})
+	finder := agent.NewLeaderFinder(client, bench.goroutines, seeds).WithIntervals(agent.Intervals{FindLeader: seekPace})
 	finder.Run()
-	bench.hold = member.NewHold(finder, client, metrics.NewCounters()).Within(member.HoldLimits{Answer: 20 * time.Second, Send: 15 * time.Second})
+	bench.forwarder = agent.NewForwarder(finder, client, metrics.NewCounters()).WithLimits(agent.ForwardLimits{Response: 20 * time.Second, Attempt: 15 * time.Second})
 	whole := config(1, point.Routes, point.Services, point.Tenants)
 	if body, err := rpc.Marshal(whole); err == nil {
 		bench.result.ConfigKB = float64(len(body)) / 1024
@@ -132,7 +132,7 @@
 	if err != nil {
 		return 0, rpc.AsError(err)
 	}
-	response, err := member.Send[message.RoutingChangeRequest, message.RoutingChangeResponse](bench.hold, "routechange", &message.RoutingChangeRequest{Body: body})
+	response, err := agent.Forward[message.RoutingChangeRequest, message.RoutingChangeResponse](bench.forwarder, "routechange", &message.RoutingChangeRequest{Body: body})
 	if err != nil {
 		return 0, err
 	}
--- a/scale/hollow.go
+++ b/scale/hollow.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/concurrent"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/program"
@@ -76,7 +76,7 @@
 	all        *hollows
 	goroutines *concurrent.Group
 	line       *rpc.Client
-	daemon     *member.Daemon
+	daemon     *agent.Daemon
 	held       atomic.Pointer[route.Index]
 	routing    uint64
 }
@@ -86,31 +86,31 @@
 	goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
 	client := rpc.NewClient(all.tap.transport())
 	name := fmt.Sprintf("proxy-%05d", spec.First+number)
-	place := member.Place{Name: name, Kind: "proxy", Zone: zoneName(number), Wire: spec.Wire, Outer: spec.Wire, Operate: spec.Wire, Seeds: spec.Seeds,
-		Paces: member.Paces{Session: sessionPace, Watch: watchPace, Seek: seekPace, Feel: feelPace, Look: lookPace, Count: -1},
-		Hold:  member.HoldLimits{Send: sendLimit}, Direct: true, ServesAlone: true, Routed: true}
+	config := agent.Config{Name: name, Kind: "proxy", Zone: zoneName(number), InternalAddress: spec.Wire, PublicAddress: spec.Wire, OperatorAddress: spec.Wire, Seeds: spec.Seeds,
+		Intervals: agent.Intervals{Session: sessionPace, Watch: watchPace, FindLeader: seekPace, Pulse: feelPace, CheckReach: lookPace, UsageCount: -1},
+		ForwardLimits: agent.ForwardLimits{Attempt: sendLimit}, DirectSessions: true, ServesAlone: true, Routed: true}
 	var random [8]byte
 	rand.Read(random[:])
 	one := &hollow{number: number, all: all, goroutines: goroutines, line: client}
-	one.daemon = member.NewDaemon(place, hex.EncodeToString(random[:]), client, goroutines, counters)
-	apply := func(*member.Version) {}
+	one.daemon = agent.NewDaemon(config, hex.EncodeToString(random[:]), client, goroutines, counters)
+	apply := func(*agent.Version) {}
 	switch spec.Apply {
 	case ApplyIndex:
-		apply = func(version *member.Version) { one.held.Store(route.NewIndex(version.Book)) }
+		apply = func(version *agent.Version) { one.held.Store(route.NewIndex(version.Routing)) }
 	case ApplyLay:
-		plane := proxy.NewProxy(proxy.Place{Name: name, Zone: place.Zone, Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1, UsageWindow: meterWindow},
+		plane := proxy.NewProxy(proxy.Place{Name: name, Zone: config.Zone, Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1, UsageWindow: meterWindow},
 			(&net.Dialer{}).DialContext, one.daemon.Now, goroutines, counters)
 		plane.Run()
-		apply = func(version *member.Version) { plane.Lay(version.Book, version.Table) }
+		apply = func(version *agent.Version) { plane.Lay(version.Routing, version.Table) }
 	}
-	one.daemon.Serve(func(version *member.Version) {
-		if version.Book == nil || version.Routing == 0 || !version.Table.Complete {
+	one.daemon.OnVersion(func(version *agent.Version) {
+		if version.Routing == nil || version.RoutingSerial == 0 || !version.Table.Complete {
 			return
 		}
 		apply(version)
-		one.inForce(version.Routing)
+		one.inForce(version.RoutingSerial)
 	}, nil)
-	one.daemon.Meter(one.windows)
+	one.daemon.SetWindows(one.windows)
 	one.daemon.Run()
 	return one
 }
--- a/sim/control_test.go
+++ b/sim/control_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/control"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/replica"
 	"orchidjunction/route"
@@ -156,7 +156,7 @@
 }
 
 // put reads the routing back and orders another on top of it.
-func (side *Control) put(holds []*member.Hold, random *rand.Rand, number uint64) {
+func (side *Control) put(holds []*agent.Forwarder, random *rand.Rand, number uint64) {
 	if len(holds) == 0 {
 		return
 	}
@@ -188,7 +188,7 @@
 
 // repeat sends an order again, by other doors, as an operator does whom no answer
 // reached.
-func (side *Control) repeat(holds []*member.Hold, acknowledged *answered) {
+func (side *Control) repeat(holds []*agent.Forwarder, acknowledged *answered) {
 	again := side.begun(&answered{what: acknowledged.what, base: acknowledged.base, version: acknowledged.version})
 	response, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](side.world, append(holds[1:], holds[0]), "routechange", Whole(again.version, again.base))
 	if err != nil {
@@ -206,7 +206,7 @@
 		side.world.Rest(time.Duration(100+random.IntN(1400)) * time.Millisecond)
 		holds := side.world.holds()
 		for _, one := range side.world.Members {
-			holds = append(holds, one.Daemon.Hold)
+			holds = append(holds, one.Daemon.Forwarder)
 		}
 		random.Shuffle(len(holds), func(left, right int) { holds[left], holds[right] = holds[right], holds[left] })
 		if random.IntN(3) > 0 {
@@ -245,21 +245,21 @@
 	side.world.sameTables(side.tables)
 	for _, one := range side.world.Members {
 		version := one.Daemon.Version()
-		if version.Book == nil {
+		if version.Routing == nil {
 			continue
 		}
 		side.mutex.Lock()
-		if known, found := side.versions[version.Routing]; found && known != version.Book.Config.Version {
-			side.world.broke("serial %d holds %d, and %d at %s", version.Routing, known, version.Book.Config.Version, one.Name)
+		if known, found := side.versions[version.RoutingSerial]; found && known != version.Routing.Config.Version {
+			side.world.broke("serial %d holds %d, and %d at %s", version.RoutingSerial, known, version.Routing.Config.Version, one.Name)
 		}
-		_, seen := side.versions[version.Routing]
-		side.versions[version.Routing] = version.Book.Config.Version
+		_, seen := side.versions[version.RoutingSerial]
+		side.versions[version.RoutingSerial] = version.Routing.Config.Version
 		side.mutex.Unlock()
 		if seen {
 			continue
 		}
-		if held, blank := side.held(version.Routing); held+blank < side.most() {
-			side.world.broke("%s has serial %d in force, which lasts at %d cores", one.Name, version.Routing, held)
+		if held, blank := side.held(version.RoutingSerial); held+blank < side.most() {
+			side.world.broke("%s has serial %d in force, which lasts at %d cores", one.Name, version.RoutingSerial, held)
 		}
 	}
 	for _, one := range side.world.Members {
@@ -274,8 +274,8 @@
 				continue
 			}
 		}
-		if _, serial := side.newest(now.Add(-limit)); one.Daemon.Version().Routing < serial {
-			side.world.broke("%s holds serial %d, %d was acknowledged %v ago", one.Name, one.Daemon.Version().Routing, serial, limit)
+		if _, serial := side.newest(now.Add(-limit)); one.Daemon.Version().RoutingSerial < serial {
+			side.world.broke("%s holds serial %d, %d was acknowledged %v ago", one.Name, one.Daemon.Version().RoutingSerial, serial, limit)
 		}
 	}
 	side.world.Rest(100 * time.Millisecond)
--- a/sim/core.go
+++ b/sim/core.go
@@ -6,10 +6,10 @@
 	"sync/atomic"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/concurrent"
 	"orchidjunction/consensus"
 	"orchidjunction/control"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/replica"
@@ -42,8 +42,8 @@
 	wiped      bool
 	gone       bool
 	// returned is whether a removed machine was started again.
-	returned bool
-	Hold     *member.Hold
+	returned  bool
+	Forwarder *agent.Forwarder
 }
 
 // retireLimit is how long a core has from SIGTERM until it is killed.
@@ -80,7 +80,7 @@
 	machine.line = rpc.NewClient(world.Net.Transport(machine.Host))
 	counters := metrics.NewCounters()
 	finder := world.coreFinder(machine, &config)
-	config.OnMembershipChange = finder.Learn
+	config.OnMembershipChange = finder.ObserveMembership
 	core, err := control.NewCore(config, machine.Disk, machine.line, machine.goroutines, counters)
 	if err != nil {
 		world.broke("core %d does not start: %v", machine.ID, err)
@@ -88,14 +88,14 @@
 	}
 	server := rpc.NewServer(counters)
 	core.Register(server)
-	hold := member.NewHold(finder, machine.line, counters).Within(world.Limits)
+	forwarder := agent.NewForwarder(finder, machine.line, counters).WithLimits(world.Limits)
 	if len(config.Seeds) > 0 {
-		hold.Follow(core.Leader)
+		forwarder.SetLocalLeader(core.Leader)
 	}
 	world.mutex.Lock()
-	machine.Core, machine.Hold, machine.Alive = core, hold, true
+	machine.Core, machine.Forwarder, machine.Alive = core, forwarder, true
 	world.mutex.Unlock()
-	operate := member.NewOperate(fmt.Sprint(machine.ID), hold, counters, core.Settings, core.CanVote)
+	operate := agent.NewOperatorAPI(fmt.Sprint(machine.ID), forwarder, counters, core.Settings, core.CanVote)
 	machine.servers = []*http.Server{world.serve(machine.goroutines, machine.Wire, server), world.serve(machine.goroutines, machine.Operate, operate)}
 	finder.Run()
 	core.Run()
@@ -121,14 +121,14 @@
 }
 
 // coreFinder knows at first what the core was told: all cores, or its seeds.
-func (world *World) coreFinder(machine *Core, config *control.Config) *member.Finder {
+func (world *World) coreFinder(machine *Core, config *control.Config) *agent.LeaderFinder {
 	addresses := append([]string{}, config.Seeds...)
 	if len(addresses) == 0 {
 		for _, other := range world.machines() {
 			addresses = append(addresses, other.Wire)
 		}
 	}
-	return member.NewFinder(machine.line, machine.goroutines, addresses).Paced(world.Paces)
+	return agent.NewLeaderFinder(machine.line, machine.goroutines, addresses).WithIntervals(world.Paces)
 }
 
 // led judges each leadership as it comes to stand: its ballot must by then be
@@ -233,13 +233,13 @@
 }
 
 // hold is what brings orders from this machine to the leader, nil when none runs.
-func (machine *Core) hold(world *World) *member.Hold {
+func (machine *Core) hold(world *World) *agent.Forwarder {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	if !machine.Alive {
 		return nil
 	}
-	return machine.Hold
+	return machine.Forwarder
 }
 
 func (world *World) isGone(machine *Core) bool {
--- a/sim/far.go
+++ b/sim/far.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/discovery"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/route"
@@ -33,7 +33,7 @@
 	Name       string
 	Host       string
 	Region     int
-	Daemon     *member.Daemon
+	Daemon     *agent.Daemon
 	Counts     *metrics.Counters
 	Alive      bool
 	Jump       int64
@@ -47,8 +47,8 @@
 // find each other by seeds and whose daemons hear news from the cores themselves.
 func NewFarWorld(seed uint64, cores int) *World {
 	world := NewWorld(seed, cores)
-	world.Paces = member.Paces{Session: farSession, Watch: 2500 * time.Millisecond, Seek: 100 * time.Millisecond, Feel: 500 * time.Millisecond, Count: -1}
-	world.Limits = member.HoldLimits{Send: 700 * time.Millisecond}
+	world.Paces = agent.Intervals{Session: farSession, Watch: 2500 * time.Millisecond, FindLeader: 100 * time.Millisecond, Pulse: 500 * time.Millisecond, UsageCount: -1}
+	world.Limits = agent.ForwardLimits{Attempt: 700 * time.Millisecond}
 	for index, machine := range world.Cores {
 		machine.Host = fmt.Sprintf("10.%d.0.%d", 10*(index%3), index+1)
 		machine.Wire, machine.Operate = machine.Host+":41", machine.Host+":42"
@@ -108,25 +108,25 @@
 }
 
 func (world *World) StartMember(one *Member) {
-	spot := member.Place{Name: one.Name, Kind: "proxy", Zone: fmt.Sprint("z", one.Region), Wire: one.Host + ":41", Outer: one.Host + ":80", Operate: one.Host + ":42",
-		Paces: world.Paces, Hold: world.Limits, Direct: true, ServesAlone: true, Routed: true, Wall: func() int64 { return time.Now().UnixMilli() + one.Jump }}
+	spot := agent.Config{Name: one.Name, Kind: "proxy", Zone: fmt.Sprint("z", one.Region), InternalAddress: one.Host + ":41", PublicAddress: one.Host + ":80", OperatorAddress: one.Host + ":42",
+		Intervals: world.Paces, ForwardLimits: world.Limits, DirectSessions: true, ServesAlone: true, Routed: true, Wall: func() int64 { return time.Now().UnixMilli() + one.Jump }}
 	spot.Seeds = world.seedsFor(&one.Seeds)
 	one.goroutines, one.Counts = concurrent.NewGroup(), metrics.NewCounters()
 	one.line = rpc.NewClient(world.Net.Transport(one.Host))
-	one.Daemon = member.NewDaemon(spot, member.NewID(), one.line, one.goroutines, one.Counts)
+	one.Daemon = agent.NewDaemon(spot, agent.NewID(), one.line, one.goroutines, one.Counts)
 	last := uint64(0)
-	one.Daemon.Serve(func(version *member.Version) {
-		if version.Routing < last {
-			world.broke("%s slid from routing %d to %d", one.Name, last, version.Routing)
+	one.Daemon.OnVersion(func(version *agent.Version) {
+		if version.RoutingSerial < last {
+			world.broke("%s slid from routing %d to %d", one.Name, last, version.RoutingSerial)
 		}
-		last = version.Routing
+		last = version.RoutingSerial
 	}, nil)
 	if world.Requests != nil {
-		one.Daemon.Meter(func() []message.WindowCount { return world.Requests(one) })
+		one.Daemon.SetWindows(func() []message.WindowCount { return world.Requests(one) })
 	}
 	server := rpc.NewServer(one.Counts)
 	one.Daemon.Register(server)
-	one.server = world.serve(one.goroutines, spot.Wire, server)
+	one.server = world.serve(one.goroutines, spot.InternalAddress, server)
 	one.Alive = true
 	one.Daemon.Run()
 }
@@ -165,12 +165,14 @@
 }
 
 // order sends an order by some holds in turn until it has an answer that ends it.
-func order[Asked, Told any](world *World, holds []*member.Hold, name string, asked *Asked) (*Told, error) {
-	return again(world, holds, func(hold *member.Hold) (*Told, error) { return member.Send[Asked, Told](hold, name, asked) })
+func order[Asked, Told any](world *World, holds []*agent.Forwarder, name string, asked *Asked) (*Told, error) {
+	return again(world, holds, func(forwarder *agent.Forwarder) (*Told, error) {
+		return agent.Forward[Asked, Told](forwarder, name, asked)
+	})
 }
 
 // again sends by some holds in turn until there is an answer that ends it.
-func again[Told any](world *World, holds []*member.Hold, send func(*member.Hold) (*Told, error)) (*Told, error) {
+func again[Told any](world *World, holds []*agent.Forwarder, send func(*agent.Forwarder) (*Told, error)) (*Told, error) {
 	for try := 0; ; try++ {
 		told, err := send(holds[try%len(holds)])
 		if err == nil || rpc.AsError(err).RetryAfterMs == 0 || try > 20 {
@@ -180,11 +182,11 @@
 	}
 }
 
-func (world *World) holds() []*member.Hold {
-	holds := []*member.Hold{}
+func (world *World) holds() []*agent.Forwarder {
+	holds := []*agent.Forwarder{}
 	for _, machine := range world.machines() {
-		if hold := machine.hold(world); hold != nil {
-			holds = append(holds, hold)
+		if forwarder := machine.hold(world); forwarder != nil {
+			holds = append(holds, forwarder)
 		}
 	}
 	return holds
@@ -202,9 +204,9 @@
 	return err
 }
 
-func (world *World) evacuateBy(holds []*member.Hold, zone string, begin bool) (*message.EvacuateResponse, error) {
-	return again(world, holds, func(hold *member.Hold) (*message.EvacuateResponse, error) {
-		return member.Evacuate(context.Background(), hold, zone, begin)
+func (world *World) evacuateBy(holds []*agent.Forwarder, zone string, begin bool) (*message.EvacuateResponse, error) {
+	return again(world, holds, func(forwarder *agent.Forwarder) (*message.EvacuateResponse, error) {
+		return agent.Evacuate(context.Background(), forwarder, zone, begin)
 	})
 }
 
--- a/sim/far_test.go
+++ b/sim/far_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"orchidjunction/member"
+	"orchidjunction/agent"
 	"orchidjunction/message"
 	"orchidjunction/route"
 )
@@ -32,10 +32,10 @@
 		racer.ended++
 		racer.mutex.Unlock()
 	}()
-	holds := func() []*member.Hold {
+	holds := func() []*agent.Forwarder {
 		all := world.holds()
 		for _, one := range world.Members {
-			all = append(all, one.Daemon.Hold)
+			all = append(all, one.Daemon.Forwarder)
 		}
 		random.Shuffle(len(all), func(left, right int) { all[left], all[right] = all[right], all[left] })
 		return all
--- a/sim/operator_test.go
+++ b/sim/operator_test.go
@@ -38,8 +38,8 @@
 // openOperators opens the platform's side of a core that was started.
 func (world *World) openOperators(index int) {
 	machine := world.Cores[index]
-	machine.Hold.Follow(machine.Core.Leader)
-	control := platform.NewControl(platform.NewLeaderOrders(machine.Hold), func() map[string]string { return nil }, metrics.NewCounters())
+	machine.Forwarder.SetLocalLeader(machine.Core.Leader)
+	control := platform.NewControl(platform.NewLeaderOrders(machine.Forwarder), func() map[string]string { return nil }, metrics.NewCounters())
 	machine.servers = append(machine.servers, world.serve(machine.goroutines, machine.Host+":43", control))
 }
 
--- a/sim/recovery_test.go
+++ b/sim/recovery_test.go
@@ -44,10 +44,10 @@
 // serves is the version that a member serves by, 0 while it can't.
 func (one *Member) serves() uint64 {
 	version := one.Daemon.Version()
-	if version.Book == nil || !version.Table.Complete {
+	if version.Routing == nil || !version.Table.Complete {
 		return 0
 	}
-	return version.Book.Config.Version
+	return version.Routing.Config.Version
 }
 
 // serving is how long after now the first member, or every one, serves a version.
@@ -208,7 +208,7 @@
 				}
 				for until := time.Now().Add(5 * time.Second); time.Now().Before(until); world.Rest(20 * time.Millisecond) {
 					for _, one := range world.Members {
-						if version := one.Daemon.Version(); version.Book != nil && version.Book.Config.Version > 1 {
+						if version := one.Daemon.Version(); version.Routing != nil && version.Routing.Config.Version > 1 {
 							test.Fatalf("%d cores, apart %v: %s holds an undecided routing", cores, apart, one.Name)
 						}
 					}
--- a/sim/replaced_test.go
+++ b/sim/replaced_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
@@ -34,8 +34,8 @@
 		world.broke("spare %d: %v", number, err)
 	}
 	spare.goroutines, spare.line = concurrent.NewGroup(), rpc.NewClient(world.Net.Transport(host))
-	finder := member.NewFinder(spare.line, spare.goroutines, seeds)
-	config.OnMembershipChange = finder.Learn
+	finder := agent.NewLeaderFinder(spare.line, spare.goroutines, seeds)
+	config.OnMembershipChange = finder.ObserveMembership
 	core, err := control.NewCore(config, spare.Disk, spare.line, spare.goroutines, spare.counters)
 	if err != nil {
 		world.broke("spare %d does not start: %v", number, err)
@@ -44,8 +44,8 @@
 	spare.Core.Core, spare.Alive = core, true
 	server := rpc.NewServer(spare.counters)
 	core.Register(server)
-	spare.Hold = member.NewHold(finder, spare.line, spare.counters)
-	operate := member.NewOperate(fmt.Sprint("spare-", number), spare.Hold, spare.counters, core.Settings, core.CanVote)
+	spare.Forwarder = agent.NewForwarder(finder, spare.line, spare.counters)
+	operate := agent.NewOperatorAPI(fmt.Sprint("spare-", number), spare.Forwarder, spare.counters, core.Settings, core.CanVote)
 	spare.servers = []*http.Server{world.serve(spare.goroutines, spare.Wire, server), world.serve(spare.goroutines, spare.Operate, operate)}
 	finder.Run()
 	core.Run()
--- a/sim/routing_test.go
+++ b/sim/routing_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/discovery"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/route"
 	"orchidjunction/rpc"
@@ -47,7 +47,7 @@
 	begin := time.Now()
 	whole := world.Until(limit, func() bool {
 		for _, one := range world.Members {
-			if one.Alive && (one.Daemon.Version().Book == nil || one.Daemon.Version().Book.Config.Version < version) {
+			if one.Alive && (one.Daemon.Version().Routing == nil || one.Daemon.Version().Routing.Config.Version < version) {
 				return false
 			}
 		}
@@ -147,7 +147,7 @@
 		}
 		if took, whole := world.reached(2, time.Second); !whole {
 			world.broke("not everywhere after %v", took)
-		} else if held := world.Members[0].Daemon.Version().Book; fmt.Sprint(held.Evacuated) != "[z1]" || held.Trail.Count > 0 {
+		} else if held := world.Members[0].Daemon.Version().Routing; fmt.Sprint(held.Evacuated) != "[z1]" || held.Trail.Count > 0 {
 			world.broke("a member holds %+v", held)
 		}
 		world.report(test)
@@ -236,13 +236,13 @@
 			world.Until(5*time.Second, func() bool { return world.Leader() >= 0 })
 			world.Rest(3 * time.Second)
 			leader := world.Leader()
-			holds := []*member.Hold{world.Members[round%9].Daemon.Hold, world.Members[(round+1)%9].Daemon.Hold}
+			holds := []*agent.Forwarder{world.Members[round%9].Daemon.Forwarder, world.Members[(round+1)%9].Daemon.Forwarder}
 			switch kind {
 			case "planned":
 				world.goroutines.Start(func() {
 					world.Cores[leader].Core.Retire(6 * time.Second)
 				})
-				holds[0] = world.Cores[leader].Hold
+				holds[0] = world.Cores[leader].Forwarder
 			case "killed":
 				world.KillCore(leader, true)
 			case "frozen":
@@ -307,8 +307,8 @@
 		}
 		for range 100 {
 			world.Rest(100 * time.Millisecond)
-			if !lone.Daemon.Ready() || lone.Daemon.Version().Book.Config.Version != 1 {
-				world.broke("cut off: ready %v, version %d", lone.Daemon.Ready(), lone.Daemon.Version().Book.Config.Version)
+			if !lone.Daemon.Ready() || lone.Daemon.Version().Routing.Config.Version != 1 {
+				world.broke("cut off: ready %v, version %d", lone.Daemon.Ready(), lone.Daemon.Version().Routing.Config.Version)
 				break
 			}
 		}
--- a/sim/trial_test.go
+++ b/sim/trial_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"orchidjunction/member"
+	"orchidjunction/agent"
 	"orchidjunction/message"
 	"orchidjunction/replica"
 	"orchidjunction/rpc"
@@ -76,7 +76,7 @@
 			one.Rest(orderRest)
 			continue
 		}
-		_, err := member.Send[message.RoutingChangeRequest, message.RoutingChangeResponse](holds[try%len(holds)], "routechange", Whole(one.newest+1, one.newest))
+		_, err := agent.Forward[message.RoutingChangeRequest, message.RoutingChangeResponse](holds[try%len(holds)], "routechange", Whole(one.newest+1, one.newest))
 		switch {
 		case err == nil && lost:
 			lost = false
--- a/sim/world.go
+++ b/sim/world.go
@@ -9,12 +9,12 @@
 	"sync"
 	"time"
 
+	"orchidjunction/agent"
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/data"
 	"orchidjunction/discovery"
 	"orchidjunction/judge"
-	"orchidjunction/member"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/operator"
@@ -51,8 +51,8 @@
 	replacing *rand.Rand
 	planned   bool
 	Shape     func(machine *Core, config *control.Config)
-	Paces     member.Paces
-	Limits    member.HoldLimits
+	Paces     agent.Intervals
+	Limits    agent.ForwardLimits
 
 	Members  []*Member
 	Requests func(*Member) []message.WindowCount
@@ -69,7 +69,7 @@
 	Outer      string
 	Wire       string
 	Operate    string
-	Daemon     *member.Daemon
+	Daemon     *agent.Daemon
 	Proxy      *data.Proxy
 	Counts     *metrics.Counters
 	Alive      bool
@@ -139,7 +139,7 @@
 }
 
 // life is the daemon that runs in this place now, nil when none does.
-func (daemon *Daemon) life(world *World) *member.Daemon {
+func (daemon *Daemon) life(world *World) *agent.Daemon {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	if !daemon.Alive {
@@ -162,10 +162,10 @@
 	for _, core := range world.Cores[:min(3, len(world.Cores))] {
 		seeds = append(seeds, core.Wire)
 	}
-	spot := member.Place{Name: daemon.Name, Kind: daemon.Kind, Zone: daemon.Zone, Wire: daemon.Wire, Outer: daemon.Outer, Operate: daemon.Operate, Seeds: seeds, Guest: daemon.Lender != nil}
+	spot := agent.Config{Name: daemon.Name, Kind: daemon.Kind, Zone: daemon.Zone, InternalAddress: daemon.Wire, PublicAddress: daemon.Outer, OperatorAddress: daemon.Operate, Seeds: seeds, Guest: daemon.Lender != nil}
 	daemon.goroutines, daemon.Counts = concurrent.NewGroup(), metrics.NewCounters()
 	daemon.line = rpc.NewClient(world.Net.Transport(daemon.Host))
-	made := member.NewDaemon(spot, member.NewID(), daemon.line, daemon.goroutines, daemon.Counts)
+	made := agent.NewDaemon(spot, agent.NewID(), daemon.line, daemon.goroutines, daemon.Counts)
 	world.mutex.Lock()
 	daemon.Daemon = made
 	world.mutex.Unlock()
@@ -176,18 +176,18 @@
 		if daemon.Lender != nil {
 			daemon.Proxy.Borrow(data.NewLend(daemon.Lender.Proxy, 50, 32))
 		}
-		daemon.Daemon.Serve(func(version *member.Version) { world.takes(daemon, version); daemon.Proxy.Apply(version) }, daemon.Proxy.Probes)
+		daemon.Daemon.OnVersion(func(version *agent.Version) { world.takes(daemon, version); daemon.Proxy.Apply(version) }, daemon.Proxy.Probes)
 	} else {
 		directory := place.NewDirectory(daemon.Daemon, daemon.Counts)
 		outer = directory
-		daemon.Daemon.Serve(func(version *member.Version) { world.takes(daemon, version); directory.Apply(version) }, nil)
+		daemon.Daemon.OnVersion(func(version *agent.Version) { world.takes(daemon, version); directory.Apply(version) }, nil)
 	}
 	server := rpc.NewServer(daemon.Counts)
 	daemon.Daemon.Register(server)
 	if daemon.Proxy != nil {
 		daemon.Proxy.Register(server)
 	}
-	operate := member.NewOperate(daemon.Name, daemon.Daemon.Hold, daemon.Counts, func() (uint64, []byte) {
+	operate := agent.NewOperatorAPI(daemon.Name, daemon.Daemon.Forwarder, daemon.Counts, func() (uint64, []byte) {
 		version := daemon.Daemon.Version()
 		return version.Serial, version.Body()
 	}, daemon.Daemon.Ready)
@@ -202,7 +202,7 @@
 }
 
 // takes judges each version as it comes into force.
-func (world *World) takes(daemon *Daemon, version *member.Version) {
+func (world *World) takes(daemon *Daemon, version *agent.Version) {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	if version.Serial < daemon.highest {
