--- a/agent/connectivity.go
+++ b/agent/connectivity.go
@@ -110,13 +110,13 @@
 	newest = daemon.Version().Serial
 	reached, half := proxies-len(others), (proxies+1)/2
 	for first := 0; first < len(others) && reached < half; {
-		asked := others[first:min(first+half-reached, len(others))]
-		first += len(asked)
-		responses := daemon.askLeaders(asked)
+		request := others[first:min(first+half-reached, len(others))]
+		first += len(request)
+		responses := daemon.askLeaders(request)
 		reached += len(responses)
 		for index, response := range responses {
 			if response.Serial > newest {
-				newest, source = response.Serial, asked[index].InternalAddress
+				newest, source = response.Serial, request[index].InternalAddress
 			}
 		}
 	}
--- a/agent/forwarder_test.go
+++ b/agent/forwarder_test.go
@@ -84,8 +84,8 @@
 	if err != nil || response.Serial != 7 {
 		test.Fatalf("told %v, %v", response, err)
 	}
-	if asked := transport.silent.Load(); asked != 0 {
-		test.Fatalf("the frozen leader was asked %d times", asked)
+	if request := transport.silent.Load(); request != 0 {
+		test.Fatalf("the frozen leader was asked %d times", request)
 	}
 }
 
@@ -99,7 +99,7 @@
 	if _, err := Forward[message.EvacuateRequest, message.EvacuateResponse](forwarder, "evacuate", &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil || rpc.CodeOf(err) != rpc.NotStarted {
 		test.Fatalf("answered %v", err)
 	}
-	if asked := transport.silent.Load(); asked != 0 {
-		test.Fatalf("the frozen leader was asked %d times", asked)
+	if request := transport.silent.Load(); request != 0 {
+		test.Fatalf("the frozen leader was asked %d times", request)
 	}
 }
--- a/agent/updates.go
+++ b/agent/updates.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return false
 		}
-		chunks, missing := message.Chunks{}, version.Tree.Lacks(response.Chunks)
+		chunks, missing := message.Chunks{}, version.Tree.Missing(response.Chunks)
 		err = chunks.Fetch(daemon.client, address, daemon.intervals.fetchTimeout(), missing)
 		if err == nil {
 			daemon.counters.Add("branches_fetched", uint64(len(missing)))
@@ -108,7 +108,7 @@
 	version := daemon.Version()
 	response := &message.FetchResponse{}
 	if version.Serial > request.Serial {
-		response.Serial, response.Chunks = version.Serial, version.Tree.Parts
+		response.Serial, response.Chunks = version.Serial, version.Tree.Refs
 	}
 	if version.RoutingSerial > request.Routing {
 		body, err := rpc.Marshal(version.Routing)
--- a/agent/version.go
+++ b/agent/version.go
@@ -14,7 +14,7 @@
 	Settings      *conf.Settings
 	Table         *message.Table
 	RoutingSerial uint64
-	Routing       *route.Book
+	Routing       *route.State
 }
 
 // Body returns the whole text of the settings.
@@ -29,7 +29,7 @@
 func (version *Version) with(response *message.FetchResponse, chunks message.Chunks) (*Version, error) {
 	next := *version
 	if response.Serial > version.Serial {
-		tree, err := conf.Grow(version.Tree, response.Chunks, chunks)
+		tree, err := conf.Assemble(version.Tree, response.Chunks, chunks)
 		if err != nil {
 			return nil, err
 		}
@@ -46,12 +46,12 @@
 	return &next, nil
 }
 
-func decodeRouting(response *message.FetchResponse) (*route.Book, error) {
+func decodeRouting(response *message.FetchResponse) (*route.State, error) {
 	body, err := response.DecompressRouting()
 	if err != nil {
 		return nil, err
 	}
-	return route.BookOf(body)
+	return route.DecodeState(body)
 }
 
 // newerTable returns the table of a response, or the present one if that is newer.
--- a/aims/aims.go
+++ b/aims/aims.go
@@ -125,9 +125,9 @@
 	Left   float64 `json:"budget_left"`
 }
 
-// Against compares the objectives with counters summed over all daemons. Without
+// Evaluate compares the objectives with counters summed over all daemons. Without
 // any event an objective counts as met.
-func Against(documents []Document, counts map[string]uint64) []Report {
+func Evaluate(documents []Document, counts map[string]uint64) []Report {
 	sum := func(metric *Metric) uint64 {
 		total := uint64(0)
 		for _, name := range metric.MetricSource.Spec.Counters {
--- a/aims/aims_test.go
+++ b/aims/aims_test.go
@@ -15,14 +15,14 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	reports := Against(documents, map[string]uint64{"tasks_answered": 980, "tasks_replayed": 10, "tasks_refused": 10, "operator_changes": 5, "operator_refused_not_started": 1})
+	reports := Evaluate(documents, map[string]uint64{"tasks_answered": 980, "tasks_replayed": 10, "tasks_refused": 10, "operator_changes": 5, "operator_refused_not_started": 1})
 	if reports[0].Good != 990 || reports[0].Total != 1000 || reports[0].Met {
 		test.Errorf("%+v", reports[0])
 	}
 	if reports[1].Good != 5 || reports[1].Total != 6 || reports[1].Met {
 		test.Errorf("%+v", reports[1])
 	}
-	if quiet := Against(documents, nil); !quiet[0].Met || quiet[0].Left != 1 {
+	if quiet := Evaluate(documents, nil); !quiet[0].Met || quiet[0].Left != 1 {
 		test.Errorf("%+v", quiet[0])
 	}
 	text := string(body)
--- a/cmd/ojback/main.go
+++ b/cmd/ojback/main.go
@@ -13,7 +13,7 @@
 
 func main() {
 	flags := program.NewFlags("ojback", "a stand-in for a partner's backend")
-	place := stand.BackendPlace{Room: 32, WorkMs: 5, GentleRate: 10}
+	place := stand.BackendConfig{Room: 32, WorkMs: 5, GentleRate: 10}
 	listen, leaveMs := "", 2500
 	flags.Parser.String(&listen, "", "listen", "IP:port to answer on")
 	flags.Parser.String(&place.Service, "", "service", "service this backend belongs to")
--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -365,7 +365,7 @@
 		fmt.Fprintf(os.Stderr, "ojctl: %d daemons did not tell their counters\n", silent)
 	}
 	missed := 0
-	for _, report := range aims.Against(documents, sums) {
+	for _, report := range aims.Evaluate(documents, sums) {
 		fmt.Printf("%-24s target %.4f, %d of %d, %.4f, met %s, budget left %.0f%%\n", report.Name, report.Target, report.Good, report.Total, report.Ratio, mark(report.Met), 100*report.Left)
 		if !report.Met {
 			missed++
--- a/cmd/ojdir/main.go
+++ b/cmd/ojdir/main.go
@@ -12,7 +12,7 @@
 
 func main() {
 	flags := program.NewFlags("ojdir", "a directory node of orchidjunction: tells callers where to go")
-	program.RunDaemon(flags, "dir", nil, func(daemon *agent.Daemon, _ *concurrent.Group, counters *metrics.Counters) (program.Plane, func() []message.Probe) {
+	program.RunDaemon(flags, "dir", nil, func(daemon *agent.Daemon, _ *concurrent.Group, counters *metrics.Counters) (program.DataPlane, func() []message.Probe) {
 		return place.NewDirectory(daemon, counters), nil
 	})
 }
--- a/cmd/ojfleet/scale.go
+++ b/cmd/ojfleet/scale.go
@@ -53,9 +53,9 @@
 		flags.Exit(scaling.read(&spec))
 		flags.Exit(scale.RunCore(spec))
 	case scaling.hollow.Used:
-		spec := scale.HollowSpec{}
+		spec := scale.SimulatedSpec{}
 		flags.Exit(scaling.read(&spec))
-		flags.Exit(scale.RunHollow(spec))
+		flags.Exit(scale.RunSimulatedDaemons(spec))
 	case scaling.run.Used:
 		flags.Exit(scaling.measure())
 	case scaling.capacity.Used:
--- a/cmd/ojnode/core.go
+++ b/cmd/ojnode/core.go
@@ -52,13 +52,13 @@
 	if err := os.MkdirAll(settings.Folder, 0o700); err != nil {
 		return rpc.Errorf(rpc.BadFlag, "data folder: %v", err)
 	}
-	line := rpc.NewClient(program.FarTransport(userTimeout))
+	line := rpc.NewClient(program.WANTransport(userTimeout))
 	var core *control.Core
 	finder := agent.NewLeaderFinder(line, node.goroutines, innerSeeds(settings)).WithIntervals(agent.Intervals{FindLeader: seekPace})
-	client := platform.NewClient(settings.Platform.Address, program.FarTransport(userTimeout), func() int64 { return core.Now() })
+	client := platform.NewClient(settings.Platform.Address, program.WANTransport(userTimeout), func() int64 { return core.Now() })
 	config := control.Config{Name: settings.Name, Zone: settings.Zone, InternalAddress: inner(settings, settings.Address), Seeds: innerSeeds(settings), Bootstrap: settings.First,
 		MinFounders: 2*settings.Survive.Machines + 1, HeartbeatInterval: beat, SuspicionTimeout: suspect, Seed: uint64(time.Now().UnixNano()), DirectSessions: true, TableInterval: tablePace,
-		SessionTTL: sessionSpan, ListBackends: client.List, ListInterval: listPace(settings), ListsUntilGone: goneAfter,
+		SessionTTL: sessionSpan, ListBackends: client.ListBackends, ListInterval: listPace(settings), ListsUntilGone: goneAfter,
 		ReplaceAfter: settings.Bounds.CatchUp / replaceShare, OnMembershipChange: finder.ObserveMembership}
 	if settings.Metered() {
 		config.Metering = control.Metering{Window: settings.Bounds.ReportWindow, SettleAfter: settle, SettleLatest: settings.Bounds.UsageDelay - reportRest, TakeoverQuiet: settings.Bounds.Lease, Report: func(report control.WindowReport) control.ReportResult {
--- a/cmd/ojnode/proxy.go
+++ b/cmd/ojnode/proxy.go
@@ -29,22 +29,22 @@
 // runProxy is the life of a proxy.
 func (node *node) runProxy() error {
 	settings := node.source.Settings()
-	client := rpc.NewClient(program.FarTransport(userTimeout))
+	client := rpc.NewClient(program.WANTransport(userTimeout))
 	address := inner(settings, settings.Address)
 	config := agent.Config{Name: settings.Name, Kind: "proxy", Zone: settings.Zone, InternalAddress: address, PublicAddress: settings.Listen.Clients, OperatorAddress: address, Seeds: innerSeeds(settings),
-		Intervals: agent.Intervals{Session: sessionPace, Watch: watchPace, FindLeader: seekPace, Pulse: feelPace, CheckReach: lookPace, UsageCount: -1},
+		Intervals:     agent.Intervals{Session: sessionPace, Watch: watchPace, FindLeader: seekPace, Pulse: feelPace, CheckReach: lookPace, UsageCount: -1},
 		ForwardLimits: agent.ForwardLimits{Attempt: sendLimit}, DirectSessions: true, ServesAlone: true, Routed: true}
 	if err := config.Check(); err != nil {
 		return err
 	}
 	daemon := agent.NewDaemon(config, incarnation(), client, node.goroutines, node.counters)
-	dialer := &net.Dialer{Control: program.UserTimeout(backendSilent), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}}
-	plane := proxy.NewProxy(proxy.Place{Name: settings.Name, Zone: settings.Zone, Regions: settings.Zones, Headers: platform.RequestHeaders(),
+	dialer := &net.Dialer{Control: program.SetUserTimeout(backendSilent), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}}
+	plane := proxy.NewProxy(proxy.Config{Name: settings.Name, Zone: settings.Zone, Regions: settings.Zones, Headers: platform.RequestHeaders(),
 		RetryRatio: settings.Bounds.RetryRatio, RetryExtra: float64(settings.Bounds.RetryExtra), WarmupExcess: settings.Bounds.WarmupExcess,
 		WarmupExtra: settings.Bounds.WarmupExtra, UsageWindow: settings.Bounds.ReportWindow, ListLag: settings.Platform.Lag, LinkBytes: settings.Machine.LinkMbps * 1e6 / 8}, dialer.DialContext, daemon.Now, node.goroutines, node.counters)
 	daemon.OnVersion(func(version *agent.Version) {
 		if version.Routing != nil && version.RoutingSerial > 0 && version.Table.Complete {
-			plane.Lay(version.Routing, version.Table)
+			plane.Apply(version.Routing, version.Table)
 		}
 	}, nil)
 	daemon.SetWindows(plane.Windows)
--- a/cmd/ojorigin/main.go
+++ b/cmd/ojorigin/main.go
@@ -19,7 +19,7 @@
 	path := ""
 	flags.Parser.String(&path, "", "plan", "JSON file saying who calls what, where and how often")
 	flags.Parse()
-	plan := stand.OriginPlan{}
+	plan := stand.LoadPlan{}
 	body, err := os.ReadFile(path)
 	if err == nil {
 		err = json.Unmarshal(body, &plan)
@@ -32,9 +32,9 @@
 	}
 	goroutines := concurrent.NewGroup()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
-	origin := stand.NewOrigin(plan, client, goroutines.Start)
+	generator := stand.NewLoadGenerator(plan, client, goroutines.Start)
 	program.OnTerm(goroutines, goroutines.Stop)
-	report := origin.Run(goroutines.Sleep)
+	report := generator.Run(goroutines.Sleep)
 	goroutines.Stop()
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
--- a/cmd/ojplan/main.go
+++ b/cmd/ojplan/main.go
@@ -73,7 +73,7 @@
 	for _, known := range status.Members {
 		fleet.Members = append(fleet.Members, known.Member)
 	}
-	forecast := plan.Look(fleet, after)
+	forecast := plan.NewForecast(fleet, after)
 	if asJSON {
 		encoder := json.NewEncoder(os.Stdout)
 		encoder.SetIndent("", "  ")
--- a/conf/branch.go
+++ b/conf/branch.go
@@ -19,12 +19,12 @@
 	routes  map[string]Route
 }
 
-// bucketNames is about how many names share a bucket.
-const bucketNames = 128
+// namesPerBucket is about how many names share a bucket.
+const namesPerBucket = 128
 
 func bucketCount(names int) int {
 	count := 1
-	for count*bucketNames < names {
+	for count*namesPerBucket < names {
 		count *= 2
 	}
 	return count
@@ -44,13 +44,13 @@
 	switch {
 	case part.Path == "top":
 		held.top = &Settings{Regions: map[string]Region{}}
-		reader.object(decoder, "", reader.topFields(held.top), topNeed...)
+		reader.object(decoder, "", reader.topFields(held.top), requiredTop...)
 	case names[0] == "tenants":
 		held.tenants = map[string]Tenant{}
 		named(reader, held.tenants, reader.tenant)(decoder, "tenants")
 	case names[0] == "class" && len(names) == 2:
 		held.class = &Class{}
-		reader.object(decoder, "classes."+names[1], reader.classFields(held.class), classNeed...)
+		reader.object(decoder, "classes."+names[1], reader.classFields(held.class), requiredClass...)
 	case names[0] == "service" && len(names) == 3:
 		held.service = &Service{}
 		reader.object(decoder, "classes."+names[1]+".services."+names[2], reader.serviceFields(held.service))
@@ -63,17 +63,17 @@
 	return held
 }
 
-// assemble puts the settings together; tenants and services of which nothing
+// assembleSettings puts the settings together; tenants and services of which nothing
 // changed are those of the version before.
-func (tree *Tree) assemble(before *Tree) error {
-	top := tree.held["top"]
+func (tree *Tree) assembleSettings(before *Tree) error {
+	top := tree.fragments["top"]
 	if top == nil {
 		return rpc.Errorf(rpc.CorruptChunk, "no top branch")
 	}
 	settings := *top.top
 	settings.Classes = map[string]Class{}
 	below := map[string][]string{}
-	for _, part := range tree.Parts {
+	for _, part := range tree.Refs {
 		names := strings.Split(part.Path, "/")
 		if names[0] == "routes" {
 			below[names[1]+"/"+names[2]] = append(below[names[1]+"/"+names[2]], part.Path)
@@ -82,7 +82,7 @@
 			below["tenants"] = append(below["tenants"], part.Path)
 		}
 		if names[0] == "class" {
-			class := *tree.held[part.Path].class
+			class := *tree.fragments[part.Path].class
 			class.Services = map[string]Service{}
 			settings.Classes[names[1]] = class
 		}
@@ -92,12 +92,12 @@
 	} else {
 		settings.Tenants, settings.tenantsDigest = map[string]Tenant{}, digest
 		for _, path := range below["tenants"] {
-			for name, tenant := range tree.held[path].tenants {
+			for name, tenant := range tree.fragments[path].tenants {
 				settings.Tenants[name] = tenant
 			}
 		}
 	}
-	for _, part := range tree.Parts {
+	for _, part := range tree.Refs {
 		names := strings.Split(part.Path, "/")
 		if names[0] != "service" {
 			continue
@@ -106,7 +106,7 @@
 		if !found {
 			return rpc.Errorf(rpc.CorruptChunk, "branch %s has no class", part.Path)
 		}
-		service := *tree.held[part.Path].service
+		service := *tree.fragments[part.Path].service
 		paths := below[names[1]+"/"+names[2]]
 		service.Digest = tree.digest(append([]string{part.Path}, paths...))
 		if before != nil {
@@ -117,7 +117,7 @@
 		}
 		service.Routes = map[string]Route{}
 		for _, path := range paths {
-			for name, route := range tree.held[path].routes {
+			for name, route := range tree.fragments[path].routes {
 				service.Routes[name] = route
 			}
 		}
@@ -132,7 +132,7 @@
 	sum := []byte{}
 	for _, path := range paths {
 		sum = append(sum, path...)
-		sum = append(sum, tree.held[path].digest...)
+		sum = append(sum, tree.fragments[path].digest...)
 	}
 	return message.DigestOf(sum)
 }
--- a/conf/check.go
+++ b/conf/check.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-const digestMark = "sha256:"
+const digestPrefix = "sha256:"
 
 // check looks at what one field alone cannot tell. Services of which nothing
 // changed since a checked version, nor of one of the same name, are passed over.
@@ -18,7 +18,7 @@
 	for _, name := range sortedNames(settings.Regions) {
 		for index, zone := range settings.Regions[name].Zones {
 			if other, found := zones[zone]; found && other != name {
-				reader.wrong(fmt.Sprintf("regions.%s.zones[%d]", name, index), clash, "zone %q is in region %q too", zone, other)
+				reader.wrong(fmt.Sprintf("regions.%s.zones[%d]", name, index), conflict, "zone %q is in region %q too", zone, other)
 			}
 			zones[zone] = name
 		}
@@ -31,12 +31,12 @@
 		reader.regionsKnown(path+".forbid_regions", tenant.ForbidRegions, settings)
 		for index, key := range tenant.Keys {
 			inner := fmt.Sprintf("%s.keys[%d]", path, index)
-			raw, err := hex.DecodeString(strings.TrimPrefix(key, digestMark))
-			if !strings.HasPrefix(key, digestMark) || err != nil || len(raw) != 32 {
+			raw, err := hex.DecodeString(strings.TrimPrefix(key, digestPrefix))
+			if !strings.HasPrefix(key, digestPrefix) || err != nil || len(raw) != 32 {
 				reader.wrong(inner, outOfRange, "want sha256: and 64 hex digits")
 			}
 			if other, found := keys[key]; found && other != name {
-				reader.wrong(inner, clash, "tenant %q has this key too", other)
+				reader.wrong(inner, conflict, "tenant %q has this key too", other)
 			}
 			keys[key] = name
 		}
@@ -47,7 +47,7 @@
 		class := settings.Classes[className]
 		path := "classes." + className
 		if other, found := ranks[class.Rank]; found && class.Rank > 0 {
-			reader.wrong(path+".rank", clash, "class %q has this rank too", other)
+			reader.wrong(path+".rank", conflict, "class %q has this rank too", other)
 		}
 		ranks[class.Rank] = className
 		reader.regionsKnown(path+".rule.forbid_regions", class.Rule.ForbidRegions, settings)
@@ -66,7 +66,7 @@
 	}
 	for index, zone := range settings.Drained.Zones {
 		if _, found := zones[zone]; !found {
-			reader.wrong(fmt.Sprintf("drained.zones[%d]", index), dangling, "no zone %q", zone)
+			reader.wrong(fmt.Sprintf("drained.zones[%d]", index), danglingName, "no zone %q", zone)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	}
 	door := route.Method + " " + service + route.Path
 	if other, found := doors[door]; found {
-		reader.wrong(path+".path", clash, "%s is %s too", door, other)
+		reader.wrong(path+".path", conflict, "%s is %s too", door, other)
 	}
 	doors[door] = path
 }
@@ -104,7 +104,7 @@
 func (reader *reader) regionsKnown(path string, regions []string, settings *Settings) {
 	for index, region := range regions {
 		if _, found := settings.Regions[region]; !found {
-			reader.wrong(fmt.Sprintf("%s[%d]", path, index), dangling, "no region %q", region)
+			reader.wrong(fmt.Sprintf("%s[%d]", path, index), danglingName, "no region %q", region)
 		}
 	}
 }
--- a/conf/effective.go
+++ b/conf/effective.go
@@ -10,18 +10,18 @@
 
 // Effective is a route with every value that it has or inherits, by field name.
 type Effective struct {
-	Class   string            `json:"class"`
-	Service string            `json:"service"`
-	Route   string            `json:"route"`
-	Method  string            `json:"method"`
-	Path    string            `json:"path"`
-	Rank    int               `json:"rank"`
-	Money   bool              `json:"money"`
-	Values  map[string]Source `json:"values"`
+	Class       string            `json:"class"`
+	Service     string            `json:"service"`
+	Route       string            `json:"route"`
+	Method      string            `json:"method"`
+	Path        string            `json:"path"`
+	Rank        int               `json:"rank"`
+	KeyRequired bool              `json:"money"`
+	Values      map[string]Source `json:"values"`
 }
 
-// Whole returns an integer value, 0 if there is none.
-func (effective *Effective) Whole(name string) int {
+// Integer returns an integer value, 0 if there is none.
+func (effective *Effective) Integer(name string) int {
 	value, _ := effective.Values[name].Value.(int)
 	return value
 }
@@ -32,10 +32,10 @@
 	return value
 }
 
-func (rule *Rule) lay(over map[string]Source, from string) {
+func (rule *Rule) addTo(over map[string]Source, from string) {
 	for name, value := range map[string]*int{
-		"limit_ms": rule.LimitMs, "sends": rule.Sends, "body_bytes": rule.BodyBytes, "receipt_bytes": rule.ReceiptBytes,
-		"hold_ms": rule.HoldMs, "fronts": rule.Fronts, "pipes": rule.Pipes,
+		"limit_ms": rule.TimeoutMs, "sends": rule.Attempts, "body_bytes": rule.BodyBytes, "receipt_bytes": rule.ResponseBytes,
+		"hold_ms": rule.TTLMs, "fronts": rule.Proxies, "pipes": rule.IdleConnections,
 	} {
 		if value != nil {
 			over[name] = Source{Value: *value, From: from}
@@ -57,12 +57,12 @@
 			for _, routeName := range sortedNames(service.Routes) {
 				route := service.Routes[routeName]
 				values := map[string]Source{"forbid_regions": {Value: []string{}, From: "default"}}
-				settings.Rule.lay(values, "partner")
-				class.Rule.lay(values, "class "+className)
-				service.Rule.lay(values, "service "+serviceName)
-				route.Rule.lay(values, "route "+routeName)
+				settings.Rule.addTo(values, "partner")
+				class.Rule.addTo(values, "class "+className)
+				service.Rule.addTo(values, "service "+serviceName)
+				route.Rule.addTo(values, "route "+routeName)
 				all = append(all, Effective{Class: className, Service: serviceName, Route: routeName,
-					Method: route.Method, Path: route.Path, Rank: class.Rank, Money: class.Money, Values: values})
+					Method: route.Method, Path: route.Path, Rank: class.Rank, KeyRequired: class.KeyRequired, Values: values})
 			}
 		}
 	}
@@ -72,32 +72,32 @@
 // Same reports whether two effective values are equal.
 func Same(left, right any) bool { return reflect.DeepEqual(left, right) }
 
-// Flat is a route with its effective values, as the data plane uses it. LimitMs is
+// FlatRoute is a route with its effective values, as the data plane uses it. LimitMs is
 // the longest time that a request may take, in milliseconds; Sends the number of
 // tries; BodyBytes and ReceiptBytes bound request and response bodies; Pipes the
 // idle connections per backend.
-type Flat struct {
-	Class         string
-	Service       string
-	Route         string
-	Method        string
-	Path          string
-	Rank          int
-	Money         bool
-	LimitMs       int
-	Sends         int
-	BodyBytes     int
-	ReceiptBytes  int
-	Pipes         int
-	ForbidRegions []string
+type FlatRoute struct {
+	Class           string
+	Service         string
+	Route           string
+	Method          string
+	Path            string
+	Rank            int
+	KeyRequired     bool
+	TimeoutMs       int
+	Attempts        int
+	BodyBytes       int
+	ResponseBytes   int
+	IdleConnections int
+	ForbidRegions   []string
 }
 
-// over lays the rule's own values over what is inherited.
-func (rule *Rule) over(flat Flat) Flat {
+// overlay lays the rule's own values over what is inherited.
+func (rule *Rule) overlay(flat FlatRoute) FlatRoute {
 	for _, field := range []struct {
 		given *int
 		into  *int
-	}{{rule.LimitMs, &flat.LimitMs}, {rule.Sends, &flat.Sends}, {rule.BodyBytes, &flat.BodyBytes}, {rule.ReceiptBytes, &flat.ReceiptBytes}, {rule.Pipes, &flat.Pipes}} {
+	}{{rule.TimeoutMs, &flat.TimeoutMs}, {rule.Attempts, &flat.Attempts}, {rule.BodyBytes, &flat.BodyBytes}, {rule.ResponseBytes, &flat.ResponseBytes}, {rule.IdleConnections, &flat.IdleConnections}} {
 		if field.given != nil {
 			*field.into = *field.given
 		}
@@ -109,22 +109,22 @@
 }
 
 // Inherited returns the values that the routes of a service inherit.
-func (settings *Settings) Inherited(className, serviceName string) Flat {
+func (settings *Settings) Inherited(className, serviceName string) FlatRoute {
 	class := settings.Classes[className]
-	ofClass := class.Rule.over(settings.Rule.over(Flat{}))
-	ofClass.Class, ofClass.Rank, ofClass.Money = className, class.Rank, class.Money
+	ofClass := class.Rule.overlay(settings.Rule.overlay(FlatRoute{}))
+	ofClass.Class, ofClass.Rank, ofClass.KeyRequired = className, class.Rank, class.KeyRequired
 	service := class.Services[serviceName]
-	ofService := service.Rule.over(ofClass)
+	ofService := service.Rule.overlay(ofClass)
 	ofService.Service = serviceName
 	return ofService
 }
 
 // Flatten returns the routes of one service in the order of their names.
-func (service *Service) Flatten(inherited Flat) []Flat {
-	all := make([]Flat, 0, len(service.Routes))
+func (service *Service) Flatten(inherited FlatRoute) []FlatRoute {
+	all := make([]FlatRoute, 0, len(service.Routes))
 	for _, name := range sortedNames(service.Routes) {
 		route := service.Routes[name]
-		flat := route.Rule.over(inherited)
+		flat := route.Rule.overlay(inherited)
 		flat.Route, flat.Method, flat.Path = name, route.Method, route.Path
 		all = append(all, flat)
 	}
@@ -132,8 +132,8 @@
 }
 
 // Flatten returns all routes in the order of Resolve.
-func (settings *Settings) Flatten() []Flat {
-	all := []Flat{}
+func (settings *Settings) Flatten() []FlatRoute {
+	all := []FlatRoute{}
 	for _, className := range sortedNames(settings.Classes) {
 		class := settings.Classes[className]
 		for _, serviceName := range sortedNames(class.Services) {
--- a/conf/patch.go
+++ b/conf/patch.go
@@ -32,7 +32,7 @@
 // readPartial refuses fields that are there twice and all that is no object.
 func readPartial(partial []byte) (map[string]any, error) {
 	reader := &reader{}
-	reader.once(jx.DecodeBytes(partial), "")
+	reader.checkUnique(jx.DecodeBytes(partial), "")
 	if len(reader.details) > 0 {
 		return nil, reader.refusal()
 	}
@@ -53,14 +53,14 @@
 	return object, nil
 }
 
-// once names every field that an object gives twice, at any depth.
-func (reader *reader) once(decoder *jx.Decoder, path string) {
+// checkUnique names every field that an object gives twice, at any depth.
+func (reader *reader) checkUnique(decoder *jx.Decoder, path string) {
 	switch decoder.Next() {
 	case jx.Object:
-		reader.each(decoder, path, func(decoder *jx.Decoder, _, inner string) { reader.once(decoder, inner) })
+		reader.each(decoder, path, func(decoder *jx.Decoder, _, inner string) { reader.checkUnique(decoder, inner) })
 	case jx.Array:
 		err := decoder.Arr(func(decoder *jx.Decoder) error {
-			reader.once(decoder, path)
+			reader.checkUnique(decoder, path)
 			return reader.broken
 		})
 		_ = reader.syntax(path, err) // kept in reader.broken
--- a/conf/read.go
+++ b/conf/read.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	unknownField = "unknown_field"
-	missingField = "missing_field"
-	doubleField  = "duplicate_field"
-	wrongType    = "wrong_type"
-	outOfRange   = "out_of_range"
-	dangling     = "dangling_name"
-	clash        = "clash"
-	badSyntax    = "bad_syntax"
+	unknownField   = "unknown_field"
+	missingField   = "missing_field"
+	duplicateField = "duplicate_field"
+	wrongType      = "wrong_type"
+	outOfRange     = "out_of_range"
+	danglingName   = "dangling_name"
+	conflict       = "clash"
+	badSyntax      = "bad_syntax"
 )
 
 // nameLetters are the characters that names of settings are made of.
@@ -116,7 +116,7 @@
 	err := decoder.Obj(func(decoder *jx.Decoder, key string) error {
 		inner := join(path, key)
 		if seen[key] {
-			reader.wrong(inner, doubleField, "given twice")
+			reader.wrong(inner, duplicateField, "given twice")
 			return reader.syntax(inner, decoder.Skip())
 		}
 		seen[key] = true
@@ -132,7 +132,7 @@
 func named[T any](reader *reader, into map[string]T, read func(decoder *jx.Decoder, path string) T) func(*jx.Decoder, string) {
 	return func(decoder *jx.Decoder, path string) {
 		reader.each(decoder, path, func(decoder *jx.Decoder, key, inner string) {
-			if !goodName(key) {
+			if !isValidName(key) {
 				reader.wrong(inner, outOfRange, "a name is 1 to 64 of a-z, 0-9, - and _")
 			}
 			into[key] = read(decoder, inner)
@@ -140,7 +140,7 @@
 	}
 }
 
-func goodName(name string) bool {
+func isValidName(name string) bool {
 	if len(name) < 1 || len(name) > 64 {
 		return false
 	}
@@ -167,7 +167,7 @@
 	}
 }
 
-func (reader *reader) whole(into *int, least, most int) func(*jx.Decoder, string) {
+func (reader *reader) integer(into *int, least, most int) func(*jx.Decoder, string) {
 	return func(decoder *jx.Decoder, path string) {
 		if !reader.expect(decoder, path, jx.Number) {
 			return
@@ -189,18 +189,18 @@
 	}
 }
 
-func (reader *reader) maybe(into **int, least, most int) func(*jx.Decoder, string) {
+func (reader *reader) optional(into **int, least, most int) func(*jx.Decoder, string) {
 	return func(decoder *jx.Decoder, path string) {
 		value := least
 		before := len(reader.details)
-		reader.whole(&value, least, most)(decoder, path)
+		reader.integer(&value, least, most)(decoder, path)
 		if len(reader.details) == before {
 			*into = &value
 		}
 	}
 }
 
-func (reader *reader) part(into *float64, least, most float64) func(*jx.Decoder, string) {
+func (reader *reader) fraction(into *float64, least, most float64) func(*jx.Decoder, string) {
 	return func(decoder *jx.Decoder, path string) {
 		if !reader.expect(decoder, path, jx.Number) {
 			return
@@ -213,7 +213,7 @@
 	}
 }
 
-func (reader *reader) flag(into *bool) func(*jx.Decoder, string) {
+func (reader *reader) boolean(into *bool) func(*jx.Decoder, string) {
 	return func(decoder *jx.Decoder, path string) {
 		if !reader.expect(decoder, path, jx.Bool) {
 			return
@@ -237,7 +237,7 @@
 			reader.text(&value, 1, 256)(decoder, inner)
 			for _, known := range values {
 				if known == value {
-					reader.wrong(inner, clash, "%q is there twice", value)
+					reader.wrong(inner, conflict, "%q is there twice", value)
 				}
 			}
 			values = append(values, value)
@@ -253,48 +253,48 @@
 func (reader *reader) rule(into *Rule, need ...string) func(*jx.Decoder, string) {
 	return func(decoder *jx.Decoder, path string) {
 		reader.object(decoder, path, fields{
-			"limit_ms":       reader.maybe(&into.LimitMs, 10, 60_000),
-			"sends":          reader.maybe(&into.Sends, 1, 5),
-			"body_bytes":     reader.maybe(&into.BodyBytes, 0, 64<<20),
-			"receipt_bytes":  reader.maybe(&into.ReceiptBytes, 1, 256<<20),
-			"hold_ms":        reader.maybe(&into.HoldMs, 100, 600_000),
-			"fronts":         reader.maybe(&into.Fronts, 1, 16),
-			"pipes":          reader.maybe(&into.Pipes, 1, 1024),
+			"limit_ms":       reader.optional(&into.TimeoutMs, 10, 60_000),
+			"sends":          reader.optional(&into.Attempts, 1, 5),
+			"body_bytes":     reader.optional(&into.BodyBytes, 0, 64<<20),
+			"receipt_bytes":  reader.optional(&into.ResponseBytes, 1, 256<<20),
+			"hold_ms":        reader.optional(&into.TTLMs, 100, 600_000),
+			"fronts":         reader.optional(&into.Proxies, 1, 16),
+			"pipes":          reader.optional(&into.IdleConnections, 1, 1024),
 			"forbid_regions": reader.texts(&into.ForbidRegions, 0, 64),
 		}, need...)
 	}
 }
 
 var (
-	topNeed   = []string{"format", "partner", "ack_ms", "rule", "retry", "regions"}
-	classNeed = []string{"rank", "floor_rps"}
+	requiredTop   = []string{"format", "partner", "ack_ms", "rule", "retry", "regions"}
+	requiredClass = []string{"rank", "floor_rps"}
 )
 
 func (reader *reader) settings(decoder *jx.Decoder) *Settings {
 	settings := &Settings{Regions: map[string]Region{}, Tenants: map[string]Tenant{}, Classes: map[string]Class{}}
 	known := reader.topFields(settings)
 	known["tenants"], known["classes"] = named(reader, settings.Tenants, reader.tenant), named(reader, settings.Classes, reader.class)
-	reader.object(decoder, "", known, append(append([]string{}, topNeed...), "tenants", "classes")...)
+	reader.object(decoder, "", known, append(append([]string{}, requiredTop...), "tenants", "classes")...)
 	return settings
 }
 
 // topFields are those beside tenants and classes.
 func (reader *reader) topFields(settings *Settings) fields {
 	return fields{
-		"format":    reader.whole(&settings.Format, 1, 1),
+		"format":    reader.integer(&settings.Format, 1, 1),
 		"partner":   reader.text(&settings.Partner, 1, 64),
-		"ack_ms":    reader.whole(&settings.AckMs, 50, 1000),
-		"front_rps": reader.whole(&settings.FrontRps, 1, 1_000_000),
+		"ack_ms":    reader.integer(&settings.AckMs, 50, 1000),
+		"front_rps": reader.integer(&settings.ProxyRps, 1, 1_000_000),
 		"rule":      reader.rule(&settings.Rule, "limit_ms", "sends", "body_bytes", "receipt_bytes", "hold_ms", "fronts", "pipes"),
 		"retry": func(decoder *jx.Decoder, path string) {
 			reader.object(decoder, path, fields{
-				"fraction": reader.part(&settings.Retry.Fraction, 0, 0.2),
-				"floor":    reader.whole(&settings.Retry.Floor, 0, 60),
-				"span_ms":  reader.whole(&settings.Retry.SpanMs, 10_000, 10_000),
+				"fraction": reader.fraction(&settings.Retry.Fraction, 0, 0.2),
+				"floor":    reader.integer(&settings.Retry.Floor, 0, 60),
+				"span_ms":  reader.integer(&settings.Retry.SpanMs, 10_000, 10_000),
 			}, "fraction", "floor", "span_ms")
 		},
 		"money": func(decoder *jx.Decoder, path string) {
-			reader.object(decoder, path, fields{"remember_s": reader.whole(&settings.Money.RememberS, 60, 86_400)}, "remember_s")
+			reader.object(decoder, path, fields{"remember_s": reader.integer(&settings.Keys.TTLSeconds, 60, 86_400)}, "remember_s")
 		},
 		"regions": named(reader, settings.Regions, reader.region),
 		"drained": func(decoder *jx.Decoder, path string) {
@@ -316,7 +316,7 @@
 	tenant := Tenant{Share: 1}
 	reader.object(decoder, path, fields{
 		"keys":           reader.texts(&tenant.Keys, 0, 64),
-		"share":          reader.whole(&tenant.Share, 1, 1000),
+		"share":          reader.integer(&tenant.Share, 1, 1000),
 		"forbid_regions": reader.texts(&tenant.ForbidRegions, 0, 64),
 	}, "keys")
 	return tenant
@@ -326,17 +326,17 @@
 	class := Class{Services: map[string]Service{}}
 	known := reader.classFields(&class)
 	known["services"] = named(reader, class.Services, reader.service)
-	reader.object(decoder, path, known, append(append([]string{}, classNeed...), "services")...)
+	reader.object(decoder, path, known, append(append([]string{}, requiredClass...), "services")...)
 	return class
 }
 
 // classFields are those beside services.
 func (reader *reader) classFields(class *Class) fields {
 	return fields{
-		"rank":       reader.whole(&class.Rank, 1, 16),
-		"money":      reader.flag(&class.Money),
-		"floor_rps":  reader.whole(&class.FloorRps, 0, 1_000_000),
-		"borrow_rps": reader.whole(&class.BorrowRps, 0, 1_000_000),
+		"rank":       reader.integer(&class.Rank, 1, 16),
+		"money":      reader.boolean(&class.KeyRequired),
+		"floor_rps":  reader.integer(&class.FloorRps, 0, 1_000_000),
+		"borrow_rps": reader.integer(&class.BorrowRps, 0, 1_000_000),
 		"rule":       reader.rule(&class.Rule),
 	}
 }
--- a/conf/read_test.go
+++ b/conf/read_test.go
@@ -39,9 +39,9 @@
 			}
 			for index, effective := range settings.Resolve() {
 				flat := settings.Flatten()[index]
-				if flat.Route != effective.Route || flat.Service != effective.Service || flat.Class != effective.Class || flat.Money != effective.Money ||
-					flat.LimitMs != effective.Whole("limit_ms") || flat.Sends != effective.Whole("sends") || flat.BodyBytes != effective.Whole("body_bytes") ||
-					flat.ReceiptBytes != effective.Whole("receipt_bytes") || flat.Pipes != effective.Whole("pipes") || fmt.Sprint(flat.ForbidRegions) != fmt.Sprint(effective.ForbidRegions()) {
+				if flat.Route != effective.Route || flat.Service != effective.Service || flat.Class != effective.Class || flat.KeyRequired != effective.KeyRequired ||
+					flat.TimeoutMs != effective.Integer("limit_ms") || flat.Attempts != effective.Integer("sends") || flat.BodyBytes != effective.Integer("body_bytes") ||
+					flat.ResponseBytes != effective.Integer("receipt_bytes") || flat.IdleConnections != effective.Integer("pipes") || fmt.Sprint(flat.ForbidRegions) != fmt.Sprint(effective.ForbidRegions()) {
 					test.Errorf("%s: %+v is not %+v", effective.Route, flat, effective)
 				}
 			}
--- a/conf/settings.go
+++ b/conf/settings.go
@@ -21,14 +21,14 @@
 // milliseconds, sizes bytes; Sends is the number of tries, Fronts the number of
 // proxies per tenant, Pipes the number of idle connections per backend.
 type Rule struct {
-	LimitMs       *int     `json:"limit_ms,omitempty"`
-	Sends         *int     `json:"sends,omitempty"`
-	BodyBytes     *int     `json:"body_bytes,omitempty"`
-	ReceiptBytes  *int     `json:"receipt_bytes,omitempty"`
-	HoldMs        *int     `json:"hold_ms,omitempty"`
-	Fronts        *int     `json:"fronts,omitempty"`
-	Pipes         *int     `json:"pipes,omitempty"`
-	ForbidRegions []string `json:"forbid_regions,omitempty"`
+	TimeoutMs       *int     `json:"limit_ms,omitempty"`
+	Attempts        *int     `json:"sends,omitempty"`
+	BodyBytes       *int     `json:"body_bytes,omitempty"`
+	ResponseBytes   *int     `json:"receipt_bytes,omitempty"`
+	TTLMs           *int     `json:"hold_ms,omitempty"`
+	Proxies         *int     `json:"fronts,omitempty"`
+	IdleConnections *int     `json:"pipes,omitempty"`
+	ForbidRegions   []string `json:"forbid_regions,omitempty"`
 }
 
 // Region is a group of zones.
@@ -64,12 +64,12 @@
 // requests a second are always admitted, BorrowRps more while backends are idle.
 // Requests of a class with Money run at most once per idempotency key.
 type Class struct {
-	Rank      int                `json:"rank"`
-	Money     bool               `json:"money"`
-	FloorRps  int                `json:"floor_rps"`
-	BorrowRps int                `json:"borrow_rps"`
-	Rule      Rule               `json:"rule"`
-	Services  map[string]Service `json:"services"`
+	Rank        int                `json:"rank"`
+	KeyRequired bool               `json:"money"`
+	FloorRps    int                `json:"floor_rps"`
+	BorrowRps   int                `json:"borrow_rps"`
+	Rule        Rule               `json:"rule"`
+	Services    map[string]Service `json:"services"`
 }
 
 // Retry is the retry budget: retries may be Fraction of first sends plus Floor per
@@ -80,10 +80,10 @@
 	SpanMs   int     `json:"span_ms"`
 }
 
-// Money is how long idempotency keys are remembered, in seconds; 0 means the
+// KeySettings is how long idempotency keys are remembered, in seconds; 0 means the
 // default.
-type Money struct {
-	RememberS int `json:"remember_s,omitempty"`
+type KeySettings struct {
+	TTLSeconds int `json:"remember_s,omitempty"`
 }
 
 // Drained is the zones and backends that get no new requests.
@@ -98,10 +98,10 @@
 	Format   int               `json:"format"`
 	Partner  string            `json:"partner"`
 	AckMs    int               `json:"ack_ms"`
-	FrontRps int               `json:"front_rps,omitempty"`
+	ProxyRps int               `json:"front_rps,omitempty"`
 	Rule     Rule              `json:"rule"`
 	Retry    Retry             `json:"retry"`
-	Money    Money             `json:"money"`
+	Keys     KeySettings       `json:"money"`
 	Regions  map[string]Region `json:"regions"`
 	Tenants  map[string]Tenant `json:"tenants"`
 	Classes  map[string]Class  `json:"classes"`
@@ -110,12 +110,12 @@
 	tenantsDigest string
 }
 
-// Remember returns how long idempotency keys are remembered.
-func (settings *Settings) Remember() time.Duration {
-	if settings.Money.RememberS == 0 {
+// KeyTTL returns how long idempotency keys are remembered.
+func (settings *Settings) KeyTTL() time.Duration {
+	if settings.Keys.TTLSeconds == 0 {
 		return idempotency.DefaultTTL
 	}
-	return time.Duration(settings.Money.RememberS) * time.Second
+	return time.Duration(settings.Keys.TTLSeconds) * time.Second
 }
 
 func sortedNames[T any](named map[string]T) []string { return slices.Sorted(maps.Keys(named)) }
--- a/conf/splitter.go
+++ b/conf/splitter.go
@@ -11,10 +11,10 @@
 
 // splitter cuts a decoded tree into branches.
 type splitter struct {
-	before *Tree
-	old    map[string]any
-	parts  []message.ChunkRef
-	texts  message.Chunks
+	former        *Tree
+	formerDecoded map[string]any
+	refs          []message.ChunkRef
+	chunks        message.Chunks
 }
 
 // same is whether two decoded values are one and the same.
@@ -42,15 +42,15 @@
 func (splitter *splitter) put(path string, value any) {
 	text, _ := json.Marshal(value)
 	digest := message.DigestOf(text)
-	splitter.parts = append(splitter.parts, message.ChunkRef{Path: path, Digest: digest})
-	splitter.texts[digest] = text
+	splitter.refs = append(splitter.refs, message.ChunkRef{Path: path, Digest: digest})
+	splitter.chunks[digest] = text
 }
 
-// keep takes the former version's branches of a path and below.
-func (splitter *splitter) keep(accept func(path string) bool) {
-	for _, part := range splitter.before.Parts {
+// keepFormer takes the former version's branches of a path and below.
+func (splitter *splitter) keepFormer(accept func(path string) bool) {
+	for _, part := range splitter.former.Refs {
 		if accept(part.Path) {
-			splitter.parts = append(splitter.parts, part)
+			splitter.refs = append(splitter.refs, part)
 		}
 	}
 }
@@ -74,16 +74,16 @@
 		return false
 	}
 	splitter.put("top", without(whole, "tenants", "classes"))
-	splitter.buckets("tenants", tenants, object(splitter.old["tenants"]))
-	formerly := object(splitter.old["classes"])
+	splitter.buckets("tenants", tenants, object(splitter.formerDecoded["tenants"]))
+	formerly := object(splitter.formerDecoded["classes"])
 	for _, name := range sortedNames(classes) {
 		class, former := object(classes[name]), object(formerly[name])
 		services := object(class["services"])
-		if services == nil || !goodName(name) {
+		if services == nil || !isValidName(name) {
 			return false
 		}
 		if former != nil && same(class, former) {
-			splitter.keep(func(path string) bool {
+			splitter.keepFormer(func(path string) bool {
 				names := strings.Split(path, "/")
 				return len(names) > 1 && names[0] != "tenants" && names[1] == name
 			})
@@ -96,17 +96,17 @@
 			}
 		}
 	}
-	sort.Slice(splitter.parts, func(left, right int) bool { return splitter.parts[left].Path < splitter.parts[right].Path })
+	sort.Slice(splitter.refs, func(left, right int) bool { return splitter.refs[left].Path < splitter.refs[right].Path })
 	return true
 }
 
 func (splitter *splitter) service(path, name string, service, former map[string]any) bool {
 	routes := object(service["routes"])
-	if routes == nil || !goodName(name) {
+	if routes == nil || !isValidName(name) {
 		return false
 	}
 	if former != nil && same(service, former) {
-		splitter.keep(func(held string) bool {
+		splitter.keepFormer(func(held string) bool {
 			return held == "service/"+path || strings.HasPrefix(held, "routes/"+path+"/")
 		})
 		return true
@@ -120,7 +120,7 @@
 // are written anew.
 func (splitter *splitter) buckets(path string, now, former map[string]any) {
 	count := bucketCount(len(now))
-	fresh := former == nil || splitter.before == nil || bucketCount(len(former)) != count
+	fresh := former == nil || splitter.former == nil || bucketCount(len(former)) != count
 	dirty := map[int]map[string]any{}
 	mark := func(name string) {
 		if bucket := bucketOf(name, count); dirty[bucket] == nil {
@@ -147,8 +147,8 @@
 		switch {
 		case len(dirty[bucket]) > 0:
 			splitter.put(spot(bucket), dirty[bucket])
-		case dirty[bucket] == nil && !fresh && splitter.before.held[spot(bucket)] != nil:
-			splitter.parts = append(splitter.parts, message.ChunkRef{Path: spot(bucket), Digest: splitter.before.held[spot(bucket)].digest})
+		case dirty[bucket] == nil && !fresh && splitter.former.fragments[spot(bucket)] != nil:
+			splitter.refs = append(splitter.refs, message.ChunkRef{Path: spot(bucket), Digest: splitter.former.fragments[spot(bucket)].digest})
 		}
 	}
 }
--- a/conf/tree.go
+++ b/conf/tree.go
@@ -15,18 +15,18 @@
 // what lies below it, a bucket of routes. What did not change since the version
 // before is shared with it, read only once.
 type Tree struct {
-	Settings *Settings
-	Parts    []message.ChunkRef
-	texts    message.Chunks
-	held     map[string]*fragment
+	Settings  *Settings
+	Refs      []message.ChunkRef
+	chunks    message.Chunks
+	fragments map[string]*fragment
 
-	mutex sync.Mutex
-	body  []byte
-	whole map[string]any
+	mutex       sync.Mutex
+	body        []byte
+	decodedText map[string]any
 }
 
-// Sow reads, checks and splits a whole text.
-func Sow(body []byte, before *Tree) (*Tree, error) {
+// Parse reads, checks and splits a whole text.
+func Parse(body []byte, before *Tree) (*Tree, error) {
 	if _, err := Read(body); err != nil {
 		return nil, err
 	}
@@ -34,13 +34,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return sow(whole, before)
+	return parse(whole, before)
 }
 
-func sow(whole map[string]any, before *Tree) (*Tree, error) {
-	splitter := &splitter{before: before, texts: message.Chunks{}}
+func parse(whole map[string]any, before *Tree) (*Tree, error) {
+	splitter := &splitter{former: before, chunks: message.Chunks{}}
 	if before != nil {
-		splitter.old = before.decoded()
+		splitter.formerDecoded = before.decoded()
 	}
 	if !splitter.split(whole) {
 		body, err := json.Marshal(whole)
@@ -52,11 +52,11 @@
 		}
 		return nil, rpc.Errorf(rpc.Invalid, "the tree has no known shape")
 	}
-	tree, err := grow(before, splitter.parts, splitter.texts, true)
+	tree, err := assembleTree(before, splitter.refs, splitter.chunks, true)
 	if err != nil {
 		return nil, err
 	}
-	tree.whole = whole
+	tree.decodedText = whole
 	return tree, nil
 }
 
@@ -66,20 +66,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return sow(merge(tree.decoded(), part).(map[string]any), tree)
+	return parse(merge(tree.decoded(), part).(map[string]any), tree)
 }
 
-// Grow makes the tree of parts whose texts are known by the version before or given.
-func Grow(before *Tree, parts []message.ChunkRef, texts message.Chunks) (*Tree, error) {
-	return grow(before, parts, texts, false)
+// Assemble makes the tree of parts whose texts are known by the version before or given.
+func Assemble(before *Tree, parts []message.ChunkRef, chunks message.Chunks) (*Tree, error) {
+	return assembleTree(before, parts, chunks, false)
 }
 
-// Lacks are the digests among parts that this tree does not hold.
-func (tree *Tree) Lacks(parts []message.ChunkRef) []string {
+// Missing are the digests among parts that this tree does not hold.
+func (tree *Tree) Missing(parts []message.ChunkRef) []string {
 	if tree == nil {
 		return message.MissingChunks(parts)
 	}
-	return message.MissingChunks(parts, tree.texts)
+	return message.MissingChunks(parts, tree.chunks)
 }
 
 // Text is a branch of this tree.
@@ -87,7 +87,7 @@
 	if tree == nil {
 		return nil
 	}
-	return tree.texts[digest]
+	return tree.chunks[digest]
 }
 
 func (tree *Tree) decoded() map[string]any {
@@ -96,10 +96,10 @@
 	}
 	tree.mutex.Lock()
 	defer tree.mutex.Unlock()
-	if tree.whole == nil {
-		tree.whole, _ = decode(tree.compose())
+	if tree.decodedText == nil {
+		tree.decodedText, _ = decode(tree.compose())
 	}
-	return tree.whole
+	return tree.decodedText
 }
 
 // Body is the whole text.
@@ -112,30 +112,30 @@
 	return tree.compose()
 }
 
-func grow(before *Tree, parts []message.ChunkRef, texts message.Chunks, check bool) (*Tree, error) {
-	tree := &Tree{Parts: parts, texts: make(message.Chunks, len(parts)), held: make(map[string]*fragment, len(parts))}
+func assembleTree(before *Tree, parts []message.ChunkRef, chunks message.Chunks, check bool) (*Tree, error) {
+	tree := &Tree{Refs: parts, chunks: make(message.Chunks, len(parts)), fragments: make(map[string]*fragment, len(parts))}
 	reader := &reader{}
 	for _, part := range parts {
-		text := texts[part.Digest]
+		text := chunks[part.Digest]
 		if text == nil {
 			text = before.Text(part.Digest)
 		}
 		if text == nil {
 			return nil, rpc.Errorf(rpc.CorruptChunk, "branch %s is missing", part.Path)
 		}
-		tree.texts[part.Digest] = text
+		tree.chunks[part.Digest] = text
 		if before != nil {
-			if held := before.held[part.Path]; held != nil && held.digest == part.Digest {
-				tree.held[part.Path] = held
+			if held := before.fragments[part.Path]; held != nil && held.digest == part.Digest {
+				tree.fragments[part.Path] = held
 				continue
 			}
 		}
-		tree.held[part.Path] = reader.fragment(part, text)
+		tree.fragments[part.Path] = reader.fragment(part, text)
 	}
 	if len(reader.details) > 0 {
 		return nil, reader.refusal()
 	}
-	if err := tree.assemble(before); err != nil {
+	if err := tree.assembleSettings(before); err != nil {
 		return nil, err
 	}
 	if check {
@@ -156,11 +156,11 @@
 		return tree.body
 	}
 	inner := func(path string) []byte {
-		text := tree.texts[tree.held[path].digest]
+		text := tree.chunks[tree.fragments[path].digest]
 		return text[1 : len(text)-1]
 	}
 	below := map[string][]string{}
-	for _, part := range tree.Parts {
+	for _, part := range tree.Refs {
 		names := strings.Split(part.Path, "/")
 		kind := names[0]
 		if len(names) > 1 && kind != "tenants" {
--- a/conf/tree_test.go
+++ b/conf/tree_test.go
@@ -22,11 +22,11 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	tree, err := conf.Sow(base, nil)
+	tree, err := conf.Parse(base, nil)
 	if err != nil {
 		test.Fatal(err)
 	}
-	follower, texts := tree, message.Chunks{}
+	follower, chunks := tree, message.Chunks{}
 	random := rand.New(rand.NewPCG(1, 2))
 	refused := 0
 	for turn := range 300 {
@@ -44,22 +44,22 @@
 		if left, right := mustJSON(settings), mustJSON(next.Settings); !bytes.Equal(left, right) {
 			test.Fatalf("%.200s: %.300s is not %.300s", patch, left, right)
 		}
-		anew, _ := conf.Sow(body, nil)
-		if !reflect.DeepEqual(anew.Parts, next.Parts) {
+		anew, _ := conf.Parse(body, nil)
+		if !reflect.DeepEqual(anew.Refs, next.Refs) {
 			test.Fatalf("%.200s: branches depend on the way", patch)
 		}
-		lacks := follower.Lacks(next.Parts)
-		if turn > 100 && len(lacks) > 8 {
-			test.Fatalf("%.200s: %d of %d branches are new", patch, len(lacks), len(next.Parts))
+		missing := follower.Missing(next.Refs)
+		if turn > 100 && len(missing) > 8 {
+			test.Fatalf("%.200s: %d of %d branches are new", patch, len(missing), len(next.Refs))
 		}
-		for _, digest := range lacks {
-			texts[digest] = next.Text(digest)
+		for _, digest := range missing {
+			chunks[digest] = next.Text(digest)
 		}
-		if follower, err = conf.Grow(follower, next.Parts, texts); err != nil || !bytes.Equal(follower.Body(), next.Body()) {
+		if follower, err = conf.Assemble(follower, next.Refs, chunks); err != nil || !bytes.Equal(follower.Body(), next.Body()) {
 			test.Fatalf("%.200s: %v", patch, err)
 		}
-		if len(lacks) > 0 {
-			if _, err := conf.Grow(tree, next.Parts, nil); err == nil || rpc.CodeOf(err) != rpc.CorruptChunk {
+		if len(missing) > 0 {
+			if _, err := conf.Assemble(tree, next.Refs, nil); err == nil || rpc.CodeOf(err) != rpc.CorruptChunk {
 				test.Fatalf("grown without its branches: %v", err)
 			}
 		}
--- a/control/claims.go
+++ b/control/claims.go
@@ -88,7 +88,7 @@
 // missed complete its own. Of n voters that takes n - majority + 1.
 func (core *Core) repairClaims() {
 	if current, err := core.committedContent(); err == nil && current.serial > 0 {
-		core.claims.Store().SetTTL(current.tree.Settings.Remember())
+		core.claims.Store().SetTTL(current.tree.Settings.KeyTTL())
 	}
 	view := core.membership()
 	if core.replica.Blank() || !consensus.ContainsPeer(view.Voters, view.ID) || core.claimsComplete(view) {
--- a/control/content.go
+++ b/control/content.go
@@ -48,8 +48,8 @@
 func (current *content) value() message.Value {
 	value := message.Value{Serial: current.serial}
 	if current.tree != nil {
-		value.Chunks = append(value.Chunks, current.tree.Parts...)
-		for _, ref := range current.tree.Parts {
+		value.Chunks = append(value.Chunks, current.tree.Refs...)
+		for _, ref := range current.tree.Refs {
 			current.chunks[ref.Digest] = current.tree.Text(ref.Digest)
 		}
 	}
@@ -102,7 +102,7 @@
 	if former != nil {
 		formerTree = former.tree
 	}
-	tree, err := conf.Grow(formerTree, treeChunks(value.Chunks), current.chunks)
+	tree, err := conf.Assemble(formerTree, treeChunks(value.Chunks), current.chunks)
 	current.tree = tree
 	return current, err
 }
--- a/control/decide_test.go
+++ b/control/decide_test.go
@@ -19,23 +19,23 @@
 }
 
 // grown is a book after many orders, each on top of the one before.
-func grown(test *testing.T, orders int) *route.Book {
+func grown(test *testing.T, orders int) *route.State {
 	test.Helper()
-	book := &route.Book{}
+	state := &route.State{}
 	for number := range uint64(orders) {
-		next, again, err := applyRoutingChange(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number)))
+		next, again, err := applyRoutingChange(state, changeOf(number*3+3, number*3, fmt.Sprint("order ", number)))
 		if err != nil || again {
 			test.Fatalf("order %d: again %v, %v", number, again, err)
 		}
-		book = next
+		state = next
 	}
-	return book
+	return state
 }
 
 // A base that is no longer current comes before everything else that may be wrong
 // with an order, so that who lost a race is not told that its order was invalid.
 func TestDecideNamesTheStaleBaseFirst(test *testing.T) {
-	book := grown(test, 3)
+	state := grown(test, 3)
 	invalid := changeOf(13, 6, "invalid")
 	invalid.Whole.Routes[0].Service = "nobody"
 	for name, one := range map[string]struct {
@@ -50,7 +50,7 @@
 		"number of the current one, on it":    {changeOf(9, 9, "equal"), rpc.StaleVersion},
 		"number below the current one, on it": {changeOf(8, 9, "below"), rpc.StaleVersion},
 	} {
-		if next, again, err := applyRoutingChange(book, one.change); next != nil || again || err == nil || rpc.CodeOf(err) != one.want {
+		if next, again, err := applyRoutingChange(state, one.change); next != nil || again || err == nil || rpc.CodeOf(err) != one.want {
 			test.Errorf("%s: again %v, %v, want %s", name, again, err, one.want)
 		}
 	}
@@ -60,14 +60,14 @@
 // else passes for it.
 func TestDecideKnowsARepeatAfterThousandsOfChanges(test *testing.T) {
 	const orders = 2000
-	book := grown(test, orders)
+	state := grown(test, orders)
 	for number := range uint64(orders) {
-		if _, again, err := applyRoutingChange(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); !again {
+		if _, again, err := applyRoutingChange(state, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); !again {
 			test.Fatalf("order %d of %d sent again: %v", number, orders, err)
 		}
 	}
 	for name, change := range map[string]*route.Change{"another text": changeOf(300, 297, "order 98"), "another number": changeOf(301, 297, "order 99")} {
-		if _, again, err := applyRoutingChange(book, change); again || err == nil || rpc.CodeOf(err) != rpc.StaleBase {
+		if _, again, err := applyRoutingChange(state, change); again || err == nil || rpc.CodeOf(err) != rpc.StaleBase {
 			test.Errorf("%s: again %v, %v", name, again, err)
 		}
 	}
@@ -76,27 +76,27 @@
 // Whether an order was taken that is older than all that is remembered is not
 // known, so it is neither acknowledged nor refused for good.
 func TestDecideRefusesNothingThatItForgot(test *testing.T) {
-	book := grown(test, 3)
-	book.Config.Version += 3 * route.TrailMost
-	for number := range uint64(route.TrailMost) {
-		book.Trail = book.Trail.With(12+number*3, "other")
+	state := grown(test, 3)
+	state.Config.Version += 3 * route.MaxHistory
+	for number := range uint64(route.MaxHistory) {
+		state.History = state.History.With(12+number*3, "other")
 	}
 	for number, want := range map[uint64]rpc.Code{0: rpc.Forgotten, 2: rpc.Forgotten, 3: rpc.StaleBase} {
-		if _, again, err := applyRoutingChange(book, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); again || err == nil || rpc.CodeOf(err) != want {
+		if _, again, err := applyRoutingChange(state, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); again || err == nil || rpc.CodeOf(err) != want {
 			test.Errorf("order %d: again %v, %v, want %s", number, again, err, want)
 		}
 	}
-	if _, _, err := applyRoutingChange(book, changeOf(book.Config.Version, book.Config.Version, "not above")); err == nil || rpc.CodeOf(err) != rpc.StaleVersion {
+	if _, _, err := applyRoutingChange(state, changeOf(state.Config.Version, state.Config.Version, "not above")); err == nil || rpc.CodeOf(err) != rpc.StaleVersion {
 		test.Errorf("a number not above the current one, on it: %v", err)
 	}
 }
 
 // A new configuration leaves everything else in the book as it is.
 func TestDecideKeepsTheZones(test *testing.T) {
-	book := grown(test, 1)
-	book.Evacuated, book.Reopened = []string{"a"}, []route.Reopened{{Zone: "b", AtMs: 7}}
-	next, _, err := applyRoutingChange(book, changeOf(6, 3, "more"))
-	if err != nil || !slices.Equal(next.Evacuated, book.Evacuated) || !slices.Equal(next.Reopened, book.Reopened) {
+	state := grown(test, 1)
+	state.Evacuated, state.Restored = []string{"a"}, []route.RestoredZone{{Zone: "b", AtMs: 7}}
+	next, _, err := applyRoutingChange(state, changeOf(6, 3, "more"))
+	if err != nil || !slices.Equal(next.Evacuated, state.Evacuated) || !slices.Equal(next.Restored, state.Restored) {
 		test.Errorf("%+v, %v", next, err)
 	}
 }
--- a/control/establishment.go
+++ b/control/establishment.go
@@ -24,7 +24,7 @@
 	promises   map[int]*message.PrepareResponse
 	values     [message.Registers]message.Value
 	content    *content
-	routing    *route.Book
+	routing    *route.State
 }
 
 // establish returns a leadership under a term. Every step is done anew: none of a former
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	establishment.routing, err = route.BookOf(establishment.values[message.RoutingRegister].Body)
+	establishment.routing, err = route.DecodeState(establishment.values[message.RoutingRegister].Body)
 	if err != nil {
 		return err
 	}
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -14,22 +14,22 @@
 
 // applyEvacuation returns the routing after an order on a zone at a time in milliseconds,
 // nil if the order changes nothing.
-func applyEvacuation(book *route.Book, request *message.EvacuateRequest, now int64) *route.Book {
-	index, isEvacuated := slices.BinarySearch(book.Evacuated, request.Zone)
+func applyEvacuation(state *route.State, request *message.EvacuateRequest, now int64) *route.State {
+	index, isEvacuated := slices.BinarySearch(state.Evacuated, request.Zone)
 	if isEvacuated == request.Begin {
 		return nil
 	}
-	next := *book
-	next.Zones = book.Changed(request.Zone)
+	next := *state
+	next.Zones = state.WithChangeOf(request.Zone)
 	if request.Begin {
-		next.Evacuated = slices.Insert(slices.Clone(book.Evacuated), index, request.Zone)
+		next.Evacuated = slices.Insert(slices.Clone(state.Evacuated), index, request.Zone)
 		return &next
 	}
-	next.Evacuated = slices.Delete(slices.Clone(book.Evacuated), index, index+1)
-	next.Reopened = slices.DeleteFunc(slices.Clone(book.Reopened), func(former route.Reopened) bool {
+	next.Evacuated = slices.Delete(slices.Clone(state.Evacuated), index, index+1)
+	next.Restored = slices.DeleteFunc(slices.Clone(state.Restored), func(former route.RestoredZone) bool {
 		return former.Zone == request.Zone || now-former.AtMs > restoredZoneTTL.Milliseconds()
 	})
-	next.Reopened = append(next.Reopened, route.Reopened{Zone: request.Zone, AtMs: now})
+	next.Restored = append(next.Restored, route.RestoredZone{Zone: request.Zone, AtMs: now})
 	return &next
 }
 
@@ -42,12 +42,12 @@
 		return nil, err
 	}
 	if request.QueryOnly {
-		return &message.EvacuateResponse{Changes: leadership.currentRouting().Changes(request.Zone)}, nil
+		return &message.EvacuateResponse{Changes: leadership.currentRouting().ChangesOf(request.Zone)}, nil
 	}
 	response, isChanged := &message.EvacuateResponse{}, false
-	response.Serial, err = leadership.writeRouting(func(current *route.Book) (*route.Book, error) {
+	response.Serial, err = leadership.writeRouting(func(current *route.State) (*route.State, error) {
 		next := applyEvacuation(current, request, core.Now())
-		response.Changes = current.Changes(request.Zone)
+		response.Changes = current.ChangesOf(request.Zone)
 		if next != nil && response.Changes != request.ExpectedChanges {
 			return nil, rpc.Errorf(rpc.ZoneChanged, "changed %d times, the order is upon %d", response.Changes, request.ExpectedChanges)
 		}
--- a/control/fetch_cache.go
+++ b/control/fetch_cache.go
@@ -58,11 +58,11 @@
 	if cache.serial == value.Serial {
 		return cache.body, nil
 	}
-	book, err := route.BookOf(value.Body)
+	state, err := route.DecodeState(value.Body)
 	if err != nil {
 		return nil, err
 	}
-	body, err := rpc.Marshal(book.Bare())
+	body, err := rpc.Marshal(state.WithoutHistory())
 	if err != nil {
 		return nil, err
 	}
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -37,7 +37,7 @@
 	successor           message.Leader
 	values              [message.Registers]message.Value
 	content             *content
-	routing             *route.Book
+	routing             *route.State
 	responses           map[int]*message.HeartbeatResponse
 	lastQuorum          time.Time // when the last heartbeat began that a quorum accepted
 	heartbeatsSent      uint64
--- a/control/model_digest_test.go
+++ b/control/model_digest_test.go
@@ -152,9 +152,9 @@
 	if survey := process.survey; survey != nil {
 		digest.numbers(1, survey.call)
 		digest.mark(survey.view.Version)
-		for _, id := range slices.Sorted(maps.Keys(survey.told)) {
+		for _, id := range slices.Sorted(maps.Keys(survey.response)) {
 			digest.numbers(id)
-			digest.message(survey.told[id])
+			digest.message(survey.response[id])
 		}
 	}
 	if candidacy := process.candidacy; candidacy != nil {
--- a/control/model_machine_test.go
+++ b/control/model_machine_test.go
@@ -52,9 +52,9 @@
 
 // modelSurvey is a blank voter's question to all others, before it fences them.
 type modelSurvey struct {
-	call int
-	view *consensus.View
-	told map[int]*message.ReplicaStateResponse
+	call     int
+	view     *consensus.View
+	response map[int]*message.ReplicaStateResponse
 }
 
 // modelCandidacy is a ballot that is being pushed.
@@ -167,7 +167,7 @@
 	next.core.committed = process.core.committed
 	if process.survey != nil {
 		survey := *process.survey
-		survey.told = maps.Clone(survey.told)
+		survey.response = maps.Clone(survey.response)
 		next.survey = &survey
 	}
 	if process.candidacy != nil {
--- a/control/model_mutants_test.go
+++ b/control/model_mutants_test.go
@@ -83,9 +83,9 @@
 	{name: "nobody refuses an older membership", form: modelThree, breaks: []string{acknowledgedIsKept, oneVoterPerStep, quorumsMeet},
 		mutate: func(rules *modelRules) {
 			rules.askedMembers = func(view *consensus.View) message.AcceptedValue {
-				asked := view.Accepted()
-				asked.Term.Number = math.MaxUint32
-				return asked
+				request := view.Accepted()
+				request.Term.Number = math.MaxUint32
+				return request
 			}
 		}},
 	{name: "a change without the joint step", form: modelThree, breaks: []string{oneVoterPerStep},
--- a/control/model_steps_test.go
+++ b/control/model_steps_test.go
@@ -32,7 +32,7 @@
 func (world *modelWorld) surveys(machine *modelMachine) {
 	process := machine.process
 	view := process.core.membership()
-	process.survey = &modelSurvey{call: process.nextCall(), view: view, told: map[int]*message.ReplicaStateResponse{}}
+	process.survey = &modelSurvey{call: process.nextCall(), view: view, response: map[int]*message.ReplicaStateResponse{}}
 	for _, peer := range view.Peers {
 		world.ask(machine, process.survey.call, peer, &message.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Version})
 	}
@@ -363,8 +363,8 @@
 	survey, core := process.survey, process.core
 	core.observeTermNumber(response.Promised.Number)
 	core.learnMembership(response.Membership)
-	survey.told[packet.as] = response
-	if !world.rules.mayRestore(core, survey.view, survey.told) {
+	survey.response[packet.as] = response
+	if !world.rules.mayRestore(core, survey.view, survey.response) {
 		return
 	}
 	process.survey = nil
--- a/control/model_world_test.go
+++ b/control/model_world_test.go
@@ -149,9 +149,9 @@
 }
 
 // answer sends what was told to the asker.
-func (world *modelWorld) answer(asked *modelPacket, told any) {
-	amnesiac := asked.as > 0 && world.machines[asked.to].forgotten.has(asked.as)
-	world.send(&modelPacket{from: asked.to, to: asked.from, life: asked.life, call: asked.call, as: asked.as, register: asked.register, message: told, answers: true, amnesiac: amnesiac})
+func (world *modelWorld) answer(request *modelPacket, response any) {
+	amnesiac := request.as > 0 && world.machines[request.to].forgotten.has(request.as)
+	world.send(&modelPacket{from: request.to, to: request.from, life: request.life, call: request.call, as: request.as, register: request.register, message: response, answers: true, amnesiac: amnesiac})
 }
 
 // take removes a message that is on its way.
--- a/control/routing.go
+++ b/control/routing.go
@@ -8,28 +8,28 @@
 
 // Routing returns the serial and the content of the committed routing as this core holds
 // it, 0 and an empty one if it can't be read.
-func (core *Core) Routing() (uint64, *route.Book) {
+func (core *Core) Routing() (uint64, *route.State) {
 	core.mutex.Lock()
 	value := core.committed[message.RoutingRegister].Value
 	core.mutex.Unlock()
-	book, err := route.BookOf(value.Body)
+	state, err := route.DecodeState(value.Body)
 	if err != nil {
-		return 0, &route.Book{}
+		return 0, &route.State{}
 	}
-	return value.Serial, book
+	return value.Serial, state
 }
 
 // applyRoutingChange returns the routing after a change, or that the change was made
 // before. A base that is not current is reported before all else that may be wrong: who
 // lost a race sent a valid change. Whether a very old change was made is not known.
-func applyRoutingChange(book *route.Book, change *route.Change) (next *route.Book, isDuplicate bool, err error) {
-	if book.Trail.Holds(change.Version, change.Digest) {
+func applyRoutingChange(state *route.State, change *route.Change) (next *route.State, isDuplicate bool, err error) {
+	if state.History.Contains(change.Version, change.Digest) {
 		return nil, true, nil
 	}
-	if err := checkRoutingBase(book, change); err != nil {
+	if err := checkRoutingBase(state, change); err != nil {
 		return nil, false, err
 	}
-	config, err := changedRouting(book, change)
+	config, err := changedRouting(state, change)
 	if err != nil {
 		return nil, false, err
 	}
@@ -37,17 +37,17 @@
 	if err := config.Check(); err != nil {
 		return nil, false, err
 	}
-	changed := *book
-	changed.Config, changed.Trail = config, book.Trail.With(change.Version, change.Digest)
+	changed := *state
+	changed.Config, changed.History = config, state.History.With(change.Version, change.Digest)
 	return &changed, false, nil
 }
 
 // checkRoutingBase refuses a change that is not based on the current version, or whose
 // own version is not above that.
-func checkRoutingBase(book *route.Book, change *route.Change) error {
-	current := book.Config.Version
+func checkRoutingBase(state *route.State, change *route.Change) error {
+	current := state.Config.Version
 	switch {
-	case change.Base != current && book.Trail.Forgets(change.Version):
+	case change.Base != current && state.History.MayHaveForgotten(change.Version):
 		return &rpc.Error{Code: rpc.Forgotten, Message: "too long ago to know whether it was taken", Serial: current}
 	case change.Base != current:
 		return &rpc.Error{Code: rpc.StaleBase, Message: "another version is in place", Serial: current}
@@ -57,19 +57,19 @@
 	return nil
 }
 
-func changedRouting(book *route.Book, change *route.Change) (route.Config, error) {
+func changedRouting(state *route.State, change *route.Change) (route.Config, error) {
 	switch {
 	case change.Whole != nil:
 		return *change.Whole, nil
 	case change.Patch != nil:
-		return book.Config.Apply(change.Patch)
+		return state.Config.Apply(change.Patch)
 	}
 	return route.Config{}, rpc.Errorf(rpc.BadRequest, "neither a whole routing nor a patch")
 }
 
 // writeRouting writes the routing that build makes of the current one and returns the
 // serial that holds it; if build makes none, that is the current serial.
-func (leadership *Leadership) writeRouting(build func(current *route.Book) (*route.Book, error)) (uint64, error) {
+func (leadership *Leadership) writeRouting(build func(current *route.State) (*route.State, error)) (uint64, error) {
 	currentSerial := uint64(0)
 	serial, err := leadership.write(message.RoutingRegister, func(current message.Value) (*proposal, error) {
 		currentSerial = current.Serial
@@ -91,7 +91,7 @@
 }
 
 // currentRouting returns the routing that the leadership wrote or inherited.
-func (leadership *Leadership) currentRouting() *route.Book {
+func (leadership *Leadership) currentRouting() *route.State {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	return leadership.routing
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	response, isDecided := &message.RoutingChangeResponse{}, false
-	response.Serial, err = leadership.writeRouting(func(current *route.Book) (*route.Book, error) {
+	response.Serial, err = leadership.writeRouting(func(current *route.State) (*route.State, error) {
 		next, isDuplicate, err := applyRoutingChange(current, change)
 		response.Duplicate, isDecided = isDuplicate, next == nil
 		return next, err
--- a/control/routing_test.go
+++ b/control/routing_test.go
@@ -10,28 +10,28 @@
 
 // A zone that was taken back is remembered for a while, by when that was.
 func TestEvacuatedAndReopened(test *testing.T) {
-	book := &route.Book{}
+	state := &route.State{}
 	for number, step := range []struct {
 		zone      string
 		begin     bool
 		at        int64
 		evacuated []string
-		reopened  []route.Reopened
+		reopened  []route.RestoredZone
 	}{
 		{"b", true, 1000, []string{"b"}, nil},
 		{"a", true, 2000, []string{"a", "b"}, nil},
-		{"b", false, 3000, []string{"a"}, []route.Reopened{{Zone: "b", AtMs: 3000}}},
-		{"a", false, 4000, []string{}, []route.Reopened{{Zone: "b", AtMs: 3000}, {Zone: "a", AtMs: 4000}}},
-		{"b", true, 5000, []string{"b"}, []route.Reopened{{Zone: "b", AtMs: 3000}, {Zone: "a", AtMs: 4000}}},
-		{"b", false, 63500, []string{}, []route.Reopened{{Zone: "a", AtMs: 4000}, {Zone: "b", AtMs: 63500}}},
+		{"b", false, 3000, []string{"a"}, []route.RestoredZone{{Zone: "b", AtMs: 3000}}},
+		{"a", false, 4000, []string{}, []route.RestoredZone{{Zone: "b", AtMs: 3000}, {Zone: "a", AtMs: 4000}}},
+		{"b", true, 5000, []string{"b"}, []route.RestoredZone{{Zone: "b", AtMs: 3000}, {Zone: "a", AtMs: 4000}}},
+		{"b", false, 63500, []string{}, []route.RestoredZone{{Zone: "a", AtMs: 4000}, {Zone: "b", AtMs: 63500}}},
 	} {
-		if again := applyEvacuation(book, &message.EvacuateRequest{Zone: step.zone, Begin: !step.begin}, step.at); again != nil {
+		if again := applyEvacuation(state, &message.EvacuateRequest{Zone: step.zone, Begin: !step.begin}, step.at); again != nil {
 			test.Errorf("step %d: the contrary changed something", number)
 		}
-		next := applyEvacuation(book, &message.EvacuateRequest{Zone: step.zone, Begin: step.begin}, step.at)
-		if next == nil || len(next.Evacuated) != len(step.evacuated) || len(step.evacuated) > 0 && !reflect.DeepEqual(next.Evacuated, step.evacuated) || !reflect.DeepEqual(next.Reopened, step.reopened) {
+		next := applyEvacuation(state, &message.EvacuateRequest{Zone: step.zone, Begin: step.begin}, step.at)
+		if next == nil || len(next.Evacuated) != len(step.evacuated) || len(step.evacuated) > 0 && !reflect.DeepEqual(next.Evacuated, step.evacuated) || !reflect.DeepEqual(next.Restored, step.reopened) {
 			test.Fatalf("step %d: %+v", number, next)
 		}
-		book = next
+		state = next
 	}
 }
--- a/control/settings.go
+++ b/control/settings.go
@@ -83,7 +83,7 @@
 	if request.Kind != message.WholeChange || request.Base != current.serial {
 		return nil, nil
 	}
-	return conf.Sow(request.Body, current.tree)
+	return conf.Parse(request.Body, current.tree)
 }
 
 // findDuplicate returns the entry of a change that was made before. It returns
@@ -111,7 +111,7 @@
 	switch {
 	case parsed != nil:
 	case request.Kind == message.WholeChange:
-		tree, err = conf.Sow(request.Body, current.tree)
+		tree, err = conf.Parse(request.Body, current.tree)
 	default:
 		tree, err = current.tree.Patch(request.Body)
 	}
--- a/control/stored_test.go
+++ b/control/stored_test.go
@@ -70,16 +70,16 @@
 }
 
 func describeRouting(test *testing.T, text *bytes.Buffer, state *consensus.State) {
-	book, err := route.BookOf(state.Accepted[message.RoutingRegister].Value.Body)
+	book, err := route.DecodeState(state.Accepted[message.RoutingRegister].Value.Body)
 	if err != nil {
 		test.Fatal(err)
 	}
-	fmt.Fprintf(text, "routing %d: %d routes, %d services, evacuated %v, %d reopened\n", book.Config.Version, len(book.Config.Routes), len(book.Config.Services), book.Evacuated, len(book.Reopened))
+	fmt.Fprintf(text, "routing %d: %d routes, %d services, evacuated %v, %d reopened\n", book.Config.Version, len(book.Config.Routes), len(book.Config.Services), book.Evacuated, len(book.Restored))
 	for version := range uint64(10) {
-		fmt.Fprintf(text, "  version %d forgotten: %v\n", version, book.Trail.Forgets(version))
+		fmt.Fprintf(text, "  version %d forgotten: %v\n", version, book.History.MayHaveForgotten(version))
 	}
 	for _, zone := range []string{"z0", "z1", "z2"} {
-		fmt.Fprintf(text, "  zone %s changed %d times\n", zone, book.Changes(zone))
+		fmt.Fprintf(text, "  zone %s changed %d times\n", zone, book.ChangesOf(zone))
 	}
 }
 
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -91,9 +91,9 @@
 	for round := range 3 {
 		for _, table := range tables {
 			for routing := range uint64(6) {
-				asked := &message.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}}
-				want, _ := rpc.Marshal(asked)
-				response, err := answers.get(asked)
+				request := &message.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}}
+				want, _ := rpc.Marshal(request)
+				response, err := answers.get(request)
 				if err != nil {
 					test.Fatal(err)
 				}
--- a/control/window_reports.go
+++ b/control/window_reports.go
@@ -113,7 +113,7 @@
 	return time.Since(leadership.since) >= quiet || core.reporting.isQuiet(leadership.term, quiet)
 }
 
-// firstWindow returns the window that metering begins with: the present one or, under a
+// firstWindow returns the window that counting begins with: the present one or, under a
 // routing that a former leadership wrote, the one before.
 func (leadership *Leadership) firstWindow(present int64) int64 {
 	if leadership.inherited[message.RoutingRegister] > 0 {
@@ -171,16 +171,16 @@
 // windowSettled reports whether a window's counts are in: it ended a while ago, and who
 // counted has told so since or had the time to, also to a new leader.
 func (core *Core) windowSettled(leadership *Leadership, window, now int64) bool {
-	metering := core.config.Metering
-	end := (window + 1) * metering.Window.Milliseconds()
+	config := core.config.Metering
+	end := (window + 1) * config.Window.Milliseconds()
 	sinceEnd := time.Duration(now-end) * time.Millisecond
-	if sinceEnd < metering.SettleAfter {
+	if sinceEnd < config.SettleAfter {
 		return false
 	}
 	if !core.windows.AwaitsProcess(window, end) && core.windows.AllReported(core.Table(), end) {
 		return true
 	}
-	latest := max(metering.SettleLatest, metering.SettleAfter+windowSilence)
+	latest := max(config.SettleLatest, config.SettleAfter+windowSilence)
 	return sinceEnd >= latest && time.Since(leadership.since) >= takeoverDelay
 }
 
--- a/data/admission.go
+++ b/data/admission.go
@@ -148,10 +148,10 @@
 		admission.mutex.Unlock()
 	}
 	if full {
-		return &rpc.Error{Code: rpc.Overloaded, Message: "class " + class + " is above its floor and backends have no room to lend", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
+		return &rpc.Error{Code: rpc.Overloaded, Message: "class " + class + " is above its floor and backends have no room to lend", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
 	}
 	if !allowed {
-		return &rpc.Error{Code: rpc.Overloaded, Message: "class " + class + " has its floor and all it may borrow", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
+		return &rpc.Error{Code: rpc.Overloaded, Message: "class " + class + " has its floor and all it may borrow", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
 	}
 	return nil
 }
@@ -182,7 +182,7 @@
 func (admission *Admission) Overloaded() bool {
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
-	return time.Since(admission.overloaded) < overloadedSpan
+	return time.Since(admission.overloaded) < overloadedTTL
 }
 
 // Demand returns the requests a second that this proxy was asked for, in coarse
--- a/data/claim_messages.go
+++ b/data/claim_messages.go
@@ -10,7 +10,7 @@
 func (proxy *Proxy) Register(server *rpc.Server) {
 	claims := proxy.claims
 	rpc.Handle(server, "claim", func(_ context.Context, claim *message.ClaimRequest) (*message.ClaimResponse, error) {
-		if !claims.Grown() {
+		if !claims.Joined() {
 			return nil, rpc.Errorf(rpc.NotReady, "not a keeper yet")
 		}
 		if claims.outdated(claim) {
@@ -20,40 +20,40 @@
 		return claims.grant(claim), nil
 	})
 	rpc.Handle(server, "settle", func(_ context.Context, settle *message.CompleteClaimRequest) (*message.CompleteClaimResponse, error) {
-		claims.keeper.Complete(settle)
+		claims.store.Complete(settle)
 		return &message.CompleteClaimResponse{}, nil
 	})
 	rpc.Handle(server, "holds", func(_ context.Context, holds *message.QueryHolderRequest) (*message.QueryHolderResponse, error) {
 		if holds.Holder != claims.holder() {
 			return nil, rpc.Errorf(rpc.WrongBackend, "%s is gone", holds.Holder)
 		}
-		return claims.onHolds(holds), nil
+		return claims.onQueryHolder(holds), nil
 	})
 	rpc.Handle(server, "retell", func(_ context.Context, retell *message.MergeClaimsRequest) (*message.MergeClaimsResponse, error) {
-		claims.keeper.Merge(retell.Claims)
+		claims.store.Merge(retell.Claims)
 		return &message.MergeClaimsResponse{}, nil
 	})
 	rpc.Handle(server, "pull", func(_ context.Context, pull *message.FetchClaimsRequest) (*message.FetchClaimsResponse, error) {
-		response := &message.FetchClaimsResponse{Joined: claims.Grown(), Complete: claims.Whole()}
-		response.Claims, response.Last, response.Done = claims.keeper.Page(pull.After, pullPage)
+		response := &message.FetchClaimsResponse{Joined: claims.Joined(), Complete: claims.Complete()}
+		response.Claims, response.Last, response.Done = claims.store.Page(pull.After, claimsPageSize)
 		return response, nil
 	})
 }
 
 // grant is this proxy's own answer as a keeper.
 func (claims *Claims) grant(claim *message.ClaimRequest) *message.ClaimResponse {
-	whole := claims.Whole()
-	response := claims.keeper.Claim(claim)
+	whole := claims.Complete()
+	response := claims.store.Claim(claim)
 	response.Complete = whole
 	return response
 }
 
-// onHolds is the holder's word: a claim that neither runs nor was settled here was given back.
-func (claims *Claims) onHolds(holds *message.QueryHolderRequest) *message.QueryHolderResponse {
+// onQueryHolder is the holder's word: a claim that neither runs nor was settled here was given back.
+func (claims *Claims) onQueryHolder(holds *message.QueryHolderRequest) *message.QueryHolderResponse {
 	claims.mutex.Lock()
 	runs := claims.running[holds.Key] == holds.ID
 	claims.mutex.Unlock()
-	if held, found := claims.keeper.Get(holds.Key); found && held.ID == holds.ID && held.Stage != message.ClaimRunning {
+	if held, found := claims.store.Get(holds.Key); found && held.ID == holds.ID && held.Stage != message.ClaimRunning {
 		return &message.QueryHolderResponse{Known: true, Record: held}
 	}
 	return &message.QueryHolderResponse{Known: runs, Record: message.ClaimRecord{Key: holds.Key, ID: holds.ID, Stage: message.ClaimRunning}}
@@ -65,7 +65,7 @@
 		if holderName(known) != claimed.Holder {
 			continue
 		}
-		response, err := rpc.Call[message.QueryHolderRequest, message.QueryHolderResponse](claims.proxy.daemon.Client(), known.InternalAddress, "holds", claimLimit, &message.QueryHolderRequest{Holder: claimed.Holder, Key: claimed.Key, ID: claimed.ID})
+		response, err := rpc.Call[message.QueryHolderRequest, message.QueryHolderResponse](claims.proxy.daemon.Client(), known.InternalAddress, "holds", claimTimeout, &message.QueryHolderRequest{Holder: claimed.Holder, Key: claimed.Key, ID: claimed.ID})
 		if err != nil {
 			return nil, false
 		}
@@ -74,15 +74,15 @@
 	return nil, false
 }
 
-func (claims *Claims) tell(ring []message.Member, settle *message.CompleteClaimRequest) {
+func (claims *Claims) notifyReplicas(ring []message.Member, settle *message.CompleteClaimRequest) {
 	claims.coreStore.enqueue(pendingUpdate{settle: settle})
 	for _, keeper := range ring {
 		if keeper.Name == claims.proxy.daemon.Name() {
-			claims.keeper.Complete(settle)
+			claims.store.Complete(settle)
 			continue
 		}
 		claims.proxy.goroutines.Start(func() {
-			if _, err := rpc.Call[message.CompleteClaimRequest, message.CompleteClaimResponse](claims.proxy.daemon.Client(), keeper.InternalAddress, "settle", settleLimit, settle); err != nil {
+			if _, err := rpc.Call[message.CompleteClaimRequest, message.CompleteClaimResponse](claims.proxy.daemon.Client(), keeper.InternalAddress, "settle", completeTimeout, settle); err != nil {
 				claims.proxy.counters.Add("claims_not_settled", 1)
 			}
 		})
--- a/data/claim_poll.go
+++ b/data/claim_poll.go
@@ -22,15 +22,15 @@
 	return len(rings) > 0
 }
 
-// claimAnswer is a keeper's or a core's.
-type claimAnswer struct {
-	keeper *message.ClaimResponse
-	core   *message.RecordClaimsResponse
+// claimVote is a keeper's or a core's.
+type claimVote struct {
+	replica *message.ClaimResponse
+	core    *message.RecordClaimsResponse
 }
 
-func (answer claimAnswer) told() *message.ClaimResponse {
-	if answer.keeper != nil {
-		return answer.keeper
+func (answer claimVote) told() *message.ClaimResponse {
+	if answer.replica != nil {
+		return answer.replica
 	}
 	if len(answer.core.Results) == 1 {
 		return &answer.core.Results[0]
@@ -41,10 +41,10 @@
 // poll is one round of asking for a claim. Roster is the membership by which the
 // cores that keep it are counted.
 type poll struct {
-	roster  Roster
-	rings   [][]message.Member
-	members []message.Member
-	got     map[int]claimAnswer
+	membership  coreMembership
+	replicaSets [][]message.Member
+	members     []message.Member
+	got         map[int]claimVote
 }
 
 // refused is what somebody holds of the key; what is settled tells most.
@@ -59,7 +59,7 @@
 
 // cores are the cores' answers.
 func (poll *poll) cores() *coreVotes {
-	votes := newCoreVotes(poll.roster)
+	votes := newCoreVotes(poll.membership)
 	for _, answer := range poll.got {
 		if answer.core != nil {
 			votes.add(answer.core.Membership, answer.core.Core, answer.told().Granted, answer.core.Complete)
@@ -73,11 +73,11 @@
 func (poll *poll) quorums(wholes bool) bool {
 	granting := []message.Member{}
 	for index, answer := range poll.got {
-		if answer.keeper != nil && answer.keeper.Granted && (answer.keeper.Complete || !wholes) {
+		if answer.replica != nil && answer.replica.Granted && (answer.replica.Complete || !wholes) {
 			granting = append(granting, poll.members[index])
 		}
 	}
-	return enough(poll.rings, granting)
+	return enough(poll.replicaSets, granting)
 }
 
 // ask sends the claim to all keepers and cores, and again where the cores that vote
@@ -93,9 +93,9 @@
 		return refusal, false
 	}
 	votes := round.cores()
-	claims.coreStore.recordContact(votes.lasting())
-	if votes.lasting() {
-		return nil, round.quorums(!votes.whole())
+	claims.coreStore.recordContact(votes.durable())
+	if votes.durable() {
+		return nil, round.quorums(!votes.complete())
 	}
 	if !round.quorums(true) {
 		return nil, false
@@ -110,25 +110,25 @@
 // on alone.
 func (poll *poll) granted(away bool) bool {
 	votes := poll.cores()
-	return votes.lasting() && poll.quorums(!votes.whole()) || away && poll.quorums(true)
+	return votes.durable() && poll.quorums(!votes.complete()) || away && poll.quorums(true)
 }
 
 // poll sends the claim to all keepers and cores once; one refusal is enough to stop,
 // and so is an answer by other voters.
 func (claims *Claims) poll(rings [][]message.Member, members []message.Member, claim *message.ClaimRequest, away bool) *poll {
 	roster, cores := claims.coreStore.coresToAsk()
-	round := &poll{roster: roster, rings: rings, members: members}
-	round.got, _ = concurrent.Gather(claims.proxy.goroutines, len(members)+len(cores), func(index int) (claimAnswer, error) {
+	round := &poll{membership: roster, replicaSets: rings, members: members}
+	round.got, _ = concurrent.Gather(claims.proxy.goroutines, len(members)+len(cores), func(index int) (claimVote, error) {
 		if index >= len(members) {
 			response, err := claims.coreStore.ask(cores[index-len(members)], &message.RecordClaimsRequest{Membership: roster.accepted, Claims: []message.ClaimRequest{*claim}}, coreStoreLimit)
-			return claimAnswer{core: response}, err
+			return claimVote{core: response}, err
 		}
 		if members[index].Name == claims.proxy.daemon.Name() {
-			return claimAnswer{keeper: claims.grant(claim)}, nil
+			return claimVote{replica: claims.grant(claim)}, nil
 		}
-		response, err := rpc.Call[message.ClaimRequest, message.ClaimResponse](claims.proxy.daemon.Client(), members[index].InternalAddress, "claim", claimLimit, claim)
-		return claimAnswer{keeper: response}, err
-	}, func(got map[int]claimAnswer, _ map[int]error) bool {
+		response, err := rpc.Call[message.ClaimRequest, message.ClaimResponse](claims.proxy.daemon.Client(), members[index].InternalAddress, "claim", claimTimeout, claim)
+		return claimVote{replica: response}, err
+	}, func(got map[int]claimVote, _ map[int]error) bool {
 		now := *round
 		now.got = got
 		return now.refused() != nil || roster.voters != nil && now.cores().outdated() || now.granted(away)
--- a/data/claims.go
+++ b/data/claims.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	claimLimit  = 250 * time.Millisecond
-	settleLimit = time.Second
-	pullLimit   = 2 * time.Second
-	jointSpan   = 2 * time.Second
-	goneSpan    = 5 * time.Second
-	growPace    = 100 * time.Millisecond
-	pullPage    = 2000
-	replayBytes = 4 << 10
+	claimTimeout       = 250 * time.Millisecond
+	completeTimeout    = time.Second
+	fetchClaimsTimeout = 2 * time.Second
+	replicaSetTTL      = 2 * time.Second
+	lostReplicaTTL     = 5 * time.Second
+	joinInterval       = 100 * time.Millisecond
+	claimsPageSize     = 2000
+	replayBytes        = 4 << 10
 )
 
 // Claims runs a request with an idempotency key at most once in the whole fleet:
@@ -28,27 +28,27 @@
 // by a majority of cores while they can be reached.
 type Claims struct {
 	proxy     *Proxy
-	keeper    *idempotency.Store
+	store     *idempotency.Store
 	coreStore *coreStore
 
-	mutex   sync.Mutex
-	grown   bool
-	whole   bool
-	gone    []goneKeepers
-	rings   []heldRing
-	running map[message.ClaimKey]string
+	mutex          sync.Mutex
+	joined         bool
+	complete       bool
+	lostReplicas   []lostReplicas
+	recentReplicas []replicaSet
+	running        map[message.ClaimKey]string
 }
 
 func newClaims(proxy *Proxy) *Claims {
-	return &Claims{proxy: proxy, keeper: idempotency.NewStore(), coreStore: newCoreStore(proxy), rings: []heldRing{{keepers: &Keepers{}}}, running: map[message.ClaimKey]string{}}
+	return &Claims{proxy: proxy, store: idempotency.NewStore(), coreStore: newCoreStore(proxy), recentReplicas: []replicaSet{{replicas: &KeyReplicas{}}}, running: map[message.ClaimKey]string{}}
 }
 
-// Whole reports whether this proxy holds every key that it should, so that its
+// Complete reports whether this proxy holds every key that it should, so that its
 // grant counts without the cores.
-func (claims *Claims) Whole() bool {
+func (claims *Claims) Complete() bool {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
-	return claims.whole
+	return claims.complete
 }
 
 // holder is this process, not only its name.
@@ -56,25 +56,25 @@
 	return claims.proxy.daemon.Name() + "/" + claims.proxy.daemon.Incarnation()
 }
 
-// Grown reports whether this proxy has joined the keepers of keys and may grant
+// Joined reports whether this proxy has joined the keepers of keys and may grant
 // claims.
-func (claims *Claims) Grown() bool {
+func (claims *Claims) Joined() bool {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
-	return claims.grown
+	return claims.joined
 }
 
-// grow makes this proxy a keeper once it knows what the others keep, or when
+// join makes this proxy a keeper once it knows what the others keep, or when
 // no keeper is known to anybody.
-func (claims *Claims) grow() {
-	if claims.Grown() && !claims.Whole() && claims.coreStore.restore(claims.keeper.Merge) {
+func (claims *Claims) join() {
+	if claims.Joined() && !claims.Complete() && claims.coreStore.restore(claims.store.Merge) {
 		claims.mutex.Lock()
-		claims.whole = true
+		claims.complete = true
 		claims.mutex.Unlock()
 		claims.proxy.counters.Add("claims_recalled", 1)
-		klog.Infof("%s: %d claims read back from the cores", claims.proxy.daemon.Name(), claims.keeper.Count())
+		klog.Infof("%s: %d claims read back from the cores", claims.proxy.daemon.Name(), claims.store.Count())
 	}
-	if claims.Grown() || claims.proxy.lend != nil || !claims.proxy.daemon.Ready() {
+	if claims.Joined() || claims.proxy.lending != nil || !claims.proxy.daemon.Ready() {
 		return
 	}
 	version := claims.proxy.daemon.Version()
@@ -92,9 +92,9 @@
 	if !listed {
 		return
 	}
-	asked := append(append([]message.Member{}, others...), peers...)
-	got, _ := concurrent.Gather(claims.proxy.goroutines, len(asked), func(index int) (*message.FetchClaimsResponse, error) {
-		return pullAll(claims.proxy.daemon.Client(), asked[index].InternalAddress, message.AcceptedValue{}, claims.keeper.Merge)
+	request := append(append([]message.Member{}, others...), peers...)
+	got, _ := concurrent.Gather(claims.proxy.goroutines, len(request), func(index int) (*message.FetchClaimsResponse, error) {
+		return fetchAllClaims(claims.proxy.daemon.Client(), request[index].InternalAddress, message.AcceptedValue{}, claims.store.Merge)
 	}, func(map[int]*message.FetchClaimsResponse, map[int]error) bool { return false })
 	grown, wholes := 0, 0
 	for index, response := range got {
@@ -110,14 +110,14 @@
 		return
 	}
 	claims.mutex.Lock()
-	claims.grown, claims.whole = true, grown > 0 && wholes == grown
+	claims.joined, claims.complete = true, grown > 0 && wholes == grown
 	claims.mutex.Unlock()
 	klog.Infof("%s: keeps claims, told by %d keepers", claims.proxy.daemon.Name(), grown)
 	claims.proxy.counters.Add("claims_grown", 1)
 }
 
-// take claims the key at a quorum; when the key is taken, it gives what became of it.
-func (claims *Claims) take(claimed message.ClaimRecord) (*message.ClaimRecord, error) {
+// claim claims the key at a quorum; when the key is taken, it gives what became of it.
+func (claims *Claims) claim(claimed message.ClaimRecord) (*message.ClaimRecord, error) {
 	claims.mutex.Lock()
 	if claims.running[claimed.Key] != "" {
 		claims.mutex.Unlock()
@@ -133,75 +133,75 @@
 			return nil, nil
 		}
 		if refusal == nil {
-			claims.free(ring, claimed)
+			claims.release(ring, claimed)
 			claims.proxy.counters.Add("claims_short", 1)
-			return nil, &rpc.Error{Code: rpc.OutcomeUnknown, Message: "too few keepers of money keys answer; send the same key again", RetryAfterMs: comeBack, Outcome: rpc.MayHaveRun}
+			return nil, &rpc.Error{Code: rpc.OutcomeUnknown, Message: "too few keepers of money keys answer; send the same key again", RetryAfterMs: retryAfterMs, Outcome: rpc.MayHaveRun}
 		}
 		if refusal.Digest != claimed.Digest {
-			claims.free(ring, claimed)
+			claims.release(ring, claimed)
 			return nil, &rpc.Error{Code: rpc.KeyReused, Message: "the key came with another task"}
 		}
 		if refusal.Stage != message.ClaimRunning {
-			claims.free(ring, claimed)
+			claims.release(ring, claimed)
 			return refusal, nil
 		}
 		held, known := claims.askHolder(refusal)
 		if !known && held == nil {
-			claims.free(ring, claimed)
+			claims.release(ring, claimed)
 			refusal.Stage = message.ClaimUnknown
 			return refusal, nil
 		}
 		if known && held.Stage != message.ClaimRunning {
-			claims.free(ring, claimed)
+			claims.release(ring, claimed)
 			return held, nil
 		}
 		if known {
-			claims.free(ring, claimed)
+			claims.release(ring, claimed)
 			return nil, keyBusy()
 		}
 		instead = refusal.ID
 	}
 	_, ring, _ := claims.askable(claimed.Key)
-	claims.free(ring, claimed)
+	claims.release(ring, claimed)
 	return nil, keyBusy()
 }
 
 func keyBusy() error {
-	return &rpc.Error{Code: rpc.KeyInFlight, Message: "another send of this key runs; ask again for its outcome", RetryAfterMs: comeBack, Outcome: rpc.MayHaveRun}
+	return &rpc.Error{Code: rpc.KeyInFlight, Message: "another send of this key runs; ask again for its outcome", RetryAfterMs: retryAfterMs, Outcome: rpc.MayHaveRun}
 }
 
 func holderName(member message.Member) string { return member.Name + "/" + member.Incarnation }
 
-// free gives the key back at every keeper: this claim's task was never sent.
-func (claims *Claims) free(ring []message.Member, claimed message.ClaimRecord) {
+// release gives the key back at every keeper: this claim's task was never sent.
+func (claims *Claims) release(ring []message.Member, claimed message.ClaimRecord) {
 	claims.mutex.Lock()
 	if claims.running[claimed.Key] == claimed.ID {
 		delete(claims.running, claimed.Key)
 	}
 	claims.mutex.Unlock()
-	claims.tell(ring, &message.CompleteClaimRequest{Record: claimed, Release: true})
+	claims.notifyReplicas(ring, &message.CompleteClaimRequest{Record: claimed, Release: true})
 }
 
-// settle keeps how the task ended here and at its keepers.
-func (claims *Claims) settle(claimed message.ClaimRecord, receipt *Receipt, err error) {
+// finish keeps how the task ended here and at its keepers.
+func (claims *Claims) finish(claimed message.ClaimRecord, receipt *Response, err error) {
 	_, ring, _ := claims.askable(claimed.Key)
 	if err != nil && rpc.AsError(err).Outcome == rpc.NotRun {
-		claims.free(ring, claimed)
+		claims.release(ring, claimed)
 		return
 	}
 	claimed.Stage = message.ClaimUnknown
 	if receipt != nil {
 		claimed.Stage, claimed.Status = message.ClaimCompleted, receipt.status
-		claimed.Header = receipt.kept()
+		claimed.Header = receipt.recordedHeader()
 		if len(receipt.body) <= replayBytes {
 			claimed.Body = receipt.body
 		} else {
 			claimed.Status = 0
 		}
 	}
-	claims.keeper.Complete(&message.CompleteClaimRequest{Record: claimed})
+	claims.store.Complete(&message.CompleteClaimRequest{Record: claimed})
 	claims.mutex.Lock()
 	delete(claims.running, claimed.Key)
 	claims.mutex.Unlock()
-	claims.tell(ring, &message.CompleteClaimRequest{Record: claimed})
+	claims.notifyReplicas(ring, &message.CompleteClaimRequest{Record: claimed})
 }
--- a/data/core_store.go
+++ b/data/core_store.go
@@ -22,12 +22,12 @@
 // loss of all proxies.
 type coreStore struct {
 	proxy *Proxy
-	ring  *concurrent.Queue[pendingUpdate]
+	queue *concurrent.Queue[pendingUpdate]
 
-	mutex    sync.Mutex
-	failedAt time.Time
-	pending  int
-	roster   Roster
+	mutex      sync.Mutex
+	failedAt   time.Time
+	pending    int
+	membership coreMembership
 }
 
 // pendingUpdate is an update that the cores don't have yet: a claim granted without
@@ -38,7 +38,7 @@
 }
 
 func newCoreStore(proxy *Proxy) *coreStore {
-	return &coreStore{proxy: proxy, ring: concurrent.NewQueue[pendingUpdate](coreStoreRing)}
+	return &coreStore{proxy: proxy, queue: concurrent.NewQueue[pendingUpdate](coreStoreRing)}
 }
 
 // unavailable reports whether the last attempt, within a second, found no majority of
@@ -61,9 +61,9 @@
 
 // coresToAsk returns the membership to count by and the addresses to ask: those of its
 // voters, and of all known cores while a newer membership was heard of.
-func (store *coreStore) coresToAsk() (Roster, []string) {
+func (store *coreStore) coresToAsk() (coreMembership, []string) {
 	store.mutex.Lock()
-	roster := store.roster
+	roster := store.membership
 	store.mutex.Unlock()
 	known, cores := store.proxy.daemon.LeaderFinder.Membership(), store.proxy.daemon.LeaderFinder.Cores()
 	if roster.voters == nil {
@@ -79,9 +79,9 @@
 }
 
 // learn records a membership that cores answered with, if it is newer.
-func (store *coreStore) learn(roster Roster) {
+func (store *coreStore) learn(roster coreMembership) {
 	store.mutex.Lock()
-	store.roster = store.roster.newer(roster)
+	store.membership = store.membership.newer(roster)
 	store.mutex.Unlock()
 }
 
@@ -92,7 +92,7 @@
 // enqueue queues an update for deliver; if the queue is full the update is lost and
 // counted.
 func (store *coreStore) enqueue(one pendingUpdate) {
-	if !store.ring.Put(one) {
+	if !store.queue.Put(one) {
 		store.proxy.counters.Add("claims_not_owed", 1)
 		return
 	}
@@ -118,7 +118,7 @@
 func (store *coreStore) deliver() {
 	goroutines := store.proxy.goroutines
 	for {
-		batch := store.ring.Take(coreStoreGroup)
+		batch := store.queue.Take(coreStoreGroup)
 		if len(batch) == 0 {
 			return
 		}
@@ -148,17 +148,17 @@
 	roster, cores := store.coresToAsk()
 	request.Membership = roster.accepted
 	got, _ := concurrent.Gather(store.proxy.goroutines, len(cores), func(index int) (*message.RecordClaimsResponse, error) {
-		return store.ask(cores[index], request, settleLimit)
+		return store.ask(cores[index], request, completeTimeout)
 	}, func(got map[int]*message.RecordClaimsResponse, _ map[int]error) bool {
-		return keptBy(roster, got).lasting()
+		return recordedBy(roster, got).durable()
 	})
-	votes := keptBy(roster, got)
+	votes := recordedBy(roster, got)
 	store.learn(votes.newest)
-	return votes.lasting()
+	return votes.durable()
 }
 
-// keptBy returns the votes of the cores that answered an update.
-func keptBy(roster Roster, got map[int]*message.RecordClaimsResponse) *coreVotes {
+// recordedBy returns the votes of the cores that answered an update.
+func recordedBy(roster coreMembership, got map[int]*message.RecordClaimsResponse) *coreVotes {
 	votes := newCoreVotes(roster)
 	for _, response := range got {
 		votes.add(response.Membership, response.Core, !response.Refused, response.Complete)
@@ -171,22 +171,22 @@
 func (store *coreStore) restore(take func([]message.ClaimRecord)) bool {
 	roster, cores := store.coresToAsk()
 	got, _ := concurrent.Gather(store.proxy.goroutines, len(cores), func(index int) (*message.FetchClaimsResponse, error) {
-		return pullAll(store.proxy.daemon.Client(), cores[index], roster.accepted, take)
+		return fetchAllClaims(store.proxy.daemon.Client(), cores[index], roster.accepted, take)
 	}, func(map[int]*message.FetchClaimsResponse, map[int]error) bool { return false })
 	votes := newCoreVotes(roster)
 	for _, response := range got {
 		votes.add(response.Membership, response.Core, true, response.Complete)
 	}
 	store.learn(votes.newest)
-	return votes.whole()
+	return votes.complete()
 }
 
-// pullAll passes every page of claims of a proxy or core to take. It returns the last
+// fetchAllClaims passes every page of claims of a proxy or core to take. It returns the last
 // page, with the membership under which the first one was told.
-func pullAll(client *rpc.Client, address string, members message.AcceptedValue, take func([]message.ClaimRecord)) (*message.FetchClaimsResponse, error) {
+func fetchAllClaims(client *rpc.Client, address string, members message.AcceptedValue, take func([]message.ClaimRecord)) (*message.FetchClaimsResponse, error) {
 	var first *message.FetchClaimsResponse
 	for after, whole := uint64(0), true; ; {
-		response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](client, address, "pull", pullLimit, &message.FetchClaimsRequest{After: after, Membership: members})
+		response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](client, address, "pull", fetchClaimsTimeout, &message.FetchClaimsRequest{After: after, Membership: members})
 		if err != nil {
 			return nil, err
 		}
--- a/data/corevotes.go
+++ b/data/corevotes.go
@@ -6,24 +6,24 @@
 	"orchidjunction/rpc"
 )
 
-// Roster is a membership of the cores as a proxy counts by it; its voters are nil
+// coreMembership is a membership of the cores as a proxy counts by it; its voters are nil
 // while none is known.
-type Roster struct {
+type coreMembership struct {
 	accepted message.AcceptedValue
 	voters   *message.VoterSet
 }
 
-// rosterOf reads a membership; one that can't be read is as good as none.
-func rosterOf(accepted message.AcceptedValue) Roster {
+// decodeCoreMembership reads a membership; one that can't be read is as good as none.
+func decodeCoreMembership(accepted message.AcceptedValue) coreMembership {
 	var voters message.VoterSet
 	if accepted.Value.Serial == 0 || rpc.Unmarshal(accepted.Value.Body, &voters) != nil || voters.Check() != nil {
-		return Roster{}
+		return coreMembership{}
 	}
-	return Roster{accepted: accepted, voters: &voters}
+	return coreMembership{accepted: accepted, voters: &voters}
 }
 
 // newer is the newer of two rosters.
-func (roster Roster) newer(other Roster) Roster {
+func (roster coreMembership) newer(other coreMembership) coreMembership {
 	if other.voters != nil && roster.accepted.Version().Less(other.accepted.Version()) {
 		return other
 	}
@@ -31,36 +31,38 @@
 }
 
 // same is whether two rosters have the same voters.
-func (roster Roster) same(other Roster) bool {
+func (roster coreMembership) same(other coreMembership) bool {
 	return bytes.Equal(roster.accepted.Value.Body, other.accepted.Value.Body)
 }
 
 // coreVote is what one core answered, under which membership.
 type coreVote struct {
-	roster Roster
-	core   int
-	taken  bool
-	whole  bool
+	membership coreMembership
+	core       int
+	recorded   bool
+	complete   bool
 }
 
 // coreVotes are counted by the newest membership that any answer names; an answer
 // given under other voters than those counts for nothing.
 type coreVotes struct {
-	asked  Roster
-	newest Roster
+	asked  coreMembership
+	newest coreMembership
 	votes  []coreVote
 }
 
-func newCoreVotes(asked Roster) *coreVotes { return &coreVotes{asked: asked, newest: asked} }
+func newCoreVotes(request coreMembership) *coreVotes {
+	return &coreVotes{asked: request, newest: request}
+}
 
 // add takes an answer; one without a membership was given under that of the question.
 func (votes *coreVotes) add(members message.AcceptedValue, core int, taken, whole bool) {
 	roster := votes.asked
 	if members.Value.Serial > 0 {
-		roster = rosterOf(members)
+		roster = decodeCoreMembership(members)
 	}
 	votes.newest = votes.newest.newer(roster)
-	votes.votes = append(votes.votes, coreVote{roster: roster, core: core, taken: taken, whole: whole})
+	votes.votes = append(votes.votes, coreVote{membership: roster, core: core, recorded: taken, complete: whole})
 }
 
 // has is which voters of the newest membership took the question; with wholes, only
@@ -68,7 +70,7 @@
 func (votes *coreVotes) has(wholes bool) func(id int) bool {
 	return func(id int) bool {
 		for _, vote := range votes.votes {
-			if vote.core == id && vote.taken && vote.roster.same(votes.newest) && (vote.whole || !wholes) {
+			if vote.core == id && vote.recorded && vote.membership.same(votes.newest) && (vote.complete || !wholes) {
 				return true
 			}
 		}
@@ -76,14 +78,14 @@
 	}
 }
 
-// lasting is whether a quorum took the question.
-func (votes *coreVotes) lasting() bool {
+// durable is whether a quorum took the question.
+func (votes *coreVotes) durable() bool {
 	return votes.newest.voters != nil && votes.newest.voters.Quorum(votes.has(false))
 }
 
-// whole is whether so many that took it lack nothing that no quorum is missed. Those
+// complete is whether so many that took it lack nothing that no quorum is missed. Those
 // that are only joining don't count: nobody vouches yet for what they hold.
-func (votes *coreVotes) whole() bool {
+func (votes *coreVotes) complete() bool {
 	voters := votes.newest.voters
 	return voters != nil && message.CountIn(voters.Current, votes.has(true)) >= message.Majority(voters.Current)
 }
--- a/data/corevotes_test.go
+++ b/data/corevotes_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-func rosterFor(test *testing.T, round uint64, serial uint64, current, next []message.Peer) Roster {
+func rosterFor(test *testing.T, round uint64, serial uint64, current, next []message.Peer) coreMembership {
 	test.Helper()
 	body, err := rpc.Marshal(&message.VoterSet{Current: current, Next: next, LastID: 9})
 	if err != nil {
 		test.Fatal(err)
 	}
-	roster := rosterOf(message.AcceptedValue{Term: message.Term{Number: round, Core: 1}, Value: message.Value{Serial: serial, Body: body}})
+	roster := decodeCoreMembership(message.AcceptedValue{Term: message.Term{Number: round, Core: 1}, Value: message.Value{Serial: serial, Body: body}})
 	if roster.voters == nil {
 		test.Fatal("not read")
 	}
@@ -35,13 +35,13 @@
 	step := rosterFor(test, 5, 2, peers(1, 2, 3), peers(1, 2, 4))
 	after := rosterFor(test, 5, 3, peers(1, 2, 4), nil)
 	type answer struct {
-		under Roster
+		under coreMembership
 		core  int
 		taken bool
 		whole bool
 	}
 	for number, try := range []struct {
-		asked    Roster
+		asked    coreMembership
 		answers  []answer
 		lasting  bool
 		whole    bool
@@ -57,16 +57,16 @@
 		{asked: step, answers: []answer{{step, 1, true, true}, {step, 3, true, true}}},
 		{asked: step, answers: []answer{{step, 1, true, true}, {step, 3, true, true}, {step, 4, true, false}}, lasting: true, whole: true},
 		{asked: step, answers: []answer{{step, 1, true, true}, {step, 2, true, false}, {step, 4, true, true}}, lasting: true},
-		{asked: Roster{}, answers: []answer{{after, 4, true, true}, {after, 2, true, true}}, lasting: true, whole: true, outdated: true},
-		{asked: Roster{}, answers: []answer{{former, 3, true, true}, {after, 2, true, true}}, outdated: true},
-		{asked: Roster{}},
+		{asked: coreMembership{}, answers: []answer{{after, 4, true, true}, {after, 2, true, true}}, lasting: true, whole: true, outdated: true},
+		{asked: coreMembership{}, answers: []answer{{former, 3, true, true}, {after, 2, true, true}}, outdated: true},
+		{asked: coreMembership{}},
 	} {
 		votes := newCoreVotes(try.asked)
 		for _, one := range try.answers {
 			votes.add(one.under.accepted, one.core, one.taken, one.whole)
 		}
-		if votes.lasting() != try.lasting || votes.lasting() && votes.whole() != try.whole || votes.outdated() != try.outdated {
-			test.Errorf("try %d: lasting %v, whole %v, outdated %v", number, votes.lasting(), votes.whole(), votes.outdated())
+		if votes.durable() != try.lasting || votes.durable() && votes.complete() != try.whole || votes.outdated() != try.outdated {
+			test.Errorf("try %d: lasting %v, whole %v, outdated %v", number, votes.durable(), votes.complete(), votes.outdated())
 		}
 	}
 }
--- a/data/identity.go
+++ b/data/identity.go
@@ -21,15 +21,15 @@
 	Service     string  `json:"service"`
 	Instance    string  `json:"instance"`
 	Incarnation string  `json:"incarnation"`
-	Usage       float64 `json:"usage"`
-	Cold        bool    `json:"cold"`
-	GentleRate  float64 `json:"gentle_rate"`
+	Utilization float64 `json:"usage"`
+	WarmingUp   bool    `json:"cold"`
+	WarmupRate  float64 `json:"gentle_rate"`
 	Leaving     bool    `json:"leaving"`
 	Serial      uint64  `json:"serial"`
 }
 
-// ask reads the identity on the pipe itself, before anything else goes over it.
-func (identity *Identity) ask(pipe net.Conn, host string, limit time.Time) error {
+// query reads the identity on the pipe itself, before anything else goes over it.
+func (identity *Identity) query(pipe net.Conn, host string, limit time.Time) error {
 	if err := pipe.SetDeadline(limit); err != nil {
 		return rpc.Errorf(rpc.ConnectionBroken, "identity: %v", err)
 	}
@@ -64,10 +64,10 @@
 	return nil
 }
 
-// fromReceipt lays what the receipt's headers tell over the identity.
-func (identity *Identity) fromReceipt(header http.Header) {
+// fromResponse lays what the receipt's headers tell over the identity.
+func (identity *Identity) fromResponse(header http.Header) {
 	if usage, err := strconv.ParseFloat(header.Get("Oj-Usage"), 64); err == nil && usage >= 0 {
-		identity.Usage = usage
+		identity.Utilization = usage
 	}
 	if serial, err := strconv.ParseUint(header.Get("Oj-Serial"), 10, 64); err == nil && serial > identity.Serial {
 		identity.Serial = serial
@@ -76,6 +76,6 @@
 		identity.Leaving = leaving == "true"
 	}
 	if cold := header.Get("Oj-Cold"); cold != "" {
-		identity.Cold = cold == "true"
+		identity.WarmingUp = cold == "true"
 	}
 }
--- a/data/key_replicas.go
+++ b/data/key_replicas.go
@@ -6,17 +6,17 @@
 	"sort"
 )
 
-const keepersMost = 5
+const maxKeyReplicas = 5
 
-// Keepers is the set of proxies that keep idempotency keys, as one version of the
+// KeyReplicas is the set of proxies that keep idempotency keys, as one version of the
 // table names them.
-type Keepers struct {
+type KeyReplicas struct {
 	members []message.Member
 	regions map[string]string
 }
 
-func newKeepers(table *message.Table, regions map[string]string) *Keepers {
-	keepers := &Keepers{regions: regions}
+func newKeyReplicas(table *message.Table, regions map[string]string) *KeyReplicas {
+	keepers := &KeyReplicas{regions: regions}
 	for _, member := range table.Members {
 		if member.Kind == "proxy" && member.KeyReplica {
 			keepers.members = append(keepers.members, member)
@@ -26,7 +26,7 @@
 }
 
 // of ranks the ring for a key and takes the first of each region in turn.
-func (keepers *Keepers) of(key message.ClaimKey) []message.Member {
+func (keepers *KeyReplicas) of(key message.ClaimKey) []message.Member {
 	type ranked struct {
 		member message.Member
 		score  uint64
@@ -37,10 +37,10 @@
 	}
 	sort.Slice(ranks, func(left, right int) bool { return ranks[left].score > ranks[right].score })
 	taken, chosen := map[string]int{}, []message.Member{}
-	for round := 0; len(chosen) < min(keepersMost, len(ranks)); round++ {
+	for round := 0; len(chosen) < min(maxKeyReplicas, len(ranks)); round++ {
 		for _, one := range ranks {
 			region := keepers.regions[one.member.Zone]
-			if taken[region] == round && len(chosen) < keepersMost && !among(chosen, one.member.Name) {
+			if taken[region] == round && len(chosen) < maxKeyReplicas && !among(chosen, one.member.Name) {
 				taken[region]++
 				chosen = append(chosen, one.member)
 			}
--- a/data/pipe.go
+++ b/data/pipe.go
@@ -43,8 +43,8 @@
 	return conn.written
 }
 
-// Pipe is one HTTP/1.1 connection to one incarnation of a backend.
-type Pipe struct {
+// BackendConn is one HTTP/1.1 connection to one incarnation of a backend.
+type BackendConn struct {
 	conn   *countedConn
 	client *http.ClientConn
 	used   time.Time
@@ -53,8 +53,8 @@
 // Dialer opens a connection; the simulator brings its own.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// openPipe dials and learns who is there before net/http gets the connection.
-func openPipe(dial Dialer, backend message.Backend, limit time.Time) (*Pipe, *Identity, error) {
+// dialBackend dials and learns who is there before net/http gets the connection.
+func dialBackend(dial Dialer, backend message.Backend, limit time.Time) (*BackendConn, *Identity, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), limit)
 	defer cancel()
 	conn, err := dial(ctx, "tcp", backend.Address)
@@ -62,7 +62,7 @@
 		return nil, nil, rpc.Errorf(rpc.ConnectFailed, "%v", err)
 	}
 	identity := &Identity{}
-	mishap := identity.ask(conn, backend.Address, limit)
+	mishap := identity.query(conn, backend.Address, limit)
 	if mishap == nil {
 		mishap = identity.belongs(backend)
 	}
@@ -81,20 +81,22 @@
 		conn.Close()
 		return nil, nil, rpc.Errorf(rpc.ConnectionBroken, "%v", err)
 	}
-	return &Pipe{conn: counted, client: client, used: time.Now()}, identity, nil
+	return &BackendConn{conn: counted, client: client, used: time.Now()}, identity, nil
 }
 
 // send gives the request to this pipe only; ran is false when no byte of it
 // left, nor ever will.
-func (pipe *Pipe) send(request *http.Request) (response *http.Response, ran bool, err error) {
-	before := pipe.conn.count()
-	response, err = pipe.client.RoundTrip(request)
+func (connection *BackendConn) send(request *http.Request) (response *http.Response, ran bool, err error) {
+	before := connection.conn.count()
+	response, err = connection.client.RoundTrip(request)
 	if err != nil {
-		return nil, pipe.conn.sever() > before, err
+		return nil, connection.conn.sever() > before, err
 	}
 	return response, true, nil
 }
 
-func (pipe *Pipe) sound() bool { return pipe.client.Err() == nil && pipe.client.Available() == 1 }
+func (connection *BackendConn) sound() bool {
+	return connection.client.Err() == nil && connection.client.Available() == 1
+}
 
-func (pipe *Pipe) close() { _ = pipe.client.Close() } // given up in any case
+func (connection *BackendConn) close() { _ = connection.client.Close() } // given up in any case
--- a/data/proxy.go
+++ b/data/proxy.go
@@ -27,7 +27,7 @@
 	usage      *metrics.Counters
 	admission  *Admission
 	retries    *retryDetector
-	lend       *Lend
+	lending    *LendingLimit
 	warmed     atomic.Bool
 	plan       atomic.Pointer[plan]
 	mutex      sync.Mutex
@@ -52,7 +52,7 @@
 	proxy := &Proxy{daemon: daemon, goroutines: goroutines, counters: counters, dial: dial, budget: newRetryBudget(), usage: metrics.NewCounters(), admission: NewAdmission(), retries: newRetryDetector(),
 		targets: map[string]*Target{}, prefix: agent.NewID()[:10]}
 	proxy.claims = newClaims(proxy)
-	daemon.SetKeepsClaims(proxy.claims.Grown)
+	daemon.SetKeepsClaims(proxy.claims.Joined)
 	daemon.SetWarm(proxy.warm)
 	daemon.SetUsage(proxy.usage.All)
 	daemon.SetDemand(proxy.admission.Demand)
@@ -62,12 +62,12 @@
 
 // Run starts the proxy's background duties.
 func (proxy *Proxy) Run() {
-	proxy.goroutines.Every(concurrent.Fixed(growPace), proxy.claims.grow)
+	proxy.goroutines.Every(concurrent.Fixed(joinInterval), proxy.claims.join)
 	proxy.goroutines.Start(proxy.claims.coreStore.deliver)
 	proxy.goroutines.OnStop(func() {
-		proxy.claims.coreStore.ring.Close()
+		proxy.claims.coreStore.queue.Close()
 		for _, target := range proxy.plan.Load().targets() {
-			target.stirred.Notify()
+			target.probeHint.Notify()
 		}
 	})
 }
@@ -86,7 +86,7 @@
 	shares = max(shares, 1)
 	proxy.budget.setProxies(shares)
 	proxy.budget.setLimits(version.Settings.Retry.Fraction, version.Settings.Retry.Floor)
-	proxy.claims.keeper.SetTTL(version.Settings.Remember())
+	proxy.claims.store.SetTTL(version.Settings.KeyTTL())
 	proxy.admission.Apply(version.Settings, version.Table, proxy.daemon.Name())
 	next := &plan{services: map[string][]*Target{}, complete: version.Table.Complete, proxies: shares}
 	next.routes = proxy.plan.Load().next(version)
@@ -103,7 +103,7 @@
 			proxy.targets[backend.Name] = target
 			proxy.goroutines.Start(func() { proxy.watchTarget(target) })
 		}
-		target.relist(backend, coldShares(version.Table, backend, proxy.daemon.Name()))
+		target.relist(backend, warmupShares(version.Table, backend, proxy.daemon.Name()))
 		next.services[backend.Service] = append(next.services[backend.Service], target)
 		next.all = append(next.all, target)
 	}
@@ -121,7 +121,7 @@
 		}
 	}
 	proxy.plan.Store(next)
-	proxy.claims.apply(newKeepers(version.Table, next.routes.regions), version.Table.Version)
+	proxy.claims.apply(newKeyReplicas(version.Table, next.routes.regions), version.Table.Version)
 }
 
 // next are the routes of a version, those of this plan where it is the same.
@@ -135,9 +135,9 @@
 	return NewRoutes(version.Serial, version.Settings, plan.routes)
 }
 
-// coldShares is among how many proxies a backend's gentle rate is split: the
+// warmupShares is among how many proxies a backend's gentle rate is split: the
 // same few for all that read this table, and 0 for the others.
-func coldShares(table *message.Table, backend message.Backend, name string) int {
+func warmupShares(table *message.Table, backend message.Backend, name string) int {
 	ahead, count, own := 0, 0, Rank(backend.Name, name)
 	for _, known := range table.Members {
 		if known.Kind != "proxy" || known.Leaving {
@@ -148,10 +148,10 @@
 			ahead++
 		}
 	}
-	if ahead >= coldSenders {
+	if ahead >= warmupSenders {
 		return 0
 	}
-	return max(min(coldSenders, count), 1)
+	return max(min(warmupSenders, count), 1)
 }
 
 func (plan *plan) targets() []*Target {
@@ -188,7 +188,7 @@
 		if !listed {
 			return
 		}
-		seen := target.stirred.Count()
+		seen := target.probeHint.Count()
 		serial, err := target.probe()
 		proxy.counters.Add("probes", 1)
 		if err != nil {
@@ -200,7 +200,7 @@
 		if plan := proxy.plan.Load(); plan != nil && err == nil {
 			span = probeSpan(plan.proxies)
 		}
-		target.stirred.Wait(seen, span)
+		target.probeHint.Wait(seen, span)
 		if proxy.goroutines.Stopping() {
 			return
 		}
@@ -223,7 +223,7 @@
 
 // pickBackend returns the less loaded of two random backends that the request may go
 // to, and takes a place there.
-func (plan *plan) pickBackend(route *conf.Flat, tenant int, tried map[*Target]bool) (*Target, bool) {
+func (plan *plan) pickBackend(route *conf.FlatRoute, tenant int, tried map[*Target]bool) (*Target, bool) {
 	type choice struct {
 		target *Target
 		usage  float64
--- a/data/receipt.go
+++ b/data/receipt.go
@@ -9,11 +9,11 @@
 	"strconv"
 )
 
-const wholeBytes = 1 << 20
+const bufferBytes = 1 << 20
 
-// Receipt is a backend's response: body is all of it, or its beginning while rest
+// Response is a backend's response: body is all of it, or its beginning while rest
 // is still to be streamed. length is the body's size in bytes, -1 if it is unknown.
-type Receipt struct {
+type Response struct {
 	status int
 	header http.Header
 	body   []byte
@@ -25,9 +25,9 @@
 
 var ownHeaders = []string{"Oj-Usage", "Oj-Serial", "Oj-Leaving", "Oj-Cold", "Oj-Incarnation"}
 
-// takeReceipt checks whose answer it is and reads it whole, up to where
+// readResponse checks whose answer it is and reads it whole, up to where
 // streaming begins.
-func takeReceipt(response *http.Response, taskID string, most int, whole bool) (*Receipt, error) {
+func readResponse(response *http.Response, taskID string, most int, whole bool) (*Response, error) {
 	if echoed := response.Header.Get("Oj-Task"); echoed != taskID {
 		return nil, rpc.Errorf(rpc.BadResponse, "the answer is for task %q", echoed)
 	}
@@ -37,10 +37,10 @@
 	if response.ContentLength > int64(most) {
 		return nil, rpc.Errorf(rpc.BadResponse, "%d bytes, allowed %d", response.ContentLength, most)
 	}
-	receipt := &Receipt{status: response.StatusCode, header: response.Header, length: response.ContentLength}
+	receipt := &Response{status: response.StatusCode, header: response.Header, length: response.ContentLength}
 	first := most
 	if !whole {
-		first = min(most, wholeBytes)
+		first = min(most, bufferBytes)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, int64(first)+1))
 	if err != nil {
@@ -58,8 +58,8 @@
 	return receipt, nil
 }
 
-// kept are the headers that a replay gives again, bounded.
-func (receipt *Receipt) kept() map[string]string {
+// recordedHeader are the headers that a replay gives again, bounded.
+func (receipt *Response) recordedHeader() map[string]string {
 	kept, size := map[string]string{}, 0
 	for name, values := range receipt.header {
 		if size += len(name) + len(values[0]); size <= replayBytes {
@@ -73,7 +73,7 @@
 }
 
 // write gives the receipt to the caller; an error means that it was not whole.
-func (receipt *Receipt) write(writer http.ResponseWriter, most int, replayed bool) error {
+func (receipt *Response) write(writer http.ResponseWriter, most int, replayed bool) error {
 	header := writer.Header()
 	for name, values := range receipt.header {
 		if !slices.Contains(hopHeaders, name) && !slices.Contains(ownHeaders, name) {
--- a/data/retry_detector.go
+++ b/data/retry_detector.go
@@ -22,8 +22,8 @@
 // newRetryDetector returns a retryDetector that has seen nothing.
 func newRetryDetector() *retryDetector { return &retryDetector{seen: map[uint64]time.Time{}} }
 
-// fingerprint identifies a request by its caller and content.
-func fingerprint(tenant, key, method, url string, body []byte) uint64 {
+// fingerprintOf identifies a request by its caller and content.
+func fingerprintOf(tenant, key, method, url string, body []byte) uint64 {
 	sum := fnv.New64a()
 	for _, part := range []string{tenant, key, method, url} {
 		sum.Write([]byte(part + "\x00"))
--- a/data/routes.go
+++ b/data/routes.go
@@ -8,7 +8,7 @@
 	"orchidjunction/conf"
 )
 
-const sharePerFront = 4
+const sharePerProxy = 4
 
 // Routes is the settings of one version with names resolved to indices. It is
 // immutable; versions share what did not change.
@@ -66,10 +66,10 @@
 	return index, found
 }
 
-// Fronts returns the number of proxies that a tenant is spread over; large tenants
+// Proxies returns the number of proxies that a tenant is spread over; large tenants
 // get more.
-func (routes *Routes) Fronts(tenant int) int {
-	return *routes.settings.Rule.Fronts + (routes.tenants[tenant].share-1)/sharePerFront
+func (routes *Routes) Proxies(tenant int) int {
+	return *routes.settings.Rule.Proxies + (routes.tenants[tenant].share-1)/sharePerProxy
 }
 
 // TenantNamed returns the index of a tenant by name.
@@ -100,7 +100,7 @@
 // Route returns the route of a method and path within a service, in whatever class:
 // exact paths first, then the longest prefix. otherMethod says that only the method
 // does not match.
-func (routes *Routes) Route(service, method, path string) (found *conf.Flat, otherMethod bool) {
+func (routes *Routes) Route(service, method, path string) (found *conf.FlatRoute, otherMethod bool) {
 	best := 0
 	for _, table := range routes.tables[service] {
 		route, fit, other := table.find(method, path)
@@ -113,7 +113,7 @@
 }
 
 // allowed is whether a backend's or front's zone may serve this tenant's task on this route.
-func (routes *Routes) allowed(zone string, tenant int, route *conf.Flat) bool {
+func (routes *Routes) allowed(zone string, tenant int, route *conf.FlatRoute) bool {
 	region := routes.regions[zone]
 	for _, forbidden := range routes.tenants[tenant].forbids {
 		if region == forbidden {
--- a/data/state_machine.go
+++ b/data/state_machine.go
@@ -20,7 +20,7 @@
 	Arrived       State = "arrived"
 	Authenticated State = "known"
 	Routed        State = "routed"
-	Claimed       State = "claimed"
+	KeyClaimed    State = "claimed"
 	Assigned      State = "drawn"
 	Sent          State = "sent"
 	Receiving     State = "receiving"
@@ -34,8 +34,8 @@
 var transitions = map[State][]State{
 	Arrived:       {Authenticated, Refused, Unknown},
 	Authenticated: {Routed, Refused},
-	Routed:        {Claimed, Assigned, Refused, Unknown},
-	Claimed:       {Assigned, Replayed, Refused, Unknown},
+	Routed:        {KeyClaimed, Assigned, Refused, Unknown},
+	KeyClaimed:    {Assigned, Replayed, Refused, Unknown},
 	Assigned:      {Sent, Assigned, Refused, Unknown},
 	Sent:          {Receiving, Assigned, Refused, Unknown},
 	Receiving:     {Answered, Assigned, Refused, Unknown, Aborted},
--- a/data/state_machine_test.go
+++ b/data/state_machine_test.go
@@ -18,7 +18,7 @@
 			}
 		}
 	}
-	for _, state := range []State{Authenticated, Routed, Claimed, Assigned, Sent, Receiving, Answered, Replayed, Refused, Unknown, Aborted} {
+	for _, state := range []State{Authenticated, Routed, KeyClaimed, Assigned, Sent, Receiving, Answered, Replayed, Refused, Unknown, Aborted} {
 		if !reached[state] {
 			test.Errorf("%s is never reached", state)
 		}
--- a/data/target.go
+++ b/data/target.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	probeLimit   = 600 * time.Millisecond
-	probePace    = 500 * time.Millisecond
-	probeMost    = 2 * time.Second
-	probers      = 8
-	failuresDown = 2
-	idlePipeSpan = 20 * time.Second
-	coldSettle   = time.Second
-	coldSenders  = 2
+	probeLimit    = 600 * time.Millisecond
+	probePace     = 500 * time.Millisecond
+	probeMost     = 2 * time.Second
+	probers       = 8
+	failuresDown  = 2
+	idlePipeSpan  = 20 * time.Second
+	warmupSettle  = time.Second
+	warmupSenders = 2
 )
 
 // Target is one backend as this proxy knows it: its listing, its health by probes
 // and responses, and idle connections, which belong to the incarnation that opened
 // them.
 type Target struct {
-	listing atomic.Pointer[message.Backend]
-	dial    Dialer
-	looked  atomic.Bool
-	stirred *concurrent.Condition
-
-	mutex    sync.Mutex
-	identity Identity
-	probed   bool
-	faults   int
-	wrong    bool
-	inFlight int
-	idle     []*Pipe
-	gentle   *rate.Limiter
-	shares   int
-	chosen   time.Time
+	listing   atomic.Pointer[message.Backend]
+	dial      Dialer
+	looked    atomic.Bool
+	probeHint *concurrent.Condition
+
+	mutex         sync.Mutex
+	identity      Identity
+	probed        bool
+	failures      int
+	wrong         bool
+	inFlight      int
+	idle          []*BackendConn
+	warmupLimiter *rate.Limiter
+	shares        int
+	chosen        time.Time
 }
 
 func newTarget(backend message.Backend, dial Dialer) *Target {
-	target := &Target{dial: dial, stirred: concurrent.NewCondition()}
+	target := &Target{dial: dial, probeHint: concurrent.NewCondition()}
 	target.listing.Store(&backend)
 	return target
 }
@@ -59,78 +59,78 @@
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	if backend.ProbeHint > target.backend().ProbeHint {
-		target.stirred.Notify()
+		target.probeHint.Notify()
 	}
 	target.listing.Store(&backend)
 	if target.shares != shares {
 		if target.shares == 0 {
 			target.chosen = time.Now()
 		}
-		target.shares, target.gentle = shares, nil
-		target.pace()
+		target.shares, target.warmupLimiter = shares, nil
+		target.updateWarmup()
 	}
 }
 
-// pace sets this proxy's share of the gentle rate; it begins with nothing kept.
-func (target *Target) pace() {
-	if !target.identity.Cold || target.identity.GentleRate <= 0 || target.shares == 0 {
-		target.gentle = nil
+// updateWarmup sets this proxy's share of the gentle rate; it begins with nothing kept.
+func (target *Target) updateWarmup() {
+	if !target.identity.WarmingUp || target.identity.WarmupRate <= 0 || target.shares == 0 {
+		target.warmupLimiter = nil
 		return
 	}
-	share := rate.Limit(target.identity.GentleRate / float64(target.shares))
-	if target.gentle == nil {
-		target.gentle = rate.NewLimiter(share, 1)
-		target.gentle.Allow()
+	share := rate.Limit(target.identity.WarmupRate / float64(target.shares))
+	if target.warmupLimiter == nil {
+		target.warmupLimiter = rate.NewLimiter(share, 1)
+		target.warmupLimiter.Allow()
 		return
 	}
-	if target.gentle.Limit() != share {
-		target.gentle.SetLimit(share)
+	if target.warmupLimiter.Limit() != share {
+		target.warmupLimiter.SetLimit(share)
 	}
 }
 
 // learn takes an identity; pipes of another incarnation are closed.
 func (target *Target) learn(identity Identity) {
 	target.mutex.Lock()
-	stale := []*Pipe{}
+	stale := []*BackendConn{}
 	if target.probed && target.identity.Incarnation != identity.Incarnation {
 		stale, target.idle = target.idle, nil
 	}
-	target.identity, target.probed, target.faults, target.wrong = identity, true, 0, false
-	target.pace()
+	target.identity, target.probed, target.failures, target.wrong = identity, true, 0, false
+	target.updateWarmup()
 	target.mutex.Unlock()
-	for _, pipe := range stale {
-		pipe.close()
+	for _, connection := range stale {
+		connection.close()
 	}
 }
 
-func (target *Target) learnReceipt(incarnation string, lay func(*Identity)) {
+func (target *Target) learnFromResponse(incarnation string, lay func(*Identity)) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	if target.identity.Incarnation == incarnation {
 		lay(&target.identity)
-		target.pace()
+		target.updateWarmup()
 	}
 }
 
 // failed counts a mishap; a wrong identity takes the target out at once.
 func (target *Target) failed(err error) {
 	target.mutex.Lock()
-	stale := []*Pipe{}
-	target.faults++
+	stale := []*BackendConn{}
+	target.failures++
 	if rpc.CodeOf(err) == rpc.WrongBackend {
 		target.wrong = true
 	}
-	if target.wrong || target.faults >= failuresDown {
+	if target.wrong || target.failures >= failuresDown {
 		stale, target.idle = target.idle, nil
 	}
 	target.mutex.Unlock()
-	for _, pipe := range stale {
-		pipe.close()
+	for _, connection := range stale {
+		connection.close()
 	}
 }
 
 func (target *Target) healthy() bool {
-	return target.probed && !target.wrong && target.faults < failuresDown
+	return target.probed && !target.wrong && target.failures < failuresDown
 }
 
 // usable is whether a draw may take it, and how loaded it is.
@@ -140,14 +140,14 @@
 	if !target.healthy() || target.identity.Leaving || target.backend().Leaving {
 		return false, 0
 	}
-	return true, target.identity.Usage + float64(target.inFlight)*0.05
+	return true, target.identity.Utilization + float64(target.inFlight)*0.05
 }
 
 // admit takes one place at the target; a cold one gives only its gentle share.
 func (target *Target) admit() bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	if target.identity.Cold && target.identity.GentleRate > 0 && (target.shares == 0 || time.Since(target.chosen) < coldSettle || !target.gentle.Allow()) {
+	if target.identity.WarmingUp && target.identity.WarmupRate > 0 && (target.shares == 0 || time.Since(target.chosen) < warmupSettle || !target.warmupLimiter.Allow()) {
 		return false
 	}
 	target.inFlight++
@@ -160,8 +160,8 @@
 	target.mutex.Unlock()
 }
 
-// pipe gives an idle pipe of the present incarnation or opens a new one.
-func (target *Target) pipe(limit time.Time) (*Pipe, string, error) {
+// connection gives an idle pipe of the present incarnation or opens a new one.
+func (target *Target) connection(limit time.Time) (*BackendConn, string, error) {
 	for {
 		target.mutex.Lock()
 		incarnation := target.identity.Incarnation
@@ -169,42 +169,42 @@
 			target.mutex.Unlock()
 			break
 		}
-		pipe := target.idle[len(target.idle)-1]
+		connection := target.idle[len(target.idle)-1]
 		target.idle = target.idle[:len(target.idle)-1]
 		target.mutex.Unlock()
-		if pipe.sound() && time.Since(pipe.used) < idlePipeSpan {
-			return pipe, incarnation, nil
+		if connection.sound() && time.Since(connection.used) < idlePipeSpan {
+			return connection, incarnation, nil
 		}
-		pipe.close()
+		connection.close()
 	}
 	until := time.Now().Add(probeLimit)
 	if limit.Before(until) {
 		until = limit
 	}
-	pipe, identity, err := openPipe(target.dial, target.backend(), until)
+	connection, identity, err := dialBackend(target.dial, target.backend(), until)
 	if err != nil {
 		target.failed(err)
 		return nil, "", err
 	}
 	target.learn(*identity)
 	if identity.Leaving {
-		pipe.close()
+		connection.close()
 		return nil, "", rpc.Errorf(rpc.NoBackend, "%s is leaving", target.backend().Name)
 	}
-	return pipe, identity.Incarnation, nil
+	return connection, identity.Incarnation, nil
 }
 
 // giveBack keeps the pipe when it is still sound and its incarnation still stands.
-func (target *Target) giveBack(pipe *Pipe, incarnation string, most int) {
-	pipe.used = time.Now()
+func (target *Target) giveBack(connection *BackendConn, incarnation string, most int) {
+	connection.used = time.Now()
 	target.mutex.Lock()
-	keep := pipe.sound() && target.identity.Incarnation == incarnation && target.healthy() && len(target.idle) < most
+	keep := connection.sound() && target.identity.Incarnation == incarnation && target.healthy() && len(target.idle) < most
 	if keep {
-		target.idle = append(target.idle, pipe)
+		target.idle = append(target.idle, connection)
 	}
 	target.mutex.Unlock()
 	if !keep {
-		pipe.close()
+		connection.close()
 	}
 }
 
@@ -217,13 +217,13 @@
 // probe opens a fresh pipe, so that who is there now is what counts.
 func (target *Target) probe() (uint64, error) {
 	defer target.looked.Store(true)
-	pipe, identity, err := openPipe(target.dial, target.backend(), time.Now().Add(probeLimit))
+	connection, identity, err := dialBackend(target.dial, target.backend(), time.Now().Add(probeLimit))
 	if err != nil {
 		target.failed(err)
 		return 0, err
 	}
 	target.learn(*identity)
-	target.giveBack(pipe, identity.Incarnation, 4)
+	target.giveBack(connection, identity.Incarnation, 4)
 	return identity.Serial, nil
 }
 
@@ -231,7 +231,7 @@
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	return message.Probe{Backend: target.backend().Name, Incarnation: target.identity.Incarnation, Healthy: target.healthy(), Leaving: target.identity.Leaving,
-		WarmingUp: target.identity.Cold, WarmupRate: target.identity.GentleRate, Utilization: target.identity.Usage, Serial: target.identity.Serial}
+		WarmingUp: target.identity.WarmingUp, WarmupRate: target.identity.WarmupRate, Utilization: target.identity.Utilization, Serial: target.identity.Serial}
 }
 
 func (target *Target) close() {
@@ -239,7 +239,7 @@
 	stale := target.idle
 	target.idle, target.wrong = nil, true
 	target.mutex.Unlock()
-	for _, pipe := range stale {
-		pipe.close()
+	for _, connection := range stale {
+		connection.close()
 	}
 }
--- a/data/task.go
+++ b/data/task.go
@@ -20,31 +20,31 @@
 )
 
 const (
-	comeBack    = 1000
-	endMargin   = 300 * time.Millisecond
-	moneyHeader = "Idempotency-Key"
-	// emptiedGrace is the time in which callers' placements end after a zone was emptied.
-	emptiedGrace = 3 * time.Second
+	retryAfterMs = 1000
+	stopMargin   = 300 * time.Millisecond
+	keyHeader    = "Idempotency-Key"
+	// drainedGrace is the time in which callers' placements end after a zone was emptied.
+	drainedGrace = 3 * time.Second
 )
 
 // task is one request of a caller on its way through the proxy.
 type task struct {
-	proxy    *Proxy
-	plan     *plan
-	state    *stateMachine
-	id       string
-	request  *http.Request
-	tenant   int
-	rule     *conf.Flat
-	path     string
-	body     []byte
-	limit    time.Time
-	tried    map[*Target]bool
-	receipt  *Receipt
-	finish   func()
-	replayed bool
-	mark     uint64
-	sent     bool
+	proxy       *Proxy
+	plan        *plan
+	state       *stateMachine
+	id          string
+	request     *http.Request
+	tenant      int
+	route       *conf.FlatRoute
+	path        string
+	body        []byte
+	deadline    time.Time
+	tried       map[*Target]bool
+	response    *Response
+	finish      func()
+	replayed    bool
+	fingerprint uint64
+	sent        bool
 }
 
 // ServeHTTP carries a caller's request to a backend and the response back.
@@ -74,14 +74,14 @@
 		task.state.advance(Unknown)
 	}
 	if task.sent {
-		task.proxy.retries.recordFailure(task.mark)
+		task.proxy.retries.recordFailure(task.fingerprint)
 	}
 	task.proxy.counters.Add("refused_"+string(refusal.Code), 1)
 	agent.WriteError(writer, &refusal)
 }
 
 func (task *task) deliver(writer http.ResponseWriter) {
-	if err := task.receipt.write(writer, task.rule.ReceiptBytes, task.replayed); err != nil {
+	if err := task.response.write(writer, task.route.ResponseBytes, task.replayed); err != nil {
 		task.state.advance(Aborted)
 		panic(http.ErrAbortHandler)
 	}
@@ -95,7 +95,7 @@
 	if task.plan == nil || !task.proxy.daemon.Ready() {
 		return task.redirect(rpc.NotReady, "no confirmed settings in force here")
 	}
-	if task.emptied() {
+	if task.isDrained() {
 		writer.Header().Set("Connection", "close")
 	}
 	for _, step := range []func() error{task.authenticate, task.matchRoute, func() error { return task.readBody(writer) }} {
@@ -104,26 +104,26 @@
 		}
 	}
 	origin, _, _ := net.SplitHostPort(task.request.RemoteAddr)
-	task.mark = fingerprint(origin+" "+task.plan.routes.TenantName(task.tenant), task.request.Header.Get(moneyHeader), task.request.Method, task.request.URL.RequestURI(), task.body)
-	if !task.rule.Money {
+	task.fingerprint = fingerprintOf(origin+" "+task.plan.routes.TenantName(task.tenant), task.request.Header.Get(keyHeader), task.request.Method, task.request.URL.RequestURI(), task.body)
+	if !task.route.KeyRequired {
 		return task.send()
 	}
 	return task.sendOnce()
 }
 
-// emptied is whether this front's zone was emptied and the placements are over.
-func (task *task) emptied() bool {
-	return !task.plan.emptied.IsZero() && time.Since(task.plan.emptied) > emptiedGrace
+// isDrained is whether this front's zone was emptied and the placements are over.
+func (task *task) isDrained() bool {
+	return !task.plan.emptied.IsZero() && time.Since(task.plan.emptied) > drainedGrace
 }
 
 // checkLeaving refuses a request that should go elsewhere: any in a drained zone, and
 // one that might not end before this process stops.
 func (task *task) checkLeaving() error {
-	if task.emptied() {
-		return &rpc.Error{Code: rpc.ZoneDrained, Message: "this zone is emptied; ask a directory where to go", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
+	if task.isDrained() {
+		return &rpc.Error{Code: rpc.ZoneDrained, Message: "this zone is emptied; ask a directory where to go", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
 	}
-	if rest, leaving := task.proxy.daemon.StopsIn(); leaving && time.Until(task.limit) > rest-endMargin {
-		return &rpc.Error{Code: rpc.Stopping, Message: "this front stops; ask a directory where to go", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
+	if rest, leaving := task.proxy.daemon.StopsIn(); leaving && time.Until(task.deadline) > rest-stopMargin {
+		return &rpc.Error{Code: rpc.Stopping, Message: "this front stops; ask a directory where to go", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
 	}
 	return nil
 }
@@ -131,10 +131,10 @@
 // redirect refuses a request that another proxy may serve. Whether an idempotency key
 // was used before is not known here, so that its outcome is unknown.
 func (task *task) redirect(kind rpc.Code, cause string) error {
-	if task.request.Header.Get(moneyHeader) != "" {
-		return &rpc.Error{Code: rpc.OutcomeUnknown, Message: cause + "; send the key again there", RetryAfterMs: comeBack, Outcome: rpc.MayHaveRun}
+	if task.request.Header.Get(keyHeader) != "" {
+		return &rpc.Error{Code: rpc.OutcomeUnknown, Message: cause + "; send the key again there", RetryAfterMs: retryAfterMs, Outcome: rpc.MayHaveRun}
 	}
-	return &rpc.Error{Code: kind, Message: cause, RetryAfterMs: comeBack}
+	return &rpc.Error{Code: kind, Message: cause, RetryAfterMs: retryAfterMs}
 }
 
 // authenticate finds the tenant of the bearer key.
@@ -166,31 +166,31 @@
 	if route == nil {
 		return rpc.Errorf(rpc.UnknownRoute, "%s", task.request.URL.Path)
 	}
-	task.rule = route
+	task.route = route
 	if !task.plan.routes.allowed(task.proxy.daemon.Zone(), task.tenant, route) {
 		return rpc.Errorf(rpc.ForbiddenRegion, "zone %s is closed to this task", task.proxy.daemon.Zone())
 	}
-	span := time.Duration(task.rule.LimitMs) * time.Millisecond
-	if asked := task.request.Header.Get("Oj-Limit-Ms"); asked != "" {
-		own, err := strconv.Atoi(asked)
+	span := time.Duration(task.route.TimeoutMs) * time.Millisecond
+	if request := task.request.Header.Get("Oj-Limit-Ms"); request != "" {
+		own, err := strconv.Atoi(request)
 		if err != nil || own < 1 {
-			return rpc.Errorf(rpc.BadRequest, "Oj-Limit-Ms: %q is not a whole number above 0", asked)
+			return rpc.Errorf(rpc.BadRequest, "Oj-Limit-Ms: %q is not a whole number above 0", request)
 		}
 		span = min(span, time.Duration(own)*time.Millisecond)
 	}
-	task.limit = time.Now().Add(span)
+	task.deadline = time.Now().Add(span)
 	task.state.advance(Routed)
 	return nil
 }
 
 // readBody reads the whole body, so that a broken caller starts nothing.
 func (task *task) readBody(writer http.ResponseWriter) error {
-	most := int64(task.rule.BodyBytes)
+	most := int64(task.route.BodyBytes)
 	if task.request.ContentLength > most {
 		return rpc.Errorf(rpc.TooLarge, "%d bytes, allowed %d", task.request.ContentLength, most)
 	}
 	controller := http.NewResponseController(writer)
-	_ = controller.SetReadDeadline(task.limit) // a writer without deadlines is read to its end
+	_ = controller.SetReadDeadline(task.deadline) // a writer without deadlines is read to its end
 	body, err := io.ReadAll(http.MaxBytesReader(writer, task.request.Body, most))
 	_ = controller.SetReadDeadline(time.Time{})
 	if err != nil {
@@ -205,23 +205,23 @@
 
 // sendOnce sends a request once for its idempotency key; later ones get its response.
 func (task *task) sendOnce() error {
-	key := task.request.Header.Get(moneyHeader)
+	key := task.request.Header.Get(keyHeader)
 	if key == "" || len(key) > 200 {
-		return rpc.Errorf(rpc.KeyRequired, "want %s of 1 to 200 letters", moneyHeader)
+		return rpc.Errorf(rpc.KeyRequired, "want %s of 1 to 200 letters", keyHeader)
 	}
 	sum := sha256.Sum256(append([]byte(fmt.Sprintf("%s %s?%s\n", task.request.Method, task.path, task.request.URL.RawQuery)), task.body...))
-	claimed := message.ClaimRecord{Key: message.ClaimKey{Tenant: task.plan.routes.TenantName(task.tenant), Service: task.rule.Service, Key: key},
+	claimed := message.ClaimRecord{Key: message.ClaimKey{Tenant: task.plan.routes.TenantName(task.tenant), Service: task.route.Service, Key: key},
 		ID: task.id, Digest: hex.EncodeToString(sum[:]), Holder: task.proxy.claims.holder(), Stage: message.ClaimRunning}
-	held, err := task.proxy.claims.take(claimed)
+	held, err := task.proxy.claims.claim(claimed)
 	if err != nil {
 		return err
 	}
-	task.state.advance(Claimed)
+	task.state.advance(KeyClaimed)
 	if held != nil {
 		return task.replay(held)
 	}
 	err = task.send()
-	task.proxy.claims.settle(claimed, task.receipt, err)
+	task.proxy.claims.finish(claimed, task.response, err)
 	return err
 }
 
@@ -230,9 +230,9 @@
 	if held.Stage != message.ClaimCompleted || held.Status == 0 {
 		return &rpc.Error{Code: rpc.OutcomeUnknown, Message: "this key was sent before and its answer is not here", Outcome: rpc.MayHaveRun}
 	}
-	task.receipt, task.replayed = &Receipt{status: held.Status, header: http.Header{}, body: held.Body, length: int64(len(held.Body))}, true
+	task.response, task.replayed = &Response{status: held.Status, header: http.Header{}, body: held.Body, length: int64(len(held.Body))}, true
 	for name, value := range held.Header {
-		task.receipt.header.Set(name, value)
+		task.response.header.Set(name, value)
 	}
 	task.proxy.counters.Add("replays", 1)
 	task.state.advance(Replayed)
@@ -245,27 +245,27 @@
 	if err := task.checkLeaving(); err != nil {
 		return err
 	}
-	if lend := task.proxy.lend; lend != nil {
-		if err := lend.Take(); err != nil {
+	if lend := task.proxy.lending; lend != nil {
+		if err := lend.Acquire(); err != nil {
 			return err
 		}
-		defer lend.Give()
+		defer lend.Release()
 	}
-	if err := task.proxy.admission.Admit(task.rule.Class, task.plan.usage(task.rule.Service)); err != nil {
+	if err := task.proxy.admission.Admit(task.route.Class, task.plan.usage(task.route.Service)); err != nil {
 		return err
 	}
-	if task.proxy.retries.isRetry(task.mark) && !task.proxy.budget.allow() {
+	if task.proxy.retries.isRetry(task.fingerprint) && !task.proxy.budget.allow() {
 		task.proxy.counters.Add("quick_retries_refused", 1)
-		return &rpc.Error{Code: rpc.Overloaded, Message: "this task just failed here and the budget for retries is used up", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
+		return &rpc.Error{Code: rpc.Overloaded, Message: "this task just failed here and the budget for retries is used up", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
 	}
-	var last error = &rpc.Error{Code: rpc.NoBackend, Message: "no backend can take this now", RetryAfterMs: comeBack, Outcome: rpc.NotRun}
+	var last error = &rpc.Error{Code: rpc.NoBackend, Message: "no backend can take this now", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
 	mayRun := false
-	for sends := 0; sends < task.rule.Sends; sends++ {
+	for sends := 0; sends < task.route.Attempts; sends++ {
 		if sends > 0 && !task.proxy.budget.allow() {
 			task.proxy.counters.Add("resends_refused", 1)
 			break
 		}
-		target, found := task.plan.pickBackend(task.rule, task.tenant, task.tried)
+		target, found := task.plan.pickBackend(task.route, task.tenant, task.tried)
 		if !found {
 			break
 		}
@@ -282,15 +282,15 @@
 			task.proxy.usage.Add(task.plan.routes.TenantName(task.tenant), 1)
 		}
 		if err == nil {
-			task.receipt = receipt
+			task.response = receipt
 			return nil
 		}
 		task.proxy.counters.Add("sends_"+string(rpc.CodeOf(err)), 1)
 		last, mayRun = err, mayRun || ran
-		if ran && task.rule.Money || ran && task.request.Method != http.MethodGet && task.request.Method != http.MethodHead {
+		if ran && task.route.KeyRequired || ran && task.request.Method != http.MethodGet && task.request.Method != http.MethodHead {
 			break
 		}
-		if time.Until(task.limit) < 5*time.Millisecond || task.request.Context().Err() != nil {
+		if time.Until(task.deadline) < 5*time.Millisecond || task.request.Context().Err() != nil {
 			break
 		}
 	}
@@ -310,13 +310,13 @@
 	}
 	if final.Code != rpc.DeadlineExceeded {
 		final.Message = string(final.Code) + ": " + final.Message
-		final.Code, final.RetryAfterMs = rpc.NoBackend, comeBack
+		final.Code, final.RetryAfterMs = rpc.NoBackend, retryAfterMs
 	}
 	return &final
 }
 
 // sendTo makes one send over one pipe.
-func (task *task) sendTo(target *Target) (*Receipt, bool, error) {
+func (task *task) sendTo(target *Target) (*Response, bool, error) {
 	left := false
 	leave := func() {
 		if !left {
@@ -324,27 +324,27 @@
 			target.leave()
 		}
 	}
-	pipe, incarnation, mishap := target.pipe(task.limit)
+	connection, incarnation, mishap := target.connection(task.deadline)
 	if mishap != nil {
 		leave()
 		return nil, false, mishap
 	}
 	// The caller's going away does not cut a send short: what it did must be known.
-	ctx, cancel := context.WithDeadline(context.Background(), task.limit)
+	ctx, cancel := context.WithDeadline(context.Background(), task.deadline)
 	request, err := task.outgoing(ctx, target.backend().Address)
 	if err != nil {
 		cancel()
 		leave()
-		target.giveBack(pipe, incarnation, task.rule.Pipes)
+		target.giveBack(connection, incarnation, task.route.IdleConnections)
 		return nil, false, rpc.Errorf(rpc.BadRequest, "%v", err)
 	}
 	task.state.advance(Sent)
-	response, ran, err := pipe.send(request)
+	response, ran, err := connection.send(request)
 	if err != nil {
 		cancel()
 		leave()
-		pipe.close()
-		if time.Now().Before(task.limit) {
+		connection.close()
+		if time.Now().Before(task.deadline) {
 			kind := rpc.ConnectionBroken
 			if ran {
 				kind = rpc.BadResponse
@@ -356,16 +356,16 @@
 		return nil, ran, rpc.Errorf(rpc.DeadlineExceeded, "no answer within the limit")
 	}
 	task.state.advance(Receiving)
-	target.learnReceipt(incarnation, func(identity *Identity) { identity.fromReceipt(response.Header) })
+	target.learnFromResponse(incarnation, func(identity *Identity) { identity.fromResponse(response.Header) })
 	if serial, err := strconv.ParseUint(response.Header.Get("Oj-Serial"), 10, 64); err == nil {
 		task.proxy.daemon.ObserveSerial(serial)
 	}
-	receipt, mishap := takeReceipt(response, task.id, task.rule.ReceiptBytes, task.rule.Money)
+	receipt, mishap := readResponse(response, task.id, task.route.ResponseBytes, task.route.KeyRequired)
 	if mishap != nil {
 		cancel()
 		leave()
-		pipe.close()
-		if !time.Now().Before(task.limit) {
+		connection.close()
+		if !time.Now().Before(task.deadline) {
 			mishap = rpc.Errorf(rpc.DeadlineExceeded, "%s", rpc.AsError(mishap).Message)
 		}
 		return nil, true, mishap
@@ -373,9 +373,9 @@
 	if busy := receipt.status == http.StatusServiceUnavailable || receipt.status == http.StatusTooManyRequests; busy && receipt.rest == nil {
 		cancel()
 		leave()
-		target.giveBack(pipe, incarnation, task.rule.Pipes)
+		target.giveBack(connection, incarnation, task.route.IdleConnections)
 		if receipt.header.Get("Oj-Not-Run") == "true" {
-			return nil, false, &rpc.Error{Code: rpc.Overloaded, Message: "the backend is busy", RetryAfterMs: comeBack}
+			return nil, false, &rpc.Error{Code: rpc.Overloaded, Message: "the backend is busy", RetryAfterMs: retryAfterMs}
 		}
 		return nil, true, &rpc.Error{Code: rpc.OutcomeUnknown, Message: fmt.Sprintf("the backend said %d and not whether it ran", receipt.status)}
 	}
@@ -385,7 +385,7 @@
 		if receipt.rest != nil {
 			receipt.rest.Close()
 		}
-		target.giveBack(pipe, incarnation, task.rule.Pipes)
+		target.giveBack(connection, incarnation, task.route.IdleConnections)
 	}
 	if receipt.rest == nil {
 		response.Body.Close()
@@ -412,9 +412,9 @@
 	for _, name := range append(hopHeaders, "Authorization", "Accept-Encoding", "Oj-Limit-Ms") {
 		request.Header.Del(name)
 	}
-	for name, value := range map[string]string{"Oj-Task": task.id, "Oj-Tenant": task.plan.routes.TenantName(task.tenant), "Oj-Class": task.rule.Class,
-		"Oj-Service": task.rule.Service, "Oj-Serial": strconv.FormatUint(task.plan.routes.Serial, 10),
-		"Oj-Limit-Ms": strconv.FormatInt(max(time.Until(task.limit).Milliseconds(), 1), 10)} {
+	for name, value := range map[string]string{"Oj-Task": task.id, "Oj-Tenant": task.plan.routes.TenantName(task.tenant), "Oj-Class": task.route.Class,
+		"Oj-Service": task.route.Service, "Oj-Serial": strconv.FormatUint(task.plan.routes.Serial, 10),
+		"Oj-Limit-Ms": strconv.FormatInt(max(time.Until(task.deadline).Milliseconds(), 1), 10)} {
 		request.Header.Set(name, value)
 	}
 	return request, nil
--- a/fleet/comparison.go
+++ b/fleet/comparison.go
@@ -20,7 +20,7 @@
 	backend, proxy := fleet.Backends[0], fleet.Proxies[0]
 	var path string
 	for _, route := range fleet.settings.Resolve() {
-		if route.Service == backend.Service && route.Method == http.MethodGet && route.Whole("receipt_bytes") <= 1<<20 {
+		if route.Service == backend.Service && route.Method == http.MethodGet && route.Integer("receipt_bytes") <= 1<<20 {
 			path = strings.Replace(route.Path, "*", "7?bytes=2000", 1)
 		}
 	}
@@ -47,8 +47,8 @@
 			}
 		}
 	}
-	fmt.Printf("compare: direct p50 %.2f ms p99 %.2f ms, through p50 %.2f ms p99 %.2f ms, ratio of p50 %.2f, of %d and %d\n", judge.Part(times["direct"], 0.5), judge.Part(times["direct"], 0.99),
-		judge.Part(times["through"], 0.5), judge.Part(times["through"], 0.99), judge.Part(times["through"], 0.5)/judge.Part(times["direct"], 0.5), len(times["direct"]), len(times["through"]))
+	fmt.Printf("compare: direct p50 %.2f ms p99 %.2f ms, through p50 %.2f ms p99 %.2f ms, ratio of p50 %.2f, of %d and %d\n", judge.Quantile(times["direct"], 0.5), judge.Quantile(times["direct"], 0.99),
+		judge.Quantile(times["through"], 0.5), judge.Quantile(times["through"], 0.99), judge.Quantile(times["through"], 0.5)/judge.Quantile(times["direct"], 0.5), len(times["direct"]), len(times["through"]))
 }
 
 // forecast is what the planner says of emptying a zone.
@@ -68,7 +68,7 @@
 	for _, known := range status.Members {
 		look.Members = append(look.Members, known.Member)
 	}
-	return plan.Look(look, &after)
+	return plan.NewForecast(look, &after)
 }
 
 // compareForecast asks a directory where tenants go now and sets it against the forecast.
@@ -93,7 +93,7 @@
 			continue
 		}
 		got := []string{}
-		for _, front := range placement.Fronts {
+		for _, front := range placement.Proxies {
 			got = append(got, front.Name)
 		}
 		sort.Strings(got)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -144,11 +144,11 @@
 const journalEnd = ".journal"
 
 // Seen returns the records of all backends, of those that were killed too.
-func (fleet *Fleet) Seen() []stand.Witness {
-	all := []stand.Witness{}
+func (fleet *Fleet) Seen() []stand.BackendRecord {
+	all := []stand.BackendRecord{}
 	journals, _ := filepath.Glob(filepath.Join(fleet.Spec.Folder, "*"+journalEnd))
 	for _, path := range journals {
-		all = append(all, stand.ReadWitnesses(path)...)
+		all = append(all, stand.ReadBackendRecords(path)...)
 	}
 	return all
 }
@@ -168,8 +168,8 @@
 	return zones
 }
 
-// Doors returns the operators' addresses of all processes that run.
-func (fleet *Fleet) Doors() []string {
+// OperatorAddresses returns the operators' addresses of all processes that run.
+func (fleet *Fleet) OperatorAddresses() []string {
 	doors := []string{}
 	for _, process := range append(fleet.daemons(), fleet.cores()...) {
 		if process.Alive() {
--- a/fleet/load.go
+++ b/fleet/load.go
@@ -16,7 +16,7 @@
 
 // Call starts the callers.
 func (fleet *Fleet) Call() error {
-	plan := stand.OriginPlan{PerSecond: fleet.Spec.Rate, Seconds: fleet.Spec.Seconds + 3600, Tries: fleet.Spec.Tries, Seed: fleet.Spec.Seed, Patient: true}
+	plan := stand.LoadPlan{PerSecond: fleet.Spec.Rate, Seconds: fleet.Spec.Seconds + 3600, Tries: fleet.Spec.Tries, Seed: fleet.Spec.Seed, Patient: true}
 	for _, directory := range fleet.Directories {
 		plan.Directories = append(plan.Directories, directory.Outer)
 	}
@@ -26,14 +26,14 @@
 	sort.Slice(plan.Callers, func(left, right int) bool { return plan.Callers[left].Tenant < plan.Callers[right].Tenant })
 	money, other := []stand.Call{}, []stand.Call{}
 	for _, route := range fleet.settings.Resolve() {
-		call := stand.Call{Class: route.Class, Method: route.Method, Path: "/" + route.Service + strings.Replace(route.Path, "*", "7?bytes=2000", 1), Money: route.Money, LimitMs: route.Whole("limit_ms"), Body: 100}
+		call := stand.Call{Class: route.Class, Method: route.Method, Path: "/" + route.Service + strings.Replace(route.Path, "*", "7?bytes=2000", 1), Money: route.KeyRequired, LimitMs: route.Integer("limit_ms"), Body: 100}
 		if route.Method == http.MethodGet {
 			call.Body = 0
 		}
-		if route.Whole("receipt_bytes") > 1<<20 {
+		if route.Integer("receipt_bytes") > 1<<20 {
 			call.Path = strings.Replace(call.Path, "bytes=2000", "bytes=1500000", 1)
 		}
-		if route.Money {
+		if route.KeyRequired {
 			money = append(money, call)
 		} else {
 			other = append(other, call)
@@ -68,12 +68,12 @@
 
 // Callers waits until the load has lasted as long as the Spec says, stops the
 // callers and returns their report.
-func (fleet *Fleet) Callers() (*stand.OriginReport, error) {
+func (fleet *Fleet) Callers() (*stand.LoadReport, error) {
 	fleet.goroutines.Sleep(time.Until(fleet.called.Add(time.Duration(fleet.Spec.Seconds * float64(time.Second)))))
 	fleet.origin.Signal(syscall.SIGTERM)
 	fleet.origin.Wait(60 * time.Second)
 	body, err := os.ReadFile(fleet.origin.log)
-	report := &stand.OriginReport{}
+	report := &stand.LoadReport{}
 	if err == nil {
 		err = json.Unmarshal(body, report)
 	}
--- a/fleet/scenario.go
+++ b/fleet/scenario.go
@@ -108,8 +108,8 @@
 	if err != nil {
 		return nil, err
 	}
-	evidence := &judge.Evidence{Callers: []stand.OriginReport{*report}, Settings: fleet.settings, Zones: fleet.Zones(), Guests: fleet.guests, Ledger: ledger, Planned: scenario.Planned, Windows: fleet.windows}
-	if evidence.Trail, err = ledger.Trail(10 * time.Second); err != nil {
+	evidence := &judge.Evidence{Callers: []stand.LoadReport{*report}, Settings: fleet.settings, Zones: fleet.Zones(), Guests: fleet.guests, Ledger: ledger, Planned: scenario.Planned, Windows: fleet.windows}
+	if evidence.History, err = ledger.History(10 * time.Second); err != nil {
 		return nil, err
 	}
 	if body, err := os.ReadFile(filepath.Join(fleet.Spec.Folder, "origin.log")); err == nil {
@@ -135,7 +135,7 @@
 
 // lent is whether callers were served at the other partner's machines, and how
 // each class fared beside its floor. It is due where fronts are there to lend.
-func (fleet *Fleet) lent(report *stand.OriginReport, due bool) []judge.Verdict {
+func (fleet *Fleet) lent(report *stand.LoadReport, due bool) []judge.Verdict {
 	served, refused := 0, 0
 	classes := map[string][]float64{}
 	for _, try := range report.Tries {
@@ -153,7 +153,7 @@
 	}
 	detail, span := "", time.Since(fleet.called).Seconds()
 	for _, class := range sortedKeys(classes) {
-		detail += fmt.Sprintf("%s: floor %d, served %.0f a second, p99 %.0f ms; ", class, fleet.settings.Classes[class].FloorRps, float64(len(classes[class]))/span, judge.Part(classes[class], 0.99))
+		detail += fmt.Sprintf("%s: floor %d, served %.0f a second, p99 %.0f ms; ", class, fleet.settings.Classes[class].FloorRps, float64(len(classes[class]))/span, judge.Quantile(classes[class], 0.99))
 	}
 	verdicts := []judge.Verdict{{Name: "classes beside their floors", Holds: true, Detail: detail}}
 	if fleet.peer != nil {
--- a/judge/evidence.go
+++ b/judge/evidence.go
@@ -35,13 +35,13 @@
 // Evidence is the records of one run. Planned says that only planned work was done,
 // Jumps that clocks were stepped; Codes are processes that ended in a wrong way.
 type Evidence struct {
-	Callers  []stand.OriginReport
-	Backends []stand.Witness
+	Callers  []stand.LoadReport
+	Backends []stand.BackendRecord
 	Settings *conf.Settings
 	Zones    map[string]string
 	Guests   map[string]string
 	Ledger   *Ledger
-	Trail    []message.HistoryEntry
+	History  []message.HistoryEntry
 	Planned  bool
 	Jumps    bool
 	Codes    []string
@@ -53,8 +53,8 @@
 	ran     map[string]stand.Arrival
 }
 
-// lateMs is when what was told must be in force, with a little for the way there.
-const lateMs = 4500
+// maxLateMs is when what was told must be in force, with a little for the way there.
+const maxLateMs = 4500
 
 // Judge returns one verdict for each guarantee.
 func (evidence *Evidence) Judge() []Verdict {
@@ -100,8 +100,8 @@
 // gather sorts what several lines ask for.
 func (evidence *Evidence) gather() {
 	evidence.charges, evidence.ran = map[string][]stand.Arrival{}, map[string]stand.Arrival{}
-	for _, witness := range evidence.Backends {
-		for _, arrival := range witness.Arrivals {
+	for _, record := range evidence.Backends {
+		for _, arrival := range record.Arrivals {
 			if arrival.ChargedMs > 0 {
 				name := arrival.Tenant + "/" + arrival.Key
 				evidence.charges[name] = append(evidence.charges[name], arrival)
@@ -124,21 +124,21 @@
 	return count
 }
 
-func (evidence *Evidence) arrivals(look func(witness *stand.Witness, arrival *stand.Arrival)) string {
+func (evidence *Evidence) arrivals(look func(record *stand.BackendRecord, arrival *stand.Arrival)) string {
 	count := 0
 	for index := range evidence.Backends {
-		witness := &evidence.Backends[index]
-		for number := range witness.Arrivals {
-			look(witness, &witness.Arrivals[number])
+		record := &evidence.Backends[index]
+		for number := range record.Arrivals {
+			look(record, &record.Arrivals[number])
 		}
-		count += len(witness.Arrivals)
+		count += len(record.Arrivals)
 	}
 	return fmt.Sprintf("%d sends seen", count)
 }
 
-// Part returns the quantile of the values, 0 without values; part is between 0 and
+// Quantile returns the quantile of the values, 0 without values; part is between 0 and
 // 1.
-func Part(values []float64, part float64) float64 {
+func Quantile(values []float64, part float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
--- a/judge/evidence_test.go
+++ b/judge/evidence_test.go
@@ -25,17 +25,17 @@
 	settings.Tenants = map[string]conf.Tenant{"alder": {ForbidRegions: []string{"west"}}}
 	evidence := &Evidence{Settings: settings, Zones: map[string]string{"back": "e1", "front": "e1", "other": "w1"}, Planned: true,
 		Ledger: NewLedger(nil, 1), Reports: map[string][]string{}, ReportAt: map[string]int64{}}
-	callers := stand.OriginReport{Asked: 200, Served: 200}
-	witness := stand.Witness{Instance: "back", Service: "meters", Gentle: 10}
+	callers := stand.LoadReport{Asked: 200, Served: 200}
+	record := stand.BackendRecord{Instance: "back", Service: "meters", Gentle: 10}
 	for number := range int64(200) {
 		id, at := fmt.Sprintf("k%d", number), 1000+number*100
 		callers.Tries = append(callers.Tries, stand.Try{ID: id + ".0", Task: id, Tenant: "alder", Class: "money", Key: id, Method: "POST", Path: "/meters/credits", Front: "front", AtMs: at, ToldMs: at + 9, Status: 200})
-		witness.Arrivals = append(witness.Arrivals, stand.Arrival{AtMs: at + 2, Try: id + ".0", Task: "t" + id, Tenant: "alder", Service: "meters", Method: "POST", Path: "/credits", Serial: 7, Key: id, RanMs: at + 5, ChargedMs: at + 5})
+		record.Arrivals = append(record.Arrivals, stand.Arrival{AtMs: at + 2, Try: id + ".0", Task: "t" + id, Tenant: "alder", Service: "meters", Method: "POST", Path: "/credits", Serial: 7, Key: id, RanMs: at + 5, ChargedMs: at + 5})
 	}
 	callers.Placed = []stand.Placed{{AtMs: 20_000, Directory: "dir", Serial: 7}}
-	evidence.Callers, evidence.Backends = []stand.OriginReport{callers}, []stand.Witness{witness}
+	evidence.Callers, evidence.Backends = []stand.LoadReport{callers}, []stand.BackendRecord{record}
 	evidence.Ledger.Acked["one"], evidence.Ledger.Refused["two"] = Ack{Serial: 7, Base: 6, AtMs: 900}, rpc.StaleBase
-	evidence.Trail = []message.HistoryEntry{{Serial: 7, Change: "one"}}
+	evidence.History = []message.HistoryEntry{{Serial: 7, Change: "one"}}
 	for period := range int64(6) {
 		id := fmt.Sprintf("small-alder-%d", period+1)
 		evidence.Reports[id] = []string{fmt.Sprintf(`{"id":%q,"tenant":"alder","period":%d,"from_ms":%d,"to_ms":%d,"tasks":40}`, id, period+1, 1000+period*4000, 1000+(period+1)*4000)}
@@ -62,7 +62,7 @@
 	}{
 		{"no key charged twice", func(evidence *Evidence) {
 			again := *arrival(8)(evidence)
-			evidence.Backends = append(evidence.Backends, stand.Witness{Instance: "back", Service: "meters", Arrivals: []stand.Arrival{again}})
+			evidence.Backends = append(evidence.Backends, stand.BackendRecord{Instance: "back", Service: "meters", Arrivals: []stand.Arrival{again}})
 		}},
 		{"no busy answer for a task that ran", func(evidence *Evidence) { try(evidence, 5).Status = 503 }},
 		{"no busy answer for a task that ran", func(evidence *Evidence) {
@@ -94,15 +94,15 @@
 		}},
 		{"acknowledged settings in force in 4 s", func(evidence *Evidence) {
 			evidence.Ledger.Acked["more"] = Ack{Serial: 8, Base: 7, AtMs: 1000}
-			evidence.Trail = append(evidence.Trail, message.HistoryEntry{Serial: 8, Change: "more"})
+			evidence.History = append(evidence.History, message.HistoryEntry{Serial: 8, Change: "more"})
 			evidence.Callers[0].Placed = nil
 		}},
 		{"acknowledged settings in force in 4 s", func(evidence *Evidence) { evidence.Callers[0].Placed[0].Serial = 6 }},
 		{"acknowledged settings in force in 4 s", func(evidence *Evidence) { evidence.Ledger.Behind = []string{"serial 7"} }},
 		{"refused and lost changes never in force", func(evidence *Evidence) {
-			evidence.Trail = append(evidence.Trail, message.HistoryEntry{Serial: 8, Change: "two"})
+			evidence.History = append(evidence.History, message.HistoryEntry{Serial: 8, Change: "two"})
 		}},
-		{"no acknowledged change lost", func(evidence *Evidence) { evidence.Trail = nil }},
+		{"no acknowledged change lost", func(evidence *Evidence) { evidence.History = nil }},
 		{"no acknowledged change lost", func(evidence *Evidence) { evidence.Ledger.Acked["one"] = Ack{Serial: 7, Base: 5} }},
 		{"resends within a fifth and sixty in ten seconds", func(evidence *Evidence) {
 			for number := range 90 {
--- a/judge/ledger.go
+++ b/judge/ledger.go
@@ -15,7 +15,7 @@
 
 // System is the system that operators work on, real or simulated.
 type System interface {
-	Doors() []string
+	OperatorAddresses() []string
 	Client(door string) *operator.Client
 	Serials() []uint64
 	Rest(span time.Duration) bool
@@ -116,7 +116,7 @@
 }
 
 func (ledger *Ledger) door(random *rand.Rand) (*operator.Client, bool) {
-	doors := ledger.system.Doors()
+	doors := ledger.system.OperatorAddresses()
 	if len(doors) == 0 {
 		return nil, false
 	}
@@ -198,7 +198,7 @@
 
 // follow looks until every daemon that says it is ready has the serial.
 func (ledger *Ledger) follow(serial uint64, acked time.Time) {
-	for time.Since(acked) < lateMs*time.Millisecond {
+	for time.Since(acked) < maxLateMs*time.Millisecond {
 		behind := 0
 		for _, held := range ledger.system.Serials() {
 			if held > 0 && held < serial {
@@ -231,15 +231,15 @@
 	return newest
 }
 
-// Trail reads the history of changes from the cores, from any that answers within
+// History reads the history of changes from the cores, from any that answers within
 // the limit.
-func (ledger *Ledger) Trail(limit time.Duration) ([]message.HistoryEntry, error) {
+func (ledger *Ledger) History(limit time.Duration) ([]message.HistoryEntry, error) {
 	trail := struct {
 		Changes []message.HistoryEntry `json:"changes"`
 	}{}
 	last := rpc.Errorf(rpc.Unreachable, "no door")
 	for until := time.Now().Add(limit); time.Now().Before(until); {
-		for _, door := range ledger.system.Doors() {
+		for _, door := range ledger.system.OperatorAddresses() {
 			if last = ledger.system.Client(door).Ask(http.MethodGet, "/v1/changes", nil, &trail); last == nil {
 				return trail.Changes, nil
 			}
--- a/judge/money.go
+++ b/judge/money.go
@@ -19,12 +19,12 @@
 // busyMeansNotRun: a try told "busy" or "not run" ran nowhere, before or after
 // its answer, and its key was not charged when the try was made.
 func (evidence *Evidence) busyMeansNotRun() (bad []string, detail string) {
-	told := 0
+	response := 0
 	evidence.tries(func(try stand.Try) {
 		if try.Status != http.StatusServiceUnavailable && (try.Status == 0 || try.Outcome != "not_run") {
 			return
 		}
-		told++
+		response++
 		if arrival, found := evidence.ran[try.Tenant+"/"+try.ID]; found {
 			bad = append(bad, fmt.Sprintf("try %s told %d %s, ran at %d as %s", try.ID, try.Status, try.Code, arrival.RanMs, arrival.Task))
 		}
@@ -34,7 +34,7 @@
 			}
 		}
 	})
-	return bad, fmt.Sprintf("%d tries told not run", told)
+	return bad, fmt.Sprintf("%d tries told not run", response)
 }
 
 func (evidence *Evidence) paidIsCharged() (bad []string, detail string) {
--- a/judge/settings.go
+++ b/judge/settings.go
@@ -10,16 +10,16 @@
 // serialsRise: once a backend saw a serial, older ones end within 4 s.
 func (evidence *Evidence) serialsRise() (bad []string, detail string) {
 	highest, since := uint64(0), int64(0)
-	var last *stand.Witness
-	detail = evidence.arrivals(func(witness *stand.Witness, arrival *stand.Arrival) {
-		if witness != last {
-			highest, since, last = 0, 0, witness
+	var last *stand.BackendRecord
+	detail = evidence.arrivals(func(record *stand.BackendRecord, arrival *stand.Arrival) {
+		if record != last {
+			highest, since, last = 0, 0, record
 		}
 		if arrival.Serial > highest {
 			highest, since = arrival.Serial, arrival.AtMs
 		}
-		if arrival.Serial < highest && arrival.AtMs-since > lateMs {
-			bad = append(bad, fmt.Sprintf("%s got serial %d, saw %d %d ms before", witness.Instance, arrival.Serial, highest, arrival.AtMs-since))
+		if arrival.Serial < highest && arrival.AtMs-since > maxLateMs {
+			bad = append(bad, fmt.Sprintf("%s got serial %d, saw %d %d ms before", record.Instance, arrival.Serial, highest, arrival.AtMs-since))
 		}
 	})
 	return bad, detail
@@ -45,15 +45,15 @@
 		}
 	}
 	needed := func(at int64) uint64 {
-		index := sort.Search(len(acks), func(index int) bool { return acks[index].AtMs > at-lateMs })
+		index := sort.Search(len(acks), func(index int) bool { return acks[index].AtMs > at-maxLateMs })
 		if index == 0 {
 			return 0
 		}
 		return highest[index-1]
 	}
-	evidence.arrivals(func(witness *stand.Witness, arrival *stand.Arrival) {
+	evidence.arrivals(func(record *stand.BackendRecord, arrival *stand.Arrival) {
 		if need := needed(arrival.AtMs); arrival.Serial > 0 && arrival.Serial < need {
-			bad = append(bad, fmt.Sprintf("%s sent %s by serial %d, %d was acknowledged", arrival.Task, witness.Instance, arrival.Serial, need))
+			bad = append(bad, fmt.Sprintf("%s sent %s by serial %d, %d was acknowledged", arrival.Task, record.Instance, arrival.Serial, need))
 		}
 	})
 	for _, callers := range evidence.Callers {
@@ -64,7 +64,7 @@
 		}
 	}
 	bad = append(bad, ledger.Behind...)
-	return bad, fmt.Sprintf("%d followed, p50 %.0f ms, max %.0f ms", len(ledger.InForceMs), Part(ledger.InForceMs, 0.5), Part(ledger.InForceMs, 1))
+	return bad, fmt.Sprintf("%d followed, p50 %.0f ms, max %.0f ms", len(ledger.InForceMs), Quantile(ledger.InForceMs, 0.5), Quantile(ledger.InForceMs, 1))
 }
 
 // losersNever: what was refused, or lost its race, is nowhere in the trail.
@@ -72,7 +72,7 @@
 	if evidence.Ledger == nil {
 		return nil, "no operators"
 	}
-	for _, entry := range evidence.Trail {
+	for _, entry := range evidence.History {
 		if kind, refused := evidence.Ledger.Refused[entry.Change]; refused {
 			bad = append(bad, fmt.Sprintf("%s refused as %s is serial %d", entry.Change, kind, entry.Serial))
 		}
@@ -85,7 +85,7 @@
 		return nil, "no operators"
 	}
 	kept, oldest, last := map[string]uint64{}, uint64(0), uint64(0)
-	for _, entry := range evidence.Trail {
+	for _, entry := range evidence.History {
 		if entry.Serial <= last {
 			bad = append(bad, fmt.Sprintf("trail goes from %d to %d", last, entry.Serial))
 		}
@@ -118,6 +118,6 @@
 	if ledger == nil {
 		return nil, "no operators"
 	}
-	return append(bad, ledger.Late...), fmt.Sprintf("longest %.0f ms, %d answers, p50 %.0f ms p99 %.0f ms, longest gap between acknowledgements %d ms", Part(ledger.AnswerMs, 1), len(ledger.AnswerMs),
-		Part(ledger.AnswerMs, 0.5), Part(ledger.AnswerMs, 0.99), ledger.GapMs)
+	return append(bad, ledger.Late...), fmt.Sprintf("longest %.0f ms, %d answers, p50 %.0f ms p99 %.0f ms, longest gap between acknowledgements %d ms", Quantile(ledger.AnswerMs, 1), len(ledger.AnswerMs),
+		Quantile(ledger.AnswerMs, 0.5), Quantile(ledger.AnswerMs, 0.99), ledger.GapMs)
 }
--- a/judge/traffic.go
+++ b/judge/traffic.go
@@ -22,9 +22,9 @@
 }
 
 func (evidence *Evidence) ownService() (bad []string, detail string) {
-	detail = evidence.arrivals(func(witness *stand.Witness, arrival *stand.Arrival) {
-		if arrival.Service != witness.Service {
-			bad = append(bad, fmt.Sprintf("%s of %s got a task for %q", witness.Instance, witness.Service, arrival.Service))
+	detail = evidence.arrivals(func(record *stand.BackendRecord, arrival *stand.Arrival) {
+		if arrival.Service != record.Service {
+			bad = append(bad, fmt.Sprintf("%s of %s got a task for %q", record.Instance, record.Service, arrival.Service))
 		}
 	})
 	return bad, detail
@@ -39,9 +39,9 @@
 		}
 		tenants[try.ID][try.Tenant] = true
 	})
-	detail = evidence.arrivals(func(witness *stand.Witness, arrival *stand.Arrival) {
+	detail = evidence.arrivals(func(record *stand.BackendRecord, arrival *stand.Arrival) {
 		if arrival.Try != "" && tenants[arrival.Try] != nil && !tenants[arrival.Try][arrival.Tenant] {
-			bad = append(bad, fmt.Sprintf("try %s came to %s as %s", arrival.Try, witness.Instance, arrival.Tenant))
+			bad = append(bad, fmt.Sprintf("try %s came to %s as %s", arrival.Try, record.Instance, arrival.Tenant))
 		}
 	})
 	return bad, detail
@@ -69,8 +69,8 @@
 			bad = append(bad, fmt.Sprintf("%s of %s at %s in %s", what, tenant, spot, region))
 		}
 	}
-	evidence.arrivals(func(witness *stand.Witness, arrival *stand.Arrival) {
-		look("task", witness.Instance, arrival.Tenant, arrival.Service, arrival.Method, arrival.Path)
+	evidence.arrivals(func(record *stand.BackendRecord, arrival *stand.Arrival) {
+		look("task", record.Instance, arrival.Tenant, arrival.Service, arrival.Method, arrival.Path)
 	})
 	evidence.tries(func(try stand.Try) {
 		service, path, _ := strings.Cut(strings.TrimPrefix(try.Path, "/"), "/")
@@ -81,7 +81,7 @@
 	return bad, fmt.Sprintf("%d with a forbidden region", watched)
 }
 
-func forbids(routes []conf.Flat, service, method, path string) []string {
+func forbids(routes []conf.FlatRoute, service, method, path string) []string {
 	for _, route := range routes {
 		if route.Service == service && route.Method == method && (route.Path == path || strings.HasSuffix(route.Path, "*") && strings.HasPrefix(path, strings.TrimSuffix(route.Path, "*"))) {
 			return route.ForbidRegions
@@ -91,9 +91,9 @@
 }
 
 func (evidence *Evidence) leavingIsLeft() (bad []string, detail string) {
-	detail = evidence.arrivals(func(witness *stand.Witness, arrival *stand.Arrival) {
-		if arrival.LeavingMs > lateMs {
-			bad = append(bad, fmt.Sprintf("%s left for %d ms", witness.Instance, arrival.LeavingMs))
+	detail = evidence.arrivals(func(record *stand.BackendRecord, arrival *stand.Arrival) {
+		if arrival.LeavingMs > maxLateMs {
+			bad = append(bad, fmt.Sprintf("%s left for %d ms", record.Instance, arrival.LeavingMs))
 		}
 	})
 	return bad, detail
@@ -105,8 +105,8 @@
 	served := 0
 	for _, window := range evidence.Windows {
 		within := func(at int64) bool { return at > window.From && (window.Until == 0 || at < window.Until) }
-		evidence.arrivals(func(witness *stand.Witness, arrival *stand.Arrival) {
-			if (window.Kind == "backend" && witness.Instance == window.Subject || window.Kind == "tenant" && arrival.Tenant == window.Subject) && within(arrival.AtMs) {
+		evidence.arrivals(func(record *stand.BackendRecord, arrival *stand.Arrival) {
+			if (window.Kind == "backend" && record.Instance == window.Subject || window.Kind == "tenant" && arrival.Tenant == window.Subject) && within(arrival.AtMs) {
 				bad = append(bad, fmt.Sprintf("%s %s sent to %d ms too late", window.Kind, window.Subject, arrival.AtMs-window.From))
 			}
 		})
@@ -124,7 +124,7 @@
 
 func (evidence *Evidence) resendsBounded() (bad []string, detail string) {
 	arrivals := []stand.Arrival{}
-	evidence.arrivals(func(_ *stand.Witness, arrival *stand.Arrival) { arrivals = append(arrivals, *arrival) })
+	evidence.arrivals(func(_ *stand.BackendRecord, arrival *stand.Arrival) { arrivals = append(arrivals, *arrival) })
 	sort.Slice(arrivals, func(left, right int) bool { return arrivals[left].AtMs < arrivals[right].AtMs })
 	known, again := map[string]bool{}, make([]bool, len(arrivals))
 	all, most, tail, first, resent := 0, 0, 0, 0, 0
@@ -156,9 +156,9 @@
 // coldGentle counts what a cold backend got in any second.
 func (evidence *Evidence) coldGentle() (bad []string, detail string) {
 	cold, most := 0, 0
-	for _, witness := range evidence.Backends {
+	for _, record := range evidence.Backends {
 		second := []int64{}
-		for _, arrival := range witness.Arrivals {
+		for _, arrival := range record.Arrivals {
 			if !arrival.Cold {
 				continue
 			}
@@ -168,8 +168,8 @@
 				second = second[1:]
 			}
 			most = max(most, len(second))
-			if float64(len(second)) > witness.Gentle*1.2+1 {
-				bad = append(bad, fmt.Sprintf("%s got %d in a second, gentle is %v", witness.Instance, len(second), witness.Gentle))
+			if float64(len(second)) > record.Gentle*1.2+1 {
+				bad = append(bad, fmt.Sprintf("%s got %d in a second, gentle is %v", record.Instance, len(second), record.Gentle))
 			}
 		}
 	}
@@ -213,10 +213,10 @@
 	if evidence.Settings == nil {
 		return nil, "no settings given"
 	}
-	asked, refused, classes := map[string]int{}, map[string]int{}, map[string][2]int{}
+	request, refused, classes := map[string]int{}, map[string]int{}, map[string][2]int{}
 	at := func(class string, second int64) string { return fmt.Sprintf("%s %d", class, second) }
 	evidence.tries(func(try stand.Try) {
-		asked[at(try.Class, try.AtMs/1000)]++
+		request[at(try.Class, try.AtMs/1000)]++
 		if try.Code == "busy" {
 			refused[at(try.Class, try.AtMs/1000)]++
 		}
@@ -226,7 +226,7 @@
 		if evidence.Guests[try.Front] != "" {
 			return
 		}
-		if second := try.AtMs / 1000; asked[at(try.Class, second)] <= floor && asked[at(try.Class, second-1)] <= floor {
+		if second := try.AtMs / 1000; request[at(try.Class, second)] <= floor && request[at(try.Class, second-1)] <= floor {
 			counted := classes[try.Class]
 			counted[0]++
 			if try.Code == "busy" {
--- a/judge/usage.go
+++ b/judge/usage.go
@@ -28,7 +28,7 @@
 	if evidence.Reports == nil {
 		return nil, "no platform"
 	}
-	told, periods, last, late := map[string]int{}, map[string]map[uint64]bool{}, uint64(0), int64(0)
+	response, periods, last, late := map[string]int{}, map[string]map[uint64]bool{}, uint64(0), int64(0)
 	reported := map[string][][2]int64{}
 	for id, bodies := range evidence.Reports {
 		report := usageReport{}
@@ -36,7 +36,7 @@
 			bad = append(bad, fmt.Sprintf("%s: %v", id, err))
 			continue
 		}
-		told[report.Tenant] += report.Tasks
+		response[report.Tenant] += report.Tasks
 		if periods[report.Tenant] == nil {
 			periods[report.Tenant] = map[uint64]bool{}
 		}
@@ -64,10 +64,10 @@
 	}
 	worst, slowest := 0.0, int64(0)
 	for tenant, tasks := range evidence.ranTasks() {
-		off := math.Abs(float64(told[tenant]-len(tasks))) / float64(len(tasks))
+		off := math.Abs(float64(response[tenant]-len(tasks))) / float64(len(tasks))
 		worst = max(worst, off)
 		if off > 0.05 {
-			bad = append(bad, fmt.Sprintf("%s told %d, seen %d", tenant, told[tenant], len(tasks)))
+			bad = append(bad, fmt.Sprintf("%s told %d, seen %d", tenant, response[tenant], len(tasks)))
 		}
 		lag := reportLag(tasks, reported[tenant])
 		slowest = max(slowest, lag)
@@ -81,7 +81,7 @@
 // ranTasks gives the times at which each tenant's tasks ran first.
 func (evidence *Evidence) ranTasks() map[string][]int64 {
 	first := map[string]stand.Arrival{}
-	evidence.arrivals(func(_ *stand.Witness, arrival *stand.Arrival) {
+	evidence.arrivals(func(_ *stand.BackendRecord, arrival *stand.Arrival) {
 		if arrival.Tenant == "" {
 			return
 		}
@@ -103,13 +103,13 @@
 // tasks were told; what the allowed twentieth may lack is left out.
 func reportLag(tasks []int64, reports [][2]int64) int64 {
 	sort.Slice(reports, func(left, right int) bool { return reports[left][0] < reports[right][0] })
-	longest, told, next := int64(0), 0, 0
+	longest, response, next := int64(0), 0, 0
 	for index, at := range tasks {
-		for next < len(reports) && float64(told) < float64(index+1)*0.95 {
-			told += int(reports[next][1])
+		for next < len(reports) && float64(response) < float64(index+1)*0.95 {
+			response += int(reports[next][1])
 			next++
 		}
-		if float64(told) >= float64(index+1)*0.95 && next > 0 {
+		if float64(response) >= float64(index+1)*0.95 && next > 0 {
 			longest = max(longest, reports[next-1][0]-at)
 		}
 	}
--- a/message/membership.go
+++ b/message/membership.go
@@ -114,8 +114,8 @@
 
 // Supersedes reports whether known is a newer membership than asked and has other
 // voters, so that a quorum counted by asked may no longer decide.
-func Supersedes(known, asked AcceptedValue) bool {
-	return asked.Version().Less(known.Version()) && !bytes.Equal(asked.Value.Body, known.Value.Body)
+func Supersedes(known, request AcceptedValue) bool {
+	return request.Version().Less(known.Version()) && !bytes.Equal(request.Value.Body, known.Value.Body)
 }
 
 // JoinRequest asks a core who votes and who leads. A core that is no voter repeats it;
--- a/place/directory.go
+++ b/place/directory.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	comeBack = 1000
-	fullPart = 0.8
+	retryAfterMs = 1000
+	fullLoad     = 0.8
 )
 
 // Directory answers callers from one immutable view per version.
@@ -32,13 +32,13 @@
 // View is the immutable view of one version: its routes and the proxies that
 // callers may be sent to.
 type View struct {
-	routes *data.Routes
-	fronts []message.Member
-	guests []message.Member
+	routes  *data.Routes
+	proxies []message.Member
+	guests  []message.Member
 }
 
-// Front is one proxy that a caller may use; Address is host:port.
-type Front struct {
+// Proxy is one proxy that a caller may use; Address is host:port.
+type Proxy struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
@@ -47,10 +47,10 @@
 // Placement is the answer to a caller. It is valid for HoldMs milliseconds; the
 // proxies are in the order of preference.
 type Placement struct {
-	Serial uint64  `json:"serial"`
-	Tenant string  `json:"tenant"`
-	HoldMs int64   `json:"hold_ms"`
-	Fronts []Front `json:"fronts"`
+	Serial  uint64  `json:"serial"`
+	Tenant  string  `json:"tenant"`
+	TTLMs   int64   `json:"hold_ms"`
+	Proxies []Proxy `json:"fronts"`
 }
 
 // NewDirectory returns a directory without a version; it refuses callers until
@@ -93,12 +93,12 @@
 			next.guests = append(next.guests, known)
 			continue
 		}
-		next.fronts = append(next.fronts, known)
+		next.proxies = append(next.proxies, known)
 		demand += known.Demand
 	}
 	settings := routes.Settings()
-	short := len(next.fronts) < *settings.Rule.Fronts
-	full := settings.FrontRps > 0 && demand > fullPart*float64(settings.FrontRps*len(next.fronts))
+	short := len(next.proxies) < *settings.Rule.Proxies
+	full := settings.ProxyRps > 0 && demand > fullLoad*float64(settings.ProxyRps*len(next.proxies))
 	if !short && !full {
 		next.guests = nil
 	}
@@ -130,7 +130,7 @@
 	}
 	view := directory.view.Load()
 	if view == nil || !directory.daemon.Ready() {
-		return nil, &rpc.Error{Code: rpc.NotReady, Message: "no confirmed settings in force here", RetryAfterMs: comeBack}
+		return nil, &rpc.Error{Code: rpc.NotReady, Message: "no confirmed settings in force here", RetryAfterMs: retryAfterMs}
 	}
 	key, bearer := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 	tenant, found := view.routes.Tenant(key)
@@ -146,29 +146,29 @@
 func (view *View) Place(tenant int, near string) (*Placement, error) {
 	settings := view.routes.Settings()
 	name := view.routes.TenantName(tenant)
-	ranked := view.rank(view.fronts, tenant, near)
+	ranked := view.rank(view.proxies, tenant, near)
 	guests := view.rank(view.guests, tenant, near)
 	if len(ranked)+len(guests) == 0 {
-		return nil, &rpc.Error{Code: rpc.NoBackend, Message: "no front machine may take this tenant now", RetryAfterMs: comeBack}
+		return nil, &rpc.Error{Code: rpc.NoBackend, Message: "no front machine may take this tenant now", RetryAfterMs: retryAfterMs}
 	}
-	most := view.routes.Fronts(tenant)
-	placement := &Placement{Serial: view.routes.Serial, Tenant: name, HoldMs: (time.Duration(*settings.Rule.HoldMs) * time.Millisecond).Milliseconds(), Fronts: []Front{}}
+	most := view.routes.Proxies(tenant)
+	placement := &Placement{Serial: view.routes.Serial, Tenant: name, TTLMs: (time.Duration(*settings.Rule.TTLMs) * time.Millisecond).Milliseconds(), Proxies: []Proxy{}}
 	zones := map[string]int{}
-	for round := 0; len(placement.Fronts) < most && round < len(ranked); round++ {
+	for round := 0; len(placement.Proxies) < most && round < len(ranked); round++ {
 		for _, front := range ranked {
-			if zones[front.Zone] == round && len(placement.Fronts) < most && !placement.has(front.Name) {
+			if zones[front.Zone] == round && len(placement.Proxies) < most && !placement.has(front.Name) {
 				zones[front.Zone]++
-				placement.Fronts = append(placement.Fronts, Front{Name: front.Name, Address: front.PublicAddress, Zone: front.Zone})
+				placement.Proxies = append(placement.Proxies, Proxy{Name: front.Name, Address: front.PublicAddress, Zone: front.Zone})
 			}
 		}
 	}
 	if len(guests) > 0 {
-		if len(placement.Fronts) == most && most > 1 {
-			placement.Fronts = placement.Fronts[:most-1]
+		if len(placement.Proxies) == most && most > 1 {
+			placement.Proxies = placement.Proxies[:most-1]
 		}
 		for _, guest := range guests {
-			if len(placement.Fronts) < most {
-				placement.Fronts = append(placement.Fronts, Front{Name: guest.Name, Address: guest.PublicAddress, Zone: guest.Zone})
+			if len(placement.Proxies) < most {
+				placement.Proxies = append(placement.Proxies, Proxy{Name: guest.Name, Address: guest.PublicAddress, Zone: guest.Zone})
 			}
 		}
 	}
@@ -194,7 +194,7 @@
 }
 
 func (placement *Placement) has(name string) bool {
-	for _, front := range placement.Fronts {
+	for _, front := range placement.Proxies {
 		if front.Name == name {
 			return true
 		}
--- a/plan/forecast.go
+++ b/plan/forecast.go
@@ -32,17 +32,17 @@
 	Joined []string `json:"joined"`
 }
 
-// Room is the number of backends of a service before and after the change.
-type Room struct {
+// CapacityChange is the number of backends of a service before and after the change.
+type CapacityChange struct {
 	Service string         `json:"service"`
 	Before  int            `json:"before"`
 	After   int            `json:"after"`
 	ByZone  map[string]int `json:"after_by_zone"`
 }
 
-// Short is a service whose guaranteed rate the backends left could not carry, in
+// Shortage is a service whose guaranteed rate the backends left could not carry, in
 // requests a second.
-type Short struct {
+type Shortage struct {
 	Service  string  `json:"service"`
 	Floor    int     `json:"floor_rps"`
 	Capacity float64 `json:"capacity_rps"`
@@ -58,11 +58,11 @@
 
 // Forecast is all that the change would move.
 type Forecast struct {
-	Tenants int      `json:"tenants"`
-	Moves   []Move   `json:"moves"`
-	Rooms   []Room   `json:"rooms"`
-	Shorts  []Short  `json:"floors_short"`
-	Changes []Change `json:"changes"`
+	Tenants int              `json:"tenants"`
+	Moves   []Move           `json:"moves"`
+	Rooms   []CapacityChange `json:"rooms"`
+	Shorts  []Shortage       `json:"floors_short"`
+	Changes []Change         `json:"changes"`
 }
 
 // Moving reports whether the change would move anything.
@@ -78,13 +78,13 @@
 	return false
 }
 
-// Look compares the fleet under its settings with the same fleet under next.
-func Look(fleet Fleet, next *conf.Settings) *Forecast {
-	forecast := &Forecast{Moves: []Move{}, Rooms: []Room{}, Shorts: []Short{}, Changes: []Change{}}
+// NewForecast compares the fleet under its settings with the same fleet under next.
+func NewForecast(fleet Fleet, next *conf.Settings) *Forecast {
+	forecast := &Forecast{Moves: []Move{}, Rooms: []CapacityChange{}, Shorts: []Shortage{}, Changes: []Change{}}
 	before, after := data.NewRoutes(fleet.Serial, fleet.Settings, nil), data.NewRoutes(fleet.Serial+1, next, nil)
 	former, later := place.NewView(before, fleet.Members), place.NewView(after, fleet.Members)
 	for _, tenant := range union(fleet.Settings.Tenants, next.Tenants) {
-		from, to := fronts(former, before, tenant), fronts(later, after, tenant)
+		from, to := proxies(former, before, tenant), proxies(later, after, tenant)
 		forecast.Tenants++
 		move := Move{Tenant: tenant, From: from, To: to, Left: without(from, to), Joined: without(to, from)}
 		if len(move.Left)+len(move.Joined) > 0 {
@@ -96,7 +96,7 @@
 	return forecast
 }
 
-func fronts(view *place.View, routes *data.Routes, tenant string) []string {
+func proxies(view *place.View, routes *data.Routes, tenant string) []string {
 	index, found := routes.TenantNamed(tenant)
 	if !found {
 		return []string{}
@@ -106,7 +106,7 @@
 		return []string{}
 	}
 	names := []string{}
-	for _, front := range placement.Fronts {
+	for _, front := range placement.Proxies {
 		names = append(names, front.Name)
 	}
 	sort.Strings(names)
@@ -143,11 +143,11 @@
 
 // rooms counts the backends a service may use, and sets its floors against them.
 func (forecast *Forecast) rooms(fleet Fleet, next *conf.Settings) {
-	rooms, names := map[string]*Room{}, []string{}
+	rooms, names := map[string]*CapacityChange{}, []string{}
 	for _, backend := range fleet.Backends {
 		room := rooms[backend.Service]
 		if room == nil {
-			room = &Room{Service: backend.Service, ByZone: map[string]int{}}
+			room = &CapacityChange{Service: backend.Service, ByZone: map[string]int{}}
 			rooms[backend.Service] = room
 			names = append(names, backend.Service)
 		}
@@ -169,7 +169,7 @@
 			}
 		}
 		if capacity := float64(rooms[name].After) * fleet.Capacity; capacity < float64(floor) {
-			forecast.Shorts = append(forecast.Shorts, Short{Service: name, Floor: floor, Capacity: capacity})
+			forecast.Shorts = append(forecast.Shorts, Shortage{Service: name, Floor: floor, Capacity: capacity})
 		}
 	}
 }
--- a/plan/forecast_test.go
+++ b/plan/forecast_test.go
@@ -34,12 +34,12 @@
 
 func TestForecast(test *testing.T) {
 	look := fleet(test)
-	if same := Look(look, look.Settings); same.Moving() || len(same.Shorts) > 0 {
+	if same := NewForecast(look, look.Settings); same.Moving() || len(same.Shorts) > 0 {
 		test.Errorf("no change moves %+v", same)
 	}
 	emptied := *look.Settings
 	emptied.Drained.Zones = []string{"accra"}
-	forecast := Look(look, &emptied)
+	forecast := NewForecast(look, &emptied)
 	for _, move := range forecast.Moves {
 		for _, front := range move.To {
 			if front == "proxy-0" || front == "proxy-6" {
@@ -51,13 +51,13 @@
 		test.Errorf("%d moves, %+v", len(forecast.Moves), forecast.Rooms)
 	}
 	look.Capacity = 1
-	if shorts := Look(look, &emptied).Shorts; len(shorts) != 2 {
+	if shorts := NewForecast(look, &emptied).Shorts; len(shorts) != 2 {
 		test.Errorf("shorts %+v", shorts)
 	}
 	faster := *look.Settings
 	limit := 900
-	faster.Rule.LimitMs = &limit
-	if changes := Look(look, &faster).Changes; len(changes) != 1 || changes[0].Route != "reading/reading-grid/history" || changes[0].Field != "limit_ms" || changes[0].After != 900 {
+	faster.Rule.TimeoutMs = &limit
+	if changes := NewForecast(look, &faster).Changes; len(changes) != 1 || changes[0].Route != "reading/reading-grid/history" || changes[0].Field != "limit_ms" || changes[0].After != 900 {
 		test.Errorf("changes %+v", changes)
 	}
 }
@@ -67,15 +67,15 @@
 func TestPlacements(test *testing.T) {
 	look := fleet(test)
 	routes := data.NewRoutes(1, look.Settings, nil)
-	placed := func(members []message.Member) map[string][]place.Front {
-		chart, all := place.NewView(routes, members), map[string][]place.Front{}
+	placed := func(members []message.Member) map[string][]place.Proxy {
+		chart, all := place.NewView(routes, members), map[string][]place.Proxy{}
 		for name := range look.Settings.Tenants {
 			index, _ := routes.TenantNamed(name)
 			placement, err := chart.Place(index, "")
 			if err != nil {
 				test.Fatal(err)
 			}
-			all[name] = placement.Fronts
+			all[name] = placement.Proxies
 		}
 		return all
 	}
--- a/program/daemon.go
+++ b/program/daemon.go
@@ -13,30 +13,30 @@
 	"k8s.io/klog/v2"
 )
 
-// Plane is what a daemon does besides being a member.
-type Plane interface {
+// DataPlane is what a daemon does besides being a member.
+type DataPlane interface {
 	http.Handler
 	Apply(*agent.Version)
 	Register(*rpc.Server)
 	Run()
 }
 
-// Make makes the plane of one daemon.
-type Make func(*agent.Daemon, *concurrent.Group, *metrics.Counters) (Plane, func() []message.Probe)
+// Constructor makes the plane of one daemon.
+type Constructor func(*agent.Daemon, *concurrent.Group, *metrics.Counters) (DataPlane, func() []message.Probe)
 
-// Station is one daemon with its open sides; a process has one, or two when it
+// Instance is one daemon with its open sides; a process has one, or two when it
 // is a guest at the other partner as well.
-type Station struct {
+type Instance struct {
 	Daemon    *agent.Daemon
-	Plane     Plane
-	line      *rpc.Client
+	Plane     DataPlane
+	client    *rpc.Client
 	counters  *metrics.Counters
 	listeners []*Listener
 }
 
-func newStation(flags *Flags, config agent.Config, goroutines *concurrent.Group, make Make) *Station {
-	station := &Station{line: rpc.NewClient(Transport()), counters: metrics.NewCounters()}
-	station.Daemon = agent.NewDaemon(config, agent.NewID(), station.line, goroutines, station.counters)
+func newInstance(flags *Flags, config agent.Config, goroutines *concurrent.Group, make Constructor) *Instance {
+	station := &Instance{client: rpc.NewClient(Transport()), counters: metrics.NewCounters()}
+	station.Daemon = agent.NewDaemon(config, agent.NewID(), station.client, goroutines, station.counters)
 	plane, probes := make(station.Daemon, goroutines, station.counters)
 	station.Plane = plane
 	station.Daemon.OnVersion(plane.Apply, probes)
@@ -58,7 +58,7 @@
 	return station
 }
 
-func (station *Station) run(goroutines *concurrent.Group) {
+func (station *Instance) run(goroutines *concurrent.Group) {
 	for _, listener := range station.listeners {
 		listener.Serve(goroutines)
 	}
@@ -77,7 +77,7 @@
 	Place     agent.Config
 	PerSecond float64
 	InFlight  int
-	Join      func(owner, guest Plane)
+	Join      func(owner, guest DataPlane)
 }
 
 func (guest *Guest) add(flags *Flags) {
@@ -94,7 +94,7 @@
 func (guest *Guest) given() bool { return guest.Place.Name != "" || len(guest.Place.Seeds) > 0 }
 
 // RunDaemon is the life of a directory node or a proxy.
-func RunDaemon(flags *Flags, kind string, guest *Guest, make Make) {
+func RunDaemon(flags *Flags, kind string, guest *Guest, make Constructor) {
 	config := agent.Config{Kind: kind}
 	grace, settle := 6000, 2500
 	flags.Parser.String(&config.Name, "", "name", "this daemon's name, unlike any other's")
@@ -114,7 +114,7 @@
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--settle-ms: %d is not in 0 to the grace of %d", settle, grace))
 	}
 	goroutines := concurrent.NewGroup()
-	stations := []*Station{newStation(flags, config, goroutines, make)}
+	stations := []*Instance{newInstance(flags, config, goroutines, make)}
 	if guest != nil && guest.given() {
 		guest.Place.Kind, guest.Place.Guest = kind, true
 		if err := guest.Place.Check(); err != nil {
@@ -123,7 +123,7 @@
 		if guest.PerSecond <= 0 || guest.InFlight < 1 {
 			flags.Exit(rpc.Errorf(rpc.BadFlag, "--lend-rps and --lend-in-flight: a guest lends something of both"))
 		}
-		stations = append(stations, newStation(flags, guest.Place, goroutines, make))
+		stations = append(stations, newInstance(flags, guest.Place, goroutines, make))
 		guest.Join(stations[0].Plane, stations[1].Plane)
 	}
 	for _, station := range stations {
@@ -143,6 +143,6 @@
 	klog.Infof("%s: started in zone %s", config.Name, config.Zone)
 	goroutines.Wait()
 	for _, station := range stations {
-		station.line.Close()
+		station.client.Close()
 	}
 }
--- a/program/far_test.go
+++ b/program/far_test.go
@@ -16,7 +16,7 @@
 		test.Fatal(err)
 	}
 	defer open.Close()
-	conn, err := FarTransport(1500*time.Millisecond).DialContext(test.Context(), "tcp", open.Addr().String())
+	conn, err := WANTransport(1500*time.Millisecond).DialContext(test.Context(), "tcp", open.Addr().String())
 	if err != nil {
 		test.Fatal(err)
 	}
--- a/program/program.go
+++ b/program/program.go
@@ -46,7 +46,7 @@
 
 // Parse reads the arguments, with those of a --place file laid under them.
 func (flags *Flags) Parse() {
-	arguments, err := placeFile(os.Args[1:])
+	arguments, err := configFile(os.Args[1:])
 	flags.Exit(err)
 	for index, argument := range arguments {
 		if argument == "-" {
@@ -109,8 +109,8 @@
 	}
 }
 
-// placeFile turns the lines "flag value" of a file into arguments; the command line wins.
-func placeFile(arguments []string) ([]string, error) {
+// configFile turns the lines "flag value" of a file into arguments; the command line wins.
+func configFile(arguments []string) ([]string, error) {
 	for index, argument := range arguments {
 		path, given := strings.CutPrefix(argument, "--place=")
 		width := 1
@@ -164,9 +164,9 @@
 
 // Listener is one open address and what serves it.
 type Listener struct {
-	server   *http.Server
-	open     net.Listener
-	standing *standing
+	server  *http.Server
+	open    net.Listener
+	tracker *connTracker
 }
 
 const (
@@ -185,7 +185,7 @@
 	if err != nil {
 		return nil, rpc.Errorf(rpc.BadFlag, "%s: %v", address, err)
 	}
-	standing := newStanding()
+	standing := newConnTracker()
 	server := &http.Server{
 		Handler:                      marked(handler),
 		DisableGeneralOptionsHandler: true,
@@ -195,13 +195,13 @@
 		ErrorLog:                     klog.NewStandardLogger("INFO"),
 		ConnContext:                  withConn,
 		ConnState: func(conn net.Conn, state http.ConnState) {
-			if typed, is := conn.(*typedConn); is {
+			if typed, is := conn.(*jsonErrorConn); is {
 				typed.turned(state)
 			}
-			standing.turned(conn, state)
+			standing.stateChanged(conn, state)
 		},
 	}
-	return &Listener{open: typedListener{open}, standing: standing, server: server}, nil
+	return &Listener{open: jsonErrorListener{open}, tracker: standing, server: server}, nil
 }
 
 // Serve accepts connections until the listener is drained or closed.
@@ -221,7 +221,7 @@
 	until := time.Now().Add(grace)
 	listener.open.Close()
 	for {
-		if listener.standing.end() == 0 {
+		if listener.tracker.closeIdle() == 0 {
 			return true
 		}
 		if !time.Now().Before(until) {
--- a/program/standing.go
+++ b/program/standing.go
@@ -9,18 +9,18 @@
 
 const freshConnection = 300 * time.Millisecond
 
-// standing are a listener's open connections and since when each waits for a request.
-type standing struct {
+// connTracker are a listener's open connections and since when each waits for a request.
+type connTracker struct {
 	mutex   sync.Mutex
 	waiting map[net.Conn]time.Time
 	serving map[net.Conn]bool
 }
 
-func newStanding() *standing {
-	return &standing{waiting: map[net.Conn]time.Time{}, serving: map[net.Conn]bool{}}
+func newConnTracker() *connTracker {
+	return &connTracker{waiting: map[net.Conn]time.Time{}, serving: map[net.Conn]bool{}}
 }
 
-func (standing *standing) turned(conn net.Conn, state http.ConnState) {
+func (standing *connTracker) stateChanged(conn net.Conn, state http.ConnState) {
 	standing.mutex.Lock()
 	defer standing.mutex.Unlock()
 	delete(standing.waiting, conn)
@@ -35,9 +35,9 @@
 	}
 }
 
-// end lets waiting connections read nothing more, new ones a little later, and
+// closeIdle lets waiting connections read nothing more, new ones a little later, and
 // gives how many are still open.
-func (standing *standing) end() int {
+func (standing *connTracker) closeIdle() int {
 	standing.mutex.Lock()
 	defer standing.mutex.Unlock()
 	now := time.Now()
--- a/program/standing_test.go
+++ b/program/standing_test.go
@@ -59,8 +59,8 @@
 	held, read := &sync.WaitGroup{}, &sync.WaitGroup{}
 	held.Add(1)
 	read.Add(1)
-	standing := newStanding()
-	listener := &Listener{open: slowListener{open, held, read}, standing: standing, server: &http.Server{ConnState: standing.turned,
+	standing := newConnTracker()
+	listener := &Listener{open: slowListener{open, held, read}, tracker: standing, server: &http.Server{ConnState: standing.stateChanged,
 		Handler: http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { writer.Write([]byte("served")) })}}
 	goroutines := concurrent.NewGroup()
 	listener.Serve(goroutines)
