--- a/program/typed.go
+++ b/program/typed.go
@@ -12,37 +12,37 @@
 	"sync/atomic"
 )
 
-// typedListener gives net/http's own refusals of malformed requests the form
+// jsonErrorListener gives net/http's own refusals of malformed requests the form
 // that all other refusals have.
-type typedListener struct{ net.Listener }
+type jsonErrorListener struct{ net.Listener }
 
-func (listener typedListener) Accept() (net.Conn, error) {
+func (listener jsonErrorListener) Accept() (net.Conn, error) {
 	conn, err := listener.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &typedConn{Conn: conn}, nil
+	return &jsonErrorConn{Conn: conn}, nil
 }
 
-// typedConn is a client's connection. Only what the library writes while no handler
+// jsonErrorConn is a client's connection. Only what the library writes while no handler
 // answers there can be a refusal of its own; a handler's bytes are never touched.
-type typedConn struct {
+type jsonErrorConn struct {
 	net.Conn
 	answering atomic.Bool
 }
 
-// typedConnKey is where a request's context holds its connection.
-type typedConnKey struct{}
+// jsonErrorConnKey is where a request's context holds its connection.
+type jsonErrorConnKey struct{}
 
 // withConn lays the connection into the context of its requests.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, typedConnKey{}, conn)
+	return context.WithValue(ctx, jsonErrorConnKey{}, conn)
 }
 
 // marked lets a connection know that a handler answers on it; turned ends that.
 func marked(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if conn, is := request.Context().Value(typedConnKey{}).(*typedConn); is {
+		if conn, is := request.Context().Value(jsonErrorConnKey{}).(*jsonErrorConn); is {
 			conn.answering.Store(true)
 		}
 		handler.ServeHTTP(writer, request)
@@ -50,14 +50,14 @@
 }
 
 // turned takes a change of the connection's state: an idle one has no answer to end.
-func (conn *typedConn) turned(state http.ConnState) {
+func (conn *jsonErrorConn) turned(state http.ConnState) {
 	if state == http.StateIdle {
 		conn.answering.Store(false)
 	}
 }
 
 // CloseWrite lets the library end an answer before it closes.
-func (conn *typedConn) CloseWrite() error {
+func (conn *jsonErrorConn) CloseWrite() error {
 	if half, able := conn.Conn.(interface{ CloseWrite() error }); able {
 		return half.CloseWrite()
 	}
@@ -68,7 +68,7 @@
 // of handlers always have a date.
 var bareHead = []byte("\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n")
 
-func (conn *typedConn) Write(body []byte) (int, error) {
+func (conn *jsonErrorConn) Write(body []byte) (int, error) {
 	if conn.answering.Load() {
 		return conn.Conn.Write(body)
 	}
--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -19,7 +19,7 @@
 func (proxy *Proxy) key(value string) (string, bool) {
 	value = strings.TrimSpace(value)
 	end := strings.IndexAny(value, " \t")
-	if end < 0 || !strings.EqualFold(value[:end], proxy.place.Headers.KeyScheme) {
+	if end < 0 || !strings.EqualFold(value[:end], proxy.config.Headers.KeyScheme) {
 		return "", false
 	}
 	return strings.TrimSpace(value[end:]), true
@@ -33,7 +33,7 @@
 		request.writer.Header().Set("Connection", "close")
 		return http.StatusHTTPVersionNotSupported
 	}
-	ids := request.source.Header[proxy.place.Headers.Attempt]
+	ids := request.source.Header[proxy.config.Headers.Attempt]
 	if len(ids) != 1 || ids[0] == "" {
 		return http.StatusBadRequest
 	}
@@ -54,11 +54,11 @@
 	if key, given := proxy.key(source.Header.Get("Authorization")); given {
 		request.tenant, _ = view.index.TenantOf(key)
 	}
-	if config.Keyed && !request.route.Public && request.tenant == nil {
+	if config.KeysRequired && !request.route.Public && request.tenant == nil {
 		return http.StatusUnauthorized, rpc.UnknownKey
 	}
 	request.rank = request.route.Priority
-	if request.tenant != nil && request.tenant.Ranked {
+	if request.tenant != nil && request.tenant.HasPriority {
 		request.rank = request.tenant.Priority
 	}
 	request.limit = request.begin.Add(proxy.patience(request))
@@ -70,7 +70,7 @@
 	}
 	service := compiled.Services[0]
 	if compiled.Total > 0 {
-		service = compiled.Draw(rand.IntN(compiled.Total))
+		service = compiled.Pick(rand.IntN(compiled.Total))
 	}
 	request.service = view.index.Services[service].Name
 	return 0, ""
@@ -80,7 +80,7 @@
 // timeout where that is shorter.
 func (proxy *Proxy) patience(request *request) time.Duration {
 	timeout := float64(request.route.TimeoutMs)
-	milliseconds, err := strconv.ParseFloat(request.source.Header.Get(proxy.place.Headers.Deadline), 64)
+	milliseconds, err := strconv.ParseFloat(request.source.Header.Get(proxy.config.Headers.Deadline), 64)
 	if err == nil && milliseconds >= 0 && milliseconds < timeout {
 		timeout = milliseconds
 	}
@@ -90,9 +90,9 @@
 // readRequestBody reads the whole body before anything is sent to a backend.
 func (proxy *Proxy) readRequestBody(request *request, most int64) (int, rpc.Code) {
 	source := request.source
-	proxy.inward.pass(int(max(source.ContentLength, 0)), request.begin)
+	proxy.inbound.pass(int(max(source.ContentLength, 0)), request.begin)
 	if most <= 0 {
-		most = bodiesMost
+		most = maxBodies
 	}
 	if source.ContentLength > most {
 		return http.StatusRequestEntityTooLarge, rpc.TooLarge
--- a/proxy/answer.go
+++ b/proxy/answer.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	wholeMost    = 256 << 10
-	surplusMost  = 3
-	interimMost  = 8
-	refusalDrain = 50 * time.Millisecond
+	maxBufferedBody = 256 << 10
+	maxSurplus      = 3
+	maxInterim      = 8
+	refusalDrain    = 50 * time.Millisecond
 )
 
 // answer is a backend's answer: whole, or its head with the rest still to read.
@@ -64,14 +64,14 @@
 		return refusalHead
 	case status < 300 && response.Header.Get(names.Seal) == "":
 		return malformedHead
-	case !repeats && promises(status):
+	case !repeats && promisesNotRun(status):
 		return malformedHead
 	}
 	return finalHead
 }
 
-// promises is whether a status tells the client that the request has not run.
-func promises(status int) bool {
+// promisesNotRun is whether a status tells the client that the request has not run.
+func promisesNotRun(status int) bool {
 	return status == http.StatusRequestTimeout || status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
@@ -126,23 +126,23 @@
 		if err != nil {
 			return nil, lost
 		}
-		kind := proxy.place.Headers.classify(response, request.id, request.route.Kind.Repeats())
+		kind := proxy.config.Headers.classify(response, request.id, request.route.Kind.IsIdempotent())
 		if kind == refusalHead || kind == finalHead {
 			connection.early = !connection.upload.finished()
-			held.target.tell(response.Header.Get(proxy.place.Headers.Load), proxy.clock())
+			held.target.observeLoad(response.Header.Get(proxy.config.Headers.Load), proxy.clock())
 			connection.heed(response.Header.Get("Keep-Alive"))
 		}
 		switch kind {
 		case interimHead:
-			if interim++; interim > interimMost {
+			if interim++; interim > maxInterim {
 				return nil, lost
 			}
 		case surplusHead:
 			proxy.counters.Add("answers_surplus", 1)
-			if surplus++; surplus > surplusMost {
+			if surplus++; surplus > maxSurplus {
 				return nil, lost
 			}
-			if !drained(response) {
+			if !readToEnd(response) {
 				return nil, lost
 			}
 		case refusalHead:
@@ -156,11 +156,11 @@
 	}
 }
 
-// drained reads an answer's body that nobody needs; false when another answer
+// readToEnd reads an answer's body that nobody needs; false when another answer
 // cannot follow it on the connection.
-func drained(response *http.Response) bool {
-	count, err := io.Copy(io.Discard, io.LimitReader(response.Body, wholeMost))
-	return err == nil && count < wholeMost && !response.Close
+func readToEnd(response *http.Response) bool {
+	count, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedBody))
+	return err == nil && count < maxBufferedBody && !response.Close
 }
 
 // takeRefusal gives the connection of a refusal back. The head alone says that the
@@ -168,7 +168,7 @@
 func (proxy *Proxy) takeRefusal(target *target, connection *connection, response *http.Response, stop func() bool) {
 	if stop() {
 		err := connection.conn.SetDeadline(proxy.clock().Add(refusalDrain))
-		proxy.release(target, connection, err == nil && drained(response))
+		proxy.release(target, connection, err == nil && readToEnd(response))
 	} else {
 		target.drop(connection)
 	}
@@ -181,25 +181,25 @@
 // readBody reads the body of an answer, or the first part of a large one.
 func (proxy *Proxy) readBody(request *request, response *http.Response) (*answer, outcome) {
 	got := &answer{response: response}
-	if request.source.Method == http.MethodHead || !bodied(response.StatusCode) {
+	if request.source.Method == http.MethodHead || !hasBody(response.StatusCode) {
 		return got, answered
 	}
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 		return nil, lost
 	}
 	buffer := bytes.Buffer{}
-	if response.ContentLength > 0 && response.ContentLength <= wholeMost {
+	if response.ContentLength > 0 && response.ContentLength <= maxBufferedBody {
 		buffer.Grow(int(response.ContentLength) + bytes.MinRead)
 	}
-	source := &paced{from: response.Body, lane: proxy.inward, ctx: request.within, clock: proxy.clock, large: response.ContentLength > bulkLeast}
-	count, err := io.Copy(&buffer, io.LimitReader(source, wholeMost))
+	source := &shapedReader{from: response.Body, shaper: proxy.inbound, ctx: request.within, clock: proxy.clock, large: response.ContentLength > bulkLeast}
+	count, err := io.Copy(&buffer, io.LimitReader(source, maxBufferedBody))
 	if err != nil {
 		return nil, lost
 	}
 	got.body = buffer.Bytes()
 	switch {
 	case response.ContentLength >= 0 && count == response.ContentLength:
-	case count == wholeMost:
+	case count == maxBufferedBody:
 		got.rest = source
 	case response.ContentLength >= 0:
 		return nil, lost
@@ -207,7 +207,7 @@
 	return got, answered
 }
 
-// bodied is whether an answer of this status may have a body.
-func bodied(status int) bool {
+// hasBody is whether an answer of this status may have a body.
+func hasBody(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -55,7 +55,7 @@
 // connect gives a connection to the target, an idle one or a new one; nil when there
 // is none to have.
 func (proxy *Proxy) connect(held *candidate, most int, limit time.Time) *connection {
-	if taken := held.target.take(proxy.clock()); taken != nil {
+	if taken := held.target.reserveWarmup(proxy.clock()); taken != nil {
 		return taken
 	}
 	if !held.target.reserve(most) {
@@ -87,7 +87,7 @@
 // attempt sends the request to one backend and reads what it answers. One that may
 // have run already, and may run only once, is sent nowhere.
 func (proxy *Proxy) attempt(request *request, held *candidate, most int) (*answer, outcome) {
-	if request.exposed && !request.route.Kind.Repeats() {
+	if request.exposed && !request.route.Kind.IsIdempotent() {
 		proxy.counters.Add("repeats_prevented", 1)
 		return nil, lost
 	}
@@ -101,13 +101,13 @@
 	}
 	before := request.exposed
 	request.exposed = true
-	begun := proxy.meter.begin(request.tenantName())
+	begun := proxy.usageMeter.begin(request.tenantName())
 	answer, ended := proxy.exchange(request, held, connection)
 	notRun := ended == unsent || ended == refused
 	if notRun {
 		request.exposed = before
 	}
-	proxy.meter.settle(begun, !notRun)
+	proxy.usageMeter.settle(begun, !notRun)
 	return answer, ended
 }
 
@@ -183,7 +183,7 @@
 
 // head is the request's line and fields as this backend gets them.
 func (proxy *Proxy) head(request *request, backend string, left time.Duration) []byte {
-	names, source := &proxy.place.Headers, request.source
+	names, source := &proxy.config.Headers, request.source
 	head := make([]byte, 0, 512+min(len(request.body), smallBody))
 	head = append(head, source.Method...)
 	head = append(head, ' ')
--- a/proxy/attempt_test.go
+++ b/proxy/attempt_test.go
@@ -388,7 +388,7 @@
 func TestRefusalWithLargeBodyTaintsConnection(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1").then(func(exchange *exchange) bool {
-			all := bare(exchange.get("Attempt"), "503 Service Unavailable", "Not-Executed: full\r\n", string(letters(0, wholeMost+connectionBuffer)))
+			all := bare(exchange.get("Attempt"), "503 Service Unavailable", "Not-Executed: full\r\n", string(letters(0, maxBufferedBody+connectionBuffer)))
 			exchange.say("%s", all[:len(all)-connectionBuffer])
 			exchange.backend.goroutines.Sleep(5 * time.Millisecond)
 			exchange.say("%s", all[len(all)-connectionBuffer:])
@@ -430,7 +430,7 @@
 
 // Streamed answers come whole and unchanged, or visibly cut.
 func TestLargeAnswers(test *testing.T) {
-	for _, size := range []int{0, 1, wholeMost - 1, wholeMost, wholeMost + 1, 3 * wholeMost} {
+	for _, size := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3 * maxBufferedBody} {
 		for _, inChunks := range []bool{false, true} {
 			inWorld(test, func(world *world) {
 				world.add("b1").then(large(size, size, inChunks))
@@ -451,7 +451,7 @@
 				inWorld(test, func(world *world) {
 					world.add("b1").then(large(size, size-1, inChunks))
 					reply, _ := world.get(path)
-					if reply.broken == nil && reply.status < 500 || size > wholeMost && reply.broken == nil {
+					if reply.broken == nil && reply.status < 500 || size > maxBufferedBody && reply.broken == nil {
 						test.Errorf("%s: %d bytes less one in chunks %v: %d, %d bytes", path, size, inChunks, reply.status, len(reply.body))
 					}
 					reply, id := world.get("/once/b")
@@ -466,7 +466,7 @@
 func TestStreamThatStops(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1").then(func(exchange *exchange) bool {
-			large(4*wholeMost, 2*wholeMost, false)(exchange)
+			large(4*maxBufferedBody, 2*maxBufferedBody, false)(exchange)
 			return silent(exchange)
 		})
 		reply, _ := world.get("/load/a")
@@ -479,7 +479,7 @@
 // A stream keeps its place at the backend until its end.
 func TestStreamKeepsItsPlace(test *testing.T) {
 	inWorld(test, func(world *world) {
-		world.add("b1").then(large(4*wholeMost, 4*wholeMost, false))
+		world.add("b1").then(large(4*maxBufferedBody, 4*maxBufferedBody, false))
 		client := world.client()
 		defer client.pipe.Close()
 		client.send(raw("GET", "/load/a", "id", "", ""))
@@ -606,8 +606,8 @@
 		reply, id := world.get("/once/a")
 		world.good(reply, id)
 		for number, want := range []string{"1500", "1200"} {
-			if told := world.arrivals()[number].get("Deadline"); told != want {
-				test.Errorf("told %s", told)
+			if response := world.arrivals()[number].get("Deadline"); response != want {
+				test.Errorf("told %s", response)
 			}
 		}
 	})
--- a/proxy/carry.go
+++ b/proxy/carry.go
@@ -31,7 +31,7 @@
 			return
 		}
 		held.target.leave()
-		if ended != unsent && proxy.lines.waiting() {
+		if ended != unsent && proxy.queues.waiting() {
 			proxy.freed.Notify()
 		}
 		request.tried = append(request.tried, held.target)
@@ -78,20 +78,20 @@
 	if how == noneLeft && request.attempts == 0 && left > 0 {
 		request.tried = request.tried[:0]
 	}
-	if how == noneAllowed || left <= 0 || !proxy.lines.enter(request.rank) {
+	if how == noneAllowed || left <= 0 || !proxy.queues.enter(request.rank) {
 		return false
 	}
 	proxy.move(request, waiting)
-	proxy.freed.Wait(seen, min(left, waitPace))
-	proxy.lines.leave(request.rank)
+	proxy.freed.Wait(seen, min(left, waitInterval))
+	proxy.queues.leave(request.rank)
 	return true
 }
 
 // settle takes what an attempt came to; true when the client has its answer.
 func (proxy *Proxy) settle(request *request, answer *answer, ended outcome) bool {
-	repeats := request.route.Kind.Repeats()
+	repeats := request.route.Kind.IsIdempotent()
 	if ended == unsent {
-		if len(request.tried) > unsentMost {
+		if len(request.tried) > maxUnsent {
 			proxy.refuse(request, http.StatusServiceUnavailable, rpc.NoBackend)
 			return true
 		}
--- a/proxy/choose.go
+++ b/proxy/choose.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	connectionsMost = 64
+	maxConnections  = 64
 	queueDepth      = 2.0
 	nearPenalty     = 100.0
 	farPenalty      = 300.0
 	kilobytePenalty = 10.0
-	nearMost        = 0.5
-	farMost         = 0.75
+	maxNear         = 0.5
+	maxFar          = 0.75
 )
 
 // choice is what choosing ended with.
@@ -53,11 +53,11 @@
 		far := 0.0
 		switch held.far {
 		case sameRegion:
-			far = min(nearPenalty+kilobytes*kilobytePenalty, nearMost*float64(request.route.TargetMs))
+			far = min(nearPenalty+kilobytes*kilobytePenalty, maxNear*float64(request.route.TargetMs))
 		case otherRegion:
-			far = min(farPenalty+kilobytes*kilobytePenalty, farMost*float64(request.route.TargetMs))
+			far = min(farPenalty+kilobytes*kilobytePenalty, maxFar*float64(request.route.TargetMs))
 		}
-		cost, isFull, ejected := held.target.weigh(now, mean, far)
+		cost, isFull, ejected := held.target.setWeight(now, mean, far)
 		if held.cold(now, trueNow) {
 			if !held.owned || isFull || ejected {
 				continue
@@ -99,5 +99,5 @@
 
 // cold is whether a backend may bear only its warm-up rate.
 func (held *candidate) cold(now time.Time, trueNow int64) bool {
-	return held.warmAt > trueNow || held.target.doubted(now)
+	return held.warmAt > trueNow || held.target.isSuspect(now)
 }
--- a/proxy/choose_test.go
+++ b/proxy/choose_test.go
@@ -13,7 +13,7 @@
 func TestChoosesNearThenIdle(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		proxies[0].Lay(&route.Book{Config: ownConfig()}, table)
+		proxies[0].Apply(&route.State{Config: ownConfig()}, table)
 		if held, _ := proxies[0].pick(nil, nil); held.target.backend.Name != "near" {
 			test.Errorf("chose %s", held.target.backend.Name)
 		}
@@ -50,7 +50,7 @@
 		for _, name := range []string{"a", "b", "c", "d"} {
 			backends = append(backends, message.Backend{Name: name, Service: "plain", Zone: "e1", Capacity: 4})
 		}
-		proxy.Lay(&route.Book{Config: ownConfig()}, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends})
+		proxy.Apply(&route.State{Config: ownConfig()}, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends})
 		counts := map[string]int{}
 		for range 400 {
 			held, _ := proxy.pick(nil, nil)
@@ -69,7 +69,7 @@
 func TestOverflowIsNotForTheLeftOut(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		proxies[0].Lay(&route.Book{Config: ownConfig()}, table)
+		proxies[0].Apply(&route.State{Config: ownConfig()}, table)
 		proxies[0].targets["far"].failed(time.Now(), true)
 		for range 36 {
 			proxies[0].pick(nil, nil)
@@ -85,7 +85,7 @@
 func TestChoosesUntried(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		proxies[0].Lay(&route.Book{Config: ownConfig()}, table)
+		proxies[0].Apply(&route.State{Config: ownConfig()}, table)
 		tried := []*target{}
 		for range 4 {
 			held, how := proxies[0].pick(nil, nil, tried...)
@@ -126,9 +126,9 @@
 func TestIdleConnectionIsPreferred(test *testing.T) {
 	target := newTarget(message.Backend{Name: "b", Capacity: 4})
 	now := time.Now()
-	bare, _, _ := target.weigh(now, 100, 0)
+	bare, _, _ := target.setWeight(now, 100, 0)
 	target.idle = append(target.idle, &connection{})
-	with, _, _ := target.weigh(now, 100, 0)
+	with, _, _ := target.setWeight(now, 100, 0)
 	if bare-with != openPenalty {
 		test.Errorf("%v without, %v with one", bare, with)
 	}
--- a/proxy/connection.go
+++ b/proxy/connection.go
@@ -20,7 +20,7 @@
 const (
 	connectionIdle   = 8 * time.Second
 	connectionBuffer = 4 << 10
-	headMost         = 256 << 10
+	maxHead          = 256 << 10
 )
 
 // connection carries one request at a time to one backend. It is early when an answer
@@ -36,13 +36,13 @@
 }
 
 func newConnection(conn net.Conn) *connection {
-	head := &io.LimitedReader{R: conn, N: headMost}
+	head := &io.LimitedReader{R: conn, N: maxHead}
 	return &connection{conn: conn, head: head, reader: bufio.NewReaderSize(head, connectionBuffer), used: time.Now(), idle: connectionIdle}
 }
 
 // answer reads the head of an answer; one that does not end is cut off.
 func (connection *connection) answer(to *http.Request) (*http.Response, error) {
-	connection.head.N = headMost
+	connection.head.N = maxHead
 	response, err := http.ReadResponse(connection.reader, to)
 	connection.head.N = math.MaxInt64
 	return response, err
--- a/proxy/connection_test.go
+++ b/proxy/connection_test.go
@@ -82,11 +82,11 @@
 	if _, err := fars[1].Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
 		test.Fatal(err)
 	}
-	taken := held.take(time.Now())
+	taken := held.reserveWarmup(time.Now())
 	if taken == nil || held.open != 1 || len(held.idle) != 0 {
 		test.Fatalf("%v, %d open", taken, held.open)
 	}
-	if held.drop(taken); held.take(time.Now()) != nil || held.open != 0 {
+	if held.drop(taken); held.reserveWarmup(time.Now()) != nil || held.open != 0 {
 		test.Errorf("%d open", held.open)
 	}
 }
@@ -150,7 +150,7 @@
 		if open, _ := world.held("b1"); open != 1 {
 			test.Errorf("%d open early", open)
 		}
-		world.goroutines.Sleep(time.Second + 2*tendPace)
+		world.goroutines.Sleep(time.Second + 2*maintainInterval)
 		if open, _ := world.held("b1"); open != 0 {
 			test.Errorf("%d open late", open)
 		}
--- a/proxy/fuzz_test.go
+++ b/proxy/fuzz_test.go
@@ -334,8 +334,8 @@
 		return
 	}
 	if seal := reply.header.Get("Seal"); seal != "" {
-		for _, told := range held.told {
-			if told.status == reply.status && seal == "s-"+id && reply.header.Get("Attempt") == id && (told.body == reply.body || method == "HEAD" && reply.body == "") {
+		for _, response := range held.told {
+			if response.status == reply.status && seal == "s-"+id && reply.header.Get("Attempt") == id && (response.body == reply.body || method == "HEAD" && reply.body == "") {
 				return
 			}
 		}
--- a/proxy/lines_test.go
+++ b/proxy/lines_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 func TestLines(test *testing.T) {
-	lines := lines{}
-	for range waitingMost {
+	lines := waitQueues{}
+	for range maxWaiting {
 		if !lines.enter(1) {
 			test.Fatal("no place")
 		}
@@ -12,11 +12,11 @@
 	if lines.enter(0) || !lines.waiting() {
 		test.Error("a place too many")
 	}
-	if lines.leave(1); !lines.enter(0) || lines.count[0] != 1 || lines.count[1] != waitingMost-1 {
+	if lines.leave(1); !lines.enter(0) || lines.count[0] != 1 || lines.count[1] != maxWaiting-1 {
 		test.Errorf("%v", lines.count)
 	}
 	lines.leave(0)
-	for range waitingMost - 1 {
+	for range maxWaiting - 1 {
 		lines.leave(1)
 	}
 	if lines.waiting() {
@@ -26,12 +26,12 @@
 
 // Bodies together are bounded; one alone is always taken.
 func TestBodies(test *testing.T) {
-	bodies := bodies{}
-	if !bodies.take(2*bodiesMost) || bodies.take(1) {
+	bodies := bodyMemory{}
+	if !bodies.take(2*maxBodies) || bodies.take(1) {
 		test.Error("beside one that is too large")
 	}
-	bodies.give(2 * bodiesMost)
-	if !bodies.take(bodiesMost-1) || !bodies.take(1) || bodies.take(1) {
+	bodies.give(2 * maxBodies)
+	if !bodies.take(maxBodies-1) || !bodies.take(1) || bodies.take(1) {
 		test.Error("not just what there is room for")
 	}
 }
--- a/proxy/link.go
+++ b/proxy/link.go
@@ -17,32 +17,32 @@
 	linkUse     = 0.9
 	linkPace    = 100 * time.Millisecond
 	urgentShare = 0.4
-	urgentRoom  = 1.1
+	urgentBurst = 1.1
 )
 
-// Lane is one direction of this machine's link. Small answers and requests pass at
+// Shaper is one direction of this machine's link. Small answers and requests pass at
 // once; large ones take what these leave, and never less than their floor.
-type Lane struct {
+type Shaper struct {
 	whole float64
 	bulk  *rate.Limiter
 
-	mutex  sync.Mutex
-	bytes  float64
-	urgent float64
-	laid   time.Time
+	mutex   sync.Mutex
+	bytes   float64
+	urgent  float64
+	hasRate time.Time
 }
 
-// newLane is nil for a link without a bound.
-func newLane(bytesPerSecond float64, now time.Time) *Lane {
+// newShaper is nil for a link without a bound.
+func newShaper(bytesPerSecond float64, now time.Time) *Shaper {
 	if bytesPerSecond <= 0 {
 		return nil
 	}
-	return &Lane{whole: bytesPerSecond, bulk: rate.NewLimiter(rate.Limit(bytesPerSecond*linkUse), bulkBurst), laid: now}
+	return &Shaper{whole: bytesPerSecond, bulk: rate.NewLimiter(rate.Limit(bytesPerSecond*linkUse), bulkBurst), hasRate: now}
 }
 
-// Gate lets so many large answers be fetched at once that what their senders have
+// TransferLimiter lets so many large answers be fetched at once that what their senders have
 // under way never fills the link for long; a reader alone cannot hold them back.
-type Gate struct {
+type TransferLimiter struct {
 	most int
 
 	mutex sync.Mutex
@@ -50,75 +50,75 @@
 }
 
 const (
-	gateSpan   = 0.3
-	gateWindow = 64 << 10
-	gateLeast  = 2
+	transferSpan   = 0.3
+	transferWindow = 64 << 10
+	minTransfers   = 2
 )
 
-// newGate is nil for a link without a bound.
-func newGate(bytesPerSecond float64) *Gate {
+// newTransferLimiter is nil for a link without a bound.
+func newTransferLimiter(bytesPerSecond float64) *TransferLimiter {
 	if bytesPerSecond <= 0 {
 		return nil
 	}
-	return &Gate{most: max(gateLeast, int(bytesPerSecond*gateSpan/gateWindow))}
+	return &TransferLimiter{most: max(minTransfers, int(bytesPerSecond*transferSpan/transferWindow))}
 }
 
-func (gate *Gate) enter() bool {
-	if gate == nil {
+func (transfers *TransferLimiter) enter() bool {
+	if transfers == nil {
 		return true
 	}
-	gate.mutex.Lock()
-	defer gate.mutex.Unlock()
-	if gate.held >= gate.most {
+	transfers.mutex.Lock()
+	defer transfers.mutex.Unlock()
+	if transfers.held >= transfers.most {
 		return false
 	}
-	gate.held++
+	transfers.held++
 	return true
 }
 
-func (gate *Gate) leave() {
-	if gate == nil {
+func (transfers *TransferLimiter) leave() {
+	if transfers == nil {
 		return
 	}
-	gate.mutex.Lock()
-	gate.held--
-	gate.mutex.Unlock()
+	transfers.mutex.Lock()
+	transfers.held--
+	transfers.mutex.Unlock()
 }
 
 // pass counts bytes that go at once.
-func (lane *Lane) pass(bytes int, now time.Time) {
-	if lane == nil {
+func (shaper *Shaper) pass(bytes int, now time.Time) {
+	if shaper == nil {
 		return
 	}
-	lane.mutex.Lock()
-	lane.bytes += float64(bytes)
-	lane.lay(now)
-	lane.mutex.Unlock()
+	shaper.mutex.Lock()
+	shaper.bytes += float64(bytes)
+	shaper.setRate(now)
+	shaper.mutex.Unlock()
 }
 
-// lay sets what is left for large answers by what small ones took of late.
-func (lane *Lane) lay(now time.Time) {
-	span := now.Sub(lane.laid)
+// setRate sets what is left for large answers by what small ones took of late.
+func (shaper *Shaper) setRate(now time.Time) {
+	span := now.Sub(shaper.hasRate)
 	if span < linkPace {
 		return
 	}
-	lane.urgent += urgentShare * (lane.bytes/span.Seconds() - lane.urgent)
-	lane.bytes, lane.laid = 0, now
-	lane.bulk.SetLimitAt(now, rate.Limit(max(bulkFloor*lane.whole, linkUse*lane.whole-urgentRoom*lane.urgent)))
+	shaper.urgent += urgentShare * (shaper.bytes/span.Seconds() - shaper.urgent)
+	shaper.bytes, shaper.hasRate = 0, now
+	shaper.bulk.SetLimitAt(now, rate.Limit(max(bulkFloor*shaper.whole, linkUse*shaper.whole-urgentBurst*shaper.urgent)))
 }
 
 // wait holds a part of a large answer until its turn; an error when its time ends
 // before that.
-func (lane *Lane) wait(ctx context.Context, bytes int, now time.Time) error {
-	if lane == nil {
+func (shaper *Shaper) wait(ctx context.Context, bytes int, now time.Time) error {
+	if shaper == nil {
 		return nil
 	}
-	lane.mutex.Lock()
-	lane.lay(now)
-	lane.mutex.Unlock()
+	shaper.mutex.Lock()
+	shaper.setRate(now)
+	shaper.mutex.Unlock()
 	for bytes > 0 {
 		part := min(bytes, bulkBurst)
-		if err := lane.bulk.WaitN(ctx, part); err != nil {
+		if err := shaper.bulk.WaitN(ctx, part); err != nil {
 			return err
 		}
 		bytes -= part
@@ -126,52 +126,52 @@
 	return nil
 }
 
-// paced reads through a lane: what goes beyond a small answer waits for its turn.
-type paced struct {
-	from  io.Reader
-	lane  *Lane
-	ctx   context.Context
-	clock func() time.Time
-	large bool
-	count int
+// shapedReader reads through a lane: what goes beyond a small answer waits for its turn.
+type shapedReader struct {
+	from   io.Reader
+	shaper *Shaper
+	ctx    context.Context
+	clock  func() time.Time
+	large  bool
+	count  int
 }
 
-func (paced *paced) Read(body []byte) (int, error) {
-	if paced.lane == nil {
+func (paced *shapedReader) Read(body []byte) (int, error) {
+	if paced.shaper == nil {
 		return paced.from.Read(body)
 	}
 	count, err := paced.from.Read(body[:min(len(body), bulkChunk)])
 	if paced.count += count; paced.large || paced.count > bulkLeast {
-		if late := paced.lane.wait(paced.ctx, count, paced.clock()); late != nil {
+		if late := paced.shaper.wait(paced.ctx, count, paced.clock()); late != nil {
 			return count, late
 		}
 	} else {
-		paced.lane.pass(count, paced.clock())
+		paced.shaper.pass(count, paced.clock())
 	}
 	return count, err
 }
 
-// pacedWriter writes through a lane in the same way.
-type pacedWriter struct {
-	to    io.Writer
-	lane  *Lane
-	ctx   context.Context
-	clock func() time.Time
-	large bool
+// shapedWriter writes through a lane in the same way.
+type shapedWriter struct {
+	to     io.Writer
+	shaper *Shaper
+	ctx    context.Context
+	clock  func() time.Time
+	large  bool
 }
 
-func (paced *pacedWriter) Write(body []byte) (int, error) {
-	if paced.lane == nil {
+func (paced *shapedWriter) Write(body []byte) (int, error) {
+	if paced.shaper == nil {
 		return paced.to.Write(body)
 	}
 	if !paced.large {
-		paced.lane.pass(len(body), paced.clock())
+		paced.shaper.pass(len(body), paced.clock())
 		return paced.to.Write(body)
 	}
 	written := 0
 	for written < len(body) {
 		part := body[written:min(len(body), written+bulkChunk)]
-		if late := paced.lane.wait(paced.ctx, len(part), paced.clock()); late != nil {
+		if late := paced.shaper.wait(paced.ctx, len(part), paced.clock()); late != nil {
 			return written, late
 		}
 		count, err := paced.to.Write(part)
--- a/proxy/link_test.go
+++ b/proxy/link_test.go
@@ -12,8 +12,8 @@
 )
 
 // large reads an endless answer through a lane for a while and gives its bytes a second.
-func (lane *Lane) large(span time.Duration) float64 {
-	source := &paced{from: endless{}, lane: lane, ctx: context.Background(), clock: time.Now, large: true}
+func (shaper *Shaper) large(span time.Duration) float64 {
+	source := &shapedReader{from: endless{}, shaper: shaper, ctx: context.Background(), clock: time.Now, large: true}
 	begin, body, count := time.Now(), make([]byte, bulkChunk), 0
 	for time.Since(begin) < span {
 		read, _ := source.Read(body)
@@ -31,19 +31,19 @@
 	const whole = 1 << 20
 	for _, step := range []struct{ small, least, most float64 }{{0, 0.88, 0.95}, {0.3, 0.53, 0.62}, {0.6, 0.24, 0.28}, {2, 0.24, 0.28}} {
 		synctest.Test(test, func(test *testing.T) {
-			lane := newLane(whole, time.Now())
+			shaper := newShaper(whole, time.Now())
 			for range 40 {
 				time.Sleep(50 * time.Millisecond)
-				lane.pass(int(step.small*whole/20), time.Now())
+				shaper.pass(int(step.small*whole/20), time.Now())
 			}
 			stop := time.Now().Add(5 * time.Second)
 			go func() {
 				for time.Now().Before(stop) {
 					time.Sleep(50 * time.Millisecond)
-					lane.pass(int(step.small*whole/20), time.Now())
+					shaper.pass(int(step.small*whole/20), time.Now())
 				}
 			}()
-			if got := lane.large(4*time.Second) / whole; got < step.least || got > step.most {
+			if got := shaper.large(4*time.Second) / whole; got < step.least || got > step.most {
 				test.Errorf("beside %v of the link: %.3f", step.small, got)
 			}
 			synctest.Wait()
@@ -56,21 +56,21 @@
 // large waits from where it is.
 func TestSmallPassAtOnce(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		lane := newLane(100<<10, time.Now())
-		lane.large(time.Second)
+		shaper := newShaper(100<<10, time.Now())
+		shaper.large(time.Second)
 		begin := time.Now()
-		small := &paced{from: bytes.NewReader(make([]byte, bulkLeast)), lane: lane, ctx: context.Background(), clock: time.Now}
+		small := &shapedReader{from: bytes.NewReader(make([]byte, bulkLeast)), shaper: shaper, ctx: context.Background(), clock: time.Now}
 		if body, err := io.ReadAll(small); len(body) != bulkLeast || err != nil {
 			test.Errorf("%d bytes, %v", len(body), err)
 		}
 		written := &bytes.Buffer{}
-		if _, err := (&pacedWriter{to: written, lane: lane, ctx: context.Background(), clock: time.Now}).Write(make([]byte, 20<<10)); err != nil {
+		if _, err := (&shapedWriter{to: written, shaper: shaper, ctx: context.Background(), clock: time.Now}).Write(make([]byte, 20<<10)); err != nil {
 			test.Error(err)
 		}
 		if took := time.Since(begin); took > 0 || written.Len() != 20<<10 {
 			test.Errorf("%v for %d bytes", took, written.Len())
 		}
-		grows := &paced{from: bytes.NewReader(make([]byte, 2*bulkLeast)), lane: lane, ctx: context.Background(), clock: time.Now}
+		grows := &shapedReader{from: bytes.NewReader(make([]byte, 2*bulkLeast)), shaper: shaper, ctx: context.Background(), clock: time.Now}
 		if _, err := io.ReadAll(grows); err != nil {
 			test.Error(err)
 		}
@@ -83,11 +83,11 @@
 // A part whose turn is after the request's end ends it, and what was written is told.
 func TestPacedPartsEndInTime(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		lane := newLane(16<<10, time.Now())
+		shaper := newShaper(16<<10, time.Now())
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		begin, written := time.Now(), &bytes.Buffer{}
-		count, err := (&pacedWriter{to: written, lane: lane, ctx: ctx, clock: time.Now, large: true}).Write(make([]byte, 200<<10))
+		count, err := (&shapedWriter{to: written, shaper: shaper, ctx: ctx, clock: time.Now, large: true}).Write(make([]byte, 200<<10))
 		if err == nil || count != written.Len() || count < bulkBurst || count > 64<<10 || time.Since(begin) > time.Second {
 			test.Errorf("%d of %d bytes after %v: %v", count, written.Len(), time.Since(begin), err)
 		}
@@ -95,10 +95,10 @@
 }
 
 func TestLinkWithoutABound(test *testing.T) {
-	lane := newLane(0, time.Now())
-	lane.pass(1<<30, time.Now())
-	if err := lane.wait(context.Background(), 1<<30, time.Now()); err != nil || lane != nil {
-		test.Errorf("%v, %v", lane, err)
+	shaper := newShaper(0, time.Now())
+	shaper.pass(1<<30, time.Now())
+	if err := shaper.wait(context.Background(), 1<<30, time.Now()); err != nil || shaper != nil {
+		test.Errorf("%v, %v", shaper, err)
 	}
 }
 
@@ -106,10 +106,10 @@
 // are refused in time where they wait in vain.
 func TestLargeAnswersTakeTurns(test *testing.T) {
 	inWorld(test, func(world *world) {
-		world.proxy.gate = newGate(1)
+		world.proxy.transfers = newTransferLimiter(1)
 		world.add("b1").ever(after(300*time.Millisecond, well))
 		request := &request{route: &route.Route{Kind: route.Download, TargetMs: 1000}, context: context.Background(), begin: time.Now(), limit: time.Now().Add(2 * time.Second)}
-		for range gateLeast {
+		for range minTransfers {
 			if !world.proxy.pass(request) {
 				test.Error("refused where there is room")
 			}
@@ -121,7 +121,7 @@
 		request.begin, request.limit = time.Now(), time.Now().Add(2*time.Second)
 		world.goroutines.Start(func() {
 			world.goroutines.Sleep(200 * time.Millisecond)
-			world.proxy.gate.leave()
+			world.proxy.transfers.leave()
 			world.proxy.freed.Notify()
 		})
 		begin = time.Now()
--- a/proxy/meter.go
+++ b/proxy/meter.go
@@ -10,19 +10,19 @@
 
 const meterWindows = 7
 
-// Meter counts the requests that began at backends, by window of true time and tenant.
-type Meter struct {
+// UsageMeter counts the requests that began at backends, by window of true time and tenant.
+type UsageMeter struct {
 	window time.Duration
 	now    func() int64
 
-	mutex   sync.Mutex
-	windows map[int64]map[string]uint64
-	owed    map[string]uint64
-	running map[*begun]bool
+	mutex     sync.Mutex
+	windows   map[int64]map[string]uint64
+	unsettled map[string]uint64
+	running   map[*startedRequest]bool
 }
 
-// begun is a request that was sent and has no answer yet.
-type begun struct {
+// startedRequest is a request that was sent and has no answer yet.
+type startedRequest struct {
 	tenant  string
 	at      int64
 	counted bool
@@ -31,14 +31,14 @@
 // surely is after how long without a refusal a request counts as begun.
 const surely = 150
 
-func newMeter(window time.Duration, now func() int64) *Meter {
-	return &Meter{window: window, now: now, windows: map[int64]map[string]uint64{}, owed: map[string]uint64{}, running: map[*begun]bool{}}
+func newUsageMeter(window time.Duration, now func() int64) *UsageMeter {
+	return &UsageMeter{window: window, now: now, windows: map[int64]map[string]uint64{}, unsettled: map[string]uint64{}, running: map[*startedRequest]bool{}}
 }
 
 // begin takes a request that is sent now. It counts before its answer comes, or
 // those under way would be lost with the process.
-func (meter *Meter) begin(tenant string) *begun {
-	begun := &begun{tenant: tenant, at: meter.now()}
+func (meter *UsageMeter) begin(tenant string) *startedRequest {
+	begun := &startedRequest{tenant: tenant, at: meter.now()}
 	if tenant != "" && meter.window > 0 {
 		meter.mutex.Lock()
 		meter.running[begun] = true
@@ -49,7 +49,7 @@
 
 // settle ends it. Counts never fall: one that counted and had not begun after all
 // stands for the tenant's next.
-func (meter *Meter) settle(begun *begun, ran bool) {
+func (meter *UsageMeter) settle(begun *startedRequest, ran bool) {
 	if begun.tenant == "" || meter.window <= 0 {
 		return
 	}
@@ -58,24 +58,24 @@
 	delete(meter.running, begun)
 	switch {
 	case ran && !begun.counted:
-		meter.lay(begun.tenant, begun.at)
+		meter.add(begun.tenant, begun.at)
 	case !ran && begun.counted:
-		meter.owed[begun.tenant]++
+		meter.unsettled[begun.tenant]++
 	}
 }
 
-func (meter *Meter) count(tenant string, ago time.Duration) {
+func (meter *UsageMeter) count(tenant string, ago time.Duration) {
 	if tenant == "" || meter.window <= 0 {
 		return
 	}
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
-	meter.lay(tenant, meter.now()-ago.Milliseconds())
+	meter.add(tenant, meter.now()-ago.Milliseconds())
 }
 
-func (meter *Meter) lay(tenant string, at int64) {
-	if meter.owed[tenant] > 0 {
-		meter.owed[tenant]--
+func (meter *UsageMeter) add(tenant string, at int64) {
+	if meter.unsettled[tenant] > 0 {
+		meter.unsettled[tenant]--
 		return
 	}
 	number := at / meter.window.Milliseconds()
@@ -93,13 +93,13 @@
 }
 
 // Windows are the running counts of the last windows.
-func (meter *Meter) Windows() []message.WindowCount {
+func (meter *UsageMeter) Windows() []message.WindowCount {
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
 	for begun := range meter.running {
 		if !begun.counted && meter.now()-begun.at >= surely {
 			begun.counted = true
-			meter.lay(begun.tenant, begun.at)
+			meter.add(begun.tenant, begun.at)
 		}
 	}
 	all := make([]message.WindowCount, 0, len(meter.windows))
--- a/proxy/meter_test.go
+++ b/proxy/meter_test.go
@@ -9,7 +9,7 @@
 // Counts fall into the window in which the request began, and old windows go.
 func TestMeterWindows(test *testing.T) {
 	now := int64(50_000)
-	meter := newMeter(5*time.Second, func() int64 { return now })
+	meter := newUsageMeter(5*time.Second, func() int64 { return now })
 	meter.count("a", 0)
 	meter.count("a", time.Millisecond)
 	meter.count("b", 5*time.Second+time.Millisecond)
@@ -36,7 +36,7 @@
 			test.Errorf("window %d is kept: %v", window.Window, window.Tenants)
 		}
 	}
-	none := newMeter(0, func() int64 { return now })
+	none := newUsageMeter(0, func() int64 { return now })
 	none.count("a", 0)
 	if len(none.Windows()) != 0 {
 		test.Error("counted without windows")
@@ -50,7 +50,7 @@
 		want uint64
 	}{
 		"well": {well, 1}, "shed": {shed, 0}, "misdirected": {misdirected, 0}, "reset": {resetAfterReading, 1}, "silence": {silent, 1}, "own 500": {status("500 Internal Server Error"), 1},
-		"streamed": {large(2*wholeMost, 2*wholeMost, false), 1}, "cut": {half, 1},
+		"streamed": {large(2*maxBufferedBody, 2*maxBufferedBody, false), 1}, "cut": {half, 1},
 	} {
 		inWorld(test, func(world *world) {
 			world.add("b1").ever(play.does)
@@ -96,7 +96,7 @@
 // late stands for the tenant's next.
 func TestMeterCountsWhatIsUnderWay(test *testing.T) {
 	now := int64(50_000)
-	meter := newMeter(5*time.Second, func() int64 { return now })
+	meter := newUsageMeter(5*time.Second, func() int64 { return now })
 	total := func() uint64 {
 		sum := uint64(0)
 		for _, window := range meter.Windows() {
--- a/proxy/place.go
+++ b/proxy/place.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Place is what a proxy is told of itself and of its bounds.
-type Place struct {
+// Config is what a proxy is told of itself and of its bounds.
+type Config struct {
 	Name         string
 	Zone         string
 	Regions      map[string]string
@@ -17,7 +17,7 @@
 	LinkBytes    float64
 }
 
-func (place *Place) region() string { return place.Regions[place.Zone] }
+func (place *Config) region() string { return place.Regions[place.Zone] }
 
 // distance is how far a zone lies: its own, its region's or beyond.
 type distance uint8
@@ -28,7 +28,7 @@
 	otherRegion
 )
 
-func (place *Place) distance(zone string) distance {
+func (place *Config) distance(zone string) distance {
 	switch {
 	case zone == place.Zone:
 		return sameZone
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	tendPace   = 250 * time.Millisecond
-	waitPace   = 50 * time.Millisecond
-	unsentMost = 6
-	doubtSlack = 2 * time.Second
+	maintainInterval = 250 * time.Millisecond
+	waitInterval     = 50 * time.Millisecond
+	maxUnsent        = 6
+	suspectSlack     = 2 * time.Second
 )
 
 // Proxy carries clients' requests to backends by the view in force.
 type Proxy struct {
-	place      Place
+	config     Config
 	dial       Dialer
 	goroutines *concurrent.Group
 	counters   *metrics.Counters
@@ -29,52 +29,52 @@
 	now        func() int64
 	withheld   map[string]bool
 	view       atomic.Pointer[View]
-	stat       *Stat
-	meter      *Meter
+	stats      *RouteStats
+	usageMeter *UsageMeter
 	freed      *concurrent.Condition
-	lines      lines
-	flight     flight
-	bodies     bodies
-	inward     *Lane
-	outward    *Lane
-	gate       *Gate
+	queues     waitQueues
+	inFlight   inFlightCounts
+	bodies     bodyMemory
+	inbound    *Shaper
+	outbound   *Shaper
+	transfers  *TransferLimiter
 	leaving    atomic.Bool
 
-	laying    sync.Mutex
-	targets   map[string]*target
-	budgets   map[string]*Budget
-	evacuated map[string]bool
-	most      int
+	applyMutex sync.Mutex
+	targets    map[string]*target
+	budgets    map[string]*Budget
+	evacuated  map[string]bool
+	most       int
 }
 
 // NewProxy makes a proxy; now gives true time in milliseconds.
-func NewProxy(place Place, dial Dialer, now func() int64, goroutines *concurrent.Group, counters *metrics.Counters) *Proxy {
-	proxy := &Proxy{place: place, dial: dial, goroutines: goroutines, counters: counters, clock: time.Now, now: now, stat: newStat(), freed: concurrent.NewCondition(),
+func NewProxy(place Config, dial Dialer, now func() int64, goroutines *concurrent.Group, counters *metrics.Counters) *Proxy {
+	proxy := &Proxy{config: place, dial: dial, goroutines: goroutines, counters: counters, clock: time.Now, now: now, stats: newRouteStats(), freed: concurrent.NewCondition(),
 		targets: map[string]*target{}, budgets: map[string]*Budget{}, evacuated: map[string]bool{}, withheld: map[string]bool{}}
-	proxy.inward, proxy.outward = newLane(place.LinkBytes, proxy.clock()), newLane(place.LinkBytes, proxy.clock())
-	proxy.gate = newGate(place.LinkBytes)
-	proxy.meter = newMeter(place.UsageWindow, now)
+	proxy.inbound, proxy.outbound = newShaper(place.LinkBytes, proxy.clock()), newShaper(place.LinkBytes, proxy.clock())
+	proxy.transfers = newTransferLimiter(place.LinkBytes)
+	proxy.usageMeter = newUsageMeter(place.UsageWindow, now)
 	for _, name := range []string{place.Headers.Deadline, place.Headers.Target, place.Headers.Tenant} {
 		proxy.withheld[http.CanonicalHeaderKey(name)] = true
 	}
 	return proxy
 }
 
-func (place *Place) doubtSpan() time.Duration { return place.ListLag + doubtSlack }
+func (place *Config) suspectTTL() time.Duration { return place.ListLag + suspectSlack }
 
 // Run starts the proxy's own duty: old connections go, silent backends are tried.
 func (proxy *Proxy) Run() {
-	proxy.goroutines.Every(concurrent.Fixed(tendPace), proxy.tend)
+	proxy.goroutines.Every(concurrent.Fixed(maintainInterval), proxy.maintain)
 }
 
-func (proxy *Proxy) tend() {
+func (proxy *Proxy) maintain() {
 	now := proxy.clock()
-	proxy.laying.Lock()
+	proxy.applyMutex.Lock()
 	targets := make([]*target, 0, len(proxy.targets))
 	for _, target := range proxy.targets {
 		targets = append(targets, target)
 	}
-	proxy.laying.Unlock()
+	proxy.applyMutex.Unlock()
 	for _, target := range targets {
 		target.expire(now)
 		if target.wakes(now) {
@@ -82,13 +82,13 @@
 		}
 	}
 	if view := proxy.view.Load(); view != nil {
-		proxy.stat.keep(view.book.Config.Routes)
+		proxy.stats.keep(view.book.Config.Routes)
 	}
 }
 
 // revive dials a backend that was left out, so that no request has to find out.
 func (proxy *Proxy) revive(target *target) {
-	if !target.reserve(connectionsMost) {
+	if !target.reserve(maxConnections) {
 		target.revived(proxy.clock(), false)
 		return
 	}
@@ -112,10 +112,10 @@
 func (proxy *Proxy) Leaving() bool { return proxy.leaving.Load() }
 
 // InFlight is how many requests are under way.
-func (proxy *Proxy) InFlight() int { return proxy.flight.now() }
+func (proxy *Proxy) InFlight() int { return proxy.inFlight.now() }
 
 // Ready is whether a view is in force.
 func (proxy *Proxy) Ready() bool { return proxy.view.Load() != nil && !proxy.Leaving() }
 
 // Windows are the usage counts of the last windows.
-func (proxy *Proxy) Windows() []message.WindowCount { return proxy.meter.Windows() }
+func (proxy *Proxy) Windows() []message.WindowCount { return proxy.usageMeter.Windows() }
--- a/proxy/reply.go
+++ b/proxy/reply.go
@@ -57,7 +57,7 @@
 // never looks whole.
 func (proxy *Proxy) finish(request *request, answer *answer) {
 	proxy.move(request, ending)
-	header, names := request.writer.Header(), &proxy.place.Headers
+	header, names := request.writer.Header(), &proxy.config.Headers
 	listed := names.listedByConnection(answer.response.Header)
 	for name, values := range answer.response.Header {
 		if hopByHop[name] || listed[name] || name == "Content-Length" || name == names.Load || name == names.Backend || name == names.Warmup {
@@ -72,11 +72,11 @@
 	switch {
 	case request.source.Method == http.MethodHead && answer.response.ContentLength >= 0, answer.response.ContentLength > int64(size):
 		header.Set("Content-Length", strconv.FormatInt(answer.response.ContentLength, 10))
-	case answer.rest == nil && request.source.Method != http.MethodHead && bodied(answer.response.StatusCode):
+	case answer.rest == nil && request.source.Method != http.MethodHead && hasBody(answer.response.StatusCode):
 		header.Set("Content-Length", strconv.Itoa(size))
 	}
 	request.writer.WriteHeader(answer.response.StatusCode)
-	writer := &pacedWriter{to: request.writer, lane: proxy.outward, ctx: request.within, clock: proxy.clock, large: size > bulkLeast || answer.rest != nil}
+	writer := &shapedWriter{to: request.writer, shaper: proxy.outbound, ctx: request.within, clock: proxy.clock, large: size > bulkLeast || answer.rest != nil}
 	if _, err := writer.Write(answer.body); err != nil {
 		if answer.rest != nil {
 			answer.release(false)
@@ -96,6 +96,6 @@
 	}
 	proxy.counters.Add("answered", 1)
 	if answer.response.StatusCode < 400 {
-		proxy.stat.served(request.route, proxy.clock().Sub(request.begin), size)
+		proxy.stats.served(request.route, proxy.clock().Sub(request.begin), size)
 	}
 }
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -20,7 +20,7 @@
 	ending
 )
 
-var stageChart = [...][]stage{
+var stageTransitions = [...][]stage{
 	arrived: {routed, ending},
 	routed:  {sending, waiting, ending},
 	waiting: {waiting, sending, ending},
@@ -29,11 +29,11 @@
 }
 
 const (
-	limitSlack  = 50 * time.Millisecond
-	waitShare   = 4
-	gateShare   = 2
-	waitingMost = 256
-	bodiesMost  = 96 << 20
+	limitSlack        = 50 * time.Millisecond
+	waitShare         = 4
+	transferWaitShare = 2
+	maxWaiting        = 256
+	maxBodies         = 96 << 20
 
 	firstViewWait = 120 * time.Millisecond
 	firstViewBack = time.Second
@@ -51,7 +51,7 @@
 	id      string
 	route   *route.Route
 	tenant  *route.Tenant
-	stat    *Stat
+	stat    *RouteStats
 	service string
 	rank    int
 	body    []byte
@@ -76,7 +76,7 @@
 	if to == ending && proxy.Leaving() {
 		request.writer.Header().Set("Connection", "close")
 	}
-	for _, next := range stageChart[request.stage] {
+	for _, next := range stageTransitions[request.stage] {
 		if next == to {
 			request.stage = to
 			return
@@ -88,15 +88,15 @@
 
 // ServeHTTP carries one request of a client.
 func (proxy *Proxy) ServeHTTP(writer http.ResponseWriter, source *http.Request) {
-	request := &request{source: source, writer: writer, context: source.Context(), begin: proxy.clock(), stat: proxy.stat}
+	request := &request{source: source, writer: writer, context: source.Context(), begin: proxy.clock(), stat: proxy.stats}
 	proxy.counters.Add("requests", 1)
-	proxy.flight.enter()
-	defer proxy.flight.leave()
+	proxy.inFlight.enter()
+	defer proxy.inFlight.leave()
 	if status := proxy.malformed(request); status != 0 {
 		proxy.refuse(request, status, rpc.BadRequest)
 		return
 	}
-	view := proxy.await(request)
+	view := proxy.awaitResult(request)
 	if view == nil {
 		proxy.refuse(request, http.StatusServiceUnavailable, rpc.NotReady)
 		return
@@ -118,7 +118,7 @@
 			return
 		}
 		defer func() {
-			proxy.gate.leave()
+			proxy.transfers.leave()
 			proxy.freed.Notify()
 		}()
 	}
@@ -127,21 +127,21 @@
 
 // pass waits for a large answer's turn on the link; false when that is too late.
 func (proxy *Proxy) pass(request *request) bool {
-	until := request.begin.Add(min(time.Duration(max(request.route.TargetMs, 40))*time.Millisecond, request.limit.Sub(request.begin)) / gateShare)
-	for !proxy.gate.enter() {
+	until := request.begin.Add(min(time.Duration(max(request.route.TargetMs, 40))*time.Millisecond, request.limit.Sub(request.begin)) / transferWaitShare)
+	for !proxy.transfers.enter() {
 		now := proxy.clock()
 		proxy.endIfGone(request)
 		if !now.Before(until) {
 			proxy.counters.Add("link_full", 1)
 			return false
 		}
-		proxy.freed.Wait(proxy.freed.Count(), min(until.Sub(now), waitPace))
+		proxy.freed.Wait(proxy.freed.Count(), min(until.Sub(now), waitInterval))
 	}
 	return true
 }
 
-// await holds a request for a short while until the first view is in force.
-func (proxy *Proxy) await(request *request) *View {
+// awaitResult holds a request for a short while until the first view is in force.
+func (proxy *Proxy) awaitResult(request *request) *View {
 	until := request.begin.Add(firstViewWait)
 	for {
 		seen := proxy.freed.Count()
--- a/proxy/request_test.go
+++ b/proxy/request_test.go
@@ -17,8 +17,8 @@
 func (world *world) keyed() {
 	world.lay(func() {
 		config := &world.book.Config
-		config.Keyed = true
-		config.Tenants = []route.Tenant{{Name: "first", Keys: []string{"k1", "k2"}}, {Name: "ranked", Keys: []string{"k3"}, Ranked: true, Priority: 5},
+		config.KeysRequired = true
+		config.Tenants = []route.Tenant{{Name: "first", Keys: []string{"k1", "k2"}}, {Name: "ranked", Keys: []string{"k3"}, HasPriority: true, Priority: 5},
 			{Name: "western", Keys: []string{"k4"}, Homes: []string{"west"}}}
 		config.Routes = append(config.Routes, route.Route{Name: "open", Host: "host.example", Prefix: "/open/", TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3, Public: true})
 	})
@@ -344,8 +344,8 @@
 func TestTooManyWait(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.fill(3, time.Second)
-		for range waitingMost {
-			if !world.proxy.lines.enter(3) {
+		for range maxWaiting {
+			if !world.proxy.queues.enter(3) {
 				test.Fatal("no place in line")
 			}
 		}
@@ -394,7 +394,7 @@
 		world.addAt("o1", "other", "e1", 8)
 		world.lay(func() {
 			world.book.Config.Routes[0].Service = ""
-			world.book.Config.Routes[0].Split = []route.Share{{Service: "other", Weight: 90}, {Service: "plain", Weight: 10}}
+			world.book.Config.Routes[0].Split = []route.WeightedService{{Service: "other", Weight: 90}, {Service: "plain", Weight: 10}}
 		})
 		client := world.client()
 		defer client.pipe.Close()
@@ -449,8 +449,8 @@
 // Every stage but the first is reached, and only the end has no way on.
 func TestStageChart(test *testing.T) {
 	reached := map[stage]bool{arrived: true}
-	for range stageChart {
-		for from, nexts := range stageChart {
+	for range stageTransitions {
+		for from, nexts := range stageTransitions {
 			for _, next := range nexts {
 				if reached[stage(from)] {
 					reached[next] = true
@@ -458,12 +458,12 @@
 			}
 		}
 	}
-	for from, nexts := range stageChart {
+	for from, nexts := range stageTransitions {
 		if !reached[stage(from)] || (len(nexts) == 0) != (stage(from) == ending) {
 			test.Errorf("stage %d", from)
 		}
 	}
-	if stageChart[arrived][0] == sending || slices.Contains(stageChart[ending], sending) {
+	if stageTransitions[arrived][0] == sending || slices.Contains(stageTransitions[ending], sending) {
 		test.Error("sent without a route, or after the end")
 	}
 }
--- a/proxy/stat.go
+++ b/proxy/stat.go
@@ -7,10 +7,10 @@
 	"orchidjunction/route"
 )
 
-const statShare = 0.05
+const statWeight = 0.05
 
-// Stat is what the answers of routes took and weighed of late.
-type Stat struct {
+// RouteStats is what the answers of routes took and weighed of late.
+type RouteStats struct {
 	mutex  sync.Mutex
 	routes map[string]*routeStat
 }
@@ -20,9 +20,9 @@
 	kilobytes    float64
 }
 
-func newStat() *Stat { return &Stat{routes: map[string]*routeStat{}} }
+func newRouteStats() *RouteStats { return &RouteStats{routes: map[string]*routeStat{}} }
 
-func (stat *Stat) of(of *route.Route) *routeStat {
+func (stat *RouteStats) of(of *route.Route) *routeStat {
 	held := stat.routes[of.Name]
 	if held == nil {
 		held = &routeStat{milliseconds: float64(max(of.TargetMs, 20)) / 5}
@@ -35,28 +35,28 @@
 }
 
 // expect is how many milliseconds an answer should take and how many kilobytes it has.
-func (stat *Stat) expect(of *route.Route) (float64, float64) {
+func (stat *RouteStats) expect(of *route.Route) (float64, float64) {
 	stat.mutex.Lock()
 	defer stat.mutex.Unlock()
 	held := stat.of(of)
 	return held.milliseconds, held.kilobytes
 }
 
-func (stat *Stat) mean(of *route.Route) float64 {
+func (stat *RouteStats) mean(of *route.Route) float64 {
 	milliseconds, _ := stat.expect(of)
 	return milliseconds
 }
 
-func (stat *Stat) served(of *route.Route, took time.Duration, size int) {
+func (stat *RouteStats) served(of *route.Route, took time.Duration, size int) {
 	stat.mutex.Lock()
 	defer stat.mutex.Unlock()
 	held := stat.of(of)
-	held.milliseconds += statShare * (float64(took.Milliseconds()) - held.milliseconds)
-	held.kilobytes += statShare * (float64(size)/1024 - held.kilobytes)
+	held.milliseconds += statWeight * (float64(took.Milliseconds()) - held.milliseconds)
+	held.kilobytes += statWeight * (float64(size)/1024 - held.kilobytes)
 }
 
 // keep forgets the routes that are not in force.
-func (stat *Stat) keep(routes []route.Route) {
+func (stat *RouteStats) keep(routes []route.Route) {
 	stat.mutex.Lock()
 	defer stat.mutex.Unlock()
 	if len(stat.routes) <= 2*len(routes)+16 {
--- a/proxy/stat_test.go
+++ b/proxy/stat_test.go
@@ -11,7 +11,7 @@
 
 // What is expected of a route begins with its target time and follows its answers.
 func TestStat(test *testing.T) {
-	stat := newStat()
+	stat := newRouteStats()
 	plain, load := &route.Route{Name: "a", TargetMs: 500}, &route.Route{Name: "b", Kind: route.Download}
 	if milliseconds, kilobytes := stat.expect(plain); milliseconds != 100 || kilobytes != 0 {
 		test.Errorf("%v ms, %v KB", milliseconds, kilobytes)
--- a/proxy/target.go
+++ b/proxy/target.go
@@ -58,8 +58,8 @@
 	return float64(target.running) + max(0, others)
 }
 
-// tell takes what the backend says of its load: running, waiting and slots.
-func (target *target) tell(text string, now time.Time) {
+// observeLoad takes what the backend says of its load: running, waiting and slots.
+func (target *target) observeLoad(text string, now time.Time) {
 	parts := strings.Split(text, ",")
 	if len(parts) != 3 {
 		return
@@ -78,7 +78,7 @@
 
 // weight is what choosing this target costs in milliseconds; full is whether its
 // queue is as long as it should be.
-func (target *target) weigh(now time.Time, mean float64, far float64) (cost float64, full, ejected bool) {
+func (target *target) setWeight(now time.Time, mean float64, far float64) (cost float64, full, ejected bool) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	slots := float64(max(target.backend.Capacity, 1))
@@ -106,8 +106,8 @@
 	target.mutex.Unlock()
 }
 
-// take gives an idle connection that is still sound.
-func (target *target) take(now time.Time) *connection {
+// reserveWarmup gives an idle connection that is still sound.
+func (target *target) reserveWarmup(now time.Time) *connection {
 	for {
 		target.mutex.Lock()
 		last := len(target.idle) - 1
@@ -255,8 +255,8 @@
 	target.ejected = now.Add(target.backoff)
 }
 
-// doubt makes the target count as cold until then.
-func (target *target) doubt(until time.Time) {
+// suspectOnce makes the target count as cold until then.
+func (target *target) suspectOnce(until time.Time) {
 	target.mutex.Lock()
 	if target.suspect.Before(until) {
 		target.suspect = until
@@ -264,7 +264,7 @@
 	target.mutex.Unlock()
 }
 
-func (target *target) doubted(now time.Time) bool {
+func (target *target) isSuspect(now time.Time) bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	return now.Before(target.suspect)
--- a/proxy/target_test.go
+++ b/proxy/target_test.go
@@ -39,7 +39,7 @@
 			test.Errorf("%d requests at the dead one", count)
 		}
 		world.doors.serve("b1:80", world.backends["b1"].accept)
-		world.goroutines.Sleep(ejectMost + 2*tendPace)
+		world.goroutines.Sleep(ejectMost + 2*maintainInterval)
 		for range 5 {
 			reply, id := world.get("/once/a")
 			world.good(reply, id)
@@ -59,12 +59,12 @@
 		world.add("b1").then(resetAfterReading, resetAfterReading)
 		world.get("/once/a")
 		world.get("/once/b")
-		if _, _, ejected := world.proxy.targets["b1"].weigh(time.Now(), 10, 0); !ejected {
+		if _, _, ejected := world.proxy.targets["b1"].setWeight(time.Now(), 10, 0); !ejected {
 			test.Error("not left out")
 		}
 		reply, id := world.get("/once/c")
 		world.good(reply, id)
-		if _, _, ejected := world.proxy.targets["b1"].weigh(time.Now(), 10, 0); ejected {
+		if _, _, ejected := world.proxy.targets["b1"].setWeight(time.Now(), 10, 0); ejected {
 			test.Error("still left out after a good answer")
 		}
 	})
@@ -73,7 +73,7 @@
 // Spans of being left out double up to the most, and only one dial goes on.
 func TestEjection(test *testing.T) {
 	held, now := newTarget(ownBackend()), time.Now()
-	out := func() bool { _, _, ejected := held.weigh(now, 10, 0); return ejected }
+	out := func() bool { _, _, ejected := held.setWeight(now, 10, 0); return ejected }
 	held.failed(now, false)
 	if out() {
 		test.Error("left out after one failure")
@@ -168,25 +168,25 @@
 	held, now := newTarget(ownBackend()), time.Now()
 	held.enter()
 	for _, bad := range []string{"", "1", "1,2", "a,b,c", "-1,9,4", "9,-1,4", "1,2,3,4", "1e3,0,4"} {
-		if held.tell(bad, now); held.load(now) != 1 {
+		if held.observeLoad(bad, now); held.load(now) != 1 {
 			test.Errorf("%q counts as %v", bad, held.load(now))
 		}
 	}
-	held.tell(" 7 , 2 , 4 ", now)
+	held.observeLoad(" 7 , 2 , 4 ", now)
 	if load := held.load(now); math.Abs(load-9) > 0.01 {
 		test.Errorf("load %v", load)
 	}
-	if _, full, _ := held.weigh(now, 10, 0); full {
+	if _, full, _ := held.setWeight(now, 10, 0); full {
 		test.Error("full with 9 for 4 slots")
 	}
-	held.tell("12,0,4", now)
-	if _, full, _ := held.weigh(now, 10, 0); !full {
+	held.observeLoad("12,0,4", now)
+	if _, full, _ := held.setWeight(now, 10, 0); !full {
 		test.Error("not full with 12 for 4 slots")
 	}
 	if later := held.load(now.Add(10 * time.Second)); later < 1 || later > 6 {
 		test.Errorf("load %v long after", later)
 	}
-	if held.tell("0,0,4", now); held.load(now) < 1 {
+	if held.observeLoad("0,0,4", now); held.load(now) < 1 {
 		test.Errorf("load %v below what runs", held.load(now))
 	}
 }
@@ -197,7 +197,7 @@
 	cost := func(change func(*target)) float64 {
 		held := newTarget(ownBackend())
 		change(held)
-		cost, _, _ := held.weigh(now, 100, 0)
+		cost, _, _ := held.setWeight(now, 100, 0)
 		return cost
 	}
 	plain := cost(func(*target) {})
--- a/proxy/view.go
+++ b/proxy/view.go
@@ -20,7 +20,7 @@
 
 // View is what a proxy has in force: routing and backends; it is swapped whole.
 type View struct {
-	book     *route.Book
+	book     *route.State
 	index    *route.Index
 	services [][]candidate
 	budgets  []*Budget
@@ -34,16 +34,16 @@
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
-// Lay puts a routing book and a table in force.
-func (proxy *Proxy) Lay(book *route.Book, table *message.Table) {
-	proxy.laying.Lock()
-	defer proxy.laying.Unlock()
+// Apply puts a routing book and a table in force.
+func (proxy *Proxy) Apply(state *route.State, table *message.Table) {
+	proxy.applyMutex.Lock()
+	defer proxy.applyMutex.Unlock()
 	before := proxy.view.Load()
-	view := &View{book: book}
-	if before != nil && before.book == book {
+	view := &View{book: state}
+	if before != nil && before.book == state {
 		view.index = before.index
 	} else {
-		view.index = route.NewIndex(book)
+		view.index = route.NewIndex(state)
 	}
 	proxies := []message.Member{}
 	for _, member := range table.Members {
@@ -67,24 +67,24 @@
 			proxy.budgets[service.Name] = budget
 		}
 		if led {
-			budget.share(proxy.place.RetryRatio, proxy.place.RetryExtra, proxy.most)
+			budget.share(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.most)
 		} else {
-			budget.presume(proxy.place.RetryRatio, proxy.place.RetryExtra, proxy.most)
+			budget.presume(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.most)
 		}
 		view.budgets[number] = budget
-		view.most[number] = connectionsMost
+		view.most[number] = maxConnections
 		if service.MaxConnections > 0 {
 			view.most[number] = max(2, service.MaxConnections*4/5/shares)
 		}
 	}
 	evacuated := map[string]bool{}
-	for _, zone := range book.Evacuated {
+	for _, zone := range state.Evacuated {
 		evacuated[zone] = true
 	}
 	now, listed := proxy.clock(), map[string]bool{}
 	reopened := map[string]time.Duration{}
-	for _, one := range book.Reopened {
-		reopened[one.Zone] = proxy.place.doubtSpan() - time.Duration(proxy.now()-one.AtMs)*time.Millisecond
+	for _, one := range state.Restored {
+		reopened[one.Zone] = proxy.config.suspectTTL() - time.Duration(proxy.now()-one.AtMs)*time.Millisecond
 	}
 	for _, backend := range table.Backends {
 		held := proxy.targets[backend.Name]
@@ -94,18 +94,18 @@
 		}
 		listed[backend.Name] = true
 		if proxy.evacuated[backend.Zone] && !evacuated[backend.Zone] {
-			held.doubt(now.Add(proxy.place.doubtSpan()))
+			held.suspectOnce(now.Add(proxy.config.suspectTTL()))
 		} else if left := reopened[backend.Zone]; left > 0 {
-			held.doubt(now.Add(min(left, proxy.place.doubtSpan())))
+			held.suspectOnce(now.Add(min(left, proxy.config.suspectTTL())))
 		}
 		number, found := view.index.ServiceIndex(backend.Service)
 		if !found || backend.Leaving || evacuated[backend.Zone] {
 			continue
 		}
 		service := view.index.Services[number]
-		view.services[number] = append(view.services[number], candidate{target: held, region: proxy.place.Regions[backend.Zone], far: proxy.place.distance(backend.Zone),
-			warmAt: backend.WarmAtMs, owned: led && (backend.WarmAtMs > 0 || held.doubted(now)) && owner(backend, proxies, proxy.place.Regions) == proxy.place.Name,
-			warming: warmupRate(service.WarmupRate, proxy.place.WarmupExcess, proxy.place.WarmupExtra)})
+		view.services[number] = append(view.services[number], candidate{target: held, region: proxy.config.Regions[backend.Zone], far: proxy.config.distance(backend.Zone),
+			warmAt: backend.WarmAtMs, owned: led && (backend.WarmAtMs > 0 || held.isSuspect(now)) && owner(backend, proxies, proxy.config.Regions) == proxy.config.Name,
+			warming: warmupRate(service.WarmupRate, proxy.config.WarmupExcess, proxy.config.WarmupExtra)})
 	}
 	proxy.evacuated = evacuated
 	for name, held := range proxy.targets {
--- a/proxy/view_test.go
+++ b/proxy/view_test.go
@@ -43,7 +43,7 @@
 func TestHomes(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		proxies[0].Lay(&route.Book{Config: ownConfig()}, table)
+		proxies[0].Apply(&route.State{Config: ownConfig()}, table)
 		east, west, both := []string{"east"}, []string{"west"}, []string{"west", "east"}
 		for _, bound := range []struct {
 			route, tenant []string
@@ -68,15 +68,15 @@
 func TestLeavingAndEvacuated(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		book := &route.Book{Config: ownConfig()}
+		state := &route.State{Config: ownConfig()}
 		lay := func(change func()) {
-			copied, moved := *book, *table
+			copied, moved := *state, *table
 			moved.Backends = append([]message.Backend{}, table.Backends...)
-			book, table = &copied, &moved
+			state, table = &copied, &moved
 			change()
-			proxies[0].Lay(book, table)
+			proxies[0].Apply(state, table)
 		}
-		lay(func() { book.Evacuated = []string{"e1", "z9"} })
+		lay(func() { state.Evacuated = []string{"e1", "z9"} })
 		if names := proxies[0].names(nil, nil); !same(names, "beside", "far") {
 			test.Errorf("evacuated: %v", names)
 		}
@@ -89,7 +89,7 @@
 		if names := proxies[0].names(nil, nil); len(names) != 0 || !gone.gone || gone.reserve(64) {
 			test.Errorf("gone: %v", names)
 		}
-		lay(func() { book.Evacuated = []string{"z9"} })
+		lay(func() { state.Evacuated = []string{"z9"} })
 		if names := proxies[0].names(nil, nil); len(names) != 0 {
 			test.Errorf("at the end of the evacuation: %v", names)
 		}
@@ -100,7 +100,7 @@
 		if names := proxies[0].names(nil, nil); len(names) != 0 {
 			test.Errorf("with its token gone: %v", names)
 		}
-		time.Sleep(proxies[0].place.doubtSpan())
+		time.Sleep(proxies[0].config.suspectTTL())
 		for range 5 {
 			if names := proxies[0].names(nil, nil); !same(names, "near") {
 				test.Errorf("warm again: %v", names)
@@ -113,15 +113,15 @@
 func TestTargetsOutliveViews(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		book := &route.Book{Config: ownConfig()}
-		proxies[0].Lay(book, table)
+		state := &route.State{Config: ownConfig()}
+		proxies[0].Apply(state, table)
 		first, index := proxies[0].targets["near"], proxies[0].view.Load().index
-		proxies[0].Lay(book, table)
+		proxies[0].Apply(state, table)
 		if proxies[0].targets["near"] != first || proxies[0].view.Load().index != index {
 			test.Error("made anew")
 		}
-		proxies[0].Lay(book, &message.Table{Version: leaderMark, Members: table.Members})
-		proxies[0].Lay(book, table)
+		proxies[0].Apply(state, &message.Table{Version: leaderMark, Members: table.Members})
+		proxies[0].Apply(state, table)
 		if proxies[0].targets["near"] == first {
 			test.Error("a retired target is back")
 		}
@@ -137,16 +137,16 @@
 		config.Services = append(config.Services, route.Service{Name: "small", MaxConnections: 3}, route.Service{Name: "free"})
 		for _, step := range []struct{ count, most, small int }{{1, 104, 2}, {4, 26, 2}, {2, 26, 2}} {
 			table.Members = members(names[:step.count], zones[:step.count])
-			proxies[0].Lay(&route.Book{Config: config}, table)
+			proxies[0].Apply(&route.State{Config: config}, table)
 			most := proxies[0].view.Load().most
-			if most[0] != step.most || most[2] != step.small || most[3] != connectionsMost {
+			if most[0] != step.most || most[2] != step.small || most[3] != maxConnections {
 				test.Errorf("%d proxies: %v", step.count, most)
 			}
 		}
 		table.Members[1].Leaving = true
 		table.Members = append(table.Members, message.Member{Name: "d1", Kind: "dir"})
 		fresh := many([]string{"p1"}, []string{"e1"})[0]
-		fresh.Lay(&route.Book{Config: config}, table)
+		fresh.Apply(&route.State{Config: config}, table)
 		if most := fresh.view.Load().most[0]; most != 104 {
 			test.Errorf("beside one that leaves: %d", most)
 		}
@@ -161,7 +161,7 @@
 		cold := message.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Capacity: 4, WarmAtMs: time.Now().UnixMilli() + 60000}
 		for round, want := range map[uint64]choice{0: noneLeft, 1: chosen} {
 			table := &message.Table{Version: message.TableVersion{Term: message.Term{Number: round}, Number: 1}, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{cold}}
-			proxies[0].Lay(&route.Book{Config: ownConfig()}, table)
+			proxies[0].Apply(&route.State{Config: ownConfig()}, table)
 			proxies[0].pick(nil, nil)
 			time.Sleep(time.Second)
 			if _, how := proxies[0].pick(nil, nil); how != want {
@@ -178,8 +178,8 @@
 		for ago, want := range map[time.Duration]choice{500 * time.Millisecond: allFull, time.Minute: chosen} {
 			proxies := many([]string{"p1"}, []string{"e1"})
 			backend := message.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Capacity: 4}
-			book := &route.Book{Config: ownConfig(), Reopened: []route.Reopened{{Zone: "e1", AtMs: time.Now().Add(-ago).UnixMilli()}}}
-			proxies[0].Lay(book, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{backend}})
+			state := &route.State{Config: ownConfig(), Restored: []route.RestoredZone{{Zone: "e1", AtMs: time.Now().Add(-ago).UnixMilli()}}}
+			proxies[0].Apply(state, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{backend}})
 			if _, how := proxies[0].pick(nil, nil); how != want {
 				test.Errorf("taken back %v ago: choice %d, want %d", ago, how, want)
 			}
--- a/proxy/world_test.go
+++ b/proxy/world_test.go
@@ -30,7 +30,7 @@
 	proxy      *Proxy
 	server     *http.Server
 	listener   *listener
-	book       *route.Book
+	book       *route.State
 	table      *message.Table
 	backends   map[string]*backend
 	asked      int
@@ -39,16 +39,16 @@
 var ownHeaders = Headers{Attempt: "Attempt", Deadline: "Deadline", Seal: "Seal", Tenant: "Tenant", Target: "Target", Load: "Load", NotExecuted: "Not-Executed",
 	Backend: "Backend", Warmup: "Warmup", KeyScheme: "Key"}
 
-func ownPlace(name, zone string) Place {
-	return Place{Name: name, Zone: zone, Regions: map[string]string{"e1": "east", "e2": "east", "w1": "west"}, Headers: ownHeaders, RetryRatio: 0.2, RetryExtra: 60,
+func ownPlace(name, zone string) Config {
+	return Config{Name: name, Zone: zone, Regions: map[string]string{"e1": "east", "e2": "east", "w1": "west"}, Headers: ownHeaders, RetryRatio: 0.2, RetryExtra: 60,
 		WarmupExcess: 1.5, WarmupExtra: 5, UsageWindow: 5 * time.Second, ListLag: time.Second}
 }
 
 func ownConfig() route.Config {
 	return route.Config{Version: 1,
 		Routes: []route.Route{
-			{Name: "once", Host: "host.example", Prefix: "/once/", Kind: route.Once, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3},
-			{Name: "again", Host: "host.example", Prefix: "/again/", Kind: route.Repeatable, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3},
+			{Name: "once", Host: "host.example", Prefix: "/once/", Kind: route.NonIdempotent, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3},
+			{Name: "again", Host: "host.example", Prefix: "/again/", Kind: route.Idempotent, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3},
 			{Name: "load", Host: "host.example", Prefix: "/load/", Kind: route.Download, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3}},
 		Services: []route.Service{{Name: "plain", MaxConnections: 130, WarmupMs: 3000, WarmupRate: 10}, {Name: "other", MaxConnections: 130, WarmupMs: 3000, WarmupRate: 10}},
 		Limits:   route.Limits{BodyBytes: 1 << 20}}
@@ -64,7 +64,7 @@
 
 func newWorld(test *testing.T) *world {
 	world := &world{test: test, goroutines: concurrent.NewGroup(), counters: metrics.NewCounters(), doors: newDoors(), listener: newListener(), backends: map[string]*backend{},
-		book: &route.Book{Config: ownConfig()}, table: &message.Table{Version: leaderMark, Complete: true, Members: []message.Member{{Name: "p1", Kind: "proxy", Zone: "e1", Ready: true}}}}
+		book: &route.State{Config: ownConfig()}, table: &message.Table{Version: leaderMark, Complete: true, Members: []message.Member{{Name: "p1", Kind: "proxy", Zone: "e1", Ready: true}}}}
 	world.proxy = NewProxy(ownPlace("p1", "e1"), world.doors.dial, func() int64 { return time.Now().UnixMilli() }, world.goroutines, world.counters)
 	world.server = &http.Server{Handler: world.proxy, ErrorLog: log.New(io.Discard, "", 0)}
 	world.goroutines.Start(func() { _ = world.server.Serve(world.listener) }) // until close
@@ -103,14 +103,14 @@
 
 // lay changes copies of book and table, and puts them in force.
 func (world *world) lay(change func()) {
-	book, table := *world.book, *world.table
+	state, table := *world.book, *world.table
 	table.Backends = append([]message.Backend{}, table.Backends...)
 	table.Members = append([]message.Member{}, table.Members...)
-	book.Config.Routes = append([]route.Route{}, book.Config.Routes...)
-	book.Config.Services = append([]route.Service{}, book.Config.Services...)
-	world.book, world.table = &book, &table
+	state.Config.Routes = append([]route.Route{}, state.Config.Routes...)
+	state.Config.Services = append([]route.Service{}, state.Config.Services...)
+	world.book, world.table = &state, &table
 	change()
-	world.proxy.Lay(world.book, world.table)
+	world.proxy.Apply(world.book, world.table)
 }
 
 func (world *world) arrivals() []*arrival {
--- a/route/check.go
+++ b/route/check.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	emptyValue   = "empty"
-	doubleName   = "duplicate_name"
-	doubleKey    = "shared_key"
-	samePlace    = "same_place"
-	danglingName = "dangling_name"
-	outOfRange   = "out_of_range"
-	badPrefix    = "bad_prefix"
+	emptyValue    = "empty"
+	duplicateName = "duplicate_name"
+	sharedKey     = "shared_key"
+	samePlace     = "same_place"
+	danglingName  = "dangling_name"
+	outOfRange    = "out_of_range"
+	invalidPrefix = "bad_prefix"
 )
 
-const detailsLimit = 20
+const maxDetails = 20
 
 type checker struct {
 	details []rpc.Detail
-	wrongs  int
+	count   int
 }
 
 func (checker *checker) wrong(path, kind, cause string) {
-	checker.wrongs++
-	if len(checker.details) < detailsLimit {
+	checker.count++
+	if len(checker.details) < maxDetails {
 		checker.details = append(checker.details, rpc.Detail{Path: path, Code: kind, Message: cause})
 	}
 }
@@ -44,7 +44,7 @@
 	case name == "":
 		checker.wrong(list, emptyValue, "an item has no name")
 	case seen[name]:
-		checker.wrong(path, doubleName, "given twice")
+		checker.wrong(path, duplicateName, "given twice")
 	}
 	seen[name] = true
 	return path
@@ -57,24 +57,24 @@
 	for index := range config.Services {
 		checker.service(&config.Services[index], services)
 	}
-	names, places := make(map[string]bool, len(config.Routes)), make(map[place]string, len(config.Routes))
+	names, places := make(map[string]bool, len(config.Routes)), make(map[hostAndPrefix]string, len(config.Routes))
 	for index := range config.Routes {
 		checker.route(&config.Routes[index], names, services, places)
 	}
 	checker.tenants(config.Tenants)
 	checker.limits(&config.Limits)
-	if checker.wrongs == 0 {
+	if checker.count == 0 {
 		return nil
 	}
-	return &rpc.Error{Code: rpc.Invalid, Message: fmt.Sprintf("%d wrong", checker.wrongs), Details: checker.details}
+	return &rpc.Error{Code: rpc.Invalid, Message: fmt.Sprintf("%d wrong", checker.count), Details: checker.details}
 }
 
-type place struct{ host, prefix string }
+type hostAndPrefix struct{ host, prefix string }
 
 func (checker *checker) service(service *Service, seen map[string]bool) {
 	path := checker.name("services", service.Name, seen)
 	if service.HealthPath != "" && service.HealthPath[0] != '/' {
-		checker.wrong(path+".health", badPrefix, "no leading slash")
+		checker.wrong(path+".health", invalidPrefix, "no leading slash")
 	}
 	checker.atLeast(path+".max_connections", int64(service.MaxConnections), 0)
 	checker.atLeast(path+".warmup", int64(service.WarmupMs), 0)
@@ -83,15 +83,15 @@
 	}
 }
 
-func (checker *checker) route(route *Route, names, services map[string]bool, places map[place]string) {
+func (checker *checker) route(route *Route, names, services map[string]bool, places map[hostAndPrefix]string) {
 	path := checker.name("routes", route.Name, names)
 	if route.Host == "" {
 		checker.wrong(path+".host", emptyValue, "must be given")
 	}
 	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
-		checker.wrong(path+".prefix", badPrefix, "must begin and end with a slash")
+		checker.wrong(path+".prefix", invalidPrefix, "must begin and end with a slash")
 	}
-	at := place{host: hostKey(route.Host), prefix: route.Prefix}
+	at := hostAndPrefix{host: hostKey(route.Host), prefix: route.Prefix}
 	if other, taken := places[at]; taken && other != route.Name {
 		checker.wrong(path, samePlace, "the same host and prefix as "+other)
 	}
@@ -140,7 +140,7 @@
 				checker.wrong(path+".keys", emptyValue, "an empty key")
 			}
 			if holder, held := holders[key]; held && holder != tenant.Name {
-				checker.wrong(path+".keys", doubleKey, "a key of "+holder+" as well")
+				checker.wrong(path+".keys", sharedKey, "a key of "+holder+" as well")
 			}
 			holders[key] = tenant.Name
 		}
--- a/route/check_test.go
+++ b/route/check_test.go
@@ -10,14 +10,14 @@
 	return &Config{
 		Version: 3,
 		Routes: []Route{
-			{Name: "cart", Host: "shop.test", Prefix: "/cart/", Kind: Once, TimeoutMs: 900, TargetMs: 300, Priority: 1, Service: "alder", Attempts: 2, Homes: []string{"north"}},
-			{Name: "shelf", Host: "shop.test", Prefix: "/", Kind: Repeatable, TimeoutMs: 700, Split: []Share{{"alder", 1}, {"birch", 3}}, Attempts: 1, Public: true},
+			{Name: "cart", Host: "shop.test", Prefix: "/cart/", Kind: NonIdempotent, TimeoutMs: 900, TargetMs: 300, Priority: 1, Service: "alder", Attempts: 2, Homes: []string{"north"}},
+			{Name: "shelf", Host: "shop.test", Prefix: "/", Kind: Idempotent, TimeoutMs: 700, Split: []WeightedService{{"alder", 1}, {"birch", 3}}, Attempts: 1, Public: true},
 			{Name: "film", Host: "films.test", Prefix: "/cart/", Kind: Download, TimeoutMs: 5000, Service: "birch", Attempts: 3},
 		},
-		Services: []Service{{Name: "alder", HealthPath: "/well", MaxConnections: 9}, {Name: "birch"}},
-		Tenants:  []Tenant{{Name: "ann", Keys: []string{"a1", "a2"}, Ranked: true, Priority: 2}, {Name: "bob", Keys: []string{"b1"}, Homes: []string{"south"}}},
-		Keyed:    true,
-		Limits:   Limits{HeaderBytes: 100, BodyBytes: 1000, HeaderMs: 10, IdleMs: 20},
+		Services:     []Service{{Name: "alder", HealthPath: "/well", MaxConnections: 9}, {Name: "birch"}},
+		Tenants:      []Tenant{{Name: "ann", Keys: []string{"a1", "a2"}, HasPriority: true, Priority: 2}, {Name: "bob", Keys: []string{"b1"}, Homes: []string{"south"}}},
+		KeysRequired: true,
+		Limits:       Limits{HeaderBytes: 100, BodyBytes: 1000, HeaderMs: 10, IdleMs: 20},
 	}
 }
 
@@ -28,7 +28,7 @@
 		want   string
 	}{
 		"nothing":                    {func(*Config) {}, ""},
-		"no tenants":                 {func(config *Config) { config.Tenants, config.Keyed = nil, false }, ""},
+		"no tenants":                 {func(config *Config) { config.Tenants, config.KeysRequired = nil, false }, ""},
 		"no limits":                  {func(config *Config) { config.Limits = Limits{} }, ""},
 		"no routes":                  {func(config *Config) { config.Routes = nil }, ""},
 		"no health path":             {func(config *Config) { config.Services[0].HealthPath = "" }, ""},
@@ -44,9 +44,9 @@
 		"no timeout":                 {func(config *Config) { config.Routes[0].TimeoutMs = 0 }, outOfRange},
 		"target below 0":             {func(config *Config) { config.Routes[0].TargetMs = -1 }, outOfRange},
 		"kind nobody knows":          {func(config *Config) { config.Routes[0].Kind = Download + 1 }, outOfRange},
-		"prefix without first slash": {func(config *Config) { config.Routes[0].Prefix = "cart/" }, badPrefix},
-		"prefix without last slash":  {func(config *Config) { config.Routes[0].Prefix = "/cart" }, badPrefix},
-		"no prefix":                  {func(config *Config) { config.Routes[0].Prefix = "" }, badPrefix},
+		"prefix without first slash": {func(config *Config) { config.Routes[0].Prefix = "cart/" }, invalidPrefix},
+		"prefix without last slash":  {func(config *Config) { config.Routes[0].Prefix = "/cart" }, invalidPrefix},
+		"no prefix":                  {func(config *Config) { config.Routes[0].Prefix = "" }, invalidPrefix},
 		"no host":                    {func(config *Config) { config.Routes[0].Host = "" }, emptyValue},
 		"route without name":         {func(config *Config) { config.Routes[0].Name = "" }, emptyValue},
 		"service without name":       {func(config *Config) { config.Services = append(config.Services, Service{}) }, emptyValue},
@@ -55,15 +55,15 @@
 		"empty home":                 {func(config *Config) { config.Routes[0].Homes[0] = "" }, emptyValue},
 		"empty home of a tenant":     {func(config *Config) { config.Tenants[1].Homes[0] = "" }, emptyValue},
 		"neither service nor split":  {func(config *Config) { config.Routes[0].Service = "" }, emptyValue},
-		"weights of 0":               {func(config *Config) { config.Routes[1].Split = []Share{{"alder", 0}, {"birch", 0}} }, outOfRange},
+		"weights of 0":               {func(config *Config) { config.Routes[1].Split = []WeightedService{{"alder", 0}, {"birch", 0}} }, outOfRange},
 		"weight below 0":             {func(config *Config) { config.Routes[1].Split[0].Weight = -1 }, outOfRange},
-		"route twice":                {func(config *Config) { config.Routes[2].Name = "cart" }, doubleName},
-		"service twice":              {func(config *Config) { config.Services = append(config.Services, Service{Name: "alder"}) }, doubleName},
-		"tenant twice":               {func(config *Config) { config.Tenants[1].Name = "ann" }, doubleName},
+		"route twice":                {func(config *Config) { config.Routes[2].Name = "cart" }, duplicateName},
+		"service twice":              {func(config *Config) { config.Services = append(config.Services, Service{Name: "alder"}) }, duplicateName},
+		"tenant twice":               {func(config *Config) { config.Tenants[1].Name = "ann" }, duplicateName},
 		"same place":                 {func(config *Config) { config.Routes[1].Prefix = "/cart/" }, samePlace},
 		"same place, other letters":  {func(config *Config) { config.Routes[2].Host = "SHOP.test" }, samePlace},
-		"shared key":                 {func(config *Config) { config.Tenants[1].Keys[0] = "a2" }, doubleKey},
-		"health path without slash":  {func(config *Config) { config.Services[0].HealthPath = "well" }, badPrefix},
+		"shared key":                 {func(config *Config) { config.Tenants[1].Keys[0] = "a2" }, sharedKey},
+		"health path without slash":  {func(config *Config) { config.Services[0].HealthPath = "well" }, invalidPrefix},
 		"connections below 0":        {func(config *Config) { config.Services[0].MaxConnections = -1 }, outOfRange},
 		"warmup below 0":             {func(config *Config) { config.Services[0].WarmupMs = -1 }, outOfRange},
 		"warmup rate below 0":        {func(config *Config) { config.Services[0].WarmupRate = -1 }, outOfRange},
@@ -87,7 +87,7 @@
 func TestCheckBoundsWhatItNames(test *testing.T) {
 	config := &Config{Routes: make([]Route, 1000)}
 	err := config.Check()
-	if err == nil || len(rpc.AsError(err).Details) != detailsLimit || !strings.Contains(rpc.AsError(err).Message, "wrong") {
+	if err == nil || len(rpc.AsError(err).Details) != maxDetails || !strings.Contains(rpc.AsError(err).Message, "wrong") {
 		test.Fatalf("%d details", len(rpc.AsError(err).Details))
 	}
 }
--- a/route/config.go
+++ b/route/config.go
@@ -13,13 +13,13 @@
 
 // Kinds of routes; Repeats tells which of them may run more than once.
 const (
-	Once Kind = iota
-	Repeatable
+	NonIdempotent Kind = iota
+	Idempotent
 	Download
 )
 
-// Repeats is whether a request may run more than once.
-func (kind Kind) Repeats() bool { return kind != Once }
+// IsIdempotent is whether a request may run more than once.
+func (kind Kind) IsIdempotent() bool { return kind != NonIdempotent }
 
 // Extra is a field that the product does not know and hands back as it came.
 type Extra struct {
@@ -27,8 +27,8 @@
 	Text string
 }
 
-// Share is one service's part of a split route.
-type Share struct {
+// WeightedService is one service's part of a split route.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -43,7 +43,7 @@
 	TargetMs  int
 	Priority  int
 	Service   string
-	Split     []Share
+	Split     []WeightedService
 	Attempts  int
 	Public    bool
 	Homes     []string
@@ -64,12 +64,12 @@
 
 // Tenant is whose key a request carries.
 type Tenant struct {
-	Name     string
-	Keys     []string
-	Ranked   bool
-	Priority int
-	Homes    []string
-	Extras   []Extra
+	Name        string
+	Keys        []string
+	HasPriority bool `msgpack:"Ranked"`
+	Priority    int
+	Homes       []string
+	Extras      []Extra
 }
 
 // Limits bound what a client may send, and how long it may take.
@@ -84,13 +84,13 @@
 // Config is one whole version of an operator's routing. Keyed is whether it
 // names tenants at all, and so wants a key from requests of routes not public.
 type Config struct {
-	Version  uint64
-	Routes   []Route
-	Services []Service
-	Tenants  []Tenant
-	Keyed    bool
-	Limits   Limits
-	Extras   []Extra
+	Version      uint64
+	Routes       []Route
+	Services     []Service
+	Tenants      []Tenant
+	KeysRequired bool `msgpack:"Keyed"`
+	Limits       Limits
+	Extras       []Extra
 }
 
 // Patch changes named items of a config.
@@ -114,12 +114,12 @@
 	Patch   *Patch
 }
 
-// Book is the content of the routing register.
-type Book struct {
+// State is the content of the routing register.
+type State struct {
 	Config    Config
 	Evacuated []string
-	Reopened  []Reopened
-	Trail     Trail
+	Restored  []RestoredZone `msgpack:"Reopened"`
+	History   History        `msgpack:"Trail"`
 	Zones     []ZoneChanges
 }
 
@@ -129,19 +129,19 @@
 	Count uint64
 }
 
-// Changes is how often a zone was evacuated and taken back.
-func (book *Book) Changes(zone string) uint64 {
-	index, found := book.findZone(zone)
+// ChangesOf is how often a zone was evacuated and taken back.
+func (state *State) ChangesOf(zone string) uint64 {
+	index, found := state.findZone(zone)
 	if !found {
 		return 0
 	}
-	return book.Zones[index].Count
+	return state.Zones[index].Count
 }
 
-// Changed are the zones' changes with one more of a zone.
-func (book *Book) Changed(zone string) []ZoneChanges {
-	index, found := book.findZone(zone)
-	zones := slices.Clone(book.Zones)
+// WithChangeOf are the zones' changes with one more of a zone.
+func (state *State) WithChangeOf(zone string) []ZoneChanges {
+	index, found := state.findZone(zone)
+	zones := slices.Clone(state.Zones)
 	if !found {
 		zones = slices.Insert(zones, index, ZoneChanges{Zone: zone})
 	}
@@ -149,32 +149,32 @@
 	return zones
 }
 
-func (book *Book) findZone(zone string) (int, bool) {
-	return slices.BinarySearchFunc(book.Zones, zone, func(one ZoneChanges, zone string) int { return strings.Compare(one.Zone, zone) })
+func (state *State) findZone(zone string) (int, bool) {
+	return slices.BinarySearchFunc(state.Zones, zone, func(one ZoneChanges, zone string) int { return strings.Compare(one.Zone, zone) })
 }
 
-// Bare is the book as daemons need it, without what only orders are judged by.
-func (book *Book) Bare() *Book {
-	bare := *book
-	bare.Trail, bare.Zones = Trail{}, nil
+// WithoutHistory is the book as daemons need it, without what only orders are judged by.
+func (state *State) WithoutHistory() *State {
+	bare := *state
+	bare.History, bare.Zones = History{}, nil
 	return &bare
 }
 
-// Reopened is when a zone was last taken back, in milliseconds of true time: its
+// RestoredZone is when a zone was last taken back, in milliseconds of true time: its
 // backends may have turned cold meanwhile, and lists lag.
-type Reopened struct {
+type RestoredZone struct {
 	Zone string
 	AtMs int64
 }
 
-// BookOf reads the register's body; none is an empty book.
-func BookOf(body []byte) (*Book, error) {
-	book := &Book{}
+// DecodeState reads the register's body; none is an empty book.
+func DecodeState(body []byte) (*State, error) {
+	state := &State{}
 	if len(body) == 0 {
-		return book, nil
+		return state, nil
 	}
-	if err := rpc.Unmarshal(body, book); err != nil {
+	if err := rpc.Unmarshal(body, state); err != nil {
 		return nil, rpc.AsError(err)
 	}
-	return book, nil
+	return state, nil
 }
--- a/route/golden_test.go
+++ b/route/golden_test.go
@@ -11,5 +11,5 @@
 // was written, and what was written then is read back.
 func TestRoutingEncodingsStay(test *testing.T) {
 	format := golden.Format{Marshal: rpc.Marshal, Unmarshal: rpc.Unmarshal}
-	format.Check(test, "testdata/routing.golden", map[string]any{"Book": &Book{}, "Change": &Change{}})
+	format.Check(test, "testdata/routing.golden", map[string]any{"Book": &State{}, "Change": &Change{}})
 }
--- a/route/index.go
+++ b/route/index.go
@@ -7,20 +7,20 @@
 
 // Index is one version of the routing as requests look it up; it never changes.
 type Index struct {
-	Version  uint64
-	Keyed    bool
-	Limits   Limits
-	Services []Service
+	Version      uint64
+	KeysRequired bool
+	Limits       Limits
+	Services     []Service
 
-	hosts    map[string]*prefixes
-	keys     map[string]*Tenant
-	services map[string]int
-	cleared  map[string]bool
+	hosts     map[string]*prefixes
+	keys      map[string]*Tenant
+	services  map[string]int
+	evacuated map[string]bool
 }
 
-// Compiled is a route with its services as places in the index. A draw below
+// CompiledRoute is a route with its services as places in the index. A draw below
 // Total falls to the first service whose cumulative weight is above it.
-type Compiled struct {
+type CompiledRoute struct {
 	Route      *Route
 	Services   []int
 	Cumulative []int
@@ -29,15 +29,15 @@
 }
 
 type prefixes struct {
-	routes  map[string]*Compiled
+	routes  map[string]*CompiledRoute
 	longest int
 }
 
 // NewIndex makes the index of a book that was checked.
-func NewIndex(book *Book) *Index {
-	config := &book.Config
-	index := &Index{Version: config.Version, Keyed: config.Keyed, Limits: config.Limits, Services: config.Services,
-		hosts: map[string]*prefixes{}, keys: map[string]*Tenant{}, services: make(map[string]int, len(config.Services)), cleared: make(map[string]bool, len(book.Evacuated))}
+func NewIndex(state *State) *Index {
+	config := &state.Config
+	index := &Index{Version: config.Version, KeysRequired: config.KeysRequired, Limits: config.Limits, Services: config.Services,
+		hosts: map[string]*prefixes{}, keys: map[string]*Tenant{}, services: make(map[string]int, len(config.Services)), evacuated: make(map[string]bool, len(state.Evacuated))}
 	for place := range config.Services {
 		index.services[config.Services[place].Name] = place
 	}
@@ -49,8 +49,8 @@
 			index.keys[key] = &config.Tenants[place]
 		}
 	}
-	for _, zone := range book.Evacuated {
-		index.cleared[zone] = true
+	for _, zone := range state.Evacuated {
+		index.evacuated[zone] = true
 	}
 	return index
 }
@@ -59,18 +59,18 @@
 	host := hostKey(route.Host)
 	known := index.hosts[host]
 	if known == nil {
-		known = &prefixes{routes: map[string]*Compiled{}}
+		known = &prefixes{routes: map[string]*CompiledRoute{}}
 		index.hosts[host] = known
 	}
 	known.routes[route.Prefix] = index.compile(route)
 	known.longest = max(known.longest, len(route.Prefix))
 }
 
-func (index *Index) compile(route *Route) *Compiled {
-	compiled := &Compiled{Route: route, Homes: route.Homes}
+func (index *Index) compile(route *Route) *CompiledRoute {
+	compiled := &CompiledRoute{Route: route, Homes: route.Homes}
 	split := route.Split
 	if len(split) == 0 {
-		split = []Share{{Service: route.Service, Weight: 1}}
+		split = []WeightedService{{Service: route.Service, Weight: 1}}
 	}
 	for _, share := range split {
 		place, known := index.services[share.Service]
@@ -84,8 +84,8 @@
 	return compiled
 }
 
-// Draw is the place of the service that a number from 0 to below Total falls to.
-func (compiled *Compiled) Draw(number int) int {
+// Pick is the place of the service that a number from 0 to below Total falls to.
+func (compiled *CompiledRoute) Pick(number int) int {
 	if len(compiled.Services) == 1 {
 		return compiled.Services[0]
 	}
@@ -93,7 +93,7 @@
 }
 
 // Find is the host's route with the longest prefix that begins the path, which comes without its query.
-func (index *Index) Find(host, path string) (*Compiled, bool) {
+func (index *Index) Find(host, path string) (*CompiledRoute, bool) {
 	known := index.hosts[hostKey(host)]
 	if known == nil {
 		return nil, false
@@ -123,8 +123,8 @@
 	return place, known
 }
 
-// Cleared is whether nothing may be sent to the backends of a zone.
-func (index *Index) Cleared(zone string) bool { return index.cleared[zone] }
+// Evacuated is whether nothing may be sent to the backends of a zone.
+func (index *Index) Evacuated(zone string) bool { return index.evacuated[zone] }
 
 // hostKey is a host in lower case and without its port.
 func hostKey(host string) string {
--- a/route/index_test.go
+++ b/route/index_test.go
@@ -9,7 +9,7 @@
 func TestFindTakesTheLongestPrefixOfTheHost(test *testing.T) {
 	config := goodConfig()
 	config.Routes = append(config.Routes, Route{Name: "deep", Host: "Shop.Test:99", Prefix: "/cart/deep/er/", Service: "birch"}, Route{Name: "six", Host: "[::1]", Prefix: "/"})
-	index := NewIndex(&Book{Config: *config})
+	index := NewIndex(&State{Config: *config})
 	for _, one := range []struct{ host, path, want string }{
 		{"shop.test", "/cart/", "cart"},
 		{"shop.test", "/cart/7", "cart"},
@@ -59,27 +59,27 @@
 				config.Routes = append(config.Routes, Route{Host: "shop.test", Prefix: prefix})
 			}
 		}
-		index := NewIndex(&Book{Config: *config})
+		index := NewIndex(&State{Config: *config})
 		for range 50 {
-			asked, want := path(8)+"a"[:random.IntN(2)], ""
+			request, want := path(8)+"a"[:random.IntN(2)], ""
 			for _, one := range config.Routes {
-				if strings.HasPrefix(asked, one.Prefix) && len(one.Prefix) > len(want) {
+				if strings.HasPrefix(request, one.Prefix) && len(one.Prefix) > len(want) {
 					want = one.Prefix
 				}
 			}
 			got := ""
-			if compiled, found := index.Find("shop.test", asked); found {
+			if compiled, found := index.Find("shop.test", request); found {
 				got = compiled.Route.Prefix
 			}
 			if got != want {
-				test.Fatalf("%s: %q, want %q", asked, got, want)
+				test.Fatalf("%s: %q, want %q", request, got, want)
 			}
 		}
 	}
 }
 
 func TestFindAllocatesNothing(test *testing.T) {
-	index := NewIndex(&Book{Config: *goodConfig()})
+	index := NewIndex(&State{Config: *goodConfig()})
 	if count := testing.AllocsPerRun(100, func() {
 		index.Find("shop.test:8080", "/cart/a/b/c")
 		index.TenantOf("a2")
@@ -91,24 +91,24 @@
 func TestDrawFollowsTheWeights(test *testing.T) {
 	config := goodConfig()
 	config.Services = append(config.Services, Service{Name: "cedar"})
-	config.Routes[1].Split = []Share{{"birch", 3}, {"cedar", 0}, {"alder", 1}}
-	index := NewIndex(&Book{Config: *config})
+	config.Routes[1].Split = []WeightedService{{"birch", 3}, {"cedar", 0}, {"alder", 1}}
+	index := NewIndex(&State{Config: *config})
 	compiled, _ := index.Find("shop.test", "/")
 	counts := map[string]int{}
 	for number := range compiled.Total {
-		counts[index.Services[compiled.Draw(number)].Name]++
+		counts[index.Services[compiled.Pick(number)].Name]++
 	}
 	if counts["birch"] != 3 || counts["alder"] != 1 || counts["cedar"] != 0 || len(compiled.Services) != 2 {
 		test.Errorf("%v", counts)
 	}
 	whole, _ := index.Find("shop.test", "/cart/")
-	if index.Services[whole.Draw(0)].Name != "alder" || whole.Total != 1 || whole.Homes[0] != "north" {
+	if index.Services[whole.Pick(0)].Name != "alder" || whole.Total != 1 || whole.Homes[0] != "north" {
 		test.Errorf("%+v", whole)
 	}
 }
 
 func TestIndexKnowsTenantsServicesAndZones(test *testing.T) {
-	index := NewIndex(&Book{Config: *goodConfig(), Evacuated: []string{"z1"}})
+	index := NewIndex(&State{Config: *goodConfig(), Evacuated: []string{"z1"}})
 	if tenant, found := index.TenantOf("b1"); !found || tenant.Name != "bob" {
 		test.Errorf("%v", tenant)
 	}
@@ -121,7 +121,7 @@
 	if _, found := index.ServiceIndex("cedar"); found {
 		test.Error("a service nobody knows")
 	}
-	if !index.Cleared("z1") || index.Cleared("z2") || index.Version != 3 || !index.Keyed || index.Limits.IdleMs != 20 {
+	if !index.Evacuated("z1") || index.Evacuated("z2") || index.Version != 3 || !index.KeysRequired || index.Limits.IdleMs != 20 {
 		test.Errorf("%+v", index)
 	}
 }
--- a/route/patch.go
+++ b/route/patch.go
@@ -15,7 +15,7 @@
 	if config.Tenants, err = overlay(config.Tenants, patch.Tenants, patch.RemoveTenants, "tenants", func(tenant *Tenant) string { return tenant.Name }); err != nil {
 		return Config{}, err
 	}
-	config.Keyed = config.Keyed || len(patch.Tenants) > 0
+	config.KeysRequired = config.KeysRequired || len(patch.Tenants) > 0
 	if patch.Limits != nil {
 		config.Limits = *patch.Limits
 	}
@@ -32,7 +32,7 @@
 	for index := range given {
 		key := name(&given[index])
 		if _, twice := places[key]; twice {
-			return nil, &rpc.Error{Code: rpc.Invalid, Message: "1 wrong", Details: []rpc.Detail{{Path: list + "." + key, Code: doubleName, Message: "given twice"}}}
+			return nil, &rpc.Error{Code: rpc.Invalid, Message: "1 wrong", Details: []rpc.Detail{{Path: list + "." + key, Code: duplicateName, Message: "given twice"}}}
 		}
 		places[key] = index
 	}
--- a/route/patch_test.go
+++ b/route/patch_test.go
@@ -40,7 +40,7 @@
 	} {
 		config := goodConfig()
 		next, err := config.Apply(&one.patch)
-		if err != nil || names(&next) != one.want || !next.Keyed {
+		if err != nil || names(&next) != one.want || !next.KeysRequired {
 			test.Errorf("%s: %s, %v, want %s", name, names(&next), err, one.want)
 		}
 		if !reflect.DeepEqual(config, goodConfig()) {
@@ -55,7 +55,7 @@
 		"services": {Services: []Service{{Name: "alder"}, {Name: "alder"}}},
 		"tenants":  {Tenants: []Tenant{{Name: "ann"}, {Name: "ann"}}},
 	} {
-		if _, err := goodConfig().Apply(&patch); err == nil || rpc.AsError(err).Details[0].Code != doubleName {
+		if _, err := goodConfig().Apply(&patch); err == nil || rpc.AsError(err).Details[0].Code != duplicateName {
 			test.Errorf("%s: %v", name, err)
 		}
 	}
@@ -63,12 +63,12 @@
 
 func TestApplyLimitsAndFirstTenants(test *testing.T) {
 	config := goodConfig()
-	config.Tenants, config.Keyed = nil, false
+	config.Tenants, config.KeysRequired = nil, false
 	next, _ := config.Apply(&Patch{Limits: &Limits{IdleMs: 7}})
-	if next.Limits.IdleMs != 7 || next.Keyed {
+	if next.Limits.IdleMs != 7 || next.KeysRequired {
 		test.Errorf("%+v", next)
 	}
-	if next, _ = config.Apply(&Patch{Tenants: []Tenant{{Name: "ann"}}}); !next.Keyed || next.Limits.IdleMs != 20 {
+	if next, _ = config.Apply(&Patch{Tenants: []Tenant{{Name: "ann"}}}); !next.KeysRequired || next.Limits.IdleMs != 20 {
 		test.Errorf("%+v", next)
 	}
 }
--- a/route/trail_test.go
+++ b/route/trail_test.go
@@ -9,43 +9,43 @@
 // A trail knows the newest orders exactly, says what it forgot, and stays short.
 func TestTrailKnowsTheNewestAndWhatItForgot(test *testing.T) {
 	const more = 100
-	trail, version := Trail{}, uint64(0)
+	history, version := History{}, uint64(0)
 	versions := []uint64{}
-	for number := range TrailMost + more {
+	for number := range MaxHistory + more {
 		version += uint64(1 + number%7)
 		versions = append(versions, version)
-		trail = trail.With(version, fmt.Sprint(number))
+		history = history.With(version, fmt.Sprint(number))
 	}
 	for number, version := range versions {
 		known := number >= more
-		if trail.Holds(version, fmt.Sprint(number)) != known || trail.Holds(version, "another") || trail.Forgets(version) == known {
-			test.Fatalf("order %d of %d: held %v, forgotten %v", number, len(versions), trail.Holds(version, fmt.Sprint(number)), trail.Forgets(version))
+		if history.Contains(version, fmt.Sprint(number)) != known || history.Contains(version, "another") || history.MayHaveForgotten(version) == known {
+			test.Fatalf("order %d of %d: held %v, forgotten %v", number, len(versions), history.Contains(version, fmt.Sprint(number)), history.MayHaveForgotten(version))
 		}
 	}
-	entries := trail.Entries()
-	if len(entries) != TrailMost || entries[0].Version != versions[more] || entries[TrailMost-1].Version != version {
+	entries := history.Entries()
+	if len(entries) != MaxHistory || entries[0].Version != versions[more] || entries[MaxHistory-1].Version != version {
 		test.Errorf("%d entries, from %d to %d", len(entries), entries[0].Version, entries[len(entries)-1].Version)
 	}
-	if len(trail.Packed) > TrailMost*(digestBytes+1) {
-		test.Errorf("%d bytes", len(trail.Packed))
+	if len(history.Packed) > MaxHistory*(digestBytes+1) {
+		test.Errorf("%d bytes", len(history.Packed))
 	}
 }
 
 // A trail that was packed, read and continued is the same; one that was read keeps
 // its own bytes though two longer ones were made of it.
 func TestTrailLastsAndIsNotShared(test *testing.T) {
-	trail := Trail{}.With(300, "a").With(70000, "b")
-	body, err := rpc.Marshal(&Book{Trail: trail})
+	history := History{}.With(300, "a").With(70000, "b")
+	body, err := rpc.Marshal(&State{History: history})
 	if err != nil {
 		test.Fatal(err)
 	}
-	book, err := BookOf(body)
+	state, err := DecodeState(body)
 	if err != nil {
 		test.Fatal(err)
 	}
-	left, right := book.Trail.With(70001, "left"), book.Trail.With(70002, "right")
-	if !left.Holds(70001, "left") || !right.Holds(70002, "right") || !left.Holds(300, "a") || !right.Holds(70000, "b") || book.Trail.Holds(70001, "left") {
-		test.Errorf("%+v, %+v of %+v", left.Entries(), right.Entries(), book.Trail.Entries())
+	left, right := state.History.With(70001, "left"), state.History.With(70002, "right")
+	if !left.Contains(70001, "left") || !right.Contains(70002, "right") || !left.Contains(300, "a") || !right.Contains(70000, "b") || state.History.Contains(70001, "left") {
+		test.Errorf("%+v, %+v of %+v", left.Entries(), right.Entries(), state.History.Entries())
 	}
 }
 
@@ -54,22 +54,22 @@
 	type formerBook struct {
 		Config    Config
 		Evacuated []string
-		Reopened  []Reopened
-		Trail     []formerApplied
+		Reopened  []RestoredZone
+		Trail     []formerEntry
 	}
-	body, err := rpc.Marshal(&formerBook{Config: Config{Version: 9}, Evacuated: []string{"z1"}, Trail: []formerApplied{{4, "four"}, {9, "nine"}}})
+	body, err := rpc.Marshal(&formerBook{Config: Config{Version: 9}, Evacuated: []string{"z1"}, Trail: []formerEntry{{4, "four"}, {9, "nine"}}})
 	if err != nil {
 		test.Fatal(err)
 	}
-	book, err := BookOf(body)
-	if err != nil || book.Config.Version != 9 || len(book.Evacuated) != 1 {
-		test.Fatalf("%v: %+v", err, book)
+	state, err := DecodeState(body)
+	if err != nil || state.Config.Version != 9 || len(state.Evacuated) != 1 {
+		test.Fatalf("%v: %+v", err, state)
 	}
-	if !book.Trail.Holds(4, "four") || !book.Trail.Holds(9, "nine") || book.Trail.Holds(9, "ten") || book.Trail.Count != 2 {
-		test.Errorf("%+v", book.Trail.Entries())
+	if !state.History.Contains(4, "four") || !state.History.Contains(9, "nine") || state.History.Contains(9, "ten") || state.History.Count != 2 {
+		test.Errorf("%+v", state.History.Entries())
 	}
-	again, _ := rpc.Marshal(book)
-	if back, err := BookOf(again); err != nil || !back.Trail.Holds(9, "nine") {
+	again, _ := rpc.Marshal(state)
+	if back, err := DecodeState(again); err != nil || !back.History.Contains(9, "nine") {
 		test.Errorf("%v: %+v", err, back)
 	}
 }
--- a/scale/bench.go
+++ b/scale/bench.go
@@ -81,7 +81,7 @@
 	}
 	bench.folder = folder
 	list := fmt.Sprintf("127.0.0.1:%d", bench.port)
-	if err := newTap().serve(list, listOf(backends(point.Backends, point.Services)), bench.goroutines); err != nil {
+	if err := newByteCounter().serve(list, listOf(backends(point.Backends, point.Services)), bench.goroutines); err != nil {
 		return err
 	}
 	seeds := []string{}
@@ -103,7 +103,7 @@
 	if err := bench.until(30*time.Second, "a leader", func() bool { return bench.leader() != nil }); err != nil {
 		return err
 	}
-	client := rpc.NewClient(program.FarTransport(userTimeout))
+	client := rpc.NewClient(program.WANTransport(userTimeout))
 	finder := agent.NewLeaderFinder(client, bench.goroutines, seeds).WithIntervals(agent.Intervals{FindLeader: seekPace})
 	finder.Run()
 	bench.forwarder = agent.NewForwarder(finder, client, metrics.NewCounters()).WithLimits(agent.ForwardLimits{Response: 20 * time.Second, Attempt: 15 * time.Second})
@@ -116,7 +116,7 @@
 	}
 	for first := 0; first < point.Daemons; first += hollowMost {
 		port := bench.port + 1000 + len(bench.hollows)*portStep
-		spec := HollowSpec{First: first, Daemons: min(hollowMost, point.Daemons-first), Wire: fmt.Sprintf("127.0.0.1:%d", port), Report: fmt.Sprintf("127.0.0.1:%d", port+1),
+		spec := SimulatedSpec{First: first, Daemons: min(hollowMost, point.Daemons-first), Wire: fmt.Sprintf("127.0.0.1:%d", port), Report: fmt.Sprintf("127.0.0.1:%d", port+1),
 			Seeds: seeds, Apply: point.Apply, Active: point.Active, Tenants: point.Tenants}
 		if err := bench.begin("scale-hollow", spec, spec.Report, spec.Wire, 4); err != nil {
 			return err
--- a/scale/content.go
+++ b/scale/content.go
@@ -13,14 +13,14 @@
 
 func routeOf(number, services int) route.Route {
 	return route.Route{Name: fmt.Sprintf("route-%06d", number), Host: fmt.Sprintf("host-%05d.example.org", number/hostsShare), Prefix: fmt.Sprintf("/part-%d/", number%hostsShare),
-		Kind: route.Repeatable, TimeoutMs: 2000, TargetMs: 200, Service: serviceName(number % services), Attempts: 3}
+		Kind: route.Idempotent, TimeoutMs: 2000, TargetMs: 200, Service: serviceName(number % services), Attempts: 3}
 }
 
 func serviceName(number int) string { return fmt.Sprintf("service-%04d", number) }
 
 // config is a routing of a size.
 func config(version uint64, routes, services, tenants int) *route.Config {
-	made := &route.Config{Version: version, Keyed: tenants > 0, Limits: route.Limits{HeaderBytes: 64 << 10, BodyBytes: 1 << 20, HeaderMs: 5000, IdleMs: 30000}}
+	made := &route.Config{Version: version, KeysRequired: tenants > 0, Limits: route.Limits{HeaderBytes: 64 << 10, BodyBytes: 1 << 20, HeaderMs: 5000, IdleMs: 30000}}
 	for number := range services {
 		made.Services = append(made.Services, route.Service{Name: serviceName(number), HealthPath: "/health", MaxConnections: 1000, WarmupMs: 5000, WarmupRate: 20})
 	}
--- a/scale/core.go
+++ b/scale/core.go
@@ -64,7 +64,7 @@
 // RunCore is the main function of a core process; it returns when the process is
 // stopped.
 func RunCore(spec CoreSpec) error {
-	goroutines, counters, tap := concurrent.NewGroup(), metrics.NewCounters(), newTap()
+	goroutines, counters, tap := concurrent.NewGroup(), metrics.NewCounters(), newByteCounter()
 	client := rpc.NewClient(tap.transport())
 	config := control.Config{Name: spec.Name, Zone: spec.Zone, InternalAddress: spec.Wire, Seeds: spec.Seeds, Bootstrap: true, MinFounders: spec.Cores, PlatformAddress: spec.Platform,
 		HeartbeatInterval: beatPace, SuspicionTimeout: suspectSpan, Seed: uint64(time.Now().UnixNano()), DirectSessions: true, TableInterval: tablePace, SessionTTL: sessionSpan, ListInterval: listPace, ListsUntilGone: goneAfter}
@@ -92,7 +92,7 @@
 		reading.Leads, reading.Routing, reading.Members, reading.Backends, reading.Counts = core.Leads(), serial, len(table.Members), len(table.Backends), counters.All()
 		writeJSON(writer, reading)
 	})
-	if err := newTap().serve(spec.Report, mux, goroutines); err != nil {
+	if err := newByteCounter().serve(spec.Report, mux, goroutines); err != nil {
 		return err
 	}
 	core.Run()
--- a/scale/hollow.go
+++ b/scale/hollow.go
@@ -47,10 +47,10 @@
 	return all
 }
 
-// HollowSpec is the configuration of a process of hollow daemons, passed as JSON on
+// SimulatedSpec is the configuration of a process of hollow daemons, passed as JSON on
 // its command line. Active is the number of tenants that each of them counts in a
 // window.
-type HollowSpec struct {
+type SimulatedSpec struct {
 	First   int
 	Daemons int
 	Wire    string
@@ -61,47 +61,47 @@
 	Tenants int
 }
 
-type hollows struct {
-	spec    HollowSpec
-	tap     *Tap
-	daemons []*hollow
+type simulatedDaemons struct {
+	spec    SimulatedSpec
+	tap     *ByteCounter
+	daemons []*simulatedDaemon
 
 	mutex   sync.Mutex
 	applied map[uint64][]int64
 }
 
-// hollow is one daemon whose data plane carries no requests.
-type hollow struct {
+// simulatedDaemon is one daemon whose data plane carries no requests.
+type simulatedDaemon struct {
 	number     int
-	all        *hollows
+	all        *simulatedDaemons
 	goroutines *concurrent.Group
-	line       *rpc.Client
+	client     *rpc.Client
 	daemon     *agent.Daemon
 	held       atomic.Pointer[route.Index]
 	routing    uint64
 }
 
-func (all *hollows) start(number int) *hollow {
+func (all *simulatedDaemons) start(number int) *simulatedDaemon {
 	spec := all.spec
 	goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
 	client := rpc.NewClient(all.tap.transport())
 	name := fmt.Sprintf("proxy-%05d", spec.First+number)
 	config := agent.Config{Name: name, Kind: "proxy", Zone: zoneName(number), InternalAddress: spec.Wire, PublicAddress: spec.Wire, OperatorAddress: spec.Wire, Seeds: spec.Seeds,
-		Intervals: agent.Intervals{Session: sessionPace, Watch: watchPace, FindLeader: seekPace, Pulse: feelPace, CheckReach: lookPace, UsageCount: -1},
+		Intervals:     agent.Intervals{Session: sessionPace, Watch: watchPace, FindLeader: seekPace, Pulse: feelPace, CheckReach: lookPace, UsageCount: -1},
 		ForwardLimits: agent.ForwardLimits{Attempt: sendLimit}, DirectSessions: true, ServesAlone: true, Routed: true}
 	var random [8]byte
 	rand.Read(random[:])
-	one := &hollow{number: number, all: all, goroutines: goroutines, line: client}
+	one := &simulatedDaemon{number: number, all: all, goroutines: goroutines, client: client}
 	one.daemon = agent.NewDaemon(config, hex.EncodeToString(random[:]), client, goroutines, counters)
 	apply := func(*agent.Version) {}
 	switch spec.Apply {
 	case ApplyIndex:
 		apply = func(version *agent.Version) { one.held.Store(route.NewIndex(version.Routing)) }
 	case ApplyLay:
-		plane := proxy.NewProxy(proxy.Place{Name: name, Zone: config.Zone, Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1, UsageWindow: meterWindow},
+		plane := proxy.NewProxy(proxy.Config{Name: name, Zone: config.Zone, Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1, UsageWindow: meterWindow},
 			(&net.Dialer{}).DialContext, one.daemon.Now, goroutines, counters)
 		plane.Run()
-		apply = func(version *agent.Version) { plane.Lay(version.Routing, version.Table) }
+		apply = func(version *agent.Version) { plane.Apply(version.Routing, version.Table) }
 	}
 	one.daemon.OnVersion(func(version *agent.Version) {
 		if version.Routing == nil || version.RoutingSerial == 0 || !version.Table.Complete {
@@ -116,7 +116,7 @@
 }
 
 // inForce notes when this daemon first had a routing in force.
-func (one *hollow) inForce(routing uint64) {
+func (one *simulatedDaemon) inForce(routing uint64) {
 	at := time.Now().UnixMicro()
 	one.all.mutex.Lock()
 	for serial := max(one.routing+1, routing-min(routing, 64)); serial <= routing; serial++ {
@@ -128,7 +128,7 @@
 
 // windows are counts as a proxy tells them: those of its last windows, each
 // with as many tenants.
-func (one *hollow) windows() []message.WindowCount {
+func (one *simulatedDaemon) windows() []message.WindowCount {
 	if one.all.spec.Active == 0 {
 		return nil
 	}
@@ -144,16 +144,16 @@
 	return all
 }
 
-func (one *hollow) stop() {
+func (one *simulatedDaemon) stop() {
 	one.goroutines.Stop()
-	one.line.Close()
+	one.client.Close()
 }
 
-// RunHollow is the main function of a process of hollow daemons; it returns when
+// RunSimulatedDaemons is the main function of a process of hollow daemons; it returns when
 // the process is stopped.
-func RunHollow(spec HollowSpec) error {
-	goroutines, tap := concurrent.NewGroup(), newTap()
-	all := &hollows{spec: spec, tap: tap, applied: map[uint64][]int64{}}
+func RunSimulatedDaemons(spec SimulatedSpec) error {
+	goroutines, tap := concurrent.NewGroup(), newByteCounter()
+	all := &simulatedDaemons{spec: spec, tap: tap, applied: map[uint64][]int64{}}
 	for number := range spec.Daemons {
 		all.daemons = append(all.daemons, all.start(number))
 		goroutines.Sleep(startPace(number))
@@ -167,7 +167,7 @@
 	mux.HandleFunc("/reading", func(writer http.ResponseWriter, _ *http.Request) {
 		reading := tap.read()
 		all.mutex.Lock()
-		daemons := append([]*hollow{}, all.daemons...)
+		daemons := append([]*simulatedDaemon{}, all.daemons...)
 		all.mutex.Unlock()
 		for _, one := range daemons {
 			if one.daemon.Ready() {
@@ -189,7 +189,7 @@
 		all.restart(min(count, spec.Daemons), goroutines)
 		writeJSON(writer, true)
 	})
-	if err := newTap().serve(spec.Report, mux, goroutines); err != nil {
+	if err := newByteCounter().serve(spec.Report, mux, goroutines); err != nil {
 		return err
 	}
 	program.OnTerm(goroutines, goroutines.Stop)
@@ -207,9 +207,9 @@
 }
 
 // restart ends some daemons without a word and starts others in their place.
-func (all *hollows) restart(count int, goroutines *concurrent.Group) {
+func (all *simulatedDaemons) restart(count int, goroutines *concurrent.Group) {
 	all.mutex.Lock()
-	ended := append([]*hollow{}, all.daemons[len(all.daemons)-count:]...)
+	ended := append([]*simulatedDaemon{}, all.daemons[len(all.daemons)-count:]...)
 	all.mutex.Unlock()
 	for _, one := range ended {
 		one.stop()
--- a/scale/point_test.go
+++ b/scale/point_test.go
@@ -22,11 +22,11 @@
 				return RunCore(spec)
 			},
 			"scale-hollow": func() error {
-				spec := HollowSpec{}
+				spec := SimulatedSpec{}
 				if err := json.Unmarshal([]byte(os.Args[3]), &spec); err != nil {
 					return rpc.Errorf(rpc.BadFlag, "%v", err)
 				}
-				return RunHollow(spec)
+				return RunSimulatedDaemons(spec)
 			},
 		}[os.Args[1]]
 		if err := begun(); err != nil {
--- a/scale/roles.go
+++ b/scale/roles.go
@@ -100,7 +100,7 @@
 	idle, idleError := found.level("daemons", steady(daemonRole, processor))
 	idleIn, idleInError := found.level("daemons", steady(daemonRole, bytesIn))
 	active := fullRequests / fullDaemons * meterWindow.Seconds()
-	told, toldError := found.at("usage", steady(daemonRole, bytesOut), active)
+	response, toldError := found.at("usage", steady(daemonRole, bytesOut), active)
 	count, countError := found.level("daemons", steady(daemonRole, messages))
 	opened, openedError := found.level("daemons", steady(daemonRole, descriptors))
 	beside, besideError := found.at("backends", steady(daemonRole, processor), fullBackends)
@@ -112,7 +112,7 @@
 		{"bytes/s in, nothing changes", "does not grow; mean of the points", idleIn, idleInError, "B/s", mostBytes, "daemons", "long poll and sessions of Direct mode"},
 		{"bytes/s in, for changes of routing", "1.03 changes/s × packed book", fullChanges * bookBytes, fullChanges * bookBytesError, "B/s", mostBytes, "state", "whole book by fetch; to build: patches (need 1)"},
 		{"bytes/s in, for ends and starts of daemons", "0.33 tables/s × packed table", tables * tableBytes, tables * tableBytesError, "B/s", mostBytes, "state", "whole table by fetch; to build: deltas (need 2)"},
-		{"bytes/s out", "usage's line at 1,031 tenants a window (206 requests/s, none twice)", told, toldError, "B/s", mostBytes, "usage", "seven windows a session; to build: need 5"},
+		{"bytes/s out", "usage's line at 1,031 tenants a window (206 requests/s, none twice)", response, toldError, "B/s", mostBytes, "usage", "seven windows a session; to build: need 5"},
 		{"messages/s, nothing changes", "does not grow; mean of the points", count, countError, "/s", 0, "daemons", "long poll of 2.5 s, session of 0.5 s"},
 		{"processor, nothing changes, 100 backends", "does not grow; mean of the points", idle, idleError, "cores", mostProcessor, "daemons", "the same"},
 		{"processor, nothing changes, all backends", "backends' line (each is looked at 4 times a second)", beside, besideError, "cores", mostProcessor, "backends", "proxy.tend over all targets; to build: subsets (need 4)"},
@@ -151,12 +151,12 @@
 		lines = append(lines, line{each.what, each.run + "' line", value, spread, each.unit, each.bound, each.run, each.by})
 	}
 	usage, measured := found.fit("usage", steady(leaderRole, bytesIn))
-	told := math.NaN()
+	response := math.NaN()
 	if measured {
-		told = usage.Slope / float64(middle.Daemons) * fullDaemons * fullRequests / fullDaemons * meterWindow.Seconds()
+		response = usage.Slope / float64(middle.Daemons) * fullDaemons * fullRequests / fullDaemons * meterWindow.Seconds()
 	}
 	return append(lines,
-		line{"bytes/s in, usage", "usage's slope a daemon × 16 k × 1,031 tenants", told, usage.SlopeError / float64(middle.Daemons) * fullRequests * meterWindow.Seconds(), "B/s", 0, "usage", "Meter.take; to build: need 5"},
+		line{"bytes/s in, usage", "usage's slope a daemon × 16 k × 1,031 tenants", response, usage.SlopeError / float64(middle.Daemons) * fullRequests * meterWindow.Seconds(), "B/s", 0, "usage", "Meter.take; to build: need 5"},
 		line{"bytes/s out for changes of routing", "1.03 changes/s × packed book × 16 k", fullChanges * bookBytes * fullDaemons, fullChanges * bookBytesError * fullDaemons, "B/s", 1.25e9, "state; bound: a link of 10 Gbit/s", "onFetch; to build: needs 1 to 3"},
 		line{"bytes/s out for ends and starts", "0.33 tables/s × packed table × 16 k", tables * tableBytes * fullDaemons, tables * tableBytesError * fullDaemons, "B/s", 1.25e9, "state; bound: a link of 10 Gbit/s", "onFetch; to build: needs 1 to 3"},
 		line{"one message with the whole book", "packed book", bookBytes, bookBytesError, "B", 32 << 20, "state; bound: the wire's message limit", "FetchTold; to build: need 1"})
--- a/scale/tap.go
+++ b/scale/tap.go
@@ -23,23 +23,23 @@
 	"orchidjunction/rpc"
 )
 
-// Tap counts the bytes and messages that pass one process's listeners and
+// ByteCounter counts the bytes and messages that pass one process's listeners and
 // connections. Headers of HTTP are in the bytes, those of TCP are not.
-type Tap struct {
+type ByteCounter struct {
 	in, out  atomic.Uint64
 	mutex    sync.Mutex
 	messages map[string]uint64
 }
 
-func newTap() *Tap { return &Tap{messages: map[string]uint64{}} }
+func newByteCounter() *ByteCounter { return &ByteCounter{messages: map[string]uint64{}} }
 
-func (tap *Tap) message(path string) {
+func (tap *ByteCounter) message(path string) {
 	tap.mutex.Lock()
 	tap.messages[strings.TrimPrefix(path, "/oj/")]++
 	tap.mutex.Unlock()
 }
 
-func (tap *Tap) counted() map[string]uint64 {
+func (tap *ByteCounter) counted() map[string]uint64 {
 	tap.mutex.Lock()
 	defer tap.mutex.Unlock()
 	all := make(map[string]uint64, len(tap.messages))
@@ -51,7 +51,7 @@
 
 type tappedConn struct {
 	net.Conn
-	tap *Tap
+	tap *ByteCounter
 }
 
 func (conn tappedConn) Read(body []byte) (int, error) {
@@ -68,7 +68,7 @@
 
 type tappedListener struct {
 	net.Listener
-	tap *Tap
+	tap *ByteCounter
 }
 
 func (listener tappedListener) Accept() (net.Conn, error) {
@@ -82,7 +82,7 @@
 // tappedTransport is a far transport whose calls are counted.
 type tappedTransport struct {
 	*http.Transport
-	tap *Tap
+	tap *ByteCounter
 }
 
 func (transport tappedTransport) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -90,8 +90,8 @@
 	return transport.Transport.RoundTrip(request)
 }
 
-func (tap *Tap) transport() tappedTransport {
-	transport := program.FarTransport(userTimeout)
+func (tap *ByteCounter) transport() tappedTransport {
+	transport := program.WANTransport(userTimeout)
 	dial := transport.DialContext
 	transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -104,7 +104,7 @@
 }
 
 // serve opens an address whose messages and bytes are counted.
-func (tap *Tap) serve(address string, handler http.Handler, goroutines *concurrent.Group) error {
+func (tap *ByteCounter) serve(address string, handler http.Handler, goroutines *concurrent.Group) error {
 	open, err := net.Listen("tcp", address)
 	if err != nil {
 		return rpc.Errorf(rpc.BadFlag, "%s: %v", address, err)
@@ -136,7 +136,7 @@
 	Counts      map[string]uint64
 }
 
-func (tap *Tap) read() Reading {
+func (tap *ByteCounter) read() Reading {
 	usage := syscall.Rusage{}
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // fails for wrong arguments only
 	reading := Reading{AtUs: time.Now().UnixMicro(), ProcessorUs: usage.Utime.Nano()/1000 + usage.Stime.Nano()/1000,
--- a/sim/budget_test.go
+++ b/sim/budget_test.go
@@ -16,7 +16,7 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 6 {
-			world.AddBackend("meters", "e1", stand.BackendPlace{WorkMs: 5, Room: 32})
+			world.AddBackend("meters", "e1", stand.BackendConfig{WorkMs: 5, Room: 32})
 		}
 		world.up(test, 5)
 		late := world.AddDaemon("proxy", "w1")
@@ -34,8 +34,8 @@
 		})
 		plan := world.plan(35, 22)
 		plan.Calls, plan.Tries = plan.Calls[1:2], 3
-		origin, client := world.Origin(plan)
-		report := origin.Run(world.goroutines.Sleep)
+		generator, client := world.Origin(plan)
+		report := generator.Run(world.goroutines.Sleep)
 		client.CloseIdleConnections()
 		verdicts := world.judge(nil, report)
 		if resends, _ := strconv.Atoi(strings.Fields(verdicts["resends within a fifth and sixty in ten seconds"])[0]); resends < 30 {
@@ -55,7 +55,7 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 6 {
-			world.AddBackend("meters", "e1", stand.BackendPlace{WorkMs: 5, Room: 32})
+			world.AddBackend("meters", "e1", stand.BackendConfig{WorkMs: 5, Room: 32})
 		}
 		world.up(test, 5)
 		world.goroutines.Start(func() {
@@ -70,8 +70,8 @@
 		})
 		plan := world.plan(40, 45)
 		plan.Calls, plan.Tries, plan.Hasty, plan.Patient, plan.Eager = plan.Calls[:2], 6, true, true, 20
-		origin, client := world.Origin(plan)
-		report := origin.Run(world.goroutines.Sleep)
+		generator, client := world.Origin(plan)
+		report := generator.Run(world.goroutines.Sleep)
 		client.CloseIdleConnections()
 		verdicts := world.judge(nil, report)
 		test.Logf("%s; %s; %d tries for %d tasks, %v", verdicts["resends within a fifth and sixty in ten seconds"], verdicts["no key charged twice"], len(report.Tries), report.Asked, report.Statuses)
--- a/sim/catchup_test.go
+++ b/sim/catchup_test.go
@@ -112,9 +112,9 @@
 	} else {
 		world.StartCore(leader)
 	}
-	book, err := world.Book()
-	if err != nil || book.Config.Version != acknowledged {
-		world.broke("read back %+v after the leader was lost, %d was acknowledged: %v", book, acknowledged, err)
+	state, err := world.Book()
+	if err != nil || state.Config.Version != acknowledged {
+		world.broke("read back %+v after the leader was lost, %d was acknowledged: %v", state, acknowledged, err)
 	}
 	for _, machine := range world.Cores {
 		if used := machine.Disk.MostUsed(); used > diskBound {
@@ -221,9 +221,9 @@
 	if !world.Until(10*time.Second, func() bool { return world.Leader() >= 0 }) {
 		world.broke("nobody leads")
 	}
-	book, err := world.Book()
-	if err != nil || book.Config.Version != version.Load() {
-		world.broke("read back %+v, %d was acknowledged: %v", book, version.Load(), err)
+	state, err := world.Book()
+	if err != nil || state.Config.Version != version.Load() {
+		world.broke("read back %+v, %d was acknowledged: %v", state, version.Load(), err)
 	}
 	world.report(test)
 	return world.Leader() == index
--- a/sim/claims_test.go
+++ b/sim/claims_test.go
@@ -96,7 +96,7 @@
 			length := world.Cores[0].Disk.Size(name)
 			open := func(disk *Disk) error {
 				client := rpc.NewClient(world.Net.Transport("10.7.0.8"))
-				core, err := control.NewCore(control.Config{ID: 1, InternalAddress: "10.0.0.1:41", HeartbeatInterval: Beat, SuspicionTimeout: Suspect}, disk, client, concurrent.NewGroup(), metrics.NewCounters())
+				core, err := control.NewCore(control.Config{ID: 1, InternalAddress: "10.0.0.1:41", HeartbeatInterval: HeartbeatInterval, SuspicionTimeout: SuspicionTimeout}, disk, client, concurrent.NewGroup(), metrics.NewCounters())
 				if err == nil {
 					core.Close()
 				}
--- a/sim/cold_test.go
+++ b/sim/cold_test.go
@@ -16,17 +16,17 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 3 {
-			world.AddBackend("meters", "e1", stand.BackendPlace{WorkMs: 5, Room: 32})
+			world.AddBackend("meters", "e1", stand.BackendConfig{WorkMs: 5, Room: 32})
 		}
 		world.up(test, 7)
 		late := world.AddDaemon("proxy", "w1")
 		plan := world.plan(70, 14)
 		plan.Calls = plan.Calls[1:2]
-		origin, client := world.Origin(plan)
+		generator, client := world.Origin(plan)
 		world.goroutines.Start(func() {
 			world.Rest(time.Second)
 			for range 2 {
-				world.AddBackend("meters", "w1", stand.BackendPlace{WorkMs: 5, Room: 32, ColdMs: 9000, GentleRate: 6})
+				world.AddBackend("meters", "w1", stand.BackendConfig{WorkMs: 5, Room: 32, ColdMs: 9000, GentleRate: 6})
 			}
 			world.List()
 			world.Rest(2 * time.Second)
@@ -43,7 +43,7 @@
 				world.Net.Cut(world.Daemons[2].Host, core.Host, false)
 			}
 		})
-		report := origin.Run(world.goroutines.Sleep)
+		report := generator.Run(world.goroutines.Sleep)
 		client.CloseIdleConnections()
 		detail := world.judge(nil, report)["cold backends within their gentle rate"]
 		if used, _ := strconv.Atoi(strings.Fields(detail)[0]); used < 20 {
--- a/sim/control_test.go
+++ b/sim/control_test.go
@@ -27,7 +27,7 @@
 // faultSpan is a span of trouble for some cores or members; no end means it goes on.
 type faultSpan struct {
 	cores      []int
-	members    []*Member
+	members    []*FarDaemon
 	begin, end time.Time
 }
 
@@ -38,7 +38,7 @@
 	emptied       bool
 	serial        uint64
 	begin, end    time.Time
-	mishap        error
+	err           error
 }
 
 // acted is one call to the platform that was not refused for its fence.
@@ -73,7 +73,7 @@
 }
 
 // under notes who is in trouble while something is done.
-func (side *Control) under(cores []int, members []*Member, do func()) {
+func (side *Control) under(cores []int, members []*FarDaemon, do func()) {
 	one := &faultSpan{cores: cores, members: members, begin: time.Now()}
 	side.mutex.Lock()
 	side.faults = append(side.faults, one)
@@ -85,7 +85,7 @@
 }
 
 // spared is how many cores had no trouble in a span, and whether a member had none.
-func (side *Control) spared(from, until time.Time, one *Member) (int, bool) {
+func (side *Control) spared(from, until time.Time, one *FarDaemon) (int, bool) {
 	side.mutex.Lock()
 	defer side.mutex.Unlock()
 	touched, calm := map[int]bool{}, true
@@ -134,7 +134,7 @@
 	side.mutex.Lock()
 	defer side.mutex.Unlock()
 	for _, order := range side.orders {
-		if order.mishap == nil && !order.end.IsZero() && !order.end.After(by) {
+		if order.err == nil && !order.end.IsZero() && !order.end.After(by) {
 			version, serial = max(version, order.version), max(serial, order.serial)
 		}
 	}
@@ -144,7 +144,7 @@
 func (side *Control) note(order *answered, serial uint64, err error) {
 	side.mutex.Lock()
 	defer side.mutex.Unlock()
-	order.serial, order.mishap, order.end = serial, err, time.Now()
+	order.serial, order.err, order.end = serial, err, time.Now()
 }
 
 func (side *Control) begun(order *answered) *answered {
@@ -165,17 +165,17 @@
 	if err != nil {
 		return
 	}
-	book, err := route.BookOf(response.Body)
+	state, err := route.DecodeState(response.Body)
 	if err != nil {
 		side.world.broke("read back: %v", err)
 		return
 	}
-	base := book.Config.Version
+	base := state.Config.Version
 	if acknowledged, _ := side.newest(begin); base < acknowledged {
 		side.world.broke("%d was acknowledged, then %d read back", acknowledged, base)
 	}
 	one := side.begun(&answered{what: "routing", base: base, version: base + 1 + uint64(random.IntN(3))*8 + number})
-	taken, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](side.world, holds, "routechange", Whole(one.version, base))
+	taken, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](side.world, holds, "routechange", WholeChange(one.version, base))
 	if err != nil {
 		side.note(one, 0, err)
 		return
@@ -190,7 +190,7 @@
 // reached.
 func (side *Control) repeat(holds []*agent.Forwarder, acknowledged *answered) {
 	again := side.begun(&answered{what: acknowledged.what, base: acknowledged.base, version: acknowledged.version})
-	response, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](side.world, append(holds[1:], holds[0]), "routechange", Whole(again.version, again.base))
+	response, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](side.world, append(holds[1:], holds[0]), "routechange", WholeChange(again.version, again.base))
 	if err != nil {
 		side.note(again, 0, err)
 		return
@@ -305,12 +305,12 @@
 // judge looks at the end at all that operators were told.
 func (side *Control) judge(test *testing.T) {
 	world := side.world
-	book, err := world.Book()
+	state, err := world.Book()
 	if err != nil {
 		test.Fatal(err)
 	}
 	applied, orders, bases, zones := map[uint64]bool{1: true}, map[route.ShortDigest]bool{}, map[uint64]uint64{}, map[string]*answered{}
-	for _, one := range book.Trail.Entries() {
+	for _, one := range state.History.Entries() {
 		applied[one.Version], orders[one.Digest] = true, true
 	}
 	side.mutex.Lock()
@@ -318,12 +318,12 @@
 	acknowledged, late, longest := 0, 0, time.Duration(0)
 	for _, order := range side.orders {
 		took := order.end.Sub(order.begin)
-		proper := order.mishap == nil || rpc.AsError(order.mishap).RetryAfterMs > 0
+		proper := order.err == nil || rpc.AsError(order.err).RetryAfterMs > 0
 		if took > ackSpan && proper {
 			late++
 			side.mutex.Unlock()
 			if cores, _ := side.spared(order.begin.Add(-contactSpan), order.begin.Add(ackSpan), nil); cores >= side.most() {
-				world.broke("%s %d on %d at %v took %v while %d cores were settled: %v", order.what, order.version, order.base, order.begin, took, cores, order.mishap)
+				world.broke("%s %d on %d at %v took %v while %d cores were settled: %v", order.what, order.version, order.base, order.begin, took, cores, order.err)
 			}
 			side.mutex.Lock()
 		}
@@ -332,9 +332,9 @@
 			continue
 		}
 		taken := orders[route.DigestOf(fmt.Sprintf("%d on %d", order.version, order.base))]
-		if order.mishap != nil {
-			if taken && rpc.AsError(order.mishap).RetryAfterMs == 0 {
-				world.broke("%d on %d was refused and is in the trail: %v", order.version, order.base, order.mishap)
+		if order.err != nil {
+			if taken && rpc.AsError(order.err).RetryAfterMs == 0 {
+				world.broke("%d on %d was refused and is in the trail: %v", order.version, order.base, order.err)
 			}
 			continue
 		}
@@ -348,8 +348,8 @@
 		bases[order.base] = order.version
 	}
 	for zone, order := range zones {
-		if held := slices.Contains(book.Evacuated, zone); order.mishap == nil && held != order.emptied {
-			world.broke("%s emptied %v, read back %v", zone, order.emptied, book.Evacuated)
+		if held := slices.Contains(state.Evacuated, zone); order.err == nil && held != order.emptied {
+			world.broke("%s emptied %v, read back %v", zone, order.emptied, state.Evacuated)
 		}
 	}
 	for serial, version := range side.versions {
@@ -357,8 +357,8 @@
 			world.broke("%d was in force as serial %d and is not in the trail", version, serial)
 		}
 	}
-	if book.Trail.Forgotten > 0 || acknowledged < 15 {
-		world.broke("%d routings acknowledged, %d in the trail", acknowledged, book.Trail.Count)
+	if state.History.Forgotten > 0 || acknowledged < 15 {
+		world.broke("%d routings acknowledged, %d in the trail", acknowledged, state.History.Count)
 	}
 	if held := world.rosters(); len(held) != 1 {
 		world.broke("%v", held)
--- a/sim/core.go
+++ b/sim/core.go
@@ -16,12 +16,12 @@
 	"orchidjunction/rpc"
 )
 
-// Lead is one leadership that came to stand.
-type Lead struct {
-	Core   int
-	Host   string
-	Ballot message.Term
-	At     time.Time
+// ObservedLeadership is one leadership that came to stand.
+type ObservedLeadership struct {
+	Core int
+	Host string
+	Term message.Term
+	At   time.Time
 }
 
 // Core is one core machine of the world.
@@ -36,7 +36,7 @@
 	Seeds      []string
 	goroutines *concurrent.Group
 	servers    []*http.Server
-	line       *rpc.Client
+	client     *rpc.Client
 	starts     uint64
 	jump       atomic.Int64
 	wiped      bool
@@ -77,18 +77,18 @@
 	}
 	config := world.corePlace(machine)
 	machine.goroutines = concurrent.NewGroup()
-	machine.line = rpc.NewClient(world.Net.Transport(machine.Host))
+	machine.client = rpc.NewClient(world.Net.Transport(machine.Host))
 	counters := metrics.NewCounters()
 	finder := world.coreFinder(machine, &config)
 	config.OnMembershipChange = finder.ObserveMembership
-	core, err := control.NewCore(config, machine.Disk, machine.line, machine.goroutines, counters)
+	core, err := control.NewCore(config, machine.Disk, machine.client, machine.goroutines, counters)
 	if err != nil {
 		world.broke("core %d does not start: %v", machine.ID, err)
 		return
 	}
 	server := rpc.NewServer(counters)
 	core.Register(server)
-	forwarder := agent.NewForwarder(finder, machine.line, counters).WithLimits(world.Limits)
+	forwarder := agent.NewForwarder(finder, machine.client, counters).WithLimits(world.Limits)
 	if len(config.Seeds) > 0 {
 		forwarder.SetLocalLeader(core.Leader)
 	}
@@ -102,7 +102,7 @@
 }
 
 func (world *World) corePlace(machine *Core) control.Config {
-	config := control.Config{ID: machine.ID, Zone: "z", InternalAddress: machine.Wire, OperatorAddress: machine.Operate, Bootstrap: true, PlatformAddress: world.platformAddress(), HeartbeatInterval: Beat, SuspicionTimeout: Suspect, Seed: world.Seed + machine.starts*1000}
+	config := control.Config{ID: machine.ID, Zone: "z", InternalAddress: machine.Wire, OperatorAddress: machine.Operate, Bootstrap: true, PlatformAddress: world.platformAddress(), HeartbeatInterval: HeartbeatInterval, SuspicionTimeout: SuspicionTimeout, Seed: world.Seed + machine.starts*1000}
 	machine.starts++
 	for _, other := range world.machines() {
 		if other != machine {
@@ -128,7 +128,7 @@
 			addresses = append(addresses, other.Wire)
 		}
 	}
-	return agent.NewLeaderFinder(machine.line, machine.goroutines, addresses).WithIntervals(world.Paces)
+	return agent.NewLeaderFinder(machine.client, machine.goroutines, addresses).WithIntervals(world.Paces)
 }
 
 // led judges each leadership as it comes to stand: its ballot must by then be
@@ -160,11 +160,11 @@
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	for _, other := range world.Leads {
-		if other.Ballot == term {
+		if other.Term == term {
 			world.Broken = append(world.Broken, fmt.Sprintf("%s and %s both led under %s", other.Host, leader.Host, term))
 		}
 	}
-	world.Leads = append(world.Leads, Lead{Core: leader.ID, Host: leader.Host, Ballot: term, At: time.Now()})
+	world.Leads = append(world.Leads, ObservedLeadership{Core: leader.ID, Host: leader.Host, Term: term, At: time.Now()})
 }
 
 // votersOf are the addresses of each group that decides by a core's state; where
@@ -268,7 +268,7 @@
 	for _, server := range machine.servers {
 		_ = server.Close() // its listeners are the net's
 	}
-	machine.line.Close()
+	machine.client.Close()
 }
 
 // TermCore is the platform's warning: the core steps down if it leads, then ends.
--- a/sim/cut_test.go
+++ b/sim/cut_test.go
@@ -22,7 +22,7 @@
 		for _, cut := range []cutOff{{"alone", 1, 0, 0, healAfter}, {"region", 3, 0, 0, healAfter}, {"fewer than half", 4, 0, 0, healAfter}, {"deaf", 1, 1, 0, healAfter}, {"mute", 1, 2, 0, healAfter}, {"flapping", 2, 0, 700 * time.Millisecond, healAfter}} {
 			world := NewWorld(seed, 3)
 			for _, zone := range []string{"e1", "w1", "s1"} {
-				world.AddBackend("meters", zone, stand.BackendPlace{WorkMs: 5, Room: 64})
+				world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 5, Room: 64})
 			}
 			world.up(test, 12)
 			lone := world.apart(cut.proxies, int(seed))
@@ -32,7 +32,7 @@
 			for _, daemon := range lone {
 				plan.Fronts = append(plan.Fronts, daemon.Outer)
 			}
-			origin, client := world.Origin(plan)
+			generator, client := world.Origin(plan)
 			ledger := world.Operators(2, 400*time.Millisecond)
 			world.goroutines.Start(func() {
 				world.Rest(2 * time.Second)
@@ -40,7 +40,7 @@
 				world.Rest(100 * time.Millisecond)
 				world.withdraw(ledger, "birch")
 			})
-			report := origin.Run(world.Rest)
+			report := generator.Run(world.Rest)
 			ledger.Stop()
 			client.CloseIdleConnections()
 			before := len(world.Broken)
@@ -104,13 +104,13 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for _, zone := range []string{"e1", "w1", "s1"} {
-			world.AddBackend("meters", zone, stand.BackendPlace{WorkMs: 5, Room: 64})
+			world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 5, Room: 64})
 		}
 		world.up(test, 9)
 		world.Until(5*time.Second, func() bool { return world.keepers() == 6 })
 		plan := world.plan(40, 14)
 		plan.Patient = true
-		origin, client := world.Origin(plan)
+		generator, client := world.Origin(plan)
 		turn := func(shut bool) {
 			for _, core := range world.Cores {
 				for _, daemon := range world.Daemons {
@@ -124,7 +124,7 @@
 			world.Rest(8 * time.Second)
 			turn(false)
 		})
-		report := origin.Run(world.Rest)
+		report := generator.Run(world.Rest)
 		client.CloseIdleConnections()
 		world.planned = true
 		world.judge(nil, report)
--- a/sim/election_test.go
+++ b/sim/election_test.go
@@ -92,8 +92,8 @@
 		defer world.Close()
 		world.up(test, 3)
 		ledger := world.Operators(3, 150*time.Millisecond)
-		chaos := world.Chaos()
-		chaos.Run(chaosSpan())
+		faults := world.RandomFaults()
+		faults.Run(chaosSpan())
 		ledger.Stop()
 		world.judge(ledger)
 		if len(ledger.Acked) < 10 {
@@ -110,7 +110,7 @@
 		}) {
 			world.broke("serial %d is not in force everywhere after 4 s", last)
 		}
-		test.Logf("%d acknowledged, %d refused, %d unknown, %d leaderships, longest answer %.0f ms, faults %v", len(ledger.Acked), len(ledger.Refused), len(ledger.Unknown), len(world.Leads), judge.Part(ledger.AnswerMs, 1), chaos.Done)
+		test.Logf("%d acknowledged, %d refused, %d unknown, %d leaderships, longest answer %.0f ms, faults %v", len(ledger.Acked), len(ledger.Refused), len(ledger.Unknown), len(world.Leads), judge.Quantile(ledger.AnswerMs, 1), faults.Done)
 		world.report(test)
 	})
 }
--- a/sim/emptied_test.go
+++ b/sim/emptied_test.go
@@ -17,7 +17,7 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for _, zone := range []string{"e1", "w1", "s1"} {
-			world.AddBackend("meters", zone, stand.BackendPlace{WorkMs: 5, Room: 32})
+			world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 5, Room: 32})
 		}
 		world.up(test, 5)
 		_, client := world.Origin(world.plan(1, 1))
--- a/sim/everything.go
+++ b/sim/everything.go
@@ -10,19 +10,19 @@
 	"orchidjunction/operator"
 )
 
-// Everything injects faults into a whole partner, every kind of process, one draw
+// CombinedFaults injects faults into a whole partner, every kind of process, one draw
 // after another; each is healed before the next.
-type Everything struct {
+type CombinedFaults struct {
 	world  *World
-	chaos  *Chaos
+	chaos  *RandomFaults
 	ledger *judge.Ledger
 	random *rand.Rand
 	Done   []string
 	number int
 }
 
-func (world *World) Everything(ledger *judge.Ledger) *Everything {
-	return &Everything{world: world, chaos: world.Chaos(), ledger: ledger, random: rand.New(rand.NewPCG(world.Seed, 71))}
+func (world *World) CombinedFaults(ledger *judge.Ledger) *CombinedFaults {
+	return &CombinedFaults{world: world, chaos: world.RandomFaults(), ledger: ledger, random: rand.New(rand.NewPCG(world.Seed, 71))}
 }
 
 // SystemFaults are those beside the cores' own.
@@ -30,44 +30,44 @@
 	"zone-lost", "region-lost", "zone-emptied", "zone-lost-other-emptied", "backend-crash", "backends-cold-herd", "backend-frozen", "backend-leaves", "misbehave", "platform", "platform-usage", "lag", "keys", "all-down"}
 
 // Run draws faults until the span is over.
-func (all *Everything) Run(span time.Duration) {
+func (faults *CombinedFaults) Run(span time.Duration) {
 	for until := time.Now().Add(span); time.Now().Before(until); {
-		kind := SystemFaults[all.random.IntN(len(SystemFaults))]
-		all.Done = append(all.Done, kind)
-		all.Inject(kind)
-		all.world.Rest(all.span(300, 2500))
+		kind := SystemFaults[faults.random.IntN(len(SystemFaults))]
+		faults.Done = append(faults.Done, kind)
+		faults.Inject(kind)
+		faults.world.Rest(faults.span(300, 2500))
 	}
 }
 
-func (all *Everything) span(least, most int) time.Duration {
-	return time.Duration(least+all.random.IntN(most-least)) * time.Millisecond
+func (faults *CombinedFaults) span(least, most int) time.Duration {
+	return time.Duration(least+faults.random.IntN(most-least)) * time.Millisecond
 }
 
-func (all *Everything) proxies() []*Daemon {
+func (faults *CombinedFaults) proxies() []*Daemon {
 	proxies := []*Daemon{}
-	for _, daemon := range all.world.Daemons {
+	for _, daemon := range faults.world.Daemons {
 		if daemon.Kind == "proxy" && daemon.Lender == nil {
 			proxies = append(proxies, daemon)
 		}
 	}
-	all.random.Shuffle(len(proxies), func(left, right int) { proxies[left], proxies[right] = proxies[right], proxies[left] })
+	faults.random.Shuffle(len(proxies), func(left, right int) { proxies[left], proxies[right] = proxies[right], proxies[left] })
 	return proxies
 }
 
 // away ends daemons for a while.
-func (all *Everything) away(daemons []*Daemon, span time.Duration) {
+func (faults *CombinedFaults) away(daemons []*Daemon, span time.Duration) {
 	for _, daemon := range daemons {
-		all.world.KillDaemon(daemon)
+		faults.world.KillDaemon(daemon)
 	}
-	all.world.Rest(span)
+	faults.world.Rest(span)
 	for _, daemon := range daemons {
-		all.world.StartDaemon(daemon)
+		faults.world.StartDaemon(daemon)
 	}
 }
 
 // lost takes the power from zones, whatever stands there, and gives it back.
-func (all *Everything) lost(zones ...string) {
-	world := all.world
+func (faults *CombinedFaults) lost(zones ...string) {
+	world := faults.world
 	daemons := []*Daemon{}
 	for _, daemon := range world.Daemons {
 		if slices.Contains(zones, daemon.Zone) && daemon.Lender == nil {
@@ -81,7 +81,7 @@
 			world.StopBackend(backend)
 		}
 	}
-	all.away(daemons, all.span(800, 4000))
+	faults.away(daemons, faults.span(800, 4000))
 	world.StartCore(core)
 	for _, backend := range world.Backends {
 		if slices.Contains(zones, backend.Listed.Zone) {
@@ -91,96 +91,96 @@
 }
 
 // change patches until it is acknowledged, and tells when.
-func (all *Everything) change(body string) int64 {
+func (faults *CombinedFaults) change(body string) int64 {
 	for range 60 {
-		doors := all.world.Doors()
+		doors := faults.world.OperatorAddresses()
 		if len(doors) == 0 {
-			all.world.Rest(100 * time.Millisecond)
+			faults.world.Rest(100 * time.Millisecond)
 			continue
 		}
-		all.number++
-		client := all.world.Client(doors[all.random.IntN(len(doors))])
+		faults.number++
+		client := faults.world.Client(doors[faults.random.IntN(len(doors))])
 		if settings, err := client.Read(false); err == nil && settings.Confirmed {
-			change := operator.Change{Base: settings.Serial, Change: fmt.Sprint("all-", all.number), Settings: []byte(body)}
-			if all.ledger.Make(change, client, all.random, func(client *operator.Client) (*operator.Outcome, error) { return client.Patch(change) }) == nil {
+			change := operator.Change{Base: settings.Serial, Change: fmt.Sprint("all-", faults.number), Settings: []byte(body)}
+			if faults.ledger.Make(change, client, faults.random, func(client *operator.Client) (*operator.Outcome, error) { return client.Patch(change) }) == nil {
 				return time.Now().UnixMilli()
 			}
 		}
-		all.world.Rest(30 * time.Millisecond)
+		faults.world.Rest(30 * time.Millisecond)
 	}
-	all.world.broke("never acknowledged: %s", body)
+	faults.world.broke("never acknowledged: %s", body)
 	return 0
 }
 
 // within does something between a change and its undoing, and notes what must
 // not be served in between.
-func (all *Everything) within(windows []judge.Window, do, undo string, span time.Duration, meanwhile func()) {
-	from := all.change(do)
+func (faults *CombinedFaults) within(windows []judge.Window, do, undo string, span time.Duration, meanwhile func()) {
+	from := faults.change(do)
 	for index := range windows {
 		windows[index].From = from + 4500
 	}
 	meanwhile()
-	all.world.Rest(span)
+	faults.world.Rest(span)
 	until := time.Now().UnixMilli()
-	all.change(undo)
+	faults.change(undo)
 	for index := range windows {
 		windows[index].Until = until
 	}
-	all.world.windows = append(all.world.windows, windows...)
+	faults.world.windows = append(faults.world.windows, windows...)
 }
 
-func (all *Everything) emptied(zone string, meanwhile func()) {
+func (faults *CombinedFaults) emptied(zone string, meanwhile func()) {
 	windows := []judge.Window{}
-	for _, backend := range all.world.Backends {
+	for _, backend := range faults.world.Backends {
 		if backend.Listed.Zone == zone {
 			windows = append(windows, judge.Window{Kind: "backend", Subject: backend.Listed.Name})
 		}
 	}
-	for _, daemon := range all.world.Daemons {
+	for _, daemon := range faults.world.Daemons {
 		if daemon.Zone == zone && daemon.Kind == "proxy" {
 			windows = append(windows, judge.Window{Kind: "front", Subject: daemon.Outer})
 		}
 	}
-	all.within(windows, fmt.Sprintf(`{"drained":{"zones":[%q]}}`, zone), `{"drained":{"zones":[]}}`, all.span(5000, 7000), meanwhile)
+	faults.within(windows, fmt.Sprintf(`{"drained":{"zones":[%q]}}`, zone), `{"drained":{"zones":[]}}`, faults.span(5000, 7000), meanwhile)
 }
 
 // Inject brings one fault about and heals it.
-func (all *Everything) Inject(kind string) {
-	world, random := all.world, all.random
-	proxies, zones := all.proxies(), []string{"e1", "w1", "s1"}
+func (faults *CombinedFaults) Inject(kind string) {
+	world, random := faults.world, faults.random
+	proxies, zones := faults.proxies(), []string{"e1", "w1", "s1"}
 	random.Shuffle(len(zones), func(left, right int) { zones[left], zones[right] = zones[right], zones[left] })
 	backend := world.Backends[random.IntN(len(world.Backends))]
 	switch kind {
 	case "core":
-		all.chaos.Inject(CoreFaults[random.IntN(len(CoreFaults))], random.IntN(len(world.Cores)))
+		faults.chaos.Inject(CoreFaults[random.IntN(len(CoreFaults))], random.IntN(len(world.Cores)))
 	case "clock":
 		jumps := []int64{-7_200_000, -180_000, -9_000, 9_000, 180_000, 7_200_000}
 		world.Cores[random.IntN(len(world.Cores))].jump.Store(jumps[random.IntN(len(jumps))])
 	case "disk-fails":
 		index := random.IntN(len(world.Cores))
 		world.Cores[index].Disk.Fail(true)
-		world.Rest(all.span(300, 1500))
+		world.Rest(faults.span(300, 1500))
 		world.KillCore(index, true)
 		world.StartCore(index)
 	case "proxy-killed":
-		all.away(proxies[:1], all.span(50, 2500))
+		faults.away(proxies[:1], faults.span(50, 2500))
 	case "proxies-killed":
-		all.away(proxies[:2+random.IntN(len(proxies)-2)], all.span(50, 2500))
+		faults.away(proxies[:2+random.IntN(len(proxies)-2)], faults.span(50, 2500))
 	case "dir-killed":
-		all.away(world.Daemons[:1], all.span(50, 1500))
+		faults.away(world.Daemons[:1], faults.span(50, 1500))
 	case "proxy-stopped":
 		world.TermDaemon(proxies[0])
 		world.StartDaemon(proxies[0])
 	case "warned-then-killed":
 		world.goroutines.Start(func() { proxies[0].Daemon.Leave() })
-		world.Rest(all.span(50, 1200))
-		all.away(proxies[:1], all.span(50, 500))
+		world.Rest(faults.span(50, 1200))
+		faults.away(proxies[:1], faults.span(50, 500))
 	case "proxy-frozen":
 		world.Net.Freeze(proxies[0].Host, true)
-		world.Rest(all.span(200, 6000))
+		world.Rest(faults.span(200, 6000))
 		world.Net.Freeze(proxies[0].Host, false)
 	case "proxy-cut":
-		world.part(proxies[:1], cutOff{oneWay: random.IntN(3), span: all.span(500, 6000), flap: time.Duration(random.IntN(2)) * 600 * time.Millisecond})
+		world.part(proxies[:1], cutOff{oneWay: random.IntN(3), span: faults.span(500, 6000), flap: time.Duration(random.IntN(2)) * 600 * time.Millisecond})
 	case "proxies-apart", "core-away":
 		turn := func(shut bool) {
 			for index, proxy := range proxies[:len(proxies)/2] {
@@ -193,53 +193,53 @@
 			}
 		}
 		turn(true)
-		world.Rest(all.span(500, 4000))
+		world.Rest(faults.span(500, 4000))
 		turn(false)
 	case "zone-lost", "region-lost":
-		all.lost(zones[0])
+		faults.lost(zones[0])
 	case "zone-emptied":
-		all.emptied(zones[0], func() {})
+		faults.emptied(zones[0], func() {})
 	case "zone-lost-other-emptied":
-		all.emptied(zones[0], func() { all.lost(zones[1]) })
+		faults.emptied(zones[0], func() { faults.lost(zones[1]) })
 	case "backend-crash":
 		world.StopBackend(backend)
-		world.Rest(all.span(100, 2500))
+		world.Rest(faults.span(100, 2500))
 		world.ReviveBackend(backend, 0)
 	case "backends-cold-herd":
 		herd := world.Backends[:len(world.Backends)/2]
 		for _, one := range herd {
 			world.StopBackend(one)
 		}
-		world.Rest(all.span(100, 1500))
+		world.Rest(faults.span(100, 1500))
 		for _, one := range herd {
 			world.ReviveBackend(one, 4000)
 		}
-		all.away(proxies[:1], all.span(200, 1500))
+		faults.away(proxies[:1], faults.span(200, 1500))
 	case "backend-frozen":
 		world.Net.Freeze(host(backend.Listed.Address), true)
-		world.Rest(all.span(200, 3000))
+		world.Rest(faults.span(200, 3000))
 		world.Net.Freeze(host(backend.Listed.Address), false)
 	case "backend-leaves":
 		backend.Backend.Leave()
-		world.Rest(all.span(4000, 7000))
+		world.Rest(faults.span(4000, 7000))
 		world.StopBackend(backend)
 		world.ReviveBackend(backend, 2000)
 	case "misbehave":
 		for range 6 {
 			modes := []string{"lose", "garbage", "truncate", "foreign", "overlong", "vanish", "busy"}
 			world.Backends[random.IntN(len(world.Backends))].Backend.Misbehave(modes[random.IntN(len(modes))], 1+random.IntN(4))
-			world.Rest(all.span(50, 300))
+			world.Rest(faults.span(50, 300))
 		}
 	case "platform":
-		world.Platform.Misbehave([]string{"gone", "refuse", "shift"}[random.IntN(3)], all.span(500, 3000))
+		world.Platform.Misbehave([]string{"gone", "refuse", "shift"}[random.IntN(3)], faults.span(500, 3000))
 		world.Rest(2 * time.Second)
 	case "platform-usage":
-		world.Platform.Misbehave([]string{"usage-gone", "usage-refuse", "usage-slow", "usage-late"}[random.IntN(4)], all.span(500, 3000))
+		world.Platform.Misbehave([]string{"usage-gone", "usage-refuse", "usage-slow", "usage-late"}[random.IntN(4)], faults.span(500, 3000))
 		world.Rest(2 * time.Second)
 	case "lag":
 		world.Platform.SetLag([]time.Duration{200 * time.Millisecond, 3 * time.Second, 3 * time.Minute}[random.IntN(3)])
 	case "keys":
-		all.within([]judge.Window{{Kind: "tenant", Subject: "birch"}}, `{"tenants":{"birch":{"keys":[]}}}`, fmt.Sprintf(`{"tenants":{"birch":{"keys":[%q]}}}`, digestOf("key-of-birch")), all.span(5000, 6500), func() {})
+		faults.within([]judge.Window{{Kind: "tenant", Subject: "birch"}}, `{"tenants":{"birch":{"keys":[]}}}`, fmt.Sprintf(`{"tenants":{"birch":{"keys":[%q]}}}`, digestOf("key-of-birch")), faults.span(5000, 6500), func() {})
 	case "all-down":
 		for index := range world.Cores {
 			world.KillCore(index, true)
@@ -253,7 +253,7 @@
 		for _, daemon := range daemons {
 			world.KillDaemon(daemon)
 		}
-		world.Rest(all.span(10, 500))
+		world.Rest(faults.span(10, 500))
 		for index := range world.Cores {
 			world.StartCore(index)
 		}
--- a/sim/everything_test.go
+++ b/sim/everything_test.go
@@ -18,7 +18,7 @@
 		for _, world := range worlds {
 			defer world.Close()
 			for index := range 6 {
-				world.AddBackend("meters", []string{"e1", "w1", "s1"}[index%3], stand.BackendPlace{WorkMs: 10, Room: 64, GentleRate: 10})
+				world.AddBackend("meters", []string{"e1", "w1", "s1"}[index%3], stand.BackendConfig{WorkMs: 10, Room: 64, GentleRate: 10})
 			}
 			world.up(test, 8)
 			world.reports = true
@@ -57,17 +57,17 @@
 	ledger := world.Operators(2, 600*time.Millisecond)
 	plan := world.plan(25, 600)
 	plan.Eager, plan.Tries, plan.Patient = 10, 5, true
-	origin, client := world.Origin(plan)
-	all := world.Everything(ledger)
+	generator, client := world.Origin(plan)
+	faults := world.CombinedFaults(ledger)
 	begin, done := time.Now(), false
 	world.goroutines.Start(func() {
-		all.Run(span)
+		faults.Run(span)
 		world.Rest(6 * time.Second)
 		world.mutex.Lock()
 		done = true
 		world.mutex.Unlock()
 	})
-	report := origin.Run(func(span time.Duration) bool {
+	report := generator.Run(func(span time.Duration) bool {
 		world.mutex.Lock()
 		ended := done
 		world.mutex.Unlock()
@@ -81,5 +81,5 @@
 		world.broke("%d of %d served: %v", report.Served, report.Asked, report.Statuses)
 	}
 	test.Logf("%v, %d of %d served, %d unknown, %s, %s, faults %v", time.Since(begin).Round(time.Second), report.Served, report.Asked, report.Unknown,
-		details["operators answered within a second"], details["usage reported within 5% and 10 s, none missing"], all.Done)
+		details["operators answered within a second"], details["usage reported within 5% and 10 s, none missing"], faults.Done)
 }
--- a/sim/far.go
+++ b/sim/far.go
@@ -28,8 +28,8 @@
 	farSession = 500 * time.Millisecond
 )
 
-// Member is a daemon without a data plane.
-type Member struct {
+// FarDaemon is a daemon without a data plane.
+type FarDaemon struct {
 	Name       string
 	Host       string
 	Region     int
@@ -40,7 +40,7 @@
 	Seeds      []string
 	goroutines *concurrent.Group
 	server     *http.Server
-	line       *rpc.Client
+	client     *rpc.Client
 }
 
 // NewFarWorld is a system in three regions far from each other, whose cores
@@ -82,13 +82,13 @@
 
 // seedsFor gives a process the seeds that its settings name; those that it is told
 // at its first start stay the same until TurnSeeds.
-func (world *World) seedsFor(told *[]string) []string {
+func (world *World) seedsFor(response *[]string) []string {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	if *told == nil {
-		*told = world.Seeds
+	if *response == nil {
+		*response = world.Seeds
 	}
-	return append([]string{}, *told...)
+	return append([]string{}, *response...)
 }
 
 // lists is an empty list of backends unless the world has its own.
@@ -100,20 +100,20 @@
 }
 
 // AddMember lays out a daemon of a region; StartMember starts it.
-func (world *World) AddMember(region int) *Member {
+func (world *World) AddMember(region int) *FarDaemon {
 	index := len(world.Members)
-	one := &Member{Name: fmt.Sprintf("member-%d", index), Host: fmt.Sprintf("10.%d.1.%d", 10*region, index+1), Region: region}
+	one := &FarDaemon{Name: fmt.Sprintf("member-%d", index), Host: fmt.Sprintf("10.%d.1.%d", 10*region, index+1), Region: region}
 	world.Members = append(world.Members, one)
 	return one
 }
 
-func (world *World) StartMember(one *Member) {
+func (world *World) StartMember(one *FarDaemon) {
 	spot := agent.Config{Name: one.Name, Kind: "proxy", Zone: fmt.Sprint("z", one.Region), InternalAddress: one.Host + ":41", PublicAddress: one.Host + ":80", OperatorAddress: one.Host + ":42",
 		Intervals: world.Paces, ForwardLimits: world.Limits, DirectSessions: true, ServesAlone: true, Routed: true, Wall: func() int64 { return time.Now().UnixMilli() + one.Jump }}
 	spot.Seeds = world.seedsFor(&one.Seeds)
 	one.goroutines, one.Counts = concurrent.NewGroup(), metrics.NewCounters()
-	one.line = rpc.NewClient(world.Net.Transport(one.Host))
-	one.Daemon = agent.NewDaemon(spot, agent.NewID(), one.line, one.goroutines, one.Counts)
+	one.client = rpc.NewClient(world.Net.Transport(one.Host))
+	one.Daemon = agent.NewDaemon(spot, agent.NewID(), one.client, one.goroutines, one.Counts)
 	last := uint64(0)
 	one.Daemon.OnVersion(func(version *agent.Version) {
 		if version.RoutingSerial < last {
@@ -131,14 +131,14 @@
 	one.Daemon.Run()
 }
 
-func (world *World) KillMember(one *Member) {
+func (world *World) KillMember(one *FarDaemon) {
 	if !world.ends(&one.Alive) {
 		return
 	}
 	world.Net.Kill(one.Host)
 	one.goroutines.Stop()
 	_ = one.server.Close() // its listener is the net's
-	one.line.Close()
+	one.client.Close()
 }
 
 // CloseFar ends the members, then all else.
@@ -152,31 +152,31 @@
 // Routing is a small one for worlds.
 func Routing(version uint64) *route.Config {
 	return &route.Config{Version: version, Services: []route.Service{{Name: "desk"}},
-		Routes: []route.Route{{Name: fmt.Sprint("route-", version), Host: "a.example", Prefix: "/a/", Service: "desk", Attempts: 1, TimeoutMs: 2000, TargetMs: 500, Kind: route.Repeatable}}}
+		Routes: []route.Route{{Name: fmt.Sprint("route-", version), Host: "a.example", Prefix: "/a/", Service: "desk", Attempts: 1, TimeoutMs: 2000, TargetMs: 500, Kind: route.Idempotent}}}
 }
 
-// Book is a small routing as the register holds it.
-func Book(version uint64) *route.Book { return &route.Book{Config: *Routing(version)} }
+// NewState is a small routing as the register holds it.
+func NewState(version uint64) *route.State { return &route.State{Config: *Routing(version)} }
 
-// Whole is an operator's order of a whole routing on top of a version.
-func Whole(version, base uint64) *message.RoutingChangeRequest {
+// WholeChange is an operator's order of a whole routing on top of a version.
+func WholeChange(version, base uint64) *message.RoutingChangeRequest {
 	body, _ := rpc.Marshal(&route.Change{Version: version, Base: base, Digest: fmt.Sprintf("%d on %d", version, base), Whole: Routing(version)})
 	return &message.RoutingChangeRequest{Body: body}
 }
 
 // order sends an order by some holds in turn until it has an answer that ends it.
-func order[Asked, Told any](world *World, holds []*agent.Forwarder, name string, asked *Asked) (*Told, error) {
+func order[Asked, Told any](world *World, holds []*agent.Forwarder, name string, request *Asked) (*Told, error) {
 	return again(world, holds, func(forwarder *agent.Forwarder) (*Told, error) {
-		return agent.Forward[Asked, Told](forwarder, name, asked)
+		return agent.Forward[Asked, Told](forwarder, name, request)
 	})
 }
 
 // again sends by some holds in turn until there is an answer that ends it.
 func again[Told any](world *World, holds []*agent.Forwarder, send func(*agent.Forwarder) (*Told, error)) (*Told, error) {
 	for try := 0; ; try++ {
-		told, err := send(holds[try%len(holds)])
+		response, err := send(holds[try%len(holds)])
 		if err == nil || rpc.AsError(err).RetryAfterMs == 0 || try > 20 {
-			return told, err
+			return response, err
 		}
 		world.Rest(200 * time.Millisecond)
 	}
@@ -194,7 +194,7 @@
 
 // Put sends a routing until it is taken or refused.
 func (world *World) Put(version, base uint64) error {
-	_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds(), "routechange", Whole(version, base))
+	_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds(), "routechange", WholeChange(version, base))
 	return err
 }
 
@@ -211,10 +211,10 @@
 }
 
 // Book reads the confirmed routing back.
-func (world *World) Book() (*route.Book, error) {
+func (world *World) Book() (*route.State, error) {
 	response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](world, world.holds(), "routeread", &message.RoutingReadRequest{})
 	if err != nil {
 		return nil, err
 	}
-	return route.BookOf(response.Body)
+	return route.DecodeState(response.Body)
 }
--- a/sim/far_test.go
+++ b/sim/far_test.go
@@ -55,12 +55,12 @@
 		if err != nil {
 			continue
 		}
-		book, err := route.BookOf(response.Body)
+		state, err := route.DecodeState(response.Body)
 		if err != nil {
 			world.broke("read back: %v", err)
 			return
 		}
-		base := book.Config.Version
+		base := state.Config.Version
 		racer.mutex.Lock()
 		for version := range racer.acked {
 			if version > base && racer.acked[version] < base {
@@ -69,7 +69,7 @@
 		}
 		racer.mutex.Unlock()
 		version := base + 1 + uint64(random.IntN(3))*3 + uint64(number)
-		if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, holds(), "routechange", Whole(version, base)); err == nil {
+		if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, holds(), "routechange", WholeChange(version, base)); err == nil {
 			racer.mutex.Lock()
 			racer.acked[version] = base
 			racer.mutex.Unlock()
@@ -103,10 +103,10 @@
 				world.Rest(50 * time.Millisecond)
 			}
 		})
-		chaos := world.Chaos()
+		faults := world.RandomFaults()
 		for until := time.Now().Add(2 * chaosSpan()); time.Now().Before(until); {
-			chaos.Inject(CoreFaults[chaos.random.IntN(len(CoreFaults))], chaos.random.IntN(len(world.Cores)))
-			world.Rest(chaos.span(100*time.Millisecond, 4*time.Second))
+			faults.Inject(CoreFaults[faults.random.IntN(len(CoreFaults))], faults.random.IntN(len(world.Cores)))
+			world.Rest(faults.span(100*time.Millisecond, 4*time.Second))
 		}
 		racers.mutex.Lock()
 		stop = true
@@ -114,12 +114,12 @@
 		if !world.Until(60*time.Second, func() bool { racers.mutex.Lock(); defer racers.mutex.Unlock(); return racers.ended == 3 }) {
 			test.Fatal("operators have no answer")
 		}
-		book, err := world.Book()
+		state, err := world.Book()
 		if err != nil {
 			test.Fatal(err)
 		}
 		applied, bases := map[uint64]bool{}, map[uint64]uint64{}
-		for _, one := range book.Trail.Entries() {
+		for _, one := range state.History.Entries() {
 			applied[one.Version] = true
 		}
 		for version, base := range racers.acked {
@@ -133,15 +133,15 @@
 		}
 		for zone, emptied := range racers.zones {
 			held := false
-			for _, one := range book.Evacuated {
+			for _, one := range state.Evacuated {
 				held = held || one == zone
 			}
 			if held != emptied && !racers.unsure[zone] {
-				world.broke("%s emptied %v, read back %v", zone, emptied, book.Evacuated)
+				world.broke("%s emptied %v, read back %v", zone, emptied, state.Evacuated)
 			}
 		}
-		if took, whole := world.reached(book.Config.Version, 4*time.Second); !whole {
-			world.broke("routing %d is not everywhere after %v", book.Config.Version, took)
+		if took, whole := world.reached(state.Config.Version, 4*time.Second); !whole {
+			world.broke("routing %d is not everywhere after %v", state.Config.Version, took)
 		}
 		if len(racers.acked) < 15 {
 			world.broke("only %d routings were acknowledged", len(racers.acked))
@@ -149,7 +149,7 @@
 		if held := world.rosters(); len(held) != 1 {
 			world.broke("%v", held)
 		}
-		test.Logf("%d acknowledged, %d leaderships, %d windows told, faults %v", len(racers.acked), len(world.Leads), len(meters.told), chaos.Done)
+		test.Logf("%d acknowledged, %d leaderships, %d windows told, faults %v", len(racers.acked), len(world.Leads), len(meters.told), faults.Done)
 		world.report(test)
 	})
 }
--- a/sim/injector_test.go
+++ b/sim/injector_test.go
@@ -9,7 +9,7 @@
 // Injector injects faults, one after the other; two may be at it at once.
 type Injector struct {
 	*Control
-	chaos  *Chaos
+	chaos  *RandomFaults
 	random *rand.Rand
 	kinds  []string
 	cores  []string
@@ -17,7 +17,7 @@
 }
 
 func (side *Control) injector(number uint64, kinds, cores []string) *Injector {
-	one := &Injector{Control: side, chaos: side.world.Chaos(), random: rand.New(rand.NewPCG(side.world.Seed, 83+number)), kinds: kinds, cores: cores}
+	one := &Injector{Control: side, chaos: side.world.RandomFaults(), random: rand.New(rand.NewPCG(side.world.Seed, 83+number)), kinds: kinds, cores: cores}
 	one.chaos.random = rand.New(rand.NewPCG(side.world.Seed, 183+number))
 	return one
 }
@@ -55,7 +55,7 @@
 }
 
 // lose is under for a fault by which the cores are lost for a while.
-func (side *Injector) lose(cores []int, members []*Member, do func()) {
+func (side *Injector) lose(cores []int, members []*FarDaemon, do func()) {
 	release, reserved := side.reserve(cores)
 	if !reserved {
 		return
@@ -117,7 +117,7 @@
 		if kind == "power-after-ack" {
 			side.put(world.holds(), random, 7)
 		}
-		members := []*Member{}
+		members := []*FarDaemon{}
 		if kind != "power-after-ack" || random.IntN(2) == 0 {
 			members = world.Members
 		}
@@ -155,7 +155,7 @@
 		})
 	case "region-lost":
 		region := random.IntN(3)
-		cores, members := []int{}, []*Member{}
+		cores, members := []int{}, []*FarDaemon{}
 		for index := range world.machines() {
 			if index%3 == region {
 				cores = append(cores, index)
@@ -193,7 +193,7 @@
 			cut(false)
 		})
 	case "member-killed", "members-killed":
-		members := []*Member{one}
+		members := []*FarDaemon{one}
 		if kind == "members-killed" {
 			members = world.Members[:len(world.Members)/2]
 		}
@@ -205,7 +205,7 @@
 			world.startAll()
 		})
 	case "member-frozen":
-		side.under(nil, []*Member{one}, func() {
+		side.under(nil, []*FarDaemon{one}, func() {
 			world.Net.Freeze(one.Host, true)
 			world.Rest(side.span(200, 6000))
 			world.Net.Freeze(one.Host, false)
@@ -222,7 +222,7 @@
 				}
 			}
 		}
-		side.under(nil, []*Member{one}, func() {
+		side.under(nil, []*FarDaemon{one}, func() {
 			cut(true)
 			world.Rest(side.span(500, 7000))
 			cut(false)
--- a/sim/judge.go
+++ b/sim/judge.go
@@ -28,8 +28,8 @@
 	return serials
 }
 
-func (world *World) seen() []stand.Witness {
-	all := append([]stand.Witness{}, world.past...)
+func (world *World) seen() []stand.BackendRecord {
+	all := append([]stand.BackendRecord{}, world.past...)
 	for _, backend := range world.Backends {
 		all = append(all, backend.Backend.Seen())
 	}
@@ -38,7 +38,7 @@
 
 // judge makes the fleet's verdicts of what was seen in this world; each detail
 // by its line's name.
-func (world *World) judge(ledger *judge.Ledger, reports ...stand.OriginReport) map[string]string {
+func (world *World) judge(ledger *judge.Ledger, reports ...stand.LoadReport) map[string]string {
 	settings, err := conf.Read(Settings(1000))
 	if err != nil {
 		world.broke("%v", err)
@@ -52,7 +52,7 @@
 		evidence.Zones[daemon.Outer] = daemon.Zone
 	}
 	if ledger != nil {
-		if evidence.Trail, err = ledger.Trail(20 * time.Second); err != nil {
+		if evidence.History, err = ledger.History(20 * time.Second); err != nil {
 			world.broke("no trail at the end: %v", err)
 		}
 	}
--- a/sim/metering_test.go
+++ b/sim/metering_test.go
@@ -38,7 +38,7 @@
 }
 
 // begin counts requests that a member begins now, by its own clock.
-func (meters *meters) begin(one *Member) {
+func (meters *meters) begin(one *FarDaemon) {
 	window := one.Daemon.Now() / meters.span
 	meters.mutex.Lock()
 	defer meters.mutex.Unlock()
@@ -54,7 +54,7 @@
 	meters.begun[time.Now().UnixMilli()/meters.span]++
 }
 
-func (meters *meters) windows(one *Member) []message.WindowCount {
+func (meters *meters) windows(one *FarDaemon) []message.WindowCount {
 	meters.mutex.Lock()
 	defer meters.mutex.Unlock()
 	all := []message.WindowCount{}
@@ -281,8 +281,8 @@
 			if !world.Until(15*time.Second, func() bool {
 				meters.mutex.Lock()
 				defer meters.mutex.Unlock()
-				_, told := meters.told[window]
-				return told
+				_, response := meters.told[window]
+				return response
 			}) {
 				world.broke("window %d was not reported", window)
 			}
@@ -371,7 +371,7 @@
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 5)
-		listed := func(one *Member) bool {
+		listed := func(one *FarDaemon) bool {
 			for _, known := range world.Members[0].Daemon.Version().Table.Members {
 				if known.Name == one.Name {
 					return true
@@ -379,7 +379,7 @@
 			}
 			return false
 		}
-		left := func(one *Member) time.Duration {
+		left := func(one *FarDaemon) time.Duration {
 			begin := time.Now()
 			if !listed(one) || !world.Until(10*time.Second, func() bool { return !listed(one) }) {
 				world.broke("%s is still listed", one.Name)
--- a/sim/money_test.go
+++ b/sim/money_test.go
@@ -18,7 +18,7 @@
 		defer world.Close()
 		zones := []string{"e1", "w1", "s1"}
 		for index := range 6 {
-			world.AddBackend("meters", zones[index%3], stand.BackendPlace{WorkMs: 20, Room: 16})
+			world.AddBackend("meters", zones[index%3], stand.BackendConfig{WorkMs: 20, Room: 16})
 		}
 		world.up(test, 8)
 		if !world.Until(5*time.Second, func() bool { return world.keepers() == 6 }) {
@@ -28,7 +28,7 @@
 		plan.Eager, plan.Tries = 40, 6
 		plan.Calls = plan.Calls[:1]
 		plan.Callers = plan.Callers[:1]
-		origin, client := world.Origin(plan)
+		generator, client := world.Origin(plan)
 		random := rand.New(rand.NewPCG(seed, 37))
 		done := atomic.Bool{}
 		proxies := []*Daemon{}
@@ -87,7 +87,7 @@
 				world.Rest(time.Duration(random.IntN(1500)) * time.Millisecond)
 			}
 		})
-		report := origin.Run(world.goroutines.Sleep)
+		report := generator.Run(world.goroutines.Sleep)
 		done.Store(true)
 		client.CloseIdleConnections()
 		world.Rest(4 * time.Second)
--- a/sim/operator_test.go
+++ b/sim/operator_test.go
@@ -83,11 +83,11 @@
 // zoned breaks unless a zone is as it was acknowledged last.
 func (world *World) zoned(test *testing.T, zone string, evacuated bool, when string) {
 	test.Helper()
-	book, err := world.Book()
+	state, err := world.Book()
 	if err != nil {
 		test.Fatal(err)
 	}
-	if slices.Contains(book.Evacuated, zone) != evacuated {
+	if slices.Contains(state.Evacuated, zone) != evacuated {
 		world.broke("%s: %s was acknowledged evacuated %v, is %v", when, zone, evacuated, !evacuated)
 	}
 }
@@ -136,14 +136,14 @@
 				for time.Since(begin) < 20*time.Second {
 					for _, one := range []struct{ method, path, body string }{{"GET", "/config", ""}, {"PUT", "/config", first}, {"PUT", "/config", wholeBody(9, 1)}, {"PUT", "/config", wholeBody(7, 5)}, {"PUT", "/config", wholeBody(99, 98)},
 						{"PATCH", "/config", invalidPatch(8, 5)}, {"POST", "/evacuate/z1", ""}, {"DELETE", "/evacuate/z2", ""}} {
-						asked := time.Since(begin)
+						request := time.Since(begin)
 						mutex.Lock()
 						open++
 						mutex.Unlock()
 						world.goroutines.Start(func() {
 							code, answer := operator.within(answered, lost, one.method, one.path, one.body)
 							if code != http.StatusServiceUnavailable && code != http.StatusRequestTimeout {
-								world.broke("%s, leads %v: %s %s asked after %v: %d %.100s", kind, leads, one.method, one.path, asked, code, answer)
+								world.broke("%s, leads %v: %s %s asked after %v: %d %.100s", kind, leads, one.method, one.path, request, code, answer)
 							}
 							mutex.Lock()
 							open--
@@ -153,11 +153,11 @@
 					world.Rest(time.Duration(300+seed*131%400) * time.Millisecond)
 				}
 				operator.until(test, others, http.MethodPut, "/config", first)
-				book, err := world.Book()
+				state, err := world.Book()
 				if err != nil {
 					test.Fatal(err)
 				}
-				last := wholeBody(10, book.Config.Version)
+				last := wholeBody(10, state.Config.Version)
 				operator.until(test, others, http.MethodPut, "/config", last)
 				operator.until(test, others, http.MethodPost, "/evacuate/z1", "")
 				world.Until(5*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return open == 0 })
@@ -197,7 +197,7 @@
 			operator.until(test, entries, first, "/evacuate/z1", "")
 			operator.until(test, entries, second, "/evacuate/z1", "")
 			for until := time.Now().Add(time.Second); time.Now().Before(until); world.Rest(10 * time.Millisecond) {
-				if _, book := world.Cores[leader].Core.Routing(); world.Leader() == leader && slices.Contains(book.Evacuated, "z1") != begin {
+				if _, state := world.Cores[leader].Core.Routing(); world.Leader() == leader && slices.Contains(state.Evacuated, "z1") != begin {
 					test.Fatalf("round %d: acknowledged evacuated %v, then committed %v", round, begin, !begin)
 				}
 			}
--- a/sim/orders_test.go
+++ b/sim/orders_test.go
@@ -16,9 +16,9 @@
 	ask  func(client *rpc.Client, address string, limit time.Duration) error
 }
 
-func callOf[Asked, Told any](name, message string, asked *Asked) call {
+func callOf[Asked, Told any](name, message string, request *Asked) call {
 	return call{name: name, ask: func(client *rpc.Client, address string, limit time.Duration) error {
-		_, err := rpc.Call[Asked, Told](client, address, message, limit, asked)
+		_, err := rpc.Call[Asked, Told](client, address, message, limit, request)
 		return err
 	}}
 }
@@ -32,9 +32,9 @@
 	dangling, _ := rpc.Marshal(&route.Change{Version: 2, Base: 1, Digest: "dangling", Patch: &route.Patch{RemoveServices: []string{"desk"}}})
 	low, _ := rpc.Marshal(&route.Change{Version: 1, Base: 1, Digest: "low", Whole: Routing(1)})
 	return []call{
-		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("repeat", "routechange", Whole(1, 0)),
-		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("stale base", "routechange", Whole(9, 0)),
-		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("newer base", "routechange", Whole(9, 3)),
+		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("repeat", "routechange", WholeChange(1, 0)),
+		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("stale base", "routechange", WholeChange(9, 0)),
+		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("newer base", "routechange", WholeChange(9, 3)),
 		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("stale version", "routechange", &message.RoutingChangeRequest{Body: low}),
 		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("invalid", "routechange", &message.RoutingChangeRequest{Body: broken}),
 		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("invalid patch", "routechange", &message.RoutingChangeRequest{Body: dangling}),
@@ -123,10 +123,10 @@
 						mutex.Lock()
 						open++
 						mutex.Unlock()
-						asked := time.Since(begin)
+						request := time.Since(begin)
 						world.goroutines.Start(func() {
 							if err := one.ask(client, world.Cores[leader].Wire, 30*time.Second); !unclear(err) {
-								world.broke("%s, restarted %v, %s asked after %v: %v", kind, restarted, one.name, asked, err)
+								world.broke("%s, restarted %v, %s asked after %v: %v", kind, restarted, one.name, request, err)
 							}
 							mutex.Lock()
 							open--
--- a/sim/outage_test.go
+++ b/sim/outage_test.go
@@ -48,7 +48,7 @@
 		} {
 			world := NewWorld(seed, 3)
 			for _, zone := range []string{"e1", "w1", "s1"} {
-				world.AddBackend("meters", zone, stand.BackendPlace{WorkMs: 20, Room: 64})
+				world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 20, Room: 64})
 			}
 			world.up(test, 8)
 			world.Until(5*time.Second, func() bool { return world.keepers() == 6 })
@@ -82,7 +82,7 @@
 				world.broke("%s: final answers after %v and %v, %d replayed", kind.name, slowest, later, replays)
 			}
 			before := len(world.Broken)
-			details := world.judge(nil, stand.OriginReport{Tries: tries})
+			details := world.judge(nil, stand.LoadReport{Tries: tries})
 			for index := range world.Broken[before:] {
 				world.Broken[before+index] = kind.name + ": " + world.Broken[before+index]
 			}
@@ -99,18 +99,18 @@
 	random := rand.New(rand.NewPCG(world.Seed, uint64(first)))
 	plan := world.plan(1, 1)
 	plan.Calls = plan.Calls[:1]
-	origin, client := world.Origin(plan)
+	generator, client := world.Origin(plan)
 	fronts := world.fronts()
 	for number := range count {
 		if random.IntN(3) == 0 {
 			world.Backends[random.IntN(len(world.Backends))].Backend.Misbehave("lose", 1)
 		}
 		key, front := fmt.Sprintf("pay-%d", first+number), fronts[random.IntN(len(fronts))]
-		world.goroutines.Start(func() { origin.Once(plan.Callers[0], plan.Calls[0], key, key+".0", front) })
+		world.goroutines.Start(func() { generator.Once(plan.Callers[0], plan.Calls[0], key, key+".0", front) })
 		world.Rest(time.Duration(random.IntN(60)) * time.Millisecond)
 	}
 	client.CloseIdleConnections()
-	tries := origin.Tries()
+	tries := generator.Tries()
 	for number := range count {
 		key := fmt.Sprintf("pay-%d", first+number)
 		found := false
@@ -138,13 +138,13 @@
 func (world *World) payAgain(tries []stand.Try) (slowest time.Duration, replays int) {
 	plan := world.plan(1, 1)
 	plan.Calls = plan.Calls[:1]
-	origin, client := world.Origin(plan)
+	generator, client := world.Origin(plan)
 	defer client.CloseIdleConnections()
 	fronts := world.fronts()
 	for number, try := range tries {
 		begin := time.Now()
 		for again := range 100 {
-			seen := origin.Once(plan.Callers[0], plan.Calls[0], try.Key, fmt.Sprintf("%s.%d-%d", try.Key, time.Now().UnixMilli(), again), fronts[(number+again)%len(fronts)])
+			seen := generator.Once(plan.Callers[0], plan.Calls[0], try.Key, fmt.Sprintf("%s.%d-%d", try.Key, time.Now().UnixMilli(), again), fronts[(number+again)%len(fronts)])
 			if seen.Replay {
 				replays++
 			}
--- a/sim/partner_test.go
+++ b/sim/partner_test.go
@@ -18,7 +18,7 @@
 		defer borrower.Close()
 		for _, world := range []*World{lender, borrower} {
 			for _, zone := range []string{"e1", "w1", "s1"} {
-				world.AddBackend("meters", zone, stand.BackendPlace{WorkMs: 10, Room: 64})
+				world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 10, Room: 64})
 			}
 		}
 		lender.up(test, 4)
@@ -34,11 +34,11 @@
 			test.Fatal("guests not ready")
 		}
 		borrower.Rest(2 * time.Second)
-		calls := func(world *World, rate int, seconds float64) stand.OriginReport {
+		calls := func(world *World, rate int, seconds float64) stand.LoadReport {
 			plan := world.plan(rate, seconds)
 			plan.Calls = plan.Calls[:2]
-			origin, client := world.Origin(plan)
-			report := origin.Run(world.goroutines.Sleep)
+			generator, client := world.Origin(plan)
+			report := generator.Run(world.goroutines.Sleep)
 			client.CloseIdleConnections()
 			return report
 		}
@@ -48,7 +48,7 @@
 			borrower.broke("%d of %d served, %d lent: %v", report.Served, report.Asked, lent, report.Statuses)
 		}
 		borrower.judge(nil, report)
-		stormed := make(chan stand.OriginReport, 1)
+		stormed := make(chan stand.LoadReport, 1)
 		lender.goroutines.Start(func() { stormed <- calls(lender, 150, 6) })
 		borrower.Rest(2 * time.Second)
 		pressed := calls(borrower, 20, 3)
--- a/sim/platform_test.go
+++ b/sim/platform_test.go
@@ -32,7 +32,7 @@
 		if !world.Until(30*time.Second, func() bool { return daemon.Daemon.Ready() }) {
 			test.Fatal("not ready")
 		}
-		chaos := world.Chaos()
+		faults := world.RandomFaults()
 		ends := time.Now().Add(60 * time.Second)
 		sometimes := stand.Listed{Name: "aaa-sometimes", Service: "meters", Address: "10.5.1.1:80", Zone: "e1"}
 		versions, listed := 0, false
@@ -43,7 +43,7 @@
 				world.Platform.Set(stays)
 			}
 			if random.IntN(6) == 0 {
-				chaos.Inject("kill-leader", 0)
+				faults.Inject("kill-leader", 0)
 			}
 			for until := time.Now().Add(time.Duration(random.IntN(3000)) * time.Millisecond); time.Now().Before(until); {
 				held := map[string]bool{}
--- a/sim/recovery_test.go
+++ b/sim/recovery_test.go
@@ -42,7 +42,7 @@
 }
 
 // serves is the version that a member serves by, 0 while it can't.
-func (one *Member) serves() uint64 {
+func (one *FarDaemon) serves() uint64 {
 	version := one.Daemon.Version()
 	if version.Routing == nil || !version.Table.Complete {
 		return 0
@@ -153,8 +153,8 @@
 				}
 				world.startAll()
 				world.calm(test)
-				if book, err := world.Book(); err != nil || book.Config.Version != version {
-					world.broke("%d cores, %s: read back %+v %v", cores, kind, book, err)
+				if state, err := world.Book(); err != nil || state.Config.Version != version {
+					world.broke("%d cores, %s: read back %+v %v", cores, kind, state, err)
 				}
 			}
 			world.report(test)
@@ -172,7 +172,7 @@
 	}
 	voter := replica.New(store, replica.Callbacks{DiskFailed: func(err error) { test.Error(err) }, PromiseRaised: func(message.Term) {}, MembershipAccepted: func(message.AcceptedValue) {}})
 	held := voter.State().Accepted[message.RoutingRegister]
-	body, _ := rpc.Marshal(Book(version))
+	body, _ := rpc.Marshal(NewState(version))
 	response, err := voter.Accept(&message.AcceptRequest{Term: voter.State().Promised, Register: message.RoutingRegister, Value: message.Value{Serial: held.Value.Serial + 1, Body: body}})
 	if err != nil || !response.Accepted {
 		test.Fatal(response, err)
@@ -221,16 +221,16 @@
 				world.coresApart(false)
 				world.startAll()
 				world.calm(test)
-				book, err := world.Book()
+				state, err := world.Book()
 				if err != nil {
 					test.Fatal(err)
 				}
-				if took, done := world.serving(book.Config.Version, true, 5*time.Second); !done {
-					world.broke("%d cores: %d not everywhere after %v", cores, book.Config.Version, took)
+				if took, done := world.serving(state.Config.Version, true, 5*time.Second); !done {
+					world.broke("%d cores: %d not everywhere after %v", cores, state.Config.Version, took)
 				}
 				for _, one := range world.Members {
-					if one.serves() != book.Config.Version {
-						world.broke("%d decided, %s holds %d", book.Config.Version, one.Name, one.serves())
+					if one.serves() != state.Config.Version {
+						world.broke("%d decided, %s holds %d", state.Config.Version, one.Name, one.serves())
 					}
 				}
 				world.report(test)
@@ -276,7 +276,7 @@
 		if machine.life(world) == nil {
 			continue
 		}
-		response, err := rpc.Call[message.StatusRequest, message.StatusResponse](machine.line, machine.Wire, "status", time.Second, &message.StatusRequest{})
+		response, err := rpc.Call[message.StatusRequest, message.StatusResponse](machine.client, machine.Wire, "status", time.Second, &message.StatusRequest{})
 		if err != nil {
 			world.broke("no status of core %d: %v", machine.ID, err)
 			continue
@@ -513,7 +513,7 @@
 				test.Fatal("no second leader")
 			}
 			ask := func(index int, version, base uint64) error {
-				_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](world.Cores[other].line, world.Cores[index].Wire, "routechange", 500*time.Millisecond, Whole(version, base))
+				_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](world.Cores[other].client, world.Cores[index].Wire, "routechange", 500*time.Millisecond, WholeChange(version, base))
 				return err
 			}
 			if err := ask(other, 2, 1); err != nil {
@@ -523,7 +523,7 @@
 			if read, err := rpc.Call[message.RoutingReadRequest, message.RoutingReadResponse](client, world.Cores[leader].Wire, "routeread", time.Second, &message.RoutingReadRequest{}); err == nil {
 				world.broke("the replaced leader read serial %d back", read.Serial)
 			}
-			_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](client, world.Cores[leader].Wire, "routechange", time.Second, Whole(3, 2))
+			_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](client, world.Cores[leader].Wire, "routechange", time.Second, WholeChange(3, 2))
 			if kind := rpc.CodeOf(err); kind == rpc.StaleBase {
 				world.broke("the replaced leader refused: %v", err)
 			} else if kind != rpc.NotLeader && kind != rpc.NoLeader {
--- a/sim/replace_test.go
+++ b/sim/replace_test.go
@@ -447,7 +447,7 @@
 	defer client.Close()
 	for _, ask := range []func() error{
 		func() error {
-			_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](client, machine.Wire, "routechange", time.Second, Whole(1000+one.newest, one.newest))
+			_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](client, machine.Wire, "routechange", time.Second, WholeChange(1000+one.newest, one.newest))
 			return err
 		},
 		func() error {
@@ -598,7 +598,7 @@
 	defer one.mutex.Unlock()
 	for _, lead := range one.Leads[before:] {
 		if lead.Host == machine.Host {
-			one.Broken = append(one.Broken, fmt.Sprintf("%s: %s led under %s", one.name, lead.Host, lead.Ballot))
+			one.Broken = append(one.Broken, fmt.Sprintf("%s: %s led under %s", one.name, lead.Host, lead.Term))
 		}
 	}
 }
--- a/sim/replaced_test.go
+++ b/sim/replaced_test.go
@@ -29,14 +29,14 @@
 	for _, core := range world.Cores {
 		seeds = append(seeds, core.Wire)
 	}
-	config := control.Config{Zone: "z", InternalAddress: spare.Wire, OperatorAddress: spare.Operate, Seeds: seeds, MinFounders: 1, PlatformAddress: world.platformAddress(), HeartbeatInterval: Beat, SuspicionTimeout: Suspect, Seed: world.Seed + uint64(number)*7919}
+	config := control.Config{Zone: "z", InternalAddress: spare.Wire, OperatorAddress: spare.Operate, Seeds: seeds, MinFounders: 1, PlatformAddress: world.platformAddress(), HeartbeatInterval: HeartbeatInterval, SuspicionTimeout: SuspicionTimeout, Seed: world.Seed + uint64(number)*7919}
 	if err := config.Check(); err != nil {
 		world.broke("spare %d: %v", number, err)
 	}
-	spare.goroutines, spare.line = concurrent.NewGroup(), rpc.NewClient(world.Net.Transport(host))
-	finder := agent.NewLeaderFinder(spare.line, spare.goroutines, seeds)
+	spare.goroutines, spare.client = concurrent.NewGroup(), rpc.NewClient(world.Net.Transport(host))
+	finder := agent.NewLeaderFinder(spare.client, spare.goroutines, seeds)
 	config.OnMembershipChange = finder.ObserveMembership
-	core, err := control.NewCore(config, spare.Disk, spare.line, spare.goroutines, spare.counters)
+	core, err := control.NewCore(config, spare.Disk, spare.client, spare.goroutines, spare.counters)
 	if err != nil {
 		world.broke("spare %d does not start: %v", number, err)
 		return spare
@@ -44,7 +44,7 @@
 	spare.Core.Core, spare.Alive = core, true
 	server := rpc.NewServer(spare.counters)
 	core.Register(server)
-	spare.Forwarder = agent.NewForwarder(finder, spare.line, spare.counters)
+	spare.Forwarder = agent.NewForwarder(finder, spare.client, spare.counters)
 	operate := agent.NewOperatorAPI(fmt.Sprint("spare-", number), spare.Forwarder, spare.counters, core.Settings, core.CanVote)
 	spare.servers = []*http.Server{world.serve(spare.goroutines, spare.Wire, server), world.serve(spare.goroutines, spare.Operate, operate)}
 	finder.Run()
@@ -62,7 +62,7 @@
 	for _, server := range spare.servers {
 		_ = server.Close()
 	}
-	spare.line.Close()
+	spare.client.Close()
 }
 
 // cutDaemons cuts a core from every daemon, or joins it to them again.
@@ -74,7 +74,7 @@
 
 // wholeClaims is whether a core says that it lacks no claim it should hold.
 func wholeClaims(core *Core) bool {
-	response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](core.line, core.Wire, "pull", time.Second, &message.FetchClaimsRequest{})
+	response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](core.client, core.Wire, "pull", time.Second, &message.FetchClaimsRequest{})
 	return err == nil && response.Complete
 }
 
@@ -83,7 +83,7 @@
 func (world *World) upWithKeepers(test *testing.T) {
 	test.Helper()
 	for _, zone := range []string{"e1", "w1", "s1"} {
-		world.AddBackend("meters", zone, stand.BackendPlace{WorkMs: 20, Room: 64})
+		world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 20, Room: 64})
 	}
 	world.up(test, 8)
 	if !world.Until(5*time.Second, func() bool { return world.keepers() == 6 }) {
@@ -126,7 +126,7 @@
 			world.broke("not ready in 15 s")
 		}
 		_, replays := world.payAgain(tries)
-		details := world.judge(nil, stand.OriginReport{Tries: tries})
+		details := world.judge(nil, stand.LoadReport{Tries: tries})
 		test.Logf("%s, %d replayed", details["no key charged twice"], replays)
 		world.report(test)
 	})
@@ -161,7 +161,7 @@
 			world.broke("not ready in 15 s")
 		}
 		_, replays := world.payAgain(tries)
-		details := world.judge(nil, stand.OriginReport{Tries: tries})
+		details := world.judge(nil, stand.LoadReport{Tries: tries})
 		test.Logf("%s, %d replayed", details["no key charged twice"], replays)
 		if replays == 0 {
 			test.Error("nothing was replayed")
--- a/sim/roster_test.go
+++ b/sim/roster_test.go
@@ -146,7 +146,7 @@
 			world.broke("a core outside the roster votes")
 		}
 		for version := uint64(2); version < 6; version++ {
-			if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds()[3:], "routechange", Whole(version, version-1)); err != nil {
+			if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds()[3:], "routechange", WholeChange(version, version-1)); err != nil {
 				world.broke("through the late core: %v", err)
 			}
 			leader := world.Leader()
@@ -181,9 +181,9 @@
 				if !world.Until(15*time.Second, func() bool { return world.Cores[lost].Core.CanVote() }) {
 					world.broke("core %d does not vote again", lost)
 				}
-				book, err := world.Book()
-				if err != nil || book.Config.Version != uint64(round+2) {
-					world.broke("read back %+v %v", book, err)
+				state, err := world.Book()
+				if err != nil || state.Config.Version != uint64(round+2) {
+					world.broke("read back %+v %v", state, err)
 				}
 			}
 			if held := world.rosters(); len(held) != 1 {
--- a/sim/routing_test.go
+++ b/sim/routing_test.go
@@ -88,7 +88,7 @@
 			for racer := range uint64(2) {
 				version := last + 1 + racer
 				world.goroutines.Start(func() {
-					_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds()[racer:], "routechange", Whole(version, last))
+					_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds()[racer:], "routechange", WholeChange(version, last))
 					mutex.Lock()
 					defer mutex.Unlock()
 					if done++; err == nil {
@@ -111,12 +111,12 @@
 			if len(taken) != 1 || refused != 1 {
 				world.broke("round %d on %d: %v taken, %d refused", round, last, taken, refused)
 			}
-			book, err := world.Book()
-			if err != nil || len(taken) > 0 && book.Config.Version != taken[0] {
-				world.broke("round %d: %v taken, read back %+v %v", round, taken, book, err)
+			state, err := world.Book()
+			if err != nil || len(taken) > 0 && state.Config.Version != taken[0] {
+				world.broke("round %d: %v taken, read back %+v %v", round, taken, state, err)
 				break
 			}
-			last = book.Config.Version
+			last = state.Config.Version
 		}
 		took, whole := world.reached(last, 2*time.Second)
 		if !whole {
@@ -141,13 +141,13 @@
 		if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds(), "routechange", &message.RoutingChangeRequest{Body: body}); err != nil {
 			test.Fatal(err)
 		}
-		book, err := world.Book()
-		if err != nil || book.Config.Version != 2 || len(book.Config.Routes) != 2 || fmt.Sprint(book.Evacuated) != "[z1]" {
-			world.broke("after the patch: %+v %v", book, err)
+		state, err := world.Book()
+		if err != nil || state.Config.Version != 2 || len(state.Config.Routes) != 2 || fmt.Sprint(state.Evacuated) != "[z1]" {
+			world.broke("after the patch: %+v %v", state, err)
 		}
 		if took, whole := world.reached(2, time.Second); !whole {
 			world.broke("not everywhere after %v", took)
-		} else if held := world.Members[0].Daemon.Version().Routing; fmt.Sprint(held.Evacuated) != "[z1]" || held.Trail.Count > 0 {
+		} else if held := world.Members[0].Daemon.Version().Routing; fmt.Sprint(held.Evacuated) != "[z1]" || held.History.Count > 0 {
 			world.broke("a member holds %+v", held)
 		}
 		world.report(test)
@@ -194,21 +194,21 @@
 			if !world.Until(15*time.Second, func() bool { return world.Leader() >= 0 }) {
 				test.Fatal("no leader")
 			}
-			book, err := world.Book()
+			state, err := world.Book()
 			if err != nil {
 				test.Fatal(err)
 			}
 			held := map[string]bool{}
-			for _, zone := range book.Evacuated {
+			for _, zone := range state.Evacuated {
 				held[zone] = true
 			}
 			for zone, emptied := range want {
 				if held[zone] != emptied {
-					world.broke("round %d: %s emptied %v, read back %v", round, zone, emptied, book.Evacuated)
+					world.broke("round %d: %s emptied %v, read back %v", round, zone, emptied, state.Evacuated)
 				}
 			}
-			if book.Config.Version != version {
-				world.broke("round %d: version %d, read back %d", round, version, book.Config.Version)
+			if state.Config.Version != version {
+				world.broke("round %d: version %d, read back %d", round, version, state.Config.Version)
 			}
 			world.Until(15*time.Second, func() bool {
 				for _, machine := range world.Cores {
@@ -251,7 +251,7 @@
 				world.isolate(leader, true)
 			}
 			begin := time.Now()
-			_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, holds, "routechange", Whole(version+1, version))
+			_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, holds, "routechange", WholeChange(version+1, version))
 			wait := time.Since(begin)
 			if err != nil {
 				test.Fatalf("%s: %v", kind, err)
--- a/sim/scale_test.go
+++ b/sim/scale_test.go
@@ -24,7 +24,7 @@
 			world := NewWorld(5, 3)
 			defer world.Close()
 			for range 3 {
-				world.AddBackend("meters", "e1", stand.BackendPlace{WorkMs: 5, Room: 32})
+				world.AddBackend("meters", "e1", stand.BackendConfig{WorkMs: 5, Room: 32})
 			}
 			world.up(test, size)
 			world.Rest(5 * time.Second)
--- a/sim/stale_test.go
+++ b/sim/stale_test.go
@@ -13,7 +13,7 @@
 		defer world.Close()
 		world.up(test, 1)
 		ledger := world.Operators(3, 100*time.Millisecond)
-		chaos := world.Chaos()
+		faults := world.RandomFaults()
 		for round := range 8 {
 			kind := "stale-leader-lost"
 			if round%2 == 1 {
@@ -23,11 +23,11 @@
 				world.broke("no leader before round %d", round)
 			}
 			world.Rest(500 * time.Millisecond)
-			chaos.Inject(kind, 0)
+			faults.Inject(kind, 0)
 		}
 		ledger.Stop()
 		world.judge(ledger)
-		test.Logf("%d acknowledged, %d leaderships, faults %v", len(ledger.Acked), len(world.Leads), chaos.Done)
+		test.Logf("%d acknowledged, %d leaderships, faults %v", len(ledger.Acked), len(world.Leads), faults.Done)
 		world.report(test)
 	})
 }
--- a/sim/stop_test.go
+++ b/sim/stop_test.go
@@ -19,7 +19,7 @@
 		defer world.Close()
 		world.planned = true
 		for _, zone := range []string{"e1", "w1", "s1"} {
-			world.AddBackend("meters", zone, stand.BackendPlace{WorkMs: 5, Room: 64})
+			world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 5, Room: 64})
 		}
 		world.up(test, 6)
 		if _, err := world.Client(world.Cores[0].Operate).Patch(operator.Change{Base: 1, Change: "hold", Settings: []byte(`{"rule":{"hold_ms":8000}}`)}); err != nil {
@@ -29,7 +29,7 @@
 		plan.Patient, plan.Tries = true, 8
 		plan.Calls[1].Weight = 35
 		plan.Calls = append(plan.Calls, stand.Call{Weight: 20, Class: "pages", Method: "GET", Path: "/meters/slow/7?bytes=1500000&work=4700", LimitMs: 5500})
-		origin, client := world.Origin(plan)
+		generator, client := world.Origin(plan)
 		done := atomic.Bool{}
 		world.goroutines.Start(func() {
 			for _, daemon := range world.Daemons {
@@ -41,7 +41,7 @@
 			}
 			done.Store(true)
 		})
-		report := origin.Run(func(span time.Duration) bool { return world.Rest(span) && !done.Load() })
+		report := generator.Run(func(span time.Duration) bool { return world.Rest(span) && !done.Load() })
 		client.CloseIdleConnections()
 		details := world.judge(nil, report)
 		test.Logf("%s %v", details["planned stops cut nothing in flight"], report.Statuses)
--- a/sim/traffic_test.go
+++ b/sim/traffic_test.go
@@ -12,8 +12,8 @@
 )
 
 // plan is a mix of money, pages and one large receipt.
-func (world *World) plan(perSecond int, seconds float64) stand.OriginPlan {
-	plan := stand.OriginPlan{PerSecond: perSecond, Seconds: seconds, Tries: 4, Seed: world.Seed,
+func (world *World) plan(perSecond int, seconds float64) stand.LoadPlan {
+	plan := stand.LoadPlan{PerSecond: perSecond, Seconds: seconds, Tries: 4, Seed: world.Seed,
 		Callers: []stand.Caller{{Tenant: "alder", Key: "key-of-alder", Weight: 2}, {Tenant: "birch", Key: "key-of-birch", Weight: 1}},
 		Calls: []stand.Call{{Weight: 40, Method: "POST", Path: "/meters/credits", Class: "money", Money: true, Body: 50, LimitMs: 2000},
 			{Weight: 55, Class: "pages", Method: "GET", Path: "/meters/pages/7?bytes=500", LimitMs: 2000},
@@ -33,10 +33,10 @@
 		defer world.Close()
 		zones := []string{"e1", "w1", "s1"}
 		for index := range 6 {
-			world.AddBackend("meters", zones[index%3], stand.BackendPlace{WorkMs: 5, Room: 16, GentleRate: 10})
+			world.AddBackend("meters", zones[index%3], stand.BackendConfig{WorkMs: 5, Room: 16, GentleRate: 10})
 		}
 		world.up(test, 5)
-		origin, client := world.Origin(world.plan(40, 20))
+		generator, client := world.Origin(world.plan(40, 20))
 		random := rand.New(rand.NewPCG(seed, 31))
 		done := atomic.Bool{}
 		world.goroutines.Start(func() {
@@ -50,7 +50,7 @@
 			world.goroutines.Sleep(8 * time.Second)
 			world.Backends[1].Backend.Leave()
 		})
-		report := origin.Run(world.goroutines.Sleep)
+		report := generator.Run(world.goroutines.Sleep)
 		done.Store(true)
 		client.CloseIdleConnections()
 		world.judge(nil, report)
@@ -68,18 +68,18 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 3 {
-			world.AddBackend("meters", "e1", stand.BackendPlace{WorkMs: 5, Room: 16})
+			world.AddBackend("meters", "e1", stand.BackendConfig{WorkMs: 5, Room: 16})
 		}
 		world.up(test, 5)
-		origin, client := world.Origin(world.plan(60, 10))
+		generator, client := world.Origin(world.plan(60, 10))
 		old := world.Backends[0].Backend
 		world.goroutines.Start(func() {
 			world.Rest(3 * time.Second)
 			world.StopBackend(world.Backends[0])
-			other, _ := stand.NewBackend(stand.BackendPlace{Service: "gifts", Instance: "stranger", Incarnation: "2", WorkMs: 5})
+			other, _ := stand.NewBackend(stand.BackendConfig{Service: "gifts", Instance: "stranger", Incarnation: "2", WorkMs: 5})
 			world.ServeBackend(world.Backends[0], other)
 		})
-		report := origin.Run(world.goroutines.Sleep)
+		report := generator.Run(world.goroutines.Sleep)
 		client.CloseIdleConnections()
 		stranger := world.Backends[0].Backend.Seen()
 		if len(stranger.Arrivals) != 0 {
@@ -98,8 +98,8 @@
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.AddBackend("meters", "e1", stand.BackendPlace{WorkMs: 5, Room: 16})
-		world.AddBackend("meters", "s1", stand.BackendPlace{WorkMs: 5, Room: 16})
+		world.AddBackend("meters", "e1", stand.BackendConfig{WorkMs: 5, Room: 16})
+		world.AddBackend("meters", "s1", stand.BackendConfig{WorkMs: 5, Room: 16})
 		world.up(test, 5)
 		_, client := world.Origin(world.plan(1, 1))
 		front := func(zone string) string {
