--- a/sim/trial_test.go
+++ b/sim/trial_test.go
@@ -76,7 +76,7 @@
 			one.Rest(orderRest)
 			continue
 		}
-		_, err := agent.Forward[message.RoutingChangeRequest, message.RoutingChangeResponse](holds[try%len(holds)], "routechange", Whole(one.newest+1, one.newest))
+		_, err := agent.Forward[message.RoutingChangeRequest, message.RoutingChangeResponse](holds[try%len(holds)], "routechange", WholeChange(one.newest+1, one.newest))
 		switch {
 		case err == nil && lost:
 			lost = false
@@ -105,13 +105,13 @@
 // orders are acknowledged.
 func (one *trial) keepsAll(what string) {
 	one.mustOrder(what)
-	book, err := one.Book()
+	state, err := one.Book()
 	switch {
 	case err != nil:
 		one.broke("%s: no read back: %v", what, err)
-	case book.Config.Version != one.newest:
-		one.broke("%s: %d was acknowledged, %d read back", what, one.newest, book.Config.Version)
-	case !slices.Contains(book.Evacuated, evacuatedOne):
+	case state.Config.Version != one.newest:
+		one.broke("%s: %d was acknowledged, %d read back", what, one.newest, state.Config.Version)
+	case !slices.Contains(state.Evacuated, evacuatedOne):
 		one.broke("%s: the evacuation of %s is lost", what, evacuatedOne)
 	}
 	if took, whole := one.reached(one.newest, contactSpan+inForceSpan); !whole {
--- a/sim/world.go
+++ b/sim/world.go
@@ -40,9 +40,9 @@
 
 	mutex   sync.Mutex
 	Broken  []string
-	Leads   []Lead
+	Leads   []ObservedLeadership
 	applied map[uint64]string
-	past    []stand.Witness
+	past    []stand.BackendRecord
 	windows []judge.Window
 	reports bool
 	lives   int
@@ -54,8 +54,8 @@
 	Paces     agent.Intervals
 	Limits    agent.ForwardLimits
 
-	Members  []*Member
-	Requests func(*Member) []message.WindowCount
+	Members  []*FarDaemon
+	Requests func(*FarDaemon) []message.WindowCount
 	Metering control.Metering
 	Listed   func(page string) discovery.Page
 }
@@ -75,7 +75,7 @@
 	Alive      bool
 	goroutines *concurrent.Group
 	servers    []*http.Server
-	line       *rpc.Client
+	client     *rpc.Client
 	highest    uint64
 	Lender     *Daemon
 }
@@ -88,10 +88,10 @@
 }
 
 const (
-	Beat    = 75 * time.Millisecond
-	Suspect = 300 * time.Millisecond
-	settle  = 2500 * time.Millisecond
-	grace   = 6 * time.Second
+	HeartbeatInterval = 75 * time.Millisecond
+	SuspicionTimeout  = 300 * time.Millisecond
+	settle            = 2500 * time.Millisecond
+	grace             = 6 * time.Second
 )
 
 func (world *World) platformAddress() string { return fmt.Sprintf("10.%d.0.1:80", world.Base+9) }
@@ -164,8 +164,8 @@
 	}
 	spot := agent.Config{Name: daemon.Name, Kind: daemon.Kind, Zone: daemon.Zone, InternalAddress: daemon.Wire, PublicAddress: daemon.Outer, OperatorAddress: daemon.Operate, Seeds: seeds, Guest: daemon.Lender != nil}
 	daemon.goroutines, daemon.Counts = concurrent.NewGroup(), metrics.NewCounters()
-	daemon.line = rpc.NewClient(world.Net.Transport(daemon.Host))
-	made := agent.NewDaemon(spot, agent.NewID(), daemon.line, daemon.goroutines, daemon.Counts)
+	daemon.client = rpc.NewClient(world.Net.Transport(daemon.Host))
+	made := agent.NewDaemon(spot, agent.NewID(), daemon.client, daemon.goroutines, daemon.Counts)
 	world.mutex.Lock()
 	daemon.Daemon = made
 	world.mutex.Unlock()
@@ -174,7 +174,7 @@
 		daemon.Proxy = data.NewProxy(daemon.Daemon, daemon.goroutines, daemon.Counts, world.Net.Dialer(daemon.Host))
 		outer = daemon.Proxy
 		if daemon.Lender != nil {
-			daemon.Proxy.Borrow(data.NewLend(daemon.Lender.Proxy, 50, 32))
+			daemon.Proxy.SetLendingLimit(data.NewLendingLimit(daemon.Lender.Proxy, 50, 32))
 		}
 		daemon.Daemon.OnVersion(func(version *agent.Version) { world.takes(daemon, version); daemon.Proxy.Apply(version) }, daemon.Proxy.Probes)
 	} else {
@@ -224,7 +224,7 @@
 	for _, server := range daemon.servers {
 		_ = server.Close() // its listeners are the net's
 	}
-	daemon.line.Close()
+	daemon.client.Close()
 }
 
 // TermDaemon is the platform's warning to a daemon, as its program takes it.
@@ -238,7 +238,7 @@
 }
 
 // AddBackend starts a backend; List makes the platform list all that were added.
-func (world *World) AddBackend(service, zone string, place stand.BackendPlace) *Backend {
+func (world *World) AddBackend(service, zone string, place stand.BackendConfig) *Backend {
 	index := len(world.Backends)
 	address := fmt.Sprintf("10.%d.%d.%d:80", world.Base+2, index/200, index%200+1)
 	place.Service, place.Instance = service, fmt.Sprintf("back-%03d", index)
@@ -292,8 +292,8 @@
 	return operator.NewClient([]string{door}, &http.Transport{DialContext: world.Net.Dialer("10.8.0.1"), DisableKeepAlives: true})
 }
 
-// Doors are the operators' doors of all that live.
-func (world *World) Doors() []string {
+// OperatorAddresses are the operators' doors of all that live.
+func (world *World) OperatorAddresses() []string {
 	doors := []string{}
 	for _, core := range world.machines() {
 		if core.life(world) != nil {
@@ -332,9 +332,9 @@
 func (world *World) Rest(span time.Duration) bool { return world.goroutines.Sleep(span) }
 
 // Origin plays callers from outside.
-func (world *World) Origin(plan stand.OriginPlan) (*stand.Origin, *http.Client) {
+func (world *World) Origin(plan stand.LoadPlan) (*stand.LoadGenerator, *http.Client) {
 	client := &http.Client{Transport: &http.Transport{DialContext: world.Net.Dialer("10.7.0.1"), MaxIdleConnsPerHost: 16, IdleConnTimeout: 5 * time.Second, DisableCompression: true}}
-	return stand.NewOrigin(plan, client, world.goroutines.Start), client
+	return stand.NewLoadGenerator(plan, client, world.goroutines.Start), client
 }
 
 // Close ends everything, so that the bubble can end.
--- a/stand/backend.go
+++ b/stand/backend.go
@@ -20,12 +20,12 @@
 	"k8s.io/klog/v2"
 )
 
-// BackendPlace is the identity and behaviour of a Backend. WorkMs is the time that
+// BackendConfig is the identity and behaviour of a Backend. WorkMs is the time that
 // a request takes, ColdMs how long the backend is slow after its start, both in
 // milliseconds; GentleRate is the requests a second that it takes meanwhile, Room
 // the requests that it takes at once. Journal, if set, is the file that records are
 // appended to.
-type BackendPlace struct {
+type BackendConfig struct {
 	Service     string
 	Instance    string
 	Incarnation string
@@ -38,11 +38,11 @@
 
 // Backend is an HTTP handler that behaves as a backend and records each request.
 type Backend struct {
-	place BackendPlace
+	place BackendConfig
 	since time.Time
 
 	mutex    sync.Mutex
-	seen     Witness
+	seen     BackendRecord
 	serial   uint64
 	inFlight int
 	leaving  time.Time
@@ -53,8 +53,8 @@
 
 // NewBackend returns a backend that starts now. The error is that of opening its
 // journal.
-func NewBackend(place BackendPlace) (*Backend, error) {
-	backend := &Backend{place: place, since: time.Now(), seen: Witness{Instance: place.Instance, Service: place.Service, Gentle: place.GentleRate}}
+func NewBackend(place BackendConfig) (*Backend, error) {
+	backend := &Backend{place: place, since: time.Now(), seen: BackendRecord{Instance: place.Instance, Service: place.Service, Gentle: place.GentleRate}}
 	if place.Journal == "" {
 		return backend, nil
 	}
@@ -76,7 +76,7 @@
 }
 
 // Place returns the identity and behaviour that the backend was made with.
-func (backend *Backend) Place() BackendPlace { return backend.place }
+func (backend *Backend) Place() BackendConfig { return backend.place }
 
 func (backend *Backend) cold() bool {
 	return time.Since(backend.since) < time.Duration(backend.place.ColdMs)*time.Millisecond
@@ -99,7 +99,7 @@
 }
 
 // Seen returns what this incarnation has recorded so far.
-func (backend *Backend) Seen() Witness {
+func (backend *Backend) Seen() BackendRecord {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	seen := backend.seen
--- a/stand/origin.go
+++ b/stand/origin.go
@@ -35,11 +35,11 @@
 	Weight int    `json:"weight"`
 }
 
-// OriginPlan is the load: who calls what, PerSecond times a second for Seconds.
+// LoadPlan is the load: who calls what, PerSecond times a second for Seconds.
 // Tries bounds the tries for one request. Patient callers wait when they are told
 // to retry, Hasty ones never pause, and Eager percent of the requests with a key
 // are sent twice at once.
-type OriginPlan struct {
+type LoadPlan struct {
 	Directories []string `json:"directories"`
 	Callers     []Caller `json:"callers"`
 	Calls       []Call   `json:"calls"`
@@ -85,8 +85,8 @@
 	Serial    uint64 `json:"serial"`
 }
 
-// OriginReport is what all callers saw.
-type OriginReport struct {
+// LoadReport is what all callers saw.
+type LoadReport struct {
 	Asked     int                `json:"asked"`
 	Served    int                `json:"served"`
 	Unserved  int                `json:"unserved"`
@@ -99,14 +99,14 @@
 	GapMs     int64              `json:"longest_gap_ms"`
 }
 
-// Origin generates the load of an OriginPlan and records every try.
-type Origin struct {
-	plan   OriginPlan
+// LoadGenerator generates the load of an OriginPlan and records every try.
+type LoadGenerator struct {
+	plan   LoadPlan
 	client *http.Client
 	start  func(func())
 
 	mutex     sync.Mutex
-	report    OriginReport
+	report    LoadReport
 	random    *rand.Rand
 	latencies []float64
 	fronts    map[string]heldFronts
@@ -120,58 +120,58 @@
 	until  time.Time
 }
 
-// NewOrigin returns an Origin that sends by client and starts goroutines by start.
-func NewOrigin(plan OriginPlan, client *http.Client, start func(func())) *Origin {
-	origin := &Origin{plan: plan, client: client, start: start, random: rand.New(rand.NewPCG(plan.Seed, 7)), fronts: map[string]heldFronts{}}
-	origin.report = OriginReport{Statuses: map[string]int{}, LatencyMs: map[string]float64{}}
-	origin.done = sync.NewCond(&origin.mutex)
-	return origin
+// NewLoadGenerator returns an Origin that sends by client and starts goroutines by start.
+func NewLoadGenerator(plan LoadPlan, client *http.Client, start func(func())) *LoadGenerator {
+	generator := &LoadGenerator{plan: plan, client: client, start: start, random: rand.New(rand.NewPCG(plan.Seed, 7)), fronts: map[string]heldFronts{}}
+	generator.report = LoadReport{Statuses: map[string]int{}, LatencyMs: map[string]float64{}}
+	generator.done = sync.NewCond(&generator.mutex)
+	return generator
 }
 
 // Run sends the planned load, waits for the last answers and returns the report. It
 // ends early once rest returns false.
-func (origin *Origin) Run(rest func(time.Duration) bool) OriginReport {
+func (generator *LoadGenerator) Run(rest func(time.Duration) bool) LoadReport {
 	begin := time.Now()
-	origin.lastGood = begin
-	total := int(float64(origin.plan.PerSecond) * origin.plan.Seconds)
+	generator.lastGood = begin
+	total := int(float64(generator.plan.PerSecond) * generator.plan.Seconds)
 	for number := range total {
-		due := begin.Add(time.Duration(float64(number) / float64(origin.plan.PerSecond) * float64(time.Second)))
+		due := begin.Add(time.Duration(float64(number) / float64(generator.plan.PerSecond) * float64(time.Second)))
 		if wait := time.Until(due); wait > 0 && !rest(wait) {
 			break
 		}
-		origin.mutex.Lock()
-		caller, call := origin.draw()
-		origin.running++
-		origin.mutex.Unlock()
-		origin.start(func() {
-			origin.task(caller, call, fmt.Sprintf("k%d-%d", origin.plan.Seed, number))
-			origin.mutex.Lock()
-			origin.running--
-			origin.done.Broadcast()
-			origin.mutex.Unlock()
+		generator.mutex.Lock()
+		caller, call := generator.draw()
+		generator.running++
+		generator.mutex.Unlock()
+		generator.start(func() {
+			generator.task(caller, call, fmt.Sprintf("k%d-%d", generator.plan.Seed, number))
+			generator.mutex.Lock()
+			generator.running--
+			generator.done.Broadcast()
+			generator.mutex.Unlock()
 		})
 	}
-	origin.mutex.Lock()
-	defer origin.mutex.Unlock()
-	for origin.running > 0 {
-		origin.done.Wait()
+	generator.mutex.Lock()
+	defer generator.mutex.Unlock()
+	for generator.running > 0 {
+		generator.done.Wait()
 	}
-	sort.Float64s(origin.latencies)
+	sort.Float64s(generator.latencies)
 	for name, part := range map[string]float64{"p50": 0.5, "p90": 0.9, "p99": 0.99, "max": 1} {
-		if count := len(origin.latencies); count > 0 {
-			origin.report.LatencyMs[name] = origin.latencies[min(int(part*float64(count)), count-1)]
+		if count := len(generator.latencies); count > 0 {
+			generator.report.LatencyMs[name] = generator.latencies[min(int(part*float64(count)), count-1)]
 		}
 	}
-	return origin.report
+	return generator.report
 }
 
-func (origin *Origin) draw() (Caller, Call) {
+func (generator *LoadGenerator) draw() (Caller, Call) {
 	pick := func(weights func(int) int, count int) int {
 		sum := 0
 		for index := range count {
 			sum += weights(index)
 		}
-		mark := origin.random.IntN(max(sum, 1))
+		mark := generator.random.IntN(max(sum, 1))
 		for index := range count {
 			if mark -= weights(index); mark < 0 {
 				return index
@@ -179,28 +179,28 @@
 		}
 		return 0
 	}
-	caller := origin.plan.Callers[pick(func(index int) int { return origin.plan.Callers[index].Weight }, len(origin.plan.Callers))]
-	call := origin.plan.Calls[pick(func(index int) int { return origin.plan.Calls[index].Weight }, len(origin.plan.Calls))]
+	caller := generator.plan.Callers[pick(func(index int) int { return generator.plan.Callers[index].Weight }, len(generator.plan.Callers))]
+	call := generator.plan.Calls[pick(func(index int) int { return generator.plan.Calls[index].Weight }, len(generator.plan.Calls))]
 	return caller, call
 }
 
 // place asks a directory, and keeps its answer as long as it holds.
-func (origin *Origin) place(caller Caller, number int) []string {
-	if len(origin.plan.Fronts) > 0 {
-		return origin.plan.Fronts
+func (generator *LoadGenerator) place(caller Caller, number int) []string {
+	if len(generator.plan.Fronts) > 0 {
+		return generator.plan.Fronts
 	}
-	origin.mutex.Lock()
-	held := origin.fronts[caller.Tenant]
-	origin.mutex.Unlock()
+	generator.mutex.Lock()
+	held := generator.fronts[caller.Tenant]
+	generator.mutex.Unlock()
 	if time.Now().Before(held.until) {
 		return held.fronts
 	}
-	for turn := range origin.plan.Directories {
-		directory := origin.plan.Directories[(number+turn)%len(origin.plan.Directories)]
+	for turn := range generator.plan.Directories {
+		directory := generator.plan.Directories[(number+turn)%len(generator.plan.Directories)]
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		request, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+directory+"/v1/place?zone="+origin.plan.Zone, nil)
+		request, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+directory+"/v1/place?zone="+generator.plan.Zone, nil)
 		request.Header.Set("Authorization", "Bearer "+caller.Key)
-		response, err := origin.client.Do(request)
+		response, err := generator.client.Do(request)
 		if err != nil {
 			cancel()
 			continue
@@ -222,116 +222,116 @@
 		for _, front := range placement.Fronts {
 			fronts = append(fronts, front.Address)
 		}
-		origin.mutex.Lock()
-		origin.report.Placed = append(origin.report.Placed, Placed{AtMs: time.Now().UnixMilli(), Directory: directory, Serial: placement.Serial})
-		origin.fronts[caller.Tenant] = heldFronts{fronts: fronts, until: time.Now().Add(time.Duration(placement.HoldMs) * time.Millisecond)}
-		origin.mutex.Unlock()
+		generator.mutex.Lock()
+		generator.report.Placed = append(generator.report.Placed, Placed{AtMs: time.Now().UnixMilli(), Directory: directory, Serial: placement.Serial})
+		generator.fronts[caller.Tenant] = heldFronts{fronts: fronts, until: time.Now().Add(time.Duration(placement.HoldMs) * time.Millisecond)}
+		generator.mutex.Unlock()
 		return fronts
 	}
 	return held.fronts
 }
 
 // task is one task with the caller's own tries, each at another front.
-func (origin *Origin) task(caller Caller, call Call, key string) {
+func (generator *LoadGenerator) task(caller Caller, call Call, key string) {
 	begin := time.Now()
-	origin.mutex.Lock()
-	origin.report.Asked++
-	number := origin.report.Asked
-	origin.mutex.Unlock()
+	generator.mutex.Lock()
+	generator.report.Asked++
+	number := generator.report.Asked
+	generator.mutex.Unlock()
 	if strings.Contains(call.Path, "?") {
 		call.Path += "&task=" + key
 	}
 	served, unknown := false, false
-	for try := range max(origin.plan.Tries, 1) {
-		fronts := origin.place(caller, number+try)
+	for try := range max(generator.plan.Tries, 1) {
+		fronts := generator.place(caller, number+try)
 		if len(fronts) == 0 {
-			origin.count("no_placement")
+			generator.count("no_placement")
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		if call.Money && origin.eager() {
-			origin.double(caller, call, key, try, fronts[(number+try+1)%len(fronts)])
+		if call.Money && generator.eager() {
+			generator.double(caller, call, key, try, fronts[(number+try+1)%len(fronts)])
 		}
-		seen := origin.Once(caller, call, key, fmt.Sprintf("%s.%d", key, try), fronts[(number+try)%len(fronts)])
+		seen := generator.Once(caller, call, key, fmt.Sprintf("%s.%d", key, try), fronts[(number+try)%len(fronts)])
 		if seen.Status == 200 && !seen.Mangled {
 			served = true
-			origin.good(begin)
+			generator.good(begin)
 			break
 		}
 		if seen.Outcome != "not_run" && seen.Status != 409 {
 			unknown = true
-			if call.Money && origin.plan.Eager == 0 && (!seen.Retry || !origin.plan.Patient) {
+			if call.Money && generator.plan.Eager == 0 && (!seen.Retry || !generator.plan.Patient) {
 				break
 			}
 		}
-		origin.mutex.Lock()
-		delete(origin.fronts, caller.Tenant)
-		origin.mutex.Unlock()
-		if !origin.plan.Hasty {
+		generator.mutex.Lock()
+		delete(generator.fronts, caller.Tenant)
+		generator.mutex.Unlock()
+		if !generator.plan.Hasty {
 			time.Sleep(time.Duration(50*(try+1)) * time.Millisecond)
 		}
 	}
-	origin.mutex.Lock()
-	defer origin.mutex.Unlock()
+	generator.mutex.Lock()
+	defer generator.mutex.Unlock()
 	switch {
 	case served:
-		origin.report.Served++
+		generator.report.Served++
 	case unknown:
-		origin.report.Unknown++
+		generator.report.Unknown++
 	default:
-		origin.report.Unserved++
+		generator.report.Unserved++
 	}
 }
 
-func (origin *Origin) eager() bool {
-	origin.mutex.Lock()
-	defer origin.mutex.Unlock()
-	return origin.random.IntN(100) < origin.plan.Eager
+func (generator *LoadGenerator) eager() bool {
+	generator.mutex.Lock()
+	defer generator.mutex.Unlock()
+	return generator.random.IntN(100) < generator.plan.Eager
 }
 
 // double sends the same key at the same time, as impatient callers do.
-func (origin *Origin) double(caller Caller, call Call, key string, try int, front string) {
-	origin.mutex.Lock()
-	origin.running++
-	wait := time.Duration(origin.random.IntN(20)) * time.Millisecond
-	origin.mutex.Unlock()
-	origin.start(func() {
+func (generator *LoadGenerator) double(caller Caller, call Call, key string, try int, front string) {
+	generator.mutex.Lock()
+	generator.running++
+	wait := time.Duration(generator.random.IntN(20)) * time.Millisecond
+	generator.mutex.Unlock()
+	generator.start(func() {
 		time.Sleep(wait)
-		origin.Once(caller, call, key, fmt.Sprintf("%s.%d-double", key, try), front)
-		origin.mutex.Lock()
-		origin.running--
-		origin.done.Broadcast()
-		origin.mutex.Unlock()
+		generator.Once(caller, call, key, fmt.Sprintf("%s.%d-double", key, try), front)
+		generator.mutex.Lock()
+		generator.running--
+		generator.done.Broadcast()
+		generator.mutex.Unlock()
 	})
 }
 
 // Once makes one try at one proxy, records it and returns it.
-func (origin *Origin) Once(caller Caller, call Call, key, id, front string) Try {
+func (generator *LoadGenerator) Once(caller Caller, call Call, key, id, front string) Try {
 	path, _, _ := strings.Cut(call.Path, "?")
 	try := Try{ID: id, Task: key, Tenant: caller.Tenant, Class: call.Class, Method: call.Method, Path: path, Front: front, AtMs: time.Now().UnixMilli()}
 	if call.Money {
 		try.Key = key
 	}
-	origin.send(caller, call, &try)
+	generator.send(caller, call, &try)
 	try.ToldMs = time.Now().UnixMilli()
-	origin.mutex.Lock()
-	defer origin.mutex.Unlock()
-	origin.report.Tries = append(origin.report.Tries, try)
-	origin.report.Statuses[strings.TrimSpace(fmt.Sprintf("%d %s", try.Status, try.Code))]++
+	generator.mutex.Lock()
+	defer generator.mutex.Unlock()
+	generator.report.Tries = append(generator.report.Tries, try)
+	generator.report.Statuses[strings.TrimSpace(fmt.Sprintf("%d %s", try.Status, try.Code))]++
 	if try.Code == "receipt_broke" || try.Code == "front_broke" {
-		origin.report.Broken++
+		generator.report.Broken++
 	}
 	return try
 }
 
 // Tries returns the tries recorded so far.
-func (origin *Origin) Tries() []Try {
-	origin.mutex.Lock()
-	defer origin.mutex.Unlock()
-	return append([]Try{}, origin.report.Tries...)
+func (generator *LoadGenerator) Tries() []Try {
+	generator.mutex.Lock()
+	defer generator.mutex.Unlock()
+	return append([]Try{}, generator.report.Tries...)
 }
 
-func (origin *Origin) send(caller Caller, call Call, try *Try) {
+func (generator *LoadGenerator) send(caller Caller, call Call, try *Try) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(call.LimitMs)*time.Millisecond+time.Second)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, call.Method, "http://"+try.Front+call.Path, bytes.NewReader(bytes.Repeat([]byte("y"), call.Body)))
@@ -346,7 +346,7 @@
 	if try.Key != "" {
 		request.Header.Set("Idempotency-Key", try.Key)
 	}
-	response, err := origin.client.Do(request)
+	response, err := generator.client.Do(request)
 	if err != nil {
 		try.Code = "front_broke"
 		if strings.Contains(err.Error(), "refused") {
@@ -377,19 +377,19 @@
 	try.Code, try.Outcome, try.Cause = mishap.Code, mishap.Outcome, mishap.Cause
 }
 
-func (origin *Origin) count(code string) {
-	origin.mutex.Lock()
-	origin.report.Statuses[code]++
-	origin.mutex.Unlock()
+func (generator *LoadGenerator) count(code string) {
+	generator.mutex.Lock()
+	generator.report.Statuses[code]++
+	generator.mutex.Unlock()
 }
 
-func (origin *Origin) good(begin time.Time) {
+func (generator *LoadGenerator) good(begin time.Time) {
 	now := time.Now()
-	origin.mutex.Lock()
-	defer origin.mutex.Unlock()
-	origin.latencies = append(origin.latencies, float64(now.Sub(begin).Microseconds())/1000)
-	if gap := now.Sub(origin.lastGood).Milliseconds(); gap > origin.report.GapMs {
-		origin.report.GapMs = gap
+	generator.mutex.Lock()
+	defer generator.mutex.Unlock()
+	generator.latencies = append(generator.latencies, float64(now.Sub(begin).Microseconds())/1000)
+	if gap := now.Sub(generator.lastGood).Milliseconds(); gap > generator.report.GapMs {
+		generator.report.GapMs = gap
 	}
-	origin.lastGood = now
+	generator.lastGood = now
 }
--- a/stand/witness.go
+++ b/stand/witness.go
@@ -7,8 +7,8 @@
 	"os"
 )
 
-// Witness is what one incarnation of a backend recorded.
-type Witness struct {
+// BackendRecord is what one incarnation of a backend recorded.
+type BackendRecord struct {
 	Instance string    `json:"instance"`
 	Service  string    `json:"service"`
 	Gentle   float64   `json:"gentle"`
@@ -35,17 +35,17 @@
 
 // journalLine is a beginning, an arrival, or how the arrival of that number went on.
 type journalLine struct {
-	Begin   *Witness `json:"begin,omitempty"`
-	Arrival *Arrival `json:"arrival,omitempty"`
-	Number  int      `json:"number,omitempty"`
+	Begin   *BackendRecord `json:"begin,omitempty"`
+	Arrival *Arrival       `json:"arrival,omitempty"`
+	Number  int            `json:"number,omitempty"`
 }
 
-// ReadWitnesses reads the records of all incarnations from a journal. Lines that
+// ReadBackendRecords reads the records of all incarnations from a journal. Lines that
 // can't be decoded are skipped, as the last one may be torn; a missing file has no
 // records.
-func ReadWitnesses(path string) []Witness {
+func ReadBackendRecords(path string) []BackendRecord {
 	body, _ := os.ReadFile(path)
-	all := []Witness{}
+	all := []BackendRecord{}
 	scanner := bufio.NewScanner(bytes.NewReader(body))
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
