--- a/agent/operator_api.go
+++ b/agent/operator_api.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"strconv"
 
-	"orchidjunction/conf"
+	"orchidjunction/config"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
@@ -75,10 +75,10 @@
 }
 
 type settingsDocument struct {
-	Serial    uint64           `json:"serial"`
-	Confirmed bool             `json:"confirmed"`
-	Settings  json.RawMessage  `json:"settings"`
-	Effective []conf.Effective `json:"effective,omitempty"`
+	Serial    uint64             `json:"serial"`
+	Confirmed bool               `json:"confirmed"`
+	Settings  json.RawMessage    `json:"settings"`
+	Effective []config.Effective `json:"effective,omitempty"`
 }
 
 // read gives the leader's confirmed settings or, with no leader, what is in force here.
@@ -102,7 +102,7 @@
 	}
 	document.Settings = body
 	if request.URL.Query().Get("effective") != "" && document.Serial > 0 {
-		settings, err := conf.Read(body)
+		settings, err := config.Read(body)
 		if err != nil {
 			WriteError(writer, err)
 			return
@@ -166,7 +166,7 @@
 		WriteError(writer, rpc.Errorf(rpc.TooLarge, "at most %d bytes", maxChangeBytes))
 		return
 	}
-	if _, err := conf.Read(body); err != nil {
+	if _, err := config.Read(body); err != nil {
 		WriteError(writer, err)
 		return
 	}
--- a/agent/version.go
+++ b/agent/version.go
@@ -1,20 +1,20 @@
 package agent
 
 import (
-	"orchidjunction/conf"
+	"orchidjunction/config"
 	"orchidjunction/message"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 )
 
 // Version is what is in force in a daemon: settings, routing and table, with the serials
 // of the first two. It is immutable and replaced as a whole.
 type Version struct {
 	Serial        uint64
-	Tree          *conf.Tree
-	Settings      *conf.Settings
+	Tree          *config.Tree
+	Settings      *config.Settings
 	Table         *message.Table
 	RoutingSerial uint64
-	Routing       *route.State
+	Routing       *routing.State
 }
 
 // Body returns the whole text of the settings.
@@ -29,7 +29,7 @@
 func (version *Version) with(response *message.FetchResponse, chunks message.Chunks) (*Version, error) {
 	next := *version
 	if response.Serial > version.Serial {
-		tree, err := conf.Assemble(version.Tree, response.Chunks, chunks)
+		tree, err := config.Assemble(version.Tree, response.Chunks, chunks)
 		if err != nil {
 			return nil, err
 		}
@@ -46,12 +46,12 @@
 	return &next, nil
 }
 
-func decodeRouting(response *message.FetchResponse) (*route.State, error) {
+func decodeRouting(response *message.FetchResponse) (*routing.State, error) {
 	body, err := response.DecompressRouting()
 	if err != nil {
 		return nil, err
 	}
-	return route.DecodeState(body)
+	return routing.DecodeState(body)
 }
 
 // newerTable returns the table of a response, or the present one if that is newer.
--- a/cmd/ojback/main.go
+++ b/cmd/ojbackend/main.go
@@ -1,19 +1,19 @@
-// Command ojback is a stand-in for a backend of a partner.
+// Command ojbackend is a stand-in for a backend of a partner.
 package main
 
 import (
 	"orchidjunction/agent"
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
-	"orchidjunction/program"
+	"orchidjunction/harness/standin"
+	"orchidjunction/process"
 	"orchidjunction/rpc"
-	"orchidjunction/stand"
 	"time"
 )
 
 func main() {
-	flags := program.NewFlags("ojback", "a stand-in for a partner's backend")
-	place := stand.BackendConfig{Room: 32, WorkMs: 5, GentleRate: 10}
+	flags := process.NewFlags("ojbackend", "a stand-in for a partner's backend")
+	place := standin.BackendConfig{Room: 32, WorkMs: 5, GentleRate: 10}
 	listen, leaveMs := "", 2500
 	flags.Parser.String(&listen, "", "listen", "IP:port to answer on")
 	flags.Parser.String(&place.Service, "", "service", "service this backend belongs to")
@@ -30,15 +30,15 @@
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--service and --instance must be given"))
 	}
 	place.Incarnation = agent.NewID()
-	backend, err := stand.NewBackend(place)
+	backend, err := standin.NewBackend(place)
 	if err != nil {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--journal: %v", err))
 	}
 	goroutines := concurrent.NewGroup()
-	listener, err := program.Listen(listen, backend, 64<<10)
+	listener, err := process.Listen(listen, backend, 64<<10)
 	flags.Exit(err)
 	listener.Serve(goroutines)
-	program.OnTerm(goroutines, func() {
+	process.OnTerm(goroutines, func() {
 		backend.Leave()
 		goroutines.Sleep(time.Duration(leaveMs) * time.Millisecond)
 		listener.Drain(6*time.Second - time.Duration(leaveMs)*time.Millisecond)
--- a/cmd/ojfleet/main.go
+++ b/cmd/ojcluster/main.go
@@ -1,4 +1,4 @@
-// Command ojfleet runs a deployment of real processes on this machine, injects the
+// Command ojcluster runs a deployment of real processes on this machine, injects the
 // faults of a scenario and prints the verdicts. It also measures how the system
 // scales.
 package main
@@ -11,17 +11,17 @@
 	"time"
 
 	"orchidjunction/concurrent"
-	"orchidjunction/fleet"
-	"orchidjunction/judge"
-	"orchidjunction/program"
+	"orchidjunction/harness/checker"
+	"orchidjunction/harness/cluster"
+	"orchidjunction/process"
 	"orchidjunction/rpc"
 )
 
 func main() {
-	flags := program.NewFlags("ojfleet", "runs a deployment of orchidjunction's processes and injects faults; scenarios: "+strings.Join(fleet.Names(), ", "))
+	flags := process.NewFlags("ojcluster", "runs a deployment of orchidjunction's processes and injects faults; scenarios: "+strings.Join(cluster.Names(), ", "))
 	size, scenario, examples, settings := "small", "calm", "examples", ""
 	bin, folder := "bin", ""
-	spec := fleet.Spec{BasePort: 21000, Seconds: 20, Seed: 1, LagMs: 1000, Changes: 2, Tries: 4}
+	spec := cluster.Spec{BasePort: 21000, Seconds: 20, Seed: 1, LagMs: 1000, Changes: 2, Tries: 4}
 	rate, seed, untimed := 0, 1, false
 	flags.Parser.String(&size, "", "size", "small, volta, saqtau, or both partners together, lending to each other")
 	flags.Parser.String(&scenario, "", "scenario", "the faults to inject")
@@ -41,25 +41,25 @@
 	if measured.play(flags) {
 		return
 	}
-	chosen, found := fleet.Scenarios[scenario]
+	chosen, found := cluster.Scenarios[scenario]
 	if !found {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "--scenario: no scenario %q; there are %s", scenario, strings.Join(fleet.Names(), ", ")))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--scenario: no scenario %q; there are %s", scenario, strings.Join(cluster.Names(), ", ")))
 	}
 	sizes := []string{size}
-	if size == fleet.Both {
+	if size == cluster.Both {
 		sizes, spec.Guests = []string{"volta", "saqtau"}, 2
 	}
 	if folder == "" {
-		made, err := os.MkdirTemp("", "ojfleet-")
+		made, err := os.MkdirTemp("", "ojcluster-")
 		if err != nil {
 			flags.Exit(rpc.Errorf(rpc.BadFlag, "--folder: %v", err))
 		}
 		folder = made
 	}
 	goroutines := concurrent.NewGroup()
-	fleets, port := []*fleet.Fleet{}, spec.BasePort
+	fleets, port := []*cluster.Fleet{}, spec.BasePort
 	for _, name := range sizes {
-		base, found := fleet.Sizes[name]
+		base, found := cluster.Sizes[name]
 		if !found {
 			flags.Exit(rpc.Errorf(rpc.BadFlag, "--size: no size %q; there are small, volta, saqtau and both", name))
 		}
@@ -76,7 +76,7 @@
 		if rate > 0 {
 			one.Rate = rate
 		}
-		laid, err := fleet.NewFleet(one, goroutines)
+		laid, err := cluster.NewFleet(one, goroutines)
 		flags.Exit(err)
 		fleets = append(fleets, laid)
 		port += one.Ports()
@@ -87,12 +87,12 @@
 		fleets[0].Lend(fleets[1])
 		fleets[1].Lend(fleets[0])
 	}
-	program.OnTerm(goroutines, goroutines.Stop)
+	process.OnTerm(goroutines, goroutines.Stop)
 	begin := time.Now()
-	verdicts, err := fleet.PlayBoth(fleets, chosen, goroutines)
+	verdicts, err := cluster.PlayBoth(fleets, chosen, goroutines)
 	goroutines.Stop()
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "ojfleet: %v\n", err)
+		fmt.Fprintf(os.Stderr, "ojcluster: %v\n", err)
 		os.Exit(1)
 	}
 	all := true
@@ -100,7 +100,7 @@
 		if len(verdicts) > 1 {
 			fmt.Printf("%s:\n", sizes[index])
 		}
-		all = judge.Print(os.Stdout, lines, untimed) && all
+		all = checker.Print(os.Stdout, lines, untimed) && all
 	}
 	fmt.Printf("%s: %v after %v\n", scenario, map[bool]string{true: "all hold", false: "not all hold"}[all], time.Since(begin).Round(time.Second))
 	if !all {
--- a/cmd/ojfleet/scale.go
+++ b/cmd/ojcluster/scale.go
@@ -7,9 +7,9 @@
 	"strings"
 
 	"orchidjunction/concurrent"
-	"orchidjunction/program"
+	"orchidjunction/harness/capacity"
+	"orchidjunction/process"
 	"orchidjunction/rpc"
-	"orchidjunction/scale"
 
 	"github.com/integrii/flaggy"
 )
@@ -21,11 +21,11 @@
 	port                        int
 }
 
-func scaleFlags(flags *program.Flags) *scaling {
+func scaleFlags(flags *process.Flags) *scaling {
 	scaling := &scaling{results: "docs/measure/scale", page: "docs/CAPACITY.md", sweep: "all", port: 24000,
 		run: flaggy.NewSubcommand("scale"), capacity: flaggy.NewSubcommand("capacity"), core: flaggy.NewSubcommand("scale-core"), hollow: flaggy.NewSubcommand("scale-hollow")}
 	names := []string{"all", "state"}
-	for _, sweep := range scale.Sweeps {
+	for _, sweep := range capacity.Sweeps {
 		names = append(names, sweep.Name)
 	}
 	scaling.run.Description = "measures each role's cost as the fleet grows, with hollow daemons; uses about four cores"
@@ -46,20 +46,20 @@
 }
 
 // play is whether the command line asked for any of this.
-func (scaling *scaling) play(flags *program.Flags) bool {
+func (scaling *scaling) play(flags *process.Flags) bool {
 	switch {
 	case scaling.core.Used:
-		spec := scale.CoreSpec{}
+		spec := capacity.CoreSpec{}
 		flags.Exit(scaling.read(&spec))
-		flags.Exit(scale.RunCore(spec))
+		flags.Exit(capacity.RunCore(spec))
 	case scaling.hollow.Used:
-		spec := scale.SimulatedSpec{}
+		spec := capacity.SimulatedSpec{}
 		flags.Exit(scaling.read(&spec))
-		flags.Exit(scale.RunSimulatedDaemons(spec))
+		flags.Exit(capacity.RunSimulatedDaemons(spec))
 	case scaling.run.Used:
 		flags.Exit(scaling.measure())
 	case scaling.capacity.Used:
-		flags.Exit(scale.WritePage(scaling.page, scaling.results))
+		flags.Exit(capacity.WritePage(scaling.page, scaling.results))
 	default:
 		return false
 	}
@@ -75,18 +75,18 @@
 
 func (scaling *scaling) measure() error {
 	goroutines := concurrent.NewGroup()
-	program.OnTerm(goroutines, goroutines.Stop)
+	process.OnTerm(goroutines, goroutines.Stop)
 	defer goroutines.Stop()
 	played := false
 	for _, name := range strings.Split(scaling.sweep, ",") {
 		if name == "all" || name == "state" {
 			played = true
-			if err := scale.PlayStates(scaling.results, os.Stdout); err != nil {
+			if err := capacity.PlayStates(scaling.results, os.Stdout); err != nil {
 				return err
 			}
 		}
-		for index := range scale.Sweeps {
-			if sweep := &scale.Sweeps[index]; name == "all" || name == sweep.Name {
+		for index := range capacity.Sweeps {
+			if sweep := &capacity.Sweeps[index]; name == "all" || name == sweep.Name {
 				played = true
 				if err := sweep.Play(scaling.results, scaling.port, goroutines, os.Stdout); err != nil {
 					return err
--- a/cmd/ojcore/main.go
+++ b/cmd/ojcore/main.go
@@ -14,7 +14,7 @@
 	"orchidjunction/control"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
-	"orchidjunction/program"
+	"orchidjunction/process"
 	"orchidjunction/rpc"
 	"orchidjunction/storage"
 
@@ -22,7 +22,7 @@
 )
 
 func main() {
-	flags := program.NewFlags("ojcore", "a core machine of orchidjunction: keeps settings on disk and elects the leader")
+	flags := process.NewFlags("ojcore", "a core machine of orchidjunction: keeps settings on disk and elects the leader")
 	config := control.Config{}
 	data, peers, seeds := "", []string{}, []string{}
 	beat, suspect, grace := 75, 300, 6000
@@ -62,7 +62,7 @@
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--data: %v", err))
 	}
 	goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
-	client := rpc.NewClient(program.Transport())
+	client := rpc.NewClient(process.Transport())
 	finder := agent.NewLeaderFinder(client, goroutines, knownCores(&config))
 	config.OnMembershipChange = finder.ObserveMembership
 	core, err := control.NewCore(config, storage.Folder(data), client, goroutines, counters)
@@ -75,16 +75,16 @@
 	forwarder := agent.NewForwarder(finder, client, counters)
 	name := nameOf(&config)
 	operate := agent.NewOperatorAPI(name, forwarder, counters, core.Settings, core.CanVote)
-	wired, err := program.Listen(config.InternalAddress, server, 64<<10)
+	wired, err := process.Listen(config.InternalAddress, server, 64<<10)
 	flags.Exit(err)
-	operated, err := program.Listen(config.OperatorAddress, operate, 64<<10)
+	operated, err := process.Listen(config.OperatorAddress, operate, 64<<10)
 	flags.Exit(err)
 	wired.Serve(goroutines)
 	operated.Serve(goroutines)
 	finder.Run()
 	core.Run()
-	program.LogCounts(goroutines, counters, name)
-	program.OnTerm(goroutines, func() {
+	process.LogCounts(goroutines, counters, name)
+	process.OnTerm(goroutines, func() {
 		begin := time.Now()
 		core.Retire(time.Duration(grace) * time.Millisecond)
 		operated.Drain(time.Duration(grace)*time.Millisecond - time.Since(begin))
--- a/cmd/ojctl/cores.go
+++ b/cmd/ojctl/cores.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"orchidjunction/message"
-	"orchidjunction/program"
+	"orchidjunction/process"
 	"orchidjunction/rpc"
 
 	"github.com/integrii/flaggy"
@@ -17,7 +17,7 @@
 const orderRest = 300 * time.Millisecond
 
 // coreCommands adds `core list` and `core remove`.
-func (command *errand) coreCommands(flags *program.Flags, uses map[*flaggy.Subcommand]func(*errand) error) {
+func (command *errand) coreCommands(flags *process.Flags, uses map[*flaggy.Subcommand]func(*errand) error) {
 	core := flaggy.NewSubcommand("core")
 	core.Description = "lists the cores that vote, or removes one: core list, core remove ID"
 	list := flaggy.NewSubcommand("list")
--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -14,13 +14,13 @@
 	"strings"
 
 	"orchidjunction/agent"
-	"orchidjunction/aims"
-	"orchidjunction/conf"
+	"orchidjunction/config"
 	"orchidjunction/control"
 	"orchidjunction/message"
 	"orchidjunction/operator"
-	"orchidjunction/program"
+	"orchidjunction/process"
 	"orchidjunction/rpc"
+	"orchidjunction/slo"
 
 	"github.com/integrii/flaggy"
 )
@@ -45,7 +45,7 @@
 }
 
 func main() {
-	flags := program.NewFlags("ojctl", "reads and changes orchidjunction's settings")
+	flags := process.NewFlags("ojctl", "reads and changes orchidjunction's settings")
 	command := &errand{base: -1}
 	flags.Parser.StringSlice(&command.daemons, "d", "daemon", "IP:port of a daemon's operators' side; may be given more than once")
 	uses := map[*flaggy.Subcommand]func(*errand) error{}
@@ -101,7 +101,7 @@
 				flags.Exit(control.CheckAddress("--daemon", daemon))
 			}
 		}
-		command.client = operator.NewClient(command.daemons, program.Transport())
+		command.client = operator.NewClient(command.daemons, process.Transport())
 		end(run(command))
 		return
 	}
@@ -159,7 +159,7 @@
 	if err != nil {
 		return err
 	}
-	settings, err := conf.Read(body)
+	settings, err := config.Read(body)
 	if err != nil {
 		return err
 	}
@@ -185,7 +185,7 @@
 		show(settings)
 		return nil
 	}
-	routes := []conf.Effective{}
+	routes := []config.Effective{}
 	if err := json.Unmarshal(settings.Effective, &routes); err != nil {
 		return rpc.Errorf(rpc.BadMessage, "effective routes: %v", err)
 	}
@@ -269,7 +269,7 @@
 		if err != nil {
 			return err
 		}
-		tree, err := conf.Read(settings.Settings)
+		tree, err := config.Read(settings.Settings)
 		if err != nil {
 			return err
 		}
@@ -342,7 +342,7 @@
 	if err != nil {
 		return err
 	}
-	documents, err := aims.Read(body)
+	documents, err := slo.Read(body)
 	if err != nil {
 		return err
 	}
@@ -353,7 +353,7 @@
 	sums, silent := status.Counts, 0
 	for _, daemon := range status.Members {
 		counts := map[string]uint64{}
-		if err := operator.NewClient([]string{daemon.Member.OperatorAddress}, program.Transport()).Ask("GET", "/v1/counts", nil, &counts); err != nil {
+		if err := operator.NewClient([]string{daemon.Member.OperatorAddress}, process.Transport()).Ask("GET", "/v1/counts", nil, &counts); err != nil {
 			silent++
 			continue
 		}
@@ -365,7 +365,7 @@
 		fmt.Fprintf(os.Stderr, "ojctl: %d daemons did not tell their counters\n", silent)
 	}
 	missed := 0
-	for _, report := range aims.Evaluate(documents, sums) {
+	for _, report := range slo.Evaluate(documents, sums) {
 		fmt.Printf("%-24s target %.4f, %d of %d, %.4f, met %s, budget left %.0f%%\n", report.Name, report.Target, report.Good, report.Total, report.Ratio, mark(report.Met), 100*report.Left)
 		if !report.Met {
 			missed++
--- /dev/null
+++ b/cmd/ojdirectory/main.go
@@ -0,0 +1,18 @@
+// Command ojdirectory is a directory node: it tells callers which proxies to use.
+package main
+
+import (
+	"orchidjunction/agent"
+	"orchidjunction/concurrent"
+	"orchidjunction/directory"
+	"orchidjunction/message"
+	"orchidjunction/metrics"
+	"orchidjunction/process"
+)
+
+func main() {
+	flags := process.NewFlags("ojdirectory", "a directory node of orchidjunction: tells callers where to go")
+	process.RunDaemon(flags, "dir", nil, func(daemon *agent.Daemon, _ *concurrent.Group, counters *metrics.Counters) (process.DataPlane, func() []message.Probe) {
+		return directory.NewDirectory(daemon, counters), nil
+	})
+}
--- a/cmd/ojorigin/main.go
+++ b/cmd/ojload/main.go
@@ -1,4 +1,4 @@
-// Command ojorigin is a stand-in for callers: it asks directories for proxies,
+// Command ojload is a stand-in for callers: it asks directories for proxies,
 // sends requests to them and prints what they saw as JSON.
 package main
 
@@ -9,17 +9,17 @@
 	"time"
 
 	"orchidjunction/concurrent"
-	"orchidjunction/program"
+	"orchidjunction/harness/standin"
+	"orchidjunction/process"
 	"orchidjunction/rpc"
-	"orchidjunction/stand"
 )
 
 func main() {
-	flags := program.NewFlags("ojorigin", "a stand-in for callers; prints what they saw as JSON")
+	flags := process.NewFlags("ojload", "a stand-in for callers; prints what they saw as JSON")
 	path := ""
 	flags.Parser.String(&path, "", "plan", "JSON file saying who calls what, where and how often")
 	flags.Parse()
-	plan := stand.LoadPlan{}
+	plan := standin.LoadPlan{}
 	body, err := os.ReadFile(path)
 	if err == nil {
 		err = json.Unmarshal(body, &plan)
@@ -32,8 +32,8 @@
 	}
 	goroutines := concurrent.NewGroup()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
-	generator := stand.NewLoadGenerator(plan, client, goroutines.Start)
-	program.OnTerm(goroutines, goroutines.Stop)
+	generator := standin.NewLoadGenerator(plan, client, goroutines.Start)
+	process.OnTerm(goroutines, goroutines.Stop)
 	report := generator.Run(goroutines.Sleep)
 	goroutines.Stop()
 	encoder := json.NewEncoder(os.Stdout)
--- a/cmd/ojplan/main.go
+++ b/cmd/ojplan/main.go
@@ -7,11 +7,11 @@
 	"os"
 	"strings"
 
-	"orchidjunction/conf"
+	"orchidjunction/config"
 	"orchidjunction/control"
 	"orchidjunction/operator"
-	"orchidjunction/plan"
-	"orchidjunction/program"
+	"orchidjunction/planner"
+	"orchidjunction/process"
 	"orchidjunction/rpc"
 )
 
@@ -23,7 +23,7 @@
 )
 
 func main() {
-	flags := program.NewFlags("ojplan", "shows what a change would move; exit 0 nothing, 3 something, 5 floors short, 1 invalid, 4 no answer")
+	flags := process.NewFlags("ojplan", "shows what a change would move; exit 0 nothing, 3 something, 5 floors short, 1 invalid, 4 no answer")
 	daemons, empties, whole, partial, asJSON, capacity := []string{}, []string{}, "", "", false, 30.0
 	flags.Parser.StringSlice(&daemons, "d", "daemon", "IP:port of a daemon's operators' side; may be given more than once")
 	flags.Parser.String(&whole, "", "whole", "file with a whole new version")
@@ -44,12 +44,12 @@
 	if capacity <= 0 {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--backend-rps: %v is not above 0", capacity))
 	}
-	client := operator.NewClient(daemons, program.Transport())
+	client := operator.NewClient(daemons, process.Transport())
 	held, mishap := client.Read(false)
 	end(mishap, exitSilent)
 	status, mishap := client.Status()
 	end(mishap, exitSilent)
-	before, mishap := conf.Read(held.Settings)
+	before, mishap := config.Read(held.Settings)
 	end(mishap, exitInvalid)
 	body := []byte(held.Settings)
 	if file := whole + partial; file != "" {
@@ -58,22 +58,22 @@
 			flags.Exit(rpc.Errorf(rpc.BadFlag, "%v", err))
 		}
 		if body = change; partial != "" {
-			body, mishap = conf.Patch(held.Settings, change)
+			body, mishap = config.Patch(held.Settings, change)
 			end(mishap, exitInvalid)
 		}
 	}
 	if len(empties) > 0 {
 		drained, _ := json.Marshal(map[string]any{"drained": map[string]any{"zones": append(before.Drained.Zones, empties...)}})
-		body, mishap = conf.Patch(body, drained)
+		body, mishap = config.Patch(body, drained)
 		end(mishap, exitInvalid)
 	}
-	after, mishap := conf.Read(body)
+	after, mishap := config.Read(body)
 	end(mishap, exitInvalid)
-	fleet := plan.Fleet{Serial: held.Serial, Settings: before, Backends: status.Backends, Capacity: capacity}
+	fleet := planner.Fleet{Serial: held.Serial, Settings: before, Backends: status.Backends, Capacity: capacity}
 	for _, known := range status.Members {
 		fleet.Members = append(fleet.Members, known.Member)
 	}
-	forecast := plan.NewForecast(fleet, after)
+	forecast := planner.NewForecast(fleet, after)
 	if asJSON {
 		encoder := json.NewEncoder(os.Stdout)
 		encoder.SetIndent("", "  ")
@@ -91,7 +91,7 @@
 	}
 }
 
-func show(forecast *plan.Forecast) {
+func show(forecast *planner.Forecast) {
 	fmt.Printf("%d of %d tenants move\n", len(forecast.Moves), forecast.Tenants)
 	for _, move := range forecast.Moves {
 		fmt.Printf("  %-20s leaves %s, joins %s\n", move.Tenant, names(move.Left), names(move.Joined))
--- a/cmd/ojplat/main.go
+++ b/cmd/ojplatform/main.go
@@ -1,4 +1,4 @@
-// Command ojplat is a stand-in for the platform: its list of backends and its
+// Command ojplatform is a stand-in for the platform: its list of backends and its
 // billing.
 package main
 
@@ -9,13 +9,13 @@
 
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
-	"orchidjunction/program"
+	"orchidjunction/harness/standin"
+	"orchidjunction/process"
 	"orchidjunction/rpc"
-	"orchidjunction/stand"
 )
 
 func main() {
-	flags := program.NewFlags("ojplat", "a stand-in for the platform: a paged, late, rate-limited list")
+	flags := process.NewFlags("ojplatform", "a stand-in for the platform: a paged, late, rate-limited list")
 	listen, backends, page, lag, rate := "", "", 10, 1000, 20
 	flags.Parser.String(&listen, "", "listen", "IP:port to answer on")
 	flags.Parser.String(&backends, "", "backends", "JSON file with the first list")
@@ -24,7 +24,7 @@
 	flags.Parser.Int(&rate, "", "rate", "pages a second")
 	flags.Parse()
 	flags.Exit(control.CheckAddress("--listen", listen))
-	items := []stand.Listed{}
+	items := []standin.Listed{}
 	if backends != "" {
 		body, err := os.ReadFile(backends)
 		if err == nil {
@@ -38,10 +38,10 @@
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--rate and --page are at least 1, --lag-ms at least 0"))
 	}
 	goroutines := concurrent.NewGroup()
-	listener, err := program.Listen(listen, stand.NewPlatform(page, time.Duration(lag)*time.Millisecond, float64(rate), items), 64<<10)
+	listener, err := process.Listen(listen, standin.NewPlatform(page, time.Duration(lag)*time.Millisecond, float64(rate), items), 64<<10)
 	flags.Exit(err)
 	listener.Serve(goroutines)
-	program.OnTerm(goroutines, func() {
+	process.OnTerm(goroutines, func() {
 		listener.Drain(time.Second)
 		goroutines.Stop()
 	})
--- a/cmd/ojproxy/main.go
+++ b/cmd/ojproxy/main.go
@@ -7,21 +7,21 @@
 
 	"orchidjunction/agent"
 	"orchidjunction/concurrent"
-	"orchidjunction/data"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
-	"orchidjunction/program"
+	"orchidjunction/process"
+	"orchidjunction/serviceproxy"
 )
 
 func main() {
-	flags := program.NewFlags("ojproxy", "a front machine of orchidjunction: carries callers' tasks to backends")
+	flags := process.NewFlags("ojproxy", "a front machine of orchidjunction: carries callers' tasks to backends")
 	dialer := &net.Dialer{Timeout: time.Second}
-	guest := &program.Guest{}
-	guest.Join = func(owner, borrower program.DataPlane) {
-		borrower.(*data.Proxy).SetLendingLimit(data.NewLendingLimit(owner.(*data.Proxy), guest.PerSecond, guest.InFlight))
+	guest := &process.Guest{}
+	guest.Join = func(owner, borrower process.DataPlane) {
+		borrower.(*serviceproxy.Proxy).SetLendingLimit(serviceproxy.NewLendingLimit(owner.(*serviceproxy.Proxy), guest.PerSecond, guest.InFlight))
 	}
-	program.RunDaemon(flags, "proxy", guest, func(daemon *agent.Daemon, goroutines *concurrent.Group, counters *metrics.Counters) (program.DataPlane, func() []message.Probe) {
-		proxy := data.NewProxy(daemon, goroutines, counters, dialer.DialContext)
+	process.RunDaemon(flags, "proxy", guest, func(daemon *agent.Daemon, goroutines *concurrent.Group, counters *metrics.Counters) (process.DataPlane, func() []message.Probe) {
+		proxy := serviceproxy.NewProxy(daemon, goroutines, counters, dialer.DialContext)
 		return proxy, proxy.Probes
 	})
 }
--- a/cmd/ojnode/core.go
+++ b/cmd/orchidjunction/core.go
@@ -8,7 +8,7 @@
 	"orchidjunction/agent"
 	"orchidjunction/control"
 	"orchidjunction/platform"
-	"orchidjunction/program"
+	"orchidjunction/process"
 	"orchidjunction/rpc"
 	"orchidjunction/storage"
 
@@ -52,10 +52,10 @@
 	if err := os.MkdirAll(settings.Folder, 0o700); err != nil {
 		return rpc.Errorf(rpc.BadFlag, "data folder: %v", err)
 	}
-	line := rpc.NewClient(program.WANTransport(userTimeout))
+	line := rpc.NewClient(process.WANTransport(userTimeout))
 	var core *control.Core
 	finder := agent.NewLeaderFinder(line, node.goroutines, innerSeeds(settings)).WithIntervals(agent.Intervals{FindLeader: seekPace})
-	client := platform.NewClient(settings.Platform.Address, program.WANTransport(userTimeout), func() int64 { return core.Now() })
+	client := platform.NewClient(settings.Platform.Address, process.WANTransport(userTimeout), func() int64 { return core.Now() })
 	config := control.Config{Name: settings.Name, Zone: settings.Zone, InternalAddress: inner(settings, settings.Address), Seeds: innerSeeds(settings), Bootstrap: settings.First,
 		MinFounders: 2*settings.Survive.Machines + 1, HeartbeatInterval: beat, SuspicionTimeout: suspect, Seed: uint64(time.Now().UnixNano()), DirectSessions: true, TableInterval: tablePace,
 		SessionTTL: sessionSpan, ListBackends: client.ListBackends, ListInterval: listPace(settings), ListsUntilGone: goneAfter,
@@ -85,8 +85,8 @@
 	finder.Run()
 	core.Run()
 	node.source.Follow(node.goroutines)
-	program.LogCounts(node.goroutines, node.counters, settings.Name)
-	program.OnTerm(node.goroutines, func() {
+	process.LogCounts(node.goroutines, node.counters, settings.Name)
+	process.OnTerm(node.goroutines, func() {
 		begin, grace := time.Now(), settings.Bounds.Grace-graceRest
 		core.Retire(grace)
 		node.listeners[1].Drain(grace - time.Since(begin))
--- a/cmd/ojnode/main.go
+++ b/cmd/orchidjunction/main.go
@@ -1,4 +1,4 @@
-// ojnode is orchidjunction on a platform: a proxy or a core, as its settings tell.
+// orchidjunction is orchidjunction on a platform: a proxy or a core, as its settings tell.
 package main
 
 import "C"
@@ -11,7 +11,7 @@
 	"orchidjunction/concurrent"
 	"orchidjunction/metrics"
 	"orchidjunction/platform"
-	"orchidjunction/program"
+	"orchidjunction/process"
 	"orchidjunction/rpc"
 
 	"github.com/integrii/flaggy"
@@ -20,7 +20,7 @@
 const headerBytes = 64 << 10
 
 func main() {
-	flags := program.NewFlags("ojnode", "a machine of orchidjunction on a platform")
+	flags := process.NewFlags("orchidjunction", "a machine of orchidjunction on a platform")
 	proxy, core := flaggy.NewSubcommand("proxy"), flaggy.NewSubcommand("core")
 	proxy.Description = "carries clients' requests to backends and answers where to go"
 	core.Description = "keeps the routing, elects the leader and takes operators' orders"
@@ -45,7 +45,7 @@
 	source     *platform.Source
 	goroutines *concurrent.Group
 	counters   *metrics.Counters
-	listeners  []*program.Listener
+	listeners  []*process.Listener
 }
 
 // side is one address and what serves it.
@@ -60,7 +60,7 @@
 		if side.address == "" {
 			continue
 		}
-		listener, err := program.Listen(side.address, side.handler, headerBytes)
+		listener, err := process.Listen(side.address, side.handler, headerBytes)
 		if err != nil {
 			return err
 		}
--- a/cmd/ojnode/proxy.go
+++ b/cmd/orchidjunction/proxy.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"orchidjunction/agent"
+	"orchidjunction/hostproxy"
 	"orchidjunction/message"
 	"orchidjunction/platform"
-	"orchidjunction/program"
-	"orchidjunction/proxy"
+	"orchidjunction/process"
 	"orchidjunction/rpc"
 
 	"k8s.io/klog/v2"
@@ -29,7 +29,7 @@
 // runProxy is the life of a proxy.
 func (node *node) runProxy() error {
 	settings := node.source.Settings()
-	client := rpc.NewClient(program.WANTransport(userTimeout))
+	client := rpc.NewClient(process.WANTransport(userTimeout))
 	address := inner(settings, settings.Address)
 	config := agent.Config{Name: settings.Name, Kind: "proxy", Zone: settings.Zone, InternalAddress: address, PublicAddress: settings.Listen.Clients, OperatorAddress: address, Seeds: innerSeeds(settings),
 		Intervals:     agent.Intervals{Session: sessionPace, Watch: watchPace, FindLeader: seekPace, Pulse: feelPace, CheckReach: lookPace, UsageCount: -1},
@@ -38,8 +38,8 @@
 		return err
 	}
 	daemon := agent.NewDaemon(config, incarnation(), client, node.goroutines, node.counters)
-	dialer := &net.Dialer{Control: program.SetUserTimeout(backendSilent), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}}
-	plane := proxy.NewProxy(proxy.Config{Name: settings.Name, Zone: settings.Zone, Regions: settings.Zones, Headers: platform.RequestHeaders(),
+	dialer := &net.Dialer{Control: process.SetUserTimeout(backendSilent), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}}
+	plane := hostproxy.NewProxy(hostproxy.Config{Name: settings.Name, Zone: settings.Zone, Regions: settings.Zones, Headers: platform.RequestHeaders(),
 		RetryRatio: settings.Bounds.RetryRatio, RetryExtra: float64(settings.Bounds.RetryExtra), WarmupExcess: settings.Bounds.WarmupExcess,
 		WarmupExtra: settings.Bounds.WarmupExtra, UsageWindow: settings.Bounds.ReportWindow, ListLag: settings.Platform.Lag, LinkBytes: settings.Machine.LinkMbps * 1e6 / 8}, dialer.DialContext, daemon.Now, node.goroutines, node.counters)
 	daemon.OnVersion(func(version *agent.Version) {
@@ -64,8 +64,8 @@
 	daemon.Run()
 	plane.Run()
 	node.source.Follow(node.goroutines)
-	program.LogCounts(node.goroutines, node.counters, settings.Name)
-	program.OnTerm(node.goroutines, func() {
+	process.LogCounts(node.goroutines, node.counters, settings.Name)
+	process.OnTerm(node.goroutines, func() {
 		plane.Leave()
 		grace := settings.Bounds.Grace - graceRest
 		whole := daemon.Retire(min(linger, grace/2), grace, node.listeners[0].Drain)
--- a/conf/check.go
+++ b/config/check.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"encoding/hex"
--- a/conf/read_test.go
+++ b/config/read_test.go
@@ -1,4 +1,4 @@
-package conf_test
+package config_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"orchidjunction/conf"
+	"orchidjunction/config"
 	"orchidjunction/rpc"
 
 	"github.com/cockroachdb/datadriven"
@@ -23,13 +23,13 @@
 		datadriven.RunTest(test, path, func(test *testing.T, line *datadriven.TestData) string {
 			body := []byte(line.Input)
 			if line.Cmd != "text" {
-				patched, err := conf.Patch(base, body)
+				patched, err := config.Patch(base, body)
 				if err != nil {
 					return err.Error() + "\n"
 				}
 				body = patched
 			}
-			settings, err := conf.Read(body)
+			settings, err := config.Read(body)
 			if err != nil {
 				lines := []string{}
 				for _, detail := range rpc.AsError(err).Details {
--- a/conf/settings.go
+++ b/config/settings.go
@@ -6,7 +6,7 @@
 //
 // Text flows in as JSON; out come immutable Settings, or a wire.Mishap of kind
 // wire.Invalid that names every field that is wrong.
-package conf
+package config
 
 import (
 	"maps"
--- a/conf/tree_test.go
+++ b/config/tree_test.go
@@ -1,4 +1,4 @@
-package conf_test
+package config_test
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"reflect"
 	"testing"
 
-	"orchidjunction/conf"
+	"orchidjunction/config"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
 )
@@ -22,7 +22,7 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	tree, err := conf.Parse(base, nil)
+	tree, err := config.Parse(base, nil)
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -31,8 +31,8 @@
 	refused := 0
 	for turn := range 300 {
 		patch := draw(random, turn)
-		body, _ := conf.Patch(tree.Body(), patch)
-		settings, whole := conf.Read(body)
+		body, _ := config.Patch(tree.Body(), patch)
+		settings, whole := config.Read(body)
 		next, err := tree.Patch(patch)
 		if (err == nil) != (whole == nil) {
 			test.Fatalf("%.200s: whole %v, in branches %v", patch, whole, err)
@@ -44,7 +44,7 @@
 		if left, right := mustJSON(settings), mustJSON(next.Settings); !bytes.Equal(left, right) {
 			test.Fatalf("%.200s: %.300s is not %.300s", patch, left, right)
 		}
-		anew, _ := conf.Parse(body, nil)
+		anew, _ := config.Parse(body, nil)
 		if !reflect.DeepEqual(anew.Refs, next.Refs) {
 			test.Fatalf("%.200s: branches depend on the way", patch)
 		}
@@ -55,11 +55,11 @@
 		for _, digest := range missing {
 			chunks[digest] = next.Text(digest)
 		}
-		if follower, err = conf.Assemble(follower, next.Refs, chunks); err != nil || !bytes.Equal(follower.Body(), next.Body()) {
+		if follower, err = config.Assemble(follower, next.Refs, chunks); err != nil || !bytes.Equal(follower.Body(), next.Body()) {
 			test.Fatalf("%.200s: %v", patch, err)
 		}
 		if len(missing) > 0 {
-			if _, err := conf.Assemble(tree, next.Refs, nil); err == nil || rpc.CodeOf(err) != rpc.CorruptChunk {
+			if _, err := config.Assemble(tree, next.Refs, nil); err == nil || rpc.CodeOf(err) != rpc.CorruptChunk {
 				test.Fatalf("grown without its branches: %v", err)
 			}
 		}
--- a/control/content.go
+++ b/control/content.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"orchidjunction/conf"
+	"orchidjunction/config"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
 )
@@ -21,14 +21,14 @@
 // of changes. Both are sent and stored as chunks. It is immutable but for chunks.
 type content struct {
 	serial  uint64
-	tree    *conf.Tree
+	tree    *config.Tree
 	history []message.HistoryEntry
 	chunks  message.Chunks
 }
 
 // next returns the content after a change, with the older entries of the history dropped
 // by whole chunks.
-func (current *content) next(tree *conf.Tree, entry message.HistoryEntry) *content {
+func (current *content) next(tree *config.Tree, entry message.HistoryEntry) *content {
 	next := &content{serial: entry.Serial, tree: tree, chunks: message.Chunks{}}
 	oldest := uint64(0)
 	if group := entry.Serial / historyGroup; group >= maxHistoryGroups {
@@ -98,11 +98,11 @@
 		}
 		current.history = append(current.history, entries...)
 	}
-	var formerTree *conf.Tree
+	var formerTree *config.Tree
 	if former != nil {
 		formerTree = former.tree
 	}
-	tree, err := conf.Assemble(formerTree, treeChunks(value.Chunks), current.chunks)
+	tree, err := config.Assemble(formerTree, treeChunks(value.Chunks), current.chunks)
 	current.tree = tree
 	return current, err
 }
--- a/control/decide_test.go
+++ b/control/decide_test.go
@@ -5,23 +5,23 @@
 	"slices"
 	"testing"
 
-	"orchidjunction/route"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
-func configOf(version uint64) *route.Config {
-	return &route.Config{Version: version, Services: []route.Service{{Name: "desk"}},
-		Routes: []route.Route{{Name: "desk", Host: "a.example", Prefix: "/a/", Service: "desk", Attempts: 1, TimeoutMs: 2000}}}
+func configOf(version uint64) *routing.Config {
+	return &routing.Config{Version: version, Services: []routing.Service{{Name: "desk"}},
+		Routes: []routing.Route{{Name: "desk", Host: "a.example", Prefix: "/a/", Service: "desk", Attempts: 1, TimeoutMs: 2000}}}
 }
 
-func changeOf(version, base uint64, text string) *route.Change {
-	return &route.Change{Version: version, Base: base, Digest: text, Whole: configOf(version)}
+func changeOf(version, base uint64, text string) *routing.Change {
+	return &routing.Change{Version: version, Base: base, Digest: text, Whole: configOf(version)}
 }
 
 // grown is a book after many orders, each on top of the one before.
-func grown(test *testing.T, orders int) *route.State {
+func grown(test *testing.T, orders int) *routing.State {
 	test.Helper()
-	state := &route.State{}
+	state := &routing.State{}
 	for number := range uint64(orders) {
 		next, again, err := applyRoutingChange(state, changeOf(number*3+3, number*3, fmt.Sprint("order ", number)))
 		if err != nil || again {
@@ -39,7 +39,7 @@
 	invalid := changeOf(13, 6, "invalid")
 	invalid.Whole.Routes[0].Service = "nobody"
 	for name, one := range map[string]struct {
-		change *route.Change
+		change *routing.Change
 		want   rpc.Code
 	}{
 		"lost a race with a lower number":     {changeOf(8, 6, "lower"), rpc.StaleBase},
@@ -66,7 +66,7 @@
 			test.Fatalf("order %d of %d sent again: %v", number, orders, err)
 		}
 	}
-	for name, change := range map[string]*route.Change{"another text": changeOf(300, 297, "order 98"), "another number": changeOf(301, 297, "order 99")} {
+	for name, change := range map[string]*routing.Change{"another text": changeOf(300, 297, "order 98"), "another number": changeOf(301, 297, "order 99")} {
 		if _, again, err := applyRoutingChange(state, change); again || err == nil || rpc.CodeOf(err) != rpc.StaleBase {
 			test.Errorf("%s: again %v, %v", name, again, err)
 		}
@@ -77,8 +77,8 @@
 // known, so it is neither acknowledged nor refused for good.
 func TestDecideRefusesNothingThatItForgot(test *testing.T) {
 	state := grown(test, 3)
-	state.Config.Version += 3 * route.MaxHistory
-	for number := range uint64(route.MaxHistory) {
+	state.Config.Version += 3 * routing.MaxHistory
+	for number := range uint64(routing.MaxHistory) {
 		state.History = state.History.With(12+number*3, "other")
 	}
 	for number, want := range map[uint64]rpc.Code{0: rpc.Forgotten, 2: rpc.Forgotten, 3: rpc.StaleBase} {
@@ -94,7 +94,7 @@
 // A new configuration leaves everything else in the book as it is.
 func TestDecideKeepsTheZones(test *testing.T) {
 	state := grown(test, 1)
-	state.Evacuated, state.Restored = []string{"a"}, []route.RestoredZone{{Zone: "b", AtMs: 7}}
+	state.Evacuated, state.Restored = []string{"a"}, []routing.RestoredZone{{Zone: "b", AtMs: 7}}
 	next, _, err := applyRoutingChange(state, changeOf(6, 3, "more"))
 	if err != nil || !slices.Equal(next.Evacuated, state.Evacuated) || !slices.Equal(next.Restored, state.Restored) {
 		test.Errorf("%+v, %v", next, err)
--- a/control/establishment.go
+++ b/control/establishment.go
@@ -3,7 +3,7 @@
 import (
 	"orchidjunction/consensus"
 	"orchidjunction/message"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
@@ -24,7 +24,7 @@
 	promises   map[int]*message.PrepareResponse
 	values     [message.Registers]message.Value
 	content    *content
-	routing    *route.State
+	routing    *routing.State
 }
 
 // establish returns a leadership under a term. Every step is done anew: none of a former
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	establishment.routing, err = route.DecodeState(establishment.values[message.RoutingRegister].Body)
+	establishment.routing, err = routing.DecodeState(establishment.values[message.RoutingRegister].Body)
 	if err != nil {
 		return err
 	}
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"orchidjunction/message"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
@@ -14,7 +14,7 @@
 
 // applyEvacuation returns the routing after an order on a zone at a time in milliseconds,
 // nil if the order changes nothing.
-func applyEvacuation(state *route.State, request *message.EvacuateRequest, now int64) *route.State {
+func applyEvacuation(state *routing.State, request *message.EvacuateRequest, now int64) *routing.State {
 	index, isEvacuated := slices.BinarySearch(state.Evacuated, request.Zone)
 	if isEvacuated == request.Begin {
 		return nil
@@ -26,10 +26,10 @@
 		return &next
 	}
 	next.Evacuated = slices.Delete(slices.Clone(state.Evacuated), index, index+1)
-	next.Restored = slices.DeleteFunc(slices.Clone(state.Restored), func(former route.RestoredZone) bool {
+	next.Restored = slices.DeleteFunc(slices.Clone(state.Restored), func(former routing.RestoredZone) bool {
 		return former.Zone == request.Zone || now-former.AtMs > restoredZoneTTL.Milliseconds()
 	})
-	next.Restored = append(next.Restored, route.RestoredZone{Zone: request.Zone, AtMs: now})
+	next.Restored = append(next.Restored, routing.RestoredZone{Zone: request.Zone, AtMs: now})
 	return &next
 }
 
@@ -45,7 +45,7 @@
 		return &message.EvacuateResponse{Changes: leadership.currentRouting().ChangesOf(request.Zone)}, nil
 	}
 	response, isChanged := &message.EvacuateResponse{}, false
-	response.Serial, err = leadership.writeRouting(func(current *route.State) (*route.State, error) {
+	response.Serial, err = leadership.writeRouting(func(current *routing.State) (*routing.State, error) {
 		next := applyEvacuation(current, request, core.Now())
 		response.Changes = current.ChangesOf(request.Zone)
 		if next != nil && response.Changes != request.ExpectedChanges {
--- a/control/fetch_cache.go
+++ b/control/fetch_cache.go
@@ -4,7 +4,7 @@
 	"sync"
 
 	"orchidjunction/message"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
@@ -58,7 +58,7 @@
 	if cache.serial == value.Serial {
 		return cache.body, nil
 	}
-	state, err := route.DecodeState(value.Body)
+	state, err := routing.DecodeState(value.Body)
 	if err != nil {
 		return nil, err
 	}
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -9,7 +9,7 @@
 
 	"orchidjunction/concurrent"
 	"orchidjunction/message"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
@@ -37,7 +37,7 @@
 	successor           message.Leader
 	values              [message.Registers]message.Value
 	content             *content
-	routing             *route.State
+	routing             *routing.State
 	responses           map[int]*message.HeartbeatResponse
 	lastQuorum          time.Time // when the last heartbeat began that a quorum accepted
 	heartbeatsSent      uint64
--- a/control/routing.go
+++ b/control/routing.go
@@ -2,19 +2,19 @@
 
 import (
 	"orchidjunction/message"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
 // Routing returns the serial and the content of the committed routing as this core holds
 // it, 0 and an empty one if it can't be read.
-func (core *Core) Routing() (uint64, *route.State) {
+func (core *Core) Routing() (uint64, *routing.State) {
 	core.mutex.Lock()
 	value := core.committed[message.RoutingRegister].Value
 	core.mutex.Unlock()
-	state, err := route.DecodeState(value.Body)
+	state, err := routing.DecodeState(value.Body)
 	if err != nil {
-		return 0, &route.State{}
+		return 0, &routing.State{}
 	}
 	return value.Serial, state
 }
@@ -22,7 +22,7 @@
 // applyRoutingChange returns the routing after a change, or that the change was made
 // before. A base that is not current is reported before all else that may be wrong: who
 // lost a race sent a valid change. Whether a very old change was made is not known.
-func applyRoutingChange(state *route.State, change *route.Change) (next *route.State, isDuplicate bool, err error) {
+func applyRoutingChange(state *routing.State, change *routing.Change) (next *routing.State, isDuplicate bool, err error) {
 	if state.History.Contains(change.Version, change.Digest) {
 		return nil, true, nil
 	}
@@ -44,7 +44,7 @@
 
 // checkRoutingBase refuses a change that is not based on the current version, or whose
 // own version is not above that.
-func checkRoutingBase(state *route.State, change *route.Change) error {
+func checkRoutingBase(state *routing.State, change *routing.Change) error {
 	current := state.Config.Version
 	switch {
 	case change.Base != current && state.History.MayHaveForgotten(change.Version):
@@ -57,19 +57,19 @@
 	return nil
 }
 
-func changedRouting(state *route.State, change *route.Change) (route.Config, error) {
+func changedRouting(state *routing.State, change *routing.Change) (routing.Config, error) {
 	switch {
 	case change.Whole != nil:
 		return *change.Whole, nil
 	case change.Patch != nil:
 		return state.Config.Apply(change.Patch)
 	}
-	return route.Config{}, rpc.Errorf(rpc.BadRequest, "neither a whole routing nor a patch")
+	return routing.Config{}, rpc.Errorf(rpc.BadRequest, "neither a whole routing nor a patch")
 }
 
 // writeRouting writes the routing that build makes of the current one and returns the
 // serial that holds it; if build makes none, that is the current serial.
-func (leadership *Leadership) writeRouting(build func(current *route.State) (*route.State, error)) (uint64, error) {
+func (leadership *Leadership) writeRouting(build func(current *routing.State) (*routing.State, error)) (uint64, error) {
 	currentSerial := uint64(0)
 	serial, err := leadership.write(message.RoutingRegister, func(current message.Value) (*proposal, error) {
 		currentSerial = current.Serial
@@ -91,7 +91,7 @@
 }
 
 // currentRouting returns the routing that the leadership wrote or inherited.
-func (leadership *Leadership) currentRouting() *route.State {
+func (leadership *Leadership) currentRouting() *routing.State {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	return leadership.routing
@@ -105,12 +105,12 @@
 	if err != nil {
 		return nil, err
 	}
-	change := &route.Change{}
+	change := &routing.Change{}
 	if err := rpc.Unmarshal(request.Body, change); err != nil {
 		return nil, err
 	}
 	response, isDecided := &message.RoutingChangeResponse{}, false
-	response.Serial, err = leadership.writeRouting(func(current *route.State) (*route.State, error) {
+	response.Serial, err = leadership.writeRouting(func(current *routing.State) (*routing.State, error) {
 		next, isDuplicate, err := applyRoutingChange(current, change)
 		response.Duplicate, isDecided = isDuplicate, next == nil
 		return next, err
--- a/control/routing_test.go
+++ b/control/routing_test.go
@@ -5,25 +5,25 @@
 	"testing"
 
 	"orchidjunction/message"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 )
 
 // A zone that was taken back is remembered for a while, by when that was.
 func TestEvacuatedAndReopened(test *testing.T) {
-	state := &route.State{}
+	state := &routing.State{}
 	for number, step := range []struct {
 		zone      string
 		begin     bool
 		at        int64
 		evacuated []string
-		reopened  []route.RestoredZone
+		reopened  []routing.RestoredZone
 	}{
 		{"b", true, 1000, []string{"b"}, nil},
 		{"a", true, 2000, []string{"a", "b"}, nil},
-		{"b", false, 3000, []string{"a"}, []route.RestoredZone{{Zone: "b", AtMs: 3000}}},
-		{"a", false, 4000, []string{}, []route.RestoredZone{{Zone: "b", AtMs: 3000}, {Zone: "a", AtMs: 4000}}},
-		{"b", true, 5000, []string{"b"}, []route.RestoredZone{{Zone: "b", AtMs: 3000}, {Zone: "a", AtMs: 4000}}},
-		{"b", false, 63500, []string{}, []route.RestoredZone{{Zone: "a", AtMs: 4000}, {Zone: "b", AtMs: 63500}}},
+		{"b", false, 3000, []string{"a"}, []routing.RestoredZone{{Zone: "b", AtMs: 3000}}},
+		{"a", false, 4000, []string{}, []routing.RestoredZone{{Zone: "b", AtMs: 3000}, {Zone: "a", AtMs: 4000}}},
+		{"b", true, 5000, []string{"b"}, []routing.RestoredZone{{Zone: "b", AtMs: 3000}, {Zone: "a", AtMs: 4000}}},
+		{"b", false, 63500, []string{}, []routing.RestoredZone{{Zone: "a", AtMs: 4000}, {Zone: "b", AtMs: 63500}}},
 	} {
 		if again := applyEvacuation(state, &message.EvacuateRequest{Zone: step.zone, Begin: !step.begin}, step.at); again != nil {
 			test.Errorf("step %d: the contrary changed something", number)
--- a/control/settings.go
+++ b/control/settings.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"orchidjunction/conf"
+	"orchidjunction/config"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
 )
@@ -79,11 +79,11 @@
 
 // parseAhead parses a whole change before the write lock is taken, if it is based on the
 // current settings. It returns nil for other changes.
-func parseAhead(request *message.ChangeRequest, current *content) (*conf.Tree, error) {
+func parseAhead(request *message.ChangeRequest, current *content) (*config.Tree, error) {
 	if request.Kind != message.WholeChange || request.Base != current.serial {
 		return nil, nil
 	}
-	return conf.Parse(request.Body, current.tree)
+	return config.Parse(request.Body, current.tree)
 }
 
 // findDuplicate returns the entry of a change that was made before. It returns
@@ -103,7 +103,7 @@
 }
 
 // applyChange returns the content after a change.
-func (leadership *Leadership) applyChange(request *message.ChangeRequest, current *content, parsed *conf.Tree, digest string) (*content, error) {
+func (leadership *Leadership) applyChange(request *message.ChangeRequest, current *content, parsed *config.Tree, digest string) (*content, error) {
 	if request.Base != current.serial {
 		return nil, &rpc.Error{Code: rpc.StaleBase, Message: fmt.Sprintf("based on %d", request.Base), Serial: current.serial}
 	}
@@ -111,7 +111,7 @@
 	switch {
 	case parsed != nil:
 	case request.Kind == message.WholeChange:
-		tree, err = conf.Parse(request.Body, current.tree)
+		tree, err = config.Parse(request.Body, current.tree)
 	default:
 		tree, err = current.tree.Patch(request.Body)
 	}
--- a/control/stored_test.go
+++ b/control/stored_test.go
@@ -14,7 +14,7 @@
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/replica"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 	"orchidjunction/storage"
 	"orchidjunction/usage"
@@ -70,7 +70,7 @@
 }
 
 func describeRouting(test *testing.T, text *bytes.Buffer, state *consensus.State) {
-	book, err := route.DecodeState(state.Accepted[message.RoutingRegister].Value.Body)
+	book, err := routing.DecodeState(state.Accepted[message.RoutingRegister].Value.Body)
 	if err != nil {
 		test.Fatal(err)
 	}
--- a/control/usage_reports.go
+++ b/control/usage_reports.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"orchidjunction/concurrent"
-	"orchidjunction/conf"
+	"orchidjunction/config"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
 	"orchidjunction/usage"
@@ -67,7 +67,7 @@
 
 // writeUsage has a quorum accept the running counts, and with them the reports of an
 // ended period, before any is sent.
-func (core *Core) writeUsage(leadership *Leadership, settings *conf.Settings) error {
+func (core *Core) writeUsage(leadership *Leadership, settings *config.Settings) error {
 	endsPeriod, now := core.usage.PeriodOver(leadership.term), time.Now()
 	_, err := leadership.write(message.ReportsRegister, func(current message.Value) (*proposal, error) {
 		former, err := usage.DecodeState(current)
--- a/place/directory.go
+++ b/directory/directory.go
@@ -1,7 +1,7 @@
 // Package place is the directory service: it tells callers which proxies to use and
 // for how long. Versions of settings and members come in through Directory.Apply,
 // which swaps in an immutable view; ServeHTTP answers callers from it.
-package place
+package directory
 
 import (
 	"net/http"
@@ -11,10 +11,10 @@
 	"time"
 
 	"orchidjunction/agent"
-	"orchidjunction/data"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
+	"orchidjunction/serviceproxy"
 )
 
 const (
@@ -32,7 +32,7 @@
 // View is the immutable view of one version: its routes and the proxies that
 // callers may be sent to.
 type View struct {
-	routes  *data.Routes
+	routes  *serviceproxy.Routes
 	proxies []message.Member
 	guests  []message.Member
 }
@@ -70,12 +70,12 @@
 	if version.Settings == nil {
 		return
 	}
-	var routes *data.Routes
+	var routes *serviceproxy.Routes
 	if before := directory.view.Load(); before != nil {
 		routes = before.routes
 	}
 	if routes == nil || routes.Serial != version.Serial {
-		routes = data.NewRoutes(version.Serial, version.Settings, routes)
+		routes = serviceproxy.NewRoutes(version.Serial, version.Settings, routes)
 	}
 	directory.view.Store(NewView(routes, version.Table.Members))
 }
@@ -83,7 +83,7 @@
 // NewView selects the proxies that callers may be sent to: those ready and not
 // leaving. Proxies lent by the other partner are used only while the own ones are
 // too few or nearly full.
-func NewView(routes *data.Routes, members []message.Member) *View {
+func NewView(routes *serviceproxy.Routes, members []message.Member) *View {
 	next, demand := &View{routes: routes}, 0.0
 	for _, known := range members {
 		if known.Kind != "proxy" || !known.Ready || known.Leaving {
@@ -188,7 +188,7 @@
 		if leftNear != rightNear {
 			return leftNear
 		}
-		return data.Rank(name, ranked[left].Name) > data.Rank(name, ranked[right].Name)
+		return serviceproxy.Rank(name, ranked[left].Name) > serviceproxy.Rank(name, ranked[right].Name)
 	})
 	return ranked
 }
--- a/scale/bench.go
+++ b/harness/capacity/bench.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"fmt"
@@ -13,8 +13,8 @@
 	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
-	"orchidjunction/program"
-	"orchidjunction/route"
+	"orchidjunction/process"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
@@ -75,7 +75,7 @@
 
 func (bench *bench) up() error {
 	begin, point := time.Now(), bench.point
-	folder, err := os.MkdirTemp("", "ojfleet-scale-")
+	folder, err := os.MkdirTemp("", "ojcluster-scale-")
 	if err != nil {
 		return rpc.Errorf(rpc.DiskFailure, "%v", err)
 	}
@@ -103,7 +103,7 @@
 	if err := bench.until(30*time.Second, "a leader", func() bool { return bench.leader() != nil }); err != nil {
 		return err
 	}
-	client := rpc.NewClient(program.WANTransport(userTimeout))
+	client := rpc.NewClient(process.WANTransport(userTimeout))
 	finder := agent.NewLeaderFinder(client, bench.goroutines, seeds).WithIntervals(agent.Intervals{FindLeader: seekPace})
 	finder.Run()
 	bench.forwarder = agent.NewForwarder(finder, client, metrics.NewCounters()).WithLimits(agent.ForwardLimits{Response: 20 * time.Second, Attempt: 15 * time.Second})
@@ -111,7 +111,7 @@
 	if body, err := rpc.Marshal(whole); err == nil {
 		bench.result.ConfigKB = float64(len(body)) / 1024
 	}
-	if _, err := bench.order(&route.Change{Version: 1, Digest: "1", Whole: whole}); err != nil {
+	if _, err := bench.order(&routing.Change{Version: 1, Digest: "1", Whole: whole}); err != nil {
 		return err
 	}
 	for first := 0; first < point.Daemons; first += hollowMost {
@@ -127,7 +127,7 @@
 	return err
 }
 
-func (bench *bench) order(change *route.Change) (uint64, error) {
+func (bench *bench) order(change *routing.Change) (uint64, error) {
 	body, err := rpc.Marshal(change)
 	if err != nil {
 		return 0, rpc.AsError(err)
--- a/scale/core.go
+++ b/harness/capacity/core.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"net/http"
@@ -7,12 +7,12 @@
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/metrics"
-	"orchidjunction/program"
+	"orchidjunction/process"
 	"orchidjunction/rpc"
 	"orchidjunction/storage"
 )
 
-// The paces are those of cmd/ojnode.
+// The paces are those of cmd/orchidjunction.
 const (
 	beatPace    = 150 * time.Millisecond
 	suspectSpan = 750 * time.Millisecond
@@ -96,7 +96,7 @@
 		return err
 	}
 	core.Run()
-	program.OnTerm(goroutines, goroutines.Stop)
+	process.OnTerm(goroutines, goroutines.Stop)
 	goroutines.Wait()
 	core.Close()
 	return nil
--- a/scale/hollow.go
+++ b/harness/capacity/hollow.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"crypto/rand"
@@ -14,11 +14,11 @@
 
 	"orchidjunction/agent"
 	"orchidjunction/concurrent"
+	"orchidjunction/hostproxy"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
-	"orchidjunction/program"
-	"orchidjunction/proxy"
-	"orchidjunction/route"
+	"orchidjunction/process"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
@@ -77,7 +77,7 @@
 	goroutines *concurrent.Group
 	client     *rpc.Client
 	daemon     *agent.Daemon
-	held       atomic.Pointer[route.Index]
+	held       atomic.Pointer[routing.Index]
 	routing    uint64
 }
 
@@ -96,9 +96,9 @@
 	apply := func(*agent.Version) {}
 	switch spec.Apply {
 	case ApplyIndex:
-		apply = func(version *agent.Version) { one.held.Store(route.NewIndex(version.Routing)) }
+		apply = func(version *agent.Version) { one.held.Store(routing.NewIndex(version.Routing)) }
 	case ApplyLay:
-		plane := proxy.NewProxy(proxy.Config{Name: name, Zone: config.Zone, Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1, UsageWindow: meterWindow},
+		plane := hostproxy.NewProxy(hostproxy.Config{Name: name, Zone: config.Zone, Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1, UsageWindow: meterWindow},
 			(&net.Dialer{}).DialContext, one.daemon.Now, goroutines, counters)
 		plane.Run()
 		apply = func(version *agent.Version) { plane.Apply(version.Routing, version.Table) }
@@ -192,7 +192,7 @@
 	if err := newByteCounter().serve(spec.Report, mux, goroutines); err != nil {
 		return err
 	}
-	program.OnTerm(goroutines, goroutines.Stop)
+	process.OnTerm(goroutines, goroutines.Stop)
 	goroutines.Wait()
 	return nil
 }
--- a/scale/page.go
+++ b/harness/capacity/page.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"fmt"
@@ -35,8 +35,8 @@
 )
 
 const (
-	pageBegin = "<!-- written by: ojfleet capacity -->"
-	pageEnd   = "<!-- end of what ojfleet capacity writes -->"
+	pageBegin = "<!-- written by: ojcluster capacity -->"
+	pageEnd   = "<!-- end of what ojcluster capacity writes -->"
 )
 
 // evidence is what was measured, by the name of its run.
--- a/scale/phases.go
+++ b/harness/capacity/phases.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"orchidjunction/route"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
@@ -62,7 +62,7 @@
 	changed := routeOf(int(bench.version)%bench.point.Routes, bench.point.Services)
 	changed.TimeoutMs += int(bench.version)
 	begin := time.Now()
-	serial, err := bench.order(&route.Change{Version: bench.version + 1, Base: bench.version, Digest: strconv.FormatUint(bench.version+1, 10), Patch: &route.Patch{Routes: []route.Route{changed}}})
+	serial, err := bench.order(&routing.Change{Version: bench.version + 1, Base: bench.version, Digest: strconv.FormatUint(bench.version+1, 10), Patch: &routing.Patch{Routes: []routing.Route{changed}}})
 	if err != nil {
 		return Spread{}, err
 	}
--- a/scale/point.go
+++ b/harness/capacity/point.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"runtime"
--- a/scale/point_test.go
+++ b/harness/capacity/point_test.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"orchidjunction/rpc"
 )
 
-// TestMain lets this binary be the processes that a run starts, as ojfleet is.
+// TestMain lets this binary be the processes that a run starts, as ojcluster is.
 func TestMain(tests *testing.M) {
 	if len(os.Args) == 4 && os.Args[2] == "--spec" {
 		begun := map[string]func() error{
--- a/scale/state.go
+++ b/harness/capacity/state.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"fmt"
@@ -9,10 +9,10 @@
 	"time"
 
 	"orchidjunction/concurrent"
+	"orchidjunction/hostproxy"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
-	"orchidjunction/proxy"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
@@ -72,15 +72,15 @@
 }
 
 func measureState(kind string, size int) (*State, error) {
-	book, table := &route.State{Config: *config(1, 1, 1, 0)}, &message.Table{Version: message.TableVersion{Term: message.Term{Number: 1, Core: 1}, Number: 1}, Complete: true}
+	book, table := &routing.State{Config: *config(1, 1, 1, 0)}, &message.Table{Version: message.TableVersion{Term: message.Term{Number: 1, Core: 1}, Number: 1}, Complete: true}
 	services := max(1, min(size, 3100))
 	switch kind {
 	case "routes":
-		book = &route.State{Config: *config(1, size, services, 0)}
+		book = &routing.State{Config: *config(1, size, services, 0)}
 	case "tenants":
-		book = &route.State{Config: *config(1, 1, 1, size)}
+		book = &routing.State{Config: *config(1, 1, 1, size)}
 	case "backends":
-		book, table.Backends = &route.State{Config: *config(1, services, services, 0)}, backends(size, services)
+		book, table.Backends = &routing.State{Config: *config(1, services, services, 0)}, backends(size, services)
 	case "members":
 		table.Members = members(size)
 	case "owners":
@@ -100,13 +100,13 @@
 		return nil, rpc.AsError(err)
 	}
 	state.PackMs, state.PackedKB = processorMs()-begin, float64(len(body))/1024
-	plane := proxy.NewProxy(proxy.Config{Name: "proxy-00000", Zone: zoneName(0), Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1},
+	plane := hostproxy.NewProxy(hostproxy.Config{Name: "proxy-00000", Zone: zoneName(0), Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1},
 		(&net.Dialer{}).DialContext, func() int64 { return time.Now().UnixMilli() }, concurrent.NewGroup(), metrics.NewCounters())
 	before := heldBytes()
 	taken, laid := book, table
 	begin = processorMs()
 	if inBook {
-		taken = &route.State{}
+		taken = &routing.State{}
 		err = rpc.Unmarshal(body, taken)
 	} else {
 		laid = &message.Table{}
--- a/scale/tap.go
+++ b/harness/capacity/tap.go
@@ -3,7 +3,7 @@
 // and many hollow daemons, which carry no requests, in shared ones (RunHollow), and
 // reads what each process used through a Tap. PlayStates measures the state alone.
 // WritePage fits lines to the results and writes the tables of docs/measure.
-package scale
+package capacity
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	"time"
 
 	"orchidjunction/concurrent"
-	"orchidjunction/program"
+	"orchidjunction/process"
 	"orchidjunction/rpc"
 )
 
@@ -91,7 +91,7 @@
 }
 
 func (tap *ByteCounter) transport() tappedTransport {
-	transport := program.WANTransport(userTimeout)
+	transport := process.WANTransport(userTimeout)
 	dial := transport.DialContext
 	transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
--- a/judge/evidence.go
+++ b/harness/checker/evidence.go
@@ -2,16 +2,16 @@
 // the platform and operators recorded. The simulator and the fleet runner collect
 // Evidence, partly by a Ledger that makes changes of settings while they run;
 // Evidence.Judge turns it into Verdicts.
-package judge
+package checker
 
 import (
 	"fmt"
 	"io"
 	"sort"
 
-	"orchidjunction/conf"
+	"orchidjunction/config"
+	"orchidjunction/harness/standin"
 	"orchidjunction/message"
-	"orchidjunction/stand"
 )
 
 // Verdict is whether one guarantee held. A Timed one can fail on a slow machine
@@ -35,9 +35,9 @@
 // Evidence is the records of one run. Planned says that only planned work was done,
 // Jumps that clocks were stepped; Codes are processes that ended in a wrong way.
 type Evidence struct {
-	Callers  []stand.LoadReport
-	Backends []stand.BackendRecord
-	Settings *conf.Settings
+	Callers  []standin.LoadReport
+	Backends []standin.BackendRecord
+	Settings *config.Settings
 	Zones    map[string]string
 	Guests   map[string]string
 	Ledger   *Ledger
@@ -49,8 +49,8 @@
 	Reports  map[string][]string
 	ReportAt map[string]int64
 
-	charges map[string][]stand.Arrival
-	ran     map[string]stand.Arrival
+	charges map[string][]standin.Arrival
+	ran     map[string]standin.Arrival
 }
 
 // maxLateMs is when what was told must be in force, with a little for the way there.
@@ -99,7 +99,7 @@
 
 // gather sorts what several lines ask for.
 func (evidence *Evidence) gather() {
-	evidence.charges, evidence.ran = map[string][]stand.Arrival{}, map[string]stand.Arrival{}
+	evidence.charges, evidence.ran = map[string][]standin.Arrival{}, map[string]standin.Arrival{}
 	for _, record := range evidence.Backends {
 		for _, arrival := range record.Arrivals {
 			if arrival.ChargedMs > 0 {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (evidence *Evidence) tries(look func(try stand.Try)) int {
+func (evidence *Evidence) tries(look func(try standin.Try)) int {
 	count := 0
 	for _, callers := range evidence.Callers {
 		for _, try := range callers.Tries {
@@ -124,7 +124,7 @@
 	return count
 }
 
-func (evidence *Evidence) arrivals(look func(record *stand.BackendRecord, arrival *stand.Arrival)) string {
+func (evidence *Evidence) arrivals(look func(record *standin.BackendRecord, arrival *standin.Arrival)) string {
 	count := 0
 	for index := range evidence.Backends {
 		record := &evidence.Backends[index]
--- a/judge/evidence_test.go
+++ b/harness/checker/evidence_test.go
@@ -1,39 +1,39 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"os"
 	"testing"
 
-	"orchidjunction/conf"
+	"orchidjunction/config"
+	"orchidjunction/harness/standin"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"orchidjunction/stand"
 )
 
 // clean is evidence of a small run in which nothing went wrong.
 func clean(test *testing.T) *Evidence {
 	test.Helper()
-	body, err := os.ReadFile("../examples/small.json")
+	body, err := os.ReadFile("../../examples/small.json")
 	if err != nil {
 		test.Fatal(err)
 	}
-	settings, err := conf.Read(body)
+	settings, err := config.Read(body)
 	if err != nil {
 		test.Fatal(err)
 	}
-	settings.Tenants = map[string]conf.Tenant{"alder": {ForbidRegions: []string{"west"}}}
+	settings.Tenants = map[string]config.Tenant{"alder": {ForbidRegions: []string{"west"}}}
 	evidence := &Evidence{Settings: settings, Zones: map[string]string{"back": "e1", "front": "e1", "other": "w1"}, Planned: true,
 		Ledger: NewLedger(nil, 1), Reports: map[string][]string{}, ReportAt: map[string]int64{}}
-	callers := stand.LoadReport{Asked: 200, Served: 200}
-	record := stand.BackendRecord{Instance: "back", Service: "meters", Gentle: 10}
+	callers := standin.LoadReport{Asked: 200, Served: 200}
+	record := standin.BackendRecord{Instance: "back", Service: "meters", Gentle: 10}
 	for number := range int64(200) {
 		id, at := fmt.Sprintf("k%d", number), 1000+number*100
-		callers.Tries = append(callers.Tries, stand.Try{ID: id + ".0", Task: id, Tenant: "alder", Class: "money", Key: id, Method: "POST", Path: "/meters/credits", Front: "front", AtMs: at, ToldMs: at + 9, Status: 200})
-		record.Arrivals = append(record.Arrivals, stand.Arrival{AtMs: at + 2, Try: id + ".0", Task: "t" + id, Tenant: "alder", Service: "meters", Method: "POST", Path: "/credits", Serial: 7, Key: id, RanMs: at + 5, ChargedMs: at + 5})
+		callers.Tries = append(callers.Tries, standin.Try{ID: id + ".0", Task: id, Tenant: "alder", Class: "money", Key: id, Method: "POST", Path: "/meters/credits", Front: "front", AtMs: at, ToldMs: at + 9, Status: 200})
+		record.Arrivals = append(record.Arrivals, standin.Arrival{AtMs: at + 2, Try: id + ".0", Task: "t" + id, Tenant: "alder", Service: "meters", Method: "POST", Path: "/credits", Serial: 7, Key: id, RanMs: at + 5, ChargedMs: at + 5})
 	}
-	callers.Placed = []stand.Placed{{AtMs: 20_000, Directory: "dir", Serial: 7}}
-	evidence.Callers, evidence.Backends = []stand.LoadReport{callers}, []stand.BackendRecord{record}
+	callers.Placed = []standin.Placed{{AtMs: 20_000, Directory: "dir", Serial: 7}}
+	evidence.Callers, evidence.Backends = []standin.LoadReport{callers}, []standin.BackendRecord{record}
 	evidence.Ledger.Acked["one"], evidence.Ledger.Refused["two"] = Ack{Serial: 7, Base: 6, AtMs: 900}, rpc.StaleBase
 	evidence.History = []message.HistoryEntry{{Serial: 7, Change: "one"}}
 	for period := range int64(6) {
@@ -52,17 +52,17 @@
 			test.Errorf("clean: %s: %s", verdict.Name, verdict.Detail)
 		}
 	}
-	arrival := func(number int) func(*Evidence) *stand.Arrival {
-		return func(evidence *Evidence) *stand.Arrival { return &evidence.Backends[0].Arrivals[number] }
+	arrival := func(number int) func(*Evidence) *standin.Arrival {
+		return func(evidence *Evidence) *standin.Arrival { return &evidence.Backends[0].Arrivals[number] }
 	}
-	try := func(evidence *Evidence, number int) *stand.Try { return &evidence.Callers[0].Tries[number] }
+	try := func(evidence *Evidence, number int) *standin.Try { return &evidence.Callers[0].Tries[number] }
 	for _, broken := range []struct {
 		line string
 		make func(*Evidence)
 	}{
 		{"no key charged twice", func(evidence *Evidence) {
 			again := *arrival(8)(evidence)
-			evidence.Backends = append(evidence.Backends, stand.BackendRecord{Instance: "back", Service: "meters", Arrivals: []stand.Arrival{again}})
+			evidence.Backends = append(evidence.Backends, standin.BackendRecord{Instance: "back", Service: "meters", Arrivals: []standin.Arrival{again}})
 		}},
 		{"no busy answer for a task that ran", func(evidence *Evidence) { try(evidence, 5).Status = 503 }},
 		{"no busy answer for a task that ran", func(evidence *Evidence) {
@@ -126,7 +126,7 @@
 		}},
 		{"usage reported within 5% and 10 s, none missing", func(evidence *Evidence) { delete(evidence.Reports, "small-alder-2") }},
 		{"usage reported within 5% and 10 s, none missing", func(evidence *Evidence) { evidence.ReportAt["small-alder-3"] += 9000 }},
-		{"usage reported within 5% and 10 s, none missing", func(evidence *Evidence) { evidence.Settings.Tenants["quiet"] = conf.Tenant{} }},
+		{"usage reported within 5% and 10 s, none missing", func(evidence *Evidence) { evidence.Settings.Tenants["quiet"] = config.Tenant{} }},
 		{"no report sent twice with different counts", func(evidence *Evidence) {
 			evidence.Reports["small-alder-3"] = append(evidence.Reports["small-alder-3"], "{}")
 		}},
--- a/judge/ledger.go
+++ b/harness/checker/ledger.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"encoding/json"
--- a/judge/money.go
+++ b/harness/checker/money.go
@@ -1,10 +1,9 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"net/http"
-
-	"orchidjunction/stand"
+	"orchidjunction/harness/standin"
 )
 
 func (evidence *Evidence) chargedOnce() (bad []string, detail string) {
@@ -20,7 +19,7 @@
 // its answer, and its key was not charged when the try was made.
 func (evidence *Evidence) busyMeansNotRun() (bad []string, detail string) {
 	response := 0
-	evidence.tries(func(try stand.Try) {
+	evidence.tries(func(try standin.Try) {
 		if try.Status != http.StatusServiceUnavailable && (try.Status == 0 || try.Outcome != "not_run") {
 			return
 		}
@@ -39,7 +38,7 @@
 
 func (evidence *Evidence) paidIsCharged() (bad []string, detail string) {
 	paid := 0
-	evidence.tries(func(try stand.Try) {
+	evidence.tries(func(try standin.Try) {
 		if try.Key == "" || try.Status != http.StatusOK {
 			return
 		}
--- a/judge/settings.go
+++ b/harness/checker/settings.go
@@ -1,17 +1,16 @@
-package judge
+package checker
 
 import (
 	"fmt"
+	"orchidjunction/harness/standin"
 	"sort"
-
-	"orchidjunction/stand"
 )
 
 // serialsRise: once a backend saw a serial, older ones end within 4 s.
 func (evidence *Evidence) serialsRise() (bad []string, detail string) {
 	highest, since := uint64(0), int64(0)
-	var last *stand.BackendRecord
-	detail = evidence.arrivals(func(record *stand.BackendRecord, arrival *stand.Arrival) {
+	var last *standin.BackendRecord
+	detail = evidence.arrivals(func(record *standin.BackendRecord, arrival *standin.Arrival) {
 		if record != last {
 			highest, since, last = 0, 0, record
 		}
@@ -51,7 +50,7 @@
 		}
 		return highest[index-1]
 	}
-	evidence.arrivals(func(record *stand.BackendRecord, arrival *stand.Arrival) {
+	evidence.arrivals(func(record *standin.BackendRecord, arrival *standin.Arrival) {
 		if need := needed(arrival.AtMs); arrival.Serial > 0 && arrival.Serial < need {
 			bad = append(bad, fmt.Sprintf("%s sent %s by serial %d, %d was acknowledged", arrival.Task, record.Instance, arrival.Serial, need))
 		}
--- a/judge/traffic.go
+++ b/harness/checker/traffic.go
@@ -1,19 +1,18 @@
-package judge
+package checker
 
 import (
 	"fmt"
 	"maps"
 	"net/http"
+	"orchidjunction/config"
+	"orchidjunction/harness/standin"
 	"slices"
 	"sort"
 	"strings"
-
-	"orchidjunction/conf"
-	"orchidjunction/stand"
 )
 
 func (evidence *Evidence) wholeReceipts() (bad []string, detail string) {
-	count := evidence.tries(func(try stand.Try) {
+	count := evidence.tries(func(try standin.Try) {
 		if try.Mangled || try.Foreign {
 			bad = append(bad, fmt.Sprintf("try %s mangled %v foreign %v", try.ID, try.Mangled, try.Foreign))
 		}
@@ -22,7 +21,7 @@
 }
 
 func (evidence *Evidence) ownService() (bad []string, detail string) {
-	detail = evidence.arrivals(func(record *stand.BackendRecord, arrival *stand.Arrival) {
+	detail = evidence.arrivals(func(record *standin.BackendRecord, arrival *standin.Arrival) {
 		if arrival.Service != record.Service {
 			bad = append(bad, fmt.Sprintf("%s of %s got a task for %q", record.Instance, record.Service, arrival.Service))
 		}
@@ -33,13 +32,13 @@
 // ownTenant: what a backend is told of the tenant is who made the try.
 func (evidence *Evidence) ownTenant() (bad []string, detail string) {
 	tenants := map[string]map[string]bool{}
-	evidence.tries(func(try stand.Try) {
+	evidence.tries(func(try standin.Try) {
 		if tenants[try.ID] == nil {
 			tenants[try.ID] = map[string]bool{}
 		}
 		tenants[try.ID][try.Tenant] = true
 	})
-	detail = evidence.arrivals(func(record *stand.BackendRecord, arrival *stand.Arrival) {
+	detail = evidence.arrivals(func(record *standin.BackendRecord, arrival *standin.Arrival) {
 		if arrival.Try != "" && tenants[arrival.Try] != nil && !tenants[arrival.Try][arrival.Tenant] {
 			bad = append(bad, fmt.Sprintf("try %s came to %s as %s", arrival.Try, record.Instance, arrival.Tenant))
 		}
@@ -69,10 +68,10 @@
 			bad = append(bad, fmt.Sprintf("%s of %s at %s in %s", what, tenant, spot, region))
 		}
 	}
-	evidence.arrivals(func(record *stand.BackendRecord, arrival *stand.Arrival) {
+	evidence.arrivals(func(record *standin.BackendRecord, arrival *standin.Arrival) {
 		look("task", record.Instance, arrival.Tenant, arrival.Service, arrival.Method, arrival.Path)
 	})
-	evidence.tries(func(try stand.Try) {
+	evidence.tries(func(try standin.Try) {
 		service, path, _ := strings.Cut(strings.TrimPrefix(try.Path, "/"), "/")
 		if try.Status == http.StatusOK {
 			look("try", try.Front, try.Tenant, service, try.Method, "/"+path)
@@ -81,7 +80,7 @@
 	return bad, fmt.Sprintf("%d with a forbidden region", watched)
 }
 
-func forbids(routes []conf.FlatRoute, service, method, path string) []string {
+func forbids(routes []config.FlatRoute, service, method, path string) []string {
 	for _, route := range routes {
 		if route.Service == service && route.Method == method && (route.Path == path || strings.HasSuffix(route.Path, "*") && strings.HasPrefix(path, strings.TrimSuffix(route.Path, "*"))) {
 			return route.ForbidRegions
@@ -91,7 +90,7 @@
 }
 
 func (evidence *Evidence) leavingIsLeft() (bad []string, detail string) {
-	detail = evidence.arrivals(func(record *stand.BackendRecord, arrival *stand.Arrival) {
+	detail = evidence.arrivals(func(record *standin.BackendRecord, arrival *standin.Arrival) {
 		if arrival.LeavingMs > maxLateMs {
 			bad = append(bad, fmt.Sprintf("%s left for %d ms", record.Instance, arrival.LeavingMs))
 		}
@@ -105,12 +104,12 @@
 	served := 0
 	for _, window := range evidence.Windows {
 		within := func(at int64) bool { return at > window.From && (window.Until == 0 || at < window.Until) }
-		evidence.arrivals(func(record *stand.BackendRecord, arrival *stand.Arrival) {
+		evidence.arrivals(func(record *standin.BackendRecord, arrival *standin.Arrival) {
 			if (window.Kind == "backend" && record.Instance == window.Subject || window.Kind == "tenant" && arrival.Tenant == window.Subject) && within(arrival.AtMs) {
 				bad = append(bad, fmt.Sprintf("%s %s sent to %d ms too late", window.Kind, window.Subject, arrival.AtMs-window.From))
 			}
 		})
-		evidence.tries(func(try stand.Try) {
+		evidence.tries(func(try standin.Try) {
 			if (window.Kind == "front" && try.Front == window.Subject || window.Kind == "tenant" && try.Tenant == window.Subject) && within(try.AtMs) {
 				served++
 				if try.Status == http.StatusOK && !try.Replay {
@@ -123,8 +122,8 @@
 }
 
 func (evidence *Evidence) resendsBounded() (bad []string, detail string) {
-	arrivals := []stand.Arrival{}
-	evidence.arrivals(func(_ *stand.BackendRecord, arrival *stand.Arrival) { arrivals = append(arrivals, *arrival) })
+	arrivals := []standin.Arrival{}
+	evidence.arrivals(func(_ *standin.BackendRecord, arrival *standin.Arrival) { arrivals = append(arrivals, *arrival) })
 	sort.Slice(arrivals, func(left, right int) bool { return arrivals[left].AtMs < arrivals[right].AtMs })
 	known, again := map[string]bool{}, make([]bool, len(arrivals))
 	all, most, tail, first, resent := 0, 0, 0, 0, 0
@@ -215,13 +214,13 @@
 	}
 	request, refused, classes := map[string]int{}, map[string]int{}, map[string][2]int{}
 	at := func(class string, second int64) string { return fmt.Sprintf("%s %d", class, second) }
-	evidence.tries(func(try stand.Try) {
+	evidence.tries(func(try standin.Try) {
 		request[at(try.Class, try.AtMs/1000)]++
 		if try.Code == "busy" {
 			refused[at(try.Class, try.AtMs/1000)]++
 		}
 	})
-	evidence.tries(func(try stand.Try) {
+	evidence.tries(func(try standin.Try) {
 		floor := evidence.Settings.Classes[try.Class].FloorRps * 9 / 10
 		if evidence.Guests[try.Front] != "" {
 			return
--- a/judge/usage.go
+++ b/harness/checker/usage.go
@@ -1,12 +1,11 @@
-package judge
+package checker
 
 import (
 	"encoding/json"
 	"fmt"
 	"math"
+	"orchidjunction/harness/standin"
 	"sort"
-
-	"orchidjunction/stand"
 )
 
 type usageReport struct {
@@ -80,8 +79,8 @@
 
 // ranTasks gives the times at which each tenant's tasks ran first.
 func (evidence *Evidence) ranTasks() map[string][]int64 {
-	first := map[string]stand.Arrival{}
-	evidence.arrivals(func(_ *stand.BackendRecord, arrival *stand.Arrival) {
+	first := map[string]standin.Arrival{}
+	evidence.arrivals(func(_ *standin.BackendRecord, arrival *standin.Arrival) {
 		if arrival.Tenant == "" {
 			return
 		}
--- a/fleet/changes.go
+++ b/harness/cluster/changes.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"orchidjunction/judge"
+	"orchidjunction/harness/checker"
 	"orchidjunction/operator"
 	"orchidjunction/rpc"
 )
@@ -49,7 +49,7 @@
 		if name == "" || process.Name != name && process.Zone != name {
 			continue
 		}
-		window := judge.Window{Kind: "backend", Subject: process.Name, From: now + 4500}
+		window := checker.Window{Kind: "backend", Subject: process.Name, From: now + 4500}
 		if process.Kind == "ojproxy" {
 			window.Kind, window.Subject = "front", process.Outer
 		}
@@ -62,7 +62,7 @@
 	for try := range 20 {
 		settings, err := fleet.Operator(try).Read(false)
 		if err == nil && settings.Confirmed {
-			if _, err = fleet.Operator(try).Patch(operator.Change{Base: settings.Serial, Change: fmt.Sprintf("fleet-%d-%d", time.Now().UnixNano(), try), Operator: "ojfleet", Settings: body}); err == nil {
+			if _, err = fleet.Operator(try).Patch(operator.Change{Base: settings.Serial, Change: fmt.Sprintf("fleet-%d-%d", time.Now().UnixNano(), try), Operator: "ojcluster", Settings: body}); err == nil {
 				return true
 			}
 		}
@@ -76,7 +76,7 @@
 	names := sortedKeys(fleet.settings.Tenants)
 	name := names[0]
 	if fleet.patch([]byte(fmt.Sprintf(`{"tenants":{%q:{"keys":[]}}}`, name))) {
-		fleet.windows = append(fleet.windows, judge.Window{Kind: "tenant", Subject: name, From: time.Now().UnixMilli() + 4500})
+		fleet.windows = append(fleet.windows, checker.Window{Kind: "tenant", Subject: name, From: time.Now().UnixMilli() + 4500})
 	}
 }
 
--- a/fleet/comparison.go
+++ b/harness/cluster/comparison.go
@@ -1,17 +1,16 @@
-package fleet
+package cluster
 
 import (
 	"encoding/json"
 	"fmt"
 	"net/http"
+	"orchidjunction/config"
+	"orchidjunction/directory"
+	"orchidjunction/harness/checker"
+	"orchidjunction/planner"
 	"sort"
 	"strings"
 	"time"
-
-	"orchidjunction/conf"
-	"orchidjunction/judge"
-	"orchidjunction/place"
-	"orchidjunction/plan"
 )
 
 // compare asks a backend directly and through a proxy, in turns.
@@ -47,32 +46,32 @@
 			}
 		}
 	}
-	fmt.Printf("compare: direct p50 %.2f ms p99 %.2f ms, through p50 %.2f ms p99 %.2f ms, ratio of p50 %.2f, of %d and %d\n", judge.Quantile(times["direct"], 0.5), judge.Quantile(times["direct"], 0.99),
-		judge.Quantile(times["through"], 0.5), judge.Quantile(times["through"], 0.99), judge.Quantile(times["through"], 0.5)/judge.Quantile(times["direct"], 0.5), len(times["direct"]), len(times["through"]))
+	fmt.Printf("compare: direct p50 %.2f ms p99 %.2f ms, through p50 %.2f ms p99 %.2f ms, ratio of p50 %.2f, of %d and %d\n", checker.Quantile(times["direct"], 0.5), checker.Quantile(times["direct"], 0.99),
+		checker.Quantile(times["through"], 0.5), checker.Quantile(times["through"], 0.99), checker.Quantile(times["through"], 0.5)/checker.Quantile(times["direct"], 0.5), len(times["direct"]), len(times["through"]))
 }
 
 // forecast is what the planner says of emptying a zone.
-func (fleet *Fleet) forecast(zone string) *plan.Forecast {
+func (fleet *Fleet) forecast(zone string) *planner.Forecast {
 	held, err := fleet.Operator(0).Read(false)
 	status, silent := fleet.Operator(0).Status()
 	if err != nil || silent != nil {
 		return nil
 	}
-	before, err := conf.Read(held.Settings)
+	before, err := config.Read(held.Settings)
 	if err != nil {
 		return nil
 	}
 	after := *before
 	after.Drained.Zones = []string{zone}
-	look := plan.Fleet{Serial: held.Serial, Settings: before, Backends: status.Backends, Capacity: 30}
+	look := planner.Fleet{Serial: held.Serial, Settings: before, Backends: status.Backends, Capacity: 30}
 	for _, known := range status.Members {
 		look.Members = append(look.Members, known.Member)
 	}
-	return plan.NewForecast(look, &after)
+	return planner.NewForecast(look, &after)
 }
 
 // compareForecast asks a directory where tenants go now and sets it against the forecast.
-func (fleet *Fleet) compareForecast(forecast *plan.Forecast) {
+func (fleet *Fleet) compareForecast(forecast *planner.Forecast) {
 	if forecast == nil {
 		fleet.codes = append(fleet.codes, "no forecast")
 		return
@@ -85,7 +84,7 @@
 		if err != nil {
 			continue
 		}
-		placement := place.Placement{}
+		placement := directory.Placement{}
 		err = json.NewDecoder(response.Body).Decode(&placement)
 		response.Body.Close()
 		if err != nil {
--- a/fleet/fleet.go
+++ b/harness/cluster/fleet.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"fmt"
@@ -11,17 +11,17 @@
 	"time"
 
 	"orchidjunction/concurrent"
-	"orchidjunction/conf"
-	"orchidjunction/judge"
+	"orchidjunction/config"
+	"orchidjunction/harness/checker"
+	"orchidjunction/harness/standin"
 	"orchidjunction/operator"
 	"orchidjunction/rpc"
-	"orchidjunction/stand"
 )
 
 // Fleet is the processes of one run and what is recorded about them.
 type Fleet struct {
 	Spec       Spec
-	settings   *conf.Settings
+	settings   *config.Settings
 	body       []byte
 	goroutines *concurrent.Group
 	client     *http.Client
@@ -34,12 +34,12 @@
 	Backends    []*Process
 	Platform    *Process
 	origin      *Process
-	listed      []stand.Listed
+	listed      []standin.Listed
 	port        int
 	added       int
 	codes       []string
-	windows     []judge.Window
-	ledger      *judge.Ledger
+	windows     []checker.Window
+	ledger      *checker.Ledger
 	called      time.Time
 	peer        *Fleet
 	guests      map[string]string
@@ -144,11 +144,11 @@
 const journalEnd = ".journal"
 
 // Seen returns the records of all backends, of those that were killed too.
-func (fleet *Fleet) Seen() []stand.BackendRecord {
-	all := []stand.BackendRecord{}
+func (fleet *Fleet) Seen() []standin.BackendRecord {
+	all := []standin.BackendRecord{}
 	journals, _ := filepath.Glob(filepath.Join(fleet.Spec.Folder, "*"+journalEnd))
 	for _, path := range journals {
-		all = append(all, stand.ReadBackendRecords(path)...)
+		all = append(all, standin.ReadBackendRecords(path)...)
 	}
 	return all
 }
--- a/fleet/layout.go
+++ b/harness/cluster/layout.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"os"
 	"path/filepath"
 
+	"orchidjunction/harness/standin"
 	"orchidjunction/rpc"
-	"orchidjunction/stand"
 )
 
 // Lend makes the first proxies guests of the other partner's fleet too.
@@ -37,18 +37,18 @@
 func (fleet *Fleet) lay() error {
 	platform := fleet.address()
 	for index := range fleet.Spec.Backends {
-		process := fleet.process(fmt.Sprintf("back-%02d", index), "ojback")
+		process := fleet.process(fmt.Sprintf("back-%02d", index), "ojbackend")
 		process.Zone, process.Service, process.Outer = fleet.zones[index/len(fleet.services)%len(fleet.zones)], fleet.services[index%len(fleet.services)], fleet.address()
 		process.arguments = fleet.backArguments(process, 0)
 		fleet.Backends = append(fleet.Backends, process)
-		fleet.listed = append(fleet.listed, stand.Listed{Name: process.Name, Service: process.Service, Address: process.Outer, Zone: process.Zone})
+		fleet.listed = append(fleet.listed, standin.Listed{Name: process.Name, Service: process.Service, Address: process.Outer, Zone: process.Zone})
 	}
 	list := filepath.Join(fleet.Spec.Folder, "backends.json")
 	body, _ := json.Marshal(fleet.listed)
 	if err := os.WriteFile(list, body, 0o600); err != nil {
 		return rpc.Errorf(rpc.DiskFailure, "%v", err)
 	}
-	fleet.Platform = fleet.process("platform", "ojplat", "--listen", platform, "--backends", list, "--lag-ms", fmt.Sprint(fleet.Spec.LagMs))
+	fleet.Platform = fleet.process("platform", "ojplatform", "--listen", platform, "--backends", list, "--lag-ms", fmt.Sprint(fleet.Spec.LagMs))
 	fleet.Platform.Outer = platform
 	for index := range fleet.Spec.Cores {
 		process := fleet.process(fmt.Sprintf("core-%d", index+1), "ojcore")
@@ -65,12 +65,13 @@
 		}
 	}
 	for _, side := range []struct {
-		kind  string
-		count int
-		into  *[]*Process
-	}{{"dir", fleet.Spec.Directories, &fleet.Directories}, {"proxy", fleet.Spec.Proxies, &fleet.Proxies}} {
+		kind    string
+		program string
+		count   int
+		into    *[]*Process
+	}{{"dir", "ojdirectory", fleet.Spec.Directories, &fleet.Directories}, {"proxy", "ojproxy", fleet.Spec.Proxies, &fleet.Proxies}} {
 		for index := range side.count {
-			process := fleet.process(fmt.Sprintf("%s-%02d", side.kind, index), "oj"+side.kind)
+			process := fleet.process(fmt.Sprintf("%s-%02d", side.kind, index), side.program)
 			process.Zone, process.Outer, process.Wire, process.Operate = fleet.zones[index%len(fleet.zones)], fleet.address(), fleet.address(), fleet.address()
 			process.arguments = []string{"--name", process.Name, "--zone", process.Zone, "--listen", process.Outer, "--wire", process.Wire, "--operate", process.Operate}
 			for _, core := range fleet.Cores[:min(3, len(fleet.Cores))] {
--- a/fleet/load.go
+++ b/harness/cluster/load.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"encoding/json"
@@ -10,23 +10,23 @@
 	"syscall"
 	"time"
 
+	"orchidjunction/harness/standin"
 	"orchidjunction/rpc"
-	"orchidjunction/stand"
 )
 
 // Call starts the callers.
 func (fleet *Fleet) Call() error {
-	plan := stand.LoadPlan{PerSecond: fleet.Spec.Rate, Seconds: fleet.Spec.Seconds + 3600, Tries: fleet.Spec.Tries, Seed: fleet.Spec.Seed, Patient: true}
+	plan := standin.LoadPlan{PerSecond: fleet.Spec.Rate, Seconds: fleet.Spec.Seconds + 3600, Tries: fleet.Spec.Tries, Seed: fleet.Spec.Seed, Patient: true}
 	for _, directory := range fleet.Directories {
 		plan.Directories = append(plan.Directories, directory.Outer)
 	}
 	for name, tenant := range fleet.settings.Tenants {
-		plan.Callers = append(plan.Callers, stand.Caller{Tenant: name, Key: "key-of-" + name, Weight: tenant.Share})
+		plan.Callers = append(plan.Callers, standin.Caller{Tenant: name, Key: "key-of-" + name, Weight: tenant.Share})
 	}
 	sort.Slice(plan.Callers, func(left, right int) bool { return plan.Callers[left].Tenant < plan.Callers[right].Tenant })
-	money, other := []stand.Call{}, []stand.Call{}
+	money, other := []standin.Call{}, []standin.Call{}
 	for _, route := range fleet.settings.Resolve() {
-		call := stand.Call{Class: route.Class, Method: route.Method, Path: "/" + route.Service + strings.Replace(route.Path, "*", "7?bytes=2000", 1), Money: route.KeyRequired, LimitMs: route.Integer("limit_ms"), Body: 100}
+		call := standin.Call{Class: route.Class, Method: route.Method, Path: "/" + route.Service + strings.Replace(route.Path, "*", "7?bytes=2000", 1), Money: route.KeyRequired, LimitMs: route.Integer("limit_ms"), Body: 100}
 		if route.Method == http.MethodGet {
 			call.Body = 0
 		}
@@ -62,18 +62,18 @@
 		return rpc.Errorf(rpc.DiskFailure, "%v", err)
 	}
 	fleet.called = time.Now()
-	fleet.origin = fleet.process("origin", "ojorigin", "--plan", path)
+	fleet.origin = fleet.process("origin", "ojload", "--plan", path)
 	return fleet.origin.Start()
 }
 
 // Callers waits until the load has lasted as long as the Spec says, stops the
 // callers and returns their report.
-func (fleet *Fleet) Callers() (*stand.LoadReport, error) {
+func (fleet *Fleet) Callers() (*standin.LoadReport, error) {
 	fleet.goroutines.Sleep(time.Until(fleet.called.Add(time.Duration(fleet.Spec.Seconds * float64(time.Second)))))
 	fleet.origin.Signal(syscall.SIGTERM)
 	fleet.origin.Wait(60 * time.Second)
 	body, err := os.ReadFile(fleet.origin.log)
-	report := &stand.LoadReport{}
+	report := &standin.LoadReport{}
 	if err == nil {
 		err = json.Unmarshal(body, report)
 	}
--- a/fleet/process.go
+++ b/harness/cluster/process.go
@@ -2,7 +2,7 @@
 // injects faults into it. A Spec says its size, a Fleet starts its Processes, a
 // Scenario injects faults while callers and operators work, and Fleet.Play returns
 // the verdicts of package judge.
-package fleet
+package cluster
 
 import (
 	"os"
--- a/fleet/readiness.go
+++ b/harness/cluster/readiness.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"encoding/json"
@@ -27,7 +27,7 @@
 	for time.Now().Before(limit) {
 		settings, err := fleet.Operator(0).Read(false)
 		if err == nil && settings.Confirmed && settings.Serial == 0 {
-			_, err = fleet.Operator(0).Put(operator.Change{Base: 0, Change: "first", Operator: "ojfleet", Settings: fleet.body})
+			_, err = fleet.Operator(0).Put(operator.Change{Base: 0, Change: "first", Operator: "ojcluster", Settings: fleet.body})
 		}
 		if err == nil && settings.Confirmed {
 			return fleet.ready(limit)
--- a/fleet/replace.go
+++ b/harness/cluster/replace.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"fmt"
--- a/fleet/scenario.go
+++ b/harness/cluster/scenario.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	"time"
 
 	"orchidjunction/concurrent"
-	"orchidjunction/judge"
+	"orchidjunction/harness/checker"
+	"orchidjunction/harness/standin"
 	"orchidjunction/rpc"
-	"orchidjunction/stand"
 )
 
 // Scenario injects faults into a running fleet. Planned says that it does nothing
@@ -88,7 +88,7 @@
 }
 
 // Play runs a scenario from the start of the fleet to the verdicts.
-func (fleet *Fleet) Play(scenario Scenario) ([]judge.Verdict, error) {
+func (fleet *Fleet) Play(scenario Scenario) ([]checker.Verdict, error) {
 	defer fleet.Down()
 	defer fleet.wait()
 	if err := fleet.Up(); err != nil {
@@ -97,7 +97,7 @@
 	if err := fleet.Call(); err != nil {
 		return nil, err
 	}
-	ledger := judge.NewLedger(fleet, fleet.Spec.Seed)
+	ledger := checker.NewLedger(fleet, fleet.Spec.Seed)
 	fleet.ledger = ledger
 	if fleet.Spec.Changes > 0 {
 		ledger.Operate(2, 2*time.Second/time.Duration(fleet.Spec.Changes))
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, err
 	}
-	evidence := &judge.Evidence{Callers: []stand.LoadReport{*report}, Settings: fleet.settings, Zones: fleet.Zones(), Guests: fleet.guests, Ledger: ledger, Planned: scenario.Planned, Windows: fleet.windows}
+	evidence := &checker.Evidence{Callers: []standin.LoadReport{*report}, Settings: fleet.settings, Zones: fleet.Zones(), Guests: fleet.guests, Ledger: ledger, Planned: scenario.Planned, Windows: fleet.windows}
 	if evidence.History, err = ledger.History(10 * time.Second); err != nil {
 		return nil, err
 	}
@@ -135,7 +135,7 @@
 
 // lent is whether callers were served at the other partner's machines, and how
 // each class fared beside its floor. It is due where fronts are there to lend.
-func (fleet *Fleet) lent(report *stand.LoadReport, due bool) []judge.Verdict {
+func (fleet *Fleet) lent(report *standin.LoadReport, due bool) []checker.Verdict {
 	served, refused := 0, 0
 	classes := map[string][]float64{}
 	for _, try := range report.Tries {
@@ -153,29 +153,29 @@
 	}
 	detail, span := "", time.Since(fleet.called).Seconds()
 	for _, class := range sortedKeys(classes) {
-		detail += fmt.Sprintf("%s: floor %d, served %.0f a second, p99 %.0f ms; ", class, fleet.settings.Classes[class].FloorRps, float64(len(classes[class]))/span, judge.Quantile(classes[class], 0.99))
+		detail += fmt.Sprintf("%s: floor %d, served %.0f a second, p99 %.0f ms; ", class, fleet.settings.Classes[class].FloorRps, float64(len(classes[class]))/span, checker.Quantile(classes[class], 0.99))
 	}
-	verdicts := []judge.Verdict{{Name: "classes beside their floors", Holds: true, Detail: detail}}
+	verdicts := []checker.Verdict{{Name: "classes beside their floors", Holds: true, Detail: detail}}
 	if fleet.peer != nil {
-		verdicts = append(verdicts, judge.Verdict{Name: "lending is seen by callers", Timed: true, Holds: served > 0 || !due, Detail: fmt.Sprintf("%d served at the other partner's fronts, %d not", served, refused)})
+		verdicts = append(verdicts, checker.Verdict{Name: "lending is seen by callers", Timed: true, Holds: served > 0 || !due, Detail: fmt.Sprintf("%d served at the other partner's fronts, %d not", served, refused)})
 	}
 	return verdicts
 }
 
 // PlayBoth runs a scenario on several fleets at once and returns the verdicts of
 // each.
-func PlayBoth(fleets []*Fleet, scenario Scenario, goroutines *concurrent.Group) ([][]judge.Verdict, error) {
-	got, failed := concurrent.Gather(goroutines, len(fleets), func(index int) ([]judge.Verdict, error) {
+func PlayBoth(fleets []*Fleet, scenario Scenario, goroutines *concurrent.Group) ([][]checker.Verdict, error) {
+	got, failed := concurrent.Gather(goroutines, len(fleets), func(index int) ([]checker.Verdict, error) {
 		verdicts, err := fleets[index].Play(scenario)
 		if err != nil {
 			return nil, err
 		}
 		return verdicts, nil
-	}, func(map[int][]judge.Verdict, map[int]error) bool { return false })
+	}, func(map[int][]checker.Verdict, map[int]error) bool { return false })
 	for _, err := range failed {
 		return nil, rpc.AsError(err)
 	}
-	all := make([][]judge.Verdict, len(fleets))
+	all := make([][]checker.Verdict, len(fleets))
 	for index, verdicts := range got {
 		all[index] = verdicts
 	}
--- a/fleet/spec.go
+++ b/harness/cluster/spec.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"os"
 	"path/filepath"
 
-	"orchidjunction/conf"
+	"orchidjunction/config"
 	"orchidjunction/rpc"
 )
 
@@ -57,7 +57,7 @@
 
 // Check reads the settings and returns wire.BadFlag or wire.Invalid for what could
 // not run, before anything starts.
-func (spec *Spec) Check() (*conf.Settings, []byte, error) {
+func (spec *Spec) Check() (*config.Settings, []byte, error) {
 	if spec.Cores%2 == 0 || spec.Cores < 1 || spec.Cores > 7 || spec.Directories < 1 || spec.Proxies < 1 || spec.Proxies > 64 || spec.Backends < 1 || spec.Backends > 256 {
 		return nil, nil, rpc.Errorf(rpc.BadFlag, "impossible size: %d cores, %d directories, %d proxies, %d backends", spec.Cores, spec.Directories, spec.Proxies, spec.Backends)
 	}
@@ -71,11 +71,11 @@
 	if err != nil {
 		return nil, nil, rpc.Errorf(rpc.BadFlag, "--settings: %v", err)
 	}
-	settings, err := conf.Read(body)
+	settings, err := config.Read(body)
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, program := range []string{"ojcore", "ojdir", "ojproxy", "ojback", "ojplat", "ojorigin"} {
+	for _, program := range []string{"ojcore", "ojdirectory", "ojproxy", "ojbackend", "ojplatform", "ojload"} {
 		if _, err := os.Stat(filepath.Join(spec.Bin, program)); err != nil {
 			return nil, nil, rpc.Errorf(rpc.BadFlag, "--bin: %v", err)
 		}
--- a/sim/ask_test.go
+++ b/harness/simulation/ask_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"encoding/json"
--- a/sim/budget_test.go
+++ b/harness/simulation/budget_test.go
@@ -1,12 +1,11 @@
-package sim
+package simulation
 
 import (
+	"orchidjunction/harness/standin"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
-
-	"orchidjunction/stand"
 )
 
 // Half of all backends break every answer while proxies join and die: in no ten
@@ -16,7 +15,7 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 6 {
-			world.AddBackend("meters", "e1", stand.BackendConfig{WorkMs: 5, Room: 32})
+			world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 32})
 		}
 		world.up(test, 5)
 		late := world.AddDaemon("proxy", "w1")
@@ -55,7 +54,7 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 6 {
-			world.AddBackend("meters", "e1", stand.BackendConfig{WorkMs: 5, Room: 32})
+			world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 32})
 		}
 		world.up(test, 5)
 		world.goroutines.Start(func() {
--- a/sim/cold_test.go
+++ b/harness/simulation/cold_test.go
@@ -1,12 +1,11 @@
-package sim
+package simulation
 
 import (
+	"orchidjunction/harness/standin"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
-
-	"orchidjunction/stand"
 )
 
 // Backends come cold under load while proxies join, are cut off from the core
@@ -16,7 +15,7 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 3 {
-			world.AddBackend("meters", "e1", stand.BackendConfig{WorkMs: 5, Room: 32})
+			world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 32})
 		}
 		world.up(test, 7)
 		late := world.AddDaemon("proxy", "w1")
@@ -26,7 +25,7 @@
 		world.goroutines.Start(func() {
 			world.Rest(time.Second)
 			for range 2 {
-				world.AddBackend("meters", "w1", stand.BackendConfig{WorkMs: 5, Room: 32, ColdMs: 9000, GentleRate: 6})
+				world.AddBackend("meters", "w1", standin.BackendConfig{WorkMs: 5, Room: 32, ColdMs: 9000, GentleRate: 6})
 			}
 			world.List()
 			world.Rest(2 * time.Second)
--- a/sim/control_test.go
+++ b/harness/simulation/control_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"orchidjunction/control"
 	"orchidjunction/message"
 	"orchidjunction/replica"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
@@ -165,7 +165,7 @@
 	if err != nil {
 		return
 	}
-	state, err := route.DecodeState(response.Body)
+	state, err := routing.DecodeState(response.Body)
 	if err != nil {
 		side.world.broke("read back: %v", err)
 		return
@@ -309,7 +309,7 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	applied, orders, bases, zones := map[uint64]bool{1: true}, map[route.ShortDigest]bool{}, map[uint64]uint64{}, map[string]*answered{}
+	applied, orders, bases, zones := map[uint64]bool{1: true}, map[routing.ShortDigest]bool{}, map[uint64]uint64{}, map[string]*answered{}
 	for _, one := range state.History.Entries() {
 		applied[one.Version], orders[one.Digest] = true, true
 	}
@@ -331,7 +331,7 @@
 			zones[order.what] = order
 			continue
 		}
-		taken := orders[route.DigestOf(fmt.Sprintf("%d on %d", order.version, order.base))]
+		taken := orders[routing.DigestOf(fmt.Sprintf("%d on %d", order.version, order.base))]
 		if order.err != nil {
 			if taken && rpc.AsError(order.err).RetryAfterMs == 0 {
 				world.broke("%d on %d was refused and is in the trail: %v", order.version, order.base, order.err)
--- a/sim/cut_test.go
+++ b/harness/simulation/cut_test.go
@@ -1,13 +1,13 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"orchidjunction/judge"
+	"orchidjunction/harness/checker"
+	"orchidjunction/harness/standin"
 	"orchidjunction/operator"
-	"orchidjunction/stand"
 )
 
 const healAfter = 8 * time.Second
@@ -22,7 +22,7 @@
 		for _, cut := range []cutOff{{"alone", 1, 0, 0, healAfter}, {"region", 3, 0, 0, healAfter}, {"fewer than half", 4, 0, 0, healAfter}, {"deaf", 1, 1, 0, healAfter}, {"mute", 1, 2, 0, healAfter}, {"flapping", 2, 0, 700 * time.Millisecond, healAfter}} {
 			world := NewWorld(seed, 3)
 			for _, zone := range []string{"e1", "w1", "s1"} {
-				world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 5, Room: 64})
+				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
 			}
 			world.up(test, 12)
 			lone := world.apart(cut.proxies, int(seed))
@@ -81,14 +81,14 @@
 }
 
 // withdraw takes a tenant's keys away and says since when nothing of it may be served.
-func (world *World) withdraw(ledger *judge.Ledger, tenant string) {
+func (world *World) withdraw(ledger *checker.Ledger, tenant string) {
 	body := []byte(fmt.Sprintf(`{"tenants":{%q:{"keys":[]}}}`, tenant))
 	for try := range 50 {
 		client := world.Client(world.Cores[try%len(world.Cores)].Operate)
 		settings, err := client.Read(false)
 		if err == nil && settings.Confirmed {
 			if _, err = client.Patch(operator.Change{Base: settings.Serial, Change: fmt.Sprint("withdraw-", try), Settings: body}); err == nil {
-				world.windows = append(world.windows, judge.Window{Kind: "tenant", Subject: tenant, From: time.Now().UnixMilli() + 4500})
+				world.windows = append(world.windows, checker.Window{Kind: "tenant", Subject: tenant, From: time.Now().UnixMilli() + 4500})
 				return
 			}
 		}
@@ -104,7 +104,7 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for _, zone := range []string{"e1", "w1", "s1"} {
-			world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 5, Room: 64})
+			world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
 		}
 		world.up(test, 9)
 		world.Until(5*time.Second, func() bool { return world.keepers() == 6 })
--- a/sim/disk.go
+++ b/harness/simulation/disk.go
@@ -1,5 +1,5 @@
 // Package sim brings about, in virtual time and by seed, what fails.
-package sim
+package simulation
 
 import (
 	"errors"
--- a/sim/election_test.go
+++ b/harness/simulation/election_test.go
@@ -1,17 +1,16 @@
-package sim
+package simulation
 
 import (
 	"flag"
 	"fmt"
 	"io"
+	"orchidjunction/harness/checker"
 	"os"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"k8s.io/klog/v2"
-
-	"orchidjunction/judge"
 )
 
 var (
@@ -110,7 +109,7 @@
 		}) {
 			world.broke("serial %d is not in force everywhere after 4 s", last)
 		}
-		test.Logf("%d acknowledged, %d refused, %d unknown, %d leaderships, longest answer %.0f ms, faults %v", len(ledger.Acked), len(ledger.Refused), len(ledger.Unknown), len(world.Leads), judge.Quantile(ledger.AnswerMs, 1), faults.Done)
+		test.Logf("%d acknowledged, %d refused, %d unknown, %d leaderships, longest answer %.0f ms, faults %v", len(ledger.Acked), len(ledger.Refused), len(ledger.Unknown), len(world.Leads), checker.Quantile(ledger.AnswerMs, 1), faults.Done)
 		world.report(test)
 	})
 }
--- a/sim/emptied_test.go
+++ b/harness/simulation/emptied_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"orchidjunction/harness/standin"
 	"orchidjunction/operator"
-	"orchidjunction/stand"
 )
 
 // A zone is emptied: its fronts are named to nobody, and turn away those who
@@ -17,7 +17,7 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for _, zone := range []string{"e1", "w1", "s1"} {
-			world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 5, Room: 32})
+			world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 32})
 		}
 		world.up(test, 5)
 		_, client := world.Origin(world.plan(1, 1))
--- a/sim/everything.go
+++ b/harness/simulation/everything.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"orchidjunction/judge"
+	"orchidjunction/harness/checker"
 	"orchidjunction/operator"
 )
 
@@ -15,13 +15,13 @@
 type CombinedFaults struct {
 	world  *World
 	chaos  *RandomFaults
-	ledger *judge.Ledger
+	ledger *checker.Ledger
 	random *rand.Rand
 	Done   []string
 	number int
 }
 
-func (world *World) CombinedFaults(ledger *judge.Ledger) *CombinedFaults {
+func (world *World) CombinedFaults(ledger *checker.Ledger) *CombinedFaults {
 	return &CombinedFaults{world: world, chaos: world.RandomFaults(), ledger: ledger, random: rand.New(rand.NewPCG(world.Seed, 71))}
 }
 
@@ -114,7 +114,7 @@
 
 // within does something between a change and its undoing, and notes what must
 // not be served in between.
-func (faults *CombinedFaults) within(windows []judge.Window, do, undo string, span time.Duration, meanwhile func()) {
+func (faults *CombinedFaults) within(windows []checker.Window, do, undo string, span time.Duration, meanwhile func()) {
 	from := faults.change(do)
 	for index := range windows {
 		windows[index].From = from + 4500
@@ -130,15 +130,15 @@
 }
 
 func (faults *CombinedFaults) emptied(zone string, meanwhile func()) {
-	windows := []judge.Window{}
+	windows := []checker.Window{}
 	for _, backend := range faults.world.Backends {
 		if backend.Listed.Zone == zone {
-			windows = append(windows, judge.Window{Kind: "backend", Subject: backend.Listed.Name})
+			windows = append(windows, checker.Window{Kind: "backend", Subject: backend.Listed.Name})
 		}
 	}
 	for _, daemon := range faults.world.Daemons {
 		if daemon.Zone == zone && daemon.Kind == "proxy" {
-			windows = append(windows, judge.Window{Kind: "front", Subject: daemon.Outer})
+			windows = append(windows, checker.Window{Kind: "front", Subject: daemon.Outer})
 		}
 	}
 	faults.within(windows, fmt.Sprintf(`{"drained":{"zones":[%q]}}`, zone), `{"drained":{"zones":[]}}`, faults.span(5000, 7000), meanwhile)
@@ -239,7 +239,7 @@
 	case "lag":
 		world.Platform.SetLag([]time.Duration{200 * time.Millisecond, 3 * time.Second, 3 * time.Minute}[random.IntN(3)])
 	case "keys":
-		faults.within([]judge.Window{{Kind: "tenant", Subject: "birch"}}, `{"tenants":{"birch":{"keys":[]}}}`, fmt.Sprintf(`{"tenants":{"birch":{"keys":[%q]}}}`, digestOf("key-of-birch")), faults.span(5000, 6500), func() {})
+		faults.within([]checker.Window{{Kind: "tenant", Subject: "birch"}}, `{"tenants":{"birch":{"keys":[]}}}`, fmt.Sprintf(`{"tenants":{"birch":{"keys":[%q]}}}`, digestOf("key-of-birch")), faults.span(5000, 6500), func() {})
 	case "all-down":
 		for index := range world.Cores {
 			world.KillCore(index, true)
--- a/sim/everything_test.go
+++ b/harness/simulation/everything_test.go
@@ -1,10 +1,9 @@
-package sim
+package simulation
 
 import (
+	"orchidjunction/harness/standin"
 	"testing"
 	"time"
-
-	"orchidjunction/stand"
 )
 
 // Both partners, lending to each other, under every harm of the brief, drawn by
@@ -18,7 +17,7 @@
 		for _, world := range worlds {
 			defer world.Close()
 			for index := range 6 {
-				world.AddBackend("meters", []string{"e1", "w1", "s1"}[index%3], stand.BackendConfig{WorkMs: 10, Room: 64, GentleRate: 10})
+				world.AddBackend("meters", []string{"e1", "w1", "s1"}[index%3], standin.BackendConfig{WorkMs: 10, Room: 64, GentleRate: 10})
 			}
 			world.up(test, 8)
 			world.reports = true
--- a/sim/far.go
+++ b/harness/simulation/far.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"orchidjunction/discovery"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
@@ -150,17 +150,17 @@
 }
 
 // Routing is a small one for worlds.
-func Routing(version uint64) *route.Config {
-	return &route.Config{Version: version, Services: []route.Service{{Name: "desk"}},
-		Routes: []route.Route{{Name: fmt.Sprint("route-", version), Host: "a.example", Prefix: "/a/", Service: "desk", Attempts: 1, TimeoutMs: 2000, TargetMs: 500, Kind: route.Idempotent}}}
+func Routing(version uint64) *routing.Config {
+	return &routing.Config{Version: version, Services: []routing.Service{{Name: "desk"}},
+		Routes: []routing.Route{{Name: fmt.Sprint("route-", version), Host: "a.example", Prefix: "/a/", Service: "desk", Attempts: 1, TimeoutMs: 2000, TargetMs: 500, Kind: routing.Idempotent}}}
 }
 
 // NewState is a small routing as the register holds it.
-func NewState(version uint64) *route.State { return &route.State{Config: *Routing(version)} }
+func NewState(version uint64) *routing.State { return &routing.State{Config: *Routing(version)} }
 
 // WholeChange is an operator's order of a whole routing on top of a version.
 func WholeChange(version, base uint64) *message.RoutingChangeRequest {
-	body, _ := rpc.Marshal(&route.Change{Version: version, Base: base, Digest: fmt.Sprintf("%d on %d", version, base), Whole: Routing(version)})
+	body, _ := rpc.Marshal(&routing.Change{Version: version, Base: base, Digest: fmt.Sprintf("%d on %d", version, base), Whole: Routing(version)})
 	return &message.RoutingChangeRequest{Body: body}
 }
 
@@ -211,10 +211,10 @@
 }
 
 // Book reads the confirmed routing back.
-func (world *World) Book() (*route.State, error) {
+func (world *World) Book() (*routing.State, error) {
 	response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](world, world.holds(), "routeread", &message.RoutingReadRequest{})
 	if err != nil {
 		return nil, err
 	}
-	return route.DecodeState(response.Body)
+	return routing.DecodeState(response.Body)
 }
--- a/sim/far_test.go
+++ b/harness/simulation/far_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"orchidjunction/agent"
 	"orchidjunction/message"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 )
 
 // racer orders routings on top of what it reads, each by a number of its own.
@@ -55,7 +55,7 @@
 		if err != nil {
 			continue
 		}
-		state, err := route.DecodeState(response.Body)
+		state, err := routing.DecodeState(response.Body)
 		if err != nil {
 			world.broke("read back: %v", err)
 			return
--- a/sim/judge.go
+++ b/harness/simulation/judge.go
@@ -1,16 +1,15 @@
-package sim
+package simulation
 
 import (
+	"orchidjunction/config"
+	"orchidjunction/harness/checker"
+	"orchidjunction/harness/standin"
 	"time"
-
-	"orchidjunction/conf"
-	"orchidjunction/judge"
-	"orchidjunction/stand"
 )
 
 // Operators starts racing operators.
-func (world *World) Operators(count int, pace time.Duration) *judge.Ledger {
-	ledger := judge.NewLedger(world, world.Seed)
+func (world *World) Operators(count int, pace time.Duration) *checker.Ledger {
+	ledger := checker.NewLedger(world, world.Seed)
 	ledger.Operate(count, pace)
 	return ledger
 }
@@ -28,8 +27,8 @@
 	return serials
 }
 
-func (world *World) seen() []stand.BackendRecord {
-	all := append([]stand.BackendRecord{}, world.past...)
+func (world *World) seen() []standin.BackendRecord {
+	all := append([]standin.BackendRecord{}, world.past...)
 	for _, backend := range world.Backends {
 		all = append(all, backend.Backend.Seen())
 	}
@@ -38,13 +37,13 @@
 
 // judge makes the fleet's verdicts of what was seen in this world; each detail
 // by its line's name.
-func (world *World) judge(ledger *judge.Ledger, reports ...stand.LoadReport) map[string]string {
-	settings, err := conf.Read(Settings(1000))
+func (world *World) judge(ledger *checker.Ledger, reports ...standin.LoadReport) map[string]string {
+	settings, err := config.Read(Settings(1000))
 	if err != nil {
 		world.broke("%v", err)
 		return nil
 	}
-	evidence := &judge.Evidence{Callers: reports, Backends: world.seen(), Settings: settings, Zones: map[string]string{}, Ledger: ledger, Windows: world.windows, Planned: world.planned, Jumps: world.reports}
+	evidence := &checker.Evidence{Callers: reports, Backends: world.seen(), Settings: settings, Zones: map[string]string{}, Ledger: ledger, Windows: world.windows, Planned: world.planned, Jumps: world.reports}
 	for _, backend := range world.Backends {
 		evidence.Zones[backend.Listed.Name] = backend.Listed.Zone
 	}
--- a/sim/lending_test.go
+++ b/harness/simulation/lending_test.go
@@ -1,12 +1,12 @@
-package sim
+package simulation
 
 import (
 	"encoding/json"
 	"testing"
 	"time"
 
+	"orchidjunction/harness/standin"
 	"orchidjunction/operator"
-	"orchidjunction/stand"
 )
 
 // A storm of one class borrows idle room and gives it back: the other class is
@@ -17,7 +17,7 @@
 		for _, storming := range []string{"pages", "money"} {
 			world := NewWorld(seed, 3)
 			for _, zone := range []string{"e1", "w1", "s1"} {
-				world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 100, Room: 4})
+				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 100, Room: 4})
 			}
 			world.up(test, 4)
 			body, _ := json.Marshal(map[string]any{"classes": map[string]any{"money": map[string]any{"floor_rps": 30, "borrow_rps": 1000}, "pages": map[string]any{"floor_rps": 40, "borrow_rps": 1000}}})
@@ -33,7 +33,7 @@
 			calm.Tries, storm.Tries, storm.Seed = 1, 1, seed+500
 			first, firstClient := world.Origin(calm)
 			second, secondClient := world.Origin(storm)
-			ended := make(chan stand.LoadReport, 1)
+			ended := make(chan standin.LoadReport, 1)
 			world.goroutines.Start(func() { ended <- second.Run(world.goroutines.Sleep) })
 			served := first.Run(world.goroutines.Sleep)
 			stormed := <-ended
--- a/sim/money_test.go
+++ b/harness/simulation/money_test.go
@@ -1,12 +1,11 @@
-package sim
+package simulation
 
 import (
 	"math/rand/v2"
+	"orchidjunction/harness/standin"
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"orchidjunction/stand"
 )
 
 // Impatient callers send the same key twice at once, at several proxies, again
@@ -18,7 +17,7 @@
 		defer world.Close()
 		zones := []string{"e1", "w1", "s1"}
 		for index := range 6 {
-			world.AddBackend("meters", zones[index%3], stand.BackendConfig{WorkMs: 20, Room: 16})
+			world.AddBackend("meters", zones[index%3], standin.BackendConfig{WorkMs: 20, Room: 16})
 		}
 		world.up(test, 8)
 		if !world.Until(5*time.Second, func() bool { return world.keepers() == 6 }) {
--- a/sim/numbers_test.go
+++ b/harness/simulation/numbers_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"math/rand/v2"
@@ -8,21 +8,21 @@
 	"time"
 
 	"orchidjunction/platform"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 )
 
 // textOf is an operator's text of a routing that another operator's differs from.
 func textOf(version, base uint64, operator int) string {
 	config := Routing(version)
 	config.Routes[0].TimeoutMs += operator
-	return string(platform.WriteOrder(&route.Change{Version: version, Base: base, Whole: config}))
+	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Whole: config}))
 }
 
 // patchOf is an operator's text of a change of nothing but the base's time limit.
 func patchOf(version, base uint64) string {
 	changed := Routing(base).Routes
 	changed[0].TimeoutMs = int(1000 + version)
-	return string(platform.WriteOrder(&route.Change{Version: version, Base: base, Patch: &route.Patch{Routes: changed}}))
+	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{Routes: changed}}))
 }
 
 // settle sends an order as it is to cores in a random order until it is answered for
--- a/sim/operator_test.go
+++ b/harness/simulation/operator_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"orchidjunction/metrics"
 	"orchidjunction/platform"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 )
 
 // callerSilence is after how long a platform's operator leaves a daemon that says nothing.
@@ -105,12 +105,12 @@
 
 // wholeBody is an operator's text of the routing that Routing makes.
 func wholeBody(version, base uint64) string {
-	return string(platform.WriteOrder(&route.Change{Version: version, Base: base, Whole: Routing(version)}))
+	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Whole: Routing(version)}))
 }
 
 // invalidPatch leaves a route without its service.
 func invalidPatch(version, base uint64) string {
-	return string(platform.WriteOrder(&route.Change{Version: version, Base: base, Patch: &route.Patch{RemoveServices: []string{"desk"}}}))
+	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{RemoveServices: []string{"desk"}}}))
 }
 
 // A core is cut off from the others for 20 s, both ways or one way, whether it leads
--- a/sim/orders_test.go
+++ b/harness/simulation/orders_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"sync"
@@ -6,7 +6,7 @@
 	"time"
 
 	"orchidjunction/message"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
@@ -28,9 +28,9 @@
 func leaderCalls() []call {
 	invalid := Routing(2)
 	invalid.Routes[0].Service = "nobody"
-	broken, _ := rpc.Marshal(&route.Change{Version: 2, Base: 1, Digest: "invalid", Whole: invalid})
-	dangling, _ := rpc.Marshal(&route.Change{Version: 2, Base: 1, Digest: "dangling", Patch: &route.Patch{RemoveServices: []string{"desk"}}})
-	low, _ := rpc.Marshal(&route.Change{Version: 1, Base: 1, Digest: "low", Whole: Routing(1)})
+	broken, _ := rpc.Marshal(&routing.Change{Version: 2, Base: 1, Digest: "invalid", Whole: invalid})
+	dangling, _ := rpc.Marshal(&routing.Change{Version: 2, Base: 1, Digest: "dangling", Patch: &routing.Patch{RemoveServices: []string{"desk"}}})
+	low, _ := rpc.Marshal(&routing.Change{Version: 1, Base: 1, Digest: "low", Whole: Routing(1)})
 	return []call{
 		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("repeat", "routechange", WholeChange(1, 0)),
 		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("stale base", "routechange", WholeChange(9, 0)),
--- a/sim/outage_test.go
+++ b/harness/simulation/outage_test.go
@@ -1,19 +1,18 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"net/http"
+	"orchidjunction/harness/standin"
 	"testing"
 	"time"
-
-	"orchidjunction/stand"
 )
 
 // outage is what goes on before everything dies, and what comes back.
 type outage struct {
 	name   string
-	before func(world *World) []stand.Try
+	before func(world *World) []standin.Try
 	after  func(world *World)
 }
 
@@ -22,18 +21,18 @@
 // minutes: no key is charged twice, and each gets the first answer or "unknown".
 func TestMoneyOutlivesEverything(test *testing.T) {
 	long(test)
-	nothing, calm := func(*World) {}, func(*World) []stand.Try { return nil }
+	nothing, calm := func(*World) {}, func(*World) []standin.Try { return nil }
 	each(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []outage{
 			{"power", calm, nothing},
 			{"a core's disk lost", calm, func(world *World) { world.WipeCore(int(seed) % 3) }},
-			{"a core away until the end", func(world *World) []stand.Try { world.KillCore(int(seed)%3, true); return nil }, nothing},
-			{"a disk stalls", func(world *World) []stand.Try { world.Cores[int(seed)%3].Disk.Stall(true); return nil }, nothing},
-			{"a core is slow", func(world *World) []stand.Try {
+			{"a core away until the end", func(world *World) []standin.Try { world.KillCore(int(seed)%3, true); return nil }, nothing},
+			{"a disk stalls", func(world *World) []standin.Try { world.Cores[int(seed)%3].Disk.Stall(true); return nil }, nothing},
+			{"a core is slow", func(world *World) []standin.Try {
 				world.Net.Slow(world.Cores[int(seed)%3].Host, 300*time.Millisecond)
 				return nil
 			}, nothing},
-			{"the core gone and back", func(world *World) []stand.Try {
+			{"the core gone and back", func(world *World) []standin.Try {
 				for index := range world.Cores {
 					world.KillCore(index, true)
 				}
@@ -48,7 +47,7 @@
 		} {
 			world := NewWorld(seed, 3)
 			for _, zone := range []string{"e1", "w1", "s1"} {
-				world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 20, Room: 64})
+				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 20, Room: 64})
 			}
 			world.up(test, 8)
 			world.Until(5*time.Second, func() bool { return world.keepers() == 6 })
@@ -82,7 +81,7 @@
 				world.broke("%s: final answers after %v and %v, %d replayed", kind.name, slowest, later, replays)
 			}
 			before := len(world.Broken)
-			details := world.judge(nil, stand.LoadReport{Tries: tries})
+			details := world.judge(nil, standin.LoadReport{Tries: tries})
 			for index := range world.Broken[before:] {
 				world.Broken[before+index] = kind.name + ": " + world.Broken[before+index]
 			}
@@ -95,7 +94,7 @@
 
 // pay sends keys at random fronts while backends lose answers; the last ones are
 // cut short by whatever comes next.
-func (world *World) pay(count, first int) []stand.Try {
+func (world *World) pay(count, first int) []standin.Try {
 	random := rand.New(rand.NewPCG(world.Seed, uint64(first)))
 	plan := world.plan(1, 1)
 	plan.Calls = plan.Calls[:1]
@@ -118,7 +117,7 @@
 			found = found || try.Key == key
 		}
 		if !found {
-			tries = append(tries, stand.Try{Key: key, Task: key, Tenant: plan.Callers[0].Tenant})
+			tries = append(tries, standin.Try{Key: key, Task: key, Tenant: plan.Callers[0].Tenant})
 		}
 	}
 	return tries
@@ -135,7 +134,7 @@
 }
 
 // payAgain sends each key until its answer is final, and gives the longest time to it.
-func (world *World) payAgain(tries []stand.Try) (slowest time.Duration, replays int) {
+func (world *World) payAgain(tries []standin.Try) (slowest time.Duration, replays int) {
 	plan := world.plan(1, 1)
 	plan.Calls = plan.Calls[:1]
 	generator, client := world.Origin(plan)
--- a/sim/partner_test.go
+++ b/harness/simulation/partner_test.go
@@ -1,10 +1,9 @@
-package sim
+package simulation
 
 import (
+	"orchidjunction/harness/standin"
 	"testing"
 	"time"
-
-	"orchidjunction/stand"
 )
 
 // A partner short of front machines uses the other's idle ones; under a storm of
@@ -18,7 +17,7 @@
 		defer borrower.Close()
 		for _, world := range []*World{lender, borrower} {
 			for _, zone := range []string{"e1", "w1", "s1"} {
-				world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 10, Room: 64})
+				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 10, Room: 64})
 			}
 		}
 		lender.up(test, 4)
@@ -34,7 +33,7 @@
 			test.Fatal("guests not ready")
 		}
 		borrower.Rest(2 * time.Second)
-		calls := func(world *World, rate int, seconds float64) stand.LoadReport {
+		calls := func(world *World, rate int, seconds float64) standin.LoadReport {
 			plan := world.plan(rate, seconds)
 			plan.Calls = plan.Calls[:2]
 			generator, client := world.Origin(plan)
@@ -48,7 +47,7 @@
 			borrower.broke("%d of %d served, %d lent: %v", report.Served, report.Asked, lent, report.Statuses)
 		}
 		borrower.judge(nil, report)
-		stormed := make(chan stand.LoadReport, 1)
+		stormed := make(chan standin.LoadReport, 1)
 		lender.goroutines.Start(func() { stormed <- calls(lender, 150, 6) })
 		borrower.Rest(2 * time.Second)
 		pressed := calls(borrower, 20, 3)
--- a/sim/platform_test.go
+++ b/harness/simulation/platform_test.go
@@ -1,12 +1,11 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
+	"orchidjunction/harness/standin"
 	"testing"
 	"time"
-
-	"orchidjunction/stand"
 )
 
 // The list comes in pages, late, rate-limited, and changes between pages while
@@ -17,11 +16,11 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		random := rand.New(rand.NewPCG(seed, 47))
-		stays := []stand.Listed{}
+		stays := []standin.Listed{}
 		for index := range 25 {
-			stays = append(stays, stand.Listed{Name: fmt.Sprintf("back-%03d", index), Service: "meters", Address: fmt.Sprintf("10.5.0.%d:80", index+1), Zone: "e1"})
+			stays = append(stays, standin.Listed{Name: fmt.Sprintf("back-%03d", index), Service: "meters", Address: fmt.Sprintf("10.5.0.%d:80", index+1), Zone: "e1"})
 		}
-		world.Platform = stand.NewPlatform(7, 300*time.Millisecond, 2, stays)
+		world.Platform = standin.NewPlatform(7, 300*time.Millisecond, 2, stays)
 		world.servers = append(world.servers, world.serve(world.goroutines, world.platformAddress(), world.Platform))
 		for index := range world.Cores {
 			world.StartCore(index)
@@ -34,11 +33,11 @@
 		}
 		faults := world.RandomFaults()
 		ends := time.Now().Add(60 * time.Second)
-		sometimes := stand.Listed{Name: "aaa-sometimes", Service: "meters", Address: "10.5.1.1:80", Zone: "e1"}
+		sometimes := standin.Listed{Name: "aaa-sometimes", Service: "meters", Address: "10.5.1.1:80", Zone: "e1"}
 		versions, listed := 0, false
 		for time.Now().Before(ends) {
 			if listed = random.IntN(2) == 0; listed {
-				world.Platform.Set(append([]stand.Listed{sometimes}, stays...))
+				world.Platform.Set(append([]standin.Listed{sometimes}, stays...))
 			} else {
 				world.Platform.Set(stays)
 			}
--- a/sim/relay_test.go
+++ b/harness/simulation/relay_test.go
@@ -1,11 +1,10 @@
-package sim
+package simulation
 
 import (
 	"math/rand/v2"
+	"orchidjunction/harness/checker"
 	"testing"
 	"time"
-
-	"orchidjunction/judge"
 )
 
 // Relays die, freeze and return in a tree of thirty while operators change
@@ -44,7 +43,7 @@
 }
 
 // settled waits until what is acknowledged now is in force at all that live.
-func (world *World) settled(ledger *judge.Ledger, frozen map[*Daemon]bool) {
+func (world *World) settled(ledger *checker.Ledger, frozen map[*Daemon]bool) {
 	last := ledger.Newest()
 	if !world.Until(4*time.Second, func() bool {
 		for _, daemon := range world.Daemons {
--- a/sim/replaced_test.go
+++ b/harness/simulation/replaced_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -9,10 +9,10 @@
 	"orchidjunction/agent"
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
+	"orchidjunction/harness/standin"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-	"orchidjunction/stand"
 )
 
 // Spare is a core machine beside the founding ones: it has seeds and no ID.
@@ -83,7 +83,7 @@
 func (world *World) upWithKeepers(test *testing.T) {
 	test.Helper()
 	for _, zone := range []string{"e1", "w1", "s1"} {
-		world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 20, Room: 64})
+		world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 20, Room: 64})
 	}
 	world.up(test, 8)
 	if !world.Until(5*time.Second, func() bool { return world.keepers() == 6 }) {
@@ -126,7 +126,7 @@
 			world.broke("not ready in 15 s")
 		}
 		_, replays := world.payAgain(tries)
-		details := world.judge(nil, stand.LoadReport{Tries: tries})
+		details := world.judge(nil, standin.LoadReport{Tries: tries})
 		test.Logf("%s, %d replayed", details["no key charged twice"], replays)
 		world.report(test)
 	})
@@ -161,7 +161,7 @@
 			world.broke("not ready in 15 s")
 		}
 		_, replays := world.payAgain(tries)
-		details := world.judge(nil, stand.LoadReport{Tries: tries})
+		details := world.judge(nil, standin.LoadReport{Tries: tries})
 		test.Logf("%s, %d replayed", details["no key charged twice"], replays)
 		if replays == 0 {
 			test.Error("nothing was replayed")
--- a/sim/routing_test.go
+++ b/harness/simulation/routing_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"orchidjunction/agent"
 	"orchidjunction/discovery"
 	"orchidjunction/message"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
@@ -77,7 +77,7 @@
 		}
 		invalid := Routing(10)
 		invalid.Routes[0].Service = "nobody"
-		body, _ := rpc.Marshal(&route.Change{Version: 10, Base: 9, Digest: "wrong", Whole: invalid})
+		body, _ := rpc.Marshal(&routing.Change{Version: 10, Base: 9, Digest: "wrong", Whole: invalid})
 		if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds(), "routechange", &message.RoutingChangeRequest{Body: body}); err == nil {
 			world.broke("an invalid routing was taken")
 		}
@@ -137,7 +137,7 @@
 		}
 		more := Routing(2).Routes
 		more[0].Prefix = "/b/"
-		body, _ := rpc.Marshal(&route.Change{Version: 2, Base: 1, Digest: "patch", Patch: &route.Patch{Routes: more}})
+		body, _ := rpc.Marshal(&routing.Change{Version: 2, Base: 1, Digest: "patch", Patch: &routing.Patch{Routes: more}})
 		if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds(), "routechange", &message.RoutingChangeRequest{Body: body}); err != nil {
 			test.Fatal(err)
 		}
--- a/sim/scale_test.go
+++ b/harness/simulation/scale_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
+	"orchidjunction/harness/standin"
 	"orchidjunction/operator"
-	"orchidjunction/stand"
 )
 
 // What a change and a leader change cost, by the number of daemons and the size
@@ -24,7 +24,7 @@
 			world := NewWorld(5, 3)
 			defer world.Close()
 			for range 3 {
-				world.AddBackend("meters", "e1", stand.BackendConfig{WorkMs: 5, Room: 32})
+				world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 32})
 			}
 			world.up(test, size)
 			world.Rest(5 * time.Second)
--- a/sim/stop_test.go
+++ b/harness/simulation/stop_test.go
@@ -1,12 +1,12 @@
-package sim
+package simulation
 
 import (
 	"sync/atomic"
 	"testing"
 	"time"
 
+	"orchidjunction/harness/standin"
 	"orchidjunction/operator"
-	"orchidjunction/stand"
 )
 
 // Every directory and proxy is stopped with the platform's warning and started
@@ -19,7 +19,7 @@
 		defer world.Close()
 		world.planned = true
 		for _, zone := range []string{"e1", "w1", "s1"} {
-			world.AddBackend("meters", zone, stand.BackendConfig{WorkMs: 5, Room: 64})
+			world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
 		}
 		world.up(test, 6)
 		if _, err := world.Client(world.Cores[0].Operate).Patch(operator.Change{Base: 1, Change: "hold", Settings: []byte(`{"rule":{"hold_ms":8000}}`)}); err != nil {
@@ -28,7 +28,7 @@
 		plan := world.plan(25, 600)
 		plan.Patient, plan.Tries = true, 8
 		plan.Calls[1].Weight = 35
-		plan.Calls = append(plan.Calls, stand.Call{Weight: 20, Class: "pages", Method: "GET", Path: "/meters/slow/7?bytes=1500000&work=4700", LimitMs: 5500})
+		plan.Calls = append(plan.Calls, standin.Call{Weight: 20, Class: "pages", Method: "GET", Path: "/meters/slow/7?bytes=1500000&work=4700", LimitMs: 5500})
 		generator, client := world.Origin(plan)
 		done := atomic.Bool{}
 		world.goroutines.Start(func() {
--- a/sim/traffic_test.go
+++ b/harness/simulation/traffic_test.go
@@ -1,21 +1,20 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
+	"orchidjunction/harness/standin"
 	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"orchidjunction/stand"
 )
 
 // plan is a mix of money, pages and one large receipt.
-func (world *World) plan(perSecond int, seconds float64) stand.LoadPlan {
-	plan := stand.LoadPlan{PerSecond: perSecond, Seconds: seconds, Tries: 4, Seed: world.Seed,
-		Callers: []stand.Caller{{Tenant: "alder", Key: "key-of-alder", Weight: 2}, {Tenant: "birch", Key: "key-of-birch", Weight: 1}},
-		Calls: []stand.Call{{Weight: 40, Method: "POST", Path: "/meters/credits", Class: "money", Money: true, Body: 50, LimitMs: 2000},
+func (world *World) plan(perSecond int, seconds float64) standin.LoadPlan {
+	plan := standin.LoadPlan{PerSecond: perSecond, Seconds: seconds, Tries: 4, Seed: world.Seed,
+		Callers: []standin.Caller{{Tenant: "alder", Key: "key-of-alder", Weight: 2}, {Tenant: "birch", Key: "key-of-birch", Weight: 1}},
+		Calls: []standin.Call{{Weight: 40, Method: "POST", Path: "/meters/credits", Class: "money", Money: true, Body: 50, LimitMs: 2000},
 			{Weight: 55, Class: "pages", Method: "GET", Path: "/meters/pages/7?bytes=500", LimitMs: 2000},
 			{Weight: 5, Class: "pages", Method: "GET", Path: "/meters/pages/9?bytes=1500000", LimitMs: 2000}}}
 	for _, daemon := range world.Daemons {
@@ -33,7 +32,7 @@
 		defer world.Close()
 		zones := []string{"e1", "w1", "s1"}
 		for index := range 6 {
-			world.AddBackend("meters", zones[index%3], stand.BackendConfig{WorkMs: 5, Room: 16, GentleRate: 10})
+			world.AddBackend("meters", zones[index%3], standin.BackendConfig{WorkMs: 5, Room: 16, GentleRate: 10})
 		}
 		world.up(test, 5)
 		generator, client := world.Origin(world.plan(40, 20))
@@ -68,7 +67,7 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 3 {
-			world.AddBackend("meters", "e1", stand.BackendConfig{WorkMs: 5, Room: 16})
+			world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 16})
 		}
 		world.up(test, 5)
 		generator, client := world.Origin(world.plan(60, 10))
@@ -76,7 +75,7 @@
 		world.goroutines.Start(func() {
 			world.Rest(3 * time.Second)
 			world.StopBackend(world.Backends[0])
-			other, _ := stand.NewBackend(stand.BackendConfig{Service: "gifts", Instance: "stranger", Incarnation: "2", WorkMs: 5})
+			other, _ := standin.NewBackend(standin.BackendConfig{Service: "gifts", Instance: "stranger", Incarnation: "2", WorkMs: 5})
 			world.ServeBackend(world.Backends[0], other)
 		})
 		report := generator.Run(world.goroutines.Sleep)
@@ -98,8 +97,8 @@
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.AddBackend("meters", "e1", stand.BackendConfig{WorkMs: 5, Room: 16})
-		world.AddBackend("meters", "s1", stand.BackendConfig{WorkMs: 5, Room: 16})
+		world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 16})
+		world.AddBackend("meters", "s1", standin.BackendConfig{WorkMs: 5, Room: 16})
 		world.up(test, 5)
 		_, client := world.Origin(world.plan(1, 1))
 		front := func(zone string) string {
--- a/sim/world.go
+++ b/harness/simulation/world.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"context"
@@ -12,15 +12,15 @@
 	"orchidjunction/agent"
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
-	"orchidjunction/data"
+	"orchidjunction/directory"
 	"orchidjunction/discovery"
-	"orchidjunction/judge"
+	"orchidjunction/harness/checker"
+	"orchidjunction/harness/standin"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/operator"
-	"orchidjunction/place"
 	"orchidjunction/rpc"
-	"orchidjunction/stand"
+	"orchidjunction/serviceproxy"
 )
 
 // World is a whole fleet in one bubble of virtual time.
@@ -32,7 +32,7 @@
 	Seeds      []string
 	Daemons    []*Daemon
 	Backends   []*Backend
-	Platform   *stand.Platform
+	Platform   *standin.Platform
 	Base       int
 	random     *rand.Rand
 	goroutines *concurrent.Group
@@ -42,8 +42,8 @@
 	Broken  []string
 	Leads   []ObservedLeadership
 	applied map[uint64]string
-	past    []stand.BackendRecord
-	windows []judge.Window
+	past    []standin.BackendRecord
+	windows []checker.Window
 	reports bool
 	lives   int
 	// laidOut counts the core machines that there ever were.
@@ -70,7 +70,7 @@
 	Wire       string
 	Operate    string
 	Daemon     *agent.Daemon
-	Proxy      *data.Proxy
+	Proxy      *serviceproxy.Proxy
 	Counts     *metrics.Counters
 	Alive      bool
 	goroutines *concurrent.Group
@@ -82,8 +82,8 @@
 
 // Backend is one backend of the world.
 type Backend struct {
-	Listed  stand.Listed
-	Backend *stand.Backend
+	Listed  standin.Listed
+	Backend *standin.Backend
 	server  *http.Server
 }
 
@@ -171,16 +171,16 @@
 	world.mutex.Unlock()
 	var outer http.Handler
 	if daemon.Kind == "proxy" {
-		daemon.Proxy = data.NewProxy(daemon.Daemon, daemon.goroutines, daemon.Counts, world.Net.Dialer(daemon.Host))
+		daemon.Proxy = serviceproxy.NewProxy(daemon.Daemon, daemon.goroutines, daemon.Counts, world.Net.Dialer(daemon.Host))
 		outer = daemon.Proxy
 		if daemon.Lender != nil {
-			daemon.Proxy.SetLendingLimit(data.NewLendingLimit(daemon.Lender.Proxy, 50, 32))
+			daemon.Proxy.SetLendingLimit(serviceproxy.NewLendingLimit(daemon.Lender.Proxy, 50, 32))
 		}
 		daemon.Daemon.OnVersion(func(version *agent.Version) { world.takes(daemon, version); daemon.Proxy.Apply(version) }, daemon.Proxy.Probes)
 	} else {
-		directory := place.NewDirectory(daemon.Daemon, daemon.Counts)
-		outer = directory
-		daemon.Daemon.OnVersion(func(version *agent.Version) { world.takes(daemon, version); directory.Apply(version) }, nil)
+		placements := directory.NewDirectory(daemon.Daemon, daemon.Counts)
+		outer = placements
+		daemon.Daemon.OnVersion(func(version *agent.Version) { world.takes(daemon, version); placements.Apply(version) }, nil)
 	}
 	server := rpc.NewServer(daemon.Counts)
 	daemon.Daemon.Register(server)
@@ -238,15 +238,15 @@
 }
 
 // AddBackend starts a backend; List makes the platform list all that were added.
-func (world *World) AddBackend(service, zone string, place stand.BackendConfig) *Backend {
+func (world *World) AddBackend(service, zone string, place standin.BackendConfig) *Backend {
 	index := len(world.Backends)
 	address := fmt.Sprintf("10.%d.%d.%d:80", world.Base+2, index/200, index%200+1)
 	place.Service, place.Instance = service, fmt.Sprintf("back-%03d", index)
 	if place.Incarnation == "" {
 		place.Incarnation = "1"
 	}
-	inner, _ := stand.NewBackend(place)
-	backend := &Backend{Backend: inner, Listed: stand.Listed{Name: place.Instance, Service: service, Address: address, Zone: zone}}
+	inner, _ := standin.NewBackend(place)
+	backend := &Backend{Backend: inner, Listed: standin.Listed{Name: place.Instance, Service: service, Address: address, Zone: zone}}
 	backend.server = world.serve(world.goroutines, address, inner)
 	world.Backends = append(world.Backends, backend)
 	return backend
@@ -257,7 +257,7 @@
 	place := backend.Backend.Place()
 	world.lives++
 	place.Incarnation, place.ColdMs = fmt.Sprint("life-", world.lives), coldMs
-	inner, _ := stand.NewBackend(place)
+	inner, _ := standin.NewBackend(place)
 	world.ServeBackend(backend, inner)
 }
 
@@ -268,19 +268,19 @@
 }
 
 // ServeBackend opens an address again, for another stand-in if need be.
-func (world *World) ServeBackend(backend *Backend, inner *stand.Backend) {
+func (world *World) ServeBackend(backend *Backend, inner *standin.Backend) {
 	world.past = append(world.past, backend.Backend.Seen())
 	backend.Backend = inner
 	backend.server = world.serve(world.goroutines, backend.Listed.Address, inner)
 }
 
 func (world *World) List() {
-	items := []stand.Listed{}
+	items := []standin.Listed{}
 	for _, backend := range world.Backends {
 		items = append(items, backend.Listed)
 	}
 	if world.Platform == nil {
-		world.Platform = stand.NewPlatform(10, 200*time.Millisecond, 50, items)
+		world.Platform = standin.NewPlatform(10, 200*time.Millisecond, 50, items)
 		world.servers = append(world.servers, world.serve(world.goroutines, world.platformAddress(), world.Platform))
 		return
 	}
@@ -332,9 +332,9 @@
 func (world *World) Rest(span time.Duration) bool { return world.goroutines.Sleep(span) }
 
 // Origin plays callers from outside.
-func (world *World) Origin(plan stand.LoadPlan) (*stand.LoadGenerator, *http.Client) {
+func (world *World) Origin(plan standin.LoadPlan) (*standin.LoadGenerator, *http.Client) {
 	client := &http.Client{Transport: &http.Transport{DialContext: world.Net.Dialer("10.7.0.1"), MaxIdleConnsPerHost: 16, IdleConnTimeout: 5 * time.Second, DisableCompression: true}}
-	return stand.NewLoadGenerator(plan, client, world.goroutines.Start), client
+	return standin.NewLoadGenerator(plan, client, world.goroutines.Start), client
 }
 
 // Close ends everything, so that the bubble can end.
--- a/stand/backend.go
+++ b/harness/standin/backend.go
@@ -2,7 +2,7 @@
 // and for real processes: backends (Backend), the platform (Platform) and callers
 // (Origin). Each follows its side of the interface, can be told to misbehave, and
 // records what it saw for package judge.
-package stand
+package standin
 
 import (
 	"crypto/sha256"
--- a/stand/origin.go
+++ b/harness/standin/origin.go
@@ -1,4 +1,4 @@
-package stand
+package standin
 
 import (
 	"bytes"
--- a/proxy/budget.go
+++ b/hostproxy/budget.go
@@ -1,4 +1,4 @@
-package proxy
+package hostproxy
 
 import "sync"
 
--- a/proxy/budget_test.go
+++ b/hostproxy/budget_test.go
@@ -1,4 +1,4 @@
-package proxy
+package hostproxy
 
 import (
 	"math/rand/v2"
@@ -7,7 +7,7 @@
 	"time"
 
 	"orchidjunction/message"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 )
 
 // spending is what several proxies did of late, for the sum over any window.
@@ -150,7 +150,7 @@
 	proxy := many([]string{"p1"}, []string{"e1"})[0]
 	proxy.config.RetryRatio, proxy.config.RetryExtra = 0.2, 60
 	for _, round := range []uint64{0, 1} {
-		proxy.Apply(&route.State{Config: ownConfig()}, &message.Table{Version: message.TableVersion{Term: message.Term{Number: round}, Number: 1}, Members: members([]string{"p1"}, []string{"e1"})})
+		proxy.Apply(&routing.State{Config: ownConfig()}, &message.Table{Version: message.TableVersion{Term: message.Term{Number: round}, Number: 1}, Members: members([]string{"p1"}, []string{"e1"})})
 		budget := proxy.budgets["plain"]
 		for range 1000 {
 			budget.request()
--- a/proxy/choose_test.go
+++ b/hostproxy/choose_test.go
@@ -1,4 +1,4 @@
-package proxy
+package hostproxy
 
 import (
 	"testing"
@@ -6,14 +6,14 @@
 	"time"
 
 	"orchidjunction/message"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 )
 
 // Near backends go first until they are busy; then the next nearest share.
 func TestChoosesNearThenIdle(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		proxies[0].Apply(&route.State{Config: ownConfig()}, table)
+		proxies[0].Apply(&routing.State{Config: ownConfig()}, table)
 		if held, _ := proxies[0].pick(nil, nil); held.target.backend.Name != "near" {
 			test.Errorf("chose %s", held.target.backend.Name)
 		}
@@ -50,7 +50,7 @@
 		for _, name := range []string{"a", "b", "c", "d"} {
 			backends = append(backends, message.Backend{Name: name, Service: "plain", Zone: "e1", Capacity: 4})
 		}
-		proxy.Apply(&route.State{Config: ownConfig()}, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends})
+		proxy.Apply(&routing.State{Config: ownConfig()}, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends})
 		counts := map[string]int{}
 		for range 400 {
 			held, _ := proxy.pick(nil, nil)
@@ -69,7 +69,7 @@
 func TestOverflowIsNotForTheLeftOut(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		proxies[0].Apply(&route.State{Config: ownConfig()}, table)
+		proxies[0].Apply(&routing.State{Config: ownConfig()}, table)
 		proxies[0].targets["far"].failed(time.Now(), true)
 		for range 36 {
 			proxies[0].pick(nil, nil)
@@ -85,7 +85,7 @@
 func TestChoosesUntried(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		proxies[0].Apply(&route.State{Config: ownConfig()}, table)
+		proxies[0].Apply(&routing.State{Config: ownConfig()}, table)
 		tried := []*target{}
 		for range 4 {
 			held, how := proxies[0].pick(nil, nil, tried...)
@@ -116,7 +116,7 @@
 		if _, how := world.proxy.pick(nil, []string{"nowhere"}); how != noneAllowed {
 			test.Errorf("choice %d", how)
 		}
-		if _, how := world.proxy.pick(&route.Tenant{Name: "t", Homes: []string{"nowhere"}}, nil); how != noneAllowed {
+		if _, how := world.proxy.pick(&routing.Tenant{Name: "t", Homes: []string{"nowhere"}}, nil); how != noneAllowed {
 			test.Errorf("choice %d with the tenant's homes", how)
 		}
 	})
--- a/proxy/headers.go
+++ b/hostproxy/headers.go
@@ -1,6 +1,6 @@
 // Package proxy is the data plane of host routes: it takes clients' requests and
 // carries each to a backend of the route's service.
-package proxy
+package hostproxy
 
 // Headers are the names of the fields that clients and backends speak.
 type Headers struct {
--- a/proxy/link_test.go
+++ b/hostproxy/link_test.go
@@ -1,14 +1,13 @@
-package proxy
+package hostproxy
 
 import (
 	"bytes"
 	"context"
 	"io"
+	"orchidjunction/routing"
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"orchidjunction/route"
 )
 
 // large reads an endless answer through a lane for a while and gives its bytes a second.
@@ -108,7 +107,7 @@
 	inWorld(test, func(world *world) {
 		world.proxy.transfers = newTransferLimiter(1)
 		world.add("b1").ever(after(300*time.Millisecond, well))
-		request := &request{route: &route.Route{Kind: route.Download, TargetMs: 1000}, context: context.Background(), begin: time.Now(), limit: time.Now().Add(2 * time.Second)}
+		request := &request{route: &routing.Route{Kind: routing.Download, TargetMs: 1000}, context: context.Background(), begin: time.Now(), limit: time.Now().Add(2 * time.Second)}
 		for range minTransfers {
 			if !world.proxy.pass(request) {
 				test.Error("refused where there is room")
--- a/proxy/request.go
+++ b/hostproxy/request.go
@@ -1,11 +1,11 @@
-package proxy
+package hostproxy
 
 import (
 	"context"
 	"net/http"
 	"time"
 
-	"orchidjunction/route"
+	"orchidjunction/routing"
 	"orchidjunction/rpc"
 )
 
@@ -49,8 +49,8 @@
 	within  context.Context
 	stage   stage
 	id      string
-	route   *route.Route
-	tenant  *route.Tenant
+	route   *routing.Route
+	tenant  *routing.Tenant
 	stat    *RouteStats
 	service string
 	rank    int
@@ -112,7 +112,7 @@
 	if number, found := view.index.ServiceIndex(request.service); found {
 		view.budgets[number].request()
 	}
-	if request.route.Kind == route.Download {
+	if request.route.Kind == routing.Download {
 		if !proxy.pass(request) {
 			proxy.refuse(request, http.StatusServiceUnavailable, rpc.Overloaded)
 			return
--- a/proxy/request_test.go
+++ b/hostproxy/request_test.go
@@ -1,16 +1,15 @@
-package proxy
+package hostproxy
 
 import (
 	"fmt"
 	"net/http"
+	"orchidjunction/routing"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
-
-	"orchidjunction/route"
 )
 
 // keyed makes the config one of tenants, and adds a public route.
@@ -18,9 +17,9 @@
 	world.lay(func() {
 		config := &world.book.Config
 		config.KeysRequired = true
-		config.Tenants = []route.Tenant{{Name: "first", Keys: []string{"k1", "k2"}}, {Name: "ranked", Keys: []string{"k3"}, HasPriority: true, Priority: 5},
+		config.Tenants = []routing.Tenant{{Name: "first", Keys: []string{"k1", "k2"}}, {Name: "ranked", Keys: []string{"k3"}, HasPriority: true, Priority: 5},
 			{Name: "western", Keys: []string{"k4"}, Homes: []string{"west"}}}
-		config.Routes = append(config.Routes, route.Route{Name: "open", Host: "host.example", Prefix: "/open/", TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3, Public: true})
+		config.Routes = append(config.Routes, routing.Route{Name: "open", Host: "host.example", Prefix: "/open/", TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3, Public: true})
 	})
 }
 
@@ -394,7 +393,7 @@
 		world.addAt("o1", "other", "e1", 8)
 		world.lay(func() {
 			world.book.Config.Routes[0].Service = ""
-			world.book.Config.Routes[0].Split = []route.WeightedService{{Service: "other", Weight: 90}, {Service: "plain", Weight: 10}}
+			world.book.Config.Routes[0].Split = []routing.WeightedService{{Service: "other", Weight: 90}, {Service: "plain", Weight: 10}}
 		})
 		client := world.client()
 		defer client.pipe.Close()
--- a/proxy/stat.go
+++ b/hostproxy/stat.go
@@ -1,10 +1,9 @@
-package proxy
+package hostproxy
 
 import (
+	"orchidjunction/routing"
 	"sync"
 	"time"
-
-	"orchidjunction/route"
 )
 
 const statWeight = 0.05
@@ -22,11 +21,11 @@
 
 func newRouteStats() *RouteStats { return &RouteStats{routes: map[string]*routeStat{}} }
 
-func (stat *RouteStats) of(of *route.Route) *routeStat {
+func (stat *RouteStats) of(of *routing.Route) *routeStat {
 	held := stat.routes[of.Name]
 	if held == nil {
 		held = &routeStat{milliseconds: float64(max(of.TargetMs, 20)) / 5}
-		if of.Kind == route.Download {
+		if of.Kind == routing.Download {
 			held.kilobytes = 64
 		}
 		stat.routes[of.Name] = held
@@ -35,19 +34,19 @@
 }
 
 // expect is how many milliseconds an answer should take and how many kilobytes it has.
-func (stat *RouteStats) expect(of *route.Route) (float64, float64) {
+func (stat *RouteStats) expect(of *routing.Route) (float64, float64) {
 	stat.mutex.Lock()
 	defer stat.mutex.Unlock()
 	held := stat.of(of)
 	return held.milliseconds, held.kilobytes
 }
 
-func (stat *RouteStats) mean(of *route.Route) float64 {
+func (stat *RouteStats) mean(of *routing.Route) float64 {
 	milliseconds, _ := stat.expect(of)
 	return milliseconds
 }
 
-func (stat *RouteStats) served(of *route.Route, took time.Duration, size int) {
+func (stat *RouteStats) served(of *routing.Route, took time.Duration, size int) {
 	stat.mutex.Lock()
 	defer stat.mutex.Unlock()
 	held := stat.of(of)
@@ -56,7 +55,7 @@
 }
 
 // keep forgets the routes that are not in force.
-func (stat *RouteStats) keep(routes []route.Route) {
+func (stat *RouteStats) keep(routes []routing.Route) {
 	stat.mutex.Lock()
 	defer stat.mutex.Unlock()
 	if len(stat.routes) <= 2*len(routes)+16 {
--- a/proxy/stat_test.go
+++ b/hostproxy/stat_test.go
@@ -1,18 +1,17 @@
-package proxy
+package hostproxy
 
 import (
 	"fmt"
 	"math"
+	"orchidjunction/routing"
 	"testing"
 	"time"
-
-	"orchidjunction/route"
 )
 
 // What is expected of a route begins with its target time and follows its answers.
 func TestStat(test *testing.T) {
 	stat := newRouteStats()
-	plain, load := &route.Route{Name: "a", TargetMs: 500}, &route.Route{Name: "b", Kind: route.Download}
+	plain, load := &routing.Route{Name: "a", TargetMs: 500}, &routing.Route{Name: "b", Kind: routing.Download}
 	if milliseconds, kilobytes := stat.expect(plain); milliseconds != 100 || kilobytes != 0 {
 		test.Errorf("%v ms, %v KB", milliseconds, kilobytes)
 	}
@@ -26,9 +25,9 @@
 		test.Errorf("%v ms, %v KB", milliseconds, kilobytes)
 	}
 	for number := range 40 {
-		stat.mean(&route.Route{Name: fmt.Sprint(number)})
+		stat.mean(&routing.Route{Name: fmt.Sprint(number)})
 	}
-	if stat.keep([]route.Route{*plain}); len(stat.routes) != 1 || stat.mean(plain) > 41 {
+	if stat.keep([]routing.Route{*plain}); len(stat.routes) != 1 || stat.mean(plain) > 41 {
 		test.Errorf("%d routes kept", len(stat.routes))
 	}
 }
--- a/proxy/view.go
+++ b/hostproxy/view.go
@@ -1,11 +1,11 @@
-package proxy
+package hostproxy
 
 import (
 	"slices"
 	"time"
 
 	"orchidjunction/message"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 )
 
 // candidate is a backend in a view: its target, and what the view says of it.
@@ -20,8 +20,8 @@
 
 // View is what a proxy has in force: routing and backends; it is swapped whole.
 type View struct {
-	book     *route.State
-	index    *route.Index
+	book     *routing.State
+	index    *routing.Index
 	services [][]candidate
 	budgets  []*Budget
 	most     []int
@@ -35,7 +35,7 @@
 }
 
 // Apply puts a routing book and a table in force.
-func (proxy *Proxy) Apply(state *route.State, table *message.Table) {
+func (proxy *Proxy) Apply(state *routing.State, table *message.Table) {
 	proxy.applyMutex.Lock()
 	defer proxy.applyMutex.Unlock()
 	before := proxy.view.Load()
@@ -43,7 +43,7 @@
 	if before != nil && before.book == state {
 		view.index = before.index
 	} else {
-		view.index = route.NewIndex(state)
+		view.index = routing.NewIndex(state)
 	}
 	proxies := []message.Member{}
 	for _, member := range table.Members {
--- a/proxy/view_test.go
+++ b/hostproxy/view_test.go
@@ -1,4 +1,4 @@
-package proxy
+package hostproxy
 
 import (
 	"testing"
@@ -6,11 +6,11 @@
 	"time"
 
 	"orchidjunction/message"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 )
 
 // names are the backends that a proxy may choose, with those chosen put aside.
-func (proxy *Proxy) names(tenant *route.Tenant, homes []string) map[string]bool {
+func (proxy *Proxy) names(tenant *routing.Tenant, homes []string) map[string]bool {
 	names, tried := map[string]bool{}, []*target{}
 	for {
 		held, how := proxy.pick(tenant, homes, tried...)
@@ -43,7 +43,7 @@
 func TestHomes(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		proxies[0].Apply(&route.State{Config: ownConfig()}, table)
+		proxies[0].Apply(&routing.State{Config: ownConfig()}, table)
 		east, west, both := []string{"east"}, []string{"west"}, []string{"west", "east"}
 		for _, bound := range []struct {
 			route, tenant []string
@@ -57,7 +57,7 @@
 			{east, west, nil},
 			{[]string{"north"}, nil, nil},
 		} {
-			if names := proxies[0].names(&route.Tenant{Name: "t", Homes: bound.tenant}, bound.route); !same(names, bound.names...) {
+			if names := proxies[0].names(&routing.Tenant{Name: "t", Homes: bound.tenant}, bound.route); !same(names, bound.names...) {
 				test.Errorf("%v and %v: %v", bound.route, bound.tenant, names)
 			}
 		}
@@ -68,7 +68,7 @@
 func TestLeavingAndEvacuated(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		state := &route.State{Config: ownConfig()}
+		state := &routing.State{Config: ownConfig()}
 		lay := func(change func()) {
 			copied, moved := *state, *table
 			moved.Backends = append([]message.Backend{}, table.Backends...)
@@ -113,7 +113,7 @@
 func TestTargetsOutliveViews(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		state := &route.State{Config: ownConfig()}
+		state := &routing.State{Config: ownConfig()}
 		proxies[0].Apply(state, table)
 		first, index := proxies[0].targets["near"], proxies[0].view.Load().index
 		proxies[0].Apply(state, table)
@@ -134,10 +134,10 @@
 		proxies, table := placed()
 		names, zones := []string{"p1", "p2", "p3", "p4"}, []string{"e1", "e1", "e2", "w1"}
 		config := ownConfig()
-		config.Services = append(config.Services, route.Service{Name: "small", MaxConnections: 3}, route.Service{Name: "free"})
+		config.Services = append(config.Services, routing.Service{Name: "small", MaxConnections: 3}, routing.Service{Name: "free"})
 		for _, step := range []struct{ count, most, small int }{{1, 104, 2}, {4, 26, 2}, {2, 26, 2}} {
 			table.Members = members(names[:step.count], zones[:step.count])
-			proxies[0].Apply(&route.State{Config: config}, table)
+			proxies[0].Apply(&routing.State{Config: config}, table)
 			most := proxies[0].view.Load().most
 			if most[0] != step.most || most[2] != step.small || most[3] != maxConnections {
 				test.Errorf("%d proxies: %v", step.count, most)
@@ -146,7 +146,7 @@
 		table.Members[1].Leaving = true
 		table.Members = append(table.Members, message.Member{Name: "d1", Kind: "dir"})
 		fresh := many([]string{"p1"}, []string{"e1"})[0]
-		fresh.Apply(&route.State{Config: config}, table)
+		fresh.Apply(&routing.State{Config: config}, table)
 		if most := fresh.view.Load().most[0]; most != 104 {
 			test.Errorf("beside one that leaves: %d", most)
 		}
@@ -161,7 +161,7 @@
 		cold := message.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Capacity: 4, WarmAtMs: time.Now().UnixMilli() + 60000}
 		for round, want := range map[uint64]choice{0: noneLeft, 1: chosen} {
 			table := &message.Table{Version: message.TableVersion{Term: message.Term{Number: round}, Number: 1}, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{cold}}
-			proxies[0].Apply(&route.State{Config: ownConfig()}, table)
+			proxies[0].Apply(&routing.State{Config: ownConfig()}, table)
 			proxies[0].pick(nil, nil)
 			time.Sleep(time.Second)
 			if _, how := proxies[0].pick(nil, nil); how != want {
@@ -178,7 +178,7 @@
 		for ago, want := range map[time.Duration]choice{500 * time.Millisecond: allFull, time.Minute: chosen} {
 			proxies := many([]string{"p1"}, []string{"e1"})
 			backend := message.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Capacity: 4}
-			state := &route.State{Config: ownConfig(), Restored: []route.RestoredZone{{Zone: "e1", AtMs: time.Now().Add(-ago).UnixMilli()}}}
+			state := &routing.State{Config: ownConfig(), Restored: []routing.RestoredZone{{Zone: "e1", AtMs: time.Now().Add(-ago).UnixMilli()}}}
 			proxies[0].Apply(state, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{backend}})
 			if _, how := proxies[0].pick(nil, nil); how != want {
 				test.Errorf("taken back %v ago: choice %d, want %d", ago, how, want)
--- a/proxy/warmup_test.go
+++ b/hostproxy/warmup_test.go
@@ -1,4 +1,4 @@
-package proxy
+package hostproxy
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 )
 
 // many are proxies that only choose; no request of theirs is sent.
@@ -32,9 +32,9 @@
 }
 
 // pick lets a proxy choose for a request of a route of the plain service.
-func (proxy *Proxy) pick(tenant *route.Tenant, homes []string, tried ...*target) (*candidate, choice) {
+func (proxy *Proxy) pick(tenant *routing.Tenant, homes []string, tried ...*target) (*candidate, choice) {
 	view := proxy.view.Load()
-	compiled := &route.CompiledRoute{Route: &route.Route{Name: "picked", TargetMs: 800, Homes: homes}}
+	compiled := &routing.CompiledRoute{Route: &routing.Route{Name: "picked", TargetMs: 800, Homes: homes}}
 	return proxy.choose(&request{source: &http.Request{}, stat: proxy.stats, route: compiled.Route, tenant: tenant}, view.services[0], tried)
 }
 
@@ -80,7 +80,7 @@
 				proxies := many(names, zones)
 				config := ownConfig()
 				config.Services[0].WarmupRate = 1 + 15*random.Float64()
-				state := &route.State{Config: config}
+				state := &routing.State{Config: config}
 				backend := message.Backend{Name: fmt.Sprint("b", seed), Service: "plain", Address: "b:80", Zone: "e1", Capacity: 8, WarmAtMs: time.Now().Add(time.Hour).UnixMilli()}
 				news, olds := members(names, zones), members(names[1:], zones[1:])
 				lay := func() {
@@ -112,7 +112,7 @@
 		proxies := many([]string{"p1"}, []string{"e1"})
 		cold := message.Backend{Name: "cold", Service: "plain", Zone: "e1", Capacity: 8, WarmAtMs: time.Now().Add(3 * time.Second).UnixMilli()}
 		warm := message.Backend{Name: "warm", Service: "plain", Zone: "w1", Capacity: 2}
-		proxies[0].Apply(&route.State{Config: ownConfig()}, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{cold, warm}})
+		proxies[0].Apply(&routing.State{Config: ownConfig()}, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{cold, warm}})
 		proxies[0].targets["cold"].warm(time.Now(), 1)
 		time.Sleep(time.Second)
 		for range 6 {
--- a/proxy/world_test.go
+++ b/hostproxy/world_test.go
@@ -1,4 +1,4 @@
-package proxy
+package hostproxy
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
-	"orchidjunction/route"
+	"orchidjunction/routing"
 )
 
 // world is one proxy behind a server of its own, and its scripted backends; all
@@ -30,7 +30,7 @@
 	proxy      *Proxy
 	server     *http.Server
 	listener   *listener
-	book       *route.State
+	book       *routing.State
 	table      *message.Table
 	backends   map[string]*backend
 	asked      int
@@ -44,14 +44,14 @@
 		WarmupExcess: 1.5, WarmupExtra: 5, UsageWindow: 5 * time.Second, ListLag: time.Second}
 }
 
-func ownConfig() route.Config {
-	return route.Config{Version: 1,
-		Routes: []route.Route{
-			{Name: "once", Host: "host.example", Prefix: "/once/", Kind: route.NonIdempotent, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3},
-			{Name: "again", Host: "host.example", Prefix: "/again/", Kind: route.Idempotent, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3},
-			{Name: "load", Host: "host.example", Prefix: "/load/", Kind: route.Download, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3}},
-		Services: []route.Service{{Name: "plain", MaxConnections: 130, WarmupMs: 3000, WarmupRate: 10}, {Name: "other", MaxConnections: 130, WarmupMs: 3000, WarmupRate: 10}},
-		Limits:   route.Limits{BodyBytes: 1 << 20}}
+func ownConfig() routing.Config {
+	return routing.Config{Version: 1,
+		Routes: []routing.Route{
+			{Name: "once", Host: "host.example", Prefix: "/once/", Kind: routing.NonIdempotent, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3},
+			{Name: "again", Host: "host.example", Prefix: "/again/", Kind: routing.Idempotent, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3},
+			{Name: "load", Host: "host.example", Prefix: "/load/", Kind: routing.Download, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3}},
+		Services: []routing.Service{{Name: "plain", MaxConnections: 130, WarmupMs: 3000, WarmupRate: 10}, {Name: "other", MaxConnections: 130, WarmupMs: 3000, WarmupRate: 10}},
+		Limits:   routing.Limits{BodyBytes: 1 << 20}}
 }
 
 func inWorld(test *testing.T, play func(world *world)) {
@@ -64,7 +64,7 @@
 
 func newWorld(test *testing.T) *world {
 	world := &world{test: test, goroutines: concurrent.NewGroup(), counters: metrics.NewCounters(), doors: newDoors(), listener: newListener(), backends: map[string]*backend{},
-		book: &route.State{Config: ownConfig()}, table: &message.Table{Version: leaderMark, Complete: true, Members: []message.Member{{Name: "p1", Kind: "proxy", Zone: "e1", Ready: true}}}}
+		book: &routing.State{Config: ownConfig()}, table: &message.Table{Version: leaderMark, Complete: true, Members: []message.Member{{Name: "p1", Kind: "proxy", Zone: "e1", Ready: true}}}}
 	world.proxy = NewProxy(ownPlace("p1", "e1"), world.doors.dial, func() int64 { return time.Now().UnixMilli() }, world.goroutines, world.counters)
 	world.server = &http.Server{Handler: world.proxy, ErrorLog: log.New(io.Discard, "", 0)}
 	world.goroutines.Start(func() { _ = world.server.Serve(world.listener) }) // until close
@@ -106,8 +106,8 @@
 	state, table := *world.book, *world.table
 	table.Backends = append([]message.Backend{}, table.Backends...)
 	table.Members = append([]message.Member{}, table.Members...)
-	state.Config.Routes = append([]route.Route{}, state.Config.Routes...)
-	state.Config.Services = append([]route.Service{}, state.Config.Services...)
+	state.Config.Routes = append([]routing.Route{}, state.Config.Routes...)
+	state.Config.Services = append([]routing.Service{}, state.Config.Services...)
 	world.book, world.table = &state, &table
 	change()
 	world.proxy.Apply(world.book, world.table)
--- a/idempotency/power_test.go
+++ b/idempotency/power_test.go
@@ -7,9 +7,9 @@
 	"testing/synctest"
 	"time"
 
+	"orchidjunction/harness/simulation"
 	"orchidjunction/idempotency"
 	"orchidjunction/message"
-	"orchidjunction/sim"
 )
 
 const smallSegment = 6000
@@ -23,7 +23,7 @@
 	number  int
 }
 
-func (keeper *claimKeeper) open(disk *sim.Disk) error {
+func (keeper *claimKeeper) open(disk *simulation.Disk) error {
 	claims, err := idempotency.OpenTestLog(disk, smallSegment)
 	keeper.claims = claims
 	return err
@@ -76,7 +76,7 @@
 	for seed := range uint64(150) {
 		synctest.Test(test, func(test *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 5))
-			disk := sim.NewDisk(seed)
+			disk := simulation.NewDisk(seed)
 			keeper := &claimKeeper{random: random, granted: map[message.ClaimKey]time.Time{}, refused: map[message.ClaimKey]time.Time{}}
 			for round := range 12 {
 				if err := keeper.open(disk); err != nil {
@@ -106,7 +106,7 @@
 	for seed := range uint64(150) {
 		synctest.Test(test, func(test *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 6))
-			disk := sim.NewDisk(seed)
+			disk := simulation.NewDisk(seed)
 			keeper := &claimKeeper{random: random, granted: map[message.ClaimKey]time.Time{}, refused: map[message.ClaimKey]time.Time{}}
 			for round := range 10 {
 				if err := keeper.open(disk); err != nil {
@@ -123,7 +123,7 @@
 					disk = disk.Sever(true)
 					continue
 				}
-				disk.Refuse([]sim.Refusal{{Writes: true}, {Syncs: true}, {Writes: true, Syncs: true, Names: true}}[random.IntN(3)])
+				disk.Refuse([]simulation.Refusal{{Writes: true}, {Syncs: true}, {Writes: true, Syncs: true, Names: true}}[random.IntN(3)])
 				for range 1 + random.IntN(10) {
 					if keeper.step() {
 						test.Fatalf("seed %d round %d: kept by a disk that refuses", seed, round)
@@ -134,7 +134,7 @@
 					test.Fatalf("seed %d round %d: not told that the disk refuses", seed, round)
 				}
 				if random.IntN(3) > 0 {
-					disk.Refuse(sim.Refusal{})
+					disk.Refuse(simulation.Refusal{})
 					time.Sleep(time.Second)
 					for range 1 + random.IntN(5) {
 						if !keeper.step() {
@@ -144,7 +144,7 @@
 					}
 				}
 				disk = disk.Sever(random.IntN(3) > 0)
-				disk.Refuse(sim.Refusal{})
+				disk.Refuse(simulation.Refusal{})
 			}
 		})
 	}
--- a/plan/forecast.go
+++ b/planner/forecast.go
@@ -1,22 +1,22 @@
 // Package plan forecasts what a change of settings would do before it is made. Look
 // takes the fleet as it is and the next settings and returns a Forecast; ojplan
 // prints it.
-package plan
+package planner
 
 import (
 	"sort"
 
-	"orchidjunction/conf"
-	"orchidjunction/data"
+	"orchidjunction/config"
+	"orchidjunction/directory"
 	"orchidjunction/message"
-	"orchidjunction/place"
+	"orchidjunction/serviceproxy"
 )
 
 // Fleet is the state that a forecast starts from. Capacity is the requests a second
 // that one backend carries.
 type Fleet struct {
 	Serial   uint64
-	Settings *conf.Settings
+	Settings *config.Settings
 	Members  []message.Member
 	Backends []message.Backend
 	Capacity float64
@@ -79,10 +79,10 @@
 }
 
 // NewForecast compares the fleet under its settings with the same fleet under next.
-func NewForecast(fleet Fleet, next *conf.Settings) *Forecast {
+func NewForecast(fleet Fleet, next *config.Settings) *Forecast {
 	forecast := &Forecast{Moves: []Move{}, Rooms: []CapacityChange{}, Shorts: []Shortage{}, Changes: []Change{}}
-	before, after := data.NewRoutes(fleet.Serial, fleet.Settings, nil), data.NewRoutes(fleet.Serial+1, next, nil)
-	former, later := place.NewView(before, fleet.Members), place.NewView(after, fleet.Members)
+	before, after := serviceproxy.NewRoutes(fleet.Serial, fleet.Settings, nil), serviceproxy.NewRoutes(fleet.Serial+1, next, nil)
+	former, later := directory.NewView(before, fleet.Members), directory.NewView(after, fleet.Members)
 	for _, tenant := range union(fleet.Settings.Tenants, next.Tenants) {
 		from, to := proxies(former, before, tenant), proxies(later, after, tenant)
 		forecast.Tenants++
@@ -96,7 +96,7 @@
 	return forecast
 }
 
-func proxies(view *place.View, routes *data.Routes, tenant string) []string {
+func proxies(view *directory.View, routes *serviceproxy.Routes, tenant string) []string {
 	index, found := routes.TenantNamed(tenant)
 	if !found {
 		return []string{}
@@ -113,7 +113,7 @@
 	return names
 }
 
-func union(left, right map[string]conf.Tenant) []string {
+func union(left, right map[string]config.Tenant) []string {
 	names := []string{}
 	for name := range left {
 		names = append(names, name)
@@ -142,7 +142,7 @@
 }
 
 // rooms counts the backends a service may use, and sets its floors against them.
-func (forecast *Forecast) rooms(fleet Fleet, next *conf.Settings) {
+func (forecast *Forecast) rooms(fleet Fleet, next *config.Settings) {
 	rooms, names := map[string]*CapacityChange{}, []string{}
 	for _, backend := range fleet.Backends {
 		room := rooms[backend.Service]
@@ -174,10 +174,10 @@
 	}
 }
 
-func (forecast *Forecast) changes(before, after []conf.Effective) {
+func (forecast *Forecast) changes(before, after []config.Effective) {
 	type field struct{ route, name string }
 	former, later, keys := map[field]any{}, map[field]any{}, []field{}
-	lay := func(into, other map[field]any, routes []conf.Effective) {
+	lay := func(into, other map[field]any, routes []config.Effective) {
 		for _, route := range routes {
 			for name, source := range route.Values {
 				key := field{route.Class + "/" + route.Service + "/" + route.Route, name}
@@ -198,7 +198,7 @@
 		return keys[left].name < keys[right].name
 	})
 	for _, key := range keys {
-		if !conf.Same(former[key], later[key]) {
+		if !config.Same(former[key], later[key]) {
 			forecast.Changes = append(forecast.Changes, Change{Route: key.route, Field: key.name, Before: former[key], After: later[key]})
 		}
 	}
--- a/plan/forecast_test.go
+++ b/planner/forecast_test.go
@@ -1,14 +1,14 @@
-package plan
+package planner
 
 import (
 	"fmt"
 	"os"
 	"testing"
 
-	"orchidjunction/conf"
-	"orchidjunction/data"
+	"orchidjunction/config"
+	"orchidjunction/directory"
 	"orchidjunction/message"
-	"orchidjunction/place"
+	"orchidjunction/serviceproxy"
 )
 
 func fleet(test *testing.T) Fleet {
@@ -17,7 +17,7 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	settings, err := conf.Read(body)
+	settings, err := config.Read(body)
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -66,9 +66,9 @@
 // tenants more fronts, and move few tenants when a front leaves.
 func TestPlacements(test *testing.T) {
 	look := fleet(test)
-	routes := data.NewRoutes(1, look.Settings, nil)
-	placed := func(members []message.Member) map[string][]place.Proxy {
-		chart, all := place.NewView(routes, members), map[string][]place.Proxy{}
+	routes := serviceproxy.NewRoutes(1, look.Settings, nil)
+	placed := func(members []message.Member) map[string][]directory.Proxy {
+		chart, all := directory.NewView(routes, members), map[string][]directory.Proxy{}
 		for name := range look.Settings.Tenants {
 			index, _ := routes.TenantNamed(name)
 			placement, err := chart.Place(index, "")
--- a/program/far_test.go
+++ b/process/far_test.go
@@ -1,4 +1,4 @@
-package program
+package process
 
 import (
 	"net"
--- a/program/program.go
+++ b/process/program.go
@@ -1,5 +1,5 @@
 // Package program is what the thin programs share: flags, logs, listeners, signals.
-package program
+package process
 
 import (
 	"context"
--- a/replica/power_test.go
+++ b/replica/power_test.go
@@ -5,9 +5,9 @@
 	"strings"
 	"testing"
 
+	"orchidjunction/harness/simulation"
 	"orchidjunction/message"
 	"orchidjunction/replica"
-	"orchidjunction/sim"
 )
 
 const smallSegment = 6000
@@ -26,7 +26,7 @@
 
 // open starts a voter on the disk; what was answered for must be there, and what
 // is there counts as answered for once the disk has taken it anew.
-func (witness *witness) open(disk *sim.Disk) error {
+func (witness *witness) open(disk *simulation.Disk) error {
 	store, err := replica.OpenStore(disk)
 	if err != nil {
 		return err
@@ -103,7 +103,7 @@
 	undone, rolled := 0, 0
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
-		disk := sim.NewDisk(seed)
+		disk := simulation.NewDisk(seed)
 		witness := &witness{test: test, random: random, bodies: map[message.Version]byte{}}
 		for round := range 12 {
 			if random.IntN(3) == 0 {
@@ -144,7 +144,7 @@
 	refused := 0
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 4))
-		disk := sim.NewDisk(seed)
+		disk := simulation.NewDisk(seed)
 		witness := &witness{test: test, random: random, bodies: map[message.Version]byte{}}
 		for range 10 {
 			if err := witness.open(disk); err != nil {
@@ -159,7 +159,7 @@
 				}
 			}
 			for range random.IntN(3) {
-				disk.Refuse([]sim.Refusal{{Writes: true}, {Syncs: true}, {Names: true}, {Writes: true, Syncs: true, Names: true}, {}}[random.IntN(5)])
+				disk.Refuse([]simulation.Refusal{{Writes: true}, {Syncs: true}, {Names: true}, {Writes: true, Syncs: true, Names: true}, {}}[random.IntN(5)])
 				disk.Room(disk.Used() + 1 + random.IntN(9000))
 				for range 8 {
 					if witness.store.Err() != nil {
@@ -175,7 +175,7 @@
 				if random.IntN(4) == 0 {
 					break
 				}
-				disk.Refuse(sim.Refusal{})
+				disk.Refuse(simulation.Refusal{})
 				disk.Room(0)
 				if err := witness.voter.Repair(); err != nil {
 					test.Fatalf("seed %d: %v", seed, err)
@@ -187,7 +187,7 @@
 				}
 			}
 			disk = disk.Sever(random.IntN(3) > 0)
-			disk.Refuse(sim.Refusal{})
+			disk.Refuse(simulation.Refusal{})
 			disk.Room(0)
 		}
 	}
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -5,10 +5,10 @@
 	"strings"
 	"testing"
 
+	"orchidjunction/harness/simulation"
 	"orchidjunction/message"
 	"orchidjunction/replica"
 	"orchidjunction/rpc"
-	"orchidjunction/sim"
 
 	"github.com/cockroachdb/datadriven"
 )
@@ -29,7 +29,7 @@
 // shows what was answered and what a power loss would leave.
 func TestVoter(test *testing.T) {
 	datadriven.Walk(test, "testdata/replica", func(test *testing.T, path string) {
-		disk := sim.NewDisk(1)
+		disk := simulation.NewDisk(1)
 		raised := []string{}
 		open := func() *replica.Replica {
 			store, err := replica.OpenStore(disk)
--- a/replica/restored_test.go
+++ b/replica/restored_test.go
@@ -3,15 +3,15 @@
 import (
 	"testing"
 
+	"orchidjunction/harness/simulation"
 	"orchidjunction/message"
 	"orchidjunction/replica"
-	"orchidjunction/sim"
 )
 
 // A blank disk that took over what others hold has accepted it under its own
 // ballot only: counted under theirs, copies of one vote would look like a majority.
 func TestTakenOverIsNoVoteOfTheFormerBallot(test *testing.T) {
-	store, err := replica.OpenStore(sim.NewDisk(1))
+	store, err := replica.OpenStore(simulation.NewDisk(1))
 	if err != nil {
 		test.Fatal(err)
 	}
--- a/replica/stall_test.go
+++ b/replica/stall_test.go
@@ -6,17 +6,17 @@
 	"time"
 
 	"orchidjunction/concurrent"
+	"orchidjunction/harness/simulation"
 	"orchidjunction/message"
 	"orchidjunction/replica"
 	"orchidjunction/rpc"
-	"orchidjunction/sim"
 )
 
 // While a disk does not answer, who comes late is refused at once and who came early
 // waits; what is synced can be read; once it answers the voter goes on.
 func TestStalledVoterRefusesWhoComesLate(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		disk, goroutines := sim.NewDisk(1), concurrent.NewGroup()
+		disk, goroutines := simulation.NewDisk(1), concurrent.NewGroup()
 		store, err := replica.OpenStore(disk)
 		if err != nil {
 			test.Fatal(err)
--- a/replica/store_test.go
+++ b/replica/store_test.go
@@ -7,20 +7,20 @@
 	"testing"
 
 	"orchidjunction/consensus"
+	"orchidjunction/harness/simulation"
 	"orchidjunction/message"
 	"orchidjunction/replica"
 	"orchidjunction/rpc"
-	"orchidjunction/sim"
 )
 
 // fill makes steps on a voter and returns what it answered for last.
-func fill(test *testing.T, disk *sim.Disk, random *rand.Rand, steps int) *consensus.State {
+func fill(test *testing.T, disk *simulation.Disk, random *rand.Rand, steps int) *consensus.State {
 	test.Helper()
 	return take(founded(test, disk), random, steps)
 }
 
 // founded is a voter on the disk.
-func founded(test *testing.T, disk *sim.Disk) *replica.Replica {
+func founded(test *testing.T, disk *simulation.Disk) *replica.Replica {
 	test.Helper()
 	store, err := replica.OpenStore(disk)
 	if err != nil {
@@ -49,7 +49,7 @@
 }
 
 // newestSegment is the file that steps are appended to.
-func newestSegment(disk *sim.Disk) string {
+func newestSegment(disk *simulation.Disk) string {
 	names, _ := disk.List()
 	newest := ""
 	for _, name := range names {
@@ -68,7 +68,7 @@
 func TestAnsweredLasts(test *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		disk := sim.NewDisk(seed)
+		disk := simulation.NewDisk(seed)
 		for round := range 4 {
 			answered := fill(test, disk, random, 15)
 			disk = disk.Sever(true)
@@ -93,7 +93,7 @@
 	stopped, cut := 0, 0
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 2))
-		disk := sim.NewDisk(seed)
+		disk := simulation.NewDisk(seed)
 		voter := founded(test, disk)
 		before := take(voter, random, 1+random.IntN(6))
 		name := newestSegment(disk)
@@ -131,7 +131,7 @@
 // A segment that a process made and did not live to see named on the disk is
 // named before the next process appends to it.
 func TestFoundSegmentLastsOnceAppended(test *testing.T) {
-	disk := sim.NewDisk(1)
+	disk := simulation.NewDisk(1)
 	if _, err := disk.Create("segment-0000000000000000"); err != nil {
 		test.Fatal(err)
 	}
@@ -149,14 +149,14 @@
 	for register := range accepted {
 		accepted[register] = message.AcceptedValue{Term: message.Term{Number: 2, Core: 1}, Value: message.Value{Serial: 3, Body: make([]byte, 300)}}
 	}
-	open := func(disk *sim.Disk) *replica.Replica {
+	open := func(disk *simulation.Disk) *replica.Replica {
 		store, err := replica.OpenStore(disk)
 		if err != nil {
 			test.Fatal(err)
 		}
 		return replica.New(store, failing(test))
 	}
-	whole := sim.NewDisk(1)
+	whole := simulation.NewDisk(1)
 	if err := open(whole).Initialize(message.Term{Number: 5, Core: 3}, accepted, nil); err != nil {
 		test.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 // snapshot before it and the next one.
 func TestDiskStaysBoundedOverLargeChanges(test *testing.T) {
 	const large = 2 << 20
-	disk := sim.NewDisk(1)
+	disk := simulation.NewDisk(1)
 	voter := founded(test, disk)
 	written := 0
 	for serial := uint64(1); serial <= 60; serial++ {
--- a/replica/upgrade_test.go
+++ b/replica/upgrade_test.go
@@ -3,10 +3,10 @@
 import (
 	"testing"
 
+	"orchidjunction/harness/simulation"
 	"orchidjunction/message"
 	"orchidjunction/replica"
 	"orchidjunction/rpc"
-	"orchidjunction/sim"
 	"orchidjunction/storage"
 )
 
@@ -46,7 +46,7 @@
 		"log":      {"segment-0000000000000000": &formerRecord{Roster: roster, Founded: true, Promised: &term, Register: message.RoutingRegister, Accepted: &routing}},
 		"snapshot": {"snapshot-0000000000000001": &snapshot, "segment-0000000000000001": &formerRecord{Founded: true}},
 	} {
-		disk := sim.NewDisk(1)
+		disk := simulation.NewDisk(1)
 		for file, content := range files {
 			body, err := rpc.Marshal(content)
 			if err != nil {
--- a/route/check_test.go
+++ b/routing/check_test.go
@@ -1,4 +1,4 @@
-package route
+package routing
 
 import (
 	"orchidjunction/rpc"
--- a/route/config.go
+++ b/routing/config.go
@@ -1,6 +1,6 @@
 // Package route is what an operator says about where requests go: services, the
 // routes to them, the tenants that may use them, and the zones to keep clear.
-package route
+package routing
 
 import (
 	"orchidjunction/rpc"
--- a/data/admission.go
+++ b/serviceproxy/admission.go
@@ -1,11 +1,11 @@
-package data
+package serviceproxy
 
 import (
 	"math"
 	"sync"
 	"time"
 
-	"orchidjunction/conf"
+	"orchidjunction/config"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
 
@@ -58,7 +58,7 @@
 // Apply sets floors and borrowing to this proxy's share of the settings. The share
 // follows demand, a part of it is even; all proxies compute it from the same table,
 // so that the shares add up to the whole.
-func (admission *Admission) Apply(settings *conf.Settings, table *message.Table, name string) {
+func (admission *Admission) Apply(settings *config.Settings, table *message.Table, name string) {
 	part := partOf(table, name)
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
--- a/data/key_replicas.go
+++ b/serviceproxy/key_replicas.go
@@ -1,4 +1,4 @@
-package data
+package serviceproxy
 
 import (
 	"hash/fnv"
--- a/data/proxy.go
+++ b/serviceproxy/proxy.go
@@ -1,4 +1,4 @@
-package data
+package serviceproxy
 
 import (
 	"math/rand/v2"
@@ -8,7 +8,7 @@
 
 	"orchidjunction/agent"
 	"orchidjunction/concurrent"
-	"orchidjunction/conf"
+	"orchidjunction/config"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
@@ -223,7 +223,7 @@
 
 // pickBackend returns the less loaded of two random backends that the request may go
 // to, and takes a place there.
-func (plan *plan) pickBackend(route *conf.FlatRoute, tenant int, tried map[*Target]bool) (*Target, bool) {
+func (plan *plan) pickBackend(route *config.FlatRoute, tenant int, tried map[*Target]bool) (*Target, bool) {
 	type choice struct {
 		target *Target
 		usage  float64
--- a/data/route_table.go
+++ b/serviceproxy/route_table.go
@@ -1,11 +1,10 @@
-package data
+package serviceproxy
 
 import (
+	"orchidjunction/config"
 	"reflect"
 	"sort"
 	"strings"
-
-	"orchidjunction/conf"
 )
 
 // routeKey is the exact method and path of a route within a service.
@@ -15,14 +14,14 @@
 // is immutable; the next version shares it while nothing in it changed.
 type routeTable struct {
 	digest    string
-	inherited conf.FlatRoute
-	routes    []conf.FlatRoute
+	inherited config.FlatRoute
+	routes    []config.FlatRoute
 	exact     map[routeKey]int
 	open      []int
 	paths     map[string]bool
 }
 
-func newRouteTable(service conf.Service, inherited conf.FlatRoute, before *routeTable) *routeTable {
+func newRouteTable(service config.Service, inherited config.FlatRoute, before *routeTable) *routeTable {
 	if before != nil && service.Digest != "" && before.digest == service.Digest && reflect.DeepEqual(before.inherited, inherited) {
 		return before
 	}
@@ -44,7 +43,7 @@
 
 // find gives the route of a method and path and how exactly it fits; exact paths
 // go first, then the longest prefix.
-func (table *routeTable) find(method, path string) (found *conf.FlatRoute, fit int, otherMethod bool) {
+func (table *routeTable) find(method, path string) (found *config.FlatRoute, fit int, otherMethod bool) {
 	if index, known := table.exact[routeKey{method, path}]; known {
 		return &table.routes[index], len(path) + 1, false
 	}
--- a/data/routes.go
+++ b/serviceproxy/routes.go
@@ -1,11 +1,10 @@
-package data
+package serviceproxy
 
 import (
 	"crypto/sha256"
 	"encoding/hex"
+	"orchidjunction/config"
 	"strings"
-
-	"orchidjunction/conf"
 )
 
 const sharePerProxy = 4
@@ -14,7 +13,7 @@
 // immutable; versions share what did not change.
 type Routes struct {
 	Serial   uint64
-	settings *conf.Settings
+	settings *config.Settings
 	tenants  []tenantEntry
 	byKey    map[string]int
 	tables   map[string][]*routeTable
@@ -30,7 +29,7 @@
 }
 
 // NewRoutes builds the routes of a version; before may be nil.
-func NewRoutes(serial uint64, settings *conf.Settings, before *Routes) *Routes {
+func NewRoutes(serial uint64, settings *config.Settings, before *Routes) *Routes {
 	routes := &Routes{Serial: serial, settings: settings, byKey: map[string]int{}, tables: map[string][]*routeTable{}, drained: map[string]bool{}, gone: map[string]bool{}, regions: map[string]string{}}
 	for name, tenant := range settings.Tenants {
 		index := len(routes.tenants)
@@ -100,7 +99,7 @@
 // Route returns the route of a method and path within a service, in whatever class:
 // exact paths first, then the longest prefix. otherMethod says that only the method
 // does not match.
-func (routes *Routes) Route(service, method, path string) (found *conf.FlatRoute, otherMethod bool) {
+func (routes *Routes) Route(service, method, path string) (found *config.FlatRoute, otherMethod bool) {
 	best := 0
 	for _, table := range routes.tables[service] {
 		route, fit, other := table.find(method, path)
@@ -113,7 +112,7 @@
 }
 
 // allowed is whether a backend's or front's zone may serve this tenant's task on this route.
-func (routes *Routes) allowed(zone string, tenant int, route *conf.FlatRoute) bool {
+func (routes *Routes) allowed(zone string, tenant int, route *config.FlatRoute) bool {
 	region := routes.regions[zone]
 	for _, forbidden := range routes.tenants[tenant].forbids {
 		if region == forbidden {
@@ -132,7 +131,7 @@
 func (routes *Routes) Drained(zone string) bool { return routes.drained[zone] }
 
 // Settings returns the settings that these routes were built from.
-func (routes *Routes) Settings() *conf.Settings { return routes.settings }
+func (routes *Routes) Settings() *config.Settings { return routes.settings }
 
 // ZoneAllowed reports whether a tenant's traffic may enter a zone.
 func (routes *Routes) ZoneAllowed(zone string, tenant int) bool {
--- a/data/state_machine.go
+++ b/serviceproxy/state_machine.go
@@ -8,7 +8,7 @@
 // idempotency key (Claims), and sent to a backend (Target) over a Pipe, again
 // within the retry budget if that is safe. Health of backends goes out through
 // Proxy.Probes.
-package data
+package serviceproxy
 
 import "orchidjunction/metrics"
 
--- a/data/task.go
+++ b/serviceproxy/task.go
@@ -1,4 +1,4 @@
-package data
+package serviceproxy
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"time"
 
 	"orchidjunction/agent"
-	"orchidjunction/conf"
+	"orchidjunction/config"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
 )
@@ -35,7 +35,7 @@
 	id          string
 	request     *http.Request
 	tenant      int
-	route       *conf.FlatRoute
+	route       *config.FlatRoute
 	path        string
 	body        []byte
 	deadline    time.Time
--- a/aims/aims.go
+++ b/slo/aims.go
@@ -1,7 +1,7 @@
 // Package aims reads service-level objectives in a subset of OpenSLO v1 and reports
 // how the counters of the daemons stand against them. Read gives Documents; Against
 // turns them and the summed counters into Reports.
-package aims
+package slo
 
 import (
 	"bytes"
--- a/aims/aims_test.go
+++ b/slo/aims_test.go
@@ -1,4 +1,4 @@
-package aims
+package slo
 
 import (
 	"os"
--- a/usage/sums_test.go
+++ b/usage/sums_test.go
@@ -3,10 +3,9 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"orchidjunction/config"
 	"os"
 	"testing"
-
-	"orchidjunction/conf"
 )
 
 // Clocks jump by hours, leaders change and proxies come and go: every task is
@@ -16,7 +15,7 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	tree, err := conf.Read(body)
+	tree, err := config.Read(body)
 	if err != nil {
 		test.Fatal(err)
 	}
