--- a/hostproxy/admit.go
+++ b/hostproxy/admit.go
@@ -44,7 +44,7 @@
 // admit finds the route and the tenant, and reads the body; a status where the request
 // goes no further.
 func (proxy *Proxy) admit(request *request, view *View) (int, rpc.Code) {
-	source, config := request.source, &view.book.Config
+	source, config := request.source, &view.state.Config
 	path, _, _ := strings.Cut(source.RequestURI, "?")
 	compiled, is := view.index.Find(source.Host, path)
 	if !is {
@@ -61,7 +61,7 @@
 	if request.tenant != nil && request.tenant.HasPriority {
 		request.rank = request.tenant.Priority
 	}
-	request.limit = request.begin.Add(proxy.patience(request))
+	request.deadline = request.begin.Add(proxy.timeout(request))
 	if status, kind := proxy.readRequestBody(request, config.Limits.BodyBytes); status != 0 {
 		return status, kind
 	}
@@ -76,9 +76,9 @@
 	return 0, ""
 }
 
-// patience is how long a request may take: the client's deadline, or the route's
+// timeout is how long a request may take: the client's deadline, or the route's
 // timeout where that is shorter.
-func (proxy *Proxy) patience(request *request) time.Duration {
+func (proxy *Proxy) timeout(request *request) time.Duration {
 	timeout := float64(request.route.TimeoutMs)
 	milliseconds, err := strconv.ParseFloat(request.source.Header.Get(proxy.config.Headers.Deadline), 64)
 	if err == nil && milliseconds >= 0 && milliseconds < timeout {
@@ -101,11 +101,11 @@
 		return 0, ""
 	}
 	size := max(source.ContentLength, 1<<10)
-	if !proxy.bodies.take(size) {
+	if !proxy.bodies.reserve(size) {
 		return http.StatusServiceUnavailable, rpc.Overloaded
 	}
 	body, err := io.ReadAll(io.LimitReader(source.Body, most+1))
-	proxy.bodies.give(size)
+	proxy.bodies.release(size)
 	if err != nil {
 		return http.StatusBadRequest, rpc.BadRequest
 	}
--- a/hostproxy/answer.go
+++ b/hostproxy/answer.go
@@ -17,10 +17,10 @@
 
 // answer is a backend's answer: whole, or its head with the rest still to read.
 type answer struct {
-	response *http.Response
-	body     []byte
-	rest     io.Reader
-	release  func(sound bool)
+	response  *http.Response
+	body      []byte
+	remainder io.Reader
+	release   func(sound bool)
 }
 
 // headKind is what the head of an answer means to the request that waits for one.
@@ -128,9 +128,9 @@
 		}
 		kind := proxy.config.Headers.classify(response, request.id, request.route.Kind.IsIdempotent())
 		if kind == refusalHead || kind == finalHead {
-			connection.early = !connection.upload.finished()
+			connection.answeredEarly = !connection.upload.finished()
 			held.target.observeLoad(response.Header.Get(proxy.config.Headers.Load), proxy.clock())
-			connection.heed(response.Header.Get("Keep-Alive"))
+			connection.observeKeepAlive(response.Header.Get("Keep-Alive"))
 		}
 		switch kind {
 		case interimHead:
@@ -170,10 +170,10 @@
 		err := connection.conn.SetDeadline(proxy.clock().Add(refusalDrain))
 		proxy.release(target, connection, err == nil && readToEnd(response))
 	} else {
-		target.drop(connection)
+		target.discard(connection)
 	}
 	if response.StatusCode == http.StatusMisdirectedRequest {
-		target.displace(proxy.clock())
+		target.replacedByOther(proxy.clock())
 		proxy.counters.Add("backends_replaced", 1)
 	}
 }
@@ -191,7 +191,7 @@
 	if response.ContentLength > 0 && response.ContentLength <= maxBufferedBody {
 		buffer.Grow(int(response.ContentLength) + bytes.MinRead)
 	}
-	source := &shapedReader{from: response.Body, shaper: proxy.inbound, ctx: request.within, clock: proxy.clock, large: response.ContentLength > bulkLeast}
+	source := &shapedReader{from: response.Body, shaper: proxy.inbound, ctx: request.bounded, clock: proxy.clock, large: response.ContentLength > largeBody}
 	count, err := io.Copy(&buffer, io.LimitReader(source, maxBufferedBody))
 	if err != nil {
 		return nil, lost
@@ -200,7 +200,7 @@
 	switch {
 	case response.ContentLength >= 0 && count == response.ContentLength:
 	case count == maxBufferedBody:
-		got.rest = source
+		got.remainder = source
 	case response.ContentLength >= 0:
 		return nil, lost
 	}
--- a/hostproxy/attempt.go
+++ b/hostproxy/attempt.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	dialNear = 300 * time.Millisecond
-	dialFar  = 600 * time.Millisecond
+	nearDialTimeout = 300 * time.Millisecond
+	farDialTimeout  = 600 * time.Millisecond
 )
 
 // hopByHop are the fields that concern one connection only.
@@ -55,16 +55,16 @@
 // connect gives a connection to the target, an idle one or a new one; nil when there
 // is none to have.
 func (proxy *Proxy) connect(held *candidate, most int, limit time.Time) *connection {
-	if taken := held.target.reserveWarmup(proxy.clock()); taken != nil {
+	if taken := held.target.takeIdle(proxy.clock()); taken != nil {
 		return taken
 	}
 	if !held.target.reserve(most) {
 		proxy.counters.Add("connections_capped", 1)
 		return nil
 	}
-	patience := dialNear
-	if held.far == otherRegion {
-		patience = dialFar
+	patience := nearDialTimeout
+	if held.distance == otherRegion {
+		patience = farDialTimeout
 	}
 	begin := proxy.clock()
 	if until := begin.Add(patience); until.Before(limit) {
@@ -87,27 +87,27 @@
 // attempt sends the request to one backend and reads what it answers. One that may
 // have run already, and may run only once, is sent nowhere.
 func (proxy *Proxy) attempt(request *request, held *candidate, most int) (*answer, outcome) {
-	if request.exposed && !request.route.Kind.IsIdempotent() {
+	if request.mayHaveRun && !request.route.Kind.IsIdempotent() {
 		proxy.counters.Add("repeats_prevented", 1)
 		return nil, lost
 	}
-	connection := proxy.connect(held, most, request.limit)
+	connection := proxy.connect(held, most, request.deadline)
 	if connection == nil {
 		return nil, unsent
 	}
-	if request.limit.Sub(proxy.clock()) < time.Millisecond || request.context.Err() != nil {
-		held.target.give(connection)
+	if request.deadline.Sub(proxy.clock()) < time.Millisecond || request.context.Err() != nil {
+		held.target.release(connection)
 		return nil, unsent
 	}
-	before := request.exposed
-	request.exposed = true
+	before := request.mayHaveRun
+	request.mayHaveRun = true
 	begun := proxy.usageMeter.begin(request.tenantName())
 	answer, ended := proxy.exchange(request, held, connection)
 	notRun := ended == unsent || ended == refused
 	if notRun {
-		request.exposed = before
+		request.mayHaveRun = before
 	}
-	proxy.usageMeter.settle(begun, !notRun)
+	proxy.usageMeter.finish(begun, !notRun)
 	return answer, ended
 }
 
@@ -115,18 +115,18 @@
 // given back, or closed, in every case but that of an answer that still streams.
 func (proxy *Proxy) exchange(request *request, held *candidate, connection *connection) (*answer, outcome) {
 	begin := proxy.clock()
-	if err := connection.conn.SetDeadline(request.limit.Add(limitSlack)); err != nil {
-		held.target.drop(connection)
+	if err := connection.conn.SetDeadline(request.deadline.Add(deadlineSlack)); err != nil {
+		held.target.discard(connection)
 		held.target.failed(begin, false)
 		return nil, unsent
 	}
 	stop := context.AfterFunc(request.context, func() {
 		_ = connection.conn.SetDeadline(time.Unix(1, 0)) // fails where the connection is closed, and nobody waits at it
 	})
-	head := proxy.head(request, held.target.backend.Name, request.limit.Sub(begin))
+	head := proxy.requestHead(request, held.target.backend.Name, request.deadline.Sub(begin))
 	if sent, err := proxy.send(connection, head, request.body); err != nil {
 		stop()
-		held.target.drop(connection)
+		held.target.discard(connection)
 		held.target.failed(proxy.clock(), false)
 		if sent {
 			return nil, lost
@@ -139,14 +139,14 @@
 		answer.release = func(sound bool) {
 			proxy.release(held.target, connection, stop() && sound)
 		}
-		held.target.served(now.Sub(begin), request.stat.mean(request.route), answer.response.StatusCode < 500)
-		if answer.rest == nil {
+		held.target.served(now.Sub(begin), request.stats.mean(request.route), answer.response.StatusCode < 500)
+		if answer.remainder == nil {
 			answer.release(!answer.response.Close)
 		}
 	case lost:
 		stop()
-		held.target.drop(connection)
-		if request.context.Err() == nil && now.Before(request.limit) {
+		held.target.discard(connection)
+		if request.context.Err() == nil && now.Before(request.deadline) {
 			held.target.failed(now, false)
 		}
 	}
@@ -155,15 +155,15 @@
 
 // release gives a connection back where nothing unread is left on it, at either end.
 func (proxy *Proxy) release(target *target, connection *connection, sound bool) {
-	if !sound || connection.early || connection.reader.Buffered() > 0 {
-		target.drop(connection)
+	if !sound || connection.answeredEarly || connection.reader.Buffered() > 0 {
+		target.discard(connection)
 		return
 	}
 	if err := connection.conn.SetDeadline(time.Time{}); err != nil {
-		target.drop(connection)
+		target.discard(connection)
 		return
 	}
-	target.give(connection)
+	target.release(connection)
 }
 
 // send writes head and body, a large one in the background; sent is whether any byte
@@ -181,8 +181,8 @@
 	return count > 0, err
 }
 
-// head is the request's line and fields as this backend gets them.
-func (proxy *Proxy) head(request *request, backend string, left time.Duration) []byte {
+// requestHead is the request's line and fields as this backend gets them.
+func (proxy *Proxy) requestHead(request *request, backend string, left time.Duration) []byte {
 	names, source := &proxy.config.Headers, request.source
 	head := make([]byte, 0, 512+min(len(request.body), smallBody))
 	head = append(head, source.Method...)
@@ -199,7 +199,7 @@
 	}
 	listed := names.listedByConnection(source.Header)
 	for name, values := range source.Header {
-		if hopByHop[name] || listed[name] || proxy.withheld[name] || name == "Content-Length" || name == "Expect" {
+		if hopByHop[name] || listed[name] || proxy.withheldHeaders[name] || name == "Content-Length" || name == "Expect" {
 			continue
 		}
 		if name == "Authorization" && slices.ContainsFunc(values, proxy.isKey) {
--- a/hostproxy/budget.go
+++ b/hostproxy/budget.go
@@ -9,48 +9,48 @@
 type Budget struct {
 	mutex  sync.Mutex
 	tokens float64
-	most   float64
+	limit  float64
 	ratio  float64
 
 	presumed bool
 }
 
 const (
-	budgetUse   = 0.75
-	budgetStart = 1
+	budgetMargin = 0.75
+	budgetStart  = 1
 )
 
-// share lays down what is allowed with so many proxies; fewer give no more until
+// setShare lays down what is allowed with so many proxies; fewer give no more until
 // the count is believed again by a new process.
-func (budget *Budget) share(ratio, extra float64, proxies int) {
+func (budget *Budget) setShare(ratio, extra float64, proxies int) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
-	most := extra * budgetUse / float64(max(proxies, 1))
-	if budget.most == 0 {
-		budget.most = most
+	most := extra * budgetMargin / float64(max(proxies, 1))
+	if budget.limit == 0 {
+		budget.limit = most
 		budget.tokens = min(budgetStart, most)
 	}
 	if budget.presumed {
-		budget.most, budget.presumed = most, false
+		budget.limit, budget.presumed = most, false
 	}
-	budget.most = min(budget.most, most)
-	budget.ratio = ratio * budgetUse
-	budget.tokens = min(budget.tokens, budget.most)
+	budget.limit = min(budget.limit, most)
+	budget.ratio = ratio * budgetMargin
+	budget.tokens = min(budget.tokens, budget.limit)
 }
 
-// presume is share while no leader said how many proxies there are: no more is
+// presumeShare is share while no leader said how many proxies there are: no more is
 // saved up than what a fresh process starts with.
-func (budget *Budget) presume(ratio, extra float64, proxies int) {
-	budget.share(ratio, extra, proxies)
+func (budget *Budget) presumeShare(ratio, extra float64, proxies int) {
+	budget.setShare(ratio, extra, proxies)
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
-	budget.most, budget.presumed = min(budget.most, budgetStart), true
-	budget.tokens = min(budget.tokens, budget.most)
+	budget.limit, budget.presumed = min(budget.limit, budgetStart), true
+	budget.tokens = min(budget.tokens, budget.limit)
 }
 
-func (budget *Budget) request() {
+func (budget *Budget) recordRequest() {
 	budget.mutex.Lock()
-	budget.tokens = min(budget.most, budget.tokens+budget.ratio)
+	budget.tokens = min(budget.limit, budget.tokens+budget.ratio)
 	budget.mutex.Unlock()
 }
 
--- a/hostproxy/budget_test.go
+++ b/hostproxy/budget_test.go
@@ -39,7 +39,7 @@
 			ratio, extra := 0.2, 62.0
 			count := 1 + random.IntN(20)
 			most := count
-			fresh := func() *Budget { budget := &Budget{}; budget.share(ratio, extra, most); return budget }
+			fresh := func() *Budget { budget := &Budget{}; budget.setShare(ratio, extra, most); return budget }
 			budgets := []*Budget{}
 			for range count {
 				budgets = append(budgets, fresh())
@@ -66,10 +66,10 @@
 				}
 				budget := budgets[random.IntN(len(budgets))]
 				if random.IntN(20) == 0 {
-					budget.share(ratio, extra, most)
+					budget.setShare(ratio, extra, most)
 				}
 				if random.IntN(wish) == 0 {
-					budget.request()
+					budget.recordRequest()
 					events = append(events, spending{time.Now(), false})
 				}
 				for range takes[step/1500%len(takes)] {
@@ -94,12 +94,12 @@
 // More proxies lower what one may save up at once; fewer do not raise it.
 func TestBudgetShare(test *testing.T) {
 	budget := &Budget{}
-	budget.share(0.2, 60, 1)
+	budget.setShare(0.2, 60, 1)
 	if !budget.take() || budget.take() {
 		test.Error("a fresh budget has not just one attempt")
 	}
 	for range 10_000 {
-		budget.request()
+		budget.recordRequest()
 	}
 	if budget.tokens != 45 {
 		test.Errorf("%v saved up", budget.tokens)
@@ -108,12 +108,12 @@
 		proxies int
 		most    float64
 	}{{1, 45}, {9, 5}, {3, 5}} {
-		if budget.share(0.2, 60, step.proxies); budget.tokens != step.most || budget.most != step.most {
-			test.Errorf("%d proxies: %v of %v", step.proxies, budget.tokens, budget.most)
+		if budget.setShare(0.2, 60, step.proxies); budget.tokens != step.most || budget.limit != step.most {
+			test.Errorf("%d proxies: %v of %v", step.proxies, budget.tokens, budget.limit)
 		}
 	}
-	budget.share(0, 0, 1)
-	if budget.request(); budget.take() {
+	budget.setShare(0, 0, 1)
+	if budget.recordRequest(); budget.take() {
 		test.Error("granted where nothing is allowed")
 	}
 }
@@ -123,9 +123,9 @@
 func TestBudgetBeforeALeader(test *testing.T) {
 	budget := &Budget{}
 	for range 3 {
-		budget.presume(0.2, 60, 1)
+		budget.presumeShare(0.2, 60, 1)
 		for range 100 {
-			budget.request()
+			budget.recordRequest()
 		}
 		if budget.tokens != budgetStart {
 			test.Errorf("%v saved up before a leader", budget.tokens)
@@ -135,9 +135,9 @@
 		proxies int
 		most    float64
 	}{{5, 9}, {9, 5}, {3, 5}} {
-		budget.share(0.2, 60, step.proxies)
+		budget.setShare(0.2, 60, step.proxies)
 		for range 100 {
-			budget.request()
+			budget.recordRequest()
 		}
 		if budget.tokens != step.most {
 			test.Errorf("%d proxies: %v saved up", step.proxies, budget.tokens)
@@ -153,7 +153,7 @@
 		proxy.Apply(&routing.State{Config: ownConfig()}, &message.Table{Version: message.TableVersion{Term: message.Term{Number: round}, Number: 1}, Members: members([]string{"p1"}, []string{"e1"})})
 		budget := proxy.budgets["plain"]
 		for range 1000 {
-			budget.request()
+			budget.recordRequest()
 		}
 		if want := map[uint64]float64{0: budgetStart, 1: 45}[round]; budget.tokens != want {
 			test.Errorf("round %d: %v saved up, want %v", round, budget.tokens, want)
--- a/hostproxy/carry.go
+++ b/hostproxy/carry.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// leastTarget stands in for a route's target time where that is shorter or not given.
-const leastTarget = 40 * time.Millisecond
+// minTarget stands in for a route's target time where that is shorter or not given.
+const minTarget = 40 * time.Millisecond
 
-// carry sends the request until an answer stands, nothing more may be tried, or
+// forward sends the request until an answer stands, nothing more may be tried, or
 // time is over. What has not run and will not is refused with a time to come back.
-func (proxy *Proxy) carry(request *request) {
-	target := max(time.Duration(request.route.TargetMs)*time.Millisecond, leastTarget)
-	waitUntil := request.begin.Add(min(target, request.limit.Sub(request.begin)) / waitShare)
+func (proxy *Proxy) forward(request *request) {
+	target := max(time.Duration(request.route.TargetMs)*time.Millisecond, minTarget)
+	waitUntil := request.begin.Add(min(target, request.deadline.Sub(request.begin)) / waitShare)
 	for {
-		held, connections := proxy.next(request, waitUntil)
-		if held == nil {
-			proxy.conclude(request)
+		candidate, connections := proxy.nextBackend(request, waitUntil)
+		if candidate == nil {
+			proxy.giveUp(request)
 			return
 		}
 		proxy.move(request, sending)
-		answer, ended := proxy.attempt(request, held, connections)
-		if ended == answered && answer.rest != nil {
+		answer, ended := proxy.attempt(request, candidate, connections)
+		if ended == answered && answer.remainder != nil {
 			defer func() {
-				held.target.leave()
-				proxy.freed.Notify()
+				candidate.target.end()
+				proxy.capacityFreed.Notify()
 			}()
 			proxy.finish(request, answer)
 			return
 		}
-		held.target.leave()
+		candidate.target.end()
 		if ended != unsent && proxy.queues.waiting() {
-			proxy.freed.Notify()
+			proxy.capacityFreed.Notify()
 		}
-		request.tried = append(request.tried, held.target)
+		request.tried = append(request.tried, candidate.target)
 		if proxy.settle(request, answer, ended) {
 			return
 		}
 	}
 }
 
-// next waits for a backend that may take the request, and tells how many connections
+// nextBackend waits for a backend that may take the request, and tells how many connections
 // to it are allowed; nil when there is none in time, or no budget for a retry.
-func (proxy *Proxy) next(request *request, waitUntil time.Time) (*candidate, int) {
+func (proxy *Proxy) nextBackend(request *request, waitUntil time.Time) (*candidate, int) {
 	for {
 		view := proxy.view.Load()
 		service, found := view.index.ServiceIndex(request.service)
@@ -51,23 +51,23 @@
 			return nil, 0
 		}
 		proxy.endIfGone(request)
-		if !proxy.clock().Before(request.limit) {
+		if !proxy.clock().Before(request.deadline) {
 			return nil, 0
 		}
-		seen := proxy.freed.Count()
-		held, how := proxy.choose(request, view.services[service], request.tried)
-		if held == nil {
+		seen := proxy.capacityFreed.Count()
+		candidate, how := proxy.choose(request, view.services[service], request.tried)
+		if candidate == nil {
 			if !proxy.wait(request, how, seen, waitUntil) {
 				return nil, 0
 			}
 			continue
 		}
 		if request.attempts > 0 && !view.budgets[service].take() {
-			held.target.leave()
+			candidate.target.end()
 			proxy.counters.Add("budget_empty", 1)
 			return nil, 0
 		}
-		return held, view.most[service]
+		return candidate, view.connections[service]
 	}
 }
 
@@ -82,7 +82,7 @@
 		return false
 	}
 	proxy.move(request, waiting)
-	proxy.freed.Wait(seen, min(left, waitInterval))
+	proxy.capacityFreed.Wait(seen, min(left, waitInterval))
 	proxy.queues.leave(request.rank)
 	return true
 }
@@ -105,7 +105,7 @@
 			proxy.finish(request, answer)
 			return true
 		}
-		request.last = answer
+		request.lastAnswer = answer
 	case refused:
 		proxy.counters.Add("attempts_refused", 1)
 	case lost:
@@ -116,15 +116,15 @@
 		}
 	}
 	if spent {
-		proxy.conclude(request)
+		proxy.giveUp(request)
 	}
 	return spent
 }
 
-// conclude ends a request that nobody more may be asked for.
-func (proxy *Proxy) conclude(request *request) {
-	if request.last != nil {
-		proxy.finish(request, request.last)
+// giveUp ends a request that nobody more may be asked for.
+func (proxy *Proxy) giveUp(request *request) {
+	if request.lastAnswer != nil {
+		proxy.finish(request, request.lastAnswer)
 		return
 	}
 	proxy.refuse(request, http.StatusServiceUnavailable, rpc.Overloaded)
--- a/hostproxy/choose.go
+++ b/hostproxy/choose.go
@@ -32,7 +32,7 @@
 func (proxy *Proxy) choose(request *request, candidates []candidate, tried []*target) (*candidate, choice) {
 	now := proxy.clock()
 	trueNow := proxy.now()
-	mean, kilobytes := request.stat.expect(request.route)
+	mean, kilobytes := request.stats.expect(request.route)
 	var best *candidate
 	bestCost, full := 0.0, false
 	var fallback, coldest *candidate
@@ -42,33 +42,33 @@
 		offset = rand.IntN(len(candidates))
 	}
 	for step := range candidates {
-		held := &candidates[(step+offset)%len(candidates)]
-		if !allowed(request.route.Homes, held.region) || request.tenant != nil && !allowed(request.tenant.Homes, held.region) {
+		candidate := &candidates[(step+offset)%len(candidates)]
+		if !allowsRegion(request.route.Homes, candidate.region) || request.tenant != nil && !allowsRegion(request.tenant.Homes, candidate.region) {
 			continue
 		}
 		permitted = true
-		if slices.Contains(tried, held.target) {
+		if slices.Contains(tried, candidate.target) {
 			continue
 		}
 		far := 0.0
-		switch held.far {
+		switch candidate.distance {
 		case sameRegion:
 			far = min(nearPenalty+kilobytes*kilobytePenalty, maxNear*float64(request.route.TargetMs))
 		case otherRegion:
 			far = min(farPenalty+kilobytes*kilobytePenalty, maxFar*float64(request.route.TargetMs))
 		}
-		cost, isFull, ejected := held.target.setWeight(now, mean, far)
-		if held.cold(now, trueNow) {
-			if !held.owned || isFull || ejected {
+		cost, isFull, ejected := candidate.target.evaluate(now, mean, far)
+		if candidate.cold(now, trueNow) {
+			if !candidate.owned || isFull || ejected {
 				continue
 			}
 			if coldest == nil || cost < coldCost {
-				coldest, coldCost = held, cost
+				coldest, coldCost = candidate, cost
 			}
 			continue
 		}
 		if ejected {
-			fallback = held
+			fallback = candidate
 			continue
 		}
 		if isFull {
@@ -76,10 +76,10 @@
 			continue
 		}
 		if best == nil || cost < bestCost {
-			best, bestCost = held, cost
+			best, bestCost = candidate, cost
 		}
 	}
-	if best == nil && coldest != nil && coldest.target.warm(now, coldest.warming) {
+	if best == nil && coldest != nil && coldest.target.takeWarmup(now, coldest.warmupRate) {
 		best = coldest
 	}
 	if best == nil && !full && fallback != nil && len(tried) == 0 {
@@ -87,7 +87,7 @@
 	}
 	switch {
 	case best != nil:
-		best.target.enter()
+		best.target.begin()
 		return best, chosen
 	case !permitted:
 		return nil, noneAllowed
--- a/hostproxy/choose_test.go
+++ b/hostproxy/choose_test.go
@@ -14,8 +14,8 @@
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
 		proxies[0].Apply(&routing.State{Config: ownConfig()}, table)
-		if held, _ := proxies[0].pick(nil, nil); held.target.backend.Name != "near" {
-			test.Errorf("chose %s", held.target.backend.Name)
+		if candidate, _ := proxies[0].pick(nil, nil); candidate.target.backend.Name != "near" {
+			test.Errorf("chose %s", candidate.target.backend.Name)
 		}
 		for range 30 {
 			proxies[0].pick(nil, nil)
@@ -53,9 +53,9 @@
 		proxy.Apply(&routing.State{Config: ownConfig()}, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends})
 		counts := map[string]int{}
 		for range 400 {
-			held, _ := proxy.pick(nil, nil)
-			counts[held.target.backend.Name]++
-			held.target.leave()
+			candidate, _ := proxy.pick(nil, nil)
+			counts[candidate.target.backend.Name]++
+			candidate.target.end()
 		}
 		for name, count := range counts {
 			if count < 50 || count > 160 {
@@ -74,8 +74,8 @@
 		for range 36 {
 			proxies[0].pick(nil, nil)
 		}
-		if held, how := proxies[0].pick(nil, nil); how != allFull {
-			test.Errorf("choice %d: %v", how, held)
+		if candidate, how := proxies[0].pick(nil, nil); how != allFull {
+			test.Errorf("choice %d: %v", how, candidate)
 		}
 	})
 }
@@ -88,11 +88,11 @@
 		proxies[0].Apply(&routing.State{Config: ownConfig()}, table)
 		tried := []*target{}
 		for range 4 {
-			held, how := proxies[0].pick(nil, nil, tried...)
+			candidate, how := proxies[0].pick(nil, nil, tried...)
 			if how != chosen {
 				test.Fatalf("choice %d", how)
 			}
-			tried = append(tried, held.target)
+			tried = append(tried, candidate.target)
 		}
 		if _, how := proxies[0].pick(nil, nil, tried...); how != noneLeft {
 			test.Errorf("choice %d with all tried", how)
@@ -126,9 +126,9 @@
 func TestIdleConnectionIsPreferred(test *testing.T) {
 	target := newTarget(message.Backend{Name: "b", Capacity: 4})
 	now := time.Now()
-	bare, _, _ := target.setWeight(now, 100, 0)
+	bare, _, _ := target.evaluate(now, 100, 0)
 	target.idle = append(target.idle, &connection{})
-	with, _, _ := target.setWeight(now, 100, 0)
+	with, _, _ := target.evaluate(now, 100, 0)
 	if bare-with != openPenalty {
 		test.Errorf("%v without, %v with one", bare, with)
 	}
--- a/hostproxy/connection.go
+++ b/hostproxy/connection.go
@@ -18,7 +18,7 @@
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
 const (
-	connectionIdle   = 8 * time.Second
+	maxIdle          = 8 * time.Second
 	connectionBuffer = 4 << 10
 	maxHead          = 256 << 10
 )
@@ -26,18 +26,18 @@
 // connection carries one request at a time to one backend. It is early when an answer
 // came before its request was sent whole: the backend may not read the rest of it.
 type connection struct {
-	conn   net.Conn
-	head   *io.LimitedReader
-	reader *bufio.Reader
-	used   time.Time
-	idle   time.Duration
-	upload *upload
-	early  bool
+	conn          net.Conn
+	head          *io.LimitedReader
+	reader        *bufio.Reader
+	usedAt        time.Time
+	idleTimeout   time.Duration
+	upload        *upload
+	answeredEarly bool
 }
 
 func newConnection(conn net.Conn) *connection {
 	head := &io.LimitedReader{R: conn, N: maxHead}
-	return &connection{conn: conn, head: head, reader: bufio.NewReaderSize(head, connectionBuffer), used: time.Now(), idle: connectionIdle}
+	return &connection{conn: conn, head: head, reader: bufio.NewReaderSize(head, connectionBuffer), usedAt: time.Now(), idleTimeout: maxIdle}
 }
 
 // answer reads the head of an answer; one that does not end is cut off.
@@ -48,10 +48,10 @@
 	return response, err
 }
 
-// sound is whether an idle connection may carry another request: not too old, not
+// isReusable is whether an idle connection may carry another request: not too old, not
 // closed by the other side, and with no byte that nobody asked for.
-func (connection *connection) sound(now time.Time) bool {
-	if now.Sub(connection.used) >= connection.idle || connection.reader.Buffered() > 0 {
+func (connection *connection) isReusable(now time.Time) bool {
+	if now.Sub(connection.usedAt) >= connection.idleTimeout || connection.reader.Buffered() > 0 {
 		return false
 	}
 	able, is := connection.conn.(syscall.Conn)
@@ -72,15 +72,15 @@
 	return err == nil && quiet
 }
 
-// heed lays down what an answer's Keep-Alive field says of idle time.
-func (connection *connection) heed(keepAlive string) {
+// observeKeepAlive lays down what an answer's Keep-Alive field says of idle time.
+func (connection *connection) observeKeepAlive(keepAlive string) {
 	for _, part := range strings.Split(keepAlive, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil && seconds >= 0 {
-			connection.idle = min(connectionIdle, time.Duration(min(seconds, 3600))*time.Second*3/4)
+			connection.idleTimeout = min(maxIdle, time.Duration(min(seconds, 3600))*time.Second*3/4)
 		}
 	}
 }
--- a/hostproxy/connection_test.go
+++ b/hostproxy/connection_test.go
@@ -46,21 +46,21 @@
 		"closed":      {func(_ *connection, far net.Conn) { far.Close() }, false},
 		"a byte":      {func(_ *connection, far net.Conn) { write(far, "x") }, false},
 		"closed here": {func(near *connection, _ net.Conn) { near.close() }, false},
-		"too old":     {func(near *connection, _ net.Conn) { near.used = now.Add(-connectionIdle) }, false},
-		"told so":     {func(near *connection, _ net.Conn) { near.heed("timeout=0") }, false},
+		"too old":     {func(near *connection, _ net.Conn) { near.usedAt = now.Add(-maxIdle) }, false},
+		"told so":     {func(near *connection, _ net.Conn) { near.observeKeepAlive("timeout=0") }, false},
 		"left over": {func(near *connection, far net.Conn) {
 			write(far, "xy")
 			if _, err := near.reader.ReadByte(); err != nil {
 				test.Error(err)
 			}
 		}, false},
-		"not so old": {func(near *connection, _ net.Conn) { near.used = now.Add(time.Millisecond - connectionIdle) }, true},
+		"not so old": {func(near *connection, _ net.Conn) { near.usedAt = now.Add(time.Millisecond - maxIdle) }, true},
 	} {
 		near, far := sockets(test)
 		held := newConnection(near)
-		held.used = now
+		held.usedAt = now
 		play.spoil(held, far)
-		if held.sound(now) != play.sound {
+		if held.isReusable(now) != play.sound {
 			test.Errorf("%s: sound %v", name, !play.sound)
 		}
 	}
@@ -75,29 +75,29 @@
 	fars := []net.Conn{}
 	for range 3 {
 		near, far := sockets(test)
-		held.give(newConnection(near))
+		held.release(newConnection(near))
 		fars = append(fars, far)
 	}
 	fars[2].Close()
 	if _, err := fars[1].Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
 		test.Fatal(err)
 	}
-	taken := held.reserveWarmup(time.Now())
+	taken := held.takeIdle(time.Now())
 	if taken == nil || held.open != 1 || len(held.idle) != 0 {
 		test.Fatalf("%v, %d open", taken, held.open)
 	}
-	if held.drop(taken); held.reserveWarmup(time.Now()) != nil || held.open != 0 {
+	if held.discard(taken); held.takeIdle(time.Now()) != nil || held.open != 0 {
 		test.Errorf("%d open", held.open)
 	}
 }
 
 // What Keep-Alive says shortens the time of an idle connection, never lengthens it.
 func TestKeepAlive(test *testing.T) {
-	for text, want := range map[string]time.Duration{"": connectionIdle, "timeout=4": 3 * time.Second, "max=5, Timeout=2": 1500 * time.Millisecond, "timeout=0": 0, "timeout=900": connectionIdle,
-		"timeout=-1": connectionIdle, "timeout=x": connectionIdle, "timeout": connectionIdle, "timeout=99999999999999999999": connectionIdle, "timeout=9999999999": connectionIdle} {
+	for text, want := range map[string]time.Duration{"": maxIdle, "timeout=4": 3 * time.Second, "max=5, Timeout=2": 1500 * time.Millisecond, "timeout=0": 0, "timeout=900": maxIdle,
+		"timeout=-1": maxIdle, "timeout=x": maxIdle, "timeout": maxIdle, "timeout=99999999999999999999": maxIdle, "timeout=9999999999": maxIdle} {
 		held := newConnection(nil)
-		if held.heed(text); held.idle != want {
-			test.Errorf("%q: %s", text, held.idle)
+		if held.observeKeepAlive(text); held.idleTimeout != want {
+			test.Errorf("%q: %s", text, held.idleTimeout)
 		}
 	}
 }
@@ -111,8 +111,8 @@
 	}{
 		"at once":         {well, 0, 1},
 		"chunked":         {chunked, 0, 1},
-		"after a while":   {well, connectionIdle - time.Second, 1},
-		"too long":        {well, connectionIdle, 2},
+		"after a while":   {well, maxIdle - time.Second, 1},
+		"too long":        {well, maxIdle, 2},
 		"within timeout":  {withFields("Keep-Alive: timeout=2\r\n"), 1400 * time.Millisecond, 1},
 		"past timeout":    {withFields("Keep-Alive: timeout=2\r\n"), 1500 * time.Millisecond, 2},
 		"timeout of none": {withFields("Keep-Alive: timeout=0\r\n"), 0, 2},
@@ -146,7 +146,7 @@
 		world.add("b1")
 		reply, id := world.get("/once/a")
 		world.good(reply, id)
-		world.goroutines.Sleep(connectionIdle - time.Second)
+		world.goroutines.Sleep(maxIdle - time.Second)
 		if open, _ := world.held("b1"); open != 1 {
 			test.Errorf("%d open early", open)
 		}
--- a/hostproxy/fuzz_test.go
+++ b/hostproxy/fuzz_test.go
@@ -401,7 +401,7 @@
 			world.add("b1")
 			world.add("b2")
 			for _, budget := range world.proxy.view.Load().budgets {
-				budget.tokens = budget.most
+				budget.tokens = budget.limit
 			}
 			(&fuzzed{world: world, witness: newWitness(), program: program, secret: sha256.Sum256(program)}).play()
 		})
--- a/hostproxy/lines.go
+++ b/hostproxy/lines.go
@@ -10,31 +10,31 @@
 }
 
 // enter is false when too many wait already.
-func (lines *waitQueues) enter(rank int) bool {
-	lines.mutex.Lock()
-	defer lines.mutex.Unlock()
-	if lines.total >= maxWaiting {
+func (queues *waitQueues) enter(rank int) bool {
+	queues.mutex.Lock()
+	defer queues.mutex.Unlock()
+	if queues.total >= maxWaiting {
 		return false
 	}
-	if lines.count == nil {
-		lines.count = map[int]int{}
+	if queues.count == nil {
+		queues.count = map[int]int{}
 	}
-	lines.count[rank]++
-	lines.total++
+	queues.count[rank]++
+	queues.total++
 	return true
 }
 
-func (lines *waitQueues) leave(rank int) {
-	lines.mutex.Lock()
-	lines.count[rank]--
-	lines.total--
-	lines.mutex.Unlock()
+func (queues *waitQueues) leave(rank int) {
+	queues.mutex.Lock()
+	queues.count[rank]--
+	queues.total--
+	queues.mutex.Unlock()
 }
 
-func (lines *waitQueues) waiting() bool {
-	lines.mutex.Lock()
-	defer lines.mutex.Unlock()
-	return lines.total > 0
+func (queues *waitQueues) waiting() bool {
+	queues.mutex.Lock()
+	defer queues.mutex.Unlock()
+	return queues.total > 0
 }
 
 // inFlightCounts counts what is under way, and lets a planned end wait for it.
@@ -43,22 +43,22 @@
 	running int
 }
 
-func (flight *inFlightCounts) enter() {
-	flight.mutex.Lock()
-	flight.running++
-	flight.mutex.Unlock()
+func (counts *inFlightCounts) enter() {
+	counts.mutex.Lock()
+	counts.running++
+	counts.mutex.Unlock()
 }
 
-func (flight *inFlightCounts) leave() {
-	flight.mutex.Lock()
-	flight.running--
-	flight.mutex.Unlock()
+func (counts *inFlightCounts) leave() {
+	counts.mutex.Lock()
+	counts.running--
+	counts.mutex.Unlock()
 }
 
-func (flight *inFlightCounts) now() int {
-	flight.mutex.Lock()
-	defer flight.mutex.Unlock()
-	return flight.running
+func (counts *inFlightCounts) now() int {
+	counts.mutex.Lock()
+	defer counts.mutex.Unlock()
+	return counts.running
 }
 
 // bodyMemory bound the bytes of requests that are being read.
@@ -67,7 +67,7 @@
 	held  int64
 }
 
-func (bodies *bodyMemory) take(size int64) bool {
+func (bodies *bodyMemory) reserve(size int64) bool {
 	bodies.mutex.Lock()
 	defer bodies.mutex.Unlock()
 	if bodies.held+size > maxBodies && bodies.held > 0 {
@@ -77,7 +77,7 @@
 	return true
 }
 
-func (bodies *bodyMemory) give(size int64) {
+func (bodies *bodyMemory) release(size int64) {
 	bodies.mutex.Lock()
 	bodies.held -= size
 	bodies.mutex.Unlock()
--- a/hostproxy/link.go
+++ b/hostproxy/link.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	bulkLeast   = 32 << 10
-	bulkChunk   = 8 << 10
-	bulkBurst   = 32 << 10
-	bulkFloor   = 0.25
-	linkUse     = 0.9
-	linkPace    = 100 * time.Millisecond
-	urgentShare = 0.4
-	urgentBurst = 1.1
+	largeBody    = 32 << 10
+	bulkChunk    = 8 << 10
+	bulkBurst    = 32 << 10
+	bulkShare    = 0.25
+	linkUse      = 0.9
+	rateInterval = 100 * time.Millisecond
+	urgentWeight = 0.4
+	urgentBurst  = 1.1
 )
 
 // Shaper is one direction of this machine's link. Small answers and requests pass at
 // once; large ones take what these leave, and never less than their floor.
 type Shaper struct {
-	whole float64
-	bulk  *rate.Limiter
+	capacity float64
+	bulk     *rate.Limiter
 
-	mutex   sync.Mutex
-	bytes   float64
-	urgent  float64
-	hasRate time.Time
+	mutex       sync.Mutex
+	urgentBytes float64
+	urgentRate  float64
+	updatedAt   time.Time
 }
 
 // newShaper is nil for a link without a bound.
@@ -37,16 +37,16 @@
 	if bytesPerSecond <= 0 {
 		return nil
 	}
-	return &Shaper{whole: bytesPerSecond, bulk: rate.NewLimiter(rate.Limit(bytesPerSecond*linkUse), bulkBurst), hasRate: now}
+	return &Shaper{capacity: bytesPerSecond, bulk: rate.NewLimiter(rate.Limit(bytesPerSecond*linkUse), bulkBurst), updatedAt: now}
 }
 
 // TransferLimiter lets so many large answers be fetched at once that what their senders have
 // under way never fills the link for long; a reader alone cannot hold them back.
 type TransferLimiter struct {
-	most int
+	limit int
 
-	mutex sync.Mutex
-	held  int
+	mutex  sync.Mutex
+	active int
 }
 
 const (
@@ -60,7 +60,7 @@
 	if bytesPerSecond <= 0 {
 		return nil
 	}
-	return &TransferLimiter{most: max(minTransfers, int(bytesPerSecond*transferSpan/transferWindow))}
+	return &TransferLimiter{limit: max(minTransfers, int(bytesPerSecond*transferSpan/transferWindow))}
 }
 
 func (transfers *TransferLimiter) enter() bool {
@@ -69,10 +69,10 @@
 	}
 	transfers.mutex.Lock()
 	defer transfers.mutex.Unlock()
-	if transfers.held >= transfers.most {
+	if transfers.active >= transfers.limit {
 		return false
 	}
-	transfers.held++
+	transfers.active++
 	return true
 }
 
@@ -81,7 +81,7 @@
 		return
 	}
 	transfers.mutex.Lock()
-	transfers.held--
+	transfers.active--
 	transfers.mutex.Unlock()
 }
 
@@ -91,20 +91,20 @@
 		return
 	}
 	shaper.mutex.Lock()
-	shaper.bytes += float64(bytes)
-	shaper.setRate(now)
+	shaper.urgentBytes += float64(bytes)
+	shaper.updateRate(now)
 	shaper.mutex.Unlock()
 }
 
-// setRate sets what is left for large answers by what small ones took of late.
-func (shaper *Shaper) setRate(now time.Time) {
-	span := now.Sub(shaper.hasRate)
-	if span < linkPace {
+// updateRate sets what is left for large answers by what small ones took of late.
+func (shaper *Shaper) updateRate(now time.Time) {
+	span := now.Sub(shaper.updatedAt)
+	if span < rateInterval {
 		return
 	}
-	shaper.urgent += urgentShare * (shaper.bytes/span.Seconds() - shaper.urgent)
-	shaper.bytes, shaper.hasRate = 0, now
-	shaper.bulk.SetLimitAt(now, rate.Limit(max(bulkFloor*shaper.whole, linkUse*shaper.whole-urgentBurst*shaper.urgent)))
+	shaper.urgentRate += urgentWeight * (shaper.urgentBytes/span.Seconds() - shaper.urgentRate)
+	shaper.urgentBytes, shaper.updatedAt = 0, now
+	shaper.bulk.SetLimitAt(now, rate.Limit(max(bulkShare*shaper.capacity, linkUse*shaper.capacity-urgentBurst*shaper.urgentRate)))
 }
 
 // wait holds a part of a large answer until its turn; an error when its time ends
@@ -114,7 +114,7 @@
 		return nil
 	}
 	shaper.mutex.Lock()
-	shaper.setRate(now)
+	shaper.updateRate(now)
 	shaper.mutex.Unlock()
 	for bytes > 0 {
 		part := min(bytes, bulkBurst)
@@ -136,17 +136,17 @@
 	count  int
 }
 
-func (paced *shapedReader) Read(body []byte) (int, error) {
-	if paced.shaper == nil {
-		return paced.from.Read(body)
+func (shaped *shapedReader) Read(body []byte) (int, error) {
+	if shaped.shaper == nil {
+		return shaped.from.Read(body)
 	}
-	count, err := paced.from.Read(body[:min(len(body), bulkChunk)])
-	if paced.count += count; paced.large || paced.count > bulkLeast {
-		if late := paced.shaper.wait(paced.ctx, count, paced.clock()); late != nil {
+	count, err := shaped.from.Read(body[:min(len(body), bulkChunk)])
+	if shaped.count += count; shaped.large || shaped.count > largeBody {
+		if late := shaped.shaper.wait(shaped.ctx, count, shaped.clock()); late != nil {
 			return count, late
 		}
 	} else {
-		paced.shaper.pass(count, paced.clock())
+		shaped.shaper.pass(count, shaped.clock())
 	}
 	return count, err
 }
@@ -160,21 +160,21 @@
 	large  bool
 }
 
-func (paced *shapedWriter) Write(body []byte) (int, error) {
-	if paced.shaper == nil {
-		return paced.to.Write(body)
+func (shaped *shapedWriter) Write(body []byte) (int, error) {
+	if shaped.shaper == nil {
+		return shaped.to.Write(body)
 	}
-	if !paced.large {
-		paced.shaper.pass(len(body), paced.clock())
-		return paced.to.Write(body)
+	if !shaped.large {
+		shaped.shaper.pass(len(body), shaped.clock())
+		return shaped.to.Write(body)
 	}
 	written := 0
 	for written < len(body) {
 		part := body[written:min(len(body), written+bulkChunk)]
-		if late := paced.shaper.wait(paced.ctx, len(part), paced.clock()); late != nil {
+		if late := shaped.shaper.wait(shaped.ctx, len(part), shaped.clock()); late != nil {
 			return written, late
 		}
-		count, err := paced.to.Write(part)
+		count, err := shaped.to.Write(part)
 		if written += count; err != nil {
 			return written, err
 		}
--- a/hostproxy/link_test.go
+++ b/hostproxy/link_test.go
@@ -58,8 +58,8 @@
 		shaper := newShaper(100<<10, time.Now())
 		shaper.large(time.Second)
 		begin := time.Now()
-		small := &shapedReader{from: bytes.NewReader(make([]byte, bulkLeast)), shaper: shaper, ctx: context.Background(), clock: time.Now}
-		if body, err := io.ReadAll(small); len(body) != bulkLeast || err != nil {
+		small := &shapedReader{from: bytes.NewReader(make([]byte, largeBody)), shaper: shaper, ctx: context.Background(), clock: time.Now}
+		if body, err := io.ReadAll(small); len(body) != largeBody || err != nil {
 			test.Errorf("%d bytes, %v", len(body), err)
 		}
 		written := &bytes.Buffer{}
@@ -69,7 +69,7 @@
 		if took := time.Since(begin); took > 0 || written.Len() != 20<<10 {
 			test.Errorf("%v for %d bytes", took, written.Len())
 		}
-		grows := &shapedReader{from: bytes.NewReader(make([]byte, 2*bulkLeast)), shaper: shaper, ctx: context.Background(), clock: time.Now}
+		grows := &shapedReader{from: bytes.NewReader(make([]byte, 2*largeBody)), shaper: shaper, ctx: context.Background(), clock: time.Now}
 		if _, err := io.ReadAll(grows); err != nil {
 			test.Error(err)
 		}
@@ -107,24 +107,24 @@
 	inWorld(test, func(world *world) {
 		world.proxy.transfers = newTransferLimiter(1)
 		world.add("b1").ever(after(300*time.Millisecond, well))
-		request := &request{route: &routing.Route{Kind: routing.Download, TargetMs: 1000}, context: context.Background(), begin: time.Now(), limit: time.Now().Add(2 * time.Second)}
+		request := &request{route: &routing.Route{Kind: routing.Download, TargetMs: 1000}, context: context.Background(), begin: time.Now(), deadline: time.Now().Add(2 * time.Second)}
 		for range minTransfers {
-			if !world.proxy.pass(request) {
+			if !world.proxy.acquireTransfer(request) {
 				test.Error("refused where there is room")
 			}
 		}
 		begin := time.Now()
-		if world.proxy.pass(request) || time.Since(begin) != 500*time.Millisecond {
+		if world.proxy.acquireTransfer(request) || time.Since(begin) != 500*time.Millisecond {
 			test.Errorf("not refused after half of the target time: %v", time.Since(begin))
 		}
-		request.begin, request.limit = time.Now(), time.Now().Add(2*time.Second)
+		request.begin, request.deadline = time.Now(), time.Now().Add(2*time.Second)
 		world.goroutines.Start(func() {
 			world.goroutines.Sleep(200 * time.Millisecond)
 			world.proxy.transfers.leave()
-			world.proxy.freed.Notify()
+			world.proxy.capacityFreed.Notify()
 		})
 		begin = time.Now()
-		if !world.proxy.pass(request) || time.Since(begin) < 200*time.Millisecond || time.Since(begin) > 250*time.Millisecond {
+		if !world.proxy.acquireTransfer(request) || time.Since(begin) < 200*time.Millisecond || time.Since(begin) > 250*time.Millisecond {
 			test.Errorf("its turn came after %v", time.Since(begin))
 		}
 	})
--- a/hostproxy/meter.go
+++ b/hostproxy/meter.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const meterWindows = 7
+const keptWindows = 7
 
 // UsageMeter counts the requests that began at backends, by window of true time and tenant.
 type UsageMeter struct {
@@ -28,8 +28,8 @@
 	counted bool
 }
 
-// surely is after how long without a refusal a request counts as begun.
-const surely = 150
+// assumedRunningMs is after how long without a refusal a request counts as begun.
+const assumedRunningMs = 150
 
 func newUsageMeter(window time.Duration, now func() int64) *UsageMeter {
 	return &UsageMeter{window: window, now: now, windows: map[int64]map[string]uint64{}, unsettled: map[string]uint64{}, running: map[*startedRequest]bool{}}
@@ -47,9 +47,9 @@
 	return begun
 }
 
-// settle ends it. Counts never fall: one that counted and had not begun after all
+// finish ends it. Counts never fall: one that counted and had not begun after all
 // stands for the tenant's next.
-func (meter *UsageMeter) settle(begun *startedRequest, ran bool) {
+func (meter *UsageMeter) finish(begun *startedRequest, ran bool) {
 	if begun.tenant == "" || meter.window <= 0 {
 		return
 	}
@@ -84,7 +84,7 @@
 		counts = map[string]uint64{}
 		meter.windows[number] = counts
 		for old := range meter.windows {
-			if old <= number-meterWindows {
+			if old <= number-keptWindows {
 				delete(meter.windows, old)
 			}
 		}
@@ -97,7 +97,7 @@
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
 	for begun := range meter.running {
-		if !begun.counted && meter.now()-begun.at >= surely {
+		if !begun.counted && meter.now()-begun.at >= assumedRunningMs {
 			begun.counted = true
 			meter.add(begun.tenant, begun.at)
 		}
--- a/hostproxy/meter_test.go
+++ b/hostproxy/meter_test.go
@@ -32,7 +32,7 @@
 	now += 30_000
 	meter.count("c", 0)
 	for _, window := range meter.Windows() {
-		if window.Window <= 17-meterWindows || window.Tenants["b"] == 99 {
+		if window.Window <= 17-keptWindows || window.Tenants["b"] == 99 {
 			test.Errorf("window %d is kept: %v", window.Window, window.Tenants)
 		}
 	}
@@ -111,13 +111,13 @@
 		want  uint64
 	}{
 		{0, func() {}, 0},
-		{surely - 1, func() {}, 0},
+		{assumedRunningMs - 1, func() {}, 0},
 		{1, func() {}, 2},
-		{5000, func() { meter.settle(slow, true) }, 2},
-		{0, func() { meter.settle(refused, false) }, 2},
-		{0, func() { meter.settle(meter.begin("a"), true) }, 2},
-		{0, func() { meter.settle(meter.begin("a"), true) }, 3},
-		{0, func() { meter.settle(meter.begin("a"), false) }, 3},
+		{5000, func() { meter.finish(slow, true) }, 2},
+		{0, func() { meter.finish(refused, false) }, 2},
+		{0, func() { meter.finish(meter.begin("a"), true) }, 2},
+		{0, func() { meter.finish(meter.begin("a"), true) }, 3},
+		{0, func() { meter.finish(meter.begin("a"), false) }, 3},
 	} {
 		now += step.after
 		step.do()
--- a/hostproxy/mutations_test.go
+++ b/hostproxy/mutations_test.go
@@ -109,9 +109,9 @@
 					continue
 				}
 				result := play(test, "GET", "/once/a", func(id string) script {
-					lines := strings.SplitAfter(truth.answer(id), "\r\n")
-					lines[line] = mutate(lines[line])
-					return thenClose(strings.Join(lines, ""))
+					queues := strings.SplitAfter(truth.answer(id), "\r\n")
+					queues[line] = mutate(queues[line])
+					return thenClose(strings.Join(queues, ""))
 				})
 				what := fmt.Sprintf("%s, line %d %s", truth.name, line, name)
 				value := name == "folded" || name == "null" || name == "bare return" || name == "of another"
--- a/hostproxy/place.go
+++ b/hostproxy/place.go
@@ -17,7 +17,7 @@
 	LinkBytes    float64
 }
 
-func (place *Config) region() string { return place.Regions[place.Zone] }
+func (config *Config) region() string { return config.Regions[config.Zone] }
 
 // distance is how far a zone lies: its own, its region's or beyond.
 type distance uint8
@@ -28,11 +28,11 @@
 	otherRegion
 )
 
-func (place *Config) distance(zone string) distance {
+func (config *Config) distance(zone string) distance {
 	switch {
-	case zone == place.Zone:
+	case zone == config.Zone:
 		return sameZone
-	case place.Regions[zone] == place.region():
+	case config.Regions[zone] == config.region():
 		return sameRegion
 	}
 	return otherRegion
--- a/hostproxy/proxy.go
+++ b/hostproxy/proxy.go
@@ -21,46 +21,46 @@
 
 // Proxy carries clients' requests to backends by the view in force.
 type Proxy struct {
-	config     Config
-	dial       Dialer
-	goroutines *concurrent.Group
-	counters   *metrics.Counters
-	clock      func() time.Time
-	now        func() int64
-	withheld   map[string]bool
-	view       atomic.Pointer[View]
-	stats      *RouteStats
-	usageMeter *UsageMeter
-	freed      *concurrent.Condition
-	queues     waitQueues
-	inFlight   inFlightCounts
-	bodies     bodyMemory
-	inbound    *Shaper
-	outbound   *Shaper
-	transfers  *TransferLimiter
-	leaving    atomic.Bool
+	config          Config
+	dial            Dialer
+	goroutines      *concurrent.Group
+	counters        *metrics.Counters
+	clock           func() time.Time
+	now             func() int64
+	withheldHeaders map[string]bool
+	view            atomic.Pointer[View]
+	stats           *RouteStats
+	usageMeter      *UsageMeter
+	capacityFreed   *concurrent.Condition
+	queues          waitQueues
+	inFlight        inFlightCounts
+	bodies          bodyMemory
+	inbound         *Shaper
+	outbound        *Shaper
+	transfers       *TransferLimiter
+	leaving         atomic.Bool
 
-	applyMutex sync.Mutex
-	targets    map[string]*target
-	budgets    map[string]*Budget
-	evacuated  map[string]bool
-	most       int
+	applyMutex  sync.Mutex
+	targets     map[string]*target
+	budgets     map[string]*Budget
+	evacuated   map[string]bool
+	mostProxies int
 }
 
 // NewProxy makes a proxy; now gives true time in milliseconds.
-func NewProxy(place Config, dial Dialer, now func() int64, goroutines *concurrent.Group, counters *metrics.Counters) *Proxy {
-	proxy := &Proxy{config: place, dial: dial, goroutines: goroutines, counters: counters, clock: time.Now, now: now, stats: newRouteStats(), freed: concurrent.NewCondition(),
-		targets: map[string]*target{}, budgets: map[string]*Budget{}, evacuated: map[string]bool{}, withheld: map[string]bool{}}
-	proxy.inbound, proxy.outbound = newShaper(place.LinkBytes, proxy.clock()), newShaper(place.LinkBytes, proxy.clock())
-	proxy.transfers = newTransferLimiter(place.LinkBytes)
-	proxy.usageMeter = newUsageMeter(place.UsageWindow, now)
-	for _, name := range []string{place.Headers.Deadline, place.Headers.Target, place.Headers.Tenant} {
-		proxy.withheld[http.CanonicalHeaderKey(name)] = true
+func NewProxy(config Config, dial Dialer, now func() int64, goroutines *concurrent.Group, counters *metrics.Counters) *Proxy {
+	proxy := &Proxy{config: config, dial: dial, goroutines: goroutines, counters: counters, clock: time.Now, now: now, stats: newRouteStats(), capacityFreed: concurrent.NewCondition(),
+		targets: map[string]*target{}, budgets: map[string]*Budget{}, evacuated: map[string]bool{}, withheldHeaders: map[string]bool{}}
+	proxy.inbound, proxy.outbound = newShaper(config.LinkBytes, proxy.clock()), newShaper(config.LinkBytes, proxy.clock())
+	proxy.transfers = newTransferLimiter(config.LinkBytes)
+	proxy.usageMeter = newUsageMeter(config.UsageWindow, now)
+	for _, name := range []string{config.Headers.Deadline, config.Headers.Target, config.Headers.Tenant} {
+		proxy.withheldHeaders[http.CanonicalHeaderKey(name)] = true
 	}
 	return proxy
 }
 
-func (place *Config) suspectTTL() time.Duration { return place.ListLag + suspectSlack }
+func (config *Config) suspectTTL() time.Duration { return config.ListLag + suspectSlack }
 
 // Run starts the proxy's own duty: old connections go, silent backends are tried.
 func (proxy *Proxy) Run() {
@@ -77,12 +77,12 @@
 	proxy.applyMutex.Unlock()
 	for _, target := range targets {
 		target.expire(now)
-		if target.wakes(now) {
+		if target.shouldRevive(now) {
 			proxy.goroutines.Start(func() { proxy.revive(target) })
 		}
 	}
 	if view := proxy.view.Load(); view != nil {
-		proxy.stats.keep(view.book.Config.Routes)
+		proxy.stats.forgetOthers(view.state.Config.Routes)
 	}
 }
 
@@ -92,7 +92,7 @@
 		target.revived(proxy.clock(), false)
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), dialFar)
+	ctx, cancel := context.WithTimeout(context.Background(), farDialTimeout)
 	defer cancel()
 	conn, err := proxy.dial(ctx, "tcp", target.backend.Address)
 	if err != nil {
@@ -102,8 +102,8 @@
 	}
 	proxy.counters.Add("backends_revived", 1)
 	target.revived(proxy.clock(), true)
-	target.give(newConnection(conn))
-	proxy.freed.Notify()
+	target.release(newConnection(conn))
+	proxy.capacityFreed.Notify()
 }
 
 // Leave makes answers tell clients to go elsewhere.
--- a/hostproxy/reply.go
+++ b/hostproxy/reply.go
@@ -12,7 +12,7 @@
 // refuse ends a request that has not run and will not. One that may have run fails
 // instead, whoever refuses it.
 func (proxy *Proxy) refuse(request *request, status int, kind rpc.Code) {
-	if request.exposed {
+	if request.mayHaveRun {
 		proxy.fail(request)
 		return
 	}
@@ -20,19 +20,19 @@
 	proxy.counters.Add("refused_"+string(kind), 1)
 	header := request.writer.Header()
 	if status == http.StatusServiceUnavailable {
-		header.Set("Retry-After", strconv.FormatFloat(proxy.comeBack(request).Seconds(), 'f', 3, 64))
+		header.Set("Retry-After", strconv.FormatFloat(proxy.retryAfter(request).Seconds(), 'f', 3, 64))
 	}
 	header.Set("Content-Type", "application/json")
 	request.writer.WriteHeader(status)
 	request.writer.Write([]byte(`{"code":"` + string(kind) + `"}`))
 }
 
-// comeBack is when a client should ask again: spread, so that those refused
+// retryAfter is when a client should ask again: spread, so that those refused
 // together do not return together.
-func (proxy *Proxy) comeBack(request *request) time.Duration {
+func (proxy *Proxy) retryAfter(request *request) time.Duration {
 	span := 400 * time.Millisecond
 	if request.route == nil {
-		span = firstViewBack
+		span = firstViewRetry
 	}
 	if request.route != nil && request.route.TargetMs > 0 {
 		span = min(time.Second, time.Duration(request.route.TargetMs)*time.Millisecond/3)
@@ -44,7 +44,7 @@
 func (proxy *Proxy) fail(request *request) {
 	proxy.move(request, ending)
 	status, kind := http.StatusBadGateway, rpc.BadResponse
-	if !proxy.clock().Before(request.limit) {
+	if !proxy.clock().Before(request.deadline) {
 		status, kind = http.StatusGatewayTimeout, rpc.DeadlineExceeded
 	}
 	proxy.counters.Add("failed_"+string(kind), 1)
@@ -72,20 +72,20 @@
 	switch {
 	case request.source.Method == http.MethodHead && answer.response.ContentLength >= 0, answer.response.ContentLength > int64(size):
 		header.Set("Content-Length", strconv.FormatInt(answer.response.ContentLength, 10))
-	case answer.rest == nil && request.source.Method != http.MethodHead && hasBody(answer.response.StatusCode):
+	case answer.remainder == nil && request.source.Method != http.MethodHead && hasBody(answer.response.StatusCode):
 		header.Set("Content-Length", strconv.Itoa(size))
 	}
 	request.writer.WriteHeader(answer.response.StatusCode)
-	writer := &shapedWriter{to: request.writer, shaper: proxy.outbound, ctx: request.within, clock: proxy.clock, large: size > bulkLeast || answer.rest != nil}
+	writer := &shapedWriter{to: request.writer, shaper: proxy.outbound, ctx: request.bounded, clock: proxy.clock, large: size > largeBody || answer.remainder != nil}
 	if _, err := writer.Write(answer.body); err != nil {
-		if answer.rest != nil {
+		if answer.remainder != nil {
 			answer.release(false)
 		}
 		proxy.counters.Add("answers_cut_short", 1)
 		panic(http.ErrAbortHandler)
 	}
-	if answer.rest != nil {
-		copied, err := io.Copy(writer, answer.rest)
+	if answer.remainder != nil {
+		copied, err := io.Copy(writer, answer.remainder)
 		size += int(copied)
 		whole := err == nil && (answer.response.ContentLength < 0 || int64(size) == answer.response.ContentLength)
 		answer.release(whole && !answer.response.Close)
@@ -96,6 +96,6 @@
 	}
 	proxy.counters.Add("answered", 1)
 	if answer.response.StatusCode < 400 {
-		proxy.stats.served(request.route, proxy.clock().Sub(request.begin), size)
+		proxy.stats.observe(request.route, proxy.clock().Sub(request.begin), size)
 	}
 }
--- a/hostproxy/request.go
+++ b/hostproxy/request.go
@@ -29,39 +29,39 @@
 }
 
 const (
-	limitSlack        = 50 * time.Millisecond
+	deadlineSlack     = 50 * time.Millisecond
 	waitShare         = 4
 	transferWaitShare = 2
 	maxWaiting        = 256
 	maxBodies         = 96 << 20
 
-	firstViewWait = 120 * time.Millisecond
-	firstViewBack = time.Second
+	firstViewWait  = 120 * time.Millisecond
+	firstViewRetry = time.Second
 )
 
 // request is one client's try on its way. It is exposed while a backend may run it or
 // have run it: from before the first byte is sent until that backend refuses it or is
 // known to have got nothing.
 type request struct {
-	source  *http.Request
-	writer  http.ResponseWriter
-	context context.Context
-	within  context.Context
-	stage   stage
-	id      string
-	route   *routing.Route
-	tenant  *routing.Tenant
-	stat    *RouteStats
-	service string
-	rank    int
-	body    []byte
-	begin   time.Time
-	limit   time.Time
+	source   *http.Request
+	writer   http.ResponseWriter
+	context  context.Context
+	bounded  context.Context
+	stage    stage
+	id       string
+	route    *routing.Route
+	tenant   *routing.Tenant
+	stats    *RouteStats
+	service  string
+	rank     int
+	body     []byte
+	begin    time.Time
+	deadline time.Time
 
-	tried    []*target
-	attempts int
-	last     *answer
-	exposed  bool
+	tried      []*target
+	attempts   int
+	lastAnswer *answer
+	mayHaveRun bool
 }
 
 func (request *request) tenantName() string {
@@ -88,7 +88,7 @@
 
 // ServeHTTP carries one request of a client.
 func (proxy *Proxy) ServeHTTP(writer http.ResponseWriter, source *http.Request) {
-	request := &request{source: source, writer: writer, context: source.Context(), begin: proxy.clock(), stat: proxy.stats}
+	request := &request{source: source, writer: writer, context: source.Context(), begin: proxy.clock(), stats: proxy.stats}
 	proxy.counters.Add("requests", 1)
 	proxy.inFlight.enter()
 	defer proxy.inFlight.leave()
@@ -96,7 +96,7 @@
 		proxy.refuse(request, status, rpc.BadRequest)
 		return
 	}
-	view := proxy.awaitResult(request)
+	view := proxy.awaitView(request)
 	if view == nil {
 		proxy.refuse(request, http.StatusServiceUnavailable, rpc.NotReady)
 		return
@@ -105,29 +105,29 @@
 		proxy.refuse(request, status, kind)
 		return
 	}
-	within, cancel := context.WithDeadline(request.context, request.limit)
+	within, cancel := context.WithDeadline(request.context, request.deadline)
 	defer cancel()
-	request.within = within
+	request.bounded = within
 	proxy.move(request, routed)
 	if number, found := view.index.ServiceIndex(request.service); found {
-		view.budgets[number].request()
+		view.budgets[number].recordRequest()
 	}
 	if request.route.Kind == routing.Download {
-		if !proxy.pass(request) {
+		if !proxy.acquireTransfer(request) {
 			proxy.refuse(request, http.StatusServiceUnavailable, rpc.Overloaded)
 			return
 		}
 		defer func() {
 			proxy.transfers.leave()
-			proxy.freed.Notify()
+			proxy.capacityFreed.Notify()
 		}()
 	}
-	proxy.carry(request)
+	proxy.forward(request)
 }
 
-// pass waits for a large answer's turn on the link; false when that is too late.
-func (proxy *Proxy) pass(request *request) bool {
-	until := request.begin.Add(min(time.Duration(max(request.route.TargetMs, 40))*time.Millisecond, request.limit.Sub(request.begin)) / transferWaitShare)
+// acquireTransfer waits for a large answer's turn on the link; false when that is too late.
+func (proxy *Proxy) acquireTransfer(request *request) bool {
+	until := request.begin.Add(min(time.Duration(max(request.route.TargetMs, 40))*time.Millisecond, request.deadline.Sub(request.begin)) / transferWaitShare)
 	for !proxy.transfers.enter() {
 		now := proxy.clock()
 		proxy.endIfGone(request)
@@ -135,18 +135,18 @@
 			proxy.counters.Add("link_full", 1)
 			return false
 		}
-		proxy.freed.Wait(proxy.freed.Count(), min(until.Sub(now), waitInterval))
+		proxy.capacityFreed.Wait(proxy.capacityFreed.Count(), min(until.Sub(now), waitInterval))
 	}
 	return true
 }
 
-// awaitResult holds a request for a short while until the first view is in force.
-func (proxy *Proxy) awaitResult(request *request) *View {
+// awaitView holds a request for a short while until the first view is in force.
+func (proxy *Proxy) awaitView(request *request) *View {
 	until := request.begin.Add(firstViewWait)
 	for {
-		seen := proxy.freed.Count()
+		seen := proxy.capacityFreed.Count()
 		view := proxy.view.Load()
-		if view != nil || !proxy.freed.Wait(seen, until.Sub(proxy.clock())) {
+		if view != nil || !proxy.capacityFreed.Wait(seen, until.Sub(proxy.clock())) {
 			return view
 		}
 	}
--- a/hostproxy/stat.go
+++ b/hostproxy/stat.go
@@ -21,51 +21,51 @@
 
 func newRouteStats() *RouteStats { return &RouteStats{routes: map[string]*routeStat{}} }
 
-func (stat *RouteStats) of(of *routing.Route) *routeStat {
-	held := stat.routes[of.Name]
+func (stats *RouteStats) statsOf(of *routing.Route) *routeStat {
+	held := stats.routes[of.Name]
 	if held == nil {
 		held = &routeStat{milliseconds: float64(max(of.TargetMs, 20)) / 5}
 		if of.Kind == routing.Download {
 			held.kilobytes = 64
 		}
-		stat.routes[of.Name] = held
+		stats.routes[of.Name] = held
 	}
 	return held
 }
 
 // expect is how many milliseconds an answer should take and how many kilobytes it has.
-func (stat *RouteStats) expect(of *routing.Route) (float64, float64) {
-	stat.mutex.Lock()
-	defer stat.mutex.Unlock()
-	held := stat.of(of)
+func (stats *RouteStats) expect(of *routing.Route) (float64, float64) {
+	stats.mutex.Lock()
+	defer stats.mutex.Unlock()
+	held := stats.statsOf(of)
 	return held.milliseconds, held.kilobytes
 }
 
-func (stat *RouteStats) mean(of *routing.Route) float64 {
-	milliseconds, _ := stat.expect(of)
+func (stats *RouteStats) mean(of *routing.Route) float64 {
+	milliseconds, _ := stats.expect(of)
 	return milliseconds
 }
 
-func (stat *RouteStats) served(of *routing.Route, took time.Duration, size int) {
-	stat.mutex.Lock()
-	defer stat.mutex.Unlock()
-	held := stat.of(of)
+func (stats *RouteStats) observe(of *routing.Route, took time.Duration, size int) {
+	stats.mutex.Lock()
+	defer stats.mutex.Unlock()
+	held := stats.statsOf(of)
 	held.milliseconds += statWeight * (float64(took.Milliseconds()) - held.milliseconds)
 	held.kilobytes += statWeight * (float64(size)/1024 - held.kilobytes)
 }
 
-// keep forgets the routes that are not in force.
-func (stat *RouteStats) keep(routes []routing.Route) {
-	stat.mutex.Lock()
-	defer stat.mutex.Unlock()
-	if len(stat.routes) <= 2*len(routes)+16 {
+// forgetOthers forgets the routes that are not in force.
+func (stats *RouteStats) forgetOthers(routes []routing.Route) {
+	stats.mutex.Lock()
+	defer stats.mutex.Unlock()
+	if len(stats.routes) <= 2*len(routes)+16 {
 		return
 	}
 	kept := map[string]*routeStat{}
 	for index := range routes {
-		if held := stat.routes[routes[index].Name]; held != nil {
+		if held := stats.routes[routes[index].Name]; held != nil {
 			kept[routes[index].Name] = held
 		}
 	}
-	stat.routes = kept
+	stats.routes = kept
 }
--- a/hostproxy/stat_test.go
+++ b/hostproxy/stat_test.go
@@ -10,24 +10,24 @@
 
 // What is expected of a route begins with its target time and follows its answers.
 func TestStat(test *testing.T) {
-	stat := newRouteStats()
+	stats := newRouteStats()
 	plain, load := &routing.Route{Name: "a", TargetMs: 500}, &routing.Route{Name: "b", Kind: routing.Download}
-	if milliseconds, kilobytes := stat.expect(plain); milliseconds != 100 || kilobytes != 0 {
+	if milliseconds, kilobytes := stats.expect(plain); milliseconds != 100 || kilobytes != 0 {
 		test.Errorf("%v ms, %v KB", milliseconds, kilobytes)
 	}
-	if milliseconds, kilobytes := stat.expect(load); milliseconds != 4 || kilobytes != 64 {
+	if milliseconds, kilobytes := stats.expect(load); milliseconds != 4 || kilobytes != 64 {
 		test.Errorf("%v ms, %v KB", milliseconds, kilobytes)
 	}
 	for range 300 {
-		stat.served(plain, 40*time.Millisecond, 10<<10)
+		stats.observe(plain, 40*time.Millisecond, 10<<10)
 	}
-	if milliseconds, kilobytes := stat.expect(plain); math.Abs(milliseconds-40) > 1 || math.Abs(kilobytes-10) > 1 {
+	if milliseconds, kilobytes := stats.expect(plain); math.Abs(milliseconds-40) > 1 || math.Abs(kilobytes-10) > 1 {
 		test.Errorf("%v ms, %v KB", milliseconds, kilobytes)
 	}
 	for number := range 40 {
-		stat.mean(&routing.Route{Name: fmt.Sprint(number)})
+		stats.mean(&routing.Route{Name: fmt.Sprint(number)})
 	}
-	if stat.keep([]routing.Route{*plain}); len(stat.routes) != 1 || stat.mean(plain) > 41 {
-		test.Errorf("%d routes kept", len(stat.routes))
+	if stats.forgetOthers([]routing.Route{*plain}); len(stats.routes) != 1 || stats.mean(plain) > 41 {
+		test.Errorf("%d routes kept", len(stats.routes))
 	}
 }
--- a/hostproxy/target.go
+++ b/hostproxy/target.go
@@ -10,50 +10,50 @@
 )
 
 const (
-	openPenalty  = 20.0
-	speedShare   = 0.1
-	failureShare = 0.15
-	othersShare  = 0.2
-	othersSpan   = 400 * time.Millisecond
-	ejectFirst   = 500 * time.Millisecond
-	ejectMost    = 4 * time.Second
-	ejectAfter   = 2
+	openPenalty     = 20.0
+	slownessWeight  = 0.1
+	failureWeight   = 0.15
+	othersWeight    = 0.2
+	othersDecay     = 400 * time.Millisecond
+	minEjection     = 500 * time.Millisecond
+	maxEjection     = 4 * time.Second
+	failuresToEject = 2
 )
 
 // target is one life of a backend as this process knows it; it outlives views.
 type target struct {
 	backend message.Backend
 
-	mutex      sync.Mutex
-	idle       []*connection
-	open       int
-	running    int
-	gone       bool
-	othersMean float64
-	othersLast float64
-	othersAt   time.Time
-	speed      float64
-	failing    float64
-	failures   int
-	ejected    time.Time
-	backoff    time.Duration
-	reviving   bool
-	replaced   bool
-	roundTrip  time.Duration
-	warmup     Warmup
-	suspect    time.Time
+	mutex          sync.Mutex
+	idle           []*connection
+	open           int
+	running        int
+	retired        bool
+	othersLoadMean float64
+	othersLoad     float64
+	othersLoadAt   time.Time
+	slowness       float64
+	failureRate    float64
+	failures       int
+	ejectedUntil   time.Time
+	backoff        time.Duration
+	reviving       bool
+	replaced       bool
+	roundTrip      time.Duration
+	warmup         Warmup
+	suspectedUntil time.Time
 }
 
 func newTarget(backend message.Backend) *target {
-	return &target{backend: backend, speed: 1}
+	return &target{backend: backend, slowness: 1}
 }
 
 // load is how many requests the backend is thought to have, this process's and the
 // others'.
 func (target *target) load(now time.Time) float64 {
-	others := target.othersMean
-	if !target.othersAt.IsZero() {
-		others += (target.othersLast - target.othersMean) * math.Exp(-now.Sub(target.othersAt).Seconds()/othersSpan.Seconds())
+	others := target.othersLoadMean
+	if !target.othersLoadAt.IsZero() {
+		others += (target.othersLoad - target.othersLoadMean) * math.Exp(-now.Sub(target.othersLoadAt).Seconds()/othersDecay.Seconds())
 	}
 	return float64(target.running) + max(0, others)
 }
@@ -70,44 +70,44 @@
 		return
 	}
 	target.mutex.Lock()
-	target.othersLast = float64(max(0, running+waiting-target.running))
-	target.othersAt = now
-	target.othersMean += othersShare * (target.othersLast - target.othersMean)
+	target.othersLoad = float64(max(0, running+waiting-target.running))
+	target.othersLoadAt = now
+	target.othersLoadMean += othersWeight * (target.othersLoad - target.othersLoadMean)
 	target.mutex.Unlock()
 }
 
 // weight is what choosing this target costs in milliseconds; full is whether its
 // queue is as long as it should be.
-func (target *target) setWeight(now time.Time, mean float64, far float64) (cost float64, full, ejected bool) {
+func (target *target) evaluate(now time.Time, mean float64, far float64) (cost float64, full, ejected bool) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	slots := float64(max(target.backend.Capacity, 1))
-	load, service := target.load(now), mean*target.speed
-	cost = service + far + float64(target.roundTrip.Milliseconds()) + 0.4*service*min(1, load/slots) + 4*mean*target.failing
+	load, service := target.load(now), mean*target.slowness
+	cost = service + far + float64(target.roundTrip.Milliseconds()) + 0.4*service*min(1, load/slots) + 4*mean*target.failureRate
 	if len(target.idle) == 0 {
 		cost += openPenalty + float64(target.roundTrip.Milliseconds())
 	}
 	if load >= slots {
 		cost += (load - slots + 1) / slots * service
 	}
-	return cost, load >= slots*(1+queueDepth), now.Before(target.ejected)
+	return cost, load >= slots*(1+queueDepth), now.Before(target.ejectedUntil)
 }
 
-// enter takes a place at the target.
-func (target *target) enter() {
+// begin takes a place at the target.
+func (target *target) begin() {
 	target.mutex.Lock()
 	target.running++
 	target.mutex.Unlock()
 }
 
-func (target *target) leave() {
+func (target *target) end() {
 	target.mutex.Lock()
 	target.running--
 	target.mutex.Unlock()
 }
 
-// reserveWarmup gives an idle connection that is still sound.
-func (target *target) reserveWarmup(now time.Time) *connection {
+// takeIdle gives an idle connection that is still sound.
+func (target *target) takeIdle(now time.Time) *connection {
 	for {
 		target.mutex.Lock()
 		last := len(target.idle) - 1
@@ -118,10 +118,10 @@
 		taken := target.idle[last]
 		target.idle = target.idle[:last]
 		target.mutex.Unlock()
-		if taken.sound(now) {
+		if taken.isReusable(now) {
 			return taken
 		}
-		target.drop(taken)
+		target.discard(taken)
 	}
 }
 
@@ -129,7 +129,7 @@
 func (target *target) reserve(most int) bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	if target.open >= most || target.gone {
+	if target.open >= most || target.retired {
 		return false
 	}
 	target.open++
@@ -142,33 +142,33 @@
 	target.mutex.Unlock()
 }
 
-func (target *target) drop(connection *connection) {
+func (target *target) discard(connection *connection) {
 	connection.close()
 	target.unreserve()
 }
 
-// give puts a connection back for the next request.
-func (target *target) give(connection *connection) {
-	connection.used = time.Now()
+// release puts a connection back for the next request.
+func (target *target) release(connection *connection) {
+	connection.usedAt = time.Now()
 	target.mutex.Lock()
-	if !target.gone {
+	if !target.retired {
 		target.idle = append(target.idle, connection)
 		target.mutex.Unlock()
 		return
 	}
 	target.mutex.Unlock()
-	target.drop(connection)
+	target.discard(connection)
 }
 
 // retire closes what is idle; connections in use close when they are given back.
 func (target *target) retire() {
 	target.mutex.Lock()
-	target.gone = true
+	target.retired = true
 	idle := target.idle
 	target.idle = nil
 	target.mutex.Unlock()
 	for _, connection := range idle {
-		target.drop(connection)
+		target.discard(connection)
 	}
 }
 
@@ -177,7 +177,7 @@
 	target.mutex.Lock()
 	kept, old := target.idle[:0:0], []*connection{}
 	for _, connection := range target.idle {
-		if now.Sub(connection.used) >= connection.idle {
+		if now.Sub(connection.usedAt) >= connection.idleTimeout {
 			old = append(old, connection)
 		} else {
 			kept = append(kept, connection)
@@ -188,7 +188,7 @@
 	}
 	target.mutex.Unlock()
 	for _, connection := range old {
-		target.drop(connection)
+		target.discard(connection)
 	}
 }
 
@@ -197,16 +197,16 @@
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	target.failures, target.backoff = 0, 0
-	target.ejected, target.replaced = time.Time{}, false
+	target.ejectedUntil, target.replaced = time.Time{}, false
 	if !good {
-		target.failing += failureShare * (1 - target.failing)
+		target.failureRate += failureWeight * (1 - target.failureRate)
 		return
 	}
-	target.failing -= failureShare * target.failing
+	target.failureRate -= failureWeight * target.failureRate
 	if mean > 0 {
 		ratio := min(4, max(0.25, float64(took.Milliseconds()-target.roundTrip.Milliseconds())/mean))
-		target.speed += speedShare * (ratio - target.speed)
-		target.speed = min(2, max(0.5, target.speed))
+		target.slowness += slownessWeight * (ratio - target.slowness)
+		target.slowness = min(2, max(0.5, target.slowness))
 	}
 }
 
@@ -215,26 +215,26 @@
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	target.failures++
-	target.failing += failureShare * (1 - target.failing)
-	if dead || target.failures >= ejectAfter {
-		target.backoff = min(ejectMost, max(ejectFirst, 2*target.backoff))
-		target.ejected = now.Add(target.backoff)
+	target.failureRate += failureWeight * (1 - target.failureRate)
+	if dead || target.failures >= failuresToEject {
+		target.backoff = min(maxEjection, max(minEjection, 2*target.backoff))
+		target.ejectedUntil = now.Add(target.backoff)
 	}
 }
 
-// displace leaves the target out as long as can be: another life has its address,
+// replacedByOther leaves the target out as long as can be: another life has its address,
 // and takes dials as well.
-func (target *target) displace(now time.Time) {
+func (target *target) replacedByOther(now time.Time) {
 	target.mutex.Lock()
-	target.replaced, target.backoff, target.ejected = true, ejectMost, now.Add(ejectMost)
+	target.replaced, target.backoff, target.ejectedUntil = true, maxEjection, now.Add(maxEjection)
 	target.mutex.Unlock()
 }
 
-// wakes is whether an ejected target should be dialled again; only one dial goes on.
-func (target *target) wakes(now time.Time) bool {
+// shouldRevive is whether an ejected target should be dialled again; only one dial goes on.
+func (target *target) shouldRevive(now time.Time) bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	if target.ejected.IsZero() || target.gone || target.replaced || target.reviving || now.Before(target.ejected.Add(-ejectFirst/2)) {
+	if target.ejectedUntil.IsZero() || target.retired || target.replaced || target.reviving || now.Before(target.ejectedUntil.Add(-minEjection/2)) {
 		return false
 	}
 	target.reviving = true
@@ -247,19 +247,19 @@
 	defer target.mutex.Unlock()
 	target.reviving = false
 	if back {
-		target.ejected, target.backoff = time.Time{}, 0
+		target.ejectedUntil, target.backoff = time.Time{}, 0
 		target.failures = 0
 		return
 	}
-	target.backoff = min(ejectMost, max(ejectFirst, 2*target.backoff))
-	target.ejected = now.Add(target.backoff)
+	target.backoff = min(maxEjection, max(minEjection, 2*target.backoff))
+	target.ejectedUntil = now.Add(target.backoff)
 }
 
-// suspectOnce makes the target count as cold until then.
-func (target *target) suspectOnce(until time.Time) {
+// suspectUntil makes the target count as cold until then.
+func (target *target) suspectUntil(until time.Time) {
 	target.mutex.Lock()
-	if target.suspect.Before(until) {
-		target.suspect = until
+	if target.suspectedUntil.Before(until) {
+		target.suspectedUntil = until
 	}
 	target.mutex.Unlock()
 }
@@ -267,14 +267,14 @@
 func (target *target) isSuspect(now time.Time) bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	return now.Before(target.suspect)
+	return now.Before(target.suspectedUntil)
 }
 
-// warm takes a token of a cold target.
-func (target *target) warm(now time.Time, rate float64) bool {
+// takeWarmup takes a token of a cold target.
+func (target *target) takeWarmup(now time.Time, rate float64) bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	return target.warmup.take(now, rate)
+	return target.warmup.allow(now, rate)
 }
 
 func (target *target) dialled(took time.Duration) {
--- a/hostproxy/target_test.go
+++ b/hostproxy/target_test.go
@@ -39,7 +39,7 @@
 			test.Errorf("%d requests at the dead one", count)
 		}
 		world.doors.serve("b1:80", world.backends["b1"].accept)
-		world.goroutines.Sleep(ejectMost + 2*maintainInterval)
+		world.goroutines.Sleep(maxEjection + 2*maintainInterval)
 		for range 5 {
 			reply, id := world.get("/once/a")
 			world.good(reply, id)
@@ -59,12 +59,12 @@
 		world.add("b1").then(resetAfterReading, resetAfterReading)
 		world.get("/once/a")
 		world.get("/once/b")
-		if _, _, ejected := world.proxy.targets["b1"].setWeight(time.Now(), 10, 0); !ejected {
+		if _, _, ejected := world.proxy.targets["b1"].evaluate(time.Now(), 10, 0); !ejected {
 			test.Error("not left out")
 		}
 		reply, id := world.get("/once/c")
 		world.good(reply, id)
-		if _, _, ejected := world.proxy.targets["b1"].setWeight(time.Now(), 10, 0); ejected {
+		if _, _, ejected := world.proxy.targets["b1"].evaluate(time.Now(), 10, 0); ejected {
 			test.Error("still left out after a good answer")
 		}
 	})
@@ -73,39 +73,39 @@
 // Spans of being left out double up to the most, and only one dial goes on.
 func TestEjection(test *testing.T) {
 	held, now := newTarget(ownBackend()), time.Now()
-	out := func() bool { _, _, ejected := held.setWeight(now, 10, 0); return ejected }
+	out := func() bool { _, _, ejected := held.evaluate(now, 10, 0); return ejected }
 	held.failed(now, false)
 	if out() {
 		test.Error("left out after one failure")
 	}
 	held.failed(now, false)
-	if !out() || held.ejected != now.Add(ejectFirst) {
-		test.Errorf("left out until %s", held.ejected)
+	if !out() || held.ejectedUntil != now.Add(minEjection) {
+		test.Errorf("left out until %s", held.ejectedUntil)
 	}
-	if held.wakes(now) {
+	if held.shouldRevive(now) {
 		test.Error("dialled at once")
 	}
-	for _, span := range []time.Duration{2 * ejectFirst, 4 * ejectFirst, ejectMost, ejectMost} {
-		now = held.ejected
-		if !held.wakes(now) || held.wakes(now) {
+	for _, span := range []time.Duration{2 * minEjection, 4 * minEjection, maxEjection, maxEjection} {
+		now = held.ejectedUntil
+		if !held.shouldRevive(now) || held.shouldRevive(now) {
 			test.Error("not just one dial")
 		}
-		if held.revived(now, false); held.ejected != now.Add(span) {
-			test.Errorf("left out for %s", held.ejected.Sub(now))
+		if held.revived(now, false); held.ejectedUntil != now.Add(span) {
+			test.Errorf("left out for %s", held.ejectedUntil.Sub(now))
 		}
 	}
-	held.wakes(held.ejected)
+	held.shouldRevive(held.ejectedUntil)
 	if held.revived(now, true); out() || held.failures != 0 {
 		test.Error("left out after a good dial")
 	}
-	if held.wakes(now) {
+	if held.shouldRevive(now) {
 		test.Error("dialled though it is in")
 	}
 	if held.failed(now, true); !out() {
 		test.Error("a dead one is not left out at once")
 	}
-	if held.failed(now, true); held.ejected != now.Add(2*ejectFirst) {
-		test.Errorf("left out for %s after two failures", held.ejected.Sub(now))
+	if held.failed(now, true); held.ejectedUntil != now.Add(2*minEjection) {
+		test.Errorf("left out for %s after two failures", held.ejectedUntil.Sub(now))
 	}
 	if held.served(time.Millisecond, 1, true); out() {
 		test.Error("left out after an answer")
@@ -124,7 +124,7 @@
 		test.Error("a freed one is not given again")
 	}
 	near, far := newPipes("b1")
-	held.give(newConnection(near))
+	held.release(newConnection(near))
 	held.retire()
 	if held.open != 2 || held.reserve(3) {
 		test.Errorf("%d open", held.open)
@@ -133,7 +133,7 @@
 		test.Errorf("an idle one of a retired target: %v", err)
 	}
 	near, _ = newPipes("b1")
-	if held.give(newConnection(near)); held.open != 1 || len(held.idle) != 0 {
+	if held.release(newConnection(near)); held.open != 1 || len(held.idle) != 0 {
 		test.Errorf("%d open, %d idle", held.open, len(held.idle))
 	}
 }
@@ -166,7 +166,7 @@
 // What a backend says of its load counts beside what is known here, and fades.
 func TestLoad(test *testing.T) {
 	held, now := newTarget(ownBackend()), time.Now()
-	held.enter()
+	held.begin()
 	for _, bad := range []string{"", "1", "1,2", "a,b,c", "-1,9,4", "9,-1,4", "1,2,3,4", "1e3,0,4"} {
 		if held.observeLoad(bad, now); held.load(now) != 1 {
 			test.Errorf("%q counts as %v", bad, held.load(now))
@@ -176,11 +176,11 @@
 	if load := held.load(now); math.Abs(load-9) > 0.01 {
 		test.Errorf("load %v", load)
 	}
-	if _, full, _ := held.setWeight(now, 10, 0); full {
+	if _, full, _ := held.evaluate(now, 10, 0); full {
 		test.Error("full with 9 for 4 slots")
 	}
 	held.observeLoad("12,0,4", now)
-	if _, full, _ := held.setWeight(now, 10, 0); !full {
+	if _, full, _ := held.evaluate(now, 10, 0); !full {
 		test.Error("not full with 12 for 4 slots")
 	}
 	if later := held.load(now.Add(10 * time.Second)); later < 1 || later > 6 {
@@ -197,7 +197,7 @@
 	cost := func(change func(*target)) float64 {
 		held := newTarget(ownBackend())
 		change(held)
-		cost, _, _ := held.setWeight(now, 100, 0)
+		cost, _, _ := held.evaluate(now, 100, 0)
 		return cost
 	}
 	plain := cost(func(*target) {})
--- a/hostproxy/upload.go
+++ b/hostproxy/upload.go
@@ -12,7 +12,7 @@
 // upload is a large body on its way to a backend. It ends by itself when its
 // connection is closed.
 type upload struct {
-	whole atomic.Bool
+	complete atomic.Bool
 }
 
 // startUpload writes a body in a thread of its own.
@@ -20,11 +20,11 @@
 	upload := &upload{}
 	goroutines.Start(func() {
 		if _, err := connection.conn.Write(body); err == nil {
-			upload.whole.Store(true)
+			upload.complete.Store(true)
 		}
 	})
 	return upload
 }
 
 // finished is whether all bytes were handed to the connection.
-func (upload *upload) finished() bool { return upload == nil || upload.whole.Load() }
+func (upload *upload) finished() bool { return upload == nil || upload.complete.Load() }
--- a/hostproxy/view.go
+++ b/hostproxy/view.go
@@ -10,27 +10,27 @@
 
 // candidate is a backend in a view: its target, and what the view says of it.
 type candidate struct {
-	target  *target
-	region  string
-	far     distance
-	warmAt  int64
-	owned   bool
-	warming float64
+	target     *target
+	region     string
+	distance   distance
+	warmAt     int64
+	owned      bool
+	warmupRate float64
 }
 
 // View is what a proxy has in force: routing and backends; it is swapped whole.
 type View struct {
-	book     *routing.State
-	index    *routing.Index
-	services [][]candidate
-	budgets  []*Budget
-	most     []int
+	state       *routing.State
+	index       *routing.Index
+	services    [][]candidate
+	budgets     []*Budget
+	connections []int
 }
 
-const sharesUnknown = 32
+const presumedProxies = 32
 
-// allowed is whether a region is among the homes; no homes allow all.
-func allowed(homes []string, region string) bool {
+// allowsRegion is whether a region is among the homes; no homes allow all.
+func allowsRegion(homes []string, region string) bool {
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
@@ -39,8 +39,8 @@
 	proxy.applyMutex.Lock()
 	defer proxy.applyMutex.Unlock()
 	before := proxy.view.Load()
-	view := &View{book: state}
-	if before != nil && before.book == state {
+	view := &View{state: state}
+	if before != nil && before.state == state {
 		view.index = before.index
 	} else {
 		view.index = routing.NewIndex(state)
@@ -51,15 +51,15 @@
 			proxies = append(proxies, member)
 		}
 	}
-	proxy.most = max(proxy.most, len(proxies))
-	shares := max(1, proxy.most)
+	proxy.mostProxies = max(proxy.mostProxies, len(proxies))
+	shares := max(1, proxy.mostProxies)
 	led := table.Version.Term.Number > 0
 	if !led {
-		shares = max(shares, sharesUnknown)
+		shares = max(shares, presumedProxies)
 	}
 	view.services = make([][]candidate, len(view.index.Services))
 	view.budgets = make([]*Budget, len(view.index.Services))
-	view.most = make([]int, len(view.index.Services))
+	view.connections = make([]int, len(view.index.Services))
 	for number, service := range view.index.Services {
 		budget := proxy.budgets[service.Name]
 		if budget == nil {
@@ -67,14 +67,14 @@
 			proxy.budgets[service.Name] = budget
 		}
 		if led {
-			budget.share(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.most)
+			budget.setShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.mostProxies)
 		} else {
-			budget.presume(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.most)
+			budget.presumeShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.mostProxies)
 		}
 		view.budgets[number] = budget
-		view.most[number] = maxConnections
+		view.connections[number] = maxConnections
 		if service.MaxConnections > 0 {
-			view.most[number] = max(2, service.MaxConnections*4/5/shares)
+			view.connections[number] = max(2, service.MaxConnections*4/5/shares)
 		}
 	}
 	evacuated := map[string]bool{}
@@ -94,18 +94,18 @@
 		}
 		listed[backend.Name] = true
 		if proxy.evacuated[backend.Zone] && !evacuated[backend.Zone] {
-			held.suspectOnce(now.Add(proxy.config.suspectTTL()))
+			held.suspectUntil(now.Add(proxy.config.suspectTTL()))
 		} else if left := reopened[backend.Zone]; left > 0 {
-			held.suspectOnce(now.Add(min(left, proxy.config.suspectTTL())))
+			held.suspectUntil(now.Add(min(left, proxy.config.suspectTTL())))
 		}
 		number, found := view.index.ServiceIndex(backend.Service)
 		if !found || backend.Leaving || evacuated[backend.Zone] {
 			continue
 		}
 		service := view.index.Services[number]
-		view.services[number] = append(view.services[number], candidate{target: held, region: proxy.config.Regions[backend.Zone], far: proxy.config.distance(backend.Zone),
+		view.services[number] = append(view.services[number], candidate{target: held, region: proxy.config.Regions[backend.Zone], distance: proxy.config.distance(backend.Zone),
 			warmAt: backend.WarmAtMs, owned: led && (backend.WarmAtMs > 0 || held.isSuspect(now)) && owner(backend, proxies, proxy.config.Regions) == proxy.config.Name,
-			warming: warmupRate(service.WarmupRate, proxy.config.WarmupExcess, proxy.config.WarmupExtra)})
+			warmupRate: ownerWarmupRate(service.WarmupRate, proxy.config.WarmupExcess, proxy.config.WarmupExtra)})
 	}
 	proxy.evacuated = evacuated
 	for name, held := range proxy.targets {
@@ -115,5 +115,5 @@
 		}
 	}
 	proxy.view.Store(view)
-	proxy.freed.Notify()
+	proxy.capacityFreed.Notify()
 }
--- a/hostproxy/view_test.go
+++ b/hostproxy/view_test.go
@@ -13,13 +13,13 @@
 func (proxy *Proxy) names(tenant *routing.Tenant, homes []string) map[string]bool {
 	names, tried := map[string]bool{}, []*target{}
 	for {
-		held, how := proxy.pick(tenant, homes, tried...)
+		candidate, how := proxy.pick(tenant, homes, tried...)
 		if how != chosen {
 			return names
 		}
-		held.target.leave()
-		names[held.target.backend.Name] = true
-		tried = append(tried, held.target)
+		candidate.target.end()
+		names[candidate.target.backend.Name] = true
+		tried = append(tried, candidate.target)
 	}
 }
 
@@ -86,7 +86,7 @@
 		}
 		gone := proxies[0].targets["beside"]
 		lay(func() { table.Backends = append(table.Backends[:1:1], table.Backends[2:]...) })
-		if names := proxies[0].names(nil, nil); len(names) != 0 || !gone.gone || gone.reserve(64) {
+		if names := proxies[0].names(nil, nil); len(names) != 0 || !gone.retired || gone.reserve(64) {
 			test.Errorf("gone: %v", names)
 		}
 		lay(func() { state.Evacuated = []string{"z9"} })
@@ -138,7 +138,7 @@
 		for _, step := range []struct{ count, most, small int }{{1, 104, 2}, {4, 26, 2}, {2, 26, 2}} {
 			table.Members = members(names[:step.count], zones[:step.count])
 			proxies[0].Apply(&routing.State{Config: config}, table)
-			most := proxies[0].view.Load().most
+			most := proxies[0].view.Load().connections
 			if most[0] != step.most || most[2] != step.small || most[3] != maxConnections {
 				test.Errorf("%d proxies: %v", step.count, most)
 			}
@@ -147,7 +147,7 @@
 		table.Members = append(table.Members, message.Member{Name: "d1", Kind: "dir"})
 		fresh := many([]string{"p1"}, []string{"e1"})[0]
 		fresh.Apply(&routing.State{Config: config}, table)
-		if most := fresh.view.Load().most[0]; most != 104 {
+		if most := fresh.view.Load().connections[0]; most != 104 {
 			test.Errorf("beside one that leaves: %d", most)
 		}
 	})
--- a/hostproxy/warmup.go
+++ b/hostproxy/warmup.go
@@ -10,24 +10,24 @@
 // the proxies' rates do not add up; the rate leaves room for two more owners while
 // views differ.
 type Warmup struct {
-	tokens float64
-	filled time.Time
+	tokens   float64
+	filledAt time.Time
 }
 
 // warmupOwners is how many proxies may take themselves for a backend's owner at once
 // while the fleet is cut apart.
 const warmupOwners = 3
 
-func warmupRate(rate, excess, extra float64) float64 {
+func ownerWarmupRate(rate, excess, extra float64) float64 {
 	return max(0, min(0.9*rate, (rate*excess+extra)/warmupOwners-1))
 }
 
-func (warmup *Warmup) take(now time.Time, rate float64) bool {
-	if warmup.filled.IsZero() {
-		warmup.filled = now
+func (warmup *Warmup) allow(now time.Time, rate float64) bool {
+	if warmup.filledAt.IsZero() {
+		warmup.filledAt = now
 	}
-	warmup.tokens = min(1, warmup.tokens+now.Sub(warmup.filled).Seconds()*rate)
-	warmup.filled = now
+	warmup.tokens = min(1, warmup.tokens+now.Sub(warmup.filledAt).Seconds()*rate)
+	warmup.filledAt = now
 	if warmup.tokens < 1 {
 		return false
 	}
--- a/hostproxy/warmup_test.go
+++ b/hostproxy/warmup_test.go
@@ -35,7 +35,7 @@
 func (proxy *Proxy) pick(tenant *routing.Tenant, homes []string, tried ...*target) (*candidate, choice) {
 	view := proxy.view.Load()
 	compiled := &routing.CompiledRoute{Route: &routing.Route{Name: "picked", TargetMs: 800, Homes: homes}}
-	return proxy.choose(&request{source: &http.Request{}, stat: proxy.stats, route: compiled.Route, tenant: tenant}, view.services[0], tried)
+	return proxy.choose(&request{source: &http.Request{}, stats: proxy.stats, route: compiled.Route, tenant: tenant}, view.services[0], tried)
 }
 
 // warmTotal presses several proxies for a cold backend and gives the most that it
@@ -50,11 +50,11 @@
 		}
 		time.Sleep(time.Duration(1+random.IntN(8)) * time.Millisecond)
 		for _, proxy := range proxies {
-			held, how := proxy.pick(nil, nil)
+			candidate, how := proxy.pick(nil, nil)
 			if how != chosen {
 				continue
 			}
-			held.target.leave()
+			candidate.target.end()
 			sent = append(sent, time.Now())
 			within := 0
 			for index := len(sent) - 1; index >= 0 && time.Since(sent[index]) <= time.Second; index-- {
@@ -113,14 +113,14 @@
 		cold := message.Backend{Name: "cold", Service: "plain", Zone: "e1", Capacity: 8, WarmAtMs: time.Now().Add(3 * time.Second).UnixMilli()}
 		warm := message.Backend{Name: "warm", Service: "plain", Zone: "w1", Capacity: 2}
 		proxies[0].Apply(&routing.State{Config: ownConfig()}, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{cold, warm}})
-		proxies[0].targets["cold"].warm(time.Now(), 1)
+		proxies[0].targets["cold"].takeWarmup(time.Now(), 1)
 		time.Sleep(time.Second)
 		for range 6 {
-			if held, how := proxies[0].pick(nil, nil); how != chosen || held.target.backend.Name != "warm" {
+			if candidate, how := proxies[0].pick(nil, nil); how != chosen || candidate.target.backend.Name != "warm" {
 				test.Fatalf("choice %d before the warm one is full", how)
 			}
 		}
-		if held, how := proxies[0].pick(nil, nil); how != chosen || held.target.backend.Name != "cold" {
+		if candidate, how := proxies[0].pick(nil, nil); how != chosen || candidate.target.backend.Name != "cold" {
 			test.Errorf("choice %d with a token", how)
 		}
 		if _, how := proxies[0].pick(nil, nil); how != allFull {
@@ -128,7 +128,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		for range 8 {
-			if held, how := proxies[0].pick(nil, nil); how != chosen || held.target.backend.Name != "cold" {
+			if candidate, how := proxies[0].pick(nil, nil); how != chosen || candidate.target.backend.Name != "cold" {
 				test.Errorf("choice %d once warm", how)
 			}
 		}
@@ -166,12 +166,12 @@
 // Two owners together stay below what a cold backend bears.
 func TestWarmupRate(test *testing.T) {
 	for _, rate := range []float64{0, 0.1, 1, 9.9, 40} {
-		got := warmupRate(rate, 1.5, 5)
+		got := ownerWarmupRate(rate, 1.5, 5)
 		if got > 0.9*rate || 2*(got+1) > rate*1.5+5 || got < 0 {
 			test.Errorf("%v of %v", got, rate)
 		}
 	}
-	if got := warmupRate(10, 0, 0); got != 0 {
+	if got := ownerWarmupRate(10, 0, 0); got != 0 {
 		test.Errorf("%v where nothing is borne", got)
 	}
 }
