--- a/agent/daemon.go
+++ b/agent/daemon.go
@@ -46,25 +46,25 @@
 // Daemon is a member of the deployment: it holds a session with a core and serves by the
 // newest version that it gets. It is safe for concurrent use once Run was called.
 type Daemon struct {
-	config        Config
-	intervals     Intervals
-	incarnation   string
-	client        *rpc.Client
-	goroutines    *concurrent.Group
-	counters      *metrics.Counters
-	clock         *clock.Clock
-	callbacks     callbacks
-	LeaderFinder  *LeaderFinder
-	Forwarder     *Forwarder
-	connectivity  connectivity
-	watching      watching
-	updates       *concurrent.Condition // notified when another version is in force
-	version       atomic.Pointer[Version]
-	applyMutex    sync.Mutex // held while a version is put in force
-	catchingUp    atomic.Bool
-	sessionLock   *concurrent.Lock // held over a heartbeat of the session
-	sentCounts    sentCounts
-	countedUsage  map[string]uint64
+	config       Config
+	intervals    Intervals
+	incarnation  string
+	client       *rpc.Client
+	goroutines   *concurrent.Group
+	counters     *metrics.Counters
+	clock        *clock.Clock
+	callbacks    callbacks
+	LeaderFinder *LeaderFinder
+	Forwarder    *Forwarder
+	connectivity connectivity
+	watching     watching
+	updates      *concurrent.Condition // notified when another version is in force
+	version      atomic.Pointer[Version]
+	applyMutex   sync.Mutex // held while a version is put in force
+	catchingUp   atomic.Bool
+	sessionLock  *concurrent.Lock // held over a heartbeat of the session
+	sentCounts   sentCounts
+	countedUsage map[string]uint64
 
 	// mutex guards what follows.
 	mutex            sync.Mutex
--- a/config/settings.go
+++ b/config/settings.go
@@ -1,11 +1,11 @@
-// Package conf is the settings that operators write: it reads and checks them
+// Package config is the settings that operators write: it reads and checks them
 // (Read), resolves what routes inherit (Settings.Resolve for operators,
 // Settings.Flatten for the data plane), merges partial changes (Patch), and splits
 // a version into content-addressed branches (Tree) so that only branches that
 // changed are sent and read.
 //
-// Text flows in as JSON; out come immutable Settings, or a wire.Mishap of kind
-// wire.Invalid that names every field that is wrong.
+// Text flows in as JSON; out come immutable Settings, or an
+// rpc.Error of kind rpc.Invalid that names every field that is wrong.
 package config
 
 import (
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,4 +1,4 @@
-// Package place is the directory service: it tells callers which proxies to use and
+// Package directory is the directory service: it tells callers which proxies to use and
 // for how long. Versions of settings and members come in through Directory.Apply,
 // which swaps in an immutable view; ServeHTTP answers callers from it.
 package directory
--- a/harness/capacity/tap.go
+++ b/harness/capacity/samples.go
@@ -1,4 +1,4 @@
-// Package scale measures what each role costs as a deployment grows. A Sweep varies
+// Package capacity measures what each role costs as a deployment grows. A Sweep varies
 // one size over Points; Measure runs real cores in processes of their own (RunCore)
 // and many hollow daemons, which carry no requests, in shared ones (RunHollow), and
 // reads what each process used through a Tap. PlayStates measures the state alone.
--- a/harness/checker/evidence.go
+++ b/harness/checker/evidence.go
@@ -1,4 +1,4 @@
-// Package judge checks the guarantees of the system against what callers, backends,
+// Package checker checks the guarantees of the system against what callers, backends,
 // the platform and operators recorded. The simulator and the fleet runner collect
 // Evidence, partly by a Ledger that makes changes of settings while they run;
 // Evidence.Judge turns it into Verdicts.
--- a/harness/cluster/process.go
+++ b/harness/cluster/process.go
@@ -1,7 +1,7 @@
-// Package fleet runs a whole deployment of real processes on one machine and
+// Package cluster runs a whole deployment of real processes on one machine and
 // injects faults into it. A Spec says its size, a Fleet starts its Processes, a
 // Scenario injects faults while callers and operators work, and Fleet.Play returns
-// the verdicts of package judge.
+// the verdicts of package checker.
 package cluster
 
 import (
--- a/harness/simulation/disk.go
+++ b/harness/simulation/disk.go
@@ -1,4 +1,8 @@
-// Package sim brings about, in virtual time and by seed, what fails.
+// Package simulation runs whole deployments in virtual time: cores, proxies, directories,
+// callers and backends are the product's own code over a simulated network (net.go),
+// disk (disk.go) and clock. A seed decides when machines lose power, links are cut and
+// messages are late, so that every run can be repeated. Package checker judges what
+// callers, backends and operators saw.
 package simulation
 
 import (
--- a/harness/standin/backend.go
+++ b/harness/standin/backend.go
@@ -1,7 +1,7 @@
-// Package stand holds stand-ins for what is outside the system, for the simulator
+// Package standin holds stand-ins for what is outside the system, for the simulator
 // and for real processes: backends (Backend), the platform (Platform) and callers
 // (Origin). Each follows its side of the interface, can be told to misbehave, and
-// records what it saw for package judge.
+// records what it saw for package checker.
 package standin
 
 import (
--- a/hostproxy/choose.go
+++ b/hostproxy/choose.go
@@ -6,8 +6,13 @@
 	"time"
 )
 
+// maxConnections bounds the connections to a backend of a service without a limit.
+const maxConnections = 64
+
+// What a backend's distance adds to its cost, in milliseconds: a fixed part and a
+// part for each kilobyte that a request of the route usually carries, together at
+// most a share of the route's target.
 const (
-	maxConnections  = 64
 	queueDepth      = 2.0
 	nearPenalty     = 100.0
 	farPenalty      = 300.0
@@ -26,72 +31,107 @@
 	noneAllowed
 )
 
-// choose takes a place at the target that costs least: own waiting, distance and
-// what it does to links weighed together. A cold one is taken only where no warm
-// one has room.
+// selection is what choose has seen of the candidates so far.
+type selection struct {
+	best      *candidate // the cheapest warm candidate with room
+	bestCost  float64
+	coldest   *candidate // the cheapest cold candidate that this proxy may warm up
+	coldCost  float64
+	fallback  *candidate // a candidate that is ejected
+	full      bool       // whether a warm candidate had no room
+	permitted bool       // whether the homes allow any candidate
+}
+
+// choose takes a place at the candidate of least cost: its waiting time, distance and
+// load on links weighed together. It starts at a random candidate, so that equal
+// costs spread. A cold candidate is taken only where no warm one has room.
 func (proxy *Proxy) choose(request *request, candidates []candidate, tried []*target) (*candidate, choice) {
 	now := proxy.clock()
 	trueNow := proxy.now()
 	mean, kilobytes := request.stats.expect(request.route)
-	var best *candidate
-	bestCost, full := 0.0, false
-	var fallback, coldest *candidate
-	coldCost := 0.0
-	offset, permitted := 0, false
+	seen := selection{}
+	offset := 0
 	if len(candidates) > 0 {
 		offset = rand.IntN(len(candidates))
 	}
 	for step := range candidates {
 		candidate := &candidates[(step+offset)%len(candidates)]
-		if !allowsRegion(request.route.Homes, candidate.region) || request.tenant != nil && !allowsRegion(request.tenant.Homes, candidate.region) {
+		if !request.mayGoTo(candidate.region) {
 			continue
 		}
-		permitted = true
+		seen.permitted = true
 		if slices.Contains(tried, candidate.target) {
 			continue
 		}
-		far := 0.0
-		switch candidate.distance {
-		case sameRegion:
-			far = min(nearPenalty+kilobytes*kilobytePenalty, maxNear*float64(request.route.TargetMs))
-		case otherRegion:
-			far = min(farPenalty+kilobytes*kilobytePenalty, maxFar*float64(request.route.TargetMs))
-		}
-		cost, isFull, ejected := candidate.target.evaluate(now, mean, far)
+		penalty := distancePenalty(candidate.distance, kilobytes, float64(request.route.TargetMs))
+		cost, isFull, ejected := candidate.target.evaluate(now, mean, penalty)
 		if candidate.cold(now, trueNow) {
-			if !candidate.owned || isFull || ejected {
-				continue
-			}
-			if coldest == nil || cost < coldCost {
-				coldest, coldCost = candidate, cost
-			}
-			continue
-		}
-		if ejected {
-			fallback = candidate
-			continue
-		}
-		if isFull {
-			full = true
-			continue
-		}
-		if best == nil || cost < bestCost {
-			best, bestCost = candidate, cost
+			seen.considerCold(candidate, cost, isFull || ejected)
+		} else {
+			seen.considerWarm(candidate, cost, isFull, ejected)
 		}
 	}
-	if best == nil && coldest != nil && coldest.target.takeWarmup(now, coldest.warmupRate) {
-		best = coldest
+	return seen.take(now, len(tried) == 0)
+}
+
+// mayGoTo is whether the homes of the request's route and tenant allow a region.
+func (request *request) mayGoTo(region string) bool {
+	if !allowsRegion(request.route.Homes, region) {
+		return false
+	}
+	return request.tenant == nil || allowsRegion(request.tenant.Homes, region)
+}
+
+// distancePenalty is what a candidate's distance adds to its cost, in milliseconds.
+func distancePenalty(away distance, kilobytes, targetMs float64) float64 {
+	switch away {
+	case sameRegion:
+		return min(nearPenalty+kilobytes*kilobytePenalty, maxNear*targetMs)
+	case otherRegion:
+		return min(farPenalty+kilobytes*kilobytePenalty, maxFar*targetMs)
+	}
+	return 0
+}
+
+// considerCold weighs a candidate that may bear only its warm-up rate.
+func (seen *selection) considerCold(candidate *candidate, cost float64, unavailable bool) {
+	if !candidate.owned || unavailable {
+		return
+	}
+	if seen.coldest == nil || cost < seen.coldCost {
+		seen.coldest, seen.coldCost = candidate, cost
+	}
+}
+
+// considerWarm weighs a candidate that may bear its full load.
+func (seen *selection) considerWarm(candidate *candidate, cost float64, isFull, ejected bool) {
+	switch {
+	case ejected:
+		seen.fallback = candidate
+	case isFull:
+		seen.full = true
+	case seen.best == nil || cost < seen.bestCost:
+		seen.best, seen.bestCost = candidate, cost
+	}
+}
+
+// take begins a request at the best candidate seen, or tells why there is none. An
+// ejected candidate is taken only by a request's first attempt.
+func (seen *selection) take(now time.Time, first bool) (*candidate, choice) {
+	best := seen.best
+	if best == nil && seen.coldest != nil && seen.coldest.target.takeWarmup(now, seen.coldest.warmupRate) {
+		best = seen.coldest
 	}
-	if best == nil && !full && fallback != nil && len(tried) == 0 {
-		best = fallback
+	if best == nil && !seen.full && first {
+		best = seen.fallback
 	}
 	switch {
 	case best != nil:
 		best.target.begin()
 		return best, chosen
-	case !permitted:
+	case !seen.permitted:
 		return nil, noneAllowed
-	case full || coldest != nil:
+	case seen.full || seen.coldest != nil:
 		return nil, allFull
 	}
 	return nil, noneLeft
--- a/hostproxy/view.go
+++ b/hostproxy/view.go
@@ -19,6 +19,7 @@
 }
 
 // View is what a proxy has in force: routing and backends; it is swapped whole.
+// The slices are indexed by the number that routing.Index gives a service.
 type View struct {
 	state       *routing.State
 	index       *routing.Index
@@ -27,72 +28,108 @@
 	connections []int
 }
 
+// presumedProxies is how many proxies are taken to share a backend's limits while
+// no leader has told how many there are.
 const presumedProxies = 32
 
+// The proxies together use this share of a service's connection limit; no proxy's
+// own share falls below minConnections.
+const (
+	connectionShareNumerator   = 4
+	connectionShareDenominator = 5
+	minConnections             = 2
+)
+
 // allowsRegion is whether a region is among the homes; no homes allow all.
 func allowsRegion(homes []string, region string) bool {
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
-// Apply puts a routing book and a table in force.
+// Apply puts a routing state and a table of members and backends in force.
 func (proxy *Proxy) Apply(state *routing.State, table *message.Table) {
 	proxy.applyMutex.Lock()
 	defer proxy.applyMutex.Unlock()
-	before := proxy.view.Load()
+	view := proxy.newView(state)
+	proxies := servingProxies(table.Members)
+	proxy.mostProxies = max(proxy.mostProxies, len(proxies))
+	led := table.Version.Term.Number > 0
+	proxy.shareLimits(view, led)
+	proxy.addBackends(view, table.Backends, proxies, led)
+	proxy.retireUnlisted(table.Backends)
+	proxy.view.Store(view)
+	proxy.capacityFreed.Notify()
+}
+
+// newView returns a view without backends. It reuses the index in force if the
+// routing state has not changed.
+func (proxy *Proxy) newView(state *routing.State) *View {
 	view := &View{state: state}
-	if before != nil && before.state == state {
+	if before := proxy.view.Load(); before != nil && before.state == state {
 		view.index = before.index
 	} else {
 		view.index = routing.NewIndex(state)
 	}
+	view.services = make([][]candidate, len(view.index.Services))
+	view.budgets = make([]*Budget, len(view.index.Services))
+	view.connections = make([]int, len(view.index.Services))
+	return view
+}
+
+// servingProxies returns the members that are proxies and not about to leave.
+func servingProxies(members []message.Member) []message.Member {
 	proxies := []message.Member{}
-	for _, member := range table.Members {
+	for _, member := range members {
 		if member.Kind == "proxy" && !member.Leaving {
 			proxies = append(proxies, member)
 		}
 	}
-	proxy.mostProxies = max(proxy.mostProxies, len(proxies))
+	return proxies
+}
+
+// shareLimits gives each service of a view this proxy's share of the retry budget
+// and of the connections to a backend. The share is by the most proxies ever seen,
+// since those that are missing may be cut off and still serving.
+func (proxy *Proxy) shareLimits(view *View, led bool) {
 	shares := max(1, proxy.mostProxies)
-	led := table.Version.Term.Number > 0
 	if !led {
 		shares = max(shares, presumedProxies)
 	}
-	view.services = make([][]candidate, len(view.index.Services))
-	view.budgets = make([]*Budget, len(view.index.Services))
-	view.connections = make([]int, len(view.index.Services))
 	for number, service := range view.index.Services {
-		budget := proxy.budgets[service.Name]
-		if budget == nil {
-			budget = &Budget{}
-			proxy.budgets[service.Name] = budget
-		}
-		if led {
-			budget.setShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.mostProxies)
-		} else {
-			budget.presumeShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.mostProxies)
-		}
-		view.budgets[number] = budget
+		view.budgets[number] = proxy.budgetOf(service.Name, led)
 		view.connections[number] = maxConnections
 		if service.MaxConnections > 0 {
-			view.connections[number] = max(2, service.MaxConnections*4/5/shares)
+			share := service.MaxConnections * connectionShareNumerator / connectionShareDenominator / shares
+			view.connections[number] = max(minConnections, share)
 		}
 	}
+}
+
+// budgetOf returns a service's retry budget with the share that is due now.
+func (proxy *Proxy) budgetOf(service string, led bool) *Budget {
+	budget := proxy.budgets[service]
+	if budget == nil {
+		budget = &Budget{}
+		proxy.budgets[service] = budget
+	}
+	if led {
+		budget.setShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.mostProxies)
+	} else {
+		budget.presumeShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.mostProxies)
+	}
+	return budget
+}
+
+// addBackends makes candidates of the backends that may be chosen: those of a known
+// service that are not leaving and whose zone is not evacuated.
+func (proxy *Proxy) addBackends(view *View, backends []message.Backend, proxies []message.Member, led bool) {
 	evacuated := map[string]bool{}
-	for _, zone := range state.Evacuated {
+	for _, zone := range view.state.Evacuated {
 		evacuated[zone] = true
 	}
-	now, listed := proxy.clock(), map[string]bool{}
-	reopened := map[string]time.Duration{}
-	for _, one := range state.Restored {
-		reopened[one.Zone] = proxy.config.suspectTTL() - time.Duration(proxy.now()-one.AtMs)*time.Millisecond
-	}
-	for _, backend := range table.Backends {
-		held := proxy.targets[backend.Name]
-		if held == nil {
-			held = newTarget(backend)
-			proxy.targets[backend.Name] = held
-		}
-		listed[backend.Name] = true
+	reopened := proxy.reopenedZones(view.state)
+	now := proxy.clock()
+	for _, backend := range backends {
+		held := proxy.targetOf(backend)
 		if proxy.evacuated[backend.Zone] && !evacuated[backend.Zone] {
 			held.suspectUntil(now.Add(proxy.config.suspectTTL()))
 		} else if left := reopened[backend.Zone]; left > 0 {
@@ -103,17 +140,50 @@
 			continue
 		}
 		service := view.index.Services[number]
-		view.services[number] = append(view.services[number], candidate{target: held, region: proxy.config.Regions[backend.Zone], distance: proxy.config.distance(backend.Zone),
-			warmAt: backend.WarmAtMs, owned: led && (backend.WarmAtMs > 0 || held.isSuspect(now)) && owner(backend, proxies, proxy.config.Regions) == proxy.config.Name,
-			warmupRate: ownerWarmupRate(service.WarmupRate, proxy.config.WarmupExcess, proxy.config.WarmupExtra)})
+		mayWarm := led && (backend.WarmAtMs > 0 || held.isSuspect(now))
+		view.services[number] = append(view.services[number], candidate{
+			target:     held,
+			region:     proxy.config.Regions[backend.Zone],
+			distance:   proxy.config.distance(backend.Zone),
+			warmAt:     backend.WarmAtMs,
+			owned:      mayWarm && owner(backend, proxies, proxy.config.Regions) == proxy.config.Name,
+			warmupRate: ownerWarmupRate(service.WarmupRate, proxy.config.WarmupExcess, proxy.config.WarmupExtra),
+		})
 	}
 	proxy.evacuated = evacuated
+}
+
+// reopenedZones returns how long the backends of each zone that was opened again
+// stay suspect; the time may already be over.
+func (proxy *Proxy) reopenedZones(state *routing.State) map[string]time.Duration {
+	reopened := map[string]time.Duration{}
+	for _, restored := range state.Restored {
+		age := time.Duration(proxy.now()-restored.AtMs) * time.Millisecond
+		reopened[restored.Zone] = proxy.config.suspectTTL() - age
+	}
+	return reopened
+}
+
+// targetOf returns the target of a backend, which outlives single views.
+func (proxy *Proxy) targetOf(backend message.Backend) *target {
+	held := proxy.targets[backend.Name]
+	if held == nil {
+		held = newTarget(backend)
+		proxy.targets[backend.Name] = held
+	}
+	return held
+}
+
+// retireUnlisted closes the targets of backends that are no longer listed.
+func (proxy *Proxy) retireUnlisted(backends []message.Backend) {
+	listed := make(map[string]bool, len(backends))
+	for _, backend := range backends {
+		listed[backend.Name] = true
+	}
 	for name, held := range proxy.targets {
 		if !listed[name] {
 			held.retire()
 			delete(proxy.targets, name)
 		}
 	}
-	proxy.view.Store(view)
-	proxy.capacityFreed.Notify()
 }
--- a/planner/forecast.go
+++ b/planner/forecast.go
@@ -1,4 +1,4 @@
-// Package plan forecasts what a change of settings would do before it is made. Look
+// Package planner forecasts what a change of settings would do before it is made. Look
 // takes the fleet as it is and the next settings and returns a Forecast; ojplan
 // prints it.
 package planner
--- a/process/program.go
+++ b/process/run.go
@@ -1,4 +1,4 @@
-// Package program is what the thin programs share: flags, logs, listeners, signals.
+// Package process is what the commands share: flags, logs, listeners, signals.
 package process
 
 import (
--- a/routing/config.go
+++ b/routing/config.go
@@ -1,5 +1,7 @@
-// Package route is what an operator says about where requests go: services, the
-// routes to them, the tenants that may use them, and the zones to keep clear.
+// Package routing is what an operator says about where requests go: services, the
+// routes to them, the tenants that may use them, and the zones that are evacuated.
+// A change of it is a Change that names the version it follows; State is what is in
+// force, and NewIndex makes of it the lookup table that proxies swap whole.
 package routing
 
 import (
--- a/serviceproxy/state_machine.go
+++ b/serviceproxy/state_machine.go
@@ -1,6 +1,6 @@
-// Package data is the data plane of the product's own interface: it carries
+// Package serviceproxy is the data plane of the product's own interface: it carries
 // callers' requests to backends as the settings say. (Host routes are carried by
-// package proxy.)
+// package hostproxy.)
 //
 // Versions of settings, members and backends come in through Proxy.Apply. A request
 // comes in through Proxy.ServeHTTP as a task: it is authenticated, matched to a
--- a/slo/aims.go
+++ b/slo/objectives.go
@@ -1,4 +1,4 @@
-// Package aims reads service-level objectives in a subset of OpenSLO v1 and reports
+// Package slo reads service-level objectives in a subset of OpenSLO v1 and reports
 // how the counters of the daemons stand against them. Read gives Documents; Against
 // turns them and the summed counters into Reports.
 package slo
