--- a/agent/connectivity.go
+++ b/agent/connectivity.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"k8s.io/klog/v2"
+
 	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
--- a/agent/operator_api.go
+++ b/agent/operator_api.go
@@ -26,6 +26,8 @@
 	mux           *http.ServeMux
 }
 
+// NewOperatorAPI returns the interface of the daemon that is called name. local gives the
+// version and the body of the settings in force here, ready whether the daemon serves.
 func NewOperatorAPI(name string, forwarder *Forwarder, counters *metrics.Counters, local func() (uint64, []byte), ready func() bool) *OperatorAPI {
 	api := &OperatorAPI{forwarder: forwarder, counters: counters, name: name, localSettings: local, ready: ready, mux: http.NewServeMux()}
 	api.mux.HandleFunc("GET /v1/settings", api.read)
@@ -60,7 +62,7 @@
 	writer.Write(append(body, '\n'))
 }
 
-// WriteError writes a mishap and, where it has one, the time to come back.
+// WriteError writes a error and, where it has one, the time to come back.
 func WriteError(writer http.ResponseWriter, err error) {
 	refusal := rpc.AsError(err)
 	writeRefusal(writer, refusal, refusal)
--- a/agent/readiness.go
+++ b/agent/readiness.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"k8s.io/klog/v2"
+
 	"orchidjunction/message"
 	"orchidjunction/rpc"
 )
--- a/agent/sent_counts_test.go
+++ b/agent/sent_counts_test.go
@@ -1,9 +1,10 @@
 package agent
 
 import (
-	"orchidjunction/message"
 	"reflect"
 	"testing"
+
+	"orchidjunction/message"
 )
 
 func TestMeteredTellsWhatChanged(test *testing.T) {
--- a/cmd/ojbackend/main.go
+++ b/cmd/ojbackend/main.go
@@ -2,13 +2,14 @@
 package main
 
 import (
+	"time"
+
 	"orchidjunction/agent"
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/harness/standin"
 	"orchidjunction/process"
 	"orchidjunction/rpc"
-	"time"
 )
 
 func main() {
--- a/cmd/ojcluster/scale.go
+++ b/cmd/ojcluster/scale.go
@@ -6,12 +6,12 @@
 	"os"
 	"strings"
 
+	"github.com/integrii/flaggy"
+
 	"orchidjunction/concurrent"
 	"orchidjunction/harness/capacity"
 	"orchidjunction/process"
 	"orchidjunction/rpc"
-
-	"github.com/integrii/flaggy"
 )
 
 // scaling is the command line of the scale run and of the processes it starts.
@@ -22,8 +22,10 @@
 }
 
 func scaleFlags(flags *process.Flags) *scaling {
-	scaling := &scaling{results: "docs/measure/scale", page: "docs/CAPACITY.md", sweep: "all", port: 24000,
-		run: flaggy.NewSubcommand("scale"), capacity: flaggy.NewSubcommand("capacity"), core: flaggy.NewSubcommand("scale-core"), hollow: flaggy.NewSubcommand("scale-hollow")}
+	scaling := &scaling{
+		results: "docs/measure/scale", page: "docs/CAPACITY.md", sweep: "all", port: 24000,
+		run: flaggy.NewSubcommand("scale"), capacity: flaggy.NewSubcommand("capacity"), core: flaggy.NewSubcommand("scale-core"), hollow: flaggy.NewSubcommand("scale-hollow"),
+	}
 	names := []string{"all", "state"}
 	for _, sweep := range capacity.Sweeps {
 		names = append(names, sweep.Name)
--- a/cmd/ojcore/main.go
+++ b/cmd/ojcore/main.go
@@ -9,6 +9,8 @@
 	"strings"
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"orchidjunction/agent"
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
@@ -17,8 +19,6 @@
 	"orchidjunction/process"
 	"orchidjunction/rpc"
 	"orchidjunction/storage"
-
-	"k8s.io/klog/v2"
 )
 
 func main() {
--- a/cmd/ojctl/cores.go
+++ b/cmd/ojctl/cores.go
@@ -6,11 +6,11 @@
 	"strconv"
 	"time"
 
+	"github.com/integrii/flaggy"
+
 	"orchidjunction/message"
 	"orchidjunction/process"
 	"orchidjunction/rpc"
-
-	"github.com/integrii/flaggy"
 )
 
 // orderRest is the pause before an order without a clear answer is sent again.
--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -13,6 +13,8 @@
 	"sort"
 	"strings"
 
+	"github.com/integrii/flaggy"
+
 	"orchidjunction/agent"
 	"orchidjunction/config"
 	"orchidjunction/control"
@@ -21,8 +23,6 @@
 	"orchidjunction/process"
 	"orchidjunction/rpc"
 	"orchidjunction/slo"
-
-	"github.com/integrii/flaggy"
 )
 
 const (
@@ -108,7 +108,7 @@
 	flags.Exit(rpc.Errorf(rpc.BadFlag, "want a command: check, digest, show, put, patch, drain, refill, history, aims, core or status"))
 }
 
-// end prints a mishap and turns it into the exit status that scripts read.
+// end prints a error and turns it into the exit status that scripts read.
 func end(err error) {
 	if err == nil {
 		return
--- a/cmd/orchidjunction/core.go
+++ b/cmd/orchidjunction/core.go
@@ -5,14 +5,14 @@
 	"os"
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"orchidjunction/agent"
 	"orchidjunction/control"
 	"orchidjunction/platform"
 	"orchidjunction/process"
 	"orchidjunction/rpc"
 	"orchidjunction/storage"
-
-	"k8s.io/klog/v2"
 )
 
 const (
@@ -56,10 +56,12 @@
 	var core *control.Core
 	finder := agent.NewLeaderFinder(line, node.goroutines, innerSeeds(settings)).WithIntervals(agent.Intervals{FindLeader: seekPace})
 	client := platform.NewClient(settings.Platform.Address, process.WANTransport(userTimeout), func() int64 { return core.Now() })
-	config := control.Config{Name: settings.Name, Zone: settings.Zone, InternalAddress: inner(settings, settings.Address), Seeds: innerSeeds(settings), Bootstrap: settings.First,
+	config := control.Config{
+		Name: settings.Name, Zone: settings.Zone, InternalAddress: inner(settings, settings.Address), Seeds: innerSeeds(settings), Bootstrap: settings.First,
 		MinFounders: 2*settings.Survive.Machines + 1, HeartbeatInterval: beat, SuspicionTimeout: suspect, Seed: uint64(time.Now().UnixNano()), DirectSessions: true, TableInterval: tablePace,
 		SessionTTL: sessionSpan, ListBackends: client.ListBackends, ListInterval: listPace(settings), ListsUntilGone: goneAfter,
-		ReplaceAfter: settings.Bounds.CatchUp / replaceShare, OnMembershipChange: finder.ObserveMembership}
+		ReplaceAfter: settings.Bounds.CatchUp / replaceShare, OnMembershipChange: finder.ObserveMembership,
+	}
 	if settings.Metered() {
 		config.Metering = control.Metering{Window: settings.Bounds.ReportWindow, SettleAfter: settle, SettleLatest: settings.Bounds.UsageDelay - reportRest, TakeoverQuiet: settings.Bounds.Lease, Report: func(report control.WindowReport) control.ReportResult {
 			ctx, cancel := context.WithTimeout(context.Background(), callLimit)
--- a/cmd/orchidjunction/main.go
+++ b/cmd/orchidjunction/main.go
@@ -8,13 +8,13 @@
 	"net/netip"
 	"strconv"
 
+	"github.com/integrii/flaggy"
+
 	"orchidjunction/concurrent"
 	"orchidjunction/metrics"
 	"orchidjunction/platform"
 	"orchidjunction/process"
 	"orchidjunction/rpc"
-
-	"github.com/integrii/flaggy"
 )
 
 const headerBytes = 64 << 10
--- a/cmd/orchidjunction/proxy.go
+++ b/cmd/orchidjunction/proxy.go
@@ -7,14 +7,14 @@
 	"net/http"
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"orchidjunction/agent"
 	"orchidjunction/hostproxy"
 	"orchidjunction/message"
 	"orchidjunction/platform"
 	"orchidjunction/process"
 	"orchidjunction/rpc"
-
-	"k8s.io/klog/v2"
 )
 
 const (
@@ -31,17 +31,21 @@
 	settings := node.source.Settings()
 	client := rpc.NewClient(process.WANTransport(userTimeout))
 	address := inner(settings, settings.Address)
-	config := agent.Config{Name: settings.Name, Kind: "proxy", Zone: settings.Zone, InternalAddress: address, PublicAddress: settings.Listen.Clients, OperatorAddress: address, Seeds: innerSeeds(settings),
+	config := agent.Config{
+		Name: settings.Name, Kind: "proxy", Zone: settings.Zone, InternalAddress: address, PublicAddress: settings.Listen.Clients, OperatorAddress: address, Seeds: innerSeeds(settings),
 		Intervals:     agent.Intervals{Session: sessionPace, Watch: watchPace, FindLeader: seekPace, Pulse: feelPace, CheckReach: lookPace, UsageCount: -1},
-		ForwardLimits: agent.ForwardLimits{Attempt: sendLimit}, DirectSessions: true, ServesAlone: true, Routed: true}
+		ForwardLimits: agent.ForwardLimits{Attempt: sendLimit}, DirectSessions: true, ServesAlone: true, Routed: true,
+	}
 	if err := config.Check(); err != nil {
 		return err
 	}
 	daemon := agent.NewDaemon(config, incarnation(), client, node.goroutines, node.counters)
 	dialer := &net.Dialer{Control: process.SetUserTimeout(backendSilent), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}}
-	plane := hostproxy.NewProxy(hostproxy.Config{Name: settings.Name, Zone: settings.Zone, Regions: settings.Zones, Headers: platform.RequestHeaders(),
+	plane := hostproxy.NewProxy(hostproxy.Config{
+		Name: settings.Name, Zone: settings.Zone, Regions: settings.Zones, Headers: platform.RequestHeaders(),
 		RetryRatio: settings.Bounds.RetryRatio, RetryExtra: float64(settings.Bounds.RetryExtra), WarmupExcess: settings.Bounds.WarmupExcess,
-		WarmupExtra: settings.Bounds.WarmupExtra, UsageWindow: settings.Bounds.ReportWindow, ListLag: settings.Platform.Lag, LinkBytes: settings.Machine.LinkMbps * 1e6 / 8}, dialer.DialContext, daemon.Now, node.goroutines, node.counters)
+		WarmupExtra: settings.Bounds.WarmupExtra, UsageWindow: settings.Bounds.ReportWindow, ListLag: settings.Platform.Lag, LinkBytes: settings.Machine.LinkMbps * 1e6 / 8,
+	}, dialer.DialContext, daemon.Now, node.goroutines, node.counters)
 	daemon.OnVersion(func(version *agent.Version) {
 		if version.Routing != nil && version.RoutingSerial > 0 && version.Table.Complete {
 			plane.Apply(version.Routing, version.Table)
--- a/config/branch.go
+++ b/config/branch.go
@@ -2,11 +2,12 @@
 
 import (
 	"hash/fnv"
-	"orchidjunction/message"
-	"orchidjunction/rpc"
 	"strings"
 
 	"github.com/go-faster/jx"
+
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 // fragment is one branch as it was read.
--- a/config/effective.go
+++ b/config/effective.go
@@ -61,8 +61,10 @@
 				class.Rule.addTo(values, "class "+className)
 				service.Rule.addTo(values, "service "+serviceName)
 				route.Rule.addTo(values, "route "+routeName)
-				all = append(all, Effective{Class: className, Service: serviceName, Route: routeName,
-					Method: route.Method, Path: route.Path, Rank: class.Rank, KeyRequired: class.KeyRequired, Values: values})
+				all = append(all, Effective{
+					Class: className, Service: serviceName, Route: routeName,
+					Method: route.Method, Path: route.Path, Rank: class.Rank, KeyRequired: class.KeyRequired, Values: values,
+				})
 			}
 		}
 	}
--- a/config/patch.go
+++ b/config/patch.go
@@ -3,9 +3,10 @@
 import (
 	"bytes"
 	"encoding/json"
-	"orchidjunction/rpc"
 
 	"github.com/go-faster/jx"
+
+	"orchidjunction/rpc"
 )
 
 // Patch merges a partial tree into a whole one (JSON merge patch, RFC 7396):
--- a/config/read.go
+++ b/config/read.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"orchidjunction/rpc"
 	"strings"
 
 	"github.com/go-faster/jx"
+
+	"orchidjunction/rpc"
 )
 
 const (
--- a/config/read_test.go
+++ b/config/read_test.go
@@ -6,10 +6,10 @@
 	"strings"
 	"testing"
 
+	"github.com/cockroachdb/datadriven"
+
 	"orchidjunction/config"
 	"orchidjunction/rpc"
-
-	"github.com/cockroachdb/datadriven"
 )
 
 // TestTree lays one partial change over the small example and shows what is
--- a/config/splitter.go
+++ b/config/splitter.go
@@ -3,10 +3,11 @@
 import (
 	"encoding/json"
 	"fmt"
-	"orchidjunction/message"
 	"reflect"
 	"sort"
 	"strings"
+
+	"orchidjunction/message"
 )
 
 // splitter cuts a decoded tree into branches.
--- a/config/tree.go
+++ b/config/tree.go
@@ -4,10 +4,11 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"orchidjunction/message"
-	"orchidjunction/rpc"
 	"strings"
 	"sync"
+
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 // Tree is one version of the settings in branches. A branch is a part of the
--- a/consensus/membership_test.go
+++ b/consensus/membership_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
+	"testing"
+
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"testing"
 )
 
 func foundedBy(count int) *Membership {
--- a/consensus/state.go
+++ b/consensus/state.go
@@ -59,10 +59,10 @@
 }
 
 // Upgrade makes the roster of a former release, which never changed, the first membership.
-func (state *State) Upgrade(roster []message.Peer) {
+func (state *State) Upgrade(voters []message.Peer) {
 	state.FormerRoster = nil
-	if len(roster) > 0 && state.Accepted[message.MembersRegister].Value.Serial == 0 {
-		state.Accepted[message.MembersRegister] = NewMembership(roster).Accepted()
+	if len(voters) > 0 && state.Accepted[message.MembersRegister].Value.Serial == 0 {
+		state.Accepted[message.MembersRegister] = NewMembership(voters).Accepted()
 	}
 }
 
--- a/control/claims.go
+++ b/control/claims.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"orchidjunction/concurrent"
 	"orchidjunction/consensus"
 	"orchidjunction/idempotency"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-
-	"k8s.io/klog/v2"
 )
 
 const (
--- a/control/decide_test.go
+++ b/control/decide_test.go
@@ -10,8 +10,10 @@
 )
 
 func configOf(version uint64) *routing.Config {
-	return &routing.Config{Version: version, Services: []routing.Service{{Name: "desk"}},
-		Routes: []routing.Route{{Name: "desk", Host: "a.example", Prefix: "/a/", Service: "desk", Attempts: 1, TimeoutMs: 2000}}}
+	return &routing.Config{
+		Version: version, Services: []routing.Service{{Name: "desk"}},
+		Routes: []routing.Route{{Name: "desk", Host: "a.example", Prefix: "/a/", Service: "desk", Attempts: 1, TimeoutMs: 2000}},
+	}
 }
 
 func changeOf(version, base uint64, text string) *routing.Change {
--- a/control/disk_failure.go
+++ b/control/disk_failure.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"orchidjunction/message"
-
 	"k8s.io/klog/v2"
+
+	"orchidjunction/message"
 )
 
 // repairInterval is how often a disk that refused something is tried again.
--- a/control/election.go
+++ b/control/election.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-
-	"k8s.io/klog/v2"
 )
 
 // runElections is the goroutine that makes this core a voter, a candidate or the leader
--- a/control/heartbeat.go
+++ b/control/heartbeat.go
@@ -4,12 +4,12 @@
 	"slices"
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"orchidjunction/concurrent"
 	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-
-	"k8s.io/klog/v2"
 )
 
 // sendHeartbeats sends the leader's heartbeats, and ends a leadership that has reached no
--- a/control/join.go
+++ b/control/join.go
@@ -6,12 +6,12 @@
 	"sync"
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"orchidjunction/concurrent"
 	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-
-	"k8s.io/klog/v2"
 )
 
 const (
--- a/control/lameduck.go
+++ b/control/lameduck.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-
-	"k8s.io/klog/v2"
 )
 
 // Retire is the planned end of this core, at most as long as timeout. A leader enters
--- a/control/model_actions_test.go
+++ b/control/model_actions_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+
 	"orchidjunction/consensus"
 	"orchidjunction/message"
 )
--- a/control/model_digest_test.go
+++ b/control/model_digest_test.go
@@ -4,13 +4,14 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"maps"
+	"slices"
+	"sort"
+
 	"orchidjunction/consensus"
 	"orchidjunction/harness/testdisk"
 	"orchidjunction/message"
 	"orchidjunction/replica"
 	"orchidjunction/rpc"
-	"slices"
-	"sort"
 )
 
 // modelDigest collects what tells two states of the model apart.
--- a/control/model_explore_test.go
+++ b/control/model_explore_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"flag"
-	"orchidjunction/message"
 	"strings"
 	"testing"
 	"time"
+
+	"orchidjunction/message"
 )
 
 var modelStates = flag.Int("states", 0, "how many states each exploration of the model may visit; 0 is the default")
@@ -23,32 +24,44 @@
 var modelExplorations = []modelExploration{
 	{name: "3 voters, two candidacies", bounds: modelBounds{founders: 3, candidates: 2, prompt: true}},
 	{name: "3 voters, two candidacies, any answer late", bounds: modelBounds{founders: 3, candidates: 2}},
-	{name: "3 voters, a leader, two orders, two more candidacies", bounds: modelBounds{founders: 3, registers: modelOne, candidates: 2, orders: 2, prompt: true, losses: 1},
-		prepare: func(script *modelScript) { script.leads(1, 2, 3) }},
-	{name: "4 voters, a leader, two orders, another candidacy", bounds: modelBounds{founders: 4, registers: modelOne, candidates: 1, orders: 2, prompt: true, losses: 1},
-		prepare: func(script *modelScript) { script.leads(1, 2, 3, 4) }},
-	{name: "3 voters, a replacement, another candidacy", bounds: modelBounds{founders: 3, spares: 1, candidates: 1, steps: 1, prompt: true, losses: 1},
+	{
+		name: "3 voters, a leader, two orders, two more candidacies", bounds: modelBounds{founders: 3, registers: modelOne, candidates: 2, orders: 2, prompt: true, losses: 1},
+		prepare: func(script *modelScript) { script.leads(1, 2, 3) },
+	},
+	{
+		name: "4 voters, a leader, two orders, another candidacy", bounds: modelBounds{founders: 4, registers: modelOne, candidates: 1, orders: 2, prompt: true, losses: 1},
+		prepare: func(script *modelScript) { script.leads(1, 2, 3, 4) },
+	},
+	{
+		name: "3 voters, a replacement, another candidacy", bounds: modelBounds{founders: 3, spares: 1, candidates: 1, steps: 1, prompt: true, losses: 1},
 		prepare: func(script *modelScript) {
 			script.leads(1, 2, 3)
 			script.joins(4, 1, 2, 3)
-		}},
-	{name: "3 voters, an order at one replica, its leader down, a disk lost", bounds: modelBounds{founders: 3, registers: modelOne, candidates: 2, wipes: 1, prompt: true},
+		},
+	},
+	{
+		name: "3 voters, an order at one replica, its leader down, a disk lost", bounds: modelBounds{founders: 3, registers: modelOne, candidates: 2, wipes: 1, prompt: true},
 		prepare: func(script *modelScript) {
 			script.leads(1, 2, 3)
 			script.do(modelAction{kind: modelOrder, machine: 0, register: message.SettingsRegister})
 			script.among(1, 2)
 			script.crashes(1)
-		}},
-	{name: "3 voters, a step at one replica, its leader down", bounds: modelBounds{founders: 3, spares: 1, candidates: 2, prompt: true},
+		},
+	},
+	{
+		name: "3 voters, a step at one replica, its leader down", bounds: modelBounds{founders: 3, spares: 1, candidates: 2, prompt: true},
 		prepare: func(script *modelScript) {
 			script.leads(1, 2, 3)
 			script.joins(4, 1, 2, 3)
 			script.do(modelAction{kind: modelReplace, machine: 0, other: 3*64 + 2})
 			script.among(1, 4)
 			script.crashes(1)
-		}},
-	{name: "two of 3 replaced, one as before, one empty", bounds: modelBounds{founders: 3, spares: 2, registers: modelOne, candidates: 2, enlists: 1, crashes: 1, prompt: true},
-		prepare: func(script *modelScript) { modelTwoEmptied(script.world) }},
+		},
+	},
+	{
+		name: "two of 3 replaced, one as before, one empty", bounds: modelBounds{founders: 3, spares: 2, registers: modelOne, candidates: 2, enlists: 1, crashes: 1, prompt: true},
+		prepare: func(script *modelScript) { modelTwoEmptied(script.world) },
+	},
 }
 
 // modelSearch is a breadth-first search; states are told apart by a hash of all that
--- a/control/model_ledger_test.go
+++ b/control/model_ledger_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"orchidjunction/consensus"
-	"orchidjunction/message"
 	"slices"
 	"strings"
+
+	"orchidjunction/consensus"
+	"orchidjunction/message"
 )
 
 // The model's invariants; a violation is reported under one of these names.
--- a/control/model_mutants_test.go
+++ b/control/model_mutants_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"math"
-	"orchidjunction/consensus"
-	"orchidjunction/message"
 	"slices"
 	"testing"
 	"time"
+
+	"orchidjunction/consensus"
+	"orchidjunction/message"
 )
 
 // modelMutant is a seeded bug, and the invariants of which it must break one.
@@ -67,30 +68,43 @@
 )
 
 var modelMutants = []modelMutant{
-	{name: "a candidate needs one promise less", form: modelThree, breaks: []string{acknowledgedIsKept, oneValuePerSerial, oneLeaderPerBallot, confirmedReadIsNewest},
-		mutate: func(rules *modelRules) { rules.decides = modelTooFew }},
-	{name: "a write needs one replica less", form: modelThree, breaks: []string{acknowledgedIsKept},
-		mutate: func(rules *modelRules) { rules.pushed = modelTooFew }},
-	{name: "a write needs one replica less, of 4", form: modelFour, breaks: []string{acknowledgedIsKept},
-		mutate: func(rules *modelRules) { rules.pushed = modelTooFew }},
-	{name: "a step counts the former voters only", form: modelThree, breaks: []string{oneVoterPerStep, acknowledgedIsKept, quorumsMeet},
+	{
+		name: "a candidate needs one promise less", form: modelThree, breaks: []string{acknowledgedIsKept, oneValuePerSerial, oneLeaderPerBallot, confirmedReadIsNewest},
+		mutate: func(rules *modelRules) { rules.decides = modelTooFew },
+	},
+	{
+		name: "a write needs one replica less", form: modelThree, breaks: []string{acknowledgedIsKept},
+		mutate: func(rules *modelRules) { rules.pushed = modelTooFew },
+	},
+	{
+		name: "a write needs one replica less, of 4", form: modelFour, breaks: []string{acknowledgedIsKept},
+		mutate: func(rules *modelRules) { rules.pushed = modelTooFew },
+	},
+	{
+		name: "a step counts the former voters only", form: modelThree, breaks: []string{oneVoterPerStep, acknowledgedIsKept, quorumsMeet},
 		mutate: func(rules *modelRules) {
 			rules.pushed = modelFirstGroup
 			rules.decides = func(view *consensus.View, has func(id int) bool) bool {
 				return modelFirstGroup(view, func(id int) bool { return id == view.ID || has(id) })
 			}
-		}},
-	{name: "nobody refuses an older membership", form: modelThree, breaks: []string{acknowledgedIsKept, oneVoterPerStep, quorumsMeet},
+		},
+	},
+	{
+		name: "nobody refuses an older membership", form: modelThree, breaks: []string{acknowledgedIsKept, oneVoterPerStep, quorumsMeet},
 		mutate: func(rules *modelRules) {
 			rules.askedMembers = func(view *consensus.View) message.AcceptedValue {
 				request := view.Accepted()
 				request.Term.Number = math.MaxUint32
 				return request
 			}
-		}},
-	{name: "a change without the joint step", form: modelThree, breaks: []string{oneVoterPerStep},
-		mutate: func(rules *modelRules) { rules.beginsByStep = false }},
-	{name: "two voters change in a step", form: modelFour, breaks: []string{oneVoterPerStep},
+		},
+	},
+	{
+		name: "a change without the joint step", form: modelThree, breaks: []string{oneVoterPerStep},
+		mutate: func(rules *modelRules) { rules.beginsByStep = false },
+	},
+	{
+		name: "two voters change in a step", form: modelFour, breaks: []string{oneVoterPerStep},
 		mutate: func(rules *modelRules) {
 			rules.replaced = func(view *consensus.View, leaving int, address string) *consensus.Membership {
 				step := view.WithReplacement(leaving, address)
@@ -99,8 +113,10 @@
 				step.Next[other] = message.Peer{ID: step.LastID, Address: step.Next[other].Address}
 				return step
 			}
-		}},
-	{name: "a newcomer gets the ID of the one that left", form: modelThree, breaks: []string{idsAreUsedOnce},
+		},
+	},
+	{
+		name: "a newcomer gets the ID of the one that left", form: modelThree, breaks: []string{idsAreUsedOnce},
 		mutate: func(rules *modelRules) {
 			rules.replaced = func(view *consensus.View, leaving int, address string) *consensus.Membership {
 				step := view.WithReplacement(leaving, address)
@@ -108,60 +124,87 @@
 				step.Next[len(step.Next)-1].ID = leaving
 				return step
 			}
-		}},
-	{name: "ballots without the core's ID", form: modelThree, breaks: []string{oneLeaderPerBallot, oneValuePerSerial, acknowledgedIsKept},
+		},
+	},
+	{
+		name: "ballots without the core's ID", form: modelThree, breaks: []string{oneLeaderPerBallot, oneValuePerSerial, acknowledgedIsKept},
 		mutate: func(rules *modelRules) {
 			rules.nextBallot = func(core *Core, view *consensus.View) message.Term {
 				term, _ := core.nextTerm(view)
 				term.Core = 1
 				return term
 			}
-		}},
-	{name: "a joining core stands", form: modelThree, breaks: []string{onlyVotersLead}, detailed: true,
-		mutate: func(rules *modelRules) { rules.mayLead = func(view *consensus.View, id int) bool { return id > 0 } }},
-	{name: "a ballot takes over the oldest values", form: modelThree, breaks: []string{acknowledgedIsKept},
-		mutate: func(rules *modelRules) { rules.takenOver = modelOldest }},
-	{name: "a blank disk votes", form: modelThree, breaks: []string{acknowledgedIsKept},
-		mutate: func(rules *modelRules) { rules.blankDiskVotes = true }},
-	{name: "a sync that does not last", form: modelThree, breaks: []string{acknowledgedIsKept, oneLeaderPerBallot, oneValuePerSerial},
-		mutate: func(rules *modelRules) { rules.syncs = false }},
-	{name: "a blank voter fences one other voter less", form: modelWiped, breaks: []string{acknowledgedIsKept},
+		},
+	},
+	{
+		name: "a joining core stands", form: modelThree, breaks: []string{onlyVotersLead}, detailed: true,
+		mutate: func(rules *modelRules) { rules.mayLead = func(view *consensus.View, id int) bool { return id > 0 } },
+	},
+	{
+		name: "a ballot takes over the oldest values", form: modelThree, breaks: []string{acknowledgedIsKept},
+		mutate: func(rules *modelRules) { rules.takenOver = modelOldest },
+	},
+	{
+		name: "a blank disk votes", form: modelThree, breaks: []string{acknowledgedIsKept},
+		mutate: func(rules *modelRules) { rules.blankDiskVotes = true },
+	},
+	{
+		name: "a sync that does not last", form: modelThree, breaks: []string{acknowledgedIsKept, oneLeaderPerBallot, oneValuePerSerial},
+		mutate: func(rules *modelRules) { rules.syncs = false },
+	},
+	{
+		name: "a blank voter fences one other voter less", form: modelWiped, breaks: []string{acknowledgedIsKept},
 		mutate: func(rules *modelRules) {
 			rules.fencesWithout = modelFenceTooFew
 			rules.mayRestore = func(core *Core, view *consensus.View, response map[int]*message.ReplicaStateResponse) bool {
 				return view.MayLead(view.ID) && modelFenceTooFew(view, view.ID, consensus.Agreed(response, func(answer *message.ReplicaStateResponse) bool { return answer.Initialized }))
 			}
-		}},
-	{name: "a restored voter has promised nothing", near: 4770, form: modelWiped, breaks: []string{acknowledgedIsKept, oneValuePerSerial, servedIsDecided},
+		},
+	},
+	{
+		name: "a restored voter has promised nothing", near: 4770, form: modelWiped, breaks: []string{acknowledgedIsKept, oneValuePerSerial, servedIsDecided},
 		mutate: func(rules *modelRules) {
 			rules.found = func(core *Core, _ message.Term, _ [message.Registers]message.AcceptedValue) error {
 				return core.replica.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil)
 			}
-		}},
-	{name: "a restored voter keeps copies as votes of former ballots", near: 800, form: modelWiped, breaks: []string{acknowledgedIsKept, servedIsDecided},
-		mutate: func(rules *modelRules) { rules.found = modelFoundAsVotes }},
-	{name: "a voter is admitted as a learner", near: 1800, form: modelWiped, breaks: []string{acknowledgedIsKept, servedIsDecided},
+		},
+	},
+	{
+		name: "a restored voter keeps copies as votes of former ballots", near: 800, form: modelWiped, breaks: []string{acknowledgedIsKept, servedIsDecided},
+		mutate: func(rules *modelRules) { rules.found = modelFoundAsVotes },
+	},
+	{
+		name: "a voter is admitted as a learner", near: 1800, form: modelWiped, breaks: []string{acknowledgedIsKept, servedIsDecided},
 		mutate: func(rules *modelRules) {
 			rules.admits = func(*consensus.View, string) bool { return true }
 			rules.mayBeginEmpty = func(core *Core, response *message.JoinResponse) bool {
 				return response.Admitted && core.replica.Blank()
 			}
 			rules.beginEmpty = modelBeginEmpty
-		}},
-	{name: "a learner is admitted unconfirmed", form: modelStale, breaks: []string{acknowledgedIsKept, onlyVotersCount}, detailed: true,
-		mutate: func(rules *modelRules) { rules.confirms = false }},
-	{name: "a learner forgets who votes", near: 660, form: modelEmptied, breaks: []string{acknowledgedIsKept, quorumsMeet, onlyVotersCount}, detailed: true,
+		},
+	},
+	{
+		name: "a learner is admitted unconfirmed", form: modelStale, breaks: []string{acknowledgedIsKept, onlyVotersCount}, detailed: true,
+		mutate: func(rules *modelRules) { rules.confirms = false },
+	},
+	{
+		name: "a learner forgets who votes", near: 660, form: modelEmptied, breaks: []string{acknowledgedIsKept, quorumsMeet, onlyVotersCount}, detailed: true,
 		mutate: func(rules *modelRules) {
 			rules.beginEmpty = func(core *Core, term message.Term) {
 				modelBeginEmpty(core, term)
 			}
-		}},
-	{name: "a leader counts by what it heard", near: 650, form: modelStray, breaks: []string{oneVoterPerStep, servedIsDecided, acknowledgedIsKept, quorumsMeet},
+		},
+	},
+	{
+		name: "a leader counts by what it heard", near: 650, form: modelStray, breaks: []string{oneVoterPerStep, servedIsDecided, acknowledgedIsKept, quorumsMeet},
 		mutate: func(rules *modelRules) {
 			rules.leadsBy = func(*Core, *consensus.View, message.Term) error { return nil }
-		}},
-	{name: "a step ends without catching up or rewriting", near: 220, form: modelThree, breaks: []string{acknowledgedIsKept},
-		mutate: func(rules *modelRules) { rules.catchesUp, rules.rewrites = false, false }},
+		},
+	},
+	{
+		name: "a step ends without catching up or rewriting", near: 220, form: modelThree, breaks: []string{acknowledgedIsKept},
+		mutate: func(rules *modelRules) { rules.catchesUp, rules.rewrites = false, false },
+	},
 }
 
 func modelFenceTooFew(view *consensus.View, lost int, has func(id int) bool) bool {
--- a/control/model_script_test.go
+++ b/control/model_script_test.go
@@ -1,9 +1,10 @@
 package control
 
 import (
-	"orchidjunction/message"
 	"slices"
 	"testing"
+
+	"orchidjunction/message"
 )
 
 // modelScript takes chosen steps of a world, for states that random walks rarely reach.
--- a/control/model_steps_test.go
+++ b/control/model_steps_test.go
@@ -1,9 +1,10 @@
 package control
 
 import (
+	"strings"
+
 	"orchidjunction/consensus"
 	"orchidjunction/message"
-	"strings"
 )
 
 // What a machine does of itself.
--- a/control/model_walk_test.go
+++ b/control/model_walk_test.go
@@ -4,13 +4,14 @@
 	"flag"
 	"io"
 	"math/rand/v2"
-	"orchidjunction/message"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"k8s.io/klog/v2"
+
+	"orchidjunction/message"
 )
 
 var (
@@ -154,8 +155,10 @@
 	return modelAction{}, false
 }
 
-var modelKinds = []modelKind{modelTimeOut, modelStand, modelGiveUp, modelOrder, modelEnlist, modelReplace, modelSettles, modelRestore, modelMend, modelSurveyed,
-	modelCrash, modelPowerLoss, modelWipe, modelRestart}
+var modelKinds = []modelKind{
+	modelTimeOut, modelStand, modelGiveUp, modelOrder, modelEnlist, modelReplace, modelSettles, modelRestore, modelMend, modelSurveyed,
+	modelCrash, modelPowerLoss, modelWipe, modelRestart,
+}
 
 // changeCut cuts machines off from the others for a while, or one way only.
 func (walk *modelWalk) changeCut() {
@@ -192,8 +195,10 @@
 
 // modelMany are bounds that a walk hardly reaches.
 func modelMany(founders, spares, late int) modelBounds {
-	return modelBounds{founders: founders, spares: spares, late: late, registers: modelData, candidates: 40, orders: 40, crashes: 20, powerLoss: 12, wipes: 12,
-		steps: 20, enlists: 80, mends: 40, surveys: 40, duplicates: 40, giveUps: 30, timeOuts: true, cuts: 1}
+	return modelBounds{
+		founders: founders, spares: spares, late: late, registers: modelData, candidates: 40, orders: 40, crashes: 20, powerLoss: 12, wipes: 12,
+		steps: 20, enlists: 80, mends: 40, surveys: 40, duplicates: 40, giveUps: 30, timeOuts: true, cuts: 1,
+	}
 }
 
 var modelForms = []modelWalkForm{
--- a/control/model_world_test.go
+++ b/control/model_world_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"net/netip"
+	"slices"
+
 	"orchidjunction/consensus"
 	"orchidjunction/message"
-	"slices"
 )
 
 // modelBounds limit a walk or an exploration.
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -1,10 +1,11 @@
 package control
 
 import (
-	"orchidjunction/message"
-	"orchidjunction/rpc"
 	"testing"
 	"time"
+
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 // A place with an id names its peers, one without finds them by seeds; one thing
--- a/control/placeview_test.go
+++ b/control/placeview_test.go
@@ -1,9 +1,10 @@
 package control
 
 import (
+	"testing"
+
 	"orchidjunction/consensus"
 	"orchidjunction/message"
-	"testing"
 )
 
 // As long as no core was ever replaced the flags say where the cores are; afterwards
--- a/control/relayed_test.go
+++ b/control/relayed_test.go
@@ -55,8 +55,10 @@
 		test.Fatal(err)
 	}
 	defer core.Close()
-	session := message.Session{Member: message.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}, NowMs: 2, BaseProcess: core.windows.Process() + 2,
-		Windows: []message.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}}}
+	session := message.Session{
+		Member: message.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}, NowMs: 2, BaseProcess: core.windows.Process() + 2,
+		Windows: []message.WindowCount{{Window: 11, Tenants: map[string]uint64{"first": 1}}},
+	}
 	if _, err := core.onSession(&session); err != nil {
 		test.Fatal(err)
 	}
--- a/control/remove_voter.go
+++ b/control/remove_voter.go
@@ -4,11 +4,11 @@
 	"slices"
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-
-	"k8s.io/klog/v2"
 )
 
 // removalRetryMs is when to ask again for a removal, in milliseconds.
--- a/control/replacement.go
+++ b/control/replacement.go
@@ -4,11 +4,11 @@
 	"sync"
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"orchidjunction/consensus"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-
-	"k8s.io/klog/v2"
 )
 
 const (
--- a/control/restore.go
+++ b/control/restore.go
@@ -1,12 +1,12 @@
 package control
 
 import (
+	"k8s.io/klog/v2"
+
 	"orchidjunction/consensus"
 	"orchidjunction/idempotency"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-
-	"k8s.io/klog/v2"
 )
 
 // restoreReplica makes a blank disk a voter again: by initializing it, if every core is
--- a/control/role.go
+++ b/control/role.go
@@ -4,9 +4,9 @@
 	"slices"
 	"sync"
 
-	"orchidjunction/metrics"
-
 	"k8s.io/klog/v2"
+
+	"orchidjunction/metrics"
 )
 
 // Role is what a core is doing in the agreement. Its text is shown to operators.
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -126,8 +126,10 @@
 	for _, count := range []int{192, 768, 16000} {
 		table := &message.Table{Version: message.TableVersion{Number: 1}}
 		for number := range count {
-			table.Members = append(table.Members, message.Member{Name: fmt.Sprintf("proxy-%05d", number), Kind: "proxy", Zone: "zone", InternalAddress: "10.0.0.1:7000", PublicAddress: "10.0.0.1:8000",
-				OperatorAddress: "10.0.0.1:7000", Incarnation: "0123456789abcdef", Ready: true})
+			table.Members = append(table.Members, message.Member{
+				Name: fmt.Sprintf("proxy-%05d", number), Kind: "proxy", Zone: "zone", InternalAddress: "10.0.0.1:7000", PublicAddress: "10.0.0.1:8000",
+				OperatorAddress: "10.0.0.1:7000", Incarnation: "0123456789abcdef", Ready: true,
+			})
 		}
 		bench.Run(fmt.Sprint(count, "-before"), func(bench *testing.B) {
 			for bench.Loop() {
--- a/harness/capacity/backend_list.go
+++ b/harness/capacity/backend_list.go
@@ -3,8 +3,9 @@
 import (
 	"encoding/json"
 	"net/http"
-	"orchidjunction/message"
 	"strconv"
+
+	"orchidjunction/message"
 )
 
 // listOf serves the backends as the product's own platform does.
--- a/harness/capacity/bench.go
+++ b/harness/capacity/bench.go
@@ -33,8 +33,10 @@
 // Measure runs a deployment of a size on ports from port on, through all phases.
 // Result.Failed says what went wrong.
 func Measure(point Point, port int, goroutines *concurrent.Group) *Result {
-	bench := &bench{point: point, port: port, goroutines: concurrent.NewGroup(), result: &Result{Point: point, AtMs: time.Now().UnixMilli(), LoadBefore: load(),
-		Steady: map[string]Rates{}, Changing: map[string]Rates{}, Restarting: map[string]Rates{}}}
+	bench := &bench{point: point, port: port, goroutines: concurrent.NewGroup(), result: &Result{
+		Point: point, AtMs: time.Now().UnixMilli(), LoadBefore: load(),
+		Steady: map[string]Rates{}, Changing: map[string]Rates{}, Restarting: map[string]Rates{},
+	}}
 	defer bench.down()
 	goroutines.OnStop(bench.goroutines.Stop)
 	for _, phase := range []func() error{bench.up, bench.steady, bench.change, bench.restart, bench.kill} {
@@ -94,8 +96,10 @@
 		if err := os.MkdirAll(data, 0o700); err != nil {
 			return rpc.Errorf(rpc.DiskFailure, "%v", err)
 		}
-		spec := CoreSpec{Name: fmt.Sprintf("core-%02d", number), Zone: zoneName(number), Wire: address, Report: report, Seeds: seeds, Folder: data, Cores: point.Cores,
-			Platform: list, Metered: true, SlowUs: point.SlowUs}
+		spec := CoreSpec{
+			Name: fmt.Sprintf("core-%02d", number), Zone: zoneName(number), Wire: address, Report: report, Seeds: seeds, Folder: data, Cores: point.Cores,
+			Platform: list, Metered: true, SlowUs: point.SlowUs,
+		}
 		if err := bench.begin("scale-core", spec, report, address, 2); err != nil {
 			return err
 		}
@@ -116,8 +120,10 @@
 	}
 	for first := 0; first < point.Daemons; first += hollowMost {
 		port := bench.port + 1000 + len(bench.hollows)*portStep
-		spec := SimulatedSpec{First: first, Daemons: min(hollowMost, point.Daemons-first), Wire: fmt.Sprintf("127.0.0.1:%d", port), Report: fmt.Sprintf("127.0.0.1:%d", port+1),
-			Seeds: seeds, Apply: point.Apply, Active: point.Active, Tenants: point.Tenants}
+		spec := SimulatedSpec{
+			First: first, Daemons: min(hollowMost, point.Daemons-first), Wire: fmt.Sprintf("127.0.0.1:%d", port), Report: fmt.Sprintf("127.0.0.1:%d", port+1),
+			Seeds: seeds, Apply: point.Apply, Active: point.Active, Tenants: point.Tenants,
+		}
 		if err := bench.begin("scale-hollow", spec, spec.Report, spec.Wire, 4); err != nil {
 			return err
 		}
--- a/harness/capacity/child.go
+++ b/harness/capacity/child.go
@@ -2,13 +2,14 @@
 
 import (
 	"encoding/json"
-	"orchidjunction/rpc"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"strconv"
 	"strings"
 	"syscall"
+
+	"orchidjunction/rpc"
 )
 
 type child struct {
--- a/harness/capacity/content.go
+++ b/harness/capacity/content.go
@@ -12,8 +12,10 @@
 func tenantName(number int) string { return fmt.Sprintf("tenant-%06d", number) }
 
 func routeOf(number, services int) routing.Route {
-	return routing.Route{Name: fmt.Sprintf("route-%06d", number), Host: fmt.Sprintf("host-%05d.example.org", number/hostsShare), Prefix: fmt.Sprintf("/part-%d/", number%hostsShare),
-		Kind: routing.Idempotent, TimeoutMs: 2000, TargetMs: 200, Service: serviceName(number % services), Attempts: 3}
+	return routing.Route{
+		Name: fmt.Sprintf("route-%06d", number), Host: fmt.Sprintf("host-%05d.example.org", number/hostsShare), Prefix: fmt.Sprintf("/part-%d/", number%hostsShare),
+		Kind: routing.Idempotent, TimeoutMs: 2000, TargetMs: 200, Service: serviceName(number % services), Attempts: 3,
+	}
 }
 
 func serviceName(number int) string { return fmt.Sprintf("service-%04d", number) }
@@ -36,8 +38,10 @@
 func backends(count, services int) []message.Backend {
 	all := make([]message.Backend, 0, count)
 	for number := range count {
-		all = append(all, message.Backend{Name: fmt.Sprintf("backend-%06d", number), Service: serviceName(number % services),
-			Address: fmt.Sprintf("10.%d.%d.%d:8080", number>>16&255, number>>8&255, number&255), Zone: zoneName(number), Capacity: 16})
+		all = append(all, message.Backend{
+			Name: fmt.Sprintf("backend-%06d", number), Service: serviceName(number % services),
+			Address: fmt.Sprintf("10.%d.%d.%d:8080", number>>16&255, number>>8&255, number&255), Zone: zoneName(number), Capacity: 16,
+		})
 	}
 	return all
 }
@@ -46,8 +50,10 @@
 	all := make([]message.Member, 0, count)
 	for number := range count {
 		address := fmt.Sprintf("10.%d.%d.%d", 128+number>>16&127, number>>8&255, number&255)
-		all = append(all, message.Member{Name: fmt.Sprintf("proxy-%05d", number), Kind: "proxy", Zone: zoneName(number), InternalAddress: address + ":7000", PublicAddress: address + ":8000",
-			OperatorAddress: address + ":7000", Incarnation: fmt.Sprintf("%016x", number), Ready: true})
+		all = append(all, message.Member{
+			Name: fmt.Sprintf("proxy-%05d", number), Kind: "proxy", Zone: zoneName(number), InternalAddress: address + ":7000", PublicAddress: address + ":8000",
+			OperatorAddress: address + ":7000", Incarnation: fmt.Sprintf("%016x", number), Ready: true,
+		})
 	}
 	return all
 }
--- a/harness/capacity/core.go
+++ b/harness/capacity/core.go
@@ -66,11 +66,15 @@
 func RunCore(spec CoreSpec) error {
 	goroutines, counters, tap := concurrent.NewGroup(), metrics.NewCounters(), newByteCounter()
 	client := rpc.NewClient(tap.transport())
-	config := control.Config{Name: spec.Name, Zone: spec.Zone, InternalAddress: spec.Wire, Seeds: spec.Seeds, Bootstrap: true, MinFounders: spec.Cores, PlatformAddress: spec.Platform,
-		HeartbeatInterval: beatPace, SuspicionTimeout: suspectSpan, Seed: uint64(time.Now().UnixNano()), DirectSessions: true, TableInterval: tablePace, SessionTTL: sessionSpan, ListInterval: listPace, ListsUntilGone: goneAfter}
+	config := control.Config{
+		Name: spec.Name, Zone: spec.Zone, InternalAddress: spec.Wire, Seeds: spec.Seeds, Bootstrap: true, MinFounders: spec.Cores, PlatformAddress: spec.Platform,
+		HeartbeatInterval: beatPace, SuspicionTimeout: suspectSpan, Seed: uint64(time.Now().UnixNano()), DirectSessions: true, TableInterval: tablePace, SessionTTL: sessionSpan, ListInterval: listPace, ListsUntilGone: goneAfter,
+	}
 	if spec.Metered {
-		config.Metering = control.Metering{Window: meterWindow, SettleAfter: settleSpan, TakeoverQuiet: meterQuiet,
-			Report: func(control.WindowReport) control.ReportResult { return control.ReportAccepted }}
+		config.Metering = control.Metering{
+			Window: meterWindow, SettleAfter: settleSpan, TakeoverQuiet: meterQuiet,
+			Report: func(control.WindowReport) control.ReportResult { return control.ReportAccepted },
+		}
 	}
 	if err := config.Check(); err != nil {
 		return err
--- a/harness/capacity/hollow.go
+++ b/harness/capacity/hollow.go
@@ -86,9 +86,11 @@
 	goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
 	client := rpc.NewClient(all.tap.transport())
 	name := fmt.Sprintf("proxy-%05d", spec.First+number)
-	config := agent.Config{Name: name, Kind: "proxy", Zone: zoneName(number), InternalAddress: spec.Wire, PublicAddress: spec.Wire, OperatorAddress: spec.Wire, Seeds: spec.Seeds,
+	config := agent.Config{
+		Name: name, Kind: "proxy", Zone: zoneName(number), InternalAddress: spec.Wire, PublicAddress: spec.Wire, OperatorAddress: spec.Wire, Seeds: spec.Seeds,
 		Intervals:     agent.Intervals{Session: sessionPace, Watch: watchPace, FindLeader: seekPace, Pulse: feelPace, CheckReach: lookPace, UsageCount: -1},
-		ForwardLimits: agent.ForwardLimits{Attempt: sendLimit}, DirectSessions: true, ServesAlone: true, Routed: true}
+		ForwardLimits: agent.ForwardLimits{Attempt: sendLimit}, DirectSessions: true, ServesAlone: true, Routed: true,
+	}
 	var random [8]byte
 	rand.Read(random[:])
 	one := &simulatedDaemon{number: number, all: all, goroutines: goroutines, client: client}
--- a/harness/capacity/page.go
+++ b/harness/capacity/page.go
@@ -3,13 +3,14 @@
 import (
 	"fmt"
 	"maps"
-	"orchidjunction/rpc"
 	"os"
 	"path/filepath"
 	"slices"
 	"sort"
 	"strings"
 	"time"
+
+	"orchidjunction/rpc"
 )
 
 // The size asked for within two years.
--- a/harness/capacity/page_test.go
+++ b/harness/capacity/page_test.go
@@ -1,11 +1,12 @@
 package capacity
 
 import (
-	"orchidjunction/rpc"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"orchidjunction/rpc"
 )
 
 func linear(processorEach float64) *Run {
@@ -13,8 +14,10 @@
 	for _, size := range []int{12, 48, 192, 768} {
 		point := middle
 		point.Daemons, point.Changes = size, 1
-		run.Results = append(run.Results, &Result{Point: point, Steady: map[string]Rates{leaderRole: {Processor: 0.02 + processorEach*float64(size)}, daemonRole: {Processor: 0.002}},
-			Changing: map[string]Rates{leaderRole: {Processor: 0.5}}, Changes: []Spread{{Half: 1, Most: 2, All: 3}}})
+		run.Results = append(run.Results, &Result{
+			Point: point, Steady: map[string]Rates{leaderRole: {Processor: 0.02 + processorEach*float64(size)}, daemonRole: {Processor: 0.002}},
+			Changing: map[string]Rates{leaderRole: {Processor: 0.5}}, Changes: []Spread{{Half: 1, Most: 2, All: 3}},
+		})
 	}
 	return run
 }
--- a/harness/capacity/plot.go
+++ b/harness/capacity/plot.go
@@ -1,13 +1,14 @@
 package capacity
 
 import (
-	"orchidjunction/rpc"
 	"path/filepath"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
+
+	"orchidjunction/rpc"
 )
 
 var plotted = []struct {
--- a/harness/capacity/rates.go
+++ b/harness/capacity/rates.go
@@ -58,8 +58,10 @@
 }
 
 func (rates Rates) plus(more Rates, part float64) Rates {
-	return Rates{Processor: rates.Processor + part*more.Processor, Messages: rates.Messages + part*more.Messages, BytesIn: rates.BytesIn + part*more.BytesIn,
-		BytesOut: rates.BytesOut + part*more.BytesOut, ResidentMB: rates.ResidentMB + part*more.ResidentMB, Descriptors: rates.Descriptors + part*more.Descriptors}
+	return Rates{
+		Processor: rates.Processor + part*more.Processor, Messages: rates.Messages + part*more.Messages, BytesIn: rates.BytesIn + part*more.BytesIn,
+		BytesOut: rates.BytesOut + part*more.BytesOut, ResidentMB: rates.ResidentMB + part*more.ResidentMB, Descriptors: rates.Descriptors + part*more.Descriptors,
+	}
 }
 
 // between are the rates of one process; its messages are those that it took or,
@@ -73,7 +75,9 @@
 		}
 		messages += float64(count - before.Messages[name])
 	}
-	return Rates{Processor: float64(after.ProcessorUs-before.ProcessorUs) / 1e6 / seconds, Messages: messages / seconds,
+	return Rates{
+		Processor: float64(after.ProcessorUs-before.ProcessorUs) / 1e6 / seconds, Messages: messages / seconds,
 		BytesIn: float64(after.BytesIn-before.BytesIn) / seconds, BytesOut: float64(after.BytesOut-before.BytesOut) / seconds,
-		ResidentMB: float64(after.ResidentKB) / 1024, Descriptors: float64(after.Descriptors)}
+		ResidentMB: float64(after.ResidentKB) / 1024, Descriptors: float64(after.Descriptors),
+	}
 }
--- a/harness/capacity/samples.go
+++ b/harness/capacity/samples.go
@@ -139,8 +139,10 @@
 func (tap *ByteCounter) read() Reading {
 	usage := syscall.Rusage{}
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // fails for wrong arguments only
-	reading := Reading{AtUs: time.Now().UnixMicro(), ProcessorUs: usage.Utime.Nano()/1000 + usage.Stime.Nano()/1000,
-		BytesIn: tap.in.Load(), BytesOut: tap.out.Load(), Messages: tap.counted()}
+	reading := Reading{
+		AtUs: time.Now().UnixMicro(), ProcessorUs: usage.Utime.Nano()/1000 + usage.Stime.Nano()/1000,
+		BytesIn: tap.in.Load(), BytesOut: tap.out.Load(), Messages: tap.counted(),
+	}
 	if entries, err := os.ReadDir("/proc/self/fd"); err == nil {
 		reading.Descriptors = len(entries)
 	}
--- a/harness/checker/money.go
+++ b/harness/checker/money.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/http"
+
 	"orchidjunction/harness/standin"
 )
 
--- a/harness/checker/settings.go
+++ b/harness/checker/settings.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"orchidjunction/harness/standin"
 	"sort"
+
+	"orchidjunction/harness/standin"
 )
 
 // serialsRise: once a backend saw a serial, older ones end within 4 s.
--- a/harness/checker/traffic.go
+++ b/harness/checker/traffic.go
@@ -4,11 +4,12 @@
 	"fmt"
 	"maps"
 	"net/http"
-	"orchidjunction/config"
-	"orchidjunction/harness/standin"
 	"slices"
 	"sort"
 	"strings"
+
+	"orchidjunction/config"
+	"orchidjunction/harness/standin"
 )
 
 func (evidence *Evidence) wholeReceipts() (bad []string, detail string) {
--- a/harness/checker/usage.go
+++ b/harness/checker/usage.go
@@ -4,8 +4,9 @@
 	"encoding/json"
 	"fmt"
 	"math"
-	"orchidjunction/harness/standin"
 	"sort"
+
+	"orchidjunction/harness/standin"
 )
 
 type usageReport struct {
--- a/harness/cluster/cluster.go
+++ b/harness/cluster/cluster.go
@@ -62,8 +62,10 @@
 	if entries, _ := os.ReadDir(spec.Folder); len(entries) > 0 {
 		return nil, rpc.Errorf(rpc.BadFlag, "--folder: %s is not empty", spec.Folder)
 	}
-	fleet := &Fleet{Spec: spec, settings: settings, body: body, goroutines: goroutines, port: spec.BasePort, guests: map[string]string{}, name: settings.Partner,
-		client: &http.Client{Timeout: 2 * time.Second}}
+	fleet := &Fleet{
+		Spec: spec, settings: settings, body: body, goroutines: goroutines, port: spec.BasePort, guests: map[string]string{}, name: settings.Partner,
+		client: &http.Client{Timeout: 2 * time.Second},
+	}
 	names := sortedKeys(settings.Regions)
 	for depth := 0; len(fleet.zones) < len(names)*8 && depth < 8; depth++ {
 		for _, name := range names {
--- a/harness/cluster/comparison.go
+++ b/harness/cluster/comparison.go
@@ -4,13 +4,14 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
+	"sort"
+	"strings"
+	"time"
+
 	"orchidjunction/config"
 	"orchidjunction/directory"
 	"orchidjunction/harness/checker"
 	"orchidjunction/planner"
-	"sort"
-	"strings"
-	"time"
 )
 
 // compare asks a backend directly and through a proxy, in turns.
--- a/harness/cluster/layout.go
+++ b/harness/cluster/layout.go
@@ -56,8 +56,10 @@
 		fleet.Cores = append(fleet.Cores, process)
 	}
 	for index, process := range fleet.Cores {
-		process.arguments = []string{"--id", fmt.Sprint(index + 1), "--zone", process.Zone, "--wire", process.Wire, "--operate", process.Operate,
-			"--data", filepath.Join(fleet.Spec.Folder, process.Name), "--platform", platform, "--found"}
+		process.arguments = []string{
+			"--id", fmt.Sprint(index + 1), "--zone", process.Zone, "--wire", process.Wire, "--operate", process.Operate,
+			"--data", filepath.Join(fleet.Spec.Folder, process.Name), "--platform", platform, "--found",
+		}
 		for other, peer := range fleet.Cores {
 			if other != index {
 				process.arguments = append(process.arguments, "--peer", fmt.Sprintf("%d=%s", other+1, peer.Wire))
@@ -84,6 +86,8 @@
 }
 
 func (fleet *Fleet) backArguments(process *Process, coldMs int) []string {
-	return []string{"--listen", process.Outer, "--service", process.Service, "--instance", process.Name, "--cold-ms", fmt.Sprint(coldMs),
-		"--journal", filepath.Join(fleet.Spec.Folder, process.Name+journalEnd)}
+	return []string{
+		"--listen", process.Outer, "--service", process.Service, "--instance", process.Name, "--cold-ms", fmt.Sprint(coldMs),
+		"--journal", filepath.Join(fleet.Spec.Folder, process.Name+journalEnd),
+	}
 }
--- a/harness/cluster/replace.go
+++ b/harness/cluster/replace.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
-	"orchidjunction/message"
 	"path/filepath"
 	"slices"
 	"syscall"
 	"time"
+
+	"orchidjunction/message"
 )
 
 const (
--- a/harness/simulation/budget_test.go
+++ b/harness/simulation/budget_test.go
@@ -1,11 +1,12 @@
 package simulation
 
 import (
-	"orchidjunction/harness/standin"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
+
+	"orchidjunction/harness/standin"
 )
 
 // Half of all backends break every answer while proxies join and die: in no ten
--- a/harness/simulation/cold_test.go
+++ b/harness/simulation/cold_test.go
@@ -1,11 +1,12 @@
 package simulation
 
 import (
-	"orchidjunction/harness/standin"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
+
+	"orchidjunction/harness/standin"
 )
 
 // Backends come cold under load while proxies join, are cut off from the core
--- a/harness/simulation/conn.go
+++ b/harness/simulation/conn.go
@@ -133,6 +133,7 @@
 	}
 	return conn.out.write(body, conn.net.delay(host(string(conn.local)), host(string(conn.remote))))
 }
+
 func (conn *conn) Close() error {
 	if conn.abandoned.Load() {
 		return nil
--- a/harness/simulation/disk.go
+++ b/harness/simulation/disk.go
@@ -8,9 +8,10 @@
 import (
 	"errors"
 	"math/rand/v2"
-	"orchidjunction/storage"
 	"sort"
 	"sync"
+
+	"orchidjunction/storage"
 )
 
 // sectorSize is what a torn write keeps or loses as one.
--- a/harness/simulation/election_test.go
+++ b/harness/simulation/election_test.go
@@ -4,13 +4,14 @@
 	"flag"
 	"fmt"
 	"io"
-	"orchidjunction/harness/checker"
 	"os"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"k8s.io/klog/v2"
+
+	"orchidjunction/harness/checker"
 )
 
 var (
--- a/harness/simulation/everything.go
+++ b/harness/simulation/everything.go
@@ -26,8 +26,10 @@
 }
 
 // SystemFaults are those beside the cores' own.
-var SystemFaults = []string{"core", "core", "clock", "disk-fails", "proxy-killed", "proxies-killed", "dir-killed", "proxy-stopped", "warned-then-killed", "proxy-frozen", "proxy-cut", "proxies-apart", "core-away",
-	"zone-lost", "region-lost", "zone-emptied", "zone-lost-other-emptied", "backend-crash", "backends-cold-herd", "backend-frozen", "backend-leaves", "misbehave", "platform", "platform-usage", "lag", "keys", "all-down"}
+var SystemFaults = []string{
+	"core", "core", "clock", "disk-fails", "proxy-killed", "proxies-killed", "dir-killed", "proxy-stopped", "warned-then-killed", "proxy-frozen", "proxy-cut", "proxies-apart", "core-away",
+	"zone-lost", "region-lost", "zone-emptied", "zone-lost-other-emptied", "backend-crash", "backends-cold-herd", "backend-frozen", "backend-leaves", "misbehave", "platform", "platform-usage", "lag", "keys", "all-down",
+}
 
 // Run draws faults until the span is over.
 func (faults *CombinedFaults) Run(span time.Duration) {
--- a/harness/simulation/everything_test.go
+++ b/harness/simulation/everything_test.go
@@ -1,9 +1,10 @@
 package simulation
 
 import (
-	"orchidjunction/harness/standin"
 	"testing"
 	"time"
+
+	"orchidjunction/harness/standin"
 )
 
 // Both partners, lending to each other, under every harm of the brief, drawn by
--- a/harness/simulation/far.go
+++ b/harness/simulation/far.go
@@ -108,8 +108,10 @@
 }
 
 func (world *World) StartMember(one *FarDaemon) {
-	spot := agent.Config{Name: one.Name, Kind: "proxy", Zone: fmt.Sprint("z", one.Region), InternalAddress: one.Host + ":41", PublicAddress: one.Host + ":80", OperatorAddress: one.Host + ":42",
-		Intervals: world.Paces, ForwardLimits: world.Limits, DirectSessions: true, ServesAlone: true, Routed: true, Wall: func() int64 { return time.Now().UnixMilli() + one.Jump }}
+	spot := agent.Config{
+		Name: one.Name, Kind: "proxy", Zone: fmt.Sprint("z", one.Region), InternalAddress: one.Host + ":41", PublicAddress: one.Host + ":80", OperatorAddress: one.Host + ":42",
+		Intervals: world.Paces, ForwardLimits: world.Limits, DirectSessions: true, ServesAlone: true, Routed: true, Wall: func() int64 { return time.Now().UnixMilli() + one.Jump },
+	}
 	spot.Seeds = world.seedsFor(&one.Seeds)
 	one.goroutines, one.Counts = concurrent.NewGroup(), metrics.NewCounters()
 	one.client = rpc.NewClient(world.Net.Transport(one.Host))
@@ -151,8 +153,10 @@
 
 // Routing is a small one for worlds.
 func Routing(version uint64) *routing.Config {
-	return &routing.Config{Version: version, Services: []routing.Service{{Name: "desk"}},
-		Routes: []routing.Route{{Name: fmt.Sprint("route-", version), Host: "a.example", Prefix: "/a/", Service: "desk", Attempts: 1, TimeoutMs: 2000, TargetMs: 500, Kind: routing.Idempotent}}}
+	return &routing.Config{
+		Version: version, Services: []routing.Service{{Name: "desk"}},
+		Routes: []routing.Route{{Name: fmt.Sprint("route-", version), Host: "a.example", Prefix: "/a/", Service: "desk", Attempts: 1, TimeoutMs: 2000, TargetMs: 500, Kind: routing.Idempotent}},
+	}
 }
 
 // NewState is a small routing as the register holds it.
--- a/harness/simulation/judge.go
+++ b/harness/simulation/judge.go
@@ -1,10 +1,11 @@
 package simulation
 
 import (
+	"time"
+
 	"orchidjunction/config"
 	"orchidjunction/harness/checker"
 	"orchidjunction/harness/standin"
-	"time"
 )
 
 // Operators starts racing operators.
--- a/harness/simulation/money_test.go
+++ b/harness/simulation/money_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"math/rand/v2"
-	"orchidjunction/harness/standin"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"orchidjunction/harness/standin"
 )
 
 // Impatient callers send the same key twice at once, at several proxies, again
--- a/harness/simulation/net.go
+++ b/harness/simulation/net.go
@@ -8,9 +8,10 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"orchidjunction/concurrent"
 	"sync"
 	"time"
+
+	"orchidjunction/concurrent"
 )
 
 // Faults are the odds, in a thousand, of what happens to a message.
--- a/harness/simulation/operator_test.go
+++ b/harness/simulation/operator_test.go
@@ -134,8 +134,16 @@
 				world.lose(lost, kind, true)
 				begin, mutex, open := time.Now(), sync.Mutex{}, 0
 				for time.Since(begin) < 20*time.Second {
-					for _, one := range []struct{ method, path, body string }{{"GET", "/config", ""}, {"PUT", "/config", first}, {"PUT", "/config", wholeBody(9, 1)}, {"PUT", "/config", wholeBody(7, 5)}, {"PUT", "/config", wholeBody(99, 98)},
-						{"PATCH", "/config", invalidPatch(8, 5)}, {"POST", "/evacuate/z1", ""}, {"DELETE", "/evacuate/z2", ""}} {
+					for _, one := range []struct{ method, path, body string }{
+						{"GET", "/config", ""},
+						{"PUT", "/config", first},
+						{"PUT", "/config", wholeBody(9, 1)},
+						{"PUT", "/config", wholeBody(7, 5)},
+						{"PUT", "/config", wholeBody(99, 98)},
+						{"PATCH", "/config", invalidPatch(8, 5)},
+						{"POST", "/evacuate/z1", ""},
+						{"DELETE", "/evacuate/z2", ""},
+					} {
 						request := time.Since(begin)
 						mutex.Lock()
 						open++
--- a/harness/simulation/outage_test.go
+++ b/harness/simulation/outage_test.go
@@ -4,9 +4,10 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
-	"orchidjunction/harness/standin"
 	"testing"
 	"time"
+
+	"orchidjunction/harness/standin"
 )
 
 // outage is what goes on before everything dies, and what comes back.
--- a/harness/simulation/partner_test.go
+++ b/harness/simulation/partner_test.go
@@ -1,9 +1,10 @@
 package simulation
 
 import (
-	"orchidjunction/harness/standin"
 	"testing"
 	"time"
+
+	"orchidjunction/harness/standin"
 )
 
 // A partner short of front machines uses the other's idle ones; under a storm of
--- a/harness/simulation/platform_test.go
+++ b/harness/simulation/platform_test.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"orchidjunction/harness/standin"
 	"testing"
 	"time"
+
+	"orchidjunction/harness/standin"
 )
 
 // The list comes in pages, late, rate-limited, and changes between pages while
--- a/harness/simulation/relay_test.go
+++ b/harness/simulation/relay_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"math/rand/v2"
-	"orchidjunction/harness/checker"
 	"testing"
 	"time"
+
+	"orchidjunction/harness/checker"
 )
 
 // Relays die, freeze and return in a tree of thirty while operators change
--- a/harness/simulation/replace_run_test.go
+++ b/harness/simulation/replace_run_test.go
@@ -9,8 +9,10 @@
 
 // ReplacementFaults are those of the control side with core replacement among them.
 // Each kind may come more than once.
-var ReplacementFaults = []string{"replace", "replace", "replace-leader", "replace-planned", "replace-planned", "replace-planned-leader", "replace-many", "replace-in-turn", "all-down-replacing", "return-removed", "turn-seeds",
-	"cut-off", "mute", "deaf", "roll", "core", "core", "core", "core", "disk-fails", "all-wiped", "all-down", "power-after-ack", "wipe-after-ack", "region-lost", "cores-apart", "most-wiped", "member-killed", "members-killed", "member-frozen", "member-cut", "calm"}
+var ReplacementFaults = []string{
+	"replace", "replace", "replace-leader", "replace-planned", "replace-planned", "replace-planned-leader", "replace-many", "replace-in-turn", "all-down-replacing", "return-removed", "turn-seeds",
+	"cut-off", "mute", "deaf", "roll", "core", "core", "core", "core", "disk-fails", "all-wiped", "all-down", "power-after-ack", "wipe-after-ack", "region-lost", "cores-apart", "most-wiped", "member-killed", "members-killed", "member-frozen", "member-cut", "calm",
+}
 
 // SurvivedCoreFaults are the cores' own that lose no more than a deployment survives.
 var (
--- a/harness/simulation/returned_test.go
+++ b/harness/simulation/returned_test.go
@@ -1,10 +1,11 @@
 package simulation
 
 import (
-	"orchidjunction/message"
 	"slices"
 	"testing"
 	"time"
+
+	"orchidjunction/message"
 )
 
 // replaceCore kills a core for good and lets a spare one take its place.
--- a/harness/simulation/traffic_test.go
+++ b/harness/simulation/traffic_test.go
@@ -3,20 +3,25 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"orchidjunction/harness/standin"
 	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"orchidjunction/harness/standin"
 )
 
 // plan is a mix of money, pages and one large receipt.
 func (world *World) plan(perSecond int, seconds float64) standin.LoadPlan {
-	plan := standin.LoadPlan{PerSecond: perSecond, Seconds: seconds, Tries: 4, Seed: world.Seed,
+	plan := standin.LoadPlan{
+		PerSecond: perSecond, Seconds: seconds, Tries: 4, Seed: world.Seed,
 		Callers: []standin.Caller{{Tenant: "alder", Key: "key-of-alder", Weight: 2}, {Tenant: "birch", Key: "key-of-birch", Weight: 1}},
-		Calls: []standin.Call{{Weight: 40, Method: "POST", Path: "/meters/credits", Class: "money", Money: true, Body: 50, LimitMs: 2000},
+		Calls: []standin.Call{
+			{Weight: 40, Method: "POST", Path: "/meters/credits", Class: "money", Money: true, Body: 50, LimitMs: 2000},
 			{Weight: 55, Class: "pages", Method: "GET", Path: "/meters/pages/7?bytes=500", LimitMs: 2000},
-			{Weight: 5, Class: "pages", Method: "GET", Path: "/meters/pages/9?bytes=1500000", LimitMs: 2000}}}
+			{Weight: 5, Class: "pages", Method: "GET", Path: "/meters/pages/9?bytes=1500000", LimitMs: 2000},
+		},
+	}
 	for _, daemon := range world.Daemons {
 		if daemon.Kind == "dir" {
 			plan.Directories = append(plan.Directories, daemon.Outer)
--- a/harness/standin/backend.go
+++ b/harness/standin/backend.go
@@ -125,8 +125,10 @@
 
 func (backend *Backend) identity(writer http.ResponseWriter) {
 	backend.mutex.Lock()
-	document := map[string]any{"service": backend.place.Service, "instance": backend.place.Instance, "incarnation": backend.place.Incarnation,
-		"usage": backend.usage(), "cold": backend.cold(), "gentle_rate": backend.place.GentleRate, "leaving": !backend.leaving.IsZero(), "serial": backend.serial}
+	document := map[string]any{
+		"service": backend.place.Service, "instance": backend.place.Instance, "incarnation": backend.place.Incarnation,
+		"usage": backend.usage(), "cold": backend.cold(), "gentle_rate": backend.place.GentleRate, "leaving": !backend.leaving.IsZero(), "serial": backend.serial,
+	}
 	backend.mutex.Unlock()
 	body, _ := json.Marshal(document)
 	writer.Header().Set("Content-Type", "application/json")
@@ -143,8 +145,10 @@
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	now, header := time.Now(), request.Header
-	arrival := Arrival{AtMs: now.UnixMilli(), Try: header.Get("Stand-Try"), Task: header.Get("Oj-Task"), Tenant: header.Get("Oj-Tenant"), Service: header.Get("Oj-Service"),
-		Method: request.Method, Path: request.URL.Path, Key: header.Get("Idempotency-Key"), Cold: backend.cold()}
+	arrival := Arrival{
+		AtMs: now.UnixMilli(), Try: header.Get("Stand-Try"), Task: header.Get("Oj-Task"), Tenant: header.Get("Oj-Tenant"), Service: header.Get("Oj-Service"),
+		Method: request.Method, Path: request.URL.Path, Key: header.Get("Idempotency-Key"), Cold: backend.cold(),
+	}
 	arrival.Serial, _ = strconv.ParseUint(header.Get("Oj-Serial"), 10, 64)
 	backend.serial = max(backend.serial, arrival.Serial)
 	if !backend.leaving.IsZero() {
--- a/harness/standin/platform.go
+++ b/harness/standin/platform.go
@@ -45,8 +45,10 @@
 // NewPlatform returns a platform that lists items, page entries a page, late by
 // lag, and takes perSecond calls a second.
 func NewPlatform(page int, lag time.Duration, perSecond float64, items []Listed) *Platform {
-	return &Platform{page: max(page, 1), lag: lag, limiter: rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond), 1)),
-		lists: []datedList{{items: items}}, Reports: map[string][]string{}, ReportAt: map[string]int64{}}
+	return &Platform{
+		page: max(page, 1), lag: lag, limiter: rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond), 1)),
+		lists: []datedList{{items: items}}, Reports: map[string][]string{}, ReportAt: map[string]int64{},
+	}
 }
 
 // Misbehave injects the named fault for a while: the platform refuses, vanishes or
--- a/hostproxy/admit.go
+++ b/hostproxy/admit.go
@@ -4,10 +4,11 @@
 	"io"
 	"math/rand/v2"
 	"net/http"
-	"orchidjunction/rpc"
 	"strconv"
 	"strings"
 	"time"
+
+	"orchidjunction/rpc"
 )
 
 // isKey is whether an Authorization value carries a key of the scheme.
--- a/hostproxy/attempt.go
+++ b/hostproxy/attempt.go
@@ -30,8 +30,10 @@
 )
 
 // hopByHop are the fields that concern one connection only.
-var hopByHop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
-	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true}
+var hopByHop = map[string]bool{
+	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
+	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
+}
 
 // listedByConnection are the fields that a Connection field lists; those that end to
 // end attribution needs are never among them.
--- a/hostproxy/backend_test.go
+++ b/hostproxy/backend_test.go
@@ -5,11 +5,12 @@
 	"fmt"
 	"io"
 	"net/http/httputil"
-	"orchidjunction/concurrent"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
+
+	"orchidjunction/concurrent"
 )
 
 // arrival is one request as it reached a backend, byte for byte.
--- a/hostproxy/connection_test.go
+++ b/hostproxy/connection_test.go
@@ -93,8 +93,10 @@
 
 // What Keep-Alive says shortens the time of an idle connection, never lengthens it.
 func TestKeepAlive(test *testing.T) {
-	for text, want := range map[string]time.Duration{"": maxIdle, "timeout=4": 3 * time.Second, "max=5, Timeout=2": 1500 * time.Millisecond, "timeout=0": 0, "timeout=900": maxIdle,
-		"timeout=-1": maxIdle, "timeout=x": maxIdle, "timeout": maxIdle, "timeout=99999999999999999999": maxIdle, "timeout=9999999999": maxIdle} {
+	for text, want := range map[string]time.Duration{
+		"": maxIdle, "timeout=4": 3 * time.Second, "max=5, Timeout=2": 1500 * time.Millisecond, "timeout=0": 0, "timeout=900": maxIdle,
+		"timeout=-1": maxIdle, "timeout=x": maxIdle, "timeout": maxIdle, "timeout=99999999999999999999": maxIdle, "timeout=9999999999": maxIdle,
+	} {
 		held := newConnection(nil)
 		if held.observeKeepAlive(text); held.idleTimeout != want {
 			test.Errorf("%q: %s", text, held.idleTimeout)
--- a/hostproxy/forward.go
+++ b/hostproxy/forward.go
@@ -2,8 +2,9 @@
 
 import (
 	"net/http"
-	"orchidjunction/rpc"
 	"time"
+
+	"orchidjunction/rpc"
 )
 
 // minTarget stands in for a route's target time where that is shorter or not given.
--- a/hostproxy/fuzz_test.go
+++ b/hostproxy/fuzz_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// told is a whole answer that a backend gave to a request.
-type told struct {
+// recordedAnswer is a whole answer that a backend gave to a request.
+type recordedAnswer struct {
 	status int
 	body   string
 }
@@ -33,7 +33,7 @@
 	reached  []string
 	ran      int
 	afterRun int
-	told     []told
+	told     []recordedAnswer
 	promised bool
 }
 
@@ -69,7 +69,7 @@
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
 	held := witness.of(id)
-	held.told = append(held.told, told{status, body})
+	held.told = append(held.told, recordedAnswer{status, body})
 }
 
 // behaviour is one way of a backend to treat a request; raw are bytes out of the
--- a/hostproxy/mutations_test.go
+++ b/hostproxy/mutations_test.go
@@ -75,9 +75,11 @@
 // Any part of another's answer before the true one, as a backend in trouble sends
 // it late, never mixes with it.
 func TestPartOfAnotherAnswerBefore(test *testing.T) {
-	for _, other := range []string{whole("other", "200 OK", "Date: Monday\r\nServer: x\r\n", "another body"), "HTTP/1.1 200 OK\r\nDate: Monday\r\nSeal: other\r\nContent-Length: 3\r\n\r\nbad",
+	for _, other := range []string{
+		whole("other", "200 OK", "Date: Monday\r\nServer: x\r\n", "another body"), "HTTP/1.1 200 OK\r\nDate: Monday\r\nSeal: other\r\nContent-Length: 3\r\n\r\nbad",
 		"HTTP/1.1 200 OK\r\nTrailer: one, two\r\nConnection: close\r\nKeep-Alive: x\r\nPragma: no-cache\r\n", "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n",
-		bare("other", "503 Service Unavailable", "Date: Monday\r\nNot-Executed: full\r\n", ""), "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: full\r\nContent-Length: 0\r\n\r\n"} {
+		bare("other", "503 Service Unavailable", "Date: Monday\r\nNot-Executed: full\r\n", ""), "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: full\r\nContent-Length: 0\r\n\r\n",
+	} {
 		for _, truth := range truths {
 			for cut := 1; cut <= len(other); cut++ {
 				result := play(test, "GET", "/once/a", func(id string) script { return thenClose(other[:cut] + truth.answer(id)) })
--- a/hostproxy/repeat_test.go
+++ b/hostproxy/repeat_test.go
@@ -19,8 +19,10 @@
 		test.Fatal(err)
 	}
 	read := 0
-	forbidden := map[string]bool{"Transport": true, "DefaultTransport": true, "Client": true, "DefaultClient": true, "ClientConn": true, "RoundTripper": true,
-		"Get": true, "Post": true, "Head": true, "PostForm": true, "NewRequest": true, "NewRequestWithContext": true}
+	forbidden := map[string]bool{
+		"Transport": true, "DefaultTransport": true, "Client": true, "DefaultClient": true, "ClientConn": true, "RoundTripper": true,
+		"Get": true, "Post": true, "Head": true, "PostForm": true, "NewRequest": true, "NewRequestWithContext": true,
+	}
 	for _, name := range names {
 		if strings.HasSuffix(name, "_test.go") {
 			continue
--- a/hostproxy/request_test.go
+++ b/hostproxy/request_test.go
@@ -3,13 +3,14 @@
 import (
 	"fmt"
 	"net/http"
-	"orchidjunction/routing"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"orchidjunction/routing"
 )
 
 // keyed makes the config one of tenants, and adds a public route.
@@ -17,8 +18,11 @@
 	world.lay(func() {
 		config := &world.book.Config
 		config.KeysRequired = true
-		config.Tenants = []routing.Tenant{{Name: "first", Keys: []string{"k1", "k2"}}, {Name: "ranked", Keys: []string{"k3"}, HasPriority: true, Priority: 5},
-			{Name: "western", Keys: []string{"k4"}, Homes: []string{"west"}}}
+		config.Tenants = []routing.Tenant{
+			{Name: "first", Keys: []string{"k1", "k2"}},
+			{Name: "ranked", Keys: []string{"k3"}, HasPriority: true, Priority: 5},
+			{Name: "western", Keys: []string{"k4"}, Homes: []string{"west"}},
+		}
 		config.Routes = append(config.Routes, routing.Route{Name: "open", Host: "host.example", Prefix: "/open/", TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3, Public: true})
 	})
 }
--- a/hostproxy/response.go
+++ b/hostproxy/response.go
@@ -4,9 +4,10 @@
 	"io"
 	"math/rand/v2"
 	"net/http"
-	"orchidjunction/rpc"
 	"strconv"
 	"time"
+
+	"orchidjunction/rpc"
 )
 
 // refuse ends a request that has not run and will not. One that may have run fails
--- a/hostproxy/route_stats.go
+++ b/hostproxy/route_stats.go
@@ -1,9 +1,10 @@
 package hostproxy
 
 import (
-	"orchidjunction/routing"
 	"sync"
 	"time"
+
+	"orchidjunction/routing"
 )
 
 const statWeight = 0.05
--- a/hostproxy/route_stats_test.go
+++ b/hostproxy/route_stats_test.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"math"
-	"orchidjunction/routing"
 	"testing"
 	"time"
+
+	"orchidjunction/routing"
 )
 
 // What is expected of a route begins with its target time and follows its answers.
--- a/hostproxy/shaper_test.go
+++ b/hostproxy/shaper_test.go
@@ -4,10 +4,11 @@
 	"bytes"
 	"context"
 	"io"
-	"orchidjunction/routing"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"orchidjunction/routing"
 )
 
 // large reads an endless answer through a lane for a while and gives its bytes a second.
--- a/hostproxy/target.go
+++ b/hostproxy/target.go
@@ -2,11 +2,12 @@
 
 import (
 	"math"
-	"orchidjunction/message"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
+
+	"orchidjunction/message"
 )
 
 const (
--- a/hostproxy/target_test.go
+++ b/hostproxy/target_test.go
@@ -4,10 +4,11 @@
 	"errors"
 	"io"
 	"math"
-	"orchidjunction/message"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"orchidjunction/message"
 )
 
 func ownBackend() message.Backend {
--- a/hostproxy/upload.go
+++ b/hostproxy/upload.go
@@ -1,8 +1,9 @@
 package hostproxy
 
 import (
-	"orchidjunction/concurrent"
 	"sync/atomic"
+
+	"orchidjunction/concurrent"
 )
 
 // smallBody is what is written in one go with a request's head; a larger body goes
--- a/hostproxy/usage_meter.go
+++ b/hostproxy/usage_meter.go
@@ -2,10 +2,11 @@
 
 import (
 	"maps"
-	"orchidjunction/message"
 	"sort"
 	"sync"
 	"time"
+
+	"orchidjunction/message"
 )
 
 const keptWindows = 7
--- a/hostproxy/view_test.go
+++ b/hostproxy/view_test.go
@@ -35,8 +35,13 @@
 func placed() ([]*Proxy, *message.Table) {
 	proxies := many([]string{"p1"}, []string{"e1"})
 	return proxies, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{
-		{Name: "near", Service: "plain", Zone: "e1", Capacity: 4}, {Name: "beside", Service: "plain", Zone: "e2", Capacity: 4}, {Name: "far", Service: "plain", Zone: "w1", Capacity: 4},
-		{Name: "foreign", Service: "other", Zone: "e1", Capacity: 4}, {Name: "stray", Service: "unknown", Zone: "e1", Capacity: 4}, {Name: "nowhere", Service: "plain", Zone: "z9", Capacity: 4}}}
+		{Name: "near", Service: "plain", Zone: "e1", Capacity: 4},
+		{Name: "beside", Service: "plain", Zone: "e2", Capacity: 4},
+		{Name: "far", Service: "plain", Zone: "w1", Capacity: 4},
+		{Name: "foreign", Service: "other", Zone: "e1", Capacity: 4},
+		{Name: "stray", Service: "unknown", Zone: "e1", Capacity: 4},
+		{Name: "nowhere", Service: "plain", Zone: "z9", Capacity: 4},
+	}}
 }
 
 // Homes of route and tenant both bind, also where nothing is left.
--- a/hostproxy/warmup.go
+++ b/hostproxy/warmup.go
@@ -2,8 +2,9 @@
 
 import (
 	"hash/fnv"
-	"orchidjunction/message"
 	"time"
+
+	"orchidjunction/message"
 )
 
 // Warmup paces the requests to one cold backend. Only its owner sends any, so that
--- a/hostproxy/world_test.go
+++ b/hostproxy/world_test.go
@@ -36,22 +36,29 @@
 	asked      int
 }
 
-var ownHeaders = Headers{Attempt: "Attempt", Deadline: "Deadline", Seal: "Seal", Tenant: "Tenant", Target: "Target", Load: "Load", NotExecuted: "Not-Executed",
-	Backend: "Backend", Warmup: "Warmup", KeyScheme: "Key"}
+var ownHeaders = Headers{
+	Attempt: "Attempt", Deadline: "Deadline", Seal: "Seal", Tenant: "Tenant", Target: "Target", Load: "Load", NotExecuted: "Not-Executed",
+	Backend: "Backend", Warmup: "Warmup", KeyScheme: "Key",
+}
 
 func ownPlace(name, zone string) Config {
-	return Config{Name: name, Zone: zone, Regions: map[string]string{"e1": "east", "e2": "east", "w1": "west"}, Headers: ownHeaders, RetryRatio: 0.2, RetryExtra: 60,
-		WarmupExcess: 1.5, WarmupExtra: 5, UsageWindow: 5 * time.Second, ListLag: time.Second}
+	return Config{
+		Name: name, Zone: zone, Regions: map[string]string{"e1": "east", "e2": "east", "w1": "west"}, Headers: ownHeaders, RetryRatio: 0.2, RetryExtra: 60,
+		WarmupExcess: 1.5, WarmupExtra: 5, UsageWindow: 5 * time.Second, ListLag: time.Second,
+	}
 }
 
 func ownConfig() routing.Config {
-	return routing.Config{Version: 1,
+	return routing.Config{
+		Version: 1,
 		Routes: []routing.Route{
 			{Name: "once", Host: "host.example", Prefix: "/once/", Kind: routing.NonIdempotent, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3},
 			{Name: "again", Host: "host.example", Prefix: "/again/", Kind: routing.Idempotent, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3},
-			{Name: "load", Host: "host.example", Prefix: "/load/", Kind: routing.Download, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3}},
+			{Name: "load", Host: "host.example", Prefix: "/load/", Kind: routing.Download, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3},
+		},
 		Services: []routing.Service{{Name: "plain", MaxConnections: 130, WarmupMs: 3000, WarmupRate: 10}, {Name: "other", MaxConnections: 130, WarmupMs: 3000, WarmupRate: 10}},
-		Limits:   routing.Limits{BodyBytes: 1 << 20}}
+		Limits:   routing.Limits{BodyBytes: 1 << 20},
+	}
 }
 
 func inWorld(test *testing.T, play func(world *world)) {
@@ -63,8 +70,10 @@
 }
 
 func newWorld(test *testing.T) *world {
-	world := &world{test: test, goroutines: concurrent.NewGroup(), counters: metrics.NewCounters(), doors: newDoors(), listener: newListener(), backends: map[string]*backend{},
-		book: &routing.State{Config: ownConfig()}, table: &message.Table{Version: leaderMark, Complete: true, Members: []message.Member{{Name: "p1", Kind: "proxy", Zone: "e1", Ready: true}}}}
+	world := &world{
+		test: test, goroutines: concurrent.NewGroup(), counters: metrics.NewCounters(), doors: newDoors(), listener: newListener(), backends: map[string]*backend{},
+		book: &routing.State{Config: ownConfig()}, table: &message.Table{Version: leaderMark, Complete: true, Members: []message.Member{{Name: "p1", Kind: "proxy", Zone: "e1", Ready: true}}},
+	}
 	world.proxy = NewProxy(ownPlace("p1", "e1"), world.doors.dial, func() int64 { return time.Now().UnixMilli() }, world.goroutines, world.counters)
 	world.server = &http.Server{Handler: world.proxy, ErrorLog: log.New(io.Discard, "", 0)}
 	world.goroutines.Start(func() { _ = world.server.Serve(world.listener) }) // until close
--- a/idempotency/log.go
+++ b/idempotency/log.go
@@ -4,13 +4,13 @@
 	"sync"
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
 	"orchidjunction/storage"
-
-	"k8s.io/klog/v2"
 )
 
 const (
--- a/message/chunk.go
+++ b/message/chunk.go
@@ -2,8 +2,9 @@
 
 import (
 	"crypto/sha256"
-	"orchidjunction/rpc"
 	"time"
+
+	"orchidjunction/rpc"
 )
 
 // MaxChunksPerFetch is how many chunks one message may ask for.
--- a/message/codec_test.go
+++ b/message/codec_test.go
@@ -7,10 +7,10 @@
 	"net/http/httptest"
 	"testing"
 
+	"github.com/vmihailenco/msgpack/v5"
+
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-
-	"github.com/vmihailenco/msgpack/v5"
 )
 
 // One message, changed in one field at a time: what nobody knows, what has the
--- a/message/compress.go
+++ b/message/compress.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"compress/flate"
 	"io"
+
 	"orchidjunction/rpc"
 )
 
--- a/message/membership.go
+++ b/message/membership.go
@@ -3,8 +3,9 @@
 import (
 	"bytes"
 	"net/netip"
-	"orchidjunction/rpc"
 	"slices"
+
+	"orchidjunction/rpc"
 )
 
 // MaxPeerID bounds the IDs of cores. Each replacement uses up one.
--- a/message/session.go
+++ b/message/session.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/netip"
+
 	"orchidjunction/rpc"
 )
 
--- a/message/term.go
+++ b/message/term.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+
 	"orchidjunction/rpc"
 )
 
--- a/operator/client.go
+++ b/operator/client.go
@@ -9,9 +9,10 @@
 	"fmt"
 	"io"
 	"net/http"
+	"time"
+
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"time"
 )
 
 // Client sends each call to the daemons in their order and goes on to the next one
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -4,13 +4,13 @@
 	"net/http"
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"orchidjunction/agent"
 	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-
-	"k8s.io/klog/v2"
 )
 
 // DataPlane is what a daemon does besides being a member.
--- a/process/framing_test.go
+++ b/process/framing_test.go
@@ -5,10 +5,11 @@
 	"io"
 	"net"
 	"net/http"
-	"orchidjunction/concurrent"
 	"strconv"
 	"strings"
 	"testing"
+
+	"orchidjunction/concurrent"
 )
 
 // listen serves a handler on a free port of this machine, until the test's end.
@@ -20,9 +21,9 @@
 	}
 	address := probe.Addr().String()
 	probe.Close()
-	listener, mishap := Listen(address, handler, 4<<10)
-	if mishap != nil {
-		test.Fatal(mishap)
+	listener, err := Listen(address, handler, 4<<10)
+	if err != nil {
+		test.Fatal(err)
 	}
 	goroutines := concurrent.NewGroup()
 	listener.Serve(goroutines)
--- a/process/run.go
+++ b/process/run.go
@@ -15,13 +15,13 @@
 	"syscall"
 	"time"
 
+	"github.com/integrii/flaggy"
+	"k8s.io/klog/v2"
+
 	"orchidjunction/concurrent"
 	"orchidjunction/control"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
-
-	"github.com/integrii/flaggy"
-	"k8s.io/klog/v2"
 )
 
 // Release is the version that the programs tell.
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// Exit ends with status 2 and one line, where there is a mishap.
+// Exit ends with status 2 and one line, where there is a error.
 func (flags *Flags) Exit(err error) {
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", flags.name, err)
--- a/process/standing_test.go
+++ b/process/standing_test.go
@@ -5,10 +5,11 @@
 	"io"
 	"net"
 	"net/http"
-	"orchidjunction/concurrent"
 	"sync"
 	"testing"
 	"time"
+
+	"orchidjunction/concurrent"
 )
 
 // slowListener's connections hold what they read back until they are let go.
@@ -60,8 +61,10 @@
 	held.Add(1)
 	read.Add(1)
 	standing := newConnTracker()
-	listener := &Listener{open: slowListener{open, held, read}, tracker: standing, server: &http.Server{ConnState: standing.stateChanged,
-		Handler: http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { writer.Write([]byte("served")) })}}
+	listener := &Listener{open: slowListener{open, held, read}, tracker: standing, server: &http.Server{
+		ConnState: standing.stateChanged,
+		Handler:   http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { writer.Write([]byte("served")) }),
+	}}
 	goroutines := concurrent.NewGroup()
 	listener.Serve(goroutines)
 	ask := func(conn net.Conn) { say(test, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n") }
--- a/process/typed.go
+++ b/process/typed.go
@@ -7,9 +7,10 @@
 	"fmt"
 	"net"
 	"net/http"
-	"orchidjunction/rpc"
 	"strings"
 	"sync/atomic"
+
+	"orchidjunction/rpc"
 )
 
 // jsonErrorListener gives net/http's own refusals of malformed requests the form
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -5,12 +5,12 @@
 	"strings"
 	"testing"
 
+	"github.com/cockroachdb/datadriven"
+
 	"orchidjunction/harness/simulation"
 	"orchidjunction/message"
 	"orchidjunction/replica"
 	"orchidjunction/rpc"
-
-	"github.com/cockroachdb/datadriven"
 )
 
 // noCallbacks ignore all that changes.
--- a/routing/check.go
+++ b/routing/check.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"orchidjunction/rpc"
 	"strconv"
 	"strings"
+
+	"orchidjunction/rpc"
 )
 
 const (
--- a/routing/check_test.go
+++ b/routing/check_test.go
@@ -1,9 +1,10 @@
 package routing
 
 import (
-	"orchidjunction/rpc"
 	"strings"
 	"testing"
+
+	"orchidjunction/rpc"
 )
 
 func goodConfig() *Config {
--- a/routing/config.go
+++ b/routing/config.go
@@ -5,9 +5,10 @@
 package routing
 
 import (
-	"orchidjunction/rpc"
 	"slices"
 	"strings"
+
+	"orchidjunction/rpc"
 )
 
 // Kind says how often a request of a route may run.
--- a/routing/history_test.go
+++ b/routing/history_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"orchidjunction/rpc"
 	"testing"
+
+	"orchidjunction/rpc"
 )
 
 // A trail knows the newest orders exactly, says what it forgot, and stays short.
--- a/routing/patch_test.go
+++ b/routing/patch_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"orchidjunction/rpc"
 	"reflect"
 	"strings"
 	"testing"
+
+	"orchidjunction/rpc"
 )
 
 func names(config *Config) string {
--- a/rpc/error_test.go
+++ b/rpc/error_test.go
@@ -28,8 +28,10 @@
 
 // An Error keeps all that it says on its way between processes, but not its cause.
 func TestErrorCrossesProcesses(test *testing.T) {
-	sent := &Error{Code: StaleBase, Message: "based on 3", Serial: 7, Leader: "10.0.0.1:41", RetryAfterMs: 500, Outcome: NotRun,
-		Details: []Detail{{Path: "routes.a", Message: "dangling", Code: "dangling"}}, cause: io.EOF}
+	sent := &Error{
+		Code: StaleBase, Message: "based on 3", Serial: 7, Leader: "10.0.0.1:41", RetryAfterMs: 500, Outcome: NotRun,
+		Details: []Detail{{Path: "routes.a", Message: "dangling", Code: "dangling"}}, cause: io.EOF,
+	}
 	received := AsError(fromConnect(sent.toConnect()))
 	if received.Error() != sent.Error() || received.Serial != 7 || received.Leader != sent.Leader || received.RetryAfterMs != 500 || received.Outcome != NotRun {
 		test.Errorf("%+v arrives as %+v", sent, received)
--- a/rpc/server.go
+++ b/rpc/server.go
@@ -6,10 +6,11 @@
 import (
 	"context"
 	"net/http"
-	"orchidjunction/metrics"
 	"strings"
 
 	"connectrpc.com/connect"
+
+	"orchidjunction/metrics"
 )
 
 // Server is an http.Handler that answers the calls registered by Handle. It counts
--- a/serviceproxy/admission.go
+++ b/serviceproxy/admission.go
@@ -5,11 +5,11 @@
 	"sync"
 	"time"
 
+	"golang.org/x/time/rate"
+
 	"orchidjunction/config"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-
-	"golang.org/x/time/rate"
 )
 
 const (
--- a/serviceproxy/claim_messages.go
+++ b/serviceproxy/claim_messages.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+
 	"orchidjunction/message"
 	"orchidjunction/rpc"
 )
--- a/serviceproxy/claim_poll.go
+++ b/serviceproxy/claim_poll.go
@@ -116,11 +116,11 @@
 // poll sends the claim to all keepers and cores once; one refusal is enough to stop,
 // and so is an answer by other voters.
 func (claims *Claims) poll(rings [][]message.Member, members []message.Member, claim *message.ClaimRequest, away bool) *poll {
-	roster, cores := claims.coreStore.coresToAsk()
-	round := &poll{membership: roster, replicaSets: rings, members: members}
+	membership, cores := claims.coreStore.coresToAsk()
+	round := &poll{membership: membership, replicaSets: rings, members: members}
 	round.got, _ = concurrent.Gather(claims.proxy.goroutines, len(members)+len(cores), func(index int) (claimVote, error) {
 		if index >= len(members) {
-			response, err := claims.coreStore.ask(cores[index-len(members)], &message.RecordClaimsRequest{Membership: roster.accepted, Claims: []message.ClaimRequest{*claim}}, coreStoreLimit)
+			response, err := claims.coreStore.ask(cores[index-len(members)], &message.RecordClaimsRequest{Membership: membership.accepted, Claims: []message.ClaimRequest{*claim}}, coreStoreLimit)
 			return claimVote{core: response}, err
 		}
 		if members[index].Name == claims.proxy.daemon.Name() {
@@ -131,7 +131,7 @@
 	}, func(got map[int]claimVote, _ map[int]error) bool {
 		now := *round
 		now.got = got
-		return now.refused() != nil || roster.voters != nil && now.cores().outdated() || now.granted(away)
+		return now.refused() != nil || membership.voters != nil && now.cores().outdated() || now.granted(away)
 	})
 	claims.coreStore.learn(round.cores().newest)
 	return round
--- a/serviceproxy/claim_rings.go
+++ b/serviceproxy/claim_rings.go
@@ -1,10 +1,11 @@
 package serviceproxy
 
 import (
-	"orchidjunction/message"
-	"orchidjunction/rpc"
 	"slices"
 	"time"
+
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 // replicaSet is a ring and, once another replaced it, how long a quorum of it is still asked for.
--- a/serviceproxy/claims.go
+++ b/serviceproxy/claims.go
@@ -4,12 +4,12 @@
 	"sync"
 	"time"
 
+	"k8s.io/klog/v2"
+
 	"orchidjunction/concurrent"
 	"orchidjunction/idempotency"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-
-	"k8s.io/klog/v2"
 )
 
 const (
--- a/serviceproxy/core_membership.go
+++ b/serviceproxy/core_membership.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+
 	"orchidjunction/message"
 	"orchidjunction/rpc"
 )
@@ -23,16 +24,16 @@
 }
 
 // newer is the newer of two rosters.
-func (roster coreMembership) newer(other coreMembership) coreMembership {
-	if other.voters != nil && roster.accepted.Version().Less(other.accepted.Version()) {
+func (membership coreMembership) newer(other coreMembership) coreMembership {
+	if other.voters != nil && membership.accepted.Version().Less(other.accepted.Version()) {
 		return other
 	}
-	return roster
+	return membership
 }
 
 // same is whether two rosters have the same voters.
-func (roster coreMembership) same(other coreMembership) bool {
-	return bytes.Equal(roster.accepted.Value.Body, other.accepted.Value.Body)
+func (membership coreMembership) same(other coreMembership) bool {
+	return bytes.Equal(membership.accepted.Value.Body, other.accepted.Value.Body)
 }
 
 // coreVote is what one core answered, under which membership.
@@ -57,12 +58,12 @@
 
 // add takes an answer; one without a membership was given under that of the question.
 func (votes *coreVotes) add(members message.AcceptedValue, core int, taken, whole bool) {
-	roster := votes.asked
+	membership := votes.asked
 	if members.Value.Serial > 0 {
-		roster = decodeCoreMembership(members)
+		membership = decodeCoreMembership(members)
 	}
-	votes.newest = votes.newest.newer(roster)
-	votes.votes = append(votes.votes, coreVote{membership: roster, core: core, recorded: taken, complete: whole})
+	votes.newest = votes.newest.newer(membership)
+	votes.votes = append(votes.votes, coreVote{membership: membership, core: core, recorded: taken, complete: whole})
 }
 
 // has is which voters of the newest membership took the question; with wholes, only
--- a/serviceproxy/core_membership_test.go
+++ b/serviceproxy/core_membership_test.go
@@ -1,9 +1,10 @@
 package serviceproxy
 
 import (
+	"testing"
+
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-	"testing"
 )
 
 func rosterFor(test *testing.T, round uint64, serial uint64, current, next []message.Peer) coreMembership {
@@ -12,11 +13,11 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	roster := decodeCoreMembership(message.AcceptedValue{Term: message.Term{Number: round, Core: 1}, Value: message.Value{Serial: serial, Body: body}})
-	if roster.voters == nil {
+	membership := decodeCoreMembership(message.AcceptedValue{Term: message.Term{Number: round, Core: 1}, Value: message.Value{Serial: serial, Body: body}})
+	if membership.voters == nil {
 		test.Fatal("not read")
 	}
-	return roster
+	return membership
 }
 
 func peers(ids ...int) []message.Peer {
--- a/serviceproxy/core_store.go
+++ b/serviceproxy/core_store.go
@@ -63,25 +63,25 @@
 // voters, and of all known cores while a newer membership was heard of.
 func (store *coreStore) coresToAsk() (coreMembership, []string) {
 	store.mutex.Lock()
-	roster := store.membership
+	membership := store.membership
 	store.mutex.Unlock()
 	known, cores := store.proxy.daemon.LeaderFinder.Membership(), store.proxy.daemon.LeaderFinder.Cores()
-	if roster.voters == nil {
-		return roster, cores
+	if membership.voters == nil {
+		return membership, cores
 	}
-	addresses := roster.voters.Addresses()
+	addresses := membership.voters.Addresses()
 	for _, core := range cores {
-		if roster.accepted.Version().Less(known) && !slices.Contains(addresses, core) {
+		if membership.accepted.Version().Less(known) && !slices.Contains(addresses, core) {
 			addresses = append(addresses, core)
 		}
 	}
-	return roster, addresses
+	return membership, addresses
 }
 
 // learn records a membership that cores answered with, if it is newer.
-func (store *coreStore) learn(roster coreMembership) {
+func (store *coreStore) learn(membership coreMembership) {
 	store.mutex.Lock()
-	store.membership = store.membership.newer(roster)
+	store.membership = store.membership.newer(membership)
 	store.mutex.Unlock()
 }
 
@@ -145,21 +145,21 @@
 // sendToMajority sends an update to the cores. It returns whether a majority of the
 // cores that vote has it.
 func (store *coreStore) sendToMajority(request *message.RecordClaimsRequest) bool {
-	roster, cores := store.coresToAsk()
-	request.Membership = roster.accepted
+	membership, cores := store.coresToAsk()
+	request.Membership = membership.accepted
 	got, _ := concurrent.Gather(store.proxy.goroutines, len(cores), func(index int) (*message.RecordClaimsResponse, error) {
 		return store.ask(cores[index], request, completeTimeout)
 	}, func(got map[int]*message.RecordClaimsResponse, _ map[int]error) bool {
-		return recordedBy(roster, got).durable()
+		return recordedBy(membership, got).durable()
 	})
-	votes := recordedBy(roster, got)
+	votes := recordedBy(membership, got)
 	store.learn(votes.newest)
 	return votes.durable()
 }
 
 // recordedBy returns the votes of the cores that answered an update.
-func recordedBy(roster coreMembership, got map[int]*message.RecordClaimsResponse) *coreVotes {
-	votes := newCoreVotes(roster)
+func recordedBy(membership coreMembership, got map[int]*message.RecordClaimsResponse) *coreVotes {
+	votes := newCoreVotes(membership)
 	for _, response := range got {
 		votes.add(response.Membership, response.Core, !response.Refused, response.Complete)
 	}
@@ -169,11 +169,11 @@
 // restore passes every claim that the cores hold to take. It returns whether a
 // majority of the cores that vote answered and hold all claims.
 func (store *coreStore) restore(take func([]message.ClaimRecord)) bool {
-	roster, cores := store.coresToAsk()
+	membership, cores := store.coresToAsk()
 	got, _ := concurrent.Gather(store.proxy.goroutines, len(cores), func(index int) (*message.FetchClaimsResponse, error) {
-		return fetchAllClaims(store.proxy.daemon.Client(), cores[index], roster.accepted, take)
+		return fetchAllClaims(store.proxy.daemon.Client(), cores[index], membership.accepted, take)
 	}, func(map[int]*message.FetchClaimsResponse, map[int]error) bool { return false })
-	votes := newCoreVotes(roster)
+	votes := newCoreVotes(membership)
 	for _, response := range got {
 		votes.add(response.Membership, response.Core, true, response.Complete)
 	}
--- a/serviceproxy/identity.go
+++ b/serviceproxy/identity.go
@@ -6,10 +6,11 @@
 	"io"
 	"net"
 	"net/http"
-	"orchidjunction/message"
-	"orchidjunction/rpc"
 	"strconv"
 	"time"
+
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 const identityBytes = 16 << 10
--- a/serviceproxy/key_replicas.go
+++ b/serviceproxy/key_replicas.go
@@ -2,8 +2,9 @@
 
 import (
 	"hash/fnv"
-	"orchidjunction/message"
 	"sort"
+
+	"orchidjunction/message"
 )
 
 const maxKeyReplicas = 5
--- a/serviceproxy/overload.go
+++ b/serviceproxy/overload.go
@@ -1,11 +1,12 @@
 package serviceproxy
 
 import (
-	"orchidjunction/rpc"
 	"sync"
 	"time"
 
 	"golang.org/x/time/rate"
+
+	"orchidjunction/rpc"
 )
 
 const overloadedTTL = time.Second
--- a/serviceproxy/pipe.go
+++ b/serviceproxy/pipe.go
@@ -4,10 +4,11 @@
 	"context"
 	"net"
 	"net/http"
-	"orchidjunction/message"
-	"orchidjunction/rpc"
 	"sync"
 	"time"
+
+	"orchidjunction/message"
+	"orchidjunction/rpc"
 )
 
 // countedConn knows how many bytes went out, so that "surely not run" is known.
--- a/serviceproxy/proxy.go
+++ b/serviceproxy/proxy.go
@@ -49,8 +49,10 @@
 // NewProxy returns a proxy without a version; it refuses requests until Apply. It
 // registers its usage, demand and readiness with the daemon.
 func NewProxy(daemon *agent.Daemon, goroutines *concurrent.Group, counters *metrics.Counters, dial Dialer) *Proxy {
-	proxy := &Proxy{daemon: daemon, goroutines: goroutines, counters: counters, dial: dial, budget: newRetryBudget(), usage: metrics.NewCounters(), admission: NewAdmission(), retries: newRetryDetector(),
-		targets: map[string]*Target{}, prefix: agent.NewID()[:10]}
+	proxy := &Proxy{
+		daemon: daemon, goroutines: goroutines, counters: counters, dial: dial, budget: newRetryBudget(), usage: metrics.NewCounters(), admission: NewAdmission(), retries: newRetryDetector(),
+		targets: map[string]*Target{}, prefix: agent.NewID()[:10],
+	}
 	proxy.claims = newClaims(proxy)
 	daemon.SetKeepsClaims(proxy.claims.Joined)
 	daemon.SetWarm(proxy.warm)
--- a/serviceproxy/receipt.go
+++ b/serviceproxy/receipt.go
@@ -4,9 +4,10 @@
 	"errors"
 	"io"
 	"net/http"
-	"orchidjunction/rpc"
 	"slices"
 	"strconv"
+
+	"orchidjunction/rpc"
 )
 
 const bufferBytes = 1 << 20
--- a/serviceproxy/route_table.go
+++ b/serviceproxy/route_table.go
@@ -1,10 +1,11 @@
 package serviceproxy
 
 import (
-	"orchidjunction/config"
 	"reflect"
 	"sort"
 	"strings"
+
+	"orchidjunction/config"
 )
 
 // routeKey is the exact method and path of a route within a service.
--- a/serviceproxy/routes.go
+++ b/serviceproxy/routes.go
@@ -3,8 +3,9 @@
 import (
 	"crypto/sha256"
 	"encoding/hex"
-	"orchidjunction/config"
 	"strings"
+
+	"orchidjunction/config"
 )
 
 const sharePerProxy = 4
--- a/serviceproxy/state_machine_test.go
+++ b/serviceproxy/state_machine_test.go
@@ -1,8 +1,9 @@
 package serviceproxy
 
 import (
-	"orchidjunction/metrics"
 	"testing"
+
+	"orchidjunction/metrics"
 )
 
 // Every state but the first is reached, and every way ends.
--- a/serviceproxy/target.go
+++ b/serviceproxy/target.go
@@ -5,11 +5,11 @@
 	"sync/atomic"
 	"time"
 
+	"golang.org/x/time/rate"
+
 	"orchidjunction/concurrent"
 	"orchidjunction/message"
 	"orchidjunction/rpc"
-
-	"golang.org/x/time/rate"
 )
 
 const (
@@ -112,7 +112,7 @@
 	}
 }
 
-// failed counts a mishap; a wrong identity takes the target out at once.
+// failed counts a error; a wrong identity takes the target out at once.
 func (target *Target) failed(err error) {
 	target.mutex.Lock()
 	stale := []*BackendConn{}
@@ -230,8 +230,10 @@
 func (target *Target) report() message.Probe {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	return message.Probe{Backend: target.backend().Name, Incarnation: target.identity.Incarnation, Healthy: target.healthy(), Leaving: target.identity.Leaving,
-		WarmingUp: target.identity.WarmingUp, WarmupRate: target.identity.WarmupRate, Utilization: target.identity.Utilization, Serial: target.identity.Serial}
+	return message.Probe{
+		Backend: target.backend().Name, Incarnation: target.identity.Incarnation, Healthy: target.healthy(), Leaving: target.identity.Leaving,
+		WarmingUp: target.identity.WarmingUp, WarmupRate: target.identity.WarmupRate, Utilization: target.identity.Utilization, Serial: target.identity.Serial,
+	}
 }
 
 func (target *Target) close() {
--- a/serviceproxy/task.go
+++ b/serviceproxy/task.go
@@ -49,8 +49,10 @@
 
 // ServeHTTP carries a caller's request to a backend and the response back.
 func (proxy *Proxy) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	task := &task{proxy: proxy, state: newStateMachine(proxy.counters), request: request, tried: map[*Target]bool{}, finish: func() {},
-		id: proxy.prefix + "-" + strconv.FormatUint(proxy.taskIDs.Add(1), 36)}
+	task := &task{
+		proxy: proxy, state: newStateMachine(proxy.counters), request: request, tried: map[*Target]bool{}, finish: func() {},
+		id: proxy.prefix + "-" + strconv.FormatUint(proxy.taskIDs.Add(1), 36),
+	}
 	defer func() { task.finish() }()
 	writer.Header().Set("Oj-Task", task.id)
 	if _, leaving := proxy.daemon.StopsIn(); leaving {
@@ -210,8 +212,10 @@
 		return rpc.Errorf(rpc.KeyRequired, "want %s of 1 to 200 letters", keyHeader)
 	}
 	sum := sha256.Sum256(append([]byte(fmt.Sprintf("%s %s?%s\n", task.request.Method, task.path, task.request.URL.RawQuery)), task.body...))
-	claimed := message.ClaimRecord{Key: message.ClaimKey{Tenant: task.plan.routes.TenantName(task.tenant), Service: task.route.Service, Key: key},
-		ID: task.id, Digest: hex.EncodeToString(sum[:]), Holder: task.proxy.claims.holder(), Stage: message.ClaimRunning}
+	claimed := message.ClaimRecord{
+		Key: message.ClaimKey{Tenant: task.plan.routes.TenantName(task.tenant), Service: task.route.Service, Key: key},
+		ID:  task.id, Digest: hex.EncodeToString(sum[:]), Holder: task.proxy.claims.holder(), Stage: message.ClaimRunning,
+	}
 	held, err := task.proxy.claims.claim(claimed)
 	if err != nil {
 		return err
@@ -412,9 +416,11 @@
 	for _, name := range append(hopHeaders, "Authorization", "Accept-Encoding", "Oj-Limit-Ms") {
 		request.Header.Del(name)
 	}
-	for name, value := range map[string]string{"Oj-Task": task.id, "Oj-Tenant": task.plan.routes.TenantName(task.tenant), "Oj-Class": task.route.Class,
+	for name, value := range map[string]string{
+		"Oj-Task": task.id, "Oj-Tenant": task.plan.routes.TenantName(task.tenant), "Oj-Class": task.route.Class,
 		"Oj-Service": task.route.Service, "Oj-Serial": strconv.FormatUint(task.plan.routes.Serial, 10),
-		"Oj-Limit-Ms": strconv.FormatInt(max(time.Until(task.deadline).Milliseconds(), 1), 10)} {
+		"Oj-Limit-Ms": strconv.FormatInt(max(time.Until(task.deadline).Milliseconds(), 1), 10),
+	} {
 		request.Header.Set(name, value)
 	}
 	return request, nil
--- a/slo/objectives.go
+++ b/slo/objectives.go
@@ -7,9 +7,10 @@
 	"bytes"
 	"errors"
 	"io"
-	"orchidjunction/rpc"
 
 	"gopkg.in/yaml.v3"
+
+	"orchidjunction/rpc"
 )
 
 // Document is one service-level objective in the form of OpenSLO v1, as far as it
--- a/slo/objectives_test.go
+++ b/slo/objectives_test.go
@@ -26,8 +26,14 @@
 		test.Errorf("%+v", quiet[0])
 	}
 	text := string(body)
-	for _, wrong := range [][2]string{{"kind: SLO", "kind: Alert"}, {"target: 0.995", "target: 1"}, {"type: orchidjunction", "type: other"},
-		{"budgetingMethod: Occurrences", "budgetingMethod: Timeslices"}, {"kind: SLO", "kind: SLO\ncolour: red"}, {"name: tasks-answered", "name: \"\""}} {
+	for _, wrong := range [][2]string{
+		{"kind: SLO", "kind: Alert"},
+		{"target: 0.995", "target: 1"},
+		{"type: orchidjunction", "type: other"},
+		{"budgetingMethod: Occurrences", "budgetingMethod: Timeslices"},
+		{"kind: SLO", "kind: SLO\ncolour: red"},
+		{"name: tasks-answered", "name: \"\""},
+	} {
 		if !strings.Contains(text, wrong[0]) {
 			test.Fatalf("the example lacks %q", wrong[0])
 		}
--- a/storage/disk.go
+++ b/storage/disk.go
@@ -13,6 +13,7 @@
 	"path/filepath"
 
 	"github.com/samber/oops"
+
 	"orchidjunction/rpc"
 )
 
--- a/usage/sums_test.go
+++ b/usage/sums_test.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"orchidjunction/config"
 	"os"
 	"testing"
+
+	"orchidjunction/config"
 )
 
 // Clocks jump by hours, leaders change and proxies come and go: every task is
