--- a/cmd/ojplan/main.go
+++ b/cmd/ojplan/main.go
@@ -15,6 +15,7 @@
 	"orchidjunction/rpc"
 )
 
+// The exit statuses beside 0.
 const (
 	exitInvalid = 1
 	exitMoves   = 3
@@ -22,59 +23,33 @@
 	exitShort   = 5
 )
 
+// options is what the command line says.
+type options struct {
+	daemons  []string
+	empties  []string
+	whole    string
+	partial  string
+	asJSON   bool
+	capacity float64
+}
+
 func main() {
-	flags := process.NewFlags("ojplan", "shows what a change would move; exit 0 nothing, 3 something, 5 floors short, 1 invalid, 4 no answer")
-	daemons, empties, whole, partial, asJSON, capacity := []string{}, []string{}, "", "", false, 30.0
-	flags.Parser.StringSlice(&daemons, "d", "daemon", "IP:port of a daemon's operators' side; may be given more than once")
-	flags.Parser.String(&whole, "", "whole", "file with a whole new version")
-	flags.Parser.String(&partial, "", "partial", "file with a partial new version")
-	flags.Parser.StringSlice(&empties, "", "empty", "zone to empty; may be given more than once")
-	flags.Parser.Float64(&capacity, "", "backend-rps", "tasks a second that one backend carries, to set against the floors")
-	flags.Parser.Bool(&asJSON, "", "json", "print the forecast as JSON")
-	flags.Parse()
-	if len(daemons) == 0 {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "--daemon must be given"))
-	}
-	for _, daemon := range daemons {
-		flags.Exit(control.CheckAddress("--daemon", daemon))
-	}
-	if whole != "" && partial != "" || whole == "" && partial == "" && len(empties) == 0 {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "want one of --whole and --partial, or --empty"))
-	}
-	if capacity <= 0 {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "--backend-rps: %v is not above 0", capacity))
-	}
-	client := operator.NewClient(daemons, process.Transport())
-	held, mishap := client.Read(false)
-	end(mishap, exitSilent)
-	status, mishap := client.Status()
-	end(mishap, exitSilent)
-	before, mishap := config.Read(held.Settings)
-	end(mishap, exitInvalid)
-	body := []byte(held.Settings)
-	if file := whole + partial; file != "" {
-		change, err := os.ReadFile(file)
-		if err != nil {
-			flags.Exit(rpc.Errorf(rpc.BadFlag, "%v", err))
-		}
-		if body = change; partial != "" {
-			body, mishap = config.Patch(held.Settings, change)
-			end(mishap, exitInvalid)
-		}
-	}
-	if len(empties) > 0 {
-		drained, _ := json.Marshal(map[string]any{"drained": map[string]any{"zones": append(before.Drained.Zones, empties...)}})
-		body, mishap = config.Patch(body, drained)
-		end(mishap, exitInvalid)
-	}
-	after, mishap := config.Read(body)
-	end(mishap, exitInvalid)
-	fleet := planner.Fleet{Serial: held.Serial, Settings: before, Backends: status.Backends, Capacity: capacity}
+	flags, given := parse()
+	client := operator.NewClient(given.daemons, process.Transport())
+	held, err := client.Read(false)
+	end(err, exitSilent)
+	status, err := client.Status()
+	end(err, exitSilent)
+	before, err := config.Read(held.Settings)
+	end(err, exitInvalid)
+	after, err := config.Read(given.next(flags, held.Settings, before))
+	end(err, exitInvalid)
+	fleet := planner.Fleet{Serial: held.Serial, Settings: before, Backends: status.Backends, Capacity: given.capacity}
 	for _, known := range status.Members {
 		fleet.Members = append(fleet.Members, known.Member)
 	}
 	forecast := planner.NewForecast(fleet, after)
-	if asJSON {
+	if given.asJSON {
 		encoder := json.NewEncoder(os.Stdout)
 		encoder.SetIndent("", "  ")
 		if err := encoder.Encode(forecast); err != nil {
@@ -91,6 +66,57 @@
 	}
 }
 
+// parse reads the command line; it ends the process where that is wrong.
+func parse() (*process.Flags, *options) {
+	flags := process.NewFlags("ojplan", "shows what a change would move; exit 0 nothing, 3 something, 5 floors short, 1 invalid, 4 no answer")
+	given := &options{capacity: 30}
+	flags.Parser.StringSlice(&given.daemons, "d", "daemon", "IP:port of a daemon's operators' side; may be given more than once")
+	flags.Parser.String(&given.whole, "", "whole", "file with a whole new version")
+	flags.Parser.String(&given.partial, "", "partial", "file with a partial new version")
+	flags.Parser.StringSlice(&given.empties, "", "empty", "zone to empty; may be given more than once")
+	flags.Parser.Float64(&given.capacity, "", "backend-rps", "tasks a second that one backend carries, to set against the floors")
+	flags.Parser.Bool(&given.asJSON, "", "json", "print the forecast as JSON")
+	flags.Parse()
+	if len(given.daemons) == 0 {
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--daemon must be given"))
+	}
+	for _, daemon := range given.daemons {
+		flags.Exit(control.CheckAddress("--daemon", daemon))
+	}
+	if given.whole != "" && given.partial != "" || given.whole == "" && given.partial == "" && len(given.empties) == 0 {
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "want one of --whole and --partial, or --empty"))
+	}
+	if given.capacity <= 0 {
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--backend-rps: %v is not above 0", given.capacity))
+	}
+	return flags, given
+}
+
+// next is the text of the settings as they would be after the change.
+func (given *options) next(flags *process.Flags, held []byte, before *config.Settings) []byte {
+	body := held
+	if file := given.whole + given.partial; file != "" {
+		change, err := os.ReadFile(file)
+		if err != nil {
+			flags.Exit(rpc.Errorf(rpc.BadFlag, "%v", err))
+		}
+		if body = change; given.partial != "" {
+			body, err = config.Patch(held, change)
+			end(err, exitInvalid)
+		}
+	}
+	if len(given.empties) == 0 {
+		return body
+	}
+	zones := append(before.Drained.Zones, given.empties...)
+	drained, err := json.Marshal(map[string]any{"drained": map[string]any{"zones": zones}})
+	end(err, exitInvalid)
+	body, err = config.Patch(body, drained)
+	end(err, exitInvalid)
+	return body
+}
+
+// show prints a forecast as text.
 func show(forecast *planner.Forecast) {
 	fmt.Printf("%d of %d tenants move\n", len(forecast.Moves), forecast.Tenants)
 	for _, move := range forecast.Moves {
@@ -107,6 +133,7 @@
 	}
 }
 
+// names joins names for a line of text.
 func names(list []string) string {
 	if len(list) == 0 {
 		return "none"
@@ -114,6 +141,7 @@
 	return strings.Join(list, " ")
 }
 
+// end prints an error and ends the process with a status; without one it does nothing.
 func end(err error, status int) {
 	if err == nil {
 		return
--- a/config/branch.go
+++ b/config/branch.go
@@ -2,6 +2,7 @@
 
 import (
 	"hash/fnv"
+	"maps"
 	"strings"
 
 	"github.com/go-faster/jx"
@@ -72,32 +73,9 @@
 		return rpc.Errorf(rpc.CorruptChunk, "no top branch")
 	}
 	settings := *top.top
-	settings.Classes = map[string]Class{}
-	below := map[string][]string{}
-	for _, part := range tree.Refs {
-		names := strings.Split(part.Path, "/")
-		if names[0] == "routes" {
-			below[names[1]+"/"+names[2]] = append(below[names[1]+"/"+names[2]], part.Path)
-		}
-		if names[0] == "tenants" {
-			below["tenants"] = append(below["tenants"], part.Path)
-		}
-		if names[0] == "class" {
-			class := *tree.fragments[part.Path].class
-			class.Services = map[string]Service{}
-			settings.Classes[names[1]] = class
-		}
-	}
-	if digest := tree.digest(below["tenants"]); before != nil && before.Settings.tenantsDigest == digest {
-		settings.Tenants, settings.tenantsDigest = before.Settings.Tenants, digest
-	} else {
-		settings.Tenants, settings.tenantsDigest = map[string]Tenant{}, digest
-		for _, path := range below["tenants"] {
-			for name, tenant := range tree.fragments[path].tenants {
-				settings.Tenants[name] = tenant
-			}
-		}
-	}
+	settings.Classes = tree.classesWithoutServices()
+	paths := tree.pathsByParent()
+	tree.assembleTenants(&settings, paths[tenantsParent], before)
 	for _, part := range tree.Refs {
 		names := strings.Split(part.Path, "/")
 		if names[0] != "service" {
@@ -107,27 +85,80 @@
 		if !found {
 			return rpc.Errorf(rpc.CorruptChunk, "branch %s has no class", part.Path)
 		}
-		service := *tree.fragments[part.Path].service
-		paths := below[names[1]+"/"+names[2]]
-		service.Digest = tree.digest(append([]string{part.Path}, paths...))
+		former := Service{}
 		if before != nil {
-			if former := before.Settings.Classes[names[1]].Services[names[2]]; former.Digest == service.Digest {
-				class.Services[names[2]] = former
-				continue
-			}
+			former = before.Settings.Classes[names[1]].Services[names[2]]
 		}
-		service.Routes = map[string]Route{}
-		for _, path := range paths {
-			for name, route := range tree.fragments[path].routes {
-				service.Routes[name] = route
-			}
-		}
-		class.Services[names[2]] = service
+		class.Services[names[2]] = tree.assembleService(part.Path, paths[names[1]+"/"+names[2]], &former)
 	}
 	tree.Settings = &settings
 	return nil
 }
 
+// tenantsParent is what pathsByParent calls the parent of the tenants' branches.
+const tenantsParent = "tenants"
+
+// pathsByParent groups the paths of branches with routes by class and service, and those
+// of branches with tenants under tenantsParent.
+func (tree *Tree) pathsByParent() map[string][]string {
+	paths := map[string][]string{}
+	for _, part := range tree.Refs {
+		names := strings.Split(part.Path, "/")
+		switch names[0] {
+		case "routes":
+			service := names[1] + "/" + names[2]
+			paths[service] = append(paths[service], part.Path)
+		case "tenants":
+			paths[tenantsParent] = append(paths[tenantsParent], part.Path)
+		}
+	}
+	return paths
+}
+
+// classesWithoutServices returns the classes by name, each with no service yet.
+func (tree *Tree) classesWithoutServices() map[string]Class {
+	classes := map[string]Class{}
+	for _, part := range tree.Refs {
+		names := strings.Split(part.Path, "/")
+		if names[0] != "class" {
+			continue
+		}
+		class := *tree.fragments[part.Path].class
+		class.Services = map[string]Service{}
+		classes[names[1]] = class
+	}
+	return classes
+}
+
+// assembleTenants sets the tenants, which are shared with the version before if none of
+// their branches changed.
+func (tree *Tree) assembleTenants(settings *Settings, paths []string, before *Tree) {
+	settings.tenantsDigest = tree.digest(paths)
+	if before != nil && before.Settings.tenantsDigest == settings.tenantsDigest {
+		settings.Tenants = before.Settings.Tenants
+		return
+	}
+	settings.Tenants = map[string]Tenant{}
+	for _, path := range paths {
+		maps.Copy(settings.Tenants, tree.fragments[path].tenants)
+	}
+}
+
+// assembleService returns the service of a branch with the routes of others. It is the
+// former one if none of these branches changed.
+func (tree *Tree) assembleService(path string, routePaths []string, former *Service) Service {
+	service := *tree.fragments[path].service
+	service.Digest = tree.digest(append([]string{path}, routePaths...))
+	if former.Digest == service.Digest {
+		return *former
+	}
+	service.Routes = map[string]Route{}
+	for _, routePath := range routePaths {
+		maps.Copy(service.Routes, tree.fragments[routePath].routes)
+	}
+	return service
+}
+
 // digest names several branches at once.
 func (tree *Tree) digest(paths []string) string {
 	sum := []byte{}
--- a/harness/checker/usage.go
+++ b/harness/checker/usage.go
@@ -6,6 +6,7 @@
 	"math"
 	"sort"
 
+	"orchidjunction/config"
 	"orchidjunction/harness/standin"
 )
 
@@ -21,61 +22,98 @@
 // usageLateMs is how long after a task the reports must hold it.
 const usageLateMs = 10_000
 
-// usageReported compares what the platform was told with the tasks that the
-// backends saw: in all, by period for every tenant, quiet ones too, and for
-// every task within ten seconds of it.
-func (evidence *Evidence) usageReported() (bad []string, detail string) {
-	if evidence.Reports == nil {
-		return nil, "no platform"
-	}
-	response, periods, last, late := map[string]int{}, map[string]map[uint64]bool{}, uint64(0), int64(0)
-	reported := map[string][][2]int64{}
-	for id, bodies := range evidence.Reports {
-		report := usageReport{}
-		if err := json.Unmarshal([]byte(bodies[0]), &report); err != nil {
-			bad = append(bad, fmt.Sprintf("%s: %v", id, err))
-			continue
-		}
-		response[report.Tenant] += report.Tasks
-		if periods[report.Tenant] == nil {
-			periods[report.Tenant] = map[uint64]bool{}
-		}
-		periods[report.Tenant][report.Period] = true
-		last = max(last, report.Period)
-		late = max(late, evidence.ReportAt[id]-report.ToMs)
-		if lag := evidence.ReportAt[id] - report.FromMs; report.Tasks > 0 && lag > usageLateMs && !evidence.Jumps {
-			bad = append(bad, fmt.Sprintf("%s came %d ms after its period began", id, lag))
-		}
-		reported[report.Tenant] = append(reported[report.Tenant], [2]int64{evidence.ReportAt[id], int64(report.Tasks)})
+// maxUsageError is the share of a tenant's tasks by which its reports may be off.
+const maxUsageError = 0.05
+
+// usageReports is what the platform was told, put together by tenant.
+type usageReports struct {
+	tasks   map[string]int
+	periods map[string]map[uint64]bool
+	counts  map[string][]reportedCount
+	last    uint64 // the last period that was reported
+	lateMs  int64  // the longest time from a period's end to its report
+}
+
+// reportedCount is how many tasks one report named, and when it came.
+type reportedCount struct {
+	atMs  int64
+	tasks int
+}
+
+// add takes one report that came at a time.
+func (reports *usageReports) add(report *usageReport, atMs int64) {
+	tenant := report.Tenant
+	reports.tasks[tenant] += report.Tasks
+	if reports.periods[tenant] == nil {
+		reports.periods[tenant] = map[uint64]bool{}
 	}
-	if evidence.Settings != nil {
-		for tenant := range evidence.Settings.Tenants {
-			if periods[tenant] == nil {
+	reports.periods[tenant][report.Period] = true
+	reports.counts[tenant] = append(reports.counts[tenant], reportedCount{atMs: atMs, tasks: report.Tasks})
+	reports.last = max(reports.last, report.Period)
+	reports.lateMs = max(reports.lateMs, atMs-report.ToMs)
+}
+
+// missing names the tenants without any report and the periods without one.
+func (reports *usageReports) missing(settings *config.Settings) (bad []string) {
+	if settings != nil {
+		for tenant := range settings.Tenants {
+			if reports.periods[tenant] == nil {
 				bad = append(bad, tenant+" has no report at all")
 			}
 		}
 	}
-	for tenant, held := range periods {
-		for period := uint64(1); period <= last; period++ {
+	for tenant, held := range reports.periods {
+		for period := uint64(1); period <= reports.last; period++ {
 			if !held[period] {
 				bad = append(bad, fmt.Sprintf("%s lacks period %d", tenant, period))
 			}
 		}
 	}
+	return bad
+}
+
+// usageReported compares what the platform was told with the tasks that the
+// backends saw: in all, by period for every tenant, quiet ones too, and for
+// every task within ten seconds of it.
+func (evidence *Evidence) usageReported() (bad []string, detail string) {
+	if evidence.Reports == nil {
+		return nil, "no platform"
+	}
+	reports, bad := evidence.readUsageReports()
+	bad = append(bad, reports.missing(evidence.Settings)...)
 	worst, slowest := 0.0, int64(0)
 	for tenant, tasks := range evidence.ranTasks() {
-		off := math.Abs(float64(response[tenant]-len(tasks))) / float64(len(tasks))
+		off := math.Abs(float64(reports.tasks[tenant]-len(tasks))) / float64(len(tasks))
 		worst = max(worst, off)
-		if off > 0.05 {
-			bad = append(bad, fmt.Sprintf("%s told %d, seen %d", tenant, response[tenant], len(tasks)))
+		if off > maxUsageError {
+			bad = append(bad, fmt.Sprintf("%s told %d, seen %d", tenant, reports.tasks[tenant], len(tasks)))
 		}
-		lag := reportLag(tasks, reported[tenant])
+		lag := reportLag(tasks, reports.counts[tenant])
 		slowest = max(slowest, lag)
 		if lag > usageLateMs {
 			bad = append(bad, fmt.Sprintf("%s's tasks were told up to %d ms late", tenant, lag))
 		}
 	}
-	return bad, fmt.Sprintf("%d reports, worst %.1f%% off, latest %d ms after its period, slowest %d ms after the task", len(evidence.Reports), worst*100, late, slowest)
+	return bad, fmt.Sprintf("%d reports, worst %.1f%% off, latest %d ms after its period, slowest %d ms after the task", len(evidence.Reports), worst*100, reports.lateMs, slowest)
+}
+
+// readUsageReports puts the reports together, and names those that cannot be read or
+// came too long after their period's begin.
+func (evidence *Evidence) readUsageReports() (*usageReports, []string) {
+	reports := &usageReports{tasks: map[string]int{}, periods: map[string]map[uint64]bool{}, counts: map[string][]reportedCount{}}
+	bad := []string{}
+	for id, bodies := range evidence.Reports {
+		report, atMs := usageReport{}, evidence.ReportAt[id]
+		if err := json.Unmarshal([]byte(bodies[0]), &report); err != nil {
+			bad = append(bad, fmt.Sprintf("%s: %v", id, err))
+			continue
+		}
+		if lag := atMs - report.FromMs; report.Tasks > 0 && lag > usageLateMs && !evidence.Jumps {
+			bad = append(bad, fmt.Sprintf("%s came %d ms after its period began", id, lag))
+		}
+		reports.add(&report, atMs)
+	}
+	return reports, bad
 }
 
 // ranTasks gives the times at which each tenant's tasks ran first.
@@ -100,22 +138,24 @@
 }
 
 // reportLag is the longest time from a task to the report by which as many
-// tasks were told; what the allowed twentieth may lack is left out.
-func reportLag(tasks []int64, reports [][2]int64) int64 {
-	sort.Slice(reports, func(left, right int) bool { return reports[left][0] < reports[right][0] })
-	longest, response, next := int64(0), 0, 0
+// tasks were told; what maxUsageError allows to be missing is left out.
+func reportLag(tasks []int64, reports []reportedCount) int64 {
+	sort.Slice(reports, func(left, right int) bool { return reports[left].atMs < reports[right].atMs })
+	longest, told, next := int64(0), 0, 0
 	for index, at := range tasks {
-		for next < len(reports) && float64(response) < float64(index+1)*0.95 {
-			response += int(reports[next][1])
+		wanted := float64(index+1) * (1 - maxUsageError)
+		for next < len(reports) && float64(told) < wanted {
+			told += reports[next].tasks
 			next++
 		}
-		if float64(response) >= float64(index+1)*0.95 && next > 0 {
-			longest = max(longest, reports[next-1][0]-at)
+		if float64(told) >= wanted && next > 0 {
+			longest = max(longest, reports[next-1].atMs-at)
 		}
 	}
 	return longest
 }
 
+// usageSame wants a report that was sent again to say the same.
 func (evidence *Evidence) usageSame() (bad []string, detail string) {
 	for id, bodies := range evidence.Reports {
 		for _, body := range bodies {
--- a/harness/simulation/chaos.go
+++ b/harness/simulation/chaos.go
@@ -12,6 +12,7 @@
 	Done   map[string]int
 }
 
+// RandomFaults returns an injector of the faults of cores, drawn by the world's seed.
 func (world *World) RandomFaults() *RandomFaults {
 	return &RandomFaults{world: world, random: rand.New(rand.NewPCG(world.Seed, 23)), Done: map[string]int{}}
 }
--- a/harness/simulation/disk.go
+++ b/harness/simulation/disk.go
@@ -47,6 +47,7 @@
 	errFull   = errors.New("no space left")
 )
 
+// NewDisk returns an empty disk whose losses are drawn by seed.
 func NewDisk(seed uint64) *Disk {
 	disk := &Disk{random: rand.New(rand.NewPCG(seed, 11)), files: map[string]*blob{}, lasting: map[string]*blob{}}
 	disk.wake = sync.NewCond(&disk.mutex)
@@ -224,12 +225,14 @@
 	disk.mutex.Unlock()
 }
 
+// Size is a file's length in bytes, with what is not synced yet.
 func (disk *Disk) Size(name string) int {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	return len(disk.files[name].body)
 }
 
+// List returns the names of the files in sorted order, as storage.Disk says.
 func (disk *Disk) List() ([]string, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -241,6 +244,7 @@
 	return names, nil
 }
 
+// Read returns a copy of a file, with what is not synced yet.
 func (disk *Disk) Read(name string) ([]byte, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -258,6 +262,7 @@
 	return nil
 }
 
+// Create opens an empty file, as storage.Disk says.
 func (disk *Disk) Create(name string) (storage.File, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -268,6 +273,8 @@
 	return &file{disk: disk, blob: disk.files[name]}, nil
 }
 
+// Rename gives a file another name, as storage.Disk says; it lasts once the folder is
+// synced.
 func (disk *Disk) Rename(before, after string) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -282,6 +289,7 @@
 	return nil
 }
 
+// Remove deletes a file, as storage.Disk says; it lasts once the folder is synced.
 func (disk *Disk) Remove(name string) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
--- a/harness/simulation/everything.go
+++ b/harness/simulation/everything.go
@@ -21,6 +21,8 @@
 	number int
 }
 
+// CombinedFaults returns an injector of every fault of the world, drawn by its seed;
+// ledger makes the changes of settings that some faults need.
 func (world *World) CombinedFaults(ledger *checker.Ledger) *CombinedFaults {
 	return &CombinedFaults{world: world, chaos: world.RandomFaults(), ledger: ledger, random: rand.New(rand.NewPCG(world.Seed, 71))}
 }
--- a/harness/simulation/far.go
+++ b/harness/simulation/far.go
@@ -107,6 +107,7 @@
 	return one
 }
 
+// StartMember starts a daemon that AddMember laid out.
 func (world *World) StartMember(one *FarDaemon) {
 	spot := agent.Config{
 		Name: one.Name, Kind: "proxy", Zone: fmt.Sprint("z", one.Region), InternalAddress: one.Host + ":41", PublicAddress: one.Host + ":80", OperatorAddress: one.Host + ":42",
@@ -133,6 +134,7 @@
 	one.Daemon.Run()
 }
 
+// KillMember ends a daemon as a crash does.
 func (world *World) KillMember(one *FarDaemon) {
 	if !world.ends(&one.Alive) {
 		return
--- a/harness/simulation/judge.go
+++ b/harness/simulation/judge.go
@@ -18,6 +18,7 @@
 // Start and Serials make the world a ground for operators.
 func (world *World) Start(duty func()) { world.goroutines.Start(duty) }
 
+// Serials returns the versions of the settings in force at the daemons that are ready.
 func (world *World) Serials() []uint64 {
 	serials := []uint64{}
 	for _, daemon := range world.Daemons {
--- a/harness/simulation/net.go
+++ b/harness/simulation/net.go
@@ -45,6 +45,7 @@
 	errLost    = errors.New("message lost")
 )
 
+// NewNet returns a network without faults whose delays are drawn by seed.
 func NewNet(seed uint64) *Net {
 	return &Net{random: rand.New(rand.NewPCG(seed, 13)), listeners: map[string]*listener{}, cut: map[[2]string]bool{}, frozen: map[string]bool{}, gone: map[string]bool{}, lives: map[string]int{}, goroutines: concurrent.NewGroup()}
 }
@@ -124,6 +125,7 @@
 	}
 }
 
+// Faults sets how often messages are lost, doubled and late from now on.
 func (net *Net) Faults(faults Faults) {
 	net.mutex.Lock()
 	net.faults = faults
@@ -215,6 +217,7 @@
 	closed  bool
 }
 
+// Listen opens an address; it fails where the address is open already.
 func (net *Net) Listen(address string) (*listener, error) {
 	net.mutex.Lock()
 	defer net.mutex.Unlock()
@@ -324,8 +327,10 @@
 	inner *http.Transport
 }
 
+// CloseIdleConnections closes the connections that carry no request.
 func (transport *Transport) CloseIdleConnections() { transport.inner.CloseIdleConnections() }
 
+// RoundTrip carries a request as http.RoundTripper says, with the network's faults.
 func (transport *Transport) RoundTrip(request *http.Request) (*http.Response, error) {
 	network := transport.net
 	network.mutex.Lock()
--- a/harness/simulation/world.go
+++ b/harness/simulation/world.go
@@ -87,6 +87,8 @@
 	server  *http.Server
 }
 
+// The cores of a simulated deployment send heartbeats and stand for election at these
+// times, which are shorter than in production so that runs are short.
 const (
 	HeartbeatInterval = 75 * time.Millisecond
 	SuspicionTimeout  = 300 * time.Millisecond
@@ -96,6 +98,8 @@
 
 func (world *World) platformAddress() string { return fmt.Sprintf("10.%d.0.1:80", world.Base+9) }
 
+// NewWorld returns a deployment of so many cores on a network of its own. Its faults are
+// drawn by seed.
 func NewWorld(seed uint64, cores int) *World { return newWorld(NewNet(seed), 0, seed, cores) }
 
 // Neighbour is a second system on the same net, the other partner's.
@@ -157,6 +161,7 @@
 	return daemon
 }
 
+// StartDaemon starts a daemon that is laid out.
 func (world *World) StartDaemon(daemon *Daemon) {
 	seeds := []string{}
 	for _, core := range world.Cores[:min(3, len(world.Cores))] {
@@ -215,6 +220,7 @@
 	world.applied[version.Serial] = string(version.Body())
 }
 
+// KillDaemon ends a daemon as a crash does.
 func (world *World) KillDaemon(daemon *Daemon) {
 	if !world.ends(&daemon.Alive) {
 		return
@@ -261,7 +267,7 @@
 	world.ServeBackend(backend, inner)
 }
 
-// Stop ends a backend as a crash does.
+// StopBackend ends a backend as a crash does.
 func (world *World) StopBackend(backend *Backend) {
 	world.Net.Kill(host(backend.Listed.Address))
 	_ = backend.server.Close() // its listener is the net's
@@ -274,6 +280,7 @@
 	backend.server = world.serve(world.goroutines, backend.Listed.Address, inner)
 }
 
+// List makes the backends' present state what the platform lists.
 func (world *World) List() {
 	items := []standin.Listed{}
 	for _, backend := range world.Backends {
@@ -329,6 +336,7 @@
 	return holds()
 }
 
+// Rest sleeps in virtual time; false once the world ends.
 func (world *World) Rest(span time.Duration) bool { return world.goroutines.Sleep(span) }
 
 // Origin plays callers from outside.
--- a/hostproxy/proxy.go
+++ b/hostproxy/proxy.go
@@ -111,6 +111,7 @@
 // Leave makes answers tell clients to go elsewhere.
 func (proxy *Proxy) Leave() { proxy.leaving.Store(true) }
 
+// Leaving is whether Leave was called.
 func (proxy *Proxy) Leaving() bool { return proxy.leaving.Load() }
 
 // InFlight is how many requests are under way.
--- a/serviceproxy/task.go
+++ b/serviceproxy/task.go
@@ -1,8 +1,6 @@
 package serviceproxy
 
 import (
-	"bytes"
-	"context"
 	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
@@ -243,8 +241,11 @@
 	return nil
 }
 
-// send picks a backend and sends until a receipt is whole, or what is left is unsafe,
-// out of budget or out of time.
+// minTimeToSend is the least time before a task's deadline that makes another send
+// worth while.
+const minTimeToSend = 5 * time.Millisecond
+
+// send admits the task and has it answered by a backend.
 func (task *task) send() error {
 	if err := task.checkLeaving(); err != nil {
 		return err
@@ -262,45 +263,68 @@
 		task.proxy.counters.Add("quick_retries_refused", 1)
 		return &rpc.Error{Code: rpc.Overloaded, Message: "this task just failed here and the budget for retries is used up", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
 	}
+	return task.sendUntilAnswered()
+}
+
+// sendUntilAnswered picks a backend and sends until a response is whole, or another send
+// is unsafe, out of budget or out of time.
+func (task *task) sendUntilAnswered() error {
 	var last error = &rpc.Error{Code: rpc.NoBackend, Message: "no backend can take this now", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
 	mayRun := false
 	for sends := 0; sends < task.route.Attempts; sends++ {
-		if sends > 0 && !task.proxy.budget.allow() {
-			task.proxy.counters.Add("resends_refused", 1)
-			break
-		}
-		target, found := task.plan.pickBackend(task.route, task.tenant, task.tried)
+		target, found := task.nextTarget(sends > 0)
 		if !found {
 			break
 		}
-		task.tried[target] = true
-		task.state.advance(Assigned)
-		if sends == 0 {
-			task.proxy.budget.recordSend()
-		} else {
-			task.proxy.counters.Add("resends", 1)
-		}
-		receipt, ran, err := task.sendTo(target)
+		response, ran, err := task.sendTo(target)
 		task.sent = task.sent || ran
 		if ran && !mayRun {
 			task.proxy.usage.Add(task.plan.routes.TenantName(task.tenant), 1)
 		}
 		if err == nil {
-			task.response = receipt
+			task.response = response
 			return nil
 		}
 		task.proxy.counters.Add("sends_"+string(rpc.CodeOf(err)), 1)
 		last, mayRun = err, mayRun || ran
-		if ran && task.route.KeyRequired || ran && task.request.Method != http.MethodGet && task.request.Method != http.MethodHead {
-			break
-		}
-		if time.Until(task.deadline) < 5*time.Millisecond || task.request.Context().Err() != nil {
+		if !task.maySendAgain(ran) {
 			break
 		}
 	}
 	return task.final(last, mayRun)
 }
 
+// nextTarget picks a backend that was not tried; a resend needs the retry budget.
+func (task *task) nextTarget(resend bool) (*Target, bool) {
+	if resend && !task.proxy.budget.allow() {
+		task.proxy.counters.Add("resends_refused", 1)
+		return nil, false
+	}
+	target, found := task.plan.pickBackend(task.route, task.tenant, task.tried)
+	if !found {
+		return nil, false
+	}
+	task.tried[target] = true
+	task.state.advance(Assigned)
+	if resend {
+		task.proxy.counters.Add("resends", 1)
+	} else {
+		task.proxy.budget.recordSend()
+	}
+	return target, true
+}
+
+// maySendAgain is whether another send is safe and in time after one that failed; ran is
+// whether that one may have run at the backend.
+func (task *task) maySendAgain(ran bool) bool {
+	method := task.request.Method
+	readsOnly := method == http.MethodGet || method == http.MethodHead
+	if ran && (task.route.KeyRequired || !readsOnly) {
+		return false
+	}
+	return time.Until(task.deadline) >= minTimeToSend && task.request.Context().Err() == nil
+}
+
 // final never says 503 of a task that may have run.
 func (task *task) final(last error, mayRun bool) error {
 	final := *rpc.AsError(last)
@@ -318,110 +342,3 @@
 	}
 	return &final
 }
-
-// sendTo makes one send over one pipe.
-func (task *task) sendTo(target *Target) (*Response, bool, error) {
-	left := false
-	leave := func() {
-		if !left {
-			left = true
-			target.leave()
-		}
-	}
-	connection, incarnation, mishap := target.connection(task.deadline)
-	if mishap != nil {
-		leave()
-		return nil, false, mishap
-	}
-	// The caller's going away does not cut a send short: what it did must be known.
-	ctx, cancel := context.WithDeadline(context.Background(), task.deadline)
-	request, err := task.outgoing(ctx, target.backend().Address)
-	if err != nil {
-		cancel()
-		leave()
-		target.giveBack(connection, incarnation, task.route.IdleConnections)
-		return nil, false, rpc.Errorf(rpc.BadRequest, "%v", err)
-	}
-	task.state.advance(Sent)
-	response, ran, err := connection.send(request)
-	if err != nil {
-		cancel()
-		leave()
-		connection.close()
-		if time.Now().Before(task.deadline) {
-			kind := rpc.ConnectionBroken
-			if ran {
-				kind = rpc.BadResponse
-			}
-			mishap = rpc.Errorf(kind, "%v", err)
-			target.failed(mishap)
-			return nil, ran, mishap
-		}
-		return nil, ran, rpc.Errorf(rpc.DeadlineExceeded, "no answer within the limit")
-	}
-	task.state.advance(Receiving)
-	target.learnFromResponse(incarnation, func(identity *Identity) { identity.fromResponse(response.Header) })
-	if serial, err := strconv.ParseUint(response.Header.Get("Oj-Serial"), 10, 64); err == nil {
-		task.proxy.daemon.ObserveSerial(serial)
-	}
-	receipt, mishap := readResponse(response, task.id, task.route.ResponseBytes, task.route.KeyRequired)
-	if mishap != nil {
-		cancel()
-		leave()
-		connection.close()
-		if !time.Now().Before(task.deadline) {
-			mishap = rpc.Errorf(rpc.DeadlineExceeded, "%s", rpc.AsError(mishap).Message)
-		}
-		return nil, true, mishap
-	}
-	if busy := receipt.status == http.StatusServiceUnavailable || receipt.status == http.StatusTooManyRequests; busy && receipt.rest == nil {
-		cancel()
-		leave()
-		target.giveBack(connection, incarnation, task.route.IdleConnections)
-		if receipt.header.Get("Oj-Not-Run") == "true" {
-			return nil, false, &rpc.Error{Code: rpc.Overloaded, Message: "the backend is busy", RetryAfterMs: retryAfterMs}
-		}
-		return nil, true, &rpc.Error{Code: rpc.OutcomeUnknown, Message: fmt.Sprintf("the backend said %d and not whether it ran", receipt.status)}
-	}
-	done := func() {
-		cancel()
-		leave()
-		if receipt.rest != nil {
-			receipt.rest.Close()
-		}
-		target.giveBack(connection, incarnation, task.route.IdleConnections)
-	}
-	if receipt.rest == nil {
-		response.Body.Close()
-		done()
-	} else {
-		task.finish = done
-	}
-	return receipt, true, nil
-}
-
-func (task *task) outgoing(ctx context.Context, address string) (*http.Request, error) {
-	url := "http://" + address + task.path
-	if query := task.request.URL.RawQuery; query != "" {
-		url += "?" + query
-	}
-	request, err := http.NewRequestWithContext(ctx, task.request.Method, url, bytes.NewReader(task.body))
-	if err != nil {
-		return nil, err
-	}
-	request.GetBody = nil
-	for name, values := range task.request.Header {
-		request.Header[name] = append([]string{}, values...)
-	}
-	for _, name := range append(hopHeaders, "Authorization", "Accept-Encoding", "Oj-Limit-Ms") {
-		request.Header.Del(name)
-	}
-	for name, value := range map[string]string{
-		"Oj-Task": task.id, "Oj-Tenant": task.plan.routes.TenantName(task.tenant), "Oj-Class": task.route.Class,
-		"Oj-Service": task.route.Service, "Oj-Serial": strconv.FormatUint(task.plan.routes.Serial, 10),
-		"Oj-Limit-Ms": strconv.FormatInt(max(time.Until(task.deadline).Milliseconds(), 1), 10),
-	} {
-		request.Header.Set(name, value)
-	}
-	return request, nil
-}
