--- a/agent/operator_api.go
+++ b/agent/operator_api.go
@@ -16,7 +16,7 @@
 
 const maxChangeBytes = 16 << 20
 
-// OperatorAPI is the operators' door that every daemon opens.
+// OperatorAPI is the HTTP interface for operators that every daemon serves.
 type OperatorAPI struct {
 	forwarder     *Forwarder
 	counters      *metrics.Counters
--- a/cmd/ojcluster/main.go
+++ b/cmd/ojcluster/main.go
@@ -99,7 +99,7 @@
 	return []string{"volta", "saqtau"}
 }
 
-// newFleets lays out a fleet of each size on ports of its own; two lend to each other.
+// newFleets returns a fleet of each size on ports of its own; two lend to each other.
 func (given *options) newFleets(flags *process.Flags, sizes []string, goroutines *concurrent.Group) []*cluster.Fleet {
 	if given.folder == "" {
 		made, err := os.MkdirTemp("", "ojcluster-")
--- a/config/effective.go
+++ b/config/effective.go
@@ -94,7 +94,7 @@
 	ForbidRegions   []string
 }
 
-// overlay lays the rule's own values over what is inherited.
+// overlay returns what is inherited with the rule's own values in its place.
 func (rule *Rule) overlay(flat FlatRoute) FlatRoute {
 	for _, field := range []struct {
 		given *int
--- a/config/tree.go
+++ b/config/tree.go
@@ -61,7 +61,7 @@
 	return tree, nil
 }
 
-// Patch lays a partial tree over this one; objects merge, null removes.
+// Patch merges a partial tree into this one; objects merge, null removes.
 func (tree *Tree) Patch(partial []byte) (*Tree, error) {
 	part, err := readPartial(partial)
 	if err != nil {
--- a/control/window_reports.go
+++ b/control/window_reports.go
@@ -185,7 +185,7 @@
 }
 
 // reportWindows is the leader's task to report what is sealed, the oldest first, each
-// only after a heartbeat that a quorum accepted since: another core may hold the duty.
+// only after a heartbeat that a quorum accepted since: another core may have taken its place.
 func (core *Core) reportWindows() {
 	leadership, state := core.windowState()
 	if state == nil || !core.mayReport(leadership) {
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -62,7 +62,7 @@
 // Register does nothing: directories don't call each other.
 func (directory *Directory) Register(*rpc.Server) {}
 
-// Run does nothing: a directory has no duties of its own.
+// Run does nothing: a directory has no background work of its own.
 func (directory *Directory) Run() {}
 
 // Apply puts a version in force; one without settings is ignored.
--- a/hostproxy/budget.go
+++ b/hostproxy/budget.go
@@ -20,8 +20,8 @@
 	budgetStart  = 1
 )
 
-// setShare lays down what is allowed with so many proxies; fewer give no more until
-// the count is believed again by a new process.
+// setShare sets the share that is due to one of so many proxies. The share does not grow
+// when proxies go: they may be cut off and still serving.
 func (budget *Budget) setShare(ratio, extra float64, proxies int) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
@@ -38,8 +38,8 @@
 	budget.tokens = min(budget.tokens, budget.limit)
 }
 
-// presumeShare is share while no leader said how many proxies there are: no more is
-// saved up than what a fresh process starts with.
+// presumeShare sets the share while no leader has said how many proxies there are: no
+// more is saved up than what a fresh process starts with.
 func (budget *Budget) presumeShare(ratio, extra float64, proxies int) {
 	budget.setShare(ratio, extra, proxies)
 	budget.mutex.Lock()
--- a/hostproxy/connection.go
+++ b/hostproxy/connection.go
@@ -72,7 +72,7 @@
 	return err == nil && quiet
 }
 
-// observeKeepAlive lays down what an answer's Keep-Alive field says of idle time.
+// observeKeepAlive takes the idle timeout that a response's Keep-Alive field names.
 func (connection *connection) observeKeepAlive(keepAlive string) {
 	for _, part := range strings.Split(keepAlive, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/hostproxy/proxy.go
+++ b/hostproxy/proxy.go
@@ -64,7 +64,8 @@
 
 func (config *Config) suspectTTL() time.Duration { return config.ListLag + suspectSlack }
 
-// Run starts the proxy's own duty: old connections go, silent backends are tried.
+// Run starts the proxy's background work: it closes old connections and probes backends
+// that gave no answer.
 func (proxy *Proxy) Run() {
 	proxy.goroutines.Every(concurrent.Fixed(maintainInterval), proxy.maintain)
 }
--- a/hostproxy/shaper.go
+++ b/hostproxy/shaper.go
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// shapedReader reads through a lane: what goes beyond a small answer waits for its turn.
+// shapedReader reads at the rate of a Shaper: what goes beyond a small answer waits for its turn.
 type shapedReader struct {
 	from   io.Reader
 	shaper *Shaper
@@ -151,7 +151,7 @@
 	return count, err
 }
 
-// shapedWriter writes through a lane in the same way.
+// shapedWriter writes at the rate of a Shaper in the same way.
 type shapedWriter struct {
 	to     io.Writer
 	shaper *Shaper
--- a/hostproxy/target.go
+++ b/hostproxy/target.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// served lays in what a whole answer took, against the mean of its route.
+// served records how long a whole answer took, against the mean of its route.
 func (target *target) served(took time.Duration, mean float64, good bool) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
@@ -211,7 +211,7 @@
 	}
 }
 
-// failed lays in a broken connection; dead is one that could not be opened.
+// failed records a broken connection; dead is one that could not be opened.
 func (target *target) failed(now time.Time, dead bool) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
--- a/process/run.go
+++ b/process/run.go
@@ -44,7 +44,7 @@
 	return flags
 }
 
-// Parse reads the arguments, with those of a --place file laid under them.
+// Parse reads the arguments, which take precedence over those of a --place file.
 func (flags *Flags) Parse() {
 	arguments, err := configFile(os.Args[1:])
 	flags.Exit(err)
--- a/process/typed.go
+++ b/process/typed.go
@@ -35,7 +35,7 @@
 // jsonErrorConnKey is where a request's context holds its connection.
 type jsonErrorConnKey struct{}
 
-// withConn lays the connection into the context of its requests.
+// withConn puts the connection into the context of its requests.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, jsonErrorConnKey{}, conn)
 }
--- a/routing/config.go
+++ b/routing/config.go
@@ -107,8 +107,8 @@
 	RemoveTenants  []string
 }
 
-// Change is an operator's order: a whole config or a patch on top of a version.
-// Digest names the order's exact text, so that a repeat is known.
+// Change is an operator's change: a whole config or a patch on top of a version.
+// Digest names the change's exact text, so that a repeat is known.
 type Change struct {
 	Version uint64
 	Base    uint64
@@ -156,7 +156,7 @@
 	return slices.BinarySearchFunc(state.Zones, zone, func(one ZoneChanges, zone string) int { return strings.Compare(one.Zone, zone) })
 }
 
-// WithoutHistory is the book as daemons need it, without what only orders are judged by.
+// WithoutHistory is the state as daemons need it, without what only changes are judged by.
 func (state *State) WithoutHistory() *State {
 	bare := *state
 	bare.History, bare.Zones = History{}, nil
@@ -170,7 +170,7 @@
 	AtMs int64
 }
 
-// DecodeState reads the register's body; none is an empty book.
+// DecodeState reads the register's body; none is an empty state.
 func DecodeState(body []byte) (*State, error) {
 	state := &State{}
 	if len(body) == 0 {
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -7,7 +7,7 @@
 	"orchidjunction/rpc"
 )
 
-// The routing register and an operator's order are encoded as they were when the file
+// The routing register and an operator's change are encoded as they were when the file
 // was written, and what was written then is read back.
 func TestRoutingEncodingsStay(test *testing.T) {
 	format := golden.Format{Marshal: rpc.Marshal, Unmarshal: rpc.Unmarshal}
--- a/routing/history.go
+++ b/routing/history.go
@@ -9,44 +9,44 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// MaxHistory is how many taken orders a trail remembers.
+// MaxHistory is how many taken changes a history remembers.
 const MaxHistory = 4096
 
 const digestBytes = 8
 
-// ShortDigest stands for an order's text in a trail. Versions are never used
-// twice, so it only has to tell apart the few orders that named the same one.
+// ShortDigest stands for a change's text in a history. Versions are never used
+// twice, so it only has to tell apart the few changes that named the same one.
 type ShortDigest [digestBytes]byte
 
-// DigestOf is the short digest of the digest that an order carries.
+// DigestOf is the short digest of the digest that a change carries.
 func DigestOf(digest string) ShortDigest {
 	sum := sha256.Sum256([]byte(digest))
 	return ShortDigest(sum[:digestBytes])
 }
 
-// HistoryEntry is an order that was taken.
+// HistoryEntry is a change that was taken.
 type HistoryEntry struct {
 	Version uint64
 	Digest  ShortDigest
 }
 
-// History remembers the orders that were taken last, by rising versions, so that an
-// order which is sent again is known. It is written with every change and so kept
+// History remembers the changes that were taken last, by rising versions, so that a
+// change which is sent again is known. It is written with every change and so kept
 // short: each entry is the version's distance from the one before, then the digest.
 type History struct {
-	// Forgotten is the highest version whose order is remembered no more.
+	// Forgotten is the highest version whose change is remembered no more.
 	Forgotten uint64
 	Count     int
 	Packed    []byte
 }
 
-// formerEntry is an entry of the trail as books of former versions hold it.
+// formerEntry is an entry of the history as states of former versions hold it.
 type formerEntry struct {
 	Version uint64
 	Digest  string
 }
 
-// DecodeMsgpack reads a trail, also one of a former version: a list of entries.
+// DecodeMsgpack reads a history, also one of a former version: a list of entries.
 func (history *History) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	code, err := decoder.PeekCode()
 	if err != nil {
@@ -77,7 +77,7 @@
 	return entry, packed[width+digestBytes:], true
 }
 
-// Entries are the orders remembered, oldest first.
+// Entries are the changes remembered, oldest first.
 func (history History) Entries() []HistoryEntry {
 	entries := make([]HistoryEntry, 0, history.Count)
 	version := history.Forgotten
@@ -91,7 +91,7 @@
 	}
 }
 
-// Contains is whether an order is remembered as taken.
+// Contains is whether a change is remembered as taken.
 func (history History) Contains(version uint64, digest string) bool {
 	for _, entry := range history.Entries() {
 		if entry.Version == version {
@@ -101,11 +101,11 @@
 	return false
 }
 
-// MayHaveForgotten is whether an order of this version may have been taken so long ago that
-// the trail can't tell.
+// MayHaveForgotten is whether a change of this version may have been taken so long ago that
+// the history can't tell.
 func (history History) MayHaveForgotten(version uint64) bool { return version <= history.Forgotten }
 
-// With is the trail with one more order, whose version is above all others.
+// With is the history with one more change, whose version is above all others.
 func (history History) With(version uint64, digest string) History {
 	last := history.Forgotten
 	if entries := history.Entries(); len(entries) > 0 {
--- a/routing/history_test.go
+++ b/routing/history_test.go
@@ -7,7 +7,7 @@
 	"orchidjunction/rpc"
 )
 
-// A trail knows the newest orders exactly, says what it forgot, and stays short.
+// A history knows the newest changes exactly, says what it forgot, and stays short.
 func TestTrailKnowsTheNewestAndWhatItForgot(test *testing.T) {
 	const more = 100
 	history, version := History{}, uint64(0)
@@ -32,7 +32,7 @@
 	}
 }
 
-// A trail that was packed, read and continued is the same; one that was read keeps
+// A history that was packed, read and continued is the same; one that was read keeps
 // its own bytes though two longer ones were made of it.
 func TestTrailLastsAndIsNotShared(test *testing.T) {
 	history := History{}.With(300, "a").With(70000, "b")
@@ -50,7 +50,7 @@
 	}
 }
 
-// A book of a former version, whose trail is a list of whole digests, is read.
+// A state of a former version, whose history is a list of whole digests, is read.
 func TestTrailOfFormerVersionIsRead(test *testing.T) {
 	type formerBook struct {
 		Config    Config
--- a/routing/index.go
+++ b/routing/index.go
@@ -33,7 +33,7 @@
 	longest int
 }
 
-// NewIndex makes the index of a book that was checked.
+// NewIndex makes the index of a state that was checked.
 func NewIndex(state *State) *Index {
 	config := &state.Config
 	index := &Index{
--- a/routing/patch.go
+++ b/routing/patch.go
@@ -2,7 +2,7 @@
 
 import "orchidjunction/rpc"
 
-// Apply is the config with a patch laid over it; the receiver stays as it is.
+// Apply returns the config with a patch merged into it; the receiver stays as it is.
 // Whoever takes it on sets its version and checks it.
 func (config Config) Apply(patch *Patch) (Config, error) {
 	var err error
--- a/serviceproxy/claim_messages.go
+++ b/serviceproxy/claim_messages.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// grant is this proxy's own answer as a keeper.
+// grant is this proxy's own answer as a replica.
 func (claims *Claims) grant(claim *message.ClaimRequest) *message.ClaimResponse {
 	whole := claims.Complete()
 	response := claims.store.Claim(claim)
--- a/serviceproxy/claim_poll.go
+++ b/serviceproxy/claim_poll.go
@@ -22,7 +22,7 @@
 	return len(rings) > 0
 }
 
-// claimVote is a keeper's or a core's.
+// claimVote is a replica's or a core's.
 type claimVote struct {
 	replica *message.ClaimResponse
 	core    *message.RecordClaimsResponse
@@ -68,7 +68,7 @@
 	return votes
 }
 
-// quorums is whether the keepers that granted make a quorum of every ring; with
+// quorums is whether the replicas that granted make a quorum of every ring; with
 // wholes, only those whose memory is whole count.
 func (poll *poll) quorums(wholes bool) bool {
 	granting := []message.Member{}
@@ -80,7 +80,7 @@
 	return enough(poll.replicaSets, granting)
 }
 
-// ask sends the claim to all keepers and cores, and again where the cores that vote
+// ask sends the claim to all replicas and cores, and again where the cores that vote
 // changed meanwhile.
 func (claims *Claims) ask(rings [][]message.Member, members []message.Member, claim *message.ClaimRequest) (*message.ClaimRecord, bool) {
 	away := claims.coreStore.unavailable()
@@ -105,15 +105,15 @@
 	return nil, true
 }
 
-// granted is whether the answers suffice. A grant needs the keepers' quorum and lasts
-// at a majority of cores. While the cores are away, keepers whose memory is whole go
+// granted is whether the answers suffice. A grant needs the replicas' quorum and lasts
+// at a majority of cores. While the cores are away, replicas whose memory is whole go
 // on alone.
 func (poll *poll) granted(away bool) bool {
 	votes := poll.cores()
 	return votes.durable() && poll.quorums(!votes.complete()) || away && poll.quorums(true)
 }
 
-// poll sends the claim to all keepers and cores once; one refusal is enough to stop,
+// poll sends the claim to all replicas and cores once; one refusal is enough to stop,
 // and so is an answer by other voters.
 func (claims *Claims) poll(rings [][]message.Member, members []message.Member, claim *message.ClaimRequest, away bool) *poll {
 	membership, cores := claims.coreStore.coresToAsk()
--- a/serviceproxy/claim_rings.go
+++ b/serviceproxy/claim_rings.go
@@ -43,7 +43,7 @@
 	return claim.Table.Less(ring.mark) && time.Since(ring.at) > replicaSetTTL
 }
 
-// apply takes a new ring and tells new keepers what they lack; the former ring
+// apply takes a new ring and tells new replicas what they lack; the former ring
 // is asked too for a while.
 func (claims *Claims) apply(next *KeyReplicas, version message.TableVersion) {
 	claims.mutex.Lock()
@@ -64,7 +64,7 @@
 	claims.proxy.goroutines.Start(func() { claims.sendMissing(former, next) })
 }
 
-// left doubts this memory when so many keepers are gone within a short time
+// left doubts this memory when so many replicas are gone within a short time
 // that all who granted a key may be among them.
 func (claims *Claims) left(former, next []message.Member, now time.Time) {
 	gone := lostReplicas{at: now}
--- a/serviceproxy/claims.go
+++ b/serviceproxy/claims.go
@@ -56,7 +56,7 @@
 	return claims.proxy.daemon.Name() + "/" + claims.proxy.daemon.Incarnation()
 }
 
-// Joined reports whether this proxy has joined the keepers of keys and may grant
+// Joined reports whether this proxy has joined the replicas of the keys and may grant
 // claims.
 func (claims *Claims) Joined() bool {
 	claims.mutex.Lock()
@@ -64,8 +64,8 @@
 	return claims.joined
 }
 
-// join makes this proxy a keeper once it knows what the others keep, or when
-// no keeper is known to anybody.
+// join makes this proxy a replica once it knows what the others keep, or when
+// no replica is known to anybody.
 func (claims *Claims) join() {
 	if claims.Joined() && !claims.Complete() && claims.coreStore.restore(claims.store.Merge) {
 		claims.mutex.Lock()
@@ -172,7 +172,7 @@
 
 func holderName(member message.Member) string { return member.Name + "/" + member.Incarnation }
 
-// release gives the key back at every keeper: this claim's task was never sent.
+// release gives the key back at every replica: this claim's task was never sent.
 func (claims *Claims) release(ring []message.Member, claimed message.ClaimRecord) {
 	claims.mutex.Lock()
 	if claims.running[claimed.Key] == claimed.ID {
@@ -182,7 +182,7 @@
 	claims.notifyReplicas(ring, &message.CompleteClaimRequest{Record: claimed, Release: true})
 }
 
-// finish keeps how the task ended here and at its keepers.
+// finish keeps how the task ended here and at its replicas.
 func (claims *Claims) finish(claimed message.ClaimRecord, receipt *Response, err error) {
 	_, ring, _ := claims.askable(claimed.Key)
 	if err != nil && rpc.AsError(err).Outcome == rpc.NotRun {
--- a/serviceproxy/identity.go
+++ b/serviceproxy/identity.go
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// fromResponse lays what the receipt's headers tell over the identity.
+// fromResponse updates the identity by the headers of a response.
 func (identity *Identity) fromResponse(header http.Header) {
 	if usage, err := strconv.ParseFloat(header.Get("Oj-Usage"), 64); err == nil && usage >= 0 {
 		identity.Utilization = usage
--- a/serviceproxy/proxy.go
+++ b/serviceproxy/proxy.go
@@ -62,7 +62,7 @@
 	return proxy
 }
 
-// Run starts the proxy's background duties.
+// Run starts the proxy's background work.
 func (proxy *Proxy) Run() {
 	proxy.goroutines.Every(concurrent.Fixed(joinInterval), proxy.claims.join)
 	proxy.goroutines.Start(proxy.claims.coreStore.deliver)
@@ -181,7 +181,7 @@
 	return true
 }
 
-// watchTarget is the probing duty of one target.
+// watchTarget probes one target until the proxy ends.
 func (proxy *Proxy) watchTarget(target *Target) {
 	for {
 		proxy.mutex.Lock()
