--- a/agent/config.go
+++ b/agent/config.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"orchidjunction/control"
 	"orchidjunction/rpc"
 )
 
@@ -43,13 +42,13 @@
 		return rpc.Errorf(rpc.BadFlag, "--seed: %d seeds, want one to three", len(config.Seeds))
 	}
 	for _, seed := range config.Seeds {
-		if err := control.CheckAddress("--seed", seed); err != nil {
+		if err := rpc.CheckAddress("--seed", seed); err != nil {
 			return err
 		}
 	}
 	addresses := map[string]string{"--wire": config.InternalAddress, "--listen": config.PublicAddress, "--operate": config.OperatorAddress}
 	for flag, address := range addresses {
-		if err := control.CheckAddress(flag, address); err != nil {
+		if err := rpc.CheckAddress(flag, address); err != nil {
 			return err
 		}
 	}
--- a/cmd/ojbackend/main.go
+++ b/cmd/ojbackend/main.go
@@ -6,7 +6,6 @@
 
 	"orchidjunction/agent"
 	"orchidjunction/concurrent"
-	"orchidjunction/control"
 	"orchidjunction/harness/standin"
 	"orchidjunction/process"
 	"orchidjunction/rpc"
@@ -26,7 +25,7 @@
 	flags.Parser.String(&place.Journal, "", "journal", "file that keeps the charges")
 	flags.Parser.Int(&leaveMs, "", "leave-ms", "time between SIGTERM and the end")
 	flags.Parse()
-	flags.Exit(control.CheckAddress("--listen", listen))
+	flags.Exit(rpc.CheckAddress("--listen", listen))
 	if place.Service == "" || place.Instance == "" {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--service and --instance must be given"))
 	}
--- a/cmd/ojcore/main.go
+++ b/cmd/ojcore/main.go
@@ -97,9 +97,9 @@
 	config.Seed = uint64(time.Now().UnixNano())
 	given.grace = time.Duration(graceMs) * time.Millisecond
 	flags.Exit(config.Check())
-	flags.Exit(control.CheckAddress("--operate", config.OperatorAddress))
+	flags.Exit(rpc.CheckAddress("--operate", config.OperatorAddress))
 	if config.PlatformAddress != "" {
-		flags.Exit(control.CheckAddress("--platform", config.PlatformAddress))
+		flags.Exit(rpc.CheckAddress("--platform", config.PlatformAddress))
 	}
 	if given.data == "" {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--data must be given"))
--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -17,7 +17,6 @@
 
 	"orchidjunction/agent"
 	"orchidjunction/config"
-	"orchidjunction/control"
 	"orchidjunction/message"
 	"orchidjunction/operator"
 	"orchidjunction/process"
@@ -98,7 +97,7 @@
 				flags.Exit(rpc.Errorf(rpc.BadFlag, "--daemon must be given"))
 			}
 			for _, daemon := range command.daemons {
-				flags.Exit(control.CheckAddress("--daemon", daemon))
+				flags.Exit(rpc.CheckAddress("--daemon", daemon))
 			}
 		}
 		command.client = operator.NewClient(command.daemons, process.Transport())
--- a/cmd/ojplan/main.go
+++ b/cmd/ojplan/main.go
@@ -8,7 +8,6 @@
 	"strings"
 
 	"orchidjunction/config"
-	"orchidjunction/control"
 	"orchidjunction/operator"
 	"orchidjunction/planner"
 	"orchidjunction/process"
@@ -81,7 +80,7 @@
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--daemon must be given"))
 	}
 	for _, daemon := range given.daemons {
-		flags.Exit(control.CheckAddress("--daemon", daemon))
+		flags.Exit(rpc.CheckAddress("--daemon", daemon))
 	}
 	if given.whole != "" && given.partial != "" || given.whole == "" && given.partial == "" && len(given.empties) == 0 {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "want one of --whole and --partial, or --empty"))
--- a/cmd/ojplatform/main.go
+++ b/cmd/ojplatform/main.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"orchidjunction/concurrent"
-	"orchidjunction/control"
 	"orchidjunction/harness/standin"
 	"orchidjunction/process"
 	"orchidjunction/rpc"
@@ -23,7 +22,7 @@
 	flags.Parser.Int(&lag, "", "lag-ms", "how late the list is")
 	flags.Parser.Int(&rate, "", "rate", "pages a second")
 	flags.Parse()
-	flags.Exit(control.CheckAddress("--listen", listen))
+	flags.Exit(rpc.CheckAddress("--listen", listen))
 	items := []standin.Listed{}
 	if backends != "" {
 		body, err := os.ReadFile(backends)
--- a/control/config.go
+++ b/control/config.go
@@ -1,7 +1,6 @@
 package control
 
 import (
-	"net/netip"
 	"time"
 
 	"orchidjunction/consensus"
@@ -129,7 +128,7 @@
 	if config.HeartbeatInterval < minHeartbeat || config.SuspicionTimeout < 3*config.HeartbeatInterval {
 		return rpc.Errorf(rpc.BadFlag, "--suspect-ms: %v must be at least three heartbeats of %v, and a heartbeat %v", config.SuspicionTimeout, config.HeartbeatInterval, minHeartbeat)
 	}
-	if err := CheckAddress("--wire", config.InternalAddress); err != nil {
+	if err := rpc.CheckAddress("--wire", config.InternalAddress); err != nil {
 		return err
 	}
 	if config.discoversPeers() && len(config.Seeds) > 0 {
@@ -148,7 +147,7 @@
 			return rpc.Errorf(rpc.BadFlag, "--peer: id %d is there twice", peer.ID)
 		}
 		seen[peer.ID] = true
-		if err := CheckAddress("--peer", peer.Address); err != nil {
+		if err := rpc.CheckAddress("--peer", peer.Address); err != nil {
 			return err
 		}
 	}
@@ -166,18 +165,9 @@
 		return rpc.Errorf(rpc.BadFlag, "--least: %d is not in 1 to %d", config.MinFounders, maxFounders)
 	}
 	for _, seed := range config.Seeds {
-		if err := CheckAddress("--seed", seed); err != nil {
+		if err := rpc.CheckAddress("--seed", seed); err != nil {
 			return err
 		}
 	}
 	return nil
 }
-
-// CheckAddress returns BadFlag if the value of a flag is not IP:port.
-func CheckAddress(flag, address string) error {
-	parsed, err := netip.ParseAddrPort(address)
-	if err != nil || parsed.Port() == 0 {
-		return rpc.Errorf(rpc.BadFlag, "%s: %q is not IP:port", flag, address)
-	}
-	return nil
-}
--- a/process/run.go
+++ b/process/run.go
@@ -19,7 +19,6 @@
 	"k8s.io/klog/v2"
 
 	"orchidjunction/concurrent"
-	"orchidjunction/control"
 	"orchidjunction/metrics"
 	"orchidjunction/rpc"
 )
@@ -178,7 +177,7 @@
 // Listen opens an address; what the handler does not answer there gets a typed
 // refusal, and the library answers nothing in its place.
 func Listen(address string, handler http.Handler, header int) (*Listener, error) {
-	if err := control.CheckAddress("listen", address); err != nil {
+	if err := rpc.CheckAddress("listen", address); err != nil {
 		return nil, err
 	}
 	open, err := net.Listen("tcp", address)
