--- a/agent/core_choice_test.go
+++ b/agent/core_choice_test.go
@@ -49,7 +49,7 @@
 // saysMembers opens a core's door: it knows a membership, and a leader or none.
 func (all doors) saysMembers(number int, version message.Version, cores []string, leader message.Leader, sessions map[string]int) {
 	server := rpc.NewServer(metrics.NewCounters())
-	rpc.Handle(server, "session", func(context.Context, *message.Session) (*message.SessionResponse, error) {
+	rpc.Handle(server, message.MethodSession, func(context.Context, *message.Session) (*message.SessionResponse, error) {
 		sessions[coreAt(number)]++
 		return &message.SessionResponse{Membership: version, Cores: cores, Leader: leader}, nil
 	})
@@ -155,7 +155,7 @@
 	}{{message.Version{}, true}, {versionMark(9, 7), false}} {
 		all := doors{}
 		server := rpc.NewServer(metrics.NewCounters())
-		rpc.Handle(server, "who", func(context.Context, *message.LeaderRequest) (*message.LeaderResponse, error) {
+		rpc.Handle(server, message.MethodLeader, func(context.Context, *message.LeaderRequest) (*message.LeaderResponse, error) {
 			return &message.LeaderResponse{Membership: versionMark(3, 1), Cores: coresAt(1, 2, 3), Routing: 4}, nil
 		})
 		all[coreAt(1)] = server
--- a/agent/daemon.go
+++ b/agent/daemon.go
@@ -188,11 +188,11 @@
 
 // Register makes a server answer the calls to this daemon.
 func (daemon *Daemon) Register(server *rpc.Server) {
-	rpc.Handle(server, "watch", daemon.onWatch)
-	rpc.Handle(server, "fetch", daemon.onFetch)
-	rpc.Handle(server, "parts", daemon.onFetchChunks)
-	rpc.Handle(server, "who", daemon.onLeader)
-	rpc.Handle(server, "change", func(_ context.Context, request *message.ChangeRequest) (*message.ChangeResponse, error) {
-		return Forward[message.ChangeRequest, message.ChangeResponse](daemon.Forwarder, "change", request)
+	rpc.Handle(server, message.MethodWatch, daemon.onWatch)
+	rpc.Handle(server, message.MethodFetch, daemon.onFetch)
+	rpc.Handle(server, message.MethodFetchChunks, daemon.onFetchChunks)
+	rpc.Handle(server, message.MethodLeader, daemon.onLeader)
+	rpc.Handle(server, message.MethodChange, func(_ context.Context, request *message.ChangeRequest) (*message.ChangeResponse, error) {
+		return Forward[message.ChangeRequest, message.ChangeResponse](daemon.Forwarder, message.MethodChange, request)
 	})
 }
--- a/control/handlers.go
+++ b/control/handlers.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 
+	"orchidjunction/message"
 	"orchidjunction/rpc"
 )
 
@@ -16,39 +17,39 @@
 
 // registerAgreement registers what the cores say to each other.
 func (core *Core) registerAgreement(server *rpc.Server) {
-	rpc.Handle(server, "precheck", handler(core.onPreVote))
-	rpc.Handle(server, "promise", handler(core.onPrepare))
-	rpc.Handle(server, "accept", handler(core.onAccept))
-	rpc.Handle(server, "beat", handler(core.onHeartbeat))
-	rpc.Handle(server, "stepdown", handler(core.onTransferLeadership))
-	rpc.Handle(server, "restore", handler(core.onReplicaState))
-	rpc.Handle(server, "enlist", handler(core.onJoin))
-	rpc.Handle(server, "leave", handler(core.onLeave))
-	rpc.Handle(server, "tell", handler(core.onShareSessions))
-	rpc.Handle(server, "parts", handler(core.onFetchChunks))
+	rpc.Handle(server, message.MethodPreVote, handler(core.onPreVote))
+	rpc.Handle(server, message.MethodPrepare, handler(core.onPrepare))
+	rpc.Handle(server, message.MethodAccept, handler(core.onAccept))
+	rpc.Handle(server, message.MethodHeartbeat, handler(core.onHeartbeat))
+	rpc.Handle(server, message.MethodTransferLeadership, handler(core.onTransferLeadership))
+	rpc.Handle(server, message.MethodReplicaState, handler(core.onReplicaState))
+	rpc.Handle(server, message.MethodJoin, handler(core.onJoin))
+	rpc.Handle(server, message.MethodLeave, handler(core.onLeave))
+	rpc.Handle(server, message.MethodShareSessions, handler(core.onShareSessions))
+	rpc.Handle(server, message.MethodFetchChunks, handler(core.onFetchChunks))
 }
 
 // registerChanges registers operators' orders and reads, which go to the leader.
 func (core *Core) registerChanges(server *rpc.Server) {
-	rpc.Handle(server, "change", handler(core.onChange))
-	rpc.Handle(server, "read", handler(core.onRead))
-	rpc.Handle(server, "confirm", handler(core.onReadIndex))
-	rpc.Handle(server, "routechange", handler(core.onRoutingChange))
-	rpc.Handle(server, "routeread", handler(core.onRoutingRead))
-	rpc.Handle(server, "evacuate", handler(core.onEvacuate))
-	rpc.Handle(server, "removal", handler(core.onRemoveVoter))
-	rpc.Handle(server, "status", handler(core.onStatus))
+	rpc.Handle(server, message.MethodChange, handler(core.onChange))
+	rpc.Handle(server, message.MethodRead, handler(core.onRead))
+	rpc.Handle(server, message.MethodReadIndex, handler(core.onReadIndex))
+	rpc.Handle(server, message.MethodRoutingChange, handler(core.onRoutingChange))
+	rpc.Handle(server, message.MethodRoutingRead, handler(core.onRoutingRead))
+	rpc.Handle(server, message.MethodEvacuate, handler(core.onEvacuate))
+	rpc.Handle(server, message.MethodRemoveVoter, handler(core.onRemoveVoter))
+	rpc.Handle(server, message.MethodStatus, handler(core.onStatus))
 }
 
 // registerDaemons registers what daemons say to a core.
 func (core *Core) registerDaemons(server *rpc.Server) {
-	rpc.Handle(server, "who", handler(core.onLeader))
-	rpc.Handle(server, "session", handler(core.onSession))
-	rpc.Handle(server, "watch", handler(core.onWatch))
-	rpc.Handle(server, "fetch", handler(core.onFetch))
-	rpc.Handle(server, "count", handler(core.onUsageCount))
-	rpc.Handle(server, "keep", handler(core.onRecordClaims))
-	rpc.Handle(server, "pull", handler(core.onFetchClaims))
+	rpc.Handle(server, message.MethodLeader, handler(core.onLeader))
+	rpc.Handle(server, message.MethodSession, handler(core.onSession))
+	rpc.Handle(server, message.MethodWatch, handler(core.onWatch))
+	rpc.Handle(server, message.MethodFetch, handler(core.onFetch))
+	rpc.Handle(server, message.MethodUsageCount, handler(core.onUsageCount))
+	rpc.Handle(server, message.MethodRecordClaims, handler(core.onRecordClaims))
+	rpc.Handle(server, message.MethodFetchClaims, handler(core.onFetchClaims))
 }
 
 // handler adapts a function without a context, whose waits have their own time-outs.
--- a/control/learner.go
+++ b/control/learner.go
@@ -40,7 +40,7 @@
 	core.role.transition(Learner)
 	address := core.joinAddress()
 	request := &message.JoinRequest{Address: core.config.InternalAddress, SinceBootstrap: core.sinceBootstrap(), Known: core.membership().Version}
-	response, err := rpc.Call[message.JoinRequest, message.JoinResponse](core.client, address, "enlist", core.callTimeout(), request)
+	response, err := rpc.Call[message.JoinRequest, message.JoinResponse](core.client, address, message.MethodJoin, core.callTimeout(), request)
 	if err != nil {
 		core.mutex.Lock()
 		core.election.joinAttempts++
--- a/control/replication.go
+++ b/control/replication.go
@@ -107,7 +107,7 @@
 func (core *Core) offerTo(peer message.Peer, request *message.AcceptRequest, chunks message.Chunks, timeout time.Duration) (*message.AcceptResponse, error) {
 	deadline := time.Now().Add(timeout)
 	return sendAccept(request, chunks, func(request *message.AcceptRequest) (*message.AcceptResponse, error) {
-		return rpc.Call[message.AcceptRequest, message.AcceptResponse](core.client, peer.Address, "accept", time.Until(deadline), request)
+		return rpc.Call[message.AcceptRequest, message.AcceptResponse](core.client, peer.Address, message.MethodAccept, time.Until(deadline), request)
 	})
 }
 
--- a/control/restore.go
+++ b/control/restore.go
@@ -48,7 +48,7 @@
 func (core *Core) askReplicaStates(view *consensus.View, agrees func(*message.ReplicaStateResponse) bool, enough func(has func(id int) bool) bool) map[int]*message.ReplicaStateResponse {
 	request := &message.ReplicaStateRequest{Core: view.ID, Membership: view.Version}
 	responses := callPeers(core, view, func(peer message.Peer) (*message.ReplicaStateResponse, error) {
-		return rpc.Call[message.ReplicaStateRequest, message.ReplicaStateResponse](core.client, peer.Address, "restore", core.callTimeout(), request)
+		return rpc.Call[message.ReplicaStateRequest, message.ReplicaStateResponse](core.client, peer.Address, message.MethodReplicaState, core.callTimeout(), request)
 	}, agrees, enough)
 	for _, response := range responses {
 		core.learnMembership(response.Membership)
--- a/control/revocation.go
+++ b/control/revocation.go
@@ -87,7 +87,7 @@
 // returns the promises that were granted.
 func (core *Core) preparePeers(view *consensus.View, request *message.PrepareRequest, enough func(has func(id int) bool) bool) map[int]*message.PrepareResponse {
 	responses := callPeers(core, view, func(peer message.Peer) (*message.PrepareResponse, error) {
-		return rpc.Call[message.PrepareRequest, message.PrepareResponse](core.client, peer.Address, "promise", core.callTimeout(), request)
+		return rpc.Call[message.PrepareRequest, message.PrepareResponse](core.client, peer.Address, message.MethodPrepare, core.callTimeout(), request)
 	}, consensus.Granted, enough)
 	return core.grantedPromises(responses)
 }
--- a/harness/simulation/far.go
+++ b/harness/simulation/far.go
@@ -200,7 +200,7 @@
 
 // Put sends a routing until it is taken or refused.
 func (world *World) Put(version, base uint64) error {
-	_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds(), "routechange", WholeChange(version, base))
+	_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds(), message.MethodRoutingChange, WholeChange(version, base))
 	return err
 }
 
@@ -218,7 +218,7 @@
 
 // Book reads the confirmed routing back.
 func (world *World) Book() (*routing.State, error) {
-	response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](world, world.holds(), "routeread", &message.RoutingReadRequest{})
+	response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](world, world.holds(), message.MethodRoutingRead, &message.RoutingReadRequest{})
 	if err != nil {
 		return nil, err
 	}
--- a/harness/simulation/replaced_test.go
+++ b/harness/simulation/replaced_test.go
@@ -74,7 +74,7 @@
 
 // wholeClaims is whether a core says that it lacks no claim it should hold.
 func wholeClaims(core *Core) bool {
-	response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](core.client, core.Wire, "pull", time.Second, &message.FetchClaimsRequest{})
+	response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](core.client, core.Wire, message.MethodFetchClaims, time.Second, &message.FetchClaimsRequest{})
 	return err == nil && response.Complete
 }
 
--- a/message/codec_test.go
+++ b/message/codec_test.go
@@ -19,7 +19,7 @@
 	counters := metrics.NewCounters()
 	server := rpc.NewServer(counters)
 	taken := 0
-	rpc.Handle(server, "beat", func(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error) {
+	rpc.Handle(server, MethodHeartbeat, func(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error) {
 		taken++
 		return &HeartbeatResponse{Accepted: true}, nil
 	})
--- a/serviceproxy/core_store.go
+++ b/serviceproxy/core_store.go
@@ -86,7 +86,7 @@
 }
 
 func (store *coreStore) ask(address string, request *message.RecordClaimsRequest, limit time.Duration) (*message.RecordClaimsResponse, error) {
-	return rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](store.proxy.daemon.Client(), address, "keep", limit, request)
+	return rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](store.proxy.daemon.Client(), address, message.MethodRecordClaims, limit, request)
 }
 
 // enqueue queues an update for deliver; if the queue is full the update is lost and
@@ -186,7 +186,7 @@
 func fetchAllClaims(client *rpc.Client, address string, members message.AcceptedValue, take func([]message.ClaimRecord)) (*message.FetchClaimsResponse, error) {
 	var first *message.FetchClaimsResponse
 	for after, whole := uint64(0), true; ; {
-		response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](client, address, "pull", fetchClaimsTimeout, &message.FetchClaimsRequest{After: after, Membership: members})
+		response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](client, address, message.MethodFetchClaims, fetchClaimsTimeout, &message.FetchClaimsRequest{After: after, Membership: members})
 		if err != nil {
 			return nil, err
 		}
