--- /dev/null
+++ b/serviceproxy/task_admission.go
@@ -0,0 +1,110 @@
+package serviceproxy
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"orchidjunction/rpc"
+)
+
+const (
+	// stopMargin is kept free between a request's deadline and the end of the process.
+	stopMargin = 300 * time.Millisecond
+	// drainedGrace is the time in which callers' placements end after a zone was drained.
+	drainedGrace = 3 * time.Second
+)
+
+// isDrained is whether this front's zone was emptied and the placements are over.
+func (task *task) isDrained() bool {
+	return !task.plan.emptied.IsZero() && time.Since(task.plan.emptied) > drainedGrace
+}
+
+// checkLeaving refuses a request that should go elsewhere: any in a drained zone, and
+// one that might not end before this process stops.
+func (task *task) checkLeaving() error {
+	if task.isDrained() {
+		return &rpc.Error{Code: rpc.ZoneDrained, Message: "this zone is emptied; ask a directory where to go", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
+	}
+	if rest, leaving := task.proxy.daemon.StopsIn(); leaving && time.Until(task.deadline) > rest-stopMargin {
+		return &rpc.Error{Code: rpc.Stopping, Message: "this front stops; ask a directory where to go", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
+	}
+	return nil
+}
+
+// redirect refuses a request that another proxy may serve. Whether an idempotency key
+// was used before is not known here, so that its outcome is unknown.
+func (task *task) redirect(kind rpc.Code, cause string) error {
+	if task.request.Header.Get(keyHeader) != "" {
+		return &rpc.Error{Code: rpc.OutcomeUnknown, Message: cause + "; send the key again there", RetryAfterMs: retryAfterMs, Outcome: rpc.MayHaveRun}
+	}
+	return &rpc.Error{Code: kind, Message: cause, RetryAfterMs: retryAfterMs}
+}
+
+// authenticate finds the tenant of the bearer key.
+func (task *task) authenticate() error {
+	key, bearer := strings.CutPrefix(task.request.Header.Get("Authorization"), "Bearer ")
+	if !bearer || key == "" {
+		return rpc.Errorf(rpc.UnknownKey, "want Authorization: Bearer and a tenant's key")
+	}
+	tenant, found := task.plan.routes.Tenant(key)
+	if !found {
+		return rpc.Errorf(rpc.UnknownKey, "no tenant has this key")
+	}
+	if named := task.request.Header.Get("Oj-Tenant"); named != "" && named != task.plan.routes.TenantName(tenant) {
+		return rpc.Errorf(rpc.WrongTenant, "the key is not that of %q", named)
+	}
+	task.tenant = tenant
+	task.state.advance(Authenticated)
+	return nil
+}
+
+// matchRoute finds the route and the deadline.
+func (task *task) matchRoute() error {
+	service, path, _ := strings.Cut(strings.TrimPrefix(task.request.URL.Path, "/"), "/")
+	task.path = "/" + path
+	route, otherMethod := task.plan.routes.Route(service, task.request.Method, task.path)
+	if otherMethod {
+		return rpc.Errorf(rpc.MethodNotAllowed, "%s is not for %s", task.request.Method, task.request.URL.Path)
+	}
+	if route == nil {
+		return rpc.Errorf(rpc.UnknownRoute, "%s", task.request.URL.Path)
+	}
+	task.route = route
+	if !task.plan.routes.allowed(task.proxy.daemon.Zone(), task.tenant, route) {
+		return rpc.Errorf(rpc.ForbiddenRegion, "zone %s is closed to this task", task.proxy.daemon.Zone())
+	}
+	span := time.Duration(task.route.TimeoutMs) * time.Millisecond
+	if request := task.request.Header.Get("Oj-Limit-Ms"); request != "" {
+		own, err := strconv.Atoi(request)
+		if err != nil || own < 1 {
+			return rpc.Errorf(rpc.BadRequest, "Oj-Limit-Ms: %q is not a whole number above 0", request)
+		}
+		span = min(span, time.Duration(own)*time.Millisecond)
+	}
+	task.deadline = time.Now().Add(span)
+	task.state.advance(Routed)
+	return nil
+}
+
+// readBody reads the whole body, so that a broken caller starts nothing.
+func (task *task) readBody(writer http.ResponseWriter) error {
+	most := int64(task.route.BodyBytes)
+	if task.request.ContentLength > most {
+		return rpc.Errorf(rpc.TooLarge, "%d bytes, allowed %d", task.request.ContentLength, most)
+	}
+	controller := http.NewResponseController(writer)
+	_ = controller.SetReadDeadline(task.deadline) // a writer without deadlines is read to its end
+	body, err := io.ReadAll(http.MaxBytesReader(writer, task.request.Body, most))
+	_ = controller.SetReadDeadline(time.Time{})
+	if err != nil {
+		if int64(len(body)) >= most {
+			return rpc.Errorf(rpc.TooLarge, "allowed %d bytes", most)
+		}
+		return rpc.Errorf(rpc.BadRequest, "body: %v", err)
+	}
+	task.body = body
+	return nil
+}
