--- a/agent/sent_counts.go
+++ b/agent/sent_counts.go
@@ -1,6 +1,10 @@
 package agent
 
-import "orchidjunction/message"
+import (
+	"maps"
+
+	"orchidjunction/message"
+)
 
 // sentCounts is what the core's process that gets this daemon's sessions was told of its
 // counts. Only what changed since is sent; another process is sent everything.
@@ -54,8 +58,6 @@
 		if counts.sent[window.Window] == nil {
 			counts.sent[window.Window] = map[string]uint64{}
 		}
-		for tenant, count := range window.Tenants {
-			counts.sent[window.Window][tenant] = count
-		}
+		maps.Copy(counts.sent[window.Window], window.Tenants)
 	}
 }
--- a/cmd/ojcluster/scale.go
+++ b/cmd/ojcluster/scale.go
@@ -80,7 +80,7 @@
 	process.OnTerm(goroutines, goroutines.Stop)
 	defer goroutines.Stop()
 	played := false
-	for _, name := range strings.Split(scaling.sweep, ",") {
+	for name := range strings.SplitSeq(scaling.sweep, ",") {
 		if name == "all" || name == "state" {
 			played = true
 			if err := capacity.PlayStates(scaling.results, os.Stdout); err != nil {
--- a/config/check.go
+++ b/config/check.go
@@ -5,6 +5,7 @@
 	"encoding/hex"
 	"fmt"
 	"maps"
+	"net/http"
 	"slices"
 	"strings"
 )
@@ -111,7 +112,7 @@
 func (reader *reader) checkRoute(path, service string, route Route, entries map[string]string, settings *Settings) {
 	reader.regionsKnown(path+".rule.forbid_regions", route.Rule.ForbidRegions, settings)
 	switch route.Method {
-	case "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "":
+	case http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete, "":
 	default:
 		reader.wrong(path+".method", outOfRange, "%q is not among GET, HEAD, POST, PUT, PATCH, DELETE", route.Method)
 	}
--- a/config/patch.go
+++ b/config/patch.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"maps"
 
 	"github.com/go-faster/jx"
 
@@ -77,9 +78,7 @@
 	}
 	merged := map[string]any{}
 	if before, same := whole.(map[string]any); same {
-		for name, value := range before {
-			merged[name] = value
-		}
+		maps.Copy(merged, before)
 	}
 	for name, value := range branch {
 		if value == nil {
--- a/config/settings.go
+++ b/config/settings.go
@@ -122,17 +122,10 @@
 
 // Open reports whether neither the zone nor the backend is drained.
 func (settings *Settings) Open(zone, backend string) bool {
-	for _, drained := range settings.Drained.Zones {
-		if drained == zone {
-			return false
-		}
+	if slices.Contains(settings.Drained.Zones, zone) {
+		return false
 	}
-	for _, drained := range settings.Drained.Backends {
-		if drained == backend {
-			return false
-		}
-	}
-	return true
+	return !slices.Contains(settings.Drained.Backends, backend)
 }
 
 // TenantNames returns the names of all tenants.
--- a/config/splitter.go
+++ b/config/splitter.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"maps"
 	"reflect"
 	"sort"
 	"strings"
@@ -59,9 +60,7 @@
 // without is an object less what lies in branches of its own.
 func without(branch map[string]any, fields ...string) map[string]any {
 	rest := make(map[string]any, len(branch))
-	for name, value := range branch {
-		rest[name] = value
-	}
+	maps.Copy(rest, branch)
 	for _, field := range fields {
 		delete(rest, field)
 	}
--- a/control/model_ledger_test.go
+++ b/control/model_ledger_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"strings"
 
@@ -278,8 +279,6 @@
 
 func cloneMap[Key comparable, Held any](held map[Key]Held) map[Key]Held {
 	next := make(map[Key]Held, len(held))
-	for key, value := range held {
-		next[key] = value
-	}
+	maps.Copy(next, held)
 	return next
 }
--- a/control/who_test.go
+++ b/control/who_test.go
@@ -39,7 +39,7 @@
 			ended.Notify()
 		})
 	}
-	for seen := uint64(0); seen < 2; seen++ {
+	for seen := range uint64(2) {
 		if !ended.Wait(seen, time.Minute) {
 			test.Fatal("the locks wait for each other")
 		}
--- a/harness/capacity/hollow.go
+++ b/harness/capacity/hollow.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"net"
 	"net/http"
-	"sort"
+	"slices"
 	"strconv"
 	"sync"
 	"sync/atomic"
@@ -183,7 +183,7 @@
 		all.mutex.Lock()
 		times := append([]int64{}, all.applied[serial]...)
 		all.mutex.Unlock()
-		sort.Slice(times, func(left, right int) bool { return times[left] < times[right] })
+		slices.Sort(times)
 		writeJSON(writer, times)
 	})
 	mux.HandleFunc("/restart", func(writer http.ResponseWriter, request *http.Request) {
--- a/harness/capacity/phases.go
+++ b/harness/capacity/phases.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"sort"
+	"slices"
 	"strconv"
 	"syscall"
 	"time"
@@ -93,7 +93,7 @@
 		}
 		all = append(all, times...)
 	}
-	sort.Slice(all, func(left, right int) bool { return all[left] < all[right] })
+	slices.Sort(all)
 	return all
 }
 
--- a/harness/capacity/samples.go
+++ b/harness/capacity/samples.go
@@ -8,6 +8,7 @@
 import (
 	"context"
 	"encoding/json"
+	"maps"
 	"net"
 	"net/http"
 	"os"
@@ -43,9 +44,7 @@
 	tap.mutex.Lock()
 	defer tap.mutex.Unlock()
 	all := make(map[string]uint64, len(tap.messages))
-	for name, count := range tap.messages {
-		all[name] = count
-	}
+	maps.Copy(all, tap.messages)
 	return all
 }
 
@@ -152,7 +151,7 @@
 
 func residentKB() int64 {
 	body, _ := os.ReadFile("/proc/self/status")
-	for _, line := range strings.Split(string(body), "\n") {
+	for line := range strings.SplitSeq(string(body), "\n") {
 		if rest, found := strings.CutPrefix(line, "VmRSS:"); found {
 			kilobytes, _ := strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
 			return kilobytes
--- a/harness/checker/usage.go
+++ b/harness/checker/usage.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"math"
+	"slices"
 	"sort"
 
 	"orchidjunction/config"
@@ -132,7 +133,7 @@
 		tasks[arrival.Tenant] = append(tasks[arrival.Tenant], arrival.AtMs)
 	}
 	for _, times := range tasks {
-		sort.Slice(times, func(left, right int) bool { return times[left] < times[right] })
+		slices.Sort(times)
 	}
 	return tasks
 }
--- a/harness/cluster/cluster.go
+++ b/harness/cluster/cluster.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -123,7 +124,7 @@
 func (fleet *Fleet) Operator(first int) *operator.Client {
 	doors := []string{}
 	daemons := append(fleet.daemons(), fleet.cores()...)
-	for turn := range len(daemons) {
+	for turn := range daemons {
 		doors = append(doors, daemons[(first+turn)%len(daemons)].Operate)
 	}
 	return operator.NewClient(doors, &http.Transport{DisableKeepAlives: true})
@@ -164,9 +165,7 @@
 	for _, process := range fleet.Proxies {
 		zones[process.Outer] = process.Zone
 	}
-	for outer, zone := range fleet.guests {
-		zones[outer] = zone
-	}
+	maps.Copy(zones, fleet.guests)
 	return zones
 }
 
--- a/harness/simulation/change_test.go
+++ b/harness/simulation/change_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"sort"
+	"slices"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -65,7 +65,7 @@
 			}
 		}
 		for _, kind := range []string{"planned", "killed", "frozen"} {
-			sort.Slice(waits[kind], func(left, right int) bool { return waits[kind][left] < waits[kind][right] })
+			slices.Sort(waits[kind])
 			test.Logf("%s: %v", kind, waits[kind])
 		}
 		world.report(test)
--- a/harness/simulation/disk.go
+++ b/harness/simulation/disk.go
@@ -7,6 +7,7 @@
 
 import (
 	"errors"
+	"maps"
 	"math/rand/v2"
 	"sort"
 	"sync"
@@ -76,9 +77,7 @@
 		}
 	}
 	disk.files, disk.lasting = left, map[string]*blob{}
-	for name, kept := range left {
-		disk.lasting[name] = kept
-	}
+	maps.Copy(disk.lasting, left)
 	disk.stalled = false
 	disk.wake.Broadcast()
 }
@@ -308,9 +307,7 @@
 		return err
 	}
 	disk.lasting = map[string]*blob{}
-	for name, held := range disk.files {
-		disk.lasting[name] = held
-	}
+	maps.Copy(disk.lasting, disk.files)
 	return nil
 }
 
--- a/harness/simulation/numbers_test.go
+++ b/harness/simulation/numbers_test.go
@@ -54,7 +54,7 @@
 			wait := time.Duration(random.IntN(450)) * time.Millisecond
 			mutex, codes, texts := sync.Mutex{}, map[int]int{}, []string{textOf(version+3, version, 1), textOf(version+3, version, 2)}
 			for operator, text := range texts {
-				own := rand.New(rand.NewPCG(seed, uint64(version)*8+uint64(operator)))
+				own := rand.New(rand.NewPCG(seed, version*8+uint64(operator)))
 				world.goroutines.Start(func() {
 					world.Rest(time.Duration(own.IntN(100)) * time.Millisecond)
 					code := caller.settle(own, http.MethodPut, "/config", text)
--- a/harness/simulation/platform_test.go
+++ b/harness/simulation/platform_test.go
@@ -35,9 +35,10 @@
 		faults := world.RandomFaults()
 		ends := time.Now().Add(60 * time.Second)
 		sometimes := standin.Listed{Name: "aaa-sometimes", Service: "meters", Address: "10.5.1.1:80", Zone: "e1"}
-		versions, listed := 0, false
+		versions := 0
 		for time.Now().Before(ends) {
-			if listed = random.IntN(2) == 0; listed {
+			listed := random.IntN(2) == 0
+			if listed {
 				world.Platform.Set(append([]standin.Listed{sometimes}, stays...))
 			} else {
 				world.Platform.Set(stays)
--- a/harness/standin/origin.go
+++ b/harness/standin/origin.go
@@ -361,7 +361,7 @@
 		return
 	}
 	try.Status, try.Replay, try.Retry = response.StatusCode, response.Header.Get("Oj-Replayed") != "", response.Header.Get("Retry-After") != ""
-	if response.StatusCode == 200 {
+	if response.StatusCode == http.StatusOK {
 		sum := sha256.Sum256(body)
 		try.Mangled = response.Header.Get("Stand-Sum") != hex.EncodeToString(sum[:])
 		_, inner, _ := strings.Cut(strings.TrimPrefix(try.Path, "/"), "/")
--- a/hostproxy/answer.go
+++ b/hostproxy/answer.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"io"
 	"net/http"
+	"slices"
 	"strings"
 	"time"
 )
@@ -89,10 +90,8 @@
 		}
 	}
 	for _, values := range response.Header {
-		for _, value := range values {
-			if holdsStatusLine(value) {
-				return true
-			}
+		if slices.ContainsFunc(values, holdsStatusLine) {
+			return true
 		}
 	}
 	return false
--- a/hostproxy/answers_test.go
+++ b/hostproxy/answers_test.go
@@ -49,14 +49,14 @@
 
 // play sends a request over a connection that was used before, lets its backend
 // play the script, and sends another request after it.
-func play(test *testing.T, method, path string, make func(id string) script) played {
+func play(test *testing.T, method, path string, scriptOf func(id string) script) played {
 	test.Helper()
 	result := played{}
 	inWorld(test, func(world *world) {
 		backend := world.add("b1")
 		reply, id := world.get("/once/first")
 		world.good(reply, id)
-		backend.then(func(exchange *exchange) bool { return make(exchange.get("Attempt")).play(exchange) })
+		backend.then(func(exchange *exchange) bool { return scriptOf(exchange.get("Attempt")).play(exchange) })
 		result.id = world.id()
 		client := world.client()
 		defer client.pipe.Close()
--- a/hostproxy/attempt.go
+++ b/hostproxy/attempt.go
@@ -40,7 +40,7 @@
 func (names *Headers) listedByConnection(header http.Header) map[string]bool {
 	var listed map[string]bool
 	for _, value := range header["Connection"] {
-		for _, name := range strings.Split(value, ",") {
+		for name := range strings.SplitSeq(value, ",") {
 			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
 			if name == "" || name == names.Attempt || name == names.Seal {
 				continue
--- a/hostproxy/connection.go
+++ b/hostproxy/connection.go
@@ -74,7 +74,7 @@
 
 // observeKeepAlive takes the idle timeout that a response's Keep-Alive field names.
 func (connection *connection) observeKeepAlive(keepAlive string) {
-	for _, part := range strings.Split(keepAlive, ",") {
+	for part := range strings.SplitSeq(keepAlive, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
--- a/hostproxy/request.go
+++ b/hostproxy/request.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net/http"
+	"slices"
 	"time"
 
 	"orchidjunction/routing"
@@ -76,11 +77,9 @@
 	if to == ending && proxy.Leaving() {
 		request.writer.Header().Set("Connection", "close")
 	}
-	for _, next := range stageTransitions[request.stage] {
-		if next == to {
-			request.stage = to
-			return
-		}
+	if slices.Contains(stageTransitions[request.stage], to) {
+		request.stage = to
+		return
 	}
 	proxy.counters.Add("requests_off_the_chart", 1)
 	request.stage = to
--- a/hostproxy/request_test.go
+++ b/hostproxy/request_test.go
@@ -477,7 +477,7 @@
 		world.keyed()
 		view := world.proxy.view.Load()
 		for key, want := range map[string]int{"k1": 0, "k3": 5} {
-			source, _ := http.NewRequest("GET", "http://host.example/once/a", nil)
+			source, _ := http.NewRequest(http.MethodGet, "http://host.example/once/a", nil)
 			source.RequestURI = "/once/a"
 			source.Header.Set("Authorization", "Key "+key)
 			request := &request{source: source, begin: time.Now()}
--- a/message/chunk.go
+++ b/message/chunk.go
@@ -2,6 +2,7 @@
 
 import (
 	"crypto/sha256"
+	"maps"
 	"time"
 
 	"orchidjunction/rpc"
@@ -76,9 +77,7 @@
 		if len(response.Chunks) < count {
 			return rpc.Errorf(rpc.CorruptChunk, "%d of %d chunks are not there", count-len(response.Chunks), count)
 		}
-		for digest, text := range response.Chunks {
-			chunks[digest] = text
-		}
+		maps.Copy(chunks, response.Chunks)
 		missing = missing[count:]
 	}
 	return nil
--- a/message/codec_test.go
+++ b/message/codec_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"maps"
 	"net/http"
 	"net/http/httptest"
 	"testing"
@@ -33,9 +34,7 @@
 	}
 	pack := func(change func(map[string]any)) []byte {
 		message := map[string]any{}
-		for name, value := range good {
-			message[name] = value
-		}
+		maps.Copy(message, good)
 		change(message)
 		body, err := msgpack.Marshal(message)
 		if err != nil {
--- a/message/table_log.go
+++ b/message/table_log.go
@@ -1,5 +1,7 @@
 package message
 
+import "slices"
+
 const (
 	// maxTableVersions is how many versions a TableLog knows a delta from.
 	maxTableVersions = 512
@@ -118,9 +120,9 @@
 	if version.Term.Number == 0 {
 		return 0, false
 	}
-	for index := len(log.versions) - 1; index >= 0; index-- {
-		if log.versions[index].version == version {
-			return log.versions[index].count, true
+	for _, known := range slices.Backward(log.versions) {
+		if known.version == version {
+			return known.count, true
 		}
 	}
 	return 0, false
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -34,10 +34,10 @@
 	listeners []*Listener
 }
 
-func newInstance(flags *Flags, config agent.Config, goroutines *concurrent.Group, make Constructor) *Instance {
+func newInstance(flags *Flags, config agent.Config, goroutines *concurrent.Group, construct Constructor) *Instance {
 	station := &Instance{client: rpc.NewClient(Transport()), counters: metrics.NewCounters()}
 	station.Daemon = agent.NewDaemon(config, agent.NewID(), station.client, goroutines, station.counters)
-	plane, probes := make(station.Daemon, goroutines, station.counters)
+	plane, probes := construct(station.Daemon, goroutines, station.counters)
 	station.Plane = plane
 	station.Daemon.OnVersion(plane.Apply, probes)
 	server := rpc.NewServer(station.counters)
@@ -94,7 +94,7 @@
 func (guest *Guest) given() bool { return guest.Place.Name != "" || len(guest.Place.Seeds) > 0 }
 
 // RunDaemon is the life of a directory node or a proxy.
-func RunDaemon(flags *Flags, kind string, guest *Guest, make Constructor) {
+func RunDaemon(flags *Flags, kind string, guest *Guest, construct Constructor) {
 	config := agent.Config{Kind: kind}
 	grace, settle := 6000, 2500
 	flags.Parser.String(&config.Name, "", "name", "this daemon's name, unlike any other's")
@@ -114,7 +114,7 @@
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--settle-ms: %d is not in 0 to the grace of %d", settle, grace))
 	}
 	goroutines := concurrent.NewGroup()
-	stations := []*Instance{newInstance(flags, config, goroutines, make)}
+	stations := []*Instance{newInstance(flags, config, goroutines, construct)}
 	if guest != nil && guest.given() {
 		guest.Place.Kind, guest.Place.Guest = kind, true
 		if err := guest.Place.Check(); err != nil {
@@ -123,7 +123,7 @@
 		if guest.PerSecond <= 0 || guest.InFlight < 1 {
 			flags.Exit(rpc.Errorf(rpc.BadFlag, "--lend-rps and --lend-in-flight: a guest lends something of both"))
 		}
-		stations = append(stations, newInstance(flags, guest.Place, goroutines, make))
+		stations = append(stations, newInstance(flags, guest.Place, goroutines, construct))
 		guest.Join(stations[0].Plane, stations[1].Plane)
 	}
 	for _, station := range stations {
--- a/process/framing_test.go
+++ b/process/framing_test.go
@@ -70,7 +70,7 @@
 	}
 	say(test, conn, "BLAH\r\n\r\n")
 	response, err := http.ReadResponse(reader, nil)
-	if err != nil || response.StatusCode != 400 || response.Header.Get("Content-Type") != "application/json" {
+	if err != nil || response.StatusCode != http.StatusBadRequest || response.Header.Get("Content-Type") != "application/json" {
 		test.Errorf("a refusal after answers: %+v, %v", response, err)
 	}
 }
--- a/process/run.go
+++ b/process/run.go
@@ -247,10 +247,10 @@
 // LogCounts writes the counters now and then.
 func LogCounts(goroutines *concurrent.Group, counters *metrics.Counters, name string) {
 	goroutines.Every(concurrent.Fixed(time.Minute), func() {
-		line := ""
+		var line strings.Builder
 		for _, counter := range counters.Names() {
-			line += fmt.Sprintf(" %s=%d", counter, counters.Get(counter))
+			fmt.Fprintf(&line, " %s=%d", counter, counters.Get(counter))
 		}
-		klog.Infof("%s counts:%s", name, line)
+		klog.Infof("%s counts:%s", name, line.String())
 	})
 }
--- a/rpc/error.go
+++ b/rpc/error.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"net"
 	"net/http"
+	"strings"
 
 	"connectrpc.com/connect"
 )
@@ -142,14 +143,15 @@
 
 // Error returns the code, the message and all details in one line.
 func (err *Error) Error() string {
-	text := string(err.Code)
+	var text strings.Builder
+	text.WriteString(string(err.Code))
 	if err.Message != "" {
-		text += ": " + err.Message
+		fmt.Fprintf(&text, ": %s", err.Message)
 	}
 	for _, detail := range err.Details {
-		text += fmt.Sprintf("; %s: %s (%s)", detail.Path, detail.Message, detail.Code)
+		fmt.Fprintf(&text, "; %s: %s (%s)", detail.Path, detail.Message, detail.Code)
 	}
-	return text
+	return text.String()
 }
 
 // Unwrap returns the cause in this process, if any. It is not sent to other processes.
@@ -164,8 +166,7 @@
 // CodeOf returns the code of the first Error in err's chain, and Unreachable for an
 // error of a library.
 func CodeOf(err error) Code {
-	var known *Error
-	if errors.As(err, &known) {
+	if known, ok := errors.AsType[*Error](err); ok {
 		return known.Code
 	}
 	return Unreachable
@@ -174,8 +175,7 @@
 // AsError returns the first Error in the chain of err, which must not be nil. An error
 // of a library becomes one with the code Unreachable.
 func AsError(err error) *Error {
-	var known *Error
-	if errors.As(err, &known) {
+	if known, ok := errors.AsType[*Error](err); ok {
 		return known
 	}
 	return &Error{Code: Unreachable, Message: err.Error(), cause: err}
--- a/serviceproxy/routes.go
+++ b/serviceproxy/routes.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/sha256"
 	"encoding/hex"
+	"slices"
 	"strings"
 
 	"orchidjunction/config"
@@ -115,17 +116,10 @@
 // allowed is whether a backend's or front's zone may serve this tenant's task on this route.
 func (routes *Routes) allowed(zone string, tenant int, route *config.FlatRoute) bool {
 	region := routes.regions[zone]
-	for _, forbidden := range routes.tenants[tenant].forbids {
-		if region == forbidden {
-			return false
-		}
-	}
-	for _, forbidden := range route.ForbidRegions {
-		if region == forbidden {
-			return false
-		}
+	if slices.Contains(routes.tenants[tenant].forbids, region) {
+		return false
 	}
-	return true
+	return !slices.Contains(route.ForbidRegions, region)
 }
 
 // Drained reports whether a zone is drained.
@@ -136,10 +130,5 @@
 
 // ZoneAllowed reports whether a tenant's traffic may enter a zone.
 func (routes *Routes) ZoneAllowed(zone string, tenant int) bool {
-	for _, forbidden := range routes.tenants[tenant].forbids {
-		if routes.regions[zone] == forbidden {
-			return false
-		}
-	}
-	return true
+	return !slices.Contains(routes.tenants[tenant].forbids, routes.regions[zone])
 }
--- a/serviceproxy/state_machine.go
+++ b/serviceproxy/state_machine.go
@@ -10,7 +10,11 @@
 // Proxy.Probes.
 package serviceproxy
 
-import "orchidjunction/metrics"
+import (
+	"slices"
+
+	"orchidjunction/metrics"
+)
 
 // State is where a request stands on its way through a proxy.
 type State string
@@ -53,14 +57,12 @@
 }
 
 func (machine *stateMachine) advance(to State) bool {
-	for _, next := range transitions[machine.now] {
-		if next == to {
-			machine.now = to
-			if len(transitions[to]) == 0 {
-				machine.counters.Add("tasks_"+string(to), 1)
-			}
-			return true
+	if slices.Contains(transitions[machine.now], to) {
+		machine.now = to
+		if len(transitions[to]) == 0 {
+			machine.counters.Add("tasks_"+string(to), 1)
 		}
+		return true
 	}
 	machine.counters.Add("task_steps_off_chart", 1)
 	return false
--- a/serviceproxy/task_send.go
+++ b/serviceproxy/task_send.go
@@ -37,7 +37,7 @@
 func (task *task) sendUntilAnswered() error {
 	var last error = &rpc.Error{Code: rpc.NoBackend, Message: "no backend can take this now", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
 	mayRun := false
-	for sends := 0; sends < task.route.Attempts; sends++ {
+	for sends := range task.route.Attempts {
 		target, found := task.nextTarget(sends > 0)
 		if !found {
 			break
