--- a/hostproxy/admit.go
+++ b/hostproxy/admit.go
@@ -13,8 +13,8 @@
 
 // isKey is whether an Authorization value carries a key of the scheme.
 func (proxy *Proxy) isKey(value string) bool {
-	_, is := proxy.key(value)
-	return is
+	_, found := proxy.key(value)
+	return found
 }
 
 func (proxy *Proxy) key(value string) (string, bool) {
@@ -47,8 +47,8 @@
 func (proxy *Proxy) admit(request *request, view *View) (int, rpc.Code) {
 	source, config := request.source, &view.state.Config
 	path, _, _ := strings.Cut(source.RequestURI, "?")
-	compiled, is := view.index.Find(source.Host, path)
-	if !is {
+	compiled, found := view.index.Find(source.Host, path)
+	if !found {
 		return http.StatusNotFound, rpc.UnknownRoute
 	}
 	request.route = compiled.Route
@@ -63,8 +63,8 @@
 		request.rank = request.tenant.Priority
 	}
 	request.deadline = request.begin.Add(proxy.timeout(request))
-	if status, kind := proxy.readRequestBody(request, config.Limits.BodyBytes); status != 0 {
-		return status, kind
+	if status, code := proxy.readRequestBody(request, config.Limits.BodyBytes); status != 0 {
+		return status, code
 	}
 	if len(compiled.Services) == 0 {
 		return http.StatusServiceUnavailable, rpc.NoBackend
@@ -89,13 +89,13 @@
 }
 
 // readRequestBody reads the whole body before anything is sent to a backend.
-func (proxy *Proxy) readRequestBody(request *request, most int64) (int, rpc.Code) {
+func (proxy *Proxy) readRequestBody(request *request, limit int64) (int, rpc.Code) {
 	source := request.source
 	proxy.inbound.pass(int(max(source.ContentLength, 0)), request.begin)
-	if most <= 0 {
-		most = maxBodies
+	if limit <= 0 {
+		limit = maxBodies
 	}
-	if source.ContentLength > most {
+	if source.ContentLength > limit {
 		return http.StatusRequestEntityTooLarge, rpc.TooLarge
 	}
 	if source.ContentLength == 0 {
@@ -105,12 +105,12 @@
 	if !proxy.bodies.reserve(size) {
 		return http.StatusServiceUnavailable, rpc.Overloaded
 	}
-	body, err := io.ReadAll(io.LimitReader(source.Body, most+1))
+	body, err := io.ReadAll(io.LimitReader(source.Body, limit+1))
 	proxy.bodies.release(size)
 	if err != nil {
 		return http.StatusBadRequest, rpc.BadRequest
 	}
-	if int64(len(body)) > most {
+	if int64(len(body)) > limit {
 		return http.StatusRequestEntityTooLarge, rpc.TooLarge
 	}
 	request.body = body
--- a/hostproxy/answer.go
+++ b/hostproxy/answer.go
@@ -10,10 +10,14 @@
 )
 
 const (
+	// maxBufferedBody is how many bytes of a body are read before any goes to the client.
 	maxBufferedBody = 256 << 10
-	maxSurplus      = 3
-	maxInterim      = 8
-	refusalDrain    = 50 * time.Millisecond
+	// maxSurplus and maxInterim bound the answers to other requests and the 1xx heads
+	// that are passed over.
+	maxSurplus = 3
+	maxInterim = 8
+	// refusalDrain is how long the body of a refusal is waited for.
+	refusalDrain = 50 * time.Millisecond
 )
 
 // answer is a backend's answer: whole, or its head with the rest still to read.
--- a/hostproxy/attempt.go
+++ b/hostproxy/attempt.go
@@ -24,6 +24,7 @@
 	lost
 )
 
+// How long a dial may take, within the own region and beyond it.
 const (
 	nearDialTimeout = 300 * time.Millisecond
 	farDialTimeout  = 600 * time.Millisecond
@@ -88,12 +89,12 @@
 
 // attempt sends the request to one backend and reads what it answers. One that may
 // have run already, and may run only once, is sent nowhere.
-func (proxy *Proxy) attempt(request *request, held *candidate, most int) (*answer, outcome) {
+func (proxy *Proxy) attempt(request *request, held *candidate, limit int) (*answer, outcome) {
 	if request.mayHaveRun && !request.route.Kind.IsIdempotent() {
 		proxy.counters.Add("repeats_prevented", 1)
 		return nil, lost
 	}
-	connection := proxy.connect(held, most, request.deadline)
+	connection := proxy.connect(held, limit, request.deadline)
 	if connection == nil {
 		return nil, unsent
 	}
--- a/hostproxy/attempt_test.go
+++ b/hostproxy/attempt_test.go
@@ -57,7 +57,7 @@
 		for _, path := range []string{"/once/a", "/again/a", "/load/a"} {
 			reply, id := world.get(path)
 			world.good(reply, id)
-			if kind, is := reply.header["Content-Type"]; is {
+			if kind, found := reply.header["Content-Type"]; found {
 				test.Errorf("a content type of nobody's: %q", kind)
 			}
 		}
@@ -539,7 +539,7 @@
 		reply, id := world.get("/once/a")
 		world.good(reply, id)
 		for _, gone := range []string{"Secret", "Keep-Alive", "Load", "Backend", "Warmup", "Content-Type", "Transfer-Encoding"} {
-			if value, is := reply.header[gone]; is {
+			if value, found := reply.header[gone]; found {
 				test.Errorf("%s came: %q", gone, value)
 			}
 		}
--- a/hostproxy/budget_test.go
+++ b/hostproxy/budget_test.go
@@ -38,8 +38,8 @@
 			random := rand.New(rand.NewPCG(seed, 7))
 			ratio, extra := 0.2, 62.0
 			count := 1 + random.IntN(20)
-			most := count
-			fresh := func() *Budget { budget := &Budget{}; budget.setShare(ratio, extra, most); return budget }
+			limit := count
+			fresh := func() *Budget { budget := &Budget{}; budget.setShare(ratio, extra, limit); return budget }
 			budgets := []*Budget{}
 			for range count {
 				budgets = append(budgets, fresh())
@@ -55,7 +55,7 @@
 				switch change := random.IntN(400); {
 				case change == 0 && len(budgets) < 24:
 					count++
-					most = max(most, count)
+					limit = max(limit, count)
 					budgets = append(budgets, fresh())
 				case change == 1 && len(budgets) > 1:
 					count--
@@ -66,7 +66,7 @@
 				}
 				budget := budgets[random.IntN(len(budgets))]
 				if random.IntN(20) == 0 {
-					budget.setShare(ratio, extra, most)
+					budget.setShare(ratio, extra, limit)
 				}
 				if random.IntN(wish) == 0 {
 					budget.recordRequest()
@@ -79,7 +79,7 @@
 					}
 				}
 				if step%40 == 0 {
-					if again, allowed, is := over(events, ratio, extra); is {
+					if again, allowed, found := over(events, ratio, extra); found {
 						test.Fatalf("seed %d: %d attempts past the first, %.1f allowed", seed, again, allowed)
 					}
 				}
--- a/hostproxy/config.go
+++ b/hostproxy/config.go
@@ -2,19 +2,25 @@
 
 import "time"
 
-// Config is what a proxy is told of itself and of its bounds.
+// Config is a proxy's place in the deployment and its bounds.
 type Config struct {
-	Name         string
-	Zone         string
-	Regions      map[string]string
-	Headers      Headers
-	RetryRatio   float64
-	RetryExtra   float64
+	Name    string
+	Zone    string
+	Regions map[string]string // the regions of all zones
+	Headers Headers
+	// All proxies together may retry RetryRatio times the requests, and RetryExtra more.
+	RetryRatio float64
+	RetryExtra float64
+	// A backend that warms up may get WarmupExcess times its warm-up rate, and WarmupExtra
+	// more.
 	WarmupExcess float64
 	WarmupExtra  float64
-	UsageWindow  time.Duration
-	ListLag      time.Duration
-	LinkBytes    float64
+	// UsageWindow is the span over which billed requests are counted; 0 counts none.
+	UsageWindow time.Duration
+	// ListLag is how long the platform's list may lag behind.
+	ListLag time.Duration
+	// LinkBytes is what the machine's link carries, in bytes a second; 0 is no bound.
+	LinkBytes float64
 }
 
 func (config *Config) region() string { return config.Regions[config.Zone] }
--- a/hostproxy/connection.go
+++ b/hostproxy/connection.go
@@ -54,8 +54,8 @@
 	if now.Sub(connection.usedAt) >= connection.idleTimeout || connection.reader.Buffered() > 0 {
 		return false
 	}
-	able, is := connection.conn.(syscall.Conn)
-	if !is {
+	able, found := connection.conn.(syscall.Conn)
+	if !found {
 		return true
 	}
 	raw, err := able.SyscallConn()
--- a/hostproxy/proxy.go
+++ b/hostproxy/proxy.go
@@ -13,10 +13,14 @@
 )
 
 const (
+	// maintainInterval is the time between looks for old connections and ejected targets.
 	maintainInterval = 250 * time.Millisecond
-	waitInterval     = 50 * time.Millisecond
-	maxUnsent        = 6
-	suspectSlack     = 2 * time.Second
+	// waitInterval bounds one wait for capacity, after which the request looks again.
+	waitInterval = 50 * time.Millisecond
+	// maxUnsent bounds the backends that a request could not be sent to.
+	maxUnsent = 6
+	// suspectSlack is added to the list's lag where a zone was opened again.
+	suspectSlack = 2 * time.Second
 )
 
 // Proxy carries clients' requests to backends by the view in force.
--- a/hostproxy/repeat_test.go
+++ b/hostproxy/repeat_test.go
@@ -38,8 +38,8 @@
 			}
 		}
 		ast.Inspect(file, func(node ast.Node) bool {
-			if selector, is := node.(*ast.SelectorExpr); is {
-				if holder, is := selector.X.(*ast.Ident); is && holder.Name == "http" && forbidden[selector.Sel.Name] {
+			if selector, found := node.(*ast.SelectorExpr); found {
+				if holder, found := selector.X.(*ast.Ident); found && holder.Name == "http" && forbidden[selector.Sel.Name] {
 					test.Errorf("%s uses http.%s", name, selector.Sel.Name)
 				}
 			}
--- a/hostproxy/request.go
+++ b/hostproxy/request.go
@@ -30,19 +30,25 @@
 }
 
 const (
-	deadlineSlack     = 50 * time.Millisecond
+	// deadlineSlack is added to a request's deadline where a connection is given one.
+	deadlineSlack = 50 * time.Millisecond
+	// A request waits for a backend for a part 1/waitShare of its target time, and for a
+	// turn on the link for 1/transferWaitShare.
 	waitShare         = 4
 	transferWaitShare = 2
-	maxWaiting        = 256
-	maxBodies         = 96 << 20
-
+	// maxWaiting bounds the requests that wait at once, maxBodies the bytes of bodies that
+	// are being read.
+	maxWaiting = 256
+	maxBodies  = 96 << 20
+	// firstViewWait is how long a request waits for the first view; one that waited in
+	// vain may come back after firstViewRetry.
 	firstViewWait  = 120 * time.Millisecond
 	firstViewRetry = time.Second
 )
 
-// request is one client's try on its way. It is exposed while a backend may run it or
-// have run it: from before the first byte is sent until that backend refuses it or is
-// known to have got nothing.
+// request is one attempt of a client on its way. mayHaveRun is set while a backend may run
+// it or have run it: from before the first byte is sent until that backend refuses it or
+// is known to have got nothing.
 type request struct {
 	source   *http.Request
 	writer   http.ResponseWriter
@@ -100,8 +106,8 @@
 		proxy.refuse(request, http.StatusServiceUnavailable, rpc.NotReady)
 		return
 	}
-	if status, kind := proxy.admit(request, view); status != 0 {
-		proxy.refuse(request, status, kind)
+	if status, code := proxy.admit(request, view); status != 0 {
+		proxy.refuse(request, status, code)
 		return
 	}
 	within, cancel := context.WithDeadline(request.context, request.deadline)
--- a/hostproxy/request_test.go
+++ b/hostproxy/request_test.go
@@ -481,8 +481,8 @@
 			source.RequestURI = "/once/a"
 			source.Header.Set("Authorization", "Key "+key)
 			request := &request{source: source, begin: time.Now()}
-			if status, kind := world.proxy.admit(request, view); status != 0 || request.rank != want {
-				test.Errorf("%s: %d %s, rank %d", key, status, kind, request.rank)
+			if status, code := world.proxy.admit(request, view); status != 0 || request.rank != want {
+				test.Errorf("%s: %d %s, rank %d", key, status, code, request.rank)
 			}
 		}
 	})
--- a/hostproxy/response.go
+++ b/hostproxy/response.go
@@ -12,20 +12,20 @@
 
 // refuse ends a request that has not run and will not. One that may have run fails
 // instead, whoever refuses it.
-func (proxy *Proxy) refuse(request *request, status int, kind rpc.Code) {
+func (proxy *Proxy) refuse(request *request, status int, code rpc.Code) {
 	if request.mayHaveRun {
 		proxy.fail(request)
 		return
 	}
 	proxy.move(request, ending)
-	proxy.counters.Add("refused_"+string(kind), 1)
+	proxy.counters.Add("refused_"+string(code), 1)
 	header := request.writer.Header()
 	if status == http.StatusServiceUnavailable {
 		header.Set("Retry-After", strconv.FormatFloat(proxy.retryAfter(request).Seconds(), 'f', 3, 64))
 	}
 	header.Set("Content-Type", "application/json")
 	request.writer.WriteHeader(status)
-	request.writer.Write([]byte(`{"code":"` + string(kind) + `"}`))
+	request.writer.Write([]byte(`{"code":"` + string(code) + `"}`))
 }
 
 // retryAfter is when a client should ask again: spread, so that those refused
@@ -44,14 +44,14 @@
 // fail ends a request of which nobody knows whether it ran.
 func (proxy *Proxy) fail(request *request) {
 	proxy.move(request, ending)
-	status, kind := http.StatusBadGateway, rpc.BadResponse
+	status, code := http.StatusBadGateway, rpc.BadResponse
 	if !proxy.clock().Before(request.deadline) {
-		status, kind = http.StatusGatewayTimeout, rpc.DeadlineExceeded
+		status, code = http.StatusGatewayTimeout, rpc.DeadlineExceeded
 	}
-	proxy.counters.Add("failed_"+string(kind), 1)
+	proxy.counters.Add("failed_"+string(code), 1)
 	request.writer.Header().Set("Content-Type", "application/json")
 	request.writer.WriteHeader(status)
-	request.writer.Write([]byte(`{"code":"` + string(kind) + `"}`))
+	request.writer.Write([]byte(`{"code":"` + string(code) + `"}`))
 }
 
 // finish gives the backend's answer to the client; one that breaks off half way
--- a/hostproxy/route_stats.go
+++ b/hostproxy/route_stats.go
@@ -7,9 +7,10 @@
 	"orchidjunction/routing"
 )
 
+// statWeight is the weight of the newest answer in the means.
 const statWeight = 0.05
 
-// RouteStats is what the answers of routes took and weighed of late.
+// RouteStats holds the mean time and size of the answers of each route of late.
 type RouteStats struct {
 	mutex  sync.Mutex
 	routes map[string]*routeStat
@@ -22,37 +23,37 @@
 
 func newRouteStats() *RouteStats { return &RouteStats{routes: map[string]*routeStat{}} }
 
-func (stats *RouteStats) statsOf(of *routing.Route) *routeStat {
-	held := stats.routes[of.Name]
-	if held == nil {
-		held = &routeStat{milliseconds: float64(max(of.TargetMs, 20)) / 5}
-		if of.Kind == routing.Download {
-			held.kilobytes = 64
+func (stats *RouteStats) statsOf(route *routing.Route) *routeStat {
+	stat := stats.routes[route.Name]
+	if stat == nil {
+		stat = &routeStat{milliseconds: float64(max(route.TargetMs, 20)) / 5}
+		if route.Kind == routing.Download {
+			stat.kilobytes = 64
 		}
-		stats.routes[of.Name] = held
+		stats.routes[route.Name] = stat
 	}
-	return held
+	return stat
 }
 
 // expect is how many milliseconds an answer should take and how many kilobytes it has.
-func (stats *RouteStats) expect(of *routing.Route) (float64, float64) {
+func (stats *RouteStats) expect(route *routing.Route) (float64, float64) {
 	stats.mutex.Lock()
 	defer stats.mutex.Unlock()
-	held := stats.statsOf(of)
-	return held.milliseconds, held.kilobytes
+	stat := stats.statsOf(route)
+	return stat.milliseconds, stat.kilobytes
 }
 
-func (stats *RouteStats) mean(of *routing.Route) float64 {
-	milliseconds, _ := stats.expect(of)
+func (stats *RouteStats) mean(route *routing.Route) float64 {
+	milliseconds, _ := stats.expect(route)
 	return milliseconds
 }
 
-func (stats *RouteStats) observe(of *routing.Route, took time.Duration, size int) {
+func (stats *RouteStats) observe(route *routing.Route, took time.Duration, size int) {
 	stats.mutex.Lock()
 	defer stats.mutex.Unlock()
-	held := stats.statsOf(of)
-	held.milliseconds += statWeight * (float64(took.Milliseconds()) - held.milliseconds)
-	held.kilobytes += statWeight * (float64(size)/1024 - held.kilobytes)
+	stat := stats.statsOf(route)
+	stat.milliseconds += statWeight * (float64(took.Milliseconds()) - stat.milliseconds)
+	stat.kilobytes += statWeight * (float64(size)/1024 - stat.kilobytes)
 }
 
 // forgetOthers forgets the routes that are not in force.
@@ -64,8 +65,8 @@
 	}
 	kept := map[string]*routeStat{}
 	for index := range routes {
-		if held := stats.routes[routes[index].Name]; held != nil {
-			kept[routes[index].Name] = held
+		if stat := stats.routes[routes[index].Name]; stat != nil {
+			kept[routes[index].Name] = stat
 		}
 	}
 	stats.routes = kept
--- a/hostproxy/shaper.go
+++ b/hostproxy/shaper.go
@@ -10,11 +10,17 @@
 )
 
 const (
-	largeBody    = 32 << 10
-	bulkChunk    = 8 << 10
-	bulkBurst    = 32 << 10
-	bulkShare    = 0.25
-	linkUse      = 0.9
+	// largeBody is the size in bytes above which an answer is bulk.
+	largeBody = 32 << 10
+	// Bulk goes in chunks of bulkChunk bytes, at most bulkBurst at once.
+	bulkChunk = 8 << 10
+	bulkBurst = 32 << 10
+	// bulkShare is the share of the link that bulk has in any case.
+	bulkShare = 0.25
+	// linkUse is the share of the link that is given out.
+	linkUse = 0.9
+	// The rate of urgent bytes is a mean over rateIntervals, in which the newest has the
+	// weight urgentWeight; bulk leaves urgentBurst times that rate free.
 	rateInterval = 100 * time.Millisecond
 	urgentWeight = 0.4
 	urgentBurst  = 1.1
@@ -49,6 +55,8 @@
 	active int
 }
 
+// A transfer is taken to have transferWindow bytes under way; all transfers together may
+// fill the link for transferSpan seconds.
 const (
 	transferSpan   = 0.3
 	transferWindow = 64 << 10
--- a/hostproxy/target.go
+++ b/hostproxy/target.go
@@ -10,37 +10,50 @@
 	"orchidjunction/message"
 )
 
+// What evaluate adds to a target's cost.
+const (
+	openPenalty       = 20.0 // milliseconds, for a connection that must be opened
+	utilizationWeight = 0.4  // of the service time, at full utilization
+	failurePenalty    = 4.0  // times the route's mean time, if all requests failed of late
+)
+
+// Weights of the newest value in exponentially weighted means.
+const (
+	slownessWeight = 0.1
+	failureWeight  = 0.15
+	othersWeight   = 0.2
+)
+
+// othersDecay is the time constant by which a reported load returns to its mean.
+const othersDecay = 400 * time.Millisecond
+
+// A target is ejected for a time that doubles with each failure.
 const (
-	openPenalty     = 20.0
-	slownessWeight  = 0.1
-	failureWeight   = 0.15
-	othersWeight    = 0.2
-	othersDecay     = 400 * time.Millisecond
 	minEjection     = 500 * time.Millisecond
 	maxEjection     = 4 * time.Second
 	failuresToEject = 2
 )
 
-// target is one life of a backend as this process knows it; it outlives views.
+// target is one incarnation of a backend as this process knows it; it outlives views.
 type target struct {
 	backend message.Backend
 
 	mutex          sync.Mutex
 	idle           []*connection
-	open           int
-	running        int
+	open           int // connections, idle ones too
+	running        int // requests that this process has there
 	retired        bool
-	othersLoadMean float64
-	othersLoad     float64
+	othersLoadMean float64 // requests of other processes
+	othersLoad     float64 // the same when the backend said it last
 	othersLoadAt   time.Time
-	slowness       float64
-	failureRate    float64
-	failures       int
+	slowness       float64 // times that its answers take, against the mean of their routes
+	failureRate    float64 // share of requests that failed of late
+	failures       int     // in a row
 	ejectedUntil   time.Time
 	backoff        time.Duration
-	reviving       bool
-	replaced       bool
-	roundTrip      time.Duration
+	reviving       bool          // a dial that probes whether it is back goes on
+	replaced       bool          // another incarnation has its address
+	roundTrip      time.Duration // the shortest that a dial took
 	warmup         Warmup
 	suspectedUntil time.Time
 }
@@ -77,14 +90,16 @@
 	target.mutex.Unlock()
 }
 
-// weight is what choosing this target costs in milliseconds; full is whether its
-// queue is as long as it should be.
+// evaluate returns what choosing this target costs in milliseconds: the time that it is
+// expected to take, with penalties for distance, utilization and failures. mean is the
+// route's mean time and far the distance penalty, in milliseconds; full is whether its
+// queue is as long as it may be.
 func (target *target) evaluate(now time.Time, mean float64, far float64) (cost float64, full, ejected bool) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	slots := float64(max(target.backend.Capacity, 1))
 	load, service := target.load(now), mean*target.slowness
-	cost = service + far + float64(target.roundTrip.Milliseconds()) + 0.4*service*min(1, load/slots) + 4*mean*target.failureRate
+	cost = service + far + float64(target.roundTrip.Milliseconds()) + utilizationWeight*service*min(1, load/slots) + failurePenalty*mean*target.failureRate
 	if len(target.idle) == 0 {
 		cost += openPenalty + float64(target.roundTrip.Milliseconds())
 	}
@@ -101,6 +116,7 @@
 	target.mutex.Unlock()
 }
 
+// end gives the place at the target back.
 func (target *target) end() {
 	target.mutex.Lock()
 	target.running--
@@ -127,10 +143,10 @@
 }
 
 // reserve is whether one more connection may be opened.
-func (target *target) reserve(most int) bool {
+func (target *target) reserve(limit int) bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	if target.open >= most || target.retired {
+	if target.open >= limit || target.retired {
 		return false
 	}
 	target.open++
@@ -223,7 +239,7 @@
 	}
 }
 
-// replacedByOther leaves the target out as long as can be: another life has its address,
+// replacedByOther ejects the target for the longest time: another incarnation has its address,
 // and takes dials as well.
 func (target *target) replacedByOther(now time.Time) {
 	target.mutex.Lock()
@@ -256,7 +272,7 @@
 	target.ejectedUntil = now.Add(target.backoff)
 }
 
-// suspectUntil makes the target count as cold until then.
+// suspectUntil makes the target count as warming up until a time.
 func (target *target) suspectUntil(until time.Time) {
 	target.mutex.Lock()
 	if target.suspectedUntil.Before(until) {
@@ -271,13 +287,14 @@
 	return now.Before(target.suspectedUntil)
 }
 
-// takeWarmup takes a token of a cold target.
+// takeWarmup is whether a target that is warming up may get a request now.
 func (target *target) takeWarmup(now time.Time, rate float64) bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	return target.warmup.allow(now, rate)
 }
 
+// dialled records how long a dial took.
 func (target *target) dialled(took time.Duration) {
 	target.mutex.Lock()
 	if target.roundTrip == 0 || took < target.roundTrip {
--- a/hostproxy/target_test.go
+++ b/hostproxy/target_test.go
@@ -145,18 +145,18 @@
 	inWorld(test, func(world *world) {
 		world.lay(func() { world.book.Config.Services[0].MaxConnections = 5 })
 		world.addAt("b1", "plain", "e1", 50).ever(after(100*time.Millisecond, well))
-		most := 0
+		limit := 0
 		for range 12 {
 			client := world.client()
 			defer client.pipe.Close()
 			client.send(raw("GET", "/once/a", world.id(), "", ""))
 			synctest.Wait()
 			open, _ := world.held("b1")
-			most = max(most, open)
+			limit = max(limit, open)
 		}
 		world.goroutines.Sleep(time.Second)
-		if most != 4 || world.backends["b1"].connections() != 4 {
-			test.Errorf("%d open, %d opened", most, world.backends["b1"].connections())
+		if limit != 4 || world.backends["b1"].connections() != 4 {
+			test.Errorf("%d open, %d opened", limit, world.backends["b1"].connections())
 		}
 		if capped := world.counters.Get("connections_capped"); capped > 100 {
 			test.Errorf("asked for a connection %d times in vain", capped)
--- a/hostproxy/view_test.go
+++ b/hostproxy/view_test.go
@@ -143,17 +143,17 @@
 		for _, step := range []struct{ count, most, small int }{{1, 104, 2}, {4, 26, 2}, {2, 26, 2}} {
 			table.Members = members(names[:step.count], zones[:step.count])
 			proxies[0].Apply(&routing.State{Config: config}, table)
-			most := proxies[0].view.Load().connections
-			if most[0] != step.most || most[2] != step.small || most[3] != maxConnections {
-				test.Errorf("%d proxies: %v", step.count, most)
+			limit := proxies[0].view.Load().connections
+			if limit[0] != step.most || limit[2] != step.small || limit[3] != maxConnections {
+				test.Errorf("%d proxies: %v", step.count, limit)
 			}
 		}
 		table.Members[1].Leaving = true
 		table.Members = append(table.Members, message.Member{Name: "d1", Kind: "dir"})
 		fresh := many([]string{"p1"}, []string{"e1"})[0]
 		fresh.Apply(&routing.State{Config: config}, table)
-		if most := fresh.view.Load().connections[0]; most != 104 {
-			test.Errorf("beside one that leaves: %d", most)
+		if limit := fresh.view.Load().connections[0]; limit != 104 {
+			test.Errorf("beside one that leaves: %d", limit)
 		}
 	})
 }
--- a/hostproxy/warmup_test.go
+++ b/hostproxy/warmup_test.go
@@ -41,7 +41,7 @@
 // warmTotal presses several proxies for a cold backend and gives the most that it
 // was sent within one second.
 func warmTotal(proxies []*Proxy, random *rand.Rand, span time.Duration, lay func()) int {
-	sent, most := []time.Time{}, 0
+	sent, limit := []time.Time{}, 0
 	begin := time.Now()
 	for time.Since(begin) < span {
 		if random.IntN(600) == 0 {
@@ -60,10 +60,10 @@
 			for index := len(sent) - 1; index >= 0 && time.Since(sent[index]) <= time.Second; index-- {
 				within++
 			}
-			most = max(most, within)
+			limit = max(limit, within)
 		}
 	}
-	return most
+	return limit
 }
 
 // In no second does a cold backend get more than it bears from all proxies together,
@@ -94,11 +94,11 @@
 				}
 				lay()
 				bears := config.Services[0].WarmupRate*1.5 + 5
-				most := warmTotal(proxies, random, 30*time.Second, lay)
-				if float64(most) > bears {
-					test.Errorf("seed %d, differing %v: %d in a second, it bears %.1f", seed, differing, most, bears)
+				limit := warmTotal(proxies, random, 30*time.Second, lay)
+				if float64(limit) > bears {
+					test.Errorf("seed %d, differing %v: %d in a second, it bears %.1f", seed, differing, limit, bears)
 				}
-				if most < 1 {
+				if limit < 1 {
 					test.Errorf("seed %d: never used", seed)
 				}
 			})
--- a/serviceproxy/task_admission.go
+++ b/serviceproxy/task_admission.go
@@ -36,11 +36,11 @@
 
 // redirect refuses a request that another proxy may serve. Whether an idempotency key
 // was used before is not known here, so that its outcome is unknown.
-func (task *task) redirect(kind rpc.Code, cause string) error {
+func (task *task) redirect(code rpc.Code, cause string) error {
 	if task.request.Header.Get(keyHeader) != "" {
 		return &rpc.Error{Code: rpc.OutcomeUnknown, Message: cause + "; send the key again there", RetryAfterMs: retryAfterMs, Outcome: rpc.MayHaveRun}
 	}
-	return &rpc.Error{Code: kind, Message: cause, RetryAfterMs: retryAfterMs}
+	return &rpc.Error{Code: code, Message: cause, RetryAfterMs: retryAfterMs}
 }
 
 // authenticate finds the tenant of the bearer key.
