--- a/harness/cluster/backend_faults.go
+++ b/harness/cluster/backend_faults.go
@@ -8,7 +8,7 @@
 )
 
 func (fleet *Fleet) fault(process *Process, mode string, count int) {
-	response, err := fleet.client.Get(fmt.Sprintf("http://%s/stand/fault?mode=%s&count=%d", process.Outer, mode, count))
+	response, err := fleet.client.Get(fmt.Sprintf("http://%s/stand/fault?mode=%s&count=%d", process.PublicAddress, mode, count))
 	if err == nil {
 		response.Body.Close()
 	}
@@ -59,13 +59,13 @@
 	process.Signal(syscall.SIGKILL)
 	process.Wait(time.Second)
 	other := fleet.services[len(fleet.services)-1]
-	process.arguments = []string{"--listen", process.Outer, "--service", other, "--instance", "stranger", "--journal", filepath.Join(fleet.Spec.Folder, "stranger"+journalEnd)}
+	process.arguments = []string{"--listen", process.PublicAddress, "--service", other, "--instance", "stranger", "--journal", filepath.Join(fleet.Spec.Folder, "stranger"+journalEnd)}
 	fleet.start(process)
 }
 
 func platformMisbehaves(fleet *Fleet) {
 	for _, mode := range []string{"shift", "refuse", "usage-slow", "gone", "usage-late", "usage-refuse"} {
-		response, err := fleet.client.Get(fmt.Sprintf("http://%s/stand/misbehave?mode=%s&span=2s", fleet.Platform.Outer, mode))
+		response, err := fleet.client.Get(fmt.Sprintf("http://%s/stand/misbehave?mode=%s&span=2s", fleet.Platform.PublicAddress, mode))
 		if err == nil {
 			response.Body.Close()
 		}
--- a/harness/cluster/changes.go
+++ b/harness/cluster/changes.go
@@ -51,7 +51,7 @@
 		}
 		window := checker.Window{Kind: "backend", Subject: process.Name, From: now + 4500}
 		if process.Kind == "ojproxy" {
-			window.Kind, window.Subject = "front", process.Outer
+			window.Kind, window.Subject = "front", process.PublicAddress
 		}
 		fleet.windows = append(fleet.windows, window)
 	}
--- a/harness/cluster/cluster.go
+++ b/harness/cluster/cluster.go
@@ -125,7 +125,7 @@
 	doors := []string{}
 	daemons := append(fleet.daemons(), fleet.cores()...)
 	for turn := range daemons {
-		doors = append(doors, daemons[(first+turn)%len(daemons)].Operate)
+		doors = append(doors, daemons[(first+turn)%len(daemons)].OperatorAddress)
 	}
 	return operator.NewClient(doors, &http.Transport{DisableKeepAlives: true})
 }
@@ -137,7 +137,7 @@
 		return nil
 	}
 	for _, process := range fleet.cores() {
-		if process.Wire == status.Leader.Address {
+		if process.InternalAddress == status.Leader.Address {
 			return process
 		}
 	}
@@ -163,7 +163,7 @@
 		zones[process.Name] = process.Zone
 	}
 	for _, process := range fleet.Proxies {
-		zones[process.Outer] = process.Zone
+		zones[process.PublicAddress] = process.Zone
 	}
 	maps.Copy(zones, fleet.guests)
 	return zones
@@ -174,7 +174,7 @@
 	doors := []string{}
 	for _, process := range append(fleet.daemons(), fleet.cores()...) {
 		if process.Alive() {
-			doors = append(doors, process.Operate)
+			doors = append(doors, process.OperatorAddress)
 		}
 	}
 	return doors
--- a/harness/cluster/comparison.go
+++ b/harness/cluster/comparison.go
@@ -27,7 +27,7 @@
 	tenant := sortedKeys(fleet.settings.Tenants)[0]
 	times := map[string][]float64{}
 	for number := range 400 {
-		for name, address := range map[string]string{"direct": backend.Outer + path, "through": proxy.Outer + "/" + backend.Service + path} {
+		for name, address := range map[string]string{"direct": backend.PublicAddress + path, "through": proxy.PublicAddress + "/" + backend.Service + path} {
 			request, _ := http.NewRequest(http.MethodGet, "http://"+address, nil)
 			request.Header.Set("Authorization", "Bearer key-of-"+tenant)
 			request.Header.Set("Oj-Service", backend.Service)
@@ -79,7 +79,7 @@
 	}
 	right := 0
 	for _, move := range forecast.Moves {
-		request, _ := http.NewRequest(http.MethodGet, "http://"+fleet.Directories[0].Outer+"/v1/place", nil)
+		request, _ := http.NewRequest(http.MethodGet, "http://"+fleet.Directories[0].PublicAddress+"/v1/place", nil)
 		request.Header.Set("Authorization", "Bearer key-of-"+move.Tenant)
 		response, err := fleet.client.Do(request)
 		if err != nil {
--- a/harness/cluster/load.go
+++ b/harness/cluster/load.go
@@ -18,7 +18,7 @@
 func (fleet *Fleet) Call() error {
 	plan := standin.LoadPlan{PerSecond: fleet.Spec.Rate, Seconds: fleet.Spec.Seconds + 3600, Tries: fleet.Spec.Tries, Seed: fleet.Spec.Seed, Patient: true}
 	for _, directory := range fleet.Directories {
-		plan.Directories = append(plan.Directories, directory.Outer)
+		plan.Directories = append(plan.Directories, directory.PublicAddress)
 	}
 	for name, tenant := range fleet.settings.Tenants {
 		plan.Callers = append(plan.Callers, standin.Caller{Tenant: name, Key: "key-of-" + name, Weight: tenant.Share})
--- a/harness/cluster/process.go
+++ b/harness/cluster/process.go
@@ -20,17 +20,17 @@
 // Outer, Wire and Operate are the addresses (host:port) at which it serves callers,
 // other daemons and operators.
 type Process struct {
-	Name       string
-	Kind       string
-	Zone       string
-	Service    string
-	Outer      string
-	Wire       string
-	Operate    string
-	path       string
-	arguments  []string
-	log        string
-	goroutines *concurrent.Group
+	Name            string
+	Kind            string
+	Zone            string
+	Service         string
+	PublicAddress   string
+	InternalAddress string
+	OperatorAddress string
+	path            string
+	arguments       []string
+	log             string
+	goroutines      *concurrent.Group
 
 	mutex   sync.Mutex
 	wake    *sync.Cond
--- a/harness/cluster/readiness.go
+++ b/harness/cluster/readiness.go
@@ -59,7 +59,7 @@
 			Serial uint64 `json:"serial"`
 			Ready  bool   `json:"ready"`
 		}{}
-		err := fleet.get(daemons[index].Operate, "/v1/health", &health)
+		err := fleet.get(daemons[index].OperatorAddress, "/v1/health", &health)
 		if !health.Ready {
 			health.Serial = 0
 		}
@@ -119,7 +119,7 @@
 func (fleet *Fleet) placing() bool {
 	for _, directory := range fleet.Directories {
 		for name := range fleet.settings.Tenants {
-			request, err := http.NewRequest(http.MethodGet, "http://"+directory.Outer+"/v1/place", nil)
+			request, err := http.NewRequest(http.MethodGet, "http://"+directory.PublicAddress+"/v1/place", nil)
 			if err != nil {
 				return false
 			}
--- a/harness/cluster/replace.go
+++ b/harness/cluster/replace.go
@@ -50,7 +50,7 @@
 	cores := fleet.cores()
 	for index, argument := range daemon.arguments {
 		if argument == "--seed" && len(cores) > 0 {
-			daemon.arguments[index+1], cores = cores[0].Wire, cores[1:]
+			daemon.arguments[index+1], cores = cores[0].InternalAddress, cores[1:]
 		}
 	}
 }
@@ -73,10 +73,10 @@
 func (fleet *Fleet) newCore(zone string) *Process {
 	fleet.added++
 	core := fleet.process(fmt.Sprintf("core-%d", fleet.Spec.Cores+fleet.added), "ojcore")
-	core.Zone, core.Wire, core.Operate = zone, fleet.address(), fleet.address()
-	core.arguments = []string{"--zone", zone, "--wire", core.Wire, "--operate", core.Operate, "--data", filepath.Join(fleet.Spec.Folder, core.Name), "--platform", fleet.Platform.Outer}
+	core.Zone, core.InternalAddress, core.OperatorAddress = zone, fleet.address(), fleet.address()
+	core.arguments = []string{"--zone", zone, "--wire", core.InternalAddress, "--operate", core.OperatorAddress, "--data", filepath.Join(fleet.Spec.Folder, core.Name), "--platform", fleet.Platform.PublicAddress}
 	for _, seed := range fleet.Cores {
-		core.arguments = append(core.arguments, "--seed", seed.Wire)
+		core.arguments = append(core.arguments, "--seed", seed.InternalAddress)
 	}
 	if err := core.Start(); err != nil {
 		fleet.codes = append(fleet.codes, err.Error())
@@ -98,7 +98,7 @@
 	core := fleet.newCore(old.Zone)
 	if !fleet.membershipComes(func(membership *message.MembershipStatus) bool {
 		return slices.ContainsFunc(membership.Learners, func(learner message.LearnerStatus) bool {
-			return learner.Address == core.Wire && learner.Synced
+			return learner.Address == core.InternalAddress && learner.Synced
 		})
 	}) {
 		fleet.codes = append(fleet.codes, name+": "+core.Name+" is no synced learner in time")
@@ -117,7 +117,7 @@
 		votes := func(address string) bool {
 			return slices.ContainsFunc(membership.Voters, func(voter message.VoterStatus) bool { return voter.Address == address })
 		}
-		return len(membership.Next) == 0 && len(membership.Voters) == fleet.Spec.Cores && votes(core.Wire) && !votes(old.Wire)
+		return len(membership.Next) == 0 && len(membership.Voters) == fleet.Spec.Cores && votes(core.InternalAddress) && !votes(old.InternalAddress)
 	})
 	if !taken {
 		fleet.codes = append(fleet.codes, fmt.Sprintf("%s: %s has not the place of %s", name, core.Name, old.Name))
--- a/harness/cluster/scenario.go
+++ b/harness/cluster/scenario.go
@@ -123,7 +123,7 @@
 		Reports map[string][]string `json:"reports"`
 		AtMs    map[string]int64    `json:"at_ms"`
 	}{}
-	if err := fleet.get(fleet.Platform.Outer, "/stand/reports", &reports); err != nil {
+	if err := fleet.get(fleet.Platform.PublicAddress, "/stand/reports", &reports); err != nil {
 		return nil, rpc.Errorf(rpc.PlatformError, "reports: %v", err)
 	}
 	evidence.Reports, evidence.ReportAt = reports.Reports, reports.AtMs
--- a/harness/simulation/change_test.go
+++ b/harness/simulation/change_test.go
@@ -42,11 +42,11 @@
 			world.Rest(time.Duration(seed%10) * time.Millisecond)
 			change := operator.Change{Base: serial, Change: fmt.Sprint("during-", round), Settings: Settings(2000 + round)}
 			begin := time.Now()
-			outcome, err := world.Client(world.Daemons[1].Operate).Put(change)
+			outcome, err := world.Client(world.Daemons[1].OperatorAddress).Put(change)
 			wait := time.Since(begin)
 			for try := 0; err != nil && try < 5; try++ {
 				world.Rest(100 * time.Millisecond)
-				outcome, err = world.Client(world.Daemons[1].Operate).Put(change)
+				outcome, err = world.Client(world.Daemons[1].OperatorAddress).Put(change)
 			}
 			if err != nil {
 				test.Fatalf("%s: %v", kind, err)
--- a/harness/simulation/claims_test.go
+++ b/harness/simulation/claims_test.go
@@ -58,7 +58,7 @@
 		}
 		before := heap()
 		for second := range 3 * seconds {
-			if _, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](client, core.Wire, message.MethodRecordClaims, time.Second, claim(second*115, 115)); err != nil {
+			if _, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](client, core.InternalAddress, message.MethodRecordClaims, time.Second, claim(second*115, 115)); err != nil {
 				test.Fatal(err)
 			}
 			world.Rest(10 * time.Second / 10 * time.Duration(600/seconds))
@@ -87,7 +87,7 @@
 			client := rpc.NewClient(world.Net.Transport("10.7.0.9"))
 			defer client.Close()
 			for group := range 6 {
-				if _, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](client, world.Cores[0].Wire, message.MethodRecordClaims, time.Second, claim(group*3, 3)); err != nil {
+				if _, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](client, world.Cores[0].InternalAddress, message.MethodRecordClaims, time.Second, claim(group*3, 3)); err != nil {
 					test.Fatal(err)
 				}
 			}
@@ -129,7 +129,7 @@
 		other := claim(0, 1)
 		other.Claims[0].Record.ID = "ffff-1"
 		for index, request := range []*message.RecordClaimsRequest{claim(0, 1), other, claim(0, 1)} {
-			response, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](client, world.Cores[1].Wire, message.MethodRecordClaims, time.Second, request)
+			response, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](client, world.Cores[1].InternalAddress, message.MethodRecordClaims, time.Second, request)
 			if err != nil || response.Results[0].Granted != (index != 1) || index == 1 && response.Results[0].Existing.ID != "0a1b2c3d4e-0" {
 				test.Errorf("claim %d: %+v %v", index, response, err)
 			}
--- a/harness/simulation/core.go
+++ b/harness/simulation/core.go
@@ -26,21 +26,21 @@
 
 // Core is one core machine of the world.
 type Core struct {
-	ID         int
-	Host       string
-	Wire       string
-	Operate    string
-	Disk       *Disk
-	Core       *control.Core
-	Alive      bool
-	Seeds      []string
-	goroutines *concurrent.Group
-	servers    []*http.Server
-	client     *rpc.Client
-	starts     uint64
-	jump       atomic.Int64
-	wiped      bool
-	gone       bool
+	ID              int
+	Host            string
+	InternalAddress string
+	OperatorAddress string
+	Disk            *Disk
+	Core            *control.Core
+	Alive           bool
+	Seeds           []string
+	goroutines      *concurrent.Group
+	servers         []*http.Server
+	client          *rpc.Client
+	starts          uint64
+	jump            atomic.Int64
+	wiped           bool
+	gone            bool
 	// returned is whether a removed machine was started again.
 	returned  bool
 	Forwarder *agent.Forwarder
@@ -50,7 +50,7 @@
 const retireLimit = 6 * time.Second
 
 func newCore(id int, host string, disk *Disk) *Core {
-	return &Core{ID: id, Host: host, Wire: host + ":41", Operate: host + ":42", Disk: disk}
+	return &Core{ID: id, Host: host, InternalAddress: host + ":41", OperatorAddress: host + ":42", Disk: disk}
 }
 
 // machines are the core machines of the deployment as they are now: one a seat,
@@ -96,17 +96,17 @@
 	machine.Core, machine.Forwarder, machine.Alive = core, forwarder, true
 	world.mutex.Unlock()
 	operate := agent.NewOperatorAPI(fmt.Sprint(machine.ID), forwarder, counters, core.Settings, core.CanVote)
-	machine.servers = []*http.Server{world.serve(machine.goroutines, machine.Wire, server), world.serve(machine.goroutines, machine.Operate, operate)}
+	machine.servers = []*http.Server{world.serve(machine.goroutines, machine.InternalAddress, server), world.serve(machine.goroutines, machine.OperatorAddress, operate)}
 	finder.Run()
 	core.Run()
 }
 
 func (world *World) corePlace(machine *Core) control.Config {
-	config := control.Config{ID: machine.ID, Zone: "z", InternalAddress: machine.Wire, OperatorAddress: machine.Operate, Bootstrap: true, PlatformAddress: world.platformAddress(), HeartbeatInterval: HeartbeatInterval, SuspicionTimeout: SuspicionTimeout, Seed: world.Seed + machine.starts*1000}
+	config := control.Config{ID: machine.ID, Zone: "z", InternalAddress: machine.InternalAddress, OperatorAddress: machine.OperatorAddress, Bootstrap: true, PlatformAddress: world.platformAddress(), HeartbeatInterval: HeartbeatInterval, SuspicionTimeout: SuspicionTimeout, Seed: world.Seed + machine.starts*1000}
 	machine.starts++
 	for _, other := range world.machines() {
 		if other != machine {
-			config.Peers = append(config.Peers, message.Peer{ID: other.ID, Address: other.Wire})
+			config.Peers = append(config.Peers, message.Peer{ID: other.ID, Address: other.InternalAddress})
 		}
 	}
 	config.Wall = func() int64 { return time.Now().UnixMilli() + machine.jump.Load() }
@@ -125,10 +125,10 @@
 	addresses := append([]string{}, config.Seeds...)
 	if len(addresses) == 0 {
 		for _, other := range world.machines() {
-			addresses = append(addresses, other.Wire)
+			addresses = append(addresses, other.InternalAddress)
 		}
 	}
-	return agent.NewLeaderFinder(machine.client, machine.goroutines, addresses).WithIntervals(world.Paces)
+	return agent.NewLeaderFinder(machine.client, machine.goroutines, addresses).WithIntervals(world.Intervals)
 }
 
 // led judges each leadership as it comes to stand: its ballot must by then be
@@ -146,8 +146,8 @@
 			continue
 		}
 		state := store.State()
-		promised[machine.Wire] = !state.Promised.Less(term)
-		rewritten[machine.Wire] = !state.Accepted[message.SettingsRegister].Term.Less(term)
+		promised[machine.InternalAddress] = !state.Promised.Less(term)
+		rewritten[machine.InternalAddress] = !state.Accepted[message.SettingsRegister].Term.Less(term)
 	}
 	for _, group := range world.votersOf(own.State()) {
 		if count, need := among(group, promised), len(group)/2+1; count < need {
--- a/harness/simulation/cut_test.go
+++ b/harness/simulation/cut_test.go
@@ -30,7 +30,7 @@
 			plan.Calls = plan.Calls[1:2]
 			plan.Calls[0].Class, plan.Tries = "", 1
 			for _, daemon := range lone {
-				plan.Fronts = append(plan.Fronts, daemon.Outer)
+				plan.Fronts = append(plan.Fronts, daemon.PublicAddress)
 			}
 			generator, client := world.Origin(plan)
 			ledger := world.Operators(2, 400*time.Millisecond)
@@ -50,7 +50,7 @@
 			}
 			again := 0
 			for _, try := range report.Tries {
-				if try.Tenant == "alder" && try.Status == 200 && try.Front == lone[0].Outer && try.AtMs > report.Tries[len(report.Tries)-1].AtMs-2000 {
+				if try.Tenant == "alder" && try.Status == 200 && try.Front == lone[0].PublicAddress && try.AtMs > report.Tries[len(report.Tries)-1].AtMs-2000 {
 					again++
 				}
 			}
@@ -84,7 +84,7 @@
 func (world *World) withdraw(ledger *checker.Ledger, tenant string) {
 	body := []byte(fmt.Sprintf(`{"tenants":{%q:{"keys":[]}}}`, tenant))
 	for try := range 50 {
-		client := world.Client(world.Cores[try%len(world.Cores)].Operate)
+		client := world.Client(world.Cores[try%len(world.Cores)].OperatorAddress)
 		settings, err := client.Read(false)
 		if err == nil && settings.Confirmed {
 			if _, err = client.Patch(operator.Change{Base: settings.Serial, Change: fmt.Sprint("withdraw-", try), Settings: body}); err == nil {
--- a/harness/simulation/emptied_test.go
+++ b/harness/simulation/emptied_test.go
@@ -24,11 +24,11 @@
 		defer client.CloseIdleConnections()
 		front := world.Daemons[1]
 		call := func(header string) (int, string) {
-			return world.ask(client, "GET", "http://"+front.Outer+"/meters/pages/1", "key-of-alder", header, "k", "")
+			return world.ask(client, "GET", "http://"+front.PublicAddress+"/meters/pages/1", "key-of-alder", header, "k", "")
 		}
 		drain := func(base uint64, zones []string) {
 			body, _ := json.Marshal(map[string]any{"drained": map[string]any{"zones": zones}})
-			if _, err := world.Client(world.Cores[1].Operate).Patch(operator.Change{Base: base, Change: fmt.Sprint("drain-", base), Settings: body}); err != nil {
+			if _, err := world.Client(world.Cores[1].OperatorAddress).Patch(operator.Change{Base: base, Change: fmt.Sprint("drain-", base), Settings: body}); err != nil {
 				test.Fatal(err)
 			}
 		}
--- a/harness/simulation/everything.go
+++ b/harness/simulation/everything.go
@@ -142,7 +142,7 @@
 	}
 	for _, daemon := range faults.world.Daemons {
 		if daemon.Zone == zone && daemon.Kind == "proxy" {
-			windows = append(windows, checker.Window{Kind: "front", Subject: daemon.Outer})
+			windows = append(windows, checker.Window{Kind: "front", Subject: daemon.PublicAddress})
 		}
 	}
 	faults.within(windows, fmt.Sprintf(`{"drained":{"zones":[%q]}}`, zone), `{"drained":{"zones":[]}}`, faults.span(5000, 7000), meanwhile)
--- a/harness/simulation/far.go
+++ b/harness/simulation/far.go
@@ -34,7 +34,7 @@
 	Host       string
 	Region     int
 	Daemon     *agent.Daemon
-	Counts     *metrics.Counters
+	Counters   *metrics.Counters
 	Alive      bool
 	Jump       int64
 	Seeds      []string
@@ -47,11 +47,11 @@
 // find each other by seeds and whose daemons hear news from the cores themselves.
 func NewFarWorld(seed uint64, cores int) *World {
 	world := NewWorld(seed, cores)
-	world.Paces = agent.Intervals{Session: farSession, Watch: 2500 * time.Millisecond, FindLeader: 100 * time.Millisecond, Pulse: 500 * time.Millisecond, UsageCount: -1}
+	world.Intervals = agent.Intervals{Session: farSession, Watch: 2500 * time.Millisecond, FindLeader: 100 * time.Millisecond, Pulse: 500 * time.Millisecond, UsageCount: -1}
 	world.Limits = agent.ForwardLimits{Attempt: 700 * time.Millisecond}
 	for index, machine := range world.Cores {
 		machine.Host = fmt.Sprintf("10.%d.0.%d", 10*(index%3), index+1)
-		machine.Wire, machine.Operate = machine.Host+":41", machine.Host+":42"
+		machine.InternalAddress, machine.OperatorAddress = machine.Host+":41", machine.Host+":42"
 	}
 	world.Seeds = wires(world.Cores[:seedCount])
 	region := func(host string) string {
@@ -111,12 +111,12 @@
 func (world *World) StartMember(one *FarDaemon) {
 	spot := agent.Config{
 		Name: one.Name, Kind: "proxy", Zone: fmt.Sprint("z", one.Region), InternalAddress: one.Host + ":41", PublicAddress: one.Host + ":80", OperatorAddress: one.Host + ":42",
-		Intervals: world.Paces, ForwardLimits: world.Limits, DirectSessions: true, ServesAlone: true, Routed: true, Wall: func() int64 { return time.Now().UnixMilli() + one.Jump },
+		Intervals: world.Intervals, ForwardLimits: world.Limits, DirectSessions: true, ServesAlone: true, Routed: true, Wall: func() int64 { return time.Now().UnixMilli() + one.Jump },
 	}
 	spot.Seeds = world.seedsFor(&one.Seeds)
-	one.goroutines, one.Counts = concurrent.NewGroup(), metrics.NewCounters()
+	one.goroutines, one.Counters = concurrent.NewGroup(), metrics.NewCounters()
 	one.client = rpc.NewClient(world.Net.Transport(one.Host))
-	one.Daemon = agent.NewDaemon(spot, agent.NewID(), one.client, one.goroutines, one.Counts)
+	one.Daemon = agent.NewDaemon(spot, agent.NewID(), one.client, one.goroutines, one.Counters)
 	last := uint64(0)
 	one.Daemon.OnVersion(func(version *agent.Version) {
 		if version.RoutingSerial < last {
@@ -127,7 +127,7 @@
 	if world.Requests != nil {
 		one.Daemon.SetWindows(func() []message.WindowCount { return world.Requests(one) })
 	}
-	server := rpc.NewServer(one.Counts)
+	server := rpc.NewServer(one.Counters)
 	one.Daemon.Register(server)
 	one.server = world.serve(one.goroutines, spot.InternalAddress, server)
 	one.Alive = true
--- a/harness/simulation/judge.go
+++ b/harness/simulation/judge.go
@@ -50,7 +50,7 @@
 		evidence.Zones[backend.Listed.Name] = backend.Listed.Zone
 	}
 	for _, daemon := range world.Daemons {
-		evidence.Zones[daemon.Outer] = daemon.Zone
+		evidence.Zones[daemon.PublicAddress] = daemon.Zone
 	}
 	if ledger != nil {
 		if evidence.History, err = ledger.History(20 * time.Second); err != nil {
--- a/harness/simulation/lending_test.go
+++ b/harness/simulation/lending_test.go
@@ -21,7 +21,7 @@
 			}
 			world.up(test, 4)
 			body, _ := json.Marshal(map[string]any{"classes": map[string]any{"money": map[string]any{"floor_rps": 30, "borrow_rps": 1000}, "pages": map[string]any{"floor_rps": 40, "borrow_rps": 1000}}})
-			if _, err := world.Client(world.Cores[0].Operate).Patch(operator.Change{Base: 1, Change: "borrow", Settings: body}); err != nil {
+			if _, err := world.Client(world.Cores[0].OperatorAddress).Patch(operator.Change{Base: 1, Change: "borrow", Settings: body}); err != nil {
 				test.Fatal(err)
 			}
 			world.Rest(2 * time.Second)
--- a/harness/simulation/orders_test.go
+++ b/harness/simulation/orders_test.go
@@ -106,7 +106,7 @@
 				leader := world.calm(test)
 				client := rpc.NewClient(world.Net.Transport(world.Members[0].Host))
 				for _, one := range leaderCalls() {
-					if err := one.ask(client, world.Cores[leader].Wire, time.Second); unclear(err) {
+					if err := one.ask(client, world.Cores[leader].InternalAddress, time.Second); unclear(err) {
 						world.broke("in touch, %s: %v", one.name, err)
 					}
 				}
@@ -125,7 +125,7 @@
 						mutex.Unlock()
 						request := time.Since(begin)
 						world.goroutines.Start(func() {
-							if err := one.ask(client, world.Cores[leader].Wire, 30*time.Second); !unclear(err) {
+							if err := one.ask(client, world.Cores[leader].InternalAddress, 30*time.Second); !unclear(err) {
 								world.broke("%s, restarted %v, %s asked after %v: %v", kind, restarted, one.name, request, err)
 							}
 							mutex.Lock()
--- a/harness/simulation/outage_test.go
+++ b/harness/simulation/outage_test.go
@@ -128,7 +128,7 @@
 	fronts := []string{}
 	for _, daemon := range world.Daemons {
 		if daemon.Kind == "proxy" {
-			fronts = append(fronts, daemon.Outer)
+			fronts = append(fronts, daemon.PublicAddress)
 		}
 	}
 	return fronts
--- a/harness/simulation/partner_test.go
+++ b/harness/simulation/partner_test.go
@@ -43,7 +43,7 @@
 			return report
 		}
 		report := calls(borrower, 20, 5)
-		lent := lender.Daemons[1].Counts.Get("lent") + lender.Daemons[2].Counts.Get("lent")
+		lent := lender.Daemons[1].Counters.Get("lent") + lender.Daemons[2].Counters.Get("lent")
 		if report.Served < report.Asked*98/100 || lent == 0 {
 			borrower.broke("%d of %d served, %d lent: %v", report.Served, report.Asked, lent, report.Statuses)
 		}
@@ -53,7 +53,7 @@
 		borrower.Rest(2 * time.Second)
 		pressed := calls(borrower, 20, 3)
 		storm := <-stormed
-		refused := lender.Daemons[1].Counts.Get("lending_refused") + lender.Daemons[2].Counts.Get("lending_refused")
+		refused := lender.Daemons[1].Counters.Get("lending_refused") + lender.Daemons[2].Counters.Get("lending_refused")
 		if refused == 0 {
 			lender.broke("a pressed lender went on lending")
 		}
--- a/harness/simulation/recovery_test.go
+++ b/harness/simulation/recovery_test.go
@@ -276,7 +276,7 @@
 		if machine.life(world) == nil {
 			continue
 		}
-		response, err := rpc.Call[message.StatusRequest, message.StatusResponse](machine.client, machine.Wire, message.MethodStatus, time.Second, &message.StatusRequest{})
+		response, err := rpc.Call[message.StatusRequest, message.StatusResponse](machine.client, machine.InternalAddress, message.MethodStatus, time.Second, &message.StatusRequest{})
 		if err != nil {
 			world.broke("no status of core %d: %v", machine.ID, err)
 			continue
@@ -513,17 +513,17 @@
 				test.Fatal("no second leader")
 			}
 			ask := func(index int, version, base uint64) error {
-				_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](world.Cores[other].client, world.Cores[index].Wire, message.MethodRoutingChange, 500*time.Millisecond, WholeChange(version, base))
+				_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](world.Cores[other].client, world.Cores[index].InternalAddress, message.MethodRoutingChange, 500*time.Millisecond, WholeChange(version, base))
 				return err
 			}
 			if err := ask(other, 2, 1); err != nil {
 				test.Fatal(err)
 			}
 			client := rpc.NewClient(world.Net.Transport("10.8.0.1"))
-			if read, err := rpc.Call[message.RoutingReadRequest, message.RoutingReadResponse](client, world.Cores[leader].Wire, message.MethodRoutingRead, time.Second, &message.RoutingReadRequest{}); err == nil {
+			if read, err := rpc.Call[message.RoutingReadRequest, message.RoutingReadResponse](client, world.Cores[leader].InternalAddress, message.MethodRoutingRead, time.Second, &message.RoutingReadRequest{}); err == nil {
 				world.broke("the replaced leader read serial %d back", read.Serial)
 			}
-			_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](client, world.Cores[leader].Wire, message.MethodRoutingChange, time.Second, WholeChange(3, 2))
+			_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](client, world.Cores[leader].InternalAddress, message.MethodRoutingChange, time.Second, WholeChange(3, 2))
 			if kind := rpc.CodeOf(err); kind == rpc.StaleBase {
 				world.broke("the replaced leader refused: %v", err)
 			} else if kind != rpc.NotLeader && kind != rpc.NoLeader {
--- a/harness/simulation/removal_test.go
+++ b/harness/simulation/removal_test.go
@@ -60,7 +60,7 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		world.up(test, 2)
-		client := world.Client(world.Daemons[1].Operate)
+		client := world.Client(world.Daemons[1].OperatorAddress)
 		leader := world.Leader()
 		goes, stays := world.Cores[(leader+1)%3], world.Cores[(leader+2)%3]
 		if _, err := world.remove(client, goes.ID); err == nil || rpc.CodeOf(err) != rpc.NoLearner {
@@ -80,7 +80,9 @@
 			defer world.EndSpare(spare)
 			ready := func() bool {
 				response := world.membership(test, client)
-				return slices.ContainsFunc(response.Learners, func(one message.LearnerStatus) bool { return one.Address == spare.Wire && one.Synced && one.Seen })
+				return slices.ContainsFunc(response.Learners, func(one message.LearnerStatus) bool {
+					return one.Address == spare.InternalAddress && one.Synced && one.Seen
+				})
 			}
 			if !world.Until(10*time.Second, ready) {
 				test.Errorf("the learner isn't ready: %+v", world.membership(test, client))
@@ -134,7 +136,7 @@
 		world.up(test, 2)
 		leader := world.Leader()
 		others := []int{(leader+1)%3 + 1, (leader+2)%3 + 1}
-		clients := []*operator.Client{world.Client(world.Daemons[0].Operate), world.Client(world.Daemons[1].Operate)}
+		clients := []*operator.Client{world.Client(world.Daemons[0].OperatorAddress), world.Client(world.Daemons[1].OperatorAddress)}
 		learners := func(count int) func() bool {
 			return func() bool {
 				response, synced := world.membership(test, clients[0]), 0
--- a/harness/simulation/replace.go
+++ b/harness/simulation/replace.go
@@ -51,7 +51,7 @@
 func wires(machines []*Core) []string {
 	addresses := []string{}
 	for _, machine := range machines {
-		addresses = append(addresses, machine.Wire)
+		addresses = append(addresses, machine.InternalAddress)
 	}
 	return addresses
 }
--- a/harness/simulation/replace_run_test.go
+++ b/harness/simulation/replace_run_test.go
@@ -135,7 +135,7 @@
 // hasSeat is whether a disk of the deployment still counts a machine's vote.
 func (world *World) hasSeat(machine *Core) bool {
 	for _, disk := range world.voterDisks() {
-		if slices.Contains(seats(disk), machine.Wire) {
+		if slices.Contains(seats(disk), machine.InternalAddress) {
 			return true
 		}
 	}
--- a/harness/simulation/replace_test.go
+++ b/harness/simulation/replace_test.go
@@ -447,15 +447,15 @@
 	defer client.Close()
 	for _, ask := range []func() error{
 		func() error {
-			_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](client, machine.Wire, message.MethodRoutingChange, time.Second, WholeChange(1000+one.newest, one.newest))
+			_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](client, machine.InternalAddress, message.MethodRoutingChange, time.Second, WholeChange(1000+one.newest, one.newest))
 			return err
 		},
 		func() error {
-			_, err := rpc.Call[message.EvacuateRequest, message.EvacuateResponse](client, machine.Wire, message.MethodEvacuate, time.Second, &message.EvacuateRequest{Zone: "z-not", Begin: true})
+			_, err := rpc.Call[message.EvacuateRequest, message.EvacuateResponse](client, machine.InternalAddress, message.MethodEvacuate, time.Second, &message.EvacuateRequest{Zone: "z-not", Begin: true})
 			return err
 		},
 		func() error {
-			_, err := rpc.Call[message.RoutingReadRequest, message.RoutingReadResponse](client, machine.Wire, message.MethodRoutingRead, time.Second, &message.RoutingReadRequest{})
+			_, err := rpc.Call[message.RoutingReadRequest, message.RoutingReadResponse](client, machine.InternalAddress, message.MethodRoutingRead, time.Second, &message.RoutingReadRequest{})
 			return err
 		},
 	} {
@@ -551,7 +551,7 @@
 		return 0
 	}
 	for _, peer := range store.State().Membership().Voters {
-		if peer.Address == machine.Wire {
+		if peer.Address == machine.InternalAddress {
 			return peer.ID
 		}
 	}
@@ -564,7 +564,7 @@
 	running := func(address string) bool {
 		return slices.ContainsFunc(one.everyMachine(), func(other *Core) bool {
 			core := other.life(one.World)
-			return other.Wire == address && core != nil && core.CanVote()
+			return other.InternalAddress == address && core != nil && core.CanVote()
 		})
 	}
 	held := []string{}
@@ -574,7 +574,7 @@
 	}) {
 		one.broke("the seats are %v", held)
 	}
-	if slices.Contains(held, machine.Wire) && voterID(machine) == former {
+	if slices.Contains(held, machine.InternalAddress) && voterID(machine) == former {
 		one.broke("%s votes again as %d", machine.Host, former)
 	}
 }
--- a/harness/simulation/returned_test.go
+++ b/harness/simulation/returned_test.go
@@ -32,7 +32,7 @@
 		old, one, two := (leader+1)%3, leader, (leader+2)%3
 		spare := world.replaceCore(test, old, 1)
 		defer world.EndSpare(spare)
-		client := world.Client(world.Daemons[1].Operate)
+		client := world.Client(world.Daemons[1].OperatorAddress)
 		if err := world.changeSettings(client, 1); err != nil {
 			test.Fatalf("after the replacement: %v", err)
 		}
@@ -53,7 +53,7 @@
 		again := func() bool {
 			response := world.membership(test, client)
 			return len(response.Next) == 0 && slices.ContainsFunc(response.Voters, func(voter message.VoterStatus) bool {
-				return voter.Address == world.Cores[old].Wire && voter.ID == 5
+				return voter.Address == world.Cores[old].InternalAddress && voter.ID == 5
 			})
 		}
 		if !world.Until(10*time.Second, again) {
@@ -78,7 +78,7 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		world.up(test, 2)
-		client := world.Client(world.Cores[0].Operate)
+		client := world.Client(world.Cores[0].OperatorAddress)
 		if err := world.changeSettings(client, 1); err != nil {
 			test.Fatal(err)
 		}
@@ -87,7 +87,7 @@
 		}
 		moved := world.Cores[int(seed)%3]
 		moved.Host = "10.0.0.77"
-		moved.Wire, moved.Operate = moved.Host+":41", moved.Host+":42"
+		moved.InternalAddress, moved.OperatorAddress = moved.Host+":41", moved.Host+":42"
 		for index := range world.Cores {
 			world.StartCore(index)
 		}
@@ -97,17 +97,17 @@
 				test.Errorf("core %d does not vote", index+1)
 			}
 		}
-		client = world.Client(world.Cores[0].Operate)
+		client = world.Client(world.Cores[0].OperatorAddress)
 		if err := world.changeSettings(client, 2); err != nil {
 			test.Error(err)
 		}
 		world.KillCore((int(seed)+1)%3, true)
-		client = world.Client(moved.Operate)
+		client = world.Client(moved.OperatorAddress)
 		if err := world.changeSettings(client, 3); err != nil {
 			test.Errorf("with the moved core and one other: %v", err)
 		}
 		response := world.membership(test, client)
-		if response.Version != 1 || voters(response) != "[1 2 3]" || response.Voters[moved.ID-1].Address != moved.Wire {
+		if response.Version != 1 || voters(response) != "[1 2 3]" || response.Voters[moved.ID-1].Address != moved.InternalAddress {
 			test.Errorf("%+v", response)
 		}
 		world.report(test)
--- a/harness/simulation/scale_test.go
+++ b/harness/simulation/scale_test.go
@@ -45,7 +45,7 @@
 			perDaemon[size] = float64(later-calm) / 10 / float64(size)
 			slowest := time.Duration(0)
 			for number := range 5 {
-				outcome, err := world.Client(world.Cores[0].Operate).Put(operator.Change{Base: uint64(1 + number), Change: fmt.Sprint("scale-", number), Settings: Settings(2000 + number)})
+				outcome, err := world.Client(world.Cores[0].OperatorAddress).Put(operator.Change{Base: uint64(1 + number), Change: fmt.Sprint("scale-", number), Settings: Settings(2000 + number)})
 				if err != nil {
 					test.Fatal(err)
 				}
@@ -61,7 +61,7 @@
 			}
 			large["classes"].(map[string]any)["pages"].(map[string]any)["services"].(map[string]any)["bulk"] = map[string]any{"routes": routes}
 			body, _ := json.Marshal(large)
-			outcome, err := world.Client(world.Cores[0].Operate).Put(operator.Change{Base: 6, Change: "scale-large", Settings: body})
+			outcome, err := world.Client(world.Cores[0].OperatorAddress).Put(operator.Change{Base: 6, Change: "scale-large", Settings: body})
 			if err != nil {
 				test.Fatal(err)
 			}
@@ -88,7 +88,7 @@
 
 func (world *World) probes() (count uint64) {
 	for _, daemon := range world.Daemons {
-		count += daemon.Counts.Get("probes")
+		count += daemon.Counters.Get("probes")
 	}
 	return count
 }
--- a/harness/simulation/start_test.go
+++ b/harness/simulation/start_test.go
@@ -10,7 +10,7 @@
 func (world *World) first(test *testing.T) {
 	test.Helper()
 	if !world.Until(10*time.Second, func() bool {
-		_, err := world.Client(world.Cores[0].Operate).Put(operator.Change{Base: 0, Change: "first", Settings: Settings(1000)})
+		_, err := world.Client(world.Cores[0].OperatorAddress).Put(operator.Change{Base: 0, Change: "first", Settings: Settings(1000)})
 		return err == nil
 	}) {
 		test.Fatal("no first settings")
--- a/harness/simulation/stop_test.go
+++ b/harness/simulation/stop_test.go
@@ -22,7 +22,7 @@
 			world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
 		}
 		world.up(test, 6)
-		if _, err := world.Client(world.Cores[0].Operate).Patch(operator.Change{Base: 1, Change: "hold", Settings: []byte(`{"rule":{"hold_ms":8000}}`)}); err != nil {
+		if _, err := world.Client(world.Cores[0].OperatorAddress).Patch(operator.Change{Base: 1, Change: "hold", Settings: []byte(`{"rule":{"hold_ms":8000}}`)}); err != nil {
 			test.Fatal(err)
 		}
 		plan := world.plan(25, 600)
--- a/harness/simulation/traffic_test.go
+++ b/harness/simulation/traffic_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, daemon := range world.Daemons {
 		if daemon.Kind == "dir" {
-			plan.Directories = append(plan.Directories, daemon.Outer)
+			plan.Directories = append(plan.Directories, daemon.PublicAddress)
 		}
 	}
 	return plan
@@ -109,7 +109,7 @@
 		front := func(zone string) string {
 			for _, daemon := range world.Daemons {
 				if daemon.Kind == "proxy" && daemon.Zone == zone {
-					return daemon.Outer
+					return daemon.PublicAddress
 				}
 			}
 			return ""
--- a/harness/simulation/world.go
+++ b/harness/simulation/world.go
@@ -51,7 +51,7 @@
 	replacing *rand.Rand
 	planned   bool
 	Shape     func(machine *Core, config *control.Config)
-	Paces     agent.Intervals
+	Intervals agent.Intervals
 	Limits    agent.ForwardLimits
 
 	Members  []*FarDaemon
@@ -62,22 +62,22 @@
 
 // Daemon is one directory node or proxy of the world.
 type Daemon struct {
-	Name       string
-	Kind       string
-	Host       string
-	Zone       string
-	Outer      string
-	Wire       string
-	Operate    string
-	Daemon     *agent.Daemon
-	Proxy      *serviceproxy.Proxy
-	Counts     *metrics.Counters
-	Alive      bool
-	goroutines *concurrent.Group
-	servers    []*http.Server
-	client     *rpc.Client
-	highest    uint64
-	Lender     *Daemon
+	Name            string
+	Kind            string
+	Host            string
+	Zone            string
+	PublicAddress   string
+	InternalAddress string
+	OperatorAddress string
+	Daemon          *agent.Daemon
+	Proxy           *serviceproxy.Proxy
+	Counters        *metrics.Counters
+	Alive           bool
+	goroutines      *concurrent.Group
+	servers         []*http.Server
+	client          *rpc.Client
+	highest         uint64
+	Lender          *Daemon
 }
 
 // Backend is one backend of the world.
@@ -156,7 +156,7 @@
 func (world *World) AddDaemon(kind, zone string) *Daemon {
 	index := len(world.Daemons)
 	host := fmt.Sprintf("10.%d.%d.%d", world.Base+1, index/200, index%200+1)
-	daemon := &Daemon{Name: fmt.Sprintf("%s-%03d", kind, index), Kind: kind, Host: host, Zone: zone, Outer: host + ":80", Wire: host + ":41", Operate: host + ":42"}
+	daemon := &Daemon{Name: fmt.Sprintf("%s-%03d", kind, index), Kind: kind, Host: host, Zone: zone, PublicAddress: host + ":80", InternalAddress: host + ":41", OperatorAddress: host + ":42"}
 	world.Daemons = append(world.Daemons, daemon)
 	return daemon
 }
@@ -165,38 +165,38 @@
 func (world *World) StartDaemon(daemon *Daemon) {
 	seeds := []string{}
 	for _, core := range world.Cores[:min(3, len(world.Cores))] {
-		seeds = append(seeds, core.Wire)
+		seeds = append(seeds, core.InternalAddress)
 	}
-	spot := agent.Config{Name: daemon.Name, Kind: daemon.Kind, Zone: daemon.Zone, InternalAddress: daemon.Wire, PublicAddress: daemon.Outer, OperatorAddress: daemon.Operate, Seeds: seeds, Guest: daemon.Lender != nil}
-	daemon.goroutines, daemon.Counts = concurrent.NewGroup(), metrics.NewCounters()
+	spot := agent.Config{Name: daemon.Name, Kind: daemon.Kind, Zone: daemon.Zone, InternalAddress: daemon.InternalAddress, PublicAddress: daemon.PublicAddress, OperatorAddress: daemon.OperatorAddress, Seeds: seeds, Guest: daemon.Lender != nil}
+	daemon.goroutines, daemon.Counters = concurrent.NewGroup(), metrics.NewCounters()
 	daemon.client = rpc.NewClient(world.Net.Transport(daemon.Host))
-	made := agent.NewDaemon(spot, agent.NewID(), daemon.client, daemon.goroutines, daemon.Counts)
+	made := agent.NewDaemon(spot, agent.NewID(), daemon.client, daemon.goroutines, daemon.Counters)
 	world.mutex.Lock()
 	daemon.Daemon = made
 	world.mutex.Unlock()
 	var outer http.Handler
 	if daemon.Kind == "proxy" {
-		daemon.Proxy = serviceproxy.NewProxy(daemon.Daemon, daemon.goroutines, daemon.Counts, world.Net.Dialer(daemon.Host))
+		daemon.Proxy = serviceproxy.NewProxy(daemon.Daemon, daemon.goroutines, daemon.Counters, world.Net.Dialer(daemon.Host))
 		outer = daemon.Proxy
 		if daemon.Lender != nil {
 			daemon.Proxy.SetLendingLimit(serviceproxy.NewLendingLimit(daemon.Lender.Proxy, 50, 32))
 		}
 		daemon.Daemon.OnVersion(func(version *agent.Version) { world.takes(daemon, version); daemon.Proxy.Apply(version) }, daemon.Proxy.Probes)
 	} else {
-		placements := directory.NewDirectory(daemon.Daemon, daemon.Counts)
+		placements := directory.NewDirectory(daemon.Daemon, daemon.Counters)
 		outer = placements
 		daemon.Daemon.OnVersion(func(version *agent.Version) { world.takes(daemon, version); placements.Apply(version) }, nil)
 	}
-	server := rpc.NewServer(daemon.Counts)
+	server := rpc.NewServer(daemon.Counters)
 	daemon.Daemon.Register(server)
 	if daemon.Proxy != nil {
 		daemon.Proxy.Register(server)
 	}
-	operate := agent.NewOperatorAPI(daemon.Name, daemon.Daemon.Forwarder, daemon.Counts, func() (uint64, []byte) {
+	operate := agent.NewOperatorAPI(daemon.Name, daemon.Daemon.Forwarder, daemon.Counters, func() (uint64, []byte) {
 		version := daemon.Daemon.Version()
 		return version.Serial, version.Body()
 	}, daemon.Daemon.Ready)
-	daemon.servers = []*http.Server{world.serve(daemon.goroutines, daemon.Outer, outer), world.serve(daemon.goroutines, daemon.Wire, server), world.serve(daemon.goroutines, daemon.Operate, operate)}
+	daemon.servers = []*http.Server{world.serve(daemon.goroutines, daemon.PublicAddress, outer), world.serve(daemon.goroutines, daemon.InternalAddress, server), world.serve(daemon.goroutines, daemon.OperatorAddress, operate)}
 	world.mutex.Lock()
 	daemon.Alive, daemon.highest = true, 0
 	world.mutex.Unlock()
@@ -304,12 +304,12 @@
 	doors := []string{}
 	for _, core := range world.machines() {
 		if core.life(world) != nil {
-			doors = append(doors, core.Operate)
+			doors = append(doors, core.OperatorAddress)
 		}
 	}
 	for _, daemon := range world.Daemons {
 		if daemon.life(world) != nil {
-			doors = append(doors, daemon.Operate)
+			doors = append(doors, daemon.OperatorAddress)
 		}
 	}
 	return doors
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -74,24 +74,24 @@
 
 // Guest is a second place at the other partner, if it is given, and what is lent there.
 type Guest struct {
-	Place     agent.Config
+	Config    agent.Config
 	PerSecond float64
 	InFlight  int
 	Join      func(owner, guest DataPlane)
 }
 
 func (guest *Guest) add(flags *Flags) {
-	flags.Parser.String(&guest.Place.Name, "", "guest-name", "this machine's name at the other partner, when it lends room there")
-	flags.Parser.String(&guest.Place.Zone, "", "guest-zone", "zone of the other partner's that this machine counts as")
-	flags.Parser.String(&guest.Place.PublicAddress, "", "guest-listen", "IP:port for the other partner's callers")
-	flags.Parser.String(&guest.Place.InternalAddress, "", "guest-wire", "IP:port for the other partner's processes")
-	flags.Parser.String(&guest.Place.OperatorAddress, "", "guest-operate", "IP:port for the other partner's operators")
-	flags.Parser.StringSlice(&guest.Place.Seeds, "", "guest-seed", "IP:port of a core of the other partner's; up to three")
+	flags.Parser.String(&guest.Config.Name, "", "guest-name", "this machine's name at the other partner, when it lends room there")
+	flags.Parser.String(&guest.Config.Zone, "", "guest-zone", "zone of the other partner's that this machine counts as")
+	flags.Parser.String(&guest.Config.PublicAddress, "", "guest-listen", "IP:port for the other partner's callers")
+	flags.Parser.String(&guest.Config.InternalAddress, "", "guest-wire", "IP:port for the other partner's processes")
+	flags.Parser.String(&guest.Config.OperatorAddress, "", "guest-operate", "IP:port for the other partner's operators")
+	flags.Parser.StringSlice(&guest.Config.Seeds, "", "guest-seed", "IP:port of a core of the other partner's; up to three")
 	flags.Parser.Float64(&guest.PerSecond, "", "lend-rps", "tasks a second lent to the other partner at most")
 	flags.Parser.Int(&guest.InFlight, "", "lend-in-flight", "tasks at once lent to the other partner at most")
 }
 
-func (guest *Guest) given() bool { return guest.Place.Name != "" || len(guest.Place.Seeds) > 0 }
+func (guest *Guest) given() bool { return guest.Config.Name != "" || len(guest.Config.Seeds) > 0 }
 
 // RunDaemon is the life of a directory node or a proxy.
 func RunDaemon(flags *Flags, kind string, guest *Guest, construct Constructor) {
@@ -116,14 +116,14 @@
 	goroutines := concurrent.NewGroup()
 	stations := []*Instance{newInstance(flags, config, goroutines, construct)}
 	if guest != nil && guest.given() {
-		guest.Place.Kind, guest.Place.Guest = kind, true
-		if err := guest.Place.Check(); err != nil {
+		guest.Config.Kind, guest.Config.Guest = kind, true
+		if err := guest.Config.Check(); err != nil {
 			flags.Exit(rpc.WithPrefix("as a guest", err))
 		}
 		if guest.PerSecond <= 0 || guest.InFlight < 1 {
 			flags.Exit(rpc.Errorf(rpc.BadFlag, "--lend-rps and --lend-in-flight: a guest lends something of both"))
 		}
-		stations = append(stations, newInstance(flags, guest.Place, goroutines, construct))
+		stations = append(stations, newInstance(flags, guest.Config, goroutines, construct))
 		guest.Join(stations[0].Plane, stations[1].Plane)
 	}
 	for _, station := range stations {
