--- a/cmd/orchidjunction/core.go
+++ b/cmd/orchidjunction/core.go
@@ -15,73 +15,73 @@
 	"orchidjunction/storage"
 )
 
+// The times of a core on the platform. Regions are tens of milliseconds apart;
+// suspicionTimeout leaves room for lost heartbeats.
 const (
-	beat        = 150 * time.Millisecond
-	suspect     = 750 * time.Millisecond
-	tablePace   = 150 * time.Millisecond
-	sessionSpan = 2500 * time.Millisecond
-	listShare   = 3.5
-	listFastest = 300 * time.Millisecond
-	listSlowest = time.Second
-	goneAfter   = 2
-	settle      = 3500 * time.Millisecond
-	callLimit   = 1000 * time.Millisecond
-	userTimeout = 1500 * time.Millisecond
-	sendLimit   = 800 * time.Millisecond
-	seekPace    = 50 * time.Millisecond
-	graceRest   = 500 * time.Millisecond
-	reportRest  = 1100 * time.Millisecond
+	heartbeatInterval = 150 * time.Millisecond
+	suspicionTimeout  = 750 * time.Millisecond
+	tableInterval     = 150 * time.Millisecond
+	sessionTTL        = 2500 * time.Millisecond
+	findInterval      = 50 * time.Millisecond // between questions for the leader
+	// attemptTimeout bounds one attempt to bring a change to the leader, reportTimeout one
+	// to report usage, and userTimeout the time in which sent bytes must be acknowledged.
+	attemptTimeout = 800 * time.Millisecond
+	reportTimeout  = 1000 * time.Millisecond
+	userTimeout    = 1500 * time.Millisecond
+	// settleAfter is the time after a window's end in which its counts come in;
+	// reportMargin is kept free before a report is due.
+	settleAfter  = 3500 * time.Millisecond
+	reportMargin = 1100 * time.Millisecond
+	// graceMargin is kept free between the last work of a process and its end.
+	graceMargin = 500 * time.Millisecond
+)
 
-	// replaceShare leaves most of the time in which a newcomer has to count for
-	// electing a leader, catching up and two rounds of the quorum.
-	replaceShare = 4
+// How the list of backends is read.
+const (
+	minListInterval = 300 * time.Millisecond
+	maxListInterval = time.Second
+	// listShare is the part of the time to leave a backend that one interval may take.
+	listShare = 3.5
+	// listsUntilGone is how many whole lists in a row must lack a backend that is gone.
+	listsUntilGone = 2
 )
 
-// listPace leaves the larger part of the time to leave a backend for the list's lag
+// replaceShare leaves most of the time in which a newcomer has to count for
+// electing a leader, catching up and two rounds of the quorum.
+const replaceShare = 4
+
+// listInterval leaves the larger part of the time to leave a backend for the list's lag
 // and for telling everybody.
-func listPace(settings *platform.Settings) time.Duration {
-	return max(listFastest, min(listSlowest, time.Duration(float64(settings.Bounds.Drain-settings.Platform.Lag)/listShare)))
+func listInterval(settings *platform.Settings) time.Duration {
+	interval := time.Duration(float64(settings.Bounds.Drain-settings.Platform.Lag) / listShare)
+	return max(minListInterval, min(maxListInterval, interval))
 }
 
-// runCore is the life of a core.
+// runCore runs a core until the process is asked to end.
 func (node *node) runCore() error {
 	settings := node.source.Settings()
-	if settings.Folder == "" {
-		return rpc.Errorf(rpc.BadFlag, "a core needs a data folder")
-	}
-	if err := os.MkdirAll(settings.Folder, 0o700); err != nil {
-		return rpc.Errorf(rpc.BadFlag, "data folder: %v", err)
+	if err := makeDataFolder(settings.Folder); err != nil {
+		return err
 	}
-	line := rpc.NewClient(process.WANTransport(userTimeout))
+	client := rpc.NewClient(process.WANTransport(userTimeout))
+	finder := agent.NewLeaderFinder(client, node.goroutines, internalSeeds(settings)).WithIntervals(agent.Intervals{FindLeader: findInterval})
 	var core *control.Core
-	finder := agent.NewLeaderFinder(line, node.goroutines, innerSeeds(settings)).WithIntervals(agent.Intervals{FindLeader: seekPace})
-	client := platform.NewClient(settings.Platform.Address, process.WANTransport(userTimeout), func() int64 { return core.Now() })
-	config := control.Config{
-		Name: settings.Name, Zone: settings.Zone, InternalAddress: inner(settings, settings.Address), Seeds: innerSeeds(settings), Bootstrap: settings.First,
-		MinFounders: 2*settings.Survive.Machines + 1, HeartbeatInterval: beat, SuspicionTimeout: suspect, Seed: uint64(time.Now().UnixNano()), DirectSessions: true, TableInterval: tablePace,
-		SessionTTL: sessionSpan, ListBackends: client.ListBackends, ListInterval: listPace(settings), ListsUntilGone: goneAfter,
-		ReplaceAfter: settings.Bounds.CatchUp / replaceShare, OnMembershipChange: finder.ObserveMembership,
-	}
-	if settings.Metered() {
-		config.Metering = control.Metering{Window: settings.Bounds.ReportWindow, SettleAfter: settle, SettleLatest: settings.Bounds.UsageDelay - reportRest, TakeoverQuiet: settings.Bounds.Lease, Report: func(report control.WindowReport) control.ReportResult {
-			ctx, cancel := context.WithTimeout(context.Background(), callLimit)
-			defer cancel()
-			return client.Report(ctx, report)
-		}}
-	}
+	platformClient := platform.NewClient(settings.Platform.Address, process.WANTransport(userTimeout), func() int64 { return core.Now() })
+	config := coreConfig(settings, platformClient)
+	config.OnMembershipChange = finder.ObserveMembership
 	if err := config.Check(); err != nil {
 		return err
 	}
-	core, err := control.NewCore(config, storage.Folder(settings.Folder), line, node.goroutines, node.counters)
+	core, err := control.NewCore(config, storage.Folder(settings.Folder), client, node.goroutines, node.counters)
 	if err != nil {
 		return err
 	}
 	server := rpc.NewServer(node.counters)
 	core.Register(server)
-	forwarder := agent.NewForwarder(finder, line, node.counters).WithLimits(agent.ForwardLimits{Attempt: sendLimit})
+	forwarder := agent.NewForwarder(finder, client, node.counters).WithLimits(agent.ForwardLimits{Attempt: attemptTimeout})
 	forwarder.SetLocalLeader(core.Leader)
-	orders := platform.NewControl(platform.NewLeaderOrders(forwarder), func() map[string]string { return node.source.Settings().Zones }, node.counters)
-	if err := node.open(side{config.InternalAddress, server}, side{settings.Listen.Operators, orders}); err != nil {
+	operators := platform.NewControl(platform.NewLeaderOrders(forwarder), func() map[string]string { return node.source.Settings().Zones }, node.counters)
+	if err := node.open(endpoint{config.InternalAddress, server}, endpoint{settings.Listen.Operators, operators}); err != nil {
 		return err
 	}
 	finder.Run()
@@ -89,7 +89,7 @@
 	node.source.Follow(node.goroutines)
 	process.LogCounts(node.goroutines, node.counters, settings.Name)
 	process.OnTerm(node.goroutines, func() {
-		begin, grace := time.Now(), settings.Bounds.Grace-graceRest
+		begin, grace := time.Now(), settings.Bounds.Grace-graceMargin
 		core.Retire(grace)
 		node.listeners[1].Drain(grace - time.Since(begin))
 		node.goroutines.Stop()
@@ -99,3 +99,51 @@
 	core.Close()
 	return nil
 }
+
+// makeDataFolder makes the folder in which a core keeps its state.
+func makeDataFolder(folder string) error {
+	if folder == "" {
+		return rpc.Errorf(rpc.BadFlag, "a core needs a data folder")
+	}
+	if err := os.MkdirAll(folder, 0o700); err != nil {
+		return rpc.Errorf(rpc.BadFlag, "data folder: %v", err)
+	}
+	return nil
+}
+
+// coreConfig is the config of a core by the platform's settings.
+func coreConfig(settings *platform.Settings, platformClient *platform.Client) control.Config {
+	config := control.Config{
+		Name:              settings.Name,
+		Zone:              settings.Zone,
+		InternalAddress:   internalAddress(settings, settings.Address),
+		Seeds:             internalSeeds(settings),
+		Bootstrap:         settings.First,
+		MinFounders:       2*settings.Survive.Machines + 1,
+		HeartbeatInterval: heartbeatInterval,
+		SuspicionTimeout:  suspicionTimeout,
+		Seed:              uint64(time.Now().UnixNano()),
+		DirectSessions:    true,
+		TableInterval:     tableInterval,
+		SessionTTL:        sessionTTL,
+		ListBackends:      platformClient.ListBackends,
+		ListInterval:      listInterval(settings),
+		ListsUntilGone:    listsUntilGone,
+		ReplaceAfter:      settings.Bounds.CatchUp / replaceShare,
+	}
+	if !settings.Metered() {
+		return config
+	}
+	config.Metering = control.Metering{
+		Window:        settings.Bounds.ReportWindow,
+		SettleAfter:   settleAfter,
+		SettleLatest:  settings.Bounds.UsageDelay - reportMargin,
+		TakeoverQuiet: settings.Bounds.Lease,
+		Report: func(report control.WindowReport) control.ReportResult {
+			ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
+			defer cancel()
+			return platformClient.Report(ctx, report)
+		},
+	}
+	return config
+}
--- a/cmd/orchidjunction/main.go
+++ b/cmd/orchidjunction/main.go
@@ -1,4 +1,5 @@
-// orchidjunction is orchidjunction on a platform: a proxy or a core, as its settings tell.
+// Command orchidjunction is a machine on the users' platform: a proxy or a core, as its
+// subcommand says, with the settings file that the platform names in the environment.
 package main
 
 import "C"
@@ -17,7 +18,8 @@
 	"orchidjunction/rpc"
 )
 
-const headerBytes = 64 << 10
+// maxHeaderBytes bounds the header of a request on any listener.
+const maxHeaderBytes = 64 << 10
 
 func main() {
 	flags := process.NewFlags("orchidjunction", "a machine of orchidjunction on a platform")
@@ -40,7 +42,7 @@
 	}
 }
 
-// node is one process with its open sides.
+// node is one process with its listeners, in the order in which they were opened.
 type node struct {
 	source     *platform.Source
 	goroutines *concurrent.Group
@@ -48,19 +50,19 @@
 	listeners  []*process.Listener
 }
 
-// side is one address and what serves it.
-type side struct {
+// endpoint is one address and what serves it.
+type endpoint struct {
 	address string
 	handler http.Handler
 }
 
-// open listens on every side that has an address.
-func (node *node) open(sides ...side) error {
-	for _, side := range sides {
-		if side.address == "" {
+// open listens on every endpoint that has an address.
+func (node *node) open(endpoints ...endpoint) error {
+	for _, endpoint := range endpoints {
+		if endpoint.address == "" {
 			continue
 		}
-		listener, err := process.Listen(side.address, side.handler, headerBytes)
+		listener, err := process.Listen(endpoint.address, endpoint.handler, maxHeaderBytes)
 		if err != nil {
 			return err
 		}
@@ -73,18 +75,20 @@
 	return nil
 }
 
-// inner is where a machine's process takes messages from the others.
-func inner(settings *platform.Settings, address string) string {
+// internalAddress is where a machine's process takes messages from the others: the first
+// of the ports that the platform gives it.
+func internalAddress(settings *platform.Settings, address string) string {
 	if parsed, err := netip.ParseAddrPort(address); err == nil {
 		address = parsed.Addr().String()
 	}
 	return address + ":" + strconv.Itoa(settings.FirstPort)
 }
 
-func innerSeeds(settings *platform.Settings) []string {
+// internalSeeds are the internal addresses of the machines to ask first.
+func internalSeeds(settings *platform.Settings) []string {
 	seeds := []string{}
 	for _, seed := range settings.Seeds {
-		seeds = append(seeds, inner(settings, seed))
+		seeds = append(seeds, internalAddress(settings, seed))
 	}
 	return seeds
 }
--- a/cmd/orchidjunction/proxy.go
+++ b/cmd/orchidjunction/proxy.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"crypto/rand"
-	"encoding/hex"
 	"net"
 	"net/http"
 	"time"
@@ -17,35 +15,73 @@
 	"orchidjunction/rpc"
 )
 
+// The times of a proxy on the platform.
 const (
-	sessionPace   = 500 * time.Millisecond
-	watchPace     = 2500 * time.Millisecond
-	feelPace      = 500 * time.Millisecond
-	lookPace      = 500 * time.Millisecond
-	backendSilent = 700 * time.Millisecond
-	linger        = 2500 * time.Millisecond
+	sessionInterval    = 500 * time.Millisecond
+	watchTimeout       = 2500 * time.Millisecond
+	pulseInterval      = 500 * time.Millisecond
+	checkReachInterval = 500 * time.Millisecond
+	// backendUserTimeout is the time in which bytes that were sent to a backend must be
+	// acknowledged.
+	backendUserTimeout = 700 * time.Millisecond
+	// lingerTime is how long a proxy that leaves goes on accepting requests, until its
+	// clients know.
+	lingerTime = 2500 * time.Millisecond
 )
 
-// runProxy is the life of a proxy.
+// keepAlive finds connections to backends whose machine is gone.
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}
+
+// agentConfig is the config of a proxy's session with the cores.
+func agentConfig(settings *platform.Settings) agent.Config {
+	address := internalAddress(settings, settings.Address)
+	return agent.Config{
+		Name:            settings.Name,
+		Kind:            "proxy",
+		Zone:            settings.Zone,
+		InternalAddress: address,
+		PublicAddress:   settings.Listen.Clients,
+		OperatorAddress: address,
+		Seeds:           internalSeeds(settings),
+		Intervals: agent.Intervals{
+			Session: sessionInterval, Watch: watchTimeout, FindLeader: findInterval,
+			Pulse: pulseInterval, CheckReach: checkReachInterval, UsageCount: -1,
+		},
+		ForwardLimits:  agent.ForwardLimits{Attempt: attemptTimeout},
+		DirectSessions: true,
+		ServesAlone:    true,
+		Routed:         true,
+	}
+}
+
+// proxyConfig is the config of a proxy's data plane.
+func proxyConfig(settings *platform.Settings) hostproxy.Config {
+	return hostproxy.Config{
+		Name:         settings.Name,
+		Zone:         settings.Zone,
+		Regions:      settings.Zones,
+		Headers:      platform.RequestHeaders(),
+		RetryRatio:   settings.Bounds.RetryRatio,
+		RetryExtra:   float64(settings.Bounds.RetryExtra),
+		WarmupExcess: settings.Bounds.WarmupExcess,
+		WarmupExtra:  settings.Bounds.WarmupExtra,
+		UsageWindow:  settings.Bounds.ReportWindow,
+		ListLag:      settings.Platform.Lag,
+		LinkBytes:    settings.Machine.LinkMbps * 1e6 / 8,
+	}
+}
+
+// runProxy runs a proxy until the process is asked to end.
 func (node *node) runProxy() error {
 	settings := node.source.Settings()
 	client := rpc.NewClient(process.WANTransport(userTimeout))
-	address := inner(settings, settings.Address)
-	config := agent.Config{
-		Name: settings.Name, Kind: "proxy", Zone: settings.Zone, InternalAddress: address, PublicAddress: settings.Listen.Clients, OperatorAddress: address, Seeds: innerSeeds(settings),
-		Intervals:     agent.Intervals{Session: sessionPace, Watch: watchPace, FindLeader: seekPace, Pulse: feelPace, CheckReach: lookPace, UsageCount: -1},
-		ForwardLimits: agent.ForwardLimits{Attempt: sendLimit}, DirectSessions: true, ServesAlone: true, Routed: true,
-	}
+	config := agentConfig(settings)
 	if err := config.Check(); err != nil {
 		return err
 	}
-	daemon := agent.NewDaemon(config, incarnation(), client, node.goroutines, node.counters)
-	dialer := &net.Dialer{Control: process.SetUserTimeout(backendSilent), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}}
-	plane := hostproxy.NewProxy(hostproxy.Config{
-		Name: settings.Name, Zone: settings.Zone, Regions: settings.Zones, Headers: platform.RequestHeaders(),
-		RetryRatio: settings.Bounds.RetryRatio, RetryExtra: float64(settings.Bounds.RetryExtra), WarmupExcess: settings.Bounds.WarmupExcess,
-		WarmupExtra: settings.Bounds.WarmupExtra, UsageWindow: settings.Bounds.ReportWindow, ListLag: settings.Platform.Lag, LinkBytes: settings.Machine.LinkMbps * 1e6 / 8,
-	}, dialer.DialContext, daemon.Now, node.goroutines, node.counters)
+	daemon := agent.NewDaemon(config, agent.NewID(), client, node.goroutines, node.counters)
+	dialer := &net.Dialer{Control: process.SetUserTimeout(backendUserTimeout), KeepAliveConfig: keepAlive}
+	plane := hostproxy.NewProxy(proxyConfig(settings), dialer.DialContext, daemon.Now, node.goroutines, node.counters)
 	daemon.OnVersion(func(version *agent.Version) {
 		if version.Routing != nil && version.RoutingSerial > 0 && version.Table.Complete {
 			plane.Apply(version.Routing, version.Table)
@@ -62,7 +98,7 @@
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	if err := node.open(side{settings.Listen.Clients, plane}, side{address, server}, side{settings.Listen.Ready, ready}, side{settings.Listen.Lookups, lookups}); err != nil {
+	if err := node.open(endpoint{settings.Listen.Clients, plane}, endpoint{config.InternalAddress, server}, endpoint{settings.Listen.Ready, ready}, endpoint{settings.Listen.Lookups, lookups}); err != nil {
 		return err
 	}
 	daemon.Run()
@@ -71,9 +107,9 @@
 	process.LogCounts(node.goroutines, node.counters, settings.Name)
 	process.OnTerm(node.goroutines, func() {
 		plane.Leave()
-		grace := settings.Bounds.Grace - graceRest
-		whole := daemon.Retire(min(linger, grace/2), grace, node.listeners[0].Drain)
-		klog.Infof("%s: stops, all in flight finished: %v", settings.Name, whole)
+		grace := settings.Bounds.Grace - graceMargin
+		finished := daemon.Retire(min(lingerTime, grace/2), grace, node.listeners[0].Drain)
+		klog.Infof("%s: stops, all in flight finished: %v", settings.Name, finished)
 		node.goroutines.Stop()
 	})
 	klog.Infof("%s: proxy started in zone %s", settings.Name, settings.Zone)
@@ -81,10 +117,3 @@
 	client.Close()
 	return nil
 }
-
-// incarnation names this life of the process.
-func incarnation() string {
-	var random [8]byte
-	rand.Read(random[:])
-	return hex.EncodeToString(random[:])
-}
