--- a/control/model_digest_test.go
+++ b/control/model_digest_test.go
@@ -199,7 +199,7 @@
 		digest.ballot(ledger.under[register])
 	}
 	digest.membership(ledger.version)
-	for _, term := range slices.SortedFunc(maps.Keys(ledger.leaders), compareBallots) {
+	for _, term := range slices.SortedFunc(maps.Keys(ledger.leaders), compareTerms) {
 		digest.ballot(term)
 		digest.numbers(ledger.leaders[term])
 	}
@@ -214,7 +214,7 @@
 	}
 }
 
-func compareBallots(left, right message.Term) int {
+func compareTerms(left, right message.Term) int {
 	if left.Less(right) {
 		return -1
 	}
@@ -225,7 +225,7 @@
 }
 
 func compareProposals(left, right modelProposal) int {
-	if order := compareBallots(left.ballot, right.ballot); order != 0 {
+	if order := compareTerms(left.ballot, right.ballot); order != 0 {
 		return order
 	}
 	if left.register != right.register {
--- a/control/model_ledger_test.go
+++ b/control/model_ledger_test.go
@@ -14,7 +14,7 @@
 const (
 	oneValuePerSerial     = "one value per serial"
 	acknowledgedIsKept    = "what was decided is never lost"
-	oneLeaderPerBallot    = "one leadership per ballot"
+	oneLeaderPerTerm      = "one leadership per term"
 	quorumsMeet           = "two quorums that decide always meet"
 	onlyVotersCount       = "no answer of a blank, amnesiac or removed replica counts"
 	idsAreUsedOnce        = "IDs are never used twice"
@@ -255,7 +255,7 @@
 // leads checks a leadership at its start.
 func (ledger *modelLedger) leads(machine int, push *modelPush) {
 	if other, found := ledger.leaders[push.ballot]; found {
-		ledger.violated(oneLeaderPerBallot, "machines %d and %d lead under %s", other, machine, push.ballot)
+		ledger.violated(oneLeaderPerTerm, "machines %d and %d lead under %s", other, machine, push.ballot)
 	}
 	ledger.leaders[push.ballot] = machine
 	if !slices.ContainsFunc(push.view.Voters, func(peer message.Peer) bool { return modelIndex(peer.Address) == machine }) {
--- a/control/model_mutants_test.go
+++ b/control/model_mutants_test.go
@@ -69,7 +69,7 @@
 
 var modelMutants = []modelMutant{
 	{
-		name: "a candidate needs one promise less", form: modelThree, breaks: []string{acknowledgedIsKept, oneValuePerSerial, oneLeaderPerBallot, confirmedReadIsNewest},
+		name: "a candidate needs one promise less", form: modelThree, breaks: []string{acknowledgedIsKept, oneValuePerSerial, oneLeaderPerTerm, confirmedReadIsNewest},
 		mutate: func(rules *modelRules) { rules.decides = modelTooFew },
 	},
 	{
@@ -127,9 +127,9 @@
 		},
 	},
 	{
-		name: "ballots without the core's ID", form: modelThree, breaks: []string{oneLeaderPerBallot, oneValuePerSerial, acknowledgedIsKept},
+		name: "ballots without the core's ID", form: modelThree, breaks: []string{oneLeaderPerTerm, oneValuePerSerial, acknowledgedIsKept},
 		mutate: func(rules *modelRules) {
-			rules.nextBallot = func(core *Core, view *consensus.View) message.Term {
+			rules.nextTerm = func(core *Core, view *consensus.View) message.Term {
 				term, _ := core.nextTerm(view)
 				term.Core = 1
 				return term
@@ -149,7 +149,7 @@
 		mutate: func(rules *modelRules) { rules.blankDiskVotes = true },
 	},
 	{
-		name: "a sync that does not last", form: modelThree, breaks: []string{acknowledgedIsKept, oneLeaderPerBallot, oneValuePerSerial},
+		name: "a sync that does not last", form: modelThree, breaks: []string{acknowledgedIsKept, oneLeaderPerTerm, oneValuePerSerial},
 		mutate: func(rules *modelRules) { rules.syncs = false },
 	},
 	{
--- a/control/model_rules_test.go
+++ b/control/model_rules_test.go
@@ -16,7 +16,7 @@
 	takenOver     func(view *consensus.View, promises map[int]*message.PrepareResponse) ([message.Registers]message.AcceptedValue, [message.Registers]int)
 	found         func(core *Core, term message.Term, accepted [message.Registers]message.AcceptedValue) error
 	mayLead       func(view *consensus.View, id int) bool
-	nextBallot    func(core *Core, view *consensus.View) message.Term
+	nextTerm      func(core *Core, view *consensus.View) message.Term
 	admits        func(view *consensus.View, address string) bool
 	mayBeginEmpty func(core *Core, response *message.JoinResponse) bool
 	beginEmpty    func(core *Core, term message.Term)
@@ -50,7 +50,7 @@
 			return core.replica.Initialize(term, accepted, nil)
 		},
 		mayLead: func(view *consensus.View, id int) bool { return view.MayLead(id) },
-		nextBallot: func(core *Core, view *consensus.View) message.Term {
+		nextTerm: func(core *Core, view *consensus.View) message.Term {
 			term, _ := core.nextTerm(view)
 			return term
 		},
--- a/control/model_steps_test.go
+++ b/control/model_steps_test.go
@@ -13,7 +13,7 @@
 func (world *modelWorld) stand(machine *modelMachine) {
 	process := machine.process
 	core, view := process.core, process.core.membership()
-	term := world.rules.nextBallot(core, view)
+	term := world.rules.nextTerm(core, view)
 	request := &message.PrepareRequest{Term: term, Membership: world.rules.askedMembers(view)}
 	own, err := core.replica.Prepare(request)
 	if err != nil || !own.Granted {
@@ -369,7 +369,7 @@
 		return
 	}
 	process.survey = nil
-	term := world.rules.nextBallot(core, survey.view)
+	term := world.rules.nextTerm(core, survey.view)
 	process.candidacy = &modelCandidacy{call: process.nextCall(), view: survey.view, ballot: term, promises: map[int]*message.PrepareResponse{}, restores: true}
 	request := &message.PrepareRequest{Term: term, Membership: world.rules.askedMembers(survey.view)}
 	for _, peer := range survey.view.Peers {
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -46,7 +46,7 @@
 
 // Counts are laid over backends without changing the list they come from, and
 // never fall below those of the table before.
-func TestStirsAreLaidOnACopy(test *testing.T) {
+func TestProbeHintsAreAppliedToACopy(test *testing.T) {
 	hints, listed := newProbeHints(), []message.Backend{{Name: "a"}, {Name: "b"}, {Name: "c", ProbeHint: 9}}
 	laid := hints.apply(listed, []message.Backend{{Name: "b", ProbeHint: 4}})
 	if laid[0].ProbeHint != 0 || laid[1].ProbeHint != 4 || laid[2].ProbeHint != 0 {
--- a/harness/simulation/roster_test.go
+++ b/harness/simulation/membership_test.go
@@ -60,7 +60,7 @@
 
 // Cores that start together, apart, or with the founder killed and started
 // again at any moment, found one roster, and all of them know it.
-func TestRosterIsFoundedOnce(test *testing.T) {
+func TestMembershipIsInitializedOnce(test *testing.T) {
 	nothing := func(*World) {}
 	each(test, func(test *testing.T, seed uint64) {
 		random := rand.New(rand.NewPCG(seed, 37))
--- a/replica/restored_test.go
+++ b/replica/restored_test.go
@@ -10,7 +10,7 @@
 
 // A blank disk that took over what others hold has accepted it under its own
 // ballot only: counted under theirs, copies of one vote would look like a majority.
-func TestTakenOverIsNoVoteOfTheFormerBallot(test *testing.T) {
+func TestInheritedValueIsNoVoteOfTheFormerTerm(test *testing.T) {
 	store, err := replica.OpenStore(simulation.NewDisk(1))
 	if err != nil {
 		test.Fatal(err)
--- a/routing/history_test.go
+++ b/routing/history_test.go
@@ -8,7 +8,7 @@
 )
 
 // A history knows the newest changes exactly, says what it forgot, and stays short.
-func TestTrailKnowsTheNewestAndWhatItForgot(test *testing.T) {
+func TestHistoryKnowsTheNewestAndWhatItForgot(test *testing.T) {
 	const more = 100
 	history, version := History{}, uint64(0)
 	versions := []uint64{}
@@ -34,7 +34,7 @@
 
 // A history that was packed, read and continued is the same; one that was read keeps
 // its own bytes though two longer ones were made of it.
-func TestTrailLastsAndIsNotShared(test *testing.T) {
+func TestHistoryLastsAndIsNotShared(test *testing.T) {
 	history := History{}.With(300, "a").With(70000, "b")
 	body, err := rpc.Marshal(&State{History: history})
 	if err != nil {
@@ -51,7 +51,7 @@
 }
 
 // A state of a former version, whose history is a list of whole digests, is read.
-func TestTrailOfFormerVersionIsRead(test *testing.T) {
+func TestHistoryOfFormerVersionIsRead(test *testing.T) {
 	type formerBook struct {
 		Config    Config
 		Evacuated []string
--- a/slo/objectives_test.go
+++ b/slo/objectives_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestAims(test *testing.T) {
+func TestObjectives(test *testing.T) {
 	body, err := os.ReadFile("../examples/aims.yaml")
 	if err != nil {
 		test.Fatal(err)
--- a/usage/sums_test.go
+++ b/usage/sums_test.go
@@ -11,7 +11,7 @@
 
 // Clocks jump by hours, leaders change and proxies come and go: every task is
 // reported once, and no period is there twice.
-func TestUsageBookWhileClocksJump(test *testing.T) {
+func TestUsageSumsWhileClocksJump(test *testing.T) {
 	body, err := os.ReadFile("../examples/small.json")
 	if err != nil {
 		test.Fatal(err)
