--- a/agent/connectivity.go
+++ b/agent/connectivity.go
@@ -74,7 +74,7 @@
 // reached, the newest that half of the proxies know.
 func (daemon *Daemon) checkReach() {
 	if isCut, changed := daemon.connectivity.cutChanged(); changed {
-		klog.Infof("%s: cut off %v", daemon.config.Name, isCut)
+		klog.Infof("%s: partitioned from the cores: %v", daemon.config.Name, isCut)
 		if isCut {
 			daemon.counters.Add("cut_off", 1)
 			daemon.unconfirm()
--- a/agent/readiness.go
+++ b/agent/readiness.go
@@ -71,7 +71,7 @@
 	daemon.mutex.Unlock()
 	if wasPaused {
 		daemon.counters.Add("stood_still", 1)
-		klog.Infof("%s: stood still, asks for a newly confirmed serial", daemon.config.Name)
+		klog.Infof("%s: process was paused, asks for a confirmed version", daemon.config.Name)
 		daemon.unconfirm()
 	}
 	if daemon.shouldAskPeers() {
--- a/cmd/orchidjunction/proxy.go
+++ b/cmd/orchidjunction/proxy.go
@@ -109,7 +109,7 @@
 		plane.Leave()
 		grace := settings.Bounds.Grace - graceMargin
 		finished := daemon.Retire(min(lingerTime, grace/2), grace, node.listeners[0].Drain)
-		klog.Infof("%s: stops, all in flight finished: %v", settings.Name, finished)
+		klog.Infof("%s: stopping, all requests in flight finished: %v", settings.Name, finished)
 		node.goroutines.Stop()
 	})
 	klog.Infof("%s: proxy started in zone %s", settings.Name, settings.Zone)
--- a/control/claims.go
+++ b/control/claims.go
@@ -112,7 +112,7 @@
 	repair := &idempotency.Write{Request: &message.RecordClaimsRequest{}, Membership: view.Accepted(), CompleteAs: view.ID}
 	if core.claims.Submit(repair) == nil && !repair.Refused {
 		core.counters.Add("claims_mended", 1)
-		klog.Infof("core %d: claims are whole, told by %d of %d cores", view.ID, fetched.complete, fetched.asked)
+		klog.Infof("core %d: idempotency keys complete, fetched from %d of %d cores", view.ID, fetched.complete, fetched.asked)
 	}
 }
 
--- a/control/election.go
+++ b/control/election.go
@@ -219,7 +219,7 @@
 // startLeading makes known what the new leadership holds.
 func (core *Core) startLeading(leadership *Leadership) {
 	core.config.OnRole(Leading, leadership.term)
-	klog.Infof("core %d: leads under %s, revoked %s by %s", core.membership().ID, leadership.term, leadership.revocation.Revoked, leadership.revocation.Method)
+	klog.Infof("core %d: leader in term %s, revoked term %s by %s", core.membership().ID, leadership.term, leadership.revocation.Revoked, leadership.revocation.Method)
 	for register := range message.Registers {
 		accepted := message.AcceptedValue{Term: leadership.term, Value: leadership.value(register)}
 		core.commit(register, accepted, leadership.settings().chunks)
--- a/control/heartbeat.go
+++ b/control/heartbeat.go
@@ -151,7 +151,7 @@
 		core.clock.AddOneWay(request.NowMs)
 	}
 	if isOtherLeader {
-		klog.Infof("core %d: follows core %d under %s", core.membership().ID, request.Leader.Core, request.Term)
+		klog.Infof("core %d: follower of core %d in term %s", core.membership().ID, request.Leader.Core, request.Term)
 		core.updates.Notify()
 	}
 	for register, version := range request.Committed {
--- a/control/lameduck.go
+++ b/control/lameduck.go
@@ -53,7 +53,7 @@
 	leadership.heartbeat()
 	leadership.writeLock.Lock()
 	defer leadership.writeLock.Unlock()
-	klog.Infof("core %d: lameduck, hands over to core %d", core.membership().ID, successor.ID)
+	klog.Infof("core %d: lameduck, transfers leadership to core %d", core.membership().ID, successor.ID)
 	request := leadership.transferRequest()
 	response, err := rpc.Call[message.TransferLeadershipRequest, message.TransferLeadershipResponse](core.client, successor.Address, message.MethodTransferLeadership, core.callTimeout(), request)
 	if err != nil || !response.Accepted {
--- a/control/learner.go
+++ b/control/learner.go
@@ -109,5 +109,5 @@
 		return
 	}
 	core.counters.Add("learners_begun", 1)
-	klog.Infof("core at %s: learns from the leader under %s", core.config.InternalAddress, term)
+	klog.Infof("core at %s: learner of the leader in term %s", core.config.InternalAddress, term)
 }
--- a/control/remove_voter.go
+++ b/control/remove_voter.go
@@ -43,7 +43,7 @@
 	if request.Core == view.ID {
 		return nil, leadership.transferForRemoval()
 	}
-	klog.Infof("core %d: core %d is removed by order", view.ID, request.Core)
+	klog.Infof("core %d: core %d is removed by an operator", view.ID, request.Core)
 	leadership.replaceVoter(view.Voters[position], learner)
 	return leadership.removalResponse(request.Core)
 }
--- a/control/replacement.go
+++ b/control/replacement.go
@@ -216,7 +216,7 @@
 	core := leadership.core
 	if err := leadership.beginReplacement(leaving, address); err != nil {
 		core.counters.Add("replacements_failed", 1)
-		klog.Infof("core %d: %s does not take core %d's place: %v", core.membership().ID, address, leaving.ID, err)
+		klog.Infof("core %d: %s does not replace core %d: %v", core.membership().ID, address, leaving.ID, err)
 		return
 	}
 	core.counters.Add("replacements_begun", 1)
@@ -287,7 +287,7 @@
 	}
 	core.counters.Add("replacements", 1)
 	after := core.membership()
-	klog.Infof("core %d: membership %d settled: voters %v", view.ID, after.Version.Serial, after.Voters)
+	klog.Infof("core %d: membership %d committed: voters %v", view.ID, after.Version.Serial, after.Voters)
 }
 
 // writeMembership writes a membership, with the write lock held. It counts from now on,
--- a/control/restore.go
+++ b/control/restore.go
@@ -74,7 +74,7 @@
 	if core.replica.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil) != nil {
 		return
 	}
-	klog.Infof("core %d: founded", view.ID)
+	klog.Infof("core %d: bootstrapped", view.ID)
 	core.startClaims(view.ID)
 	core.startFollowing()
 }
@@ -97,7 +97,7 @@
 		return nil, nil
 	}
 	core.counters.Add("restores", 1)
-	klog.Infof("core %d: restored from %d cores under %s", view.ID, len(promises), term)
+	klog.Infof("core %d: restored from %d cores in term %s", view.ID, len(promises), term)
 	promises[view.ID] = &message.PrepareResponse{Granted: true, Promised: term, Accepted: core.replica.State().Accepted}
 	return promises, nil
 }
--- a/idempotency/log.go
+++ b/idempotency/log.go
@@ -255,7 +255,7 @@
 func (log *Log) failed(refused *group, err error) {
 	log.unsynced, log.failedAt = refused, time.Now()
 	log.counters.Add("claim_disk_faults", 1)
-	klog.Errorf("claims: refused until the disk takes writes again: %v", err)
+	klog.Errorf("idempotency keys: refused until the disk takes writes again: %v", err)
 }
 
 // repair returns nil while the journal accepts groups. After an error it tries now and
@@ -279,7 +279,7 @@
 		log.unsynced = nil
 	}
 	log.counters.Add("claim_disk_repairs", 1)
-	klog.Infof("claims: the disk takes writes again")
+	klog.Infof("idempotency keys: the disk takes writes again")
 	return nil
 }
 
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -137,7 +137,7 @@
 		for _, one := range ended {
 			whole = whole && one
 		}
-		klog.Infof("%s: stops, all in flight finished: %v", config.Name, whole)
+		klog.Infof("%s: stopping, all requests in flight finished: %v", config.Name, whole)
 		goroutines.Stop()
 	})
 	klog.Infof("%s: started in zone %s", config.Name, config.Zone)
--- a/process/run.go
+++ b/process/run.go
@@ -208,7 +208,7 @@
 	goroutines.Start(func() {
 		err := listener.server.Serve(listener.open)
 		if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			klog.Errorf("%s: takes no connections any more: %v", listener.open.Addr(), err)
+			klog.Errorf("%s: stopped accepting connections: %v", listener.open.Addr(), err)
 		}
 	})
 }
--- a/serviceproxy/claims.go
+++ b/serviceproxy/claims.go
@@ -72,7 +72,7 @@
 		claims.complete = true
 		claims.mutex.Unlock()
 		claims.proxy.counters.Add("claims_recalled", 1)
-		klog.Infof("%s: %d claims read back from the cores", claims.proxy.daemon.Name(), claims.store.Count())
+		klog.Infof("%s: %d idempotency keys restored from the cores", claims.proxy.daemon.Name(), claims.store.Count())
 	}
 	if claims.Joined() || claims.proxy.lending != nil || !claims.proxy.daemon.Ready() {
 		return
@@ -112,7 +112,7 @@
 	claims.mutex.Lock()
 	claims.joined, claims.complete = true, grown > 0 && wholes == grown
 	claims.mutex.Unlock()
-	klog.Infof("%s: keeps claims, told by %d keepers", claims.proxy.daemon.Name(), grown)
+	klog.Infof("%s: replica of idempotency keys, state from %d other replicas", claims.proxy.daemon.Name(), grown)
 	claims.proxy.counters.Add("claims_grown", 1)
 }
 
