--- a/harness/capacity/bench.go
+++ b/harness/capacity/bench.go
@@ -24,7 +24,7 @@
 	folder     string
 	goroutines *concurrent.Group
 	cores      []*child
-	hollows    []*child
+	simulated  []*child
 	forwarder  *agent.Forwarder
 	result     *Result
 	version    uint64
@@ -56,7 +56,7 @@
 }
 
 func (bench *bench) down() {
-	for _, one := range append(append([]*child{}, bench.cores...), bench.hollows...) {
+	for _, one := range append(append([]*child{}, bench.cores...), bench.simulated...) {
 		one.end(syscall.SIGKILL)
 	}
 	bench.goroutines.Stop()
@@ -118,10 +118,10 @@
 	if _, err := bench.order(&routing.Change{Version: 1, Digest: "1", Whole: whole}); err != nil {
 		return err
 	}
-	for first := 0; first < point.Daemons; first += hollowMost {
-		port := bench.port + 1000 + len(bench.hollows)*portStep
+	for first := 0; first < point.Daemons; first += maxDaemonsPerProcess {
+		port := bench.port + 1000 + len(bench.simulated)*portStep
 		spec := SimulatedSpec{
-			First: first, Daemons: min(hollowMost, point.Daemons-first), Wire: fmt.Sprintf("127.0.0.1:%d", port), Report: fmt.Sprintf("127.0.0.1:%d", port+1),
+			First: first, Daemons: min(maxDaemonsPerProcess, point.Daemons-first), Wire: fmt.Sprintf("127.0.0.1:%d", port), Report: fmt.Sprintf("127.0.0.1:%d", port+1),
 			Seeds: seeds, Apply: point.Apply, Active: point.Active, Tenants: point.Tenants,
 		}
 		if err := bench.begin("scale-hollow", spec, spec.Report, spec.Wire, 4); err != nil {
@@ -148,7 +148,7 @@
 
 func (bench *bench) ready() bool {
 	count := 0
-	for _, one := range bench.hollows {
+	for _, one := range bench.simulated {
 		reading := Reading{}
 		if getJSON(one.report, "/reading", &reading) != nil {
 			return false
--- a/harness/capacity/child.go
+++ b/harness/capacity/child.go
@@ -40,7 +40,7 @@
 	if kind == "scale-core" {
 		bench.cores = append(bench.cores, begun)
 	} else {
-		bench.hollows = append(bench.hollows, begun)
+		bench.simulated = append(bench.simulated, begun)
 	}
 	return nil
 }
--- a/harness/capacity/phases.go
+++ b/harness/capacity/phases.go
@@ -86,7 +86,7 @@
 
 func (bench *bench) applied(serial uint64) []int64 {
 	all := []int64{}
-	for _, one := range bench.hollows {
+	for _, one := range bench.simulated {
 		times := []int64{}
 		if getJSON(one.report, "/applied?serial="+strconv.FormatUint(serial, 10), &times) != nil {
 			return nil
@@ -101,8 +101,8 @@
 func (bench *bench) restart() (err error) {
 	bench.result.Restarting, err = bench.over(func() error {
 		begin := time.Now()
-		for _, one := range bench.hollows {
-			count := max(1, bench.point.Daemons/len(bench.hollows)/10)
+		for _, one := range bench.simulated {
+			count := max(1, bench.point.Daemons/len(bench.simulated)/10)
 			bench.result.Restarted += count
 			done := false
 			if err := getJSON(one.report, "/restart?count="+strconv.Itoa(count), &done); err != nil {
--- a/harness/capacity/point.go
+++ b/harness/capacity/point.go
@@ -50,13 +50,13 @@
 }
 
 const (
-	leaderRole   = "leader"
-	followerRole = "follower"
-	daemonRole   = "daemon"
-	hollowMost   = 768
-	portStep     = 10
-	seedMost     = 3
-	pageItems    = 1000
+	leaderRole           = "leader"
+	followerRole         = "follower"
+	daemonRole           = "daemon"
+	maxDaemonsPerProcess = 768
+	portStep             = 10
+	seedMost             = 3
+	pageItems            = 1000
 
 	settleQuiet = 4 * time.Second
 	settleMost  = 30 * time.Second
--- a/harness/capacity/rates.go
+++ b/harness/capacity/rates.go
@@ -18,7 +18,7 @@
 // readings are those of all processes, by their report address.
 func (bench *bench) readings() (map[string]Reading, error) {
 	all := map[string]Reading{}
-	for _, one := range append(append([]*child{}, bench.cores...), bench.hollows...) {
+	for _, one := range append(append([]*child{}, bench.cores...), bench.simulated...) {
 		if one.dead {
 			continue
 		}
@@ -51,7 +51,7 @@
 		sum := roles[followerRole]
 		roles[followerRole] = Rates{}.plus(sum, 1/followers)
 	}
-	for _, one := range bench.hollows {
+	for _, one := range bench.simulated {
 		roles[daemonRole] = roles[daemonRole].plus(between(before[one.report], after[one.report]), 1/float64(bench.point.Daemons))
 	}
 	return roles
--- a/harness/capacity/samples.go
+++ b/harness/capacity/samples.go
@@ -1,6 +1,6 @@
 // Package capacity measures what each role costs as a deployment grows. A Sweep varies
 // one size over Points; Measure runs real cores in processes of their own (RunCore)
-// and many hollow daemons, which carry no requests, in shared ones (RunHollow), and
+// and many simulated daemons, which carry no requests, in shared ones (RunSimulatedDaemons), and
 // reads what each process used through a Tap. PlayStates measures the state alone.
 // WritePage fits lines to the results and writes the tables of docs/measure.
 package capacity
--- a/harness/capacity/hollow.go
+++ b/harness/capacity/simulated_daemons.go
@@ -22,7 +22,7 @@
 	"orchidjunction/rpc"
 )
 
-// What a hollow daemon does with a version that it takes.
+// What a simulated daemon does with a version that it takes.
 const (
 	ApplyNothing = "nothing"
 	ApplyIndex   = "index"
@@ -47,7 +47,7 @@
 	return all
 }
 
-// SimulatedSpec is the configuration of a process of hollow daemons, passed as JSON on
+// SimulatedSpec is the configuration of a process of simulated daemons, passed as JSON on
 // its command line. Active is the number of tenants that each of them counts in a
 // window.
 type SimulatedSpec struct {
@@ -151,7 +151,7 @@
 	one.client.Close()
 }
 
-// RunSimulatedDaemons is the main function of a process of hollow daemons; it returns when
+// RunSimulatedDaemons is the main function of a process of simulated daemons; it returns when
 // the process is stopped.
 func RunSimulatedDaemons(spec SimulatedSpec) error {
 	goroutines, tap := concurrent.NewGroup(), newByteCounter()
