--- a/harness/simulation/race_on_test.go
+++ b/harness/simulation/race_on_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package sim
+package simulation
 
 const raced = true
