--- a/config/patch.go
+++ b/config/patch.go
@@ -12,7 +12,7 @@
 
 // Patch merges a partial tree into a whole one (JSON merge patch, RFC 7396):
 // objects merge, null removes. The result is not checked; a partial tree that is no
-// object or names a field twice is wire.Invalid.
+// object or names a field twice is rpc.Invalid.
 func Patch(base, partial []byte) ([]byte, error) {
 	part, err := readPartial(partial)
 	if err != nil {
--- a/config/read.go
+++ b/config/read.go
@@ -23,7 +23,7 @@
 // nameLetters are the characters that names of settings are made of.
 const nameLetters = "abcdefghijklmnopqrstuvwxyz0123456789-_"
 
-// Read decodes and checks whole settings. The error is of kind wire.Invalid and
+// Read decodes and checks whole settings. The error is of kind rpc.Invalid and
 // names every field that is wrong, not only the first.
 func Read(body []byte) (*Settings, error) {
 	reader := &reader{}
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -142,7 +142,7 @@
 
 // Place returns the proxies for a tenant by rendezvous hashing, those in the zone
 // near first, spread over zones before a second one of any zone is taken. It
-// returns wire.NoBackend if no proxy may serve the tenant.
+// returns rpc.NoBackend if no proxy may serve the tenant.
 func (view *View) Place(tenant int, near string) (*Placement, error) {
 	settings := view.routes.Settings()
 	name := view.routes.TenantName(tenant)
--- a/harness/cluster/spec.go
+++ b/harness/cluster/spec.go
@@ -55,7 +55,7 @@
 	return 2*(spec.Cores+newCores) + 3*(spec.Directories+spec.Proxies+spec.Guests) + spec.Backends + 1
 }
 
-// Check reads the settings and returns wire.BadFlag or wire.Invalid for what could
+// Check reads the settings and returns rpc.BadFlag or rpc.Invalid for what could
 // not run, before anything starts.
 func (spec *Spec) Check() (*config.Settings, []byte, error) {
 	if spec.Cores%2 == 0 || spec.Cores < 1 || spec.Cores > 7 || spec.Directories < 1 || spec.Proxies < 1 || spec.Proxies > 64 || spec.Backends < 1 || spec.Backends > 256 {
--- a/harness/testdisk/disk.go
+++ b/harness/testdisk/disk.go
@@ -1,5 +1,5 @@
 // Package testdisk is a storage.Disk in memory that keeps exactly what was synced, and
-// that is cheap to copy. Tests and models use it; package sim has a disk that is as
+// that is cheap to copy. Tests and models use it; package simulation has a disk that is as
 // unkind as a real one.
 package testdisk
 
--- a/operator/client.go
+++ b/operator/client.go
@@ -31,7 +31,7 @@
 
 // Ask sends one call and decodes a 200 answer's JSON body into into. Any daemon may
 // be sent the same body again, so that a change must carry its own id. It returns
-// the refusal of a daemon, wire.Unreachable if none answered, or wire.BadMessage
+// the refusal of a daemon, rpc.Unreachable if none answered, or rpc.BadMessage
 // for an answer that can't be decoded.
 func (client *Client) Ask(method, path string, body []byte, into any) error {
 	last := rpc.Errorf(rpc.Unreachable, "no daemon given")
--- a/serviceproxy/admission.go
+++ b/serviceproxy/admission.go
@@ -129,7 +129,7 @@
 }
 
 // Admit admits one request of a class, given the mean usage of the backends. The
-// error is wire.Busy.
+// error is rpc.Overloaded.
 func (admission *Admission) Admit(class string, usage float64) error {
 	admission.mutex.Lock()
 	admission.tasks++
--- a/serviceproxy/overload.go
+++ b/serviceproxy/overload.go
@@ -29,7 +29,7 @@
 	return &LendingLimit{owner: owner, rate: rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond/4), 1)), most: most}
 }
 
-// Acquire admits one request of the other partner; the error is wire.Busy. Each
+// Acquire admits one request of the other partner; the error is rpc.Overloaded. Each
 // admitted request must be given back by Give.
 func (lend *LendingLimit) Acquire() error {
 	lend.mutex.Lock()
--- a/slo/objectives.go
+++ b/slo/objectives.go
@@ -63,7 +63,7 @@
 
 const source = "orchidjunction"
 
-// Read decodes one or more YAML documents. It returns wire.BadRequest for an
+// Read decodes one or more YAML documents. It returns rpc.BadRequest for an
 // unknown field, a form that is not supported, or no document.
 func Read(body []byte) ([]Document, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(body))
