--- a/agent/core_choice.go
+++ b/agent/core_choice.go
@@ -49,7 +49,7 @@
 
 // nextCore returns the core that was chosen last if it votes and did not fail lately, and
 // else the next voter. A seed without a vote is chosen only while all voters failed
-// lately: what it is told may reach nobody. The caller holds the mutex.
+// lately: what is reported to it may reach nobody. The caller holds the mutex.
 func (daemon *Daemon) nextCore() string {
 	voters, others := daemon.LeaderFinder.Voters()
 	begin := max(slices.Index(voters, daemon.lastCore), 0)
--- a/agent/daemon.go
+++ b/agent/daemon.go
@@ -142,7 +142,7 @@
 // SetWarm sets what says whether this daemon has probed what it needs.
 func (daemon *Daemon) SetWarm(isWarm func() bool) { daemon.callbacks.isWarm = isWarm }
 
-// OnRetire sets what must be told to others before a planned end, within the rest of its
+// OnRetire sets what others must be notified of before a planned end, within the rest of its
 // time.
 func (daemon *Daemon) OnRetire(finish func(rest time.Duration)) { daemon.callbacks.onRetire = finish }
 
--- a/agent/retire.go
+++ b/agent/retire.go
@@ -12,7 +12,7 @@
 
 // Retire is the daemon's planned end within a grace: the others stop sending here, which
 // takes them the time to settle; drain waits for what is in flight and returns whether
-// all of it ended; and the last counts are told. Retire returns what drain returned.
+// all of it ended; and the last counts are reported. Retire returns what drain returned.
 func (daemon *Daemon) Retire(settle, grace time.Duration, drain func(rest time.Duration) bool) bool {
 	begin := time.Now()
 	daemon.mutex.Lock()
--- a/agent/sent_counts.go
+++ b/agent/sent_counts.go
@@ -6,7 +6,7 @@
 	"orchidjunction/message"
 )
 
-// sentCounts is what the core's process that gets this daemon's sessions was told of its
+// sentCounts is what the core's process that gets this daemon's sessions has acknowledged of its
 // counts. Only what changed since is sent; another process is sent everything.
 type sentCounts struct {
 	core    string
--- a/agent/session.go
+++ b/agent/session.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// sendUsage tells the leader what was served since it was told last: what only this
+// sendUsage reports to the leader what was served since the last report: what only this
 // process knows is lost with it. Sessions tell it too, to whichever core.
 func (daemon *Daemon) sendUsage() {
 	leader, usage := daemon.LeaderFinder.Leader(), daemon.callbacks.usage()
--- a/consensus/acceptor.go
+++ b/consensus/acceptor.go
@@ -84,7 +84,7 @@
 }
 
 // JoinRecord returns the record that makes a disk of the system's first start a voter
-// under the membership that it was told.
+// under the given membership.
 func (state *State) JoinRecord(membership message.AcceptedValue) (*Record, error) {
 	if state.Initialized {
 		return nil, rpc.Errorf(rpc.BadMessage, "votes already")
--- a/consensus/state.go
+++ b/consensus/state.go
@@ -58,7 +58,7 @@
 	return versions
 }
 
-// Upgrade makes the roster of a former release, which never changed, the first membership.
+// Upgrade makes the list of voters of a former release, which never changed, the first membership.
 func (state *State) Upgrade(voters []message.Peer) {
 	state.FormerRoster = nil
 	if len(voters) > 0 && state.Accepted[message.MembersRegister].Value.Serial == 0 {
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -35,7 +35,7 @@
 
 // onEvacuate takes a zone's backends out of use, or back into it. An order that was under
 // way while the zone changed is not carried out: its operator gave up on it, and may have
-// been told since that the contrary is in force.
+// been notified since that the contrary is in force.
 func (core *Core) onEvacuate(request *message.EvacuateRequest) (*message.EvacuateResponse, error) {
 	leadership, err := core.currentLeadership()
 	if err != nil {
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -221,7 +221,7 @@
 	}
 }
 
-// confirmDecision returns what a caller is told of a decision that needed no write: the
+// confirmDecision returns the response to a caller for a decision that needed no write: the
 // decision, once the leadership is confirmed after it, and else why it is not.
 func (leadership *Leadership) confirmDecision(decision error) error {
 	if err := leadership.confirm(leadership.core.callTimeout()); err != nil {
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -18,7 +18,7 @@
 	renewedAt time.Time
 }
 
-// Sessions are the daemons this core knows, because they or another core told it. It is
+// Sessions are the daemons this core knows, because they or another core shared them. It is
 // safe for concurrent use.
 type Sessions struct {
 	mutex       sync.Mutex
@@ -222,7 +222,7 @@
 }
 
 // forForwarding returns a session as the leader gets it from this core: with all counts
-// that this core was told, since what the session itself brought may only add to them.
+// that were reported to this core, since what the session itself brought may only add to them.
 func (core *Core) forForwarding(tracked trackedSession) message.Session {
 	session := tracked.session
 	session.AgeMs = time.Since(tracked.renewedAt).Milliseconds()
--- a/control/usage_reports.go
+++ b/control/usage_reports.go
@@ -46,7 +46,7 @@
 	return leadership, state
 }
 
-// sealUsage is the leader's task to seal what it was told, and to end a period that is
+// sealUsage is the leader's task to seal what was reported to it, and to end a period that is
 // over.
 func (core *Core) sealUsage() {
 	leadership, state := core.usageState()
--- a/control/window_reports.go
+++ b/control/window_reports.go
@@ -169,7 +169,7 @@
 }
 
 // windowSettled reports whether a window's counts are in: it ended a while ago, and who
-// counted has told so since or had the time to, also to a new leader.
+// counted has reported since or had the time to, also to a new leader.
 func (core *Core) windowSettled(leadership *Leadership, window, now int64) bool {
 	config := core.config.Metering
 	end := (window + 1) * config.Window.Milliseconds()
--- a/usage/sums.go
+++ b/usage/sums.go
@@ -87,7 +87,7 @@
 	return &Sums{startedAt: time.Now(), counts: map[string]map[string]uint64{}, toldAt: map[string]time.Time{}, delivered: map[string]bool{}}
 }
 
-// Add takes the counts by tenant that a process has told; they never fall.
+// Add takes the counts by tenant that a process has reported; they never fall.
 func (sums *Sums) Add(process string, counts map[string]uint64) {
 	if len(counts) == 0 {
 		return
@@ -105,7 +105,7 @@
 	}
 }
 
-// HasNew reports whether processes told counts that a state does not hold yet.
+// HasNew reports whether processes reported counts that a state does not hold yet.
 func (sums *Sums) HasNew(state *State) bool {
 	sums.mutex.Lock()
 	defer sums.mutex.Unlock()
@@ -173,7 +173,7 @@
 	EndsPeriod bool
 }
 
-// Next returns the state with what processes told since. It forgets processes that were
+// Next returns the state with what processes reported since. It forgets processes that were
 // not seen for long, by the state's own age.
 func (sums *Sums) Next(former *State, sealing Sealing) *State {
 	sums.mutex.Lock()
--- a/usage/windows.go
+++ b/usage/windows.go
@@ -99,7 +99,7 @@
 }
 
 // isComplete reports whether a session's counts, with those known here, are all that its
-// process counted: changes since what another process was told are not.
+// process counted: changes since what was reported to another process are not.
 func (windows *Windows) isComplete(session *message.Session) bool {
 	return session.BaseProcess == 0 || session.BaseProcess == windows.process
 }
@@ -120,7 +120,7 @@
 	}
 }
 
-// CountsOf returns all counts that a session's process told, by window, and whether that
+// CountsOf returns all counts that a session's process reported, by window, and whether that
 // is all it counted.
 func (windows *Windows) CountsOf(session *message.Session) ([]message.WindowCount, bool) {
 	windows.mutex.Lock()
@@ -179,7 +179,7 @@
 }
 
 // AllReported reports whether every proxy of a table that stays said what it counted
-// until a window's end: a new leader knows nothing of those that have not told it yet.
+// until a window's end: a new leader knows nothing of those that have not reported to it yet.
 func (windows *Windows) AllReported(table *message.Table, endMs int64) bool {
 	windows.mutex.Lock()
 	defer windows.mutex.Unlock()
@@ -193,7 +193,7 @@
 	return true
 }
 
-// Forget drops windows before one, and processes that told nothing since it began.
+// Forget drops windows before one, and processes that reported nothing since it began.
 // LengthMs is the length of a window.
 func (windows *Windows) Forget(before, lengthMs int64) {
 	windows.mutex.Lock()
