--- a/agent/core_choice_test.go
+++ b/agent/core_choice_test.go
@@ -42,7 +42,15 @@
 }
 
 func daemonOn(all doors, seeds []string) *Daemon {
-	config := Config{Name: "p1", Kind: "proxy", Zone: "e1", InternalAddress: "10.0.1.1:41", PublicAddress: "10.0.1.1:80", OperatorAddress: "10.0.1.1:42", Seeds: seeds}
+	config := Config{
+		Name:            "p1",
+		Kind:            "proxy",
+		Zone:            "e1",
+		InternalAddress: "10.0.1.1:41",
+		PublicAddress:   "10.0.1.1:80",
+		OperatorAddress: "10.0.1.1:42",
+		Seeds:           seeds,
+	}
 	return NewDaemon(config, "i1", rpc.NewClient(all), concurrent.NewGroup(), metrics.NewCounters())
 }
 
@@ -130,7 +138,17 @@
 	other.Register(server)
 	all["10.0.1.2:41"] = server
 	daemon := daemonOn(all, coresAt(1, 2, 3))
-	daemon.version.Store(&Version{Table: &message.Table{Members: []message.Member{{Name: "p1", InternalAddress: "10.0.1.1:41"}, {Name: "p2", InternalAddress: "10.0.1.2:41"}, {Name: "p3", InternalAddress: "10.0.1.3:41"}}}})
+	daemon.version.Store(
+		&Version{
+			Table: &message.Table{
+				Members: []message.Member{
+					{Name: "p1", InternalAddress: "10.0.1.1:41"},
+					{Name: "p2", InternalAddress: "10.0.1.2:41"},
+					{Name: "p3", InternalAddress: "10.0.1.3:41"},
+				},
+			},
+		},
+	)
 	daemon.connectivity.reachedCore(time.Now())
 	if daemon.shouldAskPeers() {
 		test.Error("asks while a core is reached")
@@ -159,7 +177,17 @@
 			return &message.LeaderResponse{Membership: versionMark(3, 1), Cores: coresAt(1, 2, 3), Routing: 4}, nil
 		})
 		all[coreAt(1)] = server
-		config := Config{Name: "p1", Kind: "proxy", Zone: "e1", InternalAddress: "10.0.1.1:41", PublicAddress: "10.0.1.1:80", OperatorAddress: "10.0.1.1:42", Seeds: coresAt(1, 2, 3), DirectSessions: true, Routed: true}
+		config := Config{
+			Name:            "p1",
+			Kind:            "proxy",
+			Zone:            "e1",
+			InternalAddress: "10.0.1.1:41",
+			PublicAddress:   "10.0.1.1:80",
+			OperatorAddress: "10.0.1.1:42",
+			Seeds:           coresAt(1, 2, 3),
+			DirectSessions:  true,
+			Routed:          true,
+		}
 		daemon := NewDaemon(config, "i1", rpc.NewClient(all), concurrent.NewGroup(), metrics.NewCounters())
 		daemon.LeaderFinder.ObserveMembership(try.learned, coresAt(4, 5, 6))
 		daemon.LeaderFinder.findLeader()
--- a/agent/daemon_test.go
+++ b/agent/daemon_test.go
@@ -15,7 +15,13 @@
 // daemon what it is.
 func TestReadyWhileAVersionIsPutInForce(test *testing.T) {
 	goroutines, answered := concurrent.NewGroup(), concurrent.NewCondition()
-	daemon := NewDaemon(Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true}, "life", rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
+	daemon := NewDaemon(
+		Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true},
+		"life",
+		rpc.NewClient(http.DefaultTransport),
+		goroutines,
+		metrics.NewCounters(),
+	)
 	applied := uint64(0)
 	daemon.OnVersion(func(version *Version) {
 		applied++
@@ -32,7 +38,11 @@
 			test.Error("not taken")
 		}
 	}
-	if daemon.applyUpdate(&message.FetchResponse{Table: &message.Table{Version: message.TableVersion{Number: 1}}}, nil); applied != 2 || daemon.Version().Table.Version.Number != 2 {
+	if daemon.applyUpdate(
+		&message.FetchResponse{Table: &message.Table{Version: message.TableVersion{Number: 1}}},
+		nil,
+	); applied != 2 ||
+		daemon.Version().Table.Version.Number != 2 {
 		test.Errorf("put in force %d times, table %v", applied, daemon.Version().Table.Version)
 	}
 	goroutines.Wait()
@@ -52,7 +62,13 @@
 func TestSessionGoesOnWhileCatchingUp(test *testing.T) {
 	goroutines, slow := concurrent.NewGroup(), &slowFetch{asked: concurrent.NewCondition(), let: concurrent.NewCondition()}
 	counters := metrics.NewCounters()
-	daemon := NewDaemon(Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true}, "life", rpc.NewClient(slow), goroutines, counters)
+	daemon := NewDaemon(
+		Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true},
+		"life",
+		rpc.NewClient(slow),
+		goroutines,
+		counters,
+	)
 	daemon.behindSince = time.Now().Add(-time.Minute)
 	begin := time.Now()
 	daemon.catchUp("127.0.0.1:1")
--- a/agent/direct_test.go
+++ b/agent/direct_test.go
@@ -13,7 +13,17 @@
 
 // A core that failed is kept off for a while, unless it leads anew.
 func TestNewLeaderIsHeardThoughItsCoreFailed(test *testing.T) {
-	config := Config{Name: "p1", Kind: "proxy", Zone: "e1", InternalAddress: "10.0.0.9:1", PublicAddress: "10.0.0.9:2", OperatorAddress: "10.0.0.9:3", Seeds: []string{"10.0.0.1:1", "10.0.0.2:1"}, DirectSessions: true, Routed: true}
+	config := Config{
+		Name:            "p1",
+		Kind:            "proxy",
+		Zone:            "e1",
+		InternalAddress: "10.0.0.9:1",
+		PublicAddress:   "10.0.0.9:2",
+		OperatorAddress: "10.0.0.9:3",
+		Seeds:           []string{"10.0.0.1:1", "10.0.0.2:1"},
+		DirectSessions:  true,
+		Routed:          true,
+	}
 	daemon := NewDaemon(config, "i1", rpc.NewClient(http.DefaultTransport), concurrent.NewGroup(), metrics.NewCounters())
 	lead := func(round uint64) {
 		daemon.LeaderFinder.Observe(message.Leader{Term: message.Term{Number: round, Core: 1}, Core: 1, Address: "10.0.0.1:1"})
--- a/agent/forwarder.go
+++ b/agent/forwarder.go
@@ -211,7 +211,11 @@
 
 func noLeaderError(mayHaveRun bool) error {
 	if mayHaveRun {
-		return &rpc.Error{Code: rpc.OutcomeUnknown, Message: "the leader fell silent; send the same change id again", RetryAfterMs: retryAfterMs}
+		return &rpc.Error{
+			Code:         rpc.OutcomeUnknown,
+			Message:      "the leader fell silent; send the same change id again",
+			RetryAfterMs: retryAfterMs,
+		}
 	}
 	return &rpc.Error{Code: rpc.NotStarted, Message: "no leader within the hold; nothing was started", RetryAfterMs: retryAfterMs}
 }
--- a/agent/forwarder_test.go
+++ b/agent/forwarder_test.go
@@ -65,7 +65,12 @@
 	transport.gaveUp = func() { finder.Observe(leaderOf(2, "10.0.0.2:1")) }
 	finder.Observe(leaderOf(1, frozen))
 	begin := time.Now()
-	if _, err := Forward[message.EvacuateRequest, message.EvacuateResponse](forwarder, message.MethodEvacuate, &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil || rpc.CodeOf(err) != rpc.OutcomeUnknown {
+	if _, err := Forward[message.EvacuateRequest, message.EvacuateResponse](
+		forwarder,
+		message.MethodEvacuate,
+		&message.EvacuateRequest{Zone: "osu", Begin: true},
+	); err == nil ||
+		rpc.CodeOf(err) != rpc.OutcomeUnknown {
 		test.Fatalf("answered %v", err)
 	}
 	if took := time.Since(begin); took > 2200*time.Millisecond {
@@ -80,7 +85,11 @@
 	forwarder, finder := holdAt(test, transport, ForwardLimits{Response: 2 * time.Second, Attempt: 1500 * time.Millisecond})
 	forwarder.SetLocalLeader(func() message.Leader { return leaderOf(2, transport.answering) })
 	finder.Observe(leaderOf(1, frozen))
-	response, err := Forward[message.EvacuateRequest, message.EvacuateResponse](forwarder, message.MethodEvacuate, &message.EvacuateRequest{Zone: "osu", Begin: true})
+	response, err := Forward[message.EvacuateRequest, message.EvacuateResponse](
+		forwarder,
+		message.MethodEvacuate,
+		&message.EvacuateRequest{Zone: "osu", Begin: true},
+	)
 	if err != nil || response.Serial != 7 {
 		test.Fatalf("told %v, %v", response, err)
 	}
@@ -96,7 +105,12 @@
 	forwarder, finder := holdAt(test, transport, ForwardLimits{Response: 200 * time.Millisecond, Attempt: 150 * time.Millisecond})
 	forwarder.SetLocalLeader(func() message.Leader { return message.Leader{} })
 	finder.Observe(leaderOf(1, frozen))
-	if _, err := Forward[message.EvacuateRequest, message.EvacuateResponse](forwarder, message.MethodEvacuate, &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil || rpc.CodeOf(err) != rpc.NotStarted {
+	if _, err := Forward[message.EvacuateRequest, message.EvacuateResponse](
+		forwarder,
+		message.MethodEvacuate,
+		&message.EvacuateRequest{Zone: "osu", Begin: true},
+	); err == nil ||
+		rpc.CodeOf(err) != rpc.NotStarted {
 		test.Fatalf("answered %v", err)
 	}
 	if request := transport.silent.Load(); request != 0 {
--- a/agent/operator_api.go
+++ b/agent/operator_api.go
@@ -28,17 +28,29 @@
 
 // NewOperatorAPI returns the interface of the daemon that is called name. local gives the
 // version and the body of the settings in force here, ready whether the daemon serves.
-func NewOperatorAPI(name string, forwarder *Forwarder, counters *metrics.Counters, local func() (uint64, []byte), ready func() bool) *OperatorAPI {
+func NewOperatorAPI(
+	name string,
+	forwarder *Forwarder,
+	counters *metrics.Counters,
+	local func() (uint64, []byte),
+	ready func() bool,
+) *OperatorAPI {
 	api := &OperatorAPI{forwarder: forwarder, counters: counters, name: name, localSettings: local, ready: ready, mux: http.NewServeMux()}
 	api.mux.HandleFunc("GET /v1/settings", api.read)
 	api.mux.HandleFunc("PUT /v1/settings", func(writer http.ResponseWriter, request *http.Request) { api.change(writer, request, "whole") })
-	api.mux.HandleFunc("PATCH /v1/settings", func(writer http.ResponseWriter, request *http.Request) { api.change(writer, request, "partial") })
+	api.mux.HandleFunc(
+		"PATCH /v1/settings",
+		func(writer http.ResponseWriter, request *http.Request) { api.change(writer, request, "partial") },
+	)
 	api.mux.HandleFunc("POST /v1/check", api.check)
 	api.mux.HandleFunc("GET /v1/changes", api.history)
 	api.mux.HandleFunc("GET /v1/status", api.status)
 	api.mux.HandleFunc("GET /v1/cores", api.cores)
 	api.mux.HandleFunc("DELETE /v1/cores/{id}", api.remove)
-	api.mux.HandleFunc("GET /v1/counts", func(writer http.ResponseWriter, _ *http.Request) { WriteJSON(writer, http.StatusOK, counters.All()) })
+	api.mux.HandleFunc(
+		"GET /v1/counts",
+		func(writer http.ResponseWriter, _ *http.Request) { WriteJSON(writer, http.StatusOK, counters.All()) },
+	)
 	api.mux.HandleFunc("GET /v1/health", api.health)
 	api.mux.HandleFunc("/", func(writer http.ResponseWriter, request *http.Request) {
 		WriteError(writer, rpc.Errorf(rpc.NotFound, "%s %s", request.Method, request.URL.Path))
@@ -88,7 +100,11 @@
 	document := settingsDocument{Confirmed: true}
 	var body []byte
 	serial, held := api.localSettings()
-	response, err := Forward[message.ReadRequest, message.ReadResponse](api.forwarder, message.MethodRead, &message.ReadRequest{HeldSerial: serial})
+	response, err := Forward[message.ReadRequest, message.ReadResponse](
+		api.forwarder,
+		message.MethodRead,
+		&message.ReadRequest{HeldSerial: serial},
+	)
 	switch {
 	case err != nil:
 		api.counters.Add("reads_unconfirmed", 1)
@@ -150,7 +166,13 @@
 	if document.Change == "" {
 		document.Change = NewID()
 	}
-	change := &message.ChangeRequest{ID: document.Change, Base: *document.Base, Kind: kind, Body: document.Settings, Operator: document.Operator}
+	change := &message.ChangeRequest{
+		ID:       document.Change,
+		Base:     *document.Base,
+		Kind:     kind,
+		Body:     document.Settings,
+		Operator: document.Operator,
+	}
 	response, err := Forward[message.ChangeRequest, message.ChangeResponse](api.forwarder, message.MethodChange, change)
 	if err != nil {
 		api.counters.Add("operator_refused_"+string(rpc.CodeOf(err)), 1)
@@ -176,7 +198,11 @@
 }
 
 func (api *OperatorAPI) history(writer http.ResponseWriter, _ *http.Request) {
-	response, err := Forward[message.ReadRequest, message.ReadResponse](api.forwarder, message.MethodRead, &message.ReadRequest{History: true})
+	response, err := Forward[message.ReadRequest, message.ReadResponse](
+		api.forwarder,
+		message.MethodRead,
+		&message.ReadRequest{History: true},
+	)
 	if err != nil {
 		WriteError(writer, err)
 		return
@@ -218,7 +244,11 @@
 		WriteError(writer, rpc.Errorf(rpc.BadRequest, "%q is no core's ID: want 1 to %d", request.PathValue("id"), message.MaxPeerID))
 		return
 	}
-	response, err := Forward[message.RemoveVoterRequest, message.RemoveVoterResponse](api.forwarder, message.MethodRemoveVoter, &message.RemoveVoterRequest{Core: id})
+	response, err := Forward[message.RemoveVoterRequest, message.RemoveVoterResponse](
+		api.forwarder,
+		message.MethodRemoveVoter,
+		&message.RemoveVoterRequest{Core: id},
+	)
 	if err != nil {
 		WriteError(writer, err)
 		return
--- a/agent/readiness.go
+++ b/agent/readiness.go
@@ -100,7 +100,13 @@
 
 // confirmedBy asks a leader once and reports whether what it proved is in force here.
 func (daemon *Daemon) confirmedBy(leader message.Leader) bool {
-	response, err := rpc.Call[message.ReadIndexRequest, message.ReadIndexResponse](daemon.client, leader.Address, message.MethodReadIndex, daemon.intervals.callTimeout(), &message.ReadIndexRequest{})
+	response, err := rpc.Call[message.ReadIndexRequest, message.ReadIndexResponse](
+		daemon.client,
+		leader.Address,
+		message.MethodReadIndex,
+		daemon.intervals.callTimeout(),
+		&message.ReadIndexRequest{},
+	)
 	if err != nil {
 		daemon.LeaderFinder.Drop(leader, false)
 		return false
--- a/agent/relay_tree.go
+++ b/agent/relay_tree.go
@@ -30,7 +30,11 @@
 
 // parents returns the daemons above one, the nearest first; none means the leader itself.
 func (tree relayTree) parents(name string) []message.Member {
-	index, found := slices.BinarySearchFunc(tree, name, func(member message.Member, name string) int { return strings.Compare(member.Name, name) })
+	index, found := slices.BinarySearchFunc(
+		tree,
+		name,
+		func(member message.Member, name string) int { return strings.Compare(member.Name, name) },
+	)
 	if !found {
 		return nil
 	}
--- a/cmd/ojcluster/main.go
+++ b/cmd/ojcluster/main.go
@@ -32,7 +32,10 @@
 }
 
 func main() {
-	flags := process.NewFlags("ojcluster", "runs a deployment of orchidjunction's processes and injects faults; scenarios: "+strings.Join(cluster.Names(), ", "))
+	flags := process.NewFlags(
+		"ojcluster",
+		"runs a deployment of orchidjunction's processes and injects faults; scenarios: "+strings.Join(cluster.Names(), ", "),
+	)
 	given := parse(flags)
 	chosen, found := cluster.Scenarios[given.scenario]
 	if !found {
@@ -56,7 +59,12 @@
 		}
 		allHold = checker.Print(os.Stdout, lines, given.untimed) && allHold
 	}
-	fmt.Printf("%s: %v after %v\n", given.scenario, map[bool]string{true: "all hold", false: "not all hold"}[allHold], time.Since(begin).Round(time.Second))
+	fmt.Printf(
+		"%s: %v after %v\n",
+		given.scenario,
+		map[bool]string{true: "all hold", false: "not all hold"}[allHold],
+		time.Since(begin).Round(time.Second),
+	)
 	if !allHold {
 		os.Exit(1)
 	}
@@ -122,8 +130,19 @@
 		flags.Exit(err)
 		fleets = append(fleets, fleet)
 		port += spec.Ports()
-		fmt.Printf("%s of %s, seed %d: %d cores, %d directories, %d proxies, %d backends, %d tasks a second for %v s; data and logs in %s\n",
-			given.scenario, name, given.seed, spec.Cores, spec.Directories, spec.Proxies, spec.Backends, spec.Rate, spec.Seconds, spec.Folder)
+		fmt.Printf(
+			"%s of %s, seed %d: %d cores, %d directories, %d proxies, %d backends, %d tasks a second for %v s; data and logs in %s\n",
+			given.scenario,
+			name,
+			given.seed,
+			spec.Cores,
+			spec.Directories,
+			spec.Proxies,
+			spec.Backends,
+			spec.Rate,
+			spec.Seconds,
+			spec.Folder,
+		)
 	}
 	if len(fleets) == 2 {
 		fleets[0].Lend(fleets[1])
--- a/cmd/ojcluster/scale.go
+++ b/cmd/ojcluster/scale.go
@@ -23,8 +23,16 @@
 
 func scaleFlags(flags *process.Flags) *scaling {
 	scaling := &scaling{
-		results: "docs/measure/scale", page: "docs/CAPACITY.md", sweep: "all", port: 24000,
-		run: flaggy.NewSubcommand("scale"), capacity: flaggy.NewSubcommand("capacity"), core: flaggy.NewSubcommand("scale-core"), hollow: flaggy.NewSubcommand("scale-hollow"),
+		results: "docs/measure/scale",
+		page:    "docs/CAPACITY.md",
+		sweep:   "all",
+		port:    24000,
+		run: flaggy.NewSubcommand(
+			"scale",
+		),
+		capacity: flaggy.NewSubcommand("capacity"),
+		core:     flaggy.NewSubcommand("scale-core"),
+		hollow:   flaggy.NewSubcommand("scale-hollow"),
 	}
 	names := []string{"all", "state"}
 	for _, sweep := range capacity.Sweeps {
--- a/cmd/ojcore/main.go
+++ b/cmd/ojcore/main.go
@@ -82,7 +82,12 @@
 	flags.Parser.String(&config.InternalAddress, "", "wire", "IP:port for the system's own processes")
 	flags.Parser.String(&config.OperatorAddress, "", "operate", "IP:port for operators")
 	flags.Parser.StringSlice(&peers, "", "peer", "another core as id=IP:port; once per core")
-	flags.Parser.StringSlice(&seeds, "", "seed", "IP:port of a core that may know who votes, for a new core instead of --id and --peer; once per core")
+	flags.Parser.StringSlice(
+		&seeds,
+		"",
+		"seed",
+		"IP:port of a core that may know who votes, for a new core instead of --id and --peer; once per core",
+	)
 	flags.Parser.String(&given.data, "", "data", "data folder; only this one is written")
 	flags.Parser.String(&config.PlatformAddress, "", "platform", "IP:port of the platform's list")
 	flags.Parser.Bool(&config.Bootstrap, "", "found", "let a blank disk found a new system when every core is blank")
--- a/cmd/ojctl/cores.go
+++ b/cmd/ojctl/cores.go
@@ -54,7 +54,13 @@
 	showVoters("voter", membership.Voters)
 	showVoters("next", membership.Next)
 	for _, learner := range membership.Learners {
-		fmt.Printf("learner   - %-21s seen %s, silent %d ms, synced %s\n", learner.Address, mark(learner.Seen), learner.SilentMs, mark(learner.Synced))
+		fmt.Printf(
+			"learner   - %-21s seen %s, silent %d ms, synced %s\n",
+			learner.Address,
+			mark(learner.Seen),
+			learner.SilentMs,
+			mark(learner.Synced),
+		)
 	}
 }
 
--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -78,13 +78,23 @@
 		subcommand.Bool(&command.whole, "e", "effective", "show each route's values and the branch they come from")
 	})
 	add("put", "puts a whole version in force", (*errand).put, func(subcommand *flaggy.Subcommand) { file(subcommand); change(subcommand) })
-	add("patch", "lays a partial version over the one in force", (*errand).patch, func(subcommand *flaggy.Subcommand) { file(subcommand); change(subcommand) })
+	add(
+		"patch",
+		"lays a partial version over the one in force",
+		(*errand).patch,
+		func(subcommand *flaggy.Subcommand) { file(subcommand); change(subcommand) },
+	)
 	add("drain", "empties a zone or a backend", (*errand).drain, which)
 	add("refill", "takes a zone or a backend back", (*errand).refill, which)
 	add("history", "lists the changes in force so far", (*errand).history, nil)
-	add("aims", "reports against service-level aims, from the counters of all daemons", (*errand).aims, func(subcommand *flaggy.Subcommand) {
-		subcommand.AddPositionalValue(&command.file, "file", 1, true, "aims as OpenSLO documents")
-	})
+	add(
+		"aims",
+		"reports against service-level aims, from the counters of all daemons",
+		(*errand).aims,
+		func(subcommand *flaggy.Subcommand) {
+			subcommand.AddPositionalValue(&command.file, "file", 1, true, "aims as OpenSLO documents")
+		},
+	)
 	command.coreCommands(flags, uses)
 	add("status", "shows the leader, the cores and every daemon", (*errand).status, nil)
 	flags.Parse()
@@ -319,18 +329,48 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("leader core %d at %s, ballot %s, %s, revoked by %s\n", status.Leader.Core, status.Leader.Address, status.Leader.Term, status.State, status.Revocation)
+	fmt.Printf(
+		"leader core %d at %s, ballot %s, %s, revoked by %s\n",
+		status.Leader.Core,
+		status.Leader.Address,
+		status.Leader.Term,
+		status.State,
+		status.Revocation,
+	)
 	for _, condition := range status.Conditions {
 		fmt.Printf("  [%s] %s (%s)\n", mark(condition.Holds), condition.Name, condition.Detail)
 	}
-	fmt.Printf("settings serial %d, table %s/%d, %d backends\n", status.Serial, status.Table.Term, status.Table.Number, len(status.Backends))
+	fmt.Printf(
+		"settings serial %d, table %s/%d, %d backends\n",
+		status.Serial,
+		status.Table.Term,
+		status.Table.Number,
+		len(status.Backends),
+	)
 	showMembership(&status.Membership)
 	for _, core := range status.Cores {
-		fmt.Printf("core %d %-21s voter %s seen %s serial %d under %s\n", core.Core, core.Address, mark(core.Voter), mark(core.Seen), core.Versions[0].Serial, core.Versions[0].Term)
+		fmt.Printf(
+			"core %d %-21s voter %s seen %s serial %d under %s\n",
+			core.Core,
+			core.Address,
+			mark(core.Voter),
+			mark(core.Seen),
+			core.Versions[0].Serial,
+			core.Versions[0].Term,
+		)
 	}
 	for _, daemon := range status.Members {
-		fmt.Printf("%-5s %-16s %-12s ready %s leaving %s serial %d table %d parent %s\n", daemon.Member.Kind, daemon.Member.Name, daemon.Member.Zone,
-			mark(daemon.Member.Ready), mark(daemon.Member.Leaving), daemon.Serial, daemon.Table.Number, strings.TrimSpace(daemon.Parent))
+		fmt.Printf(
+			"%-5s %-16s %-12s ready %s leaving %s serial %d table %d parent %s\n",
+			daemon.Member.Kind,
+			daemon.Member.Name,
+			daemon.Member.Zone,
+			mark(daemon.Member.Ready),
+			mark(daemon.Member.Leaving),
+			daemon.Serial,
+			daemon.Table.Number,
+			strings.TrimSpace(daemon.Parent),
+		)
 	}
 	return nil
 }
@@ -352,7 +392,8 @@
 	sums, silent := status.Counts, 0
 	for _, daemon := range status.Members {
 		counts := map[string]uint64{}
-		if err := operator.NewClient([]string{daemon.Member.OperatorAddress}, process.Transport()).Ask("GET", "/v1/counts", nil, &counts); err != nil {
+		if err := operator.NewClient([]string{daemon.Member.OperatorAddress}, process.Transport()).
+			Ask("GET", "/v1/counts", nil, &counts); err != nil {
 			silent++
 			continue
 		}
@@ -365,7 +406,16 @@
 	}
 	missed := 0
 	for _, report := range slo.Evaluate(documents, sums) {
-		fmt.Printf("%-24s target %.4f, %d of %d, %.4f, met %s, budget left %.0f%%\n", report.Name, report.Target, report.Good, report.Total, report.Ratio, mark(report.Met), 100*report.Left)
+		fmt.Printf(
+			"%-24s target %.4f, %d of %d, %.4f, met %s, budget left %.0f%%\n",
+			report.Name,
+			report.Target,
+			report.Good,
+			report.Total,
+			report.Ratio,
+			mark(report.Met),
+			100*report.Left,
+		)
 		if !report.Met {
 			missed++
 		}
--- a/cmd/ojplan/main.go
+++ b/cmd/ojplan/main.go
@@ -67,7 +67,10 @@
 
 // parse reads the command line; it ends the process where that is wrong.
 func parse() (*process.Flags, *options) {
-	flags := process.NewFlags("ojplan", "shows what a change would move; exit 0 nothing, 3 something, 5 floors short, 1 invalid, 4 no answer")
+	flags := process.NewFlags(
+		"ojplan",
+		"shows what a change would move; exit 0 nothing, 3 something, 5 floors short, 1 invalid, 4 no answer",
+	)
 	given := &options{capacity: 30}
 	flags.Parser.StringSlice(&given.daemons, "d", "daemon", "IP:port of a daemon's operators' side; may be given more than once")
 	flags.Parser.String(&given.whole, "", "whole", "file with a whole new version")
--- a/cmd/ojproxy/main.go
+++ b/cmd/ojproxy/main.go
@@ -18,10 +18,17 @@
 	dialer := &net.Dialer{Timeout: time.Second}
 	guest := &process.Guest{}
 	guest.Join = func(owner, borrower process.DataPlane) {
-		borrower.(*serviceproxy.Proxy).SetLendingLimit(serviceproxy.NewLendingLimit(owner.(*serviceproxy.Proxy), guest.PerSecond, guest.InFlight))
+		borrower.(*serviceproxy.Proxy).SetLendingLimit(
+			serviceproxy.NewLendingLimit(owner.(*serviceproxy.Proxy), guest.PerSecond, guest.InFlight),
+		)
 	}
-	process.RunDaemon(flags, "proxy", guest, func(daemon *agent.Daemon, goroutines *concurrent.Group, counters *metrics.Counters) (process.DataPlane, func() []message.Probe) {
-		proxy := serviceproxy.NewProxy(daemon, goroutines, counters, dialer.DialContext)
-		return proxy, proxy.Probes
-	})
+	process.RunDaemon(
+		flags,
+		"proxy",
+		guest,
+		func(daemon *agent.Daemon, goroutines *concurrent.Group, counters *metrics.Counters) (process.DataPlane, func() []message.Probe) {
+			proxy := serviceproxy.NewProxy(daemon, goroutines, counters, dialer.DialContext)
+			return proxy, proxy.Probes
+		},
+	)
 }
--- a/cmd/orchidjunction/core.go
+++ b/cmd/orchidjunction/core.go
@@ -64,7 +64,8 @@
 		return err
 	}
 	client := rpc.NewClient(process.WANTransport(userTimeout))
-	finder := agent.NewLeaderFinder(client, node.goroutines, internalSeeds(settings)).WithIntervals(agent.Intervals{FindLeader: findInterval})
+	finder := agent.NewLeaderFinder(client, node.goroutines, internalSeeds(settings)).
+		WithIntervals(agent.Intervals{FindLeader: findInterval})
 	var core *control.Core
 	platformClient := platform.NewClient(settings.Platform.Address, process.WANTransport(userTimeout), func() int64 { return core.Now() })
 	config := coreConfig(settings, platformClient)
@@ -80,7 +81,11 @@
 	core.Register(server)
 	forwarder := agent.NewForwarder(finder, client, node.counters).WithLimits(agent.ForwardLimits{Attempt: attemptTimeout})
 	forwarder.SetLocalLeader(core.Leader)
-	operators := platform.NewControl(platform.NewLeaderOrders(forwarder), func() map[string]string { return node.source.Settings().Zones }, node.counters)
+	operators := platform.NewControl(
+		platform.NewLeaderOrders(forwarder),
+		func() map[string]string { return node.source.Settings().Zones },
+		node.counters,
+	)
 	if err := node.open(endpoint{config.InternalAddress, server}, endpoint{settings.Listen.Operators, operators}); err != nil {
 		return err
 	}
--- a/cmd/orchidjunction/proxy.go
+++ b/cmd/orchidjunction/proxy.go
@@ -98,7 +98,12 @@
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	if err := node.open(endpoint{settings.Listen.Clients, plane}, endpoint{config.InternalAddress, server}, endpoint{settings.Listen.Ready, ready}, endpoint{settings.Listen.Lookups, lookups}); err != nil {
+	if err := node.open(
+		endpoint{settings.Listen.Clients, plane},
+		endpoint{config.InternalAddress, server},
+		endpoint{settings.Listen.Ready, ready},
+		endpoint{settings.Listen.Lookups, lookups},
+	); err != nil {
 		return err
 	}
 	daemon.Run()
--- a/concurrent/gather.go
+++ b/concurrent/gather.go
@@ -8,7 +8,12 @@
 // Gather makes the calls with the indices from 0 to count-1 concurrently. It returns the
 // results and the errors by index as soon as enough returns true or all calls have ended.
 // Calls still under way are not cancelled; they end by their own time-outs.
-func Gather[T any](group *Group, count int, call func(index int) (T, error), enough func(results map[int]T, errs map[int]error) bool) (map[int]T, map[int]error) {
+func Gather[T any](
+	group *Group,
+	count int,
+	call func(index int) (T, error),
+	enough func(results map[int]T, errs map[int]error) bool,
+) (map[int]T, map[int]error) {
 	gathering := &gathering[T]{results: map[int]T{}, errs: map[int]error{}}
 	gathering.wake = sync.NewCond(&gathering.mutex)
 	for index := range count {
--- a/config/check.go
+++ b/config/check.go
@@ -99,7 +99,12 @@
 	changed := map[string]bool{}
 	for className, class := range settings.Classes {
 		for name, service := range class.Services {
-			if before == nil || service.Digest == "" || before.Classes[className].Services[name].Digest != service.Digest || !maps.EqualFunc(before.Regions, settings.Regions, func(left, right Region) bool { return slices.Equal(left.Zones, right.Zones) }) {
+			if before == nil || service.Digest == "" || before.Classes[className].Services[name].Digest != service.Digest ||
+				!maps.EqualFunc(
+					before.Regions,
+					settings.Regions,
+					func(left, right Region) bool { return slices.Equal(left.Zones, right.Zones) },
+				) {
 				changed[name] = true
 			}
 		}
--- a/config/patch.go
+++ b/config/patch.go
@@ -46,11 +46,19 @@
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
 	if err := decoder.Decode(&value); err != nil {
-		return nil, &rpc.Error{Code: rpc.Invalid, Message: "1 wrong", Details: []rpc.Detail{{Path: ".", Message: err.Error(), Code: badSyntax}}}
+		return nil, &rpc.Error{
+			Code:    rpc.Invalid,
+			Message: "1 wrong",
+			Details: []rpc.Detail{{Path: ".", Message: err.Error(), Code: badSyntax}},
+		}
 	}
 	object, able := value.(map[string]any)
 	if !able {
-		return nil, &rpc.Error{Code: rpc.Invalid, Message: "1 wrong", Details: []rpc.Detail{{Path: ".", Message: "a partial change is an object", Code: wrongType}}}
+		return nil, &rpc.Error{
+			Code:    rpc.Invalid,
+			Message: "1 wrong",
+			Details: []rpc.Detail{{Path: ".", Message: "a partial change is an object", Code: wrongType}},
+		}
 	}
 	return object, nil
 }
--- a/config/read_test.go
+++ b/config/read_test.go
@@ -39,9 +39,16 @@
 			}
 			for index, effective := range settings.Resolve() {
 				flat := settings.Flatten()[index]
-				if flat.Route != effective.Route || flat.Service != effective.Service || flat.Class != effective.Class || flat.KeyRequired != effective.KeyRequired ||
-					flat.TimeoutMs != effective.Integer("limit_ms") || flat.Attempts != effective.Integer("sends") || flat.BodyBytes != effective.Integer("body_bytes") ||
-					flat.ResponseBytes != effective.Integer("receipt_bytes") || flat.IdleConnections != effective.Integer("pipes") || fmt.Sprint(flat.ForbidRegions) != fmt.Sprint(effective.ForbidRegions()) {
+				if flat.Route != effective.Route ||
+					flat.Service != effective.Service ||
+					flat.Class != effective.Class ||
+					flat.KeyRequired != effective.KeyRequired ||
+					flat.TimeoutMs != effective.Integer("limit_ms") ||
+					flat.Attempts != effective.Integer("sends") ||
+					flat.BodyBytes != effective.Integer("body_bytes") ||
+					flat.ResponseBytes != effective.Integer("receipt_bytes") ||
+					flat.IdleConnections != effective.Integer("pipes") ||
+					fmt.Sprint(flat.ForbidRegions) != fmt.Sprint(effective.ForbidRegions()) {
 					test.Errorf("%s: %+v is not %+v", effective.Route, flat, effective)
 				}
 			}
--- a/config/splitter.go
+++ b/config/splitter.go
@@ -148,7 +148,10 @@
 		case len(dirty[bucket]) > 0:
 			splitter.put(spot(bucket), dirty[bucket])
 		case dirty[bucket] == nil && !fresh && splitter.former.fragments[spot(bucket)] != nil:
-			splitter.refs = append(splitter.refs, message.ChunkRef{Path: spot(bucket), Digest: splitter.former.fragments[spot(bucket)].digest})
+			splitter.refs = append(
+				splitter.refs,
+				message.ChunkRef{Path: spot(bucket), Digest: splitter.former.fragments[spot(bucket)].digest},
+			)
 		}
 	}
 }
--- a/config/tree_test.go
+++ b/config/tree_test.go
@@ -96,13 +96,27 @@
 	case 2:
 		return []byte(fmt.Sprintf(`{"rule":{"hold_ms":%d}}`, 50+random.IntN(2000)))
 	case 3:
-		return []byte(fmt.Sprintf(`{"tenants":{"t-%d":{"keys":[],"forbid_regions":["%s"]}}}`, random.IntN(300), []string{"east", "nowhere"}[random.IntN(2)]))
+		return []byte(
+			fmt.Sprintf(
+				`{"tenants":{"t-%d":{"keys":[],"forbid_regions":["%s"]}}}`,
+				random.IntN(300),
+				[]string{"east", "nowhere"}[random.IntN(2)],
+			),
+		)
 	case 4:
-		return []byte(fmt.Sprintf(`{"classes":{"pages":{"services":{"extra-%d":{"routes":{"a":{"method":"GET","path":"/a"}}}}}}}`, random.IntN(5)))
+		return []byte(
+			fmt.Sprintf(`{"classes":{"pages":{"services":{"extra-%d":{"routes":{"a":{"method":"GET","path":"/a"}}}}}}}`, random.IntN(5)),
+		)
 	case 5:
 		return []byte(`{"classes":{"pages":{"services":{"extra-1":null}}}}`)
 	case 6:
-		return []byte([]string{`{"classes":5}`, `{"classes":{"pages":{"services":{"meters":{"routes":null}}}}}`, `{"tenants":{"Bad/Name":{"keys":[]}}}`, `{"colour":1}`, `{"classes":{"No/":{"rank":3,"floor_rps":1,"services":{}}}}`}[random.IntN(5)])
+		return []byte(
+			[]string{`{"classes":5}`, `{"classes":{"pages":{"services":{"meters":{"routes":null}}}}}`, `{"tenants":{"Bad/Name":{"keys":[]}}}`, `{"colour":1}`, `{"classes":{"No/":{"rank":3,"floor_rps":1,"services":{}}}}`}[random.IntN(5)],
+		)
 	}
-	return mustJSON(map[string]any{"classes": map[string]any{"pages": map[string]any{"services": map[string]any{"bulk": map[string]any{"routes": routes}}}}})
+	return mustJSON(
+		map[string]any{
+			"classes": map[string]any{"pages": map[string]any{"services": map[string]any{"bulk": map[string]any{"routes": routes}}}},
+		},
+	)
 }
--- a/consensus/acceptor.go
+++ b/consensus/acceptor.go
@@ -66,7 +66,11 @@
 // InitializeRecord returns the record that makes a blank disk a replica which promised a
 // term and accepted values under it: a copy is no vote for the term that it was written
 // under. It returns nil if the replica is initialized already.
-func (state *State) InitializeRecord(promised message.Term, accepted [message.Registers]message.AcceptedValue, chunks message.Chunks) *Record {
+func (state *State) InitializeRecord(
+	promised message.Term,
+	accepted [message.Registers]message.AcceptedValue,
+	chunks message.Chunks,
+) *Record {
 	if state.Initialized {
 		return nil
 	}
--- a/consensus/membership_test.go
+++ b/consensus/membership_test.go
@@ -44,11 +44,19 @@
 		for _, pair := range [][2]*Membership{{before, before}, {before, step}, {step, step}, {step, after}, {after, after}} {
 			subsets(pair[:], func(has func(id int) bool) {
 				if pair[0].Quorum(has) && pair[1].Quorum(func(id int) bool { return !has(id) }) {
-					test.Fatalf("%d cores: disjoint quorums of %v->%v and %v->%v", count, pair[0].Voters, pair[0].Next, pair[1].Voters, pair[1].Next)
+					test.Fatalf(
+						"%d cores: disjoint quorums of %v->%v and %v->%v",
+						count,
+						pair[0].Voters,
+						pair[0].Next,
+						pair[1].Voters,
+						pair[1].Next,
+					)
 				}
 			})
 		}
-		if before.Changing() || !step.Changing() || after.Changing() || len(after.Voters) != count || after.Version.Serial != 3 || after.LastID != count+1 {
+		if before.Changing() || !step.Changing() || after.Changing() || len(after.Voters) != count || after.Version.Serial != 3 ||
+			after.LastID != count+1 {
 			test.Fatalf("%d cores: %+v, %+v, %+v", count, before, step, after)
 		}
 		if step.MayLead(step.LastID) || !after.MayLead(step.LastID) || after.MayLead(count) {
@@ -81,8 +89,15 @@
 			for _, lost := range membership.All() {
 				subsets([]*Membership{membership}, func(has func(id int) bool) {
 					others := func(id int) bool { return id != lost.ID && !has(id) }
-					if membership.FencesWithout(lost.ID, has) && membership.Quorum(func(id int) bool { return id == lost.ID || others(id) }) {
-						test.Fatalf("%d cores: a fence without %d misses a quorum of %v -> %v", count, lost.ID, membership.Voters, membership.Next)
+					if membership.FencesWithout(lost.ID, has) &&
+						membership.Quorum(func(id int) bool { return id == lost.ID || others(id) }) {
+						test.Fatalf(
+							"%d cores: a fence without %d misses a quorum of %v -> %v",
+							count,
+							lost.ID,
+							membership.Voters,
+							membership.Next,
+						)
 					}
 				})
 			}
--- a/consensus/quorum.go
+++ b/consensus/quorum.go
@@ -15,7 +15,9 @@
 
 // newestValues returns for each register the newest value among those accepted by the
 // replicas that promised, and which of them it is from.
-func newestValues(promises map[int]*message.PrepareResponse) (newest [message.Registers]message.AcceptedValue, sources [message.Registers]int) {
+func newestValues(
+	promises map[int]*message.PrepareResponse,
+) (newest [message.Registers]message.AcceptedValue, sources [message.Registers]int) {
 	for id, promise := range promises {
 		for register, accepted := range promise.Accepted {
 			if newest[register].Version().Less(accepted.Version()) {
@@ -29,7 +31,10 @@
 // InheritedValues returns what a term takes over from the replicas that promised it: the
 // newest value of each register, and the membership that counted them. None of them
 // accepted a newer membership with other voters: they would have refused.
-func InheritedValues(view *View, promises map[int]*message.PrepareResponse) (newest [message.Registers]message.AcceptedValue, sources [message.Registers]int) {
+func InheritedValues(
+	view *View,
+	promises map[int]*message.PrepareResponse,
+) (newest [message.Registers]message.AcceptedValue, sources [message.Registers]int) {
 	newest, sources = newestValues(promises)
 	newest[message.MembersRegister] = view.Accepted()
 	return newest, sources
--- a/control/begin_claims_test.go
+++ b/control/begin_claims_test.go
@@ -22,7 +22,13 @@
 func TestClaimsBeginOnceTheRingHasRoom(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
-		core, err := NewCore(Config{ID: 1, InternalAddress: "127.0.0.1:1", Bootstrap: true}, storage.Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, counters)
+		core, err := NewCore(
+			Config{ID: 1, InternalAddress: "127.0.0.1:1", Bootstrap: true},
+			storage.Folder(test.TempDir()),
+			rpc.NewClient(http.DefaultTransport),
+			goroutines,
+			counters,
+		)
 		if err != nil {
 			test.Fatal(err)
 		}
--- a/control/claims.go
+++ b/control/claims.go
@@ -78,7 +78,11 @@
 			return nil, rpc.Errorf(rpc.NotReady, "membership %v is no more", known.Version())
 		}
 	}
-	response := &message.FetchClaimsResponse{Membership: unlessSame(request.Membership, known), Core: view.ID, Complete: core.claimsComplete(view)}
+	response := &message.FetchClaimsResponse{
+		Membership: unlessSame(request.Membership, known),
+		Core:       view.ID,
+		Complete:   core.claimsComplete(view),
+	}
 	response.Claims, response.Last, response.Done = core.claims.Store().Page(request.After, claimsPageSize)
 	return response, nil
 }
@@ -158,7 +162,13 @@
 	membership := view.Accepted()
 	for after := uint64(0); ; {
 		request := &message.FetchClaimsRequest{After: after, Membership: membership}
-		response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](core.client, peer.Address, message.MethodFetchClaims, fetchClaimsTimeout, request)
+		response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](
+			core.client,
+			peer.Address,
+			message.MethodFetchClaims,
+			fetchClaimsTimeout,
+			request,
+		)
 		if err != nil {
 			return fetchResult{}, err
 		}
--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -15,8 +15,20 @@
 // A core whose leadership ended is not taken for one that has heard of no leader
 // since it started.
 func TestFormerLeaderIsNotCold(test *testing.T) {
-	core, err := NewCore(Config{InternalAddress: "127.0.0.1:1", Seeds: []string{"127.0.0.1:1"}, MinFounders: 1, Bootstrap: true, HeartbeatInterval: 10 * time.Millisecond, SuspicionTimeout: 30 * time.Millisecond},
-		storage.Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), concurrent.NewGroup(), metrics.NewCounters())
+	core, err := NewCore(
+		Config{
+			InternalAddress:   "127.0.0.1:1",
+			Seeds:             []string{"127.0.0.1:1"},
+			MinFounders:       1,
+			Bootstrap:         true,
+			HeartbeatInterval: 10 * time.Millisecond,
+			SuspicionTimeout:  30 * time.Millisecond,
+		},
+		storage.Folder(test.TempDir()),
+		rpc.NewClient(http.DefaultTransport),
+		concurrent.NewGroup(),
+		metrics.NewCounters(),
+	)
 	if err != nil {
 		test.Fatal(err)
 	}
--- a/control/config.go
+++ b/control/config.go
@@ -126,7 +126,13 @@
 // Check returns BadFlag if the config can't work; its message names the flag of ojcore.
 func (config *Config) Check() error {
 	if config.HeartbeatInterval < minHeartbeat || config.SuspicionTimeout < 3*config.HeartbeatInterval {
-		return rpc.Errorf(rpc.BadFlag, "--suspect-ms: %v must be at least three heartbeats of %v, and a heartbeat %v", config.SuspicionTimeout, config.HeartbeatInterval, minHeartbeat)
+		return rpc.Errorf(
+			rpc.BadFlag,
+			"--suspect-ms: %v must be at least three heartbeats of %v, and a heartbeat %v",
+			config.SuspicionTimeout,
+			config.HeartbeatInterval,
+			minHeartbeat,
+		)
 	}
 	if err := rpc.CheckAddress("--wire", config.InternalAddress); err != nil {
 		return err
--- a/control/config_test.go
+++ b/control/config_test.go
@@ -11,8 +11,20 @@
 // A config with an id names its peers, one without finds them by seeds; one thing
 // changed at a time, each is refused.
 func TestConfigOneThingAtATime(test *testing.T) {
-	given := Config{ID: 1, InternalAddress: "10.0.0.1:41", Peers: []message.Peer{{ID: 2, Address: "10.0.0.2:41"}, {ID: 3, Address: "10.0.0.3:41"}}, HeartbeatInterval: 75 * time.Millisecond, SuspicionTimeout: 300 * time.Millisecond}
-	seeded := Config{InternalAddress: "10.0.0.1:41", Seeds: []string{"10.0.0.1:41", "10.0.0.2:41"}, MinFounders: 2, HeartbeatInterval: 150 * time.Millisecond, SuspicionTimeout: 750 * time.Millisecond}
+	given := Config{
+		ID:                1,
+		InternalAddress:   "10.0.0.1:41",
+		Peers:             []message.Peer{{ID: 2, Address: "10.0.0.2:41"}, {ID: 3, Address: "10.0.0.3:41"}},
+		HeartbeatInterval: 75 * time.Millisecond,
+		SuspicionTimeout:  300 * time.Millisecond,
+	}
+	seeded := Config{
+		InternalAddress:   "10.0.0.1:41",
+		Seeds:             []string{"10.0.0.1:41", "10.0.0.2:41"},
+		MinFounders:       2,
+		HeartbeatInterval: 150 * time.Millisecond,
+		SuspicionTimeout:  750 * time.Millisecond,
+	}
 	for name, change := range map[string]func(*Config, *Config){
 		"no id and no seed":   func(given, seeded *Config) { given.ID, seeded.Seeds = 0, nil },
 		"id 100, least 100":   func(given, seeded *Config) { given.ID, seeded.MinFounders = 100, 100 },
--- a/control/core.go
+++ b/control/core.go
@@ -77,7 +77,13 @@
 
 // NewCore opens the data on a disk and returns a core that Run starts. It returns
 // CorruptStore or DiskFailure if the data can't be read.
-func NewCore(config Config, disk storage.Disk, client *rpc.Client, goroutines *concurrent.Group, counters *metrics.Counters) (*Core, error) {
+func NewCore(
+	config Config,
+	disk storage.Disk,
+	client *rpc.Client,
+	goroutines *concurrent.Group,
+	counters *metrics.Counters,
+) (*Core, error) {
 	store, err := replica.OpenStore(disk)
 	if err != nil {
 		return nil, err
--- a/control/decide_test.go
+++ b/control/decide_test.go
@@ -84,11 +84,19 @@
 		state.History = state.History.With(12+number*3, "other")
 	}
 	for number, want := range map[uint64]rpc.Code{0: rpc.Forgotten, 2: rpc.Forgotten, 3: rpc.StaleBase} {
-		if _, again, err := applyRoutingChange(state, changeOf(number*3+3, number*3, fmt.Sprint("order ", number))); again || err == nil || rpc.CodeOf(err) != want {
+		if _, again, err := applyRoutingChange(
+			state,
+			changeOf(number*3+3, number*3, fmt.Sprint("order ", number)),
+		); again || err == nil ||
+			rpc.CodeOf(err) != want {
 			test.Errorf("order %d: again %v, %v, want %s", number, again, err, want)
 		}
 	}
-	if _, _, err := applyRoutingChange(state, changeOf(state.Config.Version, state.Config.Version, "not above")); err == nil || rpc.CodeOf(err) != rpc.StaleVersion {
+	if _, _, err := applyRoutingChange(
+		state,
+		changeOf(state.Config.Version, state.Config.Version, "not above"),
+	); err == nil ||
+		rpc.CodeOf(err) != rpc.StaleVersion {
 		test.Errorf("a number not above the current one, on it: %v", err)
 	}
 }
--- a/control/disk_failure.go
+++ b/control/disk_failure.go
@@ -78,7 +78,11 @@
 	core.diskFailure = diskFailure{}
 	core.mutex.Unlock()
 	core.counters.Add("disk_repairs", 1)
-	klog.Infof("core %d: votes again, its disk refused writes for %v", core.membership().ID, time.Since(failure.since).Round(time.Millisecond))
+	klog.Infof(
+		"core %d: votes again, its disk refused writes for %v",
+		core.membership().ID,
+		time.Since(failure.since).Round(time.Millisecond),
+	)
 	core.wakeElection.Notify()
 	if core.config.discoversPeers() {
 		core.replica.MarkCommitted(message.RoutingRegister, committed.Version())
--- a/control/election.go
+++ b/control/election.go
@@ -145,7 +145,13 @@
 	own := consensus.Candidate{ID: view.ID, Versions: core.replica.State().Versions()}
 	request := &message.PreVoteRequest{Core: view.ID, Versions: own.Versions, Membership: view.Version}
 	responses := callPeers(core, view, func(peer message.Peer) (*message.PreVoteResponse, error) {
-		return rpc.Call[message.PreVoteRequest, message.PreVoteResponse](core.client, peer.Address, message.MethodPreVote, core.callTimeout()/2, request)
+		return rpc.Call[message.PreVoteRequest, message.PreVoteResponse](
+			core.client,
+			peer.Address,
+			message.MethodPreVote,
+			core.callTimeout()/2,
+			request,
+		)
 	}, func(*message.PreVoteResponse) bool { return true }, waitForAll)
 	own.Reachable = 1 + len(responses)
 	leaderAlive := false
@@ -219,7 +225,13 @@
 // startLeading makes known what the new leadership holds.
 func (core *Core) startLeading(leadership *Leadership) {
 	core.config.OnRole(Leading, leadership.term)
-	klog.Infof("core %d: leader in term %s, revoked term %s by %s", core.membership().ID, leadership.term, leadership.revocation.Revoked, leadership.revocation.Method)
+	klog.Infof(
+		"core %d: leader in term %s, revoked term %s by %s",
+		core.membership().ID,
+		leadership.term,
+		leadership.revocation.Revoked,
+		leadership.revocation.Method,
+	)
 	for register := range message.Registers {
 		accepted := message.AcceptedValue{Term: leadership.term, Value: leadership.value(register)}
 		core.commit(register, accepted, leadership.settings().chunks)
--- a/control/initial_view_test.go
+++ b/control/initial_view_test.go
@@ -10,7 +10,11 @@
 // As long as no core was ever replaced the flags say where the cores are; afterwards
 // the disk does, whatever the flags still name.
 func TestFlagsCountUntilACoreIsReplaced(test *testing.T) {
-	config := &Config{ID: 1, InternalAddress: "10.0.0.1:1", Peers: []message.Peer{{ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}}
+	config := &Config{
+		ID:              1,
+		InternalAddress: "10.0.0.1:1",
+		Peers:           []message.Peer{{ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}},
+	}
 	former := consensus.InitialMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	former.Version.Term = message.Term{Number: 4, Core: 2}
 	step := former.WithReplacement(3, "10.0.0.4:1")
@@ -39,7 +43,10 @@
 		}
 	}
 	removed := *config
-	removed.ID, removed.InternalAddress, removed.Peers = 3, "10.0.0.3:1", []message.Peer{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}}
+	removed.ID, removed.InternalAddress, removed.Peers = 3, "10.0.0.3:1", []message.Peer{
+		{ID: 1, Address: "10.0.0.1:1"},
+		{ID: 2, Address: "10.0.0.2:1"},
+	}
 	if view := removed.view(step.WithoutFormer()); view.ID != 0 || view.Votes() {
 		test.Errorf("a removed core takes its ID from its flags: %d", view.ID)
 	}
--- a/control/join.go
+++ b/control/join.go
@@ -87,7 +87,11 @@
 		return
 	}
 	if core.founds() {
-		if addresses, isComplete := core.founding.complete(core.config.Seeds, core.config.MinFounders, core.config.FoundingQuiet); isComplete {
+		if addresses, isComplete := core.founding.complete(
+			core.config.Seeds,
+			core.config.MinFounders,
+			core.config.FoundingQuiet,
+		); isComplete {
 			core.adoptFirstMembership(consensus.InitialMembership(addresses).Accepted())
 			return
 		}
@@ -100,7 +104,13 @@
 	seeds := core.otherSeeds()
 	request := &message.JoinRequest{Address: core.config.InternalAddress, SinceBootstrap: core.sinceBootstrap()}
 	responses, _ := concurrent.Gather(core.goroutines, len(seeds), func(index int) (*message.JoinResponse, error) {
-		return rpc.Call[message.JoinRequest, message.JoinResponse](core.client, seeds[index], message.MethodJoin, core.callTimeout(), request)
+		return rpc.Call[message.JoinRequest, message.JoinResponse](
+			core.client,
+			seeds[index],
+			message.MethodJoin,
+			core.callTimeout(),
+			request,
+		)
 	}, func(responses map[int]*message.JoinResponse, _ map[int]error) bool {
 		_, found := anyMembership(responses)
 		return found
--- a/control/leader_query_test.go
+++ b/control/leader_query_test.go
@@ -16,7 +16,19 @@
 // other's lock for good.
 func TestLeaderQueryWhileSendingHeartbeats(test *testing.T) {
 	goroutines := concurrent.NewGroup()
-	core, err := NewCore(Config{ID: 1, InternalAddress: "127.0.0.1:1", Bootstrap: true, HeartbeatInterval: 10 * time.Millisecond, SuspicionTimeout: 30 * time.Millisecond}, storage.Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
+	core, err := NewCore(
+		Config{
+			ID:                1,
+			InternalAddress:   "127.0.0.1:1",
+			Bootstrap:         true,
+			HeartbeatInterval: 10 * time.Millisecond,
+			SuspicionTimeout:  30 * time.Millisecond,
+		},
+		storage.Folder(test.TempDir()),
+		rpc.NewClient(http.DefaultTransport),
+		goroutines,
+		metrics.NewCounters(),
+	)
 	if err != nil {
 		test.Fatal(err)
 	}
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -127,10 +127,26 @@
 	sinceQuorum := time.Since(leadership.lastQuorum)
 	settings, reports := leadership.inherited[message.SettingsRegister], leadership.inherited[message.ReportsRegister]
 	return []message.Condition{
-		{Name: RevokedCondition, Holds: leadership.revocation.Complete, Detail: string(leadership.revocation.Method) + ", ballot " + leadership.revocation.Revoked.String()},
-		{Name: PromisedCondition, Holds: !leadership.ended, Detail: fmt.Sprintf("ballot %s at cores %v", leadership.term, leadership.promisedBy)},
-		{Name: RewrittenCondition, Holds: !leadership.ended, Detail: fmt.Sprintf("settings from serial %d, reports from %d", settings, reports)},
-		{Name: HeartbeatCondition, Holds: sinceQuorum <= leadership.core.config.SuspicionTimeout, Detail: sinceQuorum.Round(time.Millisecond).String() + " ago"},
+		{
+			Name:   RevokedCondition,
+			Holds:  leadership.revocation.Complete,
+			Detail: string(leadership.revocation.Method) + ", ballot " + leadership.revocation.Revoked.String(),
+		},
+		{
+			Name:   PromisedCondition,
+			Holds:  !leadership.ended,
+			Detail: fmt.Sprintf("ballot %s at cores %v", leadership.term, leadership.promisedBy),
+		},
+		{
+			Name:   RewrittenCondition,
+			Holds:  !leadership.ended,
+			Detail: fmt.Sprintf("settings from serial %d, reports from %d", settings, reports),
+		},
+		{
+			Name:   HeartbeatCondition,
+			Holds:  sinceQuorum <= leadership.core.config.SuspicionTimeout,
+			Detail: sinceQuorum.Round(time.Millisecond).String() + " ago",
+		},
 	}
 }
 
@@ -170,7 +186,12 @@
 // replicate has a quorum accept a value, with the write lock held.
 func (leadership *Leadership) replicate(register message.Register, current message.Value, next *proposal) error {
 	core := leadership.core
-	request := &message.AcceptRequest{Term: leadership.term, Register: register, Value: next.value, Chunks: newChunks(next.value, current, next.chunks)}
+	request := &message.AcceptRequest{
+		Term:     leadership.term,
+		Register: register,
+		Value:    next.value,
+		Chunks:   newChunks(next.value, current, next.chunks),
+	}
 	if err := core.replicate(core.membership(), request, next.chunks); err != nil {
 		core.counters.Add("write_unknown", 1)
 		core.endLeadership(leadership)
--- a/control/learner.go
+++ b/control/learner.go
@@ -26,7 +26,14 @@
 	core.peerClocks.retain(after.All())
 	core.config.OnMembershipChange(after.Version, after.Addresses())
 	if before.Version.Serial != after.Version.Serial {
-		klog.Infof("core %d at %s: membership %d: voters %v, next %v", after.ID, after.Address, after.Version.Serial, after.Voters, after.Next)
+		klog.Infof(
+			"core %d at %s: membership %d: voters %v, next %v",
+			after.ID,
+			after.Address,
+			after.Version.Serial,
+			after.Voters,
+			after.Next,
+		)
 		core.counters.Add("memberships_learned", 1)
 	}
 	core.wakeElection.Notify()
@@ -39,8 +46,18 @@
 func (core *Core) followAsLearner() {
 	core.role.transition(Learner)
 	address := core.joinAddress()
-	request := &message.JoinRequest{Address: core.config.InternalAddress, SinceBootstrap: core.sinceBootstrap(), Known: core.membership().Version}
-	response, err := rpc.Call[message.JoinRequest, message.JoinResponse](core.client, address, message.MethodJoin, core.callTimeout(), request)
+	request := &message.JoinRequest{
+		Address:        core.config.InternalAddress,
+		SinceBootstrap: core.sinceBootstrap(),
+		Known:          core.membership().Version,
+	}
+	response, err := rpc.Call[message.JoinRequest, message.JoinResponse](
+		core.client,
+		address,
+		message.MethodJoin,
+		core.callTimeout(),
+		request,
+	)
 	if err != nil {
 		core.mutex.Lock()
 		core.election.joinAttempts++
--- a/control/model_actions_test.go
+++ b/control/model_actions_test.go
@@ -278,7 +278,15 @@
 	switch action.kind {
 	case modelDeliver, modelRepeat, modelPowerLoss, modelUnheard:
 		packet := world.flight[action.machine]
-		return fmt.Sprintf("%s %d->%d as %d %T%+v", action.kind, packet.from+1, packet.to+1, packet.as, packet.message, modelBrief(packet.message))
+		return fmt.Sprintf(
+			"%s %d->%d as %d %T%+v",
+			action.kind,
+			packet.from+1,
+			packet.to+1,
+			packet.as,
+			packet.message,
+			modelBrief(packet.message),
+		)
 	case modelReplace:
 		return fmt.Sprintf("machine %d: replace ID %d by machine %d", action.machine+1, action.other%64, action.other/64+1)
 	case modelEnlist, modelMend:
--- a/control/model_digest_test.go
+++ b/control/model_digest_test.go
@@ -85,7 +85,20 @@
 func (world *modelWorld) hash() [16]byte {
 	digest := make(modelDigest, 0, 2048)
 	spent := world.spent
-	digest.numbers(spent.candidates, spent.orders, spent.crashes, spent.powerLoss, spent.wipes, spent.steps, spent.enlists, spent.mends, spent.surveys, spent.duplicates, spent.giveUps, spent.losses)
+	digest.numbers(
+		spent.candidates,
+		spent.orders,
+		spent.crashes,
+		spent.powerLoss,
+		spent.wipes,
+		spent.steps,
+		spent.enlists,
+		spent.mends,
+		spent.surveys,
+		spent.duplicates,
+		spent.giveUps,
+		spent.losses,
+	)
 	for _, machine := range world.machines {
 		digest.text(machine.digest())
 	}
--- a/control/model_explore_test.go
+++ b/control/model_explore_test.go
@@ -25,22 +25,26 @@
 	{name: "3 voters, two candidacies", bounds: modelBounds{founders: 3, candidates: 2, prompt: true}},
 	{name: "3 voters, two candidacies, any answer late", bounds: modelBounds{founders: 3, candidates: 2}},
 	{
-		name: "3 voters, a leader, two orders, two more candidacies", bounds: modelBounds{founders: 3, registers: modelOne, candidates: 2, orders: 2, prompt: true, losses: 1},
+		name:    "3 voters, a leader, two orders, two more candidacies",
+		bounds:  modelBounds{founders: 3, registers: modelOne, candidates: 2, orders: 2, prompt: true, losses: 1},
 		prepare: func(script *modelScript) { script.leads(1, 2, 3) },
 	},
 	{
-		name: "4 voters, a leader, two orders, another candidacy", bounds: modelBounds{founders: 4, registers: modelOne, candidates: 1, orders: 2, prompt: true, losses: 1},
+		name:    "4 voters, a leader, two orders, another candidacy",
+		bounds:  modelBounds{founders: 4, registers: modelOne, candidates: 1, orders: 2, prompt: true, losses: 1},
 		prepare: func(script *modelScript) { script.leads(1, 2, 3, 4) },
 	},
 	{
-		name: "3 voters, a replacement, another candidacy", bounds: modelBounds{founders: 3, spares: 1, candidates: 1, steps: 1, prompt: true, losses: 1},
+		name:   "3 voters, a replacement, another candidacy",
+		bounds: modelBounds{founders: 3, spares: 1, candidates: 1, steps: 1, prompt: true, losses: 1},
 		prepare: func(script *modelScript) {
 			script.leads(1, 2, 3)
 			script.joins(4, 1, 2, 3)
 		},
 	},
 	{
-		name: "3 voters, an order at one replica, its leader down, a disk lost", bounds: modelBounds{founders: 3, registers: modelOne, candidates: 2, wipes: 1, prompt: true},
+		name:   "3 voters, an order at one replica, its leader down, a disk lost",
+		bounds: modelBounds{founders: 3, registers: modelOne, candidates: 2, wipes: 1, prompt: true},
 		prepare: func(script *modelScript) {
 			script.leads(1, 2, 3)
 			script.do(modelAction{kind: modelOrder, machine: 0, register: message.SettingsRegister})
@@ -59,7 +63,8 @@
 		},
 	},
 	{
-		name: "two of 3 replaced, one as before, one empty", bounds: modelBounds{founders: 3, spares: 2, registers: modelOne, candidates: 2, enlists: 1, crashes: 1, prompt: true},
+		name:    "two of 3 replaced, one as before, one empty",
+		bounds:  modelBounds{founders: 3, spares: 2, registers: modelOne, candidates: 2, enlists: 1, crashes: 1, prompt: true},
 		prepare: func(script *modelScript) { modelTwoEmptied(script.world) },
 	},
 }
@@ -143,7 +148,14 @@
 			if !search.whole {
 				whole = "cut off at the limit"
 			}
-			test.Logf("%d states, %d steps, depth %d, %s, in %v", len(search.seen), search.steps, search.depth, whole, time.Since(began).Round(time.Millisecond))
+			test.Logf(
+				"%d states, %d steps, depth %d, %s, in %v",
+				len(search.seen),
+				search.steps,
+				search.depth,
+				whole,
+				time.Since(began).Round(time.Millisecond),
+			)
 		})
 	}
 }
--- a/control/model_ledger_test.go
+++ b/control/model_ledger_test.go
@@ -66,7 +66,12 @@
 }
 
 func newModelLedger(first *consensus.Membership) *modelLedger {
-	ledger := &modelLedger{version: first, versions: []*consensus.Membership{first}, given: map[int]string{}, leaders: map[message.Term]int{}}
+	ledger := &modelLedger{
+		version:  first,
+		versions: []*consensus.Membership{first},
+		given:    map[int]string{},
+		leaders:  map[message.Term]int{},
+	}
 	for _, peer := range first.Voters {
 		ledger.given[peer.ID] = peer.Address
 	}
@@ -116,7 +121,15 @@
 		return
 	}
 	if history := ledger.history[register]; !strings.HasPrefix(string(proposal.value.Body), history) {
-		ledger.violated(acknowledgedIsKept, "%s proposes %q of register %d, %q was decided under %s", proposal.ballot, proposal.value.Body, register, history, ledger.under[register])
+		ledger.violated(
+			acknowledgedIsKept,
+			"%s proposes %q of register %d, %q was decided under %s",
+			proposal.ballot,
+			proposal.value.Body,
+			register,
+			history,
+			ledger.under[register],
+		)
 	}
 }
 
@@ -245,7 +258,13 @@
 			proposal.value.Serial, register, push.ballot, push.view.Version.Serial)
 	}
 	if register != message.MembersRegister && !strings.HasPrefix(ledger.history[register], string(proposal.value.Body)) {
-		ledger.violated(acknowledgedIsKept, "register %d: %q is acknowledged, decided was %q", register, proposal.value.Body, ledger.history[register])
+		ledger.violated(
+			acknowledgedIsKept,
+			"register %d: %q is acknowledged, decided was %q",
+			register,
+			proposal.value.Body,
+			ledger.history[register],
+		)
 	}
 	if body := string(proposal.value.Body); register != message.MembersRegister && len(body) > len(ledger.acknowledged[register]) {
 		ledger.acknowledged[register] = body
@@ -266,7 +285,14 @@
 // serves checks a value that a core takes as committed.
 func (ledger *modelLedger) serves(machine int, register message.Register, value message.Value) {
 	if register != message.MembersRegister && !strings.HasPrefix(ledger.history[register], string(value.Body)) {
-		ledger.violated(servedIsDecided, "machine %d serves %q of register %d, decided was %q", machine, value.Body, register, ledger.history[register])
+		ledger.violated(
+			servedIsDecided,
+			"machine %d serves %q of register %d, decided was %q",
+			machine,
+			value.Body,
+			register,
+			ledger.history[register],
+		)
 	}
 }
 
--- a/control/model_machine_test.go
+++ b/control/model_machine_test.go
@@ -118,8 +118,19 @@
 
 func newModelCore(address string, store *replica.Store) *Core {
 	store.LimitSegments(modelSegmentLimit)
-	core := &Core{counters: metrics.NewCounters(), updates: concurrent.NewCondition(), wakeElection: concurrent.NewCondition(), random: newRandomSource(1), peerClocks: newPeerClocks(), tables: newTableState()}
-	core.config = Config{InternalAddress: address, HeartbeatInterval: 10 * time.Millisecond, SuspicionTimeout: 30 * time.Millisecond}.withDefaults()
+	core := &Core{
+		counters:     metrics.NewCounters(),
+		updates:      concurrent.NewCondition(),
+		wakeElection: concurrent.NewCondition(),
+		random:       newRandomSource(1),
+		peerClocks:   newPeerClocks(),
+		tables:       newTableState(),
+	}
+	core.config = Config{
+		InternalAddress:   address,
+		HeartbeatInterval: 10 * time.Millisecond,
+		SuspicionTimeout:  30 * time.Millisecond,
+	}.withDefaults()
 	core.clock = clock.NewClock(func() int64 { return 0 })
 	core.sessions = newSessions(core.config.SessionTTL)
 	core.openReplica(store)
@@ -131,7 +142,10 @@
 
 // openReplica makes the replica of a store the core's own.
 func (core *Core) openReplica(store *replica.Store) {
-	core.replica = replica.New(store, replica.Callbacks{DiskFailed: func(error) {}, PromiseRaised: core.promiseRaised, MembershipAccepted: core.learnMembership})
+	core.replica = replica.New(
+		store,
+		replica.Callbacks{DiskFailed: func(error) {}, PromiseRaised: core.promiseRaised, MembershipAccepted: core.learnMembership},
+	)
 }
 
 // start runs a process on the disk as it is.
--- a/control/model_mutants_test.go
+++ b/control/model_mutants_test.go
@@ -44,7 +44,10 @@
 }
 
 // modelOldest takes over the oldest values in place of the newest.
-func modelOldest(view *consensus.View, promises map[int]*message.PrepareResponse) (oldest [message.Registers]message.AcceptedValue, from [message.Registers]int) {
+func modelOldest(
+	view *consensus.View,
+	promises map[int]*message.PrepareResponse,
+) (oldest [message.Registers]message.AcceptedValue, from [message.Registers]int) {
 	oldest, from = consensus.InheritedValues(view, promises)
 	for id, promise := range promises {
 		for register := range message.MembersRegister {
@@ -69,7 +72,9 @@
 
 var modelMutants = []modelMutant{
 	{
-		name: "a candidate needs one promise less", form: modelThree, breaks: []string{acknowledgedIsKept, oneValuePerSerial, oneLeaderPerTerm, confirmedReadIsNewest},
+		name:   "a candidate needs one promise less",
+		form:   modelThree,
+		breaks: []string{acknowledgedIsKept, oneValuePerSerial, oneLeaderPerTerm, confirmedReadIsNewest},
 		mutate: func(rules *modelRules) { rules.decides = modelTooFew },
 	},
 	{
@@ -157,12 +162,20 @@
 		mutate: func(rules *modelRules) {
 			rules.fencesWithout = modelFenceTooFew
 			rules.mayRestore = func(core *Core, view *consensus.View, response map[int]*message.ReplicaStateResponse) bool {
-				return view.MayLead(view.ID) && modelFenceTooFew(view, view.ID, consensus.Agreed(response, func(answer *message.ReplicaStateResponse) bool { return answer.Initialized }))
+				return view.MayLead(view.ID) &&
+					modelFenceTooFew(
+						view,
+						view.ID,
+						consensus.Agreed(response, func(answer *message.ReplicaStateResponse) bool { return answer.Initialized }),
+					)
 			}
 		},
 	},
 	{
-		name: "a restored voter has promised nothing", near: 4770, form: modelWiped, breaks: []string{acknowledgedIsKept, oneValuePerSerial, servedIsDecided},
+		name:   "a restored voter has promised nothing",
+		near:   4770,
+		form:   modelWiped,
+		breaks: []string{acknowledgedIsKept, oneValuePerSerial, servedIsDecided},
 		mutate: func(rules *modelRules) {
 			rules.found = func(core *Core, _ message.Term, _ [message.Registers]message.AcceptedValue) error {
 				return core.replica.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil)
@@ -170,7 +183,10 @@
 		},
 	},
 	{
-		name: "a restored voter keeps copies as votes of former ballots", near: 800, form: modelWiped, breaks: []string{acknowledgedIsKept, servedIsDecided},
+		name:   "a restored voter keeps copies as votes of former ballots",
+		near:   800,
+		form:   modelWiped,
+		breaks: []string{acknowledgedIsKept, servedIsDecided},
 		mutate: func(rules *modelRules) { rules.found = modelFoundAsVotes },
 	},
 	{
@@ -188,7 +204,11 @@
 		mutate: func(rules *modelRules) { rules.confirms = false },
 	},
 	{
-		name: "a learner forgets who votes", near: 660, form: modelEmptied, breaks: []string{acknowledgedIsKept, quorumsMeet, onlyVotersCount}, detailed: true,
+		name:     "a learner forgets who votes",
+		near:     660,
+		form:     modelEmptied,
+		breaks:   []string{acknowledgedIsKept, quorumsMeet, onlyVotersCount},
+		detailed: true,
 		mutate: func(rules *modelRules) {
 			rules.beginEmpty = func(core *Core, term message.Term) {
 				modelBeginEmpty(core, term)
@@ -196,7 +216,10 @@
 		},
 	},
 	{
-		name: "a leader counts by what it heard", near: 650, form: modelStray, breaks: []string{oneVoterPerStep, servedIsDecided, acknowledgedIsKept, quorumsMeet},
+		name:   "a leader counts by what it heard",
+		near:   650,
+		form:   modelStray,
+		breaks: []string{oneVoterPerStep, servedIsDecided, acknowledgedIsKept, quorumsMeet},
 		mutate: func(rules *modelRules) {
 			rules.leadsBy = func(*Core, *consensus.View, message.Term) error { return nil }
 		},
@@ -208,7 +231,14 @@
 }
 
 func modelFenceTooFew(view *consensus.View, lost int, has func(id int) bool) bool {
-	return message.CountIn(view.Voters, func(id int) bool { return id != lost && has(id) }) >= len(view.Voters)-message.Majority(view.Voters)
+	return message.CountIn(
+		view.Voters,
+		func(id int) bool { return id != lost && has(id) },
+	) >= len(
+		view.Voters,
+	)-message.Majority(
+		view.Voters,
+	)
 }
 
 // modelFoundAsVotes takes over copies as if this replica had accepted them.
--- a/control/model_script_test.go
+++ b/control/model_script_test.go
@@ -173,7 +173,13 @@
 	bounds = modelMany(3, 2, 0)
 	world = newModelWorld(modelRealRules(), &bounds)
 	modelTwoEmptied(world)
-	if world.ledger.version.Version.Serial != 5 || !world.machines[1].process.core.replica.Blank() || world.machines[0].process.leadership == nil {
-		test.Errorf("membership %v, machine 2 blank %v, machine 1 leads %v", world.ledger.version, world.machines[1].process.core.replica.Blank(), world.machines[0].process.leadership)
+	if world.ledger.version.Version.Serial != 5 || !world.machines[1].process.core.replica.Blank() ||
+		world.machines[0].process.leadership == nil {
+		test.Errorf(
+			"membership %v, machine 2 blank %v, machine 1 leads %v",
+			world.ledger.version,
+			world.machines[1].process.core.replica.Blank(),
+			world.machines[0].process.leadership,
+		)
 	}
 }
--- a/control/model_steps_test.go
+++ b/control/model_steps_test.go
@@ -22,7 +22,12 @@
 		}
 		return
 	}
-	process.candidacy = &modelCandidacy{call: process.nextCall(), view: view, ballot: term, promises: map[int]*message.PrepareResponse{view.ID: own}}
+	process.candidacy = &modelCandidacy{
+		call:     process.nextCall(),
+		view:     view,
+		ballot:   term,
+		promises: map[int]*message.PrepareResponse{view.ID: own},
+	}
 	for _, peer := range view.Peers {
 		world.ask(machine, process.candidacy.call, peer, request)
 	}
@@ -43,7 +48,11 @@
 func (world *modelWorld) enlists(machine *modelMachine, at int) {
 	process := machine.process
 	process.enlisting = process.nextCall()
-	request := &message.JoinRequest{Address: machine.address, SinceBootstrap: process.core.sinceBootstrap(), Known: process.core.membership().Version}
+	request := &message.JoinRequest{
+		Address:        machine.address,
+		SinceBootstrap: process.core.sinceBootstrap(),
+		Known:          process.core.membership().Version,
+	}
 	world.ask(machine, process.enlisting, message.Peer{Address: world.machines[at].address}, request)
 }
 
@@ -53,7 +62,15 @@
 	current := leadership.value(register)
 	tag := byte('a' + world.spent.orders)
 	value := message.Value{Serial: current.Serial + 1, Body: append([]byte(string(current.Body)), tag)}
-	world.pushes(machine, &modelPush{purpose: modelWrite, view: machine.process.core.membership(), ballot: leadership.term, values: map[message.Register]message.Value{register: value}})
+	world.pushes(
+		machine,
+		&modelPush{
+			purpose: modelWrite,
+			view:    machine.process.core.membership(),
+			ballot:  leadership.term,
+			values:  map[message.Register]message.Value{register: value},
+		},
+	)
 }
 
 // replaces begins to give a voter's place to a learner.
@@ -156,7 +173,11 @@
 			return
 		}
 		machine.forgotten = machine.forgotten.without(candidacy.view.ID)
-		candidacy.promises[candidacy.view.ID] = &message.PrepareResponse{Granted: true, Promised: candidacy.ballot, Accepted: process.core.replica.State().Accepted}
+		candidacy.promises[candidacy.view.ID] = &message.PrepareResponse{
+			Granted:  true,
+			Promised: candidacy.ballot,
+			Accepted: process.core.replica.State().Accepted,
+		}
 	}
 	if !world.rules.decides(candidacy.view, has) {
 		return
@@ -166,7 +187,12 @@
 		return
 	}
 	newest, _ := world.rules.takenOver(candidacy.view, candidacy.promises)
-	push := &modelPush{purpose: modelEstablish, view: candidacy.view, ballot: candidacy.ballot, values: map[message.Register]message.Value{}}
+	push := &modelPush{
+		purpose: modelEstablish,
+		view:    candidacy.view,
+		ballot:  candidacy.ballot,
+		values:  map[message.Register]message.Value{},
+	}
 	push.values[message.MembersRegister] = newest[message.MembersRegister].Value
 	for _, register := range world.bounds.registers {
 		push.values[register] = newest[register].Value
@@ -203,7 +229,9 @@
 			if other.process == nil || world.cut[machine.index][other.index] || world.cut[other.index][machine.index] {
 				continue
 			}
-			if answer, err := other.process.core.onReplicaState(&message.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Version}); err == nil {
+			if answer, err := other.process.core.onReplicaState(
+				&message.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Version},
+			); err == nil {
 				response[peer.ID] = answer
 				core.learnMembership(answer.Membership)
 			}
@@ -287,7 +315,12 @@
 	if process.admission != nil {
 		return
 	}
-	process.admission = &modelAdmission{call: process.nextCall(), view: view, asked: packet, history: world.ledger.acknowledged[message.SettingsRegister]}
+	process.admission = &modelAdmission{
+		call:    process.nextCall(),
+		view:    view,
+		asked:   packet,
+		history: world.ledger.acknowledged[message.SettingsRegister],
+	}
 	_, beat := process.leadership.nextHeartbeat(view)
 	for _, peer := range view.Peers {
 		world.ask(machine, process.admission.call, peer, beat)
@@ -309,7 +342,10 @@
 	}
 	process.admission = nil
 	request := admission.asked.message.(*message.JoinRequest)
-	response := &message.JoinResponse{Term: process.leadership.term, Admitted: world.rules.admits(process.core.membership(), request.Address)}
+	response := &message.JoinResponse{
+		Term:     process.leadership.term,
+		Admitted: world.rules.admits(process.core.membership(), request.Address),
+	}
 	response.Membership = process.core.members.NewerThan(request.Known)
 	world.answer(admission.asked, response)
 }
@@ -321,7 +357,13 @@
 		return
 	}
 	if packet.amnesiac && modelAgrees(packet.message) {
-		world.ledger.violated(onlyVotersCount, "%T of machine %d counts for ID %d without the disk that voted so", packet.message, packet.from+1, packet.as)
+		world.ledger.violated(
+			onlyVotersCount,
+			"%T of machine %d counts for ID %d without the disk that voted so",
+			packet.message,
+			packet.from+1,
+			packet.as,
+		)
 	}
 	switch response := packet.message.(type) {
 	case *message.PrepareResponse:
@@ -370,7 +412,13 @@
 	}
 	process.survey = nil
 	term := world.rules.nextTerm(core, survey.view)
-	process.candidacy = &modelCandidacy{call: process.nextCall(), view: survey.view, ballot: term, promises: map[int]*message.PrepareResponse{}, restores: true}
+	process.candidacy = &modelCandidacy{
+		call:     process.nextCall(),
+		view:     survey.view,
+		ballot:   term,
+		promises: map[int]*message.PrepareResponse{},
+		restores: true,
+	}
 	request := &message.PrepareRequest{Term: term, Membership: world.rules.askedMembers(survey.view)}
 	for _, peer := range survey.view.Peers {
 		world.ask(machine, process.candidacy.call, peer, request)
@@ -383,7 +431,8 @@
 	core := process.core
 	process.enlisting = 0
 	membership, err := consensus.DecodeMembership(response.Membership)
-	if !core.membership().Known() && err == nil && membership != nil && core.replica.Blank() && consensus.NewView(machine.address, membership).MayVoteAtOnce(core.sinceBootstrap()) {
+	if !core.membership().Known() && err == nil && membership != nil && core.replica.Blank() &&
+		consensus.NewView(machine.address, membership).MayVoteAtOnce(core.sinceBootstrap()) {
 		if core.replica.Join(response.Membership) != nil {
 			return
 		}
--- a/control/model_walk_test.go
+++ b/control/model_walk_test.go
@@ -60,7 +60,12 @@
 }
 
 func newModelWalk(rules *modelRules, form *modelWalkForm, seed uint64) *modelWalk {
-	walk := &modelWalk{form: *form, world: newModelWorld(rules, &form.bounds), random: rand.New(rand.NewPCG(seed, 16)), done: map[modelKind]int{}}
+	walk := &modelWalk{
+		form:   *form,
+		world:  newModelWorld(rules, &form.bounds),
+		random: rand.New(rand.NewPCG(seed, 16)),
+		done:   map[modelKind]int{},
+	}
 	if form.pace == 0 {
 		walk.form.harms, walk.form.pace = modelHarms, modelHarmPace
 	}
@@ -108,7 +113,10 @@
 	if walk.harms {
 		return func(kind modelKind) int { return walk.form.harms[kind] }
 	}
-	led := slices.ContainsFunc(walk.world.machines, func(machine *modelMachine) bool { return machine.process != nil && machine.process.leadership != nil })
+	led := slices.ContainsFunc(
+		walk.world.machines,
+		func(machine *modelMachine) bool { return machine.process != nil && machine.process.leadership != nil },
+	)
 	return func(kind modelKind) int {
 		if weight, found := modelLedWeights[kind]; led && found {
 			return weight
@@ -196,8 +204,23 @@
 // modelMany are bounds that a walk hardly reaches.
 func modelMany(founders, spares, late int) modelBounds {
 	return modelBounds{
-		founders: founders, spares: spares, late: late, registers: modelData, candidates: 40, orders: 40, crashes: 20, powerLoss: 12, wipes: 12,
-		steps: 20, enlists: 80, mends: 40, surveys: 40, duplicates: 40, giveUps: 30, timeOuts: true, cuts: 1,
+		founders:   founders,
+		spares:     spares,
+		late:       late,
+		registers:  modelData,
+		candidates: 40,
+		orders:     40,
+		crashes:    20,
+		powerLoss:  12,
+		wipes:      12,
+		steps:      20,
+		enlists:    80,
+		mends:      40,
+		surveys:    40,
+		duplicates: 40,
+		giveUps:    30,
+		timeOuts:   true,
+		cuts:       1,
 	}
 }
 
@@ -207,8 +230,20 @@
 	{name: "3 voters, 1 newcomer, one voter late", bounds: modelMany(3, 1, 1)},
 	{name: "5 voters, 2 newcomers", bounds: modelMany(5, 2, 0)},
 	{name: "3 voters that lose their disks often", bounds: modelMany(3, 0, 0), harms: modelWipesFirst, pace: 20},
-	{name: "two of 3 replaced, one still leads as before", bounds: modelMany(3, 2, 0), prepare: modelTwoReplaced, harms: modelWipesFirst, pace: 25},
-	{name: "two of 3 replaced, one still leads as before, one is empty", bounds: modelMany(3, 2, 0), prepare: modelTwoEmptied, harms: modelCrashesFirst, pace: 15},
+	{
+		name:    "two of 3 replaced, one still leads as before",
+		bounds:  modelMany(3, 2, 0),
+		prepare: modelTwoReplaced,
+		harms:   modelWipesFirst,
+		pace:    25,
+	},
+	{
+		name:    "two of 3 replaced, one still leads as before, one is empty",
+		bounds:  modelMany(3, 2, 0),
+		prepare: modelTwoEmptied,
+		harms:   modelCrashesFirst,
+		pace:    15,
+	},
 	{name: "3 voters, one of which holds a dead leader's step", bounds: modelMany(3, 1, 0), prepare: modelStrayStep},
 }
 
@@ -226,7 +261,12 @@
 			for index := range count {
 				walk := newModelWalk(modelRealRules(), &form, *modelSeed+uint64(index))
 				if violation := walk.run(modelWalkSteps); violation != nil {
-					test.Fatalf("seed %d: %v\n%s", *modelSeed+uint64(index), violation, modelTrace(&form, modelRealRules(), *modelSeed+uint64(index), false))
+					test.Fatalf(
+						"seed %d: %v\n%s",
+						*modelSeed+uint64(index),
+						violation,
+						modelTrace(&form, modelRealRules(), *modelSeed+uint64(index), false),
+					)
 				}
 				for kind, done := range walk.done {
 					tally[kind] += done
--- a/control/model_world_test.go
+++ b/control/model_world_test.go
@@ -142,7 +142,14 @@
 
 // ask sends a request of a call to a voter, counted by the voter's ID.
 func (world *modelWorld) ask(machine *modelMachine, call int, peer message.Peer, request any) {
-	packet := &modelPacket{from: machine.index, to: modelIndex(peer.Address), life: machine.process.life, call: call, as: peer.ID, message: request}
+	packet := &modelPacket{
+		from:    machine.index,
+		to:      modelIndex(peer.Address),
+		life:    machine.process.life,
+		call:    call,
+		as:      peer.ID,
+		message: request,
+	}
 	if accept, offers := request.(*message.AcceptRequest); offers {
 		packet.register = accept.Register
 	}
@@ -152,7 +159,19 @@
 // answer sends what was told to the asker.
 func (world *modelWorld) answer(request *modelPacket, response any) {
 	amnesiac := request.as > 0 && world.machines[request.to].forgotten.has(request.as)
-	world.send(&modelPacket{from: request.to, to: request.from, life: request.life, call: request.call, as: request.as, register: request.register, message: response, answers: true, amnesiac: amnesiac})
+	world.send(
+		&modelPacket{
+			from:     request.to,
+			to:       request.from,
+			life:     request.life,
+			call:     request.call,
+			as:       request.as,
+			register: request.register,
+			message:  response,
+			answers:  true,
+			amnesiac: amnesiac,
+		},
+	)
 }
 
 // take removes a message that is on its way.
--- a/control/probe_hints.go
+++ b/control/probe_hints.go
@@ -31,7 +31,12 @@
 }
 
 func newProbeHints() *ProbeHints {
-	return &ProbeHints{findings: map[string]map[string]finding{}, known: map[string]finding{}, counts: map[string]uint64{}, changedAt: map[string]time.Time{}}
+	return &ProbeHints{
+		findings:  map[string]map[string]finding{},
+		known:     map[string]finding{},
+		counts:    map[string]uint64{},
+		changedAt: map[string]time.Time{},
+	}
 }
 
 // observe raises the hints of backends of which a session has a finding that is new to
--- a/control/relayed_test.go
+++ b/control/relayed_test.go
@@ -17,7 +17,19 @@
 // gets all that the core was told, or it would seal what came since alone.
 func TestRelayedSessionTellsAllCountsNotTheLastChange(test *testing.T) {
 	goroutines := concurrent.NewGroup()
-	core, err := NewCore(Config{ID: 1, InternalAddress: "127.0.0.1:1", Bootstrap: true, HeartbeatInterval: 10 * time.Millisecond, SuspicionTimeout: 30 * time.Millisecond}, storage.Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
+	core, err := NewCore(
+		Config{
+			ID:                1,
+			InternalAddress:   "127.0.0.1:1",
+			Bootstrap:         true,
+			HeartbeatInterval: 10 * time.Millisecond,
+			SuspicionTimeout:  30 * time.Millisecond,
+		},
+		storage.Folder(test.TempDir()),
+		rpc.NewClient(http.DefaultTransport),
+		goroutines,
+		metrics.NewCounters(),
+	)
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -50,7 +62,19 @@
 // What adds to a former process of the core is not all, and does not pass for it.
 func TestRelayedChangesUponAFormerProcessStayChanges(test *testing.T) {
 	goroutines := concurrent.NewGroup()
-	core, err := NewCore(Config{ID: 1, InternalAddress: "127.0.0.1:1", Bootstrap: true, HeartbeatInterval: 10 * time.Millisecond, SuspicionTimeout: 30 * time.Millisecond}, storage.Folder(test.TempDir()), rpc.NewClient(http.DefaultTransport), goroutines, metrics.NewCounters())
+	core, err := NewCore(
+		Config{
+			ID:                1,
+			InternalAddress:   "127.0.0.1:1",
+			Bootstrap:         true,
+			HeartbeatInterval: 10 * time.Millisecond,
+			SuspicionTimeout:  30 * time.Millisecond,
+		},
+		storage.Folder(test.TempDir()),
+		rpc.NewClient(http.DefaultTransport),
+		goroutines,
+		metrics.NewCounters(),
+	)
 	if err != nil {
 		test.Fatal(err)
 	}
--- a/control/remove_voter.go
+++ b/control/remove_voter.go
@@ -76,9 +76,17 @@
 		}
 	}
 	if time.Since(leadership.since) < learnerTimeouts*core.config.SuspicionTimeout {
-		return "", &rpc.Error{Code: rpc.NotStarted, Message: "the leader just began and may not know the learners yet", RetryAfterMs: removalRetryMs}
+		return "", &rpc.Error{
+			Code:         rpc.NotStarted,
+			Message:      "the leader just began and may not know the learners yet",
+			RetryAfterMs: removalRetryMs,
+		}
 	}
-	return "", rpc.Errorf(rpc.NoLearner, "no learner holds everything yet, so core %d keeps its place; start a new core and ask again", leaving)
+	return "", rpc.Errorf(
+		rpc.NoLearner,
+		"no learner holds everything yet, so core %d keeps its place; start a new core and ask again",
+		leaving,
+	)
 }
 
 // removalResponse acknowledges a removal that was decided. One that was written but not
@@ -86,7 +94,11 @@
 func (leadership *Leadership) removalResponse(id int) (*message.RemoveVoterResponse, error) {
 	view, err := leadership.decidedMembership()
 	if err != nil {
-		return nil, &rpc.Error{Code: rpc.OutcomeUnknown, Message: "the removal may come about: " + err.Error(), RetryAfterMs: removalRetryMs}
+		return nil, &rpc.Error{
+			Code:         rpc.OutcomeUnknown,
+			Message:      "the removal may come about: " + err.Error(),
+			RetryAfterMs: removalRetryMs,
+		}
 	}
 	if consensus.ContainsPeer(view.Voters, id) {
 		return nil, &rpc.Error{Code: rpc.NotStarted, Message: "the learner did not take the place", RetryAfterMs: removalRetryMs}
--- a/control/replacement.go
+++ b/control/replacement.go
@@ -118,7 +118,12 @@
 // departingVoter returns a voter whose place may be taken: one that announced its end, or
 // the one that was silent longest, and for a time-out at least. The leader never is one.
 // Silence counts from since at the earliest.
-func (replacements *Replacements) departingVoter(voters []message.Peer, leader int, since time.Time, timeout time.Duration) (message.Peer, bool) {
+func (replacements *Replacements) departingVoter(
+	voters []message.Peer,
+	leader int,
+	since time.Time,
+	timeout time.Duration,
+) (message.Peer, bool) {
 	replacements.mutex.Lock()
 	defer replacements.mutex.Unlock()
 	departing, found := message.Peer{}, false
--- a/control/replication.go
+++ b/control/replication.go
@@ -15,7 +15,13 @@
 
 // callPeers calls every other voter of a membership at once and returns the responses by
 // the voters' IDs, as soon as those that agree are enough or all calls have ended.
-func callPeers[Response any](core *Core, view *consensus.View, call func(peer message.Peer) (*Response, error), agrees func(*Response) bool, enough func(has func(id int) bool) bool) map[int]*Response {
+func callPeers[Response any](
+	core *Core,
+	view *consensus.View,
+	call func(peer message.Peer) (*Response, error),
+	agrees func(*Response) bool,
+	enough func(has func(id int) bool) bool,
+) map[int]*Response {
 	byID := func(byIndex map[int]*Response) map[int]*Response {
 		responses := make(map[int]*Response, len(byIndex))
 		for index, response := range byIndex {
@@ -45,17 +51,28 @@
 		}
 		return core.replicateTo(voters[index], request, chunks, deadline)
 	}
-	responses, _ := concurrent.Gather(core.goroutines, len(voters), send, func(responses map[int]*message.AcceptResponse, errs map[int]error) bool {
-		count := countAccepted(voters, responses, errs)
-		return view.Quorum(count.accepted) || !view.Quorum(count.mayAccept) || time.Until(deadline) <= 0
-	})
+	responses, _ := concurrent.Gather(
+		core.goroutines,
+		len(voters),
+		send,
+		func(responses map[int]*message.AcceptResponse, errs map[int]error) bool {
+			count := countAccepted(voters, responses, errs)
+			return view.Quorum(count.accepted) || !view.Quorum(count.mayAccept) || time.Until(deadline) <= 0
+		},
+	)
 	for _, response := range responses {
 		if !response.Accepted {
 			core.observeTermNumber(response.Promised.Number)
 		}
 	}
 	if !view.DecidedBy(countAccepted(voters, responses, nil).accepted) {
-		return rpc.Errorf(rpc.StaleTerm, "no quorum of membership %d took serial %d under %s", view.Version.Serial, request.Value.Serial, request.Term)
+		return rpc.Errorf(
+			rpc.StaleTerm,
+			"no quorum of membership %d took serial %d under %s",
+			view.Version.Serial,
+			request.Value.Serial,
+			request.Term,
+		)
 	}
 	return nil
 }
@@ -86,7 +103,12 @@
 func (count acceptCount) mayAccept(id int) bool { return !count.hasNone[id] }
 
 // replicateTo offers a value to another core, again while that can't be reached.
-func (core *Core) replicateTo(peer message.Peer, request *message.AcceptRequest, chunks message.Chunks, deadline time.Time) (*message.AcceptResponse, error) {
+func (core *Core) replicateTo(
+	peer message.Peer,
+	request *message.AcceptRequest,
+	chunks message.Chunks,
+	deadline time.Time,
+) (*message.AcceptResponse, error) {
 	for {
 		response, err := core.offerTo(peer, request, chunks, time.Until(deadline))
 		if err == nil || !isUnreachable(err) || time.Until(deadline) < core.config.HeartbeatInterval {
@@ -104,15 +126,30 @@
 }
 
 // offerTo offers a value to another core once.
-func (core *Core) offerTo(peer message.Peer, request *message.AcceptRequest, chunks message.Chunks, timeout time.Duration) (*message.AcceptResponse, error) {
+func (core *Core) offerTo(
+	peer message.Peer,
+	request *message.AcceptRequest,
+	chunks message.Chunks,
+	timeout time.Duration,
+) (*message.AcceptResponse, error) {
 	deadline := time.Now().Add(timeout)
 	return sendAccept(request, chunks, func(request *message.AcceptRequest) (*message.AcceptResponse, error) {
-		return rpc.Call[message.AcceptRequest, message.AcceptResponse](core.client, peer.Address, message.MethodAccept, time.Until(deadline), request)
+		return rpc.Call[message.AcceptRequest, message.AcceptResponse](
+			core.client,
+			peer.Address,
+			message.MethodAccept,
+			time.Until(deadline),
+			request,
+		)
 	})
 }
 
 // sendAccept sends a value, and once more with the chunks that the replica lacks.
-func sendAccept(request *message.AcceptRequest, chunks message.Chunks, send func(*message.AcceptRequest) (*message.AcceptResponse, error)) (*message.AcceptResponse, error) {
+func sendAccept(
+	request *message.AcceptRequest,
+	chunks message.Chunks,
+	send func(*message.AcceptRequest) (*message.AcceptResponse, error),
+) (*message.AcceptResponse, error) {
 	response, err := send(request)
 	if err != nil || len(response.Missing) == 0 {
 		return response, err
@@ -130,7 +167,12 @@
 }
 
 // replicateAll has a quorum of a membership accept values of all registers under a term.
-func (core *Core) replicateAll(view *consensus.View, term message.Term, values [message.Registers]message.Value, chunks message.Chunks) error {
+func (core *Core) replicateAll(
+	view *consensus.View,
+	term message.Term,
+	values [message.Registers]message.Value,
+	chunks message.Chunks,
+) error {
 	return core.forAllRegisters(func(register message.Register) error {
 		request := &message.AcceptRequest{Term: term, Register: register, Value: values[register]}
 		return core.replicate(view, request, chunks)
--- a/control/restore.go
+++ b/control/restore.go
@@ -45,10 +45,20 @@
 
 // askReplicaStates asks the other voters what they hold, until those that agree are
 // enough, and learns the memberships that they know.
-func (core *Core) askReplicaStates(view *consensus.View, agrees func(*message.ReplicaStateResponse) bool, enough func(has func(id int) bool) bool) map[int]*message.ReplicaStateResponse {
+func (core *Core) askReplicaStates(
+	view *consensus.View,
+	agrees func(*message.ReplicaStateResponse) bool,
+	enough func(has func(id int) bool) bool,
+) map[int]*message.ReplicaStateResponse {
 	request := &message.ReplicaStateRequest{Core: view.ID, Membership: view.Version}
 	responses := callPeers(core, view, func(peer message.Peer) (*message.ReplicaStateResponse, error) {
-		return rpc.Call[message.ReplicaStateRequest, message.ReplicaStateResponse](core.client, peer.Address, message.MethodReplicaState, core.callTimeout(), request)
+		return rpc.Call[message.ReplicaStateRequest, message.ReplicaStateResponse](
+			core.client,
+			peer.Address,
+			message.MethodReplicaState,
+			core.callTimeout(),
+			request,
+		)
 	}, agrees, enough)
 	for _, response := range responses {
 		core.learnMembership(response.Membership)
--- a/control/revocation.go
+++ b/control/revocation.go
@@ -78,16 +78,32 @@
 	promises := core.preparePeers(view, request, view.Decides)
 	promises[view.ID] = own
 	if !view.Decides(consensus.Agreed(promises, consensus.Granted)) {
-		return nil, rpc.Errorf(rpc.StaleTerm, "%d cores and no quorum of membership %d promised %s", len(promises), view.Version.Serial, term)
+		return nil, rpc.Errorf(
+			rpc.StaleTerm,
+			"%d cores and no quorum of membership %d promised %s",
+			len(promises),
+			view.Version.Serial,
+			term,
+		)
 	}
 	return promises, nil
 }
 
 // preparePeers asks the other voters to promise, until those that did are enough, and
 // returns the promises that were granted.
-func (core *Core) preparePeers(view *consensus.View, request *message.PrepareRequest, enough func(has func(id int) bool) bool) map[int]*message.PrepareResponse {
+func (core *Core) preparePeers(
+	view *consensus.View,
+	request *message.PrepareRequest,
+	enough func(has func(id int) bool) bool,
+) map[int]*message.PrepareResponse {
 	responses := callPeers(core, view, func(peer message.Peer) (*message.PrepareResponse, error) {
-		return rpc.Call[message.PrepareRequest, message.PrepareResponse](core.client, peer.Address, message.MethodPrepare, core.callTimeout(), request)
+		return rpc.Call[message.PrepareRequest, message.PrepareResponse](
+			core.client,
+			peer.Address,
+			message.MethodPrepare,
+			core.callTimeout(),
+			request,
+		)
 	}, consensus.Granted, enough)
 	return core.grantedPromises(responses)
 }
--- a/control/routing_test.go
+++ b/control/routing_test.go
@@ -29,7 +29,9 @@
 			test.Errorf("step %d: the contrary changed something", number)
 		}
 		next := applyEvacuation(state, &message.EvacuateRequest{Zone: step.zone, Begin: step.begin}, step.at)
-		if next == nil || len(next.Evacuated) != len(step.evacuated) || len(step.evacuated) > 0 && !reflect.DeepEqual(next.Evacuated, step.evacuated) || !reflect.DeepEqual(next.Restored, step.reopened) {
+		if next == nil || len(next.Evacuated) != len(step.evacuated) ||
+			len(step.evacuated) > 0 && !reflect.DeepEqual(next.Evacuated, step.evacuated) ||
+			!reflect.DeepEqual(next.Restored, step.reopened) {
 			test.Fatalf("step %d: %+v", number, next)
 		}
 		state = next
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -41,7 +41,12 @@
 	if found && renewedAt.Before(former.renewedAt) {
 		return
 	}
-	sessions.byName[session.Member.Name] = trackedSession{session: session, core: core, renewedAt: renewedAt, expiresAt: renewedAt.Add(sessions.ttl)}
+	sessions.byName[session.Member.Name] = trackedSession{
+		session:   session,
+		core:      core,
+		renewedAt: renewedAt,
+		expiresAt: renewedAt.Add(sessions.ttl),
+	}
 }
 
 // observeCore notes that another core spoke to this one.
@@ -218,7 +223,13 @@
 }
 
 func (core *Core) sendSessions(address string, request *message.ShareSessionsRequest) (*message.ShareSessionsResponse, error) {
-	return rpc.Call[message.ShareSessionsRequest, message.ShareSessionsResponse](core.client, address, message.MethodShareSessions, core.callTimeout(), request)
+	return rpc.Call[message.ShareSessionsRequest, message.ShareSessionsResponse](
+		core.client,
+		address,
+		message.MethodShareSessions,
+		core.callTimeout(),
+		request,
+	)
 }
 
 // forForwarding returns a session as the leader gets it from this core: with all counts
--- a/control/settings.go
+++ b/control/settings.go
@@ -103,7 +103,12 @@
 }
 
 // applyChange returns the content after a change.
-func (leadership *Leadership) applyChange(request *message.ChangeRequest, current *content, parsed *config.Tree, digest string) (*content, error) {
+func (leadership *Leadership) applyChange(
+	request *message.ChangeRequest,
+	current *content,
+	parsed *config.Tree,
+	digest string,
+) (*content, error) {
 	if request.Base != current.serial {
 		return nil, &rpc.Error{Code: rpc.StaleBase, Message: fmt.Sprintf("based on %d", request.Base), Serial: current.serial}
 	}
--- a/control/status.go
+++ b/control/status.go
@@ -21,7 +21,15 @@
 	response.State = string(core.role.Current())
 	response.Counts = core.counters.All()
 	state := core.replica.State()
-	response.Cores = []message.CoreStatus{{Core: core.membership().ID, Address: core.config.InternalAddress, Voter: state.Initialized, Seen: true, Versions: state.Versions()}}
+	response.Cores = []message.CoreStatus{
+		{
+			Core:     core.membership().ID,
+			Address:  core.config.InternalAddress,
+			Voter:    state.Initialized,
+			Seen:     true,
+			Versions: state.Versions(),
+		},
+	}
 	if leadership != nil {
 		response.Conditions = leadership.conditions()
 		response.Revocation = string(leadership.revocation.Method)
--- a/control/stored_test.go
+++ b/control/stored_test.go
@@ -35,16 +35,39 @@
 }
 
 func describeStore(text *bytes.Buffer, state *consensus.State) {
-	fmt.Fprintf(text, "founded %v, opening %v, promised %d.%d\n", state.Initialized, state.SinceBootstrap, state.Promised.Number, state.Promised.Core)
+	fmt.Fprintf(
+		text,
+		"founded %v, opening %v, promised %d.%d\n",
+		state.Initialized,
+		state.SinceBootstrap,
+		state.Promised.Number,
+		state.Promised.Core,
+	)
 	for register, accepted := range state.Accepted {
-		fmt.Fprintf(text, "register %d: serial %d under %d.%d, body %x, %d parts, committed %d\n", register, accepted.Value.Serial,
-			accepted.Term.Number, accepted.Term.Core, message.DigestOf(accepted.Value.Body), len(accepted.Value.Chunks), state.Committed[register].Serial)
+		fmt.Fprintf(
+			text,
+			"register %d: serial %d under %d.%d, body %x, %d parts, committed %d\n",
+			register,
+			accepted.Value.Serial,
+			accepted.Term.Number,
+			accepted.Term.Core,
+			message.DigestOf(accepted.Value.Body),
+			len(accepted.Value.Chunks),
+			state.Committed[register].Serial,
+		)
 		for _, part := range accepted.Value.Chunks {
 			fmt.Fprintf(text, "  part %s %x, %d bytes\n", part.Path, part.Digest, len(state.Chunks[part.Digest]))
 		}
 	}
 	if voters := state.Membership(); voters != nil {
-		fmt.Fprintf(text, "membership %d under %d.%d: last id %d\n", voters.Version.Serial, voters.Version.Term.Number, voters.Version.Term.Core, voters.LastID)
+		fmt.Fprintf(
+			text,
+			"membership %d under %d.%d: last id %d\n",
+			voters.Version.Serial,
+			voters.Version.Term.Number,
+			voters.Version.Term.Core,
+			voters.LastID,
+		)
 		for _, peer := range voters.Voters {
 			fmt.Fprintf(text, "  voter %d at %s\n", peer.ID, peer.Address)
 		}
@@ -74,7 +97,15 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	fmt.Fprintf(text, "routing %d: %d routes, %d services, evacuated %v, %d reopened\n", book.Config.Version, len(book.Config.Routes), len(book.Config.Services), book.Evacuated, len(book.Restored))
+	fmt.Fprintf(
+		text,
+		"routing %d: %d routes, %d services, evacuated %v, %d reopened\n",
+		book.Config.Version,
+		len(book.Config.Routes),
+		len(book.Config.Services),
+		book.Evacuated,
+		len(book.Restored),
+	)
 	for version := range uint64(10) {
 		fmt.Fprintf(text, "  version %d forgotten: %v\n", version, book.History.MayHaveForgotten(version))
 	}
@@ -111,7 +142,13 @@
 		}
 		sort.Strings(processes)
 		for _, process := range processes {
-			fmt.Fprintf(text, "  process %s seen at %d:%s\n", process, sums.Reported[process].SeenMs, sortedCounts(sums.Reported[process].Counts))
+			fmt.Fprintf(
+				text,
+				"  process %s seen at %d:%s\n",
+				process,
+				sums.Reported[process].SeenMs,
+				sortedCounts(sums.Reported[process].Counts),
+			)
 		}
 		return
 	}
@@ -142,10 +179,29 @@
 	}
 	defer log.Close()
 	claims, last, done := log.Store().Page(0, 1<<20)
-	fmt.Fprintf(text, "claims: %d, last %d, done %v, whole as %d, membership %d\n", len(claims), last, done, completeAs(log), log.Membership().Value.Serial)
+	fmt.Fprintf(
+		text,
+		"claims: %d, last %d, done %v, whole as %d, membership %d\n",
+		len(claims),
+		last,
+		done,
+		completeAs(log),
+		log.Membership().Value.Serial,
+	)
 	for _, claimed := range claims {
-		fmt.Fprintf(text, "  %s/%s/%s %s by %s: stage %d, status %d, %d headers, body %x\n", claimed.Key.Tenant, claimed.Key.Service, claimed.Key.Key,
-			claimed.ID, claimed.Holder, claimed.Stage, claimed.Status, len(claimed.Header), message.DigestOf(claimed.Body))
+		fmt.Fprintf(
+			text,
+			"  %s/%s/%s %s by %s: stage %d, status %d, %d headers, body %x\n",
+			claimed.Key.Tenant,
+			claimed.Key.Service,
+			claimed.Key.Key,
+			claimed.ID,
+			claimed.Holder,
+			claimed.Stage,
+			claimed.Status,
+			len(claimed.Header),
+			message.DigestOf(claimed.Body),
+		)
 	}
 }
 
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -17,10 +17,22 @@
 func listed(count int) *discovery.Reader {
 	list := make([]message.Backend, 0, count)
 	for number := range count {
-		list = append(list, message.Backend{Name: fmt.Sprintf("backend-%06d", (number*7919)%count), Service: "service", Address: "10.0.0.1:80", Zone: "zone", Capacity: 16})
+		list = append(
+			list,
+			message.Backend{
+				Name:     fmt.Sprintf("backend-%06d", (number*7919)%count),
+				Service:  "service",
+				Address:  "10.0.0.1:80",
+				Zone:     "zone",
+				Capacity: 16,
+			},
+		)
 	}
 	lister := func(context.Context, string) discovery.Page { return discovery.Page{Backends: list} }
-	reader := discovery.NewReader(discovery.Options{Lister: lister, Interval: time.Second, ListsUntilGone: 2, Now: func() int64 { return 0 }}, metrics.NewCounters())
+	reader := discovery.NewReader(
+		discovery.Options{Lister: lister, Interval: time.Second, ListsUntilGone: 2, Now: func() int64 { return 0 }},
+		metrics.NewCounters(),
+	)
 	reader.Read(func(time.Duration) bool { return true }, func() bool { return true })
 	return reader
 }
@@ -86,7 +98,10 @@
 // of an older table or of another routing.
 func TestFetchesArePackedOnce(test *testing.T) {
 	answers := &fetchCache{}
-	tables := []*message.Table{{Version: message.TableVersion{Number: 1}}, {Version: message.TableVersion{Number: 2}, Members: []message.Member{{Name: "p"}}}}
+	tables := []*message.Table{
+		{Version: message.TableVersion{Number: 1}},
+		{Version: message.TableVersion{Number: 2}, Members: []message.Member{{Name: "p"}}},
+	}
 	seen := map[string]*message.FetchResponse{}
 	for round := range 3 {
 		for _, table := range tables {
@@ -127,8 +142,17 @@
 		table := &message.Table{Version: message.TableVersion{Number: 1}}
 		for number := range count {
 			table.Members = append(table.Members, message.Member{
-				Name: fmt.Sprintf("proxy-%05d", number), Kind: "proxy", Zone: "zone", InternalAddress: "10.0.0.1:7000", PublicAddress: "10.0.0.1:8000",
-				OperatorAddress: "10.0.0.1:7000", Incarnation: "0123456789abcdef", Ready: true,
+				Name: fmt.Sprintf(
+					"proxy-%05d",
+					number,
+				),
+				Kind:            "proxy",
+				Zone:            "zone",
+				InternalAddress: "10.0.0.1:7000",
+				PublicAddress:   "10.0.0.1:8000",
+				OperatorAddress: "10.0.0.1:7000",
+				Incarnation:     "0123456789abcdef",
+				Ready:           true,
 			})
 		}
 		bench.Run(fmt.Sprint(count, "-before"), func(bench *testing.B) {
--- a/control/usage_reports.go
+++ b/control/usage_reports.go
@@ -121,7 +121,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+core.config.PlatformAddress+"/v1/usage", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(
+		ctx,
+		http.MethodPost,
+		"http://"+core.config.PlatformAddress+"/v1/usage",
+		bytes.NewReader(body),
+	)
 	if err != nil {
 		return false
 	}
@@ -132,6 +137,9 @@
 		return false
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReportResponse)) // the status alone tells; the rest only frees the connection
+	_, _ = io.Copy(
+		io.Discard,
+		io.LimitReader(response.Body, maxReportResponse),
+	) // the status alone tells; the rest only frees the connection
 	return response.StatusCode >= 200 && response.StatusCode < 300
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -152,7 +152,12 @@
 		return nil, &rpc.Error{Code: rpc.NoBackend, Message: "no front machine may take this tenant now", RetryAfterMs: retryAfterMs}
 	}
 	most := view.routes.Proxies(tenant)
-	placement := &Placement{Serial: view.routes.Serial, Tenant: name, TTLMs: (time.Duration(*settings.Rule.TTLMs) * time.Millisecond).Milliseconds(), Proxies: []Proxy{}}
+	placement := &Placement{
+		Serial:  view.routes.Serial,
+		Tenant:  name,
+		TTLMs:   (time.Duration(*settings.Rule.TTLMs) * time.Millisecond).Milliseconds(),
+		Proxies: []Proxy{},
+	}
 	zones := map[string]int{}
 	for round := 0; len(placement.Proxies) < most && round < len(ranked); round++ {
 		for _, front := range ranked {
--- a/discovery/reader_test.go
+++ b/discovery/reader_test.go
@@ -15,9 +15,23 @@
 func listed(count int) (*Reader, *[]message.Backend) {
 	list := make([]message.Backend, 0, count)
 	for number := range count {
-		list = append(list, message.Backend{Name: fmt.Sprintf("backend-%06d", (number*7919)%count), Service: "service", Address: "10.0.0.1:80", Zone: "zone", Capacity: 16})
+		list = append(
+			list,
+			message.Backend{
+				Name:     fmt.Sprintf("backend-%06d", (number*7919)%count),
+				Service:  "service",
+				Address:  "10.0.0.1:80",
+				Zone:     "zone",
+				Capacity: 16,
+			},
+		)
+	}
+	options := Options{
+		ListsUntilGone: 2,
+		Interval:       time.Second,
+		Lister:         func(context.Context, string) Page { return Page{Backends: list} },
+		Now:            func() int64 { return 0 },
 	}
-	options := Options{ListsUntilGone: 2, Interval: time.Second, Lister: func(context.Context, string) Page { return Page{Backends: list} }, Now: func() int64 { return 0 }}
 	reader := NewReader(options, metrics.NewCounters())
 	readOnce(reader)
 	return reader, &list
@@ -45,7 +59,9 @@
 	if changed, _ := reader.Backends(); !changed[0].Leaving {
 		test.Error("a backend that leaves is not told")
 	}
-	*list = append((*list)[:1:1], append((*list)[2:], message.Backend{Name: "backend-000009", Service: "service", Address: "10.0.0.9:80"})...)
+	*list = append(
+		(*list)[:1:1],
+		append((*list)[2:], message.Backend{Name: "backend-000009", Service: "service", Address: "10.0.0.9:80"})...)
 	readOnce(reader)
 	if more, _ := reader.Backends(); len(more) != 6 {
 		test.Errorf("%d backends after one came and one was missed once", len(more))
--- a/harness/capacity/bench.go
+++ b/harness/capacity/bench.go
@@ -91,14 +91,31 @@
 		seeds = append(seeds, fmt.Sprintf("127.0.0.1:%d", bench.port+(number+1)*portStep))
 	}
 	for number := range point.Cores {
-		address, report := fmt.Sprintf("127.0.0.1:%d", bench.port+(number+1)*portStep), fmt.Sprintf("127.0.0.1:%d", bench.port+(number+1)*portStep+1)
+		address, report := fmt.Sprintf(
+			"127.0.0.1:%d",
+			bench.port+(number+1)*portStep,
+		), fmt.Sprintf(
+			"127.0.0.1:%d",
+			bench.port+(number+1)*portStep+1,
+		)
 		data := filepath.Join(folder, fmt.Sprintf("core-%d", number))
 		if err := os.MkdirAll(data, 0o700); err != nil {
 			return rpc.Errorf(rpc.DiskFailure, "%v", err)
 		}
 		spec := CoreSpec{
-			Name: fmt.Sprintf("core-%02d", number), Zone: zoneName(number), Wire: address, Report: report, Seeds: seeds, Folder: data, Cores: point.Cores,
-			Platform: list, Metered: true, SlowUs: point.SlowUs,
+			Name: fmt.Sprintf(
+				"core-%02d",
+				number,
+			),
+			Zone:     zoneName(number),
+			Wire:     address,
+			Report:   report,
+			Seeds:    seeds,
+			Folder:   data,
+			Cores:    point.Cores,
+			Platform: list,
+			Metered:  true,
+			SlowUs:   point.SlowUs,
 		}
 		if err := bench.begin("scale-core", spec, report, address, 2); err != nil {
 			return err
@@ -110,7 +127,8 @@
 	client := rpc.NewClient(process.WANTransport(userTimeout))
 	finder := agent.NewLeaderFinder(client, bench.goroutines, seeds).WithIntervals(agent.Intervals{FindLeader: seekPace})
 	finder.Run()
-	bench.forwarder = agent.NewForwarder(finder, client, metrics.NewCounters()).WithLimits(agent.ForwardLimits{Response: 20 * time.Second, Attempt: 15 * time.Second})
+	bench.forwarder = agent.NewForwarder(finder, client, metrics.NewCounters()).
+		WithLimits(agent.ForwardLimits{Response: 20 * time.Second, Attempt: 15 * time.Second})
 	whole := config(1, point.Routes, point.Services, point.Tenants)
 	if body, err := rpc.Marshal(whole); err == nil {
 		bench.result.ConfigKB = float64(len(body)) / 1024
@@ -121,8 +139,14 @@
 	for first := 0; first < point.Daemons; first += maxDaemonsPerProcess {
 		port := bench.port + 1000 + len(bench.simulated)*portStep
 		spec := SimulatedSpec{
-			First: first, Daemons: min(maxDaemonsPerProcess, point.Daemons-first), Wire: fmt.Sprintf("127.0.0.1:%d", port), Report: fmt.Sprintf("127.0.0.1:%d", port+1),
-			Seeds: seeds, Apply: point.Apply, Active: point.Active, Tenants: point.Tenants,
+			First:   first,
+			Daemons: min(maxDaemonsPerProcess, point.Daemons-first),
+			Wire:    fmt.Sprintf("127.0.0.1:%d", port),
+			Report:  fmt.Sprintf("127.0.0.1:%d", port+1),
+			Seeds:   seeds,
+			Apply:   point.Apply,
+			Active:  point.Active,
+			Tenants: point.Tenants,
 		}
 		if err := bench.begin("scale-hollow", spec, spec.Report, spec.Wire, 4); err != nil {
 			return err
@@ -138,7 +162,11 @@
 	if err != nil {
 		return 0, rpc.AsError(err)
 	}
-	response, err := agent.Forward[message.RoutingChangeRequest, message.RoutingChangeResponse](bench.forwarder, message.MethodRoutingChange, &message.RoutingChangeRequest{Body: body})
+	response, err := agent.Forward[message.RoutingChangeRequest, message.RoutingChangeResponse](
+		bench.forwarder,
+		message.MethodRoutingChange,
+		&message.RoutingChangeRequest{Body: body},
+	)
 	if err != nil {
 		return 0, err
 	}
--- a/harness/capacity/core.go
+++ b/harness/capacity/core.go
@@ -67,8 +67,21 @@
 	goroutines, counters, tap := concurrent.NewGroup(), metrics.NewCounters(), newByteCounter()
 	client := rpc.NewClient(tap.transport())
 	config := control.Config{
-		Name: spec.Name, Zone: spec.Zone, InternalAddress: spec.Wire, Seeds: spec.Seeds, Bootstrap: true, MinFounders: spec.Cores, PlatformAddress: spec.Platform,
-		HeartbeatInterval: beatPace, SuspicionTimeout: suspectSpan, Seed: uint64(time.Now().UnixNano()), DirectSessions: true, TableInterval: tablePace, SessionTTL: sessionSpan, ListInterval: listPace, ListsUntilGone: goneAfter,
+		Name:              spec.Name,
+		Zone:              spec.Zone,
+		InternalAddress:   spec.Wire,
+		Seeds:             spec.Seeds,
+		Bootstrap:         true,
+		MinFounders:       spec.Cores,
+		PlatformAddress:   spec.Platform,
+		HeartbeatInterval: beatPace,
+		SuspicionTimeout:  suspectSpan,
+		Seed:              uint64(time.Now().UnixNano()),
+		DirectSessions:    true,
+		TableInterval:     tablePace,
+		SessionTTL:        sessionSpan,
+		ListInterval:      listPace,
+		ListsUntilGone:    goneAfter,
 	}
 	if spec.Metered {
 		config.Metering = control.Metering{
@@ -93,7 +106,11 @@
 		reading := tap.read()
 		serial, _ := core.Routing()
 		table := core.Table()
-		reading.Leads, reading.Routing, reading.Members, reading.Backends, reading.Counts = core.Leads(), serial, len(table.Members), len(table.Backends), counters.All()
+		reading.Leads, reading.Routing, reading.Members, reading.Backends, reading.Counts = core.Leads(), serial, len(
+			table.Members,
+		), len(
+			table.Backends,
+		), counters.All()
 		writeJSON(writer, reading)
 	})
 	if err := newByteCounter().serve(spec.Report, mux, goroutines); err != nil {
--- a/harness/capacity/page.go
+++ b/harness/capacity/page.go
@@ -262,25 +262,81 @@
 			table.row(line.run, line.role, line.what, "not measured", "", "", "", "")
 			continue
 		}
-		table.row(line.run, line.role, line.what, number(fit.Base), number(fit.Slope)+" per "+strings.ToLower(run.Along), number(fit.SlopeError), fmt.Sprintf("%.0f%%", 100*fit.Left), fmt.Sprint(fit.Points))
+		table.row(
+			line.run,
+			line.role,
+			line.what,
+			number(fit.Base),
+			number(fit.Slope)+" per "+strings.ToLower(run.Along),
+			number(fit.SlopeError),
+			fmt.Sprintf("%.0f%%", 100*fit.Left),
+			fmt.Sprint(fit.Points),
+		)
 	}
 	return table.text.String()
 }
 
 func (found *evidence) stateSlopes() string {
 	table := &table{}
-	table.head("kind", "bytes on the wire", "left over", "held bytes", "left over", "µs to unpack", "left over", "µs to put in force", "left over", "points")
+	table.head(
+		"kind",
+		"bytes on the wire",
+		"left over",
+		"held bytes",
+		"left over",
+		"µs to unpack",
+		"left over",
+		"µs to put in force",
+		"left over",
+		"points",
+	)
 	part := func(fit Fit) string { return fmt.Sprintf("%.0f%%", 100*fit.Left) }
 	for _, kind := range stateKinds {
-		wired, memory, unpack, apply := found.state(kind, packed), found.state(kind, held), found.state(kind, unpacked), found.state(kind, laid)
-		table.row("one of "+kind, number(wired.Slope), part(wired), number(memory.Slope*(1<<20)), part(memory), number(unpack.Slope*1e6), part(unpack), number(apply.Slope*1e6), part(apply), fmt.Sprint(wired.Points))
+		wired, memory, unpack, apply := found.state(
+			kind,
+			packed,
+		), found.state(
+			kind,
+			held,
+		), found.state(
+			kind,
+			unpacked,
+		), found.state(
+			kind,
+			laid,
+		)
+		table.row(
+			"one of "+kind,
+			number(wired.Slope),
+			part(wired),
+			number(memory.Slope*(1<<20)),
+			part(memory),
+			number(unpack.Slope*1e6),
+			part(unpack),
+			number(apply.Slope*1e6),
+			part(apply),
+			fmt.Sprint(wired.Points),
+		)
 	}
 	return table.text.String()
 }
 
 func (found *evidence) points() string {
 	table := &table{}
-	table.head("run", "size", "leader: cores", "follower: cores", "daemon: cores", "leader: MB", "daemon: bytes/s in / out", "change at 50 / 99 / 100% (ms, median)", "restarted: all ready (ms)", "leader killed: change everywhere (ms)", "load before", "what failed")
+	table.head(
+		"run",
+		"size",
+		"leader: cores",
+		"follower: cores",
+		"daemon: cores",
+		"leader: MB",
+		"daemon: bytes/s in / out",
+		"change at 50 / 99 / 100% (ms, median)",
+		"restarted: all ready (ms)",
+		"leader killed: change everywhere (ms)",
+		"load before",
+		"what failed",
+	)
 	for _, name := range slices.Sorted(maps.Keys(found.runs)) {
 		run := found.runs[name]
 		for _, result := range run.Results {
@@ -289,12 +345,43 @@
 			if result.storms() {
 				failed = strings.TrimSpace("**storm**: tables without end " + failed)
 			}
-			table.row(name, number(result.Point.Size(run.Along)), number(result.Steady[leaderRole].Processor), number(result.Steady[followerRole].Processor), number(result.Steady[daemonRole].Processor),
-				number(result.Steady[leaderRole].ResidentMB), number(result.Steady[daemonRole].BytesIn)+" / "+number(result.Steady[daemonRole].BytesOut),
-				fmt.Sprintf("%.0f / %.0f / %.0f", half, most, all), fmt.Sprintf("%d in %.0f", result.Restarted, result.ReadyMs), fmt.Sprintf("%.0f", result.Killed.All), fmt.Sprintf("%.0f", result.LoadBefore), failed)
+			table.row(
+				name,
+				number(result.Point.Size(run.Along)),
+				number(result.Steady[leaderRole].Processor),
+				number(result.Steady[followerRole].Processor),
+				number(result.Steady[daemonRole].Processor),
+				number(
+					result.Steady[leaderRole].ResidentMB,
+				),
+				number(result.Steady[daemonRole].BytesIn)+" / "+number(result.Steady[daemonRole].BytesOut),
+				fmt.Sprintf(
+					"%.0f / %.0f / %.0f",
+					half,
+					most,
+					all,
+				),
+				fmt.Sprintf("%d in %.0f", result.Restarted, result.ReadyMs),
+				fmt.Sprintf("%.0f", result.Killed.All),
+				fmt.Sprintf("%.0f", result.LoadBefore),
+				failed,
+			)
 		}
 		if len(run.Results) > 0 {
-			table.row(name, "measured "+time.UnixMilli(run.Results[0].AtMs).UTC().Format("2006-01-02 15:04"), fmt.Sprintf("%d processors, %s", run.Processors, run.Machine), "", "", "", "", "", "", "", "", "")
+			table.row(
+				name,
+				"measured "+time.UnixMilli(run.Results[0].AtMs).UTC().Format("2006-01-02 15:04"),
+				fmt.Sprintf("%d processors, %s", run.Processors, run.Machine),
+				"",
+				"",
+				"",
+				"",
+				"",
+				"",
+				"",
+				"",
+				"",
+			)
 		}
 	}
 	return table.text.String()
@@ -312,5 +399,11 @@
 		sort.Float64s(values)
 		return values[len(values)/2]
 	}
-	return middle(func(spread Spread) float64 { return spread.Half }), middle(func(spread Spread) float64 { return spread.Most }), middle(func(spread Spread) float64 { return spread.All })
+	return middle(
+			func(spread Spread) float64 { return spread.Half },
+		), middle(
+			func(spread Spread) float64 { return spread.Most },
+		), middle(
+			func(spread Spread) float64 { return spread.All },
+		)
 }
--- a/harness/capacity/page_test.go
+++ b/harness/capacity/page_test.go
@@ -15,8 +15,10 @@
 		point := middle
 		point.Daemons, point.Changes = size, 1
 		run.Results = append(run.Results, &Result{
-			Point: point, Steady: map[string]Rates{leaderRole: {Processor: 0.02 + processorEach*float64(size)}, daemonRole: {Processor: 0.002}},
-			Changing: map[string]Rates{leaderRole: {Processor: 0.5}}, Changes: []Spread{{Half: 1, Most: 2, All: 3}},
+			Point:    point,
+			Steady:   map[string]Rates{leaderRole: {Processor: 0.02 + processorEach*float64(size)}, daemonRole: {Processor: 0.002}},
+			Changing: map[string]Rates{leaderRole: {Processor: 0.5}},
+			Changes:  []Spread{{Half: 1, Most: 2, All: 3}},
 		})
 	}
 	return run
@@ -29,7 +31,11 @@
 	if err := write(folder, "daemons", linear(0.001)); err != nil {
 		test.Fatal(err)
 	}
-	if err := write(folder, "state", &States{Results: []State{{Kind: "routes", Size: 1, PackedKB: 1}, {Kind: "routes", Size: 2, PackedKB: 2}}}); err != nil {
+	if err := write(
+		folder,
+		"state",
+		&States{Results: []State{{Kind: "routes", Size: 1, PackedKB: 1}, {Kind: "routes", Size: 2, PackedKB: 2}}},
+	); err != nil {
 		test.Fatal(err)
 	}
 	for range 2 {
@@ -39,7 +45,8 @@
 	}
 	body, _ := os.ReadFile(page)
 	text := string(body)
-	if !strings.HasPrefix(text, "before\n") || !strings.HasSuffix(text, "\nafter\n") || strings.Contains(text, "\nold\n") || strings.Count(text, pageBegin) != 1 {
+	if !strings.HasPrefix(text, "before\n") || !strings.HasSuffix(text, "\nafter\n") || strings.Contains(text, "\nold\n") ||
+		strings.Count(text, pageBegin) != 1 {
 		test.Error("what stands around the tables changed, or what was in them stayed")
 	}
 	if !strings.Contains(text, "not measured") {
--- a/harness/capacity/phases.go
+++ b/harness/capacity/phases.go
@@ -62,7 +62,14 @@
 	changed := routeOf(int(bench.version)%bench.point.Routes, bench.point.Services)
 	changed.TimeoutMs += int(bench.version)
 	begin := time.Now()
-	serial, err := bench.order(&routing.Change{Version: bench.version + 1, Base: bench.version, Digest: strconv.FormatUint(bench.version+1, 10), Patch: &routing.Patch{Routes: []routing.Route{changed}}})
+	serial, err := bench.order(
+		&routing.Change{
+			Version: bench.version + 1,
+			Base:    bench.version,
+			Digest:  strconv.FormatUint(bench.version+1, 10),
+			Patch:   &routing.Patch{Routes: []routing.Route{changed}},
+		},
+	)
 	if err != nil {
 		return Spread{}, err
 	}
--- a/harness/capacity/plot.go
+++ b/harness/capacity/plot.go
@@ -19,7 +19,13 @@
 	{"daemons", "Processor by daemons, nothing changes", "cores", []string{leaderRole, followerRole, daemonRole}, processor},
 	{"backends", "Processor by backends, nothing changes", "cores", []string{leaderRole, followerRole, daemonRole}, processor},
 	{"usage", "Bytes a second out of a daemon by tenants counted in a window", "bytes/s", []string{daemonRole}, bytesOut},
-	{"backends-before", "Processor by backends, before the list was kept sorted", "cores", []string{leaderRole, followerRole, daemonRole}, processor},
+	{
+		"backends-before",
+		"Processor by backends, before the list was kept sorted",
+		"cores",
+		[]string{leaderRole, followerRole, daemonRole},
+		processor,
+	},
 	{"cores", "Processor by cores, nothing changes", "cores", []string{leaderRole, followerRole}, processor},
 }
 
@@ -44,7 +50,13 @@
 	}
 	for _, name := range []string{"routes", "tenants", "daemons"} {
 		if run := found.runs[name]; run != nil {
-			if err := found.draw(name+"-change", "Milliseconds until a change is in force everywhere", run.Along, "ms", []any{"all daemons", pointsOf(run, everywhere)}); err != nil {
+			if err := found.draw(
+				name+"-change",
+				"Milliseconds until a change is in force everywhere",
+				run.Along,
+				"ms",
+				[]any{"all daemons", pointsOf(run, everywhere)},
+			); err != nil {
 				return err
 			}
 		}
--- a/harness/capacity/point_test.go
+++ b/harness/capacity/point_test.go
@@ -49,7 +49,19 @@
 	for _, burnt := range []int{0, slow} {
 		sizes, values := []float64{}, []float64{}
 		for _, daemons := range []int{2, 8} {
-			point := Point{Cores: 3, Daemons: daemons, Backends: 20, Routes: 10, Services: 5, Tenants: 10, Active: 2, Apply: ApplyIndex, Seconds: 3, Changes: 1, SlowUs: burnt}
+			point := Point{
+				Cores:    3,
+				Daemons:  daemons,
+				Backends: 20,
+				Routes:   10,
+				Services: 5,
+				Tenants:  10,
+				Active:   2,
+				Apply:    ApplyIndex,
+				Seconds:  3,
+				Changes:  1,
+				SlowUs:   burnt,
+			}
 			result := Measure(point, 29000, concurrent.NewGroup())
 			if len(result.Failed) > 0 {
 				test.Fatalf("%d daemons: %v", daemons, result.Failed)
@@ -58,7 +70,9 @@
 				test.Errorf("%d daemons: %+v", daemons, result)
 			}
 			for _, role := range []string{leaderRole, followerRole, daemonRole} {
-				if rates := result.Steady[role]; rates.Processor <= 0 || rates.Messages <= 0 || rates.BytesIn <= 0 || rates.BytesOut <= 0 || rates.ResidentMB <= 0 || rates.Descriptors <= 0 {
+				if rates := result.Steady[role]; rates.Processor <= 0 || rates.Messages <= 0 || rates.BytesIn <= 0 || rates.BytesOut <= 0 ||
+					rates.ResidentMB <= 0 ||
+					rates.Descriptors <= 0 {
 					test.Errorf("%d daemons: %s %+v", daemons, role, rates)
 				}
 			}
--- a/harness/capacity/rates.go
+++ b/harness/capacity/rates.go
@@ -59,8 +59,12 @@
 
 func (rates Rates) plus(more Rates, part float64) Rates {
 	return Rates{
-		Processor: rates.Processor + part*more.Processor, Messages: rates.Messages + part*more.Messages, BytesIn: rates.BytesIn + part*more.BytesIn,
-		BytesOut: rates.BytesOut + part*more.BytesOut, ResidentMB: rates.ResidentMB + part*more.ResidentMB, Descriptors: rates.Descriptors + part*more.Descriptors,
+		Processor:   rates.Processor + part*more.Processor,
+		Messages:    rates.Messages + part*more.Messages,
+		BytesIn:     rates.BytesIn + part*more.BytesIn,
+		BytesOut:    rates.BytesOut + part*more.BytesOut,
+		ResidentMB:  rates.ResidentMB + part*more.ResidentMB,
+		Descriptors: rates.Descriptors + part*more.Descriptors,
 	}
 }
 
--- a/harness/capacity/roles.go
+++ b/harness/capacity/roles.go
@@ -107,7 +107,7 @@
 	kept, keptError := found.at("backends", steady(daemonRole, resident), fullBackends)
 	return []line{
 		{"resident with all backends, 100 routes and 100 tenants", "backends' line", kept, keptError, "MB", mostMemoryMB, "backends", "proxy targets and tables; to build: subsets (need 4)"},
-		{"live heap of the state in force (Go lets it double)", "routes × 130 k + tenants × 610 k + backends × 85 k + members × 16 k", memory, memoryError, "MB", mostMemoryMB, "state", "route.Index, proxy targets; to build: subsets (need 4)"},
+		{"live heap of the state in force (Go lets it double)", "routes × 130 k + tenants × 610 k + backends × 85 k + members × 16 k", memory, memoryError, "MB", mostMemoryMB, "state", "routing.Index, proxy targets; to build: subsets (need 4)"},
 		{"state while a new version comes", "twice that, and the packed book and table", 2*memory + (bookBytes+tableBytes)/(1<<20), 2 * memoryError, "MB", mostMemoryMB, "state", "whole swap; to build: patches (need 1)"},
 		{"bytes/s in, nothing changes", "does not grow; mean of the points", idleIn, idleInError, "B/s", mostBytes, "daemons", "long poll and sessions of Direct mode"},
 		{"bytes/s in, for changes of routing", "1.03 changes/s × packed book", fullChanges * bookBytes, fullChanges * bookBytesError, "B/s", mostBytes, "state", "whole book by fetch; to build: patches (need 1)"},
@@ -115,12 +115,12 @@
 		{"bytes/s out", "usage's line at 1,031 tenants a window (206 requests/s, none twice)", response, toldError, "B/s", mostBytes, "usage", "seven windows a session; to build: need 5"},
 		{"messages/s, nothing changes", "does not grow; mean of the points", count, countError, "/s", 0, "daemons", "long poll of 2.5 s, session of 0.5 s"},
 		{"processor, nothing changes, 100 backends", "does not grow; mean of the points", idle, idleError, "cores", mostProcessor, "daemons", "the same"},
-		{"processor, nothing changes, all backends", "backends' line (each is looked at 4 times a second)", beside, besideError, "cores", mostProcessor, "backends", "proxy.tend over all targets; to build: subsets (need 4)"},
-		{"processor, for changes of routing", "1.03 changes/s × (unpack + put in force)", fullChanges * bookTime, fullChanges * bookTimeError, "cores", mostProcessor, "state", "route.BookOf and NewIndex; to build: need 1"},
-		{"processor, for tables, without owners", "0.33 tables/s × (unpack + put in force)", tables * tableTime, tables * tableTimeError, "cores", mostProcessor, "state", "proxy.Lay; to build: needs 2 and 4"},
-		{"processor seconds a table for owners of cold backends", "µs a member and backend × 16 k × 85 k", ownersTime, ownersError, "s", 1 / tables, "state (owners)", "proxy.owner; to build: need 6"},
+		{"processor, nothing changes, all backends", "backends' line (each is looked at 4 times a second)", beside, besideError, "cores", mostProcessor, "backends", "hostproxy.Proxy.maintain over all targets; to build: subsets (need 4)"},
+		{"processor, for changes of routing", "1.03 changes/s × (unpack + put in force)", fullChanges * bookTime, fullChanges * bookTimeError, "cores", mostProcessor, "state", "routing.DecodeState and NewIndex; to build: need 1"},
+		{"processor, for tables, without owners", "0.33 tables/s × (unpack + put in force)", tables * tableTime, tables * tableTimeError, "cores", mostProcessor, "state", "hostproxy.Proxy.Apply; to build: needs 2 and 4"},
+		{"processor seconds a table for owners of cold backends", "µs a member and backend × 16 k × 85 k", ownersTime, ownersError, "s", 1 / tables, "state (owners)", "hostproxy.owner; to build: need 6"},
 		{"descriptors of control", "does not grow; mean of the points", opened, openedError, "", 0, "daemons", "a connection a message under way"},
-		{"share of a retry extra of 10 a service", "10 × 0.75 / 16 k; less than one is never taken", 10 * 0.75 / fullDaemons, 0, "tokens", 0, "by rule", "proxy.Budget; to build: need 7"},
+		{"share of a retry extra of 10 a service", "10 × 0.75 / 16 k; less than one is never taken", 10 * 0.75 / fullDaemons, 0, "tokens", 0, "by rule", "hostproxy.Budget; to build: need 7"},
 	}
 }
 
--- a/harness/capacity/simulated_daemons.go
+++ b/harness/capacity/simulated_daemons.go
@@ -87,9 +87,25 @@
 	client := rpc.NewClient(all.tap.transport())
 	name := fmt.Sprintf("proxy-%05d", spec.First+number)
 	config := agent.Config{
-		Name: name, Kind: "proxy", Zone: zoneName(number), InternalAddress: spec.Wire, PublicAddress: spec.Wire, OperatorAddress: spec.Wire, Seeds: spec.Seeds,
-		Intervals:     agent.Intervals{Session: sessionPace, Watch: watchPace, FindLeader: seekPace, Pulse: feelPace, CheckReach: lookPace, UsageCount: -1},
-		ForwardLimits: agent.ForwardLimits{Attempt: sendLimit}, DirectSessions: true, ServesAlone: true, Routed: true,
+		Name:            name,
+		Kind:            "proxy",
+		Zone:            zoneName(number),
+		InternalAddress: spec.Wire,
+		PublicAddress:   spec.Wire,
+		OperatorAddress: spec.Wire,
+		Seeds:           spec.Seeds,
+		Intervals: agent.Intervals{
+			Session:    sessionPace,
+			Watch:      watchPace,
+			FindLeader: seekPace,
+			Pulse:      feelPace,
+			CheckReach: lookPace,
+			UsageCount: -1,
+		},
+		ForwardLimits:  agent.ForwardLimits{Attempt: sendLimit},
+		DirectSessions: true,
+		ServesAlone:    true,
+		Routed:         true,
 	}
 	var random [8]byte
 	rand.Read(random[:])
@@ -100,8 +116,21 @@
 	case ApplyIndex:
 		apply = func(version *agent.Version) { one.held.Store(routing.NewIndex(version.Routing)) }
 	case ApplyLay:
-		plane := hostproxy.NewProxy(hostproxy.Config{Name: name, Zone: config.Zone, Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1, UsageWindow: meterWindow},
-			(&net.Dialer{}).DialContext, one.daemon.Now, goroutines, counters)
+		plane := hostproxy.NewProxy(
+			hostproxy.Config{
+				Name:         name,
+				Zone:         config.Zone,
+				Regions:      regions(),
+				RetryRatio:   0.1,
+				RetryExtra:   10,
+				WarmupExcess: 1,
+				UsageWindow:  meterWindow,
+			},
+			(&net.Dialer{}).DialContext,
+			one.daemon.Now,
+			goroutines,
+			counters,
+		)
 		plane.Run()
 		apply = func(version *agent.Version) { plane.Apply(version.Routing, version.Table) }
 	}
--- a/harness/capacity/state.go
+++ b/harness/capacity/state.go
@@ -72,7 +72,12 @@
 }
 
 func measureState(kind string, size int) (*State, error) {
-	book, table := &routing.State{Config: *config(1, 1, 1, 0)}, &message.Table{Version: message.TableVersion{Term: message.Term{Number: 1, Core: 1}, Number: 1}, Complete: true}
+	book, table := &routing.State{
+		Config: *config(1, 1, 1, 0),
+	}, &message.Table{
+		Version:  message.TableVersion{Term: message.Term{Number: 1, Core: 1}, Number: 1},
+		Complete: true,
+	}
 	services := max(1, min(size, 3100))
 	switch kind {
 	case "routes":
@@ -100,8 +105,13 @@
 		return nil, rpc.AsError(err)
 	}
 	state.PackMs, state.PackedKB = processorMs()-begin, float64(len(body))/1024
-	plane := hostproxy.NewProxy(hostproxy.Config{Name: "proxy-00000", Zone: zoneName(0), Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1},
-		(&net.Dialer{}).DialContext, func() int64 { return time.Now().UnixMilli() }, concurrent.NewGroup(), metrics.NewCounters())
+	plane := hostproxy.NewProxy(
+		hostproxy.Config{Name: "proxy-00000", Zone: zoneName(0), Regions: regions(), RetryRatio: 0.1, RetryExtra: 10, WarmupExcess: 1},
+		(&net.Dialer{}).DialContext,
+		func() int64 { return time.Now().UnixMilli() },
+		concurrent.NewGroup(),
+		metrics.NewCounters(),
+	)
 	before := heldBytes()
 	taken, laid := book, table
 	begin = processorMs()
--- a/harness/capacity/sweep.go
+++ b/harness/capacity/sweep.go
@@ -27,7 +27,18 @@
 	Results    []*Result
 }
 
-var middle = Point{Cores: 3, Daemons: 48, Backends: 100, Routes: 100, Services: 50, Tenants: 100, Active: 10, Apply: ApplyLay, Seconds: 10, Changes: 5}
+var middle = Point{
+	Cores:    3,
+	Daemons:  48,
+	Backends: 100,
+	Routes:   100,
+	Services: 50,
+	Tenants:  100,
+	Active:   10,
+	Apply:    ApplyLay,
+	Seconds:  10,
+	Changes:  5,
+}
 
 func along(set func(point *Point, size int), sizes ...int) []Point {
 	points := []Point{}
@@ -49,24 +60,45 @@
 	{"backends", "Backends", along(func(point *Point, size int) { point.Backends, point.Daemons = size, 12 }, 100, 1000, 10000, 85000)},
 	{"routes", "Routes", along(func(point *Point, size int) { point.Routes, point.Daemons = size, 12 }, 1000, 10000, 40000, 130000)},
 	{"tenants", "Tenants", along(func(point *Point, size int) { point.Tenants, point.Daemons = size, 6 }, 1000, 10000, 100000, 610000)},
-	{"usage", "Active", along(func(point *Point, size int) { point.Active, point.Tenants, point.Changes = size, 10000, 1 }, 0, 10, 50, 200)},
+	{
+		"usage",
+		"Active",
+		along(func(point *Point, size int) { point.Active, point.Tenants, point.Changes = size, 10000, 1 }, 0, 10, 50, 200),
+	},
 	{"cores", "Cores", along(func(point *Point, size int) { point.Cores, point.Daemons = size, 48 }, 3, 5, 7, 9)},
 }
 
 // Size returns the size that a sweep varies.
 func (point *Point) Size(along string) float64 {
-	return float64(map[string]int{"Daemons": point.Daemons, "Backends": point.Backends, "Routes": point.Routes, "Tenants": point.Tenants, "Active": point.Active, "Cores": point.Cores}[along])
+	return float64(
+		map[string]int{"Daemons": point.Daemons, "Backends": point.Backends, "Routes": point.Routes, "Tenants": point.Tenants, "Active": point.Active, "Cores": point.Cores}[along],
+	)
 }
 
 // Play measures a sweep and writes the results to the folder after each point.
 func (sweep *Sweep) Play(folder string, port int, goroutines *concurrent.Group, progress io.Writer) error {
-	played := &Run{Name: sweep.Name, Along: sweep.Along, Machine: "shared with benchmarks and builds while this ran", Processors: Processors()}
+	played := &Run{
+		Name:       sweep.Name,
+		Along:      sweep.Along,
+		Machine:    "shared with benchmarks and builds while this ran",
+		Processors: Processors(),
+	}
 	for _, point := range sweep.Points {
 		result := Measure(point, port, goroutines)
 		played.Results = append(played.Results, result)
-		_, _ = fmt.Fprintf(progress, "%s %v: leader %.3f, follower %.3f, daemon %.5f of a core; daemon %.0f bytes/s in, %.0f out; changes %v; failed %v\n", sweep.Name, point.Size(sweep.Along),
-			result.Steady[leaderRole].Processor, result.Steady[followerRole].Processor, result.Steady[daemonRole].Processor,
-			result.Steady[daemonRole].BytesIn, result.Steady[daemonRole].BytesOut, result.Changes, result.Failed)
+		_, _ = fmt.Fprintf(
+			progress,
+			"%s %v: leader %.3f, follower %.3f, daemon %.5f of a core; daemon %.0f bytes/s in, %.0f out; changes %v; failed %v\n",
+			sweep.Name,
+			point.Size(sweep.Along),
+			result.Steady[leaderRole].Processor,
+			result.Steady[followerRole].Processor,
+			result.Steady[daemonRole].Processor,
+			result.Steady[daemonRole].BytesIn,
+			result.Steady[daemonRole].BytesOut,
+			result.Changes,
+			result.Failed,
+		)
 		if err := write(folder, sweep.Name, played); err != nil {
 			return err
 		}
--- a/harness/checker/evidence_test.go
+++ b/harness/checker/evidence_test.go
@@ -31,8 +31,38 @@
 	record := standin.BackendRecord{Instance: "back", Service: "meters", Gentle: 10}
 	for number := range int64(200) {
 		id, at := fmt.Sprintf("k%d", number), 1000+number*100
-		callers.Tries = append(callers.Tries, standin.Try{ID: id + ".0", Task: id, Tenant: "alder", Class: "money", Key: id, Method: "POST", Path: "/meters/credits", Front: "front", AtMs: at, ToldMs: at + 9, Status: 200})
-		record.Arrivals = append(record.Arrivals, standin.Arrival{AtMs: at + 2, Try: id + ".0", Task: "t" + id, Tenant: "alder", Service: "meters", Method: "POST", Path: "/credits", Serial: 7, Key: id, RanMs: at + 5, ChargedMs: at + 5})
+		callers.Tries = append(
+			callers.Tries,
+			standin.Try{
+				ID:     id + ".0",
+				Task:   id,
+				Tenant: "alder",
+				Class:  "money",
+				Key:    id,
+				Method: "POST",
+				Path:   "/meters/credits",
+				Front:  "front",
+				AtMs:   at,
+				ToldMs: at + 9,
+				Status: 200,
+			},
+		)
+		record.Arrivals = append(
+			record.Arrivals,
+			standin.Arrival{
+				AtMs:      at + 2,
+				Try:       id + ".0",
+				Task:      "t" + id,
+				Tenant:    "alder",
+				Service:   "meters",
+				Method:    "POST",
+				Path:      "/credits",
+				Serial:    7,
+				Key:       id,
+				RanMs:     at + 5,
+				ChargedMs: at + 5,
+			},
+		)
 	}
 	callers.Placed = []standin.Placed{{AtMs: 20_000, Directory: "dir", Serial: 7}}
 	evidence.Callers, evidence.Backends = []standin.LoadReport{callers}, []standin.BackendRecord{record}
@@ -40,7 +70,15 @@
 	evidence.History = []message.HistoryEntry{{Serial: 7, Change: "one"}}
 	for period := range int64(6) {
 		id := fmt.Sprintf("small-alder-%d", period+1)
-		evidence.Reports[id] = []string{fmt.Sprintf(`{"id":%q,"tenant":"alder","period":%d,"from_ms":%d,"to_ms":%d,"tasks":40}`, id, period+1, 1000+period*4000, 1000+(period+1)*4000)}
+		evidence.Reports[id] = []string{
+			fmt.Sprintf(
+				`{"id":%q,"tenant":"alder","period":%d,"from_ms":%d,"to_ms":%d,"tasks":40}`,
+				id,
+				period+1,
+				1000+period*4000,
+				1000+(period+1)*4000,
+			),
+		}
 		evidence.ReportAt[id] = 1100 + (period+1)*4000
 	}
 	delete(evidence.Reports, "small-alder-6")
--- a/harness/checker/ledger.go
+++ b/harness/checker/ledger.go
@@ -58,7 +58,14 @@
 // NewLedger returns a Ledger that changes the settings of system, with decisions
 // drawn from seed.
 func NewLedger(system System, seed uint64) *Ledger {
-	return &Ledger{system: system, seed: seed, Acked: map[string]Ack{}, Refused: map[string]rpc.Code{}, Unknown: map[string]bool{}, lastAck: time.Now()}
+	return &Ledger{
+		system:  system,
+		seed:    seed,
+		Acked:   map[string]Ack{},
+		Refused: map[string]rpc.Code{},
+		Unknown: map[string]bool{},
+		lastAck: time.Now(),
+	}
 }
 
 // Operate starts operators that each change settings at the mean pace. Some changes
@@ -165,7 +172,12 @@
 
 // Make sends one change, again while its outcome is unknown, records the outcome
 // and returns it.
-func (ledger *Ledger) Make(change operator.Change, client *operator.Client, random *rand.Rand, send func(*operator.Client) (*operator.Outcome, error)) error {
+func (ledger *Ledger) Make(
+	change operator.Change,
+	client *operator.Client,
+	random *rand.Rand,
+	send func(*operator.Client) (*operator.Outcome, error),
+) error {
 	var outcome *operator.Outcome
 	err := ledger.timed(change.Change, func() (err error) { outcome, err = send(client); return })
 	for try := 0; try < 6 && err != nil && (rpc.CodeOf(err) == rpc.OutcomeUnknown || rpc.CodeOf(err) == rpc.Unreachable); try++ {
--- a/harness/checker/money.go
+++ b/harness/checker/money.go
@@ -10,7 +10,17 @@
 func (evidence *Evidence) chargedOnce() (bad []string, detail string) {
 	for key, charges := range evidence.charges {
 		if len(charges) > 1 {
-			bad = append(bad, fmt.Sprintf("%s by %s at %d and by %s at %d", key, charges[0].Task, charges[0].ChargedMs, charges[1].Task, charges[1].ChargedMs))
+			bad = append(
+				bad,
+				fmt.Sprintf(
+					"%s by %s at %d and by %s at %d",
+					key,
+					charges[0].Task,
+					charges[0].ChargedMs,
+					charges[1].Task,
+					charges[1].ChargedMs,
+				),
+			)
 		}
 	}
 	return bad, fmt.Sprintf("%d keys charged", len(evidence.charges))
--- a/harness/checker/settings.go
+++ b/harness/checker/settings.go
@@ -19,7 +19,10 @@
 			highest, since = arrival.Serial, arrival.AtMs
 		}
 		if arrival.Serial < highest && arrival.AtMs-since > maxLateMs {
-			bad = append(bad, fmt.Sprintf("%s got serial %d, saw %d %d ms before", record.Instance, arrival.Serial, highest, arrival.AtMs-since))
+			bad = append(
+				bad,
+				fmt.Sprintf("%s got serial %d, saw %d %d ms before", record.Instance, arrival.Serial, highest, arrival.AtMs-since),
+			)
 		}
 	})
 	return bad, detail
@@ -53,7 +56,10 @@
 	}
 	evidence.arrivals(func(record *standin.BackendRecord, arrival *standin.Arrival) {
 		if need := needed(arrival.AtMs); arrival.Serial > 0 && arrival.Serial < need {
-			bad = append(bad, fmt.Sprintf("%s sent %s by serial %d, %d was acknowledged", arrival.Task, record.Instance, arrival.Serial, need))
+			bad = append(
+				bad,
+				fmt.Sprintf("%s sent %s by serial %d, %d was acknowledged", arrival.Task, record.Instance, arrival.Serial, need),
+			)
 		}
 	})
 	for _, callers := range evidence.Callers {
@@ -64,7 +70,12 @@
 		}
 	}
 	bad = append(bad, ledger.Behind...)
-	return bad, fmt.Sprintf("%d followed, p50 %.0f ms, max %.0f ms", len(ledger.InForceMs), Quantile(ledger.InForceMs, 0.5), Quantile(ledger.InForceMs, 1))
+	return bad, fmt.Sprintf(
+		"%d followed, p50 %.0f ms, max %.0f ms",
+		len(ledger.InForceMs),
+		Quantile(ledger.InForceMs, 0.5),
+		Quantile(ledger.InForceMs, 1),
+	)
 }
 
 // losersNever: what was refused, or lost its race, is nowhere in the trail.
@@ -118,6 +129,14 @@
 	if ledger == nil {
 		return nil, "no operators"
 	}
-	return append(bad, ledger.Late...), fmt.Sprintf("longest %.0f ms, %d answers, p50 %.0f ms p99 %.0f ms, longest gap between acknowledgements %d ms", Quantile(ledger.AnswerMs, 1), len(ledger.AnswerMs),
-		Quantile(ledger.AnswerMs, 0.5), Quantile(ledger.AnswerMs, 0.99), ledger.GapMs)
+	return append(
+			bad,
+			ledger.Late...), fmt.Sprintf(
+			"longest %.0f ms, %d answers, p50 %.0f ms p99 %.0f ms, longest gap between acknowledgements %d ms",
+			Quantile(ledger.AnswerMs, 1),
+			len(ledger.AnswerMs),
+			Quantile(ledger.AnswerMs, 0.5),
+			Quantile(ledger.AnswerMs, 0.99),
+			ledger.GapMs,
+		)
 }
--- a/harness/checker/traffic.go
+++ b/harness/checker/traffic.go
@@ -61,7 +61,9 @@
 	routes := evidence.Settings.Flatten()
 	watched := 0
 	look := func(what, spot, tenant, service, method, path string) {
-		forbidden := append(append([]string{}, evidence.Settings.Tenants[tenant].ForbidRegions...), forbids(routes, service, method, path)...)
+		forbidden := append(
+			append([]string{}, evidence.Settings.Tenants[tenant].ForbidRegions...),
+			forbids(routes, service, method, path)...)
 		if len(forbidden) > 0 {
 			watched++
 		}
@@ -83,7 +85,8 @@
 
 func forbids(routes []config.FlatRoute, service, method, path string) []string {
 	for _, route := range routes {
-		if route.Service == service && route.Method == method && (route.Path == path || strings.HasSuffix(route.Path, "*") && strings.HasPrefix(path, strings.TrimSuffix(route.Path, "*"))) {
+		if route.Service == service && route.Method == method &&
+			(route.Path == path || strings.HasSuffix(route.Path, "*") && strings.HasPrefix(path, strings.TrimSuffix(route.Path, "*"))) {
 			return route.ForbidRegions
 		}
 	}
@@ -106,12 +109,14 @@
 	for _, window := range evidence.Windows {
 		within := func(at int64) bool { return at > window.From && (window.Until == 0 || at < window.Until) }
 		evidence.arrivals(func(record *standin.BackendRecord, arrival *standin.Arrival) {
-			if (window.Kind == "backend" && record.Instance == window.Subject || window.Kind == "tenant" && arrival.Tenant == window.Subject) && within(arrival.AtMs) {
+			if (window.Kind == "backend" && record.Instance == window.Subject || window.Kind == "tenant" && arrival.Tenant == window.Subject) &&
+				within(arrival.AtMs) {
 				bad = append(bad, fmt.Sprintf("%s %s sent to %d ms too late", window.Kind, window.Subject, arrival.AtMs-window.From))
 			}
 		})
 		evidence.tries(func(try standin.Try) {
-			if (window.Kind == "front" && try.Front == window.Subject || window.Kind == "tenant" && try.Tenant == window.Subject) && within(try.AtMs) {
+			if (window.Kind == "front" && try.Front == window.Subject || window.Kind == "tenant" && try.Tenant == window.Subject) &&
+				within(try.AtMs) {
 				served++
 				if try.Status == http.StatusOK && !try.Replay {
 					bad = append(bad, fmt.Sprintf("%s %s served %d ms too late", window.Kind, window.Subject, try.AtMs-window.From))
@@ -197,10 +202,29 @@
 			}
 		}
 		if evidence.Planned && callers.Broken+callers.Unknown+callers.Unserved > crowded {
-			bad = append(bad, fmt.Sprintf("%d pipes broken, %d unknown, %d not served, %d of them for want of room: %v", callers.Broken, callers.Unknown, callers.Unserved, crowded, callers.Statuses))
+			bad = append(
+				bad,
+				fmt.Sprintf(
+					"%d pipes broken, %d unknown, %d not served, %d of them for want of room: %v",
+					callers.Broken,
+					callers.Unknown,
+					callers.Unserved,
+					crowded,
+					callers.Statuses,
+				),
+			)
 		}
-		detail += fmt.Sprintf("%d asked, %d served, %d not, %d unknown, %d pipes broken, p50 %.1f ms p99 %.1f ms, longest gap %d ms ", callers.Asked, callers.Served, callers.Unserved,
-			callers.Unknown, callers.Broken, callers.LatencyMs["p50"], callers.LatencyMs["p99"], callers.GapMs)
+		detail += fmt.Sprintf(
+			"%d asked, %d served, %d not, %d unknown, %d pipes broken, p50 %.1f ms p99 %.1f ms, longest gap %d ms ",
+			callers.Asked,
+			callers.Served,
+			callers.Unserved,
+			callers.Unknown,
+			callers.Broken,
+			callers.LatencyMs["p50"],
+			callers.LatencyMs["p99"],
+			callers.GapMs,
+		)
 	}
 	return bad, detail
 }
--- a/harness/checker/usage.go
+++ b/harness/checker/usage.go
@@ -95,7 +95,13 @@
 			bad = append(bad, fmt.Sprintf("%s's tasks were told up to %d ms late", tenant, lag))
 		}
 	}
-	return bad, fmt.Sprintf("%d reports, worst %.1f%% off, latest %d ms after its period, slowest %d ms after the task", len(evidence.Reports), worst*100, reports.lateMs, slowest)
+	return bad, fmt.Sprintf(
+		"%d reports, worst %.1f%% off, latest %d ms after its period, slowest %d ms after the task",
+		len(evidence.Reports),
+		worst*100,
+		reports.lateMs,
+		slowest,
+	)
 }
 
 // readUsageReports puts the reports together, and names those that cannot be read or
--- a/harness/cluster/backend_faults.go
+++ b/harness/cluster/backend_faults.go
@@ -59,7 +59,16 @@
 	process.Signal(syscall.SIGKILL)
 	process.Wait(time.Second)
 	other := fleet.services[len(fleet.services)-1]
-	process.arguments = []string{"--listen", process.PublicAddress, "--service", other, "--instance", "stranger", "--journal", filepath.Join(fleet.Spec.Folder, "stranger"+journalEnd)}
+	process.arguments = []string{
+		"--listen",
+		process.PublicAddress,
+		"--service",
+		other,
+		"--instance",
+		"stranger",
+		"--journal",
+		filepath.Join(fleet.Spec.Folder, "stranger"+journalEnd),
+	}
 	fleet.start(process)
 }
 
--- a/harness/cluster/changes.go
+++ b/harness/cluster/changes.go
@@ -62,7 +62,8 @@
 	for try := range 20 {
 		settings, err := fleet.Operator(try).Read(false)
 		if err == nil && settings.Confirmed {
-			if _, err = fleet.Operator(try).Patch(operator.Change{Base: settings.Serial, Change: fmt.Sprintf("fleet-%d-%d", time.Now().UnixNano(), try), Operator: "ojcluster", Settings: body}); err == nil {
+			if _, err = fleet.Operator(try).
+				Patch(operator.Change{Base: settings.Serial, Change: fmt.Sprintf("fleet-%d-%d", time.Now().UnixNano(), try), Operator: "ojcluster", Settings: body}); err == nil {
 				return true
 			}
 		}
@@ -89,13 +90,28 @@
 func (fleet *Fleet) grow(count int) {
 	routes := map[string]any{}
 	for index := range count {
-		routes[fmt.Sprintf("bulk-%d", index)] = map[string]any{"method": "GET", "path": fmt.Sprintf("/bulk/%d/%s", index, strings.Repeat("x", 60))}
+		routes[fmt.Sprintf("bulk-%d", index)] = map[string]any{
+			"method": "GET",
+			"path":   fmt.Sprintf("/bulk/%d/%s", index, strings.Repeat("x", 60)),
+		}
 	}
 	class := sortedKeys(fleet.settings.Classes)[len(fleet.settings.Classes)-1]
-	body, _ := json.Marshal(map[string]any{"classes": map[string]any{class: map[string]any{"services": map[string]any{fleet.services[0]: map[string]any{"routes": routes}}}}})
+	body, _ := json.Marshal(
+		map[string]any{
+			"classes": map[string]any{
+				class: map[string]any{"services": map[string]any{fleet.services[0]: map[string]any{"routes": routes}}},
+			},
+		},
+	)
 	begin := time.Now()
 	taken := fleet.patch(body)
-	fmt.Printf("%s: large settings: %d bytes, acknowledged %v after %v\n", fleet.name, len(body), taken, time.Since(begin).Round(time.Millisecond))
+	fmt.Printf(
+		"%s: large settings: %d bytes, acknowledged %v after %v\n",
+		fleet.name,
+		len(body),
+		taken,
+		time.Since(begin).Round(time.Millisecond),
+	)
 	if !taken {
 		fleet.codes = append(fleet.codes, "large settings not acknowledged")
 	}
--- a/harness/cluster/cluster.go
+++ b/harness/cluster/cluster.go
@@ -64,8 +64,14 @@
 		return nil, rpc.Errorf(rpc.BadFlag, "--folder: %s is not empty", spec.Folder)
 	}
 	fleet := &Fleet{
-		Spec: spec, settings: settings, body: body, goroutines: goroutines, port: spec.BasePort, guests: map[string]string{}, name: settings.Partner,
-		client: &http.Client{Timeout: 2 * time.Second},
+		Spec:       spec,
+		settings:   settings,
+		body:       body,
+		goroutines: goroutines,
+		port:       spec.BasePort,
+		guests:     map[string]string{},
+		name:       settings.Partner,
+		client:     &http.Client{Timeout: 2 * time.Second},
 	}
 	names := sortedKeys(settings.Regions)
 	for depth := 0; len(fleet.zones) < len(names)*8 && depth < 8; depth++ {
--- a/harness/cluster/comparison.go
+++ b/harness/cluster/comparison.go
@@ -47,8 +47,19 @@
 			}
 		}
 	}
-	fmt.Printf("compare: direct p50 %.2f ms p99 %.2f ms, through p50 %.2f ms p99 %.2f ms, ratio of p50 %.2f, of %d and %d\n", checker.Quantile(times["direct"], 0.5), checker.Quantile(times["direct"], 0.99),
-		checker.Quantile(times["through"], 0.5), checker.Quantile(times["through"], 0.99), checker.Quantile(times["through"], 0.5)/checker.Quantile(times["direct"], 0.5), len(times["direct"]), len(times["through"]))
+	fmt.Printf(
+		"compare: direct p50 %.2f ms p99 %.2f ms, through p50 %.2f ms p99 %.2f ms, ratio of p50 %.2f, of %d and %d\n",
+		checker.Quantile(times["direct"], 0.5),
+		checker.Quantile(times["direct"], 0.99),
+		checker.Quantile(
+			times["through"],
+			0.5,
+		),
+		checker.Quantile(times["through"], 0.99),
+		checker.Quantile(times["through"], 0.5)/checker.Quantile(times["direct"], 0.5),
+		len(times["direct"]),
+		len(times["through"]),
+	)
 }
 
 // forecast is what the planner says of emptying a zone.
--- a/harness/cluster/layout.go
+++ b/harness/cluster/layout.go
@@ -15,8 +15,23 @@
 	fleet.peer = peer
 	for index, process := range fleet.Proxies[:min(fleet.Spec.Guests, len(fleet.Proxies))] {
 		zone, outer := peer.zones[index%len(peer.zones)], fleet.address()
-		process.arguments = append(process.arguments, "--guest-name", "guest-"+process.Name, "--guest-zone", zone, "--guest-listen", outer, "--guest-wire", fleet.address(),
-			"--guest-operate", fleet.address(), "--lend-rps", "60", "--lend-in-flight", "64")
+		process.arguments = append(
+			process.arguments,
+			"--guest-name",
+			"guest-"+process.Name,
+			"--guest-zone",
+			zone,
+			"--guest-listen",
+			outer,
+			"--guest-wire",
+			fleet.address(),
+			"--guest-operate",
+			fleet.address(),
+			"--lend-rps",
+			"60",
+			"--lend-in-flight",
+			"64",
+		)
 		for _, core := range peer.Cores[:min(3, len(peer.Cores))] {
 			process.arguments = append(process.arguments, "--guest-seed", core.InternalAddress)
 		}
@@ -41,14 +56,26 @@
 		process.Zone, process.Service, process.PublicAddress = fleet.zones[index/len(fleet.services)%len(fleet.zones)], fleet.services[index%len(fleet.services)], fleet.address()
 		process.arguments = fleet.backArguments(process, 0)
 		fleet.Backends = append(fleet.Backends, process)
-		fleet.listed = append(fleet.listed, standin.Listed{Name: process.Name, Service: process.Service, Address: process.PublicAddress, Zone: process.Zone})
+		fleet.listed = append(
+			fleet.listed,
+			standin.Listed{Name: process.Name, Service: process.Service, Address: process.PublicAddress, Zone: process.Zone},
+		)
 	}
 	list := filepath.Join(fleet.Spec.Folder, "backends.json")
 	body, _ := json.Marshal(fleet.listed)
 	if err := os.WriteFile(list, body, 0o600); err != nil {
 		return rpc.Errorf(rpc.DiskFailure, "%v", err)
 	}
-	fleet.Platform = fleet.process("platform", "ojplatform", "--listen", platform, "--backends", list, "--lag-ms", fmt.Sprint(fleet.Spec.LagMs))
+	fleet.Platform = fleet.process(
+		"platform",
+		"ojplatform",
+		"--listen",
+		platform,
+		"--backends",
+		list,
+		"--lag-ms",
+		fmt.Sprint(fleet.Spec.LagMs),
+	)
 	fleet.Platform.PublicAddress = platform
 	for index := range fleet.Spec.Cores {
 		process := fleet.process(fmt.Sprintf("core-%d", index+1), "ojcore")
@@ -75,7 +102,18 @@
 		for index := range side.count {
 			process := fleet.process(fmt.Sprintf("%s-%02d", side.kind, index), side.program)
 			process.Zone, process.PublicAddress, process.InternalAddress, process.OperatorAddress = fleet.zones[index%len(fleet.zones)], fleet.address(), fleet.address(), fleet.address()
-			process.arguments = []string{"--name", process.Name, "--zone", process.Zone, "--listen", process.PublicAddress, "--wire", process.InternalAddress, "--operate", process.OperatorAddress}
+			process.arguments = []string{
+				"--name",
+				process.Name,
+				"--zone",
+				process.Zone,
+				"--listen",
+				process.PublicAddress,
+				"--wire",
+				process.InternalAddress,
+				"--operate",
+				process.OperatorAddress,
+			}
 			for _, core := range fleet.Cores[:min(3, len(fleet.Cores))] {
 				process.arguments = append(process.arguments, "--seed", core.InternalAddress)
 			}
--- a/harness/cluster/load.go
+++ b/harness/cluster/load.go
@@ -16,7 +16,13 @@
 
 // Call starts the callers.
 func (fleet *Fleet) Call() error {
-	plan := standin.LoadPlan{PerSecond: fleet.Spec.Rate, Seconds: fleet.Spec.Seconds + 3600, Tries: fleet.Spec.Tries, Seed: fleet.Spec.Seed, Patient: true}
+	plan := standin.LoadPlan{
+		PerSecond: fleet.Spec.Rate,
+		Seconds:   fleet.Spec.Seconds + 3600,
+		Tries:     fleet.Spec.Tries,
+		Seed:      fleet.Spec.Seed,
+		Patient:   true,
+	}
 	for _, directory := range fleet.Directories {
 		plan.Directories = append(plan.Directories, directory.PublicAddress)
 	}
@@ -26,7 +32,14 @@
 	sort.Slice(plan.Callers, func(left, right int) bool { return plan.Callers[left].Tenant < plan.Callers[right].Tenant })
 	money, other := []standin.Call{}, []standin.Call{}
 	for _, route := range fleet.settings.Resolve() {
-		call := standin.Call{Class: route.Class, Method: route.Method, Path: "/" + route.Service + strings.Replace(route.Path, "*", "7?bytes=2000", 1), Money: route.KeyRequired, LimitMs: route.Integer("limit_ms"), Body: 100}
+		call := standin.Call{
+			Class:   route.Class,
+			Method:  route.Method,
+			Path:    "/" + route.Service + strings.Replace(route.Path, "*", "7?bytes=2000", 1),
+			Money:   route.KeyRequired,
+			LimitMs: route.Integer("limit_ms"),
+			Body:    100,
+		}
 		if route.Method == http.MethodGet {
 			call.Body = 0
 		}
--- a/harness/cluster/process.go
+++ b/harness/cluster/process.go
@@ -98,7 +98,14 @@
 }
 
 func newProcess(goroutines *concurrent.Group, bin, folder, name, kind string, arguments ...string) *Process {
-	process := &Process{Name: name, Kind: kind, path: filepath.Join(bin, kind), arguments: arguments, log: filepath.Join(folder, name+".log"), goroutines: goroutines}
+	process := &Process{
+		Name:       name,
+		Kind:       kind,
+		path:       filepath.Join(bin, kind),
+		arguments:  arguments,
+		log:        filepath.Join(folder, name+".log"),
+		goroutines: goroutines,
+	}
 	process.wake = sync.NewCond(&process.mutex)
 	return process
 }
--- a/harness/cluster/replace.go
+++ b/harness/cluster/replace.go
@@ -74,7 +74,18 @@
 	fleet.added++
 	core := fleet.process(fmt.Sprintf("core-%d", fleet.Spec.Cores+fleet.added), "ojcore")
 	core.Zone, core.InternalAddress, core.OperatorAddress = zone, fleet.address(), fleet.address()
-	core.arguments = []string{"--zone", zone, "--wire", core.InternalAddress, "--operate", core.OperatorAddress, "--data", filepath.Join(fleet.Spec.Folder, core.Name), "--platform", fleet.Platform.PublicAddress}
+	core.arguments = []string{
+		"--zone",
+		zone,
+		"--wire",
+		core.InternalAddress,
+		"--operate",
+		core.OperatorAddress,
+		"--data",
+		filepath.Join(fleet.Spec.Folder, core.Name),
+		"--platform",
+		fleet.Platform.PublicAddress,
+	}
 	for _, seed := range fleet.Cores {
 		core.arguments = append(core.arguments, "--seed", seed.InternalAddress)
 	}
@@ -117,12 +128,21 @@
 		votes := func(address string) bool {
 			return slices.ContainsFunc(membership.Voters, func(voter message.VoterStatus) bool { return voter.Address == address })
 		}
-		return len(membership.Next) == 0 && len(membership.Voters) == fleet.Spec.Cores && votes(core.InternalAddress) && !votes(old.InternalAddress)
+		return len(membership.Next) == 0 && len(membership.Voters) == fleet.Spec.Cores && votes(core.InternalAddress) &&
+			!votes(old.InternalAddress)
 	})
 	if !taken {
 		fleet.codes = append(fleet.codes, fmt.Sprintf("%s: %s has not the place of %s", name, core.Name, old.Name))
 	}
-	fmt.Printf("%s: %s: %s in the place of %s after %v: %v\n", fleet.name, name, core.Name, old.Name, time.Since(begin).Round(time.Millisecond), taken)
+	fmt.Printf(
+		"%s: %s: %s in the place of %s after %v: %v\n",
+		fleet.name,
+		name,
+		core.Name,
+		old.Name,
+		time.Since(begin).Round(time.Millisecond),
+		taken,
+	)
 	fleet.mutex.Lock()
 	fleet.Cores[slices.Index(fleet.Cores, old)] = core
 	fleet.mutex.Unlock()
--- a/harness/cluster/scenario.go
+++ b/harness/cluster/scenario.go
@@ -43,13 +43,24 @@
 	"in-turn":        {About: "every machine of ours is restarted in turn", Planned: true, Inject: restartedInTurn},
 	"frozen":         {About: "the leader, a proxy and a directory freeze", Inject: frozen},
 	"disk-lost":      {About: "each core loses its disk, one after another", Inject: coreDiskLost},
-	"cores-replaced": {About: "each core is replaced by a new one: one gone for good, one by plan, then the leader", Planned: true, Inject: coresReplaced},
-	"core-gone":      {About: "all cores are killed for a while", Inject: coreGone},
-	"all-down":       {About: "every process of ours is killed at once", Inject: allDown},
-	"storm":          {About: "dozens of operators change a large tree through all daemons while the leader changes", Planned: true, Inject: storm},
-	"lending":        {About: "the lender storms, falls, restarts and changes its word; the borrower falls", Inject: lendingFaults},
-	"warned":         {About: "proxies and a core are warned and killed before they are done", Inject: warnedThenKilled},
-	"platform":       {About: "the platform refuses, shifts its pages, vanishes, and takes reports slowly or not", Inject: platformMisbehaves},
+	"cores-replaced": {
+		About:   "each core is replaced by a new one: one gone for good, one by plan, then the leader",
+		Planned: true,
+		Inject:  coresReplaced,
+	},
+	"core-gone": {About: "all cores are killed for a while", Inject: coreGone},
+	"all-down":  {About: "every process of ours is killed at once", Inject: allDown},
+	"storm": {
+		About:   "dozens of operators change a large tree through all daemons while the leader changes",
+		Planned: true,
+		Inject:  storm,
+	},
+	"lending": {About: "the lender storms, falls, restarts and changes its word; the borrower falls", Inject: lendingFaults},
+	"warned":  {About: "proxies and a core are warned and killed before they are done", Inject: warnedThenKilled},
+	"platform": {
+		About:  "the platform refuses, shifts its pages, vanishes, and takes reports slowly or not",
+		Inject: platformMisbehaves,
+	},
 	"cold-herd":      {About: "half of the backends come back cold at once while proxies leave and join", Inject: coldHerd},
 	"leader-changes": {About: "the leader is stopped once by SIGTERM, once by SIGKILL", Planned: true, Inject: leaderChanges},
 }
@@ -108,7 +119,15 @@
 	if err != nil {
 		return nil, err
 	}
-	evidence := &checker.Evidence{Callers: []standin.LoadReport{*report}, Settings: fleet.settings, Zones: fleet.Zones(), Guests: fleet.guests, Ledger: ledger, Planned: scenario.Planned, Windows: fleet.windows}
+	evidence := &checker.Evidence{
+		Callers:  []standin.LoadReport{*report},
+		Settings: fleet.settings,
+		Zones:    fleet.Zones(),
+		Guests:   fleet.guests,
+		Ledger:   ledger,
+		Planned:  scenario.Planned,
+		Windows:  fleet.windows,
+	}
 	if evidence.History, err = ledger.History(10 * time.Second); err != nil {
 		return nil, err
 	}
@@ -153,11 +172,25 @@
 	}
 	detail, span := "", time.Since(fleet.called).Seconds()
 	for _, class := range sortedKeys(classes) {
-		detail += fmt.Sprintf("%s: floor %d, served %.0f a second, p99 %.0f ms; ", class, fleet.settings.Classes[class].FloorRps, float64(len(classes[class]))/span, checker.Quantile(classes[class], 0.99))
+		detail += fmt.Sprintf(
+			"%s: floor %d, served %.0f a second, p99 %.0f ms; ",
+			class,
+			fleet.settings.Classes[class].FloorRps,
+			float64(len(classes[class]))/span,
+			checker.Quantile(classes[class], 0.99),
+		)
 	}
 	verdicts := []checker.Verdict{{Name: "classes beside their floors", Holds: true, Detail: detail}}
 	if fleet.peer != nil {
-		verdicts = append(verdicts, checker.Verdict{Name: "lending is seen by callers", Timed: true, Holds: served > 0 || !due, Detail: fmt.Sprintf("%d served at the other partner's fronts, %d not", served, refused)})
+		verdicts = append(
+			verdicts,
+			checker.Verdict{
+				Name:   "lending is seen by callers",
+				Timed:  true,
+				Holds:  served > 0 || !due,
+				Detail: fmt.Sprintf("%d served at the other partner's fronts, %d not", served, refused),
+			},
+		)
 	}
 	return verdicts
 }
--- a/harness/cluster/spec.go
+++ b/harness/cluster/spec.go
@@ -58,14 +58,29 @@
 // Check reads the settings and returns rpc.BadFlag or rpc.Invalid for what could
 // not run, before anything starts.
 func (spec *Spec) Check() (*config.Settings, []byte, error) {
-	if spec.Cores%2 == 0 || spec.Cores < 1 || spec.Cores > 7 || spec.Directories < 1 || spec.Proxies < 1 || spec.Proxies > 64 || spec.Backends < 1 || spec.Backends > 256 {
-		return nil, nil, rpc.Errorf(rpc.BadFlag, "impossible size: %d cores, %d directories, %d proxies, %d backends", spec.Cores, spec.Directories, spec.Proxies, spec.Backends)
+	if spec.Cores%2 == 0 || spec.Cores < 1 || spec.Cores > 7 || spec.Directories < 1 || spec.Proxies < 1 || spec.Proxies > 64 ||
+		spec.Backends < 1 ||
+		spec.Backends > 256 {
+		return nil, nil, rpc.Errorf(
+			rpc.BadFlag,
+			"impossible size: %d cores, %d directories, %d proxies, %d backends",
+			spec.Cores,
+			spec.Directories,
+			spec.Proxies,
+			spec.Backends,
+		)
 	}
 	if spec.Rate < 1 || spec.Rate > 5000 || spec.Seconds < 1 || spec.Seconds > 3600 {
 		return nil, nil, rpc.Errorf(rpc.BadFlag, "impossible load: %d a second for %v seconds", spec.Rate, spec.Seconds)
 	}
 	if spec.BasePort < 1024 || spec.BasePort+spec.Ports() > outgoingPorts {
-		return nil, nil, rpc.Errorf(rpc.BadFlag, "--base-port: %d and the %d after it are not all between 1024 and %d, below those of outgoing connections", spec.BasePort, spec.Ports(), outgoingPorts)
+		return nil, nil, rpc.Errorf(
+			rpc.BadFlag,
+			"--base-port: %d and the %d after it are not all between 1024 and %d, below those of outgoing connections",
+			spec.BasePort,
+			spec.Ports(),
+			outgoingPorts,
+		)
 	}
 	body, err := os.ReadFile(spec.Settings)
 	if err != nil {
--- a/harness/simulation/budget_test.go
+++ b/harness/simulation/budget_test.go
@@ -74,7 +74,14 @@
 		report := generator.Run(world.goroutines.Sleep)
 		client.CloseIdleConnections()
 		verdicts := world.judge(nil, report)
-		test.Logf("%s; %s; %d tries for %d tasks, %v", verdicts["resends within a fifth and sixty in ten seconds"], verdicts["no key charged twice"], len(report.Tries), report.Asked, report.Statuses)
+		test.Logf(
+			"%s; %s; %d tries for %d tasks, %v",
+			verdicts["resends within a fifth and sixty in ten seconds"],
+			verdicts["no key charged twice"],
+			len(report.Tries),
+			report.Asked,
+			report.Statuses,
+		)
 		world.report(test)
 	})
 }
--- a/harness/simulation/catchup_test.go
+++ b/harness/simulation/catchup_test.go
@@ -173,7 +173,13 @@
 		world.StartMember(one)
 	}
 	if took, whole := world.reached(version.Load(), 5*time.Second); !whole {
-		world.broke("%s has routing serial %d in force after %v, version %d was acknowledged", one.Name, one.Daemon.Version().RoutingSerial, took, version.Load())
+		world.broke(
+			"%s has routing serial %d in force after %v, version %d was acknowledged",
+			one.Name,
+			one.Daemon.Version().RoutingSerial,
+			took,
+			version.Load(),
+		)
 	}
 	world.report(test)
 }
--- a/harness/simulation/changes_during_partition_test.go
+++ b/harness/simulation/changes_during_partition_test.go
@@ -29,24 +29,62 @@
 	invalid := Routing(2)
 	invalid.Routes[0].Service = "nobody"
 	broken, _ := rpc.Marshal(&routing.Change{Version: 2, Base: 1, Digest: "invalid", Whole: invalid})
-	dangling, _ := rpc.Marshal(&routing.Change{Version: 2, Base: 1, Digest: "dangling", Patch: &routing.Patch{RemoveServices: []string{"desk"}}})
+	dangling, _ := rpc.Marshal(
+		&routing.Change{Version: 2, Base: 1, Digest: "dangling", Patch: &routing.Patch{RemoveServices: []string{"desk"}}},
+	)
 	low, _ := rpc.Marshal(&routing.Change{Version: 1, Base: 1, Digest: "low", Whole: Routing(1)})
 	return []call{
 		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("repeat", message.MethodRoutingChange, WholeChange(1, 0)),
 		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("stale base", message.MethodRoutingChange, WholeChange(9, 0)),
 		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("newer base", message.MethodRoutingChange, WholeChange(9, 3)),
-		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("stale version", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: low}),
-		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("invalid", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: broken}),
-		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("invalid patch", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: dangling}),
-		callOf[message.EvacuateRequest, message.EvacuateResponse]("evacuated before", message.MethodEvacuate, &message.EvacuateRequest{Zone: "z1", Begin: true}),
-		callOf[message.EvacuateRequest, message.EvacuateResponse]("never evacuated", message.MethodEvacuate, &message.EvacuateRequest{Zone: "z2", Begin: false}),
+		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse](
+			"stale version",
+			message.MethodRoutingChange,
+			&message.RoutingChangeRequest{Body: low},
+		),
+		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse](
+			"invalid",
+			message.MethodRoutingChange,
+			&message.RoutingChangeRequest{Body: broken},
+		),
+		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse](
+			"invalid patch",
+			message.MethodRoutingChange,
+			&message.RoutingChangeRequest{Body: dangling},
+		),
+		callOf[message.EvacuateRequest, message.EvacuateResponse](
+			"evacuated before",
+			message.MethodEvacuate,
+			&message.EvacuateRequest{Zone: "z1", Begin: true},
+		),
+		callOf[message.EvacuateRequest, message.EvacuateResponse](
+			"never evacuated",
+			message.MethodEvacuate,
+			&message.EvacuateRequest{Zone: "z2", Begin: false},
+		),
 		callOf[message.RoutingReadRequest, message.RoutingReadResponse]("read", message.MethodRoutingRead, &message.RoutingReadRequest{}),
 		callOf[message.ReadRequest, message.ReadResponse]("settings", message.MethodRead, &message.ReadRequest{}),
 		callOf[message.ReadIndexRequest, message.ReadIndexResponse]("confirm", message.MethodReadIndex, &message.ReadIndexRequest{}),
-		callOf[message.ChangeRequest, message.ChangeResponse]("settings repeat", message.MethodChange, &message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)}),
-		callOf[message.ChangeRequest, message.ChangeResponse]("settings stale base", message.MethodChange, &message.ChangeRequest{ID: "other", Base: 7, Kind: "whole", Body: Settings(900)}),
-		callOf[message.ChangeRequest, message.ChangeResponse]("settings id reused", message.MethodChange, &message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(900)}),
-		callOf[message.ChangeRequest, message.ChangeResponse]("settings invalid", message.MethodChange, &message.ChangeRequest{ID: "third", Base: 1, Kind: "partial", Body: []byte(`{"ack_ms":-4}`)}),
+		callOf[message.ChangeRequest, message.ChangeResponse](
+			"settings repeat",
+			message.MethodChange,
+			&message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)},
+		),
+		callOf[message.ChangeRequest, message.ChangeResponse](
+			"settings stale base",
+			message.MethodChange,
+			&message.ChangeRequest{ID: "other", Base: 7, Kind: "whole", Body: Settings(900)},
+		),
+		callOf[message.ChangeRequest, message.ChangeResponse](
+			"settings id reused",
+			message.MethodChange,
+			&message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(900)},
+		),
+		callOf[message.ChangeRequest, message.ChangeResponse](
+			"settings invalid",
+			message.MethodChange,
+			&message.ChangeRequest{ID: "third", Base: 1, Kind: "partial", Body: []byte(`{"ack_ms":-4}`)},
+		),
 	}
 }
 
@@ -89,7 +127,12 @@
 	if err := world.Evacuate("z1", true); err != nil {
 		test.Fatal(err)
 	}
-	if _, err := order[message.ChangeRequest, message.ChangeResponse](world, world.holds(), message.MethodChange, &message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)}); err != nil {
+	if _, err := order[message.ChangeRequest, message.ChangeResponse](
+		world,
+		world.holds(),
+		message.MethodChange,
+		&message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)},
+	); err != nil {
 		test.Fatal(err)
 	}
 }
--- a/harness/simulation/claims_test.go
+++ b/harness/simulation/claims_test.go
@@ -20,7 +20,18 @@
 	request := &message.RecordClaimsRequest{}
 	for number := range count {
 		key := message.ClaimKey{Tenant: "coast-grid", Service: "reading-grid", Key: fmt.Sprintf("key-%032d", first+number)}
-		request.Claims = append(request.Claims, message.ClaimRequest{Record: message.ClaimRecord{Key: key, ID: fmt.Sprintf("0a1b2c3d4e-%d", first+number), Digest: strings.Repeat("d", 64), Holder: "proxy-00/0123456789abcdef01234567", Stage: message.ClaimRunning}})
+		request.Claims = append(
+			request.Claims,
+			message.ClaimRequest{
+				Record: message.ClaimRecord{
+					Key:    key,
+					ID:     fmt.Sprintf("0a1b2c3d4e-%d", first+number),
+					Digest: strings.Repeat("d", 64),
+					Holder: "proxy-00/0123456789abcdef01234567",
+					Stage:  message.ClaimRunning,
+				},
+			},
+		)
 	}
 	return request
 }
@@ -58,14 +69,25 @@
 		}
 		before := heap()
 		for second := range 3 * seconds {
-			if _, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](client, core.InternalAddress, message.MethodRecordClaims, time.Second, claim(second*115, 115)); err != nil {
+			if _, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](
+				client,
+				core.InternalAddress,
+				message.MethodRecordClaims,
+				time.Second,
+				claim(second*115, 115),
+			); err != nil {
 				test.Fatal(err)
 			}
 			world.Rest(10 * time.Second / 10 * time.Duration(600/seconds))
 			bytes, _ := size()
 			most = max(most, bytes)
 			if second == seconds {
-				test.Logf("%d keys remembered: %d bytes on disk a key; heap of core and simulated disk %d a key", seconds*115, bytes/(seconds*115), (heap()-before)/uint64(seconds*115))
+				test.Logf(
+					"%d keys remembered: %d bytes on disk a key; heap of core and simulated disk %d a key",
+					seconds*115,
+					bytes/(seconds*115),
+					(heap()-before)/uint64(seconds*115),
+				)
 			}
 		}
 		bytes, files := size()
@@ -87,7 +109,13 @@
 			client := rpc.NewClient(world.Net.Transport("10.7.0.9"))
 			defer client.Close()
 			for group := range 6 {
-				if _, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](client, world.Cores[0].InternalAddress, message.MethodRecordClaims, time.Second, claim(group*3, 3)); err != nil {
+				if _, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](
+					client,
+					world.Cores[0].InternalAddress,
+					message.MethodRecordClaims,
+					time.Second,
+					claim(group*3, 3),
+				); err != nil {
 					test.Fatal(err)
 				}
 			}
@@ -96,7 +124,18 @@
 			length := world.Cores[0].Disk.Size(name)
 			open := func(disk *Disk) error {
 				client := rpc.NewClient(world.Net.Transport("10.7.0.8"))
-				core, err := control.NewCore(control.Config{ID: 1, InternalAddress: "10.0.0.1:41", HeartbeatInterval: HeartbeatInterval, SuspicionTimeout: SuspicionTimeout}, disk, client, concurrent.NewGroup(), metrics.NewCounters())
+				core, err := control.NewCore(
+					control.Config{
+						ID:                1,
+						InternalAddress:   "10.0.0.1:41",
+						HeartbeatInterval: HeartbeatInterval,
+						SuspicionTimeout:  SuspicionTimeout,
+					},
+					disk,
+					client,
+					concurrent.NewGroup(),
+					metrics.NewCounters(),
+				)
 				if err == nil {
 					core.Close()
 				}
@@ -129,8 +168,15 @@
 		other := claim(0, 1)
 		other.Claims[0].Record.ID = "ffff-1"
 		for index, request := range []*message.RecordClaimsRequest{claim(0, 1), other, claim(0, 1)} {
-			response, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](client, world.Cores[1].InternalAddress, message.MethodRecordClaims, time.Second, request)
-			if err != nil || response.Results[0].Granted != (index != 1) || index == 1 && response.Results[0].Existing.ID != "0a1b2c3d4e-0" {
+			response, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](
+				client,
+				world.Cores[1].InternalAddress,
+				message.MethodRecordClaims,
+				time.Second,
+				request,
+			)
+			if err != nil || response.Results[0].Granted != (index != 1) ||
+				index == 1 && response.Results[0].Existing.ID != "0a1b2c3d4e-0" {
 				test.Errorf("claim %d: %+v %v", index, response, err)
 			}
 		}
--- a/harness/simulation/combined_faults.go
+++ b/harness/simulation/combined_faults.go
@@ -29,8 +29,33 @@
 
 // SystemFaults are those beside the cores' own.
 var SystemFaults = []string{
-	"core", "core", "clock", "disk-fails", "proxy-killed", "proxies-killed", "dir-killed", "proxy-stopped", "warned-then-killed", "proxy-frozen", "proxy-cut", "proxies-apart", "core-away",
-	"zone-lost", "region-lost", "zone-emptied", "zone-lost-other-emptied", "backend-crash", "backends-cold-herd", "backend-frozen", "backend-leaves", "misbehave", "platform", "platform-usage", "lag", "keys", "all-down",
+	"core",
+	"core",
+	"clock",
+	"disk-fails",
+	"proxy-killed",
+	"proxies-killed",
+	"dir-killed",
+	"proxy-stopped",
+	"warned-then-killed",
+	"proxy-frozen",
+	"proxy-cut",
+	"proxies-apart",
+	"core-away",
+	"zone-lost",
+	"region-lost",
+	"zone-emptied",
+	"zone-lost-other-emptied",
+	"backend-crash",
+	"backends-cold-herd",
+	"backend-frozen",
+	"backend-leaves",
+	"misbehave",
+	"platform",
+	"platform-usage",
+	"lag",
+	"keys",
+	"all-down",
 }
 
 // Run draws faults until the span is over.
@@ -106,7 +131,12 @@
 		client := faults.world.Client(doors[faults.random.IntN(len(doors))])
 		if settings, err := client.Read(false); err == nil && settings.Confirmed {
 			change := operator.Change{Base: settings.Serial, Change: fmt.Sprint("all-", faults.number), Settings: []byte(body)}
-			if faults.ledger.Make(change, client, faults.random, func(client *operator.Client) (*operator.Outcome, error) { return client.Patch(change) }) == nil {
+			if faults.ledger.Make(
+				change,
+				client,
+				faults.random,
+				func(client *operator.Client) (*operator.Outcome, error) { return client.Patch(change) },
+			) == nil {
 				return time.Now().UnixMilli()
 			}
 		}
@@ -184,7 +214,10 @@
 		world.Rest(faults.span(200, 6000))
 		world.Net.Freeze(proxies[0].Host, false)
 	case "proxy-cut":
-		world.part(proxies[:1], cutOff{oneWay: random.IntN(3), span: faults.span(500, 6000), flap: time.Duration(random.IntN(2)) * 600 * time.Millisecond})
+		world.part(
+			proxies[:1],
+			cutOff{oneWay: random.IntN(3), span: faults.span(500, 6000), flap: time.Duration(random.IntN(2)) * 600 * time.Millisecond},
+		)
 	case "proxies-apart", "core-away":
 		turn := func(shut bool) {
 			for index, proxy := range proxies[:len(proxies)/2] {
@@ -243,7 +276,13 @@
 	case "lag":
 		world.Platform.SetLag([]time.Duration{200 * time.Millisecond, 3 * time.Second, 3 * time.Minute}[random.IntN(3)])
 	case "keys":
-		faults.within([]checker.Window{{Kind: "tenant", Subject: "birch"}}, `{"tenants":{"birch":{"keys":[]}}}`, fmt.Sprintf(`{"tenants":{"birch":{"keys":[%q]}}}`, digestOf("key-of-birch")), faults.span(5000, 6500), func() {})
+		faults.within(
+			[]checker.Window{{Kind: "tenant", Subject: "birch"}},
+			`{"tenants":{"birch":{"keys":[]}}}`,
+			fmt.Sprintf(`{"tenants":{"birch":{"keys":[%q]}}}`, digestOf("key-of-birch")),
+			faults.span(5000, 6500),
+			func() {},
+		)
 	case "all-down":
 		for index := range world.Cores {
 			world.KillCore(index, true)
--- a/harness/simulation/combined_faults_test.go
+++ b/harness/simulation/combined_faults_test.go
@@ -80,6 +80,14 @@
 	if report.Served < report.Asked*6/10 {
 		world.broke("%d of %d served: %v", report.Served, report.Asked, report.Statuses)
 	}
-	test.Logf("%v, %d of %d served, %d unknown, %s, %s, faults %v", time.Since(begin).Round(time.Second), report.Served, report.Asked, report.Unknown,
-		details["operators answered within a second"], details["usage reported within 5% and 10 s, none missing"], faults.Done)
+	test.Logf(
+		"%v, %d of %d served, %d unknown, %s, %s, faults %v",
+		time.Since(begin).Round(time.Second),
+		report.Served,
+		report.Asked,
+		report.Unknown,
+		details["operators answered within a second"],
+		details["usage reported within 5% and 10 s, none missing"],
+		faults.Done,
+	)
 }
--- a/harness/simulation/control_test.go
+++ b/harness/simulation/control_test.go
@@ -161,7 +161,12 @@
 		return
 	}
 	begin := time.Now()
-	response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](side.world, holds, message.MethodRoutingRead, &message.RoutingReadRequest{})
+	response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](
+		side.world,
+		holds,
+		message.MethodRoutingRead,
+		&message.RoutingReadRequest{},
+	)
 	if err != nil {
 		return
 	}
@@ -175,7 +180,12 @@
 		side.world.broke("%d was acknowledged, then %d read back", acknowledged, base)
 	}
 	one := side.begun(&answered{what: "routing", base: base, version: base + 1 + uint64(random.IntN(3))*8 + number})
-	taken, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](side.world, holds, message.MethodRoutingChange, WholeChange(one.version, base))
+	taken, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](
+		side.world,
+		holds,
+		message.MethodRoutingChange,
+		WholeChange(one.version, base),
+	)
 	if err != nil {
 		side.note(one, 0, err)
 		return
@@ -190,7 +200,12 @@
 // reached.
 func (side *Control) repeat(holds []*agent.Forwarder, acknowledged *answered) {
 	again := side.begun(&answered{what: acknowledged.what, base: acknowledged.base, version: acknowledged.version})
-	response, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](side.world, append(holds[1:], holds[0]), message.MethodRoutingChange, WholeChange(again.version, again.base))
+	response, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](
+		side.world,
+		append(holds[1:], holds[0]),
+		message.MethodRoutingChange,
+		WholeChange(again.version, again.base),
+	)
 	if err != nil {
 		side.note(again, 0, err)
 		return
@@ -323,7 +338,16 @@
 			late++
 			side.mutex.Unlock()
 			if cores, _ := side.spared(order.begin.Add(-contactSpan), order.begin.Add(ackSpan), nil); cores >= side.most() {
-				world.broke("%s %d on %d at %v took %v while %d cores were settled: %v", order.what, order.version, order.base, order.begin, took, cores, order.err)
+				world.broke(
+					"%s %d on %d at %v took %v while %d cores were settled: %v",
+					order.what,
+					order.version,
+					order.base,
+					order.begin,
+					took,
+					cores,
+					order.err,
+				)
 			}
 			side.mutex.Lock()
 		}
@@ -363,7 +387,15 @@
 	if held := world.rosters(); len(held) != 1 {
 		world.broke("%v", held)
 	}
-	test.Logf("%d orders, %d acknowledged routings, %d late, longest %v, %d leaderships, %d windows told", len(side.orders), acknowledged, late, longest, len(world.Leads), len(side.meters.told))
+	test.Logf(
+		"%d orders, %d acknowledged routings, %d late, longest %v, %d leaderships, %d windows told",
+		len(side.orders),
+		acknowledged,
+		late,
+		longest,
+		len(world.Leads),
+		len(side.meters.told),
+	)
 }
 
 // begin starts operators, requests, and the watch over what members hold.
--- a/harness/simulation/core.go
+++ b/harness/simulation/core.go
@@ -96,13 +96,26 @@
 	machine.Core, machine.Forwarder, machine.Alive = core, forwarder, true
 	world.mutex.Unlock()
 	operate := agent.NewOperatorAPI(fmt.Sprint(machine.ID), forwarder, counters, core.Settings, core.CanVote)
-	machine.servers = []*http.Server{world.serve(machine.goroutines, machine.InternalAddress, server), world.serve(machine.goroutines, machine.OperatorAddress, operate)}
+	machine.servers = []*http.Server{
+		world.serve(machine.goroutines, machine.InternalAddress, server),
+		world.serve(machine.goroutines, machine.OperatorAddress, operate),
+	}
 	finder.Run()
 	core.Run()
 }
 
 func (world *World) corePlace(machine *Core) control.Config {
-	config := control.Config{ID: machine.ID, Zone: "z", InternalAddress: machine.InternalAddress, OperatorAddress: machine.OperatorAddress, Bootstrap: true, PlatformAddress: world.platformAddress(), HeartbeatInterval: HeartbeatInterval, SuspicionTimeout: SuspicionTimeout, Seed: world.Seed + machine.starts*1000}
+	config := control.Config{
+		ID:                machine.ID,
+		Zone:              "z",
+		InternalAddress:   machine.InternalAddress,
+		OperatorAddress:   machine.OperatorAddress,
+		Bootstrap:         true,
+		PlatformAddress:   world.platformAddress(),
+		HeartbeatInterval: HeartbeatInterval,
+		SuspicionTimeout:  SuspicionTimeout,
+		Seed:              world.Seed + machine.starts*1000,
+	}
 	machine.starts++
 	for _, other := range world.machines() {
 		if other != machine {
--- a/harness/simulation/election_test.go
+++ b/harness/simulation/election_test.go
@@ -110,7 +110,15 @@
 		}) {
 			world.broke("serial %d is not in force everywhere after 4 s", last)
 		}
-		test.Logf("%d acknowledged, %d refused, %d unknown, %d leaderships, longest answer %.0f ms, faults %v", len(ledger.Acked), len(ledger.Refused), len(ledger.Unknown), len(world.Leads), checker.Quantile(ledger.AnswerMs, 1), faults.Done)
+		test.Logf(
+			"%d acknowledged, %d refused, %d unknown, %d leaderships, longest answer %.0f ms, faults %v",
+			len(ledger.Acked),
+			len(ledger.Refused),
+			len(ledger.Unknown),
+			len(world.Leads),
+			checker.Quantile(ledger.AnswerMs, 1),
+			faults.Done,
+		)
 		world.report(test)
 	})
 }
--- a/harness/simulation/evacuated_test.go
+++ b/harness/simulation/evacuated_test.go
@@ -28,7 +28,8 @@
 		}
 		drain := func(base uint64, zones []string) {
 			body, _ := json.Marshal(map[string]any{"drained": map[string]any{"zones": zones}})
-			if _, err := world.Client(world.Cores[1].OperatorAddress).Patch(operator.Change{Base: base, Change: fmt.Sprint("drain-", base), Settings: body}); err != nil {
+			if _, err := world.Client(world.Cores[1].OperatorAddress).
+				Patch(operator.Change{Base: base, Change: fmt.Sprint("drain-", base), Settings: body}); err != nil {
 				test.Fatal(err)
 			}
 		}
--- a/harness/simulation/evidence.go
+++ b/harness/simulation/evidence.go
@@ -45,7 +45,16 @@
 		world.broke("%v", err)
 		return nil
 	}
-	evidence := &checker.Evidence{Callers: reports, Backends: world.seen(), Settings: settings, Zones: map[string]string{}, Ledger: ledger, Windows: world.windows, Planned: world.planned, Jumps: world.reports}
+	evidence := &checker.Evidence{
+		Callers:  reports,
+		Backends: world.seen(),
+		Settings: settings,
+		Zones:    map[string]string{},
+		Ledger:   ledger,
+		Windows:  world.windows,
+		Planned:  world.planned,
+		Jumps:    world.reports,
+	}
 	for _, backend := range world.Backends {
 		evidence.Zones[backend.Listed.Name] = backend.Listed.Zone
 	}
--- a/harness/simulation/injector_test.go
+++ b/harness/simulation/injector_test.go
@@ -17,13 +17,36 @@
 }
 
 func (side *Control) injector(number uint64, kinds, cores []string) *Injector {
-	one := &Injector{Control: side, chaos: side.world.RandomFaults(), random: rand.New(rand.NewPCG(side.world.Seed, 83+number)), kinds: kinds, cores: cores}
+	one := &Injector{
+		Control: side,
+		chaos:   side.world.RandomFaults(),
+		random:  rand.New(rand.NewPCG(side.world.Seed, 83+number)),
+		kinds:   kinds,
+		cores:   cores,
+	}
 	one.chaos.random = rand.New(rand.NewPCG(side.world.Seed, 183+number))
 	return one
 }
 
 // SideFaults are those of the control side beside the cores' own.
-var SideFaults = []string{"core", "core", "core", "disk-fails", "all-wiped", "all-down", "power-after-ack", "wipe-after-ack", "region-lost", "cores-apart", "most-wiped", "member-killed", "members-killed", "member-frozen", "member-cut", "calm"}
+var SideFaults = []string{
+	"core",
+	"core",
+	"core",
+	"disk-fails",
+	"all-wiped",
+	"all-down",
+	"power-after-ack",
+	"wipe-after-ack",
+	"region-lost",
+	"cores-apart",
+	"most-wiped",
+	"member-killed",
+	"members-killed",
+	"member-frozen",
+	"member-cut",
+	"calm",
+}
 
 // SideLinkFaults go on beside those: no process ends by them.
 var (
--- a/harness/simulation/lending_test.go
+++ b/harness/simulation/lending_test.go
@@ -20,8 +20,16 @@
 				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 100, Room: 4})
 			}
 			world.up(test, 4)
-			body, _ := json.Marshal(map[string]any{"classes": map[string]any{"money": map[string]any{"floor_rps": 30, "borrow_rps": 1000}, "pages": map[string]any{"floor_rps": 40, "borrow_rps": 1000}}})
-			if _, err := world.Client(world.Cores[0].OperatorAddress).Patch(operator.Change{Base: 1, Change: "borrow", Settings: body}); err != nil {
+			body, _ := json.Marshal(
+				map[string]any{
+					"classes": map[string]any{
+						"money": map[string]any{"floor_rps": 30, "borrow_rps": 1000},
+						"pages": map[string]any{"floor_rps": 40, "borrow_rps": 1000},
+					},
+				},
+			)
+			if _, err := world.Client(world.Cores[0].OperatorAddress).
+				Patch(operator.Change{Base: 1, Change: "borrow", Settings: body}); err != nil {
 				test.Fatal(err)
 			}
 			world.Rest(2 * time.Second)
@@ -39,9 +47,25 @@
 			stormed := <-ended
 			firstClient.CloseIdleConnections()
 			secondClient.CloseIdleConnections()
-			test.Logf("storm of %s: %d of %d others served, p99 %.0f ms; of the storm %d of %d, %v", storming, served.Served, served.Asked, served.LatencyMs["p99"], stormed.Served, stormed.Asked, stormed.Statuses)
+			test.Logf(
+				"storm of %s: %d of %d others served, p99 %.0f ms; of the storm %d of %d, %v",
+				storming,
+				served.Served,
+				served.Asked,
+				served.LatencyMs["p99"],
+				stormed.Served,
+				stormed.Asked,
+				stormed.Statuses,
+			)
 			if served.Served < served.Asked*98/100 || served.LatencyMs["p99"] > 600 {
-				world.broke("storm of %s: %d of %d others served, p99 %.0f ms: %v", storming, served.Served, served.Asked, served.LatencyMs["p99"], served.Statuses)
+				world.broke(
+					"storm of %s: %d of %d others served, p99 %.0f ms: %v",
+					storming,
+					served.Served,
+					served.Asked,
+					served.LatencyMs["p99"],
+					served.Statuses,
+				)
 			}
 			if stormed.Served < 35*10 || stormed.Unserved == 0 {
 				world.broke("storm of %s: %d of it served, %d held back", storming, stormed.Served, stormed.Unserved)
--- a/harness/simulation/metered_usage_test.go
+++ b/harness/simulation/metered_usage_test.go
@@ -31,10 +31,22 @@
 
 func newMeters(world *World) *meters {
 	made := &meters{
-		world: world, random: rand.New(rand.NewPCG(world.Seed, 29)), span: 5000, counted: map[string]map[int64]map[string]uint64{}, begun: map[int64]uint64{},
-		told: map[int64]control.WindowReport{}, at: map[int64]int64{}, fences: map[uint64]string{}, tellers: map[int64]map[string]bool{},
+		world:   world,
+		random:  rand.New(rand.NewPCG(world.Seed, 29)),
+		span:    5000,
+		counted: map[string]map[int64]map[string]uint64{},
+		begun:   map[int64]uint64{},
+		told:    map[int64]control.WindowReport{},
+		at:      map[int64]int64{},
+		fences:  map[uint64]string{},
+		tellers: map[int64]map[string]bool{},
+	}
+	world.Metering = control.Metering{
+		Window:        5 * time.Second,
+		SettleAfter:   3500 * time.Millisecond,
+		TakeoverQuiet: 3 * time.Second,
+		Report:        made.report,
 	}
-	world.Metering = control.Metering{Window: 5 * time.Second, SettleAfter: 3500 * time.Millisecond, TakeoverQuiet: 3 * time.Second, Report: made.report}
 	world.Requests = made.windows
 	return made
 }
--- a/harness/simulation/money_test.go
+++ b/harness/simulation/money_test.go
@@ -95,7 +95,15 @@
 		if report.Served < report.Asked/2 {
 			world.broke("only %d of %d served: %v", report.Served, report.Asked, report.Statuses)
 		}
-		test.Logf("%d asked, %d served, %d unknown, %d not, harms %v, statuses %v", report.Asked, report.Served, report.Unknown, report.Unserved, harms, report.Statuses)
+		test.Logf(
+			"%d asked, %d served, %d unknown, %d not, harms %v, statuses %v",
+			report.Asked,
+			report.Served,
+			report.Unknown,
+			report.Unserved,
+			harms,
+			report.Statuses,
+		)
 		world.report(test)
 	})
 }
--- a/harness/simulation/net.go
+++ b/harness/simulation/net.go
@@ -47,7 +47,15 @@
 
 // NewNet returns a network without faults whose delays are drawn by seed.
 func NewNet(seed uint64) *Net {
-	return &Net{random: rand.New(rand.NewPCG(seed, 13)), listeners: map[string]*listener{}, cut: map[[2]string]bool{}, frozen: map[string]bool{}, gone: map[string]bool{}, lives: map[string]int{}, goroutines: concurrent.NewGroup()}
+	return &Net{
+		random:     rand.New(rand.NewPCG(seed, 13)),
+		listeners:  map[string]*listener{},
+		cut:        map[[2]string]bool{},
+		frozen:     map[string]bool{},
+		gone:       map[string]bool{},
+		lives:      map[string]int{},
+		goroutines: concurrent.NewGroup(),
+	}
 }
 
 func (net *Net) odds(of int) bool { return of > 0 && net.random.IntN(1000) < of }
@@ -318,7 +326,10 @@
 
 // Transport carries a host's messages, with the net's faults.
 func (net *Net) Transport(from string) *Transport {
-	return &Transport{net: net, inner: &http.Transport{DialContext: net.Dialer(from), IdleConnTimeout: 20 * time.Second, MaxIdleConnsPerHost: 8}}
+	return &Transport{
+		net:   net,
+		inner: &http.Transport{DialContext: net.Dialer(from), IdleConnTimeout: 20 * time.Second, MaxIdleConnsPerHost: 8},
+	}
 }
 
 // Transport loses, doubles and delays whole messages.
--- a/harness/simulation/numbers_test.go
+++ b/harness/simulation/numbers_test.go
@@ -89,7 +89,16 @@
 			for operator, text := range texts {
 				for index := range world.Cores {
 					if code, answer := caller.call(index, http.MethodPut, "/config", text); code != codes[operator] {
-						world.broke("%s after %v: operator %d was told %d, then at core %d: %d %s", kind, wait, operator, codes[operator], index, code, answer)
+						world.broke(
+							"%s after %v: operator %d was told %d, then at core %d: %d %s",
+							kind,
+							wait,
+							operator,
+							codes[operator],
+							index,
+							code,
+							answer,
+						)
 					}
 				}
 			}
--- a/harness/simulation/operator_test.go
+++ b/harness/simulation/operator_test.go
@@ -39,7 +39,11 @@
 func (world *World) openOperators(index int) {
 	machine := world.Cores[index]
 	machine.Forwarder.SetLocalLeader(machine.Core.Leader)
-	control := platform.NewControl(platform.NewLeaderOrders(machine.Forwarder), func() map[string]string { return nil }, metrics.NewCounters())
+	control := platform.NewControl(
+		platform.NewLeaderOrders(machine.Forwarder),
+		func() map[string]string { return nil },
+		metrics.NewCounters(),
+	)
 	machine.servers = append(machine.servers, world.serve(machine.goroutines, machine.Host+":43", control))
 }
 
@@ -110,7 +114,9 @@
 
 // invalidPatch leaves a route without its service.
 func invalidPatch(version, base uint64) string {
-	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{RemoveServices: []string{"desk"}}}))
+	return string(
+		platform.WriteOrder(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{RemoveServices: []string{"desk"}}}),
+	)
 }
 
 // A core is cut off from the others for 20 s, both ways or one way, whether it leads
@@ -151,7 +157,16 @@
 						world.goroutines.Start(func() {
 							code, answer := operator.within(answered, lost, one.method, one.path, one.body)
 							if code != http.StatusServiceUnavailable && code != http.StatusRequestTimeout {
-								world.broke("%s, leads %v: %s %s asked after %v: %d %.100s", kind, leads, one.method, one.path, request, code, answer)
+								world.broke(
+									"%s, leads %v: %s %s asked after %v: %d %.100s",
+									kind,
+									leads,
+									one.method,
+									one.path,
+									request,
+									code,
+									answer,
+								)
 							}
 							mutex.Lock()
 							open--
@@ -174,7 +189,13 @@
 				for _, body := range []string{first, last} {
 					operator.until(test, []int{lost}, http.MethodPut, "/config", body)
 				}
-				if code, answer := operator.within(answered, lost, http.MethodPut, "/config", wholeBody(6, 5)); code != http.StatusPreconditionFailed {
+				if code, answer := operator.within(
+					answered,
+					lost,
+					http.MethodPut,
+					"/config",
+					wholeBody(6, 5),
+				); code != http.StatusPreconditionFailed {
 					world.broke("%s: back in touch, the loser of a race: %d %s", kind, code, answer)
 				}
 				world.zoned(test, "z1", true, kind)
@@ -205,7 +226,8 @@
 			operator.until(test, entries, first, "/evacuate/z1", "")
 			operator.until(test, entries, second, "/evacuate/z1", "")
 			for until := time.Now().Add(time.Second); time.Now().Before(until); world.Rest(10 * time.Millisecond) {
-				if _, state := world.Cores[leader].Core.Routing(); world.Leader() == leader && slices.Contains(state.Evacuated, "z1") != begin {
+				if _, state := world.Cores[leader].Core.Routing(); world.Leader() == leader &&
+					slices.Contains(state.Evacuated, "z1") != begin {
 					test.Fatalf("round %d: acknowledged evacuated %v, then committed %v", round, begin, !begin)
 				}
 			}
--- a/harness/simulation/outage_test.go
+++ b/harness/simulation/outage_test.go
@@ -86,7 +86,15 @@
 			for index := range world.Broken[before:] {
 				world.Broken[before+index] = kind.name + ": " + world.Broken[before+index]
 			}
-			test.Logf("%s: ready after %v, %s, final answers after %v and %v, %d replayed", kind.name, ready, details["no key charged twice"], slowest, later, replays)
+			test.Logf(
+				"%s: ready after %v, %s, final answers after %v and %v, %d replayed",
+				kind.name,
+				ready,
+				details["no key charged twice"],
+				slowest,
+				later,
+				replays,
+			)
 			world.report(test)
 			world.Close()
 		}
@@ -144,7 +152,13 @@
 	for number, try := range tries {
 		begin := time.Now()
 		for again := range 100 {
-			seen := generator.Once(plan.Callers[0], plan.Calls[0], try.Key, fmt.Sprintf("%s.%d-%d", try.Key, time.Now().UnixMilli(), again), fronts[(number+again)%len(fronts)])
+			seen := generator.Once(
+				plan.Callers[0],
+				plan.Calls[0],
+				try.Key,
+				fmt.Sprintf("%s.%d-%d", try.Key, time.Now().UnixMilli(), again),
+				fronts[(number+again)%len(fronts)],
+			)
 			if seen.Replay {
 				replays++
 			}
--- a/harness/simulation/partition_test.go
+++ b/harness/simulation/partition_test.go
@@ -50,7 +50,8 @@
 			}
 			again := 0
 			for _, try := range report.Tries {
-				if try.Tenant == "alder" && try.Status == 200 && try.Front == lone[0].PublicAddress && try.AtMs > report.Tries[len(report.Tries)-1].AtMs-2000 {
+				if try.Tenant == "alder" && try.Status == 200 && try.Front == lone[0].PublicAddress &&
+					try.AtMs > report.Tries[len(report.Tries)-1].AtMs-2000 {
 					again++
 				}
 			}
@@ -87,7 +88,9 @@
 		client := world.Client(world.Cores[try%len(world.Cores)].OperatorAddress)
 		settings, err := client.Read(false)
 		if err == nil && settings.Confirmed {
-			if _, err = client.Patch(operator.Change{Base: settings.Serial, Change: fmt.Sprint("withdraw-", try), Settings: body}); err == nil {
+			if _, err = client.Patch(
+				operator.Change{Base: settings.Serial, Change: fmt.Sprint("withdraw-", try), Settings: body},
+			); err == nil {
 				world.windows = append(world.windows, checker.Window{Kind: "tenant", Subject: tenant, From: time.Now().UnixMilli() + 4500})
 				return
 			}
--- a/harness/simulation/platform_test.go
+++ b/harness/simulation/platform_test.go
@@ -19,7 +19,15 @@
 		random := rand.New(rand.NewPCG(seed, 47))
 		stays := []standin.Listed{}
 		for index := range 25 {
-			stays = append(stays, standin.Listed{Name: fmt.Sprintf("back-%03d", index), Service: "meters", Address: fmt.Sprintf("10.5.0.%d:80", index+1), Zone: "e1"})
+			stays = append(
+				stays,
+				standin.Listed{
+					Name:    fmt.Sprintf("back-%03d", index),
+					Service: "meters",
+					Address: fmt.Sprintf("10.5.0.%d:80", index+1),
+					Zone:    "e1",
+				},
+			)
 		}
 		world.Platform = standin.NewPlatform(7, 300*time.Millisecond, 2, stays)
 		world.servers = append(world.servers, world.serve(world.goroutines, world.platformAddress(), world.Platform))
--- a/harness/simulation/random_faults.go
+++ b/harness/simulation/random_faults.go
@@ -18,7 +18,25 @@
 }
 
 // CoreFaults are the kinds of faults there are.
-var CoreFaults = []string{"kill", "power", "term", "freeze", "cut", "one-way", "stall", "wipe", "all", "faults", "kill-leader", "alone", "stale-leader-lost", "stale-disk-lost", "refuse", "full", "refuse-restart"}
+var CoreFaults = []string{
+	"kill",
+	"power",
+	"term",
+	"freeze",
+	"cut",
+	"one-way",
+	"stall",
+	"wipe",
+	"all",
+	"faults",
+	"kill-leader",
+	"alone",
+	"stale-leader-lost",
+	"stale-disk-lost",
+	"refuse",
+	"full",
+	"refuse-restart",
+}
 
 func (faults *RandomFaults) span(least, most time.Duration) time.Duration {
 	return least + time.Duration(faults.random.Int64N(int64(most-least)))
@@ -140,7 +158,9 @@
 		if kind == "full" {
 			machine.Disk.Room(max(1, machine.Disk.Used()))
 		} else {
-			machine.Disk.Refuse([]Refusal{{Writes: true}, {Syncs: true}, {Names: true}, {Writes: true, Syncs: true, Names: true}}[faults.random.IntN(4)])
+			machine.Disk.Refuse(
+				[]Refusal{{Writes: true}, {Syncs: true}, {Names: true}, {Writes: true, Syncs: true, Names: true}}[faults.random.IntN(4)],
+			)
 		}
 	}
 	trouble()
--- a/harness/simulation/recovery_test.go
+++ b/harness/simulation/recovery_test.go
@@ -170,10 +170,23 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	voter := replica.New(store, replica.Callbacks{DiskFailed: func(err error) { test.Error(err) }, PromiseRaised: func(message.Term) {}, MembershipAccepted: func(message.AcceptedValue) {}})
+	voter := replica.New(
+		store,
+		replica.Callbacks{
+			DiskFailed:         func(err error) { test.Error(err) },
+			PromiseRaised:      func(message.Term) {},
+			MembershipAccepted: func(message.AcceptedValue) {},
+		},
+	)
 	held := voter.State().Accepted[message.RoutingRegister]
 	body, _ := rpc.Marshal(NewState(version))
-	response, err := voter.Accept(&message.AcceptRequest{Term: voter.State().Promised, Register: message.RoutingRegister, Value: message.Value{Serial: held.Value.Serial + 1, Body: body}})
+	response, err := voter.Accept(
+		&message.AcceptRequest{
+			Term:     voter.State().Promised,
+			Register: message.RoutingRegister,
+			Value:    message.Value{Serial: held.Value.Serial + 1, Body: body},
+		},
+	)
 	if err != nil || !response.Accepted {
 		test.Fatal(response, err)
 	}
@@ -276,7 +289,13 @@
 		if machine.life(world) == nil {
 			continue
 		}
-		response, err := rpc.Call[message.StatusRequest, message.StatusResponse](machine.client, machine.InternalAddress, message.MethodStatus, time.Second, &message.StatusRequest{})
+		response, err := rpc.Call[message.StatusRequest, message.StatusResponse](
+			machine.client,
+			machine.InternalAddress,
+			message.MethodStatus,
+			time.Second,
+			&message.StatusRequest{},
+		)
 		if err != nil {
 			world.broke("no status of core %d: %v", machine.ID, err)
 			continue
@@ -392,7 +411,10 @@
 			backends := []message.Backend{}
 			world.Listed = func(string) discovery.Page { return discovery.Page{Backends: backends} }
 			for index := range 3 {
-				backends = append(backends, message.Backend{Name: fmt.Sprint("b", index), Service: "desk", Address: "10.9.9.9:80", Capacity: 4})
+				backends = append(
+					backends,
+					message.Backend{Name: fmt.Sprint("b", index), Service: "desk", Address: "10.9.9.9:80", Capacity: 4},
+				)
 			}
 			world.farUp(test, 6)
 			world.Rest(time.Second)
@@ -468,7 +490,14 @@
 						listed = listed || known.Name == mute.Name
 					}
 					if !listed && table.Version.Term.Number > 0 {
-						test.Fatalf("round %d: %s lost %s from its table %v after %v", round, one.Name, mute.Name, table.Version, time.Since(begin))
+						test.Fatalf(
+							"round %d: %s lost %s from its table %v after %v",
+							round,
+							one.Name,
+							mute.Name,
+							table.Version,
+							time.Since(begin),
+						)
 					}
 				}
 				world.Rest(10 * time.Millisecond)
@@ -513,17 +542,35 @@
 				test.Fatal("no second leader")
 			}
 			ask := func(index int, version, base uint64) error {
-				_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](world.Cores[other].client, world.Cores[index].InternalAddress, message.MethodRoutingChange, 500*time.Millisecond, WholeChange(version, base))
+				_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](
+					world.Cores[other].client,
+					world.Cores[index].InternalAddress,
+					message.MethodRoutingChange,
+					500*time.Millisecond,
+					WholeChange(version, base),
+				)
 				return err
 			}
 			if err := ask(other, 2, 1); err != nil {
 				test.Fatal(err)
 			}
 			client := rpc.NewClient(world.Net.Transport("10.8.0.1"))
-			if read, err := rpc.Call[message.RoutingReadRequest, message.RoutingReadResponse](client, world.Cores[leader].InternalAddress, message.MethodRoutingRead, time.Second, &message.RoutingReadRequest{}); err == nil {
+			if read, err := rpc.Call[message.RoutingReadRequest, message.RoutingReadResponse](
+				client,
+				world.Cores[leader].InternalAddress,
+				message.MethodRoutingRead,
+				time.Second,
+				&message.RoutingReadRequest{},
+			); err == nil {
 				world.broke("the replaced leader read serial %d back", read.Serial)
 			}
-			_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](client, world.Cores[leader].InternalAddress, message.MethodRoutingChange, time.Second, WholeChange(3, 2))
+			_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](
+				client,
+				world.Cores[leader].InternalAddress,
+				message.MethodRoutingChange,
+				time.Second,
+				WholeChange(3, 2),
+			)
 			if kind := rpc.CodeOf(err); kind == rpc.StaleBase {
 				world.broke("the replaced leader refused: %v", err)
 			} else if kind != rpc.NotLeader && kind != rpc.NoLeader {
--- a/harness/simulation/refuse_test.go
+++ b/harness/simulation/refuse_test.go
@@ -122,7 +122,13 @@
 		world.Cores[leader].Disk.Stall(false)
 		world.Rest(time.Second)
 		if now := world.Leader(); now != leader || world.lasts(leader) != world.lasts((leader+1)%3) {
-			world.broke("core %d led and %d leads; holds serial %d, another %d", leader, now, world.lasts(leader), world.lasts((leader+1)%3))
+			world.broke(
+				"core %d led and %d leads; holds serial %d, another %d",
+				leader,
+				now,
+				world.lasts(leader),
+				world.lasts((leader+1)%3),
+			)
 		}
 		world.report(test)
 	})
