--- a/harness/simulation/regions.go
+++ b/harness/simulation/regions.go
@@ -47,7 +47,13 @@
 // find each other by seeds and whose daemons hear news from the cores themselves.
 func NewFarWorld(seed uint64, cores int) *World {
 	world := NewWorld(seed, cores)
-	world.Intervals = agent.Intervals{Session: farSession, Watch: 2500 * time.Millisecond, FindLeader: 100 * time.Millisecond, Pulse: 500 * time.Millisecond, UsageCount: -1}
+	world.Intervals = agent.Intervals{
+		Session:    farSession,
+		Watch:      2500 * time.Millisecond,
+		FindLeader: 100 * time.Millisecond,
+		Pulse:      500 * time.Millisecond,
+		UsageCount: -1,
+	}
 	world.Limits = agent.ForwardLimits{Attempt: 700 * time.Millisecond}
 	for index, machine := range world.Cores {
 		machine.Host = fmt.Sprintf("10.%d.0.%d", 10*(index%3), index+1)
@@ -110,8 +116,18 @@
 // StartMember starts a daemon that AddMember laid out.
 func (world *World) StartMember(one *FarDaemon) {
 	spot := agent.Config{
-		Name: one.Name, Kind: "proxy", Zone: fmt.Sprint("z", one.Region), InternalAddress: one.Host + ":41", PublicAddress: one.Host + ":80", OperatorAddress: one.Host + ":42",
-		Intervals: world.Intervals, ForwardLimits: world.Limits, DirectSessions: true, ServesAlone: true, Routed: true, Wall: func() int64 { return time.Now().UnixMilli() + one.Jump },
+		Name:            one.Name,
+		Kind:            "proxy",
+		Zone:            fmt.Sprint("z", one.Region),
+		InternalAddress: one.Host + ":41",
+		PublicAddress:   one.Host + ":80",
+		OperatorAddress: one.Host + ":42",
+		Intervals:       world.Intervals,
+		ForwardLimits:   world.Limits,
+		DirectSessions:  true,
+		ServesAlone:     true,
+		Routed:          true,
+		Wall:            func() int64 { return time.Now().UnixMilli() + one.Jump },
 	}
 	spot.Seeds = world.seedsFor(&one.Seeds)
 	one.goroutines, one.Counters = concurrent.NewGroup(), metrics.NewCounters()
@@ -156,8 +172,20 @@
 // Routing is a small one for worlds.
 func Routing(version uint64) *routing.Config {
 	return &routing.Config{
-		Version: version, Services: []routing.Service{{Name: "desk"}},
-		Routes: []routing.Route{{Name: fmt.Sprint("route-", version), Host: "a.example", Prefix: "/a/", Service: "desk", Attempts: 1, TimeoutMs: 2000, TargetMs: 500, Kind: routing.Idempotent}},
+		Version:  version,
+		Services: []routing.Service{{Name: "desk"}},
+		Routes: []routing.Route{
+			{
+				Name:      fmt.Sprint("route-", version),
+				Host:      "a.example",
+				Prefix:    "/a/",
+				Service:   "desk",
+				Attempts:  1,
+				TimeoutMs: 2000,
+				TargetMs:  500,
+				Kind:      routing.Idempotent,
+			},
+		},
 	}
 }
 
@@ -166,7 +194,9 @@
 
 // WholeChange is an operator's order of a whole routing on top of a version.
 func WholeChange(version, base uint64) *message.RoutingChangeRequest {
-	body, _ := rpc.Marshal(&routing.Change{Version: version, Base: base, Digest: fmt.Sprintf("%d on %d", version, base), Whole: Routing(version)})
+	body, _ := rpc.Marshal(
+		&routing.Change{Version: version, Base: base, Digest: fmt.Sprintf("%d on %d", version, base), Whole: Routing(version)},
+	)
 	return &message.RoutingChangeRequest{Body: body}
 }
 
@@ -200,7 +230,12 @@
 
 // Put sends a routing until it is taken or refused.
 func (world *World) Put(version, base uint64) error {
-	_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, world.holds(), message.MethodRoutingChange, WholeChange(version, base))
+	_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](
+		world,
+		world.holds(),
+		message.MethodRoutingChange,
+		WholeChange(version, base),
+	)
 	return err
 }
 
@@ -218,7 +253,12 @@
 
 // Book reads the confirmed routing back.
 func (world *World) Book() (*routing.State, error) {
-	response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](world, world.holds(), message.MethodRoutingRead, &message.RoutingReadRequest{})
+	response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](
+		world,
+		world.holds(),
+		message.MethodRoutingRead,
+		&message.RoutingReadRequest{},
+	)
 	if err != nil {
 		return nil, err
 	}
--- a/harness/simulation/regions_test.go
+++ b/harness/simulation/regions_test.go
@@ -51,7 +51,12 @@
 			racer.mutex.Unlock()
 			continue
 		}
-		response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](world, holds(), message.MethodRoutingRead, &message.RoutingReadRequest{})
+		response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](
+			world,
+			holds(),
+			message.MethodRoutingRead,
+			&message.RoutingReadRequest{},
+		)
 		if err != nil {
 			continue
 		}
@@ -69,7 +74,12 @@
 		}
 		racer.mutex.Unlock()
 		version := base + 1 + uint64(random.IntN(3))*3 + uint64(number)
-		if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](world, holds(), message.MethodRoutingChange, WholeChange(version, base)); err == nil {
+		if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](
+			world,
+			holds(),
+			message.MethodRoutingChange,
+			WholeChange(version, base),
+		); err == nil {
 			racer.mutex.Lock()
 			racer.acked[version] = base
 			racer.mutex.Unlock()
@@ -149,7 +159,13 @@
 		if held := world.rosters(); len(held) != 1 {
 			world.broke("%v", held)
 		}
-		test.Logf("%d acknowledged, %d leaderships, %d windows told, faults %v", len(racers.acked), len(world.Leads), len(meters.told), faults.Done)
+		test.Logf(
+			"%d acknowledged, %d leaderships, %d windows told, faults %v",
+			len(racers.acked),
+			len(world.Leads),
+			len(meters.told),
+			faults.Done,
+		)
 		world.report(test)
 	})
 }
--- a/harness/simulation/removal_test.go
+++ b/harness/simulation/removal_test.go
@@ -69,7 +69,11 @@
 		if _, err := world.remove(client, 9); err == nil || rpc.CodeOf(err) != rpc.NotFound {
 			test.Errorf("removed one that never was: %v", err)
 		}
-		if response := world.membership(test, client); voters(response) != "[1 2 3]" || response.Version != 1 || len(response.Learners) != 0 || len(response.Next) != 0 {
+		if response := world.membership(
+			test,
+			client,
+		); voters(response) != "[1 2 3]" || response.Version != 1 || len(response.Learners) != 0 ||
+			len(response.Next) != 0 {
 			test.Errorf("at first %+v", response)
 		}
 		for number, order := range []struct {
@@ -94,7 +98,11 @@
 			}
 			test.Logf("core %d removed after %v: version %d", order.remove, time.Since(begin), removed.Version)
 			slices.Sort(order.left)
-			if response := world.membership(test, client); voters(response) != fmt.Sprint(order.left) || response.Version != removed.Version || len(response.Next) != 0 {
+			if response := world.membership(
+				test,
+				client,
+			); voters(response) != fmt.Sprint(order.left) || response.Version != removed.Version ||
+				len(response.Next) != 0 {
 				test.Errorf("order %d: %+v", number, response)
 			}
 			if again, err := world.remove(client, order.remove); err != nil || !again.Again {
@@ -121,7 +129,9 @@
 		if held, err = client.Read(false); err != nil {
 			return false
 		}
-		_, err = client.Put(operator.Change{Base: held.Serial, Change: fmt.Sprint("change-", number), Settings: Settings(900 + int(number))})
+		_, err = client.Put(
+			operator.Change{Base: held.Serial, Change: fmt.Sprint("change-", number), Settings: Settings(900 + int(number))},
+		)
 		return err == nil
 	})
 	return err
--- a/harness/simulation/replace_run_test.go
+++ b/harness/simulation/replace_run_test.go
@@ -10,13 +10,58 @@
 // ReplacementFaults are those of the control side with core replacement among them.
 // Each kind may come more than once.
 var ReplacementFaults = []string{
-	"replace", "replace", "replace-leader", "replace-planned", "replace-planned", "replace-planned-leader", "replace-many", "replace-in-turn", "all-down-replacing", "return-removed", "turn-seeds",
-	"cut-off", "mute", "deaf", "roll", "core", "core", "core", "core", "disk-fails", "all-wiped", "all-down", "power-after-ack", "wipe-after-ack", "region-lost", "cores-apart", "most-wiped", "member-killed", "members-killed", "member-frozen", "member-cut", "calm",
+	"replace",
+	"replace",
+	"replace-leader",
+	"replace-planned",
+	"replace-planned",
+	"replace-planned-leader",
+	"replace-many",
+	"replace-in-turn",
+	"all-down-replacing",
+	"return-removed",
+	"turn-seeds",
+	"cut-off",
+	"mute",
+	"deaf",
+	"roll",
+	"core",
+	"core",
+	"core",
+	"core",
+	"disk-fails",
+	"all-wiped",
+	"all-down",
+	"power-after-ack",
+	"wipe-after-ack",
+	"region-lost",
+	"cores-apart",
+	"most-wiped",
+	"member-killed",
+	"members-killed",
+	"member-frozen",
+	"member-cut",
+	"calm",
 }
 
 // SurvivedCoreFaults are the cores' own that lose no more than a deployment survives.
 var (
-	SurvivedCoreFaults = []string{"kill", "power", "term", "freeze", "cut", "one-way", "reset", "stall", "wipe", "all", "faults", "refuse", "full", "refuse-restart"}
+	SurvivedCoreFaults = []string{
+		"kill",
+		"power",
+		"term",
+		"freeze",
+		"cut",
+		"one-way",
+		"reset",
+		"stall",
+		"wipe",
+		"all",
+		"faults",
+		"refuse",
+		"full",
+		"refuse-restart",
+	}
 	SurvivedLinkFaults = []string{"freeze", "cut", "one-way", "reset", "faults"}
 )
 
@@ -205,7 +250,13 @@
 		world.Rest(contactSpan)
 		side.begin()
 		losses := world.Losses(syncSpan)
-		hard, links := &replacer{side.injector(0, ReplacementFaults, SurvivedCoreFaults)}, side.injector(1, SideLinkFaults, SurvivedLinkFaults)
+		hard, links := &replacer{
+			side.injector(0, ReplacementFaults, SurvivedCoreFaults),
+		}, side.injector(
+			1,
+			SideLinkFaults,
+			SurvivedLinkFaults,
+		)
 		hard.losses, links.losses = losses, losses
 		ended := atomic.Bool{}
 		world.goroutines.Start(func() {
@@ -219,7 +270,13 @@
 			test.Fatal("operators have no answer")
 		}
 		side.judge(test)
-		test.Logf("%d cores, %d removed, faults %v, beside them %v", len(world.Cores), len(world.Removed), hard.chaos.Done, links.chaos.Done)
+		test.Logf(
+			"%d cores, %d removed, faults %v, beside them %v",
+			len(world.Cores),
+			len(world.Removed),
+			hard.chaos.Done,
+			links.chaos.Done,
+		)
 		world.report(test)
 	})
 }
--- a/harness/simulation/replaced_test.go
+++ b/harness/simulation/replaced_test.go
@@ -24,12 +24,30 @@
 // StartSpare starts a core on an empty disk that finds the others by its seeds.
 func (world *World) StartSpare(number int) *Spare {
 	host := fmt.Sprintf("10.%d.1.%d", world.Base, number)
-	spare := &Spare{Core: &Core{Host: host, InternalAddress: host + ":41", OperatorAddress: host + ":42", Disk: NewDisk(world.Seed + uint64(100+number))}, counters: metrics.NewCounters()}
+	spare := &Spare{
+		Core: &Core{
+			Host:            host,
+			InternalAddress: host + ":41",
+			OperatorAddress: host + ":42",
+			Disk:            NewDisk(world.Seed + uint64(100+number)),
+		},
+		counters: metrics.NewCounters(),
+	}
 	seeds := []string{}
 	for _, core := range world.Cores {
 		seeds = append(seeds, core.InternalAddress)
 	}
-	config := control.Config{Zone: "z", InternalAddress: spare.InternalAddress, OperatorAddress: spare.OperatorAddress, Seeds: seeds, MinFounders: 1, PlatformAddress: world.platformAddress(), HeartbeatInterval: HeartbeatInterval, SuspicionTimeout: SuspicionTimeout, Seed: world.Seed + uint64(number)*7919}
+	config := control.Config{
+		Zone:              "z",
+		InternalAddress:   spare.InternalAddress,
+		OperatorAddress:   spare.OperatorAddress,
+		Seeds:             seeds,
+		MinFounders:       1,
+		PlatformAddress:   world.platformAddress(),
+		HeartbeatInterval: HeartbeatInterval,
+		SuspicionTimeout:  SuspicionTimeout,
+		Seed:              world.Seed + uint64(number)*7919,
+	}
 	if err := config.Check(); err != nil {
 		world.broke("spare %d: %v", number, err)
 	}
@@ -46,7 +64,10 @@
 	core.Register(server)
 	spare.Forwarder = agent.NewForwarder(finder, spare.client, spare.counters)
 	operate := agent.NewOperatorAPI(fmt.Sprint("spare-", number), spare.Forwarder, spare.counters, core.Settings, core.CanVote)
-	spare.servers = []*http.Server{world.serve(spare.goroutines, spare.InternalAddress, server), world.serve(spare.goroutines, spare.OperatorAddress, operate)}
+	spare.servers = []*http.Server{
+		world.serve(spare.goroutines, spare.InternalAddress, server),
+		world.serve(spare.goroutines, spare.OperatorAddress, operate),
+	}
 	finder.Run()
 	core.Run()
 	return spare
@@ -74,7 +95,13 @@
 
 // wholeClaims is whether a core says that it lacks no claim it should hold.
 func wholeClaims(core *Core) bool {
-	response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](core.client, core.InternalAddress, message.MethodFetchClaims, time.Second, &message.FetchClaimsRequest{})
+	response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](
+		core.client,
+		core.InternalAddress,
+		message.MethodFetchClaims,
+		time.Second,
+		&message.FetchClaimsRequest{},
+	)
 	return err == nil && response.Complete
 }
 
--- a/harness/simulation/scale_test.go
+++ b/harness/simulation/scale_test.go
@@ -45,7 +45,8 @@
 			perDaemon[size] = float64(later-calm) / 10 / float64(size)
 			slowest := time.Duration(0)
 			for number := range 5 {
-				outcome, err := world.Client(world.Cores[0].OperatorAddress).Put(operator.Change{Base: uint64(1 + number), Change: fmt.Sprint("scale-", number), Settings: Settings(2000 + number)})
+				outcome, err := world.Client(world.Cores[0].OperatorAddress).
+					Put(operator.Change{Base: uint64(1 + number), Change: fmt.Sprint("scale-", number), Settings: Settings(2000 + number)})
 				if err != nil {
 					test.Fatal(err)
 				}
@@ -59,9 +60,12 @@
 			for index := range 2000 {
 				routes[fmt.Sprintf("bulk-%d", index)] = map[string]any{"method": "GET", "path": fmt.Sprintf("/bulk/%d", index)}
 			}
-			large["classes"].(map[string]any)["pages"].(map[string]any)["services"].(map[string]any)["bulk"] = map[string]any{"routes": routes}
+			large["classes"].(map[string]any)["pages"].(map[string]any)["services"].(map[string]any)["bulk"] = map[string]any{
+				"routes": routes,
+			}
 			body, _ := json.Marshal(large)
-			outcome, err := world.Client(world.Cores[0].OperatorAddress).Put(operator.Change{Base: 6, Change: "scale-large", Settings: body})
+			outcome, err := world.Client(world.Cores[0].OperatorAddress).
+				Put(operator.Change{Base: 6, Change: "scale-large", Settings: body})
 			if err != nil {
 				test.Fatal(err)
 			}
@@ -71,8 +75,16 @@
 			begin := time.Now()
 			world.Until(5*time.Second, func() bool { return world.Leader() >= 0 })
 			gap := time.Since(begin)
-			test.Logf("%d daemons: %.1f messages and %.0f bytes a second a daemon, small change everywhere in %v, %d bytes in %v, leader killed and followed in %v",
-				size, perDaemon[size], float64(laterBytes-bytes)/10/float64(size), slowest, len(body), slowLarge, gap)
+			test.Logf(
+				"%d daemons: %.1f messages and %.0f bytes a second a daemon, small change everywhere in %v, %d bytes in %v, leader killed and followed in %v",
+				size,
+				perDaemon[size],
+				float64(laterBytes-bytes)/10/float64(size),
+				slowest,
+				len(body),
+				slowLarge,
+				gap,
+			)
 			if slowest > 2*time.Second || slowLarge > 4*time.Second {
 				test.Errorf("%d daemons: %v and %v to be everywhere", size, slowest, slowLarge)
 			}
--- a/harness/simulation/stop_test.go
+++ b/harness/simulation/stop_test.go
@@ -22,13 +22,17 @@
 			world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
 		}
 		world.up(test, 6)
-		if _, err := world.Client(world.Cores[0].OperatorAddress).Patch(operator.Change{Base: 1, Change: "hold", Settings: []byte(`{"rule":{"hold_ms":8000}}`)}); err != nil {
+		if _, err := world.Client(world.Cores[0].OperatorAddress).
+			Patch(operator.Change{Base: 1, Change: "hold", Settings: []byte(`{"rule":{"hold_ms":8000}}`)}); err != nil {
 			test.Fatal(err)
 		}
 		plan := world.plan(25, 600)
 		plan.Patient, plan.Tries = true, 8
 		plan.Calls[1].Weight = 35
-		plan.Calls = append(plan.Calls, standin.Call{Weight: 20, Class: "pages", Method: "GET", Path: "/meters/slow/7?bytes=1500000&work=4700", LimitMs: 5500})
+		plan.Calls = append(
+			plan.Calls,
+			standin.Call{Weight: 20, Class: "pages", Method: "GET", Path: "/meters/slow/7?bytes=1500000&work=4700", LimitMs: 5500},
+		)
 		generator, client := world.Origin(plan)
 		done := atomic.Bool{}
 		world.goroutines.Start(func() {
--- a/harness/simulation/traffic_test.go
+++ b/harness/simulation/traffic_test.go
@@ -127,7 +127,15 @@
 			{"POST", "w1", "/meters/credits", "key-of-alder", "Idempotency-Key", "k", strings.Repeat("x", 70_000), "413 too_large"},
 			{"GET", "w1", "/meters/pages/1", "key-of-alder", "Oj-Limit-Ms", "soon", "", "400 bad_request"},
 		} {
-			status, code := world.ask(client, wrong.method, "http://"+front(wrong.zone)+wrong.path, wrong.key, wrong.header, wrong.value, wrong.body)
+			status, code := world.ask(
+				client,
+				wrong.method,
+				"http://"+front(wrong.zone)+wrong.path,
+				wrong.key,
+				wrong.header,
+				wrong.value,
+				wrong.body,
+			)
 			if got := fmt.Sprintf("%d %s", status, code); got != wrong.want {
 				world.broke("%s %s with %s %.20s: %s, want %s", wrong.method, wrong.path, wrong.key, wrong.value, got, wrong.want)
 			}
--- a/harness/simulation/trial_test.go
+++ b/harness/simulation/trial_test.go
@@ -37,7 +37,13 @@
 // newTrial is up, with one zone evacuated and one routing in force.
 func newTrial(test *testing.T, seed uint64, cores, members int, name string) *trial {
 	test.Helper()
-	one := &trial{World: NewFarWorld(seed, cores), test: test, name: fmt.Sprintf("%d cores, %s", cores, name), random: rand.New(rand.NewPCG(seed, 53)), newest: 1}
+	one := &trial{
+		World:  NewFarWorld(seed, cores),
+		test:   test,
+		name:   fmt.Sprintf("%d cores, %s", cores, name),
+		random: rand.New(rand.NewPCG(seed, 53)),
+		newest: 1,
+	}
 	one.farUp(test, members)
 	one.calm(test)
 	if err := one.Evacuate(evacuatedOne, true); err != nil {
@@ -76,7 +82,11 @@
 			one.Rest(orderRest)
 			continue
 		}
-		_, err := agent.Forward[message.RoutingChangeRequest, message.RoutingChangeResponse](holds[try%len(holds)], message.MethodRoutingChange, WholeChange(one.newest+1, one.newest))
+		_, err := agent.Forward[message.RoutingChangeRequest, message.RoutingChangeResponse](
+			holds[try%len(holds)],
+			message.MethodRoutingChange,
+			WholeChange(one.newest+1, one.newest),
+		)
 		switch {
 		case err == nil && lost:
 			lost = false
@@ -164,7 +174,14 @@
 	}
 	for _, machine := range machines {
 		core := machine.life(one.World)
-		one.broke("%s: %s votes %v, its disk has the seats %v, want %v", what, machine.Host, core != nil && core.CanVote(), seats(machine.Disk), wanted)
+		one.broke(
+			"%s: %s votes %v, its disk has the seats %v, want %v",
+			what,
+			machine.Host,
+			core != nil && core.CanVote(),
+			seats(machine.Disk),
+			wanted,
+		)
 	}
 }
 
--- a/harness/simulation/world.go
+++ b/harness/simulation/world.go
@@ -108,7 +108,16 @@
 }
 
 func newWorld(net *Net, base int, seed uint64, cores int) *World {
-	world := &World{Net: net, Base: base, Seed: seed, random: rand.New(rand.NewPCG(seed, 17)), goroutines: concurrent.NewGroup(), applied: map[uint64]string{}, laidOut: cores, replacing: rand.New(rand.NewPCG(seed, 41))}
+	world := &World{
+		Net:        net,
+		Base:       base,
+		Seed:       seed,
+		random:     rand.New(rand.NewPCG(seed, 17)),
+		goroutines: concurrent.NewGroup(),
+		applied:    map[uint64]string{},
+		laidOut:    cores,
+		replacing:  rand.New(rand.NewPCG(seed, 41)),
+	}
 	for index := range cores {
 		host := fmt.Sprintf("10.%d.0.%d", base, index+1)
 		world.Cores = append(world.Cores, newCore(index+1, host, NewDisk(seed+uint64(index))))
@@ -156,7 +165,15 @@
 func (world *World) AddDaemon(kind, zone string) *Daemon {
 	index := len(world.Daemons)
 	host := fmt.Sprintf("10.%d.%d.%d", world.Base+1, index/200, index%200+1)
-	daemon := &Daemon{Name: fmt.Sprintf("%s-%03d", kind, index), Kind: kind, Host: host, Zone: zone, PublicAddress: host + ":80", InternalAddress: host + ":41", OperatorAddress: host + ":42"}
+	daemon := &Daemon{
+		Name:            fmt.Sprintf("%s-%03d", kind, index),
+		Kind:            kind,
+		Host:            host,
+		Zone:            zone,
+		PublicAddress:   host + ":80",
+		InternalAddress: host + ":41",
+		OperatorAddress: host + ":42",
+	}
 	world.Daemons = append(world.Daemons, daemon)
 	return daemon
 }
@@ -167,7 +184,16 @@
 	for _, core := range world.Cores[:min(3, len(world.Cores))] {
 		seeds = append(seeds, core.InternalAddress)
 	}
-	spot := agent.Config{Name: daemon.Name, Kind: daemon.Kind, Zone: daemon.Zone, InternalAddress: daemon.InternalAddress, PublicAddress: daemon.PublicAddress, OperatorAddress: daemon.OperatorAddress, Seeds: seeds, Guest: daemon.Lender != nil}
+	spot := agent.Config{
+		Name:            daemon.Name,
+		Kind:            daemon.Kind,
+		Zone:            daemon.Zone,
+		InternalAddress: daemon.InternalAddress,
+		PublicAddress:   daemon.PublicAddress,
+		OperatorAddress: daemon.OperatorAddress,
+		Seeds:           seeds,
+		Guest:           daemon.Lender != nil,
+	}
 	daemon.goroutines, daemon.Counters = concurrent.NewGroup(), metrics.NewCounters()
 	daemon.client = rpc.NewClient(world.Net.Transport(daemon.Host))
 	made := agent.NewDaemon(spot, agent.NewID(), daemon.client, daemon.goroutines, daemon.Counters)
@@ -181,7 +207,10 @@
 		if daemon.Lender != nil {
 			daemon.Proxy.SetLendingLimit(serviceproxy.NewLendingLimit(daemon.Lender.Proxy, 50, 32))
 		}
-		daemon.Daemon.OnVersion(func(version *agent.Version) { world.takes(daemon, version); daemon.Proxy.Apply(version) }, daemon.Proxy.Probes)
+		daemon.Daemon.OnVersion(
+			func(version *agent.Version) { world.takes(daemon, version); daemon.Proxy.Apply(version) },
+			daemon.Proxy.Probes,
+		)
 	} else {
 		placements := directory.NewDirectory(daemon.Daemon, daemon.Counters)
 		outer = placements
@@ -196,7 +225,11 @@
 		version := daemon.Daemon.Version()
 		return version.Serial, version.Body()
 	}, daemon.Daemon.Ready)
-	daemon.servers = []*http.Server{world.serve(daemon.goroutines, daemon.PublicAddress, outer), world.serve(daemon.goroutines, daemon.InternalAddress, server), world.serve(daemon.goroutines, daemon.OperatorAddress, operate)}
+	daemon.servers = []*http.Server{
+		world.serve(daemon.goroutines, daemon.PublicAddress, outer),
+		world.serve(daemon.goroutines, daemon.InternalAddress, server),
+		world.serve(daemon.goroutines, daemon.OperatorAddress, operate),
+	}
 	world.mutex.Lock()
 	daemon.Alive, daemon.highest = true, 0
 	world.mutex.Unlock()
@@ -341,7 +374,14 @@
 
 // Origin plays callers from outside.
 func (world *World) Origin(plan standin.LoadPlan) (*standin.LoadGenerator, *http.Client) {
-	client := &http.Client{Transport: &http.Transport{DialContext: world.Net.Dialer("10.7.0.1"), MaxIdleConnsPerHost: 16, IdleConnTimeout: 5 * time.Second, DisableCompression: true}}
+	client := &http.Client{
+		Transport: &http.Transport{
+			DialContext:         world.Net.Dialer("10.7.0.1"),
+			MaxIdleConnsPerHost: 16,
+			IdleConnTimeout:     5 * time.Second,
+			DisableCompression:  true,
+		},
+	}
 	return standin.NewLoadGenerator(plan, client, world.goroutines.Start), client
 }
 
--- a/harness/standin/backend.go
+++ b/harness/standin/backend.go
@@ -54,7 +54,11 @@
 // NewBackend returns a backend that starts now. The error is that of opening its
 // journal.
 func NewBackend(place BackendConfig) (*Backend, error) {
-	backend := &Backend{place: place, since: time.Now(), seen: BackendRecord{Instance: place.Instance, Service: place.Service, Gentle: place.GentleRate}}
+	backend := &Backend{
+		place: place,
+		since: time.Now(),
+		seen:  BackendRecord{Instance: place.Instance, Service: place.Service, Gentle: place.GentleRate},
+	}
 	if place.Journal == "" {
 		return backend, nil
 	}
@@ -126,8 +130,14 @@
 func (backend *Backend) identity(writer http.ResponseWriter) {
 	backend.mutex.Lock()
 	document := map[string]any{
-		"service": backend.place.Service, "instance": backend.place.Instance, "incarnation": backend.place.Incarnation,
-		"usage": backend.usage(), "cold": backend.cold(), "gentle_rate": backend.place.GentleRate, "leaving": !backend.leaving.IsZero(), "serial": backend.serial,
+		"service":     backend.place.Service,
+		"instance":    backend.place.Instance,
+		"incarnation": backend.place.Incarnation,
+		"usage":       backend.usage(),
+		"cold":        backend.cold(),
+		"gentle_rate": backend.place.GentleRate,
+		"leaving":     !backend.leaving.IsZero(),
+		"serial":      backend.serial,
 	}
 	backend.mutex.Unlock()
 	body, _ := json.Marshal(document)
@@ -146,8 +156,15 @@
 	defer backend.mutex.Unlock()
 	now, header := time.Now(), request.Header
 	arrival := Arrival{
-		AtMs: now.UnixMilli(), Try: header.Get("Stand-Try"), Task: header.Get("Oj-Task"), Tenant: header.Get("Oj-Tenant"), Service: header.Get("Oj-Service"),
-		Method: request.Method, Path: request.URL.Path, Key: header.Get("Idempotency-Key"), Cold: backend.cold(),
+		AtMs:    now.UnixMilli(),
+		Try:     header.Get("Stand-Try"),
+		Task:    header.Get("Oj-Task"),
+		Tenant:  header.Get("Oj-Tenant"),
+		Service: header.Get("Oj-Service"),
+		Method:  request.Method,
+		Path:    request.URL.Path,
+		Key:     header.Get("Idempotency-Key"),
+		Cold:    backend.cold(),
 	}
 	arrival.Serial, _ = strconv.ParseUint(header.Get("Oj-Serial"), 10, 64)
 	backend.serial = max(backend.serial, arrival.Serial)
@@ -220,13 +237,24 @@
 	case "garbage":
 		hijack(writer, "\x00\x01 this is no answer\r\n\r\n")
 	case "truncate":
-		hijack(writer, fmt.Sprintf("HTTP/1.1 200 OK\r\nOj-Task: %s\r\nContent-Length: %d\r\n\r\n%s", request.Header.Get("Oj-Task"), len(answer), answer[:len(answer)/2]))
+		hijack(
+			writer,
+			fmt.Sprintf(
+				"HTTP/1.1 200 OK\r\nOj-Task: %s\r\nContent-Length: %d\r\n\r\n%s",
+				request.Header.Get("Oj-Task"),
+				len(answer),
+				answer[:len(answer)/2],
+			),
+		)
 	case "foreign":
 		header.Set("Oj-Task", "someone-else")
 		header.Set("Stand-For", "someone else")
 		writer.Write(answer)
 	case "overlong":
-		hijack(writer, fmt.Sprintf("HTTP/1.1 200 OK\r\nOj-Task: %s\r\nContent-Length: %d\r\n\r\n", request.Header.Get("Oj-Task"), int64(1)<<40))
+		hijack(
+			writer,
+			fmt.Sprintf("HTTP/1.1 200 OK\r\nOj-Task: %s\r\nContent-Length: %d\r\n\r\n", request.Header.Get("Oj-Task"), int64(1)<<40),
+		)
 	case "stall":
 		time.Sleep(30 * time.Second)
 	default:
@@ -244,7 +272,13 @@
 
 func (backend *Backend) answer(request *http.Request, body []byte) []byte {
 	size, _ := strconv.Atoi(request.URL.Query().Get("bytes"))
-	text := fmt.Sprintf("{\"from\":%q,\"tenant\":%q,\"path\":%q,\"took\":%d,\"fill\":\"", backend.place.Instance, request.Header.Get("Oj-Tenant"), request.URL.Path, len(body))
+	text := fmt.Sprintf(
+		"{\"from\":%q,\"tenant\":%q,\"path\":%q,\"took\":%d,\"fill\":\"",
+		backend.place.Instance,
+		request.Header.Get("Oj-Tenant"),
+		request.URL.Path,
+		len(body),
+	)
 	if fill := size - len(text) - 2; fill > 0 {
 		text += strings.Repeat("x", fill)
 	}
--- a/harness/standin/origin.go
+++ b/harness/standin/origin.go
@@ -122,7 +122,13 @@
 
 // NewLoadGenerator returns an Origin that sends by client and starts goroutines by start.
 func NewLoadGenerator(plan LoadPlan, client *http.Client, start func(func())) *LoadGenerator {
-	generator := &LoadGenerator{plan: plan, client: client, start: start, random: rand.New(rand.NewPCG(plan.Seed, 7)), fronts: map[string]heldFronts{}}
+	generator := &LoadGenerator{
+		plan:   plan,
+		client: client,
+		start:  start,
+		random: rand.New(rand.NewPCG(plan.Seed, 7)),
+		fronts: map[string]heldFronts{},
+	}
 	generator.report = LoadReport{Statuses: map[string]int{}, LatencyMs: map[string]float64{}}
 	generator.done = sync.NewCond(&generator.mutex)
 	return generator
@@ -223,8 +229,14 @@
 			fronts = append(fronts, front.Address)
 		}
 		generator.mutex.Lock()
-		generator.report.Placed = append(generator.report.Placed, Placed{AtMs: time.Now().UnixMilli(), Directory: directory, Serial: placement.Serial})
-		generator.fronts[caller.Tenant] = heldFronts{fronts: fronts, until: time.Now().Add(time.Duration(placement.HoldMs) * time.Millisecond)}
+		generator.report.Placed = append(
+			generator.report.Placed,
+			Placed{AtMs: time.Now().UnixMilli(), Directory: directory, Serial: placement.Serial},
+		)
+		generator.fronts[caller.Tenant] = heldFronts{
+			fronts: fronts,
+			until:  time.Now().Add(time.Duration(placement.HoldMs) * time.Millisecond),
+		}
 		generator.mutex.Unlock()
 		return fronts
 	}
@@ -308,7 +320,16 @@
 // Once makes one try at one proxy, records it and returns it.
 func (generator *LoadGenerator) Once(caller Caller, call Call, key, id, front string) Try {
 	path, _, _ := strings.Cut(call.Path, "?")
-	try := Try{ID: id, Task: key, Tenant: caller.Tenant, Class: call.Class, Method: call.Method, Path: path, Front: front, AtMs: time.Now().UnixMilli()}
+	try := Try{
+		ID:     id,
+		Task:   key,
+		Tenant: caller.Tenant,
+		Class:  call.Class,
+		Method: call.Method,
+		Path:   path,
+		Front:  front,
+		AtMs:   time.Now().UnixMilli(),
+	}
 	if call.Money {
 		try.Key = key
 	}
@@ -334,7 +355,12 @@
 func (generator *LoadGenerator) send(caller Caller, call Call, try *Try) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(call.LimitMs)*time.Millisecond+time.Second)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, call.Method, "http://"+try.Front+call.Path, bytes.NewReader(bytes.Repeat([]byte("y"), call.Body)))
+	request, err := http.NewRequestWithContext(
+		ctx,
+		call.Method,
+		"http://"+try.Front+call.Path,
+		bytes.NewReader(bytes.Repeat([]byte("y"), call.Body)),
+	)
 	if err != nil {
 		try.Code, try.Outcome = "bad_call", "not_run"
 		return
@@ -360,7 +386,11 @@
 		try.Code = "receipt_broke"
 		return
 	}
-	try.Status, try.Replay, try.Retry = response.StatusCode, response.Header.Get("Oj-Replayed") != "", response.Header.Get("Retry-After") != ""
+	try.Status, try.Replay, try.Retry = response.StatusCode, response.Header.Get(
+		"Oj-Replayed",
+	) != "", response.Header.Get(
+		"Retry-After",
+	) != ""
 	if response.StatusCode == http.StatusOK {
 		sum := sha256.Sum256(body)
 		try.Mangled = response.Header.Get("Stand-Sum") != hex.EncodeToString(sum[:])
--- a/harness/standin/platform.go
+++ b/harness/standin/platform.go
@@ -122,7 +122,8 @@
 	case "/stand/reports":
 		platform.mutex.Lock()
 		defer platform.mutex.Unlock()
-		_ = json.NewEncoder(writer).Encode(map[string]any{"reports": platform.Reports, "at_ms": platform.ReportAt, "limited": platform.Limited})
+		_ = json.NewEncoder(writer).
+			Encode(map[string]any{"reports": platform.Reports, "at_ms": platform.ReportAt, "limited": platform.Limited})
 	default:
 		http.NotFound(writer, request)
 	}
--- a/hostproxy/answer.go
+++ b/hostproxy/answer.go
@@ -194,7 +194,13 @@
 	if response.ContentLength > 0 && response.ContentLength <= maxBufferedBody {
 		buffer.Grow(int(response.ContentLength) + bytes.MinRead)
 	}
-	source := &shapedReader{from: response.Body, shaper: proxy.inbound, ctx: request.bounded, clock: proxy.clock, large: response.ContentLength > largeBody}
+	source := &shapedReader{
+		from:   response.Body,
+		shaper: proxy.inbound,
+		ctx:    request.bounded,
+		clock:  proxy.clock,
+		large:  response.ContentLength > largeBody,
+	}
 	count, err := io.Copy(&buffer, io.LimitReader(source, maxBufferedBody))
 	if err != nil {
 		return nil, lost
--- a/hostproxy/attempt.go
+++ b/hostproxy/attempt.go
@@ -217,7 +217,8 @@
 	if request.tenant != nil {
 		field(names.Tenant, request.tenant.Name)
 	}
-	if len(request.body) > 0 || source.ContentLength >= 0 && source.Method != http.MethodGet && source.Method != http.MethodHead || len(source.TransferEncoding) > 0 {
+	if len(request.body) > 0 || source.ContentLength >= 0 && source.Method != http.MethodGet && source.Method != http.MethodHead ||
+		len(source.TransferEncoding) > 0 {
 		field("Content-Length", strconv.Itoa(len(request.body)))
 	}
 	return append(head, "\r\n"...)
--- a/hostproxy/attempt_test.go
+++ b/hostproxy/attempt_test.go
@@ -388,7 +388,12 @@
 func TestRefusalWithLargeBodyTaintsConnection(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1").then(func(exchange *exchange) bool {
-			all := bare(exchange.get("Attempt"), "503 Service Unavailable", "Not-Executed: full\r\n", string(letters(0, maxBufferedBody+connectionBuffer)))
+			all := bare(
+				exchange.get("Attempt"),
+				"503 Service Unavailable",
+				"Not-Executed: full\r\n",
+				string(letters(0, maxBufferedBody+connectionBuffer)),
+			)
 			exchange.say("%s", all[:len(all)-connectionBuffer])
 			exchange.backend.goroutines.Sleep(5 * time.Millisecond)
 			exchange.say("%s", all[len(all)-connectionBuffer:])
@@ -521,7 +526,11 @@
 			test.Errorf("%+v", reply)
 		}
 		for _, want := range []int{204, 304} {
-			if reply = client.ask("GET", raw("GET", "/once/a", "id", "", "")); reply.status != want || reply.body != "" || reply.broken != nil {
+			if reply = client.ask(
+				"GET",
+				raw("GET", "/once/a", "id", "", ""),
+			); reply.status != want || reply.body != "" ||
+				reply.broken != nil {
 				test.Errorf("%+v", reply)
 			}
 		}
@@ -535,7 +544,8 @@
 // The answer's fields come back, but for those of the connection and of the backend's own state.
 func TestAnswerFields(test *testing.T) {
 	inWorld(test, func(world *world) {
-		world.add("b1").then(withFields("Connection: keep-alive, Secret\r\nSecret: x\r\nKeep-Alive: timeout=5\r\nLoad: 1,0,8\r\nBackend: b1\r\nWarmup: 0\r\nKept: one\r\nKept: two\r\nContent-Encoding: none\r\n"))
+		world.add("b1").
+			then(withFields("Connection: keep-alive, Secret\r\nSecret: x\r\nKeep-Alive: timeout=5\r\nLoad: 1,0,8\r\nBackend: b1\r\nWarmup: 0\r\nKept: one\r\nKept: two\r\nContent-Encoding: none\r\n"))
 		reply, id := world.get("/once/a")
 		world.good(reply, id)
 		for _, gone := range []string{"Secret", "Keep-Alive", "Load", "Backend", "Warmup", "Content-Type", "Transfer-Encoding"} {
@@ -589,7 +599,8 @@
 			defer client.pipe.Close()
 			reply := client.ask("GET", raw("GET", "/once/a", "id", "Deadline: "+deadline+"\r\n", ""))
 			took := int(reply.took.Milliseconds())
-			if limit > 1 && (reply.status != 504 || took < limit || took > limit+60) || limit == 1 && reply.status != 503 && reply.status != 504 {
+			if limit > 1 && (reply.status != 504 || took < limit || took > limit+60) ||
+				limit == 1 && reply.status != 503 && reply.status != 504 {
 				test.Errorf("deadline %s: %d after %s", deadline, reply.status, reply.took)
 			}
 			for _, arrival := range world.arrivals() {
--- a/hostproxy/backend_test.go
+++ b/hostproxy/backend_test.go
@@ -221,7 +221,9 @@
 func text(id string) string { return "answer to " + id }
 
 func whole(id, status, fields, body string) string {
-	return "HTTP/1.1 " + status + "\r\nAttempt: " + id + "\r\nSeal: s-" + id + "\r\n" + fields + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
+	return "HTTP/1.1 " + status + "\r\nAttempt: " + id + "\r\nSeal: s-" + id + "\r\n" + fields + "Content-Length: " + strconv.Itoa(
+		len(body),
+	) + "\r\n\r\n" + body
 }
 
 func bare(id, status, fields, body string) string {
@@ -308,7 +310,13 @@
 
 func chunked(exchange *exchange) bool {
 	id := exchange.get("Attempt")
-	exchange.say("HTTP/1.1 200 OK\r\nAttempt: %s\r\nSeal: s-%s\r\nTransfer-Encoding: chunked\r\n\r\na\r\nanswer to \r\n%x\r\n%s\r\n0\r\n\r\n", id, id, len(id), id)
+	exchange.say(
+		"HTTP/1.1 200 OK\r\nAttempt: %s\r\nSeal: s-%s\r\nTransfer-Encoding: chunked\r\n\r\na\r\nanswer to \r\n%x\r\n%s\r\n0\r\n\r\n",
+		id,
+		id,
+		len(id),
+		id,
+	)
 	return true
 }
 
--- a/hostproxy/choose_test.go
+++ b/hostproxy/choose_test.go
@@ -50,7 +50,10 @@
 		for _, name := range []string{"a", "b", "c", "d"} {
 			backends = append(backends, message.Backend{Name: name, Service: "plain", Zone: "e1", Capacity: 4})
 		}
-		proxy.Apply(&routing.State{Config: ownConfig()}, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends})
+		proxy.Apply(
+			&routing.State{Config: ownConfig()},
+			&message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends},
+		)
 		counts := map[string]int{}
 		for range 400 {
 			candidate, _ := proxy.pick(nil, nil)
--- a/hostproxy/connection.go
+++ b/hostproxy/connection.go
@@ -37,7 +37,13 @@
 
 func newConnection(conn net.Conn) *connection {
 	head := &io.LimitedReader{R: conn, N: maxHead}
-	return &connection{conn: conn, head: head, reader: bufio.NewReaderSize(head, connectionBuffer), usedAt: time.Now(), idleTimeout: maxIdle}
+	return &connection{
+		conn:        conn,
+		head:        head,
+		reader:      bufio.NewReaderSize(head, connectionBuffer),
+		usedAt:      time.Now(),
+		idleTimeout: maxIdle,
+	}
 }
 
 // answer reads the head of an answer; one that does not end is cut off.
--- a/hostproxy/framing_test.go
+++ b/hostproxy/framing_test.go
@@ -170,7 +170,8 @@
 				test.Fatalf("%s: %d arrivals", name, len(all))
 			}
 			for _, arrival := range all {
-				if arrival.chunked || len(arrival.all("Content-Length")) > 1 || len(arrival.body) > 0 || strings.ContainsAny(strings.Join(arrival.fields, ""), "\r\n") {
+				if arrival.chunked || len(arrival.all("Content-Length")) > 1 || len(arrival.body) > 0 ||
+					strings.ContainsAny(strings.Join(arrival.fields, ""), "\r\n") {
 					test.Errorf("%s: %v %q", name, arrival.fields, arrival.body)
 				}
 			}
--- a/hostproxy/fuzz_test.go
+++ b/hostproxy/fuzz_test.go
@@ -335,11 +335,13 @@
 	}
 	if seal := reply.header.Get("Seal"); seal != "" {
 		for _, response := range held.told {
-			if response.status == reply.status && seal == "s-"+id && reply.header.Get("Attempt") == id && (response.body == reply.body || method == "HEAD" && reply.body == "") {
+			if response.status == reply.status && seal == "s-"+id && reply.header.Get("Attempt") == id &&
+				(response.body == reply.body || method == "HEAD" && reply.body == "") {
 				return
 			}
 		}
-		if method == "HEAD" && held.ran > 0 && reply.status == 200 && reply.body == "" && seal == "s-"+id && reply.header.Get("Attempt") == id {
+		if method == "HEAD" && held.ran > 0 && reply.status == 200 && reply.body == "" && seal == "s-"+id &&
+			reply.header.Get("Attempt") == id {
 			return // an answer cut off behind its head is a whole one to HEAD
 		}
 		test.Errorf("%s: got %d %q %v, told %v", id, reply.status, reply.body, reply.header, held.told)
--- a/hostproxy/mutations_test.go
+++ b/hostproxy/mutations_test.go
@@ -27,7 +27,11 @@
 		return "HTTP/1.1 500 Internal Server Error\r\nAttempt: " + id + "\r\nSeal: s-" + id + "\r\nTransfer-Encoding: chunked\r\n\r\n7\r\nfailure\r\n0\r\n\r\n"
 	}, true, 500},
 	{"chunks", func(id string) string {
-		return "HTTP/1.1 200 OK\r\nAttempt: " + id + "\r\nSeal: s-" + id + "\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(text(id)), text(id))
+		return "HTTP/1.1 200 OK\r\nAttempt: " + id + "\r\nSeal: s-" + id + "\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf(
+			"%x\r\n%s\r\n0\r\n\r\n",
+			len(text(id)),
+			text(id),
+		)
 	}, true, 200},
 }
 
@@ -47,7 +51,10 @@
 		if truth.status != 200 {
 			want = "failure"
 		}
-		if !truth.ran || reply.status != truth.status || reply.header.Get("Seal") != "s-"+result.id || reply.header.Get("Attempt") != result.id || reply.body != want || len(reply.header["Seal"]) != 1 {
+		if !truth.ran || reply.status != truth.status || reply.header.Get("Seal") != "s-"+result.id ||
+			reply.header.Get("Attempt") != result.id ||
+			reply.body != want ||
+			len(reply.header["Seal"]) != 1 {
 			test.Errorf("%s: got %d %q %v", what, reply.status, reply.body, reply.header)
 		}
 	case reply.status < 400:
--- a/hostproxy/proxy.go
+++ b/hostproxy/proxy.go
@@ -54,8 +54,18 @@
 // NewProxy makes a proxy; now gives true time in milliseconds.
 func NewProxy(config Config, dial Dialer, now func() int64, goroutines *concurrent.Group, counters *metrics.Counters) *Proxy {
 	proxy := &Proxy{
-		config: config, dial: dial, goroutines: goroutines, counters: counters, clock: time.Now, now: now, stats: newRouteStats(), capacityFreed: concurrent.NewCondition(),
-		targets: map[string]*target{}, budgets: map[string]*Budget{}, evacuated: map[string]bool{}, withheldHeaders: map[string]bool{},
+		config:          config,
+		dial:            dial,
+		goroutines:      goroutines,
+		counters:        counters,
+		clock:           time.Now,
+		now:             now,
+		stats:           newRouteStats(),
+		capacityFreed:   concurrent.NewCondition(),
+		targets:         map[string]*target{},
+		budgets:         map[string]*Budget{},
+		evacuated:       map[string]bool{},
+		withheldHeaders: map[string]bool{},
 	}
 	proxy.inbound, proxy.outbound = newShaper(config.LinkBytes, proxy.clock()), newShaper(config.LinkBytes, proxy.clock())
 	proxy.transfers = newTransferLimiter(config.LinkBytes)
--- a/hostproxy/repeat_test.go
+++ b/hostproxy/repeat_test.go
@@ -69,7 +69,13 @@
 				world.proxy.view.Load().budgets[0].tokens = tokens - 0.15
 				reply, _ = world.get("/again/a")
 				if reply.status != want || len(world.backends["b2"].seen()) != (502-want)/302 {
-					test.Errorf("budget %v, reset %v: %d, %d arrivals at the other", tokens, reset, reply.status, len(world.backends["b2"].seen()))
+					test.Errorf(
+						"budget %v, reset %v: %d, %d arrivals at the other",
+						tokens,
+						reset,
+						reply.status,
+						len(world.backends["b2"].seen()),
+					)
 				}
 			})
 		}
--- a/hostproxy/request.go
+++ b/hostproxy/request.go
@@ -132,7 +132,9 @@
 
 // acquireTransfer waits for a large answer's turn on the link; false when that is too late.
 func (proxy *Proxy) acquireTransfer(request *request) bool {
-	until := request.begin.Add(min(time.Duration(max(request.route.TargetMs, 40))*time.Millisecond, request.deadline.Sub(request.begin)) / transferWaitShare)
+	until := request.begin.Add(
+		min(time.Duration(max(request.route.TargetMs, 40))*time.Millisecond, request.deadline.Sub(request.begin)) / transferWaitShare,
+	)
 	for !proxy.transfers.enter() {
 		now := proxy.clock()
 		proxy.endIfGone(request)
--- a/hostproxy/request_test.go
+++ b/hostproxy/request_test.go
@@ -23,7 +23,19 @@
 			{Name: "ranked", Keys: []string{"k3"}, HasPriority: true, Priority: 5},
 			{Name: "western", Keys: []string{"k4"}, Homes: []string{"west"}},
 		}
-		config.Routes = append(config.Routes, routing.Route{Name: "open", Host: "host.example", Prefix: "/open/", TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3, Public: true})
+		config.Routes = append(
+			config.Routes,
+			routing.Route{
+				Name:      "open",
+				Host:      "host.example",
+				Prefix:    "/open/",
+				TimeoutMs: 2000,
+				TargetMs:  800,
+				Service:   "plain",
+				Attempts:  3,
+				Public:    true,
+			},
+		)
 	})
 }
 
@@ -58,7 +70,8 @@
 				test.Errorf("%v", hosts)
 			}
 			lengths := all[0].all("Content-Length")
-			if sent.body != "" && (len(lengths) != 1 || lengths[0] != strconv.Itoa(len(sent.body))) || sent.body == "" && sent.method == "GET" && len(lengths) != 0 {
+			if sent.body != "" && (len(lengths) != 1 || lengths[0] != strconv.Itoa(len(sent.body))) ||
+				sent.body == "" && sent.method == "GET" && len(lengths) != 0 {
 				test.Errorf("%s %s: lengths %v", sent.method, sent.path, lengths)
 			}
 		})
@@ -79,7 +92,9 @@
 			defer client.pipe.Close()
 			world.good(client.ask("POST", raw("POST", "/once/a", "id", "Transfer-Encoding: chunked\r\n", "")+sent.chunks), "id")
 			arrived := world.arrivals()[0]
-			if string(arrived.body) != sent.want || arrived.get("Content-Length") != strconv.Itoa(len(sent.want)) || arrived.get("Tenant") != "" || arrived.chunked {
+			if string(arrived.body) != sent.want || arrived.get("Content-Length") != strconv.Itoa(len(sent.want)) ||
+				arrived.get("Tenant") != "" ||
+				arrived.chunked {
 				test.Errorf("%s: %q %v", name, arrived.body, arrived.fields)
 			}
 		})
@@ -159,7 +174,10 @@
 				test.Errorf("%s: %d arrivals", name, len(all))
 			}
 			for _, arrival := range all {
-				if arrival.get("Attempt") != "id" || arrival.line != "POST /once/a HTTP/1.1" || arrival.chunked || len(arrival.all("Content-Length")) != 1 || len(arrival.all("Host")) != 1 || len(arrival.body) > 0 {
+				if arrival.get("Attempt") != "id" || arrival.line != "POST /once/a HTTP/1.1" || arrival.chunked ||
+					len(arrival.all("Content-Length")) != 1 ||
+					len(arrival.all("Host")) != 1 ||
+					len(arrival.body) > 0 {
 					test.Errorf("%s: %q %v %q", name, arrival.line, arrival.fields, arrival.body)
 				}
 			}
@@ -309,7 +327,8 @@
 		world.fill(3, time.Second)
 		reply, _ := world.get("/once/a")
 		seconds, err := strconv.ParseFloat(reply.header.Get("Retry-After"), 64)
-		if reply.status != 503 || err != nil || seconds <= 0 || seconds > 0.5 || reply.took > 200*time.Millisecond || reply.took < 190*time.Millisecond {
+		if reply.status != 503 || err != nil || seconds <= 0 || seconds > 0.5 || reply.took > 200*time.Millisecond ||
+			reply.took < 190*time.Millisecond {
 			test.Errorf("%d after %s, come back in %q", reply.status, reply.took, reply.header.Get("Retry-After"))
 		}
 		if count := len(world.arrivals()); count != 3 {
--- a/hostproxy/response.go
+++ b/hostproxy/response.go
@@ -61,7 +61,8 @@
 	header, names := request.writer.Header(), &proxy.config.Headers
 	listed := names.listedByConnection(answer.response.Header)
 	for name, values := range answer.response.Header {
-		if hopByHop[name] || listed[name] || name == "Content-Length" || name == names.Load || name == names.Backend || name == names.Warmup {
+		if hopByHop[name] || listed[name] || name == "Content-Length" || name == names.Load || name == names.Backend ||
+			name == names.Warmup {
 			continue
 		}
 		header[name] = values
@@ -77,7 +78,13 @@
 		header.Set("Content-Length", strconv.Itoa(size))
 	}
 	request.writer.WriteHeader(answer.response.StatusCode)
-	writer := &shapedWriter{to: request.writer, shaper: proxy.outbound, ctx: request.bounded, clock: proxy.clock, large: size > largeBody || answer.remainder != nil}
+	writer := &shapedWriter{
+		to:     request.writer,
+		shaper: proxy.outbound,
+		ctx:    request.bounded,
+		clock:  proxy.clock,
+		large:  size > largeBody || answer.remainder != nil,
+	}
 	if _, err := writer.Write(answer.body); err != nil {
 		if answer.remainder != nil {
 			answer.release(false)
--- a/hostproxy/shaper_test.go
+++ b/hostproxy/shaper_test.go
@@ -64,7 +64,9 @@
 			test.Errorf("%d bytes, %v", len(body), err)
 		}
 		written := &bytes.Buffer{}
-		if _, err := (&shapedWriter{to: written, shaper: shaper, ctx: context.Background(), clock: time.Now}).Write(make([]byte, 20<<10)); err != nil {
+		if _, err := (&shapedWriter{to: written, shaper: shaper, ctx: context.Background(), clock: time.Now}).Write(
+			make([]byte, 20<<10),
+		); err != nil {
 			test.Error(err)
 		}
 		if took := time.Since(begin); took > 0 || written.Len() != 20<<10 {
@@ -108,7 +110,12 @@
 	inWorld(test, func(world *world) {
 		world.proxy.transfers = newTransferLimiter(1)
 		world.add("b1").ever(after(300*time.Millisecond, well))
-		request := &request{route: &routing.Route{Kind: routing.Download, TargetMs: 1000}, context: context.Background(), begin: time.Now(), deadline: time.Now().Add(2 * time.Second)}
+		request := &request{
+			route:    &routing.Route{Kind: routing.Download, TargetMs: 1000},
+			context:  context.Background(),
+			begin:    time.Now(),
+			deadline: time.Now().Add(2 * time.Second),
+		}
 		for range minTransfers {
 			if !world.proxy.acquireTransfer(request) {
 				test.Error("refused where there is room")
--- a/hostproxy/target.go
+++ b/hostproxy/target.go
@@ -99,7 +99,12 @@
 	defer target.mutex.Unlock()
 	slots := float64(max(target.backend.Capacity, 1))
 	load, service := target.load(now), mean*target.slowness
-	cost = service + far + float64(target.roundTrip.Milliseconds()) + utilizationWeight*service*min(1, load/slots) + failurePenalty*mean*target.failureRate
+	cost = service + far + float64(
+		target.roundTrip.Milliseconds(),
+	) + utilizationWeight*service*min(
+		1,
+		load/slots,
+	) + failurePenalty*mean*target.failureRate
 	if len(target.idle) == 0 {
 		cost += openPenalty + float64(target.roundTrip.Milliseconds())
 	}
@@ -251,7 +256,8 @@
 func (target *target) shouldRevive(now time.Time) bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	if target.ejectedUntil.IsZero() || target.retired || target.replaced || target.reviving || now.Before(target.ejectedUntil.Add(-minEjection/2)) {
+	if target.ejectedUntil.IsZero() || target.retired || target.replaced || target.reviving ||
+		now.Before(target.ejectedUntil.Add(-minEjection/2)) {
 		return false
 	}
 	target.reviving = true
--- a/hostproxy/usage_meter.go
+++ b/hostproxy/usage_meter.go
@@ -33,7 +33,13 @@
 const assumedRunningMs = 150
 
 func newUsageMeter(window time.Duration, now func() int64) *UsageMeter {
-	return &UsageMeter{window: window, now: now, windows: map[int64]map[string]uint64{}, unsettled: map[string]uint64{}, running: map[*startedRequest]bool{}}
+	return &UsageMeter{
+		window:    window,
+		now:       now,
+		windows:   map[int64]map[string]uint64{},
+		unsettled: map[string]uint64{},
+		running:   map[*startedRequest]bool{},
+	}
 }
 
 // begin takes a request that is sent now. It counts before its answer comes, or
--- a/hostproxy/view_test.go
+++ b/hostproxy/view_test.go
@@ -163,9 +163,20 @@
 func TestTableBeforeALeader(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies := many([]string{"p1"}, []string{"e1"})
-		cold := message.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Capacity: 4, WarmAtMs: time.Now().UnixMilli() + 60000}
+		cold := message.Backend{
+			Name:     "b1",
+			Service:  "plain",
+			Address:  "10.0.0.1:80",
+			Zone:     "e1",
+			Capacity: 4,
+			WarmAtMs: time.Now().UnixMilli() + 60000,
+		}
 		for round, want := range map[uint64]choice{0: noneLeft, 1: chosen} {
-			table := &message.Table{Version: message.TableVersion{Term: message.Term{Number: round}, Number: 1}, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{cold}}
+			table := &message.Table{
+				Version:  message.TableVersion{Term: message.Term{Number: round}, Number: 1},
+				Members:  members([]string{"p1"}, []string{"e1"}),
+				Backends: []message.Backend{cold},
+			}
 			proxies[0].Apply(&routing.State{Config: ownConfig()}, table)
 			proxies[0].pick(nil, nil)
 			time.Sleep(time.Second)
@@ -183,8 +194,14 @@
 		for ago, want := range map[time.Duration]choice{500 * time.Millisecond: allFull, time.Minute: chosen} {
 			proxies := many([]string{"p1"}, []string{"e1"})
 			backend := message.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Capacity: 4}
-			state := &routing.State{Config: ownConfig(), Restored: []routing.RestoredZone{{Zone: "e1", AtMs: time.Now().Add(-ago).UnixMilli()}}}
-			proxies[0].Apply(state, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{backend}})
+			state := &routing.State{
+				Config:   ownConfig(),
+				Restored: []routing.RestoredZone{{Zone: "e1", AtMs: time.Now().Add(-ago).UnixMilli()}},
+			}
+			proxies[0].Apply(
+				state,
+				&message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{backend}},
+			)
 			if _, how := proxies[0].pick(nil, nil); how != want {
 				test.Errorf("taken back %v ago: choice %d, want %d", ago, how, want)
 			}
--- a/hostproxy/warmup_test.go
+++ b/hostproxy/warmup_test.go
@@ -18,7 +18,16 @@
 func many(names []string, zones []string) []*Proxy {
 	proxies := []*Proxy{}
 	for index, name := range names {
-		proxies = append(proxies, NewProxy(ownPlace(name, zones[index]), unreachable, func() int64 { return time.Now().UnixMilli() }, concurrent.NewGroup(), metrics.NewCounters()))
+		proxies = append(
+			proxies,
+			NewProxy(
+				ownPlace(name, zones[index]),
+				unreachable,
+				func() int64 { return time.Now().UnixMilli() },
+				concurrent.NewGroup(),
+				metrics.NewCounters(),
+			),
+		)
 	}
 	return proxies
 }
@@ -35,7 +44,11 @@
 func (proxy *Proxy) pick(tenant *routing.Tenant, homes []string, tried ...*target) (*candidate, choice) {
 	view := proxy.view.Load()
 	compiled := &routing.CompiledRoute{Route: &routing.Route{Name: "picked", TargetMs: 800, Homes: homes}}
-	return proxy.choose(&request{source: &http.Request{}, stats: proxy.stats, route: compiled.Route, tenant: tenant}, view.services[0], tried)
+	return proxy.choose(
+		&request{source: &http.Request{}, stats: proxy.stats, route: compiled.Route, tenant: tenant},
+		view.services[0],
+		tried,
+	)
 }
 
 // warmTotal presses several proxies for a cold backend and gives the most that it
@@ -81,7 +94,14 @@
 				config := ownConfig()
 				config.Services[0].WarmupRate = 1 + 15*random.Float64()
 				state := &routing.State{Config: config}
-				backend := message.Backend{Name: fmt.Sprint("b", seed), Service: "plain", Address: "b:80", Zone: "e1", Capacity: 8, WarmAtMs: time.Now().Add(time.Hour).UnixMilli()}
+				backend := message.Backend{
+					Name:     fmt.Sprint("b", seed),
+					Service:  "plain",
+					Address:  "b:80",
+					Zone:     "e1",
+					Capacity: 8,
+					WarmAtMs: time.Now().Add(time.Hour).UnixMilli(),
+				}
 				news, olds := members(names, zones), members(names[1:], zones[1:])
 				lay := func() {
 					for index, proxy := range proxies {
@@ -110,9 +130,18 @@
 func TestColdIsTheLastResort(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies := many([]string{"p1"}, []string{"e1"})
-		cold := message.Backend{Name: "cold", Service: "plain", Zone: "e1", Capacity: 8, WarmAtMs: time.Now().Add(3 * time.Second).UnixMilli()}
+		cold := message.Backend{
+			Name:     "cold",
+			Service:  "plain",
+			Zone:     "e1",
+			Capacity: 8,
+			WarmAtMs: time.Now().Add(3 * time.Second).UnixMilli(),
+		}
 		warm := message.Backend{Name: "warm", Service: "plain", Zone: "w1", Capacity: 2}
-		proxies[0].Apply(&routing.State{Config: ownConfig()}, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{cold, warm}})
+		proxies[0].Apply(
+			&routing.State{Config: ownConfig()},
+			&message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{cold, warm}},
+		)
 		proxies[0].targets["cold"].takeWarmup(time.Now(), 1)
 		time.Sleep(time.Second)
 		for range 6 {
--- a/hostproxy/world_test.go
+++ b/hostproxy/world_test.go
@@ -43,8 +43,16 @@
 
 func ownPlace(name, zone string) Config {
 	return Config{
-		Name: name, Zone: zone, Regions: map[string]string{"e1": "east", "e2": "east", "w1": "west"}, Headers: ownHeaders, RetryRatio: 0.2, RetryExtra: 60,
-		WarmupExcess: 1.5, WarmupExtra: 5, UsageWindow: 5 * time.Second, ListLag: time.Second,
+		Name:         name,
+		Zone:         zone,
+		Regions:      map[string]string{"e1": "east", "e2": "east", "w1": "west"},
+		Headers:      ownHeaders,
+		RetryRatio:   0.2,
+		RetryExtra:   60,
+		WarmupExcess: 1.5,
+		WarmupExtra:  5,
+		UsageWindow:  5 * time.Second,
+		ListLag:      time.Second,
 	}
 }
 
@@ -52,12 +60,42 @@
 	return routing.Config{
 		Version: 1,
 		Routes: []routing.Route{
-			{Name: "once", Host: "host.example", Prefix: "/once/", Kind: routing.NonIdempotent, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3},
-			{Name: "again", Host: "host.example", Prefix: "/again/", Kind: routing.Idempotent, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3},
-			{Name: "load", Host: "host.example", Prefix: "/load/", Kind: routing.Download, TimeoutMs: 2000, TargetMs: 800, Service: "plain", Attempts: 3},
+			{
+				Name:      "once",
+				Host:      "host.example",
+				Prefix:    "/once/",
+				Kind:      routing.NonIdempotent,
+				TimeoutMs: 2000,
+				TargetMs:  800,
+				Service:   "plain",
+				Attempts:  3,
+			},
+			{
+				Name:      "again",
+				Host:      "host.example",
+				Prefix:    "/again/",
+				Kind:      routing.Idempotent,
+				TimeoutMs: 2000,
+				TargetMs:  800,
+				Service:   "plain",
+				Attempts:  3,
+			},
+			{
+				Name:      "load",
+				Host:      "host.example",
+				Prefix:    "/load/",
+				Kind:      routing.Download,
+				TimeoutMs: 2000,
+				TargetMs:  800,
+				Service:   "plain",
+				Attempts:  3,
+			},
 		},
-		Services: []routing.Service{{Name: "plain", MaxConnections: 130, WarmupMs: 3000, WarmupRate: 10}, {Name: "other", MaxConnections: 130, WarmupMs: 3000, WarmupRate: 10}},
-		Limits:   routing.Limits{BodyBytes: 1 << 20},
+		Services: []routing.Service{
+			{Name: "plain", MaxConnections: 130, WarmupMs: 3000, WarmupRate: 10},
+			{Name: "other", MaxConnections: 130, WarmupMs: 3000, WarmupRate: 10},
+		},
+		Limits: routing.Limits{BodyBytes: 1 << 20},
 	}
 }
 
@@ -71,10 +109,28 @@
 
 func newWorld(test *testing.T) *world {
 	world := &world{
-		test: test, goroutines: concurrent.NewGroup(), counters: metrics.NewCounters(), doors: newDoors(), listener: newListener(), backends: map[string]*backend{},
-		book: &routing.State{Config: ownConfig()}, table: &message.Table{Version: leaderMark, Complete: true, Members: []message.Member{{Name: "p1", Kind: "proxy", Zone: "e1", Ready: true}}},
+		test:       test,
+		goroutines: concurrent.NewGroup(),
+		counters:   metrics.NewCounters(),
+		doors:      newDoors(),
+		listener:   newListener(),
+		backends:   map[string]*backend{},
+		book: &routing.State{
+			Config: ownConfig(),
+		},
+		table: &message.Table{
+			Version:  leaderMark,
+			Complete: true,
+			Members:  []message.Member{{Name: "p1", Kind: "proxy", Zone: "e1", Ready: true}},
+		},
 	}
-	world.proxy = NewProxy(ownPlace("p1", "e1"), world.doors.dial, func() int64 { return time.Now().UnixMilli() }, world.goroutines, world.counters)
+	world.proxy = NewProxy(
+		ownPlace("p1", "e1"),
+		world.doors.dial,
+		func() int64 { return time.Now().UnixMilli() },
+		world.goroutines,
+		world.counters,
+	)
 	world.server = &http.Server{Handler: world.proxy, ErrorLog: log.New(io.Discard, "", 0)}
 	world.goroutines.Start(func() { _ = world.server.Serve(world.listener) }) // until close
 	world.proxy.Run()
@@ -105,7 +161,10 @@
 	world.backends[name] = added
 	world.doors.serve(added.address, added.accept)
 	world.lay(func() {
-		world.table.Backends = append(world.table.Backends, message.Backend{Name: name, Service: service, Address: added.address, Zone: zone, Capacity: slots})
+		world.table.Backends = append(
+			world.table.Backends,
+			message.Backend{Name: name, Service: service, Address: added.address, Zone: zone, Capacity: slots},
+		)
 	})
 	return added
 }
@@ -179,7 +238,14 @@
 		return reply{broken: err, took: time.Since(begin)}
 	}
 	body, err := io.ReadAll(response.Body)
-	return reply{status: response.StatusCode, header: response.Header, body: string(body), broken: err, last: response.Close, took: time.Since(begin)}
+	return reply{
+		status: response.StatusCode,
+		header: response.Header,
+		body:   string(body),
+		broken: err,
+		last:   response.Close,
+		took:   time.Since(begin),
+	}
 }
 
 // id gives every request one of its own.
@@ -211,7 +277,8 @@
 // good fails the test unless the reply is the backend's answer to the id.
 func (world *world) good(reply reply, id string) {
 	world.test.Helper()
-	if reply.broken != nil || reply.status != 200 || reply.body != text(id) || reply.header.Get("Attempt") != id || reply.header.Get("Seal") != "s-"+id {
+	if reply.broken != nil || reply.status != 200 || reply.body != text(id) || reply.header.Get("Attempt") != id ||
+		reply.header.Get("Seal") != "s-"+id {
 		world.test.Errorf("%s got %d %q %v %v", id, reply.status, reply.body, reply.header, reply.broken)
 	}
 }
--- a/idempotency/fence_test.go
+++ b/idempotency/fence_test.go
@@ -30,7 +30,12 @@
 }
 
 func claimOf(key string) *message.RecordClaimsRequest {
-	claimed := message.ClaimRecord{Key: message.ClaimKey{Tenant: "t", Service: "s", Key: key}, ID: "id-" + key, Holder: "p/1", Stage: message.ClaimRunning}
+	claimed := message.ClaimRecord{
+		Key:    message.ClaimKey{Tenant: "t", Service: "s", Key: key},
+		ID:     "id-" + key,
+		Holder: "p/1",
+		Stage:  message.ClaimRunning,
+	}
 	return &message.RecordClaimsRequest{Claims: []message.ClaimRequest{{Record: claimed}}}
 }
 
--- a/idempotency/power_test.go
+++ b/idempotency/power_test.go
@@ -47,7 +47,12 @@
 func (keeper *claimKeeper) step() bool {
 	keeper.number++
 	key := message.ClaimKey{Tenant: "birch", Service: "desk", Key: fmt.Sprint(keeper.number)}
-	claimed := message.ClaimRecord{Key: key, ID: fmt.Sprint(keeper.number), Stage: message.ClaimRunning, Body: make([]byte, 200+keeper.random.IntN(800))}
+	claimed := message.ClaimRecord{
+		Key:   key,
+		ID:    fmt.Sprint(keeper.number),
+		Stage: message.ClaimRunning,
+		Body:  make([]byte, 200+keeper.random.IntN(800)),
+	}
 	response, err := keeper.claims.Keep(&message.RecordClaimsRequest{Claims: []message.ClaimRequest{{Record: claimed}}})
 	if err == nil && response[0].Granted {
 		keeper.granted[key] = time.Now()
--- a/idempotency/refusal_test.go
+++ b/idempotency/refusal_test.go
@@ -71,7 +71,13 @@
 		disk.LosePower(0)
 		log = openClaimsOn(test, disk)
 		if log.membership.Version() != step.Version() || !log.CompleteFor(2) || !log.holds("kept") || log.holds("late") {
-			test.Errorf("after a restart: members %v, whole %v, kept %v, late %v", log.membership.Version(), log.CompleteFor(2), log.holds("kept"), log.holds("late"))
+			test.Errorf(
+				"after a restart: members %v, whole %v, kept %v, late %v",
+				log.membership.Version(),
+				log.CompleteFor(2),
+				log.holds("kept"),
+				log.holds("late"),
+			)
 		}
 		again := &Write{Request: claimOf("again"), Membership: former}
 		writeAtOnce(test, log, again)
@@ -91,7 +97,10 @@
 	taken := claimOf("first")
 	taken.Claims[0].Record.ID = "another"
 	first := &Write{Request: claimOf("first"), Membership: step}
-	late := &Write{Request: &message.RecordClaimsRequest{Claims: append(claimOf("late").Claims, claimOf("later").Claims...)}, Membership: former}
+	late := &Write{
+		Request:    &message.RecordClaimsRequest{Claims: append(claimOf("late").Claims, claimOf("later").Claims...)},
+		Membership: former,
+	}
 	second := &Write{Request: &message.RecordClaimsRequest{Claims: append(taken.Claims, claimOf("second").Claims...)}, Membership: step}
 	writeAtOnce(test, log, first, late, second)
 	for _, wait := range []*Write{first, late, second} {
--- a/message/table_test.go
+++ b/message/table_test.go
@@ -81,7 +81,10 @@
 	log, table := NewTableLog(), &Table{}
 	version := func(number uint64) TableVersion { return TableVersion{Term: Term{Number: 1, Core: 1}, Number: number} }
 	for step := range 3000 {
-		next := &Table{Version: version(uint64(step + 1)), Backends: []Backend{{Name: fmt.Sprint("a", step)}, {Name: fmt.Sprint("b", step)}}}
+		next := &Table{
+			Version:  version(uint64(step + 1)),
+			Backends: []Backend{{Name: fmt.Sprint("a", step)}, {Name: fmt.Sprint("b", step)}},
+		}
 		log.Record(table, next)
 		table = next
 	}
--- a/planner/forecast_test.go
+++ b/planner/forecast_test.go
@@ -24,10 +24,20 @@
 	look := Fleet{Serial: 1, Settings: settings, Capacity: 30}
 	zones := []string{"accra", "kumasi", "tamale", "tema", "sunyani", "bolga"}
 	for index := range 9 {
-		look.Members = append(look.Members, message.Member{Name: fmt.Sprint("proxy-", index), Kind: "proxy", Zone: zones[index%6], Ready: true})
+		look.Members = append(
+			look.Members,
+			message.Member{Name: fmt.Sprint("proxy-", index), Kind: "proxy", Zone: zones[index%6], Ready: true},
+		)
 	}
 	for index := range 12 {
-		look.Backends = append(look.Backends, message.Backend{Name: fmt.Sprint("back-", index), Service: []string{"reading-grid", "office-review"}[index%2], Zone: zones[index/2]})
+		look.Backends = append(
+			look.Backends,
+			message.Backend{
+				Name:    fmt.Sprint("back-", index),
+				Service: []string{"reading-grid", "office-review"}[index%2],
+				Zone:    zones[index/2],
+			},
+		)
 	}
 	return look
 }
@@ -57,7 +67,11 @@
 	faster := *look.Settings
 	limit := 900
 	faster.Rule.TimeoutMs = &limit
-	if changes := NewForecast(look, &faster).Changes; len(changes) != 1 || changes[0].Route != "reading/reading-grid/history" || changes[0].Field != "limit_ms" || changes[0].After != 900 {
+	if changes := NewForecast(
+		look,
+		&faster,
+	).Changes; len(changes) != 1 || changes[0].Route != "reading/reading-grid/history" || changes[0].Field != "limit_ms" ||
+		changes[0].After != 900 {
 		test.Errorf("changes %+v", changes)
 	}
 }
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -131,7 +131,11 @@
 	}
 	OnTerm(goroutines, func() {
 		ended, _ := concurrent.Gather(goroutines, len(stations), func(index int) (bool, error) {
-			return stations[index].Daemon.Retire(time.Duration(settle)*time.Millisecond, time.Duration(grace)*time.Millisecond, stations[index].listeners[0].Drain), nil
+			return stations[index].Daemon.Retire(
+				time.Duration(settle)*time.Millisecond,
+				time.Duration(grace)*time.Millisecond,
+				stations[index].listeners[0].Drain,
+			), nil
 		}, func(map[int]bool, map[int]error) bool { return false })
 		whole := true
 		for _, one := range ended {
--- a/process/typed.go
+++ b/process/typed.go
@@ -82,7 +82,13 @@
 		kind = rpc.TooLarge
 	}
 	refusal, _ := json.Marshal(&rpc.Error{Code: kind, Message: strings.TrimSpace(string(text)), Outcome: rpc.NotRun})
-	if _, err := fmt.Fprintf(conn.Conn, "%s\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s\n", line, len(refusal)+1, refusal); err != nil {
+	if _, err := fmt.Fprintf(
+		conn.Conn,
+		"%s\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s\n",
+		line,
+		len(refusal)+1,
+		refusal,
+	); err != nil {
 		return 0, err
 	}
 	return len(body), nil
--- a/replica/power_test.go
+++ b/replica/power_test.go
@@ -85,7 +85,9 @@
 	body[len(body)-1] = byte(witness.random.IntN(255) + 1)
 	version := message.Version{Term: term, Serial: term.Number}
 	witness.bodies[version] = body[len(body)-1]
-	response, err := witness.voter.Accept(&message.AcceptRequest{Term: term, Register: register, Value: message.Value{Serial: term.Number, Body: body}})
+	response, err := witness.voter.Accept(
+		&message.AcceptRequest{Term: term, Register: register, Value: message.Value{Serial: term.Number, Body: body}},
+	)
 	if err != nil {
 		return false
 	}
@@ -159,7 +161,9 @@
 				}
 			}
 			for range random.IntN(3) {
-				disk.Refuse([]simulation.Refusal{{Writes: true}, {Syncs: true}, {Names: true}, {Writes: true, Syncs: true, Names: true}, {}}[random.IntN(5)])
+				disk.Refuse(
+					[]simulation.Refusal{{Writes: true}, {Syncs: true}, {Names: true}, {Writes: true, Syncs: true, Names: true}, {}}[random.IntN(5)],
+				)
 				disk.Room(disk.Used() + 1 + random.IntN(9000))
 				for range 8 {
 					if witness.store.Err() != nil {
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -15,7 +15,11 @@
 
 // noCallbacks ignore all that changes.
 func noCallbacks() replica.Callbacks {
-	return replica.Callbacks{DiskFailed: func(error) {}, PromiseRaised: func(message.Term) {}, MembershipAccepted: func(message.AcceptedValue) {}}
+	return replica.Callbacks{
+		DiskFailed:         func(error) {},
+		PromiseRaised:      func(message.Term) {},
+		MembershipAccepted: func(message.AcceptedValue) {},
+	}
 }
 
 // failing are callbacks that fail the test when the disk fails.
@@ -60,10 +64,18 @@
 				if response, err := voter.Prepare(&message.PrepareRequest{Term: term}); err != nil {
 					answer = string(rpc.CodeOf(err))
 				} else {
-					answer = fmt.Sprintf("granted %v, promised %s, settings %d under %s", response.Granted, response.Promised, response.Accepted[0].Value.Serial, response.Accepted[0].Term)
+					answer = fmt.Sprintf(
+						"granted %v, promised %s, settings %d under %s",
+						response.Granted,
+						response.Promised,
+						response.Accepted[0].Value.Serial,
+						response.Accepted[0].Term,
+					)
 				}
 			case "accept":
-				if response, err := voter.Accept(&message.AcceptRequest{Term: term, Register: message.Register(register), Value: message.Value{Serial: serial}}); err != nil {
+				if response, err := voter.Accept(
+					&message.AcceptRequest{Term: term, Register: message.Register(register), Value: message.Value{Serial: serial}},
+				); err != nil {
 					answer = string(rpc.CodeOf(err))
 				} else {
 					answer = fmt.Sprintf("taken %v, promised %s", response.Accepted, response.Promised)
@@ -80,8 +92,15 @@
 				disk = disk.Sever(true)
 				voter = open()
 				state := voter.State()
-				answer = fmt.Sprintf("founded %v, promised %s, settings %d under %s, reports %d under %s", state.Initialized, state.Promised,
-					state.Accepted[0].Value.Serial, state.Accepted[0].Term, state.Accepted[1].Value.Serial, state.Accepted[1].Term)
+				answer = fmt.Sprintf(
+					"founded %v, promised %s, settings %d under %s, reports %d under %s",
+					state.Initialized,
+					state.Promised,
+					state.Accepted[0].Value.Serial,
+					state.Accepted[0].Term,
+					state.Accepted[1].Value.Serial,
+					state.Accepted[1].Term,
+				)
 			default:
 				test.Fatalf("no command %s", line.Cmd)
 			}
--- a/replica/restored_test.go
+++ b/replica/restored_test.go
@@ -17,7 +17,10 @@
 	}
 	voter := replica.New(store, failing(test))
 	accepted := [message.Registers]message.AcceptedValue{}
-	accepted[message.RoutingRegister] = message.AcceptedValue{Term: message.Term{Number: 3, Core: 2}, Value: message.Value{Serial: 7, Body: []byte("routing")}}
+	accepted[message.RoutingRegister] = message.AcceptedValue{
+		Term:  message.Term{Number: 3, Core: 2},
+		Value: message.Value{Serial: 7, Body: []byte("routing")},
+	}
 	own := message.Term{Number: 5, Core: 1}
 	if err := voter.Initialize(own, accepted, nil); err != nil {
 		test.Fatal(err)
--- a/replica/stall_test.go
+++ b/replica/stall_test.go
@@ -31,7 +31,10 @@
 		goroutines.Sleep(time.Second)
 		begin := time.Now()
 		for round := range uint64(20) {
-			if _, err := voter.Accept(&message.AcceptRequest{Term: message.Term{Number: 2 + round, Core: 1}, Value: message.Value{Serial: 1}}); err == nil || rpc.CodeOf(err) != rpc.DiskFailure {
+			if _, err := voter.Accept(
+				&message.AcceptRequest{Term: message.Term{Number: 2 + round, Core: 1}, Value: message.Value{Serial: 1}},
+			); err == nil ||
+				rpc.CodeOf(err) != rpc.DiskFailure {
 				test.Fatalf("accept: %v", err)
 			}
 		}
--- a/replica/store_test.go
+++ b/replica/store_test.go
@@ -43,7 +43,13 @@
 			_, _ = voter.Prepare(&message.PrepareRequest{Term: term}) // the state tells what was answered for
 			continue
 		}
-		_, _ = voter.Accept(&message.AcceptRequest{Term: term, Register: message.Register(random.IntN(2)), Value: message.Value{Serial: term.Number, Body: make([]byte, random.IntN(300_000))}})
+		_, _ = voter.Accept(
+			&message.AcceptRequest{
+				Term:     term,
+				Register: message.Register(random.IntN(2)),
+				Value:    message.Value{Serial: term.Number, Body: make([]byte, random.IntN(300_000))},
+			},
+		)
 	}
 	return voter.State()
 }
@@ -77,7 +83,15 @@
 				test.Fatalf("seed %d round %d: %v", seed, round, err)
 			}
 			if !same(answered, store.State()) {
-				test.Fatalf("seed %d round %d: answered %v %v, kept %v %v", seed, round, answered.Promised, answered.Versions(), store.State().Promised, store.State().Versions())
+				test.Fatalf(
+					"seed %d round %d: answered %v %v, kept %v %v",
+					seed,
+					round,
+					answered.Promised,
+					answered.Versions(),
+					store.State().Promised,
+					store.State().Versions(),
+				)
 			}
 			store.Close()
 		}
@@ -147,7 +161,10 @@
 func TestTornTakeoverLeavesABlankDisk(test *testing.T) {
 	accepted := [message.Registers]message.AcceptedValue{}
 	for register := range accepted {
-		accepted[register] = message.AcceptedValue{Term: message.Term{Number: 2, Core: 1}, Value: message.Value{Serial: 3, Body: make([]byte, 300)}}
+		accepted[register] = message.AcceptedValue{
+			Term:  message.Term{Number: 2, Core: 1},
+			Value: message.Value{Serial: 3, Body: make([]byte, 300)},
+		}
 	}
 	open := func(disk *simulation.Disk) *replica.Replica {
 		store, err := replica.OpenStore(disk)
@@ -186,7 +203,13 @@
 	voter := founded(test, disk)
 	written := 0
 	for serial := uint64(1); serial <= 60; serial++ {
-		response, err := voter.Accept(&message.AcceptRequest{Term: message.Term{Number: 1, Core: 1}, Register: message.RoutingRegister, Value: message.Value{Serial: serial, Body: make([]byte, large)}})
+		response, err := voter.Accept(
+			&message.AcceptRequest{
+				Term:     message.Term{Number: 1, Core: 1},
+				Register: message.RoutingRegister,
+				Value:    message.Value{Serial: serial, Body: make([]byte, large)},
+			},
+		)
 		if err != nil || !response.Accepted {
 			test.Fatal(response, err)
 		}
--- a/routing/history.go
+++ b/routing/history.go
@@ -112,7 +112,11 @@
 		last = entries[len(entries)-1].Version
 	}
 	short := DigestOf(digest)
-	longer := History{Forgotten: history.Forgotten, Count: history.Count + 1, Packed: binary.AppendUvarint(bytes.Clone(history.Packed), version-last)}
+	longer := History{
+		Forgotten: history.Forgotten,
+		Count:     history.Count + 1,
+		Packed:    binary.AppendUvarint(bytes.Clone(history.Packed), version-last),
+	}
 	longer.Packed = append(longer.Packed, short[:]...)
 	for longer.Count > MaxHistory {
 		oldest, rest, _ := next(longer.Packed, longer.Forgotten)
--- a/routing/history_test.go
+++ b/routing/history_test.go
@@ -19,8 +19,15 @@
 	}
 	for number, version := range versions {
 		known := number >= more
-		if history.Contains(version, fmt.Sprint(number)) != known || history.Contains(version, "another") || history.MayHaveForgotten(version) == known {
-			test.Fatalf("order %d of %d: held %v, forgotten %v", number, len(versions), history.Contains(version, fmt.Sprint(number)), history.MayHaveForgotten(version))
+		if history.Contains(version, fmt.Sprint(number)) != known || history.Contains(version, "another") ||
+			history.MayHaveForgotten(version) == known {
+			test.Fatalf(
+				"order %d of %d: held %v, forgotten %v",
+				number,
+				len(versions),
+				history.Contains(version, fmt.Sprint(number)),
+				history.MayHaveForgotten(version),
+			)
 		}
 	}
 	entries := history.Entries()
@@ -45,7 +52,8 @@
 		test.Fatal(err)
 	}
 	left, right := state.History.With(70001, "left"), state.History.With(70002, "right")
-	if !left.Contains(70001, "left") || !right.Contains(70002, "right") || !left.Contains(300, "a") || !right.Contains(70000, "b") || state.History.Contains(70001, "left") {
+	if !left.Contains(70001, "left") || !right.Contains(70002, "right") || !left.Contains(300, "a") || !right.Contains(70000, "b") ||
+		state.History.Contains(70001, "left") {
 		test.Errorf("%+v, %+v of %+v", left.Entries(), right.Entries(), state.History.Entries())
 	}
 }
@@ -58,7 +66,9 @@
 		Reopened  []RestoredZone
 		Trail     []formerEntry
 	}
-	body, err := rpc.Marshal(&formerBook{Config: Config{Version: 9}, Evacuated: []string{"z1"}, Trail: []formerEntry{{4, "four"}, {9, "nine"}}})
+	body, err := rpc.Marshal(
+		&formerBook{Config: Config{Version: 9}, Evacuated: []string{"z1"}, Trail: []formerEntry{{4, "four"}, {9, "nine"}}},
+	)
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -66,7 +76,8 @@
 	if err != nil || state.Config.Version != 9 || len(state.Evacuated) != 1 {
 		test.Fatalf("%v: %+v", err, state)
 	}
-	if !state.History.Contains(4, "four") || !state.History.Contains(9, "nine") || state.History.Contains(9, "ten") || state.History.Count != 2 {
+	if !state.History.Contains(4, "four") || !state.History.Contains(9, "nine") || state.History.Contains(9, "ten") ||
+		state.History.Count != 2 {
 		test.Errorf("%+v", state.History.Entries())
 	}
 	again, _ := rpc.Marshal(state)
--- a/routing/index.go
+++ b/routing/index.go
@@ -37,8 +37,14 @@
 func NewIndex(state *State) *Index {
 	config := &state.Config
 	index := &Index{
-		Version: config.Version, KeysRequired: config.KeysRequired, Limits: config.Limits, Services: config.Services,
-		hosts: map[string]*prefixes{}, keys: map[string]*Tenant{}, services: make(map[string]int, len(config.Services)), evacuated: make(map[string]bool, len(state.Evacuated)),
+		Version:      config.Version,
+		KeysRequired: config.KeysRequired,
+		Limits:       config.Limits,
+		Services:     config.Services,
+		hosts:        map[string]*prefixes{},
+		keys:         map[string]*Tenant{},
+		services:     make(map[string]int, len(config.Services)),
+		evacuated:    make(map[string]bool, len(state.Evacuated)),
 	}
 	for place := range config.Services {
 		index.services[config.Services[place].Name] = place
--- a/routing/index_test.go
+++ b/routing/index_test.go
@@ -8,7 +8,11 @@
 
 func TestFindTakesTheLongestPrefixOfTheHost(test *testing.T) {
 	config := goodConfig()
-	config.Routes = append(config.Routes, Route{Name: "deep", Host: "Shop.Test:99", Prefix: "/cart/deep/er/", Service: "birch"}, Route{Name: "six", Host: "[::1]", Prefix: "/"})
+	config.Routes = append(
+		config.Routes,
+		Route{Name: "deep", Host: "Shop.Test:99", Prefix: "/cart/deep/er/", Service: "birch"},
+		Route{Name: "six", Host: "[::1]", Prefix: "/"},
+	)
 	index := NewIndex(&State{Config: *config})
 	for _, one := range []struct{ host, path, want string }{
 		{"shop.test", "/cart/", "cart"},
--- a/routing/patch.go
+++ b/routing/patch.go
@@ -6,13 +6,31 @@
 // Whoever takes it on sets its version and checks it.
 func (config Config) Apply(patch *Patch) (Config, error) {
 	var err error
-	if config.Routes, err = overlay(config.Routes, patch.Routes, patch.RemoveRoutes, "routes", func(route *Route) string { return route.Name }); err != nil {
+	if config.Routes, err = overlay(
+		config.Routes,
+		patch.Routes,
+		patch.RemoveRoutes,
+		"routes",
+		func(route *Route) string { return route.Name },
+	); err != nil {
 		return Config{}, err
 	}
-	if config.Services, err = overlay(config.Services, patch.Services, patch.RemoveServices, "services", func(service *Service) string { return service.Name }); err != nil {
+	if config.Services, err = overlay(
+		config.Services,
+		patch.Services,
+		patch.RemoveServices,
+		"services",
+		func(service *Service) string { return service.Name },
+	); err != nil {
 		return Config{}, err
 	}
-	if config.Tenants, err = overlay(config.Tenants, patch.Tenants, patch.RemoveTenants, "tenants", func(tenant *Tenant) string { return tenant.Name }); err != nil {
+	if config.Tenants, err = overlay(
+		config.Tenants,
+		patch.Tenants,
+		patch.RemoveTenants,
+		"tenants",
+		func(tenant *Tenant) string { return tenant.Name },
+	); err != nil {
 		return Config{}, err
 	}
 	config.KeysRequired = config.KeysRequired || len(patch.Tenants) > 0
@@ -32,7 +50,11 @@
 	for index := range given {
 		key := name(&given[index])
 		if _, twice := places[key]; twice {
-			return nil, &rpc.Error{Code: rpc.Invalid, Message: "1 wrong", Details: []rpc.Detail{{Path: list + "." + key, Code: duplicateName, Message: "given twice"}}}
+			return nil, &rpc.Error{
+				Code:    rpc.Invalid,
+				Message: "1 wrong",
+				Details: []rpc.Detail{{Path: list + "." + key, Code: duplicateName, Message: "given twice"}},
+			}
 		}
 		places[key] = index
 	}
--- a/rpc/client.go
+++ b/rpc/client.go
@@ -39,7 +39,13 @@
 // CallContext is a Call that also ends when ctx does. All errors it returns are of
 // type *Error: ConnectFailed if the message was certainly not sent, Unreachable if no
 // response came, else what the other process answered.
-func CallContext[Request, Response any](ctx context.Context, client *Client, address, name string, timeout time.Duration, request *Request) (*Response, error) {
+func CallContext[Request, Response any](
+	ctx context.Context,
+	client *Client,
+	address, name string,
+	timeout time.Duration,
+	request *Request,
+) (*Response, error) {
 	if address == "" {
 		return nil, Errorf(Unreachable, "no address for %s", name)
 	}
--- a/rpc/error_test.go
+++ b/rpc/error_test.go
@@ -18,7 +18,11 @@
 	if CodeOf(wrapped) != DiskFailure || CodeOf(io.EOF) != Unreachable {
 		test.Errorf("codes %s and %s", CodeOf(wrapped), CodeOf(io.EOF))
 	}
-	if prefixed := WithPrefix("file", wrapped); prefixed.Error() != "disk_fault: file: sync: short write" || !errors.Is(prefixed, io.ErrShortWrite) {
+	if prefixed := WithPrefix(
+		"file",
+		wrapped,
+	); prefixed.Error() != "disk_fault: file: sync: short write" ||
+		!errors.Is(prefixed, io.ErrShortWrite) {
 		test.Errorf("prefixed: %v", prefixed)
 	}
 	if err := (Codec{}).Unmarshal([]byte{0x80}, &struct{}{}); err != nil {
@@ -33,7 +37,8 @@
 		Details: []Detail{{Path: "routes.a", Message: "dangling", Code: "dangling"}}, cause: io.EOF,
 	}
 	received := AsError(fromConnect(sent.toConnect()))
-	if received.Error() != sent.Error() || received.Serial != 7 || received.Leader != sent.Leader || received.RetryAfterMs != 500 || received.Outcome != NotRun {
+	if received.Error() != sent.Error() || received.Serial != 7 || received.Leader != sent.Leader || received.RetryAfterMs != 500 ||
+		received.Outcome != NotRun {
 		test.Errorf("%+v arrives as %+v", sent, received)
 	}
 	if errors.Is(received, io.EOF) || !errors.Is(received, StaleBase) {
--- a/serviceproxy/admission.go
+++ b/serviceproxy/admission.go
@@ -148,10 +148,20 @@
 		admission.mutex.Unlock()
 	}
 	if full {
-		return &rpc.Error{Code: rpc.Overloaded, Message: "class " + class + " is above its floor and backends have no room to lend", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
+		return &rpc.Error{
+			Code:         rpc.Overloaded,
+			Message:      "class " + class + " is above its floor and backends have no room to lend",
+			RetryAfterMs: retryAfterMs,
+			Outcome:      rpc.NotRun,
+		}
 	}
 	if !allowed {
-		return &rpc.Error{Code: rpc.Overloaded, Message: "class " + class + " has its floor and all it may borrow", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
+		return &rpc.Error{
+			Code:         rpc.Overloaded,
+			Message:      "class " + class + " has its floor and all it may borrow",
+			RetryAfterMs: retryAfterMs,
+			Outcome:      rpc.NotRun,
+		}
 	}
 	return nil
 }
@@ -192,7 +202,11 @@
 	defer admission.mutex.Unlock()
 	if span := time.Since(admission.since); span >= demandSpan {
 		now := admission.tasks / span.Seconds()
-		if step := math.Pow(1.5, math.Round(math.Log(max(now, 1))/math.Log(1.5))); admission.demand == 0 || math.Abs(now-admission.demand) > 0.4*admission.demand {
+		if step := math.Pow(
+			1.5,
+			math.Round(math.Log(max(now, 1))/math.Log(1.5)),
+		); admission.demand == 0 ||
+			math.Abs(now-admission.demand) > 0.4*admission.demand {
 			admission.demand = step
 		}
 		admission.tasks, admission.since = 0, time.Now()
--- a/serviceproxy/claim_messages.go
+++ b/serviceproxy/claim_messages.go
@@ -20,25 +20,41 @@
 		}
 		return claims.grant(claim), nil
 	})
-	rpc.Handle(server, message.MethodCompleteClaim, func(_ context.Context, settle *message.CompleteClaimRequest) (*message.CompleteClaimResponse, error) {
-		claims.store.Complete(settle)
-		return &message.CompleteClaimResponse{}, nil
-	})
-	rpc.Handle(server, message.MethodQueryHolder, func(_ context.Context, holds *message.QueryHolderRequest) (*message.QueryHolderResponse, error) {
-		if holds.Holder != claims.holder() {
-			return nil, rpc.Errorf(rpc.WrongBackend, "%s is gone", holds.Holder)
-		}
-		return claims.onQueryHolder(holds), nil
-	})
-	rpc.Handle(server, message.MethodMergeClaims, func(_ context.Context, retell *message.MergeClaimsRequest) (*message.MergeClaimsResponse, error) {
-		claims.store.Merge(retell.Claims)
-		return &message.MergeClaimsResponse{}, nil
-	})
-	rpc.Handle(server, message.MethodFetchClaims, func(_ context.Context, pull *message.FetchClaimsRequest) (*message.FetchClaimsResponse, error) {
-		response := &message.FetchClaimsResponse{Joined: claims.Joined(), Complete: claims.Complete()}
-		response.Claims, response.Last, response.Done = claims.store.Page(pull.After, claimsPageSize)
-		return response, nil
-	})
+	rpc.Handle(
+		server,
+		message.MethodCompleteClaim,
+		func(_ context.Context, settle *message.CompleteClaimRequest) (*message.CompleteClaimResponse, error) {
+			claims.store.Complete(settle)
+			return &message.CompleteClaimResponse{}, nil
+		},
+	)
+	rpc.Handle(
+		server,
+		message.MethodQueryHolder,
+		func(_ context.Context, holds *message.QueryHolderRequest) (*message.QueryHolderResponse, error) {
+			if holds.Holder != claims.holder() {
+				return nil, rpc.Errorf(rpc.WrongBackend, "%s is gone", holds.Holder)
+			}
+			return claims.onQueryHolder(holds), nil
+		},
+	)
+	rpc.Handle(
+		server,
+		message.MethodMergeClaims,
+		func(_ context.Context, retell *message.MergeClaimsRequest) (*message.MergeClaimsResponse, error) {
+			claims.store.Merge(retell.Claims)
+			return &message.MergeClaimsResponse{}, nil
+		},
+	)
+	rpc.Handle(
+		server,
+		message.MethodFetchClaims,
+		func(_ context.Context, pull *message.FetchClaimsRequest) (*message.FetchClaimsResponse, error) {
+			response := &message.FetchClaimsResponse{Joined: claims.Joined(), Complete: claims.Complete()}
+			response.Claims, response.Last, response.Done = claims.store.Page(pull.After, claimsPageSize)
+			return response, nil
+		},
+	)
 }
 
 // grant is this proxy's own answer as a replica.
@@ -66,7 +82,13 @@
 		if holderName(known) != claimed.Holder {
 			continue
 		}
-		response, err := rpc.Call[message.QueryHolderRequest, message.QueryHolderResponse](claims.proxy.daemon.Client(), known.InternalAddress, message.MethodQueryHolder, claimTimeout, &message.QueryHolderRequest{Holder: claimed.Holder, Key: claimed.Key, ID: claimed.ID})
+		response, err := rpc.Call[message.QueryHolderRequest, message.QueryHolderResponse](
+			claims.proxy.daemon.Client(),
+			known.InternalAddress,
+			message.MethodQueryHolder,
+			claimTimeout,
+			&message.QueryHolderRequest{Holder: claimed.Holder, Key: claimed.Key, ID: claimed.ID},
+		)
 		if err != nil {
 			return nil, false
 		}
@@ -83,7 +105,13 @@
 			continue
 		}
 		claims.proxy.goroutines.Start(func() {
-			if _, err := rpc.Call[message.CompleteClaimRequest, message.CompleteClaimResponse](claims.proxy.daemon.Client(), keeper.InternalAddress, message.MethodCompleteClaim, completeTimeout, settle); err != nil {
+			if _, err := rpc.Call[message.CompleteClaimRequest, message.CompleteClaimResponse](
+				claims.proxy.daemon.Client(),
+				keeper.InternalAddress,
+				message.MethodCompleteClaim,
+				completeTimeout,
+				settle,
+			); err != nil {
 				claims.proxy.counters.Add("claims_not_settled", 1)
 			}
 		})
--- a/serviceproxy/claim_poll.go
+++ b/serviceproxy/claim_poll.go
@@ -50,7 +50,8 @@
 // refused is what somebody holds of the key; what is settled tells most.
 func (poll *poll) refused() (refusal *message.ClaimRecord) {
 	for _, answer := range poll.got {
-		if response := answer.told(); !response.Granted && response.Existing.ID != "" && (refusal == nil || refusal.Stage == message.ClaimRunning) {
+		if response := answer.told(); !response.Granted && response.Existing.ID != "" &&
+			(refusal == nil || refusal.Stage == message.ClaimRunning) {
 			refusal = &response.Existing
 		}
 	}
@@ -120,13 +121,23 @@
 	round := &poll{membership: membership, replicaSets: rings, members: members}
 	round.got, _ = concurrent.Gather(claims.proxy.goroutines, len(members)+len(cores), func(index int) (claimVote, error) {
 		if index >= len(members) {
-			response, err := claims.coreStore.ask(cores[index-len(members)], &message.RecordClaimsRequest{Membership: membership.accepted, Claims: []message.ClaimRequest{*claim}}, coreStoreLimit)
+			response, err := claims.coreStore.ask(
+				cores[index-len(members)],
+				&message.RecordClaimsRequest{Membership: membership.accepted, Claims: []message.ClaimRequest{*claim}},
+				coreStoreLimit,
+			)
 			return claimVote{core: response}, err
 		}
 		if members[index].Name == claims.proxy.daemon.Name() {
 			return claimVote{replica: claims.grant(claim)}, nil
 		}
-		response, err := rpc.Call[message.ClaimRequest, message.ClaimResponse](claims.proxy.daemon.Client(), members[index].InternalAddress, message.MethodClaim, claimTimeout, claim)
+		response, err := rpc.Call[message.ClaimRequest, message.ClaimResponse](
+			claims.proxy.daemon.Client(),
+			members[index].InternalAddress,
+			message.MethodClaim,
+			claimTimeout,
+			claim,
+		)
 		return claimVote{replica: response}, err
 	}, func(got map[int]claimVote, _ map[int]error) bool {
 		now := *round
--- a/serviceproxy/claims.go
+++ b/serviceproxy/claims.go
@@ -40,7 +40,13 @@
 }
 
 func newClaims(proxy *Proxy) *Claims {
-	return &Claims{proxy: proxy, store: idempotency.NewStore(), coreStore: newCoreStore(proxy), recentReplicas: []replicaSet{{replicas: &KeyReplicas{}}}, running: map[message.ClaimKey]string{}}
+	return &Claims{
+		proxy:          proxy,
+		store:          idempotency.NewStore(),
+		coreStore:      newCoreStore(proxy),
+		recentReplicas: []replicaSet{{replicas: &KeyReplicas{}}},
+		running:        map[message.ClaimKey]string{},
+	}
 }
 
 // Complete reports whether this proxy holds every key that it should, so that its
@@ -135,7 +141,12 @@
 		if refusal == nil {
 			claims.release(ring, claimed)
 			claims.proxy.counters.Add("claims_short", 1)
-			return nil, &rpc.Error{Code: rpc.OutcomeUnknown, Message: "too few keepers of money keys answer; send the same key again", RetryAfterMs: retryAfterMs, Outcome: rpc.MayHaveRun}
+			return nil, &rpc.Error{
+				Code:         rpc.OutcomeUnknown,
+				Message:      "too few keepers of money keys answer; send the same key again",
+				RetryAfterMs: retryAfterMs,
+				Outcome:      rpc.MayHaveRun,
+			}
 		}
 		if refusal.Digest != claimed.Digest {
 			claims.release(ring, claimed)
@@ -167,7 +178,12 @@
 }
 
 func keyBusy() error {
-	return &rpc.Error{Code: rpc.KeyInFlight, Message: "another send of this key runs; ask again for its outcome", RetryAfterMs: retryAfterMs, Outcome: rpc.MayHaveRun}
+	return &rpc.Error{
+		Code:         rpc.KeyInFlight,
+		Message:      "another send of this key runs; ask again for its outcome",
+		RetryAfterMs: retryAfterMs,
+		Outcome:      rpc.MayHaveRun,
+	}
 }
 
 func holderName(member message.Member) string { return member.Name + "/" + member.Incarnation }
--- a/serviceproxy/core_membership_test.go
+++ b/serviceproxy/core_membership_test.go
@@ -13,7 +13,9 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	membership := decodeCoreMembership(message.AcceptedValue{Term: message.Term{Number: round, Core: 1}, Value: message.Value{Serial: serial, Body: body}})
+	membership := decodeCoreMembership(
+		message.AcceptedValue{Term: message.Term{Number: round, Core: 1}, Value: message.Value{Serial: serial, Body: body}},
+	)
 	if membership.voters == nil {
 		test.Fatal("not read")
 	}
--- a/serviceproxy/core_store.go
+++ b/serviceproxy/core_store.go
@@ -85,8 +85,18 @@
 	store.mutex.Unlock()
 }
 
-func (store *coreStore) ask(address string, request *message.RecordClaimsRequest, limit time.Duration) (*message.RecordClaimsResponse, error) {
-	return rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](store.proxy.daemon.Client(), address, message.MethodRecordClaims, limit, request)
+func (store *coreStore) ask(
+	address string,
+	request *message.RecordClaimsRequest,
+	limit time.Duration,
+) (*message.RecordClaimsResponse, error) {
+	return rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](
+		store.proxy.daemon.Client(),
+		address,
+		message.MethodRecordClaims,
+		limit,
+		request,
+	)
 }
 
 // enqueue queues an update for deliver; if the queue is full the update is lost and
@@ -183,10 +193,21 @@
 
 // fetchAllClaims passes every page of claims of a proxy or core to take. It returns the last
 // page, with the membership under which the first one was told.
-func fetchAllClaims(client *rpc.Client, address string, members message.AcceptedValue, take func([]message.ClaimRecord)) (*message.FetchClaimsResponse, error) {
+func fetchAllClaims(
+	client *rpc.Client,
+	address string,
+	members message.AcceptedValue,
+	take func([]message.ClaimRecord),
+) (*message.FetchClaimsResponse, error) {
 	var first *message.FetchClaimsResponse
 	for after, whole := uint64(0), true; ; {
-		response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](client, address, message.MethodFetchClaims, fetchClaimsTimeout, &message.FetchClaimsRequest{After: after, Membership: members})
+		response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](
+			client,
+			address,
+			message.MethodFetchClaims,
+			fetchClaimsTimeout,
+			&message.FetchClaimsRequest{After: after, Membership: members},
+		)
 		if err != nil {
 			return nil, err
 		}
--- a/serviceproxy/identity.go
+++ b/serviceproxy/identity.go
@@ -60,7 +60,15 @@
 // belongs is nil when the identity is that of the listed backend.
 func (identity *Identity) belongs(backend message.Backend) error {
 	if identity.Service != backend.Service || identity.Instance != backend.Name {
-		return rpc.Errorf(rpc.WrongBackend, "%s is %s of %s, listed as %s of %s", backend.Address, identity.Instance, identity.Service, backend.Name, backend.Service)
+		return rpc.Errorf(
+			rpc.WrongBackend,
+			"%s is %s of %s, listed as %s of %s",
+			backend.Address,
+			identity.Instance,
+			identity.Service,
+			backend.Name,
+			backend.Service,
+		)
 	}
 	return nil
 }
--- a/serviceproxy/proxy.go
+++ b/serviceproxy/proxy.go
@@ -50,8 +50,16 @@
 // registers its usage, demand and readiness with the daemon.
 func NewProxy(daemon *agent.Daemon, goroutines *concurrent.Group, counters *metrics.Counters, dial Dialer) *Proxy {
 	proxy := &Proxy{
-		daemon: daemon, goroutines: goroutines, counters: counters, dial: dial, budget: newRetryBudget(), usage: metrics.NewCounters(), admission: NewAdmission(), retries: newRetryDetector(),
-		targets: map[string]*Target{}, prefix: agent.NewID()[:10],
+		daemon:     daemon,
+		goroutines: goroutines,
+		counters:   counters,
+		dial:       dial,
+		budget:     newRetryBudget(),
+		usage:      metrics.NewCounters(),
+		admission:  NewAdmission(),
+		retries:    newRetryDetector(),
+		targets:    map[string]*Target{},
+		prefix:     agent.NewID()[:10],
 	}
 	proxy.claims = newClaims(proxy)
 	daemon.SetKeepsClaims(proxy.claims.Joined)
@@ -233,7 +241,8 @@
 	choices := []choice{}
 	for _, target := range plan.services[route.Service] {
 		zone := target.backend().Zone
-		if tried[target] || plan.routes.drained[zone] || plan.routes.gone[target.backend().Name] || !plan.routes.allowed(zone, tenant, route) {
+		if tried[target] || plan.routes.drained[zone] || plan.routes.gone[target.backend().Name] ||
+			!plan.routes.allowed(zone, tenant, route) {
 			continue
 		}
 		if usable, usage := target.usable(); usable {
--- a/serviceproxy/receipt.go
+++ b/serviceproxy/receipt.go
@@ -22,7 +22,17 @@
 	length int64
 }
 
-var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
+var hopHeaders = []string{
+	"Connection",
+	"Keep-Alive",
+	"Proxy-Authenticate",
+	"Proxy-Authorization",
+	"Proxy-Connection",
+	"Te",
+	"Trailer",
+	"Transfer-Encoding",
+	"Upgrade",
+}
 
 var ownHeaders = []string{"Oj-Usage", "Oj-Serial", "Oj-Leaving", "Oj-Cold", "Oj-Incarnation"}
 
--- a/serviceproxy/route_table.go
+++ b/serviceproxy/route_table.go
@@ -26,7 +26,13 @@
 	if before != nil && service.Digest != "" && before.digest == service.Digest && reflect.DeepEqual(before.inherited, inherited) {
 		return before
 	}
-	table := &routeTable{digest: service.Digest, inherited: inherited, routes: service.Flatten(inherited), exact: make(map[routeKey]int, len(service.Routes)), paths: make(map[string]bool, len(service.Routes))}
+	table := &routeTable{
+		digest:    service.Digest,
+		inherited: inherited,
+		routes:    service.Flatten(inherited),
+		exact:     make(map[routeKey]int, len(service.Routes)),
+		paths:     make(map[string]bool, len(service.Routes)),
+	}
 	for index := range table.routes {
 		route := &table.routes[index]
 		if strings.HasSuffix(route.Path, "*") {
--- a/serviceproxy/routes.go
+++ b/serviceproxy/routes.go
@@ -32,7 +32,15 @@
 
 // NewRoutes builds the routes of a version; before may be nil.
 func NewRoutes(serial uint64, settings *config.Settings, before *Routes) *Routes {
-	routes := &Routes{Serial: serial, settings: settings, byKey: map[string]int{}, tables: map[string][]*routeTable{}, drained: map[string]bool{}, gone: map[string]bool{}, regions: map[string]string{}}
+	routes := &Routes{
+		Serial:   serial,
+		settings: settings,
+		byKey:    map[string]int{},
+		tables:   map[string][]*routeTable{},
+		drained:  map[string]bool{},
+		gone:     map[string]bool{},
+		regions:  map[string]string{},
+	}
 	for name, tenant := range settings.Tenants {
 		index := len(routes.tenants)
 		routes.tenants = append(routes.tenants, tenantEntry{name: name, forbids: tenant.ForbidRegions, share: tenant.Share})
@@ -42,7 +50,10 @@
 	}
 	for className, class := range settings.Classes {
 		for name, service := range class.Services {
-			routes.tables[name] = append(routes.tables[name], newRouteTable(service, settings.Inherited(className, name), before.tableOf(className, name)))
+			routes.tables[name] = append(
+				routes.tables[name],
+				newRouteTable(service, settings.Inherited(className, name), before.tableOf(className, name)),
+			)
 		}
 	}
 	for _, zone := range settings.Drained.Zones {
--- a/serviceproxy/state_machine_test.go
+++ b/serviceproxy/state_machine_test.go
@@ -23,7 +23,8 @@
 		if !reached[state] {
 			test.Errorf("%s is never reached", state)
 		}
-		if _, goes := transitions[state]; !goes && state != Answered && state != Replayed && state != Refused && state != Unknown && state != Aborted {
+		if _, goes := transitions[state]; !goes && state != Answered && state != Replayed && state != Refused && state != Unknown &&
+			state != Aborted {
 			test.Errorf("%s has no way on", state)
 		}
 	}
--- a/serviceproxy/target.go
+++ b/serviceproxy/target.go
@@ -147,7 +147,8 @@
 func (target *Target) admit() bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	if target.identity.WarmingUp && target.identity.WarmupRate > 0 && (target.shares == 0 || time.Since(target.chosen) < warmupSettle || !target.warmupLimiter.Allow()) {
+	if target.identity.WarmingUp && target.identity.WarmupRate > 0 &&
+		(target.shares == 0 || time.Since(target.chosen) < warmupSettle || !target.warmupLimiter.Allow()) {
 		return false
 	}
 	target.inFlight++
@@ -231,8 +232,14 @@
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	return message.Probe{
-		Backend: target.backend().Name, Incarnation: target.identity.Incarnation, Healthy: target.healthy(), Leaving: target.identity.Leaving,
-		WarmingUp: target.identity.WarmingUp, WarmupRate: target.identity.WarmupRate, Utilization: target.identity.Utilization, Serial: target.identity.Serial,
+		Backend:     target.backend().Name,
+		Incarnation: target.identity.Incarnation,
+		Healthy:     target.healthy(),
+		Leaving:     target.identity.Leaving,
+		WarmingUp:   target.identity.WarmingUp,
+		WarmupRate:  target.identity.WarmupRate,
+		Utilization: target.identity.Utilization,
+		Serial:      target.identity.Serial,
 	}
 }
 
--- a/serviceproxy/task.go
+++ b/serviceproxy/task.go
@@ -95,7 +95,13 @@
 		}
 	}
 	origin, _, _ := net.SplitHostPort(task.request.RemoteAddr)
-	task.fingerprint = fingerprintOf(origin+" "+task.plan.routes.TenantName(task.tenant), task.request.Header.Get(keyHeader), task.request.Method, task.request.URL.RequestURI(), task.body)
+	task.fingerprint = fingerprintOf(
+		origin+" "+task.plan.routes.TenantName(task.tenant),
+		task.request.Header.Get(keyHeader),
+		task.request.Method,
+		task.request.URL.RequestURI(),
+		task.body,
+	)
 	if !task.route.KeyRequired {
 		return task.send()
 	}
--- a/serviceproxy/task_admission.go
+++ b/serviceproxy/task_admission.go
@@ -26,10 +26,20 @@
 // one that might not end before this process stops.
 func (task *task) checkLeaving() error {
 	if task.isDrained() {
-		return &rpc.Error{Code: rpc.ZoneDrained, Message: "this zone is emptied; ask a directory where to go", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
+		return &rpc.Error{
+			Code:         rpc.ZoneDrained,
+			Message:      "this zone is emptied; ask a directory where to go",
+			RetryAfterMs: retryAfterMs,
+			Outcome:      rpc.NotRun,
+		}
 	}
 	if rest, leaving := task.proxy.daemon.StopsIn(); leaving && time.Until(task.deadline) > rest-stopMargin {
-		return &rpc.Error{Code: rpc.Stopping, Message: "this front stops; ask a directory where to go", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
+		return &rpc.Error{
+			Code:         rpc.Stopping,
+			Message:      "this front stops; ask a directory where to go",
+			RetryAfterMs: retryAfterMs,
+			Outcome:      rpc.NotRun,
+		}
 	}
 	return nil
 }
@@ -38,7 +48,12 @@
 // was used before is not known here, so that its outcome is unknown.
 func (task *task) redirect(code rpc.Code, cause string) error {
 	if task.request.Header.Get(keyHeader) != "" {
-		return &rpc.Error{Code: rpc.OutcomeUnknown, Message: cause + "; send the key again there", RetryAfterMs: retryAfterMs, Outcome: rpc.MayHaveRun}
+		return &rpc.Error{
+			Code:         rpc.OutcomeUnknown,
+			Message:      cause + "; send the key again there",
+			RetryAfterMs: retryAfterMs,
+			Outcome:      rpc.MayHaveRun,
+		}
 	}
 	return &rpc.Error{Code: code, Message: cause, RetryAfterMs: retryAfterMs}
 }
--- a/serviceproxy/task_once.go
+++ b/serviceproxy/task_once.go
@@ -42,7 +42,12 @@
 	if held.Stage != message.ClaimCompleted || held.Status == 0 {
 		return &rpc.Error{Code: rpc.OutcomeUnknown, Message: "this key was sent before and its answer is not here", Outcome: rpc.MayHaveRun}
 	}
-	task.response, task.replayed = &Response{status: held.Status, header: http.Header{}, body: held.Body, length: int64(len(held.Body))}, true
+	task.response, task.replayed = &Response{
+		status: held.Status,
+		header: http.Header{},
+		body:   held.Body,
+		length: int64(len(held.Body)),
+	}, true
 	for name, value := range held.Header {
 		task.response.header.Set(name, value)
 	}
--- a/serviceproxy/task_send.go
+++ b/serviceproxy/task_send.go
@@ -27,7 +27,12 @@
 	}
 	if task.proxy.retries.isRetry(task.fingerprint) && !task.proxy.budget.allow() {
 		task.proxy.counters.Add("quick_retries_refused", 1)
-		return &rpc.Error{Code: rpc.Overloaded, Message: "this task just failed here and the budget for retries is used up", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
+		return &rpc.Error{
+			Code:         rpc.Overloaded,
+			Message:      "this task just failed here and the budget for retries is used up",
+			RetryAfterMs: retryAfterMs,
+			Outcome:      rpc.NotRun,
+		}
 	}
 	return task.sendUntilAnswered()
 }
--- a/slo/objectives_test.go
+++ b/slo/objectives_test.go
@@ -15,7 +15,16 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	reports := Evaluate(documents, map[string]uint64{"tasks_answered": 980, "tasks_replayed": 10, "tasks_refused": 10, "operator_changes": 5, "operator_refused_not_started": 1})
+	reports := Evaluate(
+		documents,
+		map[string]uint64{
+			"tasks_answered":               980,
+			"tasks_replayed":               10,
+			"tasks_refused":                10,
+			"operator_changes":             5,
+			"operator_refused_not_started": 1,
+		},
+	)
 	if reports[0].Good != 990 || reports[0].Total != 1000 || reports[0].Met {
 		test.Errorf("%+v", reports[0])
 	}
--- a/usage/sums.go
+++ b/usage/sums.go
@@ -84,7 +84,12 @@
 
 // NewSums returns Sums without counts.
 func NewSums() *Sums {
-	return &Sums{startedAt: time.Now(), counts: map[string]map[string]uint64{}, toldAt: map[string]time.Time{}, delivered: map[string]bool{}}
+	return &Sums{
+		startedAt: time.Now(),
+		counts:    map[string]map[string]uint64{},
+		toldAt:    map[string]time.Time{},
+		delivered: map[string]bool{},
+	}
 }
 
 // Add takes the counts by tenant that a process has reported; they never fall.
--- a/usage/sums_test.go
+++ b/usage/sums_test.go
@@ -50,7 +50,10 @@
 			if ends {
 				since = 0
 			}
-			state = sums.Next(state, Sealing{Partner: tree.Partner, Tenants: tree.TenantNames(), WallMs: now, SinceMs: passed, EndsPeriod: ends})
+			state = sums.Next(
+				state,
+				Sealing{Partner: tree.Partner, Tenants: tree.TenantNames(), WallMs: now, SinceMs: passed, EndsPeriod: ends},
+			)
 			if state.Period == before {
 				continue
 			}
