--- a/agent/connectivity.go
+++ b/agent/connectivity.go
@@ -141,13 +141,7 @@
 // askLeaders asks daemons for the leader and returns the responses by position.
 func (daemon *Daemon) askLeaders(members []message.Member) map[int]*message.LeaderResponse {
 	responses, _ := concurrent.Gather(daemon.goroutines, len(members), func(index int) (*message.LeaderResponse, error) {
-		return rpc.Call[message.LeaderRequest, message.LeaderResponse](
-			daemon.client,
-			members[index].InternalAddress,
-			message.MethodLeader,
-			peerTimeout,
-			&message.LeaderRequest{},
-		)
+		return rpc.Call(daemon.client, members[index].InternalAddress, message.MethodLeader, peerTimeout, &message.LeaderRequest{})
 	}, func(map[int]*message.LeaderResponse, map[int]error) bool { return false })
 	return responses
 }
--- a/agent/daemon.go
+++ b/agent/daemon.go
@@ -193,6 +193,6 @@
 	rpc.Handle(server, message.MethodFetchChunks, daemon.onFetchChunks)
 	rpc.Handle(server, message.MethodLeader, daemon.onLeader)
 	rpc.Handle(server, message.MethodChange, func(_ context.Context, request *message.ChangeRequest) (*message.ChangeResponse, error) {
-		return Forward[message.ChangeRequest, message.ChangeResponse](daemon.Forwarder, message.MethodChange, request)
+		return Forward(daemon.Forwarder, message.MethodChange, request)
 	})
 }
--- a/agent/evacuate.go
+++ b/agent/evacuate.go
@@ -15,12 +15,12 @@
 	ctx, cancel := context.WithDeadline(ctx, forwarder.deadline(ctx))
 	defer cancel()
 	query := &message.EvacuateRequest{Zone: zone, Begin: begin, QueryOnly: true}
-	current, err := ForwardContext[message.EvacuateRequest, message.EvacuateResponse](ctx, forwarder, message.MethodEvacuate, query)
+	current, err := ForwardContext(ctx, forwarder, message.MethodEvacuate, query)
 	if err != nil {
 		return nil, queryError(err)
 	}
 	order := &message.EvacuateRequest{Zone: zone, Begin: begin, ExpectedChanges: current.Changes}
-	response, err := ForwardContext[message.EvacuateRequest, message.EvacuateResponse](ctx, forwarder, message.MethodEvacuate, order)
+	response, err := ForwardContext(ctx, forwarder, message.MethodEvacuate, order)
 	if err != nil && rpc.CodeOf(err) == rpc.ZoneChanged {
 		raced := *rpc.AsError(err)
 		raced.RetryAfterMs = retryAfterMs
--- a/agent/forwarder.go
+++ b/agent/forwarder.go
@@ -110,14 +110,23 @@
 }
 
 // Forward sends one request to the leader, whoever that becomes within the time-out.
-func Forward[Request, Response any](forwarder *Forwarder, name string, request *Request) (*Response, error) {
-	return ForwardContext[Request, Response](context.Background(), forwarder, name, request)
+func Forward[Request, Response any](
+	forwarder *Forwarder,
+	method rpc.Method[Request, Response],
+	request *Request,
+) (*Response, error) {
+	return ForwardContext(context.Background(), forwarder, method, request)
 }
 
 // ForwardContext is a Forward that also ends when ctx does. It returns what the leader
 // answered, QueueFull or NotStarted if no leader got the request, and OutcomeUnknown if
 // one may have got it.
-func ForwardContext[Request, Response any](ctx context.Context, forwarder *Forwarder, name string, request *Request) (*Response, error) {
+func ForwardContext[Request, Response any](
+	ctx context.Context,
+	forwarder *Forwarder,
+	method rpc.Method[Request, Response],
+	request *Request,
+) (*Response, error) {
 	call := &forwardedCall{forwarder: forwarder, deadline: forwarder.deadline(ctx)}
 	defer call.end()
 	forwarder.syncLeader()
@@ -131,7 +140,7 @@
 			break
 		}
 		timeout := min(rest, forwarder.attemptTimeout)
-		response, err := rpc.CallContext[Request, Response](ctx, forwarder.client, leader.Address, name, timeout, request)
+		response, err := rpc.CallContext(ctx, forwarder.client, leader.Address, method, timeout, request)
 		if err == nil {
 			call.succeeded()
 			return response, nil
--- a/agent/forwarder_test.go
+++ b/agent/forwarder_test.go
@@ -65,11 +65,7 @@
 	transport.gaveUp = func() { finder.Observe(leaderOf(2, "10.0.0.2:1")) }
 	finder.Observe(leaderOf(1, frozen))
 	begin := time.Now()
-	if _, err := Forward[message.EvacuateRequest, message.EvacuateResponse](
-		forwarder,
-		message.MethodEvacuate,
-		&message.EvacuateRequest{Zone: "osu", Begin: true},
-	); err == nil ||
+	if _, err := Forward(forwarder, message.MethodEvacuate, &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil ||
 		rpc.CodeOf(err) != rpc.OutcomeUnknown {
 		test.Fatalf("answered %v", err)
 	}
@@ -85,11 +81,7 @@
 	forwarder, finder := holdAt(test, transport, ForwardLimits{Response: 2 * time.Second, Attempt: 1500 * time.Millisecond})
 	forwarder.SetLocalLeader(func() message.Leader { return leaderOf(2, transport.answering) })
 	finder.Observe(leaderOf(1, frozen))
-	response, err := Forward[message.EvacuateRequest, message.EvacuateResponse](
-		forwarder,
-		message.MethodEvacuate,
-		&message.EvacuateRequest{Zone: "osu", Begin: true},
-	)
+	response, err := Forward(forwarder, message.MethodEvacuate, &message.EvacuateRequest{Zone: "osu", Begin: true})
 	if err != nil || response.Serial != 7 {
 		test.Fatalf("told %v, %v", response, err)
 	}
@@ -105,11 +97,7 @@
 	forwarder, finder := holdAt(test, transport, ForwardLimits{Response: 200 * time.Millisecond, Attempt: 150 * time.Millisecond})
 	forwarder.SetLocalLeader(func() message.Leader { return message.Leader{} })
 	finder.Observe(leaderOf(1, frozen))
-	if _, err := Forward[message.EvacuateRequest, message.EvacuateResponse](
-		forwarder,
-		message.MethodEvacuate,
-		&message.EvacuateRequest{Zone: "osu", Begin: true},
-	); err == nil ||
+	if _, err := Forward(forwarder, message.MethodEvacuate, &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil ||
 		rpc.CodeOf(err) != rpc.NotStarted {
 		test.Fatalf("answered %v", err)
 	}
--- a/agent/leader_finder.go
+++ b/agent/leader_finder.go
@@ -171,13 +171,7 @@
 }
 
 func (finder *LeaderFinder) ask(core string) error {
-	response, err := rpc.Call[message.LeaderRequest, message.LeaderResponse](
-		finder.client,
-		core,
-		message.MethodLeader,
-		finder.intervals.findTimeout(),
-		&message.LeaderRequest{},
-	)
+	response, err := rpc.Call(finder.client, core, message.MethodLeader, finder.intervals.findTimeout(), &message.LeaderRequest{})
 	if err != nil {
 		return err
 	}
--- a/agent/operator_api.go
+++ b/agent/operator_api.go
@@ -100,11 +100,7 @@
 	document := settingsDocument{Confirmed: true}
 	var body []byte
 	serial, held := api.localSettings()
-	response, err := Forward[message.ReadRequest, message.ReadResponse](
-		api.forwarder,
-		message.MethodRead,
-		&message.ReadRequest{HeldSerial: serial},
-	)
+	response, err := Forward(api.forwarder, message.MethodRead, &message.ReadRequest{HeldSerial: serial})
 	switch {
 	case err != nil:
 		api.counters.Add("reads_unconfirmed", 1)
@@ -173,7 +169,7 @@
 		Body:     document.Settings,
 		Operator: document.Operator,
 	}
-	response, err := Forward[message.ChangeRequest, message.ChangeResponse](api.forwarder, message.MethodChange, change)
+	response, err := Forward(api.forwarder, message.MethodChange, change)
 	if err != nil {
 		api.counters.Add("operator_refused_"+string(rpc.CodeOf(err)), 1)
 		refusal := rpc.AsError(err)
@@ -198,11 +194,7 @@
 }
 
 func (api *OperatorAPI) history(writer http.ResponseWriter, _ *http.Request) {
-	response, err := Forward[message.ReadRequest, message.ReadResponse](
-		api.forwarder,
-		message.MethodRead,
-		&message.ReadRequest{History: true},
-	)
+	response, err := Forward(api.forwarder, message.MethodRead, &message.ReadRequest{History: true})
 	if err != nil {
 		WriteError(writer, err)
 		return
@@ -214,7 +206,7 @@
 }
 
 func (api *OperatorAPI) status(writer http.ResponseWriter, _ *http.Request) {
-	response, err := Forward[message.StatusRequest, message.StatusResponse](api.forwarder, message.MethodStatus, &message.StatusRequest{})
+	response, err := Forward(api.forwarder, message.MethodStatus, &message.StatusRequest{})
 	if err != nil {
 		WriteError(writer, err)
 		return
@@ -224,7 +216,7 @@
 
 // cores tells who votes, who is about to and who waits.
 func (api *OperatorAPI) cores(writer http.ResponseWriter, _ *http.Request) {
-	response, err := Forward[message.StatusRequest, message.StatusResponse](api.forwarder, message.MethodStatus, &message.StatusRequest{})
+	response, err := Forward(api.forwarder, message.MethodStatus, &message.StatusRequest{})
 	if err != nil {
 		WriteError(writer, err)
 		return
@@ -244,11 +236,7 @@
 		WriteError(writer, rpc.Errorf(rpc.BadRequest, "%q is no core's ID: want 1 to %d", request.PathValue("id"), message.MaxPeerID))
 		return
 	}
-	response, err := Forward[message.RemoveVoterRequest, message.RemoveVoterResponse](
-		api.forwarder,
-		message.MethodRemoveVoter,
-		&message.RemoveVoterRequest{Core: id},
-	)
+	response, err := Forward(api.forwarder, message.MethodRemoveVoter, &message.RemoveVoterRequest{Core: id})
 	if err != nil {
 		WriteError(writer, err)
 		return
--- a/agent/readiness.go
+++ b/agent/readiness.go
@@ -100,7 +100,7 @@
 
 // confirmedBy asks a leader once and reports whether what it proved is in force here.
 func (daemon *Daemon) confirmedBy(leader message.Leader) bool {
-	response, err := rpc.Call[message.ReadIndexRequest, message.ReadIndexResponse](
+	response, err := rpc.Call(
 		daemon.client,
 		leader.Address,
 		message.MethodReadIndex,
--- a/agent/session.go
+++ b/agent/session.go
@@ -52,13 +52,7 @@
 	begin := time.Now()
 	core := daemon.sessionCore()
 	session := daemon.newSession(core)
-	response, err := rpc.Call[message.Session, message.SessionResponse](
-		daemon.client,
-		core,
-		message.MethodSession,
-		daemon.intervals.callTimeout(),
-		session,
-	)
+	response, err := rpc.Call(daemon.client, core, message.MethodSession, daemon.intervals.callTimeout(), session)
 	roundTrip := time.Since(begin)
 	if err != nil {
 		daemon.sessionFailed(core)
@@ -138,13 +132,7 @@
 		return
 	}
 	request := &message.UsageCountRequest{Incarnation: daemon.incarnation, Usage: usage}
-	_, err := rpc.Call[message.UsageCountRequest, message.UsageCountResponse](
-		daemon.client,
-		leader.Address,
-		message.MethodUsageCount,
-		daemon.intervals.callTimeout(),
-		request,
-	)
+	_, err := rpc.Call(daemon.client, leader.Address, message.MethodUsageCount, daemon.intervals.callTimeout(), request)
 	if err == nil {
 		daemon.countedUsage = usage
 	}
--- a/agent/updates.go
+++ b/agent/updates.go
@@ -27,14 +27,7 @@
 		Routing: version.RoutingSerial,
 		SpanMs:  int(interval.Milliseconds()),
 	}
-	return rpc.CallContext[message.WatchRequest, message.WatchResponse](
-		ctx,
-		daemon.client,
-		address,
-		message.MethodWatch,
-		interval+daemon.intervals.callTimeout(),
-		request,
-	)
+	return rpc.CallContext(ctx, daemon.client, address, message.MethodWatch, interval+daemon.intervals.callTimeout(), request)
 }
 
 // fetch puts in force what a process has that is newer: first it asks for the references
@@ -44,14 +37,7 @@
 	for range fetchAttempts {
 		version := daemon.Version()
 		request := &message.FetchRequest{Serial: version.Serial, Table: version.Table.Version, Routing: version.RoutingSerial}
-		response, err := rpc.CallContext[message.FetchRequest, message.FetchResponse](
-			ctx,
-			daemon.client,
-			address,
-			message.MethodFetch,
-			daemon.intervals.fetchTimeout(),
-			request,
-		)
+		response, err := rpc.CallContext(ctx, daemon.client, address, message.MethodFetch, daemon.intervals.fetchTimeout(), request)
 		if err != nil {
 			return false
 		}
--- a/control/claims.go
+++ b/control/claims.go
@@ -162,13 +162,7 @@
 	membership := view.Accepted()
 	for after := uint64(0); ; {
 		request := &message.FetchClaimsRequest{After: after, Membership: membership}
-		response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](
-			core.client,
-			peer.Address,
-			message.MethodFetchClaims,
-			fetchClaimsTimeout,
-			request,
-		)
+		response, err := rpc.Call(core.client, peer.Address, message.MethodFetchClaims, fetchClaimsTimeout, request)
 		if err != nil {
 			return fetchResult{}, err
 		}
--- a/control/election.go
+++ b/control/election.go
@@ -145,13 +145,7 @@
 	own := consensus.Candidate{ID: view.ID, Versions: core.replica.State().Versions()}
 	request := &message.PreVoteRequest{Core: view.ID, Versions: own.Versions, Membership: view.Version}
 	responses := callPeers(core, view, func(peer message.Peer) (*message.PreVoteResponse, error) {
-		return rpc.Call[message.PreVoteRequest, message.PreVoteResponse](
-			core.client,
-			peer.Address,
-			message.MethodPreVote,
-			core.callTimeout()/2,
-			request,
-		)
+		return rpc.Call(core.client, peer.Address, message.MethodPreVote, core.callTimeout()/2, request)
 	}, func(*message.PreVoteResponse) bool { return true }, waitForAll)
 	own.Reachable = 1 + len(responses)
 	leaderAlive := false
--- a/control/heartbeat.go
+++ b/control/heartbeat.go
@@ -99,13 +99,7 @@
 // heartbeatTo sends a heartbeat to one core and uses what the response says.
 func (leadership *Leadership) heartbeatTo(peer message.Peer, request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
 	core, begin := leadership.core, time.Now()
-	response, err := rpc.Call[message.HeartbeatRequest, message.HeartbeatResponse](
-		core.client,
-		peer.Address,
-		message.MethodHeartbeat,
-		core.callTimeout(),
-		core.withTime(peer, request),
-	)
+	response, err := rpc.Call(core.client, peer.Address, message.MethodHeartbeat, core.callTimeout(), core.withTime(peer, request))
 	if err != nil {
 		return nil, err
 	}
--- a/control/join.go
+++ b/control/join.go
@@ -104,13 +104,7 @@
 	seeds := core.otherSeeds()
 	request := &message.JoinRequest{Address: core.config.InternalAddress, SinceBootstrap: core.sinceBootstrap()}
 	responses, _ := concurrent.Gather(core.goroutines, len(seeds), func(index int) (*message.JoinResponse, error) {
-		return rpc.Call[message.JoinRequest, message.JoinResponse](
-			core.client,
-			seeds[index],
-			message.MethodJoin,
-			core.callTimeout(),
-			request,
-		)
+		return rpc.Call(core.client, seeds[index], message.MethodJoin, core.callTimeout(), request)
 	}, func(responses map[int]*message.JoinResponse, _ map[int]error) bool {
 		_, found := anyMembership(responses)
 		return found
--- a/control/lameduck.go
+++ b/control/lameduck.go
@@ -55,13 +55,7 @@
 	defer leadership.writeLock.Unlock()
 	klog.Infof("core %d: lameduck, transfers leadership to core %d", core.membership().ID, successor.ID)
 	request := leadership.transferRequest()
-	response, err := rpc.Call[message.TransferLeadershipRequest, message.TransferLeadershipResponse](
-		core.client,
-		successor.Address,
-		message.MethodTransferLeadership,
-		core.callTimeout(),
-		request,
-	)
+	response, err := rpc.Call(core.client, successor.Address, message.MethodTransferLeadership, core.callTimeout(), request)
 	if err != nil || !response.Accepted {
 		core.counters.Add("handovers_refused", 1)
 		return false
--- a/control/learner.go
+++ b/control/learner.go
@@ -51,13 +51,7 @@
 		SinceBootstrap: core.sinceBootstrap(),
 		Known:          core.membership().Version,
 	}
-	response, err := rpc.Call[message.JoinRequest, message.JoinResponse](
-		core.client,
-		address,
-		message.MethodJoin,
-		core.callTimeout(),
-		request,
-	)
+	response, err := rpc.Call(core.client, address, message.MethodJoin, core.callTimeout(), request)
 	if err != nil {
 		core.mutex.Lock()
 		core.election.joinAttempts++
--- a/control/leave.go
+++ b/control/leave.go
@@ -61,11 +61,5 @@
 		return nil, rpc.Errorf(rpc.NoLeader, "nobody leads")
 	}
 	request := &message.LeaveRequest{Core: core.membership().ID}
-	return rpc.Call[message.LeaveRequest, message.LeaveResponse](
-		core.client,
-		leader.Address,
-		message.MethodLeave,
-		core.callTimeout(),
-		request,
-	)
+	return rpc.Call(core.client, leader.Address, message.MethodLeave, core.callTimeout(), request)
 }
--- a/control/replication.go
+++ b/control/replication.go
@@ -134,13 +134,7 @@
 ) (*message.AcceptResponse, error) {
 	deadline := time.Now().Add(timeout)
 	return sendAccept(request, chunks, func(request *message.AcceptRequest) (*message.AcceptResponse, error) {
-		return rpc.Call[message.AcceptRequest, message.AcceptResponse](
-			core.client,
-			peer.Address,
-			message.MethodAccept,
-			time.Until(deadline),
-			request,
-		)
+		return rpc.Call(core.client, peer.Address, message.MethodAccept, time.Until(deadline), request)
 	})
 }
 
--- a/control/restore.go
+++ b/control/restore.go
@@ -52,13 +52,7 @@
 ) map[int]*message.ReplicaStateResponse {
 	request := &message.ReplicaStateRequest{Core: view.ID, Membership: view.Version}
 	responses := callPeers(core, view, func(peer message.Peer) (*message.ReplicaStateResponse, error) {
-		return rpc.Call[message.ReplicaStateRequest, message.ReplicaStateResponse](
-			core.client,
-			peer.Address,
-			message.MethodReplicaState,
-			core.callTimeout(),
-			request,
-		)
+		return rpc.Call(core.client, peer.Address, message.MethodReplicaState, core.callTimeout(), request)
 	}, agrees, enough)
 	for _, response := range responses {
 		core.learnMembership(response.Membership)
--- a/control/revocation.go
+++ b/control/revocation.go
@@ -97,13 +97,7 @@
 	enough func(has func(id int) bool) bool,
 ) map[int]*message.PrepareResponse {
 	responses := callPeers(core, view, func(peer message.Peer) (*message.PrepareResponse, error) {
-		return rpc.Call[message.PrepareRequest, message.PrepareResponse](
-			core.client,
-			peer.Address,
-			message.MethodPrepare,
-			core.callTimeout(),
-			request,
-		)
+		return rpc.Call(core.client, peer.Address, message.MethodPrepare, core.callTimeout(), request)
 	}, consensus.Granted, enough)
 	return core.grantedPromises(responses)
 }
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -223,13 +223,7 @@
 }
 
 func (core *Core) sendSessions(address string, request *message.ShareSessionsRequest) (*message.ShareSessionsResponse, error) {
-	return rpc.Call[message.ShareSessionsRequest, message.ShareSessionsResponse](
-		core.client,
-		address,
-		message.MethodShareSessions,
-		core.callTimeout(),
-		request,
-	)
+	return rpc.Call(core.client, address, message.MethodShareSessions, core.callTimeout(), request)
 }
 
 // forForwarding returns a session as the leader gets it from this core: with all counts
--- a/control/table.go
+++ b/control/table.go
@@ -201,13 +201,7 @@
 // none.
 func (core *Core) fetchTable(address string, held *message.Table) (*message.Table, error) {
 	request := &message.FetchRequest{Serial: everything, Routing: everything, Table: held.Version}
-	response, err := rpc.Call[message.FetchRequest, message.FetchResponse](
-		core.client,
-		address,
-		message.MethodFetch,
-		core.callTimeout(),
-		request,
-	)
+	response, err := rpc.Call(core.client, address, message.MethodFetch, core.callTimeout(), request)
 	if err != nil {
 		return nil, err
 	}
--- a/harness/capacity/bench.go
+++ b/harness/capacity/bench.go
@@ -162,11 +162,7 @@
 	if err != nil {
 		return 0, rpc.AsError(err)
 	}
-	response, err := agent.Forward[message.RoutingChangeRequest, message.RoutingChangeResponse](
-		bench.forwarder,
-		message.MethodRoutingChange,
-		&message.RoutingChangeRequest{Body: body},
-	)
+	response, err := agent.Forward(bench.forwarder, message.MethodRoutingChange, &message.RoutingChangeRequest{Body: body})
 	if err != nil {
 		return 0, err
 	}
--- a/harness/simulation/changes_during_partition_test.go
+++ b/harness/simulation/changes_during_partition_test.go
@@ -16,9 +16,9 @@
 	ask  func(client *rpc.Client, address string, limit time.Duration) error
 }
 
-func callOf[Asked, Told any](name, message string, request *Asked) call {
+func callOf[Request, Response any](name string, method rpc.Method[Request, Response], request *Request) call {
 	return call{name: name, ask: func(client *rpc.Client, address string, limit time.Duration) error {
-		_, err := rpc.Call[Asked, Told](client, address, message, limit, request)
+		_, err := rpc.Call(client, address, method, limit, request)
 		return err
 	}}
 }
@@ -34,53 +34,25 @@
 	)
 	low, _ := rpc.Marshal(&routing.Change{Version: 1, Base: 1, Digest: "low", Whole: Routing(1)})
 	return []call{
-		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("repeat", message.MethodRoutingChange, WholeChange(1, 0)),
-		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("stale base", message.MethodRoutingChange, WholeChange(9, 0)),
-		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse]("newer base", message.MethodRoutingChange, WholeChange(9, 3)),
-		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse](
-			"stale version",
-			message.MethodRoutingChange,
-			&message.RoutingChangeRequest{Body: low},
-		),
-		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse](
-			"invalid",
-			message.MethodRoutingChange,
-			&message.RoutingChangeRequest{Body: broken},
-		),
-		callOf[message.RoutingChangeRequest, message.RoutingChangeResponse](
-			"invalid patch",
-			message.MethodRoutingChange,
-			&message.RoutingChangeRequest{Body: dangling},
-		),
-		callOf[message.EvacuateRequest, message.EvacuateResponse](
-			"evacuated before",
-			message.MethodEvacuate,
-			&message.EvacuateRequest{Zone: "z1", Begin: true},
-		),
-		callOf[message.EvacuateRequest, message.EvacuateResponse](
-			"never evacuated",
-			message.MethodEvacuate,
-			&message.EvacuateRequest{Zone: "z2", Begin: false},
-		),
-		callOf[message.RoutingReadRequest, message.RoutingReadResponse]("read", message.MethodRoutingRead, &message.RoutingReadRequest{}),
-		callOf[message.ReadRequest, message.ReadResponse]("settings", message.MethodRead, &message.ReadRequest{}),
-		callOf[message.ReadIndexRequest, message.ReadIndexResponse]("confirm", message.MethodReadIndex, &message.ReadIndexRequest{}),
-		callOf[message.ChangeRequest, message.ChangeResponse](
-			"settings repeat",
-			message.MethodChange,
-			&message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)},
-		),
-		callOf[message.ChangeRequest, message.ChangeResponse](
+		callOf("repeat", message.MethodRoutingChange, WholeChange(1, 0)),
+		callOf("stale base", message.MethodRoutingChange, WholeChange(9, 0)),
+		callOf("newer base", message.MethodRoutingChange, WholeChange(9, 3)),
+		callOf("stale version", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: low}),
+		callOf("invalid", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: broken}),
+		callOf("invalid patch", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: dangling}),
+		callOf("evacuated before", message.MethodEvacuate, &message.EvacuateRequest{Zone: "z1", Begin: true}),
+		callOf("never evacuated", message.MethodEvacuate, &message.EvacuateRequest{Zone: "z2", Begin: false}),
+		callOf("read", message.MethodRoutingRead, &message.RoutingReadRequest{}),
+		callOf("settings", message.MethodRead, &message.ReadRequest{}),
+		callOf("confirm", message.MethodReadIndex, &message.ReadIndexRequest{}),
+		callOf("settings repeat", message.MethodChange, &message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)}),
+		callOf(
 			"settings stale base",
 			message.MethodChange,
 			&message.ChangeRequest{ID: "other", Base: 7, Kind: "whole", Body: Settings(900)},
 		),
-		callOf[message.ChangeRequest, message.ChangeResponse](
-			"settings id reused",
-			message.MethodChange,
-			&message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(900)},
-		),
-		callOf[message.ChangeRequest, message.ChangeResponse](
+		callOf("settings id reused", message.MethodChange, &message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(900)}),
+		callOf(
 			"settings invalid",
 			message.MethodChange,
 			&message.ChangeRequest{ID: "third", Base: 1, Kind: "partial", Body: []byte(`{"ack_ms":-4}`)},
@@ -127,7 +99,7 @@
 	if err := world.Evacuate("z1", true); err != nil {
 		test.Fatal(err)
 	}
-	if _, err := order[message.ChangeRequest, message.ChangeResponse](
+	if _, err := order(
 		world,
 		world.holds(),
 		message.MethodChange,
--- a/harness/simulation/claims_test.go
+++ b/harness/simulation/claims_test.go
@@ -69,7 +69,7 @@
 		}
 		before := heap()
 		for second := range 3 * seconds {
-			if _, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](
+			if _, err := rpc.Call(
 				client,
 				core.InternalAddress,
 				message.MethodRecordClaims,
@@ -109,7 +109,7 @@
 			client := rpc.NewClient(world.Net.Transport("10.7.0.9"))
 			defer client.Close()
 			for group := range 6 {
-				if _, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](
+				if _, err := rpc.Call(
 					client,
 					world.Cores[0].InternalAddress,
 					message.MethodRecordClaims,
@@ -168,13 +168,7 @@
 		other := claim(0, 1)
 		other.Claims[0].Record.ID = "ffff-1"
 		for index, request := range []*message.RecordClaimsRequest{claim(0, 1), other, claim(0, 1)} {
-			response, err := rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](
-				client,
-				world.Cores[1].InternalAddress,
-				message.MethodRecordClaims,
-				time.Second,
-				request,
-			)
+			response, err := rpc.Call(client, world.Cores[1].InternalAddress, message.MethodRecordClaims, time.Second, request)
 			if err != nil || response.Results[0].Granted != (index != 1) ||
 				index == 1 && response.Results[0].Existing.ID != "0a1b2c3d4e-0" {
 				test.Errorf("claim %d: %+v %v", index, response, err)
--- a/harness/simulation/control_test.go
+++ b/harness/simulation/control_test.go
@@ -161,12 +161,7 @@
 		return
 	}
 	begin := time.Now()
-	response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](
-		side.world,
-		holds,
-		message.MethodRoutingRead,
-		&message.RoutingReadRequest{},
-	)
+	response, err := order(side.world, holds, message.MethodRoutingRead, &message.RoutingReadRequest{})
 	if err != nil {
 		return
 	}
@@ -180,12 +175,7 @@
 		side.world.broke("%d was acknowledged, then %d read back", acknowledged, base)
 	}
 	one := side.begun(&answered{what: "routing", base: base, version: base + 1 + uint64(random.IntN(3))*8 + number})
-	taken, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](
-		side.world,
-		holds,
-		message.MethodRoutingChange,
-		WholeChange(one.version, base),
-	)
+	taken, err := order(side.world, holds, message.MethodRoutingChange, WholeChange(one.version, base))
 	if err != nil {
 		side.note(one, 0, err)
 		return
@@ -200,12 +190,7 @@
 // reached.
 func (side *Control) repeat(holds []*agent.Forwarder, acknowledged *answered) {
 	again := side.begun(&answered{what: acknowledged.what, base: acknowledged.base, version: acknowledged.version})
-	response, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](
-		side.world,
-		append(holds[1:], holds[0]),
-		message.MethodRoutingChange,
-		WholeChange(again.version, again.base),
-	)
+	response, err := order(side.world, append(holds[1:], holds[0]), message.MethodRoutingChange, WholeChange(again.version, again.base))
 	if err != nil {
 		side.note(again, 0, err)
 		return
--- a/harness/simulation/membership_test.go
+++ b/harness/simulation/membership_test.go
@@ -146,12 +146,7 @@
 			world.broke("a core outside the roster votes")
 		}
 		for version := uint64(2); version < 6; version++ {
-			if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](
-				world,
-				world.holds()[3:],
-				message.MethodRoutingChange,
-				WholeChange(version, version-1),
-			); err != nil {
+			if _, err := order(world, world.holds()[3:], message.MethodRoutingChange, WholeChange(version, version-1)); err != nil {
 				world.broke("through the late core: %v", err)
 			}
 			leader := world.Leader()
--- a/harness/simulation/recovery_test.go
+++ b/harness/simulation/recovery_test.go
@@ -289,13 +289,7 @@
 		if machine.life(world) == nil {
 			continue
 		}
-		response, err := rpc.Call[message.StatusRequest, message.StatusResponse](
-			machine.client,
-			machine.InternalAddress,
-			message.MethodStatus,
-			time.Second,
-			&message.StatusRequest{},
-		)
+		response, err := rpc.Call(machine.client, machine.InternalAddress, message.MethodStatus, time.Second, &message.StatusRequest{})
 		if err != nil {
 			world.broke("no status of core %d: %v", machine.ID, err)
 			continue
@@ -542,7 +536,7 @@
 				test.Fatal("no second leader")
 			}
 			ask := func(index int, version, base uint64) error {
-				_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](
+				_, err := rpc.Call(
 					world.Cores[other].client,
 					world.Cores[index].InternalAddress,
 					message.MethodRoutingChange,
@@ -555,7 +549,7 @@
 				test.Fatal(err)
 			}
 			client := rpc.NewClient(world.Net.Transport("10.8.0.1"))
-			if read, err := rpc.Call[message.RoutingReadRequest, message.RoutingReadResponse](
+			if read, err := rpc.Call(
 				client,
 				world.Cores[leader].InternalAddress,
 				message.MethodRoutingRead,
@@ -564,13 +558,7 @@
 			); err == nil {
 				world.broke("the replaced leader read serial %d back", read.Serial)
 			}
-			_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](
-				client,
-				world.Cores[leader].InternalAddress,
-				message.MethodRoutingChange,
-				time.Second,
-				WholeChange(3, 2),
-			)
+			_, err := rpc.Call(client, world.Cores[leader].InternalAddress, message.MethodRoutingChange, time.Second, WholeChange(3, 2))
 			if kind := rpc.CodeOf(err); kind == rpc.StaleBase {
 				world.broke("the replaced leader refused: %v", err)
 			} else if kind != rpc.NotLeader && kind != rpc.NoLeader {
--- a/harness/simulation/regions.go
+++ b/harness/simulation/regions.go
@@ -201,9 +201,14 @@
 }
 
 // order sends an order by some holds in turn until it has an answer that ends it.
-func order[Asked, Told any](world *World, holds []*agent.Forwarder, name string, request *Asked) (*Told, error) {
-	return again(world, holds, func(forwarder *agent.Forwarder) (*Told, error) {
-		return agent.Forward[Asked, Told](forwarder, name, request)
+func order[Request, Response any](
+	world *World,
+	holds []*agent.Forwarder,
+	method rpc.Method[Request, Response],
+	request *Request,
+) (*Response, error) {
+	return again(world, holds, func(forwarder *agent.Forwarder) (*Response, error) {
+		return agent.Forward(forwarder, method, request)
 	})
 }
 
@@ -230,12 +235,7 @@
 
 // Put sends a routing until it is taken or refused.
 func (world *World) Put(version, base uint64) error {
-	_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](
-		world,
-		world.holds(),
-		message.MethodRoutingChange,
-		WholeChange(version, base),
-	)
+	_, err := order(world, world.holds(), message.MethodRoutingChange, WholeChange(version, base))
 	return err
 }
 
@@ -253,12 +253,7 @@
 
 // Book reads the confirmed routing back.
 func (world *World) Book() (*routing.State, error) {
-	response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](
-		world,
-		world.holds(),
-		message.MethodRoutingRead,
-		&message.RoutingReadRequest{},
-	)
+	response, err := order(world, world.holds(), message.MethodRoutingRead, &message.RoutingReadRequest{})
 	if err != nil {
 		return nil, err
 	}
--- a/harness/simulation/regions_test.go
+++ b/harness/simulation/regions_test.go
@@ -51,12 +51,7 @@
 			racer.mutex.Unlock()
 			continue
 		}
-		response, err := order[message.RoutingReadRequest, message.RoutingReadResponse](
-			world,
-			holds(),
-			message.MethodRoutingRead,
-			&message.RoutingReadRequest{},
-		)
+		response, err := order(world, holds(), message.MethodRoutingRead, &message.RoutingReadRequest{})
 		if err != nil {
 			continue
 		}
@@ -74,12 +69,7 @@
 		}
 		racer.mutex.Unlock()
 		version := base + 1 + uint64(random.IntN(3))*3 + uint64(number)
-		if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](
-			world,
-			holds(),
-			message.MethodRoutingChange,
-			WholeChange(version, base),
-		); err == nil {
+		if _, err := order(world, holds(), message.MethodRoutingChange, WholeChange(version, base)); err == nil {
 			racer.mutex.Lock()
 			racer.acked[version] = base
 			racer.mutex.Unlock()
--- a/harness/simulation/replace_test.go
+++ b/harness/simulation/replace_test.go
@@ -447,15 +447,15 @@
 	defer client.Close()
 	for _, ask := range []func() error{
 		func() error {
-			_, err := rpc.Call[message.RoutingChangeRequest, message.RoutingChangeResponse](client, machine.InternalAddress, message.MethodRoutingChange, time.Second, WholeChange(1000+one.newest, one.newest))
+			_, err := rpc.Call(client, machine.InternalAddress, message.MethodRoutingChange, time.Second, WholeChange(1000+one.newest, one.newest))
 			return err
 		},
 		func() error {
-			_, err := rpc.Call[message.EvacuateRequest, message.EvacuateResponse](client, machine.InternalAddress, message.MethodEvacuate, time.Second, &message.EvacuateRequest{Zone: "z-not", Begin: true})
+			_, err := rpc.Call(client, machine.InternalAddress, message.MethodEvacuate, time.Second, &message.EvacuateRequest{Zone: "z-not", Begin: true})
 			return err
 		},
 		func() error {
-			_, err := rpc.Call[message.RoutingReadRequest, message.RoutingReadResponse](client, machine.InternalAddress, message.MethodRoutingRead, time.Second, &message.RoutingReadRequest{})
+			_, err := rpc.Call(client, machine.InternalAddress, message.MethodRoutingRead, time.Second, &message.RoutingReadRequest{})
 			return err
 		},
 	} {
--- a/harness/simulation/replaced_test.go
+++ b/harness/simulation/replaced_test.go
@@ -95,13 +95,7 @@
 
 // wholeClaims is whether a core says that it lacks no claim it should hold.
 func wholeClaims(core *Core) bool {
-	response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](
-		core.client,
-		core.InternalAddress,
-		message.MethodFetchClaims,
-		time.Second,
-		&message.FetchClaimsRequest{},
-	)
+	response, err := rpc.Call(core.client, core.InternalAddress, message.MethodFetchClaims, time.Second, &message.FetchClaimsRequest{})
 	return err == nil && response.Complete
 }
 
--- a/harness/simulation/routing_test.go
+++ b/harness/simulation/routing_test.go
@@ -78,12 +78,7 @@
 		invalid := Routing(10)
 		invalid.Routes[0].Service = "nobody"
 		body, _ := rpc.Marshal(&routing.Change{Version: 10, Base: 9, Digest: "wrong", Whole: invalid})
-		if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](
-			world,
-			world.holds(),
-			message.MethodRoutingChange,
-			&message.RoutingChangeRequest{Body: body},
-		); err == nil {
+		if _, err := order(world, world.holds(), message.MethodRoutingChange, &message.RoutingChangeRequest{Body: body}); err == nil {
 			world.broke("an invalid routing was taken")
 		}
 		last := uint64(9)
@@ -93,12 +88,7 @@
 			for racer := range uint64(2) {
 				version := last + 1 + racer
 				world.goroutines.Start(func() {
-					_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](
-						world,
-						world.holds()[racer:],
-						message.MethodRoutingChange,
-						WholeChange(version, last),
-					)
+					_, err := order(world, world.holds()[racer:], message.MethodRoutingChange, WholeChange(version, last))
 					mutex.Lock()
 					defer mutex.Unlock()
 					if done++; err == nil {
@@ -148,12 +138,7 @@
 		more := Routing(2).Routes
 		more[0].Prefix = "/b/"
 		body, _ := rpc.Marshal(&routing.Change{Version: 2, Base: 1, Digest: "patch", Patch: &routing.Patch{Routes: more}})
-		if _, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](
-			world,
-			world.holds(),
-			message.MethodRoutingChange,
-			&message.RoutingChangeRequest{Body: body},
-		); err != nil {
+		if _, err := order(world, world.holds(), message.MethodRoutingChange, &message.RoutingChangeRequest{Body: body}); err != nil {
 			test.Fatal(err)
 		}
 		state, err := world.Book()
@@ -266,12 +251,7 @@
 				world.isolate(leader, true)
 			}
 			begin := time.Now()
-			_, err := order[message.RoutingChangeRequest, message.RoutingChangeResponse](
-				world,
-				holds,
-				message.MethodRoutingChange,
-				WholeChange(version+1, version),
-			)
+			_, err := order(world, holds, message.MethodRoutingChange, WholeChange(version+1, version))
 			wait := time.Since(begin)
 			if err != nil {
 				test.Fatalf("%s: %v", kind, err)
--- a/harness/simulation/trial_test.go
+++ b/harness/simulation/trial_test.go
@@ -82,11 +82,7 @@
 			one.Rest(orderRest)
 			continue
 		}
-		_, err := agent.Forward[message.RoutingChangeRequest, message.RoutingChangeResponse](
-			holds[try%len(holds)],
-			message.MethodRoutingChange,
-			WholeChange(one.newest+1, one.newest),
-		)
+		_, err := agent.Forward(holds[try%len(holds)], message.MethodRoutingChange, WholeChange(one.newest+1, one.newest))
 		switch {
 		case err == nil && lost:
 			lost = false
--- a/message/chunk.go
+++ b/message/chunk.go
@@ -70,7 +70,7 @@
 	for len(missing) > 0 {
 		count := min(len(missing), MaxChunksPerFetch)
 		request := &FetchChunksRequest{Digests: missing[:count]}
-		response, err := rpc.Call[FetchChunksRequest, FetchChunksResponse](client, address, MethodFetchChunks, timeout, request)
+		response, err := rpc.Call(client, address, MethodFetchChunks, timeout, request)
 		if err != nil {
 			return err
 		}
--- a/message/methods.go
+++ b/message/methods.go
@@ -1,64 +1,67 @@
 package message
 
-// The methods of the calls between processes. The values are on the wire and stay as they
-// are, also where the name of the constant says more.
+import "orchidjunction/rpc"
+
+// The methods of the calls between processes, each with its request and its response. The
+// values are on the wire and stay as they are, also where the name of the constant says
+// more.
 const (
 	// MethodAccept asks a replica to accept values under a term.
-	MethodAccept = "accept"
+	MethodAccept rpc.Method[AcceptRequest, AcceptResponse] = "accept"
 	// MethodChange changes the product's settings.
-	MethodChange = "change"
+	MethodChange rpc.Method[ChangeRequest, ChangeResponse] = "change"
 	// MethodClaim asks a key replica to grant an idempotency key.
-	MethodClaim = "claim"
+	MethodClaim rpc.Method[ClaimRequest, ClaimResponse] = "claim"
+	// MethodCompleteClaim tells a key replica how the request of a key ended.
+	MethodCompleteClaim rpc.Method[CompleteClaimRequest, CompleteClaimResponse] = "settle"
 	// MethodEvacuate begins or ends the evacuation of a zone.
-	MethodEvacuate = "evacuate"
+	MethodEvacuate rpc.Method[EvacuateRequest, EvacuateResponse] = "evacuate"
 	// MethodFetch fetches the version and table in force.
-	MethodFetch = "fetch"
+	MethodFetch rpc.Method[FetchRequest, FetchResponse] = "fetch"
 	// MethodFetchChunks fetches chunks by digest.
-	MethodFetchChunks = "parts"
+	MethodFetchChunks rpc.Method[FetchChunksRequest, FetchChunksResponse] = "parts"
 	// MethodFetchClaims fetches the idempotency keys that a core or a replica holds.
-	MethodFetchClaims = "pull"
-	// MethodCompleteClaim tells a key replica how the request of a key ended.
-	MethodCompleteClaim = "settle"
+	MethodFetchClaims rpc.Method[FetchClaimsRequest, FetchClaimsResponse] = "pull"
 	// MethodHeartbeat is the leader's heartbeat to a core.
-	MethodHeartbeat = "beat"
+	MethodHeartbeat rpc.Method[HeartbeatRequest, HeartbeatResponse] = "beat"
 	// MethodJoin asks the leader to take a core in as a learner.
-	MethodJoin = "enlist"
+	MethodJoin rpc.Method[JoinRequest, JoinResponse] = "enlist"
 	// MethodLeader asks which core leads.
-	MethodLeader = "who"
+	MethodLeader rpc.Method[LeaderRequest, LeaderResponse] = "who"
 	// MethodLeave tells the leader that a core is about to end.
-	MethodLeave = "leave"
+	MethodLeave rpc.Method[LeaveRequest, LeaveResponse] = "leave"
 	// MethodMergeClaims gives a key replica keys that it lacks.
-	MethodMergeClaims = "retell"
+	MethodMergeClaims rpc.Method[MergeClaimsRequest, MergeClaimsResponse] = "retell"
 	// MethodPreVote asks whether a candidacy has a chance.
-	MethodPreVote = "precheck"
+	MethodPreVote rpc.Method[PreVoteRequest, PreVoteResponse] = "precheck"
 	// MethodPrepare asks a replica to promise a term.
-	MethodPrepare = "promise"
+	MethodPrepare rpc.Method[PrepareRequest, PrepareResponse] = "promise"
 	// MethodQueryHolder asks whether a proxy still runs the request of a key.
-	MethodQueryHolder = "holds"
+	MethodQueryHolder rpc.Method[QueryHolderRequest, QueryHolderResponse] = "holds"
 	// MethodRead reads the product's settings from the leader.
-	MethodRead = "read"
+	MethodRead rpc.Method[ReadRequest, ReadResponse] = "read"
 	// MethodReadIndex asks the leader to prove that it still leads.
-	MethodReadIndex = "confirm"
+	MethodReadIndex rpc.Method[ReadIndexRequest, ReadIndexResponse] = "confirm"
 	// MethodRecordClaims has a core record idempotency keys.
-	MethodRecordClaims = "keep"
+	MethodRecordClaims rpc.Method[RecordClaimsRequest, RecordClaimsResponse] = "keep"
 	// MethodRemoveVoter has a voter replaced.
-	MethodRemoveVoter = "removal"
+	MethodRemoveVoter rpc.Method[RemoveVoterRequest, RemoveVoterResponse] = "removal"
 	// MethodReplicaState asks a replica for its state.
-	MethodReplicaState = "restore"
+	MethodReplicaState rpc.Method[ReplicaStateRequest, ReplicaStateResponse] = "restore"
 	// MethodRoutingChange changes the routing.
-	MethodRoutingChange = "routechange"
+	MethodRoutingChange rpc.Method[RoutingChangeRequest, RoutingChangeResponse] = "routechange"
 	// MethodRoutingRead reads the routing from the leader.
-	MethodRoutingRead = "routeread"
+	MethodRoutingRead rpc.Method[RoutingReadRequest, RoutingReadResponse] = "routeread"
 	// MethodSession is a daemon's heartbeat of its session.
-	MethodSession = "session"
+	MethodSession rpc.Method[Session, SessionResponse] = "session"
 	// MethodShareSessions passes sessions that a core got on to the leader.
-	MethodShareSessions = "tell"
+	MethodShareSessions rpc.Method[ShareSessionsRequest, ShareSessionsResponse] = "tell"
 	// MethodStatus reads the state of the control plane.
-	MethodStatus = "status"
+	MethodStatus rpc.Method[StatusRequest, StatusResponse] = "status"
 	// MethodTransferLeadership asks a core to take the lead over.
-	MethodTransferLeadership = "stepdown"
+	MethodTransferLeadership rpc.Method[TransferLeadershipRequest, TransferLeadershipResponse] = "stepdown"
 	// MethodUsageCount reports usage to the leader.
-	MethodUsageCount = "count"
+	MethodUsageCount rpc.Method[UsageCountRequest, UsageCountResponse] = "count"
 	// MethodWatch waits for a newer version or table.
-	MethodWatch = "watch"
+	MethodWatch rpc.Method[WatchRequest, WatchResponse] = "watch"
 )
--- a/rpc/client.go
+++ b/rpc/client.go
@@ -9,9 +9,6 @@
 	"connectrpc.com/connect"
 )
 
-// pathPrefix comes before the name of a message in the path of a call.
-const pathPrefix = "/oj/"
-
 // Client calls other processes by their addresses. It is safe for concurrent use.
 type Client struct {
 	httpClient *http.Client
@@ -30,10 +27,16 @@
 // Close closes idle connections; calls under way continue.
 func (client *Client) Close() { client.httpClient.CloseIdleConnections() }
 
-// Call sends the named message to an address (IP:port) and waits for the response, at
-// most as long as timeout.
-func Call[Request, Response any](client *Client, address, name string, timeout time.Duration, request *Request) (*Response, error) {
-	return CallContext[Request, Response](context.Background(), client, address, name, timeout, request)
+// Call sends a request to an address (IP:port) and waits for the response, at most as
+// long as timeout.
+func Call[Request, Response any](
+	client *Client,
+	address string,
+	method Method[Request, Response],
+	timeout time.Duration,
+	request *Request,
+) (*Response, error) {
+	return CallContext(context.Background(), client, address, method, timeout, request)
 }
 
 // CallContext is a Call that also ends when ctx does. All errors it returns are of
@@ -42,16 +45,17 @@
 func CallContext[Request, Response any](
 	ctx context.Context,
 	client *Client,
-	address, name string,
+	address string,
+	method Method[Request, Response],
 	timeout time.Duration,
 	request *Request,
 ) (*Response, error) {
 	if address == "" {
-		return nil, Errorf(Unreachable, "no address for %s", name)
+		return nil, Errorf(Unreachable, "no address for %s", method)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	caller := connectClient[Request, Response](client, "http://"+address+pathPrefix+name)
+	caller := connectClient[Request, Response](client, "http://"+address+method.path())
 	response, err := caller.CallUnary(ctx, connect.NewRequest(request))
 	if err != nil {
 		return nil, fromConnect(err)
--- a/rpc/server.go
+++ b/rpc/server.go
@@ -42,10 +42,14 @@
 	server.mux.ServeHTTP(writer, request)
 }
 
-// Handle registers the function that answers the named message. It must not be called
-// once the server serves.
-func Handle[Request, Response any](server *Server, name string, answer func(context.Context, *Request) (*Response, error)) {
-	path := pathPrefix + name
+// Handle registers the function that answers a method. It must not be called once the
+// server serves.
+func Handle[Request, Response any](
+	server *Server,
+	method Method[Request, Response],
+	answer func(context.Context, *Request) (*Response, error),
+) {
+	path := method.path()
 	server.paths[path] = true
 	handler := connect.NewUnaryHandler(path,
 		func(ctx context.Context, request *connect.Request[Request]) (*connect.Response[Response], error) {
--- a/serviceproxy/claim_messages.go
+++ b/serviceproxy/claim_messages.go
@@ -82,7 +82,7 @@
 		if holderName(known) != claimed.Holder {
 			continue
 		}
-		response, err := rpc.Call[message.QueryHolderRequest, message.QueryHolderResponse](
+		response, err := rpc.Call(
 			claims.proxy.daemon.Client(),
 			known.InternalAddress,
 			message.MethodQueryHolder,
@@ -105,7 +105,7 @@
 			continue
 		}
 		claims.proxy.goroutines.Start(func() {
-			if _, err := rpc.Call[message.CompleteClaimRequest, message.CompleteClaimResponse](
+			if _, err := rpc.Call(
 				claims.proxy.daemon.Client(),
 				keeper.InternalAddress,
 				message.MethodCompleteClaim,
--- a/serviceproxy/claim_poll.go
+++ b/serviceproxy/claim_poll.go
@@ -131,13 +131,7 @@
 		if members[index].Name == claims.proxy.daemon.Name() {
 			return claimVote{replica: claims.grant(claim)}, nil
 		}
-		response, err := rpc.Call[message.ClaimRequest, message.ClaimResponse](
-			claims.proxy.daemon.Client(),
-			members[index].InternalAddress,
-			message.MethodClaim,
-			claimTimeout,
-			claim,
-		)
+		response, err := rpc.Call(claims.proxy.daemon.Client(), members[index].InternalAddress, message.MethodClaim, claimTimeout, claim)
 		return claimVote{replica: response}, err
 	}, func(got map[int]claimVote, _ map[int]error) bool {
 		now := *round
--- a/serviceproxy/claim_rings.go
+++ b/serviceproxy/claim_rings.go
@@ -118,7 +118,7 @@
 	for address, batch := range batches {
 		for len(batch) > 0 {
 			count := min(len(batch), 2000)
-			if _, err := rpc.Call[message.MergeClaimsRequest, message.MergeClaimsResponse](
+			if _, err := rpc.Call(
 				claims.proxy.daemon.Client(),
 				address,
 				message.MethodMergeClaims,
--- a/serviceproxy/core_store.go
+++ b/serviceproxy/core_store.go
@@ -90,13 +90,7 @@
 	request *message.RecordClaimsRequest,
 	limit time.Duration,
 ) (*message.RecordClaimsResponse, error) {
-	return rpc.Call[message.RecordClaimsRequest, message.RecordClaimsResponse](
-		store.proxy.daemon.Client(),
-		address,
-		message.MethodRecordClaims,
-		limit,
-		request,
-	)
+	return rpc.Call(store.proxy.daemon.Client(), address, message.MethodRecordClaims, limit, request)
 }
 
 // enqueue queues an update for deliver; if the queue is full the update is lost and
@@ -201,7 +195,7 @@
 ) (*message.FetchClaimsResponse, error) {
 	var first *message.FetchClaimsResponse
 	for after, whole := uint64(0), true; ; {
-		response, err := rpc.Call[message.FetchClaimsRequest, message.FetchClaimsResponse](
+		response, err := rpc.Call(
 			client,
 			address,
 			message.MethodFetchClaims,
