--- a/agent/operator_api.go
+++ b/agent/operator_api.go
@@ -74,7 +74,7 @@
 	writer.Write(append(body, '\n'))
 }
 
-// WriteError writes a error and, where it has one, the time to come back.
+// WriteError writes an error and, where it has one, the time to come back.
 func WriteError(writer http.ResponseWriter, err error) {
 	refusal := rpc.AsError(err)
 	writeRefusal(writer, refusal, refusal)
--- a/agent/updates.go
+++ b/agent/updates.go
@@ -10,12 +10,8 @@
 	"orchidjunction/rpc"
 )
 
-const (
-	// maxWatch bounds how long another daemon's watch may wait here.
-	maxWatch = 10 * time.Second
-	// fetchAttempts is how often an update is fetched whose chunks are gone meanwhile.
-	fetchAttempts = 3
-)
+// fetchAttempts is how often an update is fetched whose chunks are gone meanwhile.
+const fetchAttempts = 3
 
 // watch waits at a process until it has something newer, or the interval is over.
 func (daemon *Daemon) watch(ctx context.Context, address string, version *Version) (*message.WatchResponse, error) {
@@ -91,14 +87,12 @@
 
 // onWatch waits until something is newer here than what another daemon holds.
 func (daemon *Daemon) onWatch(_ context.Context, request *message.WatchRequest) (*message.WatchResponse, error) {
-	wait := min(time.Duration(request.SpanMs)*time.Millisecond, maxWatch)
-	deadline := time.Now().Add(wait)
+	deadline := time.Now().Add(request.Timeout())
 	for {
 		seen := daemon.updates.Count()
 		version := daemon.Version()
 		response := &message.WatchResponse{Serial: version.Serial, Table: version.Table.Version, Routing: version.RoutingSerial}
-		isNewer := response.Serial > request.Serial || response.Routing > request.Routing || request.Table.Less(response.Table)
-		if isNewer || daemon.goroutines.Stopping() || !daemon.updates.Wait(seen, time.Until(deadline)) {
+		if response.NewerThan(request) || daemon.goroutines.Stopping() || !daemon.updates.Wait(seen, time.Until(deadline)) {
 			return response, nil
 		}
 	}
--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -117,7 +117,7 @@
 	flags.Exit(rpc.Errorf(rpc.BadFlag, "want a command: check, digest, show, put, patch, drain, refill, history, aims, core or status"))
 }
 
-// end prints a error and turns it into the exit status that scripts read.
+// end prints an error and turns it into the exit status that scripts read.
 func end(err error) {
 	if err == nil {
 		return
--- a/cmd/ojdirectory/main.go
+++ b/cmd/ojdirectory/main.go
@@ -14,7 +14,7 @@
 	flags := process.NewFlags("ojdirectory", "a directory node of orchidjunction: tells callers where to go")
 	process.RunDaemon(
 		flags,
-		"dir",
+		message.DirectoryKind,
 		nil,
 		func(daemon *agent.Daemon, _ *concurrent.Group, counters *metrics.Counters) (process.DataPlane, func() []message.Probe) {
 			return directory.NewDirectory(daemon, counters), nil
--- a/cmd/ojproxy/main.go
+++ b/cmd/ojproxy/main.go
@@ -24,7 +24,7 @@
 	}
 	process.RunDaemon(
 		flags,
-		"proxy",
+		message.ProxyKind,
 		guest,
 		func(daemon *agent.Daemon, goroutines *concurrent.Group, counters *metrics.Counters) (process.DataPlane, func() []message.Probe) {
 			proxy := serviceproxy.NewProxy(daemon, goroutines, counters, dialer.DialContext)
--- a/cmd/orchidjunction/proxy.go
+++ b/cmd/orchidjunction/proxy.go
@@ -37,7 +37,7 @@
 	address := internalAddress(settings, settings.Address)
 	return agent.Config{
 		Name:            settings.Name,
-		Kind:            "proxy",
+		Kind:            message.ProxyKind,
 		Zone:            settings.Zone,
 		InternalAddress: address,
 		PublicAddress:   settings.Listen.Clients,
--- a/consensus/quorum.go
+++ b/consensus/quorum.go
@@ -10,6 +10,9 @@
 	}
 }
 
+// Initialized reports whether a replica may vote.
+func Initialized(response *message.ReplicaStateResponse) bool { return response.Initialized }
+
 // Granted reports whether a promise was granted.
 func Granted(response *message.PrepareResponse) bool { return response.Granted }
 
--- a/consensus/tracker.go
+++ b/consensus/tracker.go
@@ -82,6 +82,5 @@
 // MayRestore reports whether so many initialized replicas answered a voter with a blank
 // disk that it may fence them, by the membership that it asked them under.
 func (tracker *Tracker) MayRestore(view *View, responses map[int]*message.ReplicaStateResponse) bool {
-	initialized := Agreed(responses, func(response *message.ReplicaStateResponse) bool { return response.Initialized })
-	return tracker.View().SameVoters(view) && view.MayLead(view.ID) && view.FencesWithout(view.ID, initialized)
+	return tracker.View().SameVoters(view) && view.MayLead(view.ID) && view.FencesWithout(view.ID, Agreed(responses, Initialized))
 }
--- a/control/commit_proof.go
+++ b/control/commit_proof.go
@@ -28,7 +28,7 @@
 		return false
 	}
 	hasSame := func(response *message.ReplicaStateResponse) bool {
-		return response.Initialized && response.Versions[message.RoutingRegister] == accepted.Version()
+		return consensus.Initialized(response) && response.Versions[message.RoutingRegister] == accepted.Version()
 	}
 	view := core.membership()
 	responses := core.askReplicaStates(view, hasSame, view.Decides)
--- a/control/join.go
+++ b/control/join.go
@@ -86,15 +86,10 @@
 		core.adoptFirstMembership(known)
 		return
 	}
-	if core.founds() {
-		if addresses, isComplete := core.founding.complete(
-			core.config.Seeds,
-			core.config.MinFounders,
-			core.config.FoundingQuiet,
-		); isComplete {
-			core.adoptFirstMembership(consensus.InitialMembership(addresses).Accepted())
-			return
-		}
+	addresses, isComplete := core.founding.complete(core.config.Seeds, core.config.MinFounders, core.config.FoundingQuiet)
+	if isComplete && core.founds() {
+		core.adoptFirstMembership(consensus.InitialMembership(addresses).Accepted())
+		return
 	}
 	core.goroutines.Sleep(joinInterval)
 }
--- a/control/registers.go
+++ b/control/registers.go
@@ -91,14 +91,6 @@
 	return message.Leader{}
 }
 
-// newerThan reports whether any of the versions is newer than those in a request.
-func newerThan(response *message.WatchResponse, request *message.WatchRequest) bool {
-	return response.Serial > request.Serial || response.Routing > request.Routing || request.Table.Less(response.Table)
-}
-
-// maxWatch bounds how long a daemon's watch may wait.
-const maxWatch = 10 * time.Second
-
 // watched returns the versions that daemons wait for.
 func (core *Core) watched() *message.WatchResponse {
 	core.mutex.Lock()
@@ -112,12 +104,11 @@
 
 // onWatch waits until something is newer than what a daemon holds.
 func (core *Core) onWatch(request *message.WatchRequest) (*message.WatchResponse, error) {
-	wait := min(time.Duration(request.SpanMs)*time.Millisecond, maxWatch)
-	deadline := time.Now().Add(wait)
+	deadline := time.Now().Add(request.Timeout())
 	for {
 		seen := core.updates.Count()
 		response := core.watched()
-		if newerThan(response, request) || core.goroutines.Stopping() {
+		if response.NewerThan(request) || core.goroutines.Stopping() {
 			return response, nil
 		}
 		if !core.updates.Wait(seen, time.Until(deadline)) {
--- a/control/remove_voter.go
+++ b/control/remove_voter.go
@@ -18,13 +18,10 @@
 // go, it hands over the lead, and the order goes to the next leader. The same order again
 // finds the core gone and is acknowledged.
 func (core *Core) onRemoveVoter(request *message.RemoveVoterRequest) (*message.RemoveVoterResponse, error) {
-	leadership, err := core.currentLeadership()
+	leadership, err := core.confirmedLeadership()
 	if err != nil {
 		return nil, err
 	}
-	if err := leadership.confirm(core.callTimeout()); err != nil {
-		return nil, err
-	}
 	view, err := leadership.decidedMembership()
 	if err != nil {
 		return nil, err
--- a/control/restore.go
+++ b/control/restore.go
@@ -16,7 +16,7 @@
 	interval := core.config.HeartbeatInterval
 	core.goroutines.Sleep(core.random.between(interval, 2*interval))
 	view := core.membership()
-	responses := core.askReplicaStates(view, isInitialized, waitForAll)
+	responses := core.askReplicaStates(view, consensus.Initialized, waitForAll)
 	for _, response := range responses {
 		core.observeTermNumber(response.Promised.Number)
 	}
@@ -41,8 +41,6 @@
 	core.role.abandonCandidacy()
 }
 
-func isInitialized(response *message.ReplicaStateResponse) bool { return response.Initialized }
-
 // askReplicaStates asks the other voters what they hold, until those that agree are
 // enough, and learns the memberships that they know.
 func (core *Core) askReplicaStates(
--- a/control/usage_reports.go
+++ b/control/usage_reports.go
@@ -137,9 +137,7 @@
 		return false
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(
-		io.Discard,
-		io.LimitReader(response.Body, maxReportResponse),
-	) // the status alone tells; the rest only frees the connection
+	// The status alone tells; the rest is read only to free the connection.
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReportResponse))
 	return response.StatusCode >= 200 && response.StatusCode < 300
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -86,7 +86,7 @@
 func NewView(routes *serviceproxy.Routes, members []message.Member) *View {
 	next, demand := &View{routes: routes}, 0.0
 	for _, known := range members {
-		if known.Kind != "proxy" || !known.Ready || known.Leaving {
+		if known.Kind != message.ProxyKind || !known.Ready || known.Leaving {
 			continue
 		}
 		if known.Guest {
--- a/harness/capacity/content.go
+++ b/harness/capacity/content.go
@@ -74,7 +74,7 @@
 				"proxy-%05d",
 				number,
 			),
-			Kind:            "proxy",
+			Kind:            message.ProxyKind,
 			Zone:            zoneName(number),
 			InternalAddress: address + ":7000",
 			PublicAddress:   address + ":8000",
--- a/harness/capacity/simulated_daemons.go
+++ b/harness/capacity/simulated_daemons.go
@@ -88,7 +88,7 @@
 	name := fmt.Sprintf("proxy-%05d", spec.First+number)
 	config := agent.Config{
 		Name:            name,
-		Kind:            "proxy",
+		Kind:            message.ProxyKind,
 		Zone:            zoneName(number),
 		InternalAddress: spec.Wire,
 		PublicAddress:   spec.Wire,
--- a/harness/simulation/combined_faults.go
+++ b/harness/simulation/combined_faults.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"orchidjunction/harness/checker"
+	"orchidjunction/message"
 	"orchidjunction/operator"
 )
 
@@ -75,7 +76,7 @@
 func (faults *CombinedFaults) proxies() []*Daemon {
 	proxies := []*Daemon{}
 	for _, daemon := range faults.world.Daemons {
-		if daemon.Kind == "proxy" && daemon.Lender == nil {
+		if daemon.Kind == message.ProxyKind && daemon.Lender == nil {
 			proxies = append(proxies, daemon)
 		}
 	}
@@ -171,7 +172,7 @@
 		}
 	}
 	for _, daemon := range faults.world.Daemons {
-		if daemon.Zone == zone && daemon.Kind == "proxy" {
+		if daemon.Zone == zone && daemon.Kind == message.ProxyKind {
 			windows = append(windows, checker.Window{Kind: "front", Subject: daemon.PublicAddress})
 		}
 	}
--- a/harness/simulation/regions.go
+++ b/harness/simulation/regions.go
@@ -117,7 +117,7 @@
 func (world *World) StartMember(one *FarDaemon) {
 	spot := agent.Config{
 		Name:            one.Name,
-		Kind:            "proxy",
+		Kind:            message.ProxyKind,
 		Zone:            fmt.Sprint("z", one.Region),
 		InternalAddress: one.Host + ":41",
 		PublicAddress:   one.Host + ":80",
--- a/harness/simulation/world.go
+++ b/harness/simulation/world.go
@@ -201,7 +201,7 @@
 	daemon.Daemon = made
 	world.mutex.Unlock()
 	var outer http.Handler
-	if daemon.Kind == "proxy" {
+	if daemon.Kind == message.ProxyKind {
 		daemon.Proxy = serviceproxy.NewProxy(daemon.Daemon, daemon.goroutines, daemon.Counters, world.Net.Dialer(daemon.Host))
 		outer = daemon.Proxy
 		if daemon.Lender != nil {
--- a/hostproxy/view.go
+++ b/hostproxy/view.go
@@ -79,7 +79,7 @@
 func servingProxies(members []message.Member) []message.Member {
 	proxies := []message.Member{}
 	for _, member := range members {
-		if member.Kind == "proxy" && !member.Leaving {
+		if member.Kind == message.ProxyKind && !member.Leaving {
 			proxies = append(proxies, member)
 		}
 	}
--- a/message/update.go
+++ b/message/update.go
@@ -1,6 +1,13 @@
 package message
 
-import "orchidjunction/rpc"
+import (
+	"time"
+
+	"orchidjunction/rpc"
+)
+
+// maxWatch bounds how long a watch may wait.
+const maxWatch = 10 * time.Second
 
 // WatchRequest waits at a process for versions newer than those given, at most SpanMs
 // milliseconds.
@@ -13,6 +20,11 @@
 	Routing uint64
 }
 
+// Timeout returns how long the process waits at most.
+func (request *WatchRequest) Timeout() time.Duration {
+	return min(time.Duration(request.SpanMs)*time.Millisecond, maxWatch)
+}
+
 // WatchResponse is the versions that the process holds.
 type WatchResponse struct {
 	Serial uint64
@@ -21,6 +33,11 @@
 	Routing uint64
 }
 
+// NewerThan reports whether any of the versions is newer than those in a request.
+func (response *WatchResponse) NewerThan(request *WatchRequest) bool {
+	return response.Serial > request.Serial || response.Routing > request.Routing || request.Table.Less(response.Table)
+}
+
 // FetchRequest asks for what is newer than the versions given.
 type FetchRequest struct {
 	Serial uint64
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -35,38 +35,38 @@
 }
 
 func newInstance(flags *Flags, config agent.Config, goroutines *concurrent.Group, construct Constructor) *Instance {
-	station := &Instance{client: rpc.NewClient(Transport()), counters: metrics.NewCounters()}
-	station.Daemon = agent.NewDaemon(config, agent.NewID(), station.client, goroutines, station.counters)
-	plane, probes := construct(station.Daemon, goroutines, station.counters)
-	station.Plane = plane
-	station.Daemon.OnVersion(plane.Apply, probes)
-	server := rpc.NewServer(station.counters)
-	station.Daemon.Register(server)
+	instance := &Instance{client: rpc.NewClient(Transport()), counters: metrics.NewCounters()}
+	instance.Daemon = agent.NewDaemon(config, agent.NewID(), instance.client, goroutines, instance.counters)
+	plane, probes := construct(instance.Daemon, goroutines, instance.counters)
+	instance.Plane = plane
+	instance.Daemon.OnVersion(plane.Apply, probes)
+	server := rpc.NewServer(instance.counters)
+	instance.Daemon.Register(server)
 	plane.Register(server)
-	operate := agent.NewOperatorAPI(config.Name, station.Daemon.Forwarder, station.counters, func() (uint64, []byte) {
-		version := station.Daemon.Version()
+	operate := agent.NewOperatorAPI(config.Name, instance.Daemon.Forwarder, instance.counters, func() (uint64, []byte) {
+		version := instance.Daemon.Version()
 		return version.Serial, version.Body()
-	}, station.Daemon.Ready)
+	}, instance.Daemon.Ready)
 	for _, side := range []struct {
 		address string
 		handler http.Handler
 	}{{config.PublicAddress, plane}, {config.InternalAddress, server}, {config.OperatorAddress, operate}} {
 		listener, err := Listen(side.address, side.handler, 32<<10)
 		flags.Exit(err)
-		station.listeners = append(station.listeners, listener)
+		instance.listeners = append(instance.listeners, listener)
 	}
-	return station
+	return instance
 }
 
-func (station *Instance) run(goroutines *concurrent.Group) {
-	for _, listener := range station.listeners {
+func (instance *Instance) run(goroutines *concurrent.Group) {
+	for _, listener := range instance.listeners {
 		listener.Serve(goroutines)
 	}
-	station.Daemon.Run()
-	station.Plane.Run()
-	LogCounts(goroutines, station.counters, station.Daemon.Name())
+	instance.Daemon.Run()
+	instance.Plane.Run()
+	LogCounts(goroutines, instance.counters, instance.Daemon.Name())
 	goroutines.OnStop(func() {
-		for _, listener := range station.listeners {
+		for _, listener := range instance.listeners {
 			listener.Close()
 		}
 	})
@@ -114,7 +114,7 @@
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--settle-ms: %d is not in 0 to the grace of %d", settle, grace))
 	}
 	goroutines := concurrent.NewGroup()
-	stations := []*Instance{newInstance(flags, config, goroutines, construct)}
+	instances := []*Instance{newInstance(flags, config, goroutines, construct)}
 	if guest != nil && guest.given() {
 		guest.Config.Kind, guest.Config.Guest = kind, true
 		if err := guest.Config.Check(); err != nil {
@@ -123,18 +123,18 @@
 		if guest.PerSecond <= 0 || guest.InFlight < 1 {
 			flags.Exit(rpc.Errorf(rpc.BadFlag, "--lend-rps and --lend-in-flight: a guest lends something of both"))
 		}
-		stations = append(stations, newInstance(flags, guest.Config, goroutines, construct))
-		guest.Join(stations[0].Plane, stations[1].Plane)
+		instances = append(instances, newInstance(flags, guest.Config, goroutines, construct))
+		guest.Join(instances[0].Plane, instances[1].Plane)
 	}
-	for _, station := range stations {
-		station.run(goroutines)
+	for _, instance := range instances {
+		instance.run(goroutines)
 	}
 	OnTerm(goroutines, func() {
-		ended, _ := concurrent.Gather(goroutines, len(stations), func(index int) (bool, error) {
-			return stations[index].Daemon.Retire(
+		ended, _ := concurrent.Gather(goroutines, len(instances), func(index int) (bool, error) {
+			return instances[index].Daemon.Retire(
 				time.Duration(settle)*time.Millisecond,
 				time.Duration(grace)*time.Millisecond,
-				stations[index].listeners[0].Drain,
+				instances[index].listeners[0].Drain,
 			), nil
 		}, func(map[int]bool, map[int]error) bool { return false })
 		whole := true
@@ -146,7 +146,7 @@
 	})
 	klog.Infof("%s: started in zone %s", config.Name, config.Zone)
 	goroutines.Wait()
-	for _, station := range stations {
-		station.client.Close()
+	for _, instance := range instances {
+		instance.client.Close()
 	}
 }
--- a/process/run.go
+++ b/process/run.go
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// Exit ends with status 2 and one line, where there is a error.
+// Exit ends with status 2 and one line, where there is an error.
 func (flags *Flags) Exit(err error) {
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", flags.name, err)
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -144,9 +144,8 @@
 func (replica *Replica) MarkCommitted(register message.Register, version message.Version) {
 	replica.lock.Lock()
 	defer replica.lock.Unlock()
-	_ = replica.append(
-		replica.store.state.CommittedRecord(register, version),
-	) // reported to DiskFailed; without the mark others are asked again
+	// An error is reported to DiskFailed; without the mark others are asked again.
+	_ = replica.append(replica.store.state.CommittedRecord(register, version))
 }
 
 // append makes a record durable, publishes the new state and tells the owner what
--- a/serviceproxy/admission.go
+++ b/serviceproxy/admission.go
@@ -92,7 +92,7 @@
 func partOf(table *message.Table, name string) float64 {
 	count, known, total, own := 0, 0, 0.0, 0.0
 	for _, member := range table.Members {
-		if member.Kind != "proxy" || !member.Ready && member.Name != name {
+		if member.Kind != message.ProxyKind || !member.Ready && member.Name != name {
 			continue
 		}
 		count++
--- a/serviceproxy/attempt.go
+++ b/serviceproxy/attempt.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"fmt"
+	"io"
 	"net/http"
 	"strconv"
 	"time"
@@ -34,7 +35,7 @@
 	sending := &attempt{task: task, target: target, connection: connection, incarnation: incarnation, cancel: cancel}
 	request, err := task.outgoing(ctx, target.backend().Address)
 	if err != nil {
-		sending.giveBack()
+		sending.giveBack(nil)
 		return nil, false, rpc.Errorf(rpc.BadRequest, "%v", err)
 	}
 	task.state.advance(Sent)
@@ -46,10 +47,14 @@
 	return sending.receive(response)
 }
 
-// giveBack ends the attempt and keeps its connection for another.
-func (sending *attempt) giveBack() {
+// giveBack ends the attempt and keeps its connection for another. It closes the rest of a
+// response that was streamed, if there is one.
+func (sending *attempt) giveBack(rest io.ReadCloser) {
 	sending.cancel()
 	sending.target.leave()
+	if rest != nil {
+		rest.Close()
+	}
 	sending.target.giveBack(sending.connection, sending.incarnation, sending.task.route.IdleConnections)
 }
 
@@ -93,20 +98,15 @@
 		return nil, true, err
 	}
 	if receipt.rest != nil {
-		task.finish = func() {
-			sending.cancel()
-			sending.target.leave()
-			receipt.rest.Close()
-			sending.target.giveBack(sending.connection, sending.incarnation, task.route.IdleConnections)
-		}
+		task.finish = func() { sending.giveBack(receipt.rest) }
 		return receipt, true, nil
 	}
 	if receipt.status == http.StatusServiceUnavailable || receipt.status == http.StatusTooManyRequests {
-		sending.giveBack()
+		sending.giveBack(nil)
 		return nil, receipt.header.Get("Oj-Not-Run") != "true", busyError(receipt)
 	}
 	response.Body.Close()
-	sending.giveBack()
+	sending.giveBack(nil)
 	return receipt, true, nil
 }
 
--- a/serviceproxy/claims.go
+++ b/serviceproxy/claims.go
@@ -89,9 +89,9 @@
 		switch {
 		case known.Name == claims.proxy.daemon.Name():
 			listed = known.Incarnation == claims.proxy.daemon.Incarnation()
-		case known.Kind == "proxy" && known.KeyReplica:
+		case known.Kind == message.ProxyKind && known.KeyReplica:
 			others = append(others, known)
-		case known.Kind == "proxy":
+		case known.Kind == message.ProxyKind:
 			peers = append(peers, known)
 		}
 	}
--- a/serviceproxy/core_membership.go
+++ b/serviceproxy/core_membership.go
@@ -3,8 +3,8 @@
 import (
 	"bytes"
 
+	"orchidjunction/consensus"
 	"orchidjunction/message"
-	"orchidjunction/rpc"
 )
 
 // coreMembership is a membership of the cores as a proxy counts by it; its voters are nil
@@ -16,14 +16,14 @@
 
 // decodeCoreMembership reads a membership; one that can't be read is as good as none.
 func decodeCoreMembership(accepted message.AcceptedValue) coreMembership {
-	var voters message.VoterSet
-	if accepted.Value.Serial == 0 || rpc.Unmarshal(accepted.Value.Body, &voters) != nil || voters.Check() != nil {
+	membership, err := consensus.DecodeMembership(accepted)
+	if err != nil || membership == nil {
 		return coreMembership{}
 	}
-	return coreMembership{accepted: accepted, voters: &voters}
+	return coreMembership{accepted: accepted, voters: membership.VoterSet()}
 }
 
-// newer is the newer of two rosters.
+// newer is the newer of two memberships.
 func (membership coreMembership) newer(other coreMembership) coreMembership {
 	if other.voters != nil && membership.accepted.Version().Less(other.accepted.Version()) {
 		return other
@@ -31,7 +31,7 @@
 	return membership
 }
 
-// same is whether two rosters have the same voters.
+// same is whether two memberships have the same voters.
 func (membership coreMembership) same(other coreMembership) bool {
 	return bytes.Equal(membership.accepted.Value.Body, other.accepted.Value.Body)
 }
--- a/serviceproxy/key_replicas.go
+++ b/serviceproxy/key_replicas.go
@@ -19,7 +19,7 @@
 func newKeyReplicas(table *message.Table, regions map[string]string) *KeyReplicas {
 	keepers := &KeyReplicas{regions: regions}
 	for _, member := range table.Members {
-		if member.Kind == "proxy" && member.KeyReplica {
+		if member.Kind == message.ProxyKind && member.KeyReplica {
 			keepers.members = append(keepers.members, member)
 		}
 	}
--- a/serviceproxy/proxy.go
+++ b/serviceproxy/proxy.go
@@ -89,7 +89,7 @@
 	}
 	shares := 0
 	for _, known := range version.Table.Members {
-		if known.Kind == "proxy" {
+		if known.Kind == message.ProxyKind {
 			shares++
 		}
 	}
@@ -150,7 +150,7 @@
 func warmupShares(table *message.Table, backend message.Backend, name string) int {
 	ahead, count, own := 0, 0, Rank(backend.Name, name)
 	for _, known := range table.Members {
-		if known.Kind != "proxy" || known.Leaving {
+		if known.Kind != message.ProxyKind || known.Leaving {
 			continue
 		}
 		count++
--- a/serviceproxy/target.go
+++ b/serviceproxy/target.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// failed counts a error; a wrong identity takes the target out at once.
+// failed counts an error; a wrong identity takes the target out at once.
 func (target *Target) failed(err error) {
 	target.mutex.Lock()
 	stale := []*BackendConn{}
--- a/steering/index.go
+++ b/steering/index.go
@@ -94,7 +94,7 @@
 		return nil
 	}
 	for _, member := range table.Members {
-		if member.Kind != "proxy" || member.PublicAddress == "" || member.Leaving {
+		if member.Kind != message.ProxyKind || member.PublicAddress == "" || member.Leaving {
 			continue
 		}
 		staying = append(staying, member)
--- a/usage/sums.go
+++ b/usage/sums.go
@@ -58,15 +58,18 @@
 
 // DecodeState decodes a value of the reports register. The value of serial 0 is an empty
 // state.
-func DecodeState(value message.Value) (*State, error) {
-	state := &State{}
+func DecodeState(value message.Value) (*State, error) { return decode[State](value) }
+
+// decode decodes a value of the reports register, whichever of the two states it holds.
+func decode[Content any](value message.Value) (*Content, error) {
+	content := new(Content)
 	if len(value.Body) == 0 {
-		return state, nil
+		return content, nil
 	}
-	if err := rpc.Unmarshal(value.Body, state); err != nil {
+	if err := rpc.Unmarshal(value.Body, content); err != nil {
 		return nil, err
 	}
-	return state, nil
+	return content, nil
 }
 
 // Sums gathers the running counts of processes. It is safe for concurrent use.
--- a/usage/windows.go
+++ b/usage/windows.go
@@ -8,7 +8,6 @@
 	"sync"
 
 	"orchidjunction/message"
-	"orchidjunction/rpc"
 )
 
 // maxSealedWindows is how many sealed windows the reports register keeps.
@@ -30,16 +29,7 @@
 
 // DecodeWindowState decodes a value of the reports register. The value of serial 0 is an
 // empty state.
-func DecodeWindowState(value message.Value) (*WindowState, error) {
-	state := &WindowState{}
-	if len(value.Body) == 0 {
-		return state, nil
-	}
-	if err := rpc.Unmarshal(value.Body, state); err != nil {
-		return nil, err
-	}
-	return state, nil
-}
+func DecodeWindowState(value message.Value) (*WindowState, error) { return decode[WindowState](value) }
 
 // Seal adds sealed windows, drops the oldest, and marks those that isReported knows.
 func (state *WindowState) Seal(next int64, sealed []SealedWindow, isReported func(window int64) bool) {
