--- a/control/leader_query_test.go
+++ b/control/leader_query_test.go
@@ -1,37 +1,17 @@
 package control
 
 import (
-	"net/http"
 	"testing"
 	"time"
 
 	"orchidjunction/concurrent"
 	"orchidjunction/message"
-	"orchidjunction/metrics"
-	"orchidjunction/rpc"
-	"orchidjunction/storage"
 )
 
 // Who leads is asked while the leader beats, very often: neither waits for the
 // other's lock for good.
 func TestLeaderQueryWhileSendingHeartbeats(test *testing.T) {
-	goroutines := concurrent.NewGroup()
-	core, err := NewCore(
-		Config{
-			ID:                1,
-			InternalAddress:   "127.0.0.1:1",
-			Bootstrap:         true,
-			HeartbeatInterval: 10 * time.Millisecond,
-			SuspicionTimeout:  30 * time.Millisecond,
-		},
-		storage.Folder(test.TempDir()),
-		rpc.NewClient(http.DefaultTransport),
-		goroutines,
-		metrics.NewCounters(),
-	)
-	if err != nil {
-		test.Fatal(err)
-	}
+	core, goroutines := newSingleCore(test)
 	core.Run()
 	for !core.Leads() {
 		goroutines.Sleep(time.Millisecond)
--- a/control/relayed_test.go
+++ b/control/relayed_test.go
@@ -1,38 +1,16 @@
 package control
 
 import (
-	"net/http"
 	"testing"
-	"time"
 
-	"orchidjunction/concurrent"
 	"orchidjunction/message"
-	"orchidjunction/metrics"
-	"orchidjunction/rpc"
-	"orchidjunction/storage"
 	"orchidjunction/usage"
 )
 
 // A daemon that stays with a core which led tells it changes only. The next leader
 // gets all that the core was told, or it would seal what came since alone.
 func TestRelayedSessionTellsAllCountsNotTheLastChange(test *testing.T) {
-	goroutines := concurrent.NewGroup()
-	core, err := NewCore(
-		Config{
-			ID:                1,
-			InternalAddress:   "127.0.0.1:1",
-			Bootstrap:         true,
-			HeartbeatInterval: 10 * time.Millisecond,
-			SuspicionTimeout:  30 * time.Millisecond,
-		},
-		storage.Folder(test.TempDir()),
-		rpc.NewClient(http.DefaultTransport),
-		goroutines,
-		metrics.NewCounters(),
-	)
-	if err != nil {
-		test.Fatal(err)
-	}
+	core, _ := newSingleCore(test)
 	defer core.Close()
 	member := message.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}
 	for _, session := range []*message.Session{
@@ -61,23 +39,7 @@
 
 // What adds to a former process of the core is not all, and does not pass for it.
 func TestRelayedChangesUponAFormerProcessStayChanges(test *testing.T) {
-	goroutines := concurrent.NewGroup()
-	core, err := NewCore(
-		Config{
-			ID:                1,
-			InternalAddress:   "127.0.0.1:1",
-			Bootstrap:         true,
-			HeartbeatInterval: 10 * time.Millisecond,
-			SuspicionTimeout:  30 * time.Millisecond,
-		},
-		storage.Folder(test.TempDir()),
-		rpc.NewClient(http.DefaultTransport),
-		goroutines,
-		metrics.NewCounters(),
-	)
-	if err != nil {
-		test.Fatal(err)
-	}
+	core, _ := newSingleCore(test)
 	defer core.Close()
 	session := message.Session{
 		Member: message.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}, NowMs: 2, BaseProcess: core.windows.Process() + 2,
--- a/harness/capacity/bench.go
+++ b/harness/capacity/bench.go
@@ -91,13 +91,8 @@
 		seeds = append(seeds, fmt.Sprintf("127.0.0.1:%d", bench.port+(number+1)*portStep))
 	}
 	for number := range point.Cores {
-		address, report := fmt.Sprintf(
-			"127.0.0.1:%d",
-			bench.port+(number+1)*portStep,
-		), fmt.Sprintf(
-			"127.0.0.1:%d",
-			bench.port+(number+1)*portStep+1,
-		)
+		port := bench.port + (number+1)*portStep
+		address, report := fmt.Sprintf("127.0.0.1:%d", port), fmt.Sprintf("127.0.0.1:%d", port+1)
 		data := filepath.Join(folder, fmt.Sprintf("core-%d", number))
 		if err := os.MkdirAll(data, 0o700); err != nil {
 			return rpc.Errorf(rpc.DiskFailure, "%v", err)
--- a/harness/capacity/core.go
+++ b/harness/capacity/core.go
@@ -106,11 +106,9 @@
 		reading := tap.read()
 		serial, _ := core.Routing()
 		table := core.Table()
-		reading.Leads, reading.Routing, reading.Members, reading.Backends, reading.Counts = core.Leads(), serial, len(
-			table.Members,
-		), len(
-			table.Backends,
-		), counters.All()
+		reading.Leads, reading.Routing = core.Leads(), serial
+		reading.Members, reading.Backends = len(table.Members), len(table.Backends)
+		reading.Counts = counters.All()
 		writeJSON(writer, reading)
 	})
 	if err := newByteCounter().serve(spec.Report, mux, goroutines); err != nil {
--- a/harness/capacity/page.go
+++ b/harness/capacity/page.go
@@ -292,19 +292,8 @@
 	)
 	part := func(fit Fit) string { return fmt.Sprintf("%.0f%%", 100*fit.Left) }
 	for _, kind := range stateKinds {
-		wired, memory, unpack, apply := found.state(
-			kind,
-			packed,
-		), found.state(
-			kind,
-			held,
-		), found.state(
-			kind,
-			unpacked,
-		), found.state(
-			kind,
-			laid,
-		)
+		wired, memory := found.state(kind, packed), found.state(kind, held)
+		unpack, apply := found.state(kind, unpacked), found.state(kind, laid)
 		table.row(
 			"one of "+kind,
 			number(wired.Slope),
@@ -399,11 +388,8 @@
 		sort.Float64s(values)
 		return values[len(values)/2]
 	}
-	return middle(
-			func(spread Spread) float64 { return spread.Half },
-		), middle(
-			func(spread Spread) float64 { return spread.Most },
-		), middle(
-			func(spread Spread) float64 { return spread.All },
-		)
+	half = middle(func(spread Spread) float64 { return spread.Half })
+	most = middle(func(spread Spread) float64 { return spread.Most })
+	all = middle(func(spread Spread) float64 { return spread.All })
+	return half, most, all
 }
--- a/harness/capacity/plot.go
+++ b/harness/capacity/plot.go
@@ -50,13 +50,9 @@
 	}
 	for _, name := range []string{"routes", "tenants", "daemons"} {
 		if run := found.runs[name]; run != nil {
-			if err := found.draw(
-				name+"-change",
-				"Milliseconds until a change is in force everywhere",
-				run.Along,
-				"ms",
-				[]any{"all daemons", pointsOf(run, everywhere)},
-			); err != nil {
+			points := []any{"all daemons", pointsOf(run, everywhere)}
+			err := found.draw(name+"-change", "Milliseconds until a change is in force everywhere", run.Along, "ms", points)
+			if err != nil {
 				return err
 			}
 		}
--- a/harness/simulation/combined_faults.go
+++ b/harness/simulation/combined_faults.go
@@ -132,12 +132,8 @@
 		client := faults.world.Client(doors[faults.random.IntN(len(doors))])
 		if settings, err := client.Read(false); err == nil && settings.Confirmed {
 			change := operator.Change{Base: settings.Serial, Change: fmt.Sprint("all-", faults.number), Settings: []byte(body)}
-			if faults.ledger.Make(
-				change,
-				client,
-				faults.random,
-				func(client *operator.Client) (*operator.Outcome, error) { return client.Patch(change) },
-			) == nil {
+			patch := func(client *operator.Client) (*operator.Outcome, error) { return client.Patch(change) }
+			if faults.ledger.Make(change, client, faults.random, patch) == nil {
 				return time.Now().UnixMilli()
 			}
 		}
--- a/harness/simulation/replace_run_test.go
+++ b/harness/simulation/replace_run_test.go
@@ -9,7 +9,7 @@
 
 // ReplacementFaults are those of the control side with core replacement among them.
 // Each kind may come more than once.
-var ReplacementFaults = []string{
+var ReplacementFaults = append([]string{
 	"replace",
 	"replace",
 	"replace-leader",
@@ -26,23 +26,7 @@
 	"deaf",
 	"roll",
 	"core",
-	"core",
-	"core",
-	"core",
-	"disk-fails",
-	"all-wiped",
-	"all-down",
-	"power-after-ack",
-	"wipe-after-ack",
-	"region-lost",
-	"cores-apart",
-	"most-wiped",
-	"member-killed",
-	"members-killed",
-	"member-frozen",
-	"member-cut",
-	"calm",
-}
+}, SideFaults...)
 
 // SurvivedCoreFaults are the cores' own that lose no more than a deployment survives.
 var (
--- a/hostproxy/target.go
+++ b/hostproxy/target.go
@@ -99,14 +99,11 @@
 	defer target.mutex.Unlock()
 	slots := float64(max(target.backend.Capacity, 1))
 	load, service := target.load(now), mean*target.slowness
-	cost = service + far + float64(
-		target.roundTrip.Milliseconds(),
-	) + utilizationWeight*service*min(
-		1,
-		load/slots,
-	) + failurePenalty*mean*target.failureRate
+	utilization := min(1, load/slots)
+	roundTrip := float64(target.roundTrip.Milliseconds())
+	cost = service + far + roundTrip + utilizationWeight*service*utilization + failurePenalty*mean*target.failureRate
 	if len(target.idle) == 0 {
-		cost += openPenalty + float64(target.roundTrip.Milliseconds())
+		cost += openPenalty + roundTrip
 	}
 	if load >= slots {
 		cost += (load - slots + 1) / slots * service
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -130,12 +130,10 @@
 		instance.run(goroutines)
 	}
 	OnTerm(goroutines, func() {
+		settleTime, graceTime := time.Duration(settle)*time.Millisecond, time.Duration(grace)*time.Millisecond
 		ended, _ := concurrent.Gather(goroutines, len(instances), func(index int) (bool, error) {
-			return instances[index].Daemon.Retire(
-				time.Duration(settle)*time.Millisecond,
-				time.Duration(grace)*time.Millisecond,
-				instances[index].listeners[0].Drain,
-			), nil
+			instance := instances[index]
+			return instance.Daemon.Retire(settleTime, graceTime, instance.listeners[0].Drain), nil
 		}, func(map[int]bool, map[int]error) bool { return false })
 		whole := true
 		for _, one := range ended {
--- a/process/typed.go
+++ b/process/typed.go
@@ -82,13 +82,8 @@
 		kind = rpc.TooLarge
 	}
 	refusal, _ := json.Marshal(&rpc.Error{Code: kind, Message: strings.TrimSpace(string(text)), Outcome: rpc.NotRun})
-	if _, err := fmt.Fprintf(
-		conn.Conn,
-		"%s\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s\n",
-		line,
-		len(refusal)+1,
-		refusal,
-	); err != nil {
+	const head = "%s\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: %d\r\n\r\n"
+	if _, err := fmt.Fprintf(conn.Conn, head+"%s\n", line, len(refusal)+1, refusal); err != nil {
 		return 0, err
 	}
 	return len(body), nil
--- a/routing/patch.go
+++ b/routing/patch.go
@@ -6,31 +6,16 @@
 // Whoever takes it on sets its version and checks it.
 func (config Config) Apply(patch *Patch) (Config, error) {
 	var err error
-	if config.Routes, err = overlay(
-		config.Routes,
-		patch.Routes,
-		patch.RemoveRoutes,
-		"routes",
-		func(route *Route) string { return route.Name },
-	); err != nil {
+	config.Routes, err = overlay(config.Routes, patch.Routes, patch.RemoveRoutes, "routes", routeName)
+	if err != nil {
 		return Config{}, err
 	}
-	if config.Services, err = overlay(
-		config.Services,
-		patch.Services,
-		patch.RemoveServices,
-		"services",
-		func(service *Service) string { return service.Name },
-	); err != nil {
+	config.Services, err = overlay(config.Services, patch.Services, patch.RemoveServices, "services", serviceName)
+	if err != nil {
 		return Config{}, err
 	}
-	if config.Tenants, err = overlay(
-		config.Tenants,
-		patch.Tenants,
-		patch.RemoveTenants,
-		"tenants",
-		func(tenant *Tenant) string { return tenant.Name },
-	); err != nil {
+	config.Tenants, err = overlay(config.Tenants, patch.Tenants, patch.RemoveTenants, "tenants", tenantName)
+	if err != nil {
 		return Config{}, err
 	}
 	config.KeysRequired = config.KeysRequired || len(patch.Tenants) > 0
@@ -40,6 +25,10 @@
 	return config, nil
 }
 
+func routeName(route *Route) string       { return route.Name }
+func serviceName(service *Service) string { return service.Name }
+func tenantName(tenant *Tenant) string    { return tenant.Name }
+
 // overlay replaces items in their place, adds new ones at the end and leaves
 // out the removed; an item both given and removed is given.
 func overlay[Item any](held, given []Item, removed []string, list string, name func(*Item) string) ([]Item, error) {
--- a/serviceproxy/admission.go
+++ b/serviceproxy/admission.go
@@ -202,12 +202,8 @@
 	defer admission.mutex.Unlock()
 	if span := time.Since(admission.since); span >= demandSpan {
 		now := admission.tasks / span.Seconds()
-		if step := math.Pow(
-			1.5,
-			math.Round(math.Log(max(now, 1))/math.Log(1.5)),
-		); admission.demand == 0 ||
-			math.Abs(now-admission.demand) > 0.4*admission.demand {
-			admission.demand = step
+		if admission.demand == 0 || math.Abs(now-admission.demand) > 0.4*admission.demand {
+			admission.demand = math.Pow(1.5, math.Round(math.Log(max(now, 1))/math.Log(1.5)))
 		}
 		admission.tasks, admission.since = 0, time.Now()
 	}
--- a/serviceproxy/claim_messages.go
+++ b/serviceproxy/claim_messages.go
@@ -105,13 +105,9 @@
 			continue
 		}
 		claims.proxy.goroutines.Start(func() {
-			if _, err := rpc.Call(
-				claims.proxy.daemon.Client(),
-				keeper.InternalAddress,
-				message.MethodCompleteClaim,
-				completeTimeout,
-				settle,
-			); err != nil {
+			client := claims.proxy.daemon.Client()
+			_, err := rpc.Call(client, keeper.InternalAddress, message.MethodCompleteClaim, completeTimeout, settle)
+			if err != nil {
 				claims.proxy.counters.Add("claims_not_settled", 1)
 			}
 		})
--- a/serviceproxy/claim_rings.go
+++ b/serviceproxy/claim_rings.go
@@ -118,13 +118,9 @@
 	for address, batch := range batches {
 		for len(batch) > 0 {
 			count := min(len(batch), 2000)
-			if _, err := rpc.Call(
-				claims.proxy.daemon.Client(),
-				address,
-				message.MethodMergeClaims,
-				fetchClaimsTimeout,
-				&message.MergeClaimsRequest{Claims: batch[:count]},
-			); err != nil {
+			request := &message.MergeClaimsRequest{Claims: batch[:count]}
+			_, err := rpc.Call(claims.proxy.daemon.Client(), address, message.MethodMergeClaims, fetchClaimsTimeout, request)
+			if err != nil {
 				claims.proxy.counters.Add("claims_not_retold", uint64(count))
 			}
 			batch = batch[count:]
