--- a/hostproxy/admit.go
+++ b/hostproxy/admit.go
@@ -10,13 +10,13 @@
 	"orchidjunction/rpc"
 )
 
-// isKey is whether an Authorization value carries a key of the scheme.
-func (proxy *Proxy) isKey(value string) bool {
-	_, found := proxy.key(value)
+// hasAPIKey reports whether an Authorization value carries a key of the configured scheme.
+func (proxy *Proxy) hasAPIKey(value string) bool {
+	_, found := proxy.parseAPIKey(value)
 	return found
 }
 
-func (proxy *Proxy) key(value string) (string, bool) {
+func (proxy *Proxy) parseAPIKey(value string) (string, bool) {
 	value = strings.TrimSpace(value)
 	end := strings.IndexAny(value, " \t")
 	if end < 0 || !strings.EqualFold(value[:end], proxy.config.Headers.KeyScheme) {
@@ -25,10 +25,10 @@
 	return strings.TrimSpace(value[end:]), true
 }
 
-// malformed is the status of a request that cannot be carried: of a protocol in which
-// a client would not see that an answer was cut short, and which frames bodies in
-// another way; or without the one attempt id by which its answer is known.
-func (proxy *Proxy) malformed(request *request) int {
+// validate returns an error status for a request that cannot be forwarded, or 0. Before
+// HTTP/1.1, clients cannot detect a truncated response and bodies are framed differently.
+// Exactly one attempt ID is required, since it identifies the response.
+func (proxy *Proxy) validate(request *request) int {
 	if !request.source.ProtoAtLeast(1, 1) {
 		request.writer.Header().Set("Connection", "close")
 		return http.StatusHTTPVersionNotSupported
@@ -41,9 +41,9 @@
 	return 0
 }
 
-// admit finds the route and the tenant, and reads the body; a status where the request
-// goes no further.
-func (proxy *Proxy) admit(request *request, view *View) (int, rpc.Code) {
+// admit resolves the route, tenant and service, and reads the body. It returns an error
+// status if the request is rejected.
+func (proxy *Proxy) admit(request *request, view *routingView) (int, rpc.Code) {
 	source, config := request.source, &view.state.Config
 	path, _, _ := strings.Cut(source.RequestURI, "?")
 	compiled, found := view.index.Find(source.Host, path)
@@ -51,7 +51,7 @@
 		return http.StatusNotFound, rpc.UnknownRoute
 	}
 	request.route = compiled.Route
-	if key, given := proxy.key(source.Header.Get("Authorization")); given {
+	if key, given := proxy.parseAPIKey(source.Header.Get("Authorization")); given {
 		request.tenant, _ = view.index.TenantOf(key)
 	}
 	if config.KeysRequired && !request.route.Public && request.tenant == nil {
@@ -76,8 +76,7 @@
 	return 0, ""
 }
 
-// timeout is how long a request may take: the client's deadline, or the route's
-// timeout where that is shorter.
+// timeout returns the shorter of the client's deadline and the route's timeout.
 func (proxy *Proxy) timeout(request *request) time.Duration {
 	timeout := float64(request.route.TimeoutMs)
 	milliseconds, err := strconv.ParseFloat(request.source.Header.Get(proxy.config.Headers.Deadline), 64)
--- a/hostproxy/answer.go
+++ b/hostproxy/answer.go
@@ -174,10 +174,10 @@
 		err := connection.conn.SetDeadline(proxy.clock().Add(refusalDrain))
 		proxy.release(target, connection, err == nil && readToEnd(response))
 	} else {
-		target.discard(connection)
+		target.discardConnection(connection)
 	}
 	if response.StatusCode == http.StatusMisdirectedRequest {
-		target.replacedByOther(proxy.clock())
+		target.recordReplacement(proxy.clock())
 		proxy.counters.Add("backends_replaced", 1)
 	}
 }
@@ -200,7 +200,7 @@
 		shaper: proxy.inbound,
 		ctx:    request.bounded,
 		clock:  proxy.clock,
-		large:  response.ContentLength > largeBody,
+		large:  response.ContentLength > bulkThreshold,
 	}
 	count, err := io.Copy(&buffer, io.LimitReader(source, maxBufferedBody))
 	if err != nil {
--- a/hostproxy/attempt.go
+++ b/hostproxy/attempt.go
@@ -65,7 +65,7 @@
 	if taken := held.target.takeIdle(proxy.clock()); taken != nil {
 		return taken
 	}
-	if !held.target.reserve(most) {
+	if !held.target.reserveConnection(most) {
 		proxy.counters.Add("connections_capped", 1)
 		return nil
 	}
@@ -77,19 +77,19 @@
 	if until := begin.Add(patience); until.Before(limit) {
 		limit = until
 	}
-	ctx, cancel := context.WithDeadline(held.offer, limit)
+	ctx, cancel := context.WithDeadline(held.eligible, limit)
 	conn, err := proxy.dial(ctx, "tcp", held.target.backend.Address)
 	cancel()
 	if err != nil {
-		held.target.unreserve()
+		held.target.unreserveConnection()
 		if held.isWithdrawn() {
 			return nil
 		}
-		held.target.failed(proxy.clock(), true)
+		held.target.recordFailure(proxy.clock(), true)
 		proxy.counters.Add("connections_failed", 1)
 		return nil
 	}
-	held.target.dialled(proxy.clock().Sub(begin))
+	held.target.recordDial(proxy.clock().Sub(begin))
 	proxy.counters.Add("connections_opened", 1)
 	return newConnection(conn)
 }
@@ -107,7 +107,7 @@
 	request.spent.connecting += proxy.clock().Sub(connectBegin)
 	if held.isWithdrawn() {
 		if connection != nil {
-			held.target.release(connection)
+			held.target.releaseConnection(connection)
 		}
 		return nil, withdrawn
 	}
@@ -115,10 +115,10 @@
 		return nil, unsent
 	}
 	if request.deadline.Sub(proxy.clock()) < time.Millisecond || request.context.Err() != nil {
-		held.target.release(connection)
+		held.target.releaseConnection(connection)
 		return nil, unsent
 	}
-	proxy.figures.sending(request, proxy.clock())
+	proxy.figures.observeSend(request, proxy.clock())
 	if held.isWithdrawn() {
 		proxy.counters.Add("attempts_sent_withdrawn", 1)
 	}
@@ -129,7 +129,7 @@
 	held.countSent()
 	answer, ended := proxy.exchange(request, held, connection)
 	request.spent.backends += proxy.clock().Sub(exchangeBegin)
-	proxy.judge(request, held, answer, ended, exchangeBegin)
+	proxy.scoreExchange(request, held, answer, ended, exchangeBegin)
 	notRun := ended == unsent || ended == refused
 	if notRun {
 		request.mayHaveRun = before
@@ -143,16 +143,16 @@
 func (proxy *Proxy) exchange(request *request, held *candidate, connection *connection) (*answer, outcome) {
 	begin := proxy.clock()
 	if err := connection.conn.SetDeadline(request.deadline.Add(deadlineSlack)); err != nil {
-		held.target.discard(connection)
-		held.target.failed(begin, false)
+		held.target.discardConnection(connection)
+		held.target.recordFailure(begin, false)
 		return nil, unsent
 	}
 	stop := context.AfterFunc(request.context, connection.interrupt)
 	head := proxy.requestHead(request, held.target.backend.Name, request.deadline.Sub(begin))
 	if sent, err := proxy.send(connection, head, &request.body); err != nil {
 		stop()
-		held.target.discard(connection)
-		held.target.failed(proxy.clock(), false)
+		held.target.discardConnection(connection)
+		held.target.recordFailure(proxy.clock(), false)
 		if sent {
 			return nil, lost
 		}
@@ -174,15 +174,15 @@
 			}
 			proxy.release(held.target, connection, waited && whole && !answer.response.Close)
 		}
-		held.target.served(now.Sub(begin), request.stats.mean(request.route), answer.response.StatusCode < 500)
+		held.target.recordResponse(now.Sub(begin), request.stats.meanMs(request.route), answer.response.StatusCode < 500)
 		if answer.remainder == nil {
 			answer.release(true)
 		}
 	case lost:
 		stop()
-		held.target.discard(connection)
+		held.target.discardConnection(connection)
 		if request.context.Err() == nil && now.Before(request.deadline) {
-			held.target.failed(now, false)
+			held.target.recordFailure(now, false)
 		}
 	}
 	return answer, ended
@@ -191,21 +191,21 @@
 // release gives a connection back where nothing unread is left on it, at either end.
 func (proxy *Proxy) release(target *target, connection *connection, sound bool) {
 	if !sound || connection.answeredEarly || connection.reader.Buffered() > 0 {
-		target.discard(connection)
+		target.discardConnection(connection)
 		return
 	}
-	if connection.conn.SetDeadline(time.Time{}) != nil || connection.endWatch() != nil {
-		target.discard(connection)
+	if connection.conn.SetDeadline(time.Time{}) != nil || connection.unwatchPeer() != nil {
+		target.discardConnection(connection)
 		return
 	}
-	target.release(connection)
+	target.releaseConnection(connection)
 }
 
 // send writes head and body, a large one in the background; sent is whether any byte
 // of them may have arrived.
 func (proxy *Proxy) send(connection *connection, head []byte, body *requestBody) (bool, error) {
 	connection.upload = nil
-	proxy.figures.linkWait.Observe(proxy.outbound.pass(len(head)+int(body.size), proxy.clock()))
+	proxy.figures.linkWait.Observe(proxy.outbound.recordUrgent(len(head)+int(body.size), proxy.clock()))
 	if body.size <= smallBody {
 		count, err := connection.conn.Write(body.appendTo(head))
 		return count > 0, err
@@ -239,7 +239,7 @@
 		if hopByHop[name] || listed[name] || proxy.withheldHeaders[name] || name == "Content-Length" || name == "Expect" {
 			continue
 		}
-		if name == "Authorization" && slices.ContainsFunc(values, proxy.isKey) {
+		if name == "Authorization" && slices.ContainsFunc(values, proxy.hasAPIKey) {
 			continue
 		}
 		for _, value := range values {
--- a/hostproxy/attempt_test.go
+++ b/hostproxy/attempt_test.go
@@ -230,7 +230,7 @@
 		"refused dial":   func(world *world) { world.doors.serve("b1:80", nil) },
 		"silent dial":    func(world *world) { world.doors.silence("b1:80", true) },
 		"reset at once":  func(world *world) { world.doors.serve("b1:80", func(pipe *pipe) { pipe.reset() }) },
-		"no connections": func(world *world) { world.proxy.targets["b1"].open = 1000 },
+		"no connections": func(world *world) { world.proxy.targets["b1"].openConnections = 1000 },
 	} {
 		for _, path := range []string{"/once/a", "/again/a"} {
 			test.Run(name+path, func(test *testing.T) {
@@ -244,7 +244,7 @@
 					if len(world.backends["b1"].seen()) != 0 {
 						test.Error("b1 got it")
 					}
-					world.proxy.targets["b1"].open = 0
+					world.proxy.targets["b1"].openConnections = 0
 					world.doors.silence("b1:80", false)
 				})
 			})
--- a/hostproxy/body.go
+++ b/hostproxy/body.go
@@ -101,7 +101,7 @@
 		count, err := io.ReadFull(source.Body, piece)
 		body.pieces = append(body.pieces, piece[:count])
 		body.size += int64(count)
-		proxy.inbound.pass(count, proxy.clock())
+		proxy.inbound.recordUrgent(count, proxy.clock())
 		switch {
 		case err == nil:
 		case source.ContentLength < 0 && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)):
--- a/hostproxy/budget.go
+++ b/hostproxy/budget.go
@@ -2,60 +2,59 @@
 
 import "sync"
 
-// Budget bounds the attempts beyond a request's first one. All proxies share what
-// a service allows: each refills by its own requests and saves up no more than its
-// part of the extra. A fresh process starts with next to nothing, so that restarts
-// add nothing.
-type Budget struct {
+// retryBudget is a token bucket that limits retries. All proxies share a service's
+// allowance: each request adds tokens, up to this proxy's share of the extra retries.
+// A new process starts with at limit one token, so that restarts add no retries.
+type retryBudget struct {
 	mutex  sync.Mutex
 	tokens float64
 	limit  float64
 	ratio  float64
 
-	presumed bool
+	provisional bool
 }
 
 const (
-	budgetMargin = 0.75
-	budgetStart  = 1
+	budgetMargin  = 0.75
+	initialBudget = 1
 )
 
-// setShare sets the share that is due to one of so many proxies. The share does not grow
-// when proxies go: they may be cut off and still serving.
-func (budget *Budget) setShare(ratio, extra float64, proxies int) {
+// setShare sets the share of one proxy among the given number. The share does not grow
+// when proxies disappear: they may be partitioned and still serving.
+func (budget *retryBudget) setShare(ratio, extra float64, proxies int) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
-	most := extra * budgetMargin / float64(max(proxies, 1))
+	limit := extra * budgetMargin / float64(max(proxies, 1))
 	if budget.limit == 0 {
-		budget.limit = most
-		budget.tokens = min(budgetStart, most)
+		budget.limit = limit
+		budget.tokens = min(initialBudget, limit)
 	}
-	if budget.presumed {
-		budget.limit, budget.presumed = most, false
+	if budget.provisional {
+		budget.limit, budget.provisional = limit, false
 	}
-	budget.limit = min(budget.limit, most)
+	budget.limit = min(budget.limit, limit)
 	budget.ratio = ratio * budgetMargin
 	budget.tokens = min(budget.tokens, budget.limit)
 }
 
-// presumeShare sets the share while no leader has said how many proxies there are: no
-// more is saved up than what a fresh process starts with.
-func (budget *Budget) presumeShare(ratio, extra float64, proxies int) {
+// setProvisionalShare sets the share while the number of proxies is not known from a
+// leader: the limit is what a new process starts with.
+func (budget *retryBudget) setProvisionalShare(ratio, extra float64, proxies int) {
 	budget.setShare(ratio, extra, proxies)
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
-	budget.limit, budget.presumed = min(budget.limit, budgetStart), true
+	budget.limit, budget.provisional = min(budget.limit, initialBudget), true
 	budget.tokens = min(budget.tokens, budget.limit)
 }
 
-func (budget *Budget) recordRequest() {
+func (budget *retryBudget) recordRequest() {
 	budget.mutex.Lock()
 	budget.tokens = min(budget.limit, budget.tokens+budget.ratio)
 	budget.mutex.Unlock()
 }
 
-// take is whether one more attempt is allowed now.
-func (budget *Budget) take() bool {
+// take consumes a token and reports whether a retry is allowed.
+func (budget *retryBudget) take() bool {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
 	if budget.tokens < 1 {
--- a/hostproxy/budget_test.go
+++ b/hostproxy/budget_test.go
@@ -39,8 +39,8 @@
 			ratio, extra := 0.2, 62.0
 			count := 1 + random.IntN(20)
 			limit := count
-			fresh := func() *Budget { budget := &Budget{}; budget.setShare(ratio, extra, limit); return budget }
-			budgets := []*Budget{}
+			fresh := func() *retryBudget { budget := &retryBudget{}; budget.setShare(ratio, extra, limit); return budget }
+			budgets := []*retryBudget{}
 			for range count {
 				budgets = append(budgets, fresh())
 			}
@@ -93,7 +93,7 @@
 
 // More proxies lower what one may save up at once; fewer do not raise it.
 func TestBudgetShare(test *testing.T) {
-	budget := &Budget{}
+	budget := &retryBudget{}
 	budget.setShare(0.2, 60, 1)
 	if !budget.take() || budget.take() {
 		test.Error("a fresh budget has not just one attempt")
@@ -121,13 +121,13 @@
 // Before a leader says how many proxies there are, none saves up more than what a
 // fresh process starts with; after that, its part as always.
 func TestBudgetBeforeALeader(test *testing.T) {
-	budget := &Budget{}
+	budget := &retryBudget{}
 	for range 3 {
-		budget.presumeShare(0.2, 60, 1)
+		budget.setProvisionalShare(0.2, 60, 1)
 		for range 100 {
 			budget.recordRequest()
 		}
-		if budget.tokens != budgetStart {
+		if budget.tokens != initialBudget {
 			test.Errorf("%v saved up before a leader", budget.tokens)
 		}
 	}
@@ -162,7 +162,7 @@
 		for range 1000 {
 			budget.recordRequest()
 		}
-		if want := map[uint64]float64{0: budgetStart, 1: 45}[round]; budget.tokens != want {
+		if want := map[uint64]float64{0: initialBudget, 1: 45}[round]; budget.tokens != want {
 			test.Errorf("round %d: %v saved up, want %v", round, budget.tokens, want)
 		}
 	}
--- a/hostproxy/choose.go
+++ b/hostproxy/choose.go
@@ -6,143 +6,143 @@
 	"time"
 )
 
-// maxConnections bounds the connections to a backend of a service without a limit.
-const maxConnections = 64
+// defaultMaxConnections limits the connections to a backend of a service without a limit.
+const defaultMaxConnections = 64
 
-// What a backend's distance adds to its cost, in milliseconds: a fixed part and a
-// part for each kilobyte that a request of the route usually carries, together at
-// most a share of the route's target.
+// maxQueuePerSlot limits a backend's queue, in requests per slot. The other constants make
+// up the cost of distance: a fixed penalty plus one for each kilobyte of the route's mean
+// response, together at most a share of the route's target time.
 const (
-	queueDepth      = 2.0
-	nearPenalty     = 100.0
-	farPenalty      = 300.0
-	kilobytePenalty = 10.0
-	maxNear         = 0.5
-	maxFar          = 0.75
+	maxQueuePerSlot      = 2.0
+	sameRegionPenaltyMs  = 100.0
+	otherRegionPenaltyMs = 300.0
+	kilobytePenaltyMs    = 10.0
+	maxSameRegionShare   = 0.5
+	maxOtherRegionShare  = 0.75
 )
 
-// choice is what choosing ended with.
-type choice uint8
+// chooseResult is the result of choosing a backend.
+type chooseResult uint8
 
 const (
-	chosen choice = iota
+	chosen chooseResult = iota
 	allFull
-	noneLeft
-	noneAllowed
+	noneAvailable
+	noneInHomeRegions
 )
 
-// selection is what choose has seen of the candidates so far.
+// selection tracks the candidates that choose has considered.
 type selection struct {
-	best      *candidate // the cheapest warm candidate with room
-	bestCost  float64
-	coldest   *candidate // the cheapest cold candidate that this proxy may warm up
-	coldCost  float64
-	fallback  *candidate // a candidate that is ejected
-	full      bool       // whether a warm candidate had no room
-	permitted bool       // whether the homes allow any candidate
+	best         *candidate // the cheapest warm candidate with capacity
+	bestCost     float64
+	bestCold     *candidate // the cheapest cold candidate whose warm-up this proxy owns
+	bestColdCost float64
+	ejected      *candidate // an ejected candidate, as a last resort
+	anyFull      bool       // whether a warm candidate was at capacity
+	anyPermitted bool       // whether the home regions allow any candidate
 }
 
-// choose takes a place at the candidate of least cost: its waiting time, distance and
-// load on links weighed together. It starts at a random candidate, so that equal
-// costs spread. A cold candidate is taken only where no warm one has room.
-func (proxy *Proxy) choose(request *request, candidates []candidate, tried []*target) (*candidate, choice) {
+// choose starts a request at the candidate of least cost, which combines expected
+// service time, load, failures and distance. It starts at a random candidate, so that
+// equal costs spread. A cold candidate is used only if no warm one has capacity.
+func (proxy *Proxy) choose(request *request, candidates []candidate, tried []*target) (*candidate, chooseResult) {
 	return proxy.chooseFrom(request, candidates, tried, true)
 }
 
-// chooseFrom is choose; it takes an ejected candidate only where that is the last resort.
-func (proxy *Proxy) chooseFrom(request *request, candidates []candidate, tried []*target, lastResort bool) (*candidate, choice) {
+// chooseFrom is choose, but uses an ejected candidate only if lastResort is set.
+func (proxy *Proxy) chooseFrom(request *request, candidates []candidate, tried []*target, lastResort bool) (*candidate, chooseResult) {
 	now := proxy.clock()
-	trueNow := proxy.now()
-	mean, kilobytes := request.stats.expect(request.route)
+	nowMs := proxy.now()
+	mean, kilobytes := request.stats.expected(request.route)
 	seen := selection{}
 	offset := 0
 	if len(candidates) > 0 {
 		offset = rand.IntN(len(candidates))
 	}
-	for step := range candidates {
-		candidate := &candidates[(step+offset)%len(candidates)]
-		if !request.mayGoTo(candidate.region) {
+	for index := range candidates {
+		candidate := &candidates[(index+offset)%len(candidates)]
+		if !request.mayUseRegion(candidate.region) {
 			continue
 		}
-		seen.permitted = true
+		seen.anyPermitted = true
 		if slices.Contains(tried, candidate.target) {
 			continue
 		}
 		penalty := distancePenalty(candidate.distance, kilobytes, float64(request.route.TargetMs))
 		cost, isFull, ejected := candidate.target.evaluate(now, mean, penalty)
-		if candidate.cold(now, trueNow) {
+		if candidate.isCold(now, nowMs) {
 			seen.considerCold(candidate, cost, isFull || ejected)
 		} else {
 			seen.considerWarm(candidate, cost, isFull, ejected)
 		}
 	}
-	return seen.take(now, lastResort && len(tried) == 0)
+	return seen.pick(now, lastResort && len(tried) == 0)
 }
 
-// mayGoTo is whether the homes of the request's route and tenant allow a region.
-func (request *request) mayGoTo(region string) bool {
+// mayUseRegion reports whether the home regions of the request's route and tenant allow a region.
+func (request *request) mayUseRegion(region string) bool {
 	if !allowsRegion(request.route.Homes, region) {
 		return false
 	}
 	return request.tenant == nil || allowsRegion(request.tenant.Homes, region)
 }
 
-// distancePenalty is what a candidate's distance adds to its cost, in milliseconds.
+// distancePenalty returns the cost of a candidate's distance in milliseconds.
 func distancePenalty(away distance, kilobytes, targetMs float64) float64 {
 	switch away {
 	case sameRegion:
-		return min(nearPenalty+kilobytes*kilobytePenalty, maxNear*targetMs)
+		return min(sameRegionPenaltyMs+kilobytes*kilobytePenaltyMs, maxSameRegionShare*targetMs)
 	case otherRegion:
-		return min(farPenalty+kilobytes*kilobytePenalty, maxFar*targetMs)
+		return min(otherRegionPenaltyMs+kilobytes*kilobytePenaltyMs, maxOtherRegionShare*targetMs)
 	}
 	return 0
 }
 
-// considerCold weighs a candidate that may bear only its warm-up rate.
+// considerCold considers a candidate that is limited to its warm-up rate.
 func (seen *selection) considerCold(candidate *candidate, cost float64, unavailable bool) {
-	if !candidate.owned || unavailable {
+	if !candidate.ownsWarmup || unavailable {
 		return
 	}
-	if seen.coldest == nil || cost < seen.coldCost {
-		seen.coldest, seen.coldCost = candidate, cost
+	if seen.bestCold == nil || cost < seen.bestColdCost {
+		seen.bestCold, seen.bestColdCost = candidate, cost
 	}
 }
 
-// considerWarm weighs a candidate that may bear its full load.
+// considerWarm considers a candidate that may take full load.
 func (seen *selection) considerWarm(candidate *candidate, cost float64, isFull, ejected bool) {
 	switch {
 	case ejected:
-		seen.fallback = candidate
+		seen.ejected = candidate
 	case isFull:
-		seen.full = true
+		seen.anyFull = true
 	case seen.best == nil || cost < seen.bestCost:
 		seen.best, seen.bestCost = candidate, cost
 	}
 }
 
-// take begins a request at the best candidate seen, or tells why there is none. An
-// ejected candidate is taken only by a request's first attempt.
-func (seen *selection) take(now time.Time, first bool) (*candidate, choice) {
+// pick starts a request at the best candidate, or returns why there is none. allowEjected
+// is set only for a request's first attempt.
+func (seen *selection) pick(now time.Time, allowEjected bool) (*candidate, chooseResult) {
 	best := seen.best
-	if best == nil && seen.coldest != nil && seen.coldest.target.takeWarmup(now, seen.coldest.warmupRate) {
-		best = seen.coldest
+	if best == nil && seen.bestCold != nil && seen.bestCold.target.takeWarmupToken(now, seen.bestCold.warmupRate) {
+		best = seen.bestCold
 	}
-	if best == nil && !seen.full && first {
-		best = seen.fallback
+	if best == nil && !seen.anyFull && allowEjected {
+		best = seen.ejected
 	}
 	switch {
 	case best != nil:
-		best.target.begin()
+		best.target.startRequest()
 		return best, chosen
-	case !seen.permitted:
-		return nil, noneAllowed
-	case seen.full || seen.coldest != nil:
+	case !seen.anyPermitted:
+		return nil, noneInHomeRegions
+	case seen.anyFull || seen.bestCold != nil:
 		return nil, allFull
 	}
-	return nil, noneLeft
+	return nil, noneAvailable
 }
 
-// cold is whether a backend may bear only its warm-up rate.
-func (held *candidate) cold(now time.Time, trueNow int64) bool {
-	return held.warmAt > trueNow || held.target.isSuspect(now)
+// isCold reports whether a backend is limited to its warm-up rate.
+func (candidate *candidate) isCold(now time.Time, nowMs int64) bool {
+	return candidate.warmAtMs > nowMs || candidate.target.isSuspect(now)
 }
--- a/hostproxy/choose_test.go
+++ b/hostproxy/choose_test.go
@@ -59,7 +59,7 @@
 		for range 400 {
 			candidate, _ := proxy.pick(nil, nil)
 			counts[candidate.target.backend.Name]++
-			candidate.target.end()
+			candidate.target.endRequest()
 		}
 		for name, count := range counts {
 			if count < 50 || count > 160 {
@@ -74,7 +74,7 @@
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
 		proxies[0].Apply(&routing.State{Config: ownConfig()}, table, nil)
-		proxies[0].targets["far"].failed(time.Now(), true)
+		proxies[0].targets["far"].recordFailure(time.Now(), true)
 		for range 36 {
 			proxies[0].pick(nil, nil)
 		}
@@ -98,13 +98,13 @@
 			}
 			tried = append(tried, candidate.target)
 		}
-		if _, how := proxies[0].pick(nil, nil, tried...); how != noneLeft {
+		if _, how := proxies[0].pick(nil, nil, tried...); how != noneAvailable {
 			test.Errorf("choice %d with all tried", how)
 		}
 		for _, held := range tried {
-			held.failed(time.Now(), true)
+			held.recordFailure(time.Now(), true)
 		}
-		if _, how := proxies[0].pick(nil, nil, tried[0]); how != noneLeft {
+		if _, how := proxies[0].pick(nil, nil, tried[0]); how != noneAvailable {
 			test.Errorf("choice %d with the rest left out", how)
 		}
 		if _, how := proxies[0].pick(nil, nil); how != chosen {
@@ -117,10 +117,10 @@
 func TestNobodyMayServe(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1").ever(well)
-		if _, how := world.proxy.pick(nil, []string{"nowhere"}); how != noneAllowed {
+		if _, how := world.proxy.pick(nil, []string{"nowhere"}); how != noneInHomeRegions {
 			test.Errorf("choice %d", how)
 		}
-		if _, how := world.proxy.pick(&routing.Tenant{Name: "t", Homes: []string{"nowhere"}}, nil); how != noneAllowed {
+		if _, how := world.proxy.pick(&routing.Tenant{Name: "t", Homes: []string{"nowhere"}}, nil); how != noneInHomeRegions {
 			test.Errorf("choice %d with the tenant's homes", how)
 		}
 	})
@@ -133,7 +133,7 @@
 	bare, _, _ := target.evaluate(now, 100, 0)
 	target.idle = append(target.idle, &connection{})
 	with, _, _ := target.evaluate(now, 100, 0)
-	if bare-with != openPenalty {
+	if bare-with != openPenaltyMs {
 		test.Errorf("%v without, %v with one", bare, with)
 	}
 }
--- a/hostproxy/connection.go
+++ b/hostproxy/connection.go
@@ -93,7 +93,7 @@
 }
 
 func (connection *connection) close() {
-	_ = connection.endWatch() // the connection goes anyway
+	_ = connection.unwatchPeer() // the connection goes anyway
 	connection.conn.Close()
 }
 
--- a/hostproxy/connection_test.go
+++ b/hostproxy/connection_test.go
@@ -70,12 +70,12 @@
 func TestTakeDropsWhatIsNotSound(test *testing.T) {
 	held := newTarget(ownBackend())
 	for range 3 {
-		held.reserve(3)
+		held.reserveConnection(3)
 	}
 	fars := []net.Conn{}
 	for range 3 {
 		near, far := sockets(test)
-		held.release(newConnection(near))
+		held.releaseConnection(newConnection(near))
 		fars = append(fars, far)
 	}
 	fars[2].Close()
@@ -83,11 +83,11 @@
 		test.Fatal(err)
 	}
 	taken := held.takeIdle(time.Now())
-	if taken == nil || held.open != 1 || len(held.idle) != 0 {
-		test.Fatalf("%v, %d open", taken, held.open)
+	if taken == nil || held.openConnections != 1 || len(held.idle) != 0 {
+		test.Fatalf("%v, %d open", taken, held.openConnections)
 	}
-	if held.discard(taken); held.takeIdle(time.Now()) != nil || held.open != 0 {
-		test.Errorf("%d open", held.open)
+	if held.discardConnection(taken); held.takeIdle(time.Now()) != nil || held.openConnections != 0 {
+		test.Errorf("%d open", held.openConnections)
 	}
 }
 
--- a/hostproxy/forward.go
+++ b/hostproxy/forward.go
@@ -31,19 +31,19 @@
 		answer, ended := proxy.attempt(request, candidate, connections)
 		if ended == answered && answer.remainder != nil {
 			defer func() {
-				candidate.target.end()
+				candidate.target.endRequest()
 				proxy.capacityFreed.Notify()
 			}()
 			proxy.finish(request, answer)
 			return
 		}
-		candidate.target.end()
+		candidate.target.endRequest()
 		if ended == withdrawn {
 			proxy.counters.Add("attempts_taken_back", 1)
 			continue
 		}
 		request.retryPaid = false
-		if ended != unsent && proxy.queues.waiting() {
+		if ended != unsent && proxy.queues.anyWaiting() {
 			proxy.capacityFreed.Notify()
 		}
 		request.tried = append(request.tried, candidate.target)
@@ -79,24 +79,24 @@
 		}
 		if request.attempts > 0 && !request.retryPaid {
 			if !view.budgets[service].take() {
-				candidate.target.end()
+				candidate.target.endRequest()
 				proxy.counters.Add("budget_empty", 1)
 				return nil, 0
 			}
 			request.retryPaid = true
 		}
-		return candidate, view.connections[service]
+		return candidate, view.connectionLimits[service]
 	}
 }
 
 // wait holds a request for which no backend was chosen until something was freed;
 // false where waiting is of no use.
-func (proxy *Proxy) wait(request *request, how choice, seen uint64, waitUntil time.Time) bool {
+func (proxy *Proxy) wait(request *request, how chooseResult, seen uint64, waitUntil time.Time) bool {
 	left := waitUntil.Sub(proxy.clock())
-	if how == noneLeft && request.attempts == 0 && left > 0 {
+	if how == noneAvailable && request.attempts == 0 && left > 0 {
 		request.tried = request.tried[:0]
 	}
-	if how == noneAllowed || left <= 0 || !proxy.enterQueue(request) {
+	if how == noneInHomeRegions || left <= 0 || !proxy.enterQueue(request) {
 		return false
 	}
 	proxy.move(request, waiting)
@@ -128,7 +128,7 @@
 // yieldToUrgent lets waiting requests of a higher priority choose first: all that wait are
 // woken at once when a place is freed. One that they cannot take is taken after that.
 func (proxy *Proxy) yieldToUrgent(request *request, waitUntil time.Time) {
-	if waitUntil.Sub(proxy.clock()) > urgentHeadStart && proxy.queues.outranked(request.queue()) {
+	if waitUntil.Sub(proxy.clock()) > urgentHeadStart && proxy.queues.hasHigherPriority(request.queue()) {
 		time.Sleep(urgentHeadStart)
 	}
 }
--- a/hostproxy/judge.go
+++ b/hostproxy/judge.go
@@ -8,68 +8,76 @@
 	"orchidjunction/routing"
 )
 
-// countSent counts a request that is about to be sent, if a roll-out of its service is active.
-func (held *candidate) countSent() {
+// countSent counts a request about to be sent, if a rollout of its service is active.
+func (candidate *candidate) countSent() {
 	switch {
-	case held.canary == nil:
-	case held.underTest:
-		held.canary.counts.requests.Add(1)
+	case candidate.canary == nil:
+	case candidate.underTest:
+		candidate.canary.counts.requests.Add(1)
 	default:
-		held.canary.counts.formerRequests.Add(1)
+		candidate.canary.counts.formerRequests.Add(1)
 	}
 }
 
-// judge takes what an exchange came to as an item: to be judged where it is of a version
-// under test, else for the reference. A connection that broke before the deadline exceeds, but
-// is no failure of the version: mostly its machine crashed, which few requests tell late.
-func (proxy *Proxy) judge(request *request, held *candidate, answer *answer, ended outcome, begun time.Time) {
+// scoreExchange scores an exchange with the version under test, or adds one with another
+// version to the reference. A connection that broke before the deadline may count as an
+// exceedance, but not as a failure of the version: usually its machine crashed, which few
+// requests reveal, and late.
+func (proxy *Proxy) scoreExchange(request *request, candidate *candidate, answer *answer, ended outcome, startedAt time.Time) {
 	now := proxy.clock()
-	item, isItem := proxy.itemOf(request, held, answer, ended, begun, now)
+	item, isItem := proxy.exchangeItem(request, candidate, answer, ended, startedAt, now)
 	if !isItem {
 		return
 	}
 	key := score.Key{Service: request.service, Route: request.route.Name}
-	isBroken := ended == lost && now.Before(request.deadline)
-	if held.underTest {
+	connectionBroke := ended == lost && now.Before(request.deadline)
+	if candidate.underTest {
 		judgement := proxy.references.Judge(key, item)
-		judgement.Failed = judgement.Failed && !isBroken
-		held.canary.counts.countItem(judgement)
+		judgement.Failed = judgement.Failed && !connectionBroke
+		candidate.canary.counts.countItem(judgement)
 		proxy.countJudgement(judgement)
 		return
 	}
-	if held.canary != nil {
-		held.canary.counts.countFormer(proxy.references.Failed(key, item) && !isBroken)
+	if candidate.canary != nil {
+		candidate.canary.counts.countFormerItem(proxy.references.Failed(key, item) && !connectionBroke)
 	}
-	if !held.target.isEjected(now) {
-		proxy.references.Add(key, item, held.target.number)
+	if !candidate.target.isEjected(now) {
+		proxy.references.Add(key, item, candidate.target.id)
 	}
 }
 
-// itemOf makes an item of an exchange. What did not run is none, nor what the client or its
-// deadline ended, nor what began at a cold backend.
-func (proxy *Proxy) itemOf(request *request, held *candidate, answer *answer, ended outcome, begun, now time.Time) (score.Item, bool) {
-	took := now.Sub(begun)
+// exchangeItem converts an exchange to an item. Exchanges are excluded if they did not
+// run, were ended by the client or its deadline, or began at a cold backend.
+func (proxy *Proxy) exchangeItem(
+	request *request,
+	candidate *candidate,
+	answer *answer,
+	ended outcome,
+	startedAt, now time.Time,
+) (score.Item, bool) {
+	elapsed := now.Sub(startedAt)
 	item := score.Item{Target: time.Duration(request.route.TargetMs) * time.Millisecond}
-	if ended == unsent || ended == refused || request.context.Err() != nil || held.cold(begun, proxy.now()-took.Milliseconds()) {
+	if ended == unsent || ended == refused || request.context.Err() != nil ||
+		candidate.isCold(startedAt, proxy.now()-elapsed.Milliseconds()) {
 		return item, false
 	}
-	if ended == lost && !now.Before(request.deadline) && took < item.Target {
+	if ended == lost && !now.Before(request.deadline) && elapsed < item.Target {
 		return item, false
 	}
 	item.Failed = ended == lost || answer.response.StatusCode >= http.StatusInternalServerError
-	item.Took, item.Load = held.target.workOf(took, now)
+	item.Took, item.Load = candidate.target.workAndLoad(elapsed, now)
 	return item, true
 }
 
-// workOf returns how long the backend itself had an exchange, and how many requests it is
-// thought to have for each that it runs at once.
-func (target *target) workOf(took time.Duration, now time.Time) (time.Duration, float64) {
+// workAndLoad returns the time of an exchange without the network round trip, and the
+// backend's estimated requests per slot.
+func (target *target) workAndLoad(elapsed time.Duration, now time.Time) (time.Duration, float64) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	return max(0, took-target.roundTrip), target.load(now) / float64(max(target.backend.Capacity, 1))
+	return max(0, elapsed-target.roundTrip), target.load(now) / float64(max(target.backend.Capacity, 1))
 }
 
-// countItem counts an item of the version under test.
+// countItem counts an item of the version under test for the rollout's report.
 func (counts *stepCounts) countItem(judgement score.Judgement) {
 	counts.items.Add(1)
 	if judgement.Exceeds {
@@ -80,7 +88,7 @@
 	}
 }
 
-// countJudgement counts an item of a version under test in this process's metrics.
+// countJudgement counts an item of the version under test in this process's metrics.
 func (proxy *Proxy) countJudgement(judgement score.Judgement) {
 	proxy.counters.Add("rollout_items", 1)
 	if judgement.Exceeds {
@@ -91,16 +99,16 @@
 	}
 }
 
-// countFormer counts an item of another version.
-func (counts *stepCounts) countFormer(failed bool) {
+// countFormerItem counts an item of another version.
+func (counts *stepCounts) countFormerItem(failed bool) {
 	counts.formerItems.Add(1)
 	if failed {
 		counts.formerFailures.Add(1)
 	}
 }
 
-// forgetReferences forgets those of routes that are not in force, once they are many.
-func (proxy *Proxy) forgetReferences(routes []routing.Route) {
+// pruneReferences drops the references of removed routes once there are many.
+func (proxy *Proxy) pruneReferences(routes []routing.Route) {
 	if proxy.references.Len() <= 2*len(routes)+16 {
 		return
 	}
--- a/hostproxy/judge_test.go
+++ b/hostproxy/judge_test.go
@@ -130,14 +130,14 @@
 // judged lets a proxy that only chooses judge an exchange of a target.
 func judged(proxy *Proxy, route, name string, answer *answer, ended outcome, took time.Duration) {
 	view := proxy.view.Load()
-	for _, candidates := range [][]candidate{view.services[0], view.canaries[0].candidates} {
+	for _, candidates := range [][]candidate{view.candidates[0], view.canaries[0].candidates} {
 		for index := range candidates {
 			if held := &candidates[index]; held.target.backend.Name == name {
 				request := newRequest(proxy)
 				request.route.Name = route
 				request.context, request.service, request.deadline = context.Background(), "plain", time.Now().Add(time.Second)
 				held.countSent()
-				proxy.judge(request, held, answer, ended, time.Now().Add(-took))
+				proxy.scoreExchange(request, held, answer, ended, time.Now().Add(-took))
 			}
 		}
 	}
@@ -161,7 +161,7 @@
 		if counts := proxy.RolloutCounts()[0]; counts.Items != 0 || counts.Failures != 0 {
 			test.Errorf("%+v", counts)
 		}
-		proxy.targets["a1"].failed(time.Now(), true)
+		proxy.targets["a1"].recordFailure(time.Now(), true)
 		for range 200 {
 			judged(proxy, "picked", "a1", nil, lost, 50*time.Millisecond)
 		}
@@ -200,11 +200,11 @@
 		request.context, request.service, request.deadline = context.Background(), "plain", time.Now().Add(time.Second)
 		good := &answer{response: &http.Response{StatusCode: http.StatusOK}}
 		serve := func() {
-			request.version = versionTurn{}
+			request.version = versionAssignment{}
 			held, _ := proxy.chooseVersion(request, view, 0)
 			held.countSent()
-			proxy.judge(request, held, good, answered, time.Now().Add(-time.Millisecond))
-			held.target.end()
+			proxy.scoreExchange(request, held, good, answered, time.Now().Add(-time.Millisecond))
+			held.target.endRequest()
 		}
 		for range 2 * score.ReferenceSize {
 			serve()
@@ -226,11 +226,11 @@
 			good := &answer{response: &http.Response{StatusCode: http.StatusOK}}
 			bench.ReportAllocs()
 			for bench.Loop() {
-				request.version = versionTurn{}
+				request.version = versionAssignment{}
 				held, _ := proxy.chooseVersion(request, view, 0)
 				held.countSent()
-				proxy.judge(request, held, good, answered, time.Now())
-				held.target.end()
+				proxy.scoreExchange(request, held, good, answered, time.Now())
+				held.target.endRequest()
 			}
 		})
 	}
--- a/hostproxy/peer_watch.go
+++ b/hostproxy/peer_watch.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// watchInterval is the time between looks at a connection with a large body.
-	watchInterval = 100 * time.Millisecond
-	// minLostPackets is how many packets in a row a backend must leave without an
-	// acknowledgement to count as dead.
+	// peerCheckInterval is the interval between checks of a connection with a large body.
+	peerCheckInterval = 100 * time.Millisecond
+	// minLostPackets is the number of consecutive unacknowledged packets after which a
+	// backend may count as dead.
 	minLostPackets = 2
 )
 
-// socketState is what the kernel knows of the other end of a connection.
+// socketState is the kernel's view of a connection's peer.
 type socketState struct {
-	// lost are the packets in a row, retransmissions or probes of a closed window, that were
-	// sent in vain.
+	// lost is the number of consecutive retransmissions or zero-window probes without an
+	// acknowledgement.
 	lost int
 	// sinceAck is the time since the last acknowledgement.
 	sinceAck time.Duration
 }
 
-// isDead reports whether the other machine has been silent for too long. One that
-// acknowledges what it gets and keeps its window closed is not dead: its process rests.
+// isDead reports whether the peer has been silent for too long. One that acknowledges
+// packets but keeps its window closed is alive: its process is just not reading.
 func (state socketState) isDead(limit time.Duration) bool {
 	return state.lost >= minLostPackets && state.sinceAck >= limit
 }
 
-// peerWatch ends a connection whose backend's machine is dead while a large body is on its way.
-// The kernel's own time-out does not tell that from a backend that reads later.
+// peerWatch interrupts a connection whose backend's machine dies during a large upload. The
+// kernel's own timeout does not distinguish that from a backend that reads late.
 type peerWatch struct {
 	stopped atomic.Bool
 	timeout time.Duration
 }
 
-// watchPeer takes the place of the kernel's time-out on a connection. Where the kernel does not
-// tell what that needs, the request's deadline alone ends a request to a dead machine.
+// watchPeer replaces the kernel's timeout on a connection. If the socket state is not
+// available, only the request's deadline ends a request to a dead machine.
 func (proxy *Proxy) watchPeer(connection *connection) {
 	timeout := proxy.config.UserTimeout
 	if timeout == 0 || connection.setUserTimeout(0) != nil {
@@ -47,14 +47,14 @@
 	}
 	watch := &peerWatch{timeout: timeout}
 	connection.watch = watch
-	if _, known := connection.socketState(); !known {
+	if _, ok := connection.socketState(); !ok {
 		proxy.counters.Add("uploads_unwatched", 1)
 		return
 	}
 	proxy.goroutines.Start(func() {
-		for proxy.goroutines.Sleep(watchInterval) && !watch.stopped.Load() {
-			state, known := connection.socketState()
-			if !known {
+		for proxy.goroutines.Sleep(peerCheckInterval) && !watch.stopped.Load() {
+			state, ok := connection.socketState()
+			if !ok {
 				return
 			}
 			if state.isDead(timeout) {
@@ -66,8 +66,8 @@
 	})
 }
 
-// endWatch gives a connection the kernel's time-out back.
-func (connection *connection) endWatch() error {
+// unwatchPeer restores the kernel's timeout on a connection.
+func (connection *connection) unwatchPeer() error {
 	if connection.watch == nil {
 		return nil
 	}
@@ -77,7 +77,7 @@
 	return connection.setUserTimeout(watch.timeout)
 }
 
-// socketState asks the kernel about a TCP connection; false for any other.
+// socketState returns the kernel's state of a TCP connection, or false for any other kind.
 func (connection *connection) socketState() (socketState, bool) {
 	info := &unix.TCPInfo{}
 	err := connection.control(func(descriptor int) (err error) {
@@ -93,8 +93,8 @@
 	}, true
 }
 
-// setUserTimeout sets how long sent bytes may stay without an acknowledgement, or be kept
-// back by a closed window, until the kernel ends the connection; 0 is its default.
+// setUserTimeout sets how long sent bytes may stay unacknowledged, or unsent because of a
+// zero window, until the kernel closes the connection; 0 is its default.
 func (connection *connection) setUserTimeout(timeout time.Duration) error {
 	return connection.control(func(descriptor int) error {
 		return unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
@@ -103,17 +103,17 @@
 
 // control runs an operation on the connection's socket.
 func (connection *connection) control(operation func(descriptor int) error) error {
-	able, found := connection.conn.(syscall.Conn)
-	if !found {
+	socket, ok := connection.conn.(syscall.Conn)
+	if !ok {
 		return syscall.ENOTSOCK
 	}
-	raw, err := able.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var failure error
-	if err := raw.Control(func(descriptor uintptr) { failure = operation(int(descriptor)) }); err != nil {
+	var operationErr error
+	if err := raw.Control(func(descriptor uintptr) { operationErr = operation(int(descriptor)) }); err != nil {
 		return err
 	}
-	return failure
+	return operationErr
 }
--- a/hostproxy/peer_watch_test.go
+++ b/hostproxy/peer_watch_test.go
@@ -124,7 +124,7 @@
 	config.UserTimeout = timeout
 	proxy := NewProxy(config, unreachable, func() int64 { return 0 }, goroutines, metrics.NewCounters())
 	held, kept := newTarget(ownBackend()), newConnection(conn)
-	held.reserve(1)
+	held.reserveConnection(1)
 	proxy.watchPeer(kept)
 	if during := userTimeout(conn.(*net.TCPConn)); during != 0 {
 		test.Errorf("time-out of %d ms while watched", during)
--- a/hostproxy/proxy.go
+++ b/hostproxy/proxy.go
@@ -34,25 +34,25 @@
 	clock           func() time.Time
 	now             func() int64
 	withheldHeaders map[string]bool
-	view            atomic.Pointer[View]
-	stats           *RouteStats
-	usageMeter      *UsageMeter
-	figures         *figures
+	view            atomic.Pointer[routingView]
+	stats           *routeStats
+	usageMeter      *usageMeter
+	figures         *requestMetrics
 	references      *score.References
 	capacityFreed   *concurrent.Condition
 	queues          waitQueues
-	inFlight        inFlightCounts
+	inFlight        inFlightCounter
 	memory          *RequestMemory
 	uploads         *pendingUploads
-	inbound         *Shaper
-	outbound        *Shaper
-	transfers       *TransferLimiter
+	inbound         *linkShaper
+	outbound        *linkShaper
+	transfers       *transferLimiter
 	leaving         atomic.Bool
 	onLimits        func(routing.Limits)
 
 	applyMutex  sync.Mutex
 	targets     map[string]*target
-	budgets     map[string]*Budget
+	budgets     map[string]*retryBudget
 	evacuated   map[string]bool
 	rollouts    map[string]*rollout // by service
 	lastTarget  uint32
@@ -70,11 +70,11 @@
 		clock:           time.Now,
 		now:             now,
 		stats:           newRouteStats(),
-		figures:         newFigures(counters),
+		figures:         newRequestMetrics(counters),
 		references:      score.NewReferences(),
 		capacityFreed:   concurrent.NewCondition(),
 		targets:         map[string]*target{},
-		budgets:         map[string]*Budget{},
+		budgets:         map[string]*retryBudget{},
 		memory:          newRequestMemory(config.MemoryBytes),
 		uploads:         newPendingUploads(),
 		evacuated:       map[string]bool{},
@@ -119,14 +119,14 @@
 	}
 	proxy.applyMutex.Unlock()
 	for _, target := range targets {
-		target.expire(now)
-		if target.shouldRevive(now) {
+		target.closeExpired(now)
+		if target.startProbe(now) {
 			proxy.goroutines.Start(func() { proxy.revive(target) })
 		}
 	}
 	if view := proxy.view.Load(); view != nil {
-		proxy.stats.forgetOthers(view.state.Config.Routes)
-		proxy.forgetReferences(view.state.Config.Routes)
+		proxy.stats.prune(view.state.Config.Routes)
+		proxy.pruneReferences(view.state.Config.Routes)
 	}
 }
 
@@ -146,21 +146,21 @@
 
 // revive dials a backend that was left out, so that no request has to find out.
 func (proxy *Proxy) revive(target *target) {
-	if !target.reserve(maxConnections) {
-		target.revived(proxy.clock(), false)
+	if !target.reserveConnection(defaultMaxConnections) {
+		target.endProbe(proxy.clock(), false)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), farDialTimeout)
 	defer cancel()
 	conn, err := proxy.dial(ctx, "tcp", target.backend.Address)
 	if err != nil {
-		target.unreserve()
-		target.revived(proxy.clock(), false)
+		target.unreserveConnection()
+		target.endProbe(proxy.clock(), false)
 		return
 	}
 	proxy.counters.Add("backends_revived", 1)
-	target.revived(proxy.clock(), true)
-	target.release(newConnection(conn))
+	target.endProbe(proxy.clock(), true)
+	target.releaseConnection(newConnection(conn))
 	proxy.capacityFreed.Notify()
 }
 
@@ -171,7 +171,7 @@
 func (proxy *Proxy) Leaving() bool { return proxy.leaving.Load() }
 
 // InFlight is how many requests are under way.
-func (proxy *Proxy) InFlight() int { return proxy.inFlight.now() }
+func (proxy *Proxy) InFlight() int { return proxy.inFlight.value() }
 
 // Ready is whether a view is in force.
 func (proxy *Proxy) Ready() bool { return proxy.view.Load() != nil && !proxy.Leaving() }
--- a/hostproxy/request.go
+++ b/hostproxy/request.go
@@ -56,9 +56,9 @@
 	id       string
 	route    *routing.Route
 	tenant   *routing.Tenant
-	stats    *RouteStats
+	stats    *routeStats
 	service  string
-	version  versionTurn
+	version  versionAssignment
 	rank     int
 	body     requestBody
 	begin    time.Time
@@ -72,8 +72,8 @@
 	lastAnswer *answer
 	mayHaveRun bool
 
-	spent  spent
-	result result
+	spent  requestTimings
+	result requestResult
 }
 
 func (request *request) tenantName() string {
@@ -100,11 +100,11 @@
 func (proxy *Proxy) ServeHTTP(writer http.ResponseWriter, source *http.Request) {
 	request := &request{source: source, writer: writer, context: source.Context(), begin: proxy.clock(), stats: proxy.stats}
 	proxy.counters.Add("requests", 1)
-	proxy.inFlight.enter()
-	defer proxy.inFlight.leave()
+	proxy.inFlight.increment()
+	defer proxy.inFlight.decrement()
 	defer func() { proxy.memory.Release(request.body.takeReservation()) }()
-	defer func() { proxy.figures.ended(request, proxy.clock()) }()
-	if status := proxy.malformed(request); status != 0 {
+	defer func() { proxy.figures.observeEnd(request, proxy.clock()) }()
+	if status := proxy.validate(request); status != 0 {
 		proxy.refuse(request, status, rpc.BadRequest)
 		return
 	}
@@ -130,7 +130,7 @@
 			return
 		}
 		defer func() {
-			proxy.transfers.leave()
+			proxy.transfers.release()
 			proxy.capacityFreed.Notify()
 		}()
 	}
@@ -142,7 +142,7 @@
 	until := request.begin.Add(
 		min(time.Duration(max(request.route.TargetMs, 40))*time.Millisecond, request.deadline.Sub(request.begin)) / transferWaitShare,
 	)
-	for !proxy.transfers.enter() {
+	for !proxy.transfers.tryAcquire() {
 		now := proxy.clock()
 		proxy.endIfGone(request)
 		if !now.Before(until) {
@@ -155,7 +155,7 @@
 }
 
 // awaitView holds a request for a short while until the first view is in force.
-func (proxy *Proxy) awaitView(request *request) *View {
+func (proxy *Proxy) awaitView(request *request) *routingView {
 	until := request.begin.Add(firstViewWait)
 	for {
 		seen := proxy.capacityFreed.Count()
--- a/hostproxy/response.go
+++ b/hostproxy/response.go
@@ -18,7 +18,7 @@
 		return
 	}
 	proxy.move(request, ending)
-	request.result = refusedHere
+	request.result = resultRefused
 	proxy.counters.Add("refused_"+string(code), 1)
 	header := request.writer.Header()
 	if status == http.StatusServiceUnavailable {
@@ -45,7 +45,7 @@
 // fail ends a request of which nobody knows whether it ran.
 func (proxy *Proxy) fail(request *request) {
 	proxy.move(request, ending)
-	request.result = failedHere
+	request.result = resultProxyFailure
 	status, code := http.StatusBadGateway, rpc.BadResponse
 	if !proxy.clock().Before(request.deadline) {
 		status, code = http.StatusGatewayTimeout, rpc.DeadlineExceeded
@@ -60,11 +60,11 @@
 // never looks whole.
 func (proxy *Proxy) finish(request *request, answer *answer) {
 	proxy.move(request, ending)
-	request.result = served
+	request.result = resultServed
 	if answer.response.StatusCode >= http.StatusInternalServerError {
-		request.result = failedByBackend
+		request.result = resultBackendFailure
 	}
-	proxy.figures.answering(request, proxy.clock())
+	proxy.figures.observeOverhead(request, proxy.clock())
 	header, names := request.writer.Header(), &proxy.config.Headers
 	listed := names.listedByConnection(answer.response.Header)
 	for name, values := range answer.response.Header {
@@ -90,7 +90,7 @@
 		shaper: proxy.outbound,
 		ctx:    request.bounded,
 		clock:  proxy.clock,
-		large:  size > largeBody || answer.remainder != nil,
+		large:  size > bulkThreshold || answer.remainder != nil,
 	}
 	if _, err := writer.Write(answer.body); err != nil {
 		if answer.remainder != nil {
--- a/hostproxy/rollout.go
+++ b/hostproxy/rollout.go
@@ -8,23 +8,23 @@
 	"orchidjunction/message"
 )
 
-// maxStepCounts bounds the steps of a roll-out that are counted apart; later ones count for
-// the last.
+// maxStepCounts limits the steps of a rollout that are counted separately; later steps are
+// counted with the last.
 const maxStepCounts = 64
 
-// rollout is the roll-out of a service as this proxy carries it out. It outlives views, so
-// that its counts only rise and its share is kept across changes of the table.
+// rollout is this proxy's state of a service's rollout. It outlives views, so that its
+// counts are monotonic and its share is kept when the table changes.
 type rollout struct {
 	service string
 	id      uint64
 
-	mutex  sync.Mutex
-	credit float64 // what is due to the target version; from 1 on, it gets the next request
-	steps  []*stepCounts
-	former []*target // backends of other versions
+	mutex         sync.Mutex
+	credit        float64 // at 1 or more, the target version gets the next request
+	steps         []*stepCounts
+	formerTargets []*target // backends of other versions
 }
 
-// stepCounts are what was counted during one step of a roll-out.
+// stepCounts are the counters of one step of a rollout.
 type stepCounts struct {
 	step        int
 	requests    atomic.Uint64
@@ -37,32 +37,32 @@
 	formerFailures atomic.Uint64
 }
 
-// canary is the version under test in a view: its candidates and its share of the requests.
+// canary is the version under test in a view, with its candidates and share of the requests.
 type canary struct {
 	rollout    *rollout
 	counts     *stepCounts
 	share      float64
-	exclusive  bool // whether other versions get nothing any more
+	exclusive  bool // whether other versions get no requests
 	candidates []candidate
 }
 
-// versionTurn is which version a request is to go to, by which roll-out, and whether it was
-// sent to the version under test already.
-type versionTurn struct {
-	rollout     uint64
+// versionAssignment is the version a request is assigned to by a rollout, and whether the
+// version under test was tried already.
+type versionAssignment struct {
+	rolloutID   uint64
 	toCanary    bool
 	triedCanary bool
 }
 
-// newRollout starts with a random credit, so that proxies with few requests do not all reach
-// the version under test at the same count of them.
+// newRollout starts with a random credit, so that proxies with few requests do not all send
+// to the version under test at the same request count.
 func newRollout(order *message.Rollout) *rollout {
 	return &rollout{service: order.Service, id: order.ID, credit: rand.Float64()}
 }
 
-// assign is whether the next request goes to the target version. Of any number of requests
-// in a row, the part that goes there differs from the share by less than one request.
-func (rollout *rollout) assign(share float64) bool {
+// nextIsCanary reports whether the next request goes to the target version. Over any run of
+// requests, the number sent there differs from the share by less than one request.
+func (rollout *rollout) nextIsCanary(share float64) bool {
 	rollout.mutex.Lock()
 	defer rollout.mutex.Unlock()
 	rollout.credit += share
@@ -73,8 +73,8 @@
 	return true
 }
 
-// countsOf returns the counts of a step, which are kept with the roll-out.
-func (rollout *rollout) countsOf(step int) *stepCounts {
+// countsForStep returns the counters of a step, which are kept with the rollout.
+func (rollout *rollout) countsForStep(step int) *stepCounts {
 	rollout.mutex.Lock()
 	defer rollout.mutex.Unlock()
 	for _, counts := range rollout.steps {
@@ -90,12 +90,12 @@
 	return counts
 }
 
-// report appends the counts of all steps.
+// report appends the counts of all steps to a list.
 func (rollout *rollout) report(all []message.RolloutCounts) []message.RolloutCounts {
 	rollout.mutex.Lock()
 	defer rollout.mutex.Unlock()
 	running := 0
-	for _, target := range rollout.former {
+	for _, target := range rollout.formerTargets {
 		running += target.inFlight()
 	}
 	for _, counts := range rollout.steps {
@@ -104,8 +104,8 @@
 	return all
 }
 
-// report returns the counts of a step. What is part of another count is read before that, so
-// that it is never more.
+// report returns the counts of a step. A count that is a subset of another is read first, so
+// that it never exceeds it.
 func (counts *stepCounts) report(rollout *rollout, formerInFlight int) message.RolloutCounts {
 	report := message.RolloutCounts{
 		Service:        rollout.service,
@@ -121,22 +121,22 @@
 	return report
 }
 
-// takes is whether a request is to go to the version under test. It is decided once for
-// each roll-out; what was sent there already goes to the other version.
-func (canary *canary) takes(request *request) bool {
+// shouldReceive reports whether a request goes to the version under test. This is decided
+// once per rollout; a request that was already sent there goes to the other version.
+func (canary *canary) shouldReceive(request *request) bool {
 	turn := &request.version
-	if turn.rollout != canary.rollout.id {
-		turn.rollout, turn.toCanary = canary.rollout.id, canary.rollout.assign(canary.share)
+	if turn.rolloutID != canary.rollout.id {
+		turn.rolloutID, turn.toCanary = canary.rollout.id, canary.rollout.nextIsCanary(canary.share)
 	}
 	return turn.toCanary && !turn.triedCanary && canary.share > 0
 }
 
-// chooseVersion takes a place at a backend of the version that the request is to go to. A
-// request of the version under test goes to the other one where that has no room; the
-// reverse holds only once the version under test gets all requests. Where that is exclusive,
-// the other one gets nothing, not even retries.
-func (proxy *Proxy) chooseVersion(request *request, view *View, service int) (*candidate, choice) {
-	former, canary := view.services[service], view.canaries[service]
+// chooseVersion starts a request at a backend of its assigned version. A request assigned to
+// the version under test falls back to the other version if there is no capacity; the reverse
+// holds only once the version under test gets all requests. If it is exclusive, the other
+// version gets nothing, not even retries.
+func (proxy *Proxy) chooseVersion(request *request, view *routingView, service int) (*candidate, chooseResult) {
+	former, canary := view.candidates[service], view.canaries[service]
 	if canary == nil {
 		return proxy.choose(request, former, request.tried)
 	}
@@ -144,25 +144,25 @@
 		return proxy.choose(request, canary.candidates, request.tried)
 	}
 	preferred, fallback := former, []candidate(nil)
-	if canary.takes(request) {
+	if canary.shouldReceive(request) {
 		preferred, fallback = canary.candidates, former
 	} else if canary.share >= 1 {
 		fallback = canary.candidates
 	}
-	held, how := proxy.chooseFrom(request, preferred, request.tried, fallback == nil)
-	if held == nil && fallback != nil {
-		var other choice
-		held, other = proxy.chooseFrom(request, fallback, request.tried, true)
+	picked, how := proxy.chooseFrom(request, preferred, request.tried, fallback == nil)
+	if picked == nil && fallback != nil {
+		var other chooseResult
+		picked, other = proxy.chooseFrom(request, fallback, request.tried, true)
 		how = min(how, other)
 	}
-	if held != nil && held.underTest {
+	if picked != nil && picked.underTest {
 		request.version.triedCanary = true
 	}
-	return held, how
+	return picked, how
 }
 
-// RolloutCounts returns what this process counted for the roll-outs in force, one entry for
-// each step of each.
+// RolloutCounts returns this process's counts for the rollouts in force, one entry per
+// rollout and step.
 func (proxy *Proxy) RolloutCounts() []message.RolloutCounts {
 	proxy.applyMutex.Lock()
 	defer proxy.applyMutex.Unlock()
@@ -173,15 +173,15 @@
 	return all
 }
 
-// versions are the versions of a service in a table: the one that serves, and the one that
-// an order concerns, if there is one.
-type versions struct {
-	order    *message.Rollout
-	standing string
+// serviceVersions are a service's rollout order, if any, and the current version, which
+// serves without one.
+type serviceVersions struct {
+	order   *message.Rollout
+	current string
 }
 
-// settleVersions returns the versions of each service that has backends.
-func (proxy *Proxy) settleVersions(backends []message.Backend, orders []message.Rollout) map[string]versions {
+// resolveVersions returns the versions of each service that has backends.
+func (proxy *Proxy) resolveVersions(backends []message.Backend, orders []message.Rollout) map[string]serviceVersions {
 	counts := map[string]map[string]int{}
 	for index := range backends {
 		backend := &backends[index]
@@ -190,17 +190,17 @@
 		}
 		counts[backend.Service][backend.Revision]++
 	}
-	all := make(map[string]versions, len(counts))
+	all := make(map[string]serviceVersions, len(counts))
 	for service, revisions := range counts {
-		settled := versions{order: orderOf(service, orders)}
-		settled.standing = proxy.standingVersion(service, revisions, settled.order)
-		all[service] = settled
+		resolved := serviceVersions{order: newestOrder(service, orders)}
+		resolved.current = proxy.currentVersion(service, revisions, resolved.order)
+		all[service] = resolved
 	}
 	return all
 }
 
-// orderOf returns the newest order for a service, nil if there is none.
-func orderOf(service string, orders []message.Rollout) *message.Rollout {
+// newestOrder returns the newest order for a service, or nil.
+func newestOrder(service string, orders []message.Rollout) *message.Rollout {
 	var newest *message.Rollout
 	for index := range orders {
 		if orders[index].Service == service && (newest == nil || orders[index].ID > newest.ID) {
@@ -210,29 +210,30 @@
 	return newest
 }
 
-// standingVersion returns the version of a service that serves without an order: the target
-// of a complete roll-out, else the one that served before. Where none of that is listed, or
-// a process knows of none, it is that of most backends: what no order allows gets no requests.
-func (proxy *Proxy) standingVersion(service string, revisions map[string]int, order *message.Rollout) string {
-	standing, known := proxy.standing[service]
+// currentVersion returns the version of a service that serves without an order: the target of
+// a complete rollout, else the previous current version. If that has no backends or is
+// unknown, it is the most common version that is not an order's target: a version that no
+// order allows gets no requests.
+func (proxy *Proxy) currentVersion(service string, revisions map[string]int, order *message.Rollout) string {
+	current, known := proxy.standing[service]
 	switch {
 	case order != nil && order.Phase == message.RolloutComplete && revisions[order.Target] > 0:
-		standing = order.Target
-	case known && revisions[standing] > 0 && !isTarget(order, standing):
+		current = order.Target
+	case known && revisions[current] > 0 && !isTarget(order, current):
 	default:
-		standing = mostFrequent(revisions, order)
+		current = mostCommonRevision(revisions, order)
 	}
-	proxy.standing[service] = standing
-	return standing
+	proxy.standing[service] = current
+	return current
 }
 
 func isTarget(order *message.Rollout, revision string) bool {
 	return order != nil && order.Target == revision
 }
 
-// mostFrequent returns the revision of most backends, other than an order's target; of two
-// the first by name.
-func mostFrequent(revisions map[string]int, order *message.Rollout) string {
+// mostCommonRevision returns the revision of most backends, other than an order's target;
+// ties go to the first by name.
+func mostCommonRevision(revisions map[string]int, order *message.Rollout) string {
 	best, most := "", 0
 	for revision, count := range revisions {
 		if !isTarget(order, revision) && (count > most || count == most && revision < best) {
@@ -242,45 +243,50 @@
 	return best
 }
 
-// followRollouts keeps the roll-outs that the orders name, and starts those that are new.
-func (proxy *Proxy) followRollouts(orders []message.Rollout) {
+// updateRollouts keeps the rollouts named by the orders, adds new ones and drops the others.
+func (proxy *Proxy) updateRollouts(orders []message.Rollout) {
 	kept := make(map[string]*rollout, len(orders))
 	for index := range orders {
-		order := orderOf(orders[index].Service, orders)
-		held := proxy.rollouts[order.Service]
-		if held == nil || held.id != order.ID {
-			held = newRollout(order)
+		order := newestOrder(orders[index].Service, orders)
+		current := proxy.rollouts[order.Service]
+		if current == nil || current.id != order.ID {
+			current = newRollout(order)
 		}
-		kept[order.Service] = held
+		kept[order.Service] = current
 	}
 	proxy.rollouts = kept
 }
 
-// addCanaries makes a view's canaries of the orders that are active.
-func (proxy *Proxy) addCanaries(view *View, orders []message.Rollout) {
+// addCanaries adds a canary to a view for each active order.
+func (proxy *Proxy) addCanaries(view *routingView, orders []message.Rollout) {
 	view.canaries = make([]*canary, len(view.index.Services))
-	for number, service := range view.index.Services {
-		order := orderOf(service.Name, orders)
+	for index, service := range view.index.Services {
+		order := newestOrder(service.Name, orders)
 		if order == nil || order.Phase != message.RolloutActive {
 			continue
 		}
-		held := proxy.rollouts[service.Name]
-		view.canaries[number] = &canary{rollout: held, counts: held.countsOf(order.Step), share: order.Share, exclusive: order.Exclusive}
+		current := proxy.rollouts[service.Name]
+		view.canaries[index] = &canary{
+			rollout:   current,
+			counts:    current.countsForStep(order.Step),
+			share:     order.Share,
+			exclusive: order.Exclusive,
+		}
 	}
 }
 
-// setFormer tells the roll-outs which backends are of other versions than their target.
-func (proxy *Proxy) setFormer(backends []message.Backend, orders []message.Rollout) {
-	for _, held := range proxy.rollouts {
-		order := orderOf(held.service, orders)
+// updateFormerTargets sets each rollout's targets of versions other than its target version.
+func (proxy *Proxy) updateFormerTargets(backends []message.Backend, orders []message.Rollout) {
+	for _, rollout := range proxy.rollouts {
+		order := newestOrder(rollout.service, orders)
 		former := []*target{}
 		for index := range backends {
-			if backends[index].Service == held.service && backends[index].Revision != order.Target {
+			if backends[index].Service == rollout.service && backends[index].Revision != order.Target {
 				former = append(former, proxy.targets[backends[index].Name])
 			}
 		}
-		held.mutex.Lock()
-		held.former = former
-		held.mutex.Unlock()
+		rollout.mutex.Lock()
+		rollout.formerTargets = former
+		rollout.mutex.Unlock()
 	}
 }
--- a/hostproxy/rollout_test.go
+++ b/hostproxy/rollout_test.go
@@ -68,7 +68,7 @@
 			counts[""]++
 			continue
 		}
-		held.target.end()
+		held.target.endRequest()
 		counts[held.target.backend.Revision]++
 	}
 	return counts
@@ -143,10 +143,10 @@
 	}{
 		{"full", twoVersions(3, 1), func(target *target) {
 			for range 13 {
-				target.begin()
+				target.startRequest()
 			}
 		}},
-		{"ejected", twoVersions(3, 1), func(target *target) { target.failed(time.Now(), true) }},
+		{"ejected", twoVersions(3, 1), func(target *target) { target.recordFailure(time.Now(), true) }},
 		{"cold", cold, func(*target) {}},
 		{"gone", twoVersions(3, 0), nil},
 	} {
@@ -174,14 +174,14 @@
 			applyVersions(proxy, twoVersions(1, 3), order(message.RolloutActive, share))
 			old := proxy.targets["a0"]
 			for range 13 {
-				old.begin()
+				old.startRequest()
 			}
 			counts := countVersions(proxy, 40)
 			if wanted := int(40 * share); counts["v2"] < wanted-1 || counts["v2"] > wanted+1 || counts["v1"] != 0 {
 				test.Errorf("share %v: %v", share, counts)
 			}
 			for range 13 {
-				old.end()
+				old.endRequest()
 			}
 		}
 	})
@@ -236,8 +236,8 @@
 	synctest.Test(test, func(test *testing.T) {
 		proxy := many([]string{"p1"}, []string{"e1"})[0]
 		applyVersions(proxy, twoVersions(2, 2), order(message.RolloutActive, 0.1))
-		proxy.targets["a0"].begin()
-		proxy.targets["b0"].begin()
+		proxy.targets["a0"].startRequest()
+		proxy.targets["b0"].startRequest()
 		proxy.view.Load().canaries[0].counts.items.Add(3)
 		next := order(message.RolloutActive, 0.2)
 		next[0].Step = 2
--- a/hostproxy/route_stats.go
+++ b/hostproxy/route_stats.go
@@ -7,66 +7,66 @@
 	"orchidjunction/routing"
 )
 
-// statWeight is the weight of the newest answer in the means.
-const statWeight = 0.05
+// routeStatWeight is the weight of the newest response in the moving averages.
+const routeStatWeight = 0.05
 
-// RouteStats holds the mean time and size of the answers of each route of late.
-type RouteStats struct {
+// routeStats holds moving averages of response time and size by route.
+type routeStats struct {
 	mutex  sync.Mutex
-	routes map[string]*routeStat
+	routes map[string]*routeMeans
 }
 
-type routeStat struct {
+type routeMeans struct {
 	milliseconds float64
 	kilobytes    float64
 }
 
-func newRouteStats() *RouteStats { return &RouteStats{routes: map[string]*routeStat{}} }
+func newRouteStats() *routeStats { return &routeStats{routes: map[string]*routeMeans{}} }
 
-func (stats *RouteStats) statsOf(route *routing.Route) *routeStat {
-	stat := stats.routes[route.Name]
-	if stat == nil {
-		stat = &routeStat{milliseconds: float64(max(route.TargetMs, 20)) / 5}
+func (stats *routeStats) meansFor(route *routing.Route) *routeMeans {
+	means := stats.routes[route.Name]
+	if means == nil {
+		means = &routeMeans{milliseconds: float64(max(route.TargetMs, 20)) / 5}
 		if route.Kind == routing.Download {
-			stat.kilobytes = 64
+			means.kilobytes = 64
 		}
-		stats.routes[route.Name] = stat
+		stats.routes[route.Name] = means
 	}
-	return stat
+	return means
 }
 
-// expect is how many milliseconds an answer should take and how many kilobytes it has.
-func (stats *RouteStats) expect(route *routing.Route) (float64, float64) {
+// expected returns a route's mean response time in milliseconds and size in kilobytes.
+func (stats *routeStats) expected(route *routing.Route) (float64, float64) {
 	stats.mutex.Lock()
 	defer stats.mutex.Unlock()
-	stat := stats.statsOf(route)
-	return stat.milliseconds, stat.kilobytes
+	means := stats.meansFor(route)
+	return means.milliseconds, means.kilobytes
 }
 
-func (stats *RouteStats) mean(route *routing.Route) float64 {
-	milliseconds, _ := stats.expect(route)
+func (stats *routeStats) meanMs(route *routing.Route) float64 {
+	milliseconds, _ := stats.expected(route)
 	return milliseconds
 }
 
-func (stats *RouteStats) observe(route *routing.Route, took time.Duration, size int) {
+func (stats *routeStats) observe(route *routing.Route, elapsed time.Duration, size int) {
 	stats.mutex.Lock()
 	defer stats.mutex.Unlock()
-	stat := stats.statsOf(route)
-	stat.milliseconds += statWeight * (float64(took.Milliseconds()) - stat.milliseconds)
-	stat.kilobytes += statWeight * (float64(size)/1024 - stat.kilobytes)
+	means := stats.meansFor(route)
+	means.milliseconds += routeStatWeight * (float64(elapsed.Milliseconds()) - means.milliseconds)
+	means.kilobytes += routeStatWeight * (float64(size)/1024 - means.kilobytes)
 }
 
-// forgetOthers forgets the routes that are not in force.
-func (stats *RouteStats) forgetOthers(routes []routing.Route) {
+// prune drops removed routes once there are many.
+func (stats *routeStats) prune(routes []routing.Route) {
 	stats.mutex.Lock()
 	defer stats.mutex.Unlock()
 	if len(stats.routes) <= 2*len(routes)+16 {
 		return
 	}
-	kept := map[string]*routeStat{}
+	kept := map[string]*routeMeans{}
 	for index := range routes {
-		if stat := stats.routes[routes[index].Name]; stat != nil {
-			kept[routes[index].Name] = stat
+		if means := stats.routes[routes[index].Name]; means != nil {
+			kept[routes[index].Name] = means
 		}
 	}
 	stats.routes = kept
--- a/hostproxy/route_stats_test.go
+++ b/hostproxy/route_stats_test.go
@@ -13,22 +13,22 @@
 func TestStat(test *testing.T) {
 	stats := newRouteStats()
 	plain, load := &routing.Route{Name: "a", TargetMs: 500}, &routing.Route{Name: "b", Kind: routing.Download}
-	if milliseconds, kilobytes := stats.expect(plain); milliseconds != 100 || kilobytes != 0 {
+	if milliseconds, kilobytes := stats.expected(plain); milliseconds != 100 || kilobytes != 0 {
 		test.Errorf("%v ms, %v KB", milliseconds, kilobytes)
 	}
-	if milliseconds, kilobytes := stats.expect(load); milliseconds != 4 || kilobytes != 64 {
+	if milliseconds, kilobytes := stats.expected(load); milliseconds != 4 || kilobytes != 64 {
 		test.Errorf("%v ms, %v KB", milliseconds, kilobytes)
 	}
 	for range 300 {
 		stats.observe(plain, 40*time.Millisecond, 10<<10)
 	}
-	if milliseconds, kilobytes := stats.expect(plain); math.Abs(milliseconds-40) > 1 || math.Abs(kilobytes-10) > 1 {
+	if milliseconds, kilobytes := stats.expected(plain); math.Abs(milliseconds-40) > 1 || math.Abs(kilobytes-10) > 1 {
 		test.Errorf("%v ms, %v KB", milliseconds, kilobytes)
 	}
 	for number := range 40 {
-		stats.mean(&routing.Route{Name: fmt.Sprint(number)})
+		stats.meanMs(&routing.Route{Name: fmt.Sprint(number)})
 	}
-	if stats.forgetOthers([]routing.Route{*plain}); len(stats.routes) != 1 || stats.mean(plain) > 41 {
+	if stats.prune([]routing.Route{*plain}); len(stats.routes) != 1 || stats.meanMs(plain) > 41 {
 		test.Errorf("%d routes kept", len(stats.routes))
 	}
 }
--- a/hostproxy/shaper.go
+++ b/hostproxy/shaper.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// largeBody is the size in bytes above which an answer is bulk.
-	largeBody = 32 << 10
-	// Bulk goes in chunks of bulkChunk bytes, at most bulkBurst at once: what is small waits
-	// behind the burst.
+	// bulkThreshold is the size in bytes above which a response is bulk.
+	bulkThreshold = 32 << 10
+	// Bulk is sent in chunks of bulkChunk bytes, at most bulkBurst at once, since urgent
+	// bytes queue behind the burst.
 	bulkChunk = 8 << 10
 	bulkBurst = bulkChunk
-	// bulkShare is the share of the link that bulk has in any case.
-	bulkShare = 0.25
-	// linkUse is the share of the link that is given out.
-	linkUse = 0.9
-	// The rate of urgent bytes is a mean over rateIntervals, in which the newest has the
-	// weight urgentWeight; bulk leaves urgentBurst times that rate free.
-	rateInterval = 100 * time.Millisecond
-	urgentWeight = 0.4
-	urgentBurst  = 1.1
+	// minBulkShare is the share of the link that is guaranteed to bulk.
+	minBulkShare = 0.25
+	// linkUtilization is the share of the link's capacity that is used.
+	linkUtilization = 0.9
+	// The rate of urgent bytes is an exponentially weighted mean over intervals of
+	// urgentRateInterval; bulk leaves urgentHeadroom times that rate free.
+	urgentRateInterval = 100 * time.Millisecond
+	urgentRateWeight   = 0.4
+	urgentHeadroom     = 1.1
 )
 
-// Shaper is one direction of this machine's link. Small answers and requests pass at
-// once; large ones take what these leave, and never less than their floor.
-type Shaper struct {
+// linkShaper shapes one direction of this machine's link. Small requests and responses are
+// urgent and not delayed; bulk gets the remaining rate, but at least minBulkShare.
+type linkShaper struct {
 	capacity float64
 	bulk     *rate.Limiter
 
@@ -40,94 +40,96 @@
 	queue       linkQueue
 }
 
-// linkQueue is a model of the link's own queue: what was given to the link and it cannot
-// have carried yet by its stated rate.
+// linkQueue models the link's queue: the bytes that were sent, but cannot have been
+// transmitted yet at the configured capacity.
 type linkQueue struct {
 	bytes     float64
 	updatedAt time.Time
 }
 
-// add puts bytes at the end of the queue. It returns how long they wait for those before
-// them.
+// add enqueues bytes and returns how long they wait behind earlier ones.
 func (queue *linkQueue) add(bytes int, capacity float64, now time.Time) time.Duration {
-	carried := now.Sub(queue.updatedAt).Seconds() * capacity
-	ahead := max(0, queue.bytes-carried)
+	transmitted := now.Sub(queue.updatedAt).Seconds() * capacity
+	ahead := max(0, queue.bytes-transmitted)
 	queue.bytes, queue.updatedAt = ahead+float64(bytes), now
 	return time.Duration(ahead / capacity * float64(time.Second))
 }
 
-// newShaper is nil for a link without a bound.
-func newShaper(bytesPerSecond float64, now time.Time) *Shaper {
+// newShaper returns nil for a link without a limit.
+func newShaper(bytesPerSecond float64, now time.Time) *linkShaper {
 	if bytesPerSecond <= 0 {
 		return nil
 	}
-	return &Shaper{capacity: bytesPerSecond, bulk: rate.NewLimiter(rate.Limit(bytesPerSecond*linkUse), bulkBurst), updatedAt: now}
+	return &linkShaper{
+		capacity:  bytesPerSecond,
+		bulk:      rate.NewLimiter(rate.Limit(bytesPerSecond*linkUtilization), bulkBurst),
+		updatedAt: now,
+	}
 }
 
-// TransferLimiter lets so many large answers be fetched at once that what their senders have
-// under way never fills the link for long; a reader alone cannot hold them back.
-type TransferLimiter struct {
+// transferLimiter limits concurrent downloads, so that the bytes their senders have in
+// flight never fill the link for long; a slow reader alone cannot prevent that.
+type transferLimiter struct {
 	limit int
 
 	mutex  sync.Mutex
 	active int
 }
 
-// TransferWindow is how many bytes a transfer may have under way: the receive buffer of
-// connections to backends, where the link has a bound.
+// TransferWindow is how many bytes a transfer may have in flight: the receive buffer of
+// connections to backends if the link has a limit.
 const TransferWindow = 16 << 10
 
-// All transfers together may fill the link for transferSpan seconds.
+// All transfers together may fill the link for transferSpanSeconds.
 const (
-	transferSpan = 0.15
-	minTransfers = 2
+	transferSpanSeconds = 0.15
+	minTransfers        = 2
 )
 
-// newTransferLimiter is nil for a link without a bound.
-func newTransferLimiter(bytesPerSecond float64) *TransferLimiter {
+// newTransferLimiter returns nil for a link without a limit.
+func newTransferLimiter(bytesPerSecond float64) *transferLimiter {
 	if bytesPerSecond <= 0 {
 		return nil
 	}
-	return &TransferLimiter{limit: max(minTransfers, int(bytesPerSecond*transferSpan/TransferWindow))}
+	return &transferLimiter{limit: max(minTransfers, int(bytesPerSecond*transferSpanSeconds/TransferWindow))}
 }
 
-func (transfers *TransferLimiter) enter() bool {
-	if transfers == nil {
+func (limiter *transferLimiter) tryAcquire() bool {
+	if limiter == nil {
 		return true
 	}
-	transfers.mutex.Lock()
-	defer transfers.mutex.Unlock()
-	if transfers.active >= transfers.limit {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	if limiter.active >= limiter.limit {
 		return false
 	}
-	transfers.active++
+	limiter.active++
 	return true
 }
 
-func (transfers *TransferLimiter) leave() {
-	if transfers == nil {
+func (limiter *transferLimiter) release() {
+	if limiter == nil {
 		return
 	}
-	transfers.mutex.Lock()
-	transfers.active--
-	transfers.mutex.Unlock()
+	limiter.mutex.Lock()
+	limiter.active--
+	limiter.mutex.Unlock()
 }
 
-// pass counts bytes that go at once. It returns how long they wait on the link itself.
-func (shaper *Shaper) pass(bytes int, now time.Time) time.Duration {
+// recordUrgent counts urgent bytes and returns their estimated wait in the link's queue.
+func (shaper *linkShaper) recordUrgent(bytes int, now time.Time) time.Duration {
 	if shaper == nil {
 		return 0
 	}
 	shaper.mutex.Lock()
 	shaper.urgentBytes += float64(bytes)
-	shaper.updateRate(now)
+	shaper.updateBulkRate(now)
 	shaper.mutex.Unlock()
 	return shaper.enqueue(bytes, now)
 }
 
-// enqueue notes that bytes were given to the link. It returns how long they wait there for
-// those before them.
-func (shaper *Shaper) enqueue(bytes int, now time.Time) time.Duration {
+// enqueue adds bytes to the model of the link's queue and returns their estimated wait.
+func (shaper *linkShaper) enqueue(bytes int, now time.Time) time.Duration {
 	if shaper == nil {
 		return 0
 	}
@@ -136,25 +138,27 @@
 	return shaper.queue.add(bytes, shaper.capacity, now)
 }
 
-// updateRate sets what is left for large answers by what small ones took of late.
-func (shaper *Shaper) updateRate(now time.Time) {
+// updateBulkRate sets the rate of bulk from the recent rate of urgent bytes.
+func (shaper *linkShaper) updateBulkRate(now time.Time) {
 	span := now.Sub(shaper.updatedAt)
-	if span < rateInterval {
+	if span < urgentRateInterval {
 		return
 	}
-	shaper.urgentRate += urgentWeight * (shaper.urgentBytes/span.Seconds() - shaper.urgentRate)
+	shaper.urgentRate += urgentRateWeight * (shaper.urgentBytes/span.Seconds() - shaper.urgentRate)
 	shaper.urgentBytes, shaper.updatedAt = 0, now
-	shaper.bulk.SetLimitAt(now, rate.Limit(max(bulkShare*shaper.capacity, linkUse*shaper.capacity-urgentBurst*shaper.urgentRate)))
+	shaper.bulk.SetLimitAt(
+		now,
+		rate.Limit(max(minBulkShare*shaper.capacity, linkUtilization*shaper.capacity-urgentHeadroom*shaper.urgentRate)),
+	)
 }
 
-// wait holds a part of a large answer until its turn; an error when its time ends
-// before that.
-func (shaper *Shaper) wait(ctx context.Context, bytes int, now time.Time) error {
+// waitBulk blocks until bulk bytes may be sent; it fails if the context ends first.
+func (shaper *linkShaper) waitBulk(ctx context.Context, bytes int, now time.Time) error {
 	if shaper == nil {
 		return nil
 	}
 	shaper.mutex.Lock()
-	shaper.updateRate(now)
+	shaper.updateBulkRate(now)
 	shaper.mutex.Unlock()
 	for bytes > 0 {
 		part := min(bytes, bulkBurst)
@@ -167,10 +171,10 @@
 	return nil
 }
 
-// shapedReader reads at the rate of a Shaper: what goes beyond a small answer waits for its turn.
+// shapedReader reads at the rate of a linkShaper: bytes beyond bulkThreshold are bulk.
 type shapedReader struct {
 	from   io.Reader
-	shaper *Shaper
+	shaper *linkShaper
 	ctx    context.Context
 	clock  func() time.Time
 	large  bool
@@ -182,20 +186,20 @@
 		return shaped.from.Read(body)
 	}
 	count, err := shaped.from.Read(body[:min(len(body), bulkChunk)])
-	if shaped.count += count; shaped.large || shaped.count > largeBody {
-		if late := shaped.shaper.wait(shaped.ctx, count, shaped.clock()); late != nil {
-			return count, late
+	if shaped.count += count; shaped.large || shaped.count > bulkThreshold {
+		if waitErr := shaped.shaper.waitBulk(shaped.ctx, count, shaped.clock()); waitErr != nil {
+			return count, waitErr
 		}
 	} else {
-		shaped.shaper.pass(count, shaped.clock())
+		shaped.shaper.recordUrgent(count, shaped.clock())
 	}
 	return count, err
 }
 
-// shapedWriter writes at the rate of a Shaper in the same way.
+// shapedWriter writes at the rate of a linkShaper, as bulk if large is set.
 type shapedWriter struct {
 	to     io.Writer
-	shaper *Shaper
+	shaper *linkShaper
 	ctx    context.Context
 	clock  func() time.Time
 	large  bool
@@ -206,14 +210,14 @@
 		return shaped.to.Write(body)
 	}
 	if !shaped.large {
-		shaped.shaper.pass(len(body), shaped.clock())
+		shaped.shaper.recordUrgent(len(body), shaped.clock())
 		return shaped.to.Write(body)
 	}
 	written := 0
 	for written < len(body) {
 		part := body[written:min(len(body), written+bulkChunk)]
-		if late := shaped.shaper.wait(shaped.ctx, len(part), shaped.clock()); late != nil {
-			return written, late
+		if waitErr := shaped.shaper.waitBulk(shaped.ctx, len(part), shaped.clock()); waitErr != nil {
+			return written, waitErr
 		}
 		count, err := shaped.to.Write(part)
 		if written += count; err != nil {
--- a/hostproxy/shaper_test.go
+++ b/hostproxy/shaper_test.go
@@ -15,7 +15,7 @@
 )
 
 // large reads an endless answer through a lane for a while and gives its bytes a second.
-func (shaper *Shaper) large(span time.Duration) float64 {
+func (shaper *linkShaper) large(span time.Duration) float64 {
 	source := &shapedReader{from: endless{}, shaper: shaper, ctx: context.Background(), clock: time.Now, large: true}
 	begin, body, count := time.Now(), make([]byte, bulkChunk), 0
 	for time.Since(begin) < span {
@@ -37,13 +37,13 @@
 			shaper := newShaper(whole, time.Now())
 			for range 40 {
 				time.Sleep(50 * time.Millisecond)
-				shaper.pass(int(step.small*whole/20), time.Now())
+				shaper.recordUrgent(int(step.small*whole/20), time.Now())
 			}
 			stop := time.Now().Add(5 * time.Second)
 			go func() {
 				for time.Now().Before(stop) {
 					time.Sleep(50 * time.Millisecond)
-					shaper.pass(int(step.small*whole/20), time.Now())
+					shaper.recordUrgent(int(step.small*whole/20), time.Now())
 				}
 			}()
 			if got := shaper.large(4*time.Second) / whole; got < step.least || got > step.most {
@@ -62,8 +62,13 @@
 		shaper := newShaper(100<<10, time.Now())
 		shaper.large(time.Second)
 		begin := time.Now()
-		small := &shapedReader{from: bytes.NewReader(make([]byte, largeBody)), shaper: shaper, ctx: context.Background(), clock: time.Now}
-		if body, err := io.ReadAll(small); len(body) != largeBody || err != nil {
+		small := &shapedReader{
+			from:   bytes.NewReader(make([]byte, bulkThreshold)),
+			shaper: shaper,
+			ctx:    context.Background(),
+			clock:  time.Now,
+		}
+		if body, err := io.ReadAll(small); len(body) != bulkThreshold || err != nil {
 			test.Errorf("%d bytes, %v", len(body), err)
 		}
 		written := &bytes.Buffer{}
@@ -75,7 +80,12 @@
 		if took := time.Since(begin); took > 0 || written.Len() != 20<<10 {
 			test.Errorf("%v for %d bytes", took, written.Len())
 		}
-		grows := &shapedReader{from: bytes.NewReader(make([]byte, 2*largeBody)), shaper: shaper, ctx: context.Background(), clock: time.Now}
+		grows := &shapedReader{
+			from:   bytes.NewReader(make([]byte, 2*bulkThreshold)),
+			shaper: shaper,
+			ctx:    context.Background(),
+			clock:  time.Now,
+		}
 		if _, err := io.ReadAll(grows); err != nil {
 			test.Error(err)
 		}
@@ -101,8 +111,8 @@
 
 func TestLinkWithoutABound(test *testing.T) {
 	shaper := newShaper(0, time.Now())
-	shaper.pass(1<<30, time.Now())
-	if err := shaper.wait(context.Background(), 1<<30, time.Now()); err != nil || shaper != nil {
+	shaper.recordUrgent(1<<30, time.Now())
+	if err := shaper.waitBulk(context.Background(), 1<<30, time.Now()); err != nil || shaper != nil {
 		test.Errorf("%v, %v", shaper, err)
 	}
 }
@@ -131,7 +141,7 @@
 		request.begin, request.deadline = time.Now(), time.Now().Add(2*time.Second)
 		world.goroutines.Start(func() {
 			world.goroutines.Sleep(200 * time.Millisecond)
-			world.proxy.transfers.leave()
+			world.proxy.transfers.release()
 			world.proxy.capacityFreed.Notify()
 		})
 		begin = time.Now()
@@ -224,7 +234,7 @@
 			if reply.status != 413 {
 				test.Fatalf("%s: %d %v", length, reply.status, reply.broken)
 			}
-			time.Sleep(rateInterval)
+			time.Sleep(urgentRateInterval)
 			if share := world.proxy.inbound.large(time.Second) / whole; share < 0.88 {
 				test.Errorf("after a length of %s, large answers have %.3f of the link", length, share)
 			}
--- a/hostproxy/target.go
+++ b/hostproxy/target.go
@@ -10,11 +10,11 @@
 	"orchidjunction/message"
 )
 
-// What evaluate adds to a target's cost.
+// Penalties that evaluate adds to a target's cost.
 const (
-	openPenalty       = 20.0 // milliseconds, for a connection that must be opened
-	utilizationWeight = 0.4  // of the service time, at full utilization
-	failurePenalty    = 4.0  // times the route's mean time, if all requests failed of late
+	openPenaltyMs     = 20.0 // if a connection must be opened
+	utilizationWeight = 0.4  // share of the service time, at full utilization
+	failurePenalty    = 4.0  // times the route's mean time, at a failure rate of 1
 )
 
 // Weights of the newest value in exponentially weighted means.
@@ -24,48 +24,47 @@
 	othersWeight   = 0.2
 )
 
-// othersDecay is the time constant by which a reported load returns to its mean.
+// othersDecay is the time constant with which a reported load decays to its mean.
 const othersDecay = 400 * time.Millisecond
 
-// A target is ejected for a time that doubles with each failure.
+// The ejection time doubles with each failure.
 const (
 	minEjection     = 500 * time.Millisecond
 	maxEjection     = 4 * time.Second
 	failuresToEject = 2
 )
 
-// target is one incarnation of a backend as this process knows it; it outlives views.
+// target is this process's state of one incarnation of a backend; it outlives views.
 type target struct {
-	backend message.Backend
-	number  uint32 // tells it from the other targets of this process
-	offer   *offer // nil while no view has the target as a candidate
-
-	mutex          sync.Mutex
-	idle           []*connection
-	open           int // connections, idle ones too
-	running        int // requests that this process has there
-	retired        bool
-	othersLoadMean float64 // requests of other processes
-	othersLoad     float64 // the same when the backend said it last
-	othersLoadAt   time.Time
-	slowness       float64 // times that its answers take, against the mean of their routes
-	failureRate    float64 // share of requests that failed of late
-	failures       int     // in a row
-	ejectedUntil   time.Time
-	backoff        time.Duration
-	reviving       bool          // a dial that probes whether it is back goes on
-	replaced       bool          // another incarnation has its address
-	roundTrip      time.Duration // the shortest that a dial took
-	warmup         Warmup
-	suspectedUntil time.Time
+	backend     message.Backend
+	id          uint32       // unique among this process's targets
+	eligibility *eligibility // nil while no view has the target as a candidate
+
+	mutex           sync.Mutex
+	idle            []*connection
+	openConnections int // connections, including idle ones
+	running         int // this process's requests in flight
+	retired         bool
+	othersLoadMean  float64 // requests from other processes
+	othersLoad      float64 // the same as last reported by the backend
+	othersLoadAt    time.Time
+	slowness        float64 // response time relative to the mean of the route
+	failureRate     float64 // moving average of failed requests
+	failures        int     // consecutive
+	ejectedUntil    time.Time
+	backoff         time.Duration
+	probing         bool          // whether a dial is testing if it has recovered
+	replaced        bool          // another incarnation has its address
+	roundTrip       time.Duration // shortest dial time
+	warmup          warmupLimiter
+	suspectedUntil  time.Time
 }
 
 func newTarget(backend message.Backend) *target {
 	return &target{backend: backend, slowness: 1}
 }
 
-// load is how many requests the backend is thought to have, this process's and the
-// others'.
+// load estimates the backend's requests, from this process and others.
 func (target *target) load(now time.Time) float64 {
 	others := target.othersLoadMean
 	if !target.othersLoadAt.IsZero() {
@@ -74,15 +73,15 @@
 	return float64(target.running) + max(0, others)
 }
 
-// observeLoad takes what the backend says of its load: running, waiting and slots.
+// observeLoad parses a load report of the form "running,waiting,slots".
 func (target *target) observeLoad(text string, now time.Time) {
-	parts := strings.Split(text, ",")
-	if len(parts) != 3 {
+	fields := strings.Split(text, ",")
+	if len(fields) != 3 {
 		return
 	}
-	running, first := strconv.Atoi(strings.TrimSpace(parts[0]))
-	waiting, second := strconv.Atoi(strings.TrimSpace(parts[1]))
-	if first != nil || second != nil || running < 0 || waiting < 0 {
+	running, runningErr := strconv.Atoi(strings.TrimSpace(fields[0]))
+	waiting, waitingErr := strconv.Atoi(strings.TrimSpace(fields[1]))
+	if runningErr != nil || waitingErr != nil || running < 0 || waiting < 0 {
 		return
 	}
 	target.mutex.Lock()
@@ -92,49 +91,49 @@
 	target.mutex.Unlock()
 }
 
-// evaluate returns what choosing this target costs in milliseconds: the time that it is
-// expected to take, with penalties for distance, utilization and failures. mean is the
-// route's mean time and far the distance penalty, in milliseconds; full is whether its
-// queue is as long as it may be.
-func (target *target) evaluate(now time.Time, mean float64, far float64) (cost float64, full, ejected bool) {
+// evaluate returns the cost of choosing this target in milliseconds: the expected response
+// time with penalties for distance, utilization and failures. mean is the route's mean time
+// and distanceMs the distance penalty, in milliseconds; full reports that the queue limit
+// is reached.
+func (target *target) evaluate(now time.Time, mean float64, distanceMs float64) (cost float64, full, ejected bool) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	slots := float64(max(target.backend.Capacity, 1))
 	load, service := target.load(now), mean*target.slowness
 	utilization := min(1, load/slots)
 	roundTrip := float64(target.roundTrip.Milliseconds())
-	cost = service + far + roundTrip + utilizationWeight*service*utilization + failurePenalty*mean*target.failureRate
+	cost = service + distanceMs + roundTrip + utilizationWeight*service*utilization + failurePenalty*mean*target.failureRate
 	if len(target.idle) == 0 {
-		cost += openPenalty + roundTrip
+		cost += openPenaltyMs + roundTrip
 	}
 	if load >= slots {
 		cost += (load - slots + 1) / slots * service
 	}
-	return cost, load >= slots*(1+queueDepth), now.Before(target.ejectedUntil)
+	return cost, load >= slots*(1+maxQueuePerSlot), now.Before(target.ejectedUntil)
 }
 
-// begin takes a place at the target.
-func (target *target) begin() {
+// startRequest counts a request in flight at the target.
+func (target *target) startRequest() {
 	target.mutex.Lock()
 	target.running++
 	target.mutex.Unlock()
 }
 
-// end gives the place at the target back.
-func (target *target) end() {
+// endRequest undoes startRequest.
+func (target *target) endRequest() {
 	target.mutex.Lock()
 	target.running--
 	target.mutex.Unlock()
 }
 
-// inFlight is how many requests this process has at the target.
+// inFlight returns this process's requests in flight at the target.
 func (target *target) inFlight() int {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	return target.running
 }
 
-// takeIdle gives an idle connection that is still sound.
+// takeIdle returns an idle connection that is still usable, or nil.
 func (target *target) takeIdle(now time.Time) *connection {
 	for {
 		target.mutex.Lock()
@@ -143,40 +142,40 @@
 			target.mutex.Unlock()
 			return nil
 		}
-		taken := target.idle[last]
+		connection := target.idle[last]
 		target.idle = target.idle[:last]
 		target.mutex.Unlock()
-		if taken.isReusable(now) {
-			return taken
+		if connection.isReusable(now) {
+			return connection
 		}
-		target.discard(taken)
+		target.discardConnection(connection)
 	}
 }
 
-// reserve is whether one more connection may be opened.
-func (target *target) reserve(limit int) bool {
+// reserveConnection reports whether another connection may be opened, and counts it.
+func (target *target) reserveConnection(limit int) bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	if target.open >= limit || target.retired {
+	if target.openConnections >= limit || target.retired {
 		return false
 	}
-	target.open++
+	target.openConnections++
 	return true
 }
 
-func (target *target) unreserve() {
+func (target *target) unreserveConnection() {
 	target.mutex.Lock()
-	target.open--
+	target.openConnections--
 	target.mutex.Unlock()
 }
 
-func (target *target) discard(connection *connection) {
+func (target *target) discardConnection(connection *connection) {
 	connection.close()
-	target.unreserve()
+	target.unreserveConnection()
 }
 
-// release puts a connection back for the next request.
-func (target *target) release(connection *connection) {
+// releaseConnection returns a connection to the idle pool.
+func (target *target) releaseConnection(connection *connection) {
 	connection.usedAt = time.Now()
 	target.mutex.Lock()
 	if !target.retired {
@@ -185,10 +184,10 @@
 		return
 	}
 	target.mutex.Unlock()
-	target.discard(connection)
+	target.discardConnection(connection)
 }
 
-// retire closes what is idle; connections in use close when they are given back.
+// retire closes idle connections; those in use are closed when released.
 func (target *target) retire() {
 	target.mutex.Lock()
 	target.retired = true
@@ -196,86 +195,86 @@
 	target.idle = nil
 	target.mutex.Unlock()
 	for _, connection := range idle {
-		target.discard(connection)
+		target.discardConnection(connection)
 	}
 }
 
-// expire closes connections that were idle for too long.
-func (target *target) expire(now time.Time) {
+// closeExpired closes connections that have exceeded their idle timeout.
+func (target *target) closeExpired(now time.Time) {
 	target.mutex.Lock()
-	kept, old := target.idle[:0:0], []*connection{}
+	kept, expired := target.idle[:0:0], []*connection{}
 	for _, connection := range target.idle {
 		if now.Sub(connection.usedAt) >= connection.idleTimeout {
-			old = append(old, connection)
+			expired = append(expired, connection)
 		} else {
 			kept = append(kept, connection)
 		}
 	}
-	if len(old) > 0 {
+	if len(expired) > 0 {
 		target.idle = kept
 	}
 	target.mutex.Unlock()
-	for _, connection := range old {
-		target.discard(connection)
+	for _, connection := range expired {
+		target.discardConnection(connection)
 	}
 }
 
-// served records how long a whole answer took, against the mean of its route.
-func (target *target) served(took time.Duration, mean float64, good bool) {
+// recordResponse records the time of a response, relative to the route's mean.
+func (target *target) recordResponse(elapsed time.Duration, mean float64, succeeded bool) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	target.failures, target.backoff = 0, 0
 	target.ejectedUntil, target.replaced = time.Time{}, false
-	if !good {
+	if !succeeded {
 		target.failureRate += failureWeight * (1 - target.failureRate)
 		return
 	}
 	target.failureRate -= failureWeight * target.failureRate
 	if mean > 0 {
-		ratio := min(4, max(0.25, float64(took.Milliseconds()-target.roundTrip.Milliseconds())/mean))
+		ratio := min(4, max(0.25, float64(elapsed.Milliseconds()-target.roundTrip.Milliseconds())/mean))
 		target.slowness += slownessWeight * (ratio - target.slowness)
 		target.slowness = min(2, max(0.5, target.slowness))
 	}
 }
 
-// failed records a broken connection; dead is one that could not be opened.
-func (target *target) failed(now time.Time, dead bool) {
+// recordFailure records a broken connection, or a failed dial.
+func (target *target) recordFailure(now time.Time, dialFailed bool) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	target.failures++
 	target.failureRate += failureWeight * (1 - target.failureRate)
-	if dead || target.failures >= failuresToEject {
+	if dialFailed || target.failures >= failuresToEject {
 		target.backoff = min(maxEjection, max(minEjection, 2*target.backoff))
 		target.ejectedUntil = now.Add(target.backoff)
 	}
 }
 
-// replacedByOther ejects the target for the longest time: another incarnation has its address,
-// and takes dials as well.
-func (target *target) replacedByOther(now time.Time) {
+// recordReplacement ejects the target for maxEjection: another incarnation has its address,
+// so that a successful dial would not show recovery.
+func (target *target) recordReplacement(now time.Time) {
 	target.mutex.Lock()
 	target.replaced, target.backoff, target.ejectedUntil = true, maxEjection, now.Add(maxEjection)
 	target.mutex.Unlock()
 }
 
-// shouldRevive is whether an ejected target should be dialled again; only one dial goes on.
-func (target *target) shouldRevive(now time.Time) bool {
+// startProbe reports whether to dial an ejected target again; there is one probe at a time.
+func (target *target) startProbe(now time.Time) bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	if target.ejectedUntil.IsZero() || target.retired || target.replaced || target.reviving ||
+	if target.ejectedUntil.IsZero() || target.retired || target.replaced || target.probing ||
 		now.Before(target.ejectedUntil.Add(-minEjection/2)) {
 		return false
 	}
-	target.reviving = true
+	target.probing = true
 	return true
 }
 
-// revived ends a dial that was made to learn whether the target is back.
-func (target *target) revived(now time.Time, back bool) {
+// endProbe records whether a probe reached the target.
+func (target *target) endProbe(now time.Time, recovered bool) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	target.reviving = false
-	if back {
+	target.probing = false
+	if recovered {
 		target.ejectedUntil, target.backoff = time.Time{}, 0
 		target.failures = 0
 		return
@@ -284,14 +283,14 @@
 	target.ejectedUntil = now.Add(target.backoff)
 }
 
-// isEjected is whether the target is left out because it failed.
+// isEjected reports whether the target is ejected because of failures.
 func (target *target) isEjected(now time.Time) bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	return now.Before(target.ejectedUntil)
 }
 
-// suspectUntil makes the target count as warming up until a time.
+// suspectUntil treats the target as cold until the given time.
 func (target *target) suspectUntil(until time.Time) {
 	target.mutex.Lock()
 	if target.suspectedUntil.Before(until) {
@@ -306,18 +305,18 @@
 	return now.Before(target.suspectedUntil)
 }
 
-// takeWarmup is whether a target that is warming up may get a request now.
-func (target *target) takeWarmup(now time.Time, rate float64) bool {
+// takeWarmupToken reports whether a cold target may get a request now.
+func (target *target) takeWarmupToken(now time.Time, rate float64) bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	return target.warmup.allow(now, rate)
 }
 
-// dialled records how long a dial took.
-func (target *target) dialled(took time.Duration) {
+// recordDial updates the round-trip time with the duration of a dial.
+func (target *target) recordDial(elapsed time.Duration) {
 	target.mutex.Lock()
-	if target.roundTrip == 0 || took < target.roundTrip {
-		target.roundTrip = took
+	if target.roundTrip == 0 || elapsed < target.roundTrip {
+		target.roundTrip = elapsed
 	}
 	target.mutex.Unlock()
 }
--- a/hostproxy/target_test.go
+++ b/hostproxy/target_test.go
@@ -75,40 +75,40 @@
 func TestEjection(test *testing.T) {
 	held, now := newTarget(ownBackend()), time.Now()
 	out := func() bool { _, _, ejected := held.evaluate(now, 10, 0); return ejected }
-	held.failed(now, false)
+	held.recordFailure(now, false)
 	if out() {
 		test.Error("left out after one failure")
 	}
-	held.failed(now, false)
+	held.recordFailure(now, false)
 	if !out() || held.ejectedUntil != now.Add(minEjection) {
 		test.Errorf("left out until %s", held.ejectedUntil)
 	}
-	if held.shouldRevive(now) {
+	if held.startProbe(now) {
 		test.Error("dialled at once")
 	}
 	for _, span := range []time.Duration{2 * minEjection, 4 * minEjection, maxEjection, maxEjection} {
 		now = held.ejectedUntil
-		if !held.shouldRevive(now) || held.shouldRevive(now) {
+		if !held.startProbe(now) || held.startProbe(now) {
 			test.Error("not just one dial")
 		}
-		if held.revived(now, false); held.ejectedUntil != now.Add(span) {
+		if held.endProbe(now, false); held.ejectedUntil != now.Add(span) {
 			test.Errorf("left out for %s", held.ejectedUntil.Sub(now))
 		}
 	}
-	held.shouldRevive(held.ejectedUntil)
-	if held.revived(now, true); out() || held.failures != 0 {
+	held.startProbe(held.ejectedUntil)
+	if held.endProbe(now, true); out() || held.failures != 0 {
 		test.Error("left out after a good dial")
 	}
-	if held.shouldRevive(now) {
+	if held.startProbe(now) {
 		test.Error("dialled though it is in")
 	}
-	if held.failed(now, true); !out() {
+	if held.recordFailure(now, true); !out() {
 		test.Error("a dead one is not left out at once")
 	}
-	if held.failed(now, true); held.ejectedUntil != now.Add(2*minEjection) {
+	if held.recordFailure(now, true); held.ejectedUntil != now.Add(2*minEjection) {
 		test.Errorf("left out for %s after two failures", held.ejectedUntil.Sub(now))
 	}
-	if held.served(time.Millisecond, 1, true); out() {
+	if held.recordResponse(time.Millisecond, 1, true); out() {
 		test.Error("left out after an answer")
 	}
 }
@@ -117,25 +117,25 @@
 func TestReserve(test *testing.T) {
 	held := newTarget(ownBackend())
 	for index := range 5 {
-		if held.reserve(3) != (index < 3) {
+		if held.reserveConnection(3) != (index < 3) {
 			test.Errorf("connection %d", index)
 		}
 	}
-	if held.unreserve(); !held.reserve(3) {
+	if held.unreserveConnection(); !held.reserveConnection(3) {
 		test.Error("a freed one is not given again")
 	}
 	near, far := newPipes("b1")
-	held.release(newConnection(near))
+	held.releaseConnection(newConnection(near))
 	held.retire()
-	if held.open != 2 || held.reserve(3) {
-		test.Errorf("%d open", held.open)
+	if held.openConnections != 2 || held.reserveConnection(3) {
+		test.Errorf("%d open", held.openConnections)
 	}
 	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		test.Errorf("an idle one of a retired target: %v", err)
 	}
 	near, _ = newPipes("b1")
-	if held.release(newConnection(near)); held.open != 1 || len(held.idle) != 0 {
-		test.Errorf("%d open, %d idle", held.open, len(held.idle))
+	if held.releaseConnection(newConnection(near)); held.openConnections != 1 || len(held.idle) != 0 {
+		test.Errorf("%d open, %d idle", held.openConnections, len(held.idle))
 	}
 }
 
@@ -167,7 +167,7 @@
 // What a backend says of its load counts beside what is known here, and fades.
 func TestLoad(test *testing.T) {
 	held, now := newTarget(ownBackend()), time.Now()
-	held.begin()
+	held.startRequest()
 	for _, bad := range []string{"", "1", "1,2", "a,b,c", "-1,9,4", "9,-1,4", "1,2,3,4", "1e3,0,4"} {
 		if held.observeLoad(bad, now); held.load(now) != 1 {
 			test.Errorf("%q counts as %v", bad, held.load(now))
@@ -211,16 +211,16 @@
 		busier = next
 	}
 	for name, change := range map[string]func(*target){
-		"slow":    func(held *target) { held.served(time.Second, 100, true) },
-		"failing": func(held *target) { held.served(time.Millisecond, 100, false) },
-		"far":     func(held *target) { held.dialled(30 * time.Millisecond) },
-		"broken":  func(held *target) { held.failed(now, false) },
+		"slow":    func(held *target) { held.recordResponse(time.Second, 100, true) },
+		"failing": func(held *target) { held.recordResponse(time.Millisecond, 100, false) },
+		"far":     func(held *target) { held.recordDial(30 * time.Millisecond) },
+		"broken":  func(held *target) { held.recordFailure(now, false) },
 	} {
 		if got := cost(change); got <= plain {
 			test.Errorf("%s costs %v, plain %v", name, got, plain)
 		}
 	}
-	if got := cost(func(held *target) { held.served(time.Millisecond, 100, true) }); got >= plain {
+	if got := cost(func(held *target) { held.recordResponse(time.Millisecond, 100, true) }); got >= plain {
 		test.Errorf("fast costs %v, plain %v", got, plain)
 	}
 }
--- a/hostproxy/upload.go
+++ b/hostproxy/upload.go
@@ -72,7 +72,7 @@
 func (proxy *Proxy) finishUpload(request *request, target *target, connection *connection) {
 	until := request.begin.Add(time.Duration(request.route.TimeoutMs) * time.Millisecond)
 	if err := connection.conn.SetDeadline(until.Add(deadlineSlack)); err != nil {
-		target.discard(connection)
+		target.discardConnection(connection)
 		return
 	}
 	proxy.counters.Add("uploads_after_answer", 1)
@@ -90,7 +90,7 @@
 		connection.upload.wait()
 		proxy.memory.Release(reserved)
 		proxy.uploads.remove(connection)
-		target.discard(connection)
+		target.discardConnection(connection)
 	})
 }
 
--- a/hostproxy/usage_meter.go
+++ b/hostproxy/usage_meter.go
@@ -9,69 +9,69 @@
 	"orchidjunction/message"
 )
 
-const keptWindows = 7
+const retainedWindows = 7
 
-// UsageMeter counts the requests that began at backends, by window of true time and tenant.
-type UsageMeter struct {
+// usageMeter counts the requests that began at backends, by tenant and window of true time.
+type usageMeter struct {
 	window time.Duration
 	now    func() int64
 
-	mutex     sync.Mutex
-	windows   map[int64]map[string]uint64
-	unsettled map[string]uint64
-	running   map[*startedRequest]bool
+	mutex       sync.Mutex
+	windows     map[int64]map[string]uint64
+	overcounted map[string]uint64
+	running     map[*startedRequest]bool
 }
 
-// startedRequest is a request that was sent and has no answer yet.
+// startedRequest is a request that was sent and has no response yet.
 type startedRequest struct {
 	tenant  string
-	at      int64
+	atMs    int64
 	counted bool
 }
 
-// assumedRunningMs is after how long without a refusal a request counts as begun.
-const assumedRunningMs = 20
+// assumedStartedMs is the time without a refusal after which a request counts as begun.
+const assumedStartedMs = 20
 
-func newUsageMeter(window time.Duration, now func() int64) *UsageMeter {
-	return &UsageMeter{
-		window:    window,
-		now:       now,
-		windows:   map[int64]map[string]uint64{},
-		unsettled: map[string]uint64{},
-		running:   map[*startedRequest]bool{},
+func newUsageMeter(window time.Duration, now func() int64) *usageMeter {
+	return &usageMeter{
+		window:      window,
+		now:         now,
+		windows:     map[int64]map[string]uint64{},
+		overcounted: map[string]uint64{},
+		running:     map[*startedRequest]bool{},
 	}
 }
 
-// begin takes a request that is sent now. It counts before its answer comes, or
-// those under way would be lost with the process.
-func (meter *UsageMeter) begin(tenant string) *startedRequest {
-	begun := &startedRequest{tenant: tenant, at: meter.now()}
+// begin registers a request that is sent now. It is counted before its response arrives;
+// otherwise, requests in flight would be lost if the process crashed.
+func (meter *usageMeter) begin(tenant string) *startedRequest {
+	request := &startedRequest{tenant: tenant, atMs: meter.now()}
 	if tenant != "" && meter.window > 0 {
 		meter.mutex.Lock()
-		meter.running[begun] = true
+		meter.running[request] = true
 		meter.mutex.Unlock()
 	}
-	return begun
+	return request
 }
 
-// finish ends it. Counts never fall: one that counted and had not begun after all
-// stands for the tenant's next.
-func (meter *UsageMeter) finish(begun *startedRequest, ran bool) {
-	if begun.tenant == "" || meter.window <= 0 {
+// finish ends a request. Counts never decrease: if a counted request did not run after all,
+// the tenant's next one is not counted.
+func (meter *usageMeter) finish(request *startedRequest, ran bool) {
+	if request.tenant == "" || meter.window <= 0 {
 		return
 	}
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
-	delete(meter.running, begun)
+	delete(meter.running, request)
 	switch {
-	case ran && !begun.counted:
-		meter.add(begun.tenant, begun.at)
-	case !ran && begun.counted:
-		meter.unsettled[begun.tenant]++
+	case ran && !request.counted:
+		meter.add(request.tenant, request.atMs)
+	case !ran && request.counted:
+		meter.overcounted[request.tenant]++
 	}
 }
 
-func (meter *UsageMeter) count(tenant string, ago time.Duration) {
+func (meter *usageMeter) count(tenant string, ago time.Duration) {
 	if tenant == "" || meter.window <= 0 {
 		return
 	}
@@ -80,33 +80,33 @@
 	meter.add(tenant, meter.now()-ago.Milliseconds())
 }
 
-func (meter *UsageMeter) add(tenant string, at int64) {
-	if meter.unsettled[tenant] > 0 {
-		meter.unsettled[tenant]--
+func (meter *usageMeter) add(tenant string, atMs int64) {
+	if meter.overcounted[tenant] > 0 {
+		meter.overcounted[tenant]--
 		return
 	}
-	number := at / meter.window.Milliseconds()
+	number := atMs / meter.window.Milliseconds()
 	counts := meter.windows[number]
 	if counts == nil {
 		counts = map[string]uint64{}
 		meter.windows[number] = counts
-		for old := range meter.windows {
-			if old <= number-keptWindows {
-				delete(meter.windows, old)
+		for other := range meter.windows {
+			if other <= number-retainedWindows {
+				delete(meter.windows, other)
 			}
 		}
 	}
 	counts[tenant]++
 }
 
-// Windows are the running counts of the last windows.
-func (meter *UsageMeter) Windows() []message.WindowCount {
+// Windows returns the cumulative counts of the retained windows.
+func (meter *usageMeter) Windows() []message.WindowCount {
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
-	for begun := range meter.running {
-		if !begun.counted && meter.now()-begun.at >= assumedRunningMs {
-			begun.counted = true
-			meter.add(begun.tenant, begun.at)
+	for request := range meter.running {
+		if !request.counted && meter.now()-request.atMs >= assumedStartedMs {
+			request.counted = true
+			meter.add(request.tenant, request.atMs)
 		}
 	}
 	all := make([]message.WindowCount, 0, len(meter.windows))
--- a/hostproxy/usage_meter_test.go
+++ b/hostproxy/usage_meter_test.go
@@ -32,7 +32,7 @@
 	now += 30_000
 	meter.count("c", 0)
 	for _, window := range meter.Windows() {
-		if window.Window <= 17-keptWindows || window.Tenants["b"] == 99 {
+		if window.Window <= 17-retainedWindows || window.Tenants["b"] == 99 {
 			test.Errorf("window %d is kept: %v", window.Window, window.Tenants)
 		}
 	}
@@ -111,7 +111,7 @@
 		want  uint64
 	}{
 		{0, func() {}, 0},
-		{assumedRunningMs - 1, func() {}, 0},
+		{assumedStartedMs - 1, func() {}, 0},
 		{1, func() {}, 2},
 		{5000, func() { meter.finish(slow, true) }, 2},
 		{0, func() { meter.finish(refused, false) }, 2},
--- a/hostproxy/view.go
+++ b/hostproxy/view.go
@@ -9,85 +9,84 @@
 	"orchidjunction/routing"
 )
 
-// candidate is a backend in a view: its target, and what the view says of it.
+// candidate is a backend as seen by a view.
 type candidate struct {
 	target     *target
 	region     string
 	distance   distance
-	offer      context.Context // done once a view in force does not have the target as a candidate
-	warmAt     int64
-	owned      bool
+	eligible   context.Context // done once the target is withdrawn
+	warmAtMs   int64
+	ownsWarmup bool
 	warmupRate float64
-	canary     *canary // the roll-out of its service that is active
-	underTest  bool    // whether it is of that roll-out's target version
+	canary     *canary // of the service's active rollout
+	underTest  bool    // whether it has that rollout's target version
 }
 
-// View is what a proxy has in force: routing and backends; it is swapped whole.
-// The slices are indexed by the number that routing.Index gives a service. A service has a
-// canary while a roll-out of it is active.
-type View struct {
-	state       *routing.State
-	index       *routing.Index
-	services    [][]candidate
-	canaries    []*canary
-	budgets     []*Budget
-	connections []int
+// routingView is the routing state and backends in force; it is replaced as a whole.
+// The slices are indexed by routing.Index's service number. A service has a canary while
+// its rollout is active.
+type routingView struct {
+	state            *routing.State
+	index            *routing.Index
+	candidates       [][]candidate
+	canaries         []*canary
+	budgets          []*retryBudget
+	connectionLimits []int
 }
 
-// presumedProxies is how many proxies are taken to share a backend's limits while
-// no leader has said how many there are.
-const presumedProxies = 32
+// provisionalProxies is the least number of proxies that a service's connection limit is
+// divided among while their number is not known from a leader.
+const provisionalProxies = 32
 
-// The proxies together use this share of a service's connection limit; no proxy's
-// own share falls below minConnections.
+// The proxies together use this fraction of a service's connection limit; each may open at
+// least minConnections.
 const (
 	connectionShareNumerator   = 4
 	connectionShareDenominator = 5
 	minConnections             = 2
 )
 
-// allowsRegion is whether a region is among the homes; no homes allow all.
+// allowsRegion reports whether a region is a home region; without homes, all are allowed.
 func allowsRegion(homes []string, region string) bool {
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
-// Apply puts a routing state, a table of members and backends, and the roll-outs of
-// services in force.
+// Apply puts a routing state, a table of members and backends, and rollout orders in force.
 func (proxy *Proxy) Apply(state *routing.State, table *message.Table, rollouts []message.Rollout) {
 	proxy.applyMutex.Lock()
 	defer proxy.applyMutex.Unlock()
 	view := proxy.newView(state)
 	proxies := servingProxies(table.Members)
 	proxy.mostProxies = max(proxy.mostProxies, len(proxies))
-	led := table.Version.Term.Number > 0
-	proxy.shareLimits(view, led)
-	proxy.followRollouts(rollouts)
+	hasLeader := table.Version.Term.Number > 0
+	proxy.shareLimits(view, hasLeader)
+	proxy.updateRollouts(rollouts)
 	proxy.addCanaries(view, rollouts)
-	proxy.addBackends(view, table.Backends, proxies, proxy.settleVersions(table.Backends, rollouts), led)
-	proxy.setFormer(table.Backends, rollouts)
+	proxy.addBackends(view, table.Backends, proxies, proxy.resolveVersions(table.Backends, rollouts), hasLeader)
+	proxy.updateFormerTargets(table.Backends, rollouts)
 	proxy.view.Store(view)
 	proxy.onLimits(state.Config.Limits)
-	proxy.withdrawOthers(view, table.Version)
+	proxy.withdrawIneligible(view, table.Version)
 	proxy.retireUnlisted(table.Backends)
 	proxy.capacityFreed.Notify()
 }
 
-// newView returns a view without backends. It reuses the index in force if the
-// routing state has not changed.
-func (proxy *Proxy) newView(state *routing.State) *View {
-	view := &View{state: state}
-	if before := proxy.view.Load(); before != nil && before.state == state {
-		view.index = before.index
+// newView returns a view without backends. It reuses the current index if the routing state
+// has not changed.
+func (proxy *Proxy) newView(state *routing.State) *routingView {
+	view := &routingView{state: state}
+	if current := proxy.view.Load(); current != nil && current.state == state {
+		view.index = current.index
 	} else {
 		view.index = routing.NewIndex(state)
 	}
-	view.services = make([][]candidate, len(view.index.Services))
-	view.budgets = make([]*Budget, len(view.index.Services))
-	view.connections = make([]int, len(view.index.Services))
+	view.candidates = make([][]candidate, len(view.index.Services))
+	view.budgets = make([]*retryBudget, len(view.index.Services))
+	view.connectionLimits = make([]int, len(view.index.Services))
 	return view
 }
 
-// servingProxies returns the members that are proxies and not about to leave.
+// servingProxies returns the proxies that are not leaving.
 func servingProxies(members []message.Member) []message.Member {
 	proxies := []message.Member{}
 	for _, member := range members {
@@ -98,122 +97,122 @@
 	return proxies
 }
 
-// shareLimits gives each service of a view this proxy's share of the retry budget
-// and of the connections to a backend. The share is by the most proxies ever seen,
-// since those that are missing may be cut off and still serving.
-func (proxy *Proxy) shareLimits(view *View, led bool) {
+// shareLimits sets this proxy's share of each service's retry budget and connection limit.
+// It divides by the most proxies ever seen, since missing ones may be partitioned and still
+// serving.
+func (proxy *Proxy) shareLimits(view *routingView, hasLeader bool) {
 	shares := max(1, proxy.mostProxies)
-	if !led {
-		shares = max(shares, presumedProxies)
+	if !hasLeader {
+		shares = max(shares, provisionalProxies)
 	}
-	for number, service := range view.index.Services {
-		view.budgets[number] = proxy.budgetOf(service.Name, led)
-		view.connections[number] = maxConnections
+	for index, service := range view.index.Services {
+		view.budgets[index] = proxy.budgetFor(service.Name, hasLeader)
+		view.connectionLimits[index] = defaultMaxConnections
 		if service.MaxConnections > 0 {
 			share := service.MaxConnections * connectionShareNumerator / connectionShareDenominator / shares
-			view.connections[number] = max(minConnections, share)
+			view.connectionLimits[index] = max(minConnections, share)
 		}
 	}
 }
 
-// budgetOf returns a service's retry budget with the share that is due now.
-func (proxy *Proxy) budgetOf(service string, led bool) *Budget {
+// budgetFor returns a service's retry budget with its share updated.
+func (proxy *Proxy) budgetFor(service string, hasLeader bool) *retryBudget {
 	budget := proxy.budgets[service]
 	if budget == nil {
-		budget = &Budget{}
+		budget = &retryBudget{}
 		proxy.budgets[service] = budget
 	}
-	if led {
+	if hasLeader {
 		budget.setShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.mostProxies)
 	} else {
-		budget.presumeShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.mostProxies)
+		budget.setProvisionalShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.mostProxies)
 	}
 	return budget
 }
 
-// addBackends makes candidates of the backends that may be chosen: those of a known
-// service and a version in use that are not leaving and whose zone is not evacuated.
+// addBackends adds candidates for the eligible backends: those of a known service and a
+// version in use that are not leaving and whose zone is not evacuated.
 func (proxy *Proxy) addBackends(
-	view *View, backends []message.Backend, proxies []message.Member, versions map[string]versions, led bool,
+	view *routingView, backends []message.Backend, proxies []message.Member, versions map[string]serviceVersions, hasLeader bool,
 ) {
 	evacuated := map[string]bool{}
 	for _, zone := range view.state.Evacuated {
 		evacuated[zone] = true
 	}
-	reopened := proxy.reopenedZones(view.state)
+	restored := proxy.restoredZones(view.state)
 	now := proxy.clock()
 	for _, backend := range backends {
-		held := proxy.targetOf(backend)
+		target := proxy.targetFor(backend)
 		if proxy.evacuated[backend.Zone] && !evacuated[backend.Zone] {
-			held.suspectUntil(now.Add(proxy.config.suspectTTL()))
-		} else if left := reopened[backend.Zone]; left > 0 {
-			held.suspectUntil(now.Add(min(left, proxy.config.suspectTTL())))
+			target.suspectUntil(now.Add(proxy.config.suspectTTL()))
+		} else if left := restored[backend.Zone]; left > 0 {
+			target.suspectUntil(now.Add(min(left, proxy.config.suspectTTL())))
 		}
-		number, found := view.index.ServiceIndex(backend.Service)
+		serviceIndex, found := view.index.ServiceIndex(backend.Service)
 		if !found || backend.Leaving || evacuated[backend.Zone] {
 			continue
 		}
-		service := view.index.Services[number]
-		mayWarm := led && (backend.WarmAtMs > 0 || held.isSuspect(now))
-		view.add(number, versions[backend.Service], backend.Revision, candidate{
-			target:     held,
+		service := view.index.Services[serviceIndex]
+		needsWarmup := hasLeader && (backend.WarmAtMs > 0 || target.isSuspect(now))
+		view.addCandidate(serviceIndex, versions[backend.Service], backend.Revision, candidate{
+			target:     target,
 			region:     proxy.config.Regions[backend.Zone],
 			distance:   proxy.config.distance(backend.Zone),
-			warmAt:     backend.WarmAtMs,
-			owned:      mayWarm && owner(backend, proxies, proxy.config.Regions) == proxy.config.Name,
+			warmAtMs:   backend.WarmAtMs,
+			ownsWarmup: needsWarmup && warmupOwner(backend, proxies, proxy.config.Regions) == proxy.config.Name,
 			warmupRate: ownerWarmupRate(service.WarmupRate, proxy.config.WarmupExcess, proxy.config.WarmupExtra),
 		})
 	}
 	proxy.evacuated = evacuated
 }
 
-// add adds a candidate of a version: to those of its service, or to those of the canary. A
-// backend of any other version is not offered.
-func (view *View) add(number int, versions versions, revision string, candidate candidate) {
-	candidate.canary = view.canaries[number]
+// addCandidate adds a candidate to its service or to the canary, depending on its version. A
+// backend of any other version is not eligible.
+func (view *routingView) addCandidate(serviceIndex int, versions serviceVersions, revision string, candidate candidate) {
+	candidate.canary = view.canaries[serviceIndex]
 	if candidate.canary != nil && revision == versions.order.Target {
-		candidate.underTest, candidate.offer = true, candidate.target.offerIn(view)
+		candidate.underTest, candidate.eligible = true, candidate.target.markEligible(view)
 		candidate.canary.candidates = append(candidate.canary.candidates, candidate)
 		return
 	}
-	if revision == versions.standing {
-		candidate.offer = candidate.target.offerIn(view)
-		view.services[number] = append(view.services[number], candidate)
+	if revision == versions.current {
+		candidate.eligible = candidate.target.markEligible(view)
+		view.candidates[serviceIndex] = append(view.candidates[serviceIndex], candidate)
 	}
 }
 
-// reopenedZones returns how long the backends of each zone that was opened again
-// stay suspect; the time may already be over.
-func (proxy *Proxy) reopenedZones(state *routing.State) map[string]time.Duration {
-	reopened := map[string]time.Duration{}
-	for _, restored := range state.Restored {
-		age := time.Duration(proxy.now()-restored.AtMs) * time.Millisecond
-		reopened[restored.Zone] = proxy.config.suspectTTL() - age
+// restoredZones returns how long the backends of each restored zone stay suspect; a value
+// of zero or less means that the time is over.
+func (proxy *Proxy) restoredZones(state *routing.State) map[string]time.Duration {
+	restored := map[string]time.Duration{}
+	for _, zone := range state.Restored {
+		age := time.Duration(proxy.now()-zone.AtMs) * time.Millisecond
+		restored[zone.Zone] = proxy.config.suspectTTL() - age
 	}
-	return reopened
+	return restored
 }
 
-// targetOf returns the target of a backend, which outlives single views.
-func (proxy *Proxy) targetOf(backend message.Backend) *target {
-	held := proxy.targets[backend.Name]
-	if held == nil {
-		held = newTarget(backend)
+// targetFor returns a backend's target and creates it if needed.
+func (proxy *Proxy) targetFor(backend message.Backend) *target {
+	target := proxy.targets[backend.Name]
+	if target == nil {
+		target = newTarget(backend)
 		proxy.lastTarget++
-		held.number = proxy.lastTarget
-		proxy.targets[backend.Name] = held
+		target.id = proxy.lastTarget
+		proxy.targets[backend.Name] = target
 	}
-	return held
+	return target
 }
 
-// retireUnlisted closes the targets of backends that are no longer listed.
+// retireUnlisted retires the targets of backends that are no longer listed.
 func (proxy *Proxy) retireUnlisted(backends []message.Backend) {
 	listed := make(map[string]bool, len(backends))
 	for _, backend := range backends {
 		listed[backend.Name] = true
 	}
-	for name, held := range proxy.targets {
+	for name, target := range proxy.targets {
 		if !listed[name] {
-			held.retire()
+			target.retire()
 			delete(proxy.targets, name)
 		}
 	}
--- a/hostproxy/view_test.go
+++ b/hostproxy/view_test.go
@@ -17,7 +17,7 @@
 		if how != chosen {
 			return names
 		}
-		candidate.target.end()
+		candidate.target.endRequest()
 		names[candidate.target.backend.Name] = true
 		tried = append(tried, candidate.target)
 	}
@@ -91,7 +91,7 @@
 		}
 		gone := proxies[0].targets["beside"]
 		lay(func() { table.Backends = append(table.Backends[:1:1], table.Backends[2:]...) })
-		if names := proxies[0].names(nil, nil); len(names) != 0 || !gone.retired || gone.reserve(64) {
+		if names := proxies[0].names(nil, nil); len(names) != 0 || !gone.retired || gone.reserveConnection(64) {
 			test.Errorf("gone: %v", names)
 		}
 		lay(func() { state.Evacuated = []string{"z9"} })
@@ -143,8 +143,8 @@
 		for _, step := range []struct{ count, most, small int }{{1, 104, 2}, {4, 26, 2}, {2, 26, 2}} {
 			table.Members = members(names[:step.count], zones[:step.count])
 			proxies[0].Apply(&routing.State{Config: config}, table, nil)
-			limit := proxies[0].view.Load().connections
-			if limit[0] != step.most || limit[2] != step.small || limit[3] != maxConnections {
+			limit := proxies[0].view.Load().connectionLimits
+			if limit[0] != step.most || limit[2] != step.small || limit[3] != defaultMaxConnections {
 				test.Errorf("%d proxies: %v", step.count, limit)
 			}
 		}
@@ -152,7 +152,7 @@
 		table.Members = append(table.Members, message.Member{Name: "d1", Kind: "dir"})
 		fresh := many([]string{"p1"}, []string{"e1"})[0]
 		fresh.Apply(&routing.State{Config: config}, table, nil)
-		if limit := fresh.view.Load().connections[0]; limit != 104 {
+		if limit := fresh.view.Load().connectionLimits[0]; limit != 104 {
 			test.Errorf("beside one that leaves: %d", limit)
 		}
 	})
@@ -171,7 +171,7 @@
 			Capacity: 4,
 			WarmAtMs: time.Now().UnixMilli() + 60000,
 		}
-		for round, want := range map[uint64]choice{0: noneLeft, 1: chosen} {
+		for round, want := range map[uint64]chooseResult{0: noneAvailable, 1: chosen} {
 			table := &message.Table{
 				Version:  message.TableVersion{Term: message.Term{Number: round}, Number: 1},
 				Members:  members([]string{"p1"}, []string{"e1"}),
@@ -191,7 +191,7 @@
 // zone's backends for cold for a while all the same.
 func TestReopenedZoneIsDoubtedByNewProxies(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		for ago, want := range map[time.Duration]choice{500 * time.Millisecond: allFull, time.Minute: chosen} {
+		for ago, want := range map[time.Duration]chooseResult{500 * time.Millisecond: allFull, time.Minute: chosen} {
 			proxies := many([]string{"p1"}, []string{"e1"})
 			backend := message.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Capacity: 4}
 			state := &routing.State{
--- a/hostproxy/wait_queues.go
+++ b/hostproxy/wait_queues.go
@@ -2,30 +2,30 @@
 
 import "sync"
 
-// waitQueue is where requests of one priority wait for room at a backend of one service.
+// waitQueue identifies a queue of requests waiting for capacity, by service and priority.
 type waitQueue struct {
 	service  string
 	priority int // 0 is the highest
 }
 
-// waitQueues count who waits for room at a backend.
+// waitQueues counts the requests waiting for backend capacity.
 type waitQueues struct {
-	mutex sync.Mutex
-	count map[waitQueue]int
-	total int
+	mutex  sync.Mutex
+	counts map[waitQueue]int
+	total  int
 }
 
-// enter is false when too many wait already.
+// enter returns false if maxWaiting requests are waiting already.
 func (queues *waitQueues) enter(queue waitQueue) bool {
 	queues.mutex.Lock()
 	defer queues.mutex.Unlock()
 	if queues.total >= maxWaiting {
 		return false
 	}
-	if queues.count == nil {
-		queues.count = map[waitQueue]int{}
+	if queues.counts == nil {
+		queues.counts = map[waitQueue]int{}
 	}
-	queues.count[queue]++
+	queues.counts[queue]++
 	queues.total++
 	return true
 }
@@ -34,17 +34,17 @@
 	queues.mutex.Lock()
 	defer queues.mutex.Unlock()
 	queues.total--
-	queues.count[queue]--
-	if queues.count[queue] == 0 {
-		delete(queues.count, queue)
+	queues.counts[queue]--
+	if queues.counts[queue] == 0 {
+		delete(queues.counts, queue)
 	}
 }
 
-// outranked is whether a request of a higher priority waits for the same service.
-func (queues *waitQueues) outranked(queue waitQueue) bool {
+// hasHigherPriority reports whether a request of higher priority waits for the same service.
+func (queues *waitQueues) hasHigherPriority(queue waitQueue) bool {
 	queues.mutex.Lock()
 	defer queues.mutex.Unlock()
-	for other := range queues.count {
+	for other := range queues.counts {
 		if other.service == queue.service && other.priority < queue.priority {
 			return true
 		}
@@ -52,7 +52,7 @@
 	return false
 }
 
-func (queues *waitQueues) waiting() bool {
+func (queues *waitQueues) anyWaiting() bool {
 	queues.mutex.Lock()
 	defer queues.mutex.Unlock()
 	return queues.total > 0
--- a/hostproxy/wait_queues_test.go
+++ b/hostproxy/wait_queues_test.go
@@ -10,23 +10,23 @@
 			test.Fatal("no place")
 		}
 	}
-	if queues.enter(high) || !queues.waiting() {
+	if queues.enter(high) || !queues.anyWaiting() {
 		test.Error("a place too many")
 	}
-	if queues.leave(low); !queues.enter(high) || queues.count[high] != 1 || queues.count[low] != maxWaiting-1 {
-		test.Errorf("%v", queues.count)
+	if queues.leave(low); !queues.enter(high) || queues.counts[high] != 1 || queues.counts[low] != maxWaiting-1 {
+		test.Errorf("%v", queues.counts)
 	}
-	if !queues.outranked(low) || queues.outranked(high) || queues.outranked(other) {
+	if !queues.hasHigherPriority(low) || queues.hasHigherPriority(high) || queues.hasHigherPriority(other) {
 		test.Error("outranked otherwise than by a higher priority at the same service")
 	}
 	queues.leave(high)
-	if queues.outranked(low) {
+	if queues.hasHigherPriority(low) {
 		test.Error("outranked by one that has left")
 	}
 	for range maxWaiting - 1 {
 		queues.leave(low)
 	}
-	if queues.waiting() {
+	if queues.anyWaiting() {
 		test.Error("somebody waits")
 	}
 }
--- a/hostproxy/warmup.go
+++ b/hostproxy/warmup.go
@@ -7,28 +7,28 @@
 	"orchidjunction/message"
 )
 
-// Warmup paces the requests to one cold backend. Only its owner sends any, so that
-// the proxies' rates do not add up; the rate leaves room for two more owners while
-// views differ.
-type Warmup struct {
-	tokens   float64
-	filledAt time.Time
+// warmupLimiter limits the request rate to one cold backend. Only its owner sends any, so
+// that the proxies' rates do not add up; the rate leaves room for two more owners while
+// proxies have different views.
+type warmupLimiter struct {
+	tokens     float64
+	refilledAt time.Time
 }
 
-// warmupOwners is how many proxies may take themselves for a backend's owner at once
-// while the fleet is cut apart.
-const warmupOwners = 3
+// maxWarmupOwners is how many proxies may consider themselves a backend's owner at once
+// during a network partition.
+const maxWarmupOwners = 3
 
 func ownerWarmupRate(rate, excess, extra float64) float64 {
-	return max(0, min(0.9*rate, (rate*excess+extra)/warmupOwners-1))
+	return max(0, min(0.9*rate, (rate*excess+extra)/maxWarmupOwners-1))
 }
 
-func (warmup *Warmup) allow(now time.Time, rate float64) bool {
-	if warmup.filledAt.IsZero() {
-		warmup.filledAt = now
+func (warmup *warmupLimiter) allow(now time.Time, rate float64) bool {
+	if warmup.refilledAt.IsZero() {
+		warmup.refilledAt = now
 	}
-	warmup.tokens = min(1, warmup.tokens+now.Sub(warmup.filledAt).Seconds()*rate)
-	warmup.filledAt = now
+	warmup.tokens = min(1, warmup.tokens+now.Sub(warmup.refilledAt).Seconds()*rate)
+	warmup.refilledAt = now
 	if warmup.tokens < 1 {
 		return false
 	}
@@ -36,9 +36,9 @@
 	return true
 }
 
-// owner is the one proxy that may send to a cold backend: by hash among those of
-// its zone, else of its region, else all.
-func owner(backend message.Backend, proxies []message.Member, regions map[string]string) string {
+// warmupOwner returns the one proxy that may send to a cold backend, chosen by rendezvous
+// hashing among those of its zone, else of its region, else all.
+func warmupOwner(backend message.Backend, proxies []message.Member, regions map[string]string) string {
 	best, bestRank, bestScore := "", 3, uint32(0)
 	for index := range proxies {
 		rank := 2
--- a/hostproxy/warmup_test.go
+++ b/hostproxy/warmup_test.go
@@ -41,12 +41,12 @@
 }
 
 // pick lets a proxy choose for a request of a route of the plain service.
-func (proxy *Proxy) pick(tenant *routing.Tenant, homes []string, tried ...*target) (*candidate, choice) {
+func (proxy *Proxy) pick(tenant *routing.Tenant, homes []string, tried ...*target) (*candidate, chooseResult) {
 	view := proxy.view.Load()
 	compiled := &routing.CompiledRoute{Route: &routing.Route{Name: "picked", TargetMs: 800, Homes: homes}}
 	return proxy.choose(
 		&request{source: &http.Request{}, stats: proxy.stats, route: compiled.Route, tenant: tenant},
-		view.services[0],
+		view.candidates[0],
 		tried,
 	)
 }
@@ -67,7 +67,7 @@
 			if how != chosen {
 				continue
 			}
-			candidate.target.end()
+			candidate.target.endRequest()
 			sent = append(sent, time.Now())
 			within := 0
 			for index := len(sent) - 1; index >= 0 && time.Since(sent[index]) <= time.Second; index-- {
@@ -143,7 +143,7 @@
 			&message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{cold, warm}},
 			nil,
 		)
-		proxies[0].targets["cold"].takeWarmup(time.Now(), 1)
+		proxies[0].targets["cold"].takeWarmupToken(time.Now(), 1)
 		time.Sleep(time.Second)
 		for range 6 {
 			if candidate, how := proxies[0].pick(nil, nil); how != chosen || candidate.target.backend.Name != "warm" {
@@ -172,23 +172,23 @@
 	all := members([]string{"a", "b", "c", "d", "e"}, []string{"e1", "e1", "e2", "w1", "w1"})
 	owned := map[string]int{}
 	for number := range 200 {
-		name := owner(message.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, all, regions)
+		name := warmupOwner(message.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, all, regions)
 		owned[name]++
 		turned := append(append([]message.Member{}, all[3:]...), all[:3]...)
-		if owner(message.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, turned, regions) != name {
+		if warmupOwner(message.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, turned, regions) != name {
 			test.Errorf("x%d has two owners", number)
 		}
-		if name = owner(message.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, all[2:], regions); name != "c" {
+		if name = warmupOwner(message.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, all[2:], regions); name != "c" {
 			test.Errorf("x%d is owned by %s", number, name)
 		}
-		if name = owner(message.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, all[3:], regions); name != "d" && name != "e" {
+		if name = warmupOwner(message.Backend{Name: fmt.Sprint("x", number), Zone: "e1"}, all[3:], regions); name != "d" && name != "e" {
 			test.Errorf("x%d is owned by %s", number, name)
 		}
 	}
 	if len(owned) != 2 || owned["a"] < 50 || owned["b"] < 50 {
 		test.Errorf("%v", owned)
 	}
-	if name := owner(message.Backend{Name: "x", Zone: "e1"}, nil, regions); name != "" {
+	if name := warmupOwner(message.Backend{Name: "x", Zone: "e1"}, nil, regions); name != "" {
 		test.Errorf("nobody is %q", name)
 	}
 }
--- a/hostproxy/world_test.go
+++ b/hostproxy/world_test.go
@@ -201,7 +201,7 @@
 	target := world.proxy.targets[name]
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	return target.open, target.running
+	return target.openConnections, target.running
 }
 
 // client is one connection to the proxy.
