--- a/hostproxy/budget.go
+++ b/hostproxy/budget.go
@@ -4,7 +4,7 @@
 
 // retryBudget is a token bucket that limits retries. All proxies share a service's
 // allowance: each request adds tokens, up to this proxy's share of the extra retries.
-// A new process starts with at limit one token, so that restarts add no retries.
+// A new process starts with at most one token, so that restarts add no retries.
 type retryBudget struct {
 	mutex  sync.Mutex
 	tokens float64
--- a/hostproxy/choose.go
+++ b/hostproxy/choose.go
@@ -54,7 +54,7 @@
 	now := proxy.clock()
 	nowMs := proxy.now()
 	mean, kilobytes := request.stats.expected(request.route)
-	seen := selection{}
+	selection := selection{}
 	offset := 0
 	if len(candidates) > 0 {
 		offset = rand.IntN(len(candidates))
@@ -64,19 +64,19 @@
 		if !request.mayUseRegion(candidate.region) {
 			continue
 		}
-		seen.anyPermitted = true
+		selection.anyPermitted = true
 		if slices.Contains(tried, candidate.target) {
 			continue
 		}
 		penalty := distancePenalty(candidate.distance, kilobytes, float64(request.route.TargetMs))
 		cost, isFull, ejected := candidate.target.evaluate(now, mean, penalty)
 		if candidate.isCold(now, nowMs) {
-			seen.considerCold(candidate, cost, isFull || ejected)
+			selection.considerCold(candidate, cost, isFull || ejected)
 		} else {
-			seen.considerWarm(candidate, cost, isFull, ejected)
+			selection.considerWarm(candidate, cost, isFull, ejected)
 		}
 	}
-	return seen.pick(now, lastResort && len(tried) == 0)
+	return selection.pick(now, lastResort && len(tried) == 0)
 }
 
 // mayUseRegion reports whether the home regions of the request's route and tenant allow a region.
@@ -99,44 +99,44 @@
 }
 
 // considerCold considers a candidate that is limited to its warm-up rate.
-func (seen *selection) considerCold(candidate *candidate, cost float64, unavailable bool) {
+func (selection *selection) considerCold(candidate *candidate, cost float64, unavailable bool) {
 	if !candidate.ownsWarmup || unavailable {
 		return
 	}
-	if seen.bestCold == nil || cost < seen.bestColdCost {
-		seen.bestCold, seen.bestColdCost = candidate, cost
+	if selection.bestCold == nil || cost < selection.bestColdCost {
+		selection.bestCold, selection.bestColdCost = candidate, cost
 	}
 }
 
 // considerWarm considers a candidate that may take full load.
-func (seen *selection) considerWarm(candidate *candidate, cost float64, isFull, ejected bool) {
+func (selection *selection) considerWarm(candidate *candidate, cost float64, isFull, ejected bool) {
 	switch {
 	case ejected:
-		seen.ejected = candidate
+		selection.ejected = candidate
 	case isFull:
-		seen.anyFull = true
-	case seen.best == nil || cost < seen.bestCost:
-		seen.best, seen.bestCost = candidate, cost
+		selection.anyFull = true
+	case selection.best == nil || cost < selection.bestCost:
+		selection.best, selection.bestCost = candidate, cost
 	}
 }
 
 // pick starts a request at the best candidate, or returns why there is none. allowEjected
 // is set only for a request's first attempt.
-func (seen *selection) pick(now time.Time, allowEjected bool) (*candidate, chooseResult) {
-	best := seen.best
-	if best == nil && seen.bestCold != nil && seen.bestCold.target.takeWarmupToken(now, seen.bestCold.warmupRate) {
-		best = seen.bestCold
+func (selection *selection) pick(now time.Time, allowEjected bool) (*candidate, chooseResult) {
+	best := selection.best
+	if best == nil && selection.bestCold != nil && selection.bestCold.target.takeWarmupToken(now, selection.bestCold.warmupRate) {
+		best = selection.bestCold
 	}
-	if best == nil && !seen.anyFull && allowEjected {
-		best = seen.ejected
+	if best == nil && !selection.anyFull && allowEjected {
+		best = selection.ejected
 	}
 	switch {
 	case best != nil:
 		best.target.startRequest()
 		return best, chosen
-	case !seen.anyPermitted:
+	case !selection.anyPermitted:
 		return nil, noneInHomeRegions
-	case seen.anyFull || seen.bestCold != nil:
+	case selection.anyFull || selection.bestCold != nil:
 		return nil, allFull
 	}
 	return nil, noneAvailable
--- a/hostproxy/in_flight.go
+++ b/hostproxy/in_flight.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// inFlightCounter counter the requests in flight.
+// inFlightCounter counts the requests in flight.
 type inFlightCounter struct {
 	mutex sync.Mutex
 	count int
--- a/hostproxy/rollout.go
+++ b/hostproxy/rollout.go
@@ -149,16 +149,16 @@
 	} else if canary.share >= 1 {
 		fallback = canary.candidates
 	}
-	picked, how := proxy.chooseFrom(request, preferred, request.tried, fallback == nil)
+	picked, result := proxy.chooseFrom(request, preferred, request.tried, fallback == nil)
 	if picked == nil && fallback != nil {
-		var other chooseResult
-		picked, other = proxy.chooseFrom(request, fallback, request.tried, true)
-		how = min(how, other)
+		var fallbackResult chooseResult
+		picked, fallbackResult = proxy.chooseFrom(request, fallback, request.tried, true)
+		result = min(result, fallbackResult)
 	}
 	if picked != nil && picked.underTest {
 		request.version.triedCanary = true
 	}
-	return picked, how
+	return picked, result
 }
 
 // RolloutCounts returns this process's counts for the rollouts in force, one entry per
