--- a/hostproxy/admit.go
+++ b/hostproxy/admit.go
@@ -57,9 +57,9 @@
 	if config.KeysRequired && !request.route.Public && request.tenant == nil {
 		return http.StatusUnauthorized, rpc.UnknownKey
 	}
-	request.rank = request.route.Priority
+	request.priority = request.route.Priority
 	if request.tenant != nil && request.tenant.HasPriority {
-		request.rank = request.tenant.Priority
+		request.priority = request.tenant.Priority
 	}
 	request.deadline = request.begin.Add(proxy.timeout(request))
 	if status, code := proxy.readRequestBody(request, config.Limits.BodyBytes); status != 0 {
--- a/hostproxy/attempt.go
+++ b/hostproxy/attempt.go
@@ -9,105 +9,103 @@
 	"time"
 )
 
-// outcome is how an attempt ended: whether its request may have run, and whether the
-// client can have the answer.
+// outcome tells whether the request of an attempt may have run, and whether there is a
+// response for the client.
 type outcome uint8
 
 const (
-	// answered: the backend's answer can go to the client.
+	// answered: the backend's response can be sent to the client.
 	answered outcome = iota
 	// unsent: no byte of the request reached the backend.
 	unsent
-	// withdrawn: no byte was sent, because a view has come into force that does not have
-	// the backend as a candidate.
+	// withdrawn: no byte was sent, because the backend is no longer a candidate in the current
+	// view.
 	withdrawn
 	// refused: the backend says that it did not run the request.
 	refused
-	// lost: the request may have run, and there is no answer to trust.
+	// lost: the request may have run, and there is no valid response.
 	lost
 )
 
-// How long a dial may take, within the own region and beyond it.
+// Dial timeouts for backends in the proxy's own region and in other regions.
 const (
 	nearDialTimeout = 300 * time.Millisecond
 	farDialTimeout  = 600 * time.Millisecond
 )
 
-// hopByHop are the fields that concern one connection only.
+// hopByHop lists the header fields that apply to a single connection.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// listedByConnection are the fields that a Connection field lists; those that end to
-// end attribution needs are never among them.
-func (names *Headers) listedByConnection(header http.Header) map[string]bool {
-	var listed map[string]bool
+// connectionOptions returns the fields named by a Connection header, except the attempt ID and
+// the seal, which attribute a response to its request end to end.
+func (names *Headers) connectionOptions(header http.Header) map[string]bool {
+	var options map[string]bool
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
 			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
 			if name == "" || name == names.Attempt || name == names.Seal {
 				continue
 			}
-			if listed == nil {
-				listed = map[string]bool{}
+			if options == nil {
+				options = map[string]bool{}
 			}
-			listed[name] = true
+			options[name] = true
 		}
 	}
-	return listed
+	return options
 }
 
-// connect gives a connection to the target, an idle one or a new one; nil when there
-// is none to have. A dial ends at once when its target is withdrawn, and says nothing
-// of the target then.
-func (proxy *Proxy) connect(held *candidate, most int, limit time.Time) *connection {
-	if taken := held.target.takeIdle(proxy.clock()); taken != nil {
-		return taken
+// connect returns an idle or new connection to the candidate, or nil if there is none. A dial
+// is cancelled when its candidate is withdrawn; that doesn't count as a failure of the target.
+func (proxy *Proxy) connect(candidate *candidate, maxOpen int, deadline time.Time) *connection {
+	if idle := candidate.target.takeIdle(proxy.clock()); idle != nil {
+		return idle
 	}
-	if !held.target.reserve(most) {
+	if !candidate.target.reserve(maxOpen) {
 		proxy.counters.Add("connections_capped", 1)
 		return nil
 	}
-	patience := nearDialTimeout
-	if held.distance == otherRegion {
-		patience = farDialTimeout
+	timeout := nearDialTimeout
+	if candidate.distance == otherRegion {
+		timeout = farDialTimeout
 	}
 	begin := proxy.clock()
-	if until := begin.Add(patience); until.Before(limit) {
-		limit = until
+	if timeoutAt := begin.Add(timeout); timeoutAt.Before(deadline) {
+		deadline = timeoutAt
 	}
-	ctx, cancel := context.WithDeadline(held.offer, limit)
-	conn, err := proxy.dial(ctx, "tcp", held.target.backend.Address)
+	ctx, cancel := context.WithDeadline(candidate.offer, deadline)
+	conn, err := proxy.dial(ctx, "tcp", candidate.target.backend.Address)
 	cancel()
 	if err != nil {
-		held.target.unreserve()
-		if held.isWithdrawn() {
+		candidate.target.unreserve()
+		if candidate.isWithdrawn() {
 			return nil
 		}
-		held.target.failed(proxy.clock(), true)
+		candidate.target.failed(proxy.clock(), true)
 		proxy.counters.Add("connections_failed", 1)
 		return nil
 	}
-	held.target.dialled(proxy.clock().Sub(begin))
+	candidate.target.dialled(proxy.clock().Sub(begin))
 	proxy.counters.Add("connections_opened", 1)
 	return newConnection(conn)
 }
 
-// attempt sends the request to one backend and reads what it answers. One that may
-// have run already, and may run only once, is sent nowhere; nor is one to a backend that
-// was withdrawn since it was chosen.
-func (proxy *Proxy) attempt(request *request, held *candidate, limit int) (*answer, outcome) {
+// attempt sends the request to one backend and reads the response. It sends nothing if a
+// non-idempotent request may have run already or the backend has been withdrawn.
+func (proxy *Proxy) attempt(request *request, candidate *candidate, maxOpen int) (*response, outcome) {
 	if request.mayHaveRun && !request.route.Kind.IsIdempotent() {
 		proxy.counters.Add("repeats_prevented", 1)
 		return nil, lost
 	}
 	connectBegin := proxy.clock()
-	connection := proxy.connect(held, limit, request.deadline)
+	connection := proxy.connect(candidate, maxOpen, request.deadline)
 	request.spent.connecting += proxy.clock().Sub(connectBegin)
-	if held.isWithdrawn() {
+	if candidate.isWithdrawn() {
 		if connection != nil {
-			held.target.release(connection)
+			candidate.target.release(connection)
 		}
 		return nil, withdrawn
 	}
@@ -115,44 +113,44 @@
 		return nil, unsent
 	}
 	if request.deadline.Sub(proxy.clock()) < time.Millisecond || request.context.Err() != nil {
-		held.target.release(connection)
+		candidate.target.release(connection)
 		return nil, unsent
 	}
 	proxy.figures.sending(request, proxy.clock())
-	if held.isWithdrawn() {
+	if candidate.isWithdrawn() {
 		proxy.counters.Add("attempts_sent_withdrawn", 1)
 	}
-	before := request.mayHaveRun
+	mayHaveRunBefore := request.mayHaveRun
 	request.mayHaveRun = true
-	begun := proxy.usageMeter.begin(request.tenantName())
+	usage := proxy.usageMeter.begin(request.tenantName())
 	exchangeBegin := proxy.clock()
-	held.countSent()
-	answer, ended := proxy.exchange(request, held, connection)
+	candidate.countSent()
+	response, outcome := proxy.exchange(request, candidate, connection)
 	request.spent.backends += proxy.clock().Sub(exchangeBegin)
-	proxy.judge(request, held, answer, ended, exchangeBegin)
-	notRun := ended == unsent || ended == refused
-	if notRun {
-		request.mayHaveRun = before
+	proxy.judge(request, candidate, response, outcome, exchangeBegin)
+	notExecuted := outcome == unsent || outcome == refused
+	if notExecuted {
+		request.mayHaveRun = mayHaveRunBefore
 	}
-	proxy.usageMeter.finish(begun, !notRun)
-	return answer, ended
+	proxy.usageMeter.finish(usage, !notExecuted)
+	return response, outcome
 }
 
-// exchange sends one request on a connection and reads its answer. The connection is
-// given back, or closed, in every case but that of an answer that still streams.
-func (proxy *Proxy) exchange(request *request, held *candidate, connection *connection) (*answer, outcome) {
+// exchange sends a request and reads the response. It releases or closes the connection unless
+// a response is still being streamed.
+func (proxy *Proxy) exchange(request *request, candidate *candidate, connection *connection) (*response, outcome) {
 	begin := proxy.clock()
 	if err := connection.conn.SetDeadline(request.deadline.Add(deadlineSlack)); err != nil {
-		held.target.discard(connection)
-		held.target.failed(begin, false)
+		candidate.target.discard(connection)
+		candidate.target.failed(begin, false)
 		return nil, unsent
 	}
 	stop := context.AfterFunc(request.context, connection.interrupt)
-	head := proxy.requestHead(request, held.target.backend.Name, request.deadline.Sub(begin))
+	head := proxy.encodeRequestHead(request, candidate.target.backend.Name, request.deadline.Sub(begin))
 	if sent, err := proxy.send(connection, head, &request.body); err != nil {
 		stop()
-		held.target.discard(connection)
-		held.target.failed(proxy.clock(), false)
+		candidate.target.discard(connection)
+		candidate.target.failed(proxy.clock(), false)
 		if sent {
 			return nil, lost
 		}
@@ -160,37 +158,37 @@
 	}
 	if stop() {
 		stop = context.AfterFunc(request.context, func() {
-			_ = connection.conn.SetReadDeadline(time.Unix(1, 0)) // fails where nobody waits at it any more
+			_ = connection.conn.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
 		})
 	}
-	answer, ended := proxy.receive(request, held, connection, stop)
-	switch now := proxy.clock(); ended {
+	response, outcome := proxy.readResponse(request, candidate, connection, stop)
+	switch now := proxy.clock(); outcome {
 	case answered:
-		answer.release = func(whole bool) {
-			waited := stop()
-			if whole && connection.owesBody(answer) {
-				proxy.finishUpload(request, held.target, connection)
+		response.release = func(whole bool) {
+			notInterrupted := stop()
+			if whole && connection.mustFinishUpload(response) {
+				proxy.finishUpload(request, candidate.target, connection)
 				return
 			}
-			proxy.release(held.target, connection, waited && whole && !answer.response.Close)
+			proxy.release(candidate.target, connection, notInterrupted && whole && !response.head.Close)
 		}
-		held.target.served(now.Sub(begin), request.stats.mean(request.route), answer.response.StatusCode < 500)
-		if answer.remainder == nil {
-			answer.release(true)
+		candidate.target.served(now.Sub(begin), request.stats.mean(request.route), response.head.StatusCode < 500)
+		if response.unread == nil {
+			response.release(true)
 		}
 	case lost:
 		stop()
-		held.target.discard(connection)
+		candidate.target.discard(connection)
 		if request.context.Err() == nil && now.Before(request.deadline) {
-			held.target.failed(now, false)
+			candidate.target.failed(now, false)
 		}
 	}
-	return answer, ended
+	return response, outcome
 }
 
-// release gives a connection back where nothing unread is left on it, at either end.
-func (proxy *Proxy) release(target *target, connection *connection, sound bool) {
-	if !sound || connection.answeredEarly || connection.reader.Buffered() > 0 {
+// release returns a connection to the idle pool unless unread or unsent bytes remain on it.
+func (proxy *Proxy) release(target *target, connection *connection, reusable bool) {
+	if !reusable || connection.respondedEarly || connection.reader.Buffered() > 0 {
 		target.discard(connection)
 		return
 	}
@@ -201,12 +199,12 @@
 	target.release(connection)
 }
 
-// send writes head and body, a large one in the background; sent is whether any byte
-// of them may have arrived.
+// send writes the head and the body of a request, a large body in the background. It returns
+// whether any byte may have reached the backend.
 func (proxy *Proxy) send(connection *connection, head []byte, body *requestBody) (bool, error) {
 	connection.upload = nil
 	proxy.figures.linkWait.Observe(proxy.outbound.pass(len(head)+int(body.size), proxy.clock()))
-	if body.size <= smallBody {
+	if body.size <= maxInlineBodyBytes {
 		count, err := connection.conn.Write(body.appendTo(head))
 		return count > 0, err
 	}
@@ -218,42 +216,42 @@
 	return count > 0, err
 }
 
-// requestHead is the request's line and fields as this backend gets them.
-func (proxy *Proxy) requestHead(request *request, backend string, left time.Duration) []byte {
+// encodeRequestHead returns the request line and header for this backend.
+func (proxy *Proxy) encodeRequestHead(request *request, backend string, remaining time.Duration) []byte {
 	names, source := &proxy.config.Headers, request.source
-	head := make([]byte, 0, 512+min(request.body.size, smallBody))
+	head := make([]byte, 0, 512+min(request.body.size, maxInlineBodyBytes))
 	head = append(head, source.Method...)
 	head = append(head, ' ')
 	head = append(head, source.RequestURI...)
 	head = append(head, " HTTP/1.1\r\nHost: "...)
 	head = append(head, source.Host...)
 	head = append(head, "\r\n"...)
-	field := func(name, value string) {
+	appendField := func(name, value string) {
 		head = append(head, name...)
 		head = append(head, ": "...)
 		head = append(head, value...)
 		head = append(head, "\r\n"...)
 	}
-	listed := names.listedByConnection(source.Header)
+	connectionOptions := names.connectionOptions(source.Header)
 	for name, values := range source.Header {
-		if hopByHop[name] || listed[name] || proxy.withheldHeaders[name] || name == "Content-Length" || name == "Expect" {
+		if hopByHop[name] || connectionOptions[name] || proxy.strippedHeaders[name] || name == "Content-Length" || name == "Expect" {
 			continue
 		}
 		if name == "Authorization" && slices.ContainsFunc(values, proxy.isKey) {
 			continue
 		}
 		for _, value := range values {
-			field(name, value)
+			appendField(name, value)
 		}
 	}
-	field(names.Deadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	field(names.Target, backend)
+	appendField(names.Deadline, strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
+	appendField(names.Target, backend)
 	if request.tenant != nil {
-		field(names.Tenant, request.tenant.Name)
+		appendField(names.Tenant, request.tenant.Name)
 	}
 	if request.body.size > 0 || source.ContentLength >= 0 && source.Method != http.MethodGet && source.Method != http.MethodHead ||
 		len(source.TransferEncoding) > 0 {
-		field("Content-Length", strconv.FormatInt(request.body.size, 10))
+		appendField("Content-Length", strconv.FormatInt(request.body.size, 10))
 	}
 	return append(head, "\r\n"...)
 }
--- a/hostproxy/attempt_test.go
+++ b/hostproxy/attempt_test.go
@@ -392,11 +392,11 @@
 				exchange.get("Attempt"),
 				"503 Service Unavailable",
 				"Not-Executed: full\r\n",
-				string(letters(0, maxBufferedBody+connectionBuffer)),
+				string(letters(0, maxBufferedBodyBytes+readBufferBytes)),
 			)
-			exchange.say("%s", all[:len(all)-connectionBuffer])
+			exchange.say("%s", all[:len(all)-readBufferBytes])
 			exchange.backend.goroutines.Sleep(5 * time.Millisecond)
-			exchange.say("%s", all[len(all)-connectionBuffer:])
+			exchange.say("%s", all[len(all)-readBufferBytes:])
 			return true
 		})
 		if reply, _ := world.get("/once/a"); reply.status != 503 {
@@ -435,7 +435,7 @@
 
 // Streamed answers come whole and unchanged, or visibly cut.
 func TestLargeAnswers(test *testing.T) {
-	for _, size := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3 * maxBufferedBody} {
+	for _, size := range []int{0, 1, maxBufferedBodyBytes - 1, maxBufferedBodyBytes, maxBufferedBodyBytes + 1, 3 * maxBufferedBodyBytes} {
 		for _, inChunks := range []bool{false, true} {
 			inWorld(test, func(world *world) {
 				world.add("b1").then(large(size, size, inChunks))
@@ -456,7 +456,7 @@
 				inWorld(test, func(world *world) {
 					world.add("b1").then(large(size, size-1, inChunks))
 					reply, _ := world.get(path)
-					if reply.broken == nil && reply.status < 500 || size > maxBufferedBody && reply.broken == nil {
+					if reply.broken == nil && reply.status < 500 || size > maxBufferedBodyBytes && reply.broken == nil {
 						test.Errorf("%s: %d bytes less one in chunks %v: %d, %d bytes", path, size, inChunks, reply.status, len(reply.body))
 					}
 					reply, id := world.get("/once/b")
@@ -471,7 +471,7 @@
 func TestStreamThatStops(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1").then(func(exchange *exchange) bool {
-			large(4*maxBufferedBody, 2*maxBufferedBody, false)(exchange)
+			large(4*maxBufferedBodyBytes, 2*maxBufferedBodyBytes, false)(exchange)
 			return silent(exchange)
 		})
 		reply, _ := world.get("/load/a")
@@ -484,7 +484,7 @@
 // A stream keeps its place at the backend until its end.
 func TestStreamKeepsItsPlace(test *testing.T) {
 	inWorld(test, func(world *world) {
-		world.add("b1").then(large(4*maxBufferedBody, 4*maxBufferedBody, false))
+		world.add("b1").then(large(4*maxBufferedBodyBytes, 4*maxBufferedBodyBytes, false))
 		client := world.client()
 		defer client.pipe.Close()
 		client.send(raw("GET", "/load/a", "id", "", ""))
--- a/hostproxy/body.go
+++ b/hostproxy/body.go
@@ -9,53 +9,50 @@
 	"orchidjunction/rpc"
 )
 
-// Sizes of the pieces that a body is read in. One of unknown length grows by a part
-// 1/pieceShare of what was read of it, so that little is reserved that stays empty.
+// Sizes of the segments that a body is read in. For a body of unknown length, a new segment is
+// 1/segmentGrowthDivisor of the bytes read so far, within these bounds, to limit unused
+// reservations.
 const (
-	minPiece   = 4 << 10
-	maxPiece   = 1 << 20
-	pieceShare = 4
+	minSegmentBytes      = 4 << 10
+	maxSegmentBytes      = 1 << 20
+	segmentGrowthDivisor = 4
 )
 
 var (
-	errBodyTooLarge = errors.New("the body is larger than the limit")
-	errNoBodyMemory = errors.New("no memory for the body")
+	errBodyTooLarge        = errors.New("request body exceeds the size limit")
+	errBodyMemoryExhausted = errors.New("not enough memory for the request body")
 )
 
-// requestBody is a request's body in the pieces that it was read in: it grows without
-// being copied.
+// requestBody holds a request body in segments, so that it can grow without being copied.
 type requestBody struct {
-	pieces [][]byte
-	size   int64
-	// reserved is what the body holds of the memory for bodies, in bytes.
+	segments [][]byte
+	size     int64
+	// reserved is how many bytes of RequestMemory the body holds.
 	reserved int64
 }
 
-// appendTo appends the whole body to a buffer.
 func (body *requestBody) appendTo(buffer []byte) []byte {
-	for _, piece := range body.pieces {
-		buffer = append(buffer, piece...)
+	for _, segment := range body.segments {
+		buffer = append(buffer, segment...)
 	}
 	return buffer
 }
 
-// writeTo writes the whole body to a connection.
 func (body *requestBody) writeTo(conn net.Conn) error {
-	buffers := append(net.Buffers{}, body.pieces...)
+	buffers := append(net.Buffers{}, body.segments...)
 	_, err := buffers.WriteTo(conn)
 	return err
 }
 
-// takeReservation returns what the body holds of the memory for bodies, for the caller to
-// give back.
+// takeReservation returns the body's reservation, which the caller must release.
 func (body *requestBody) takeReservation() int64 {
 	reserved := body.reserved
 	body.reserved = 0
 	return reserved
 }
 
-// readRequestBody reads the whole body before anything is sent to a backend. Its memory is
-// reserved before it is read, that of a body of unknown length as it grows.
+// readRequestBody reads the whole body before anything is sent to a backend. Memory is
+// reserved before reading: at once if the length is known, otherwise segment by segment.
 func (proxy *Proxy) readRequestBody(request *request, limit int64) (int, rpc.Code) {
 	source := request.source
 	if limit <= 0 {
@@ -67,39 +64,38 @@
 	if source.ContentLength == 0 {
 		return 0, ""
 	}
-	err := proxy.readBodyPieces(&request.body, source, limit)
+	err := proxy.readBodySegments(&request.body, source, limit)
 	switch {
 	case err == nil:
 		return 0, ""
 	case errors.Is(err, errBodyTooLarge):
 		return http.StatusRequestEntityTooLarge, rpc.TooLarge
-	case errors.Is(err, errNoBodyMemory):
+	case errors.Is(err, errBodyMemoryExhausted):
 		proxy.counters.Add("bodies_without_memory", 1)
 		return http.StatusServiceUnavailable, rpc.Overloaded
 	}
 	return http.StatusBadRequest, rpc.BadRequest
 }
 
-// readBodyPieces reads a body to its end, as long as it is within the limit and there is
-// memory for it.
-func (proxy *Proxy) readBodyPieces(body *requestBody, source *http.Request, limit int64) error {
+// readBodySegments reads a body to its end, within the size limit and the available memory.
+func (proxy *Proxy) readBodySegments(body *requestBody, source *http.Request, limit int64) error {
 	if source.ContentLength > 0 && !proxy.reserve(body, source.ContentLength) {
-		return errNoBodyMemory
+		return errBodyMemoryExhausted
 	}
 	for {
-		size := min(maxPiece, max(minPiece, body.size/pieceShare), limit-body.size)
+		size := min(maxSegmentBytes, max(minSegmentBytes, body.size/segmentGrowthDivisor), limit-body.size)
 		if source.ContentLength > 0 {
-			size = min(maxPiece, source.ContentLength-body.size)
+			size = min(maxSegmentBytes, source.ContentLength-body.size)
 		}
 		if size == 0 {
-			return expectEnd(source.Body)
+			return expectEOF(source.Body)
 		}
 		if source.ContentLength < 0 && !proxy.reserve(body, size) {
-			return errNoBodyMemory
+			return errBodyMemoryExhausted
 		}
-		piece := make([]byte, size)
-		count, err := io.ReadFull(source.Body, piece)
-		body.pieces = append(body.pieces, piece[:count])
+		segment := make([]byte, size)
+		count, err := io.ReadFull(source.Body, segment)
+		body.segments = append(body.segments, segment[:count])
 		body.size += int64(count)
 		proxy.inbound.pass(count, proxy.clock())
 		switch {
@@ -112,8 +108,8 @@
 	}
 }
 
-// expectEnd reports an error unless a body has no more bytes.
-func expectEnd(source io.Reader) error {
+// expectEOF returns an error if a body has more bytes.
+func expectEOF(source io.Reader) error {
 	var next [1]byte
 	_, err := io.ReadFull(source, next[:])
 	switch {
@@ -125,7 +121,7 @@
 	return err
 }
 
-// reserve takes memory for more bytes of a body.
+// reserve reserves memory for more bytes of a body.
 func (proxy *Proxy) reserve(body *requestBody, bytes int64) bool {
 	if !proxy.memory.Reserve(body.reserved, bytes) {
 		return false
--- a/hostproxy/choose.go
+++ b/hostproxy/choose.go
@@ -52,7 +52,7 @@
 // chooseFrom is choose; it takes an ejected candidate only where that is the last resort.
 func (proxy *Proxy) chooseFrom(request *request, candidates []candidate, tried []*target, lastResort bool) (*candidate, choice) {
 	now := proxy.clock()
-	trueNow := proxy.now()
+	trueNow := proxy.clusterTimeMs()
 	mean, kilobytes := request.stats.expect(request.route)
 	seen := selection{}
 	offset := 0
--- a/hostproxy/response.go
+++ b/hostproxy/client_response.go
@@ -10,14 +10,14 @@
 	"orchidjunction/rpc"
 )
 
-// refuse ends a request that has not run and will not. One that may have run fails
-// instead, whoever refuses it.
+// refuse tells the client that the request did not run. If it may have run, it fails the
+// request instead.
 func (proxy *Proxy) refuse(request *request, status int, code rpc.Code) {
 	if request.mayHaveRun {
 		proxy.fail(request)
 		return
 	}
-	proxy.move(request, ending)
+	proxy.setStage(request, ending)
 	request.result = refusedHere
 	proxy.counters.Add("refused_"+string(code), 1)
 	header := request.writer.Header()
@@ -29,12 +29,12 @@
 	request.writer.Write([]byte(`{"code":"` + string(code) + `"}`))
 }
 
-// retryAfter is when a client should ask again: spread, so that those refused
-// together do not return together.
+// retryAfter returns when the client should retry, with jitter so that clients refused at the
+// same time don't return together.
 func (proxy *Proxy) retryAfter(request *request) time.Duration {
 	span := 400 * time.Millisecond
 	if request.route == nil {
-		span = firstViewRetry
+		span = firstViewRetryAfter
 	}
 	if request.route != nil && request.route.TargetMs > 0 {
 		span = min(time.Second, time.Duration(request.route.TargetMs)*time.Millisecond/3)
@@ -42,9 +42,9 @@
 	return span/2 + time.Duration(rand.Int64N(int64(span)))
 }
 
-// fail ends a request of which nobody knows whether it ran.
+// fail ends a request that may or may not have run.
 func (proxy *Proxy) fail(request *request) {
-	proxy.move(request, ending)
+	proxy.setStage(request, ending)
 	request.result = failedHere
 	status, code := http.StatusBadGateway, rpc.BadResponse
 	if !proxy.clock().Before(request.deadline) {
@@ -56,19 +56,19 @@
 	request.writer.Write([]byte(`{"code":"` + string(code) + `"}`))
 }
 
-// finish gives the backend's answer to the client; one that breaks off half way
-// never looks whole.
-func (proxy *Proxy) finish(request *request, answer *answer) {
-	proxy.move(request, ending)
+// sendResponse sends the backend's response to the client. If it is truncated, the client's
+// connection is aborted so that the client can tell.
+func (proxy *Proxy) sendResponse(request *request, response *response) {
+	proxy.setStage(request, ending)
 	request.result = served
-	if answer.response.StatusCode >= http.StatusInternalServerError {
+	if response.head.StatusCode >= http.StatusInternalServerError {
 		request.result = failedByBackend
 	}
 	proxy.figures.answering(request, proxy.clock())
 	header, names := request.writer.Header(), &proxy.config.Headers
-	listed := names.listedByConnection(answer.response.Header)
-	for name, values := range answer.response.Header {
-		if hopByHop[name] || listed[name] || name == "Content-Length" || name == names.Load || name == names.Backend ||
+	connectionOptions := names.connectionOptions(response.head.Header)
+	for name, values := range response.head.Header {
+		if hopByHop[name] || connectionOptions[name] || name == "Content-Length" || name == names.Load || name == names.Backend ||
 			name == names.Warmup {
 			continue
 		}
@@ -77,40 +77,40 @@
 	if header["Content-Type"] == nil {
 		header["Content-Type"] = nil
 	}
-	size := len(answer.body)
+	size := len(response.body)
 	switch {
-	case request.source.Method == http.MethodHead && answer.response.ContentLength >= 0, answer.response.ContentLength > int64(size):
-		header.Set("Content-Length", strconv.FormatInt(answer.response.ContentLength, 10))
-	case answer.remainder == nil && request.source.Method != http.MethodHead && hasBody(answer.response.StatusCode):
+	case request.source.Method == http.MethodHead && response.head.ContentLength >= 0, response.head.ContentLength > int64(size):
+		header.Set("Content-Length", strconv.FormatInt(response.head.ContentLength, 10))
+	case response.unread == nil && request.source.Method != http.MethodHead && allowsBody(response.head.StatusCode):
 		header.Set("Content-Length", strconv.Itoa(size))
 	}
-	request.writer.WriteHeader(answer.response.StatusCode)
+	request.writer.WriteHeader(response.head.StatusCode)
 	writer := &shapedWriter{
 		to:     request.writer,
 		shaper: proxy.outbound,
-		ctx:    request.bounded,
+		ctx:    request.deadlineContext,
 		clock:  proxy.clock,
-		large:  size > largeBody || answer.remainder != nil,
+		large:  size > largeBody || response.unread != nil,
 	}
-	if _, err := writer.Write(answer.body); err != nil {
-		if answer.remainder != nil {
-			answer.release(false)
+	if _, err := writer.Write(response.body); err != nil {
+		if response.unread != nil {
+			response.release(false)
 		}
 		proxy.counters.Add("answers_cut_short", 1)
 		panic(http.ErrAbortHandler)
 	}
-	if answer.remainder != nil {
-		copied, err := io.Copy(writer, answer.remainder)
+	if response.unread != nil {
+		copied, err := io.Copy(writer, response.unread)
 		size += int(copied)
-		whole := err == nil && (answer.response.ContentLength < 0 || int64(size) == answer.response.ContentLength)
-		answer.release(whole)
-		if !whole {
+		complete := err == nil && (response.head.ContentLength < 0 || int64(size) == response.head.ContentLength)
+		response.release(complete)
+		if !complete {
 			proxy.counters.Add("answers_cut_short", 1)
 			panic(http.ErrAbortHandler)
 		}
 	}
 	proxy.counters.Add("answered", 1)
-	if answer.response.StatusCode < 400 {
+	if response.head.StatusCode < 400 {
 		proxy.stats.observe(request.route, proxy.clock().Sub(request.begin), size)
 	}
 }
--- a/hostproxy/config.go
+++ b/hostproxy/config.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Config is a proxy's place in the deployment and its bounds.
+// Config is a proxy's location and its limits.
 type Config struct {
 	Name    string
 	Zone    string
-	Regions map[string]string // the regions of all zones
+	Regions map[string]string // by zone
 	Headers Headers
-	// All proxies together may retry RetryRatio times the requests, and RetryExtra more.
+	// All proxies together may send RetryRatio retries per request, plus RetryExtra.
 	RetryRatio float64
 	RetryExtra float64
-	// A backend that warms up may get WarmupExcess times its warm-up rate, and WarmupExtra
-	// more.
+	// A backend that is warming up may receive WarmupExcess times its warm-up rate, plus
+	// WarmupExtra requests.
 	WarmupExcess float64
 	WarmupExtra  float64
-	// UsageWindow is the span over which billed requests are counted; 0 counts none.
+	// UsageWindow is the interval over which billed requests are counted; 0 disables counting.
 	UsageWindow time.Duration
-	// UserTimeout is how long a backend's machine may leave sent bytes without an
-	// acknowledgement until it counts as dead; 0 leaves that to the kernel.
+	// UserTimeout is how long a backend's machine may leave sent bytes unacknowledged before
+	// it is considered dead; 0 selects the kernel's default.
 	UserTimeout time.Duration
-	// ListLag is how long the platform's list may lag behind.
+	// ListLag is the maximum delay until a change appears in the platform's list of backends.
 	ListLag time.Duration
-	// MemoryBytes is what the machine lets the process take; 0 if that is not known.
+	// MemoryBytes is the memory available to the process; 0 if unknown.
 	MemoryBytes int64
-	// LinkBytes is what the machine's link carries, in bytes a second; 0 is no bound.
+	// LinkBytes is the capacity of the machine's network link in bytes per second; 0 means
+	// unlimited.
 	LinkBytes float64
 }
 
 func (config *Config) region() string { return config.Regions[config.Zone] }
 
-// distance is how far a zone lies: its own, its region's or beyond.
+// distance tells whether a zone is the proxy's own, in the same region or in another region.
 type distance uint8
 
 const (
--- a/hostproxy/connection.go
+++ b/hostproxy/connection.go
@@ -14,72 +14,72 @@
 	"time"
 )
 
-// Dialer opens a connection to a backend; tests bring their own.
+// Dialer opens a connection to a backend.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
 const (
-	maxIdle          = 8 * time.Second
-	connectionBuffer = 4 << 10
-	maxHead          = 256 << 10
+	maxIdleTimeout       = 8 * time.Second
+	readBufferBytes      = 4 << 10
+	maxResponseHeadBytes = 256 << 10
 )
 
-// connection carries one request at a time to one backend. answeredEarly is set when an
-// answer came before its request was sent whole: no other request can follow it.
+// connection carries one request at a time to a backend. respondedEarly is set if a response
+// arrived before the request was sent in full; the connection can't be reused then.
 type connection struct {
-	conn          net.Conn
-	head          *io.LimitedReader
-	reader        *bufio.Reader
-	usedAt        time.Time
-	idleTimeout   time.Duration
-	upload        *upload
-	answeredEarly bool
-	watch         *peerWatch
+	conn           net.Conn
+	headLimit      *io.LimitedReader
+	reader         *bufio.Reader
+	usedAt         time.Time
+	idleTimeout    time.Duration
+	upload         *upload
+	respondedEarly bool
+	watch          *peerWatch
 }
 
 func newConnection(conn net.Conn) *connection {
-	head := &io.LimitedReader{R: conn, N: maxHead}
+	headLimit := &io.LimitedReader{R: conn, N: maxResponseHeadBytes}
 	return &connection{
 		conn:        conn,
-		head:        head,
-		reader:      bufio.NewReaderSize(head, connectionBuffer),
+		headLimit:   headLimit,
+		reader:      bufio.NewReaderSize(headLimit, readBufferBytes),
 		usedAt:      time.Now(),
-		idleTimeout: maxIdle,
+		idleTimeout: maxIdleTimeout,
 	}
 }
 
-// answer reads the head of an answer; one that does not end is cut off.
-func (connection *connection) answer(to *http.Request) (*http.Response, error) {
-	connection.head.N = maxHead
-	response, err := http.ReadResponse(connection.reader, to)
-	connection.head.N = math.MaxInt64
-	return response, err
+// readHead reads a response head of at most maxResponseHeadBytes.
+func (connection *connection) readHead(request *http.Request) (*http.Response, error) {
+	connection.headLimit.N = maxResponseHeadBytes
+	head, err := http.ReadResponse(connection.reader, request)
+	connection.headLimit.N = math.MaxInt64
+	return head, err
 }
 
-// isReusable is whether an idle connection may carry another request: not too old, not
-// closed by the other side, and with no byte that nobody asked for.
+// isReusable reports whether an idle connection can carry another request: it hasn't exceeded
+// its idle timeout, the peer hasn't closed it, and no unexpected bytes have arrived.
 func (connection *connection) isReusable(now time.Time) bool {
 	if now.Sub(connection.usedAt) >= connection.idleTimeout || connection.reader.Buffered() > 0 {
 		return false
 	}
-	able, found := connection.conn.(syscall.Conn)
-	if !found {
+	syscallConn, supported := connection.conn.(syscall.Conn)
+	if !supported {
 		return true
 	}
-	raw, err := able.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
-	var one [1]byte
+	wouldBlock := false
+	var buffer [1]byte
 	err = raw.Read(func(descriptor uintptr) bool {
-		_, err := syscall.Read(int(descriptor), one[:])
-		quiet = errors.Is(err, syscall.EAGAIN)
+		_, err := syscall.Read(int(descriptor), buffer[:])
+		wouldBlock = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && wouldBlock
 }
 
-// observeKeepAlive takes the idle timeout that a response's Keep-Alive field names.
+// observeKeepAlive applies the idle timeout from a response's Keep-Alive header.
 func (connection *connection) observeKeepAlive(keepAlive string) {
 	for part := range strings.SplitSeq(keepAlive, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -87,27 +87,28 @@
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil && seconds >= 0 {
-			connection.idleTimeout = min(maxIdle, time.Duration(min(seconds, 3600))*time.Second*3/4)
+			connection.idleTimeout = min(maxIdleTimeout, time.Duration(min(seconds, 3600))*time.Second*3/4)
 		}
 	}
 }
 
 func (connection *connection) close() {
-	_ = connection.endWatch() // the connection goes anyway
+	_ = connection.endWatch() // the connection is closed anyway
 	connection.conn.Close()
 }
 
-// interrupt ends what reads from the connection or writes to it.
+// interrupt makes all pending reads and writes on the connection fail.
 func (connection *connection) interrupt() {
-	_ = connection.conn.SetDeadline(time.Unix(1, 0)) // fails where the connection is closed, and nobody waits at it
+	_ = connection.conn.SetDeadline(time.Unix(1, 0)) // fails only on a closed connection
 }
 
-// halfCloser is a connection whose sending side can be closed by itself, as TCP's can.
+// halfCloser is a connection whose write side can be closed separately, such as a TCP
+// connection.
 type halfCloser interface{ CloseWrite() error }
 
-// closeWrite tells the backend that nothing more comes.
+// closeWrite tells the backend that no more bytes will be sent.
 func (connection *connection) closeWrite() {
-	if half, able := connection.conn.(halfCloser); able {
-		_ = half.CloseWrite() // fails where the connection is closed already
+	if closer, supported := connection.conn.(halfCloser); supported {
+		_ = closer.CloseWrite() // fails only on a closed connection
 	}
 }
--- a/hostproxy/connection_test.go
+++ b/hostproxy/connection_test.go
@@ -46,7 +46,7 @@
 		"closed":      {func(_ *connection, far net.Conn) { far.Close() }, false},
 		"a byte":      {func(_ *connection, far net.Conn) { write(far, "x") }, false},
 		"closed here": {func(near *connection, _ net.Conn) { near.close() }, false},
-		"too old":     {func(near *connection, _ net.Conn) { near.usedAt = now.Add(-maxIdle) }, false},
+		"too old":     {func(near *connection, _ net.Conn) { near.usedAt = now.Add(-maxIdleTimeout) }, false},
 		"told so":     {func(near *connection, _ net.Conn) { near.observeKeepAlive("timeout=0") }, false},
 		"left over": {func(near *connection, far net.Conn) {
 			write(far, "xy")
@@ -54,7 +54,7 @@
 				test.Error(err)
 			}
 		}, false},
-		"not so old": {func(near *connection, _ net.Conn) { near.usedAt = now.Add(time.Millisecond - maxIdle) }, true},
+		"not so old": {func(near *connection, _ net.Conn) { near.usedAt = now.Add(time.Millisecond - maxIdleTimeout) }, true},
 	} {
 		near, far := sockets(test)
 		held := newConnection(near)
@@ -94,8 +94,8 @@
 // What Keep-Alive says shortens the time of an idle connection, never lengthens it.
 func TestKeepAlive(test *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"": maxIdle, "timeout=4": 3 * time.Second, "max=5, Timeout=2": 1500 * time.Millisecond, "timeout=0": 0, "timeout=900": maxIdle,
-		"timeout=-1": maxIdle, "timeout=x": maxIdle, "timeout": maxIdle, "timeout=99999999999999999999": maxIdle, "timeout=9999999999": maxIdle,
+		"": maxIdleTimeout, "timeout=4": 3 * time.Second, "max=5, Timeout=2": 1500 * time.Millisecond, "timeout=0": 0, "timeout=900": maxIdleTimeout,
+		"timeout=-1": maxIdleTimeout, "timeout=x": maxIdleTimeout, "timeout": maxIdleTimeout, "timeout=99999999999999999999": maxIdleTimeout, "timeout=9999999999": maxIdleTimeout,
 	} {
 		held := newConnection(nil)
 		if held.observeKeepAlive(text); held.idleTimeout != want {
@@ -113,8 +113,8 @@
 	}{
 		"at once":         {well, 0, 1},
 		"chunked":         {chunked, 0, 1},
-		"after a while":   {well, maxIdle - time.Second, 1},
-		"too long":        {well, maxIdle, 2},
+		"after a while":   {well, maxIdleTimeout - time.Second, 1},
+		"too long":        {well, maxIdleTimeout, 2},
 		"within timeout":  {withFields("Keep-Alive: timeout=2\r\n"), 1400 * time.Millisecond, 1},
 		"past timeout":    {withFields("Keep-Alive: timeout=2\r\n"), 1500 * time.Millisecond, 2},
 		"timeout of none": {withFields("Keep-Alive: timeout=0\r\n"), 0, 2},
@@ -148,11 +148,11 @@
 		world.add("b1")
 		reply, id := world.get("/once/a")
 		world.good(reply, id)
-		world.goroutines.Sleep(maxIdle - time.Second)
+		world.goroutines.Sleep(maxIdleTimeout - time.Second)
 		if open, _ := world.held("b1"); open != 1 {
 			test.Errorf("%d open early", open)
 		}
-		world.goroutines.Sleep(time.Second + 2*maintainInterval)
+		world.goroutines.Sleep(time.Second + 2*maintenanceInterval)
 		if open, _ := world.held("b1"); open != 0 {
 			test.Errorf("%d open late", open)
 		}
--- a/hostproxy/forward.go
+++ b/hostproxy/forward.go
@@ -7,56 +7,57 @@
 	"orchidjunction/rpc"
 )
 
-// minTarget stands in for a route's target time where that is shorter or not given.
-const minTarget = 40 * time.Millisecond
+// minTargetTime is used if a route has no target time or a shorter one.
+const minTargetTime = 40 * time.Millisecond
 
-// urgentHeadStart is how long a request leaves a freed place to those of a higher priority.
+// urgentHeadStart is how long a request holds back from freed capacity while requests of
+// higher priority are queued.
 const urgentHeadStart = 2 * time.Millisecond
 
-// forward sends the request until an answer stands, nothing more may be tried, or
-// time is over. What has not run and will not is refused with a time to come back.
+// forward sends the request until there is a final response, no further attempt is allowed or
+// the deadline has passed. A request that did not run is refused with a time to retry.
 func (proxy *Proxy) forward(request *request) {
-	target := max(time.Duration(request.route.TargetMs)*time.Millisecond, minTarget)
-	waitUntil := request.begin.Add(min(target, request.deadline.Sub(request.begin)) / waitShare)
+	targetTime := max(time.Duration(request.route.TargetMs)*time.Millisecond, minTargetTime)
+	waitUntil := request.begin.Add(min(targetTime, request.deadline.Sub(request.begin)) / queueWaitDivisor)
 	for {
 		waitBegin := proxy.clock()
-		candidate, connections := proxy.nextBackend(request, waitUntil)
+		candidate, maxOpen := proxy.acquireBackend(request, waitUntil)
 		request.chosenAt = proxy.clock()
 		request.spent.waiting += request.chosenAt.Sub(waitBegin)
 		if candidate == nil {
 			proxy.giveUp(request)
 			return
 		}
-		proxy.move(request, sending)
-		answer, ended := proxy.attempt(request, candidate, connections)
-		if ended == answered && answer.remainder != nil {
+		proxy.setStage(request, sending)
+		response, outcome := proxy.attempt(request, candidate, maxOpen)
+		if outcome == answered && response.unread != nil {
 			defer func() {
 				candidate.target.end()
 				proxy.capacityFreed.Notify()
 			}()
-			proxy.finish(request, answer)
+			proxy.sendResponse(request, response)
 			return
 		}
 		candidate.target.end()
-		if ended == withdrawn {
+		if outcome == withdrawn {
 			proxy.counters.Add("attempts_taken_back", 1)
 			continue
 		}
-		request.retryPaid = false
-		if ended != unsent && proxy.queues.waiting() {
+		request.retryTokenTaken = false
+		if outcome != unsent && proxy.queues.waiting() {
 			proxy.capacityFreed.Notify()
 		}
 		request.tried = append(request.tried, candidate.target)
-		if proxy.settle(request, answer, ended) {
+		if proxy.handleOutcome(request, response, outcome) {
 			return
 		}
 	}
 }
 
-// nextBackend waits for a backend that may take the request, and tells how many connections
-// to it are allowed; nil when there is none in time, or no budget for a retry. A retry that
-// was taken back before it was sent has its budget still.
-func (proxy *Proxy) nextBackend(request *request, waitUntil time.Time) (*candidate, int) {
+// acquireBackend waits for a backend that can take the request, and returns it with the limit
+// of connections to it; nil if there is none in time or the retry budget is empty. A retry
+// that was withdrawn before it was sent doesn't take from the budget again.
+func (proxy *Proxy) acquireBackend(request *request, waitUntil time.Time) (*candidate, int) {
 	defer proxy.leaveQueue(request)
 	for {
 		view := proxy.view.Load()
@@ -64,48 +65,48 @@
 		if !found {
 			return nil, 0
 		}
-		proxy.endIfGone(request)
+		proxy.abortIfClientGone(request)
 		if !proxy.clock().Before(request.deadline) {
 			return nil, 0
 		}
 		seen := proxy.capacityFreed.Count()
 		proxy.yieldToUrgent(request, waitUntil)
-		candidate, how := proxy.chooseVersion(request, view, service)
+		candidate, result := proxy.chooseVersion(request, view, service)
 		if candidate == nil {
-			if !proxy.wait(request, how, seen, waitUntil) {
+			if !proxy.wait(request, result, seen, waitUntil) {
 				return nil, 0
 			}
 			continue
 		}
-		if request.attempts > 0 && !request.retryPaid {
+		if request.attempts > 0 && !request.retryTokenTaken {
 			if !view.budgets[service].take() {
 				candidate.target.end()
 				proxy.counters.Add("budget_empty", 1)
 				return nil, 0
 			}
-			request.retryPaid = true
+			request.retryTokenTaken = true
 		}
 		return candidate, view.connections[service]
 	}
 }
 
-// wait holds a request for which no backend was chosen until something was freed;
-// false where waiting is of no use.
-func (proxy *Proxy) wait(request *request, how choice, seen uint64, waitUntil time.Time) bool {
-	left := waitUntil.Sub(proxy.clock())
-	if how == noneLeft && request.attempts == 0 && left > 0 {
+// wait queues a request that found no backend until capacity is freed. It returns false if
+// waiting can't help.
+func (proxy *Proxy) wait(request *request, result choice, seen uint64, waitUntil time.Time) bool {
+	remaining := waitUntil.Sub(proxy.clock())
+	if result == noneLeft && request.attempts == 0 && remaining > 0 {
 		request.tried = request.tried[:0]
 	}
-	if how == noneAllowed || left <= 0 || !proxy.enterQueue(request) {
+	if result == noneAllowed || remaining <= 0 || !proxy.enterQueue(request) {
 		return false
 	}
-	proxy.move(request, waiting)
-	proxy.capacityFreed.Wait(seen, min(left, waitInterval))
+	proxy.setStage(request, waiting)
+	proxy.capacityFreed.Wait(seen, min(remaining, waitInterval))
 	return true
 }
 
-// enterQueue counts the request among those that wait, until leaveQueue; false when too many
-// wait already.
+// enterQueue counts the request as queued until leaveQueue. It returns false if the queues are
+// full.
 func (proxy *Proxy) enterQueue(request *request) bool {
 	if !request.queued {
 		request.queued = proxy.queues.enter(request.queue())
@@ -120,57 +121,57 @@
 	}
 }
 
-// queue is where the request waits.
 func (request *request) queue() waitQueue {
-	return waitQueue{service: request.service, priority: request.rank}
+	return waitQueue{service: request.service, priority: request.priority}
 }
 
-// yieldToUrgent lets waiting requests of a higher priority choose first: all that wait are
-// woken at once when a place is freed. One that they cannot take is taken after that.
+// yieldToUrgent lets queued requests of a higher priority choose first, because freed capacity
+// wakes all queued requests at once. Then the request may use what is left.
 func (proxy *Proxy) yieldToUrgent(request *request, waitUntil time.Time) {
 	if waitUntil.Sub(proxy.clock()) > urgentHeadStart && proxy.queues.outranked(request.queue()) {
 		time.Sleep(urgentHeadStart)
 	}
 }
 
-// settle takes what an attempt came to; true when the client has its answer.
-func (proxy *Proxy) settle(request *request, answer *answer, ended outcome) bool {
-	repeats := request.route.Kind.IsIdempotent()
-	if ended == unsent {
-		if len(request.tried) > maxUnsent {
+// handleOutcome processes the outcome of an attempt. It returns true if the client has been
+// sent a response.
+func (proxy *Proxy) handleOutcome(request *request, response *response, outcome outcome) bool {
+	idempotent := request.route.Kind.IsIdempotent()
+	if outcome == unsent {
+		if len(request.tried) > maxUnsentAttempts {
 			proxy.refuse(request, http.StatusServiceUnavailable, rpc.NoBackend)
 			return true
 		}
 		return false
 	}
 	request.attempts++
-	spent := request.attempts >= request.route.Attempts
-	switch ended {
+	exhausted := request.attempts >= request.route.Attempts
+	switch outcome {
 	case answered:
-		if !repeats || answer.response.StatusCode < 500 || spent {
-			proxy.finish(request, answer)
+		if !idempotent || response.head.StatusCode < 500 || exhausted {
+			proxy.sendResponse(request, response)
 			return true
 		}
-		request.lastAnswer = answer
+		request.lastResponse = response
 	case refused:
 		proxy.counters.Add("attempts_refused", 1)
 	case lost:
 		proxy.counters.Add("attempts_lost", 1)
-		if !repeats {
+		if !idempotent {
 			proxy.fail(request)
 			return true
 		}
 	}
-	if spent {
+	if exhausted {
 		proxy.giveUp(request)
 	}
-	return spent
+	return exhausted
 }
 
-// giveUp ends a request that nobody more may be asked for.
+// giveUp ends a request for which no further attempt is allowed.
 func (proxy *Proxy) giveUp(request *request) {
-	if request.lastAnswer != nil {
-		proxy.finish(request, request.lastAnswer)
+	if request.lastResponse != nil {
+		proxy.sendResponse(request, request.lastResponse)
 		return
 	}
 	proxy.refuse(request, http.StatusServiceUnavailable, rpc.Overloaded)
--- a/hostproxy/fuzz_test.go
+++ b/hostproxy/fuzz_test.go
@@ -255,7 +255,7 @@
 		case 2:
 			fuzzed.ask("POST", "/once/a?x=y", "GET /once/b HTTP/1.1\r\nHost: host.example\r\nAttempt: smuggled\r\n\r\n", false)
 		case 3:
-			fuzzed.ask("POST", "/once/a", string(letters(0, 3*smallBody)), false)
+			fuzzed.ask("POST", "/once/a", string(letters(0, 3*maxInlineBodyBytes)), false)
 		case 4:
 			fuzzed.ask("HEAD", "/once/a", "", false)
 		case 5:
--- a/hostproxy/gone_test.go
+++ b/hostproxy/gone_test.go
@@ -46,7 +46,7 @@
 		{"at work, not to be repeated", "/once/a", "GET", "", 50 * time.Millisecond, func(world *world) { world.add("b1").ever(silent) }, 1, 0},
 		{"streaming", "/load/a", "GET", "", 50 * time.Millisecond, func(world *world) {
 			world.add("b1").then(func(exchange *exchange) bool {
-				large(4*maxBufferedBody, 2*maxBufferedBody, false)(exchange)
+				large(4*maxBufferedBodyBytes, 2*maxBufferedBodyBytes, false)(exchange)
 				return silent(exchange)
 			})
 		}, 1, 0},
--- a/hostproxy/headers.go
+++ b/hostproxy/headers.go
@@ -1,15 +1,14 @@
-// Package hostproxy is the data plane of host routes: it takes clients' requests and
-// carries each to a backend of the route's service.
+// Package hostproxy is the data plane for host routes: it accepts client requests and forwards
+// each to a backend of the route's service.
 //
-// Routing and backends come in through Proxy.Apply, which swaps in an immutable View.
-// A request comes in through Proxy.ServeHTTP: it is matched to a route and admitted
-// (admit.go), a backend is chosen for it by cost (choose.go), it is sent there
-// (attempt.go), and sent again within the service's retry Budget where that is safe
-// (forward.go). Requests to several backends at once are bounded by waitQueues, large
-// bodies by a Shaper on each direction of the machine's link.
+// Proxy.Apply atomically installs routing and backends as an immutable View. Proxy.ServeHTTP
+// matches a request to a route and admits it (admit.go), chooses the backend with the lowest
+// cost (choose.go), sends the request there (attempt.go), and retries within the service's
+// Budget if that is safe (forward.go). waitQueues limit the requests that wait for a backend.
+// A Shaper for each direction of the machine's link limits the rate of large bodies.
 package hostproxy
 
-// Headers are the names of the fields that clients and backends speak.
+// Headers are the names of the header fields exchanged with clients and backends.
 type Headers struct {
 	Attempt     string
 	Deadline    string
--- a/hostproxy/judge.go
+++ b/hostproxy/judge.go
@@ -22,7 +22,7 @@
 // judge takes what an exchange came to as an item: to be judged where it is of a version
 // under test, else for the reference. A connection that broke before the deadline exceeds, but
 // is no failure of the version: mostly its machine crashed, which few requests tell late.
-func (proxy *Proxy) judge(request *request, held *candidate, answer *answer, ended outcome, begun time.Time) {
+func (proxy *Proxy) judge(request *request, held *candidate, answer *response, ended outcome, begun time.Time) {
 	now := proxy.clock()
 	item, isItem := proxy.itemOf(request, held, answer, ended, begun, now)
 	if !isItem {
@@ -47,16 +47,16 @@
 
 // itemOf makes an item of an exchange. What did not run is none, nor what the client or its
 // deadline ended, nor what began at a cold backend.
-func (proxy *Proxy) itemOf(request *request, held *candidate, answer *answer, ended outcome, begun, now time.Time) (score.Item, bool) {
+func (proxy *Proxy) itemOf(request *request, held *candidate, answer *response, ended outcome, begun, now time.Time) (score.Item, bool) {
 	took := now.Sub(begun)
 	item := score.Item{Target: time.Duration(request.route.TargetMs) * time.Millisecond}
-	if ended == unsent || ended == refused || request.context.Err() != nil || held.cold(begun, proxy.now()-took.Milliseconds()) {
+	if ended == unsent || ended == refused || request.context.Err() != nil || held.cold(begun, proxy.clusterTimeMs()-took.Milliseconds()) {
 		return item, false
 	}
 	if ended == lost && !now.Before(request.deadline) && took < item.Target {
 		return item, false
 	}
-	item.Failed = ended == lost || answer.response.StatusCode >= http.StatusInternalServerError
+	item.Failed = ended == lost || answer.head.StatusCode >= http.StatusInternalServerError
 	item.Took, item.Load = held.target.workOf(took, now)
 	return item, true
 }
--- a/hostproxy/judge_test.go
+++ b/hostproxy/judge_test.go
@@ -128,7 +128,7 @@
 }
 
 // judged lets a proxy that only chooses judge an exchange of a target.
-func judged(proxy *Proxy, route, name string, answer *answer, ended outcome, took time.Duration) {
+func judged(proxy *Proxy, route, name string, answer *response, ended outcome, took time.Duration) {
 	view := proxy.view.Load()
 	for _, candidates := range [][]candidate{view.services[0], view.canaries[0].candidates} {
 		for index := range candidates {
@@ -151,7 +151,7 @@
 		backends := twoVersions(2, 2)
 		backends[3].WarmAtMs = time.Now().Add(time.Hour).UnixMilli()
 		applyVersions(proxy, backends, order(message.RolloutActive, 0.5))
-		good := &answer{response: &http.Response{StatusCode: http.StatusOK}}
+		good := &response{head: &http.Response{StatusCode: http.StatusOK}}
 		for range 40 {
 			judged(proxy, "picked", "a0", good, answered, 50*time.Millisecond)
 		}
@@ -178,7 +178,7 @@
 	synctest.Test(test, func(test *testing.T) {
 		proxy := many([]string{"p1"}, []string{"e1"})[0]
 		applyVersions(proxy, twoVersions(2, 2), order(message.RolloutActive, 0.5))
-		good := &answer{response: &http.Response{StatusCode: http.StatusOK}}
+		good := &response{head: &http.Response{StatusCode: http.StatusOK}}
 		for range 100 {
 			judged(proxy, "quick", "a0", good, answered, 5*time.Millisecond)
 			judged(proxy, "slow", "a0", good, answered, 500*time.Millisecond)
@@ -198,7 +198,7 @@
 		applyVersions(proxy, twoVersions(2, 2), order(message.RolloutActive, 0.5))
 		request, view := newRequest(proxy), proxy.view.Load()
 		request.context, request.service, request.deadline = context.Background(), "plain", time.Now().Add(time.Second)
-		good := &answer{response: &http.Response{StatusCode: http.StatusOK}}
+		good := &response{head: &http.Response{StatusCode: http.StatusOK}}
 		serve := func() {
 			request.version = versionTurn{}
 			held, _ := proxy.chooseVersion(request, view, 0)
@@ -223,7 +223,7 @@
 			applyVersions(proxy, twoVersions(8, 8), orders)
 			request, view := newRequest(proxy), proxy.view.Load()
 			request.context, request.service, request.deadline = context.Background(), "plain", time.Now().Add(time.Hour)
-			good := &answer{response: &http.Response{StatusCode: http.StatusOK}}
+			good := &response{head: &http.Response{StatusCode: http.StatusOK}}
 			bench.ReportAllocs()
 			for bench.Loop() {
 				request.version = versionTurn{}
--- a/hostproxy/proxy.go
+++ b/hostproxy/proxy.go
@@ -15,25 +15,27 @@
 )
 
 const (
-	// maintainInterval is the time between looks for old connections and ejected targets.
-	maintainInterval = 250 * time.Millisecond
-	// waitInterval bounds one wait for capacity, after which the request looks again.
+	// maintenanceInterval is the interval between checks for expired connections and ejected
+	// targets.
+	maintenanceInterval = 250 * time.Millisecond
+	// waitInterval limits a single wait for capacity; the request then checks again.
 	waitInterval = 50 * time.Millisecond
-	// maxUnsent bounds the backends that a request could not be sent to.
-	maxUnsent = 6
-	// suspectSlack is added to the list's lag where a zone was opened again.
-	suspectSlack = 2 * time.Second
+	// maxUnsentAttempts limits the attempts of a request that cannot be sent to any backend.
+	maxUnsentAttempts = 6
+	// suspectMargin is added to ListLag: how long backends are suspect after the evacuation of
+	// their zone ends.
+	suspectMargin = 2 * time.Second
 )
 
-// Proxy carries clients' requests to backends by the view in force.
+// Proxy forwards client requests to backends according to the current view.
 type Proxy struct {
 	config          Config
 	dial            Dialer
 	goroutines      *concurrent.Group
 	counters        *metrics.Counters
 	clock           func() time.Time
-	now             func() int64
-	withheldHeaders map[string]bool
+	clusterTimeMs   func() int64
+	strippedHeaders map[string]bool
 	view            atomic.Pointer[View]
 	stats           *RouteStats
 	usageMeter      *UsageMeter
@@ -48,27 +50,27 @@
 	outbound        *Shaper
 	transfers       *TransferLimiter
 	leaving         atomic.Bool
-	onLimits        func(routing.Limits)
-
-	applyMutex  sync.Mutex
-	targets     map[string]*target
-	budgets     map[string]*Budget
-	evacuated   map[string]bool
-	rollouts    map[string]*rollout // by service
-	lastTarget  uint32
-	standing    map[string]string // the version of each service that serves without a roll-out
-	mostProxies int
+	limitsHook      func(routing.Limits)
+
+	applyMutex       sync.Mutex
+	targets          map[string]*target
+	budgets          map[string]*Budget
+	evacuatedZones   map[string]bool
+	rollouts         map[string]*rollout // by service
+	lastTargetNumber uint32
+	stableVersions   map[string]string // by service: the version that serves if no roll-out is active
+	maxProxiesSeen   int
 }
 
-// NewProxy makes a proxy; now gives true time in milliseconds.
-func NewProxy(config Config, dial Dialer, now func() int64, goroutines *concurrent.Group, counters *metrics.Counters) *Proxy {
+// NewProxy returns a proxy. clusterTimeMs returns the time agreed on by the cores, in milliseconds.
+func NewProxy(config Config, dial Dialer, clusterTimeMs func() int64, goroutines *concurrent.Group, counters *metrics.Counters) *Proxy {
 	proxy := &Proxy{
 		config:          config,
 		dial:            dial,
 		goroutines:      goroutines,
 		counters:        counters,
 		clock:           time.Now,
-		now:             now,
+		clusterTimeMs:   clusterTimeMs,
 		stats:           newRouteStats(),
 		figures:         newFigures(counters),
 		references:      score.NewReferences(),
@@ -77,37 +79,36 @@
 		budgets:         map[string]*Budget{},
 		memory:          newRequestMemory(config.MemoryBytes),
 		uploads:         newPendingUploads(),
-		evacuated:       map[string]bool{},
+		evacuatedZones:  map[string]bool{},
 		rollouts:        map[string]*rollout{},
-		standing:        map[string]string{},
-		withheldHeaders: map[string]bool{},
-		onLimits:        func(routing.Limits) {},
+		stableVersions:  map[string]string{},
+		strippedHeaders: map[string]bool{},
+		limitsHook:      func(routing.Limits) {},
 	}
 	proxy.inbound, proxy.outbound = newShaper(config.LinkBytes, proxy.clock()), newShaper(config.LinkBytes, proxy.clock())
 	proxy.transfers = newTransferLimiter(config.LinkBytes)
-	proxy.usageMeter = newUsageMeter(config.UsageWindow, now)
+	proxy.usageMeter = newUsageMeter(config.UsageWindow, clusterTimeMs)
 	counters.Gauge("requests_in_flight", func() float64 { return float64(proxy.InFlight()) })
 	counters.Gauge("body_bytes_held", func() float64 { return float64(proxy.memory.InUse()) })
 	counters.Gauge("backends_ejected", func() float64 { return float64(proxy.ejected()) })
 	for _, name := range []string{config.Headers.Deadline, config.Headers.Target, config.Headers.Tenant} {
-		proxy.withheldHeaders[http.CanonicalHeaderKey(name)] = true
+		proxy.strippedHeaders[http.CanonicalHeaderKey(name)] = true
 	}
 	return proxy
 }
 
-func (config *Config) suspectTTL() time.Duration { return config.ListLag + suspectSlack }
+func (config *Config) suspectTTL() time.Duration { return config.ListLag + suspectMargin }
 
-// OnLimits calls the hook with the limits of clients' connections, each time that a routing
-// state is put in force. It must be called before Apply.
-func (proxy *Proxy) OnLimits(hook func(routing.Limits)) { proxy.onLimits = hook }
+// OnLimits sets a hook that receives the client connection limits whenever a routing state is
+// applied. It must be called before Apply.
+func (proxy *Proxy) OnLimits(hook func(routing.Limits)) { proxy.limitsHook = hook }
 
-// Memory is the memory for bodies and heads, for the listeners to draw on.
+// Memory is the memory limit for request bodies and long heads, shared with the listeners.
 func (proxy *Proxy) Memory() *RequestMemory { return proxy.memory }
 
-// Run starts the proxy's background work: it closes old connections and probes backends
-// that gave no answer.
+// Run starts the background work: closing expired connections and probing ejected backends.
 func (proxy *Proxy) Run() {
-	proxy.goroutines.Every(concurrent.Fixed(maintainInterval), proxy.maintain)
+	proxy.goroutines.Every(concurrent.Fixed(maintenanceInterval), proxy.maintain)
 }
 
 func (proxy *Proxy) maintain() {
@@ -121,7 +122,7 @@
 	for _, target := range targets {
 		target.expire(now)
 		if target.shouldRevive(now) {
-			proxy.goroutines.Start(func() { proxy.revive(target) })
+			proxy.goroutines.Start(func() { proxy.probeEjected(target) })
 		}
 	}
 	if view := proxy.view.Load(); view != nil {
@@ -130,7 +131,7 @@
 	}
 }
 
-// ejected returns how many targets are left out because they failed.
+// ejected returns how many targets are currently ejected.
 func (proxy *Proxy) ejected() int {
 	now := proxy.clock()
 	proxy.applyMutex.Lock()
@@ -144,8 +145,8 @@
 	return count
 }
 
-// revive dials a backend that was left out, so that no request has to find out.
-func (proxy *Proxy) revive(target *target) {
+// probeEjected dials an ejected backend, so that no client request is used as the probe.
+func (proxy *Proxy) probeEjected(target *target) {
 	if !target.reserve(maxConnections) {
 		target.revived(proxy.clock(), false)
 		return
@@ -164,24 +165,24 @@
 	proxy.capacityFreed.Notify()
 }
 
-// Leave makes answers tell clients to go elsewhere.
+// Leave makes responses tell clients to close their connections.
 func (proxy *Proxy) Leave() { proxy.leaving.Store(true) }
 
-// Leaving is whether Leave was called.
+// Leaving reports whether Leave has been called.
 func (proxy *Proxy) Leaving() bool { return proxy.leaving.Load() }
 
-// InFlight is how many requests are under way.
+// InFlight returns the number of requests in progress.
 func (proxy *Proxy) InFlight() int { return proxy.inFlight.now() }
 
-// Ready is whether a view is in force.
+// Ready reports whether a view is installed and Leave has not been called.
 func (proxy *Proxy) Ready() bool { return proxy.view.Load() != nil && !proxy.Leaving() }
 
-// HasHomes is whether requests for a host may have to stay in certain regions; it is taken
-// for so while no view is in force.
+// HasHomes reports whether requests for a host may be restricted to certain regions. It
+// returns true until a view is installed.
 func (proxy *Proxy) HasHomes(host string) bool {
 	view := proxy.view.Load()
 	return view == nil || view.index.HasHomes(host)
 }
 
-// Windows are the usage counts of the last windows.
+// Windows returns the usage counts of recent windows.
 func (proxy *Proxy) Windows() []message.WindowCount { return proxy.usageMeter.Windows() }
--- a/hostproxy/repeat_test.go
+++ b/hostproxy/repeat_test.go
@@ -114,7 +114,7 @@
 		world.add("b2").ever(stalled)
 		reply, id := world.get("/once/a")
 		world.good(reply, id)
-		if reply.took > 2*refusalDrain {
+		if reply.took > 2*refusalDrainTimeout {
 			test.Errorf("after %s", reply.took)
 		}
 	})
--- a/hostproxy/request.go
+++ b/hostproxy/request.go
@@ -10,7 +10,7 @@
 	"orchidjunction/rpc"
 )
 
-// stage is where a request stands on its way through the proxy.
+// stage is a request's state in the proxy.
 type stage uint8
 
 const (
@@ -30,47 +30,47 @@
 }
 
 const (
-	// deadlineSlack is added to a request's deadline where a connection is given one.
+	// deadlineSlack is added to a request's deadline to get the I/O deadline of its
+	// connection.
 	deadlineSlack = 50 * time.Millisecond
-	// A request waits for a backend for a part 1/waitShare of its target time, and for a
-	// turn on the link for 1/transferWaitShare.
-	waitShare         = 4
-	transferWaitShare = 2
-	// maxWaiting bounds the requests that wait at once.
-	maxWaiting = 256
-	// firstViewWait is how long a request waits for the first view; one that waited in
-	// vain may come back after firstViewRetry.
-	firstViewWait  = 120 * time.Millisecond
-	firstViewRetry = time.Second
+	// A request may wait 1/queueWaitDivisor of its target time for a backend, and
+	// 1/transferWaitDivisor for a transfer slot.
+	queueWaitDivisor    = 4
+	transferWaitDivisor = 2
+	// maxQueuedRequests limits the requests that wait for a backend at the same time.
+	maxQueuedRequests = 256
+	// firstViewWait is how long a request waits for the first view. If there is none by then,
+	// the client is told to retry after about firstViewRetryAfter.
+	firstViewWait       = 120 * time.Millisecond
+	firstViewRetryAfter = time.Second
 )
 
-// request is one attempt of a client on its way. mayHaveRun is set while a backend may run
-// it or have run it: from before the first byte is sent until that backend refuses it or
-// is known to have got nothing.
+// request is one attempt of a client. mayHaveRun is set before the first byte is sent to a
+// backend, and reset if that backend refuses the request or is known to have received nothing.
 type request struct {
-	source   *http.Request
-	writer   http.ResponseWriter
-	context  context.Context
-	bounded  context.Context
-	stage    stage
-	id       string
-	route    *routing.Route
-	tenant   *routing.Tenant
-	stats    *RouteStats
-	service  string
-	version  versionTurn
-	rank     int
-	body     requestBody
-	begin    time.Time
-	deadline time.Time
+	source          *http.Request
+	writer          http.ResponseWriter
+	context         context.Context
+	deadlineContext context.Context
+	stage           stage
+	id              string
+	route           *routing.Route
+	tenant          *routing.Tenant
+	stats           *RouteStats
+	service         string
+	version         versionTurn
+	priority        int
+	body            requestBody
+	begin           time.Time
+	deadline        time.Time
 
-	tried      []*target
-	chosenAt   time.Time // when the newest attempt's backend was chosen
-	attempts   int
-	queued     bool // counted among those that wait
-	retryPaid  bool // the budget was asked for the attempt that comes next
-	lastAnswer *answer
-	mayHaveRun bool
+	tried           []*target
+	chosenAt        time.Time // when the backend of the latest attempt was chosen
+	attempts        int
+	queued          bool // counted in the wait queues
+	retryTokenTaken bool // the budget has been charged for the next attempt
+	lastResponse    *response
+	mayHaveRun      bool
 
 	spent  spent
 	result result
@@ -83,8 +83,8 @@
 	return request.tenant.Name
 }
 
-// move takes a request to its next stage.
-func (proxy *Proxy) move(request *request, to stage) {
+// setStage moves a request to another stage and counts unexpected transitions.
+func (proxy *Proxy) setStage(request *request, to stage) {
 	if to == ending && proxy.Leaving() {
 		request.writer.Header().Set("Connection", "close")
 	}
@@ -96,7 +96,7 @@
 	request.stage = to
 }
 
-// ServeHTTP carries one request of a client.
+// ServeHTTP handles a client request.
 func (proxy *Proxy) ServeHTTP(writer http.ResponseWriter, source *http.Request) {
 	request := &request{source: source, writer: writer, context: source.Context(), begin: proxy.clock(), stats: proxy.stats}
 	proxy.counters.Add("requests", 1)
@@ -117,12 +117,12 @@
 		proxy.refuse(request, status, code)
 		return
 	}
-	within, cancel := context.WithDeadline(request.context, request.deadline)
+	ctx, cancel := context.WithDeadline(request.context, request.deadline)
 	defer cancel()
-	request.bounded = within
-	proxy.move(request, routed)
-	if number, found := view.index.ServiceIndex(request.service); found {
-		view.budgets[number].recordRequest()
+	request.deadlineContext = ctx
+	proxy.setStage(request, routed)
+	if service, found := view.index.ServiceIndex(request.service); found {
+		view.budgets[service].recordRequest()
 	}
 	if request.route.Kind == routing.Download {
 		if !proxy.acquireTransfer(request) {
@@ -137,37 +137,38 @@
 	proxy.forward(request)
 }
 
-// acquireTransfer waits for a large answer's turn on the link; false when that is too late.
+// acquireTransfer waits for a slot to fetch a large response. It returns false if none was
+// free in time.
 func (proxy *Proxy) acquireTransfer(request *request) bool {
-	until := request.begin.Add(
-		min(time.Duration(max(request.route.TargetMs, 40))*time.Millisecond, request.deadline.Sub(request.begin)) / transferWaitShare,
+	waitUntil := request.begin.Add(
+		min(time.Duration(max(request.route.TargetMs, 40))*time.Millisecond, request.deadline.Sub(request.begin)) / transferWaitDivisor,
 	)
 	for !proxy.transfers.enter() {
 		now := proxy.clock()
-		proxy.endIfGone(request)
-		if !now.Before(until) {
+		proxy.abortIfClientGone(request)
+		if !now.Before(waitUntil) {
 			proxy.counters.Add("link_full", 1)
 			return false
 		}
-		proxy.capacityFreed.Wait(proxy.capacityFreed.Count(), min(until.Sub(now), waitInterval))
+		proxy.capacityFreed.Wait(proxy.capacityFreed.Count(), min(waitUntil.Sub(now), waitInterval))
 	}
 	return true
 }
 
-// awaitView holds a request for a short while until the first view is in force.
+// awaitView waits up to firstViewWait for the first view.
 func (proxy *Proxy) awaitView(request *request) *View {
-	until := request.begin.Add(firstViewWait)
+	waitUntil := request.begin.Add(firstViewWait)
 	for {
 		seen := proxy.capacityFreed.Count()
 		view := proxy.view.Load()
-		if view != nil || !proxy.capacityFreed.Wait(seen, until.Sub(proxy.clock())) {
+		if view != nil || !proxy.capacityFreed.Wait(seen, waitUntil.Sub(proxy.clock())) {
 			return view
 		}
 	}
 }
 
-// endIfGone ends a request whose client has closed its connection.
-func (proxy *Proxy) endIfGone(request *request) {
+// abortIfClientGone aborts a request whose client has closed its connection.
+func (proxy *Proxy) abortIfClientGone(request *request) {
 	if request.context.Err() != nil {
 		proxy.counters.Add("clients_gone", 1)
 		panic(http.ErrAbortHandler)
--- a/hostproxy/request_memory.go
+++ b/hostproxy/request_memory.go
@@ -3,62 +3,60 @@
 import "sync"
 
 const (
-	// defaultBodyMemory is the memory for bodies, in bytes, where the machine's is not known.
-	defaultBodyMemory = 96 << 20
-	// bodyMemoryShare is the part of a machine's memory that bodies may take. The rest is for
-	// all else, and for what the garbage collector has not freed yet.
-	bodyMemoryShare = 0.45
-	// A body of up to smallBodyBytes may also take what is kept free of larger ones, a part
-	// 1/smallBodyShare: small requests are refused last.
-	smallBodyBytes = 64 << 10
-	smallBodyShare = 16
+	// defaultBodyMemoryBytes is the limit if the machine's memory is unknown.
+	defaultBodyMemoryBytes = 96 << 20
+	// bodyMemoryFraction is the fraction of the machine's memory that bodies may use. The rest
+	// is for other data and for garbage that has not been collected yet.
+	bodyMemoryFraction = 0.45
+	// Bodies of up to smallBodyBytes may also use the 1/smallBodyReserveDivisor of the memory
+	// that is kept free of larger ones, so that small requests are refused last.
+	smallBodyBytes          = 64 << 10
+	smallBodyReserveDivisor = 16
 )
 
-// RequestMemory bounds the bytes of requests' bodies and long heads that the process holds,
-// from before they are read until their requests have ended and no backend is owed any of
-// them.
+// RequestMemory limits the memory for request bodies and long heads. It is reserved before
+// reading, and held until the request has ended and no backend still has to receive the body.
 type RequestMemory struct {
 	limit int64
 
 	mutex sync.Mutex
-	held  int64
+	inUse int64
 }
 
-// newRequestMemory returns the memory for bodies on a machine with so many bytes in all, 0 if
-// that is not known.
-func newRequestMemory(machine int64) *RequestMemory {
-	if machine <= 0 {
-		return &RequestMemory{limit: defaultBodyMemory}
+// newRequestMemory returns the limit for a machine with this much memory; 0 if unknown.
+func newRequestMemory(machineBytes int64) *RequestMemory {
+	if machineBytes <= 0 {
+		return &RequestMemory{limit: defaultBodyMemoryBytes}
 	}
-	return &RequestMemory{limit: int64(float64(machine) * bodyMemoryShare)}
+	return &RequestMemory{limit: int64(float64(machineBytes) * bodyMemoryFraction)}
 }
 
-// Reserve takes bytes for a body or a head that holds some already; false when there are not
-// so many.
+// Reserve reserves bytes for a body or head that has reserved some already; false if too few
+// are free.
 func (memory *RequestMemory) Reserve(reserved, bytes int64) bool {
 	memory.mutex.Lock()
 	defer memory.mutex.Unlock()
-	available := memory.limit - memory.held
+	available := memory.limit - memory.inUse
 	if reserved+bytes > smallBodyBytes {
-		available -= memory.limit / smallBodyShare
+		available -= memory.limit / smallBodyReserveDivisor
 	}
 	if bytes > available {
 		return false
 	}
-	memory.held += bytes
+	memory.inUse += bytes
 	return true
 }
 
-// Release gives bytes back.
+// Release returns reserved bytes.
 func (memory *RequestMemory) Release(bytes int64) {
 	memory.mutex.Lock()
-	memory.held -= bytes
+	memory.inUse -= bytes
 	memory.mutex.Unlock()
 }
 
-// InUse returns how many bytes are held now.
+// InUse returns the number of reserved bytes.
 func (memory *RequestMemory) InUse() int64 {
 	memory.mutex.Lock()
 	defer memory.mutex.Unlock()
-	return memory.held
+	return memory.inUse
 }
--- a/hostproxy/request_memory_test.go
+++ b/hostproxy/request_memory_test.go
@@ -14,7 +14,7 @@
 	if memory.limit >= machine/2 || memory.limit < machine/3 {
 		test.Errorf("%d bytes of %d for bodies", memory.limit, machine)
 	}
-	large := memory.limit - memory.limit/smallBodyShare
+	large := memory.limit - memory.limit/smallBodyReserveDivisor
 	if memory.Reserve(0, memory.limit) || memory.Reserve(0, large+1) || !memory.Reserve(0, large) {
 		test.Error("not just what there is room for")
 	}
@@ -25,14 +25,14 @@
 	for count < machine/smallBodyBytes && memory.Reserve(0, smallBodyBytes) {
 		count++
 	}
-	if count != memory.limit/smallBodyShare/smallBodyBytes {
+	if count != memory.limit/smallBodyReserveDivisor/smallBodyBytes {
 		test.Errorf("%d small bodies beside large ones", count)
 	}
 	memory.Release(large + count*smallBodyBytes)
 	if memory.InUse() != 0 || !memory.Reserve(0, large) {
 		test.Error("what was given back is not there")
 	}
-	if newRequestMemory(0).limit != defaultBodyMemory {
+	if newRequestMemory(0).limit != defaultBodyMemoryBytes {
 		test.Error("no bound where the machine's memory is not known")
 	}
 }
--- a/hostproxy/request_test.go
+++ b/hostproxy/request_test.go
@@ -366,7 +366,7 @@
 func TestTooManyWait(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.fill(3, time.Second)
-		for range maxWaiting {
+		for range maxQueuedRequests {
 			if !world.proxy.queues.enter(waitQueue{"plain", 3}) {
 				test.Fatal("no place in line")
 			}
@@ -500,8 +500,8 @@
 			source.RequestURI = "/once/a"
 			source.Header.Set("Authorization", "Key "+key)
 			request := &request{source: source, begin: time.Now()}
-			if status, code := world.proxy.admit(request, view); status != 0 || request.rank != want {
-				test.Errorf("%s: %d %s, rank %d", key, status, code, request.rank)
+			if status, code := world.proxy.admit(request, view); status != 0 || request.priority != want {
+				test.Errorf("%s: %d %s, rank %d", key, status, code, request.priority)
 			}
 		}
 	})
--- a/hostproxy/rollout.go
+++ b/hostproxy/rollout.go
@@ -214,7 +214,7 @@
 // of a complete roll-out, else the one that served before. Where none of that is listed, or
 // a process knows of none, it is that of most backends: what no order allows gets no requests.
 func (proxy *Proxy) standingVersion(service string, revisions map[string]int, order *message.Rollout) string {
-	standing, known := proxy.standing[service]
+	standing, known := proxy.stableVersions[service]
 	switch {
 	case order != nil && order.Phase == message.RolloutComplete && revisions[order.Target] > 0:
 		standing = order.Target
@@ -222,7 +222,7 @@
 	default:
 		standing = mostFrequent(revisions, order)
 	}
-	proxy.standing[service] = standing
+	proxy.stableVersions[service] = standing
 	return standing
 }
 
--- a/hostproxy/target_test.go
+++ b/hostproxy/target_test.go
@@ -40,7 +40,7 @@
 			test.Errorf("%d requests at the dead one", count)
 		}
 		world.doors.serve("b1:80", world.backends["b1"].accept)
-		world.goroutines.Sleep(maxEjection + 2*maintainInterval)
+		world.goroutines.Sleep(maxEjection + 2*maintenanceInterval)
 		for range 5 {
 			reply, id := world.get("/once/a")
 			world.good(reply, id)
--- a/hostproxy/upload.go
+++ b/hostproxy/upload.go
@@ -8,12 +8,12 @@
 	"orchidjunction/concurrent"
 )
 
-// smallBody is what is written in one go with a request's head; a larger body goes
-// on its own while the answer is awaited already.
-const smallBody = 16 << 10
+// maxInlineBodyBytes is the largest body that is written together with the request head.
+// Larger ones are sent in the background while the proxy waits for the response.
+const maxInlineBodyBytes = 16 << 10
 
-// upload is a large body on its way to a backend. It ends by itself when its
-// connection is closed.
+// upload is a large request body being sent to a backend. It ends when its connection is
+// closed.
 type upload struct {
 	mutex    sync.Mutex
 	wake     *sync.Cond
@@ -21,12 +21,12 @@
 	complete bool
 }
 
-// startUpload writes a body in a thread of its own.
+// startUpload writes a body in a separate goroutine.
 func startUpload(goroutines *concurrent.Group, connection *connection, body *requestBody) *upload {
 	upload := &upload{}
 	upload.wake = sync.NewCond(&upload.mutex)
-	pieces := requestBody{pieces: body.pieces}
-	goroutines.Start(func() { upload.end(pieces.writeTo(connection.conn) == nil) })
+	payload := requestBody{segments: body.segments}
+	goroutines.Start(func() { upload.end(payload.writeTo(connection.conn) == nil) })
 	return upload
 }
 
@@ -37,8 +37,8 @@
 	upload.mutex.Unlock()
 }
 
-// finished is whether all bytes were handed to the connection.
-func (upload *upload) finished() bool {
+// sentAll reports whether all bytes were written to the connection.
+func (upload *upload) sentAll() bool {
 	if upload == nil {
 		return true
 	}
@@ -47,7 +47,7 @@
 	return upload.complete
 }
 
-// wait blocks until the upload has ended; false when bytes of it were not sent.
+// wait blocks until the upload has ended. It returns false if not all bytes were sent.
 func (upload *upload) wait() bool {
 	upload.mutex.Lock()
 	defer upload.mutex.Unlock()
@@ -57,21 +57,21 @@
 	return upload.complete
 }
 
-// owesBody is whether a whole answer leaves its backend a claim to the rest of the request's
-// body: it says that the request succeeded, and the connection can carry no other.
-func (connection *connection) owesBody(answer *answer) bool {
-	if connection.upload == nil || answer.response.StatusCode >= 400 {
+// mustFinishUpload reports whether the rest of the request body must still be sent after a
+// full response: the response reports success, and the connection can't be reused.
+func (connection *connection) mustFinishUpload(response *response) bool {
+	if connection.upload == nil || response.head.StatusCode >= 400 {
 		return false
 	}
-	return connection.answeredEarly || answer.response.Close || connection.reader.Buffered() > 0
+	return connection.respondedEarly || response.head.Close || connection.reader.Buffered() > 0
 }
 
-// finishUpload sends the rest of a body in the background, at most until the route's timeout,
-// and closes the connection once its backend has closed it as well: a close with unread bytes
-// would reset it, and take what was not delivered yet.
+// finishUpload sends the rest of a body in the background, up to the route's timeout, and
+// closes the connection after the backend has: closing with unread bytes would reset the
+// connection and discard undelivered data.
 func (proxy *Proxy) finishUpload(request *request, target *target, connection *connection) {
-	until := request.begin.Add(time.Duration(request.route.TimeoutMs) * time.Millisecond)
-	if err := connection.conn.SetDeadline(until.Add(deadlineSlack)); err != nil {
+	deadline := request.begin.Add(time.Duration(request.route.TimeoutMs) * time.Millisecond)
+	if err := connection.conn.SetDeadline(deadline.Add(deadlineSlack)); err != nil {
 		target.discard(connection)
 		return
 	}
@@ -86,7 +86,7 @@
 		}
 	})
 	proxy.goroutines.Start(func() {
-		_, _ = io.Copy(io.Discard, connection.reader) // until the backend closes, or the deadline
+		_, _ = io.Copy(io.Discard, connection.reader) // until the backend closes the connection or the deadline passes
 		connection.upload.wait()
 		proxy.memory.Release(reserved)
 		proxy.uploads.remove(connection)
@@ -94,20 +94,20 @@
 	})
 }
 
-// FinishUploads waits for the bodies that are sent on after their answers, at most for a
-// span; what is left then is cut off.
+// FinishUploads waits up to limit for uploads that outlast their response, then aborts the
+// rest.
 func (proxy *Proxy) FinishUploads(limit time.Duration) {
-	expired := time.AfterFunc(limit, proxy.uploads.cut)
-	defer expired.Stop()
+	timer := time.AfterFunc(limit, proxy.uploads.abort)
+	defer timer.Stop()
 	proxy.uploads.wait()
 }
 
-// pendingUploads are the connections on which a body is sent on after its answer.
+// pendingUploads are the connections on which an upload outlasts its response.
 type pendingUploads struct {
 	mutex       sync.Mutex
 	wake        *sync.Cond
 	connections map[*connection]bool
-	over        bool
+	aborted     bool
 }
 
 func newPendingUploads() *pendingUploads {
@@ -120,7 +120,7 @@
 	uploads.mutex.Lock()
 	defer uploads.mutex.Unlock()
 	uploads.connections[connection] = true
-	if uploads.over {
+	if uploads.aborted {
 		connection.interrupt()
 	}
 }
@@ -140,11 +140,11 @@
 	}
 }
 
-// cut ends all uploads at once, those that are still to come as well.
-func (uploads *pendingUploads) cut() {
+// abort ends all uploads at once, including those added later.
+func (uploads *pendingUploads) abort() {
 	uploads.mutex.Lock()
 	defer uploads.mutex.Unlock()
-	uploads.over = true
+	uploads.aborted = true
 	for connection := range uploads.connections {
 		connection.interrupt()
 	}
--- a/hostproxy/upload_test.go
+++ b/hostproxy/upload_test.go
@@ -127,7 +127,7 @@
 		return func(id string) string { return whole(id, "200 OK", fields, text(id)) }
 	}
 	surplus := func(id string) string { return success("")(id) + whole("other", "200 OK", "", text("other")) }
-	large := string(letters(0, 2*maxBufferedBody))
+	large := string(letters(0, 2*maxBufferedBodyBytes))
 	chunks := "Transfer-Encoding: chunked\r\n\r\n" + strconv.FormatInt(int64(len(body)), 16) + "\r\n" + body + "\r\n0\r\n\r\n"
 	head := "POST /once/a HTTP/1.1\r\nHost: host.example\r\nAttempt: id\r\nDeadline: 1500\r\n"
 	plain := raw("POST", "/once/a", "id", "", body)
--- a/hostproxy/usage_meter_test.go
+++ b/hostproxy/usage_meter_test.go
@@ -50,7 +50,7 @@
 		want uint64
 	}{
 		"well": {well, 1}, "shed": {shed, 0}, "misdirected": {misdirected, 0}, "reset": {resetAfterReading, 1}, "silence": {silent, 1}, "own 500": {status("500 Internal Server Error"), 1},
-		"streamed": {large(2*maxBufferedBody, 2*maxBufferedBody, false), 1}, "cut": {half, 1},
+		"streamed": {large(2*maxBufferedBodyBytes, 2*maxBufferedBodyBytes, false), 1}, "cut": {half, 1},
 	} {
 		inWorld(test, func(world *world) {
 			world.add("b1").ever(play.does)
--- a/hostproxy/view.go
+++ b/hostproxy/view.go
@@ -58,7 +58,7 @@
 	defer proxy.applyMutex.Unlock()
 	view := proxy.newView(state)
 	proxies := servingProxies(table.Members)
-	proxy.mostProxies = max(proxy.mostProxies, len(proxies))
+	proxy.maxProxiesSeen = max(proxy.maxProxiesSeen, len(proxies))
 	led := table.Version.Term.Number > 0
 	proxy.shareLimits(view, led)
 	proxy.followRollouts(rollouts)
@@ -66,7 +66,7 @@
 	proxy.addBackends(view, table.Backends, proxies, proxy.settleVersions(table.Backends, rollouts), led)
 	proxy.setFormer(table.Backends, rollouts)
 	proxy.view.Store(view)
-	proxy.onLimits(state.Config.Limits)
+	proxy.limitsHook(state.Config.Limits)
 	proxy.withdrawOthers(view, table.Version)
 	proxy.retireUnlisted(table.Backends)
 	proxy.capacityFreed.Notify()
@@ -102,7 +102,7 @@
 // and of the connections to a backend. The share is by the most proxies ever seen,
 // since those that are missing may be cut off and still serving.
 func (proxy *Proxy) shareLimits(view *View, led bool) {
-	shares := max(1, proxy.mostProxies)
+	shares := max(1, proxy.maxProxiesSeen)
 	if !led {
 		shares = max(shares, presumedProxies)
 	}
@@ -124,9 +124,9 @@
 		proxy.budgets[service] = budget
 	}
 	if led {
-		budget.setShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.mostProxies)
+		budget.setShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.maxProxiesSeen)
 	} else {
-		budget.presumeShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.mostProxies)
+		budget.presumeShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.maxProxiesSeen)
 	}
 	return budget
 }
@@ -144,7 +144,7 @@
 	now := proxy.clock()
 	for _, backend := range backends {
 		held := proxy.targetOf(backend)
-		if proxy.evacuated[backend.Zone] && !evacuated[backend.Zone] {
+		if proxy.evacuatedZones[backend.Zone] && !evacuated[backend.Zone] {
 			held.suspectUntil(now.Add(proxy.config.suspectTTL()))
 		} else if left := reopened[backend.Zone]; left > 0 {
 			held.suspectUntil(now.Add(min(left, proxy.config.suspectTTL())))
@@ -164,7 +164,7 @@
 			warmupRate: ownerWarmupRate(service.WarmupRate, proxy.config.WarmupExcess, proxy.config.WarmupExtra),
 		})
 	}
-	proxy.evacuated = evacuated
+	proxy.evacuatedZones = evacuated
 }
 
 // add adds a candidate of a version: to those of its service, or to those of the canary. A
@@ -187,7 +187,7 @@
 func (proxy *Proxy) reopenedZones(state *routing.State) map[string]time.Duration {
 	reopened := map[string]time.Duration{}
 	for _, restored := range state.Restored {
-		age := time.Duration(proxy.now()-restored.AtMs) * time.Millisecond
+		age := time.Duration(proxy.clusterTimeMs()-restored.AtMs) * time.Millisecond
 		reopened[restored.Zone] = proxy.config.suspectTTL() - age
 	}
 	return reopened
@@ -198,8 +198,8 @@
 	held := proxy.targets[backend.Name]
 	if held == nil {
 		held = newTarget(backend)
-		proxy.lastTarget++
-		held.number = proxy.lastTarget
+		proxy.lastTargetNumber++
+		held.number = proxy.lastTargetNumber
 		proxy.targets[backend.Name] = held
 	}
 	return held
--- a/hostproxy/wait_queues.go
+++ b/hostproxy/wait_queues.go
@@ -19,7 +19,7 @@
 func (queues *waitQueues) enter(queue waitQueue) bool {
 	queues.mutex.Lock()
 	defer queues.mutex.Unlock()
-	if queues.total >= maxWaiting {
+	if queues.total >= maxQueuedRequests {
 		return false
 	}
 	if queues.count == nil {
--- a/hostproxy/wait_queues_test.go
+++ b/hostproxy/wait_queues_test.go
@@ -5,7 +5,7 @@
 func TestLines(test *testing.T) {
 	queues := waitQueues{}
 	high, low, other := waitQueue{"plain", 0}, waitQueue{"plain", 1}, waitQueue{"other", 1}
-	for range maxWaiting {
+	for range maxQueuedRequests {
 		if !queues.enter(low) {
 			test.Fatal("no place")
 		}
@@ -13,7 +13,7 @@
 	if queues.enter(high) || !queues.waiting() {
 		test.Error("a place too many")
 	}
-	if queues.leave(low); !queues.enter(high) || queues.count[high] != 1 || queues.count[low] != maxWaiting-1 {
+	if queues.leave(low); !queues.enter(high) || queues.count[high] != 1 || queues.count[low] != maxQueuedRequests-1 {
 		test.Errorf("%v", queues.count)
 	}
 	if !queues.outranked(low) || queues.outranked(high) || queues.outranked(other) {
@@ -23,7 +23,7 @@
 	if queues.outranked(low) {
 		test.Error("outranked by one that has left")
 	}
-	for range maxWaiting - 1 {
+	for range maxQueuedRequests - 1 {
 		queues.leave(low)
 	}
 	if queues.waiting() {
