--- a/hostproxy/choose.go
+++ b/hostproxy/choose.go
@@ -52,7 +52,7 @@
 // chooseFrom is choose, but uses an ejected candidate only if lastResort is set.
 func (proxy *Proxy) chooseFrom(request *request, candidates []candidate, tried []*target, lastResort bool) (*candidate, chooseResult) {
 	now := proxy.clock()
-	nowMs := proxy.now()
+	nowMs := proxy.clusterTimeMs()
 	mean, kilobytes := request.stats.expected(request.route)
 	selection := selection{}
 	offset := 0
--- a/hostproxy/judge.go
+++ b/hostproxy/judge.go
@@ -23,7 +23,7 @@
 // version to the reference. A connection that broke before the deadline may count as an
 // exceedance, but not as a failure of the version: usually its machine crashed, which few
 // requests reveal, and late.
-func (proxy *Proxy) scoreExchange(request *request, candidate *candidate, answer *answer, ended outcome, startedAt time.Time) {
+func (proxy *Proxy) scoreExchange(request *request, candidate *candidate, answer *response, ended outcome, startedAt time.Time) {
 	now := proxy.clock()
 	item, isItem := proxy.exchangeItem(request, candidate, answer, ended, startedAt, now)
 	if !isItem {
@@ -51,20 +51,20 @@
 func (proxy *Proxy) exchangeItem(
 	request *request,
 	candidate *candidate,
-	answer *answer,
+	answer *response,
 	ended outcome,
 	startedAt, now time.Time,
 ) (score.Item, bool) {
 	elapsed := now.Sub(startedAt)
 	item := score.Item{Target: time.Duration(request.route.TargetMs) * time.Millisecond}
 	if ended == unsent || ended == refused || request.context.Err() != nil ||
-		candidate.isCold(startedAt, proxy.now()-elapsed.Milliseconds()) {
+		candidate.isCold(startedAt, proxy.clusterTimeMs()-elapsed.Milliseconds()) {
 		return item, false
 	}
 	if ended == lost && !now.Before(request.deadline) && elapsed < item.Target {
 		return item, false
 	}
-	item.Failed = ended == lost || answer.response.StatusCode >= http.StatusInternalServerError
+	item.Failed = ended == lost || answer.head.StatusCode >= http.StatusInternalServerError
 	item.Took, item.Load = candidate.target.workAndLoad(elapsed, now)
 	return item, true
 }
--- a/hostproxy/rollout.go
+++ b/hostproxy/rollout.go
@@ -215,7 +215,7 @@
 // unknown, it is the most common version that is not an order's target: a version that no
 // order allows gets no requests.
 func (proxy *Proxy) currentVersion(service string, revisions map[string]int, order *message.Rollout) string {
-	current, known := proxy.standing[service]
+	current, known := proxy.stableVersions[service]
 	switch {
 	case order != nil && order.Phase == message.RolloutComplete && revisions[order.Target] > 0:
 		current = order.Target
@@ -223,7 +223,7 @@
 	default:
 		current = mostCommonRevision(revisions, order)
 	}
-	proxy.standing[service] = current
+	proxy.stableVersions[service] = current
 	return current
 }
 
--- a/hostproxy/view.go
+++ b/hostproxy/view.go
@@ -57,7 +57,7 @@
 	defer proxy.applyMutex.Unlock()
 	view := proxy.newView(state)
 	proxies := servingProxies(table.Members)
-	proxy.mostProxies = max(proxy.mostProxies, len(proxies))
+	proxy.maxProxiesSeen = max(proxy.maxProxiesSeen, len(proxies))
 	hasLeader := table.Version.Term.Number > 0
 	proxy.shareLimits(view, hasLeader)
 	proxy.updateRollouts(rollouts)
@@ -65,7 +65,7 @@
 	proxy.addBackends(view, table.Backends, proxies, proxy.resolveVersions(table.Backends, rollouts), hasLeader)
 	proxy.updateFormerTargets(table.Backends, rollouts)
 	proxy.view.Store(view)
-	proxy.onLimits(state.Config.Limits)
+	proxy.limitsHook(state.Config.Limits)
 	proxy.withdrawIneligible(view, table.Version)
 	proxy.retireUnlisted(table.Backends)
 	proxy.capacityFreed.Notify()
@@ -101,7 +101,7 @@
 // It divides by the most proxies ever seen, since missing ones may be partitioned and still
 // serving.
 func (proxy *Proxy) shareLimits(view *routingView, hasLeader bool) {
-	shares := max(1, proxy.mostProxies)
+	shares := max(1, proxy.maxProxiesSeen)
 	if !hasLeader {
 		shares = max(shares, provisionalProxies)
 	}
@@ -123,9 +123,9 @@
 		proxy.budgets[service] = budget
 	}
 	if hasLeader {
-		budget.setShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.mostProxies)
+		budget.setShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.maxProxiesSeen)
 	} else {
-		budget.setProvisionalShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.mostProxies)
+		budget.setProvisionalShare(proxy.config.RetryRatio, proxy.config.RetryExtra, proxy.maxProxiesSeen)
 	}
 	return budget
 }
@@ -143,7 +143,7 @@
 	now := proxy.clock()
 	for _, backend := range backends {
 		target := proxy.targetFor(backend)
-		if proxy.evacuated[backend.Zone] && !evacuated[backend.Zone] {
+		if proxy.evacuatedZones[backend.Zone] && !evacuated[backend.Zone] {
 			target.suspectUntil(now.Add(proxy.config.suspectTTL()))
 		} else if left := restored[backend.Zone]; left > 0 {
 			target.suspectUntil(now.Add(min(left, proxy.config.suspectTTL())))
@@ -163,7 +163,7 @@
 			warmupRate: ownerWarmupRate(service.WarmupRate, proxy.config.WarmupExcess, proxy.config.WarmupExtra),
 		})
 	}
-	proxy.evacuated = evacuated
+	proxy.evacuatedZones = evacuated
 }
 
 // addCandidate adds a candidate to its service or to the canary, depending on its version. A
@@ -186,7 +186,7 @@
 func (proxy *Proxy) restoredZones(state *routing.State) map[string]time.Duration {
 	restored := map[string]time.Duration{}
 	for _, zone := range state.Restored {
-		age := time.Duration(proxy.now()-zone.AtMs) * time.Millisecond
+		age := time.Duration(proxy.clusterTimeMs()-zone.AtMs) * time.Millisecond
 		restored[zone.Zone] = proxy.config.suspectTTL() - age
 	}
 	return restored
@@ -197,8 +197,8 @@
 	target := proxy.targets[backend.Name]
 	if target == nil {
 		target = newTarget(backend)
-		proxy.lastTarget++
-		target.id = proxy.lastTarget
+		proxy.lastTargetNumber++
+		target.id = proxy.lastTargetNumber
 		proxy.targets[backend.Name] = target
 	}
 	return target
