--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock is a time of day that several machines agree on: a Clock that steps of
-// the machine's own wall clock do not move, and an OffsetEstimator that finds how far
-// another machine's clock is ahead.
+// Package clock provides a time of day that several machines agree on: Clock is immune to
+// steps of the local wall clock, and OffsetEstimator estimates the offset of another
+// machine's clock.
 package clock
 
 import (
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// offsetToleranceMs is the change of the offset, in milliseconds, that is ignored.
+// offsetToleranceMs is the largest change of the offset that is ignored.
 const offsetToleranceMs = 20
 
-// Clock is the time of day in milliseconds since the Unix epoch. It reads the wall clock
-// once, at its start, and the monotonic clock from then on. An offset estimated from
-// other clocks is added. It is safe for concurrent use.
+// Clock is a time of day in milliseconds since the Unix epoch. It reads the wall clock
+// once, when it is created, and the monotonic clock from then on, and adds an offset
+// estimated from other clocks. It is safe for concurrent use.
 type Clock struct {
-	begin time.Time
+	startedAt time.Time
 
 	mutex     sync.Mutex
-	wall      int64
+	startWall int64
 	offset    int64
 	synced    bool
 	estimator OffsetEstimator
 }
 
-// NewClock returns a Clock that starts at what wall returns now, in milliseconds since
-// the Unix epoch.
-func NewClock(wall func() int64) *Clock { return &Clock{begin: time.Now(), wall: wall()} }
+// NewClock returns a Clock that starts at the current result of wall, in milliseconds
+// since the Unix epoch.
+func NewClock(wall func() int64) *Clock { return &Clock{startedAt: time.Now(), startWall: wall()} }
 
 // Anchored returns the time without the offset, in milliseconds since the Unix epoch.
 func (clock *Clock) Anchored() int64 {
@@ -35,17 +35,20 @@
 	return clock.anchored()
 }
 
-func (clock *Clock) anchored() int64 { return clock.wall + time.Since(clock.begin).Milliseconds() }
+func (clock *Clock) anchored() int64 {
+	return clock.startWall + time.Since(clock.startedAt).Milliseconds()
+}
 
-// Reanchor corrects what the wall clock said at the start, as far as that is off by more
-// than any delay explains, and returns whether it was.
+// Reanchor adds an offset to the wall-clock time read at the start and discards all
+// samples. It ignores an offset below stepMs, which a message delay may explain, and
+// reports whether it made the correction.
 func (clock *Clock) Reanchor(offset int64) bool {
 	if offset > -stepMs && offset < stepMs {
 		return false
 	}
 	clock.mutex.Lock()
 	defer clock.mutex.Unlock()
-	clock.wall += offset
+	clock.startWall += offset
 	clock.offset, clock.synced, clock.estimator = 0, true, OffsetEstimator{}
 	return true
 }
@@ -53,21 +56,22 @@
 // Now returns the time with the offset, in milliseconds since the Unix epoch.
 func (clock *Clock) Now() int64 { return clock.Anchored() + clock.Offset() }
 
-// Offset returns the offset in force, in milliseconds.
+// Offset returns the current offset in milliseconds.
 func (clock *Clock) Offset() int64 {
 	clock.mutex.Lock()
 	defer clock.mutex.Unlock()
 	return clock.offset
 }
 
-// Synced reports whether an offset was ever set.
+// Synced reports whether an offset has ever been set.
 func (clock *Clock) Synced() bool {
 	clock.mutex.Lock()
 	defer clock.mutex.Unlock()
 	return clock.synced
 }
 
-// SetOffset sets the offset in milliseconds, unless the one in force is nearly the same.
+// SetOffset sets the offset in milliseconds, unless it is within offsetToleranceMs of the
+// current one.
 func (clock *Clock) SetOffset(offset int64) {
 	clock.mutex.Lock()
 	defer clock.mutex.Unlock()
@@ -81,9 +85,9 @@
 	}
 }
 
-// AddRoundTrip takes the time that another clock returned to a call, in milliseconds
-// since the Unix epoch, and the call's round trip, and updates the offset. Calls with
-// long round trips are ignored.
+// AddRoundTrip updates the offset from a call's round-trip time and the time that another
+// clock returned to it, in milliseconds since the Unix epoch. Calls that took longer than
+// stepMs are ignored.
 func (clock *Clock) AddRoundTrip(now int64, roundTrip time.Duration) {
 	if roundTrip.Milliseconds() > stepMs {
 		return
@@ -94,9 +98,9 @@
 	clock.setOffset(clock.estimator.Offset())
 }
 
-// AddOneWay takes the time that a one-way message from another clock carried, in
-// milliseconds since the Unix epoch. As its delay is unknown, the sample furthest ahead
-// counts.
+// AddOneWay updates the offset from the time in a one-way message from another clock, in
+// milliseconds since the Unix epoch. The delay is unknown, so the sample with the largest
+// offset, which has the shortest delay, is used.
 func (clock *Clock) AddOneWay(now int64) {
 	clock.mutex.Lock()
 	defer clock.mutex.Unlock()
--- a/clock/offset.go
+++ b/clock/offset.go
@@ -6,16 +6,15 @@
 )
 
 const (
-	// sampleMaxAge is how long a sample counts.
 	sampleMaxAge = 10 * time.Second
-	// stepMs is the difference between two samples, in milliseconds, that no delay
-	// explains: a clock was set.
+	// stepMs is the difference between two samples that is too large for a message delay:
+	// one of the clocks was stepped.
 	stepMs = 1000
 )
 
-// OffsetEstimator estimates how far another clock is ahead by the recent sample with the
-// shortest round trip, as NTP's clock filter does (RFC 5905, section 10). Its zero value
-// has no samples.
+// OffsetEstimator estimates how far another clock is ahead: it uses the recent sample with
+// the shortest round trip, as NTP's clock filter does (RFC 5905, section 10). The zero
+// value has no samples.
 type OffsetEstimator struct {
 	samples []sample
 }
@@ -24,25 +23,26 @@
 type sample struct {
 	offset    int64
 	roundTrip time.Duration
-	at        time.Time
+	takenAt   time.Time
 }
 
-// Add adds an offset in milliseconds with its round trip, and drops samples that are old
-// or have a longer one. An offset that no delay explains replaces all others.
+// Add adds an offset in milliseconds, measured over a round trip, and drops samples that
+// are expired or have a longer round trip. An offset that differs by stepMs or more
+// replaces all samples.
 func (estimator *OffsetEstimator) Add(offset int64, roundTrip time.Duration) {
 	kept := []sample{}
 	if best := estimator.Offset(); offset < best+stepMs && offset > best-stepMs {
-		for _, former := range estimator.samples {
-			if former.roundTrip < roundTrip && time.Since(former.at) < sampleMaxAge {
-				kept = append(kept, former)
+		for _, earlier := range estimator.samples {
+			if earlier.roundTrip < roundTrip && time.Since(earlier.takenAt) < sampleMaxAge {
+				kept = append(kept, earlier)
 			}
 		}
 	}
-	estimator.samples = append(kept, sample{offset: offset, roundTrip: roundTrip, at: time.Now()})
+	estimator.samples = append(kept, sample{offset: offset, roundTrip: roundTrip, takenAt: time.Now()})
 }
 
 // Offset returns the offset of the sample with the shortest round trip, in milliseconds,
-// 0 without samples.
+// or 0 if there are no samples.
 func (estimator *OffsetEstimator) Offset() int64 {
 	if len(estimator.samples) == 0 {
 		return 0
@@ -50,7 +50,7 @@
 	return estimator.samples[0].offset
 }
 
-// RoundTrip returns the shortest round trip, 0 without samples.
+// RoundTrip returns the shortest round trip, or 0 if there are no samples.
 func (estimator *OffsetEstimator) RoundTrip() time.Duration {
 	if len(estimator.samples) == 0 {
 		return 0
@@ -58,9 +58,9 @@
 	return estimator.samples[0].roundTrip
 }
 
-// Median returns the median of at least one offset. If the middle two of an even count
-// lie more than a second apart, it returns the one nearer to before.
-func Median(offsets []int64, before int64) int64 {
+// Median returns the median of the offsets, which must not be empty. If the middle two of
+// an even number differ by stepMs or more, it returns the one nearer to previous.
+func Median(offsets []int64, previous int64) int64 {
 	sorted := slices.Sorted(slices.Values(offsets))
 	middle := len(sorted) / 2
 	if len(sorted)%2 == 1 {
@@ -70,7 +70,7 @@
 	switch {
 	case high-low < stepMs:
 		return low + (high-low)/2
-	case before-low < high-before:
+	case previous-low < high-previous:
 		return low
 	}
 	return high
