--- a/consensus/acceptor.go
+++ b/consensus/acceptor.go
@@ -5,10 +5,10 @@
 	"orchidjunction/rpc"
 )
 
-// Prepare returns a replica's answer to a PrepareRequest, and the record that must be
-// durable before the answer is given, nil if there is none. It grants a term that is not
-// older than those promised before, unless the candidate counts by an older membership
-// than the one accepted here.
+// Prepare returns a replica's response to a PrepareRequest, and the record that must be
+// durable before the response is sent, or nil if nothing changed. It grants a term that is
+// not older than the promised one, unless the replica has accepted a newer membership than
+// the candidate's that has other voters.
 func (state *State) Prepare(request *message.PrepareRequest) (*message.PrepareResponse, *Record) {
 	if membership := state.Accepted[message.MembersRegister]; message.Supersedes(membership, request.Membership) {
 		return &message.PrepareResponse{Promised: state.Promised, Membership: membership}, nil
@@ -16,16 +16,16 @@
 	if request.Term.Less(state.Promised) {
 		return &message.PrepareResponse{Promised: state.Promised}, nil
 	}
-	response := &message.PrepareResponse{Granted: true, Promised: request.Term, Accepted: state.acceptedBeyond(request.Held)}
+	response := &message.PrepareResponse{Granted: true, Promised: request.Term, Accepted: state.acceptedNewerThan(request.Held)}
 	if !state.Promised.Less(request.Term) {
 		return response, nil
 	}
 	return response, &Record{Promised: &request.Term}
 }
 
-// acceptedBeyond returns the accepted values; those that are not newer than the versions
-// held elsewhere have only their versions.
-func (state *State) acceptedBeyond(held message.Versions) [message.Registers]message.AcceptedValue {
+// acceptedNewerThan returns the accepted values, without the content of those that are not
+// newer than the versions which the candidate holds.
+func (state *State) acceptedNewerThan(held message.Versions) [message.Registers]message.AcceptedValue {
 	accepted := state.Accepted
 	for register := range accepted {
 		if !held[register].Less(accepted[register].Version()) {
@@ -35,9 +35,9 @@
 	return accepted
 }
 
-// CompletePromise adds to a promise the values that its replica left out since the candidate
-// holds them under the same versions. Older ones stay without their content: none of them
-// is inherited.
+// CompletePromise fills in the values that a replica left out of its promise because the
+// candidate holds the same versions. Older values stay without their content, since a
+// candidate only inherits the newest ones.
 func CompletePromise(promise *message.PrepareResponse, held [message.Registers]message.AcceptedValue) {
 	for register := range promise.Accepted {
 		if promise.Accepted[register].Version() == held[register].Version() {
@@ -46,11 +46,11 @@
 	}
 }
 
-// Accept returns a replica's answer to an AcceptRequest, and the record that must be
-// durable before the answer is given, nil if there is none. It accepts a value of a term
-// that is not older than the one promised, if the value is not older than the accepted
-// one and none of its chunks is missing. A version stands for one value: one leader writes
-// under a term, and one value for each serial.
+// Accept returns a replica's response to an AcceptRequest, and the record that must be
+// durable before the response is sent, or nil if nothing changed. It accepts a value if its
+// term is not older than the promised one, the value is not older than the accepted one,
+// and none of its chunks is missing. A version identifies one value: a term has one leader,
+// which writes one value for each serial.
 func (state *State) Accept(request *message.AcceptRequest) (*message.AcceptResponse, *Record) {
 	if request.Term.Less(state.Promised) {
 		return &message.AcceptResponse{Promised: state.Promised}, nil
@@ -72,7 +72,8 @@
 	return &message.AcceptResponse{Accepted: true, Promised: request.Term}, state.acceptRecord(request)
 }
 
-// acceptInherited accepts the value that is held already under a new term.
+// acceptInherited accepts under a new term the value that the replica already holds, which
+// the request refers to by its version.
 func (state *State) acceptInherited(request *message.AcceptRequest) (*message.AcceptResponse, *Record) {
 	if state.Accepted[request.Register].Version() != request.Inherited || request.Inherited.Serial != request.Value.Serial {
 		return &message.AcceptResponse{Promised: state.Promised, LacksValue: true}, nil
@@ -84,7 +85,8 @@
 	return &message.AcceptResponse{Accepted: true, Promised: request.Term}, record
 }
 
-// acceptRecord returns the record of an accepted value with the chunks that are new.
+// acceptRecord returns the record of an accepted value with those chunks that the replica
+// does not have yet.
 func (state *State) acceptRecord(request *message.AcceptRequest) *Record {
 	record := &Record{
 		Register: request.Register,
@@ -102,9 +104,10 @@
 	return record
 }
 
-// InitializeRecord returns the record that makes a blank disk a replica which promised a
-// term and accepted values under it: a copy is no vote for the term that it was written
-// under. It returns nil if the replica is initialized already.
+// InitializeRecord returns the record that initializes a replica on a blank disk, with a
+// promised term and copies of accepted values. The copies are accepted under the promised
+// term, since a copy must not count as a vote for the term that it was written under. It
+// returns nil if the replica is already initialized.
 func (state *State) InitializeRecord(
 	promised message.Term,
 	accepted [message.Registers]message.AcceptedValue,
@@ -126,11 +129,11 @@
 	return record
 }
 
-// JoinRecord returns the record that makes a disk of the system's first start a voter
-// under the given membership.
+// JoinRecord returns the record that initializes a replica as a voter of the given
+// membership, on a disk that has been there since the system's first start.
 func (state *State) JoinRecord(membership message.AcceptedValue) (*Record, error) {
 	if state.Initialized {
-		return nil, rpc.Errorf(rpc.BadMessage, "votes already")
+		return nil, rpc.Errorf(rpc.BadMessage, "replica is already initialized")
 	}
 	record := &Record{Initialized: true, Register: message.MembersRegister, Accepted: &membership}
 	if membership.Term.Number > 0 {
@@ -139,8 +142,8 @@
 	return record, nil
 }
 
-// CommittedRecord returns the record that a register's accepted value is committed, nil
-// if that is known already or another value is accepted.
+// CommittedRecord returns the record that a register's accepted value is committed, or nil
+// if that is already known or another value is accepted.
 func (state *State) CommittedRecord(register message.Register, version message.Version) *Record {
 	if state.Committed[register].Serial >= version.Serial || state.Accepted[register].Value.Serial != version.Serial {
 		return nil
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -8,16 +8,16 @@
 	"orchidjunction/rpc"
 )
 
-// InitialSerial is the serial of a membership in which no voter was ever replaced.
+// InitialSerial is the serial of the membership before any voter was replaced.
 const InitialSerial = 1
 
-// Membership is one version of who votes, with the term it was accepted under. It is
-// immutable.
+// Membership is one version of the set of voters, with the term under which it was
+// accepted. It is immutable.
 //
-// A version either has one group of voters, or is a step between two versions: Voters is
-// the former group, Next the following one, and a quorum is a majority of both. So every
-// quorum of a version meets every quorum of the version before it, and a leadership
-// under an older version can't decide unnoticed.
+// A version either has one group of voters, or is the joint version (joint consensus)
+// between two such versions: Voters is then the old group, Next the new one, and a quorum
+// is a majority of both. So every quorum of a version intersects every quorum of the
+// version before it, and a leader that counts by an older version can't decide unnoticed.
 type Membership struct {
 	Version message.Version
 	Voters  []message.Peer
@@ -25,8 +25,8 @@
 	LastID  int
 }
 
-// InitialMembership returns the membership of the system's first start. It numbers the
-// founding cores from 1, in the order of their addresses.
+// InitialMembership returns the membership of the system's first start. The cores have
+// the IDs from 1, in the order of their addresses.
 func InitialMembership(addresses []string) *Membership {
 	sorted := slices.SortedFunc(slices.Values(addresses), CompareAddresses)
 	peers := make([]message.Peer, 0, len(sorted))
@@ -36,7 +36,7 @@
 	return NewMembership(peers)
 }
 
-// NewMembership returns the first version, made of the given peers.
+// NewMembership returns the first version, with the given peers as its voters.
 func NewMembership(peers []message.Peer) *Membership {
 	membership := &Membership{Version: message.Version{Serial: InitialSerial}}
 	membership.Voters = slices.SortedFunc(slices.Values(peers), comparePeers)
@@ -46,8 +46,8 @@
 	return membership
 }
 
-// DecodeMembership decodes an accepted value of the membership register. A value of
-// serial 0 stands for no membership; it returns nil for that.
+// DecodeMembership decodes an accepted value of the membership register. It returns nil
+// for a value of serial 0, which means that there is no membership.
 func DecodeMembership(accepted message.AcceptedValue) (*Membership, error) {
 	if accepted.Value.Serial == 0 {
 		return nil, nil
@@ -62,28 +62,28 @@
 	return &Membership{Version: accepted.Version(), Voters: voters.Current, Next: voters.Next, LastID: voters.LastID}, nil
 }
 
-// Accepted returns the membership as an accepted value of its register; of a nil
-// Membership, the value of serial 0.
+// Accepted returns the membership as an accepted value of its register. A nil Membership
+// gives the value of serial 0.
 func (membership *Membership) Accepted() message.AcceptedValue {
 	if membership == nil {
 		return message.AcceptedValue{}
 	}
-	body, _ := rpc.Marshal(membership.VoterSet()) // a structure of numbers and texts is always encoded
+	body, _ := rpc.Marshal(membership.VoterSet()) // encoding integers and strings cannot fail
 	return message.AcceptedValue{
 		Term:  membership.Version.Term,
 		Value: message.Value{Serial: membership.Version.Serial, Body: body},
 	}
 }
 
-// VoterSet returns the membership as the register's content.
+// VoterSet returns the membership as the content of its register.
 func (membership *Membership) VoterSet() *message.VoterSet {
 	return &message.VoterSet{Current: membership.Voters, Next: membership.Next, LastID: membership.LastID}
 }
 
-// Changing reports whether this version is a step between two groups.
+// Changing reports whether this is a joint version.
 func (membership *Membership) Changing() bool { return len(membership.Next) > 0 }
 
-// Groups returns the groups of voters of each of which a quorum has a majority.
+// Groups returns the groups of voters; a quorum needs a majority of each.
 func (membership *Membership) Groups() [][]message.Peer {
 	if membership.Changing() {
 		return [][]message.Peer{membership.Voters, membership.Next}
@@ -91,7 +91,7 @@
 	return [][]message.Peer{membership.Voters}
 }
 
-// All returns the voters of both groups by ID, each once.
+// All returns the voters of all groups, sorted by ID and without duplicates.
 func (membership *Membership) All() []message.Peer {
 	all := slices.Clone(membership.Voters)
 	for _, peer := range membership.Next {
@@ -113,56 +113,57 @@
 	return membership.VoterSet().Quorum(has)
 }
 
-// FencesWithout reports whether a voter whose disk was lost may take part again: the
-// other voters for which has returns true meet every quorum that it took part in, and
-// are a quorum together with it. Of n voters that takes n - majority + 1 others.
+// FencesWithout reports whether a voter whose disk was lost may vote again: the other
+// voters for which has returns true intersect every quorum that it was part of, and form a
+// quorum together with it. In a group of n that has the lost voter, this takes
+// n - majority + 1 others.
 func (membership *Membership) FencesWithout(lost int, has func(id int) bool) bool {
 	others := func(id int) bool { return id != lost && has(id) }
 	for _, group := range membership.Groups() {
-		need := message.Majority(group)
+		required := message.Majority(group)
 		if ContainsPeer(group, lost) {
-			need = len(group) - message.Majority(group) + 1
+			required = len(group) - message.Majority(group) + 1
 		}
-		if message.CountIn(group, others) < need {
+		if message.CountIn(group, others) < required {
 			return false
 		}
 	}
 	return true
 }
 
-// MayLead reports whether a core may be a candidate. One that is only joining may not:
-// its ID is certainly its own only once the step that gave it is decided.
+// MayLead reports whether a core may be a candidate. A core that is only in Next may not:
+// its ID is not certain until the joint version that assigned it is decided.
 func (membership *Membership) MayLead(id int) bool { return ContainsPeer(membership.Voters, id) }
 
-// WithReplacement returns the step that puts a machine at an address into a voter's
-// place, under a new ID.
+// WithReplacement returns the joint version that replaces a voter by the core at an
+// address, which gets a new ID.
 func (membership *Membership) WithReplacement(leaving int, address string) *Membership {
-	step := &Membership{Voters: membership.Voters, LastID: membership.LastID + 1}
-	step.Version.Serial = membership.Version.Serial + 1
+	joint := &Membership{Voters: membership.Voters, LastID: membership.LastID + 1}
+	joint.Version.Serial = membership.Version.Serial + 1
 	for _, peer := range membership.Voters {
 		if peer.ID != leaving {
-			step.Next = append(step.Next, peer)
+			joint.Next = append(joint.Next, peer)
 		}
 	}
-	step.Next = append(step.Next, message.Peer{ID: step.LastID, Address: address})
-	return step
+	joint.Next = append(joint.Next, message.Peer{ID: joint.LastID, Address: address})
+	return joint
 }
 
-// WithoutFormer returns the version that ends a step: only the following voters are left.
+// WithoutFormer returns the version after a joint one, which has only the new voters.
 func (membership *Membership) WithoutFormer() *Membership {
 	next := &Membership{Voters: membership.Next, LastID: membership.LastID}
 	next.Version.Serial = membership.Version.Serial + 1
 	return next
 }
 
-// ContainsPeer reports whether a group has a peer with the ID.
+// ContainsPeer reports whether a group contains a peer with the ID.
 func ContainsPeer(group []message.Peer, id int) bool {
 	return slices.ContainsFunc(group, func(peer message.Peer) bool { return peer.ID == id })
 }
 
 // CompareAddresses orders addresses of the form IP:port, as cmp.Compare does.
 func CompareAddresses(left, right string) int {
-	parsedLeft, _ := netip.ParseAddrPort(left)   // the zero address comes first
+	parsedLeft, _ := netip.ParseAddrPort(left)   // an invalid address is sorted first
 	parsedRight, _ := netip.ParseAddrPort(right) // as above
 	return parsedLeft.Compare(parsedRight)
 }
--- a/consensus/quorum.go
+++ b/consensus/quorum.go
@@ -2,7 +2,7 @@
 
 import "orchidjunction/message"
 
-// Agreed returns which voters gave a response that agrees.
+// Agreed returns a function that reports whether a voter gave a response that agrees.
 func Agreed[Response any](responses map[int]*Response, agrees func(*Response) bool) func(id int) bool {
 	return func(id int) bool {
 		response, answered := responses[id]
@@ -16,8 +16,8 @@
 // Granted reports whether a promise was granted.
 func Granted(response *message.PrepareResponse) bool { return response.Granted }
 
-// newestValues returns for each register the newest value among those accepted by the
-// replicas that promised, and which of them it is from.
+// newestValues returns for each register the newest value in the promises, and the ID of
+// the replica that sent it.
 func newestValues(
 	promises map[int]*message.PrepareResponse,
 ) (newest [message.Registers]message.AcceptedValue, sources [message.Registers]int) {
@@ -31,9 +31,10 @@
 	return newest, sources
 }
 
-// InheritedValues returns what a term takes over from the replicas that promised it: the
-// newest value of each register, and the membership that counted them. None of them
-// accepted a newer membership with other voters: they would have refused.
+// InheritedValues returns the values that a new term inherits from the replicas that
+// promised it, and the replica that each one is from: the newest value of each register,
+// but the membership of the view, by which the promises were counted. No replica that
+// promised has accepted a newer membership with other voters, as it would have refused.
 func InheritedValues(
 	view *View,
 	promises map[int]*message.PrepareResponse,
@@ -43,15 +44,15 @@
 	return newest, sources
 }
 
-// Candidate is what the choice between two candidates depends on: how new a core's
-// registers are, how many cores it reaches, and its ID.
+// Candidate holds the criteria for the choice between two candidates: the versions of a
+// core's registers, the number of cores that it reaches, and its ID.
 type Candidate struct {
 	ID        int
 	Versions  message.Versions
 	Reachable int
 }
 
-// BetterThan reports whether a candidate goes before another one.
+// BetterThan reports whether a candidate has precedence over another one.
 func (candidate Candidate) BetterThan(other Candidate) bool {
 	if candidate.Versions != other.Versions {
 		return other.Versions.Less(candidate.Versions)
--- a/consensus/state.go
+++ b/consensus/state.go
@@ -2,24 +2,24 @@
 
 import "orchidjunction/message"
 
-// State is what a replica must never forget. Its fields are stored under the names in
-// their tags.
+// State is the durable state of a replica. A field with a tag is stored under the name in
+// the tag.
 type State struct {
 	// SinceBootstrap says that the disk has been there since the system's first start.
 	SinceBootstrap bool `msgpack:"Opening"`
-	// FormerRoster is only in data of releases in which no voter could be replaced.
+	// FormerRoster is set only in data of releases that could not replace a voter.
 	FormerRoster []message.Peer `msgpack:"Roster"`
-	// Initialized says that the replica may vote. A blank disk may not.
+	// Initialized says that the replica may vote. It is false on a blank disk.
 	Initialized bool `msgpack:"Founded"`
 	Promised    message.Term
 	Accepted    [message.Registers]message.AcceptedValue
 	Chunks      message.Chunks `msgpack:"Texts"`
 
-	// Committed are the versions that the replica knew to be committed.
+	// Committed holds the versions that the replica knows to be committed.
 	Committed message.Versions
 }
 
-// Record is one durable change of a State; only what changed is set.
+// Record is one durable change of a State. Only the fields that change are set.
 type Record struct {
 	SinceBootstrap bool           `msgpack:"Opening"`
 	FormerRoster   []message.Peer `msgpack:"Roster"`
@@ -29,21 +29,23 @@
 	Accepted       *message.AcceptedValue
 	Chunks         message.Chunks `msgpack:"Texts"`
 
-	// Renewed is the term under which the register's value was accepted once more.
+	// Renewed is the new term of the register's value, if the same value was accepted again.
 	Renewed *message.Term
 
 	Committed *message.Version
-	Then      []Record
+	// Then holds further records that are applied with this one, atomically.
+	Then []Record
 }
 
-// ProvenCommitted returns a register's accepted value if the replica knew it to be
-// committed: a later term holds the same value under the same serial.
+// ProvenCommitted returns a register's accepted value, and whether the replica knows it to
+// be committed. The committed version may be of an earlier term than the accepted one: a
+// later term has the same value under the same serial.
 func (state *State) ProvenCommitted(register message.Register) (message.AcceptedValue, bool) {
 	accepted, committed := state.Accepted[register], state.Committed[register]
 	return accepted, committed.Serial > 0 && committed.Serial == accepted.Value.Serial && !accepted.Term.Less(committed.Term)
 }
 
-// Membership returns the membership that was accepted last, nil if there is none.
+// Membership returns the membership that was accepted last, or nil if there is none.
 func (state *State) Membership() *Membership {
 	membership, err := DecodeMembership(state.Accepted[message.MembersRegister])
 	if err != nil {
@@ -52,10 +54,10 @@
 	return membership
 }
 
-// Versions returns those of the accepted values.
+// Versions returns the versions of the accepted values.
 func (state *State) Versions() message.Versions { return VersionsOf(state.Accepted) }
 
-// VersionsOf returns those of accepted values.
+// VersionsOf returns the versions of the given accepted values.
 func VersionsOf(accepted [message.Registers]message.AcceptedValue) message.Versions {
 	versions := message.Versions{}
 	for register := range versions {
@@ -64,19 +66,19 @@
 	return versions
 }
 
-// Size returns how many bytes the accepted values take.
+// Size returns the size of the accepted values and their chunks in bytes.
 func (state *State) Size() int {
 	size := 0
 	for register := range state.Accepted {
 		size += state.Accepted[register].Value.Size()
 	}
-	for _, text := range state.Chunks {
-		size += len(text)
+	for _, chunk := range state.Chunks {
+		size += len(chunk)
 	}
 	return size
 }
 
-// Upgrade makes the list of voters of a former release, which never changed, the first membership.
+// Upgrade converts the fixed list of voters of a former release to the first membership.
 func (state *State) Upgrade(voters []message.Peer) {
 	state.FormerRoster = nil
 	if len(voters) > 0 && state.Accepted[message.MembersRegister].Value.Serial == 0 {
@@ -84,7 +86,7 @@
 	}
 }
 
-// Apply makes the changes of a record.
+// Apply applies the changes of a record.
 func (state *State) Apply(record Record) {
 	state.SinceBootstrap = state.SinceBootstrap || record.SinceBootstrap
 	state.Initialized = state.Initialized || record.Initialized
@@ -109,16 +111,16 @@
 	}
 }
 
-// keepReferenced keeps the chunks that accepted values refer to, of the state's own and
-// of added ones. It makes a new map, since readers may hold the former one.
+// keepReferenced drops all chunks, of the state's own and of the added ones, that no
+// accepted value refers to. It makes a new map, since readers may hold the old one.
 func (state *State) keepReferenced(added message.Chunks) {
 	kept := make(message.Chunks, len(state.Chunks)+len(added))
 	for register := range state.Accepted {
 		for _, ref := range state.Accepted[register].Value.Chunks {
-			if text, found := added[ref.Digest]; found {
-				kept[ref.Digest] = text
-			} else if text, found := state.Chunks[ref.Digest]; found {
-				kept[ref.Digest] = text
+			if chunk, found := added[ref.Digest]; found {
+				kept[ref.Digest] = chunk
+			} else if chunk, found := state.Chunks[ref.Digest]; found {
+				kept[ref.Digest] = chunk
 			}
 		}
 	}
--- a/consensus/tracker.go
+++ b/consensus/tracker.go
@@ -7,27 +7,27 @@
 	"orchidjunction/rpc"
 )
 
-// Tracker holds the newest membership that a core knows: accepted on its disk, or heard
-// of since. It is safe for concurrent use.
+// Tracker holds the newest membership that a core knows, from its own disk or from other
+// cores. It is safe for concurrent use.
 type Tracker struct {
 	view     atomic.Pointer[View]
 	onChange func(before, after *View)
 }
 
-// NewTracker returns a Tracker that begins with a view. It calls onChange after each
-// change of the view, without a lock.
+// NewTracker returns a Tracker that starts with the given view. It calls onChange after
+// each change of the view, without holding a lock.
 func NewTracker(view *View, onChange func(before, after *View)) *Tracker {
 	tracker := &Tracker{onChange: onChange}
 	tracker.view.Store(view)
 	return tracker
 }
 
-// View returns the newest membership known, as this core sees it.
+// View returns this core's view of the newest known membership.
 func (tracker *Tracker) View() *View { return tracker.view.Load() }
 
-// Learn takes a membership if it is newer than the one known. It need not be decided:
-// whoever counts by it needs a quorum of it, which meets every quorum of the version
-// before it.
+// Learn adopts a membership that is newer than the known one. It need not be decided: each
+// of its quorums intersects every quorum of the version before it, so counting by it is
+// safe.
 func (tracker *Tracker) Learn(accepted message.AcceptedValue) error {
 	membership, err := DecodeMembership(accepted)
 	if err != nil || membership == nil {
@@ -46,8 +46,8 @@
 	}
 }
 
-// NewerThan returns the membership known if it is newer than a version, and else the
-// value of serial 0.
+// NewerThan returns the known membership if it is newer than the given version, and
+// otherwise the value of serial 0.
 func (tracker *Tracker) NewerThan(version message.Version) message.AcceptedValue {
 	view := tracker.View()
 	if !view.Known() || !version.Less(view.Version) {
@@ -56,8 +56,8 @@
 	return view.Accepted()
 }
 
-// Adopt makes a membership that is about to be written under a term the one that this
-// core counts by. It fails if a newer one is known.
+// Adopt makes this core count by a membership that it is about to write under a term. It
+// fails if a newer one is known.
 func (tracker *Tracker) Adopt(next *Membership, term message.Term) (*View, error) {
 	next.Version.Term = term
 	if err := tracker.Learn(next.Accepted()); err != nil {
@@ -65,22 +65,23 @@
 	}
 	view := tracker.View()
 	if view.Version != next.Version {
-		return nil, rpc.Errorf(rpc.StaleTerm, "a newer membership %v is known", view.Version)
+		return nil, rpc.Errorf(rpc.StaleTerm, "a newer membership (version %v) is known", view.Version)
 	}
 	return view, nil
 }
 
-// AdoptRewritten makes the membership that was written again under a term the one that
-// this core counts by. Its own replica may not have accepted that yet, and meanwhile the
-// core may have learned a step of a former leader's that was never decided.
+// AdoptRewritten makes this core count by the membership of a view, written again under a
+// term. Its own replica may not have accepted that yet, and the core may meanwhile have
+// learned a joint version of a former leader that was never decided.
 func (tracker *Tracker) AdoptRewritten(view *View, term message.Term) error {
 	rewritten := *view.Membership
 	_, err := tracker.Adopt(&rewritten, term)
 	return err
 }
 
-// MayRestore reports whether so many initialized replicas answered a voter with a blank
-// disk that it may fence them, by the membership that it asked them under.
+// MayRestore reports whether a voter with a blank disk may restore its replica: those that
+// responded with an initialized replica fence it (FencesWithout), and the voters have not
+// changed since it sent the requests by the given view.
 func (tracker *Tracker) MayRestore(view *View, responses map[int]*message.ReplicaStateResponse) bool {
 	return tracker.View().SameVoters(view) && view.MayLead(view.ID) && view.FencesWithout(view.ID, Agreed(responses, Initialized))
 }
--- a/consensus/view.go
+++ b/consensus/view.go
@@ -7,8 +7,8 @@
 	"orchidjunction/message"
 )
 
-// View is a membership as one core sees it. It is immutable. ID is the core's own, 0 if
-// it has no vote, and Peers are all voters but the core.
+// View is a membership from the perspective of one core. It is immutable. ID is the core's
+// own ID, or 0 if it is not a voter, and Peers are all other voters.
 type View struct {
 	*Membership
 	Address string
@@ -16,8 +16,8 @@
 	Peers   []message.Peer
 }
 
-// NewView returns the membership as the core at an address sees it. A nil membership
-// stands for none known yet.
+// NewView returns the view of the core at an address. A nil membership means that none is
+// known yet.
 func NewView(address string, membership *Membership) *View {
 	view := &View{Membership: membership, Address: address}
 	if membership == nil {
@@ -34,29 +34,28 @@
 	return view
 }
 
-// SameVoters reports whether two views count by the same voters, whatever their versions.
+// SameVoters reports whether two views have the same voters, regardless of their versions.
 func (view *View) SameVoters(other *View) bool {
 	return view.LastID == other.LastID && slices.Equal(view.Voters, other.Voters) && slices.Equal(view.Next, other.Next)
 }
 
-// Known reports whether there is a membership at all.
+// Known reports whether a membership is known.
 func (view *View) Known() bool { return view.Version.Serial > 0 }
 
 // Votes reports whether this core is a voter.
 func (view *View) Votes() bool { return view.ID > 0 }
 
-// Decides reports whether this core and the voters for which has returns true are a
-// quorum; a core without a vote never decides.
+// Decides reports whether this core together with the voters for which has returns true is
+// a quorum. It is false if this core is not a voter.
 func (view *View) Decides(has func(id int) bool) bool {
 	return view.Votes() && view.Quorum(func(id int) bool { return id == view.ID || has(id) })
 }
 
-// DecidedBy reports whether the voters for which has returns true are a quorum, without
-// counting this core by itself; a core without a vote never decides.
+// DecidedBy is like Decides, but counts this core only if has returns true for it.
 func (view *View) DecidedBy(has func(id int) bool) bool { return view.Votes() && view.Quorum(has) }
 
-// MajoritySize returns how many cores of the current voters are a majority; no number
-// suffices for a core without a vote.
+// MajoritySize returns the size of a majority of the current voters, or math.MaxInt if
+// this core is not a voter.
 func (view *View) MajoritySize() int {
 	if !view.Votes() {
 		return math.MaxInt
@@ -64,17 +63,17 @@
 	return message.Majority(view.Voters)
 }
 
-// Rank returns this core's position among the current voters, from 0.
+// Rank returns this core's index among the current voters, or 0 if it is not one of them.
 func (view *View) Rank() int {
 	return max(slices.IndexFunc(view.Voters, func(peer message.Peer) bool { return peer.ID == view.ID }), 0)
 }
 
-// Leader returns this core as the leader of a term.
+// Leader returns the description of this core as the leader of a term.
 func (view *View) Leader(term message.Term) message.Leader {
 	return message.Leader{Term: term, Core: view.ID, Address: view.Address}
 }
 
-// AddressOf returns a voter's address, and this core's if there is no such voter.
+// AddressOf returns a voter's address, or this core's own if no other voter has the ID.
 func (view *View) AddressOf(id int) string {
 	for _, peer := range view.Peers {
 		if peer.ID == id {
@@ -84,8 +83,8 @@
 	return view.Address
 }
 
-// Addresses returns those of all voters, this core's first if it votes or if no
-// membership is known.
+// Addresses returns the addresses of all voters, this core's own first. A core that is not
+// a voter includes its own address only if no membership is known.
 func (view *View) Addresses() []string {
 	all := []string{}
 	if view.Votes() || !view.Known() {
@@ -102,6 +101,7 @@
 	return append([]message.Peer{{ID: view.ID, Address: view.Address}}, view.Peers...)
 }
 
-// MayVoteAtOnce reports whether a core that first hears of this membership becomes a
-// voter of it at once. A disk that has been there since the first start never voted.
+// MayVoteAtOnce reports whether a core that learns its first membership may vote at once,
+// without a restore. That is safe on a blank disk that has been there since the system's
+// first start, since it has never voted.
 func (view *View) MayVoteAtOnce(sinceBootstrap bool) bool { return sinceBootstrap && view.Votes() }
