--- a/replica/replica.go
+++ b/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica is a core's durable part in the agreement: a Replica answers the
-// requests of candidates and leaders by the rules of package consensus, and each of its
-// answers is on disk (Store) before it is given.
+// Package replica implements a core's durable replica. A Replica responds to candidates and
+// leaders by the rules of package consensus, and stores each change on disk (Store) before
+// it responds.
 package replica
 
 import (
@@ -13,15 +13,15 @@
 	"orchidjunction/rpc"
 )
 
-// stallTimeout is how long the disk may take for one record until callers are refused
-// instead of waiting for it.
+// stallTimeout is the duration of a disk operation after which new requests are rejected
+// instead of waiting for the disk.
 const stallTimeout = 500 * time.Millisecond
 
-// Callbacks tell the owner of a Replica what changed. They are called by the goroutine
-// that caused the change, while it holds the replica's lock, and must not call the
-// replica's methods that write.
+// Callbacks notify the owner of a Replica of changes. They are called by the goroutine that
+// caused the change, while it holds the replica's lock, so they must not call methods of
+// the replica that write.
 type Callbacks struct {
-	// DiskFailed is called when the disk refused a record.
+	// DiskFailed is called when a record could not be stored.
 	DiskFailed func(err error)
 	// PromiseRaised is called when the replica has promised a newer term.
 	PromiseRaised func(term message.Term)
@@ -29,18 +29,19 @@
 	MembershipAccepted func(accepted message.AcceptedValue)
 }
 
-// Replica promises terms and accepts values. It is safe for concurrent use; State, Blank
-// and Stalled do not wait for the disk.
+// Replica promises terms and accepts values. It is safe for concurrent use. State, Blank
+// and Stalled never wait for the disk.
 type Replica struct {
 	lock      *concurrent.Lock
 	store     *Store
 	published atomic.Pointer[consensus.State]
 	callbacks Callbacks
 
+	// writingSince is the start of the disk operation in progress, nil if there is none.
 	writingSince atomic.Pointer[time.Time]
 }
 
-// New returns a Replica that keeps its state in a store.
+// New returns a Replica that stores its state in the given store.
 func New(store *Store, callbacks Callbacks) *Replica {
 	replica := &Replica{lock: concurrent.NewLock(), store: store, callbacks: callbacks}
 	replica.publish()
@@ -52,19 +53,19 @@
 	replica.published.Store(&state)
 }
 
-// State returns the last durable state. It must not be changed.
+// State returns the last durable state, which the caller must not change.
 func (replica *Replica) State() *consensus.State { return replica.published.Load() }
 
-// Blank reports whether the disk holds no initialized replica, which may not vote.
+// Blank reports whether the replica is not initialized, so that it may not vote.
 func (replica *Replica) Blank() bool { return !replica.State().Initialized }
 
-// Stalled reports whether the disk has not answered for so long that nobody should wait.
+// Stalled reports whether the current disk operation has taken longer than stallTimeout.
 func (replica *Replica) Stalled() bool {
 	since := replica.writingSince.Load()
 	return since != nil && time.Since(*since) > stallTimeout
 }
 
-// Prepare answers a candidate's PrepareRequest.
+// Prepare handles a candidate's PrepareRequest.
 func (replica *Replica) Prepare(request *message.PrepareRequest) (*message.PrepareResponse, error) {
 	if err := replica.lockToVote(); err != nil {
 		return nil, err
@@ -77,7 +78,7 @@
 	return response, nil
 }
 
-// Accept answers a leader's AcceptRequest.
+// Accept handles a leader's AcceptRequest.
 func (replica *Replica) Accept(request *message.AcceptRequest) (*message.AcceptResponse, error) {
 	if err := replica.lockToVote(); err != nil {
 		return nil, err
@@ -90,45 +91,45 @@
 	return response, nil
 }
 
-// lockToVote takes the lock if this replica may vote. Where the disk is stalled it
-// returns an error at once: callers that ask again and again must not pile up behind it
-// with what they brought.
+// lockToVote acquires the lock if this replica may vote. It returns an error at once if
+// the disk is stalled, so that repeated requests don't pile up in memory with their
+// payloads.
 func (replica *Replica) lockToVote() error {
 	if replica.Stalled() {
-		return rpc.Errorf(rpc.DiskFailure, "the disk does not answer")
+		return rpc.Errorf(rpc.DiskFailure, "disk is not responding")
 	}
 	replica.lock.Lock()
-	err := replica.mayVote()
+	err := replica.checkMayVote()
 	if err != nil {
 		replica.lock.Unlock()
 	}
 	return err
 }
 
-func (replica *Replica) mayVote() error {
+func (replica *Replica) checkMayVote() error {
 	if !replica.store.state.Initialized {
-		return rpc.Errorf(rpc.BlankDisk, "not restored yet")
+		return rpc.Errorf(rpc.BlankDisk, "replica is not initialized")
 	}
 	return replica.store.Err()
 }
 
-// Initialize makes a blank disk a replica that has promised a term and accepted copies
-// of values under it.
+// Initialize initializes a blank replica with a promised term and with copies of values,
+// which it accepts under that term.
 func (replica *Replica) Initialize(promised message.Term, accepted [message.Registers]message.AcceptedValue, chunks message.Chunks) error {
 	replica.lock.Lock()
 	defer replica.lock.Unlock()
 	return replica.append(replica.store.state.InitializeRecord(promised, accepted, chunks))
 }
 
-// MarkSinceBootstrap marks a blank disk as one of the system's first start.
+// MarkSinceBootstrap records that the disk has been there since the system's first start.
 func (replica *Replica) MarkSinceBootstrap() error {
 	replica.lock.Lock()
 	defer replica.lock.Unlock()
 	return replica.append(&consensus.Record{SinceBootstrap: true})
 }
 
-// Join makes a disk of the system's first start a voter under the membership that it was
-// told.
+// Join initializes the replica as a voter of a membership that it received, on a disk that
+// has been there since the system's first start.
 func (replica *Replica) Join(membership message.AcceptedValue) error {
 	replica.lock.Lock()
 	defer replica.lock.Unlock()
@@ -140,22 +141,22 @@
 }
 
 // MarkCommitted records that a register's accepted value is known to be committed, so
-// that it can be served after a restart before anybody leads.
+// that it can be served after a restart before there is a leader.
 func (replica *Replica) MarkCommitted(register message.Register, version message.Version) {
 	replica.lock.Lock()
 	defer replica.lock.Unlock()
-	// An error is reported to DiskFailed; without the mark others are asked again.
+	// An error is reported to DiskFailed. Without the record, other cores are asked again.
 	_ = replica.append(replica.store.state.CommittedRecord(register, version))
 }
 
-// append makes a record durable, publishes the new state and tells the owner what
-// changed. The caller holds the lock. Nothing happens without a record.
+// append stores a record, publishes the new state and calls the callbacks. It does nothing
+// for a nil record. The caller holds the lock.
 func (replica *Replica) append(record *consensus.Record) error {
 	if record == nil {
 		return nil
 	}
 	before := replica.State()
-	if err := replica.timed(func() error { return replica.store.Append(*record) }); err != nil {
+	if err := replica.trackDuration(func() error { return replica.store.Append(*record) }); err != nil {
 		replica.callbacks.DiskFailed(err)
 		return err
 	}
@@ -171,25 +172,25 @@
 	return nil
 }
 
-// timed runs one operation of the disk, whose duration Stalled sees.
-func (replica *Replica) timed(operation func() error) error {
+// trackDuration runs a disk operation and records its start for Stalled.
+func (replica *Replica) trackDuration(operation func() error) error {
 	now := time.Now()
 	replica.writingSince.Store(&now)
 	defer replica.writingSince.Store(nil)
 	return operation()
 }
 
-// Err returns why the store accepts nothing now, nil while it does.
+// Err returns the error that keeps the store from accepting records, or nil.
 func (replica *Replica) Err() error { return replica.store.Err() }
 
-// Repair makes a store that refused a record accept records again.
+// Repair makes the store accept records again after an error.
 func (replica *Replica) Repair() error {
 	replica.lock.Lock()
 	defer replica.lock.Unlock()
-	return replica.timed(replica.store.Repair)
+	return replica.trackDuration(replica.store.Repair)
 }
 
-// Store returns the store that holds the state.
+// Store returns the store of the replica's state.
 func (replica *Replica) Store() *Store { return replica.store }
 
 // Close closes the store.
--- a/replica/store.go
+++ b/replica/store.go
@@ -11,19 +11,19 @@
 	snapshotKind = "snapshot"
 )
 
-// Store keeps a consensus.State on disk: a journal with a snapshot beside it. Segment n holds the
-// records since snapshot n. A snapshot and its segment are durable before anything is
-// appended, so that the newest snapshot and the segment of its number are always the
-// whole state, whichever older files are still there.
+// Store keeps a consensus.State on disk, as snapshots and a journal. Segment n of the journal
+// holds the records since snapshot n. A snapshot and its segment are durable before anything
+// is appended, so that the newest snapshot and the segment with its number always make up
+// the complete state, whichever older files still exist.
 type Store struct {
 	disk    storage.Disk
 	state   consensus.State
 	journal *storage.Journal
 }
 
-// OpenStore restores the newest snapshot and the segment after it, and begins another
-// pair. If the disk refuses that, the store holds what it has read and accepts nothing
-// until Repair succeeds.
+// OpenStore reads the newest snapshot and its segment, and starts a new pair, or the first
+// segment if there is no state. If the disk refuses that, the store holds the state that it
+// has read and accepts no records until Repair succeeds.
 func OpenStore(disk storage.Disk) (*Store, error) {
 	store := &Store{disk: disk}
 	if err := storage.RemoveDrafts(disk); err != nil {
@@ -42,14 +42,15 @@
 		return nil, err
 	}
 	if replayed || hasSnapshot {
-		_ = store.rotate() // Err returns it until Repair succeeds
+		_ = store.rotate() // Err returns the error until Repair succeeds
 	} else {
 		_ = store.journal.Begin(newest) // as above
 	}
 	return store, nil
 }
 
-// readSnapshot restores the newest snapshot, if there is one, and returns its number.
+// readSnapshot reads the newest snapshot into the state and returns its number. It returns
+// false if there is none.
 func (store *Store) readSnapshot() (uint64, bool, error) {
 	numbers, err := storage.FileNumbers(store.disk, snapshotKind)
 	if err != nil || len(numbers) == 0 {
@@ -72,11 +73,11 @@
 	return nil
 }
 
-// Err returns why the store accepts nothing now, nil while it does.
+// Err returns the error that keeps the store from accepting records, or nil.
 func (store *Store) Err() error { return store.journal.Err() }
 
-// Repair continues in a new segment behind a fresh snapshot, after an error left the
-// end of the last segment unknown.
+// Repair makes the store accept records again after an error. It starts a new segment with
+// a new snapshot, since the end of the last segment is unknown after an error.
 func (store *Store) Repair() error {
 	if store.Err() == nil {
 		return nil
@@ -84,9 +85,9 @@
 	return store.rotate()
 }
 
-// Append applies a record. It is durable once Append returns without an error; after an
-// error the store accepts nothing until it is repaired. A record is one frame: torn in
-// any way, all of it is cut.
+// Append stores a record durably and applies it to the state. After an error the store
+// accepts no records until it is repaired. A record is one frame, so that a torn write
+// loses all of it.
 func (store *Store) Append(record consensus.Record) error {
 	if err := store.Err(); err != nil {
 		return err
@@ -107,9 +108,9 @@
 	return nil
 }
 
-// rotate writes a snapshot, begins the next segment and removes what both replace.
-// Until the segment is begun nothing changes for the journal, so that a rotation which
-// failed halfway is done again from its start.
+// rotate writes a snapshot, starts the next segment and removes the files that these
+// replace. The journal keeps its segment number until the next segment is started, so that
+// a failed rotation is repeated from the beginning.
 func (store *Store) rotate() error {
 	next := store.journal.Number() + 1
 	if err := storage.WriteSnapshot(store.disk, snapshotKind, next, &store.state); err != nil {
@@ -122,32 +123,32 @@
 	return nil
 }
 
-// removeBefore removes what the snapshot of that number replaces, as far as the disk
-// lets it; the next one removes the rest. Removals that a power loss undoes bring back
-// files that OpenStore ignores.
+// removeBefore removes the files that the snapshot with the given number replaces. Files
+// that it fails to remove are left to the next rotation. It does not sync the removals: if
+// a power loss undoes them, OpenStore ignores the files.
 func (store *Store) removeBefore(number uint64) {
-	unsynced := func() error { return nil }
-	_ = storage.RemoveBefore(store.disk, segmentKind, number, unsynced)
-	_ = storage.RemoveBefore(store.disk, snapshotKind, number, unsynced)
+	noSync := func() error { return nil }
+	_ = storage.RemoveBefore(store.disk, segmentKind, number, noSync)
+	_ = storage.RemoveBefore(store.disk, snapshotKind, number, noSync)
 }
 
 // Close closes the last segment.
 func (store *Store) Close() { store.journal.Close() }
 
-// State returns a copy of what is stored.
+// State returns a copy of the stored state.
 func (store *Store) State() *consensus.State {
 	state := store.state
 	return &state
 }
 
-// LimitSegments sets after how many bytes the next segment is begun.
+// LimitSegments sets the size in bytes above which the next segment is started.
 func (store *Store) LimitSegments(bytes int64) { store.journal.LimitSegments(bytes) }
 
-// CloneFor returns a copy of the store on another disk, where file stands for the last
-// segment. Models use it to fork a machine.
+// CloneFor returns a copy of the store that uses another disk and appends to the given file
+// there. Model checks use it to fork a simulated machine.
 func (store *Store) CloneFor(disk storage.Disk, file storage.File) *Store {
 	return &Store{disk: disk, state: store.state, journal: store.journal.CloneFor(disk, file)}
 }
 
-// LastSegment returns the file that the store appends to.
+// LastSegment returns the file of the last segment, which records are appended to.
 func (store *Store) LastSegment() storage.File { return store.journal.LastSegment() }
