--- a/replica/inherited_test.go
+++ b/replica/inherited_test.go
@@ -9,39 +9,40 @@
 	"orchidjunction/replica"
 )
 
-// A value that was accepted by reference under a new term is the one held before, is on disk
-// as that before the answer is given, and costs no second copy of a large value there.
+// A replica that accepts its value by reference under a new term keeps the same value, has
+// stored this before it responds, and does not write a large value to disk a second time. A
+// reference to another version is rejected.
 func TestInheritedValueIsAcceptedByReference(test *testing.T) {
 	const large = 2 << 20
 	first, second := message.Term{Number: 1, Core: 1}, message.Term{Number: 2, Core: 2}
 	disk := simulation.NewDisk(1)
-	voter := founded(test, disk)
-	whole := &message.AcceptRequest{
+	voter := newInitializedReplica(test, disk)
+	request := &message.AcceptRequest{
 		Term:     first,
 		Register: message.RoutingRegister,
 		Value:    message.Value{Serial: 7, Body: make([]byte, large)},
 	}
-	if response, err := voter.Accept(whole); err != nil || !response.Accepted {
+	if response, err := voter.Accept(request); err != nil || !response.Accepted {
 		test.Fatal(response, err)
 	}
-	again := *whole
-	again.Term = second
+	renewal := *request
+	renewal.Term = second
 	for name, inherited := range map[string]message.Version{
 		"another term":   {Term: message.Term{Number: 1, Core: 2}, Serial: 7},
 		"another serial": {Term: first, Serial: 8},
 	} {
-		response, err := voter.Accept(again.ByReference(inherited))
+		response, err := voter.Accept(renewal.ByReference(inherited))
 		if err != nil || response.Accepted || !response.LacksValue {
-			test.Errorf("%s: %+v %v", name, response, err)
+			test.Errorf("reference to %s: response %+v, error %v", name, response, err)
 		}
 	}
-	reference := again.ByReference(message.Version{Term: first, Serial: 7})
+	reference := renewal.ByReference(message.Version{Term: first, Serial: 7})
 	before := disk.MostUsed()
 	if response, err := voter.Accept(reference); err != nil || !response.Accepted {
 		test.Fatal(response, err)
 	}
 	if added := disk.MostUsed() - before; added > large/2 {
-		test.Errorf("the reference took %d bytes of disk", added)
+		test.Errorf("accepting by reference used %d bytes of disk", added)
 	}
 	store, err := replica.OpenStore(disk.Sever(true))
 	if err != nil {
@@ -49,14 +50,14 @@
 	}
 	accepted, promised := store.State().Accepted[message.RoutingRegister], store.State().Promised
 	if accepted.Term != second || accepted.Value.Serial != 7 || len(accepted.Value.Body) != large || promised != second {
-		test.Errorf("after a loss of power: %s, serial %d, %d bytes, promised %s",
+		test.Errorf("after a power loss: term %s, serial %d, %d bytes, promised %s",
 			accepted.Term, accepted.Value.Serial, len(accepted.Value.Body), promised)
 	}
 }
 
-// A promise brings only what is newer than the candidate holds; what it holds under the same
-// version is filled in from its own copy, and what is inherited is whole.
-func TestPromiseLeavesOutWhatTheCandidateHolds(test *testing.T) {
+// A promise contains only values that are newer than the candidate's. The candidate fills in
+// those of the same version from its own copy, so that every inherited value is complete.
+func TestPromiseOmitsValuesThatCandidateHolds(test *testing.T) {
 	term := func(number uint64) message.Term { return message.Term{Number: number, Core: 1} }
 	accepted := func(number, serial uint64, body string) message.AcceptedValue {
 		return message.AcceptedValue{Term: term(number), Value: message.Value{Serial: serial, Body: []byte(body)}}
@@ -71,7 +72,7 @@
 	promise, _ := state.Prepare(&message.PrepareRequest{Term: term(9), Held: consensus.VersionsOf(candidate)})
 	for register, want := range []string{"", "", "newer there"} {
 		if got := string(promise.Accepted[register].Value.Body); got != want {
-			test.Errorf("register %d brings %q", register, got)
+			test.Errorf("register %d: promise contains wrong body %q", register, got)
 		}
 	}
 	consensus.CompletePromise(promise, candidate)
@@ -79,7 +80,7 @@
 	inherited, _ := consensus.InheritedValues(consensus.NewView("", &consensus.Membership{}), promises)
 	for register, want := range []string{"same", "newer here", "newer there"} {
 		if got := string(inherited[register].Value.Body); got != want {
-			test.Errorf("register %d: %q inherited", register, got)
+			test.Errorf("register %d: inherited wrong body %q", register, got)
 		}
 	}
 }
--- a/replica/restored_test.go
+++ b/replica/initialize_test.go
@@ -8,14 +8,14 @@
 	"orchidjunction/replica"
 )
 
-// A blank disk that took over what others hold has accepted it under its own
-// ballot only: counted under theirs, copies of one vote would look like a majority.
-func TestInheritedValueIsNoVoteOfTheFormerTerm(test *testing.T) {
+// A restored replica accepts the values that it copied from others under its own term only.
+// If they counted under their former terms, copies of one vote would look like a majority.
+func TestRestoredValueIsNoVoteForFormerTerm(test *testing.T) {
 	store, err := replica.OpenStore(simulation.NewDisk(1))
 	if err != nil {
 		test.Fatal(err)
 	}
-	voter := replica.New(store, failing(test))
+	voter := replica.New(store, failOnDiskError(test))
 	accepted := [message.Registers]message.AcceptedValue{}
 	accepted[message.RoutingRegister] = message.AcceptedValue{
 		Term:  message.Term{Number: 3, Core: 2},
@@ -27,9 +27,9 @@
 	}
 	state := voter.State()
 	if want := (message.Version{Term: own, Serial: 7}); state.Versions()[message.RoutingRegister] != want || state.Promised != own {
-		test.Errorf("promised %v, routing %v", state.Promised, state.Versions()[message.RoutingRegister])
+		test.Errorf("promised %v, routing register has version %v", state.Promised, state.Versions()[message.RoutingRegister])
 	}
-	if never := state.Versions()[message.ReportsRegister]; never != (message.Version{}) {
-		test.Errorf("reports, never written, %v", never)
+	if version := state.Versions()[message.ReportsRegister]; version != (message.Version{}) {
+		test.Errorf("reports register was never written, but has version %v", version)
 	}
 }
--- a/replica/power_test.go
+++ b/replica/power_test.go
@@ -10,154 +10,157 @@
 	"orchidjunction/replica"
 )
 
-const smallSegment = 6000
+// segmentBytes is small, so that the store rotates often.
+const segmentBytes = 6000
 
-// witness drives a voter and remembers what it answered for.
-type witness struct {
-	test     *testing.T
-	random   *rand.Rand
-	voter    *replica.Replica
-	store    *replica.Store
-	round    uint64
-	promised message.Term
-	marks    message.Versions
-	bodies   map[message.Version]byte
+// durabilityChecker sends requests to a replica and checks that its state keeps what it has
+// acknowledged.
+type durabilityChecker struct {
+	test       *testing.T
+	random     *rand.Rand
+	voter      *replica.Replica
+	store      *replica.Store
+	termNumber uint64
+	promised   message.Term
+	accepted   message.Versions
+	// lastBytes holds the last byte of each value sent, to recognize its content.
+	lastBytes map[message.Version]byte
 }
 
-// open starts a voter on the disk; what was answered for must be there, and what
-// is there counts as answered for once the disk has taken it anew.
-func (witness *witness) open(disk *simulation.Disk) error {
+// open starts a replica on the disk and checks that it has all that was acknowledged. Once
+// the store has written its state to new files, that counts as acknowledged too.
+func (checker *durabilityChecker) open(disk *simulation.Disk) error {
 	store, err := replica.OpenStore(disk)
 	if err != nil {
 		return err
 	}
-	store.LimitSegments(smallSegment)
-	witness.store = store
-	witness.voter = replica.New(store, noCallbacks())
-	witness.judge()
+	store.LimitSegments(segmentBytes)
+	checker.store = store
+	checker.voter = replica.New(store, noCallbacks())
+	checker.checkState()
 	if store.Err() == nil {
-		witness.promised, witness.marks = witness.voter.State().Promised, witness.voter.State().Versions()
+		checker.promised, checker.accepted = checker.voter.State().Promised, checker.voter.State().Versions()
 	}
 	return nil
 }
 
-// judge compares what is held with what was answered: nothing less, and nothing
-// that was never offered.
-func (witness *witness) judge() {
-	witness.test.Helper()
-	state := witness.voter.State()
-	if state.Promised.Less(witness.promised) {
-		witness.test.Fatalf("promised %v, holds %v", witness.promised, state.Promised)
+// checkState fails the test if the replica's state is older than what it acknowledged, or
+// has a value that it was never sent.
+func (checker *durabilityChecker) checkState() {
+	checker.test.Helper()
+	state := checker.voter.State()
+	if state.Promised.Less(checker.promised) {
+		checker.test.Fatalf("replica promised %v, but its state has %v", checker.promised, state.Promised)
 	}
 	for register, version := range state.Versions() {
-		if version.Less(witness.marks[register]) {
-			witness.test.Fatalf("register %d: took %v, holds %v", register, witness.marks[register], version)
+		if version.Less(checker.accepted[register]) {
+			checker.test.Fatalf("register %d: replica accepted %v, but its state has %v", register, checker.accepted[register], version)
 		}
 		body := state.Accepted[register].Value.Body
-		if version.Serial > 0 && (len(body) == 0 || body[len(body)-1] != witness.bodies[version]) {
-			witness.test.Fatalf("register %d: other content under %v", register, version)
+		if version.Serial > 0 && (len(body) == 0 || body[len(body)-1] != checker.lastBytes[version]) {
+			checker.test.Fatalf("register %d: wrong content of version %v", register, version)
 		}
 	}
 }
 
-// promise asks for a ballot by the membership that the voter holds.
-func (witness *witness) promise(term message.Term) *message.PrepareRequest {
-	return &message.PrepareRequest{Term: term, Membership: witness.voter.State().Accepted[message.MembersRegister]}
+// prepareRequest returns a request for a term with the replica's own membership.
+func (checker *durabilityChecker) prepareRequest(term message.Term) *message.PrepareRequest {
+	return &message.PrepareRequest{Term: term, Membership: checker.voter.State().Accepted[message.MembersRegister]}
 }
 
-// step promises or accepts once; false when the voter has not answered.
-func (witness *witness) step() bool {
-	witness.round = max(witness.round, witness.voter.State().Promised.Number) + 1
-	term := message.Term{Number: witness.round, Core: 1}
-	if witness.random.IntN(3) == 0 {
-		response, err := witness.voter.Prepare(witness.promise(term))
+// step sends one Prepare or Accept request and reports whether the replica responded.
+func (checker *durabilityChecker) step() bool {
+	checker.termNumber = max(checker.termNumber, checker.voter.State().Promised.Number) + 1
+	term := message.Term{Number: checker.termNumber, Core: 1}
+	if checker.random.IntN(3) == 0 {
+		response, err := checker.voter.Prepare(checker.prepareRequest(term))
 		if err != nil {
 			return false
 		}
 		if !response.Granted {
-			witness.test.Fatalf("%v not promised over %v", term, response.Promised)
+			checker.test.Fatalf("term %v was not granted, promised is %v", term, response.Promised)
 		}
-		witness.promised = term
+		checker.promised = term
 		return true
 	}
-	register := message.Register(witness.random.IntN(int(message.Registers)))
-	body := make([]byte, 1+witness.random.IntN(4000))
-	body[len(body)-1] = byte(witness.random.IntN(255) + 1)
+	register := message.Register(checker.random.IntN(int(message.Registers)))
+	body := make([]byte, 1+checker.random.IntN(4000))
+	body[len(body)-1] = byte(checker.random.IntN(255) + 1)
 	version := message.Version{Term: term, Serial: term.Number}
-	witness.bodies[version] = body[len(body)-1]
-	response, err := witness.voter.Accept(
+	checker.lastBytes[version] = body[len(body)-1]
+	response, err := checker.voter.Accept(
 		&message.AcceptRequest{Term: term, Register: register, Value: message.Value{Serial: term.Number, Body: body}},
 	)
 	if err != nil {
 		return false
 	}
 	if !response.Accepted {
-		witness.test.Fatalf("%v not taken under %v", term, response.Promised)
+		checker.test.Fatalf("value of term %v was not accepted, promised is %v", term, response.Promised)
 	}
-	witness.promised, witness.marks[register] = term, version
+	checker.promised, checker.accepted[register] = term, version
 	return true
 }
 
-// The process ends at any call to the disk and the power goes, or stays and goes
-// later: whatever was answered lasts, and the store opens, though each file that
-// was made, renamed or removed since its folder's sync is kept or lost by itself.
-func TestAnsweredLastsFileByFile(test *testing.T) {
-	undone, rolled := 0, 0
+// The process dies at any disk call, with or without a power loss. Everything that was
+// acknowledged survives and the store opens, although each file that was created, renamed or
+// removed since the last sync of the folder may be kept or lost independently.
+func TestAcknowledgedStateSurvivesLossOfSingleFiles(test *testing.T) {
+	namesChanged, snapshotsLeft := 0, 0
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		disk := simulation.NewDisk(seed)
-		witness := &witness{test: test, random: random, bodies: map[message.Version]byte{}}
+		checker := &durabilityChecker{test: test, random: random, lastBytes: map[message.Version]byte{}}
 		for round := range 12 {
 			if random.IntN(3) == 0 {
 				disk.DieAfter(1 + random.IntN(10))
-				_ = witness.open(disk) // dies on the way or not
+				_ = checker.open(disk) // the process may die while it opens the store
 				disk = disk.Sever(random.IntN(2) == 0)
 			}
-			if err := witness.open(disk); err != nil {
+			if err := checker.open(disk); err != nil {
 				names, _ := disk.List()
-				test.Fatalf("seed %d round %d: %v, files %v", seed, round, err, names)
+				test.Fatalf("seed %d round %d: open store: %v, files %v", seed, round, err, names)
 			}
-			if err := witness.voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
-				test.Fatalf("seed %d: founding: %v", seed, err)
+			if err := checker.voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
+				test.Fatalf("seed %d: initialize: %v", seed, err)
 			}
 			disk.DieAfter(1 + random.IntN(120))
-			for witness.step() {
+			for checker.step() {
 			}
 			before, _ := disk.List()
 			disk = disk.Sever(random.IntN(4) > 0)
 			after, _ := disk.List()
 			if strings.Join(before, " ") != strings.Join(after, " ") {
-				undone++
+				namesChanged++
 			}
 			if len(after) > 0 && strings.HasPrefix(after[len(after)-1], "snapshot") {
-				rolled++
+				snapshotsLeft++
 			}
 		}
 	}
-	if undone < 400 || rolled < 1000 {
-		test.Fatalf("too few tried: names changed at %d losses, snapshots at %d", undone, rolled)
+	if namesChanged < 400 || snapshotsLeft < 1000 {
+		test.Fatalf("too few cases covered: file names changed in %d crashes, a snapshot was left in %d", namesChanged, snapshotsLeft)
 	}
 }
 
-// A disk refuses writes, syncs, changes of names or all of them, or is full, for a
-// while: meanwhile nothing is answered; afterwards the voter goes on without a
-// restart, and what it answered before and after lasts through a power loss.
-func TestRefusedAnswersNothingAndGoesOn(test *testing.T) {
-	refused := 0
+// A disk temporarily fails writes, syncs, changes of names or all of them, or is full. The
+// replica acknowledges nothing while its store has an error, and continues after the repair
+// without a restart. What it acknowledged before and after survives a power loss.
+func TestReplicaRecoversFromDiskErrors(test *testing.T) {
+	stepsWithError := 0
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 4))
 		disk := simulation.NewDisk(seed)
-		witness := &witness{test: test, random: random, bodies: map[message.Version]byte{}}
+		checker := &durabilityChecker{test: test, random: random, lastBytes: map[message.Version]byte{}}
 		for range 10 {
-			if err := witness.open(disk); err != nil {
-				test.Fatalf("seed %d: %v", seed, err)
+			if err := checker.open(disk); err != nil {
+				test.Fatalf("seed %d: open store: %v", seed, err)
 			}
-			if err := witness.voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
-				test.Fatalf("seed %d: founding: %v", seed, err)
+			if err := checker.voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
+				test.Fatalf("seed %d: initialize: %v", seed, err)
 			}
 			for range random.IntN(9) {
-				if !witness.step() {
-					test.Fatalf("seed %d: refused by a sound disk", seed)
+				if !checker.step() {
+					test.Fatalf("seed %d: request failed on a healthy disk", seed)
 				}
 			}
 			for range random.IntN(3) {
@@ -166,27 +169,27 @@
 				)
 				disk.Room(disk.Used() + 1 + random.IntN(9000))
 				for range 8 {
-					if witness.store.Err() != nil {
-						refused++
-						witness.judge()
-						if _, err := witness.voter.Prepare(witness.promise(witness.promised)); err == nil {
-							test.Fatalf("seed %d: promised by a disk that refuses", seed)
+					if checker.store.Err() != nil {
+						stepsWithError++
+						checker.checkState()
+						if _, err := checker.voter.Prepare(checker.prepareRequest(checker.promised)); err == nil {
+							test.Fatalf("seed %d: term granted although the store has an error", seed)
 						}
-						_ = witness.voter.Repair() // the disk may still refuse
+						_ = checker.voter.Repair() // the disk may still fail
 					}
-					witness.step()
+					checker.step()
 				}
 				if random.IntN(4) == 0 {
 					break
 				}
 				disk.Refuse(simulation.Refusal{})
 				disk.Room(0)
-				if err := witness.voter.Repair(); err != nil {
-					test.Fatalf("seed %d: %v", seed, err)
+				if err := checker.voter.Repair(); err != nil {
+					test.Fatalf("seed %d: repair: %v", seed, err)
 				}
 				for range random.IntN(4) {
-					if !witness.step() {
-						test.Fatalf("seed %d: does not go on", seed)
+					if !checker.step() {
+						test.Fatalf("seed %d: request failed after the repair", seed)
 					}
 				}
 			}
@@ -195,7 +198,7 @@
 			disk.Room(0)
 		}
 	}
-	if refused < 2000 {
-		test.Fatalf("only %d steps were refused", refused)
+	if stepsWithError < 2000 {
+		test.Fatalf("too few cases covered: the store had an error at %d steps", stepsWithError)
 	}
 }
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -13,7 +13,7 @@
 	"orchidjunction/rpc"
 )
 
-// noCallbacks ignore all that changes.
+// noCallbacks returns callbacks that do nothing.
 func noCallbacks() replica.Callbacks {
 	return replica.Callbacks{
 		DiskFailed:         func(error) {},
@@ -22,50 +22,50 @@
 	}
 }
 
-// failing are callbacks that fail the test when the disk fails.
-func failing(test *testing.T) replica.Callbacks {
+// failOnDiskError returns callbacks that fail the test if the disk fails.
+func failOnDiskError(test *testing.T) replica.Callbacks {
 	callbacks := noCallbacks()
 	callbacks.DiskFailed = func(err error) { test.Error(err) }
 	return callbacks
 }
 
-// TestVoter sends one message after another, each changed in one thing, and
-// shows what was answered and what a power loss would leave.
-func TestVoter(test *testing.T) {
+// TestReplicaResponses sends a series of requests and shows the responses, the callbacks and
+// the state that survives a power loss.
+func TestReplicaResponses(test *testing.T) {
 	datadriven.Walk(test, "testdata/replica", func(test *testing.T, path string) {
 		disk := simulation.NewDisk(1)
-		raised := []string{}
+		events := []string{}
 		open := func() *replica.Replica {
 			store, err := replica.OpenStore(disk)
 			if err != nil {
 				test.Fatal(err)
 			}
 			callbacks := noCallbacks()
-			callbacks.DiskFailed = func(err error) { raised = append(raised, string(rpc.CodeOf(err))) }
-			callbacks.PromiseRaised = func(term message.Term) { raised = append(raised, "raised to "+term.String()) }
+			callbacks.DiskFailed = func(err error) { events = append(events, string(rpc.CodeOf(err))) }
+			callbacks.PromiseRaised = func(term message.Term) { events = append(events, "promise raised to "+term.String()) }
 			return replica.New(store, callbacks)
 		}
 		voter := open()
 		datadriven.RunTest(test, path, func(test *testing.T, line *datadriven.TestData) string {
-			var round uint64
+			var number uint64
 			var core, register int
 			var serial uint64
-			line.MaybeScanArgs(test, "round", &round)
+			line.MaybeScanArgs(test, "term", &number)
 			line.MaybeScanArgs(test, "core", &core)
 			line.MaybeScanArgs(test, "register", &register)
 			line.MaybeScanArgs(test, "serial", &serial)
-			term := message.Term{Number: round, Core: core}
-			answer := ""
-			raised = nil
+			term := message.Term{Number: number, Core: core}
+			result := ""
+			events = nil
 			switch line.Cmd {
-			case "found":
-				answer = fmt.Sprint(voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil) == nil)
-			case "promise":
+			case "initialize":
+				result = fmt.Sprint(voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil) == nil)
+			case "prepare":
 				if response, err := voter.Prepare(&message.PrepareRequest{Term: term}); err != nil {
-					answer = string(rpc.CodeOf(err))
+					result = string(rpc.CodeOf(err))
 				} else {
-					answer = fmt.Sprintf(
-						"granted %v, promised %s, settings %d under %s",
+					result = fmt.Sprintf(
+						"granted %v, promised %s, settings: serial %d of term %s",
 						response.Granted,
 						response.Promised,
 						response.Accepted[0].Value.Serial,
@@ -76,24 +76,24 @@
 				if response, err := voter.Accept(
 					&message.AcceptRequest{Term: term, Register: message.Register(register), Value: message.Value{Serial: serial}},
 				); err != nil {
-					answer = string(rpc.CodeOf(err))
+					result = string(rpc.CodeOf(err))
 				} else {
-					answer = fmt.Sprintf("taken %v, promised %s", response.Accepted, response.Promised)
+					result = fmt.Sprintf("accepted %v, promised %s", response.Accepted, response.Promised)
 				}
-			case "fail":
+			case "disk-fails":
 				disk.Fail(true)
-				answer = "every write fails from here"
-			case "heal":
+				result = "writes fail from now on"
+			case "disk-recovers":
 				disk.Fail(false)
-				answer = "writes are taken from here"
+				result = "writes succeed from now on"
 			case "repair":
-				answer = fmt.Sprint(voter.Repair() == nil)
-			case "power":
+				result = fmt.Sprint(voter.Repair() == nil)
+			case "power-loss":
 				disk = disk.Sever(true)
 				voter = open()
 				state := voter.State()
-				answer = fmt.Sprintf(
-					"founded %v, promised %s, settings %d under %s, reports %d under %s",
+				result = fmt.Sprintf(
+					"initialized %v, promised %s, settings: serial %d of term %s, reports: serial %d of term %s",
 					state.Initialized,
 					state.Promised,
 					state.Accepted[0].Value.Serial,
@@ -102,12 +102,12 @@
 					state.Accepted[1].Term,
 				)
 			default:
-				test.Fatalf("no command %s", line.Cmd)
+				test.Fatalf("unknown command %s", line.Cmd)
 			}
-			if len(raised) > 0 {
-				answer += "; " + strings.Join(raised, ", ")
+			if len(events) > 0 {
+				result += "; " + strings.Join(events, ", ")
 			}
-			return answer + "\n"
+			return result + "\n"
 		})
 	})
 }
--- a/replica/stall_test.go
+++ b/replica/stall_test.go
@@ -12,39 +12,44 @@
 	"orchidjunction/rpc"
 )
 
-// While a disk does not answer, who comes late is refused at once and who came early
-// waits; what is synced can be read; once it answers the voter goes on.
-func TestStalledVoterRefusesWhoComesLate(test *testing.T) {
+// While a disk is stalled, a replica rejects new requests at once, the request that began
+// earlier waits, and the state can be read. Once the disk responds, the replica continues.
+func TestStalledReplicaRejectsNewRequests(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		disk, goroutines := simulation.NewDisk(1), concurrent.NewGroup()
 		store, err := replica.OpenStore(disk)
 		if err != nil {
 			test.Fatal(err)
 		}
-		voter := replica.New(store, failing(test))
+		voter := replica.New(store, failOnDiskError(test))
 		if err := voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
 			test.Fatal(err)
 		}
 		disk.Stall(true)
-		var early error
-		goroutines.Start(func() { _, early = voter.Prepare(&message.PrepareRequest{Term: message.Term{Number: 1, Core: 1}}) })
+		var earlierErr error
+		goroutines.Start(func() { _, earlierErr = voter.Prepare(&message.PrepareRequest{Term: message.Term{Number: 1, Core: 1}}) })
 		goroutines.Sleep(time.Second)
 		begin := time.Now()
-		for round := range uint64(20) {
+		for index := range uint64(20) {
 			if _, err := voter.Accept(
-				&message.AcceptRequest{Term: message.Term{Number: 2 + round, Core: 1}, Value: message.Value{Serial: 1}},
+				&message.AcceptRequest{Term: message.Term{Number: 2 + index, Core: 1}, Value: message.Value{Serial: 1}},
 			); err == nil ||
 				rpc.CodeOf(err) != rpc.DiskFailure {
-				test.Fatalf("accept: %v", err)
+				test.Fatalf("accept on a stalled disk: error %v, want code disk_fault", err)
 			}
 		}
 		if !voter.Stalled() || voter.State().Promised.Number != 0 || time.Since(begin) > 0 {
-			test.Errorf("stalled %v, promised %v, after %v", voter.Stalled(), voter.State().Promised, time.Since(begin))
+			test.Errorf(
+				"during the stall: stalled %v, promised %v, rejections took %v",
+				voter.Stalled(),
+				voter.State().Promised,
+				time.Since(begin),
+			)
 		}
 		disk.Stall(false)
 		goroutines.Wait()
-		if early != nil || voter.Stalled() || voter.State().Promised.Number != 1 {
-			test.Errorf("then %v, stalled %v, promised %v", early, voter.Stalled(), voter.State().Promised)
+		if earlierErr != nil || voter.Stalled() || voter.State().Promised.Number != 1 {
+			test.Errorf("after the stall: error %v, stalled %v, promised %v", earlierErr, voter.Stalled(), voter.State().Promised)
 		}
 	})
 }
--- a/replica/store_test.go
+++ b/replica/store_test.go
@@ -13,34 +13,34 @@
 	"orchidjunction/rpc"
 )
 
-// fill makes steps on a voter and returns what it answered for last.
-func fill(test *testing.T, disk *simulation.Disk, random *rand.Rand, steps int) *consensus.State {
+// writeToDisk opens a replica on the disk, sends it random requests and returns its state.
+func writeToDisk(test *testing.T, disk *simulation.Disk, random *rand.Rand, count int) *consensus.State {
 	test.Helper()
-	return take(founded(test, disk), random, steps)
+	return sendRequests(newInitializedReplica(test, disk), random, count)
 }
 
-// founded is a voter on the disk.
-func founded(test *testing.T, disk *simulation.Disk) *replica.Replica {
+// newInitializedReplica returns an initialized replica on the disk.
+func newInitializedReplica(test *testing.T, disk *simulation.Disk) *replica.Replica {
 	test.Helper()
 	store, err := replica.OpenStore(disk)
 	if err != nil {
 		test.Fatal(err)
 	}
-	voter := replica.New(store, failing(test))
+	voter := replica.New(store, failOnDiskError(test))
 	if err := voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
 		test.Fatal(err)
 	}
 	return voter
 }
 
-// take makes steps and returns what was answered for last.
-func take(voter *replica.Replica, random *rand.Rand, steps int) *consensus.State {
-	for range steps {
+// sendRequests sends random requests and returns the state after them.
+func sendRequests(voter *replica.Replica, random *rand.Rand, count int) *consensus.State {
+	for range count {
 		term := voter.State().Promised
 		term.Number++
 		term.Core = 1
 		if random.IntN(2) == 0 {
-			_, _ = voter.Prepare(&message.PrepareRequest{Term: term}) // the state tells what was answered for
+			_, _ = voter.Prepare(&message.PrepareRequest{Term: term}) // the state shows what was acknowledged
 			continue
 		}
 		_, _ = voter.Accept(
@@ -54,7 +54,7 @@
 	return voter.State()
 }
 
-// newestSegment is the file that steps are appended to.
+// newestSegment returns the name of the segment that is appended to.
 func newestSegment(disk *simulation.Disk) string {
 	names, _ := disk.List()
 	newest := ""
@@ -66,29 +66,29 @@
 	return newest
 }
 
-func same(left, right *consensus.State) bool {
+func sameState(left, right *consensus.State) bool {
 	return left.Initialized == right.Initialized && left.Promised == right.Promised && left.Versions() == right.Versions()
 }
 
-// Whatever was answered lasts through a power loss, over many segments.
-func TestAnsweredLasts(test *testing.T) {
+// The acknowledged state survives power losses, over many segments.
+func TestAcknowledgedStateSurvivesPowerLoss(test *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		disk := simulation.NewDisk(seed)
 		for round := range 4 {
-			answered := fill(test, disk, random, 15)
+			acknowledged := writeToDisk(test, disk, random, 15)
 			disk = disk.Sever(true)
 			store, err := replica.OpenStore(disk)
 			if err != nil {
 				test.Fatalf("seed %d round %d: %v", seed, round, err)
 			}
-			if !same(answered, store.State()) {
+			if !sameState(acknowledged, store.State()) {
 				test.Fatalf(
-					"seed %d round %d: answered %v %v, kept %v %v",
+					"seed %d round %d: acknowledged %v %v, restored %v %v",
 					seed,
 					round,
-					answered.Promised,
-					answered.Versions(),
+					acknowledged.Promised,
+					acknowledged.Versions(),
 					store.State().Promised,
 					store.State().Versions(),
 				)
@@ -97,68 +97,68 @@
 		}
 		names, _ := disk.List()
 		if len(names) > 2 {
-			test.Fatalf("old files stay: %v", names)
+			test.Fatalf("old files were not removed: %v", names)
 		}
 	}
 }
 
-// A torn tail is cut; a flipped bit anywhere before it stops the daemon.
-func TestTornTailIsCutAndWornBitsStop(test *testing.T) {
-	stopped, cut := 0, 0
+// A torn tail of the last segment is ignored. A flipped bit before it is an error.
+func TestTornTailIsIgnoredAndFlippedBitIsError(test *testing.T) {
+	flippedBits, tornTails := 0, 0
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		disk := simulation.NewDisk(seed)
-		voter := founded(test, disk)
-		before := take(voter, random, 1+random.IntN(6))
+		voter := newInitializedReplica(test, disk)
+		before := sendRequests(voter, random, 1+random.IntN(6))
 		name := newestSegment(disk)
 		length := disk.Size(name)
-		whole := disk.Fork()
-		take(voter, random, 1)
-		grown := disk.Size(name)
-		if grown <= length || name != newestSegment(disk) {
+		intact := disk.Fork()
+		sendRequests(voter, random, 1)
+		newLength := disk.Size(name)
+		if newLength <= length || name != newestSegment(disk) {
 			continue
 		}
 		torn := disk.Fork()
-		torn.Cut(name, length+random.IntN(grown-length))
+		torn.Cut(name, length+random.IntN(newLength-length))
 		store, err := replica.OpenStore(torn)
-		if err != nil || !same(before, store.State()) {
-			test.Fatalf("seed %d: torn tail gave %v", seed, err)
+		if err != nil || !sameState(before, store.State()) {
+			test.Fatalf("seed %d: torn tail: wrong state, or error %v", seed, err)
 		}
-		cut++
+		tornTails++
 		if length == 0 {
 			continue
 		}
 		disk.Harm(name, random.IntN(length))
 		if _, err := replica.OpenStore(disk); err == nil || rpc.CodeOf(err) != rpc.CorruptStore {
-			test.Fatalf("seed %d: worn bit gave %v", seed, err)
+			test.Fatalf("seed %d: flipped bit: error %v, want code corrupt_store", seed, err)
 		}
-		stopped++
-		if store, err := replica.OpenStore(whole); err != nil || !same(before, store.State()) {
-			test.Fatalf("seed %d: %v", seed, err)
+		flippedBits++
+		if store, err := replica.OpenStore(intact); err != nil || !sameState(before, store.State()) {
+			test.Fatalf("seed %d: intact disk: wrong state, or error %v", seed, err)
 		}
 	}
-	if stopped < 20 || cut < 20 {
-		test.Fatal(fmt.Sprint("too few tried: ", stopped, cut))
+	if flippedBits < 20 || tornTails < 20 {
+		test.Fatal(fmt.Sprint("too few cases covered: ", flippedBits, tornTails))
 	}
 }
 
-// A segment that a process made and did not live to see named on the disk is
-// named before the next process appends to it.
-func TestFoundSegmentLastsOnceAppended(test *testing.T) {
+// A process died after it created a segment and before it synced the folder. The next process
+// makes the name durable before it appends to the segment.
+func TestExistingSegmentIsDurableBeforeAppend(test *testing.T) {
 	disk := simulation.NewDisk(1)
 	if _, err := disk.Create("segment-0000000000000000"); err != nil {
 		test.Fatal(err)
 	}
-	answered := fill(test, disk, rand.New(rand.NewPCG(1, 1)), 8)
+	acknowledged := writeToDisk(test, disk, rand.New(rand.NewPCG(1, 1)), 8)
 	store, err := replica.OpenStore(disk.Sever(true))
-	if err != nil || !same(answered, store.State()) {
-		test.Fatalf("answered %v %v, kept %+v: %v", answered.Promised, answered.Versions(), store, err)
+	if err != nil || !sameState(acknowledged, store.State()) {
+		test.Fatalf("acknowledged %v %v, restored %+v: error %v", acknowledged.Promised, acknowledged.Versions(), store, err)
 	}
 }
 
-// What a blank disk takes over is torn in its first bytes only, or in any others:
-// the disk is blank again, and works.
-func TestTornTakeoverLeavesABlankDisk(test *testing.T) {
+// If the write that initializes a replica is damaged at any byte, the replica is blank again
+// and can be initialized.
+func TestDamagedInitializationLeavesBlankReplica(test *testing.T) {
 	accepted := [message.Registers]message.AcceptedValue{}
 	for register := range accepted {
 		accepted[register] = message.AcceptedValue{
@@ -171,36 +171,36 @@
 		if err != nil {
 			test.Fatal(err)
 		}
-		return replica.New(store, failing(test))
+		return replica.New(store, failOnDiskError(test))
 	}
-	whole := simulation.NewDisk(1)
-	if err := open(whole).Initialize(message.Term{Number: 5, Core: 3}, accepted, nil); err != nil {
+	intact := simulation.NewDisk(1)
+	if err := open(intact).Initialize(message.Term{Number: 5, Core: 3}, accepted, nil); err != nil {
 		test.Fatal(err)
 	}
-	size := whole.Size("segment-0000000000000000")
-	for at := 0; at < size; at += 7 {
-		disk := whole.Fork()
-		disk.Harm("segment-0000000000000000", at)
+	size := intact.Size("segment-0000000000000000")
+	for offset := 0; offset < size; offset += 7 {
+		disk := intact.Fork()
+		disk.Harm("segment-0000000000000000", offset)
 		voter := open(disk)
 		if !voter.Blank() || voter.State().Versions() != (message.Versions{}) {
-			test.Fatalf("byte %d: %+v", at, voter.State())
+			test.Fatalf("damage at byte %d: replica is not blank: %+v", offset, voter.State())
 		}
 		if err := voter.Initialize(message.Term{Number: 6, Core: 3}, accepted, nil); err != nil || voter.Blank() {
-			test.Fatalf("byte %d: %v", at, err)
+			test.Fatalf("damage at byte %d: replica was not initialized again: %v", offset, err)
 		}
 		voter.Close()
-		if again := open(disk.Sever(true)); again.Blank() || again.State().Promised.Number != 6 {
-			test.Fatalf("byte %d: %+v", at, again.State())
+		if reopened := open(disk.Sever(true)); reopened.Blank() || reopened.State().Promised.Number != 6 {
+			test.Fatalf("damage at byte %d: after a power loss: %+v", offset, reopened.State())
 		}
 	}
 }
 
-// Hundreds of changes of a large register keep the disk bounded: a segment, the
-// snapshot before it and the next one.
-func TestDiskStaysBoundedOverLargeChanges(test *testing.T) {
+// The disk usage stays bounded while a large register changes many times: a segment, its
+// snapshot and the next snapshot.
+func TestDiskUsageStaysBounded(test *testing.T) {
 	const large = 2 << 20
 	disk := simulation.NewDisk(1)
-	voter := founded(test, disk)
+	voter := newInitializedReplica(test, disk)
 	written := 0
 	for serial := uint64(1); serial <= 60; serial++ {
 		response, err := voter.Accept(
@@ -216,6 +216,6 @@
 		written += large
 	}
 	if most := disk.MostUsed(); most > 5*large {
-		test.Errorf("%d bytes at most, of %d written", most, written)
+		test.Errorf("disk usage reached %d bytes after %d were written", most, written)
 	}
 }
--- a/replica/upgrade_test.go
+++ b/replica/upgrade_test.go
@@ -10,9 +10,10 @@
 	"orchidjunction/storage"
 )
 
-// formerRecord is a log entry, and formerState a snapshot, as the version before
-// memberships could change wrote them: the roster by itself, and three registers.
-type formerRecord struct {
+// recordBeforeMemberships is a journal record, and stateBeforeMemberships a snapshot, as
+// written by releases that could not replace a voter: with a list of voters outside of the
+// registers, and with three registers.
+type recordBeforeMemberships struct {
 	Opening  bool
 	Roster   []message.Peer
 	Founded  bool
@@ -24,7 +25,7 @@
 	Committed *message.Version
 }
 
-type formerState struct {
+type stateBeforeMemberships struct {
 	Opening  bool
 	Roster   []message.Peer
 	Founded  bool
@@ -35,8 +36,9 @@
 	Committed [3]message.Version
 }
 
-// fourRegisterState is a snapshot as the version before roll-outs wrote it.
-type fourRegisterState struct {
+// stateBeforeRollouts is a snapshot as written by releases without rollouts, which had four
+// registers.
+type stateBeforeRollouts struct {
 	Opening  bool
 	Roster   []message.Peer
 	Founded  bool
@@ -47,54 +49,56 @@
 	Committed [4]message.Version
 }
 
-// A disk of the former version is read: its roster is the first membership.
-func TestDiskOfFormerVersionIsRead(test *testing.T) {
-	roster := []message.Peer{{ID: 1, Address: "10.0.0.1:41"}, {ID: 2, Address: "10.0.0.2:41"}, {ID: 3, Address: "10.0.0.3:41"}}
+// Data of former releases can be read. Their list of voters becomes the first membership.
+func TestDataOfFormerReleasesIsRead(test *testing.T) {
+	voters := []message.Peer{{ID: 1, Address: "10.0.0.1:41"}, {ID: 2, Address: "10.0.0.2:41"}, {ID: 3, Address: "10.0.0.3:41"}}
 	term := message.Term{Number: 7, Core: 2}
 	routing := message.AcceptedValue{Term: term, Value: message.Value{Serial: 5, Body: []byte("routing")}}
-	snapshot := formerState{Roster: roster, Founded: true, Promised: term}
+	snapshot := stateBeforeMemberships{Roster: voters, Founded: true, Promised: term}
 	snapshot.Accepted[message.RoutingRegister] = routing
-	beforeRollouts := fourRegisterState{Roster: roster, Founded: true, Promised: term}
+	beforeRollouts := stateBeforeRollouts{Roster: voters, Founded: true, Promised: term}
 	beforeRollouts.Accepted[message.RoutingRegister] = routing
 	for name, files := range map[string]map[string]any{
-		"log":      {"segment-0000000000000000": &formerRecord{Roster: roster, Founded: true, Promised: &term, Register: message.RoutingRegister, Accepted: &routing}},
-		"snapshot": {"snapshot-0000000000000001": &snapshot, "segment-0000000000000001": &formerRecord{Founded: true}},
-		"snapshot of four registers": {
-			"snapshot-0000000000000001": &beforeRollouts, "segment-0000000000000001": &formerRecord{Founded: true},
+		"journal": {"segment-0000000000000000": &recordBeforeMemberships{
+			Roster: voters, Founded: true, Promised: &term, Register: message.RoutingRegister, Accepted: &routing,
+		}},
+		"snapshot": {"snapshot-0000000000000001": &snapshot, "segment-0000000000000001": &recordBeforeMemberships{Founded: true}},
+		"snapshot before rollouts": {
+			"snapshot-0000000000000001": &beforeRollouts, "segment-0000000000000001": &recordBeforeMemberships{Founded: true},
 		},
 	} {
 		disk := simulation.NewDisk(1)
-		for file, content := range files {
+		for fileName, content := range files {
 			body, err := rpc.Marshal(content)
 			if err != nil {
 				test.Fatal(err)
 			}
-			handle, err := disk.Create(file)
+			file, err := disk.Create(fileName)
 			if err != nil {
 				test.Fatal(err)
 			}
-			if _, err := handle.Write(storage.NewFrame(body)); err != nil {
+			if _, err := file.Write(storage.NewFrame(body)); err != nil {
 				test.Fatal(err)
 			}
-			if err := handle.Sync(); err != nil {
+			if err := file.Sync(); err != nil {
 				test.Fatal(err)
 			}
 		}
 		store, err := replica.OpenStore(disk)
 		if err != nil {
-			test.Errorf("%s: %v", name, err)
+			test.Errorf("%s: open store: %v", name, err)
 			continue
 		}
 		state := store.State()
-		voters := state.Membership()
-		if voters == nil || len(voters.Voters) != 3 || voters.LastID != 3 || voters.Version.Serial != 1 {
-			test.Errorf("%s: voters %+v", name, voters)
+		membership := state.Membership()
+		if membership == nil || len(membership.Voters) != 3 || membership.LastID != 3 || membership.Version.Serial != 1 {
+			test.Errorf("%s: membership %+v", name, membership)
 		}
-		if held := state.Accepted[message.RolloutsRegister]; held.Version() != (message.Version{}) || len(held.Value.Body) > 0 {
-			test.Errorf("%s: roll-outs %+v", name, held)
+		if rollouts := state.Accepted[message.RolloutsRegister]; rollouts.Version() != (message.Version{}) || len(rollouts.Value.Body) > 0 {
+			test.Errorf("%s: rollouts %+v, want none", name, rollouts)
 		}
 		if !state.Initialized || state.Promised != term || state.Accepted[message.RoutingRegister].Value.Serial != 5 {
-			test.Errorf("%s: %+v", name, state)
+			test.Errorf("%s: state %+v", name, state)
 		}
 	}
 }
