--- a/storage/disk.go
+++ b/storage/disk.go
@@ -1,9 +1,9 @@
-// Package storage keeps data on a machine's disk so that it survives the loss of power:
-// a Disk is one folder, a Journal a log in segments, and a snapshot one file with a
-// checksum that replaces the segments before it.
+// Package storage stores data on disk so that it survives a power loss. A Disk is one folder,
+// a Journal is a log in segment files, and a snapshot is a file with a checksum that replaces
+// the segments before it.
 //
-// Only what a sync covered counts as stored. A name that was created, renamed or removed
-// is durable once its folder was synced.
+// Written data is durable only after a sync of its file. A file name that was created,
+// renamed or removed is durable only after a sync of the folder.
 package storage
 
 import (
@@ -17,29 +17,29 @@
 	"orchidjunction/rpc"
 )
 
-// File is a segment or snapshot that is being written.
+// File is a segment or snapshot that is open for writing.
 type File interface {
 	io.WriteCloser
 	Sync() error
 }
 
-// Disk is a data folder.
+// Disk is a folder of files.
 type Disk interface {
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
 	Create(name string) (File, error)
-	Rename(before, after string) error
+	Rename(oldName, newName string) error
 	Remove(name string) error
-	// Sync makes the names in the folder durable.
+	// Sync makes the file names in the folder durable.
 	Sync() error
 }
 
-// Folder is a Disk on the machine's own file system; its value is the folder's path.
+// Folder is a Disk on the local file system. Its value is the path of the folder.
 type Folder string
 
 func (folder Folder) path(name string) string { return filepath.Join(string(folder), name) }
 
-// List returns the names of all files.
+// List returns the names of all entries of the folder.
 func (folder Folder) List() ([]string, error) {
 	entries, err := os.ReadDir(string(folder))
 	if err != nil {
@@ -52,34 +52,34 @@
 	return names, nil
 }
 
-// Read returns a file's content.
+// Read returns the content of a file.
 func (folder Folder) Read(name string) ([]byte, error) { return os.ReadFile(folder.path(name)) }
 
-// Create opens an empty file for writing, in place of one that has the name.
+// Create opens an empty file for writing. It truncates an existing file of that name.
 func (folder Folder) Create(name string) (File, error) {
 	return os.OpenFile(folder.path(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 }
 
-// Rename gives a file another name, in place of one that has it.
-func (folder Folder) Rename(before, after string) error {
-	return os.Rename(folder.path(before), folder.path(after))
+// Rename renames a file. It replaces an existing file of the new name.
+func (folder Folder) Rename(oldName, newName string) error {
+	return os.Rename(folder.path(oldName), folder.path(newName))
 }
 
-// Remove removes a file.
+// Remove deletes a file.
 func (folder Folder) Remove(name string) error { return os.Remove(folder.path(name)) }
 
-// Sync makes the names in the folder durable.
+// Sync makes the file names in the folder durable.
 func (folder Folder) Sync() error {
-	handle, err := os.Open(string(folder))
+	directory, err := os.Open(string(folder))
 	if err != nil {
 		return err
 	}
-	err = handle.Sync()
-	return errors.Join(err, handle.Close())
+	err = directory.Sync()
+	return errors.Join(err, directory.Close())
 }
 
-// diskError returns an rpc.Error with a code, whose message begins with the formatted
-// text and whose cause is err.
+// diskError wraps err in an rpc.Error with the given code and with a message that starts
+// with the formatted text.
 func diskError(code rpc.Code, err error, format string, values ...any) error {
 	wrapped := oops.Code(string(code)).In("store").Wrapf(err, format, values...)
 	return rpc.Errorf(code, "%w", wrapped)
--- a/storage/files.go
+++ b/storage/files.go
@@ -8,17 +8,17 @@
 	"orchidjunction/rpc"
 )
 
-// draftSuffix is the end of the name of a file that is not complete yet.
-const draftSuffix = ".new"
+// tempSuffix is the suffix of the name of a file until it is complete.
+const tempSuffix = ".new"
 
-// FileName returns the name of the numbered file of a kind.
+// FileName returns the name of the file with a kind and a number.
 func FileName(kind string, number uint64) string { return fmt.Sprintf("%s-%016d", kind, number) }
 
-// FileNumbers returns the numbers of the files of a kind in order.
+// FileNumbers returns the numbers of the files of a kind in ascending order.
 func FileNumbers(disk Disk, kind string) ([]uint64, error) {
 	names, err := disk.List()
 	if err != nil {
-		return nil, diskError(rpc.DiskFailure, err, "list")
+		return nil, diskError(rpc.DiskFailure, err, "list files")
 	}
 	numbers := []uint64{}
 	for _, name := range names {
@@ -31,11 +31,11 @@
 	return numbers, nil
 }
 
-// replaceFile puts a file with this content under the name. Once it returns without an
-// error the file is durable; until then the former file is. The caller closes the file.
+// replaceFile atomically creates or replaces a file and returns it open for writing. The
+// file is durable once replaceFile returns without an error.
 func replaceFile(disk Disk, name string, body []byte) (File, error) {
-	draft := name + draftSuffix
-	file, err := disk.Create(draft)
+	tempName := name + tempSuffix
+	file, err := disk.Create(tempName)
 	if err != nil {
 		return nil, err
 	}
@@ -44,37 +44,37 @@
 		err = file.Sync()
 	}
 	if err == nil {
-		err = disk.Rename(draft, name)
+		err = disk.Rename(tempName, name)
 	}
 	if err == nil {
 		err = disk.Sync()
 	}
 	if err != nil {
-		_ = file.Close()       // err says more
-		_ = disk.Remove(draft) // overwritten when its name is used again
+		_ = file.Close()          // err is the first error
+		_ = disk.Remove(tempName) // if this fails, the next file of that name overwrites it
 		return nil, err
 	}
 	return file, nil
 }
 
-// RemoveDrafts removes the drafts that a crash left. One that can't be removed is
-// overwritten when its name is used again.
+// RemoveDrafts removes the temporary files that a crash left behind, as far as the disk
+// allows.
 func RemoveDrafts(disk Disk) error {
 	names, err := disk.List()
 	if err != nil {
-		return diskError(rpc.DiskFailure, err, "list")
+		return diskError(rpc.DiskFailure, err, "list files")
 	}
 	for _, name := range names {
-		if strings.HasSuffix(name, draftSuffix) {
-			_ = disk.Remove(name) // overwritten when its name is used again
+		if strings.HasSuffix(name, tempSuffix) {
+			_ = disk.Remove(name) // if this fails, the next file of that name overwrites it
 		}
 	}
 	return nil
 }
 
-// RemoveBefore removes the files of a kind with lower numbers, the lowest first, and
-// calls removed after each.
-func RemoveBefore(disk Disk, kind string, below uint64, removed func() error) error {
+// RemoveBefore removes the files of a kind with numbers below the given one, in ascending
+// order, and calls afterEach after each removal.
+func RemoveBefore(disk Disk, kind string, below uint64, afterEach func() error) error {
 	numbers, err := FileNumbers(disk, kind)
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 		}
 		err := disk.Remove(FileName(kind, number))
 		if err == nil {
-			err = removed()
+			err = afterEach()
 		}
 		if err != nil {
 			return diskError(rpc.DiskFailure, err, "remove %s", FileName(kind, number))
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// ReadSnapshot decodes the snapshot in a numbered file into value. It returns
-// CorruptStore if the file's checksum is wrong.
+// ReadSnapshot reads the snapshot with a kind and a number and decodes it into value. It
+// returns the code CorruptStore if the checksum is wrong or the content can't be decoded.
 func ReadSnapshot(disk Disk, kind string, number uint64, value any) error {
 	name := FileName(kind, number)
 	body, err := disk.Read(name)
@@ -104,16 +104,16 @@
 	}
 	payload, valid := frame(body).payload()
 	if !valid {
-		return rpc.Errorf(rpc.CorruptStore, "%s fails its checksum", name)
+		return rpc.Errorf(rpc.CorruptStore, "%s has an invalid checksum", name)
 	}
 	if err := rpc.Unmarshal(payload, value); err != nil {
-		return diskError(rpc.CorruptStore, err, "%s", name)
+		return diskError(rpc.CorruptStore, err, "decode %s", name)
 	}
 	return nil
 }
 
-// WriteSnapshot writes a snapshot into a numbered file. It is durable once WriteSnapshot
-// returns without an error.
+// WriteSnapshot writes value as the snapshot with a kind and a number. It is durable once
+// WriteSnapshot returns without an error.
 func WriteSnapshot(disk Disk, kind string, number uint64, value any) error {
 	body, err := EncodeFrame(value)
 	if err != nil {
@@ -122,8 +122,8 @@
 	name := FileName(kind, number)
 	file, err := replaceFile(disk, name, body)
 	if err != nil {
-		return diskError(rpc.DiskFailure, err, "snapshot %s", name)
+		return diskError(rpc.DiskFailure, err, "write %s", name)
 	}
-	_ = file.Close() // its content is synced
+	_ = file.Close() // its content is already synced
 	return nil
 }
--- a/storage/frame.go
+++ b/storage/frame.go
@@ -7,9 +7,9 @@
 	"orchidjunction/rpc"
 )
 
-// A frame is a payload behind a header: the magic number, the payload's length and
-// checksum, and a checksum of the header so far. Numbers are big-endian, checksums are
-// CRC-32C.
+// A frame is a header followed by a payload. The header has a magic number, the length and
+// the checksum of the payload, and a checksum of the preceding header fields. Numbers are
+// big-endian, and checksums are CRC-32C.
 const (
 	frameMagic          = 0x6f6a
 	lengthOffset        = 2
@@ -22,10 +22,10 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// frame is the bytes of a file from the start of a frame on.
+// frame holds the bytes of a file from the start of a frame to the end of the file.
 type frame []byte
 
-// EncodeFrame returns a frame with the encoded value.
+// EncodeFrame encodes a value and returns a frame with the encoding as its payload.
 func EncodeFrame(value any) ([]byte, error) {
 	payload, err := rpc.Marshal(value)
 	if err != nil {
@@ -34,19 +34,19 @@
 	return NewFrame(payload), nil
 }
 
-// NewFrame returns a frame with the payload.
+// NewFrame returns a frame with the given payload.
 func NewFrame(payload []byte) []byte {
-	made := make([]byte, frameHeaderBytes+len(payload))
-	binary.BigEndian.PutUint16(made, frameMagic)
-	binary.BigEndian.PutUint32(made[lengthOffset:], uint32(len(payload)))
-	binary.BigEndian.PutUint32(made[payloadSumOffset:], crc32.Checksum(payload, castagnoli))
-	binary.BigEndian.PutUint32(made[headerSumOffset:], crc32.Checksum(made[:headerSumOffset], castagnoli))
-	copy(made[frameHeaderBytes:], payload)
-	return made
+	encoded := make([]byte, frameHeaderBytes+len(payload))
+	binary.BigEndian.PutUint16(encoded, frameMagic)
+	binary.BigEndian.PutUint32(encoded[lengthOffset:], uint32(len(payload)))
+	binary.BigEndian.PutUint32(encoded[payloadSumOffset:], crc32.Checksum(payload, castagnoli))
+	binary.BigEndian.PutUint32(encoded[headerSumOffset:], crc32.Checksum(encoded[:headerSumOffset], castagnoli))
+	copy(encoded[frameHeaderBytes:], payload)
+	return encoded
 }
 
-// payload returns the content of the first frame, and whether it is whole and its
-// checksums are right.
+// payload returns the payload of the first frame, and whether the frame is complete and its
+// checksums are valid.
 func (bytes frame) payload() ([]byte, bool) {
 	if len(bytes) < frameHeaderBytes || binary.BigEndian.Uint16(bytes) != frameMagic {
 		return nil, false
@@ -62,7 +62,7 @@
 	return payload, binary.BigEndian.Uint32(bytes[payloadSumOffset:]) == crc32.Checksum(payload, castagnoli)
 }
 
-// validFrameFollows reports whether a valid frame begins anywhere behind the first byte.
+// validFrameFollows reports whether a valid frame begins at any offset after the first byte.
 func (bytes frame) validFrameFollows() bool {
 	for start := 1; start+frameHeaderBytes <= len(bytes); start++ {
 		if bytes[start] != frameMagicFirstByte || bytes[start+1] != frameMagicLastByte {
--- a/storage/journal.go
+++ b/storage/journal.go
@@ -6,23 +6,22 @@
 	"orchidjunction/rpc"
 )
 
-// defaultSegmentLimit is how many bytes a segment holds before the next one is due.
-const defaultSegmentLimit = 4 << 20
+// defaultSegmentBytes is the default size above which the next segment is due.
+const defaultSegmentBytes = 4 << 20
 
-// Replay is called with each payload that a journal holds, in order. Its error says that
-// the payload can't be read.
+// Replay is called with each payload in a journal, in order, and with the number of its
+// segment. It returns an error if the payload can't be decoded.
 type Replay func(segment uint64, payload []byte) error
 
-// Journal is a log in segments, which are numbered files of one kind. A frame that was
-// appended without an error is durable. The torn tail of the last segment is cut; a
-// damaged frame before a valid one is refused.
+// Journal is a log in segments, which are numbered files of one kind. A frame is durable
+// once Append returns without an error. A torn frame at the end of the last segment is
+// ignored; an invalid frame anywhere else is an error.
 //
-// After a write, a sync or a change of names failed, nobody knows what of it is on the
-// disk, and a later sync may succeed without covering it. The journal then refuses
-// everything until its owner has written elsewhere what it needs: by beginning a new
-// segment, or by rewriting the last one.
+// After a write, a sync or a change of names failed, it is unknown what has reached the
+// disk, and a later sync may succeed without covering it. The journal then rejects all
+// frames until its owner starts a new segment or rewrites the last one.
 //
-// It is not safe for concurrent use.
+// A Journal is not safe for concurrent use.
 type Journal struct {
 	disk   Disk
 	kind   string
@@ -33,12 +32,12 @@
 	err    error
 }
 
-// OpenJournal replays all frames from the first segment on and ignores segments before
-// it. It only reads: the journal accepts frames once its owner has called Begin or
-// Rewrite. The last segment is not extended as it was found, since a failed sync of the
-// former process may have left frames that can be read and are not on the disk.
+// OpenJournal replays all frames from segment first on and ignores the segments before it.
+// It only reads: the owner must call Begin or Rewrite before the journal accepts frames. The
+// last segment can't be extended as it is, since a failed sync of the previous process may
+// have left frames that can be read but are not durable.
 func OpenJournal(disk Disk, kind string, first uint64, replay Replay) (*Journal, error) {
-	journal := &Journal{disk: disk, kind: kind, number: first, limit: defaultSegmentLimit}
+	journal := &Journal{disk: disk, kind: kind, number: first, limit: defaultSegmentBytes}
 	segments, err := FileNumbers(disk, kind)
 	if err != nil {
 		return nil, err
@@ -69,13 +68,13 @@
 		rest := frame(body[offset:])
 		payload, valid := rest.payload()
 		if !valid && (!isLast || rest.validFrameFollows()) {
-			return rpc.Errorf(rpc.CorruptStore, "%s fails its checksum at byte %d", name, offset)
+			return rpc.Errorf(rpc.CorruptStore, "%s has an invalid checksum at byte %d", name, offset)
 		}
 		if !valid {
 			break
 		}
 		if err := replay(number, payload); err != nil {
-			return rpc.Errorf(rpc.CorruptStore, "%s at byte %d: %w", name, offset, err)
+			return rpc.Errorf(rpc.CorruptStore, "decode %s at byte %d: %w", name, offset, err)
 		}
 		offset += frameHeaderBytes + len(payload)
 	}
@@ -86,26 +85,27 @@
 // Number returns the number of the last segment.
 func (journal *Journal) Number() uint64 { return journal.number }
 
-// Err returns why the journal refuses frames, nil while it accepts them.
+// Err returns the error that keeps the journal from accepting frames, or nil.
 func (journal *Journal) Err() error { return journal.err }
 
-// Fail makes the journal refuse frames until the next Begin or Rewrite succeeds. It
-// returns err.
+// Fail makes the journal reject frames with err until Begin or Rewrite succeeds. It returns
+// err.
 func (journal *Journal) Fail(err error) error {
 	journal.err = err
 	return err
 }
 
-// LimitSegments sets after how many bytes the next segment is due.
+// LimitSegments sets the size in bytes above which the next segment is due.
 func (journal *Journal) LimitSegments(bytes int64) { journal.limit = bytes }
 
-// Full reports whether a frame belongs into the next segment.
+// Full reports whether the last segment has no room for a frame. An empty segment has room
+// for a frame of any size.
 func (journal *Journal) Full(frame []byte) bool {
 	return journal.size > 0 && journal.size+int64(len(frame)) > journal.limit
 }
 
-// Begin makes an empty segment with the number the last one. Its name is durable before
-// it is used.
+// Begin starts an empty segment with the given number. Its name is durable once Begin
+// returns without an error.
 func (journal *Journal) Begin(number uint64) error {
 	file, err := journal.disk.Create(FileName(journal.kind, number))
 	if err == nil {
@@ -114,10 +114,10 @@
 	if err == nil {
 		err = journal.disk.Sync()
 	}
-	return journal.use(file, number, 0, err)
+	return journal.switchTo(file, number, 0, err)
 }
 
-// Rewrite puts a new file with the valid content in the place of the last segment.
+// Rewrite replaces the last segment by a new file with its valid frames.
 func (journal *Journal) Rewrite() error {
 	if journal.size == 0 {
 		return journal.Begin(journal.number)
@@ -128,27 +128,28 @@
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil {
-		return journal.use(nil, journal.number, journal.size, err)
+		return journal.switchTo(nil, journal.number, journal.size, err)
 	}
 	file, err := replaceFile(journal.disk, name, body[:journal.size])
-	return journal.use(file, journal.number, journal.size, err)
+	return journal.switchTo(file, journal.number, journal.size, err)
 }
 
-// use continues with a file or, after an error, with none.
-func (journal *Journal) use(file File, number uint64, size int64, err error) error {
+// switchTo makes a file the last segment or, if err is not nil, closes it and fails the
+// journal.
+func (journal *Journal) switchTo(file File, number uint64, size int64, err error) error {
 	if err != nil {
 		if file != nil {
-			_ = file.Close() // its sync or its naming failed already
+			_ = file.Close() // err is the first error
 		}
-		return journal.Fail(diskError(rpc.DiskFailure, err, "begin %s", FileName(journal.kind, number)))
+		return journal.Fail(diskError(rpc.DiskFailure, err, "start %s", FileName(journal.kind, number)))
 	}
 	journal.Close()
 	journal.file, journal.number, journal.size, journal.err = file, number, size, nil
 	return nil
 }
 
-// Append writes and syncs a frame. It is durable once Append returns without an error;
-// after an error the journal refuses everything.
+// Append writes and syncs a frame, which is durable once Append returns without an error.
+// After an error the journal rejects all frames.
 func (journal *Journal) Append(frame []byte) error {
 	if journal.err != nil {
 		return journal.err
@@ -164,9 +165,9 @@
 	return nil
 }
 
-// Close closes the last segment. All that was appended is durable already.
+// Close closes the last segment. All appended frames are already durable.
 func (journal *Journal) Close() {
 	if journal.file != nil {
-		_ = journal.file.Close() // its content is synced
+		_ = journal.file.Close() // its content is already synced
 	}
 }
