--- a/clock/clock.go
+++ b/clock/clock.go
@@ -39,9 +39,8 @@
 	return clock.startWall + time.Since(clock.startedAt).Milliseconds()
 }
 
-// Reanchor adds an offset to the wall-clock time read at the start and discards all
-// samples. It ignores an offset below stepMs, which a message delay may explain, and
-// reports whether it made the correction.
+// Reanchor adds an offset to the wall-clock time read at the start and drops all samples,
+// unless the offset is so small that a delay explains it. It reports whether it did so.
 func (clock *Clock) Reanchor(offset int64) bool {
 	if offset > -stepMs && offset < stepMs {
 		return false
@@ -70,8 +69,7 @@
 	return clock.synced
 }
 
-// SetOffset sets the offset in milliseconds, unless it is within offsetToleranceMs of the
-// current one.
+// SetOffset sets the offset in milliseconds, unless it is nearly the same as before.
 func (clock *Clock) SetOffset(offset int64) {
 	clock.mutex.Lock()
 	defer clock.mutex.Unlock()
@@ -86,8 +84,8 @@
 }
 
 // AddRoundTrip updates the offset from a call's round-trip time and the time that another
-// clock returned to it, in milliseconds since the Unix epoch. Calls that took longer than
-// stepMs are ignored.
+// clock returned, in milliseconds since the Unix epoch. It ignores calls longer than
+// stepMs.
 func (clock *Clock) AddRoundTrip(now int64, roundTrip time.Duration) {
 	if roundTrip.Milliseconds() > stepMs {
 		return
@@ -98,9 +96,9 @@
 	clock.setOffset(clock.estimator.Offset())
 }
 
-// AddOneWay updates the offset from the time in a one-way message from another clock, in
-// milliseconds since the Unix epoch. The delay is unknown, so the sample with the largest
-// offset, which has the shortest delay, is used.
+// AddOneWay updates the offset from the time in a one-way message, in milliseconds since
+// the Unix epoch. Its delay is unknown, so the largest offset is taken as the best
+// sample.
 func (clock *Clock) AddOneWay(now int64) {
 	clock.mutex.Lock()
 	defer clock.mutex.Unlock()
--- a/clock/offset.go
+++ b/clock/offset.go
@@ -26,9 +26,9 @@
 	takenAt   time.Time
 }
 
-// Add adds an offset in milliseconds, measured over a round trip, and drops samples that
-// are expired or have a longer round trip. An offset that differs by stepMs or more
-// replaces all samples.
+// Add adds an offset in milliseconds with its round trip, and drops samples that are old
+// or have a longer round trip. An offset that differs by stepMs or more replaces all
+// samples.
 func (estimator *OffsetEstimator) Add(offset int64, roundTrip time.Duration) {
 	kept := []sample{}
 	if best := estimator.Offset(); offset < best+stepMs && offset > best-stepMs {
@@ -58,8 +58,8 @@
 	return estimator.samples[0].roundTrip
 }
 
-// Median returns the median of the offsets, which must not be empty. If the middle two of
-// an even number differ by stepMs or more, it returns the one nearer to previous.
+// Median returns the median of at least one offset. If the middle two of an even number
+// differ by stepMs or more, it returns the one nearer to previous.
 func Median(offsets []int64, previous int64) int64 {
 	sorted := slices.Sorted(slices.Values(offsets))
 	middle := len(sorted) / 2
--- a/consensus/acceptor.go
+++ b/consensus/acceptor.go
@@ -6,9 +6,9 @@
 )
 
 // Prepare returns a replica's response to a PrepareRequest, and the record that must be
-// durable before the response is sent, or nil if nothing changed. It grants a term that is
-// not older than the promised one, unless the replica has accepted a newer membership than
-// the candidate's that has other voters.
+// durable before it is sent, or nil. It grants a term that is not older than the promised
+// one, unless the replica has accepted a newer membership with other voters than the
+// candidate's.
 func (state *State) Prepare(request *message.PrepareRequest) (*message.PrepareResponse, *Record) {
 	if membership := state.Accepted[message.MembersRegister]; message.Supersedes(membership, request.Membership) {
 		return &message.PrepareResponse{Promised: state.Promised, Membership: membership}, nil
@@ -23,8 +23,8 @@
 	return response, &Record{Promised: &request.Term}
 }
 
-// acceptedNewerThan returns the accepted values, without the content of those that are not
-// newer than the versions which the candidate holds.
+// acceptedNewerThan returns the accepted values, without the content of those that are
+// not newer than the versions held elsewhere.
 func (state *State) acceptedNewerThan(held message.Versions) [message.Registers]message.AcceptedValue {
 	accepted := state.Accepted
 	for register := range accepted {
@@ -47,10 +47,10 @@
 }
 
 // Accept returns a replica's response to an AcceptRequest, and the record that must be
-// durable before the response is sent, or nil if nothing changed. It accepts a value if its
-// term is not older than the promised one, the value is not older than the accepted one,
-// and none of its chunks is missing. A version identifies one value: a term has one leader,
-// which writes one value for each serial.
+// durable before it is sent, or nil. It accepts a value if its term is not older than the
+// promised one, its version is not older than the accepted one, and no chunk is missing.
+// A version identifies one value: a term has one leader, which writes one value for each
+// serial.
 func (state *State) Accept(request *message.AcceptRequest) (*message.AcceptResponse, *Record) {
 	if request.Term.Less(state.Promised) {
 		return &message.AcceptResponse{Promised: state.Promised}, nil
@@ -72,8 +72,7 @@
 	return &message.AcceptResponse{Accepted: true, Promised: request.Term}, state.acceptRecord(request)
 }
 
-// acceptInherited accepts under a new term the value that the replica already holds, which
-// the request refers to by its version.
+// acceptInherited accepts the value that the replica already holds under a new term.
 func (state *State) acceptInherited(request *message.AcceptRequest) (*message.AcceptResponse, *Record) {
 	if state.Accepted[request.Register].Version() != request.Inherited || request.Inherited.Serial != request.Value.Serial {
 		return &message.AcceptResponse{Promised: state.Promised, LacksValue: true}, nil
@@ -85,8 +84,7 @@
 	return &message.AcceptResponse{Accepted: true, Promised: request.Term}, record
 }
 
-// acceptRecord returns the record of an accepted value with those chunks that the replica
-// does not have yet.
+// acceptRecord returns the record of an accepted value with the chunks that are new.
 func (state *State) acceptRecord(request *message.AcceptRequest) *Record {
 	record := &Record{
 		Register: request.Register,
@@ -104,10 +102,9 @@
 	return record
 }
 
-// InitializeRecord returns the record that initializes a replica on a blank disk, with a
-// promised term and copies of accepted values. The copies are accepted under the promised
-// term, since a copy must not count as a vote for the term that it was written under. It
-// returns nil if the replica is already initialized.
+// InitializeRecord returns the record that initializes a blank replica with a promised
+// term and copies of values, or nil if it is already initialized. The copies are accepted
+// under the promised term: a copy is no vote for the term that it was written under.
 func (state *State) InitializeRecord(
 	promised message.Term,
 	accepted [message.Registers]message.AcceptedValue,
@@ -129,8 +126,8 @@
 	return record
 }
 
-// JoinRecord returns the record that initializes a replica as a voter of the given
-// membership, on a disk that has been there since the system's first start.
+// JoinRecord returns the record that initializes a replica as a voter of a membership, on
+// a disk that has been there since the system's first start.
 func (state *State) JoinRecord(membership message.AcceptedValue) (*Record, error) {
 	if state.Initialized {
 		return nil, rpc.Errorf(rpc.BadMessage, "replica is already initialized")
--- a/consensus/doc.go
+++ b/consensus/doc.go
@@ -4,13 +4,13 @@
 // and writes them again under its term to establish its leadership. The leader then has
 // each new value accepted by a quorum under its term.
 //
-// The package is deterministic and has no clock, disk, network or goroutines. State is the
-// durable state of a replica, which answers PrepareRequest and AcceptRequest, and Record
-// is one change of it. Membership and View say which cores vote and what a quorum is, also
-// while a voter is being replaced. Tracker holds the newest membership that a core knows.
+// The package is deterministic: it has no clock, disk, network or goroutines. State is
+// the durable state of a replica, and Record one change of it. Membership and View define
+// the voters and their quorums, also while a voter is being replaced. Tracker holds the
+// newest membership that a core knows.
 //
 // Package replica stores a State on disk, and package control sends the messages. The
 // model check in package control (model_*_test.go) runs these rules under random and
-// exhaustive schedules. The design is described in docs/design/election.md and
-// docs/design/roster.md.
+// exhaustive schedules. See docs/design/election.md and docs/design/roster.md for the
+// design.
 package consensus
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -14,10 +14,10 @@
 // Membership is one version of the set of voters, with the term under which it was
 // accepted. It is immutable.
 //
-// A version either has one group of voters, or is the joint version (joint consensus)
-// between two such versions: Voters is then the old group, Next the new one, and a quorum
-// is a majority of both. So every quorum of a version intersects every quorum of the
-// version before it, and a leader that counts by an older version can't decide unnoticed.
+// A version has one group of voters, or is the joint version (joint consensus) between
+// two such versions: Voters is then the old group, Next the new one, and a quorum is a
+// majority of both. So every quorum of a version intersects every quorum of the version
+// before it, and a leader that uses an older version can't decide unnoticed.
 type Membership struct {
 	Version message.Version
 	Voters  []message.Peer
@@ -46,8 +46,8 @@
 	return membership
 }
 
-// DecodeMembership decodes an accepted value of the membership register. It returns nil
-// for a value of serial 0, which means that there is no membership.
+// DecodeMembership decodes an accepted value of the membership register. Serial 0 means
+// that there is no membership; it returns nil for that.
 func DecodeMembership(accepted message.AcceptedValue) (*Membership, error) {
 	if accepted.Value.Serial == 0 {
 		return nil, nil
@@ -114,9 +114,8 @@
 }
 
 // FencesWithout reports whether a voter whose disk was lost may vote again: the other
-// voters for which has returns true intersect every quorum that it was part of, and form a
-// quorum together with it. In a group of n that has the lost voter, this takes
-// n - majority + 1 others.
+// voters for which has returns true intersect every quorum that it was part of, and form
+// a quorum together with it. Of n voters this takes n - majority + 1 others.
 func (membership *Membership) FencesWithout(lost int, has func(id int) bool) bool {
 	others := func(id int) bool { return id != lost && has(id) }
 	for _, group := range membership.Groups() {
@@ -131,7 +130,7 @@
 	return true
 }
 
-// MayLead reports whether a core may be a candidate. A core that is only in Next may not:
+// MayLead reports whether a core may be a candidate. One that is only in Next may not:
 // its ID is not certain until the joint version that assigned it is decided.
 func (membership *Membership) MayLead(id int) bool { return ContainsPeer(membership.Voters, id) }
 
--- a/consensus/membership_test.go
+++ b/consensus/membership_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Every quorum of one version intersects every quorum of the next one: the complement of
-// a quorum of one is never a quorum of the other.
+// Quorums of consecutive versions intersect: the complement of a quorum of one is never a
+// quorum of the other.
 func TestQuorumsOfConsecutiveMembershipsIntersect(test *testing.T) {
 	for count := 1; count <= 9; count++ {
 		before := initialMembershipOf(count)
@@ -66,7 +66,7 @@
 }
 
 // Without the joint version between them, majorities of the old and of the new voters
-// need not intersect, which is why the joint version exists.
+// need not intersect.
 func TestReplacementWithoutJointVersionIsUnsafe(test *testing.T) {
 	before := initialMembershipOf(3)
 	after := before.WithReplacement(3, "10.9.0.1:41").WithoutFormer()
@@ -79,8 +79,7 @@
 	}
 }
 
-// The voters that fence a voter with a blank disk intersect every quorum that it was part
-// of, without counting the voter itself.
+// The voters that fence a blank voter intersect every quorum that it was part of.
 func TestFencedVotersIntersectQuorumsOfBlankVoter(test *testing.T) {
 	for count := 1; count <= 7; count++ {
 		before := initialMembershipOf(count)
@@ -139,8 +138,8 @@
 	}
 }
 
-// The view of a core that is not a voter decides nothing and has all voters as peers, and a
-// membership is unchanged after it is encoded and decoded.
+// A core that is not a voter decides nothing and has all voters as peers. A membership
+// survives encoding and decoding.
 func TestViewOfMembership(test *testing.T) {
 	joint := initialMembershipOf(3).WithReplacement(1, "10.9.0.1:41")
 	joint.Version.Term = message.Term{Number: 4, Core: 2}
--- a/consensus/quorum.go
+++ b/consensus/quorum.go
@@ -16,8 +16,8 @@
 // Granted reports whether a promise was granted.
 func Granted(response *message.PrepareResponse) bool { return response.Granted }
 
-// newestValues returns for each register the newest value in the promises, and the ID of
-// the replica that sent it.
+// newestValues returns the newest value of each register in the promises and the ID of
+// its replica.
 func newestValues(
 	promises map[int]*message.PrepareResponse,
 ) (newest [message.Registers]message.AcceptedValue, sources [message.Registers]int) {
@@ -31,10 +31,10 @@
 	return newest, sources
 }
 
-// InheritedValues returns the values that a new term inherits from the replicas that
-// promised it, and the replica that each one is from: the newest value of each register,
-// but the membership of the view, by which the promises were counted. No replica that
-// promised has accepted a newer membership with other voters, as it would have refused.
+// InheritedValues returns the values that a term inherits from the replicas that promised
+// it, and their sources: the newest value of each register, and the membership that the
+// promises were counted by. No replica that promised has accepted a newer membership with
+// other voters, as it would have refused.
 func InheritedValues(
 	view *View,
 	promises map[int]*message.PrepareResponse,
@@ -44,7 +44,7 @@
 	return newest, sources
 }
 
-// Candidate holds the criteria for the choice between two candidates: the versions of a
+// Candidate holds what the choice between two candidates depends on: the versions of a
 // core's registers, the number of cores that it reaches, and its ID.
 type Candidate struct {
 	ID        int
--- a/consensus/state.go
+++ b/consensus/state.go
@@ -2,8 +2,7 @@
 
 import "orchidjunction/message"
 
-// State is the durable state of a replica. A field with a tag is stored under the name in
-// the tag.
+// State is the durable state of a replica. Tags give the stored names of fields.
 type State struct {
 	// SinceBootstrap says that the disk has been there since the system's first start.
 	SinceBootstrap bool `msgpack:"Opening"`
@@ -37,9 +36,8 @@
 	Then []Record
 }
 
-// ProvenCommitted returns a register's accepted value, and whether the replica knows it to
-// be committed. The committed version may be of an earlier term than the accepted one: a
-// later term has the same value under the same serial.
+// ProvenCommitted returns a register's accepted value, and whether the replica knows it
+// to be committed. Later terms keep a committed value under its serial.
 func (state *State) ProvenCommitted(register message.Register) (message.AcceptedValue, bool) {
 	accepted, committed := state.Accepted[register], state.Committed[register]
 	return accepted, committed.Serial > 0 && committed.Serial == accepted.Value.Serial && !accepted.Term.Less(committed.Term)
@@ -111,8 +109,8 @@
 	}
 }
 
-// keepReferenced drops all chunks, of the state's own and of the added ones, that no
-// accepted value refers to. It makes a new map, since readers may hold the old one.
+// keepReferenced keeps those of the state's and the added chunks that accepted values
+// refer to. It makes a new map, since readers may hold the old one.
 func (state *State) keepReferenced(added message.Chunks) {
 	kept := make(message.Chunks, len(state.Chunks)+len(added))
 	for register := range state.Accepted {
--- a/consensus/tracker.go
+++ b/consensus/tracker.go
@@ -25,9 +25,8 @@
 // View returns this core's view of the newest known membership.
 func (tracker *Tracker) View() *View { return tracker.view.Load() }
 
-// Learn adopts a membership that is newer than the known one. It need not be decided: each
-// of its quorums intersects every quorum of the version before it, so counting by it is
-// safe.
+// Learn adopts a membership that is newer than the known one. It need not be decided: its
+// quorums intersect every quorum of the version before it.
 func (tracker *Tracker) Learn(accepted message.AcceptedValue) error {
 	membership, err := DecodeMembership(accepted)
 	if err != nil || membership == nil {
@@ -56,7 +55,7 @@
 	return view.Accepted()
 }
 
-// Adopt makes this core count by a membership that it is about to write under a term. It
+// Adopt switches this core to a membership that it is about to write under a term. It
 // fails if a newer one is known.
 func (tracker *Tracker) Adopt(next *Membership, term message.Term) (*View, error) {
 	next.Version.Term = term
@@ -70,7 +69,7 @@
 	return view, nil
 }
 
-// AdoptRewritten makes this core count by the membership of a view, written again under a
+// AdoptRewritten switches this core to the membership that was written again under a
 // term. Its own replica may not have accepted that yet, and the core may meanwhile have
 // learned a joint version of a former leader that was never decided.
 func (tracker *Tracker) AdoptRewritten(view *View, term message.Term) error {
@@ -79,9 +78,9 @@
 	return err
 }
 
-// MayRestore reports whether a voter with a blank disk may restore its replica: those that
-// responded with an initialized replica fence it (FencesWithout), and the voters have not
-// changed since it sent the requests by the given view.
+// MayRestore reports whether a voter with a blank disk may restore its replica: the
+// initialized replicas that responded fence it (FencesWithout), and the voters have not
+// changed since it asked.
 func (tracker *Tracker) MayRestore(view *View, responses map[int]*message.ReplicaStateResponse) bool {
 	return tracker.View().SameVoters(view) && view.MayLead(view.ID) && view.FencesWithout(view.ID, Agreed(responses, Initialized))
 }
--- a/consensus/view.go
+++ b/consensus/view.go
@@ -7,8 +7,8 @@
 	"orchidjunction/message"
 )
 
-// View is a membership from the perspective of one core. It is immutable. ID is the core's
-// own ID, or 0 if it is not a voter, and Peers are all other voters.
+// View is a membership as one core sees it. It is immutable. ID is the core's own, or 0
+// if it is not a voter, and Peers are all other voters.
 type View struct {
 	*Membership
 	Address string
@@ -45,8 +45,8 @@
 // Votes reports whether this core is a voter.
 func (view *View) Votes() bool { return view.ID > 0 }
 
-// Decides reports whether this core together with the voters for which has returns true is
-// a quorum. It is false if this core is not a voter.
+// Decides reports whether this core and the voters for which has returns true are a
+// quorum. It is false if this core is not a voter.
 func (view *View) Decides(has func(id int) bool) bool {
 	return view.Votes() && view.Quorum(func(id int) bool { return id == view.ID || has(id) })
 }
@@ -68,7 +68,7 @@
 	return max(slices.IndexFunc(view.Voters, func(peer message.Peer) bool { return peer.ID == view.ID }), 0)
 }
 
-// Leader returns the description of this core as the leader of a term.
+// Leader returns this core as the leader of a term.
 func (view *View) Leader(term message.Term) message.Leader {
 	return message.Leader{Term: term, Core: view.ID, Address: view.Address}
 }
@@ -83,8 +83,8 @@
 	return view.Address
 }
 
-// Addresses returns the addresses of all voters, this core's own first. A core that is not
-// a voter includes its own address only if no membership is known.
+// Addresses returns the addresses of all voters, this core's own first if it is a voter
+// or no membership is known.
 func (view *View) Addresses() []string {
 	all := []string{}
 	if view.Votes() || !view.Known() {
@@ -101,7 +101,6 @@
 	return append([]message.Peer{{ID: view.ID, Address: view.Address}}, view.Peers...)
 }
 
-// MayVoteAtOnce reports whether a core that learns its first membership may vote at once,
-// without a restore. That is safe on a blank disk that has been there since the system's
-// first start, since it has never voted.
+// MayVoteAtOnce reports whether a core that learns its first membership may vote without
+// a restore. A disk that has been there since the system's first start has never voted.
 func (view *View) MayVoteAtOnce(sinceBootstrap bool) bool { return sinceBootstrap && view.Votes() }
--- a/replica/inherited_test.go
+++ b/replica/inherited_test.go
@@ -9,9 +9,9 @@
 	"orchidjunction/replica"
 )
 
-// A replica that accepts its value by reference under a new term keeps the same value, has
-// stored this before it responds, and does not write a large value to disk a second time. A
-// reference to another version is rejected.
+// A value that is accepted by reference under a new term stays the same, is durable
+// before the response, and is not written to disk again. References to other versions are
+// rejected.
 func TestInheritedValueIsAcceptedByReference(test *testing.T) {
 	const large = 2 << 20
 	first, second := message.Term{Number: 1, Core: 1}, message.Term{Number: 2, Core: 2}
@@ -55,8 +55,8 @@
 	}
 }
 
-// A promise contains only values that are newer than the candidate's. The candidate fills in
-// those of the same version from its own copy, so that every inherited value is complete.
+// A promise contains only values that are newer than the candidate's. Those of the same
+// version are filled in from its own copy, so that all inherited values are complete.
 func TestPromiseOmitsValuesThatCandidateHolds(test *testing.T) {
 	term := func(number uint64) message.Term { return message.Term{Number: number, Core: 1} }
 	accepted := func(number, serial uint64, body string) message.AcceptedValue {
--- a/replica/power_test.go
+++ b/replica/power_test.go
@@ -10,11 +10,10 @@
 	"orchidjunction/replica"
 )
 
-// segmentBytes is small, so that the store rotates often.
+// segmentBytes is small to make the store rotate often.
 const segmentBytes = 6000
 
-// durabilityChecker sends requests to a replica and checks that its state keeps what it has
-// acknowledged.
+// durabilityChecker checks that a replica keeps what it has acknowledged.
 type durabilityChecker struct {
 	test       *testing.T
 	random     *rand.Rand
@@ -23,12 +22,12 @@
 	termNumber uint64
 	promised   message.Term
 	accepted   message.Versions
-	// lastBytes holds the last byte of each value sent, to recognize its content.
+	// lastBytes holds the last byte of each value sent.
 	lastBytes map[message.Version]byte
 }
 
-// open starts a replica on the disk and checks that it has all that was acknowledged. Once
-// the store has written its state to new files, that counts as acknowledged too.
+// open starts a replica on the disk and checks that it has what was acknowledged. Unless
+// the store has an error, the restored state counts as acknowledged too.
 func (checker *durabilityChecker) open(disk *simulation.Disk) error {
 	store, err := replica.OpenStore(disk)
 	if err != nil {
@@ -101,9 +100,9 @@
 	return true
 }
 
-// The process dies at any disk call, with or without a power loss. Everything that was
-// acknowledged survives and the store opens, although each file that was created, renamed or
-// removed since the last sync of the folder may be kept or lost independently.
+// The process dies at any disk call, with or without a power loss. The store opens and
+// has what was acknowledged, although each file created, renamed or removed since the
+// last sync of the folder may be kept or lost independently.
 func TestAcknowledgedStateSurvivesLossOfSingleFiles(test *testing.T) {
 	namesChanged, snapshotsLeft := 0, 0
 	for seed := range uint64(200) {
@@ -142,9 +141,9 @@
 	}
 }
 
-// A disk temporarily fails writes, syncs, changes of names or all of them, or is full. The
-// replica acknowledges nothing while its store has an error, and continues after the repair
-// without a restart. What it acknowledged before and after survives a power loss.
+// A disk temporarily fails writes, syncs, changes of names or all of them, or is full.
+// The replica acknowledges nothing while its store has an error, and continues after the
+// repair without a restart. What it acknowledged before and after survives a power loss.
 func TestReplicaRecoversFromDiskErrors(test *testing.T) {
 	stepsWithError := 0
 	for seed := range uint64(200) {
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica implements a core's durable replica. A Replica responds to candidates and
-// leaders by the rules of package consensus, and stores each change on disk (Store) before
-// it responds.
+// Package replica implements a core's durable replica: a Replica responds to candidates
+// and leaders by the rules of package consensus, and stores its state (Store) before it
+// responds.
 package replica
 
 import (
@@ -13,13 +13,12 @@
 	"orchidjunction/rpc"
 )
 
-// stallTimeout is the duration of a disk operation after which new requests are rejected
-// instead of waiting for the disk.
+// stallTimeout is the duration of a disk operation after which new requests are rejected.
 const stallTimeout = 500 * time.Millisecond
 
-// Callbacks notify the owner of a Replica of changes. They are called by the goroutine that
-// caused the change, while it holds the replica's lock, so they must not call methods of
-// the replica that write.
+// Callbacks notify the owner of a Replica of changes. They are called while the replica's
+// lock is held, by the goroutine that caused the change, and must not call methods that
+// write.
 type Callbacks struct {
 	// DiskFailed is called when a record could not be stored.
 	DiskFailed func(err error)
@@ -37,7 +36,7 @@
 	published atomic.Pointer[consensus.State]
 	callbacks Callbacks
 
-	// writingSince is the start of the disk operation in progress, nil if there is none.
+	// writingSince is the start of the current disk operation, or nil.
 	writingSince atomic.Pointer[time.Time]
 }
 
@@ -91,9 +90,8 @@
 	return response, nil
 }
 
-// lockToVote acquires the lock if this replica may vote. It returns an error at once if
-// the disk is stalled, so that repeated requests don't pile up in memory with their
-// payloads.
+// lockToVote acquires the lock if this replica may vote. It fails at once if the disk is
+// stalled, so that repeated requests with their payloads don't pile up.
 func (replica *Replica) lockToVote() error {
 	if replica.Stalled() {
 		return rpc.Errorf(rpc.DiskFailure, "disk is not responding")
@@ -113,8 +111,8 @@
 	return replica.store.Err()
 }
 
-// Initialize initializes a blank replica with a promised term and with copies of values,
-// which it accepts under that term.
+// Initialize initializes a blank replica with a promised term and copies of values, which
+// it accepts under that term.
 func (replica *Replica) Initialize(promised message.Term, accepted [message.Registers]message.AcceptedValue, chunks message.Chunks) error {
 	replica.lock.Lock()
 	defer replica.lock.Unlock()
@@ -128,8 +126,8 @@
 	return replica.append(&consensus.Record{SinceBootstrap: true})
 }
 
-// Join initializes the replica as a voter of a membership that it received, on a disk that
-// has been there since the system's first start.
+// Join initializes the replica as a voter of a membership, on a disk that has been there
+// since the system's first start.
 func (replica *Replica) Join(membership message.AcceptedValue) error {
 	replica.lock.Lock()
 	defer replica.lock.Unlock()
@@ -149,8 +147,8 @@
 	_ = replica.append(replica.store.state.CommittedRecord(register, version))
 }
 
-// append stores a record, publishes the new state and calls the callbacks. It does nothing
-// for a nil record. The caller holds the lock.
+// append stores a record, publishes the new state and calls the callbacks. It ignores a
+// nil record. The caller holds the lock.
 func (replica *Replica) append(record *consensus.Record) error {
 	if record == nil {
 		return nil
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -29,7 +29,7 @@
 	return callbacks
 }
 
-// TestReplicaResponses sends a series of requests and shows the responses, the callbacks and
+// TestReplicaResponses shows the responses to a series of requests, the callbacks, and
 // the state that survives a power loss.
 func TestReplicaResponses(test *testing.T) {
 	datadriven.Walk(test, "testdata/replica", func(test *testing.T, path string) {
--- a/replica/stall_test.go
+++ b/replica/stall_test.go
@@ -12,8 +12,8 @@
 	"orchidjunction/rpc"
 )
 
-// While a disk is stalled, a replica rejects new requests at once, the request that began
-// earlier waits, and the state can be read. Once the disk responds, the replica continues.
+// While a disk is stalled, a replica rejects new requests at once, an earlier request
+// waits, and the state can be read. The replica continues once the disk responds.
 func TestStalledReplicaRejectsNewRequests(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		disk, goroutines := simulation.NewDisk(1), concurrent.NewGroup()
--- a/replica/store.go
+++ b/replica/store.go
@@ -11,19 +11,19 @@
 	snapshotKind = "snapshot"
 )
 
-// Store keeps a consensus.State on disk, as snapshots and a journal. Segment n of the journal
-// holds the records since snapshot n. A snapshot and its segment are durable before anything
-// is appended, so that the newest snapshot and the segment with its number always make up
-// the complete state, whichever older files still exist.
+// Store keeps a consensus.State on disk, as a snapshot and a journal. Segment n holds the
+// records since snapshot n. Both are durable before anything is appended, so that the
+// newest snapshot and its segment are always the complete state, whichever older files
+// still exist.
 type Store struct {
 	disk    storage.Disk
 	state   consensus.State
 	journal *storage.Journal
 }
 
-// OpenStore reads the newest snapshot and its segment, and starts a new pair, or the first
-// segment if there is no state. If the disk refuses that, the store holds the state that it
-// has read and accepts no records until Repair succeeds.
+// OpenStore reads the newest snapshot and its segment, and starts a new pair, or the
+// first segment if there is no state. If that fails, the store holds what it has read and
+// accepts no records until Repair succeeds.
 func OpenStore(disk storage.Disk) (*Store, error) {
 	store := &Store{disk: disk}
 	if err := storage.RemoveDrafts(disk); err != nil {
@@ -49,8 +49,7 @@
 	return store, nil
 }
 
-// readSnapshot reads the newest snapshot into the state and returns its number. It returns
-// false if there is none.
+// readSnapshot reads the newest snapshot, if there is one, and returns its number.
 func (store *Store) readSnapshot() (uint64, bool, error) {
 	numbers, err := storage.FileNumbers(store.disk, snapshotKind)
 	if err != nil || len(numbers) == 0 {
@@ -76,8 +75,8 @@
 // Err returns the error that keeps the store from accepting records, or nil.
 func (store *Store) Err() error { return store.journal.Err() }
 
-// Repair makes the store accept records again after an error. It starts a new segment with
-// a new snapshot, since the end of the last segment is unknown after an error.
+// Repair makes the store accept records again after an error. It writes a new snapshot
+// and segment, since the error left the end of the last segment unknown.
 func (store *Store) Repair() error {
 	if store.Err() == nil {
 		return nil
@@ -85,9 +84,9 @@
 	return store.rotate()
 }
 
-// Append stores a record durably and applies it to the state. After an error the store
-// accepts no records until it is repaired. A record is one frame, so that a torn write
-// loses all of it.
+// Append stores a record durably and applies it. After an error the store accepts no
+// records until it is repaired. A record is one frame, so that a torn write loses all of
+// it.
 func (store *Store) Append(record consensus.Record) error {
 	if err := store.Err(); err != nil {
 		return err
@@ -108,9 +107,9 @@
 	return nil
 }
 
-// rotate writes a snapshot, starts the next segment and removes the files that these
-// replace. The journal keeps its segment number until the next segment is started, so that
-// a failed rotation is repeated from the beginning.
+// rotate writes a snapshot, starts the next segment and removes the files that they
+// replace. The journal does not change until the segment is started, so that a failed
+// rotation is repeated from its start.
 func (store *Store) rotate() error {
 	next := store.journal.Number() + 1
 	if err := storage.WriteSnapshot(store.disk, snapshotKind, next, &store.state); err != nil {
@@ -123,9 +122,8 @@
 	return nil
 }
 
-// removeBefore removes the files that the snapshot with the given number replaces. Files
-// that it fails to remove are left to the next rotation. It does not sync the removals: if
-// a power loss undoes them, OpenStore ignores the files.
+// removeBefore removes the files that a snapshot replaces, as far as the disk allows; the
+// next rotation removes the rest. OpenStore ignores files that a power loss brings back.
 func (store *Store) removeBefore(number uint64) {
 	noSync := func() error { return nil }
 	_ = storage.RemoveBefore(store.disk, segmentKind, number, noSync)
@@ -144,11 +142,11 @@
 // LimitSegments sets the size in bytes above which the next segment is started.
 func (store *Store) LimitSegments(bytes int64) { store.journal.LimitSegments(bytes) }
 
-// CloneFor returns a copy of the store that uses another disk and appends to the given file
-// there. Model checks use it to fork a simulated machine.
+// CloneFor returns a copy of the store that uses another disk and appends to file there.
+// Model checks use it to fork a machine.
 func (store *Store) CloneFor(disk storage.Disk, file storage.File) *Store {
 	return &Store{disk: disk, state: store.state, journal: store.journal.CloneFor(disk, file)}
 }
 
-// LastSegment returns the file of the last segment, which records are appended to.
+// LastSegment returns the file that records are appended to.
 func (store *Store) LastSegment() storage.File { return store.journal.LastSegment() }
--- a/replica/store_test.go
+++ b/replica/store_test.go
@@ -13,7 +13,7 @@
 	"orchidjunction/rpc"
 )
 
-// writeToDisk opens a replica on the disk, sends it random requests and returns its state.
+// writeToDisk sends random requests to a replica on the disk and returns its state.
 func writeToDisk(test *testing.T, disk *simulation.Disk, random *rand.Rand, count int) *consensus.State {
 	test.Helper()
 	return sendRequests(newInitializedReplica(test, disk), random, count)
@@ -142,8 +142,8 @@
 	}
 }
 
-// A process died after it created a segment and before it synced the folder. The next process
-// makes the name durable before it appends to the segment.
+// If a process died before it synced the name of a new segment, the next process does
+// that before it appends.
 func TestExistingSegmentIsDurableBeforeAppend(test *testing.T) {
 	disk := simulation.NewDisk(1)
 	if _, err := disk.Create("segment-0000000000000000"); err != nil {
--- a/replica/upgrade_test.go
+++ b/replica/upgrade_test.go
@@ -10,9 +10,9 @@
 	"orchidjunction/storage"
 )
 
-// recordBeforeMemberships is a journal record, and stateBeforeMemberships a snapshot, as
-// written by releases that could not replace a voter: with a list of voters outside of the
-// registers, and with three registers.
+// recordBeforeMemberships is a journal record, and stateBeforeMemberships a snapshot, of
+// releases that could not replace a voter: with a separate list of voters and three
+// registers.
 type recordBeforeMemberships struct {
 	Opening  bool
 	Roster   []message.Peer
@@ -36,8 +36,7 @@
 	Committed [3]message.Version
 }
 
-// stateBeforeRollouts is a snapshot as written by releases without rollouts, which had four
-// registers.
+// stateBeforeRollouts is a snapshot of releases without rollouts, with four registers.
 type stateBeforeRollouts struct {
 	Opening  bool
 	Roster   []message.Peer
--- a/storage/disk.go
+++ b/storage/disk.go
@@ -1,9 +1,9 @@
-// Package storage stores data on disk so that it survives a power loss. A Disk is one folder,
-// a Journal is a log in segment files, and a snapshot is a file with a checksum that replaces
-// the segments before it.
+// Package storage stores data on disk so that it survives a power loss. A Disk is one
+// folder, a Journal a log in segments, and a snapshot a file with a checksum that
+// replaces the segments before it.
 //
-// Written data is durable only after a sync of its file. A file name that was created,
-// renamed or removed is durable only after a sync of the folder.
+// Data is durable only after a sync of its file. A created, renamed or removed name is
+// durable only after a sync of its folder.
 package storage
 
 import (
@@ -39,7 +39,7 @@
 
 func (folder Folder) path(name string) string { return filepath.Join(string(folder), name) }
 
-// List returns the names of all entries of the folder.
+// List returns the names of all entries.
 func (folder Folder) List() ([]string, error) {
 	entries, err := os.ReadDir(string(folder))
 	if err != nil {
@@ -78,8 +78,8 @@
 	return errors.Join(err, directory.Close())
 }
 
-// diskError wraps err in an rpc.Error with the given code and with a message that starts
-// with the formatted text.
+// diskError wraps err in an rpc.Error with a code and a message that starts with the
+// text.
 func diskError(code rpc.Code, err error, format string, values ...any) error {
 	wrapped := oops.Code(string(code)).In("store").Wrapf(err, format, values...)
 	return rpc.Errorf(code, "%w", wrapped)
--- a/storage/files.go
+++ b/storage/files.go
@@ -8,7 +8,7 @@
 	"orchidjunction/rpc"
 )
 
-// tempSuffix is the suffix of the name of a file until it is complete.
+// tempSuffix marks the name of a file that is not complete yet.
 const tempSuffix = ".new"
 
 // FileName returns the name of the file with a kind and a number.
@@ -57,8 +57,7 @@
 	return file, nil
 }
 
-// RemoveDrafts removes the temporary files that a crash left behind, as far as the disk
-// allows.
+// RemoveDrafts removes the temporary files that a crash left behind.
 func RemoveDrafts(disk Disk) error {
 	names, err := disk.List()
 	if err != nil {
@@ -72,7 +71,7 @@
 	return nil
 }
 
-// RemoveBefore removes the files of a kind with numbers below the given one, in ascending
+// RemoveBefore removes the files of a kind with numbers below a given one, in ascending
 // order, and calls afterEach after each removal.
 func RemoveBefore(disk Disk, kind string, below uint64, afterEach func() error) error {
 	numbers, err := FileNumbers(disk, kind)
@@ -94,8 +93,8 @@
 	return nil
 }
 
-// ReadSnapshot reads the snapshot with a kind and a number and decodes it into value. It
-// returns the code CorruptStore if the checksum is wrong or the content can't be decoded.
+// ReadSnapshot decodes the snapshot in a numbered file into value. It returns
+// CorruptStore if the checksum is wrong or the content can't be decoded.
 func ReadSnapshot(disk Disk, kind string, number uint64, value any) error {
 	name := FileName(kind, number)
 	body, err := disk.Read(name)
@@ -112,8 +111,8 @@
 	return nil
 }
 
-// WriteSnapshot writes value as the snapshot with a kind and a number. It is durable once
-// WriteSnapshot returns without an error.
+// WriteSnapshot writes a snapshot into a numbered file. It is durable once WriteSnapshot
+// returns without an error.
 func WriteSnapshot(disk Disk, kind string, number uint64, value any) error {
 	body, err := EncodeFrame(value)
 	if err != nil {
--- a/storage/frame.go
+++ b/storage/frame.go
@@ -7,9 +7,9 @@
 	"orchidjunction/rpc"
 )
 
-// A frame is a header followed by a payload. The header has a magic number, the length and
-// the checksum of the payload, and a checksum of the preceding header fields. Numbers are
-// big-endian, and checksums are CRC-32C.
+// A frame is a header and a payload. The header has a magic number, the payload's length
+// and checksum, and a checksum of these fields. Numbers are big-endian, checksums are
+// CRC-32C.
 const (
 	frameMagic          = 0x6f6a
 	lengthOffset        = 2
@@ -22,10 +22,10 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// frame holds the bytes of a file from the start of a frame to the end of the file.
+// frame holds the bytes of a file from the start of a frame on.
 type frame []byte
 
-// EncodeFrame encodes a value and returns a frame with the encoding as its payload.
+// EncodeFrame returns a frame with the encoded value as its payload.
 func EncodeFrame(value any) ([]byte, error) {
 	payload, err := rpc.Marshal(value)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return payload, binary.BigEndian.Uint32(bytes[payloadSumOffset:]) == crc32.Checksum(payload, castagnoli)
 }
 
-// validFrameFollows reports whether a valid frame begins at any offset after the first byte.
+// validFrameFollows reports whether a valid frame begins anywhere after the first byte.
 func (bytes frame) validFrameFollows() bool {
 	for start := 1; start+frameHeaderBytes <= len(bytes); start++ {
 		if bytes[start] != frameMagicFirstByte || bytes[start+1] != frameMagicLastByte {
--- a/storage/journal.go
+++ b/storage/journal.go
@@ -9,12 +9,12 @@
 // defaultSegmentBytes is the default size above which the next segment is due.
 const defaultSegmentBytes = 4 << 20
 
-// Replay is called with each payload in a journal, in order, and with the number of its
-// segment. It returns an error if the payload can't be decoded.
+// Replay is called with each payload of a journal, in order. It returns an error if the
+// payload can't be decoded.
 type Replay func(segment uint64, payload []byte) error
 
 // Journal is a log in segments, which are numbered files of one kind. A frame is durable
-// once Append returns without an error. A torn frame at the end of the last segment is
+// once Append returns without an error. A torn write at the end of the last segment is
 // ignored; an invalid frame anywhere else is an error.
 //
 // After a write, a sync or a change of names failed, it is unknown what has reached the
@@ -32,10 +32,10 @@
 	err    error
 }
 
-// OpenJournal replays all frames from segment first on and ignores the segments before it.
-// It only reads: the owner must call Begin or Rewrite before the journal accepts frames. The
-// last segment can't be extended as it is, since a failed sync of the previous process may
-// have left frames that can be read but are not durable.
+// OpenJournal replays all frames from segment first on and ignores the segments before
+// it. It only reads: the owner calls Begin or Rewrite before it appends. The last segment
+// can't be extended as it is, since a failed sync of the previous process may have left
+// frames that can be read but are not durable.
 func OpenJournal(disk Disk, kind string, first uint64, replay Replay) (*Journal, error) {
 	journal := &Journal{disk: disk, kind: kind, number: first, limit: defaultSegmentBytes}
 	segments, err := FileNumbers(disk, kind)
@@ -98,8 +98,7 @@
 // LimitSegments sets the size in bytes above which the next segment is due.
 func (journal *Journal) LimitSegments(bytes int64) { journal.limit = bytes }
 
-// Full reports whether the last segment has no room for a frame. An empty segment has room
-// for a frame of any size.
+// Full reports whether a frame needs the next segment. An empty segment takes any frame.
 func (journal *Journal) Full(frame []byte) bool {
 	return journal.size > 0 && journal.size+int64(len(frame)) > journal.limit
 }
@@ -134,8 +133,7 @@
 	return journal.switchTo(file, journal.number, journal.size, err)
 }
 
-// switchTo makes a file the last segment or, if err is not nil, closes it and fails the
-// journal.
+// switchTo makes a file the last segment or, after an error, fails the journal.
 func (journal *Journal) switchTo(file File, number uint64, size int64, err error) error {
 	if err != nil {
 		if file != nil {
@@ -148,8 +146,7 @@
 	return nil
 }
 
-// Append writes and syncs a frame, which is durable once Append returns without an error.
-// After an error the journal rejects all frames.
+// Append writes and syncs a frame. After an error the journal rejects all frames.
 func (journal *Journal) Append(frame []byte) error {
 	if journal.err != nil {
 		return journal.err
