--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -50,7 +50,7 @@
 			var number uint64
 			var core, register int
 			var serial uint64
-			line.MaybeScanArgs(test, "term", &number)
+			line.MaybeScanArgs(test, "round", &number)
 			line.MaybeScanArgs(test, "core", &core)
 			line.MaybeScanArgs(test, "register", &register)
 			line.MaybeScanArgs(test, "serial", &serial)
@@ -58,9 +58,9 @@
 			result := ""
 			events = nil
 			switch line.Cmd {
-			case "initialize":
+			case "found":
 				result = fmt.Sprint(voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil) == nil)
-			case "prepare":
+			case "promise":
 				if response, err := voter.Prepare(&message.PrepareRequest{Term: term}); err != nil {
 					result = string(rpc.CodeOf(err))
 				} else {
@@ -88,7 +88,7 @@
 				result = "writes succeed from now on"
 			case "repair":
 				result = fmt.Sprint(voter.Repair() == nil)
-			case "power-loss":
+			case "power":
 				disk = disk.Sever(true)
 				voter = open()
 				state := voter.State()
--- a/replica/upgrade_test.go
+++ b/replica/upgrade_test.go
@@ -58,7 +58,7 @@
 	beforeRollouts := stateBeforeRollouts{Roster: voters, Founded: true, Promised: term}
 	beforeRollouts.Accepted[message.RoutingRegister] = routing
 	for name, files := range map[string]map[string]any{
-		"journal": {"segment-0000000000000000": &recordBeforeMemberships{
+		"log": {"segment-0000000000000000": &recordBeforeMemberships{
 			Roster: voters, Founded: true, Promised: &term, Register: message.RoutingRegister, Accepted: &routing,
 		}},
 		"snapshot": {"snapshot-0000000000000001": &snapshot, "segment-0000000000000001": &recordBeforeMemberships{Founded: true}},
--- a/storage/files.go
+++ b/storage/files.go
@@ -18,7 +18,7 @@
 func FileNumbers(disk Disk, kind string) ([]uint64, error) {
 	names, err := disk.List()
 	if err != nil {
-		return nil, diskError(rpc.DiskFailure, err, "list files")
+		return nil, diskError(rpc.DiskFailure, err, "list")
 	}
 	numbers := []uint64{}
 	for _, name := range names {
@@ -61,7 +61,7 @@
 func RemoveDrafts(disk Disk) error {
 	names, err := disk.List()
 	if err != nil {
-		return diskError(rpc.DiskFailure, err, "list files")
+		return diskError(rpc.DiskFailure, err, "list")
 	}
 	for _, name := range names {
 		if strings.HasSuffix(name, tempSuffix) {
