--- a/rollout/martingale/martingale.go
+++ b/rollout/martingale/martingale.go
@@ -1,16 +1,16 @@
-// Package martingale is a sequential test of whether the items of a version under test
-// exceed a quantile of the reference more often than those of a healthy version.
+// Package martingale implements a sequential test of whether the items of a version under
+// test exceed a quantile of the reference more often than those of a healthy version.
 //
 // Each item is one bit: whether its distance to the reference is above the (1 - alpha)
-// quantile q of the reference's own distances. Of i items, S_i are exceedances, and
-// M_i = S_i - alpha*i is a centred martingale, or falls on average, while the version is
-// healthy. The test alarms when M_i is above a bound that holds for all i at once, so that
-// it may be asked after each item, or after some of them: a healthy version is given an
-// alarm with probability delta at most, however long the test goes on.
+// quantile q of the reference's own distances. S_i counts the exceedances among i items;
+// M_i = S_i - alpha*i is a supermartingale while the version is healthy. The test raises an
+// alarm when M_i is above a bound that holds for all i simultaneously, so it may be evaluated
+// after any number of items: the probability of an alarm for a healthy version is at most
+// delta, however long the test runs.
 //
-// The test, its names and its bounds are those of "Fatigue Detection via Sequential Testing
-// of Biomechanical Data Using Martingale Statistic"; docs/design/rollout.md tells what
-// differs. The package has no state beyond the bound: the counts are the caller's.
+// The test, its notation and its bounds follow the paper "Fatigue Detection via Sequential
+// Testing of Biomechanical Data Using Martingale Statistic"; docs/design/rollout.md lists the
+// differences. The package keeps no counts; the caller passes them in.
 package martingale
 
 import (
@@ -18,89 +18,89 @@
 	"math"
 )
 
-// Options are the parameters of a test, by the source's names for them.
+// Options are the parameters of a test, named as in the paper.
 type Options struct {
-	// Alpha is the level of one item: the probability that a healthy version's exceeds.
+	// Alpha is the level of one item: the probability that an item of a healthy version exceeds.
 	Alpha float64
-	// Delta is the error budget of the test: the probability of an alarm for a healthy
-	// version, over any number of items.
+	// Delta is the error budget of the test: the maximum probability of an alarm for a
+	// healthy version, over any number of items.
 	Delta float64
-	// Pieces is the number p of lines that make up the bound before s_0.
+	// Pieces is the number p of lines of which the bound before s_0 consists.
 	Pieces int
-	// Reference is of how many items of the old version the reference is made. The test does
-	// not use it; whoever scores the items does.
+	// Reference is the number of items of the old version in the reference. Only the scoring
+	// of items depends on it, not the test.
 	Reference int
-	// SourceLines uses the lines of the source: those of Hoeffding's inequality, with the time
-	// points t_j at equal distances. They are those of Chernoff's otherwise, at equal ratios,
-	// which alarm sooner.
+	// SourceLines selects the paper's lines: from Hoeffding's inequality, with equidistant time
+	// points t_j. The default is lines from Chernoff's bound, with time points in geometric
+	// progression, which raise alarms sooner.
 	SourceLines bool
 }
 
-// DefaultAlpha is the level of one item unless another is chosen. The source has 0.22. A bad
-// version fails a part of its requests, or is several times slower there: far out in the tail.
+// DefaultAlpha is the default level of one item. It is below the paper's 0.22 because a bad
+// version fails some of its requests or is several times slower there: far out in the tail.
 const DefaultAlpha = 0.1
 
-// DefaultOptions are the source's values but for the level.
+// DefaultOptions returns the paper's values, except for the level and the lines.
 func DefaultOptions() Options {
 	return Options{Alpha: DefaultAlpha, Delta: 0.1, Pieces: 10, Reference: 200}
 }
 
-// check refuses options for which the bounds do not hold.
-func (options *Options) check() error {
+// validate returns an error if the bounds do not hold for the options.
+func (options *Options) validate() error {
 	switch {
 	case !(options.Alpha > 0 && options.Alpha <= 0.5):
-		return fmt.Errorf("alpha is %v, not in (0, 0.5]", options.Alpha)
+		return fmt.Errorf("alpha %v is not in (0, 0.5]", options.Alpha)
 	case !(options.Delta > 0 && options.Delta <= 0.5):
-		return fmt.Errorf("delta is %v, not in (0, 0.5]", options.Delta)
+		return fmt.Errorf("delta %v is not in (0, 0.5]", options.Delta)
 	case options.Pieces < 2:
-		return fmt.Errorf("%d pieces, fewer than 2", options.Pieces)
+		return fmt.Errorf("%d pieces; at least 2 are needed", options.Pieces)
 	case options.Reference < 1:
-		return fmt.Errorf("reference of %d items", options.Reference)
+		return fmt.Errorf("reference size %d is below 1", options.Reference)
 	}
 	return nil
 }
 
-// Test is the hybrid test: half of delta is spent on the piecewise linear bound, half on the
-// late one. It is immutable.
+// Test is the paper's hybrid test: half of delta is spent on the piecewise linear bound, half
+// on the iterated-logarithm bound. It is immutable.
 type Test struct {
-	options Options
-	lines   []line
-	late    lateBound
+	options     Options
+	lines       []line
+	iteratedLog iteratedLogBound
 }
 
-// NewTest returns a test with options.
+// NewTest returns a test, or an error if the options are invalid.
 func NewTest(options Options) (*Test, error) {
-	if err := options.check(); err != nil {
+	if err := options.validate(); err != nil {
 		return nil, fmt.Errorf("martingale: %w", err)
 	}
-	late := newLateBound(options.Alpha, options.Delta/2)
+	iteratedLog := newIteratedLogBound(options.Alpha, options.Delta/2)
 	return &Test{
-		options: options,
-		lines:   newLines(&options, late.start),
-		late:    late,
+		options:     options,
+		lines:       newLines(&options, iteratedLog.start),
+		iteratedLog: iteratedLog,
 	}, nil
 }
 
-// Threshold returns the bound that M_i must not be above after so many items. It is the
-// least of all bounds that hold there.
+// Threshold returns the highest M_i after i items that raises no alarm: the minimum of all
+// bounds that hold at i.
 func (test *Test) Threshold(items uint64) float64 {
 	time := float64(items)
 	threshold := math.Inf(1)
 	for _, line := range test.lines {
 		threshold = min(threshold, line.at(time))
 	}
-	if time >= test.late.start {
-		threshold = min(threshold, test.late.at(time))
+	if time >= test.iteratedLog.start {
+		threshold = min(threshold, test.iteratedLog.at(time))
 	}
 	return threshold
 }
 
-// Statistic returns M_i of so many items and exceedances.
+// Statistic returns M_i.
 func (test *Test) Statistic(items, exceedances uint64) float64 {
 	return float64(exceedances) - test.options.Alpha*float64(items)
 }
 
-// Alarm is whether M_i of so many items and exceedances is above the bound.
+// Alarm reports whether M_i is above the bound.
 func (test *Test) Alarm(items, exceedances uint64) bool {
 	return items > 0 && test.Statistic(items, exceedances) > test.Threshold(items)
 }
--- a/rollout/martingale/simulation_test.go
+++ b/rollout/martingale/simulation_test.go
@@ -14,101 +14,101 @@
 )
 
 var (
-	runs  = flag.Int("runs", 100, "healthy roll-outs to simulate")
-	items = flag.Int("items", 3000, "items of each")
+	runs  = flag.Int("runs", 100, "number of simulated rollouts")
+	items = flag.Int("items", 3000, "items per rollout")
 )
 
-// bound is a test of the counts and its options.
-type bound struct {
+// optionedTest is a sequential test with the options that it was sequential with.
+type optionedTest struct {
 	*martingale.Test
 	options martingale.Options
 }
 
-// withSource are the source's options and lines.
-func withSource(options *martingale.Options) { options.Alpha, options.SourceLines = sourceAlpha, true }
+// paperOptions sets the options of the paper.
+func paperOptions(options *martingale.Options) { options.Alpha, options.SourceLines = paperAlpha, true }
 
-const sourceAlpha = 0.22
+const paperAlpha = 0.22
 
-func newBound(test *testing.T, change func(*martingale.Options)) bound {
+func newOptionedTest(test *testing.T, change func(*martingale.Options)) optionedTest {
 	test.Helper()
 	options := martingale.DefaultOptions()
 	if change != nil {
 		change(&options)
 	}
-	made, err := martingale.NewTest(options)
+	sequential, err := martingale.NewTest(options)
 	if err != nil {
 		test.Fatal(err)
 	}
-	return bound{Test: made, options: options}
+	return optionedTest{Test: sequential, options: options}
 }
 
-// alarmAt returns after how many items, of those that next gives, a test alarms; 0 if never.
-func alarmAt(made bound, most int, next bits) int {
+// alarmAt returns the number of items after which the test raises an alarm, 0 if it never does.
+func alarmAt(sequential optionedTest, maxItems int, next itemSource) int {
 	exceedances := uint64(0)
-	for count := 1; count <= most; count++ {
+	for count := 1; count <= maxItems; count++ {
 		if next() {
 			exceedances++
 		}
-		if made.Alarm(uint64(count), exceedances) {
+		if sequential.Alarm(uint64(count), exceedances) {
 			return count
 		}
 	}
 	return 0
 }
 
-// Guards against a bound that gives healthy versions alarms more often than delta.
-func TestFalseAlarms(test *testing.T) {
+// Guards against a bound that raises alarms for healthy versions more often than delta.
+func TestFalseAlarmRateOfIndependentItems(test *testing.T) {
 	for _, delta := range []float64{0.1, 0.01} {
-		for _, alpha := range []float64{score.Alpha, sourceAlpha} {
-			for _, source := range []bool{false, true} {
-				made := newBound(test, func(options *martingale.Options) {
-					options.Delta, options.Alpha, options.SourceLines = delta, alpha, source
+		for _, alpha := range []float64{score.Alpha, paperAlpha} {
+			for _, usesPaperLines := range []bool{false, true} {
+				sequential := newOptionedTest(test, func(options *martingale.Options) {
+					options.Delta, options.Alpha, options.SourceLines = delta, alpha, usesPaperLines
 				})
 				alarms := 0
 				for seed := range *runs {
-					if alarmAt(made, *items, independent(rand.New(rand.NewPCG(uint64(seed), 1)), alpha)) > 0 {
+					if alarmAt(sequential, *items, independent(rand.New(rand.NewPCG(uint64(seed), 1)), alpha)) > 0 {
 						alarms++
 					}
 				}
 				test.Logf(
-					"independent, delta %v, alpha %v, source's lines %v: %d alarms in %d runs of %d",
+					"independent, delta %v, alpha %v, paper's lines %v: %d alarms in %d runs of %d items",
 					delta,
 					alpha,
-					source,
+					usesPaperLines,
 					alarms,
 					*runs,
 					*items,
 				)
 				if float64(alarms) > delta*float64(*runs) {
-					test.Errorf("more than delta")
+					test.Errorf("false-alarm rate above delta")
 				}
 			}
 		}
 	}
 }
 
-// bits gives whether each next item of a roll-out exceeds.
-type bits func() bool
+// itemSource reports whether the next item of a rollout exceeds.
+type itemSource func() bool
 
-// independent are items that exceed with a probability.
-func independent(random *rand.Rand, rate float64) bits {
+// independent returns items that exceed independently of each other at a rate.
+func independent(random *rand.Rand, rate float64) itemSource {
 	return func() bool { return random.Float64() < rate }
 }
 
-// retried are items of which a part repeats what the one before came to.
-func retried(random *rand.Rand, rate, part float64) bits {
+// repeating returns items a fraction of which has the result of the preceding item.
+func repeating(random *rand.Rand, rate, fraction float64) itemSource {
 	last := random.Float64() < rate
 	return func() bool {
-		if random.Float64() >= part {
+		if random.Float64() >= fraction {
 			last = random.Float64() < rate
 		}
 		return last
 	}
 }
 
-// ofTenants are items of tenants that come in bursts; each tenant's exceed at a rate of its own,
-// and at rate over all tenants.
-func ofTenants(random *rand.Rand, rate float64, burst int) bits {
+// tenantBursts returns items in bursts of one tenant each. Each tenant has its own rate of
+// exceedances; the mean over all tenants is rate.
+func tenantBursts(random *rand.Rand, rate float64, burst int) itemSource {
 	rates := []float64{0.02, 0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.35, 0.4, 0.38}
 	const meanOfRates = 0.22
 	tenant, left := 0, 0
@@ -121,100 +121,100 @@
 	}
 }
 
-// plainQuantile is the source's q: the (1 - alpha) quantile of one reference that lasts, of which
-// a part was taken while backends crashed.
-func plainQuantile(random *rand.Rand, alpha float64, size int, tainted float64) bits {
+// paperQuantile returns items judged by the paper's q: the (1 - alpha) quantile of a single fixed
+// reference. A fraction of the reference is contaminated by failures from crashed backends.
+func paperQuantile(random *rand.Rand, alpha float64, size int, contamination float64) itemSource {
 	distances := make([]float64, size)
 	for index := range distances {
-		distances[index] = heavy(random)
-		if random.Float64() < tainted {
+		distances[index] = heavyTailed(random)
+		if random.Float64() < contamination {
 			distances[index] = math.Inf(1)
 		}
 	}
 	slices.Sort(distances)
 	quantile := distances[int(math.Ceil((1-alpha)*float64(size)))-1]
-	return func() bool { return heavy(random) >= quantile }
+	return func() bool { return heavyTailed(random) >= quantile }
 }
 
-// heavy is a distance, or a time in milliseconds, without a finite variance.
-func heavy(random *rand.Rand) float64 { return 20 * math.Pow(1-random.Float64(), -1/1.1) }
+// heavyTailed returns a distance, or a time in milliseconds, of a distribution without finite variance.
+func heavyTailed(random *rand.Rand) float64 { return 20 * math.Pow(1-random.Float64(), -1/1.1) }
 
-// ownLevel is which part of a reference of 200 items the score leaves above q.
-const ownLevel = 0.074
+// scoreLevel is the fraction of a reference of 200 items that package score leaves above q.
+const scoreLevel = 0.074
 
-// scored are heavy-tailed items that so many proxies judge, each by a reference that lasts, of
-// which a part failed while backends crashed.
-func scored(random *rand.Rand, proxies int, tainted float64) bits {
+// scoredItems returns heavy-tailed items judged by several proxies, each with a fixed reference. A
+// fraction of each reference is contaminated by failures from crashed backends.
+func scoredItems(random *rand.Rand, proxies int, contamination float64) itemSource {
 	key := score.Key{Service: "s", Route: "r"}
 	references := make([]*score.References, proxies)
 	for index := range references {
 		references[index] = score.NewReferences()
 		for range score.ReferenceSize {
-			references[index].Add(key, heavyItem(random, tainted), uint32(random.IntN(16)))
+			references[index].Add(key, heavyTailedItem(random, contamination), uint32(random.IntN(16)))
 		}
 	}
-	return func() bool { return references[random.IntN(proxies)].Judge(key, heavyItem(random, 0)).Exceeds }
+	return func() bool { return references[random.IntN(proxies)].Judge(key, heavyTailedItem(random, 0)).Exceeds }
 }
 
-func heavyItem(random *rand.Rand, tainted float64) score.Item {
-	return score.Item{Failed: random.Float64() < tainted, Took: time.Duration(heavy(random) * float64(time.Millisecond))}
+func heavyTailedItem(random *rand.Rand, contamination float64) score.Item {
+	return score.Item{Failed: random.Float64() < contamination, Took: time.Duration(heavyTailed(random) * float64(time.Millisecond))}
 }
 
-// Guards against false alarms where the source's assumptions do not hold: items that depend on
-// each other, references that are tainted or few, heavy tails. What the bound does not cover is
-// only measured: the source's own quantile, and bursts at the level itself.
-func TestFalseAlarmsBeyondTheAssumptions(test *testing.T) {
+// Guards against false alarms where the paper's assumptions do not hold: dependent items,
+// contaminated or few references, heavy tails. Cases that the bound does not cover are only
+// logged: the paper's own quantile, and bursts at the level itself.
+func TestFalseAlarmRateOutsideAssumptions(test *testing.T) {
 	const alpha = score.Alpha
-	made, source := newBound(test, nil), newBound(test, withSource)
-	for _, one := range []struct {
-		name     string
-		bits     func(random *rand.Rand) bits
-		bound    bound
-		measured bool
+	defaults, paper := newOptionedTest(test, nil), newOptionedTest(test, paperOptions)
+	for _, testCase := range []struct {
+		name       string
+		items      func(random *rand.Rand) itemSource
+		tested     optionedTest
+		onlyLogged bool
 	}{
-		{"a tenth repeats the item before", func(random *rand.Rand) bits { return retried(random, alpha, 0.1) }, made, true},
-		{"the same at the score's level", func(random *rand.Rand) bits { return retried(random, ownLevel, 0.1) }, made, false},
-		{"a quarter repeats the item before", func(random *rand.Rand) bits { return retried(random, alpha, 0.25) }, made, true},
-		{"the same at the score's level", func(random *rand.Rand) bits { return retried(random, ownLevel, 0.25) }, made, false},
-		{"ten tenants in bursts of 5", func(random *rand.Rand) bits { return ofTenants(random, alpha, 5) }, made, true},
-		{"the same at the score's level", func(random *rand.Rand) bits { return ofTenants(random, ownLevel, 5) }, made, false},
-		{"ten tenants in bursts of 20", func(random *rand.Rand) bits { return ofTenants(random, alpha, 20) }, made, true},
-		{"the same at the score's level", func(random *rand.Rand) bits { return ofTenants(random, ownLevel, 20) }, made, false},
-		{"source: a quarter repeats", func(random *rand.Rand) bits { return retried(random, sourceAlpha, 0.25) }, source, true},
-		{"source: tenants in bursts of 20", func(random *rand.Rand) bits { return ofTenants(random, sourceAlpha, 20) }, source, true},
-		{"source: its quantile, one reference", func(random *rand.Rand) bits { return plainQuantile(random, sourceAlpha, 200, 0) }, source, true},
-		{"source: the same, 5% tainted", func(random *rand.Rand) bits { return plainQuantile(random, sourceAlpha, 200, 0.05) }, source, true},
-		{"the score, one proxy", func(random *rand.Rand) bits { return scored(random, 1, 0) }, made, false},
-		{"the score, 40 proxies", func(random *rand.Rand) bits { return scored(random, 40, 0) }, made, false},
-		{"the score, one proxy, 5% tainted", func(random *rand.Rand) bits { return scored(random, 1, 0.05) }, made, false},
-		{"one more of a hundred exceeds", func(random *rand.Rand) bits { return independent(random, alpha+0.01) }, made, true},
+		{"a tenth repeats the preceding item", func(random *rand.Rand) itemSource { return repeating(random, alpha, 0.1) }, defaults, true},
+		{"the same at the score's level", func(random *rand.Rand) itemSource { return repeating(random, scoreLevel, 0.1) }, defaults, false},
+		{"a quarter repeats the preceding item", func(random *rand.Rand) itemSource { return repeating(random, alpha, 0.25) }, defaults, true},
+		{"the same at the score's level", func(random *rand.Rand) itemSource { return repeating(random, scoreLevel, 0.25) }, defaults, false},
+		{"ten tenants in bursts of 5", func(random *rand.Rand) itemSource { return tenantBursts(random, alpha, 5) }, defaults, true},
+		{"the same at the score's level", func(random *rand.Rand) itemSource { return tenantBursts(random, scoreLevel, 5) }, defaults, false},
+		{"ten tenants in bursts of 20", func(random *rand.Rand) itemSource { return tenantBursts(random, alpha, 20) }, defaults, true},
+		{"the same at the score's level", func(random *rand.Rand) itemSource { return tenantBursts(random, scoreLevel, 20) }, defaults, false},
+		{"paper: a quarter repeats", func(random *rand.Rand) itemSource { return repeating(random, paperAlpha, 0.25) }, paper, true},
+		{"paper: tenants in bursts of 20", func(random *rand.Rand) itemSource { return tenantBursts(random, paperAlpha, 20) }, paper, true},
+		{"paper: its quantile, one reference", func(random *rand.Rand) itemSource { return paperQuantile(random, paperAlpha, 200, 0) }, paper, true},
+		{"paper: the same, 5% contaminated", func(random *rand.Rand) itemSource { return paperQuantile(random, paperAlpha, 200, 0.05) }, paper, true},
+		{"the score, one proxy", func(random *rand.Rand) itemSource { return scoredItems(random, 1, 0) }, defaults, false},
+		{"the score, 40 proxies", func(random *rand.Rand) itemSource { return scoredItems(random, 40, 0) }, defaults, false},
+		{"the score, one proxy, 5% contaminated", func(random *rand.Rand) itemSource { return scoredItems(random, 1, 0.05) }, defaults, false},
+		{"rate above alpha by 0.01", func(random *rand.Rand) itemSource { return independent(random, alpha+0.01) }, defaults, true},
 	} {
 		alarms := 0
 		for seed := range *runs {
-			if alarmAt(one.bound, *items, one.bits(rand.New(rand.NewPCG(uint64(seed), 2)))) > 0 {
+			if alarmAt(testCase.tested, *items, testCase.items(rand.New(rand.NewPCG(uint64(seed), 2)))) > 0 {
 				alarms++
 			}
 		}
-		test.Logf("%s: %d alarms in %d runs of %d", one.name, alarms, *runs, *items)
-		if !one.measured && float64(alarms) > one.bound.options.Delta*float64(*runs) {
-			test.Errorf("%s: more than delta", one.name)
+		test.Logf("%s: %d alarms in %d runs of %d items", testCase.name, alarms, *runs, *items)
+		if !testCase.onlyLogged && float64(alarms) > testCase.tested.options.Delta*float64(*runs) {
+			test.Errorf("%s: false-alarm rate above delta", testCase.name)
 		}
 	}
 }
 
-// plainThreshold alarms when the rate is above half as much again as alpha, after 30 items.
-func plainThreshold(items, exceedances uint64) bool {
+// fixedThreshold raises an alarm when at least 30 items exceed at more than 1.5 times alpha.
+func fixedThreshold(items, exceedances uint64) bool {
 	return items >= 30 && float64(exceedances) > 1.5*score.Alpha*float64(items)
 }
 
-// firstAlarms returns after how many items alarm is raised in each run, most where it is not.
-func firstAlarms(alarm func(items, exceedances uint64) bool, rate float64, runs, most int) []int {
+// firstAlarms returns the sorted numbers of items until the alarm of each run, maxItems if there is none.
+func firstAlarms(alarm func(items, exceedances uint64) bool, rate float64, runs, maxItems int) []int {
 	all := make([]int, runs)
 	for run := range all {
 		random := rand.New(rand.NewPCG(uint64(run), 4))
 		exceedances := uint64(0)
-		all[run] = most
-		for count := 1; count < most; count++ {
+		all[run] = maxItems
+		for count := 1; count < maxItems; count++ {
 			if random.Float64() < rate {
 				exceedances++
 			}
@@ -228,26 +228,37 @@
 	return all
 }
 
-// Guards against a test that is slow to raise the alarm, beside the source's spacing and a plain
-// threshold.
+// Guards against slow alarms. The paper's lines and a fixed threshold are logged for comparison.
 func TestItemsUntilAlarm(test *testing.T) {
-	made, source := newBound(test, nil), newBound(test, withSource)
+	defaults, paper := newOptionedTest(test, nil), newOptionedTest(test, paperOptions)
 	trials := min(*runs, 2000)
-	for _, one := range []struct {
-		shift float64
-		most  int
+	for _, testCase := range []struct {
+		shift     float64
+		maxMedian int
 	}{{0, 0}, {0.05, 800}, {0.1, 200}, {0.2, 60}, {0.3, 30}, {0.5, 15}, {0.78, 8}} {
-		line := fmt.Sprintf("shift %.2f:", one.shift)
+		line := fmt.Sprintf("shift %.2f:", testCase.shift)
 		for _, rule := range []struct {
 			name  string
 			alpha float64
 			alarm func(items, exceedances uint64) bool
-		}{{"default", score.Alpha, made.Alarm}, {"source", sourceAlpha, source.Alarm}, {"plain threshold", score.Alpha, plainThreshold}} {
-			found := firstAlarms(rule.alarm, rule.alpha+one.shift, trials, 10_000)
+		}{{"default", score.Alpha, defaults.Alarm}, {"paper", paperAlpha, paper.Alarm}, {"fixed threshold", score.Alpha, fixedThreshold}} {
+			found := firstAlarms(rule.alarm, rule.alpha+testCase.shift, trials, 10_000)
 			alarms, _ := slices.BinarySearch(found, 10_000)
-			line += fmt.Sprintf(" %s %d, %d, alarms in %d of %d;", rule.name, found[trials/2], found[trials*9/10], alarms, trials)
-			if rule.name == "default" && one.shift > 0 && found[trials/2] > one.most {
-				test.Errorf("shift %v: median of %d items, at most %d wanted", one.shift, found[trials/2], one.most)
+			line += fmt.Sprintf(
+				" %s median %d, 90th percentile %d, alarms in %d of %d;",
+				rule.name,
+				found[trials/2],
+				found[trials*9/10],
+				alarms,
+				trials,
+			)
+			if rule.name == "default" && testCase.shift > 0 && found[trials/2] > testCase.maxMedian {
+				test.Errorf(
+					"shift %v: median of %d items until the alarm, want at most %d",
+					testCase.shift,
+					found[trials/2],
+					testCase.maxMedian,
+				)
 			}
 		}
 		test.Log(line)
