--- a/rollout/counts.go
+++ b/rollout/counts.go
@@ -12,21 +12,21 @@
 	return cmp.Or(cmp.Compare(left.Incarnation, right.Incarnation), cmp.Compare(left.Counts.Step, right.Counts.Step))
 }
 
-// Sorted sorts counts as a Rollout keeps them.
+// Sorted sorts counts in place into the order of Rollout.Counts, and returns them.
 func Sorted(counts []ProcessCounts) []ProcessCounts {
 	slices.SortFunc(counts, compareCounts)
 	return counts
 }
 
-// merge returns the counts of all processes and steps of a roll-out in order. The counts of a
-// process in a step only rise, so that of two reports the higher one holds: one that was
-// repeated, or came late, changes nothing, and a process that ended keeps what it had reported.
-func merge(stored, reported []ProcessCounts) []ProcessCounts {
+// mergeCounts returns the sorted counts of all processes and steps of a rollout. The counts of a
+// process in a step only increase, so the maximum of two reports is valid: a repeated or delayed
+// report changes nothing, and the counts of a process that has ended are kept.
+func mergeCounts(stored, reported []ProcessCounts) []ProcessCounts {
 	merged := slices.Clone(stored)
 	for _, report := range reported {
 		index, found := slices.BinarySearchFunc(merged, report, compareCounts)
 		if found {
-			merged[index].Counts = highest(merged[index].Counts, report.Counts)
+			merged[index].Counts = maxCounts(merged[index].Counts, report.Counts)
 		} else {
 			merged = slices.Insert(merged, index, report)
 		}
@@ -34,30 +34,30 @@
 	return merged
 }
 
-// highest returns the highest of each count, and what is no count from the newer report.
-func highest(former, next message.RolloutCounts) message.RolloutCounts {
-	next.Requests = max(former.Requests, next.Requests)
-	next.Items = max(former.Items, next.Items)
-	next.Exceedances = max(former.Exceedances, next.Exceedances)
-	next.Failures = max(former.Failures, next.Failures)
-	next.FormerRequests = max(former.FormerRequests, next.FormerRequests)
-	next.FormerItems = max(former.FormerItems, next.FormerItems)
-	next.FormerFailures = max(former.FormerFailures, next.FormerFailures)
+// maxCounts returns the maximum of each counter; all other fields are from next.
+func maxCounts(previous, next message.RolloutCounts) message.RolloutCounts {
+	next.Requests = max(previous.Requests, next.Requests)
+	next.Items = max(previous.Items, next.Items)
+	next.Exceedances = max(previous.Exceedances, next.Exceedances)
+	next.Failures = max(previous.Failures, next.Failures)
+	next.FormerRequests = max(previous.FormerRequests, next.FormerRequests)
+	next.FormerItems = max(previous.FormerItems, next.FormerItems)
+	next.FormerFailures = max(previous.FormerFailures, next.FormerFailures)
 	return next
 }
 
-// Total returns what all processes counted for the roll-out, by what is stored of them and
-// what they reported since. Of requests in flight, each process's newest report counts. The sum
-// of a roll-out that ended is stored.
+// Total returns the sum over all processes of the stored and the reported counts. For requests
+// in flight, only the newest step of each process is summed. For a rollout that has ended, Total
+// returns the stored sum.
 func (rollout *Rollout) Total(reported []ProcessCounts) message.RolloutCounts {
 	if rollout.Phase != message.RolloutActive {
-		return sum(rollout.Counts)
+		return sumCounts(rollout.Counts)
 	}
-	return sum(merge(rollout.Counts, reported))
+	return sumCounts(mergeCounts(rollout.Counts, reported))
 }
 
-// sum returns the counts of all processes and steps together.
-func sum(counts []ProcessCounts) message.RolloutCounts {
+// sumCounts adds up the counts of all processes and steps.
+func sumCounts(counts []ProcessCounts) message.RolloutCounts {
 	total := message.RolloutCounts{}
 	for _, process := range counts {
 		total.Requests += process.Counts.Requests
@@ -74,8 +74,8 @@
 	return total
 }
 
-// newestSteps returns the counts of each process in the newest step that it reported, by
-// incarnation.
+// newestSteps returns the counts of each process's newest reported step, by incarnation. The
+// argument must be sorted.
 func newestSteps(counts []ProcessCounts) map[string]message.RolloutCounts {
 	newest := make(map[string]message.RolloutCounts, len(counts))
 	for _, process := range counts {
--- a/rollout/decide.go
+++ b/rollout/decide.go
@@ -6,16 +6,16 @@
 	"orchidjunction/message"
 )
 
-// Rules are by what Decide decides.
+// Rules are the limits and the test by which Decide decides.
 type Rules struct {
 	Bounds  Bounds
 	Verdict Verdict
 }
 
-// Observation is what the leader knows at a time, in milliseconds since the Unix epoch.
-// Backends is the platform's list, Processes the proxies that have a session, and Reported
-// what each process reported for a roll-out's ID, also of those that ended since. IsSettled
-// says that proxies had the time to report to this leader.
+// Observation is what the leader knows at NowMs, in milliseconds since the Unix epoch.
+// Backends is the platform's list and Processes the proxies that have a session. Reported
+// returns the counts that processes reported for a rollout ID, including processes that have
+// ended. IsSettled says that proxies have had time to report to this leader.
 type Observation struct {
 	NowMs     int64
 	IsSettled bool
@@ -24,56 +24,57 @@
 	Reported  func(id uint64) []ProcessCounts
 }
 
-// Process is a proxy with a session. Age is how old its newest report is.
+// Process is a proxy with a session. Age is the age of its newest report.
 type Process struct {
 	Incarnation string
 	Age         time.Duration
 }
 
-// staleAfter is how old a proxy's newest report may be for a step to a larger share.
-const staleAfter = 1200 * time.Millisecond
+// maxReportAge is the maximum age of a proxy's newest report for it to count as having a step in force.
+const maxReportAge = 1200 * time.Millisecond
 
-// growthQuorum is the part of the proxies that must have a step in force before the next one:
-// while some restart, the others tell enough, and who lacks a step sends the version less.
-const growthQuorum = 0.9
+// stepQuorum is the fraction of proxies that must have a step in force before the next one. It
+// is below 1 since some may be restarting: the others report enough, and a proxy that lacks the
+// step sends the new version fewer requests.
+const stepQuorum = 0.9
 
-// The part of the former version's capacity that the new one must have before a step: as
-// much as the share of requests and a reserve, and nearly all of it for all requests.
+// Before a step, the new version must have the fraction capacityHeadroom*share of the old
+// version's capacity, but at most maxNeededCapacity.
 const (
-	capacityReserve = 1.5
-	fullCapacity    = 0.85
+	capacityHeadroom  = 1.5
+	maxNeededCapacity = 0.85
 )
 
-// Obstacle is why a roll-out stays in its step; it is empty if it need not.
+// Obstacle is the reason why a rollout stays in its step, empty if there is none.
 type Obstacle string
 
-// The obstacles.
+// The reasons, as they appear in the log.
 const (
-	NotSettled     Obstacle = "the leader waits for its first table"
-	NotDue         Obstacle = "the step is not over"
+	NotSettled     Obstacle = "the leader has not built its first table"
+	NotDue         Obstacle = "the minimum duration of the step is not over"
 	TooLittleWarm  Obstacle = "too few warm backends of the new version"
-	TooFewItems    Obstacle = "too few responses were judged"
-	ProxiesBehind  Obstacle = "a proxy is silent or has an older step"
-	BoundReached   Obstacle = "the bound of requests would not hold"
-	FormerNeeded   Obstacle = "the new version does not bear all requests alone"
-	FormerInFlight Obstacle = "requests are at the former version"
+	TooFewItems    Obstacle = "too few responses of the new version were judged"
+	ProxiesBehind  Obstacle = "proxies have no recent report or an older step"
+	BoundReached   Obstacle = "a bad version could exceed the bound of requests"
+	FormerNeeded   Obstacle = "proxies still send requests to the old version"
+	FormerInFlight Obstacle = "requests are in flight at the old version"
 )
 
-// Waiting is a roll-out that stays in its step.
+// Waiting is a rollout that stays in its step.
 type Waiting struct {
 	Service  string
 	Obstacle Obstacle
 }
 
-// Decide returns the state after the next decision on each active roll-out, nil if none of
-// them changes: the next step if the evidence allows it, the end if the version is bad or all
-// is done, and else the same step for longer, with what each of these waits for.
+// Decide returns the state after a decision on each active rollout, nil if none of them
+// changes. A rollout advances to the next step if the evidence allows it, and ends if the version
+// is bad or all steps are done. Otherwise it stays in its step and is returned as waiting.
 func Decide(state *State, observation *Observation, rules Rules) (*State, []Waiting) {
 	next, waiting := state, []Waiting{}
 	for _, service := range state.Active() {
 		changed, obstacle := newDecision(service, observation, rules).next()
 		if changed != nil {
-			next = next.with(*changed)
+			next = next.withService(*changed)
 		} else {
 			waiting = append(waiting, Waiting{Service: service.Name, Obstacle: obstacle})
 		}
@@ -84,7 +85,7 @@
 	return next, waiting
 }
 
-// decision is what one roll-out is decided by.
+// decision holds the inputs of the decision on one rollout.
 type decision struct {
 	service     Service
 	rollout     *Rollout
@@ -96,30 +97,30 @@
 }
 
 func newDecision(service Service, observation *Observation, rules Rules) *decision {
-	counts := merge(service.Rollout.Counts, observation.Reported(service.Rollout.ID))
+	counts := mergeCounts(service.Rollout.Counts, observation.Reported(service.Rollout.ID))
 	return &decision{
 		service:     service,
 		rollout:     service.Rollout,
 		observation: observation,
 		rules:       rules,
 		counts:      counts,
-		total:       sum(counts),
+		total:       sumCounts(counts),
 		capacity:    capacityOf(observation, service),
 	}
 }
 
-// next returns the service after the decision, nil and the obstacle if the roll-out stays as
-// it is.
+// next returns the service after the decision, or nil and the obstacle if the rollout does not
+// change.
 func (decision *decision) next() (*Service, Obstacle) {
-	rollout, isLate := decision.rollout, decision.observation.NowMs >= decision.rollout.TermMs
-	if decision.rules.Verdict.Alarm(decision.total) || rollout.Step < fullStep && isLate {
+	rollout, isOverdue := decision.rollout, decision.observation.NowMs >= decision.rollout.TermMs
+	if decision.rules.Verdict.Alarm(decision.total) || rollout.Step < fullStep && isOverdue {
 		return decision.end(message.RolloutReverted), ""
 	}
 	if rollout.Step < exclusiveStep {
-		if obstacle := decision.obstacleToGrow(); obstacle != "" {
+		if obstacle := decision.obstacleToAdvance(); obstacle != "" {
 			return nil, obstacle
 		}
-		return decision.grow(), ""
+		return decision.advance(), ""
 	}
 	if obstacle := decision.obstacleToComplete(); obstacle != "" {
 		return nil, obstacle
@@ -128,23 +129,23 @@
 }
 
 func (decision *decision) end(phase message.RolloutPhase) *Service {
-	ended := decision.service.ended(phase, decision.total)
+	ended := decision.service.withEndedRollout(phase, decision.total)
 	return &ended
 }
 
-// grow returns the service in the next step.
-func (decision *decision) grow() *Service {
-	grown, service := *decision.rollout, decision.service
-	grown.Step++
-	grown.Share = decision.rules.Bounds.share(grown.Step)
-	grown.StepMs = decision.observation.NowMs
-	grown.Counts = decision.counts
-	service.Rollout = &grown
+// advance returns the service in the next step.
+func (decision *decision) advance() *Service {
+	advanced, service := *decision.rollout, decision.service
+	advanced.Step++
+	advanced.Share = decision.rules.Bounds.share(advanced.Step)
+	advanced.StepMs = decision.observation.NowMs
+	advanced.Counts = decision.counts
+	service.Rollout = &advanced
 	return &service
 }
 
-// obstacleToGrow returns why the next step may not begin now.
-func (decision *decision) obstacleToGrow() Obstacle {
+// obstacleToAdvance returns why the next step may not begin now.
+func (decision *decision) obstacleToAdvance() Obstacle {
 	step := decision.rollout.Step + 1
 	share := decision.rules.Bounds.share(step)
 	switch {
@@ -152,7 +153,7 @@
 		return NotSettled
 	case !decision.stepDue(step):
 		return NotDue
-	case !decision.capacity.bears(share):
+	case !decision.capacity.canServe(share):
 		return TooLittleWarm
 	case step == canaryStep:
 		return ""
@@ -160,7 +161,7 @@
 		return decision.obstacleToExclusive()
 	case decision.total.Items < minItems:
 		return TooFewItems
-	case decision.inForce() < growthQuorum:
+	case decision.fractionInForce() < stepQuorum:
 		return ProxiesBehind
 	case !decision.rules.Bounds.allows(decision.exposure(), share):
 		return BoundReached
@@ -168,12 +169,12 @@
 	return ""
 }
 
-// stepDue reports whether the time for a step has come.
+// stepDue reports whether enough time has passed for a step to begin.
 func (decision *decision) stepDue(step int) bool {
 	rollout := decision.rollout
 	switch step {
 	case rampingStep:
-		return decision.sinceStart() >= time.Duration(canaryUntil*float64(rollout.term()))
+		return decision.sinceStart() >= time.Duration(canaryTimeFraction*float64(rollout.timeLimit()))
 	case fullStep:
 		return decision.sinceStep() >= rampingTime
 	case exclusiveStep:
@@ -182,11 +183,11 @@
 	return true
 }
 
-// obstacleToExclusive returns why the former version may not be left without requests: the
-// new one must bear them alone, so that few proxies had to turn to the former one.
+// obstacleToExclusive returns why the old version must still get requests. The new version must
+// handle the load alone: the proxies may have at most one request each, on average, at the old one.
 func (decision *decision) obstacleToExclusive() Obstacle {
 	switch {
-	case decision.inForce() < growthQuorum:
+	case decision.fractionInForce() < stepQuorum:
 		return ProxiesBehind
 	case decision.formerInFlight() > len(decision.observation.Processes):
 		return FormerNeeded
@@ -194,15 +195,16 @@
 	return ""
 }
 
-// obstacleToComplete returns why the former version may not end now, which it does at once:
-// every proxy must know that it gets nothing, and none may have a request there.
+// obstacleToComplete returns why the rollout may not complete now. The old version's backends
+// stop at once on completion, so every proxy must have the step in force that sends them nothing,
+// and no proxy may have a request in flight there.
 func (decision *decision) obstacleToComplete() Obstacle {
 	switch {
 	case !decision.observation.IsSettled:
 		return NotSettled
 	case decision.sinceStep() < exclusiveTime:
 		return NotDue
-	case decision.inForce() < 1:
+	case decision.fractionInForce() < 1:
 		return ProxiesBehind
 	case decision.formerInFlight() > 0:
 		return FormerInFlight
@@ -210,20 +212,20 @@
 	return ""
 }
 
-// inForce returns the part of the proxies that have the present step in force and said so
-// lately, 0 if there are none.
-func (decision *decision) inForce() float64 {
+// fractionInForce returns the fraction of proxies that reported recently and have the current
+// step in force, 0 if there are no proxies.
+func (decision *decision) fractionInForce() float64 {
 	newest := newestSteps(decision.counts)
 	count := 0
 	for _, process := range decision.observation.Processes {
-		if newest[process.Incarnation].Step == decision.rollout.Step && process.Age <= staleAfter {
+		if newest[process.Incarnation].Step == decision.rollout.Step && process.Age <= maxReportAge {
 			count++
 		}
 	}
 	return float64(count) / float64(max(1, len(decision.observation.Processes)))
 }
 
-// formerInFlight returns how many requests the proxies have at the former version.
+// formerInFlight returns the number of requests in flight at the old version.
 func (decision *decision) formerInFlight() int {
 	newest, count := newestSteps(decision.counts), 0
 	for _, process := range decision.observation.Processes {
@@ -232,13 +234,13 @@
 	return count
 }
 
-// exposure returns what the new version got so far.
+// exposure returns the requests that the new version has received so far, and the time.
 func (decision *decision) exposure() exposure {
 	return exposure{
-		requests: float64(decision.total.Requests),
-		all:      float64(decision.total.Requests + decision.total.FormerRequests),
-		elapsed:  decision.sinceStart(),
-		left:     decision.rollout.term() - decision.sinceStart(),
+		newRequests: float64(decision.total.Requests),
+		allRequests: float64(decision.total.Requests + decision.total.FormerRequests),
+		elapsed:     decision.sinceStart(),
+		remaining:   decision.rollout.timeLimit() - decision.sinceStart(),
 	}
 }
 
@@ -250,13 +252,13 @@
 	return time.Duration(decision.observation.NowMs-decision.rollout.StepMs) * time.Millisecond
 }
 
-func (rollout *Rollout) term() time.Duration {
+func (rollout *Rollout) timeLimit() time.Duration {
 	return time.Duration(rollout.TermMs-rollout.StartMs) * time.Millisecond
 }
 
-// capacity is how many requests at once the warm backends of a service bear that stay: those
-// of the new version, and all others.
-type capacity struct{ warm, former float64 }
+// capacity is the number of concurrent requests that the warm backends of a service can run, not
+// counting those that are leaving: backends of the target version, and of all others.
+type capacity struct{ target, others float64 }
 
 func capacityOf(observation *Observation, service Service) capacity {
 	capacity := capacity{}
@@ -265,16 +267,16 @@
 		switch {
 		case backend.Service != service.Name || backend.Leaving || backend.WarmAtMs > observation.NowMs:
 		case backend.Revision != service.Rollout.Target:
-			capacity.former += float64(max(1, backend.Capacity))
+			capacity.others += float64(max(1, backend.Capacity))
 		default:
-			capacity.warm += float64(max(1, backend.Capacity))
+			capacity.target += float64(max(1, backend.Capacity))
 		}
 	}
 	return capacity
 }
 
-// bears reports whether the new version bears a share of the requests.
-func (capacity capacity) bears(share float64) bool {
-	needed := min(fullCapacity, capacityReserve*share) * capacity.former
-	return capacity.warm > 0 && capacity.warm >= needed
+// canServe reports whether the new version has the capacity for a share of the requests.
+func (capacity capacity) canServe(share float64) bool {
+	needed := min(maxNeededCapacity, capacityHeadroom*share) * capacity.others
+	return capacity.target > 0 && capacity.target >= needed
 }
--- a/rollout/decide_test.go
+++ b/rollout/decide_test.go
@@ -18,20 +18,20 @@
 
 var rules = Rules{Bounds: Bounds{Share: 0.1, Extra: 50}, Verdict: DefaultVerdict()}
 
-// service plays a service whose proxies follow the decisions after a delay: it counts what
-// each version gets, and which of its requests fail.
-type service struct {
+// simulatedService simulates a service whose proxies follow decisions after a delay. It counts
+// the requests to each version and their failures.
+type simulatedService struct {
 	state    *State
 	nowMs    int64
-	delayMs  int64 // from a decision until proxies have it, and from a response to the leader
+	delayMs  int64 // sum of the delays from response to leader and from decision to proxies
 	failures func(elapsedMs int64, share float64) float64
 	pending  []pendingStep
 	step     int
 	share    float64
-	counts   []map[int]message.RolloutCounts // by process, then by step
+	counts   []map[int]message.RolloutCounts // by process and step
 	reports  []reported
 	backends []message.Backend
-	silent   int // processes that do not report
+	silent   int // number of processes that do not report
 	inFlight int
 }
 
@@ -46,10 +46,10 @@
 	counts []ProcessCounts
 }
 
-func newService(test *testing.T) *service {
+func newSimulatedService(test *testing.T) *simulatedService {
 	known := (&State{}).ObserveVersions(backendsOf("v1*aaaaaaaaaa"))
 	order := &message.RolloutOrder{Service: "desk", Target: "v2", TermMs: termMs}
-	service := &service{
+	service := &simulatedService{
 		state:    mustOrder(test, known, order, startMs),
 		nowMs:    startMs,
 		delayMs:  450,
@@ -62,10 +62,10 @@
 	return service
 }
 
-func (service *service) rollout() *Rollout { return service.state.Service("desk").Rollout }
+func (service *simulatedService) rollout() *Rollout { return service.state.Service("desk").Rollout }
 
-// tick lets the proxies send requests for a while, and the leader decide.
-func (service *service) tick() {
+// tick simulates tickMs of requests and one decision of the leader.
+func (service *simulatedService) tick() {
 	service.nowMs += tickMs
 	for len(service.pending) > 0 && service.pending[0].atMs <= service.nowMs {
 		service.step, service.share = service.pending[0].step, service.pending[0].share
@@ -82,7 +82,7 @@
 	}
 }
 
-func (service *service) serve() {
+func (service *simulatedService) serve() {
 	each := ratePerS * float64(tickMs) / 1000 / proxies
 	for index := range service.counts {
 		counts := service.counts[index][service.step]
@@ -98,7 +98,7 @@
 	}
 }
 
-func (service *service) snapshot() []ProcessCounts {
+func (service *simulatedService) snapshot() []ProcessCounts {
 	all := []ProcessCounts{}
 	for index := range len(service.counts) - service.silent {
 		for _, counts := range service.counts[index] {
@@ -108,7 +108,7 @@
 	return Sorted(all)
 }
 
-func (service *service) observation() *Observation {
+func (service *simulatedService) observation() *Observation {
 	newest := []ProcessCounts{}
 	for _, report := range service.reports {
 		if report.atMs <= service.nowMs {
@@ -129,81 +129,81 @@
 	return observation
 }
 
-// run plays until the roll-out ends, or a time after its term, and returns when it ended,
-// in milliseconds after the order.
-func (service *service) run() int64 {
+// run simulates until the rollout ends, at most until twice its time limit, and returns the
+// milliseconds since the order.
+func (service *simulatedService) run() int64 {
 	for service.rollout().Phase == message.RolloutActive && service.nowMs < startMs+2*termMs {
 		service.tick()
 	}
 	return service.nowMs - startMs
 }
 
-// exposed returns the requests that the new version got until the term, if the proxies go on
-// as decided, and those of the service altogether.
-func (service *service) exposed() (requests, all uint64) {
+// requestsByDeadline simulates until the deadline and returns the requests to the new version,
+// and to the whole service.
+func (service *simulatedService) requestsByDeadline() (requests, all uint64) {
 	for service.nowMs < startMs+termMs {
 		service.tick()
 	}
-	for _, bySteps := range service.counts {
-		for _, counts := range bySteps {
+	for _, byStep := range service.counts {
+		for _, counts := range byStep {
 			requests, all = requests+counts.Requests, all+counts.Requests+counts.FormerRequests
 		}
 	}
 	return requests, all
 }
 
-// A good version is complete before its term, whose end counts as a miss.
-func TestGoodVersionIsCompleteByTheTerm(test *testing.T) {
-	service := newService(test)
+// The rollout of a good version must complete 1.5 s before the deadline: at the deadline, it has failed.
+func TestGoodVersionCompletesByDeadline(test *testing.T) {
+	service := newSimulatedService(test)
 	took := service.run()
 	if service.rollout().Phase != message.RolloutComplete || took > termMs-1500 {
-		test.Errorf("%s after %d ms", service.rollout().Phase, took)
+		test.Errorf("phase %s after %d ms", service.rollout().Phase, took)
 	}
 	if current := service.state.Service("desk").Current; current != "v2" {
 		test.Errorf("current version %q", current)
 	}
 }
 
-// A version that fails gets no more than the bound of all requests until its term, whenever
-// it turns bad, also under its full load (EXPOSURE).
-func TestBadVersionStaysWithinItsBound(test *testing.T) {
+// Until its deadline, a bad version must get no more requests than the bound (EXPOSURE), whenever
+// it turns bad, also under full load.
+func TestBadVersionStaysWithinBound(test *testing.T) {
 	for name, failures := range map[string]func(elapsedMs int64, share float64) float64{
 		"at once":           func(int64, float64) float64 { return 0.33 },
 		"on one route":      func(int64, float64) float64 { return 0.12 },
-		"after 3 s":         func(elapsedMs int64, _ float64) float64 { return 0.33 * boolOf(elapsedMs > 3000) },
-		"after 7 s":         func(elapsedMs int64, _ float64) float64 { return 0.33 * boolOf(elapsedMs > 7000) },
-		"at a larger share": func(_ int64, share float64) float64 { return 0.33 * boolOf(share > 0.1) },
-		"at the full share": func(_ int64, share float64) float64 { return 0.33 * boolOf(share > 0.9) },
+		"after 3 s":         func(elapsedMs int64, _ float64) float64 { return 0.33 * oneIf(elapsedMs > 3000) },
+		"after 7 s":         func(elapsedMs int64, _ float64) float64 { return 0.33 * oneIf(elapsedMs > 7000) },
+		"at a larger share": func(_ int64, share float64) float64 { return 0.33 * oneIf(share > 0.1) },
+		"at the full share": func(_ int64, share float64) float64 { return 0.33 * oneIf(share > 0.9) },
 	} {
-		service := newService(test)
+		service := newSimulatedService(test)
 		service.failures = failures
 		ended := service.run()
-		requests, all := service.exposed()
+		requests, all := service.requestsByDeadline()
 		if service.rollout().Phase != message.RolloutReverted || service.share != 0 {
-			test.Errorf("%s: %s after %d ms", name, service.rollout().Phase, ended)
+			test.Errorf("%s: phase %s after %d ms", name, service.rollout().Phase, ended)
 		}
 		if bound := 0.1*float64(all) + 50; float64(requests) > bound {
-			test.Errorf("%s: %d of %d requests, bound %.0f", name, requests, all, bound)
+			test.Errorf("%s: new version got %d of %d requests, bound %.0f", name, requests, all, bound)
 		}
 	}
 }
 
-func boolOf(condition bool) float64 {
+func oneIf(condition bool) float64 {
 	if condition {
 		return 1
 	}
 	return 0
 }
 
-// Without enough evidence a version keeps its share, and at the term it is reverted rather
-// than given more: processes are silent, backends are cold, or nobody reports.
-func TestVersionWithoutProofIsReverted(test *testing.T) {
-	for name, change := range map[string]func(service *service){
-		"a process is silent": func(service *service) { service.silent = 1 },
-		"all are silent":      func(service *service) { service.silent = proxies },
-		"no backends":         func(service *service) { service.backends = backendsOf("v1*aaaaaaaaaa") },
-		"too few backends":    func(service *service) { service.backends = backendsOf("v1*aaaaaaaaaa", "v2*a") },
-		"cold backends": func(service *service) {
+// A version without enough evidence (silent processes, too few or cold backends) must keep its
+// share, and be reverted at the deadline.
+func TestVersionWithoutEvidenceIsReverted(test *testing.T) {
+	for name, change := range map[string]func(service *simulatedService){
+		"a process is silent": func(service *simulatedService) { service.silent = 1 },
+		"all are silent":      func(service *simulatedService) { service.silent = proxies },
+		"no backends":         func(service *simulatedService) { service.backends = backendsOf("v1*aaaaaaaaaa") },
+		"too few backends":    func(service *simulatedService) { service.backends = backendsOf("v1*aaaaaaaaaa", "v2*a") },
+		"cold backends": func(service *simulatedService) {
 			for index := range service.backends {
 				if service.backends[index].Revision == "v2" {
 					service.backends[index].WarmAtMs = startMs + 2*termMs
@@ -211,29 +211,29 @@
 			}
 		},
 	} {
-		service := newService(test)
+		service := newSimulatedService(test)
 		change(service)
-		most := 0.0
+		maxShare := 0.0
 		for service.rollout().Phase == message.RolloutActive {
 			service.tick()
-			most = max(most, service.rollout().Share)
+			maxShare = max(maxShare, service.rollout().Share)
 		}
 		took := service.nowMs - startMs
-		if service.rollout().Phase != message.RolloutReverted || took < termMs || took > termMs+tickMs || most > 0.1 {
-			test.Errorf("%s: %s after %d ms, share %.2f", name, service.rollout().Phase, took, most)
+		if service.rollout().Phase != message.RolloutReverted || took < termMs || took > termMs+tickMs || maxShare > 0.1 {
+			test.Errorf("%s: phase %s after %d ms, largest share %.2f", name, service.rollout().Phase, took, maxShare)
 		}
 	}
 }
 
-// The former version's backends end at once on completion, so it waits for their requests.
-func TestCompletionWaitsForTheFormerVersion(test *testing.T) {
-	service := newService(test)
+// Guards against requests cut off at the old version's backends, which stop at once on completion.
+func TestCompletionWaitsForRequestsAtOldVersion(test *testing.T) {
+	service := newSimulatedService(test)
 	service.inFlight = 1
 	for service.nowMs < startMs+termMs+1000 {
 		service.tick()
 	}
 	if service.rollout().Phase != message.RolloutActive || service.share != 1 {
-		test.Fatalf("%s, share %.2f", service.rollout().Phase, service.share)
+		test.Fatalf("phase %s, share %.2f", service.rollout().Phase, service.share)
 	}
 	service.inFlight = 0
 	service.run()
@@ -242,31 +242,37 @@
 	}
 }
 
-// Reports that come late, twice, or from processes that ended since change no sum.
+// Delayed and repeated reports, and processes that have ended, must not change the sums.
 func TestCountsAreNeitherLostNorCountedTwice(test *testing.T) {
 	countsOf := func(incarnation string, step int, items uint64) ProcessCounts {
 		return ProcessCounts{Incarnation: incarnation, Counts: message.RolloutCounts{Step: step, Items: items}}
 	}
 	rollout := &Rollout{Phase: message.RolloutActive, Counts: []ProcessCounts{countsOf("a", 1, 10), countsOf("b", 1, 5)}}
-	for name, one := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		reported []ProcessCounts
 		want     uint64
 	}{
 		"nothing new":            {nil, 15},
-		"one ended":              {[]ProcessCounts{countsOf("b", 1, 7)}, 17},
+		"a process ended":        {[]ProcessCounts{countsOf("b", 1, 7)}, 17},
 		"an older report":        {[]ProcessCounts{countsOf("a", 1, 3), countsOf("b", 1, 5)}, 15},
 		"another step":           {[]ProcessCounts{countsOf("a", 1, 10), countsOf("a", 2, 4), countsOf("b", 1, 5)}, 19},
 		"a process that started": {[]ProcessCounts{countsOf("c", 1, 2)}, 17},
 	} {
-		if total := rollout.Total(one.reported); total.Items != one.want {
-			test.Errorf("%s: %d items, want %d", name, total.Items, one.want)
+		if total := rollout.Total(testCase.reported); total.Items != testCase.want {
+			test.Errorf("%s: %d items, want %d", name, total.Items, testCase.want)
 		}
 	}
-	ended := Service{Name: "desk", Rollout: rollout}.ended(message.RolloutReverted, rollout.Total([]ProcessCounts{countsOf("b", 1, 7)}))
+	ended := Service{
+		Name:    "desk",
+		Rollout: rollout,
+	}.withEndedRollout(
+		message.RolloutReverted,
+		rollout.Total([]ProcessCounts{countsOf("b", 1, 7)}),
+	)
 	if total := ended.Rollout.Total([]ProcessCounts{countsOf("b", 1, 9)}); total.Items != 17 {
-		test.Errorf("ended with 17 items, then %d", total.Items)
+		test.Errorf("ended rollout: %d items, want 17", total.Items)
 	}
 	if rollout.Counts[0].Counts.Items != 10 {
-		test.Error("the stored counts were changed")
+		test.Error("the stored counts were modified")
 	}
 }
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -1,6 +1,7 @@
-// Package rollout holds the rules by which a new version of a service takes over its
-// requests: what an order changes (order.go), which versions may be listed to proxies
-// (version.go), how the share of the new version grows (plan.go), and when a roll-out goes
-// on, waits, is complete or is reverted (decide.go, verdict.go). It does no input or output;
-// package control replicates the State and asks Decide for the next one.
+// Package rollout defines how a new version of a service takes over its requests: what an
+// order changes (order.go), which versions are listed to proxies (version.go), how the share
+// of the new version grows (plan.go), and when a rollout advances, waits, completes or is
+// reverted (decide.go, verdict.go). It performs no I/O; package control replicates the State
+// and calls Decide for the next one. In Former* names, the former version is the old one, which
+// the target version replaces.
 package rollout
--- a/rollout/few_requests_test.go
+++ b/rollout/low_traffic_test.go
@@ -7,11 +7,11 @@
 	"orchidjunction/message"
 )
 
-// Guards against a good version of a service with few requests that is reverted at its term,
-// because as many responses as a busy service has in a second are never judged.
-func TestFewResponsesAreProofEnough(test *testing.T) {
+// Guards against a good version of a service with little traffic being reverted at its deadline,
+// because more judged responses are required than it ever has.
+func TestLowTrafficVersionAdvances(test *testing.T) {
 	for items, want := range map[uint64]int{2: canaryStep, 6: rampingStep} {
-		service := newService(test)
+		service := newSimulatedService(test)
 		for service.rollout().Step < canaryStep {
 			service.tick()
 		}
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -7,11 +7,11 @@
 	"orchidjunction/rpc"
 )
 
-// repeatWindow is how long after its begin a roll-out that ended is taken for the same order
-// when its target is ordered again: operators repeat an order that got no answer.
-const repeatWindow = 30 * time.Second
+// duplicateWindow is the time after the start of a rollout within which another order of its
+// target is a duplicate even if the rollout has ended: operators resend orders that got no response.
+const duplicateWindow = 30 * time.Second
 
-// NewestID returns the ID of a service's newest roll-out, 0 if it had none.
+// NewestID returns the ID of a service's newest rollout, 0 if there was none.
 func (state *State) NewestID(service string) uint64 {
 	if known := state.Service(service); known != nil && known.Rollout != nil {
 		return known.Rollout.ID
@@ -19,10 +19,10 @@
 	return 0
 }
 
-// Order returns the state after an order at a time in milliseconds, nil if the order was
-// taken before. The roll-out of the version that serves already is complete at once. Order
-// returns RolloutActive while another version is under way, RolloutChanged if the service had
-// a roll-out since the order was sent, and NotFound for the abort of none.
+// Order returns the state after an order, nil if the order is a duplicate; now is in
+// milliseconds. A rollout of the current version completes at once. The error is RolloutActive
+// while the rollout of another version is active, RolloutChanged if the service had a rollout
+// since the order was sent, and NotFound for an abort without a rollout.
 func (state *State) Order(order *message.RolloutOrder, now int64) (*State, error) {
 	service := Service{Name: order.Service}
 	if known := state.Service(order.Service); known != nil {
@@ -34,16 +34,16 @@
 	if newest := service.Rollout; newest != nil {
 		isActive := newest.Phase == message.RolloutActive
 		switch {
-		case newest.Target == order.Target && (isActive || now-newest.StartMs < repeatWindow.Milliseconds()):
+		case newest.Target == order.Target && (isActive || now-newest.StartMs < duplicateWindow.Milliseconds()):
 			return nil, nil
 		case newest.Target == order.Target && newest.Phase == message.RolloutComplete:
 			return nil, nil
 		case isActive:
-			return nil, rpc.Errorf(rpc.RolloutActive, "the roll-out of %.200q is under way", newest.Target)
+			return nil, rpc.Errorf(rpc.RolloutActive, "the rollout of %.200q is still active", newest.Target)
 		}
 	}
 	if order.ExpectedID != state.NewestID(order.Service) {
-		return nil, rpc.Errorf(rpc.RolloutChanged, "roll-out %d came since the order was sent", state.NewestID(order.Service))
+		return nil, rpc.Errorf(rpc.RolloutChanged, "rollout %d was ordered after this order was sent", state.NewestID(order.Service))
 	}
 	service.Rollout = &Rollout{
 		ID:      state.LastID + 1,
@@ -54,26 +54,26 @@
 		StepMs:  now,
 	}
 	if service.Current == order.Target {
-		service = service.ended(message.RolloutComplete, message.RolloutCounts{})
+		service = service.withEndedRollout(message.RolloutComplete, message.RolloutCounts{})
 	}
-	next := state.with(service)
+	next := state.withService(service)
 	next.LastID = service.Rollout.ID
 	return next, nil
 }
 
-// abort returns the state with a service's active roll-out reverted, nil if it was before.
+// abort returns the state with a service's active rollout reverted, nil if it had already ended.
 func (state *State) abort(service Service) (*State, error) {
 	switch {
 	case service.Rollout == nil:
-		return nil, rpc.Errorf(rpc.NotFound, "%.200q had no roll-out", service.Name)
+		return nil, rpc.Errorf(rpc.NotFound, "%.200q had no rollout", service.Name)
 	case service.Rollout.Phase != message.RolloutActive:
 		return nil, nil
 	}
-	return state.with(service.ended(message.RolloutReverted, service.Rollout.Total(nil))), nil
+	return state.withService(service.withEndedRollout(message.RolloutReverted, service.Rollout.Total(nil))), nil
 }
 
-// ended returns the service with its roll-out in a final phase, after so many counts in all.
-func (service Service) ended(phase message.RolloutPhase, total message.RolloutCounts) Service {
+// withEndedRollout returns the service with its rollout in a final phase and the total of its counts.
+func (service Service) withEndedRollout(phase message.RolloutPhase, total message.RolloutCounts) Service {
 	final := *service.Rollout
 	final.Phase, final.Counts = phase, []ProcessCounts{{Counts: total}}
 	final.Share = 0
--- a/rollout/order_test.go
+++ b/rollout/order_test.go
@@ -23,11 +23,11 @@
 }
 
 func endedOf(state *State, name string, phase message.RolloutPhase) *State {
-	return state.with(state.Service(name).ended(phase, message.RolloutCounts{}))
+	return state.withService(state.Service(name).withEndedRollout(phase, message.RolloutCounts{}))
 }
 
-// An order begins one roll-out and no second one: what is sent again is acknowledged, another
-// version is refused while the first is under way, and other services are not concerned.
+// An order must begin exactly one rollout: duplicates are acknowledged, another version is
+// rejected while the rollout is active, and other services are unaffected.
 func TestOrderBeginsOneRollout(test *testing.T) {
 	active := mustOrder(test, &State{}, orderOf("desk", "v2", 0), 1000)
 	both := mustOrder(test, active, orderOf("room", "v2", 0), 1500)
@@ -35,36 +35,36 @@
 		test.Fatalf("%+v", both)
 	}
 	complete, reverted := endedOf(active, "desk", message.RolloutComplete), endedOf(active, "desk", message.RolloutReverted)
-	for name, one := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		state *State
 		order *message.RolloutOrder
 		now   int64
 		code  rpc.Code
 		next  bool
 	}{
-		"the same again":                          {active, orderOf("desk", "v2", 1), 2000, "", false},
-		"the same, sent before the first came":    {active, orderOf("desk", "v2", 0), 2000, "", false},
-		"another version meanwhile":               {active, orderOf("desk", "v3", 1), 2000, rpc.RolloutActive, false},
-		"the same when complete":                  {complete, orderOf("desk", "v2", 1), 90_000, "", false},
-		"a repeat of what was reverted":           {reverted, orderOf("desk", "v2", 0), 20_000, "", false},
-		"the reverted version once more":          {reverted, orderOf("desk", "v2", 1), 90_000, "", true},
-		"a version after one that is complete":    {complete, orderOf("desk", "v3", 1), 20_000, "", true},
-		"an order overtaken by another roll-out":  {complete, orderOf("desk", "v3", 0), 20_000, rpc.RolloutChanged, false},
-		"an abort":                                {active, &message.RolloutOrder{Service: "desk", Abort: true}, 2000, "", true},
-		"an abort again":                          {reverted, &message.RolloutOrder{Service: "desk", Abort: true}, 2000, "", false},
-		"an abort of a service without roll-outs": {active, &message.RolloutOrder{Service: "hall", Abort: true}, 2000, rpc.NotFound, false},
+		"a duplicate":                          {active, orderOf("desk", "v2", 1), 2000, "", false},
+		"a duplicate sent before the response": {active, orderOf("desk", "v2", 0), 2000, "", false},
+		"another version during the rollout":   {active, orderOf("desk", "v3", 1), 2000, rpc.RolloutActive, false},
+		"a duplicate after completion":         {complete, orderOf("desk", "v2", 1), 90_000, "", false},
+		"a duplicate after the revert":         {reverted, orderOf("desk", "v2", 0), 20_000, "", false},
+		"a new order of the reverted version":  {reverted, orderOf("desk", "v2", 1), 90_000, "", true},
+		"another version after completion":     {complete, orderOf("desk", "v3", 1), 20_000, "", true},
+		"an order from before another rollout": {complete, orderOf("desk", "v3", 0), 20_000, rpc.RolloutChanged, false},
+		"an abort":                             {active, &message.RolloutOrder{Service: "desk", Abort: true}, 2000, "", true},
+		"a second abort":                       {reverted, &message.RolloutOrder{Service: "desk", Abort: true}, 2000, "", false},
+		"an abort without a rollout":           {active, &message.RolloutOrder{Service: "hall", Abort: true}, 2000, rpc.NotFound, false},
 	} {
-		next, err := one.state.Order(one.order, one.now)
-		isRefused := err != nil && rpc.CodeOf(err) == one.code
-		if isRefused != (one.code != "") || (next != nil) != one.next || err != nil && !isRefused {
+		next, err := testCase.state.Order(testCase.order, testCase.now)
+		isRefused := err != nil && rpc.CodeOf(err) == testCase.code
+		if isRefused != (testCase.code != "") || (next != nil) != testCase.next || err != nil && !isRefused {
 			test.Errorf("%s: %+v, %v", name, next, err)
 		}
 	}
 }
 
-// Guards against a service without backends while the version that serves already is rolled out,
-// and for good once that was reverted: all its backends counted as those under test.
-func TestOrderOfTheCurrentVersionIsComplete(test *testing.T) {
+// Guards against a service without backends when its current version is ordered: all of its
+// backends counted as those under test, and stayed unlisted after a revert.
+func TestOrderOfCurrentVersionCompletesAtOnce(test *testing.T) {
 	backends := []message.Backend{{Name: "a", Service: "desk", Revision: "v1"}}
 	state := (&State{}).ObserveVersions(backends)
 	next := mustOrder(test, state, orderOf("desk", "v1", 0), 1000)
@@ -72,12 +72,12 @@
 		test.Errorf("%+v", newest)
 	}
 	if listed := next.Listed(backends); len(listed) != 1 {
-		test.Errorf("listed: %+v", listed)
+		test.Errorf("listed backends: %+v", listed)
 	}
 }
 
-// The state survives its encoding, and proxies are told the newest roll-out of each service.
-func TestStateIsDecodedAsItWas(test *testing.T) {
+// The state must survive encoding and decoding, and yield the newest rollout of each service.
+func TestStateSurvivesEncoding(test *testing.T) {
 	state := mustOrder(test, &State{}, orderOf("desk", "v2", 0), 1000)
 	state = state.ObserveVersions([]message.Backend{{Name: "a", Service: "desk", Revision: "v1"}})
 	body, err := rpc.Marshal(state)
@@ -97,9 +97,9 @@
 	}
 }
 
-// A term at the end of its range overflowed to one that had passed: the version was reverted
-// at once, although its order was acknowledged.
-func TestTermsAreRefusedOrLastAsLongAsTheySay(test *testing.T) {
+// Guards against terms that overflow to a deadline in the past: the version was reverted at once,
+// although its order had been acknowledged.
+func TestTermsAreRejectedOrKept(test *testing.T) {
 	const now = 1_800_000_000_000
 	accepted := 0
 	for _, term := range []int64{
@@ -113,11 +113,11 @@
 		}
 		accepted++
 		begun := mustOrder(test, &State{}, order, now).Service("desk").Rollout
-		if begun.TermMs <= now || begun.term() != time.Duration(term)*time.Millisecond || begun.term() <= 0 {
-			test.Errorf("%d ms: ends at %d, after %v", term, begun.TermMs, begun.term())
+		if begun.TermMs <= now || begun.timeLimit() != time.Duration(term)*time.Millisecond || begun.timeLimit() <= 0 {
+			test.Errorf("term of %d ms: deadline %d, time limit %v", term, begun.TermMs, begun.timeLimit())
 		}
 	}
 	if accepted != 4 {
-		test.Errorf("%d of the terms are accepted", accepted)
+		test.Errorf("%d terms accepted, want 4", accepted)
 	}
 }
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -8,24 +8,24 @@
 	"orchidjunction/rpc"
 )
 
-// State is the content of the roll-outs' register. It is immutable: changes return another
-// State. Services are sorted by name.
+// State is the content of the rollout register. It is immutable: changes return a new State.
+// Services are sorted by name.
 type State struct {
 	LastID   uint64
 	Services []Service
 }
 
-// Service is a service whose versions are known. Current is the version that serves without
-// a roll-out, Rollout the newest roll-out, nil if there was none.
+// Service is a service whose versions are known. Current is the version that serves outside of
+// a rollout. Rollout is the newest rollout, nil if there was none.
 type Service struct {
 	Name    string
 	Current string
 	Rollout *Rollout
 }
 
-// Rollout is one roll-out as the leader decided on it. Times are in milliseconds since the
-// Unix epoch: when it was ordered, when it must be complete, and when its step began. Counts
-// is what processes had reported when the step began, or the sum of it all when it ended.
+// Rollout is one rollout as decided by the leader. Times are in milliseconds since the Unix
+// epoch: StartMs is when it was ordered, TermMs the deadline for its completion, StepMs when its
+// step began. Counts holds the reports up to the begin of the step, or the sum of all after the end.
 type Rollout struct {
 	ID      uint64
 	Target  string
@@ -38,13 +38,13 @@
 	Counts  []ProcessCounts
 }
 
-// ProcessCounts is what one process of a proxy counted during one step of a roll-out.
+// ProcessCounts are the counts of one proxy process during one step of a rollout.
 type ProcessCounts struct {
 	Incarnation string
 	Counts      message.RolloutCounts
 }
 
-// DecodeState decodes the register's content. An empty one is a state without services.
+// DecodeState decodes the content of the register. An empty body is a state without services.
 func DecodeState(body []byte) (*State, error) {
 	state := &State{}
 	if len(body) == 0 {
@@ -56,7 +56,7 @@
 	return state, nil
 }
 
-// Service returns what is known of a service, nil if nothing is.
+// Service returns a service by name, nil if it is unknown.
 func (state *State) Service(name string) *Service {
 	index, found := state.find(name)
 	if !found {
@@ -71,8 +71,8 @@
 	})
 }
 
-// with returns the state with a service in place of the one of the same name.
-func (state *State) with(service Service) *State {
+// withService returns the state with a service added or replaced by name.
+func (state *State) withService(service Service) *State {
 	next := *state
 	next.Services = slices.Clone(state.Services)
 	index, found := state.find(service.Name)
@@ -84,7 +84,7 @@
 	return &next
 }
 
-// Messages returns the newest roll-out of each service as proxies get it.
+// Messages returns the newest rollout of each service, as it is sent to proxies.
 func (state *State) Messages() []message.Rollout {
 	list := []message.Rollout{}
 	for _, service := range state.Services {
@@ -95,7 +95,7 @@
 	return list
 }
 
-// Message returns the roll-out of a service as proxies get it.
+// Message returns the rollout of a service, as it is sent to proxies.
 func (rollout *Rollout) Message(service string) message.Rollout {
 	return message.Rollout{
 		Service:   service,
@@ -108,7 +108,7 @@
 	}
 }
 
-// Active returns the services that have an active roll-out.
+// Active returns the services that have an active rollout.
 func (state *State) Active() []Service {
 	active := []Service{}
 	for _, service := range state.Services {
--- a/rollout/verdict.go
+++ b/rollout/verdict.go
@@ -7,43 +7,43 @@
 	"orchidjunction/rollout/martingale"
 )
 
-// Verdict judges a version by what was counted since its roll-out began. Alarm is asked again
-// and again as the counts grow, and must bound false alarms over the whole roll-out.
+// Verdict judges a new version by the counts since its rollout began. Alarm is evaluated
+// repeatedly as the counts grow, and must bound false alarms over the whole rollout.
 type Verdict interface {
 	Alarm(total message.RolloutCounts) bool
 }
 
-// FailureThreshold raises an alarm when the new version fails clearly more often than the
-// former one at the same time.
+// FailureThreshold raises an alarm when the failure rate of the new version is clearly above
+// that of the old one in the same period.
 type FailureThreshold struct{}
 
 const (
-	// leastFailures is how many failures say nothing yet, and leastFailureRate the rate that
-	// any version is granted.
-	leastFailures    = 4
-	leastFailureRate = 0.005
-	// failureFactor is how much more often a good version may fail, since single backends
-	// that fail are not spread evenly; deviations is how many standard deviations beyond
-	// that are granted, over all looks together.
-	failureFactor = 1.5
-	deviations    = 4
+	// toleratedFailures is the number of failures that are not evidence yet, and
+	// toleratedFailureRate the failure rate that any version may have.
+	toleratedFailures    = 4
+	toleratedFailureRate = 0.005
+	// failureFactor is how much more often a good version may fail, since single failing
+	// backends are not spread evenly. failureDeviations is the number of standard
+	// deviations allowed on top, over all evaluations together.
+	failureFactor     = 1.5
+	failureDeviations = 4
 )
 
 // Alarm implements Verdict.
 func (FailureThreshold) Alarm(total message.RolloutCounts) bool {
-	if total.Failures <= leastFailures {
+	if total.Failures <= toleratedFailures {
 		return false
 	}
 	formerRate := 0.0
 	if total.FormerItems > 0 {
 		formerRate = float64(total.FormerFailures) / float64(total.FormerItems)
 	}
-	expected := failureFactor * max(formerRate, leastFailureRate) * float64(total.Items)
-	return float64(total.Failures) > expected+leastFailures+deviations*math.Sqrt(expected)
+	expected := failureFactor * max(formerRate, toleratedFailureRate) * float64(total.Items)
+	return float64(total.Failures) > expected+toleratedFailures+failureDeviations*math.Sqrt(expected)
 }
 
 // ExceedanceTest raises an alarm by the sequential test of how often the new version's
-// responses exceed the reference that proxies make of the former one's.
+// responses exceed the reference that proxies build from responses of the old one.
 type ExceedanceTest struct{ Test *martingale.Test }
 
 // Alarm implements Verdict.
@@ -51,16 +51,16 @@
 	return verdict.Test.Alarm(total.Items, total.Exceedances)
 }
 
-// DefaultVerdict returns the test with its default options beside the plain threshold.
+// DefaultVerdict combines FailureThreshold and an ExceedanceTest with default options.
 func DefaultVerdict() Verdict {
 	test, err := martingale.NewTest(martingale.DefaultOptions())
 	if err != nil {
-		panic(err) // the defaults are constants that the package's tests check
+		panic(err) // the default options are constants; tests check that they are valid
 	}
 	return AnyOf{FailureThreshold{}, ExceedanceTest{Test: test}}
 }
 
-// AnyOf raises an alarm when one of several verdicts does.
+// AnyOf raises an alarm when any of its verdicts does.
 type AnyOf []Verdict
 
 // Alarm implements Verdict.
--- a/rollout/version.go
+++ b/rollout/version.go
@@ -9,9 +9,9 @@
 	"orchidjunction/message"
 )
 
-// ObserveVersions returns the state with the version that each service of a complete list of
-// backends is at, nil if that is known. The version that serves changes by a roll-out, or
-// when no backend of it is listed any more.
+// ObserveVersions returns the state with the current version of each service in a complete list
+// of backends, nil if nothing changes. The current version changes by a rollout, or when no
+// backend of it is listed any more.
 func (state *State) ObserveVersions(backends []message.Backend) *State {
 	next := state
 	listed := countRevisions(backends)
@@ -21,12 +21,12 @@
 			service = *known
 		}
 		isActive := service.Rollout != nil && service.Rollout.Phase == message.RolloutActive
-		revision := prevailing(listed[name], service.excluded())
+		revision := mostCommon(listed[name], service.excluded())
 		if revision == "" || service.Current == revision || listed[name][service.Current] > 0 || isActive && service.Current != "" {
 			continue
 		}
 		service.Current = revision
-		next = next.with(service)
+		next = next.withService(service)
 	}
 	if next == state {
 		return nil
@@ -34,15 +34,15 @@
 	return next
 }
 
-// Listed returns the backends that proxies may know of. Those of a version without an order,
-// and of one that was reverted, are left out while others of their service are listed: an
-// order may be on its way, or the version may be bad. The list itself is returned if all are.
+// Listed returns the backends to list to proxies. Backends of a version that was not ordered or
+// was reverted are left out while the service has others: an order may still follow, or the
+// version may be bad. If no service has several versions, backends itself is returned.
 func (state *State) Listed(backends []message.Backend) []message.Backend {
 	listed := countRevisions(backends)
 	allowed := map[string]func(revision string) bool{}
 	for name, revisions := range listed {
 		if len(revisions) > 1 {
-			allowed[name] = state.allowedOf(name, revisions)
+			allowed[name] = state.revisionFilter(name, revisions)
 		}
 	}
 	if len(allowed) == 0 {
@@ -54,14 +54,14 @@
 	})
 }
 
-// allowedOf returns which of a service's listed versions proxies may know of.
-func (state *State) allowedOf(name string, revisions map[string]int) func(revision string) bool {
+// revisionFilter returns a function that reports whether a version of the service is listed to proxies.
+func (state *State) revisionFilter(name string, revisions map[string]int) func(revision string) bool {
 	service := Service{Name: name}
 	if known := state.Service(name); known != nil {
 		service = *known
 	}
 	if revisions[service.Current] == 0 {
-		service.Current = prevailing(revisions, service.excluded())
+		service.Current = mostCommon(revisions, service.excluded())
 	}
 	isOrdered := service.Rollout != nil && service.Rollout.Phase == message.RolloutActive
 	return func(revision string) bool {
@@ -69,7 +69,7 @@
 	}
 }
 
-// excluded returns the version that was reverted last, or is on its way, empty if none is.
+// excluded returns the target version of a reverted or active rollout, empty if there is none.
 func (service Service) excluded() string {
 	if service.Rollout == nil || service.Rollout.Phase == message.RolloutComplete {
 		return ""
@@ -77,23 +77,23 @@
 	return service.Rollout.Target
 }
 
-// MixedVersions names the services that are listed at several versions, with how many backends
-// of each stay; it is empty if there are none.
+// MixedVersions describes the services that are listed at several versions, with the number of
+// backends of each that are not leaving; it is empty if there are none.
 func MixedVersions(backends []message.Backend) string {
-	listed, texts := countRevisions(backends), []string{}
+	listed, descriptions := countRevisions(backends), []string{}
 	for _, name := range slices.Sorted(maps.Keys(listed)) {
 		if len(listed[name]) < 2 {
 			continue
 		}
 		for _, revision := range slices.Sorted(maps.Keys(listed[name])) {
-			texts = append(texts, fmt.Sprintf("%s %s %d", name, revision, listed[name][revision]))
+			descriptions = append(descriptions, fmt.Sprintf("%s %s %d", name, revision, listed[name][revision]))
 		}
 	}
-	return strings.Join(texts, ", ")
+	return strings.Join(descriptions, ", ")
 }
 
-// countRevisions returns how many backends of each service and version are listed and not
-// leaving. A version whose backends all leave has none.
+// countRevisions counts the listed backends that are not leaving, by service and version. A
+// version whose backends are all leaving has the count 0.
 func countRevisions(backends []message.Backend) map[string]map[string]int {
 	counts := map[string]map[string]int{}
 	for index := range backends {
@@ -112,9 +112,9 @@
 	return counts
 }
 
-// prevailing returns the version with the most backends, the first by name of several. The
-// excluded one is taken only if it is the only one that has any.
-func prevailing(revisions map[string]int, excluded string) string {
+// mostCommon returns the version with the most backends, the first by name if several have as
+// many. The excluded version is returned only if no other has any backends.
+func mostCommon(revisions map[string]int, excluded string) string {
 	chosen := ""
 	for _, revision := range slices.Sorted(maps.Keys(revisions)) {
 		isBetter := chosen == excluded || revision != excluded && revisions[revision] > revisions[chosen]
--- a/rollout/version_test.go
+++ b/rollout/version_test.go
@@ -9,8 +9,8 @@
 	"orchidjunction/message"
 )
 
-// backendsOf makes backends of one service from texts such as "v1*3", with a minus before
-// those that leave.
+// backendsOf returns backends of one service from groups such as "v1*aaa" (three backends), with
+// a leading minus for leaving ones.
 func backendsOf(groups ...string) []message.Backend {
 	backends := []message.Backend{}
 	for _, group := range groups {
@@ -36,40 +36,40 @@
 	return strings.Join(revisions, " ")
 }
 
-// Proxies know of a new version only once it was ordered, and no more when it was reverted:
-// what an order does not allow, or may be bad, gets no requests. A service never loses all.
+// A new version must be listed to proxies only from its order on, and no longer once reverted, so
+// that a version that was not ordered or is bad gets no requests. A service always keeps a version.
 func TestOnlyOrderedVersionsAreListed(test *testing.T) {
 	known := (&State{}).ObserveVersions(backendsOf("v1*aaa"))
 	active := mustOrder(test, known, orderOf("desk", "v2", 0), 1000)
 	complete, reverted := endedOf(active, "desk", message.RolloutComplete), endedOf(active, "desk", message.RolloutReverted)
-	for name, one := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		state  *State
 		groups []string
 		want   string
 	}{
-		"nothing known, most count":         {&State{}, []string{"v1*aa", "v2*aaa"}, "v2"},
-		"nothing known, as many of each":    {&State{}, []string{"v2*aa", "v1*aa"}, "v1"},
-		"a version without an order":        {known, []string{"v1*a", "v2*aaa"}, "v1"},
-		"an ordered version":                {active, []string{"v1*a", "v2*aaa"}, "v1 v2"},
-		"a third version":                   {active, []string{"v1*a", "v2*a", "v3*a"}, "v1 v2"},
-		"a complete one":                    {complete, []string{"v1*aaa", "v2*a"}, "v2"},
-		"a reverted one":                    {reverted, []string{"v1*a", "v2*aaa"}, "v1"},
-		"the former one leaves":             {known, []string{"-v1*aaa", "v2*a"}, "v2"},
-		"only a reverted one is left":       {reverted, []string{"-v1*a", "v2*a"}, "v2"},
-		"a reverted one and an unknown one": {reverted, []string{"v2*aaa", "v3*a"}, "v3"},
+		"unknown service, most backends win": {&State{}, []string{"v1*aa", "v2*aaa"}, "v2"},
+		"unknown service, equal counts":      {&State{}, []string{"v2*aa", "v1*aa"}, "v1"},
+		"a version without an order":         {known, []string{"v1*a", "v2*aaa"}, "v1"},
+		"an ordered version":                 {active, []string{"v1*a", "v2*aaa"}, "v1 v2"},
+		"a third version":                    {active, []string{"v1*a", "v2*a", "v3*a"}, "v1 v2"},
+		"a complete version":                 {complete, []string{"v1*aaa", "v2*a"}, "v2"},
+		"a reverted version":                 {reverted, []string{"v1*a", "v2*aaa"}, "v1"},
+		"the old version is leaving":         {known, []string{"-v1*aaa", "v2*a"}, "v2"},
+		"only a reverted version stays":      {reverted, []string{"-v1*a", "v2*a"}, "v2"},
+		"a reverted and an unknown version":  {reverted, []string{"v2*aaa", "v3*a"}, "v3"},
 	} {
-		if listed := revisionsOf(one.state.Listed(backendsOf(one.groups...))); listed != one.want {
-			test.Errorf("%s: listed %q, want %q", name, listed, one.want)
+		if listed := revisionsOf(testCase.state.Listed(backendsOf(testCase.groups...))); listed != testCase.want {
+			test.Errorf("%s: listed %q, want %q", name, listed, testCase.want)
 		}
 	}
 	if all := backendsOf("v1*aaa"); &known.Listed(all)[0] != &all[0] {
-		test.Error("a list of one version is copied")
+		test.Error("a list with one version per service was copied")
 	}
 }
 
-// The version that serves is noted once, and changes without an order only when no backend of
-// it stays: a list of two versions does not change what is known.
-func TestServingVersionIsNotedOnce(test *testing.T) {
+// The current version must be recorded once, and change without an order only when all of its
+// backends are leaving or gone; a second version in the list must not change it.
+func TestCurrentVersionIsRecordedOnce(test *testing.T) {
 	known := (&State{}).ObserveVersions(backendsOf("v1*aaa"))
 	if known == nil || known.Service("desk").Current != "v1" {
 		test.Fatalf("%+v", known)
@@ -80,13 +80,13 @@
 		}
 	}
 	if next := known.ObserveVersions(backendsOf("-v1*a", "v2*a")); next == nil || next.Service("desk").Current != "v2" {
-		test.Errorf("all replaced: %+v", next)
+		test.Errorf("all backends replaced: %+v", next)
 	}
 	active := mustOrder(test, &State{}, orderOf("desk", "v2", 0), 1000)
 	if next := active.ObserveVersions(backendsOf("v1*a", "v2*aa")); next == nil || next.Service("desk").Current != "v1" {
-		test.Errorf("first seen during a roll-out: %+v", next)
+		test.Errorf("first seen during a rollout: %+v", next)
 	}
 	if (&State{}).ObserveVersions([]message.Backend{{Name: "a", Service: "desk"}}) != nil {
-		test.Error("backends without a version are noted")
+		test.Error("backends without a version are recorded")
 	}
 }
