--- a/rollout/score/reference.go
+++ b/rollout/score/reference.go
@@ -7,67 +7,67 @@
 )
 
 const (
-	// staleShare is which part of a reference is new before it is summarized again.
-	staleShare = 0.125
-	// failureDistance is the distance of a failure, in standard deviations of the time: no
-	// time is that far.
+	// resummarizeFraction is the fraction of new observations above which the summary is recomputed.
+	resummarizeFraction = 0.125
+	// failureDistance is the distance of a failure, in standard deviations of the logarithm of the
+	// time. No time is that far from the mean.
 	failureDistance = 30
-	// minDeviation bounds the standard deviation of the logarithm of the time from below, so
-	// that a route of nearly constant time does not make any difference a large one.
+	// minDeviation is the lower bound of the standard deviation of the logarithm of the time. It
+	// keeps small differences from having a large score on routes with nearly constant times.
 	minDeviation = 0.05
-	// leastObservations is how many observations a failure can be judged by.
-	leastObservations = 4
-	// minTook, in milliseconds, stands for shorter times.
-	minTook = 1
+	// minObservations is the number of observations needed to judge a failure.
+	minObservations = 4
+	// minTimeMs replaces shorter times.
+	minTimeMs = 1
 )
 
-// tolerance is the logarithm of how many times longer a response may take without a blame.
-var tolerance = math.Log(1.25)
+// logTolerance is the logarithm of the factor by which a response may be slower without penalty.
+var logTolerance = math.Log(1.25)
 
-// observation is an item as a reference keeps it: work is the logarithm of the milliseconds
-// that it took, without its wait for others.
+// observation is an item as stored in a reference. logTime is the logarithm of the milliseconds
+// that it took, without its wait for other requests.
 type observation struct {
-	work    float64
+	logTime float64
 	backend uint32
 	failed  bool
 	late    bool
 }
 
-// observe makes an observation of an item. At a backend that has more requests than it runs
-// at once, each waits in proportion: that is due to the load and not to the version.
-func observe(item *Item, backend uint32) observation {
+// newObservation converts an item. At a backend with more requests than it runs concurrently,
+// each waits in proportion to the load, which is not the fault of the version.
+func newObservation(item *Item, backend uint32) observation {
 	took := float64(item.Took.Microseconds()) / 1000 / max(1, item.Load)
 	return observation{
-		work:    math.Log(max(minTook, took)),
+		logTime: math.Log(max(minTimeMs, took)),
 		backend: backend,
 		failed:  item.Failed,
 		late:    item.isLate(),
 	}
 }
 
-// weighted is an observation with its weight in the reference.
-type weighted struct {
+// weightedObservation is an observation with its weight in the reference.
+type weightedObservation struct {
 	observation
 	weight   float64
 	distance float64
 }
 
-// reference is the newest observations of a route, a ring, and their summary.
+// reference is a ring buffer of the newest observations of a route, with their summary.
 type reference struct {
 	observations []observation
 	next         int
-	fresh        int // observations since the summary was made
+	sinceSummary int // number of observations added since the last summary
 
-	mean         float64 // of the work of those that did not fail
+	mean         float64 // of logTime, without failures
 	deviation    float64
 	failureShare float64
 	lateShare    float64
 	quantile     float64 // q
-	complete     bool    // whether there are enough observations for a quantile
+	hasQuantile  bool    // whether there are enough observations for a quantile
 }
 
 func (reference *reference) add(observed observation) {
-	reference.fresh++
+	reference.sinceSummary++
 	if len(reference.observations) < ReferenceSize {
 		reference.observations = append(reference.observations, observed)
 		return
@@ -77,35 +77,34 @@
 }
 
 func (reference *reference) isStale() bool {
-	return float64(reference.fresh) > staleShare*float64(len(reference.observations))
+	return float64(reference.sinceSummary) > resummarizeFraction*float64(len(reference.observations))
 }
 
-// summarize computes the mean, the deviation and the quantile, in scratch space that it
-// returns.
+// summarize computes the mean, the deviation and the quantile. It returns scratch for reuse.
 //
-// Each backend has the same weight, however many of the observations are its own: requests go
-// to the backends of the old version that are known to be fast, while nobody knows yet which
-// are among those of the version under test.
-func (reference *reference) summarize(scratch []weighted) []weighted {
+// Each backend has the same total weight, whatever its number of observations: requests to the
+// old version go to backends known to be fast, while it is not known yet which backends of the
+// version under test are fast.
+func (reference *reference) summarize(scratch []weightedObservation) []weightedObservation {
 	scratch = weigh(scratch, reference.observations)
-	reference.fresh = 0
+	reference.sinceSummary = 0
 	total, squares := 0.0, 0.0
 	for index := range scratch {
 		total += scratch[index].weight
 		squares += scratch[index].weight * scratch[index].weight
 	}
 	reference.summarizeShares(scratch, total)
-	reference.summarizeWork(scratch)
+	reference.summarizeTimes(scratch)
 	reference.summarizeDistances(scratch, total, total*total/squares)
 	return scratch
 }
 
-// weigh appends the observations to scratch, each with the inverse of how many its backend has.
-func weigh(scratch []weighted, observations []observation) []weighted {
+// weigh appends the observations to scratch, each weighted by 1/n for the n of its backend.
+func weigh(scratch []weightedObservation, observations []observation) []weightedObservation {
 	for _, observed := range observations {
-		scratch = append(scratch, weighted{observation: observed})
+		scratch = append(scratch, weightedObservation{observation: observed})
 	}
-	slices.SortFunc(scratch, func(left, right weighted) int { return cmp.Compare(left.backend, right.backend) })
+	slices.SortFunc(scratch, func(left, right weightedObservation) int { return cmp.Compare(left.backend, right.backend) })
 	for begin := 0; begin < len(scratch); {
 		end := begin
 		for end < len(scratch) && scratch[end].backend == scratch[begin].backend {
@@ -119,7 +118,7 @@
 	return scratch
 }
 
-func (reference *reference) summarizeShares(scratch []weighted, total float64) {
+func (reference *reference) summarizeShares(scratch []weightedObservation, total float64) {
 	failed, late := 0.0, 0.0
 	for index := range scratch {
 		if scratch[index].failed {
@@ -132,13 +131,13 @@
 	reference.failureShare, reference.lateShare = failed/total, late/total
 }
 
-func (reference *reference) summarizeWork(scratch []weighted) {
+func (reference *reference) summarizeTimes(scratch []weightedObservation) {
 	total, sum, squares := 0.0, 0.0, 0.0
 	for index := range scratch {
-		if one := &scratch[index]; !one.failed {
-			total += one.weight
-			sum += one.weight * one.work
-			squares += one.weight * one.work * one.work
+		if entry := &scratch[index]; !entry.failed {
+			total += entry.weight
+			sum += entry.weight * entry.logTime
+			squares += entry.weight * entry.logTime * entry.logTime
 		}
 	}
 	reference.mean, reference.deviation = 0, minDeviation
@@ -148,14 +147,14 @@
 	}
 }
 
-// summarizeDistances finds q: the part of the reference above it is what level allows.
-func (reference *reference) summarizeDistances(scratch []weighted, total, size float64) {
+// summarizeDistances computes q such that the fraction of the reference above it is at most level.
+func (reference *reference) summarizeDistances(scratch []weightedObservation, total, size float64) {
 	for index := range scratch {
-		scratch[index].distance = reference.distance(scratch[index].failed, scratch[index].work)
+		scratch[index].distance = reference.distance(scratch[index].failed, scratch[index].logTime)
 	}
-	slices.SortFunc(scratch, func(left, right weighted) int { return cmp.Compare(right.distance, left.distance) })
+	slices.SortFunc(scratch, func(left, right weightedObservation) int { return cmp.Compare(right.distance, left.distance) })
 	allowed := level(size) * total
-	reference.complete = allowed > 0
+	reference.hasQuantile = allowed > 0
 	above := 0.0
 	for index := range scratch {
 		above += scratch[index].weight
@@ -166,40 +165,39 @@
 	}
 }
 
-// level is the part of a reference of so many observations that may lie above q.
+// level returns the fraction of a reference of a given size that may lie above q.
 //
-// A new item is as likely at any place among those of the reference, so that it lies above the
-// k-th largest of n with probability k/(n+1). That holds on average over references. All items
-// that are judged by one reference share its error, of which one standard deviation is granted
-// here; the source grants none, and its alarms for healthy versions are too many if a single
-// reference lasts.
+// A new item has any rank among those of the reference with equal probability, so it lies above
+// the k-th largest of n with probability k/(n+1). This holds on average over references, but all
+// items judged by one reference share its error. One standard deviation of it is subtracted here.
+// The paper subtracts none, and has too many false alarms if a single reference is used for long.
 func level(size float64) float64 {
-	granted := Alpha - math.Sqrt(Alpha*(1-Alpha)/size)
-	return granted*(1+1/size) - 1/size
+	reduced := Alpha - math.Sqrt(Alpha*(1-Alpha)/size)
+	return reduced*(1+1/size) - 1/size
 }
 
-// distance is the squared distance to the mean, in the direction of worse.
-func (reference *reference) distance(failed bool, work float64) float64 {
+// distance returns the squared distance from the mean, 0 for values better than the mean.
+func (reference *reference) distance(failed bool, logTime float64) float64 {
 	if failed {
-		away := failureDistance * (1 - reference.failureShare)
-		return away * away
+		deviations := failureDistance * (1 - reference.failureShare)
+		return deviations * deviations
 	}
-	away := max(0, (work-reference.mean)/reference.deviation)
-	return away * away
+	deviations := max(0, (logTime-reference.mean)/reference.deviation)
+	return deviations * deviations
 }
 
-// exceeds is whether an item is farther from the mean than q. Ties are not. While there are
-// too few observations only failures exceed, where none was seen before: after four responses
-// that did not fail, the probability p*(1-p)^4 of that is below alpha for any p.
+// exceeds reports whether an item is farther from the mean than q; an equal distance does not
+// exceed. Without a quantile, only failures exceed, if the reference has none: after four responses
+// without a failure, the probability p*(1-p)^4 of one is below alpha for any failure rate p.
 func (reference *reference) exceeds(item *Item) bool {
-	if !reference.complete {
-		return item.Failed && reference.failureShare == 0 && len(reference.observations) >= leastObservations
+	if !reference.hasQuantile {
+		return item.Failed && reference.failureShare == 0 && len(reference.observations) >= minObservations
 	}
-	observed := observe(item, 0)
-	return reference.distance(observed.failed, observed.work-tolerance) > reference.quantile
+	observed := newObservation(item, 0)
+	return reference.distance(observed.failed, observed.logTime-logTolerance) > reference.quantile
 }
 
-// failed is whether an item failed, or took far too long where others do not.
+// failed reports whether an item failed, or was late on a route where that is rare.
 func (reference *reference) failed(item *Item) bool {
-	return item.Failed || item.isLate() && reference.complete && reference.lateShare < maxLateShare
+	return item.Failed || item.isLate() && reference.hasQuantile && reference.lateShare < maxLateShare
 }
--- a/rollout/score/references.go
+++ b/rollout/score/references.go
@@ -2,69 +2,69 @@
 
 import "sync"
 
-// References are the references of all routes of a proxy. They may be used concurrently.
+// References are the references of all routes of a proxy. They are safe for concurrent use.
 type References struct {
 	mutex   sync.Mutex
 	routes  map[Key]*reference
-	scratch []weighted
+	scratch []weightedObservation
 }
 
-// NewReferences returns references without items.
+// NewReferences returns an empty set of references.
 func NewReferences() *References {
-	return &References{routes: map[Key]*reference{}, scratch: make([]weighted, 0, ReferenceSize)}
+	return &References{routes: map[Key]*reference{}, scratch: make([]weightedObservation, 0, ReferenceSize)}
 }
 
-// Add adds an item of the old version. Backend identifies the backend that it came from.
+// Add adds an item of the old version from a backend.
 func (references *References) Add(key Key, item Item, backend uint32) {
 	references.mutex.Lock()
 	defer references.mutex.Unlock()
-	held := references.routes[key]
-	if held == nil {
-		held = &reference{}
-		references.routes[key] = held
+	found := references.routes[key]
+	if found == nil {
+		found = &reference{}
+		references.routes[key] = found
 	}
-	held.add(observe(&item, backend))
+	found.add(newObservation(&item, backend))
 }
 
 // Judge scores an item of the version under test.
 func (references *References) Judge(key Key, item Item) Judgement {
 	references.mutex.Lock()
 	defer references.mutex.Unlock()
-	held := references.summarized(key)
-	if held == nil {
+	found := references.summarized(key)
+	if found == nil {
 		return Judgement{Failed: item.Failed}
 	}
-	return Judgement{Exceeds: held.exceeds(&item), Failed: held.failed(&item)}
+	return Judgement{Exceeds: found.exceeds(&item), Failed: found.failed(&item)}
 }
 
-// Failed is whether an item of the old version counts as failed.
+// Failed reports whether an item of the old version counts as failed.
 func (references *References) Failed(key Key, item Item) bool {
 	if item.Failed || !item.isLate() {
 		return item.Failed
 	}
 	references.mutex.Lock()
 	defer references.mutex.Unlock()
-	held := references.summarized(key)
-	return held != nil && held.failed(&item)
+	found := references.summarized(key)
+	return found != nil && found.failed(&item)
 }
 
-// summarized returns a reference whose summary is up to date, nil if there is none.
+// summarized returns the reference of key with an up-to-date summary, nil if there is none.
 func (references *References) summarized(key Key) *reference {
-	held := references.routes[key]
-	if held != nil && held.isStale() {
-		references.scratch = held.summarize(references.scratch[:0])
+	found := references.routes[key]
+	if found != nil && found.isStale() {
+		references.scratch = found.summarize(references.scratch[:0])
 	}
-	return held
+	return found
 }
 
-// Len returns how many references there are.
+// Len returns the number of references.
 func (references *References) Len() int {
 	references.mutex.Lock()
 	defer references.mutex.Unlock()
 	return len(references.routes)
 }
 
-// Keep forgets the references for which keep is false.
+// Keep deletes the references for which keep returns false.
 func (references *References) Keep(keep func(Key) bool) {
 	references.mutex.Lock()
 	defer references.mutex.Unlock()
--- a/rollout/score/score.go
+++ b/rollout/score/score.go
@@ -1,12 +1,12 @@
-// Package score judges single responses of a version under test against those of the old
-// version at the same time, as a proxy sees both.
+// Package score judges single responses of a version under test against concurrent responses
+// of the old version, as observed by one proxy.
 //
-// Each route of a service has a reference of its own, so that a slow route does not pass for
-// a slow version, and a fault on one route alone is seen. The reference is made of the newest
-// items of the old version. The score of an item is its squared distance to the reference
-// mean, in the direction of worse only; it exceeds if that is above the (1 - alpha) quantile
-// of the reference's own distances. A healthy version's items exceed with probability alpha
-// at most.
+// Each route of a service has its own reference, so that a slow route is not mistaken for a
+// slow version, and a fault on a single route is detected. The reference consists of the newest
+// items of the old version. The score of an item is its squared distance from the reference
+// mean, counted only towards worse values. The item exceeds if its score is above the
+// (1 - alpha) quantile of the reference's own distances; items of a healthy version exceed with
+// probability at most alpha.
 package score
 
 import (
@@ -15,22 +15,22 @@
 	"orchidjunction/rollout/martingale"
 )
 
-// Alpha is the level of one item, as the test of the counts has it.
+// Alpha is the level of one item, the same as in the sequential test of the counts.
 const Alpha = martingale.DefaultAlpha
 
-// ReferenceSize is of how many items a reference is made.
+// ReferenceSize is the maximum number of items in a reference.
 const ReferenceSize = 200
 
-// An item counts as failed if it took lateFactor times its route's target, unless maxLateShare
-// of the reference did so too. Machines of one version differ in speed by less than that.
+// An item that took lateFactor times its route's target counts as failed, unless maxLateShare of
+// the reference did too. Machines of one version differ in speed by less than lateFactor.
 const (
 	lateFactor   = 2
 	maxLateShare = 0.05
 )
 
-// Item is what a proxy saw of a response. Took is the time that the backend had it, Target the
-// time that its route allows. Load is how many requests the backend had for each that it runs
-// at once, 0 if it did not say.
+// Item is a response as observed by a proxy. Took is the time at the backend, Target the target
+// time of the route. Load is the backend's number of requests divided by the number that it runs
+// concurrently, 0 if the backend did not report it.
 type Item struct {
 	Failed bool
 	Took   time.Duration
@@ -38,7 +38,7 @@
 	Load   float64
 }
 
-// isLate is whether an item took far longer than its route allows.
+// isLate reports whether an item took far longer than its route's target.
 func (item *Item) isLate() bool {
 	return item.Target > 0 && item.Took >= lateFactor*item.Target
 }
@@ -49,7 +49,7 @@
 	Route   string
 }
 
-// Judgement is what became of an item of the version under test.
+// Judgement is the result for an item of the version under test.
 type Judgement struct {
 	Exceeds bool
 	Failed  bool
