--- a/routing/check.go
+++ b/routing/check.go
@@ -19,52 +19,54 @@
 	unsupported   = "not_supported"
 )
 
+// maxDetails bounds the number of problems listed in an error; all are counted.
 const maxDetails = 20
 
+// checker collects the problems of a config.
 type checker struct {
 	details []rpc.Detail
 	count   int
 }
 
-func (checker *checker) wrong(path, kind, cause string) {
+func (checker *checker) add(path, code, description string) {
 	checker.count++
 	if len(checker.details) < maxDetails {
-		checker.details = append(checker.details, rpc.Detail{Path: path, Code: kind, Message: cause})
+		checker.details = append(checker.details, rpc.Detail{Path: path, Code: code, Message: description})
 	}
 }
 
-func (checker *checker) atLeast(path string, value, least int64) {
-	if value < least {
-		checker.wrong(path, outOfRange, strconv.FormatInt(value, 10)+" is below "+strconv.FormatInt(least, 10))
+func (checker *checker) checkMinimum(path string, value, minimum int64) {
+	if value < minimum {
+		checker.add(path, outOfRange, strconv.FormatInt(value, 10)+" is below the minimum of "+strconv.FormatInt(minimum, 10))
 	}
 }
 
-// name takes a name that must be given and be there once.
-func (checker *checker) name(list, name string, seen map[string]bool) string {
+// checkName checks that a name of a list is set and unique, and returns its path.
+func (checker *checker) checkName(list, name string, seen map[string]bool) string {
 	path := list + "." + name
 	switch {
 	case name == "":
-		checker.wrong(list, emptyValue, "an item has no name")
+		checker.add(list, emptyValue, "the item has no name")
 	case seen[name]:
-		checker.wrong(path, duplicateName, "given twice")
+		checker.add(path, duplicateName, "the name is used more than once")
 	}
 	seen[name] = true
 	return path
 }
 
-// Check finds everything that keeps the config from being put in force.
+// Check returns an error that lists the problems of an invalid config, nil if it is valid.
 func (config *Config) Check() error {
 	checker := &checker{}
 	services := make(map[string]bool, len(config.Services))
 	for index := range config.Services {
-		checker.service(&config.Services[index], services)
+		checker.checkService(&config.Services[index], services)
 	}
-	names, places := make(map[string]bool, len(config.Routes)), make(map[hostAndPrefix]string, len(config.Routes))
+	names, claimed := make(map[string]bool, len(config.Routes)), make(map[hostAndPrefix]string, len(config.Routes))
 	for index := range config.Routes {
-		checker.route(&config.Routes[index], names, services, places)
+		checker.checkRoute(&config.Routes[index], names, services, claimed)
 	}
-	checker.tenants(config.Tenants)
-	checker.limits(&config.Limits)
+	checker.checkTenants(config.Tenants)
+	checker.checkLimits(&config.Limits)
 	if checker.count == 0 {
 		return nil
 	}
@@ -73,96 +75,96 @@
 
 type hostAndPrefix struct{ host, prefix string }
 
-func (checker *checker) service(service *Service, seen map[string]bool) {
-	path := checker.name("services", service.Name, seen)
+func (checker *checker) checkService(service *Service, seen map[string]bool) {
+	path := checker.checkName("services", service.Name, seen)
 	if service.HealthPath != "" && service.HealthPath[0] != '/' {
-		checker.wrong(path+".health", invalidPrefix, "no leading slash")
+		checker.add(path+".health", invalidPrefix, "must begin with a slash")
 	}
 	if service.Protocol != "" && service.Protocol != ProtocolHTTP1 {
-		checker.wrong(path+".protocol", unsupported, service.Protocol+" is not spoken to backends")
+		checker.add(path+".protocol", unsupported, service.Protocol+" is not a supported protocol to backends")
 	}
 	if service.TLS {
-		checker.wrong(path+".tls", unsupported, "backends are not called by TLS")
+		checker.add(path+".tls", unsupported, "TLS to backends is not supported")
 	}
-	checker.atLeast(path+".max_connections", int64(service.MaxConnections), 0)
-	checker.atLeast(path+".warmup", int64(service.WarmupMs), 0)
+	checker.checkMinimum(path+".max_connections", int64(service.MaxConnections), 0)
+	checker.checkMinimum(path+".warmup", int64(service.WarmupMs), 0)
 	if !(service.WarmupRate >= 0) {
-		checker.wrong(path+".warmup_rate", outOfRange, "is below 0")
+		checker.add(path+".warmup_rate", outOfRange, "must be at least 0")
 	}
 }
 
-func (checker *checker) route(route *Route, names, services map[string]bool, places map[hostAndPrefix]string) {
-	path := checker.name("routes", route.Name, names)
+func (checker *checker) checkRoute(route *Route, names, services map[string]bool, claimed map[hostAndPrefix]string) {
+	path := checker.checkName("routes", route.Name, names)
 	if route.Host == "" {
-		checker.wrong(path+".host", emptyValue, "must be given")
+		checker.add(path+".host", emptyValue, "must not be empty")
 	}
 	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
-		checker.wrong(path+".prefix", invalidPrefix, "must begin and end with a slash")
+		checker.add(path+".prefix", invalidPrefix, "must begin and end with a slash")
 	}
-	at := hostAndPrefix{host: hostKey(route.Host), prefix: route.Prefix}
-	if other, taken := places[at]; taken && other != route.Name {
-		checker.wrong(path, samePlace, "the same host and prefix as "+other)
+	match := hostAndPrefix{host: normalizeHost(route.Host), prefix: route.Prefix}
+	if other, taken := claimed[match]; taken && other != route.Name {
+		checker.add(path, samePlace, "has the same host and prefix as route "+other)
 	}
-	places[at] = route.Name
+	claimed[match] = route.Name
 	if route.Kind > Download {
-		checker.wrong(path+".kind", outOfRange, "no such kind")
+		checker.add(path+".kind", outOfRange, "unknown kind")
 	}
-	checker.atLeast(path+".timeout", int64(route.TimeoutMs), 1)
-	checker.atLeast(path+".target", int64(route.TargetMs), 0)
-	checker.atLeast(path+".attempts", int64(route.Attempts), 1)
-	checker.shares(path, route, services)
+	checker.checkMinimum(path+".timeout", int64(route.TimeoutMs), 1)
+	checker.checkMinimum(path+".target", int64(route.TargetMs), 0)
+	checker.checkMinimum(path+".attempts", int64(route.Attempts), 1)
+	checker.checkDestination(path, route, services)
 	for _, home := range route.Homes {
 		if home == "" {
-			checker.wrong(path+".homes", emptyValue, "a region without a name")
+			checker.add(path+".homes", emptyValue, "the name of a region is empty")
 		}
 	}
 }
 
-func (checker *checker) shares(path string, route *Route, services map[string]bool) {
+func (checker *checker) checkDestination(path string, route *Route, services map[string]bool) {
 	if route.Service == "" && len(route.Split) == 0 {
-		checker.wrong(path+".service", emptyValue, "neither a service nor a split")
+		checker.add(path+".service", emptyValue, "neither service nor split is set")
 	}
 	if route.Service != "" && !services[route.Service] {
-		checker.wrong(path+".service", danglingName, "no service "+route.Service)
+		checker.add(path+".service", danglingName, "unknown service "+route.Service)
 	}
 	total := 0
 	for _, share := range route.Split {
 		if !services[share.Service] {
-			checker.wrong(path+".split", danglingName, "no service "+share.Service)
+			checker.add(path+".split", danglingName, "unknown service "+share.Service)
 		}
-		checker.atLeast(path+".split.weight", int64(share.Weight), 0)
+		checker.checkMinimum(path+".split.weight", int64(share.Weight), 0)
 		total += max(share.Weight, 0)
 	}
 	if len(route.Split) > 0 && total == 0 {
-		checker.wrong(path+".split", outOfRange, "no weight is above 0")
+		checker.add(path+".split", outOfRange, "no weight is above 0")
 	}
 }
 
-func (checker *checker) tenants(tenants []Tenant) {
+func (checker *checker) checkTenants(tenants []Tenant) {
 	names, holders := make(map[string]bool, len(tenants)), map[string]string{}
 	for index := range tenants {
 		tenant := &tenants[index]
-		path := checker.name("tenants", tenant.Name, names)
+		path := checker.checkName("tenants", tenant.Name, names)
 		for _, key := range tenant.Keys {
 			if key == "" {
-				checker.wrong(path+".keys", emptyValue, "an empty key")
+				checker.add(path+".keys", emptyValue, "a key is empty")
 			}
 			if holder, held := holders[key]; held && holder != tenant.Name {
-				checker.wrong(path+".keys", sharedKey, "a key of "+holder+" as well")
+				checker.add(path+".keys", sharedKey, "a key is also listed for tenant "+holder+"; keys must be unique")
 			}
 			holders[key] = tenant.Name
 		}
 		for _, home := range tenant.Homes {
 			if home == "" {
-				checker.wrong(path+".homes", emptyValue, "a region without a name")
+				checker.add(path+".homes", emptyValue, "the name of a region is empty")
 			}
 		}
 	}
 }
 
-func (checker *checker) limits(limits *Limits) {
-	checker.atLeast("limits.header_bytes", int64(limits.HeaderBytes), 0)
-	checker.atLeast("limits.body_bytes", limits.BodyBytes, 0)
-	checker.atLeast("limits.header_timeout", int64(limits.HeaderMs), 0)
-	checker.atLeast("limits.idle_timeout", int64(limits.IdleMs), 0)
+func (checker *checker) checkLimits(limits *Limits) {
+	checker.checkMinimum("limits.header_bytes", int64(limits.HeaderBytes), 0)
+	checker.checkMinimum("limits.body_bytes", limits.BodyBytes, 0)
+	checker.checkMinimum("limits.header_timeout", int64(limits.HeaderMs), 0)
+	checker.checkMinimum("limits.idle_timeout", int64(limits.IdleMs), 0)
 }
--- a/routing/check_test.go
+++ b/routing/check_test.go
@@ -7,7 +7,7 @@
 	"orchidjunction/rpc"
 )
 
-func goodConfig() *Config {
+func validConfig() *Config {
 	return &Config{
 		Version: 3,
 		Routes: []Route{
@@ -45,9 +45,9 @@
 	}
 }
 
-// A good config, changed in one thing at a time.
-func TestCheckNamesOneWrongThing(test *testing.T) {
-	for name, one := range map[string]struct {
+// Each case changes one thing in a valid config. Check must report exactly that, or nothing.
+func TestCheckReportsEachProblem(test *testing.T) {
+	for name, testCase := range map[string]struct {
 		change func(*Config)
 		want   string
 	}{
@@ -57,17 +57,17 @@
 		"no routes":                  {func(config *Config) { config.Routes = nil }, ""},
 		"no health path":             {func(config *Config) { config.Services[0].HealthPath = "" }, ""},
 		"tenant without keys":        {func(config *Config) { config.Tenants[0].Keys = nil }, ""},
-		"home nobody knows":          {func(config *Config) { config.Routes[0].Homes = []string{"nowhere"} }, ""},
-		"one weight of two":          {func(config *Config) { config.Routes[1].Split[0].Weight = 0 }, ""},
+		"unknown home region":        {func(config *Config) { config.Routes[0].Homes = []string{"nowhere"} }, ""},
+		"one weight of 0":            {func(config *Config) { config.Routes[1].Split[0].Weight = 0 }, ""},
 		"service beside a split":     {func(config *Config) { config.Routes[1].Service = "birch" }, ""},
 		"same prefix, other host":    {func(config *Config) { config.Routes[2].Host = "other.test" }, ""},
-		"service nobody knows":       {func(config *Config) { config.Routes[0].Service = "cedar" }, danglingName},
-		"split nobody knows":         {func(config *Config) { config.Routes[1].Split[1].Service = "cedar" }, danglingName},
+		"unknown service":            {func(config *Config) { config.Routes[0].Service = "cedar" }, danglingName},
+		"unknown service in split":   {func(config *Config) { config.Routes[1].Split[1].Service = "cedar" }, danglingName},
 		"no attempts":                {func(config *Config) { config.Routes[0].Attempts = 0 }, outOfRange},
 		"attempts below 0":           {func(config *Config) { config.Routes[0].Attempts = -1 }, outOfRange},
 		"no timeout":                 {func(config *Config) { config.Routes[0].TimeoutMs = 0 }, outOfRange},
 		"target below 0":             {func(config *Config) { config.Routes[0].TargetMs = -1 }, outOfRange},
-		"kind nobody knows":          {func(config *Config) { config.Routes[0].Kind = Download + 1 }, outOfRange},
+		"unknown kind":               {func(config *Config) { config.Routes[0].Kind = Download + 1 }, outOfRange},
 		"prefix without first slash": {func(config *Config) { config.Routes[0].Prefix = "cart/" }, invalidPrefix},
 		"prefix without last slash":  {func(config *Config) { config.Routes[0].Prefix = "/cart" }, invalidPrefix},
 		"no prefix":                  {func(config *Config) { config.Routes[0].Prefix = "" }, invalidPrefix},
@@ -84,8 +84,8 @@
 		"route twice":                {func(config *Config) { config.Routes[2].Name = "cart" }, duplicateName},
 		"service twice":              {func(config *Config) { config.Services = append(config.Services, Service{Name: "alder"}) }, duplicateName},
 		"tenant twice":               {func(config *Config) { config.Tenants[1].Name = "ann" }, duplicateName},
-		"same place":                 {func(config *Config) { config.Routes[1].Prefix = "/cart/" }, samePlace},
-		"same place, other letters":  {func(config *Config) { config.Routes[2].Host = "SHOP.test" }, samePlace},
+		"same host and prefix":       {func(config *Config) { config.Routes[1].Prefix = "/cart/" }, samePlace},
+		"same host in upper case":    {func(config *Config) { config.Routes[2].Host = "SHOP.test" }, samePlace},
 		"shared key":                 {func(config *Config) { config.Tenants[1].Keys[0] = "a2" }, sharedKey},
 		"health path without slash":  {func(config *Config) { config.Services[0].HealthPath = "well" }, invalidPrefix},
 		"connections below 0":        {func(config *Config) { config.Services[0].MaxConnections = -1 }, outOfRange},
@@ -96,22 +96,22 @@
 		"header time below 0":        {func(config *Config) { config.Limits.HeaderMs = -1 }, outOfRange},
 		"idle time below 0":          {func(config *Config) { config.Limits.IdleMs = -1 }, outOfRange},
 	} {
-		config := goodConfig()
-		one.change(config)
+		config := validConfig()
+		testCase.change(config)
 		err := config.Check()
 		switch {
-		case one.want == "" && err != nil:
+		case testCase.want == "" && err != nil:
 			test.Errorf("%s: %v", name, err)
-		case one.want != "" && (err == nil || rpc.CodeOf(err) != rpc.Invalid || len(rpc.AsError(err).Details) != 1 || rpc.AsError(err).Details[0].Code != one.want):
-			test.Errorf("%s: %v, want one %s", name, err, one.want)
+		case testCase.want != "" && (err == nil || rpc.CodeOf(err) != rpc.Invalid || len(rpc.AsError(err).Details) != 1 || rpc.AsError(err).Details[0].Code != testCase.want):
+			test.Errorf("%s: %v, want one problem with code %q", name, err, testCase.want)
 		}
 	}
 }
 
-func TestCheckBoundsWhatItNames(test *testing.T) {
+func TestCheckLimitsListedProblems(test *testing.T) {
 	config := &Config{Routes: make([]Route, 1000)}
 	err := config.Check()
 	if err == nil || len(rpc.AsError(err).Details) != maxDetails || !strings.Contains(rpc.AsError(err).Message, "wrong") {
-		test.Fatalf("%d details", len(rpc.AsError(err).Details))
+		test.Fatalf("%d details listed", len(rpc.AsError(err).Details))
 	}
 }
--- a/routing/config.go
+++ b/routing/config.go
@@ -1,7 +1,7 @@
-// Package routing is what an operator says about where requests go: services, the
-// routes to them, the tenants that may use them, and the zones that are evacuated.
-// A change of it is a Change that names the version it follows; State is what is in
-// force, and NewIndex makes of it the lookup table that proxies swap whole.
+// Package routing defines the routing configuration: services, the routes to them, the
+// tenants that may use them, and the evacuated zones. Operators change it by a Change, which
+// names the version that it is based on. State is the stored configuration; NewIndex
+// builds from it the immutable lookup table of the proxies.
 package routing
 
 import (
@@ -11,32 +11,32 @@
 	"orchidjunction/rpc"
 )
 
-// Kind says how often a request of a route may run.
+// Kind says whether the requests of a route may be executed more than once.
 type Kind uint8
 
-// Kinds of routes; Repeats tells which of them may run more than once.
+// The kinds of routes.
 const (
 	NonIdempotent Kind = iota
 	Idempotent
 	Download
 )
 
-// IsIdempotent is whether a request may run more than once.
+// IsIdempotent reports whether a request may be executed more than once.
 func (kind Kind) IsIdempotent() bool { return kind != NonIdempotent }
 
-// Extra is a field that the product does not know and hands back as it came.
+// Extra is an unknown field, which is returned unchanged when the config is read.
 type Extra struct {
 	Name string
 	Text string
 }
 
-// WeightedService is one service's part of a split route.
+// WeightedService is a service of a split route with its weight.
 type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// Route sends the requests of a host below a path to a service.
+// Route sends the requests of a host with a path prefix to a service, or splits them by weight.
 type Route struct {
 	Name      string
 	Host      string
@@ -53,10 +53,10 @@
 	Extras    []Extra
 }
 
-// ProtocolHTTP1 is the protocol that backends are spoken to, also where a service names none.
+// ProtocolHTTP1 is the protocol to backends, and the default of Service.Protocol.
 const ProtocolHTTP1 = "h1"
 
-// Service is a set of backends that serve the same requests.
+// Service is a group of backends that serve the same requests.
 type Service struct {
 	Name           string
 	HealthPath     string
@@ -68,7 +68,7 @@
 	Extras         []Extra
 }
 
-// Tenant is whose key a request carries.
+// Tenant is a client, identified by the keys in its requests.
 type Tenant struct {
 	Name        string
 	Keys        []string
@@ -78,7 +78,7 @@
 	Extras      []Extra
 }
 
-// Limits bound what a client may send, and how long it may take.
+// Limits bound the size of requests and the time that a client may take to send them.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -87,8 +87,8 @@
 	Extras      []Extra
 }
 
-// Config is one whole version of an operator's routing. Keyed is whether it
-// names tenants at all, and so wants a key from requests of routes not public.
+// Config is one complete version of the routing. KeysRequired is whether it lists tenants at
+// all, so that requests of routes that are not public need a key.
 type Config struct {
 	Version      uint64
 	Routes       []Route
@@ -99,7 +99,7 @@
 	Extras       []Extra
 }
 
-// Patch changes named items of a config.
+// Patch adds, replaces or removes items of a config by name.
 type Patch struct {
 	Routes         []Route
 	Services       []Service
@@ -110,8 +110,8 @@
 	RemoveTenants  []string
 }
 
-// Change is an operator's change: a whole config or a patch on top of a version.
-// Digest names the change's exact text, so that a repeat is known.
+// Change is an operator's change: a whole config, or a patch of the version Base. Digest
+// identifies the exact text of the change, for the detection of duplicates.
 type Change struct {
 	Version uint64
 	Base    uint64
@@ -129,13 +129,13 @@
 	Zones     []ZoneChanges
 }
 
-// ZoneChanges is how often a zone was evacuated and taken back.
+// ZoneChanges is the number of times that a zone was evacuated or restored.
 type ZoneChanges struct {
 	Zone  string
 	Count uint64
 }
 
-// ChangesOf is how often a zone was evacuated and taken back.
+// ChangesOf returns the number of times that a zone was evacuated or restored.
 func (state *State) ChangesOf(zone string) uint64 {
 	index, found := state.findZone(zone)
 	if !found {
@@ -144,7 +144,7 @@
 	return state.Zones[index].Count
 }
 
-// WithChangeOf are the zones' changes with one more of a zone.
+// WithChangeOf returns the changes of all zones with one more for a zone.
 func (state *State) WithChangeOf(zone string) []ZoneChanges {
 	index, found := state.findZone(zone)
 	zones := slices.Clone(state.Zones)
@@ -156,24 +156,24 @@
 }
 
 func (state *State) findZone(zone string) (int, bool) {
-	return slices.BinarySearchFunc(state.Zones, zone, func(one ZoneChanges, zone string) int { return strings.Compare(one.Zone, zone) })
+	return slices.BinarySearchFunc(state.Zones, zone, func(entry ZoneChanges, zone string) int { return strings.Compare(entry.Zone, zone) })
 }
 
-// WithoutHistory is the state as daemons need it, without what only changes are judged by.
+// WithoutHistory returns the state without the fields that are only needed to validate changes.
 func (state *State) WithoutHistory() *State {
 	bare := *state
 	bare.History, bare.Zones = History{}, nil
 	return &bare
 }
 
-// RestoredZone is when a zone was last taken back, in milliseconds of true time: its
-// backends may have turned cold meanwhile, and lists lag.
+// RestoredZone is when a zone was last restored, in milliseconds of true time. Its backends may
+// have turned cold in the meantime, and lists of them lag.
 type RestoredZone struct {
 	Zone string
 	AtMs int64
 }
 
-// DecodeState reads the register's body; none is an empty state.
+// DecodeState decodes the body of the register. An empty body is an empty state.
 func DecodeState(body []byte) (*State, error) {
 	state := &State{}
 	if len(body) == 0 {
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -7,9 +7,9 @@
 	"orchidjunction/rpc"
 )
 
-// The routing register and an operator's change are encoded as they were when the file
-// was written, and what was written then is read back.
-func TestRoutingEncodingsStay(test *testing.T) {
+// The encodings of the routing register and of a change must not change, and those in the golden
+// file must be decoded.
+func TestRoutingEncodingsAreStable(test *testing.T) {
 	format := golden.Format{Marshal: rpc.Marshal, Unmarshal: rpc.Unmarshal}
 	format.Check(test, "testdata/routing.golden", map[string]any{"Book": &State{}, "Change": &Change{}})
 }
--- a/routing/history.go
+++ b/routing/history.go
@@ -9,44 +9,44 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// MaxHistory is how many taken changes a history remembers.
+// MaxHistory is the number of accepted changes that a history keeps.
 const MaxHistory = 4096
 
 const digestBytes = 8
 
-// ShortDigest stands for a change's text in a history. Versions are never used
-// twice, so it only has to tell apart the few changes that named the same one.
+// ShortDigest identifies the text of a change in a history. Versions are never reused, so it
+// only has to distinguish the few changes that requested the same version.
 type ShortDigest [digestBytes]byte
 
-// DigestOf is the short digest of the digest that a change carries.
+// DigestOf returns the short digest of Change.Digest.
 func DigestOf(digest string) ShortDigest {
 	sum := sha256.Sum256([]byte(digest))
 	return ShortDigest(sum[:digestBytes])
 }
 
-// HistoryEntry is a change that was taken.
+// HistoryEntry is an accepted change.
 type HistoryEntry struct {
 	Version uint64
 	Digest  ShortDigest
 }
 
-// History remembers the changes that were taken last, by rising versions, so that a
-// change which is sent again is known. It is written with every change and so kept
-// short: each entry is the version's distance from the one before, then the digest.
+// History holds the most recently accepted changes by ascending version, for the detection of
+// duplicates. It is stored with every change and therefore compact: an entry in Packed is the
+// difference of its version from the previous one, and the digest.
 type History struct {
-	// Forgotten is the highest version whose change is remembered no more.
+	// Forgotten is the highest version that was dropped from the history.
 	Forgotten uint64
 	Count     int
 	Packed    []byte
 }
 
-// formerEntry is an entry of the history as states of former versions hold it.
-type formerEntry struct {
+// legacyEntry is a history entry as stored by older releases.
+type legacyEntry struct {
 	Version uint64
 	Digest  string
 }
 
-// DecodeMsgpack reads a history, also one of a former version: a list of entries.
+// DecodeMsgpack decodes a history, also in the format of older releases: a list of entries.
 func (history *History) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	code, err := decoder.PeekCode()
 	if err != nil {
@@ -56,33 +56,33 @@
 		type plain History
 		return decoder.Decode((*plain)(history))
 	}
-	var former []formerEntry
-	if err := decoder.Decode(&former); err != nil {
+	var legacy []legacyEntry
+	if err := decoder.Decode(&legacy); err != nil {
 		return err
 	}
 	*history = History{}
-	for _, entry := range former {
+	for _, entry := range legacy {
 		*history = history.With(entry.Version, entry.Digest)
 	}
 	return nil
 }
 
-// next reads the entry at the front of packed, which follows a version.
-func next(packed []byte, version uint64) (entry HistoryEntry, rest []byte, found bool) {
-	distance, width := binary.Uvarint(packed)
+// decodeEntry decodes the first entry of packed; previous is the version of the entry before.
+func decodeEntry(packed []byte, previous uint64) (entry HistoryEntry, rest []byte, found bool) {
+	difference, width := binary.Uvarint(packed)
 	if width <= 0 || len(packed) < width+digestBytes {
 		return HistoryEntry{}, nil, false
 	}
-	entry = HistoryEntry{Version: version + distance, Digest: ShortDigest(packed[width : width+digestBytes])}
+	entry = HistoryEntry{Version: previous + difference, Digest: ShortDigest(packed[width : width+digestBytes])}
 	return entry, packed[width+digestBytes:], true
 }
 
-// Entries are the changes remembered, oldest first.
+// Entries returns the entries, oldest first.
 func (history History) Entries() []HistoryEntry {
 	entries := make([]HistoryEntry, 0, history.Count)
 	version := history.Forgotten
 	for rest := history.Packed; ; {
-		entry, after, found := next(rest, version)
+		entry, after, found := decodeEntry(rest, version)
 		if !found {
 			return entries
 		}
@@ -91,7 +91,7 @@
 	}
 }
 
-// Contains is whether a change is remembered as taken.
+// Contains reports whether a change is in the history.
 func (history History) Contains(version uint64, digest string) bool {
 	for _, entry := range history.Entries() {
 		if entry.Version == version {
@@ -101,26 +101,26 @@
 	return false
 }
 
-// MayHaveForgotten is whether a change of this version may have been taken so long ago that
-// the history can't tell.
+// MayHaveForgotten reports whether a change of this version may have been accepted and dropped
+// from the history since.
 func (history History) MayHaveForgotten(version uint64) bool { return version <= history.Forgotten }
 
-// With is the history with one more change, whose version is above all others.
+// With returns the history with one more change. Its version must be above all others.
 func (history History) With(version uint64, digest string) History {
 	last := history.Forgotten
 	if entries := history.Entries(); len(entries) > 0 {
 		last = entries[len(entries)-1].Version
 	}
-	short := DigestOf(digest)
-	longer := History{
+	shortDigest := DigestOf(digest)
+	extended := History{
 		Forgotten: history.Forgotten,
 		Count:     history.Count + 1,
 		Packed:    binary.AppendUvarint(bytes.Clone(history.Packed), version-last),
 	}
-	longer.Packed = append(longer.Packed, short[:]...)
-	for longer.Count > MaxHistory {
-		oldest, rest, _ := next(longer.Packed, longer.Forgotten)
-		longer = History{Forgotten: oldest.Version, Count: longer.Count - 1, Packed: rest}
+	extended.Packed = append(extended.Packed, shortDigest[:]...)
+	for extended.Count > MaxHistory {
+		oldest, rest, _ := decodeEntry(extended.Packed, extended.Forgotten)
+		extended = History{Forgotten: oldest.Version, Count: extended.Count - 1, Packed: rest}
 	}
-	return longer
+	return extended
 }
--- a/routing/history_test.go
+++ b/routing/history_test.go
@@ -7,22 +7,23 @@
 	"orchidjunction/rpc"
 )
 
-// A history knows the newest changes exactly, says what it forgot, and stays short.
-func TestHistoryKnowsTheNewestAndWhatItForgot(test *testing.T) {
-	const more = 100
+// A history must hold exactly the newest MaxHistory changes, report older ones as possibly
+// forgotten, and stay compact.
+func TestHistoryKeepsNewestChanges(test *testing.T) {
+	const dropped = 100
 	history, version := History{}, uint64(0)
 	versions := []uint64{}
-	for number := range MaxHistory + more {
+	for number := range MaxHistory + dropped {
 		version += uint64(1 + number%7)
 		versions = append(versions, version)
 		history = history.With(version, fmt.Sprint(number))
 	}
 	for number, version := range versions {
-		known := number >= more
-		if history.Contains(version, fmt.Sprint(number)) != known || history.Contains(version, "another") ||
-			history.MayHaveForgotten(version) == known {
+		isKept := number >= dropped
+		if history.Contains(version, fmt.Sprint(number)) != isKept || history.Contains(version, "another") ||
+			history.MayHaveForgotten(version) == isKept {
 			test.Fatalf(
-				"order %d of %d: held %v, forgotten %v",
+				"change %d of %d: contained %v, possibly forgotten %v",
 				number,
 				len(versions),
 				history.Contains(version, fmt.Sprint(number)),
@@ -31,17 +32,17 @@
 		}
 	}
 	entries := history.Entries()
-	if len(entries) != MaxHistory || entries[0].Version != versions[more] || entries[MaxHistory-1].Version != version {
-		test.Errorf("%d entries, from %d to %d", len(entries), entries[0].Version, entries[len(entries)-1].Version)
+	if len(entries) != MaxHistory || entries[0].Version != versions[dropped] || entries[MaxHistory-1].Version != version {
+		test.Errorf("%d entries, versions %d to %d", len(entries), entries[0].Version, entries[len(entries)-1].Version)
 	}
 	if len(history.Packed) > MaxHistory*(digestBytes+1) {
-		test.Errorf("%d bytes", len(history.Packed))
+		test.Errorf("%d bytes packed", len(history.Packed))
 	}
 }
 
-// A history that was packed, read and continued is the same; one that was read keeps
-// its own bytes though two longer ones were made of it.
-func TestHistoryLastsAndIsNotShared(test *testing.T) {
+// A history must survive encoding and decoding. Two histories derived from it by With must not
+// share its bytes.
+func TestHistorySurvivesEncodingAndIsNotShared(test *testing.T) {
 	history := History{}.With(300, "a").With(70000, "b")
 	body, err := rpc.Marshal(&State{History: history})
 	if err != nil {
@@ -58,16 +59,16 @@
 	}
 }
 
-// A state of a former version, whose history is a list of whole digests, is read.
-func TestHistoryOfFormerVersionIsRead(test *testing.T) {
-	type formerBook struct {
+// A state of an older release, whose history is a list of full digests, must be decoded.
+func TestHistoryOfOlderReleaseIsDecoded(test *testing.T) {
+	type legacyState struct {
 		Config    Config
 		Evacuated []string
 		Reopened  []RestoredZone
-		Trail     []formerEntry
+		Trail     []legacyEntry
 	}
 	body, err := rpc.Marshal(
-		&formerBook{Config: Config{Version: 9}, Evacuated: []string{"z1"}, Trail: []formerEntry{{4, "four"}, {9, "nine"}}},
+		&legacyState{Config: Config{Version: 9}, Evacuated: []string{"z1"}, Trail: []legacyEntry{{4, "four"}, {9, "nine"}}},
 	)
 	if err != nil {
 		test.Fatal(err)
--- a/routing/index.go
+++ b/routing/index.go
@@ -5,21 +5,21 @@
 	"strings"
 )
 
-// Index is one version of the routing as requests look it up; it never changes.
+// Index is the lookup table of one version of the routing. It is immutable.
 type Index struct {
 	Version      uint64
 	KeysRequired bool
 	Limits       Limits
 	Services     []Service
 
-	hosts     map[string]*prefixes
+	hosts     map[string]*hostRoutes
 	keys      map[string]*Tenant
 	services  map[string]int
 	evacuated map[string]bool
 }
 
-// CompiledRoute is a route with its services as places in the index. A draw below
-// Total falls to the first service whose cumulative weight is above it.
+// CompiledRoute is a route with its services as positions in Index.Services. A random number
+// below Total selects the first service whose cumulative weight is above it.
 type CompiledRoute struct {
 	Route      *Route
 	Services   []int
@@ -28,13 +28,14 @@
 	Homes      []string
 }
 
-type prefixes struct {
-	routes  map[string]*CompiledRoute
-	longest int
-	homes   bool // whether one of the routes has homes
+// hostRoutes holds the routes of one host by path prefix.
+type hostRoutes struct {
+	routes   map[string]*CompiledRoute
+	longest  int  // length of the longest prefix
+	hasHomes bool // whether any of the routes has homes
 }
 
-// NewIndex makes the index of a state that was checked.
+// NewIndex returns the index of a state, whose config must be valid.
 func NewIndex(state *State) *Index {
 	config := &state.Config
 	index := &Index{
@@ -42,20 +43,20 @@
 		KeysRequired: config.KeysRequired,
 		Limits:       config.Limits,
 		Services:     config.Services,
-		hosts:        map[string]*prefixes{},
+		hosts:        map[string]*hostRoutes{},
 		keys:         map[string]*Tenant{},
 		services:     make(map[string]int, len(config.Services)),
 		evacuated:    make(map[string]bool, len(state.Evacuated)),
 	}
-	for place := range config.Services {
-		index.services[config.Services[place].Name] = place
+	for position := range config.Services {
+		index.services[config.Services[position].Name] = position
 	}
-	for place := range config.Routes {
-		index.add(&config.Routes[place])
+	for position := range config.Routes {
+		index.add(&config.Routes[position])
 	}
-	for place := range config.Tenants {
-		for _, key := range config.Tenants[place].Keys {
-			index.keys[key] = &config.Tenants[place]
+	for position := range config.Tenants {
+		for _, key := range config.Tenants[position].Keys {
+			index.keys[key] = &config.Tenants[position]
 		}
 	}
 	for _, zone := range state.Evacuated {
@@ -65,15 +66,15 @@
 }
 
 func (index *Index) add(route *Route) {
-	host := hostKey(route.Host)
-	known := index.hosts[host]
-	if known == nil {
-		known = &prefixes{routes: map[string]*CompiledRoute{}}
-		index.hosts[host] = known
+	host := normalizeHost(route.Host)
+	entry := index.hosts[host]
+	if entry == nil {
+		entry = &hostRoutes{routes: map[string]*CompiledRoute{}}
+		index.hosts[host] = entry
 	}
-	known.routes[route.Prefix] = index.compile(route)
-	known.homes = known.homes || len(route.Homes) > 0
-	known.longest = max(known.longest, len(route.Prefix))
+	entry.routes[route.Prefix] = index.compile(route)
+	entry.hasHomes = entry.hasHomes || len(route.Homes) > 0
+	entry.longest = max(entry.longest, len(route.Prefix))
 }
 
 func (index *Index) compile(route *Route) *CompiledRoute {
@@ -82,19 +83,19 @@
 	if len(split) == 0 {
 		split = []WeightedService{{Service: route.Service, Weight: 1}}
 	}
-	for _, share := range split {
-		place, known := index.services[share.Service]
-		if !known || share.Weight <= 0 {
+	for _, weighted := range split {
+		position, known := index.services[weighted.Service]
+		if !known || weighted.Weight <= 0 {
 			continue
 		}
-		compiled.Total += share.Weight
-		compiled.Services = append(compiled.Services, place)
+		compiled.Total += weighted.Weight
+		compiled.Services = append(compiled.Services, position)
 		compiled.Cumulative = append(compiled.Cumulative, compiled.Total)
 	}
 	return compiled
 }
 
-// Pick is the place of the service that a number from 0 to below Total falls to.
+// Pick returns the position of the service that a number in [0, Total) selects.
 func (compiled *CompiledRoute) Pick(number int) int {
 	if len(compiled.Services) == 1 {
 		return compiled.Services[0]
@@ -102,48 +103,48 @@
 	return compiled.Services[sort.SearchInts(compiled.Cumulative, number+1)]
 }
 
-// Find is the host's route with the longest prefix that begins the path, which comes without its query.
+// Find returns the route of a host with the longest prefix of a path without query.
 func (index *Index) Find(host, path string) (*CompiledRoute, bool) {
-	known := index.hosts[hostKey(host)]
-	if known == nil {
+	entry := index.hosts[normalizeHost(host)]
+	if entry == nil {
 		return nil, false
 	}
-	path = path[:min(len(path), known.longest)]
+	path = path[:min(len(path), entry.longest)]
 	for {
 		slash := strings.LastIndexByte(path, '/')
 		if slash < 0 {
 			return nil, false
 		}
-		if compiled, found := known.routes[path[:slash+1]]; found {
+		if compiled, found := entry.routes[path[:slash+1]]; found {
 			return compiled, true
 		}
 		path = path[:slash]
 	}
 }
 
-// HasHomes is whether a route of the host has regions that its requests must stay in.
+// HasHomes reports whether a route of the host restricts its requests to home regions.
 func (index *Index) HasHomes(host string) bool {
-	known := index.hosts[hostKey(host)]
-	return known != nil && known.homes
+	entry := index.hosts[normalizeHost(host)]
+	return entry != nil && entry.hasHomes
 }
 
-// TenantOf is the tenant that a key belongs to.
+// TenantOf returns the tenant of a key.
 func (index *Index) TenantOf(key string) (*Tenant, bool) {
 	tenant, known := index.keys[key]
 	return tenant, known
 }
 
-// ServiceIndex is a service's place in Services.
+// ServiceIndex returns the position of a service in Services.
 func (index *Index) ServiceIndex(name string) (int, bool) {
-	place, known := index.services[name]
-	return place, known
+	position, known := index.services[name]
+	return position, known
 }
 
-// Evacuated is whether nothing may be sent to the backends of a zone.
+// Evacuated reports whether a zone is evacuated: no requests may be sent to its backends.
 func (index *Index) Evacuated(zone string) bool { return index.evacuated[zone] }
 
-// hostKey is a host in lower case and without its port.
-func hostKey(host string) string {
+// normalizeHost returns a host in lower case and without its port.
+func normalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && strings.IndexByte(host[colon:], ']') < 0 {
 		host = host[:colon]
 	}
--- a/routing/index_test.go
+++ b/routing/index_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-func TestFindTakesTheLongestPrefixOfTheHost(test *testing.T) {
-	config := goodConfig()
+func TestFindReturnsLongestPrefixOfHost(test *testing.T) {
+	config := validConfig()
 	config.Routes = append(
 		config.Routes,
 		Route{Name: "deep", Host: "Shop.Test:99", Prefix: "/cart/deep/er/", Service: "birch"},
 		Route{Name: "six", Host: "[::1]", Prefix: "/"},
 	)
 	index := NewIndex(&State{Config: *config})
-	for _, one := range []struct{ host, path, want string }{
+	for _, testCase := range []struct{ host, path, want string }{
 		{"shop.test", "/cart/", "cart"},
 		{"shop.test", "/cart/7", "cart"},
 		{"shop.test", "/cart", "shelf"},
@@ -35,21 +35,21 @@
 		{"[::2]", "/cart/", ""},
 	} {
 		got := ""
-		if compiled, found := index.Find(one.host, one.path); found {
+		if compiled, found := index.Find(testCase.host, testCase.path); found {
 			got = compiled.Route.Name
 		}
-		if got != one.want {
-			test.Errorf("%s %s: %q, want %q", one.host, one.path, got, one.want)
+		if got != testCase.want {
+			test.Errorf("%s %s: %q, want %q", testCase.host, testCase.path, got, testCase.want)
 		}
 	}
 }
 
-// Many drawn routes and paths, against going through all of them.
-func TestFindAgreesWithASlowSearch(test *testing.T) {
+// Compares Find with a linear search, for random routes and paths.
+func TestFindMatchesLinearSearch(test *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
-	path := func(most int) string {
+	randomPath := func(maxSegments int) string {
 		text := "/"
-		for range random.IntN(most) {
+		for range random.IntN(maxSegments) {
 			text += strings.Repeat("ab"[random.IntN(2):][:1], random.IntN(3)) + "/"
 		}
 		return text
@@ -58,17 +58,17 @@
 		config := &Config{}
 		seen := map[string]bool{}
 		for range 12 {
-			if prefix := path(5); !seen[prefix] {
+			if prefix := randomPath(5); !seen[prefix] {
 				seen[prefix] = true
 				config.Routes = append(config.Routes, Route{Host: "shop.test", Prefix: prefix})
 			}
 		}
 		index := NewIndex(&State{Config: *config})
 		for range 50 {
-			request, want := path(8)+"a"[:random.IntN(2)], ""
-			for _, one := range config.Routes {
-				if strings.HasPrefix(request, one.Prefix) && len(one.Prefix) > len(want) {
-					want = one.Prefix
+			request, want := randomPath(8)+"a"[:random.IntN(2)], ""
+			for _, route := range config.Routes {
+				if strings.HasPrefix(request, route.Prefix) && len(route.Prefix) > len(want) {
+					want = route.Prefix
 				}
 			}
 			got := ""
@@ -83,17 +83,17 @@
 }
 
 func TestFindAllocatesNothing(test *testing.T) {
-	index := NewIndex(&State{Config: *goodConfig()})
+	index := NewIndex(&State{Config: *validConfig()})
 	if count := testing.AllocsPerRun(100, func() {
 		index.Find("shop.test:8080", "/cart/a/b/c")
 		index.TenantOf("a2")
 	}); count != 0 {
-		test.Errorf("%v allocations", count)
+		test.Errorf("%v allocations per lookup", count)
 	}
 }
 
-func TestDrawFollowsTheWeights(test *testing.T) {
-	config := goodConfig()
+func TestPickFollowsWeights(test *testing.T) {
+	config := validConfig()
 	config.Services = append(config.Services, Service{Name: "cedar"})
 	config.Routes[1].Split = []WeightedService{{"birch", 3}, {"cedar", 0}, {"alder", 1}}
 	index := NewIndex(&State{Config: *config})
@@ -103,7 +103,7 @@
 		counts[index.Services[compiled.Pick(number)].Name]++
 	}
 	if counts["birch"] != 3 || counts["alder"] != 1 || counts["cedar"] != 0 || len(compiled.Services) != 2 {
-		test.Errorf("%v", counts)
+		test.Errorf("picks by service: %v", counts)
 	}
 	whole, _ := index.Find("shop.test", "/cart/")
 	if index.Services[whole.Pick(0)].Name != "alder" || whole.Total != 1 || whole.Homes[0] != "north" {
@@ -111,27 +111,27 @@
 	}
 }
 
-func TestIndexKnowsTenantsServicesAndZones(test *testing.T) {
-	index := NewIndex(&State{Config: *goodConfig(), Evacuated: []string{"z1"}})
+func TestIndexFindsTenantsServicesAndZones(test *testing.T) {
+	index := NewIndex(&State{Config: *validConfig(), Evacuated: []string{"z1"}})
 	if tenant, found := index.TenantOf("b1"); !found || tenant.Name != "bob" {
-		test.Errorf("%v", tenant)
+		test.Errorf("tenant of b1: %v", tenant)
 	}
 	if _, found := index.TenantOf("c1"); found {
-		test.Error("a key nobody holds")
+		test.Error("found a tenant for an unknown key")
 	}
-	if place, found := index.ServiceIndex("birch"); !found || index.Services[place].Name != "birch" {
-		test.Errorf("%d", place)
+	if position, found := index.ServiceIndex("birch"); !found || index.Services[position].Name != "birch" {
+		test.Errorf("position of birch: %d", position)
 	}
 	if _, found := index.ServiceIndex("cedar"); found {
-		test.Error("a service nobody knows")
+		test.Error("found an unknown service")
 	}
 	if !index.Evacuated("z1") || index.Evacuated("z2") || index.Version != 3 || !index.KeysRequired || index.Limits.IdleMs != 20 {
 		test.Errorf("%+v", index)
 	}
 }
 
-// A host has homes if one of its routes has: the directory asks by host alone.
-func TestHostHasHomesByItsRoutes(test *testing.T) {
+// A host has homes if any of its routes has, since the directory looks up by host alone.
+func TestHostHasHomesOfAnyRoute(test *testing.T) {
 	index := NewIndex(&State{Config: Config{
 		Services: []Service{{Name: "desk"}},
 		Routes: []Route{
@@ -142,7 +142,7 @@
 	}})
 	for host, want := range map[string]bool{"both.test": true, "free.test": false, "nobody.test": false, "": false} {
 		if index.HasHomes(host) != want {
-			test.Errorf("%q: homes %v", host, !want)
+			test.Errorf("%q: HasHomes returns %v", host, !want)
 		}
 	}
 }
--- a/routing/patch.go
+++ b/routing/patch.go
@@ -2,19 +2,19 @@
 
 import "orchidjunction/rpc"
 
-// Apply returns the config with a patch merged into it; the receiver stays as it is.
-// Whoever takes it on sets its version and checks it.
+// Apply returns the config with a patch merged into it; the receiver is not modified. The caller
+// must set the version of the result and check it.
 func (config Config) Apply(patch *Patch) (Config, error) {
 	var err error
-	config.Routes, err = overlay(config.Routes, patch.Routes, patch.RemoveRoutes, "routes", routeName)
+	config.Routes, err = mergeItems(config.Routes, patch.Routes, patch.RemoveRoutes, "routes", routeName)
 	if err != nil {
 		return Config{}, err
 	}
-	config.Services, err = overlay(config.Services, patch.Services, patch.RemoveServices, "services", serviceName)
+	config.Services, err = mergeItems(config.Services, patch.Services, patch.RemoveServices, "services", serviceName)
 	if err != nil {
 		return Config{}, err
 	}
-	config.Tenants, err = overlay(config.Tenants, patch.Tenants, patch.RemoveTenants, "tenants", tenantName)
+	config.Tenants, err = mergeItems(config.Tenants, patch.Tenants, patch.RemoveTenants, "tenants", tenantName)
 	if err != nil {
 		return Config{}, err
 	}
@@ -29,37 +29,37 @@
 func serviceName(service *Service) string { return service.Name }
 func tenantName(tenant *Tenant) string    { return tenant.Name }
 
-// overlay replaces items in their place, adds new ones at the end and leaves
-// out the removed; an item both given and removed is given.
-func overlay[Item any](held, given []Item, removed []string, list string, name func(*Item) string) ([]Item, error) {
+// mergeItems replaces items in place, appends new ones and drops removed ones. An item that is
+// both given and removed is kept as given.
+func mergeItems[Item any](current, given []Item, removed []string, list string, name func(*Item) string) ([]Item, error) {
 	if len(given) == 0 && len(removed) == 0 {
-		return held, nil
+		return current, nil
 	}
-	places := make(map[string]int, len(given))
+	positions := make(map[string]int, len(given))
 	for index := range given {
 		key := name(&given[index])
-		if _, twice := places[key]; twice {
+		if _, isDuplicate := positions[key]; isDuplicate {
 			return nil, &rpc.Error{
 				Code:    rpc.Invalid,
 				Message: "1 wrong",
-				Details: []rpc.Detail{{Path: list + "." + key, Code: duplicateName, Message: "given twice"}},
+				Details: []rpc.Detail{{Path: list + "." + key, Code: duplicateName, Message: "the name is used more than once"}},
 			}
 		}
-		places[key] = index
+		positions[key] = index
 	}
-	gone := make(map[string]bool, len(removed))
+	isRemoved := make(map[string]bool, len(removed))
 	for _, key := range removed {
-		gone[key] = true
+		isRemoved[key] = true
 	}
-	next := make([]Item, 0, len(held)+len(given))
+	next := make([]Item, 0, len(current)+len(given))
 	replaced := make([]bool, len(given))
-	for index := range held {
-		key := name(&held[index])
-		if place, found := places[key]; found {
-			next = append(next, given[place])
-			replaced[place] = true
-		} else if !gone[key] {
-			next = append(next, held[index])
+	for index := range current {
+		key := name(&current[index])
+		if position, found := positions[key]; found {
+			next = append(next, given[position])
+			replaced[position] = true
+		} else if !isRemoved[key] {
+			next = append(next, current[index])
 		}
 	}
 	for index := range given {
--- a/steering/index.go
+++ b/steering/index.go
@@ -1,7 +1,7 @@
-// Package steering decides which proxies the clients of a zone are sent to: the nearest
-// ones that are ready, and, for each of a zone's proxies that is missing, another one of
-// its region. NewIndex makes an immutable Index of a table of members; Index.List gives
-// the proxies for a zone.
+// Package steering selects the proxies for the clients of a zone: the nearest ones that are
+// ready, plus a substitute from the same region for each missing proxy of the zone. NewIndex
+// builds an immutable Index from a table of members; Index.List returns the proxies for a
+// zone.
 package steering
 
 import (
@@ -12,10 +12,10 @@
 	"orchidjunction/message"
 )
 
-// enough is how many proxies a list should name before farther ones are left out.
-const enough = 2
+// minListSize is the number of proxies in a list from which on farther ones are left out.
+const minListSize = 2
 
-// distance is how far a proxy is from a client.
+// distance is the distance class of a proxy from a client.
 type distance uint8
 
 const (
@@ -24,12 +24,12 @@
 	otherRegion
 )
 
-// List is the proxies that clients of one zone or region are sent to.
+// List holds the proxies for the clients of one zone or region.
 type List struct {
 	Addresses []string
 }
 
-// Rotate returns count addresses of the list, beginning with another one at each turn.
+// Rotate returns count addresses of the list, starting at a position that advances with turn.
 // The list must not be empty.
 func (list *List) Rotate(turn, count int) []string {
 	part := make([]string, 0, count)
@@ -39,8 +39,9 @@
 	return part
 }
 
-// Index holds a List for each zone, for each region, and for clients of neither. Those of
-// homed requests name no other region's proxies while there is one in the client's own.
+// Index holds a List for each zone, for each region, and for clients of unknown location. Homed
+// requests may be restricted to home regions: their lists contain no proxies of other regions
+// while the client's own region has any.
 type Index struct {
 	regionOf map[string]string
 	zones    map[string]lists
@@ -48,11 +49,11 @@
 	other    *List
 }
 
-// lists are those of a zone or region: for any requests, and for homed ones.
+// lists are the lists of a zone or region, for all requests and for homed ones.
 type lists struct{ any, homed *List }
 
-// NewIndex makes the index of a table; a nil table has no members. regionOf gives the
-// region of each zone. Peaks says how many proxies a zone had at most.
+// NewIndex builds the index of a table; a nil table has no members. regionOf maps zones to
+// regions. peaks holds the maximum number of proxies of each zone so far.
 func NewIndex(table *message.Table, regionOf map[string]string, peaks *Peaks) *Index {
 	index := &Index{regionOf: regionOf, zones: map[string]lists{}, regions: map[string]lists{}}
 	members := servingMembers(table)
@@ -67,37 +68,37 @@
 	return index
 }
 
-// List returns the proxies for clients of a zone, or, where that is not known, of a
-// region. Homed is whether their requests may have to stay in certain regions.
+// List returns the proxies for clients of a zone, or of a region if the zone is unknown. homed is
+// whether their requests may be restricted to home regions.
 func (index *Index) List(region, zone string, homed bool) *List {
-	found, known := index.zones[zone]
+	entry, known := index.zones[zone]
 	if !known {
-		found, known = index.regions[region]
+		entry, known = index.regions[region]
 	}
 	switch {
 	case !known:
 		return index.other
 	case homed:
-		return found.homed
+		return entry.homed
 	}
-	return found.any
+	return entry.any
 }
 
-// Lists returns all lists.
+// Lists returns all lists of the index. A list may occur twice.
 func (index *Index) Lists() []*List {
 	all := []*List{index.other}
-	for _, of := range index.zones {
-		all = append(all, of.any, of.homed)
+	for _, entry := range index.zones {
+		all = append(all, entry.any, entry.homed)
 	}
-	for _, of := range index.regions {
-		all = append(all, of.any, of.homed)
+	for _, entry := range index.regions {
+		all = append(all, entry.any, entry.homed)
 	}
 	return all
 }
 
-// servingMembers are the proxies that are ready or, when none is, those not leaving.
+// servingMembers returns the ready proxies or, if there are none, all that are not leaving.
 func servingMembers(table *message.Table) []message.Member {
-	var ready, staying []message.Member
+	var ready, notLeaving []message.Member
 	if table == nil {
 		return nil
 	}
@@ -105,7 +106,7 @@
 		if member.Kind != message.ProxyKind || member.PublicAddress == "" || member.Leaving {
 			continue
 		}
-		staying = append(staying, member)
+		notLeaving = append(notLeaving, member)
 		if member.Ready {
 			ready = append(ready, member)
 		}
@@ -113,24 +114,23 @@
 	if len(ready) > 0 {
 		return ready
 	}
-	return staying
+	return notLeaving
 }
 
-// newLists makes the lists of a zone, or of a region, mostly one and the same.
+// newLists returns the lists of a zone or region. Usually, both are the same.
 func (index *Index) newLists(members []message.Member, region, zone string, missing int) lists {
-	made := lists{any: index.newList(members, region, zone, missing, otherRegion)}
-	made.homed = index.newList(members, region, zone, missing, sameRegion)
-	if len(made.homed.Addresses) == 0 || len(made.homed.Addresses) == len(made.any.Addresses) {
-		made.homed = made.any
+	result := lists{any: index.newList(members, region, zone, missing, otherRegion)}
+	result.homed = index.newList(members, region, zone, missing, sameRegion)
+	if len(result.homed.Addresses) == 0 || len(result.homed.Addresses) == len(result.any.Addresses) {
+		result.homed = result.any
 	}
-	return made
+	return result
 }
 
-// newList takes the nearest members up to a distance, and farther ones only while there are
-// too few.
-// For each of a zone's proxies that is missing it adds one of the region's others,
-// so that those left don't bear the whole zone alone.
-func (index *Index) newList(members []message.Member, region, zone string, missing int, most distance) *List {
+// newList returns the nearest members up to maxDistance, with farther ones only while the list has
+// fewer than minListSize. For each missing proxy of the zone, it adds another one of the region,
+// so that the remaining ones do not take the load of the whole zone.
+func (index *Index) newList(members []message.Member, region, zone string, missing int, maxDistance distance) *List {
 	list := &List{}
 	distanceOf := func(member *message.Member) distance {
 		switch {
@@ -141,35 +141,36 @@
 		}
 		return otherRegion
 	}
-	for away := sameZone; away <= most && len(list.Addresses) < enough; away++ {
-		for number := range members {
-			if distanceOf(&members[number]) == away {
-				list.Addresses = append(list.Addresses, members[number].PublicAddress)
+	for current := sameZone; current <= maxDistance && len(list.Addresses) < minListSize; current++ {
+		for position := range members {
+			if distanceOf(&members[position]) == current {
+				list.Addresses = append(list.Addresses, members[position].PublicAddress)
 			}
 		}
-		if away == sameZone && len(list.Addresses) >= enough {
+		if current == sameZone && len(list.Addresses) >= minListSize {
 			list.Addresses = append(list.Addresses, substitutes(members, distanceOf, zone, missing)...)
 		}
 	}
 	return list
 }
 
-// substitutes are so many of the region's other proxies, other ones for each zone.
+// substitutes returns up to count proxies of the region's other zones. The hash of zone and name
+// selects different ones for each zone.
 func substitutes(members []message.Member, distanceOf func(*message.Member) distance, zone string, count int) []string {
-	type scored struct {
+	type candidate struct {
 		address string
-		score   uint32
+		hash    uint32
 	}
-	candidates := []scored{}
-	for number := range members {
-		member := &members[number]
+	candidates := []candidate{}
+	for position := range members {
+		member := &members[position]
 		if distanceOf(member) == sameRegion {
 			hash := fnv.New32a()
 			hash.Write([]byte(zone + " " + member.Name))
-			candidates = append(candidates, scored{member.PublicAddress, hash.Sum32()})
+			candidates = append(candidates, candidate{member.PublicAddress, hash.Sum32()})
 		}
 	}
-	slices.SortFunc(candidates, func(left, right scored) int { return cmp.Compare(left.score, right.score) })
+	slices.SortFunc(candidates, func(left, right candidate) int { return cmp.Compare(left.hash, right.hash) })
 	addresses := []string{}
 	for _, candidate := range candidates[:min(len(candidates), max(count, 0))] {
 		addresses = append(addresses, candidate.address)
--- a/steering/peaks.go
+++ b/steering/peaks.go
@@ -6,14 +6,14 @@
 	"orchidjunction/message"
 )
 
-// Peaks remembers the most proxies that were ready in each zone since the process began.
-// Its zero value is ready for use, also concurrently.
+// Peaks holds the maximum number of ready proxies of each zone since the start of the process.
+// Its zero value is ready to use. It is safe for concurrent use.
 type Peaks struct {
 	mutex sync.Mutex
 	zones map[string]int
 }
 
-// missing returns by zone how many proxies fewer than at the peak are there.
+// missing updates the peaks and returns by how many proxies each zone is below its peak.
 func (peaks *Peaks) missing(members []message.Member) map[string]int {
 	ready := map[string]int{}
 	for _, member := range members {
