--- a/rollout/counts.go
+++ b/rollout/counts.go
@@ -12,15 +12,15 @@
 	return cmp.Or(cmp.Compare(left.Incarnation, right.Incarnation), cmp.Compare(left.Counts.Step, right.Counts.Step))
 }
 
-// Sorted sorts counts in place into the order of Rollout.Counts, and returns them.
+// Sorted sorts counts in place in the order of Rollout.Counts.
 func Sorted(counts []ProcessCounts) []ProcessCounts {
 	slices.SortFunc(counts, compareCounts)
 	return counts
 }
 
 // mergeCounts returns the sorted counts of all processes and steps of a rollout. The counts of a
-// process in a step only increase, so the maximum of two reports is valid: a repeated or delayed
-// report changes nothing, and the counts of a process that has ended are kept.
+// process in a step only increase, so the maximum of two reports is valid: repeated or delayed
+// reports change nothing, and the counts of ended processes are kept.
 func mergeCounts(stored, reported []ProcessCounts) []ProcessCounts {
 	merged := slices.Clone(stored)
 	for _, report := range reported {
@@ -56,7 +56,6 @@
 	return sumCounts(mergeCounts(rollout.Counts, reported))
 }
 
-// sumCounts adds up the counts of all processes and steps.
 func sumCounts(counts []ProcessCounts) message.RolloutCounts {
 	total := message.RolloutCounts{}
 	for _, process := range counts {
@@ -68,15 +67,15 @@
 		total.FormerItems += process.Counts.FormerItems
 		total.FormerFailures += process.Counts.FormerFailures
 	}
-	for _, newest := range newestSteps(counts) {
+	for _, newest := range newestStepCounts(counts) {
 		total.FormerInFlight += newest.FormerInFlight
 	}
 	return total
 }
 
-// newestSteps returns the counts of each process's newest reported step, by incarnation. The
+// newestStepCounts returns the counts of each process's newest reported step, by incarnation. The
 // argument must be sorted.
-func newestSteps(counts []ProcessCounts) map[string]message.RolloutCounts {
+func newestStepCounts(counts []ProcessCounts) map[string]message.RolloutCounts {
 	newest := make(map[string]message.RolloutCounts, len(counts))
 	for _, process := range counts {
 		newest[process.Incarnation] = process.Counts
--- a/rollout/decide.go
+++ b/rollout/decide.go
@@ -6,7 +6,7 @@
 	"orchidjunction/message"
 )
 
-// Rules are the limits and the test by which Decide decides.
+// Rules are the criteria of Decide.
 type Rules struct {
 	Bounds  Bounds
 	Verdict Verdict
@@ -14,8 +14,8 @@
 
 // Observation is what the leader knows at NowMs, in milliseconds since the Unix epoch.
 // Backends is the platform's list and Processes the proxies that have a session. Reported
-// returns the counts that processes reported for a rollout ID, including processes that have
-// ended. IsSettled says that proxies have had time to report to this leader.
+// returns the counts by process for a rollout ID, also of processes that have ended. IsSettled
+// says that proxies have had time to report to this leader.
 type Observation struct {
 	NowMs     int64
 	IsSettled bool
@@ -30,12 +30,12 @@
 	Age         time.Duration
 }
 
-// maxReportAge is the maximum age of a proxy's newest report for it to count as having a step in force.
+// maxReportAge is the age of a report above which a proxy counts as behind.
 const maxReportAge = 1200 * time.Millisecond
 
-// stepQuorum is the fraction of proxies that must have a step in force before the next one. It
-// is below 1 since some may be restarting: the others report enough, and a proxy that lacks the
-// step sends the new version fewer requests.
+// stepQuorum is the fraction of proxies that must have a step in force before the next one.
+// While some restart, the others report enough, and a proxy that is behind sends fewer requests
+// to the new version.
 const stepQuorum = 0.9
 
 // Before a step, the new version must have the fraction capacityHeadroom*share of the old
@@ -45,19 +45,19 @@
 	maxNeededCapacity = 0.85
 )
 
-// Obstacle is the reason why a rollout stays in its step, empty if there is none.
+// Obstacle is why a rollout stays in its step, empty if there is no reason.
 type Obstacle string
 
-// The reasons, as they appear in the log.
+// The obstacles.
 const (
-	NotSettled     Obstacle = "the leader has not built its first table"
-	NotDue         Obstacle = "the minimum duration of the step is not over"
-	TooLittleWarm  Obstacle = "too few warm backends of the new version"
-	TooFewItems    Obstacle = "too few responses of the new version were judged"
-	ProxiesBehind  Obstacle = "proxies have no recent report or an older step"
-	BoundReached   Obstacle = "a bad version could exceed the bound of requests"
-	FormerNeeded   Obstacle = "proxies still send requests to the old version"
-	FormerInFlight Obstacle = "requests are in flight at the old version"
+	NotSettled         Obstacle = "the leader has not built its first table"
+	StepNotDue         Obstacle = "the minimum duration of the step is not over"
+	TooFewWarmBackends Obstacle = "too few warm backends of the new version"
+	TooFewItems        Obstacle = "too few responses of the new version were judged"
+	ProxiesBehind      Obstacle = "proxies have no recent report or an older step"
+	BoundAtRisk        Obstacle = "a bad version could exceed the bound of requests"
+	OldVersionInUse    Obstacle = "proxies still send requests to the old version"
+	FormerInFlight     Obstacle = "requests are in flight at the old version"
 )
 
 // Waiting is a rollout that stays in its step.
@@ -66,9 +66,9 @@
 	Obstacle Obstacle
 }
 
-// Decide returns the state after a decision on each active rollout, nil if none of them
-// changes. A rollout advances to the next step if the evidence allows it, and ends if the version
-// is bad or all steps are done. Otherwise it stays in its step and is returned as waiting.
+// Decide returns the state after a decision on each active rollout, nil if none changes. A
+// rollout advances if the evidence allows it, and ends if the version is bad or all steps are
+// done. Otherwise it stays in its step and is returned as waiting.
 func Decide(state *State, observation *Observation, rules Rules) (*State, []Waiting) {
 	next, waiting := state, []Waiting{}
 	for _, service := range state.Active() {
@@ -133,7 +133,6 @@
 	return &ended
 }
 
-// advance returns the service in the next step.
 func (decision *decision) advance() *Service {
 	advanced, service := *decision.rollout, decision.service
 	advanced.Step++
@@ -152,9 +151,9 @@
 	case !decision.observation.IsSettled:
 		return NotSettled
 	case !decision.stepDue(step):
-		return NotDue
+		return StepNotDue
 	case !decision.capacity.canServe(share):
-		return TooLittleWarm
+		return TooFewWarmBackends
 	case step == canaryStep:
 		return ""
 	case step == exclusiveStep:
@@ -164,12 +163,11 @@
 	case decision.fractionInForce() < stepQuorum:
 		return ProxiesBehind
 	case !decision.rules.Bounds.allows(decision.exposure(), share):
-		return BoundReached
+		return BoundAtRisk
 	}
 	return ""
 }
 
-// stepDue reports whether enough time has passed for a step to begin.
 func (decision *decision) stepDue(step int) bool {
 	rollout := decision.rollout
 	switch step {
@@ -183,27 +181,27 @@
 	return true
 }
 
-// obstacleToExclusive returns why the old version must still get requests. The new version must
-// handle the load alone: the proxies may have at most one request each, on average, at the old one.
+// obstacleToExclusive returns why the old version must still get requests. The new one must
+// handle the load alone, so that proxies have on average at most one request at the old one.
 func (decision *decision) obstacleToExclusive() Obstacle {
 	switch {
 	case decision.fractionInForce() < stepQuorum:
 		return ProxiesBehind
 	case decision.formerInFlight() > len(decision.observation.Processes):
-		return FormerNeeded
+		return OldVersionInUse
 	}
 	return ""
 }
 
 // obstacleToComplete returns why the rollout may not complete now. The old version's backends
 // stop at once on completion, so every proxy must have the step in force that sends them nothing,
-// and no proxy may have a request in flight there.
+// and none may have a request there.
 func (decision *decision) obstacleToComplete() Obstacle {
 	switch {
 	case !decision.observation.IsSettled:
 		return NotSettled
 	case decision.sinceStep() < exclusiveTime:
-		return NotDue
+		return StepNotDue
 	case decision.fractionInForce() < 1:
 		return ProxiesBehind
 	case decision.formerInFlight() > 0:
@@ -212,10 +210,10 @@
 	return ""
 }
 
-// fractionInForce returns the fraction of proxies that reported recently and have the current
-// step in force, 0 if there are no proxies.
+// fractionInForce returns the fraction of proxies that recently reported the current step as in
+// force, 0 if there are none.
 func (decision *decision) fractionInForce() float64 {
-	newest := newestSteps(decision.counts)
+	newest := newestStepCounts(decision.counts)
 	count := 0
 	for _, process := range decision.observation.Processes {
 		if newest[process.Incarnation].Step == decision.rollout.Step && process.Age <= maxReportAge {
@@ -225,16 +223,14 @@
 	return float64(count) / float64(max(1, len(decision.observation.Processes)))
 }
 
-// formerInFlight returns the number of requests in flight at the old version.
 func (decision *decision) formerInFlight() int {
-	newest, count := newestSteps(decision.counts), 0
+	newest, count := newestStepCounts(decision.counts), 0
 	for _, process := range decision.observation.Processes {
 		count += newest[process.Incarnation].FormerInFlight
 	}
 	return count
 }
 
-// exposure returns the requests that the new version has received so far, and the time.
 func (decision *decision) exposure() exposure {
 	return exposure{
 		newRequests: float64(decision.total.Requests),
@@ -256,8 +252,8 @@
 	return time.Duration(rollout.TermMs-rollout.StartMs) * time.Millisecond
 }
 
-// capacity is the number of concurrent requests that the warm backends of a service can run, not
-// counting those that are leaving: backends of the target version, and of all others.
+// capacity is the number of concurrent requests that the warm backends of a service can run,
+// without leaving ones: of the target version, and of all others.
 type capacity struct{ target, others float64 }
 
 func capacityOf(observation *Observation, service Service) capacity {
@@ -275,7 +271,7 @@
 	return capacity
 }
 
-// canServe reports whether the new version has the capacity for a share of the requests.
+// canServe reports whether the new version can serve a share of the requests.
 func (capacity capacity) canServe(share float64) bool {
 	needed := min(maxNeededCapacity, capacityHeadroom*share) * capacity.others
 	return capacity.target > 0 && capacity.target >= needed
--- a/rollout/martingale/bounds.go
+++ b/rollout/martingale/bounds.go
@@ -16,7 +16,7 @@
 
 // newLines returns the lines, which together spend half of delta.
 func newLines(options *Options, start float64) []line {
-	logInverse := math.Log(float64(options.Pieces) / (options.Delta / 2)) // log(1/d), where d is the share of delta of each line
+	logInverse := math.Log(float64(options.Pieces) / (options.Delta / 2)) // log(1/d), d being the delta of one line
 	lines := make([]line, options.Pieces)
 	for index, point := range timePoints(options, logInverse, start) {
 		if options.SourceLines {
@@ -28,7 +28,7 @@
 	return lines
 }
 
-// timePoints returns t_1 to t_p, from 2 alpha log(p/delta) to the start of the logLog-logarithm bound.
+// timePoints returns t_1 to t_p, from 2 alpha log(p/delta) to start.
 func timePoints(options *Options, logInverse, start float64) []float64 {
 	first := firstTimePointFactor * options.Alpha * logInverse
 	points := make([]float64, options.Pieces)
@@ -57,8 +57,8 @@
 	return line{slope: scale / math.Sqrt(point), intercept: scale * math.Sqrt(point)}
 }
 
-// chernoffLine returns the line that is lowest at a time point, derived from the Bernoulli
-// distribution itself: exp(lambda*M_t - t*cumulant(lambda)) is a martingale, so by Ville's inequality
+// chernoffLine returns the line that is lowest at a time point, for the Bernoulli distribution:
+// exp(lambda*M_t - t*cumulant(lambda)) is a martingale, so by Ville's inequality
 // M_t <= log(1/d)/lambda + t*cumulant(lambda)/lambda for all t with probability at least 1 - d.
 func chernoffLine(alpha, point, logInverse float64) line {
 	lambda := optimalLambda(alpha, logInverse/point)
@@ -77,9 +77,8 @@
 	bisectionSteps = 60
 )
 
-// optimalLambda returns the lambda that minimizes log(1/d)/lambda + t*cumulant(lambda)/lambda,
-// given the ratio log(1/d)/t: lambda*cumulant'(lambda) - cumulant(lambda) is increasing and
-// equals the ratio there.
+// optimalLambda returns the lambda that minimizes log(1/d)/lambda + t*cumulant(lambda)/lambda:
+// where lambda*cumulant'(lambda) - cumulant(lambda), which increases, is the ratio log(1/d)/t.
 func optimalLambda(alpha, ratio float64) float64 {
 	low, high := 0.0, float64(maxLambda)
 	for range bisectionSteps {
@@ -94,7 +93,7 @@
 	return high
 }
 
-// iteratedLogBound is the bound by the law of the logLog logarithm (Theorem 2 of the paper;
+// iteratedLogBound is the bound by the law of the iterated logarithm (Theorem 2 of the paper;
 // Theorem 1 is the case alpha = 0.2). It holds from start on.
 type iteratedLogBound struct {
 	start    float64 // s_0
@@ -119,8 +118,7 @@
 	}
 }
 
-// minRootSquare is the minimum of (1 + sqrt(k))^2. It keeps k above 0: for a small alpha, the
-// bound starts later instead.
+// minRootSquare is the minimum of (1 + sqrt(k))^2. It keeps k above 0: a small alpha starts later.
 const minRootSquare = 1.1
 
 // kappa returns the smallest factor for which the paper's process is a supermartingale.
--- a/rollout/martingale/simulation_test.go
+++ b/rollout/martingale/simulation_test.go
@@ -18,7 +18,7 @@
 	items = flag.Int("items", 3000, "items per rollout")
 )
 
-// optionedTest is a sequential test with the options that it was sequential with.
+// optionedTest is a sequential test with its options.
 type optionedTest struct {
 	*martingale.Test
 	options martingale.Options
@@ -90,12 +90,12 @@
 // itemSource reports whether the next item of a rollout exceeds.
 type itemSource func() bool
 
-// independent returns items that exceed independently of each other at a rate.
+// independent returns items that exceed independently at a rate.
 func independent(random *rand.Rand, rate float64) itemSource {
 	return func() bool { return random.Float64() < rate }
 }
 
-// repeating returns items a fraction of which has the result of the preceding item.
+// repeating returns items of which a fraction repeats the preceding result.
 func repeating(random *rand.Rand, rate, fraction float64) itemSource {
 	last := random.Float64() < rate
 	return func() bool {
@@ -106,8 +106,8 @@
 	}
 }
 
-// tenantBursts returns items in bursts of one tenant each. Each tenant has its own rate of
-// exceedances; the mean over all tenants is rate.
+// tenantBursts returns items in bursts, each of one tenant with its own rate of exceedances; the
+// mean over all tenants is rate.
 func tenantBursts(random *rand.Rand, rate float64, burst int) itemSource {
 	rates := []float64{0.02, 0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.35, 0.4, 0.38}
 	const meanOfRates = 0.22
@@ -121,8 +121,8 @@
 	}
 }
 
-// paperQuantile returns items judged by the paper's q: the (1 - alpha) quantile of a single fixed
-// reference. A fraction of the reference is contaminated by failures from crashed backends.
+// paperQuantile returns items judged by the paper's q: the (1 - alpha) quantile of one fixed
+// reference, contaminated by a fraction of failures from crashed backends.
 func paperQuantile(random *rand.Rand, alpha float64, size int, contamination float64) itemSource {
 	distances := make([]float64, size)
 	for index := range distances {
@@ -136,14 +136,14 @@
 	return func() bool { return heavyTailed(random) >= quantile }
 }
 
-// heavyTailed returns a distance, or a time in milliseconds, of a distribution without finite variance.
+// heavyTailed draws a distance, or a time in milliseconds, without finite variance.
 func heavyTailed(random *rand.Rand) float64 { return 20 * math.Pow(1-random.Float64(), -1/1.1) }
 
 // scoreLevel is the fraction of a reference of 200 items that package score leaves above q.
 const scoreLevel = 0.074
 
-// scoredItems returns heavy-tailed items judged by several proxies, each with a fixed reference. A
-// fraction of each reference is contaminated by failures from crashed backends.
+// scoredItems returns heavy-tailed items judged by proxies, each with a fixed reference that is
+// contaminated like that of paperQuantile.
 func scoredItems(random *rand.Rand, proxies int, contamination float64) itemSource {
 	key := score.Key{Service: "s", Route: "r"}
 	references := make([]*score.References, proxies)
@@ -161,8 +161,8 @@
 }
 
 // Guards against false alarms where the paper's assumptions do not hold: dependent items,
-// contaminated or few references, heavy tails. Cases that the bound does not cover are only
-// logged: the paper's own quantile, and bursts at the level itself.
+// contaminated or few references, heavy tails. Cases not covered by the bound are only logged:
+// the paper's own quantile, and bursts at the level itself.
 func TestFalseAlarmRateOutsideAssumptions(test *testing.T) {
 	const alpha = score.Alpha
 	defaults, paper := newOptionedTest(test, nil), newOptionedTest(test, paperOptions)
@@ -202,12 +202,12 @@
 	}
 }
 
-// fixedThreshold raises an alarm when at least 30 items exceed at more than 1.5 times alpha.
+// fixedThreshold raises an alarm at a rate above 1.5 times alpha, from 30 items on.
 func fixedThreshold(items, exceedances uint64) bool {
 	return items >= 30 && float64(exceedances) > 1.5*score.Alpha*float64(items)
 }
 
-// firstAlarms returns the sorted numbers of items until the alarm of each run, maxItems if there is none.
+// firstAlarms returns the sorted numbers of items until the alarm, maxItems if there is none.
 func firstAlarms(alarm func(items, exceedances uint64) bool, rate float64, runs, maxItems int) []int {
 	all := make([]int, runs)
 	for run := range all {
@@ -228,7 +228,7 @@
 	return all
 }
 
-// Guards against slow alarms. The paper's lines and a fixed threshold are logged for comparison.
+// Guards against slow alarms. The paper and a fixed threshold are logged for comparison.
 func TestItemsUntilAlarm(test *testing.T) {
 	defaults, paper := newOptionedTest(test, nil), newOptionedTest(test, paperOptions)
 	trials := min(*runs, 2000)
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -7,8 +7,8 @@
 	"orchidjunction/rpc"
 )
 
-// duplicateWindow is the time after the start of a rollout within which another order of its
-// target is a duplicate even if the rollout has ended: operators resend orders that got no response.
+// duplicateWindow is the time since the start of a rollout within which another order of its
+// target is a duplicate even after its end: operators resend orders that got no response.
 const duplicateWindow = 30 * time.Second
 
 // NewestID returns the ID of a service's newest rollout, 0 if there was none.
@@ -72,7 +72,7 @@
 	return state.withService(service.withEndedRollout(message.RolloutReverted, service.Rollout.Total(nil))), nil
 }
 
-// withEndedRollout returns the service with its rollout in a final phase and the total of its counts.
+// withEndedRollout returns the service with its rollout in a final phase, with its total counts.
 func (service Service) withEndedRollout(phase message.RolloutPhase, total message.RolloutCounts) Service {
 	final := *service.Rollout
 	final.Phase, final.Counts = phase, []ProcessCounts{{Counts: total}}
--- a/rollout/score/reference.go
+++ b/rollout/score/reference.go
@@ -7,13 +7,12 @@
 )
 
 const (
-	// resummarizeFraction is the fraction of new observations above which the summary is recomputed.
+	// resummarizeFraction is the fraction of new observations that makes a summary stale.
 	resummarizeFraction = 0.125
-	// failureDistance is the distance of a failure, in standard deviations of the logarithm of the
-	// time. No time is that far from the mean.
+	// failureDistance is the distance of a failure, in standard deviations; no time is that far.
 	failureDistance = 30
-	// minDeviation is the lower bound of the standard deviation of the logarithm of the time. It
-	// keeps small differences from having a large score on routes with nearly constant times.
+	// minDeviation is the lower bound of the standard deviation of logTime, so that small
+	// differences on a route with nearly constant times do not have large scores.
 	minDeviation = 0.05
 	// minObservations is the number of observations needed to judge a failure.
 	minObservations = 4
@@ -169,8 +168,8 @@
 //
 // A new item has any rank among those of the reference with equal probability, so it lies above
 // the k-th largest of n with probability k/(n+1). This holds on average over references, but all
-// items judged by one reference share its error. One standard deviation of it is subtracted here.
-// The paper subtracts none, and has too many false alarms if a single reference is used for long.
+// items judged by one reference share its error. One standard deviation of it is subtracted here;
+// the paper subtracts none, and has too many false alarms if one reference is used for long.
 func level(size float64) float64 {
 	reduced := Alpha - math.Sqrt(Alpha*(1-Alpha)/size)
 	return reduced*(1+1/size) - 1/size
--- a/rollout/score/score.go
+++ b/rollout/score/score.go
@@ -4,7 +4,7 @@
 // Each route of a service has its own reference, so that a slow route is not mistaken for a
 // slow version, and a fault on a single route is detected. The reference consists of the newest
 // items of the old version. The score of an item is its squared distance from the reference
-// mean, counted only towards worse values. The item exceeds if its score is above the
+// mean, 0 in the direction of better. The item exceeds if its score is above the
 // (1 - alpha) quantile of the reference's own distances; items of a healthy version exceed with
 // probability at most alpha.
 package score
@@ -15,7 +15,7 @@
 	"orchidjunction/rollout/martingale"
 )
 
-// Alpha is the level of one item, the same as in the sequential test of the counts.
+// Alpha is the level of one item, as in the sequential test.
 const Alpha = martingale.DefaultAlpha
 
 // ReferenceSize is the maximum number of items in a reference.
@@ -28,9 +28,9 @@
 	maxLateShare = 0.05
 )
 
-// Item is a response as observed by a proxy. Took is the time at the backend, Target the target
-// time of the route. Load is the backend's number of requests divided by the number that it runs
-// concurrently, 0 if the backend did not report it.
+// Item is a response as observed by a proxy. Took is the time at the backend, Target that which
+// the route allows. Load is the backend's number of requests divided by the number that it runs
+// concurrently, 0 if unknown.
 type Item struct {
 	Failed bool
 	Took   time.Duration
--- a/rollout/verdict.go
+++ b/rollout/verdict.go
@@ -13,8 +13,8 @@
 	Alarm(total message.RolloutCounts) bool
 }
 
-// FailureThreshold raises an alarm when the failure rate of the new version is clearly above
-// that of the old one in the same period.
+// FailureThreshold raises an alarm when the new version fails clearly more often than the old
+// one in the same period.
 type FailureThreshold struct{}
 
 const (
@@ -24,7 +24,7 @@
 	toleratedFailureRate = 0.005
 	// failureFactor is how much more often a good version may fail, since single failing
 	// backends are not spread evenly. failureDeviations is the number of standard
-	// deviations allowed on top, over all evaluations together.
+	// deviations on top, over all evaluations.
 	failureFactor     = 1.5
 	failureDeviations = 4
 )
@@ -51,7 +51,7 @@
 	return verdict.Test.Alarm(total.Items, total.Exceedances)
 }
 
-// DefaultVerdict combines FailureThreshold and an ExceedanceTest with default options.
+// DefaultVerdict combines FailureThreshold and the default ExceedanceTest.
 func DefaultVerdict() Verdict {
 	test, err := martingale.NewTest(martingale.DefaultOptions())
 	if err != nil {
--- a/rollout/version.go
+++ b/rollout/version.go
@@ -54,7 +54,7 @@
 	})
 }
 
-// revisionFilter returns a function that reports whether a version of the service is listed to proxies.
+// revisionFilter returns which versions of a service are listed to proxies.
 func (state *State) revisionFilter(name string, revisions map[string]int) func(revision string) bool {
 	service := Service{Name: name}
 	if known := state.Service(name); known != nil {
@@ -112,8 +112,8 @@
 	return counts
 }
 
-// mostCommon returns the version with the most backends, the first by name if several have as
-// many. The excluded version is returned only if no other has any backends.
+// mostCommon returns the version with the most backends, in a tie the first by name. The excluded
+// version is returned only if no other has backends.
 func mostCommon(revisions map[string]int, excluded string) string {
 	chosen := ""
 	for _, revision := range slices.Sorted(maps.Keys(revisions)) {
--- a/rollout/version_test.go
+++ b/rollout/version_test.go
@@ -36,8 +36,8 @@
 	return strings.Join(revisions, " ")
 }
 
-// A new version must be listed to proxies only from its order on, and no longer once reverted, so
-// that a version that was not ordered or is bad gets no requests. A service always keeps a version.
+// A new version must be listed to proxies only from its order on, and no longer once reverted:
+// unordered or bad versions get no requests. A service always keeps a version.
 func TestOnlyOrderedVersionsAreListed(test *testing.T) {
 	known := (&State{}).ObserveVersions(backendsOf("v1*aaa"))
 	active := mustOrder(test, known, orderOf("desk", "v2", 0), 1000)
@@ -67,8 +67,8 @@
 	}
 }
 
-// The current version must be recorded once, and change without an order only when all of its
-// backends are leaving or gone; a second version in the list must not change it.
+// The current version must be recorded once, and change without an order only when none of its
+// backends stays; a second version in the list must not change it.
 func TestCurrentVersionIsRecordedOnce(test *testing.T) {
 	known := (&State{}).ObserveVersions(backendsOf("v1*aaa"))
 	if known == nil || known.Service("desk").Current != "v1" {
--- a/routing/check.go
+++ b/routing/check.go
@@ -19,10 +19,8 @@
 	unsupported   = "not_supported"
 )
 
-// maxDetails bounds the number of problems listed in an error; all are counted.
 const maxDetails = 20
 
-// checker collects the problems of a config.
 type checker struct {
 	details []rpc.Detail
 	count   int
@@ -41,7 +39,7 @@
 	}
 }
 
-// checkName checks that a name of a list is set and unique, and returns its path.
+// checkName returns the path of a name, which must be set and unique.
 func (checker *checker) checkName(list, name string, seen map[string]bool) string {
 	path := list + "." + name
 	switch {
@@ -54,7 +52,7 @@
 	return path
 }
 
-// Check returns an error that lists the problems of an invalid config, nil if it is valid.
+// Check returns an error that lists the problems of the config, nil if it is valid.
 func (config *Config) Check() error {
 	checker := &checker{}
 	services := make(map[string]bool, len(config.Services))
--- a/routing/check_test.go
+++ b/routing/check_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Each case changes one thing in a valid config. Check must report exactly that, or nothing.
+// Each case changes one thing in a valid config.
 func TestCheckReportsEachProblem(test *testing.T) {
 	for name, testCase := range map[string]struct {
 		change func(*Config)
@@ -59,7 +59,7 @@
 		"tenant without keys":        {func(config *Config) { config.Tenants[0].Keys = nil }, ""},
 		"unknown home region":        {func(config *Config) { config.Routes[0].Homes = []string{"nowhere"} }, ""},
 		"one weight of 0":            {func(config *Config) { config.Routes[1].Split[0].Weight = 0 }, ""},
-		"service beside a split":     {func(config *Config) { config.Routes[1].Service = "birch" }, ""},
+		"service and split":          {func(config *Config) { config.Routes[1].Service = "birch" }, ""},
 		"same prefix, other host":    {func(config *Config) { config.Routes[2].Host = "other.test" }, ""},
 		"unknown service":            {func(config *Config) { config.Routes[0].Service = "cedar" }, danglingName},
 		"unknown service in split":   {func(config *Config) { config.Routes[1].Split[1].Service = "cedar" }, danglingName},
--- a/routing/config.go
+++ b/routing/config.go
@@ -11,7 +11,7 @@
 	"orchidjunction/rpc"
 )
 
-// Kind says whether the requests of a route may be executed more than once.
+// Kind says whether a request of a route may run more than once.
 type Kind uint8
 
 // The kinds of routes.
@@ -21,22 +21,22 @@
 	Download
 )
 
-// IsIdempotent reports whether a request may be executed more than once.
+// IsIdempotent reports whether a request may run more than once.
 func (kind Kind) IsIdempotent() bool { return kind != NonIdempotent }
 
-// Extra is an unknown field, which is returned unchanged when the config is read.
+// Extra is an unknown field, stored and returned unchanged.
 type Extra struct {
 	Name string
 	Text string
 }
 
-// WeightedService is a service of a split route with its weight.
+// WeightedService is a service of a split route.
 type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// Route sends the requests of a host with a path prefix to a service, or splits them by weight.
+// Route sends the requests to a host and path prefix to a service or a split.
 type Route struct {
 	Name      string
 	Host      string
@@ -53,7 +53,7 @@
 	Extras    []Extra
 }
 
-// ProtocolHTTP1 is the protocol to backends, and the default of Service.Protocol.
+// ProtocolHTTP1 is the protocol to backends, and the default.
 const ProtocolHTTP1 = "h1"
 
 // Service is a group of backends that serve the same requests.
@@ -78,7 +78,7 @@
 	Extras      []Extra
 }
 
-// Limits bound the size of requests and the time that a client may take to send them.
+// Limits bound the size of requests and the time to receive them.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -87,8 +87,8 @@
 	Extras      []Extra
 }
 
-// Config is one complete version of the routing. KeysRequired is whether it lists tenants at
-// all, so that requests of routes that are not public need a key.
+// Config is one complete version of the routing. KeysRequired is whether it lists tenants, so
+// that routes that are not public need a key.
 type Config struct {
 	Version      uint64
 	Routes       []Route
@@ -111,7 +111,7 @@
 }
 
 // Change is an operator's change: a whole config, or a patch of the version Base. Digest
-// identifies the exact text of the change, for the detection of duplicates.
+// identifies the text of the change, to detect duplicates.
 type Change struct {
 	Version uint64
 	Base    uint64
@@ -159,7 +159,7 @@
 	return slices.BinarySearchFunc(state.Zones, zone, func(entry ZoneChanges, zone string) int { return strings.Compare(entry.Zone, zone) })
 }
 
-// WithoutHistory returns the state without the fields that are only needed to validate changes.
+// WithoutHistory returns the state without what is only needed to validate changes.
 func (state *State) WithoutHistory() *State {
 	bare := *state
 	bare.History, bare.Zones = History{}, nil
--- a/routing/history.go
+++ b/routing/history.go
@@ -30,9 +30,9 @@
 	Digest  ShortDigest
 }
 
-// History holds the most recently accepted changes by ascending version, for the detection of
-// duplicates. It is stored with every change and therefore compact: an entry in Packed is the
-// difference of its version from the previous one, and the digest.
+// History holds the most recently accepted changes by ascending version, to detect duplicates.
+// It is stored with every change and therefore compact: an entry in Packed is the difference
+// of its version from the previous one, and the digest.
 type History struct {
 	// Forgotten is the highest version that was dropped from the history.
 	Forgotten uint64
--- a/routing/index.go
+++ b/routing/index.go
@@ -18,8 +18,8 @@
 	evacuated map[string]bool
 }
 
-// CompiledRoute is a route with its services as positions in Index.Services. A random number
-// below Total selects the first service whose cumulative weight is above it.
+// CompiledRoute is a route with its services as positions in the index. A random number below
+// Total selects the first service whose cumulative weight is above it.
 type CompiledRoute struct {
 	Route      *Route
 	Services   []int
@@ -28,11 +28,11 @@
 	Homes      []string
 }
 
-// hostRoutes holds the routes of one host by path prefix.
+// hostRoutes holds the routes of a host by prefix.
 type hostRoutes struct {
 	routes   map[string]*CompiledRoute
-	longest  int  // length of the longest prefix
-	hasHomes bool // whether any of the routes has homes
+	longest  int
+	hasHomes bool
 }
 
 // NewIndex returns the index of a state, whose config must be valid.
@@ -103,7 +103,7 @@
 	return compiled.Services[sort.SearchInts(compiled.Cumulative, number+1)]
 }
 
-// Find returns the route of a host with the longest prefix of a path without query.
+// Find returns the host's route with the longest prefix of path, which has no query.
 func (index *Index) Find(host, path string) (*CompiledRoute, bool) {
 	entry := index.hosts[normalizeHost(host)]
 	if entry == nil {
@@ -122,7 +122,7 @@
 	}
 }
 
-// HasHomes reports whether a route of the host restricts its requests to home regions.
+// HasHomes reports whether any route of the host has homes.
 func (index *Index) HasHomes(host string) bool {
 	entry := index.hosts[normalizeHost(host)]
 	return entry != nil && entry.hasHomes
@@ -140,7 +140,7 @@
 	return position, known
 }
 
-// Evacuated reports whether a zone is evacuated: no requests may be sent to its backends.
+// Evacuated reports whether no requests may be sent to the backends of a zone.
 func (index *Index) Evacuated(zone string) bool { return index.evacuated[zone] }
 
 // normalizeHost returns a host in lower case and without its port.
--- a/steering/index.go
+++ b/steering/index.go
@@ -1,7 +1,5 @@
 // Package steering selects the proxies for the clients of a zone: the nearest ones that are
-// ready, plus a substitute from the same region for each missing proxy of the zone. NewIndex
-// builds an immutable Index from a table of members; Index.List returns the proxies for a
-// zone.
+// ready, plus a substitute from the same region for each missing proxy of the zone.
 package steering
 
 import (
@@ -12,10 +10,10 @@
 	"orchidjunction/message"
 )
 
-// minListSize is the number of proxies in a list from which on farther ones are left out.
+// minListSize is the number of proxies at which a list gets no farther ones.
 const minListSize = 2
 
-// distance is the distance class of a proxy from a client.
+// distance is the distance of a proxy from a client.
 type distance uint8
 
 const (
@@ -39,9 +37,8 @@
 	return part
 }
 
-// Index holds a List for each zone, for each region, and for clients of unknown location. Homed
-// requests may be restricted to home regions: their lists contain no proxies of other regions
-// while the client's own region has any.
+// Index holds a List for each zone, each region, and clients of neither. Homed requests may be
+// restricted to home regions: while the client's region has proxies, their lists have no others.
 type Index struct {
 	regionOf map[string]string
 	zones    map[string]lists
@@ -49,7 +46,7 @@
 	other    *List
 }
 
-// lists are the lists of a zone or region, for all requests and for homed ones.
+// lists are those of a zone or region, for any requests and for homed ones.
 type lists struct{ any, homed *List }
 
 // NewIndex builds the index of a table; a nil table has no members. regionOf maps zones to
@@ -84,7 +81,7 @@
 	return entry.any
 }
 
-// Lists returns all lists of the index. A list may occur twice.
+// Lists returns all lists, some of them repeatedly.
 func (index *Index) Lists() []*List {
 	all := []*List{index.other}
 	for _, entry := range index.zones {
@@ -127,9 +124,9 @@
 	return result
 }
 
-// newList returns the nearest members up to maxDistance, with farther ones only while the list has
-// fewer than minListSize. For each missing proxy of the zone, it adds another one of the region,
-// so that the remaining ones do not take the load of the whole zone.
+// newList returns the nearest members up to maxDistance, farther ones only below minListSize. For
+// each missing proxy of the zone it adds another one of the region, so that the remaining ones do
+// not take the load of the whole zone.
 func (index *Index) newList(members []message.Member, region, zone string, missing int, maxDistance distance) *List {
 	list := &List{}
 	distanceOf := func(member *message.Member) distance {
@@ -154,8 +151,7 @@
 	return list
 }
 
-// substitutes returns up to count proxies of the region's other zones. The hash of zone and name
-// selects different ones for each zone.
+// substitutes returns up to count proxies of the region's other zones, different for each zone.
 func substitutes(members []message.Member, distanceOf func(*message.Member) distance, zone string, count int) []string {
 	type candidate struct {
 		address string
--- a/steering/peaks.go
+++ b/steering/peaks.go
@@ -7,7 +7,7 @@
 )
 
 // Peaks holds the maximum number of ready proxies of each zone since the start of the process.
-// Its zero value is ready to use. It is safe for concurrent use.
+// Its zero value is ready for concurrent use.
 type Peaks struct {
 	mutex sync.Mutex
 	zones map[string]int
