--- a/agent/connectivity.go
+++ b/agent/connectivity.go
@@ -16,46 +16,46 @@
 const (
 	peerTimeout = 250 * time.Millisecond
 	// coresSilentAfter is how long no core is reached until other daemons are asked.
-	coresSilentAfter = 600 * time.Millisecond
+	coreSilenceTimeout = 600 * time.Millisecond
 	// cutAfter is how long neither a core nor half of the proxies are reached until this
 	// daemon takes itself for cut off.
-	cutAfter = 2 * time.Second
+	partitionTimeout = 2 * time.Second
 )
 
 // connectivity is when this daemon last reached a core that follows a leader, and when at
 // least half of its table's proxies. Times are those of the questions, so that answers to
 // old ones count for nothing new. It is safe for concurrent use.
 type connectivity struct {
-	mutex          sync.Mutex
-	coreReachedAt  time.Time
-	peersReachedAt time.Time
-	wasCut         bool
+	mutex           sync.Mutex
+	lastCoreContact time.Time
+	lastPeerContact time.Time
+	wasPartitioned  bool
 }
 
-func (connectivity *connectivity) reachedCore(askedAt time.Time) {
+func (connectivity *connectivity) recordCoreContact(queriedAt time.Time) {
 	connectivity.mutex.Lock()
-	connectivity.coreReachedAt = askedAt
+	connectivity.lastCoreContact = queriedAt
 	connectivity.mutex.Unlock()
 }
 
-func (connectivity *connectivity) reachedPeers(askedAt time.Time) {
+func (connectivity *connectivity) recordPeerContact(queriedAt time.Time) {
 	connectivity.mutex.Lock()
-	connectivity.peersReachedAt = askedAt
+	connectivity.lastPeerContact = queriedAt
 	connectivity.mutex.Unlock()
 }
 
 // isCut reports whether this daemon reached neither for too long.
-func (connectivity *connectivity) isCut() bool {
+func (connectivity *connectivity) isPartitioned() bool {
 	connectivity.mutex.Lock()
 	defer connectivity.mutex.Unlock()
-	return time.Since(connectivity.coreReachedAt) > cutAfter && time.Since(connectivity.peersReachedAt) > cutAfter
+	return time.Since(connectivity.lastCoreContact) > partitionTimeout && time.Since(connectivity.lastPeerContact) > partitionTimeout
 }
 
 // coresSilent reports whether no core was reached lately.
-func (connectivity *connectivity) coresSilent() bool {
+func (connectivity *connectivity) coresUnreachable() bool {
 	connectivity.mutex.Lock()
 	defer connectivity.mutex.Unlock()
-	return time.Since(connectivity.coreReachedAt) > coresSilentAfter
+	return time.Since(connectivity.lastCoreContact) > coreSilenceTimeout
 }
 
 // coreContactAge returns how long ago the newest heartbeat was sent that a core answered
@@ -63,40 +63,40 @@
 func (connectivity *connectivity) coreContactAge() time.Duration {
 	connectivity.mutex.Lock()
 	defer connectivity.mutex.Unlock()
-	return time.Since(connectivity.coreReachedAt)
+	return time.Since(connectivity.lastCoreContact)
 }
 
 // cutChanged returns whether this daemon is cut off, and whether that has changed since
 // the last call.
-func (connectivity *connectivity) cutChanged() (isCut, changed bool) {
-	isCut = connectivity.isCut()
+func (connectivity *connectivity) partitionChanged() (isPartitioned, changed bool) {
+	isPartitioned = connectivity.isPartitioned()
 	connectivity.mutex.Lock()
 	defer connectivity.mutex.Unlock()
-	changed = isCut != connectivity.wasCut
-	connectivity.wasCut = isCut
-	return isCut, changed
+	changed = isPartitioned != connectivity.wasPartitioned
+	connectivity.wasPartitioned = isPartitioned
+	return isPartitioned, changed
 }
 
 // checkReach asks the other proxies while no core is reached. A daemon that was cut off
 // serves again only on a newly confirmed serial: the leader's or, while no core is
 // reached, the newest that half of the proxies know.
-func (daemon *Daemon) checkReach() {
-	if isCut, changed := daemon.connectivity.cutChanged(); changed {
-		klog.Infof("%s: partitioned from the cores: %v", daemon.config.Name, isCut)
-		if isCut {
+func (daemon *Daemon) checkReachability() {
+	if isPartitioned, changed := daemon.connectivity.partitionChanged(); changed {
+		klog.Infof("%s: partitioned from the cores: %v", daemon.config.Name, isPartitioned)
+		if isPartitioned {
 			daemon.counters.Add("cut_off", 1)
-			daemon.unconfirm()
+			daemon.requireConfirmation()
 		}
 	}
-	if !daemon.connectivity.coresSilent() {
+	if !daemon.connectivity.coresUnreachable() {
 		return
 	}
-	askedAt := time.Now()
-	newest, source, reachedHalf := daemon.askHalfOfProxies()
+	queriedAt := time.Now()
+	newest, source, reachedHalf := daemon.queryHalfOfProxies()
 	if !reachedHalf {
 		return
 	}
-	daemon.connectivity.reachedPeers(askedAt)
+	daemon.connectivity.recordPeerContact(queriedAt)
 	daemon.ObserveSerial(newest)
 	isInForce := source == ""
 	if !isInForce {
@@ -113,19 +113,19 @@
 // included if it is one, are reached. It returns the newest serial that they know, the
 // address of one that holds it (empty if none is newer than here), and whether half of
 // them were reached.
-func (daemon *Daemon) askHalfOfProxies() (newest uint64, source string, reachedHalf bool) {
+func (daemon *Daemon) queryHalfOfProxies() (newest uint64, source string, reachedHalf bool) {
 	proxies, others := daemon.proxies()
 	shuffle(others)
 	newest = daemon.Version().Serial
 	reached, half := proxies-len(others), (proxies+1)/2
 	for first := 0; first < len(others) && reached < half; {
-		request := others[first:min(first+half-reached, len(others))]
-		first += len(request)
-		responses := daemon.askLeaders(request)
+		batch := others[first:min(first+half-reached, len(others))]
+		first += len(batch)
+		responses := daemon.queryLeaders(batch)
 		reached += len(responses)
 		for index, response := range responses {
 			if response.Serial > newest {
-				newest, source = response.Serial, request[index].InternalAddress
+				newest, source = response.Serial, batch[index].InternalAddress
 			}
 		}
 	}
@@ -147,7 +147,7 @@
 }
 
 // askLeaders asks daemons for the leader and returns the responses by position.
-func (daemon *Daemon) askLeaders(members []message.Member) map[int]*message.LeaderResponse {
+func (daemon *Daemon) queryLeaders(members []message.Member) map[int]*message.LeaderResponse {
 	responses, _ := concurrent.Gather(daemon.goroutines, len(members), func(index int) (*message.LeaderResponse, error) {
 		return rpc.Call(daemon.client, members[index].InternalAddress, message.MethodLeader, peerTimeout, &message.LeaderRequest{})
 	}, func(map[int]*message.LeaderResponse, map[int]error) bool { return false })
--- a/agent/core_choice.go
+++ b/agent/core_choice.go
@@ -10,9 +10,9 @@
 const (
 	// askPeersInterval is how often other daemons are asked which cores vote, while no
 	// core is reached.
-	askPeersInterval = time.Second
+	peerQueryInterval = time.Second
 	// maxAskedPeers is how many are asked at once.
-	maxAskedPeers = 3
+	maxQueriedPeers = 3
 )
 
 // sessionCore returns the core to hold the session with: the leader, with direct sessions,
@@ -70,18 +70,18 @@
 
 // shouldAskPeers reports whether to ask other daemons now which cores vote: no core is
 // reached, and all that this one knows may have been replaced while it was cut off.
-func (daemon *Daemon) shouldAskPeers() bool {
+func (daemon *Daemon) shouldQueryPeers() bool {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
-	isDue := daemon.connectivity.coresSilent() && time.Since(daemon.askedAroundAt) > askPeersInterval
+	isDue := daemon.connectivity.coresUnreachable() && time.Since(daemon.lastPeerQuery) > peerQueryInterval
 	if isDue {
-		daemon.askedAroundAt = time.Now()
+		daemon.lastPeerQuery = time.Now()
 	}
 	return isDue
 }
 
 // askPeers asks some other daemons which cores vote.
-func (daemon *Daemon) askPeers() {
+func (daemon *Daemon) queryPeers() {
 	others := []message.Member{}
 	for _, member := range daemon.Version().Table.Members {
 		if member.Name != daemon.config.Name {
@@ -89,7 +89,7 @@
 		}
 	}
 	shuffle(others)
-	for _, response := range daemon.askLeaders(others[:min(len(others), maxAskedPeers)]) {
+	for _, response := range daemon.queryLeaders(others[:min(len(others), maxQueriedPeers)]) {
 		daemon.LeaderFinder.ObserveMembership(response.Membership, response.Cores)
 	}
 }
--- a/agent/counts_flush.go
+++ b/agent/counts_flush.go
@@ -11,54 +11,54 @@
 
 // silentAfter is how long a heartbeat of the session, or a report of counts, is unanswered
 // until counts are sent to another core. It is longer than a round trip between regions.
-const silentAfter = 300 * time.Millisecond
+const fallbackTimeout = 300 * time.Millisecond
 
 // maxVoterChoice spreads the daemons over the voters while the leader is silent.
-const maxVoterChoice = 1 << 10
+const voterIndexRange = 1 << 10
 
 // countsFlush is what the reports of counts between two heartbeats need to know of the
 // session, and what was sent while that got no answer.
 type countsFlush struct {
 	mutex     sync.Mutex
-	begunAt   time.Time // of the last heartbeat
+	sentAt    time.Time // of the last heartbeat
 	isPending bool      // it has no answer yet
 
 	// Used by the reports alone.
-	elsewhere sentCounts
-	core      int // of the voters, that got the last; another one at each daemon to begin with
+	fallback   sentCounts
+	voterIndex int // of the voters, that got the last; another one at each daemon to begin with
 }
 
-func (flush *countsFlush) sessionBegins(at time.Time) {
+func (flush *countsFlush) heartbeatSent(at time.Time) {
 	flush.mutex.Lock()
 	defer flush.mutex.Unlock()
-	flush.begunAt, flush.isPending = at, true
+	flush.sentAt, flush.isPending = at, true
 }
 
-func (flush *countsFlush) sessionEnds() {
+func (flush *countsFlush) heartbeatDone() {
 	flush.mutex.Lock()
 	defer flush.mutex.Unlock()
 	flush.isPending = false
 }
 
 // state returns how long ago the last heartbeat began, and whether it has no answer.
-func (flush *countsFlush) state() (sinceBegun time.Duration, isPending bool) {
+func (flush *countsFlush) state() (sinceSent time.Duration, isPending bool) {
 	flush.mutex.Lock()
 	defer flush.mutex.Unlock()
-	return time.Since(flush.begunAt), flush.isPending
+	return time.Since(flush.sentAt), flush.isPending
 }
 
 // flushCounts reports between two heartbeats what was counted in windows since the last:
 // what only this process knows is lost with it. While the leader is silent, another core
 // gets the counts; whoever leads next asks it for them.
 func (daemon *Daemon) flushCounts() {
-	sinceBegun, isPending := daemon.countsFlush.state()
+	sinceSent, isPending := daemon.countsFlush.state()
 	leader := daemon.LeaderFinder.Leader()
 	switch {
-	case isPending && sinceBegun > silentAfter || !leader.Known():
-		daemon.flushElsewhere(leader.Address)
-	case !isPending && sinceBegun >= daemon.intervals.UsageCount/2:
+	case isPending && sinceSent > fallbackTimeout || !leader.Known():
+		daemon.flushToFallback(leader.Address)
+	case !isPending && sinceSent >= daemon.intervals.UsageCount/2:
 		if !daemon.flushToLeader(leader.Address) {
-			daemon.flushElsewhere(leader.Address)
+			daemon.flushToFallback(leader.Address)
 		}
 	}
 }
@@ -72,15 +72,15 @@
 }
 
 // flushElsewhere sends all counts to a voter that does not lead, the next one if it fails.
-func (daemon *Daemon) flushElsewhere(leader string) {
+func (daemon *Daemon) flushToFallback(leader string) {
 	voters, _ := daemon.LeaderFinder.Voters()
 	voters = slices.DeleteFunc(voters, func(core string) bool { return core == leader })
 	if len(voters) == 0 {
 		return
 	}
 	flush := &daemon.countsFlush
-	if !daemon.sendCounts(voters[flush.core%len(voters)], &flush.elsewhere) {
-		flush.core++
+	if !daemon.sendCounts(voters[flush.voterIndex%len(voters)], &flush.fallback) {
+		flush.voterIndex++
 	}
 }
 
@@ -101,11 +101,11 @@
 		Rollouts:      daemon.Version().RolloutSerial,
 		RolloutCounts: rollouts,
 	}
-	response, err := rpc.Call(daemon.client, core, message.MethodWindowCounts, silentAfter, request)
+	response, err := rpc.Call(daemon.client, core, message.MethodWindowCounts, fallbackTimeout, request)
 	if err != nil {
 		daemon.counters.Add("counts_unsent", 1)
 		return false
 	}
-	sent.accepted(windows, response.Process)
+	sent.acknowledge(windows, response.Process)
 	return true
 }
--- a/agent/daemon.go
+++ b/agent/daemon.go
@@ -21,54 +21,54 @@
 
 // callbacks are what the daemon's owner brings; see the methods that set them.
 type callbacks struct {
-	apply       func(*Version)
-	probes      func() []message.Probe
-	keepsClaims func() bool
-	isWarm      func() bool
-	usage       func() map[string]uint64
-	windows     func() []message.WindowCount
-	rollouts    func() []message.RolloutCounts
-	demand      func() float64
-	onRetire    func(rest time.Duration)
+	apply        func(*Version)
+	probes       func() []message.Probe
+	isKeyReplica func() bool
+	isWarm       func() bool
+	usage        func() map[string]uint64
+	windows      func() []message.WindowCount
+	rollouts     func() []message.RolloutCounts
+	demand       func() float64
+	onRetire     func(rest time.Duration)
 }
 
-func noCallbacks() callbacks {
+func defaultCallbacks() callbacks {
 	return callbacks{
-		apply:       func(*Version) {},
-		probes:      func() []message.Probe { return nil },
-		keepsClaims: func() bool { return false },
-		isWarm:      func() bool { return true },
-		usage:       func() map[string]uint64 { return nil },
-		windows:     func() []message.WindowCount { return nil },
-		rollouts:    func() []message.RolloutCounts { return nil },
-		demand:      func() float64 { return 0 },
-		onRetire:    func(time.Duration) {},
+		apply:        func(*Version) {},
+		probes:       func() []message.Probe { return nil },
+		isKeyReplica: func() bool { return false },
+		isWarm:       func() bool { return true },
+		usage:        func() map[string]uint64 { return nil },
+		windows:      func() []message.WindowCount { return nil },
+		rollouts:     func() []message.RolloutCounts { return nil },
+		demand:       func() float64 { return 0 },
+		onRetire:     func(time.Duration) {},
 	}
 }
 
 // Daemon is a member of the deployment: it holds a session with a core and serves by the
 // newest version that it gets. It is safe for concurrent use once Run was called.
 type Daemon struct {
-	config       Config
-	intervals    Intervals
-	incarnation  string
-	client       *rpc.Client
-	goroutines   *concurrent.Group
-	counters     *metrics.Counters
-	clock        *clock.Clock
-	callbacks    callbacks
-	LeaderFinder *LeaderFinder
-	Forwarder    *Forwarder
-	connectivity connectivity
-	watching     watching
-	updates      *concurrent.Condition // notified when another version is in force
-	version      atomic.Pointer[Version]
-	applyMutex   sync.Mutex // held while a version is put in force
-	catchingUp   atomic.Bool
-	sessionLock  *concurrent.Lock // held over a heartbeat of the session
-	sentCounts   sentCounts
-	countsFlush  countsFlush
-	countedUsage map[string]uint64
+	config        Config
+	intervals     Intervals
+	incarnation   string
+	client        *rpc.Client
+	goroutines    *concurrent.Group
+	counters      *metrics.Counters
+	clock         *clock.Clock
+	callbacks     callbacks
+	LeaderFinder  *LeaderFinder
+	Forwarder     *Forwarder
+	connectivity  connectivity
+	watchState    watchState
+	updates       *concurrent.Condition // notified when another version is in force
+	version       atomic.Pointer[Version]
+	applyMutex    sync.Mutex // held while a version is put in force
+	catchingUp    atomic.Bool
+	sessionLock   *concurrent.Lock // held over a heartbeat of the session
+	sentCounts    sentCounts
+	countsFlush   countsFlush
+	reportedUsage map[string]uint64
 
 	// mutex guards what follows.
 	mutex            sync.Mutex
@@ -81,12 +81,12 @@
 	confirmed        bool // the version in force was proved by a leader
 	everConfirmed    bool
 	unconfirmedSince time.Time
-	lastPulse        time.Time
+	lastPauseCheck   time.Time
 	leaving          bool
 	ended            bool
 	endsAt           time.Time
 	parent           string
-	askedAroundAt    time.Time
+	lastPeerQuery    time.Time
 	leaderTerm       message.Term
 }
 
@@ -101,18 +101,18 @@
 		goroutines:       goroutines,
 		counters:         counters,
 		clock:            clock.NewClock(config.wall()),
-		callbacks:        noCallbacks(),
+		callbacks:        defaultCallbacks(),
 		updates:          concurrent.NewCondition(),
 		sessionLock:      concurrent.NewLock(),
 		failedAt:         map[string]time.Time{},
-		lastPulse:        now,
+		lastPauseCheck:   now,
 		unconfirmedSince: now,
 	}
-	daemon.connectivity.reachedCore(now)
-	daemon.countsFlush.core = rand.IntN(maxVoterChoice)
+	daemon.connectivity.recordCoreContact(now)
+	daemon.countsFlush.voterIndex = rand.IntN(voterIndexRange)
 	daemon.LeaderFinder = NewLeaderFinder(client, goroutines, config.Seeds).WithIntervals(daemon.intervals)
 	if config.DirectSessions && config.Routed {
-		daemon.LeaderFinder.onResponse = daemon.fetchFirstVersion
+		daemon.LeaderFinder.onResponse = daemon.fetchInitialVersion
 	}
 	daemon.Forwarder = NewForwarder(daemon.LeaderFinder, client, counters).WithLimits(config.ForwardLimits)
 	daemon.version.Store(&Version{Table: &message.Table{}})
@@ -130,8 +130,8 @@
 }
 
 // SetKeepsClaims sets what says whether this daemon is a replica of idempotency keys.
-func (daemon *Daemon) SetKeepsClaims(keepsClaims func() bool) {
-	daemon.callbacks.keepsClaims = keepsClaims
+func (daemon *Daemon) SetKeepsClaims(isKeyReplica func() bool) {
+	daemon.callbacks.isKeyReplica = isKeyReplica
 }
 
 // SetDemand sets what returns the requests a second that callers ask of this daemon.
@@ -182,15 +182,15 @@
 	daemon.goroutines.OnStop(daemon.updates.Notify)
 	daemon.goroutines.Start(daemon.runSessions)
 	if daemon.config.DirectSessions {
-		daemon.goroutines.OnStop(func() { daemon.watching.stop(daemon.watching.current()) })
+		daemon.goroutines.OnStop(func() { daemon.watchState.stop(daemon.watchState.current()) })
 		daemon.goroutines.Start(daemon.watchCores)
 	} else {
 		daemon.goroutines.Start(daemon.watchParents)
 	}
 	daemon.goroutines.Start(daemon.confirmVersion)
-	daemon.goroutines.Every(concurrent.Fixed(daemon.intervals.Pulse), daemon.checkPulse)
+	daemon.goroutines.Every(concurrent.Fixed(daemon.intervals.Pulse), daemon.checkForPause)
 	if !daemon.config.ServesAlone {
-		daemon.goroutines.Every(concurrent.Fixed(daemon.intervals.CheckReach), daemon.checkReach)
+		daemon.goroutines.Every(concurrent.Fixed(daemon.intervals.CheckReach), daemon.checkReachability)
 	}
 	if daemon.intervals.UsageCount > 0 {
 		daemon.goroutines.Every(concurrent.Fixed(daemon.intervals.UsageCount), daemon.sendUsage)
--- a/agent/daemon_test.go
+++ b/agent/daemon_test.go
@@ -13,7 +13,7 @@
 
 // While a large version is put in force the session must go on: it asks this
 // daemon what it is.
-func TestReadyWhileAVersionIsPutInForce(test *testing.T) {
+func TestSessionContinuesDuringApply(test *testing.T) {
 	goroutines, answered := concurrent.NewGroup(), concurrent.NewCondition()
 	daemon := NewDaemon(
 		Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true},
@@ -49,23 +49,26 @@
 }
 
 // slowFetch answers a fetch only once it is let go.
-type slowFetch struct {
-	asked, let *concurrent.Condition
+type blockingTransport struct {
+	received, release *concurrent.Condition
 }
 
-func (slow *slowFetch) RoundTrip(request *http.Request) (*http.Response, error) {
-	slow.asked.Notify()
-	slow.let.Wait(0, 5*time.Second)
+func (transport *blockingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	transport.received.Notify()
+	transport.release.Wait(0, 5*time.Second)
 	return nil, rpc.Errorf(rpc.Unreachable, "nobody there")
 }
 
-func TestSessionGoesOnWhileCatchingUp(test *testing.T) {
-	goroutines, slow := concurrent.NewGroup(), &slowFetch{asked: concurrent.NewCondition(), let: concurrent.NewCondition()}
+func TestSessionContinuesDuringCatchUp(test *testing.T) {
+	goroutines, transport := concurrent.NewGroup(), &blockingTransport{
+		received: concurrent.NewCondition(),
+		release:  concurrent.NewCondition(),
+	}
 	counters := metrics.NewCounters()
 	daemon := NewDaemon(
 		Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true},
 		"life",
-		rpc.NewClient(slow),
+		rpc.NewClient(transport),
 		goroutines,
 		counters,
 	)
@@ -76,17 +79,17 @@
 	if took := time.Since(begin); took > time.Second {
 		test.Errorf("the session waited %v for a fetch", took)
 	}
-	if !slow.asked.Wait(0, 5*time.Second) {
+	if !transport.received.Wait(0, 5*time.Second) {
 		test.Error("nothing was fetched")
 	}
-	if caught := counters.Get("caught_up"); caught != 1 {
-		test.Errorf("%d fetches at once", caught)
+	if fetches := counters.Get("caught_up"); fetches != 1 {
+		test.Errorf("%d fetches at once", fetches)
 	}
-	slow.let.Notify()
+	transport.release.Notify()
 	goroutines.Wait()
 	daemon.catchUp("127.0.0.1:1")
 	goroutines.Wait()
-	if caught := counters.Get("caught_up"); caught != 2 {
-		test.Errorf("%d fetches in all after the first one ended", caught)
+	if fetches := counters.Get("caught_up"); fetches != 2 {
+		test.Errorf("%d fetches in all after the first one ended", fetches)
 	}
 }
--- a/agent/direct_test.go
+++ b/agent/direct_test.go
@@ -12,7 +12,7 @@
 )
 
 // A core that failed is kept off for a while, unless it leads anew.
-func TestNewLeaderIsHeardThoughItsCoreFailed(test *testing.T) {
+func TestNewTermOverridesCoreFailure(test *testing.T) {
 	config := Config{
 		Name:            "p1",
 		Kind:            "proxy",
@@ -25,16 +25,16 @@
 		Routed:          true,
 	}
 	daemon := NewDaemon(config, "i1", rpc.NewClient(http.DefaultTransport), concurrent.NewGroup(), metrics.NewCounters())
-	lead := func(round uint64) {
-		daemon.LeaderFinder.Observe(message.Leader{Term: message.Term{Number: round, Core: 1}, Core: 1, Address: "10.0.0.1:1"})
+	observeLeader := func(term uint64) {
+		daemon.LeaderFinder.Observe(message.Leader{Term: message.Term{Number: term, Core: 1}, Core: 1, Address: "10.0.0.1:1"})
 	}
 	for number, step := range []struct {
 		do   func()
 		want string
 	}{
-		{func() { lead(1) }, "10.0.0.1:1"},
+		{func() { observeLeader(1) }, "10.0.0.1:1"},
 		{func() { daemon.failedAt["10.0.0.1:1"] = time.Now() }, "10.0.0.2:1"},
-		{func() { lead(2) }, "10.0.0.1:1"},
+		{func() { observeLeader(2) }, "10.0.0.1:1"},
 		{func() { daemon.failedAt["10.0.0.1:1"] = time.Now() }, "10.0.0.2:1"},
 	} {
 		if step.do(); daemon.chooseCore() != step.want {
--- a/agent/forwarder.go
+++ b/agent/forwarder.go
@@ -39,8 +39,8 @@
 	attemptTimeout  time.Duration
 	localLeader     func() message.Leader
 
-	mutex   sync.Mutex
-	waiting int
+	mutex  sync.Mutex
+	queued int
 }
 
 // NewForwarder returns a Forwarder with the default limits.
@@ -84,27 +84,27 @@
 	}
 }
 
-func (forwarder *Forwarder) enter() bool {
+func (forwarder *Forwarder) enqueue() bool {
 	forwarder.mutex.Lock()
 	defer forwarder.mutex.Unlock()
-	if forwarder.waiting >= forwarder.capacity {
+	if forwarder.queued >= forwarder.capacity {
 		return false
 	}
-	forwarder.waiting++
+	forwarder.queued++
 	return true
 }
 
-func (forwarder *Forwarder) leave() {
+func (forwarder *Forwarder) dequeue() {
 	forwarder.mutex.Lock()
-	forwarder.waiting--
+	forwarder.queued--
 	forwarder.mutex.Unlock()
 }
 
 // deadline returns until when a request that comes now must have its response.
 func (forwarder *Forwarder) deadline(ctx context.Context) time.Time {
 	deadline := time.Now().Add(forwarder.responseTimeout)
-	if given, isGiven := ctx.Deadline(); isGiven && given.Before(deadline) {
-		return given
+	if requested, hasDeadline := ctx.Deadline(); hasDeadline && requested.Before(deadline) {
+		return requested
 	}
 	return deadline
 }
@@ -128,7 +128,7 @@
 	request *Request,
 ) (*Response, error) {
 	call := &forwardedCall{forwarder: forwarder, deadline: forwarder.deadline(ctx)}
-	defer call.end()
+	defer call.release()
 	forwarder.syncLeader()
 	for ctx.Err() == nil {
 		leader, err := call.awaitLeader()
@@ -142,7 +142,7 @@
 		timeout := min(rest, forwarder.attemptTimeout)
 		response, err := rpc.CallContext(ctx, forwarder.client, leader.Address, method, timeout, request)
 		if err == nil {
-			call.succeeded()
+			call.countSuccess()
 			return response, nil
 		}
 		if !call.mayRetry(leader, err) {
@@ -152,21 +152,21 @@
 			forwarder.finder.goroutines.Sleep(forwarder.finder.intervals.FindLeader / 4)
 		}
 	}
-	return nil, call.noLeader()
+	return nil, call.timeoutError()
 }
 
 // forwardedCall is one request on its way to the leader.
 type forwardedCall struct {
 	forwarder  *Forwarder
 	deadline   time.Time
-	isHeld     bool // it has a place in the queue
+	isQueued   bool // it has a place in the queue
 	mayHaveRun bool
 }
 
 // end gives the place in the queue back.
-func (call *forwardedCall) end() {
-	if call.isHeld {
-		call.forwarder.leave()
+func (call *forwardedCall) release() {
+	if call.isQueued {
+		call.forwarder.dequeue()
 	}
 }
 
@@ -176,27 +176,27 @@
 	if leader := forwarder.finder.Leader(); leader.Known() {
 		return leader, nil
 	}
-	if !call.isHeld && !forwarder.enter() {
+	if !call.isQueued && !forwarder.enqueue() {
 		forwarder.counters.Add("hold_full", 1)
 		if call.mayHaveRun {
-			return message.Leader{}, call.noLeader()
+			return message.Leader{}, call.timeoutError()
 		}
 		return message.Leader{}, &rpc.Error{Code: rpc.QueueFull, Message: "too much waits for a leader", RetryAfterMs: retryAfterMs}
 	}
-	if !call.isHeld {
-		call.isHeld = true
+	if !call.isQueued {
+		call.isQueued = true
 		forwarder.counters.Add("held", 1)
 	}
 	leader := forwarder.finder.Wait(time.Until(call.deadline) - responseMargin)
 	if !leader.Known() {
 		forwarder.counters.Add("hold_given_up", 1)
-		return message.Leader{}, call.noLeader()
+		return message.Leader{}, call.timeoutError()
 	}
 	return leader, nil
 }
 
-func (call *forwardedCall) succeeded() {
-	if call.isHeld {
+func (call *forwardedCall) countSuccess() {
+	if call.isQueued {
 		call.forwarder.counters.Add("held_flushed", 1)
 	}
 }
@@ -216,7 +216,7 @@
 }
 
 // noLeader returns the error of a request that found no leader in time.
-func (call *forwardedCall) noLeader() error { return noLeaderError(call.mayHaveRun) }
+func (call *forwardedCall) timeoutError() error { return noLeaderError(call.mayHaveRun) }
 
 func noLeaderError(mayHaveRun bool) error {
 	if mayHaveRun {
--- a/agent/gauges.go
+++ b/agent/gauges.go
@@ -3,11 +3,11 @@
 // registerGauges adds what operators read of a daemon beside its counters.
 func (daemon *Daemon) registerGauges() {
 	gauge := daemon.counters.Gauge
-	gauge("ready", func() float64 { return asFigure(daemon.Ready()) })
+	gauge("ready", func() float64 { return boolToFloat(daemon.Ready()) })
 	gauge("confirmed", func() float64 {
 		daemon.mutex.Lock()
 		defer daemon.mutex.Unlock()
-		return asFigure(daemon.confirmed)
+		return boolToFloat(daemon.confirmed)
 	})
 	gauge("settings_serial", func() float64 { return float64(daemon.Version().Serial) })
 	gauge("routing_serial", func() float64 { return float64(daemon.Version().RoutingSerial) })
@@ -21,13 +21,13 @@
 	gauge("table_members", func() float64 { return float64(len(daemon.Version().Table.Members)) })
 	gauge("table_backends", func() float64 { return float64(len(daemon.Version().Table.Backends)) })
 	gauge("core_contact_age_seconds", func() float64 { return daemon.connectivity.coreContactAge().Seconds() })
-	gauge("leader_known", func() float64 { return asFigure(daemon.LeaderFinder.Leader().Known()) })
+	gauge("leader_known", func() float64 { return boolToFloat(daemon.LeaderFinder.Leader().Known()) })
 	gauge("leader_term", func() float64 { return float64(daemon.LeaderFinder.Leader().Term.Number) })
 }
 
 // asFigure is 1 for true and 0 for false.
-func asFigure(holds bool) float64 {
-	if holds {
+func boolToFloat(value bool) float64 {
+	if value {
 		return 1
 	}
 	return 0
--- a/agent/intervals.go
+++ b/agent/intervals.go
@@ -3,7 +3,7 @@
 import "time"
 
 // minPause is the shortest silence of a process's own pulse that means that it was paused.
-const minPause = 2 * time.Second
+const minPauseThreshold = 2 * time.Second
 
 // Intervals are how often a daemon does what it does again and again; the time-outs of
 // its calls follow from them. Zero stands for the default; a UsageCount below zero sends
@@ -28,7 +28,7 @@
 
 // withDefaults returns the intervals with defaults in place of zero.
 func (intervals Intervals) withDefaults() Intervals {
-	for given, standard := range map[*time.Duration]time.Duration{
+	for value, defaultValue := range map[*time.Duration]time.Duration{
 		&intervals.Session:    defaultIntervals.Session,
 		&intervals.Watch:      defaultIntervals.Watch,
 		&intervals.FindLeader: defaultIntervals.FindLeader,
@@ -36,8 +36,8 @@
 		&intervals.CheckReach: defaultIntervals.CheckReach,
 		&intervals.UsageCount: defaultIntervals.UsageCount,
 	} {
-		if *given == 0 {
-			*given = standard
+		if *value == 0 {
+			*value = defaultValue
 		}
 	}
 	return intervals
@@ -50,4 +50,6 @@
 func (intervals Intervals) fetchTimeout() time.Duration { return 5 * intervals.callTimeout() }
 
 // maxPause is the longest silence of the pulse that is no pause of the process.
-func (intervals Intervals) maxPause() time.Duration { return max(minPause, 4*intervals.Pulse) }
+func (intervals Intervals) pauseThreshold() time.Duration {
+	return max(minPauseThreshold, 4*intervals.Pulse)
+}
--- a/agent/leader_finder.go
+++ b/agent/leader_finder.go
@@ -12,47 +12,47 @@
 
 const (
 	// maxFinderIdle bounds how long the search for the leader pauses while nobody waits.
-	maxFinderIdle = time.Minute
+	maxIdleWait = time.Minute
 	// Each search pauses searchSlowdown/searchSlowdownBase as long as the one before, up to
 	// maxSearchSlowdown times the first: an election takes many times as long as a question.
-	searchSlowdown     = 3
-	searchSlowdownBase = 2
-	maxSearchSlowdown  = 3
+	searchBackoffNumerator   = 3
+	searchBackoffDenominator = 2
+	maxSearchBackoff         = 3
 )
 
 // LeaderFinder knows the leader and the cores, and searches for the leader while somebody
 // waits for it. It is safe for concurrent use.
 type LeaderFinder struct {
-	client      *rpc.Client
-	goroutines  *concurrent.Group
-	intervals   Intervals
-	seeds       []string
-	leaderFound *concurrent.Condition // notified when another leader is known
-	wanted      *concurrent.Condition // notified when a leader is waited for
+	client          *rpc.Client
+	goroutines      *concurrent.Group
+	intervals       Intervals
+	seeds           []string
+	leaderFound     *concurrent.Condition // notified when another leader is known
+	searchRequested *concurrent.Condition // notified when a leader is waited for
 	// onResponse is called with what a voter answered to a search.
 	onResponse func(core string, response *message.LeaderResponse)
 
-	mutex       sync.Mutex
-	cores       []string // the voters, then the seeds without a vote
-	voterCount  int
-	membership  message.Version // of the voters
-	leader      message.Leader
-	droppedTerm message.Term // of the newest leadership that has ended
-	waiting     int
+	mutex      sync.Mutex
+	cores      []string // the voters, then the seeds without a vote
+	voterCount int
+	membership message.Version // of the voters
+	leader     message.Leader
+	endedTerm  message.Term // of the newest leadership that has ended
+	waiters    int
 }
 
 // NewLeaderFinder returns a LeaderFinder that knows some cores.
 func NewLeaderFinder(client *rpc.Client, goroutines *concurrent.Group, cores []string) *LeaderFinder {
 	return &LeaderFinder{
-		client:      client,
-		goroutines:  goroutines,
-		intervals:   Intervals{}.withDefaults(),
-		seeds:       slices.Clone(cores),
-		leaderFound: concurrent.NewCondition(),
-		wanted:      concurrent.NewCondition(),
-		onResponse:  func(string, *message.LeaderResponse) {},
-		cores:       slices.Clone(cores),
-		voterCount:  len(cores),
+		client:          client,
+		goroutines:      goroutines,
+		intervals:       Intervals{}.withDefaults(),
+		seeds:           slices.Clone(cores),
+		leaderFound:     concurrent.NewCondition(),
+		searchRequested: concurrent.NewCondition(),
+		onResponse:      func(string, *message.LeaderResponse) {},
+		cores:           slices.Clone(cores),
+		voterCount:      len(cores),
 	}
 }
 
@@ -64,7 +64,7 @@
 
 // Run starts the search. It ends when the group is stopped.
 func (finder *LeaderFinder) Run() {
-	finder.goroutines.OnStop(finder.wanted.Notify)
+	finder.goroutines.OnStop(finder.searchRequested.Notify)
 	finder.goroutines.OnStop(finder.leaderFound.Notify)
 	finder.goroutines.Start(finder.search)
 }
@@ -73,13 +73,13 @@
 func (finder *LeaderFinder) search() {
 	pause := finder.intervals.FindLeader
 	for finder.goroutines.Sleep(pause) {
-		if seen := finder.wanted.Count(); finder.idle() {
+		if seen := finder.searchRequested.Count(); finder.idle() {
 			pause = finder.intervals.FindLeader
-			finder.wanted.Wait(seen, maxFinderIdle)
+			finder.searchRequested.Wait(seen, maxIdleWait)
 			continue
 		}
 		finder.findLeader()
-		pause = min(pause*searchSlowdown/searchSlowdownBase, maxSearchSlowdown*finder.intervals.FindLeader)
+		pause = min(pause*searchBackoffNumerator/searchBackoffDenominator, maxSearchBackoff*finder.intervals.FindLeader)
 	}
 }
 
@@ -87,7 +87,7 @@
 func (finder *LeaderFinder) idle() bool {
 	finder.mutex.Lock()
 	defer finder.mutex.Unlock()
-	return finder.waiting == 0 || finder.leader.Known()
+	return finder.waiters == 0 || finder.leader.Known()
 }
 
 // Leader returns the leader, which may be unknown.
@@ -129,7 +129,7 @@
 // leadership has ended.
 func (finder *LeaderFinder) Observe(leader message.Leader) {
 	finder.mutex.Lock()
-	isNewer := leader.Known() && !leader.Term.Less(finder.leader.Term) && finder.droppedTerm.Less(leader.Term) && leader != finder.leader
+	isNewer := leader.Known() && !leader.Term.Less(finder.leader.Term) && finder.endedTerm.Less(leader.Term) && leader != finder.leader
 	if isNewer {
 		finder.leader = leader
 	}
@@ -145,19 +145,19 @@
 	if finder.leader.Term == leader.Term {
 		finder.leader = message.Leader{Term: leader.Term}
 	}
-	if ended && finder.droppedTerm.Less(leader.Term) {
-		finder.droppedTerm = leader.Term
+	if ended && finder.endedTerm.Less(leader.Term) {
+		finder.endedTerm = leader.Term
 	}
 	finder.mutex.Unlock()
-	finder.wanted.Notify()
+	finder.searchRequested.Notify()
 }
 
 // Wait waits until a leader is known, at most as long as timeout, and returns it.
 func (finder *LeaderFinder) Wait(timeout time.Duration) message.Leader {
 	deadline := time.Now().Add(timeout)
-	finder.addWaiting(1)
-	finder.wanted.Notify()
-	defer finder.addWaiting(-1)
+	finder.addWaiters(1)
+	finder.searchRequested.Notify()
+	defer finder.addWaiters(-1)
 	for {
 		seen := finder.leaderFound.Count()
 		if leader := finder.Leader(); leader.Known() || finder.goroutines.Stopping() {
@@ -169,9 +169,9 @@
 	}
 }
 
-func (finder *LeaderFinder) addWaiting(count int) {
+func (finder *LeaderFinder) addWaiters(count int) {
 	finder.mutex.Lock()
-	finder.waiting += count
+	finder.waiters += count
 	finder.mutex.Unlock()
 }
 
@@ -179,11 +179,11 @@
 func (finder *LeaderFinder) findLeader() {
 	cores := finder.Cores()
 	concurrent.Gather(finder.goroutines, len(cores), func(index int) (struct{}, error) {
-		return struct{}{}, finder.ask(cores[index])
+		return struct{}{}, finder.queryCore(cores[index])
 	}, func(map[int]struct{}, map[int]error) bool { return finder.Leader().Known() })
 }
 
-func (finder *LeaderFinder) ask(core string) error {
+func (finder *LeaderFinder) queryCore(core string) error {
 	response, err := rpc.Call(finder.client, core, message.MethodLeader, finder.intervals.findTimeout(), &message.LeaderRequest{})
 	if err != nil {
 		return err
--- a/agent/operator_api.go
+++ b/agent/operator_api.go
@@ -100,15 +100,15 @@
 func (api *OperatorAPI) read(writer http.ResponseWriter, request *http.Request) {
 	document := settingsDocument{Confirmed: true}
 	var body []byte
-	serial, held := api.localSettings()
+	serial, localBody := api.localSettings()
 	response, err := Forward(api.forwarder, message.MethodRead, &message.ReadRequest{HeldSerial: serial})
 	switch {
 	case err != nil:
 		api.counters.Add("reads_unconfirmed", 1)
 		document.Confirmed = false
-		document.Serial, body = serial, held
+		document.Serial, body = serial, localBody
 	case response.Serial == serial:
-		document.Serial, body = serial, held
+		document.Serial, body = serial, localBody
 	default:
 		document.Serial, body = response.Serial, response.Body
 	}
--- a/agent/relay.go
+++ b/agent/relay.go
@@ -20,13 +20,13 @@
 		version := daemon.Version()
 		response, err := daemon.watch(context.Background(), parent, version)
 		if err != nil {
-			daemon.parentFailed(parent)
+			daemon.handleParentFailure(parent)
 			continue
 		}
-		daemon.takeWatched(response)
+		daemon.applyWatchResponse(response)
 		isNewer := daemon.Version().isBehind(response.Serial, response.Routing, response.Rollouts, response.Table)
 		if isNewer && !daemon.fetch(context.Background(), parent) {
-			daemon.parentFailed(parent)
+			daemon.handleParentFailure(parent)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 }
 
 // parentFailed leaves a parent, or a core, that did not answer.
-func (daemon *Daemon) parentFailed(parent string) {
+func (daemon *Daemon) handleParentFailure(parent string) {
 	daemon.counters.Add("parents_lost", 1)
 	if leader := daemon.LeaderFinder.Leader(); leader.Address == parent {
 		daemon.LeaderFinder.Drop(leader, false)
--- a/agent/retire.go
+++ b/agent/retire.go
@@ -39,15 +39,15 @@
 	daemon.ended = true
 	daemon.mutex.Unlock()
 	for range daemon.LeaderFinder.Cores() {
-		before := daemon.respondedAt()
+		before := daemon.lastResponse()
 		daemon.renewSession()
-		if daemon.respondedAt().After(before) {
+		if daemon.lastResponse().After(before) {
 			return
 		}
 	}
 }
 
-func (daemon *Daemon) respondedAt() time.Time {
+func (daemon *Daemon) lastResponse() time.Time {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	return daemon.lastResponseAt
--- a/agent/retire_test.go
+++ b/agent/retire_test.go
@@ -12,11 +12,11 @@
 )
 
 // slowCore answers nothing, and says so after a while.
-type slowCore struct{ after time.Duration }
+type unresponsiveTransport struct{ delay time.Duration }
 
-func (slow slowCore) RoundTrip(request *http.Request) (*http.Response, error) {
+func (transport unresponsiveTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	select {
-	case <-time.After(slow.after):
+	case <-time.After(transport.delay):
 		return nil, rpc.Errorf(rpc.Unreachable, "nobody there")
 	case <-request.Context().Done():
 		return nil, request.Context().Err()
@@ -32,7 +32,7 @@
 		daemon := NewDaemon(
 			Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true},
 			"life",
-			rpc.NewClient(slowCore{after: 700 * time.Millisecond}),
+			rpc.NewClient(unresponsiveTransport{delay: 700 * time.Millisecond}),
 			goroutines,
 			metrics.NewCounters(),
 		)
--- a/agent/sent_counts.go
+++ b/agent/sent_counts.go
@@ -48,7 +48,7 @@
 
 // accepted notes what a process has got. One that began since has nothing of what was
 // sent before.
-func (counts *sentCounts) accepted(sent []message.WindowCount, process uint64) {
+func (counts *sentCounts) acknowledge(sent []message.WindowCount, process uint64) {
 	if counts.process != 0 && counts.process != process {
 		*counts = sentCounts{}
 		return
--- a/agent/sent_counts_test.go
+++ b/agent/sent_counts_test.go
@@ -7,8 +7,8 @@
 	"orchidjunction/message"
 )
 
-func TestMeteredTellsWhatChanged(test *testing.T) {
-	metered := &sentCounts{}
+func TestUnsentCountsAreDeltas(test *testing.T) {
+	sent := &sentCounts{}
 	counts := func(ann, bob uint64) []message.WindowCount {
 		return []message.WindowCount{{Window: 7, Tenants: map[string]uint64{"ann": ann, "bob": bob}}}
 	}
@@ -17,7 +17,7 @@
 		windows []message.WindowCount
 		process uint64
 		want    []message.WindowCount
-		upon    uint64
+		base    uint64
 	}{
 		{"a", counts(1, 2), 0, counts(1, 2), 0},
 		{"a", counts(1, 2), 5, counts(1, 2), 0},
@@ -28,15 +28,15 @@
 		{"b", counts(1, 4), 7, counts(1, 4), 0},
 		{"b", []message.WindowCount{{Window: 8, Tenants: map[string]uint64{"ann": 1}}}, 7, []message.WindowCount{{Window: 8, Tenants: map[string]uint64{"ann": 1}}}, 7},
 	} {
-		news, upon := metered.unsent(step.core, step.windows)
-		if !reflect.DeepEqual(news, step.want) || upon != step.upon {
-			test.Errorf("step %d: %v upon %d, want %v upon %d", number, news, upon, step.want, step.upon)
+		unsent, base := sent.unsent(step.core, step.windows)
+		if !reflect.DeepEqual(unsent, step.want) || base != step.base {
+			test.Errorf("step %d: %v upon %d, want %v upon %d", number, unsent, base, step.want, step.base)
 		}
 		if step.process != 0 {
-			metered.accepted(news, step.process)
+			sent.acknowledge(unsent, step.process)
 		}
 	}
-	if len(metered.sent) != 1 {
-		test.Errorf("old windows are kept: %v", metered.sent)
+	if len(sent.sent) != 1 {
+		test.Errorf("old windows are kept: %v", sent.sent)
 	}
 }
--- a/agent/session.go
+++ b/agent/session.go
@@ -25,7 +25,7 @@
 
 // memberInfo returns this daemon as it announces itself.
 func (daemon *Daemon) memberInfo() message.Member {
-	isReady, keepsClaims, demand := daemon.Ready(), daemon.callbacks.keepsClaims(), daemon.callbacks.demand()
+	isReady, isKeyReplica, demand := daemon.Ready(), daemon.callbacks.isKeyReplica(), daemon.callbacks.demand()
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	return message.Member{
@@ -38,7 +38,7 @@
 		Incarnation:     daemon.incarnation,
 		Leaving:         daemon.leaving,
 		Ready:           isReady && !daemon.leaving,
-		KeyReplica:      keepsClaims && !daemon.leaving,
+		KeyReplica:      isKeyReplica && !daemon.leaving,
 		Demand:          demand,
 		Guest:           daemon.config.Guest,
 	}
@@ -49,20 +49,20 @@
 func (daemon *Daemon) renewSession() {
 	daemon.sessionLock.Lock()
 	defer daemon.sessionLock.Unlock()
-	begin := time.Now()
+	sentAt := time.Now()
 	core := daemon.sessionCore()
 	session := daemon.newSession(core)
-	daemon.countsFlush.sessionBegins(begin)
+	daemon.countsFlush.heartbeatSent(sentAt)
 	response, err := rpc.Call(daemon.client, core, message.MethodSession, daemon.intervals.callTimeout(), session)
-	daemon.countsFlush.sessionEnds()
-	roundTrip := time.Since(begin)
+	daemon.countsFlush.heartbeatDone()
+	roundTrip := time.Since(sentAt)
 	if err != nil {
-		daemon.sessionFailed(core)
+		daemon.recordSessionFailure(core)
 		return
 	}
-	daemon.sentCounts.accepted(session.Windows, response.Process)
-	daemon.sessionRenewed(core, session, response, begin)
-	daemon.noteSerial(response.Serial)
+	daemon.sentCounts.acknowledge(session.Windows, response.Process)
+	daemon.recordSessionResponse(core, session, response, sentAt)
+	daemon.recordSerial(response.Serial)
 	daemon.LeaderFinder.ObserveMembership(response.Membership, response.Cores)
 	formerTerm := daemon.LeaderFinder.Leader().Term
 	daemon.LeaderFinder.Observe(response.Leader)
@@ -70,7 +70,7 @@
 		daemon.clock.AddRoundTrip(response.NowMs, roundTrip)
 	}
 	if daemon.config.DirectSessions {
-		daemon.updateCores(core, response.Leader, formerTerm)
+		daemon.reconsiderWatch(core, response.Leader, formerTerm)
 		daemon.catchUp(core)
 	}
 }
@@ -99,25 +99,25 @@
 	return session
 }
 
-func (daemon *Daemon) sessionFailed(core string) {
+func (daemon *Daemon) recordSessionFailure(core string) {
 	daemon.mutex.Lock()
 	daemon.failedAt[core] = time.Now()
 	daemon.mutex.Unlock()
 	daemon.counters.Add("sessions_failed", 1)
 	if daemon.config.DirectSessions {
-		daemon.coreSilent(core)
+		daemon.dropUnresponsiveCore(core)
 	}
 }
 
 // sessionRenewed notes a core's response to a heartbeat that began at a time. A core that
 // follows no leader counts as failed.
-func (daemon *Daemon) sessionRenewed(core string, session *message.Session, response *message.SessionResponse, begin time.Time) {
+func (daemon *Daemon) recordSessionResponse(core string, session *message.Session, response *message.SessionResponse, sentAt time.Time) {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	daemon.lastResponseAt = time.Now()
 	if response.Leader.Known() {
-		daemon.connectivity.reachedCore(begin)
-	} else if daemon.config.DirectSessions || daemon.connectivity.coresSilent() {
+		daemon.connectivity.recordCoreContact(sentAt)
+	} else if daemon.config.DirectSessions || daemon.connectivity.coresUnreachable() {
 		daemon.failedAt[core] = time.Now()
 	}
 	isBehind := response.Serial > session.Serial || response.Routing > session.Routing ||
@@ -133,12 +133,12 @@
 // process knows is lost with it. Sessions tell it too, to whichever core.
 func (daemon *Daemon) sendUsage() {
 	leader, usage := daemon.LeaderFinder.Leader(), daemon.callbacks.usage()
-	if !leader.Known() || maps.Equal(usage, daemon.countedUsage) {
+	if !leader.Known() || maps.Equal(usage, daemon.reportedUsage) {
 		return
 	}
 	request := &message.UsageCountRequest{Incarnation: daemon.incarnation, Usage: usage}
 	_, err := rpc.Call(daemon.client, leader.Address, message.MethodUsageCount, daemon.intervals.callTimeout(), request)
 	if err == nil {
-		daemon.countedUsage = usage
+		daemon.reportedUsage = usage
 	}
 }
--- a/agent/updates.go
+++ b/agent/updates.go
@@ -62,7 +62,7 @@
 func (daemon *Daemon) applyUpdate(response *message.FetchResponse, chunks message.Chunks) bool {
 	daemon.applyMutex.Lock()
 	before := daemon.Version()
-	next, err := before.with(response, chunks)
+	next, err := before.withUpdate(response, chunks)
 	isSame := err == nil && next.Serial == before.Serial && next.RoutingSerial == before.RoutingSerial &&
 		next.RolloutSerial == before.RolloutSerial && next.Table == before.Table
 	if err == nil && !isSame {
--- a/agent/version.go
+++ b/agent/version.go
@@ -42,7 +42,7 @@
 
 // with returns the version with the newer parts of a response. A table that lists a new
 // version of a service is taken only together with the roll-outs that it was built under.
-func (version *Version) with(response *message.FetchResponse, chunks message.Chunks) (*Version, error) {
+func (version *Version) withUpdate(response *message.FetchResponse, chunks message.Chunks) (*Version, error) {
 	next := *version
 	if response.Serial > version.Serial {
 		tree, err := config.Assemble(version.Tree, response.Chunks, chunks)
--- a/agent/version_test.go
+++ b/agent/version_test.go
@@ -11,14 +11,14 @@
 // A new leader that cannot read the platform's list names no backends. A routing that is
 // newer comes into force all the same, with the backends that were known before.
 func TestRoutingComesIntoForceWithoutAList(test *testing.T) {
-	tableOf := func(term uint64, isComplete bool, names ...string) *message.Table {
+	newTable := func(term uint64, isComplete bool, names ...string) *message.Table {
 		table := &message.Table{Version: message.TableVersion{Term: message.Term{Number: term, Core: 1}, Number: 1}, Complete: isComplete}
 		for _, name := range names {
 			table.Backends = append(table.Backends, message.Backend{Name: name})
 		}
 		return table
 	}
-	responseOf := func(serial uint64, table *message.Table) *message.FetchResponse {
+	newResponse := func(serial uint64, table *message.Table) *message.FetchResponse {
 		body, err := rpc.Marshal(&routing.State{Config: routing.Config{Version: serial}})
 		if err != nil {
 			test.Fatal(err)
@@ -33,13 +33,13 @@
 		routing  uint64
 		backends int
 	}{
-		{"nothing known of backends", responseOf(1, tableOf(1, false)), false, 1, 0},
-		{"a list", responseOf(2, tableOf(2, true, "a", "b")), true, 2, 2},
-		{"the next leader has none", responseOf(3, tableOf(3, false)), true, 3, 2},
-		{"nor the one after", responseOf(4, tableOf(4, false)), true, 4, 2},
-		{"which reads one", responseOf(5, tableOf(5, true, "c")), true, 5, 1},
+		{"nothing known of backends", newResponse(1, newTable(1, false)), false, 1, 0},
+		{"a list", newResponse(2, newTable(2, true, "a", "b")), true, 2, 2},
+		{"the next leader has none", newResponse(3, newTable(3, false)), true, 3, 2},
+		{"nor the one after", newResponse(4, newTable(4, false)), true, 4, 2},
+		{"which reads one", newResponse(5, newTable(5, true, "c")), true, 5, 1},
 	} {
-		next, err := version.with(step.response, message.Chunks{})
+		next, err := version.withUpdate(step.response, message.Chunks{})
 		if err != nil {
 			test.Fatal(step.name, err)
 		}
@@ -59,7 +59,7 @@
 // A table that lists backends of an ordered version comes into force only with the roll-outs
 // under which it was built: a daemon that missed these would send them a full share.
 func TestTableWaitsForItsRollouts(test *testing.T) {
-	tableOf := func(number, rollouts uint64) *message.Table {
+	newTable := func(number, rollouts uint64) *message.Table {
 		return &message.Table{Version: message.TableVersion{Number: number}, Complete: true, Rollouts: rollouts}
 	}
 	list := []message.Rollout{{Service: "desk", Target: "v2", ID: 1}}
@@ -70,17 +70,17 @@
 		table    uint64
 		rollouts uint64
 	}{
-		{"before any roll-out", &message.FetchResponse{Table: tableOf(1, 0)}, 1, 0},
-		{"a table whose roll-outs are missing", &message.FetchResponse{Table: tableOf(2, 1)}, 1, 0},
+		{"before any roll-out", &message.FetchResponse{Table: newTable(1, 0)}, 1, 0},
+		{"a table whose roll-outs are missing", &message.FetchResponse{Table: newTable(2, 1)}, 1, 0},
 		{"a delta whose roll-outs are missing", &message.FetchResponse{
 			Delta: &message.TableDelta{Base: message.TableVersion{Number: 1}, Version: message.TableVersion{Number: 3}, Rollouts: 1},
 		}, 1, 0},
 		{"roll-outs alone", &message.FetchResponse{Rollouts: 1, RolloutList: list}, 1, 1},
-		{"the table once more", &message.FetchResponse{Table: tableOf(2, 1)}, 2, 1},
-		{"older roll-outs", &message.FetchResponse{Rollouts: 0, Table: tableOf(4, 1)}, 4, 1},
-		{"both at once", &message.FetchResponse{Rollouts: 5, RolloutList: list, Table: tableOf(6, 5)}, 6, 5},
+		{"the table once more", &message.FetchResponse{Table: newTable(2, 1)}, 2, 1},
+		{"older roll-outs", &message.FetchResponse{Rollouts: 0, Table: newTable(4, 1)}, 4, 1},
+		{"both at once", &message.FetchResponse{Rollouts: 5, RolloutList: list, Table: newTable(6, 5)}, 6, 5},
 	} {
-		next, err := version.with(step.response, message.Chunks{})
+		next, err := version.withUpdate(step.response, message.Chunks{})
 		if err != nil {
 			test.Fatal(step.name, err)
 		}
--- a/agent/watch.go
+++ b/agent/watch.go
@@ -10,34 +10,34 @@
 
 // watching is the core at which a daemon with direct sessions waits for updates, and how
 // to wait no longer. It is safe for concurrent use.
-type watching struct {
+type watchState struct {
 	mutex  sync.Mutex
 	core   string
 	cancel context.CancelFunc
 }
 
 // begin notes the core and returns the context of the wait.
-func (watching *watching) begin(core string) context.Context {
+func (state *watchState) begin(core string) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
-	watching.mutex.Lock()
-	defer watching.mutex.Unlock()
-	watching.core, watching.cancel = core, cancel
+	state.mutex.Lock()
+	defer state.mutex.Unlock()
+	state.core, state.cancel = core, cancel
 	return ctx
 }
 
 // stop ends the wait at a core, if that is still the one.
-func (watching *watching) stop(core string) {
-	watching.mutex.Lock()
-	defer watching.mutex.Unlock()
-	if watching.core == core && watching.cancel != nil {
-		watching.cancel()
+func (state *watchState) stop(core string) {
+	state.mutex.Lock()
+	defer state.mutex.Unlock()
+	if state.core == core && state.cancel != nil {
+		state.cancel()
 	}
 }
 
-func (watching *watching) current() string {
-	watching.mutex.Lock()
-	defer watching.mutex.Unlock()
-	return watching.core
+func (state *watchState) current() string {
+	state.mutex.Lock()
+	defer state.mutex.Unlock()
+	return state.core
 }
 
 // watchCores waits for updates at the leader or, while that does not answer, at another
@@ -45,11 +45,11 @@
 func (daemon *Daemon) watchCores() {
 	for !daemon.goroutines.Stopping() {
 		core := daemon.chooseCore()
-		ctx := daemon.watching.begin(core)
+		ctx := daemon.watchState.begin(core)
 		if !daemon.watchOnce(ctx, core) {
-			daemon.parentFailed(core)
+			daemon.handleParentFailure(core)
 		}
-		daemon.watching.stop(core)
+		daemon.watchState.stop(core)
 	}
 }
 
@@ -61,14 +61,14 @@
 	if err != nil {
 		return ctx.Err() != nil
 	}
-	daemon.takeWatched(response)
+	daemon.applyWatchResponse(response)
 	isNewer := daemon.Version().isBehind(response.Serial, response.Routing, response.Rollouts, response.Table)
 	return !isNewer || daemon.fetch(ctx, core) || ctx.Err() != nil
 }
 
 // takeWatched puts in force what came with the response to a watch: roll-outs, and what
 // changed in the table.
-func (daemon *Daemon) takeWatched(response *message.WatchResponse) {
+func (daemon *Daemon) applyWatchResponse(response *message.WatchResponse) {
 	update := &message.FetchResponse{Delta: response.Delta}
 	if response.Rollouts > daemon.Version().RolloutSerial {
 		update.Rollouts, update.RolloutList = response.Rollouts, response.RolloutList
@@ -83,7 +83,7 @@
 
 // fetchFirstVersion takes a first version from whichever core has one: before anybody
 // leads, cores say what they know to be committed.
-func (daemon *Daemon) fetchFirstVersion(core string, response *message.LeaderResponse) {
+func (daemon *Daemon) fetchInitialVersion(core string, response *message.LeaderResponse) {
 	version := daemon.Version()
 	if version.Servable() || !version.isBehind(0, response.Routing, 0, response.Table) {
 		return
@@ -93,16 +93,16 @@
 }
 
 // coreSilent forgets a leader that did not answer, and waits for no updates from it.
-func (daemon *Daemon) coreSilent(core string) {
+func (daemon *Daemon) dropUnresponsiveCore(core string) {
 	if leader := daemon.LeaderFinder.Leader(); leader.Address == core {
 		daemon.LeaderFinder.Drop(leader, false)
 	}
-	daemon.watching.stop(core)
+	daemon.watchState.stop(core)
 }
 
 // updateCores leaves a core that knows no leader, and ends a wait for updates at one that
 // does not lead while another one does.
-func (daemon *Daemon) updateCores(core string, leader message.Leader, formerTerm message.Term) {
+func (daemon *Daemon) reconsiderWatch(core string, leader message.Leader, formerTerm message.Term) {
 	daemon.mutex.Lock()
 	if !leader.Known() {
 		daemon.failedAt[core] = time.Now()
@@ -111,11 +111,11 @@
 	}
 	daemon.mutex.Unlock()
 	if !leader.Known() {
-		daemon.coreSilent(core)
+		daemon.dropUnresponsiveCore(core)
 	}
-	watched := daemon.watching.current()
+	watched := daemon.watchState.current()
 	if watched != daemon.chooseCore() && daemon.LeaderFinder.Leader().Known() {
-		daemon.watching.stop(watched)
+		daemon.watchState.stop(watched)
 	}
 }
 
