--- a/message/compress_test.go
+++ b/message/compress_test.go
@@ -5,22 +5,22 @@
 	"testing"
 )
 
-func TestSqueezedRoutingComesBack(test *testing.T) {
+func TestCompressedRoutingRoundTrip(test *testing.T) {
 	body := bytes.Repeat([]byte("a route like the others;"), 500)
-	squeezed := Compress(body)
-	if len(squeezed) > len(body)/10 {
-		test.Errorf("%d bytes of %d", len(squeezed), len(body))
+	compressed := Compress(body)
+	if len(compressed) > len(body)/10 {
+		test.Errorf("%d bytes of %d", len(compressed), len(body))
 	}
-	response := &FetchResponse{RoutingBody: squeezed, RoutingCompressed: true}
-	if back, err := response.DecompressRouting(); err != nil || !bytes.Equal(back, body) {
-		test.Errorf("%v, %d bytes", err, len(back))
+	response := &FetchResponse{RoutingBody: compressed, RoutingCompressed: true}
+	if decompressed, err := response.DecompressRouting(); err != nil || !bytes.Equal(decompressed, body) {
+		test.Errorf("%v, %d bytes", err, len(decompressed))
 	}
-	response.RoutingBody = squeezed[:len(squeezed)-3]
+	response.RoutingBody = compressed[:len(compressed)-3]
 	if _, err := response.DecompressRouting(); err == nil {
 		test.Errorf("a cut body was taken")
 	}
 	response = &FetchResponse{RoutingBody: body}
-	if back, err := response.DecompressRouting(); err != nil || !bytes.Equal(back, body) {
+	if decompressed, err := response.DecompressRouting(); err != nil || !bytes.Equal(decompressed, body) {
 		test.Errorf("plain: %v", err)
 	}
 }
--- a/message/membership.go
+++ b/message/membership.go
@@ -81,10 +81,10 @@
 func Majority(group []Peer) int { return len(group)/2 + 1 }
 
 // CountIn returns for how many peers of a group has returns true.
-func CountIn(group []Peer, has func(id int) bool) int {
+func CountIn(group []Peer, contains func(id int) bool) int {
 	count := 0
 	for _, peer := range group {
-		if has(peer.ID) {
+		if contains(peer.ID) {
 			count++
 		}
 	}
@@ -93,11 +93,11 @@
 
 // Quorum reports whether the peers for which has returns true are a quorum: a majority
 // of the current voters and, during a replacement, of the next ones too.
-func (voters *VoterSet) Quorum(has func(id int) bool) bool {
-	if CountIn(voters.Current, has) < Majority(voters.Current) {
+func (voters *VoterSet) Quorum(contains func(id int) bool) bool {
+	if CountIn(voters.Current, contains) < Majority(voters.Current) {
 		return false
 	}
-	return len(voters.Next) == 0 || CountIn(voters.Next, has) >= Majority(voters.Next)
+	return len(voters.Next) == 0 || CountIn(voters.Next, contains) >= Majority(voters.Next)
 }
 
 // Addresses returns those of all voters of both groups, each once.
--- a/message/table.go
+++ b/message/table.go
@@ -104,16 +104,16 @@
 
 // NewlyLeaving returns how many backends of a list leave that did not in a former list.
 // Both are sorted by name.
-func NewlyLeaving(former, next []Backend) int {
-	if len(former) > 0 && len(next) > 0 && &former[0] == &next[0] {
+func NewlyLeaving(before, after []Backend) int {
+	if len(before) > 0 && len(after) > 0 && &before[0] == &after[0] {
 		return 0
 	}
 	count := 0
-	for _, backend := range next {
-		for len(former) > 0 && former[0].Name < backend.Name {
-			former = former[1:]
+	for _, backend := range after {
+		for len(before) > 0 && before[0].Name < backend.Name {
+			before = before[1:]
 		}
-		wasLeaving := len(former) > 0 && former[0].Name == backend.Name && former[0].Leaving
+		wasLeaving := len(before) > 0 && before[0].Name == backend.Name && before[0].Leaving
 		if backend.Leaving && !wasLeaving {
 			count++
 		}
@@ -132,8 +132,8 @@
 		return items
 	}
 	replaced := make(map[string]bool, len(changed)+len(removed))
-	for _, one := range removed {
-		replaced[one] = true
+	for _, removedName := range removed {
+		replaced[removedName] = true
 	}
 	for index := range changed {
 		replaced[name(&changed[index])] = true
--- a/message/table_log.go
+++ b/message/table_log.go
@@ -13,24 +13,24 @@
 // which holds an older version gets only what changed. It continues over changes of the
 // leader. It is not safe for concurrent use.
 type TableLog struct {
-	count    uint64
-	versions []countedVersion
+	sequence uint64
+	versions []loggedVersion
 	members  map[string]uint64
 	backends map[string]uint64
 	removals []removal
 }
 
 // countedVersion is a version and the log's count when it was recorded.
-type countedVersion struct {
-	version TableVersion
-	count   uint64
+type loggedVersion struct {
+	version  TableVersion
+	sequence uint64
 }
 
 // removal is an entry that a version no longer has.
 type removal struct {
-	name    string
-	backend bool
-	count   uint64
+	name      string
+	isBackend bool
+	sequence  uint64
 }
 
 // NewTableLog returns a log that knows no table yet.
@@ -40,14 +40,14 @@
 
 // Record notes what changed from one table to the next.
 func (log *TableLog) Record(before, after *Table) {
-	log.count++
-	for _, name := range recordChanges(log.members, log.count, before.Members, after.Members, memberName) {
-		log.removals = append(log.removals, removal{name: name, count: log.count})
+	log.sequence++
+	for _, name := range recordChanges(log.members, log.sequence, before.Members, after.Members, memberName) {
+		log.removals = append(log.removals, removal{name: name, sequence: log.sequence})
 	}
-	for _, name := range recordChanges(log.backends, log.count, before.Backends, after.Backends, backendName) {
-		log.removals = append(log.removals, removal{name: name, backend: true, count: log.count})
+	for _, name := range recordChanges(log.backends, log.sequence, before.Backends, after.Backends, backendName) {
+		log.removals = append(log.removals, removal{name: name, isBackend: true, sequence: log.sequence})
 	}
-	log.versions = append(log.versions, countedVersion{version: after.Version, count: log.count})
+	log.versions = append(log.versions, loggedVersion{version: after.Version, sequence: log.sequence})
 	log.trim()
 }
 
@@ -59,7 +59,7 @@
 	}
 	if len(log.removals) > maxTableRemovals {
 		log.removals = newerHalf(log.removals, maxTableRemovals)
-		for len(log.versions) > 0 && log.versions[0].count < log.removals[0].count {
+		for len(log.versions) > 0 && log.versions[0].sequence < log.removals[0].sequence {
 			log.versions = log.versions[1:]
 		}
 	}
@@ -72,21 +72,21 @@
 
 // recordChanges sets the count of the items that are new or changed and returns the
 // names of those that were removed.
-func recordChanges[Item comparable](counts map[string]uint64, count uint64, before, after []Item, name func(*Item) string) []string {
-	left := make(map[string]*Item, len(before))
+func recordChanges[Item comparable](sequences map[string]uint64, sequence uint64, before, after []Item, name func(*Item) string) []string {
+	remaining := make(map[string]*Item, len(before))
 	for index := range before {
-		left[name(&before[index])] = &before[index]
+		remaining[name(&before[index])] = &before[index]
 	}
 	for index := range after {
 		key := name(&after[index])
-		if former := left[key]; former == nil || *former != after[index] {
-			counts[key] = count
+		if former := remaining[key]; former == nil || *former != after[index] {
+			sequences[key] = sequence
 		}
-		delete(left, key)
+		delete(remaining, key)
 	}
 	removed := []string{}
-	for key := range left {
-		delete(counts, key)
+	for key := range remaining {
+		delete(sequences, key)
 		removed = append(removed, key)
 	}
 	return removed
@@ -96,7 +96,7 @@
 // if the version is not known any more, or is of no leader: each core numbers those for
 // itself.
 func (log *TableLog) Since(version TableVersion, table *Table) (*TableDelta, bool) {
-	from, found := log.countOf(version)
+	from, found := log.sequenceOf(version)
 	if !found {
 		return nil, false
 	}
@@ -116,13 +116,13 @@
 }
 
 // countOf returns the count at which a leader's version was recorded.
-func (log *TableLog) countOf(version TableVersion) (uint64, bool) {
+func (log *TableLog) sequenceOf(version TableVersion) (uint64, bool) {
 	if version.Term.Number == 0 {
 		return 0, false
 	}
 	for _, known := range slices.Backward(log.versions) {
 		if known.version == version {
-			return known.count, true
+			return known.sequence, true
 		}
 	}
 	return 0, false
@@ -130,13 +130,13 @@
 
 // addRemovals adds the entries that were removed after a count and have not come back.
 func (log *TableLog) addRemovals(delta *TableDelta, from uint64) {
-	for _, one := range log.removals {
+	for _, removed := range log.removals {
 		switch {
-		case one.count <= from:
-		case one.backend && log.backends[one.name] == 0:
-			delta.RemovedBackends = append(delta.RemovedBackends, one.name)
-		case !one.backend && log.members[one.name] == 0:
-			delta.RemovedMembers = append(delta.RemovedMembers, one.name)
+		case removed.sequence <= from:
+		case removed.isBackend && log.backends[removed.name] == 0:
+			delta.RemovedBackends = append(delta.RemovedBackends, removed.name)
+		case !removed.isBackend && log.members[removed.name] == 0:
+			delta.RemovedMembers = append(delta.RemovedMembers, removed.name)
 		}
 	}
 }
--- a/message/table_test.go
+++ b/message/table_test.go
@@ -10,13 +10,13 @@
 
 // Whoever follows by deltas holds the same table as the one who made it, from
 // whichever mark it comes, over leaders that go on where the last one stopped.
-func TestTableDeltas(test *testing.T) {
+func TestTableDeltasReproduceTable(test *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 7))
 		log, table := NewTableLog(), &Table{}
 		followers := []*Table{{}, {}, {}}
 		members, backends := map[string]Member{}, map[string]Backend{}
-		round, whole := uint64(1), 0
+		term, fullTables := uint64(1), 0
 		for step := range 400 {
 			for range random.IntN(4) {
 				name := fmt.Sprint("n", random.IntN(20))
@@ -32,9 +32,9 @@
 				}
 			}
 			if random.IntN(40) == 0 {
-				round++
+				term++
 			}
-			next := &Table{Version: TableVersion{Term: Term{Number: round, Core: 1}, Number: uint64(step + 1)}, Complete: true}
+			next := &Table{Version: TableVersion{Term: Term{Number: term, Core: 1}, Number: uint64(step + 1)}, Complete: true}
 			for _, member := range members {
 				next.Members = append(next.Members, member)
 			}
@@ -51,27 +51,27 @@
 				}
 				delta, known := log.Since(followers[index].Version, table)
 				if !known {
-					whole++
+					fullTables++
 					followers[index] = table
 					continue
 				}
-				applied, fits := followers[index].Apply(delta)
-				if !fits || applied.Version != table.Version || !same(applied, table) {
-					test.Fatalf("seed %d step %d follower %d: %v, %+v want %+v", seed, step, index, fits, applied, table)
+				applied, matches := followers[index].Apply(delta)
+				if !matches || applied.Version != table.Version || !sameEntries(applied, table) {
+					test.Fatalf("seed %d step %d follower %d: %v, %+v want %+v", seed, step, index, matches, applied, table)
 				}
 				followers[index] = applied
 			}
 		}
-		if whole > 3 {
-			test.Errorf("seed %d: %d whole tables for %d followers", seed, whole, len(followers))
+		if fullTables > 3 {
+			test.Errorf("seed %d: %d whole tables for %d followers", seed, fullTables, len(followers))
 		}
-		if _, fits := (&Table{}).Apply(&TableDelta{Base: TableVersion{Number: 9}}); fits {
+		if _, matches := (&Table{}).Apply(&TableDelta{Base: TableVersion{Number: 9}}); matches {
 			test.Errorf("a delta of another table was laid in")
 		}
 	}
 }
 
-func same(left, right *Table) bool {
+func sameEntries(left, right *Table) bool {
 	return len(left.Members) == len(right.Members) && len(left.Backends) == len(right.Backends) &&
 		(len(left.Members) == 0 || reflect.DeepEqual(left.Members, right.Members)) && (len(left.Backends) == 0 || reflect.DeepEqual(left.Backends, right.Backends))
 }
@@ -100,7 +100,7 @@
 }
 
 // Cores number tables of no leader each for itself, so none is a ground for a delta.
-func TestNoDeltaFromNoLeader(test *testing.T) {
+func TestNoDeltaFromLeaderlessTable(test *testing.T) {
 	log := NewTableLog()
 	first := &Table{Version: TableVersion{Number: 1}, Members: []Member{{Name: "a"}}}
 	second := &Table{Version: TableVersion{Term: Term{Number: 1, Core: 1}, Number: 1}, Members: []Member{{Name: "a"}, {Name: "b"}}}
@@ -114,12 +114,12 @@
 // Only a backend that leaves and did not in the former list is newly leaving, whether the
 // former list had it or not.
 func TestNewlyLeavingCountsEachBackendOnce(test *testing.T) {
-	former := []Backend{{Name: "a"}, {Name: "b", Leaving: true}, {Name: "c"}, {Name: "gone", Leaving: true}}
-	next := []Backend{{Name: "a", Leaving: true}, {Name: "b", Leaving: true}, {Name: "c"}, {Name: "new", Leaving: true}}
-	if count := NewlyLeaving(former, next); count != 2 {
+	before := []Backend{{Name: "a"}, {Name: "b", Leaving: true}, {Name: "c"}, {Name: "gone", Leaving: true}}
+	after := []Backend{{Name: "a", Leaving: true}, {Name: "b", Leaving: true}, {Name: "c"}, {Name: "new", Leaving: true}}
+	if count := NewlyLeaving(before, after); count != 2 {
 		test.Errorf("%d newly leaving, want a and new", count)
 	}
-	if count := NewlyLeaving(next, next); count != 0 {
+	if count := NewlyLeaving(after, after); count != 0 {
 		test.Errorf("%d newly leaving in the same list", count)
 	}
 }
