--- a/rpc/client.go
+++ b/rpc/client.go
@@ -71,9 +71,9 @@
 func connectClient[Request, Response any](client *Client, url string) *connect.Client[Request, Response] {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
-	known, isKnown := client.clients[url].(*connect.Client[Request, Response])
-	if isKnown {
-		return known
+	cached, isCached := client.clients[url].(*connect.Client[Request, Response])
+	if isCached {
+		return cached
 	}
 	created := connect.NewClient[Request, Response](client.httpClient, url,
 		connect.WithCodec(Codec{}),
--- a/rpc/compression.go
+++ b/rpc/compression.go
@@ -26,8 +26,8 @@
 // compressor compresses one message after the other with the shared writer. It implements
 // connect.Compressor.
 type compressor struct {
-	target io.Writer
-	holds  bool // the shared writer
+	target      io.Writer
+	holdsWriter bool // the shared writer
 }
 
 func newCompressor() connect.Compressor { return &compressor{} }
@@ -37,9 +37,9 @@
 
 // Write adds to the message. The first call waits for the shared writer.
 func (compressor *compressor) Write(body []byte) (int, error) {
-	if !compressor.holds {
+	if !compressor.holdsWriter {
 		sharedWriter.mutex.Lock()
-		compressor.holds = true
+		compressor.holdsWriter = true
 		if sharedWriter.gzip == nil {
 			sharedWriter.gzip, _ = gzip.NewWriterLevel(nil, gzip.BestSpeed) // the level is a valid one
 		}
@@ -50,11 +50,11 @@
 
 // Close ends the message.
 func (compressor *compressor) Close() error {
-	if !compressor.holds {
+	if !compressor.holdsWriter {
 		return nil
 	}
 	defer sharedWriter.mutex.Unlock()
-	compressor.holds = false
+	compressor.holdsWriter = false
 	return sharedWriter.gzip.Close()
 }
 
--- a/rpc/compression_test.go
+++ b/rpc/compression_test.go
@@ -25,22 +25,22 @@
 
 // recorder notes the headers of the last call, and takes off what callers of a former
 // release do not send.
-type recorder struct {
-	inner        http.RoundTripper
-	isFormer     bool
+type headerRecorder struct {
+	transport    http.RoundTripper
+	isOldRelease bool
 	request      http.Header
 	responseSize int64
 	encoding     string
 	hasDate      bool
 }
 
-func (recorder *recorder) RoundTrip(request *http.Request) (*http.Response, error) {
-	if recorder.isFormer {
+func (recorder *headerRecorder) RoundTrip(request *http.Request) (*http.Response, error) {
+	if recorder.isOldRelease {
 		request.Header.Del("Accept-Encoding")
 		request.Header.Set("Accept-Encoding", "identity")
 	}
 	recorder.request = request.Header.Clone()
-	response, err := recorder.inner.RoundTrip(request)
+	response, err := recorder.transport.RoundTrip(request)
 	if err == nil {
 		recorder.responseSize = response.ContentLength
 		recorder.encoding = response.Header.Get("Content-Encoding")
@@ -56,20 +56,20 @@
 	Handle(server, testMethod, func(_ context.Context, request *testRequest) (*testResponse, error) {
 		return &testResponse{Body: bytes.Repeat([]byte("a backend in a zone;"), request.Size/20)}, nil
 	})
-	listening := httptest.NewServer(server)
-	defer listening.Close()
+	listener := httptest.NewServer(server)
+	defer listener.Close()
 	for _, step := range []struct {
-		name       string
-		isFormer   bool
-		size       int
-		compressed bool
+		name         string
+		isOldRelease bool
+		size         int
+		compressed   bool
 	}{
 		{"short", false, 200, false},
 		{"long", false, 40_000, true},
 		{"long, for a former release", true, 40_000, false},
 	} {
-		recorder := &recorder{inner: http.DefaultTransport, isFormer: step.isFormer}
-		address := strings.TrimPrefix(listening.URL, "http://")
+		recorder := &headerRecorder{transport: http.DefaultTransport, isOldRelease: step.isOldRelease}
+		address := strings.TrimPrefix(listener.URL, "http://")
 		response, err := Call(NewClient(recorder), address, testMethod, time.Second, &testRequest{Size: step.size})
 		if err != nil || len(response.Body) != step.size {
 			test.Fatalf("%s: %v", step.name, err)
@@ -88,7 +88,7 @@
 
 // Hundreds of callers that ask for a long response at once get it whole, and the compressors
 // together hold the memory of one.
-func TestManyCompressedResponsesAtOnce(test *testing.T) {
+func TestConcurrentCompressorsShareWriter(test *testing.T) {
 	const callers = 300
 	compressors := []*compressor{}
 	for range callers {
@@ -100,18 +100,18 @@
 	runtime.ReadMemStats(&before)
 	targets := make([]bytes.Buffer, callers)
 	var group sync.WaitGroup
-	for index, one := range compressors {
+	for index, compressor := range compressors {
 		group.Go(func() {
-			one.Reset(&targets[index])
+			compressor.Reset(&targets[index])
 			for part := range slices.Chunk(body, 7000) {
-				if _, err := one.Write(part); err != nil {
+				if _, err := compressor.Write(part); err != nil {
 					test.Error(err)
 				}
 			}
-			if err := one.Close(); err != nil {
+			if err := compressor.Close(); err != nil {
 				test.Error(err)
 			}
-			one.Reset(io.Discard)
+			compressor.Reset(io.Discard)
 		})
 	}
 	group.Wait()
--- a/rpc/error.go
+++ b/rpc/error.go
@@ -204,19 +204,19 @@
 	case UnknownMessage:
 		code = connect.CodeUnimplemented
 	}
-	packed := connect.NewError(code, err)
-	if body, failed := Marshal(err); failed == nil {
-		packed.Meta().Set(errorHeader, connect.EncodeBinaryHeader(body))
+	connectErr := connect.NewError(code, err)
+	if body, marshalErr := Marshal(err); marshalErr == nil {
+		connectErr.Meta().Set(errorHeader, connect.EncodeBinaryHeader(body))
 	}
-	return packed
+	return connectErr
 }
 
 func fromConnect(err error) error {
 	if remote := remoteError(err); remote != nil {
 		return remote
 	}
-	var dialed *net.OpError
-	if errors.As(err, &dialed) && dialed.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return &Error{Code: ConnectFailed, Message: err.Error(), cause: err}
 	}
 	if connect.CodeOf(err) == connect.CodeUnimplemented {
@@ -227,11 +227,11 @@
 
 // remoteError returns the Error that the other process answered with, nil if none came.
 func remoteError(err error) *Error {
-	var packed *connect.Error
-	if !errors.As(err, &packed) {
+	var connectErr *connect.Error
+	if !errors.As(err, &connectErr) {
 		return nil
 	}
-	header := packed.Meta().Get(errorHeader)
+	header := connectErr.Meta().Get(errorHeader)
 	if header == "" {
 		return nil
 	}
--- a/rpc/server.go
+++ b/rpc/server.go
@@ -42,10 +42,10 @@
 	request.Body = http.MaxBytesReader(writer, request.Body, maxMessageBytes+1)
 	writer.Header()["Date"] = nil // not sent: calls are many, and nobody reads it
 	if limit := server.limits[request.URL.Path]; limit != nil {
-		if !limit.enter(request) {
+		if !limit.acquire(request) {
 			return
 		}
-		defer limit.leave()
+		defer limit.release()
 	}
 	server.mux.ServeHTTP(writer, request)
 }
@@ -55,13 +55,13 @@
 func Handle[Request, Response any](
 	server *Server,
 	method Method[Request, Response],
-	answer func(context.Context, *Request) (*Response, error),
+	handle func(context.Context, *Request) (*Response, error),
 ) {
 	path := method.path()
 	server.paths[path] = true
 	handler := connect.NewUnaryHandler(path,
 		func(ctx context.Context, request *connect.Request[Request]) (*connect.Response[Response], error) {
-			response, err := answer(ctx, request.Msg)
+			response, err := handle(ctx, request.Msg)
 			if err != nil {
 				return nil, AsError(err).toConnect()
 			}
@@ -71,14 +71,14 @@
 		connect.WithReadMaxBytes(maxMessageBytes),
 		connect.WithCompression(compressionName, newDecompressor, newCompressor),
 		connect.WithCompressMinBytes(minCompressedBytes),
-		connect.WithRecover(server.recovered))
+		connect.WithRecover(server.convertPanic))
 	server.mux.Handle(path, handler)
 }
 
 // recovered turns a handler's panic into an error for the caller.
-func (server *Server) recovered(_ context.Context, _ connect.Spec, _ http.Header, cause any) error {
+func (server *Server) convertPanic(_ context.Context, _ connect.Spec, _ http.Header, value any) error {
 	server.counters.Add("wire_handler_panic", 1)
-	return AsError(Errorf(BadMessage, "handler: %v", cause)).toConnect()
+	return AsError(Errorf(BadMessage, "handler: %v", value)).toConnect()
 }
 
 // countingCodec counts messages that can't be decoded.
