--- a/concurrent/concurrent_test.go
+++ b/concurrent/concurrent_test.go
@@ -36,7 +36,7 @@
 }
 
 // A sleep lasts as long as it says, and ends at once when the group is stopped.
-func TestSleepEndsWhenTheGroupStops(test *testing.T) {
+func TestSleepEndsOnStop(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		group := NewGroup()
 		begin := time.Now()
@@ -67,7 +67,7 @@
 
 // A waiter is woken by a notification that comes between its look at the count and its
 // wait, and gives up after its time-out.
-func TestConditionLosesNoNotification(test *testing.T) {
+func TestConditionMissesNoNotification(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		condition := NewCondition()
 		seen := condition.Count()
@@ -83,7 +83,7 @@
 }
 
 // Gather returns as soon as it has enough, and all results and errors otherwise.
-func TestGatherReturnsWhenItHasEnough(test *testing.T) {
+func TestGatherReturnsOnEnoughResults(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		group := NewGroup()
 		failure := errors.New("the odd ones fail")
@@ -108,24 +108,24 @@
 }
 
 // A lock is held by one goroutine at a time, also while that sleeps.
-func TestLockIsHeldOverWaits(test *testing.T) {
+func TestLockExcludesWhileHolderSleeps(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		group, lock := NewGroup(), NewLock()
-		holders, most := 0, 0
+		holders, maxHolders := 0, 0
 		begin := time.Now()
 		for range 3 {
 			group.Start(func() {
 				lock.Lock()
 				defer lock.Unlock()
 				holders++
-				most = max(most, holders)
+				maxHolders = max(maxHolders, holders)
 				time.Sleep(time.Second)
 				holders--
 			})
 		}
 		group.Wait()
-		if most != 1 || time.Since(begin) != 3*time.Second {
-			test.Errorf("%d holders at once, %v in all", most, time.Since(begin))
+		if maxHolders != 1 || time.Since(begin) != 3*time.Second {
+			test.Errorf("%d holders at once, %v in all", maxHolders, time.Since(begin))
 		}
 	})
 }
--- a/concurrent/condition.go
+++ b/concurrent/condition.go
@@ -9,14 +9,14 @@
 // the wait for the next one. It is safe for concurrent use.
 type Condition struct {
 	mutex sync.Mutex
-	wake  *sync.Cond
+	cond  *sync.Cond
 	count uint64
 }
 
 // NewCondition returns a Condition whose count is zero.
 func NewCondition() *Condition {
 	condition := &Condition{}
-	condition.wake = sync.NewCond(&condition.mutex)
+	condition.cond = sync.NewCond(&condition.mutex)
 	return condition
 }
 
@@ -24,7 +24,7 @@
 func (condition *Condition) Notify() {
 	condition.mutex.Lock()
 	condition.count++
-	condition.wake.Broadcast()
+	condition.cond.Broadcast()
 	condition.mutex.Unlock()
 }
 
@@ -50,13 +50,13 @@
 		if !time.Now().Before(deadline) {
 			return false
 		}
-		condition.wake.Wait()
+		condition.cond.Wait()
 	}
 	return true
 }
 
 func (condition *Condition) broadcast() {
 	condition.mutex.Lock()
-	condition.wake.Broadcast()
+	condition.cond.Broadcast()
 	condition.mutex.Unlock()
 }
--- a/concurrent/gather.go
+++ b/concurrent/gather.go
@@ -14,42 +14,42 @@
 	call func(index int) (T, error),
 	enough func(results map[int]T, errs map[int]error) bool,
 ) (map[int]T, map[int]error) {
-	gathering := &gathering[T]{results: map[int]T{}, errs: map[int]error{}}
-	gathering.wake = sync.NewCond(&gathering.mutex)
+	state := &gatherState[T]{results: map[int]T{}, errs: map[int]error{}}
+	state.cond = sync.NewCond(&state.mutex)
 	for index := range count {
 		group.Start(func() {
 			result, err := call(index)
-			gathering.add(index, result, err)
+			state.add(index, result, err)
 		})
 	}
-	return gathering.wait(count, enough)
+	return state.wait(count, enough)
 }
 
 // gathering is what the calls of one Gather have returned so far.
-type gathering[T any] struct {
+type gatherState[T any] struct {
 	mutex   sync.Mutex
-	wake    *sync.Cond
+	cond    *sync.Cond
 	results map[int]T
 	errs    map[int]error
 }
 
-func (gathering *gathering[T]) add(index int, result T, err error) {
-	gathering.mutex.Lock()
-	defer gathering.mutex.Unlock()
+func (state *gatherState[T]) add(index int, result T, err error) {
+	state.mutex.Lock()
+	defer state.mutex.Unlock()
 	if err != nil {
-		gathering.errs[index] = err
+		state.errs[index] = err
 	} else {
-		gathering.results[index] = result
+		state.results[index] = result
 	}
-	gathering.wake.Broadcast()
+	state.cond.Broadcast()
 }
 
 // wait returns copies, since calls still under way go on adding.
-func (gathering *gathering[T]) wait(count int, enough func(map[int]T, map[int]error) bool) (map[int]T, map[int]error) {
-	gathering.mutex.Lock()
-	defer gathering.mutex.Unlock()
-	for len(gathering.results)+len(gathering.errs) < count && !enough(gathering.results, gathering.errs) {
-		gathering.wake.Wait()
+func (state *gatherState[T]) wait(count int, enough func(map[int]T, map[int]error) bool) (map[int]T, map[int]error) {
+	state.mutex.Lock()
+	defer state.mutex.Unlock()
+	for len(state.results)+len(state.errs) < count && !enough(state.results, state.errs) {
+		state.cond.Wait()
 	}
-	return maps.Clone(gathering.results), maps.Clone(gathering.errs)
+	return maps.Clone(state.results), maps.Clone(state.errs)
 }
--- a/concurrent/group.go
+++ b/concurrent/group.go
@@ -17,7 +17,7 @@
 // together. It is safe for concurrent use.
 type Group struct {
 	mutex    sync.Mutex
-	wake     *sync.Cond
+	cond     *sync.Cond
 	running  int
 	stopping bool
 	hooks    []func()
@@ -26,7 +26,7 @@
 // NewGroup returns a Group that runs nothing yet.
 func NewGroup() *Group {
 	group := &Group{}
-	group.wake = sync.NewCond(&group.mutex)
+	group.cond = sync.NewCond(&group.mutex)
 	return group
 }
 
@@ -44,7 +44,7 @@
 func (group *Group) done() {
 	group.mutex.Lock()
 	group.running--
-	group.wake.Broadcast()
+	group.cond.Broadcast()
 	group.mutex.Unlock()
 }
 
@@ -92,7 +92,7 @@
 	group.stopping = true
 	hooks := group.hooks
 	group.hooks = nil
-	group.wake.Broadcast()
+	group.cond.Broadcast()
 	group.mutex.Unlock()
 	for _, hook := range hooks {
 		hook()
@@ -103,7 +103,7 @@
 func (group *Group) Wait() {
 	group.mutex.Lock()
 	for group.running > 0 {
-		group.wake.Wait()
+		group.cond.Wait()
 	}
 	group.mutex.Unlock()
 }
@@ -120,13 +120,13 @@
 	group.mutex.Lock()
 	defer group.mutex.Unlock()
 	for !group.stopping && time.Now().Before(deadline) {
-		group.wake.Wait()
+		group.cond.Wait()
 	}
 	return !group.stopping
 }
 
 func (group *Group) broadcast() {
 	group.mutex.Lock()
-	group.wake.Broadcast()
+	group.cond.Broadcast()
 	group.mutex.Unlock()
 }
--- a/concurrent/lock.go
+++ b/concurrent/lock.go
@@ -6,14 +6,14 @@
 // on a condition, not on a sync.Mutex, so that the virtual time of tests can advance.
 type Lock struct {
 	mutex  sync.Mutex
-	wake   *sync.Cond
+	cond   *sync.Cond
 	locked bool
 }
 
 // NewLock returns an unlocked Lock.
 func NewLock() *Lock {
 	lock := &Lock{}
-	lock.wake = sync.NewCond(&lock.mutex)
+	lock.cond = sync.NewCond(&lock.mutex)
 	return lock
 }
 
@@ -21,7 +21,7 @@
 func (lock *Lock) Lock() {
 	lock.mutex.Lock()
 	for lock.locked {
-		lock.wake.Wait()
+		lock.cond.Wait()
 	}
 	lock.locked = true
 	lock.mutex.Unlock()
@@ -31,6 +31,6 @@
 func (lock *Lock) Unlock() {
 	lock.mutex.Lock()
 	lock.locked = false
-	lock.wake.Signal()
+	lock.cond.Signal()
 	lock.mutex.Unlock()
 }
--- a/concurrent/queue.go
+++ b/concurrent/queue.go
@@ -6,7 +6,7 @@
 // out in batches.
 type Queue[T any] struct {
 	mutex  sync.Mutex
-	wake   *sync.Cond
+	cond   *sync.Cond
 	items  []T
 	first  int
 	count  int
@@ -16,7 +16,7 @@
 // NewQueue returns a Queue that holds at most capacity items.
 func NewQueue[T any](capacity int) *Queue[T] {
 	queue := &Queue[T]{items: make([]T, capacity)}
-	queue.wake = sync.NewCond(&queue.mutex)
+	queue.cond = sync.NewCond(&queue.mutex)
 	return queue
 }
 
@@ -30,7 +30,7 @@
 	}
 	queue.items[(queue.first+queue.count)%len(queue.items)] = item
 	queue.count++
-	queue.wake.Signal()
+	queue.cond.Signal()
 	return true
 }
 
@@ -40,7 +40,7 @@
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
 	for queue.count == 0 && !queue.closed {
-		queue.wake.Wait()
+		queue.cond.Wait()
 	}
 	if queue.closed {
 		return nil
@@ -54,9 +54,9 @@
 
 // pop removes the first item; the caller holds the mutex and knows that there is one.
 func (queue *Queue[T]) pop() T {
-	var none T
+	var zero T
 	item := queue.items[queue.first]
-	queue.items[queue.first] = none
+	queue.items[queue.first] = zero
 	queue.first = (queue.first + 1) % len(queue.items)
 	queue.count--
 	return item
@@ -66,6 +66,6 @@
 func (queue *Queue[T]) Close() {
 	queue.mutex.Lock()
 	queue.closed = true
-	queue.wake.Broadcast()
+	queue.cond.Broadcast()
 	queue.mutex.Unlock()
 }
