--- a/metrics/counters.go
+++ b/metrics/counters.go
@@ -23,12 +23,12 @@
 	namePrefix    = "orchidjunction_"
 	counterSuffix = "_total"
 	// contentType is that of the text format.
-	contentType = "text/plain; version=0.0.4; charset=utf-8"
+	textContentType = "text/plain; version=0.0.4; charset=utf-8"
 )
 
 // buckets are the upper bounds of histograms, in seconds. The third is the aim for the time
 // that a proxy adds.
-var buckets = []float64{0.0005, 0.001, 0.0015, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10}
+var durationBuckets = []float64{0.0005, 0.001, 0.0015, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10}
 
 // Counters is a set of named figures; each counter is created at its first use. It is safe
 // for concurrent use.
@@ -51,26 +51,26 @@
 // counter returns the counter of a name.
 func (counters *Counters) counter(name string) *vm.Counter {
 	counters.mutex.RLock()
-	known := counters.values[name]
+	counter := counters.values[name]
 	counters.mutex.RUnlock()
-	if known != nil {
-		return known
+	if counter != nil {
+		return counter
 	}
 	counters.mutex.Lock()
 	defer counters.mutex.Unlock()
-	if known = counters.values[name]; known == nil {
-		known = counters.set.GetOrCreateCounter(textName(name) + counterSuffix)
-		counters.values[name] = known
+	if counter = counters.values[name]; counter == nil {
+		counter = counters.set.GetOrCreateCounter(metricName(name) + counterSuffix)
+		counters.values[name] = counter
 	}
-	return known
+	return counter
 }
 
 // Get returns a counter's value, 0 if it was never used.
 func (counters *Counters) Get(name string) uint64 {
 	counters.mutex.RLock()
 	defer counters.mutex.RUnlock()
-	if known := counters.values[name]; known != nil {
-		return known.Get()
+	if counter := counters.values[name]; counter != nil {
+		return counter.Get()
 	}
 	return 0
 }
@@ -80,8 +80,8 @@
 	counters.mutex.RLock()
 	defer counters.mutex.RUnlock()
 	values := make(map[string]uint64, len(counters.values))
-	for name, known := range counters.values {
-		values[name] = known.Get()
+	for name, counter := range counters.values {
+		values[name] = counter.Get()
 	}
 	return values
 }
@@ -94,8 +94,8 @@
 // Gauge adds a figure that is read when the text is written. It replaces one of the same
 // name.
 func (counters *Counters) Gauge(name string, value func() float64) {
-	counters.set.UnregisterMetric(textName(name))
-	counters.set.NewGauge(textName(name), value)
+	counters.set.UnregisterMetric(metricName(name))
+	counters.set.NewGauge(metricName(name), value)
 }
 
 // Label is a name and a value that tell histograms of one name apart.
@@ -112,27 +112,29 @@
 	for _, label := range labels {
 		pairs = append(pairs, fmt.Sprintf("%s=%q", label.Name, label.Value))
 	}
-	full := textName(name)
+	fullName := metricName(name)
 	if len(pairs) > 0 {
-		full += "{" + strings.Join(pairs, ",") + "}"
+		fullName += "{" + strings.Join(pairs, ",") + "}"
 	}
-	return &Histogram{inner: counters.set.GetOrCreatePrometheusHistogramExt(full, buckets)}
+	return &Histogram{inner: counters.set.GetOrCreatePrometheusHistogramExt(fullName, durationBuckets)}
 }
 
 // Observe counts a duration.
-func (histogram *Histogram) Observe(took time.Duration) { histogram.inner.Update(took.Seconds()) }
+func (histogram *Histogram) Observe(duration time.Duration) {
+	histogram.inner.Update(duration.Seconds())
+}
 
 // WriteText writes all figures in Prometheus' exposition format.
 func (counters *Counters) WriteText(writer io.Writer) { counters.set.WritePrometheus(writer) }
 
 // ServeHTTP answers with the text of all figures.
 func (counters *Counters) ServeHTTP(writer http.ResponseWriter, _ *http.Request) {
-	writer.Header().Set("Content-Type", contentType)
+	writer.Header().Set("Content-Type", textContentType)
 	counters.WriteText(writer)
 }
 
 // textName returns a name as the text format allows it.
-func textName(name string) string {
+func metricName(name string) string {
 	return namePrefix + strings.Map(func(letter rune) rune {
 		switch {
 		case letter >= 'a' && letter <= 'z', letter >= '0' && letter <= '9', letter == '_':
--- a/metrics/counters_test.go
+++ b/metrics/counters_test.go
@@ -11,10 +11,12 @@
 )
 
 // line is one sample or comment of the text format, as its specification has it.
-var line = regexp.MustCompile(`^(#.*|[a-z_][a-z0-9_]*(\{([a-z_]+="[^"]*",?)+\})? -?[0-9.e+-]+|[a-z_][a-z0-9_]*\{.*le="\+Inf"\} [0-9]+)$`)
+var samplePattern = regexp.MustCompile(
+	`^(#.*|[a-z_][a-z0-9_]*(\{([a-z_]+="[^"]*",?)+\})? -?[0-9.e+-]+|[a-z_][a-z0-9_]*\{.*le="\+Inf"\} [0-9]+)$`,
+)
 
 // The text holds every figure under its name; a counter answers to its former name as well.
-func TestFiguresAsText(test *testing.T) {
+func TestPrometheusText(test *testing.T) {
 	counters := NewCounters()
 	counters.Add("requests", 3)
 	counters.Add("refused_no-backend", 1)
@@ -40,12 +42,12 @@
 		}
 	}
 	for sample := range strings.SplitSeq(strings.TrimSpace(text), "\n") {
-		if !line.MatchString(sample) {
+		if !samplePattern.MatchString(sample) {
 			test.Errorf("not in the text format: %q", sample)
 		}
 	}
-	if kind := recorder.Header().Get("Content-Type"); !strings.HasPrefix(kind, "text/plain; version=0.0.4") {
-		test.Errorf("content type %q", kind)
+	if contentType := recorder.Header().Get("Content-Type"); !strings.HasPrefix(contentType, "text/plain; version=0.0.4") {
+		test.Errorf("content type %q", contentType)
 	}
 	if counters.Get("requests") != 3 || counters.Get("unused") != 0 || len(counters.All()) != 2 {
 		test.Errorf("counters %v", counters.All())
@@ -53,7 +55,7 @@
 }
 
 // Counters that many goroutines use for the first time at once lose nothing.
-func TestCountersAtOnce(test *testing.T) {
+func TestConcurrentCounters(test *testing.T) {
 	counters := NewCounters()
 	var group sync.WaitGroup
 	for range 8 {
