--- a/agent/config.go
+++ b/agent/config.go
@@ -8,35 +8,35 @@
 
 const maxSeeds = 3
 
-// Config is what a daemon learns of itself from its flags or its settings file.
-// Addresses have the form IP:port.
+// Config is a daemon's configuration from its flags or settings file. Addresses have the form
+// IP:port.
 type Config struct {
 	Name            string
 	Kind            string // message.ProxyKind or message.DirectoryKind
 	Zone            string
-	InternalAddress string // for other processes
-	PublicAddress   string // for callers
+	InternalAddress string // for calls from other processes
+	PublicAddress   string // for callers' requests
 	OperatorAddress string
-	Seeds           []string // the internal addresses of one to three cores
-	Guest           bool     // serves another partner with capacity that it is lent
+	Seeds           []string // internal addresses of one to three cores
+	Guest           bool     // serves another partner with lent capacity
 
 	Intervals     Intervals
 	ForwardLimits ForwardLimits
-	// DirectSessions says that this daemon holds its session with the leader itself, and
-	// waits for updates there.
+	// DirectSessions makes the daemon hold its session with the leader, and watch it for
+	// updates, rather than with any core and through the relay tree.
 	DirectSessions bool
-	// ServesAlone says that this daemon goes on serving while it reaches no core.
+	// ServesAlone lets the daemon continue to serve while no core is reachable.
 	ServesAlone bool
-	// Routed says that this daemon serves by the routing, not by the settings.
+	// Routed makes the daemon serve by the routing instead of the settings.
 	Routed bool
 	// Wall returns the wall clock in milliseconds since the Unix epoch.
 	Wall func() int64
 }
 
-// Check returns BadFlag if the config can't work; its message names the flag.
+// Check returns a BadFlag error that names the flag if the config is invalid.
 func (config *Config) Check() error {
 	if config.Name == "" || config.Zone == "" {
-		return rpc.Errorf(rpc.BadFlag, "--name and --zone must be given")
+		return rpc.Errorf(rpc.BadFlag, "--name and --zone are required")
 	}
 	if len(config.Seeds) == 0 || len(config.Seeds) > maxSeeds {
 		return rpc.Errorf(rpc.BadFlag, "--seed: %d seeds, want one to three", len(config.Seeds))
--- a/agent/connectivity.go
+++ b/agent/connectivity.go
@@ -15,16 +15,16 @@
 
 const (
 	peerTimeout = 250 * time.Millisecond
-	// coresSilentAfter is how long no core is reached until other daemons are asked.
+	// coreSilenceTimeout is the time without core contact after which proxies are queried.
 	coreSilenceTimeout = 600 * time.Millisecond
-	// cutAfter is how long neither a core nor half of the proxies are reached until this
-	// daemon takes itself for cut off.
+	// partitionTimeout is the time without contact to a core or to half of the proxies after
+	// which the daemon considers itself partitioned.
 	partitionTimeout = 2 * time.Second
 )
 
-// connectivity is when this daemon last reached a core that follows a leader, and when at
-// least half of its table's proxies. Times are those of the questions, so that answers to
-// old ones count for nothing new. It is safe for concurrent use.
+// connectivity records the last contact with a core that follows a leader, and with at least
+// half of the proxies in the table. Contact times are those at which the requests were sent,
+// so that late responses do not count as recent contact. It is safe for concurrent use.
 type connectivity struct {
 	mutex           sync.Mutex
 	lastCoreContact time.Time
@@ -44,30 +44,30 @@
 	connectivity.mutex.Unlock()
 }
 
-// isCut reports whether this daemon reached neither for too long.
+// isPartitioned reports whether both contacts are older than partitionTimeout.
 func (connectivity *connectivity) isPartitioned() bool {
 	connectivity.mutex.Lock()
 	defer connectivity.mutex.Unlock()
 	return time.Since(connectivity.lastCoreContact) > partitionTimeout && time.Since(connectivity.lastPeerContact) > partitionTimeout
 }
 
-// coresSilent reports whether no core was reached lately.
+// coresUnreachable reports whether the last core contact is older than coreSilenceTimeout.
 func (connectivity *connectivity) coresUnreachable() bool {
 	connectivity.mutex.Lock()
 	defer connectivity.mutex.Unlock()
 	return time.Since(connectivity.lastCoreContact) > coreSilenceTimeout
 }
 
-// coreContactAge returns how long ago the newest heartbeat was sent that a core answered
-// which follows a leader.
+// coreContactAge returns the time since sending the newest heartbeat that was answered by a
+// core that follows a leader.
 func (connectivity *connectivity) coreContactAge() time.Duration {
 	connectivity.mutex.Lock()
 	defer connectivity.mutex.Unlock()
 	return time.Since(connectivity.lastCoreContact)
 }
 
-// cutChanged returns whether this daemon is cut off, and whether that has changed since
-// the last call.
+// partitionChanged returns whether the daemon is partitioned, and whether that has changed
+// since the last call.
 func (connectivity *connectivity) partitionChanged() (isPartitioned, changed bool) {
 	isPartitioned = connectivity.isPartitioned()
 	connectivity.mutex.Lock()
@@ -77,12 +77,12 @@
 	return isPartitioned, changed
 }
 
-// checkReach asks the other proxies while no core is reached. A daemon that was cut off
-// serves again only on a newly confirmed serial: the leader's or, while no core is
-// reached, the newest that half of the proxies know.
+// checkReachability queries the other proxies while no core is reachable. After a partition
+// the daemon serves again only with a newly confirmed serial: the leader's or, while no core
+// is reachable, the newest that half of the proxies know.
 func (daemon *Daemon) checkReachability() {
 	if isPartitioned, changed := daemon.connectivity.partitionChanged(); changed {
-		klog.Infof("%s: partitioned from the cores: %v", daemon.config.Name, isPartitioned)
+		klog.Infof("%s: partitioned from cores and proxies: %v", daemon.config.Name, isPartitioned)
 		if isPartitioned {
 			daemon.counters.Add("cut_off", 1)
 			daemon.requireConfirmation()
@@ -109,10 +109,9 @@
 	}
 }
 
-// askHalfOfProxies asks other proxies in random order until half of them, this daemon
-// included if it is one, are reached. It returns the newest serial that they know, the
-// address of one that holds it (empty if none is newer than here), and whether half of
-// them were reached.
+// queryHalfOfProxies queries the other proxies in random order until half of all proxies have
+// responded, counting this daemon if it is one. It returns the newest serial, the address of
+// a proxy that has it (empty if this daemon's is the newest), and whether half responded.
 func (daemon *Daemon) queryHalfOfProxies() (newest uint64, source string, reachedHalf bool) {
 	proxies, others := daemon.proxies()
 	shuffle(others)
@@ -132,7 +131,7 @@
 	return newest, source, reached >= half
 }
 
-// proxies returns how many proxies the table has, and those but this daemon.
+// proxies returns the number of proxies in the table, and the proxies other than this daemon.
 func (daemon *Daemon) proxies() (count int, others []message.Member) {
 	for _, member := range daemon.Version().Table.Members {
 		if member.Kind != message.ProxyKind {
@@ -146,7 +145,7 @@
 	return count, others
 }
 
-// askLeaders asks daemons for the leader and returns the responses by position.
+// queryLeaders queries daemons for the leader and returns the responses by index in members.
 func (daemon *Daemon) queryLeaders(members []message.Member) map[int]*message.LeaderResponse {
 	responses, _ := concurrent.Gather(daemon.goroutines, len(members), func(index int) (*message.LeaderResponse, error) {
 		return rpc.Call(daemon.client, members[index].InternalAddress, message.MethodLeader, peerTimeout, &message.LeaderRequest{})
--- a/agent/core_choice.go
+++ b/agent/core_choice.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// askPeersInterval is how often other daemons are asked which cores vote, while no
-	// core is reached.
+	// peerQueryInterval is how often other daemons are queried for the voters while no core
+	// is reachable.
 	peerQueryInterval = time.Second
-	// maxAskedPeers is how many are asked at once.
+	// maxQueriedPeers is the number of daemons queried at a time.
 	maxQueriedPeers = 3
 )
 
-// sessionCore returns the core to hold the session with: the leader, with direct sessions,
-// and else the one that it was held with as long as that votes and answers.
+// sessionCore returns the core for the session: with direct sessions preferably the leader,
+// otherwise the previous core as long as it is a voter and responds.
 func (daemon *Daemon) sessionCore() string {
 	if daemon.config.DirectSessions {
 		return daemon.chooseCore()
@@ -26,8 +26,8 @@
 	return daemon.nextCore()
 }
 
-// chooseCore returns the leader, unless it is unknown or has failed lately; then it returns
-// another core, one after the other. A new leadership is tried whatever its core did before.
+// chooseCore returns the leader or, if that is unknown or has failed recently, another core.
+// The leader of a new term is tried even if its core has failed recently.
 func (daemon *Daemon) chooseCore() string {
 	leader := daemon.LeaderFinder.Leader()
 	daemon.mutex.Lock()
@@ -42,14 +42,15 @@
 	return daemon.nextCore()
 }
 
-// failedLately reports whether a core or parent failed lately. The caller holds the mutex.
+// failedLately reports whether a core or parent failed within failedCoreTimeout. The caller
+// holds the mutex.
 func (daemon *Daemon) failedLately(address string) bool {
 	return time.Since(daemon.failedAt[address]) <= failedCoreTimeout
 }
 
-// nextCore returns the core that was chosen last if it votes and did not fail lately, and
-// else the next voter. A seed without a vote is chosen only while all voters failed
-// lately: what is reported to it may reach nobody. The caller holds the mutex.
+// nextCore returns the last chosen core if it is a voter and has not failed recently, or else
+// the next voter. A seed that is not a voter is chosen only if all voters have failed
+// recently, since its reports may never reach the leader. The caller holds the mutex.
 func (daemon *Daemon) nextCore() string {
 	voters, others := daemon.LeaderFinder.Voters()
 	begin := max(slices.Index(voters, daemon.lastCore), 0)
@@ -68,8 +69,8 @@
 	return chosen
 }
 
-// shouldAskPeers reports whether to ask other daemons now which cores vote: no core is
-// reached, and all that this one knows may have been replaced while it was cut off.
+// shouldQueryPeers reports whether to query other daemons for the voters now. While no core is
+// reachable, all known cores may have been replaced.
 func (daemon *Daemon) shouldQueryPeers() bool {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
@@ -80,7 +81,7 @@
 	return isDue
 }
 
-// askPeers asks some other daemons which cores vote.
+// queryPeers queries some other daemons for the voters.
 func (daemon *Daemon) queryPeers() {
 	others := []message.Member{}
 	for _, member := range daemon.Version().Table.Members {
--- a/agent/core_choice_test.go
+++ b/agent/core_choice_test.go
@@ -14,13 +14,13 @@
 	"orchidjunction/rpc"
 )
 
-// doors is a net without sockets: each host has a door or is dead.
+// fakeNetwork is a transport without sockets. Connections to hosts without a server fail.
 type fakeNetwork map[string]*rpc.Server
 
 func (network fakeNetwork) RoundTrip(request *http.Request) (*http.Response, error) {
 	server := network[request.URL.Host]
 	if server == nil {
-		return nil, rpc.Errorf(rpc.ConnectFailed, "%s is dead", request.URL.Host)
+		return nil, rpc.Errorf(rpc.ConnectFailed, "no server at %s", request.URL.Host)
 	}
 	recorder := httptest.NewRecorder()
 	server.ServeHTTP(recorder, request)
@@ -54,7 +54,8 @@
 	return NewDaemon(config, "i1", rpc.NewClient(network), concurrent.NewGroup(), metrics.NewCounters())
 }
 
-// saysMembers opens a core's door: it knows a membership, and a leader or none.
+// addCore adds a core that answers sessions with the given membership and leader, and counts
+// them in sessions.
 func (network fakeNetwork) addCore(id int, version message.Version, cores []string, leader message.Leader, sessions map[string]int) {
 	server := rpc.NewServer(metrics.NewCounters())
 	rpc.Handle(server, message.MethodSession, func(context.Context, *message.Session) (*message.SessionResponse, error) {
@@ -64,8 +65,8 @@
 	network[coreAddress(id)] = server
 }
 
-// A session is kept at a voter, whatever order the cores' list comes in: a seed that
-// lost its vote may answer as if all were well, and what it is told reaches nobody.
+// The session stays with a voter regardless of the order of the cores. A seed that has lost its
+// vote may still respond, but what is reported to it reaches no leader.
 func TestSessionStaysWithVoter(test *testing.T) {
 	network, sessions := fakeNetwork{}, map[string]int{}
 	leader := message.Leader{Term: message.Term{Number: 9, Core: 5}, Core: 5, Address: coreAddress(5)}
@@ -79,7 +80,7 @@
 		daemon.renewSession()
 	}
 	if sessions[coreAddress(3)] != 1 {
-		test.Fatalf("the only seed that lives was not asked once: %v", sessions)
+		test.Fatalf("sessions %v, want one with the only reachable seed", sessions)
 	}
 	for round := range 12 {
 		daemon.mutex.Lock()
@@ -88,21 +89,25 @@
 		daemon.renewSession()
 	}
 	if sessions[coreAddress(3)] != 1 || daemon.counters.Get("sessions_failed") != 2 {
-		test.Errorf("kept at a core without a vote, or asked dead seeds: %v, %d failed", sessions, daemon.counters.Get("sessions_failed"))
+		test.Errorf(
+			"sessions %v with %d failures, want 1 with the non-voter and 2 failures",
+			sessions,
+			daemon.counters.Get("sessions_failed"),
+		)
 	}
 	core := daemon.lastCore
 	daemon.LeaderFinder.ObserveMembership(membershipVersion(9, 9), coreAddresses(7, 6, 5, 4))
 	if daemon.renewSession(); daemon.lastCore != core {
-		test.Errorf("the session moved from %s to %s though the core votes on", core, daemon.lastCore)
+		test.Errorf("session moved from %s to %s although the core is still a voter", core, daemon.lastCore)
 	}
 	daemon.LeaderFinder.ObserveMembership(membershipVersion(9, 11), coreAddresses(1, 2, 8))
 	if daemon.sessionCore() == core {
-		test.Error("the session stays at a core that votes no more")
+		test.Error("session stays with a core that is no longer a voter")
 	}
 }
 
-// A removed core that returns knows an older membership and an older leader; neither
-// replaces what a daemon knows.
+// A removed core that returns reports an older membership and an older leader. Neither
+// replaces newer ones.
 func TestOlderMembershipAndLeaderAreIgnored(test *testing.T) {
 	network, sessions := fakeNetwork{}, map[string]int{}
 	leader := message.Leader{Term: message.Term{Number: 9, Core: 5}, Core: 5, Address: coreAddress(5)}
@@ -112,7 +117,7 @@
 	daemon := newTestDaemon(network, coreAddresses(1, 2, 3))
 	daemon.renewSession()
 	if daemon.LeaderFinder.Leader() != former {
-		test.Fatalf("the first that answers is %v", daemon.LeaderFinder.Leader())
+		test.Fatalf("leader %v, want the one reported by the first responding core", daemon.LeaderFinder.Leader())
 	}
 	daemon.LeaderFinder.ObserveMembership(membershipVersion(9, 7), coreAddresses(4, 5, 6))
 	for range 4 {
@@ -124,12 +129,12 @@
 	daemon.LeaderFinder.ObserveMembership(membershipVersion(3, 1), coreAddresses(1, 2, 3))
 	daemon.LeaderFinder.Observe(former)
 	if voters, _ := daemon.LeaderFinder.Voters(); daemon.LeaderFinder.Leader() != leader || voters[0] != coreAddress(4) {
-		test.Errorf("misled: leader %v, voters %v", daemon.LeaderFinder.Leader(), voters)
+		test.Errorf("older state accepted: leader %v, voters %v", daemon.LeaderFinder.Leader(), voters)
 	}
 }
 
-// A daemon that was cut off while all cores that it knows were replaced learns of the
-// new ones from another daemon.
+// A daemon that was partitioned while all cores it knows were replaced learns the new voters
+// from another daemon.
 func TestDaemonLearnsVotersFromPeer(test *testing.T) {
 	network := fakeNetwork{}
 	peer := newTestDaemon(network, coreAddresses(1, 2, 3))
@@ -151,11 +156,11 @@
 	)
 	daemon.connectivity.recordCoreContact(time.Now())
 	if daemon.shouldQueryPeers() {
-		test.Error("asks while a core is reached")
+		test.Error("queries peers while a core is reachable")
 	}
 	daemon.connectivity.recordCoreContact(time.Now().Add(-time.Minute))
 	if !daemon.shouldQueryPeers() || daemon.shouldQueryPeers() {
-		test.Error("does not ask, or asks twice at once")
+		test.Error("does not query peers, or queries them twice within the interval")
 	}
 	daemon.queryPeers()
 	voters, others := daemon.LeaderFinder.Voters()
@@ -164,8 +169,8 @@
 	}
 }
 
-// What a core without a vote tells before a leader stands is not taken for a first
-// version: it may be what was in force when it was removed.
+// The version of a core that is not a voter is not fetched as the initial version: it may date
+// from before the core's removal.
 func TestNoInitialVersionFromRemovedCore(test *testing.T) {
 	for number, testCase := range []struct {
 		known     message.Version
@@ -192,7 +197,7 @@
 		daemon.LeaderFinder.ObserveMembership(testCase.known, coreAddresses(4, 5, 6))
 		daemon.LeaderFinder.findLeader()
 		if fetched := daemon.counters.Get("begun_before_a_leader") > 0; fetched != testCase.wantFetch {
-			test.Errorf("try %d: begun %v", number, fetched)
+			test.Errorf("case %d: fetched %v", number, fetched)
 		}
 	}
 }
--- a/agent/counts_flush.go
+++ b/agent/counts_flush.go
@@ -9,23 +9,24 @@
 	"orchidjunction/rpc"
 )
 
-// silentAfter is how long a heartbeat of the session, or a report of counts, is unanswered
-// until counts are sent to another core. It is longer than a round trip between regions.
+// fallbackTimeout is how long a session heartbeat or a count report may stay unanswered before
+// counts are sent to another core. It is longer than a round trip between regions.
 const fallbackTimeout = 300 * time.Millisecond
 
-// maxVoterChoice spreads the daemons over the voters while the leader is silent.
+// voterIndexRange bounds the random initial voterIndex, which spreads the daemons over the
+// voters while the leader is unresponsive.
 const voterIndexRange = 1 << 10
 
-// countsFlush is what the reports of counts between two heartbeats need to know of the
-// session, and what was sent while that got no answer.
+// countsFlush is the state of the count reports between session heartbeats: the state of the
+// last heartbeat, and the counts sent to a fallback core.
 type countsFlush struct {
 	mutex     sync.Mutex
 	sentAt    time.Time // of the last heartbeat
-	isPending bool      // it has no answer yet
+	isPending bool      // the last heartbeat has no response yet
 
-	// Used by the reports alone.
+	// Accessed only by flushCounts and its callees.
 	fallback   sentCounts
-	voterIndex int // of the voters, that got the last; another one at each daemon to begin with
+	voterIndex int // of the fallback core; starts at random
 }
 
 func (flush *countsFlush) heartbeatSent(at time.Time) {
@@ -40,16 +41,16 @@
 	flush.isPending = false
 }
 
-// state returns how long ago the last heartbeat began, and whether it has no answer.
+// state returns the time since the last heartbeat was sent, and whether it is unanswered.
 func (flush *countsFlush) state() (sinceSent time.Duration, isPending bool) {
 	flush.mutex.Lock()
 	defer flush.mutex.Unlock()
 	return time.Since(flush.sentAt), flush.isPending
 }
 
-// flushCounts reports between two heartbeats what was counted in windows since the last:
-// what only this process knows is lost with it. While the leader is silent, another core
-// gets the counts; whoever leads next asks it for them.
+// flushCounts reports new window counts between session heartbeats, so that a crash of this
+// process loses few of them. While the leader is unresponsive, another core receives the
+// counts; the next leader fetches them from there.
 func (daemon *Daemon) flushCounts() {
 	sinceSent, isPending := daemon.countsFlush.state()
 	leader := daemon.LeaderFinder.Leader()
@@ -63,15 +64,16 @@
 	}
 }
 
-// flushToLeader adds to what the leader got with the session, if that is where the session
-// is held. It returns false if the leader does not answer.
+// flushToLeader reports counts to the leader if the session is held with it. It returns false
+// if the leader does not respond.
 func (daemon *Daemon) flushToLeader(leader string) bool {
 	daemon.sessionLock.Lock()
 	defer daemon.sessionLock.Unlock()
 	return daemon.sentCounts.core != leader || daemon.sendCounts(leader, &daemon.sentCounts)
 }
 
-// flushElsewhere sends all counts to a voter that does not lead, the next one if it fails.
+// flushToFallback reports counts to a voter other than the leader. If that fails, the next
+// report goes to the next voter.
 func (daemon *Daemon) flushToFallback(leader string) {
 	voters, _ := daemon.LeaderFinder.Voters()
 	voters = slices.DeleteFunc(voters, func(core string) bool { return core == leader })
@@ -84,8 +86,8 @@
 	}
 }
 
-// sendCounts reports to a core what changed since it was sent counts last, and returns
-// whether that core has everything.
+// sendCounts reports the counts that a core has not acknowledged, and returns whether the core
+// has all counts afterwards.
 func (daemon *Daemon) sendCounts(core string, sent *sentCounts) bool {
 	now := daemon.Now()
 	windows, base := sent.unsent(core, daemon.callbacks.windows())
--- a/agent/daemon.go
+++ b/agent/daemon.go
@@ -1,8 +1,8 @@
-// Package agent is what every daemon shares, proxy or directory: its session with the
-// cores (session.go), the version of settings, routing and table that is in force in it
-// (version.go) and the updates of that (watch.go, relay.go, updates.go), whether it may
-// serve (readiness.go, connectivity.go), the search for the leader (leader_finder.go),
-// the forwarding of orders to the leader (forwarder.go), and the operators' API.
+// Package agent implements what proxies and directories have in common: the session with the
+// cores (session.go), the version of settings, routing and table in force (version.go) and
+// its updates (watch.go, relay.go, updates.go), readiness (readiness.go, connectivity.go),
+// leader discovery (leader_finder.go), forwarding of requests to the leader (forwarder.go),
+// and the operator API (operator_api.go, rollout_api.go).
 package agent
 
 import (
@@ -19,7 +19,7 @@
 	"orchidjunction/rpc"
 )
 
-// callbacks are what the daemon's owner brings; see the methods that set them.
+// callbacks are the hooks of the daemon's owner; see the methods that set them.
 type callbacks struct {
 	apply        func(*Version)
 	probes       func() []message.Probe
@@ -46,8 +46,8 @@
 	}
 }
 
-// Daemon is a member of the deployment: it holds a session with a core and serves by the
-// newest version that it gets. It is safe for concurrent use once Run was called.
+// Daemon is a member of the deployment: it holds a session with a core and applies the newest
+// version that it receives. It is safe for concurrent use once Run has been called.
 type Daemon struct {
 	config        Config
 	intervals     Intervals
@@ -61,24 +61,24 @@
 	Forwarder     *Forwarder
 	connectivity  connectivity
 	watchState    watchState
-	updates       *concurrent.Condition // notified when another version is in force
+	updates       *concurrent.Condition // notified when a new version is in force
 	version       atomic.Pointer[Version]
-	applyMutex    sync.Mutex // held while a version is put in force
+	applyMutex    sync.Mutex // held while a version is applied
 	catchingUp    atomic.Bool
-	sessionLock   *concurrent.Lock // held over a heartbeat of the session
+	sessionLock   *concurrent.Lock // held during a session heartbeat
 	sentCounts    sentCounts
 	countsFlush   countsFlush
 	reportedUsage map[string]uint64
 
-	// mutex guards what follows.
+	// mutex guards the fields below.
 	mutex            sync.Mutex
 	lastCore         string
-	failedAt         map[string]time.Time // by the cores' and parents' addresses
+	failedAt         map[string]time.Time // by address of the core or parent
 	lastResponseAt   time.Time
-	behindSince      time.Time // since when the core holds a newer version, zero if it does not
-	newestSeen       uint64    // the highest serial heard of
+	behindSince      time.Time // when the core first had a newer version, zero if it has none
+	newestSeen       uint64    // the highest serial known of
 	newestSeenAt     time.Time
-	confirmed        bool // the version in force was proved by a leader
+	confirmed        bool // a leader has confirmed the version in force
 	everConfirmed    bool
 	unconfirmedSince time.Time
 	lastPauseCheck   time.Time
@@ -90,7 +90,7 @@
 	leaderTerm       message.Term
 }
 
-// NewDaemon returns a daemon that Run starts. Incarnation identifies this process.
+// NewDaemon returns a daemon, to be started by Run. The incarnation identifies this process.
 func NewDaemon(config Config, incarnation string, client *rpc.Client, goroutines *concurrent.Group, counters *metrics.Counters) *Daemon {
 	now := time.Now()
 	daemon := &Daemon{
@@ -120,8 +120,8 @@
 	return daemon
 }
 
-// OnVersion sets what puts each new version in force, and what returns the health checks
-// of backends.
+// OnVersion sets the functions that apply a new version and, unless nil, return the health
+// checks of backends.
 func (daemon *Daemon) OnVersion(apply func(*Version), probes func() []message.Probe) {
 	daemon.callbacks.apply = apply
 	if probes != nil {
@@ -129,54 +129,53 @@
 	}
 }
 
-// SetKeepsClaims sets what says whether this daemon is a replica of idempotency keys.
+// SetKeepsClaims sets the function that reports whether this daemon replicates idempotency keys.
 func (daemon *Daemon) SetKeepsClaims(isKeyReplica func() bool) {
 	daemon.callbacks.isKeyReplica = isKeyReplica
 }
 
-// SetDemand sets what returns the requests a second that callers ask of this daemon.
+// SetDemand sets the function that returns the callers' demand in requests per second.
 func (daemon *Daemon) SetDemand(demand func() float64) { daemon.callbacks.demand = demand }
 
-// SetUsage sets what returns the requests served so far, by tenant.
+// SetUsage sets the function that returns the requests served so far by tenant.
 func (daemon *Daemon) SetUsage(usage func() map[string]uint64) { daemon.callbacks.usage = usage }
 
-// SetWindows sets what returns the requests begun so far in the last few windows.
+// SetWindows sets the function that returns the requests started in the recent windows.
 func (daemon *Daemon) SetWindows(windows func() []message.WindowCount) {
 	daemon.callbacks.windows = windows
 }
 
-// SetRollouts sets what returns what was counted so far for the roll-outs in force.
+// SetRollouts sets the function that returns the counts for the roll-outs in force.
 func (daemon *Daemon) SetRollouts(rollouts func() []message.RolloutCounts) {
 	daemon.callbacks.rollouts = rollouts
 }
 
-// SetWarm sets what says whether this daemon has probed what it needs.
+// SetWarm sets the function that reports whether this daemon has completed its probes.
 func (daemon *Daemon) SetWarm(isWarm func() bool) { daemon.callbacks.isWarm = isWarm }
 
-// OnRetire sets what others must be notified of before a planned end, within the rest of its
-// time.
+// OnRetire sets the function that sends the last notifications to other processes. Retire calls
+// it after draining, with the remaining grace period.
 func (daemon *Daemon) OnRetire(finish func(rest time.Duration)) { daemon.callbacks.onRetire = finish }
 
-// Now returns the time of day as the cores agree on it, in milliseconds since the Unix
-// epoch.
+// Now returns the cluster time in milliseconds since the Unix epoch.
 func (daemon *Daemon) Now() int64 { return daemon.clock.Now() }
 
-// Client returns the client for calls to other processes.
+// Client returns the RPC client for calls to other processes.
 func (daemon *Daemon) Client() *rpc.Client { return daemon.client }
 
-// Incarnation returns what identifies this process.
+// Incarnation returns the ID of this process.
 func (daemon *Daemon) Incarnation() string { return daemon.incarnation }
 
-// Zone returns the zone that this daemon is in.
+// Zone returns the daemon's zone.
 func (daemon *Daemon) Zone() string { return daemon.config.Zone }
 
 // Name returns the daemon's name.
 func (daemon *Daemon) Name() string { return daemon.config.Name }
 
-// Version returns the version in force. It must not be changed.
+// Version returns the version in force. The caller must not modify it.
 func (daemon *Daemon) Version() *Version { return daemon.version.Load() }
 
-// Run starts the daemon's goroutines. They end when the group is stopped.
+// Run starts the daemon's goroutines, which end when the group is stopped.
 func (daemon *Daemon) Run() {
 	daemon.LeaderFinder.Run()
 	daemon.goroutines.OnStop(daemon.updates.Notify)
@@ -200,7 +199,7 @@
 	}
 }
 
-// Register makes a server answer the calls to this daemon.
+// Register registers the daemon's RPC handlers with a server.
 func (daemon *Daemon) Register(server *rpc.Server) {
 	rpc.Handle(server, message.MethodWatch, daemon.onWatch)
 	rpc.Handle(server, message.MethodFetch, daemon.onFetch)
--- a/agent/daemon_test.go
+++ b/agent/daemon_test.go
@@ -11,13 +11,12 @@
 	"orchidjunction/rpc"
 )
 
-// While a large version is put in force the session must go on: it asks this
-// daemon what it is.
+// The session, which reads the daemon's state, must continue while a large version is applied.
 func TestSessionContinuesDuringApply(test *testing.T) {
 	goroutines, answered := concurrent.NewGroup(), concurrent.NewCondition()
 	daemon := NewDaemon(
 		Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true},
-		"life",
+		"i1",
 		rpc.NewClient(http.DefaultTransport),
 		goroutines,
 		metrics.NewCounters(),
@@ -30,12 +29,12 @@
 			answered.Notify()
 		})
 		if !answered.Wait(applied-1, 5*time.Second) {
-			test.Error("what the session asks waits until the version is in force")
+			test.Error("memberInfo blocks until the version is applied")
 		}
 	}, nil)
 	for number := uint64(1); number <= 2; number++ {
 		if !daemon.applyUpdate(&message.FetchResponse{Table: &message.Table{Version: message.TableVersion{Number: number}}}, nil) {
-			test.Error("not taken")
+			test.Error("a newer table was not applied")
 		}
 	}
 	if daemon.applyUpdate(
@@ -43,12 +42,12 @@
 		nil,
 	); applied != 2 ||
 		daemon.Version().Table.Version.Number != 2 {
-		test.Errorf("put in force %d times, table %v", applied, daemon.Version().Table.Version)
+		test.Errorf("applied %d times, want 2; table %v", applied, daemon.Version().Table.Version)
 	}
 	goroutines.Wait()
 }
 
-// slowFetch answers a fetch only once it is let go.
+// blockingTransport blocks each call until released, then fails it.
 type blockingTransport struct {
 	received, release *concurrent.Condition
 }
@@ -56,7 +55,7 @@
 func (transport *blockingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	transport.received.Notify()
 	transport.release.Wait(0, 5*time.Second)
-	return nil, rpc.Errorf(rpc.Unreachable, "nobody there")
+	return nil, rpc.Errorf(rpc.Unreachable, "no response")
 }
 
 func TestSessionContinuesDuringCatchUp(test *testing.T) {
@@ -67,7 +66,7 @@
 	counters := metrics.NewCounters()
 	daemon := NewDaemon(
 		Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true},
-		"life",
+		"i1",
 		rpc.NewClient(transport),
 		goroutines,
 		counters,
@@ -77,19 +76,19 @@
 	daemon.catchUp("127.0.0.1:1")
 	daemon.catchUp("127.0.0.1:1")
 	if took := time.Since(begin); took > time.Second {
-		test.Errorf("the session waited %v for a fetch", took)
+		test.Errorf("catchUp blocked for %v", took)
 	}
 	if !transport.received.Wait(0, 5*time.Second) {
-		test.Error("nothing was fetched")
+		test.Error("no fetch was sent")
 	}
 	if fetches := counters.Get("caught_up"); fetches != 1 {
-		test.Errorf("%d fetches at once", fetches)
+		test.Errorf("%d concurrent fetches, want 1", fetches)
 	}
 	transport.release.Notify()
 	goroutines.Wait()
 	daemon.catchUp("127.0.0.1:1")
 	goroutines.Wait()
 	if fetches := counters.Get("caught_up"); fetches != 2 {
-		test.Errorf("%d fetches in all after the first one ended", fetches)
+		test.Errorf("%d fetches in total, want 2", fetches)
 	}
 }
--- a/agent/direct_test.go
+++ b/agent/direct_test.go
@@ -11,7 +11,7 @@
 	"orchidjunction/rpc"
 )
 
-// A core that failed is kept off for a while, unless it leads anew.
+// A core that has failed is avoided for a while, unless it becomes the leader of a new term.
 func TestNewTermOverridesCoreFailure(test *testing.T) {
 	config := Config{
 		Name:            "p1",
@@ -38,7 +38,7 @@
 		{func() { daemon.failedAt["10.0.0.1:1"] = time.Now() }, "10.0.0.2:1"},
 	} {
 		if step.do(); daemon.chooseCore() != step.want {
-			test.Errorf("step %d: %s, want %s", number, daemon.chooseCore(), step.want)
+			test.Errorf("step %d: chose %s, want %s", number, daemon.chooseCore(), step.want)
 		}
 	}
 }
--- a/agent/evacuate.go
+++ b/agent/evacuate.go
@@ -7,10 +7,11 @@
 	"orchidjunction/rpc"
 )
 
-// Evacuate forwards an order on a zone to the leader. Such orders carry no ID, and a
-// request may reach the leader long after its sender gave up on it. So the leader is asked
-// first how often the zone changed, and carries out only what expects that number:
-// whatever was acknowledged since stays in force. Nothing is ordered once ctx has ended.
+// Evacuate forwards the start or end of a zone's evacuation to the leader. Such orders have
+// no ID, and a request may reach the leader long after its sender has given up. Evacuate
+// therefore first queries the zone's change count, and the leader executes the order only if
+// the count still matches, so that a late order does not undo a later acknowledged one. No
+// order is sent once ctx has ended.
 func Evacuate(ctx context.Context, forwarder *Forwarder, zone string, begin bool) (*message.EvacuateResponse, error) {
 	ctx, cancel := context.WithDeadline(ctx, forwarder.deadline(ctx))
 	defer cancel()
@@ -29,7 +30,8 @@
 	return response, err
 }
 
-// queryError returns a query's error as an order's: a query starts nothing.
+// queryError converts a query's error to that of an order that was not started, since a
+// query changes nothing.
 func queryError(err error) error {
 	if rpc.CodeOf(err) == rpc.OutcomeUnknown {
 		return noLeaderError(false)
--- a/agent/forwarder.go
+++ b/agent/forwarder.go
@@ -12,24 +12,23 @@
 
 const (
 	queueCapacity = 64
-	// responseMargin is left of the time for the response once a leader is known.
+	// responseMargin is the part of the response time-out reserved for the call itself.
 	responseMargin         = 70 * time.Millisecond
 	defaultResponseTimeout = 950 * time.Millisecond
 	defaultAttemptTimeout  = 350 * time.Millisecond
-	// retryAfterMs is when to try again what found no leader, in milliseconds.
+	// retryAfterMs is the retry delay returned when there was no leader, in milliseconds.
 	retryAfterMs = 500
 )
 
-// ForwardLimits bound how long a request to the leader may take in all, and each attempt
-// of it. Zero stands for the default.
+// ForwardLimits are the time-outs of a forwarded request: Response in total, Attempt for each
+// attempt. Zero selects the default.
 type ForwardLimits struct {
 	Response time.Duration
 	Attempt  time.Duration
 }
 
-// Forwarder sends requests to the leader. While there is none it holds requests that have
-// not started, bounded in number and time, and sends them to the new leader. It is safe
-// for concurrent use.
+// Forwarder sends requests to the leader. While there is no leader it queues requests, bounded
+// in number and time, and sends them to the next leader. It is safe for concurrent use.
 type Forwarder struct {
 	finder          *LeaderFinder
 	client          *rpc.Client
@@ -43,7 +42,7 @@
 	queued int
 }
 
-// NewForwarder returns a Forwarder with the default limits.
+// NewForwarder returns a Forwarder with default limits.
 func NewForwarder(finder *LeaderFinder, client *rpc.Client, counters *metrics.Counters) *Forwarder {
 	return &Forwarder{
 		finder:          finder,
@@ -55,7 +54,7 @@
 	}
 }
 
-// WithLimits sets limits that are not zero, and returns the forwarder.
+// WithLimits sets the limits that are positive, and returns the forwarder.
 func (forwarder *Forwarder) WithLimits(limits ForwardLimits) *Forwarder {
 	if limits.Response > 0 {
 		forwarder.responseTimeout = limits.Response
@@ -66,13 +65,13 @@
 	return forwarder
 }
 
-// SetLocalLeader sets what returns the leader that this process itself knows, if it is a
-// core: the finder learns of a new one only by asking.
+// SetLocalLeader sets the source of a core's own view of the leader, which is newer than the
+// finder's: the finder learns of a new leader only by querying.
 func (forwarder *Forwarder) SetLocalLeader(localLeader func() message.Leader) {
 	forwarder.localLeader = localLeader
 }
 
-// syncLeader brings the finder to what this process knows.
+// syncLeader updates the finder from the local view of the leader.
 func (forwarder *Forwarder) syncLeader() {
 	if forwarder.localLeader == nil {
 		return
@@ -100,7 +99,7 @@
 	forwarder.mutex.Unlock()
 }
 
-// deadline returns until when a request that comes now must have its response.
+// deadline returns the response deadline of a request that arrives now.
 func (forwarder *Forwarder) deadline(ctx context.Context) time.Time {
 	deadline := time.Now().Add(forwarder.responseTimeout)
 	if requested, hasDeadline := ctx.Deadline(); hasDeadline && requested.Before(deadline) {
@@ -109,7 +108,7 @@
 	return deadline
 }
 
-// Forward sends one request to the leader, whoever that becomes within the time-out.
+// Forward sends a request to the leader, or to the next leader if that changes in time.
 func Forward[Request, Response any](
 	forwarder *Forwarder,
 	method rpc.Method[Request, Response],
@@ -118,9 +117,9 @@
 	return ForwardContext(context.Background(), forwarder, method, request)
 }
 
-// ForwardContext is a Forward that also ends when ctx does. It returns what the leader
-// answered, QueueFull or NotStarted if no leader got the request, and OutcomeUnknown if
-// one may have got it.
+// ForwardContext is like Forward but also ends when ctx does. It returns the leader's response
+// or error, QueueFull or NotStarted if no leader received the request, or OutcomeUnknown if
+// one may have received it.
 func ForwardContext[Request, Response any](
 	ctx context.Context,
 	forwarder *Forwarder,
@@ -155,22 +154,22 @@
 	return nil, call.timeoutError()
 }
 
-// forwardedCall is one request on its way to the leader.
+// forwardedCall is the state of one forwarded request.
 type forwardedCall struct {
 	forwarder  *Forwarder
 	deadline   time.Time
-	isQueued   bool // it has a place in the queue
+	isQueued   bool // it occupies a slot in the queue
 	mayHaveRun bool
 }
 
-// end gives the place in the queue back.
+// release frees the slot in the queue.
 func (call *forwardedCall) release() {
 	if call.isQueued {
 		call.forwarder.dequeue()
 	}
 }
 
-// awaitLeader returns the leader. While there is none the request is held.
+// awaitLeader returns the leader, queueing the request while there is none.
 func (call *forwardedCall) awaitLeader() (message.Leader, error) {
 	forwarder := call.forwarder
 	if leader := forwarder.finder.Leader(); leader.Known() {
@@ -181,7 +180,11 @@
 		if call.mayHaveRun {
 			return message.Leader{}, call.timeoutError()
 		}
-		return message.Leader{}, &rpc.Error{Code: rpc.QueueFull, Message: "too much waits for a leader", RetryAfterMs: retryAfterMs}
+		return message.Leader{}, &rpc.Error{
+			Code:         rpc.QueueFull,
+			Message:      "too many requests are waiting for a leader",
+			RetryAfterMs: retryAfterMs,
+		}
 	}
 	if !call.isQueued {
 		call.isQueued = true
@@ -201,7 +204,7 @@
 	}
 }
 
-// mayRetry reports whether a request that failed at a leader may go to another one.
+// mayRetry reports whether a request that failed with err may be sent again.
 func (call *forwardedCall) mayRetry(leader message.Leader, err error) bool {
 	code := rpc.CodeOf(err)
 	switch code {
@@ -215,16 +218,20 @@
 	return true
 }
 
-// noLeader returns the error of a request that found no leader in time.
+// timeoutError returns the error of a request that got no response from a leader in time.
 func (call *forwardedCall) timeoutError() error { return noLeaderError(call.mayHaveRun) }
 
 func noLeaderError(mayHaveRun bool) error {
 	if mayHaveRun {
 		return &rpc.Error{
 			Code:         rpc.OutcomeUnknown,
-			Message:      "the leader fell silent; send the same change id again",
+			Message:      "the leader did not respond; retry with the same change ID",
 			RetryAfterMs: retryAfterMs,
 		}
 	}
-	return &rpc.Error{Code: rpc.NotStarted, Message: "no leader within the hold; nothing was started", RetryAfterMs: retryAfterMs}
+	return &rpc.Error{
+		Code:         rpc.NotStarted,
+		Message:      "no leader became available in time; the request was not started",
+		RetryAfterMs: retryAfterMs,
+	}
 }
--- a/agent/forwarder_test.go
+++ b/agent/forwarder_test.go
@@ -14,10 +14,11 @@
 	"orchidjunction/rpc"
 )
 
-// frozen takes what it is asked and says nothing, as a process that stands still.
+// hungAddress accepts calls but never responds, like a paused process.
 const hungAddress = "10.0.0.1:1"
 
-// leaders are a frozen leader and, where it has an address, one that answers.
+// leaderTransport connects to a server at respondingAddress, if set; calls to all other
+// addresses hang until they are cancelled.
 type leaderTransport struct {
 	respondingAddress string
 	server            *rpc.Server
@@ -62,7 +63,8 @@
 	return NewForwarder(finder, client, metrics.NewCounters()).WithLimits(limits), finder
 }
 
-// Who asks goes elsewhere once the limit has passed, so an answer after it is lost.
+// The response time-out holds even if a new leader is found during the last attempt: callers go
+// elsewhere after it.
 func TestForwardTimesOutDespiteLateLeader(test *testing.T) {
 	transport := &leaderTransport{}
 	forwarder, finder := newTestForwarder(test, transport, ForwardLimits{Response: 2 * time.Second, Attempt: 1500 * time.Millisecond})
@@ -71,15 +73,14 @@
 	begin := time.Now()
 	if _, err := Forward(forwarder, message.MethodEvacuate, &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil ||
 		rpc.CodeOf(err) != rpc.OutcomeUnknown {
-		test.Fatalf("answered %v", err)
+		test.Fatalf("unexpected result: %v", err)
 	}
 	if took := time.Since(begin); took > 2200*time.Millisecond {
-		test.Fatalf("took %v, the limit is 2 s", took)
+		test.Fatalf("took %v, want at most the limit of 2 s", took)
 	}
 }
 
-// A core that follows another leader, or leads, sends nothing to the one that its
-// finder heard of last.
+// A core that leads or follows another leader sends no request to the finder's outdated leader.
 func TestForwardUsesLocalLeader(test *testing.T) {
 	transport := &leaderTransport{respondingAddress: "10.0.0.2:1"}
 	forwarder, finder := newTestForwarder(test, transport, ForwardLimits{Response: 2 * time.Second, Attempt: 1500 * time.Millisecond})
@@ -87,15 +88,15 @@
 	finder.Observe(testLeader(1, hungAddress))
 	response, err := Forward(forwarder, message.MethodEvacuate, &message.EvacuateRequest{Zone: "osu", Begin: true})
 	if err != nil || response.Serial != 7 {
-		test.Fatalf("told %v, %v", response, err)
+		test.Fatalf("response %v, error %v", response, err)
 	}
 	if calls := transport.hungCalls.Load(); calls != 0 {
-		test.Fatalf("the frozen leader was asked %d times", calls)
+		test.Fatalf("%d calls to the hung leader, want none", calls)
 	}
 }
 
-// A core that hears of no leader any more starts nothing at the last one, so that
-// what it holds has surely not run.
+// A core that has lost its leader sends no request to the finder's last leader, so that a queued
+// request has certainly not run.
 func TestForwardSendsNothingWithoutLocalLeader(test *testing.T) {
 	transport := &leaderTransport{}
 	forwarder, finder := newTestForwarder(test, transport, ForwardLimits{Response: 200 * time.Millisecond, Attempt: 150 * time.Millisecond})
@@ -103,9 +104,9 @@
 	finder.Observe(testLeader(1, hungAddress))
 	if _, err := Forward(forwarder, message.MethodEvacuate, &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil ||
 		rpc.CodeOf(err) != rpc.NotStarted {
-		test.Fatalf("answered %v", err)
+		test.Fatalf("unexpected result: %v", err)
 	}
 	if calls := transport.hungCalls.Load(); calls != 0 {
-		test.Fatalf("the frozen leader was asked %d times", calls)
+		test.Fatalf("%d calls to the hung leader, want none", calls)
 	}
 }
--- a/agent/gauges.go
+++ b/agent/gauges.go
@@ -1,6 +1,6 @@
 package agent
 
-// registerGauges adds what operators read of a daemon beside its counters.
+// registerGauges adds the gauges of the daemon's state.
 func (daemon *Daemon) registerGauges() {
 	gauge := daemon.counters.Gauge
 	gauge("ready", func() float64 { return boolToFloat(daemon.Ready()) })
@@ -25,7 +25,7 @@
 	gauge("leader_term", func() float64 { return float64(daemon.LeaderFinder.Leader().Term.Number) })
 }
 
-// asFigure is 1 for true and 0 for false.
+// boolToFloat returns 1 for true and 0 for false.
 func boolToFloat(value bool) float64 {
 	if value {
 		return 1
--- a/agent/intervals.go
+++ b/agent/intervals.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// minPause is the shortest silence of a process's own pulse that means that it was paused.
+// minPauseThreshold is the lower bound of pauseThreshold.
 const minPauseThreshold = 2 * time.Second
 
-// Intervals are how often a daemon does what it does again and again; the time-outs of
-// its calls follow from them. Zero stands for the default; a UsageCount below zero sends
-// no counts apart from the sessions.
+// Intervals are the periods of a daemon's recurring tasks; call time-outs are derived from
+// them. Zero selects the default. With a negative UsageCount, counts are sent only with the
+// session heartbeats.
 type Intervals struct {
-	Session    time.Duration // between two heartbeats of the session
-	Watch      time.Duration // for how long a core may hold a watch
-	FindLeader time.Duration // between two searches for the leader
-	Pulse      time.Duration // between two looks whether this process was paused
-	CheckReach time.Duration // between two looks whether this daemon is cut off
-	UsageCount time.Duration // between two usage counts for the leader
+	Session    time.Duration // between session heartbeats
+	Watch      time.Duration // maximum duration of a watch request
+	FindLeader time.Duration // initial pause between leader searches
+	Pulse      time.Duration // between checks for a pause of this process
+	CheckReach time.Duration // between checks for a network partition
+	UsageCount time.Duration // between usage reports to the leader
 }
 
 var defaultIntervals = Intervals{
@@ -26,7 +26,7 @@
 	UsageCount: 50 * time.Millisecond,
 }
 
-// withDefaults returns the intervals with defaults in place of zero.
+// withDefaults returns the intervals with zero values replaced by defaults.
 func (intervals Intervals) withDefaults() Intervals {
 	for value, defaultValue := range map[*time.Duration]time.Duration{
 		&intervals.Session:    defaultIntervals.Session,
@@ -43,13 +43,14 @@
 	return intervals
 }
 
-// callTimeout is that of a call with a short response, findTimeout that of a search for
-// the leader, and fetchTimeout that of a call with a long response.
+// callTimeout applies to calls with short responses, findTimeout to leader queries, and
+// fetchTimeout to calls with long responses.
 func (intervals Intervals) callTimeout() time.Duration  { return 2 * intervals.Session }
 func (intervals Intervals) findTimeout() time.Duration  { return intervals.FindLeader * 15 / 2 }
 func (intervals Intervals) fetchTimeout() time.Duration { return 5 * intervals.callTimeout() }
 
-// maxPause is the longest silence of the pulse that is no pause of the process.
+// pauseThreshold is the gap between two pause checks above which the process counts as
+// having been paused.
 func (intervals Intervals) pauseThreshold() time.Duration {
 	return max(minPauseThreshold, 4*intervals.Pulse)
 }
--- a/agent/leader_finder.go
+++ b/agent/leader_finder.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// maxFinderIdle bounds how long the search for the leader pauses while nobody waits.
+	// maxIdleWait limits one pause of the leader search while nobody waits for a leader.
 	maxIdleWait = time.Minute
-	// Each search pauses searchSlowdown/searchSlowdownBase as long as the one before, up to
-	// maxSearchSlowdown times the first: an election takes many times as long as a question.
+	// The pause between searches grows by searchBackoffNumerator/searchBackoffDenominator up to
+	// maxSearchBackoff times the first pause: an election takes much longer than one request.
 	searchBackoffNumerator   = 3
 	searchBackoffDenominator = 2
 	maxSearchBackoff         = 3
 )
 
-// LeaderFinder knows the leader and the cores, and searches for the leader while somebody
-// waits for it. It is safe for concurrent use.
+// LeaderFinder tracks the leader and the cores, and queries the cores for the leader while
+// a caller waits for it. It is safe for concurrent use.
 type LeaderFinder struct {
 	client          *rpc.Client
 	goroutines      *concurrent.Group
 	intervals       Intervals
 	seeds           []string
-	leaderFound     *concurrent.Condition // notified when another leader is known
-	searchRequested *concurrent.Condition // notified when a leader is waited for
-	// onResponse is called with what a voter answered to a search.
+	leaderFound     *concurrent.Condition // notified when a new leader is observed
+	searchRequested *concurrent.Condition // notified when a caller waits for a leader
+	// onResponse is called with each voter's response to a leader query.
 	onResponse func(core string, response *message.LeaderResponse)
 
 	mutex      sync.Mutex
-	cores      []string // the voters, then the seeds without a vote
+	cores      []string // the voters, followed by the seeds that are not voters
 	voterCount int
 	membership message.Version // of the voters
 	leader     message.Leader
-	endedTerm  message.Term // of the newest leadership that has ended
+	endedTerm  message.Term // the newest term known to have ended
 	waiters    int
 }
 
-// NewLeaderFinder returns a LeaderFinder that knows some cores.
+// NewLeaderFinder returns a LeaderFinder that starts with the given seed cores.
 func NewLeaderFinder(client *rpc.Client, goroutines *concurrent.Group, cores []string) *LeaderFinder {
 	return &LeaderFinder{
 		client:          client,
@@ -56,20 +56,20 @@
 	}
 }
 
-// WithIntervals sets how often the leader is searched for, and returns the finder.
+// WithIntervals sets the search interval and its time-outs, and returns the finder.
 func (finder *LeaderFinder) WithIntervals(intervals Intervals) *LeaderFinder {
 	finder.intervals = intervals.withDefaults()
 	return finder
 }
 
-// Run starts the search. It ends when the group is stopped.
+// Run starts the search, which ends when the group is stopped.
 func (finder *LeaderFinder) Run() {
 	finder.goroutines.OnStop(finder.searchRequested.Notify)
 	finder.goroutines.OnStop(finder.leaderFound.Notify)
 	finder.goroutines.Start(finder.search)
 }
 
-// search asks the cores for the leader while somebody waits for it, at first often.
+// search queries the cores with increasing pauses while a caller waits for the leader.
 func (finder *LeaderFinder) search() {
 	pause := finder.intervals.FindLeader
 	for finder.goroutines.Sleep(pause) {
@@ -83,50 +83,50 @@
 	}
 }
 
-// idle reports whether nobody waits for a leader.
+// idle reports whether the leader is known or no caller waits for it.
 func (finder *LeaderFinder) idle() bool {
 	finder.mutex.Lock()
 	defer finder.mutex.Unlock()
 	return finder.waiters == 0 || finder.leader.Known()
 }
 
-// Leader returns the leader, which may be unknown.
+// Leader returns the newest known leader, or one for which Known is false.
 func (finder *LeaderFinder) Leader() message.Leader {
 	finder.mutex.Lock()
 	defer finder.mutex.Unlock()
 	return finder.leader
 }
 
-// Cores returns the addresses of the voters, then those of the seeds that have no vote.
+// Cores returns the addresses of the voters, followed by the seeds that are not voters.
 func (finder *LeaderFinder) Cores() []string {
 	finder.mutex.Lock()
 	defer finder.mutex.Unlock()
 	return slices.Clone(finder.cores)
 }
 
-// Membership returns the version of the newest membership that was heard of.
+// Membership returns the version of the newest known membership.
 func (finder *LeaderFinder) Membership() message.Version {
 	finder.mutex.Lock()
 	defer finder.mutex.Unlock()
 	return finder.membership
 }
 
-// Voters returns the cores that vote as far as is known, and the seeds that do not.
+// Voters returns the known voters and, separately, the seeds that are not voters.
 func (finder *LeaderFinder) Voters() (voters, others []string) {
 	finder.mutex.Lock()
 	defer finder.mutex.Unlock()
 	return slices.Clone(finder.cores[:finder.voterCount]), slices.Clone(finder.cores[finder.voterCount:])
 }
 
-// isVoter reports whether a core votes as far as is known: one that has lost its vote may
-// tell what was in force when it had it.
+// isVoter reports whether a core is a known voter. A removed voter may still report the
+// state from before its removal.
 func (finder *LeaderFinder) isVoter(core string) bool {
 	voters, _ := finder.Voters()
 	return slices.Contains(voters, core)
 }
 
-// Observe takes a leader that anyone names, unless a newer one is known or that
-// leadership has ended.
+// Observe records a leader reported by any process, unless a newer leader is known or the
+// reported term has ended.
 func (finder *LeaderFinder) Observe(leader message.Leader) {
 	finder.mutex.Lock()
 	isNewer := leader.Known() && !leader.Term.Less(finder.leader.Term) && finder.endedTerm.Less(leader.Term) && leader != finder.leader
@@ -139,7 +139,7 @@
 	}
 }
 
-// Drop forgets a leader that did not answer or, with ended, said that it leads no more.
+// Drop forgets a leader that did not respond or, if ended, that reported the end of its term.
 func (finder *LeaderFinder) Drop(leader message.Leader, ended bool) {
 	finder.mutex.Lock()
 	if finder.leader.Term == leader.Term {
@@ -152,7 +152,7 @@
 	finder.searchRequested.Notify()
 }
 
-// Wait waits until a leader is known, at most as long as timeout, and returns it.
+// Wait blocks until a leader is known or the timeout has passed, and returns the leader.
 func (finder *LeaderFinder) Wait(timeout time.Duration) message.Leader {
 	deadline := time.Now().Add(timeout)
 	finder.addWaiters(1)
@@ -175,7 +175,7 @@
 	finder.mutex.Unlock()
 }
 
-// findLeader asks all cores at once, until one names a leader.
+// findLeader queries all cores concurrently until one reports a leader.
 func (finder *LeaderFinder) findLeader() {
 	cores := finder.Cores()
 	concurrent.Gather(finder.goroutines, len(cores), func(index int) (struct{}, error) {
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// ObserveMembership takes the addresses of the voters under a membership, unless a newer
-// one is known. Seeds that have no vote are asked after all others.
+// ObserveMembership records the voters of a membership unless a newer one is known. Seeds
+// that are not voters are kept after them.
 func (finder *LeaderFinder) ObserveMembership(membership message.Version, cores []string) {
 	finder.mutex.Lock()
 	defer finder.mutex.Unlock()
--- a/agent/operator_api.go
+++ b/agent/operator_api.go
@@ -16,7 +16,7 @@
 
 const maxChangeBytes = 16 << 20
 
-// OperatorAPI is the HTTP interface for operators that every daemon serves.
+// OperatorAPI is the HTTP API that every daemon serves to operators.
 type OperatorAPI struct {
 	forwarder     *Forwarder
 	counters      *metrics.Counters
@@ -26,8 +26,8 @@
 	mux           *http.ServeMux
 }
 
-// NewOperatorAPI returns the interface of the daemon that is called name. local gives the
-// version and the body of the settings in force here, ready whether the daemon serves.
+// NewOperatorAPI returns the API of the named daemon. local returns the serial and body of
+// the settings that the daemon has applied; ready reports whether the daemon may serve.
 func NewOperatorAPI(
 	name string,
 	forwarder *Forwarder,
@@ -63,7 +63,7 @@
 	api.mux.ServeHTTP(writer, request)
 }
 
-// WriteJSON writes one JSON document.
+// WriteJSON responds with document encoded as JSON.
 func WriteJSON(writer http.ResponseWriter, status int, document any) {
 	body, err := json.Marshal(document)
 	if err != nil {
@@ -75,13 +75,13 @@
 	writer.Write(append(body, '\n'))
 }
 
-// WriteError writes an error and, where it has one, the time to come back.
+// WriteError responds with err as JSON, and with Retry-After if err has a retry delay.
 func WriteError(writer http.ResponseWriter, err error) {
 	refusal := rpc.AsError(err)
 	writeRefusal(writer, refusal, refusal)
 }
 
-// writeRefusal writes a document with the status and the time to come back of a refusal.
+// writeRefusal responds with document, using the HTTP status and retry delay of refusal.
 func writeRefusal(writer http.ResponseWriter, refusal *rpc.Error, document any) {
 	if refusal.RetryAfterMs > 0 {
 		writer.Header().Set("Retry-After", strconv.Itoa((refusal.RetryAfterMs+999)/1000))
@@ -96,7 +96,8 @@
 	Effective []config.Effective `json:"effective,omitempty"`
 }
 
-// read gives the leader's confirmed settings or, with no leader, what is in force here.
+// read returns the leader's confirmed settings or, without a leader, the settings applied
+// on this daemon, marked as unconfirmed.
 func (api *OperatorAPI) read(writer http.ResponseWriter, request *http.Request) {
 	document := settingsDocument{Confirmed: true}
 	var body []byte
@@ -148,7 +149,7 @@
 func (api *OperatorAPI) change(writer http.ResponseWriter, request *http.Request, kind string) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxChangeBytes))
 	if err != nil {
-		WriteError(writer, rpc.Errorf(rpc.TooLarge, "at most %d bytes: %v", maxChangeBytes, err))
+		WriteError(writer, rpc.Errorf(rpc.TooLarge, "reading settings, limit %d bytes: %v", maxChangeBytes, err))
 		return
 	}
 	document := changeDocument{}
@@ -157,7 +158,7 @@
 		return
 	}
 	if document.Base == nil || len(document.Settings) == 0 || len(document.Change) > 128 {
-		WriteError(writer, rpc.Errorf(rpc.BadRequest, "base and settings must be given; change has at most 128 letters"))
+		WriteError(writer, rpc.Errorf(rpc.BadRequest, "base and settings are required; change must be at most 128 bytes"))
 		return
 	}
 	if document.Change == "" {
@@ -184,7 +185,7 @@
 func (api *OperatorAPI) check(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxChangeBytes))
 	if err != nil {
-		WriteError(writer, rpc.Errorf(rpc.TooLarge, "at most %d bytes", maxChangeBytes))
+		WriteError(writer, rpc.Errorf(rpc.TooLarge, "settings exceed the limit of %d bytes", maxChangeBytes))
 		return
 	}
 	if _, err := config.Read(body); err != nil {
@@ -215,7 +216,7 @@
 	WriteJSON(writer, http.StatusOK, response)
 }
 
-// cores tells who votes, who is about to and who waits.
+// cores lists the voters, the voters of a pending replacement and the learners.
 func (api *OperatorAPI) cores(writer http.ResponseWriter, _ *http.Request) {
 	response, err := Forward(api.forwarder, message.MethodStatus, &message.StatusRequest{})
 	if err != nil {
@@ -230,11 +231,11 @@
 	Duplicate bool   `json:"again,omitempty"`
 }
 
-// remove gives a core's vote to a learner; the same order again is acknowledged.
+// remove replaces a voter by a learner. It is idempotent.
 func (api *OperatorAPI) remove(writer http.ResponseWriter, request *http.Request) {
 	id, err := strconv.Atoi(request.PathValue("id"))
 	if err != nil || id < 1 || id > message.MaxPeerID {
-		WriteError(writer, rpc.Errorf(rpc.BadRequest, "%q is no core's ID: want 1 to %d", request.PathValue("id"), message.MaxPeerID))
+		WriteError(writer, rpc.Errorf(rpc.BadRequest, "invalid core ID %q: want 1 to %d", request.PathValue("id"), message.MaxPeerID))
 		return
 	}
 	response, err := Forward(api.forwarder, message.MethodRemoveVoter, &message.RemoveVoterRequest{Core: id})
@@ -255,7 +256,7 @@
 	WriteJSON(writer, status, map[string]any{"name": api.name, "ready": api.ready(), "serial": serial})
 }
 
-// NewID is a random name nobody else uses.
+// NewID returns a random ID of 96 bits in hexadecimal.
 func NewID() string {
 	raw := make([]byte, 12)
 	rand.Read(raw)
--- a/agent/readiness.go
+++ b/agent/readiness.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// failedCoreTimeout is how long a core or parent that failed is not chosen again. A
-	// daemon that serves alone does so after that time, too.
+	// failedCoreTimeout is how long a failed core or parent is avoided. It is also how long a
+	// daemon with ServesAlone waits for confirmation before it serves without.
 	failedCoreTimeout = 3 * time.Second
-	// maxBehind is how long a daemon serves though it has heard of newer settings.
+	// maxStaleness is how long a daemon serves after learning of newer settings.
 	maxStaleness = 2 * time.Second
 )
 
-// Ready reports whether this daemon may serve: what is in force was confirmed by a
-// leader, and nothing newer has been known for long.
+// Ready reports whether this daemon may serve. In general the version in force must have been
+// confirmed by a leader, and no newer settings may have been known for longer than
+// maxStaleness.
 func (daemon *Daemon) Ready() bool {
 	version, isWarm, isPartitioned := daemon.Version(), daemon.callbacks.isWarm(), daemon.connectivity.isPartitioned()
 	daemon.mutex.Lock()
@@ -37,15 +38,15 @@
 	return daemon.confirmed && !isPartitioned && !isLate && version.Serial > 0 && version.Table.Complete
 }
 
-// ObserveSerial takes a serial that a backend has seen. If it is newer than the one in
-// force here, the daemon catches up.
+// ObserveSerial records a serial seen by a backend or proxy. If it is newer than the one in
+// force, the daemon catches up.
 func (daemon *Daemon) ObserveSerial(serial uint64) {
 	if daemon.recordSerial(serial) {
 		daemon.counters.Add("behind_a_backend", 1)
 	}
 }
 
-// noteSerial notes a serial if it is newer than the one in force here, and reports that.
+// recordSerial records a serial if it is newer than the one in force, and reports whether it is.
 func (daemon *Daemon) recordSerial(serial uint64) bool {
 	inForce := daemon.Version().Serial
 	if serial <= inForce {
@@ -62,8 +63,8 @@
 	return true
 }
 
-// checkPulse finds out that this process was paused: what it holds may be long out of
-// force, so that it serves again only on a newly confirmed version, as after a start.
+// checkForPause detects that this process was paused. Its version may be outdated, so it serves
+// again only with a newly confirmed version, as after a start.
 func (daemon *Daemon) checkForPause() {
 	daemon.mutex.Lock()
 	wasPaused := time.Since(daemon.lastPauseCheck) > daemon.intervals.pauseThreshold()
@@ -71,7 +72,7 @@
 	daemon.mutex.Unlock()
 	if wasPaused {
 		daemon.counters.Add("stood_still", 1)
-		klog.Infof("%s: process was paused, asks for a confirmed version", daemon.config.Name)
+		klog.Infof("%s: process was paused; waiting for a leader to confirm the version", daemon.config.Name)
 		daemon.requireConfirmation()
 	}
 	if daemon.shouldQueryPeers() {
@@ -79,7 +80,7 @@
 	}
 }
 
-// unconfirm makes this daemon serve again only on a newly confirmed version.
+// requireConfirmation marks the version in force as unconfirmed and starts confirming it.
 func (daemon *Daemon) requireConfirmation() {
 	daemon.mutex.Lock()
 	daemon.confirmed, daemon.unconfirmedSince = false, time.Now()
@@ -87,7 +88,7 @@
 	daemon.goroutines.Start(daemon.confirmVersion)
 }
 
-// confirmVersion asks the leader, until what the leader proved is in force here.
+// confirmVersion queries the leader until the versions that it confirms are in force here.
 func (daemon *Daemon) confirmVersion() {
 	for !daemon.goroutines.Stopping() {
 		leader := daemon.LeaderFinder.Wait(time.Second)
@@ -98,7 +99,8 @@
 	}
 }
 
-// confirmedBy asks a leader once and reports whether what it proved is in force here.
+// confirmWith queries a leader once and reports whether the versions that it confirms are in
+// force here.
 func (daemon *Daemon) confirmWith(leader message.Leader) bool {
 	response, err := rpc.Call(
 		daemon.client,
@@ -118,12 +120,12 @@
 	daemon.confirmed, daemon.everConfirmed = true, true
 	daemon.mutex.Unlock()
 	daemon.LeaderFinder.leaderFound.Notify()
-	klog.Infof("%s: serial %d, routing %d confirmed", daemon.config.Name, response.Serial, response.Routing)
+	klog.Infof("%s: leader confirmed settings serial %d, routing serial %d", daemon.config.Name, response.Serial, response.Routing)
 	return true
 }
 
-// reaches reports whether what the leader proved is in force here, after a fetch if need
-// be. Nothing proves a system that has no settings or routing yet.
+// ensureApplied fetches the versions that the leader confirmed unless they are in force, and
+// reports whether they are now. It returns false while there are no settings or routing yet.
 func (daemon *Daemon) ensureApplied(leader message.Leader, response *message.ReadIndexResponse) bool {
 	isEmpty := response.Serial == 0
 	if daemon.config.Routed {
--- a/agent/relay.go
+++ b/agent/relay.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// behindTimeout is how long a daemon that is behind its core waits for its parent until
-// it asks the leader.
+// behindTimeout is how long a daemon that is behind its core waits for its parent before it
+// fetches from the leader.
 const behindTimeout = 500 * time.Millisecond
 
-// watchParents waits for updates at a parent in the relay tree and fetches them there.
+// watchParents watches a parent in the relay tree for updates and fetches them from it.
 func (daemon *Daemon) watchParents() {
 	for !daemon.goroutines.Stopping() {
 		parent := daemon.chooseParent()
@@ -31,8 +31,8 @@
 	}
 }
 
-// chooseParent returns the nearest living relay above this daemon, or the leader if there
-// is none or this daemon stayed behind what its core said.
+// chooseParent returns the nearest ancestor in the relay tree that has not failed recently, or
+// the leader if there is none or the daemon has been behind for too long.
 func (daemon *Daemon) chooseParent() string {
 	parents := newRelayTree(daemon.Version().Table).parents(daemon.config.Name)
 	leader := daemon.LeaderFinder.Leader()
@@ -54,15 +54,15 @@
 	return chosen
 }
 
-// isLate reports whether this daemon has been behind its core, or what it has heard of,
-// for too long. The caller holds the mutex.
+// isLate reports whether this daemon has been behind its core, or behind the newest serial it
+// knows of, for too long. The caller holds the mutex.
 func (daemon *Daemon) isLate() bool {
 	isBehindCore := !daemon.behindSince.IsZero() && time.Since(daemon.behindSince) > behindTimeout
 	hasSeenNewer := daemon.newestSeen > daemon.Version().Serial && time.Since(daemon.newestSeenAt) > daemon.intervals.FindLeader
 	return isBehindCore || hasSeenNewer
 }
 
-// parentFailed leaves a parent, or a core, that did not answer.
+// handleParentFailure records the failure of a parent or core, and pauses before the next try.
 func (daemon *Daemon) handleParentFailure(parent string) {
 	daemon.counters.Add("parents_lost", 1)
 	if leader := daemon.LeaderFinder.Leader(); leader.Address == parent {
--- a/agent/relay_tree.go
+++ b/agent/relay_tree.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// treeRoots daemons ask the leader itself; treeFanout daemons ask each other one.
+	// treeRoots daemons fetch updates from the leader; each daemon serves up to treeFanout others.
 	treeRoots  = 2
 	treeFanout = 3
 )
 
-// relayTree is the order in which daemons relay updates, the same for all that hold one
-// table: a heap in an array, sorted by name.
+// relayTree is the tree along which daemons relay updates, stored as an array heap of the
+// members sorted by name. All daemons with the same table build the same tree.
 type relayTree []message.Member
 
 func newRelayTree(table *message.Table) relayTree {
@@ -28,7 +28,8 @@
 	return tree
 }
 
-// parents returns the daemons above one, the nearest first; none means the leader itself.
+// parents returns a daemon's ancestors, nearest first. A daemon without ancestors fetches from
+// the leader.
 func (tree relayTree) parents(name string) []message.Member {
 	index, found := slices.BinarySearchFunc(
 		tree,
--- a/agent/retire.go
+++ b/agent/retire.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Leave tells the cores at once that nothing more should come here.
+// Leave immediately announces to the cores that this daemon takes no new requests.
 func (daemon *Daemon) Leave() {
 	daemon.mutex.Lock()
 	daemon.leaving = true
@@ -10,9 +10,10 @@
 	daemon.renewSession()
 }
 
-// Retire is the daemon's planned end within a grace: the others stop sending here, which
-// takes them the time to settle; drain waits for what is in flight and returns whether
-// all of it ended; and the last counts are reported. Retire returns what drain returned.
+// Retire shuts the daemon down gracefully within grace. It announces the departure, waits
+// settle for the other processes to stop sending, calls drain to wait for the requests in
+// flight, and reports the last counts. It returns the result of drain: whether all requests
+// in flight have ended.
 func (daemon *Daemon) Retire(settle, grace time.Duration, drain func(rest time.Duration) bool) bool {
 	begin := time.Now()
 	daemon.mutex.Lock()
@@ -26,14 +27,14 @@
 	return hasDrained
 }
 
-// StopsIn returns how long this daemon still serves, and whether its end is planned.
+// StopsIn returns the time left until the daemon stops, and whether a stop is planned.
 func (daemon *Daemon) StopsIn() (time.Duration, bool) {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	return time.Until(daemon.endsAt), daemon.leaving && !daemon.endsAt.IsZero()
 }
 
-// EndSession tells the last counts, to another core if the first does not answer.
+// EndSession reports the last counts, trying the next core if one does not respond.
 func (daemon *Daemon) EndSession() {
 	daemon.mutex.Lock()
 	daemon.ended = true
--- a/agent/retire_test.go
+++ b/agent/retire_test.go
@@ -11,27 +11,27 @@
 	"orchidjunction/rpc"
 )
 
-// slowCore answers nothing, and says so after a while.
+// unresponsiveTransport fails each call after a delay.
 type unresponsiveTransport struct{ delay time.Duration }
 
 func (transport unresponsiveTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	select {
 	case <-time.After(transport.delay):
-		return nil, rpc.Errorf(rpc.Unreachable, "nobody there")
+		return nil, rpc.Errorf(rpc.Unreachable, "no response")
 	case <-request.Context().Done():
 		return nil, request.Context().Err()
 	}
 }
 
-// A daemon that leaves went on accepting requests for its time to settle and for the time that
-// the heartbeat took which told the cores; a request accepted so late was cut off at the end
-// of the grace (LOST, issue 33).
+// The settle time must count from the start of Retire. It once began only after the departing
+// heartbeat was answered, and a request accepted that late was cut off at the end of the grace
+// period and lost (issue 33).
 func TestRetireSettlesFromItsBegin(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		goroutines := concurrent.NewGroup()
 		daemon := NewDaemon(
 			Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true},
-			"life",
+			"i1",
 			rpc.NewClient(unresponsiveTransport{delay: 700 * time.Millisecond}),
 			goroutines,
 			metrics.NewCounters(),
@@ -40,10 +40,10 @@
 		begin := time.Now()
 		daemon.Retire(settle, grace, func(rest time.Duration) bool {
 			if settled := time.Since(begin); settled != settle {
-				test.Errorf("settled for %s", settled)
+				test.Errorf("drain called after %s, want after the settle time", settled)
 			}
 			if rest != grace-settle {
-				test.Errorf("%s are left to drain", rest)
+				test.Errorf("%s left to drain, want grace minus settle", rest)
 			}
 			return true
 		})
--- a/agent/rollout.go
+++ b/agent/rollout.go
@@ -8,10 +8,10 @@
 	"orchidjunction/rpc"
 )
 
-// OrderRollout forwards an order for a roll-out to the leader. As with evacuations, a request
-// may reach the leader long after its sender gave up on it, so that the leader is asked first
-// which roll-out is the service's newest, and carries out only what expects that one. Nothing
-// is ordered once ctx has ended.
+// OrderRollout forwards a roll-out order to the leader. As with Evacuate, a request may reach
+// the leader long after its sender has given up. OrderRollout therefore first queries the ID
+// of the service's newest roll-out, and the leader executes the order only if the ID still
+// matches. No order is sent once ctx has ended.
 func OrderRollout(ctx context.Context, forwarder *Forwarder, order message.RolloutOrder) (*message.RolloutOrderResponse, error) {
 	ctx, cancel := context.WithDeadline(ctx, forwarder.deadline(ctx))
 	defer cancel()
@@ -31,8 +31,8 @@
 	return response, err
 }
 
-// rolloutCounts returns what this process counted for the active roll-outs in force. The sums
-// of one that has ended are with the cores.
+// rolloutCounts returns this process's counts for the active roll-outs. The cores keep the
+// sums of roll-outs that have ended.
 func (daemon *Daemon) rolloutCounts() []message.RolloutCounts {
 	active := map[uint64]bool{}
 	for _, rollout := range daemon.Version().Rollouts {
@@ -41,7 +41,7 @@
 	return slices.DeleteFunc(daemon.callbacks.rollouts(), func(counts message.RolloutCounts) bool { return !active[counts.ID] })
 }
 
-// ReadRollout returns the confirmed newest roll-out of a service.
+// ReadRollout reads a service's newest roll-out from the leader.
 func ReadRollout(forwarder *Forwarder, service string) (*message.RolloutReadResponse, error) {
 	return Forward(forwarder, message.MethodRolloutRead, &message.RolloutReadRequest{Service: service})
 }
--- a/agent/rollout_api.go
+++ b/agent/rollout_api.go
@@ -12,18 +12,18 @@
 
 const maxRolloutBytes = 64 << 10
 
-// RolloutPath is where a RolloutAPI serves.
+// RolloutPath is the URL path of the RolloutAPI.
 const RolloutPath = "/v1/rollouts"
 
-// RolloutAPI is the product's own HTTP interface for roll-outs: POST starts one, GET reads the
-// newest of a service with what was counted, DELETE aborts it.
+// RolloutAPI is the HTTP API for roll-outs: POST starts one, GET returns the newest of a service
+// with its counts, and DELETE aborts it.
 type RolloutAPI struct {
 	forwarder *Forwarder
 	counters  *metrics.Counters
 	mux       *http.ServeMux
 }
 
-// NewRolloutAPI returns an interface whose orders forwarder carries to the leader.
+// NewRolloutAPI returns a RolloutAPI that sends orders to the leader through forwarder.
 func NewRolloutAPI(forwarder *Forwarder, counters *metrics.Counters) *RolloutAPI {
 	api := &RolloutAPI{forwarder: forwarder, counters: counters, mux: http.NewServeMux()}
 	api.mux.HandleFunc("POST "+RolloutPath, api.start)
@@ -39,20 +39,20 @@
 	api.mux.ServeHTTP(writer, request)
 }
 
-// RolloutRequest is an order for a roll-out that is to be complete within TermMs milliseconds.
+// RolloutRequest orders a roll-out that must complete within TermMs milliseconds.
 type RolloutRequest struct {
 	Service string `json:"service"`
 	Target  string `json:"target"`
 	TermMs  int64  `json:"term_ms"`
 }
 
-// RolloutReceipt confirms an order. Duplicate is true if it had been taken before.
+// RolloutReceipt confirms an order. Duplicate is true if the order had already been accepted.
 type RolloutReceipt struct {
 	ID        uint64 `json:"id"`
 	Duplicate bool   `json:"again,omitempty"`
 }
 
-// RolloutStatus is where a roll-out stands, and what proxies counted for it in all.
+// RolloutStatus is the state of a roll-out and the total counts of all proxies.
 type RolloutStatus struct {
 	ID             uint64  `json:"id"`
 	Service        string  `json:"service"`
@@ -72,7 +72,7 @@
 func (api *RolloutAPI) start(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxRolloutBytes))
 	if err != nil {
-		WriteError(writer, rpc.Errorf(rpc.TooLarge, "at most %d bytes", maxRolloutBytes))
+		WriteError(writer, rpc.Errorf(rpc.TooLarge, "request body exceeds the limit of %d bytes", maxRolloutBytes))
 		return
 	}
 	document := RolloutRequest{}
--- a/agent/sent_counts.go
+++ b/agent/sent_counts.go
@@ -6,16 +6,16 @@
 	"orchidjunction/message"
 )
 
-// sentCounts is what the core's process that gets this daemon's sessions has acknowledged of its
-// counts. Only what changed since is sent; another process is sent everything.
+// sentCounts are the counts that one core's process has acknowledged. That process is sent only
+// the counts that have changed since; another process is sent all of them.
 type sentCounts struct {
 	core    string
 	process uint64
-	sent    map[int64]map[string]uint64 // by window and tenant
+	sent    map[int64]map[string]uint64 // acknowledged counts by window and tenant
 }
 
-// unsent returns the counts to be sent to a core, and the process that they add to, 0 if
-// they are everything.
+// unsent returns the counts to send to a core and the process whose acknowledged counts they
+// build on, 0 if they are complete.
 func (counts *sentCounts) unsent(core string, windows []message.WindowCount) ([]message.WindowCount, uint64) {
 	if counts.sent == nil || counts.core != core {
 		*counts = sentCounts{core: core, sent: map[int64]map[string]uint64{}}
@@ -35,7 +35,7 @@
 	return unsent, counts.process
 }
 
-// changed returns a window's counts that differ from those sent.
+// changed returns the counts of a window that differ from those acknowledged.
 func (counts *sentCounts) changed(window message.WindowCount) map[string]uint64 {
 	changed := map[string]uint64{}
 	for tenant, count := range window.Tenants {
@@ -46,8 +46,8 @@
 	return changed
 }
 
-// accepted notes what a process has got. One that began since has nothing of what was
-// sent before.
+// acknowledge records counts accepted by a process. If the core's process has restarted,
+// everything has to be sent again.
 func (counts *sentCounts) acknowledge(sent []message.WindowCount, process uint64) {
 	if counts.process != 0 && counts.process != process {
 		*counts = sentCounts{}
--- a/agent/sent_counts_test.go
+++ b/agent/sent_counts_test.go
@@ -30,13 +30,13 @@
 	} {
 		unsent, base := sent.unsent(step.core, step.windows)
 		if !reflect.DeepEqual(unsent, step.want) || base != step.base {
-			test.Errorf("step %d: %v upon %d, want %v upon %d", number, unsent, base, step.want, step.base)
+			test.Errorf("step %d: %v based on %d, want %v based on %d", number, unsent, base, step.want, step.base)
 		}
 		if step.process != 0 {
 			sent.acknowledge(unsent, step.process)
 		}
 	}
 	if len(sent.sent) != 1 {
-		test.Errorf("old windows are kept: %v", sent.sent)
+		test.Errorf("outdated windows are still stored: %v", sent.sent)
 	}
 }
--- a/agent/session.go
+++ b/agent/session.go
@@ -9,8 +9,8 @@
 	"orchidjunction/rpc"
 )
 
-// runSessions renews the session periodically. With direct sessions it does so at once
-// when another leader is known or this daemon became ready.
+// runSessions renews the session periodically. With direct sessions it also does so as soon
+// as a new leader is observed or this daemon becomes ready.
 func (daemon *Daemon) runSessions() {
 	if !daemon.config.DirectSessions {
 		daemon.goroutines.Every(concurrent.Fixed(daemon.intervals.Session), daemon.renewSession)
@@ -23,7 +23,7 @@
 	}
 }
 
-// memberInfo returns this daemon as it announces itself.
+// memberInfo returns the daemon's own member entry.
 func (daemon *Daemon) memberInfo() message.Member {
 	isReady, isKeyReplica, demand := daemon.Ready(), daemon.callbacks.isKeyReplica(), daemon.callbacks.demand()
 	daemon.mutex.Lock()
@@ -44,8 +44,8 @@
 	}
 }
 
-// renewSession sends a core this daemon's heartbeat. A core that does not answer is left
-// for the next one.
+// renewSession sends the session heartbeat to a core. If the core does not respond, the next
+// heartbeat goes to another core.
 func (daemon *Daemon) renewSession() {
 	daemon.sessionLock.Lock()
 	defer daemon.sessionLock.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// newSession returns the heartbeat for a core.
+// newSession returns the heartbeat to send to a core.
 func (daemon *Daemon) newSession(core string) *message.Session {
 	version := daemon.Version()
 	daemon.mutex.Lock()
@@ -109,8 +109,8 @@
 	}
 }
 
-// sessionRenewed notes a core's response to a heartbeat that began at a time. A core that
-// follows no leader counts as failed.
+// recordSessionResponse records a core's response to the heartbeat sent at sentAt. With direct
+// sessions or while the cores are unreachable, a core without a leader counts as failed.
 func (daemon *Daemon) recordSessionResponse(core string, session *message.Session, response *message.SessionResponse, sentAt time.Time) {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
@@ -129,8 +129,8 @@
 	}
 }
 
-// sendUsage reports to the leader what was served since the last report: what only this
-// process knows is lost with it. Sessions tell it too, to whichever core.
+// sendUsage reports usage to the leader if it has changed since the last report, so that a
+// crash of this process loses little of it. Session heartbeats report it too, to any core.
 func (daemon *Daemon) sendUsage() {
 	leader, usage := daemon.LeaderFinder.Leader(), daemon.callbacks.usage()
 	if !leader.Known() || maps.Equal(usage, daemon.reportedUsage) {
--- a/agent/updates.go
+++ b/agent/updates.go
@@ -10,10 +10,11 @@
 	"orchidjunction/rpc"
 )
 
-// fetchAttempts is how often an update is fetched whose chunks are gone meanwhile.
+// fetchAttempts limits how often a fetch is repeated because its chunks have been replaced.
 const fetchAttempts = 3
 
-// watch waits at a process until it has something newer, or the interval is over.
+// watch long-polls a process until it has something newer than version or the watch interval
+// has passed.
 func (daemon *Daemon) watch(ctx context.Context, address string, version *Version) (*message.WatchResponse, error) {
 	interval := daemon.intervals.Watch
 	request := &message.WatchRequest{
@@ -27,9 +28,8 @@
 	return rpc.CallContext(ctx, daemon.client, address, message.MethodWatch, interval+daemon.intervals.callTimeout(), request)
 }
 
-// fetch puts in force what a process has that is newer: first it asks for the references
-// of the chunks, then for those that are missing here. A process that moved on meanwhile
-// is asked again.
+// fetch downloads and applies newer versions from a process: first the chunk references, then
+// the missing chunks. It retries if the process has replaced the chunks in the meantime.
 func (daemon *Daemon) fetch(ctx context.Context, address string) bool {
 	begin := time.Now()
 	for range fetchAttempts {
@@ -57,8 +57,8 @@
 	return false
 }
 
-// applyUpdate puts what was fetched in force, unless newer parts came meanwhile. It holds
-// a mutex of its own, so that the session goes on while a large version is put in force.
+// applyUpdate applies the parts of a response that are newer than those in force. It uses a
+// separate mutex so that the session continues while a large version is applied.
 func (daemon *Daemon) applyUpdate(response *message.FetchResponse, chunks message.Chunks) bool {
 	daemon.applyMutex.Lock()
 	before := daemon.Version()
@@ -83,21 +83,22 @@
 
 func (daemon *Daemon) logUpdate(before, next *Version) {
 	if next.Serial != before.Serial {
-		klog.Infof("%s: serial %d in force", daemon.config.Name, next.Serial)
+		klog.Infof("%s: applied settings serial %d", daemon.config.Name, next.Serial)
 		daemon.counters.Add("serials_in_force", 1)
 	}
 	if next.RoutingSerial != before.RoutingSerial {
-		klog.Infof("%s: routing %d in force, version %d", daemon.config.Name, next.RoutingSerial, next.Routing.Config.Version)
+		klog.Infof("%s: applied routing serial %d, version %d", daemon.config.Name, next.RoutingSerial, next.Routing.Config.Version)
 		daemon.counters.Add("routings_in_force", 1)
 	}
 	if leaving := message.NewlyLeaving(before.Table.Backends, next.Table.Backends); leaving > 0 {
 		version := next.Table.Version
-		klog.Infof("%s: table %d of term %s in force: %d backends newly leaving", daemon.config.Name, version.Number, version.Term, leaving)
+		klog.Infof("%s: applied table %d of term %s: %d backends newly leaving", daemon.config.Name, version.Number, version.Term, leaving)
 		daemon.counters.Add("backends_newly_leaving", uint64(leaving))
 	}
 }
 
-// onWatch waits until something is newer here than what another daemon holds.
+// onWatch responds once this daemon has something newer than the requesting daemon, or after
+// the request's time-out.
 func (daemon *Daemon) onWatch(_ context.Context, request *message.WatchRequest) (*message.WatchResponse, error) {
 	deadline := time.Now().Add(request.Timeout())
 	for {
@@ -115,7 +116,7 @@
 	}
 }
 
-// onFetch returns what is newer here than what another daemon holds.
+// onFetch returns the parts of the version that are newer than the requesting daemon's.
 func (daemon *Daemon) onFetch(_ context.Context, request *message.FetchRequest) (*message.FetchResponse, error) {
 	version := daemon.Version()
 	response := &message.FetchResponse{}
@@ -138,7 +139,7 @@
 	return response, nil
 }
 
-// onFetchChunks returns the chunks that are in force here.
+// onFetchChunks returns the requested chunks that are part of the settings in force.
 func (daemon *Daemon) onFetchChunks(_ context.Context, request *message.FetchChunksRequest) (*message.FetchChunksResponse, error) {
 	tree, response := daemon.Version().Tree, &message.FetchChunksResponse{Chunks: message.Chunks{}}
 	for _, digest := range request.Digests {
@@ -149,7 +150,7 @@
 	return response, nil
 }
 
-// onLeader says who leads and who votes, as far as this daemon knows.
+// onLeader returns the leader and the voters known to this daemon.
 func (daemon *Daemon) onLeader(context.Context, *message.LeaderRequest) (*message.LeaderResponse, error) {
 	voters, _ := daemon.LeaderFinder.Voters()
 	return &message.LeaderResponse{
--- a/agent/version.go
+++ b/agent/version.go
@@ -6,8 +6,8 @@
 	"orchidjunction/routing"
 )
 
-// Version is what is in force in a daemon: settings, routing, roll-outs and table, with the
-// serials of the first three. It is immutable and replaced as a whole.
+// Version is the state in force in a daemon: settings, routing and roll-outs with their
+// serials, and the table. It is immutable and replaced as a whole.
 type Version struct {
 	Serial        uint64
 	Tree          *config.Tree
@@ -18,20 +18,20 @@
 	RolloutSerial uint64
 	Rollouts      []message.Rollout
 
-	completeTable *message.Table // the newest that was complete, nil if none was yet
+	completeTable *message.Table // the newest complete table, nil before the first
 }
 
-// ServingTable returns the newest table that was made of a whole list of backends, nil if
-// there was none. A new leader that cannot read the platform's list makes tables without
-// backends; a proxy goes on with those that it knew.
+// ServingTable returns the newest table built from a complete list of backends, nil if there
+// was none. A new leader that cannot read the platform's list builds tables without backends;
+// proxies then continue with the backends they already know.
 func (version *Version) ServingTable() *message.Table { return version.completeTable }
 
-// Servable reports whether a proxy that serves by the routing can serve by this version.
+// Servable reports whether a proxy configured by the routing can serve with this version.
 func (version *Version) Servable() bool {
 	return version.Routing != nil && version.RoutingSerial > 0 && version.completeTable != nil
 }
 
-// Body returns the whole text of the settings.
+// Body returns the complete settings text.
 func (version *Version) Body() []byte { return version.Tree.Body() }
 
 // isBehind reports whether any of the given versions is newer.
@@ -40,8 +40,8 @@
 		version.Table.Version.Less(table)
 }
 
-// with returns the version with the newer parts of a response. A table that lists a new
-// version of a service is taken only together with the roll-outs that it was built under.
+// withUpdate returns the version updated with the newer parts of a response. A table is applied
+// only together with, or after, the roll-outs under which it was built.
 func (version *Version) withUpdate(response *message.FetchResponse, chunks message.Chunks) (*Version, error) {
 	next := *version
 	if response.Serial > version.Serial {
@@ -79,13 +79,13 @@
 	return routing.DecodeState(body)
 }
 
-// newerTable returns the table of a response, or the present one if that is newer.
+// newerTable returns the table of a response, or the current one if the response has no newer.
 func newerTable(table *message.Table, response *message.FetchResponse) *message.Table {
 	switch {
 	case response.Table != nil && table.Version.Less(response.Table.Version):
 		return response.Table
 	case response.Delta != nil && table.Version.Less(response.Delta.Version):
-		next, _ := table.Apply(response.Delta) // the table itself if the delta has another base
+		next, _ := table.Apply(response.Delta) // unchanged if the delta has a different base
 		return next
 	}
 	return table
--- a/agent/version_test.go
+++ b/agent/version_test.go
@@ -8,8 +8,8 @@
 	"orchidjunction/rpc"
 )
 
-// A new leader that cannot read the platform's list names no backends. A routing that is
-// newer comes into force all the same, with the backends that were known before.
+// A new leader that cannot read the platform's list publishes no backends. A newer routing is
+// applied all the same, with the backends known before.
 func TestRoutingComesIntoForceWithoutAList(test *testing.T) {
 	newTable := func(term uint64, isComplete bool, names ...string) *message.Table {
 		table := &message.Table{Version: message.TableVersion{Term: message.Term{Number: term, Core: 1}, Number: 1}, Complete: isComplete}
@@ -33,11 +33,11 @@
 		routing  uint64
 		backends int
 	}{
-		{"nothing known of backends", newResponse(1, newTable(1, false)), false, 1, 0},
-		{"a list", newResponse(2, newTable(2, true, "a", "b")), true, 2, 2},
-		{"the next leader has none", newResponse(3, newTable(3, false)), true, 3, 2},
-		{"nor the one after", newResponse(4, newTable(4, false)), true, 4, 2},
-		{"which reads one", newResponse(5, newTable(5, true, "c")), true, 5, 1},
+		{"no complete table yet", newResponse(1, newTable(1, false)), false, 1, 0},
+		{"first complete table", newResponse(2, newTable(2, true, "a", "b")), true, 2, 2},
+		{"incomplete table of the next leader", newResponse(3, newTable(3, false)), true, 3, 2},
+		{"incomplete table of a third leader", newResponse(4, newTable(4, false)), true, 4, 2},
+		{"complete table again", newResponse(5, newTable(5, true, "c")), true, 5, 1},
 	} {
 		next, err := version.withUpdate(step.response, message.Chunks{})
 		if err != nil {
@@ -47,17 +47,17 @@
 			test.Errorf("%s: servable %v, routing %d", step.name, next.Servable(), next.Routing.Config.Version)
 		}
 		if step.servable && len(next.ServingTable().Backends) != step.backends {
-			test.Errorf("%s: serves by %d backends, want %d", step.name, len(next.ServingTable().Backends), step.backends)
+			test.Errorf("%s: serving table has %d backends, want %d", step.name, len(next.ServingTable().Backends), step.backends)
 		}
 		if next.Table != step.response.Table {
-			test.Errorf("%s: the newest table is not kept", step.name)
+			test.Errorf("%s: the newest table was not stored", step.name)
 		}
 		version = next
 	}
 }
 
-// A table that lists backends of an ordered version comes into force only with the roll-outs
-// under which it was built: a daemon that missed these would send them a full share.
+// A table that lists backends of a version being rolled out is applied only with the roll-outs
+// under which it was built: without them the daemon would send these backends a full share.
 func TestTableWaitsForItsRollouts(test *testing.T) {
 	newTable := func(number, rollouts uint64) *message.Table {
 		return &message.Table{Version: message.TableVersion{Number: number}, Complete: true, Rollouts: rollouts}
@@ -76,7 +76,7 @@
 			Delta: &message.TableDelta{Base: message.TableVersion{Number: 1}, Version: message.TableVersion{Number: 3}, Rollouts: 1},
 		}, 1, 0},
 		{"roll-outs alone", &message.FetchResponse{Rollouts: 1, RolloutList: list}, 1, 1},
-		{"the table once more", &message.FetchResponse{Table: newTable(2, 1)}, 2, 1},
+		{"the table again", &message.FetchResponse{Table: newTable(2, 1)}, 2, 1},
 		{"older roll-outs", &message.FetchResponse{Rollouts: 0, Table: newTable(4, 1)}, 4, 1},
 		{"both at once", &message.FetchResponse{Rollouts: 5, RolloutList: list, Table: newTable(6, 5)}, 6, 5},
 	} {
--- a/agent/watch.go
+++ b/agent/watch.go
@@ -8,15 +8,15 @@
 	"orchidjunction/message"
 )
 
-// watching is the core at which a daemon with direct sessions waits for updates, and how
-// to wait no longer. It is safe for concurrent use.
+// watchState is the core that a daemon with direct sessions currently watches for updates, and
+// the cancel function of that watch. It is safe for concurrent use.
 type watchState struct {
 	mutex  sync.Mutex
 	core   string
 	cancel context.CancelFunc
 }
 
-// begin notes the core and returns the context of the wait.
+// begin records the watched core and returns the context of the watch.
 func (state *watchState) begin(core string) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	state.mutex.Lock()
@@ -25,7 +25,7 @@
 	return ctx
 }
 
-// stop ends the wait at a core, if that is still the one.
+// stop cancels the watch of a core if that core is still watched.
 func (state *watchState) stop(core string) {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
@@ -40,8 +40,7 @@
 	return state.core
 }
 
-// watchCores waits for updates at the leader or, while that does not answer, at another
-// core.
+// watchCores watches the leader for updates or, while that does not respond, another core.
 func (daemon *Daemon) watchCores() {
 	for !daemon.goroutines.Stopping() {
 		core := daemon.chooseCore()
@@ -53,8 +52,8 @@
 	}
 }
 
-// watchOnce waits for an update at a core and puts it in force, after a fetch unless the
-// core sent it at once. It returns false if the core failed.
+// watchOnce waits for one update from a core and applies it, fetching what the watch response
+// does not contain. It returns false if the core failed.
 func (daemon *Daemon) watchOnce(ctx context.Context, core string) bool {
 	version := daemon.Version()
 	response, err := daemon.watch(ctx, core, version)
@@ -66,8 +65,7 @@
 	return !isNewer || daemon.fetch(ctx, core) || ctx.Err() != nil
 }
 
-// takeWatched puts in force what came with the response to a watch: roll-outs, and what
-// changed in the table.
+// applyWatchResponse applies the roll-outs and the table delta of a watch response.
 func (daemon *Daemon) applyWatchResponse(response *message.WatchResponse) {
 	update := &message.FetchResponse{Delta: response.Delta}
 	if response.Rollouts > daemon.Version().RolloutSerial {
@@ -81,8 +79,8 @@
 	}
 }
 
-// fetchFirstVersion takes a first version from whichever core has one: before anybody
-// leads, cores say what they know to be committed.
+// fetchInitialVersion fetches a first version from any core that has one. Before a leader is
+// elected, cores report the versions they know to be committed.
 func (daemon *Daemon) fetchInitialVersion(core string, response *message.LeaderResponse) {
 	version := daemon.Version()
 	if version.Servable() || !version.isBehind(0, response.Routing, 0, response.Table) {
@@ -92,7 +90,7 @@
 	daemon.fetch(context.Background(), core)
 }
 
-// coreSilent forgets a leader that did not answer, and waits for no updates from it.
+// dropUnresponsiveCore stops watching a core and, if it is the leader, forgets the leader.
 func (daemon *Daemon) dropUnresponsiveCore(core string) {
 	if leader := daemon.LeaderFinder.Leader(); leader.Address == core {
 		daemon.LeaderFinder.Drop(leader, false)
@@ -100,8 +98,8 @@
 	daemon.watchState.stop(core)
 }
 
-// updateCores leaves a core that knows no leader, and ends a wait for updates at one that
-// does not lead while another one does.
+// reconsiderWatch gives up a core that knows no leader, and ends the watch of a core that is
+// not the leader once the leader is known.
 func (daemon *Daemon) reconsiderWatch(core string, leader message.Leader, formerTerm message.Term) {
 	daemon.mutex.Lock()
 	if !leader.Known() {
@@ -119,8 +117,7 @@
 	}
 }
 
-// catchUp fetches an update from the core that has it, if the wait for updates did not;
-// the session does not wait for that.
+// catchUp fetches an update from a core in the background if the watch has not delivered it.
 func (daemon *Daemon) catchUp(core string) {
 	daemon.mutex.Lock()
 	isLate := !daemon.behindSince.IsZero() && time.Since(daemon.behindSince) > daemon.intervals.Session/2
