--- a/message/chunk.go
+++ b/message/chunk.go
@@ -8,34 +8,33 @@
 	"orchidjunction/rpc"
 )
 
-// MaxChunksPerFetch is how many chunks one message may ask for.
+// MaxChunksPerFetch is the maximum number of chunks per fetch request.
 const MaxChunksPerFetch = 128
 
 const digestBytes = 16
 
-// ChunkRef names one chunk of a register's content: the path it stands at, and the
-// digest of its text.
+// ChunkRef refers to a chunk of a register's content by its path and the digest of its text.
 type ChunkRef struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // msgpack reads its tag by reflection
 	Path     string
 	Digest   string
 }
 
-// DigestOf returns the digest that names a text: the first half of its SHA-256, as a
-// string of bytes.
+// DigestOf returns the digest that identifies a text: the first half of its SHA-256 hash as raw
+// bytes.
 func DigestOf(text []byte) string {
 	sum := sha256.Sum256(text)
 	return string(sum[:digestBytes])
 }
 
-// Chunks are texts by their digests.
+// Chunks maps digests to texts.
 type Chunks map[string][]byte
 
-// check refuses a text that does not match its digest.
+// check rejects a text that does not match its digest.
 func (chunks Chunks) check() error {
 	for digest, text := range chunks {
 		if DigestOf(text) != digest {
-			return rpc.Errorf(rpc.CorruptChunk, "a chunk of %d bytes does not match its digest", len(text))
+			return rpc.Errorf(rpc.CorruptChunk, "chunk of %d bytes does not match its digest", len(text))
 		}
 	}
 	return nil
@@ -46,8 +45,7 @@
 	return found
 }
 
-// MissingChunks returns the digests of those references which none of the given chunks
-// contain, each once.
+// MissingChunks returns the distinct digests of refs that are in none of the known chunks.
 func MissingChunks(refs []ChunkRef, known ...Chunks) []string {
 	missing := []string{}
 	seen := map[string]bool{}
@@ -64,8 +62,8 @@
 	return missing
 }
 
-// Fetch adds the missing chunks from the process at an address, a bounded number in
-// each message. It returns an error if one of them is not there or arrives corrupt.
+// Fetch adds the missing chunks from the process at an address, up to MaxChunksPerFetch per
+// request. It returns an error if a chunk is unavailable or corrupt.
 func (chunks Chunks) Fetch(client *rpc.Client, address string, timeout time.Duration, missing []string) error {
 	for len(missing) > 0 {
 		count := min(len(missing), MaxChunksPerFetch)
@@ -75,7 +73,7 @@
 			return err
 		}
 		if len(response.Chunks) < count {
-			return rpc.Errorf(rpc.CorruptChunk, "%d of %d chunks are not there", count-len(response.Chunks), count)
+			return rpc.Errorf(rpc.CorruptChunk, "%d of %d requested chunks are unavailable", count-len(response.Chunks), count)
 		}
 		maps.Copy(chunks, response.Chunks)
 		missing = missing[count:]
@@ -83,24 +81,23 @@
 	return nil
 }
 
-// FetchChunksRequest asks for chunks. Those that the other process lacks are left out
-// of the response.
+// FetchChunksRequest asks for chunks. The response omits those that the responder lacks.
 type FetchChunksRequest struct {
 	Digests []string
 }
 
-// Check refuses more than MaxChunksPerFetch digests.
+// Check rejects more than MaxChunksPerFetch digests.
 func (request *FetchChunksRequest) Check() error {
 	if len(request.Digests) > MaxChunksPerFetch {
-		return rpc.Errorf(rpc.BadMessage, "%d chunks asked for, allowed %d", len(request.Digests), MaxChunksPerFetch)
+		return rpc.Errorf(rpc.BadMessage, "%d chunks requested, at most %d allowed", len(request.Digests), MaxChunksPerFetch)
 	}
 	return nil
 }
 
-// FetchChunksResponse brings chunks.
+// FetchChunksResponse contains the requested chunks.
 type FetchChunksResponse struct {
 	Chunks Chunks `msgpack:"Texts"`
 }
 
-// Check refuses a chunk that does not match its digest.
+// Check rejects a chunk that does not match its digest.
 func (response *FetchChunksResponse) Check() error { return response.Chunks.check() }
--- a/message/claim.go
+++ b/message/claim.go
@@ -2,7 +2,7 @@
 
 import "orchidjunction/rpc"
 
-// MaxClaimsPerMessage is how many entries of each kind one message may hold.
+// MaxClaimsPerMessage is the maximum number of entries of each kind in one message.
 const MaxClaimsPerMessage = 1024
 
 const (
@@ -17,20 +17,20 @@
 	Key     string
 }
 
-// ClaimStage is how far the request of a claim has come.
+// ClaimStage is the progress of a claimed request.
 type ClaimStage int
 
-// The stages: the request runs, ran and its response is known, or ended with an unknown
-// outcome.
+// The stages: the request is running, has completed with a recorded response, or has ended with
+// an unknown outcome.
 const (
 	ClaimRunning ClaimStage = iota + 1
 	ClaimCompleted
 	ClaimUnknown
 )
 
-// ClaimRecord is what replicas remember of a key. ID is that of the request which claimed
-// it, Digest that of the request's content, and Holder the proxy that sends it. Status,
-// Header and Body are the recorded response.
+// ClaimRecord is the replicated state of an idempotency key. ID identifies the request that
+// claimed the key, Digest its content, and Holder the proxy that sends it. Status, Header and
+// Body are the recorded response.
 type ClaimRecord struct {
 	Key    ClaimKey
 	ID     string
@@ -45,35 +45,35 @@
 
 func (record *ClaimRecord) check() error {
 	if record.Key.Key == "" || record.ID == "" || record.Holder == "" {
-		return rpc.Errorf(rpc.BadMessage, "claim without key, id or holder")
+		return rpc.Errorf(rpc.BadMessage, "claim without key, ID or holder")
 	}
 	if len(record.Key.Key) > maxKeyLength || len(record.Body) > maxRecordBytes {
-		return rpc.Errorf(rpc.BadMessage, "claim of a key with %d letters and %d bytes", len(record.Key.Key), len(record.Body))
+		return rpc.Errorf(rpc.BadMessage, "claim with a key of %d bytes and a body of %d bytes", len(record.Key.Key), len(record.Body))
 	}
 	if record.Stage < ClaimRunning || record.Stage > ClaimUnknown {
-		return rpc.Errorf(rpc.BadMessage, "claim stage %d", record.Stage)
+		return rpc.Errorf(rpc.BadMessage, "unknown claim stage %d", record.Stage)
 	}
 	return nil
 }
 
-// ClaimRequest asks a replica to record a claim for one request. Replaces names a claim
-// whose holder said that it gave the key back.
+// ClaimRequest asks a replica to record a claim for a request. Replaces is the ID of an earlier
+// claim whose holder has reported that it released the key.
 type ClaimRequest struct {
 	Record   ClaimRecord `msgpack:"Claimed"`
 	Replaces string      `msgpack:"Instead"`
 	Table    TableVersion
 }
 
-// ClaimResponse says whether the claim was granted, and else which claim has the key. It
-// counts without the cores only if Complete: the replica's memory lacks nothing.
+// ClaimResponse reports whether the claim was granted, or otherwise which claim has the key. It
+// counts without the cores only if Complete, that is, if the replica has all earlier claims.
 type ClaimResponse struct {
 	Granted  bool
 	Complete bool        `msgpack:"Whole"`
 	Existing ClaimRecord `msgpack:"Held"`
 }
 
-// CompleteClaimRequest tells replicas how a claimed request ended; Release gives the key
-// back, since the request did not run.
+// CompleteClaimRequest reports the outcome of a claimed request. Release frees the key because
+// the request did not run.
 type CompleteClaimRequest struct {
 	Record  ClaimRecord `msgpack:"Claimed"`
 	Release bool        `msgpack:"Free"`
@@ -82,21 +82,21 @@
 // CompleteClaimResponse confirms a CompleteClaimRequest.
 type CompleteClaimResponse struct{}
 
-// QueryHolderRequest asks a claim's holder what became of it. Another process that has
-// the holder's name and address since does not know.
+// QueryHolderRequest asks a claim's holder for its state. A later process with the same name and
+// address does not know the claim.
 type QueryHolderRequest struct {
 	Holder string
 	Key    ClaimKey
 	ID     string
 }
 
-// QueryHolderResponse is what the holder knows of its claim.
+// QueryHolderResponse contains the claim if the holder knows it.
 type QueryHolderResponse struct {
 	Known  bool
 	Record ClaimRecord `msgpack:"Held"`
 }
 
-// MergeClaimsRequest brings a replica claims that it may lack.
+// MergeClaimsRequest sends a replica claims that it may lack.
 type MergeClaimsRequest struct {
 	Claims []ClaimRecord
 }
@@ -104,17 +104,16 @@
 // MergeClaimsResponse confirms a MergeClaimsRequest.
 type MergeClaimsResponse struct{}
 
-// FetchClaimsRequest asks a replica or a core for its claims, a page at a time, after a
-// sequence number. Membership is the one by which the sender counts cores: once a core
-// has answered, it records nothing under an older one with other voters.
+// FetchClaimsRequest asks a replica or a core for one page of its claims, starting after a
+// sequence number. Membership is the one by which the sender counts cores: once a core has
+// responded, it records no claims under an older membership with other voters.
 type FetchClaimsRequest struct {
 	After      uint64
 	Membership AcceptedValue `msgpack:"Members"`
 }
 
-// FetchClaimsResponse is one page of claims; Done says that it is the last one.
-// Membership is that of the answering core if it knows another one than the sender, and
-// Core is its ID in it.
+// FetchClaimsResponse is a page of claims. Done marks the last page. Membership is set to that of
+// the responding core if it differs from the sender's, and Core is the core's ID in it.
 type FetchClaimsResponse struct {
 	Membership AcceptedValue `msgpack:"Members"`
 	Core       int
@@ -125,10 +124,9 @@
 	Done       bool
 }
 
-// RecordClaimsRequest asks a core to claim keys, and to record claims made without it
-// and what became of claims; all of it is durable once the core answers. Membership is
-// the one by which the sender counts the answers; a sender that knows none leaves that
-// to the core's own.
+// RecordClaimsRequest asks a core to claim keys, and to record claims made without it (Merged)
+// and outcomes of claims (Completed). Everything is durable once the core responds. Membership
+// is the one by which the sender counts responses; if it is unset, the core's own applies.
 type RecordClaimsRequest struct {
 	Membership AcceptedValue `msgpack:"Members"`
 	Claims     []ClaimRequest
@@ -136,10 +134,10 @@
 	Completed  []CompleteClaimRequest `msgpack:"Settles"`
 }
 
-// RecordClaimsResponse answers each claim; a core that is not Complete may have lost
-// some. Membership is the one that the core recorded them under if that is not the
-// sender's, and Core is its ID in it. Refused is true if nothing was recorded, since
-// this core is no voter or the membership just changed.
+// RecordClaimsResponse contains a result for each claim. A core that is not Complete may have
+// lost claims. Membership is set to the one under which the core recorded the claims if it
+// differs from the sender's, and Core is the core's ID in it. Refused is true if nothing was
+// recorded because the core is not a voter or the membership has just changed.
 type RecordClaimsResponse struct {
 	Membership AcceptedValue `msgpack:"Members"`
 	Core       int
@@ -148,22 +146,22 @@
 	Results    []ClaimResponse `msgpack:"Told"`
 }
 
-// Check refuses a claim with missing or oversized fields.
+// Check rejects a claim with missing or oversized fields.
 func (request *ClaimRequest) Check() error { return request.Record.check() }
 
-// Check refuses a claim with missing or oversized fields.
+// Check rejects a claim with missing or oversized fields.
 func (request *CompleteClaimRequest) Check() error { return request.Record.check() }
 
-// Check refuses the message if one of its claims is invalid.
+// Check rejects the message if any claim is invalid.
 func (request *MergeClaimsRequest) Check() error {
 	return checkAll(request.Claims, (*ClaimRecord).check)
 }
 
-// Check refuses more than MaxClaimsPerMessage entries of a kind, and an invalid entry.
+// Check rejects more than MaxClaimsPerMessage entries of a kind, and invalid entries.
 func (request *RecordClaimsRequest) Check() error {
 	claims, merged, completed := len(request.Claims), len(request.Merged), len(request.Completed)
 	if max(claims, merged, completed) > MaxClaimsPerMessage {
-		return rpc.Errorf(rpc.BadMessage, "%d claims, %d merged, %d completed", claims, merged, completed)
+		return rpc.Errorf(rpc.BadMessage, "too many entries: %d claims, %d merged, %d completed", claims, merged, completed)
 	}
 	if err := checkAll(request.Claims, (*ClaimRequest).Check); err != nil {
 		return err
@@ -174,7 +172,7 @@
 	return checkAll(request.Completed, (*CompleteClaimRequest).Check)
 }
 
-// checkAll returns the first error that check finds in a list.
+// checkAll returns the first error of check over a list of items.
 func checkAll[Item any](items []Item, check func(*Item) error) error {
 	for index := range items {
 		if err := check(&items[index]); err != nil {
--- a/message/codec_test.go
+++ b/message/codec_test.go
@@ -14,8 +14,8 @@
 	"orchidjunction/rpc"
 )
 
-// One message, changed in one field at a time: what nobody knows, what has the
-// wrong type and what lies out of range is refused and counted, and the door lives on.
+// The server rejects and counts messages with an unknown field, a field of the wrong type or out
+// of range, and malformed encodings, and continues to serve valid ones.
 func TestServerRejectsInvalidMessages(test *testing.T) {
 	counters := metrics.NewCounters()
 	server := rpc.NewServer(counters)
@@ -44,50 +44,50 @@
 	}
 	plain := encode(func(map[string]any) {})
 	if code := send("/oj/beat", "application/msgpack", plain); code != http.StatusOK || accepted != 1 {
-		test.Fatalf("the good message: %d", code)
+		test.Fatalf("valid message: status %d", code)
 	}
 	for name, body := range map[string][]byte{
-		"unknown field":      encode(func(message map[string]any) { message["Colour"] = 1 }),
-		"unknown inner":      encode(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 3, "Core": 1, "Age": 2} }),
-		"text for a ballot":  encode(func(message map[string]any) { message["Ballot"] = "3.1" }),
-		"text for a round":   encode(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": "three", "Core": 1} }),
-		"number for a flag":  encode(func(message map[string]any) { message["Duck"] = "yes" }),
-		"no ballot":          encode(func(message map[string]any) { delete(message, "Ballot") }),
-		"round 0":            encode(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 0, "Core": 1} }),
-		"core 0":             encode(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 3, "Core": 0} }),
-		"core too high":      encode(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 3, "Core": MaxPeerID + 1} }),
-		"truncated":          plain[:len(plain)-1],
-		"bytes behind":       append(append([]byte{}, plain...), 0),
-		"not msgpack":        []byte("{\"Ballot\":1}"),
-		"a list":             {0x93, 1, 2, 3},
-		"huge announced map": {0xdf, 0xff, 0xff, 0xff, 0xff},
+		"unknown field":        encode(func(message map[string]any) { message["Colour"] = 1 }),
+		"unknown nested":       encode(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 3, "Core": 1, "Age": 2} }),
+		"string as ballot":     encode(func(message map[string]any) { message["Ballot"] = "3.1" }),
+		"string as round":      encode(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": "three", "Core": 1} }),
+		"string as flag":       encode(func(message map[string]any) { message["Duck"] = "yes" }),
+		"no ballot":            encode(func(message map[string]any) { delete(message, "Ballot") }),
+		"round 0":              encode(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 0, "Core": 1} }),
+		"core 0":               encode(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 3, "Core": 0} }),
+		"core too large":       encode(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 3, "Core": MaxPeerID + 1} }),
+		"truncated":            plain[:len(plain)-1],
+		"trailing byte":        append(append([]byte{}, plain...), 0),
+		"not msgpack":          []byte("{\"Ballot\":1}"),
+		"array":                {0x93, 1, 2, 3},
+		"oversized map length": {0xdf, 0xff, 0xff, 0xff, 0xff},
 	} {
 		before := counters.Get("wire_bad_message")
 		if code := send("/oj/beat", "application/msgpack", body); code == http.StatusOK {
-			test.Errorf("%s is taken", name)
+			test.Errorf("%s is accepted", name)
 		}
 		if counters.Get("wire_bad_message") != before+1 {
-			test.Errorf("%s is not counted", name)
+			test.Errorf("%s is not counted as a bad message", name)
 		}
 	}
 	if code := send("/oj/nothing", "application/msgpack", plain); code != http.StatusNotFound || counters.Get("wire_unknown_message") != 1 {
-		test.Errorf("unknown message: %d", code)
+		test.Errorf("unknown method: status %d", code)
 	}
 	if code := send("/oj/beat", "application/json", []byte("{}")); code == http.StatusOK {
-		test.Errorf("json is taken")
+		test.Errorf("content type JSON is accepted")
 	}
 	if code := send("/oj/beat", "application/msgpack", plain); code != http.StatusOK || accepted != 2 {
-		test.Errorf("the good message afterwards: %d, taken %d", code, accepted)
+		test.Errorf("valid message afterwards: status %d, accepted %d", code, accepted)
 	}
 }
 
-// A branch whose digest is not its text's is refused, and nothing of its message is taken.
+// A message with a chunk that does not match its digest is rejected.
 func TestCorruptChunkIsRejected(test *testing.T) {
 	text := []byte(`{"a":1}`)
 	valid := &FetchChunksResponse{Chunks: Chunks{DigestOf(text): text}}
 	body, err := rpc.Codec{}.Marshal(valid)
 	if err != nil || (rpc.Codec{}).Unmarshal(body, &FetchChunksResponse{}) != nil {
-		test.Fatal("the good message is refused")
+		test.Fatal("the valid message is rejected")
 	}
 	for index := range text {
 		corrupted := append([]byte{}, text...)
@@ -99,7 +99,7 @@
 				target = &AcceptRequest{}
 			}
 			if err := (rpc.Codec{}).Unmarshal(body, target); rpc.CodeOf(err) != rpc.CorruptChunk {
-				test.Errorf("%s with byte %d worn: %v", name, index, err)
+				test.Errorf("%s with byte %d corrupted: %v", name, index, err)
 			}
 		}
 	}
--- a/message/compress.go
+++ b/message/compress.go
@@ -10,28 +10,28 @@
 
 const maxDecompressedBytes = 256 << 20
 
-// Compress returns body compressed by DEFLATE (RFC 1951).
+// Compress compresses body with DEFLATE (RFC 1951).
 func Compress(body []byte) []byte {
 	buffer := bytes.Buffer{}
-	writer, _ := flate.NewWriter(&buffer, flate.DefaultCompression) // the level is a valid one
-	_, _ = writer.Write(body)                                       // a bytes.Buffer accepts all of it
+	writer, _ := flate.NewWriter(&buffer, flate.DefaultCompression) // fails only for an invalid level
+	_, _ = writer.Write(body)                                       // a bytes.Buffer never fails
 	_ = writer.Close()                                              // as above
 	return buffer.Bytes()
 }
 
-// decompress returns what Compress compressed.
+// decompress reverses Compress. The result is limited to maxDecompressedBytes.
 func decompress(body []byte) ([]byte, error) {
 	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), maxDecompressedBytes+1))
 	if err != nil {
 		return nil, err
 	}
 	if len(plain) > maxDecompressedBytes {
-		return nil, rpc.Errorf(rpc.BadMessage, "more than %d bytes", maxDecompressedBytes)
+		return nil, rpc.Errorf(rpc.BadMessage, "decompressed body exceeds the limit of %d bytes", maxDecompressedBytes)
 	}
 	return plain, nil
 }
 
-// DecompressRouting returns the routing's body as it was before it was compressed.
+// DecompressRouting returns the routing's body, decompressed if necessary.
 func (response *FetchResponse) DecompressRouting() ([]byte, error) {
 	if !response.RoutingCompressed {
 		return response.RoutingBody, nil
--- a/message/compress_test.go
+++ b/message/compress_test.go
@@ -9,18 +9,18 @@
 	body := bytes.Repeat([]byte("a route like the others;"), 500)
 	compressed := Compress(body)
 	if len(compressed) > len(body)/10 {
-		test.Errorf("%d bytes of %d", len(compressed), len(body))
+		test.Errorf("compressed to %d of %d bytes", len(compressed), len(body))
 	}
 	response := &FetchResponse{RoutingBody: compressed, RoutingCompressed: true}
 	if decompressed, err := response.DecompressRouting(); err != nil || !bytes.Equal(decompressed, body) {
-		test.Errorf("%v, %d bytes", err, len(decompressed))
+		test.Errorf("error %v, decompressed to %d bytes", err, len(decompressed))
 	}
 	response.RoutingBody = compressed[:len(compressed)-3]
 	if _, err := response.DecompressRouting(); err == nil {
-		test.Errorf("a cut body was taken")
+		test.Errorf("a truncated body was accepted")
 	}
 	response = &FetchResponse{RoutingBody: body}
 	if decompressed, err := response.DecompressRouting(); err != nil || !bytes.Equal(decompressed, body) {
-		test.Errorf("plain: %v", err)
+		test.Errorf("uncompressed routing: %v", err)
 	}
 }
--- a/message/consensus.go
+++ b/message/consensus.go
@@ -2,17 +2,17 @@
 
 import "orchidjunction/rpc"
 
-// PreVoteRequest asks whether a candidate would win, before it raises its term.
-// Membership is the version of the newest membership that the candidate knows.
+// PreVoteRequest asks whether a candidate would win before it increases its term. Membership is
+// the version of the newest membership known to the candidate.
 type PreVoteRequest struct {
 	Core       int
 	Versions   Versions `msgpack:"Marks"`
 	Membership Version  `msgpack:"Members"`
 }
 
-// PreVoteResponse says whether a core would support the candidate, and what the core
-// itself knows: whether a leader is alive, how new its registers are, how many cores it
-// reaches, the highest term number it has seen, and a newer membership.
+// PreVoteResponse reports whether a core would support the candidate, and the core's own state:
+// whether it has a live leader, its register versions, the number of cores it can reach, the
+// highest term number seen, and the membership if it is newer.
 type PreVoteResponse struct {
 	Granted     bool `msgpack:"Willing"`
 	LeaderAlive bool `msgpack:"Heard"`
@@ -23,19 +23,19 @@
 	Membership  AcceptedValue `msgpack:"Members"`
 }
 
-// PrepareRequest asks a replica to promise that it accepts nothing under older terms
-// (Paxos phase 1). It names the membership by which the candidate counts its quorum: a
-// replica that knows a newer one with other voters refuses. Held are the versions that the
-// candidate has accepted itself: of those, and of older ones, it needs no copy.
+// PrepareRequest asks a replica to promise not to accept values in older terms (Paxos phase 1).
+// Membership is the one by which the candidate counts its quorum: a replica that knows a newer
+// one with other voters refuses. Held are the versions that the candidate itself has accepted;
+// it needs no values of these or older versions.
 type PrepareRequest struct {
 	Term       Term          `msgpack:"Ballot"`
 	Membership AcceptedValue `msgpack:"Members"`
 	Held       Versions
 }
 
-// PrepareResponse brings all that was accepted if the promise was granted, and the newer
-// membership if it was refused for that. A value that is not newer than what the candidate
-// holds has only its version.
+// PrepareResponse contains all accepted values if the promise was granted, and the newer
+// membership if it was refused because of that. Values that are not newer than the candidate's
+// are reduced to their versions.
 type PrepareResponse struct {
 	Granted    bool
 	Promised   Term
@@ -43,10 +43,10 @@
 	Membership AcceptedValue `msgpack:"Members"`
 }
 
-// AcceptRequest asks a replica to accept a value (Paxos phase 2). It brings the chunks
-// that its sender takes for new; the replica names those it lacks all the same. If Inherited
-// is set, Value has only its serial: it is the value that replicas have accepted under that
-// version, the term of an earlier leader.
+// AcceptRequest asks a replica to accept a value (Paxos phase 2). It contains the chunks that the
+// sender expects to be new; the replica reports any others that it lacks. If Inherited is set,
+// Value has only its serial and refers to the value that replicas have accepted under version
+// Inherited, in the term of an earlier leader.
 type AcceptRequest struct {
 	Term      Term `msgpack:"Ballot"`
 	Register  Register
@@ -55,8 +55,8 @@
 	Inherited Version
 }
 
-// ByReference returns the request without what a replica has that accepted the value under
-// an earlier version.
+// ByReference returns the request without the content, for replicas that have accepted the value
+// under version inherited.
 func (request *AcceptRequest) ByReference(inherited Version) *AcceptRequest {
 	return &AcceptRequest{
 		Term:      request.Term,
@@ -66,8 +66,8 @@
 	}
 }
 
-// AcceptResponse says whether the value was accepted. Missing are the digests of chunks
-// that the replica lacks; LacksValue says that it did not accept the inherited version.
+// AcceptResponse reports whether the value was accepted. Missing are the digests of the chunks
+// that the replica lacks. LacksValue says that it has not accepted the inherited version.
 type AcceptResponse struct {
 	Accepted   bool `msgpack:"Taken"`
 	Promised   Term
@@ -75,19 +75,19 @@
 	LacksValue bool
 }
 
-// RenewCandidacyRequest tells a replica that the candidate which it promised a term to is
-// still about to establish its leadership.
+// RenewCandidacyRequest tells a replica that the candidate to which it promised a term is still
+// establishing its leadership.
 type RenewCandidacyRequest struct {
 	Term Term `msgpack:"Ballot"`
 }
 
-// RenewCandidacyResponse says whether the replica's promise still stands.
+// RenewCandidacyResponse reports whether the replica's promise is still valid.
 type RenewCandidacyResponse struct {
 	Accepted bool `msgpack:"Taken"`
 }
 
-// HeartbeatRequest is a leader's heartbeat. It says what is committed and, while the
-// leader is in lameduck, who is to lead next. NowMs is the cluster's time in
+// HeartbeatRequest is a leader's heartbeat. Committed are the committed versions and Successor,
+// while the leader is in lameduck mode, the intended next leader. NowMs is the cluster time in
 // milliseconds since the Unix epoch, 0 if unknown.
 type HeartbeatRequest struct {
 	Term      Term `msgpack:"Ballot"`
@@ -99,9 +99,9 @@
 	NowMs     int64
 }
 
-// HeartbeatResponse answers a heartbeat. A core whose disk refuses writes or does not
-// respond accepts it, as its promise holds, but can accept no values. AnchorMs is the
-// core's own clock and NowMs the cluster's time as it knows it, 0 if it does not.
+// HeartbeatResponse answers a heartbeat. A core whose disk fails or hangs still accepts
+// heartbeats, since its promise holds, but sets RefusesWrites: it cannot accept values. AnchorMs
+// is the core's own clock and NowMs its view of the cluster time, 0 if unknown.
 type HeartbeatResponse struct {
 	Accepted      bool `msgpack:"Taken"`
 	Voter         bool
@@ -113,8 +113,8 @@
 	NowMs         int64
 }
 
-// TransferLeadershipRequest asks a core to take over from a leader that steps down. It
-// names the learners' addresses, so that one of them can take the old leader's place.
+// TransferLeadershipRequest asks a core to take over from a leader that steps down. Learners are
+// the learners' addresses, so that one of them can replace the former leader as a voter.
 type TransferLeadershipRequest struct {
 	Term     Term `msgpack:"Ballot"`
 	From     int
@@ -122,19 +122,19 @@
 	Learners []string
 }
 
-// TransferLeadershipResponse says whether the core takes over.
+// TransferLeadershipResponse reports whether the core takes over.
 type TransferLeadershipResponse struct {
 	Accepted bool `msgpack:"Taken"`
 }
 
-// ReplicaStateRequest asks a core what it holds, for a core that lost its disk or
+// ReplicaStateRequest asks a core for its state, on behalf of a core that has lost its disk or
 // restarted.
 type ReplicaStateRequest struct {
 	Core       int
 	Membership Version `msgpack:"Members"`
 }
 
-// ReplicaStateResponse is what a replica holds, and the membership if it knows a newer one.
+// ReplicaStateResponse is a replica's state, and the membership if it knows a newer one.
 type ReplicaStateResponse struct {
 	Voter       bool
 	Initialized bool `msgpack:"Founded"`
@@ -145,7 +145,7 @@
 	Bytes int
 }
 
-// ShareSessionsRequest brings the sessions that daemons have with one core to another.
+// ShareSessionsRequest forwards the sessions that daemons hold with one core to another.
 type ShareSessionsRequest struct {
 	Core     int
 	Sessions []Session
@@ -154,34 +154,34 @@
 // ShareSessionsResponse confirms a ShareSessionsRequest.
 type ShareSessionsResponse struct{}
 
-// Check refuses a core out of range.
+// Check rejects a core out of range.
 func (request *PreVoteRequest) Check() error { return checkCoreID(request.Core) }
 
-// Check refuses a term without a number or of a core out of range.
+// Check rejects a term with number 0 or with a core out of range.
 func (request *PrepareRequest) Check() error { return request.Term.check() }
 
-// Check refuses a term without a number or of a core out of range.
+// Check rejects a term with number 0 or with a core out of range.
 func (request *RenewCandidacyRequest) Check() error { return request.Term.check() }
 
-// Check refuses an unknown register, a corrupt chunk, a value beside a reference and an
+// Check rejects an unknown register, a corrupt chunk, a reference combined with a value, and an
 // invalid term.
 func (request *AcceptRequest) Check() error {
 	if request.Register < 0 || request.Register >= Registers {
-		return rpc.Errorf(rpc.BadMessage, "no register %d", request.Register)
+		return rpc.Errorf(rpc.BadMessage, "unknown register %d", request.Register)
 	}
 	if err := request.Chunks.check(); err != nil {
 		return err
 	}
 	if isReference := request.Inherited != (Version{}); isReference && len(request.Value.Body)+len(request.Value.Chunks) > 0 {
-		return rpc.Errorf(rpc.BadMessage, "register %d has a value beside a reference", request.Register)
+		return rpc.Errorf(rpc.BadMessage, "register %d: inherited version combined with a value", request.Register)
 	}
 	return request.Term.check()
 }
 
-// Check refuses a term without a number or of a core out of range.
+// Check rejects a term with number 0 or with a core out of range.
 func (request *HeartbeatRequest) Check() error { return request.Term.check() }
 
-// Check refuses a learner's address that is not IP:port, and an invalid term.
+// Check rejects a learner address that is not IP:port, and an invalid term.
 func (request *TransferLeadershipRequest) Check() error {
 	for _, address := range request.Learners {
 		if err := checkAddress(address); err != nil {
@@ -191,10 +191,10 @@
 	return request.Term.check()
 }
 
-// Check refuses a core out of range.
+// Check rejects a core out of range.
 func (request *ReplicaStateRequest) Check() error { return checkCoreID(request.Core) }
 
-// Check refuses an invalid session and a core out of range.
+// Check rejects an invalid session and a core out of range.
 func (request *ShareSessionsRequest) Check() error {
 	if err := checkAll(request.Sessions, (*Session).Check); err != nil {
 		return err
--- a/message/golden_test.go
+++ b/message/golden_test.go
@@ -7,9 +7,9 @@
 	"orchidjunction/rpc"
 )
 
-// goldenMessages are all messages by the names that they had when the file of their
-// encodings was written. The encoding must never change: processes of two releases
-// run side by side, and disks hold some of these structures.
+// goldenMessages returns all messages by their names in the golden file. The encodings must never
+// change: processes of two releases run side by side, and some of these structures are stored on
+// disk.
 func goldenMessages() map[string]any {
 	return map[string]any{
 		"Change":           &ChangeRequest{},
@@ -91,8 +91,8 @@
 	}
 }
 
-// Every message is encoded as it was when the file was written, byte for byte, and
-// what was written then is read back into equal messages.
+// Every message is encoded exactly as in the golden file, and the encodings in the golden file
+// decode to equal messages.
 func TestMessageEncodingsStay(test *testing.T) {
 	format := golden.Format{Marshal: rpc.Codec{}.Marshal, Unmarshal: rpc.Unmarshal}
 	format.Check(test, "testdata/messages.golden", goldenMessages())
--- a/message/leader.go
+++ b/message/leader.go
@@ -1,20 +1,20 @@
 package message
 
-// Leader is the core that leads, as far as the sender knows.
+// Leader is the leader known to the sender.
 type Leader struct {
 	Term    Term   `json:"ballot" msgpack:"Ballot"`
 	Core    int    `json:"core"`
 	Address string `json:"address"`
 }
 
-// Known reports whether the sender knows who leads.
+// Known reports whether the sender knows a leader.
 func (leader Leader) Known() bool { return leader.Address != "" }
 
 // LeaderRequest asks any process for the leader.
 type LeaderRequest struct{}
 
-// LeaderResponse is the leader and the addresses of the cores, as far as the sender
-// knows, and the versions that it holds.
+// LeaderResponse contains the leader and the core addresses known to the sender, and the
+// versions that it holds.
 type LeaderResponse struct {
 	Leader   Leader
 	Lameduck bool `msgpack:"Duck"`
@@ -26,11 +26,11 @@
 	Membership Version `msgpack:"Members"`
 }
 
-// ReadIndexRequest asks the leader for the newest versions. The leader answers after a
-// quorum has accepted a heartbeat that was sent after the request came.
+// ReadIndexRequest asks the leader for the newest versions. The leader responds once a quorum
+// has accepted a heartbeat sent after the request arrived.
 type ReadIndexRequest struct{}
 
-// ReadIndexResponse is the leader's confirmed versions.
+// ReadIndexResponse contains the leader's confirmed versions.
 type ReadIndexResponse struct {
 	Serial uint64
 	Table  TableVersion
--- a/message/methods.go
+++ b/message/methods.go
@@ -2,80 +2,79 @@
 
 import "orchidjunction/rpc"
 
-// The methods of the calls between processes, each with its request and its response. The
-// values are on the wire and stay as they are, also where the name of the constant says
-// more.
+// The methods of the calls between processes, with the types of their requests and responses.
+// The values are sent on the wire and must not change, even where they differ from the names.
 const (
-	// MethodAccept asks a replica to accept values under a term.
+	// MethodAccept asks a replica to accept a value in a term.
 	MethodAccept rpc.Method[AcceptRequest, AcceptResponse] = "accept"
-	// MethodChange changes the product's settings.
+	// MethodChange changes the settings.
 	MethodChange rpc.Method[ChangeRequest, ChangeResponse] = "change"
-	// MethodClaim asks a key replica to grant an idempotency key.
+	// MethodClaim asks a key replica to record a claim on an idempotency key.
 	MethodClaim rpc.Method[ClaimRequest, ClaimResponse] = "claim"
-	// MethodCompleteClaim tells a key replica how the request of a key ended.
+	// MethodCompleteClaim reports the outcome of a claimed request to a key replica.
 	MethodCompleteClaim rpc.Method[CompleteClaimRequest, CompleteClaimResponse] = "settle"
-	// MethodCopyCounts gives a core a copy of the counts of windows.
+	// MethodCopyCounts sends a copy of window counts to a core.
 	MethodCopyCounts rpc.Method[CopyCountsRequest, CopyCountsResponse] = "copycounts"
-	// MethodEvacuate begins or ends the evacuation of a zone.
+	// MethodEvacuate starts or ends the evacuation of a zone.
 	MethodEvacuate rpc.Method[EvacuateRequest, EvacuateResponse] = "evacuate"
-	// MethodFetch fetches the version and table in force.
+	// MethodFetch fetches the parts of the version in force that are newer than the caller's.
 	MethodFetch rpc.Method[FetchRequest, FetchResponse] = "fetch"
 	// MethodFetchChunks fetches chunks by digest.
 	MethodFetchChunks rpc.Method[FetchChunksRequest, FetchChunksResponse] = "parts"
-	// MethodFetchClaims fetches the idempotency keys that a core or a replica holds.
+	// MethodFetchClaims fetches the claims held by a core or key replica.
 	MethodFetchClaims rpc.Method[FetchClaimsRequest, FetchClaimsResponse] = "pull"
-	// MethodFetchCounts fetches the counts of windows that a core holds.
+	// MethodFetchCounts fetches the window counts held by a core.
 	MethodFetchCounts rpc.Method[FetchCountsRequest, FetchCountsResponse] = "fetchcounts"
-	// MethodHeartbeat is the leader's heartbeat to a core.
+	// MethodHeartbeat sends the leader's heartbeat to a core.
 	MethodHeartbeat rpc.Method[HeartbeatRequest, HeartbeatResponse] = "beat"
-	// MethodJoin asks the leader to take a core in as a learner.
+	// MethodJoin asks for the membership, and the leader to add a core as a learner.
 	MethodJoin rpc.Method[JoinRequest, JoinResponse] = "enlist"
-	// MethodLeader asks which core leads.
+	// MethodLeader asks for the leader.
 	MethodLeader rpc.Method[LeaderRequest, LeaderResponse] = "who"
-	// MethodLeave tells the leader that a core is about to end.
+	// MethodLeave announces that a voter is about to shut down.
 	MethodLeave rpc.Method[LeaveRequest, LeaveResponse] = "leave"
-	// MethodLeaveVoter tells the leader that the voter at an address is about to end.
+	// MethodLeaveVoter announces that the voter at an address is about to shut down.
 	MethodLeaveVoter rpc.Method[LeaveVoterRequest, LeaveResponse] = "leavevoter"
-	// MethodMergeClaims gives a key replica keys that it lacks.
+	// MethodMergeClaims sends claims to a key replica that may lack them.
 	MethodMergeClaims rpc.Method[MergeClaimsRequest, MergeClaimsResponse] = "retell"
-	// MethodPreVote asks whether a candidacy has a chance.
+	// MethodPreVote asks whether a candidate would win an election.
 	MethodPreVote rpc.Method[PreVoteRequest, PreVoteResponse] = "precheck"
 	// MethodPrepare asks a replica to promise a term.
 	MethodPrepare rpc.Method[PrepareRequest, PrepareResponse] = "promise"
-	// MethodQueryHolder asks whether a proxy still runs the request of a key.
+	// MethodQueryHolder asks a proxy for the state of a claim that it holds.
 	MethodQueryHolder rpc.Method[QueryHolderRequest, QueryHolderResponse] = "holds"
-	// MethodRead reads the product's settings from the leader.
+	// MethodRead reads the settings from the leader.
 	MethodRead rpc.Method[ReadRequest, ReadResponse] = "read"
-	// MethodReadIndex asks the leader to prove that it still leads.
+	// MethodReadIndex asks the leader to confirm its leadership and the newest versions.
 	MethodReadIndex rpc.Method[ReadIndexRequest, ReadIndexResponse] = "confirm"
-	// MethodRecordClaims has a core record idempotency keys.
+	// MethodRecordClaims asks a core to record claims durably.
 	MethodRecordClaims rpc.Method[RecordClaimsRequest, RecordClaimsResponse] = "keep"
-	// MethodRemoveVoter has a voter replaced.
+	// MethodRemoveVoter replaces a voter by a learner.
 	MethodRemoveVoter rpc.Method[RemoveVoterRequest, RemoveVoterResponse] = "removal"
-	// MethodRenewCandidacy says that a candidate is still establishing its leadership.
+	// MethodRenewCandidacy announces that a candidate is still establishing its leadership.
 	MethodRenewCandidacy rpc.Method[RenewCandidacyRequest, RenewCandidacyResponse] = "renew-candidacy"
 	// MethodReplicaState asks a replica for its state.
 	MethodReplicaState rpc.Method[ReplicaStateRequest, ReplicaStateResponse] = "restore"
-	// MethodRolloutOrder begins the roll-out of a version, or ends one.
+	// MethodRolloutOrder starts or aborts the roll-out of a version.
 	MethodRolloutOrder rpc.Method[RolloutOrder, RolloutOrderResponse] = "rollout"
-	// MethodRolloutRead reads the newest roll-out of a service from the leader.
+	// MethodRolloutRead reads a service's newest roll-out from the leader.
 	MethodRolloutRead rpc.Method[RolloutReadRequest, RolloutReadResponse] = "rolloutread"
 	// MethodRoutingChange changes the routing.
 	MethodRoutingChange rpc.Method[RoutingChangeRequest, RoutingChangeResponse] = "routechange"
 	// MethodRoutingRead reads the routing from the leader.
 	MethodRoutingRead rpc.Method[RoutingReadRequest, RoutingReadResponse] = "routeread"
-	// MethodSession is a daemon's heartbeat of its session.
+	// MethodSession sends a daemon's session heartbeat to a core.
 	MethodSession rpc.Method[Session, SessionResponse] = "session"
-	// MethodShareSessions passes sessions that a core got on to the leader.
+	// MethodShareSessions forwards the sessions held with one core to another.
 	MethodShareSessions rpc.Method[ShareSessionsRequest, ShareSessionsResponse] = "tell"
-	// MethodStatus reads the state of the control plane.
+	// MethodStatus reads a core's view of the deployment.
 	MethodStatus rpc.Method[StatusRequest, StatusResponse] = "status"
-	// MethodTransferLeadership asks a core to take the lead over.
+	// MethodTransferLeadership asks a core to take over the leadership.
 	MethodTransferLeadership rpc.Method[TransferLeadershipRequest, TransferLeadershipResponse] = "stepdown"
-	// MethodUsageCount reports usage to the leader.
+	// MethodUsageCount reports usage to the leader between session heartbeats.
 	MethodUsageCount rpc.Method[UsageCountRequest, UsageCountResponse] = "count"
-	// MethodWindowCounts reports the counts of windows to the leader.
+	// MethodWindowCounts reports window counts between session heartbeats.
 	MethodWindowCounts rpc.Method[WindowCountsRequest, WindowCountsResponse] = "windowcounts"
-	// MethodWatch waits for a newer version or table.
+	// MethodWatch waits for versions newer than the caller's.
 	MethodWatch rpc.Method[WatchRequest, WatchResponse] = "watch"
 )
--- a/message/register.go
+++ b/message/register.go
@@ -1,9 +1,9 @@
 package message
 
-// Register names one of the values that the cores replicate, each as a whole.
+// Register identifies one of the values that the cores replicate, each as a unit.
 type Register int
 
-// The registers; Registers is their number.
+// The registers. Registers is their number.
 const (
 	SettingsRegister Register = iota
 	ReportsRegister
@@ -13,8 +13,8 @@
 	Registers
 )
 
-// HistoryEntry is one change of the settings register, by which a repeated request for
-// the same change is recognized.
+// HistoryEntry is one change of the settings register. It is used to detect repeated requests
+// for the same change.
 type HistoryEntry struct {
 	Serial   uint64 `json:"serial"`
 	Change   string `json:"change"`
@@ -24,14 +24,14 @@
 	AtMs     int64  `json:"at_ms"`
 }
 
-// Value is the content of a register at a serial: a body, or the chunks that make it up.
+// Value is the content of a register at a serial: a body, or references to its chunks.
 type Value struct {
 	Serial uint64
 	Body   []byte
 	Chunks []ChunkRef `msgpack:"Parts"`
 }
 
-// Size returns how many bytes the value takes in a message, without its chunks' texts.
+// Size returns the approximate size in a message, in bytes, without the texts of the chunks.
 func (value *Value) Size() int {
 	size := len(value.Body)
 	for index := range value.Chunks {
@@ -40,13 +40,13 @@
 	return size
 }
 
-// AcceptedValue is a value and the term under which a replica accepted it.
+// AcceptedValue is a value and the term in which a replica accepted it.
 type AcceptedValue struct {
 	Term  Term `msgpack:"Ballot"`
 	Value Value
 }
 
-// Version returns how new the value is.
+// Version returns the version of the accepted value.
 func (accepted AcceptedValue) Version() Version {
 	return Version{Term: accepted.Term, Serial: accepted.Value.Serial}
 }
--- a/message/rollout.go
+++ b/message/rollout.go
@@ -2,23 +2,23 @@
 
 import "orchidjunction/rpc"
 
-// MaxRolloutTermMs is the longest term of a roll-out, in milliseconds: a week.
+// MaxRolloutTermMs is the maximum term of a roll-out, one week in milliseconds.
 const MaxRolloutTermMs = 7 * 24 * 3600 * 1000
 
-// maxVersionName is the longest name of a service or of a version of it, in bytes.
+// maxVersionName is the maximum length of the name of a service or version in bytes.
 const maxVersionName = 200
 
-// RolloutPhase is where the roll-out of a version stands.
+// RolloutPhase is the phase of a roll-out.
 type RolloutPhase uint8
 
-// The phases. Only RolloutActive changes by itself; the others are final for a roll-out.
+// The phases. RolloutComplete and RolloutReverted are final.
 const (
 	RolloutActive RolloutPhase = iota + 1
 	RolloutComplete
 	RolloutReverted
 )
 
-// String returns the phase in a word.
+// String returns the name of the phase.
 func (phase RolloutPhase) String() string {
 	switch phase {
 	case RolloutActive:
@@ -31,11 +31,11 @@
 	return "unknown"
 }
 
-// Rollout is the shift of one service's requests to the backends of a version, as the
-// leader decided it. ID identifies the order: a later roll-out of the same service has a
-// higher one. Share is the part of the service's requests, from 0 to 1, that each proxy
-// sends to the version while the roll-out is active; Step counts the shares so far. Exclusive
-// says that the former version gets nothing any more, not even retries: it is about to end.
+// Rollout is the shift of a service's requests to the backends of a version, as decided by the
+// leader. ID identifies the order; later roll-outs of the same service have higher IDs. Share is
+// the fraction of the service's requests, from 0 to 1, that each proxy sends to the version while
+// the roll-out is active. Step counts the shares so far. Exclusive says that the former version,
+// which is about to shut down, receives no more requests, not even retries.
 type Rollout struct {
 	Service string
 	Target  string
@@ -47,11 +47,10 @@
 	Exclusive bool
 }
 
-// RolloutOrder asks for the roll-out of a version, or with Abort for the end of the one
-// under way. TermMs is within how many milliseconds it is to be complete. ExpectedID is the
-// ID of the service's newest roll-out as an earlier response said: the leader does not carry
-// out an order that was under way for so long that the service had another roll-out since.
-// With QueryOnly nothing changes and only that ID is returned.
+// RolloutOrder starts the roll-out of a version or, with Abort, aborts the current one. The
+// roll-out must complete within TermMs milliseconds. ExpectedID is the ID of the service's newest
+// roll-out from an earlier response: the leader rejects a delayed order if the service has had
+// another roll-out since. With QueryOnly nothing changes and only the ID is returned.
 type RolloutOrder struct {
 	Service    string
 	Target     string
@@ -61,17 +60,17 @@
 	ExpectedID uint64
 }
 
-// Check refuses an order without a service or, unless it is a query or an abort, without a
-// target and a term.
+// Check rejects an order without a valid service or, unless it is a query or an abort, without a
+// valid target and term.
 func (order *RolloutOrder) Check() error {
 	if order.Service == "" || len(order.Service) > maxVersionName {
-		return rpc.Errorf(rpc.BadMessage, "roll-out: service of %d letters", len(order.Service))
+		return rpc.Errorf(rpc.BadMessage, "roll-out: service name of %d bytes", len(order.Service))
 	}
 	if order.QueryOnly || order.Abort {
 		return nil
 	}
 	if order.Target == "" || len(order.Target) > maxVersionName || order.TermMs <= 0 {
-		return rpc.Errorf(rpc.BadMessage, "roll-out: target of %d letters within %d ms", len(order.Target), order.TermMs)
+		return rpc.Errorf(rpc.BadMessage, "roll-out: target name of %d bytes, term of %d ms", len(order.Target), order.TermMs)
 	}
 	if order.TermMs > MaxRolloutTermMs {
 		return rpc.Errorf(rpc.BadMessage, "roll-out: term of %d ms, at most %d", order.TermMs, MaxRolloutTermMs)
@@ -79,8 +78,8 @@
 	return nil
 }
 
-// RolloutOrderResponse is the serial of the roll-outs' register, and the ID of the service's
-// newest roll-out, 0 if it had none. Duplicate is true if the order had been taken before.
+// RolloutOrderResponse contains the serial of the roll-outs register, and the ID of the service's
+// newest roll-out, 0 if there is none. Duplicate is true if the order was already accepted.
 type RolloutOrderResponse struct {
 	Serial    uint64
 	ID        uint64
@@ -92,28 +91,28 @@
 	Service string
 }
 
-// Check refuses a service's name of the wrong length.
+// Check rejects an empty or overlong service name.
 func (request *RolloutReadRequest) Check() error {
 	if request.Service == "" || len(request.Service) > maxVersionName {
-		return rpc.Errorf(rpc.BadMessage, "roll-out: service of %d letters", len(request.Service))
+		return rpc.Errorf(rpc.BadMessage, "roll-out: service name of %d bytes", len(request.Service))
 	}
 	return nil
 }
 
-// RolloutReadResponse is the confirmed newest roll-out of a service, and what the proxies
-// counted for it in all.
+// RolloutReadResponse contains the confirmed newest roll-out of a service and the total counts of
+// all proxies.
 type RolloutReadResponse struct {
 	Rollout Rollout
 	Counts  RolloutCounts
 }
 
-// RolloutCounts is what one process of a proxy counted for one roll-out during one step. The
-// counts only rise, and a process has counts of a step as soon as that is in force there.
-// Requests are those sent to backends of the version under test, Items the scored ones of
-// their responses, Exceedances those whose score was in the tail of the reference, and
-// Failures those that failed. FormerRequests, FormerItems and FormerFailures are the same for
-// backends of other versions of the service, while the step was in force. FormerInFlight is
-// how many requests are at those backends now, the same in the counts of all steps.
+// RolloutCounts contains a proxy process's counts for one step of a roll-out. Counts never
+// decrease, and exist as soon as the step is in force in the process. Requests counts the
+// requests sent to backends of the target version, Items their scored responses, Exceedances the
+// scores in the tail of the reference, and Failures the failed requests. FormerRequests,
+// FormerItems and FormerFailures are the same for backends of other versions of the service
+// during the step. FormerInFlight is the current number of requests at those backends, which is
+// the same in the counts of all steps.
 type RolloutCounts struct {
 	Service        string
 	ID             uint64
--- a/message/routing.go
+++ b/message/routing.go
@@ -2,16 +2,16 @@
 
 import "orchidjunction/rpc"
 
-// maxZoneName is the longest name of a zone, in bytes.
+// maxZoneName is the maximum length of a zone name in bytes.
 const maxZoneName = 200
 
-// RoutingChangeRequest brings an operator's change of the routing, encoded, to the leader.
+// RoutingChangeRequest asks the leader for a change of the routing. Body is the encoded change.
 type RoutingChangeRequest struct {
 	Body []byte
 }
 
-// RoutingChangeResponse is the serial of the routing register that holds the change.
-// Duplicate is true if the change had been made before.
+// RoutingChangeResponse contains the serial of the routing register with the change. Duplicate
+// is true if the change had already been made.
 type RoutingChangeResponse struct {
 	Serial    uint64
 	Duplicate bool `msgpack:"Again"`
@@ -20,17 +20,16 @@
 // RoutingReadRequest asks the leader for the confirmed routing.
 type RoutingReadRequest struct{}
 
-// RoutingReadResponse brings the confirmed routing, encoded.
+// RoutingReadResponse contains the confirmed routing in encoded form.
 type RoutingReadResponse struct {
 	Serial uint64
 	Body   []byte
 }
 
-// EvacuateRequest asks that nothing be sent to the backends of a zone (Begin), or takes
-// that back. ExpectedChanges is how often the zone was evacuated and restored so far, as
-// an earlier response said: the leader does not carry out an order that was under way
-// for so long that the zone has changed since. With QueryOnly nothing changes and only
-// that number is returned.
+// EvacuateRequest starts (Begin) or ends the evacuation of a zone, whose backends receive no
+// requests during it. ExpectedChanges is the zone's change count from an earlier response: the
+// leader rejects a delayed order if the zone has changed since. With QueryOnly nothing changes
+// and only the count is returned.
 type EvacuateRequest struct {
 	Zone            string
 	Begin           bool
@@ -38,23 +37,23 @@
 	ExpectedChanges uint64 `msgpack:"Upon"`
 }
 
-// EvacuateResponse is the serial of the routing register, and how often the zone was
+// EvacuateResponse contains the serial of the routing register, and how often the zone has been
 // evacuated and restored.
 type EvacuateResponse struct {
 	Serial  uint64
 	Changes uint64
 }
 
-// Check refuses a zone's name of the wrong length.
+// Check rejects an empty or overlong zone name.
 func (request *EvacuateRequest) Check() error {
 	if request.Zone == "" || len(request.Zone) > maxZoneName {
-		return rpc.Errorf(rpc.BadMessage, "evacuate: zone of %d letters", len(request.Zone))
+		return rpc.Errorf(rpc.BadMessage, "evacuate: zone name of %d bytes", len(request.Zone))
 	}
 	return nil
 }
 
-// WindowCount is how many requests of each tenant one process began at backends within
-// one usage window. The counts of a window only rise.
+// WindowCount contains the number of requests per tenant that one process sent to backends
+// within one usage window. The counts of a window never decrease.
 type WindowCount struct {
 	Window  int64
 	Tenants map[string]uint64
--- a/message/session.go
+++ b/message/session.go
@@ -12,10 +12,10 @@
 	DirectoryKind = "dir"
 )
 
-// Session is a daemon's heartbeat to a core: who it is, which versions are in force at
-// it, what it found at backends, and what it counted. Windows hold what changed since
-// the core's process BaseProcess was last told, or everything if that is 0. Rollouts is the
-// serial of the roll-outs in force at it. Times are in milliseconds.
+// Session is a daemon's heartbeat to a core: its member entry, its versions in force, its health
+// checks of backends, and its counts. Windows contains the changes since the last counts that
+// the core's process BaseProcess acknowledged, or all counts if BaseProcess is 0. Rollouts is
+// the serial of the roll-outs in force. Times are in milliseconds.
 type Session struct {
 	Member Member
 	Serial uint64
@@ -35,7 +35,7 @@
 	RolloutCounts []RolloutCounts
 }
 
-// Check refuses a session without a name, an incarnation, a known kind or an address.
+// Check rejects a session without a name, an incarnation, a known kind or a valid address.
 func (session *Session) Check() error {
 	if session.Member.Name == "" || session.Member.Incarnation == "" {
 		return rpc.Errorf(rpc.BadMessage, "session without name or incarnation")
@@ -44,13 +44,13 @@
 		return rpc.Errorf(rpc.BadMessage, "session of unknown kind %q", session.Member.Kind)
 	}
 	if _, err := netip.ParseAddrPort(session.Member.InternalAddress); err != nil {
-		return rpc.Errorf(rpc.BadMessage, "session from %q: %w", session.Member.InternalAddress, err)
+		return rpc.Errorf(rpc.BadMessage, "session from address %q: %w", session.Member.InternalAddress, err)
 	}
 	return nil
 }
 
-// SessionResponse is the leader and the newest versions, as far as the core knows. Cores
-// are the addresses of the voters, and Process identifies the core's process.
+// SessionResponse contains the leader and the newest versions known to the core. Cores are the
+// addresses of the voters, and Process identifies the core's process.
 type SessionResponse struct {
 	Leader Leader
 	Serial uint64
@@ -64,8 +64,8 @@
 	Rollouts   uint64
 }
 
-// UsageCountRequest tells the leader at once how many requests of each tenant a process
-// has sent so far.
+// UsageCountRequest reports to the leader, between session heartbeats, how many requests a
+// process has sent per tenant so far.
 type UsageCountRequest struct {
 	Incarnation string
 	Usage       map[string]uint64
@@ -74,7 +74,7 @@
 // UsageCountResponse confirms a UsageCountRequest.
 type UsageCountResponse struct{}
 
-// Check refuses a count that names no process.
+// Check rejects a count without an incarnation.
 func (request *UsageCountRequest) Check() error {
 	if request.Incarnation == "" {
 		return rpc.Errorf(rpc.BadMessage, "count without incarnation")
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// WindowCountsRequest tells the leader, between two heartbeats of a session, what a process
-// counted in windows. The fields are as in a Session.
+// WindowCountsRequest reports a process's window counts to a core between session heartbeats.
+// The fields are as in Session.
 type WindowCountsRequest struct {
 	Incarnation string
 	Windows     []WindowCount
@@ -94,10 +94,10 @@
 	RolloutCounts []RolloutCounts
 }
 
-// WindowCountsResponse confirms a WindowCountsRequest. Process identifies the leader's process.
+// WindowCountsResponse confirms a WindowCountsRequest. Process identifies the core's process.
 type WindowCountsResponse struct{ Process uint64 }
 
-// Check refuses counts that name no process.
+// Check rejects counts without an incarnation.
 func (request *WindowCountsRequest) Check() error {
 	if request.Incarnation == "" {
 		return rpc.Errorf(rpc.BadMessage, "counts without incarnation")
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// ProcessCounts is what one process of a daemon counted in windows. Ended says that it
-// counts no more.
+// ProcessCounts contains the window counts of one process of a daemon. Ended says that the
+// counts are final.
 type ProcessCounts struct {
 	Name        string
 	Incarnation string
@@ -114,25 +114,25 @@
 	Windows     []WindowCount
 }
 
-// CopyCountsRequest gives a core a copy of counts, for the case that the sender is lost with
-// those that counted. Body is what EncodeCounts made of all counts or, if BaseProcess is not
-// 0, of what changed since that process of the receiver got the last copy.
+// CopyCountsRequest sends a core a copy of counts, in case the sender and the counting processes
+// are lost. Body is encoded by EncodeCounts. It contains all counts or, if BaseProcess is not 0,
+// the changes since the last copy that the receiver's process BaseProcess received.
 type CopyCountsRequest struct {
 	Body        []byte
 	BaseProcess uint64
 }
 
-// CopyCountsResponse confirms a copy that is durable. Process identifies the receiver's
-// process; if it is not the request's BaseProcess, everything must be sent again.
+// CopyCountsResponse confirms that the copy is durable. Process identifies the receiver's
+// process. If it differs from BaseProcess, all counts must be sent again.
 type CopyCountsResponse struct{ Process uint64 }
 
-// FetchCountsRequest asks a core for all counts that it holds.
+// FetchCountsRequest asks a core for all its counts.
 type FetchCountsRequest struct{}
 
-// FetchCountsResponse has all counts that a core holds, as EncodeCounts makes them.
+// FetchCountsResponse contains all counts of a core, encoded by EncodeCounts.
 type FetchCountsResponse struct{ Body []byte }
 
-// EncodeCounts returns counts encoded and compressed.
+// EncodeCounts encodes and compresses counts.
 func EncodeCounts(counts []ProcessCounts) ([]byte, error) {
 	body, err := rpc.Marshal(counts)
 	if err != nil {
@@ -141,7 +141,7 @@
 	return Compress(body), nil
 }
 
-// DecodeCounts returns the counts that EncodeCounts encoded.
+// DecodeCounts decodes the result of EncodeCounts.
 func DecodeCounts(body []byte) ([]ProcessCounts, error) {
 	if len(body) == 0 {
 		return nil, nil
--- a/message/status.go
+++ b/message/status.go
@@ -1,6 +1,6 @@
 package message
 
-// StatusRequest asks a core for its view of the deployment. The leader's is complete.
+// StatusRequest asks a core for its view of the deployment. Only the leader's is complete.
 type StatusRequest struct{}
 
 // StatusResponse is a core's view of the deployment.
@@ -19,14 +19,14 @@
 	Counts     map[string]uint64 `json:"counts"`
 }
 
-// Condition is one thing that must hold for a leadership, and whether it does.
+// Condition is a condition that a leadership requires, and whether it holds.
 type Condition struct {
 	Name   string `json:"name"`
 	Holds  bool   `json:"holds"`
 	Detail string `json:"detail"`
 }
 
-// CoreStatus is one core as the leader sees it.
+// CoreStatus is the state of a core as seen by the leader.
 type CoreStatus struct {
 	Core     int      `json:"core"`
 	Address  string   `json:"address"`
@@ -35,8 +35,8 @@
 	Versions Versions `json:"marks" msgpack:"Marks"`
 }
 
-// MemberStatus is one daemon as the leader sees it. AgeMs is how long ago its session
-// was renewed, and Core the core that it spoke to.
+// MemberStatus is the state of a daemon as seen by the leader. AgeMs is the time since its last
+// session heartbeat, and Core the core that received it.
 type MemberStatus struct {
 	Member Member       `json:"member"`
 	Serial uint64       `json:"serial"`
@@ -47,9 +47,9 @@
 	Probes []Probe      `json:"probes,omitempty"`
 }
 
-// VoterStatus is a core that votes. Seen says whether it answered the leader within the
-// suspicion time-out, SilentMs how long ago it did, and Leaving whether it announced its
-// end.
+// VoterStatus is the state of a voter. Seen reports whether it responded to the leader within
+// the suspicion time-out, SilentMs is the time since its last response, and Leaving reports
+// whether it has announced its shutdown.
 type VoterStatus struct {
 	ID       int    `json:"id"`
 	Address  string `json:"address"`
@@ -58,8 +58,8 @@
 	Leaving  bool   `json:"leaving,omitempty"`
 }
 
-// LearnerStatus is a core that waits for a voter's place. Synced says whether it holds
-// all that was decided, or nearly so, and may take one.
+// LearnerStatus is the state of a learner. Synced reports whether it holds nearly all decided
+// values and may thus replace a voter.
 type LearnerStatus struct {
 	Address  string `json:"address"`
 	Seen     bool   `json:"seen"`
@@ -67,8 +67,8 @@
 	Synced   bool   `json:"synced"`
 }
 
-// MembershipStatus is which cores vote. Next is set during a replacement: the voters to
-// come. Only the leader knows who was seen, and the learners.
+// MembershipStatus is the state of the membership. Next holds the next voters during a
+// replacement. Only the leader knows the learners and which cores were seen.
 type MembershipStatus struct {
 	Version  uint64          `json:"version"`
 	Term     Term            `json:"ballot" msgpack:"Ballot"`
--- a/message/table.go
+++ b/message/table.go
@@ -2,9 +2,8 @@
 
 import "sort"
 
-// Member is one daemon, as it announces itself to the others. Incarnation identifies
-// its process. Demand is in requests a second. A Guest serves another partner's requests
-// with capacity that it is lent.
+// Member is a daemon as announced by itself. Incarnation identifies its process. Demand is in
+// requests per second. A Guest serves another partner's requests with lent capacity.
 type Member struct {
 	Name            string  `json:"name"`
 	Kind            string  `json:"kind"`
@@ -20,9 +19,10 @@
 	Guest           bool    `json:"guest,omitempty"`
 }
 
-// Backend is one backend. ProbeHint rises whenever some proxy found it changed, so that
-// the others probe it at once. Capacity is the requests it handles at once, and WarmAtMs
-// when it is warm, in milliseconds since the Unix epoch. Revision is the version of its software.
+// Backend is a backend of a service. ProbeHint increases whenever a proxy finds the backend
+// changed, so that the others probe it immediately. Capacity is the number of concurrent requests
+// that it handles, WarmAtMs when its warm-up ends, in milliseconds since the Unix epoch, and
+// Revision its software version.
 type Backend struct {
 	Name      string `json:"name"`
 	Service   string `json:"service"`
@@ -35,8 +35,8 @@
 	Revision  string `json:"revision,omitempty"`
 }
 
-// Probe is the last health check of a backend by one proxy. WarmupRate is the requests a
-// second that the backend bears while it warms up, Utilization its load between 0 and 1.
+// Probe is a proxy's last health check of a backend. WarmupRate is the number of requests per
+// second that the backend handles while warming up, and Utilization its load from 0 to 1.
 type Probe struct {
 	Backend     string  `json:"backend"`
 	Incarnation string  `json:"incarnation"`
@@ -48,13 +48,13 @@
 	Serial      uint64  `json:"serial"`
 }
 
-// TableVersion orders tables: those of a newer leader are newer.
+// TableVersion orders tables by the leader's term, then by number.
 type TableVersion struct {
 	Term   Term   `json:"ballot" msgpack:"Ballot"`
 	Number uint64 `json:"number"`
 }
 
-// Less reports whether the version is older than another.
+// Less reports whether version is older than other.
 func (version TableVersion) Less(other TableVersion) bool {
 	if version.Term != other.Term {
 		return version.Term.Less(other.Term)
@@ -62,9 +62,9 @@
 	return version.Number < other.Number
 }
 
-// Table is the soft state that every daemon holds: the daemons and the backends, both
-// sorted by name. Rollouts is the serial of the roll-outs under which it lists backends: one
-// that lists a new version is not put in force without them. It is immutable.
+// Table is the soft state replicated to every daemon: the daemons and the backends, both sorted
+// by name. Rollouts is the serial of the roll-outs under which the backends are listed: a table
+// that lists a new version must not be applied without them. A Table is immutable.
 type Table struct {
 	Version  TableVersion `json:"mark" msgpack:"Mark"`
 	Members  []Member     `json:"members"`
@@ -73,7 +73,7 @@
 	Rollouts uint64       `json:"rollouts,omitempty"`
 }
 
-// TableDelta is what changed in a table since an older version.
+// TableDelta contains the changes from table version Base to Version.
 type TableDelta struct {
 	Base            TableVersion
 	Version         TableVersion `msgpack:"Mark"`
@@ -85,13 +85,13 @@
 	Rollouts        uint64
 }
 
-// Entries returns how many entries of the table the delta changes or removes.
+// Entries returns the number of table entries that the delta changes or removes.
 func (delta *TableDelta) Entries() int {
 	return len(delta.Members) + len(delta.Backends) + len(delta.RemovedMembers) + len(delta.RemovedBackends)
 }
 
-// Apply returns the table after a delta; it returns the table itself and false if the
-// delta is based on another version.
+// Apply returns the table with delta applied, or the table itself and false if the delta is based
+// on another version.
 func (table *Table) Apply(delta *TableDelta) (*Table, bool) {
 	if table.Version != delta.Base {
 		return table, false
@@ -102,8 +102,8 @@
 	return next, true
 }
 
-// NewlyLeaving returns how many backends of a list leave that did not in a former list.
-// Both are sorted by name.
+// NewlyLeaving returns the number of backends that are leaving in list after but not in list
+// before. Both lists are sorted by name.
 func NewlyLeaving(before, after []Backend) int {
 	if len(before) > 0 && len(after) > 0 && &before[0] == &after[0] {
 		return 0
@@ -125,8 +125,8 @@
 
 func backendName(backend *Backend) string { return backend.Name }
 
-// mergeByName returns a list sorted by name, without the removed items and with the
-// changed ones in place of those of the same name.
+// mergeByName returns items without the removed ones and with the changed ones added or replaced,
+// sorted by name.
 func mergeByName[Item any](items, changed []Item, removed []string, name func(*Item) string) []Item {
 	if len(changed) == 0 && len(removed) == 0 {
 		return items
--- a/message/table_log.go
+++ b/message/table_log.go
@@ -3,15 +3,14 @@
 import "slices"
 
 const (
-	// maxTableVersions is how many versions a TableLog knows a delta from.
+	// maxTableVersions limits the versions from which a TableLog can produce deltas.
 	maxTableVersions = 512
-	// maxTableRemovals is how many removed names a TableLog remembers.
+	// maxTableRemovals limits the removed entries that a TableLog stores.
 	maxTableRemovals = 4096
 )
 
-// TableLog remembers since when each entry of a table is as it is, so that a process
-// which holds an older version gets only what changed. It continues over changes of the
-// leader. It is not safe for concurrent use.
+// TableLog records when each entry of a table last changed, so that a process with an older
+// version can be sent a delta. It spans leader changes. It is not safe for concurrent use.
 type TableLog struct {
 	sequence uint64
 	versions []loggedVersion
@@ -20,25 +19,25 @@
 	removals []removal
 }
 
-// countedVersion is a version and the log's count when it was recorded.
+// loggedVersion is a recorded version and its sequence number in the log.
 type loggedVersion struct {
 	version  TableVersion
 	sequence uint64
 }
 
-// removal is an entry that a version no longer has.
+// removal is an entry that was removed from the table, and the sequence number of that change.
 type removal struct {
 	name      string
 	isBackend bool
 	sequence  uint64
 }
 
-// NewTableLog returns a log that knows no table yet.
+// NewTableLog returns an empty log.
 func NewTableLog() *TableLog {
 	return &TableLog{members: map[string]uint64{}, backends: map[string]uint64{}}
 }
 
-// Record notes what changed from one table to the next.
+// Record records the changes from one table to the next.
 func (log *TableLog) Record(before, after *Table) {
 	log.sequence++
 	for _, name := range recordChanges(log.members, log.sequence, before.Members, after.Members, memberName) {
@@ -51,8 +50,8 @@
 	log.trim()
 }
 
-// trim forgets the older half of a list that has become too long, and versions from
-// which the removals are no longer known.
+// trim drops the older half of a list that exceeds its limit, and the versions that precede the
+// oldest removal kept.
 func (log *TableLog) trim() {
 	if len(log.versions) > maxTableVersions {
 		log.versions = newerHalf(log.versions, maxTableVersions)
@@ -70,8 +69,8 @@
 	return append([]Item{}, items[len(items)-limit/2:]...)
 }
 
-// recordChanges sets the count of the items that are new or changed and returns the
-// names of those that were removed.
+// recordChanges sets the sequence number of new and changed items, and returns the names of
+// removed items.
 func recordChanges[Item comparable](sequences map[string]uint64, sequence uint64, before, after []Item, name func(*Item) string) []string {
 	remaining := make(map[string]*Item, len(before))
 	for index := range before {
@@ -92,9 +91,9 @@
 	return removed
 }
 
-// Since returns what changed from a version to the table recorded last. It returns false
-// if the version is not known any more, or is of no leader: each core numbers those for
-// itself.
+// Since returns the delta from a version to the last recorded table. It returns false if the
+// version is no longer known, or was made without a leader: each core numbers those versions
+// independently.
 func (log *TableLog) Since(version TableVersion, table *Table) (*TableDelta, bool) {
 	from, found := log.sequenceOf(version)
 	if !found {
@@ -115,7 +114,7 @@
 	return delta, true
 }
 
-// countOf returns the count at which a leader's version was recorded.
+// sequenceOf returns the count at which a leader's version was recorded.
 func (log *TableLog) sequenceOf(version TableVersion) (uint64, bool) {
 	if version.Term.Number == 0 {
 		return 0, false
@@ -128,7 +127,7 @@
 	return 0, false
 }
 
-// addRemovals adds the entries that were removed after a count and have not come back.
+// addRemovals adds the entries that were removed after sequence number from and not added again.
 func (log *TableLog) addRemovals(delta *TableDelta, from uint64) {
 	for _, removed := range log.removals {
 		switch {
--- a/message/table_test.go
+++ b/message/table_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Whoever follows by deltas holds the same table as the one who made it, from
-// whichever mark it comes, over leaders that go on where the last one stopped.
+// A follower that applies deltas has the same table as the log, from any known version and across
+// leader changes.
 func TestTableDeltasReproduceTable(test *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 7))
@@ -63,10 +63,10 @@
 			}
 		}
 		if fullTables > 3 {
-			test.Errorf("seed %d: %d whole tables for %d followers", seed, fullTables, len(followers))
+			test.Errorf("seed %d: %d full tables sent to %d followers", seed, fullTables, len(followers))
 		}
 		if _, matches := (&Table{}).Apply(&TableDelta{Base: TableVersion{Number: 9}}); matches {
-			test.Errorf("a delta of another table was laid in")
+			test.Errorf("a delta based on another version was applied")
 		}
 	}
 }
@@ -76,7 +76,7 @@
 		(len(left.Members) == 0 || reflect.DeepEqual(left.Members, right.Members)) && (len(left.Backends) == 0 || reflect.DeepEqual(left.Backends, right.Backends))
 }
 
-// What went out of the log's reach is told as a whole.
+// The log is bounded: there is no delta from versions that it has dropped.
 func TestTableLogIsBounded(test *testing.T) {
 	log, table := NewTableLog(), &Table{}
 	version := func(number uint64) TableVersion { return TableVersion{Term: Term{Number: 1, Core: 1}, Number: number} }
@@ -89,17 +89,17 @@
 		table = next
 	}
 	if _, known := log.Since(version(1), table); known {
-		test.Errorf("the first mark is still known")
+		test.Errorf("the first version is still known")
 	}
 	if len(log.versions) > maxTableVersions || len(log.removals) > maxTableRemovals || len(log.backends) != 2 {
-		test.Errorf("%d marks, %d gone, %d backends", len(log.versions), len(log.removals), len(log.backends))
+		test.Errorf("%d versions, %d removals, %d backends", len(log.versions), len(log.removals), len(log.backends))
 	}
 	if delta, known := log.Since(version(2999), table); !known || len(delta.RemovedBackends) != 2 || len(delta.Backends) != 2 {
-		test.Errorf("%v %+v", known, delta)
+		test.Errorf("delta from the previous version: known %v, %+v", known, delta)
 	}
 }
 
-// Cores number tables of no leader each for itself, so none is a ground for a delta.
+// Cores number tables made without a leader independently, so these cannot be the base of a delta.
 func TestNoDeltaFromLeaderlessTable(test *testing.T) {
 	log := NewTableLog()
 	first := &Table{Version: TableVersion{Number: 1}, Members: []Member{{Name: "a"}}}
@@ -107,19 +107,19 @@
 	log.Record(&Table{}, first)
 	log.Record(first, second)
 	if delta, known := log.Since(first.Version, second); known {
-		test.Errorf("%+v", delta)
+		test.Errorf("delta from a table without a leader: %+v", delta)
 	}
 }
 
-// Only a backend that leaves and did not in the former list is newly leaving, whether the
-// former list had it or not.
+// A backend is newly leaving if it is leaving in the new list but not in the old one, whether or
+// not the old one contains it.
 func TestNewlyLeavingCountsEachBackendOnce(test *testing.T) {
 	before := []Backend{{Name: "a"}, {Name: "b", Leaving: true}, {Name: "c"}, {Name: "gone", Leaving: true}}
 	after := []Backend{{Name: "a", Leaving: true}, {Name: "b", Leaving: true}, {Name: "c"}, {Name: "new", Leaving: true}}
 	if count := NewlyLeaving(before, after); count != 2 {
-		test.Errorf("%d newly leaving, want a and new", count)
+		test.Errorf("%d newly leaving, want 2: a and new", count)
 	}
 	if count := NewlyLeaving(after, after); count != 0 {
-		test.Errorf("%d newly leaving in the same list", count)
+		test.Errorf("%d newly leaving in an unchanged list, want none", count)
 	}
 }
--- a/message/update.go
+++ b/message/update.go
@@ -6,11 +6,10 @@
 	"orchidjunction/rpc"
 )
 
-// maxWatch bounds how long a watch may wait.
+// maxWatch limits the duration of a watch.
 const maxWatch = 10 * time.Second
 
-// WatchRequest waits at a process for versions newer than those given, at most SpanMs
-// milliseconds.
+// WatchRequest waits up to SpanMs milliseconds for versions newer than those given.
 type WatchRequest struct {
 	Name   string
 	Serial uint64
@@ -21,14 +20,14 @@
 	Rollouts uint64
 }
 
-// Timeout returns how long the process waits at most.
+// Timeout returns the maximum duration of the watch.
 func (request *WatchRequest) Timeout() time.Duration {
 	return min(time.Duration(request.SpanMs)*time.Millisecond, maxWatch)
 }
 
-// WatchResponse is the versions that the process holds. Newer roll-outs come with it, and so
-// does the table's delta if no other version is newer and little of the table changed: what
-// a request must no longer go to is known without a fetch.
+// WatchResponse contains the responder's versions, newer roll-outs, and the table delta if only
+// the table is newer and the delta is small. Daemons thus learn without a fetch which backends
+// must no longer receive requests.
 type WatchResponse struct {
 	Serial uint64
 	Table  TableVersion
@@ -39,19 +38,19 @@
 	Delta       *TableDelta
 }
 
-// NewerThan reports whether any of the versions is newer than those in a request.
+// NewerThan reports whether any version is newer than in request.
 func (response *WatchResponse) NewerThan(request *WatchRequest) bool {
 	return response.Serial > request.Serial || response.Routing > request.Routing ||
 		response.Rollouts > request.Rollouts || request.Table.Less(response.Table)
 }
 
-// NewerInTableOnly reports whether, of what does not come with the response by itself, only
-// the table is newer than that in a request.
+// NewerInTableOnly reports whether only the table is newer than in request. Roll-outs are ignored
+// because they are part of the response.
 func (response *WatchResponse) NewerInTableOnly(request *WatchRequest) bool {
 	return response.Serial <= request.Serial && response.Routing <= request.Routing && request.Table.Less(response.Table)
 }
 
-// FetchRequest asks for what is newer than the versions given.
+// FetchRequest asks for everything newer than the given versions.
 type FetchRequest struct {
 	Serial uint64
 	Table  TableVersion
@@ -60,8 +59,8 @@
 	Rollouts uint64
 }
 
-// FetchResponse brings what is newer: the chunks that make up the settings, the table or
-// its delta, the routing without its history, and the newest roll-out of each service.
+// FetchResponse contains what is newer: the chunk references of the settings, the table or its
+// delta, the routing without its history, and the newest roll-out of each service.
 type FetchResponse struct {
 	Serial uint64
 	Chunks []ChunkRef `msgpack:"Parts"`
@@ -78,8 +77,8 @@
 	encoded []byte
 }
 
-// Encode encodes the response once for all processes that get the same one. It must not
-// be changed afterwards.
+// Encode encodes the response once for all recipients. The response must not be modified
+// afterwards.
 func (response *FetchResponse) Encode() error {
 	body, err := rpc.Marshal(response)
 	if err != nil {
@@ -89,5 +88,5 @@
 	return nil
 }
 
-// EncodedBody returns what Encode made, nil if it was not called.
+// EncodedBody returns the result of Encode, nil if that was not called.
 func (response *FetchResponse) EncodedBody() []byte { return response.encoded }
