--- a/rpc/address.go
+++ b/rpc/address.go
@@ -2,8 +2,8 @@
 
 import "net/netip"
 
-// CheckAddress returns BadFlag if the value of a flag is not IP:port. Processes find each
-// other by IP numbers, so names of hosts are refused.
+// CheckAddress returns a BadFlag error if the value of a flag is not IP:port. Host names are
+// rejected because processes address each other by IP.
 func CheckAddress(flag, address string) error {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || parsed.Port() == 0 {
--- a/rpc/call_limit.go
+++ b/rpc/call_limit.go
@@ -7,23 +7,23 @@
 	"orchidjunction/concurrent"
 )
 
-// callLimit bounds the calls of a method that are answered at the same time, until their
-// responses are written. Each holds its response in memory, which for a first table is large
-// and for hundreds of daemons at once more than a core has. It is safe for concurrent use.
+// callLimit limits the concurrent calls of a method, until their responses are written. Each call
+// holds its response in memory, and initial tables for hundreds of daemons at once would exceed a
+// core's memory. It is safe for concurrent use.
 type callLimit struct {
-	lock         *concurrent.Lock // guards free
+	lock         *concurrent.Lock // guards freeSlots
 	slotReleased *concurrent.Condition
 	freeSlots    int
 }
 
-// limitWait bounds one wait for a slot, after which the caller is looked after again.
+// slotWaitTimeout limits one wait for a slot, after which the call is checked for cancellation.
 const slotWaitTimeout = 100 * time.Millisecond
 
 func newCallLimit(maxConcurrent int) *callLimit {
 	return &callLimit{lock: concurrent.NewLock(), slotReleased: concurrent.NewCondition(), freeSlots: maxConcurrent}
 }
 
-// enter waits for a slot; false if the caller has left.
+// acquire waits for a slot. It returns false if the call has been cancelled.
 func (limit *callLimit) acquire(request *http.Request) bool {
 	for {
 		seen := limit.slotReleased.Count()
@@ -54,8 +54,8 @@
 	limit.slotReleased.Notify()
 }
 
-// LimitCalls bounds the calls of a method that are answered at the same time. It must not be
-// called once the server serves.
+// LimitCalls limits the concurrent calls of a method. It must be called before the server starts
+// serving.
 func LimitCalls[Request, Response any](server *Server, method Method[Request, Response], maxConcurrent int) {
 	server.limits[method.path()] = newCallLimit(maxConcurrent)
 }
--- a/rpc/client.go
+++ b/rpc/client.go
@@ -9,29 +9,28 @@
 	"connectrpc.com/connect"
 )
 
-// userAgent is what a call says of its sender's program.
+// userAgent is the User-Agent header of calls.
 const userAgent = "oj"
 
-// Client calls other processes by their addresses. It is safe for concurrent use.
+// Client calls the methods of other processes. It is safe for concurrent use.
 type Client struct {
 	httpClient *http.Client
 	mutex      sync.Mutex
 	clients    map[string]any
 }
 
-// NewClient returns a client that sends over transport.
+// NewClient returns a client that uses transport.
 func NewClient(transport http.RoundTripper) *Client {
 	return &Client{httpClient: &http.Client{Transport: transport}, clients: map[string]any{}}
 }
 
-// Transport returns what the client sends over.
+// Transport returns the client's transport.
 func (client *Client) Transport() http.RoundTripper { return client.httpClient.Transport }
 
-// Close closes idle connections; calls under way continue.
+// Close closes idle connections. Calls in flight continue.
 func (client *Client) Close() { client.httpClient.CloseIdleConnections() }
 
-// Call sends a request to an address (IP:port) and waits for the response, at most as
-// long as timeout.
+// Call sends a request to an address (IP:port) and waits up to timeout for the response.
 func Call[Request, Response any](
 	client *Client,
 	address string,
@@ -42,10 +41,9 @@
 	return CallContext(context.Background(), client, address, method, timeout, request)
 }
 
-// CallContext is a Call that also ends when ctx does. All errors it returns are of
-// type *Error: ConnectFailed if the message was certainly not sent, UnknownMessage if the
-// other process does not know the method, Unreachable if no response came, else what the
-// other process answered.
+// CallContext is like Call but also ends when ctx does. All returned errors are of type *Error:
+// ConnectFailed if the request was certainly not sent, UnknownMessage if the server does not know
+// the method, Unreachable if there was no response, or else the server's error.
 func CallContext[Request, Response any](
 	ctx context.Context,
 	client *Client,
@@ -55,7 +53,7 @@
 	request *Request,
 ) (*Response, error) {
 	if address == "" {
-		return nil, Errorf(Unreachable, "no address for %s", method)
+		return nil, Errorf(Unreachable, "no address to call method %s", method)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -67,7 +65,7 @@
 	return response.Msg, nil
 }
 
-// connectClient returns the client's connect.Client for a URL.
+// connectClient returns the cached connect.Client for a URL, creating it at first use.
 func connectClient[Request, Response any](client *Client, url string) *connect.Client[Request, Response] {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
@@ -84,8 +82,8 @@
 	return created
 }
 
-// withShortUserAgent replaces the long name that package connect gives itself: calls are
-// many, and their headers cross regions.
+// withShortUserAgent replaces the long User-Agent of package connect to save traffic: calls are
+// frequent and cross regions.
 func withShortUserAgent(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, request connect.AnyRequest) (connect.AnyResponse, error) {
 		request.Header().Set("User-Agent", userAgent)
--- a/rpc/codec.go
+++ b/rpc/codec.go
@@ -7,29 +7,28 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxMessageBytes is the longest message that a process accepts.
+// maxMessageBytes is the maximum size of a message.
 const maxMessageBytes = 32 << 20
 
-// PreEncoded is a message that may have been encoded before it is sent, because many
-// processes get the same one. EncodedBody returns nil if it was not.
+// PreEncoded is a message that can be encoded once and sent to many processes. EncodedBody returns
+// nil if it has not been encoded.
 type PreEncoded interface {
 	EncodedBody() []byte
 }
 
-// Checked is a message that can say whether its content is valid.
+// Checked is a message with a method that validates its content.
 type Checked interface {
 	Check() error
 }
 
-// Codec encodes messages as msgpack maps by the names of their fields. It refuses
-// unknown fields, trailing bytes, and messages whose Check method returns an error.
+// Codec encodes messages as msgpack maps keyed by field name. It rejects unknown fields, trailing
+// bytes, and messages whose Check method returns an error.
 type Codec struct{}
 
-// Name returns the codec's name in the content type of a message.
+// Name returns the codec's name as used in the content type.
 func (Codec) Name() string { return "msgpack" }
 
-// Marshal encodes a message. The result belongs to the caller, also that of a
-// PreEncoded message.
+// Marshal encodes a message. The caller owns the result, even for a PreEncoded message.
 func (Codec) Marshal(message any) ([]byte, error) {
 	encoded, isPreEncoded := message.(PreEncoded)
 	if isPreEncoded && encoded.EncodedBody() != nil {
@@ -38,7 +37,7 @@
 	return Marshal(message)
 }
 
-// Unmarshal decodes a message and checks it.
+// Unmarshal decodes and validates a message.
 func (Codec) Unmarshal(body []byte, message any) error {
 	if err := Unmarshal(body, message); err != nil {
 		return err
@@ -49,7 +48,7 @@
 	return nil
 }
 
-// Marshal encodes a structure as messages are encoded, for storage.
+// Marshal encodes a value for storage, in the encoding of messages.
 func Marshal(value any) ([]byte, error) {
 	body, err := msgpack.Marshal(value)
 	if err != nil {
@@ -58,7 +57,7 @@
 	return body, nil
 }
 
-// Unmarshal decodes what Marshal encoded; it refuses unknown fields and trailing bytes.
+// Unmarshal decodes a value encoded by Marshal. It rejects unknown fields and trailing bytes.
 func Unmarshal(body []byte, value any) error {
 	reader := bytes.NewReader(body)
 	decoder := msgpack.NewDecoder(reader)
@@ -67,7 +66,7 @@
 		return Errorf(BadMessage, "%T: %w", value, err)
 	}
 	if reader.Len() > 0 {
-		return Errorf(BadMessage, "%T: %d bytes too many", value, reader.Len())
+		return Errorf(BadMessage, "%T: %d trailing bytes", value, reader.Len())
 	}
 	return nil
 }
--- a/rpc/compression.go
+++ b/rpc/compression.go
@@ -10,45 +10,44 @@
 
 const (
 	compressionName = "gzip"
-	// minCompressedBytes is the size from which a response is worth the processor time. Only
-	// first tables and routings, and counts that are handed over, are larger.
+	// minCompressedBytes is the minimum size of a response for which compression is worth its CPU
+	// time. Only initial tables and routings, and transferred counts, are larger.
 	minCompressedBytes = 2048
 )
 
-// sharedWriter is the one gzip writer of the process, which takes most of a megabyte: a core
-// answers hundreds of daemons at once. It is held from the first byte of a message to its
-// end, which is in memory. The level spares the processor.
+// sharedWriter is the only gzip writer of the process: a writer uses almost a megabyte, and a core
+// responds to hundreds of daemons at once. It is locked from the first to the last byte of a
+// message, which is in memory. The compression level favours CPU time over size.
 var sharedWriter struct {
 	mutex sync.Mutex
 	gzip  *gzip.Writer
 }
 
-// compressor compresses one message after the other with the shared writer. It implements
-// connect.Compressor.
+// compressor implements connect.Compressor with the shared writer, one message at a time.
 type compressor struct {
 	target      io.Writer
-	holdsWriter bool // the shared writer
+	holdsWriter bool // it has locked sharedWriter
 }
 
 func newCompressor() connect.Compressor { return &compressor{} }
 
-// Reset begins a message that is written to target.
+// Reset starts a message that is written to target.
 func (compressor *compressor) Reset(target io.Writer) { compressor.target = target }
 
-// Write adds to the message. The first call waits for the shared writer.
+// Write appends to the message. The first call locks the shared writer.
 func (compressor *compressor) Write(body []byte) (int, error) {
 	if !compressor.holdsWriter {
 		sharedWriter.mutex.Lock()
 		compressor.holdsWriter = true
 		if sharedWriter.gzip == nil {
-			sharedWriter.gzip, _ = gzip.NewWriterLevel(nil, gzip.BestSpeed) // the level is a valid one
+			sharedWriter.gzip, _ = gzip.NewWriterLevel(nil, gzip.BestSpeed) // fails only for an invalid level
 		}
 		sharedWriter.gzip.Reset(compressor.target)
 	}
 	return sharedWriter.gzip.Write(body)
 }
 
-// Close ends the message.
+// Close completes the message and unlocks the shared writer.
 func (compressor *compressor) Close() error {
 	if !compressor.holdsWriter {
 		return nil
--- a/rpc/compression_test.go
+++ b/rpc/compression_test.go
@@ -23,8 +23,8 @@
 
 const testMethod Method[testRequest, testResponse] = "compressed"
 
-// recorder notes the headers of the last call, and takes off what callers of a former
-// release do not send.
+// headerRecorder records the headers of the last call. With isOldRelease it removes the headers
+// that an older release does not send.
 type headerRecorder struct {
 	transport    http.RoundTripper
 	isOldRelease bool
@@ -49,8 +49,8 @@
 	return response, err
 }
 
-// Long responses are compressed for callers that accept it, short ones and those to a
-// former release are not; all arrive whole. Headers that nobody reads are not sent.
+// Only long responses to callers that accept compression are compressed; short ones and those to
+// an older release are not. All arrive complete. Unused headers are omitted.
 func TestLongResponsesAreCompressed(test *testing.T) {
 	server := NewServer(metrics.NewCounters())
 	Handle(server, testMethod, func(_ context.Context, request *testRequest) (*testResponse, error) {
@@ -66,28 +66,28 @@
 	}{
 		{"short", false, 200, false},
 		{"long", false, 40_000, true},
-		{"long, for a former release", true, 40_000, false},
+		{"long, to an older release", true, 40_000, false},
 	} {
 		recorder := &headerRecorder{transport: http.DefaultTransport, isOldRelease: step.isOldRelease}
 		address := strings.TrimPrefix(listener.URL, "http://")
 		response, err := Call(NewClient(recorder), address, testMethod, time.Second, &testRequest{Size: step.size})
 		if err != nil || len(response.Body) != step.size {
-			test.Fatalf("%s: %v", step.name, err)
+			test.Fatalf("%s: call failed or response incomplete: %v", step.name, err)
 		}
 		if isCompressed := recorder.encoding != ""; isCompressed != step.compressed {
-			test.Errorf("%s: encoding %q", step.name, recorder.encoding)
+			test.Errorf("%s: content encoding %q", step.name, recorder.encoding)
 		}
 		if step.compressed && recorder.responseSize > int64(step.size/10) {
-			test.Errorf("%s: %d bytes", step.name, recorder.responseSize)
+			test.Errorf("%s: response of %d bytes, want a tenth of the body at most", step.name, recorder.responseSize)
 		}
 		if recorder.hasDate || len(recorder.request.Get("User-Agent")) > 2 {
-			test.Errorf("%s: sent headers %v, date %v", step.name, recorder.request, recorder.hasDate)
+			test.Errorf("%s: unnecessary headers: request %v, response with Date: %v", step.name, recorder.request, recorder.hasDate)
 		}
 	}
 }
 
-// Hundreds of callers that ask for a long response at once get it whole, and the compressors
-// together hold the memory of one.
+// Hundreds of concurrent long responses arrive complete, and all compressors together use the
+// memory of one.
 func TestConcurrentCompressorsShareWriter(test *testing.T) {
 	const callers = 300
 	compressors := []*compressor{}
@@ -118,7 +118,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 8<<20 {
-		test.Errorf("%d compressors hold %d bytes", callers, grown)
+		test.Errorf("%d compressors use %d bytes of heap", callers, grown)
 	}
 	for index := range targets {
 		reader, err := gzip.NewReader(&targets[index])
@@ -126,7 +126,7 @@
 			test.Fatal(err)
 		}
 		if plain, err := io.ReadAll(reader); err != nil || !bytes.Equal(plain, body) {
-			test.Fatalf("response %d: %d bytes, %v", index, len(plain), err)
+			test.Fatalf("response %d: decompressed %d bytes, error %v", index, len(plain), err)
 		}
 	}
 	runtime.KeepAlive(compressors)
--- a/rpc/error.go
+++ b/rpc/error.go
@@ -10,15 +10,15 @@
 	"connectrpc.com/connect"
 )
 
-// Code says what kind of failure an Error is. Its text is part of the interface
-// towards operators and callers and never changes. A Code is itself an error, so
-// that errors.Is(err, NotLeader) reports whether err carries that code.
+// Code identifies the kind of an Error. Its text is part of the API for operators and callers and
+// must not change. A Code is itself an error, so that errors.Is(err, NotLeader) reports whether
+// err has that code.
 type Code string
 
 // Error returns the code's text.
 func (code Code) Error() string { return string(code) }
 
-// Codes of leadership and of changes to the replicated state.
+// Codes for leadership and changes of the replicated state.
 const (
 	NotLeader      Code = "not_leader"
 	Lameduck       Code = "lameduck"
@@ -39,12 +39,12 @@
 	NoLearner      Code = "no_learner"
 )
 
-// Codes of processes, disks and calls between processes.
+// Codes for processes, disks and calls between processes.
 const (
 	BadMessage     Code = "bad_message"
 	UnknownMessage Code = "unknown_message"
-	Unreachable    Code = "unreachable" // the call may have been received
-	ConnectFailed  Code = "unreached"   // the call was not sent
+	Unreachable    Code = "unreachable" // the request may have been received
+	ConnectFailed  Code = "unreached"   // the request was not sent
 	BlankDisk      Code = "blank_disk"
 	CorruptStore   Code = "corrupt_store"
 	CorruptChunk   Code = "damaged_part"
@@ -55,7 +55,7 @@
 	PlatformError  Code = "platform_fault"
 )
 
-// Codes of callers' requests.
+// Codes for callers' requests.
 const (
 	BadRequest       Code = "bad_request"
 	UnknownKey       Code = "unknown_key"
@@ -79,7 +79,7 @@
 	ObjectiveMissed  Code = "aim_missed"
 )
 
-// Status returns the HTTP status with which the code is answered outside the system.
+// Status returns the HTTP status for the code in responses to operators and callers.
 func (code Code) Status() int {
 	switch code {
 	case StaleBase, StaleVersion, KeyInFlight, NoLearner, RolloutActive:
@@ -108,45 +108,45 @@
 	return http.StatusServiceUnavailable
 }
 
-// Detail is one mistake in a configuration: where it is, what it is, and its code.
+// Detail is an error in a configuration: its path, message and code.
 type Detail struct {
 	Path    string `json:"path"`
 	Message string `json:"cause" msgpack:"Cause"`
 	Code    string `json:"kind" msgpack:"Kind"`
 }
 
-// Values of Error.Outcome: whether the caller's request may have run.
+// Values of Error.Outcome, which says whether the caller's request may have run.
 const (
 	NotRun     = "not_run"
 	MayHaveRun = "unknown"
 )
 
-// Error is a failure with a code. It crosses the borders between processes as it is.
+// Error is an error with a code. It is sent between processes unchanged, except for its cause.
 type Error struct {
 	Code    Code   `json:"code" msgpack:"Kind"`
 	Message string `json:"cause,omitempty" msgpack:"Cause"`
-	// Serial is the current serial, where a change was based on another one.
+	// Serial is the current serial if a change was based on another one.
 	Serial uint64 `json:"serial,omitempty"`
-	// Leader is the address of the leader, where the call went to another core.
+	// Leader is the address of the leader if the call went to another core.
 	Leader string `json:"leader,omitempty"`
-	// RetryAfterMs is when to try again, in milliseconds; 0 where that is not known.
+	// RetryAfterMs is the delay before a retry in milliseconds, 0 if unknown.
 	RetryAfterMs int `json:"retry_after_ms,omitempty" msgpack:"Retry"`
 	// Outcome is NotRun, MayHaveRun or empty.
 	Outcome string `json:"outcome,omitempty"`
-	// Details are the mistakes found in a configuration.
+	// Details are the errors found in a configuration.
 	Details []Detail `json:"details,omitempty"`
 
 	cause error
 }
 
-// Errorf returns an Error with a message formatted as by fmt.Errorf; an error that is
-// formatted with %w is its cause.
+// Errorf returns an Error with a message formatted as by fmt.Errorf. An error formatted with %w
+// becomes its cause.
 func Errorf(code Code, format string, values ...any) error {
 	formatted := fmt.Errorf(format, values...)
 	return &Error{Code: code, Message: formatted.Error(), cause: errors.Unwrap(formatted)}
 }
 
-// Error returns the code, the message and all details in one line.
+// Error returns the code, the message and the details in one line.
 func (err *Error) Error() string {
 	var text strings.Builder
 	text.WriteString(string(err.Code))
@@ -159,17 +159,16 @@
 	return text.String()
 }
 
-// Unwrap returns the cause in this process, if any. It is not sent to other processes.
+// Unwrap returns the cause, if any. The cause is not sent to other processes.
 func (err *Error) Unwrap() error { return err.cause }
 
-// Is reports whether target is the error's code.
+// Is reports whether target is the code of err.
 func (err *Error) Is(target error) bool {
 	code, isCode := target.(Code)
 	return isCode && err.Code == code
 }
 
-// CodeOf returns the code of the first Error in err's chain, and Unreachable for an
-// error of a library.
+// CodeOf returns the code of the first Error in the chain of err, or Unreachable if there is none.
 func CodeOf(err error) Code {
 	if known, ok := errors.AsType[*Error](err); ok {
 		return known.Code
@@ -177,8 +176,8 @@
 	return Unreachable
 }
 
-// AsError returns the first Error in the chain of err, which must not be nil. An error
-// of a library becomes one with the code Unreachable.
+// AsError returns the first Error in the chain of err, or if there is none, an Error with code
+// Unreachable that wraps err. err must not be nil.
 func AsError(err error) *Error {
 	if known, ok := errors.AsType[*Error](err); ok {
 		return known
@@ -186,14 +185,14 @@
 	return &Error{Code: Unreachable, Message: err.Error(), cause: err}
 }
 
-// WithPrefix returns a copy of err, which must not be nil, with text before its message.
+// WithPrefix returns a copy of err with text prepended to its message. err must not be nil.
 func WithPrefix(text string, err error) error {
 	prefixed := *AsError(err)
 	prefixed.Message = text + ": " + prefixed.Message
 	return &prefixed
 }
 
-// errorHeader carries an Error between processes. Its name is that of former releases.
+// errorHeader is the header that contains an encoded Error. Older releases use the same name.
 const errorHeader = "Oj-Mishap"
 
 func (err *Error) toConnect() *connect.Error {
@@ -225,7 +224,7 @@
 	return &Error{Code: Unreachable, Message: err.Error(), cause: err}
 }
 
-// remoteError returns the Error that the other process answered with, nil if none came.
+// remoteError returns the Error sent by the other process, nil if there is none.
 func remoteError(err error) *Error {
 	var connectErr *connect.Error
 	if !errors.As(err, &connectErr) {
--- a/rpc/error_test.go
+++ b/rpc/error_test.go
@@ -7,16 +7,15 @@
 	"testing"
 )
 
-// An Error is found in a chain by its code and by its cause, and a nil error stays nil
-// through the functions that return error.
+// A wrapped Error matches its code and its cause. A valid message decodes to a nil error.
 func TestErrorsAreFoundByCodeAndCause(test *testing.T) {
 	cause := Errorf(DiskFailure, "sync: %w", io.ErrShortWrite)
 	wrapped := fmt.Errorf("roll: %w", cause)
 	if !errors.Is(wrapped, DiskFailure) || !errors.Is(wrapped, io.ErrShortWrite) || errors.Is(wrapped, NotLeader) {
-		test.Errorf("%v is not found by its code and its cause alone", wrapped)
+		test.Errorf("%v does not match exactly its code and its cause", wrapped)
 	}
 	if CodeOf(wrapped) != DiskFailure || CodeOf(io.EOF) != Unreachable {
-		test.Errorf("codes %s and %s", CodeOf(wrapped), CodeOf(io.EOF))
+		test.Errorf("codes %s and %s, want those of a disk failure and of a foreign error", CodeOf(wrapped), CodeOf(io.EOF))
 	}
 	if prefixed := WithPrefix(
 		"file",
@@ -26,11 +25,11 @@
 		test.Errorf("prefixed: %v", prefixed)
 	}
 	if err := (Codec{}).Unmarshal([]byte{0x80}, &struct{}{}); err != nil {
-		test.Errorf("an empty message gives %v", err)
+		test.Errorf("an empty message returns %v", err)
 	}
 }
 
-// An Error keeps all that it says on its way between processes, but not its cause.
+// An Error keeps all its exported fields across processes, but not its cause.
 func TestErrorCrossesProcesses(test *testing.T) {
 	sent := &Error{
 		Code: StaleBase, Message: "based on 3", Serial: 7, Leader: "10.0.0.1:41", RetryAfterMs: 500, Outcome: NotRun,
@@ -39,9 +38,9 @@
 	received := AsError(fromConnect(sent.toConnect()))
 	if received.Error() != sent.Error() || received.Serial != 7 || received.Leader != sent.Leader || received.RetryAfterMs != 500 ||
 		received.Outcome != NotRun {
-		test.Errorf("%+v arrives as %+v", sent, received)
+		test.Errorf("sent %+v, received %+v", sent, received)
 	}
 	if errors.Is(received, io.EOF) || !errors.Is(received, StaleBase) {
-		test.Errorf("arrived with cause %v and code %s", received.cause, received.Code)
+		test.Errorf("received error has cause %v and code %s", received.cause, received.Code)
 	}
 }
--- a/rpc/method.go
+++ b/rpc/method.go
@@ -1,10 +1,10 @@
 package rpc
 
-// pathPrefix begins the URL path of every method.
+// pathPrefix is the prefix of the URL paths of methods.
 const pathPrefix = "/oj/"
 
-// Method names a call and fixes the types of its request and its response, so that
-// callers and handlers agree on them. Its text is on the wire.
+// Method is the name of an RPC method, with the types of its request and response, so that clients
+// and handlers agree on them. The name is part of the URL path.
 type Method[Request, Response any] string
 
 func (method Method[Request, Response]) path() string { return pathPrefix + string(method) }
--- a/rpc/server.go
+++ b/rpc/server.go
@@ -1,6 +1,6 @@
-// Package rpc carries calls between the system's own processes: a Client and a Server
-// over HTTP (package connect), a Codec, and an Error with a Code that keeps its meaning
-// from one process to the next. The messages themselves are in package message.
+// Package rpc implements calls between the system's own processes: a Client and a Server over
+// HTTP (package connect), a Codec, and an Error whose Code is preserved across processes. The
+// messages are defined in package message.
 package rpc
 
 import (
@@ -13,8 +13,8 @@
 	"orchidjunction/metrics"
 )
 
-// Server is an http.Handler that answers the calls registered by Handle. It counts
-// what it refuses: wire_unknown_message, wire_bad_message, wire_handler_panic.
+// Server is an http.Handler for the methods registered by Handle. It counts failed calls in
+// wire_unknown_message, wire_bad_message and wire_handler_panic.
 type Server struct {
 	mux      *http.ServeMux
 	counters *metrics.Counters
@@ -22,12 +22,13 @@
 	limits   map[string]*callLimit // by path
 }
 
-// NewServer returns a server that answers no call yet.
+// NewServer returns a server without methods.
 func NewServer(counters *metrics.Counters) *Server {
 	return &Server{mux: http.NewServeMux(), counters: counters, paths: map[string]bool{}, limits: map[string]*callLimit{}}
 }
 
-// ServeHTTP answers a call, 404 for an unknown message and 415 for another content type.
+// ServeHTTP handles a call. It responds with 404 to an unknown method and with 415 to another
+// content type than application/msgpack.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if !server.paths[request.URL.Path] {
 		server.counters.Add("wire_unknown_message", 1)
@@ -40,7 +41,7 @@
 		return
 	}
 	request.Body = http.MaxBytesReader(writer, request.Body, maxMessageBytes+1)
-	writer.Header()["Date"] = nil // not sent: calls are many, and nobody reads it
+	writer.Header()["Date"] = nil // omitted to save traffic; no client reads it
 	if limit := server.limits[request.URL.Path]; limit != nil {
 		if !limit.acquire(request) {
 			return
@@ -50,8 +51,7 @@
 	server.mux.ServeHTTP(writer, request)
 }
 
-// Handle registers the function that answers a method. It must not be called once the
-// server serves.
+// Handle registers the handler of a method. It must be called before the server starts serving.
 func Handle[Request, Response any](
 	server *Server,
 	method Method[Request, Response],
@@ -75,13 +75,13 @@
 	server.mux.Handle(path, handler)
 }
 
-// recovered turns a handler's panic into an error for the caller.
+// convertPanic converts a handler's panic to an error for the caller.
 func (server *Server) convertPanic(_ context.Context, _ connect.Spec, _ http.Header, value any) error {
 	server.counters.Add("wire_handler_panic", 1)
-	return AsError(Errorf(BadMessage, "handler: %v", value)).toConnect()
+	return AsError(Errorf(BadMessage, "handler panicked: %v", value)).toConnect()
 }
 
-// countingCodec counts messages that can't be decoded.
+// countingCodec counts messages that cannot be decoded.
 type countingCodec struct {
 	Codec
 	counters *metrics.Counters
