--- a/concurrent/concurrent_test.go
+++ b/concurrent/concurrent_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// A queue gives its items in order, refuses more than its capacity, and gives none once
-// it is closed.
+// A queue returns its items in order, rejects items above its capacity, and returns none once it
+// is closed.
 func TestQueueIsBoundedAndOrdered(test *testing.T) {
 	queue := NewQueue[int](3)
 	for item := range 3 {
 		if !queue.Put(item) {
-			test.Errorf("item %d is refused", item)
+			test.Errorf("item %d is rejected", item)
 		}
 	}
 	if queue.Put(3) {
@@ -23,7 +23,7 @@
 		test.Errorf("took %v", first)
 	}
 	if !queue.Put(4) {
-		test.Error("an item is refused after others were taken")
+		test.Error("an item is rejected after others were taken")
 	}
 	if rest := queue.Take(5); len(rest) != 2 || rest[0] != 2 || rest[1] != 4 {
 		test.Errorf("took %v", rest)
@@ -31,11 +31,11 @@
 	queue.Put(5)
 	queue.Close()
 	if queue.Put(6) || queue.Take(1) != nil {
-		test.Error("a closed queue gives or accepts items")
+		test.Error("a closed queue returns or accepts items")
 	}
 }
 
-// A sleep lasts as long as it says, and ends at once when the group is stopped.
+// Sleep lasts for its duration, or until the group is stopped.
 func TestSleepEndsOnStop(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		group := NewGroup()
@@ -51,7 +51,7 @@
 		})
 		begin = time.Now()
 		if group.Sleep(time.Hour) || time.Since(begin) != 3500*time.Millisecond {
-			test.Errorf("slept %v over the stop", time.Since(begin))
+			test.Errorf("slept %v, want until Stop after 3.5 s", time.Since(begin))
 		}
 		group.Wait()
 		if calls != 3 {
@@ -65,8 +65,7 @@
 	})
 }
 
-// A waiter is woken by a notification that comes between its look at the count and its
-// wait, and gives up after its time-out.
+// Wait returns for a notification between Count and Wait, and otherwise after its time-out.
 func TestConditionMissesNoNotification(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		condition := NewCondition()
@@ -77,16 +76,16 @@
 		}
 		begin := time.Now()
 		if condition.Wait(condition.Count(), time.Second) || time.Since(begin) != time.Second {
-			test.Errorf("waited %v for nothing", time.Since(begin))
+			test.Errorf("waited %v without a notification, want 1 s and false", time.Since(begin))
 		}
 	})
 }
 
-// Gather returns as soon as it has enough, and all results and errors otherwise.
+// Gather returns as soon as it has enough results, or otherwise all results and errors.
 func TestGatherReturnsOnEnoughResults(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		group := NewGroup()
-		failure := errors.New("the odd ones fail")
+		failure := errors.New("odd indices fail")
 		call := func(index int) (int, error) {
 			time.Sleep(time.Duration(index) * time.Second)
 			if index%2 == 1 {
@@ -107,7 +106,7 @@
 	})
 }
 
-// A lock is held by one goroutine at a time, also while that sleeps.
+// A lock has one holder at a time, even while the holder sleeps.
 func TestLockExcludesWhileHolderSleeps(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		group, lock := NewGroup(), NewLock()
@@ -125,7 +124,7 @@
 		}
 		group.Wait()
 		if maxHolders != 1 || time.Since(begin) != 3*time.Second {
-			test.Errorf("%d holders at once, %v in all", maxHolders, time.Since(begin))
+			test.Errorf("%d concurrent holders, %v in total", maxHolders, time.Since(begin))
 		}
 	})
 }
--- a/concurrent/condition.go
+++ b/concurrent/condition.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Condition counts notifications, so that none is lost between a look at the count and
-// the wait for the next one. It is safe for concurrent use.
+// Condition is a condition variable that counts notifications, so that none is lost between Count
+// and Wait. It is safe for concurrent use.
 type Condition struct {
 	mutex sync.Mutex
 	cond  *sync.Cond
 	count uint64
 }
 
-// NewCondition returns a Condition whose count is zero.
+// NewCondition returns a Condition with count zero.
 func NewCondition() *Condition {
 	condition := &Condition{}
 	condition.cond = sync.NewCond(&condition.mutex)
 	return condition
 }
 
-// Notify counts one notification and wakes all waiters.
+// Notify increments the count and wakes all waiters.
 func (condition *Condition) Notify() {
 	condition.mutex.Lock()
 	condition.count++
@@ -35,8 +35,8 @@
 	return condition.count
 }
 
-// Wait blocks until the count exceeds seen and returns true, or returns false once the
-// timeout has passed. With a timeout of zero or less it only looks.
+// Wait blocks until the count exceeds seen and returns true, or returns false once the timeout
+// has passed. It does not block if the timeout is zero or negative.
 func (condition *Condition) Wait(seen uint64, timeout time.Duration) bool {
 	if timeout <= 0 {
 		return condition.Count() > seen
--- a/concurrent/gather.go
+++ b/concurrent/gather.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// Gather makes the calls with the indices from 0 to count-1 concurrently. It returns the
-// results and the errors by index as soon as enough returns true or all calls have ended.
-// Calls still under way are not cancelled; they end by their own time-outs.
+// Gather runs call concurrently for the indices from 0 to count-1. It returns the results and
+// errors by index as soon as enough returns true or all calls have ended. Calls in flight are not
+// cancelled; they end by their own time-outs.
 func Gather[T any](
 	group *Group,
 	count int,
@@ -25,7 +25,7 @@
 	return state.wait(count, enough)
 }
 
-// gathering is what the calls of one Gather have returned so far.
+// gatherState contains the results and errors that one Gather has collected so far.
 type gatherState[T any] struct {
 	mutex   sync.Mutex
 	cond    *sync.Cond
@@ -44,7 +44,7 @@
 	state.cond.Broadcast()
 }
 
-// wait returns copies, since calls still under way go on adding.
+// wait returns copies, because calls in flight still add their results.
 func (state *gatherState[T]) wait(count int, enough func(map[int]T, map[int]error) bool) (map[int]T, map[int]error) {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
--- a/concurrent/group.go
+++ b/concurrent/group.go
@@ -1,11 +1,10 @@
-// Package concurrent starts the goroutines of a process in one place and stops them
-// together (Group), and hands work from one to another: conditions (Condition), bounded
-// queues (Queue), locks that may be held over a wait (Lock), and concurrent calls (Gather).
+// Package concurrent manages the goroutines of a process (Group) and coordinates them by
+// condition variables (Condition), bounded queues (Queue), locks that may be held while waiting
+// (Lock) and concurrent calls (Gather).
 //
-// Waits use mutexes and conditions rather than channels and sync.WaitGroup, and a Lock
-// rather than a sync.Mutex where another goroutine may sleep while it holds it: tests run
-// on the virtual time of testing/synctest, which stands still while a goroutine waits for
-// a sync.Mutex.
+// Waits use mutexes and conditions instead of channels and sync.WaitGroup, and a Lock instead of
+// a sync.Mutex if the holder may sleep: tests run in the virtual time of testing/synctest, which
+// does not advance while a goroutine waits for a sync.Mutex.
 package concurrent
 
 import (
@@ -13,8 +12,8 @@
 	"time"
 )
 
-// Group starts the goroutines of a process, or of a simulated machine, and stops them
-// together. It is safe for concurrent use.
+// Group manages the goroutines of a process or of a simulated machine, and stops them together. It
+// is safe for concurrent use.
 type Group struct {
 	mutex    sync.Mutex
 	cond     *sync.Cond
@@ -23,14 +22,14 @@
 	hooks    []func()
 }
 
-// NewGroup returns a Group that runs nothing yet.
+// NewGroup returns a Group without goroutines.
 func NewGroup() *Group {
 	group := &Group{}
 	group.cond = sync.NewCond(&group.mutex)
 	return group
 }
 
-// Start runs task in a goroutine that Wait waits for. It runs also after Stop.
+// Start runs task in a goroutine that Wait waits for, even after Stop.
 func (group *Group) Start(task func()) {
 	group.mutex.Lock()
 	group.running++
@@ -48,7 +47,7 @@
 	group.mutex.Unlock()
 }
 
-// Every calls task periodically until Stop: interval returns the pause before each call.
+// Every calls task periodically until Stop. interval returns the pause before each call.
 func (group *Group) Every(interval func() time.Duration, task func()) {
 	group.Start(func() {
 		for group.Sleep(interval()) {
@@ -57,19 +56,19 @@
 	})
 }
 
-// Fixed returns a constant interval for Every.
+// Fixed returns a function for Every that returns a constant interval.
 func Fixed(interval time.Duration) func() time.Duration {
 	return func() time.Duration { return interval }
 }
 
-// Stopping reports whether Stop was called.
+// Stopping reports whether Stop has been called.
 func (group *Group) Stopping() bool {
 	group.mutex.Lock()
 	defer group.mutex.Unlock()
 	return group.stopping
 }
 
-// OnStop registers a hook that Stop calls once. After Stop it is called at once.
+// OnStop registers a hook for Stop to call. After Stop the hook is called immediately.
 func (group *Group) OnStop(hook func()) {
 	group.mutex.Lock()
 	if !group.stopping {
@@ -81,8 +80,8 @@
 	hook()
 }
 
-// Stop ends all sleeps and calls the hooks in the order in which they were registered.
-// Only its first call has an effect.
+// Stop ends all sleeps and calls the hooks in the order of their registration. Only the first call
+// has an effect.
 func (group *Group) Stop() {
 	group.mutex.Lock()
 	if group.stopping {
@@ -99,7 +98,7 @@
 	}
 }
 
-// Wait blocks until every goroutine that Start started has ended.
+// Wait blocks until all goroutines of the group have ended.
 func (group *Group) Wait() {
 	group.mutex.Lock()
 	for group.running > 0 {
@@ -108,8 +107,7 @@
 	group.mutex.Unlock()
 }
 
-// Sleep pauses for the duration. It returns false, at once, when Stop was called before
-// or meanwhile.
+// Sleep pauses for the duration and returns true, or returns false as soon as Stop has been called.
 func (group *Group) Sleep(duration time.Duration) bool {
 	if duration <= 0 {
 		return !group.Stopping()
--- a/concurrent/lock.go
+++ b/concurrent/lock.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Lock is a sync.Locker that may be held over waits. A goroutine that waits for it blocks
-// on a condition, not on a sync.Mutex, so that the virtual time of tests can advance.
+// Lock is a sync.Locker that may be held while waiting. Goroutines that wait for it block on a
+// condition instead of a sync.Mutex, so that the virtual time of tests can advance.
 type Lock struct {
 	mutex  sync.Mutex
 	cond   *sync.Cond
@@ -17,7 +17,7 @@
 	return lock
 }
 
-// Lock waits while another goroutine holds the lock, and takes it.
+// Lock acquires the lock, waiting while another goroutine holds it.
 func (lock *Lock) Lock() {
 	lock.mutex.Lock()
 	for lock.locked {
--- a/concurrent/queue.go
+++ b/concurrent/queue.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Queue is a bounded queue between goroutines: any number put items in, one takes them
-// out in batches.
+// Queue is a bounded FIFO queue with multiple producers and one consumer, which takes items in
+// batches.
 type Queue[T any] struct {
 	mutex  sync.Mutex
 	cond   *sync.Cond
@@ -20,8 +20,7 @@
 	return queue
 }
 
-// Put appends an item; it returns false, without waiting, if the queue is full or
-// closed.
+// Put appends an item. It does not block, and returns false if the queue is full or closed.
 func (queue *Queue[T]) Put(item T) bool {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
@@ -34,8 +33,8 @@
 	return true
 }
 
-// Take waits for an item and returns all that are queued, at most limit, in order. It
-// returns nil once the queue is closed, also if items are left.
+// Take waits for an item and returns up to limit queued items in order. It returns nil once the
+// queue is closed, even if items are left.
 func (queue *Queue[T]) Take(limit int) []T {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
@@ -52,7 +51,7 @@
 	return taken
 }
 
-// pop removes the first item; the caller holds the mutex and knows that there is one.
+// pop removes the first item. The caller holds the mutex, and the queue must not be empty.
 func (queue *Queue[T]) pop() T {
 	var zero T
 	item := queue.items[queue.first]
@@ -62,7 +61,7 @@
 	return item
 }
 
-// Close ends all waits; items that are left are lost.
+// Close ends all waits and discards the remaining items.
 func (queue *Queue[T]) Close() {
 	queue.mutex.Lock()
 	queue.closed = true
--- a/metrics/counters.go
+++ b/metrics/counters.go
@@ -1,9 +1,9 @@
-// Package metrics is the figures of a process: counters, gauges and histograms. Operators
-// read them as text in Prometheus' exposition format (WriteText, ServeHTTP), the counters
-// also by ojctl status and in the log. A name never changes its meaning.
+// Package metrics provides the metrics of a process: counters, gauges and histograms. They are
+// exported in the Prometheus text format (WriteText, ServeHTTP), the counters also by ojctl
+// status and in the log. The meaning of a name must never change.
 //
-// In the text a counter named "requests" is orchidjunction_requests_total; histograms are
-// in seconds, and their names end so. docs/ops/metrics.md lists them.
+// The counter "requests" is exported as orchidjunction_requests_total. Histograms are in seconds
+// and have names that end in _seconds. docs/ops/metrics.md lists all metrics.
 package metrics
 
 import (
@@ -22,16 +22,16 @@
 const (
 	namePrefix    = "orchidjunction_"
 	counterSuffix = "_total"
-	// contentType is that of the text format.
+	// textContentType is the content type of the Prometheus text format.
 	textContentType = "text/plain; version=0.0.4; charset=utf-8"
 )
 
-// buckets are the upper bounds of histograms, in seconds. The third is the aim for the time
-// that a proxy adds.
+// durationBuckets are the upper bounds of histogram buckets in seconds. The third is the target for
+// the latency that a proxy adds.
 var durationBuckets = []float64{0.0005, 0.001, 0.0015, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10}
 
-// Counters is a set of named figures; each counter is created at its first use. It is safe
-// for concurrent use.
+// Counters is a set of named metrics. Counters are created at their first use. It is safe for
+// concurrent use.
 type Counters struct {
 	set    *vm.Set
 	mutex  sync.RWMutex
@@ -43,12 +43,12 @@
 	return &Counters{set: vm.NewSet(), values: map[string]*vm.Counter{}}
 }
 
-// Add increases a counter by amount.
+// Add increases the named counter by amount.
 func (counters *Counters) Add(name string, amount uint64) {
 	counters.counter(name).AddInt64(int64(amount))
 }
 
-// counter returns the counter of a name.
+// counter returns the named counter, creating it at its first use.
 func (counters *Counters) counter(name string) *vm.Counter {
 	counters.mutex.RLock()
 	counter := counters.values[name]
@@ -65,7 +65,7 @@
 	return counter
 }
 
-// Get returns a counter's value, 0 if it was never used.
+// Get returns the value of the named counter, 0 if it was never used.
 func (counters *Counters) Get(name string) uint64 {
 	counters.mutex.RLock()
 	defer counters.mutex.RUnlock()
@@ -75,7 +75,7 @@
 	return 0
 }
 
-// All returns a copy of all counters by name.
+// All returns the values of all counters by name.
 func (counters *Counters) All() map[string]uint64 {
 	counters.mutex.RLock()
 	defer counters.mutex.RUnlock()
@@ -86,27 +86,26 @@
 	return values
 }
 
-// Names returns the names of all counters in order.
+// Names returns the sorted names of all counters.
 func (counters *Counters) Names() []string {
 	return slices.Sorted(maps.Keys(counters.All()))
 }
 
-// Gauge adds a figure that is read when the text is written. It replaces one of the same
-// name.
+// Gauge adds a gauge whose value is read when the metrics are exported. It replaces a gauge of the
+// same name.
 func (counters *Counters) Gauge(name string, value func() float64) {
 	counters.set.UnregisterMetric(metricName(name))
 	counters.set.NewGauge(metricName(name), value)
 }
 
-// Label is a name and a value that tell histograms of one name apart.
+// Label is a label of a histogram.
 type Label struct{ Name, Value string }
 
-// Histogram is how often durations fell below each of the buckets' bounds. It is safe for
-// concurrent use.
+// Histogram is a histogram of durations. It is safe for concurrent use.
 type Histogram struct{ inner *vm.PrometheusHistogram }
 
-// Histogram returns the histogram of a name, which ends in _seconds, and labels. The number
-// of histograms must be bounded by the program.
+// Histogram returns the histogram with the given name, which must end in _seconds, and labels,
+// creating it at its first use. The number of combinations must be bounded.
 func (counters *Counters) Histogram(name string, labels ...Label) *Histogram {
 	pairs := make([]string, 0, len(labels))
 	for _, label := range labels {
@@ -119,21 +118,21 @@
 	return &Histogram{inner: counters.set.GetOrCreatePrometheusHistogramExt(fullName, durationBuckets)}
 }
 
-// Observe counts a duration.
+// Observe adds a duration to the histogram.
 func (histogram *Histogram) Observe(duration time.Duration) {
 	histogram.inner.Update(duration.Seconds())
 }
 
-// WriteText writes all figures in Prometheus' exposition format.
+// WriteText writes all metrics in the Prometheus text format.
 func (counters *Counters) WriteText(writer io.Writer) { counters.set.WritePrometheus(writer) }
 
-// ServeHTTP answers with the text of all figures.
+// ServeHTTP responds with all metrics in the Prometheus text format.
 func (counters *Counters) ServeHTTP(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Type", textContentType)
 	counters.WriteText(writer)
 }
 
-// textName returns a name as the text format allows it.
+// metricName returns the exported name, with the prefix and only characters allowed in metric names.
 func metricName(name string) string {
 	return namePrefix + strings.Map(func(letter rune) rune {
 		switch {
--- a/metrics/counters_test.go
+++ b/metrics/counters_test.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// line is one sample or comment of the text format, as its specification has it.
+// samplePattern matches a sample or comment line of the Prometheus text format.
 var samplePattern = regexp.MustCompile(
 	`^(#.*|[a-z_][a-z0-9_]*(\{([a-z_]+="[^"]*",?)+\})? -?[0-9.e+-]+|[a-z_][a-z0-9_]*\{.*le="\+Inf"\} [0-9]+)$`,
 )
 
-// The text holds every figure under its name; a counter answers to its former name as well.
+// The text contains every metric under its exported name and conforms to the format.
 func TestPrometheusText(test *testing.T) {
 	counters := NewCounters()
 	counters.Add("requests", 3)
@@ -38,23 +38,23 @@
 		`orchidjunction_request_seconds_count{kind="once",result="served"} 2` + "\n",
 	} {
 		if !strings.Contains(text, wanted) {
-			test.Errorf("no %q in\n%s", wanted, text)
+			test.Errorf("%q is missing in\n%s", wanted, text)
 		}
 	}
 	for sample := range strings.SplitSeq(strings.TrimSpace(text), "\n") {
 		if !samplePattern.MatchString(sample) {
-			test.Errorf("not in the text format: %q", sample)
+			test.Errorf("line does not conform to the text format: %q", sample)
 		}
 	}
 	if contentType := recorder.Header().Get("Content-Type"); !strings.HasPrefix(contentType, "text/plain; version=0.0.4") {
 		test.Errorf("content type %q", contentType)
 	}
 	if counters.Get("requests") != 3 || counters.Get("unused") != 0 || len(counters.All()) != 2 {
-		test.Errorf("counters %v", counters.All())
+		test.Errorf("unexpected counters %v", counters.All())
 	}
 }
 
-// Counters that many goroutines use for the first time at once lose nothing.
+// Concurrent first uses of a counter lose no increments.
 func TestConcurrentCounters(test *testing.T) {
 	counters := NewCounters()
 	var group sync.WaitGroup
@@ -67,6 +67,6 @@
 	}
 	group.Wait()
 	if sum := counters.Get("a") + counters.Get("b") + counters.Get("c"); sum != 8000 || counters.Get("a") != 8*334 {
-		test.Errorf("%v", counters.All())
+		test.Errorf("counters %v, want 8000 increments in total", counters.All())
 	}
 }
