--- a/agent/config.go
+++ b/agent/config.go
@@ -55,7 +55,7 @@
 	return nil
 }
 
-func (config *Config) wall() func() int64 {
+func (config *Config) wallClock() func() int64 {
 	if config.Wall != nil {
 		return config.Wall
 	}
--- a/agent/connectivity.go
+++ b/agent/connectivity.go
@@ -114,12 +114,12 @@
 // a proxy that has it (empty if this daemon's is the newest), and whether half responded.
 func (daemon *Daemon) queryHalfOfProxies() (newest uint64, source string, reachedHalf bool) {
 	proxies, others := daemon.proxies()
-	shuffle(others)
+	shuffleMembers(others)
 	newest = daemon.Version().Serial
 	reached, half := proxies-len(others), (proxies+1)/2
-	for first := 0; first < len(others) && reached < half; {
-		batch := others[first:min(first+half-reached, len(others))]
-		first += len(batch)
+	for next := 0; next < len(others) && reached < half; {
+		batch := others[next:min(next+half-reached, len(others))]
+		next += len(batch)
 		responses := daemon.queryLeaders(batch)
 		reached += len(responses)
 		for index, response := range responses {
@@ -153,6 +153,6 @@
 	return responses
 }
 
-func shuffle(members []message.Member) {
+func shuffleMembers(members []message.Member) {
 	rand.Shuffle(len(members), func(left, right int) { members[left], members[right] = members[right], members[left] })
 }
--- a/agent/core_choice.go
+++ b/agent/core_choice.go
@@ -36,15 +36,15 @@
 		daemon.leaderTerm = leader.Term
 		delete(daemon.failedAt, leader.Address)
 	}
-	if leader.Known() && !daemon.failedLately(leader.Address) {
+	if leader.Known() && !daemon.failedRecently(leader.Address) {
 		return leader.Address
 	}
 	return daemon.nextCore()
 }
 
-// failedLately reports whether a core or parent failed within failedCoreTimeout. The caller
+// failedRecently reports whether a core or parent failed within failedCoreTimeout. The caller
 // holds the mutex.
-func (daemon *Daemon) failedLately(address string) bool {
+func (daemon *Daemon) failedRecently(address string) bool {
 	return time.Since(daemon.failedAt[address]) <= failedCoreTimeout
 }
 
@@ -53,11 +53,11 @@
 // recently, since its reports may never reach the leader. The caller holds the mutex.
 func (daemon *Daemon) nextCore() string {
 	voters, others := daemon.LeaderFinder.Voters()
-	begin := max(slices.Index(voters, daemon.lastCore), 0)
-	ordered := slices.Concat(voters[begin:], voters[:begin], others)
+	first := max(slices.Index(voters, daemon.lastCore), 0)
+	ordered := slices.Concat(voters[first:], voters[:first], others)
 	chosen := ordered[0]
 	for _, core := range ordered {
-		if !daemon.failedLately(core) {
+		if !daemon.failedRecently(core) {
 			chosen = core
 			break
 		}
@@ -89,7 +89,7 @@
 			others = append(others, member)
 		}
 	}
-	shuffle(others)
+	shuffleMembers(others)
 	for _, response := range daemon.queryLeaders(others[:min(len(others), maxQueriedPeers)]) {
 		daemon.LeaderFinder.ObserveMembership(response.Membership, response.Cores)
 	}
--- a/agent/core_choice_test.go
+++ b/agent/core_choice_test.go
@@ -82,9 +82,9 @@
 	if sessions[coreAddress(3)] != 1 {
 		test.Fatalf("sessions %v, want one with the only reachable seed", sessions)
 	}
-	for round := range 12 {
+	for attempt := range 12 {
 		daemon.mutex.Lock()
-		daemon.failedAt[daemon.lastCore] = time.Now().Add(-time.Duration(round) * failedCoreTimeout / 8)
+		daemon.failedAt[daemon.lastCore] = time.Now().Add(-time.Duration(attempt) * failedCoreTimeout / 8)
 		daemon.mutex.Unlock()
 		daemon.renewSession()
 	}
@@ -111,12 +111,12 @@
 func TestOlderMembershipAndLeaderAreIgnored(test *testing.T) {
 	network, sessions := fakeNetwork{}, map[string]int{}
 	leader := message.Leader{Term: message.Term{Number: 9, Core: 5}, Core: 5, Address: coreAddress(5)}
-	former := message.Leader{Term: message.Term{Number: 3, Core: 1}, Core: 1, Address: coreAddress(1)}
+	oldLeader := message.Leader{Term: message.Term{Number: 3, Core: 1}, Core: 1, Address: coreAddress(1)}
 	network.addCore(5, membershipVersion(9, 7), coreAddresses(4, 5, 6), leader, sessions)
-	network.addCore(1, membershipVersion(3, 1), coreAddresses(1, 2, 3), former, sessions)
+	network.addCore(1, membershipVersion(3, 1), coreAddresses(1, 2, 3), oldLeader, sessions)
 	daemon := newTestDaemon(network, coreAddresses(1, 2, 3))
 	daemon.renewSession()
-	if daemon.LeaderFinder.Leader() != former {
+	if daemon.LeaderFinder.Leader() != oldLeader {
 		test.Fatalf("leader %v, want the one reported by the first responding core", daemon.LeaderFinder.Leader())
 	}
 	daemon.LeaderFinder.ObserveMembership(membershipVersion(9, 7), coreAddresses(4, 5, 6))
@@ -127,7 +127,7 @@
 		test.Errorf("leader %v, sessions %v", daemon.LeaderFinder.Leader(), sessions)
 	}
 	daemon.LeaderFinder.ObserveMembership(membershipVersion(3, 1), coreAddresses(1, 2, 3))
-	daemon.LeaderFinder.Observe(former)
+	daemon.LeaderFinder.Observe(oldLeader)
 	if voters, _ := daemon.LeaderFinder.Voters(); daemon.LeaderFinder.Leader() != leader || voters[0] != coreAddress(4) {
 		test.Errorf("older state accepted: leader %v, voters %v", daemon.LeaderFinder.Leader(), voters)
 	}
--- a/agent/daemon.go
+++ b/agent/daemon.go
@@ -29,7 +29,7 @@
 	windows      func() []message.WindowCount
 	rollouts     func() []message.RolloutCounts
 	demand       func() float64
-	onRetire     func(rest time.Duration)
+	onRetire     func(remaining time.Duration)
 }
 
 func defaultCallbacks() callbacks {
@@ -76,15 +76,15 @@
 	failedAt         map[string]time.Time // by address of the core or parent
 	lastResponseAt   time.Time
 	behindSince      time.Time // when the core first had a newer version, zero if it has none
-	newestSeen       uint64    // the highest serial known of
-	newestSeenAt     time.Time
+	newestSerial     uint64    // the highest serial known
+	newestSerialAt   time.Time
 	confirmed        bool // a leader has confirmed the version in force
 	everConfirmed    bool
 	unconfirmedSince time.Time
 	lastPauseCheck   time.Time
 	leaving          bool
-	ended            bool
-	endsAt           time.Time
+	sessionEnded     bool
+	stopsAt          time.Time
 	parent           string
 	lastPeerQuery    time.Time
 	leaderTerm       message.Term
@@ -100,7 +100,7 @@
 		client:           client,
 		goroutines:       goroutines,
 		counters:         counters,
-		clock:            clock.NewClock(config.wall()),
+		clock:            clock.NewClock(config.wallClock()),
 		callbacks:        defaultCallbacks(),
 		updates:          concurrent.NewCondition(),
 		sessionLock:      concurrent.NewLock(),
@@ -155,7 +155,9 @@
 
 // OnRetire sets the function that sends the last notifications to other processes. Retire calls
 // it after draining, with the remaining grace period.
-func (daemon *Daemon) OnRetire(finish func(rest time.Duration)) { daemon.callbacks.onRetire = finish }
+func (daemon *Daemon) OnRetire(notify func(remaining time.Duration)) {
+	daemon.callbacks.onRetire = notify
+}
 
 // Now returns the cluster time in milliseconds since the Unix epoch.
 func (daemon *Daemon) Now() int64 { return daemon.clock.Now() }
--- a/agent/daemon_test.go
+++ b/agent/daemon_test.go
@@ -13,7 +13,7 @@
 
 // The session, which reads the daemon's state, must continue while a large version is applied.
 func TestSessionContinuesDuringApply(test *testing.T) {
-	goroutines, answered := concurrent.NewGroup(), concurrent.NewCondition()
+	goroutines, responded := concurrent.NewGroup(), concurrent.NewCondition()
 	daemon := NewDaemon(
 		Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true},
 		"i1",
@@ -26,9 +26,9 @@
 		applied++
 		goroutines.Start(func() {
 			daemon.memberInfo()
-			answered.Notify()
+			responded.Notify()
 		})
-		if !answered.Wait(applied-1, 5*time.Second) {
+		if !responded.Wait(applied-1, 5*time.Second) {
 			test.Error("memberInfo blocks until the version is applied")
 		}
 	}, nil)
@@ -72,11 +72,11 @@
 		counters,
 	)
 	daemon.behindSince = time.Now().Add(-time.Minute)
-	begin := time.Now()
+	start := time.Now()
 	daemon.catchUp("127.0.0.1:1")
 	daemon.catchUp("127.0.0.1:1")
-	if took := time.Since(begin); took > time.Second {
-		test.Errorf("catchUp blocked for %v", took)
+	if elapsed := time.Since(start); elapsed > time.Second {
+		test.Errorf("catchUp blocked for %v", elapsed)
 	}
 	if !transport.received.Wait(0, 5*time.Second) {
 		test.Error("no fetch was sent")
--- a/agent/evacuate.go
+++ b/agent/evacuate.go
@@ -23,9 +23,9 @@
 	order := &message.EvacuateRequest{Zone: zone, Begin: begin, ExpectedChanges: current.Changes}
 	response, err := ForwardContext(ctx, forwarder, message.MethodEvacuate, order)
 	if err != nil && rpc.CodeOf(err) == rpc.ZoneChanged {
-		raced := *rpc.AsError(err)
-		raced.RetryAfterMs = retryAfterMs
-		return nil, &raced
+		conflict := *rpc.AsError(err)
+		conflict.RetryAfterMs = retryAfterMs
+		return nil, &conflict
 	}
 	return response, err
 }
--- a/agent/forwarder.go
+++ b/agent/forwarder.go
@@ -134,11 +134,11 @@
 		if err != nil {
 			return nil, err
 		}
-		rest := time.Until(call.deadline)
-		if rest <= 0 {
+		remaining := time.Until(call.deadline)
+		if remaining <= 0 {
 			break
 		}
-		timeout := min(rest, forwarder.attemptTimeout)
+		timeout := min(remaining, forwarder.attemptTimeout)
 		response, err := rpc.CallContext(ctx, forwarder.client, leader.Address, method, timeout, request)
 		if err == nil {
 			call.countSuccess()
--- a/agent/forwarder_test.go
+++ b/agent/forwarder_test.go
@@ -70,13 +70,13 @@
 	forwarder, finder := newTestForwarder(test, transport, ForwardLimits{Response: 2 * time.Second, Attempt: 1500 * time.Millisecond})
 	transport.afterTimeout = func() { finder.Observe(testLeader(2, "10.0.0.2:1")) }
 	finder.Observe(testLeader(1, hungAddress))
-	begin := time.Now()
+	start := time.Now()
 	if _, err := Forward(forwarder, message.MethodEvacuate, &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil ||
 		rpc.CodeOf(err) != rpc.OutcomeUnknown {
 		test.Fatalf("unexpected result: %v", err)
 	}
-	if took := time.Since(begin); took > 2200*time.Millisecond {
-		test.Fatalf("took %v, want at most the limit of 2 s", took)
+	if elapsed := time.Since(start); elapsed > 2200*time.Millisecond {
+		test.Fatalf("took %v, want at most the limit of 2 s", elapsed)
 	}
 }
 
--- a/agent/operator_api.go
+++ b/agent/operator_api.go
@@ -26,16 +26,23 @@
 	mux           *http.ServeMux
 }
 
-// NewOperatorAPI returns the API of the named daemon. local returns the serial and body of
+// NewOperatorAPI returns the API of the named daemon. localSettings returns the serial and body of
 // the settings that the daemon has applied; ready reports whether the daemon may serve.
 func NewOperatorAPI(
 	name string,
 	forwarder *Forwarder,
 	counters *metrics.Counters,
-	local func() (uint64, []byte),
+	localSettings func() (uint64, []byte),
 	ready func() bool,
 ) *OperatorAPI {
-	api := &OperatorAPI{forwarder: forwarder, counters: counters, name: name, localSettings: local, ready: ready, mux: http.NewServeMux()}
+	api := &OperatorAPI{
+		forwarder:     forwarder,
+		counters:      counters,
+		name:          name,
+		localSettings: localSettings,
+		ready:         ready,
+		mux:           http.NewServeMux(),
+	}
 	api.mux.HandleFunc("GET /v1/settings", api.read)
 	api.mux.HandleFunc("PUT /v1/settings", func(writer http.ResponseWriter, request *http.Request) { api.change(writer, request, "whole") })
 	api.mux.HandleFunc(
@@ -77,16 +84,16 @@
 
 // WriteError responds with err as JSON, and with Retry-After if err has a retry delay.
 func WriteError(writer http.ResponseWriter, err error) {
-	refusal := rpc.AsError(err)
-	writeRefusal(writer, refusal, refusal)
+	failure := rpc.AsError(err)
+	writeErrorDocument(writer, failure, failure)
 }
 
-// writeRefusal responds with document, using the HTTP status and retry delay of refusal.
-func writeRefusal(writer http.ResponseWriter, refusal *rpc.Error, document any) {
-	if refusal.RetryAfterMs > 0 {
-		writer.Header().Set("Retry-After", strconv.Itoa((refusal.RetryAfterMs+999)/1000))
+// writeErrorDocument responds with document, using the HTTP status and retry delay of failure.
+func writeErrorDocument(writer http.ResponseWriter, failure *rpc.Error, document any) {
+	if failure.RetryAfterMs > 0 {
+		writer.Header().Set("Retry-After", strconv.Itoa((failure.RetryAfterMs+999)/1000))
 	}
-	WriteJSON(writer, refusal.Code.Status(), document)
+	WriteJSON(writer, failure.Code.Status(), document)
 }
 
 type settingsDocument struct {
@@ -141,7 +148,7 @@
 	Duplicate bool   `json:"again,omitempty"`
 }
 
-type refusalDocument struct {
+type errorDocument struct {
 	rpc.Error
 	Change string `json:"change,omitempty"`
 }
@@ -174,8 +181,8 @@
 	response, err := Forward(api.forwarder, message.MethodChange, change)
 	if err != nil {
 		api.counters.Add("operator_refused_"+string(rpc.CodeOf(err)), 1)
-		refusal := rpc.AsError(err)
-		writeRefusal(writer, refusal, refusalDocument{Error: *refusal, Change: document.Change})
+		failure := rpc.AsError(err)
+		writeErrorDocument(writer, failure, errorDocument{Error: *failure, Change: document.Change})
 		return
 	}
 	api.counters.Add("operator_changes", 1)
@@ -258,7 +265,7 @@
 
 // NewID returns a random ID of 96 bits in hexadecimal.
 func NewID() string {
-	raw := make([]byte, 12)
-	rand.Read(raw)
-	return hex.EncodeToString(raw)
+	random := make([]byte, 12)
+	rand.Read(random)
+	return hex.EncodeToString(random)
 }
--- a/agent/readiness.go
+++ b/agent/readiness.go
@@ -34,7 +34,7 @@
 		isPartitioned = isPartitioned && !daemon.config.ServesAlone
 		return (daemon.confirmed || mayServeAlone) && !isPartitioned && version.Servable()
 	}
-	isLate := daemon.newestSeen > version.Serial && time.Since(daemon.newestSeenAt) > maxStaleness
+	isLate := daemon.newestSerial > version.Serial && time.Since(daemon.newestSerialAt) > maxStaleness
 	return daemon.confirmed && !isPartitioned && !isLate && version.Serial > 0 && version.Table.Complete
 }
 
@@ -54,11 +54,11 @@
 	}
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
-	if serial > daemon.newestSeen {
-		if daemon.newestSeen <= inForce {
-			daemon.newestSeenAt = time.Now()
+	if serial > daemon.newestSerial {
+		if daemon.newestSerial <= inForce {
+			daemon.newestSerialAt = time.Now()
 		}
-		daemon.newestSeen = serial
+		daemon.newestSerial = serial
 	}
 	return true
 }
--- a/agent/relay.go
+++ b/agent/relay.go
@@ -58,8 +58,8 @@
 // knows of, for too long. The caller holds the mutex.
 func (daemon *Daemon) isLate() bool {
 	isBehindCore := !daemon.behindSince.IsZero() && time.Since(daemon.behindSince) > behindTimeout
-	hasSeenNewer := daemon.newestSeen > daemon.Version().Serial && time.Since(daemon.newestSeenAt) > daemon.intervals.FindLeader
-	return isBehindCore || hasSeenNewer
+	knowsNewer := daemon.newestSerial > daemon.Version().Serial && time.Since(daemon.newestSerialAt) > daemon.intervals.FindLeader
+	return isBehindCore || knowsNewer
 }
 
 // handleParentFailure records the failure of a parent or core, and pauses before the next try.
--- a/agent/retire.go
+++ b/agent/retire.go
@@ -14,41 +14,41 @@
 // settle for the other processes to stop sending, calls drain to wait for the requests in
 // flight, and reports the last counts. It returns the result of drain: whether all requests
 // in flight have ended.
-func (daemon *Daemon) Retire(settle, grace time.Duration, drain func(rest time.Duration) bool) bool {
-	begin := time.Now()
+func (daemon *Daemon) Retire(settle, grace time.Duration, drain func(remaining time.Duration) bool) bool {
+	start := time.Now()
 	daemon.mutex.Lock()
-	daemon.endsAt = begin.Add(grace)
+	daemon.stopsAt = start.Add(grace)
 	daemon.mutex.Unlock()
 	daemon.Leave()
-	daemon.goroutines.Sleep(settle - time.Since(begin))
-	hasDrained := drain(grace - time.Since(begin))
-	daemon.callbacks.onRetire(grace - time.Since(begin))
+	daemon.goroutines.Sleep(settle - time.Since(start))
+	drained := drain(grace - time.Since(start))
+	daemon.callbacks.onRetire(grace - time.Since(start))
 	daemon.EndSession()
-	return hasDrained
+	return drained
 }
 
 // StopsIn returns the time left until the daemon stops, and whether a stop is planned.
 func (daemon *Daemon) StopsIn() (time.Duration, bool) {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
-	return time.Until(daemon.endsAt), daemon.leaving && !daemon.endsAt.IsZero()
+	return time.Until(daemon.stopsAt), daemon.leaving && !daemon.stopsAt.IsZero()
 }
 
 // EndSession reports the last counts, trying the next core if one does not respond.
 func (daemon *Daemon) EndSession() {
 	daemon.mutex.Lock()
-	daemon.ended = true
+	daemon.sessionEnded = true
 	daemon.mutex.Unlock()
 	for range daemon.LeaderFinder.Cores() {
-		before := daemon.lastResponse()
+		before := daemon.lastResponseTime()
 		daemon.renewSession()
-		if daemon.lastResponse().After(before) {
+		if daemon.lastResponseTime().After(before) {
 			return
 		}
 	}
 }
 
-func (daemon *Daemon) lastResponse() time.Time {
+func (daemon *Daemon) lastResponseTime() time.Time {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	return daemon.lastResponseAt
--- a/agent/retire_test.go
+++ b/agent/retire_test.go
@@ -37,13 +37,13 @@
 			metrics.NewCounters(),
 		)
 		const settle, grace = 2500 * time.Millisecond, 9500 * time.Millisecond
-		begin := time.Now()
-		daemon.Retire(settle, grace, func(rest time.Duration) bool {
-			if settled := time.Since(begin); settled != settle {
-				test.Errorf("drain called after %s, want after the settle time", settled)
+		start := time.Now()
+		daemon.Retire(settle, grace, func(remaining time.Duration) bool {
+			if elapsed := time.Since(start); elapsed != settle {
+				test.Errorf("drain called after %s, want after the settle time", elapsed)
 			}
-			if rest != grace-settle {
-				test.Errorf("%s left to drain, want grace minus settle", rest)
+			if remaining != grace-settle {
+				test.Errorf("%s left to drain, want grace minus settle", remaining)
 			}
 			return true
 		})
--- a/agent/rollout.go
+++ b/agent/rollout.go
@@ -24,9 +24,9 @@
 	order.ExpectedID = current.ID
 	response, err := ForwardContext(ctx, forwarder, message.MethodRolloutOrder, &order)
 	if err != nil && rpc.CodeOf(err) == rpc.RolloutChanged {
-		raced := *rpc.AsError(err)
-		raced.RetryAfterMs = retryAfterMs
-		return nil, &raced
+		conflict := *rpc.AsError(err)
+		conflict.RetryAfterMs = retryAfterMs
+		return nil, &conflict
 	}
 	return response, err
 }
--- a/agent/sent_counts_test.go
+++ b/agent/sent_counts_test.go
@@ -9,7 +9,7 @@
 
 func TestUnsentCountsAreDeltas(test *testing.T) {
 	sent := &sentCounts{}
-	counts := func(ann, bob uint64) []message.WindowCount {
+	windowCounts := func(ann, bob uint64) []message.WindowCount {
 		return []message.WindowCount{{Window: 7, Tenants: map[string]uint64{"ann": ann, "bob": bob}}}
 	}
 	for number, step := range []struct {
@@ -19,13 +19,13 @@
 		want    []message.WindowCount
 		base    uint64
 	}{
-		{"a", counts(1, 2), 0, counts(1, 2), 0},
-		{"a", counts(1, 2), 5, counts(1, 2), 0},
-		{"a", counts(1, 2), 5, []message.WindowCount{}, 5},
-		{"a", counts(1, 3), 5, []message.WindowCount{{Window: 7, Tenants: map[string]uint64{"bob": 3}}}, 5},
-		{"b", counts(1, 3), 6, counts(1, 3), 0},
-		{"b", counts(1, 4), 7, []message.WindowCount{{Window: 7, Tenants: map[string]uint64{"bob": 4}}}, 6},
-		{"b", counts(1, 4), 7, counts(1, 4), 0},
+		{"a", windowCounts(1, 2), 0, windowCounts(1, 2), 0},
+		{"a", windowCounts(1, 2), 5, windowCounts(1, 2), 0},
+		{"a", windowCounts(1, 2), 5, []message.WindowCount{}, 5},
+		{"a", windowCounts(1, 3), 5, []message.WindowCount{{Window: 7, Tenants: map[string]uint64{"bob": 3}}}, 5},
+		{"b", windowCounts(1, 3), 6, windowCounts(1, 3), 0},
+		{"b", windowCounts(1, 4), 7, []message.WindowCount{{Window: 7, Tenants: map[string]uint64{"bob": 4}}}, 6},
+		{"b", windowCounts(1, 4), 7, windowCounts(1, 4), 0},
 		{"b", []message.WindowCount{{Window: 8, Tenants: map[string]uint64{"ann": 1}}}, 7, []message.WindowCount{{Window: 8, Tenants: map[string]uint64{"ann": 1}}}, 7},
 	} {
 		unsent, base := sent.unsent(step.core, step.windows)
--- a/agent/session.go
+++ b/agent/session.go
@@ -79,7 +79,7 @@
 func (daemon *Daemon) newSession(core string) *message.Session {
 	version := daemon.Version()
 	daemon.mutex.Lock()
-	parent, hasEnded := daemon.parent, daemon.ended && daemon.config.DirectSessions
+	parent, sessionEnded := daemon.parent, daemon.sessionEnded && daemon.config.DirectSessions
 	daemon.mutex.Unlock()
 	now := daemon.Now()
 	session := &message.Session{
@@ -93,7 +93,7 @@
 		Rollouts:      version.RolloutSerial,
 		RolloutCounts: daemon.rolloutCounts(),
 		NowMs:         now,
-		Ended:         hasEnded,
+		Ended:         sessionEnded,
 	}
 	session.Windows, session.BaseProcess = daemon.sentCounts.unsent(core, daemon.callbacks.windows())
 	return session
--- a/agent/updates.go
+++ b/agent/updates.go
@@ -10,8 +10,8 @@
 	"orchidjunction/rpc"
 )
 
-// fetchAttempts limits how often a fetch is repeated because its chunks have been replaced.
-const fetchAttempts = 3
+// maxFetchAttempts limits how often a fetch is repeated because its chunks have been replaced.
+const maxFetchAttempts = 3
 
 // watch long-polls a process until it has something newer than version or the watch interval
 // has passed.
@@ -31,8 +31,8 @@
 // fetch downloads and applies newer versions from a process: first the chunk references, then
 // the missing chunks. It retries if the process has replaced the chunks in the meantime.
 func (daemon *Daemon) fetch(ctx context.Context, address string) bool {
-	begin := time.Now()
-	for range fetchAttempts {
+	start := time.Now()
+	for range maxFetchAttempts {
 		version := daemon.Version()
 		request := &message.FetchRequest{
 			Serial: version.Serial, Table: version.Table.Version, Routing: version.RoutingSerial, Rollouts: version.RolloutSerial,
@@ -46,7 +46,7 @@
 		if err == nil {
 			daemon.counters.Add("branches_fetched", uint64(len(missing)))
 			applied := daemon.applyUpdate(response, chunks)
-			daemon.counters.Histogram("update_fetch_seconds").Observe(time.Since(begin))
+			daemon.counters.Histogram("update_fetch_seconds").Observe(time.Since(start))
 			return applied
 		}
 		daemon.counters.Add("branches_"+string(rpc.CodeOf(err)), 1)
--- a/concurrent/concurrent_test.go
+++ b/concurrent/concurrent_test.go
@@ -39,9 +39,9 @@
 func TestSleepEndsOnStop(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		group := NewGroup()
-		begin := time.Now()
-		if !group.Sleep(time.Second) || time.Since(begin) != time.Second {
-			test.Errorf("slept %v", time.Since(begin))
+		start := time.Now()
+		if !group.Sleep(time.Second) || time.Since(start) != time.Second {
+			test.Errorf("slept %v", time.Since(start))
 		}
 		calls := 0
 		group.Every(Fixed(time.Second), func() { calls++ })
@@ -49,9 +49,9 @@
 			group.Sleep(3500 * time.Millisecond)
 			group.Stop()
 		})
-		begin = time.Now()
-		if group.Sleep(time.Hour) || time.Since(begin) != 3500*time.Millisecond {
-			test.Errorf("slept %v, want until Stop after 3.5 s", time.Since(begin))
+		start = time.Now()
+		if group.Sleep(time.Hour) || time.Since(start) != 3500*time.Millisecond {
+			test.Errorf("slept %v, want until Stop after 3.5 s", time.Since(start))
 		}
 		group.Wait()
 		if calls != 3 {
@@ -74,9 +74,9 @@
 		if !condition.Wait(seen, time.Second) {
 			test.Error("a notification before the wait is lost")
 		}
-		begin := time.Now()
-		if condition.Wait(condition.Count(), time.Second) || time.Since(begin) != time.Second {
-			test.Errorf("waited %v without a notification, want 1 s and false", time.Since(begin))
+		start := time.Now()
+		if condition.Wait(condition.Count(), time.Second) || time.Since(start) != time.Second {
+			test.Errorf("waited %v without a notification, want 1 s and false", time.Since(start))
 		}
 	})
 }
@@ -93,10 +93,10 @@
 			}
 			return index, nil
 		}
-		begin := time.Now()
+		start := time.Now()
 		results, errs := Gather(group, 5, call, func(results map[int]int, _ map[int]error) bool { return len(results) == 2 })
-		if len(results) != 2 || len(errs) != 1 || time.Since(begin) != 2*time.Second {
-			test.Errorf("%d results and %d errors after %v", len(results), len(errs), time.Since(begin))
+		if len(results) != 2 || len(errs) != 1 || time.Since(start) != 2*time.Second {
+			test.Errorf("%d results and %d errors after %v", len(results), len(errs), time.Since(start))
 		}
 		results, errs = Gather(group, 4, call, func(map[int]int, map[int]error) bool { return false })
 		if len(results) != 2 || results[2] != 2 || !errors.Is(errs[3], failure) {
@@ -111,7 +111,7 @@
 	synctest.Test(test, func(test *testing.T) {
 		group, lock := NewGroup(), NewLock()
 		holders, maxHolders := 0, 0
-		begin := time.Now()
+		start := time.Now()
 		for range 3 {
 			group.Start(func() {
 				lock.Lock()
@@ -123,8 +123,8 @@
 			})
 		}
 		group.Wait()
-		if maxHolders != 1 || time.Since(begin) != 3*time.Second {
-			test.Errorf("%d concurrent holders, %v in total", maxHolders, time.Since(begin))
+		if maxHolders != 1 || time.Since(start) != 3*time.Second {
+			test.Errorf("%d concurrent holders, %v in total", maxHolders, time.Since(start))
 		}
 	})
 }
--- a/message/codec_test.go
+++ b/message/codec_test.go
@@ -42,8 +42,8 @@
 		}
 		return body
 	}
-	plain := encode(func(map[string]any) {})
-	if code := send("/oj/beat", "application/msgpack", plain); code != http.StatusOK || accepted != 1 {
+	validBody := encode(func(map[string]any) {})
+	if code := send("/oj/beat", "application/msgpack", validBody); code != http.StatusOK || accepted != 1 {
 		test.Fatalf("valid message: status %d", code)
 	}
 	for name, body := range map[string][]byte{
@@ -56,8 +56,8 @@
 		"round 0":              encode(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 0, "Core": 1} }),
 		"core 0":               encode(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 3, "Core": 0} }),
 		"core too large":       encode(func(message map[string]any) { message["Ballot"] = map[string]any{"Round": 3, "Core": MaxPeerID + 1} }),
-		"truncated":            plain[:len(plain)-1],
-		"trailing byte":        append(append([]byte{}, plain...), 0),
+		"truncated":            validBody[:len(validBody)-1],
+		"trailing byte":        append(append([]byte{}, validBody...), 0),
 		"not msgpack":          []byte("{\"Ballot\":1}"),
 		"array":                {0x93, 1, 2, 3},
 		"oversized map length": {0xdf, 0xff, 0xff, 0xff, 0xff},
@@ -70,13 +70,18 @@
 			test.Errorf("%s is not counted as a bad message", name)
 		}
 	}
-	if code := send("/oj/nothing", "application/msgpack", plain); code != http.StatusNotFound || counters.Get("wire_unknown_message") != 1 {
+	if code := send(
+		"/oj/nothing",
+		"application/msgpack",
+		validBody,
+	); code != http.StatusNotFound ||
+		counters.Get("wire_unknown_message") != 1 {
 		test.Errorf("unknown method: status %d", code)
 	}
 	if code := send("/oj/beat", "application/json", []byte("{}")); code == http.StatusOK {
 		test.Errorf("content type JSON is accepted")
 	}
-	if code := send("/oj/beat", "application/msgpack", plain); code != http.StatusOK || accepted != 2 {
+	if code := send("/oj/beat", "application/msgpack", validBody); code != http.StatusOK || accepted != 2 {
 		test.Errorf("valid message afterwards: status %d, accepted %d", code, accepted)
 	}
 }
--- a/message/compress.go
+++ b/message/compress.go
@@ -21,14 +21,14 @@
 
 // decompress reverses Compress. The result is limited to maxDecompressedBytes.
 func decompress(body []byte) ([]byte, error) {
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), maxDecompressedBytes+1))
+	decompressed, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), maxDecompressedBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(plain) > maxDecompressedBytes {
+	if len(decompressed) > maxDecompressedBytes {
 		return nil, rpc.Errorf(rpc.BadMessage, "decompressed body exceeds the limit of %d bytes", maxDecompressedBytes)
 	}
-	return plain, nil
+	return decompressed, nil
 }
 
 // DecompressRouting returns the routing's body, decompressed if necessary.
--- a/message/session.go
+++ b/message/session.go
@@ -146,12 +146,12 @@
 	if len(body) == 0 {
 		return nil, nil
 	}
-	plain, err := decompress(body)
+	decompressed, err := decompress(body)
 	if err != nil {
 		return nil, rpc.Errorf(rpc.BadMessage, "counts of %d bytes: %w", len(body), err)
 	}
 	counts := []ProcessCounts{}
-	if err := rpc.Unmarshal(plain, &counts); err != nil {
+	if err := rpc.Unmarshal(decompressed, &counts); err != nil {
 		return nil, err
 	}
 	return counts, nil
--- a/message/table_log.go
+++ b/message/table_log.go
@@ -54,18 +54,18 @@
 // oldest removal kept.
 func (log *TableLog) trim() {
 	if len(log.versions) > maxTableVersions {
-		log.versions = newerHalf(log.versions, maxTableVersions)
+		log.versions = newestHalf(log.versions, maxTableVersions)
 	}
 	if len(log.removals) > maxTableRemovals {
-		log.removals = newerHalf(log.removals, maxTableRemovals)
+		log.removals = newestHalf(log.removals, maxTableRemovals)
 		for len(log.versions) > 0 && log.versions[0].sequence < log.removals[0].sequence {
 			log.versions = log.versions[1:]
 		}
 	}
 }
 
-// newerHalf returns a copy of the last limit/2 items.
-func newerHalf[Item any](items []Item, limit int) []Item {
+// newestHalf returns a copy of the last limit/2 items.
+func newestHalf[Item any](items []Item, limit int) []Item {
 	return append([]Item{}, items[len(items)-limit/2:]...)
 }
 
--- a/message/update.go
+++ b/message/update.go
@@ -6,8 +6,8 @@
 	"orchidjunction/rpc"
 )
 
-// maxWatch limits the duration of a watch.
-const maxWatch = 10 * time.Second
+// maxWatchDuration limits the duration of a watch.
+const maxWatchDuration = 10 * time.Second
 
 // WatchRequest waits up to SpanMs milliseconds for versions newer than those given.
 type WatchRequest struct {
@@ -22,7 +22,7 @@
 
 // Timeout returns the maximum duration of the watch.
 func (request *WatchRequest) Timeout() time.Duration {
-	return min(time.Duration(request.SpanMs)*time.Millisecond, maxWatch)
+	return min(time.Duration(request.SpanMs)*time.Millisecond, maxWatchDuration)
 }
 
 // WatchResponse contains the responder's versions, newer roll-outs, and the table delta if only
--- a/rpc/compression_test.go
+++ b/rpc/compression_test.go
@@ -103,8 +103,8 @@
 	for index, compressor := range compressors {
 		group.Go(func() {
 			compressor.Reset(&targets[index])
-			for part := range slices.Chunk(body, 7000) {
-				if _, err := compressor.Write(part); err != nil {
+			for chunk := range slices.Chunk(body, 7000) {
+				if _, err := compressor.Write(chunk); err != nil {
 					test.Error(err)
 				}
 			}
@@ -117,16 +117,16 @@
 	group.Wait()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 8<<20 {
-		test.Errorf("%d compressors use %d bytes of heap", callers, grown)
+	if growth := int64(after.HeapAlloc) - int64(before.HeapAlloc); growth > 8<<20 {
+		test.Errorf("%d compressors use %d bytes of heap", callers, growth)
 	}
 	for index := range targets {
 		reader, err := gzip.NewReader(&targets[index])
 		if err != nil {
 			test.Fatal(err)
 		}
-		if plain, err := io.ReadAll(reader); err != nil || !bytes.Equal(plain, body) {
-			test.Fatalf("response %d: decompressed %d bytes, error %v", index, len(plain), err)
+		if decompressed, err := io.ReadAll(reader); err != nil || !bytes.Equal(decompressed, body) {
+			test.Fatalf("response %d: decompressed %d bytes, error %v", index, len(decompressed), err)
 		}
 	}
 	runtime.KeepAlive(compressors)
--- a/rpc/error.go
+++ b/rpc/error.go
@@ -170,8 +170,8 @@
 
 // CodeOf returns the code of the first Error in the chain of err, or Unreachable if there is none.
 func CodeOf(err error) Code {
-	if known, ok := errors.AsType[*Error](err); ok {
-		return known.Code
+	if found, ok := errors.AsType[*Error](err); ok {
+		return found.Code
 	}
 	return Unreachable
 }
@@ -179,16 +179,16 @@
 // AsError returns the first Error in the chain of err, or if there is none, an Error with code
 // Unreachable that wraps err. err must not be nil.
 func AsError(err error) *Error {
-	if known, ok := errors.AsType[*Error](err); ok {
-		return known
+	if found, ok := errors.AsType[*Error](err); ok {
+		return found
 	}
 	return &Error{Code: Unreachable, Message: err.Error(), cause: err}
 }
 
 // WithPrefix returns a copy of err with text prepended to its message. err must not be nil.
-func WithPrefix(text string, err error) error {
+func WithPrefix(prefix string, err error) error {
 	prefixed := *AsError(err)
-	prefixed.Message = text + ": " + prefixed.Message
+	prefixed.Message = prefix + ": " + prefixed.Message
 	return &prefixed
 }
 
