--- a/agent/readiness.go
+++ b/agent/readiness.go
@@ -12,7 +12,7 @@
 
 const (
 	// failedCoreTimeout is how long a failed core or parent is avoided. It is also how long a
-	// daemon with ServesAlone waits for confirmation before it serves without.
+	// daemon with ServesAlone waits for confirmation before it serves unconfirmed.
 	failedCoreTimeout = 3 * time.Second
 	// maxStaleness is how long a daemon serves after learning of newer settings.
 	maxStaleness = 2 * time.Second
--- a/message/table_log.go
+++ b/message/table_log.go
@@ -114,7 +114,8 @@
 	return delta, true
 }
 
-// sequenceOf returns the count at which a leader's version was recorded.
+// sequenceOf returns the sequence number at which a version was recorded. Versions made without a
+// leader are not found.
 func (log *TableLog) sequenceOf(version TableVersion) (uint64, bool) {
 	if version.Term.Number == 0 {
 		return 0, false
--- a/rpc/error_test.go
+++ b/rpc/error_test.go
@@ -22,7 +22,7 @@
 		wrapped,
 	); prefixed.Error() != "disk_fault: file: sync: short write" ||
 		!errors.Is(prefixed, io.ErrShortWrite) {
-		test.Errorf("prefixed: %v", prefixed)
+		test.Errorf("unexpected prefixed error: %v", prefixed)
 	}
 	if err := (Codec{}).Unmarshal([]byte{0x80}, &struct{}{}); err != nil {
 		test.Errorf("an empty message returns %v", err)
