--- a/agent/daemon_test.go
+++ b/agent/daemon_test.go
@@ -11,13 +11,12 @@
 	"orchidjunction/rpc"
 )
 
-// While a large version is put in force the session must go on: it asks this
-// daemon what it is.
-func TestReadyWhileAVersionIsPutInForce(test *testing.T) {
-	goroutines, answered := concurrent.NewGroup(), concurrent.NewCondition()
+// The session, which reads the daemon's state, must continue while a large version is applied.
+func TestSessionContinuesDuringApply(test *testing.T) {
+	goroutines, responded := concurrent.NewGroup(), concurrent.NewCondition()
 	daemon := NewDaemon(
 		Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true},
-		"life",
+		"i1",
 		rpc.NewClient(http.DefaultTransport),
 		goroutines,
 		metrics.NewCounters(),
@@ -27,15 +26,15 @@
 		applied++
 		goroutines.Start(func() {
 			daemon.memberInfo()
-			answered.Notify()
+			responded.Notify()
 		})
-		if !answered.Wait(applied-1, 5*time.Second) {
-			test.Error("what the session asks waits until the version is in force")
+		if !responded.Wait(applied-1, 5*time.Second) {
+			test.Error("memberInfo blocks until the version is applied")
 		}
 	}, nil)
 	for number := uint64(1); number <= 2; number++ {
 		if !daemon.applyUpdate(&message.FetchResponse{Table: &message.Table{Version: message.TableVersion{Number: number}}}, nil) {
-			test.Error("not taken")
+			test.Error("a newer table was not applied")
 		}
 	}
 	if daemon.applyUpdate(
@@ -43,50 +42,53 @@
 		nil,
 	); applied != 2 ||
 		daemon.Version().Table.Version.Number != 2 {
-		test.Errorf("put in force %d times, table %v", applied, daemon.Version().Table.Version)
+		test.Errorf("applied %d times, want 2; table %v", applied, daemon.Version().Table.Version)
 	}
 	goroutines.Wait()
 }
 
-// slowFetch answers a fetch only once it is let go.
-type slowFetch struct {
-	asked, let *concurrent.Condition
+// blockingTransport blocks each call until released, then fails it.
+type blockingTransport struct {
+	received, release *concurrent.Condition
 }
 
-func (slow *slowFetch) RoundTrip(request *http.Request) (*http.Response, error) {
-	slow.asked.Notify()
-	slow.let.Wait(0, 5*time.Second)
-	return nil, rpc.Errorf(rpc.Unreachable, "nobody there")
+func (transport *blockingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	transport.received.Notify()
+	transport.release.Wait(0, 5*time.Second)
+	return nil, rpc.Errorf(rpc.Unreachable, "no response")
 }
 
-func TestSessionGoesOnWhileCatchingUp(test *testing.T) {
-	goroutines, slow := concurrent.NewGroup(), &slowFetch{asked: concurrent.NewCondition(), let: concurrent.NewCondition()}
+func TestSessionContinuesDuringCatchUp(test *testing.T) {
+	goroutines, transport := concurrent.NewGroup(), &blockingTransport{
+		received: concurrent.NewCondition(),
+		release:  concurrent.NewCondition(),
+	}
 	counters := metrics.NewCounters()
 	daemon := NewDaemon(
 		Config{Name: "p", Kind: "proxy", Zone: "z", Seeds: []string{"127.0.0.1:1"}, DirectSessions: true, Routed: true},
-		"life",
-		rpc.NewClient(slow),
+		"i1",
+		rpc.NewClient(transport),
 		goroutines,
 		counters,
 	)
 	daemon.behindSince = time.Now().Add(-time.Minute)
-	begin := time.Now()
+	start := time.Now()
 	daemon.catchUp("127.0.0.1:1")
 	daemon.catchUp("127.0.0.1:1")
-	if took := time.Since(begin); took > time.Second {
-		test.Errorf("the session waited %v for a fetch", took)
+	if elapsed := time.Since(start); elapsed > time.Second {
+		test.Errorf("catchUp blocked for %v", elapsed)
 	}
-	if !slow.asked.Wait(0, 5*time.Second) {
-		test.Error("nothing was fetched")
+	if !transport.received.Wait(0, 5*time.Second) {
+		test.Error("no fetch was sent")
 	}
-	if caught := counters.Get("caught_up"); caught != 1 {
-		test.Errorf("%d fetches at once", caught)
+	if fetches := counters.Get("caught_up"); fetches != 1 {
+		test.Errorf("%d concurrent fetches, want 1", fetches)
 	}
-	slow.let.Notify()
+	transport.release.Notify()
 	goroutines.Wait()
 	daemon.catchUp("127.0.0.1:1")
 	goroutines.Wait()
-	if caught := counters.Get("caught_up"); caught != 2 {
-		test.Errorf("%d fetches in all after the first one ended", caught)
+	if fetches := counters.Get("caught_up"); fetches != 2 {
+		test.Errorf("%d fetches in total, want 2", fetches)
 	}
 }
--- a/agent/forwarder_test.go
+++ b/agent/forwarder_test.go
@@ -14,43 +14,48 @@
 	"orchidjunction/rpc"
 )
 
-// frozen takes what it is asked and says nothing, as a process that stands still.
-const frozen = "10.0.0.1:1"
+// hungAddress accepts calls but never responds, like a paused process.
+const hungAddress = "10.0.0.1:1"
 
-// leaders are a frozen leader and, where it has an address, one that answers.
-type leaders struct {
-	answering string
-	door      *rpc.Server
-	silent    atomic.Int32
-	gaveUp    func()
+// leaderTransport connects to a server at respondingAddress, if set; calls to all other
+// addresses hang until they are cancelled.
+type leaderTransport struct {
+	respondingAddress string
+	server            *rpc.Server
+	hungCalls         atomic.Int32
+	afterTimeout      func()
 }
 
-func (leaders *leaders) RoundTrip(request *http.Request) (*http.Response, error) {
-	if request.URL.Host != leaders.answering {
-		leaders.silent.Add(1)
+func (transport *leaderTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	if request.URL.Host != transport.respondingAddress {
+		transport.hungCalls.Add(1)
 		<-request.Context().Done()
-		if request.URL.Host == frozen && leaders.gaveUp != nil {
-			time.AfterFunc(400*time.Millisecond, leaders.gaveUp)
+		if request.URL.Host == hungAddress && transport.afterTimeout != nil {
+			time.AfterFunc(400*time.Millisecond, transport.afterTimeout)
 		}
 		return nil, request.Context().Err()
 	}
 	recorder := httptest.NewRecorder()
-	leaders.door.ServeHTTP(recorder, request)
+	transport.server.ServeHTTP(recorder, request)
 	return recorder.Result(), nil
 }
 
-func leaderOf(round uint64, address string) message.Leader {
-	return message.Leader{Term: message.Term{Number: round, Core: int(round)}, Core: int(round), Address: address}
+func testLeader(term uint64, address string) message.Leader {
+	return message.Leader{Term: message.Term{Number: term, Core: int(term)}, Core: int(term), Address: address}
 }
 
-func holdAt(test *testing.T, transport *leaders, limits ForwardLimits) (*Forwarder, *LeaderFinder) {
-	transport.door = rpc.NewServer(metrics.NewCounters())
-	rpc.Handle(transport.door, message.MethodEvacuate, func(context.Context, *message.EvacuateRequest) (*message.EvacuateResponse, error) {
-		return &message.EvacuateResponse{Serial: 7}, nil
-	})
+func newTestForwarder(test *testing.T, transport *leaderTransport, limits ForwardLimits) (*Forwarder, *LeaderFinder) {
+	transport.server = rpc.NewServer(metrics.NewCounters())
+	rpc.Handle(
+		transport.server,
+		message.MethodEvacuate,
+		func(context.Context, *message.EvacuateRequest) (*message.EvacuateResponse, error) {
+			return &message.EvacuateResponse{Serial: 7}, nil
+		},
+	)
 	goroutines := concurrent.NewGroup()
 	client := rpc.NewClient(transport)
-	finder := NewLeaderFinder(client, goroutines, []string{frozen})
+	finder := NewLeaderFinder(client, goroutines, []string{hungAddress})
 	test.Cleanup(func() {
 		goroutines.Stop()
 		goroutines.Wait()
@@ -58,50 +63,50 @@
 	return NewForwarder(finder, client, metrics.NewCounters()).WithLimits(limits), finder
 }
 
-// Who asks goes elsewhere once the limit has passed, so an answer after it is lost.
-func TestHoldEndsAtItsLimitThoughALeaderTurnsUpLate(test *testing.T) {
-	transport := &leaders{}
-	forwarder, finder := holdAt(test, transport, ForwardLimits{Response: 2 * time.Second, Attempt: 1500 * time.Millisecond})
-	transport.gaveUp = func() { finder.Observe(leaderOf(2, "10.0.0.2:1")) }
-	finder.Observe(leaderOf(1, frozen))
-	begin := time.Now()
+// The response time-out holds even if a new leader is found during the last attempt: callers go
+// elsewhere after it.
+func TestForwardTimesOutDespiteLateLeader(test *testing.T) {
+	transport := &leaderTransport{}
+	forwarder, finder := newTestForwarder(test, transport, ForwardLimits{Response: 2 * time.Second, Attempt: 1500 * time.Millisecond})
+	transport.afterTimeout = func() { finder.Observe(testLeader(2, "10.0.0.2:1")) }
+	finder.Observe(testLeader(1, hungAddress))
+	start := time.Now()
 	if _, err := Forward(forwarder, message.MethodEvacuate, &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil ||
 		rpc.CodeOf(err) != rpc.OutcomeUnknown {
-		test.Fatalf("answered %v", err)
+		test.Fatalf("unexpected result: %v", err)
 	}
-	if took := time.Since(begin); took > 2200*time.Millisecond {
-		test.Fatalf("took %v, the limit is 2 s", took)
+	if elapsed := time.Since(start); elapsed > 2200*time.Millisecond {
+		test.Fatalf("took %v, want at most the limit of 2 s", elapsed)
 	}
 }
 
-// A core that follows another leader, or leads, sends nothing to the one that its
-// finder heard of last.
-func TestHoldGoesToTheLeaderThatItsOwnCoreKnows(test *testing.T) {
-	transport := &leaders{answering: "10.0.0.2:1"}
-	forwarder, finder := holdAt(test, transport, ForwardLimits{Response: 2 * time.Second, Attempt: 1500 * time.Millisecond})
-	forwarder.SetLocalLeader(func() message.Leader { return leaderOf(2, transport.answering) })
-	finder.Observe(leaderOf(1, frozen))
+// A core that leads or follows another leader sends no request to the finder's outdated leader.
+func TestForwardUsesLocalLeader(test *testing.T) {
+	transport := &leaderTransport{respondingAddress: "10.0.0.2:1"}
+	forwarder, finder := newTestForwarder(test, transport, ForwardLimits{Response: 2 * time.Second, Attempt: 1500 * time.Millisecond})
+	forwarder.SetLocalLeader(func() message.Leader { return testLeader(2, transport.respondingAddress) })
+	finder.Observe(testLeader(1, hungAddress))
 	response, err := Forward(forwarder, message.MethodEvacuate, &message.EvacuateRequest{Zone: "osu", Begin: true})
 	if err != nil || response.Serial != 7 {
-		test.Fatalf("told %v, %v", response, err)
+		test.Fatalf("response %v, error %v", response, err)
 	}
-	if request := transport.silent.Load(); request != 0 {
-		test.Fatalf("the frozen leader was asked %d times", request)
+	if calls := transport.hungCalls.Load(); calls != 0 {
+		test.Fatalf("%d calls to the hung leader, want none", calls)
 	}
 }
 
-// A core that hears of no leader any more starts nothing at the last one, so that
-// what it holds has surely not run.
-func TestHoldStartsNothingAtALeaderThatItsOwnCoreNoLongerHears(test *testing.T) {
-	transport := &leaders{}
-	forwarder, finder := holdAt(test, transport, ForwardLimits{Response: 200 * time.Millisecond, Attempt: 150 * time.Millisecond})
+// A core that has lost its leader sends no request to the finder's last leader, so that a queued
+// request has certainly not run.
+func TestForwardSendsNothingWithoutLocalLeader(test *testing.T) {
+	transport := &leaderTransport{}
+	forwarder, finder := newTestForwarder(test, transport, ForwardLimits{Response: 200 * time.Millisecond, Attempt: 150 * time.Millisecond})
 	forwarder.SetLocalLeader(func() message.Leader { return message.Leader{} })
-	finder.Observe(leaderOf(1, frozen))
+	finder.Observe(testLeader(1, hungAddress))
 	if _, err := Forward(forwarder, message.MethodEvacuate, &message.EvacuateRequest{Zone: "osu", Begin: true}); err == nil ||
 		rpc.CodeOf(err) != rpc.NotStarted {
-		test.Fatalf("answered %v", err)
+		test.Fatalf("unexpected result: %v", err)
 	}
-	if request := transport.silent.Load(); request != 0 {
-		test.Fatalf("the frozen leader was asked %d times", request)
+	if calls := transport.hungCalls.Load(); calls != 0 {
+		test.Fatalf("%d calls to the hung leader, want none", calls)
 	}
 }
--- a/agent/operator_api.go
+++ b/agent/operator_api.go
@@ -16,7 +16,7 @@
 
 const maxChangeBytes = 16 << 20
 
-// OperatorAPI is the HTTP interface for operators that every daemon serves.
+// OperatorAPI is the HTTP API that every daemon serves to operators.
 type OperatorAPI struct {
 	forwarder     *Forwarder
 	counters      *metrics.Counters
@@ -26,16 +26,23 @@
 	mux           *http.ServeMux
 }
 
-// NewOperatorAPI returns the interface of the daemon that is called name. local gives the
-// version and the body of the settings in force here, ready whether the daemon serves.
+// NewOperatorAPI returns the API of the named daemon. localSettings returns the serial and body of
+// the settings that the daemon has applied; ready reports whether the daemon may serve.
 func NewOperatorAPI(
 	name string,
 	forwarder *Forwarder,
 	counters *metrics.Counters,
-	local func() (uint64, []byte),
+	localSettings func() (uint64, []byte),
 	ready func() bool,
 ) *OperatorAPI {
-	api := &OperatorAPI{forwarder: forwarder, counters: counters, name: name, localSettings: local, ready: ready, mux: http.NewServeMux()}
+	api := &OperatorAPI{
+		forwarder:     forwarder,
+		counters:      counters,
+		name:          name,
+		localSettings: localSettings,
+		ready:         ready,
+		mux:           http.NewServeMux(),
+	}
 	api.mux.HandleFunc("GET /v1/settings", api.read)
 	api.mux.HandleFunc("PUT /v1/settings", func(writer http.ResponseWriter, request *http.Request) { api.change(writer, request, "whole") })
 	api.mux.HandleFunc(
@@ -63,7 +70,7 @@
 	api.mux.ServeHTTP(writer, request)
 }
 
-// WriteJSON writes one JSON document.
+// WriteJSON responds with document encoded as JSON.
 func WriteJSON(writer http.ResponseWriter, status int, document any) {
 	body, err := json.Marshal(document)
 	if err != nil {
@@ -75,18 +82,18 @@
 	writer.Write(append(body, '\n'))
 }
 
-// WriteError writes an error and, where it has one, the time to come back.
+// WriteError responds with err as JSON, and with Retry-After if err has a retry delay.
 func WriteError(writer http.ResponseWriter, err error) {
-	refusal := rpc.AsError(err)
-	writeRefusal(writer, refusal, refusal)
+	failure := rpc.AsError(err)
+	writeErrorDocument(writer, failure, failure)
 }
 
-// writeRefusal writes a document with the status and the time to come back of a refusal.
-func writeRefusal(writer http.ResponseWriter, refusal *rpc.Error, document any) {
-	if refusal.RetryAfterMs > 0 {
-		writer.Header().Set("Retry-After", strconv.Itoa((refusal.RetryAfterMs+999)/1000))
+// writeErrorDocument responds with document, using the HTTP status and retry delay of failure.
+func writeErrorDocument(writer http.ResponseWriter, failure *rpc.Error, document any) {
+	if failure.RetryAfterMs > 0 {
+		writer.Header().Set("Retry-After", strconv.Itoa((failure.RetryAfterMs+999)/1000))
 	}
-	WriteJSON(writer, refusal.Code.Status(), document)
+	WriteJSON(writer, failure.Code.Status(), document)
 }
 
 type settingsDocument struct {
@@ -96,19 +103,20 @@
 	Effective []config.Effective `json:"effective,omitempty"`
 }
 
-// read gives the leader's confirmed settings or, with no leader, what is in force here.
+// read returns the leader's confirmed settings or, without a leader, the settings applied
+// on this daemon, marked as unconfirmed.
 func (api *OperatorAPI) read(writer http.ResponseWriter, request *http.Request) {
 	document := settingsDocument{Confirmed: true}
 	var body []byte
-	serial, held := api.localSettings()
+	serial, localBody := api.localSettings()
 	response, err := Forward(api.forwarder, message.MethodRead, &message.ReadRequest{HeldSerial: serial})
 	switch {
 	case err != nil:
 		api.counters.Add("reads_unconfirmed", 1)
 		document.Confirmed = false
-		document.Serial, body = serial, held
+		document.Serial, body = serial, localBody
 	case response.Serial == serial:
-		document.Serial, body = serial, held
+		document.Serial, body = serial, localBody
 	default:
 		document.Serial, body = response.Serial, response.Body
 	}
@@ -140,7 +148,7 @@
 	Duplicate bool   `json:"again,omitempty"`
 }
 
-type refusalDocument struct {
+type errorDocument struct {
 	rpc.Error
 	Change string `json:"change,omitempty"`
 }
@@ -148,7 +156,7 @@
 func (api *OperatorAPI) change(writer http.ResponseWriter, request *http.Request, kind string) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxChangeBytes))
 	if err != nil {
-		WriteError(writer, rpc.Errorf(rpc.TooLarge, "at most %d bytes: %v", maxChangeBytes, err))
+		WriteError(writer, rpc.Errorf(rpc.TooLarge, "reading settings, limit %d bytes: %v", maxChangeBytes, err))
 		return
 	}
 	document := changeDocument{}
@@ -157,7 +165,7 @@
 		return
 	}
 	if document.Base == nil || len(document.Settings) == 0 || len(document.Change) > 128 {
-		WriteError(writer, rpc.Errorf(rpc.BadRequest, "base and settings must be given; change has at most 128 letters"))
+		WriteError(writer, rpc.Errorf(rpc.BadRequest, "base and settings are required; change must be at most 128 bytes"))
 		return
 	}
 	if document.Change == "" {
@@ -173,8 +181,8 @@
 	response, err := Forward(api.forwarder, message.MethodChange, change)
 	if err != nil {
 		api.counters.Add("operator_refused_"+string(rpc.CodeOf(err)), 1)
-		refusal := rpc.AsError(err)
-		writeRefusal(writer, refusal, refusalDocument{Error: *refusal, Change: document.Change})
+		failure := rpc.AsError(err)
+		writeErrorDocument(writer, failure, errorDocument{Error: *failure, Change: document.Change})
 		return
 	}
 	api.counters.Add("operator_changes", 1)
@@ -184,7 +192,7 @@
 func (api *OperatorAPI) check(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxChangeBytes))
 	if err != nil {
-		WriteError(writer, rpc.Errorf(rpc.TooLarge, "at most %d bytes", maxChangeBytes))
+		WriteError(writer, rpc.Errorf(rpc.TooLarge, "settings exceed the limit of %d bytes", maxChangeBytes))
 		return
 	}
 	if _, err := config.Read(body); err != nil {
@@ -215,7 +223,7 @@
 	WriteJSON(writer, http.StatusOK, response)
 }
 
-// cores tells who votes, who is about to and who waits.
+// cores lists the voters, the voters of a pending replacement and the learners.
 func (api *OperatorAPI) cores(writer http.ResponseWriter, _ *http.Request) {
 	response, err := Forward(api.forwarder, message.MethodStatus, &message.StatusRequest{})
 	if err != nil {
@@ -230,11 +238,11 @@
 	Duplicate bool   `json:"again,omitempty"`
 }
 
-// remove gives a core's vote to a learner; the same order again is acknowledged.
+// remove replaces a voter by a learner. It is idempotent.
 func (api *OperatorAPI) remove(writer http.ResponseWriter, request *http.Request) {
 	id, err := strconv.Atoi(request.PathValue("id"))
 	if err != nil || id < 1 || id > message.MaxPeerID {
-		WriteError(writer, rpc.Errorf(rpc.BadRequest, "%q is no core's ID: want 1 to %d", request.PathValue("id"), message.MaxPeerID))
+		WriteError(writer, rpc.Errorf(rpc.BadRequest, "invalid core ID %q: want 1 to %d", request.PathValue("id"), message.MaxPeerID))
 		return
 	}
 	response, err := Forward(api.forwarder, message.MethodRemoveVoter, &message.RemoveVoterRequest{Core: id})
@@ -255,9 +263,9 @@
 	WriteJSON(writer, status, map[string]any{"name": api.name, "ready": api.ready(), "serial": serial})
 }
 
-// NewID is a random name nobody else uses.
+// NewID returns a random ID of 96 bits in hexadecimal.
 func NewID() string {
-	raw := make([]byte, 12)
-	rand.Read(raw)
-	return hex.EncodeToString(raw)
+	random := make([]byte, 12)
+	rand.Read(random)
+	return hex.EncodeToString(random)
 }
--- a/agent/retire.go
+++ b/agent/retire.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Leave tells the cores at once that nothing more should come here.
+// Leave immediately announces to the cores that this daemon takes no new requests.
 func (daemon *Daemon) Leave() {
 	daemon.mutex.Lock()
 	daemon.leaving = true
@@ -10,44 +10,45 @@
 	daemon.renewSession()
 }
 
-// Retire is the daemon's planned end within a grace: the others stop sending here, which
-// takes them the time to settle; drain waits for what is in flight and returns whether
-// all of it ended; and the last counts are reported. Retire returns what drain returned.
-func (daemon *Daemon) Retire(settle, grace time.Duration, drain func(rest time.Duration) bool) bool {
-	begin := time.Now()
+// Retire shuts the daemon down gracefully within grace. It announces the departure, waits
+// settle for the other processes to stop sending, calls drain to wait for the requests in
+// flight, and reports the last counts. It returns the result of drain: whether all requests
+// in flight have ended.
+func (daemon *Daemon) Retire(settle, grace time.Duration, drain func(remaining time.Duration) bool) bool {
+	start := time.Now()
 	daemon.mutex.Lock()
-	daemon.endsAt = begin.Add(grace)
+	daemon.stopsAt = start.Add(grace)
 	daemon.mutex.Unlock()
 	daemon.Leave()
-	daemon.goroutines.Sleep(settle - time.Since(begin))
-	hasDrained := drain(grace - time.Since(begin))
-	daemon.callbacks.onRetire(grace - time.Since(begin))
+	daemon.goroutines.Sleep(settle - time.Since(start))
+	drained := drain(grace - time.Since(start))
+	daemon.callbacks.onRetire(grace - time.Since(start))
 	daemon.EndSession()
-	return hasDrained
+	return drained
 }
 
-// StopsIn returns how long this daemon still serves, and whether its end is planned.
+// StopsIn returns the time left until the daemon stops, and whether a stop is planned.
 func (daemon *Daemon) StopsIn() (time.Duration, bool) {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
-	return time.Until(daemon.endsAt), daemon.leaving && !daemon.endsAt.IsZero()
+	return time.Until(daemon.stopsAt), daemon.leaving && !daemon.stopsAt.IsZero()
 }
 
-// EndSession tells the last counts, to another core if the first does not answer.
+// EndSession reports the last counts, trying the next core if one does not respond.
 func (daemon *Daemon) EndSession() {
 	daemon.mutex.Lock()
-	daemon.ended = true
+	daemon.sessionEnded = true
 	daemon.mutex.Unlock()
 	for range daemon.LeaderFinder.Cores() {
-		before := daemon.respondedAt()
+		before := daemon.lastResponseTime()
 		daemon.renewSession()
-		if daemon.respondedAt().After(before) {
+		if daemon.lastResponseTime().After(before) {
 			return
 		}
 	}
 }
 
-func (daemon *Daemon) respondedAt() time.Time {
+func (daemon *Daemon) lastResponseTime() time.Time {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	return daemon.lastResponseAt
--- a/agent/session.go
+++ b/agent/session.go
@@ -9,8 +9,8 @@
 	"orchidjunction/rpc"
 )
 
-// runSessions renews the session periodically. With direct sessions it does so at once
-// when another leader is known or this daemon became ready.
+// runSessions renews the session periodically. With direct sessions it also does so as soon
+// as a new leader is observed or this daemon becomes ready.
 func (daemon *Daemon) runSessions() {
 	if !daemon.config.DirectSessions {
 		daemon.goroutines.Every(concurrent.Fixed(daemon.intervals.Session), daemon.renewSession)
@@ -23,9 +23,9 @@
 	}
 }
 
-// memberInfo returns this daemon as it announces itself.
+// memberInfo returns the daemon's own member entry.
 func (daemon *Daemon) memberInfo() message.Member {
-	isReady, keepsClaims, demand := daemon.Ready(), daemon.callbacks.keepsClaims(), daemon.callbacks.demand()
+	isReady, isKeyReplica, demand := daemon.Ready(), daemon.callbacks.isKeyReplica(), daemon.callbacks.demand()
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	return message.Member{
@@ -38,31 +38,31 @@
 		Incarnation:     daemon.incarnation,
 		Leaving:         daemon.leaving,
 		Ready:           isReady && !daemon.leaving,
-		KeyReplica:      keepsClaims && !daemon.leaving,
+		KeyReplica:      isKeyReplica && !daemon.leaving,
 		Demand:          demand,
 		Guest:           daemon.config.Guest,
 	}
 }
 
-// renewSession sends a core this daemon's heartbeat. A core that does not answer is left
-// for the next one.
+// renewSession sends the session heartbeat to a core. If the core does not respond, the next
+// heartbeat goes to another core.
 func (daemon *Daemon) renewSession() {
 	daemon.sessionLock.Lock()
 	defer daemon.sessionLock.Unlock()
-	begin := time.Now()
+	sentAt := time.Now()
 	core := daemon.sessionCore()
 	session := daemon.newSession(core)
-	daemon.countsFlush.sessionBegins(begin)
+	daemon.countsFlush.heartbeatSent(sentAt)
 	response, err := rpc.Call(daemon.client, core, message.MethodSession, daemon.intervals.callTimeout(), session)
-	daemon.countsFlush.sessionEnds()
-	roundTrip := time.Since(begin)
+	daemon.countsFlush.heartbeatDone()
+	roundTrip := time.Since(sentAt)
 	if err != nil {
-		daemon.sessionFailed(core)
+		daemon.recordSessionFailure(core)
 		return
 	}
-	daemon.sentCounts.accepted(session.Windows, response.Process)
-	daemon.sessionRenewed(core, session, response, begin)
-	daemon.noteSerial(response.Serial)
+	daemon.sentCounts.acknowledge(session.Windows, response.Process)
+	daemon.recordSessionResponse(core, session, response, sentAt)
+	daemon.recordSerial(response.Serial)
 	daemon.LeaderFinder.ObserveMembership(response.Membership, response.Cores)
 	formerTerm := daemon.LeaderFinder.Leader().Term
 	daemon.LeaderFinder.Observe(response.Leader)
@@ -70,16 +70,16 @@
 		daemon.clock.AddRoundTrip(response.NowMs, roundTrip)
 	}
 	if daemon.config.DirectSessions {
-		daemon.updateCores(core, response.Leader, formerTerm)
+		daemon.reconsiderWatch(core, response.Leader, formerTerm)
 		daemon.catchUp(core)
 	}
 }
 
-// newSession returns the heartbeat for a core.
+// newSession returns the heartbeat to send to a core.
 func (daemon *Daemon) newSession(core string) *message.Session {
 	version := daemon.Version()
 	daemon.mutex.Lock()
-	parent, hasEnded := daemon.parent, daemon.ended && daemon.config.DirectSessions
+	parent, sessionEnded := daemon.parent, daemon.sessionEnded && daemon.config.DirectSessions
 	daemon.mutex.Unlock()
 	now := daemon.Now()
 	session := &message.Session{
@@ -93,31 +93,31 @@
 		Rollouts:      version.RolloutSerial,
 		RolloutCounts: daemon.rolloutCounts(),
 		NowMs:         now,
-		Ended:         hasEnded,
+		Ended:         sessionEnded,
 	}
 	session.Windows, session.BaseProcess = daemon.sentCounts.unsent(core, daemon.callbacks.windows())
 	return session
 }
 
-func (daemon *Daemon) sessionFailed(core string) {
+func (daemon *Daemon) recordSessionFailure(core string) {
 	daemon.mutex.Lock()
 	daemon.failedAt[core] = time.Now()
 	daemon.mutex.Unlock()
 	daemon.counters.Add("sessions_failed", 1)
 	if daemon.config.DirectSessions {
-		daemon.coreSilent(core)
+		daemon.dropUnresponsiveCore(core)
 	}
 }
 
-// sessionRenewed notes a core's response to a heartbeat that began at a time. A core that
-// follows no leader counts as failed.
-func (daemon *Daemon) sessionRenewed(core string, session *message.Session, response *message.SessionResponse, begin time.Time) {
+// recordSessionResponse records a core's response to the heartbeat sent at sentAt. With direct
+// sessions or while the cores are unreachable, a core without a leader counts as failed.
+func (daemon *Daemon) recordSessionResponse(core string, session *message.Session, response *message.SessionResponse, sentAt time.Time) {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	daemon.lastResponseAt = time.Now()
 	if response.Leader.Known() {
-		daemon.connectivity.reachedCore(begin)
-	} else if daemon.config.DirectSessions || daemon.connectivity.coresSilent() {
+		daemon.connectivity.recordCoreContact(sentAt)
+	} else if daemon.config.DirectSessions || daemon.connectivity.coresUnreachable() {
 		daemon.failedAt[core] = time.Now()
 	}
 	isBehind := response.Serial > session.Serial || response.Routing > session.Routing ||
@@ -129,16 +129,16 @@
 	}
 }
 
-// sendUsage reports to the leader what was served since the last report: what only this
-// process knows is lost with it. Sessions tell it too, to whichever core.
+// sendUsage reports usage to the leader if it has changed since the last report, so that a
+// crash of this process loses little of it. Session heartbeats report it too, to any core.
 func (daemon *Daemon) sendUsage() {
 	leader, usage := daemon.LeaderFinder.Leader(), daemon.callbacks.usage()
-	if !leader.Known() || maps.Equal(usage, daemon.countedUsage) {
+	if !leader.Known() || maps.Equal(usage, daemon.reportedUsage) {
 		return
 	}
 	request := &message.UsageCountRequest{Incarnation: daemon.incarnation, Usage: usage}
 	_, err := rpc.Call(daemon.client, leader.Address, message.MethodUsageCount, daemon.intervals.callTimeout(), request)
 	if err == nil {
-		daemon.countedUsage = usage
+		daemon.reportedUsage = usage
 	}
 }
--- a/agent/watch.go
+++ b/agent/watch.go
@@ -8,67 +8,65 @@
 	"orchidjunction/message"
 )
 
-// watching is the core at which a daemon with direct sessions waits for updates, and how
-// to wait no longer. It is safe for concurrent use.
-type watching struct {
+// watchState is the core that a daemon with direct sessions currently watches for updates, and
+// the cancel function of that watch. It is safe for concurrent use.
+type watchState struct {
 	mutex  sync.Mutex
 	core   string
 	cancel context.CancelFunc
 }
 
-// begin notes the core and returns the context of the wait.
-func (watching *watching) begin(core string) context.Context {
+// begin records the watched core and returns the context of the watch.
+func (state *watchState) begin(core string) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
-	watching.mutex.Lock()
-	defer watching.mutex.Unlock()
-	watching.core, watching.cancel = core, cancel
+	state.mutex.Lock()
+	defer state.mutex.Unlock()
+	state.core, state.cancel = core, cancel
 	return ctx
 }
 
-// stop ends the wait at a core, if that is still the one.
-func (watching *watching) stop(core string) {
-	watching.mutex.Lock()
-	defer watching.mutex.Unlock()
-	if watching.core == core && watching.cancel != nil {
-		watching.cancel()
+// stop cancels the watch of a core if that core is still watched.
+func (state *watchState) stop(core string) {
+	state.mutex.Lock()
+	defer state.mutex.Unlock()
+	if state.core == core && state.cancel != nil {
+		state.cancel()
 	}
 }
 
-func (watching *watching) current() string {
-	watching.mutex.Lock()
-	defer watching.mutex.Unlock()
-	return watching.core
+func (state *watchState) current() string {
+	state.mutex.Lock()
+	defer state.mutex.Unlock()
+	return state.core
 }
 
-// watchCores waits for updates at the leader or, while that does not answer, at another
-// core.
+// watchCores watches the leader for updates or, while that does not respond, another core.
 func (daemon *Daemon) watchCores() {
 	for !daemon.goroutines.Stopping() {
 		core := daemon.chooseCore()
-		ctx := daemon.watching.begin(core)
+		ctx := daemon.watchState.begin(core)
 		if !daemon.watchOnce(ctx, core) {
-			daemon.parentFailed(core)
+			daemon.handleParentFailure(core)
 		}
-		daemon.watching.stop(core)
+		daemon.watchState.stop(core)
 	}
 }
 
-// watchOnce waits for an update at a core and puts it in force, after a fetch unless the
-// core sent it at once. It returns false if the core failed.
+// watchOnce waits for one update from a core and applies it, fetching what the watch response
+// does not contain. It returns false if the core failed.
 func (daemon *Daemon) watchOnce(ctx context.Context, core string) bool {
 	version := daemon.Version()
 	response, err := daemon.watch(ctx, core, version)
 	if err != nil {
 		return ctx.Err() != nil
 	}
-	daemon.takeWatched(response)
+	daemon.applyWatchResponse(response)
 	isNewer := daemon.Version().isBehind(response.Serial, response.Routing, response.Rollouts, response.Table)
 	return !isNewer || daemon.fetch(ctx, core) || ctx.Err() != nil
 }
 
-// takeWatched puts in force what came with the response to a watch: roll-outs, and what
-// changed in the table.
-func (daemon *Daemon) takeWatched(response *message.WatchResponse) {
+// applyWatchResponse applies the roll-outs and the table delta of a watch response.
+func (daemon *Daemon) applyWatchResponse(response *message.WatchResponse) {
 	update := &message.FetchResponse{Delta: response.Delta}
 	if response.Rollouts > daemon.Version().RolloutSerial {
 		update.Rollouts, update.RolloutList = response.Rollouts, response.RolloutList
@@ -81,9 +79,9 @@
 	}
 }
 
-// fetchFirstVersion takes a first version from whichever core has one: before anybody
-// leads, cores say what they know to be committed.
-func (daemon *Daemon) fetchFirstVersion(core string, response *message.LeaderResponse) {
+// fetchInitialVersion fetches a first version from any core that has one. Before a leader is
+// elected, cores report the versions they know to be committed.
+func (daemon *Daemon) fetchInitialVersion(core string, response *message.LeaderResponse) {
 	version := daemon.Version()
 	if version.Servable() || !version.isBehind(0, response.Routing, 0, response.Table) {
 		return
@@ -92,17 +90,17 @@
 	daemon.fetch(context.Background(), core)
 }
 
-// coreSilent forgets a leader that did not answer, and waits for no updates from it.
-func (daemon *Daemon) coreSilent(core string) {
+// dropUnresponsiveCore stops watching a core and, if it is the leader, forgets the leader.
+func (daemon *Daemon) dropUnresponsiveCore(core string) {
 	if leader := daemon.LeaderFinder.Leader(); leader.Address == core {
 		daemon.LeaderFinder.Drop(leader, false)
 	}
-	daemon.watching.stop(core)
+	daemon.watchState.stop(core)
 }
 
-// updateCores leaves a core that knows no leader, and ends a wait for updates at one that
-// does not lead while another one does.
-func (daemon *Daemon) updateCores(core string, leader message.Leader, formerTerm message.Term) {
+// reconsiderWatch gives up a core that knows no leader, and ends the watch of a core that is
+// not the leader once the leader is known.
+func (daemon *Daemon) reconsiderWatch(core string, leader message.Leader, formerTerm message.Term) {
 	daemon.mutex.Lock()
 	if !leader.Known() {
 		daemon.failedAt[core] = time.Now()
@@ -111,16 +109,15 @@
 	}
 	daemon.mutex.Unlock()
 	if !leader.Known() {
-		daemon.coreSilent(core)
+		daemon.dropUnresponsiveCore(core)
 	}
-	watched := daemon.watching.current()
+	watched := daemon.watchState.current()
 	if watched != daemon.chooseCore() && daemon.LeaderFinder.Leader().Known() {
-		daemon.watching.stop(watched)
+		daemon.watchState.stop(watched)
 	}
 }
 
-// catchUp fetches an update from the core that has it, if the wait for updates did not;
-// the session does not wait for that.
+// catchUp fetches an update from a core in the background if the watch has not delivered it.
 func (daemon *Daemon) catchUp(core string) {
 	daemon.mutex.Lock()
 	isLate := !daemon.behindSince.IsZero() && time.Since(daemon.behindSince) > daemon.intervals.Session/2
--- a/concurrent/concurrent_test.go
+++ b/concurrent/concurrent_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// A queue gives its items in order, refuses more than its capacity, and gives none once
-// it is closed.
+// A queue returns its items in order, rejects items above its capacity, and returns none once it
+// is closed.
 func TestQueueIsBoundedAndOrdered(test *testing.T) {
 	queue := NewQueue[int](3)
 	for item := range 3 {
 		if !queue.Put(item) {
-			test.Errorf("item %d is refused", item)
+			test.Errorf("item %d is rejected", item)
 		}
 	}
 	if queue.Put(3) {
@@ -23,7 +23,7 @@
 		test.Errorf("took %v", first)
 	}
 	if !queue.Put(4) {
-		test.Error("an item is refused after others were taken")
+		test.Error("an item is rejected after others were taken")
 	}
 	if rest := queue.Take(5); len(rest) != 2 || rest[0] != 2 || rest[1] != 4 {
 		test.Errorf("took %v", rest)
@@ -31,17 +31,17 @@
 	queue.Put(5)
 	queue.Close()
 	if queue.Put(6) || queue.Take(1) != nil {
-		test.Error("a closed queue gives or accepts items")
+		test.Error("a closed queue returns or accepts items")
 	}
 }
 
-// A sleep lasts as long as it says, and ends at once when the group is stopped.
-func TestSleepEndsWhenTheGroupStops(test *testing.T) {
+// Sleep lasts for its duration, or until the group is stopped.
+func TestSleepEndsOnStop(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		group := NewGroup()
-		begin := time.Now()
-		if !group.Sleep(time.Second) || time.Since(begin) != time.Second {
-			test.Errorf("slept %v", time.Since(begin))
+		start := time.Now()
+		if !group.Sleep(time.Second) || time.Since(start) != time.Second {
+			test.Errorf("slept %v", time.Since(start))
 		}
 		calls := 0
 		group.Every(Fixed(time.Second), func() { calls++ })
@@ -49,9 +49,9 @@
 			group.Sleep(3500 * time.Millisecond)
 			group.Stop()
 		})
-		begin = time.Now()
-		if group.Sleep(time.Hour) || time.Since(begin) != 3500*time.Millisecond {
-			test.Errorf("slept %v over the stop", time.Since(begin))
+		start = time.Now()
+		if group.Sleep(time.Hour) || time.Since(start) != 3500*time.Millisecond {
+			test.Errorf("slept %v, want until Stop after 3.5 s", time.Since(start))
 		}
 		group.Wait()
 		if calls != 3 {
@@ -65,9 +65,8 @@
 	})
 }
 
-// A waiter is woken by a notification that comes between its look at the count and its
-// wait, and gives up after its time-out.
-func TestConditionLosesNoNotification(test *testing.T) {
+// Wait returns for a notification between Count and Wait, and otherwise after its time-out.
+func TestConditionMissesNoNotification(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		condition := NewCondition()
 		seen := condition.Count()
@@ -75,18 +74,18 @@
 		if !condition.Wait(seen, time.Second) {
 			test.Error("a notification before the wait is lost")
 		}
-		begin := time.Now()
-		if condition.Wait(condition.Count(), time.Second) || time.Since(begin) != time.Second {
-			test.Errorf("waited %v for nothing", time.Since(begin))
+		start := time.Now()
+		if condition.Wait(condition.Count(), time.Second) || time.Since(start) != time.Second {
+			test.Errorf("waited %v without a notification, want 1 s and false", time.Since(start))
 		}
 	})
 }
 
-// Gather returns as soon as it has enough, and all results and errors otherwise.
-func TestGatherReturnsWhenItHasEnough(test *testing.T) {
+// Gather returns as soon as it has enough results, or otherwise all results and errors.
+func TestGatherReturnsOnEnoughResults(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		group := NewGroup()
-		failure := errors.New("the odd ones fail")
+		failure := errors.New("odd indices fail")
 		call := func(index int) (int, error) {
 			time.Sleep(time.Duration(index) * time.Second)
 			if index%2 == 1 {
@@ -94,10 +93,10 @@
 			}
 			return index, nil
 		}
-		begin := time.Now()
+		start := time.Now()
 		results, errs := Gather(group, 5, call, func(results map[int]int, _ map[int]error) bool { return len(results) == 2 })
-		if len(results) != 2 || len(errs) != 1 || time.Since(begin) != 2*time.Second {
-			test.Errorf("%d results and %d errors after %v", len(results), len(errs), time.Since(begin))
+		if len(results) != 2 || len(errs) != 1 || time.Since(start) != 2*time.Second {
+			test.Errorf("%d results and %d errors after %v", len(results), len(errs), time.Since(start))
 		}
 		results, errs = Gather(group, 4, call, func(map[int]int, map[int]error) bool { return false })
 		if len(results) != 2 || results[2] != 2 || !errors.Is(errs[3], failure) {
@@ -107,25 +106,25 @@
 	})
 }
 
-// A lock is held by one goroutine at a time, also while that sleeps.
-func TestLockIsHeldOverWaits(test *testing.T) {
+// A lock has one holder at a time, even while the holder sleeps.
+func TestLockExcludesWhileHolderSleeps(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		group, lock := NewGroup(), NewLock()
-		holders, most := 0, 0
-		begin := time.Now()
+		holders, maxHolders := 0, 0
+		start := time.Now()
 		for range 3 {
 			group.Start(func() {
 				lock.Lock()
 				defer lock.Unlock()
 				holders++
-				most = max(most, holders)
+				maxHolders = max(maxHolders, holders)
 				time.Sleep(time.Second)
 				holders--
 			})
 		}
 		group.Wait()
-		if most != 1 || time.Since(begin) != 3*time.Second {
-			test.Errorf("%d holders at once, %v in all", most, time.Since(begin))
+		if maxHolders != 1 || time.Since(start) != 3*time.Second {
+			test.Errorf("%d concurrent holders, %v in total", maxHolders, time.Since(start))
 		}
 	})
 }
--- a/concurrent/lock.go
+++ b/concurrent/lock.go
@@ -2,26 +2,26 @@
 
 import "sync"
 
-// Lock is a sync.Locker that may be held over waits. A goroutine that waits for it blocks
-// on a condition, not on a sync.Mutex, so that the virtual time of tests can advance.
+// Lock is a sync.Locker that may be held while waiting. Goroutines that wait for it block on a
+// condition instead of a sync.Mutex, so that the virtual time of tests can advance.
 type Lock struct {
 	mutex  sync.Mutex
-	wake   *sync.Cond
+	cond   *sync.Cond
 	locked bool
 }
 
 // NewLock returns an unlocked Lock.
 func NewLock() *Lock {
 	lock := &Lock{}
-	lock.wake = sync.NewCond(&lock.mutex)
+	lock.cond = sync.NewCond(&lock.mutex)
 	return lock
 }
 
-// Lock waits while another goroutine holds the lock, and takes it.
+// Lock acquires the lock, waiting while another goroutine holds it.
 func (lock *Lock) Lock() {
 	lock.mutex.Lock()
 	for lock.locked {
-		lock.wake.Wait()
+		lock.cond.Wait()
 	}
 	lock.locked = true
 	lock.mutex.Unlock()
@@ -31,6 +31,6 @@
 func (lock *Lock) Unlock() {
 	lock.mutex.Lock()
 	lock.locked = false
-	lock.wake.Signal()
+	lock.cond.Signal()
 	lock.mutex.Unlock()
 }
--- a/concurrent/queue.go
+++ b/concurrent/queue.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// Queue is a bounded queue between goroutines: any number put items in, one takes them
-// out in batches.
+// Queue is a bounded FIFO queue with multiple producers and one consumer, which takes items in
+// batches.
 type Queue[T any] struct {
 	mutex  sync.Mutex
-	wake   *sync.Cond
+	cond   *sync.Cond
 	items  []T
 	first  int
 	count  int
@@ -16,12 +16,11 @@
 // NewQueue returns a Queue that holds at most capacity items.
 func NewQueue[T any](capacity int) *Queue[T] {
 	queue := &Queue[T]{items: make([]T, capacity)}
-	queue.wake = sync.NewCond(&queue.mutex)
+	queue.cond = sync.NewCond(&queue.mutex)
 	return queue
 }
 
-// Put appends an item; it returns false, without waiting, if the queue is full or
-// closed.
+// Put appends an item. It does not block, and returns false if the queue is full or closed.
 func (queue *Queue[T]) Put(item T) bool {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
@@ -30,17 +29,17 @@
 	}
 	queue.items[(queue.first+queue.count)%len(queue.items)] = item
 	queue.count++
-	queue.wake.Signal()
+	queue.cond.Signal()
 	return true
 }
 
-// Take waits for an item and returns all that are queued, at most limit, in order. It
-// returns nil once the queue is closed, also if items are left.
+// Take waits for an item and returns up to limit queued items in order. It returns nil once the
+// queue is closed, even if items are left.
 func (queue *Queue[T]) Take(limit int) []T {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
 	for queue.count == 0 && !queue.closed {
-		queue.wake.Wait()
+		queue.cond.Wait()
 	}
 	if queue.closed {
 		return nil
@@ -52,20 +51,20 @@
 	return taken
 }
 
-// pop removes the first item; the caller holds the mutex and knows that there is one.
+// pop removes the first item. The caller holds the mutex, and the queue must not be empty.
 func (queue *Queue[T]) pop() T {
-	var none T
+	var zero T
 	item := queue.items[queue.first]
-	queue.items[queue.first] = none
+	queue.items[queue.first] = zero
 	queue.first = (queue.first + 1) % len(queue.items)
 	queue.count--
 	return item
 }
 
-// Close ends all waits; items that are left are lost.
+// Close ends all waits and discards the remaining items.
 func (queue *Queue[T]) Close() {
 	queue.mutex.Lock()
 	queue.closed = true
-	queue.wake.Broadcast()
+	queue.cond.Broadcast()
 	queue.mutex.Unlock()
 }
--- a/rpc/compression_test.go
+++ b/rpc/compression_test.go
@@ -23,24 +23,24 @@
 
 const testMethod Method[testRequest, testResponse] = "compressed"
 
-// recorder notes the headers of the last call, and takes off what callers of a former
-// release do not send.
-type recorder struct {
-	inner        http.RoundTripper
-	isFormer     bool
+// headerRecorder records the headers of the last call. With isOldRelease it removes the headers
+// that an older release does not send.
+type headerRecorder struct {
+	transport    http.RoundTripper
+	isOldRelease bool
 	request      http.Header
 	responseSize int64
 	encoding     string
 	hasDate      bool
 }
 
-func (recorder *recorder) RoundTrip(request *http.Request) (*http.Response, error) {
-	if recorder.isFormer {
+func (recorder *headerRecorder) RoundTrip(request *http.Request) (*http.Response, error) {
+	if recorder.isOldRelease {
 		request.Header.Del("Accept-Encoding")
 		request.Header.Set("Accept-Encoding", "identity")
 	}
 	recorder.request = request.Header.Clone()
-	response, err := recorder.inner.RoundTrip(request)
+	response, err := recorder.transport.RoundTrip(request)
 	if err == nil {
 		recorder.responseSize = response.ContentLength
 		recorder.encoding = response.Header.Get("Content-Encoding")
@@ -49,46 +49,46 @@
 	return response, err
 }
 
-// Long responses are compressed for callers that accept it, short ones and those to a
-// former release are not; all arrive whole. Headers that nobody reads are not sent.
+// Only long responses to callers that accept compression are compressed; short ones and those to
+// an older release are not. All arrive complete. Unused headers are omitted.
 func TestLongResponsesAreCompressed(test *testing.T) {
 	server := NewServer(metrics.NewCounters())
 	Handle(server, testMethod, func(_ context.Context, request *testRequest) (*testResponse, error) {
 		return &testResponse{Body: bytes.Repeat([]byte("a backend in a zone;"), request.Size/20)}, nil
 	})
-	listening := httptest.NewServer(server)
-	defer listening.Close()
+	listener := httptest.NewServer(server)
+	defer listener.Close()
 	for _, step := range []struct {
-		name       string
-		isFormer   bool
-		size       int
-		compressed bool
+		name         string
+		isOldRelease bool
+		size         int
+		compressed   bool
 	}{
 		{"short", false, 200, false},
 		{"long", false, 40_000, true},
-		{"long, for a former release", true, 40_000, false},
+		{"long, to an older release", true, 40_000, false},
 	} {
-		recorder := &recorder{inner: http.DefaultTransport, isFormer: step.isFormer}
-		address := strings.TrimPrefix(listening.URL, "http://")
+		recorder := &headerRecorder{transport: http.DefaultTransport, isOldRelease: step.isOldRelease}
+		address := strings.TrimPrefix(listener.URL, "http://")
 		response, err := Call(NewClient(recorder), address, testMethod, time.Second, &testRequest{Size: step.size})
 		if err != nil || len(response.Body) != step.size {
-			test.Fatalf("%s: %v", step.name, err)
+			test.Fatalf("%s: call failed or response incomplete: %v", step.name, err)
 		}
 		if isCompressed := recorder.encoding != ""; isCompressed != step.compressed {
-			test.Errorf("%s: encoding %q", step.name, recorder.encoding)
+			test.Errorf("%s: content encoding %q", step.name, recorder.encoding)
 		}
 		if step.compressed && recorder.responseSize > int64(step.size/10) {
-			test.Errorf("%s: %d bytes", step.name, recorder.responseSize)
+			test.Errorf("%s: response of %d bytes, want a tenth of the body at most", step.name, recorder.responseSize)
 		}
 		if recorder.hasDate || len(recorder.request.Get("User-Agent")) > 2 {
-			test.Errorf("%s: sent headers %v, date %v", step.name, recorder.request, recorder.hasDate)
+			test.Errorf("%s: unnecessary headers: request %v, response with Date: %v", step.name, recorder.request, recorder.hasDate)
 		}
 	}
 }
 
-// Hundreds of callers that ask for a long response at once get it whole, and the compressors
-// together hold the memory of one.
-func TestManyCompressedResponsesAtOnce(test *testing.T) {
+// Hundreds of concurrent long responses arrive complete, and all compressors together use the
+// memory of one.
+func TestConcurrentCompressorsShareWriter(test *testing.T) {
 	const callers = 300
 	compressors := []*compressor{}
 	for range callers {
@@ -100,33 +100,33 @@
 	runtime.ReadMemStats(&before)
 	targets := make([]bytes.Buffer, callers)
 	var group sync.WaitGroup
-	for index, one := range compressors {
+	for index, compressor := range compressors {
 		group.Go(func() {
-			one.Reset(&targets[index])
-			for part := range slices.Chunk(body, 7000) {
-				if _, err := one.Write(part); err != nil {
+			compressor.Reset(&targets[index])
+			for chunk := range slices.Chunk(body, 7000) {
+				if _, err := compressor.Write(chunk); err != nil {
 					test.Error(err)
 				}
 			}
-			if err := one.Close(); err != nil {
+			if err := compressor.Close(); err != nil {
 				test.Error(err)
 			}
-			one.Reset(io.Discard)
+			compressor.Reset(io.Discard)
 		})
 	}
 	group.Wait()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 8<<20 {
-		test.Errorf("%d compressors hold %d bytes", callers, grown)
+	if growth := int64(after.HeapAlloc) - int64(before.HeapAlloc); growth > 8<<20 {
+		test.Errorf("%d compressors use %d bytes of heap", callers, growth)
 	}
 	for index := range targets {
 		reader, err := gzip.NewReader(&targets[index])
 		if err != nil {
 			test.Fatal(err)
 		}
-		if plain, err := io.ReadAll(reader); err != nil || !bytes.Equal(plain, body) {
-			test.Fatalf("response %d: %d bytes, %v", index, len(plain), err)
+		if decompressed, err := io.ReadAll(reader); err != nil || !bytes.Equal(decompressed, body) {
+			test.Fatalf("response %d: decompressed %d bytes, error %v", index, len(decompressed), err)
 		}
 	}
 	runtime.KeepAlive(compressors)
