--- a/hostproxy/attempt.go
+++ b/hostproxy/attempt.go
@@ -102,7 +102,7 @@
 	}
 	connectBegin := proxy.clock()
 	connection := proxy.connect(candidate, maxOpen, request.deadline)
-	request.spent.connecting += proxy.clock().Sub(connectBegin)
+	request.timings.connecting += proxy.clock().Sub(connectBegin)
 	if candidate.isWithdrawn() {
 		if connection != nil {
 			candidate.target.releaseConnection(connection)
@@ -116,7 +116,7 @@
 		candidate.target.releaseConnection(connection)
 		return nil, unsent
 	}
-	proxy.figures.observeSend(request, proxy.clock())
+	proxy.requestMetrics.observeSend(request, proxy.clock())
 	if candidate.isWithdrawn() {
 		proxy.counters.Add("attempts_sent_withdrawn", 1)
 	}
@@ -126,7 +126,7 @@
 	exchangeBegin := proxy.clock()
 	candidate.countSent()
 	response, outcome := proxy.exchange(request, candidate, connection)
-	request.spent.backends += proxy.clock().Sub(exchangeBegin)
+	request.timings.backends += proxy.clock().Sub(exchangeBegin)
 	proxy.scoreExchange(request, candidate, response, outcome, exchangeBegin)
 	notExecuted := outcome == unsent || outcome == refused
 	if notExecuted {
@@ -203,7 +203,7 @@
 // whether any byte may have reached the backend.
 func (proxy *Proxy) send(connection *connection, head []byte, body *requestBody) (bool, error) {
 	connection.upload = nil
-	proxy.figures.linkWait.Observe(proxy.outbound.recordUrgent(len(head)+int(body.size), proxy.clock()))
+	proxy.requestMetrics.linkWait.Observe(proxy.outbound.recordUrgent(len(head)+int(body.size), proxy.clock()))
 	if body.size <= maxInlineBodyBytes {
 		count, err := connection.conn.Write(body.appendTo(head))
 		return count > 0, err
--- a/hostproxy/body_test.go
+++ b/hostproxy/body_test.go
@@ -25,23 +25,23 @@
 	for limit, status := range map[int64]int{
 		0: 200, 1: 413, size - 1: 413, size: 200, size + 1: 200, math.MaxInt32: 200, math.MaxInt64 - 1: 200, math.MaxInt64: 200,
 	} {
-		for form, text := range map[string]string{"length": raw("POST", "/once/a", "id", "", body), "chunks": head + chunks} {
-			inWorld(test, func(world *world) {
-				world.add("b1")
-				world.lay(func() { world.book.Config.Limits.BodyBytes = limit })
-				client := world.client()
-				defer client.pipe.Close()
-				reply := client.ask("POST", text)
-				if reply.broken != nil || reply.status != status {
-					test.Errorf("limit %d, %s: %d %v, want %d", limit, form, reply.status, reply.broken, status)
+		for framing, text := range map[string]string{"length": rawRequest("POST", "/once/a", "id", "", body), "chunks": head + chunks} {
+			withTestEnv(test, func(env *testEnv) {
+				env.addBackend("b1")
+				env.update(func() { env.state.Config.Limits.BodyBytes = limit })
+				client := env.client()
+				defer client.conn.Close()
+				reply := client.roundTrip("POST", text)
+				if reply.err != nil || reply.status != status {
+					test.Errorf("limit %d, %s: %d %v, want %d", limit, framing, reply.status, reply.err, status)
 				}
-				for _, arrived := range world.arrivals() {
+				for _, arrived := range env.receivedRequests() {
 					if string(arrived.body) != body {
-						test.Errorf("limit %d, %s: %d of %d bytes arrived", limit, form, len(arrived.body), size)
+						test.Errorf("limit %d, %s: %d of %d bytes arrived", limit, framing, len(arrived.body), size)
 					}
 				}
-				if count := len(world.arrivals()); (count == 1) != (status == 200) {
-					test.Errorf("limit %d, %s: %d arrivals", limit, form, count)
+				if count := len(env.receivedRequests()); (count == 1) != (status == 200) {
+					test.Errorf("limit %d, %s: %d arrivals", limit, framing, count)
 				}
 			})
 		}
@@ -50,22 +50,22 @@
 
 // A body that ends before the length that its head gives is never passed on as a whole one.
 func TestBodyShorterThanItsLengthIsRefused(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1")
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1")
 		source := httptest.NewRequest(http.MethodPost, "http://host.example/once/a", io.NopCloser(strings.NewReader("short")))
 		source.RequestURI, source.ContentLength = "/once/a", 9
 		source.Header.Set("Attempt", "id")
 		recorder := httptest.NewRecorder()
-		world.proxy.ServeHTTP(recorder, source)
-		if recorder.Code != http.StatusBadRequest || len(world.arrivals()) != 0 {
-			test.Errorf("%d, %d arrivals", recorder.Code, len(world.arrivals()))
+		env.proxy.ServeHTTP(recorder, source)
+		if recorder.Code != http.StatusBadRequest || len(env.receivedRequests()) != 0 {
+			test.Errorf("%d, %d arrivals", recorder.Code, len(env.receivedRequests()))
 		}
 	})
 }
 
 // Every number of a configuration may stand at either end of its range: requests with bodies
 // are served as before, or turned away, never changed.
-func TestNumbersAtTheEndsOfTheirRangesChangeNoRequest(test *testing.T) {
+func TestBoundaryConfigValuesDoNotAlterRequests(test *testing.T) {
 	numbers := map[string]func(*routing.Config, int64){
 		"timeout": func(config *routing.Config, value int64) {
 			config.Routes[0].TimeoutMs = int(max(1, min(value, math.MaxInt32)))
@@ -91,17 +91,17 @@
 		},
 	}
 	const body = "a body of some bytes"
-	for name, set := range numbers {
+	for name, apply := range numbers {
 		for _, value := range []int64{0, 1, math.MaxInt32 - 1, math.MaxInt32, math.MaxInt64 - 1, math.MaxInt64} {
-			inWorld(test, func(world *world) {
-				world.add("b1")
-				world.lay(func() { set(&world.book.Config, value) })
-				if err := world.book.Config.Check(); err != nil {
+			withTestEnv(test, func(env *testEnv) {
+				env.addBackend("b1")
+				env.update(func() { apply(&env.state.Config, value) })
+				if err := env.state.Config.Check(); err != nil {
 					test.Fatalf("%s at %d: %v", name, value, err)
 				}
-				client := world.client()
-				defer client.pipe.Close()
-				reply := client.ask("POST", raw("POST", "/once/a", "id", "", body))
+				client := env.client()
+				defer client.conn.Close()
+				reply := client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "", body))
 				served := reply.status == 200
 				tooShort := name == "timeout" && value <= 1 && reply.status >= 503
 				tooLarge := name == "body bytes" && value == 1 && reply.status == 413
@@ -109,16 +109,16 @@
 				if headTooLong && reply.status != 431 {
 					test.Errorf("%s at %d: %d, the limit does not act", name, value, reply.status)
 				}
-				if reply.broken != nil || !served && !tooShort && !tooLarge && !headTooLong {
-					test.Errorf("%s at %d: %d %v", name, value, reply.status, reply.broken)
+				if reply.err != nil || !served && !tooShort && !tooLarge && !headTooLong {
+					test.Errorf("%s at %d: %d %v", name, value, reply.status, reply.err)
 				}
-				for _, arrived := range world.arrivals() {
+				for _, arrived := range env.receivedRequests() {
 					if string(arrived.body) != body {
 						test.Errorf("%s at %d: %q arrived", name, value, arrived.body)
 					}
 				}
 				if open := !headTooLong && !tooLarge &&
-					client.openAfter(30*time.Second); served &&
+					client.isOpenAfter(30*time.Second); served &&
 					open == (name == "idle timeout" && value == 1) {
 					test.Errorf("%s at %d: open after 30 s: %v", name, value, open)
 				}
@@ -128,8 +128,8 @@
 }
 
 // openAfter is whether the proxy has not closed the connection after a time.
-func (client *client) openAfter(span time.Duration) bool {
-	client.limit(span)
+func (client *client) isOpenAfter(duration time.Duration) bool {
+	client.setTimeout(duration)
 	_, err := client.reader.ReadByte()
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/hostproxy/choose_test.go
+++ b/hostproxy/choose_test.go
@@ -10,40 +10,40 @@
 )
 
 // Near backends go first until they are busy; then the next nearest share.
-func TestChoosesNearThenIdle(test *testing.T) {
+func TestNearestBackendsFirstThenOverflow(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		proxies[0].Apply(&routing.State{Config: ownConfig()}, table, nil)
+		proxies[0].Apply(&routing.State{Config: testRoutingConfig()}, table, nil)
 		if candidate, _ := proxies[0].pick(nil, nil); candidate.target.backend.Name != "near" {
 			test.Errorf("chose %s", candidate.target.backend.Name)
 		}
 		for range 30 {
 			proxies[0].pick(nil, nil)
 		}
-		for name, held := range proxies[0].targets {
-			if zone := held.backend.Zone; held.backend.Service == "plain" && (held.running == 0 || held.running > 12) {
-				test.Errorf("%s in %s has %d", name, zone, held.running)
+		for name, target := range proxies[0].targets {
+			if zone := target.backend.Zone; target.backend.Service == "plain" && (target.running == 0 || target.running > 12) {
+				test.Errorf("%s in %s has %d", name, zone, target.running)
 			}
 		}
 		for range 100 {
 			proxies[0].pick(nil, nil)
 		}
-		if _, how := proxies[0].pick(nil, nil); how != allFull {
-			test.Errorf("choice %d with all full", how)
+		if _, result := proxies[0].pick(nil, nil); result != allFull {
+			test.Errorf("choice %d with all full", result)
 		}
-		for name, held := range proxies[0].targets {
-			if held.running > 12 {
-				test.Errorf("%s has %d", name, held.running)
+		for name, target := range proxies[0].targets {
+			if target.running > 12 {
+				test.Errorf("%s has %d", name, target.running)
 			}
-			if held.backend.Service != "plain" && held.running > 0 {
-				test.Errorf("%s of another service has %d", name, held.running)
+			if target.backend.Service != "plain" && target.running > 0 {
+				test.Errorf("%s of another service has %d", name, target.running)
 			}
 		}
 	})
 }
 
 // Equal backends share evenly.
-func TestChoosesEvenly(test *testing.T) {
+func TestEqualBackendsShareEvenly(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxy := many([]string{"p1"}, []string{"e1"})[0]
 		backends := []message.Backend{}
@@ -51,8 +51,8 @@
 			backends = append(backends, message.Backend{Name: name, Service: "plain", Zone: "e1", Capacity: 4})
 		}
 		proxy.Apply(
-			&routing.State{Config: ownConfig()},
-			&message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends},
+			&routing.State{Config: testRoutingConfig()},
+			&message.Table{Version: leaderVersion, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends},
 			nil,
 		)
 		counts := map[string]int{}
@@ -70,58 +70,58 @@
 }
 
 // One that is left out gets no overflow of those that are full.
-func TestOverflowIsNotForTheLeftOut(test *testing.T) {
+func TestOverflowSkipsEjectedBackends(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		proxies[0].Apply(&routing.State{Config: ownConfig()}, table, nil)
+		proxies[0].Apply(&routing.State{Config: testRoutingConfig()}, table, nil)
 		proxies[0].targets["far"].recordFailure(time.Now(), true)
 		for range 36 {
 			proxies[0].pick(nil, nil)
 		}
-		if candidate, how := proxies[0].pick(nil, nil); how != allFull {
-			test.Errorf("choice %d: %v", how, candidate)
+		if candidate, result := proxies[0].pick(nil, nil); result != allFull {
+			test.Errorf("choice %d: %v", result, candidate)
 		}
 	})
 }
 
 // What was tried is not chosen again, and one that is left out only where nothing
 // else is there.
-func TestChoosesUntried(test *testing.T) {
+func TestTriedBackendsAreNotChosenAgain(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		proxies[0].Apply(&routing.State{Config: ownConfig()}, table, nil)
+		proxies[0].Apply(&routing.State{Config: testRoutingConfig()}, table, nil)
 		tried := []*target{}
 		for range 4 {
-			candidate, how := proxies[0].pick(nil, nil, tried...)
-			if how != chosen {
-				test.Fatalf("choice %d", how)
+			candidate, result := proxies[0].pick(nil, nil, tried...)
+			if result != chosen {
+				test.Fatalf("choice %d", result)
 			}
 			tried = append(tried, candidate.target)
 		}
-		if _, how := proxies[0].pick(nil, nil, tried...); how != noneAvailable {
-			test.Errorf("choice %d with all tried", how)
+		if _, result := proxies[0].pick(nil, nil, tried...); result != noneAvailable {
+			test.Errorf("choice %d with all tried", result)
 		}
-		for _, held := range tried {
-			held.recordFailure(time.Now(), true)
+		for _, target := range tried {
+			target.recordFailure(time.Now(), true)
 		}
-		if _, how := proxies[0].pick(nil, nil, tried[0]); how != noneAvailable {
-			test.Errorf("choice %d with the rest left out", how)
+		if _, result := proxies[0].pick(nil, nil, tried[0]); result != noneAvailable {
+			test.Errorf("choice %d with the rest left out", result)
 		}
-		if _, how := proxies[0].pick(nil, nil); how != chosen {
-			test.Errorf("choice %d with all left out", how)
+		if _, result := proxies[0].pick(nil, nil); result != chosen {
+			test.Errorf("choice %d with all left out", result)
 		}
 	})
 }
 
 // Where no backend may serve a request it is refused at once, with a time to come back.
-func TestNobodyMayServe(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1").ever(well)
-		if _, how := world.proxy.pick(nil, []string{"nowhere"}); how != noneInHomeRegions {
-			test.Errorf("choice %d", how)
-		}
-		if _, how := world.proxy.pick(&routing.Tenant{Name: "t", Homes: []string{"nowhere"}}, nil); how != noneInHomeRegions {
-			test.Errorf("choice %d with the tenant's homes", how)
+func TestNoBackendInHomeRegions(test *testing.T) {
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1").handleAll(succeed)
+		if _, result := env.proxy.pick(nil, []string{"nowhere"}); result != noneInHomeRegions {
+			test.Errorf("choice %d", result)
+		}
+		if _, result := env.proxy.pick(&routing.Tenant{Name: "t", Homes: []string{"nowhere"}}, nil); result != noneInHomeRegions {
+			test.Errorf("choice %d with the tenant's homes", result)
 		}
 	})
 }
--- a/hostproxy/client_response.go
+++ b/hostproxy/client_response.go
@@ -64,7 +64,7 @@
 	if response.head.StatusCode >= http.StatusInternalServerError {
 		request.result = resultBackendFailure
 	}
-	proxy.figures.observeOverhead(request, proxy.clock())
+	proxy.requestMetrics.observeOverhead(request, proxy.clock())
 	header, names := request.writer.Header(), &proxy.config.Headers
 	connectionOptions := names.connectionOptions(response.head.Header)
 	for name, values := range response.head.Header {
--- a/hostproxy/connection_test.go
+++ b/hostproxy/connection_test.go
@@ -10,7 +10,7 @@
 
 // sockets are two ends of a connection of the system's own; what one end writes is
 // there for the other at once.
-func sockets(test *testing.T) (net.Conn, net.Conn) {
+func socketPair(test *testing.T) (net.Conn, net.Conn) {
 	test.Helper()
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -31,55 +31,55 @@
 }
 
 // An idle connection is not used again once closed, written to or old.
-func TestIdleConnectionIsSound(test *testing.T) {
+func TestIdleConnectionIsReusable(test *testing.T) {
 	now := time.Now()
-	write := func(far net.Conn, text string) {
-		if _, err := far.Write([]byte(text)); err != nil {
+	write := func(peer net.Conn, text string) {
+		if _, err := peer.Write([]byte(text)); err != nil {
 			test.Error(err)
 		}
 	}
-	for name, play := range map[string]struct {
-		spoil func(*connection, net.Conn)
-		sound bool
+	for name, testCase := range map[string]struct {
+		prepare  func(*connection, net.Conn)
+		reusable bool
 	}{
 		"quiet":       {func(*connection, net.Conn) {}, true},
-		"closed":      {func(_ *connection, far net.Conn) { far.Close() }, false},
-		"a byte":      {func(_ *connection, far net.Conn) { write(far, "x") }, false},
-		"closed here": {func(near *connection, _ net.Conn) { near.close() }, false},
-		"too old":     {func(near *connection, _ net.Conn) { near.usedAt = now.Add(-maxIdleTimeout) }, false},
-		"told so":     {func(near *connection, _ net.Conn) { near.observeKeepAlive("timeout=0") }, false},
-		"left over": {func(near *connection, far net.Conn) {
-			write(far, "xy")
-			if _, err := near.reader.ReadByte(); err != nil {
+		"closed":      {func(_ *connection, peer net.Conn) { peer.Close() }, false},
+		"a byte":      {func(_ *connection, peer net.Conn) { write(peer, "x") }, false},
+		"closed here": {func(conn *connection, _ net.Conn) { conn.close() }, false},
+		"too old":     {func(conn *connection, _ net.Conn) { conn.usedAt = now.Add(-maxIdleTimeout) }, false},
+		"told so":     {func(conn *connection, _ net.Conn) { conn.observeKeepAlive("timeout=0") }, false},
+		"left over": {func(conn *connection, peer net.Conn) {
+			write(peer, "xy")
+			if _, err := conn.reader.ReadByte(); err != nil {
 				test.Error(err)
 			}
 		}, false},
-		"not so old": {func(near *connection, _ net.Conn) { near.usedAt = now.Add(time.Millisecond - maxIdleTimeout) }, true},
+		"not so old": {func(conn *connection, _ net.Conn) { conn.usedAt = now.Add(time.Millisecond - maxIdleTimeout) }, true},
 	} {
-		near, far := sockets(test)
-		held := newConnection(near)
+		conn, peer := socketPair(test)
+		held := newConnection(conn)
 		held.usedAt = now
-		play.spoil(held, far)
-		if held.isReusable(now) != play.sound {
-			test.Errorf("%s: sound %v", name, !play.sound)
+		testCase.prepare(held, peer)
+		if held.isReusable(now) != testCase.reusable {
+			test.Errorf("%s: sound %v", name, !testCase.reusable)
 		}
 	}
 }
 
 // Only sound connections are taken; others are closed and counted out.
-func TestTakeDropsWhatIsNotSound(test *testing.T) {
+func TestTakeIdleDiscardsUnusableConnections(test *testing.T) {
 	held := newTarget(ownBackend())
 	for range 3 {
 		held.reserveConnection(3)
 	}
-	fars := []net.Conn{}
+	peers := []net.Conn{}
 	for range 3 {
-		near, far := sockets(test)
-		held.releaseConnection(newConnection(near))
-		fars = append(fars, far)
+		conn, peer := socketPair(test)
+		held.releaseConnection(newConnection(conn))
+		peers = append(peers, peer)
 	}
-	fars[2].Close()
-	if _, err := fars[1].Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
+	peers[2].Close()
+	if _, err := peers[1].Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
 		test.Fatal(err)
 	}
 	taken := held.takeIdle(time.Now())
@@ -105,37 +105,37 @@
 }
 
 // Connections are used again, unless the backend says otherwise or they grow old.
-func TestReuse(test *testing.T) {
-	for name, play := range map[string]struct {
-		does act
-		rest time.Duration
-		want int
+func TestConnectionReuse(test *testing.T) {
+	for name, testCase := range map[string]struct {
+		handle handler
+		idle   time.Duration
+		want   int
 	}{
-		"at once":         {well, 0, 1},
+		"at once":         {succeed, 0, 1},
 		"chunked":         {chunked, 0, 1},
-		"after a while":   {well, maxIdleTimeout - time.Second, 1},
-		"too long":        {well, maxIdleTimeout, 2},
-		"within timeout":  {withFields("Keep-Alive: timeout=2\r\n"), 1400 * time.Millisecond, 1},
-		"past timeout":    {withFields("Keep-Alive: timeout=2\r\n"), 1500 * time.Millisecond, 2},
-		"timeout of none": {withFields("Keep-Alive: timeout=0\r\n"), 0, 2},
-		"closing":         {withFields("Connection: close\r\n"), 0, 2},
+		"after a while":   {succeed, maxIdleTimeout - time.Second, 1},
+		"too long":        {succeed, maxIdleTimeout, 2},
+		"within timeout":  {succeedWithFields("Keep-Alive: timeout=2\r\n"), 1400 * time.Millisecond, 1},
+		"past timeout":    {succeedWithFields("Keep-Alive: timeout=2\r\n"), 1500 * time.Millisecond, 2},
+		"timeout of none": {succeedWithFields("Keep-Alive: timeout=0\r\n"), 0, 2},
+		"closing":         {succeedWithFields("Connection: close\r\n"), 0, 2},
 		"shed":            {shed, 0, 1},
 		"shed, closing": {func(exchange *exchange) bool {
-			exchange.say("%s", bare(exchange.get("Attempt"), "503 Service Unavailable", "Not-Executed: 1\r\nConnection: close\r\n", ""))
+			exchange.writef("%s", unsealedResponse(exchange.get("Attempt"), "503 Service Unavailable", "Not-Executed: 1\r\nConnection: close\r\n", ""))
 			return true
 		}, 0, 2},
 		"shed, past timeout": {func(exchange *exchange) bool {
-			exchange.say("%s", bare(exchange.get("Attempt"), "503 Service Unavailable", "Not-Executed: 1\r\nKeep-Alive: timeout=2\r\n", ""))
+			exchange.writef("%s", unsealedResponse(exchange.get("Attempt"), "503 Service Unavailable", "Not-Executed: 1\r\nKeep-Alive: timeout=2\r\n", ""))
 			return true
 		}, 2 * time.Second, 2},
 	} {
-		inWorld(test, func(world *world) {
-			world.add("b1").then(play.does)
-			world.get("/once/a")
-			world.goroutines.Sleep(play.rest)
-			reply, id := world.get("/once/b")
-			world.good(reply, id)
-			if connections := world.backends["b1"].connections(); connections != play.want {
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1").handleNext(testCase.handle)
+			env.get("/once/a")
+			env.goroutines.Sleep(testCase.idle)
+			reply, id := env.get("/once/b")
+			env.expectSuccess(reply, id)
+			if connections := env.backends["b1"].connections(); connections != testCase.want {
 				test.Errorf("%s: %d connections", name, connections)
 			}
 		})
@@ -144,16 +144,16 @@
 
 // Idle connections are closed in time.
 func TestIdleConnectionsExpire(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1")
-		reply, id := world.get("/once/a")
-		world.good(reply, id)
-		world.goroutines.Sleep(maxIdleTimeout - time.Second)
-		if open, _ := world.held("b1"); open != 1 {
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1")
+		reply, id := env.get("/once/a")
+		env.expectSuccess(reply, id)
+		env.goroutines.Sleep(maxIdleTimeout - time.Second)
+		if open, _ := env.targetLoad("b1"); open != 1 {
 			test.Errorf("%d open early", open)
 		}
-		world.goroutines.Sleep(time.Second + 2*maintenanceInterval)
-		if open, _ := world.held("b1"); open != 0 {
+		env.goroutines.Sleep(time.Second + 2*maintenanceInterval)
+		if open, _ := env.targetLoad("b1"); open != 0 {
 			test.Errorf("%d open late", open)
 		}
 	})
--- /dev/null
+++ b/hostproxy/fake_backend_test.go
@@ -0,0 +1,388 @@
+package hostproxy
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net/http/httputil"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"orchidjunction/concurrent"
+)
+
+// arrival is one request as it reached a backend, byte for byte.
+type receivedRequest struct {
+	backend     string
+	receivedAt  time.Time
+	connection  int
+	requestLine string
+	fields      []string
+	body        []byte
+	chunked     bool
+}
+
+func (received *receivedRequest) values(name string) []string {
+	values := []string{}
+	for _, field := range received.fields {
+		if is, value, _ := strings.Cut(field, ": "); strings.EqualFold(is, name) {
+			values = append(values, value)
+		}
+	}
+	return values
+}
+
+func (received *receivedRequest) get(name string) string {
+	if values := received.values(name); len(values) > 0 {
+		return values[0]
+	}
+	return ""
+}
+
+// exchange is one request at a backend and the connection to answer on.
+type exchange struct {
+	*receivedRequest
+	backend *fakeBackend
+	pipe    *pipe
+}
+
+// act answers one exchange; false ends the connection.
+type handler func(*exchange) bool
+
+// backend speaks raw HTTP/1.1 and does to each request what its script says; after
+// the script's end it answers well. Greets meet connections before they are read.
+type fakeBackend struct {
+	name       string
+	address    string
+	goroutines *concurrent.Group
+
+	mutex          sync.Mutex
+	queued         []handler
+	defaultHandler handler
+	connectHooks   []func(*pipe)
+	received       []*receivedRequest
+	opened         int
+	pipes          []*pipe
+	stopped        bool
+}
+
+func newFakeBackend(name, address string, goroutines *concurrent.Group) *fakeBackend {
+	return &fakeBackend{name: name, address: address, goroutines: goroutines}
+}
+
+func (backend *fakeBackend) handleNext(acts ...handler) *fakeBackend {
+	backend.mutex.Lock()
+	backend.queued = append(backend.queued, acts...)
+	backend.mutex.Unlock()
+	return backend
+}
+
+func (backend *fakeBackend) handleAll(handle handler) *fakeBackend {
+	backend.mutex.Lock()
+	backend.defaultHandler = handle
+	backend.mutex.Unlock()
+	return backend
+}
+
+func (backend *fakeBackend) onConnect(hooks ...func(*pipe)) *fakeBackend {
+	backend.mutex.Lock()
+	backend.connectHooks = append(backend.connectHooks, hooks...)
+	backend.mutex.Unlock()
+	return backend
+}
+
+func (backend *fakeBackend) accept(pipe *pipe) {
+	backend.mutex.Lock()
+	backend.opened++
+	number := backend.opened
+	backend.pipes = append(backend.pipes, pipe)
+	var hook func(*backendPipe)
+	if len(backend.connectHooks) > 0 {
+		hook, backend.connectHooks = backend.connectHooks[0], backend.connectHooks[1:]
+	}
+	ending := backend.stopped
+	backend.mutex.Unlock()
+	if ending {
+		pipe.reset()
+		return
+	}
+	backend.goroutines.Start(func() {
+		defer func() { _ = pipe.Close() }() // never fails
+		if hook != nil {
+			hook(pipe)
+		}
+		backend.serve(pipe, number)
+	})
+}
+
+type backendPipe = pipe
+
+func (backend *fakeBackend) serve(pipe *pipe, number int) {
+	reader := bufio.NewReader(pipe)
+	for {
+		arrived, err := readRequest(reader)
+		if err != nil {
+			return
+		}
+		arrived.backend, arrived.connection, arrived.receivedAt = backend.name, number, time.Now()
+		backend.mutex.Lock()
+		backend.received = append(backend.received, arrived)
+		handle := backend.defaultHandler
+		if len(backend.queued) > 0 {
+			handle, backend.queued = backend.queued[0], backend.queued[1:]
+		}
+		backend.mutex.Unlock()
+		if handle == nil {
+			handle = succeed
+		}
+		if !handle(&exchange{receivedRequest: arrived, backend: backend, pipe: pipe}) {
+			return
+		}
+	}
+}
+
+func readRequest(reader *bufio.Reader) (*receivedRequest, error) {
+	arrived, length := &receivedRequest{}, 0
+	for {
+		line, err := reader.ReadString('\n')
+		if err != nil {
+			return nil, err
+		}
+		line = strings.TrimSuffix(line, "\r\n")
+		if arrived.requestLine == "" {
+			arrived.requestLine = line
+			continue
+		}
+		if line == "" {
+			break
+		}
+		arrived.fields = append(arrived.fields, line)
+		switch name, value, _ := strings.Cut(line, ": "); strings.ToLower(name) {
+		case "content-length":
+			if length, err = strconv.Atoi(value); err != nil {
+				return nil, err
+			}
+		case "transfer-encoding":
+			arrived.chunked = true
+		}
+	}
+	var err error
+	if arrived.chunked {
+		arrived.body, err = io.ReadAll(httputil.NewChunkedReader(reader))
+		return arrived, err
+	}
+	arrived.body = make([]byte, length)
+	_, err = io.ReadFull(reader, arrived.body)
+	return arrived, err
+}
+
+// stop closes all connections, as a backend does that ends.
+func (backend *fakeBackend) stop() {
+	backend.mutex.Lock()
+	backend.stopped = true
+	pipes := backend.pipes
+	backend.pipes = nil
+	backend.mutex.Unlock()
+	for _, pipe := range pipes {
+		pipe.reset()
+	}
+}
+
+// hang closes the connections but takes new ones.
+func (backend *fakeBackend) closeConnections() {
+	backend.mutex.Lock()
+	pipes := backend.pipes
+	backend.pipes = nil
+	backend.mutex.Unlock()
+	for _, pipe := range pipes {
+		_ = pipe.Close() // never fails
+	}
+}
+
+func (backend *fakeBackend) requests() []*receivedRequest {
+	backend.mutex.Lock()
+	defer backend.mutex.Unlock()
+	return append([]*receivedRequest{}, backend.received...)
+}
+
+func (backend *fakeBackend) connections() int {
+	backend.mutex.Lock()
+	defer backend.mutex.Unlock()
+	return backend.opened
+}
+
+func (exchange *exchange) writef(format string, values ...any) {
+	_, _ = fmt.Fprintf(exchange.pipe, format, values...) // the proxy may have left
+}
+
+// text is what a backend's good answer to an id says.
+func successBody(id string) string { return "answer to " + id }
+
+func sealedResponse(id, status, fields, body string) string {
+	return "HTTP/1.1 " + status + "\r\nAttempt: " + id + "\r\nSeal: s-" + id + "\r\n" + fields + "Content-Length: " + strconv.Itoa(
+		len(body),
+	) + "\r\n\r\n" + body
+}
+
+func unsealedResponse(id, status, fields, body string) string {
+	return "HTTP/1.1 " + status + "\r\nAttempt: " + id + "\r\n" + fields + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
+}
+
+func succeed(exchange *exchange) bool {
+	id := exchange.get("Attempt")
+	exchange.writef("%s", sealedResponse(id, "200 OK", "", successBody(id)))
+	return true
+}
+
+func succeedWithFields(fields string) handler {
+	return func(exchange *exchange) bool {
+		id := exchange.get("Attempt")
+		exchange.writef("%s", sealedResponse(id, "200 OK", fields, successBody(id)))
+		return true
+	}
+}
+
+func delayed(duration time.Duration, handle handler) handler {
+	return func(exchange *exchange) bool {
+		exchange.backend.goroutines.Sleep(duration)
+		return handle(exchange)
+	}
+}
+
+func respondStatus(line string) handler {
+	return func(exchange *exchange) bool {
+		exchange.writef("%s", sealedResponse(exchange.get("Attempt"), line, "", "of the backend"))
+		return true
+	}
+}
+
+func shed(exchange *exchange) bool {
+	exchange.writef("%s", unsealedResponse(exchange.get("Attempt"), "503 Service Unavailable", "Not-Executed: full\r\n", "full"))
+	return true
+}
+
+func misdirected(exchange *exchange) bool {
+	exchange.writef("%s", unsealedResponse(exchange.get("Attempt"), "421 Misdirected Request", "", ""))
+	return true
+}
+
+func resetAfterReading(exchange *exchange) bool {
+	exchange.pipe.reset()
+	return false
+}
+
+func closeAfterReading(exchange *exchange) bool { return false }
+
+func truncatedBody(exchange *exchange) bool {
+	all := sealedResponse(exchange.get("Attempt"), "200 OK", "", successBody(exchange.get("Attempt")))
+	exchange.writef("%s", all[:len(all)-5])
+	return false
+}
+
+func truncatedHead(exchange *exchange) bool {
+	exchange.writef("HTTP/1.1 200 OK\r\nAttempt: %s\r\nSe", exchange.get("Attempt"))
+	return false
+}
+
+func garbage(exchange *exchange) bool {
+	exchange.writef("\x16\x03\x01 these are no words of the protocol\r\n\r\n")
+	return true
+}
+
+func withoutSeal(exchange *exchange) bool {
+	id := exchange.get("Attempt")
+	exchange.writef("%s", unsealedResponse(id, "200 OK", "", successBody(id)))
+	return true
+}
+
+func withoutID(exchange *exchange) bool {
+	exchange.writef("HTTP/1.1 200 OK\r\nSeal: s\r\nContent-Length: 4\r\n\r\nbody")
+	return true
+}
+
+func bodyUntilClose(exchange *exchange) bool {
+	id := exchange.get("Attempt")
+	exchange.writef("HTTP/1.1 200 OK\r\nAttempt: %s\r\nSeal: s\r\nConnection: close\r\n\r\n%s", id, successBody(id))
+	return false
+}
+
+func chunked(exchange *exchange) bool {
+	id := exchange.get("Attempt")
+	exchange.writef(
+		"HTTP/1.1 200 OK\r\nAttempt: %s\r\nSeal: s-%s\r\nTransfer-Encoding: chunked\r\n\r\na\r\nanswer to \r\n%x\r\n%s\r\n0\r\n\r\n",
+		id,
+		id,
+		len(id),
+		id,
+	)
+	return true
+}
+
+func truncatedChunks(exchange *exchange) bool {
+	id := exchange.get("Attempt")
+	exchange.writef("HTTP/1.1 200 OK\r\nAttempt: %s\r\nSeal: s-%s\r\nTransfer-Encoding: chunked\r\n\r\na\r\nanswer to \r\n", id, id)
+	return false
+}
+
+// surplusNow answers twice in one go.
+func surplusAtOnce(exchange *exchange) bool {
+	id := exchange.get("Attempt")
+	exchange.writef("%s%s", sealedResponse(id, "200 OK", "", successBody(id)), sealedResponse(id, "200 OK", "", "surplus"))
+	return true
+}
+
+// surplusLate answers twice; the second answer comes some time after the first.
+func surplusDelayed(duration time.Duration) handler {
+	return func(exchange *exchange) bool {
+		id := exchange.get("Attempt")
+		exchange.writef("%s", sealedResponse(id, "200 OK", "", successBody(id)))
+		exchange.backend.goroutines.Sleep(duration)
+		exchange.writef("%s", sealedResponse(id, "200 OK", "", "surplus"))
+		return true
+	}
+}
+
+func neverRespond(exchange *exchange) bool {
+	var one [1]byte
+	_, _ = exchange.pipe.Read(one[:]) // until the proxy leaves
+	return false
+}
+
+// large streams a body of letters, of which only so many come.
+func respondLarge(size, limit int, inChunks bool) handler {
+	return func(exchange *exchange) bool {
+		id := exchange.get("Attempt")
+		exchange.writef("HTTP/1.1 200 OK\r\nAttempt: %s\r\nSeal: s-%s\r\n", id, id)
+		if inChunks {
+			exchange.writef("Transfer-Encoding: chunked\r\n\r\n")
+		} else {
+			exchange.writef("Content-Length: %d\r\n\r\n", size)
+		}
+		for sent := 0; sent < limit; {
+			part := letters(sent, min(16<<10, limit-sent))
+			if inChunks {
+				exchange.writef("%x\r\n%s\r\n", len(part), part)
+			} else if _, err := exchange.pipe.Write(part); err != nil {
+				return false
+			}
+			sent += len(part)
+		}
+		if limit < size {
+			return false
+		}
+		if inChunks {
+			exchange.writef("0\r\n\r\n")
+		}
+		return true
+	}
+}
+
+func letters(offset, count int) []byte {
+	part := make([]byte, count)
+	for index := range part {
+		part[index] = 'a' + byte((offset+index)%23)
+	}
+	return part
+}
--- a/hostproxy/forward.go
+++ b/hostproxy/forward.go
@@ -23,7 +23,7 @@
 		waitBegin := proxy.clock()
 		candidate, maxOpen := proxy.acquireBackend(request, waitUntil)
 		request.chosenAt = proxy.clock()
-		request.spent.waiting += request.chosenAt.Sub(waitBegin)
+		request.timings.waiting += request.chosenAt.Sub(waitBegin)
 		if candidate == nil {
 			proxy.giveUp(request)
 			return
--- a/hostproxy/framing_test.go
+++ b/hostproxy/framing_test.go
@@ -10,32 +10,32 @@
 
 // A request without an attempt id, or with two, cannot be told apart from others
 // in its answer: it reaches nobody.
-func TestAttemptIDIsOne(test *testing.T) {
+func TestExactlyOneAttemptIDIsRequired(test *testing.T) {
 	for name, fields := range map[string]string{"none": "", "empty": "Attempt: \r\n", "two": "Attempt: a\r\nAttempt: b\r\n"} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			client := world.client()
-			defer client.pipe.Close()
-			reply := client.ask("GET", "GET /once/a HTTP/1.1\r\nHost: host.example\r\n"+fields+"\r\n")
-			if reply.status != 400 || len(world.arrivals()) != 0 {
-				test.Errorf("%s: %d, %d arrivals", name, reply.status, len(world.arrivals()))
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			client := env.client()
+			defer client.conn.Close()
+			reply := client.roundTrip("GET", "GET /once/a HTTP/1.1\r\nHost: host.example\r\n"+fields+"\r\n")
+			if reply.status != 400 || len(env.receivedRequests()) != 0 {
+				test.Errorf("%s: %d, %d arrivals", name, reply.status, len(env.receivedRequests()))
 			}
 		})
 	}
 }
 
 // A client's Connection field takes no attempt id, host, length or tenant away.
-func TestConnectionFieldKeepsWhatNamesTheRequest(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1")
-		world.keyed()
-		client := world.client()
-		defer client.pipe.Close()
+func TestConnectionFieldCannotRemoveEssentialFields(test *testing.T) {
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1")
+		env.keyed()
+		client := env.client()
+		defer client.conn.Close()
 		fields := "Authorization: Key k1\r\nConnection: Attempt, host, Content-Length, Tenant, Target, Deadline\r\n"
-		world.good(client.ask("POST", raw("POST", "/once/a", "id", fields, "body")), "id")
-		arrived := world.arrivals()[0]
+		env.expectSuccess(client.roundTrip("POST", rawRequest("POST", "/once/a", "id", fields, "body")), "id")
+		arrived := env.receivedRequests()[0]
 		for name, want := range map[string]string{"Attempt": "id", "Host": "host.example", "Content-Length": "4", "Tenant": "first", "Target": "b1", "Deadline": "1500"} {
-			if values := arrived.all(name); len(values) != 1 || values[0] != want {
+			if values := arrived.values(name); len(values) != 1 || values[0] != want {
 				test.Errorf("%s came as %q", name, values)
 			}
 		}
@@ -47,22 +47,22 @@
 
 // A client of an older protocol could not see that an answer was cut short, and
 // frames its body in another way: it is told so, and what follows is not read.
-func TestOlderProtocolIsNotServed(test *testing.T) {
+func TestHTTP10IsNotSupported(test *testing.T) {
 	for name, text := range map[string]string{
 		"plain":  "GET /once/a HTTP/1.0\r\nHost: host.example\r\nAttempt: id\r\n\r\n",
 		"chunks": "POST /once/a HTTP/1.0\r\nHost: host.example\r\nAttempt: id\r\nConnection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n" + "GET /once/b HTTP/1.1\r\nHost: host.example\r\nAttempt: smuggled\r\n\r\n",
 	} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			client := world.client()
-			defer client.pipe.Close()
-			client.limit(5 * time.Second)
-			reply := client.ask("GET", text)
-			if reply.status != 505 || !reply.last {
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			client := env.client()
+			defer client.conn.Close()
+			client.setTimeout(5 * time.Second)
+			reply := client.roundTrip("GET", text)
+			if reply.status != 505 || !reply.closes {
 				test.Errorf("%s: %d %v", name, reply.status, reply.header)
 			}
-			if rest, err := io.ReadAll(client.reader); err != nil || len(rest) > 0 || len(world.arrivals()) != 0 {
-				test.Errorf("%s: %d arrivals, then %q, %v", name, len(world.arrivals()), rest, err)
+			if rest, err := io.ReadAll(client.reader); err != nil || len(rest) > 0 || len(env.receivedRequests()) != 0 {
+				test.Errorf("%s: %d arrivals, then %q, %v", name, len(env.receivedRequests()), rest, err)
 			}
 		})
 	}
@@ -72,26 +72,26 @@
 // each arrives as it was sent, and gets its own answer in its turn.
 func TestPipelinedRequests(test *testing.T) {
 	bodies := map[string]string{
-		"length": raw("POST", "/once/a", "one", "", "GET /once/x HTTP/1.1\r\nHost: host.example\r\nAttempt: smuggled\r\n\r\n"),
-		"chunks": raw("POST", "/once/a", "one", "Transfer-Encoding: chunked\r\n", "") + "5\r\nGET /\r\n0\r\n\r\n",
-		"none":   raw("GET", "/once/a", "one", "", ""),
+		"length": rawRequest("POST", "/once/a", "one", "", "GET /once/x HTTP/1.1\r\nHost: host.example\r\nAttempt: smuggled\r\n\r\n"),
+		"chunks": rawRequest("POST", "/once/a", "one", "Transfer-Encoding: chunked\r\n", "") + "5\r\nGET /\r\n0\r\n\r\n",
+		"none":   rawRequest("GET", "/once/a", "one", "", ""),
 	}
 	for name, text := range bodies {
-		for _, does := range []act{well, shed, resetAfterReading, after(10*time.Millisecond, well)} {
-			inWorld(test, func(world *world) {
-				world.add("b1").then(does)
-				client := world.client()
-				defer client.pipe.Close()
-				client.limit(20 * time.Second)
-				first := client.ask("GET", text+raw("GET", "/once/b", "two", "", "")+raw("GET", "/once/c", "three", "", ""))
+		for _, handle := range []handler{succeed, shed, resetAfterReading, delayed(10*time.Millisecond, succeed)} {
+			withTestEnv(test, func(env *testEnv) {
+				env.addBackend("b1").handleNext(handle)
+				client := env.client()
+				defer client.conn.Close()
+				client.setTimeout(20 * time.Second)
+				first := client.roundTrip("GET", text+rawRequest("GET", "/once/b", "two", "", "")+rawRequest("GET", "/once/c", "three", "", ""))
 				if first.status == 200 {
-					world.good(first, "one")
+					env.expectSuccess(first, "one")
 				}
-				world.good(client.ask("GET", ""), "two")
-				world.good(client.ask("GET", ""), "three")
+				env.expectSuccess(client.roundTrip("GET", ""), "two")
+				env.expectSuccess(client.roundTrip("GET", ""), "three")
 				got := []string{}
-				for _, arrival := range world.arrivals() {
-					got = append(got, arrival.get("Attempt"))
+				for _, received := range env.receivedRequests() {
+					got = append(got, received.get("Attempt"))
 				}
 				if strings.Join(got, " ") != "one two three" {
 					test.Errorf("%s: arrived %v", name, got)
@@ -103,24 +103,24 @@
 
 // A request that is refused before its body was read takes nothing of that body
 // for another request.
-func TestBodyOfRefusedRequestIsNoRequest(test *testing.T) {
+func TestBodyOfRefusedRequestIsNotParsedAsRequest(test *testing.T) {
 	inner := "GET /once/b HTTP/1.1\r\nHost: host.example\r\nAttempt: smuggled\r\n\r\n"
 	for name, head := range map[string]string{
-		"unknown route": raw("POST", "/none/a", "id", "", inner),
-		"too large":     strings.Replace(raw("POST", "/once/a", "id", "", inner), "Content-Length: ", "Content-Length: 9999999", 1),
-		"no id":         strings.Replace(raw("POST", "/once/a", "id", "", inner), "Attempt: id\r\n", "", 1),
-		"old protocol":  strings.Replace(raw("POST", "/once/a", "id", "", inner), "HTTP/1.1", "HTTP/1.0", 1),
+		"unknown route": rawRequest("POST", "/none/a", "id", "", inner),
+		"too large":     strings.Replace(rawRequest("POST", "/once/a", "id", "", inner), "Content-Length: ", "Content-Length: 9999999", 1),
+		"no id":         strings.Replace(rawRequest("POST", "/once/a", "id", "", inner), "Attempt: id\r\n", "", 1),
+		"old protocol":  strings.Replace(rawRequest("POST", "/once/a", "id", "", inner), "HTTP/1.1", "HTTP/1.0", 1),
 	} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			client := world.client()
-			if reply := client.ask("POST", head); reply.status < 400 {
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			client := env.client()
+			if reply := client.roundTrip("POST", head); reply.status < 400 {
 				test.Errorf("%s: %d", name, reply.status)
 			}
-			client.pipe.Close()
-			world.goroutines.Sleep(time.Second)
-			for _, arrival := range world.arrivals() {
-				test.Errorf("%s: arrived %s of %s", name, arrival.line, arrival.get("Attempt"))
+			client.conn.Close()
+			env.goroutines.Sleep(time.Second)
+			for _, received := range env.receivedRequests() {
+				test.Errorf("%s: arrived %s of %s", name, received.requestLine, received.get("Attempt"))
 			}
 		})
 	}
@@ -128,22 +128,22 @@
 
 // A request that may have run is never told that it has not, however many backends
 // could not be reached after that.
-func TestUnreachableBackendsAfterALostAttempt(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b0").ever(resetAfterReading)
-		world.proxy.view.Load().budgets[0].tokens = 30
-		world.lay(func() {
-			for index := range world.book.Config.Routes {
-				world.book.Config.Routes[index].Attempts = 20
+func TestUnreachableBackendsAfterLostAttempt(test *testing.T) {
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b0").handleAll(resetAfterReading)
+		env.proxy.view.Load().budgets[0].tokens = 30
+		env.update(func() {
+			for index := range env.state.Config.Routes {
+				env.state.Config.Routes[index].Attempts = 20
 			}
 		})
 		for number := range 10 {
-			world.addAt(fmt.Sprint("w", number), "plain", "w1", 8)
-			world.doors.serve(fmt.Sprint("w", number, ":80"), nil)
+			env.addBackendAt(fmt.Sprint("w", number), "plain", "w1", 8)
+			env.network.serve(fmt.Sprint("w", number, ":80"), nil)
 		}
-		reply, _ := world.get("/again/a")
-		if len(world.arrivals()) != 1 || promised(reply.status) || reply.status < 500 {
-			test.Errorf("%d after %d arrivals", reply.status, len(world.arrivals()))
+		reply, _ := env.get("/again/a")
+		if len(env.receivedRequests()) != 1 || isNotExecutedStatus(reply.status) || reply.status < 500 {
+			test.Errorf("%d after %d arrivals", reply.status, len(env.receivedRequests()))
 		}
 	})
 }
@@ -151,28 +151,28 @@
 // Whatever line ends and doubled framing a client uses, backends get the requests
 // that its bytes hold by the protocol's rule (chunks go before a length), each framed
 // by one length and with whole line ends.
-func TestLooseFramingIsMadeStrict(test *testing.T) {
-	second := raw("GET", "/once/b", "two", "", "")
+func TestFramingIsNormalized(test *testing.T) {
+	second := rawRequest("GET", "/once/b", "two", "", "")
 	for name, text := range map[string]string{
-		"bare newlines":         strings.ReplaceAll(raw("GET", "/once/a", "one", "", ""), "\r\n", "\n") + second,
-		"chunks, then a length": raw("POST", "/once/a", "one", "Transfer-Encoding: chunked\r\nContent-Length: 400\r\n", "") + "0\r\n\r\n" + second,
-		"a length, then chunks": raw("POST", "/once/a", "one", "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n", "") + "0\r\n\r\n" + second,
+		"bare newlines":         strings.ReplaceAll(rawRequest("GET", "/once/a", "one", "", ""), "\r\n", "\n") + second,
+		"chunks, then a length": rawRequest("POST", "/once/a", "one", "Transfer-Encoding: chunked\r\nContent-Length: 400\r\n", "") + "0\r\n\r\n" + second,
+		"a length, then chunks": rawRequest("POST", "/once/a", "one", "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n", "") + "0\r\n\r\n" + second,
 	} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			client := world.client()
-			defer client.pipe.Close()
-			client.limit(5 * time.Second)
-			world.good(client.ask("GET", text), "one")
-			world.good(client.ask("GET", ""), "two")
-			all := world.arrivals()
-			if len(all) != 2 || all[0].get("Attempt") != "one" || all[1].get("Attempt") != "two" {
-				test.Fatalf("%s: %d arrivals", name, len(all))
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			client := env.client()
+			defer client.conn.Close()
+			client.setTimeout(5 * time.Second)
+			env.expectSuccess(client.roundTrip("GET", text), "one")
+			env.expectSuccess(client.roundTrip("GET", ""), "two")
+			received := env.receivedRequests()
+			if len(received) != 2 || received[0].get("Attempt") != "one" || received[1].get("Attempt") != "two" {
+				test.Fatalf("%s: %d arrivals", name, len(received))
 			}
-			for _, arrival := range all {
-				if arrival.chunked || len(arrival.all("Content-Length")) > 1 || len(arrival.body) > 0 ||
-					strings.ContainsAny(strings.Join(arrival.fields, ""), "\r\n") {
-					test.Errorf("%s: %v %q", name, arrival.fields, arrival.body)
+			for _, received := range received {
+				if received.chunked || len(received.values("Content-Length")) > 1 || len(received.body) > 0 ||
+					strings.ContainsAny(strings.Join(received.fields, ""), "\r\n") {
+					test.Errorf("%s: %v %q", name, received.fields, received.body)
 				}
 			}
 		})
--- a/hostproxy/fuzz_test.go
+++ b/hostproxy/fuzz_test.go
@@ -53,10 +53,10 @@
 	witness.mutex.Lock()
 	defer witness.mutex.Unlock()
 	held := witness.of(exchange.get("Attempt"))
-	if held.line != exchange.line || held.body != string(exchange.body) {
+	if held.line != exchange.requestLine || held.body != string(exchange.body) {
 		held.line = "changed"
 	}
-	held.reached = append(held.reached, exchange.arrival.backend)
+	held.reached = append(held.reached, exchange.receivedRequest.backend)
 	if held.ran > 0 {
 		held.afterRun++
 	}
@@ -86,7 +86,7 @@
 			panic(err)
 		}
 		witness.tell(id, number, text)
-		return write(exchange, whole(id, status, "", text), raw)
+		return write(exchange, sealedResponse(id, status, "", text), raw)
 	}
 }
 
@@ -102,36 +102,36 @@
 func notRun(status string, write func(exchange *exchange, answer, raw string) bool) behaviour {
 	return func(witness *witness, exchange *exchange, raw string) bool {
 		witness.arrive(exchange, false)
-		return write(exchange, bare(exchange.get("Attempt"), status, "Not-Executed: full\r\n", "full"), raw)
+		return write(exchange, unsealedResponse(exchange.get("Attempt"), status, "Not-Executed: full\r\n", "full"), raw)
 	}
 }
 
 func plainly(exchange *exchange, answer, _ string) bool {
-	exchange.say("%s", answer)
+	exchange.writef("%s", answer)
 	return true
 }
 
 func rawBefore(exchange *exchange, answer, raw string) bool {
-	exchange.say("%s%s", raw, answer)
+	exchange.writef("%s%s", raw, answer)
 	return true
 }
 
 func rawBehind(exchange *exchange, answer, raw string) bool {
-	exchange.say("%s%s", answer, raw)
+	exchange.writef("%s%s", answer, raw)
 	return true
 }
 
 func rawLate(exchange *exchange, answer, raw string) bool {
-	exchange.say("%s", answer)
+	exchange.writef("%s", answer)
 	exchange.backend.goroutines.Sleep(3 * time.Millisecond)
-	exchange.say("%s", raw)
+	exchange.writef("%s", raw)
 	return true
 }
 
 func inPieces(exchange *exchange, answer, _ string) bool {
 	for len(answer) > 0 {
 		size := min(7, len(answer))
-		exchange.say("%s", answer[:size])
+		exchange.writef("%s", answer[:size])
 		exchange.backend.goroutines.Sleep(time.Millisecond)
 		answer = answer[size:]
 	}
@@ -143,77 +143,77 @@
 }
 
 func twice(exchange *exchange, answer, _ string) bool {
-	exchange.say("%s", answer)
+	exchange.writef("%s", answer)
 	exchange.backend.goroutines.Sleep(3 * time.Millisecond)
-	exchange.say("%s", strings.Replace(answer, "answer to", "second to", 1))
+	exchange.writef("%s", strings.Replace(answer, "answer to", "second to", 1))
 	return true
 }
 
 func lastOnConnection(exchange *exchange, answer, _ string) bool {
-	exchange.say("%s", strings.Replace(answer, "Content-Length", "Connection: close\r\nContent-Length", 1))
+	exchange.writef("%s", strings.Replace(answer, "Content-Length", "Connection: close\r\nContent-Length", 1))
 	return false
 }
 
 func cutAt(exchange *exchange, answer, raw string) bool {
-	exchange.say("%s", answer[:len(raw)%len(answer)])
+	exchange.writef("%s", answer[:len(raw)%len(answer)])
 	return false
 }
 
 // behaviours are what a backend may do, each by its place in the list.
 var behaviours = []behaviour{
-	ran("200 OK", text, plainly),
-	ran("200 OK", text, inPieces),
-	ran("200 OK", text, rawBefore),
-	ran("200 OK", text, rawBehind),
-	ran("200 OK", text, rawLate),
-	ran("200 OK", text, rawInPiecesBefore),
-	ran("200 OK", text, twice),
-	ran("200 OK", text, lastOnConnection),
-	ran("500 Internal Server Error", text, plainly),
-	ran("500 Internal Server Error", text, rawBefore),
-	ran("503 Service Unavailable", text, rawBefore),
+	ran("200 OK", successBody, plainly),
+	ran("200 OK", successBody, inPieces),
+	ran("200 OK", successBody, rawBefore),
+	ran("200 OK", successBody, rawBehind),
+	ran("200 OK", successBody, rawLate),
+	ran("200 OK", successBody, rawInPiecesBefore),
+	ran("200 OK", successBody, twice),
+	ran("200 OK", successBody, lastOnConnection),
+	ran("500 Internal Server Error", successBody, plainly),
+	ran("500 Internal Server Error", successBody, rawBefore),
+	ran("503 Service Unavailable", successBody, rawBefore),
 	ran("204 No Content", func(string) string { return "" }, rawBehind),
-	ran("404 Not Found", text, rawLate),
+	ran("404 Not Found", successBody, rawLate),
 	notRun("503 Service Unavailable", plainly),
 	notRun("503 Service Unavailable", rawBefore),
 	notRun("503 Service Unavailable", rawLate),
 	notRun("421 Misdirected Request", rawBehind),
 	notRun("429 Too Many Requests", cutAt),
-	lostRun(func(exchange *exchange, raw string) bool { exchange.say("%s", raw); return false }),
-	lostRun(func(exchange *exchange, raw string) bool { exchange.say("%s", raw); return silent(exchange) }),
+	lostRun(func(exchange *exchange, raw string) bool { exchange.writef("%s", raw); return false }),
+	lostRun(func(exchange *exchange, raw string) bool { exchange.writef("%s", raw); return neverRespond(exchange) }),
 	lostRun(func(exchange *exchange, _ string) bool { return resetAfterReading(exchange) }),
-	lostRun(func(exchange *exchange, _ string) bool { return silent(exchange) }),
+	lostRun(func(exchange *exchange, _ string) bool { return neverRespond(exchange) }),
 	lostRun(func(exchange *exchange, raw string) bool {
-		return cutAt(exchange, whole(exchange.get("Attempt"), "200 OK", "", text(exchange.get("Attempt"))), raw)
+		return cutAt(exchange, sealedResponse(exchange.get("Attempt"), "200 OK", "", successBody(exchange.get("Attempt"))), raw)
 	}),
-	lostRun(func(exchange *exchange, _ string) bool { return chunkedHalf(exchange) }),
+	lostRun(func(exchange *exchange, _ string) bool { return truncatedChunks(exchange) }),
 	lostRun(func(exchange *exchange, _ string) bool {
-		exchange.say("HTTP/1.1 503 Service Unavailable\r\nNot-Executed: full\r\nContent-Length: 0\r\n\r\n")
+		exchange.writef("HTTP/1.1 503 Service Unavailable\r\nNot-Executed: full\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}),
 	lostRun(func(exchange *exchange, _ string) bool {
-		exchange.say("%s", bare("another", "503 Service Unavailable", "Not-Executed: full\r\n", ""))
-		return silent(exchange)
+		exchange.writef("%s", unsealedResponse("another", "503 Service Unavailable", "Not-Executed: full\r\n", ""))
+		return neverRespond(exchange)
 	}),
 	func(witness *witness, exchange *exchange, _ string) bool {
 		id := exchange.get("Attempt")
 		witness.arrive(exchange, true)
-		witness.tell(id, 200, text(id))
+		witness.tell(id, 200, successBody(id))
 		return chunked(exchange)
 	},
 	func(witness *witness, exchange *exchange, _ string) bool {
 		id := exchange.get("Attempt")
 		witness.arrive(exchange, true)
-		witness.tell(id, 200, text(id))
-		exchange.say("HTTP/1.1 100 Continue\r\n\r\n%s", whole("another", "200 OK", "", "another's"))
-		return well(exchange)
+		witness.tell(id, 200, successBody(id))
+		exchange.writef("HTTP/1.1 100 Continue\r\n\r\n%s", sealedResponse("another", "200 OK", "", "another's"))
+		return succeed(exchange)
 	},
 }
 
 // fuzzed plays a program of bytes: each step is a request with what its backends do
 // to it, or something that befalls idle connections.
 type fuzzed struct {
-	world   *world
+	world   *testEnv
 	witness *witness
 	program []byte
 	secret  [sha256.Size]byte
@@ -265,7 +265,7 @@
 		case 7:
 			backend := fuzzed.world.backends[[]string{"b1", "b2"}[kind/8%2]]
 			if kind/16%2 == 0 {
-				backend.hang()
+				backend.closeConnections()
 			} else {
 				fuzzed.world.reset(backend)
 			}
@@ -277,7 +277,7 @@
 }
 
 // reset resets a backend's connections; it takes new ones.
-func (world *world) reset(backend *backend) {
+func (env *testEnv) reset(backend *fakeBackend) {
 	backend.mutex.Lock()
 	pipes := backend.pipes
 	backend.pipes = nil
@@ -289,7 +289,7 @@
 
 // ask sends a request whose first two arrivals are treated as the program says.
 func (fuzzed *fuzzed) ask(method, path, body string, leaves bool) {
-	world, id := fuzzed.world, fuzzed.id()
+	env, id := fuzzed.world, fuzzed.id()
 	var mutex sync.Mutex
 	treatments := []behaviour{behaviours[fuzzed.next()%len(behaviours)], behaviours[fuzzed.next()%len(behaviours)], behaviours[0]}
 	bytes := fuzzed.raw()
@@ -302,24 +302,24 @@
 		mutex.Unlock()
 		return treatment(fuzzed.witness, exchange, bytes)
 	}
-	for _, backend := range world.backends {
-		backend.ever(does)
+	for _, backend := range env.backends {
+		backend.handleAll(does)
 	}
 	fuzzed.witness.mutex.Lock()
 	held := fuzzed.witness.of(id)
 	held.line, held.body, held.once = method+" "+path+" HTTP/1.1", body, !strings.HasPrefix(path, "/again/")
 	fuzzed.witness.mutex.Unlock()
-	client := world.client()
-	defer client.pipe.Close()
+	client := env.client()
+	defer client.conn.Close()
 	if leaves {
-		client.send(raw(method, path, id, "", body))
-		world.goroutines.Sleep(time.Millisecond)
+		client.send(rawRequest(method, path, id, "", body))
+		env.goroutines.Sleep(time.Millisecond)
 		return
 	}
-	fuzzed.check(id, method, client.ask(method, raw(method, path, id, "", body)))
-	_ = client.pipe.SetReadDeadline(time.Now().Add(time.Millisecond)) // never fails
+	fuzzed.check(id, method, client.roundTrip(method, rawRequest(method, path, id, "", body)))
+	_ = client.conn.SetReadDeadline(time.Now().Add(time.Millisecond)) // never fails
 	if rest, _ := io.ReadAll(client.reader); len(rest) > 0 {
-		world.test.Errorf("%s: bytes that nobody asked for: %q", id, rest)
+		env.test.Errorf("%s: bytes that nobody asked for: %q", id, rest)
 	}
 }
 
@@ -329,8 +329,8 @@
 	fuzzed.witness.mutex.Lock()
 	defer fuzzed.witness.mutex.Unlock()
 	held := fuzzed.witness.of(id)
-	if reply.broken != nil {
-		test.Errorf("%s: broken: %v", id, reply.broken)
+	if reply.err != nil {
+		test.Errorf("%s: broken: %v", id, reply.err)
 		return
 	}
 	if seal := reply.header.Get("Seal"); seal != "" {
@@ -350,7 +350,7 @@
 	if reply.status < 400 || reply.status == 421 {
 		test.Errorf("%s: %d of nobody's", id, reply.status)
 	}
-	if held.promised = promised(reply.status); held.promised && held.ran > 0 {
+	if held.promised = isNotExecutedStatus(reply.status); held.promised && held.ran > 0 {
 		test.Errorf("%s: told %d of what ran", id, reply.status)
 	}
 }
@@ -384,7 +384,7 @@
 // silences and idle times over reused connections. A client gets only its own whole
 // answer or a truthful failure, and what may run once runs on one backend at most.
 func FuzzConnectionStates(fuzz *testing.F) {
-	surplus := whole("another", "200 OK", "Date: Monday\r\n", "another's")
+	surplus := sealedResponse("another", "200 OK", "Date: Monday\r\n", "another's")
 	for kind := range 6 {
 		for index := range behaviours {
 			fuzz.Add(append([]byte{byte(kind), byte(index), 0, byte(len(surplus))}, surplus+string([]byte{6, 1, byte(kind), 0, 0, 0})...))
@@ -398,14 +398,14 @@
 	fuzz.Add([]byte{0, 0, 0, 0, 7, 0, 0, 0, 0, 23, 1, 0, 0, 0, 15, 0, 0, 0, 0, 31, 2, 0, 0, 0, 6, 250, 0, 0, 0, 0})
 	fuzz.Fuzz(func(test *testing.T, program []byte) {
 		synctest.Test(test, func(test *testing.T) {
-			world := newWorld(test)
-			defer world.close()
-			world.add("b1")
-			world.add("b2")
-			for _, budget := range world.proxy.view.Load().budgets {
+			env := newTestEnv(test)
+			defer env.close()
+			env.addBackend("b1")
+			env.addBackend("b2")
+			for _, budget := range env.proxy.view.Load().budgets {
 				budget.tokens = budget.limit
 			}
-			(&fuzzed{world: world, witness: newWitness(), program: program, secret: sha256.Sum256(program)}).play()
+			(&fuzzed{world: env, witness: newWitness(), program: program, secret: sha256.Sum256(program)}).play()
 		})
 	})
 }
@@ -416,29 +416,29 @@
 func FuzzAnswer(fuzz *testing.F) {
 	for _, truth := range truths {
 		fuzz.Add(truth.answer("{id}"), true)
-		fuzz.Add(whole("another", "200 OK", "", "another's")+truth.answer("{id}"), false)
+		fuzz.Add(sealedResponse("another", "200 OK", "", "another's")+truth.answer("{id}"), false)
 	}
 	for _, head := range []string{"HTTP/1.1 999 X\r\n", "HTTP/1.1 000 X\r\n", "HTTP/1.0 200 OK\r\n", "HTTP/1.1 304 X\r\n", "HTTP/1.1 204 X\r\n", "HTTP/1.1 205 X\r\n", "HTTP/1.1 101 X\r\n"} {
 		fuzz.Add(head+"Attempt: {id}\r\nSeal: s-{id}\r\nTrailer: X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX: y\r\n\r\n", true)
 		fuzz.Add(head+"Attempt: {id}\r\nSeal: s-{id}\r\nContent-Length: 1\r\nConnection: close, Attempt\r\n\r\na", false)
 	}
 	fuzz.Fuzz(func(test *testing.T, bytes string, closes bool) {
-		result := play(test, "GET", "/once/a", func(id string) script {
-			return script{fragments: []fragment{{0, strings.ReplaceAll(bytes, "{id}", id)}}, closes: closes}
+		result := runScript(test, "GET", "/once/a", func(id string) responseScript {
+			return responseScript{fragments: []fragment{{0, strings.ReplaceAll(bytes, "{id}", id)}}, closes: closes}
 		})
 		reply := &result.reply
 		lower := strings.ToLower(bytes)
 		switch {
-		case reply.broken != nil:
-			test.Errorf("broken: %v", reply.broken)
-		case result.arrivals != 1:
-			test.Errorf("%d arrivals", result.arrivals)
+		case reply.err != nil:
+			test.Errorf("broken: %v", reply.err)
+		case result.requests != 1:
+			test.Errorf("%d arrivals", result.requests)
 		case reply.status < 300 && (reply.header.Get("Seal") == "" || reply.header.Get("Attempt") != result.id || len(reply.header["Seal"]) != 1):
 			test.Errorf("%d %v", reply.status, reply.header)
-		case promised(reply.status) && (!strings.Contains(bytes, "{id}") || !strings.Contains(lower, "not-executed") && !strings.Contains(bytes, " 421")):
+		case isNotExecutedStatus(reply.status) && (!strings.Contains(bytes, "{id}") || !strings.Contains(lower, "not-executed") && !strings.Contains(bytes, " 421")):
 			test.Errorf("promised %d", reply.status)
 		}
-		if next := &result.next; next.status == 200 && (next.body != text(result.nextID) || next.header.Get("Attempt") != result.nextID) {
+		if next := &result.next; next.status == 200 && (next.body != successBody(result.nextID) || next.header.Get("Attempt") != result.nextID) {
 			test.Errorf("the next one got %q", next.body)
 		}
 	})
--- a/hostproxy/judge_test.go
+++ b/hostproxy/judge_test.go
@@ -17,15 +17,15 @@
 )
 
 // someTime answers after a random time, a multiple of the usual one.
-func someTime(random *rand.Rand, factor float64, does act) act {
+func someTime(random *rand.Rand, factor float64, does handler) handler {
 	return func(exchange *exchange) bool {
 		took := 30 * factor * math.Exp(0.6*random.NormFloat64())
-		return after(time.Duration(took*float64(time.Millisecond)), does)(exchange)
+		return delayed(time.Duration(took*float64(time.Millisecond)), does)(exchange)
 	}
 }
 
 // mixed does one thing to a part of the requests and another one to the others.
-func mixed(random *rand.Rand, part float64, first, other act) act {
+func mixed(random *rand.Rand, part float64, first, other handler) handler {
 	return func(exchange *exchange) bool {
 		if random.Float64() < part {
 			return first(exchange)
@@ -35,9 +35,9 @@
 }
 
 // onRoute does one thing to the requests of a prefix and another one to the others.
-func onRoute(prefix string, first, other act) act {
+func onRoute(prefix string, first, other handler) handler {
 	return func(exchange *exchange) bool {
-		if strings.Contains(exchange.line, prefix) {
+		if strings.Contains(exchange.requestLine, prefix) {
 			return first(exchange)
 		}
 		return other(exchange)
@@ -46,27 +46,27 @@
 
 // trial plays requests of two routes while half of them go to a version that answers as told,
 // and returns the counts at the first alarm, or at the end.
-func (world *world) trial(version act, requests int) (message.RolloutCounts, bool) {
+func (env *testEnv) trial(version handler, requests int) (message.RolloutCounts, bool) {
 	random := rand.New(rand.NewPCG(11, 12))
 	for number := range 4 {
-		world.addVersion(fmt.Sprint("a", number), "v1", 8).ever(onRoute("/once/", someTime(random, 6, well), someTime(random, 1, well)))
+		env.addVersion(fmt.Sprint("a", number), "v1", 8).handleAll(onRoute("/once/", someTime(random, 6, succeed), someTime(random, 1, succeed)))
 	}
-	ask := func() { world.get([]string{"/once/a", "/again/a", "/again/b"}[random.IntN(3)]) }
+	ask := func() { env.get([]string{"/once/a", "/again/a", "/again/b"}[random.IntN(3)]) }
 	for range 100 {
 		ask()
 	}
 	for number := range 4 {
-		world.addVersion(fmt.Sprint("b", number), "v2", 8).ever(version)
+		env.addVersion(fmt.Sprint("b", number), "v2", 8).handleAll(version)
 	}
-	world.roll(order(message.RolloutActive, 0.5))
+	env.roll(order(message.RolloutActive, 0.5))
 	made, err := martingale.NewTest(martingale.DefaultOptions())
 	if err != nil {
-		world.test.Fatal(err)
+		env.test.Fatal(err)
 	}
 	counts := message.RolloutCounts{}
 	for range requests {
 		ask()
-		counts = world.proxy.RolloutCounts()[0]
+		counts = env.proxy.RolloutCounts()[0]
 		if made.Alarm(counts.Items, counts.Exceedances) {
 			return counts, true
 		}
@@ -77,35 +77,35 @@
 // Guards against a bad version whose requests do not tell it from a healthy one.
 func TestBadVersionsRaiseTheAlarm(test *testing.T) {
 	for name, one := range map[string]struct {
-		version func(random *rand.Rand) act
+		version func(random *rand.Rand) handler
 		most    uint64 // items until the alarm
 	}{
-		"errors": {func(random *rand.Rand) act {
-			return mixed(random, 0.5, status("500 Own"), onRoute("/once/", someTime(random, 6, well), someTime(random, 1, well)))
+		"errors": {func(random *rand.Rand) handler {
+			return mixed(random, 0.5, respondStatus("500 Own"), onRoute("/once/", someTime(random, 6, succeed), someTime(random, 1, succeed)))
 		}, 60},
-		"lost": {func(random *rand.Rand) act {
-			return mixed(random, 0.5, closeAfterReading, onRoute("/once/", someTime(random, 6, well), someTime(random, 1, well)))
+		"lost": {func(random *rand.Rand) handler {
+			return mixed(random, 0.5, closeAfterReading, onRoute("/once/", someTime(random, 6, succeed), someTime(random, 1, succeed)))
 		}, 60},
-		"slow": {func(random *rand.Rand) act {
-			return onRoute("/once/", someTime(random, 48, well), someTime(random, 8, well))
+		"slow": {func(random *rand.Rand) handler {
+			return onRoute("/once/", someTime(random, 48, succeed), someTime(random, 8, succeed))
 		}, 40},
-		"later": {func(random *rand.Rand) act {
+		"later": {func(random *rand.Rand) handler {
 			requests := 0
 			return func(exchange *exchange) bool {
 				if requests++; requests < 60 {
-					return onRoute("/once/", someTime(random, 6, well), someTime(random, 1, well))(exchange)
+					return onRoute("/once/", someTime(random, 6, succeed), someTime(random, 1, succeed))(exchange)
 				}
-				return onRoute("/once/", someTime(random, 48, well), someTime(random, 8, well))(exchange)
+				return onRoute("/once/", someTime(random, 48, succeed), someTime(random, 8, succeed))(exchange)
 			}
 		}, 200},
-		"one route": {func(random *rand.Rand) act {
-			return onRoute("/once/", status("500 Own"), someTime(random, 1, well))
+		"one route": {func(random *rand.Rand) handler {
+			return onRoute("/once/", respondStatus("500 Own"), someTime(random, 1, succeed))
 		}, 200},
 	} {
 		test.Run(name, func(test *testing.T) {
-			inWorld(test, func(world *world) {
+			withTestEnv(test, func(env *testEnv) {
 				random := rand.New(rand.NewPCG(13, 14))
-				counts, alarmed := world.trial(one.version(random), 600)
+				counts, alarmed := env.trial(one.version(random), 600)
 				test.Logf("%d of %d items exceed, %d failed", counts.Exceedances, counts.Items, counts.Failures)
 				if !alarmed || counts.Items > one.most {
 					test.Errorf("alarm %v after %d items, at most %d wanted", alarmed, counts.Items, one.most)
@@ -118,9 +118,9 @@
 // Guards against a healthy version that is blamed: for the slowness of a route, or for errors
 // that the old version has as well.
 func TestHealthyVersionRaisesNoAlarm(test *testing.T) {
-	inWorld(test, func(world *world) {
+	withTestEnv(test, func(env *testEnv) {
 		random := rand.New(rand.NewPCG(15, 16))
-		counts, alarmed := world.trial(onRoute("/once/", someTime(random, 6, well), someTime(random, 1, well)), 1500)
+		counts, alarmed := env.trial(onRoute("/once/", someTime(random, 6, succeed), someTime(random, 1, succeed)), 1500)
 		if alarmed || counts.Items < 700 || float64(counts.Exceedances) > score.Alpha*float64(counts.Items) {
 			test.Errorf("alarm %v, %d of %d items exceed", alarmed, counts.Exceedances, counts.Items)
 		}
--- a/hostproxy/limits_test.go
+++ b/hostproxy/limits_test.go
@@ -10,14 +10,14 @@
 )
 
 // limit puts limits in force as an operator's change does.
-func (world *world) limit(change func(*routing.Limits)) {
-	world.lay(func() { change(&world.book.Config.Limits) })
+func (env *testEnv) limit(change func(*routing.Limits)) {
+	env.update(func() { change(&env.state.Config.Limits) })
 }
 
 // headOf is a request whose head has so many bytes.
 func headOf(id string, size int) string {
-	empty := len(raw("GET", "/again/a", id, "Long:\r\n", ""))
-	return raw("GET", "/again/a", id, "Long:"+strings.Repeat("x", size-empty)+"\r\n", "")
+	empty := len(rawRequest("GET", "/again/a", id, "Long:\r\n", ""))
+	return rawRequest("GET", "/again/a", id, "Long:"+strings.Repeat("x", size-empty)+"\r\n", "")
 }
 
 // The limit on header bytes was acknowledged and had no effect: heads over it reached a backend, and
@@ -31,25 +31,25 @@
 		{4 << 20, 3 << 20, 200},
 		{math.MaxInt, 3 << 20, 200},
 	} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			open, fresh := world.client(), world.client()
-			defer open.pipe.Close()
-			defer fresh.pipe.Close()
-			if reply := open.ask("GET", raw("GET", "/again/a", "first", "", "")); reply.status != 200 {
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			open, fresh := env.client(), env.client()
+			defer open.conn.Close()
+			defer fresh.conn.Close()
+			if reply := open.roundTrip("GET", rawRequest("GET", "/again/a", "first", "", "")); reply.status != 200 {
 				test.Fatal(reply)
 			}
-			world.limit(func(limits *routing.Limits) { limits.HeaderBytes = one.limit })
+			env.limit(func(limits *routing.Limits) { limits.HeaderBytes = one.limit })
 			for name, client := range map[string]*client{"open": open, "fresh": fresh} {
-				reply := client.ask("GET", headOf(name, one.size))
+				reply := client.roundTrip("GET", headOf(name, one.size))
 				if reply.status != one.status {
-					test.Errorf("limit %d, %d bytes, %s: %d %v", one.limit, one.size, name, reply.status, reply.broken)
+					test.Errorf("limit %d, %d bytes, %s: %d %v", one.limit, one.size, name, reply.status, reply.err)
 				}
 				if one.status == 431 && !strings.Contains(reply.body, `"too_large"`) {
 					test.Errorf("untyped: %q", reply.body)
 				}
 			}
-			if count := len(world.arrivals()) - 1; (count == 2) != (one.status == 200) {
+			if count := len(env.receivedRequests()) - 1; (count == 2) != (one.status == 200) {
 				test.Errorf("limit %d, %d bytes: %d at the backend", one.limit, one.size, count)
 			}
 		})
@@ -62,32 +62,32 @@
 	for limit, after := range map[int]time.Duration{
 		1000: time.Second, 9000: 9 * time.Second, math.MaxInt: time.Hour, 0: 5 * time.Second,
 	} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			open := world.client()
-			defer open.pipe.Close()
-			if reply := open.ask("GET", raw("GET", "/again/a", "first", "", "")); reply.status != 200 {
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			open := env.client()
+			defer open.conn.Close()
+			if reply := open.roundTrip("GET", rawRequest("GET", "/again/a", "first", "", "")); reply.status != 200 {
 				test.Fatal(reply)
 			}
-			world.limit(func(limits *routing.Limits) { limits.HeaderMs, limits.IdleMs = limit, math.MaxInt })
-			for name, dial := range map[string]func() *client{"open": func() *client { return open }, "fresh": world.client} {
+			env.limit(func(limits *routing.Limits) { limits.HeaderMs, limits.IdleMs = limit, math.MaxInt })
+			for name, dial := range map[string]func() *client{"open": func() *client { return open }, "fresh": env.client} {
 				client := dial()
-				defer client.pipe.Close()
-				text := raw("GET", "/again/a", name, "", "")
+				defer client.conn.Close()
+				text := rawRequest("GET", "/again/a", name, "", "")
 				client.send(text[:60])
 				time.Sleep(after - time.Millisecond)
-				if reply := client.ask("GET", text[60:]); reply.status != 200 {
-					test.Errorf("%d ms, %s, just in time: %d %v", limit, name, reply.status, reply.broken)
+				if reply := client.roundTrip("GET", text[60:]); reply.status != 200 {
+					test.Errorf("%d ms, %s, just in time: %d %v", limit, name, reply.status, reply.err)
 				}
 				if limit == math.MaxInt {
 					continue
 				}
 				client.send(text[:60])
-				if reply := client.ask("GET", ""); reply.status != 408 || reply.took != after {
-					test.Errorf("%d ms, %s, never ended: %d after %v", limit, name, reply.status, reply.took)
+				if reply := client.roundTrip("GET", ""); reply.status != 408 || reply.elapsed != after {
+					test.Errorf("%d ms, %s, never ended: %d after %v", limit, name, reply.status, reply.elapsed)
 				}
 			}
-			if count := len(world.arrivals()); count != 3 {
+			if count := len(env.receivedRequests()); count != 3 {
 				test.Errorf("%d at the backend", count)
 			}
 		})
@@ -99,21 +99,23 @@
 	for limit, after := range map[int]time.Duration{
 		2000: 2 * time.Second, 90_000: 90 * time.Second, math.MaxInt: time.Hour, 0: time.Minute,
 	} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			open := world.client()
-			defer open.pipe.Close()
-			ask := func(client *client, id string) reply { return client.ask("GET", raw("GET", "/again/a", id, "", "")) }
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			open := env.client()
+			defer open.conn.Close()
+			ask := func(client *client, id string) reply {
+				return client.roundTrip("GET", rawRequest("GET", "/again/a", id, "", ""))
+			}
 			if reply := ask(open, "first"); reply.status != 200 {
 				test.Fatal(reply)
 			}
-			world.limit(func(limits *routing.Limits) { limits.IdleMs = limit })
-			for _, dial := range []func() *client{func() *client { return open }, world.client} {
+			env.limit(func(limits *routing.Limits) { limits.IdleMs = limit })
+			for _, dial := range []func() *client{func() *client { return open }, env.client} {
 				client := dial()
-				defer client.pipe.Close()
+				defer client.conn.Close()
 				for try := range 2 {
-					if reply := ask(client, world.id()); reply.status != 200 {
-						test.Fatalf("%d ms, try %d: %d %v", limit, try, reply.status, reply.broken)
+					if reply := ask(client, env.newID()); reply.status != 200 {
+						test.Fatalf("%d ms, try %d: %d %v", limit, try, reply.status, reply.err)
 					}
 					if try == 0 {
 						time.Sleep(after - time.Millisecond)
@@ -127,7 +129,7 @@
 					test.Errorf("%d ms: closed after %v", limit, time.Since(begin))
 				}
 			}
-			if count := len(world.arrivals()); count != 5 {
+			if count := len(env.receivedRequests()); count != 5 {
 				test.Errorf("%d at the backend", count)
 			}
 		})
@@ -136,36 +138,36 @@
 
 // A change of a limit took hold of new connections only, or ended requests under way.
 func TestLimitsChangeUnderIdleSlowAndLongRequests(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1")
-		world.limit(func(limits *routing.Limits) { limits.IdleMs, limits.HeaderMs = 60_000, 8000 })
-		idle, slow, long := world.client(), world.client(), world.client()
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1")
+		env.limit(func(limits *routing.Limits) { limits.IdleMs, limits.HeaderMs = 60_000, 8000 })
+		idle, slow, long := env.client(), env.client(), env.client()
 		for _, client := range []*client{idle, slow, long} {
-			defer client.pipe.Close()
+			defer client.conn.Close()
 		}
-		if reply := idle.ask("GET", raw("GET", "/again/a", "idle", "", "")); reply.status != 200 {
+		if reply := idle.roundTrip("GET", rawRequest("GET", "/again/a", "idle", "", "")); reply.status != 200 {
 			test.Fatal(reply)
 		}
-		text := raw("GET", "/again/a", "slow", "", "")
+		text := rawRequest("GET", "/again/a", "slow", "", "")
 		slow.send(text[:40])
 		body := string(letters(0, 1000))
-		post := raw("POST", "/once/a", "long", "Deadline: 60000\r\n", body)
+		post := rawRequest("POST", "/once/a", "long", "Deadline: 60000\r\n", body)
 		long.send(post[:len(post)-500])
 		time.Sleep(100 * time.Millisecond)
-		world.limit(func(limits *routing.Limits) { limits.IdleMs, limits.HeaderMs, limits.BodyBytes = 150, 500, 10 })
+		env.limit(func(limits *routing.Limits) { limits.IdleMs, limits.HeaderMs, limits.BodyBytes = 150, 500, 10 })
 		changed := time.Now()
 		if _, err := idle.reader.ReadByte(); err == nil || time.Since(changed) != 50*time.Millisecond {
 			test.Errorf("idle: closed %v after the change", time.Since(changed))
 		}
-		if reply := long.ask("POST", post[len(post)-500:]); reply.status != 200 {
-			test.Errorf("long: %d %v", reply.status, reply.broken)
+		if reply := long.roundTrip("POST", post[len(post)-500:]); reply.status != 200 {
+			test.Errorf("long: %d %v", reply.status, reply.err)
 		}
 		time.Sleep(2 * time.Second)
-		if reply := slow.ask("GET", text[40:]); reply.status != 200 {
-			test.Errorf("slow: %d %v", reply.status, reply.broken)
+		if reply := slow.roundTrip("GET", text[40:]); reply.status != 200 {
+			test.Errorf("slow: %d %v", reply.status, reply.err)
 		}
-		for _, arrived := range world.arrivals() {
-			if arrived.line[:4] == "POST" && string(arrived.body) != body {
+		for _, arrived := range env.receivedRequests() {
+			if arrived.requestLine[:4] == "POST" && string(arrived.body) != body {
 				test.Errorf("%d bytes of the long body", len(arrived.body))
 			}
 		}
--- a/hostproxy/mutations_test.go
+++ b/hostproxy/mutations_test.go
@@ -16,38 +16,40 @@
 }
 
 var truths = []truth{
-	{"success", func(id string) string { return whole(id, "200 OK", "Date: Monday\r\n", text(id)) }, true, 200},
-	{"own failure", func(id string) string { return whole(id, "500 Internal Server Error", "", "failure") }, true, 500},
-	{"own promise", func(id string) string { return whole(id, "503 Service Unavailable", "", "failure") }, true, 503},
+	{"success", func(id string) string { return sealedResponse(id, "200 OK", "Date: Monday\r\n", successBody(id)) }, true, 200},
+	{"own failure", func(id string) string { return sealedResponse(id, "500 Internal Server Error", "", "failure") }, true, 500},
+	{"own promise", func(id string) string { return sealedResponse(id, "503 Service Unavailable", "", "failure") }, true, 503},
 	{"refusal", func(id string) string {
-		return bare(id, "503 Service Unavailable", "Not-Executed: full\r\n", "full")
+		return unsealedResponse(id, "503 Service Unavailable", "Not-Executed: full\r\n", "full")
 	}, false, 503},
-	{"misdirected", func(id string) string { return bare(id, "421 Misdirected Request", "Not-Executed: 1\r\n", "") }, false, 421},
+	{"misdirected", func(id string) string {
+		return unsealedResponse(id, "421 Misdirected Request", "Not-Executed: 1\r\n", "")
+	}, false, 421},
 	{"own failure, in chunks", func(id string) string {
 		return "HTTP/1.1 500 Internal Server Error\r\nAttempt: " + id + "\r\nSeal: s-" + id + "\r\nTransfer-Encoding: chunked\r\n\r\n7\r\nfailure\r\n0\r\n\r\n"
 	}, true, 500},
 	{"chunks", func(id string) string {
 		return "HTTP/1.1 200 OK\r\nAttempt: " + id + "\r\nSeal: s-" + id + "\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf(
 			"%x\r\n%s\r\n0\r\n\r\n",
-			len(text(id)),
-			text(id),
+			len(successBody(id)),
+			successBody(id),
 		)
 	}, true, 200},
 }
 
 // hold fails the test unless the client got the true answer, whole, or was told
 // of a failure that claims no more than is known.
-func (truth *truth) hold(test *testing.T, what string, result *played) {
+func (truth *truth) hold(test *testing.T, what string, result *scriptResult) {
 	test.Helper()
 	reply := &result.reply
-	if result.arrivals != 1 {
-		test.Errorf("%s: %d arrivals", what, result.arrivals)
+	if result.requests != 1 {
+		test.Errorf("%s: %d arrivals", what, result.requests)
 	}
 	switch {
-	case reply.broken != nil:
-		test.Errorf("%s: broken: %v", what, reply.broken)
+	case reply.err != nil:
+		test.Errorf("%s: broken: %v", what, reply.err)
 	case reply.header.Get("Seal") != "":
-		want := text(result.id)
+		want := successBody(result.id)
 		if truth.status != 200 {
 			want = "failure"
 		}
@@ -59,10 +61,10 @@
 		}
 	case reply.status < 400:
 		test.Errorf("%s: %d without a seal: %q", what, reply.status, reply.body)
-	case promised(reply.status) && truth.ran:
+	case isNotExecutedStatus(reply.status) && truth.ran:
 		test.Errorf("%s: told %d of what ran", what, reply.status)
 	}
-	if reply := &result.next; reply.status == 200 && (reply.body != text(result.nextID) || reply.header.Get("Attempt") != result.nextID) {
+	if reply := &result.next; reply.status == 200 && (reply.body != successBody(result.nextID) || reply.header.Get("Attempt") != result.nextID) {
 		test.Errorf("%s: the next one got %q", what, reply.body)
 	}
 }
@@ -73,7 +75,7 @@
 	for _, truth := range truths {
 		size := len(truth.answer("id2"))
 		for cut := range size {
-			result := play(test, "GET", "/once/a", func(id string) script { return thenClose(truth.answer(id)[:cut]) })
+			result := runScript(test, "GET", "/once/a", func(id string) responseScript { return writeAndClose(truth.answer(id)[:cut]) })
 			truth.hold(test, fmt.Sprintf("%s cut after %d", truth.name, cut), &result)
 		}
 	}
@@ -83,13 +85,13 @@
 // it late, never mixes with it.
 func TestPartOfAnotherAnswerBefore(test *testing.T) {
 	for _, other := range []string{
-		whole("other", "200 OK", "Date: Monday\r\nServer: x\r\n", "another body"), "HTTP/1.1 200 OK\r\nDate: Monday\r\nSeal: other\r\nContent-Length: 3\r\n\r\nbad",
+		sealedResponse("other", "200 OK", "Date: Monday\r\nServer: x\r\n", "another body"), "HTTP/1.1 200 OK\r\nDate: Monday\r\nSeal: other\r\nContent-Length: 3\r\n\r\nbad",
 		"HTTP/1.1 200 OK\r\nTrailer: one, two\r\nConnection: close\r\nKeep-Alive: x\r\nPragma: no-cache\r\n", "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n",
-		bare("other", "503 Service Unavailable", "Date: Monday\r\nNot-Executed: full\r\n", ""), "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: full\r\nContent-Length: 0\r\n\r\n",
+		unsealedResponse("other", "503 Service Unavailable", "Date: Monday\r\nNot-Executed: full\r\n", ""), "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: full\r\nContent-Length: 0\r\n\r\n",
 	} {
 		for _, truth := range truths {
 			for cut := 1; cut <= len(other); cut++ {
-				result := play(test, "GET", "/once/a", func(id string) script { return thenClose(other[:cut] + truth.answer(id)) })
+				result := runScript(test, "GET", "/once/a", func(id string) responseScript { return writeAndClose(other[:cut] + truth.answer(id)) })
 				truth.hold(test, fmt.Sprintf("%s after %q", truth.name, other[:cut]), &result)
 			}
 		}
@@ -117,10 +119,10 @@
 				if mutated == "\r\n" && name == "doubled" {
 					continue
 				}
-				result := play(test, "GET", "/once/a", func(id string) script {
+				result := runScript(test, "GET", "/once/a", func(id string) responseScript {
 					queues := strings.SplitAfter(truth.answer(id), "\r\n")
 					queues[line] = mutate(queues[line])
-					return thenClose(strings.Join(queues, ""))
+					return writeAndClose(strings.Join(queues, ""))
 				})
 				what := fmt.Sprintf("%s, line %d %s", truth.name, line, name)
 				value := name == "folded" || name == "null" || name == "bare return" || name == "of another"
--- a/hostproxy/offer_test.go
+++ b/hostproxy/offer_test.go
@@ -6,41 +6,41 @@
 )
 
 // withdrawals are the ways in which a backend stops being a candidate.
-var withdrawals = map[string]func(world *world, name string){
-	"leaves": func(world *world, name string) {
-		for index := range world.table.Backends {
-			if backend := &world.table.Backends[index]; backend.Name == name {
+var withdrawals = map[string]func(env *testEnv, name string){
+	"leaves": func(env *testEnv, name string) {
+		for index := range env.table.Backends {
+			if backend := &env.table.Backends[index]; backend.Name == name {
 				backend.Leaving = true
 			}
 		}
 	},
-	"is unlisted": func(world *world, name string) {
-		kept := world.table.Backends[:0]
-		for _, backend := range world.table.Backends {
+	"is unlisted": func(env *testEnv, name string) {
+		kept := env.table.Backends[:0]
+		for _, backend := range env.table.Backends {
 			if backend.Name != name {
 				kept = append(kept, backend)
 			}
 		}
-		world.table.Backends = kept
+		env.table.Backends = kept
 	},
-	"its zone is evacuated": func(world *world, name string) {
-		for _, backend := range world.table.Backends {
+	"its zone is evacuated": func(env *testEnv, name string) {
+		for _, backend := range env.table.Backends {
 			if backend.Name == name {
-				world.book.Evacuated = []string{backend.Zone}
+				env.state.Evacuated = []string{backend.Zone}
 			}
 		}
 	},
 }
 
 // begin asks in the background; what it returns waits for the reply.
-func (world *world) begin(path string) (wait func() (reply, string)) {
+func (env *testEnv) begin(path string) (wait func() (reply, string)) {
 	type result struct {
 		reply reply
 		id    string
 	}
 	results := make(chan result, 1)
-	world.goroutines.Start(func() {
-		reply, id := world.get(path)
+	env.goroutines.Start(func() {
+		reply, id := env.get(path)
 		results <- result{reply, id}
 	})
 	return func() (reply, string) {
@@ -54,23 +54,23 @@
 func TestWithdrawnWhileDialling(test *testing.T) {
 	for name, withdraw := range withdrawals {
 		test.Run(name, func(test *testing.T) {
-			inWorld(test, func(world *world) {
-				world.add("b1")
-				world.addAt("b2", "plain", "w1", 8)
-				world.doors.silence("b1:80", true)
-				wait := world.begin("/once/a")
-				world.goroutines.Sleep(100 * time.Millisecond)
-				world.lay(func() { withdraw(world, "b1") })
-				world.doors.unsilence("b1:80")
+			withTestEnv(test, func(env *testEnv) {
+				env.addBackend("b1")
+				env.addBackendAt("b2", "plain", "w1", 8)
+				env.network.silence("b1:80", true)
+				wait := env.begin("/once/a")
+				env.goroutines.Sleep(100 * time.Millisecond)
+				env.update(func() { withdraw(env, "b1") })
+				env.network.unsilence("b1:80")
 				reply, id := wait()
-				world.good(reply, id)
-				if reply.took > 110*time.Millisecond {
-					test.Errorf("took %s", reply.took)
+				env.expectSuccess(reply, id)
+				if reply.elapsed > 110*time.Millisecond {
+					test.Errorf("took %s", reply.elapsed)
 				}
-				if count := len(world.backends["b1"].seen()); count != 0 {
+				if count := len(env.backends["b1"].requests()); count != 0 {
 					test.Errorf("%d requests at the withdrawn backend", count)
 				}
-				if sent := world.counters.Get("attempts_sent_withdrawn"); sent != 0 {
+				if sent := env.counters.Get("attempts_sent_withdrawn"); sent != 0 {
 					test.Errorf("%d attempts counted as sent to a withdrawn backend", sent)
 				}
 			})
@@ -81,23 +81,23 @@
 // A dial to a backend that leaves held its request until the dial's own time was over, and
 // counted as the backend's failure.
 func TestWithdrawalEndsDial(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1")
-		world.addAt("b2", "plain", "w1", 8)
-		world.doors.silence("b1:80", true)
-		wait := world.begin("/once/a")
-		world.goroutines.Sleep(100 * time.Millisecond)
-		held := world.proxy.targets["b1"]
-		world.lay(func() { withdrawals["leaves"](world, "b1") })
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1")
+		env.addBackendAt("b2", "plain", "w1", 8)
+		env.network.silence("b1:80", true)
+		wait := env.begin("/once/a")
+		env.goroutines.Sleep(100 * time.Millisecond)
+		held := env.proxy.targets["b1"]
+		env.update(func() { withdrawals["leaves"](env, "b1") })
 		reply, id := wait()
-		world.good(reply, id)
-		if reply.took > 110*time.Millisecond {
-			test.Errorf("took %s", reply.took)
+		env.expectSuccess(reply, id)
+		if reply.elapsed > 110*time.Millisecond {
+			test.Errorf("took %s", reply.elapsed)
 		}
-		if open, running := world.held("b1"); open != 0 || running != 0 {
+		if open, running := env.targetLoad("b1"); open != 0 || running != 0 {
 			test.Errorf("%d connections and %d requests are left there", open, running)
 		}
-		if held.failures != 0 || world.counters.Get("connections_failed") != 0 {
+		if held.failures != 0 || env.counters.Get("connections_failed") != 0 {
 			test.Error("counted as the backend's failure")
 		}
 	})
@@ -107,26 +107,26 @@
 // and the attempt that it has: the service's budget holds one retry here, the route three
 // attempts, and the third backend answers in the third.
 func TestWithdrawnRetryKeepsItsBudget(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1").then(resetAfterReading)
-		world.addAt("b2", "plain", "e2", 8)
-		world.addAt("b3", "plain", "w1", 8)
-		world.doors.silence("b2:80", true)
-		world.proxy.budgets["plain"].tokens = 1
-		wait := world.begin("/again/a")
-		world.goroutines.Sleep(100 * time.Millisecond)
-		world.lay(func() { withdrawals["leaves"](world, "b2") })
-		world.doors.unsilence("b2:80")
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1").handleNext(resetAfterReading)
+		env.addBackendAt("b2", "plain", "e2", 8)
+		env.addBackendAt("b3", "plain", "w1", 8)
+		env.network.silence("b2:80", true)
+		env.proxy.budgets["plain"].tokens = 1
+		wait := env.begin("/again/a")
+		env.goroutines.Sleep(100 * time.Millisecond)
+		env.update(func() { withdrawals["leaves"](env, "b2") })
+		env.network.unsilence("b2:80")
 		reply, id := wait()
-		world.good(reply, id)
-		if count := len(world.backends["b2"].seen()); count != 0 {
+		env.expectSuccess(reply, id)
+		if count := len(env.backends["b2"].requests()); count != 0 {
 			test.Errorf("%d requests at the withdrawn backend", count)
 		}
-		if count := len(world.backends["b3"].seen()); count != 1 {
+		if count := len(env.backends["b3"].requests()); count != 1 {
 			test.Errorf("%d requests at the third backend", count)
 		}
 		for _, name := range []string{"b1", "b2", "b3"} {
-			if _, running := world.held(name); running != 0 {
+			if _, running := env.targetLoad(name); running != 0 {
 				test.Errorf("%d requests are left at %s", running, name)
 			}
 		}
@@ -135,24 +135,24 @@
 
 // A backend that is offered again gets requests again, also those that were taken back.
 func TestOfferedAgain(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1")
-		world.addAt("b2", "plain", "w1", 8)
-		world.doors.silence("b1:80", true)
-		wait := world.begin("/once/a")
-		world.goroutines.Sleep(100 * time.Millisecond)
-		world.lay(func() { world.table.Backends[0].Leaving = true })
-		world.lay(func() { world.table.Backends[0].Leaving = false })
-		world.doors.unsilence("b1:80")
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1")
+		env.addBackendAt("b2", "plain", "w1", 8)
+		env.network.silence("b1:80", true)
+		wait := env.begin("/once/a")
+		env.goroutines.Sleep(100 * time.Millisecond)
+		env.update(func() { env.table.Backends[0].Leaving = true })
+		env.update(func() { env.table.Backends[0].Leaving = false })
+		env.network.unsilence("b1:80")
 		reply, id := wait()
-		world.good(reply, id)
-		before := len(world.backends["b1"].seen())
-		reply, id = world.get("/once/b")
-		world.good(reply, id)
-		if len(world.backends["b1"].seen()) != before+1 {
+		env.expectSuccess(reply, id)
+		before := len(env.backends["b1"].requests())
+		reply, id = env.get("/once/b")
+		env.expectSuccess(reply, id)
+		if len(env.backends["b1"].requests()) != before+1 {
 			test.Error("no request at the backend that is offered again")
 		}
-		if sent := world.counters.Get("attempts_sent_withdrawn"); sent != 0 {
+		if sent := env.counters.Get("attempts_sent_withdrawn"); sent != 0 {
 			test.Errorf("%d attempts counted as sent to a withdrawn backend", sent)
 		}
 	})
--- a/hostproxy/peer_watch_test.go
+++ b/hostproxy/peer_watch_test.go
@@ -50,7 +50,7 @@
 		test.Fatal(err)
 	}
 	defer listener.Close()
-	config, goroutines := ownPlace("p1", "e1"), concurrent.NewGroup()
+	config, goroutines := testConfig("p1", "e1"), concurrent.NewGroup()
 	config.UserTimeout = timeout
 	var dialled *net.TCPConn
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -63,11 +63,11 @@
 		return conn, newConnection(conn).setUserTimeout(timeout)
 	}
 	proxy := NewProxy(config, dial, func() int64 { return time.Now().UnixMilli() }, goroutines, metrics.NewCounters())
-	state := &routing.State{Config: ownConfig()}
+	state := &routing.State{Config: testRoutingConfig()}
 	state.Config.Limits.BodyBytes = 4 << 20
 	state.Config.Routes[0].TimeoutMs = 60_000
 	proxy.Apply(state, &message.Table{
-		Version:  leaderMark,
+		Version:  leaderVersion,
 		Complete: true,
 		Members:  []message.Member{{Name: "p1", Kind: message.ProxyKind, Zone: "e1", Ready: true}},
 		Backends: []message.Backend{{Name: "b1", Service: "plain", Address: listener.Addr().String(), Zone: "e1", Capacity: 8}},
@@ -91,8 +91,8 @@
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, whole("id", "200 OK", "", "done")) // the proxy tells what became of it
-		_, _ = conn.Read(first[:])                                     // until the proxy closes it
+		_, _ = io.WriteString(conn, sealedResponse("id", "200 OK", "", "done")) // the proxy tells what became of it
+		_, _ = conn.Read(first[:])                                              // until the proxy closes it
 	})
 	source := httptest.NewRequest(http.MethodPost, "http://host.example/once/a", strings.NewReader(string(letters(0, 3<<20))))
 	source.RequestURI = "/once/a"
@@ -120,9 +120,9 @@
 		test.Fatal(err)
 	}
 	defer conn.Close()
-	config, goroutines := ownPlace("p1", "e1"), concurrent.NewGroup()
+	config, goroutines := testConfig("p1", "e1"), concurrent.NewGroup()
 	config.UserTimeout = timeout
-	proxy := NewProxy(config, unreachable, func() int64 { return 0 }, goroutines, metrics.NewCounters())
+	proxy := NewProxy(config, dialUnreachable, func() int64 { return 0 }, goroutines, metrics.NewCounters())
 	held, kept := newTarget(ownBackend()), newConnection(conn)
 	held.reserveConnection(1)
 	proxy.watchPeer(kept)
--- a/hostproxy/proxy.go
+++ b/hostproxy/proxy.go
@@ -39,7 +39,7 @@
 	view            atomic.Pointer[routingView]
 	stats           *routeStats
 	usageMeter      *usageMeter
-	figures         *requestMetrics
+	requestMetrics  *requestMetrics
 	references      *score.References
 	capacityFreed   *concurrent.Condition
 	queues          waitQueues
@@ -72,7 +72,7 @@
 		clock:           time.Now,
 		clusterTimeMs:   clusterTimeMs,
 		stats:           newRouteStats(),
-		figures:         newRequestMetrics(counters),
+		requestMetrics:  newRequestMetrics(counters),
 		references:      score.NewReferences(),
 		capacityFreed:   concurrent.NewCondition(),
 		targets:         map[string]*target{},
--- a/hostproxy/repeat_test.go
+++ b/hostproxy/repeat_test.go
@@ -56,25 +56,25 @@
 func TestIdleCloseDrawsOnTheBudget(test *testing.T) {
 	for tokens, want := range map[float64]int{0: 502, 1: 200} {
 		for _, reset := range []bool{false, true} {
-			inWorld(test, func(world *world) {
-				world.add("b1")
-				reply, id := world.get("/again/a")
-				world.good(reply, id)
-				world.addAt("b2", "plain", "e2", 8)
+			withTestEnv(test, func(env *testEnv) {
+				env.addBackend("b1")
+				reply, id := env.get("/again/a")
+				env.expectSuccess(reply, id)
+				env.addBackendAt("b2", "plain", "e2", 8)
 				if reset {
-					world.backends["b1"].then(resetAfterReading)
+					env.backends["b1"].handleNext(resetAfterReading)
 				} else {
-					world.backends["b1"].hang()
+					env.backends["b1"].closeConnections()
 				}
-				world.proxy.view.Load().budgets[0].tokens = tokens - 0.15
-				reply, _ = world.get("/again/a")
-				if reply.status != want || len(world.backends["b2"].seen()) != (502-want)/302 {
+				env.proxy.view.Load().budgets[0].tokens = tokens - 0.15
+				reply, _ = env.get("/again/a")
+				if reply.status != want || len(env.backends["b2"].requests()) != (502-want)/302 {
 					test.Errorf(
 						"budget %v, reset %v: %d, %d arrivals at the other",
 						tokens,
 						reset,
 						reply.status,
-						len(world.backends["b2"].seen()),
+						len(env.backends["b2"].requests()),
 					)
 				}
 			})
@@ -86,18 +86,18 @@
 // is closed with the request.
 func TestLateAnswerAfterTimeout(test *testing.T) {
 	for _, path := range []string{"/once/a", "/again/a"} {
-		inWorld(test, func(world *world) {
-			world.add("b1").then(after(1560*time.Millisecond, well))
-			if reply, _ := world.get(path); reply.status != 504 {
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1").handleNext(delayed(1560*time.Millisecond, succeed))
+			if reply, _ := env.get(path); reply.status != 504 {
 				test.Errorf("%s: %d", path, reply.status)
 			}
 			for range 3 {
-				reply, id := world.get("/once/b")
-				world.good(reply, id)
-				world.goroutines.Sleep(20 * time.Millisecond)
+				reply, id := env.get("/once/b")
+				env.expectSuccess(reply, id)
+				env.goroutines.Sleep(20 * time.Millisecond)
 			}
-			if connections := world.backends["b1"].connections(); connections != 2 || world.counters.Get("answers_surplus") != 0 {
-				test.Errorf("%s: %d connections, %d surplus answers", path, connections, world.counters.Get("answers_surplus"))
+			if connections := env.backends["b1"].connections(); connections != 2 || env.counters.Get("answers_surplus") != 0 {
+				test.Errorf("%s: %d connections, %d surplus answers", path, connections, env.counters.Get("answers_surplus"))
 			}
 		})
 	}
@@ -105,35 +105,35 @@
 
 // A refusal is believed by its head; a body that does not come holds nobody up.
 func TestRefusalWithoutItsBody(test *testing.T) {
-	inWorld(test, func(world *world) {
-		stalled := first(func(exchange *exchange) bool {
-			exchange.say("HTTP/1.1 503 X\r\nAttempt: %s\r\nNot-Executed: full\r\nContent-Length: 100\r\n\r\nfu", exchange.get("Attempt"))
-			return silent(exchange)
+	withTestEnv(test, func(env *testEnv) {
+		stalled := onFirstRequest(func(exchange *exchange) bool {
+			exchange.writef("HTTP/1.1 503 X\r\nAttempt: %s\r\nNot-Executed: full\r\nContent-Length: 100\r\n\r\nfu", exchange.get("Attempt"))
+			return neverRespond(exchange)
 		})
-		world.add("b1").ever(stalled)
-		world.add("b2").ever(stalled)
-		reply, id := world.get("/once/a")
-		world.good(reply, id)
-		if reply.took > 2*refusalDrainTimeout {
-			test.Errorf("after %s", reply.took)
+		env.addBackend("b1").handleAll(stalled)
+		env.addBackend("b2").handleAll(stalled)
+		reply, id := env.get("/once/a")
+		env.expectSuccess(reply, id)
+		if reply.elapsed > 2*refusalDrainTimeout {
+			test.Errorf("after %s", reply.elapsed)
 		}
 	})
 }
 
 // A head that is cut off on its way may have been read as a whole request.
 func TestHeadCutOffOnItsWayMayHaveRun(test *testing.T) {
-	inWorld(test, func(world *world) {
+	withTestEnv(test, func(env *testEnv) {
 		part := func(pipe *pipe) {
 			_, _ = io.ReadFull(pipe, make([]byte, 20<<10)) // or less, where the proxy gives up first
 			pipe.reset()
 		}
-		world.add("b1").greet(part)
-		world.add("b2").greet(part)
-		client := world.client()
-		defer client.pipe.Close()
-		reply := client.ask("GET", raw("GET", "/once/a", "id", "Long: "+string(letters(0, 200<<10))+"\r\n", ""))
-		if reply.status != 502 || world.counters.Get("connections_opened") != 1 {
-			test.Errorf("%d, %d connections", reply.status, world.counters.Get("connections_opened"))
+		env.addBackend("b1").onConnect(part)
+		env.addBackend("b2").onConnect(part)
+		client := env.client()
+		defer client.conn.Close()
+		reply := client.roundTrip("GET", rawRequest("GET", "/once/a", "id", "Long: "+string(letters(0, 200<<10))+"\r\n", ""))
+		if reply.status != 502 || env.counters.Get("connections_opened") != 1 {
+			test.Errorf("%d, %d connections", reply.status, env.counters.Get("connections_opened"))
 		}
 	})
 }
--- a/hostproxy/request.go
+++ b/hostproxy/request.go
@@ -72,8 +72,8 @@
 	lastResponse    *response
 	mayHaveRun      bool
 
-	spent  requestTimings
-	result requestResult
+	timings requestTimings
+	result  requestResult
 }
 
 func (request *request) tenantName() string {
@@ -103,7 +103,7 @@
 	proxy.inFlight.increment()
 	defer proxy.inFlight.decrement()
 	defer func() { proxy.memory.Release(request.body.takeReservation()) }()
-	defer func() { proxy.figures.observeEnd(request, proxy.clock()) }()
+	defer func() { proxy.requestMetrics.observeEnd(request, proxy.clock()) }()
 	if status := proxy.validate(request); status != 0 {
 		proxy.refuse(request, status, rpc.BadRequest)
 		return
--- a/hostproxy/request_memory_test.go
+++ b/hostproxy/request_memory_test.go
@@ -46,34 +46,36 @@
 	body := string(letters(0, size))
 	chunks := "Transfer-Encoding: chunked\r\n\r\n" + strconv.FormatInt(size, 16) + "\r\n" + body + "\r\n0\r\n\r\n"
 	head := "POST /once/a HTTP/1.1\r\nHost: host.example\r\nAttempt: late\r\nDeadline: 1500\r\n"
-	for form, late := range map[string]string{"length": raw("POST", "/once/a", "late", "", body), "chunks": head + chunks} {
-		inWorld(test, func(world *world) {
-			world.proxy.memory = newRequestMemory(2_400_000)
-			world.add("b1").ever(after(500*time.Millisecond, well))
-			first := world.client()
-			defer first.pipe.Close()
-			world.goroutines.Start(func() { world.good(first.ask("POST", raw("POST", "/once/a", "first", "", body)), "first") })
-			world.goroutines.Sleep(100 * time.Millisecond)
-			second := world.client()
-			defer second.pipe.Close()
-			world.goroutines.Start(func() { second.send(late) })
-			refused := second.ask("POST", "")
-			if refused.status != 503 || refused.header.Get("Retry-After") == "" || refused.took > 50*time.Millisecond {
-				test.Errorf("%s: %d %v after %s", form, refused.status, refused.broken, refused.took)
+	for form, late := range map[string]string{"length": rawRequest("POST", "/once/a", "late", "", body), "chunks": head + chunks} {
+		withTestEnv(test, func(env *testEnv) {
+			env.proxy.memory = newRequestMemory(2_400_000)
+			env.addBackend("b1").handleAll(delayed(500*time.Millisecond, succeed))
+			first := env.client()
+			defer first.conn.Close()
+			env.goroutines.Start(func() {
+				env.expectSuccess(first.roundTrip("POST", rawRequest("POST", "/once/a", "first", "", body)), "first")
+			})
+			env.goroutines.Sleep(100 * time.Millisecond)
+			second := env.client()
+			defer second.conn.Close()
+			env.goroutines.Start(func() { second.send(late) })
+			refused := second.roundTrip("POST", "")
+			if refused.status != 503 || refused.header.Get("Retry-After") == "" || refused.elapsed > 50*time.Millisecond {
+				test.Errorf("%s: %d %v after %s", form, refused.status, refused.err, refused.elapsed)
 			}
-			small := world.client()
-			defer small.pipe.Close()
-			world.good(small.ask("POST", raw("POST", "/once/a", "small", "", "a few bytes")), "small")
-			world.goroutines.Sleep(time.Second)
-			if held := world.proxy.memory.InUse(); held != 0 {
+			small := env.client()
+			defer small.conn.Close()
+			env.expectSuccess(small.roundTrip("POST", rawRequest("POST", "/once/a", "small", "", "a few bytes")), "small")
+			env.goroutines.Sleep(time.Second)
+			if held := env.proxy.memory.InUse(); held != 0 {
 				test.Errorf("%s: %d bytes held in the end", form, held)
 			}
-			again := world.client()
-			defer again.pipe.Close()
-			if reply := again.ask("POST", late); reply.status != 200 {
+			again := env.client()
+			defer again.conn.Close()
+			if reply := again.roundTrip("POST", late); reply.status != 200 {
 				test.Errorf("%s: %d once there is memory again", form, reply.status)
 			}
-			if count := len(world.arrivals()); count != 3 {
+			if count := len(env.receivedRequests()); count != 3 {
 				test.Errorf("%s: %d arrivals", form, count)
 			}
 		})
@@ -82,19 +84,19 @@
 
 // The rest of a body that is sent after an early answer counts until it is sent.
 func TestBodyCountsUntilItIsSent(test *testing.T) {
-	inWorld(test, func(world *world) {
+	withTestEnv(test, func(env *testEnv) {
 		body := string(letters(0, 900<<10))
-		success := func(id string) string { return whole(id, "200 OK", "", text(id)) }
-		reader := &earlyReader{world: world, answer: success, rest: 50 * time.Millisecond}
-		world.add("b1").greet(reader.serve)
-		client := world.client()
-		defer client.pipe.Close()
-		world.good(client.ask("POST", raw("POST", "/once/a", "id", "", body)), "id")
-		if held := world.proxy.memory.InUse(); held != int64(len(body)) {
+		success := func(id string) string { return sealedResponse(id, "200 OK", "", successBody(id)) }
+		reader := &earlyReader{world: env, answer: success, rest: 50 * time.Millisecond}
+		env.addBackend("b1").onConnect(reader.serve)
+		client := env.client()
+		defer client.conn.Close()
+		env.expectSuccess(client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "", body)), "id")
+		if held := env.proxy.memory.InUse(); held != int64(len(body)) {
 			test.Errorf("%d bytes held while the body is sent", held)
 		}
-		world.proxy.FinishUploads(2 * time.Second)
-		if held := world.proxy.memory.InUse(); held != 0 {
+		env.proxy.FinishUploads(2 * time.Second)
+		if held := env.proxy.memory.InUse(); held != 0 {
 			test.Errorf("%d bytes held afterwards", held)
 		}
 	})
--- a/hostproxy/request_metrics.go
+++ b/hostproxy/request_metrics.go
@@ -81,7 +81,7 @@
 // observeOverhead records the latency that the proxy added to a request, just before the
 // response header is written.
 func (histograms *requestMetrics) observeOverhead(request *request, now time.Time) {
-	timings := &request.spent
+	timings := &request.timings
 	histograms.overhead.Observe(now.Sub(request.begin) - timings.waiting - timings.connecting - timings.backends)
 }
 
@@ -91,8 +91,8 @@
 		return
 	}
 	kind := request.route.Kind
-	histograms.wait[kind].Observe(request.spent.waiting)
-	histograms.connect[kind].Observe(request.spent.connecting)
-	histograms.backend[kind].Observe(request.spent.backends)
+	histograms.wait[kind].Observe(request.timings.waiting)
+	histograms.connect[kind].Observe(request.timings.connecting)
+	histograms.backend[kind].Observe(request.timings.backends)
 	histograms.total[kind][request.result].Observe(now.Sub(request.begin))
 }
--- a/hostproxy/request_test.go
+++ b/hostproxy/request_test.go
@@ -14,9 +14,9 @@
 )
 
 // keyed makes the config one of tenants, and adds a public route.
-func (world *world) keyed() {
-	world.lay(func() {
-		config := &world.book.Config
+func (env *testEnv) keyed() {
+	env.update(func() {
+		config := &env.state.Config
 		config.KeysRequired = true
 		config.Tenants = []routing.Tenant{
 			{Name: "first", Keys: []string{"k1", "k2"}},
@@ -56,20 +56,20 @@
 		{"PATCH", "/once/a", long},
 		{"BREW", "/once/a", "\x00\xff\r\n\r\n"},
 	} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			client := world.client()
-			defer client.pipe.Close()
-			id := world.id()
-			world.good(client.ask(sent.method, raw(sent.method, sent.path, id, "", sent.body)), id)
-			all := world.arrivals()
-			if len(all) != 1 || all[0].line != sent.method+" "+sent.path+" HTTP/1.1" || string(all[0].body) != sent.body || all[0].chunked {
-				test.Errorf("%s %s: arrived as %d, %q", sent.method, sent.path, len(all), all[0].line)
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			client := env.client()
+			defer client.conn.Close()
+			id := env.newID()
+			env.expectSuccess(client.roundTrip(sent.method, rawRequest(sent.method, sent.path, id, "", sent.body)), id)
+			all := env.receivedRequests()
+			if len(all) != 1 || all[0].requestLine != sent.method+" "+sent.path+" HTTP/1.1" || string(all[0].body) != sent.body || all[0].chunked {
+				test.Errorf("%s %s: arrived as %d, %q", sent.method, sent.path, len(all), all[0].requestLine)
 			}
-			if hosts := all[0].all("Host"); len(hosts) != 1 || hosts[0] != "host.example" {
+			if hosts := all[0].values("Host"); len(hosts) != 1 || hosts[0] != "host.example" {
 				test.Errorf("%v", hosts)
 			}
-			lengths := all[0].all("Content-Length")
+			lengths := all[0].values("Content-Length")
 			if sent.body != "" && (len(lengths) != 1 || lengths[0] != strconv.Itoa(len(sent.body))) ||
 				sent.body == "" && sent.method == "GET" && len(lengths) != 0 {
 				test.Errorf("%s %s: lengths %v", sent.method, sent.path, lengths)
@@ -86,12 +86,12 @@
 		"a trailer":  {"1\r\nx\r\n0\r\nTenant: forged\r\n\r\n", "x"},
 		"in capital": {"A\r\n0123456789\r\n0\r\n\r\n", "0123456789"},
 	} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			client := world.client()
-			defer client.pipe.Close()
-			world.good(client.ask("POST", raw("POST", "/once/a", "id", "Transfer-Encoding: chunked\r\n", "")+sent.chunks), "id")
-			arrived := world.arrivals()[0]
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			client := env.client()
+			defer client.conn.Close()
+			env.expectSuccess(client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "Transfer-Encoding: chunked\r\n", "")+sent.chunks), "id")
+			arrived := env.receivedRequests()[0]
 			if string(arrived.body) != sent.want || arrived.get("Content-Length") != strconv.Itoa(len(sent.want)) ||
 				arrived.get("Tenant") != "" ||
 				arrived.chunked {
@@ -99,12 +99,12 @@
 			}
 		})
 	}
-	inWorld(test, func(world *world) {
-		world.add("b1")
-		client := world.client()
-		defer client.pipe.Close()
-		world.good(client.ask("POST", raw("POST", "/once/a", "id", "Content-Length: 0\r\n", "")), "id")
-		if lengths := world.arrivals()[0].all("Content-Length"); len(lengths) != 1 || lengths[0] != "0" {
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1")
+		client := env.client()
+		defer client.conn.Close()
+		env.expectSuccess(client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "Content-Length: 0\r\n", "")), "id")
+		if lengths := env.receivedRequests()[0].values("Content-Length"); len(lengths) != 1 || lengths[0] != "0" {
 			test.Errorf("%v", lengths)
 		}
 	})
@@ -113,29 +113,29 @@
 // Fields go through with all their values, but for those of one connection and
 // those that are the proxy's to say.
 func TestRequestFields(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1")
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1")
 		many, want := "", []string{}
 		for number := range 100 {
 			value := fmt.Sprint("value ", number)
 			many, want = many+"Many: "+value+"\r\n", append(want, value)
 		}
-		client := world.client()
-		defer client.pipe.Close()
+		client := env.client()
+		defer client.conn.Close()
 		fields := many + "Connection: keep-alive, Private\r\nPrivate: x\r\nKeep-Alive: timeout=5\r\nProxy-Connection: x\r\nTE: trailers\r\nUpgrade: h2c\r\n" +
 			"Tenant: forged\r\ntenant: forged too\r\nTarget: forged\r\nX-Empty:\r\nAccept-Encoding: gzip\r\nAuthorization: Basic abc\r\n"
-		world.good(client.ask("GET", raw("GET", "/once/a", "id", fields, "")), "id")
-		arrived := world.arrivals()[0]
-		if !slices.Equal(arrived.all("Many"), want) {
-			test.Errorf("many came as %v", arrived.all("Many"))
+		env.expectSuccess(client.roundTrip("GET", rawRequest("GET", "/once/a", "id", fields, "")), "id")
+		arrived := env.receivedRequests()[0]
+		if !slices.Equal(arrived.values("Many"), want) {
+			test.Errorf("many came as %v", arrived.values("Many"))
 		}
 		for _, gone := range []string{"Connection", "Private", "Keep-Alive", "Proxy-Connection", "TE", "Upgrade", "Tenant", "User-Agent", "Transfer-Encoding"} {
-			if values := arrived.all(gone); len(values) > 0 {
+			if values := arrived.values(gone); len(values) > 0 {
 				test.Errorf("%s came: %v", gone, values)
 			}
 		}
 		for name, value := range map[string]string{"Attempt": "id", "Target": "b1", "Accept-Encoding": "gzip", "Authorization": "Basic abc", "X-Empty": ""} {
-			if values := arrived.all(name); len(values) != 1 && name != "X-Empty" || arrived.get(name) != value {
+			if values := arrived.values(name); len(values) != 1 && name != "X-Empty" || arrived.get(name) != value {
 				test.Errorf("%s came as %v", name, values)
 			}
 		}
@@ -163,22 +163,22 @@
 		"newline in a chunk":    head + "Transfer-Encoding: chunked\r\n\r\n5\n\r\nhello\r\n0\r\n\r\n",
 		"chunk size in letters": head + "Transfer-Encoding: chunked\r\n\r\n0x5\r\nhello\r\n0\r\n\r\n",
 	} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			client := world.client()
-			defer client.pipe.Close()
-			client.ask("POST", text)
-			world.goroutines.Sleep(100 * time.Millisecond)
-			all := world.arrivals()
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			client := env.client()
+			defer client.conn.Close()
+			client.roundTrip("POST", text)
+			env.goroutines.Sleep(100 * time.Millisecond)
+			all := env.receivedRequests()
 			if len(all) > 1 {
 				test.Errorf("%s: %d arrivals", name, len(all))
 			}
 			for _, arrival := range all {
-				if arrival.get("Attempt") != "id" || arrival.line != "POST /once/a HTTP/1.1" || arrival.chunked ||
-					len(arrival.all("Content-Length")) != 1 ||
-					len(arrival.all("Host")) != 1 ||
+				if arrival.get("Attempt") != "id" || arrival.requestLine != "POST /once/a HTTP/1.1" || arrival.chunked ||
+					len(arrival.values("Content-Length")) != 1 ||
+					len(arrival.values("Host")) != 1 ||
 					len(arrival.body) > 0 {
-					test.Errorf("%s: %q %v %q", name, arrival.line, arrival.fields, arrival.body)
+					test.Errorf("%s: %q %v %q", name, arrival.requestLine, arrival.fields, arrival.body)
 				}
 			}
 		})
@@ -211,22 +211,22 @@
 		{"/none/a", "Authorization: Key k1\r\n", 404, ""},
 		{"/onc", "Authorization: Key k1\r\n", 404, ""},
 	} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			world.keyed()
-			client := world.client()
-			defer client.pipe.Close()
-			reply := client.ask("GET", raw("GET", sent.path, "id", sent.fields, ""))
-			all := world.arrivals()
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			env.keyed()
+			client := env.client()
+			defer client.conn.Close()
+			reply := client.roundTrip("GET", rawRequest("GET", sent.path, "id", sent.fields, ""))
+			all := env.receivedRequests()
 			if reply.status != sent.status || (sent.status == 200) != (len(all) == 1) {
 				test.Errorf("%s %q: %d, %d arrivals", sent.path, sent.fields, reply.status, len(all))
 				return
 			}
 			for _, arrival := range all {
-				if tenants := arrival.all("Tenant"); arrival.get("Tenant") != sent.tenant || len(tenants) > 1 {
+				if tenants := arrival.values("Tenant"); arrival.get("Tenant") != sent.tenant || len(tenants) > 1 {
 					test.Errorf("%s %q: tenant %v", sent.path, sent.fields, tenants)
 				}
-				for _, value := range arrival.all("Authorization") {
+				for _, value := range arrival.values("Authorization") {
 					if value != "Basic x" {
 						test.Errorf("%s %q: backend got %q", sent.path, sent.fields, value)
 					}
@@ -238,11 +238,11 @@
 
 // Without tenants nobody needs a key.
 func TestNoTenantsNoKeys(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1")
-		reply, id := world.get("/once/a")
-		world.good(reply, id)
-		if values := world.arrivals()[0].all("Tenant"); len(values) != 0 {
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1")
+		reply, id := env.get("/once/a")
+		env.expectSuccess(reply, id)
+		if values := env.receivedRequests()[0].values("Tenant"); len(values) != 0 {
 			test.Errorf("%v", values)
 		}
 	})
@@ -251,31 +251,31 @@
 // A body over the limit is refused, and reaches nobody.
 func TestBodyTooLarge(test *testing.T) {
 	for name, fields := range map[string]string{"length": "Content-Length: 1048577\r\n", "chunks": "Transfer-Encoding: chunked\r\n"} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			client := world.client()
-			defer client.pipe.Close()
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			client := env.client()
+			defer client.conn.Close()
 			if name == "chunks" {
 				body := string(letters(0, 1<<20+1))
-				world.goroutines.Start(func() {
-					client.send(raw("POST", "/once/a", "id", fields, "") + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body))
+				env.goroutines.Start(func() {
+					client.send(rawRequest("POST", "/once/a", "id", fields, "") + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body))
 				})
 			} else {
-				client.send(raw("POST", "/once/a", "id", fields, ""))
+				client.send(rawRequest("POST", "/once/a", "id", fields, ""))
 			}
-			client.limit(time.Second)
-			reply := client.ask("POST", "")
-			if reply.status != 413 || len(world.arrivals()) != 0 {
-				test.Errorf("%s: %d, %d arrivals", name, reply.status, len(world.arrivals()))
+			client.setTimeout(time.Second)
+			reply := client.roundTrip("POST", "")
+			if reply.status != 413 || len(env.receivedRequests()) != 0 {
+				test.Errorf("%s: %d, %d arrivals", name, reply.status, len(env.receivedRequests()))
 			}
 		})
 	}
-	inWorld(test, func(world *world) {
-		world.add("b1")
-		client := world.client()
-		defer client.pipe.Close()
-		world.good(client.ask("POST", raw("POST", "/once/a", "id", "", string(letters(0, 1<<20)))), "id")
-		if size := len(world.arrivals()[0].body); size != 1<<20 {
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1")
+		client := env.client()
+		defer client.conn.Close()
+		env.expectSuccess(client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "", string(letters(0, 1<<20)))), "id")
+		if size := len(env.receivedRequests()[0].body); size != 1<<20 {
 			test.Errorf("%d bytes arrived", size)
 		}
 	})
@@ -284,14 +284,14 @@
 // A body that ends too soon reaches nobody.
 func TestBodyCutShort(test *testing.T) {
 	for _, fields := range []string{"Content-Length: 10\r\n", "Transfer-Encoding: chunked\r\n"} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			client := world.client()
-			client.send(raw("POST", "/once/a", "id", fields, "") + "5\r\nab")
-			client.pipe.Close()
-			world.goroutines.Sleep(3 * time.Second)
-			if len(world.arrivals()) != 0 {
-				test.Errorf("%d arrivals", len(world.arrivals()))
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			client := env.client()
+			client.send(rawRequest("POST", "/once/a", "id", fields, "") + "5\r\nab")
+			client.conn.Close()
+			env.goroutines.Sleep(3 * time.Second)
+			if len(env.receivedRequests()) != 0 {
+				test.Errorf("%d arrivals", len(env.receivedRequests()))
 			}
 		})
 	}
@@ -299,23 +299,23 @@
 
 // A body that cannot be read reaches nobody.
 func TestMalformedBody(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1")
-		client := world.client()
-		defer client.pipe.Close()
-		reply := client.ask("POST", raw("POST", "/once/a", "id", "Transfer-Encoding: chunked\r\n", "")+"5\r\nabcdeXX\r\n0\r\n\r\n")
-		if reply.status != 400 || len(world.arrivals()) != 0 {
-			test.Errorf("%d, %d arrivals", reply.status, len(world.arrivals()))
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1")
+		client := env.client()
+		defer client.conn.Close()
+		reply := client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "Transfer-Encoding: chunked\r\n", "")+"5\r\nabcdeXX\r\n0\r\n\r\n")
+		if reply.status != 400 || len(env.receivedRequests()) != 0 {
+			test.Errorf("%d, %d arrivals", reply.status, len(env.receivedRequests()))
 		}
 	})
 }
 
 // fill keeps all places of a backend of one slot.
-func (world *world) fill(count int, span time.Duration) {
-	world.addAt("b1", "plain", "e1", 1).ever(after(span, well))
+func (env *testEnv) fill(count int, span time.Duration) {
+	env.addBackendAt("b1", "plain", "e1", 1).handleAll(delayed(span, succeed))
 	for range count {
-		client := world.client()
-		client.send(raw("GET", "/once/a", world.id(), "", ""))
+		client := env.client()
+		client.send(rawRequest("GET", "/once/a", env.newID(), "", ""))
 	}
 	synctest.Wait()
 }
@@ -323,15 +323,15 @@
 // Where there is no room, a request is refused within a quarter of the target time
 // and told when to come back.
 func TestNoRoom(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.fill(3, time.Second)
-		reply, _ := world.get("/once/a")
+	withTestEnv(test, func(env *testEnv) {
+		env.fill(3, time.Second)
+		reply, _ := env.get("/once/a")
 		seconds, err := strconv.ParseFloat(reply.header.Get("Retry-After"), 64)
-		if reply.status != 503 || err != nil || seconds <= 0 || seconds > 0.5 || reply.took > 200*time.Millisecond ||
-			reply.took < 190*time.Millisecond {
-			test.Errorf("%d after %s, come back in %q", reply.status, reply.took, reply.header.Get("Retry-After"))
+		if reply.status != 503 || err != nil || seconds <= 0 || seconds > 0.5 || reply.elapsed > 200*time.Millisecond ||
+			reply.elapsed < 190*time.Millisecond {
+			test.Errorf("%d after %s, come back in %q", reply.status, reply.elapsed, reply.header.Get("Retry-After"))
 		}
-		if count := len(world.arrivals()); count != 3 {
+		if count := len(env.receivedRequests()); count != 3 {
 			test.Errorf("%d arrivals", count)
 		}
 	})
@@ -339,12 +339,12 @@
 
 // Who waits goes on as soon as there is room.
 func TestRoomIsTakenAtOnce(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.fill(3, 100*time.Millisecond)
-		reply, id := world.get("/once/a")
-		world.good(reply, id)
-		all := world.arrivals()
-		if waited := all[3].at.Sub(all[0].at); waited != 100*time.Millisecond {
+	withTestEnv(test, func(env *testEnv) {
+		env.fill(3, 100*time.Millisecond)
+		reply, id := env.get("/once/a")
+		env.expectSuccess(reply, id)
+		all := env.receivedRequests()
+		if waited := all[3].receivedAt.Sub(all[0].receivedAt); waited != 100*time.Millisecond {
 			test.Errorf("sent on after %s", waited)
 		}
 	})
@@ -352,28 +352,28 @@
 
 // Where no backend is known, a request is refused in time as well.
 func TestNoBackend(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1")
-		world.lay(func() { world.table.Backends = nil })
-		reply, _ := world.get("/once/a")
-		if reply.status != 503 || reply.header.Get("Retry-After") == "" || reply.took > 200*time.Millisecond {
-			test.Errorf("%d after %s", reply.status, reply.took)
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1")
+		env.update(func() { env.table.Backends = nil })
+		reply, _ := env.get("/once/a")
+		if reply.status != 503 || reply.header.Get("Retry-After") == "" || reply.elapsed > 200*time.Millisecond {
+			test.Errorf("%d after %s", reply.status, reply.elapsed)
 		}
 	})
 }
 
 // No more than so many wait.
 func TestTooManyWait(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.fill(3, time.Second)
+	withTestEnv(test, func(env *testEnv) {
+		env.fill(3, time.Second)
 		for range maxQueuedRequests {
-			if !world.proxy.queues.enter(waitQueue{"plain", 3}) {
+			if !env.proxy.queues.enter(waitQueue{"plain", 3}) {
 				test.Fatal("no place in line")
 			}
 		}
-		reply, _ := world.get("/once/a")
-		if reply.status != 503 || reply.took != 0 {
-			test.Errorf("%d after %s", reply.status, reply.took)
+		reply, _ := env.get("/once/a")
+		if reply.status != 503 || reply.elapsed != 0 {
+			test.Errorf("%d after %s", reply.status, reply.elapsed)
 		}
 	})
 }
@@ -381,29 +381,29 @@
 // A config that orders its services anew does not lead a waiting request astray.
 func TestServicesInNewOrder(test *testing.T) {
 	for _, gone := range []bool{false, true} {
-		inWorld(test, func(world *world) {
-			world.addAt("o1", "other", "e1", 8)
-			world.fill(3, 100*time.Millisecond)
-			client := world.client()
-			defer client.pipe.Close()
-			id := world.id()
-			client.send(raw("GET", "/once/a", id, "", ""))
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackendAt("o1", "other", "e1", 8)
+			env.fill(3, 100*time.Millisecond)
+			client := env.client()
+			defer client.conn.Close()
+			id := env.newID()
+			client.send(rawRequest("GET", "/once/a", id, "", ""))
 			synctest.Wait()
-			world.lay(func() {
-				config := &world.book.Config
+			env.update(func() {
+				config := &env.state.Config
 				slices.Reverse(config.Services)
 				if gone {
 					config.Services, config.Routes = config.Services[:1], nil
 				}
 			})
-			reply := client.ask("GET", "")
-			if count := len(world.backends["o1"].seen()); count != 0 {
+			reply := client.roundTrip("GET", "")
+			if count := len(env.backends["o1"].requests()); count != 0 {
 				test.Errorf("the other service got %d", count)
 			}
 			if gone && reply.status != 503 {
 				test.Errorf("%d of a service that is gone", reply.status)
 			} else if !gone {
-				world.good(reply, id)
+				env.expectSuccess(reply, id)
 			}
 		})
 	}
@@ -411,20 +411,20 @@
 
 // A split's services get their parts, and nobody else gets any.
 func TestSplit(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1")
-		world.addAt("o1", "other", "e1", 8)
-		world.lay(func() {
-			world.book.Config.Routes[0].Service = ""
-			world.book.Config.Routes[0].Split = []routing.WeightedService{{Service: "other", Weight: 90}, {Service: "plain", Weight: 10}}
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1")
+		env.addBackendAt("o1", "other", "e1", 8)
+		env.update(func() {
+			env.state.Config.Routes[0].Service = ""
+			env.state.Config.Routes[0].Split = []routing.WeightedService{{Service: "other", Weight: 90}, {Service: "plain", Weight: 10}}
 		})
-		client := world.client()
-		defer client.pipe.Close()
+		client := env.client()
+		defer client.conn.Close()
 		for range 400 {
-			id := world.id()
-			world.good(client.ask("GET", raw("GET", "/once/a", id, "", "")), id)
+			id := env.newID()
+			env.expectSuccess(client.roundTrip("GET", rawRequest("GET", "/once/a", id, "", "")), id)
 		}
-		if count := len(world.backends["b1"].seen()); count < 15 || count > 75 {
+		if count := len(env.backends["b1"].requests()); count < 15 || count > 75 {
 			test.Errorf("%d of 400 for a tenth", count)
 		}
 	})
@@ -432,38 +432,38 @@
 
 // A proxy that leaves tells its clients, also those whose request it took before.
 func TestLeaving(test *testing.T) {
-	inWorld(test, func(world *world) {
-		if world.proxy.Ready() {
+	withTestEnv(test, func(env *testEnv) {
+		if env.proxy.Ready() {
 			test.Error("ready without a view")
 		}
-		if reply, _ := world.get("/once/a"); reply.status != 503 {
+		if reply, _ := env.get("/once/a"); reply.status != 503 {
 			test.Errorf("%d without a view", reply.status)
 		}
-		world.add("b1").ever(after(100*time.Millisecond, well))
-		if !world.proxy.Ready() {
+		env.addBackend("b1").handleAll(delayed(100*time.Millisecond, succeed))
+		if !env.proxy.Ready() {
 			test.Error("not ready")
 		}
-		client := world.client()
-		defer client.pipe.Close()
-		client.send(raw("GET", "/once/a", "id", "", ""))
+		client := env.client()
+		defer client.conn.Close()
+		client.send(rawRequest("GET", "/once/a", "id", "", ""))
 		synctest.Wait()
-		if world.proxy.InFlight() != 1 {
-			test.Errorf("%d under way", world.proxy.InFlight())
+		if env.proxy.InFlight() != 1 {
+			test.Errorf("%d under way", env.proxy.InFlight())
 		}
-		world.proxy.Leave()
-		reply := client.ask("GET", "")
-		world.good(reply, "id")
-		if !reply.last {
+		env.proxy.Leave()
+		reply := client.roundTrip("GET", "")
+		env.expectSuccess(reply, "id")
+		if !reply.closes {
 			test.Error("a request under way was not told")
 		}
 		for _, path := range []string{"/once/a", "/none/a"} {
-			if reply, _ := world.get(path); !reply.last || reply.status == 503 {
+			if reply, _ := env.get(path); !reply.closes || reply.status == 503 {
 				test.Errorf("%s: %d %v", path, reply.status, reply.header)
 			}
 		}
 		synctest.Wait()
-		if world.proxy.Ready() || world.proxy.InFlight() != 0 {
-			test.Errorf("ready %v, %d under way", world.proxy.Ready(), world.proxy.InFlight())
+		if env.proxy.Ready() || env.proxy.InFlight() != 0 {
+			test.Errorf("ready %v, %d under way", env.proxy.Ready(), env.proxy.InFlight())
 		}
 	})
 }
@@ -492,15 +492,15 @@
 
 // A tenant's rank goes before the route's.
 func TestRank(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.keyed()
-		view := world.proxy.view.Load()
+	withTestEnv(test, func(env *testEnv) {
+		env.keyed()
+		view := env.proxy.view.Load()
 		for key, want := range map[string]int{"k1": 0, "k3": 5} {
 			source, _ := http.NewRequest(http.MethodGet, "http://host.example/once/a", nil)
 			source.RequestURI = "/once/a"
 			source.Header.Set("Authorization", "Key "+key)
 			request := &request{source: source, begin: time.Now()}
-			if status, code := world.proxy.admit(request, view); status != 0 || request.priority != want {
+			if status, code := env.proxy.admit(request, view); status != 0 || request.priority != want {
 				test.Errorf("%s: %d %s, rank %d", key, status, code, request.priority)
 			}
 		}
--- a/hostproxy/rollout_test.go
+++ b/hostproxy/rollout_test.go
@@ -18,16 +18,16 @@
 }
 
 // addVersion brings up a backend of a version of the plain service.
-func (world *world) addVersion(name, revision string, slots int) *backend {
-	added := world.addAt(name, "plain", "e1", slots)
-	world.lay(func() { world.table.Backends[len(world.table.Backends)-1].Revision = revision })
+func (env *testEnv) addVersion(name, revision string, slots int) *fakeBackend {
+	added := env.addBackendAt(name, "plain", "e1", slots)
+	env.update(func() { env.table.Backends[len(env.table.Backends)-1].Revision = revision })
 	return added
 }
 
 // roll puts roll-outs in force.
-func (world *world) roll(orders []message.Rollout) {
-	world.rollouts = orders
-	world.proxy.Apply(world.book, world.table, orders)
+func (env *testEnv) roll(orders []message.Rollout) {
+	env.rollouts = orders
+	env.proxy.Apply(env.state, env.table, orders)
 }
 
 // twoVersions are backends of v1 and of v2.
@@ -50,8 +50,8 @@
 
 // applyVersions puts backends and roll-outs in force at a proxy that only chooses.
 func applyVersions(proxy *Proxy, backends []message.Backend, orders []message.Rollout) {
-	table := &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends}
-	proxy.Apply(&routing.State{Config: ownConfig()}, table, orders)
+	table := &message.Table{Version: leaderVersion, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends}
+	proxy.Apply(&routing.State{Config: testRoutingConfig()}, table, orders)
 }
 
 // newRequest is a request of the plain service that is never sent.
@@ -190,22 +190,22 @@
 // Guards against a second attempt at the version that has just failed the request, against
 // one without budget, and against a second attempt of what may run only once.
 func TestRetryGoesToTheOldVersion(test *testing.T) {
-	inWorld(test, func(world *world) {
-		old := world.addVersion("a1", "v1", 8)
-		bad := []*backend{world.addVersion("b1", "v2", 8), world.addVersion("b2", "v2", 8)}
-		bad[0].ever(status("500 Own"))
-		bad[1].ever(status("500 Own"))
-		world.roll(order(message.RolloutActive, 1))
-		reply, id := world.get("/again/a")
-		world.good(reply, id)
-		if tries := len(bad[0].seen()) + len(bad[1].seen()); tries != 1 || len(old.seen()) != 1 {
-			test.Errorf("%d at the version, %d at the old one", tries, len(old.seen()))
+	withTestEnv(test, func(env *testEnv) {
+		old := env.addVersion("a1", "v1", 8)
+		bad := []*fakeBackend{env.addVersion("b1", "v2", 8), env.addVersion("b2", "v2", 8)}
+		bad[0].handleAll(respondStatus("500 Own"))
+		bad[1].handleAll(respondStatus("500 Own"))
+		env.roll(order(message.RolloutActive, 1))
+		reply, id := env.get("/again/a")
+		env.expectSuccess(reply, id)
+		if tries := len(bad[0].requests()) + len(bad[1].requests()); tries != 1 || len(old.requests()) != 1 {
+			test.Errorf("%d at the version, %d at the old one", tries, len(old.requests()))
 		}
-		if reply, _ := world.get("/again/a"); reply.status != 500 || world.counters.Get("budget_empty") != 1 {
+		if reply, _ := env.get("/again/a"); reply.status != 500 || env.counters.Get("budget_empty") != 1 {
 			test.Errorf("without budget: %d", reply.status)
 		}
-		seen := len(old.seen())
-		if reply, _ := world.get("/once/a"); reply.status != 500 || len(old.seen()) != seen {
+		seen := len(old.requests())
+		if reply, _ := env.get("/once/a"); reply.status != 500 || len(old.requests()) != seen {
 			test.Errorf("sent twice: %d", reply.status)
 		}
 	})
@@ -214,18 +214,18 @@
 // Guards against requests at an old version that is about to end: neither a retry nor a
 // request without room goes there once the version under test is exclusive.
 func TestExclusiveVersionKeepsItsRequests(test *testing.T) {
-	inWorld(test, func(world *world) {
-		old := world.addVersion("a1", "v1", 8)
-		bad, good := world.addVersion("b1", "v2", 8), world.addVersion("b2", "v2", 8)
-		bad.ever(status("500 Own"))
+	withTestEnv(test, func(env *testEnv) {
+		old := env.addVersion("a1", "v1", 8)
+		bad, good := env.addVersion("b1", "v2", 8), env.addVersion("b2", "v2", 8)
+		bad.handleAll(respondStatus("500 Own"))
 		orders := order(message.RolloutActive, 1)
 		orders[0].Exclusive = true
-		world.roll(orders)
+		env.roll(orders)
 		for range 20 {
-			world.get("/again/a")
+			env.get("/again/a")
 		}
-		if len(old.seen()) != 0 || len(good.seen()) == 0 {
-			test.Errorf("%d at the old version, %d at the other backend", len(old.seen()), len(good.seen()))
+		if len(old.requests()) != 0 || len(good.requests()) == 0 {
+			test.Errorf("%d at the old version, %d at the other backend", len(old.requests()), len(good.requests()))
 		}
 	})
 }
@@ -258,18 +258,18 @@
 // after the roll-out was reverted, was sent there all the same (EXPOSURE): the table lists such
 // backends for a moment longer.
 func TestRevertedWhileDialling(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.addVersion("b1", "v1", 8)
-		world.addVersion("b2", "v2", 8)
-		world.roll(order(message.RolloutActive, 1))
-		world.doors.silence("b2:80", true)
-		wait := world.begin("/once/a")
-		world.goroutines.Sleep(100 * time.Millisecond)
-		world.roll(order(message.RolloutReverted, 0))
-		world.doors.unsilence("b2:80")
+	withTestEnv(test, func(env *testEnv) {
+		env.addVersion("b1", "v1", 8)
+		env.addVersion("b2", "v2", 8)
+		env.roll(order(message.RolloutActive, 1))
+		env.network.silence("b2:80", true)
+		wait := env.begin("/once/a")
+		env.goroutines.Sleep(100 * time.Millisecond)
+		env.roll(order(message.RolloutReverted, 0))
+		env.network.unsilence("b2:80")
 		reply, id := wait()
-		world.good(reply, id)
-		if count := len(world.backends["b2"].seen()); count != 0 {
+		env.expectSuccess(reply, id)
+		if count := len(env.backends["b2"].requests()); count != 0 {
 			test.Errorf("%d requests at the reverted version", count)
 		}
 	})
--- a/hostproxy/shaper_test.go
+++ b/hostproxy/shaper_test.go
@@ -120,9 +120,9 @@
 // No more large answers are fetched at once than the link bears; the others wait, and
 // are refused in time where they wait in vain.
 func TestLargeAnswersTakeTurns(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.proxy.transfers = newTransferLimiter(1)
-		world.add("b1").ever(after(300*time.Millisecond, well))
+	withTestEnv(test, func(env *testEnv) {
+		env.proxy.transfers = newTransferLimiter(1)
+		env.addBackend("b1").handleAll(delayed(300*time.Millisecond, succeed))
 		request := &request{
 			route:    &routing.Route{Kind: routing.Download, TargetMs: 1000},
 			context:  context.Background(),
@@ -130,22 +130,22 @@
 			deadline: time.Now().Add(2 * time.Second),
 		}
 		for range minTransfers {
-			if !world.proxy.acquireTransfer(request) {
+			if !env.proxy.acquireTransfer(request) {
 				test.Error("refused where there is room")
 			}
 		}
 		begin := time.Now()
-		if world.proxy.acquireTransfer(request) || time.Since(begin) != 500*time.Millisecond {
+		if env.proxy.acquireTransfer(request) || time.Since(begin) != 500*time.Millisecond {
 			test.Errorf("not refused after half of the target time: %v", time.Since(begin))
 		}
 		request.begin, request.deadline = time.Now(), time.Now().Add(2*time.Second)
-		world.goroutines.Start(func() {
-			world.goroutines.Sleep(200 * time.Millisecond)
-			world.proxy.transfers.release()
-			world.proxy.capacityFreed.Notify()
+		env.goroutines.Start(func() {
+			env.goroutines.Sleep(200 * time.Millisecond)
+			env.proxy.transfers.release()
+			env.proxy.capacityFreed.Notify()
 		})
 		begin = time.Now()
-		if !world.proxy.acquireTransfer(request) || time.Since(begin) < 200*time.Millisecond || time.Since(begin) > 250*time.Millisecond {
+		if !env.proxy.acquireTransfer(request) || time.Since(begin) < 200*time.Millisecond || time.Since(begin) > 250*time.Millisecond {
 			test.Errorf("its turn came after %v", time.Since(begin))
 		}
 	})
@@ -172,32 +172,32 @@
 func TestSmallRequestsWaitBrieflyOnTheOwnLink(test *testing.T) {
 	const link = 2.7e6 / 8
 	const mostWait = 150 * time.Millisecond
-	inWorld(test, func(world *world) {
-		world.proxy.outbound = newShaper(link, time.Now())
-		world.add("b1").ever(func(exchange *exchange) bool {
-			if strings.Contains(exchange.line, "/load/") {
-				return large(200<<10, 200<<10, false)(exchange)
+	withTestEnv(test, func(env *testEnv) {
+		env.proxy.outbound = newShaper(link, time.Now())
+		env.addBackend("b1").handleAll(func(exchange *exchange) bool {
+			if strings.Contains(exchange.requestLine, "/load/") {
+				return respondLarge(200<<10, 200<<10, false)(exchange)
 			}
-			return well(exchange)
+			return succeed(exchange)
 		})
 		stop := time.Now().Add(10 * time.Second)
 		for index := range 4 {
-			world.goroutines.Start(func() {
+			env.goroutines.Start(func() {
 				for ask := 0; time.Now().Before(stop); ask++ {
-					client := world.client()
-					client.ask("GET", raw("GET", "/load/a", fmt.Sprintf("load%d-%d", index, ask), "", ""))
-					client.pipe.Close()
+					client := env.client()
+					client.roundTrip("GET", rawRequest("GET", "/load/a", fmt.Sprintf("load%d-%d", index, ask), "", ""))
+					client.conn.Close()
 				}
 			})
 		}
 		waits := []time.Duration{}
 		for time.Now().Before(stop) {
-			id, client := world.id(), world.client()
-			world.good(client.ask("POST", raw("POST", "/once/a", id, "", strings.Repeat("b", 6<<10))), id)
-			client.pipe.Close()
+			id, client := env.newID(), env.client()
+			env.expectSuccess(client.roundTrip("POST", rawRequest("POST", "/once/a", id, "", strings.Repeat("b", 6<<10))), id)
+			client.conn.Close()
 			for range 10 {
-				world.goroutines.Sleep(10 * time.Millisecond)
-				waits = append(waits, world.proxy.outbound.enqueue(0, time.Now()))
+				env.goroutines.Sleep(10 * time.Millisecond)
+				waits = append(waits, env.proxy.outbound.enqueue(0, time.Now()))
 			}
 		}
 		slices.Sort(waits)
@@ -225,17 +225,17 @@
 func TestLengthsThatClientsNameAreNoBytesOnTheLink(test *testing.T) {
 	const whole = 1 << 20
 	for _, length := range []string{"9223372036854775807", "99999999999", "2097152"} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			world.proxy.inbound = newShaper(whole, time.Now())
-			client := world.client()
-			defer client.pipe.Close()
-			reply := client.ask("POST", raw("POST", "/once/a", "id", "Content-Length: "+length+"\r\n", ""))
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			env.proxy.inbound = newShaper(whole, time.Now())
+			client := env.client()
+			defer client.conn.Close()
+			reply := client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "Content-Length: "+length+"\r\n", ""))
 			if reply.status != 413 {
-				test.Fatalf("%s: %d %v", length, reply.status, reply.broken)
+				test.Fatalf("%s: %d %v", length, reply.status, reply.err)
 			}
 			time.Sleep(urgentRateInterval)
-			if share := world.proxy.inbound.large(time.Second) / whole; share < 0.88 {
+			if share := env.proxy.inbound.large(time.Second) / whole; share < 0.88 {
 				test.Errorf("after a length of %s, large answers have %.3f of the link", length, share)
 			}
 		})
@@ -248,16 +248,16 @@
 	body := string(letters(0, 512<<10))
 	chunks := "Transfer-Encoding: chunked\r\n\r\n80000\r\n" + body + "\r\n0\r\n\r\n"
 	head := "POST /once/a HTTP/1.1\r\nHost: host.example\r\nAttempt: id\r\nDeadline: 1500\r\n"
-	for form, text := range map[string]string{"length": raw("POST", "/once/a", "id", "", body), "chunks": head + chunks} {
-		inWorld(test, func(world *world) {
-			world.add("b1")
-			world.proxy.inbound = newShaper(whole, time.Now())
-			client := world.client()
-			defer client.pipe.Close()
-			if reply := client.ask("POST", text); reply.status != 200 {
-				test.Fatalf("%s: %d %v", form, reply.status, reply.broken)
+	for form, text := range map[string]string{"length": rawRequest("POST", "/once/a", "id", "", body), "chunks": head + chunks} {
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1")
+			env.proxy.inbound = newShaper(whole, time.Now())
+			client := env.client()
+			defer client.conn.Close()
+			if reply := client.roundTrip("POST", text); reply.status != 200 {
+				test.Fatalf("%s: %d %v", form, reply.status, reply.err)
 			}
-			if bytes := world.proxy.inbound.urgentBytes; bytes < float64(len(body)) || bytes > float64(len(body))+1000 {
+			if bytes := env.proxy.inbound.urgentBytes; bytes < float64(len(body)) || bytes > float64(len(body))+1000 {
 				test.Errorf("%s: %.0f bytes of %d counted", form, bytes, len(body))
 			}
 		})
--- a/hostproxy/target_test.go
+++ b/hostproxy/target_test.go
@@ -17,55 +17,55 @@
 
 // A dead backend is left out, for longer each time, and is back after a dial.
 func TestDeadBackendIsLeftOutAndComesBack(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1")
-		world.addAt("b2", "plain", "w1", 8)
-		world.doors.serve("b1:80", nil)
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1")
+		env.addBackendAt("b2", "plain", "w1", 8)
+		env.network.serve("b1:80", nil)
 		for range 20 {
-			reply, id := world.get("/once/a")
-			world.good(reply, id)
+			reply, id := env.get("/once/a")
+			env.expectSuccess(reply, id)
 		}
-		if dials := world.doors.dialled("b1:80"); dials != 1 {
+		if dials := env.network.dialled("b1:80"); dials != 1 {
 			test.Errorf("%d dials by 20 requests", dials)
 		}
-		world.goroutines.Sleep(20 * time.Second)
-		if dials := world.doors.dialled("b1:80"); dials < 4 || dials > 10 {
+		env.goroutines.Sleep(20 * time.Second)
+		if dials := env.network.dialled("b1:80"); dials < 4 || dials > 10 {
 			test.Errorf("%d dials in 20 s", dials)
 		}
 		for range 5 {
-			reply, id := world.get("/once/a")
-			world.good(reply, id)
+			reply, id := env.get("/once/a")
+			env.expectSuccess(reply, id)
 		}
-		if count := len(world.backends["b1"].seen()); count != 0 {
+		if count := len(env.backends["b1"].requests()); count != 0 {
 			test.Errorf("%d requests at the dead one", count)
 		}
-		world.doors.serve("b1:80", world.backends["b1"].accept)
-		world.goroutines.Sleep(maxEjection + 2*maintenanceInterval)
+		env.network.serve("b1:80", env.backends["b1"].accept)
+		env.goroutines.Sleep(maxEjection + 2*maintenanceInterval)
 		for range 5 {
-			reply, id := world.get("/once/a")
-			world.good(reply, id)
+			reply, id := env.get("/once/a")
+			env.expectSuccess(reply, id)
 		}
-		if count := len(world.backends["b1"].seen()); count != 5 {
+		if count := len(env.backends["b1"].requests()); count != 5 {
 			test.Errorf("%d requests once it was back", count)
 		}
-		if world.counters.Get("backends_revived") != 1 {
-			test.Errorf("revived %d times", world.counters.Get("backends_revived"))
+		if env.counters.Get("backends_revived") != 1 {
+			test.Errorf("revived %d times", env.counters.Get("backends_revived"))
 		}
 	})
 }
 
 // With nothing else to try, one that is left out is tried all the same.
 func TestOnlyBackendIsTriedThoughLeftOut(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1").then(resetAfterReading, resetAfterReading)
-		world.get("/once/a")
-		world.get("/once/b")
-		if _, _, ejected := world.proxy.targets["b1"].evaluate(time.Now(), 10, 0); !ejected {
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1").handleNext(resetAfterReading, resetAfterReading)
+		env.get("/once/a")
+		env.get("/once/b")
+		if _, _, ejected := env.proxy.targets["b1"].evaluate(time.Now(), 10, 0); !ejected {
 			test.Error("not left out")
 		}
-		reply, id := world.get("/once/c")
-		world.good(reply, id)
-		if _, _, ejected := world.proxy.targets["b1"].evaluate(time.Now(), 10, 0); ejected {
+		reply, id := env.get("/once/c")
+		env.expectSuccess(reply, id)
+		if _, _, ejected := env.proxy.targets["b1"].evaluate(time.Now(), 10, 0); ejected {
 			test.Error("still left out after a good answer")
 		}
 	})
@@ -142,23 +142,23 @@
 // The cap binds all requests under way together; who has no connection waits or
 // goes elsewhere, and is never sent.
 func TestConnectionCap(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.lay(func() { world.book.Config.Services[0].MaxConnections = 5 })
-		world.addAt("b1", "plain", "e1", 50).ever(after(100*time.Millisecond, well))
+	withTestEnv(test, func(env *testEnv) {
+		env.update(func() { env.state.Config.Services[0].MaxConnections = 5 })
+		env.addBackendAt("b1", "plain", "e1", 50).handleAll(delayed(100*time.Millisecond, succeed))
 		limit := 0
 		for range 12 {
-			client := world.client()
-			defer client.pipe.Close()
-			client.send(raw("GET", "/once/a", world.id(), "", ""))
+			client := env.client()
+			defer client.conn.Close()
+			client.send(rawRequest("GET", "/once/a", env.newID(), "", ""))
 			synctest.Wait()
-			open, _ := world.held("b1")
+			open, _ := env.targetLoad("b1")
 			limit = max(limit, open)
 		}
-		world.goroutines.Sleep(time.Second)
-		if limit != 4 || world.backends["b1"].connections() != 4 {
-			test.Errorf("%d open, %d opened", limit, world.backends["b1"].connections())
+		env.goroutines.Sleep(time.Second)
+		if limit != 4 || env.backends["b1"].connections() != 4 {
+			test.Errorf("%d open, %d opened", limit, env.backends["b1"].connections())
 		}
-		if capped := world.counters.Get("connections_capped"); capped > 100 {
+		if capped := env.counters.Get("connections_capped"); capped > 100 {
 			test.Errorf("asked for a connection %d times in vain", capped)
 		}
 	})
--- a/hostproxy/world_test.go
+++ b/hostproxy/testenv_test.go
@@ -22,32 +22,32 @@
 
 // world is one proxy behind a server of its own, and its scripted backends; all
 // time in it is virtual.
-type world struct {
+type testEnv struct {
 	test       *testing.T
 	goroutines *concurrent.Group
 	counters   *metrics.Counters
-	doors      *doors
+	network    *doors
 	proxy      *Proxy
 	server     *process.Listener
 	listener   *listener
-	book       *routing.State
+	state      *routing.State
 	table      *message.Table
 	rollouts   []message.Rollout
-	backends   map[string]*backend
-	asked      int
+	backends   map[string]*fakeBackend
+	lastID     int
 }
 
-var ownHeaders = Headers{
+var testHeaders = Headers{
 	Attempt: "Attempt", Deadline: "Deadline", Seal: "Seal", Tenant: "Tenant", Target: "Target", Load: "Load", NotExecuted: "Not-Executed",
 	Backend: "Backend", Warmup: "Warmup", KeyScheme: "Key",
 }
 
-func ownPlace(name, zone string) Config {
+func testConfig(name, zone string) Config {
 	return Config{
 		Name:         name,
 		Zone:         zone,
 		Regions:      map[string]string{"e1": "east", "e2": "east", "w1": "west"},
-		Headers:      ownHeaders,
+		Headers:      testHeaders,
 		RetryRatio:   0.2,
 		RetryExtra:   60,
 		WarmupExcess: 1.5,
@@ -57,7 +57,7 @@
 	}
 }
 
-func ownConfig() routing.Config {
+func testRoutingConfig() routing.Config {
 	return routing.Config{
 		Version: 1,
 		Routes: []routing.Route{
@@ -100,105 +100,105 @@
 	}
 }
 
-func inWorld(test *testing.T, play func(world *world)) {
+func withTestEnv(test *testing.T, run func(env *testEnv)) {
 	synctest.Test(test, func(test *testing.T) {
-		world := newWorld(test)
-		defer world.close()
-		play(world)
+		env := newTestEnv(test)
+		defer env.close()
+		run(env)
 	})
 }
 
-func newWorld(test *testing.T) *world {
-	world := &world{
+func newTestEnv(test *testing.T) *testEnv {
+	env := &testEnv{
 		test:       test,
 		goroutines: concurrent.NewGroup(),
 		counters:   metrics.NewCounters(),
-		doors:      newDoors(),
+		network:    newDoors(),
 		listener:   newListener(),
-		backends:   map[string]*backend{},
-		book: &routing.State{
-			Config: ownConfig(),
+		backends:   map[string]*fakeBackend{},
+		state: &routing.State{
+			Config: testRoutingConfig(),
 		},
 		table: &message.Table{
-			Version:  leaderMark,
+			Version:  leaderVersion,
 			Complete: true,
 			Members:  []message.Member{{Name: "p1", Kind: "proxy", Zone: "e1", Ready: true}},
 		},
 	}
-	world.proxy = NewProxy(
-		ownPlace("p1", "e1"),
-		world.doors.dial,
+	env.proxy = NewProxy(
+		testConfig("p1", "e1"),
+		env.network.dial,
 		func() int64 { return time.Now().UnixMilli() },
-		world.goroutines,
-		world.counters,
+		env.goroutines,
+		env.counters,
 	)
-	world.server = process.NewListener(world.listener, world.proxy, process.ListenOptions{
+	env.server = process.NewListener(env.listener, env.proxy, process.ListenOptions{
 		Limits:   process.ConnLimits{HeaderBytes: http.DefaultMaxHeaderBytes},
-		Counters: world.counters,
-		Memory:   world.proxy.Memory(),
+		Counters: env.counters,
+		Memory:   env.proxy.Memory(),
 	})
-	world.proxy.OnLimits(func(limits routing.Limits) { world.server.SetLimits(process.ConnLimitsOf(limits)) })
-	world.server.Serve(world.goroutines)
-	world.proxy.Run()
-	return world
+	env.proxy.OnLimits(func(limits routing.Limits) { env.server.SetLimits(process.ConnLimitsOf(limits)) })
+	env.server.Serve(env.goroutines)
+	env.proxy.Run()
+	return env
 }
 
-func (world *world) close() {
-	if off := world.counters.Get("requests_off_the_chart"); off != 0 {
-		world.test.Errorf("%d steps off the chart of requests", off)
+func (env *testEnv) close() {
+	if off := env.counters.Get("requests_off_the_chart"); off != 0 {
+		env.test.Errorf("%d steps off the chart of requests", off)
 	}
-	world.server.Close() // what is open still, the test ends
-	for _, backend := range world.backends {
+	env.server.Close() // what is open still, the test ends
+	for _, backend := range env.backends {
 		backend.stop()
 	}
-	world.goroutines.Stop()
-	world.lay(func() { world.table.Backends = nil })
-	world.goroutines.Wait()
+	env.goroutines.Stop()
+	env.update(func() { env.table.Backends = nil })
+	env.goroutines.Wait()
 	time.Sleep(time.Second)
 }
 
 // add brings up a backend of the plain service in the proxy's zone.
-func (world *world) add(name string) *backend {
-	return world.addAt(name, "plain", "e1", 8)
+func (env *testEnv) addBackend(name string) *fakeBackend {
+	return env.addBackendAt(name, "plain", "e1", 8)
 }
 
-func (world *world) addAt(name, service, zone string, slots int) *backend {
-	added := newBackend(name, name+":80", world.goroutines)
-	world.backends[name] = added
-	world.doors.serve(added.address, added.accept)
-	world.lay(func() {
-		world.table.Backends = append(
-			world.table.Backends,
-			message.Backend{Name: name, Service: service, Address: added.address, Zone: zone, Capacity: slots},
+func (env *testEnv) addBackendAt(name, service, zone string, capacity int) *fakeBackend {
+	added := newFakeBackend(name, name+":80", env.goroutines)
+	env.backends[name] = added
+	env.network.serve(added.address, added.accept)
+	env.update(func() {
+		env.table.Backends = append(
+			env.table.Backends,
+			message.Backend{Name: name, Service: service, Address: added.address, Zone: zone, Capacity: capacity},
 		)
 	})
 	return added
 }
 
 // lay changes copies of book and table, and puts them in force.
-func (world *world) lay(change func()) {
-	state, table := *world.book, *world.table
+func (env *testEnv) update(change func()) {
+	state, table := *env.state, *env.table
 	table.Backends = append([]message.Backend{}, table.Backends...)
 	table.Members = append([]message.Member{}, table.Members...)
 	state.Config.Routes = append([]routing.Route{}, state.Config.Routes...)
 	state.Config.Services = append([]routing.Service{}, state.Config.Services...)
-	world.book, world.table = &state, &table
+	env.state, env.table = &state, &table
 	change()
-	world.proxy.Apply(world.book, world.table, world.rollouts)
+	env.proxy.Apply(env.state, env.table, env.rollouts)
 }
 
-func (world *world) arrivals() []*arrival {
-	all := []*arrival{}
-	for _, backend := range world.backends {
-		all = append(all, backend.seen()...)
+func (env *testEnv) receivedRequests() []*receivedRequest {
+	received := []*receivedRequest{}
+	for _, backend := range env.backends {
+		received = append(received, backend.requests()...)
 	}
-	sort.Slice(all, func(left, right int) bool { return all[left].at.Before(all[right].at) })
-	return all
+	sort.Slice(received, func(left, right int) bool { return received[left].receivedAt.Before(received[right].receivedAt) })
+	return received
 }
 
 // held is how many connections a target has open, and how many requests run there.
-func (world *world) held(name string) (int, int) {
-	target := world.proxy.targets[name]
+func (env *testEnv) targetLoad(name string) (int, int) {
+	target := env.proxy.targets[name]
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	return target.openConnections, target.running
@@ -206,62 +206,62 @@
 
 // client is one connection to the proxy.
 type client struct {
-	pipe   net.Conn
+	conn   net.Conn
 	reader *bufio.Reader
 }
 
-func (world *world) client() *client {
+func (env *testEnv) client() *client {
 	near, far := newPipes("front")
-	world.listener.put(far)
-	return &client{pipe: near, reader: bufio.NewReader(near)}
+	env.listener.put(far)
+	return &client{conn: near, reader: bufio.NewReader(near)}
 }
 
 // reply is what the client got; broken tells that no whole answer came,
 // and last that the connection is to be closed.
 type reply struct {
-	status int
-	header http.Header
-	body   string
-	broken error
-	last   bool
-	took   time.Duration
+	status  int
+	header  http.Header
+	body    string
+	err     error
+	closes  bool
+	elapsed time.Duration
 }
 
 // send sends raw bytes; what the proxy does not take shows in what it answers.
-func (client *client) send(raw string) { _, _ = io.WriteString(client.pipe, raw) }
+func (client *client) send(raw string) { _, _ = io.WriteString(client.conn, raw) }
 
 // limit ends the client's waiting after a span.
-func (client *client) limit(span time.Duration) {
-	_ = client.pipe.SetDeadline(time.Now().Add(span)) // never fails
+func (client *client) setTimeout(duration time.Duration) {
+	_ = client.conn.SetDeadline(time.Now().Add(duration)) // never fails
 }
 
 // ask sends raw bytes and reads one answer.
-func (client *client) ask(method, raw string) reply {
+func (client *client) roundTrip(method, raw string) reply {
 	begin := time.Now()
 	client.send(raw)
 	response, err := http.ReadResponse(client.reader, &http.Request{Method: method})
 	if err != nil {
-		return reply{broken: err, took: time.Since(begin)}
+		return reply{err: err, elapsed: time.Since(begin)}
 	}
 	body, err := io.ReadAll(response.Body)
 	return reply{
-		status: response.StatusCode,
-		header: response.Header,
-		body:   string(body),
-		broken: err,
-		last:   response.Close,
-		took:   time.Since(begin),
+		status:  response.StatusCode,
+		header:  response.Header,
+		body:    string(body),
+		err:     err,
+		closes:  response.Close,
+		elapsed: time.Since(begin),
 	}
 }
 
 // id gives every request one of its own.
-func (world *world) id() string {
-	world.asked++
-	return "id" + strconv.Itoa(world.asked)
+func (env *testEnv) newID() string {
+	env.lastID++
+	return "id" + strconv.Itoa(env.lastID)
 }
 
 // raw is a request's bytes as an orderly client sends them.
-func raw(method, path, id, fields, body string) string {
+func rawRequest(method, path, id, fields, body string) string {
 	text := method + " " + path + " HTTP/1.1\r\nHost: host.example\r\nAttempt: " + id + "\r\n"
 	if !strings.Contains(fields, "Deadline: ") {
 		text += "Deadline: 1500\r\n"
@@ -273,28 +273,28 @@
 }
 
 // get asks on a connection of its own.
-func (world *world) get(path string) (reply, string) {
-	id := world.id()
-	client := world.client()
-	defer client.pipe.Close()
-	return client.ask("GET", raw("GET", path, id, "", "")), id
+func (env *testEnv) get(path string) (reply, string) {
+	id := env.newID()
+	client := env.client()
+	defer client.conn.Close()
+	return client.roundTrip("GET", rawRequest("GET", path, id, "", "")), id
 }
 
 // good fails the test unless the reply is the backend's answer to the id.
-func (world *world) good(reply reply, id string) {
-	world.test.Helper()
-	if reply.broken != nil || reply.status != 200 || reply.body != text(id) || reply.header.Get("Attempt") != id ||
+func (env *testEnv) expectSuccess(reply reply, id string) {
+	env.test.Helper()
+	if reply.err != nil || reply.status != 200 || reply.body != successBody(id) || reply.header.Get("Attempt") != id ||
 		reply.header.Get("Seal") != "s-"+id {
-		world.test.Errorf("%s got %d %q %v %v", id, reply.status, reply.body, reply.header, reply.broken)
+		env.test.Errorf("%s got %d %q %v %v", id, reply.status, reply.body, reply.header, reply.err)
 	}
 }
 
 // promised are the statuses that say a request has not run and never will.
-func promised(status int) bool {
+func isNotExecutedStatus(status int) bool {
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
-func unreachable(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
+func dialUnreachable(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
 
 // leaderMark is a table's that some leader made.
-var leaderMark = message.TableVersion{Term: message.Term{Number: 1, Core: 1}, Number: 1}
+var leaderVersion = message.TableVersion{Term: message.Term{Number: 1, Core: 1}, Number: 1}
--- a/hostproxy/upload_test.go
+++ b/hostproxy/upload_test.go
@@ -24,13 +24,13 @@
 
 // readHeadOnly takes a request's head from a connection and none of its body, and
 // answers at once.
-func readHeadOnly(world *world, answer func(id string) string) func(*pipe) {
+func readHeadOnly(env *testEnv, answer func(id string) string) func(*pipe) {
 	return func(pipe *pipe) {
 		if !skipHead(pipe) {
 			return
 		}
 		_, _ = io.WriteString(pipe, answer("id")) // the proxy may have left
-		world.goroutines.Sleep(10 * time.Second)
+		env.goroutines.Sleep(10 * time.Second)
 	}
 }
 
@@ -46,32 +46,34 @@
 		reached int
 		open    int
 	}{
-		"refusal": {func(id string) string { return bare(id, "503 Service Unavailable", "Not-Executed: full\r\n", "full") }, 200, 1, 0},
-		"success": {func(id string) string { return whole(id, "200 OK", "", text(id)) }, 200, 0, 1},
-		"failure": {func(id string) string { return whole(id, "500 X", "", text(id)) }, 500, 0, 0},
-		"promise": {func(id string) string { return whole(id, "503 X", "", text(id)) }, 502, 0, 0},
+		"refusal": {func(id string) string {
+			return unsealedResponse(id, "503 Service Unavailable", "Not-Executed: full\r\n", "full")
+		}, 200, 1, 0},
+		"success": {func(id string) string { return sealedResponse(id, "200 OK", "", successBody(id)) }, 200, 0, 1},
+		"failure": {func(id string) string { return sealedResponse(id, "500 X", "", successBody(id)) }, 500, 0, 0},
+		"promise": {func(id string) string { return sealedResponse(id, "503 X", "", successBody(id)) }, 502, 0, 0},
 	} {
-		inWorld(test, func(world *world) {
+		withTestEnv(test, func(env *testEnv) {
 			begin := time.Now()
-			world.add("b1").greet(readHeadOnly(world, play.answer))
-			world.addAt("b2", "plain", "e2", 8)
-			client := world.client()
-			defer client.pipe.Close()
-			reply := client.ask("POST", raw("POST", "/once/a", "id", "", body))
-			if reply.broken != nil || reply.status != play.status || reply.took > 100*time.Millisecond {
-				test.Errorf("%s: %d %q %v after %s", name, reply.status, reply.body, reply.broken, reply.took)
+			env.addBackend("b1").onConnect(readHeadOnly(env, play.answer))
+			env.addBackendAt("b2", "plain", "e2", 8)
+			client := env.client()
+			defer client.conn.Close()
+			reply := client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "", body))
+			if reply.err != nil || reply.status != play.status || reply.elapsed > 100*time.Millisecond {
+				test.Errorf("%s: %d %q %v after %s", name, reply.status, reply.body, reply.err, reply.elapsed)
 			}
-			if count := len(world.backends["b2"].seen()); count != play.reached {
+			if count := len(env.backends["b2"].requests()); count != play.reached {
 				test.Errorf("%s: %d arrivals at the other", name, count)
 			}
-			if open, _ := world.held("b1"); open != play.open {
+			if open, _ := env.targetLoad("b1"); open != play.open {
 				test.Errorf("%s: %d connections open", name, open)
 			}
-			if target := world.proxy.targets["b1"]; len(target.idle) != 0 {
+			if target := env.proxy.targets["b1"]; len(target.idle) != 0 {
 				test.Errorf("%s: %d connections kept", name, len(target.idle))
 			}
-			world.goroutines.Sleep(2*time.Second + 2*deadlineSlack - time.Since(begin))
-			if open, _ := world.held("b1"); open != 0 {
+			env.goroutines.Sleep(2*time.Second + 2*deadlineSlack - time.Since(begin))
+			if open, _ := env.targetLoad("b1"); open != 0 {
 				test.Errorf("%s: %d connections open after the route's timeout", name, open)
 			}
 		})
@@ -81,7 +83,7 @@
 // earlyReader is a backend that answers when it has read a request's head, and reads the body
 // afterwards, with rests; it keeps what comes until the end of the connection.
 type earlyReader struct {
-	world  *world
+	world  *testEnv
 	answer func(id string) string
 	rest   time.Duration
 
@@ -124,13 +126,15 @@
 func TestBodyArrivesWholeAfterAnEarlySuccess(test *testing.T) {
 	body := string(letters(0, 900<<10))
 	success := func(fields string) func(string) string {
-		return func(id string) string { return whole(id, "200 OK", fields, text(id)) }
+		return func(id string) string { return sealedResponse(id, "200 OK", fields, successBody(id)) }
+	}
+	surplus := func(id string) string {
+		return success("")(id) + sealedResponse("other", "200 OK", "", successBody("other"))
 	}
-	surplus := func(id string) string { return success("")(id) + whole("other", "200 OK", "", text("other")) }
 	large := string(letters(0, 2*maxBufferedBodyBytes))
 	chunks := "Transfer-Encoding: chunked\r\n\r\n" + strconv.FormatInt(int64(len(body)), 16) + "\r\n" + body + "\r\n0\r\n\r\n"
 	head := "POST /once/a HTTP/1.1\r\nHost: host.example\r\nAttempt: id\r\nDeadline: 1500\r\n"
-	plain := raw("POST", "/once/a", "id", "", body)
+	plain := rawRequest("POST", "/once/a", "id", "", body)
 	for name, play := range map[string]struct {
 		request string
 		answer  func(id string) string
@@ -141,32 +145,32 @@
 		"closing":        {plain, success("Connection: close\r\n"), 0, false},
 		"surplus answer": {plain, surplus, 0, false},
 		"no content":     {plain, func(id string) string { return "HTTP/1.1 204 No Content\r\nAttempt: id\r\nSeal: s-id\r\n\r\n" }, 0, false},
-		"large answer":   {plain, func(id string) string { return whole(id, "200 OK", "", large) }, 10 * time.Millisecond, false},
+		"large answer":   {plain, func(id string) string { return sealedResponse(id, "200 OK", "", large) }, 10 * time.Millisecond, false},
 		"sent in chunks": {head + chunks, success(""), 0, false},
-		"expect":         {raw("POST", "/once/a", "id", "Expect: 100-continue\r\n", body), success(""), 0, false},
+		"expect":         {rawRequest("POST", "/once/a", "id", "Expect: 100-continue\r\n", body), success(""), 0, false},
 		"back pressure":  {plain, success(""), 100 * time.Millisecond, false},
 		"client leaves":  {plain, success(""), 100 * time.Millisecond, true},
 	} {
-		inWorld(test, func(world *world) {
-			reader := &earlyReader{world: world, answer: play.answer, rest: play.rest}
-			world.add("b1").greet(reader.serve)
-			client := world.client()
-			defer client.pipe.Close()
-			reply := client.ask("POST", play.request)
+		withTestEnv(test, func(env *testEnv) {
+			reader := &earlyReader{world: env, answer: play.answer, rest: play.rest}
+			env.addBackend("b1").onConnect(reader.serve)
+			client := env.client()
+			defer client.conn.Close()
+			reply := client.roundTrip("POST", play.request)
 			for reply.status == 100 {
-				reply = client.ask("POST", "")
+				reply = client.roundTrip("POST", "")
 			}
-			if reply.broken != nil || reply.status/100 != 2 || reply.took > 200*time.Millisecond {
-				test.Errorf("%s: %d %v after %s", name, reply.status, reply.broken, reply.took)
+			if reply.err != nil || reply.status/100 != 2 || reply.elapsed > 200*time.Millisecond {
+				test.Errorf("%s: %d %v after %s", name, reply.status, reply.err, reply.elapsed)
 			}
 			if play.leaves {
-				client.pipe.Close()
+				client.conn.Close()
 			}
-			world.goroutines.Sleep(1900 * time.Millisecond)
+			env.goroutines.Sleep(1900 * time.Millisecond)
 			if got, ended := reader.got(); got != body || !ended {
 				test.Errorf("%s: %d of %d bytes came, connection ended: %v", name, len(got), len(body), ended)
 			}
-			if open, _ := world.held("b1"); open != 0 {
+			if open, _ := env.targetLoad("b1"); open != 0 {
 				test.Errorf("%s: %d connections open", name, open)
 			}
 		})
@@ -178,19 +182,19 @@
 func TestStoppingProxyFinishesUploads(test *testing.T) {
 	body := string(letters(0, 900<<10))
 	for limit, want := range map[time.Duration]bool{1500 * time.Millisecond: true, 200 * time.Millisecond: false} {
-		inWorld(test, func(world *world) {
+		withTestEnv(test, func(env *testEnv) {
 			reader := &earlyReader{
-				world:  world,
-				answer: func(id string) string { return whole(id, "200 OK", "", text(id)) },
+				world:  env,
+				answer: func(id string) string { return sealedResponse(id, "200 OK", "", successBody(id)) },
 				rest:   50 * time.Millisecond,
 			}
-			world.add("b1").greet(reader.serve)
-			client := world.client()
-			defer client.pipe.Close()
-			world.good(client.ask("POST", raw("POST", "/once/a", "id", "", body)), "id")
+			env.addBackend("b1").onConnect(reader.serve)
+			client := env.client()
+			defer client.conn.Close()
+			env.expectSuccess(client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "", body)), "id")
 			begin := time.Now()
-			world.proxy.Leave()
-			world.proxy.FinishUploads(limit)
+			env.proxy.Leave()
+			env.proxy.FinishUploads(limit)
 			if took := time.Since(begin); took > limit {
 				test.Errorf("stopped after %s, %s allowed", took, limit)
 			}
@@ -203,16 +207,16 @@
 
 // A body that a backend reads slowly arrives whole, and the connection is kept.
 func TestSlowlyReadBody(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1").greet(func(*pipe) { world.goroutines.Sleep(300 * time.Millisecond) })
-		client := world.client()
-		defer client.pipe.Close()
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1").onConnect(func(*pipe) { env.goroutines.Sleep(300 * time.Millisecond) })
+		client := env.client()
+		defer client.conn.Close()
 		body := string(letters(0, 900<<10))
-		world.good(client.ask("POST", raw("POST", "/once/a", "id", "", body)), "id")
-		if got := string(world.arrivals()[0].body); got != body {
+		env.expectSuccess(client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "", body)), "id")
+		if got := string(env.receivedRequests()[0].body); got != body {
 			test.Errorf("%d bytes arrived", len(got))
 		}
-		if open, _ := world.held("b1"); open != 1 {
+		if open, _ := env.targetLoad("b1"); open != 1 {
 			test.Errorf("%d connections kept", open)
 		}
 	})
@@ -220,14 +224,14 @@
 
 // A backend that takes no more of a body and says nothing may have run it.
 func TestStalledBodyMayHaveRun(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1").greet(func(*pipe) { world.goroutines.Sleep(10 * time.Second) })
-		world.addAt("b2", "plain", "e2", 8)
-		client := world.client()
-		defer client.pipe.Close()
-		reply := client.ask("POST", raw("POST", "/once/a", "id", "", string(letters(0, 900<<10))))
-		if reply.status != 504 || len(world.arrivals()) != 0 || reply.took > 1600*time.Millisecond {
-			test.Errorf("%d after %s, %d arrivals", reply.status, reply.took, len(world.arrivals()))
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1").onConnect(func(*pipe) { env.goroutines.Sleep(10 * time.Second) })
+		env.addBackendAt("b2", "plain", "e2", 8)
+		client := env.client()
+		defer client.conn.Close()
+		reply := client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "", string(letters(0, 900<<10))))
+		if reply.status != 504 || len(env.receivedRequests()) != 0 || reply.elapsed > 1600*time.Millisecond {
+			test.Errorf("%d after %s, %d arrivals", reply.status, reply.elapsed, len(env.receivedRequests()))
 		}
 	})
 }
--- a/hostproxy/usage_meter_test.go
+++ b/hostproxy/usage_meter_test.go
@@ -46,24 +46,24 @@
 // What may have run counts, what was refused or never sent does not.
 func TestMeteredAttempts(test *testing.T) {
 	for name, play := range map[string]struct {
-		does act
+		does handler
 		want uint64
 	}{
-		"well": {well, 1}, "shed": {shed, 0}, "misdirected": {misdirected, 0}, "reset": {resetAfterReading, 1}, "silence": {silent, 1}, "own 500": {status("500 Internal Server Error"), 1},
-		"streamed": {large(2*maxBufferedBodyBytes, 2*maxBufferedBodyBytes, false), 1}, "cut": {half, 1},
+		"well": {succeed, 1}, "shed": {shed, 0}, "misdirected": {misdirected, 0}, "reset": {resetAfterReading, 1}, "silence": {neverRespond, 1}, "own 500": {respondStatus("500 Internal Server Error"), 1},
+		"streamed": {respondLarge(2*maxBufferedBodyBytes, 2*maxBufferedBodyBytes, false), 1}, "cut": {truncatedBody, 1},
 	} {
-		inWorld(test, func(world *world) {
-			world.add("b1").ever(play.does)
-			world.keyed()
-			client := world.client()
-			defer client.pipe.Close()
+		withTestEnv(test, func(env *testEnv) {
+			env.addBackend("b1").handleAll(play.does)
+			env.keyed()
+			client := env.client()
+			defer client.conn.Close()
 			for _, ask := range []struct{ path, key string }{{"/once/a", "k1"}, {"/once/a", "k9"}, {"/none/a", "k1"}, {"/open/a", "k9"}} {
-				client := world.client()
-				client.ask("GET", raw("GET", ask.path, world.id(), "Authorization: Key "+ask.key+"\r\n", ""))
-				client.pipe.Close()
+				client := env.client()
+				client.roundTrip("GET", rawRequest("GET", ask.path, env.newID(), "Authorization: Key "+ask.key+"\r\n", ""))
+				client.conn.Close()
 			}
 			total := uint64(0)
-			for _, window := range world.proxy.Windows() {
+			for _, window := range env.proxy.Windows() {
 				total += window.Tenants["first"]
 				if len(window.Tenants) != 1 {
 					test.Errorf("%s: %v", name, window.Tenants)
@@ -78,15 +78,15 @@
 
 // A request counts in the window in which it began, however long it takes.
 func TestLongRequestCountsWhereItBegan(test *testing.T) {
-	inWorld(test, func(world *world) {
-		world.add("b1").ever(after(800*time.Millisecond, well))
-		world.keyed()
-		world.goroutines.Sleep(5*time.Second - time.Duration(time.Now().UnixMilli()%5000)*time.Millisecond - 400*time.Millisecond)
+	withTestEnv(test, func(env *testEnv) {
+		env.addBackend("b1").handleAll(delayed(800*time.Millisecond, succeed))
+		env.keyed()
+		env.goroutines.Sleep(5*time.Second - time.Duration(time.Now().UnixMilli()%5000)*time.Millisecond - 400*time.Millisecond)
 		number := time.Now().UnixMilli() / 5000
-		client := world.client()
-		defer client.pipe.Close()
-		client.ask("GET", raw("GET", "/once/a", "id", "Authorization: Key k1\r\n", ""))
-		if all := world.proxy.Windows(); len(all) != 1 || all[0].Window != number {
+		client := env.client()
+		defer client.conn.Close()
+		client.roundTrip("GET", rawRequest("GET", "/once/a", "id", "Authorization: Key k1\r\n", ""))
+		if all := env.proxy.Windows(); len(all) != 1 || all[0].Window != number {
 			test.Errorf("%v, not in %d", all, number)
 		}
 	})
--- a/hostproxy/view_test.go
+++ b/hostproxy/view_test.go
@@ -34,7 +34,7 @@
 
 func placed() ([]*Proxy, *message.Table) {
 	proxies := many([]string{"p1"}, []string{"e1"})
-	return proxies, &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{
+	return proxies, &message.Table{Version: leaderVersion, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{
 		{Name: "near", Service: "plain", Zone: "e1", Capacity: 4},
 		{Name: "beside", Service: "plain", Zone: "e2", Capacity: 4},
 		{Name: "far", Service: "plain", Zone: "w1", Capacity: 4},
@@ -48,7 +48,7 @@
 func TestHomes(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		proxies[0].Apply(&routing.State{Config: ownConfig()}, table, nil)
+		proxies[0].Apply(&routing.State{Config: testRoutingConfig()}, table, nil)
 		east, west, both := []string{"east"}, []string{"west"}, []string{"west", "east"}
 		for _, bound := range []struct {
 			route, tenant []string
@@ -73,7 +73,7 @@
 func TestLeavingAndEvacuated(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		state := &routing.State{Config: ownConfig()}
+		state := &routing.State{Config: testRoutingConfig()}
 		lay := func(change func()) {
 			copied, moved := *state, *table
 			moved.Backends = append([]message.Backend{}, table.Backends...)
@@ -118,14 +118,14 @@
 func TestTargetsOutliveViews(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
-		state := &routing.State{Config: ownConfig()}
+		state := &routing.State{Config: testRoutingConfig()}
 		proxies[0].Apply(state, table, nil)
 		first, index := proxies[0].targets["near"], proxies[0].view.Load().index
 		proxies[0].Apply(state, table, nil)
 		if proxies[0].targets["near"] != first || proxies[0].view.Load().index != index {
 			test.Error("made anew")
 		}
-		proxies[0].Apply(state, &message.Table{Version: leaderMark, Members: table.Members}, nil)
+		proxies[0].Apply(state, &message.Table{Version: leaderVersion, Members: table.Members}, nil)
 		proxies[0].Apply(state, table, nil)
 		if proxies[0].targets["near"] == first {
 			test.Error("a retired target is back")
@@ -138,7 +138,7 @@
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
 		names, zones := []string{"p1", "p2", "p3", "p4"}, []string{"e1", "e1", "e2", "w1"}
-		config := ownConfig()
+		config := testRoutingConfig()
 		config.Services = append(config.Services, routing.Service{Name: "small", MaxConnections: 3}, routing.Service{Name: "free"})
 		for _, step := range []struct{ count, most, small int }{{1, 104, 2}, {4, 26, 2}, {2, 26, 2}} {
 			table.Members = members(names[:step.count], zones[:step.count])
@@ -177,7 +177,7 @@
 				Members:  members([]string{"p1"}, []string{"e1"}),
 				Backends: []message.Backend{cold},
 			}
-			proxies[0].Apply(&routing.State{Config: ownConfig()}, table, nil)
+			proxies[0].Apply(&routing.State{Config: testRoutingConfig()}, table, nil)
 			proxies[0].pick(nil, nil)
 			time.Sleep(time.Second)
 			if _, how := proxies[0].pick(nil, nil); how != want {
@@ -195,12 +195,12 @@
 			proxies := many([]string{"p1"}, []string{"e1"})
 			backend := message.Backend{Name: "b1", Service: "plain", Address: "10.0.0.1:80", Zone: "e1", Capacity: 4}
 			state := &routing.State{
-				Config:   ownConfig(),
+				Config:   testRoutingConfig(),
 				Restored: []routing.RestoredZone{{Zone: "e1", AtMs: time.Now().Add(-ago).UnixMilli()}},
 			}
 			proxies[0].Apply(
 				state,
-				&message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{backend}},
+				&message.Table{Version: leaderVersion, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{backend}},
 				nil,
 			)
 			if _, how := proxies[0].pick(nil, nil); how != want {
--- a/hostproxy/warmup_test.go
+++ b/hostproxy/warmup_test.go
@@ -21,8 +21,8 @@
 		proxies = append(
 			proxies,
 			NewProxy(
-				ownPlace(name, zones[index]),
-				unreachable,
+				testConfig(name, zones[index]),
+				dialUnreachable,
 				func() int64 { return time.Now().UnixMilli() },
 				concurrent.NewGroup(),
 				metrics.NewCounters(),
@@ -91,7 +91,7 @@
 					names, zones = append(names, fmt.Sprint("p", number)), append(zones, []string{"e1", "e2", "w1"}[random.IntN(3)])
 				}
 				proxies := many(names, zones)
-				config := ownConfig()
+				config := testRoutingConfig()
 				config.Services[0].WarmupRate = 1 + 15*random.Float64()
 				state := &routing.State{Config: config}
 				backend := message.Backend{
@@ -105,7 +105,7 @@
 				news, olds := members(names, zones), members(names[1:], zones[1:])
 				lay := func() {
 					for index, proxy := range proxies {
-						table := &message.Table{Version: leaderMark, Members: news, Backends: []message.Backend{backend}}
+						table := &message.Table{Version: leaderVersion, Members: news, Backends: []message.Backend{backend}}
 						if differing && index%2 == 1 {
 							table.Members = olds
 						}
@@ -139,8 +139,8 @@
 		}
 		warm := message.Backend{Name: "warm", Service: "plain", Zone: "w1", Capacity: 2}
 		proxies[0].Apply(
-			&routing.State{Config: ownConfig()},
-			&message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{cold, warm}},
+			&routing.State{Config: testRoutingConfig()},
+			&message.Table{Version: leaderVersion, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{cold, warm}},
 			nil,
 		)
 		proxies[0].targets["cold"].takeWarmupToken(time.Now(), 1)
