--- a/hostproxy/added_latency_test.go
+++ b/hostproxy/added_latency_test.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// pacedRate is the requests a second of a proxy on the users' small deployments.
+	// pacedRate is the request rate, per second, of a proxy in a small deployment.
 	pacedRate         = 206
 	pacedRequests     = 2000
 	maxRateWorkers    = 8
@@ -27,7 +27,7 @@
 	responseBytes     = 2000
 )
 
-// directBackend answers at once as a backend of the platform does.
+// newDirectBackend returns a backend that responds without delay.
 func newDirectBackend() *httptest.Server {
 	body := letters(0, responseBytes)
 	return httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -38,13 +38,14 @@
 	}))
 }
 
-// realServer is a proxy behind its listener on loopback.
+// loopbackServer is a proxy and its listener on loopback.
 type loopbackServer struct {
 	*process.Listener
 	URL string
 }
 
-// realProxy serves on loopback, in real time, before one backend with room for all.
+// startLoopbackProxy starts a proxy on loopback, in real time, with one backend that has
+// capacity for all requests.
 func startLoopbackProxy(bench testing.TB, goroutines *concurrent.Group, backend string) (*loopbackServer, *metrics.Counters) {
 	counters := metrics.NewCounters()
 	dialer := &net.Dialer{}
@@ -64,7 +65,7 @@
 	return &loopbackServer{Listener: listener, URL: "http://" + socket.Addr().String()}, counters
 }
 
-// timeRequest returns how long a request takes until its answer is read.
+// timeRequest returns the time from sending a request until its response is read.
 func timeRequest(bench *testing.B, client *http.Client, url, id string) time.Duration {
 	request, err := http.NewRequest(http.MethodGet, url+"/once/a", http.NoBody)
 	if err != nil {
@@ -83,13 +84,13 @@
 	defer response.Body.Close()
 	size, err := io.Copy(io.Discard, response.Body)
 	if err != nil || response.StatusCode != http.StatusOK || size != responseBytes {
-		bench.Errorf("%d, %d bytes, %v", response.StatusCode, size, err)
+		bench.Errorf("status %d, %d body bytes, %v", response.StatusCode, size, err)
 	}
 	return time.Since(begin)
 }
 
-// paced sends requests at a rate, alternating between the backend and the proxy, so that
-// both see the same moments.
+// measurePaced sends requests at a fixed rate, alternating between the backend and the proxy so
+// that both are measured under the same conditions.
 func measurePaced(bench *testing.B, client *http.Client, urls [2]string) (durations [2][]time.Duration) {
 	var mutex sync.Mutex
 	var group sync.WaitGroup
@@ -106,18 +107,18 @@
 	return durations
 }
 
-// flatOut sends requests one after the other from some workers.
+// measureMaxRate sends requests from maxRateWorkers workers, each without pause.
 func measureMaxRate(bench *testing.B, client *http.Client, url string) (durations []time.Duration) {
 	var mutex sync.Mutex
 	var group sync.WaitGroup
 	for worker := range maxRateWorkers {
 		group.Go(func() {
-			spans := make([]time.Duration, 0, requestsPerWorker)
+			workerDurations := make([]time.Duration, 0, requestsPerWorker)
 			for number := range requestsPerWorker {
-				spans = append(spans, timeRequest(bench, client, url, strconv.Itoa(worker*requestsPerWorker+number)))
+				workerDurations = append(workerDurations, timeRequest(bench, client, url, strconv.Itoa(worker*requestsPerWorker+number)))
 			}
 			mutex.Lock()
-			durations = append(durations, spans...)
+			durations = append(durations, workerDurations...)
 			mutex.Unlock()
 		})
 	}
@@ -125,13 +126,13 @@
 	return durations
 }
 
-func quantile(spans []time.Duration, fraction float64) float64 {
-	sorted := slices.Sorted(slices.Values(spans))
+func quantile(durations []time.Duration, fraction float64) float64 {
+	sorted := slices.Sorted(slices.Values(durations))
 	return float64(sorted[int(fraction*float64(len(sorted)-1))].Microseconds())
 }
 
 // BenchmarkAddedLatency compares requests through a proxy with requests to its backend, over
-// loopback, at a paced rate and flat out. It reports microseconds.
+// loopback, at a fixed rate and at the maximum rate. Latencies are in microseconds.
 func BenchmarkAddedLatency(bench *testing.B) {
 	for range bench.N {
 		goroutines := concurrent.NewGroup()
--- a/hostproxy/attempt_test.go
+++ b/hostproxy/attempt_test.go
@@ -11,41 +11,41 @@
 	"time"
 )
 
-// first gives an act to the first arrival at any of the backends, and good answers
-// to later ones.
+// onFirstRequest returns a handler, to be shared by backends, that uses handle for the first
+// request and succeeds afterwards.
 func onFirstRequest(handle handler) handler {
 	var mutex sync.Mutex
 	done := false
 	return func(exchange *exchange) bool {
 		mutex.Lock()
-		handle := handle
+		current := handle
 		if done {
-			handle = succeed
+			current = succeed
 		}
 		done = true
 		mutex.Unlock()
-		return handle(exchange)
+		return current(exchange)
 	}
 }
 
-// troubles are ways to leave a client without an answer to a request that may have run.
+// failureModes are the ways in which a request that may have run can fail at its backend.
 var failureModes = map[string]handler{
-	"reset after reading":   resetAfterReading,
-	"close after reading":   closeAfterReading,
-	"half an answer":        truncatedBody,
-	"half a head":           truncatedHead,
-	"garbage":               garbage,
-	"no seal":               withoutSeal,
-	"no id":                 withoutID,
-	"body until close":      bodyUntilClose,
-	"half of the chunks":    truncatedChunks,
-	"silence":               neverRespond,
-	"switching protocols":   respondStatus("101 Switching Protocols"),
-	"own 500":               respondStatus("500 Internal Server Error"),
-	"own 503, may have run": respondStatus("503 Service Unavailable"),
-	"own 429, may have run": respondStatus("429 Too Many Requests"),
-	"own 408, may have run": respondStatus("408 Request Timeout"),
-	"answer to somebody else": func(exchange *exchange) bool {
+	"reset after reading": resetAfterReading,
+	"close after reading": closeAfterReading,
+	"truncated body":      truncatedBody,
+	"truncated head":      truncatedHead,
+	"garbage":             garbage,
+	"no seal":             withoutSeal,
+	"no id":               withoutID,
+	"body until close":    bodyUntilClose,
+	"truncated chunks":    truncatedChunks,
+	"silence":             neverRespond,
+	"switching protocols": respondStatus("101 Switching Protocols"),
+	"500":                 respondStatus("500 Internal Server Error"),
+	"503, may have run":   respondStatus("503 Service Unavailable"),
+	"429, may have run":   respondStatus("429 Too Many Requests"),
+	"408, may have run":   respondStatus("408 Request Timeout"),
+	"response to another request": func(exchange *exchange) bool {
 		exchange.writef("%s", sealedResponse("foreign", "200 OK", "", "foreign"))
 		return false
 	},
@@ -58,16 +58,17 @@
 			reply, id := env.get(path)
 			env.expectSuccess(reply, id)
 			if kind, found := reply.header["Content-Type"]; found {
-				test.Errorf("a content type of nobody's: %q", kind)
+				test.Errorf("content type %q, which the backend did not send", kind)
 			}
 		}
 		if connections := env.backends["b1"].connections(); connections != 1 {
-			test.Errorf("%d connections for three requests in turn", connections)
+			test.Errorf("%d connections for three consecutive requests", connections)
 		}
 	})
 }
 
-// What may have run is sent nowhere else, and nobody is told that it has not run.
+// A non-idempotent request that may have run is not retried, and its client is not told that it
+// was not executed.
 func TestNonIdempotentRequestReachesOneBackend(test *testing.T) {
 	for name, handle := range failureModes {
 		test.Run(name, func(test *testing.T) {
@@ -77,24 +78,24 @@
 				}
 				reply, _ := env.get("/once/a")
 				if count := len(env.receivedRequests()); count != 1 {
-					test.Errorf("%d arrivals", count)
+					test.Errorf("%d received requests, want 1", count)
 				}
 				if reply.err != nil || reply.status < 500 || isNotExecutedStatus(reply.status) {
-					test.Errorf("%d %q %v", reply.status, reply.body, reply.err)
+					test.Errorf("status %d, body %q, error %v", reply.status, reply.body, reply.err)
 				}
 				if reply.elapsed > 1600*time.Millisecond {
-					test.Errorf("took %s", reply.elapsed)
+					test.Errorf("response after %s, want at most 1.6s", reply.elapsed)
 				}
 			})
 		})
 	}
 }
 
-// A repeatable request is tried elsewhere after any trouble, and the client gets
-// the second backend's answer only.
+// An idempotent request is retried at another backend after any failure, and the client gets
+// only that backend's response.
 func TestIdempotentRequestIsRetried(test *testing.T) {
 	for name, handle := range failureModes {
-		if name == "silence" || name == "own 429, may have run" || name == "own 408, may have run" {
+		if name == "silence" || name == "429, may have run" || name == "408, may have run" {
 			continue
 		}
 		test.Run(name, func(test *testing.T) {
@@ -107,15 +108,15 @@
 				env.expectSuccess(reply, id)
 				received := env.receivedRequests()
 				if len(received) != 2 || received[0].backend == received[1].backend {
-					test.Errorf("arrivals %v", received)
+					test.Errorf("received requests: %v, want 2 at different backends", received)
 				}
 			})
 		})
 	}
 }
 
-// Whatever all backends do, nobody's success is handed on that lacks the seal or
-// belongs to another, and no more backends are tried than the route allows.
+// However all backends fail, the client gets no success without a seal or of another request,
+// and no more backends are tried than the route allows.
 func TestNoFalseSuccess(test *testing.T) {
 	for name, handle := range failureModes {
 		test.Run(name, func(test *testing.T) {
@@ -126,7 +127,7 @@
 				for range 4 {
 					reply, id := env.get("/again/a")
 					if reply.status < 400 && reply.err == nil || strings.Contains(reply.body, "foreign") {
-						test.Errorf("%s got %d %q", id, reply.status, reply.body)
+						test.Errorf("request %s: got status %d, body %q", id, reply.status, reply.body)
 					}
 					counts := map[string]int{}
 					for _, received := range env.receivedRequests() {
@@ -135,11 +136,11 @@
 						}
 					}
 					if len(counts) > 3 {
-						test.Errorf("%s reached %d backends", id, len(counts))
+						test.Errorf("request %s reached %d backends, want at most 3", id, len(counts))
 					}
 					for backend, count := range counts {
 						if count > 1 {
-							test.Errorf("%s reached %s %d times", id, backend, count)
+							test.Errorf("request %s reached %s %d times", id, backend, count)
 						}
 					}
 				}
@@ -148,7 +149,7 @@
 	}
 }
 
-// A request that a backend refused has not run: another backend gets it.
+// A request that a backend refused was not executed: it is sent to another backend.
 func TestRefusedRequestIsRetried(test *testing.T) {
 	for name, handle := range map[string]handler{"shed": shed, "misdirected": misdirected, "shed with 500": func(exchange *exchange) bool {
 		exchange.writef("%s", unsealedResponse(exchange.get("Attempt"), "500 Internal Server Error", "Not-Executed: 1\r\n", ""))
@@ -164,7 +165,7 @@
 					env.expectSuccess(reply, id)
 					received := env.receivedRequests()
 					if len(received) != 2 || received[0].backend == received[1].backend {
-						test.Errorf("%d arrivals", len(received))
+						test.Errorf("%d received requests, want 2 at different backends", len(received))
 					}
 				})
 			})
@@ -172,8 +173,8 @@
 	}
 }
 
-// Where all refuse, as many are tried as the route allows, and the client is told
-// to come back.
+// If all backends refuse, as many are tried as the route allows, and the client is told to retry
+// later.
 func TestRefusedByAllBackends(test *testing.T) {
 	for _, path := range []string{"/once/a", "/again/a"} {
 		withTestEnv(test, func(env *testEnv) {
@@ -183,32 +184,32 @@
 			env.proxy.view.Load().budgets[0].tokens = 2
 			reply, _ := env.get(path)
 			if reply.status != 503 || reply.header.Get("Retry-After") == "" || reply.err != nil {
-				test.Errorf("%s: %d %v", path, reply.status, reply.header)
+				test.Errorf("%s: status %d, header %v", path, reply.status, reply.header)
 			}
 			if count := len(env.receivedRequests()); count != 3 {
-				test.Errorf("%s: %d arrivals", path, count)
+				test.Errorf("%s: %d received requests, want 3", path, count)
 			}
 		})
 	}
 }
 
-// Without budget nothing is sent a second time.
+// With an empty retry budget no request is sent a second time.
 func TestEmptyBudgetPreventsRetries(test *testing.T) {
-	for handle, want := range map[string]int{"shed": 503, "reset": 502} {
+	for name, want := range map[string]int{"shed": 503, "reset": 502} {
 		withTestEnv(test, func(env *testEnv) {
-			acts := map[string]handler{"shed": shed, "reset": resetAfterReading}
-			env.addBackend("b1").handleAll(acts[handle])
-			env.addBackend("b2").handleAll(acts[handle])
+			handlers := map[string]handler{"shed": shed, "reset": resetAfterReading}
+			env.addBackend("b1").handleAll(handlers[name])
+			env.addBackend("b2").handleAll(handlers[name])
 			env.proxy.view.Load().budgets[0].tokens = 0
 			reply, _ := env.get("/again/a")
 			if reply.status != want || len(env.receivedRequests()) != 1 {
-				test.Errorf("%s: %d after %d arrivals", handle, reply.status, len(env.receivedRequests()))
+				test.Errorf("%s: status %d after %d received requests, want 1", name, reply.status, len(env.receivedRequests()))
 			}
 		})
 	}
 }
 
-// Requests fill the budget of their service, and of no other.
+// Requests add to the retry budget of their own service only.
 func TestRequestsFillBudget(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1")
@@ -219,18 +220,19 @@
 			env.get("/none/a")
 		}
 		if got := budgets[0].tokens - before[0]; got < 1.49 || got > 1.51 || budgets[1].tokens != before[1] {
-			test.Errorf("filled by %v and %v", got, budgets[1].tokens-before[1])
+			test.Errorf("budgets grew by %v and %v, want 1.5 and 0", got, budgets[1].tokens-before[1])
 		}
 	})
 }
 
-// What could not be sent at all goes elsewhere and costs no budget.
+// A request that could not be sent at all is retried at another backend without using the
+// retry budget.
 func TestUnsentRequestIsRetriedWithoutBudget(test *testing.T) {
 	for name, breakBackend := range map[string]func(*testEnv){
-		"refused dial":   func(env *testEnv) { env.network.serve("b1:80", nil) },
-		"silent dial":    func(env *testEnv) { env.network.silence("b1:80", true) },
-		"reset at once":  func(env *testEnv) { env.network.serve("b1:80", func(pipe *pipe) { pipe.reset() }) },
-		"no connections": func(env *testEnv) { env.proxy.targets["b1"].openConnections = 1000 },
+		"refused dial":    func(env *testEnv) { env.network.serve("b1:80", nil) },
+		"silent dial":     func(env *testEnv) { env.network.silence("b1:80", true) },
+		"immediate reset": func(env *testEnv) { env.network.serve("b1:80", func(pipe *pipe) { pipe.reset() }) },
+		"no connections":  func(env *testEnv) { env.proxy.targets["b1"].openConnections = 1000 },
 	} {
 		for _, path := range []string{"/once/a", "/again/a"} {
 			test.Run(name+path, func(test *testing.T) {
@@ -242,7 +244,7 @@
 					reply, id := env.get(path)
 					env.expectSuccess(reply, id)
 					if len(env.backends["b1"].requests()) != 0 {
-						test.Error("b1 got it")
+						test.Error("b1 received the request")
 					}
 					env.proxy.targets["b1"].openConnections = 0
 					env.network.silence("b1:80", false)
@@ -252,7 +254,7 @@
 	}
 }
 
-// Bytes that were taken but not read may have run all the same.
+// A request may have run if its bytes were sent, even if the backend did not read them.
 func TestResetBeforeReadingMayHaveRun(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		resetLater := func(pipe *pipe) { env.goroutines.Sleep(10 * time.Millisecond); pipe.reset() }
@@ -260,19 +262,19 @@
 		env.addBackend("b2").onConnect(resetLater)
 		reply, _ := env.get("/once/a")
 		if reply.status != 502 || len(env.receivedRequests()) != 0 {
-			test.Errorf("%d, %d arrivals", reply.status, len(env.receivedRequests()))
+			test.Errorf("status %d, %d received requests, want 502 and none", reply.status, len(env.receivedRequests()))
 		}
 		if env.counters.Get("connections_opened") != 1 {
-			test.Errorf("%d connections", env.counters.Get("connections_opened"))
+			test.Errorf("%d connections opened, want 1", env.counters.Get("connections_opened"))
 		}
 	})
 }
 
-// A body that is cut off on its way may have run as well.
+// A request may have run if only a part of its body was sent.
 func TestPartlySentBodyMayHaveRun(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		resetPartway := func(pipe *pipe) {
-			_, _ = io.ReadFull(pipe, make([]byte, 100<<10)) // or less, where the proxy gives up first
+			_, _ = io.ReadFull(pipe, make([]byte, 100<<10)) // fewer if the proxy gives up first
 			pipe.reset()
 		}
 		env.addBackend("b1").onConnect(resetPartway)
@@ -281,13 +283,12 @@
 		defer client.conn.Close()
 		reply := client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "", string(letters(0, 400<<10))))
 		if reply.status != 502 || env.counters.Get("connections_opened") != 1 {
-			test.Errorf("%d, %d connections", reply.status, env.counters.Get("connections_opened"))
+			test.Errorf("status %d, %d connections opened, want 502 and 1", reply.status, env.counters.Get("connections_opened"))
 		}
 	})
 }
 
-// An idle connection that its backend closed takes the bytes of the next request,
-// and nobody knows what became of them.
+// A request sent on an idle connection that the backend has just closed may have run.
 func TestIdleCloseRacesWithReuse(test *testing.T) {
 	for path, want := range map[string]int{"/once/a": 502, "/again/a": 200} {
 		withTestEnv(test, func(env *testEnv) {
@@ -297,17 +298,16 @@
 			env.addBackendAt("b2", "plain", "e2", 8)
 			env.backends["b1"].closeConnections()
 			if reply, _ = env.get(path); reply.status != want {
-				test.Errorf("%s: %d", path, reply.status)
+				test.Errorf("%s: status %d", path, reply.status)
 			}
 			if count := len(env.backends["b2"].requests()); count != (want-502)/-302 {
-				test.Errorf("%s: %d arrivals at the other", path, count)
+				test.Errorf("%s: %d requests at the other backend", path, count)
 			}
 		})
 	}
 }
 
-// Surplus answers are passed over, and a connection with bytes left over is not
-// used again.
+// Surplus responses are skipped, and a connection with unread bytes is not reused.
 func TestSurplusResponses(test *testing.T) {
 	for name, testCase := range map[string]struct {
 		handle      handler
@@ -315,15 +315,15 @@
 		surplus     uint64
 		connections int
 	}{
-		"in one go":           {surplusAtOnce, 0, 0, 2},
-		"in place of another": {surplusDelayed(20 * time.Millisecond), 0, 1, 1},
-		"while idle":          {surplusDelayed(20 * time.Millisecond), 100 * time.Millisecond, 1, 1},
+		"at once":                  {surplusAtOnce, 0, 0, 2},
+		"before the next response": {surplusDelayed(20 * time.Millisecond), 0, 1, 1},
+		"while idle":               {surplusDelayed(20 * time.Millisecond), 100 * time.Millisecond, 1, 1},
 		"while idle, in chunks": {func(exchange *exchange) bool {
 			succeed(exchange)
 			exchange.backend.goroutines.Sleep(time.Millisecond)
 			return chunked(exchange)
 		}, 100 * time.Millisecond, 1, 1},
-		"garbage in one go": {func(exchange *exchange) bool {
+		"garbage at once": {func(exchange *exchange) bool {
 			id := exchange.get("Attempt")
 			exchange.writef("%sleft over", sealedResponse(id, "200 OK", "", successBody(id)))
 			return true
@@ -338,7 +338,7 @@
 					env.goroutines.Sleep(testCase.idle)
 				}
 				if surplus := env.counters.Get("answers_surplus"); surplus != testCase.surplus {
-					test.Errorf("%d surplus answers read", surplus)
+					test.Errorf("%d surplus responses read", surplus)
 				}
 				if connections := env.backends["b1"].connections(); connections != testCase.connections {
 					test.Errorf("%d connections", connections)
@@ -348,8 +348,8 @@
 	}
 }
 
-// Leftover bytes that form no answer spoil one request at most, and never look
-// like its answer.
+// Unread bytes that are not a valid response make at most one request fail, and are never taken
+// for its response.
 func TestGarbageOnIdleConnection(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1").handleNext(func(exchange *exchange) bool {
@@ -362,14 +362,14 @@
 		env.expectSuccess(reply, id)
 		env.goroutines.Sleep(10 * time.Millisecond)
 		if reply, _ = env.get("/once/b"); reply.status != 502 {
-			test.Errorf("%d %q", reply.status, reply.body)
+			test.Errorf("status %d, body %q, want status 502", reply.status, reply.body)
 		}
 		reply, id = env.get("/once/c")
 		env.expectSuccess(reply, id)
 	})
 }
 
-// A backend that sends answer after answer is given up.
+// The proxy gives up an attempt whose backend sends too many surplus responses.
 func TestTooManySurplusResponses(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1").handleAll(func(exchange *exchange) bool {
@@ -379,61 +379,61 @@
 			return succeed(exchange)
 		})
 		if reply, _ := env.get("/once/a"); reply.status != 502 {
-			test.Errorf("%d %q", reply.status, reply.body)
+			test.Errorf("status %d, body %q, want status 502", reply.status, reply.body)
 		}
 	})
 }
 
-// The rest of a refusal's body is no answer to the next request.
+// The rest of a refusal's body is not taken for the response to the next request.
 func TestRefusalWithLargeBodyPreventsReuse(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1").handleNext(func(exchange *exchange) bool {
-			received := unsealedResponse(
+			response := unsealedResponse(
 				exchange.get("Attempt"),
 				"503 Service Unavailable",
 				"Not-Executed: full\r\n",
 				string(letters(0, maxBufferedBodyBytes+readBufferBytes)),
 			)
-			exchange.writef("%s", received[:len(received)-readBufferBytes])
+			exchange.writef("%s", response[:len(response)-readBufferBytes])
 			exchange.backend.goroutines.Sleep(5 * time.Millisecond)
-			exchange.writef("%s", received[len(received)-readBufferBytes:])
+			exchange.writef("%s", response[len(response)-readBufferBytes:])
 			return true
 		})
 		if reply, _ := env.get("/once/a"); reply.status != 503 {
-			test.Errorf("%d", reply.status)
+			test.Errorf("status %d, want 503", reply.status)
 		}
 		reply, id := env.get("/once/b")
 		env.expectSuccess(reply, id)
 		if connections := env.backends["b1"].connections(); connections != 2 {
-			test.Errorf("%d connections", connections)
+			test.Errorf("%d connections, want 2", connections)
 		}
 	})
 }
 
-// A head without end is cut off long before it fills the memory.
+// The size of a response head is limited, so that it cannot exhaust the memory.
 func TestOversizedResponseHead(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		written := 0
 		env.addBackend("b1").handleAll(func(exchange *exchange) bool {
 			exchange.writef("HTTP/1.1 200 OK\r\nX: ")
-			for resetPartway := letters(0, 32<<10); written < 64<<20; written += len(resetPartway) {
-				if _, err := exchange.pipe.Write(resetPartway); err != nil {
+			for part := letters(0, 32<<10); written < 64<<20; written += len(part) {
+				if _, err := exchange.pipe.Write(part); err != nil {
 					return false
 				}
 			}
 			return false
 		})
 		if reply, _ := env.get("/once/a"); reply.status != 502 {
-			test.Errorf("%d", reply.status)
+			test.Errorf("status %d, want 502", reply.status)
 		}
 		synctest.Wait()
 		if written > 4<<20 {
-			test.Errorf("%d bytes of a head were read", written)
+			test.Errorf("backend wrote %d bytes of a response head, want at most 4 MiB", written)
 		}
 	})
 }
 
-// Streamed answers come whole and unchanged, or visibly cut.
+// Streamed responses reach the client unchanged, or visibly truncated.
 func TestLargeResponses(test *testing.T) {
 	for _, size := range []int{0, 1, maxBufferedBodyBytes - 1, maxBufferedBodyBytes, maxBufferedBodyBytes + 1, 3 * maxBufferedBodyBytes} {
 		for _, inChunks := range []bool{false, true} {
@@ -441,12 +441,19 @@
 				env.addBackend("b1").handleNext(respondLarge(size, size, inChunks))
 				reply, _ := env.get("/load/a")
 				if reply.status != 200 || reply.err != nil || reply.body != string(letters(0, size)) {
-					test.Errorf("%d bytes in chunks %v: %d, %d bytes, %v", size, inChunks, reply.status, len(reply.body), reply.err)
+					test.Errorf(
+						"body of %d bytes, chunked %v: status %d, received %d bytes, error %v",
+						size,
+						inChunks,
+						reply.status,
+						len(reply.body),
+						reply.err,
+					)
 				}
 				reply, id := env.get("/once/b")
 				env.expectSuccess(reply, id)
 				if connections := env.backends["b1"].connections(); connections != 1 {
-					test.Errorf("%d bytes in chunks %v: %d connections", size, inChunks, connections)
+					test.Errorf("body of %d bytes, chunked %v: %d connections, want 1", size, inChunks, connections)
 				}
 			})
 			if size == 0 {
@@ -457,7 +464,14 @@
 					env.addBackend("b1").handleNext(respondLarge(size, size-1, inChunks))
 					reply, _ := env.get(path)
 					if reply.err == nil && reply.status < 500 || size > maxBufferedBodyBytes && reply.err == nil {
-						test.Errorf("%s: %d bytes less one in chunks %v: %d, %d bytes", path, size, inChunks, reply.status, len(reply.body))
+						test.Errorf(
+							"%s: last of %d bytes missing, chunked %v: status %d, received %d bytes",
+							path,
+							size,
+							inChunks,
+							reply.status,
+							len(reply.body),
+						)
 					}
 					reply, id := env.get("/once/b")
 					env.expectSuccess(reply, id)
@@ -467,7 +481,7 @@
 	}
 }
 
-// A stream that stops is cut at the request's limit.
+// A response stream that stalls is cut off at the request's deadline.
 func TestStalledStream(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1").handleNext(func(exchange *exchange) bool {
@@ -476,12 +490,12 @@
 		})
 		reply, _ := env.get("/load/a")
 		if reply.err == nil || reply.elapsed > 1600*time.Millisecond {
-			test.Errorf("%d after %s: %v", reply.status, reply.elapsed, reply.err)
+			test.Errorf("status %d after %s, error %v", reply.status, reply.elapsed, reply.err)
 		}
 	})
 }
 
-// A stream keeps its place at the backend until its end.
+// A request counts as running at its backend until its response was streamed completely.
 func TestStreamCountsAsRunning(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1").handleNext(respondLarge(4*maxBufferedBodyBytes, 4*maxBufferedBodyBytes, false))
@@ -490,7 +504,7 @@
 		client.send(rawRequest("GET", "/load/a", "id", "", ""))
 		synctest.Wait()
 		if _, running := env.targetLoad("b1"); running != 1 {
-			test.Errorf("%d running while an answer streams", running)
+			test.Errorf("%d requests running during the response, want 1", running)
 		}
 		response, _ := http.ReadResponse(client.reader, nil)
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
@@ -498,12 +512,11 @@
 		}
 		synctest.Wait()
 		if _, running := env.targetLoad("b1"); running != 0 {
-			test.Errorf("%d running after it", running)
+			test.Errorf("%d requests running after the response, want 0", running)
 		}
 	})
 }
 
-// Answers without a body.
 func TestResponsesWithoutBody(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1").handleNext(func(exchange *exchange) bool {
@@ -523,7 +536,7 @@
 		defer client.conn.Close()
 		reply := client.roundTrip("HEAD", rawRequest("HEAD", "/once/a", "id", "", ""))
 		if reply.status != 200 || reply.header.Get("Content-Length") != "77" || reply.err != nil {
-			test.Errorf("%+v", reply)
+			test.Errorf("unexpected reply %+v", reply)
 		}
 		for _, want := range []int{204, 304} {
 			if reply = client.roundTrip(
@@ -531,47 +544,48 @@
 				rawRequest("GET", "/once/a", "id", "", ""),
 			); reply.status != want || reply.body != "" ||
 				reply.err != nil {
-				test.Errorf("%+v", reply)
+				test.Errorf("unexpected reply %+v", reply)
 			}
 		}
 		env.expectSuccess(client.roundTrip("GET", rawRequest("GET", "/once/a", "id", "", "")), "id")
 		if connections := env.backends["b1"].connections(); connections != 1 {
-			test.Errorf("%d connections", connections)
+			test.Errorf("%d connections, want 1", connections)
 		}
 	})
 }
 
-// The answer's fields come back, but for those of the connection and of the backend's own state.
+// Response header fields are forwarded, except hop-by-hop fields and those with the backend's
+// state.
 func TestResponseHeaderFields(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1").
 			handleNext(succeedWithFields("Connection: keep-alive, Secret\r\nSecret: x\r\nKeep-Alive: timeout=5\r\nLoad: 1,0,8\r\nBackend: b1\r\nWarmup: 0\r\nKept: one\r\nKept: two\r\nContent-Encoding: none\r\n"))
 		reply, id := env.get("/once/a")
 		env.expectSuccess(reply, id)
-		for _, gone := range []string{"Secret", "Keep-Alive", "Load", "Backend", "Warmup", "Content-Type", "Transfer-Encoding"} {
-			if value, found := reply.header[gone]; found {
-				test.Errorf("%s came: %q", gone, value)
+		for _, field := range []string{"Secret", "Keep-Alive", "Load", "Backend", "Warmup", "Content-Type", "Transfer-Encoding"} {
+			if value, found := reply.header[field]; found {
+				test.Errorf("field %s was forwarded: %q", field, value)
 			}
 		}
 		if kept := reply.header["Kept"]; len(kept) != 2 || kept[0] != "one" || reply.header.Get("Content-Encoding") != "none" {
-			test.Errorf("%v", reply.header)
+			test.Errorf("header %v, want both Kept fields and Content-Encoding", reply.header)
 		}
 	})
 }
 
-// Failures of the backend's own keep status and body.
+// Error responses of a backend are forwarded with their status and body.
 func TestBackendErrorsAreForwarded(test *testing.T) {
 	for _, line := range []string{"400 Bad Request", "404 Not Found", "409 Conflict", "500 Internal Server Error", "504 Gateway Timeout"} {
 		withTestEnv(test, func(env *testEnv) {
 			env.addBackend("b1").handleAll(respondStatus(line))
-			if reply, _ := env.get("/once/a"); fmt.Sprint(reply.status) != line[:3] || reply.body != "of the backend" {
-				test.Errorf("%s: %d %q", line, reply.status, reply.body)
+			if reply, _ := env.get("/once/a"); fmt.Sprint(reply.status) != line[:3] || reply.body != "backend error" {
+				test.Errorf("%s: status %d, body %q", line, reply.status, reply.body)
 			}
 		})
 	}
 }
 
-// A client that goes takes its request with it.
+// A client that disconnects ends its request.
 func TestClientDisconnect(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1").handleAll(neverRespond)
@@ -581,16 +595,16 @@
 		client.conn.Close()
 		env.goroutines.Sleep(10 * time.Millisecond)
 		if open, running := env.targetLoad("b1"); open != 0 || running != 0 || env.proxy.InFlight() != 0 {
-			test.Errorf("open %d, running %d, under way %d", open, running, env.proxy.InFlight())
+			test.Errorf("%d open connections, %d running requests, %d in flight", open, running, env.proxy.InFlight())
 		}
 		if len(env.receivedRequests()) != 1 {
-			test.Errorf("%d arrivals", len(env.receivedRequests()))
+			test.Errorf("%d received requests, want 1", len(env.receivedRequests()))
 		}
 	})
 }
 
-// The limit is the client's, or the route's where that is shorter, and backends
-// are told what is left of it.
+// The deadline is the client's or the route's, whichever is shorter, and backends are told the
+// remaining time.
 func TestDeadline(test *testing.T) {
 	for deadline, limit := range map[string]int{"700": 700, "1500": 1500, "90000": 2000, "1e300": 2000, "Inf": 2000, "NaN": 2000, "-4": 2000, "soon": 2000, "0.5": 1, "0": 1} {
 		withTestEnv(test, func(env *testEnv) {
@@ -598,10 +612,10 @@
 			client := env.client()
 			defer client.conn.Close()
 			reply := client.roundTrip("GET", rawRequest("GET", "/once/a", "id", "Deadline: "+deadline+"\r\n", ""))
-			took := int(reply.elapsed.Milliseconds())
-			if limit > 1 && (reply.status != 504 || took < limit || took > limit+60) ||
+			elapsedMs := int(reply.elapsed.Milliseconds())
+			if limit > 1 && (reply.status != 504 || elapsedMs < limit || elapsedMs > limit+60) ||
 				limit == 1 && reply.status != 503 && reply.status != 504 {
-				test.Errorf("deadline %s: %d after %s", deadline, reply.status, reply.elapsed)
+				test.Errorf("deadline %s: status %d after %s", deadline, reply.status, reply.elapsed)
 			}
 			for _, received := range env.receivedRequests() {
 				if got := received.get("Deadline"); got != fmt.Sprint(limit) || len(received.values("Deadline")) != 1 {
@@ -617,15 +631,16 @@
 		reply, id := env.get("/once/a")
 		env.expectSuccess(reply, id)
 		for number, want := range []string{"1500", "1200"} {
-			if response := env.receivedRequests()[number].get("Deadline"); response != want {
-				test.Errorf("told %s", response)
+			if deadline := env.receivedRequests()[number].get("Deadline"); deadline != want {
+				test.Errorf("backend was told deadline %s", deadline)
 			}
 		}
 	})
 }
 
-// It is not taken for a backend that came back because it takes dials.
-func TestReusedAddressIsNotRevived(test *testing.T) {
+// A backend that was replaced by another one at its address is not revived just because dials
+// succeed.
+func TestReplacedBackendIsNotRevived(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1").handleAll(misdirected)
 		env.addBackendAt("b2", "plain", "w1", 8)
@@ -635,15 +650,15 @@
 			env.goroutines.Sleep(100 * time.Millisecond)
 		}
 		if count := len(env.backends["b1"].requests()); count > 3 {
-			test.Errorf("asked %d times in 10 s", count)
+			test.Errorf("b1 received %d requests in 10 s, want at most 3", count)
 		}
 		if revived := env.counters.Get("backends_revived"); revived != 0 {
-			test.Errorf("revived %d times", revived)
+			test.Errorf("b1 was revived %d times", revived)
 		}
 	})
 }
 
-// Attempts end with the route's number, and with none left to try.
+// A request makes at most as many attempts as its route allows and as there are backends.
 func TestAttemptLimitOfRoute(test *testing.T) {
 	for attempts := 1; attempts <= 4; attempts++ {
 		withTestEnv(test, func(env *testEnv) {
@@ -658,14 +673,15 @@
 			env.proxy.view.Load().budgets[0].tokens = 9
 			reply, _ := env.get("/again/a")
 			if reply.status != 502 || len(env.receivedRequests()) != min(attempts, 3) {
-				test.Errorf("%d attempts: %d after %d arrivals", attempts, reply.status, len(env.receivedRequests()))
+				test.Errorf("%d attempts: status %d after %d received requests", attempts, reply.status, len(env.receivedRequests()))
 			}
 		})
 	}
 }
 
-// A backend of another life at the same address refuses; it is left out for a while.
-func TestReusedAddress(test *testing.T) {
+// A backend that answers 421 was replaced by another one at its address, and is not chosen again for
+// a while.
+func TestReplacedBackend(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1").handleAll(func(exchange *exchange) bool {
 			if exchange.get("Target") != "someone" {
@@ -679,11 +695,11 @@
 			env.expectSuccess(reply, id)
 		}
 		if count := len(env.backends["b1"].requests()); count != 1 {
-			test.Errorf("asked %d times", count)
+			test.Errorf("b1 received %d requests, want 1", count)
 		}
 		for _, received := range env.receivedRequests() {
 			if received.get("Target") != received.backend || len(received.values("Target")) != 1 {
-				test.Errorf("%s was told %v", received.backend, received.values("Target"))
+				test.Errorf("%s was told target %v", received.backend, received.values("Target"))
 			}
 		}
 	})
--- a/hostproxy/backend_response_test.go
+++ b/hostproxy/backend_response_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// fragment is one piece of what a backend writes, after a pause.
+// fragment is a piece of a response, written after a delay.
 type fragment struct {
 	delay time.Duration
 	bytes string
 }
 
-// script is what a backend writes in place of one answer, and whether it closes
-// the connection after that.
+// responseScript is what a backend writes in response to a request, and whether it closes the
+// connection afterwards.
 type responseScript struct {
 	fragments []fragment
 	closes    bool
@@ -40,7 +40,7 @@
 	return !script.closes
 }
 
-// played is what came of one request whose backend played a script.
+// scriptResult is the outcome of a request whose backend ran a script, and of the next request.
 type scriptResult struct {
 	reply    reply
 	id       string
@@ -49,8 +49,8 @@
 	nextID   string
 }
 
-// play sends a request over a connection that was used before, lets its backend
-// play the script, and sends another request after it.
+// runScript sends a request over a reused backend connection, lets the backend run a script,
+// and then sends another request.
 func runScript(test *testing.T, method, path string, scriptOf func(id string) responseScript) scriptResult {
 	test.Helper()
 	result := scriptResult{}
@@ -72,27 +72,26 @@
 	return result
 }
 
-// kind sums a reply up: the backend's own answer, or the proxy's status.
-func (played *scriptResult) summary() string {
-	switch reply := &played.reply; {
+// summary returns the status of the reply, marked as sealed if the reply is the backend's.
+func (result *scriptResult) summary() string {
+	switch reply := &result.reply; {
 	case reply.err != nil:
-		return "broken"
-	case reply.header.Get("Seal") == "s-"+played.id:
+		return "incomplete"
+	case reply.header.Get("Seal") == "s-"+result.id:
 		return fmt.Sprint(reply.status, " sealed")
 	default:
 		return fmt.Sprint(reply.status)
 	}
 }
 
-// Answers that a backend may send to a request that may run only once, and what
-// the client is told.
+// Responses that a backend may send to a non-idempotent request, and what the client receives.
 func TestBackendResponseScripts(test *testing.T) {
 	sealed := func(id, status, fields string) string { return sealedResponse(id, status, fields, successBody(id)) }
 	for name, testCase := range map[string]struct {
 		script func(id string) responseScript
 		want   string
 	}{
-		"whole": {func(id string) responseScript { return writeOnce(sealed(id, "200 OK", "")) }, "200 sealed"},
+		"complete": {func(id string) responseScript { return writeOnce(sealed(id, "200 OK", "")) }, "200 sealed"},
 		"byte by byte": {func(id string) responseScript {
 			pieces := responseScript{}
 			for _, testCase := range sealed(id, "200 OK", "") {
@@ -100,87 +99,87 @@
 			}
 			return pieces
 		}, "200 sealed"},
-		"interim answers": {func(id string) responseScript {
+		"interim responses": {func(id string) responseScript {
 			return writeOnce("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\nAttempt: other\r\n\r\n" + sealed(id, "200 OK", ""))
 		}, "200 sealed"},
-		"endless interim answers": {func(id string) responseScript {
+		"too many interim responses": {func(id string) responseScript {
 			return writeOnce(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 200) + sealed(id, "200 OK", ""))
 		}, "502"},
 		"status below 100": {func(id string) responseScript { return writeOnce("HTTP/1.1 099 X\r\n\r\n" + sealed(id, "200 OK", "")) }, "502"},
-		"only interim answers, then silence": {func(string) responseScript {
+		"only interim responses, then silence": {func(string) responseScript {
 			return writeOnce("HTTP/1.1 100 Continue\r\n\r\n")
 		}, "504"},
-		"another's answer before": {func(id string) responseScript {
+		"response to another request first": {func(id string) responseScript {
 			return writeOnce(sealed("other", "200 OK", "") + sealed(id, "200 OK", ""))
 		}, "200 sealed"},
-		"another's refusal before": {func(id string) responseScript {
+		"refusal of another request first": {func(id string) responseScript {
 			return writeOnce(unsealedResponse("other", "503 Service Unavailable", "Not-Executed: full\r\n", "") + sealed(id, "200 OK", ""))
 		}, "200 sealed"},
-		"another's refusal alone": {func(string) responseScript {
+		"only a refusal of another request": {func(string) responseScript {
 			return writeOnce(unsealedResponse("other", "503 Service Unavailable", "Not-Executed: full\r\n", ""))
 		}, "504"},
-		"a refusal of nobody's": {func(string) responseScript {
+		"refusal without an ID": {func(string) responseScript {
 			return writeOnce("HTTP/1.1 503 Service Unavailable\r\nNot-Executed: full\r\nContent-Length: 0\r\n\r\n")
 		}, "502"},
-		"a misdirected of nobody's": {func(string) responseScript {
+		"misdirected without an ID": {func(string) responseScript {
 			return writeOnce("HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n")
 		}, "502"},
-		"a refusal of two": {func(id string) responseScript {
+		"refusal with two IDs": {func(id string) responseScript {
 			return writeOnce(unsealedResponse(id, "503 X", "Attempt: other\r\nNot-Executed: full\r\n", ""))
 		}, "502"},
-		"an answer of two":   {func(id string) responseScript { return writeOnce(sealed(id, "200 OK", "Attempt: other\r\n")) }, "502"},
-		"two seals":          {func(id string) responseScript { return writeOnce(sealed(id, "200 OK", "Seal: other\r\n")) }, "502"},
-		"refused and served": {func(id string) responseScript { return writeOnce(sealed(id, "200 OK", "Not-Executed: full\r\n")) }, "502"},
-		"a refusal": {func(id string) responseScript {
+		"response with two IDs": {func(id string) responseScript { return writeOnce(sealed(id, "200 OK", "Attempt: other\r\n")) }, "502"},
+		"two seals":             {func(id string) responseScript { return writeOnce(sealed(id, "200 OK", "Seal: other\r\n")) }, "502"},
+		"refused and served":    {func(id string) responseScript { return writeOnce(sealed(id, "200 OK", "Not-Executed: full\r\n")) }, "502"},
+		"refusal": {func(id string) responseScript {
 			return writeOnce(unsealedResponse(id, "429 X", "Not-Executed: full\r\n", ""))
 		}, "503"},
-		"a refusal, then garbage": {func(id string) responseScript {
+		"refusal, then garbage": {func(id string) responseScript {
 			return writeOnce(unsealedResponse(id, "503 X", "Not-Executed: full\r\n", "") + "\x00garbage\r\n\r\n")
 		}, "503"},
-		"a refusal cut short": {func(id string) responseScript {
+		"truncated refusal": {func(id string) responseScript {
 			return writeAndClose("HTTP/1.1 503 X\r\nAttempt: " + id + "\r\nNot-Executed: full\r\nContent-Length: 50\r\n\r\nhalf")
 		}, "503"},
-		"a refusal's head cut short": {func(id string) responseScript {
+		"truncated head of a refusal": {func(id string) responseScript {
 			return writeAndClose("HTTP/1.1 503 X\r\nAttempt: " + id + "\r\nNot-Executed: full\r\n")
 		}, "502"},
-		"a promise that is no refusal": {func(id string) responseScript { return writeOnce(sealed(id, "503 X", "")) }, "502"},
-		"a length too large": {func(id string) responseScript {
+		"503 without Not-Executed": {func(id string) responseScript { return writeOnce(sealed(id, "503 X", "")) }, "502"},
+		"body shorter than its length": {func(id string) responseScript {
 			return writeAndClose(strings.Replace(sealed(id, "200 OK", ""), "Content-Length: ", "Content-Length: 1", 1))
 		}, "502"},
 		"two lengths": {func(id string) responseScript { return writeOnce(sealed(id, "200 OK", "Content-Length: 3\r\n")) }, "502"},
-		"chunks cut short": {func(id string) responseScript {
+		"truncated chunks": {func(id string) responseScript {
 			return writeAndClose("HTTP/1.1 200 OK\r\nAttempt: " + id + "\r\nSeal: s-" + id + "\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
 		}, "502"},
-		"chunks without a last line": {func(id string) responseScript {
+		"chunks without the final line": {func(id string) responseScript {
 			return writeAndClose("HTTP/1.1 200 OK\r\nAttempt: " + id + "\r\nSeal: s-" + id + "\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n")
 		}, "502"},
-		"no content, with bytes": {func(id string) responseScript {
+		"204 with a body": {func(id string) responseScript {
 			return writeOnce("HTTP/1.1 204 No Content\r\nAttempt: " + id + "\r\nSeal: s-" + id + "\r\nContent-Length: 4\r\n\r\nbody")
 		}, "204 sealed"},
-		"not modified, with bytes": {func(id string) responseScript {
+		"304 with a body": {func(id string) responseScript {
 			return writeOnce("HTTP/1.1 304 Not Modified\r\nAttempt: " + id + "\r\nSeal: s-" + id + "\r\nContent-Length: 4\r\n\r\nbody")
 		}, "304 sealed"},
-		"second answer in one go": {func(id string) responseScript {
+		"second response at once": {func(id string) responseScript {
 			return writeOnce(sealed(id, "200 OK", "") + sealedResponse(id, "200 OK", "", "second"))
 		}, "200 sealed"},
-		"second answer late": {func(id string) responseScript {
+		"second response delayed": {func(id string) responseScript {
 			return responseScript{fragments: []fragment{{0, sealed(id, "200 OK", "")}, {time.Millisecond, sealedResponse(id, "200 OK", "", "second")}}}
 		}, "200 sealed"},
-		"second answer late, cut short": {func(id string) responseScript {
+		"second response delayed and truncated": {func(id string) responseScript {
 			return responseScript{fragments: []fragment{{0, sealed(id, "200 OK", "")}, {time.Millisecond, "HTTP/1.1 200 OK\r\nDate: Mo"}}}
 		}, "200 sealed"},
-		"seal listed as the connection's": {func(id string) responseScript { return writeOnce(sealed(id, "200 OK", "Connection: Seal\r\n")) }, "200 sealed"},
-		"attempt listed as the connection's": {func(id string) responseScript {
+		"seal listed in Connection": {func(id string) responseScript { return writeOnce(sealed(id, "200 OK", "Connection: Seal\r\n")) }, "200 sealed"},
+		"attempt listed in Connection": {func(id string) responseScript {
 			return writeOnce(sealed(id, "200 OK", "Connection: keep-alive, Attempt\r\n"))
 		}, "200 sealed"},
 	} {
 		test.Run(name, func(test *testing.T) {
 			result := runScript(test, "GET", "/once/a", testCase.script)
 			if got := result.summary(); got != testCase.want || result.requests != 1 {
-				test.Errorf("%s after %d arrivals, want %s: %+v", got, result.requests, testCase.want, result.reply)
+				test.Errorf("%s after %d requests at the backend, want %s after 1: %+v", got, result.requests, testCase.want, result.reply)
 			}
 			if result.reply.err == nil && result.reply.status < 300 && result.reply.header.Get("Attempt") != result.id {
-				test.Errorf("an answer to %q", result.reply.header.Get("Attempt"))
+				test.Errorf("response to request %q", result.reply.header.Get("Attempt"))
 			}
 		})
 	}
--- a/hostproxy/body_test.go
+++ b/hostproxy/body_test.go
@@ -15,8 +15,8 @@
 	"orchidjunction/routing"
 )
 
-// A limit at the end of its range emptied every body: one byte more than the limit overflowed
-// to a number below 0, and what was read of a body under it passed for the whole.
+// With a body limit of math.MaxInt64, limit+1 overflowed to a negative number, and every body was
+// forwarded empty as if complete.
 func TestBodiesUnderAnyLimitArriveWholeOrAreRefused(test *testing.T) {
 	const size = 40 << 10
 	body := string(letters(0, size))
@@ -33,22 +33,22 @@
 				defer client.conn.Close()
 				reply := client.roundTrip("POST", text)
 				if reply.err != nil || reply.status != status {
-					test.Errorf("limit %d, %s: %d %v, want %d", limit, framing, reply.status, reply.err, status)
+					test.Errorf("limit %d, %s: status %d, error %v, want status %d", limit, framing, reply.status, reply.err, status)
 				}
-				for _, arrived := range env.receivedRequests() {
-					if string(arrived.body) != body {
-						test.Errorf("limit %d, %s: %d of %d bytes arrived", limit, framing, len(arrived.body), size)
+				for _, received := range env.receivedRequests() {
+					if string(received.body) != body {
+						test.Errorf("limit %d, %s: backend received %d of %d bytes", limit, framing, len(received.body), size)
 					}
 				}
 				if count := len(env.receivedRequests()); (count == 1) != (status == 200) {
-					test.Errorf("limit %d, %s: %d arrivals", limit, framing, count)
+					test.Errorf("limit %d, %s: %d received requests, want 1 only with status 200", limit, framing, count)
 				}
 			})
 		}
 	}
 }
 
-// A body that ends before the length that its head gives is never passed on as a whole one.
+// A body that is shorter than its Content-Length is never forwarded as complete.
 func TestBodyShorterThanItsLengthIsRefused(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1")
@@ -58,13 +58,13 @@
 		recorder := httptest.NewRecorder()
 		env.proxy.ServeHTTP(recorder, source)
 		if recorder.Code != http.StatusBadRequest || len(env.receivedRequests()) != 0 {
-			test.Errorf("%d, %d arrivals", recorder.Code, len(env.receivedRequests()))
+			test.Errorf("status %d, %d received requests, want 400 and none", recorder.Code, len(env.receivedRequests()))
 		}
 	})
 }
 
-// Every number of a configuration may stand at either end of its range: requests with bodies
-// are served as before, or turned away, never changed.
+// With any number of the configuration at either end of its range, a request with a body is served
+// or refused, but never altered.
 func TestBoundaryConfigValuesDoNotAlterRequests(test *testing.T) {
 	numbers := map[string]func(*routing.Config, int64){
 		"timeout": func(config *routing.Config, value int64) {
@@ -90,14 +90,14 @@
 			config.Routes[0].Split = []routing.WeightedService{{Service: "plain", Weight: weight}, {Service: "plain", Weight: weight}}
 		},
 	}
-	const body = "a body of some bytes"
+	const body = "a short body"
 	for name, apply := range numbers {
 		for _, value := range []int64{0, 1, math.MaxInt32 - 1, math.MaxInt32, math.MaxInt64 - 1, math.MaxInt64} {
 			withTestEnv(test, func(env *testEnv) {
 				env.addBackend("b1")
 				env.update(func() { apply(&env.state.Config, value) })
 				if err := env.state.Config.Check(); err != nil {
-					test.Fatalf("%s at %d: %v", name, value, err)
+					test.Fatalf("%s at %d: config rejected: %v", name, value, err)
 				}
 				client := env.client()
 				defer client.conn.Close()
@@ -107,27 +107,27 @@
 				tooLarge := name == "body bytes" && value == 1 && reply.status == 413
 				headTooLong := name == "header bytes" && value == 1
 				if headTooLong && reply.status != 431 {
-					test.Errorf("%s at %d: %d, the limit does not act", name, value, reply.status)
+					test.Errorf("%s at %d: status %d, want 431: the limit has no effect", name, value, reply.status)
 				}
 				if reply.err != nil || !served && !tooShort && !tooLarge && !headTooLong {
-					test.Errorf("%s at %d: %d %v", name, value, reply.status, reply.err)
+					test.Errorf("%s at %d: status %d, error %v", name, value, reply.status, reply.err)
 				}
-				for _, arrived := range env.receivedRequests() {
-					if string(arrived.body) != body {
-						test.Errorf("%s at %d: %q arrived", name, value, arrived.body)
+				for _, received := range env.receivedRequests() {
+					if string(received.body) != body {
+						test.Errorf("%s at %d: backend received body %q", name, value, received.body)
 					}
 				}
 				if open := !headTooLong && !tooLarge &&
 					client.isOpenAfter(30*time.Second); served &&
 					open == (name == "idle timeout" && value == 1) {
-					test.Errorf("%s at %d: open after 30 s: %v", name, value, open)
+					test.Errorf("%s at %d: connection open after 30 s: %v", name, value, open)
 				}
 			})
 		}
 	}
 }
 
-// openAfter is whether the proxy has not closed the connection after a time.
+// isOpenAfter reports whether the proxy keeps the connection open, without sending, for a duration.
 func (client *client) isOpenAfter(duration time.Duration) bool {
 	client.setTimeout(duration)
 	_, err := client.reader.ReadByte()
--- a/hostproxy/budget_test.go
+++ b/hostproxy/budget_test.go
@@ -10,14 +10,15 @@
 	"orchidjunction/routing"
 )
 
-// spending is what several proxies did of late, for the sum over any window.
-type retryEvent struct {
+// retryEvent is a request or a retry of any proxy.
+type budgetEvent struct {
 	at      time.Time
 	isRetry bool
 }
 
-// over is whether attempts past the first passed what is allowed in the last window.
-func exceedsBudget(events []retryEvent, ratio, extra float64) (int, float64, bool) {
+// exceedsBudget returns the retries in the last 10 s, how many were allowed, and whether these
+// were exceeded.
+func exceedsBudget(events []budgetEvent, ratio, extra float64) (int, float64, bool) {
 	requests, retries := 0, 0
 	for index := len(events) - 1; index >= 0 && time.Since(events[index].at) < 10*time.Second; index-- {
 		if events[index].isRetry {
@@ -30,21 +31,25 @@
 	return retries, allowed, float64(retries) > allowed
 }
 
-// In any ten seconds the attempts past the first of all proxies stay within the
-// ratio and the extra, also while proxies restart, come and go, and hear of it late.
+// In any 10 s the retries of all proxies together stay within the ratio plus the extra, also while
+// proxies restart, join and leave, and learn late how many there are.
 func TestTotalBudgetOfAllProxies(test *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(test, func(test *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 7))
 			ratio, extra := 0.2, 62.0
 			count := 1 + random.IntN(20)
-			limit := count
-			newBudget := func() *retryBudget { budget := &retryBudget{}; budget.setShare(ratio, extra, limit); return budget }
+			maxProxies := count
+			newBudget := func() *retryBudget {
+				budget := &retryBudget{}
+				budget.setShare(ratio, extra, maxProxies)
+				return budget
+			}
 			budgets := []*retryBudget{}
 			for range count {
 				budgets = append(budgets, newBudget())
 			}
-			events, granted, lastRestart := []retryEvent{}, 0, time.Now()
+			events, granted, lastRestart := []budgetEvent{}, 0, time.Now()
 			attemptsPerStep := []int{0, 1, 3}
 			interval, requestOdds := time.Millisecond, 2
 			for step := range 12_000 {
@@ -55,7 +60,7 @@
 				switch change := random.IntN(400); {
 				case change == 0 && len(budgets) < 24:
 					count++
-					limit = max(limit, count)
+					maxProxies = max(maxProxies, count)
 					budgets = append(budgets, newBudget())
 				case change == 1 && len(budgets) > 1:
 					count--
@@ -66,60 +71,60 @@
 				}
 				budget := budgets[random.IntN(len(budgets))]
 				if random.IntN(20) == 0 {
-					budget.setShare(ratio, extra, limit)
+					budget.setShare(ratio, extra, maxProxies)
 				}
 				if random.IntN(requestOdds) == 0 {
 					budget.recordRequest()
-					events = append(events, retryEvent{time.Now(), false})
+					events = append(events, budgetEvent{time.Now(), false})
 				}
 				for range attemptsPerStep[step/1500%len(attemptsPerStep)] {
 					if budget.take() {
 						granted++
-						events = append(events, retryEvent{time.Now(), true})
+						events = append(events, budgetEvent{time.Now(), true})
 					}
 				}
 				if step%40 == 0 {
 					if retries, allowed, found := exceedsBudget(events, ratio, extra); found {
-						test.Fatalf("seed %d: %d attempts past the first, %.1f allowed", seed, retries, allowed)
+						test.Fatalf("seed %d: %d retries in 10 s, %.1f allowed", seed, retries, allowed)
 					}
 				}
 			}
 			if granted < 300 {
-				test.Errorf("seed %d: only %d granted", seed, granted)
+				test.Errorf("seed %d: only %d retries granted, want at least 300", seed, granted)
 			}
 		})
 	}
 }
 
-// More proxies lower what one may save up at once; fewer do not raise it.
+// More proxies lower the token limit of each at once; fewer proxies do not raise it.
 func TestBudgetShare(test *testing.T) {
 	budget := &retryBudget{}
 	budget.setShare(0.2, 60, 1)
 	if !budget.take() || budget.take() {
-		test.Error("a fresh budget has not just one attempt")
+		test.Error("a new budget does not have exactly one token")
 	}
 	for range 10_000 {
 		budget.recordRequest()
 	}
 	if budget.tokens != 45 {
-		test.Errorf("%v saved up", budget.tokens)
+		test.Errorf("%v tokens, want 45", budget.tokens)
 	}
 	for _, step := range []struct {
 		proxies int
 		limit   float64
 	}{{1, 45}, {9, 5}, {3, 5}} {
 		if budget.setShare(0.2, 60, step.proxies); budget.tokens != step.limit || budget.limit != step.limit {
-			test.Errorf("%d proxies: %v of %v", step.proxies, budget.tokens, budget.limit)
+			test.Errorf("%d proxies: %v tokens, limit %v", step.proxies, budget.tokens, budget.limit)
 		}
 	}
 	budget.setShare(0, 0, 1)
 	if budget.recordRequest(); budget.take() {
-		test.Error("granted where nothing is allowed")
+		test.Error("retry granted with a ratio and an extra of 0")
 	}
 }
 
-// Before a leader says how many proxies there are, none saves up more than what a
-// fresh process starts with; after that, its part as always.
+// Until a leader has told the number of proxies, a proxy accumulates no more tokens than a new
+// process starts with; then its usual share.
 func TestBudgetBeforeFirstLeader(test *testing.T) {
 	budget := &retryBudget{}
 	for range 3 {
@@ -128,7 +133,7 @@
 			budget.recordRequest()
 		}
 		if budget.tokens != initialBudget {
-			test.Errorf("%v saved up before a leader", budget.tokens)
+			test.Errorf("%v tokens before the first leader, want initialBudget", budget.tokens)
 		}
 	}
 	for _, step := range []struct {
@@ -140,12 +145,12 @@
 			budget.recordRequest()
 		}
 		if budget.tokens != step.limit {
-			test.Errorf("%d proxies: %v saved up", step.proxies, budget.tokens)
+			test.Errorf("%d proxies: %v tokens", step.proxies, budget.tokens)
 		}
 	}
 }
 
-// Which of the two a proxy goes by is told by its table.
+// The version of the proxy's table tells whether there has been a leader.
 func TestBudgetShareFromTable(test *testing.T) {
 	proxy := many([]string{"p1"}, []string{"e1"})[0]
 	proxy.config.RetryRatio, proxy.config.RetryExtra = 0.2, 60
@@ -163,7 +168,7 @@
 			budget.recordRequest()
 		}
 		if want := map[uint64]float64{0: initialBudget, 1: 45}[round]; budget.tokens != want {
-			test.Errorf("round %d: %v saved up, want %v", round, budget.tokens, want)
+			test.Errorf("term %d: %v tokens, want %v", round, budget.tokens, want)
 		}
 	}
 }
--- a/hostproxy/choose_test.go
+++ b/hostproxy/choose_test.go
@@ -9,40 +9,40 @@
 	"orchidjunction/routing"
 )
 
-// Near backends go first until they are busy; then the next nearest share.
+// The nearest backends are chosen until they are busy; then requests overflow to the next nearest.
 func TestNearestBackendsFirstThenOverflow(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
 		proxies[0].Apply(&routing.State{Config: testRoutingConfig()}, table, nil)
 		if candidate, _ := proxies[0].pick(nil, nil); candidate.target.backend.Name != "near" {
-			test.Errorf("chose %s", candidate.target.backend.Name)
+			test.Errorf("chose %s, want near", candidate.target.backend.Name)
 		}
 		for range 30 {
 			proxies[0].pick(nil, nil)
 		}
 		for name, target := range proxies[0].targets {
 			if zone := target.backend.Zone; target.backend.Service == "plain" && (target.running == 0 || target.running > 12) {
-				test.Errorf("%s in %s has %d", name, zone, target.running)
+				test.Errorf("%s in %s has %d running requests", name, zone, target.running)
 			}
 		}
 		for range 100 {
 			proxies[0].pick(nil, nil)
 		}
 		if _, result := proxies[0].pick(nil, nil); result != allFull {
-			test.Errorf("choice %d with all full", result)
+			test.Errorf("result %d with all backends full", result)
 		}
 		for name, target := range proxies[0].targets {
 			if target.running > 12 {
-				test.Errorf("%s has %d", name, target.running)
+				test.Errorf("%s has %d running requests", name, target.running)
 			}
 			if target.backend.Service != "plain" && target.running > 0 {
-				test.Errorf("%s of another service has %d", name, target.running)
+				test.Errorf("%s of another service has %d running requests", name, target.running)
 			}
 		}
 	})
 }
 
-// Equal backends share evenly.
+// Equal backends get about equal shares.
 func TestEqualBackendsShareEvenly(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxy := many([]string{"p1"}, []string{"e1"})[0]
@@ -63,13 +63,13 @@
 		}
 		for name, count := range counts {
 			if count < 50 || count > 160 {
-				test.Errorf("%s had %d of 400", name, count)
+				test.Errorf("%s was chosen %d times of 400", name, count)
 			}
 		}
 	})
 }
 
-// One that is left out gets no overflow of those that are full.
+// An ejected backend gets no overflow from full ones.
 func TestOverflowSkipsEjectedBackends(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
@@ -79,13 +79,13 @@
 			proxies[0].pick(nil, nil)
 		}
 		if candidate, result := proxies[0].pick(nil, nil); result != allFull {
-			test.Errorf("choice %d: %v", result, candidate)
+			test.Errorf("result %d, candidate %v, want allFull", result, candidate)
 		}
 	})
 }
 
-// What was tried is not chosen again, and one that is left out only where nothing
-// else is there.
+// A backend that was tried is not chosen again for the request, and an ejected one only if all are
+// ejected and none was tried.
 func TestTriedBackendsAreNotChosenAgain(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxies, table := placed()
@@ -94,46 +94,46 @@
 		for range 4 {
 			candidate, result := proxies[0].pick(nil, nil, tried...)
 			if result != chosen {
-				test.Fatalf("choice %d", result)
+				test.Fatalf("result %d, want a choice", result)
 			}
 			tried = append(tried, candidate.target)
 		}
 		if _, result := proxies[0].pick(nil, nil, tried...); result != noneAvailable {
-			test.Errorf("choice %d with all tried", result)
+			test.Errorf("result %d with all tried", result)
 		}
 		for _, target := range tried {
 			target.recordFailure(time.Now(), true)
 		}
 		if _, result := proxies[0].pick(nil, nil, tried[0]); result != noneAvailable {
-			test.Errorf("choice %d with the rest left out", result)
+			test.Errorf("result %d with the others ejected", result)
 		}
 		if _, result := proxies[0].pick(nil, nil); result != chosen {
-			test.Errorf("choice %d with all left out", result)
+			test.Errorf("result %d with all ejected", result)
 		}
 	})
 }
 
-// Where no backend may serve a request it is refused at once, with a time to come back.
+// The choice reports that no backend is in the home regions of the route or tenant.
 func TestNoBackendInHomeRegions(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1").handleAll(succeed)
 		if _, result := env.proxy.pick(nil, []string{"nowhere"}); result != noneInHomeRegions {
-			test.Errorf("choice %d", result)
+			test.Errorf("result %d with the route's homes", result)
 		}
 		if _, result := env.proxy.pick(&routing.Tenant{Name: "t", Homes: []string{"nowhere"}}, nil); result != noneInHomeRegions {
-			test.Errorf("choice %d with the tenant's homes", result)
+			test.Errorf("result %d with the tenant's homes", result)
 		}
 	})
 }
 
-// An idle connection is worth a little waiting, not much.
+// A target with an idle connection costs less, by openPenaltyMs.
 func TestIdleConnectionIsPreferred(test *testing.T) {
 	target := newTarget(message.Backend{Name: "b", Capacity: 4})
 	now := time.Now()
-	bare, _, _ := target.evaluate(now, 100, 0)
+	without, _, _ := target.evaluate(now, 100, 0)
 	target.idle = append(target.idle, &connection{})
 	with, _, _ := target.evaluate(now, 100, 0)
-	if bare-with != openPenaltyMs {
-		test.Errorf("%v without, %v with one", bare, with)
+	if without-with != openPenaltyMs {
+		test.Errorf("cost %v without and %v with an idle connection", without, with)
 	}
 }
--- a/hostproxy/connection_test.go
+++ b/hostproxy/connection_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// sockets are two ends of a connection of the system's own; what one end writes is
-// there for the other at once.
+// socketPair returns both ends of a Unix socket pair; what one end writes can be read at the
+// other immediately.
 func socketPair(test *testing.T) (net.Conn, net.Conn) {
 	test.Helper()
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
@@ -30,7 +30,7 @@
 	return ends[0], ends[1]
 }
 
-// An idle connection is not used again once closed, written to or old.
+// An idle connection is not reused once it is closed, too old or has unread bytes.
 func TestIdleConnectionIsReusable(test *testing.T) {
 	now := time.Now()
 	write := func(peer net.Conn, text string) {
@@ -42,13 +42,13 @@
 		prepare  func(*connection, net.Conn)
 		reusable bool
 	}{
-		"quiet":       {func(*connection, net.Conn) {}, true},
-		"closed":      {func(_ *connection, peer net.Conn) { peer.Close() }, false},
-		"a byte":      {func(_ *connection, peer net.Conn) { write(peer, "x") }, false},
-		"closed here": {func(conn *connection, _ net.Conn) { conn.close() }, false},
-		"too old":     {func(conn *connection, _ net.Conn) { conn.usedAt = now.Add(-maxIdleTimeout) }, false},
-		"told so":     {func(conn *connection, _ net.Conn) { conn.observeKeepAlive("timeout=0") }, false},
-		"left over": {func(conn *connection, peer net.Conn) {
+		"idle":               {func(*connection, net.Conn) {}, true},
+		"closed by peer":     {func(_ *connection, peer net.Conn) { peer.Close() }, false},
+		"unread byte":        {func(_ *connection, peer net.Conn) { write(peer, "x") }, false},
+		"closed locally":     {func(conn *connection, _ net.Conn) { conn.close() }, false},
+		"too old":            {func(conn *connection, _ net.Conn) { conn.usedAt = now.Add(-maxIdleTimeout) }, false},
+		"Keep-Alive timeout": {func(conn *connection, _ net.Conn) { conn.observeKeepAlive("timeout=0") }, false},
+		"buffered byte": {func(conn *connection, peer net.Conn) {
 			write(peer, "xy")
 			if _, err := conn.reader.ReadByte(); err != nil {
 				test.Error(err)
@@ -57,74 +57,74 @@
 		"not so old": {func(conn *connection, _ net.Conn) { conn.usedAt = now.Add(time.Millisecond - maxIdleTimeout) }, true},
 	} {
 		conn, peer := socketPair(test)
-		held := newConnection(conn)
-		held.usedAt = now
-		testCase.prepare(held, peer)
-		if held.isReusable(now) != testCase.reusable {
-			test.Errorf("%s: sound %v", name, !testCase.reusable)
+		connection := newConnection(conn)
+		connection.usedAt = now
+		testCase.prepare(connection, peer)
+		if connection.isReusable(now) != testCase.reusable {
+			test.Errorf("%s: reusable %v", name, !testCase.reusable)
 		}
 	}
 }
 
-// Only sound connections are taken; others are closed and counted out.
+// takeIdle returns only reusable connections; others are closed and no longer counted.
 func TestTakeIdleDiscardsUnusableConnections(test *testing.T) {
-	held := newTarget(ownBackend())
+	target := newTarget(ownBackend())
 	for range 3 {
-		held.reserveConnection(3)
+		target.reserveConnection(3)
 	}
 	peers := []net.Conn{}
 	for range 3 {
 		conn, peer := socketPair(test)
-		held.releaseConnection(newConnection(conn))
+		target.releaseConnection(newConnection(conn))
 		peers = append(peers, peer)
 	}
 	peers[2].Close()
 	if _, err := peers[1].Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
 		test.Fatal(err)
 	}
-	taken := held.takeIdle(time.Now())
-	if taken == nil || held.openConnections != 1 || len(held.idle) != 0 {
-		test.Fatalf("%v, %d open", taken, held.openConnections)
+	connection := target.takeIdle(time.Now())
+	if connection == nil || target.openConnections != 1 || len(target.idle) != 0 {
+		test.Fatalf("took %v, %d open connections, want 1", connection, target.openConnections)
 	}
-	if held.discardConnection(taken); held.takeIdle(time.Now()) != nil || held.openConnections != 0 {
-		test.Errorf("%d open", held.openConnections)
+	if target.discardConnection(connection); target.takeIdle(time.Now()) != nil || target.openConnections != 0 {
+		test.Errorf("%d open connections, want none", target.openConnections)
 	}
 }
 
-// What Keep-Alive says shortens the time of an idle connection, never lengthens it.
+// A Keep-Alive field may shorten the idle timeout of a connection, but never lengthens it.
 func TestKeepAlive(test *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"": maxIdleTimeout, "timeout=4": 3 * time.Second, "max=5, Timeout=2": 1500 * time.Millisecond, "timeout=0": 0, "timeout=900": maxIdleTimeout,
 		"timeout=-1": maxIdleTimeout, "timeout=x": maxIdleTimeout, "timeout": maxIdleTimeout, "timeout=99999999999999999999": maxIdleTimeout, "timeout=9999999999": maxIdleTimeout,
 	} {
-		held := newConnection(nil)
-		if held.observeKeepAlive(text); held.idleTimeout != want {
-			test.Errorf("%q: %s", text, held.idleTimeout)
+		connection := newConnection(nil)
+		if connection.observeKeepAlive(text); connection.idleTimeout != want {
+			test.Errorf("Keep-Alive %q: idle timeout %s", text, connection.idleTimeout)
 		}
 	}
 }
 
-// Connections are used again, unless the backend says otherwise or they grow old.
+// Connections are reused unless the backend announces that it closes them or they are too old.
 func TestConnectionReuse(test *testing.T) {
 	for name, testCase := range map[string]struct {
 		handle handler
 		idle   time.Duration
 		want   int
 	}{
-		"at once":         {succeed, 0, 1},
-		"chunked":         {chunked, 0, 1},
-		"after a while":   {succeed, maxIdleTimeout - time.Second, 1},
-		"too long":        {succeed, maxIdleTimeout, 2},
-		"within timeout":  {succeedWithFields("Keep-Alive: timeout=2\r\n"), 1400 * time.Millisecond, 1},
-		"past timeout":    {succeedWithFields("Keep-Alive: timeout=2\r\n"), 1500 * time.Millisecond, 2},
-		"timeout of none": {succeedWithFields("Keep-Alive: timeout=0\r\n"), 0, 2},
-		"closing":         {succeedWithFields("Connection: close\r\n"), 0, 2},
-		"shed":            {shed, 0, 1},
-		"shed, closing": {func(exchange *exchange) bool {
+		"at once":                   {succeed, 0, 1},
+		"chunked":                   {chunked, 0, 1},
+		"before the idle timeout":   {succeed, maxIdleTimeout - time.Second, 1},
+		"idle timeout":              {succeed, maxIdleTimeout, 2},
+		"within Keep-Alive timeout": {succeedWithFields("Keep-Alive: timeout=2\r\n"), 1400 * time.Millisecond, 1},
+		"after Keep-Alive timeout":  {succeedWithFields("Keep-Alive: timeout=2\r\n"), 1500 * time.Millisecond, 2},
+		"Keep-Alive timeout of 0":   {succeedWithFields("Keep-Alive: timeout=0\r\n"), 0, 2},
+		"Connection: close":         {succeedWithFields("Connection: close\r\n"), 0, 2},
+		"shed":                      {shed, 0, 1},
+		"shed, Connection: close": {func(exchange *exchange) bool {
 			exchange.writef("%s", unsealedResponse(exchange.get("Attempt"), "503 Service Unavailable", "Not-Executed: 1\r\nConnection: close\r\n", ""))
 			return true
 		}, 0, 2},
-		"shed, past timeout": {func(exchange *exchange) bool {
+		"shed, after Keep-Alive timeout": {func(exchange *exchange) bool {
 			exchange.writef("%s", unsealedResponse(exchange.get("Attempt"), "503 Service Unavailable", "Not-Executed: 1\r\nKeep-Alive: timeout=2\r\n", ""))
 			return true
 		}, 2 * time.Second, 2},
@@ -142,7 +142,7 @@
 	}
 }
 
-// Idle connections are closed in time.
+// Idle connections are closed after maxIdleTimeout.
 func TestIdleConnectionsExpire(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1")
@@ -150,11 +150,11 @@
 		env.expectSuccess(reply, id)
 		env.goroutines.Sleep(maxIdleTimeout - time.Second)
 		if open, _ := env.targetLoad("b1"); open != 1 {
-			test.Errorf("%d open early", open)
+			test.Errorf("%d open connections before the idle timeout, want 1", open)
 		}
 		env.goroutines.Sleep(time.Second + 2*maintenanceInterval)
 		if open, _ := env.targetLoad("b1"); open != 0 {
-			test.Errorf("%d open late", open)
+			test.Errorf("%d open connections after the idle timeout, want 0", open)
 		}
 	})
 }
--- a/hostproxy/fake_backend_test.go
+++ b/hostproxy/fake_backend_test.go
@@ -13,7 +13,7 @@
 	"orchidjunction/concurrent"
 )
 
-// arrival is one request as it reached a backend, byte for byte.
+// receivedRequest is a request as a backend received it, with its header fields unparsed.
 type receivedRequest struct {
 	backend     string
 	receivedAt  time.Time
@@ -27,7 +27,7 @@
 func (received *receivedRequest) values(name string) []string {
 	values := []string{}
 	for _, field := range received.fields {
-		if is, value, _ := strings.Cut(field, ": "); strings.EqualFold(is, name) {
+		if fieldName, value, _ := strings.Cut(field, ": "); strings.EqualFold(fieldName, name) {
 			values = append(values, value)
 		}
 	}
@@ -41,18 +41,19 @@
 	return ""
 }
 
-// exchange is one request at a backend and the connection to answer on.
+// exchange is a request at a backend and the connection for its response.
 type exchange struct {
 	*receivedRequest
 	backend *fakeBackend
 	pipe    *pipe
 }
 
-// act answers one exchange; false ends the connection.
+// handler responds to an exchange. It returns false to close the connection.
 type handler func(*exchange) bool
 
-// backend speaks raw HTTP/1.1 and does to each request what its script says; after
-// the script's end it answers well. Greets meet connections before they are read.
+// fakeBackend is an HTTP/1.1 server. Each request takes a handler off the queue; if there is
+// none, defaultHandler (succeed if nil) responds. A connect hook runs before the connection is
+// read.
 type fakeBackend struct {
 	name       string
 	address    string
@@ -72,9 +73,9 @@
 	return &fakeBackend{name: name, address: address, goroutines: goroutines}
 }
 
-func (backend *fakeBackend) handleNext(acts ...handler) *fakeBackend {
+func (backend *fakeBackend) handleNext(handlers ...handler) *fakeBackend {
 	backend.mutex.Lock()
-	backend.queued = append(backend.queued, acts...)
+	backend.queued = append(backend.queued, handlers...)
 	backend.mutex.Unlock()
 	return backend
 }
@@ -102,9 +103,9 @@
 	if len(backend.connectHooks) > 0 {
 		hook, backend.connectHooks = backend.connectHooks[0], backend.connectHooks[1:]
 	}
-	ending := backend.stopped
+	stopped := backend.stopped
 	backend.mutex.Unlock()
-	if ending {
+	if stopped {
 		pipe.reset()
 		return
 	}
@@ -122,13 +123,13 @@
 func (backend *fakeBackend) serve(pipe *pipe, number int) {
 	reader := bufio.NewReader(pipe)
 	for {
-		arrived, err := readRequest(reader)
+		received, err := readRequest(reader)
 		if err != nil {
 			return
 		}
-		arrived.backend, arrived.connection, arrived.receivedAt = backend.name, number, time.Now()
+		received.backend, received.connection, received.receivedAt = backend.name, number, time.Now()
 		backend.mutex.Lock()
-		backend.received = append(backend.received, arrived)
+		backend.received = append(backend.received, received)
 		handle := backend.defaultHandler
 		if len(backend.queued) > 0 {
 			handle, backend.queued = backend.queued[0], backend.queued[1:]
@@ -137,48 +138,48 @@
 		if handle == nil {
 			handle = succeed
 		}
-		if !handle(&exchange{receivedRequest: arrived, backend: backend, pipe: pipe}) {
+		if !handle(&exchange{receivedRequest: received, backend: backend, pipe: pipe}) {
 			return
 		}
 	}
 }
 
 func readRequest(reader *bufio.Reader) (*receivedRequest, error) {
-	arrived, length := &receivedRequest{}, 0
+	received, length := &receivedRequest{}, 0
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
 			return nil, err
 		}
 		line = strings.TrimSuffix(line, "\r\n")
-		if arrived.requestLine == "" {
-			arrived.requestLine = line
+		if received.requestLine == "" {
+			received.requestLine = line
 			continue
 		}
 		if line == "" {
 			break
 		}
-		arrived.fields = append(arrived.fields, line)
+		received.fields = append(received.fields, line)
 		switch name, value, _ := strings.Cut(line, ": "); strings.ToLower(name) {
 		case "content-length":
 			if length, err = strconv.Atoi(value); err != nil {
 				return nil, err
 			}
 		case "transfer-encoding":
-			arrived.chunked = true
+			received.chunked = true
 		}
 	}
 	var err error
-	if arrived.chunked {
-		arrived.body, err = io.ReadAll(httputil.NewChunkedReader(reader))
-		return arrived, err
+	if received.chunked {
+		received.body, err = io.ReadAll(httputil.NewChunkedReader(reader))
+		return received, err
 	}
-	arrived.body = make([]byte, length)
-	_, err = io.ReadFull(reader, arrived.body)
-	return arrived, err
+	received.body = make([]byte, length)
+	_, err = io.ReadFull(reader, received.body)
+	return received, err
 }
 
-// stop closes all connections, as a backend does that ends.
+// stop resets all connections, like a backend that exits.
 func (backend *fakeBackend) stop() {
 	backend.mutex.Lock()
 	backend.stopped = true
@@ -190,7 +191,7 @@
 	}
 }
 
-// hang closes the connections but takes new ones.
+// closeConnections closes all connections; new ones are still accepted.
 func (backend *fakeBackend) closeConnections() {
 	backend.mutex.Lock()
 	pipes := backend.pipes
@@ -214,10 +215,10 @@
 }
 
 func (exchange *exchange) writef(format string, values ...any) {
-	_, _ = fmt.Fprintf(exchange.pipe, format, values...) // the proxy may have left
+	_, _ = fmt.Fprintf(exchange.pipe, format, values...) // the proxy may have closed the connection
 }
 
-// text is what a backend's good answer to an id says.
+// successBody is the body of a successful response to the request with an ID.
 func successBody(id string) string { return "answer to " + id }
 
 func sealedResponse(id, status, fields, body string) string {
@@ -253,7 +254,7 @@
 
 func respondStatus(line string) handler {
 	return func(exchange *exchange) bool {
-		exchange.writef("%s", sealedResponse(exchange.get("Attempt"), line, "", "of the backend"))
+		exchange.writef("%s", sealedResponse(exchange.get("Attempt"), line, "", "backend error"))
 		return true
 	}
 }
@@ -287,7 +288,7 @@
 }
 
 func garbage(exchange *exchange) bool {
-	exchange.writef("\x16\x03\x01 these are no words of the protocol\r\n\r\n")
+	exchange.writef("\x16\x03\x01 this is not HTTP\r\n\r\n")
 	return true
 }
 
@@ -326,14 +327,14 @@
 	return false
 }
 
-// surplusNow answers twice in one go.
+// surplusAtOnce sends a response and a surplus one without delay.
 func surplusAtOnce(exchange *exchange) bool {
 	id := exchange.get("Attempt")
 	exchange.writef("%s%s", sealedResponse(id, "200 OK", "", successBody(id)), sealedResponse(id, "200 OK", "", "surplus"))
 	return true
 }
 
-// surplusLate answers twice; the second answer comes some time after the first.
+// surplusDelayed sends a response and, after a delay, a surplus one.
 func surplusDelayed(duration time.Duration) handler {
 	return func(exchange *exchange) bool {
 		id := exchange.get("Attempt")
@@ -346,11 +347,11 @@
 
 func neverRespond(exchange *exchange) bool {
 	var one [1]byte
-	_, _ = exchange.pipe.Read(one[:]) // until the proxy leaves
+	_, _ = exchange.pipe.Read(one[:]) // until the proxy closes the connection
 	return false
 }
 
-// large streams a body of letters, of which only so many come.
+// respondLarge streams a response whose body should have size bytes, but ends after limit bytes.
 func respondLarge(size, limit int, inChunks bool) handler {
 	return func(exchange *exchange) bool {
 		id := exchange.get("Attempt")
--- a/hostproxy/field_checks_test.go
+++ b/hostproxy/field_checks_test.go
@@ -17,16 +17,16 @@
 	"orchidjunction/rpc"
 )
 
-// fieldCheck shows that a field of the routing acts: with either value in it, a client, a
-// backend or an operator sees something else.
+// fieldCheck checks that a field of the routing has an effect: a client, a backend or an operator
+// observes a different result for each of two values.
 type fieldCheck struct {
 	first, second func(*routing.Config)
 	observe       func(*testEnv) string
 	want          [2]string
 }
 
-// fieldChecks are the checks of all fields that an operator may send, by type and name. The
-// route is "again", with the service "plain"; the tenant holds the key k1.
+// fieldChecks has a check for each field that an operator may set, by type and name. The route is
+// "again", with the service "plain"; the tenant has the key k1.
 var fieldChecks = map[string]fieldCheck{
 	"Config.KeysRequired": {
 		first:   config(func(config *routing.Config) { config.KeysRequired = false }),
@@ -238,16 +238,16 @@
 	return func(config *routing.Config) { set(&config.Limits) }
 }
 
-// containers hold fields that are gone through themselves; a version is the operator's own
-// (control.TestDecideNamesTheStaleBaseFirst), and what the product does not know is only
-// given back (platform.TestWholeIsGivenBackAsItCame).
+// uncheckedTypes are the types of fields without a check here. Structs have their own fields
+// checked; a version (uint64) is for the operator's own use (control.TestDecideNamesTheStaleBaseFirst),
+// and unknown fields (Extra) are only returned unchanged (platform.TestWholeIsGivenBackAsItCame).
 var uncheckedTypes = []reflect.Type{
 	reflect.TypeFor[[]routing.Route](), reflect.TypeFor[[]routing.Service](), reflect.TypeFor[[]routing.Tenant](),
 	reflect.TypeFor[routing.Limits](), reflect.TypeFor[uint64](), reflect.TypeFor[[]routing.Extra](),
 }
 
-// Three limits were read, checked, replicated and given back, and used nowhere: a field that
-// an operator may send must act, and one without a check here fails.
+// Three limits were once parsed, validated, replicated and returned, but had no effect. Every field
+// that an operator may set must have an effect; one without a check here fails.
 func TestEveryFieldOfTheRoutingActs(test *testing.T) {
 	seen := map[string]bool{}
 	for _, owner := range []reflect.Type{
@@ -265,7 +265,7 @@
 	}
 	for name := range fieldChecks {
 		if !seen[name] {
-			test.Errorf("a check of %s, which is no field", name)
+			test.Errorf("check of %s, which is not a field", name)
 		}
 	}
 }
@@ -273,7 +273,7 @@
 func checkField(test *testing.T, name string) {
 	check, found := fieldChecks[name]
 	if !found {
-		test.Fatal("no check shows that the field acts")
+		test.Fatal("no check that the field has an effect")
 	}
 	for index, set := range []func(*routing.Config){check.first, check.second} {
 		withTestEnv(test, func(env *testEnv) {
@@ -304,7 +304,7 @@
 	}
 }
 
-// statusWithoutRoute is the status once a patch has removed a route by its name.
+// statusWithoutRoute returns the status after a patch has removed a route by name.
 func statusWithoutRoute(name string) func(*testEnv) string {
 	return func(env *testEnv) string {
 		env.update(func() {
@@ -318,24 +318,24 @@
 	}
 }
 
-// statusAfterReset is the status of a request whose first backend breaks off, with another
-// one there.
+// statusAfterReset returns the status of a request whose first backend resets the connection, if
+// there is another backend.
 func statusAfterReset(env *testEnv) string {
-	breaking := onFirstRequest(resetAfterReading)
-	env.backends["b-plain"].handleAll(breaking)
-	env.addBackend("b-second").handleAll(breaking)
+	resetFirst := onFirstRequest(resetAfterReading)
+	env.backends["b-plain"].handleAll(resetFirst)
+	env.addBackend("b-second").handleAll(resetFirst)
 	reply, _ := env.get("/again/a")
 	return strconv.Itoa(reply.status)
 }
 
-// endOfSilence is what becomes of a request whose backend does not answer: it is held for its
-// timeout and deadlineSlack.
+// resultOfBackendTimeout returns the result of a request whose backend does not respond: a 504
+// after the timeout plus deadlineSlack.
 func resultOfBackendTimeout(env *testEnv) string {
 	env.backends["b-plain"].handleAll(neverRespond)
 	return statusAndDuration(env.get("/again/a"))
 }
 
-// endOfWait is what becomes of a request for which no backend has room.
+// resultOfQueueTimeout returns the result of a request for which no backend has capacity.
 func resultOfQueueTimeout(env *testEnv) string {
 	env.update(func() { env.table.Backends = nil })
 	env.addBackendAt("one-slot", "plain", "e1", 1).handleAll(neverRespond)
@@ -352,9 +352,9 @@
 	return fmt.Sprintf("%d after %v", reply.status, reply.elapsed)
 }
 
-// firstOfTwo is the path of the request that is served first of two that wait for the same
-// backend, whichever came first: one of the route "again", and one of the route "once",
-// whose priority is 1. With a tenant's fields, that of "again" is 2.
+// firstServedOfTwo returns which of two requests waiting for the same backend is served first,
+// in either order of arrival: one of the route "again", or one of the route "once" with priority 1.
+// If fields are given (a tenant's), the route "again" has priority 2.
 func firstServedOfTwo(fields string) func(*testEnv) string {
 	return func(env *testEnv) string {
 		env.update(func() {
@@ -374,8 +374,8 @@
 	}
 }
 
-// contest fills a backend with requests that end one after the other, lets two more wait for
-// it, in the order of their paths, and returns the path of the one that came to it first.
+// firstServed fills a backend with requests that end one after the other, queues a request for each
+// path in order, and returns the path of the one that the backend received first.
 func firstServed(env *testEnv, name string, paths []string, fields string) string {
 	const full, work = 3, 60 * time.Millisecond
 	backend := env.addBackendAt(name, "plain", "e1", 1)
@@ -388,7 +388,7 @@
 		group.Go(func() {
 			defer client.conn.Close()
 			if reply := client.roundTrip("GET", rawRequest("GET", path, id, fields, "")); reply.status != 200 {
-				env.test.Errorf("%s: %d %v", path, reply.status, reply.err)
+				env.test.Errorf("%s: status %d, error %v", path, reply.status, reply.err)
 			}
 		})
 		synctest.Wait()
@@ -409,14 +409,14 @@
 
 func servingBackend(env *testEnv) string {
 	env.get("/again/a")
-	arrived := env.receivedRequests()
-	if len(arrived) != 1 {
-		return fmt.Sprintf("%d arrivals", len(arrived))
+	received := env.receivedRequests()
+	if len(received) != 1 {
+		return fmt.Sprintf("%d received requests", len(received))
 	}
-	return arrived[0].backend
+	return received[0].backend
 }
 
-// mostlyAt is the backend that gets three in four of many requests.
+// majorityBackend returns the backend that gets about 3/4 of many requests.
 func majorityBackend(env *testEnv) string {
 	const requests = 400
 	for range requests {
@@ -437,7 +437,7 @@
 	return strconv.Itoa(len(env.receivedRequests()))
 }
 
-// connectionsAtOnce is how many connections a burst of requests opens to one backend.
+// concurrentConnections returns how many connections a burst of requests opens to one backend.
 func concurrentConnections(env *testEnv) string {
 	env.backends["b-plain"].handleAll(delayed(100*time.Millisecond, succeed))
 	group := sync.WaitGroup{}
@@ -452,7 +452,7 @@
 	return strconv.Itoa(env.backends["b-plain"].connections())
 }
 
-// acceptance is the field that is refused when the routing is sent.
+// rejectedField returns the path of the field for which the configuration is rejected.
 func rejectedField(env *testEnv) string {
 	err := env.state.Config.Check()
 	if err == nil {
@@ -461,8 +461,8 @@
 	return rpc.AsError(err).Details[0].Path
 }
 
-// coldArrivals is whether a cold backend gets more in a second than a warm-up rate of 4 lets
-// all proxies send: 1.5 times that, and 5.
+// requestsWhileCold reports whether a cold backend gets more requests in a second than a warm-up
+// rate of 4 allows all proxies together: 1.5 times the rate plus 5.
 func requestsWhileCold(env *testEnv) string {
 	env.update(func() {
 		env.table.Backends = []message.Backend{
@@ -490,14 +490,14 @@
 	return env.receivedRequests()[0].get("Tenant")
 }
 
-// endOfPartialHead is what becomes of a head that never ends.
+// resultOfPartialHead returns the result of a request whose head is never completed.
 func resultOfPartialHead(env *testEnv) string {
 	client := env.client()
 	defer client.conn.Close()
 	return statusAndDuration(client.roundTrip("GET", rawRequest("GET", "/again/a", "id", "", "")[:20]), "")
 }
 
-// endOfRest is when a connection is closed after an answer.
+// idleCloseTime returns how long after a response the connection is closed.
 func idleCloseTime(env *testEnv) string {
 	client := env.client()
 	defer client.conn.Close()
--- a/hostproxy/framing_test.go
+++ b/hostproxy/framing_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A request without an attempt id, or with two, cannot be told apart from others
-// in its answer: it reaches nobody.
+// The response to a request without an attempt ID, or with two, could not be told from others: the
+// request is refused and reaches no backend.
 func TestExactlyOneAttemptIDIsRequired(test *testing.T) {
 	for name, fields := range map[string]string{"none": "", "empty": "Attempt: \r\n", "two": "Attempt: a\r\nAttempt: b\r\n"} {
 		withTestEnv(test, func(env *testEnv) {
@@ -18,13 +18,14 @@
 			defer client.conn.Close()
 			reply := client.roundTrip("GET", "GET /once/a HTTP/1.1\r\nHost: host.example\r\n"+fields+"\r\n")
 			if reply.status != 400 || len(env.receivedRequests()) != 0 {
-				test.Errorf("%s: %d, %d arrivals", name, reply.status, len(env.receivedRequests()))
+				test.Errorf("%s: status %d, %d received requests, want 400 and none", name, reply.status, len(env.receivedRequests()))
 			}
 		})
 	}
 }
 
-// A client's Connection field takes no attempt id, host, length or tenant away.
+// A client's Connection field cannot remove the attempt ID, host, length, tenant, target or
+// deadline.
 func TestConnectionFieldCannotRemoveEssentialFields(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1")
@@ -33,20 +34,20 @@
 		defer client.conn.Close()
 		fields := "Authorization: Key k1\r\nConnection: Attempt, host, Content-Length, Tenant, Target, Deadline\r\n"
 		env.expectSuccess(client.roundTrip("POST", rawRequest("POST", "/once/a", "id", fields, "body")), "id")
-		arrived := env.receivedRequests()[0]
+		received := env.receivedRequests()[0]
 		for name, want := range map[string]string{"Attempt": "id", "Host": "host.example", "Content-Length": "4", "Tenant": "first", "Target": "b1", "Deadline": "1500"} {
-			if values := arrived.values(name); len(values) != 1 || values[0] != want {
-				test.Errorf("%s came as %q", name, values)
+			if values := received.values(name); len(values) != 1 || values[0] != want {
+				test.Errorf("backend received %s as %q", name, values)
 			}
 		}
-		if string(arrived.body) != "body" {
-			test.Errorf("body %q", arrived.body)
+		if string(received.body) != "body" {
+			test.Errorf("backend received body %q", received.body)
 		}
 	})
 }
 
-// A client of an older protocol could not see that an answer was cut short, and
-// frames its body in another way: it is told so, and what follows is not read.
+// An HTTP/1.0 client could not detect a truncated response, and frames its body differently: it gets
+// a 505, and what follows is not read.
 func TestHTTP10IsNotSupported(test *testing.T) {
 	for name, text := range map[string]string{
 		"plain":  "GET /once/a HTTP/1.0\r\nHost: host.example\r\nAttempt: id\r\n\r\n",
@@ -59,17 +60,17 @@
 			client.setTimeout(5 * time.Second)
 			reply := client.roundTrip("GET", text)
 			if reply.status != 505 || !reply.closes {
-				test.Errorf("%s: %d %v", name, reply.status, reply.header)
+				test.Errorf("%s: status %d, header %v, want 505 and close", name, reply.status, reply.header)
 			}
 			if rest, err := io.ReadAll(client.reader); err != nil || len(rest) > 0 || len(env.receivedRequests()) != 0 {
-				test.Errorf("%s: %d arrivals, then %q, %v", name, len(env.receivedRequests()), rest, err)
+				test.Errorf("%s: %d received requests, then client read %q, error %v", name, len(env.receivedRequests()), rest, err)
 			}
 		})
 	}
 }
 
-// Requests that a client pipelines behind a body are read where that body ends:
-// each arrives as it was sent, and gets its own answer in its turn.
+// Requests that a client pipelines after a body are read from where that body ends: each reaches a
+// backend as sent, and gets its own response in order.
 func TestPipelinedRequests(test *testing.T) {
 	bodies := map[string]string{
 		"length": rawRequest("POST", "/once/a", "one", "", "GET /once/x HTTP/1.1\r\nHost: host.example\r\nAttempt: smuggled\r\n\r\n"),
@@ -83,7 +84,10 @@
 				client := env.client()
 				defer client.conn.Close()
 				client.setTimeout(20 * time.Second)
-				first := client.roundTrip("GET", text+rawRequest("GET", "/once/b", "two", "", "")+rawRequest("GET", "/once/c", "three", "", ""))
+				first := client.roundTrip(
+					"GET",
+					text+rawRequest("GET", "/once/b", "two", "", "")+rawRequest("GET", "/once/c", "three", "", ""),
+				)
 				if first.status == 200 {
 					env.expectSuccess(first, "one")
 				}
@@ -94,15 +98,14 @@
 					got = append(got, received.get("Attempt"))
 				}
 				if strings.Join(got, " ") != "one two three" {
-					test.Errorf("%s: arrived %v", name, got)
+					test.Errorf("%s: backend received %v", name, got)
 				}
 			})
 		}
 	}
 }
 
-// A request that is refused before its body was read takes nothing of that body
-// for another request.
+// If a request is refused before its body was read, the body is not parsed as another request.
 func TestBodyOfRefusedRequestIsNotParsedAsRequest(test *testing.T) {
 	inner := "GET /once/b HTTP/1.1\r\nHost: host.example\r\nAttempt: smuggled\r\n\r\n"
 	for name, head := range map[string]string{
@@ -115,19 +118,19 @@
 			env.addBackend("b1")
 			client := env.client()
 			if reply := client.roundTrip("POST", head); reply.status < 400 {
-				test.Errorf("%s: %d", name, reply.status)
+				test.Errorf("%s: status %d, want an error", name, reply.status)
 			}
 			client.conn.Close()
 			env.goroutines.Sleep(time.Second)
 			for _, received := range env.receivedRequests() {
-				test.Errorf("%s: arrived %s of %s", name, received.requestLine, received.get("Attempt"))
+				test.Errorf("%s: backend received %s with attempt ID %s", name, received.requestLine, received.get("Attempt"))
 			}
 		})
 	}
 }
 
-// A request that may have run is never told that it has not, however many backends
-// could not be reached after that.
+// The client of a request that may have run is never told that it was not executed, however many
+// backends were unreachable afterwards.
 func TestUnreachableBackendsAfterLostAttempt(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b0").handleAll(resetAfterReading)
@@ -143,14 +146,17 @@
 		}
 		reply, _ := env.get("/again/a")
 		if len(env.receivedRequests()) != 1 || isNotExecutedStatus(reply.status) || reply.status < 500 {
-			test.Errorf("%d after %d arrivals", reply.status, len(env.receivedRequests()))
+			test.Errorf(
+				"status %d after %d received requests, want a 5xx other than 503 after 1",
+				reply.status,
+				len(env.receivedRequests()),
+			)
 		}
 	})
 }
 
-// Whatever line ends and doubled framing a client uses, backends get the requests
-// that its bytes hold by the protocol's rule (chunks go before a length), each framed
-// by one length and with whole line ends.
+// Whatever line ends and duplicate framing a client uses, backends get the requests as the protocol
+// defines them (chunked encoding overrides a length), each framed by one length and with CRLF.
 func TestFramingIsNormalized(test *testing.T) {
 	second := rawRequest("GET", "/once/b", "two", "", "")
 	for name, text := range map[string]string{
@@ -167,12 +173,12 @@
 			env.expectSuccess(client.roundTrip("GET", ""), "two")
 			received := env.receivedRequests()
 			if len(received) != 2 || received[0].get("Attempt") != "one" || received[1].get("Attempt") != "two" {
-				test.Fatalf("%s: %d arrivals", name, len(received))
+				test.Fatalf("%s: %d received requests, want one and two", name, len(received))
 			}
 			for _, received := range received {
 				if received.chunked || len(received.values("Content-Length")) > 1 || len(received.body) > 0 ||
 					strings.ContainsAny(strings.Join(received.fields, ""), "\r\n") {
-					test.Errorf("%s: %v %q", name, received.fields, received.body)
+					test.Errorf("%s: backend received fields %q, body %q", name, received.fields, received.body)
 				}
 			}
 		})
--- a/hostproxy/fuzz_test.go
+++ b/hostproxy/fuzz_test.go
@@ -438,7 +438,8 @@
 		case isNotExecutedStatus(reply.status) && (!strings.Contains(bytes, "{id}") || !strings.Contains(lower, "not-executed") && !strings.Contains(bytes, " 421")):
 			test.Errorf("promised %d", reply.status)
 		}
-		if next := &result.next; next.status == 200 && (next.body != successBody(result.nextID) || next.header.Get("Attempt") != result.nextID) {
+		if next := &result.next; next.status == 200 &&
+			(next.body != successBody(result.nextID) || next.header.Get("Attempt") != result.nextID) {
 			test.Errorf("the next one got %q", next.body)
 		}
 	})
--- a/hostproxy/judge_test.go
+++ b/hostproxy/judge_test.go
@@ -49,7 +49,8 @@
 func (env *testEnv) trial(version handler, requests int) (message.RolloutCounts, bool) {
 	random := rand.New(rand.NewPCG(11, 12))
 	for number := range 4 {
-		env.addVersion(fmt.Sprint("a", number), "v1", 8).handleAll(onRoute("/once/", someTime(random, 6, succeed), someTime(random, 1, succeed)))
+		env.addVersion(fmt.Sprint("a", number), "v1", 8).
+			handleAll(onRoute("/once/", someTime(random, 6, succeed), someTime(random, 1, succeed)))
 	}
 	ask := func() { env.get([]string{"/once/a", "/again/a", "/again/b"}[random.IntN(3)]) }
 	for range 100 {
--- a/hostproxy/mutations_test.go
+++ b/hostproxy/mutations_test.go
@@ -64,7 +64,8 @@
 	case isNotExecutedStatus(reply.status) && truth.ran:
 		test.Errorf("%s: told %d of what ran", what, reply.status)
 	}
-	if reply := &result.next; reply.status == 200 && (reply.body != successBody(result.nextID) || reply.header.Get("Attempt") != result.nextID) {
+	if reply := &result.next; reply.status == 200 &&
+		(reply.body != successBody(result.nextID) || reply.header.Get("Attempt") != result.nextID) {
 		test.Errorf("%s: the next one got %q", what, reply.body)
 	}
 }
@@ -91,7 +92,12 @@
 	} {
 		for _, truth := range truths {
 			for cut := 1; cut <= len(other); cut++ {
-				result := runScript(test, "GET", "/once/a", func(id string) responseScript { return writeAndClose(other[:cut] + truth.answer(id)) })
+				result := runScript(
+					test,
+					"GET",
+					"/once/a",
+					func(id string) responseScript { return writeAndClose(other[:cut] + truth.answer(id)) },
+				)
 				truth.hold(test, fmt.Sprintf("%s after %q", truth.name, other[:cut]), &result)
 			}
 		}
--- a/hostproxy/request_metrics_test.go
+++ b/hostproxy/request_metrics_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// sample is the value of one line of the figures' text.
+// metricValue returns the value of a metric in the text format, or 0 if it is missing.
 func (env *testEnv) metricValue(name string) float64 {
 	text := bytes.Buffer{}
 	env.counters.WriteText(&text)
@@ -24,8 +24,8 @@
 	return value
 }
 
-// A request's time is told by where it went, and its end by its result: the wait for
-// capacity, the backends' time, and what the proxy added, which is nothing in virtual time.
+// Request durations are split into the wait for capacity, the backends' time and the overhead of the
+// proxy, which is 0 in virtual time; completed requests are counted by result.
 func TestRequestMetrics(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1").
@@ -55,15 +55,15 @@
 			test.Fatal(reply.status)
 		}
 		if waited := env.metricValue(`request_wait_seconds_sum{kind="once"}`); waited < 0.19 {
-			test.Errorf("waited %v s in all", waited)
+			test.Errorf("waited %v s in total, want at least 0.19", waited)
 		}
 		if count := env.metricValue(`request_seconds_count{kind="once",result="refused"}`); count != 1 {
-			test.Errorf("%v refused", count)
+			test.Errorf("%v refused requests, want 1", count)
 		}
 	})
 }
 
-// However many routes, tenants and backends there are, the number of figures is bounded.
+// The number of metrics does not grow with the number of routes, tenants and backends.
 func TestNumberOfMetricsIsBounded(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		for index := range 20 {
@@ -74,7 +74,7 @@
 		text := bytes.Buffer{}
 		env.counters.WriteText(&text)
 		if lines := bytes.Count(text.Bytes(), []byte("\n")); lines > 700 {
-			test.Errorf("%d lines", lines)
+			test.Errorf("%d metric lines, want at most 700", lines)
 		}
 	})
 }
--- a/hostproxy/request_test.go
+++ b/hostproxy/request_test.go
@@ -63,7 +63,8 @@
 			id := env.newID()
 			env.expectSuccess(client.roundTrip(sent.method, rawRequest(sent.method, sent.path, id, "", sent.body)), id)
 			all := env.receivedRequests()
-			if len(all) != 1 || all[0].requestLine != sent.method+" "+sent.path+" HTTP/1.1" || string(all[0].body) != sent.body || all[0].chunked {
+			if len(all) != 1 || all[0].requestLine != sent.method+" "+sent.path+" HTTP/1.1" || string(all[0].body) != sent.body ||
+				all[0].chunked {
 				test.Errorf("%s %s: arrived as %d, %q", sent.method, sent.path, len(all), all[0].requestLine)
 			}
 			if hosts := all[0].values("Host"); len(hosts) != 1 || hosts[0] != "host.example" {
@@ -90,7 +91,10 @@
 			env.addBackend("b1")
 			client := env.client()
 			defer client.conn.Close()
-			env.expectSuccess(client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "Transfer-Encoding: chunked\r\n", "")+sent.chunks), "id")
+			env.expectSuccess(
+				client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "Transfer-Encoding: chunked\r\n", "")+sent.chunks),
+				"id",
+			)
 			arrived := env.receivedRequests()[0]
 			if string(arrived.body) != sent.want || arrived.get("Content-Length") != strconv.Itoa(len(sent.want)) ||
 				arrived.get("Tenant") != "" ||
@@ -303,7 +307,10 @@
 		env.addBackend("b1")
 		client := env.client()
 		defer client.conn.Close()
-		reply := client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "Transfer-Encoding: chunked\r\n", "")+"5\r\nabcdeXX\r\n0\r\n\r\n")
+		reply := client.roundTrip(
+			"POST",
+			rawRequest("POST", "/once/a", "id", "Transfer-Encoding: chunked\r\n", "")+"5\r\nabcdeXX\r\n0\r\n\r\n",
+		)
 		if reply.status != 400 || len(env.receivedRequests()) != 0 {
 			test.Errorf("%d, %d arrivals", reply.status, len(env.receivedRequests()))
 		}
--- a/hostproxy/testenv_test.go
+++ b/hostproxy/testenv_test.go
@@ -20,8 +20,7 @@
 	"orchidjunction/routing"
 )
 
-// world is one proxy behind a server of its own, and its scripted backends; all
-// time in it is virtual.
+// testEnv is a proxy with its own server and fake backends. It runs in virtual time.
 type testEnv struct {
 	test       *testing.T
 	goroutines *concurrent.Group
@@ -145,9 +144,9 @@
 
 func (env *testEnv) close() {
 	if off := env.counters.Get("requests_off_the_chart"); off != 0 {
-		env.test.Errorf("%d steps off the chart of requests", off)
+		env.test.Errorf("%d unexpected transitions between request stages", off)
 	}
-	env.server.Close() // what is open still, the test ends
+	env.server.Close() // connections still open end with the test
 	for _, backend := range env.backends {
 		backend.stop()
 	}
@@ -157,7 +156,7 @@
 	time.Sleep(time.Second)
 }
 
-// add brings up a backend of the plain service in the proxy's zone.
+// addBackend adds a backend of the service "plain" in the proxy's zone.
 func (env *testEnv) addBackend(name string) *fakeBackend {
 	return env.addBackendAt(name, "plain", "e1", 8)
 }
@@ -175,7 +174,7 @@
 	return added
 }
 
-// lay changes copies of book and table, and puts them in force.
+// update changes copies of state and table, and applies them.
 func (env *testEnv) update(change func()) {
 	state, table := *env.state, *env.table
 	table.Backends = append([]message.Backend{}, table.Backends...)
@@ -196,7 +195,7 @@
 	return received
 }
 
-// held is how many connections a target has open, and how many requests run there.
+// targetLoad returns a target's number of open connections and of running requests.
 func (env *testEnv) targetLoad(name string) (int, int) {
 	target := env.proxy.targets[name]
 	target.mutex.Lock()
@@ -204,7 +203,7 @@
 	return target.openConnections, target.running
 }
 
-// client is one connection to the proxy.
+// client is a client connection to the proxy.
 type client struct {
 	conn   net.Conn
 	reader *bufio.Reader
@@ -216,8 +215,8 @@
 	return &client{conn: near, reader: bufio.NewReader(near)}
 }
 
-// reply is what the client got; broken tells that no whole answer came,
-// and last that the connection is to be closed.
+// reply is a response as the client received it. err is set if it was incomplete; closes
+// reports whether it announced that the connection will be closed.
 type reply struct {
 	status  int
 	header  http.Header
@@ -227,15 +226,15 @@
 	elapsed time.Duration
 }
 
-// send sends raw bytes; what the proxy does not take shows in what it answers.
+// send sends raw bytes. Write errors are ignored: a test sees them in the response.
 func (client *client) send(raw string) { _, _ = io.WriteString(client.conn, raw) }
 
-// limit ends the client's waiting after a span.
+// setTimeout sets the deadline of all further reads and writes.
 func (client *client) setTimeout(duration time.Duration) {
 	_ = client.conn.SetDeadline(time.Now().Add(duration)) // never fails
 }
 
-// ask sends raw bytes and reads one answer.
+// roundTrip sends raw bytes and reads one response.
 func (client *client) roundTrip(method, raw string) reply {
 	begin := time.Now()
 	client.send(raw)
@@ -254,13 +253,13 @@
 	}
 }
 
-// id gives every request one of its own.
+// newID returns a new attempt ID.
 func (env *testEnv) newID() string {
 	env.lastID++
 	return "id" + strconv.Itoa(env.lastID)
 }
 
-// raw is a request's bytes as an orderly client sends them.
+// rawRequest returns the bytes of a well-formed request.
 func rawRequest(method, path, id, fields, body string) string {
 	text := method + " " + path + " HTTP/1.1\r\nHost: host.example\r\nAttempt: " + id + "\r\n"
 	if !strings.Contains(fields, "Deadline: ") {
@@ -272,7 +271,7 @@
 	return text + fields + "\r\n" + body
 }
 
-// get asks on a connection of its own.
+// get sends a GET request on a new connection.
 func (env *testEnv) get(path string) (reply, string) {
 	id := env.newID()
 	client := env.client()
@@ -280,21 +279,22 @@
 	return client.roundTrip("GET", rawRequest("GET", path, id, "", "")), id
 }
 
-// good fails the test unless the reply is the backend's answer to the id.
+// expectSuccess fails the test unless the reply is the backend's response to the ID.
 func (env *testEnv) expectSuccess(reply reply, id string) {
 	env.test.Helper()
 	if reply.err != nil || reply.status != 200 || reply.body != successBody(id) || reply.header.Get("Attempt") != id ||
 		reply.header.Get("Seal") != "s-"+id {
-		env.test.Errorf("%s got %d %q %v %v", id, reply.status, reply.body, reply.header, reply.err)
+		env.test.Errorf("request %s: got status %d, body %q, header %v, error %v", id, reply.status, reply.body, reply.header, reply.err)
 	}
 }
 
-// promised are the statuses that say a request has not run and never will.
+// isNotExecutedStatus reports whether a status tells the client that its request was not
+// executed and never will be.
 func isNotExecutedStatus(status int) bool {
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
 func dialUnreachable(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
 
-// leaderMark is a table's that some leader made.
+// leaderVersion is the version of a table that was made by a leader.
 var leaderVersion = message.TableVersion{Term: message.Term{Number: 1, Core: 1}, Number: 1}
--- a/hostproxy/view_test.go
+++ b/hostproxy/view_test.go
@@ -200,7 +200,11 @@
 			}
 			proxies[0].Apply(
 				state,
-				&message.Table{Version: leaderVersion, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{backend}},
+				&message.Table{
+					Version:  leaderVersion,
+					Members:  members([]string{"p1"}, []string{"e1"}),
+					Backends: []message.Backend{backend},
+				},
 				nil,
 			)
 			if _, how := proxies[0].pick(nil, nil); how != want {
--- a/hostproxy/warmup_test.go
+++ b/hostproxy/warmup_test.go
@@ -140,7 +140,11 @@
 		warm := message.Backend{Name: "warm", Service: "plain", Zone: "w1", Capacity: 2}
 		proxies[0].Apply(
 			&routing.State{Config: testRoutingConfig()},
-			&message.Table{Version: leaderVersion, Members: members([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{cold, warm}},
+			&message.Table{
+				Version:  leaderVersion,
+				Members:  members([]string{"p1"}, []string{"e1"}),
+				Backends: []message.Backend{cold, warm},
+			},
 			nil,
 		)
 		proxies[0].targets["cold"].takeWarmupToken(time.Now(), 1)
