--- a/hostproxy/added_latency_test.go
+++ b/hostproxy/added_latency_test.go
@@ -27,7 +27,7 @@
 	responseBytes     = 2000
 )
 
-// newDirectBackend returns a backend that responds without delay.
+// newDirectBackend returns a backend that responds at once, like a backend of the platform.
 func newDirectBackend() *httptest.Server {
 	body := letters(0, responseBytes)
 	return httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
--- a/hostproxy/attempt_test.go
+++ b/hostproxy/attempt_test.go
@@ -74,7 +74,7 @@
 		test.Run(name, func(test *testing.T) {
 			withTestEnv(test, func(env *testEnv) {
 				for _, backend := range []string{"b1", "b2", "b3"} {
-					env.addBackend(backend).handleAll(handle)
+					env.addBackend(backend).handleByDefault(handle)
 				}
 				reply, _ := env.get("/once/a")
 				if count := len(env.receivedRequests()); count != 1 {
@@ -102,7 +102,7 @@
 			withTestEnv(test, func(env *testEnv) {
 				shared := onFirstRequest(handle)
 				for _, backend := range []string{"b1", "b2", "b3"} {
-					env.addBackend(backend).handleAll(shared)
+					env.addBackend(backend).handleByDefault(shared)
 				}
 				reply, id := env.get("/again/a")
 				env.expectSuccess(reply, id)
@@ -122,7 +122,7 @@
 		test.Run(name, func(test *testing.T) {
 			withTestEnv(test, func(env *testEnv) {
 				for number := range 5 {
-					env.addBackend(fmt.Sprint("b", number)).handleAll(handle)
+					env.addBackend(fmt.Sprint("b", number)).handleByDefault(handle)
 				}
 				for range 4 {
 					reply, id := env.get("/again/a")
@@ -159,8 +159,8 @@
 			test.Run(name+path, func(test *testing.T) {
 				withTestEnv(test, func(env *testEnv) {
 					shared := onFirstRequest(handle)
-					env.addBackend("b1").handleAll(shared)
-					env.addBackend("b2").handleAll(shared)
+					env.addBackend("b1").handleByDefault(shared)
+					env.addBackend("b2").handleByDefault(shared)
 					reply, id := env.get(path)
 					env.expectSuccess(reply, id)
 					received := env.receivedRequests()
@@ -179,7 +179,7 @@
 	for _, path := range []string{"/once/a", "/again/a"} {
 		withTestEnv(test, func(env *testEnv) {
 			for number := range 5 {
-				env.addBackend(fmt.Sprint("b", number)).handleAll(shed)
+				env.addBackend(fmt.Sprint("b", number)).handleByDefault(shed)
 			}
 			env.proxy.view.Load().budgets[0].tokens = 2
 			reply, _ := env.get(path)
@@ -198,8 +198,8 @@
 	for name, want := range map[string]int{"shed": 503, "reset": 502} {
 		withTestEnv(test, func(env *testEnv) {
 			handlers := map[string]handler{"shed": shed, "reset": resetAfterReading}
-			env.addBackend("b1").handleAll(handlers[name])
-			env.addBackend("b2").handleAll(handlers[name])
+			env.addBackend("b1").handleByDefault(handlers[name])
+			env.addBackend("b2").handleByDefault(handlers[name])
 			env.proxy.view.Load().budgets[0].tokens = 0
 			reply, _ := env.get("/again/a")
 			if reply.status != want || len(env.receivedRequests()) != 1 {
@@ -372,7 +372,7 @@
 // The proxy gives up an attempt whose backend sends too many surplus responses.
 func TestTooManySurplusResponses(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
-		env.addBackend("b1").handleAll(func(exchange *exchange) bool {
+		env.addBackend("b1").handleByDefault(func(exchange *exchange) bool {
 			for range 5 {
 				exchange.writef("%s", sealedResponse("foreign", "200 OK", "", "foreign"))
 			}
@@ -414,7 +414,7 @@
 func TestOversizedResponseHead(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		written := 0
-		env.addBackend("b1").handleAll(func(exchange *exchange) bool {
+		env.addBackend("b1").handleByDefault(func(exchange *exchange) bool {
 			exchange.writef("HTTP/1.1 200 OK\r\nX: ")
 			for part := letters(0, 32<<10); written < 64<<20; written += len(part) {
 				if _, err := exchange.pipe.Write(part); err != nil {
@@ -577,7 +577,7 @@
 func TestBackendErrorsAreForwarded(test *testing.T) {
 	for _, line := range []string{"400 Bad Request", "404 Not Found", "409 Conflict", "500 Internal Server Error", "504 Gateway Timeout"} {
 		withTestEnv(test, func(env *testEnv) {
-			env.addBackend("b1").handleAll(respondStatus(line))
+			env.addBackend("b1").handleByDefault(respondStatus(line))
 			if reply, _ := env.get("/once/a"); fmt.Sprint(reply.status) != line[:3] || reply.body != "backend error" {
 				test.Errorf("%s: status %d, body %q", line, reply.status, reply.body)
 			}
@@ -588,7 +588,7 @@
 // A client that disconnects ends its request.
 func TestClientDisconnect(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
-		env.addBackend("b1").handleAll(neverRespond)
+		env.addBackend("b1").handleByDefault(neverRespond)
 		client := env.client()
 		client.send(rawRequest("GET", "/again/a", "id", "", ""))
 		env.goroutines.Sleep(50 * time.Millisecond)
@@ -608,7 +608,7 @@
 func TestDeadline(test *testing.T) {
 	for deadline, limit := range map[string]int{"700": 700, "1500": 1500, "90000": 2000, "1e300": 2000, "Inf": 2000, "NaN": 2000, "-4": 2000, "soon": 2000, "0.5": 1, "0": 1} {
 		withTestEnv(test, func(env *testEnv) {
-			env.addBackend("b1").handleAll(neverRespond)
+			env.addBackend("b1").handleByDefault(neverRespond)
 			client := env.client()
 			defer client.conn.Close()
 			reply := client.roundTrip("GET", rawRequest("GET", "/once/a", "id", "Deadline: "+deadline+"\r\n", ""))
@@ -626,8 +626,8 @@
 	}
 	withTestEnv(test, func(env *testEnv) {
 		shared := onFirstRequest(delayed(300*time.Millisecond, shed))
-		env.addBackend("b1").handleAll(shared)
-		env.addBackend("b2").handleAll(shared)
+		env.addBackend("b1").handleByDefault(shared)
+		env.addBackend("b2").handleByDefault(shared)
 		reply, id := env.get("/once/a")
 		env.expectSuccess(reply, id)
 		for number, want := range []string{"1500", "1200"} {
@@ -642,7 +642,7 @@
 // succeed.
 func TestReplacedBackendIsNotRevived(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
-		env.addBackend("b1").handleAll(misdirected)
+		env.addBackend("b1").handleByDefault(misdirected)
 		env.addBackendAt("b2", "plain", "w1", 8)
 		for range 100 {
 			reply, id := env.get("/once/a")
@@ -668,7 +668,7 @@
 				}
 			})
 			for number := range 3 {
-				env.addBackend(fmt.Sprint("b", number)).handleAll(resetAfterReading)
+				env.addBackend(fmt.Sprint("b", number)).handleByDefault(resetAfterReading)
 			}
 			env.proxy.view.Load().budgets[0].tokens = 9
 			reply, _ := env.get("/again/a")
@@ -683,7 +683,7 @@
 // a while.
 func TestReplacedBackend(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
-		env.addBackend("b1").handleAll(func(exchange *exchange) bool {
+		env.addBackend("b1").handleByDefault(func(exchange *exchange) bool {
 			if exchange.get("Target") != "someone" {
 				return misdirected(exchange)
 			}
--- a/hostproxy/body_test.go
+++ b/hostproxy/body_test.go
@@ -17,7 +17,7 @@
 
 // With a body limit of math.MaxInt64, limit+1 overflowed to a negative number, and every body was
 // forwarded empty as if complete.
-func TestBodiesUnderAnyLimitArriveWholeOrAreRefused(test *testing.T) {
+func TestBodiesAreForwardedCompleteOrRefused(test *testing.T) {
 	const size = 40 << 10
 	body := string(letters(0, size))
 	chunks := "Transfer-Encoding: chunked\r\n\r\n" + strconv.FormatInt(size, 16) + "\r\n" + body + "\r\n0\r\n\r\n"
--- a/hostproxy/budget_test.go
+++ b/hostproxy/budget_test.go
@@ -10,7 +10,7 @@
 	"orchidjunction/routing"
 )
 
-// retryEvent is a request or a retry of any proxy.
+// budgetEvent is a request or a retry of any proxy.
 type budgetEvent struct {
 	at      time.Time
 	isRetry bool
@@ -96,7 +96,7 @@
 	}
 }
 
-// More proxies lower the token limit of each at once; fewer proxies do not raise it.
+// More proxies immediately lower the token limit of each; fewer proxies do not raise it.
 func TestBudgetShare(test *testing.T) {
 	budget := &retryBudget{}
 	budget.setShare(0.2, 60, 1)
--- a/hostproxy/choose_test.go
+++ b/hostproxy/choose_test.go
@@ -113,10 +113,11 @@
 	})
 }
 
-// The choice reports that no backend is in the home regions of the route or tenant.
+// If no backend is in the home regions of its route or tenant, a request is refused at once, with a
+// time to retry.
 func TestNoBackendInHomeRegions(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
-		env.addBackend("b1").handleAll(succeed)
+		env.addBackend("b1").handleByDefault(succeed)
 		if _, result := env.proxy.pick(nil, []string{"nowhere"}); result != noneInHomeRegions {
 			test.Errorf("result %d with the route's homes", result)
 		}
@@ -126,7 +127,7 @@
 	})
 }
 
-// A target with an idle connection costs less, by openPenaltyMs.
+// An idle connection outweighs a little waiting: it lowers a target's cost by openPenaltyMs.
 func TestIdleConnectionIsPreferred(test *testing.T) {
 	target := newTarget(message.Backend{Name: "b", Capacity: 4})
 	now := time.Now()
--- a/hostproxy/connection_test.go
+++ b/hostproxy/connection_test.go
@@ -84,7 +84,7 @@
 	}
 	connection := target.takeIdle(time.Now())
 	if connection == nil || target.openConnections != 1 || len(target.idle) != 0 {
-		test.Fatalf("took %v, %d open connections, want 1", connection, target.openConnections)
+		test.Fatalf("takeIdle returned %v, %d open connections, want 1", connection, target.openConnections)
 	}
 	if target.discardConnection(connection); target.takeIdle(time.Now()) != nil || target.openConnections != 0 {
 		test.Errorf("%d open connections, want none", target.openConnections)
--- a/hostproxy/fake_backend_test.go
+++ b/hostproxy/fake_backend_test.go
@@ -51,9 +51,8 @@
 // handler responds to an exchange. It returns false to close the connection.
 type handler func(*exchange) bool
 
-// fakeBackend is an HTTP/1.1 server. Each request takes a handler off the queue; if there is
-// none, defaultHandler (succeed if nil) responds. A connect hook runs before the connection is
-// read.
+// fakeBackend is a raw HTTP/1.1 server. A request is handled by the next handler in the queue, else
+// by defaultHandler, else by succeed. A connection first runs the next connect hook.
 type fakeBackend struct {
 	name       string
 	address    string
@@ -80,7 +79,7 @@
 	return backend
 }
 
-func (backend *fakeBackend) handleAll(handle handler) *fakeBackend {
+func (backend *fakeBackend) handleByDefault(handle handler) *fakeBackend {
 	backend.mutex.Lock()
 	backend.defaultHandler = handle
 	backend.mutex.Unlock()
--- a/hostproxy/field_checks_test.go
+++ b/hostproxy/field_checks_test.go
@@ -322,8 +322,8 @@
 // there is another backend.
 func statusAfterReset(env *testEnv) string {
 	resetFirst := onFirstRequest(resetAfterReading)
-	env.backends["b-plain"].handleAll(resetFirst)
-	env.addBackend("b-second").handleAll(resetFirst)
+	env.backends["b-plain"].handleByDefault(resetFirst)
+	env.addBackend("b-second").handleByDefault(resetFirst)
 	reply, _ := env.get("/again/a")
 	return strconv.Itoa(reply.status)
 }
@@ -331,14 +331,14 @@
 // resultOfBackendTimeout returns the result of a request whose backend does not respond: a 504
 // after the timeout plus deadlineSlack.
 func resultOfBackendTimeout(env *testEnv) string {
-	env.backends["b-plain"].handleAll(neverRespond)
+	env.backends["b-plain"].handleByDefault(neverRespond)
 	return statusAndDuration(env.get("/again/a"))
 }
 
 // resultOfQueueTimeout returns the result of a request for which no backend has capacity.
 func resultOfQueueTimeout(env *testEnv) string {
 	env.update(func() { env.table.Backends = nil })
-	env.addBackendAt("one-slot", "plain", "e1", 1).handleAll(neverRespond)
+	env.addBackendAt("one-slot", "plain", "e1", 1).handleByDefault(neverRespond)
 	for range 3 {
 		client := env.client()
 		defer client.conn.Close()
@@ -431,15 +431,15 @@
 }
 
 func attemptsOnFailure(env *testEnv) string {
-	env.backends["b-plain"].handleAll(respondStatus("500 X"))
-	env.addBackend("b-second").handleAll(respondStatus("500 X"))
+	env.backends["b-plain"].handleByDefault(respondStatus("500 X"))
+	env.addBackend("b-second").handleByDefault(respondStatus("500 X"))
 	env.get("/again/a")
 	return strconv.Itoa(len(env.receivedRequests()))
 }
 
 // concurrentConnections returns how many connections a burst of requests opens to one backend.
 func concurrentConnections(env *testEnv) string {
-	env.backends["b-plain"].handleAll(delayed(100*time.Millisecond, succeed))
+	env.backends["b-plain"].handleByDefault(delayed(100*time.Millisecond, succeed))
 	group := sync.WaitGroup{}
 	for range 20 {
 		client, text := env.client(), rawRequest("GET", "/again/a", env.newID(), "", "")
--- a/hostproxy/framing_test.go
+++ b/hostproxy/framing_test.go
@@ -133,7 +133,7 @@
 // backends were unreachable afterwards.
 func TestUnreachableBackendsAfterLostAttempt(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
-		env.addBackend("b0").handleAll(resetAfterReading)
+		env.addBackend("b0").handleByDefault(resetAfterReading)
 		env.proxy.view.Load().budgets[0].tokens = 30
 		env.update(func() {
 			for index := range env.state.Config.Routes {
--- a/hostproxy/fuzz_test.go
+++ b/hostproxy/fuzz_test.go
@@ -303,7 +303,7 @@
 		return treatment(fuzzed.witness, exchange, bytes)
 	}
 	for _, backend := range env.backends {
-		backend.handleAll(does)
+		backend.handleByDefault(does)
 	}
 	fuzzed.witness.mutex.Lock()
 	held := fuzzed.witness.of(id)
--- a/hostproxy/gone_test.go
+++ b/hostproxy/gone_test.go
@@ -42,8 +42,8 @@
 		{"sending", "/once/a", "POST", body, 50 * time.Millisecond, func(env *testEnv) {
 			env.addBackend("b1").onConnect(func(*pipe) { env.goroutines.Sleep(10 * time.Second) })
 		}, 0, 0},
-		{"at work", "/again/a", "GET", "", 50 * time.Millisecond, func(env *testEnv) { env.addBackend("b1").handleAll(neverRespond) }, 1, 0},
-		{"at work, not to be repeated", "/once/a", "GET", "", 50 * time.Millisecond, func(env *testEnv) { env.addBackend("b1").handleAll(neverRespond) }, 1, 0},
+		{"at work", "/again/a", "GET", "", 50 * time.Millisecond, func(env *testEnv) { env.addBackend("b1").handleByDefault(neverRespond) }, 1, 0},
+		{"at work, not to be repeated", "/once/a", "GET", "", 50 * time.Millisecond, func(env *testEnv) { env.addBackend("b1").handleByDefault(neverRespond) }, 1, 0},
 		{"streaming", "/load/a", "GET", "", 50 * time.Millisecond, func(env *testEnv) {
 			env.addBackend("b1").handleNext(func(exchange *exchange) bool {
 				respondLarge(4*maxBufferedBodyBytes, 2*maxBufferedBodyBytes, false)(exchange)
@@ -52,13 +52,13 @@
 		}, 1, 0},
 		{"retrying", "/again/a", "GET", "", 300 * time.Millisecond, func(env *testEnv) {
 			shared := inTurn(delayed(100*time.Millisecond, shed), neverRespond)
-			env.addBackend("b1").handleAll(shared)
-			env.addBackend("b2").handleAll(shared)
+			env.addBackend("b1").handleByDefault(shared)
+			env.addBackend("b2").handleByDefault(shared)
 		}, 2, 1},
 		{"between two tries", "/again/a", "GET", "", 60 * time.Millisecond, func(env *testEnv) {
 			shared := inTurn(delayed(100*time.Millisecond, shed), neverRespond)
-			env.addBackend("b1").handleAll(shared)
-			env.addBackend("b2").handleAll(shared)
+			env.addBackend("b1").handleByDefault(shared)
+			env.addBackend("b2").handleByDefault(shared)
 		}, 1, 0},
 	} {
 		test.Run(state.name, func(test *testing.T) {
--- a/hostproxy/judge_test.go
+++ b/hostproxy/judge_test.go
@@ -50,14 +50,14 @@
 	random := rand.New(rand.NewPCG(11, 12))
 	for number := range 4 {
 		env.addVersion(fmt.Sprint("a", number), "v1", 8).
-			handleAll(onRoute("/once/", someTime(random, 6, succeed), someTime(random, 1, succeed)))
+			handleByDefault(onRoute("/once/", someTime(random, 6, succeed), someTime(random, 1, succeed)))
 	}
 	ask := func() { env.get([]string{"/once/a", "/again/a", "/again/b"}[random.IntN(3)]) }
 	for range 100 {
 		ask()
 	}
 	for number := range 4 {
-		env.addVersion(fmt.Sprint("b", number), "v2", 8).handleAll(version)
+		env.addVersion(fmt.Sprint("b", number), "v2", 8).handleByDefault(version)
 	}
 	env.roll(order(message.RolloutActive, 0.5))
 	made, err := martingale.NewTest(martingale.DefaultOptions())
--- a/hostproxy/repeat_test.go
+++ b/hostproxy/repeat_test.go
@@ -110,8 +110,8 @@
 			exchange.writef("HTTP/1.1 503 X\r\nAttempt: %s\r\nNot-Executed: full\r\nContent-Length: 100\r\n\r\nfu", exchange.get("Attempt"))
 			return neverRespond(exchange)
 		})
-		env.addBackend("b1").handleAll(stalled)
-		env.addBackend("b2").handleAll(stalled)
+		env.addBackend("b1").handleByDefault(stalled)
+		env.addBackend("b2").handleByDefault(stalled)
 		reply, id := env.get("/once/a")
 		env.expectSuccess(reply, id)
 		if reply.elapsed > 2*refusalDrainTimeout {
--- a/hostproxy/request_memory_test.go
+++ b/hostproxy/request_memory_test.go
@@ -49,7 +49,7 @@
 	for form, late := range map[string]string{"length": rawRequest("POST", "/once/a", "late", "", body), "chunks": head + chunks} {
 		withTestEnv(test, func(env *testEnv) {
 			env.proxy.memory = newRequestMemory(2_400_000)
-			env.addBackend("b1").handleAll(delayed(500*time.Millisecond, succeed))
+			env.addBackend("b1").handleByDefault(delayed(500*time.Millisecond, succeed))
 			first := env.client()
 			defer first.conn.Close()
 			env.goroutines.Start(func() {
--- a/hostproxy/request_test.go
+++ b/hostproxy/request_test.go
@@ -319,7 +319,7 @@
 
 // fill keeps all places of a backend of one slot.
 func (env *testEnv) fill(count int, span time.Duration) {
-	env.addBackendAt("b1", "plain", "e1", 1).handleAll(delayed(span, succeed))
+	env.addBackendAt("b1", "plain", "e1", 1).handleByDefault(delayed(span, succeed))
 	for range count {
 		client := env.client()
 		client.send(rawRequest("GET", "/once/a", env.newID(), "", ""))
@@ -446,7 +446,7 @@
 		if reply, _ := env.get("/once/a"); reply.status != 503 {
 			test.Errorf("%d without a view", reply.status)
 		}
-		env.addBackend("b1").handleAll(delayed(100*time.Millisecond, succeed))
+		env.addBackend("b1").handleByDefault(delayed(100*time.Millisecond, succeed))
 		if !env.proxy.Ready() {
 			test.Error("not ready")
 		}
--- a/hostproxy/rollout_test.go
+++ b/hostproxy/rollout_test.go
@@ -193,8 +193,8 @@
 	withTestEnv(test, func(env *testEnv) {
 		old := env.addVersion("a1", "v1", 8)
 		bad := []*fakeBackend{env.addVersion("b1", "v2", 8), env.addVersion("b2", "v2", 8)}
-		bad[0].handleAll(respondStatus("500 Own"))
-		bad[1].handleAll(respondStatus("500 Own"))
+		bad[0].handleByDefault(respondStatus("500 Own"))
+		bad[1].handleByDefault(respondStatus("500 Own"))
 		env.roll(order(message.RolloutActive, 1))
 		reply, id := env.get("/again/a")
 		env.expectSuccess(reply, id)
@@ -217,7 +217,7 @@
 	withTestEnv(test, func(env *testEnv) {
 		old := env.addVersion("a1", "v1", 8)
 		bad, good := env.addVersion("b1", "v2", 8), env.addVersion("b2", "v2", 8)
-		bad.handleAll(respondStatus("500 Own"))
+		bad.handleByDefault(respondStatus("500 Own"))
 		orders := order(message.RolloutActive, 1)
 		orders[0].Exclusive = true
 		env.roll(orders)
--- a/hostproxy/shaper_test.go
+++ b/hostproxy/shaper_test.go
@@ -122,7 +122,7 @@
 func TestLargeAnswersTakeTurns(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.proxy.transfers = newTransferLimiter(1)
-		env.addBackend("b1").handleAll(delayed(300*time.Millisecond, succeed))
+		env.addBackend("b1").handleByDefault(delayed(300*time.Millisecond, succeed))
 		request := &request{
 			route:    &routing.Route{Kind: routing.Download, TargetMs: 1000},
 			context:  context.Background(),
@@ -174,7 +174,7 @@
 	const mostWait = 150 * time.Millisecond
 	withTestEnv(test, func(env *testEnv) {
 		env.proxy.outbound = newShaper(link, time.Now())
-		env.addBackend("b1").handleAll(func(exchange *exchange) bool {
+		env.addBackend("b1").handleByDefault(func(exchange *exchange) bool {
 			if strings.Contains(exchange.requestLine, "/load/") {
 				return respondLarge(200<<10, 200<<10, false)(exchange)
 			}
--- a/hostproxy/target_test.go
+++ b/hostproxy/target_test.go
@@ -144,7 +144,7 @@
 func TestConnectionCap(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.update(func() { env.state.Config.Services[0].MaxConnections = 5 })
-		env.addBackendAt("b1", "plain", "e1", 50).handleAll(delayed(100*time.Millisecond, succeed))
+		env.addBackendAt("b1", "plain", "e1", 50).handleByDefault(delayed(100*time.Millisecond, succeed))
 		limit := 0
 		for range 12 {
 			client := env.client()
--- a/hostproxy/usage_meter_test.go
+++ b/hostproxy/usage_meter_test.go
@@ -53,7 +53,7 @@
 		"streamed": {respondLarge(2*maxBufferedBodyBytes, 2*maxBufferedBodyBytes, false), 1}, "cut": {truncatedBody, 1},
 	} {
 		withTestEnv(test, func(env *testEnv) {
-			env.addBackend("b1").handleAll(play.does)
+			env.addBackend("b1").handleByDefault(play.does)
 			env.keyed()
 			client := env.client()
 			defer client.conn.Close()
@@ -79,7 +79,7 @@
 // A request counts in the window in which it began, however long it takes.
 func TestLongRequestCountsWhereItBegan(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
-		env.addBackend("b1").handleAll(delayed(800*time.Millisecond, succeed))
+		env.addBackend("b1").handleByDefault(delayed(800*time.Millisecond, succeed))
 		env.keyed()
 		env.goroutines.Sleep(5*time.Second - time.Duration(time.Now().UnixMilli()%5000)*time.Millisecond - 400*time.Millisecond)
 		number := time.Now().UnixMilli() / 5000
