--- a/hostproxy/budget_test.go
+++ b/hostproxy/budget_test.go
@@ -10,117 +10,122 @@
 	"orchidjunction/routing"
 )
 
-// spending is what several proxies did of late, for the sum over any window.
-type spending struct {
-	at    time.Time
-	again bool
+// budgetEvent is a request or a retry of any proxy.
+type budgetEvent struct {
+	at      time.Time
+	isRetry bool
 }
 
-// over is whether attempts past the first passed what is allowed in the last window.
-func over(events []spending, ratio, extra float64) (int, float64, bool) {
-	requests, again := 0, 0
+// exceedsBudget returns the retries in the last 10 s, how many were allowed, and whether these
+// were exceeded.
+func exceedsBudget(events []budgetEvent, ratio, extra float64) (int, float64, bool) {
+	requests, retries := 0, 0
 	for index := len(events) - 1; index >= 0 && time.Since(events[index].at) < 10*time.Second; index-- {
-		if events[index].again {
-			again++
+		if events[index].isRetry {
+			retries++
 		} else {
 			requests++
 		}
 	}
 	allowed := ratio*float64(requests) + extra
-	return again, allowed, float64(again) > allowed
+	return retries, allowed, float64(retries) > allowed
 }
 
-// In any ten seconds the attempts past the first of all proxies stay within the
-// ratio and the extra, also while proxies restart, come and go, and hear of it late.
-func TestBudgetOfAllProxies(test *testing.T) {
+// In any 10 s the retries of all proxies together stay within the ratio plus the extra, also while
+// proxies restart, join and leave, and learn late how many there are.
+func TestTotalBudgetOfAllProxies(test *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(test, func(test *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 7))
 			ratio, extra := 0.2, 62.0
 			count := 1 + random.IntN(20)
-			limit := count
-			fresh := func() *retryBudget { budget := &retryBudget{}; budget.setShare(ratio, extra, limit); return budget }
+			maxProxies := count
+			newBudget := func() *retryBudget {
+				budget := &retryBudget{}
+				budget.setShare(ratio, extra, maxProxies)
+				return budget
+			}
 			budgets := []*retryBudget{}
 			for range count {
-				budgets = append(budgets, fresh())
+				budgets = append(budgets, newBudget())
 			}
-			events, granted, restarted := []spending{}, 0, time.Now()
-			takes := []int{0, 1, 3}
-			pace, wish := time.Millisecond, 2
+			events, granted, lastRestart := []budgetEvent{}, 0, time.Now()
+			attemptsPerStep := []int{0, 1, 3}
+			interval, requestOdds := time.Millisecond, 2
 			for step := range 12_000 {
 				if random.IntN(300) == 0 {
-					pace, wish = time.Duration(100+random.IntN(15_000))*time.Microsecond, 1+random.IntN(6)
+					interval, requestOdds = time.Duration(100+random.IntN(15_000))*time.Microsecond, 1+random.IntN(6)
 				}
-				time.Sleep(pace)
+				time.Sleep(interval)
 				switch change := random.IntN(400); {
 				case change == 0 && len(budgets) < 24:
 					count++
-					limit = max(limit, count)
-					budgets = append(budgets, fresh())
+					maxProxies = max(maxProxies, count)
+					budgets = append(budgets, newBudget())
 				case change == 1 && len(budgets) > 1:
 					count--
 					budgets = budgets[1:]
-				case change == 2 && time.Since(restarted) > 800*time.Millisecond:
-					restarted = time.Now()
-					budgets[random.IntN(len(budgets))] = fresh()
+				case change == 2 && time.Since(lastRestart) > 800*time.Millisecond:
+					lastRestart = time.Now()
+					budgets[random.IntN(len(budgets))] = newBudget()
 				}
 				budget := budgets[random.IntN(len(budgets))]
 				if random.IntN(20) == 0 {
-					budget.setShare(ratio, extra, limit)
+					budget.setShare(ratio, extra, maxProxies)
 				}
-				if random.IntN(wish) == 0 {
+				if random.IntN(requestOdds) == 0 {
 					budget.recordRequest()
-					events = append(events, spending{time.Now(), false})
+					events = append(events, budgetEvent{time.Now(), false})
 				}
-				for range takes[step/1500%len(takes)] {
+				for range attemptsPerStep[step/1500%len(attemptsPerStep)] {
 					if budget.take() {
 						granted++
-						events = append(events, spending{time.Now(), true})
+						events = append(events, budgetEvent{time.Now(), true})
 					}
 				}
 				if step%40 == 0 {
-					if again, allowed, found := over(events, ratio, extra); found {
-						test.Fatalf("seed %d: %d attempts past the first, %.1f allowed", seed, again, allowed)
+					if retries, allowed, found := exceedsBudget(events, ratio, extra); found {
+						test.Fatalf("seed %d: %d retries in 10 s, %.1f allowed", seed, retries, allowed)
 					}
 				}
 			}
 			if granted < 300 {
-				test.Errorf("seed %d: only %d granted", seed, granted)
+				test.Errorf("seed %d: only %d retries granted, want at least 300", seed, granted)
 			}
 		})
 	}
 }
 
-// More proxies lower what one may save up at once; fewer do not raise it.
+// More proxies immediately lower the token limit of each; fewer proxies do not raise it.
 func TestBudgetShare(test *testing.T) {
 	budget := &retryBudget{}
 	budget.setShare(0.2, 60, 1)
 	if !budget.take() || budget.take() {
-		test.Error("a fresh budget has not just one attempt")
+		test.Error("a new budget does not have exactly one token")
 	}
 	for range 10_000 {
 		budget.recordRequest()
 	}
 	if budget.tokens != 45 {
-		test.Errorf("%v saved up", budget.tokens)
+		test.Errorf("%v tokens, want 45", budget.tokens)
 	}
 	for _, step := range []struct {
 		proxies int
-		most    float64
+		limit   float64
 	}{{1, 45}, {9, 5}, {3, 5}} {
-		if budget.setShare(0.2, 60, step.proxies); budget.tokens != step.most || budget.limit != step.most {
-			test.Errorf("%d proxies: %v of %v", step.proxies, budget.tokens, budget.limit)
+		if budget.setShare(0.2, 60, step.proxies); budget.tokens != step.limit || budget.limit != step.limit {
+			test.Errorf("%d proxies: %v tokens, limit %v", step.proxies, budget.tokens, budget.limit)
 		}
 	}
 	budget.setShare(0, 0, 1)
 	if budget.recordRequest(); budget.take() {
-		test.Error("granted where nothing is allowed")
+		test.Error("retry granted with a ratio and an extra of 0")
 	}
 }
 
-// Before a leader says how many proxies there are, none saves up more than what a
-// fresh process starts with; after that, its part as always.
-func TestBudgetBeforeALeader(test *testing.T) {
+// Until a leader has told the number of proxies, a proxy accumulates no more tokens than a new
+// process starts with; then its usual share.
+func TestBudgetBeforeFirstLeader(test *testing.T) {
 	budget := &retryBudget{}
 	for range 3 {
 		budget.setProvisionalShare(0.2, 60, 1)
@@ -128,30 +133,30 @@
 			budget.recordRequest()
 		}
 		if budget.tokens != initialBudget {
-			test.Errorf("%v saved up before a leader", budget.tokens)
+			test.Errorf("%v tokens before the first leader, want initialBudget", budget.tokens)
 		}
 	}
 	for _, step := range []struct {
 		proxies int
-		most    float64
+		limit   float64
 	}{{5, 9}, {9, 5}, {3, 5}} {
 		budget.setShare(0.2, 60, step.proxies)
 		for range 100 {
 			budget.recordRequest()
 		}
-		if budget.tokens != step.most {
-			test.Errorf("%d proxies: %v saved up", step.proxies, budget.tokens)
+		if budget.tokens != step.limit {
+			test.Errorf("%d proxies: %v tokens", step.proxies, budget.tokens)
 		}
 	}
 }
 
-// Which of the two a proxy goes by is told by its table.
-func TestBudgetFollowsTheTable(test *testing.T) {
+// The version of the proxy's table tells whether there has been a leader.
+func TestBudgetShareFromTable(test *testing.T) {
 	proxy := many([]string{"p1"}, []string{"e1"})[0]
 	proxy.config.RetryRatio, proxy.config.RetryExtra = 0.2, 60
 	for _, round := range []uint64{0, 1} {
 		proxy.Apply(
-			&routing.State{Config: ownConfig()},
+			&routing.State{Config: testRoutingConfig()},
 			&message.Table{
 				Version: message.TableVersion{Term: message.Term{Number: round}, Number: 1},
 				Members: members([]string{"p1"}, []string{"e1"}),
@@ -163,7 +168,7 @@
 			budget.recordRequest()
 		}
 		if want := map[uint64]float64{0: initialBudget, 1: 45}[round]; budget.tokens != want {
-			test.Errorf("round %d: %v saved up, want %v", round, budget.tokens, want)
+			test.Errorf("term %d: %v tokens, want %v", round, budget.tokens, want)
 		}
 	}
 }
