--- a/idempotency/export_test.go
+++ b/idempotency/export_test.go
@@ -6,11 +6,10 @@
 	"orchidjunction/storage"
 )
 
-// TestLog is a log without its writing goroutine.
+// TestLog is a Log without its writer goroutine.
 type TestLog struct{ log *Log }
 
-// OpenTestLog opens a log that remembers keys for DefaultTTL and begins a segment after
-// so many bytes.
+// OpenTestLog opens a log with a TTL of DefaultTTL and segments of the given size in bytes.
 func OpenTestLog(disk storage.Disk, segment int64) (*TestLog, error) {
 	log, err := OpenLog(disk, 0, metrics.NewCounters())
 	if err != nil {
@@ -21,18 +20,18 @@
 	return &TestLog{log: log}, nil
 }
 
-// Keep is one turn of the writing goroutine.
-func (test *TestLog) Keep(request *message.RecordClaimsRequest) ([]message.ClaimResponse, error) {
+// Record writes one request as the writer goroutine does.
+func (test *TestLog) Record(request *message.RecordClaimsRequest) ([]message.ClaimResponse, error) {
 	if err := test.log.repair(); err != nil {
 		return nil, err
 	}
 	return test.log.writeGroup([]*Write{{Request: request}})
 }
 
-// Held returns the claim that has a key.
-func (test *TestLog) Held(key message.ClaimKey) (message.ClaimRecord, bool) {
+// Get returns the claim that has the key.
+func (test *TestLog) Get(key message.ClaimKey) (message.ClaimRecord, bool) {
 	return test.log.store.Get(key)
 }
 
-// Refuses reports whether the disk refused the last group.
-func (test *TestLog) Refuses() bool { return test.log.journal.Err() != nil }
+// DiskFailed reports whether the last write to the disk failed.
+func (test *TestLog) DiskFailed() bool { return test.log.journal.Err() != nil }
--- a/idempotency/group.go
+++ b/idempotency/group.go
@@ -6,8 +6,8 @@
 	"orchidjunction/message"
 )
 
-// group is one durable step of a Log. At is the log's age. Complete says that the log is
-// complete for the voter Core, and Membership is set if the group raised it.
+// group is one journal entry of a Log. At is the age of the log. Complete means that the
+// log is complete for the voter Core; Membership is set if the group advanced it.
 type group struct {
 	At         time.Duration
 	Complete   bool `msgpack:"Whole"`
@@ -18,7 +18,7 @@
 	Completed  []message.CompleteClaimRequest `msgpack:"Settles"`
 }
 
-// add puts a message, and the voter for which it completes the log, into the group.
+// add appends a message, and the voter for which it completes the log, to the group.
 func (group *group) add(write *Write) {
 	group.Claims = append(group.Claims, write.Request.Claims...)
 	group.Merged = append(group.Merged, write.Request.Merged...)
--- a/idempotency/log.go
+++ b/idempotency/log.go
@@ -18,15 +18,16 @@
 	queueSize    = 4096
 	maxGroupSize = 512
 
-	// repairInterval is how often a disk that refused something is tried again.
-	repairInterval = 250 * time.Millisecond
+	// diskRetryInterval is the time between attempts to write after a disk error.
+	diskRetryInterval = 250 * time.Millisecond
 )
 
-// Log is a core's claims on idempotency keys: a Store, and a journal apart from that of
-// the agreement. One goroutine (RunWriter) writes what came meanwhile as one group.
+// Log persists a core's claims on idempotency keys: a Store in memory, and a journal
+// separate from the consensus journal. One goroutine (RunWriter) writes all queued
+// messages as one group.
 //
-// The log is complete for a voter if it holds every claim that a quorum may count this
-// voter for and that has not expired.
+// The log is complete for a voter if it holds every unexpired claim for which a quorum
+// may count this voter.
 type Log struct {
 	store    *Store
 	disk     storage.Disk
@@ -34,34 +35,35 @@
 	queue    *concurrent.Queue[*Write]
 	counters *metrics.Counters
 
-	// The writing goroutine alone uses these once the log is open.
-	unsynced   *group    // refused by the disk, and in the store already
-	failedAt   time.Time // when the disk refused something last
-	ages       map[uint64]time.Duration
-	membership message.AcceptedValue // the newest that anything here was recorded or read under
+	// Used only by the writer goroutine once the log is open.
+	unwritten       *group    // already in the store, but not yet on disk because of a disk error
+	lastDiskErrorAt time.Time // or of the last attempt to repair
+	segmentAges     map[uint64]time.Duration
+	membership      message.AcceptedValue // the newest under which anything was recorded or read
 
-	// The log's age runs only while the core does: clocks that are set, and time away,
-	// make nothing older.
+	// The log's age advances only while the core runs: neither changes of the wall clock
+	// nor downtime make claims older.
 	openedAt time.Time
 	baseAge  time.Duration
 
-	mutex      sync.Mutex
-	wake       *sync.Cond
-	completeAs int // the voter for which the log is complete, 0 for none
-	recording  voterSince
-	closed     bool
+	mutex           sync.Mutex
+	resolved        *sync.Cond
+	completeVoterID int // the voter for which the log is complete, 0 for none
+	recording       recordingVoter
+	closed          bool
 }
 
-// voterSince is from when on a voter records every claim that a quorum may count it for.
-type voterSince struct {
-	id int
-	at time.Time
+// recordingVoter is a voter and the time since which it has recorded every claim for
+// which a quorum may count it.
+type recordingVoter struct {
+	id    int
+	since time.Time
 }
 
 // Write is one message to be recorded under a membership. CompleteAs is the voter for
-// which the log is complete once this is durable, 0 for none. After Submit, Results
-// answer the request's claims, and Refused says that nothing was recorded because a
-// newer membership with other voters is known here.
+// which the log is complete once this is durable, 0 for none. After Submit, Results holds
+// one response per claim of the request; Refused is true if nothing was recorded because
+// a newer membership with other voters is known.
 type Write struct {
 	Request    *message.RecordClaimsRequest
 	Membership message.AcceptedValue
@@ -73,26 +75,26 @@
 	done bool
 }
 
-// OpenLog reads a log. In data of a release in which no voter was ever replaced, the
-// voter for which the log is complete has the given ID.
-func OpenLog(disk storage.Disk, givenID int, counters *metrics.Counters) (*Log, error) {
+// OpenLog opens and replays a log. Releases without voter replacement did not store the
+// voter for which a log is complete; legacyVoterID is used for their data.
+func OpenLog(disk storage.Disk, legacyVoterID int, counters *metrics.Counters) (*Log, error) {
 	log := &Log{
-		store:    NewStore(),
-		disk:     disk,
-		queue:    concurrent.NewQueue[*Write](queueSize),
-		counters: counters,
-		ages:     map[uint64]time.Duration{},
+		store:       NewStore(),
+		disk:        disk,
+		queue:       concurrent.NewQueue[*Write](queueSize),
+		counters:    counters,
+		segmentAges: map[uint64]time.Duration{},
 	}
-	log.wake = sync.NewCond(&log.mutex)
+	log.resolved = sync.NewCond(&log.mutex)
 	log.store.SetTTL(MaxTTL)
 	groups, err := log.readGroups()
 	if err != nil {
 		return nil, err
 	}
-	_ = log.journal.Rewrite() // the journal keeps its error, and repair tries again
+	_ = log.journal.Rewrite() // the journal keeps the error, and repair tries again
 	log.openedAt = time.Now()
 	for index := range groups {
-		log.replay(&groups[index], givenID)
+		log.replay(&groups[index], legacyVoterID)
 	}
 	return log, nil
 }
@@ -109,29 +111,29 @@
 	}
 	groups := []group{}
 	log.journal, err = storage.OpenJournal(log.disk, fileKind, first, func(segment uint64, payload []byte) error {
-		read := group{}
-		if err := rpc.Unmarshal(payload, &read); err != nil {
+		loaded := group{}
+		if err := rpc.Unmarshal(payload, &loaded); err != nil {
 			return err
 		}
-		groups = append(groups, read)
-		log.baseAge = max(log.baseAge, read.At)
-		log.ages[segment] = log.baseAge
+		groups = append(groups, loaded)
+		log.baseAge = max(log.baseAge, loaded.At)
+		log.segmentAges[segment] = log.baseAge
 		return nil
 	})
 	return groups, err
 }
 
-// replay applies a group that was read.
-func (log *Log) replay(read *group, givenID int) {
-	log.apply(read, log.baseAge-read.At)
-	if read.Complete {
-		log.completeAs = read.Core
+// replay applies a group read from the journal.
+func (log *Log) replay(loaded *group, legacyVoterID int) {
+	log.apply(loaded, log.baseAge-loaded.At)
+	if loaded.Complete {
+		log.completeVoterID = loaded.Core
 	}
-	if read.Complete && log.completeAs == 0 {
-		log.completeAs = givenID
+	if loaded.Complete && log.completeVoterID == 0 {
+		log.completeVoterID = legacyVoterID
 	}
-	if read.Membership != nil {
-		log.membership = *read.Membership
+	if loaded.Membership != nil {
+		log.membership = *loaded.Membership
 	}
 }
 
@@ -141,103 +143,103 @@
 // OpenedAt returns when the log was opened.
 func (log *Log) OpenedAt() time.Time { return log.openedAt }
 
-// Membership returns the newest membership that anything was recorded or read under, as
-// it was when the log was opened. It must not be called once RunWriter runs.
+// Membership returns the newest membership found when the log was opened. It must not be
+// called while RunWriter runs.
 func (log *Log) Membership() message.AcceptedValue { return log.membership }
 
-func (log *Log) age() time.Duration { return log.baseAge + time.Since(log.openedAt) }
+func (log *Log) elapsed() time.Duration { return log.baseAge + time.Since(log.openedAt) }
 
-// apply puts a group into the store as if it had come some time ago.
-func (log *Log) apply(added *group, ago time.Duration) []message.ClaimResponse {
-	results := make([]message.ClaimResponse, len(added.Claims))
-	for index := range added.Claims {
-		added.Claims[index].Record.AgeMs = ago.Milliseconds()
-		results[index] = *log.store.Claim(&added.Claims[index])
+// apply adds a group to the store as if it had arrived the given time ago.
+func (log *Log) apply(applied *group, ago time.Duration) []message.ClaimResponse {
+	results := make([]message.ClaimResponse, len(applied.Claims))
+	for index := range applied.Claims {
+		applied.Claims[index].Record.AgeMs = ago.Milliseconds()
+		results[index] = *log.store.Claim(&applied.Claims[index])
 	}
-	for index := range added.Merged {
-		added.Merged[index].AgeMs += ago.Milliseconds()
+	for index := range applied.Merged {
+		applied.Merged[index].AgeMs += ago.Milliseconds()
 	}
-	log.store.Merge(added.Merged)
-	for index := range added.Completed {
-		log.store.Complete(&added.Completed[index])
+	log.store.Merge(applied.Merged)
+	for index := range applied.Completed {
+		log.store.Complete(&applied.Completed[index])
 	}
 	return results
 }
 
-// Submit hands a message to the writing goroutine and waits until it is durable. It
-// returns Overloaded at once if too many wait.
+// Submit queues a message for the writer goroutine and waits until it is durable. It
+// returns Overloaded immediately if the queue is full.
 func (log *Log) Submit(write *Write) error {
 	if !log.queue.Put(write) {
 		log.counters.Add("claim_ring_full", 1)
-		return rpc.Errorf(rpc.Overloaded, "too many claims wait for this core's disk")
+		return rpc.Errorf(rpc.Overloaded, "claim log queue is full; the disk does not keep up")
 	}
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	for !write.done && !log.closed {
-		log.wake.Wait()
+		log.resolved.Wait()
 	}
 	if !write.done {
-		return rpc.Errorf(rpc.Stopping, "this core stops")
+		return rpc.Errorf(rpc.Stopping, "core is stopping")
 	}
 	return write.err
 }
 
-// RunWriter is the writing goroutine. While the disk refuses groups, nothing is put into
-// the store and those who wait get the error at once.
+// RunWriter writes queued messages until Stop is called. While the disk fails, nothing is
+// added to the store and waiting callers get the error immediately.
 func (log *Log) RunWriter() {
 	for {
 		writes := log.queue.Take(maxGroupSize)
 		if len(writes) == 0 {
-			log.release()
+			log.releaseWaiters()
 			return
 		}
 		err, results := log.repair(), []message.ClaimResponse(nil)
 		if err == nil {
 			results, err = log.writeGroup(writes)
 		}
-		log.resolve(writes, results, err)
+		log.resolveWrites(writes, results, err)
 	}
 }
 
-// Stop ends RunWriter; what waits is not recorded.
+// Stop ends RunWriter. Messages still in the queue are not recorded.
 func (log *Log) Stop() { log.queue.Close() }
 
-// release wakes those who still wait once the queue is closed.
-func (log *Log) release() {
+// releaseWaiters wakes the callers that still wait after the queue was closed.
+func (log *Log) releaseWaiters() {
 	log.mutex.Lock()
 	log.closed = true
-	log.wake.Broadcast()
+	log.resolved.Broadcast()
 	log.mutex.Unlock()
 }
 
-// writeGroup applies and syncs what came as one group, but for what comes under a
-// membership that is superseded.
+// writeGroup applies the messages to the store and syncs them as one group. Messages under
+// a superseded membership are refused.
 func (log *Log) writeGroup(writes []*Write) ([]message.ClaimResponse, error) {
-	added := group{At: log.age()}
+	written := group{At: log.elapsed()}
 	for _, write := range writes {
-		write.Refused = !log.raiseMembership(&added, write.Membership)
+		write.Refused = !log.advanceMembership(&written, write.Membership)
 		if !write.Refused {
-			added.add(write)
+			written.add(write)
 		}
 	}
-	results := log.apply(&added, 0)
-	durable := added
+	results := log.apply(&written, 0)
+	durable := written
 	durable.Claims = nil
 	for index := range results {
 		if results[index].Granted {
-			durable.Claims = append(durable.Claims, added.Claims[index])
+			durable.Claims = append(durable.Claims, written.Claims[index])
 		}
 	}
 	err := log.sync(&durable)
 	if err != nil {
-		log.failed(&durable, err)
+		log.recordDiskError(&durable, err)
 	}
 	return results, err
 }
 
-// resolve gives each waiting write its result. The results are in the order of the claims
+// resolveWrites gives each waiting write its results, which are in the order of the claims
 // of all writes that were not refused.
-func (log *Log) resolve(writes []*Write, results []message.ClaimResponse, err error) {
+func (log *Log) resolveWrites(writes []*Write, results []message.ClaimResponse, err error) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	for _, write := range writes {
@@ -247,73 +249,73 @@
 		}
 		write.err, write.done = err, true
 	}
-	log.wake.Broadcast()
+	log.resolved.Broadcast()
 }
 
-// failed keeps a group that the disk refused, since the store holds it already: it is
-// written before any later one is answered.
-func (log *Log) failed(refused *group, err error) {
-	log.unsynced, log.failedAt = refused, time.Now()
+// recordDiskError keeps a group that could not be written. The store holds it already, so
+// it must be written before any later group is answered.
+func (log *Log) recordDiskError(unwritten *group, err error) {
+	log.unwritten, log.lastDiskErrorAt = unwritten, time.Now()
 	log.counters.Add("claim_disk_faults", 1)
-	klog.Errorf("idempotency keys: refused until the disk takes writes again: %v", err)
+	klog.Errorf("idempotency keys: claims are refused until the disk accepts writes again: %v", err)
 }
 
-// repair returns nil while the journal accepts groups. After an error it tries now and
-// then to rewrite the last segment and to append what the store holds beyond it.
+// repair returns nil while the journal accepts groups. After a disk error, it tries every
+// diskRetryInterval to rewrite the last segment and to append the unwritten group.
 func (log *Log) repair() error {
 	err := log.journal.Err()
 	if err == nil {
 		return nil
 	}
-	if time.Since(log.failedAt) < repairInterval {
+	if time.Since(log.lastDiskErrorAt) < diskRetryInterval {
 		return err
 	}
-	log.failedAt = time.Now()
+	log.lastDiskErrorAt = time.Now()
 	if err := log.journal.Rewrite(); err != nil {
 		return err
 	}
-	if log.unsynced != nil {
-		if err := log.sync(log.unsynced); err != nil {
+	if log.unwritten != nil {
+		if err := log.sync(log.unwritten); err != nil {
 			return err
 		}
-		log.unsynced = nil
+		log.unwritten = nil
 	}
 	log.counters.Add("claim_disk_repairs", 1)
-	klog.Infof("idempotency keys: the disk takes writes again")
+	klog.Infof("idempotency keys: the disk accepts writes again")
 	return nil
 }
 
-// raiseMembership notes the membership that something is recorded under. It returns false
-// if one with other voters was noted before, so that a quorum of this one may no longer
-// decide.
-func (log *Log) raiseMembership(added *group, membership message.AcceptedValue) bool {
+// advanceMembership records in the group the membership of a message if it is newer than
+// the known one. It returns false if a newer one with other voters is known: a quorum of
+// the given membership may no longer decide.
+func (log *Log) advanceMembership(target *group, membership message.AcceptedValue) bool {
 	if message.Supersedes(log.membership, membership) {
 		return false
 	}
 	if log.membership.Version().Less(membership.Version()) {
-		log.membership, added.Membership = membership, &membership
+		log.membership, target.Membership = membership, &membership
 	}
 	return true
 }
 
-// sync makes a group durable and notes the voter for which it completes the log.
-func (log *Log) sync(added *group) error {
-	if err := log.append(added); err != nil {
+// sync makes a group durable and then sets the voter for which it completes the log.
+func (log *Log) sync(synced *group) error {
+	if err := log.append(synced); err != nil {
 		return err
 	}
-	if added.Complete {
+	if synced.Complete {
 		log.mutex.Lock()
-		log.completeAs = added.Core
+		log.completeVoterID = synced.Core
 		log.mutex.Unlock()
 	}
 	return nil
 }
 
-func (log *Log) append(added *group) error {
-	if added.isEmpty() {
+func (log *Log) append(appended *group) error {
+	if appended.isEmpty() {
 		return nil
 	}
-	frame, err := storage.EncodeFrame(added)
+	frame, err := storage.EncodeFrame(appended)
 	if err != nil {
 		return err
 	}
@@ -323,14 +325,14 @@
 		}
 	}
 	log.counters.Add("claim_groups", 1)
-	log.ages[log.journal.Number()] = added.At
+	log.segmentAges[log.journal.Number()] = appended.At
 	return log.journal.Append(frame)
 }
 
-// rotate begins a segment with what must not be forgotten, and removes those that hold
-// only expired keys.
+// rotate begins a segment with the membership and the voter for which the log is complete,
+// since the segments that hold them may be removed, and removes expired segments.
 func (log *Log) rotate() error {
-	first := group{At: log.age(), Core: log.completeVoter()}
+	first := group{At: log.elapsed(), Core: log.completeVoter()}
 	first.Complete = first.Core > 0
 	if log.membership.Value.Serial > 0 {
 		first.Membership = &log.membership
@@ -347,23 +349,24 @@
 			return err
 		}
 	}
-	log.removeExpired()
+	log.removeExpiredSegments()
 	return nil
 }
 
-// removeExpired removes segments that hold only expired keys, the oldest first, each
-// removal synced by itself: of several that a power loss may undo one by one, an older
-// one could come back and leave a gap. What the disk does not remove now goes next time.
-func (log *Log) removeExpired() {
+// removeExpiredSegments removes segments that hold only expired keys, oldest first. Each
+// removal is synced separately: a power loss could otherwise undo the removal of an older
+// segment but not that of a newer one, which leaves a gap. Failed removals are retried at
+// the next rotation.
+func (log *Log) removeExpiredSegments() {
 	oldestKept := log.journal.Number()
-	for number, newest := range log.ages {
-		if log.age()-newest < log.store.TTL() {
+	for number, newest := range log.segmentAges {
+		if log.elapsed()-newest < log.store.TTL() {
 			oldestKept = min(oldestKept, number)
 		}
 	}
-	for number := range log.ages {
+	for number := range log.segmentAges {
 		if number < oldestKept {
-			delete(log.ages, number)
+			delete(log.segmentAges, number)
 		}
 	}
 	if err := storage.RemoveBefore(log.disk, fileKind, oldestKept, log.disk.Sync); err != nil {
@@ -375,25 +378,25 @@
 func (log *Log) CompleteFor(id int) bool { return id > 0 && log.completeVoter() == id }
 
 // completeVoter returns the voter for which the log is complete, 0 for none. A voter that
-// has recorded everything for as long as keys are remembered lacks nothing.
+// has recorded everything for longer than the TTL is complete.
 func (log *Log) completeVoter() int {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
-	if log.recording.id > 0 && time.Since(log.recording.at) > log.store.TTL() {
+	if log.recording.id > 0 && time.Since(log.recording.since) > log.store.TTL() {
 		return log.recording.id
 	}
-	return log.completeAs
+	return log.completeVoterID
 }
 
-// RecordingSince notes from when on a voter records all that it should, unless that was
-// noted before.
+// RecordingSince sets the time since which a voter has recorded every claim that it
+// should. It has no effect if the time is already set for this voter.
 func (log *Log) RecordingSince(id int, at time.Time) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	if log.recording.id != id {
-		log.recording = voterSince{id: id, at: at}
+		log.recording = recordingVoter{id: id, since: at}
 	}
 }
 
-// Close closes the journal, after RunWriter has ended.
+// Close closes the journal. It must be called after RunWriter has returned.
 func (log *Log) Close() { log.journal.Close() }
--- a/idempotency/store.go
+++ b/idempotency/store.go
@@ -1,5 +1,5 @@
-// Package idempotency remembers which request claimed which idempotency key and how that
-// request ended. A Store does so in memory, at proxies and cores; a Log keeps a core's
+// Package idempotency records which request claimed which idempotency key and how that
+// request ended. A Store does so in memory, at proxies and cores; a Log persists a core's
 // Store on disk.
 package idempotency
 
@@ -12,16 +12,16 @@
 )
 
 const (
-	// DefaultTTL is how long keys are remembered until the settings say.
+	// DefaultTTL is how long keys are remembered if the settings do not say.
 	DefaultTTL = 10 * time.Minute
-	// MaxTTL is the longest that the settings may say.
+	// MaxTTL is the longest TTL that the settings allow.
 	MaxTTL = 24 * time.Hour
 
 	maxKeys = 2_000_000
 )
 
-// Store holds claims on idempotency keys in the order in which they came. It is safe for
-// concurrent use.
+// Store holds claims on idempotency keys in order of arrival. It is safe for concurrent
+// use.
 type Store struct {
 	mutex    sync.Mutex
 	claims   map[message.ClaimKey]storedClaim
@@ -36,18 +36,19 @@
 	sequence uint64
 }
 
-// position is a key's place in the order.
+// position is a key's place in the order of arrival. It is stale if the stored claim of
+// the key has another sequence number.
 type position struct {
 	key      message.ClaimKey
 	sequence uint64
 }
 
-// NewStore returns an empty Store that remembers keys for DefaultTTL.
+// NewStore returns an empty Store with a TTL of DefaultTTL.
 func NewStore() *Store {
 	return &Store{claims: map[message.ClaimKey]storedClaim{}, ttl: DefaultTTL}
 }
 
-// SetTTL sets how long keys are remembered from now on.
+// SetTTL sets how long keys are remembered, also those already stored.
 func (store *Store) SetTTL(ttl time.Duration) {
 	store.mutex.Lock()
 	store.ttl = ttl
@@ -61,7 +62,7 @@
 	return store.ttl
 }
 
-// expire drops claims that are older than the TTL, the oldest first.
+// expire removes claims older than the TTL, oldest first.
 func (store *Store) expire() {
 	for len(store.order) > 0 {
 		first := store.order[0]
@@ -76,7 +77,7 @@
 	}
 }
 
-// put records a claim. One that is known already keeps its position and its age.
+// put records a claim. A claim that is already stored keeps its position and age.
 func (store *Store) put(record message.ClaimRecord) {
 	if stored, found := store.claims[record.Key]; found && stored.ID == record.ID {
 		stored.ClaimRecord = record
@@ -89,9 +90,9 @@
 	store.claims[record.Key] = storedClaim{ClaimRecord: record, at: at, sequence: store.sequence}
 }
 
-// Claim grants the key to the first claim, and to the same claim again. A claim that
-// names the running one in Replaces gets the key in its place. A refusal holds the claim
-// that has the key, or nothing if the store is full.
+// Claim grants the key to the first claim, and to the same claim when it is repeated. A
+// claim whose Replaces is the ID of the running claim takes over the key. A refusal
+// contains the claim that has the key, or nothing if the store is full.
 func (store *Store) Claim(request *message.ClaimRequest) *message.ClaimResponse {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -111,9 +112,9 @@
 	return &message.ClaimResponse{Granted: true, Existing: request.Record}
 }
 
-// Complete records how the request of a claim ended, or releases the key of one that
-// certainly did not run. The sender was granted a quorum, so that another claim that is
-// held here will be given back and is replaced.
+// Complete records how the request of a claim ended, or releases the key of a request that
+// certainly did not run. The sender was granted the key by a quorum, so a different claim
+// stored here has no quorum, will be released, and is replaced.
 func (store *Store) Complete(request *message.CompleteClaimRequest) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -134,8 +135,8 @@
 	return stored.ClaimRecord, found
 }
 
-// Merge adds claims that other stores hold. A completed claim replaces the same one that
-// still runs.
+// Merge adds claims of other stores. A completed claim replaces the same claim that is
+// stored as running.
 func (store *Store) Merge(records []message.ClaimRecord) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -148,15 +149,15 @@
 	}
 }
 
-// Page returns at most limit claims put after a sequence number, with their ages, the
-// last sequence number looked at, and whether none is left.
+// Page returns at most limit claims with sequence numbers above after, with their ages,
+// the last sequence number examined, and whether no claims are left.
 func (store *Store) Page(after uint64, limit int) (records []message.ClaimRecord, last uint64, done bool) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.expire()
 	last = after
-	first := sort.Search(len(store.order), func(index int) bool { return store.order[index].sequence > after })
-	for _, next := range store.order[first:] {
+	start := sort.Search(len(store.order), func(index int) bool { return store.order[index].sequence > after })
+	for _, next := range store.order[start:] {
 		if len(records) == limit {
 			return records, last, false
 		}
@@ -169,7 +170,7 @@
 	return records, last, true
 }
 
-// Count returns the number of keys that are held.
+// Count returns the number of stored keys.
 func (store *Store) Count() int {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
