--- a/discovery/http_lister.go
+++ b/discovery/http_lister.go
@@ -16,16 +16,16 @@
 
 const (
 	maxPageBytes = 4 << 20
-	// defaultRetry is when to ask again if the platform does not say, maxRetry the most
-	// that it may say.
-	defaultRetry = time.Second
-	maxRetry     = time.Minute
-	// retryMargin is waited beyond what the platform says.
+	// defaultRetryAfter applies if the Retry-After header is missing, invalid or above
+	// maxRetryAfter.
+	defaultRetryAfter = time.Second
+	maxRetryAfter     = time.Minute
+	// retryMargin is added to the Retry-After of the platform.
 	retryMargin = 10 * time.Millisecond
 )
 
-// HTTPLister returns a Lister of the platform that the product brings itself, at an
-// address of the form IP:port: GET /v1/backends?page=NAME. It lists no zones.
+// HTTPLister returns a Lister for the built-in platform's HTTP API at an address of the
+// form IP:port: GET /v1/backends?page=TOKEN. The API cannot list by zone.
 func HTTPLister(address string, transport http.RoundTripper, counters *metrics.Counters) Lister {
 	lister := &httpLister{address: address, client: &http.Client{Transport: transport}, counters: counters}
 	return lister.page
@@ -37,7 +37,7 @@
 	counters *metrics.Counters
 }
 
-// pageDocument is a page as the platform sends it.
+// pageDocument is the JSON body of a page.
 type pageDocument struct {
 	Items []message.Backend `json:"items"`
 	Next  string            `json:"next"`
@@ -72,8 +72,8 @@
 
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
-	if err != nil || seconds < 0 || seconds > maxRetry.Seconds() {
-		return defaultRetry + retryMargin
+	if err != nil || seconds < 0 || seconds > maxRetryAfter.Seconds() {
+		return defaultRetryAfter + retryMargin
 	}
 	return time.Duration(seconds*float64(time.Second)) + retryMargin
 }
@@ -81,14 +81,14 @@
 func decodePage(source io.Reader) Page {
 	body, err := io.ReadAll(io.LimitReader(source, maxPageBytes+1))
 	if err != nil {
-		return failedPage("page of %d bytes: %w", len(body), err)
+		return failedPage("read page, %d bytes received: %w", len(body), err)
 	}
 	if len(body) > maxPageBytes {
-		return failedPage("page of more than %d bytes", maxPageBytes)
+		return failedPage("page exceeds %d bytes", maxPageBytes)
 	}
 	document := &pageDocument{}
 	if err := json.Unmarshal(body, document); err != nil {
-		return failedPage("page: %w", err)
+		return failedPage("decode page: %w", err)
 	}
 	return Page{Backends: document.Items, Next: document.Next}
 }
--- a/discovery/partition.go
+++ b/discovery/partition.go
@@ -7,84 +7,84 @@
 )
 
 const (
-	// wholeList stands for all zones in a PageRequest.
-	wholeList = ""
-	// slowIntervals is how many intervals a reading of the whole list may take, page after
-	// page. A longer list is read by zone, which costs more calls.
-	slowIntervals = 0.8
-	// paceWeight is the weight of the newest call in the mean time of a call.
-	paceWeight = 0.25
+	// allZones as the zone of a PageRequest stands for the whole list.
+	allZones = ""
+	// maxScanIntervals is how many intervals a sequential scan of the whole list may take.
+	// A slower one is replaced by scans by zone, which cost more calls.
+	maxScanIntervals = 0.8
+	// latencyWeight is the weight of the newest call in the moving average of the latency.
+	latencyWeight = 0.25
 )
 
-// pace is how fast pages come.
-type pace struct {
-	pageTime time.Duration // mean time of a call for a page
-	pageSize int           // the most backends that a page had
+// pageStats tracks the latency and the size of pages.
+type pageStats struct {
+	pageTime time.Duration // moving average of a call's duration
+	pageSize int           // largest number of backends in a page
 }
 
-// observe takes the time of a call that returned so many backends.
-func (pace *pace) observe(backends int, took time.Duration) {
-	pace.pageSize = max(pace.pageSize, backends)
-	if pace.pageTime == 0 {
-		pace.pageTime = took
+// record adds a call that returned the given number of backends.
+func (stats *pageStats) record(backends int, duration time.Duration) {
+	stats.pageSize = max(stats.pageSize, backends)
+	if stats.pageTime == 0 {
+		stats.pageTime = duration
 		return
 	}
-	pace.pageTime += time.Duration(paceWeight * float64(took-pace.pageTime))
+	stats.pageTime += time.Duration(latencyWeight * float64(duration-stats.pageTime))
 }
 
-// wholeTime is how long a whole list of so many backends takes. It is 0 while no page came
-// yet, and for a list of a single page, which cannot be read faster.
-func (pace *pace) wholeTime(backends int) time.Duration {
-	if backends <= pace.pageSize {
+// estimateScan estimates the duration of a sequential scan of so many backends. It is 0
+// before the first page, and for a single page, which cannot be read faster by zone.
+func (stats *pageStats) estimateScan(backends int) time.Duration {
+	if backends <= stats.pageSize {
 		return 0
 	}
-	pages := (backends + pace.pageSize - 1) / max(pace.pageSize, 1)
-	return time.Duration(pages) * pace.pageTime
+	pages := (backends + stats.pageSize - 1) / max(stats.pageSize, 1)
+	return time.Duration(pages) * stats.pageTime
 }
 
-// observePage notes the time of a call that returned so many backends.
-func (reader *Reader) observePage(backends int, took time.Duration) {
+// recordPage adds a call that returned the given number of backends to the statistics.
+func (reader *Reader) recordPage(backends int, duration time.Duration) {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	reader.pace.observe(backends, took)
+	reader.pageStats.record(backends, duration)
 }
 
-// partition returns the zones whose lists a reading asks for: one, of the whole list,
-// unless that takes too long.
-func (reader *Reader) partition() []string {
-	if reader.isSlow(0) {
+// zonesToScan returns allZones alone, or every zone if a scan of the whole list takes too
+// long.
+func (reader *Reader) zonesToScan() []string {
+	if reader.isTooSlow(0) {
 		return reader.zones()
 	}
-	return []string{wholeList}
+	return []string{allZones}
 }
 
-// isSlow reports whether reading the whole list, of so many backends or of all that are
-// known, takes too long and reading it by zone is possible.
-func (reader *Reader) isSlow(listed int) bool {
+// isTooSlow reports whether the list can be read by zone and a scan of the whole list,
+// with at least the given number of backends or all known ones, takes too long.
+func (reader *Reader) isTooSlow(listed int) bool {
 	if len(reader.zones()) < 2 {
 		return false
 	}
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	return reader.pace.wholeTime(max(listed, len(reader.backends))) > reader.slowReading()
+	return reader.pageStats.estimateScan(max(listed, len(reader.backends))) > reader.maxScanTime()
 }
 
-// slowReading is how long a reading of the whole list may take.
-func (reader *Reader) slowReading() time.Duration {
-	return time.Duration(slowIntervals * float64(reader.options.Interval))
+// maxScanTime is how long a sequential scan of the whole list may take.
+func (reader *Reader) maxScanTime() time.Duration {
+	return time.Duration(maxScanIntervals * float64(reader.options.Interval))
 }
 
-// pauseAfter returns the pause after a reading of the lists of some zones. By zone, readings
-// begin as often as the slowest ones of the whole list do: calls are scarce.
-func (reader *Reader) pauseAfter(zones []string, took time.Duration) time.Duration {
+// pauseAfter returns the pause after a scan of some zones. Scans by zone start no more often
+// than the slowest scans of the whole list, because calls are rate limited.
+func (reader *Reader) pauseAfter(zones []string, duration time.Duration) time.Duration {
 	if len(zones) > 1 {
-		return reader.options.Interval + max(0, reader.slowReading()-took)
+		return reader.options.Interval + max(0, reader.maxScanTime()-duration)
 	}
 	return reader.options.Interval
 }
 
-// zones returns the zones of the platform and those of the backends known, sorted; none if
-// the platform lists no zones.
+// zones returns the platform's zones and those of known backends, sorted; none if the
+// platform cannot list by zone.
 func (reader *Reader) zones() []string {
 	if reader.options.Zones == nil {
 		return nil
@@ -98,6 +98,6 @@
 	for _, backend := range reader.backends {
 		names[backend.Zone] = true
 	}
-	delete(names, wholeList)
+	delete(names, allZones)
 	return slices.Sorted(maps.Keys(names))
 }
--- a/discovery/partition_test.go
+++ b/discovery/partition_test.go
@@ -17,48 +17,48 @@
 
 const (
 	testInterval = 600 * time.Millisecond
-	testPage     = 50
+	testPageSize = 50
 )
 
-// zonedList is a platform's list by zone whose pages take a time each.
-type zonedList struct {
-	mutex    sync.Mutex
-	backends []message.Backend
-	callTime time.Duration
-	calls    int
-	fails    func(request PageRequest) Page // with an Err if the call fails
+// fakePlatform lists backends by zone; each page takes callDuration.
+type fakePlatform struct {
+	mutex        sync.Mutex
+	backends     []message.Backend
+	callDuration time.Duration
+	calls        int
+	respond      func(request PageRequest) Page // a Page with Err makes the call fail
 }
 
-// newZonedList returns a list of so many backends in zones.
-func newZonedList(backends, zones int, callTime time.Duration) *zonedList {
-	list := &zonedList{callTime: callTime, fails: func(PageRequest) Page { return Page{} }}
+// newFakePlatform returns a platform with backends spread over zones.
+func newFakePlatform(backends, zones int, callDuration time.Duration) *fakePlatform {
+	platform := &fakePlatform{callDuration: callDuration, respond: func(PageRequest) Page { return Page{} }}
 	for index := range backends {
-		list.backends = append(list.backends, message.Backend{
+		platform.backends = append(platform.backends, message.Backend{
 			Name:    fmt.Sprintf("backend-%04d", index),
 			Service: "service",
 			Address: "10.0.0.1:80",
 			Zone:    fmt.Sprint("zone-", index%zones),
 		})
 	}
-	return list
+	return platform
 }
 
-func (list *zonedList) page(_ context.Context, request PageRequest) Page {
-	time.Sleep(list.callTime)
-	list.mutex.Lock()
-	defer list.mutex.Unlock()
-	list.calls++
-	if page := list.fails(request); page.Err != nil {
+func (platform *fakePlatform) page(_ context.Context, request PageRequest) Page {
+	time.Sleep(platform.callDuration)
+	platform.mutex.Lock()
+	defer platform.mutex.Unlock()
+	platform.calls++
+	if page := platform.respond(request); page.Err != nil {
 		return page
 	}
 	listed := []message.Backend{}
-	for _, backend := range list.backends {
+	for _, backend := range platform.backends {
 		if request.Zone == "" || request.Zone == backend.Zone {
 			listed = append(listed, backend)
 		}
 	}
 	start, _ := strconv.Atoi(request.Token)
-	end := min(start+testPage, len(listed))
+	end := min(start+testPageSize, len(listed))
 	page := Page{Backends: listed[start:end]}
 	if end < len(listed) {
 		page.Next = strconv.Itoa(end)
@@ -66,14 +66,14 @@
 	return page
 }
 
-// reader returns a reader of the list by zones.
-func (list *zonedList) reader(zones int) *Reader {
+// newReader returns a reader of the platform's list by zones.
+func (platform *fakePlatform) newReader(zones int) *Reader {
 	names := []string{}
 	for index := range zones {
 		names = append(names, fmt.Sprint("zone-", index))
 	}
 	return NewReader(Options{
-		Lister:         list.page,
+		Lister:         platform.page,
 		Zones:          func() []string { return names },
 		Interval:       testInterval,
 		ListsUntilGone: 2,
@@ -81,8 +81,8 @@
 	}, metrics.NewCounters())
 }
 
-// has returns a backend as the reader knows it, and whether it does.
-func has(reader *Reader, name string) (message.Backend, bool) {
+// findBackend returns a backend that the reader knows, and whether it does.
+func findBackend(reader *Reader, name string) (message.Backend, bool) {
 	backends, _ := reader.Backends()
 	for _, backend := range backends {
 		if backend.Name == name {
@@ -92,118 +92,117 @@
 	return message.Backend{}, false
 }
 
-// Guards against drains told late: a long list whose pages come slowly was read page after
-// page, 22 calls of 110 ms, before anything in it counted.
+// Guards against late drains: a long list with slow pages was read sequentially, 22 calls
+// of 110 ms, before anything in it took effect.
 func TestLongSlowListIsReadByZone(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		list := newZonedList(1080, 9, 110*time.Millisecond)
-		reader := list.reader(9)
+		platform := newFakePlatform(1080, 9, 110*time.Millisecond)
+		reader := platform.newReader(9)
 		for number := range 3 {
 			begin := time.Now()
-			readOnce(reader)
+			scanOnce(reader)
 			backends, isComplete := reader.Backends()
 			if len(backends) != 1080 || !isComplete {
-				test.Errorf("reading %d: %d backends, complete %v", number, len(backends), isComplete)
+				test.Errorf("scan %d: %d backends, complete %v", number, len(backends), isComplete)
 			}
-			took := time.Since(begin)
-			if number > 0 && took > 330*time.Millisecond {
-				test.Errorf("reading %d took %v, want 3 calls of 110 ms", number, took)
+			duration := time.Since(begin)
+			if number > 0 && duration > 330*time.Millisecond {
+				test.Errorf("scan %d took %v, want 3 calls of 110 ms", number, duration)
 			}
-			if period := took + reader.Interval(); number > 0 && (period < testInterval*7/4 || period > testInterval*2) {
-				test.Errorf("reading %d begins %v after the one before", number+1, period)
+			if period := duration + reader.Interval(); number > 0 && (period < testInterval*7/4 || period > testInterval*2) {
+				test.Errorf("scan %d begins %v after the previous one", number+1, period)
 			}
 		}
 	})
 }
 
-// Guards against calls that gain nothing: a list that is read fast, or has one page, is read
-// whole.
+// Guards against needless calls: a fast list, or one of a single page, is read as a whole.
 func TestFastOrShortListIsReadWhole(test *testing.T) {
-	for _, sort := range []struct {
+	for _, params := range []struct {
 		backends, calls int
 		callTime        time.Duration
 	}{{1080, 22, 2 * time.Millisecond}, {270, 6, 70 * time.Millisecond}, {36, 1, time.Second}} {
 		synctest.Test(test, func(test *testing.T) {
-			list := newZonedList(sort.backends, 9, sort.callTime)
-			reader := list.reader(9)
+			platform := newFakePlatform(params.backends, 9, params.callTime)
+			reader := platform.newReader(9)
 			for range 4 {
-				readOnce(reader)
+				scanOnce(reader)
 			}
-			if list.calls != 4*sort.calls {
-				test.Errorf("%d backends, %v a call: %d calls for 4 readings", sort.backends, sort.callTime, list.calls)
+			if platform.calls != 4*params.calls {
+				test.Errorf("%d backends, %v per call: %d calls for 4 scans", params.backends, params.callTime, platform.calls)
 			}
 		})
 	}
 }
 
-// Guards against drains told late: that a backend leaves counted only when the list was
-// read to its end, never if a later page failed.
-func TestLeavingCountsBeforeTheListIsRead(test *testing.T) {
+// Guards against late drains: leaving took effect only when the list was read to its end,
+// and never if a later page failed.
+func TestLeavingTakesEffectBeforeListIsComplete(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		list := newZonedList(120, 1, time.Millisecond)
-		reader := list.reader(1)
-		readOnce(reader)
-		list.backends[10].Leaving = true
-		list.fails = func(request PageRequest) Page {
+		platform := newFakePlatform(120, 1, time.Millisecond)
+		reader := platform.newReader(1)
+		scanOnce(reader)
+		platform.backends[10].Leaving = true
+		platform.respond = func(request PageRequest) Page {
 			if request.Token != "" {
 				return Page{Err: errors.New("unavailable")}
 			}
 			return Page{}
 		}
-		readOnce(reader)
-		if backend, _ := has(reader, "backend-0010"); !backend.Leaving {
-			test.Error("a backend that leaves on the first page is not known to")
+		scanOnce(reader)
+		if backend, _ := findBackend(reader, "backend-0010"); !backend.Leaving {
+			test.Error("a leaving backend on the first page is not marked")
 		}
 	})
 }
 
-// Guards against backends lost, or kept for ever, by reading zone by zone: a zone whose list
-// is put off or fails loses nothing and holds up no other; a backend that a zone's list
-// lacks twice is gone; the list is complete only when each zone was read.
-func TestZonesAreReadApart(test *testing.T) {
+// Guards against backends lost, or kept for ever, by scans by zone: a zone whose list is
+// rate limited or fails loses no backend and delays no other zone; a backend that is missing
+// from two lists of its zone is removed; the list is complete only when each zone was read.
+func TestZoneFailuresAreIndependent(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		list := newZonedList(1080, 9, 110*time.Millisecond)
-		reader := list.reader(9)
-		refused := Page{Err: errors.New("unavailable")}
-		list.fails = func(request PageRequest) Page {
+		platform := newFakePlatform(1080, 9, 110*time.Millisecond)
+		reader := platform.newReader(9)
+		invalid := Page{Err: errors.New("unavailable")}
+		platform.respond = func(request PageRequest) Page {
 			if request.Zone == "zone-3" {
-				return refused
+				return invalid
 			}
 			return Page{}
 		}
-		readOnce(reader)
+		scanOnce(reader)
 		if backends, isComplete := reader.Backends(); isComplete || len(backends) != 960 {
-			test.Errorf("%d backends, complete %v, while a zone was not read", len(backends), isComplete)
+			test.Errorf("%d backends, complete %v, before all zones were read", len(backends), isComplete)
 		}
-		list.fails = func(PageRequest) Page { return Page{} }
-		readOnce(reader)
+		platform.respond = func(PageRequest) Page { return Page{} }
+		scanOnce(reader)
 		if backends, isComplete := reader.Backends(); !isComplete || len(backends) != 1080 {
 			test.Fatalf("%d backends, complete %v", len(backends), isComplete)
 		}
-		list.backends = list.backends[:1072] // without one of each zone but the last
-		putOff := Page{Err: errors.New("over the rate"), RetryAfter: 2 * time.Second}
-		offUntil := time.Now().Add(2 * time.Second)
-		list.fails = func(request PageRequest) Page {
-			if request.Zone == "zone-3" && time.Now().Before(offUntil) {
-				return putOff
+		platform.backends = platform.backends[:1072] // without one of each zone but the last
+		rateLimited := Page{Err: errors.New("over the rate"), RetryAfter: 2 * time.Second}
+		limitedUntil := time.Now().Add(2 * time.Second)
+		platform.respond = func(request PageRequest) Page {
+			if request.Zone == "zone-3" && time.Now().Before(limitedUntil) {
+				return rateLimited
 			}
 			if request.Zone == "zone-5" {
-				return refused
+				return invalid
 			}
 			return Page{}
 		}
-		list.backends[0].Leaving = true // of zone-0
+		platform.backends[0].Leaving = true // of zone-0
 		group := concurrent.NewGroup()
-		group.Start(func() { readOnce(reader); readOnce(reader) })
+		group.Start(func() { scanOnce(reader); scanOnce(reader) })
 		time.Sleep(time.Second)
-		if backend, _ := has(reader, "backend-0000"); !backend.Leaving {
-			test.Error("a backend that leaves is not told while another zone is put off")
+		if backend, _ := findBackend(reader, "backend-0000"); !backend.Leaving {
+			test.Error("a leaving backend is not marked while another zone is rate limited")
 		}
 		group.Wait()
 		for index := 1072; index < 1080; index++ {
 			name, zone := fmt.Sprintf("backend-%04d", index), index%9
-			if _, found := has(reader, name); found != (zone == 5) {
-				test.Errorf("%s of zone %d: known %v after two lists lack it, its zone read %v", name, zone, found, zone != 5)
+			if _, found := findBackend(reader, name); found != (zone == 5) {
+				test.Errorf("%s of zone %d: known %v after missing from two lists, zone read %v", name, zone, found, zone != 5)
 			}
 		}
 	})
--- a/discovery/reader.go
+++ b/discovery/reader.go
@@ -1,6 +1,5 @@
-// Package discovery reads the platform's list of backends. The list is paged, lags, is
-// rate limited and may shift between pages; a Reader makes a list of it that loses no
-// backend by that.
+// Package discovery reads the platform's list of backends. The list is paged, eventually
+// consistent, rate limited, and may shift between pages; a Reader loses no backend by that.
 package discovery
 
 import (
@@ -17,31 +16,31 @@
 )
 
 const (
-	// DefaultInterval is the time between two readings of the list.
+	// DefaultInterval is the pause between two scans of the list.
 	DefaultInterval = time.Second
-	// DefaultListsUntilGone is how many whole lists in a row must lack a backend until it
-	// is gone.
+	// DefaultListsUntilGone is how many complete lists in a row must lack a backend before
+	// it is removed.
 	DefaultListsUntilGone = 3
 
 	pageTimeout    = 2 * time.Second
 	maxPages       = 1000
 	maxPageRetries = 60
 
-	// freshList is how old a list may be that a new leader goes on with.
-	freshList = 2 * time.Second
-	// warmJitterMs is the change of a backend's time of being warm that is ignored.
+	// maxReusableListAge is the age up to which a new leader keeps the list it has.
+	maxReusableListAge = 2 * time.Second
+	// warmJitterMs is the change of a backend's warm-up end that is ignored.
 	warmJitterMs = 400
 )
 
-// PageRequest names a page of the list: of one zone's, or of the whole list if Zone is
-// empty. The Token is empty for the first page.
+// PageRequest identifies a page of the list of one zone, or of the whole list if Zone is
+// empty. Token is empty for the first page.
 type PageRequest struct {
 	Zone  string
 	Token string
 }
 
-// Page is one page of the list and the token of the next one, or why there is none. With a
-// RetryAfter the same page may be asked for again after that time.
+// Page is one page of the list and the token of the next one, or the error if the call
+// failed. If RetryAfter is set, the same page may be requested again after that time.
 type Page struct {
 	Backends   []message.Backend
 	Next       string
@@ -49,12 +48,12 @@
 	Err        error
 }
 
-// Lister returns a page.
+// Lister requests a page from the platform.
 type Lister func(ctx context.Context, request PageRequest) Page
 
-// Options are how a Reader reads. Now returns the time of day in milliseconds since the
-// Unix epoch. Zones returns those by which the platform lists backends; it is nil if the
-// Lister knows only the whole list.
+// Options configure a Reader. Now returns the wall clock in milliseconds since the Unix
+// epoch. Zones returns the zones by which the platform lists backends; it is nil if the
+// Lister supports only the whole list.
 type Options struct {
 	Lister         Lister
 	Zones          func() []string
@@ -63,61 +62,61 @@
 	Now            func() int64
 }
 
-// Reader reads the list again and again: whole, or zone by zone where that takes too long
-// (partition.go). Only a list that was read to its end counts, and a backend is gone only
+// Reader scans the list repeatedly: as a whole, or by zone if that takes too long
+// (partition.go). Only lists read to their end take effect, and a backend is removed only
 // when several such lists in a row lack it. A list that names a backend twice shifted while
-// it was read, and what it lacks says nothing. That a backend leaves is never taken back, so
-// each page counts at once for it. A Reader is safe for concurrent use, but Read runs in one
-// goroutine.
+// it was read, so backends that it lacks do not count as missing. Leaving is never revoked,
+// so it takes effect with each page. A Reader is safe for concurrent use, but Read must run
+// in one goroutine only.
 type Reader struct {
 	options  Options
 	counters *metrics.Counters
-	readTime *metrics.Histogram
-
-	mutex       sync.Mutex
-	backends    map[string]message.Backend
-	sorted      []message.Backend // nil if backends changed since
-	missed      map[string]int
-	zonesRead   map[string]bool // to their ends, since the last Reset
-	complete    bool
-	completedAt time.Time
-	retryAfter  time.Duration
-	pause       time.Duration // until the next reading, in calm
-	pace        pace
+	scanTime *metrics.Histogram
+
+	mutex        sync.Mutex
+	backends     map[string]message.Backend
+	sorted       []message.Backend // nil if backends changed since it was built
+	missedLists  map[string]int
+	scannedZones map[string]bool // zones whose lists were read to the end since the last Reset
+	complete     bool
+	completedAt  time.Time
+	retryAfter   time.Duration
+	pause        time.Duration // until the next scan, unless the list is incomplete or the platform set RetryAfter
+	pageStats    pageStats
 }
 
-// NewReader returns a Reader that has read nothing.
+// NewReader returns a Reader without backends.
 func NewReader(options Options, counters *metrics.Counters) *Reader {
 	return &Reader{
-		options:  options,
-		counters: counters,
-		readTime: counters.Histogram("backend_list_read_seconds"),
-		backends: map[string]message.Backend{},
-		missed:   map[string]int{},
+		options:     options,
+		counters:    counters,
+		scanTime:    counters.Histogram("backend_list_read_seconds"),
+		backends:    map[string]message.Backend{},
+		missedLists: map[string]int{},
 
-		zonesRead: map[string]bool{},
+		scannedZones: map[string]bool{},
 	}
 }
 
-// Reset begins a leadership's reading with the backends of the table that it holds, so
-// that a first list which lags or shifted takes nothing away. If there are none, a list
-// that was read a moment ago stays.
-func (reader *Reader) Reset(held []message.Backend) {
+// Reset starts a new leader's scans with the backends of the table in force, so that a
+// first list that is stale or shifted removes none of them. If there are none, a list of
+// at most maxReusableListAge is kept.
+func (reader *Reader) Reset(known []message.Backend) {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	if len(held) == 0 && reader.complete && time.Since(reader.completedAt) < freshList {
+	if len(known) == 0 && reader.complete && time.Since(reader.completedAt) < maxReusableListAge {
 		return
 	}
 	reader.complete = false
-	reader.backends, reader.missed, reader.sorted = map[string]message.Backend{}, map[string]int{}, nil
-	reader.zonesRead = map[string]bool{}
-	for _, backend := range held {
+	reader.backends, reader.missedLists, reader.sorted = map[string]message.Backend{}, map[string]int{}, nil
+	reader.scannedZones = map[string]bool{}
+	for _, backend := range known {
 		reader.backends[backend.Name] = backend
 	}
 	reader.retryAfter = 0
 }
 
-// Interval returns the pause until the next reading.
+// Interval returns the pause until the next scan.
 func (reader *Reader) Interval() time.Duration {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
@@ -130,8 +129,9 @@
 	return max(reader.pause, reader.options.Interval)
 }
 
-// Backends returns the backends sorted by name, and whether a list was read to its end.
-// The same slice is returned until a list differs; it must not be changed.
+// Backends returns the backends sorted by name, and whether the list is complete: every
+// zone was read to the end. The slice is shared until a backend changes and must not be
+// modified.
 func (reader *Reader) Backends() ([]message.Backend, bool) {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
@@ -143,17 +143,17 @@
 	return reader.sorted, reader.complete
 }
 
-// Read reads the list once. A page that the platform puts off is asked for again, not the
-// whole list, or a list longer than the allowed burst would never end. Read ends early when
-// the group is stopped or goesOn returns false.
-func (reader *Reader) Read(goroutines *concurrent.Group, goesOn func() bool) {
-	reading := &reading{reader: reader, goroutines: goroutines, goesOn: goesOn, begin: time.Now()}
-	reading.run()
+// Read scans the list once. After rate limiting it retries the page, not the whole list: a
+// list of more pages than the allowed burst would never be read to its end. Read returns
+// early when the group is stopped or shouldContinue returns false.
+func (reader *Reader) Read(goroutines *concurrent.Group, shouldContinue func() bool) {
+	scan := &scan{reader: reader, goroutines: goroutines, shouldContinue: shouldContinue, begin: time.Now()}
+	scan.run()
 }
 
-// takePage takes at once which backends a page calls leaving, and returns how many of them
-// were not known to leave.
-func (reader *Reader) takePage(backends []message.Backend) (newlyLeaving int) {
+// markLeaving marks known backends that a page lists as leaving, and returns how many were
+// not marked before.
+func (reader *Reader) markLeaving(backends []message.Backend) (newlyLeaving int) {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	for _, listed := range backends {
@@ -167,18 +167,18 @@
 	return newlyLeaving
 }
 
-// takeList takes a list that was read to its end.
-func (reader *Reader) takeList(list *list) {
+// mergeList merges a list that was read to its end.
+func (reader *Reader) mergeList(list *list) {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	for name, backend := range list.backends {
 		former, found := reader.backends[name]
-		if next := reader.merge(former, backend); !found || next != former {
+		if next := reader.mergeBackend(former, backend); !found || next != former {
 			reader.backends[name], reader.sorted = next, nil
 		}
-		delete(reader.missed, name)
+		delete(reader.missedLists, name)
 	}
-	reader.zonesRead[list.zone] = true
+	reader.scannedZones[list.zone] = true
 	if list.shifted {
 		reader.counters.Add("platform_lists_shifted", 1)
 		return
@@ -186,29 +186,29 @@
 	reader.dropMissing(list)
 }
 
-// dropMissing removes the backends that several lists in a row lack.
+// dropMissing removes the backends that ListsUntilGone lists in a row lack.
 func (reader *Reader) dropMissing(list *list) {
 	for name, backend := range reader.backends {
 		if _, found := list.backends[name]; found || !list.covers(backend) {
 			continue
 		}
-		reader.missed[name]++
-		if reader.missed[name] >= reader.options.ListsUntilGone {
+		reader.missedLists[name]++
+		if reader.missedLists[name] >= reader.options.ListsUntilGone {
 			delete(reader.backends, name)
-			delete(reader.missed, name)
+			delete(reader.missedLists, name)
 			reader.sorted = nil
 		}
 	}
 }
 
-// readingEnds notes that a reading of the lists of some zones has ended, failed if any of
-// them did, and when the platform wants to be asked again.
-func (reader *Reader) readingEnds(zones []string, failed bool, took, retryAfter time.Duration) {
+// finishScan records the end of a scan of some zones, which failed if the list of any zone
+// did, and the platform's RetryAfter.
+func (reader *Reader) finishScan(zones []string, failed bool, duration, retryAfter time.Duration) {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	reader.retryAfter = retryAfter
-	reader.pause = reader.pauseAfter(zones, took)
-	isUnread := func(zone string) bool { return !reader.zonesRead[zone] }
+	reader.pause = reader.pauseAfter(zones, duration)
+	isUnread := func(zone string) bool { return !reader.scannedZones[zone] }
 	if !slices.ContainsFunc(zones, isUnread) {
 		reader.complete = true
 	}
@@ -217,10 +217,10 @@
 	}
 }
 
-// merge returns a listed backend over what is known of it, which is a zero Backend if
-// that is nothing. One that leaves never stays again, and the time of being warm does not
-// change by jitter, nor by a page from before the backend turned cold.
-func (reader *Reader) merge(former, listed message.Backend) message.Backend {
+// mergeBackend merges a listed backend into the known one, which is zero if there is none.
+// Leaving is never revoked. The warm-up end ignores jitter, and pages from before the
+// backend's warm-up began.
+func (reader *Reader) mergeBackend(former, listed message.Backend) message.Backend {
 	listed.Leaving = listed.Leaving || former.Leaving
 	isNear := listed.WarmAtMs > former.WarmAtMs-warmJitterMs && listed.WarmAtMs < former.WarmAtMs+warmJitterMs
 	isJitter := former.WarmAtMs > 0 && isNear
--- a/discovery/reader_test.go
+++ b/discovery/reader_test.go
@@ -12,8 +12,9 @@
 	"orchidjunction/metrics"
 )
 
-// listed is a reader that has read a list of so many backends, and the list.
-func listed(count int) (*Reader, *[]message.Backend) {
+// newTestReader returns a reader after one scan of a list with the given number of
+// backends, and the list.
+func newTestReader(count int) (*Reader, *[]message.Backend) {
 	list := make([]message.Backend, 0, count)
 	for number := range count {
 		list = append(
@@ -34,48 +35,48 @@
 		Now:            func() int64 { return 0 },
 	}
 	reader := NewReader(options, metrics.NewCounters())
-	readOnce(reader)
+	scanOnce(reader)
 	return reader, &list
 }
 
-func readOnce(reader *Reader) {
+func scanOnce(reader *Reader) {
 	reader.Read(concurrent.NewGroup(), func() bool { return true })
 }
 
-// A list that is kept sorted changes with every list that differs, and what was
-// given out before stays as it was.
-func TestListFollowsWhatIsRead(test *testing.T) {
-	reader, list := listed(5)
-	first, whole := reader.Backends()
-	if !whole || len(first) != 5 || first[0].Name != "backend-000000" || first[4].Name != "backend-000004" {
-		test.Fatalf("%v, whole %v", first, whole)
+// Guards against a stale sorted slice after a change, one rebuilt without a change, and a
+// change to a slice that Backends has returned.
+func TestBackendsAreSortedAndCopiedOnChange(test *testing.T) {
+	reader, list := newTestReader(5)
+	first, complete := reader.Backends()
+	if !complete || len(first) != 5 || first[0].Name != "backend-000000" || first[4].Name != "backend-000004" {
+		test.Fatalf("first scan: %v, complete %v", first, complete)
 	}
 	kept := slices.Clone(first)
-	readOnce(reader)
+	scanOnce(reader)
 	if again, _ := reader.Backends(); &again[0] != &first[0] {
-		test.Error("sorted anew though nothing changed")
+		test.Error("sorted again without a change")
 	}
 	(*list)[0].Leaving = true
-	readOnce(reader)
+	scanOnce(reader)
 	if changed, _ := reader.Backends(); !changed[0].Leaving {
-		test.Error("a backend that leaves is not told")
+		test.Error("a leaving backend is not marked")
 	}
 	*list = append(
 		(*list)[:1:1],
 		append((*list)[2:], message.Backend{Name: "backend-000009", Service: "service", Address: "10.0.0.9:80"})...)
-	readOnce(reader)
+	scanOnce(reader)
 	if more, _ := reader.Backends(); len(more) != 6 {
-		test.Errorf("%d backends after one came and one was missed once", len(more))
+		test.Errorf("%d backends after one was added and one was missing from one list, want 6", len(more))
 	}
-	readOnce(reader)
+	scanOnce(reader)
 	if fewer, _ := reader.Backends(); len(fewer) != 5 || fewer[4].Name != "backend-000009" {
-		test.Errorf("%v after one was missed twice", fewer)
+		test.Errorf("%v after one was missing from two lists", fewer)
 	}
 	if !slices.Equal(first, kept) {
-		test.Error("a list that was given out changed")
+		test.Error("a returned slice was modified")
 	}
 	reader.Reset(first)
-	if begun, whole := reader.Backends(); whole || !slices.Equal(begun, kept) {
-		test.Errorf("%v, whole %v, though reading began from another table", begun, whole)
+	if restored, complete := reader.Backends(); complete || !slices.Equal(restored, kept) {
+		test.Errorf("%v, complete %v, after a reset", restored, complete)
 	}
 }
--- a/discovery/scan.go
+++ b/discovery/scan.go
@@ -12,10 +12,10 @@
 	"orchidjunction/message"
 )
 
-// maxConcurrentLists is how many zones' lists are read at once.
-const maxConcurrentLists = 16
+// maxConcurrentZones is how many zones' lists are read concurrently.
+const maxConcurrentZones = 16
 
-// list is what one reading has found in a zone, or in all if zone is empty.
+// list holds the backends that one scan found in a zone, or in all zones if zone is empty.
 type list struct {
 	zone     string
 	backends map[string]message.Backend
@@ -26,85 +26,85 @@
 	return &list{zone: zone, backends: map[string]message.Backend{}}
 }
 
-// add adds a page's backends and returns how many of them were invalid.
-func (list *list) add(backends []message.Backend) (refused uint64) {
+// add adds a page's valid backends and returns the number of invalid ones.
+func (list *list) add(backends []message.Backend) (invalid uint64) {
 	for _, backend := range backends {
 		if _, err := netip.ParseAddrPort(backend.Address); err != nil || backend.Name == "" || backend.Service == "" {
-			refused++
+			invalid++
 			continue
 		}
 		_, isKnown := list.backends[backend.Name]
 		list.shifted = list.shifted || isKnown
 		list.backends[backend.Name] = backend
 	}
-	return refused
+	return invalid
 }
 
-// covers reports whether the list would name a backend that the platform still has.
+// covers reports whether a complete list includes the backend if the platform still has it.
 func (list *list) covers(backend message.Backend) bool {
-	return list.zone == wholeList || list.zone == backend.Zone
+	return list.zone == allZones || list.zone == backend.Zone
 }
 
-// outcome is how the reading of a list ended.
+// outcome is the result of reading a list.
 type outcome int
 
 const (
-	readToEnd outcome = iota
-	readingFailed
-	readingTooSlow // a whole list that is better read by zone
+	listComplete outcome = iota
+	listFailed
+	listTooSlow // the whole list takes too long and should be read by zone
 )
 
-// reading is one reading of the list, in one part or in several at once.
-type reading struct {
-	reader     *Reader
-	goroutines *concurrent.Group
-	goesOn     func() bool
-	begin      time.Time
+// scan is one pass over the list, as a whole or by zones concurrently.
+type scan struct {
+	reader         *Reader
+	goroutines     *concurrent.Group
+	shouldContinue func() bool
+	begin          time.Time
 
 	mutex      sync.Mutex
-	retryAfter time.Duration // the longest that the platform asked for in vain
+	retryAfter time.Duration // the longest RetryAfter of a page that was given up
 }
 
-// run reads the list whole, or by zone if reading it whole takes too long.
-func (reading *reading) run() {
-	zones := reading.reader.partition()
+// run reads the whole list, or reads it by zone if the whole takes too long.
+func (scan *scan) run() {
+	zones := scan.reader.zonesToScan()
 	failed := false
 	if len(zones) == 1 {
-		ended := reading.readList(zones[0])
-		failed = ended == readingFailed
-		if ended == readingTooSlow {
-			zones = reading.reader.zones()
+		result := scan.readList(zones[0])
+		failed = result == listFailed
+		if result == listTooSlow {
+			zones = scan.reader.zones()
 		}
 	}
 	if len(zones) > 1 {
-		failed = !reading.readZones(zones)
+		failed = !scan.readZones(zones)
 	}
-	reading.end(zones, failed)
+	scan.finish(zones, failed)
 }
 
-// end tells the reader how the reading ended.
-func (reading *reading) end(zones []string, failed bool) {
-	reader, took := reading.reader, time.Since(reading.begin)
+// finish updates the metrics and the reader.
+func (scan *scan) finish(zones []string, failed bool) {
+	reader, duration := scan.reader, time.Since(scan.begin)
 	if failed {
 		reader.counters.Add("platform_reads_broken", 1)
 	} else {
 		reader.counters.Add("platform_reads_whole", 1)
-		reader.readTime.Observe(took)
+		reader.scanTime.Observe(duration)
 	}
-	reading.mutex.Lock()
-	retryAfter := reading.retryAfter
-	reading.mutex.Unlock()
-	reader.readingEnds(zones, failed, took, retryAfter)
+	scan.mutex.Lock()
+	retryAfter := scan.retryAfter
+	scan.mutex.Unlock()
+	reader.finishScan(zones, failed, duration, retryAfter)
 }
 
-// readZones reads the lists of zones, some of them at once. It returns false if any of
-// them was not read to its end.
-func (reading *reading) readZones(zones []string) bool {
-	readers := min(len(zones), maxConcurrentLists)
-	results, _ := concurrent.Gather(reading.goroutines, readers, func(first int) (bool, error) {
+// readZones reads the lists of zones concurrently. It returns false if any of them was not
+// read to its end.
+func (scan *scan) readZones(zones []string) bool {
+	workers := min(len(zones), maxConcurrentZones)
+	results, _ := concurrent.Gather(scan.goroutines, workers, func(first int) (bool, error) {
 		ok := true
-		for index := first; index < len(zones); index += readers {
-			ok = reading.readList(zones[index]) == readToEnd && ok
+		for index := first; index < len(zones); index += workers {
+			ok = scan.readList(zones[index]) == listComplete && ok
 		}
 		return ok, nil
 	}, func(map[int]bool, map[int]error) bool { return false })
@@ -116,69 +116,70 @@
 	return true
 }
 
-// readList reads the list of one zone, or the whole list as long as that is fast enough.
-func (reading *reading) readList(zone string) outcome {
+// readList reads the list of one zone, or the whole list unless it turns out too slow.
+func (scan *scan) readList(zone string) outcome {
 	list, request := newList(zone), PageRequest{Zone: zone}
 	for range maxPages {
-		page, err := reading.readPage(request)
+		page, err := scan.readPageWithRetries(request)
 		if err != nil {
-			return readingFailed
+			return listFailed
 		}
-		if refused := list.add(page.Backends); refused > 0 {
-			reading.reader.counters.Add("platform_items_refused", refused)
+		if invalid := list.add(page.Backends); invalid > 0 {
+			scan.reader.counters.Add("platform_items_refused", invalid)
 		}
 		if request.Token = page.Next; request.Token == "" {
-			reading.reader.takeList(list)
-			return readToEnd
+			scan.reader.mergeList(list)
+			return listComplete
 		}
-		if zone == wholeList && reading.reader.isSlow(len(list.backends)) {
-			return readingTooSlow
+		if zone == allZones && scan.reader.isTooSlow(len(list.backends)) {
+			return listTooSlow
 		}
 	}
-	return readingFailed
+	return listFailed
 }
 
-// readPage asks for a page until the platform gives it or refuses it for good.
-func (reading *reading) readPage(request PageRequest) (Page, error) {
+// readPageWithRetries retries a page while the platform returns RetryAfter, at most
+// maxPageRetries times.
+func (scan *scan) readPageWithRetries(request PageRequest) (Page, error) {
 	for retries := 0; ; retries++ {
-		page := reading.call(request)
+		page := scan.requestPage(request)
 		if page.Err == nil {
-			reading.takePage(page)
+			scan.markLeaving(page)
 			return page, nil
 		}
 		if page.RetryAfter > 0 {
-			reading.reader.counters.Add("platform_calls_put_off", 1)
+			scan.reader.counters.Add("platform_calls_put_off", 1)
 		}
-		isPutOff := page.RetryAfter > 0 && retries < maxPageRetries
-		if !isPutOff || !reading.goroutines.Sleep(page.RetryAfter) || !reading.goesOn() {
-			reading.failed(page.RetryAfter)
+		canRetry := page.RetryAfter > 0 && retries < maxPageRetries
+		if !canRetry || !scan.goroutines.Sleep(page.RetryAfter) || !scan.shouldContinue() {
+			scan.recordRetryAfter(page.RetryAfter)
 			return page, page.Err
 		}
 	}
 }
 
-// call asks for a page once.
-func (reading *reading) call(request PageRequest) Page {
+// requestPage requests a page once.
+func (scan *scan) requestPage(request PageRequest) Page {
 	ctx, cancel := context.WithTimeout(context.Background(), pageTimeout)
 	defer cancel()
 	begin := time.Now()
-	page := reading.reader.options.Lister(ctx, request)
-	reading.reader.counters.Add("platform_list_calls", 1)
+	page := scan.reader.options.Lister(ctx, request)
+	scan.reader.counters.Add("platform_list_calls", 1)
 	if page.Err == nil {
-		reading.reader.observePage(len(page.Backends), time.Since(begin))
+		scan.reader.recordPage(len(page.Backends), time.Since(begin))
 	}
 	return page
 }
 
-// takePage takes what counts before the list is read to its end.
-func (reading *reading) takePage(page Page) {
-	if leaving := reading.reader.takePage(page.Backends); leaving > 0 {
-		klog.Infof("backend list: %d backends newly leaving, %v after the reading began", leaving, time.Since(reading.begin))
+// markLeaving applies the page's leaving backends, which does not wait for the whole list.
+func (scan *scan) markLeaving(page Page) {
+	if leaving := scan.reader.markLeaving(page.Backends); leaving > 0 {
+		klog.Infof("backend list: %d backends newly leaving, %v after the scan began", leaving, time.Since(scan.begin))
 	}
 }
 
-func (reading *reading) failed(retryAfter time.Duration) {
-	reading.mutex.Lock()
-	defer reading.mutex.Unlock()
-	reading.retryAfter = max(reading.retryAfter, retryAfter)
+func (scan *scan) recordRetryAfter(retryAfter time.Duration) {
+	scan.mutex.Lock()
+	defer scan.mutex.Unlock()
+	scan.retryAfter = max(scan.retryAfter, retryAfter)
 }
