--- a/usage/sums.go
+++ b/usage/sums.go
@@ -1,7 +1,6 @@
-// Package usage counts the requests that are billed, in two ways: Sums are running
-// counts by tenant that are reported for periods of a leader's own clock, and Windows
-// are counts by windows of true time. What is reported is first sealed in the reports
-// register, so that it never changes.
+// Package usage counts billable requests in two ways: Sums are cumulative counts by tenant,
+// reported for periods measured by the leader's clock; Windows are counts by windows of
+// true time. Reports are first sealed in the reports register and never change afterwards.
 package usage
 
 import (
@@ -16,18 +15,19 @@
 )
 
 const (
-	// Period is how long a reported period lasts.
+	// Period is the length of a reporting period.
 	Period = 4 * time.Second
 
-	// silentProcess is how long a process tells nothing until it no longer counts as seen.
-	silentProcess = time.Minute
-	// processTTL is how long the counts of a process that is not seen are remembered.
+	// silenceTimeout is the time without a report after which a process is no longer seen.
+	silenceTimeout = time.Minute
+	// processTTL is how long the counts of a process that is no longer seen are kept.
 	processTTL = time.Hour
-	// maxPeriod is the longest time between two wall clock readings that is believed.
-	maxPeriod = 10 * time.Minute
+	// maxPeriodLength is the longest period by the wall clock that is accepted; a longer one
+	// is reported with a length of Period.
+	maxPeriodLength = 10 * time.Minute
 )
 
-// Report is what the platform bills; once sealed it never changes.
+// Report is a billing record for the platform; once sealed it never changes.
 type Report struct {
 	ID     string `json:"id"`
 	Tenant string `json:"tenant"`
@@ -38,8 +38,8 @@
 }
 
 // State is the content of the reports register: the last period that ended, the requests
-// since by tenant (Open), and the reports to be delivered. AgeMs is the state's own age,
-// which no wall clock moves.
+// since then by tenant (Open), and the reports still to be delivered. AgeMs is the age of
+// the state, independent of the wall clock.
 type State struct {
 	Period   uint64
 	ToMs     int64
@@ -49,18 +49,17 @@
 	Pending  []Report
 }
 
-// ReportedCounts is how much of a process's running counts a State holds, and at which
-// age of the state the process was seen last.
+// ReportedCounts are the cumulative counts of a process that a State includes, and the age
+// of the state at which the process was last seen.
 type ReportedCounts struct {
 	Counts map[string]uint64
 	SeenMs int64
 }
 
-// DecodeState decodes a value of the reports register. The value of serial 0 is an empty
-// state.
+// DecodeState decodes a value of the reports register; an empty value is an empty state.
 func DecodeState(value message.Value) (*State, error) { return decode[State](value) }
 
-// decode decodes a value of the reports register, whichever of the two states it holds.
+// decode decodes a value of the reports register as a State or a WindowState.
 func decode[Content any](value message.Value) (*Content, error) {
 	content := new(Content)
 	if len(value.Body) == 0 {
@@ -72,30 +71,30 @@
 	return content, nil
 }
 
-// Sums gathers the running counts of processes. It is safe for concurrent use.
+// Sums collects the cumulative counts of processes. It is safe for concurrent use.
 type Sums struct {
-	mutex     sync.Mutex
-	startedAt time.Time
-	counts    map[string]map[string]uint64 // by process, then by tenant
-	toldAt    map[string]time.Time
-	delivered map[string]bool
+	mutex        sync.Mutex
+	startedAt    time.Time
+	counts       map[string]map[string]uint64 // by process, then by tenant
+	lastReportAt map[string]time.Time
+	delivered    map[string]bool
 
-	term          message.Term // of the leadership that sealed last here
+	term          message.Term // of the leadership under which this core last sealed
 	sealedAt      time.Time
 	periodEndedAt time.Time
 }
 
-// NewSums returns Sums without counts.
+// NewSums returns empty Sums.
 func NewSums() *Sums {
 	return &Sums{
-		startedAt: time.Now(),
-		counts:    map[string]map[string]uint64{},
-		toldAt:    map[string]time.Time{},
-		delivered: map[string]bool{},
+		startedAt:    time.Now(),
+		counts:       map[string]map[string]uint64{},
+		lastReportAt: map[string]time.Time{},
+		delivered:    map[string]bool{},
 	}
 }
 
-// Add takes the counts by tenant that a process has reported; they never fall.
+// Add records the cumulative counts by tenant of a process; lower counts are ignored.
 func (sums *Sums) Add(process string, counts map[string]uint64) {
 	if len(counts) == 0 {
 		return
@@ -107,13 +106,13 @@
 		known = map[string]uint64{}
 		sums.counts[process] = known
 	}
-	sums.toldAt[process] = time.Now()
+	sums.lastReportAt[process] = time.Now()
 	for tenant, count := range counts {
 		known[tenant] = max(known[tenant], count)
 	}
 }
 
-// HasNew reports whether processes reported counts that a state does not hold yet.
+// HasNew reports whether processes have reported counts that the state does not include.
 func (sums *Sums) HasNew(state *State) bool {
 	sums.mutex.Lock()
 	defer sums.mutex.Unlock()
@@ -127,16 +126,16 @@
 	return false
 }
 
-// PeriodOver reports whether the period has ended, by the monotonic clock. The first one
-// of a leadership ends at once, since nobody knows how long it has gone on.
+// PeriodOver reports whether the period has ended by the monotonic clock. A leadership's
+// first period ends immediately, since it is unknown when it began.
 func (sums *Sums) PeriodOver(term message.Term) bool {
 	sums.mutex.Lock()
 	defer sums.mutex.Unlock()
 	return sums.term != term || time.Since(sums.periodEndedAt) >= Period
 }
 
-// SinceSealed returns how long before now the leadership of a term sealed last, in
-// milliseconds, 0 if it has not.
+// SinceSealed returns the milliseconds since the leadership of a term last sealed, 0 if it
+// has not.
 func (sums *Sums) SinceSealed(term message.Term, now time.Time) int64 {
 	sums.mutex.Lock()
 	defer sums.mutex.Unlock()
@@ -146,7 +145,7 @@
 	return now.Sub(sums.sealedAt).Milliseconds()
 }
 
-// Sealed notes that the leadership of a term sealed the counts.
+// Sealed records that the leadership of a term sealed the counts.
 func (sums *Sums) Sealed(term message.Term, now time.Time, periodEnded bool) {
 	sums.mutex.Lock()
 	defer sums.mutex.Unlock()
@@ -156,7 +155,7 @@
 	}
 }
 
-// Deliver notes that a report was delivered.
+// Deliver marks a report as delivered.
 func (sums *Sums) Deliver(id string) {
 	sums.mutex.Lock()
 	sums.delivered[id] = true
@@ -170,9 +169,9 @@
 	return sums.delivered[id]
 }
 
-// Sealing is how the next state is made: who is billed, the wall clock in milliseconds
-// since the Unix epoch, how many milliseconds ago the state was sealed last, and whether
-// the period ends.
+// Sealing holds the inputs for the next state: the partner and tenants to bill, the wall
+// clock in milliseconds since the Unix epoch, the milliseconds since the state was last
+// sealed, and whether the period ends.
 type Sealing struct {
 	Partner    string
 	Tenants    []string
@@ -181,22 +180,22 @@
 	EndsPeriod bool
 }
 
-// Next returns the state with what processes reported since. It forgets processes that were
-// not seen for long, by the state's own age.
-func (sums *Sums) Next(former *State, sealing Sealing) *State {
+// Next returns the previous state with the counts reported since. It drops processes that
+// were not seen for processTTL by the age of the state.
+func (sums *Sums) Next(previous *State, sealing Sealing) *State {
 	sums.mutex.Lock()
 	defer sums.mutex.Unlock()
 	next := &State{
-		Period:   former.Period,
-		ToMs:     former.ToMs,
-		AgeMs:    former.AgeMs + sealing.SinceMs,
-		Reported: sums.remembered(former, former.AgeMs+sealing.SinceMs),
+		Period:   previous.Period,
+		ToMs:     previous.ToMs,
+		AgeMs:    previous.AgeMs + sealing.SinceMs,
+		Reported: sums.retainedProcesses(previous, previous.AgeMs+sealing.SinceMs),
 		Open:     map[string]uint64{},
-		Pending:  former.Pending,
+		Pending:  previous.Pending,
 	}
-	maps.Copy(next.Open, former.Open)
+	maps.Copy(next.Open, previous.Open)
 	for process, counts := range sums.counts {
-		sums.addProcess(next, former, process, counts)
+		sums.addProcess(next, previous, process, counts)
 	}
 	if sealing.EndsPeriod {
 		next.endPeriod(sealing, sums.delivered)
@@ -204,46 +203,46 @@
 	return next
 }
 
-// remembered returns the processes of a state that are not forgotten at an age.
-func (sums *Sums) remembered(former *State, ageMs int64) map[string]ReportedCounts {
+// retainedProcesses returns the processes of a state that have not expired at an age. None
+// expires within silenceTimeout of the creation of sums.
+func (sums *Sums) retainedProcesses(previous *State, ageMs int64) map[string]ReportedCounts {
 	kept := map[string]ReportedCounts{}
-	for process, reported := range former.Reported {
-		if ageMs-reported.SeenMs < processTTL.Milliseconds() || time.Since(sums.startedAt) < silentProcess {
+	for process, reported := range previous.Reported {
+		if ageMs-reported.SeenMs < processTTL.Milliseconds() || time.Since(sums.startedAt) < silenceTimeout {
 			kept[process] = reported
 		}
 	}
 	return kept
 }
 
-// addProcess adds what a process counted beyond the former state.
-func (sums *Sums) addProcess(next, former *State, process string, counts map[string]uint64) {
-	before, isKnown := former.Reported[process]
+// addProcess adds what a process has counted beyond the previous state.
+func (sums *Sums) addProcess(next, previous *State, process string, counts map[string]uint64) {
+	earlier, isKnown := previous.Reported[process]
 	reported := ReportedCounts{Counts: map[string]uint64{}, SeenMs: next.AgeMs}
 	for tenant, count := range counts {
-		if count > before.Counts[tenant] {
-			next.Open[tenant] += count - before.Counts[tenant]
+		if count > earlier.Counts[tenant] {
+			next.Open[tenant] += count - earlier.Counts[tenant]
 		}
-		reported.Counts[tenant] = max(count, before.Counts[tenant])
+		reported.Counts[tenant] = max(count, earlier.Counts[tenant])
 	}
-	if isKnown && time.Since(sums.toldAt[process]) > silentProcess {
-		reported.SeenMs = before.SeenMs
+	if isKnown && time.Since(sums.lastReportAt[process]) > silenceTimeout {
+		reported.SeenMs = earlier.SeenMs
 	}
 	if next.AgeMs-reported.SeenMs >= processTTL.Milliseconds() {
 		delete(sums.counts, process)
-		delete(sums.toldAt, process)
+		delete(sums.lastReportAt, process)
 		delete(next.Reported, process)
 		return
 	}
 	next.Reported[process] = reported
 }
 
-// endPeriod makes the open counts a report for every tenant, and drops the reports that
-// were delivered.
+// endPeriod turns the open counts into one report per tenant and drops delivered reports.
 func (state *State) endPeriod(sealing Sealing, delivered map[string]bool) {
 	from := state.ToMs
 	state.Period++
 	state.ToMs = sealing.WallMs
-	if from > sealing.WallMs || sealing.WallMs-from > maxPeriod.Milliseconds() {
+	if from > sealing.WallMs || sealing.WallMs-from > maxPeriodLength.Milliseconds() {
 		from = sealing.WallMs - Period.Milliseconds()
 	}
 	pending := []Report{}
--- a/usage/sums_test.go
+++ b/usage/sums_test.go
@@ -9,9 +9,9 @@
 	"orchidjunction/config"
 )
 
-// Clocks jump by hours, leaders change and proxies come and go: every task is
-// reported once, and no period is there twice.
-func TestUsageSumsWhileClocksJump(test *testing.T) {
+// Guards against requests lost or counted twice, and periods reported twice, while wall
+// clocks jump by up to an hour, leaders change, and proxies come and go.
+func TestSumsReportEachRequestOnceAcrossClockJumps(test *testing.T) {
 	body, err := os.ReadFile("../examples/small.json")
 	if err != nil {
 		test.Fatal(err)
@@ -23,7 +23,7 @@
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 59))
 		sums, state, now := NewSums(), &State{}, int64(1_700_000_000_000)
-		since := int64(0)
+		sincePeriodEnd := int64(0)
 		counts, total, reported, periods := map[string]uint64{}, uint64(0), uint64(0), map[string]bool{}
 		for step := range 400 {
 			incarnation := fmt.Sprint("proxy-", random.IntN(3)+step/150)
@@ -31,9 +31,9 @@
 			counts[incarnation] += added
 			total += added
 			sums.Add(incarnation, map[string]uint64{"alder": counts[incarnation]})
-			passed := int64(random.IntN(900))
-			now += passed
-			since += passed
+			elapsed := int64(random.IntN(900))
+			now += elapsed
+			sincePeriodEnd += elapsed
 			switch random.IntN(40) {
 			case 0:
 				now -= 3_600_000
@@ -45,16 +45,16 @@
 					sums.Add(known, map[string]uint64{"alder": count})
 				}
 			}
-			before := state.Period
-			ends := since > Period.Milliseconds()
-			if ends {
-				since = 0
+			previousPeriod := state.Period
+			endsPeriod := sincePeriodEnd > Period.Milliseconds()
+			if endsPeriod {
+				sincePeriodEnd = 0
 			}
 			state = sums.Next(
 				state,
-				Sealing{Partner: tree.Partner, Tenants: tree.TenantNames(), WallMs: now, SinceMs: passed, EndsPeriod: ends},
+				Sealing{Partner: tree.Partner, Tenants: tree.TenantNames(), WallMs: now, SinceMs: elapsed, EndsPeriod: endsPeriod},
 			)
-			if state.Period == before {
+			if state.Period == previousPeriod {
 				continue
 			}
 			for _, report := range state.Pending {
@@ -62,10 +62,10 @@
 					continue
 				}
 				if periods[report.ID] {
-					test.Fatalf("seed %d: %s twice", seed, report.ID)
+					test.Fatalf("seed %d: report %s sealed twice", seed, report.ID)
 				}
 				if report.ToMs < report.FromMs {
-					test.Fatalf("seed %d: %s goes from %d to %d", seed, report.ID, report.FromMs, report.ToMs)
+					test.Fatalf("seed %d: report %s ends before it begins: from %d to %d", seed, report.ID, report.FromMs, report.ToMs)
 				}
 				periods[report.ID] = true
 				reported += report.Tasks
@@ -76,7 +76,7 @@
 			reported += open
 		}
 		if reported != total || len(periods) < 30 {
-			test.Fatalf("seed %d: %d tasks, %d reported, %d reports", seed, total, reported, len(periods))
+			test.Fatalf("seed %d: %d requests counted, %d reported, in %d reports", seed, total, reported, len(periods))
 		}
 	}
 }
--- a/usage/window_copies.go
+++ b/usage/window_copies.go
@@ -7,8 +7,8 @@
 	"orchidjunction/message"
 )
 
-// ChangedSince returns the counts that were set after a number of changes, by process, and
-// how many changes there were so far. Since 0 it returns all counts.
+// ChangedSince returns the counts by process that were set after the given change, and the
+// number of the newest change. ChangedSince(0) returns all counts.
 func (windows *Windows) ChangedSince(change uint64) (counts []message.ProcessCounts, changes uint64) {
 	windows.mutex.Lock()
 	defer windows.mutex.Unlock()
@@ -19,35 +19,35 @@
 			if len(tenants) == 0 {
 				continue
 			}
-			process := byIncarnation[incarnation]
-			if process == nil {
-				process = &message.ProcessCounts{
-					Name:        windows.names[incarnation],
+			counted := byIncarnation[incarnation]
+			if counted == nil {
+				counted = &message.ProcessCounts{
+					Name:        windows.nameByIncarnation[incarnation],
 					Incarnation: incarnation,
 					Ended:       windows.hasEnded(incarnation),
 				}
-				byIncarnation[incarnation] = process
+				byIncarnation[incarnation] = counted
 			}
-			process.Windows = append(process.Windows, message.WindowCount{Window: window, Tenants: tenants})
+			counted.Windows = append(counted.Windows, message.WindowCount{Window: window, Tenants: tenants})
 		}
 	}
-	for _, process := range byIncarnation {
-		sortByWindow(process.Windows)
-		counts = append(counts, *process)
+	for _, counted := range byIncarnation {
+		sortByWindow(counted.Windows)
+		counts = append(counts, *counted)
 	}
 	slices.SortFunc(counts, func(left, right message.ProcessCounts) int { return cmp.Compare(left.Incarnation, right.Incarnation) })
 	return counts, windows.changes
 }
 
-// AddCopies takes counts that another core, or the disk, knew. They tell nothing of until
-// when a process has reported.
-func (windows *Windows) AddCopies(copies []message.ProcessCounts) {
+// AddCopies merges counts from another core or from the disk. They do not advance the time
+// up to which a process has reported.
+func (windows *Windows) AddCopies(counts []message.ProcessCounts) {
 	windows.mutex.Lock()
 	defer windows.mutex.Unlock()
-	for _, process := range copies {
-		windows.ended[process.Incarnation] = windows.ended[process.Incarnation] || process.Ended
+	for _, process := range counts {
+		windows.endedProcesses[process.Incarnation] = windows.endedProcesses[process.Incarnation] || process.Ended
 		if process.Name != "" {
-			windows.names[process.Incarnation] = process.Name
+			windows.nameByIncarnation[process.Incarnation] = process.Name
 		}
 		for _, count := range process.Windows {
 			windows.addCount(process.Incarnation, count)
@@ -55,14 +55,14 @@
 	}
 }
 
-// hasEnded reports whether a process said that it ends, or another one of its daemon holds
-// the session.
+// hasEnded reports whether a process has announced its end, or another process of its
+// daemon now holds the session.
 func (windows *Windows) hasEnded(incarnation string) bool {
-	current := windows.incarnations[windows.names[incarnation]]
-	return windows.ended[incarnation] || current != "" && current != incarnation
+	current := windows.incarnationByName[windows.nameByIncarnation[incarnation]]
+	return windows.endedProcesses[incarnation] || current != "" && current != incarnation
 }
 
-// countedProcesses returns the processes that counted in a window that is not forgotten.
+// countedProcesses returns the processes with counts in any window kept.
 func (windows *Windows) countedProcesses() map[string]bool {
 	counted := map[string]bool{}
 	for _, byProcess := range windows.counts {
@@ -73,7 +73,7 @@
 	return counted
 }
 
-// changedSince returns the requests of the tenants whose count was set after a change.
+// changedSince returns the requests of tenants whose count was set after the given change.
 func changedSince(byTenant map[string]windowCount, change uint64) map[string]uint64 {
 	tenants := map[string]uint64{}
 	for tenant, count := range byTenant {
--- a/usage/window_log.go
+++ b/usage/window_log.go
@@ -9,44 +9,44 @@
 const (
 	snapshotKind = "counts"
 	segmentKind  = "usage"
-	// segmentFactor is how many times larger than its snapshot a segment may grow, and
-	// minSegmentBytes is the size that any may have.
+	// segmentFactor is the largest size of a segment as a multiple of its snapshot's size;
+	// minSegmentBytes is a lower bound on that limit.
 	segmentFactor   = 4
 	minSegmentBytes = 256 << 10
 )
 
-// WindowLog keeps counts of windows on a disk, so that those that no process knows any more
-// are reported after a loss of power. A snapshot holds all counts at its time, the segment
-// of its number what was counted since. Counts only rise, so the order and the number of
-// times in which they are read do not matter.
+// WindowLog persists the counts of Windows, so that after a power loss those that no process
+// holds any more are still reported. A snapshot holds all counts at its time; the segment
+// with the same number holds later changes. Counts only grow, so entries may be read in any
+// order and more than once.
 //
 // It is not safe for concurrent use.
 type WindowLog struct {
-	disk     storage.Disk
-	windows  *Windows
-	number   uint64           // of the newest snapshot that may be on the disk
-	journal  *storage.Journal // nil until the segment of the newest snapshot is begun
-	appended uint64           // changes of the windows that are on the disk
-	size     int64            // of the segment
-	limit    int64            // of the segment
+	disk            storage.Disk
+	windows         *Windows
+	snapshotNumber  uint64           // newest snapshot that may be on the disk
+	journal         *storage.Journal // nil until the segment of the newest snapshot is open
+	appendedChanges uint64           // newest change of the windows that is on the disk
+	segmentSize     int64            // in bytes
+	segmentLimit    int64            // in bytes
 }
 
-// OpenWindowLog adds the counts on a disk to windows. What cannot be read is left behind:
-// usage of a few windows is no reason for a core not to start. The error says why; the log
-// can be used all the same.
+// OpenWindowLog adds the counts on a disk to windows. Unreadable data is skipped: usage of a
+// few windows is no reason for a core not to start. The log can be used even if an error is
+// returned.
 func OpenWindowLog(disk storage.Disk, windows *Windows) (*WindowLog, error) {
 	log := &WindowLog{disk: disk, windows: windows}
 	snapshots, err := storage.FileNumbers(disk, snapshotKind)
 	if err != nil || len(snapshots) == 0 {
 		return log, err
 	}
-	log.number = snapshots[len(snapshots)-1]
-	copies := []message.ProcessCounts{}
-	if err := storage.ReadSnapshot(disk, snapshotKind, log.number, &copies); err != nil {
+	log.snapshotNumber = snapshots[len(snapshots)-1]
+	counts := []message.ProcessCounts{}
+	if err := storage.ReadSnapshot(disk, snapshotKind, log.snapshotNumber, &counts); err != nil {
 		return log, err
 	}
-	windows.AddCopies(copies)
-	_, err = storage.OpenJournal(disk, segmentKind, log.number, func(_ uint64, payload []byte) error {
+	windows.AddCopies(counts)
+	_, err = storage.OpenJournal(disk, segmentKind, log.snapshotNumber, func(_ uint64, payload []byte) error {
 		added := []message.ProcessCounts{}
 		if err := rpc.Unmarshal(payload, &added); err != nil {
 			return err
@@ -57,64 +57,64 @@
 	return log, err
 }
 
-// Append makes durable what was counted since the last call. After an error the next call
-// writes everything anew.
+// Append makes durable what was counted since the last call. After an error, the next call
+// writes a new snapshot of all counts.
 func (log *WindowLog) Append() error {
-	if log.journal == nil || log.journal.Err() != nil || log.size > log.limit {
-		return log.begin()
+	if log.journal == nil || log.journal.Err() != nil || log.segmentSize > log.segmentLimit {
+		return log.startSnapshot()
 	}
-	copies, changes := log.windows.ChangedSince(log.appended)
-	if len(copies) == 0 {
+	counts, changes := log.windows.ChangedSince(log.appendedChanges)
+	if len(counts) == 0 {
 		return nil
 	}
-	frame, err := storage.EncodeFrame(copies)
+	frame, err := storage.EncodeFrame(counts)
 	if err != nil {
 		return err
 	}
 	if err := log.journal.Append(frame); err != nil {
 		return err
 	}
-	log.appended = changes
-	log.size += int64(len(frame))
+	log.appendedChanges = changes
+	log.segmentSize += int64(len(frame))
 	return nil
 }
 
-// begin writes all counts into a new snapshot, begins its segment, and removes the files
-// before them.
-func (log *WindowLog) begin() error {
-	copies, changes := log.windows.ChangedSince(0)
-	frame, err := storage.EncodeFrame(copies)
+// startSnapshot writes all counts to a new snapshot, starts its segment, and removes older
+// files.
+func (log *WindowLog) startSnapshot() error {
+	counts, changes := log.windows.ChangedSince(0)
+	frame, err := storage.EncodeFrame(counts)
 	if err != nil {
 		return err
 	}
 	log.Close()
 	log.journal = nil
-	log.number++
-	if err := storage.WriteSnapshot(log.disk, snapshotKind, log.number, copies); err != nil {
+	log.snapshotNumber++
+	if err := storage.WriteSnapshot(log.disk, snapshotKind, log.snapshotNumber, counts); err != nil {
 		return err
 	}
-	journal, err := storage.OpenJournal(log.disk, segmentKind, log.number, nil)
+	journal, err := storage.OpenJournal(log.disk, segmentKind, log.snapshotNumber, nil)
 	if err != nil {
 		return err
 	}
-	if err := journal.Begin(log.number); err != nil {
+	if err := journal.Begin(log.snapshotNumber); err != nil {
 		return err
 	}
-	log.journal, log.appended = journal, changes
-	log.size, log.limit = 0, max(minSegmentBytes, segmentFactor*int64(len(frame)))
-	return log.removeFormer()
+	log.journal, log.appendedChanges = journal, changes
+	log.segmentSize, log.segmentLimit = 0, max(minSegmentBytes, segmentFactor*int64(len(frame)))
+	return log.removeOldFiles()
 }
 
-// removeFormer removes the files that the newest snapshot replaces.
-func (log *WindowLog) removeFormer() error {
+// removeOldFiles removes the files that the newest snapshot replaces.
+func (log *WindowLog) removeOldFiles() error {
 	noSync := func() error { return nil }
-	if err := storage.RemoveBefore(log.disk, snapshotKind, log.number, noSync); err != nil {
+	if err := storage.RemoveBefore(log.disk, snapshotKind, log.snapshotNumber, noSync); err != nil {
 		return err
 	}
-	return storage.RemoveBefore(log.disk, segmentKind, log.number, noSync)
+	return storage.RemoveBefore(log.disk, segmentKind, log.snapshotNumber, noSync)
 }
 
-// Close closes the log.
+// Close closes the journal of the current segment, if any.
 func (log *WindowLog) Close() {
 	if log.journal != nil {
 		log.journal.Close()
--- a/usage/window_log_test.go
+++ b/usage/window_log_test.go
@@ -12,12 +12,12 @@
 	"orchidjunction/usage"
 )
 
-// counted is what a core was told and its log has answered for.
-type counted map[string]map[string]uint64 // by process and tenant
+// processCounts are the cumulative counts of processes in one window.
+type processCounts map[string]map[string]uint64 // by process and tenant
 
-// countsOf returns the counts that windows know.
-func countsOf(windows *usage.Windows) counted {
-	known := counted{}
+// knownCounts returns the counts that windows hold.
+func knownCounts(windows *usage.Windows) processCounts {
+	known := processCounts{}
 	copies, _ := windows.ChangedSince(0)
 	for _, process := range copies {
 		known[process.Incarnation] = process.Windows[0].Tenants
@@ -25,67 +25,68 @@
 	return known
 }
 
-// covers returns an error if a count is below one of other counts.
-func (counted counted) covers(other counted) error {
-	for incarnation, tenants := range other {
-		for tenant, requests := range tenants {
-			if counted[incarnation][tenant] < requests {
-				return fmt.Errorf("%s, %s: %d, want %d", incarnation, tenant, counted[incarnation][tenant], requests)
+// covers returns an error if any count is lower than in other.
+func (counts processCounts) covers(other processCounts) error {
+	for incarnation, byTenant := range other {
+		for tenant, requests := range byTenant {
+			if counts[incarnation][tenant] < requests {
+				return fmt.Errorf("%s, %s: %d, want %d", incarnation, tenant, counts[incarnation][tenant], requests)
 			}
 		}
 	}
 	return nil
 }
 
-func (counted counted) clone() counted {
+func (counts processCounts) clone() processCounts {
 	clone := map[string]map[string]uint64{}
-	for incarnation, tenants := range counted {
+	for incarnation, tenants := range counts {
 		clone[incarnation] = maps.Clone(tenants)
 	}
 	return clone
 }
 
-// Power is lost again and again, with each file's and each name's fate drawn by itself and
-// writes refused at times: what Append answered for is there, and nothing that was not told.
-func TestWindowLogLastsFileByFile(test *testing.T) {
+// Guards against counts lost after a successful Append, and counts never reported, over
+// repeated power losses that decide for each file and name separately what survives, with
+// disk errors in between.
+func TestWindowLogSurvivesPowerLoss(test *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		disk := simulation.NewDisk(seed)
-		told, durable := counted{}, counted{}
-		for loss := range 8 {
+		reported, durable := processCounts{}, processCounts{}
+		for round := range 8 {
 			windows := usage.NewWindows()
 			log, err := usage.OpenWindowLog(disk, windows)
 			if err != nil {
-				test.Fatalf("seed %d, loss %d: %v", seed, loss, err)
+				test.Fatalf("seed %d, round %d: open: %v", seed, round, err)
 			}
-			known := countsOf(windows)
+			known := knownCounts(windows)
 			if err := known.covers(durable); err != nil {
-				test.Fatalf("seed %d, loss %d: of what was durable, %v", seed, loss, err)
+				test.Fatalf("seed %d, round %d: durable count lost: %v", seed, round, err)
 			}
-			if err := told.covers(known); err != nil {
-				test.Fatalf("seed %d, loss %d: of what was told, %v", seed, loss, err)
+			if err := reported.covers(known); err != nil {
+				test.Fatalf("seed %d, round %d: count above what was reported: %v", seed, round, err)
 			}
-			told = known.clone()
+			reported = known.clone()
 			for range random.IntN(40) {
 				incarnation, tenant := fmt.Sprint("process-", random.IntN(4)), fmt.Sprint("tenant-", random.IntN(3))
-				if told[incarnation] == nil {
-					told[incarnation] = map[string]uint64{}
+				if reported[incarnation] == nil {
+					reported[incarnation] = map[string]uint64{}
 				}
-				told[incarnation][tenant] += uint64(random.IntN(300))
+				reported[incarnation][tenant] += uint64(random.IntN(300))
 				windows.AddCopies([]message.ProcessCounts{{
 					Name: incarnation, Incarnation: incarnation,
-					Windows: []message.WindowCount{{Window: 7, Tenants: map[string]uint64{tenant: told[incarnation][tenant]}}},
+					Windows: []message.WindowCount{{Window: 7, Tenants: map[string]uint64{tenant: reported[incarnation][tenant]}}},
 				}})
 				disk.Refuse(simulation.Refusal{Syncs: random.IntN(6) == 0, Names: random.IntN(6) == 0})
 				if random.IntN(2) == 0 && log.Append() == nil {
-					durable = told.clone()
+					durable = reported.clone()
 				}
 				disk.Refuse(simulation.Refusal{})
 				if random.IntN(4) == 0 {
 					if err := log.Append(); err != nil {
-						test.Fatalf("seed %d, loss %d: refuses though the disk does not: %v", seed, loss, err)
+						test.Fatalf("seed %d, round %d: append on a working disk: %v", seed, round, err)
 					}
-					durable = told.clone()
+					durable = reported.clone()
 				}
 			}
 			log.Close()
@@ -94,8 +95,9 @@
 	}
 }
 
-// A damaged log is left behind: its error is told, and the log takes counts all the same.
-func TestDamagedWindowLogIsLeftBehind(test *testing.T) {
+// Guards against a damaged snapshot that is read without an error, or that keeps the log
+// from storing new counts.
+func TestDamagedWindowLogIsSkipped(test *testing.T) {
 	disk := simulation.NewDisk(1)
 	file, err := disk.Create(storage.FileName("counts", 3))
 	if err != nil {
@@ -105,7 +107,7 @@
 		test.Fatal(err)
 	}
 	if _, err := usage.OpenWindowLog(disk, usage.NewWindows()); err == nil {
-		test.Fatal("a damaged snapshot was taken")
+		test.Fatal("a damaged snapshot was read without an error")
 	}
 	windows := usage.NewWindows()
 	log, _ := usage.OpenWindowLog(disk, windows)
@@ -116,8 +118,8 @@
 	if err := log.Append(); err != nil {
 		test.Fatal(err)
 	}
-	again := usage.NewWindows()
-	if _, err := usage.OpenWindowLog(disk, again); err != nil || again.Sum(1)["a"] != 2 {
-		test.Fatalf("%v, %v", err, again.Sum(1))
+	reopened := usage.NewWindows()
+	if _, err := usage.OpenWindowLog(disk, reopened); err != nil || reopened.Sum(1)["a"] != 2 {
+		test.Fatalf("reopened log: %v, counts %v", err, reopened.Sum(1))
 	}
 }
--- a/usage/windows.go
+++ b/usage/windows.go
@@ -8,28 +8,29 @@
 	"orchidjunction/message"
 )
 
-// maxSealedWindows is how many sealed windows the reports register keeps.
+// maxSealedWindows is the number of sealed windows that the reports register keeps.
 const maxSealedWindows = 10
 
-// SealedWindow is a window's requests by tenant, which never change again.
+// SealedWindow is the final count of a window's requests by tenant.
 type SealedWindow struct {
 	Window   int64
 	Tenants  map[string]uint64
 	Reported bool
 }
 
-// WindowState is the content of the reports register where windows are metered: the next
-// window to seal, and the last ones sealed.
+// WindowState is the content of the reports register if usage is metered by windows: the
+// next window to seal, and the most recently sealed ones.
 type WindowState struct {
 	Next   int64
 	Sealed []SealedWindow
 }
 
-// DecodeWindowState decodes a value of the reports register. The value of serial 0 is an
-// empty state.
+// DecodeWindowState decodes a value of the reports register; an empty value is an empty
+// state.
 func DecodeWindowState(value message.Value) (*WindowState, error) { return decode[WindowState](value) }
 
-// Seal adds sealed windows, drops the oldest, and marks those that isReported knows.
+// Seal adds sealed windows, drops the oldest beyond maxSealedWindows, and marks those that
+// were reported.
 func (state *WindowState) Seal(next int64, sealed []SealedWindow, isReported func(window int64) bool) {
 	state.Next, state.Sealed = next, append(state.Sealed, sealed...)
 	state.Sealed = state.Sealed[max(len(state.Sealed)-maxSealedWindows, 0):]
@@ -39,42 +40,43 @@
 	}
 }
 
-// Windows gathers what processes counted in windows of true time, where window k begins
-// k times the window's length after the Unix epoch. Of each process the highest count
-// holds. It is safe for concurrent use.
+// Windows collects the counts of processes by windows of true time; window k begins k times
+// the window's length after the Unix epoch. Counts are cumulative within a window, so the
+// highest of a process is used. It is safe for concurrent use.
 type Windows struct {
 	process uint64
 
-	mutex         sync.Mutex
-	counts        map[int64]map[string]map[string]windowCount // by window, process and tenant
-	changes       uint64                                      // of counts, so far
-	reportedUntil map[string]int64                            // by process, in its own milliseconds
-	ended         map[string]bool                             // processes
-	incarnations  map[string]string                           // processes by the daemons' names
-	names         map[string]string                           // daemons' names by their processes
-	reported      map[int64]bool                              // windows
+	mutex             sync.Mutex
+	counts            map[int64]map[string]map[string]windowCount // by window, process and tenant
+	changes           uint64                                      // number of changes of counts so far
+	reportedUntil     map[string]int64                            // by process, in milliseconds of its clock
+	endedProcesses    map[string]bool                             // by process
+	incarnationByName map[string]string                           // current process by daemon name
+	nameByIncarnation map[string]string                           // daemon name by process
+	reportedWindows   map[int64]bool                              // by window
 }
 
-// windowCount is a count, and as which of all changes it was set last.
+// windowCount is a count and the number of the change that set it.
 type windowCount struct{ requests, change uint64 }
 
-// NewWindows returns Windows without counts.
+// NewWindows returns empty Windows.
 func NewWindows() *Windows {
 	return &Windows{
-		process:       rand.Uint64() | 1,
-		counts:        map[int64]map[string]map[string]windowCount{},
-		reportedUntil: map[string]int64{},
-		ended:         map[string]bool{},
-		incarnations:  map[string]string{},
-		names:         map[string]string{},
-		reported:      map[int64]bool{},
+		process:           rand.Uint64() | 1,
+		counts:            map[int64]map[string]map[string]windowCount{},
+		reportedUntil:     map[string]int64{},
+		endedProcesses:    map[string]bool{},
+		incarnationByName: map[string]string{},
+		nameByIncarnation: map[string]string{},
+		reportedWindows:   map[int64]bool{},
 	}
 }
 
-// Process identifies this process towards those that tell it their counts. It is never 0.
+// Process returns the random ID of this process, to which others report their counts. It is
+// never 0.
 func (windows *Windows) Process() uint64 { return windows.process }
 
-// Add takes the counts that a session brings.
+// Add records the counts of a session.
 func (windows *Windows) Add(session *message.Session) {
 	incarnation := session.Member.Incarnation
 	windows.mutex.Lock()
@@ -82,21 +84,22 @@
 	if windows.isComplete(session) {
 		windows.reportedUntil[incarnation] = max(windows.reportedUntil[incarnation], session.NowMs)
 	}
-	windows.ended[incarnation] = windows.ended[incarnation] || session.Ended
-	if former := windows.incarnations[session.Member.Name]; former != "" && former != incarnation {
-		windows.ended[former] = true
+	windows.endedProcesses[incarnation] = windows.endedProcesses[incarnation] || session.Ended
+	if replaced := windows.incarnationByName[session.Member.Name]; replaced != "" && replaced != incarnation {
+		windows.endedProcesses[replaced] = true
 	}
-	windows.incarnations[session.Member.Name], windows.names[incarnation] = incarnation, session.Member.Name
+	windows.incarnationByName[session.Member.Name], windows.nameByIncarnation[incarnation] = incarnation, session.Member.Name
 	for _, count := range session.Windows {
 		windows.addCount(incarnation, count)
 	}
 }
 
-// AddBetween takes the counts that a process reports between two heartbeats of its session.
+// AddBetween records the counts that a process reports between two heartbeats of its
+// session.
 func (windows *Windows) AddBetween(request *message.WindowCountsRequest) {
 	windows.mutex.Lock()
 	defer windows.mutex.Unlock()
-	if windows.isAddedTo(request.BaseProcess) {
+	if windows.hasBase(request.BaseProcess) {
 		windows.reportedUntil[request.Incarnation] = max(windows.reportedUntil[request.Incarnation], request.NowMs)
 	}
 	for _, count := range request.Windows {
@@ -104,15 +107,16 @@
 	}
 }
 
-// isComplete reports whether a session's counts, with those known here, are all that its
-// process counted: changes since what was reported to another process are not.
+// isComplete reports whether a session's counts and those known here are all that its
+// process counted. They are not if the session holds only the changes since a report to
+// another process.
 func (windows *Windows) isComplete(session *message.Session) bool {
-	return windows.isAddedTo(session.BaseProcess)
+	return windows.hasBase(session.BaseProcess)
 }
 
-// isAddedTo reports whether counts that add to what a process of a core knows are complete
-// with what is known here.
-func (windows *Windows) isAddedTo(process uint64) bool {
+// hasBase reports whether the counts known here include the base of a report that holds
+// only changes since a report to the given process; 0 means that there is no base.
+func (windows *Windows) hasBase(process uint64) bool {
 	return process == 0 || process == windows.process
 }
 
@@ -135,8 +139,8 @@
 	}
 }
 
-// CountsOf returns all counts that a session's process reported, by window, and whether that
-// is all it counted.
+// CountsOf returns the counts by window of a session's process, and whether they are all
+// that it counted.
 func (windows *Windows) CountsOf(session *message.Session) ([]message.WindowCount, bool) {
 	windows.mutex.Lock()
 	defer windows.mutex.Unlock()
@@ -153,7 +157,7 @@
 	return counts, true
 }
 
-// Oldest returns the first window that anything was counted in, at most the one given.
+// Oldest returns the oldest window with counts, or atMost if there is none before it.
 func (windows *Windows) Oldest(atMost int64) int64 {
 	windows.mutex.Lock()
 	defer windows.mutex.Unlock()
@@ -163,7 +167,7 @@
 	return atMost
 }
 
-// Sum returns a window's requests by tenant, without tenants that have none.
+// Sum returns a window's requests by tenant, omitting tenants without requests.
 func (windows *Windows) Sum(window int64) map[string]uint64 {
 	windows.mutex.Lock()
 	defer windows.mutex.Unlock()
@@ -177,12 +181,12 @@
 }
 
 // AwaitsProcess reports whether a process that counted in a window, or in the one before,
-// goes on and has not said by its own clock what it counted until the window's end.
+// has not ended and has not yet reported, by its own clock, up to the window's end.
 func (windows *Windows) AwaitsProcess(window, endMs int64) bool {
 	windows.mutex.Lock()
 	defer windows.mutex.Unlock()
-	for _, counted := range []int64{window - 1, window} {
-		for incarnation := range windows.counts[counted] {
+	for _, candidate := range []int64{window - 1, window} {
+		for incarnation := range windows.counts[candidate] {
 			if !windows.hasEnded(incarnation) && windows.reportedUntil[incarnation] < endMs {
 				return true
 			}
@@ -191,14 +195,14 @@
 	return false
 }
 
-// AllReported reports whether every proxy of a table that stays said what it counted
-// until a window's end: a new leader knows nothing of those that have not reported to it yet.
+// AllReported reports whether every proxy of a table that is not leaving has reported up to
+// a window's end: a new leader knows no counts of proxies that have not reported to it.
 func (windows *Windows) AllReported(table *message.Table, endMs int64) bool {
 	windows.mutex.Lock()
 	defer windows.mutex.Unlock()
 	for index := range table.Members {
 		member := &table.Members[index]
-		incarnation := windows.incarnations[member.Name]
+		incarnation := windows.incarnationByName[member.Name]
 		if member.Kind == message.ProxyKind && !member.Leaving && windows.reportedUntil[incarnation] < endMs {
 			return false
 		}
@@ -206,24 +210,26 @@
 	return true
 }
 
-// Forget drops windows before one, and processes that reported nothing since it began.
-// LengthMs is the length of a window.
+// Forget drops windows before the given one, and processes that have not reported since it
+// began. lengthMs is the length of a window.
 func (windows *Windows) Forget(before, lengthMs int64) {
 	windows.mutex.Lock()
 	defer windows.mutex.Unlock()
 	maps.DeleteFunc(windows.counts, func(window int64, _ map[string]map[string]windowCount) bool { return window < before })
 	maps.DeleteFunc(windows.reportedUntil, func(_ string, at int64) bool { return at/lengthMs < before })
-	counted := windows.countedProcesses()
-	isForgotten := func(incarnation string) bool { return windows.reportedUntil[incarnation] == 0 && !counted[incarnation] }
-	maps.DeleteFunc(windows.ended, func(incarnation string, _ bool) bool { return isForgotten(incarnation) })
-	maps.DeleteFunc(windows.names, func(incarnation, _ string) bool { return isForgotten(incarnation) })
-	maps.DeleteFunc(windows.reported, func(window int64, _ bool) bool { return window < before })
+	remaining := windows.countedProcesses()
+	isForgotten := func(incarnation string) bool {
+		return windows.reportedUntil[incarnation] == 0 && !remaining[incarnation]
+	}
+	maps.DeleteFunc(windows.endedProcesses, func(incarnation string, _ bool) bool { return isForgotten(incarnation) })
+	maps.DeleteFunc(windows.nameByIncarnation, func(incarnation, _ string) bool { return isForgotten(incarnation) })
+	maps.DeleteFunc(windows.reportedWindows, func(window int64, _ bool) bool { return window < before })
 }
 
-// SetReported notes that a window was reported.
+// SetReported marks a window as reported by this process.
 func (windows *Windows) SetReported(window int64) {
 	windows.mutex.Lock()
-	windows.reported[window] = true
+	windows.reportedWindows[window] = true
 	windows.mutex.Unlock()
 }
 
@@ -231,5 +237,5 @@
 func (windows *Windows) IsReported(window int64) bool {
 	windows.mutex.Lock()
 	defer windows.mutex.Unlock()
-	return windows.reported[window]
+	return windows.reportedWindows[window]
 }
