--- a/config/check.go
+++ b/config/check.go
@@ -12,27 +12,27 @@
 
 const digestPrefix = "sha256:"
 
-// check looks at what one field alone cannot tell. Services of which nothing
-// changed since a checked version, nor of one of the same name, are passed over.
-func (reader *reader) check(settings, before *Settings) {
+// check validates constraints across fields. Routes are checked only for services that
+// changed since the previous, checked version, and for all services of the same name.
+func (reader *reader) check(settings, previous *Settings) {
 	zones := reader.checkZones(settings)
-	reader.regionsKnown("rule.forbid_regions", settings.Rule.ForbidRegions, settings)
+	reader.checkRegionNames("rule.forbid_regions", settings.Rule.ForbidRegions, settings)
 	reader.checkTenants(settings)
-	reader.checkClasses(settings, settings.changedServices(before))
+	reader.checkClasses(settings, settings.changedServices(previous))
 	for index, zone := range settings.Drained.Zones {
 		if _, found := zones[zone]; !found {
-			reader.wrong(fmt.Sprintf("drained.zones[%d]", index), danglingName, "no zone %q", zone)
+			reader.addError(fmt.Sprintf("drained.zones[%d]", index), danglingName, "unknown zone %q", zone)
 		}
 	}
 }
 
-// checkZones wants each zone in one region only, and returns the regions of the zones.
+// checkZones requires that no zone is in two regions, and returns the region by zone.
 func (reader *reader) checkZones(settings *Settings) map[string]string {
 	zones := map[string]string{}
 	for _, name := range sortedNames(settings.Regions) {
 		for index, zone := range settings.Regions[name].Zones {
 			if other, found := zones[zone]; found && other != name {
-				reader.wrong(fmt.Sprintf("regions.%s.zones[%d]", name, index), conflict, "zone %q is in region %q too", zone, other)
+				reader.addError(fmt.Sprintf("regions.%s.zones[%d]", name, index), conflict, "zone %q is already in region %q", zone, other)
 			}
 			zones[zone] = name
 		}
@@ -40,68 +40,69 @@
 	return zones
 }
 
-// checkTenants wants known regions, and well-formed keys that no other tenant has.
+// checkTenants requires known regions, and well-formed keys that no other tenant has.
 func (reader *reader) checkTenants(settings *Settings) {
 	owners := map[string]string{}
 	for _, name := range sortedNames(settings.Tenants) {
 		tenant := settings.Tenants[name]
 		path := "tenants." + name
-		reader.regionsKnown(path+".forbid_regions", tenant.ForbidRegions, settings)
+		reader.checkRegionNames(path+".forbid_regions", tenant.ForbidRegions, settings)
 		for index, key := range tenant.Keys {
-			inner := fmt.Sprintf("%s.keys[%d]", path, index)
+			keyPath := fmt.Sprintf("%s.keys[%d]", path, index)
 			if !isKeyDigest(key) {
-				reader.wrong(inner, outOfRange, "want sha256: and 64 hex digits")
+				reader.addError(keyPath, outOfRange, "want sha256: followed by 64 hex digits")
 			}
 			if other, found := owners[key]; found && other != name {
-				reader.wrong(inner, conflict, "tenant %q has this key too", other)
+				reader.addError(keyPath, conflict, "tenant %q already has this key", other)
 			}
 			owners[key] = name
 		}
 	}
 }
 
-// isKeyDigest is whether a key has the form in which settings hold keys.
+// isKeyDigest reports whether a key is a SHA-256 digest in the form used in settings.
 func isKeyDigest(key string) bool {
 	digits, found := strings.CutPrefix(key, digestPrefix)
 	raw, err := hex.DecodeString(digits)
 	return found && err == nil && len(raw) == sha256.Size
 }
 
-// checkClasses wants ranks that no other class has, known regions, and routes that fit in
+// checkClasses requires ranks that no other class has, known regions, and valid routes in
 // the services that changed.
 func (reader *reader) checkClasses(settings *Settings, changed map[string]bool) {
 	ranks := map[int]string{}
-	entries := map[string]string{}
+	checkedRoutes := map[string]string{}
 	for _, name := range sortedNames(settings.Classes) {
 		class := settings.Classes[name]
 		path := "classes." + name
 		if other, found := ranks[class.Rank]; found && class.Rank > 0 {
-			reader.wrong(path+".rank", conflict, "class %q has this rank too", other)
+			reader.addError(path+".rank", conflict, "class %q already has this rank", other)
 		}
 		ranks[class.Rank] = name
-		reader.regionsKnown(path+".rule.forbid_regions", class.Rule.ForbidRegions, settings)
+		reader.checkRegionNames(path+".rule.forbid_regions", class.Rule.ForbidRegions, settings)
 		for _, serviceName := range sortedNames(class.Services) {
 			service := class.Services[serviceName]
-			inner := path + ".services." + serviceName
-			reader.regionsKnown(inner+".rule.forbid_regions", service.Rule.ForbidRegions, settings)
+			servicePath := path + ".services." + serviceName
+			reader.checkRegionNames(servicePath+".rule.forbid_regions", service.Rule.ForbidRegions, settings)
 			if !changed[serviceName] {
 				continue
 			}
 			for _, routeName := range sortedNames(service.Routes) {
-				reader.checkRoute(inner+".routes."+routeName, serviceName, service.Routes[routeName], entries, settings)
+				reader.checkRoute(servicePath+".routes."+routeName, serviceName, service.Routes[routeName], checkedRoutes, settings)
 			}
 		}
 	}
 }
 
-// changedServices are the names of services that must be looked at.
-func (settings *Settings) changedServices(before *Settings) map[string]bool {
+// changedServices returns the names of services whose routes must be checked: all of them
+// if there is no previous version or the regions changed.
+func (settings *Settings) changedServices(previous *Settings) map[string]bool {
 	changed := map[string]bool{}
 	for className, class := range settings.Classes {
 		for name, service := range class.Services {
-			if before == nil || service.Digest == "" || before.Classes[className].Services[name].Digest != service.Digest ||
+			if previous == nil || service.Digest == "" || previous.Classes[className].Services[name].Digest != service.Digest ||
 				!maps.EqualFunc(
-					before.Regions,
+					previous.Regions,
 					settings.Regions,
 					func(left, right Region) bool { return slices.Equal(left.Zones, right.Zones) },
 				) {
@@ -112,30 +113,30 @@
 	return changed
 }
 
-// checkRoute wants known regions, a known method, a well-formed path, and no other route
-// with the same method, service and path. entries holds the routes that were checked.
-func (reader *reader) checkRoute(path, service string, route Route, entries map[string]string, settings *Settings) {
-	reader.regionsKnown(path+".rule.forbid_regions", route.Rule.ForbidRegions, settings)
+// checkRoute requires known regions, a known method, a well-formed path, and no other route
+// with the same method, service and path among checkedRoutes.
+func (reader *reader) checkRoute(path, service string, route Route, checkedRoutes map[string]string, settings *Settings) {
+	reader.checkRegionNames(path+".rule.forbid_regions", route.Rule.ForbidRegions, settings)
 	switch route.Method {
 	case http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete, "":
 	default:
-		reader.wrong(path+".method", outOfRange, "%q is not among GET, HEAD, POST, PUT, PATCH, DELETE", route.Method)
+		reader.addError(path+".method", outOfRange, "%q is not one of GET, HEAD, POST, PUT, PATCH, DELETE", route.Method)
 	}
 	if route.Path != "" && (!strings.HasPrefix(route.Path, "/") || strings.Contains(strings.TrimSuffix(route.Path, "*"), "*")) {
-		reader.wrong(path+".path", outOfRange, "begins with / and may end with *")
+		reader.addError(path+".path", outOfRange, "must begin with / and may contain * only at the end")
 	}
-	entry := route.Method + " " + service + route.Path
-	if other, found := entries[entry]; found {
-		reader.wrong(path+".path", conflict, "%s is %s too", entry, other)
+	routeKey := route.Method + " " + service + route.Path
+	if other, found := checkedRoutes[routeKey]; found {
+		reader.addError(path+".path", conflict, "%s is already defined by %s", routeKey, other)
 	}
-	entries[entry] = path
+	checkedRoutes[routeKey] = path
 }
 
-// regionsKnown wants regions that the settings name.
-func (reader *reader) regionsKnown(path string, regions []string, settings *Settings) {
+// checkRegionNames requires regions that the settings define.
+func (reader *reader) checkRegionNames(path string, regions []string, settings *Settings) {
 	for index, region := range regions {
 		if _, found := settings.Regions[region]; !found {
-			reader.wrong(fmt.Sprintf("%s[%d]", path, index), danglingName, "no region %q", region)
+			reader.addError(fmt.Sprintf("%s[%d]", path, index), danglingName, "unknown region %q", region)
 		}
 	}
 }
--- a/config/chunk.go
+++ b/config/chunk.go
@@ -11,17 +11,17 @@
 	"orchidjunction/rpc"
 )
 
-// fragment is one branch as it was read.
-type fragment struct {
-	digest  string
-	top     *Settings
-	tenants map[string]Tenant
-	class   *Class
-	service *Service
-	routes  map[string]Route
+// parsedChunk is a decoded chunk; the field of its kind is set.
+type parsedChunk struct {
+	digest   string
+	settings *Settings
+	tenants  map[string]Tenant
+	class    *Class
+	service  *Service
+	routes   map[string]Route
 }
 
-// namesPerBucket is about how many names share a bucket.
+// namesPerBucket is the largest average number of names in a bucket.
 const namesPerBucket = 128
 
 func bucketCount(names int) int {
@@ -38,133 +38,133 @@
 	return int(sum.Sum32()) & (count - 1)
 }
 
-// fragment reads one branch.
-func (reader *reader) fragment(part message.ChunkRef, text []byte) *fragment {
-	held := &fragment{digest: part.Digest}
+// parseChunk decodes a chunk.
+func (reader *reader) parseChunk(ref message.ChunkRef, text []byte) *parsedChunk {
+	chunk := &parsedChunk{digest: ref.Digest}
 	decoder := jx.DecodeBytes(text)
-	names := strings.Split(part.Path, "/")
+	names := strings.Split(ref.Path, "/")
 	switch {
-	case part.Path == "top":
-		held.top = &Settings{Regions: map[string]Region{}}
-		reader.object(decoder, "", reader.topFields(held.top), requiredTop...)
+	case ref.Path == "top":
+		chunk.settings = &Settings{Regions: map[string]Region{}}
+		reader.object(decoder, "", reader.topFields(chunk.settings), requiredTop...)
 	case names[0] == "tenants":
-		held.tenants = map[string]Tenant{}
-		named(reader, held.tenants, reader.tenant)(decoder, "tenants")
+		chunk.tenants = map[string]Tenant{}
+		namedEntries(reader, chunk.tenants, reader.tenant)(decoder, "tenants")
 	case names[0] == "class" && len(names) == 2:
-		held.class = &Class{}
-		reader.object(decoder, "classes."+names[1], reader.classFields(held.class), requiredClass...)
+		chunk.class = &Class{}
+		reader.object(decoder, "classes."+names[1], reader.classFields(chunk.class), requiredClass...)
 	case names[0] == "service" && len(names) == 3:
-		held.service = &Service{}
-		reader.object(decoder, "classes."+names[1]+".services."+names[2], reader.serviceFields(held.service))
+		chunk.service = &Service{}
+		reader.object(decoder, "classes."+names[1]+".services."+names[2], reader.serviceFields(chunk.service))
 	case names[0] == "routes" && len(names) == 4:
-		held.routes = map[string]Route{}
-		named(reader, held.routes, reader.route)(decoder, "classes."+names[1]+".services."+names[2]+".routes")
+		chunk.routes = map[string]Route{}
+		namedEntries(reader, chunk.routes, reader.route)(decoder, "classes."+names[1]+".services."+names[2]+".routes")
 	default:
-		reader.wrong(part.Path, badSyntax, "no such branch")
+		reader.addError(ref.Path, badSyntax, "unknown chunk path")
 	}
-	return held
+	return chunk
 }
 
-// assembleSettings puts the settings together; tenants and services of which nothing
-// changed are those of the version before.
-func (tree *Tree) assembleSettings(before *Tree) error {
-	top := tree.fragments["top"]
+// assembleSettings builds the settings from the parsed chunks. Unchanged tenants and
+// services are shared with the previous version.
+func (tree *Tree) assembleSettings(previous *Tree) error {
+	top := tree.parsedChunks["top"]
 	if top == nil {
-		return rpc.Errorf(rpc.CorruptChunk, "no top branch")
+		return rpc.Errorf(rpc.CorruptChunk, "the top chunk is missing")
 	}
-	settings := *top.top
+	settings := *top.settings
 	settings.Classes = tree.classesWithoutServices()
 	paths := tree.pathsByParent()
-	tree.assembleTenants(&settings, paths[tenantsParent], before)
-	for _, part := range tree.Refs {
-		names := strings.Split(part.Path, "/")
+	tree.assembleTenants(&settings, paths[tenantsKey], previous)
+	for _, ref := range tree.Refs {
+		names := strings.Split(ref.Path, "/")
 		if names[0] != "service" {
 			continue
 		}
 		class, found := settings.Classes[names[1]]
 		if !found {
-			return rpc.Errorf(rpc.CorruptChunk, "branch %s has no class", part.Path)
+			return rpc.Errorf(rpc.CorruptChunk, "chunk %s has no class", ref.Path)
 		}
-		former := Service{}
-		if before != nil {
-			former = before.Settings.Classes[names[1]].Services[names[2]]
+		previousService := Service{}
+		if previous != nil {
+			previousService = previous.Settings.Classes[names[1]].Services[names[2]]
 		}
-		class.Services[names[2]] = tree.assembleService(part.Path, paths[names[1]+"/"+names[2]], &former)
+		class.Services[names[2]] = tree.assembleService(ref.Path, paths[names[1]+"/"+names[2]], &previousService)
 	}
 	tree.Settings = &settings
 	return nil
 }
 
-// tenantsParent is what pathsByParent calls the parent of the tenants' branches.
-const tenantsParent = "tenants"
+// tenantsKey is the key of the tenants' chunks in pathsByParent.
+const tenantsKey = "tenants"
 
-// pathsByParent groups the paths of branches with routes by class and service, and those
-// of branches with tenants under tenantsParent.
+// pathsByParent groups the paths of route chunks by class and service, and those of tenant
+// chunks under tenantsKey.
 func (tree *Tree) pathsByParent() map[string][]string {
 	paths := map[string][]string{}
-	for _, part := range tree.Refs {
-		names := strings.Split(part.Path, "/")
+	for _, ref := range tree.Refs {
+		names := strings.Split(ref.Path, "/")
 		switch names[0] {
 		case "routes":
 			service := names[1] + "/" + names[2]
-			paths[service] = append(paths[service], part.Path)
+			paths[service] = append(paths[service], ref.Path)
 		case "tenants":
-			paths[tenantsParent] = append(paths[tenantsParent], part.Path)
+			paths[tenantsKey] = append(paths[tenantsKey], ref.Path)
 		}
 	}
 	return paths
 }
 
-// classesWithoutServices returns the classes by name, each with no service yet.
+// classesWithoutServices returns the classes by name with empty service maps.
 func (tree *Tree) classesWithoutServices() map[string]Class {
 	classes := map[string]Class{}
-	for _, part := range tree.Refs {
-		names := strings.Split(part.Path, "/")
+	for _, ref := range tree.Refs {
+		names := strings.Split(ref.Path, "/")
 		if names[0] != "class" {
 			continue
 		}
-		class := *tree.fragments[part.Path].class
+		class := *tree.parsedChunks[ref.Path].class
 		class.Services = map[string]Service{}
 		classes[names[1]] = class
 	}
 	return classes
 }
 
-// assembleTenants sets the tenants, which are shared with the version before if none of
-// their branches changed.
-func (tree *Tree) assembleTenants(settings *Settings, paths []string, before *Tree) {
-	settings.tenantsDigest = tree.digest(paths)
-	if before != nil && before.Settings.tenantsDigest == settings.tenantsDigest {
-		settings.Tenants = before.Settings.Tenants
+// assembleTenants sets the tenants, which are shared with the previous version if none of
+// their chunks changed.
+func (tree *Tree) assembleTenants(settings *Settings, paths []string, previous *Tree) {
+	settings.tenantsDigest = tree.combinedDigest(paths)
+	if previous != nil && previous.Settings.tenantsDigest == settings.tenantsDigest {
+		settings.Tenants = previous.Settings.Tenants
 		return
 	}
 	settings.Tenants = map[string]Tenant{}
 	for _, path := range paths {
-		maps.Copy(settings.Tenants, tree.fragments[path].tenants)
+		maps.Copy(settings.Tenants, tree.parsedChunks[path].tenants)
 	}
 }
 
-// assembleService returns the service of a branch with the routes of others. It is the
-// former one if none of these branches changed.
-func (tree *Tree) assembleService(path string, routePaths []string, former *Service) Service {
-	service := *tree.fragments[path].service
-	service.Digest = tree.digest(append([]string{path}, routePaths...))
-	if former.Digest == service.Digest {
-		return *former
+// assembleService returns the service of a chunk with the routes of its route chunks. The
+// previous service is returned if none of these chunks changed.
+func (tree *Tree) assembleService(path string, routePaths []string, previous *Service) Service {
+	service := *tree.parsedChunks[path].service
+	service.Digest = tree.combinedDigest(append([]string{path}, routePaths...))
+	if previous.Digest == service.Digest {
+		return *previous
 	}
 	service.Routes = map[string]Route{}
 	for _, routePath := range routePaths {
-		maps.Copy(service.Routes, tree.fragments[routePath].routes)
+		maps.Copy(service.Routes, tree.parsedChunks[routePath].routes)
 	}
 	return service
 }
 
-// digest names several branches at once.
-func (tree *Tree) digest(paths []string) string {
+// combinedDigest returns a digest over the paths and digests of several chunks.
+func (tree *Tree) combinedDigest(paths []string) string {
 	sum := []byte{}
 	for _, path := range paths {
 		sum = append(sum, path...)
-		sum = append(sum, tree.fragments[path].digest...)
+		sum = append(sum, tree.parsedChunks[path].digest...)
 	}
 	return message.DigestOf(sum)
 }
--- a/config/effective.go
+++ b/config/effective.go
@@ -2,13 +2,13 @@
 
 import "reflect"
 
-// Source is an effective value and the level that gave it.
+// Source is an effective value and the level that sets it.
 type Source struct {
 	Value any    `json:"value"`
 	From  string `json:"from"`
 }
 
-// Effective is a route with every value that it has or inherits, by field name.
+// Effective is a route with its own and inherited values by field name.
 type Effective struct {
 	Class       string            `json:"class"`
 	Service     string            `json:"service"`
@@ -20,34 +20,34 @@
 	Values      map[string]Source `json:"values"`
 }
 
-// Integer returns an integer value, 0 if there is none.
+// Integer returns the integer value of a field, 0 if there is none.
 func (effective *Effective) Integer(name string) int {
 	value, _ := effective.Values[name].Value.(int)
 	return value
 }
 
-// ForbidRegions returns the regions that the route must not be served in.
+// ForbidRegions returns the regions in which the route must not be served.
 func (effective *Effective) ForbidRegions() []string {
 	value, _ := effective.Values["forbid_regions"].Value.([]string)
 	return value
 }
 
-func (rule *Rule) addTo(over map[string]Source, from string) {
+func (rule *Rule) applyTo(values map[string]Source, from string) {
 	for name, value := range map[string]*int{
 		"limit_ms": rule.TimeoutMs, "sends": rule.Attempts, "body_bytes": rule.BodyBytes, "receipt_bytes": rule.ResponseBytes,
 		"hold_ms": rule.TTLMs, "fronts": rule.Proxies, "pipes": rule.IdleConnections,
 	} {
 		if value != nil {
-			over[name] = Source{Value: *value, From: from}
+			values[name] = Source{Value: *value, From: from}
 		}
 	}
 	if rule.ForbidRegions != nil {
-		over["forbid_regions"] = Source{Value: rule.ForbidRegions, From: from}
+		values["forbid_regions"] = Source{Value: rule.ForbidRegions, From: from}
 	}
 }
 
-// Resolve returns every route with its inherited values, ordered by class, service
-// and route.
+// Resolve returns all routes with their inherited values, sorted by class, service and
+// route.
 func (settings *Settings) Resolve() []Effective {
 	all := []Effective{}
 	for _, className := range sortedNames(settings.Classes) {
@@ -57,10 +57,10 @@
 			for _, routeName := range sortedNames(service.Routes) {
 				route := service.Routes[routeName]
 				values := map[string]Source{"forbid_regions": {Value: []string{}, From: "default"}}
-				settings.Rule.addTo(values, "partner")
-				class.Rule.addTo(values, "class "+className)
-				service.Rule.addTo(values, "service "+serviceName)
-				route.Rule.addTo(values, "route "+routeName)
+				settings.Rule.applyTo(values, "partner")
+				class.Rule.applyTo(values, "class "+className)
+				service.Rule.applyTo(values, "service "+serviceName)
+				route.Rule.applyTo(values, "route "+routeName)
 				all = append(all, Effective{
 					Class: className, Service: serviceName, Route: routeName,
 					Method: route.Method, Path: route.Path, Rank: class.Rank, KeyRequired: class.KeyRequired, Values: values,
@@ -74,10 +74,9 @@
 // Same reports whether two effective values are equal.
 func Same(left, right any) bool { return reflect.DeepEqual(left, right) }
 
-// FlatRoute is a route with its effective values, as the data plane uses it. LimitMs is
-// the longest time that a request may take, in milliseconds; Sends the number of
-// tries; BodyBytes and ReceiptBytes bound request and response bodies; Pipes the
-// idle connections per backend.
+// FlatRoute is a route with its effective values, as the data plane uses it. TimeoutMs
+// bounds the duration of a request, Attempts the number of tries, BodyBytes and
+// ResponseBytes the bodies, IdleConnections the idle connections per backend.
 type FlatRoute struct {
 	Class           string
 	Service         string
@@ -94,14 +93,14 @@
 	ForbidRegions   []string
 }
 
-// overlay returns what is inherited with the rule's own values in its place.
+// overlay returns the inherited route with the values that the rule sets replaced.
 func (rule *Rule) overlay(flat FlatRoute) FlatRoute {
 	for _, field := range []struct {
-		given *int
-		into  *int
+		value  *int
+		target *int
 	}{{rule.TimeoutMs, &flat.TimeoutMs}, {rule.Attempts, &flat.Attempts}, {rule.BodyBytes, &flat.BodyBytes}, {rule.ResponseBytes, &flat.ResponseBytes}, {rule.IdleConnections, &flat.IdleConnections}} {
-		if field.given != nil {
-			*field.into = *field.given
+		if field.value != nil {
+			*field.target = *field.value
 		}
 	}
 	if rule.ForbidRegions != nil {
@@ -113,15 +112,15 @@
 // Inherited returns the values that the routes of a service inherit.
 func (settings *Settings) Inherited(className, serviceName string) FlatRoute {
 	class := settings.Classes[className]
-	ofClass := class.Rule.overlay(settings.Rule.overlay(FlatRoute{}))
-	ofClass.Class, ofClass.Rank, ofClass.KeyRequired = className, class.Rank, class.KeyRequired
+	classDefaults := class.Rule.overlay(settings.Rule.overlay(FlatRoute{}))
+	classDefaults.Class, classDefaults.Rank, classDefaults.KeyRequired = className, class.Rank, class.KeyRequired
 	service := class.Services[serviceName]
-	ofService := service.Rule.overlay(ofClass)
-	ofService.Service = serviceName
-	return ofService
+	serviceDefaults := service.Rule.overlay(classDefaults)
+	serviceDefaults.Service = serviceName
+	return serviceDefaults
 }
 
-// Flatten returns the routes of one service in the order of their names.
+// Flatten returns the routes of the service sorted by name.
 func (service *Service) Flatten(inherited FlatRoute) []FlatRoute {
 	all := make([]FlatRoute, 0, len(service.Routes))
 	for _, name := range sortedNames(service.Routes) {
--- a/config/patch.go
+++ b/config/patch.go
@@ -10,11 +10,11 @@
 	"orchidjunction/rpc"
 )
 
-// Patch merges a partial tree into a whole one (JSON merge patch, RFC 7396):
-// objects merge, null removes. The result is not checked; a partial tree that is no
-// object or names a field twice is rpc.Invalid.
+// Patch applies a JSON merge patch (RFC 7396) to base: objects are merged, null removes a
+// field. The result is not checked. A patch that is not an object or contains a field twice
+// returns an rpc.Invalid error.
 func Patch(base, partial []byte) ([]byte, error) {
-	part, err := readPartial(partial)
+	patch, err := readPartial(partial)
 	if err != nil {
 		return nil, err
 	}
@@ -24,19 +24,19 @@
 			return nil, err
 		}
 	}
-	body, err := json.Marshal(merge(whole, part))
+	body, err := json.Marshal(merge(whole, patch))
 	if err != nil {
 		return nil, rpc.Errorf(rpc.Invalid, "%v", err)
 	}
 	return body, nil
 }
 
-// readPartial refuses fields that are there twice and all that is no object.
+// readPartial decodes a patch, which must be an object without duplicate fields.
 func readPartial(partial []byte) (map[string]any, error) {
 	reader := &reader{}
 	reader.checkUnique(jx.DecodeBytes(partial), "")
 	if len(reader.details) > 0 {
-		return nil, reader.refusal()
+		return nil, reader.validationError()
 	}
 	return decode(partial)
 }
@@ -48,47 +48,47 @@
 	if err := decoder.Decode(&value); err != nil {
 		return nil, &rpc.Error{
 			Code:    rpc.Invalid,
-			Message: "1 wrong",
+			Message: "invalid fields: 1",
 			Details: []rpc.Detail{{Path: ".", Message: err.Error(), Code: badSyntax}},
 		}
 	}
-	object, able := value.(map[string]any)
-	if !able {
+	object, ok := value.(map[string]any)
+	if !ok {
 		return nil, &rpc.Error{
 			Code:    rpc.Invalid,
-			Message: "1 wrong",
-			Details: []rpc.Detail{{Path: ".", Message: "a partial change is an object", Code: wrongType}},
+			Message: "invalid fields: 1",
+			Details: []rpc.Detail{{Path: ".", Message: "want an object", Code: wrongType}},
 		}
 	}
 	return object, nil
 }
 
-// checkUnique names every field that an object gives twice, at any depth.
+// checkUnique records every duplicate field, at any depth.
 func (reader *reader) checkUnique(decoder *jx.Decoder, path string) {
 	switch decoder.Next() {
 	case jx.Object:
-		reader.each(decoder, path, func(decoder *jx.Decoder, _, inner string) { reader.checkUnique(decoder, inner) })
+		reader.eachField(decoder, path, func(decoder *jx.Decoder, _, fieldPath string) { reader.checkUnique(decoder, fieldPath) })
 	case jx.Array:
 		err := decoder.Arr(func(decoder *jx.Decoder) error {
 			reader.checkUnique(decoder, path)
-			return reader.broken
+			return reader.syntaxErr
 		})
-		_ = reader.syntax(path, err) // kept in reader.broken
+		_ = reader.noteSyntaxError(path, err) // kept in reader.syntaxErr
 	default:
 		reader.skip(decoder, path)
 	}
 }
 
-func merge(whole, part any) any {
-	branch, object := part.(map[string]any)
-	if !object {
-		return part
+func merge(whole, patch any) any {
+	fields, isObject := patch.(map[string]any)
+	if !isObject {
+		return patch
 	}
 	merged := map[string]any{}
-	if before, same := whole.(map[string]any); same {
-		maps.Copy(merged, before)
+	if original, wholeIsObject := whole.(map[string]any); wholeIsObject {
+		maps.Copy(merged, original)
 	}
-	for name, value := range branch {
+	for name, value := range fields {
 		if value == nil {
 			delete(merged, name)
 			continue
--- a/config/read_test.go
+++ b/config/read_test.go
@@ -12,17 +12,17 @@
 	"orchidjunction/rpc"
 )
 
-// TestTree lays one partial change over the small example and shows what is
-// wrong with the whole, or what one route then inherits.
+// TestTree applies a patch to the small example and prints the errors of the result, or an
+// effective value of a route. It also compares Flatten with Resolve.
 func TestTree(test *testing.T) {
 	base, err := os.ReadFile("../examples/small.json")
 	if err != nil {
 		test.Fatal(err)
 	}
 	datadriven.Walk(test, "testdata/tree", func(test *testing.T, path string) {
-		datadriven.RunTest(test, path, func(test *testing.T, line *datadriven.TestData) string {
-			body := []byte(line.Input)
-			if line.Cmd != "text" {
+		datadriven.RunTest(test, path, func(test *testing.T, data *datadriven.TestData) string {
+			body := []byte(data.Input)
+			if data.Cmd != "text" {
 				patched, err := config.Patch(base, body)
 				if err != nil {
 					return err.Error() + "\n"
@@ -49,15 +49,15 @@
 					flat.ResponseBytes != effective.Integer("receipt_bytes") ||
 					flat.IdleConnections != effective.Integer("pipes") ||
 					fmt.Sprint(flat.ForbidRegions) != fmt.Sprint(effective.ForbidRegions()) {
-					test.Errorf("%s: %+v is not %+v", effective.Route, flat, effective)
+					test.Errorf("%s: flattened %+v, resolved %+v", effective.Route, flat, effective)
 				}
 			}
-			if line.Cmd != "effective" {
+			if data.Cmd != "effective" {
 				return "valid\n"
 			}
 			var route, field string
-			line.ScanArgs(test, "route", &route)
-			line.ScanArgs(test, "field", &field)
+			data.ScanArgs(test, "route", &route)
+			data.ScanArgs(test, "field", &field)
 			for _, effective := range settings.Resolve() {
 				if effective.Route == route {
 					return fmt.Sprintf("%v from %s\n", effective.Values[field].Value, effective.Values[field].From)
--- a/config/settings.go
+++ b/config/settings.go
@@ -1,11 +1,10 @@
-// Package config is the settings that operators write: it reads and checks them
-// (Read), resolves what routes inherit (Settings.Resolve for operators,
-// Settings.Flatten for the data plane), merges partial changes (Patch), and splits
-// a version into content-addressed branches (Tree) so that only branches that
-// changed are sent and read.
+// Package config implements the settings that operators write: it decodes and checks them
+// (Read), resolves what routes inherit (Settings.Resolve for operators, Settings.Flatten
+// for the data plane), applies patches (Patch), and splits a version into content-addressed
+// chunks (Tree) so that only changed chunks are sent and parsed.
 //
-// Text flows in as JSON; out come immutable Settings, or an
-// rpc.Error of kind rpc.Invalid that names every field that is wrong.
+// The input is JSON; the result is immutable Settings, or an rpc.Error with the code
+// rpc.Invalid that lists every invalid field.
 package config
 
 import (
@@ -16,10 +15,10 @@
 	"orchidjunction/idempotency"
 )
 
-// Rule is the values that each level of the settings may override: partner, class,
-// service, route. A nil field is inherited from the level above. Times are
-// milliseconds, sizes bytes; Sends is the number of tries, Fronts the number of
-// proxies per tenant, Pipes the number of idle connections per backend.
+// Rule holds the values that each level of the settings may override: partner, class,
+// service, route. A nil field is inherited from the level above. Times are in milliseconds,
+// sizes in bytes; Attempts is the number of tries, Proxies the number of proxies per tenant,
+// IdleConnections the number of idle connections per backend.
 type Rule struct {
 	TimeoutMs       *int     `json:"limit_ms,omitempty"`
 	Attempts        *int     `json:"sends,omitempty"`
@@ -36,33 +35,32 @@
 	Zones []string `json:"zones"`
 }
 
-// Tenant is a customer: the SHA-256 digests of its keys, its relative Share of
-// traffic, and the regions that its traffic must not enter.
+// Tenant is a customer: the SHA-256 digests of its keys, its relative Share of traffic, and
+// the regions that its traffic must not enter.
 type Tenant struct {
 	Keys          []string `json:"keys"`
 	Share         int      `json:"share"`
 	ForbidRegions []string `json:"forbid_regions,omitempty"`
 }
 
-// Route is a method and path of a service. A path may end with * to match by
-// prefix.
+// Route is a method and path of a service. A path that ends with * matches by prefix.
 type Route struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Rule   Rule   `json:"rule"`
 }
 
-// Service is a group of routes that the same backends serve. Digest covers all that
-// it holds if it was read from branches, else it is empty.
+// Service is a group of routes that the same backends serve. Digest covers the service with
+// its routes if it was assembled from chunks, otherwise it is empty.
 type Service struct {
 	Rule   Rule             `json:"rule"`
 	Routes map[string]Route `json:"routes"`
 	Digest string           `json:"-"`
 }
 
-// Class is a priority class of services. Rank 1 is the most urgent; FloorRps
-// requests a second are always admitted, BorrowRps more while backends are idle.
-// Requests of a class with Money run at most once per idempotency key.
+// Class is a priority class of services. Rank 1 is the most urgent; FloorRps requests per
+// second are always admitted, BorrowRps more while backends are idle. Requests of a class
+// with KeyRequired run at most once per idempotency key.
 type Class struct {
 	Rank        int                `json:"rank"`
 	KeyRequired bool               `json:"money"`
@@ -72,28 +70,27 @@
 	Services    map[string]Service `json:"services"`
 }
 
-// Retry is the retry budget: retries may be Fraction of first sends plus Floor per
-// SpanMs milliseconds, over all proxies together.
+// Retry is the retry budget: per SpanMs milliseconds and over all proxies, Fraction of the
+// first attempts plus Floor retries.
 type Retry struct {
 	Fraction float64 `json:"fraction"`
 	Floor    int     `json:"floor"`
 	SpanMs   int     `json:"span_ms"`
 }
 
-// KeySettings is how long idempotency keys are remembered, in seconds; 0 means the
-// default.
+// KeySettings holds the TTL of idempotency keys in seconds; 0 means the default.
 type KeySettings struct {
 	TTLSeconds int `json:"remember_s,omitempty"`
 }
 
-// Drained is the zones and backends that get no new requests.
+// Drained lists the zones and backends that get no new requests.
 type Drained struct {
 	Zones    []string `json:"zones,omitempty"`
 	Backends []string `json:"backends,omitempty"`
 }
 
-// Settings is the whole settings of one partner. It is not changed once read, and
-// versions may share parts.
+// Settings are the whole settings of one partner. They are immutable, and versions may
+// share parts.
 type Settings struct {
 	Format   int               `json:"format"`
 	Partner  string            `json:"partner"`
@@ -110,7 +107,7 @@
 	tenantsDigest string
 }
 
-// KeyTTL returns how long idempotency keys are remembered.
+// KeyTTL returns the TTL of idempotency keys.
 func (settings *Settings) KeyTTL() time.Duration {
 	if settings.Keys.TTLSeconds == 0 {
 		return idempotency.DefaultTTL
--- a/config/splitter.go
+++ b/config/splitter.go
@@ -11,34 +11,36 @@
 	"orchidjunction/message"
 )
 
-// splitter cuts a decoded tree into branches.
+// splitter splits a decoded JSON document of settings into chunks. Buckets, classes and
+// services that are identical to those of the previous version keep its chunks.
 type splitter struct {
-	former        *Tree
-	formerDecoded map[string]any
-	refs          []message.ChunkRef
-	chunks        message.Chunks
+	previous         *Tree
+	previousDocument map[string]any
+	refs             []message.ChunkRef
+	chunks           message.Chunks
 }
 
-// same is whether two decoded values are one and the same.
-func same(left, right any) bool {
-	former, latter := reflect.ValueOf(left), reflect.ValueOf(right)
-	if former.Kind() != latter.Kind() {
+// isIdentical reports whether two decoded values are the same: the same map or slice in
+// memory, or equal scalars.
+func isIdentical(left, right any) bool {
+	leftValue, rightValue := reflect.ValueOf(left), reflect.ValueOf(right)
+	if leftValue.Kind() != rightValue.Kind() {
 		return false
 	}
-	switch former.Kind() {
+	switch leftValue.Kind() {
 	case reflect.Map:
-		return former.Pointer() == latter.Pointer()
+		return leftValue.Pointer() == rightValue.Pointer()
 	case reflect.Slice:
-		return former.Pointer() == latter.Pointer() && former.Len() == latter.Len()
+		return leftValue.Pointer() == rightValue.Pointer() && leftValue.Len() == rightValue.Len()
 	case reflect.Invalid:
 		return true
 	}
 	return left == right
 }
 
-func object(value any) map[string]any {
-	branch, _ := value.(map[string]any)
-	return branch
+func asObject(value any) map[string]any {
+	fields, _ := value.(map[string]any)
+	return fields
 }
 
 func (splitter *splitter) put(path string, value any) {
@@ -48,50 +50,55 @@
 	splitter.chunks[digest] = text
 }
 
-// keepFormer takes the former version's branches of a path and below.
-func (splitter *splitter) keepFormer(accept func(path string) bool) {
-	for _, part := range splitter.former.Refs {
-		if accept(part.Path) {
-			splitter.refs = append(splitter.refs, part)
+// reusePrevious keeps the chunks of the previous version whose paths match.
+func (splitter *splitter) reusePrevious(matches func(path string) bool) {
+	for _, ref := range splitter.previous.Refs {
+		if matches(ref.Path) {
+			splitter.refs = append(splitter.refs, ref)
 		}
 	}
 }
 
-// without is an object less what lies in branches of its own.
-func without(branch map[string]any, fields ...string) map[string]any {
-	rest := make(map[string]any, len(branch))
-	maps.Copy(rest, branch)
+// without returns a copy of an object without the given fields.
+func without(object map[string]any, fields ...string) map[string]any {
+	rest := make(map[string]any, len(object))
+	maps.Copy(rest, object)
 	for _, field := range fields {
 		delete(rest, field)
 	}
 	return rest
 }
 
-// split is false where the tree has not the shape that branches need.
+// split returns false if objects or names on which chunks depend are missing or invalid.
 func (splitter *splitter) split(whole map[string]any) bool {
-	tenants, classes := object(whole["tenants"]), object(whole["classes"])
+	tenants, classes := asObject(whole["tenants"]), asObject(whole["classes"])
 	if tenants == nil || classes == nil {
 		return false
 	}
 	splitter.put("top", without(whole, "tenants", "classes"))
-	splitter.buckets("tenants", tenants, object(splitter.formerDecoded["tenants"]))
-	formerly := object(splitter.formerDecoded["classes"])
+	splitter.splitBuckets("tenants", tenants, asObject(splitter.previousDocument["tenants"]))
+	previousClasses := asObject(splitter.previousDocument["classes"])
 	for _, name := range sortedNames(classes) {
-		class, former := object(classes[name]), object(formerly[name])
-		services := object(class["services"])
+		class, previous := asObject(classes[name]), asObject(previousClasses[name])
+		services := asObject(class["services"])
 		if services == nil || !isValidName(name) {
 			return false
 		}
-		if former != nil && same(class, former) {
-			splitter.keepFormer(func(path string) bool {
+		if previous != nil && isIdentical(class, previous) {
+			splitter.reusePrevious(func(path string) bool {
 				names := strings.Split(path, "/")
 				return len(names) > 1 && names[0] != "tenants" && names[1] == name
 			})
 			continue
 		}
 		splitter.put("class/"+name, without(class, "services"))
-		for _, inner := range sortedNames(services) {
-			if !splitter.service(name+"/"+inner, inner, object(services[inner]), object(object(former["services"])[inner])) {
+		for _, serviceName := range sortedNames(services) {
+			if !splitter.splitService(
+				name+"/"+serviceName,
+				serviceName,
+				asObject(services[serviceName]),
+				asObject(asObject(previous["services"])[serviceName]),
+			) {
 				return false
 			}
 		}
@@ -100,57 +107,57 @@
 	return true
 }
 
-func (splitter *splitter) service(path, name string, service, former map[string]any) bool {
-	routes := object(service["routes"])
+func (splitter *splitter) splitService(path, name string, service, previous map[string]any) bool {
+	routes := asObject(service["routes"])
 	if routes == nil || !isValidName(name) {
 		return false
 	}
-	if former != nil && same(service, former) {
-		splitter.keepFormer(func(held string) bool {
-			return held == "service/"+path || strings.HasPrefix(held, "routes/"+path+"/")
+	if previous != nil && isIdentical(service, previous) {
+		splitter.reusePrevious(func(candidate string) bool {
+			return candidate == "service/"+path || strings.HasPrefix(candidate, "routes/"+path+"/")
 		})
 		return true
 	}
 	splitter.put("service/"+path, without(service, "routes"))
-	splitter.buckets("routes/"+path, routes, object(former["routes"]))
+	splitter.splitBuckets("routes/"+path, routes, asObject(previous["routes"]))
 	return true
 }
 
-// buckets spreads an object's names; only buckets in which something changed
-// are written anew.
-func (splitter *splitter) buckets(path string, now, former map[string]any) {
-	count := bucketCount(len(now))
-	fresh := former == nil || splitter.former == nil || bucketCount(len(former)) != count
+// splitBuckets distributes the fields of an object over buckets by a hash of their names.
+// Only buckets with a change are encoded again.
+func (splitter *splitter) splitBuckets(path string, current, previous map[string]any) {
+	count := bucketCount(len(current))
+	rebuild := previous == nil || splitter.previous == nil || bucketCount(len(previous)) != count
 	dirty := map[int]map[string]any{}
-	mark := func(name string) {
+	markDirty := func(name string) {
 		if bucket := bucketOf(name, count); dirty[bucket] == nil {
 			dirty[bucket] = map[string]any{}
 		}
 	}
-	for name, value := range now {
-		if before, found := former[name]; fresh || !found || !same(before, value) {
-			mark(name)
+	for name, value := range current {
+		if old, found := previous[name]; rebuild || !found || !isIdentical(old, value) {
+			markDirty(name)
 		}
 	}
-	for name := range former {
-		if _, found := now[name]; !found && !fresh {
-			mark(name)
+	for name := range previous {
+		if _, found := current[name]; !found && !rebuild {
+			markDirty(name)
 		}
 	}
-	for name, value := range now {
+	for name, value := range current {
 		if bucket := dirty[bucketOf(name, count)]; bucket != nil {
 			bucket[name] = value
 		}
 	}
-	spot := func(bucket int) string { return fmt.Sprintf("%s/%04x", path, bucket) }
+	bucketPath := func(bucket int) string { return fmt.Sprintf("%s/%04x", path, bucket) }
 	for bucket := range count {
 		switch {
 		case len(dirty[bucket]) > 0:
-			splitter.put(spot(bucket), dirty[bucket])
-		case dirty[bucket] == nil && !fresh && splitter.former.fragments[spot(bucket)] != nil:
+			splitter.put(bucketPath(bucket), dirty[bucket])
+		case dirty[bucket] == nil && !rebuild && splitter.previous.parsedChunks[bucketPath(bucket)] != nil:
 			splitter.refs = append(
 				splitter.refs,
-				message.ChunkRef{Path: spot(bucket), Digest: splitter.former.fragments[spot(bucket)].digest},
+				message.ChunkRef{Path: bucketPath(bucket), Digest: splitter.previous.parsedChunks[bucketPath(bucket)].digest},
 			)
 		}
 	}
--- a/config/tree.go
+++ b/config/tree.go
@@ -11,79 +11,80 @@
 	"orchidjunction/rpc"
 )
 
-// Tree is one version of the settings in branches. A branch is a part of the
-// text with a path: the top, a bucket of tenants, a class or a service without
-// what lies below it, a bucket of routes. What did not change since the version
-// before is shared with it, read only once.
+// Tree is one version of the settings, split into content-addressed chunks. A chunk is a
+// part of the JSON text with a path: the top level, a bucket of tenants, a class without its
+// services, a service without its routes, or a bucket of routes. Unchanged parts are shared
+// with the previous version and parsed only once.
 type Tree struct {
-	Settings  *Settings
-	Refs      []message.ChunkRef
-	chunks    message.Chunks
-	fragments map[string]*fragment
+	Settings     *Settings
+	Refs         []message.ChunkRef
+	chunks       message.Chunks
+	parsedChunks map[string]*parsedChunk
 
-	mutex       sync.Mutex
-	body        []byte
-	decodedText map[string]any
+	mutex    sync.Mutex
+	body     []byte
+	document map[string]any
 }
 
-// Parse reads, checks and splits a whole text.
-func Parse(body []byte, before *Tree) (*Tree, error) {
+// Parse decodes, checks and splits the JSON text of whole settings.
+func Parse(body []byte, previous *Tree) (*Tree, error) {
 	if _, err := Read(body); err != nil {
 		return nil, err
 	}
-	whole, err := decode(body)
+	document, err := decode(body)
 	if err != nil {
 		return nil, err
 	}
-	return parse(whole, before)
+	return parseDocument(document, previous)
 }
 
-func parse(whole map[string]any, before *Tree) (*Tree, error) {
-	splitter := &splitter{former: before, chunks: message.Chunks{}}
-	if before != nil {
-		splitter.formerDecoded = before.decoded()
+func parseDocument(document map[string]any, previous *Tree) (*Tree, error) {
+	splitter := &splitter{previous: previous, chunks: message.Chunks{}}
+	if previous != nil {
+		splitter.previousDocument = previous.decoded()
 	}
-	if !splitter.split(whole) {
-		body, err := json.Marshal(whole)
+	if !splitter.split(document) {
+		body, err := json.Marshal(document)
 		if err != nil {
 			return nil, rpc.Errorf(rpc.Invalid, "%v", err)
 		}
 		if _, err := Read(body); err != nil {
 			return nil, err
 		}
-		return nil, rpc.Errorf(rpc.Invalid, "the tree has no known shape")
+		return nil, rpc.Errorf(rpc.Invalid, "settings cannot be split into chunks")
 	}
-	tree, err := assembleTree(before, splitter.refs, splitter.chunks, true)
+	tree, err := assembleTree(previous, splitter.refs, splitter.chunks, true)
 	if err != nil {
 		return nil, err
 	}
-	tree.decodedText = whole
+	tree.document = document
 	return tree, nil
 }
 
-// Patch merges a partial tree into this one; objects merge, null removes.
+// Patch returns the tree with a JSON merge patch applied, see the function Patch.
 func (tree *Tree) Patch(partial []byte) (*Tree, error) {
-	part, err := readPartial(partial)
+	patch, err := readPartial(partial)
 	if err != nil {
 		return nil, err
 	}
-	return parse(merge(tree.decoded(), part).(map[string]any), tree)
+	return parseDocument(merge(tree.decoded(), patch).(map[string]any), tree)
 }
 
-// Assemble makes the tree of parts whose texts are known by the version before or given.
-func Assemble(before *Tree, parts []message.ChunkRef, chunks message.Chunks) (*Tree, error) {
-	return assembleTree(before, parts, chunks, false)
+// Assemble returns the tree of the given chunks, whose texts are taken from chunks or from
+// the previous version. The settings are not checked across fields, as Parse does.
+func Assemble(previous *Tree, refs []message.ChunkRef, chunks message.Chunks) (*Tree, error) {
+	return assembleTree(previous, refs, chunks, false)
 }
 
-// Missing are the digests among parts that this tree does not hold.
-func (tree *Tree) Missing(parts []message.ChunkRef) []string {
+// Missing returns the digests among refs that the tree does not contain.
+func (tree *Tree) Missing(refs []message.ChunkRef) []string {
 	if tree == nil {
-		return message.MissingChunks(parts)
+		return message.MissingChunks(refs)
 	}
-	return message.MissingChunks(parts, tree.chunks)
+	return message.MissingChunks(refs, tree.chunks)
 }
 
-// Text is a branch of this tree.
+// Text returns the text of a chunk of the tree, nil if there is none.
 func (tree *Tree) Text(digest string) []byte {
 	if tree == nil {
 		return nil
@@ -97,80 +98,80 @@
 	}
 	tree.mutex.Lock()
 	defer tree.mutex.Unlock()
-	if tree.decodedText == nil {
-		tree.decodedText, _ = decode(tree.compose())
+	if tree.document == nil {
+		tree.document, _ = decode(tree.composeBody())
 	}
-	return tree.decodedText
+	return tree.document
 }
 
-// Body is the whole text.
+// Body returns the JSON text of the whole settings.
 func (tree *Tree) Body() []byte {
 	if tree == nil {
 		return nil
 	}
 	tree.mutex.Lock()
 	defer tree.mutex.Unlock()
-	return tree.compose()
+	return tree.composeBody()
 }
 
-func assembleTree(before *Tree, parts []message.ChunkRef, chunks message.Chunks, check bool) (*Tree, error) {
-	tree := &Tree{Refs: parts, chunks: make(message.Chunks, len(parts)), fragments: make(map[string]*fragment, len(parts))}
+func assembleTree(previous *Tree, refs []message.ChunkRef, chunks message.Chunks, validate bool) (*Tree, error) {
+	tree := &Tree{Refs: refs, chunks: make(message.Chunks, len(refs)), parsedChunks: make(map[string]*parsedChunk, len(refs))}
 	reader := &reader{}
-	for _, part := range parts {
-		text := chunks[part.Digest]
+	for _, ref := range refs {
+		text := chunks[ref.Digest]
 		if text == nil {
-			text = before.Text(part.Digest)
+			text = previous.Text(ref.Digest)
 		}
 		if text == nil {
-			return nil, rpc.Errorf(rpc.CorruptChunk, "branch %s is missing", part.Path)
+			return nil, rpc.Errorf(rpc.CorruptChunk, "chunk %s is missing", ref.Path)
 		}
-		tree.chunks[part.Digest] = text
-		if before != nil {
-			if held := before.fragments[part.Path]; held != nil && held.digest == part.Digest {
-				tree.fragments[part.Path] = held
+		tree.chunks[ref.Digest] = text
+		if previous != nil {
+			if unchanged := previous.parsedChunks[ref.Path]; unchanged != nil && unchanged.digest == ref.Digest {
+				tree.parsedChunks[ref.Path] = unchanged
 				continue
 			}
 		}
-		tree.fragments[part.Path] = reader.fragment(part, text)
+		tree.parsedChunks[ref.Path] = reader.parseChunk(ref, text)
 	}
 	if len(reader.details) > 0 {
-		return nil, reader.refusal()
+		return nil, reader.validationError()
 	}
-	if err := tree.assembleSettings(before); err != nil {
+	if err := tree.assembleSettings(previous); err != nil {
 		return nil, err
 	}
-	if check {
-		var former *Settings
-		if before != nil {
-			former = before.Settings
+	if validate {
+		var previousSettings *Settings
+		if previous != nil {
+			previousSettings = previous.Settings
 		}
-		if reader.check(tree.Settings, former); len(reader.details) > 0 {
-			return nil, reader.refusal()
+		if reader.check(tree.Settings, previousSettings); len(reader.details) > 0 {
+			return nil, reader.validationError()
 		}
 	}
 	return tree, nil
 }
 
-// compose is the whole text, made once.
-func (tree *Tree) compose() []byte {
+// composeBody returns the JSON text of the whole settings and caches it.
+func (tree *Tree) composeBody() []byte {
 	if tree.body != nil {
 		return tree.body
 	}
-	inner := func(path string) []byte {
-		text := tree.chunks[tree.fragments[path].digest]
+	contents := func(path string) []byte {
+		text := tree.chunks[tree.parsedChunks[path].digest]
 		return text[1 : len(text)-1]
 	}
-	below := map[string][]string{}
-	for _, part := range tree.Refs {
-		names := strings.Split(part.Path, "/")
+	children := map[string][]string{}
+	for _, ref := range tree.Refs {
+		names := strings.Split(ref.Path, "/")
 		kind := names[0]
 		if len(names) > 1 && kind != "tenants" {
 			kind += "/" + strings.Join(names[1:len(names)-1], "/")
 		}
-		below[kind] = append(below[kind], part.Path)
+		children[kind] = append(children[kind], ref.Path)
 	}
 	var body bytes.Buffer
-	list := func(field string, paths []string, write func(path string)) {
+	writeObject := func(field string, paths []string, write func(path string)) {
 		fmt.Fprintf(&body, `,%q:{`, field)
 		for index, path := range paths {
 			if index > 0 {
@@ -181,23 +182,23 @@
 		body.WriteByte('}')
 	}
 	body.WriteByte('{')
-	body.Write(inner("top"))
-	list("tenants", below["tenants"], func(path string) { body.Write(inner(path)) })
-	list("classes", below["class/"], func(path string) {
+	body.Write(contents("top"))
+	writeObject("tenants", children["tenants"], func(path string) { body.Write(contents(path)) })
+	writeObject("classes", children["class/"], func(path string) {
 		class := strings.Split(path, "/")[1]
 		fmt.Fprintf(&body, `%q:{`, class)
-		body.Write(inner(path))
-		list("services", below["service/"+class], func(path string) {
+		body.Write(contents(path))
+		writeObject("services", children["service/"+class], func(path string) {
 			service := strings.Split(path, "/")[2]
 			fmt.Fprintf(&body, `%q:{`, service)
-			head := inner(path)
-			body.Write(head)
-			mark := body.Len()
-			list("routes", below["routes/"+class+"/"+service], func(path string) { body.Write(inner(path)) })
-			if len(head) == 0 {
-				text := append([]byte{}, body.Bytes()[mark+1:]...)
-				body.Truncate(mark)
-				body.Write(text)
+			ownFields := contents(path)
+			body.Write(ownFields)
+			start := body.Len()
+			writeObject("routes", children["routes/"+class+"/"+service], func(path string) { body.Write(contents(path)) })
+			if len(ownFields) == 0 {
+				rest := append([]byte{}, body.Bytes()[start+1:]...)
+				body.Truncate(start)
+				body.Write(rest)
 			}
 			body.WriteByte('}')
 		})
--- a/config/tree_test.go
+++ b/config/tree_test.go
@@ -14,10 +14,10 @@
 	"orchidjunction/rpc"
 )
 
-// Random partial changes, some of them invalid, on a tree with many routes: in
-// branches it comes out as by reading the whole text, refusals too; its branches
-// do not depend on the way it came about; and one route's change makes few anew.
-func TestBranchesAreTheWholeText(test *testing.T) {
+// Guards against a difference between a tree patched by chunks and the same whole text, also
+// in what is refused, against chunks that depend on the history of a tree, and against many
+// new chunks for a small change. Random patches, some invalid, change a tree of many routes.
+func TestChunkedTreeMatchesWholeText(test *testing.T) {
 	base, err := os.ReadFile("../examples/small.json")
 	if err != nil {
 		test.Fatal(err)
@@ -29,62 +29,62 @@
 	follower, chunks := tree, message.Chunks{}
 	random := rand.New(rand.NewPCG(1, 2))
 	refused := 0
-	for turn := range 300 {
-		patch := draw(random, turn)
+	for step := range 300 {
+		patch := randomPatch(random, step)
 		body, _ := config.Patch(tree.Body(), patch)
-		settings, whole := config.Read(body)
+		settings, readErr := config.Read(body)
 		next, err := tree.Patch(patch)
-		if (err == nil) != (whole == nil) {
-			test.Fatalf("%.200s: whole %v, in branches %v", patch, whole, err)
+		if (err == nil) != (readErr == nil) {
+			test.Fatalf("%.200s: whole text: %v, by chunks: %v", patch, readErr, err)
 		}
 		if err != nil {
 			refused++
 			continue
 		}
-		if left, right := mustJSON(settings), mustJSON(next.Settings); !bytes.Equal(left, right) {
-			test.Fatalf("%.200s: %.300s is not %.300s", patch, left, right)
+		if left, right := toJSON(settings), toJSON(next.Settings); !bytes.Equal(left, right) {
+			test.Fatalf("%.200s: settings of the whole text %.300s, by chunks %.300s", patch, left, right)
 		}
-		anew, _ := config.Parse(body, nil)
-		if !reflect.DeepEqual(anew.Refs, next.Refs) {
-			test.Fatalf("%.200s: branches depend on the way", patch)
+		reparsed, _ := config.Parse(body, nil)
+		if !reflect.DeepEqual(reparsed.Refs, next.Refs) {
+			test.Fatalf("%.200s: chunks differ from those of the same text parsed anew", patch)
 		}
 		missing := follower.Missing(next.Refs)
-		if turn > 100 && len(missing) > 8 {
-			test.Fatalf("%.200s: %d of %d branches are new", patch, len(missing), len(next.Refs))
+		if step > 100 && len(missing) > 8 {
+			test.Fatalf("%.200s: %d of %d chunks are new", patch, len(missing), len(next.Refs))
 		}
 		for _, digest := range missing {
 			chunks[digest] = next.Text(digest)
 		}
 		if follower, err = config.Assemble(follower, next.Refs, chunks); err != nil || !bytes.Equal(follower.Body(), next.Body()) {
-			test.Fatalf("%.200s: %v", patch, err)
+			test.Fatalf("%.200s: assemble: %v", patch, err)
 		}
 		if len(missing) > 0 {
 			if _, err := config.Assemble(tree, next.Refs, nil); err == nil || rpc.CodeOf(err) != rpc.CorruptChunk {
-				test.Fatalf("grown without its branches: %v", err)
+				test.Fatalf("assembled without its new chunks: %v", err)
 			}
 		}
 		tree = next
 	}
 	if refused < 20 || refused > 200 {
-		test.Fatalf("%d refused", refused)
+		test.Fatalf("%d patches refused, want 20 to 200", refused)
 	}
 }
 
-func mustJSON(value any) []byte {
+func toJSON(value any) []byte {
 	body, _ := json.Marshal(value)
 	return body
 }
 
-// draw is a partial change: first many routes, then mostly one thing.
-func draw(random *rand.Rand, turn int) []byte {
+// randomPatch returns a patch: at some early steps many routes, else mostly a single change.
+func randomPatch(random *rand.Rand, step int) []byte {
 	routes := map[string]any{}
 	route := func() any {
 		number := random.IntN(3000)
 		return map[string]any{"method": "GET", "path": fmt.Sprintf("/bulk/%d", number)}
 	}
-	if turn%30 == 0 && turn <= 90 {
+	if step%30 == 0 && step <= 90 {
 		for number := range 800 {
-			name := turn*100 + number
+			name := step*100 + number
 			routes[fmt.Sprintf("bulk-%d", name)] = map[string]any{"method": "GET", "path": fmt.Sprintf("/bulk/%d", name)}
 		}
 	}
@@ -114,7 +114,7 @@
 			[]string{`{"classes":5}`, `{"classes":{"pages":{"services":{"meters":{"routes":null}}}}}`, `{"tenants":{"Bad/Name":{"keys":[]}}}`, `{"colour":1}`, `{"classes":{"No/":{"rank":3,"floor_rps":1,"services":{}}}}`}[random.IntN(5)],
 		)
 	}
-	return mustJSON(
+	return toJSON(
 		map[string]any{
 			"classes": map[string]any{"pages": map[string]any{"services": map[string]any{"bulk": map[string]any{"routes": routes}}}},
 		},
