--- a/config/check.go
+++ b/config/check.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// checkZones requires that no zone is in two regions, and returns the region by zone.
+// checkZones requires zones to be in one region only, and returns the region by zone.
 func (reader *reader) checkZones(settings *Settings) map[string]string {
 	zones := map[string]string{}
 	for _, name := range sortedNames(settings.Regions) {
@@ -60,7 +60,6 @@
 	}
 }
 
-// isKeyDigest reports whether a key is a SHA-256 digest in the form used in settings.
 func isKeyDigest(key string) bool {
 	digits, found := strings.CutPrefix(key, digestPrefix)
 	raw, err := hex.DecodeString(digits)
@@ -132,7 +131,6 @@
 	checkedRoutes[routeKey] = path
 }
 
-// checkRegionNames requires regions that the settings define.
 func (reader *reader) checkRegionNames(path string, regions []string, settings *Settings) {
 	for index, region := range regions {
 		if _, found := settings.Regions[region]; !found {
--- a/config/chunk.go
+++ b/config/chunk.go
@@ -38,7 +38,6 @@
 	return int(sum.Sum32()) & (count - 1)
 }
 
-// parseChunk decodes a chunk.
 func (reader *reader) parseChunk(ref message.ChunkRef, text []byte) *parsedChunk {
 	chunk := &parsedChunk{digest: ref.Digest}
 	decoder := jx.DecodeBytes(text)
@@ -95,7 +94,7 @@
 	return nil
 }
 
-// tenantsKey is the key of the tenants' chunks in pathsByParent.
+// tenantsKey is the tenants' key in pathsByParent.
 const tenantsKey = "tenants"
 
 // pathsByParent groups the paths of route chunks by class and service, and those of tenant
@@ -115,7 +114,6 @@
 	return paths
 }
 
-// classesWithoutServices returns the classes by name with empty service maps.
 func (tree *Tree) classesWithoutServices() map[string]Class {
 	classes := map[string]Class{}
 	for _, ref := range tree.Refs {
@@ -144,8 +142,8 @@
 	}
 }
 
-// assembleService returns the service of a chunk with the routes of its route chunks. The
-// previous service is returned if none of these chunks changed.
+// assembleService returns the service of a chunk with its routes, or the previous service
+// if none of these chunks changed.
 func (tree *Tree) assembleService(path string, routePaths []string, previous *Service) Service {
 	service := *tree.parsedChunks[path].service
 	service.Digest = tree.combinedDigest(append([]string{path}, routePaths...))
@@ -159,7 +157,7 @@
 	return service
 }
 
-// combinedDigest returns a digest over the paths and digests of several chunks.
+// combinedDigest returns a digest over the paths and digests of chunks.
 func (tree *Tree) combinedDigest(paths []string) string {
 	sum := []byte{}
 	for _, path := range paths {
--- a/config/patch.go
+++ b/config/patch.go
@@ -10,9 +10,9 @@
 	"orchidjunction/rpc"
 )
 
-// Patch applies a JSON merge patch (RFC 7396) to base: objects are merged, null removes a
-// field. The result is not checked. A patch that is not an object or contains a field twice
-// returns an rpc.Invalid error.
+// Patch applies a JSON merge patch (RFC 7396): objects are merged, null removes a field.
+// The result is not checked. A patch that is not an object or has duplicate fields is
+// rpc.Invalid.
 func Patch(base, partial []byte) ([]byte, error) {
 	patch, err := readPartial(partial)
 	if err != nil {
--- a/config/read.go
+++ b/config/read.go
@@ -56,8 +56,7 @@
 	reader.details = append(reader.details, rpc.Detail{Path: path, Code: code, Message: fmt.Sprintf(format, values...)})
 }
 
-// noteSyntaxError records the first syntax error, which ends decoding, and returns the
-// recorded one.
+// noteSyntaxError records the first syntax error, which ends decoding, and returns it.
 func (reader *reader) noteSyntaxError(path string, err error) error {
 	if err != nil && reader.syntaxErr == nil {
 		reader.syntaxErr = err
@@ -66,7 +65,6 @@
 	return reader.syntaxErr
 }
 
-// skip skips the next value.
 func (reader *reader) skip(decoder *jx.Decoder, path string) {
 	_ = reader.noteSyntaxError(path, decoder.Skip()) // kept in reader.syntaxErr
 }
@@ -287,7 +285,7 @@
 	return settings
 }
 
-// topFields returns the top-level fields except tenants and classes.
+// topFields are those except tenants and classes.
 func (reader *reader) topFields(settings *Settings) fields {
 	return fields{
 		"format":    reader.integer(&settings.Format, 1, 1),
@@ -339,7 +337,7 @@
 	return class
 }
 
-// classFields returns the fields of a class except services.
+// classFields are those except services.
 func (reader *reader) classFields(class *Class) fields {
 	return fields{
 		"rank":       reader.integer(&class.Rank, 1, 16),
@@ -358,7 +356,7 @@
 	return service
 }
 
-// serviceFields returns the fields of a service except routes.
+// serviceFields are those except routes.
 func (reader *reader) serviceFields(service *Service) fields {
 	return fields{"rule": reader.rule(&service.Rule)}
 }
--- a/config/read_test.go
+++ b/config/read_test.go
@@ -12,8 +12,8 @@
 	"orchidjunction/rpc"
 )
 
-// TestTree applies a patch to the small example and prints the errors of the result, or an
-// effective value of a route. It also compares Flatten with Resolve.
+// TestTree applies a patch to the small example and prints the errors, or an effective value
+// of a route. It also compares Flatten with Resolve.
 func TestTree(test *testing.T) {
 	base, err := os.ReadFile("../examples/small.json")
 	if err != nil {
--- a/config/splitter.go
+++ b/config/splitter.go
@@ -11,8 +11,8 @@
 	"orchidjunction/message"
 )
 
-// splitter splits a decoded JSON document of settings into chunks. Buckets, classes and
-// services that are identical to those of the previous version keep its chunks.
+// splitter splits decoded settings into chunks, and keeps those of the previous version
+// whose content is unchanged.
 type splitter struct {
 	previous         *Tree
 	previousDocument map[string]any
@@ -20,8 +20,7 @@
 	chunks           message.Chunks
 }
 
-// isIdentical reports whether two decoded values are the same: the same map or slice in
-// memory, or equal scalars.
+// isIdentical reports whether two values are the same map or slice, or equal scalars.
 func isIdentical(left, right any) bool {
 	leftValue, rightValue := reflect.ValueOf(left), reflect.ValueOf(right)
 	if leftValue.Kind() != rightValue.Kind() {
@@ -123,8 +122,8 @@
 	return true
 }
 
-// splitBuckets distributes the fields of an object over buckets by a hash of their names.
-// Only buckets with a change are encoded again.
+// splitBuckets distributes an object's fields over buckets by the hash of their names. Only
+// changed buckets are encoded again.
 func (splitter *splitter) splitBuckets(path string, current, previous map[string]any) {
 	count := bucketCount(len(current))
 	rebuild := previous == nil || splitter.previous == nil || bucketCount(len(previous)) != count
--- a/config/tree.go
+++ b/config/tree.go
@@ -12,9 +12,9 @@
 )
 
 // Tree is one version of the settings, split into content-addressed chunks. A chunk is a
-// part of the JSON text with a path: the top level, a bucket of tenants, a class without its
-// services, a service without its routes, or a bucket of routes. Unchanged parts are shared
-// with the previous version and parsed only once.
+// part of the JSON text with a path: the top level, a bucket of tenants, a class without
+// services, a service without routes, a bucket of routes. Unchanged parts are shared with
+// the previous version and parsed only once.
 type Tree struct {
 	Settings     *Settings
 	Refs         []message.ChunkRef
@@ -70,8 +70,8 @@
 	return parseDocument(merge(tree.decoded(), patch).(map[string]any), tree)
 }
 
-// Assemble returns the tree of the given chunks, whose texts are taken from chunks or from
-// the previous version. The settings are not checked across fields, as Parse does.
+// Assemble returns the tree of refs, whose texts are in chunks or in the previous version.
+// Constraints across fields are not checked.
 func Assemble(previous *Tree, refs []message.ChunkRef, chunks message.Chunks) (*Tree, error) {
 	return assembleTree(previous, refs, chunks, false)
 }
@@ -152,7 +152,7 @@
 	return tree, nil
 }
 
-// composeBody returns the JSON text of the whole settings and caches it.
+// composeBody returns the whole JSON text and caches it.
 func (tree *Tree) composeBody() []byte {
 	if tree.body != nil {
 		return tree.body
--- a/config/tree_test.go
+++ b/config/tree_test.go
@@ -14,9 +14,9 @@
 	"orchidjunction/rpc"
 )
 
-// Guards against a difference between a tree patched by chunks and the same whole text, also
-// in what is refused, against chunks that depend on the history of a tree, and against many
-// new chunks for a small change. Random patches, some invalid, change a tree of many routes.
+// Guards against patched trees that differ from the whole text, also in what is refused,
+// chunks that depend on a tree's history, and many new chunks for a small change. Random
+// patches, some invalid, change a tree of many routes.
 func TestChunkedTreeMatchesWholeText(test *testing.T) {
 	base, err := os.ReadFile("../examples/small.json")
 	if err != nil {
@@ -75,7 +75,7 @@
 	return body
 }
 
-// randomPatch returns a patch: at some early steps many routes, else mostly a single change.
+// randomPatch adds many routes at some early steps, else it is mostly a single change.
 func randomPatch(random *rand.Rand, step int) []byte {
 	routes := map[string]any{}
 	route := func() any {
--- a/discovery/http_lister.go
+++ b/discovery/http_lister.go
@@ -37,7 +37,6 @@
 	counters *metrics.Counters
 }
 
-// pageDocument is the JSON body of a page.
 type pageDocument struct {
 	Items []message.Backend `json:"items"`
 	Next  string            `json:"next"`
--- a/discovery/partition.go
+++ b/discovery/partition.go
@@ -9,20 +9,18 @@
 const (
 	// allZones as the zone of a PageRequest stands for the whole list.
 	allZones = ""
-	// maxScanIntervals is how many intervals a sequential scan of the whole list may take.
+	// maxScanIntervals bounds a sequential scan of the whole list, in multiples of Interval.
 	// A slower one is replaced by scans by zone, which cost more calls.
 	maxScanIntervals = 0.8
 	// latencyWeight is the weight of the newest call in the moving average of the latency.
 	latencyWeight = 0.25
 )
 
-// pageStats tracks the latency and the size of pages.
 type pageStats struct {
 	pageTime time.Duration // moving average of a call's duration
 	pageSize int           // largest number of backends in a page
 }
 
-// record adds a call that returned the given number of backends.
 func (stats *pageStats) record(backends int, duration time.Duration) {
 	stats.pageSize = max(stats.pageSize, backends)
 	if stats.pageTime == 0 {
@@ -42,7 +40,6 @@
 	return time.Duration(pages) * stats.pageTime
 }
 
-// recordPage adds a call that returned the given number of backends to the statistics.
 func (reader *Reader) recordPage(backends int, duration time.Duration) {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
@@ -69,7 +66,6 @@
 	return reader.pageStats.estimateScan(max(listed, len(reader.backends))) > reader.maxScanTime()
 }
 
-// maxScanTime is how long a sequential scan of the whole list may take.
 func (reader *Reader) maxScanTime() time.Duration {
 	return time.Duration(maxScanIntervals * float64(reader.options.Interval))
 }
--- a/discovery/partition_test.go
+++ b/discovery/partition_test.go
@@ -29,7 +29,6 @@
 	respond      func(request PageRequest) Page // a Page with Err makes the call fail
 }
 
-// newFakePlatform returns a platform with backends spread over zones.
 func newFakePlatform(backends, zones int, callDuration time.Duration) *fakePlatform {
 	platform := &fakePlatform{callDuration: callDuration, respond: func(PageRequest) Page { return Page{} }}
 	for index := range backends {
@@ -66,7 +65,6 @@
 	return page
 }
 
-// newReader returns a reader of the platform's list by zones.
 func (platform *fakePlatform) newReader(zones int) *Reader {
 	names := []string{}
 	for index := range zones {
@@ -81,7 +79,6 @@
 	}, metrics.NewCounters())
 }
 
-// findBackend returns a backend that the reader knows, and whether it does.
 func findBackend(reader *Reader, name string) (message.Backend, bool) {
 	backends, _ := reader.Backends()
 	for _, backend := range backends {
@@ -177,10 +174,10 @@
 		platform.respond = func(PageRequest) Page { return Page{} }
 		scanOnce(reader)
 		if backends, isComplete := reader.Backends(); !isComplete || len(backends) != 1080 {
-			test.Fatalf("%d backends, complete %v", len(backends), isComplete)
+			test.Fatalf("%d backends, complete %v, after all zones were read", len(backends), isComplete)
 		}
 		platform.backends = platform.backends[:1072] // without one of each zone but the last
-		rateLimited := Page{Err: errors.New("over the rate"), RetryAfter: 2 * time.Second}
+		rateLimited := Page{Err: errors.New("rate limited"), RetryAfter: 2 * time.Second}
 		limitedUntil := time.Now().Add(2 * time.Second)
 		platform.respond = func(request PageRequest) Page {
 			if request.Zone == "zone-3" && time.Now().Before(limitedUntil) {
--- a/discovery/reader.go
+++ b/discovery/reader.go
@@ -77,11 +77,11 @@
 	backends     map[string]message.Backend
 	sorted       []message.Backend // nil if backends changed since it was built
 	missedLists  map[string]int
-	scannedZones map[string]bool // zones whose lists were read to the end since the last Reset
+	scannedZones map[string]bool // read to the end since the last Reset
 	complete     bool
 	completedAt  time.Time
 	retryAfter   time.Duration
-	pause        time.Duration // until the next scan, unless the list is incomplete or the platform set RetryAfter
+	pause        time.Duration // until the next scan, unless incomplete or rate limited
 	pageStats    pageStats
 }
 
@@ -147,7 +147,7 @@
 // list of more pages than the allowed burst would never be read to its end. Read returns
 // early when the group is stopped or shouldContinue returns false.
 func (reader *Reader) Read(goroutines *concurrent.Group, shouldContinue func() bool) {
-	scan := &scan{reader: reader, goroutines: goroutines, shouldContinue: shouldContinue, begin: time.Now()}
+	scan := &scan{reader: reader, goroutines: goroutines, shouldContinue: shouldContinue, startedAt: time.Now()}
 	scan.run()
 }
 
--- a/discovery/reader_test.go
+++ b/discovery/reader_test.go
@@ -12,8 +12,7 @@
 	"orchidjunction/metrics"
 )
 
-// newTestReader returns a reader after one scan of a list with the given number of
-// backends, and the list.
+// newTestReader returns a reader after one scan of a list, and the list.
 func newTestReader(count int) (*Reader, *[]message.Backend) {
 	list := make([]message.Backend, 0, count)
 	for number := range count {
--- a/discovery/scan.go
+++ b/discovery/scan.go
@@ -45,7 +45,6 @@
 	return list.zone == allZones || list.zone == backend.Zone
 }
 
-// outcome is the result of reading a list.
 type outcome int
 
 const (
@@ -59,7 +58,7 @@
 	reader         *Reader
 	goroutines     *concurrent.Group
 	shouldContinue func() bool
-	begin          time.Time
+	startedAt      time.Time
 
 	mutex      sync.Mutex
 	retryAfter time.Duration // the longest RetryAfter of a page that was given up
@@ -82,9 +81,8 @@
 	scan.finish(zones, failed)
 }
 
-// finish updates the metrics and the reader.
 func (scan *scan) finish(zones []string, failed bool) {
-	reader, duration := scan.reader, time.Since(scan.begin)
+	reader, duration := scan.reader, time.Since(scan.startedAt)
 	if failed {
 		reader.counters.Add("platform_reads_broken", 1)
 	} else {
@@ -158,7 +156,6 @@
 	}
 }
 
-// requestPage requests a page once.
 func (scan *scan) requestPage(request PageRequest) Page {
 	ctx, cancel := context.WithTimeout(context.Background(), pageTimeout)
 	defer cancel()
@@ -171,10 +168,10 @@
 	return page
 }
 
-// markLeaving applies the page's leaving backends, which does not wait for the whole list.
+// markLeaving takes effect before the list is read to its end.
 func (scan *scan) markLeaving(page Page) {
 	if leaving := scan.reader.markLeaving(page.Backends); leaving > 0 {
-		klog.Infof("backend list: %d backends newly leaving, %v after the scan began", leaving, time.Since(scan.begin))
+		klog.Infof("backend list: %d backends newly leaving, %v after the scan began", leaving, time.Since(scan.startedAt))
 	}
 }
 
--- a/idempotency/export_test.go
+++ b/idempotency/export_test.go
@@ -28,7 +28,6 @@
 	return test.log.writeGroup([]*Write{{Request: request}})
 }
 
-// Get returns the claim that has the key.
 func (test *TestLog) Get(key message.ClaimKey) (message.ClaimRecord, bool) {
 	return test.log.store.Get(key)
 }
--- a/idempotency/fencing_test.go
+++ b/idempotency/fencing_test.go
@@ -10,8 +10,8 @@
 	"orchidjunction/storage"
 )
 
-// startTestLog opens the log in a folder and runs its writer goroutine. The function
-// returned stops it and checks that the disk never failed.
+// startTestLog opens a log and runs its writer goroutine. The function returned stops it
+// and checks that the disk never failed.
 func startTestLog(test *testing.T, folder string) (*Log, func()) {
 	test.Helper()
 	goroutines := concurrent.NewGroup()
--- a/idempotency/group.go
+++ b/idempotency/group.go
@@ -18,7 +18,6 @@
 	Completed  []message.CompleteClaimRequest `msgpack:"Settles"`
 }
 
-// add appends a message, and the voter for which it completes the log, to the group.
 func (group *group) add(write *Write) {
 	group.Claims = append(group.Claims, write.Request.Claims...)
 	group.Merged = append(group.Merged, write.Request.Merged...)
--- a/idempotency/log.go
+++ b/idempotency/log.go
@@ -22,9 +22,8 @@
 	diskRetryInterval = 250 * time.Millisecond
 )
 
-// Log persists a core's claims on idempotency keys: a Store in memory, and a journal
-// separate from the consensus journal. One goroutine (RunWriter) writes all queued
-// messages as one group.
+// Log holds a core's claims on idempotency keys: a Store, and a journal separate from that
+// of consensus. One goroutine (RunWriter) writes all queued messages as one group.
 //
 // The log is complete for a voter if it holds every unexpired claim for which a quorum
 // may count this voter.
@@ -36,7 +35,7 @@
 	counters *metrics.Counters
 
 	// Used only by the writer goroutine once the log is open.
-	unwritten       *group    // already in the store, but not yet on disk because of a disk error
+	unwritten       *group    // in the store, but not on disk after a disk error
 	lastDiskErrorAt time.Time // or of the last attempt to repair
 	segmentAges     map[uint64]time.Duration
 	membership      message.AcceptedValue // the newest under which anything was recorded or read
@@ -99,7 +98,6 @@
 	return log, nil
 }
 
-// readGroups opens the journal and returns the groups in it.
 func (log *Log) readGroups() ([]group, error) {
 	segments, err := storage.FileNumbers(log.disk, fileKind)
 	if err != nil {
@@ -123,7 +121,6 @@
 	return groups, err
 }
 
-// replay applies a group read from the journal.
 func (log *Log) replay(loaded *group, legacyVoterID int) {
 	log.apply(loaded, log.baseAge-loaded.At)
 	if loaded.Complete {
@@ -204,7 +201,6 @@
 // Stop ends RunWriter. Messages still in the queue are not recorded.
 func (log *Log) Stop() { log.queue.Close() }
 
-// releaseWaiters wakes the callers that still wait after the queue was closed.
 func (log *Log) releaseWaiters() {
 	log.mutex.Lock()
 	log.closed = true
@@ -285,9 +281,9 @@
 	return nil
 }
 
-// advanceMembership records in the group the membership of a message if it is newer than
-// the known one. It returns false if a newer one with other voters is known: a quorum of
-// the given membership may no longer decide.
+// advanceMembership adds a membership to the group if it is newer than the known one. It
+// returns false if a newer one with other voters is known: a quorum of the given one may no
+// longer decide.
 func (log *Log) advanceMembership(target *group, membership message.AcceptedValue) bool {
 	if message.Supersedes(log.membership, membership) {
 		return false
@@ -354,9 +350,8 @@
 }
 
 // removeExpiredSegments removes segments that hold only expired keys, oldest first. Each
-// removal is synced separately: a power loss could otherwise undo the removal of an older
-// segment but not that of a newer one, which leaves a gap. Failed removals are retried at
-// the next rotation.
+// removal is synced separately: otherwise a power loss could restore an older segment but
+// not a newer one and leave a gap. Failed removals are retried at the next rotation.
 func (log *Log) removeExpiredSegments() {
 	oldestKept := log.journal.Number()
 	for number, newest := range log.segmentAges {
@@ -388,8 +383,8 @@
 	return log.completeVoterID
 }
 
-// RecordingSince sets the time since which a voter has recorded every claim that it
-// should. It has no effect if the time is already set for this voter.
+// RecordingSince sets the time since which a voter records every claim that it should,
+// unless it is already set for this voter.
 func (log *Log) RecordingSince(id int, at time.Time) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
--- a/idempotency/log_group_test.go
+++ b/idempotency/log_group_test.go
@@ -12,7 +12,7 @@
 	"orchidjunction/metrics"
 )
 
-// testMemberships returns an initial membership and one that replaces one of its voters.
+// testMemberships returns an initial membership and one with a voter replaced.
 func testMemberships() (previous, replacement message.AcceptedValue) {
 	first := consensus.InitialMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	next := first.WithReplacement(3, "10.0.0.4:1")
@@ -29,8 +29,7 @@
 	return log
 }
 
-// writeAsGroup queues the messages, lets the writer goroutine write them as one group, and
-// stops it.
+// writeAsGroup lets the writer goroutine write the messages as one group and stops it.
 func writeAsGroup(test *testing.T, log *Log, writes ...*Write) {
 	test.Helper()
 	for _, write := range writes {
@@ -114,14 +113,14 @@
 	writeAsGroup(test, log, first, late, second)
 	for _, write := range []*Write{first, late, second} {
 		if write.err != nil || !write.done || write.Refused != (write == late) {
-			test.Fatalf("done %v, refused %v, %v", write.done, write.Refused, write.err)
+			test.Fatalf("write done %v, refused %v, error %v", write.done, write.Refused, write.err)
 		}
 	}
 	if len(first.Results) != 1 || !first.Results[0].Granted || len(late.Results) != 0 {
-		test.Errorf("first %+v, late %+v", first.Results, late.Results)
+		test.Errorf("results of the first write %+v, of the refused one %+v", first.Results, late.Results)
 	}
 	if len(second.Results) != 2 || second.Results[0].Granted || second.Results[0].Existing.ID != "id-first" || !second.Results[1].Granted {
-		test.Errorf("second %+v", second.Results)
+		test.Errorf("results of the second write %+v", second.Results)
 	}
 	if log.holds("late") || log.holds("later") {
 		test.Error("claims of a refused write were stored")
--- a/idempotency/power_loss_test.go
+++ b/idempotency/power_loss_test.go
@@ -29,8 +29,8 @@
 	return err
 }
 
-// promoteHeld treats refused claims that the log holds as granted while the disk works: the
-// log then reports them to other cores, so they must be durable like any other.
+// promoteHeld counts refused claims that the log holds as granted while the disk works: the
+// log then reports them to others, so they must be durable like any other.
 func (driver *logDriver) promoteHeld() {
 	if driver.log.DiskFailed() {
 		return
@@ -62,7 +62,7 @@
 	return err == nil
 }
 
-// findLost returns a granted and unexpired key that the log does not hold, or "".
+// findLost returns a granted, unexpired key that the log lacks, or "".
 func (driver *logDriver) findLost() string {
 	for key, at := range driver.granted {
 		if time.Since(at) >= idempotency.DefaultTTL {
--- a/idempotency/store.go
+++ b/idempotency/store.go
@@ -36,8 +36,7 @@
 	sequence uint64
 }
 
-// position is a key's place in the order of arrival. It is stale if the stored claim of
-// the key has another sequence number.
+// position is a key's place in the order, stale if the stored claim has another sequence.
 type position struct {
 	key      message.ClaimKey
 	sequence uint64
@@ -112,9 +111,9 @@
 	return &message.ClaimResponse{Granted: true, Existing: request.Record}
 }
 
-// Complete records how the request of a claim ended, or releases the key of a request that
-// certainly did not run. The sender was granted the key by a quorum, so a different claim
-// stored here has no quorum, will be released, and is replaced.
+// Complete records how the request of a claim ended, or releases the key of one that
+// certainly did not run. The sender was granted a quorum, so a different claim stored here
+// will be released and is replaced.
 func (store *Store) Complete(request *message.CompleteClaimRequest) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -135,8 +134,7 @@
 	return stored.ClaimRecord, found
 }
 
-// Merge adds claims of other stores. A completed claim replaces the same claim that is
-// stored as running.
+// Merge adds claims of other stores. A completed claim replaces the same running one.
 func (store *Store) Merge(records []message.ClaimRecord) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
--- a/usage/sums.go
+++ b/usage/sums.go
@@ -79,7 +79,7 @@
 	lastReportAt map[string]time.Time
 	delivered    map[string]bool
 
-	term          message.Term // of the leadership under which this core last sealed
+	term          message.Term // of the leadership that last sealed here
 	sealedAt      time.Time
 	periodEndedAt time.Time
 }
@@ -169,9 +169,8 @@
 	return sums.delivered[id]
 }
 
-// Sealing holds the inputs for the next state: the partner and tenants to bill, the wall
-// clock in milliseconds since the Unix epoch, the milliseconds since the state was last
-// sealed, and whether the period ends.
+// Sealing holds the inputs for the next state: who is billed, the wall clock in milliseconds
+// since the Unix epoch, the milliseconds since the last seal, and whether the period ends.
 type Sealing struct {
 	Partner    string
 	Tenants    []string
@@ -203,7 +202,7 @@
 	return next
 }
 
-// retainedProcesses returns the processes of a state that have not expired at an age. None
+// retainedProcesses returns the processes that have not expired at an age of the state. None
 // expires within silenceTimeout of the creation of sums.
 func (sums *Sums) retainedProcesses(previous *State, ageMs int64) map[string]ReportedCounts {
 	kept := map[string]ReportedCounts{}
--- a/usage/window_copies.go
+++ b/usage/window_copies.go
@@ -62,7 +62,6 @@
 	return windows.endedProcesses[incarnation] || current != "" && current != incarnation
 }
 
-// countedProcesses returns the processes with counts in any window kept.
 func (windows *Windows) countedProcesses() map[string]bool {
 	counted := map[string]bool{}
 	for _, byProcess := range windows.counts {
@@ -73,7 +72,7 @@
 	return counted
 }
 
-// changedSince returns the requests of tenants whose count was set after the given change.
+// changedSince returns the requests of tenants whose count was set after a change.
 func changedSince(byTenant map[string]windowCount, change uint64) map[string]uint64 {
 	tenants := map[string]uint64{}
 	for tenant, count := range byTenant {
--- a/usage/window_log.go
+++ b/usage/window_log.go
@@ -15,8 +15,8 @@
 	minSegmentBytes = 256 << 10
 )
 
-// WindowLog persists the counts of Windows, so that after a power loss those that no process
-// holds any more are still reported. A snapshot holds all counts at its time; the segment
+// WindowLog persists the counts of Windows, so that those that no process holds any more are
+// still reported after a power loss. A snapshot holds all counts at its time; the segment
 // with the same number holds later changes. Counts only grow, so entries may be read in any
 // order and more than once.
 //
@@ -79,8 +79,7 @@
 	return nil
 }
 
-// startSnapshot writes all counts to a new snapshot, starts its segment, and removes older
-// files.
+// startSnapshot writes a snapshot of all counts, starts its segment, and removes older files.
 func (log *WindowLog) startSnapshot() error {
 	counts, changes := log.windows.ChangedSince(0)
 	frame, err := storage.EncodeFrame(counts)
@@ -105,7 +104,6 @@
 	return log.removeOldFiles()
 }
 
-// removeOldFiles removes the files that the newest snapshot replaces.
 func (log *WindowLog) removeOldFiles() error {
 	noSync := func() error { return nil }
 	if err := storage.RemoveBefore(log.disk, snapshotKind, log.snapshotNumber, noSync); err != nil {
--- a/usage/window_log_test.go
+++ b/usage/window_log_test.go
@@ -15,7 +15,6 @@
 // processCounts are the cumulative counts of processes in one window.
 type processCounts map[string]map[string]uint64 // by process and tenant
 
-// knownCounts returns the counts that windows hold.
 func knownCounts(windows *usage.Windows) processCounts {
 	known := processCounts{}
 	copies, _ := windows.ChangedSince(0)
@@ -45,9 +44,8 @@
 	return clone
 }
 
-// Guards against counts lost after a successful Append, and counts never reported, over
-// repeated power losses that decide for each file and name separately what survives, with
-// disk errors in between.
+// Guards against counts lost after a successful Append, or never reported, over repeated
+// power losses that affect each file and name separately, with disk errors in between.
 func TestWindowLogSurvivesPowerLoss(test *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
--- a/usage/windows.go
+++ b/usage/windows.go
@@ -19,7 +19,7 @@
 }
 
 // WindowState is the content of the reports register if usage is metered by windows: the
-// next window to seal, and the most recently sealed ones.
+// next window to seal, and the last ones sealed.
 type WindowState struct {
 	Next   int64
 	Sealed []SealedWindow
@@ -41,14 +41,14 @@
 }
 
 // Windows collects the counts of processes by windows of true time; window k begins k times
-// the window's length after the Unix epoch. Counts are cumulative within a window, so the
-// highest of a process is used. It is safe for concurrent use.
+// the window's length after the Unix epoch. Counts are cumulative: the highest of a process
+// is used. It is safe for concurrent use.
 type Windows struct {
 	process uint64
 
 	mutex             sync.Mutex
 	counts            map[int64]map[string]map[string]windowCount // by window, process and tenant
-	changes           uint64                                      // number of changes of counts so far
+	changes           uint64                                      // of counts so far
 	reportedUntil     map[string]int64                            // by process, in milliseconds of its clock
 	endedProcesses    map[string]bool                             // by process
 	incarnationByName map[string]string                           // current process by daemon name
@@ -108,8 +108,7 @@
 }
 
 // isComplete reports whether a session's counts and those known here are all that its
-// process counted. They are not if the session holds only the changes since a report to
-// another process.
+// process counted, which excludes changes since a report to another process.
 func (windows *Windows) isComplete(session *message.Session) bool {
 	return windows.hasBase(session.BaseProcess)
 }
@@ -139,8 +138,8 @@
 	}
 }
 
-// CountsOf returns the counts by window of a session's process, and whether they are all
-// that it counted.
+// CountsOf returns all counts of a session's process by window, or false if some are not
+// known here.
 func (windows *Windows) CountsOf(session *message.Session) ([]message.WindowCount, bool) {
 	windows.mutex.Lock()
 	defer windows.mutex.Unlock()
@@ -226,7 +225,7 @@
 	maps.DeleteFunc(windows.reportedWindows, func(window int64, _ bool) bool { return window < before })
 }
 
-// SetReported marks a window as reported by this process.
+// SetReported marks a window as reported.
 func (windows *Windows) SetReported(window int64) {
 	windows.mutex.Lock()
 	windows.reportedWindows[window] = true
