--- a/config/effective.go
+++ b/config/effective.go
@@ -93,7 +93,7 @@
 	ForbidRegions   []string
 }
 
-// overlay returns the inherited route with the values that the rule sets replaced.
+// overlay returns flat with the values that the rule sets.
 func (rule *Rule) overlay(flat FlatRoute) FlatRoute {
 	for _, field := range []struct {
 		value  *int
--- a/discovery/partition_test.go
+++ b/discovery/partition_test.go
@@ -115,18 +115,18 @@
 
 // Guards against needless calls: a fast list, or one of a single page, is read as a whole.
 func TestFastOrShortListIsReadWhole(test *testing.T) {
-	for _, params := range []struct {
+	for _, listCase := range []struct {
 		backends, calls int
 		callTime        time.Duration
 	}{{1080, 22, 2 * time.Millisecond}, {270, 6, 70 * time.Millisecond}, {36, 1, time.Second}} {
 		synctest.Test(test, func(test *testing.T) {
-			platform := newFakePlatform(params.backends, 9, params.callTime)
+			platform := newFakePlatform(listCase.backends, 9, listCase.callTime)
 			reader := platform.newReader(9)
 			for range 4 {
 				scanOnce(reader)
 			}
-			if platform.calls != 4*params.calls {
-				test.Errorf("%d backends, %v per call: %d calls for 4 scans", params.backends, params.callTime, platform.calls)
+			if platform.calls != 4*listCase.calls {
+				test.Errorf("%d backends, %v per call: %d calls for 4 scans", listCase.backends, listCase.callTime, platform.calls)
 			}
 		})
 	}
@@ -160,10 +160,10 @@
 	synctest.Test(test, func(test *testing.T) {
 		platform := newFakePlatform(1080, 9, 110*time.Millisecond)
 		reader := platform.newReader(9)
-		invalid := Page{Err: errors.New("unavailable")}
+		unavailable := Page{Err: errors.New("unavailable")}
 		platform.respond = func(request PageRequest) Page {
 			if request.Zone == "zone-3" {
-				return invalid
+				return unavailable
 			}
 			return Page{}
 		}
@@ -184,7 +184,7 @@
 				return rateLimited
 			}
 			if request.Zone == "zone-5" {
-				return invalid
+				return unavailable
 			}
 			return Page{}
 		}
