--- a/control/clock.go
+++ b/control/clock.go
@@ -74,9 +74,9 @@
 // epoch.
 func (core *Core) Now() int64 { return core.clock.Now() }
 
-// observeClock takes another core's clock from its response to a heartbeat. The middle
+// observePeerClock takes another core's clock from its response to a heartbeat. The middle
 // one of a majority's clocks is the time.
-func (core *Core) observeClock(peer message.Peer, response *message.HeartbeatResponse, roundTrip time.Duration) {
+func (core *Core) observePeerClock(peer message.Peer, response *message.HeartbeatResponse, roundTrip time.Duration) {
 	if roundTrip > core.callTimeout() {
 		return
 	}
@@ -107,9 +107,9 @@
 	return core.clock.Anchored(), now
 }
 
-// withTime returns a heartbeat with the time at which it will arrive, if the round trip
+// withArrivalTime returns a heartbeat with the time at which it will arrive, if the round trip
 // to the peer is known.
-func (core *Core) withTime(peer message.Peer, request *message.HeartbeatRequest) *message.HeartbeatRequest {
+func (core *Core) withArrivalTime(peer message.Peer, request *message.HeartbeatRequest) *message.HeartbeatRequest {
 	timed := *request
 	roundTrip := core.peerClocks.roundTrip(peer.ID)
 	if _, now := core.clockTimes(); now > 0 && roundTrip > 0 {
--- a/control/clock_trust.go
+++ b/control/clock_trust.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// clockGrace is how long a core that starts waits for somebody who knows the time of day
+	// clockTrustTimeout is how long a core that starts waits for somebody who knows the time of day
 	// before it relies on its own wall clock.
-	clockGrace = 1500 * time.Millisecond
-	// daemonClocksWait is how long it waits for more daemons after the first one.
-	daemonClocksWait = 250 * time.Millisecond
+	clockTrustTimeout = 1500 * time.Millisecond
+	// daemonClockWindow is how long it waits for more daemons after the first one.
+	daemonClockWindow = 250 * time.Millisecond
 )
 
 // clockTrust is whether a core that started may rely on what its wall clock said. Wall
 // clocks may be off on all machines while all cores start at once; then the daemons that
 // ran on know the time of day, and else a leader does. It is safe for concurrent use.
 type clockTrust struct {
-	mutex     sync.Mutex
-	startedAt time.Time
-	isTrusted bool
-	firstAt   time.Time        // when the first daemon sent its time
-	offsets   map[string]int64 // of the daemons' clocks, by names
+	mutex         sync.Mutex
+	startedAt     time.Time
+	isTrusted     bool
+	firstSampleAt time.Time        // when the first daemon sent its time
+	offsets       map[string]int64 // of the daemons' clocks, by names
 }
 
 func newClockTrust() clockTrust {
@@ -43,9 +43,9 @@
 	defer trust.mutex.Unlock()
 	switch {
 	case trust.isTrusted:
-	case !trust.firstAt.IsZero() && time.Since(trust.firstAt) >= daemonClocksWait:
+	case !trust.firstSampleAt.IsZero() && time.Since(trust.firstSampleAt) >= daemonClockWindow:
 		core.trustClock(clock.Median(slices.Collect(maps.Values(trust.offsets)), 0), "daemons that ran on")
-	case time.Since(trust.startedAt) >= clockGrace:
+	case time.Since(trust.startedAt) >= clockTrustTimeout:
 		core.trustClock(0, "")
 	}
 	return trust.isTrusted
@@ -66,8 +66,8 @@
 	if !isKnown || offset > known {
 		trust.offsets[session.Member.Name] = offset
 	}
-	if trust.firstAt.IsZero() {
-		trust.firstAt = time.Now()
+	if trust.firstSampleAt.IsZero() {
+		trust.firstSampleAt = time.Now()
 	}
 }
 
--- a/control/commit_proof.go
+++ b/control/commit_proof.go
@@ -5,12 +5,12 @@
 	"orchidjunction/message"
 )
 
-// proveCommittedRouting is the goroutine of a core that restarted: until a leader is
+// runRoutingRecovery is the goroutine of a core that restarted: until a leader is
 // heard of it asks the others what they accepted. What a quorum accepted under one term
 // is committed, and daemons may have it before anybody leads.
-func (core *Core) proveCommittedRouting() {
+func (core *Core) runRoutingRecovery() {
 	for core.neverHeardLeader() && !core.goroutines.Stopping() {
-		if core.membership().Votes() && !core.replica.Blank() && core.provesCommittedRouting() {
+		if core.membership().Votes() && !core.replica.Blank() && core.recoverCommittedRouting() {
 			return
 		}
 		if !core.goroutines.Sleep(core.config.HeartbeatInterval) {
@@ -19,9 +19,9 @@
 	}
 }
 
-// provesCommittedRouting asks the other voters once and reports whether the routing that
+// recoverCommittedRouting asks the other voters once and reports whether the routing that
 // this core has accepted is committed.
-func (core *Core) provesCommittedRouting() bool {
+func (core *Core) recoverCommittedRouting() bool {
 	own := core.replica.State()
 	accepted := own.Accepted[message.RoutingRegister]
 	if accepted.Value.Serial == 0 {
--- a/control/core.go
+++ b/control/core.go
@@ -43,7 +43,7 @@
 	replica  *replica.Replica
 	members  *consensus.Tracker
 	role     *RoleState
-	founding *Founding
+	founders *Founders
 
 	// What the core knows of daemons, backends and usage.
 	sessions    *Sessions
@@ -72,15 +72,15 @@
 	fetchCache       fetchCache
 
 	// mutex guards what follows. It is never held over a call or a write.
-	mutex       sync.Mutex
-	election    electionState
-	leadership  *Leadership
-	committed   [message.Registers]message.AcceptedValue
-	chunks      message.Chunks
-	content     *content
-	tables      tableState
-	diskFailure diskFailure
-	sharedAt    time.Time
+	mutex            sync.Mutex
+	election         electionState
+	leadership       *Leadership
+	committed        [message.Registers]message.AcceptedValue
+	chunks           message.Chunks
+	content          *content
+	tables           tableState
+	diskFailure      diskFailure
+	sessionsSharedAt time.Time
 }
 
 // NewCore opens the data on a disk and returns a core that Run starts. It returns
@@ -110,7 +110,7 @@
 		core.diskFailed(err)
 	}
 	core.election.timeout = core.firstElectionTimeout()
-	for _, register := range markedRegisters {
+	for _, register := range commitMarkedRegisters {
 		if accepted, isProven := core.replica.State().ProvenCommitted(register); isProven {
 			core.committed[register] = accepted
 		}
@@ -130,7 +130,7 @@
 		clock:        clock.NewClock(config.Wall),
 		peerClocks:   newPeerClocks(),
 		clockTrust:   newClockTrust(),
-		founding:     newFounding(config.InternalAddress),
+		founders:     newFounders(config.InternalAddress),
 		sessions:     newSessions(config.SessionTTL),
 		probeHints:   newProbeHints(),
 		usage:        usage.NewSums(),
@@ -171,13 +171,13 @@
 	core.goroutines.Start(core.runElections)
 	core.goroutines.Start(core.claims.RunWriter)
 	if core.config.discoversPeers() {
-		core.goroutines.Start(core.proveCommittedRouting)
+		core.goroutines.Start(core.runRoutingRecovery)
 	}
-	core.runPeriodically()
+	core.startPeriodicTasks()
 }
 
-// runPeriodically starts what is done again and again, most of it only by the leader.
-func (core *Core) runPeriodically() {
+// startPeriodicTasks starts what is done again and again, most of it only by the leader.
+func (core *Core) startPeriodicTasks() {
 	config, every := &core.config, core.goroutines.Every
 	every(concurrent.Fixed(repairInterval), core.repairDisk)
 	every(concurrent.Fixed(claimRepairInterval), core.repairClaims)
@@ -264,9 +264,9 @@
 	return err == nil && leadership.check() == nil
 }
 
-// servesAsLeader reports whether this core tells daemons that it leads. Where daemons
+// advertisesLeadership reports whether this core tells daemons that it leads. Where daemons
 // hold sessions with the leader itself, a leader that is cut off does not.
-func (core *Core) servesAsLeader() bool {
+func (core *Core) advertisesLeadership() bool {
 	leadership, err := core.currentLeadership()
 	return err == nil && (!core.config.DirectSessions || leadership.check() == nil)
 }
--- a/control/disk_failure.go
+++ b/control/disk_failure.go
@@ -85,7 +85,7 @@
 	)
 	core.wakeElection.Notify()
 	if core.config.discoversPeers() {
-		for _, register := range markedRegisters {
+		for _, register := range commitMarkedRegisters {
 			core.replica.MarkCommitted(register, committed[register].Version())
 		}
 	}
--- a/control/election.go
+++ b/control/election.go
@@ -12,8 +12,8 @@
 	"orchidjunction/rpc"
 )
 
-// maxPauseDoublings is how often the pause between candidacies is doubled at most.
-const maxPauseDoublings = 2
+// maxBackoffDoublings is how often the pause between candidacies is doubled at most.
+const maxBackoffDoublings = 2
 
 // runElections is the goroutine that makes this core a voter, a candidate or the leader
 // as soon as it should be.
@@ -21,7 +21,7 @@
 	deferred := false
 	for !core.goroutines.Stopping() {
 		seen := core.wakeElection.Count()
-		now := core.takeElectionView()
+		now := core.takeElectionSnapshot()
 		switch {
 		case now.role == Retired || now.role == Lameduck || now.isLeader:
 		case !core.membership().Known():
@@ -39,17 +39,17 @@
 		case now.role == Learner:
 			core.startFollowing()
 		case now.transfer != nil:
-			core.takeOver(now.transfer)
+			core.takeOverLeadership(now.transfer)
 		case now.leaderIsSilent() && core.membership().MayLead(core.membership().ID):
 			deferred = core.campaignOnce(deferred)
 			continue
 		}
-		core.wakeElection.Wait(seen, core.electionIdle(now))
+		core.wakeElection.Wait(seen, core.electionWait(now))
 	}
 }
 
-// electionView is what decides on the next step of an election.
-type electionView struct {
+// electionSnapshot is what decides on the next step of an election.
+type electionSnapshot struct {
 	role     Role
 	isLeader bool
 	transfer *message.TransferLeadershipRequest
@@ -57,13 +57,13 @@
 	timeout  time.Duration
 }
 
-func (view *electionView) leaderIsSilent() bool { return view.silence > view.timeout }
+func (view *electionSnapshot) leaderIsSilent() bool { return view.silence > view.timeout }
 
-// takeElectionView also takes the leader's request to take over, so that it is carried
+// takeElectionSnapshot also takes the leader's request to take over, so that it is carried
 // out at most once.
-func (core *Core) takeElectionView() *electionView {
+func (core *Core) takeElectionSnapshot() *electionSnapshot {
 	core.mutex.Lock()
-	view := &electionView{
+	view := &electionSnapshot{
 		isLeader: core.leadership != nil,
 		transfer: core.election.transfer,
 		silence:  time.Since(core.election.leaderSeenAt),
@@ -75,8 +75,8 @@
 	return view
 }
 
-// electionIdle returns how long nothing is due, unless the election is woken.
-func (core *Core) electionIdle(now *electionView) time.Duration {
+// electionWait returns how long nothing is due, unless the election is woken.
+func (core *Core) electionWait(now *electionSnapshot) time.Duration {
 	switch core.role.Current() {
 	case Retired, Lameduck, Leading:
 		return core.config.SuspicionTimeout
@@ -98,7 +98,7 @@
 	seenBefore := core.election.leaderSeenAt
 	core.mutex.Unlock()
 	deferred = core.campaign(deferred || isFirst, seenBefore)
-	pause := core.random.between(core.config.HeartbeatInterval/2, core.longestPause())
+	pause := core.random.between(core.config.HeartbeatInterval/2, core.maxElectionBackoff())
 	if isFirst {
 		pause = core.random.between(core.config.HeartbeatInterval/2, core.config.HeartbeatInterval) + core.firstElectionTimeout()
 	}
@@ -110,26 +110,26 @@
 	return deferred
 }
 
-// longestPause returns the bound of the random pause after a candidacy. It doubles with each
+// maxElectionBackoff returns the bound of the random pause after a candidacy. It doubles with each
 // one that failed after raising the term, so that candidates which depose each other part.
-func (core *Core) longestPause() time.Duration {
+func (core *Core) maxElectionBackoff() time.Duration {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	return core.config.SuspicionTimeout << min(core.election.failures, maxPauseDoublings)
+	return core.config.SuspicionTimeout << min(core.election.failures, maxBackoffDoublings)
 }
 
 // campaign runs one candidacy: pre-vote, revocation by a fence, establishment. It returns
 // true if it deferred to a better candidate. It gives way to a candidate that this core
 // promised its term to, or a leader that it saw, later than seenBefore: raising the term
 // above theirs would end what is about to be established.
-func (core *Core) campaign(mayNotDefer bool, seenBefore time.Time) bool {
+func (core *Core) campaign(mustNotDefer bool, seenBefore time.Time) bool {
 	if !core.diskWritable() || !core.role.transition(Prechecking) {
 		return false
 	}
 	defer core.role.abandonCandidacy()
 	core.counters.Add("prechecks", 1)
 	view := core.membership()
-	switch core.preVote(view, mayNotDefer) {
+	switch core.preVote(view, mustNotDefer) {
 	case preVoteLost:
 		return false
 	case preVoteDeferred:
@@ -146,7 +146,7 @@
 	revocation, err := core.fence(view, term, former)
 	if err != nil {
 		core.counters.Add("revocations_short", 1)
-		core.candidacyFailed()
+		core.countFailedCandidacy()
 		return false
 	}
 	core.establishLeadership(view, term, revocation)
@@ -172,7 +172,7 @@
 
 // preVote asks the other voters whether they would support this core, before it raises
 // its term and so ends the leadership of a leader that others still see.
-func (core *Core) preVote(view *consensus.View, mayNotDefer bool) preVoteResult {
+func (core *Core) preVote(view *consensus.View, mustNotDefer bool) preVoteResult {
 	own := consensus.Candidate{ID: view.ID, Versions: core.replica.State().Versions()}
 	request := &message.PreVoteRequest{Core: view.ID, Versions: own.Versions, Membership: view.Version}
 	responses := callPeers(core, view, func(peer message.Peer) (*message.PreVoteResponse, error) {
@@ -193,7 +193,7 @@
 		core.counters.Add("prechecks_leader_alive", 1)
 	case !view.Decides(granted):
 		core.counters.Add("prechecks_short", 1)
-	case !mayNotDefer && hasBetterCandidate(view, own, responses):
+	case !mustNotDefer && hasBetterCandidate(view, own, responses):
 		core.counters.Add("prechecks_yielded", 1)
 		return preVoteDeferred
 	default:
@@ -224,15 +224,15 @@
 	return false
 }
 
-// takeOver becomes the leader in the place of one that resigned in this core's favour.
-func (core *Core) takeOver(request *message.TransferLeadershipRequest) {
+// takeOverLeadership becomes the leader in the place of one that resigned in this core's favour.
+func (core *Core) takeOverLeadership(request *message.TransferLeadershipRequest) {
 	if !core.role.transition(Revoking) {
 		return
 	}
 	defer core.role.abandonCandidacy()
 	view := core.membership()
 	term, _ := core.nextTerm(view)
-	core.establishLeadership(view, term, resigned(request))
+	core.establishLeadership(view, term, resignationRevocation(request))
 }
 
 // establishLeadership establishes a leadership under a term, by the membership that its
@@ -246,7 +246,7 @@
 	stopRenewing()
 	if err != nil {
 		core.counters.Add("establishments_short", 1)
-		core.candidacyFailed()
+		core.countFailedCandidacy()
 		return
 	}
 	core.mutex.Lock()
@@ -280,8 +280,8 @@
 	return func() { stopped.Store(true) }
 }
 
-// candidacyFailed counts a candidacy that failed after it had raised the term.
-func (core *Core) candidacyFailed() {
+// countFailedCandidacy counts a candidacy that failed after it had raised the term.
+func (core *Core) countFailedCandidacy() {
 	core.mutex.Lock()
 	core.election.failures++
 	core.mutex.Unlock()
@@ -345,7 +345,7 @@
 	response, err := core.replica.Prepare(request)
 	if err == nil && response.Granted {
 		core.mutex.Lock()
-		core.election.promised(request.Term, core.nextElectionTimeout())
+		core.election.recordPromise(request.Term, core.nextElectionTimeout())
 		core.mutex.Unlock()
 	}
 	return response, err
@@ -357,7 +357,7 @@
 		return &message.RenewCandidacyResponse{}, nil
 	}
 	core.mutex.Lock()
-	core.election.promised(request.Term, core.nextElectionTimeout())
+	core.election.recordPromise(request.Term, core.nextElectionTimeout())
 	core.mutex.Unlock()
 	return &message.RenewCandidacyResponse{Accepted: true}, nil
 }
--- a/control/election_state.go
+++ b/control/election_state.go
@@ -41,9 +41,9 @@
 	return time.Since(state.leaderSeenAt) < timeout
 }
 
-// promised notes that a candidate was promised a term, or goes on under it, and when this
+// recordPromise notes that a candidate was recordPromise a term, or goes on under it, and when this
 // core stands itself if nothing comes of that.
-func (state *electionState) promised(term message.Term, timeout time.Duration) {
+func (state *electionState) recordPromise(term message.Term, timeout time.Duration) {
 	now := time.Now()
 	state.candidate, state.candidateSeenAt = term.Core, now
 	state.leaderSeenAt, state.timeout = now, timeout
--- a/control/establishment.go
+++ b/control/establishment.go
@@ -40,7 +40,7 @@
 	if err := establishment.collectPromises(); err != nil {
 		return nil, err
 	}
-	establishment.completeRevocation()
+	establishment.verifyRevocation()
 	if err := establishment.rewriteRegisters(); err != nil {
 		return nil, err
 	}
@@ -69,14 +69,14 @@
 	return err
 }
 
-// completeRevocation takes the promises as the fence that they are, if they show a leader
+// verifyRevocation takes the promises as the fence that they are, if they show a leader
 // that the one which resigned did not know.
-func (establishment *Establishment) completeRevocation() {
+func (establishment *Establishment) verifyRevocation() {
 	if establishment.revocation.covers(establishment.promises) {
 		return
 	}
 	establishment.core.counters.Add("revocation_fell_back", 1)
-	establishment.revocation = fenced(establishment.term, establishment.revocation.Revoked, establishment.promises)
+	establishment.revocation = fenceRevocation(establishment.term, establishment.revocation.Revoked, establishment.promises)
 }
 
 // rewriteRegisters writes the inherited values again under the new term.
--- a/control/first_membership_test.go
+++ b/control/first_membership_test.go
@@ -15,17 +15,17 @@
 	"orchidjunction/storage"
 )
 
-// unreachable is a transport that reaches nobody.
-type unreachable struct{}
+// unreachableTransport is a transport that reaches nobody.
+type unreachableTransport struct{}
 
 // RoundTrip fails at once.
-func (unreachable) RoundTrip(*http.Request) (*http.Response, error) {
+func (unreachableTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return nil, errors.New("unreachable")
 }
 
 // A core that heard of the first membership from a call of another core, before the answer
 // to its own question, stayed blank for ever: no quorum voted, and nobody ever led.
-func TestFirstMembershipHeardInACallGivesAVote(test *testing.T) {
+func TestFirstMembershipFromPeerCallGrantsVote(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		seeds := []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}
 		goroutines := concurrent.NewGroup()
@@ -39,7 +39,7 @@
 				SuspicionTimeout:  30 * time.Millisecond,
 			},
 			storage.Folder(test.TempDir()),
-			rpc.NewClient(unreachable{}),
+			rpc.NewClient(unreachableTransport{}),
 			goroutines,
 			metrics.NewCounters(),
 		)
--- a/control/cold_test.go
+++ b/control/former_leader_test.go
@@ -14,7 +14,7 @@
 
 // A core whose leadership ended is not taken for one that has heard of no leader
 // since it started.
-func TestFormerLeaderIsNotCold(test *testing.T) {
+func TestFormerLeaderHasHeardLeader(test *testing.T) {
 	core, err := NewCore(
 		Config{
 			InternalAddress:   "127.0.0.1:1",
--- a/control/relayed_test.go
+++ b/control/forwarded_session_test.go
@@ -9,7 +9,7 @@
 
 // A daemon that stays with a core which led tells it changes only. The next leader
 // gets all that the core was told, or it would seal what came since alone.
-func TestRelayedSessionTellsAllCountsNotTheLastChange(test *testing.T) {
+func TestForwardedSessionReportsFullCounts(test *testing.T) {
 	core, _ := newSingleCore(test)
 	defer core.Close()
 	member := message.Member{Name: "edge-1", Kind: "proxy", Incarnation: "a"}
@@ -38,7 +38,7 @@
 }
 
 // What adds to a former process of the core is not all, and does not pass for it.
-func TestRelayedChangesUponAFormerProcessStayChanges(test *testing.T) {
+func TestForwardedDeltaForFormerProcessStaysDelta(test *testing.T) {
 	core, _ := newSingleCore(test)
 	defer core.Close()
 	session := message.Session{
--- a/control/heartbeat.go
+++ b/control/heartbeat.go
@@ -20,7 +20,7 @@
 		return
 	}
 	leadership.mutex.Lock()
-	silence := time.Since(leadership.lastQuorum)
+	silence := time.Since(leadership.lastQuorumAt)
 	leadership.mutex.Unlock()
 	if silence > 2*core.config.SuspicionTimeout {
 		core.counters.Add("leaderships_lost_reach", 1)
@@ -36,7 +36,7 @@
 	number, request := leadership.nextHeartbeat(view)
 	peers := append(slices.Clone(view.Peers), leadership.waitingLearners(view)...)
 	responses, _ := concurrent.Gather(core.goroutines, len(peers), func(index int) (*message.HeartbeatResponse, error) {
-		return leadership.heartbeatTo(peers[index], request)
+		return leadership.sendHeartbeatTo(peers[index], request)
 	}, func(responses map[int]*message.HeartbeatResponse, _ map[int]error) bool {
 		return view.Decides(acceptedHeartbeat(peers, responses))
 	})
@@ -50,15 +50,15 @@
 	if !view.Decides(acceptedHeartbeat(peers, responses)) || core.replica.State().Promised != leadership.term {
 		return false
 	}
-	leadership.heartbeatAccepted(number, begin)
+	leadership.recordHeartbeatQuorum(number, begin)
 	return true
 }
 
-// heartbeatAccepted notes that a quorum accepted a heartbeat that began at a time.
-func (leadership *Leadership) heartbeatAccepted(number uint64, begin time.Time) {
+// recordHeartbeatQuorum notes that a quorum accepted a heartbeat that began at a time.
+func (leadership *Leadership) recordHeartbeatQuorum(number uint64, begin time.Time) {
 	leadership.mutex.Lock()
-	if leadership.lastQuorum.Before(begin) {
-		leadership.lastQuorum = begin
+	if leadership.lastQuorumAt.Before(begin) {
+		leadership.lastQuorumAt = begin
 	}
 	leadership.heartbeatsConfirmed = max(leadership.heartbeatsConfirmed, number)
 	leadership.mutex.Unlock()
@@ -96,15 +96,15 @@
 	return leadership.heartbeatsSent, request
 }
 
-// heartbeatTo sends a heartbeat to one core and uses what the response says.
-func (leadership *Leadership) heartbeatTo(peer message.Peer, request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
+// sendHeartbeatTo sends a heartbeat to one core and uses what the response says.
+func (leadership *Leadership) sendHeartbeatTo(peer message.Peer, request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
 	core, begin := leadership.core, time.Now()
-	response, err := rpc.Call(core.client, peer.Address, message.MethodHeartbeat, core.callTimeout(), core.withTime(peer, request))
+	response, err := rpc.Call(core.client, peer.Address, message.MethodHeartbeat, core.callTimeout(), core.withArrivalTime(peer, request))
 	if err != nil {
 		return nil, err
 	}
 	if peer.ID > 0 {
-		core.observeClock(peer, response, time.Since(begin))
+		core.observePeerClock(peer, response, time.Since(begin))
 	}
 	leadership.replacements.observeResponse(peer, response)
 	leadership.mutex.Lock()
@@ -132,7 +132,7 @@
 		}
 		core.counters.Add("copies_mended", 1)
 		request := &message.AcceptRequest{Term: leadership.term, Register: message.Register(register), Value: values[register]}
-		response, err := core.offerTo(peer, request, chunks, core.callTimeout()+transferTime(request.Value.Size()))
+		response, err := core.sendAcceptTo(peer, request, chunks, core.callTimeout()+transferTime(request.Value.Size()))
 		if err != nil || !response.Accepted { // its next response to a heartbeat shows that it still lacks it
 			core.counters.Add("copies_not_mended", 1)
 		}
--- a/control/initial_view_test.go
+++ b/control/initial_view_test.go
@@ -9,7 +9,7 @@
 
 // As long as no core was ever replaced the flags say where the cores are; afterwards
 // the disk does, whatever the flags still name.
-func TestFlagsCountUntilACoreIsReplaced(test *testing.T) {
+func TestFlagAddressesApplyUntilFirstReplacement(test *testing.T) {
 	config := &Config{
 		ID:              1,
 		InternalAddress: "10.0.0.1:1",
--- a/control/join.go
+++ b/control/join.go
@@ -19,41 +19,41 @@
 	joinInterval = 150 * time.Millisecond
 )
 
-// Founding collects the cores that ask who votes at the system's first start, before any
+// Founders collects the cores that ask who votes at the system's first start, before any
 // does. It is safe for concurrent use.
-type Founding struct {
+type Founders struct {
 	mutex       sync.Mutex
 	seen        map[string]bool
 	lastAddedAt time.Time
 }
 
-func newFounding(address string) *Founding {
-	return &Founding{seen: map[string]bool{address: true}, lastAddedAt: time.Now()}
+func newFounders(address string) *Founders {
+	return &Founders{seen: map[string]bool{address: true}, lastAddedAt: time.Now()}
 }
 
-func (founding *Founding) add(address string) {
-	founding.mutex.Lock()
-	defer founding.mutex.Unlock()
-	if !founding.seen[address] && len(founding.seen) < maxFounders {
-		founding.seen[address] = true
-		founding.lastAddedAt = time.Now()
+func (founders *Founders) add(address string) {
+	founders.mutex.Lock()
+	defer founders.mutex.Unlock()
+	if !founders.seen[address] && len(founders.seen) < maxFounders {
+		founders.seen[address] = true
+		founders.lastAddedAt = time.Now()
 	}
 }
 
 // complete returns the addresses once all seeds and at least so many are there, and none
 // came for a while.
-func (founding *Founding) complete(seeds []string, atLeast int, quiet time.Duration) ([]string, bool) {
-	founding.mutex.Lock()
-	defer founding.mutex.Unlock()
-	if len(founding.seen) < atLeast || time.Since(founding.lastAddedAt) < quiet {
+func (founders *Founders) complete(seeds []string, atLeast int, quiet time.Duration) ([]string, bool) {
+	founders.mutex.Lock()
+	defer founders.mutex.Unlock()
+	if len(founders.seen) < atLeast || time.Since(founders.lastAddedAt) < quiet {
 		return nil, false
 	}
 	for _, seed := range seeds {
-		if !founding.seen[seed] {
+		if !founders.seen[seed] {
 			return nil, false
 		}
 	}
-	return slices.Collect(maps.Keys(founding.seen)), true
+	return slices.Collect(maps.Keys(founders.seen)), true
 }
 
 // sinceBootstrap reports whether this disk has been there since the system's first start.
@@ -67,9 +67,9 @@
 	return slices.DeleteFunc(slices.Clone(core.config.Seeds), func(seed string) bool { return seed == core.config.InternalAddress })
 }
 
-// founds reports whether this core says who votes at the first start: the one of the
+// createsInitialMembership reports whether this core says who votes at the first start: the one of the
 // lowest address among the seeds does.
-func (core *Core) founds() bool {
+func (core *Core) createsInitialMembership() bool {
 	return core.sinceBootstrap() && slices.MinFunc(core.config.Seeds, consensus.CompareAddresses) == core.config.InternalAddress
 }
 
@@ -86,8 +86,8 @@
 		core.adoptFirstMembership(known)
 		return
 	}
-	addresses, isComplete := core.founding.complete(core.config.Seeds, core.config.MinFounders, core.config.FoundingQuiet)
-	if isComplete && core.founds() {
+	addresses, isComplete := core.founders.complete(core.config.Seeds, core.config.MinFounders, core.config.FoundingQuiet)
+	if isComplete && core.createsInitialMembership() {
 		core.adoptFirstMembership(consensus.InitialMembership(addresses).Accepted())
 		return
 	}
@@ -147,7 +147,7 @@
 // onJoin says who votes and who leads. A leader makes a core without a vote a learner.
 func (core *Core) onJoin(request *message.JoinRequest) (*message.JoinResponse, error) {
 	if !core.membership().Known() {
-		core.founding.add(request.Address)
+		core.founders.add(request.Address)
 		return &message.JoinResponse{}, nil
 	}
 	response := &message.JoinResponse{}
@@ -156,7 +156,7 @@
 		response.Term = leadership.term
 	}
 	response.Membership = core.members.NewerThan(request.Known)
-	isLeader := core.servesAsLeader()
+	isLeader := core.advertisesLeadership()
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	if isLeader || core.election.leaderAlive(core.config.SuspicionTimeout) {
--- a/control/lameduck.go
+++ b/control/lameduck.go
@@ -76,8 +76,8 @@
 // awaitSuccessor waits until this core has seen a newer leader.
 func (leadership *Leadership) awaitSuccessor(deadline time.Time) bool {
 	core := leadership.core
-	patience := time.Now().Add(2 * core.config.SuspicionTimeout)
-	for time.Now().Before(patience) && time.Now().Before(deadline) {
+	takeoverDeadline := time.Now().Add(2 * core.config.SuspicionTimeout)
+	for time.Now().Before(takeoverDeadline) && time.Now().Before(deadline) {
 		core.mutex.Lock()
 		isReplaced := leadership.term.Less(core.election.leader.Term)
 		core.mutex.Unlock()
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -21,7 +21,7 @@
 	core       *Core
 	term       message.Term
 	revocation *Revocation
-	since      time.Time
+	startedAt  time.Time
 	inherited  [message.Registers]uint64 // serials
 	promisedBy []int
 
@@ -42,7 +42,7 @@
 	rollouts            *rollout.State
 	responses           map[int]*message.HeartbeatResponse
 	sendingTo           map[string]bool // addresses of cores that are sent what they lack
-	lastQuorum          time.Time       // when the last heartbeat began that a quorum accepted
+	lastQuorumAt        time.Time       // when the last heartbeat began that a quorum accepted
 	heartbeatsSent      uint64
 	heartbeatsConfirmed uint64
 }
@@ -52,7 +52,7 @@
 		core:          establishment.core,
 		term:          establishment.term,
 		revocation:    establishment.revocation,
-		since:         time.Now(),
+		startedAt:     time.Now(),
 		promisedBy:    slices.Sorted(maps.Keys(establishment.promises)),
 		writeLock:     concurrent.NewLock(),
 		heartbeatDone: concurrent.NewCondition(),
@@ -102,8 +102,8 @@
 	return leadership.values, leadership.content.chunks
 }
 
-// inLameduck reports whether this leadership is being handed over.
-func (leadership *Leadership) inLameduck() bool {
+// isLameduck reports whether this leadership is being handed over.
+func (leadership *Leadership) isLameduck() bool {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	return leadership.lameduck
@@ -119,7 +119,7 @@
 		return rpc.Errorf(rpc.NotLeader, "leadership %s ended", leadership.term)
 	case leadership.lameduck:
 		return &rpc.Error{Code: rpc.Lameduck, Message: "stepping down", Leader: leadership.successor.Address}
-	case time.Since(leadership.lastQuorum) > leadership.core.config.SuspicionTimeout:
+	case time.Since(leadership.lastQuorumAt) > leadership.core.config.SuspicionTimeout:
 		return rpc.Errorf(rpc.NotLeader, "no majority took a heartbeat lately")
 	}
 	return nil
@@ -129,7 +129,7 @@
 func (leadership *Leadership) conditions() []message.Condition {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
-	sinceQuorum := time.Since(leadership.lastQuorum)
+	sinceQuorum := time.Since(leadership.lastQuorumAt)
 	settings, reports := leadership.inherited[message.SettingsRegister], leadership.inherited[message.ReportsRegister]
 	return []message.Condition{
 		{
--- a/control/learner.go
+++ b/control/learner.go
@@ -60,20 +60,20 @@
 		return
 	}
 	core.learnMembership(response.Membership)
-	if core.mayBeginEmpty(response) {
-		core.beginEmpty(response.Term)
+	if core.mayInitializeLearner(response) {
+		core.initializeLearner(response.Term)
 	}
 	core.mutex.Lock()
-	core.election.joinAnswered(response)
+	core.election.observeJoinResponse(response)
 	core.mutex.Unlock()
 	if !response.Leader.Known() || response.Leader.Address == address {
 		core.goroutines.Sleep(core.config.SuspicionTimeout / 2)
 	}
 }
 
-// joinAnswered notes the leader that a response names; a core that did not admit this one
+// observeJoinResponse notes the leader that a response names; a core that did not admit this one
 // is not asked next.
-func (state *electionState) joinAnswered(response *message.JoinResponse) {
+func (state *electionState) observeJoinResponse(response *message.JoinResponse) {
 	if response.Leader.Known() {
 		if !response.Leader.Term.Less(state.leader.Term) {
 			state.leader = response.Leader
@@ -99,17 +99,17 @@
 	return addresses[election.joinAttempts%len(addresses)]
 }
 
-// mayBeginEmpty reports whether a response lets this core's blank disk begin as a replica.
-func (core *Core) mayBeginEmpty(response *message.JoinResponse) bool {
+// mayInitializeLearner reports whether a response lets this core's blank disk begin as a replica.
+func (core *Core) mayInitializeLearner(response *message.JoinResponse) bool {
 	return response.Admitted && core.replica.Blank() && !core.membership().Votes()
 }
 
-// beginEmpty makes a blank disk a replica that accepted nothing but the membership. It
+// initializeLearner makes a blank disk a replica that accepted nothing but the membership. It
 // has no vote by that: the leader was confirmed after this disk was found blank, and the
 // membership then did not count this core. An earlier one may have, and its disk was lost
 // since, so the replica must refuse whoever counts by an earlier one. It waits for the
 // membership that the admitting leader wrote under its term.
-func (core *Core) beginEmpty(term message.Term) {
+func (core *Core) initializeLearner(term message.Term) {
 	view := core.membership()
 	if view.Votes() || view.Version.Term != term {
 		return
--- a/control/leave.go
+++ b/control/leave.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// leaveSearchTimeout bounds how long a voter that ends looks for a leader to tell.
-	leaveSearchTimeout = time.Second
+	// leaderSearchTimeout bounds how long a voter that ends looks for a leader to tell.
+	leaderSearchTimeout = time.Second
 	// leaveTimeout bounds how long a voter that ends waits for its successor.
 	leaveTimeout = 3 * time.Second
 )
@@ -18,19 +18,19 @@
 // onLeave takes the announcement of a voter of a former release, which names its ID alone.
 // Only the ID of a decided voter is certainly its own.
 func (core *Core) onLeave(request *message.LeaveRequest) (*message.LeaveResponse, error) {
-	return core.takeLeave(func(voter message.Peer, isDecided bool) bool { return voter.ID == request.Core && isDecided })
+	return core.registerLeave(func(voter message.Peer, isDecided bool) bool { return voter.ID == request.Core && isDecided })
 }
 
 // onLeaveVoter takes a voter's announcement that it ends.
 func (core *Core) onLeaveVoter(request *message.LeaveVoterRequest) (*message.LeaveResponse, error) {
-	return core.takeLeave(func(voter message.Peer, _ bool) bool {
+	return core.registerLeave(func(voter message.Peer, _ bool) bool {
 		return voter.ID == request.Core && voter.Address == request.Address
 	})
 }
 
-// takeLeave notes that the voter which a caller names ends. The voter need not wait if no
+// registerLeave notes that the voter which a caller names ends. The voter need not wait if no
 // learner is there to take its place, nor if it has none.
-func (core *Core) takeLeave(isCaller func(voter message.Peer, isDecided bool) bool) (*message.LeaveResponse, error) {
+func (core *Core) registerLeave(isCaller func(voter message.Peer, isDecided bool) bool) (*message.LeaveResponse, error) {
 	leadership, err := core.currentLeadership()
 	if err != nil {
 		return nil, err
@@ -59,8 +59,8 @@
 			core.learnMembership(response.Membership)
 		}
 		isDone := err == nil && !response.Wait
-		isHopeless := err != nil && time.Since(begin) > leaveSearchTimeout
-		if isDone || isHopeless || !core.goroutines.Sleep(core.config.HeartbeatInterval/2) {
+		leaderNotFound := err != nil && time.Since(begin) > leaderSearchTimeout
+		if isDone || leaderNotFound || !core.goroutines.Sleep(core.config.HeartbeatInterval/2) {
 			return
 		}
 	}
--- a/control/membership_status.go
+++ b/control/membership_status.go
@@ -31,7 +31,7 @@
 		case peer.Address == core.config.InternalAddress:
 			status.Seen = true
 		case leadership != nil:
-			silence, isLeaving := leadership.replacements.silence(peer.ID, leadership.since)
+			silence, isLeaving := leadership.replacements.silence(peer.ID, leadership.startedAt)
 			status.SilentMs, status.Seen, status.Leaving = silence.Milliseconds(), silence < core.config.SuspicionTimeout, isLeaving
 		}
 		all = append(all, status)
--- a/control/model_rules_test.go
+++ b/control/model_rules_test.go
@@ -60,8 +60,8 @@
 			return term
 		},
 		admits:        func(view *consensus.View, address string) bool { return !view.HasAddress(address) },
-		mayBeginEmpty: (*Core).mayBeginEmpty,
-		beginEmpty:    (*Core).beginEmpty,
+		mayBeginEmpty: (*Core).mayInitializeLearner,
+		beginEmpty:    (*Core).initializeLearner,
 		replaced: func(view *consensus.View, leaving int, address string) *consensus.Membership {
 			return view.WithReplacement(leaving, address)
 		},
--- a/control/registers.go
+++ b/control/registers.go
@@ -7,9 +7,9 @@
 	"orchidjunction/message"
 )
 
-// markedRegisters are those whose committed value is marked on the disk, so that daemons can
+// commitMarkedRegisters are those whose committed value is marked on the disk, so that daemons can
 // have it after a restart before anybody leads.
-var markedRegisters = []message.Register{message.RoutingRegister, message.RolloutsRegister}
+var commitMarkedRegisters = []message.Register{message.RoutingRegister, message.RolloutsRegister}
 
 // commit takes a register's value as committed if it is newer than the one known. Chunks
 // are those of the settings, as the replica has them at the time: it drops some with the
@@ -29,7 +29,7 @@
 	}
 	core.counters.Add("commits", 1)
 	core.updates.Notify()
-	if slices.Contains(markedRegisters, register) && core.config.discoversPeers() {
+	if slices.Contains(commitMarkedRegisters, register) && core.config.discoversPeers() {
 		core.goroutines.Start(func() { core.replica.MarkCommitted(register, accepted.Version()) })
 	}
 }
@@ -67,7 +67,7 @@
 
 // onLeader says who leads, if this core leads or has seen the leader lately.
 func (core *Core) onLeader(*message.LeaderRequest) (*message.LeaderResponse, error) {
-	isLeader := core.servesAsLeader()
+	isLeader := core.advertisesLeadership()
 	view := core.membership()
 	core.mutex.Lock()
 	response := &message.LeaderResponse{
@@ -83,7 +83,7 @@
 	leadership := core.leadership
 	core.mutex.Unlock()
 	if leadership != nil {
-		response.Lameduck = leadership.inLameduck()
+		response.Lameduck = leadership.isLameduck()
 	}
 	return response, nil
 }
@@ -97,9 +97,9 @@
 	return message.Leader{}
 }
 
-// watched returns the versions that daemons wait for, and what changed in the table if that
+// newWatchResponse returns the versions that daemons wait for, and what changed in the table if that
 // is all that is newer than what a daemon holds.
-func (core *Core) watched(request *message.WatchRequest) *message.WatchResponse {
+func (core *Core) newWatchResponse(request *message.WatchRequest) *message.WatchResponse {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	response := &message.WatchResponse{
@@ -119,7 +119,7 @@
 	deadline := time.Now().Add(request.Timeout())
 	for {
 		seen := core.updates.Count()
-		response := core.watched(request)
+		response := core.newWatchResponse(request)
 		core.addWatchedRollouts(response, request.Rollouts)
 		if response.NewerThan(request) || core.goroutines.Stopping() {
 			return response, nil
--- a/control/remove_voter.go
+++ b/control/remove_voter.go
@@ -33,7 +33,7 @@
 	if position < 0 {
 		return &message.RemoveVoterResponse{Version: view.Version.Serial, Duplicate: true}, nil
 	}
-	learner, err := leadership.learnerFor(request.Core, view)
+	learner, err := leadership.replacementFor(request.Core, view)
 	if err != nil {
 		return nil, err
 	}
@@ -63,8 +63,8 @@
 	return view, nil
 }
 
-// learnerFor returns the address of a learner that may take a voter's place now.
-func (leadership *Leadership) learnerFor(leaving int, view *consensus.View) (string, error) {
+// replacementFor returns the address of a learner that may take a voter's place now.
+func (leadership *Leadership) replacementFor(leaving int, view *consensus.View) (string, error) {
 	core := leadership.core
 	if len(leadership.waitingLearners(view)) > 0 && view.LastID < message.MaxPeerID {
 		learner, found := leadership.replacements.readyLearner(core.config.SuspicionTimeout, leadership.nearlySynced)
@@ -72,7 +72,7 @@
 			return learner, nil
 		}
 	}
-	if time.Since(leadership.since) < learnerTimeouts*core.config.SuspicionTimeout {
+	if time.Since(leadership.startedAt) < learnerTimeouts*core.config.SuspicionTimeout {
 		return "", &rpc.Error{
 			Code:         rpc.NotStarted,
 			Message:      "the leader just began and may not know the learners yet",
--- a/control/replacement.go
+++ b/control/replacement.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// startVoter begins the silence of a new voter now.
-func (replacements *Replacements) startVoter(id int) {
+// resetSilence begins the silence of a new voter now.
+func (replacements *Replacements) resetSilence(id int) {
 	replacements.mutex.Lock()
 	replacements.answeredAt[id] = time.Now()
 	replacements.mutex.Unlock()
@@ -194,7 +194,7 @@
 	if len(leadership.waitingLearners(view)) == 0 || view.LastID >= message.MaxPeerID {
 		return
 	}
-	departing, found := leadership.replacements.departingVoter(view.Voters, view.ID, leadership.since, core.config.ReplaceAfter)
+	departing, found := leadership.replacements.departingVoter(view.Voters, view.ID, leadership.startedAt, core.config.ReplaceAfter)
 	if !found {
 		return
 	}
@@ -239,7 +239,7 @@
 		return err
 	}
 	step := leadership.core.membership().WithReplacement(leaving.ID, address)
-	leadership.replacements.startVoter(step.LastID)
+	leadership.replacements.resetSilence(step.LastID)
 	return leadership.writeMembership(step)
 }
 
@@ -259,7 +259,7 @@
 	values, chunks := leadership.snapshot()
 	return core.forAllRegisters(func(register message.Register) error {
 		request := &message.AcceptRequest{Term: leadership.term, Register: register, Value: values[register]}
-		response, err := core.offerTo(peer, request, chunks, core.callTimeout()+transferTime(request.Value.Size()))
+		response, err := core.sendAcceptTo(peer, request, chunks, core.callTimeout()+transferTime(request.Value.Size()))
 		if err != nil {
 			return err
 		}
--- a/control/replication.go
+++ b/control/replication.go
@@ -14,18 +14,18 @@
 func (core *Core) callTimeout() time.Duration { return core.config.SuspicionTimeout }
 
 const (
-	// transferRate is the least rate, in bytes a second, at which a link between cores is taken
+	// minTransferBytesPerSecond is the least rate, in bytes a second, at which a link between cores is taken
 	// to carry a large value; maxTransferTime bounds the time that one is given by it.
-	transferRate    = 1 << 20
-	maxTransferTime = 10 * time.Second
-	// referenceBytes is the size from which an inherited value is sent by its version first, to
+	minTransferBytesPerSecond = 1 << 20
+	maxTransferTime           = 10 * time.Second
+	// minReferenceBytes is the size from which an inherited value is sent by its version first, to
 	// replicas that are likely to hold it: sending it costs more than asking.
-	referenceBytes = 8 << 10
+	minReferenceBytes = 8 << 10
 )
 
 // transferTime returns the time that is added to a call's time-out for so many bytes.
 func transferTime(bytes int) time.Duration {
-	return min(maxTransferTime, time.Duration(float64(bytes)/transferRate*float64(time.Second)))
+	return min(maxTransferTime, time.Duration(float64(bytes)/minTransferBytesPerSecond*float64(time.Second)))
 }
 
 // callPeers calls every other voter of a membership at once and returns the responses by
@@ -125,7 +125,7 @@
 	deadline time.Time,
 ) (*message.AcceptResponse, error) {
 	for {
-		response, err := core.offerTo(peer, request, chunks, time.Until(deadline))
+		response, err := core.sendAcceptTo(peer, request, chunks, time.Until(deadline))
 		if err == nil || !isUnreachable(err) || time.Until(deadline) < core.config.HeartbeatInterval {
 			return response, err
 		}
@@ -140,8 +140,8 @@
 	return code == rpc.Unreachable || code == rpc.ConnectFailed
 }
 
-// offerTo offers a value to another core once.
-func (core *Core) offerTo(
+// sendAcceptTo offers a value to another core once.
+func (core *Core) sendAcceptTo(
 	peer message.Peer,
 	request *message.AcceptRequest,
 	chunks message.Chunks,
@@ -196,7 +196,7 @@
 ) error {
 	return core.forAllRegisters(func(register message.Register) error {
 		request := &message.AcceptRequest{Term: term, Register: register, Value: values[register]}
-		if request.Value.Size() >= referenceBytes {
+		if request.Value.Size() >= minReferenceBytes {
 			request.Inherited = inherited[register]
 		}
 		return core.replicate(view, request, chunks)
--- a/control/restore.go
+++ b/control/restore.go
@@ -20,7 +20,7 @@
 	for _, response := range responses {
 		core.observeTermNumber(response.Promised.Number)
 	}
-	if core.config.Bootstrap && !core.config.discoversPeers() && areAllNew(view, responses) {
+	if core.config.Bootstrap && !core.config.discoversPeers() && allPeersEmpty(view, responses) {
 		core.initializeReplica(view)
 		return
 	}
@@ -37,7 +37,7 @@
 	if promises == nil || !core.role.transition(Revoking) {
 		return
 	}
-	core.establishLeadership(view, term, fenced(term, former, promises))
+	core.establishLeadership(view, term, fenceRevocation(term, former, promises))
 	core.role.abandonCandidacy()
 }
 
@@ -58,8 +58,8 @@
 	return responses
 }
 
-// areAllNew reports whether all other voters answered, and none holds anything.
-func areAllNew(view *consensus.View, responses map[int]*message.ReplicaStateResponse) bool {
+// allPeersEmpty reports whether all other voters answered, and none holds anything.
+func allPeersEmpty(view *consensus.View, responses map[int]*message.ReplicaStateResponse) bool {
 	if len(responses) != len(view.Peers) {
 		return false
 	}
--- a/control/revocation.go
+++ b/control/revocation.go
@@ -31,16 +31,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return fenced(term, former, promises), nil
+	return fenceRevocation(term, former, promises), nil
 }
 
-// fenced returns the revocation that promises of a quorum are.
-func fenced(term, former message.Term, promises map[int]*message.PrepareResponse) *Revocation {
+// fenceRevocation returns the revocation that promises of a quorum are.
+func fenceRevocation(term, former message.Term, promises map[int]*message.PrepareResponse) *Revocation {
 	return &Revocation{Method: TermFence, Term: term, Revoked: former, Promises: promises, Complete: true}
 }
 
-// resigned returns the revocation that a leader's own word is.
-func resigned(request *message.TransferLeadershipRequest) *Revocation {
+// resignationRevocation returns the revocation that a leader's own word is.
+func resignationRevocation(request *message.TransferLeadershipRequest) *Revocation {
 	return &Revocation{Method: Resigned, Revoked: request.Term, Complete: true, Learners: request.Learners}
 }
 
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -139,7 +139,7 @@
 	core.observeDaemonClock(session)
 	core.takeSession(session, core.membership().ID)
 	_, now := core.clockTimes()
-	isLeader := core.servesAsLeader()
+	isLeader := core.advertisesLeadership()
 	view := core.membership()
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
@@ -203,7 +203,7 @@
 // forwardSessions sends the leader what is new since the last time.
 func (core *Core) forwardSessions() {
 	core.mutex.Lock()
-	leader, isLeader, since := core.election.leader, core.leadership != nil, core.sharedAt
+	leader, isLeader, since := core.election.leader, core.leadership != nil, core.sessionsSharedAt
 	core.mutex.Unlock()
 	id := core.membership().ID
 	if isLeader || !leader.Known() || id == 0 || leader.Core == id {
@@ -221,7 +221,7 @@
 	}
 	if _, err := core.sendSessions(leader.Address, request); err == nil {
 		core.mutex.Lock()
-		core.sharedAt = begin
+		core.sessionsSharedAt = begin
 		core.mutex.Unlock()
 	}
 }
--- a/control/begin_claims_test.go
+++ b/control/start_claims_test.go
@@ -14,12 +14,12 @@
 	"orchidjunction/storage"
 )
 
-// claimsBeyondTheQueue is more than the queue of claims holds.
-const claimsBeyondTheQueue = 5000
+// claimsAboveQueueCapacity is more than the queue of claims holds.
+const claimsAboveQueueCapacity = 5000
 
 // A voter that began while the claims' ring was full marks its claims as whole later:
 // nobody else mends them at the first start, when no other core is whole either.
-func TestClaimsBeginOnceTheRingHasRoom(test *testing.T) {
+func TestClaimsMarkedCompleteOnceQueueHasRoom(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
 		core, err := NewCore(
@@ -32,7 +32,7 @@
 		if err != nil {
 			test.Fatal(err)
 		}
-		for range claimsBeyondTheQueue {
+		for range claimsAboveQueueCapacity {
 			goroutines.Start(func() {
 				_ = core.claims.Submit(&idempotency.Write{Request: &message.RecordClaimsRequest{}}) // refused once the queue is full
 			})
--- a/control/table.go
+++ b/control/table.go
@@ -89,7 +89,7 @@
 	if former.Version.Term.Number == 0 || !former.Complete {
 		former = core.recoverTable(former, sessions)
 	}
-	if former.Version.Term.Number == 0 && time.Since(leadership.since) < core.config.firstTableDelay() {
+	if former.Version.Term.Number == 0 && time.Since(leadership.startedAt) < core.config.firstTableDelay() {
 		return
 	}
 	next := core.nextTable(leadership, former, sessions)
@@ -134,7 +134,7 @@
 		members = append(members, tracked.session.Member)
 		isActive[tracked.session.Member.Name] = true
 	}
-	isNewLeader := time.Since(leadership.since) < core.config.SessionTTL
+	isNewLeader := time.Since(leadership.startedAt) < core.config.SessionTTL
 	if isNewLeader || core.sessions.massLapse(former, isActive) {
 		for _, member := range former {
 			if !isActive[member.Name] && !core.sessions.ended(member.Name) {
--- a/control/usage_copies.go
+++ b/control/usage_copies.go
@@ -226,7 +226,7 @@
 		}
 	}
 	mayMiss := 0
-	if time.Since(leadership.since) >= takeoverDelay {
+	if time.Since(leadership.startedAt) >= takeoverDelay {
 		mayMiss = len(view.Voters) - message.Majority(view.Voters)
 	}
 	return missing <= mayMiss
--- a/control/window_reports.go
+++ b/control/window_reports.go
@@ -123,7 +123,7 @@
 // never alternate within that time.
 func (core *Core) mayReport(leadership *Leadership) bool {
 	quiet := core.config.Metering.TakeoverQuiet
-	return time.Since(leadership.since) >= quiet || core.reporting.isQuiet(leadership.term, quiet)
+	return time.Since(leadership.startedAt) >= quiet || core.reporting.isQuiet(leadership.term, quiet)
 }
 
 // firstWindow returns the window that counting begins with: the present one or, under a
@@ -198,7 +198,7 @@
 		return true
 	}
 	latest := max(config.SettleLatest, config.SettleAfter+windowSilence)
-	return sinceEnd >= latest && time.Since(leadership.since) >= takeoverDelay
+	return sinceEnd >= latest && time.Since(leadership.startedAt) >= takeoverDelay
 }
 
 // reportWindows is the leader's task to report what is sealed, the oldest first, each
--- a/hostproxy/field_checks_test.go
+++ b/hostproxy/field_checks_test.go
@@ -239,7 +239,7 @@
 }
 
 // containers hold fields that are gone through themselves; a version is the operator's own
-// (control.TestDecideNamesTheStaleBaseFirst), and what the product does not know is only
+// (control.TestRoutingChangeReportsStaleBaseFirst), and what the product does not know is only
 // given back (platform.TestWholeIsGivenBackAsItCame).
 var containers = []reflect.Type{
 	reflect.TypeFor[[]routing.Route](), reflect.TypeFor[[]routing.Service](), reflect.TypeFor[[]routing.Tenant](),
