--- a/control/clock.go
+++ b/control/clock.go
@@ -9,26 +9,26 @@
 	"orchidjunction/message"
 )
 
-// PeerClocks estimate how far the other cores' clocks are ahead of this one's. It is safe
+// PeerClocks estimates how far the clocks of the other cores are ahead of this one. It is safe
 // for concurrent use.
 type PeerClocks struct {
 	mutex      sync.Mutex
 	estimators map[int]*clock.OffsetEstimator
-	roundTrips map[int]time.Duration // of the last call to a core whose clock says nothing
+	roundTrips map[int]time.Duration // of the last call to each core that returned no time
 }
 
 func newPeerClocks() *PeerClocks {
 	return &PeerClocks{estimators: map[int]*clock.OffsetEstimator{}, roundTrips: map[int]time.Duration{}}
 }
 
-// addRoundTrip takes how long a message took to a core that did not say its time.
+// addRoundTrip records the round trip of a call to a core that did not return its time.
 func (clocks *PeerClocks) addRoundTrip(core int, roundTrip time.Duration) {
 	clocks.mutex.Lock()
 	defer clocks.mutex.Unlock()
 	clocks.roundTrips[core] = roundTrip
 }
 
-func (clocks *PeerClocks) add(core int, aheadMs int64, roundTrip time.Duration) {
+func (clocks *PeerClocks) addSample(core int, aheadMs int64, roundTrip time.Duration) {
 	clocks.mutex.Lock()
 	defer clocks.mutex.Unlock()
 	if clocks.estimators[core] == nil {
@@ -37,7 +37,7 @@
 	clocks.estimators[core].Add(aheadMs, roundTrip)
 }
 
-// retain forgets the clocks of cores that have no vote.
+// retain drops the clocks of cores that are not voters.
 func (clocks *PeerClocks) retain(voters []message.Peer) {
 	clocks.mutex.Lock()
 	defer clocks.mutex.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// roundTrip returns how long a message to a core and back takes, 0 if that is not known.
+// roundTrip returns the round trip to a core, 0 if it is not known.
 func (clocks *PeerClocks) roundTrip(core int) time.Duration {
 	clocks.mutex.Lock()
 	defer clocks.mutex.Unlock()
@@ -58,8 +58,9 @@
 	return clocks.estimators[core].RoundTrip()
 }
 
-// median returns how far the middle one of all clocks, this core's included, is ahead in
-// milliseconds, and how many there are.
+// median returns the median offset of all clocks, including this core's, in milliseconds, and
+// the number of clocks. If the two middle offsets differ widely, it returns the one nearer to
+// before.
 func (clocks *PeerClocks) median(before int64) (int64, int) {
 	clocks.mutex.Lock()
 	defer clocks.mutex.Unlock()
@@ -70,12 +71,11 @@
 	return clock.Median(offsets, before), len(offsets)
 }
 
-// Now returns the time of day as the cores agree on it, in milliseconds since the Unix
-// epoch.
+// Now returns the time of day that the cores agree on, in milliseconds since the Unix epoch.
 func (core *Core) Now() int64 { return core.clock.Now() }
 
-// observePeerClock takes another core's clock from its response to a heartbeat. The middle
-// one of a majority's clocks is the time.
+// observePeerClock samples another core's clock from its heartbeat response. Once samples from
+// a majority are known, their median sets the time.
 func (core *Core) observePeerClock(peer message.Peer, response *message.HeartbeatResponse, roundTrip time.Duration) {
 	if roundTrip > core.callTimeout() {
 		return
@@ -88,15 +88,15 @@
 	if response.NowMs > 0 && !core.clock.Synced() {
 		core.clock.SetOffset(response.NowMs + oneWay - anchored)
 	}
-	core.peerClocks.add(peer.ID, response.AnchorMs+oneWay-anchored, roundTrip)
+	core.peerClocks.addSample(peer.ID, response.AnchorMs+oneWay-anchored, roundTrip)
 	if ahead, count := core.peerClocks.median(core.clock.Offset()); count >= core.membership().MajoritySize() {
 		core.clock.SetOffset(ahead)
 	}
 }
 
-// clockTimes returns this core's own clock, and the time of day if other cores' clocks
-// are known, else 0. Both are in milliseconds since the Unix epoch, and 0 while this core
-// does not trust its clock.
+// clockTimes returns this core's own clock, and the time of day if it is synchronized with
+// other cores, else 0. Both are in milliseconds since the Unix epoch, and 0 until this core
+// trusts its clock.
 func (core *Core) clockTimes() (anchored, now int64) {
 	if !core.clockTrusted() {
 		return 0, 0
@@ -107,8 +107,8 @@
 	return core.clock.Anchored(), now
 }
 
-// withArrivalTime returns a heartbeat with the time at which it will arrive, if the round trip
-// to the peer is known.
+// withArrivalTime returns a copy of a heartbeat that carries its expected arrival time, if the
+// round trip to the peer is known.
 func (core *Core) withArrivalTime(peer message.Peer, request *message.HeartbeatRequest) *message.HeartbeatRequest {
 	timed := *request
 	roundTrip := core.peerClocks.roundTrip(peer.ID)
--- a/control/clock_trust.go
+++ b/control/clock_trust.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	// clockTrustTimeout is how long a core that starts waits for somebody who knows the time of day
-	// before it relies on its own wall clock.
+	// clockTrustTimeout is how long a core waits after its start for the time from a daemon or
+	// a leader before it relies on its own wall clock.
 	clockTrustTimeout = 1500 * time.Millisecond
-	// daemonClockWindow is how long it waits for more daemons after the first one.
+	// daemonClockWindow is how long samples of more daemon clocks are collected after the
+	// first.
 	daemonClockWindow = 250 * time.Millisecond
 )
 
-// clockTrust is whether a core that started may rely on what its wall clock said. Wall
-// clocks may be off on all machines while all cores start at once; then the daemons that
-// ran on know the time of day, and else a leader does. It is safe for concurrent use.
+// clockTrust decides whether a core may rely on the wall clock that it read at its start. Wall
+// clocks may be wrong on all machines when all cores start at once. Daemons that kept running
+// then know the time of day, and otherwise a leader does. It is safe for concurrent use.
 type clockTrust struct {
 	mutex         sync.Mutex
 	startedAt     time.Time
 	isTrusted     bool
 	firstSampleAt time.Time        // when the first daemon sent its time
-	offsets       map[string]int64 // of the daemons' clocks, by names
+	offsets       map[string]int64 // of the daemons' clocks, by daemon name
 }
 
 func newClockTrust() clockTrust {
 	return clockTrust{startedAt: time.Now(), offsets: map[string]int64{}}
 }
 
-// clockTrusted reports whether this core relies on its clock, and decides on that if it is
-// time to.
+// clockTrusted reports whether this core relies on its clock. It makes the decision once
+// enough time has passed.
 func (core *Core) clockTrusted() bool {
 	trust := &core.clockTrust
 	trust.mutex.Lock()
@@ -44,16 +45,16 @@
 	switch {
 	case trust.isTrusted:
 	case !trust.firstSampleAt.IsZero() && time.Since(trust.firstSampleAt) >= daemonClockWindow:
-		core.trustClock(clock.Median(slices.Collect(maps.Values(trust.offsets)), 0), "daemons that ran on")
+		core.trustClock(clock.Median(slices.Collect(maps.Values(trust.offsets)), 0), "running daemons")
 	case time.Since(trust.startedAt) >= clockTrustTimeout:
 		core.trustClock(0, "")
 	}
 	return trust.isTrusted
 }
 
-// observeDaemonClock takes the time of a daemon that holds a leader's table, while this core
-// does not trust its clock: that daemon ran before. What a message carries is late by the
-// message's way, so the latest of a daemon counts.
+// observeDaemonClock samples the clock of a daemon that holds a leader's table, and so ran
+// before this core started, while this core does not trust its own. A sample is late by the
+// delay of its message, so the latest time of each daemon is used.
 func (core *Core) observeDaemonClock(session *message.Session) {
 	if session.NowMs == 0 || session.Table.Term.Number == 0 || core.clockTrusted() {
 		return
@@ -62,8 +63,8 @@
 	trust := &core.clockTrust
 	trust.mutex.Lock()
 	defer trust.mutex.Unlock()
-	known, isKnown := trust.offsets[session.Member.Name]
-	if !isKnown || offset > known {
+	latest, found := trust.offsets[session.Member.Name]
+	if !found || offset > latest {
 		trust.offsets[session.Member.Name] = offset
 	}
 	if trust.firstSampleAt.IsZero() {
@@ -71,7 +72,7 @@
 	}
 }
 
-// observeLeaderClock takes the time of day from a leader's heartbeat.
+// observeLeaderClock applies the time of day from a leader's heartbeat.
 func (core *Core) observeLeaderClock(nowMs int64) {
 	if !core.clockTrusted() {
 		trust := &core.clockTrust
@@ -82,8 +83,8 @@
 	core.clock.AddOneWay(nowMs)
 }
 
-// trustClock relies on the clock from now on, corrected by an offset in milliseconds. The
-// caller holds the mutex of the trust.
+// trustClock makes this core rely on its clock, corrected by an offset in milliseconds. The
+// caller holds clockTrust.mutex.
 func (core *Core) trustClock(offset int64, source string) {
 	core.clockTrust.isTrusted = true
 	if !core.clock.Reanchor(offset) {
--- a/control/core.go
+++ b/control/core.go
@@ -1,12 +1,12 @@
-// Package control is a core: one of the few machines that keep the system's state. The
-// cores elect a leader among themselves (election.go, revocation.go, establishment.go);
-// the leader has changes of the replicated registers accepted by a quorum (leadership.go,
-// replication.go), replaces voters (replacement.go), and builds the table of daemons and
-// backends (table.go, sessions.go, backends.go). Every core serves what is committed to
-// the daemons (updates.go) and records claims on idempotency keys (claims.go).
+// Package control implements a core, one of the few machines that hold the system's
+// state. The cores elect a leader (election.go, revocation.go, establishment.go). The
+// leader replicates changes of the registers to a quorum (leadership.go, replication.go),
+// replaces voters (replacement.go), and builds the table of daemons and backends (table.go,
+// sessions.go, backends.go). Every core serves committed values to the daemons
+// (registers.go) and records claims on idempotency keys (claims.go).
 //
-// The rules of agreement are in package consensus, a core's durable part in it in package
-// replica. This package adds messages, clocks, time-outs and goroutines.
+// Package consensus has the rules of agreement, and package replica a core's durable
+// state. This package adds messages, clocks, time-outs and goroutines.
 package control
 
 import (
@@ -39,13 +39,13 @@
 	peerClocks *PeerClocks
 	clockTrust clockTrust
 
-	// The core's part in the agreement.
+	// Consensus.
 	replica  *replica.Replica
 	members  *consensus.Tracker
 	role     *RoleState
 	founders *Founders
 
-	// What the core knows of daemons, backends and usage.
+	// Daemons, backends and usage.
 	sessions    *Sessions
 	probeHints  *ProbeHints
 	backends    *discovery.Reader
@@ -58,8 +58,8 @@
 	platformClient *http.Client
 	readsBackends  bool
 
-	// updates is notified when a value is committed, a table is built or the leader
-	// changes; wakeElection when the election has something to do.
+	// updates is notified when a value is committed, a table is built or the leader changes,
+	// and wakeElection when the election loop has work to do.
 	updates          *concurrent.Condition
 	wakeElection     *concurrent.Condition
 	contentLock      *concurrent.Lock
@@ -71,7 +71,7 @@
 	listed           listedBackends
 	fetchCache       fetchCache
 
-	// mutex guards what follows. It is never held over a call or a write.
+	// mutex guards the fields below. It is never held during a call or a disk write.
 	mutex            sync.Mutex
 	election         electionState
 	leadership       *Leadership
@@ -83,8 +83,8 @@
 	sessionsSharedAt time.Time
 }
 
-// NewCore opens the data on a disk and returns a core that Run starts. It returns
-// CorruptStore or DiskFailure if the data can't be read.
+// NewCore opens the data on a disk and returns a core that Run starts. It returns CorruptStore
+// or DiskFailure if the data cannot be read.
 func NewCore(
 	config Config,
 	disk storage.Disk,
@@ -100,8 +100,8 @@
 	if core.claims, err = idempotency.OpenLog(disk, core.config.ID, counters); err != nil {
 		return nil, err
 	}
-	if kept := core.claims.Membership(); kept.Value.Serial > consensus.InitialSerial {
-		core.learnMembership(kept)
+	if stored := core.claims.Membership(); stored.Value.Serial > consensus.InitialSerial {
+		core.learnMembership(stored)
 	}
 	if core.config.Metering.Report != nil {
 		core.usageCopies.open(usage.OpenWindowLog(disk, core.windows))
@@ -118,7 +118,7 @@
 	return core, nil
 }
 
-// newCore returns a core without claims and with no election due.
+// newCore returns a core without a claim log and with no election time-out set.
 func newCore(config Config, store *replica.Store, client *rpc.Client, goroutines *concurrent.Group, counters *metrics.Counters) *Core {
 	config = config.withDefaults()
 	core := &Core{
@@ -176,7 +176,7 @@
 	core.startPeriodicTasks()
 }
 
-// startPeriodicTasks starts what is done again and again, most of it only by the leader.
+// startPeriodicTasks starts the periodic tasks. Most of them act only on the leader.
 func (core *Core) startPeriodicTasks() {
 	config, every := &core.config, core.goroutines.Every
 	every(concurrent.Fixed(repairInterval), core.repairDisk)
@@ -203,8 +203,8 @@
 	}
 }
 
-// leaderInterval returns the interval of a leader's task, and of a core's that has heard
-// of no leader since its start. Other cores only look whether they lead.
+// leaderInterval returns the interval of a task that runs on the leader, and on a core that
+// has heard of no leader since its start. Other cores only check in between whether they lead.
 func (core *Core) leaderInterval(interval func() time.Duration) func() time.Duration {
 	return func() time.Duration {
 		if _, err := core.currentLeadership(); err != nil && !core.neverHeardLeader() {
@@ -214,7 +214,7 @@
 	}
 }
 
-// Close closes the disk, after the goroutines have ended.
+// Close closes the disk. The goroutines must have ended.
 func (core *Core) Close() {
 	core.replica.Close()
 	core.claims.Close()
@@ -222,23 +222,23 @@
 	core.client.Close()
 }
 
-// currentLeadership returns this core's leadership, and NotLeader with the leader's
-// address if it has none.
+// currentLeadership returns this core's leadership, or else NotLeader with the address of the
+// leader if it is known.
 func (core *Core) currentLeadership() (*Leadership, error) {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	if core.leadership != nil {
 		return core.leadership, nil
 	}
-	notLeader := &rpc.Error{Code: rpc.NotLeader, Message: "another core leads or none"}
+	notLeader := &rpc.Error{Code: rpc.NotLeader, Message: "this core is not the leader"}
 	if leader := core.election.leader; leader.Known() && leader.Core != core.membership().ID {
 		notLeader.Leader = leader.Address
 	}
 	return nil, notLeader
 }
 
-// endLeadership ends a leadership of this core; only the first call for it has an effect
-// on the core.
+// endLeadership ends a leadership of this core. Only the first call for a leadership changes
+// the core's state.
 func (core *Core) endLeadership(leadership *Leadership) {
 	leadership.end()
 	core.mutex.Lock()
@@ -264,8 +264,8 @@
 	return err == nil && leadership.check() == nil
 }
 
-// advertisesLeadership reports whether this core tells daemons that it leads. Where daemons
-// hold sessions with the leader itself, a leader that is cut off does not.
+// advertisesLeadership reports whether this core tells daemons that it leads. A leader that is
+// cut off from the majority does not where daemons hold their sessions with the leader itself.
 func (core *Core) advertisesLeadership() bool {
 	leadership, err := core.currentLeadership()
 	return err == nil && (!core.config.DirectSessions || leadership.check() == nil)
--- a/control/disk_failure.go
+++ b/control/disk_failure.go
@@ -8,19 +8,18 @@
 	"orchidjunction/message"
 )
 
-// repairInterval is how often a disk that refused something is tried again.
+// repairInterval is how often a disk that refused a write is retried.
 const repairInterval = 250 * time.Millisecond
 
-// diskFailure is a disk's refusal of writes; the core's mutex guards it. Its zero value
-// stands for a disk that accepts writes.
+// diskFailure records that the disk refuses writes. The core's mutex guards it. The zero value
+// means that the disk accepts writes.
 type diskFailure struct {
 	err   error
 	since time.Time
 }
 
-// diskFailed notes that the disk refused a record. Until a repair succeeds this core does
-// not vote and is no candidate, and a leader hands over to a core whose disk accepts
-// writes.
+// diskFailed records that the disk refused a write. Until a repair succeeds this core neither
+// votes nor runs for leader, and a leader hands over to a core whose disk accepts writes.
 func (core *Core) diskFailed(err error) {
 	core.mutex.Lock()
 	isFirst := core.diskFailure.err == nil
@@ -32,18 +31,18 @@
 		return
 	}
 	core.counters.Add("disk_faults", 1)
-	klog.Errorf("core %d: does not vote until its disk takes writes again: %v", core.membership().ID, err)
+	klog.Errorf("core %d: does not vote until its disk accepts writes again: %v", core.membership().ID, err)
 	core.goroutines.Start(core.yieldLeadership)
 }
 
-// DiskError returns why this core's disk accepts nothing now, nil while it does.
+// DiskError returns why this core's disk refuses writes, nil while it accepts them.
 func (core *Core) DiskError() error {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	return core.diskFailure.err
 }
 
-// CanVote reports whether this core votes and its disk accepts writes.
+// CanVote reports whether this core is a voter whose disk accepts writes.
 func (core *Core) CanVote() bool {
 	return !core.replica.Blank() && core.membership().Votes() && core.diskWritable()
 }
@@ -51,8 +50,8 @@
 // diskWritable reports whether the disk neither refuses writes nor stalls.
 func (core *Core) diskWritable() bool { return core.DiskError() == nil && !core.replica.Stalled() }
 
-// yieldLeadership hands the lead over to a core that votes. Without one this core goes
-// on, since values may still be accepted by a majority of the others.
+// yieldLeadership hands the leadership over to another voter. If there is no successor this
+// core goes on leading, since a majority of the others may still accept values.
 func (core *Core) yieldLeadership() {
 	leadership, err := core.currentLeadership()
 	if err != nil {
@@ -67,7 +66,7 @@
 	core.endLeadership(leadership)
 }
 
-// repairDisk tries a disk again that refused a record.
+// repairDisk retries a disk that refused a write.
 func (core *Core) repairDisk() {
 	core.repairOwnReplica()
 	if core.DiskError() == nil || core.replica.Repair() != nil {
@@ -79,7 +78,7 @@
 	core.mutex.Unlock()
 	core.counters.Add("disk_repairs", 1)
 	klog.Infof(
-		"core %d: votes again, its disk refused writes for %v",
+		"core %d: votes again after its disk refused writes for %v",
 		core.membership().ID,
 		time.Since(failure.since).Round(time.Millisecond),
 	)
@@ -91,8 +90,8 @@
 	}
 }
 
-// repairOwnReplica makes a leader accept itself what a majority of the others accepted
-// while its disk refused writes.
+// repairOwnReplica makes a leader's own replica accept the values that a majority of the
+// others accepted while its disk refused writes.
 func (core *Core) repairOwnReplica() {
 	leadership, err := core.currentLeadership()
 	if err != nil || !core.diskWritable() {
@@ -106,7 +105,7 @@
 		}
 		request := &message.AcceptRequest{Term: leadership.term, Register: message.Register(register), Value: value, Chunks: chunks}
 		response, err := core.replica.Accept(request)
-		if err != nil || !response.Accepted { // tried again in a while, if this core still leads
+		if err != nil || !response.Accepted { // retried by the next repairDisk, if this core still leads
 			core.counters.Add("own_copies_not_mended", 1)
 			continue
 		}
--- a/control/election.go
+++ b/control/election.go
@@ -12,18 +12,18 @@
 	"orchidjunction/rpc"
 )
 
-// maxBackoffDoublings is how often the pause between candidacies is doubled at most.
+// maxBackoffDoublings limits how often the pause between candidacies is doubled.
 const maxBackoffDoublings = 2
 
-// runElections is the goroutine that makes this core a voter, a candidate or the leader
-// as soon as it should be.
+// runElections makes this core a learner, a voter, a candidate or the leader as its state
+// requires.
 func (core *Core) runElections() {
 	deferred := false
 	for !core.goroutines.Stopping() {
 		seen := core.wakeElection.Count()
-		now := core.takeElectionSnapshot()
+		snapshot := core.takeElectionSnapshot()
 		switch {
-		case now.role == Retired || now.role == Lameduck || now.isLeader:
+		case snapshot.role == Retired || snapshot.role == Lameduck || snapshot.isLeader:
 		case !core.membership().Known():
 			core.discoverMembership()
 			continue
@@ -36,19 +36,19 @@
 		case core.replica.Blank():
 			core.role.transition(Blank)
 			core.restoreReplica()
-		case now.role == Learner:
+		case snapshot.role == Learner:
 			core.startFollowing()
-		case now.transfer != nil:
-			core.takeOverLeadership(now.transfer)
-		case now.leaderIsSilent() && core.membership().MayLead(core.membership().ID):
+		case snapshot.transfer != nil:
+			core.takeOverLeadership(snapshot.transfer)
+		case snapshot.leaderIsSilent() && core.membership().MayLead(core.membership().ID):
 			deferred = core.campaignOnce(deferred)
 			continue
 		}
-		core.wakeElection.Wait(seen, core.electionWait(now))
+		core.wakeElection.Wait(seen, core.electionWait(snapshot))
 	}
 }
 
-// electionSnapshot is what decides on the next step of an election.
+// electionSnapshot is the state that decides the next step of the election loop.
 type electionSnapshot struct {
 	role     Role
 	isLeader bool
@@ -57,13 +57,13 @@
 	timeout  time.Duration
 }
 
-func (view *electionSnapshot) leaderIsSilent() bool { return view.silence > view.timeout }
+func (snapshot *electionSnapshot) leaderIsSilent() bool { return snapshot.silence > snapshot.timeout }
 
-// takeElectionSnapshot also takes the leader's request to take over, so that it is carried
-// out at most once.
+// takeElectionSnapshot returns the current state and clears the pending transfer request, so
+// that a request is carried out at most once.
 func (core *Core) takeElectionSnapshot() *electionSnapshot {
 	core.mutex.Lock()
-	view := &electionSnapshot{
+	snapshot := &electionSnapshot{
 		isLeader: core.leadership != nil,
 		transfer: core.election.transfer,
 		silence:  time.Since(core.election.leaderSeenAt),
@@ -71,27 +71,26 @@
 	}
 	core.election.transfer = nil
 	core.mutex.Unlock()
-	view.role = core.role.Current()
-	return view
+	snapshot.role = core.role.Current()
+	return snapshot
 }
 
-// electionWait returns how long nothing is due, unless the election is woken.
-func (core *Core) electionWait(now *electionSnapshot) time.Duration {
+// electionWait returns how long the election loop waits unless it is woken.
+func (core *Core) electionWait(snapshot *electionSnapshot) time.Duration {
 	switch core.role.Current() {
 	case Retired, Lameduck, Leading:
 		return core.config.SuspicionTimeout
 	case Following:
-		if now.leaderIsSilent() {
+		if snapshot.leaderIsSilent() {
 			return core.config.HeartbeatInterval
 		}
-		return max(now.timeout-now.silence, time.Millisecond)
+		return max(snapshot.timeout-snapshot.silence, time.Millisecond)
 	}
 	return core.config.HeartbeatInterval / 4
 }
 
-// campaignOnce runs one candidacy and sets the time-out until the next one. It returns
-// whether the core deferred to a better candidate; having done so once, it does not defer
-// again.
+// campaignOnce runs one candidacy and sets the time-out until the next. It returns whether the
+// core deferred to a better candidate. A core that has deferred once does not defer again.
 func (core *Core) campaignOnce(deferred bool) bool {
 	isFirst := core.neverHeardLeader()
 	core.mutex.Lock()
@@ -110,18 +109,19 @@
 	return deferred
 }
 
-// maxElectionBackoff returns the bound of the random pause after a candidacy. It doubles with each
-// one that failed after raising the term, so that candidates which depose each other part.
+// maxElectionBackoff returns the upper bound of the random pause after a candidacy. It doubles
+// with each candidacy that failed after raising the term, so that candidates stop deposing
+// each other.
 func (core *Core) maxElectionBackoff() time.Duration {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	return core.config.SuspicionTimeout << min(core.election.failures, maxBackoffDoublings)
 }
 
-// campaign runs one candidacy: pre-vote, revocation by a fence, establishment. It returns
-// true if it deferred to a better candidate. It gives way to a candidate that this core
-// promised its term to, or a leader that it saw, later than seenBefore: raising the term
-// above theirs would end what is about to be established.
+// campaign runs one candidacy: pre-vote, fencing of older terms and establishment of the
+// leadership. It returns true if the core deferred to a better candidate. After the pre-vote
+// it gives up if this core has since seenBefore seen a leader or promised a term to a
+// candidate: raising the term would depose them.
 func (core *Core) campaign(mustNotDefer bool, seenBefore time.Time) bool {
 	if !core.diskWritable() || !core.role.transition(Prechecking) {
 		return false
@@ -153,15 +153,15 @@
 	return false
 }
 
-// sawLeaderSince reports whether this core saw a leader, or promised a term to a candidate,
-// since it last looked.
+// sawLeaderSince reports whether this core has seen a leader, or promised a term to a
+// candidate, since leaderSeenAt was seenBefore.
 func (core *Core) sawLeaderSince(seenBefore time.Time) bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	return !core.election.leaderSeenAt.Equal(seenBefore)
 }
 
-// preVoteResult is what came of asking the other voters before a candidacy.
+// preVoteResult is the outcome of a pre-vote.
 type preVoteResult int
 
 const (
@@ -170,8 +170,8 @@
 	preVoteWon
 )
 
-// preVote asks the other voters whether they would support this core, before it raises
-// its term and so ends the leadership of a leader that others still see.
+// preVote asks the other voters whether they would support this core before it raises its
+// term. Raising the term would end the leadership of a leader that others still see.
 func (core *Core) preVote(view *consensus.View, mustNotDefer bool) preVoteResult {
 	own := consensus.Candidate{ID: view.ID, Versions: core.replica.State().Versions()}
 	request := &message.PreVoteRequest{Core: view.ID, Versions: own.Versions, Membership: view.Version}
--- a/control/former_leader_test.go
+++ b/control/former_leader_test.go
@@ -12,8 +12,8 @@
 	"orchidjunction/storage"
 )
 
-// A core whose leadership ended is not taken for one that has heard of no leader
-// since it started.
+// A core whose leadership ended has heard of a leader: it must not behave like one that has
+// heard of none since it started.
 func TestFormerLeaderHasHeardLeader(test *testing.T) {
 	core, err := NewCore(
 		Config{
@@ -33,14 +33,14 @@
 		test.Fatal(err)
 	}
 	if !core.neverHeardLeader() {
-		test.Error("not cold after the start")
+		test.Error("a core that just started has heard of a leader")
 	}
 	term := message.Term{Number: 4, Core: 1}
 	leadership := newLeadership(&Establishment{core: core, term: term}, nil)
 	core.leadership, core.election.leader = leadership, message.Leader{Term: term, Core: 1, Address: "127.0.0.1:1"}
 	core.endLeadership(leadership)
 	if core.neverHeardLeader() || core.election.leader.Known() {
-		test.Errorf("cold %v, leader %+v", core.neverHeardLeader(), core.election.leader)
+		test.Errorf("after its leadership ended: never heard a leader %v, leader %+v", core.neverHeardLeader(), core.election.leader)
 	}
 	core.Close()
 }
--- a/control/start_claims_test.go
+++ b/control/start_claims_test.go
@@ -14,11 +14,11 @@
 	"orchidjunction/storage"
 )
 
-// claimsAboveQueueCapacity is more than the queue of claims holds.
+// claimsAboveQueueCapacity is more claims than the queue holds.
 const claimsAboveQueueCapacity = 5000
 
-// A voter that began while the claims' ring was full marks its claims as whole later:
-// nobody else mends them at the first start, when no other core is whole either.
+// A voter that starts while its claim queue is full must mark its claims complete later. At
+// the first start no other core has complete claims to repair them from.
 func TestClaimsMarkedCompleteOnceQueueHasRoom(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
@@ -40,17 +40,17 @@
 		synctest.Wait()
 		core.startClaims(1)
 		if core.claims.CompleteFor(1) || counters.Get("claims_not_begun") != 1 {
-			test.Errorf("whole %v, not begun %d times", core.claims.CompleteFor(1), counters.Get("claims_not_begun"))
+			test.Errorf("complete %v, claims_not_begun %d, want false and 1", core.claims.CompleteFor(1), counters.Get("claims_not_begun"))
 		}
 		goroutines.OnStop(core.claims.Stop)
 		goroutines.Start(core.claims.RunWriter)
 		goroutines.Sleep(2 * repairInterval)
 		if !core.claims.CompleteFor(1) {
-			test.Error("not whole though the ring has room")
+			test.Error("claims not complete although the queue has room")
 		}
 		time.Sleep(time.Minute)
 		if count := counters.Get("claims_not_begun"); count != 1 {
-			test.Errorf("%d times not begun", count)
+			test.Errorf("claims_not_begun %d, want 1", count)
 		}
 		goroutines.Stop()
 		goroutines.Wait()
