--- a/control/election.go
+++ b/control/election.go
@@ -177,7 +177,7 @@
 	request := &message.PreVoteRequest{Core: view.ID, Versions: own.Versions, Membership: view.Version}
 	responses := callPeers(core, view, func(peer message.Peer) (*message.PreVoteResponse, error) {
 		return rpc.Call(core.client, peer.Address, message.MethodPreVote, core.callTimeout()/2, request)
-	}, func(*message.PreVoteResponse) bool { return true }, core.allButLeader(view))
+	}, func(*message.PreVoteResponse) bool { return true }, core.allExceptLeader(view))
 	own.Reachable = 1 + len(responses)
 	leaderAlive := false
 	for _, response := range responses {
@@ -202,9 +202,9 @@
 	return preVoteLost
 }
 
-// allButLeader returns what says whether all other voters have answered, but for the leader
-// whose silence makes this core a candidate: it is not waited for.
-func (core *Core) allButLeader(view *consensus.View) func(has func(id int) bool) bool {
+// allExceptLeader returns a function that reports whether all other voters have answered,
+// except for the leader, whose silence makes this core a candidate.
+func (core *Core) allExceptLeader(view *consensus.View) func(has func(id int) bool) bool {
 	core.mutex.Lock()
 	silent := core.election.leader.Term.Core
 	core.mutex.Unlock()
@@ -213,7 +213,8 @@
 	}
 }
 
-// hasBetterCandidate reports whether a voter that answered goes before this core.
+// hasBetterCandidate reports whether a voter that answered is a better candidate than this
+// core.
 func hasBetterCandidate(view *consensus.View, own consensus.Candidate, responses map[int]*message.PreVoteResponse) bool {
 	for id, response := range responses {
 		other := consensus.Candidate{ID: id, Versions: response.Versions, Reachable: response.Reachable}
@@ -224,7 +225,7 @@
 	return false
 }
 
-// takeOverLeadership becomes the leader in the place of one that resigned in this core's favour.
+// takeOverLeadership makes this core the leader after a leader that resigned in its favour.
 func (core *Core) takeOverLeadership(request *message.TransferLeadershipRequest) {
 	if !core.role.transition(Revoking) {
 		return
@@ -235,8 +236,8 @@
 	core.establishLeadership(view, term, resignationRevocation(request))
 }
 
-// establishLeadership establishes a leadership under a term, by the membership that its
-// revocation counted by, and takes the lead.
+// establishLeadership establishes a leadership under a term and starts leading. The view is
+// the membership whose quorum revoked the former leadership.
 func (core *Core) establishLeadership(view *consensus.View, term message.Term, revocation *Revocation) {
 	if !view.MayLead(view.ID) || !core.role.transition(Establishing) {
 		return
@@ -261,9 +262,9 @@
 	core.startLeading(leadership)
 }
 
-// renewCandidacy tells the other voters again and again that this core goes on establishing
-// under a term, so that none of them stands meanwhile: with a large state it may take longer
-// than they wait for a leader. It returns what ends that.
+// renewCandidacy periodically tells the other voters that this core is still establishing a
+// leadership under a term, so that none of them becomes a candidate meanwhile: with a large
+// state this may take longer than the election time-out. The returned function stops it.
 func (core *Core) renewCandidacy(view *consensus.View, term message.Term) (stop func()) {
 	var stopped atomic.Bool
 	core.goroutines.Start(func() {
@@ -271,7 +272,7 @@
 		for core.goroutines.Sleep(core.config.HeartbeatInterval) && !stopped.Load() {
 			for _, peer := range view.Peers {
 				core.goroutines.Start(func() {
-					// Without an answer the voter's own time-out decides.
+					// If the call fails, the voter's own election time-out decides.
 					_, _ = rpc.Call(core.client, peer.Address, message.MethodRenewCandidacy, core.callTimeout(), request)
 				})
 			}
@@ -280,14 +281,14 @@
 	return func() { stopped.Store(true) }
 }
 
-// countFailedCandidacy counts a candidacy that failed after it had raised the term.
+// countFailedCandidacy counts a candidacy that failed after raising the term.
 func (core *Core) countFailedCandidacy() {
 	core.mutex.Lock()
 	core.election.failures++
 	core.mutex.Unlock()
 }
 
-// startLeading makes known what the new leadership holds.
+// startLeading announces a new leadership, commits its values and sends a heartbeat with them.
 func (core *Core) startLeading(leadership *Leadership) {
 	core.config.OnRole(Leading, leadership.term)
 	klog.Infof(
@@ -306,9 +307,9 @@
 	leadership.heartbeat()
 }
 
-// onPreVote says whether this core would support a candidate. It does not while it leads,
-// sees a leader that goes on, or has lately promised its term to another candidate, which a
-// higher term would depose.
+// onPreVote answers whether this core would support a candidate. It would not while it leads,
+// follows a live leader that is not stepping down, or has recently promised its term to
+// another candidate, which a higher term would depose.
 func (core *Core) onPreVote(request *message.PreVoteRequest) (*message.PreVoteResponse, error) {
 	state := core.replica.State()
 	core.mutex.Lock()
@@ -330,13 +331,14 @@
 	}, nil
 }
 
-// reachableCores returns how many cores spoke to this one lately, this one included.
+// reachableCores returns the number of cores that recently contacted this one, including
+// itself.
 func (core *Core) reachableCores() int {
 	return 1 + core.sessions.recentCores(core.config.SuspicionTimeout*2)
 }
 
-// onPrepare promises a term to a candidate, unless this core knows a newer membership
-// with other voters than the candidate counts by.
+// onPrepare promises a term to a candidate, unless this core knows a newer membership whose
+// voters differ from the candidate's.
 func (core *Core) onPrepare(request *message.PrepareRequest) (*message.PrepareResponse, error) {
 	if known := core.membership().Accepted(); message.Supersedes(known, request.Membership) {
 		return &message.PrepareResponse{Promised: core.replica.State().Promised, Membership: known}, nil
@@ -351,7 +353,8 @@
 	return response, err
 }
 
-// onRenewCandidacy gives a candidate more time that this core promised its newest term to.
+// onRenewCandidacy restarts the election time-out for the candidate that holds this core's
+// newest promise.
 func (core *Core) onRenewCandidacy(request *message.RenewCandidacyRequest) (*message.RenewCandidacyResponse, error) {
 	if core.replica.State().Promised != request.Term {
 		return &message.RenewCandidacyResponse{}, nil
@@ -362,13 +365,14 @@
 	return &message.RenewCandidacyResponse{Accepted: true}, nil
 }
 
-// onAccept accepts a leader's value.
+// onAccept answers a leader's request to accept a value.
 func (core *Core) onAccept(request *message.AcceptRequest) (*message.AcceptResponse, error) {
 	core.observeTermNumber(request.Term.Number)
 	return core.replica.Accept(request)
 }
 
-// onTransferLeadership takes a leader's request to take over from it.
+// onTransferLeadership accepts a leader's request to take over from it. The election loop
+// carries it out.
 func (core *Core) onTransferLeadership(request *message.TransferLeadershipRequest) (*message.TransferLeadershipResponse, error) {
 	isStale := request.Term.Less(core.replica.State().Promised)
 	if !core.CanVote() || isStale || core.role.Current() != Following {
@@ -381,7 +385,7 @@
 	return &message.TransferLeadershipResponse{Accepted: true}, nil
 }
 
-// promiseRaised ends an older leadership of this core: it promised a newer term itself.
+// promiseRaised ends this core's leadership if its replica has promised a newer term.
 func (core *Core) promiseRaised(term message.Term) {
 	core.observeTermNumber(term.Number)
 	core.mutex.Lock()
--- a/control/establishment.go
+++ b/control/establishment.go
@@ -8,7 +8,7 @@
 	"orchidjunction/rpc"
 )
 
-// Names of the conditions of a leadership, as operators see them.
+// Names of the conditions of a leadership, shown to operators.
 const (
 	RevokedCondition   = "former leadership revoked"
 	PromisedCondition  = "majority promised the ballot"
@@ -16,7 +16,7 @@
 	HeartbeatCondition = "beats reach a majority"
 )
 
-// Establishment makes every condition of a leadership true.
+// Establishment collects what a leadership needs before it may begin.
 type Establishment struct {
 	core       *Core
 	view       *consensus.View
@@ -30,11 +30,10 @@
 	rollouts   *rollout.State
 }
 
-// establish returns a leadership under a term. Every step is done anew: none of a former
-// attempt counts.
+// establish returns a leadership under a term. Nothing from an earlier attempt is reused.
 func (core *Core) establish(view *consensus.View, term message.Term, revocation *Revocation) (*Leadership, error) {
 	if !revocation.Complete {
-		return nil, rpc.Errorf(rpc.StaleTerm, "revocation of %s is not complete", revocation.Revoked)
+		return nil, rpc.Errorf(rpc.StaleTerm, "revocation of term %s is not complete", revocation.Revoked)
 	}
 	establishment := &Establishment{core: core, view: view, term: term, revocation: revocation}
 	if err := establishment.collectPromises(); err != nil {
@@ -49,13 +48,13 @@
 	}
 	leadership := newLeadership(establishment, revocation.Learners)
 	if !leadership.heartbeat() {
-		return nil, rpc.Errorf(rpc.StaleTerm, "no majority took the first heartbeat of %s", term)
+		return nil, rpc.Errorf(rpc.StaleTerm, "no majority accepted the first heartbeat of term %s", term)
 	}
 	return leadership, nil
 }
 
-// collectPromises uses the promises of the fence. After a resignation there are none, and
-// it asks for them.
+// collectPromises uses the promises that fenced the former term. After a resignation there are
+// none, and it requests them.
 func (establishment *Establishment) collectPromises() error {
 	revocation := establishment.revocation
 	if revocation.Method == TermFence && revocation.Term == establishment.term {
@@ -69,8 +68,8 @@
 	return err
 }
 
-// verifyRevocation takes the promises as the fence that they are, if they show a leader
-// that the one which resigned did not know.
+// verifyRevocation falls back to the promises as a fence if they show a newer leadership than
+// the one that resigned.
 func (establishment *Establishment) verifyRevocation() {
 	if establishment.revocation.covers(establishment.promises) {
 		return
@@ -79,7 +78,7 @@
 	establishment.revocation = fenceRevocation(establishment.term, establishment.revocation.Revoked, establishment.promises)
 }
 
-// rewriteRegisters writes the inherited values again under the new term.
+// rewriteRegisters writes the inherited values under the new term.
 func (establishment *Establishment) rewriteRegisters() error {
 	core := establishment.core
 	inherited, sources := consensus.InheritedValues(establishment.view, establishment.promises)
--- a/control/first_membership_test.go
+++ b/control/first_membership_test.go
@@ -15,16 +15,16 @@
 	"orchidjunction/storage"
 )
 
-// unreachableTransport is a transport that reaches nobody.
+// unreachableTransport fails every request.
 type unreachableTransport struct{}
 
-// RoundTrip fails at once.
 func (unreachableTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return nil, errors.New("unreachable")
 }
 
-// A core that heard of the first membership from a call of another core, before the answer
-// to its own question, stayed blank for ever: no quorum voted, and nobody ever led.
+// A core may hear of the first membership from another core's call before its own join request
+// is answered. It must then become a voter: one that stays blank for ever leaves the system
+// without a quorum.
 func TestFirstMembershipFromPeerCallGrantsVote(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		seeds := []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}
@@ -55,7 +55,7 @@
 		}
 		time.Sleep(time.Second)
 		if core.replica.Blank() {
-			test.Errorf("%s, no vote", core.role.Current())
+			test.Errorf("core is %s and its disk still blank", core.role.Current())
 		}
 	})
 }
--- a/control/handlers.go
+++ b/control/handlers.go
@@ -7,19 +7,19 @@
 	"orchidjunction/rpc"
 )
 
-// maxFetches is how many fetches are answered at the same time: a response may be a table
-// of thousands of backends.
+// maxFetches limits concurrent fetches, since a response may hold a table of thousands of
+// backends.
 const maxFetches = 48
 
-// Register makes a server answer the calls to this core. The names are those of former
-// releases, which run side by side with this one.
+// Register registers the handlers of this core's calls. Their names must not change, since
+// cores of former releases run side by side with this one.
 func (core *Core) Register(server *rpc.Server) {
 	core.registerAgreement(server)
 	core.registerChanges(server)
 	core.registerDaemons(server)
 }
 
-// registerAgreement registers what the cores say to each other.
+// registerAgreement registers the calls between cores.
 func (core *Core) registerAgreement(server *rpc.Server) {
 	rpc.Handle(server, message.MethodPreVote, handler(core.onPreVote))
 	rpc.Handle(server, message.MethodPrepare, handler(core.onPrepare))
@@ -37,7 +37,7 @@
 	rpc.Handle(server, message.MethodFetchCounts, handler(core.onFetchCounts))
 }
 
-// registerChanges registers operators' orders and reads, which go to the leader.
+// registerChanges registers changes and reads by operators, which are sent to the leader.
 func (core *Core) registerChanges(server *rpc.Server) {
 	rpc.Handle(server, message.MethodChange, handler(core.onChange))
 	rpc.Handle(server, message.MethodRead, handler(core.onRead))
@@ -51,7 +51,7 @@
 	rpc.Handle(server, message.MethodStatus, handler(core.onStatus))
 }
 
-// registerDaemons registers what daemons say to a core.
+// registerDaemons registers the calls that daemons make to a core.
 func (core *Core) registerDaemons(server *rpc.Server) {
 	rpc.Handle(server, message.MethodLeader, handler(core.onLeader))
 	rpc.Handle(server, message.MethodSession, handler(core.onSession))
@@ -64,7 +64,7 @@
 	rpc.Handle(server, message.MethodFetchClaims, handler(core.onFetchClaims))
 }
 
-// handler adapts a function without a context, whose waits have their own time-outs.
-func handler[Request, Response any](answer func(*Request) (*Response, error)) func(context.Context, *Request) (*Response, error) {
-	return func(_ context.Context, request *Request) (*Response, error) { return answer(request) }
+// handler adapts a function that takes no context because its waits have their own time-outs.
+func handler[Request, Response any](handle func(*Request) (*Response, error)) func(context.Context, *Request) (*Response, error) {
+	return func(_ context.Context, request *Request) (*Response, error) { return handle(request) }
 }
--- a/control/heartbeat.go
+++ b/control/heartbeat.go
@@ -12,8 +12,8 @@
 	"orchidjunction/rpc"
 )
 
-// sendHeartbeats sends the leader's heartbeats, and ends a leadership that has reached no
-// quorum for long.
+// sendHeartbeats sends the leader's heartbeats, and ends a leadership that has not reached a
+// quorum for two suspicion time-outs.
 func (core *Core) sendHeartbeats() {
 	leadership, err := core.currentLeadership()
 	if err != nil || leadership.heartbeat() {
@@ -54,7 +54,7 @@
 	return true
 }
 
-// recordHeartbeatQuorum notes that a quorum accepted a heartbeat that began at a time.
+// recordHeartbeatQuorum records that a quorum accepted a heartbeat that was sent at begin.
 func (leadership *Leadership) recordHeartbeatQuorum(number uint64, begin time.Time) {
 	leadership.mutex.Lock()
 	if leadership.lastQuorumAt.Before(begin) {
@@ -65,8 +65,8 @@
 	leadership.heartbeatDone.Notify()
 }
 
-// acceptedHeartbeat returns which voters accepted a heartbeat, from the responses by the
-// peers' positions.
+// acceptedHeartbeat returns a function that reports whether a voter accepted a heartbeat.
+// Responses are keyed by index into peers.
 func acceptedHeartbeat(peers []message.Peer, responses map[int]*message.HeartbeatResponse) func(id int) bool {
 	accepted := map[int]bool{}
 	for index, response := range responses {
@@ -96,7 +96,8 @@
 	return leadership.heartbeatsSent, request
 }
 
-// sendHeartbeatTo sends a heartbeat to one core and uses what the response says.
+// sendHeartbeatTo sends a heartbeat to one core, records its response, and starts to send it
+// the values that it lacks.
 func (leadership *Leadership) sendHeartbeatTo(peer message.Peer, request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
 	core, begin := leadership.core, time.Now()
 	response, err := rpc.Call(core.client, peer.Address, message.MethodHeartbeat, core.callTimeout(), core.withArrivalTime(peer, request))
@@ -133,14 +134,15 @@
 		core.counters.Add("copies_mended", 1)
 		request := &message.AcceptRequest{Term: leadership.term, Register: message.Register(register), Value: values[register]}
 		response, err := core.sendAcceptTo(peer, request, chunks, core.callTimeout()+transferTime(request.Value.Size()))
-		if err != nil || !response.Accepted { // its next response to a heartbeat shows that it still lacks it
+		if err != nil || !response.Accepted { // its next heartbeat response shows the missing value again
 			core.counters.Add("copies_not_mended", 1)
 		}
 	}
 }
 
-// startSending reports whether a core lacks values and none are on their way to it, and notes
-// that some are now. Heartbeats go on meanwhile: a large value may take longer than they may.
+// startSending reports whether a core lacks values and none are being sent to it, and then
+// marks it as being sent values. Heartbeats continue meanwhile, since a large value may take
+// longer than a heartbeat may.
 func (leadership *Leadership) startSending(peer message.Peer, held, committed message.Versions) bool {
 	lacks := false
 	for register := range committed {
@@ -169,14 +171,14 @@
 		return &message.HeartbeatResponse{Voter: state.Initialized, Promised: state.Promised, Versions: state.Versions()}, nil
 	}
 	core.mutex.Lock()
-	isOtherLeader := core.election.follow(request)
+	isNewLeader := core.election.follow(request)
 	core.election.timeout = core.nextElectionTimeout()
 	core.tables.wanted = request.Table
 	core.mutex.Unlock()
 	if request.NowMs > 0 {
 		core.observeLeaderClock(request.NowMs)
 	}
-	if isOtherLeader {
+	if isNewLeader {
 		klog.Infof("core %d: follower of core %d in term %s", core.membership().ID, request.Leader.Core, request.Term)
 		core.updates.Notify()
 	}
--- a/control/initial_view_test.go
+++ b/control/initial_view_test.go
@@ -7,8 +7,8 @@
 	"orchidjunction/message"
 )
 
-// As long as no core was ever replaced the flags say where the cores are; afterwards
-// the disk does, whatever the flags still name.
+// Until the first replacement of a core, addresses come from the flags. Afterwards the stored
+// membership applies, whatever the flags still name.
 func TestFlagAddressesApplyUntilFirstReplacement(test *testing.T) {
 	config := &Config{
 		ID:              1,
@@ -18,28 +18,28 @@
 	former := consensus.InitialMembership([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	former.Version.Term = message.Term{Number: 4, Core: 2}
 	step := former.WithReplacement(3, "10.0.0.4:1")
-	for number, try := range []struct {
+	for number, testCase := range []struct {
 		accepted *consensus.Membership
 		want     []message.Peer
-		mark     message.Version
+		version  message.Version
 	}{
 		{nil, []message.Peer{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}, message.Version{Serial: 1}},
 		{former, []message.Peer{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}, former.Version},
 		{step, former.Voters, step.Version},
 		{step.WithoutFormer(), step.Next, step.WithoutFormer().Version},
 	} {
-		view := config.view(try.accepted)
-		if len(view.Voters) != len(try.want) || view.Version != try.mark {
-			test.Errorf("try %d: %+v", number, view.Membership)
+		view := config.view(testCase.accepted)
+		if len(view.Voters) != len(testCase.want) || view.Version != testCase.version {
+			test.Errorf("case %d: membership %+v", number, view.Membership)
 			continue
 		}
-		for index, peer := range try.want {
+		for index, peer := range testCase.want {
 			if view.Voters[index] != peer {
-				test.Errorf("try %d: voter %+v, want %+v", number, view.Voters[index], peer)
+				test.Errorf("case %d: voter %+v, want %+v", number, view.Voters[index], peer)
 			}
 		}
 		if view.ID != 1 {
-			test.Errorf("try %d: is core %d", number, view.ID)
+			test.Errorf("case %d: core ID %d, want 1", number, view.ID)
 		}
 	}
 	removed := *config
@@ -48,6 +48,6 @@
 		{ID: 2, Address: "10.0.0.2:1"},
 	}
 	if view := removed.view(step.WithoutFormer()); view.ID != 0 || view.Votes() {
-		test.Errorf("a removed core takes its ID from its flags: %d", view.ID)
+		test.Errorf("a removed core still has ID %d", view.ID)
 	}
 }
