--- a/control/join.go
+++ b/control/join.go
@@ -19,8 +19,8 @@
 	joinInterval = 150 * time.Millisecond
 )
 
-// Founders collects the cores that ask who votes at the system's first start, before any
-// does. It is safe for concurrent use.
+// Founders collects the addresses of the cores that ask for the membership at the system's
+// first start, before there is one. It is safe for concurrent use.
 type Founders struct {
 	mutex       sync.Mutex
 	seen        map[string]bool
@@ -31,7 +31,7 @@
 	return &Founders{seen: map[string]bool{address: true}, lastAddedAt: time.Now()}
 }
 
-func (founders *Founders) add(address string) {
+func (founders *Founders) addFounder(address string) {
 	founders.mutex.Lock()
 	defer founders.mutex.Unlock()
 	if !founders.seen[address] && len(founders.seen) < maxFounders {
@@ -40,8 +40,8 @@
 	}
 }
 
-// complete returns the addresses once all seeds and at least so many are there, and none
-// came for a while.
+// complete returns the addresses once they include all seeds, are at least atLeast, and none
+// was added for the duration of quiet.
 func (founders *Founders) complete(seeds []string, atLeast int, quiet time.Duration) ([]string, bool) {
 	founders.mutex.Lock()
 	defer founders.mutex.Unlock()
@@ -56,25 +56,25 @@
 	return slices.Collect(maps.Keys(founders.seen)), true
 }
 
-// sinceBootstrap reports whether this disk has been there since the system's first start.
-// Only such a disk may become a voter without asking those that vote.
+// sinceBootstrap reports whether this disk dates from the system's first start. Only such a
+// disk may become a voter without asking the present voters.
 func (core *Core) sinceBootstrap() bool {
 	return core.config.Bootstrap || core.replica.State().SinceBootstrap
 }
 
-// otherSeeds returns the seeds but this core.
+// otherSeeds returns the seeds without this core.
 func (core *Core) otherSeeds() []string {
 	return slices.DeleteFunc(slices.Clone(core.config.Seeds), func(seed string) bool { return seed == core.config.InternalAddress })
 }
 
-// createsInitialMembership reports whether this core says who votes at the first start: the one of the
-// lowest address among the seeds does.
+// createsInitialMembership reports whether this core creates the membership at the first
+// start, which the core with the lowest seed address does.
 func (core *Core) createsInitialMembership() bool {
 	return core.sinceBootstrap() && slices.MinFunc(core.config.Seeds, consensus.CompareAddresses) == core.config.InternalAddress
 }
 
-// discoverMembership asks the seeds who votes, as a core that knows no membership. The
-// founder makes the first one of all cores that asked.
+// discoverMembership asks the seeds for the membership. At the first start one core creates it
+// from all cores that asked.
 func (core *Core) discoverMembership() {
 	if core.config.Bootstrap && !core.replica.State().SinceBootstrap {
 		if core.replica.MarkSinceBootstrap() != nil {
@@ -82,8 +82,8 @@
 			return
 		}
 	}
-	if known, found := core.askSeeds(); found {
-		core.adoptFirstMembership(known)
+	if membership, found := core.askSeeds(); found {
+		core.adoptFirstMembership(membership)
 		return
 	}
 	addresses, isComplete := core.founders.complete(core.config.Seeds, core.config.MinFounders, core.config.FoundingQuiet)
@@ -94,7 +94,7 @@
 	core.goroutines.Sleep(joinInterval)
 }
 
-// askSeeds returns the membership that one of the seeds knows.
+// askSeeds returns a membership that one of the seeds knows.
 func (core *Core) askSeeds() (message.AcceptedValue, bool) {
 	seeds := core.otherSeeds()
 	request := &message.JoinRequest{Address: core.config.InternalAddress, SinceBootstrap: core.sinceBootstrap()}
@@ -116,38 +116,45 @@
 	return message.AcceptedValue{}, false
 }
 
-// mayAdoptFirstMembership reports whether a membership that came with another core's call,
-// not with the answer to this core's own question, gives it a vote at the first start.
+// mayAdoptFirstMembership reports whether a membership that came with another core's call, not
+// with the response to this core's own request, gives it a vote at the first start.
 func (core *Core) mayAdoptFirstMembership() bool {
 	return core.config.discoversPeers() && core.replica.Blank() && core.membership().MayVoteAtOnce(core.sinceBootstrap())
 }
 
-// adoptFirstMembership takes the first membership that this core hears of. At the
-// system's first start it votes by it at once.
+// adoptFirstMembership applies the first membership that this core learns. At the system's
+// first start it becomes a voter immediately.
 func (core *Core) adoptFirstMembership(accepted message.AcceptedValue) {
 	membership, err := consensus.DecodeMembership(accepted)
 	if err != nil || membership == nil {
 		return
 	}
 	view := consensus.NewView(core.config.InternalAddress, membership)
-	votesAtOnce := view.MayVoteAtOnce(core.sinceBootstrap())
-	if votesAtOnce && core.replica.Join(accepted) != nil {
+	votesImmediately := view.MayVoteAtOnce(core.sinceBootstrap())
+	if votesImmediately && core.replica.Join(accepted) != nil {
 		core.goroutines.Sleep(joinInterval)
 		return
 	}
 	core.learnMembership(accepted)
 	core.counters.Add("memberships_joined", 1)
-	klog.Infof("core %d at %s: %d cores vote, a voter at once: %v", view.ID, view.Address, len(membership.Voters), votesAtOnce)
-	if votesAtOnce {
+	klog.Infof(
+		"core %d at %s: joined a membership of %d voters, votes immediately: %v",
+		view.ID,
+		view.Address,
+		len(membership.Voters),
+		votesImmediately,
+	)
+	if votesImmediately {
 		core.startClaims(view.ID)
 		core.startFollowing()
 	}
 }
 
-// onJoin says who votes and who leads. A leader makes a core without a vote a learner.
+// onJoin returns the membership and the leader. A leader also admits a core without a vote as
+// a learner.
 func (core *Core) onJoin(request *message.JoinRequest) (*message.JoinResponse, error) {
 	if !core.membership().Known() {
-		core.founders.add(request.Address)
+		core.founders.addFounder(request.Address)
 		return &message.JoinResponse{}, nil
 	}
 	response := &message.JoinResponse{}
--- a/control/lameduck.go
+++ b/control/lameduck.go
@@ -10,10 +10,10 @@
 	"orchidjunction/rpc"
 )
 
-// Retire is the planned end of this core, at most as long as timeout. A leader enters
-// lameduck first: the write under way finishes, new ones are refused with the successor's
-// address, and the successor is asked to take over. Then the core waits until a learner
-// has its place, if there is one.
+// Retire shuts this core down in order, within the timeout. A leader first becomes lameduck:
+// the write in progress finishes, new writes are refused with the successor's address, and the
+// successor is asked to take over. The core then waits until a learner has replaced it as a
+// voter, if there is one.
 func (core *Core) Retire(timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	leadership, err := core.currentLeadership()
@@ -26,8 +26,8 @@
 	core.leaveMembership(deadline)
 }
 
-// transferToAny hands the lead over to the best successor, or to the next best one if
-// that does not take over.
+// transferToAny hands the leadership over to the best successor, or to the next best if that
+// one does not take over.
 func (leadership *Leadership) transferToAny(deadline time.Time) {
 	tried := map[int]bool{}
 	for time.Now().Before(deadline) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// transferTo announces a successor, waits for the write under way and asks the successor
-// to take over. It returns true once this core has seen a newer leader.
+// transferTo announces a successor, waits for the write in progress and asks the successor to
+// take over. It returns true once this core has seen a newer leader.
 func (leadership *Leadership) transferTo(successor message.Peer, deadline time.Time) bool {
 	core := leadership.core
 	leadership.mutex.Lock()
@@ -93,7 +93,7 @@
 	return false
 }
 
-// bestSuccessor returns the best core to hand over to among those not tried yet.
+// bestSuccessor returns the best candidate to take over among the voters not tried yet.
 func (leadership *Leadership) bestSuccessor(tried map[int]bool) (message.Peer, bool) {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
--- a/control/leader_query_test.go
+++ b/control/leader_query_test.go
@@ -8,8 +8,8 @@
 	"orchidjunction/message"
 )
 
-// Who leads is asked while the leader beats, very often: neither waits for the
-// other's lock for good.
+// Leader queries and heartbeats run concurrently and often. They must not deadlock on the
+// locks of the core and its leadership.
 func TestLeaderQueryWhileSendingHeartbeats(test *testing.T) {
 	core, goroutines := newSingleCore(test)
 	core.Run()
@@ -17,23 +17,23 @@
 		goroutines.Sleep(time.Millisecond)
 	}
 	leadership, _ := core.currentLeadership()
-	ended := concurrent.NewCondition()
-	ask := func() {
+	finished := concurrent.NewCondition()
+	query := func() {
 		if _, err := core.onLeader(&message.LeaderRequest{}); err != nil {
 			test.Error(err)
 		}
 	}
-	for _, duty := range []func(){ask, func() { leadership.heartbeat() }} {
+	for _, operation := range []func(){query, func() { leadership.heartbeat() }} {
 		goroutines.Start(func() {
 			for range 100_000 {
-				duty()
+				operation()
 			}
-			ended.Notify()
+			finished.Notify()
 		})
 	}
 	for seen := range uint64(2) {
-		if !ended.Wait(seen, time.Minute) {
-			test.Fatal("the locks wait for each other")
+		if !finished.Wait(seen, time.Minute) {
+			test.Fatal("deadlock: leader queries and heartbeats did not finish within a minute")
 		}
 	}
 	goroutines.Stop()
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -14,24 +14,24 @@
 	"orchidjunction/rpc"
 )
 
-// Leadership is this core's lead under one term, from its establishment until it is
-// revoked. It is safe for concurrent use. Its mutex and the core's are never held at the
-// same time.
+// Leadership is this core's leadership under one term, from its establishment until it ends.
+// It is safe for concurrent use. Its mutex and the core's are never held at the same time.
 type Leadership struct {
 	core       *Core
 	term       message.Term
 	revocation *Revocation
 	startedAt  time.Time
-	inherited  [message.Registers]uint64 // serials
+	inherited  [message.Registers]uint64 // serials of the inherited values
 	promisedBy []int
 
-	// writeLock is held over each write, so that one value follows the other.
+	// writeLock is held during each write, so that writes are serialized.
 	writeLock *concurrent.Lock
-	// heartbeatDone is notified when a quorum has accepted a heartbeat, and at the end.
+	// heartbeatDone is notified when a quorum has accepted a heartbeat, and when the leadership
+	// ends.
 	heartbeatDone *concurrent.Condition
 	replacements  *Replacements
 
-	// mutex guards what follows.
+	// mutex guards the fields below.
 	mutex               sync.Mutex
 	ended               bool
 	lameduck            bool
@@ -41,8 +41,8 @@
 	routing             *routing.State
 	rollouts            *rollout.State
 	responses           map[int]*message.HeartbeatResponse
-	sendingTo           map[string]bool // addresses of cores that are sent what they lack
-	lastQuorumAt        time.Time       // when the last heartbeat began that a quorum accepted
+	sendingTo           map[string]bool // addresses of cores that are being sent missing values
+	lastQuorumAt        time.Time       // when the last heartbeat that a quorum accepted was sent
 	heartbeatsSent      uint64
 	heartbeatsConfirmed uint64
 }
@@ -73,7 +73,7 @@
 	return leadership
 }
 
-// end revokes this leadership; it never holds again.
+// end ends this leadership for good.
 func (leadership *Leadership) end() {
 	leadership.mutex.Lock()
 	leadership.ended = true
@@ -109,23 +109,23 @@
 	return leadership.lameduck
 }
 
-// check returns nil while every condition of the leadership holds, by the monotonic
-// clock, and else NotLeader or Lameduck.
+// check returns nil while every condition of the leadership holds, measured by the monotonic
+// clock, and otherwise NotLeader or Lameduck.
 func (leadership *Leadership) check() error {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	switch {
 	case leadership.ended:
-		return rpc.Errorf(rpc.NotLeader, "leadership %s ended", leadership.term)
+		return rpc.Errorf(rpc.NotLeader, "the leadership of term %s has ended", leadership.term)
 	case leadership.lameduck:
-		return &rpc.Error{Code: rpc.Lameduck, Message: "stepping down", Leader: leadership.successor.Address}
+		return &rpc.Error{Code: rpc.Lameduck, Message: "the leader is stepping down", Leader: leadership.successor.Address}
 	case time.Since(leadership.lastQuorumAt) > leadership.core.config.SuspicionTimeout:
-		return rpc.Errorf(rpc.NotLeader, "no majority took a heartbeat lately")
+		return rpc.Errorf(rpc.NotLeader, "no majority accepted a heartbeat within the suspicion time-out")
 	}
 	return nil
 }
 
-// conditions returns the conditions of the leadership for operators.
+// conditions returns the conditions of the leadership, which are shown to operators.
 func (leadership *Leadership) conditions() []message.Condition {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
@@ -155,17 +155,18 @@
 	}
 }
 
-// proposal is a value that a write puts into a register. Accepted, if it is set, is
-// called with the leadership's mutex held once a quorum has accepted the value.
+// proposal is the next value of a register. If accepted is set, it is called with the
+// leadership's mutex held once a quorum has accepted the value.
 type proposal struct {
 	value    message.Value
 	chunks   message.Chunks
 	accepted func()
 }
 
-// write puts a value into a register and returns its serial. Build makes the value from
-// the current one; if it makes none, nothing is written and write returns 0. A value that
-// was sent is accepted by a quorum, or the leadership ends: its outcome is unknown then.
+// write replicates a new value of a register and returns its serial. The build function makes
+// the value from the current one; if it returns nil, nothing is written and write returns 0.
+// If a value was sent but no quorum accepted it, its outcome is unknown and the leadership
+// ends.
 func (leadership *Leadership) write(register message.Register, build func(current message.Value) (*proposal, error)) (uint64, error) {
 	if err := leadership.check(); err != nil {
 		return 0, err
@@ -188,9 +189,10 @@
 	return next.value.Serial, nil
 }
 
-// writeState writes the state that build makes, encoded, as a register's next value and
-// returns the serial that holds it; if build makes none, that is the current serial. Accepted
-// takes the state once a quorum has it, with the leadership's mutex held.
+// writeState encodes and writes the state that build returns as a register's next value, and
+// returns the serial. If build returns nil, the serial is the current one. The accepted
+// function is called with the state and with the leadership's mutex held once a quorum has
+// accepted it.
 func writeState[State any](
 	leadership *Leadership,
 	register message.Register,
@@ -217,7 +219,7 @@
 	return serial, err
 }
 
-// replicate has a quorum accept a value, with the write lock held.
+// replicate makes a quorum accept a value. The caller holds the write lock.
 func (leadership *Leadership) replicate(register message.Register, current message.Value, next *proposal) error {
 	core := leadership.core
 	request := &message.AcceptRequest{
@@ -240,7 +242,7 @@
 	return nil
 }
 
-// writeSettings writes the settings that build makes of the current ones.
+// writeSettings writes the settings that build derives from the current ones.
 func (leadership *Leadership) writeSettings(build func(current *content) (*content, error)) (uint64, error) {
 	return leadership.write(message.SettingsRegister, func(message.Value) (*proposal, error) {
 		next, err := build(leadership.settings())
@@ -252,7 +254,7 @@
 	})
 }
 
-// confirm waits until a quorum has accepted a heartbeat that began after the call, which
+// confirm waits until a quorum has accepted a heartbeat that was sent after the call, which
 // proves that no other core led until then. It returns NoLeader after the time-out.
 func (leadership *Leadership) confirm(timeout time.Duration) error {
 	leadership.mutex.Lock()
@@ -271,13 +273,13 @@
 			return nil
 		}
 		if !leadership.heartbeatDone.Wait(seen, time.Until(deadline)) {
-			return rpc.Errorf(rpc.NoLeader, "no heartbeat confirmed in %v", timeout)
+			return rpc.Errorf(rpc.NoLeader, "no quorum accepted a heartbeat within %v", timeout)
 		}
 	}
 }
 
-// confirmDecision returns the response to a caller for a decision that needed no write: the
-// decision, once the leadership is confirmed after it, and else why it is not.
+// confirmDecision returns a decision that needed no write, once the leadership is confirmed
+// after it, and otherwise why the leadership is not confirmed.
 func (leadership *Leadership) confirmDecision(decision error) error {
 	if err := leadership.confirm(leadership.core.callTimeout()); err != nil {
 		return err
--- a/control/learner.go
+++ b/control/learner.go
@@ -13,21 +13,21 @@
 // membership returns the newest membership that this core knows.
 func (core *Core) membership() *consensus.View { return core.members.View() }
 
-// learnMembership takes a membership if it is newer than the one known.
+// learnMembership applies a membership if it is newer than the known one.
 func (core *Core) learnMembership(accepted message.AcceptedValue) {
 	if core.members.Learn(accepted) != nil {
 		core.counters.Add("memberships_unreadable", 1)
 	}
 }
 
-// membershipChanged tells the parts of this process that depend on who votes.
+// membershipChanged informs the parts of this process that depend on the voters.
 func (core *Core) membershipChanged(before, after *consensus.View) {
 	core.role.setCore(after.ID)
 	core.peerClocks.retain(after.All())
 	core.config.OnMembershipChange(after.Version, after.Addresses())
 	if before.Version.Serial != after.Version.Serial {
 		klog.Infof(
-			"core %d at %s: membership %d: voters %v, next %v",
+			"core %d at %s: membership %d: voters %v, next voters %v",
 			after.ID,
 			after.Address,
 			after.Version.Serial,
@@ -39,10 +39,10 @@
 	core.wakeElection.Notify()
 }
 
-// followAsLearner is what a core without a vote does: it asks the leader to become a
-// learner, or looks for the leader among the voters and the seeds, and begins as an empty
-// replica once a leader admits it. The leader then sends it what it lacks, and it gets a
-// vote when a voter is gone or leaves.
+// followAsLearner is the step of a core without a vote. It asks the leader for admission as a
+// learner, or looks for the leader among the voters and the seeds. Once admitted, a blank disk
+// becomes an empty replica, and the leader sends it the values that it lacks. It becomes a
+// voter when it replaces one that is gone or leaves.
 func (core *Core) followAsLearner() {
 	core.role.transition(Learner)
 	address := core.joinAddress()
@@ -71,8 +71,8 @@
 	}
 }
 
-// observeJoinResponse notes the leader that a response names; a core that did not admit this one
-// is not asked next.
+// observeJoinResponse records the leader that a response names. After a response that did not
+// admit this core, the next one goes to another core.
 func (state *electionState) observeJoinResponse(response *message.JoinResponse) {
 	if response.Leader.Known() {
 		if !response.Leader.Term.Less(state.leader.Term) {
@@ -85,8 +85,8 @@
 	}
 }
 
-// joinAddress returns the leader's address while it is seen, and else that of one voter
-// or seed after the other.
+// joinAddress returns the address of a live leader, and otherwise the voters and seeds in
+// turn.
 func (core *Core) joinAddress() string {
 	addresses := append(core.membership().Addresses(), core.otherSeeds()...)
 	core.mutex.Lock()
@@ -99,16 +99,17 @@
 	return addresses[election.joinAttempts%len(addresses)]
 }
 
-// mayInitializeLearner reports whether a response lets this core's blank disk begin as a replica.
+// mayInitializeLearner reports whether a response allows this core's blank disk to become an
+// empty replica.
 func (core *Core) mayInitializeLearner(response *message.JoinResponse) bool {
 	return response.Admitted && core.replica.Blank() && !core.membership().Votes()
 }
 
-// initializeLearner makes a blank disk a replica that accepted nothing but the membership. It
-// has no vote by that: the leader was confirmed after this disk was found blank, and the
-// membership then did not count this core. An earlier one may have, and its disk was lost
-// since, so the replica must refuse whoever counts by an earlier one. It waits for the
-// membership that the admitting leader wrote under its term.
+// initializeLearner makes a blank disk a replica that has accepted nothing but the membership.
+// This gives it no vote: the leader was confirmed after the disk was found blank, under a
+// membership without this core. An earlier membership may have counted this core before it
+// lost its disk, so the replica must refuse candidates of earlier memberships. It therefore
+// waits for the membership that the admitting leader wrote under its term.
 func (core *Core) initializeLearner(term message.Term) {
 	view := core.membership()
 	if view.Votes() || view.Version.Term != term {
--- a/control/routing_change_test.go
+++ b/control/routing_change_test.go
@@ -53,7 +53,11 @@
 		"current base, same version":        {newChange(9, 9, "equal"), rpc.StaleVersion},
 		"current base, lower version":       {newChange(8, 9, "below"), rpc.StaleVersion},
 	} {
-		if next, isDuplicate, err := applyRoutingChange(state, testCase.change); next != nil || isDuplicate || err == nil || rpc.CodeOf(err) != testCase.want {
+		if next, isDuplicate, err := applyRoutingChange(
+			state,
+			testCase.change,
+		); next != nil || isDuplicate || err == nil ||
+			rpc.CodeOf(err) != testCase.want {
 			test.Errorf("%s: duplicate %v, error %v, want %s", name, isDuplicate, err, testCase.want)
 		}
 	}
