--- a/control/forwarded_session_test.go
+++ b/control/forwarded_session_test.go
@@ -7,8 +7,9 @@
 	"orchidjunction/usage"
 )
 
-// A daemon that stays with a core which led tells it changes only. The next leader
-// gets all that the core was told, or it would seal what came since alone.
+// A daemon with a session at a former leader reports only changes to its counts. The next
+// leader must get all counts reported to that core, or it would seal windows with the latest
+// changes alone.
 func TestForwardedSessionReportsFullCounts(test *testing.T) {
 	core, _ := newSingleCore(test)
 	defer core.Close()
@@ -23,8 +24,8 @@
 	}
 	next := usage.NewWindows()
 	for _, held := range core.sessions.ownedBy(core.membership().ID) {
-		relayed := core.forForwarding(held)
-		next.Add(&relayed)
+		forwarded := core.forForwarding(held)
+		next.Add(&forwarded)
 	}
 	if sum := next.Sum(10); sum["first"] != 5 || sum["second"] != 2 {
 		test.Fatalf("window 10 at the next leader: %v", sum)
@@ -33,11 +34,16 @@
 		test.Fatalf("window 11 at the next leader: %v", sum)
 	}
 	if next.AwaitsProcess(11, 2) || !next.AwaitsProcess(11, 3) {
-		test.Fatalf("awaits the process at 2: %v, at 3: %v; all was told until 2", next.AwaitsProcess(11, 2), next.AwaitsProcess(11, 3))
+		test.Fatalf(
+			"awaits the process at 2: %v, at 3: %v; everything up to 2 was reported",
+			next.AwaitsProcess(11, 2),
+			next.AwaitsProcess(11, 3),
+		)
 	}
 }
 
-// What adds to a former process of the core is not all, and does not pass for it.
+// A delta based on a former process of the core is incomplete, and must not be forwarded as
+// complete counts.
 func TestForwardedDeltaForFormerProcessStaysDelta(test *testing.T) {
 	core, _ := newSingleCore(test)
 	defer core.Close()
@@ -50,10 +56,10 @@
 	}
 	next := usage.NewWindows()
 	for _, held := range core.sessions.ownedBy(core.membership().ID) {
-		relayed := core.forForwarding(held)
-		next.Add(&relayed)
+		forwarded := core.forForwarding(held)
+		next.Add(&forwarded)
 	}
 	if !next.AwaitsProcess(11, 1) || next.Sum(11)["first"] != 1 {
-		test.Fatalf("awaits the process at 1: %v, window 11 %v", next.AwaitsProcess(11, 1), next.Sum(11))
+		test.Fatalf("awaits the process at 1: %v, window 11: %v", next.AwaitsProcess(11, 1), next.Sum(11))
 	}
 }
--- a/control/leave.go
+++ b/control/leave.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// leaderSearchTimeout bounds how long a voter that ends looks for a leader to tell.
+	// leaderSearchTimeout bounds how long a leaving voter looks for a leader to inform.
 	leaderSearchTimeout = time.Second
-	// leaveTimeout bounds how long a voter that ends waits for its successor.
+	// leaveTimeout bounds how long a leaving voter waits for its successor.
 	leaveTimeout = 3 * time.Second
 )
 
-// onLeave takes the announcement of a voter of a former release, which names its ID alone.
-// Only the ID of a decided voter is certainly its own.
+// onLeave handles the announcement of a leaving voter of a former release, which gives only
+// its ID. Only the ID of a voter in a decided membership certainly belongs to the caller.
 func (core *Core) onLeave(request *message.LeaveRequest) (*message.LeaveResponse, error) {
-	return core.registerLeave(func(voter message.Peer, isDecided bool) bool { return voter.ID == request.Core && isDecided })
+	return core.recordLeave(func(voter message.Peer, isDecided bool) bool { return voter.ID == request.Core && isDecided })
 }
 
-// onLeaveVoter takes a voter's announcement that it ends.
+// onLeaveVoter handles the announcement of a leaving voter.
 func (core *Core) onLeaveVoter(request *message.LeaveVoterRequest) (*message.LeaveResponse, error) {
-	return core.registerLeave(func(voter message.Peer, _ bool) bool {
+	return core.recordLeave(func(voter message.Peer, _ bool) bool {
 		return voter.ID == request.Core && voter.Address == request.Address
 	})
 }
 
-// registerLeave notes that the voter which a caller names ends. The voter need not wait if no
-// learner is there to take its place, nor if it has none.
-func (core *Core) registerLeave(isCaller func(voter message.Peer, isDecided bool) bool) (*message.LeaveResponse, error) {
+// recordLeave records that the calling voter leaves. The voter need not wait if it has no
+// vote any more, or if no learner can replace it.
+func (core *Core) recordLeave(isCaller func(voter message.Peer, isDecided bool) bool) (*message.LeaveResponse, error) {
 	leadership, err := core.currentLeadership()
 	if err != nil {
 		return nil, err
@@ -46,8 +46,8 @@
 	return &message.LeaveResponse{Membership: view.Accepted()}, nil
 }
 
-// leaveMembership is the end of a voter that does not lead: it keeps voting until a
-// learner, if there is one, has taken its place.
+// leaveMembership keeps a leaving voter that does not lead voting until a learner, if there is
+// one, has replaced it.
 func (core *Core) leaveMembership(deadline time.Time) {
 	begin := time.Now()
 	if limit := begin.Add(leaveTimeout); limit.Before(deadline) {
@@ -66,20 +66,21 @@
 	}
 }
 
-// announceLeave tells the leader that this voter ends.
+// announceLeave tells the leader that this voter leaves. A leader of a former release gets the
+// older request.
 func (core *Core) announceLeave() (*message.LeaveResponse, error) {
 	core.mutex.Lock()
 	leader := core.election.leader
 	core.mutex.Unlock()
 	if !leader.Known() || leader.Address == core.config.InternalAddress {
-		return nil, rpc.Errorf(rpc.NoLeader, "nobody leads")
+		return nil, rpc.Errorf(rpc.NoLeader, "no leader is known")
 	}
 	id, address := core.membership().ID, core.config.InternalAddress
 	request := &message.LeaveVoterRequest{Core: id, Address: address}
 	response, err := rpc.Call(core.client, leader.Address, message.MethodLeaveVoter, core.callTimeout(), request)
 	if rpc.CodeOf(err) == rpc.UnknownMessage {
-		former := &message.LeaveRequest{Core: id}
-		return rpc.Call(core.client, leader.Address, message.MethodLeave, core.callTimeout(), former)
+		legacyRequest := &message.LeaveRequest{Core: id}
+		return rpc.Call(core.client, leader.Address, message.MethodLeave, core.callTimeout(), legacyRequest)
 	}
 	return response, err
 }
--- a/control/membership_status.go
+++ b/control/membership_status.go
@@ -8,8 +8,8 @@
 	"orchidjunction/message"
 )
 
-// membershipStatus returns who votes as this core knows it; a leader also says who was
-// seen and who waits for a place.
+// membershipStatus returns the membership that this core knows. A leader adds when it last saw
+// each voter, and the waiting learners.
 func (core *Core) membershipStatus(leadership *Leadership) message.MembershipStatus {
 	view := core.membership()
 	status := message.MembershipStatus{Version: view.Version.Serial, Term: view.Version.Term, Learners: []message.LearnerStatus{}}
--- a/control/registers.go
+++ b/control/registers.go
@@ -7,13 +7,12 @@
 	"orchidjunction/message"
 )
 
-// commitMarkedRegisters are those whose committed value is marked on the disk, so that daemons can
-// have it after a restart before anybody leads.
+// commitMarkedRegisters are the registers whose committed value is marked on disk, so that
+// daemons can get it after a restart before a leader is elected.
 var commitMarkedRegisters = []message.Register{message.RoutingRegister, message.RolloutsRegister}
 
-// commit takes a register's value as committed if it is newer than the one known. Chunks
-// are those of the settings, as the replica has them at the time: it drops some with the
-// next value.
+// commit records a register's value as committed if it is newer than the known one. Chunks are
+// those of the settings at that version: the replica drops some of them with the next value.
 func (core *Core) commit(register message.Register, accepted message.AcceptedValue, chunks message.Chunks) {
 	core.mutex.Lock()
 	isNewer := core.committed[register].Value.Serial < accepted.Value.Serial
@@ -34,12 +33,13 @@
 	}
 }
 
-// committedSerial returns the serial of a register's committed value, with the mutex held.
+// committedSerial returns the serial of a register's committed value. The caller holds the
+// mutex.
 func (core *Core) committedSerial(register message.Register) uint64 {
 	return core.committed[register].Value.Serial
 }
 
-// onReadIndex returns the newest versions, after the leadership has been confirmed.
+// onReadIndex returns the newest versions once the leadership is confirmed.
 func (core *Core) onReadIndex(*message.ReadIndexRequest) (*message.ReadIndexResponse, error) {
 	leadership, err := core.confirmedLeadership()
 	if err != nil {
@@ -65,7 +65,7 @@
 	return leadership, nil
 }
 
-// onLeader says who leads, if this core leads or has seen the leader lately.
+// onLeader returns the leader, if this core leads or has recently seen one.
 func (core *Core) onLeader(*message.LeaderRequest) (*message.LeaderResponse, error) {
 	isLeader := core.advertisesLeadership()
 	view := core.membership()
@@ -88,8 +88,8 @@
 	return response, nil
 }
 
-// Leader returns who leads as far as this core knows; nobody while it sees none or the
-// leader steps down.
+// Leader returns the leader known to this core, and the zero value if it sees none or the
+// leader is stepping down.
 func (core *Core) Leader() message.Leader {
 	if response, _ := core.onLeader(&message.LeaderRequest{}); !response.Lameduck {
 		return response.Leader
@@ -97,8 +97,8 @@
 	return message.Leader{}
 }
 
-// newWatchResponse returns the versions that daemons wait for, and what changed in the table if that
-// is all that is newer than what a daemon holds.
+// newWatchResponse returns the versions that daemons watch. If only the table is newer than
+// what a daemon holds, it adds the changes of the table.
 func (core *Core) newWatchResponse(request *message.WatchRequest) *message.WatchResponse {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
@@ -146,12 +146,12 @@
 	return core.fetchCache.get(response)
 }
 
-// addRouting adds the committed routing to a response if it is newer than a serial.
-func (core *Core) addRouting(response *message.FetchResponse, than uint64) error {
+// addRouting adds the committed routing to a response if it is newer than the serial held.
+func (core *Core) addRouting(response *message.FetchResponse, held uint64) error {
 	core.mutex.Lock()
 	routing := core.committed[message.RoutingRegister].Value
 	core.mutex.Unlock()
-	if routing.Serial <= than {
+	if routing.Serial <= held {
 		return nil
 	}
 	body, err := core.routingCache.get(routing)
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// Settings returns the serial and the whole text of the committed settings, 0 and nothing
-// if they can't be read.
+// Settings returns the serial and the full text of the committed settings, and 0 and nil if
+// they cannot be read.
 func (core *Core) Settings() (uint64, []byte) {
 	current, err := core.committedContent()
 	if err != nil {
--- a/control/remove_voter.go
+++ b/control/remove_voter.go
@@ -11,12 +11,12 @@
 	"orchidjunction/rpc"
 )
 
-// removalRetryMs is when to ask again for a removal, in milliseconds.
+// removalRetryMs is the interval, in milliseconds, after which a client retries a removal.
 const removalRetryMs = 500
 
-// onRemoveVoter gives a voter's place to a learner at once. If the leader itself is to
-// go, it hands over the lead, and the order goes to the next leader. The same order again
-// finds the core gone and is acknowledged.
+// onRemoveVoter replaces a voter by a learner immediately. A leader that is to be removed
+// hands over the leadership, and the request goes to the next leader. A repeated request finds
+// the core removed and is acknowledged.
 func (core *Core) onRemoveVoter(request *message.RemoveVoterRequest) (*message.RemoveVoterResponse, error) {
 	leadership, err := core.confirmedLeadership()
 	if err != nil {
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	if request.Core > view.LastID {
-		return nil, rpc.Errorf(rpc.NotFound, "no core %d ever voted; the last one is %d", request.Core, view.LastID)
+		return nil, rpc.Errorf(rpc.NotFound, "core %d was never a voter; the highest ID is %d", request.Core, view.LastID)
 	}
 	position := slices.IndexFunc(view.Voters, func(peer message.Peer) bool { return peer.ID == request.Core })
 	if position < 0 {
@@ -40,13 +40,13 @@
 	if request.Core == view.ID {
 		return nil, leadership.transferForRemoval()
 	}
-	klog.Infof("core %d: core %d is removed by an operator", view.ID, request.Core)
+	klog.Infof("core %d: an operator removes core %d", view.ID, request.Core)
 	leadership.replaceVoter(view.Voters[position], learner)
 	return leadership.removalResponse(request.Core)
 }
 
-// decidedMembership returns the membership that this leadership had decided, after it has
-// finished the replacement under way.
+// decidedMembership completes a replacement in progress and returns the membership that this
+// leadership decided.
 func (leadership *Leadership) decidedMembership() (*consensus.View, error) {
 	core := leadership.core
 	if core.membership().Changing() {
@@ -58,12 +58,12 @@
 	view := core.membership()
 	decided := message.Version{Term: leadership.term, Serial: leadership.value(message.MembersRegister).Serial}
 	if view.Changing() || view.Version != decided {
-		return nil, &rpc.Error{Code: rpc.NotStarted, Message: "another replacement is under way", RetryAfterMs: removalRetryMs}
+		return nil, &rpc.Error{Code: rpc.NotStarted, Message: "another replacement is in progress", RetryAfterMs: removalRetryMs}
 	}
 	return view, nil
 }
 
-// replacementFor returns the address of a learner that may take a voter's place now.
+// replacementFor returns the address of a learner that can replace a voter now.
 func (leadership *Leadership) replacementFor(leaving int, view *consensus.View) (string, error) {
 	core := leadership.core
 	if len(leadership.waitingLearners(view)) > 0 && view.LastID < message.MaxPeerID {
@@ -75,39 +75,39 @@
 	if time.Since(leadership.startedAt) < learnerTimeouts*core.config.SuspicionTimeout {
 		return "", &rpc.Error{
 			Code:         rpc.NotStarted,
-			Message:      "the leader just began and may not know the learners yet",
+			Message:      "the leader was just elected and may not know the learners yet",
 			RetryAfterMs: removalRetryMs,
 		}
 	}
 	return "", rpc.Errorf(
 		rpc.NoLearner,
-		"no learner holds everything yet, so core %d keeps its place; start a new core and ask again",
+		"no learner is synchronized, so core %d stays a voter; start a new core and retry",
 		leaving,
 	)
 }
 
-// removalResponse acknowledges a removal that was decided. One that was written but not
-// decided may come about all the same.
+// removalResponse acknowledges a removal that was decided. A removal that was written but not
+// decided may still take effect.
 func (leadership *Leadership) removalResponse(id int) (*message.RemoveVoterResponse, error) {
 	view, err := leadership.decidedMembership()
 	if err != nil {
 		return nil, &rpc.Error{
 			Code:         rpc.OutcomeUnknown,
-			Message:      "the removal may come about: " + err.Error(),
+			Message:      "the removal may still take effect: " + err.Error(),
 			RetryAfterMs: removalRetryMs,
 		}
 	}
 	if consensus.ContainsPeer(view.Voters, id) {
-		return nil, &rpc.Error{Code: rpc.NotStarted, Message: "the learner did not take the place", RetryAfterMs: removalRetryMs}
+		return nil, &rpc.Error{Code: rpc.NotStarted, Message: "the learner did not replace the voter", RetryAfterMs: removalRetryMs}
 	}
 	return &message.RemoveVoterResponse{Version: view.Version.Serial}, nil
 }
 
-// transferForRemoval makes another voter the leader. This core then votes and follows
-// until the order reaches the new leader.
+// transferForRemoval makes another voter the leader. This core votes and follows until the
+// request reaches the new leader.
 func (leadership *Leadership) transferForRemoval() error {
 	core := leadership.core
 	leadership.transferToAny(time.Now().Add(core.config.writeTimeout()))
 	core.endLeadership(leadership)
-	return rpc.Errorf(rpc.NotLeader, "the leader is to be removed and stepped down")
+	return rpc.Errorf(rpc.NotLeader, "the leader is to be removed and has stepped down")
 }
--- a/control/replacement.go
+++ b/control/replacement.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// learnerTimeouts is for how many suspicion time-outs a learner is remembered after
-	// it asked.
+	// learnerTimeouts is the number of suspicion time-outs for which a learner is remembered
+	// after its last request to join.
 	learnerTimeouts = 3
-	// leaveTTL is how long a voter's announcement that it ends counts.
+	// leaveTTL is how long a voter's announcement that it leaves is valid.
 	leaveTTL = time.Second
 )
 
@@ -26,8 +26,8 @@
 	response   *message.HeartbeatResponse
 }
 
-// isReady reports whether the learner answered within a time-out as a replica that holds
-// every register, or nearly so.
+// isReady reports whether the learner answered within a time-out as a replica whose registers
+// are up to date or nearly so.
 func (learner *learner) isReady(timeout time.Duration, nearlySynced func(message.Versions) bool) bool {
 	response := learner.response
 	if response == nil || !response.Accepted || !response.Voter || response.RefusesWrites {
@@ -36,8 +36,8 @@
 	return time.Since(learner.answeredAt) <= timeout && nearlySynced(response.Versions)
 }
 
-// Replacements is what a leadership knows of the learners that may take a voter's place
-// and of the voters that may lose theirs. It is safe for concurrent use.
+// Replacements tracks the learners that may replace a voter and the voters that may be
+// replaced, under one leadership. It is safe for concurrent use.
 type Replacements struct {
 	mutex      sync.Mutex
 	learners   map[string]*learner
@@ -49,7 +49,7 @@
 	return &Replacements{learners: map[string]*learner{}, answeredAt: map[int]time.Time{}, leavingAt: map[int]time.Time{}}
 }
 
-// addLearner notes that a learner asked.
+// addLearner records a learner's request to join.
 func (replacements *Replacements) addLearner(address string) {
 	replacements.mutex.Lock()
 	defer replacements.mutex.Unlock()
@@ -59,7 +59,7 @@
 	replacements.learners[address].askedAt = time.Now()
 }
 
-// observeResponse notes the response to a heartbeat; a learner has no ID.
+// observeResponse records the response to a heartbeat. A learner has no ID.
 func (replacements *Replacements) observeResponse(peer message.Peer, response *message.HeartbeatResponse) {
 	replacements.mutex.Lock()
 	defer replacements.mutex.Unlock()
@@ -72,22 +72,22 @@
 	}
 }
 
-// resetSilence begins the silence of a new voter now.
+// resetSilence counts a new voter's silence from now on.
 func (replacements *Replacements) resetSilence(id int) {
 	replacements.mutex.Lock()
 	replacements.answeredAt[id] = time.Now()
 	replacements.mutex.Unlock()
 }
 
-// announceLeaving notes that a voter announced its end.
+// announceLeaving records that a voter announced that it leaves.
 func (replacements *Replacements) announceLeaving(id int) {
 	replacements.mutex.Lock()
 	replacements.leavingAt[id] = time.Now()
 	replacements.mutex.Unlock()
 }
 
-// waitingLearners returns the learners that asked within a time-out and have no voter's
-// address, and forgets the others.
+// waitingLearners returns the learners that asked to join within a time-out and are not
+// voters, and forgets the others.
 func (replacements *Replacements) waitingLearners(timeout time.Duration, view *consensus.View) []message.Peer {
 	replacements.mutex.Lock()
 	defer replacements.mutex.Unlock()
@@ -102,7 +102,7 @@
 	return waiting
 }
 
-// readyLearner returns the ready learner of the lowest address.
+// readyLearner returns the ready learner with the lowest address.
 func (replacements *Replacements) readyLearner(timeout time.Duration, nearlySynced func(message.Versions) bool) (string, bool) {
 	replacements.mutex.Lock()
 	defer replacements.mutex.Unlock()
@@ -115,9 +115,9 @@
 	return best, best != ""
 }
 
-// departingVoter returns a voter whose place may be taken: one that announced its end, or
-// the one that was silent longest, and for a time-out at least. The leader never is one.
-// Silence counts from since at the earliest.
+// departingVoter returns a voter that may be replaced: one that announced that it leaves, or
+// else the one that has been silent longest, for at least a time-out. It is never the leader.
+// Silence is counted from since at the earliest.
 func (replacements *Replacements) departingVoter(
 	voters []message.Peer,
 	leader int,
@@ -146,7 +146,7 @@
 	return time.Since(replacements.leavingAt[id]) < leaveTTL
 }
 
-// lastSeen returns when a voter answered last, and since if it did not after that.
+// lastSeen returns when a voter last answered, or since if that is later.
 func (replacements *Replacements) lastSeen(id int, since time.Time) time.Time {
 	if answeredAt := replacements.answeredAt[id]; answeredAt.After(since) {
 		return answeredAt
@@ -154,21 +154,21 @@
 	return since
 }
 
-// silence returns how long ago a voter answered, counted from since at the earliest, and
-// whether it announced its end.
+// silence returns the time since a voter last answered, counted from since at the earliest,
+// and whether it announced that it leaves.
 func (replacements *Replacements) silence(id int, since time.Time) (time.Duration, bool) {
 	replacements.mutex.Lock()
 	defer replacements.mutex.Unlock()
 	return time.Since(replacements.lastSeen(id, since)), replacements.isLeaving(id)
 }
 
-// waitingLearners returns the learners that wait for a voter's place.
+// waitingLearners returns the learners that wait to replace a voter.
 func (leadership *Leadership) waitingLearners(view *consensus.View) []message.Peer {
 	return leadership.replacements.waitingLearners(learnerTimeouts*leadership.core.config.SuspicionTimeout, view)
 }
 
-// admit makes an address a learner's. It returns true only if this leadership was
-// confirmed after it was asked, under a membership without that address.
+// admit registers an address as a learner. It returns true only if the leadership was
+// confirmed after the request, and the membership does not contain the address.
 func (leadership *Leadership) admit(address string) bool {
 	core := leadership.core
 	if leadership.confirm(core.callTimeout()) != nil || core.membership().HasAddress(address) {
@@ -178,9 +178,9 @@
 	return true
 }
 
-// changeMembership is the leader's task to finish a step between two memberships, and to
-// begin one when a learner can take the place of a voter that is gone or leaves. Nothing
-// else removes a voter, so that a minority never shrinks the quorum to itself.
+// changeMembership completes a replacement in progress, and begins one when a learner can
+// replace a voter that is gone or leaves. A voter is removed only by such a replacement, so
+// that a minority never shrinks the quorum to itself.
 func (core *Core) changeMembership() {
 	leadership, err := core.currentLeadership()
 	if err != nil || leadership.check() != nil {
@@ -203,8 +203,8 @@
 	}
 }
 
-// nearlySynced reports whether a replica holds registers of this leadership, so that it
-// lacks no more than the last few writes.
+// nearlySynced reports whether all registers of a replica were written under this leadership,
+// so that it lacks at most the last few writes.
 func (leadership *Leadership) nearlySynced(versions message.Versions) bool {
 	for _, version := range versions {
 		if version.Term != leadership.term {
@@ -214,21 +214,22 @@
 	return true
 }
 
-// replaceVoter gives a voter's place to a learner. No other write is under way meanwhile:
-// the learner first gets what it lacks, then both groups accept the step, each by a
-// majority, then the following group goes on alone.
+// replaceVoter replaces a voter by a learner. The learner first gets the values that it lacks.
+// Then a majority of both the former and the next group accepts the joint membership, and
+// after that the next group goes on alone.
 func (leadership *Leadership) replaceVoter(leaving message.Peer, address string) {
 	core := leadership.core
 	if err := leadership.beginReplacement(leaving, address); err != nil {
 		core.counters.Add("replacements_failed", 1)
-		klog.Infof("core %d: %s does not replace core %d: %v", core.membership().ID, address, leaving.ID, err)
+		klog.Infof("core %d: %s could not replace core %d: %v", core.membership().ID, address, leaving.ID, err)
 		return
 	}
 	core.counters.Add("replacements_begun", 1)
 	leadership.finishReplacement()
 }
 
-// beginReplacement writes the step between the two groups.
+// beginReplacement writes the joint membership of the two groups. No other write is in
+// progress meanwhile.
 func (leadership *Leadership) beginReplacement(leaving message.Peer, address string) error {
 	leadership.writeLock.Lock()
 	defer leadership.writeLock.Unlock()
@@ -238,22 +239,23 @@
 	if err := leadership.catchUp(message.Peer{Address: address}); err != nil {
 		return err
 	}
-	step := leadership.core.membership().WithReplacement(leaving.ID, address)
-	leadership.replacements.resetSilence(step.LastID)
-	return leadership.writeMembership(step)
+	joint := leadership.core.membership().WithReplacement(leaving.ID, address)
+	leadership.replacements.resetSilence(joint.LastID)
+	return leadership.writeMembership(joint)
 }
 
-// checkReplacement refuses a step that was chosen before another one was made, by an
-// order or by the leader's own task.
+// checkReplacement rejects a replacement that was chosen before another one took place,
+// through an operator or the periodic task.
 func (leadership *Leadership) checkReplacement(leaving message.Peer, address string) error {
 	view := leadership.core.membership()
 	if view.Changing() || !consensus.ContainsPeer(view.Voters, leaving.ID) || view.HasAddress(address) {
-		return rpc.Errorf(rpc.NotStarted, "membership %d is another one meanwhile", view.Version.Serial)
+		return rpc.Errorf(rpc.NotStarted, "the membership has changed to version %d", view.Version.Serial)
 	}
 	return nil
 }
 
-// catchUp sends a replica all registers as they are; it fails unless the replica has all.
+// catchUp sends a replica the current values of all registers. It fails unless the replica
+// accepts them all.
 func (leadership *Leadership) catchUp(peer message.Peer) error {
 	core := leadership.core
 	values, chunks := leadership.snapshot()
@@ -264,15 +266,15 @@
 			return err
 		}
 		if !response.Accepted {
-			return rpc.Errorf(rpc.StaleTerm, "%s promised %s", peer.Address, response.Promised)
+			return rpc.Errorf(rpc.StaleTerm, "%s has promised term %s", peer.Address, response.Promised)
 		}
 		return nil
 	})
 }
 
-// finishReplacement ends a step: all that was decided is at a majority of the following
-// voters by then, since every write of this leadership under the step was, and the values
-// from before it are written again.
+// finishReplacement ends the joint membership. All decided values must be at a majority of the
+// next group by then: this leadership's writes since the joint membership are, and older
+// values are written again first.
 func (leadership *Leadership) finishReplacement() {
 	core := leadership.core
 	leadership.writeLock.Lock()
@@ -295,8 +297,8 @@
 	klog.Infof("core %d: membership %d committed: voters %v", view.ID, after.Version.Serial, after.Voters)
 }
 
-// writeMembership writes a membership, with the write lock held. It counts from now on,
-// decided or not; if it isn't decided, this leadership ends with it.
+// writeMembership writes a membership. The caller holds the write lock. The membership is used
+// from now on, decided or not; if it is not decided, this leadership ends.
 func (leadership *Leadership) writeMembership(next *consensus.Membership) error {
 	if err := leadership.check(); err != nil {
 		return err
--- a/control/replication.go
+++ b/control/replication.go
@@ -10,26 +10,27 @@
 	"orchidjunction/rpc"
 )
 
-// callTimeout is how long a call to another core may take.
+// callTimeout is the time-out of a call to another core.
 func (core *Core) callTimeout() time.Duration { return core.config.SuspicionTimeout }
 
 const (
-	// minTransferBytesPerSecond is the least rate, in bytes a second, at which a link between cores is taken
-	// to carry a large value; maxTransferTime bounds the time that one is given by it.
+	// minTransferBytesPerSecond is the lowest rate assumed for sending a large value between
+	// cores. maxTransferTime bounds the time allowed for a value at that rate.
 	minTransferBytesPerSecond = 1 << 20
 	maxTransferTime           = 10 * time.Second
-	// minReferenceBytes is the size from which an inherited value is sent by its version first, to
-	// replicas that are likely to hold it: sending it costs more than asking.
+	// minReferenceBytes is the size from which an inherited value is first sent by reference
+	// to its version, since replicas are likely to hold it and sending it costs more than
+	// asking.
 	minReferenceBytes = 8 << 10
 )
 
-// transferTime returns the time that is added to a call's time-out for so many bytes.
+// transferTime returns the time to add to a call's time-out for a number of bytes.
 func transferTime(bytes int) time.Duration {
 	return min(maxTransferTime, time.Duration(float64(bytes)/minTransferBytesPerSecond*float64(time.Second)))
 }
 
-// callPeers calls every other voter of a membership at once and returns the responses by
-// the voters' IDs, as soon as those that agree are enough or all calls have ended.
+// callPeers calls all other voters of a membership concurrently. It returns the responses by
+// voter ID as soon as enough returns true for the voters that agree, or all calls have ended.
 func callPeers[Response any](
 	core *Core,
 	view *consensus.View,
@@ -55,8 +56,8 @@
 // waitForAll makes callPeers wait until all calls have ended.
 func waitForAll(func(id int) bool) bool { return false }
 
-// replicate sends a value to every voter of a membership, this one too, until a quorum
-// has accepted it. A core gets the chunks that it says it lacks.
+// replicate sends a value to every voter of a membership, including this core, until a quorum
+// has accepted it. A core gets the chunks that it reports missing.
 func (core *Core) replicate(view *consensus.View, request *message.AcceptRequest, chunks message.Chunks) error {
 	deadline := time.Now().Add(core.config.writeTimeout() + transferTime(request.Value.Size()))
 	voters := view.WithSelf()
@@ -83,7 +84,7 @@
 	if !view.DecidedBy(countAccepted(voters, responses, nil).accepted) {
 		return rpc.Errorf(
 			rpc.StaleTerm,
-			"no quorum of membership %d took serial %d under %s",
+			"no quorum of membership %d accepted serial %d under term %s",
 			view.Version.Serial,
 			request.Value.Serial,
 			request.Term,
@@ -92,32 +93,33 @@
 	return nil
 }
 
-// acceptCount is which voters have accepted a value, and which have refused it or failed.
+// acceptCount holds which voters accepted a value, and which refused it or failed to answer.
 type acceptCount struct {
-	has     map[int]bool
-	hasNone map[int]bool
+	acceptedIDs map[int]bool
+	failedIDs   map[int]bool
 }
 
-// countAccepted takes responses and errors by the voters' positions.
+// countAccepted counts responses and errors, both keyed by index into voters.
 func countAccepted(voters []message.Peer, responses map[int]*message.AcceptResponse, errs map[int]error) acceptCount {
-	count := acceptCount{has: map[int]bool{}, hasNone: map[int]bool{}}
+	count := acceptCount{acceptedIDs: map[int]bool{}, failedIDs: map[int]bool{}}
 	for index, response := range responses {
 		if response.Accepted {
-			count.has[voters[index].ID] = true
+			count.acceptedIDs[voters[index].ID] = true
 		} else {
-			count.hasNone[voters[index].ID] = true
+			count.failedIDs[voters[index].ID] = true
 		}
 	}
 	for index := range maps.Keys(errs) {
-		count.hasNone[voters[index].ID] = true
+		count.failedIDs[voters[index].ID] = true
 	}
 	return count
 }
 
-func (count acceptCount) accepted(id int) bool  { return count.has[id] }
-func (count acceptCount) mayAccept(id int) bool { return !count.hasNone[id] }
+func (count acceptCount) accepted(id int) bool  { return count.acceptedIDs[id] }
+func (count acceptCount) mayAccept(id int) bool { return !count.failedIDs[id] }
 
-// replicateTo offers a value to another core, again while that can't be reached.
+// replicateTo sends a value to another core and retries until the deadline while the core is
+// unreachable.
 func (core *Core) replicateTo(
 	peer message.Peer,
 	request *message.AcceptRequest,
@@ -140,7 +142,7 @@
 	return code == rpc.Unreachable || code == rpc.ConnectFailed
 }
 
-// sendAcceptTo offers a value to another core once.
+// sendAcceptTo sends a value to another core once, without retries.
 func (core *Core) sendAcceptTo(
 	peer message.Peer,
 	request *message.AcceptRequest,
@@ -153,8 +155,8 @@
 	})
 }
 
-// sendAccept sends a value, and once more with the chunks that the replica lacks. One that
-// was inherited under a version is sent by that at first, where it is large.
+// sendAccept sends a value, and again with the chunks that the replica lacks. An inherited
+// value is first sent by reference to its version if the request gives one.
 func sendAccept(
 	request *message.AcceptRequest,
 	chunks message.Chunks,
@@ -165,28 +167,28 @@
 		if err != nil || !response.LacksValue {
 			return response, err
 		}
-		whole := *request
-		whole.Inherited = message.Version{}
-		request = &whole
+		full := *request
+		full.Inherited = message.Version{}
+		request = &full
 	}
 	response, err := send(request)
 	if err != nil || len(response.Missing) == 0 {
 		return response, err
 	}
-	fuller := *request
-	fuller.Chunks = make(message.Chunks, len(request.Chunks)+len(response.Missing))
-	maps.Copy(fuller.Chunks, request.Chunks)
+	withMissing := *request
+	withMissing.Chunks = make(message.Chunks, len(request.Chunks)+len(response.Missing))
+	maps.Copy(withMissing.Chunks, request.Chunks)
 	for _, digest := range response.Missing {
 		if chunks[digest] == nil {
-			return nil, rpc.Errorf(rpc.CorruptChunk, "a chunk that was asked for is not here")
+			return nil, rpc.Errorf(rpc.CorruptChunk, "a chunk that the replica lacks is missing here too")
 		}
-		fuller.Chunks[digest] = chunks[digest]
+		withMissing.Chunks[digest] = chunks[digest]
 	}
-	return send(&fuller)
+	return send(&withMissing)
 }
 
-// replicateAll has a quorum of a membership accept values of all registers under a term.
-// Inherited are the versions under which replicas have accepted them before.
+// replicateAll makes a quorum of a membership accept values of all registers under a term.
+// Replicas may have accepted them before under the inherited versions.
 func (core *Core) replicateAll(
 	view *consensus.View,
 	term message.Term,
@@ -203,7 +205,7 @@
 	})
 }
 
-// forAllRegisters runs a task for each register at once, until one fails.
+// forAllRegisters runs a task for all registers concurrently, and returns early if one fails.
 func (core *Core) forAllRegisters(task func(register message.Register) error) error {
 	_, errs := concurrent.Gather(core.goroutines, int(message.Registers),
 		func(index int) (struct{}, error) { return struct{}{}, task(message.Register(index)) },
--- a/control/restore.go
+++ b/control/restore.go
@@ -9,9 +9,9 @@
 	"orchidjunction/rpc"
 )
 
-// restoreReplica makes a blank disk a voter again: by initializing it, if every core is
-// new, or by fencing so many others that no quorum is missed which the lost disk was part
-// of. The core then goes on to establish a leadership under the term of the fence.
+// restoreReplica makes a blank disk a voter again. If every core is new it initializes the
+// disk. Otherwise it fences enough other voters to meet every quorum that the lost disk was
+// part of, and then establishes a leadership under the term of the fence.
 func (core *Core) restoreReplica() {
 	interval := core.config.HeartbeatInterval
 	core.goroutines.Sleep(core.random.between(interval, 2*interval))
@@ -41,8 +41,8 @@
 	core.role.abandonCandidacy()
 }
 
-// askReplicaStates asks the other voters what they hold, until those that agree are
-// enough, and learns the memberships that they know.
+// askReplicaStates asks the other voters for their accepted versions until enough agree, and
+// learns the memberships that they return.
 func (core *Core) askReplicaStates(
 	view *consensus.View,
 	agrees func(*message.ReplicaStateResponse) bool,
@@ -58,7 +58,8 @@
 	return responses
 }
 
-// allPeersEmpty reports whether all other voters answered, and none holds anything.
+// allPeersEmpty reports whether all other voters answered and none has promised or accepted
+// anything.
 func allPeersEmpty(view *consensus.View, responses map[int]*message.ReplicaStateResponse) bool {
 	if len(responses) != len(view.Peers) {
 		return false
@@ -71,17 +72,17 @@
 	return true
 }
 
-// initializeReplica begins a new system at this core.
+// initializeReplica initializes this core's disk as a replica of a new system.
 func (core *Core) initializeReplica(view *consensus.View) {
 	if core.replica.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil) != nil {
 		return
 	}
-	klog.Infof("core %d: bootstrapped", view.ID)
+	klog.Infof("core %d: bootstrapped a new system", view.ID)
 	core.startClaims(view.ID)
 	core.startFollowing()
 }
 
-// largestState returns the size in bytes of the largest state that a voter named.
+// largestState returns the size in bytes of the largest state that a voter reported.
 func largestState(responses map[int]*message.ReplicaStateResponse) int {
 	largest := 0
 	for _, response := range responses {
@@ -90,14 +91,14 @@
 	return largest
 }
 
-// restoreFromPeers fences the other voters by a term and copies what they accepted, of so
-// many bytes. It returns the promises, with this core's own, or none if the disk refused the
-// copies.
+// restoreFromPeers fences the other voters under a term and copies their accepted values,
+// which may take the given number of bytes. It returns the promises including this core's own,
+// or nil if the disk refused the copies.
 func (core *Core) restoreFromPeers(view *consensus.View, term message.Term, bytes int) (map[int]*message.PrepareResponse, error) {
 	request := &message.PrepareRequest{Term: term, Membership: view.Accepted()}
 	promises := core.preparePeers(view, request, bytes, waitForAll)
 	if !view.FencesWithout(view.ID, consensus.Agreed(promises, consensus.Granted)) {
-		return nil, rpc.Errorf(rpc.StaleTerm, "%d cores promised %s", len(promises), term)
+		return nil, rpc.Errorf(rpc.StaleTerm, "only %d cores promised term %s", len(promises), term)
 	}
 	accepted, sources := consensus.InheritedValues(view, promises)
 	source := view.AddressOf(sources[message.SettingsRegister])
@@ -114,9 +115,9 @@
 	return promises, nil
 }
 
-// startClaims marks the claims of a new voter as complete, since nothing was recorded on
-// its disk before. While the queue of claims is full or the disk refuses them that is
-// tried again: until the mark is durable, this core counts as one that may have lost some.
+// startClaims marks the claims of a new voter as complete, since nothing was recorded on its
+// disk before. It retries while the claim queue is full or the disk refuses the mark. Until
+// the mark is durable, other cores assume that this one may have lost claims.
 func (core *Core) startClaims(id int) {
 	if core.markClaimsComplete(id) == nil {
 		return
@@ -127,8 +128,8 @@
 	})
 }
 
-// markClaimsComplete notes that a voter lacks no claims; one that lost its vote meanwhile
-// has nothing to note.
+// markClaimsComplete records that a voter lacks no claims. It does nothing if this core no
+// longer votes under that ID.
 func (core *Core) markClaimsComplete(id int) error {
 	view := core.membership()
 	if view.ID != id {
@@ -141,7 +142,8 @@
 	return err
 }
 
-// onReplicaState says what this core holds.
+// onReplicaState returns the versions and the size of this core's replica, and its membership
+// if that is newer than the caller's.
 func (core *Core) onReplicaState(request *message.ReplicaStateRequest) (*message.ReplicaStateResponse, error) {
 	state := core.replica.State()
 	return &message.ReplicaStateResponse{
--- a/control/revocation.go
+++ b/control/revocation.go
@@ -6,18 +6,19 @@
 	"orchidjunction/rpc"
 )
 
-// Method is how a former leadership was ended. Its text is shown to operators.
-type Method string
+// RevocationMethod is how a former leadership was ended. Its text is shown to operators.
+type RevocationMethod string
 
-// The methods: a quorum promised a newer term, or the leader said that it writes no more.
+// With TermFence a quorum promised a newer term. With Resigned the leader announced that it
+// writes no more.
 const (
-	TermFence Method = "ballot fence at a majority"
-	Resigned  Method = "leader stepped down"
+	TermFence RevocationMethod = "ballot fence at a majority"
+	Resigned  RevocationMethod = "leader stepped down"
 )
 
-// Revocation ends a former leadership. Establishment needs a complete one.
+// Revocation records the end of a former leadership. A new leadership needs a complete one.
 type Revocation struct {
-	Method   Method
+	Method   RevocationMethod
 	Term     message.Term
 	Revoked  message.Term
 	Promises map[int]*message.PrepareResponse
@@ -25,7 +26,7 @@
 	Learners []string
 }
 
-// fence has a quorum promise a term, so that no older one can write any more.
+// fence makes a quorum promise a term, after which no older term can write.
 func (core *Core) fence(view *consensus.View, term message.Term, former message.Term) (*Revocation, error) {
 	promises, err := core.prepare(view, term)
 	if err != nil {
@@ -34,17 +35,18 @@
 	return fenceRevocation(term, former, promises), nil
 }
 
-// fenceRevocation returns the revocation that promises of a quorum are.
+// fenceRevocation returns the revocation by the promises of a quorum.
 func fenceRevocation(term, former message.Term, promises map[int]*message.PrepareResponse) *Revocation {
 	return &Revocation{Method: TermFence, Term: term, Revoked: former, Promises: promises, Complete: true}
 }
 
-// resignationRevocation returns the revocation that a leader's own word is.
+// resignationRevocation returns the revocation by a leader's own resignation.
 func resignationRevocation(request *message.TransferLeadershipRequest) *Revocation {
 	return &Revocation{Method: Resigned, Revoked: request.Term, Complete: true, Learners: request.Learners}
 }
 
-// covers reports whether no promise shows a leadership newer than the revoked one.
+// covers reports whether no promise shows a leadership newer than the revoked one. A fence
+// covers all.
 func (revocation *Revocation) covers(promises map[int]*message.PrepareResponse) bool {
 	if !revocation.Complete {
 		return false
@@ -62,9 +64,8 @@
 	return true
 }
 
-// prepare asks every voter to promise a term, this core first, until a quorum did. A
-// voter that knows a newer membership refuses and returns it: the next attempt counts by
-// that.
+// prepare asks the voters to promise a term, this core first, until a quorum has. A voter that
+// knows a newer membership refuses and returns it, and the next attempt uses that membership.
 func (core *Core) prepare(view *consensus.View, term message.Term) (map[int]*message.PrepareResponse, error) {
 	request := &message.PrepareRequest{Term: term, Membership: view.Accepted()}
 	own, err := core.replica.Prepare(request)
@@ -73,7 +74,7 @@
 	}
 	if !own.Granted {
 		core.observeTermNumber(own.Promised.Number)
-		return nil, rpc.Errorf(rpc.StaleTerm, "own promise %s", own.Promised)
+		return nil, rpc.Errorf(rpc.StaleTerm, "this core has promised term %s", own.Promised)
 	}
 	request.Held = consensus.VersionsOf(own.Accepted)
 	promises := core.preparePeers(view, request, core.replica.State().Size(), view.Decides)
@@ -84,7 +85,7 @@
 	if !view.Decides(consensus.Agreed(promises, consensus.Granted)) {
 		return nil, rpc.Errorf(
 			rpc.StaleTerm,
-			"%d cores and no quorum of membership %d promised %s",
+			"%d cores but no quorum of membership %d promised term %s",
 			len(promises),
 			view.Version.Serial,
 			term,
@@ -93,8 +94,8 @@
 	return promises, nil
 }
 
-// preparePeers asks the other voters to promise, until those that did are enough, and
-// returns the promises that were granted. They may bring values of so many bytes.
+// preparePeers asks the other voters for promises until there are enough, and returns the
+// granted ones. The time-out allows for responses of the given number of bytes.
 func (core *Core) preparePeers(
 	view *consensus.View,
 	request *message.PrepareRequest,
@@ -108,7 +109,8 @@
 	return core.grantedPromises(responses)
 }
 
-// grantedPromises returns the granted promises, and learns what the other voters know.
+// grantedPromises returns the granted promises, and learns the terms and memberships from the
+// refusals.
 func (core *Core) grantedPromises(responses map[int]*message.PrepareResponse) map[int]*message.PrepareResponse {
 	promises := map[int]*message.PrepareResponse{}
 	for id, response := range responses {
--- a/control/role.go
+++ b/control/role.go
@@ -9,23 +9,22 @@
 	"orchidjunction/metrics"
 )
 
-// Role is what a core is doing in the agreement. Its text is shown to operators.
+// Role is the role of a core in the consensus. Its text is shown to operators.
 type Role string
 
-// The roles.
 const (
-	Blank        Role = "blank"        // its disk was lost and is being restored
-	Learner      Role = "learner"      // no vote; follows the leader
+	Blank        Role = "blank"        // voter whose disk is empty or lost and must be restored
+	Learner      Role = "learner"      // has no vote and follows the leader
 	Following    Role = "following"    // votes and follows the leader
-	Prechecking  Role = "prechecking"  // a candidate that asks whether it would win
-	Revoking     Role = "revoking"     // a candidate that ends the former leadership
-	Establishing Role = "establishing" // a candidate that writes the registers again
+	Prechecking  Role = "prechecking"  // candidate in the pre-vote
+	Revoking     Role = "revoking"     // candidate that ends the former leadership
+	Establishing Role = "establishing" // candidate that writes the registers under its term
 	Leading      Role = "leading"
-	Lameduck     Role = "lameduck" // a leader that hands over
-	Retired      Role = "retired"  // ends for good
+	Lameduck     Role = "lameduck" // leader that hands over
+	Retired      Role = "retired"  // shuts down for good
 )
 
-// roleTransitions are the roles that may follow each role.
+// roleTransitions lists the roles that may follow each role.
 var roleTransitions = map[Role][]Role{
 	Blank:        {Learner, Following, Revoking, Retired},
 	Learner:      {Following, Blank, Retired},
@@ -38,8 +37,8 @@
 	Retired:      {},
 }
 
-// RoleState is a core's role; it refuses transitions that are not allowed. It is safe
-// for concurrent use.
+// RoleState holds a core's role and refuses invalid transitions. It is safe for concurrent
+// use.
 type RoleState struct {
 	mutex    sync.Mutex
 	current  Role
@@ -51,21 +50,21 @@
 	return &RoleState{current: role, core: core, counters: counters}
 }
 
-// Current returns the role.
+// Current returns the current role.
 func (state *RoleState) Current() Role {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	return state.current
 }
 
-// setCore sets the core's ID for the log, once it is known.
+// setCore sets the core's ID for log lines, once it is known.
 func (state *RoleState) setCore(core int) {
 	state.mutex.Lock()
 	state.core = core
 	state.mutex.Unlock()
 }
 
-// transition changes the role and reports whether the core has it now.
+// transition changes the role if that is allowed, and reports whether the core now has it.
 func (state *RoleState) transition(to Role) bool {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
@@ -81,7 +80,7 @@
 	return true
 }
 
-// abandonCandidacy ends a candidacy that did not win.
+// abandonCandidacy makes a candidate that did not win a follower.
 func (state *RoleState) abandonCandidacy() {
 	switch state.Current() {
 	case Prechecking, Revoking, Establishing:
--- a/control/single_core_test.go
+++ b/control/single_core_test.go
@@ -11,7 +11,8 @@
 	"orchidjunction/storage"
 )
 
-// newSingleCore returns a core that begins a system by itself, and the group that runs it.
+// newSingleCore returns a core that is a system of its own, and the group that runs its
+// goroutines.
 func newSingleCore(test *testing.T) (*Core, *concurrent.Group) {
 	test.Helper()
 	goroutines := concurrent.NewGroup()
