--- a/control/clock.go
+++ b/control/clock.go
@@ -58,9 +58,8 @@
 	return clocks.estimators[core].RoundTrip()
 }
 
-// median returns the median offset of all clocks, including this core's, in milliseconds, and
-// the number of clocks. If the two middle offsets differ widely, it returns the one nearer to
-// before.
+// median returns the median offset of all clocks, this core's included, in milliseconds, and
+// their number. If the two middle offsets lie far apart, it is the one nearer to before.
 func (clocks *PeerClocks) median(before int64) (int64, int) {
 	clocks.mutex.Lock()
 	defer clocks.mutex.Unlock()
--- a/control/clock_trust.go
+++ b/control/clock_trust.go
@@ -36,8 +36,7 @@
 	return clockTrust{startedAt: time.Now(), offsets: map[string]int64{}}
 }
 
-// clockTrusted reports whether this core relies on its clock. It makes the decision once
-// enough time has passed.
+// clockTrusted decides whether this core relies on its clock yet.
 func (core *Core) clockTrusted() bool {
 	trust := &core.clockTrust
 	trust.mutex.Lock()
@@ -52,9 +51,9 @@
 	return trust.isTrusted
 }
 
-// observeDaemonClock samples the clock of a daemon that holds a leader's table, and so ran
-// before this core started, while this core does not trust its own. A sample is late by the
-// delay of its message, so the latest time of each daemon is used.
+// observeDaemonClock samples the clock of a daemon while this core does not trust its own.
+// Only a daemon that holds a leader's table counts, since it ran before. A sample is late by
+// the delay of its message, so the latest time of each daemon is used.
 func (core *Core) observeDaemonClock(session *message.Session) {
 	if session.NowMs == 0 || session.Table.Term.Number == 0 || core.clockTrusted() {
 		return
@@ -91,5 +90,5 @@
 		return
 	}
 	core.counters.Add("clocks_corrected", 1)
-	klog.Warningf("core: the wall clock was off by %d ms at the start, by the clocks of %s", -offset, source)
+	klog.Warningf("core: the wall clock was off by %d ms at the start, according to %s", -offset, source)
 }
--- a/control/commit_proof.go
+++ b/control/commit_proof.go
@@ -5,9 +5,9 @@
 	"orchidjunction/message"
 )
 
-// runRoutingRecovery asks the other voters for their accepted versions, after a restart and
-// until a leader is known. A value that a quorum accepted under one term is committed, so
-// daemons can get the routing before a leader is elected.
+// runRoutingRecovery asks the other voters for their accepted versions after a restart until a
+// leader is known. A value that a quorum accepted under one term is committed, so daemons can
+// get the routing before an election ends.
 func (core *Core) runRoutingRecovery() {
 	for core.neverHeardLeader() && !core.goroutines.Stopping() {
 		if core.membership().Votes() && !core.replica.Blank() && core.recoverCommittedRouting() {
@@ -19,8 +19,8 @@
 	}
 }
 
-// recoverCommittedRouting asks the other voters once. It commits the routing that this core
-// has accepted if a quorum accepted the same version, and reports whether it did.
+// recoverCommittedRouting asks the other voters once, and commits the accepted routing and
+// returns true if a quorum accepted that version.
 func (core *Core) recoverCommittedRouting() bool {
 	own := core.replica.State()
 	accepted := own.Accepted[message.RoutingRegister]
--- a/control/core.go
+++ b/control/core.go
@@ -264,8 +264,9 @@
 	return err == nil && leadership.check() == nil
 }
 
-// advertisesLeadership reports whether this core tells daemons that it leads. A leader that is
-// cut off from the majority does not where daemons hold their sessions with the leader itself.
+// advertisesLeadership reports whether this core tells daemons that it leads. Where daemons
+// hold their sessions with the leader itself, a leader that is cut off from the majority does
+// not.
 func (core *Core) advertisesLeadership() bool {
 	leadership, err := core.currentLeadership()
 	return err == nil && (!core.config.DirectSessions || leadership.check() == nil)
--- a/control/election.go
+++ b/control/election.go
@@ -109,19 +109,18 @@
 	return deferred
 }
 
-// maxElectionBackoff returns the upper bound of the random pause after a candidacy. It doubles
-// with each candidacy that failed after raising the term, so that candidates stop deposing
-// each other.
+// maxElectionBackoff bounds the random pause after a candidacy. It doubles with each one that
+// failed after raising the term, so that candidates stop deposing each other.
 func (core *Core) maxElectionBackoff() time.Duration {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	return core.config.SuspicionTimeout << min(core.election.failures, maxBackoffDoublings)
 }
 
-// campaign runs one candidacy: pre-vote, fencing of older terms and establishment of the
-// leadership. It returns true if the core deferred to a better candidate. After the pre-vote
-// it gives up if this core has since seenBefore seen a leader or promised a term to a
-// candidate: raising the term would depose them.
+// campaign runs one candidacy: pre-vote, fencing of older terms and establishment. It returns
+// true if the core deferred to a better candidate. After the pre-vote it gives up if
+// leaderSeenAt is no longer seenBefore: a higher term would depose the leader seen or the
+// candidate promised a term.
 func (core *Core) campaign(mustNotDefer bool, seenBefore time.Time) bool {
 	if !core.diskWritable() || !core.role.transition(Prechecking) {
 		return false
@@ -154,14 +153,13 @@
 }
 
 // sawLeaderSince reports whether this core has seen a leader, or promised a term to a
-// candidate, since leaderSeenAt was seenBefore.
+// candidate, since it read seenBefore from leaderSeenAt.
 func (core *Core) sawLeaderSince(seenBefore time.Time) bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	return !core.election.leaderSeenAt.Equal(seenBefore)
 }
 
-// preVoteResult is the outcome of a pre-vote.
 type preVoteResult int
 
 const (
@@ -202,8 +200,8 @@
 	return preVoteLost
 }
 
-// allExceptLeader returns a function that reports whether all other voters have answered,
-// except for the leader, whose silence makes this core a candidate.
+// allExceptLeader returns a condition for callPeers: all other voters have answered except the
+// leader, whose silence makes this core a candidate.
 func (core *Core) allExceptLeader(view *consensus.View) func(has func(id int) bool) bool {
 	core.mutex.Lock()
 	silent := core.election.leader.Term.Core
@@ -236,8 +234,8 @@
 	core.establishLeadership(view, term, resignationRevocation(request))
 }
 
-// establishLeadership establishes a leadership under a term and starts leading. The view is
-// the membership whose quorum revoked the former leadership.
+// establishLeadership establishes a leadership under a term, by the membership of its
+// revocation, and starts leading.
 func (core *Core) establishLeadership(view *consensus.View, term message.Term, revocation *Revocation) {
 	if !view.MayLead(view.ID) || !core.role.transition(Establishing) {
 		return
@@ -263,8 +261,8 @@
 }
 
 // renewCandidacy periodically tells the other voters that this core is still establishing a
-// leadership under a term, so that none of them becomes a candidate meanwhile: with a large
-// state this may take longer than the election time-out. The returned function stops it.
+// leadership, so that none of them becomes a candidate: with a large state this may take
+// longer than the election time-out. The returned function stops it.
 func (core *Core) renewCandidacy(view *consensus.View, term message.Term) (stop func()) {
 	var stopped atomic.Bool
 	core.goroutines.Start(func() {
@@ -365,7 +363,6 @@
 	return &message.RenewCandidacyResponse{Accepted: true}, nil
 }
 
-// onAccept answers a leader's request to accept a value.
 func (core *Core) onAccept(request *message.AcceptRequest) (*message.AcceptResponse, error) {
 	core.observeTermNumber(request.Term.Number)
 	return core.replica.Accept(request)
--- a/control/election_state.go
+++ b/control/election_state.go
@@ -25,14 +25,13 @@
 	candidate       int
 	candidateSeenAt time.Time
 	// failures counts consecutive candidacies that failed after raising the term.
-	failures int
-	// highestTerm is the highest term number seen.
+	failures    int
 	highestTerm uint64
 	// transfer is a pending request of a leader to take over from it.
 	transfer *message.TransferLeadershipRequest
 	// timeout is how long no leader may be seen before this core becomes a candidate.
 	timeout time.Duration
-	// joinAttempts counts the failed attempts to join of a core without a vote.
+	// joinAttempts counts requests to join that failed or did not admit this core.
 	joinAttempts int
 }
 
@@ -63,7 +62,8 @@
 	state.leaderSeenAt = time.Now()
 }
 
-// follow applies a leader's heartbeat and reports whether it is from another leadership.
+// follow applies a leader's heartbeat and reports whether its leadership is another one than
+// before.
 func (state *electionState) follow(heartbeat *message.HeartbeatRequest) bool {
 	isOther := state.leader.Term != heartbeat.Term
 	state.failures = 0
@@ -80,8 +80,8 @@
 }
 
 // firstElectionTimeout returns the election time-out of a core that has heard of no leader
-// since it started. Cores that know each other from a membership are staggered by rank, so
-// that they do not compete.
+// since it started. Cores that discover their peers from seeds are staggered by their rank in
+// the membership, so that they do not compete.
 func (core *Core) firstElectionTimeout() time.Duration {
 	if !core.config.discoversPeers() {
 		return core.nextElectionTimeout()
@@ -96,7 +96,6 @@
 	return core.config.discoversPeers() && core.election.leader.Term.Number == 0
 }
 
-// observeTermNumber records a term number that another core uses.
 func (core *Core) observeTermNumber(number uint64) {
 	core.mutex.Lock()
 	core.election.highestTerm = max(core.election.highestTerm, number)
--- a/control/forwarded_session_test.go
+++ b/control/forwarded_session_test.go
@@ -7,9 +7,8 @@
 	"orchidjunction/usage"
 )
 
-// A daemon with a session at a former leader reports only changes to its counts. The next
-// leader must get all counts reported to that core, or it would seal windows with the latest
-// changes alone.
+// A daemon with a session at a former leader reports only changes of its counts. The next
+// leader must get all counts, or it would seal the latest changes alone.
 func TestForwardedSessionReportsFullCounts(test *testing.T) {
 	core, _ := newSingleCore(test)
 	defer core.Close()
@@ -42,8 +41,7 @@
 	}
 }
 
-// A delta based on a former process of the core is incomplete, and must not be forwarded as
-// complete counts.
+// A delta based on a former process of the core must not be forwarded as complete counts.
 func TestForwardedDeltaForFormerProcessStaysDelta(test *testing.T) {
 	core, _ := newSingleCore(test)
 	defer core.Close()
--- a/control/heartbeat.go
+++ b/control/heartbeat.go
@@ -12,7 +12,7 @@
 	"orchidjunction/rpc"
 )
 
-// sendHeartbeats sends the leader's heartbeats, and ends a leadership that has not reached a
+// sendHeartbeats sends the leader's heartbeats, and ends a leadership that has reached no
 // quorum for two suspicion time-outs.
 func (core *Core) sendHeartbeats() {
 	leadership, err := core.currentLeadership()
@@ -65,8 +65,8 @@
 	leadership.heartbeatDone.Notify()
 }
 
-// acceptedHeartbeat returns a function that reports whether a voter accepted a heartbeat.
-// Responses are keyed by index into peers.
+// acceptedHeartbeat returns which voters accepted a heartbeat, from responses keyed by index
+// into peers.
 func acceptedHeartbeat(peers []message.Peer, responses map[int]*message.HeartbeatResponse) func(id int) bool {
 	accepted := map[int]bool{}
 	for index, response := range responses {
@@ -96,8 +96,8 @@
 	return leadership.heartbeatsSent, request
 }
 
-// sendHeartbeatTo sends a heartbeat to one core, records its response, and starts to send it
-// the values that it lacks.
+// sendHeartbeatTo sends a heartbeat to one core, records the response and starts to send the
+// values that the core lacks.
 func (leadership *Leadership) sendHeartbeatTo(peer message.Peer, request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
 	core, begin := leadership.core, time.Now()
 	response, err := rpc.Call(core.client, peer.Address, message.MethodHeartbeat, core.callTimeout(), core.withArrivalTime(peer, request))
@@ -123,7 +123,6 @@
 	return response, nil
 }
 
-// sendMissingValues sends a core the values that it lacks.
 func (leadership *Leadership) sendMissingValues(peer message.Peer, held, committed message.Versions) {
 	core := leadership.core
 	values, chunks := leadership.snapshot()
@@ -140,9 +139,9 @@
 	}
 }
 
-// startSending reports whether a core lacks values and none are being sent to it, and then
-// marks it as being sent values. Heartbeats continue meanwhile, since a large value may take
-// longer than a heartbeat may.
+// startSending reports whether a core lacks values and none are being sent to it, and marks it
+// as being sent values. Heartbeats continue meanwhile, since a large value may take longer
+// than their time-out.
 func (leadership *Leadership) startSending(peer message.Peer, held, committed message.Versions) bool {
 	lacks := false
 	for register := range committed {
--- a/control/join.go
+++ b/control/join.go
@@ -62,7 +62,6 @@
 	return core.config.Bootstrap || core.replica.State().SinceBootstrap
 }
 
-// otherSeeds returns the seeds without this core.
 func (core *Core) otherSeeds() []string {
 	return slices.DeleteFunc(slices.Clone(core.config.Seeds), func(seed string) bool { return seed == core.config.InternalAddress })
 }
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -88,7 +88,6 @@
 	return leadership.values[register]
 }
 
-// settings returns the content of the settings register.
 func (leadership *Leadership) settings() *content {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
@@ -163,10 +162,9 @@
 	accepted func()
 }
 
-// write replicates a new value of a register and returns its serial. The build function makes
-// the value from the current one; if it returns nil, nothing is written and write returns 0.
-// If a value was sent but no quorum accepted it, its outcome is unknown and the leadership
-// ends.
+// write replicates a new value of a register and returns its serial. Build makes it from the
+// current value; if it returns nil, nothing is written and write returns 0. If no quorum
+// accepts a value that was sent, its outcome is unknown and the leadership ends.
 func (leadership *Leadership) write(register message.Register, build func(current message.Value) (*proposal, error)) (uint64, error) {
 	if err := leadership.check(); err != nil {
 		return 0, err
@@ -189,10 +187,9 @@
 	return next.value.Serial, nil
 }
 
-// writeState encodes and writes the state that build returns as a register's next value, and
-// returns the serial. If build returns nil, the serial is the current one. The accepted
-// function is called with the state and with the leadership's mutex held once a quorum has
-// accepted it.
+// writeState encodes and writes the state that build returns as a register's next value. It
+// returns the serial, the current one if build returns nil. Accepted is called with the state
+// and the leadership's mutex held once a quorum has accepted it.
 func writeState[State any](
 	leadership *Leadership,
 	register message.Register,
--- a/control/learner.go
+++ b/control/learner.go
@@ -39,10 +39,10 @@
 	core.wakeElection.Notify()
 }
 
-// followAsLearner is the step of a core without a vote. It asks the leader for admission as a
-// learner, or looks for the leader among the voters and the seeds. Once admitted, a blank disk
-// becomes an empty replica, and the leader sends it the values that it lacks. It becomes a
-// voter when it replaces one that is gone or leaves.
+// followAsLearner is the step of a core without a vote. It asks the leader, or the voters and
+// seeds in turn to find it, for admission as a learner. Once admitted, a blank disk becomes an
+// empty replica, and the leader sends the values that it lacks. The learner gets a vote when a
+// voter is gone or leaves.
 func (core *Core) followAsLearner() {
 	core.role.transition(Learner)
 	address := core.joinAddress()
@@ -71,8 +71,8 @@
 	}
 }
 
-// observeJoinResponse records the leader that a response names. After a response that did not
-// admit this core, the next one goes to another core.
+// observeJoinResponse records the leader that a response names. A core that did not admit this
+// one is not asked next.
 func (state *electionState) observeJoinResponse(response *message.JoinResponse) {
 	if response.Leader.Known() {
 		if !response.Leader.Term.Less(state.leader.Term) {
--- a/control/leave.go
+++ b/control/leave.go
@@ -21,15 +21,14 @@
 	return core.recordLeave(func(voter message.Peer, isDecided bool) bool { return voter.ID == request.Core && isDecided })
 }
 
-// onLeaveVoter handles the announcement of a leaving voter.
 func (core *Core) onLeaveVoter(request *message.LeaveVoterRequest) (*message.LeaveResponse, error) {
 	return core.recordLeave(func(voter message.Peer, _ bool) bool {
 		return voter.ID == request.Core && voter.Address == request.Address
 	})
 }
 
-// recordLeave records that the calling voter leaves. The voter need not wait if it has no
-// vote any more, or if no learner can replace it.
+// recordLeave records that the calling voter leaves. It need not wait if it has no vote any
+// more or no learner can replace it.
 func (core *Core) recordLeave(isCaller func(voter message.Peer, isDecided bool) bool) (*message.LeaveResponse, error) {
 	leadership, err := core.currentLeadership()
 	if err != nil {
--- a/control/replacement.go
+++ b/control/replacement.go
@@ -49,7 +49,6 @@
 	return &Replacements{learners: map[string]*learner{}, answeredAt: map[int]time.Time{}, leavingAt: map[int]time.Time{}}
 }
 
-// addLearner records a learner's request to join.
 func (replacements *Replacements) addLearner(address string) {
 	replacements.mutex.Lock()
 	defer replacements.mutex.Unlock()
@@ -79,7 +78,6 @@
 	replacements.mutex.Unlock()
 }
 
-// announceLeaving records that a voter announced that it leaves.
 func (replacements *Replacements) announceLeaving(id int) {
 	replacements.mutex.Lock()
 	replacements.leavingAt[id] = time.Now()
@@ -115,9 +113,9 @@
 	return best, best != ""
 }
 
-// departingVoter returns a voter that may be replaced: one that announced that it leaves, or
-// else the one that has been silent longest, for at least a time-out. It is never the leader.
-// Silence is counted from since at the earliest.
+// departingVoter returns a voter that may be replaced, never the leader: one that announced
+// that it leaves, or the one silent longest, for at least a time-out. Silence is counted from
+// since at the earliest.
 func (replacements *Replacements) departingVoter(
 	voters []message.Peer,
 	leader int,
@@ -162,7 +160,6 @@
 	return time.Since(replacements.lastSeen(id, since)), replacements.isLeaving(id)
 }
 
-// waitingLearners returns the learners that wait to replace a voter.
 func (leadership *Leadership) waitingLearners(view *consensus.View) []message.Peer {
 	return leadership.replacements.waitingLearners(learnerTimeouts*leadership.core.config.SuspicionTimeout, view)
 }
@@ -214,9 +211,9 @@
 	return true
 }
 
-// replaceVoter replaces a voter by a learner. The learner first gets the values that it lacks.
-// Then a majority of both the former and the next group accepts the joint membership, and
-// after that the next group goes on alone.
+// replaceVoter replaces a voter by a learner. The learner first gets the values that it lacks,
+// then a majority of both the former and the next group accepts the joint membership, and then
+// the next group goes on alone.
 func (leadership *Leadership) replaceVoter(leaving message.Peer, address string) {
 	core := leadership.core
 	if err := leadership.beginReplacement(leaving, address); err != nil {
@@ -272,9 +269,8 @@
 	})
 }
 
-// finishReplacement ends the joint membership. All decided values must be at a majority of the
-// next group by then: this leadership's writes since the joint membership are, and older
-// values are written again first.
+// finishReplacement ends the joint membership once all decided values are at a majority of the
+// next group: writes since the joint membership are, and older values are written again here.
 func (leadership *Leadership) finishReplacement() {
 	core := leadership.core
 	leadership.writeLock.Lock()
--- a/control/replication.go
+++ b/control/replication.go
@@ -10,7 +10,6 @@
 	"orchidjunction/rpc"
 )
 
-// callTimeout is the time-out of a call to another core.
 func (core *Core) callTimeout() time.Duration { return core.config.SuspicionTimeout }
 
 const (
--- a/control/restore.go
+++ b/control/restore.go
@@ -9,9 +9,9 @@
 	"orchidjunction/rpc"
 )
 
-// restoreReplica makes a blank disk a voter again. If every core is new it initializes the
-// disk. Otherwise it fences enough other voters to meet every quorum that the lost disk was
-// part of, and then establishes a leadership under the term of the fence.
+// restoreReplica makes a blank disk a voter again. It initializes the disk if every core is
+// new. Otherwise it fences enough others to meet every quorum that the lost disk was part of,
+// and establishes a leadership under the term of the fence.
 func (core *Core) restoreReplica() {
 	interval := core.config.HeartbeatInterval
 	core.goroutines.Sleep(core.random.between(interval, 2*interval))
@@ -41,8 +41,8 @@
 	core.role.abandonCandidacy()
 }
 
-// askReplicaStates asks the other voters for their accepted versions until enough agree, and
-// learns the memberships that they return.
+// askReplicaStates asks the other voters for their state until enough agree, and learns the
+// memberships that they return.
 func (core *Core) askReplicaStates(
 	view *consensus.View,
 	agrees func(*message.ReplicaStateResponse) bool,
@@ -91,9 +91,9 @@
 	return largest
 }
 
-// restoreFromPeers fences the other voters under a term and copies their accepted values,
-// which may take the given number of bytes. It returns the promises including this core's own,
-// or nil if the disk refused the copies.
+// restoreFromPeers fences the other voters under a term and copies their accepted values, of
+// about the given number of bytes. It returns the promises, this core's included, or nil if
+// the disk refused the copies.
 func (core *Core) restoreFromPeers(view *consensus.View, term message.Term, bytes int) (map[int]*message.PrepareResponse, error) {
 	request := &message.PrepareRequest{Term: term, Membership: view.Accepted()}
 	promises := core.preparePeers(view, request, bytes, waitForAll)
@@ -116,8 +116,8 @@
 }
 
 // startClaims marks the claims of a new voter as complete, since nothing was recorded on its
-// disk before. It retries while the claim queue is full or the disk refuses the mark. Until
-// the mark is durable, other cores assume that this one may have lost claims.
+// disk before. It retries while the claim queue is full or the disk refuses the mark: until
+// that is durable, this core counts as one that may have lost claims.
 func (core *Core) startClaims(id int) {
 	if core.markClaimsComplete(id) == nil {
 		return
@@ -142,8 +142,8 @@
 	return err
 }
 
-// onReplicaState returns the versions and the size of this core's replica, and its membership
-// if that is newer than the caller's.
+// onReplicaState returns what this core has promised and accepted, and its membership if newer
+// than the caller's.
 func (core *Core) onReplicaState(request *message.ReplicaStateRequest) (*message.ReplicaStateResponse, error) {
 	state := core.replica.State()
 	return &message.ReplicaStateResponse{
--- a/control/revocation.go
+++ b/control/revocation.go
@@ -40,7 +40,6 @@
 	return &Revocation{Method: TermFence, Term: term, Revoked: former, Promises: promises, Complete: true}
 }
 
-// resignationRevocation returns the revocation by a leader's own resignation.
 func resignationRevocation(request *message.TransferLeadershipRequest) *Revocation {
 	return &Revocation{Method: Resigned, Revoked: request.Term, Complete: true, Learners: request.Learners}
 }
@@ -65,7 +64,7 @@
 }
 
 // prepare asks the voters to promise a term, this core first, until a quorum has. A voter that
-// knows a newer membership refuses and returns it, and the next attempt uses that membership.
+// knows a newer membership refuses and returns it for the next attempt.
 func (core *Core) prepare(view *consensus.View, term message.Term) (map[int]*message.PrepareResponse, error) {
 	request := &message.PrepareRequest{Term: term, Membership: view.Accepted()}
 	own, err := core.replica.Prepare(request)
@@ -94,8 +93,8 @@
 	return promises, nil
 }
 
-// preparePeers asks the other voters for promises until there are enough, and returns the
-// granted ones. The time-out allows for responses of the given number of bytes.
+// preparePeers asks the other voters until enough have promised, and returns the granted
+// promises. They may carry values of the given number of bytes.
 func (core *Core) preparePeers(
 	view *consensus.View,
 	request *message.PrepareRequest,
--- a/control/role.go
+++ b/control/role.go
@@ -12,6 +12,7 @@
 // Role is the role of a core in the consensus. Its text is shown to operators.
 type Role string
 
+// Roles of a core.
 const (
 	Blank        Role = "blank"        // voter whose disk is empty or lost and must be restored
 	Learner      Role = "learner"      // has no vote and follows the leader
--- a/control/start_claims_test.go
+++ b/control/start_claims_test.go
@@ -17,7 +17,7 @@
 // claimsAboveQueueCapacity is more claims than the queue holds.
 const claimsAboveQueueCapacity = 5000
 
-// A voter that starts while its claim queue is full must mark its claims complete later. At
+// A voter that starts while its claim queue is full must mark its claims complete later: at
 // the first start no other core has complete claims to repair them from.
 func TestClaimsMarkedCompleteOnceQueueHasRoom(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
