--- a/control/election.go
+++ b/control/election.go
@@ -12,18 +12,18 @@
 	"orchidjunction/rpc"
 )
 
-// maxPauseDoublings is how often the pause between candidacies is doubled at most.
-const maxPauseDoublings = 2
+// maxBackoffDoublings limits how often the pause between candidacies is doubled.
+const maxBackoffDoublings = 2
 
-// runElections is the goroutine that makes this core a voter, a candidate or the leader
-// as soon as it should be.
+// runElections makes this core a learner, a voter, a candidate or the leader as its state
+// requires.
 func (core *Core) runElections() {
 	deferred := false
 	for !core.goroutines.Stopping() {
 		seen := core.wakeElection.Count()
-		now := core.takeElectionView()
+		snapshot := core.takeElectionSnapshot()
 		switch {
-		case now.role == Retired || now.role == Lameduck || now.isLeader:
+		case snapshot.role == Retired || snapshot.role == Lameduck || snapshot.isLeader:
 		case !core.membership().Known():
 			core.discoverMembership()
 			continue
@@ -36,20 +36,20 @@
 		case core.replica.Blank():
 			core.role.transition(Blank)
 			core.restoreReplica()
-		case now.role == Learner:
+		case snapshot.role == Learner:
 			core.startFollowing()
-		case now.transfer != nil:
-			core.takeOver(now.transfer)
-		case now.leaderIsSilent() && core.membership().MayLead(core.membership().ID):
+		case snapshot.transfer != nil:
+			core.takeOverLeadership(snapshot.transfer)
+		case snapshot.leaderIsSilent() && core.membership().MayLead(core.membership().ID):
 			deferred = core.campaignOnce(deferred)
 			continue
 		}
-		core.wakeElection.Wait(seen, core.electionIdle(now))
+		core.wakeElection.Wait(seen, core.electionWait(snapshot))
 	}
 }
 
-// electionView is what decides on the next step of an election.
-type electionView struct {
+// electionSnapshot is the state that decides the next step of the election loop.
+type electionSnapshot struct {
 	role     Role
 	isLeader bool
 	transfer *message.TransferLeadershipRequest
@@ -57,13 +57,13 @@
 	timeout  time.Duration
 }
 
-func (view *electionView) leaderIsSilent() bool { return view.silence > view.timeout }
+func (snapshot *electionSnapshot) leaderIsSilent() bool { return snapshot.silence > snapshot.timeout }
 
-// takeElectionView also takes the leader's request to take over, so that it is carried
-// out at most once.
-func (core *Core) takeElectionView() *electionView {
+// takeElectionSnapshot returns the current state and clears the pending transfer request, so
+// that a request is carried out at most once.
+func (core *Core) takeElectionSnapshot() *electionSnapshot {
 	core.mutex.Lock()
-	view := &electionView{
+	snapshot := &electionSnapshot{
 		isLeader: core.leadership != nil,
 		transfer: core.election.transfer,
 		silence:  time.Since(core.election.leaderSeenAt),
@@ -71,34 +71,33 @@
 	}
 	core.election.transfer = nil
 	core.mutex.Unlock()
-	view.role = core.role.Current()
-	return view
+	snapshot.role = core.role.Current()
+	return snapshot
 }
 
-// electionIdle returns how long nothing is due, unless the election is woken.
-func (core *Core) electionIdle(now *electionView) time.Duration {
+// electionWait returns how long the election loop waits unless it is woken.
+func (core *Core) electionWait(snapshot *electionSnapshot) time.Duration {
 	switch core.role.Current() {
 	case Retired, Lameduck, Leading:
 		return core.config.SuspicionTimeout
 	case Following:
-		if now.leaderIsSilent() {
+		if snapshot.leaderIsSilent() {
 			return core.config.HeartbeatInterval
 		}
-		return max(now.timeout-now.silence, time.Millisecond)
+		return max(snapshot.timeout-snapshot.silence, time.Millisecond)
 	}
 	return core.config.HeartbeatInterval / 4
 }
 
-// campaignOnce runs one candidacy and sets the time-out until the next one. It returns
-// whether the core deferred to a better candidate; having done so once, it does not defer
-// again.
+// campaignOnce runs one candidacy and sets the time-out until the next. It returns whether the
+// core deferred to a better candidate. A core that has deferred once does not defer again.
 func (core *Core) campaignOnce(deferred bool) bool {
 	isFirst := core.neverHeardLeader()
 	core.mutex.Lock()
 	seenBefore := core.election.leaderSeenAt
 	core.mutex.Unlock()
 	deferred = core.campaign(deferred || isFirst, seenBefore)
-	pause := core.random.between(core.config.HeartbeatInterval/2, core.longestPause())
+	pause := core.random.between(core.config.HeartbeatInterval/2, core.maxElectionBackoff())
 	if isFirst {
 		pause = core.random.between(core.config.HeartbeatInterval/2, core.config.HeartbeatInterval) + core.firstElectionTimeout()
 	}
@@ -110,26 +109,26 @@
 	return deferred
 }
 
-// longestPause returns the bound of the random pause after a candidacy. It doubles with each
-// one that failed after raising the term, so that candidates which depose each other part.
-func (core *Core) longestPause() time.Duration {
+// maxElectionBackoff bounds the random pause after a candidacy. It doubles with each one that
+// failed after raising the term, so that candidates stop deposing each other.
+func (core *Core) maxElectionBackoff() time.Duration {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
-	return core.config.SuspicionTimeout << min(core.election.failures, maxPauseDoublings)
+	return core.config.SuspicionTimeout << min(core.election.failures, maxBackoffDoublings)
 }
 
-// campaign runs one candidacy: pre-vote, revocation by a fence, establishment. It returns
-// true if it deferred to a better candidate. It gives way to a candidate that this core
-// promised its term to, or a leader that it saw, later than seenBefore: raising the term
-// above theirs would end what is about to be established.
-func (core *Core) campaign(mayNotDefer bool, seenBefore time.Time) bool {
+// campaign runs one candidacy: pre-vote, fencing of older terms and establishment. It returns
+// true if the core deferred to a better candidate. After the pre-vote it gives up if
+// leaderSeenAt is no longer seenBefore: a higher term would depose the leader seen or the
+// candidate promised a term.
+func (core *Core) campaign(mustNotDefer bool, seenBefore time.Time) bool {
 	if !core.diskWritable() || !core.role.transition(Prechecking) {
 		return false
 	}
 	defer core.role.abandonCandidacy()
 	core.counters.Add("prechecks", 1)
 	view := core.membership()
-	switch core.preVote(view, mayNotDefer) {
+	switch core.preVote(view, mustNotDefer) {
 	case preVoteLost:
 		return false
 	case preVoteDeferred:
@@ -146,22 +145,21 @@
 	revocation, err := core.fence(view, term, former)
 	if err != nil {
 		core.counters.Add("revocations_short", 1)
-		core.candidacyFailed()
+		core.countFailedCandidacy()
 		return false
 	}
 	core.establishLeadership(view, term, revocation)
 	return false
 }
 
-// sawLeaderSince reports whether this core saw a leader, or promised a term to a candidate,
-// since it last looked.
+// sawLeaderSince reports whether this core has seen a leader, or promised a term to a
+// candidate, since it read seenBefore from leaderSeenAt.
 func (core *Core) sawLeaderSince(seenBefore time.Time) bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	return !core.election.leaderSeenAt.Equal(seenBefore)
 }
 
-// preVoteResult is what came of asking the other voters before a candidacy.
 type preVoteResult int
 
 const (
@@ -170,14 +168,14 @@
 	preVoteWon
 )
 
-// preVote asks the other voters whether they would support this core, before it raises
-// its term and so ends the leadership of a leader that others still see.
-func (core *Core) preVote(view *consensus.View, mayNotDefer bool) preVoteResult {
+// preVote asks the other voters whether they would support this core before it raises its
+// term. Raising the term would end the leadership of a leader that others still see.
+func (core *Core) preVote(view *consensus.View, mustNotDefer bool) preVoteResult {
 	own := consensus.Candidate{ID: view.ID, Versions: core.replica.State().Versions()}
 	request := &message.PreVoteRequest{Core: view.ID, Versions: own.Versions, Membership: view.Version}
 	responses := callPeers(core, view, func(peer message.Peer) (*message.PreVoteResponse, error) {
 		return rpc.Call(core.client, peer.Address, message.MethodPreVote, core.callTimeout()/2, request)
-	}, func(*message.PreVoteResponse) bool { return true }, core.allButLeader(view))
+	}, func(*message.PreVoteResponse) bool { return true }, core.allExceptLeader(view))
 	own.Reachable = 1 + len(responses)
 	leaderAlive := false
 	for _, response := range responses {
@@ -193,7 +191,7 @@
 		core.counters.Add("prechecks_leader_alive", 1)
 	case !view.Decides(granted):
 		core.counters.Add("prechecks_short", 1)
-	case !mayNotDefer && hasBetterCandidate(view, own, responses):
+	case !mustNotDefer && hasBetterCandidate(view, own, responses):
 		core.counters.Add("prechecks_yielded", 1)
 		return preVoteDeferred
 	default:
@@ -202,9 +200,9 @@
 	return preVoteLost
 }
 
-// allButLeader returns what says whether all other voters have answered, but for the leader
-// whose silence makes this core a candidate: it is not waited for.
-func (core *Core) allButLeader(view *consensus.View) func(has func(id int) bool) bool {
+// allExceptLeader returns a condition for callPeers: all other voters have answered except the
+// leader, whose silence makes this core a candidate.
+func (core *Core) allExceptLeader(view *consensus.View) func(has func(id int) bool) bool {
 	core.mutex.Lock()
 	silent := core.election.leader.Term.Core
 	core.mutex.Unlock()
@@ -213,7 +211,8 @@
 	}
 }
 
-// hasBetterCandidate reports whether a voter that answered goes before this core.
+// hasBetterCandidate reports whether a voter that answered is a better candidate than this
+// core.
 func hasBetterCandidate(view *consensus.View, own consensus.Candidate, responses map[int]*message.PreVoteResponse) bool {
 	for id, response := range responses {
 		other := consensus.Candidate{ID: id, Versions: response.Versions, Reachable: response.Reachable}
@@ -224,19 +223,19 @@
 	return false
 }
 
-// takeOver becomes the leader in the place of one that resigned in this core's favour.
-func (core *Core) takeOver(request *message.TransferLeadershipRequest) {
+// takeOverLeadership makes this core the leader after a leader that resigned in its favour.
+func (core *Core) takeOverLeadership(request *message.TransferLeadershipRequest) {
 	if !core.role.transition(Revoking) {
 		return
 	}
 	defer core.role.abandonCandidacy()
 	view := core.membership()
 	term, _ := core.nextTerm(view)
-	core.establishLeadership(view, term, resigned(request))
+	core.establishLeadership(view, term, resignationRevocation(request))
 }
 
-// establishLeadership establishes a leadership under a term, by the membership that its
-// revocation counted by, and takes the lead.
+// establishLeadership establishes a leadership under a term, by the membership of its
+// revocation, and starts leading.
 func (core *Core) establishLeadership(view *consensus.View, term message.Term, revocation *Revocation) {
 	if !view.MayLead(view.ID) || !core.role.transition(Establishing) {
 		return
@@ -246,7 +245,7 @@
 	stopRenewing()
 	if err != nil {
 		core.counters.Add("establishments_short", 1)
-		core.candidacyFailed()
+		core.countFailedCandidacy()
 		return
 	}
 	core.mutex.Lock()
@@ -261,9 +260,9 @@
 	core.startLeading(leadership)
 }
 
-// renewCandidacy tells the other voters again and again that this core goes on establishing
-// under a term, so that none of them stands meanwhile: with a large state it may take longer
-// than they wait for a leader. It returns what ends that.
+// renewCandidacy periodically tells the other voters that this core is still establishing a
+// leadership, so that none of them becomes a candidate: with a large state this may take
+// longer than the election time-out. The returned function stops it.
 func (core *Core) renewCandidacy(view *consensus.View, term message.Term) (stop func()) {
 	var stopped atomic.Bool
 	core.goroutines.Start(func() {
@@ -271,7 +270,7 @@
 		for core.goroutines.Sleep(core.config.HeartbeatInterval) && !stopped.Load() {
 			for _, peer := range view.Peers {
 				core.goroutines.Start(func() {
-					// Without an answer the voter's own time-out decides.
+					// If the call fails, the voter's own election time-out decides.
 					_, _ = rpc.Call(core.client, peer.Address, message.MethodRenewCandidacy, core.callTimeout(), request)
 				})
 			}
@@ -280,14 +279,14 @@
 	return func() { stopped.Store(true) }
 }
 
-// candidacyFailed counts a candidacy that failed after it had raised the term.
-func (core *Core) candidacyFailed() {
+// countFailedCandidacy counts a candidacy that failed after raising the term.
+func (core *Core) countFailedCandidacy() {
 	core.mutex.Lock()
 	core.election.failures++
 	core.mutex.Unlock()
 }
 
-// startLeading makes known what the new leadership holds.
+// startLeading announces a new leadership, commits its values and sends a heartbeat with them.
 func (core *Core) startLeading(leadership *Leadership) {
 	core.config.OnRole(Leading, leadership.term)
 	klog.Infof(
@@ -306,9 +305,9 @@
 	leadership.heartbeat()
 }
 
-// onPreVote says whether this core would support a candidate. It does not while it leads,
-// sees a leader that goes on, or has lately promised its term to another candidate, which a
-// higher term would depose.
+// onPreVote answers whether this core would support a candidate. It would not while it leads,
+// follows a live leader that is not stepping down, or has recently promised its term to
+// another candidate, which a higher term would depose.
 func (core *Core) onPreVote(request *message.PreVoteRequest) (*message.PreVoteResponse, error) {
 	state := core.replica.State()
 	core.mutex.Lock()
@@ -330,13 +329,14 @@
 	}, nil
 }
 
-// reachableCores returns how many cores spoke to this one lately, this one included.
+// reachableCores returns the number of cores that recently contacted this one, including
+// itself.
 func (core *Core) reachableCores() int {
 	return 1 + core.sessions.recentCores(core.config.SuspicionTimeout*2)
 }
 
-// onPrepare promises a term to a candidate, unless this core knows a newer membership
-// with other voters than the candidate counts by.
+// onPrepare promises a term to a candidate, unless this core knows a newer membership whose
+// voters differ from the candidate's.
 func (core *Core) onPrepare(request *message.PrepareRequest) (*message.PrepareResponse, error) {
 	if known := core.membership().Accepted(); message.Supersedes(known, request.Membership) {
 		return &message.PrepareResponse{Promised: core.replica.State().Promised, Membership: known}, nil
@@ -345,30 +345,31 @@
 	response, err := core.replica.Prepare(request)
 	if err == nil && response.Granted {
 		core.mutex.Lock()
-		core.election.promised(request.Term, core.nextElectionTimeout())
+		core.election.recordPromise(request.Term, core.nextElectionTimeout())
 		core.mutex.Unlock()
 	}
 	return response, err
 }
 
-// onRenewCandidacy gives a candidate more time that this core promised its newest term to.
+// onRenewCandidacy restarts the election time-out for the candidate that holds this core's
+// newest promise.
 func (core *Core) onRenewCandidacy(request *message.RenewCandidacyRequest) (*message.RenewCandidacyResponse, error) {
 	if core.replica.State().Promised != request.Term {
 		return &message.RenewCandidacyResponse{}, nil
 	}
 	core.mutex.Lock()
-	core.election.promised(request.Term, core.nextElectionTimeout())
+	core.election.recordPromise(request.Term, core.nextElectionTimeout())
 	core.mutex.Unlock()
 	return &message.RenewCandidacyResponse{Accepted: true}, nil
 }
 
-// onAccept accepts a leader's value.
 func (core *Core) onAccept(request *message.AcceptRequest) (*message.AcceptResponse, error) {
 	core.observeTermNumber(request.Term.Number)
 	return core.replica.Accept(request)
 }
 
-// onTransferLeadership takes a leader's request to take over from it.
+// onTransferLeadership accepts a leader's request to take over from it. The election loop
+// carries it out.
 func (core *Core) onTransferLeadership(request *message.TransferLeadershipRequest) (*message.TransferLeadershipResponse, error) {
 	isStale := request.Term.Less(core.replica.State().Promised)
 	if !core.CanVote() || isStale || core.role.Current() != Following {
@@ -381,7 +382,7 @@
 	return &message.TransferLeadershipResponse{Accepted: true}, nil
 }
 
-// promiseRaised ends an older leadership of this core: it promised a newer term itself.
+// promiseRaised ends this core's leadership if its replica has promised a newer term.
 func (core *Core) promiseRaised(term message.Term) {
 	core.observeTermNumber(term.Number)
 	core.mutex.Lock()
--- a/control/heartbeat.go
+++ b/control/heartbeat.go
@@ -13,14 +13,14 @@
 )
 
 // sendHeartbeats sends the leader's heartbeats, and ends a leadership that has reached no
-// quorum for long.
+// quorum for two suspicion time-outs.
 func (core *Core) sendHeartbeats() {
 	leadership, err := core.currentLeadership()
 	if err != nil || leadership.heartbeat() {
 		return
 	}
 	leadership.mutex.Lock()
-	silence := time.Since(leadership.lastQuorum)
+	silence := time.Since(leadership.lastQuorumAt)
 	leadership.mutex.Unlock()
 	if silence > 2*core.config.SuspicionTimeout {
 		core.counters.Add("leaderships_lost_reach", 1)
@@ -36,7 +36,7 @@
 	number, request := leadership.nextHeartbeat(view)
 	peers := append(slices.Clone(view.Peers), leadership.waitingLearners(view)...)
 	responses, _ := concurrent.Gather(core.goroutines, len(peers), func(index int) (*message.HeartbeatResponse, error) {
-		return leadership.heartbeatTo(peers[index], request)
+		return leadership.sendHeartbeatTo(peers[index], request)
 	}, func(responses map[int]*message.HeartbeatResponse, _ map[int]error) bool {
 		return view.Decides(acceptedHeartbeat(peers, responses))
 	})
@@ -50,23 +50,23 @@
 	if !view.Decides(acceptedHeartbeat(peers, responses)) || core.replica.State().Promised != leadership.term {
 		return false
 	}
-	leadership.heartbeatAccepted(number, begin)
+	leadership.recordHeartbeatQuorum(number, begin)
 	return true
 }
 
-// heartbeatAccepted notes that a quorum accepted a heartbeat that began at a time.
-func (leadership *Leadership) heartbeatAccepted(number uint64, begin time.Time) {
+// recordHeartbeatQuorum records that a quorum accepted a heartbeat that was sent at begin.
+func (leadership *Leadership) recordHeartbeatQuorum(number uint64, begin time.Time) {
 	leadership.mutex.Lock()
-	if leadership.lastQuorum.Before(begin) {
-		leadership.lastQuorum = begin
+	if leadership.lastQuorumAt.Before(begin) {
+		leadership.lastQuorumAt = begin
 	}
 	leadership.heartbeatsConfirmed = max(leadership.heartbeatsConfirmed, number)
 	leadership.mutex.Unlock()
 	leadership.heartbeatDone.Notify()
 }
 
-// acceptedHeartbeat returns which voters accepted a heartbeat, from the responses by the
-// peers' positions.
+// acceptedHeartbeat returns which voters accepted a heartbeat, from responses keyed by index
+// into peers.
 func acceptedHeartbeat(peers []message.Peer, responses map[int]*message.HeartbeatResponse) func(id int) bool {
 	accepted := map[int]bool{}
 	for index, response := range responses {
@@ -96,15 +96,16 @@
 	return leadership.heartbeatsSent, request
 }
 
-// heartbeatTo sends a heartbeat to one core and uses what the response says.
-func (leadership *Leadership) heartbeatTo(peer message.Peer, request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
+// sendHeartbeatTo sends a heartbeat to one core, records the response and starts to send the
+// values that the core lacks.
+func (leadership *Leadership) sendHeartbeatTo(peer message.Peer, request *message.HeartbeatRequest) (*message.HeartbeatResponse, error) {
 	core, begin := leadership.core, time.Now()
-	response, err := rpc.Call(core.client, peer.Address, message.MethodHeartbeat, core.callTimeout(), core.withTime(peer, request))
+	response, err := rpc.Call(core.client, peer.Address, message.MethodHeartbeat, core.callTimeout(), core.withArrivalTime(peer, request))
 	if err != nil {
 		return nil, err
 	}
 	if peer.ID > 0 {
-		core.observeClock(peer, response, time.Since(begin))
+		core.observePeerClock(peer, response, time.Since(begin))
 	}
 	leadership.replacements.observeResponse(peer, response)
 	leadership.mutex.Lock()
@@ -122,7 +123,6 @@
 	return response, nil
 }
 
-// sendMissingValues sends a core the values that it lacks.
 func (leadership *Leadership) sendMissingValues(peer message.Peer, held, committed message.Versions) {
 	core := leadership.core
 	values, chunks := leadership.snapshot()
@@ -132,15 +132,16 @@
 		}
 		core.counters.Add("copies_mended", 1)
 		request := &message.AcceptRequest{Term: leadership.term, Register: message.Register(register), Value: values[register]}
-		response, err := core.offerTo(peer, request, chunks, core.callTimeout()+transferTime(request.Value.Size()))
-		if err != nil || !response.Accepted { // its next response to a heartbeat shows that it still lacks it
+		response, err := core.sendAcceptTo(peer, request, chunks, core.callTimeout()+transferTime(request.Value.Size()))
+		if err != nil || !response.Accepted { // its next heartbeat response shows the missing value again
 			core.counters.Add("copies_not_mended", 1)
 		}
 	}
 }
 
-// startSending reports whether a core lacks values and none are on their way to it, and notes
-// that some are now. Heartbeats go on meanwhile: a large value may take longer than they may.
+// startSending reports whether a core lacks values and none are being sent to it, and marks it
+// as being sent values. Heartbeats continue meanwhile, since a large value may take longer
+// than their time-out.
 func (leadership *Leadership) startSending(peer message.Peer, held, committed message.Versions) bool {
 	lacks := false
 	for register := range committed {
@@ -169,14 +170,14 @@
 		return &message.HeartbeatResponse{Voter: state.Initialized, Promised: state.Promised, Versions: state.Versions()}, nil
 	}
 	core.mutex.Lock()
-	isOtherLeader := core.election.follow(request)
+	isNewLeader := core.election.follow(request)
 	core.election.timeout = core.nextElectionTimeout()
 	core.tables.wanted = request.Table
 	core.mutex.Unlock()
 	if request.NowMs > 0 {
 		core.observeLeaderClock(request.NowMs)
 	}
-	if isOtherLeader {
+	if isNewLeader {
 		klog.Infof("core %d: follower of core %d in term %s", core.membership().ID, request.Leader.Core, request.Term)
 		core.updates.Notify()
 	}
--- a/control/membership_status.go
+++ b/control/membership_status.go
@@ -8,8 +8,8 @@
 	"orchidjunction/message"
 )
 
-// membershipStatus returns who votes as this core knows it; a leader also says who was
-// seen and who waits for a place.
+// membershipStatus returns the membership that this core knows. A leader adds when it last saw
+// each voter, and the waiting learners.
 func (core *Core) membershipStatus(leadership *Leadership) message.MembershipStatus {
 	view := core.membership()
 	status := message.MembershipStatus{Version: view.Version.Serial, Term: view.Version.Term, Learners: []message.LearnerStatus{}}
@@ -31,7 +31,7 @@
 		case peer.Address == core.config.InternalAddress:
 			status.Seen = true
 		case leadership != nil:
-			silence, isLeaving := leadership.replacements.silence(peer.ID, leadership.since)
+			silence, isLeaving := leadership.replacements.silence(peer.ID, leadership.startedAt)
 			status.SilentMs, status.Seen, status.Leaving = silence.Milliseconds(), silence < core.config.SuspicionTimeout, isLeaving
 		}
 		all = append(all, status)
--- a/hostproxy/field_checks_test.go
+++ b/hostproxy/field_checks_test.go
@@ -239,7 +239,7 @@
 }
 
 // uncheckedTypes are the types of fields without a check here. Structs have their own fields
-// checked; a version (uint64) is for the operator's own use (control.TestDecideNamesTheStaleBaseFirst),
+// checked; a version (uint64) is for the operator's own use (control.TestRoutingChangeReportsStaleBaseFirst),
 // and unknown fields (Extra) are only returned unchanged (platform.TestWholeIsGivenBackAsItCame).
 var uncheckedTypes = []reflect.Type{
 	reflect.TypeFor[[]routing.Route](), reflect.TypeFor[[]routing.Service](), reflect.TypeFor[[]routing.Tenant](),
