--- a/hostproxy/added_latency_test.go
+++ b/hostproxy/added_latency_test.go
@@ -52,7 +52,7 @@
 	proxy.Apply(&routing.State{Config: ownConfig()}, &message.Table{
 		Version:  leaderMark,
 		Complete: true,
-		Members:  members([]string{"p1"}, []string{"e1"}),
+		Members:  proxyMembers([]string{"p1"}, []string{"e1"}),
 		Backends: []message.Backend{{Name: "b1", Service: "plain", Address: backend, Zone: "e1", Capacity: 10_000}},
 	}, nil)
 	open, err := net.Listen("tcp", "127.0.0.1:0")
--- a/hostproxy/attempt_test.go
+++ b/hostproxy/attempt_test.go
@@ -227,9 +227,9 @@
 // What could not be sent at all goes elsewhere and costs no budget.
 func TestUnsentGoesElsewhere(test *testing.T) {
 	for name, spoil := range map[string]func(*world){
-		"refused dial":   func(world *world) { world.doors.serve("b1:80", nil) },
-		"silent dial":    func(world *world) { world.doors.silence("b1:80", true) },
-		"reset at once":  func(world *world) { world.doors.serve("b1:80", func(pipe *pipe) { pipe.reset() }) },
+		"refused dial":   func(world *world) { world.doors.listen("b1:80", nil) },
+		"silent dial":    func(world *world) { world.doors.setUnresponsive("b1:80", true) },
+		"reset at once":  func(world *world) { world.doors.listen("b1:80", func(pipe *pipe) { pipe.reset() }) },
 		"no connections": func(world *world) { world.proxy.targets["b1"].openConnections = 1000 },
 	} {
 		for _, path := range []string{"/once/a", "/again/a"} {
@@ -245,7 +245,7 @@
 						test.Error("b1 got it")
 					}
 					world.proxy.targets["b1"].openConnections = 0
-					world.doors.silence("b1:80", false)
+					world.doors.setUnresponsive("b1:80", false)
 				})
 			})
 		}
--- a/hostproxy/budget_test.go
+++ b/hostproxy/budget_test.go
@@ -147,14 +147,14 @@
 
 // Which of the two a proxy goes by is told by its table.
 func TestBudgetFollowsTheTable(test *testing.T) {
-	proxy := many([]string{"p1"}, []string{"e1"})[0]
+	proxy := newProxies([]string{"p1"}, []string{"e1"})[0]
 	proxy.config.RetryRatio, proxy.config.RetryExtra = 0.2, 60
 	for _, round := range []uint64{0, 1} {
 		proxy.Apply(
 			&routing.State{Config: ownConfig()},
 			&message.Table{
 				Version: message.TableVersion{Term: message.Term{Number: round}, Number: 1},
-				Members: members([]string{"p1"}, []string{"e1"}),
+				Members: proxyMembers([]string{"p1"}, []string{"e1"}),
 			},
 			nil,
 		)
--- a/hostproxy/choose_test.go
+++ b/hostproxy/choose_test.go
@@ -12,13 +12,13 @@
 // Near backends go first until they are busy; then the next nearest share.
 func TestChoosesNearThenIdle(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		proxies, table := placed()
+		proxies, table := proxyAndTable()
 		proxies[0].Apply(&routing.State{Config: ownConfig()}, table, nil)
-		if candidate, _ := proxies[0].pick(nil, nil); candidate.target.backend.Name != "near" {
+		if candidate, _ := proxies[0].choosePlain(nil, nil); candidate.target.backend.Name != "near" {
 			test.Errorf("chose %s", candidate.target.backend.Name)
 		}
 		for range 30 {
-			proxies[0].pick(nil, nil)
+			proxies[0].choosePlain(nil, nil)
 		}
 		for name, held := range proxies[0].targets {
 			if zone := held.backend.Zone; held.backend.Service == "plain" && (held.running == 0 || held.running > 12) {
@@ -26,9 +26,9 @@
 			}
 		}
 		for range 100 {
-			proxies[0].pick(nil, nil)
+			proxies[0].choosePlain(nil, nil)
 		}
-		if _, how := proxies[0].pick(nil, nil); how != allFull {
+		if _, how := proxies[0].choosePlain(nil, nil); how != allFull {
 			test.Errorf("choice %d with all full", how)
 		}
 		for name, held := range proxies[0].targets {
@@ -45,19 +45,19 @@
 // Equal backends share evenly.
 func TestChoosesEvenly(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		proxy := many([]string{"p1"}, []string{"e1"})[0]
+		proxy := newProxies([]string{"p1"}, []string{"e1"})[0]
 		backends := []message.Backend{}
 		for _, name := range []string{"a", "b", "c", "d"} {
 			backends = append(backends, message.Backend{Name: name, Service: "plain", Zone: "e1", Capacity: 4})
 		}
 		proxy.Apply(
 			&routing.State{Config: ownConfig()},
-			&message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends},
+			&message.Table{Version: leaderMark, Members: proxyMembers([]string{"p1"}, []string{"e1"}), Backends: backends},
 			nil,
 		)
 		counts := map[string]int{}
 		for range 400 {
-			candidate, _ := proxy.pick(nil, nil)
+			candidate, _ := proxy.choosePlain(nil, nil)
 			counts[candidate.target.backend.Name]++
 			candidate.target.endRequest()
 		}
@@ -72,13 +72,13 @@
 // One that is left out gets no overflow of those that are full.
 func TestOverflowIsNotForTheLeftOut(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		proxies, table := placed()
+		proxies, table := proxyAndTable()
 		proxies[0].Apply(&routing.State{Config: ownConfig()}, table, nil)
 		proxies[0].targets["far"].recordFailure(time.Now(), true)
 		for range 36 {
-			proxies[0].pick(nil, nil)
+			proxies[0].choosePlain(nil, nil)
 		}
-		if candidate, how := proxies[0].pick(nil, nil); how != allFull {
+		if candidate, how := proxies[0].choosePlain(nil, nil); how != allFull {
 			test.Errorf("choice %d: %v", how, candidate)
 		}
 	})
@@ -88,26 +88,26 @@
 // else is there.
 func TestChoosesUntried(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		proxies, table := placed()
+		proxies, table := proxyAndTable()
 		proxies[0].Apply(&routing.State{Config: ownConfig()}, table, nil)
 		tried := []*target{}
 		for range 4 {
-			candidate, how := proxies[0].pick(nil, nil, tried...)
+			candidate, how := proxies[0].choosePlain(nil, nil, tried...)
 			if how != chosen {
 				test.Fatalf("choice %d", how)
 			}
 			tried = append(tried, candidate.target)
 		}
-		if _, how := proxies[0].pick(nil, nil, tried...); how != noneAvailable {
+		if _, how := proxies[0].choosePlain(nil, nil, tried...); how != noneAvailable {
 			test.Errorf("choice %d with all tried", how)
 		}
 		for _, held := range tried {
 			held.recordFailure(time.Now(), true)
 		}
-		if _, how := proxies[0].pick(nil, nil, tried[0]); how != noneAvailable {
+		if _, how := proxies[0].choosePlain(nil, nil, tried[0]); how != noneAvailable {
 			test.Errorf("choice %d with the rest left out", how)
 		}
-		if _, how := proxies[0].pick(nil, nil); how != chosen {
+		if _, how := proxies[0].choosePlain(nil, nil); how != chosen {
 			test.Errorf("choice %d with all left out", how)
 		}
 	})
@@ -117,10 +117,10 @@
 func TestNobodyMayServe(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1").ever(well)
-		if _, how := world.proxy.pick(nil, []string{"nowhere"}); how != noneInHomeRegions {
+		if _, how := world.proxy.choosePlain(nil, []string{"nowhere"}); how != noneInHomeRegions {
 			test.Errorf("choice %d", how)
 		}
-		if _, how := world.proxy.pick(&routing.Tenant{Name: "t", Homes: []string{"nowhere"}}, nil); how != noneInHomeRegions {
+		if _, how := world.proxy.choosePlain(&routing.Tenant{Name: "t", Homes: []string{"nowhere"}}, nil); how != noneInHomeRegions {
 			test.Errorf("choice %d with the tenant's homes", how)
 		}
 	})
--- a/hostproxy/connection_test.go
+++ b/hostproxy/connection_test.go
@@ -68,7 +68,7 @@
 
 // Only sound connections are taken; others are closed and counted out.
 func TestTakeDropsWhatIsNotSound(test *testing.T) {
-	held := newTarget(ownBackend())
+	held := newTarget(testBackend())
 	for range 3 {
 		held.reserveConnection(3)
 	}
--- a/hostproxy/figures_test.go
+++ b/hostproxy/figures_test.go
@@ -50,7 +50,7 @@
 		}
 	})
 	inWorld(test, func(world *world) {
-		world.fill(3, time.Second)
+		world.fillBackend(3, time.Second)
 		if reply, _ := world.get("/once/a"); reply.status != 503 {
 			test.Fatal(reply.status)
 		}
--- a/hostproxy/framing_test.go
+++ b/hostproxy/framing_test.go
@@ -28,7 +28,7 @@
 func TestConnectionFieldKeepsWhatNamesTheRequest(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1")
-		world.keyed()
+		world.requireKeys()
 		client := world.client()
 		defer client.pipe.Close()
 		fields := "Authorization: Key k1\r\nConnection: Attempt, host, Content-Length, Tenant, Target, Deadline\r\n"
@@ -139,7 +139,7 @@
 		})
 		for number := range 10 {
 			world.addAt(fmt.Sprint("w", number), "plain", "w1", 8)
-			world.doors.serve(fmt.Sprint("w", number, ":80"), nil)
+			world.doors.listen(fmt.Sprint("w", number, ":80"), nil)
 		}
 		reply, _ := world.get("/again/a")
 		if len(world.arrivals()) != 1 || promised(reply.status) || reply.status < 500 {
--- a/hostproxy/fuzz_test.go
+++ b/hostproxy/fuzz_test.go
@@ -12,272 +12,272 @@
 	"time"
 )
 
-// recordedAnswer is a whole answer that a backend gave to a request.
-type recordedAnswer struct {
+// recordedResponse is a complete response that a backend sent.
+type recordedResponse struct {
 	status int
 	body   string
 }
 
-// witness keeps what backends saw and said, by attempt id: the truth that clients'
-// answers are held against.
-type witness struct {
-	mutex sync.Mutex
-	seen  map[string]*testimony
+// oracle records what backends received and sent, by attempt ID. Replies to clients are
+// checked against it.
+type oracle struct {
+	mutex    sync.Mutex
+	attempts map[string]*attemptRecord
 }
 
-// testimony is all that is true of one attempt id.
-type testimony struct {
-	once     bool
-	line     string
-	body     string
-	reached  []string
-	ran      int
-	afterRun int
-	told     []recordedAnswer
-	promised bool
+// attemptRecord is what happened to one attempt ID.
+type attemptRecord struct {
+	nonIdempotent       bool
+	line                string
+	body                string
+	backends            []string
+	executions          int
+	sentAfterExecution  int
+	responses           []recordedResponse
+	reportedNotExecuted bool
 }
 
-func newWitness() *witness { return &witness{seen: map[string]*testimony{}} }
+func newOracle() *oracle { return &oracle{attempts: map[string]*attemptRecord{}} }
 
-func (witness *witness) of(id string) *testimony {
-	held := witness.seen[id]
-	if held == nil {
-		held = &testimony{line: "nobody's"}
-		witness.seen[id] = held
+func (oracle *oracle) attempt(id string) *attemptRecord {
+	record := oracle.attempts[id]
+	if record == nil {
+		record = &attemptRecord{line: "unknown"}
+		oracle.attempts[id] = record
 	}
-	return held
+	return record
 }
 
-// arrive lays down a request's arrival; ran is whether it runs there.
-func (witness *witness) arrive(exchange *exchange, ran bool) {
-	witness.mutex.Lock()
-	defer witness.mutex.Unlock()
-	held := witness.of(exchange.get("Attempt"))
-	if held.line != exchange.line || held.body != string(exchange.body) {
-		held.line = "changed"
+// recordArrival records a request at a backend, and whether it is executed there.
+func (oracle *oracle) recordArrival(exchange *exchange, executed bool) {
+	oracle.mutex.Lock()
+	defer oracle.mutex.Unlock()
+	record := oracle.attempt(exchange.get("Attempt"))
+	if record.line != exchange.line || record.body != string(exchange.body) {
+		record.line = "changed"
 	}
-	held.reached = append(held.reached, exchange.arrival.backend)
-	if held.ran > 0 {
-		held.afterRun++
+	record.backends = append(record.backends, exchange.arrival.backend)
+	if record.executions > 0 {
+		record.sentAfterExecution++
 	}
-	if ran {
-		held.ran++
+	if executed {
+		record.executions++
 	}
 }
 
-func (witness *witness) tell(id string, status int, body string) {
-	witness.mutex.Lock()
-	defer witness.mutex.Unlock()
-	held := witness.of(id)
-	held.told = append(held.told, recordedAnswer{status, body})
+func (oracle *oracle) recordResponse(id string, status int, body string) {
+	oracle.mutex.Lock()
+	defer oracle.mutex.Unlock()
+	record := oracle.attempt(id)
+	record.responses = append(record.responses, recordedResponse{status, body})
 }
 
-// behaviour is one way of a backend to treat a request; raw are bytes out of the
-// fuzzer's hands, which know no attempt id.
-type behaviour func(witness *witness, exchange *exchange, raw string) bool
+// behaviour is what a backend does with a request. raw are bytes from the fuzzer; they never
+// contain an attempt ID.
+type behaviour func(oracle *oracle, exchange *exchange, raw string) bool
 
-func ran(status string, body func(id string) string, write func(exchange *exchange, answer, raw string) bool) behaviour {
-	return func(witness *witness, exchange *exchange, raw string) bool {
+func execute(status string, body func(id string) string, write func(exchange *exchange, response, raw string) bool) behaviour {
+	return func(oracle *oracle, exchange *exchange, raw string) bool {
 		id := exchange.get("Attempt")
-		witness.arrive(exchange, true)
+		oracle.recordArrival(exchange, true)
 		text := body(id)
 		number := 0
 		if _, err := fmt.Sscan(status, &number); err != nil {
 			panic(err)
 		}
-		witness.tell(id, number, text)
+		oracle.recordResponse(id, number, text)
 		return write(exchange, whole(id, status, "", text), raw)
 	}
 }
 
-// lostRun runs the request and gives no whole answer to it.
-func lostRun(write func(exchange *exchange, raw string) bool) behaviour {
-	return func(witness *witness, exchange *exchange, raw string) bool {
-		witness.arrive(exchange, true)
+// executeWithoutResponse executes the request without a complete response.
+func executeWithoutResponse(write func(exchange *exchange, raw string) bool) behaviour {
+	return func(oracle *oracle, exchange *exchange, raw string) bool {
+		oracle.recordArrival(exchange, true)
 		return write(exchange, raw)
 	}
 }
 
-// notRun refuses the request.
-func notRun(status string, write func(exchange *exchange, answer, raw string) bool) behaviour {
-	return func(witness *witness, exchange *exchange, raw string) bool {
-		witness.arrive(exchange, false)
+// refuse responds that the request was not executed.
+func refuse(status string, write func(exchange *exchange, response, raw string) bool) behaviour {
+	return func(oracle *oracle, exchange *exchange, raw string) bool {
+		oracle.recordArrival(exchange, false)
 		return write(exchange, bare(exchange.get("Attempt"), status, "Not-Executed: full\r\n", "full"), raw)
 	}
 }
 
-func plainly(exchange *exchange, answer, _ string) bool {
-	exchange.say("%s", answer)
+func writeResponse(exchange *exchange, response, _ string) bool {
+	exchange.say("%s", response)
 	return true
 }
 
-func rawBefore(exchange *exchange, answer, raw string) bool {
-	exchange.say("%s%s", raw, answer)
+func writeRawFirst(exchange *exchange, response, raw string) bool {
+	exchange.say("%s%s", raw, response)
 	return true
 }
 
-func rawBehind(exchange *exchange, answer, raw string) bool {
-	exchange.say("%s%s", answer, raw)
+func writeRawAfter(exchange *exchange, response, raw string) bool {
+	exchange.say("%s%s", response, raw)
 	return true
 }
 
-func rawLate(exchange *exchange, answer, raw string) bool {
-	exchange.say("%s", answer)
+func writeRawLater(exchange *exchange, response, raw string) bool {
+	exchange.say("%s", response)
 	exchange.backend.goroutines.Sleep(3 * time.Millisecond)
 	exchange.say("%s", raw)
 	return true
 }
 
-func inPieces(exchange *exchange, answer, _ string) bool {
-	for len(answer) > 0 {
-		size := min(7, len(answer))
-		exchange.say("%s", answer[:size])
+func writeInFragments(exchange *exchange, response, _ string) bool {
+	for len(response) > 0 {
+		size := min(7, len(response))
+		exchange.say("%s", response[:size])
 		exchange.backend.goroutines.Sleep(time.Millisecond)
-		answer = answer[size:]
+		response = response[size:]
 	}
 	return true
 }
 
-func rawInPiecesBefore(exchange *exchange, answer, raw string) bool {
-	return inPieces(exchange, raw+answer, "")
+func writeRawFirstInFragments(exchange *exchange, response, raw string) bool {
+	return writeInFragments(exchange, raw+response, "")
 }
 
-func twice(exchange *exchange, answer, _ string) bool {
-	exchange.say("%s", answer)
+func writeTwo(exchange *exchange, response, _ string) bool {
+	exchange.say("%s", response)
 	exchange.backend.goroutines.Sleep(3 * time.Millisecond)
-	exchange.say("%s", strings.Replace(answer, "answer to", "second to", 1))
+	exchange.say("%s", strings.Replace(response, "answer to", "second to", 1))
 	return true
 }
 
-func lastOnConnection(exchange *exchange, answer, _ string) bool {
-	exchange.say("%s", strings.Replace(answer, "Content-Length", "Connection: close\r\nContent-Length", 1))
+func writeAndClose(exchange *exchange, response, _ string) bool {
+	exchange.say("%s", strings.Replace(response, "Content-Length", "Connection: close\r\nContent-Length", 1))
 	return false
 }
 
-func cutAt(exchange *exchange, answer, raw string) bool {
-	exchange.say("%s", answer[:len(raw)%len(answer)])
+func writeTruncated(exchange *exchange, response, raw string) bool {
+	exchange.say("%s", response[:len(raw)%len(response)])
 	return false
 }
 
-// behaviours are what a backend may do, each by its place in the list.
+// behaviours are selected by index; fuzz corpora depend on their order.
 var behaviours = []behaviour{
-	ran("200 OK", text, plainly),
-	ran("200 OK", text, inPieces),
-	ran("200 OK", text, rawBefore),
-	ran("200 OK", text, rawBehind),
-	ran("200 OK", text, rawLate),
-	ran("200 OK", text, rawInPiecesBefore),
-	ran("200 OK", text, twice),
-	ran("200 OK", text, lastOnConnection),
-	ran("500 Internal Server Error", text, plainly),
-	ran("500 Internal Server Error", text, rawBefore),
-	ran("503 Service Unavailable", text, rawBefore),
-	ran("204 No Content", func(string) string { return "" }, rawBehind),
-	ran("404 Not Found", text, rawLate),
-	notRun("503 Service Unavailable", plainly),
-	notRun("503 Service Unavailable", rawBefore),
-	notRun("503 Service Unavailable", rawLate),
-	notRun("421 Misdirected Request", rawBehind),
-	notRun("429 Too Many Requests", cutAt),
-	lostRun(func(exchange *exchange, raw string) bool { exchange.say("%s", raw); return false }),
-	lostRun(func(exchange *exchange, raw string) bool { exchange.say("%s", raw); return silent(exchange) }),
-	lostRun(func(exchange *exchange, _ string) bool { return resetAfterReading(exchange) }),
-	lostRun(func(exchange *exchange, _ string) bool { return silent(exchange) }),
-	lostRun(func(exchange *exchange, raw string) bool {
-		return cutAt(exchange, whole(exchange.get("Attempt"), "200 OK", "", text(exchange.get("Attempt"))), raw)
+	execute("200 OK", text, writeResponse),
+	execute("200 OK", text, writeInFragments),
+	execute("200 OK", text, writeRawFirst),
+	execute("200 OK", text, writeRawAfter),
+	execute("200 OK", text, writeRawLater),
+	execute("200 OK", text, writeRawFirstInFragments),
+	execute("200 OK", text, writeTwo),
+	execute("200 OK", text, writeAndClose),
+	execute("500 Internal Server Error", text, writeResponse),
+	execute("500 Internal Server Error", text, writeRawFirst),
+	execute("503 Service Unavailable", text, writeRawFirst),
+	execute("204 No Content", func(string) string { return "" }, writeRawAfter),
+	execute("404 Not Found", text, writeRawLater),
+	refuse("503 Service Unavailable", writeResponse),
+	refuse("503 Service Unavailable", writeRawFirst),
+	refuse("503 Service Unavailable", writeRawLater),
+	refuse("421 Misdirected Request", writeRawAfter),
+	refuse("429 Too Many Requests", writeTruncated),
+	executeWithoutResponse(func(exchange *exchange, raw string) bool { exchange.say("%s", raw); return false }),
+	executeWithoutResponse(func(exchange *exchange, raw string) bool { exchange.say("%s", raw); return silent(exchange) }),
+	executeWithoutResponse(func(exchange *exchange, _ string) bool { return resetAfterReading(exchange) }),
+	executeWithoutResponse(func(exchange *exchange, _ string) bool { return silent(exchange) }),
+	executeWithoutResponse(func(exchange *exchange, raw string) bool {
+		return writeTruncated(exchange, whole(exchange.get("Attempt"), "200 OK", "", text(exchange.get("Attempt"))), raw)
 	}),
-	lostRun(func(exchange *exchange, _ string) bool { return chunkedHalf(exchange) }),
-	lostRun(func(exchange *exchange, _ string) bool {
+	executeWithoutResponse(func(exchange *exchange, _ string) bool { return chunkedHalf(exchange) }),
+	executeWithoutResponse(func(exchange *exchange, _ string) bool {
 		exchange.say("HTTP/1.1 503 Service Unavailable\r\nNot-Executed: full\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}),
-	lostRun(func(exchange *exchange, _ string) bool {
+	executeWithoutResponse(func(exchange *exchange, _ string) bool {
 		exchange.say("%s", bare("another", "503 Service Unavailable", "Not-Executed: full\r\n", ""))
 		return silent(exchange)
 	}),
-	func(witness *witness, exchange *exchange, _ string) bool {
+	func(oracle *oracle, exchange *exchange, _ string) bool {
 		id := exchange.get("Attempt")
-		witness.arrive(exchange, true)
-		witness.tell(id, 200, text(id))
+		oracle.recordArrival(exchange, true)
+		oracle.recordResponse(id, 200, text(id))
 		return chunked(exchange)
 	},
-	func(witness *witness, exchange *exchange, _ string) bool {
+	func(oracle *oracle, exchange *exchange, _ string) bool {
 		id := exchange.get("Attempt")
-		witness.arrive(exchange, true)
-		witness.tell(id, 200, text(id))
+		oracle.recordArrival(exchange, true)
+		oracle.recordResponse(id, 200, text(id))
 		exchange.say("HTTP/1.1 100 Continue\r\n\r\n%s", whole("another", "200 OK", "", "another's"))
 		return well(exchange)
 	},
 }
 
-// fuzzed plays a program of bytes: each step is a request with what its backends do
-// to it, or something that befalls idle connections.
-type fuzzed struct {
+// fuzzRun executes a program of bytes. A step is a request with the behaviour of its
+// backends, a pause, or an event on the connections of a backend.
+type fuzzRun struct {
 	world   *world
-	witness *witness
+	oracle  *oracle
 	program []byte
 	secret  [sha256.Size]byte
-	count   int
+	idCount int
 }
 
-// next takes a byte of the program; 0 at its end.
-func (fuzzed *fuzzed) next() int {
-	if len(fuzzed.program) == 0 {
+// nextByte consumes a byte of the program; 0 at its end.
+func (run *fuzzRun) nextByte() int {
+	if len(run.program) == 0 {
 		return 0
 	}
-	first := fuzzed.program[0]
-	fuzzed.program = fuzzed.program[1:]
+	first := run.program[0]
+	run.program = run.program[1:]
 	return int(first)
 }
 
-// raw takes so many bytes as the next one says.
-func (fuzzed *fuzzed) raw() string {
-	size := min(fuzzed.next(), len(fuzzed.program))
-	taken := string(fuzzed.program[:size])
-	fuzzed.program = fuzzed.program[size:]
-	return taken
+// nextRaw consumes a length byte and as many bytes.
+func (run *fuzzRun) nextRaw() string {
+	size := min(run.nextByte(), len(run.program))
+	bytes := string(run.program[:size])
+	run.program = run.program[size:]
+	return bytes
 }
 
-// id is one that no bytes of the program can hold.
-func (fuzzed *fuzzed) id() string {
-	fuzzed.count++
-	sum := sha256.Sum256(append(fuzzed.secret[:], byte(fuzzed.count)))
+// nextID returns an ID from a hash of the program, so that the program cannot contain it.
+func (run *fuzzRun) nextID() string {
+	run.idCount++
+	sum := sha256.Sum256(append(run.secret[:], byte(run.idCount)))
 	return hex.EncodeToString(sum[:6])
 }
 
-func (fuzzed *fuzzed) play() {
-	for step := 0; step < 24 && len(fuzzed.program) > 0; step++ {
-		switch kind := fuzzed.next(); kind % 8 {
+func (run *fuzzRun) run() {
+	for step := 0; step < 24 && len(run.program) > 0; step++ {
+		switch kind := run.nextByte(); kind % 8 {
 		case 0:
-			fuzzed.ask("GET", "/once/a", "", false)
+			run.request("GET", "/once/a", "", false)
 		case 1:
-			fuzzed.ask("GET", "/again/a", "", false)
+			run.request("GET", "/again/a", "", false)
 		case 2:
-			fuzzed.ask("POST", "/once/a?x=y", "GET /once/b HTTP/1.1\r\nHost: host.example\r\nAttempt: smuggled\r\n\r\n", false)
+			run.request("POST", "/once/a?x=y", "GET /once/b HTTP/1.1\r\nHost: host.example\r\nAttempt: smuggled\r\n\r\n", false)
 		case 3:
-			fuzzed.ask("POST", "/once/a", string(letters(0, 3*maxInlineBodyBytes)), false)
+			run.request("POST", "/once/a", string(letters(0, 3*maxInlineBodyBytes)), false)
 		case 4:
-			fuzzed.ask("HEAD", "/once/a", "", false)
+			run.request("HEAD", "/once/a", "", false)
 		case 5:
-			fuzzed.ask("GET", "/once/a", "", true)
+			run.request("GET", "/once/a", "", true)
 		case 6:
-			fuzzed.world.goroutines.Sleep(time.Duration(fuzzed.next()) * 40 * time.Millisecond)
+			run.world.goroutines.Sleep(time.Duration(run.nextByte()) * 40 * time.Millisecond)
 		case 7:
-			backend := fuzzed.world.backends[[]string{"b1", "b2"}[kind/8%2]]
+			backend := run.world.backends[[]string{"b1", "b2"}[kind/8%2]]
 			if kind/16%2 == 0 {
 				backend.hang()
 			} else {
-				fuzzed.world.reset(backend)
+				run.world.resetConnections(backend)
 			}
 		}
 	}
-	fuzzed.world.goroutines.Sleep(3 * time.Second)
+	run.world.goroutines.Sleep(3 * time.Second)
 	synctest.Wait()
-	fuzzed.judge()
+	run.checkArrivals()
 }
 
-// reset resets a backend's connections; it takes new ones.
-func (world *world) reset(backend *backend) {
+// resetConnections resets a backend's connections; it still accepts new ones.
+func (world *world) resetConnections(backend *backend) {
 	backend.mutex.Lock()
 	pipes := backend.pipes
 	backend.pipes = nil
@@ -287,102 +287,102 @@
 	}
 }
 
-// ask sends a request whose first two arrivals are treated as the program says.
-func (fuzzed *fuzzed) ask(method, path, body string, leaves bool) {
-	world, id := fuzzed.world, fuzzed.id()
+// request sends a request; the program selects the behaviour at its first two arrivals.
+func (run *fuzzRun) request(method, path, body string, cancels bool) {
+	world, id := run.world, run.nextID()
 	var mutex sync.Mutex
-	treatments := []behaviour{behaviours[fuzzed.next()%len(behaviours)], behaviours[fuzzed.next()%len(behaviours)], behaviours[0]}
-	bytes := fuzzed.raw()
-	does := func(exchange *exchange) bool {
+	remaining := []behaviour{behaviours[run.nextByte()%len(behaviours)], behaviours[run.nextByte()%len(behaviours)], behaviours[0]}
+	bytes := run.nextRaw()
+	behave := func(exchange *exchange) bool {
 		mutex.Lock()
-		treatment := treatments[0]
-		if len(treatments) > 1 {
-			treatments = treatments[1:]
+		next := remaining[0]
+		if len(remaining) > 1 {
+			remaining = remaining[1:]
 		}
 		mutex.Unlock()
-		return treatment(fuzzed.witness, exchange, bytes)
+		return next(run.oracle, exchange, bytes)
 	}
 	for _, backend := range world.backends {
-		backend.ever(does)
+		backend.ever(behave)
 	}
-	fuzzed.witness.mutex.Lock()
-	held := fuzzed.witness.of(id)
-	held.line, held.body, held.once = method+" "+path+" HTTP/1.1", body, !strings.HasPrefix(path, "/again/")
-	fuzzed.witness.mutex.Unlock()
+	run.oracle.mutex.Lock()
+	record := run.oracle.attempt(id)
+	record.line, record.body, record.nonIdempotent = method+" "+path+" HTTP/1.1", body, !strings.HasPrefix(path, "/again/")
+	run.oracle.mutex.Unlock()
 	client := world.client()
 	defer client.pipe.Close()
-	if leaves {
+	if cancels {
 		client.send(raw(method, path, id, "", body))
 		world.goroutines.Sleep(time.Millisecond)
 		return
 	}
-	fuzzed.check(id, method, client.ask(method, raw(method, path, id, "", body)))
+	run.checkReply(id, method, client.ask(method, raw(method, path, id, "", body)))
 	_ = client.pipe.SetReadDeadline(time.Now().Add(time.Millisecond)) // never fails
 	if rest, _ := io.ReadAll(client.reader); len(rest) > 0 {
-		world.test.Errorf("%s: bytes that nobody asked for: %q", id, rest)
+		world.test.Errorf("%s: unexpected bytes after the reply: %q", id, rest)
 	}
 }
 
-// check holds one answer against the truth.
-func (fuzzed *fuzzed) check(id, method string, reply reply) {
-	test := fuzzed.world.test
-	fuzzed.witness.mutex.Lock()
-	defer fuzzed.witness.mutex.Unlock()
-	held := fuzzed.witness.of(id)
+// checkReply checks a reply against the oracle.
+func (run *fuzzRun) checkReply(id, method string, reply reply) {
+	test := run.world.test
+	run.oracle.mutex.Lock()
+	defer run.oracle.mutex.Unlock()
+	record := run.oracle.attempt(id)
 	if reply.broken != nil {
-		test.Errorf("%s: broken: %v", id, reply.broken)
+		test.Errorf("%s: incomplete reply: %v", id, reply.broken)
 		return
 	}
 	if seal := reply.header.Get("Seal"); seal != "" {
-		for _, response := range held.told {
+		for _, response := range record.responses {
 			if response.status == reply.status && seal == "s-"+id && reply.header.Get("Attempt") == id &&
 				(response.body == reply.body || method == "HEAD" && reply.body == "") {
 				return
 			}
 		}
-		if method == "HEAD" && held.ran > 0 && reply.status == 200 && reply.body == "" && seal == "s-"+id &&
+		if method == "HEAD" && record.executions > 0 && reply.status == 200 && reply.body == "" && seal == "s-"+id &&
 			reply.header.Get("Attempt") == id {
-			return // an answer cut off behind its head is a whole one to HEAD
+			return // a complete head is a complete response to HEAD
 		}
-		test.Errorf("%s: got %d %q %v, told %v", id, reply.status, reply.body, reply.header, held.told)
+		test.Errorf("%s: got %d %q %v, backends sent %v", id, reply.status, reply.body, reply.header, record.responses)
 		return
 	}
 	if reply.status < 400 || reply.status == 421 {
-		test.Errorf("%s: %d of nobody's", id, reply.status)
+		test.Errorf("%s: status %d without a seal", id, reply.status)
 	}
-	if held.promised = promised(reply.status); held.promised && held.ran > 0 {
-		test.Errorf("%s: told %d of what ran", id, reply.status)
+	if record.reportedNotExecuted = promised(reply.status); record.reportedNotExecuted && record.executions > 0 {
+		test.Errorf("%s: status %d for an executed request", id, reply.status)
 	}
 }
 
-// judge looks at what arrived when all is over.
-func (fuzzed *fuzzed) judge() {
-	test := fuzzed.world.test
-	fuzzed.witness.mutex.Lock()
-	defer fuzzed.witness.mutex.Unlock()
-	for id, held := range fuzzed.witness.seen {
-		if held.line == "changed" || held.line == "nobody's" {
-			test.Errorf("%q: a request that is %s", id, held.line)
+// checkArrivals checks the requests at the backends after the end of the program.
+func (run *fuzzRun) checkArrivals() {
+	test := run.world.test
+	run.oracle.mutex.Lock()
+	defer run.oracle.mutex.Unlock()
+	for id, record := range run.oracle.attempts {
+		if record.line == "changed" || record.line == "unknown" {
+			test.Errorf("%q: request line or body is %s", id, record.line)
 		}
-		if held.once && (held.ran > 1 || held.afterRun > 0) {
-			test.Errorf("%s: ran %d times, sent %d times after that", id, held.ran, held.afterRun)
+		if record.nonIdempotent && (record.executions > 1 || record.sentAfterExecution > 0) {
+			test.Errorf("%s: executed %d times, sent %d times afterwards", id, record.executions, record.sentAfterExecution)
 		}
-		if held.promised && held.ran > 0 {
-			test.Errorf("%s: ran after all", id)
+		if record.reportedNotExecuted && record.executions > 0 {
+			test.Errorf("%s: executed although the client was told otherwise", id)
 		}
-		per := map[string]bool{}
-		for _, backend := range held.reached {
-			if per[backend] {
+		seen := map[string]bool{}
+		for _, backend := range record.backends {
+			if seen[backend] {
 				test.Errorf("%s: reached %s twice", id, backend)
 			}
-			per[backend] = true
+			seen[backend] = true
 		}
 	}
 }
 
-// FuzzConnectionStates plays any order of requests, answers, extra bytes, resets,
-// silences and idle times over reused connections. A client gets only its own whole
-// answer or a truthful failure, and what may run once runs on one backend at most.
+// FuzzConnectionStates runs any order of requests, responses, extra bytes, resets, stalls and
+// idle times over reused connections. A client gets only the complete response to its own
+// request or a correct error, and a non-idempotent request is executed at most once.
 func FuzzConnectionStates(fuzz *testing.F) {
 	surplus := whole("another", "200 OK", "Date: Monday\r\n", "another's")
 	for kind := range 6 {
@@ -405,18 +405,18 @@
 			for _, budget := range world.proxy.view.Load().budgets {
 				budget.tokens = budget.limit
 			}
-			(&fuzzed{world: world, witness: newWitness(), program: program, secret: sha256.Sum256(program)}).play()
+			(&fuzzRun{world: world, oracle: newOracle(), program: program, secret: sha256.Sum256(program)}).run()
 		})
 	})
 }
 
-// FuzzAnswer gives any bytes as the answer to a request that may run once; "{id}"
-// stands for its attempt id. The client always gets one answer that can be read, a
-// success only with the id and a seal, and a promise only where the bytes say so.
+// FuzzAnswer sends any bytes as the response to a non-idempotent request; "{id}" stands for
+// its attempt ID. The client always gets one valid reply; it is a success only with the ID and
+// a seal, and says that nothing was executed only if the bytes do.
 func FuzzAnswer(fuzz *testing.F) {
-	for _, truth := range truths {
-		fuzz.Add(truth.answer("{id}"), true)
-		fuzz.Add(whole("another", "200 OK", "", "another's")+truth.answer("{id}"), false)
+	for _, testCase := range responseCases {
+		fuzz.Add(testCase.response("{id}"), true)
+		fuzz.Add(whole("another", "200 OK", "", "another's")+testCase.response("{id}"), false)
 	}
 	for _, head := range []string{"HTTP/1.1 999 X\r\n", "HTTP/1.1 000 X\r\n", "HTTP/1.0 200 OK\r\n", "HTTP/1.1 304 X\r\n", "HTTP/1.1 204 X\r\n", "HTTP/1.1 205 X\r\n", "HTTP/1.1 101 X\r\n"} {
 		fuzz.Add(head+"Attempt: {id}\r\nSeal: s-{id}\r\nTrailer: X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX: y\r\n\r\n", true)
@@ -430,16 +430,16 @@
 		lower := strings.ToLower(bytes)
 		switch {
 		case reply.broken != nil:
-			test.Errorf("broken: %v", reply.broken)
+			test.Errorf("incomplete reply: %v", reply.broken)
 		case result.arrivals != 1:
 			test.Errorf("%d arrivals", result.arrivals)
 		case reply.status < 300 && (reply.header.Get("Seal") == "" || reply.header.Get("Attempt") != result.id || len(reply.header["Seal"]) != 1):
 			test.Errorf("%d %v", reply.status, reply.header)
 		case promised(reply.status) && (!strings.Contains(bytes, "{id}") || !strings.Contains(lower, "not-executed") && !strings.Contains(bytes, " 421")):
-			test.Errorf("promised %d", reply.status)
+			test.Errorf("status %d says that the request was not executed", reply.status)
 		}
 		if next := &result.next; next.status == 200 && (next.body != text(result.nextID) || next.header.Get("Attempt") != result.nextID) {
-			test.Errorf("the next one got %q", next.body)
+			test.Errorf("the next request got %q", next.body)
 		}
 	})
 }
--- a/hostproxy/judge_test.go
+++ b/hostproxy/judge_test.go
@@ -16,26 +16,26 @@
 	"orchidjunction/rollout/score"
 )
 
-// someTime answers after a random time, a multiple of the usual one.
-func someTime(random *rand.Rand, factor float64, does act) act {
+// randomLatency responds after a log-normal time with a median of 30 ms times the factor.
+func randomLatency(random *rand.Rand, factor float64, respond act) act {
 	return func(exchange *exchange) bool {
-		took := 30 * factor * math.Exp(0.6*random.NormFloat64())
-		return after(time.Duration(took*float64(time.Millisecond)), does)(exchange)
+		latencyMs := 30 * factor * math.Exp(0.6*random.NormFloat64())
+		return after(time.Duration(latencyMs*float64(time.Millisecond)), respond)(exchange)
 	}
 }
 
-// mixed does one thing to a part of the requests and another one to the others.
-func mixed(random *rand.Rand, part float64, first, other act) act {
+// withProbability selects between two acts at random.
+func withProbability(random *rand.Rand, probability float64, first, other act) act {
 	return func(exchange *exchange) bool {
-		if random.Float64() < part {
+		if random.Float64() < probability {
 			return first(exchange)
 		}
 		return other(exchange)
 	}
 }
 
-// onRoute does one thing to the requests of a prefix and another one to the others.
-func onRoute(prefix string, first, other act) act {
+// byPrefix selects between two acts by whether the request line contains the prefix.
+func byPrefix(prefix string, first, other act) act {
 	return func(exchange *exchange) bool {
 		if strings.Contains(exchange.line, prefix) {
 			return first(exchange)
@@ -44,12 +44,13 @@
 	}
 }
 
-// trial plays requests of two routes while half of them go to a version that answers as told,
-// and returns the counts at the first alarm, or at the end.
-func (world *world) trial(version act, requests int) (message.RolloutCounts, bool) {
+// runCanary sends requests of two routes, half of them to a version with the given behaviour,
+// and returns the counts at the first alarm or at the end.
+func (world *world) runCanary(version act, requests int) (message.RolloutCounts, bool) {
 	random := rand.New(rand.NewPCG(11, 12))
 	for number := range 4 {
-		world.addVersion(fmt.Sprint("a", number), "v1", 8).ever(onRoute("/once/", someTime(random, 6, well), someTime(random, 1, well)))
+		world.addVersion(fmt.Sprint("a", number), "v1", 8).
+			ever(byPrefix("/once/", randomLatency(random, 6, well), randomLatency(random, 1, well)))
 	}
 	ask := func() { world.get([]string{"/once/a", "/again/a", "/again/b"}[random.IntN(3)]) }
 	for range 100 {
@@ -58,8 +59,8 @@
 	for number := range 4 {
 		world.addVersion(fmt.Sprint("b", number), "v2", 8).ever(version)
 	}
-	world.roll(order(message.RolloutActive, 0.5))
-	made, err := martingale.NewTest(martingale.DefaultOptions())
+	world.applyRollouts(rolloutInPhase(message.RolloutActive, 0.5))
+	sequentialTest, err := martingale.NewTest(martingale.DefaultOptions())
 	if err != nil {
 		world.test.Fatal(err)
 	}
@@ -67,170 +68,169 @@
 	for range requests {
 		ask()
 		counts = world.proxy.RolloutCounts()[0]
-		if made.Alarm(counts.Items, counts.Exceedances) {
+		if sequentialTest.Alarm(counts.Items, counts.Exceedances) {
 			return counts, true
 		}
 	}
 	return counts, false
 }
 
-// Guards against a bad version whose requests do not tell it from a healthy one.
-func TestBadVersionsRaiseTheAlarm(test *testing.T) {
-	for name, one := range map[string]struct {
-		version func(random *rand.Rand) act
-		most    uint64 // items until the alarm
+// Guards against bad versions that are not distinguished from healthy ones.
+func TestBadVersionRaisesAlarm(test *testing.T) {
+	for name, testCase := range map[string]struct {
+		version  func(random *rand.Rand) act
+		maxItems uint64 // before the alarm
 	}{
 		"errors": {func(random *rand.Rand) act {
-			return mixed(random, 0.5, status("500 Own"), onRoute("/once/", someTime(random, 6, well), someTime(random, 1, well)))
+			return withProbability(random, 0.5, status("500 Own"), byPrefix("/once/", randomLatency(random, 6, well), randomLatency(random, 1, well)))
 		}, 60},
-		"lost": {func(random *rand.Rand) act {
-			return mixed(random, 0.5, closeAfterReading, onRoute("/once/", someTime(random, 6, well), someTime(random, 1, well)))
+		"connections lost": {func(random *rand.Rand) act {
+			return withProbability(random, 0.5, closeAfterReading, byPrefix("/once/", randomLatency(random, 6, well), randomLatency(random, 1, well)))
 		}, 60},
 		"slow": {func(random *rand.Rand) act {
-			return onRoute("/once/", someTime(random, 48, well), someTime(random, 8, well))
+			return byPrefix("/once/", randomLatency(random, 48, well), randomLatency(random, 8, well))
 		}, 40},
-		"later": {func(random *rand.Rand) act {
+		"slow later": {func(random *rand.Rand) act {
 			requests := 0
 			return func(exchange *exchange) bool {
 				if requests++; requests < 60 {
-					return onRoute("/once/", someTime(random, 6, well), someTime(random, 1, well))(exchange)
+					return byPrefix("/once/", randomLatency(random, 6, well), randomLatency(random, 1, well))(exchange)
 				}
-				return onRoute("/once/", someTime(random, 48, well), someTime(random, 8, well))(exchange)
+				return byPrefix("/once/", randomLatency(random, 48, well), randomLatency(random, 8, well))(exchange)
 			}
 		}, 200},
 		"one route": {func(random *rand.Rand) act {
-			return onRoute("/once/", status("500 Own"), someTime(random, 1, well))
+			return byPrefix("/once/", status("500 Own"), randomLatency(random, 1, well))
 		}, 200},
 	} {
 		test.Run(name, func(test *testing.T) {
 			inWorld(test, func(world *world) {
 				random := rand.New(rand.NewPCG(13, 14))
-				counts, alarmed := world.trial(one.version(random), 600)
+				counts, alarmed := world.runCanary(testCase.version(random), 600)
 				test.Logf("%d of %d items exceed, %d failed", counts.Exceedances, counts.Items, counts.Failures)
-				if !alarmed || counts.Items > one.most {
-					test.Errorf("alarm %v after %d items, at most %d wanted", alarmed, counts.Items, one.most)
+				if !alarmed || counts.Items > testCase.maxItems {
+					test.Errorf("alarm %v after %d items, want one within %d", alarmed, counts.Items, testCase.maxItems)
 				}
 			})
 		})
 	}
 }
 
-// Guards against a healthy version that is blamed: for the slowness of a route, or for errors
-// that the old version has as well.
+// Guards against false alarms for a healthy version with a slow route.
 func TestHealthyVersionRaisesNoAlarm(test *testing.T) {
 	inWorld(test, func(world *world) {
 		random := rand.New(rand.NewPCG(15, 16))
-		counts, alarmed := world.trial(onRoute("/once/", someTime(random, 6, well), someTime(random, 1, well)), 1500)
+		counts, alarmed := world.runCanary(byPrefix("/once/", randomLatency(random, 6, well), randomLatency(random, 1, well)), 1500)
 		if alarmed || counts.Items < 700 || float64(counts.Exceedances) > score.Alpha*float64(counts.Items) {
 			test.Errorf("alarm %v, %d of %d items exceed", alarmed, counts.Exceedances, counts.Items)
 		}
 	})
 }
 
-// judged lets a proxy that only chooses judge an exchange of a target.
-func judged(proxy *Proxy, route, name string, answer *response, ended outcome, took time.Duration) {
+// scoreResponse scores an exchange with a target, without sending a request.
+func scoreResponse(proxy *Proxy, route, name string, reply *response, ended outcome, elapsed time.Duration) {
 	view := proxy.view.Load()
 	for _, candidates := range [][]candidate{view.candidates[0], view.canaries[0].candidates} {
 		for index := range candidates {
-			if held := &candidates[index]; held.target.backend.Name == name {
-				request := newRequest(proxy)
+			if selected := &candidates[index]; selected.target.backend.Name == name {
+				request := newPlainRequest(proxy)
 				request.route.Name = route
 				request.context, request.service, request.deadline = context.Background(), "plain", time.Now().Add(time.Second)
-				held.countSent()
-				proxy.scoreExchange(request, held, answer, ended, time.Now().Add(-took))
+				selected.countSent()
+				proxy.scoreExchange(request, selected, reply, ended, time.Now().Add(-elapsed))
 			}
 		}
 	}
 }
 
-// Guards against items of what says nothing of a version: refusals, what never arrived, and
-// responses of cold backends; and against a reference of backends that crash.
-func TestWhatIsNoItem(test *testing.T) {
+// Guards against items from refusals, unsent requests and responses of cold backends, which say
+// nothing about a version, and against a reference that includes crashed backends.
+func TestExcludedExchanges(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		proxy := many([]string{"p1"}, []string{"e1"})[0]
+		proxy := newProxies([]string{"p1"}, []string{"e1"})[0]
 		backends := twoVersions(2, 2)
 		backends[3].WarmAtMs = time.Now().Add(time.Hour).UnixMilli()
-		applyVersions(proxy, backends, order(message.RolloutActive, 0.5))
+		applyVersions(proxy, backends, rolloutInPhase(message.RolloutActive, 0.5))
 		good := &response{head: &http.Response{StatusCode: http.StatusOK}}
 		for range 40 {
-			judged(proxy, "picked", "a0", good, answered, 50*time.Millisecond)
+			scoreResponse(proxy, "picked", "a0", good, answered, 50*time.Millisecond)
 		}
-		judged(proxy, "picked", "b0", good, refused, time.Millisecond)
-		judged(proxy, "picked", "b0", nil, unsent, time.Millisecond)
-		judged(proxy, "picked", "b1", good, answered, 700*time.Millisecond)
+		scoreResponse(proxy, "picked", "b0", good, refused, time.Millisecond)
+		scoreResponse(proxy, "picked", "b0", nil, unsent, time.Millisecond)
+		scoreResponse(proxy, "picked", "b1", good, answered, 700*time.Millisecond)
 		if counts := proxy.RolloutCounts()[0]; counts.Items != 0 || counts.Failures != 0 {
 			test.Errorf("%+v", counts)
 		}
 		proxy.targets["a1"].recordFailure(time.Now(), true)
 		for range 200 {
-			judged(proxy, "picked", "a1", nil, lost, 50*time.Millisecond)
+			scoreResponse(proxy, "picked", "a1", nil, lost, 50*time.Millisecond)
 		}
-		judged(proxy, "picked", "b0", nil, lost, 50*time.Millisecond)
+		scoreResponse(proxy, "picked", "b0", nil, lost, 50*time.Millisecond)
 		if counts := proxy.RolloutCounts()[0]; counts.Items != 1 || counts.Failures != 0 || counts.Exceedances != 1 ||
 			counts.Requests != 4 || counts.FormerRequests != 240 || counts.FormerItems != 240 || counts.FormerFailures != 0 {
-			test.Errorf("beside a crashed backend: %+v", counts)
+			test.Errorf("with a crashed backend: %+v", counts)
 		}
 	})
 }
 
-// Guards against a fault of a quick route that hides behind a slow one.
-func TestRoutesAreJudgedApart(test *testing.T) {
+// Guards against a slow route that masks a regression of a fast one.
+func TestRoutesAreScoredSeparately(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		proxy := many([]string{"p1"}, []string{"e1"})[0]
-		applyVersions(proxy, twoVersions(2, 2), order(message.RolloutActive, 0.5))
+		proxy := newProxies([]string{"p1"}, []string{"e1"})[0]
+		applyVersions(proxy, twoVersions(2, 2), rolloutInPhase(message.RolloutActive, 0.5))
 		good := &response{head: &http.Response{StatusCode: http.StatusOK}}
 		for range 100 {
-			judged(proxy, "quick", "a0", good, answered, 5*time.Millisecond)
-			judged(proxy, "slow", "a0", good, answered, 500*time.Millisecond)
+			scoreResponse(proxy, "quick", "a0", good, answered, 5*time.Millisecond)
+			scoreResponse(proxy, "slow", "a0", good, answered, 500*time.Millisecond)
 		}
-		judged(proxy, "quick", "b0", good, answered, 100*time.Millisecond)
-		judged(proxy, "slow", "b0", good, answered, 100*time.Millisecond)
+		scoreResponse(proxy, "quick", "b0", good, answered, 100*time.Millisecond)
+		scoreResponse(proxy, "slow", "b0", good, answered, 100*time.Millisecond)
 		if counts := proxy.RolloutCounts()[0]; counts.Items != 2 || counts.Exceedances != 1 {
 			test.Errorf("%+v", counts)
 		}
 	})
 }
 
-// Guards against garbage on the request path: choosing by version, counting and judging.
-func TestJudgingAllocatesNothing(test *testing.T) {
+// Guards against allocations on the request path: choosing by version, counting and scoring.
+func TestScoringDoesNotAllocate(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		proxy := many([]string{"p1"}, []string{"e1"})[0]
-		applyVersions(proxy, twoVersions(2, 2), order(message.RolloutActive, 0.5))
-		request, view := newRequest(proxy), proxy.view.Load()
+		proxy := newProxies([]string{"p1"}, []string{"e1"})[0]
+		applyVersions(proxy, twoVersions(2, 2), rolloutInPhase(message.RolloutActive, 0.5))
+		request, view := newPlainRequest(proxy), proxy.view.Load()
 		request.context, request.service, request.deadline = context.Background(), "plain", time.Now().Add(time.Second)
 		good := &response{head: &http.Response{StatusCode: http.StatusOK}}
 		serve := func() {
 			request.version = versionAssignment{}
-			held, _ := proxy.chooseVersion(request, view, 0)
-			held.countSent()
-			proxy.scoreExchange(request, held, good, answered, time.Now().Add(-time.Millisecond))
-			held.target.endRequest()
+			selected, _ := proxy.chooseVersion(request, view, 0)
+			selected.countSent()
+			proxy.scoreExchange(request, selected, good, answered, time.Now().Add(-time.Millisecond))
+			selected.target.endRequest()
 		}
 		for range 2 * score.ReferenceSize {
 			serve()
 		}
 		if allocated := testing.AllocsPerRun(1000, serve); allocated != 0 {
-			test.Errorf("%v allocations a request", allocated)
+			test.Errorf("%v allocations per request", allocated)
 		}
 	})
 }
 
-// Measures what choosing by version, counting and judging cost a request.
-func BenchmarkJudging(bench *testing.B) {
-	for name, orders := range map[string][]message.Rollout{"without": nil, "active": order(message.RolloutActive, 0.5)} {
+// Measures the cost per request of choosing by version, counting and scoring.
+func BenchmarkScoring(bench *testing.B) {
+	for name, rollouts := range map[string][]message.Rollout{"without": nil, "active": rolloutInPhase(message.RolloutActive, 0.5)} {
 		bench.Run(name, func(bench *testing.B) {
-			proxy := many([]string{"p1"}, []string{"e1"})[0]
-			applyVersions(proxy, twoVersions(8, 8), orders)
-			request, view := newRequest(proxy), proxy.view.Load()
+			proxy := newProxies([]string{"p1"}, []string{"e1"})[0]
+			applyVersions(proxy, twoVersions(8, 8), rollouts)
+			request, view := newPlainRequest(proxy), proxy.view.Load()
 			request.context, request.service, request.deadline = context.Background(), "plain", time.Now().Add(time.Hour)
 			good := &response{head: &http.Response{StatusCode: http.StatusOK}}
 			bench.ReportAllocs()
 			for bench.Loop() {
 				request.version = versionAssignment{}
-				held, _ := proxy.chooseVersion(request, view, 0)
-				held.countSent()
-				proxy.scoreExchange(request, held, good, answered, time.Now())
-				held.target.endRequest()
+				selected, _ := proxy.chooseVersion(request, view, 0)
+				selected.countSent()
+				proxy.scoreExchange(request, selected, good, answered, time.Now())
+				selected.target.endRequest()
 			}
 		})
 	}
--- a/hostproxy/limits_test.go
+++ b/hostproxy/limits_test.go
@@ -9,21 +9,21 @@
 	"orchidjunction/routing"
 )
 
-// limit puts limits in force as an operator's change does.
-func (world *world) limit(change func(*routing.Limits)) {
+// changeLimits applies limits as an operator's change does.
+func (world *world) changeLimits(change func(*routing.Limits)) {
 	world.lay(func() { change(&world.book.Config.Limits) })
 }
 
-// headOf is a request whose head has so many bytes.
-func headOf(id string, size int) string {
-	empty := len(raw("GET", "/again/a", id, "Long:\r\n", ""))
-	return raw("GET", "/again/a", id, "Long:"+strings.Repeat("x", size-empty)+"\r\n", "")
+// requestOfSize returns a request without a body, padded to a number of bytes.
+func requestOfSize(id string, size int) string {
+	emptySize := len(raw("GET", "/again/a", id, "Long:\r\n", ""))
+	return raw("GET", "/again/a", id, "Long:"+strings.Repeat("x", size-emptySize)+"\r\n", "")
 }
 
-// The limit on header bytes was acknowledged and had no effect: heads over it reached a backend, and
-// heads below it were refused by the process's own bound.
-func TestHeaderBytesOfTheRoutingAct(test *testing.T) {
-	for _, one := range []struct{ limit, size, status int }{
+// Guards against a limit on header bytes that is acknowledged but not applied: larger heads
+// reached a backend, and smaller ones were refused by the process's default limit.
+func TestHeaderBytesLimit(test *testing.T) {
+	for _, testCase := range []struct{ limit, size, status int }{
 		{4096, 4096, 200},
 		{4096, 4097, 431},
 		{4096, 20_000, 431},
@@ -39,27 +39,27 @@
 			if reply := open.ask("GET", raw("GET", "/again/a", "first", "", "")); reply.status != 200 {
 				test.Fatal(reply)
 			}
-			world.limit(func(limits *routing.Limits) { limits.HeaderBytes = one.limit })
+			world.changeLimits(func(limits *routing.Limits) { limits.HeaderBytes = testCase.limit })
 			for name, client := range map[string]*client{"open": open, "fresh": fresh} {
-				reply := client.ask("GET", headOf(name, one.size))
-				if reply.status != one.status {
-					test.Errorf("limit %d, %d bytes, %s: %d %v", one.limit, one.size, name, reply.status, reply.broken)
+				reply := client.ask("GET", requestOfSize(name, testCase.size))
+				if reply.status != testCase.status {
+					test.Errorf("limit %d, %d bytes, %s: %d %v", testCase.limit, testCase.size, name, reply.status, reply.broken)
 				}
-				if one.status == 431 && !strings.Contains(reply.body, `"too_large"`) {
-					test.Errorf("untyped: %q", reply.body)
+				if testCase.status == 431 && !strings.Contains(reply.body, `"too_large"`) {
+					test.Errorf("no error code too_large: %q", reply.body)
 				}
 			}
-			if count := len(world.arrivals()) - 1; (count == 2) != (one.status == 200) {
-				test.Errorf("limit %d, %d bytes: %d at the backend", one.limit, one.size, count)
+			if count := len(world.arrivals()) - 1; (count == 2) != (testCase.status == 200) {
+				test.Errorf("limit %d, %d bytes: %d requests at the backend", testCase.limit, testCase.size, count)
 			}
 		})
 	}
 }
 
-// The limit on the time of heads was acknowledged and had no effect: the process's own five seconds held,
-// for clients that are slower than allowed and for slow ones that are not.
-func TestHeaderTimeoutOfTheRoutingActs(test *testing.T) {
-	for limit, after := range map[int]time.Duration{
+// Guards against a header timeout that is acknowledged but not applied: the process's
+// default of 5 s was in force, both to clients slower than allowed and to slow ones within the limit.
+func TestHeaderTimeoutLimit(test *testing.T) {
+	for limit, timeout := range map[int]time.Duration{
 		1000: time.Second, 9000: 9 * time.Second, math.MaxInt: time.Hour, 0: 5 * time.Second,
 	} {
 		inWorld(test, func(world *world) {
@@ -69,34 +69,35 @@
 			if reply := open.ask("GET", raw("GET", "/again/a", "first", "", "")); reply.status != 200 {
 				test.Fatal(reply)
 			}
-			world.limit(func(limits *routing.Limits) { limits.HeaderMs, limits.IdleMs = limit, math.MaxInt })
+			world.changeLimits(func(limits *routing.Limits) { limits.HeaderMs, limits.IdleMs = limit, math.MaxInt })
 			for name, dial := range map[string]func() *client{"open": func() *client { return open }, "fresh": world.client} {
 				client := dial()
 				defer client.pipe.Close()
 				text := raw("GET", "/again/a", name, "", "")
 				client.send(text[:60])
-				time.Sleep(after - time.Millisecond)
+				time.Sleep(timeout - time.Millisecond)
 				if reply := client.ask("GET", text[60:]); reply.status != 200 {
-					test.Errorf("%d ms, %s, just in time: %d %v", limit, name, reply.status, reply.broken)
+					test.Errorf("%d ms, %s, just within the limit: %d %v", limit, name, reply.status, reply.broken)
 				}
 				if limit == math.MaxInt {
 					continue
 				}
 				client.send(text[:60])
-				if reply := client.ask("GET", ""); reply.status != 408 || reply.took != after {
-					test.Errorf("%d ms, %s, never ended: %d after %v", limit, name, reply.status, reply.took)
+				if reply := client.ask("GET", ""); reply.status != 408 || reply.took != timeout {
+					test.Errorf("%d ms, %s, incomplete head: %d after %v", limit, name, reply.status, reply.took)
 				}
 			}
 			if count := len(world.arrivals()); count != 3 {
-				test.Errorf("%d at the backend", count)
+				test.Errorf("%d requests at the backend", count)
 			}
 		})
 	}
 }
 
-// The limit on the time between requests was acknowledged and had no effect: the process's own minute held.
-func TestIdleTimeoutOfTheRoutingActs(test *testing.T) {
-	for limit, after := range map[int]time.Duration{
+// Guards against an idle timeout that is acknowledged but not applied: the process's default
+// of 60 s was in force.
+func TestIdleTimeoutLimit(test *testing.T) {
+	for limit, timeout := range map[int]time.Duration{
 		2000: 2 * time.Second, 90_000: 90 * time.Second, math.MaxInt: time.Hour, 0: time.Minute,
 	} {
 		inWorld(test, func(world *world) {
@@ -107,7 +108,7 @@
 			if reply := ask(open, "first"); reply.status != 200 {
 				test.Fatal(reply)
 			}
-			world.limit(func(limits *routing.Limits) { limits.IdleMs = limit })
+			world.changeLimits(func(limits *routing.Limits) { limits.IdleMs = limit })
 			for _, dial := range []func() *client{func() *client { return open }, world.client} {
 				client := dial()
 				defer client.pipe.Close()
@@ -116,29 +117,29 @@
 						test.Fatalf("%d ms, try %d: %d %v", limit, try, reply.status, reply.broken)
 					}
 					if try == 0 {
-						time.Sleep(after - time.Millisecond)
+						time.Sleep(timeout - time.Millisecond)
 					}
 				}
 				if limit == math.MaxInt {
 					continue
 				}
 				begin := time.Now()
-				if _, err := client.reader.ReadByte(); err == nil || time.Since(begin) != after {
+				if _, err := client.reader.ReadByte(); err == nil || time.Since(begin) != timeout {
 					test.Errorf("%d ms: closed after %v", limit, time.Since(begin))
 				}
 			}
 			if count := len(world.arrivals()); count != 5 {
-				test.Errorf("%d at the backend", count)
+				test.Errorf("%d requests at the backend", count)
 			}
 		})
 	}
 }
 
-// A change of a limit took hold of new connections only, or ended requests under way.
-func TestLimitsChangeUnderIdleSlowAndLongRequests(test *testing.T) {
+// Guards against changed limits that apply to new connections only, or end requests in flight.
+func TestLimitsChangeDuringRequests(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1")
-		world.limit(func(limits *routing.Limits) { limits.IdleMs, limits.HeaderMs = 60_000, 8000 })
+		world.changeLimits(func(limits *routing.Limits) { limits.IdleMs, limits.HeaderMs = 60_000, 8000 })
 		idle, slow, long := world.client(), world.client(), world.client()
 		for _, client := range []*client{idle, slow, long} {
 			defer client.pipe.Close()
@@ -152,7 +153,7 @@
 		post := raw("POST", "/once/a", "long", "Deadline: 60000\r\n", body)
 		long.send(post[:len(post)-500])
 		time.Sleep(100 * time.Millisecond)
-		world.limit(func(limits *routing.Limits) { limits.IdleMs, limits.HeaderMs, limits.BodyBytes = 150, 500, 10 })
+		world.changeLimits(func(limits *routing.Limits) { limits.IdleMs, limits.HeaderMs, limits.BodyBytes = 150, 500, 10 })
 		changed := time.Now()
 		if _, err := idle.reader.ReadByte(); err == nil || time.Since(changed) != 50*time.Millisecond {
 			test.Errorf("idle: closed %v after the change", time.Since(changed))
@@ -166,7 +167,7 @@
 		}
 		for _, arrived := range world.arrivals() {
 			if arrived.line[:4] == "POST" && string(arrived.body) != body {
-				test.Errorf("%d bytes of the long body", len(arrived.body))
+				test.Errorf("%d bytes of the long body arrived", len(arrived.body))
 			}
 		}
 	})
--- a/hostproxy/mutations_test.go
+++ b/hostproxy/mutations_test.go
@@ -6,27 +6,27 @@
 	"testing"
 )
 
-// truth is what a backend truly answers to an id, and what a client may be told
-// of it when bytes were added to it or are missing.
-type truth struct {
-	name   string
-	answer func(id string) string
-	ran    bool
-	status int
+// responseCase is a valid response of a backend, whether the request was executed, and the
+// status that a client may get.
+type responseCase struct {
+	name     string
+	response func(id string) string
+	executed bool
+	status   int
 }
 
-var truths = []truth{
+var responseCases = []responseCase{
 	{"success", func(id string) string { return whole(id, "200 OK", "Date: Monday\r\n", text(id)) }, true, 200},
-	{"own failure", func(id string) string { return whole(id, "500 Internal Server Error", "", "failure") }, true, 500},
-	{"own promise", func(id string) string { return whole(id, "503 Service Unavailable", "", "failure") }, true, 503},
+	{"backend error", func(id string) string { return whole(id, "500 Internal Server Error", "", "failure") }, true, 500},
+	{"backend 503", func(id string) string { return whole(id, "503 Service Unavailable", "", "failure") }, true, 503},
 	{"refusal", func(id string) string {
 		return bare(id, "503 Service Unavailable", "Not-Executed: full\r\n", "full")
 	}, false, 503},
 	{"misdirected", func(id string) string { return bare(id, "421 Misdirected Request", "Not-Executed: 1\r\n", "") }, false, 421},
-	{"own failure, in chunks", func(id string) string {
+	{"backend error, chunked", func(id string) string {
 		return "HTTP/1.1 500 Internal Server Error\r\nAttempt: " + id + "\r\nSeal: s-" + id + "\r\nTransfer-Encoding: chunked\r\n\r\n7\r\nfailure\r\n0\r\n\r\n"
 	}, true, 500},
-	{"chunks", func(id string) string {
+	{"chunked", func(id string) string {
 		return "HTTP/1.1 200 OK\r\nAttempt: " + id + "\r\nSeal: s-" + id + "\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf(
 			"%x\r\n%s\r\n0\r\n\r\n",
 			len(text(id)),
@@ -35,99 +35,98 @@
 	}, true, 200},
 }
 
-// hold fails the test unless the client got the true answer, whole, or was told
-// of a failure that claims no more than is known.
-func (truth *truth) hold(test *testing.T, what string, result *played) {
+// check fails the test unless the client got the complete response, or an error that does not
+// claim more than the proxy knows.
+func (testCase *responseCase) check(test *testing.T, label string, result *played) {
 	test.Helper()
 	reply := &result.reply
 	if result.arrivals != 1 {
-		test.Errorf("%s: %d arrivals", what, result.arrivals)
+		test.Errorf("%s: %d arrivals", label, result.arrivals)
 	}
 	switch {
 	case reply.broken != nil:
-		test.Errorf("%s: broken: %v", what, reply.broken)
+		test.Errorf("%s: incomplete reply: %v", label, reply.broken)
 	case reply.header.Get("Seal") != "":
 		want := text(result.id)
-		if truth.status != 200 {
+		if testCase.status != 200 {
 			want = "failure"
 		}
-		if !truth.ran || reply.status != truth.status || reply.header.Get("Seal") != "s-"+result.id ||
+		if !testCase.executed || reply.status != testCase.status || reply.header.Get("Seal") != "s-"+result.id ||
 			reply.header.Get("Attempt") != result.id ||
 			reply.body != want ||
 			len(reply.header["Seal"]) != 1 {
-			test.Errorf("%s: got %d %q %v", what, reply.status, reply.body, reply.header)
+			test.Errorf("%s: got %d %q %v", label, reply.status, reply.body, reply.header)
 		}
 	case reply.status < 400:
-		test.Errorf("%s: %d without a seal: %q", what, reply.status, reply.body)
-	case promised(reply.status) && truth.ran:
-		test.Errorf("%s: told %d of what ran", what, reply.status)
+		test.Errorf("%s: %d without a seal: %q", label, reply.status, reply.body)
+	case promised(reply.status) && testCase.executed:
+		test.Errorf("%s: status %d for an executed request", label, reply.status)
 	}
 	if reply := &result.next; reply.status == 200 && (reply.body != text(result.nextID) || reply.header.Get("Attempt") != result.nextID) {
-		test.Errorf("%s: the next one got %q", what, reply.body)
+		test.Errorf("%s: the next request got %q", label, reply.body)
 	}
 }
 
-// An answer that is cut off after any of its bytes is no answer, and none of the
-// next one's.
-func TestAnswerCutAfterEachByte(test *testing.T) {
-	for _, truth := range truths {
-		size := len(truth.answer("id2"))
+// A response truncated at any byte is not passed on, nor mixed with the next one.
+func TestResponseTruncatedAfterEachByte(test *testing.T) {
+	for _, testCase := range responseCases {
+		size := len(testCase.response("id2"))
 		for cut := range size {
-			result := play(test, "GET", "/once/a", func(id string) script { return thenClose(truth.answer(id)[:cut]) })
-			truth.hold(test, fmt.Sprintf("%s cut after %d", truth.name, cut), &result)
+			result := play(test, "GET", "/once/a", func(id string) script { return thenClose(testCase.response(id)[:cut]) })
+			testCase.check(test, fmt.Sprintf("%s truncated after %d bytes", testCase.name, cut), &result)
 		}
 	}
 }
 
-// Any part of another's answer before the true one, as a backend in trouble sends
-// it late, never mixes with it.
-func TestPartOfAnotherAnswerBefore(test *testing.T) {
+// Any part of another request's response before the right one, as a faulty backend may send
+// late, is never mixed with it.
+func TestPartOfAnotherResponseFirst(test *testing.T) {
 	for _, other := range []string{
 		whole("other", "200 OK", "Date: Monday\r\nServer: x\r\n", "another body"), "HTTP/1.1 200 OK\r\nDate: Monday\r\nSeal: other\r\nContent-Length: 3\r\n\r\nbad",
 		"HTTP/1.1 200 OK\r\nTrailer: one, two\r\nConnection: close\r\nKeep-Alive: x\r\nPragma: no-cache\r\n", "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n",
 		bare("other", "503 Service Unavailable", "Date: Monday\r\nNot-Executed: full\r\n", ""), "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: full\r\nContent-Length: 0\r\n\r\n",
 	} {
-		for _, truth := range truths {
+		for _, testCase := range responseCases {
 			for cut := 1; cut <= len(other); cut++ {
-				result := play(test, "GET", "/once/a", func(id string) script { return thenClose(other[:cut] + truth.answer(id)) })
-				truth.hold(test, fmt.Sprintf("%s after %q", truth.name, other[:cut]), &result)
+				result := play(test, "GET", "/once/a", func(id string) script { return thenClose(other[:cut] + testCase.response(id)) })
+				testCase.check(test, fmt.Sprintf("%s after %q", testCase.name, other[:cut]), &result)
 			}
 		}
 	}
 }
 
-// Each line of an answer's head is left out, doubled, or written over once. Where
-// a mutation makes another answer that is as good (a field's value, or an empty line
-// that begins the body), no reader could tell.
-func TestAnswerLinesMutated(test *testing.T) {
-	for _, truth := range truths {
-		count := strings.Count(truth.answer("id2"), "\r\n")
+// Each line of a response's head is removed, duplicated, or changed in turn. Mutations that
+// yield another valid response (a changed field value, or a duplicated empty line, which is
+// part of the body) cannot be detected and are skipped.
+func TestResponseLinesMutated(test *testing.T) {
+	for _, testCase := range responseCases {
+		count := strings.Count(testCase.response("id2"), "\r\n")
 		for line := range count {
 			for name, mutate := range map[string]func(text string) string{
-				"left out":    func(string) string { return "" },
-				"doubled":     func(text string) string { return text + text },
-				"of no field": func(string) string { return "nonsense\r\n" },
-				"in two":      func(text string) string { return text[:len(text)/2] + "\r\n" + text[len(text)/2:] },
+				"removed":     func(string) string { return "" },
+				"duplicated":  func(text string) string { return text + text },
+				"not a field": func(string) string { return "nonsense\r\n" },
+				"split":       func(text string) string { return text[:len(text)/2] + "\r\n" + text[len(text)/2:] },
 				"folded":      func(text string) string { return strings.TrimSuffix(text, "\r\n") + "\r\n more\r\n" },
 				"bare return": func(text string) string { return strings.TrimSuffix(text, "\r\n") + "\rX: y\r\n" },
 				"null":        func(text string) string { return strings.TrimSuffix(text, "\r\n") + "\x00\r\n" },
-				"of another":  func(text string) string { return strings.ReplaceAll(text, "id2", "id1") },
+				"other ID":    func(text string) string { return strings.ReplaceAll(text, "id2", "id1") },
 			} {
-				mutated := strings.SplitAfter(truth.answer("id2"), "\r\n")[line]
-				if mutated == "\r\n" && name == "doubled" {
+				mutated := strings.SplitAfter(testCase.response("id2"), "\r\n")[line]
+				if mutated == "\r\n" && name == "duplicated" {
 					continue
 				}
 				result := play(test, "GET", "/once/a", func(id string) script {
-					queues := strings.SplitAfter(truth.answer(id), "\r\n")
-					queues[line] = mutate(queues[line])
-					return thenClose(strings.Join(queues, ""))
+					lines := strings.SplitAfter(testCase.response(id), "\r\n")
+					lines[line] = mutate(lines[line])
+					return thenClose(strings.Join(lines, ""))
 				})
-				what := fmt.Sprintf("%s, line %d %s", truth.name, line, name)
-				value := name == "folded" || name == "null" || name == "bare return" || name == "of another"
-				if value && !strings.HasPrefix(mutated, "Attempt:") && result.reply.status == truth.status {
+				label := fmt.Sprintf("%s, line %d %s", testCase.name, line, name)
+				changesValue := name == "folded" || name == "null" || name == "bare return" || name == "other ID"
+				if changesValue && !strings.HasPrefix(mutated, "Attempt:") && result.reply.status == testCase.status {
 					continue
 				}
-				truth.hold(test, what, &result)
+				testCase.check(test, label, &result)
 			}
 		}
 	}
--- a/hostproxy/peer_watch_test.go
+++ b/hostproxy/peer_watch_test.go
@@ -19,31 +19,31 @@
 	"orchidjunction/routing"
 )
 
-// A machine is dead that leaves packets without an acknowledgement; one that acknowledges and
-// keeps its window closed only rests, however long.
-func TestRestingReaderIsNotDead(test *testing.T) {
+// A machine that leaves packets unacknowledged is dead; one that acknowledges them but keeps its
+// window closed is alive, however long.
+func TestPausedReaderIsNotDead(test *testing.T) {
 	const limit = 700 * time.Millisecond
-	for name, play := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		state socketState
 		dead  bool
 	}{
 		"quiet, nothing sent":              {socketState{lost: 0, sinceAck: time.Minute}, false},
-		"window closed, probe under way":   {socketState{lost: 1, sinceAck: 10 * time.Second}, false},
+		"window closed, probe in flight":   {socketState{lost: 1, sinceAck: 10 * time.Second}, false},
 		"one packet lost":                  {socketState{lost: 1, sinceAck: limit}, false},
 		"packets lost, acknowledged since": {socketState{lost: 3, sinceAck: limit - 1}, false},
 		"silent":                           {socketState{lost: 2, sinceAck: limit}, true},
 		"silent for long":                  {socketState{lost: 5, sinceAck: time.Minute}, true},
 	} {
-		if play.state.isDead(limit) != play.dead {
-			test.Errorf("%s: dead %v", name, !play.dead)
+		if testCase.state.isDead(limit) != testCase.dead {
+			test.Errorf("%s: dead %v", name, !testCase.dead)
 		}
 	}
 }
 
-// The kernel ends a connection by TCP_USER_TIMEOUT also when its peer acknowledges all and does
-// not read for so long: a backend at work counted as dead, and its request was answered 502.
-// While a large body is under way the kernel has no such time-out; the next request has it.
-func TestLargeBodyWaitsForAReaderThatRests(test *testing.T) {
+// TCP_USER_TIMEOUT also closes connections whose peer acknowledges everything but does not read
+// for that long, so that a working backend counted as dead and its client got 502. It is off
+// while a large body is sent, and on again for the next request.
+func TestLargeBodyWaitsForPausedReader(test *testing.T) {
 	const timeout = 700 * time.Millisecond
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,7 +72,7 @@
 		Members:  []message.Member{{Name: "p1", Kind: message.ProxyKind, Zone: "e1", Ready: true}},
 		Backends: []message.Backend{{Name: "b1", Service: "plain", Address: listener.Addr().String(), Zone: "e1", Capacity: 8}},
 	}, nil)
-	seen := -1
+	timeoutDuringBody := -1
 	goroutines.Start(func() {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -87,11 +87,11 @@
 		if _, err := io.ReadFull(request.Body, first[:]); err != nil {
 			return
 		}
-		seen = userTimeout(dialled)
+		timeoutDuringBody = userTimeout(dialled)
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, whole("id", "200 OK", "", "done")) // the proxy tells what became of it
+		_, _ = io.WriteString(conn, whole("id", "200 OK", "", "done")) // the proxy's response shows the result
 		_, _ = conn.Read(first[:])                                     // until the proxy closes it
 	})
 	source := httptest.NewRequest(http.MethodPost, "http://host.example/once/a", strings.NewReader(string(letters(0, 3<<20))))
@@ -99,16 +99,16 @@
 	source.Header.Set("Attempt", "id")
 	recorder := httptest.NewRecorder()
 	proxy.ServeHTTP(recorder, source)
-	if recorder.Code != http.StatusOK || seen != 0 {
-		test.Errorf("%d, time-out of %d ms while the body was under way", recorder.Code, seen)
+	if recorder.Code != http.StatusOK || timeoutDuringBody != 0 {
+		test.Errorf("%d, timeout of %d ms while the body was sent", recorder.Code, timeoutDuringBody)
 	}
 	proxy.targets["b1"].retire()
 	goroutines.Stop()
 	goroutines.Wait()
 }
 
-// A connection that is kept after a large body has the kernel's time-out again.
-func TestKeptConnectionHasItsTimeoutAgain(test *testing.T) {
+// A connection reused after a large body has the kernel's timeout again.
+func TestReusedConnectionHasUserTimeout(test *testing.T) {
 	const timeout = 700 * time.Millisecond
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,15 +123,15 @@
 	config, goroutines := ownPlace("p1", "e1"), concurrent.NewGroup()
 	config.UserTimeout = timeout
 	proxy := NewProxy(config, unreachable, func() int64 { return 0 }, goroutines, metrics.NewCounters())
-	held, kept := newTarget(ownBackend()), newConnection(conn)
-	held.reserveConnection(1)
-	proxy.watchPeer(kept)
+	target, connection := newTarget(testBackend()), newConnection(conn)
+	target.reserveConnection(1)
+	proxy.watchPeer(connection)
 	if during := userTimeout(conn.(*net.TCPConn)); during != 0 {
-		test.Errorf("time-out of %d ms while watched", during)
+		test.Errorf("timeout of %d ms while watched", during)
 	}
-	proxy.release(held, kept, true)
-	if after := userTimeout(conn.(*net.TCPConn)); after != int(timeout.Milliseconds()) || len(held.idle) != 1 {
-		test.Errorf("time-out of %d ms afterwards, %d kept", after, len(held.idle))
+	proxy.release(target, connection, true)
+	if after := userTimeout(conn.(*net.TCPConn)); after != int(timeout.Milliseconds()) || len(target.idle) != 1 {
+		test.Errorf("timeout of %d ms afterwards, %d idle", after, len(target.idle))
 	}
 	goroutines.Stop()
 	goroutines.Wait()
@@ -140,7 +140,7 @@
 // userTimeout returns a socket's TCP_USER_TIMEOUT in milliseconds, -1 if it can't be read.
 func userTimeout(conn *net.TCPConn) int {
 	milliseconds := -1
-	_ = newConnection(conn).control(func(descriptor int) (err error) { // the result says it all
+	_ = newConnection(conn).control(func(descriptor int) (err error) { // on failure, the result is -1
 		milliseconds, err = unix.GetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 		return err
 	})
--- a/hostproxy/pipe_test.go
+++ b/hostproxy/pipe_test.go
@@ -11,160 +11,160 @@
 	"time"
 )
 
-const flowRoom = 64 << 10
-
-// flow is one direction of a connection in memory, with as much room as a socket.
-type flow struct {
-	mutex  sync.Mutex
-	wake   *sync.Cond
-	bytes  []byte
-	ended  error
-	deaf   bool
-	broken bool
-	reads  time.Time
-	writes time.Time
+const streamBufferBytes = 64 << 10
+
+// byteStream is one direction of an in-memory connection, with the buffer of a socket.
+type byteStream struct {
+	mutex         sync.Mutex
+	wake          *sync.Cond
+	bytes         []byte
+	closeErr      error
+	readerClosed  bool
+	failsWrites   bool
+	readDeadline  time.Time
+	writeDeadline time.Time
 }
 
-func newFlow() *flow {
-	flow := &flow{}
-	flow.wake = sync.NewCond(&flow.mutex)
-	return flow
+func newByteStream() *byteStream {
+	stream := &byteStream{}
+	stream.wake = sync.NewCond(&stream.mutex)
+	return stream
 }
 
-func (flow *flow) stir() {
-	flow.mutex.Lock()
-	flow.wake.Broadcast()
-	flow.mutex.Unlock()
+func (stream *byteStream) wakeAll() {
+	stream.mutex.Lock()
+	stream.wake.Broadcast()
+	stream.mutex.Unlock()
 }
 
-func (flow *flow) read(into []byte) (int, error) {
-	flow.mutex.Lock()
-	defer flow.mutex.Unlock()
+func (stream *byteStream) read(into []byte) (int, error) {
+	stream.mutex.Lock()
+	defer stream.mutex.Unlock()
 	for {
-		if flow.deaf {
+		if stream.readerClosed {
 			return 0, net.ErrClosed
 		}
-		if !flow.reads.IsZero() && !time.Now().Before(flow.reads) {
+		if !stream.readDeadline.IsZero() && !time.Now().Before(stream.readDeadline) {
 			return 0, os.ErrDeadlineExceeded
 		}
-		if len(flow.bytes) > 0 {
-			count := copy(into, flow.bytes)
-			flow.bytes = flow.bytes[count:]
-			flow.wake.Broadcast()
+		if len(stream.bytes) > 0 {
+			count := copy(into, stream.bytes)
+			stream.bytes = stream.bytes[count:]
+			stream.wake.Broadcast()
 			return count, nil
 		}
-		if flow.ended != nil {
-			return 0, flow.ended
+		if stream.closeErr != nil {
+			return 0, stream.closeErr
 		}
-		flow.wake.Wait()
+		stream.wake.Wait()
 	}
 }
 
-// write takes bytes also where the reader has just gone, as a socket does once.
-func (flow *flow) write(from []byte) (int, error) {
-	flow.mutex.Lock()
-	defer flow.mutex.Unlock()
+// write succeeds once after the reader has closed, as with a socket.
+func (stream *byteStream) write(from []byte) (int, error) {
+	stream.mutex.Lock()
+	defer stream.mutex.Unlock()
 	for count := 0; ; {
-		if !flow.writes.IsZero() && !time.Now().Before(flow.writes) {
+		if !stream.writeDeadline.IsZero() && !time.Now().Before(stream.writeDeadline) {
 			return count, os.ErrDeadlineExceeded
 		}
-		if flow.ended != nil {
+		if stream.closeErr != nil {
 			return count, net.ErrClosed
 		}
-		if flow.broken {
+		if stream.failsWrites {
 			return count, syscall.EPIPE
 		}
-		if flow.deaf {
-			flow.broken = true
+		if stream.readerClosed {
+			stream.failsWrites = true
 			return len(from), nil
 		}
-		room := min(len(from)-count, flowRoom-len(flow.bytes))
-		flow.bytes = append(flow.bytes, from[count:count+room]...)
+		room := min(len(from)-count, streamBufferBytes-len(stream.bytes))
+		stream.bytes = append(stream.bytes, from[count:count+room]...)
 		count += room
-		flow.wake.Broadcast()
+		stream.wake.Broadcast()
 		if count == len(from) {
 			return count, nil
 		}
-		flow.wake.Wait()
+		stream.wake.Wait()
 	}
 }
 
-func (flow *flow) end(with error) {
-	flow.mutex.Lock()
-	if flow.ended == nil {
-		flow.ended = with
+func (stream *byteStream) closeWrite(err error) {
+	stream.mutex.Lock()
+	if stream.closeErr == nil {
+		stream.closeErr = err
 	}
-	if !errors.Is(with, io.EOF) {
-		flow.bytes = nil
+	if !errors.Is(err, io.EOF) {
+		stream.bytes = nil
 	}
-	flow.wake.Broadcast()
-	flow.mutex.Unlock()
+	stream.wake.Broadcast()
+	stream.mutex.Unlock()
 }
 
-func (flow *flow) abandon(broken bool) {
-	flow.mutex.Lock()
-	flow.deaf, flow.broken = true, flow.broken || broken
-	flow.wake.Broadcast()
-	flow.mutex.Unlock()
+func (stream *byteStream) closeRead(failWrites bool) {
+	stream.mutex.Lock()
+	stream.readerClosed, stream.failsWrites = true, stream.failsWrites || failWrites
+	stream.wake.Broadcast()
+	stream.mutex.Unlock()
 }
 
-func (flow *flow) limit(which *time.Time, until time.Time) {
-	flow.mutex.Lock()
-	*which = until
-	flow.wake.Broadcast()
-	flow.mutex.Unlock()
+func (stream *byteStream) setDeadline(deadline *time.Time, until time.Time) {
+	stream.mutex.Lock()
+	*deadline = until
+	stream.wake.Broadcast()
+	stream.mutex.Unlock()
 	if span := time.Until(until); !until.IsZero() && span > 0 {
-		time.AfterFunc(span, flow.stir)
+		time.AfterFunc(span, stream.wakeAll)
 	}
 }
 
-// pipe is one end of a connection in memory.
+// pipe is one end of an in-memory connection.
 type pipe struct {
-	in, out *flow
+	in, out *byteStream
 	peer    string
 }
 
-func newPipes(address string) (*pipe, *pipe) {
-	there, back := newFlow(), newFlow()
-	return &pipe{in: back, out: there, peer: address}, &pipe{in: there, out: back, peer: "caller"}
+func newPipePair(address string) (*pipe, *pipe) {
+	forward, backward := newByteStream(), newByteStream()
+	return &pipe{in: backward, out: forward, peer: address}, &pipe{in: forward, out: backward, peer: "caller"}
 }
 
 func (pipe *pipe) Read(into []byte) (int, error)  { return pipe.in.read(into) }
 func (pipe *pipe) Write(from []byte) (int, error) { return pipe.out.write(from) }
 
 func (pipe *pipe) Close() error {
-	pipe.in.abandon(false)
-	pipe.out.end(io.EOF)
+	pipe.in.closeRead(false)
+	pipe.out.closeWrite(io.EOF)
 	return nil
 }
 
-// CloseWrite ends what this end sends; it goes on reading.
+// CloseWrite closes the sending direction only.
 func (pipe *pipe) CloseWrite() error {
-	pipe.out.end(io.EOF)
+	pipe.out.closeWrite(io.EOF)
 	return nil
 }
 
 func (pipe *pipe) reset() {
-	pipe.in.abandon(true)
-	pipe.out.end(syscall.ECONNRESET)
+	pipe.in.closeRead(true)
+	pipe.out.closeWrite(syscall.ECONNRESET)
 }
 
 func (pipe *pipe) LocalAddr() net.Addr  { return pipeAddress(pipe.peer) }
 func (pipe *pipe) RemoteAddr() net.Addr { return pipeAddress(pipe.peer) }
 
 func (pipe *pipe) SetDeadline(until time.Time) error {
-	pipe.in.limit(&pipe.in.reads, until)
-	pipe.out.limit(&pipe.out.writes, until)
+	pipe.in.setDeadline(&pipe.in.readDeadline, until)
+	pipe.out.setDeadline(&pipe.out.writeDeadline, until)
 	return nil
 }
 
 func (pipe *pipe) SetReadDeadline(until time.Time) error {
-	pipe.in.limit(&pipe.in.reads, until)
+	pipe.in.setDeadline(&pipe.in.readDeadline, until)
 	return nil
 }
 
 func (pipe *pipe) SetWriteDeadline(until time.Time) error {
-	pipe.out.limit(&pipe.out.writes, until)
+	pipe.out.setDeadline(&pipe.out.writeDeadline, until)
 	return nil
 }
 
@@ -173,75 +173,75 @@
 func (address pipeAddress) Network() string { return "tcp" }
 func (address pipeAddress) String() string  { return string(address) }
 
-// doors are the addresses where somebody accepts connections.
-type doors struct {
-	mutex  sync.Mutex
-	wake   *sync.Cond
-	served map[string]func(*pipe)
-	shut   map[string]bool
-	dials  map[string]int
+// fakeNetwork maps addresses to functions that accept connections.
+type fakeNetwork struct {
+	mutex        sync.Mutex
+	wake         *sync.Cond
+	accepting    map[string]func(*pipe)
+	unresponsive map[string]bool
+	dialCounts   map[string]int
 }
 
-func newDoors() *doors {
-	doors := &doors{served: map[string]func(*pipe){}, shut: map[string]bool{}, dials: map[string]int{}}
-	doors.wake = sync.NewCond(&doors.mutex)
-	return doors
+func newFakeNetwork() *fakeNetwork {
+	network := &fakeNetwork{accepting: map[string]func(*pipe){}, unresponsive: map[string]bool{}, dialCounts: map[string]int{}}
+	network.wake = sync.NewCond(&network.mutex)
+	return network
 }
 
-func (doors *doors) serve(address string, accept func(*pipe)) {
-	doors.mutex.Lock()
-	defer doors.mutex.Unlock()
-	if doors.served[address] = accept; accept == nil {
-		delete(doors.served, address)
+func (network *fakeNetwork) listen(address string, accept func(*pipe)) {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	if network.accepting[address] = accept; accept == nil {
+		delete(network.accepting, address)
 	}
 }
 
-// silence makes dials to an address hang until their deadline.
-func (doors *doors) silence(address string, silent bool) {
-	doors.mutex.Lock()
-	doors.shut[address] = silent
-	doors.mutex.Unlock()
+// setUnresponsive sets whether dials to an address hang until their deadline.
+func (network *fakeNetwork) setUnresponsive(address string, unresponsive bool) {
+	network.mutex.Lock()
+	network.unresponsive[address] = unresponsive
+	network.mutex.Unlock()
 }
 
-// unsilence lets the dials through that hang at an address.
-func (doors *doors) unsilence(address string) {
-	doors.silence(address, false)
-	doors.wake.Broadcast()
+// resume lets the hanging dials to an address succeed.
+func (network *fakeNetwork) resume(address string) {
+	network.setUnresponsive(address, false)
+	network.wake.Broadcast()
 }
 
-func (doors *doors) dialled(address string) int {
-	doors.mutex.Lock()
-	defer doors.mutex.Unlock()
-	return doors.dials[address]
+func (network *fakeNetwork) dialCount(address string) int {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	return network.dialCounts[address]
 }
 
-func (doors *doors) dial(ctx context.Context, _, address string) (net.Conn, error) {
+func (network *fakeNetwork) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	stop := context.AfterFunc(ctx, func() {
-		doors.mutex.Lock()
-		doors.wake.Broadcast()
-		doors.mutex.Unlock()
+		network.mutex.Lock()
+		network.wake.Broadcast()
+		network.mutex.Unlock()
 	})
 	defer stop()
-	doors.mutex.Lock()
-	doors.dials[address]++
-	for doors.shut[address] {
+	network.mutex.Lock()
+	network.dialCounts[address]++
+	for network.unresponsive[address] {
 		if ctx.Err() != nil {
-			doors.mutex.Unlock()
+			network.mutex.Unlock()
 			return nil, ctx.Err()
 		}
-		doors.wake.Wait()
+		network.wake.Wait()
 	}
-	accept := doors.served[address]
-	doors.mutex.Unlock()
+	accept := network.accepting[address]
+	network.mutex.Unlock()
 	if accept == nil {
 		return nil, syscall.ECONNREFUSED
 	}
-	near, far := newPipes(address)
+	near, far := newPipePair(address)
 	accept(far)
 	return near, nil
 }
 
-// listener hands the front's connections to its server.
+// listener passes clients' connections to the proxy's server.
 type listener struct {
 	mutex   sync.Mutex
 	wake    *sync.Cond
@@ -255,7 +255,7 @@
 	return listener
 }
 
-func (listener *listener) put(conn net.Conn) {
+func (listener *listener) enqueue(conn net.Conn) {
 	listener.mutex.Lock()
 	listener.pending = append(listener.pending, conn)
 	listener.wake.Broadcast()
--- a/hostproxy/request_memory_test.go
+++ b/hostproxy/request_memory_test.go
@@ -6,42 +6,41 @@
 	"time"
 )
 
-// Bodies together are bounded, also one alone: more would take the process over its memory.
-// What is kept free of large bodies is there for small ones.
+// The memory for bodies is limited, in total and for a single one, so that the process does not
+// run out of memory. A part is reserved for small bodies.
 func TestBodyMemoryIsBounded(test *testing.T) {
-	const machine = 200 << 20
-	memory := newRequestMemory(machine)
-	if memory.limit >= machine/2 || memory.limit < machine/3 {
-		test.Errorf("%d bytes of %d for bodies", memory.limit, machine)
+	const machineBytes = 200 << 20
+	memory := newRequestMemory(machineBytes)
+	if memory.limit >= machineBytes/2 || memory.limit < machineBytes/3 {
+		test.Errorf("%d of %d bytes for bodies", memory.limit, machineBytes)
 	}
 	large := memory.limit - memory.limit/smallBodyReserveDivisor
 	if memory.Reserve(0, memory.limit) || memory.Reserve(0, large+1) || !memory.Reserve(0, large) {
-		test.Error("not just what there is room for")
+		test.Error("must reserve exactly the available bytes")
 	}
 	if memory.Reserve(0, smallBodyBytes+1) || memory.Reserve(smallBodyBytes, 1) {
-		test.Error("a large body took what is kept for small ones")
+		test.Error("a large body used the reserve for small ones")
 	}
 	count := int64(0)
-	for count < machine/smallBodyBytes && memory.Reserve(0, smallBodyBytes) {
+	for count < machineBytes/smallBodyBytes && memory.Reserve(0, smallBodyBytes) {
 		count++
 	}
 	if count != memory.limit/smallBodyReserveDivisor/smallBodyBytes {
-		test.Errorf("%d small bodies beside large ones", count)
+		test.Errorf("%d small bodies next to large ones", count)
 	}
 	memory.Release(large + count*smallBodyBytes)
 	if memory.InUse() != 0 || !memory.Reserve(0, large) {
-		test.Error("what was given back is not there")
+		test.Error("released bytes are not available")
 	}
 	if newRequestMemory(0).limit != defaultBodyMemoryBytes {
-		test.Error("no bound where the machine's memory is not known")
+		test.Error("no default limit for an unknown machine size")
 	}
 }
 
-// Large bodies were held until their answers and counted only while they were read, those in
-// chunks not at all, so that a few took the process over its memory and it was killed. They
-// are refused with a time to come back as soon as there is no memory for them; small requests
-// go on, and all of it is given back.
-func TestLargeBodiesBeyondTheMemoryAreRefused(test *testing.T) {
+// Guards against a few large bodies that get the process killed for its memory: they were held
+// until their responses but counted only while read, and chunked ones not at all. Without
+// memory for them they get 503 with Retry-After; small requests still succeed.
+func TestBodiesExceedingMemoryAreRefused(test *testing.T) {
 	const size = 600 << 10
 	body := string(letters(0, size))
 	chunks := "Transfer-Encoding: chunked\r\n\r\n" + strconv.FormatInt(size, 16) + "\r\n" + body + "\r\n0\r\n\r\n"
@@ -65,13 +64,13 @@
 			defer small.pipe.Close()
 			world.good(small.ask("POST", raw("POST", "/once/a", "small", "", "a few bytes")), "small")
 			world.goroutines.Sleep(time.Second)
-			if held := world.proxy.memory.InUse(); held != 0 {
-				test.Errorf("%s: %d bytes held in the end", form, held)
+			if inUse := world.proxy.memory.InUse(); inUse != 0 {
+				test.Errorf("%s: %d bytes reserved in the end", form, inUse)
 			}
 			again := world.client()
 			defer again.pipe.Close()
 			if reply := again.ask("POST", late); reply.status != 200 {
-				test.Errorf("%s: %d once there is memory again", form, reply.status)
+				test.Errorf("%s: %d after memory was released", form, reply.status)
 			}
 			if count := len(world.arrivals()); count != 3 {
 				test.Errorf("%s: %d arrivals", form, count)
@@ -80,22 +79,22 @@
 	}
 }
 
-// The rest of a body that is sent after an early answer counts until it is sent.
-func TestBodyCountsUntilItIsSent(test *testing.T) {
+// A body stays reserved until it is sent, also after an early response.
+func TestBodyIsReservedUntilSent(test *testing.T) {
 	inWorld(test, func(world *world) {
 		body := string(letters(0, 900<<10))
 		success := func(id string) string { return whole(id, "200 OK", "", text(id)) }
-		reader := &earlyReader{world: world, answer: success, rest: 50 * time.Millisecond}
-		world.add("b1").greet(reader.serve)
+		responder := &earlyResponder{world: world, response: success, readInterval: 50 * time.Millisecond}
+		world.add("b1").greet(responder.serve)
 		client := world.client()
 		defer client.pipe.Close()
 		world.good(client.ask("POST", raw("POST", "/once/a", "id", "", body)), "id")
-		if held := world.proxy.memory.InUse(); held != int64(len(body)) {
-			test.Errorf("%d bytes held while the body is sent", held)
+		if inUse := world.proxy.memory.InUse(); inUse != int64(len(body)) {
+			test.Errorf("%d bytes reserved while the body is sent", inUse)
 		}
 		world.proxy.FinishUploads(2 * time.Second)
-		if held := world.proxy.memory.InUse(); held != 0 {
-			test.Errorf("%d bytes held afterwards", held)
+		if inUse := world.proxy.memory.InUse(); inUse != 0 {
+			test.Errorf("%d bytes reserved afterwards", inUse)
 		}
 	})
 }
--- a/hostproxy/request_test.go
+++ b/hostproxy/request_test.go
@@ -13,8 +13,8 @@
 	"orchidjunction/routing"
 )
 
-// keyed makes the config one of tenants, and adds a public route.
-func (world *world) keyed() {
+// requireKeys adds tenants and a public route to the configuration and makes keys required.
+func (world *world) requireKeys() {
 	world.lay(func() {
 		config := &world.book.Config
 		config.KeysRequired = true
@@ -39,7 +39,7 @@
 	})
 }
 
-// A request arrives as it was sent, byte for byte.
+// The request line and body reach the backend unchanged.
 func TestRequestIsUnchanged(test *testing.T) {
 	long := string(letters(0, 300<<10))
 	for _, sent := range []struct{ method, path, body string }{
@@ -78,13 +78,13 @@
 	}
 }
 
-// Bodies in chunks arrive whole, with their length.
+// Chunked bodies reach the backend complete, with Content-Length.
 func TestChunkedBody(test *testing.T) {
 	for name, sent := range map[string]struct{ chunks, want string }{
-		"none":       {"0\r\n\r\n", ""},
-		"two":        {"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n", "abcde"},
-		"a trailer":  {"1\r\nx\r\n0\r\nTenant: forged\r\n\r\n", "x"},
-		"in capital": {"A\r\n0123456789\r\n0\r\n\r\n", "0123456789"},
+		"none":      {"0\r\n\r\n", ""},
+		"two":       {"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n", "abcde"},
+		"a trailer": {"1\r\nx\r\n0\r\nTenant: forged\r\n\r\n", "x"},
+		"uppercase": {"A\r\n0123456789\r\n0\r\n\r\n", "0123456789"},
 	} {
 		inWorld(test, func(world *world) {
 			world.add("b1")
@@ -110,39 +110,39 @@
 	})
 }
 
-// Fields go through with all their values, but for those of one connection and
-// those that are the proxy's to say.
+// Header fields are passed on with all values, except hop-by-hop fields and those that the
+// proxy sets.
 func TestRequestFields(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1")
-		many, want := "", []string{}
+		manyFields, want := "", []string{}
 		for number := range 100 {
 			value := fmt.Sprint("value ", number)
-			many, want = many+"Many: "+value+"\r\n", append(want, value)
+			manyFields, want = manyFields+"Many: "+value+"\r\n", append(want, value)
 		}
 		client := world.client()
 		defer client.pipe.Close()
-		fields := many + "Connection: keep-alive, Private\r\nPrivate: x\r\nKeep-Alive: timeout=5\r\nProxy-Connection: x\r\nTE: trailers\r\nUpgrade: h2c\r\n" +
+		fields := manyFields + "Connection: keep-alive, Private\r\nPrivate: x\r\nKeep-Alive: timeout=5\r\nProxy-Connection: x\r\nTE: trailers\r\nUpgrade: h2c\r\n" +
 			"Tenant: forged\r\ntenant: forged too\r\nTarget: forged\r\nX-Empty:\r\nAccept-Encoding: gzip\r\nAuthorization: Basic abc\r\n"
 		world.good(client.ask("GET", raw("GET", "/once/a", "id", fields, "")), "id")
 		arrived := world.arrivals()[0]
 		if !slices.Equal(arrived.all("Many"), want) {
-			test.Errorf("many came as %v", arrived.all("Many"))
+			test.Errorf("field Many arrived as %v", arrived.all("Many"))
 		}
-		for _, gone := range []string{"Connection", "Private", "Keep-Alive", "Proxy-Connection", "TE", "Upgrade", "Tenant", "User-Agent", "Transfer-Encoding"} {
-			if values := arrived.all(gone); len(values) > 0 {
-				test.Errorf("%s came: %v", gone, values)
+		for _, removed := range []string{"Connection", "Private", "Keep-Alive", "Proxy-Connection", "TE", "Upgrade", "Tenant", "User-Agent", "Transfer-Encoding"} {
+			if values := arrived.all(removed); len(values) > 0 {
+				test.Errorf("field %s arrived: %v", removed, values)
 			}
 		}
 		for name, value := range map[string]string{"Attempt": "id", "Target": "b1", "Accept-Encoding": "gzip", "Authorization": "Basic abc", "X-Empty": ""} {
 			if values := arrived.all(name); len(values) != 1 && name != "X-Empty" || arrived.get(name) != value {
-				test.Errorf("%s came as %v", name, values)
+				test.Errorf("field %s arrived as %v", name, values)
 			}
 		}
 	})
 }
 
-// Requests that two readers could take for different ones reach no backend, or as one.
+// Requests with ambiguous framing reach a backend as one request or not at all.
 func TestSmuggling(test *testing.T) {
 	head := "POST /once/a HTTP/1.1\r\nHost: host.example\r\nAttempt: id\r\nDeadline: 1500\r\n"
 	inner := "GET /once/b HTTP/1.1\r\nHost: host.example\r\nAttempt: smuggled\r\n\r\n"
@@ -185,7 +185,7 @@
 	}
 }
 
-// Keys: who is let in, and what the backend is told.
+// Which requests a key admits, and which tenant the backend gets.
 func TestKeys(test *testing.T) {
 	for _, sent := range []struct {
 		path, fields string
@@ -213,7 +213,7 @@
 	} {
 		inWorld(test, func(world *world) {
 			world.add("b1")
-			world.keyed()
+			world.requireKeys()
 			client := world.client()
 			defer client.pipe.Close()
 			reply := client.ask("GET", raw("GET", sent.path, "id", sent.fields, ""))
@@ -228,7 +228,7 @@
 				}
 				for _, value := range arrival.all("Authorization") {
 					if value != "Basic x" {
-						test.Errorf("%s %q: backend got %q", sent.path, sent.fields, value)
+						test.Errorf("%s %q: backend got Authorization %q", sent.path, sent.fields, value)
 					}
 				}
 			}
@@ -236,8 +236,7 @@
 	}
 }
 
-// Without tenants nobody needs a key.
-func TestNoTenantsNoKeys(test *testing.T) {
+func TestNoKeyNeededWithoutTenants(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1")
 		reply, id := world.get("/once/a")
@@ -248,7 +247,7 @@
 	})
 }
 
-// A body over the limit is refused, and reaches nobody.
+// A body over the limit gets 413 and reaches no backend.
 func TestBodyTooLarge(test *testing.T) {
 	for name, fields := range map[string]string{"length": "Content-Length: 1048577\r\n", "chunks": "Transfer-Encoding: chunked\r\n"} {
 		inWorld(test, func(world *world) {
@@ -281,7 +280,7 @@
 	})
 }
 
-// A body that ends too soon reaches nobody.
+// A truncated body reaches no backend.
 func TestBodyCutShort(test *testing.T) {
 	for _, fields := range []string{"Content-Length: 10\r\n", "Transfer-Encoding: chunked\r\n"} {
 		inWorld(test, func(world *world) {
@@ -297,7 +296,7 @@
 	}
 }
 
-// A body that cannot be read reaches nobody.
+// A malformed body reaches no backend.
 func TestMalformedBody(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1")
@@ -310,8 +309,8 @@
 	})
 }
 
-// fill keeps all places of a backend of one slot.
-func (world *world) fill(count int, span time.Duration) {
+// fillBackend adds a backend with one slot and sends it requests that take the given time.
+func (world *world) fillBackend(count int, span time.Duration) {
 	world.addAt("b1", "plain", "e1", 1).ever(after(span, well))
 	for range count {
 		client := world.client()
@@ -320,16 +319,15 @@
 	synctest.Wait()
 }
 
-// Where there is no room, a request is refused within a quarter of the target time
-// and told when to come back.
-func TestNoRoom(test *testing.T) {
+// Without capacity, a request gets 503 with Retry-After within a quarter of the target time.
+func TestNoCapacity(test *testing.T) {
 	inWorld(test, func(world *world) {
-		world.fill(3, time.Second)
+		world.fillBackend(3, time.Second)
 		reply, _ := world.get("/once/a")
 		seconds, err := strconv.ParseFloat(reply.header.Get("Retry-After"), 64)
 		if reply.status != 503 || err != nil || seconds <= 0 || seconds > 0.5 || reply.took > 200*time.Millisecond ||
 			reply.took < 190*time.Millisecond {
-			test.Errorf("%d after %s, come back in %q", reply.status, reply.took, reply.header.Get("Retry-After"))
+			test.Errorf("%d after %s, Retry-After %q", reply.status, reply.took, reply.header.Get("Retry-After"))
 		}
 		if count := len(world.arrivals()); count != 3 {
 			test.Errorf("%d arrivals", count)
@@ -337,20 +335,20 @@
 	})
 }
 
-// Who waits goes on as soon as there is room.
-func TestRoomIsTakenAtOnce(test *testing.T) {
+// A waiting request is sent as soon as there is capacity.
+func TestFreedCapacityIsUsedImmediately(test *testing.T) {
 	inWorld(test, func(world *world) {
-		world.fill(3, 100*time.Millisecond)
+		world.fillBackend(3, 100*time.Millisecond)
 		reply, id := world.get("/once/a")
 		world.good(reply, id)
 		all := world.arrivals()
 		if waited := all[3].at.Sub(all[0].at); waited != 100*time.Millisecond {
-			test.Errorf("sent on after %s", waited)
+			test.Errorf("sent after %s", waited)
 		}
 	})
 }
 
-// Where no backend is known, a request is refused in time as well.
+// Without any backend, a request is refused within the same time.
 func TestNoBackend(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1")
@@ -362,13 +360,13 @@
 	})
 }
 
-// No more than so many wait.
-func TestTooManyWait(test *testing.T) {
+// At most maxQueuedRequests wait.
+func TestQueueLimit(test *testing.T) {
 	inWorld(test, func(world *world) {
-		world.fill(3, time.Second)
+		world.fillBackend(3, time.Second)
 		for range maxQueuedRequests {
 			if !world.proxy.queues.enter(waitQueue{"plain", 3}) {
-				test.Fatal("no place in line")
+				test.Fatal("queue is full early")
 			}
 		}
 		reply, _ := world.get("/once/a")
@@ -378,12 +376,12 @@
 	})
 }
 
-// A config that orders its services anew does not lead a waiting request astray.
-func TestServicesInNewOrder(test *testing.T) {
-	for _, gone := range []bool{false, true} {
+// A waiting request goes to its own service after a configuration reorders or removes services.
+func TestServicesReordered(test *testing.T) {
+	for _, removed := range []bool{false, true} {
 		inWorld(test, func(world *world) {
 			world.addAt("o1", "other", "e1", 8)
-			world.fill(3, 100*time.Millisecond)
+			world.fillBackend(3, 100*time.Millisecond)
 			client := world.client()
 			defer client.pipe.Close()
 			id := world.id()
@@ -392,24 +390,24 @@
 			world.lay(func() {
 				config := &world.book.Config
 				slices.Reverse(config.Services)
-				if gone {
+				if removed {
 					config.Services, config.Routes = config.Services[:1], nil
 				}
 			})
 			reply := client.ask("GET", "")
 			if count := len(world.backends["o1"].seen()); count != 0 {
-				test.Errorf("the other service got %d", count)
+				test.Errorf("the other service got %d requests", count)
 			}
-			if gone && reply.status != 503 {
-				test.Errorf("%d of a service that is gone", reply.status)
-			} else if !gone {
+			if removed && reply.status != 503 {
+				test.Errorf("%d for a removed service", reply.status)
+			} else if !removed {
 				world.good(reply, id)
 			}
 		})
 	}
 }
 
-// A split's services get their parts, and nobody else gets any.
+// Requests of a split route are distributed by the services' weights.
 func TestSplit(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1")
@@ -425,13 +423,13 @@
 			world.good(client.ask("GET", raw("GET", "/once/a", id, "", "")), id)
 		}
 		if count := len(world.backends["b1"].seen()); count < 15 || count > 75 {
-			test.Errorf("%d of 400 for a tenth", count)
+			test.Errorf("%d of 400 requests for a weight of 10%%", count)
 		}
 	})
 }
 
-// A proxy that leaves tells its clients, also those whose request it took before.
-func TestLeaving(test *testing.T) {
+// A leaving proxy closes its clients' connections, also after responses to earlier requests.
+func TestLeavingProxy(test *testing.T) {
 	inWorld(test, func(world *world) {
 		if world.proxy.Ready() {
 			test.Error("ready without a view")
@@ -448,13 +446,13 @@
 		client.send(raw("GET", "/once/a", "id", "", ""))
 		synctest.Wait()
 		if world.proxy.InFlight() != 1 {
-			test.Errorf("%d under way", world.proxy.InFlight())
+			test.Errorf("%d in flight", world.proxy.InFlight())
 		}
 		world.proxy.Leave()
 		reply := client.ask("GET", "")
 		world.good(reply, "id")
 		if !reply.last {
-			test.Error("a request under way was not told")
+			test.Error("connection stays open after a request in flight")
 		}
 		for _, path := range []string{"/once/a", "/none/a"} {
 			if reply, _ := world.get(path); !reply.last || reply.status == 503 {
@@ -463,37 +461,37 @@
 		}
 		synctest.Wait()
 		if world.proxy.Ready() || world.proxy.InFlight() != 0 {
-			test.Errorf("ready %v, %d under way", world.proxy.Ready(), world.proxy.InFlight())
+			test.Errorf("ready %v, %d in flight", world.proxy.Ready(), world.proxy.InFlight())
 		}
 	})
 }
 
-// Every stage but the first is reached, and only the end has no way on.
-func TestStageChart(test *testing.T) {
+// Every stage is reachable, and only the last has no successor.
+func TestStageTransitions(test *testing.T) {
 	reached := map[stage]bool{arrived: true}
 	for range stageTransitions {
-		for from, nexts := range stageTransitions {
-			for _, next := range nexts {
+		for from, successors := range stageTransitions {
+			for _, next := range successors {
 				if reached[stage(from)] {
 					reached[next] = true
 				}
 			}
 		}
 	}
-	for from, nexts := range stageTransitions {
-		if !reached[stage(from)] || (len(nexts) == 0) != (stage(from) == ending) {
-			test.Errorf("stage %d", from)
+	for from, successors := range stageTransitions {
+		if !reached[stage(from)] || (len(successors) == 0) != (stage(from) == ending) {
+			test.Errorf("stage %d is unreachable, or has wrong successors", from)
 		}
 	}
 	if stageTransitions[arrived][0] == sending || slices.Contains(stageTransitions[ending], sending) {
-		test.Error("sent without a route, or after the end")
+		test.Error("a request can be sent on arrival or after its end")
 	}
 }
 
-// A tenant's rank goes before the route's.
-func TestRank(test *testing.T) {
+// A tenant's priority overrides the route's.
+func TestTenantPriority(test *testing.T) {
 	inWorld(test, func(world *world) {
-		world.keyed()
+		world.requireKeys()
 		view := world.proxy.view.Load()
 		for key, want := range map[string]int{"k1": 0, "k3": 5} {
 			source, _ := http.NewRequest(http.MethodGet, "http://host.example/once/a", nil)
@@ -501,7 +499,7 @@
 			source.Header.Set("Authorization", "Key "+key)
 			request := &request{source: source, begin: time.Now()}
 			if status, code := world.proxy.admit(request, view); status != 0 || request.priority != want {
-				test.Errorf("%s: %d %s, rank %d", key, status, code, request.priority)
+				test.Errorf("%s: %d %s, priority %d", key, status, code, request.priority)
 			}
 		}
 	})
--- a/hostproxy/repeat_test.go
+++ b/hostproxy/resend_test.go
@@ -11,14 +11,13 @@
 	"time"
 )
 
-// The proxy writes and reads its connections itself: the library's clients send some
-// requests again by themselves, and none of them is used.
-func TestNoClientOfTheLibrary(test *testing.T) {
+// net/http's clients resend some requests on their own, so the proxy must not use them.
+func TestDoesNotUseHTTPClient(test *testing.T) {
 	names, err := filepath.Glob("*.go")
 	if err != nil {
 		test.Fatal(err)
 	}
-	read := 0
+	parsed := 0
 	forbidden := map[string]bool{
 		"Transport": true, "DefaultTransport": true, "Client": true, "DefaultClient": true, "ClientConn": true, "RoundTripper": true,
 		"Get": true, "Post": true, "Head": true, "PostForm": true, "NewRequest": true, "NewRequestWithContext": true,
@@ -31,7 +30,7 @@
 		if err != nil {
 			test.Fatal(err)
 		}
-		read++
+		parsed++
 		for _, imported := range file.Imports {
 			if strings.HasSuffix(imported.Path.Value, "httputil\"") {
 				test.Errorf("%s imports %s", name, imported.Path.Value)
@@ -46,14 +45,14 @@
 			return true
 		})
 	}
-	if read == 0 {
-		test.Error("no file of the package was read")
+	if parsed == 0 {
+		test.Error("no file of the package was parsed")
 	}
 }
 
-// A request whose idle connection was closed under it counts as sent: without budget
-// it is not sent again, whatever its method.
-func TestIdleCloseDrawsOnTheBudget(test *testing.T) {
+// A request on an idle connection that the backend closes counts as sent: without budget it is
+// not retried, whatever its method.
+func TestIdleCloseUsesRetryBudget(test *testing.T) {
 	for tokens, want := range map[float64]int{0: 502, 1: 200} {
 		for _, reset := range []bool{false, true} {
 			inWorld(test, func(world *world) {
@@ -70,7 +69,7 @@
 				reply, _ = world.get("/again/a")
 				if reply.status != want || len(world.backends["b2"].seen()) != (502-want)/302 {
 					test.Errorf(
-						"budget %v, reset %v: %d, %d arrivals at the other",
+						"budget %v, reset %v: %d, %d arrivals at the other backend",
 						tokens,
 						reset,
 						reply.status,
@@ -82,9 +81,9 @@
 	}
 }
 
-// An answer that comes after its request was given up reaches nobody: its connection
-// is closed with the request.
-func TestLateAnswerAfterTimeout(test *testing.T) {
+// A response that arrives after its request has timed out reaches no client: the connection is
+// closed with the request.
+func TestLateResponseAfterTimeout(test *testing.T) {
 	for _, path := range []string{"/once/a", "/again/a"} {
 		inWorld(test, func(world *world) {
 			world.add("b1").then(after(1560*time.Millisecond, well))
@@ -97,14 +96,14 @@
 				world.goroutines.Sleep(20 * time.Millisecond)
 			}
 			if connections := world.backends["b1"].connections(); connections != 2 || world.counters.Get("answers_surplus") != 0 {
-				test.Errorf("%s: %d connections, %d surplus answers", path, connections, world.counters.Get("answers_surplus"))
+				test.Errorf("%s: %d connections, %d surplus responses", path, connections, world.counters.Get("answers_surplus"))
 			}
 		})
 	}
 }
 
-// A refusal is believed by its head; a body that does not come holds nobody up.
-func TestRefusalWithoutItsBody(test *testing.T) {
+// A refusal is accepted by its head; a missing body does not delay the request.
+func TestRefusalWithIncompleteBody(test *testing.T) {
 	inWorld(test, func(world *world) {
 		stalled := first(func(exchange *exchange) bool {
 			exchange.say("HTTP/1.1 503 X\r\nAttempt: %s\r\nNot-Executed: full\r\nContent-Length: 100\r\n\r\nfu", exchange.get("Attempt"))
@@ -115,20 +114,20 @@
 		reply, id := world.get("/once/a")
 		world.good(reply, id)
 		if reply.took > 2*refusalDrainTimeout {
-			test.Errorf("after %s", reply.took)
+			test.Errorf("response after %s", reply.took)
 		}
 	})
 }
 
-// A head that is cut off on its way may have been read as a whole request.
-func TestHeadCutOffOnItsWayMayHaveRun(test *testing.T) {
+// The backend may have read a truncated head as a complete request, so it is not retried.
+func TestTruncatedHeadMayHaveExecuted(test *testing.T) {
 	inWorld(test, func(world *world) {
-		part := func(pipe *pipe) {
-			_, _ = io.ReadFull(pipe, make([]byte, 20<<10)) // or less, where the proxy gives up first
+		readPart := func(pipe *pipe) {
+			_, _ = io.ReadFull(pipe, make([]byte, 20<<10)) // fewer bytes if the proxy gives up first
 			pipe.reset()
 		}
-		world.add("b1").greet(part)
-		world.add("b2").greet(part)
+		world.add("b1").greet(readPart)
+		world.add("b2").greet(readPart)
 		client := world.client()
 		defer client.pipe.Close()
 		reply := client.ask("GET", raw("GET", "/once/a", "id", "Long: "+string(letters(0, 200<<10))+"\r\n", ""))
--- a/hostproxy/rollout_test.go
+++ b/hostproxy/rollout_test.go
@@ -12,25 +12,25 @@
 	"orchidjunction/routing"
 )
 
-// order is a roll-out of the plain service to version v2.
-func order(phase message.RolloutPhase, share float64) []message.Rollout {
+// rolloutInPhase returns a rollout of the plain service to version v2.
+func rolloutInPhase(phase message.RolloutPhase, share float64) []message.Rollout {
 	return []message.Rollout{{Service: "plain", Target: "v2", ID: 7, Phase: phase, Step: 1, Share: share}}
 }
 
-// addVersion brings up a backend of a version of the plain service.
+// addVersion adds a backend of a version of the plain service.
 func (world *world) addVersion(name, revision string, slots int) *backend {
 	added := world.addAt(name, "plain", "e1", slots)
 	world.lay(func() { world.table.Backends[len(world.table.Backends)-1].Revision = revision })
 	return added
 }
 
-// roll puts roll-outs in force.
-func (world *world) roll(orders []message.Rollout) {
-	world.rollouts = orders
-	world.proxy.Apply(world.book, world.table, orders)
+// applyRollouts applies rollouts to the proxy.
+func (world *world) applyRollouts(rollouts []message.Rollout) {
+	world.rollouts = rollouts
+	world.proxy.Apply(world.book, world.table, rollouts)
 }
 
-// twoVersions are backends of v1 and of v2.
+// twoVersions returns backends a0, a1, ... of v1 and b0, b1, ... of v2.
 func twoVersions(former, target int) []message.Backend {
 	backends := []message.Backend{}
 	for number := range former {
@@ -48,95 +48,95 @@
 	return backends
 }
 
-// applyVersions puts backends and roll-outs in force at a proxy that only chooses.
-func applyVersions(proxy *Proxy, backends []message.Backend, orders []message.Rollout) {
-	table := &message.Table{Version: leaderMark, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends}
-	proxy.Apply(&routing.State{Config: ownConfig()}, table, orders)
+// applyVersions applies backends and rollouts to a proxy that sends no requests.
+func applyVersions(proxy *Proxy, backends []message.Backend, rollouts []message.Rollout) {
+	table := &message.Table{Version: leaderMark, Members: proxyMembers([]string{"p1"}, []string{"e1"}), Backends: backends}
+	proxy.Apply(&routing.State{Config: ownConfig()}, table, rollouts)
 }
 
-// newRequest is a request of the plain service that is never sent.
-func newRequest(proxy *Proxy) *request {
+// newPlainRequest returns a request of the plain service that is never sent.
+func newPlainRequest(proxy *Proxy) *request {
 	return &request{source: &http.Request{}, stats: proxy.stats, route: &routing.Route{Name: "picked", TargetMs: 800}}
 }
 
-// countVersions counts the versions chosen for so many requests, "" where none was.
+// countVersions counts the versions chosen for a number of requests; "" stands for none.
 func countVersions(proxy *Proxy, requests int) map[string]int {
 	counts := map[string]int{}
 	for range requests {
-		held, _ := proxy.chooseVersion(newRequest(proxy), proxy.view.Load(), 0)
-		if held == nil {
+		selected, _ := proxy.chooseVersion(newPlainRequest(proxy), proxy.view.Load(), 0)
+		if selected == nil {
 			counts[""]++
 			continue
 		}
-		held.target.endRequest()
-		counts[held.target.backend.Revision]++
+		selected.target.endRequest()
+		counts[selected.target.backend.Revision]++
 	}
 	return counts
 }
 
-// Guards against small proxies that together send far more or less than the share to a version.
-func TestShareIsKeptOverManySmallProxies(test *testing.T) {
+// Guards against many proxies with few requests each that together miss a version's share.
+func TestShareAcrossSmallProxies(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		random := rand.New(rand.NewPCG(5, 23))
 		for _, share := range []float64{0.02, 0.1, 0.35, 0.9} {
-			sent, all := 0, 0
+			sent, total := 0, 0
 			for range 80 {
-				proxy := many([]string{"p1"}, []string{"e1"})[0]
-				requests, own := 1+random.IntN(60), 0
+				proxy := newProxies([]string{"p1"}, []string{"e1"})[0]
+				requests, sentHere := 1+random.IntN(60), 0
 				for number := range requests {
 					if number == 0 || random.IntN(10) == 0 {
-						applyVersions(proxy, twoVersions(3, 2), order(message.RolloutActive, share))
+						applyVersions(proxy, twoVersions(3, 2), rolloutInPhase(message.RolloutActive, share))
 					}
-					own += countVersions(proxy, 1)["v2"]
+					sentHere += countVersions(proxy, 1)["v2"]
 				}
-				if away := float64(own) - share*float64(requests); away > 1 || away < -1 {
-					test.Errorf("share %v: %d of %d at one proxy", share, own, requests)
+				if deviation := float64(sentHere) - share*float64(requests); deviation > 1 || deviation < -1 {
+					test.Errorf("share %v: %d of %d at one proxy", share, sentHere, requests)
 				}
-				sent, all = sent+own, all+requests
+				sent, total = sent+sentHere, total+requests
 			}
-			if away := float64(sent) - share*float64(all); away > 20 || away < -20 {
-				test.Errorf("share %v: %d of %d", share, sent, all)
+			if deviation := float64(sent) - share*float64(total); deviation > 20 || deviation < -20 {
+				test.Errorf("share %v: %d of %d", share, sent, total)
 			}
 		}
 	})
 }
 
-// Guards against requests at a version that no roll-out, or a reverted one, lets them reach,
-// and at the old version once a roll-out is complete.
+// Guards against requests at a new version without a rollout or after a reverted one, and at
+// the old version after a complete one.
 func TestVersionsByPhase(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		for _, one := range []struct {
-			name   string
-			orders []message.Rollout
-			wanted string
+		for _, testCase := range []struct {
+			name     string
+			rollouts []message.Rollout
+			wanted   string
 		}{
-			{"unknown", nil, "v1"},
-			{"reverted", order(message.RolloutReverted, 1), "v1"},
-			{"nothing yet", order(message.RolloutActive, 0), "v1"},
-			{"all", order(message.RolloutActive, 1), "v2"},
-			{"complete", order(message.RolloutComplete, 0), "v2"},
+			{"no rollout", nil, "v1"},
+			{"reverted", rolloutInPhase(message.RolloutReverted, 1), "v1"},
+			{"share 0", rolloutInPhase(message.RolloutActive, 0), "v1"},
+			{"share 1", rolloutInPhase(message.RolloutActive, 1), "v2"},
+			{"complete", rolloutInPhase(message.RolloutComplete, 0), "v2"},
 		} {
-			proxy := many([]string{"p1"}, []string{"e1"})[0]
+			proxy := newProxies([]string{"p1"}, []string{"e1"})[0]
 			applyVersions(proxy, twoVersions(3, 0), nil)
-			applyVersions(proxy, twoVersions(3, 4), one.orders)
-			if counts := countVersions(proxy, 50); counts[one.wanted] != 50 {
-				test.Errorf("%s: %v", one.name, counts)
+			applyVersions(proxy, twoVersions(3, 4), testCase.rollouts)
+			if counts := countVersions(proxy, 50); counts[testCase.wanted] != 50 {
+				test.Errorf("%s: %v", testCase.name, counts)
 			}
 		}
-		fresh := many([]string{"p1"}, []string{"e1"})[0]
+		fresh := newProxies([]string{"p1"}, []string{"e1"})[0]
 		applyVersions(fresh, twoVersions(3, 2), nil)
 		if counts := countVersions(fresh, 50); counts["v1"] != 50 {
-			test.Errorf("fresh and without an order: %v", counts)
+			test.Errorf("new proxy without a rollout: %v", counts)
 		}
 	})
 }
 
-// Guards against a version that keeps requests waiting: where it is full, ejected, cold or
-// gone, the old version takes them.
-func TestVersionWithoutRoomIsPassedOver(test *testing.T) {
+// Guards against requests that wait for a version under test: if it is full, ejected, cold or
+// removed, they go to the old version.
+func TestVersionWithoutCapacityFallsBack(test *testing.T) {
 	cold := twoVersions(3, 1)
 	cold[3].WarmAtMs = time.Now().Add(time.Hour).UnixMilli()
-	for _, one := range []struct {
+	for _, testCase := range []struct {
 		name     string
 		backends []message.Backend
 		prepare  func(target *target)
@@ -148,30 +148,30 @@
 		}},
 		{"ejected", twoVersions(3, 1), func(target *target) { target.recordFailure(time.Now(), true) }},
 		{"cold", cold, func(*target) {}},
-		{"gone", twoVersions(3, 0), nil},
+		{"removed", twoVersions(3, 0), nil},
 	} {
 		synctest.Test(test, func(test *testing.T) {
 			for _, share := range []float64{0.5, 1} {
-				proxy := many([]string{"p1"}, []string{"e1"})[0]
-				applyVersions(proxy, one.backends, order(message.RolloutActive, share))
-				if one.prepare != nil {
-					one.prepare(proxy.targets["b0"])
+				proxy := newProxies([]string{"p1"}, []string{"e1"})[0]
+				applyVersions(proxy, testCase.backends, rolloutInPhase(message.RolloutActive, share))
+				if testCase.prepare != nil {
+					testCase.prepare(proxy.targets["b0"])
 				}
 				if counts := countVersions(proxy, 20); counts["v1"] != 20 {
-					test.Errorf("%s, share %v: %v", one.name, share, counts)
+					test.Errorf("%s, share %v: %v", testCase.name, share, counts)
 				}
 			}
 		})
 	}
 }
 
-// Guards against a version under test that gets more than its share because the old version
-// is full.
-func TestOldVersionDoesNotSpill(test *testing.T) {
+// Guards against a version under test that gets more than its share while the old version is
+// full.
+func TestFullOldVersionDoesNotOverflow(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		proxy := many([]string{"p1"}, []string{"e1"})[0]
+		proxy := newProxies([]string{"p1"}, []string{"e1"})[0]
 		for _, share := range []float64{0.25, 1} {
-			applyVersions(proxy, twoVersions(1, 3), order(message.RolloutActive, share))
+			applyVersions(proxy, twoVersions(1, 3), rolloutInPhase(message.RolloutActive, share))
 			old := proxy.targets["a0"]
 			for range 13 {
 				old.startRequest()
@@ -187,63 +187,63 @@
 	})
 }
 
-// Guards against a second attempt at the version that has just failed the request, against
-// one without budget, and against a second attempt of what may run only once.
-func TestRetryGoesToTheOldVersion(test *testing.T) {
+// Guards against a retry at the version under test that has just failed, against one without
+// budget, and against retries of non-idempotent requests.
+func TestRetryGoesToOldVersion(test *testing.T) {
 	inWorld(test, func(world *world) {
 		old := world.addVersion("a1", "v1", 8)
 		bad := []*backend{world.addVersion("b1", "v2", 8), world.addVersion("b2", "v2", 8)}
 		bad[0].ever(status("500 Own"))
 		bad[1].ever(status("500 Own"))
-		world.roll(order(message.RolloutActive, 1))
+		world.applyRollouts(rolloutInPhase(message.RolloutActive, 1))
 		reply, id := world.get("/again/a")
 		world.good(reply, id)
 		if tries := len(bad[0].seen()) + len(bad[1].seen()); tries != 1 || len(old.seen()) != 1 {
-			test.Errorf("%d at the version, %d at the old one", tries, len(old.seen()))
+			test.Errorf("%d requests at the version under test, %d at the old one", tries, len(old.seen()))
 		}
 		if reply, _ := world.get("/again/a"); reply.status != 500 || world.counters.Get("budget_empty") != 1 {
 			test.Errorf("without budget: %d", reply.status)
 		}
 		seen := len(old.seen())
 		if reply, _ := world.get("/once/a"); reply.status != 500 || len(old.seen()) != seen {
-			test.Errorf("sent twice: %d", reply.status)
+			test.Errorf("non-idempotent request was retried: %d", reply.status)
 		}
 	})
 }
 
-// Guards against requests at an old version that is about to end: neither a retry nor a
-// request without room goes there once the version under test is exclusive.
+// Guards against requests at an old version that is being shut down: with an exclusive version
+// under test, neither retries nor requests without capacity go there.
 func TestExclusiveVersionKeepsItsRequests(test *testing.T) {
 	inWorld(test, func(world *world) {
 		old := world.addVersion("a1", "v1", 8)
 		bad, good := world.addVersion("b1", "v2", 8), world.addVersion("b2", "v2", 8)
 		bad.ever(status("500 Own"))
-		orders := order(message.RolloutActive, 1)
-		orders[0].Exclusive = true
-		world.roll(orders)
+		rollouts := rolloutInPhase(message.RolloutActive, 1)
+		rollouts[0].Exclusive = true
+		world.applyRollouts(rollouts)
 		for range 20 {
 			world.get("/again/a")
 		}
 		if len(old.seen()) != 0 || len(good.seen()) == 0 {
-			test.Errorf("%d at the old version, %d at the other backend", len(old.seen()), len(good.seen()))
+			test.Errorf("%d requests at the old version, %d at the other backend", len(old.seen()), len(good.seen()))
 		}
 	})
 }
 
-// Guards against a leader that ends a roll-out while requests run at the old version, and
-// against counts that are lost when the table or the step changes.
+// Guards against a leader that ends a rollout with requests in flight at the old version, and
+// against counts lost with a new table or step.
 func TestRolloutCountsOutliveViews(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		proxy := many([]string{"p1"}, []string{"e1"})[0]
-		applyVersions(proxy, twoVersions(2, 2), order(message.RolloutActive, 0.1))
+		proxy := newProxies([]string{"p1"}, []string{"e1"})[0]
+		applyVersions(proxy, twoVersions(2, 2), rolloutInPhase(message.RolloutActive, 0.1))
 		proxy.targets["a0"].startRequest()
 		proxy.targets["b0"].startRequest()
 		proxy.view.Load().canaries[0].counts.items.Add(3)
-		next := order(message.RolloutActive, 0.2)
+		next := rolloutInPhase(message.RolloutActive, 0.2)
 		next[0].Step = 2
 		applyVersions(proxy, twoVersions(2, 3), next)
 		proxy.view.Load().canaries[0].counts.failures.Add(1)
-		applyVersions(proxy, twoVersions(2, 3), order(message.RolloutReverted, 0))
+		applyVersions(proxy, twoVersions(2, 3), rolloutInPhase(message.RolloutReverted, 0))
 		wanted := []message.RolloutCounts{
 			{Service: "plain", ID: 7, Step: 1, Items: 3, FormerInFlight: 1},
 			{Service: "plain", ID: 7, Step: 2, Failures: 1, FormerInFlight: 1},
@@ -254,19 +254,18 @@
 	})
 }
 
-// A request that had chosen a backend of the version under test, and whose dial came through
-// after the roll-out was reverted, was sent there all the same (EXPOSURE): the table lists such
-// backends for a moment longer.
+// Guards against a request sent to the version under test if the rollout is reverted while its
+// connection is being dialled (EXPOSURE); the table still lists such backends for a moment.
 func TestRevertedWhileDialling(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.addVersion("b1", "v1", 8)
 		world.addVersion("b2", "v2", 8)
-		world.roll(order(message.RolloutActive, 1))
-		world.doors.silence("b2:80", true)
-		wait := world.begin("/once/a")
+		world.applyRollouts(rolloutInPhase(message.RolloutActive, 1))
+		world.doors.setUnresponsive("b2:80", true)
+		wait := world.startGet("/once/a")
 		world.goroutines.Sleep(100 * time.Millisecond)
-		world.roll(order(message.RolloutReverted, 0))
-		world.doors.unsilence("b2:80")
+		world.applyRollouts(rolloutInPhase(message.RolloutReverted, 0))
+		world.doors.resume("b2:80")
 		reply, id := wait()
 		world.good(reply, id)
 		if count := len(world.backends["b2"].seen()); count != 0 {
@@ -275,11 +274,11 @@
 	})
 }
 
-// Guards against a service without backends once those of a completed roll-out were replaced
-// by another version without an order: the core lists that one, proxies passed over it.
-func TestVersionAfterACompleteOneIsServed(test *testing.T) {
+// Guards against a service without candidates after the backends of a completed rollout were
+// replaced by another version without a rollout: the core lists it, but proxies excluded it.
+func TestNewVersionAfterCompletedRollout(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		proxy, complete := many([]string{"p1"}, []string{"e1"})[0], order(message.RolloutComplete, 0)
+		proxy, complete := newProxies([]string{"p1"}, []string{"e1"})[0], rolloutInPhase(message.RolloutComplete, 0)
 		applyVersions(proxy, twoVersions(0, 3), complete)
 		replaced := twoVersions(0, 3)
 		for index := range replaced {
--- a/hostproxy/route_stats_test.go
+++ b/hostproxy/route_stats_test.go
@@ -9,14 +9,14 @@
 	"orchidjunction/routing"
 )
 
-// What is expected of a route begins with its target time and follows its answers.
-func TestStat(test *testing.T) {
+// The estimates for a route start from its target time and follow its responses.
+func TestRouteStats(test *testing.T) {
 	stats := newRouteStats()
-	plain, load := &routing.Route{Name: "a", TargetMs: 500}, &routing.Route{Name: "b", Kind: routing.Download}
+	plain, download := &routing.Route{Name: "a", TargetMs: 500}, &routing.Route{Name: "b", Kind: routing.Download}
 	if milliseconds, kilobytes := stats.expected(plain); milliseconds != 100 || kilobytes != 0 {
 		test.Errorf("%v ms, %v KB", milliseconds, kilobytes)
 	}
-	if milliseconds, kilobytes := stats.expected(load); milliseconds != 4 || kilobytes != 64 {
+	if milliseconds, kilobytes := stats.expected(download); milliseconds != 4 || kilobytes != 64 {
 		test.Errorf("%v ms, %v KB", milliseconds, kilobytes)
 	}
 	for range 300 {
--- a/hostproxy/shaper_test.go
+++ b/hostproxy/shaper_test.go
@@ -14,9 +14,9 @@
 	"orchidjunction/routing"
 )
 
-// large reads an endless answer through a lane for a while and gives its bytes a second.
-func (shaper *linkShaper) large(span time.Duration) float64 {
-	source := &shapedReader{from: endless{}, shaper: shaper, ctx: context.Background(), clock: time.Now, large: true}
+// readBulk reads an endless bulk response for a while and returns the bytes per second.
+func (shaper *linkShaper) readBulk(span time.Duration) float64 {
+	source := &shapedReader{from: endlessReader{}, shaper: shaper, ctx: context.Background(), clock: time.Now, large: true}
 	begin, body, count := time.Now(), make([]byte, bulkChunk), 0
 	for time.Since(begin) < span {
 		read, _ := source.Read(body)
@@ -25,29 +25,29 @@
 	return float64(count) / time.Since(begin).Seconds()
 }
 
-type endless struct{}
+type endlessReader struct{}
 
-func (endless) Read(body []byte) (int, error) { return len(body), nil }
+func (endlessReader) Read(body []byte) (int, error) { return len(body), nil }
 
-// Large answers take what small ones leave of the link, and never less than their floor.
-func TestLargeTakeWhatIsLeft(test *testing.T) {
-	const whole = 1 << 20
-	for _, step := range []struct{ small, least, most float64 }{{0, 0.88, 0.95}, {0.3, 0.53, 0.62}, {0.6, 0.24, 0.28}, {2, 0.24, 0.28}} {
+// Bulk gets the rate that urgent bytes leave of the link, but at least minBulkShare.
+func TestBulkGetsRemainingRate(test *testing.T) {
+	const capacity = 1 << 20
+	for _, step := range []struct{ urgentShare, minShare, maxShare float64 }{{0, 0.88, 0.95}, {0.3, 0.53, 0.62}, {0.6, 0.24, 0.28}, {2, 0.24, 0.28}} {
 		synctest.Test(test, func(test *testing.T) {
-			shaper := newShaper(whole, time.Now())
+			shaper := newShaper(capacity, time.Now())
 			for range 40 {
 				time.Sleep(50 * time.Millisecond)
-				shaper.recordUrgent(int(step.small*whole/20), time.Now())
+				shaper.recordUrgent(int(step.urgentShare*capacity/20), time.Now())
 			}
 			stop := time.Now().Add(5 * time.Second)
 			go func() {
 				for time.Now().Before(stop) {
 					time.Sleep(50 * time.Millisecond)
-					shaper.recordUrgent(int(step.small*whole/20), time.Now())
+					shaper.recordUrgent(int(step.urgentShare*capacity/20), time.Now())
 				}
 			}()
-			if got := shaper.large(4*time.Second) / whole; got < step.least || got > step.most {
-				test.Errorf("beside %v of the link: %.3f", step.small, got)
+			if got := shaper.readBulk(4*time.Second) / capacity; got < step.minShare || got > step.maxShare {
+				test.Errorf("bulk share with an urgent share of %v: %.3f", step.urgentShare, got)
 			}
 			synctest.Wait()
 			time.Sleep(2 * time.Second)
@@ -55,20 +55,20 @@
 	}
 }
 
-// Small answers never wait, also while large ones fill the link; what turns out to be
-// large waits from where it is.
-func TestSmallPassAtOnce(test *testing.T) {
+// Small responses are not delayed even if bulk fills the link; a response of unknown length is
+// delayed from bulkThreshold on.
+func TestUrgentIsNotDelayed(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		shaper := newShaper(100<<10, time.Now())
-		shaper.large(time.Second)
+		shaper.readBulk(time.Second)
 		begin := time.Now()
-		small := &shapedReader{
+		urgent := &shapedReader{
 			from:   bytes.NewReader(make([]byte, bulkThreshold)),
 			shaper: shaper,
 			ctx:    context.Background(),
 			clock:  time.Now,
 		}
-		if body, err := io.ReadAll(small); len(body) != bulkThreshold || err != nil {
+		if body, err := io.ReadAll(urgent); len(body) != bulkThreshold || err != nil {
 			test.Errorf("%d bytes, %v", len(body), err)
 		}
 		written := &bytes.Buffer{}
@@ -77,26 +77,26 @@
 		); err != nil {
 			test.Error(err)
 		}
-		if took := time.Since(begin); took > 0 || written.Len() != 20<<10 {
-			test.Errorf("%v for %d bytes", took, written.Len())
+		if elapsed := time.Since(begin); elapsed > 0 || written.Len() != 20<<10 {
+			test.Errorf("took %v for %d bytes", elapsed, written.Len())
 		}
-		grows := &shapedReader{
+		growing := &shapedReader{
 			from:   bytes.NewReader(make([]byte, 2*bulkThreshold)),
 			shaper: shaper,
 			ctx:    context.Background(),
 			clock:  time.Now,
 		}
-		if _, err := io.ReadAll(grows); err != nil {
+		if _, err := io.ReadAll(growing); err != nil {
 			test.Error(err)
 		}
 		if time.Since(begin) < 200*time.Millisecond {
-			test.Errorf("a large answer without a length took %v", time.Since(begin))
+			test.Errorf("a large response of unknown length took %v", time.Since(begin))
 		}
 	})
 }
 
-// A part whose turn is after the request's end ends it, and what was written is told.
-func TestPacedPartsEndInTime(test *testing.T) {
+// A write that cannot finish before the request's deadline fails, and returns the bytes written.
+func TestShapedWriteEndsAtDeadline(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		shaper := newShaper(16<<10, time.Now())
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -109,7 +109,7 @@
 	})
 }
 
-func TestLinkWithoutABound(test *testing.T) {
+func TestUnlimitedLink(test *testing.T) {
 	shaper := newShaper(0, time.Now())
 	shaper.recordUrgent(1<<30, time.Now())
 	if err := shaper.waitBulk(context.Background(), 1<<30, time.Now()); err != nil || shaper != nil {
@@ -117,9 +117,9 @@
 	}
 }
 
-// No more large answers are fetched at once than the link bears; the others wait, and
-// are refused in time where they wait in vain.
-func TestLargeAnswersTakeTurns(test *testing.T) {
+// Concurrent transfers are limited by the link; others wait for up to half of the target time,
+// and are then refused.
+func TestTransferLimit(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.proxy.transfers = newTransferLimiter(1)
 		world.add("b1").ever(after(300*time.Millisecond, well))
@@ -131,7 +131,7 @@
 		}
 		for range minTransfers {
 			if !world.proxy.acquireTransfer(request) {
-				test.Error("refused where there is room")
+				test.Error("refused below the limit")
 			}
 		}
 		begin := time.Now()
@@ -146,12 +146,12 @@
 		})
 		begin = time.Now()
 		if !world.proxy.acquireTransfer(request) || time.Since(begin) < 200*time.Millisecond || time.Since(begin) > 250*time.Millisecond {
-			test.Errorf("its turn came after %v", time.Since(begin))
+			test.Errorf("acquired after %v", time.Since(begin))
 		}
 	})
 }
 
-// The wait on the link is what was given to it before and it cannot have carried yet.
+// The wait in the link's queue is that for earlier bytes that cannot have been transmitted yet.
 func TestLinkQueue(test *testing.T) {
 	begin := time.Now()
 	queue := linkQueue{updatedAt: begin}
@@ -166,12 +166,11 @@
 	}
 }
 
-// Large answers took nearly the whole link beside requests to backends, which were not counted
-// on it: its queue grew for as long as there were large answers, and small requests, dials
-// and updates stood in it (DRAIN, issue 33).
-func TestSmallRequestsWaitBrieflyOnTheOwnLink(test *testing.T) {
+// Guards against bulk that fills the link's queue, with small requests, dials and updates behind
+// it, because requests to backends are not counted as bytes on the link (DRAIN, issue 33).
+func TestUrgentWaitsBrieflyInLinkQueue(test *testing.T) {
 	const link = 2.7e6 / 8
-	const mostWait = 150 * time.Millisecond
+	const maxWait = 150 * time.Millisecond
 	inWorld(test, func(world *world) {
 		world.proxy.outbound = newShaper(link, time.Now())
 		world.add("b1").ever(func(exchange *exchange) bool {
@@ -183,9 +182,9 @@
 		stop := time.Now().Add(10 * time.Second)
 		for index := range 4 {
 			world.goroutines.Start(func() {
-				for ask := 0; time.Now().Before(stop); ask++ {
+				for number := 0; time.Now().Before(stop); number++ {
 					client := world.client()
-					client.ask("GET", raw("GET", "/load/a", fmt.Sprintf("load%d-%d", index, ask), "", ""))
+					client.ask("GET", raw("GET", "/load/a", fmt.Sprintf("load%d-%d", index, number), "", ""))
 					client.pipe.Close()
 				}
 			})
@@ -201,33 +200,33 @@
 			}
 		}
 		slices.Sort(waits)
-		if wait := waits[len(waits)*99/100]; wait > mostWait {
-			test.Errorf("99%% of the waits are below %s only, at most %s", wait, waits[len(waits)-1])
+		if wait := waits[len(waits)*99/100]; wait > maxWait {
+			test.Errorf("99th percentile of the wait is %s, maximum %s", wait, waits[len(waits)-1])
 		}
 	})
 }
 
-// Two large answers alone could fill a thin link for 390 ms with what their senders had under
-// way, and dials and updates of the table stood behind it (DRAIN, issue 33).
-func TestTransfersFillTheLinkBriefly(test *testing.T) {
-	const mostWait = 0.15 // seconds
+// Guards against transfers whose bytes in flight delay dials and table updates: two were enough
+// to fill a slow link for 390 ms (DRAIN, issue 33).
+func TestTransfersFillLinkBriefly(test *testing.T) {
+	const maxWaitSeconds = 0.15
 	for _, megabits := range []float64{2.7, 3.8, 7, 1000} {
 		link := megabits * 1e6 / 8
 		limit := newTransferLimiter(link).limit
-		if wait := float64(limit*TransferWindow) / link; wait > mostWait {
+		if wait := float64(limit*TransferWindow) / link; wait > maxWaitSeconds {
 			test.Errorf("%v Mbit/s: %d transfers fill the link for %.3f s", megabits, limit, wait)
 		}
 	}
 }
 
-// The length that a refused request named counted as bytes on the link: one request took large
-// answers down to their floor for seconds, though none of its body had come.
-func TestLengthsThatClientsNameAreNoBytesOnTheLink(test *testing.T) {
-	const whole = 1 << 20
+// Guards against counting the declared length of a refused request as received bytes: one such
+// request limited bulk to its minimum share for seconds.
+func TestDeclaredLengthIsNotCounted(test *testing.T) {
+	const capacity = 1 << 20
 	for _, length := range []string{"9223372036854775807", "99999999999", "2097152"} {
 		inWorld(test, func(world *world) {
 			world.add("b1")
-			world.proxy.inbound = newShaper(whole, time.Now())
+			world.proxy.inbound = newShaper(capacity, time.Now())
 			client := world.client()
 			defer client.pipe.Close()
 			reply := client.ask("POST", raw("POST", "/once/a", "id", "Content-Length: "+length+"\r\n", ""))
@@ -235,30 +234,30 @@
 				test.Fatalf("%s: %d %v", length, reply.status, reply.broken)
 			}
 			time.Sleep(urgentRateInterval)
-			if share := world.proxy.inbound.large(time.Second) / whole; share < 0.88 {
-				test.Errorf("after a length of %s, large answers have %.3f of the link", length, share)
+			if share := world.proxy.inbound.readBulk(time.Second) / capacity; share < 0.88 {
+				test.Errorf("after a declared length of %s, the bulk share is %.3f", length, share)
 			}
 		})
 	}
 }
 
-// What did come of a body counts, whether its length was named or not.
-func TestBodiesCountOnTheLinkAsTheyCome(test *testing.T) {
-	const whole = 1 << 20
+// The received bytes of a body are counted, with or without a declared length.
+func TestReceivedBodyIsCounted(test *testing.T) {
+	const capacity = 1 << 20
 	body := string(letters(0, 512<<10))
 	chunks := "Transfer-Encoding: chunked\r\n\r\n80000\r\n" + body + "\r\n0\r\n\r\n"
 	head := "POST /once/a HTTP/1.1\r\nHost: host.example\r\nAttempt: id\r\nDeadline: 1500\r\n"
 	for form, text := range map[string]string{"length": raw("POST", "/once/a", "id", "", body), "chunks": head + chunks} {
 		inWorld(test, func(world *world) {
 			world.add("b1")
-			world.proxy.inbound = newShaper(whole, time.Now())
+			world.proxy.inbound = newShaper(capacity, time.Now())
 			client := world.client()
 			defer client.pipe.Close()
 			if reply := client.ask("POST", text); reply.status != 200 {
 				test.Fatalf("%s: %d %v", form, reply.status, reply.broken)
 			}
-			if bytes := world.proxy.inbound.urgentBytes; bytes < float64(len(body)) || bytes > float64(len(body))+1000 {
-				test.Errorf("%s: %.0f bytes of %d counted", form, bytes, len(body))
+			if counted := world.proxy.inbound.urgentBytes; counted < float64(len(body)) || counted > float64(len(body))+1000 {
+				test.Errorf("%s: %.0f bytes of %d counted", form, counted, len(body))
 			}
 		})
 	}
--- a/hostproxy/target_test.go
+++ b/hostproxy/target_test.go
@@ -11,25 +11,25 @@
 	"orchidjunction/message"
 )
 
-func ownBackend() message.Backend {
+func testBackend() message.Backend {
 	return message.Backend{Name: "b1", Service: "plain", Address: "b1:80", Zone: "e1", Capacity: 4}
 }
 
-// A dead backend is left out, for longer each time, and is back after a dial.
-func TestDeadBackendIsLeftOutAndComesBack(test *testing.T) {
+// An unreachable backend is ejected, for longer each time, and recovers after a dial.
+func TestDeadBackendIsEjectedAndRecovers(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1")
 		world.addAt("b2", "plain", "w1", 8)
-		world.doors.serve("b1:80", nil)
+		world.doors.listen("b1:80", nil)
 		for range 20 {
 			reply, id := world.get("/once/a")
 			world.good(reply, id)
 		}
-		if dials := world.doors.dialled("b1:80"); dials != 1 {
-			test.Errorf("%d dials by 20 requests", dials)
+		if dials := world.doors.dialCount("b1:80"); dials != 1 {
+			test.Errorf("%d dials for 20 requests", dials)
 		}
 		world.goroutines.Sleep(20 * time.Second)
-		if dials := world.doors.dialled("b1:80"); dials < 4 || dials > 10 {
+		if dials := world.doors.dialCount("b1:80"); dials < 4 || dials > 10 {
 			test.Errorf("%d dials in 20 s", dials)
 		}
 		for range 5 {
@@ -37,111 +37,111 @@
 			world.good(reply, id)
 		}
 		if count := len(world.backends["b1"].seen()); count != 0 {
-			test.Errorf("%d requests at the dead one", count)
+			test.Errorf("%d requests at the unreachable backend", count)
 		}
-		world.doors.serve("b1:80", world.backends["b1"].accept)
+		world.doors.listen("b1:80", world.backends["b1"].accept)
 		world.goroutines.Sleep(maxEjection + 2*maintenanceInterval)
 		for range 5 {
 			reply, id := world.get("/once/a")
 			world.good(reply, id)
 		}
 		if count := len(world.backends["b1"].seen()); count != 5 {
-			test.Errorf("%d requests once it was back", count)
+			test.Errorf("%d requests after its recovery", count)
 		}
 		if world.counters.Get("backends_revived") != 1 {
-			test.Errorf("revived %d times", world.counters.Get("backends_revived"))
+			test.Errorf("backends_revived is %d", world.counters.Get("backends_revived"))
 		}
 	})
 }
 
-// With nothing else to try, one that is left out is tried all the same.
-func TestOnlyBackendIsTriedThoughLeftOut(test *testing.T) {
+// The only backend of a service is used even while ejected.
+func TestOnlyBackendIsUsedWhileEjected(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1").then(resetAfterReading, resetAfterReading)
 		world.get("/once/a")
 		world.get("/once/b")
 		if _, _, ejected := world.proxy.targets["b1"].evaluate(time.Now(), 10, 0); !ejected {
-			test.Error("not left out")
+			test.Error("not ejected")
 		}
 		reply, id := world.get("/once/c")
 		world.good(reply, id)
 		if _, _, ejected := world.proxy.targets["b1"].evaluate(time.Now(), 10, 0); ejected {
-			test.Error("still left out after a good answer")
+			test.Error("still ejected after a successful response")
 		}
 	})
 }
 
-// Spans of being left out double up to the most, and only one dial goes on.
+// Ejection times double up to maxEjection, with one probe at a time.
 func TestEjection(test *testing.T) {
-	held, now := newTarget(ownBackend()), time.Now()
-	out := func() bool { _, _, ejected := held.evaluate(now, 10, 0); return ejected }
-	held.recordFailure(now, false)
-	if out() {
-		test.Error("left out after one failure")
+	target, now := newTarget(testBackend()), time.Now()
+	isEjected := func() bool { _, _, ejected := target.evaluate(now, 10, 0); return ejected }
+	target.recordFailure(now, false)
+	if isEjected() {
+		test.Error("ejected after one failure")
 	}
-	held.recordFailure(now, false)
-	if !out() || held.ejectedUntil != now.Add(minEjection) {
-		test.Errorf("left out until %s", held.ejectedUntil)
+	target.recordFailure(now, false)
+	if !isEjected() || target.ejectedUntil != now.Add(minEjection) {
+		test.Errorf("ejected until %s", target.ejectedUntil)
 	}
-	if held.startProbe(now) {
-		test.Error("dialled at once")
+	if target.startProbe(now) {
+		test.Error("probed immediately")
 	}
-	for _, span := range []time.Duration{2 * minEjection, 4 * minEjection, maxEjection, maxEjection} {
-		now = held.ejectedUntil
-		if !held.startProbe(now) || held.startProbe(now) {
-			test.Error("not just one dial")
+	for _, duration := range []time.Duration{2 * minEjection, 4 * minEjection, maxEjection, maxEjection} {
+		now = target.ejectedUntil
+		if !target.startProbe(now) || target.startProbe(now) {
+			test.Error("not exactly one probe")
 		}
-		if held.endProbe(now, false); held.ejectedUntil != now.Add(span) {
-			test.Errorf("left out for %s", held.ejectedUntil.Sub(now))
+		if target.endProbe(now, false); target.ejectedUntil != now.Add(duration) {
+			test.Errorf("ejected for %s", target.ejectedUntil.Sub(now))
 		}
 	}
-	held.startProbe(held.ejectedUntil)
-	if held.endProbe(now, true); out() || held.failures != 0 {
-		test.Error("left out after a good dial")
+	target.startProbe(target.ejectedUntil)
+	if target.endProbe(now, true); isEjected() || target.failures != 0 {
+		test.Error("ejected after a successful probe")
 	}
-	if held.startProbe(now) {
-		test.Error("dialled though it is in")
+	if target.startProbe(now) {
+		test.Error("probed although not ejected")
 	}
-	if held.recordFailure(now, true); !out() {
-		test.Error("a dead one is not left out at once")
+	if target.recordFailure(now, true); !isEjected() {
+		test.Error("not ejected immediately after a failed dial")
 	}
-	if held.recordFailure(now, true); held.ejectedUntil != now.Add(2*minEjection) {
-		test.Errorf("left out for %s after two failures", held.ejectedUntil.Sub(now))
+	if target.recordFailure(now, true); target.ejectedUntil != now.Add(2*minEjection) {
+		test.Errorf("ejected for %s after two failures", target.ejectedUntil.Sub(now))
 	}
-	if held.recordResponse(time.Millisecond, 1, true); out() {
-		test.Error("left out after an answer")
+	if target.recordResponse(time.Millisecond, 1, true); isEjected() {
+		test.Error("ejected after a response")
 	}
 }
 
-// No more connections than the cap, and none to a target that is gone.
-func TestReserve(test *testing.T) {
-	held := newTarget(ownBackend())
+// Connections are limited, and a retired target gets none.
+func TestConnectionReservation(test *testing.T) {
+	target := newTarget(testBackend())
 	for index := range 5 {
-		if held.reserveConnection(3) != (index < 3) {
+		if target.reserveConnection(3) != (index < 3) {
 			test.Errorf("connection %d", index)
 		}
 	}
-	if held.unreserveConnection(); !held.reserveConnection(3) {
-		test.Error("a freed one is not given again")
+	if target.unreserveConnection(); !target.reserveConnection(3) {
+		test.Error("a released reservation is not available")
 	}
-	near, far := newPipes("b1")
-	held.releaseConnection(newConnection(near))
-	held.retire()
-	if held.openConnections != 2 || held.reserveConnection(3) {
-		test.Errorf("%d open", held.openConnections)
+	near, far := newPipePair("b1")
+	target.releaseConnection(newConnection(near))
+	target.retire()
+	if target.openConnections != 2 || target.reserveConnection(3) {
+		test.Errorf("%d open", target.openConnections)
 	}
 	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		test.Errorf("an idle one of a retired target: %v", err)
+		test.Errorf("idle connection of a retired target: %v", err)
 	}
-	near, _ = newPipes("b1")
-	if held.releaseConnection(newConnection(near)); held.openConnections != 1 || len(held.idle) != 0 {
-		test.Errorf("%d open, %d idle", held.openConnections, len(held.idle))
+	near, _ = newPipePair("b1")
+	if target.releaseConnection(newConnection(near)); target.openConnections != 1 || len(target.idle) != 0 {
+		test.Errorf("%d open, %d idle", target.openConnections, len(target.idle))
 	}
 }
 
-// The cap binds all requests under way together; who has no connection waits or
-// goes elsewhere, and is never sent.
-func TestConnectionCap(test *testing.T) {
+// The connection limit applies to all requests together. A request without a connection waits or
+// goes to another backend.
+func TestConnectionLimit(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.lay(func() { world.book.Config.Services[0].MaxConnections = 5 })
 		world.addAt("b1", "plain", "e1", 50).ever(after(100*time.Millisecond, well))
@@ -159,68 +159,68 @@
 			test.Errorf("%d open, %d opened", limit, world.backends["b1"].connections())
 		}
 		if capped := world.counters.Get("connections_capped"); capped > 100 {
-			test.Errorf("asked for a connection %d times in vain", capped)
+			test.Errorf("connections_capped is %d", capped)
 		}
 	})
 }
 
-// What a backend says of its load counts beside what is known here, and fades.
-func TestLoad(test *testing.T) {
-	held, now := newTarget(ownBackend()), time.Now()
-	held.startRequest()
-	for _, bad := range []string{"", "1", "1,2", "a,b,c", "-1,9,4", "9,-1,4", "1,2,3,4", "1e3,0,4"} {
-		if held.observeLoad(bad, now); held.load(now) != 1 {
-			test.Errorf("%q counts as %v", bad, held.load(now))
+// Load reported by a backend is added to this proxy's own requests, and decays.
+func TestLoadReports(test *testing.T) {
+	target, now := newTarget(testBackend()), time.Now()
+	target.startRequest()
+	for _, malformed := range []string{"", "1", "1,2", "a,b,c", "-1,9,4", "9,-1,4", "1,2,3,4", "1e3,0,4"} {
+		if target.observeLoad(malformed, now); target.load(now) != 1 {
+			test.Errorf("load %[2]v after the report %[1]q", malformed, target.load(now))
 		}
 	}
-	held.observeLoad(" 7 , 2 , 4 ", now)
-	if load := held.load(now); math.Abs(load-9) > 0.01 {
+	target.observeLoad(" 7 , 2 , 4 ", now)
+	if load := target.load(now); math.Abs(load-9) > 0.01 {
 		test.Errorf("load %v", load)
 	}
-	if _, full, _ := held.evaluate(now, 10, 0); full {
+	if _, full, _ := target.evaluate(now, 10, 0); full {
 		test.Error("full with 9 for 4 slots")
 	}
-	held.observeLoad("12,0,4", now)
-	if _, full, _ := held.evaluate(now, 10, 0); !full {
+	target.observeLoad("12,0,4", now)
+	if _, full, _ := target.evaluate(now, 10, 0); !full {
 		test.Error("not full with 12 for 4 slots")
 	}
-	if later := held.load(now.Add(10 * time.Second)); later < 1 || later > 6 {
-		test.Errorf("load %v long after", later)
+	if later := target.load(now.Add(10 * time.Second)); later < 1 || later > 6 {
+		test.Errorf("load %v after 10 s", later)
 	}
-	if held.observeLoad("0,0,4", now); held.load(now) < 1 {
-		test.Errorf("load %v below what runs", held.load(now))
+	if target.observeLoad("0,0,4", now); target.load(now) < 1 {
+		test.Errorf("load %v, less than this proxy's requests", target.load(now))
 	}
 }
 
-// Waiting, distance, slowness and failures all cost.
-func TestWeigh(test *testing.T) {
+// Load, distance, slowness and failures increase a target's cost.
+func TestCost(test *testing.T) {
 	now := time.Now()
 	cost := func(change func(*target)) float64 {
-		held := newTarget(ownBackend())
-		change(held)
-		cost, _, _ := held.evaluate(now, 100, 0)
+		target := newTarget(testBackend())
+		change(target)
+		cost, _, _ := target.evaluate(now, 100, 0)
 		return cost
 	}
-	plain := cost(func(*target) {})
-	busier := plain
+	baseline := cost(func(*target) {})
+	previous := baseline
 	for running := 1; running < 12; running++ {
-		next := cost(func(held *target) { held.running = running })
-		if next <= busier {
-			test.Errorf("%d running cost %v, one less %v", running, next, busier)
+		next := cost(func(target *target) { target.running = running })
+		if next <= previous {
+			test.Errorf("cost %[2]v with %[1]d running, %[3]v with one less", running, next, previous)
 		}
-		busier = next
+		previous = next
 	}
 	for name, change := range map[string]func(*target){
-		"slow":    func(held *target) { held.recordResponse(time.Second, 100, true) },
-		"failing": func(held *target) { held.recordResponse(time.Millisecond, 100, false) },
-		"far":     func(held *target) { held.recordDial(30 * time.Millisecond) },
-		"broken":  func(held *target) { held.recordFailure(now, false) },
+		"slow":    func(target *target) { target.recordResponse(time.Second, 100, true) },
+		"failing": func(target *target) { target.recordResponse(time.Millisecond, 100, false) },
+		"far":     func(target *target) { target.recordDial(30 * time.Millisecond) },
+		"broken":  func(target *target) { target.recordFailure(now, false) },
 	} {
-		if got := cost(change); got <= plain {
-			test.Errorf("%s costs %v, plain %v", name, got, plain)
+		if got := cost(change); got <= baseline {
+			test.Errorf("cost if %s: %v, otherwise %v", name, got, baseline)
 		}
 	}
-	if got := cost(func(held *target) { held.recordResponse(time.Millisecond, 100, true) }); got >= plain {
-		test.Errorf("fast costs %v, plain %v", got, plain)
+	if got := cost(func(target *target) { target.recordResponse(time.Millisecond, 100, true) }); got >= baseline {
+		test.Errorf("cost if fast: %v, otherwise %v", got, baseline)
 	}
 }
--- a/hostproxy/upload_test.go
+++ b/hostproxy/upload_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// skipHead reads a request's head and nothing after it; false where none comes.
-func skipHead(pipe *pipe) bool {
+// readHead reads exactly a request's head; false if the connection ends first.
+func readHead(pipe *pipe) bool {
 	var got []byte
 	for !strings.HasSuffix(string(got), "\r\n\r\n") {
 		var one [1]byte
@@ -22,53 +22,51 @@
 	return true
 }
 
-// readHeadOnly takes a request's head from a connection and none of its body, and
-// answers at once.
-func readHeadOnly(world *world, answer func(id string) string) func(*pipe) {
+// respondAfterHead reads a request's head but not its body, and responds immediately.
+func respondAfterHead(world *world, response func(id string) string) func(*pipe) {
 	return func(pipe *pipe) {
-		if !skipHead(pipe) {
+		if !readHead(pipe) {
 			return
 		}
-		_, _ = io.WriteString(pipe, answer("id")) // the proxy may have left
+		_, _ = io.WriteString(pipe, response("id")) // the proxy may have closed the connection
 		world.goroutines.Sleep(10 * time.Second)
 	}
 }
 
-// A backend that answers before it has read the body is believed at once, whether it
-// refuses or serves, and its connection is not used again: what is left of the body
-// there would be read as a request. After a success the body is still sent, until the
-// route's timeout; after anything else the connection is closed at once.
+// A response sent before the body was read is passed on immediately, and its connection is not
+// reused: the backend would read the rest of the body as a request. After a success the body is
+// still sent, until the route's timeout; otherwise the connection is closed immediately.
 func TestAnswerBeforeTheBodyWasSent(test *testing.T) {
 	body := string(letters(0, 900<<10))
-	for name, play := range map[string]struct {
-		answer  func(id string) string
-		status  int
-		reached int
-		open    int
+	for name, testCase := range map[string]struct {
+		response func(id string) string
+		status   int
+		arrivals int
+		open     int
 	}{
 		"refusal": {func(id string) string { return bare(id, "503 Service Unavailable", "Not-Executed: full\r\n", "full") }, 200, 1, 0},
 		"success": {func(id string) string { return whole(id, "200 OK", "", text(id)) }, 200, 0, 1},
-		"failure": {func(id string) string { return whole(id, "500 X", "", text(id)) }, 500, 0, 0},
-		"promise": {func(id string) string { return whole(id, "503 X", "", text(id)) }, 502, 0, 0},
+		"error":   {func(id string) string { return whole(id, "500 X", "", text(id)) }, 500, 0, 0},
+		"503":     {func(id string) string { return whole(id, "503 X", "", text(id)) }, 502, 0, 0},
 	} {
 		inWorld(test, func(world *world) {
 			begin := time.Now()
-			world.add("b1").greet(readHeadOnly(world, play.answer))
+			world.add("b1").greet(respondAfterHead(world, testCase.response))
 			world.addAt("b2", "plain", "e2", 8)
 			client := world.client()
 			defer client.pipe.Close()
 			reply := client.ask("POST", raw("POST", "/once/a", "id", "", body))
-			if reply.broken != nil || reply.status != play.status || reply.took > 100*time.Millisecond {
+			if reply.broken != nil || reply.status != testCase.status || reply.took > 100*time.Millisecond {
 				test.Errorf("%s: %d %q %v after %s", name, reply.status, reply.body, reply.broken, reply.took)
 			}
-			if count := len(world.backends["b2"].seen()); count != play.reached {
-				test.Errorf("%s: %d arrivals at the other", name, count)
+			if count := len(world.backends["b2"].seen()); count != testCase.arrivals {
+				test.Errorf("%s: %d arrivals at the other backend", name, count)
 			}
-			if open, _ := world.held("b1"); open != play.open {
+			if open, _ := world.held("b1"); open != testCase.open {
 				test.Errorf("%s: %d connections open", name, open)
 			}
 			if target := world.proxy.targets["b1"]; len(target.idle) != 0 {
-				test.Errorf("%s: %d connections kept", name, len(target.idle))
+				test.Errorf("%s: %d idle connections", name, len(target.idle))
 			}
 			world.goroutines.Sleep(2*time.Second + 2*deadlineSlack - time.Since(begin))
 			if open, _ := world.held("b1"); open != 0 {
@@ -78,50 +76,50 @@
 	}
 }
 
-// earlyReader is a backend that answers when it has read a request's head, and reads the body
-// afterwards, with rests; it keeps what comes until the end of the connection.
-type earlyReader struct {
-	world  *world
-	answer func(id string) string
-	rest   time.Duration
+// earlyResponder is a backend that responds after a request's head, and then reads and records
+// the rest of the connection at intervals.
+type earlyResponder struct {
+	world        *world
+	response     func(id string) string
+	readInterval time.Duration
 
 	mutex sync.Mutex
 	body  []byte
 	ended bool
 }
 
-// got is what came of the body, and whether the connection has ended.
-func (reader *earlyReader) got() (string, bool) {
-	reader.mutex.Lock()
-	defer reader.mutex.Unlock()
-	return string(reader.body), reader.ended
+// received returns the bytes after the head, and whether the connection has ended.
+func (responder *earlyResponder) received() (string, bool) {
+	responder.mutex.Lock()
+	defer responder.mutex.Unlock()
+	return string(responder.body), responder.ended
 }
 
-func (reader *earlyReader) take(part []byte, ended bool) {
-	reader.mutex.Lock()
-	reader.body, reader.ended = append(reader.body, part...), ended
-	reader.mutex.Unlock()
+func (responder *earlyResponder) record(part []byte, ended bool) {
+	responder.mutex.Lock()
+	responder.body, responder.ended = append(responder.body, part...), ended
+	responder.mutex.Unlock()
 }
 
-func (reader *earlyReader) serve(pipe *pipe) {
-	if !skipHead(pipe) {
+func (responder *earlyResponder) serve(pipe *pipe) {
+	if !readHead(pipe) {
 		return
 	}
-	_, _ = io.WriteString(pipe, reader.answer("id")) // the proxy may have left
+	_, _ = io.WriteString(pipe, responder.response("id")) // the proxy may have closed the connection
 	part := make([]byte, 64<<10)
 	for {
-		reader.world.goroutines.Sleep(reader.rest)
+		responder.world.goroutines.Sleep(responder.readInterval)
 		count, err := pipe.Read(part)
-		reader.take(part[:count], err != nil)
+		responder.record(part[:count], err != nil)
 		if err != nil {
 			return
 		}
 	}
 }
 
-// A backend that answers a post with success before it has read the body, and reads on, must
-// get the whole body, and nothing else: the client was told that its data was taken.
-func TestBodyArrivesWholeAfterAnEarlySuccess(test *testing.T) {
+// A backend that responds with success before it has read the body must still get exactly the
+// whole body: the client was told that its data was accepted.
+func TestBodyIsSentAfterEarlySuccess(test *testing.T) {
 	body := string(letters(0, 900<<10))
 	success := func(fields string) func(string) string {
 		return func(id string) string { return whole(id, "200 OK", fields, text(id)) }
@@ -131,40 +129,40 @@
 	chunks := "Transfer-Encoding: chunked\r\n\r\n" + strconv.FormatInt(int64(len(body)), 16) + "\r\n" + body + "\r\n0\r\n\r\n"
 	head := "POST /once/a HTTP/1.1\r\nHost: host.example\r\nAttempt: id\r\nDeadline: 1500\r\n"
 	plain := raw("POST", "/once/a", "id", "", body)
-	for name, play := range map[string]struct {
-		request string
-		answer  func(id string) string
-		rest    time.Duration
-		leaves  bool
+	for name, testCase := range map[string]struct {
+		request      string
+		response     func(id string) string
+		readInterval time.Duration
+		cancels      bool
 	}{
-		"kept":           {plain, success(""), 0, false},
-		"closing":        {plain, success("Connection: close\r\n"), 0, false},
-		"surplus answer": {plain, surplus, 0, false},
+		"keep-alive":     {plain, success(""), 0, false},
+		"close":          {plain, success("Connection: close\r\n"), 0, false},
+		"two responses":  {plain, surplus, 0, false},
 		"no content":     {plain, func(id string) string { return "HTTP/1.1 204 No Content\r\nAttempt: id\r\nSeal: s-id\r\n\r\n" }, 0, false},
-		"large answer":   {plain, func(id string) string { return whole(id, "200 OK", "", large) }, 10 * time.Millisecond, false},
-		"sent in chunks": {head + chunks, success(""), 0, false},
+		"large response": {plain, func(id string) string { return whole(id, "200 OK", "", large) }, 10 * time.Millisecond, false},
+		"chunked":        {head + chunks, success(""), 0, false},
 		"expect":         {raw("POST", "/once/a", "id", "Expect: 100-continue\r\n", body), success(""), 0, false},
 		"back pressure":  {plain, success(""), 100 * time.Millisecond, false},
-		"client leaves":  {plain, success(""), 100 * time.Millisecond, true},
+		"client cancels": {plain, success(""), 100 * time.Millisecond, true},
 	} {
 		inWorld(test, func(world *world) {
-			reader := &earlyReader{world: world, answer: play.answer, rest: play.rest}
-			world.add("b1").greet(reader.serve)
+			responder := &earlyResponder{world: world, response: testCase.response, readInterval: testCase.readInterval}
+			world.add("b1").greet(responder.serve)
 			client := world.client()
 			defer client.pipe.Close()
-			reply := client.ask("POST", play.request)
+			reply := client.ask("POST", testCase.request)
 			for reply.status == 100 {
 				reply = client.ask("POST", "")
 			}
 			if reply.broken != nil || reply.status/100 != 2 || reply.took > 200*time.Millisecond {
 				test.Errorf("%s: %d %v after %s", name, reply.status, reply.broken, reply.took)
 			}
-			if play.leaves {
+			if testCase.cancels {
 				client.pipe.Close()
 			}
 			world.goroutines.Sleep(1900 * time.Millisecond)
-			if got, ended := reader.got(); got != body || !ended {
-				test.Errorf("%s: %d of %d bytes came, connection ended: %v", name, len(got), len(body), ended)
+			if got, ended := responder.received(); got != body || !ended {
+				test.Errorf("%s: %d of %d bytes received, connection ended: %v", name, len(got), len(body), ended)
 			}
 			if open, _ := world.held("b1"); open != 0 {
 				test.Errorf("%s: %d connections open", name, open)
@@ -173,18 +171,18 @@
 	}
 }
 
-// A proxy that stops waits for bodies that are still sent after an early success, and cuts
-// them only when its own time is over.
+// A stopping proxy finishes bodies still being sent after an early success, and aborts them
+// after its time limit.
 func TestStoppingProxyFinishesUploads(test *testing.T) {
 	body := string(letters(0, 900<<10))
-	for limit, want := range map[time.Duration]bool{1500 * time.Millisecond: true, 200 * time.Millisecond: false} {
+	for limit, complete := range map[time.Duration]bool{1500 * time.Millisecond: true, 200 * time.Millisecond: false} {
 		inWorld(test, func(world *world) {
-			reader := &earlyReader{
-				world:  world,
-				answer: func(id string) string { return whole(id, "200 OK", "", text(id)) },
-				rest:   50 * time.Millisecond,
+			responder := &earlyResponder{
+				world:        world,
+				response:     func(id string) string { return whole(id, "200 OK", "", text(id)) },
+				readInterval: 50 * time.Millisecond,
 			}
-			world.add("b1").greet(reader.serve)
+			world.add("b1").greet(responder.serve)
 			client := world.client()
 			defer client.pipe.Close()
 			world.good(client.ask("POST", raw("POST", "/once/a", "id", "", body)), "id")
@@ -192,16 +190,16 @@
 			world.proxy.Leave()
 			world.proxy.FinishUploads(limit)
 			if took := time.Since(begin); took > limit {
-				test.Errorf("stopped after %s, %s allowed", took, limit)
+				test.Errorf("stopped after %s, limit %s", took, limit)
 			}
-			if got, _ := reader.got(); (got == body) != want {
-				test.Errorf("%d of %d bytes within %s", len(got), len(body), limit)
+			if got, _ := responder.received(); (got == body) != complete {
+				test.Errorf("%d of %d bytes received within %s", len(got), len(body), limit)
 			}
 		})
 	}
 }
 
-// A body that a backend reads slowly arrives whole, and the connection is kept.
+// A body that a backend reads late arrives complete, and the connection is reused.
 func TestSlowlyReadBody(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1").greet(func(*pipe) { world.goroutines.Sleep(300 * time.Millisecond) })
@@ -213,13 +211,13 @@
 			test.Errorf("%d bytes arrived", len(got))
 		}
 		if open, _ := world.held("b1"); open != 1 {
-			test.Errorf("%d connections kept", open)
+			test.Errorf("%d connections open", open)
 		}
 	})
 }
 
-// A backend that takes no more of a body and says nothing may have run it.
-func TestStalledBodyMayHaveRun(test *testing.T) {
+// A backend that stops reading a body may have executed the request, so it is not retried.
+func TestStalledBodyMayHaveExecuted(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1").greet(func(*pipe) { world.goroutines.Sleep(10 * time.Second) })
 		world.addAt("b2", "plain", "e2", 8)
--- a/hostproxy/usage_meter_test.go
+++ b/hostproxy/usage_meter_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Counts fall into the window in which the request began, and old windows go.
+// Requests count in the window in which they began, and old windows are dropped.
 func TestMeterWindows(test *testing.T) {
 	now := int64(50_000)
 	meter := newUsageMeter(5*time.Second, func() int64 { return now })
@@ -33,33 +33,33 @@
 	meter.count("c", 0)
 	for _, window := range meter.Windows() {
 		if window.Window <= 17-retainedWindows || window.Tenants["b"] == 99 {
-			test.Errorf("window %d is kept: %v", window.Window, window.Tenants)
+			test.Errorf("window %d is retained: %v", window.Window, window.Tenants)
 		}
 	}
-	none := newUsageMeter(0, func() int64 { return now })
-	none.count("a", 0)
-	if len(none.Windows()) != 0 {
-		test.Error("counted without windows")
+	disabled := newUsageMeter(0, func() int64 { return now })
+	disabled.count("a", 0)
+	if len(disabled.Windows()) != 0 {
+		test.Error("counted with a window length of 0")
 	}
 }
 
-// What may have run counts, what was refused or never sent does not.
+// Requests that may have been executed count; refused and unsent ones do not.
 func TestMeteredAttempts(test *testing.T) {
-	for name, play := range map[string]struct {
-		does act
-		want uint64
+	for name, testCase := range map[string]struct {
+		behave act
+		want   uint64
 	}{
-		"well": {well, 1}, "shed": {shed, 0}, "misdirected": {misdirected, 0}, "reset": {resetAfterReading, 1}, "silence": {silent, 1}, "own 500": {status("500 Internal Server Error"), 1},
-		"streamed": {large(2*maxBufferedBodyBytes, 2*maxBufferedBodyBytes, false), 1}, "cut": {half, 1},
+		"success": {well, 1}, "shed": {shed, 0}, "misdirected": {misdirected, 0}, "reset": {resetAfterReading, 1}, "no response": {silent, 1}, "backend error": {status("500 Internal Server Error"), 1},
+		"streamed": {large(2*maxBufferedBodyBytes, 2*maxBufferedBodyBytes, false), 1}, "truncated": {half, 1},
 	} {
 		inWorld(test, func(world *world) {
-			world.add("b1").ever(play.does)
-			world.keyed()
+			world.add("b1").ever(testCase.behave)
+			world.requireKeys()
 			client := world.client()
 			defer client.pipe.Close()
-			for _, ask := range []struct{ path, key string }{{"/once/a", "k1"}, {"/once/a", "k9"}, {"/none/a", "k1"}, {"/open/a", "k9"}} {
+			for _, sent := range []struct{ path, key string }{{"/once/a", "k1"}, {"/once/a", "k9"}, {"/none/a", "k1"}, {"/open/a", "k9"}} {
 				client := world.client()
-				client.ask("GET", raw("GET", ask.path, world.id(), "Authorization: Key "+ask.key+"\r\n", ""))
+				client.ask("GET", raw("GET", sent.path, world.id(), "Authorization: Key "+sent.key+"\r\n", ""))
 				client.pipe.Close()
 			}
 			total := uint64(0)
@@ -69,7 +69,7 @@
 					test.Errorf("%s: %v", name, window.Tenants)
 				}
 			}
-			if total != play.want {
+			if total != testCase.want {
 				test.Errorf("%s: counted %d", name, total)
 			}
 		})
@@ -77,24 +77,24 @@
 }
 
 // A request counts in the window in which it began, however long it takes.
-func TestLongRequestCountsWhereItBegan(test *testing.T) {
+func TestRequestCountsInWindowOfItsStart(test *testing.T) {
 	inWorld(test, func(world *world) {
 		world.add("b1").ever(after(800*time.Millisecond, well))
-		world.keyed()
+		world.requireKeys()
 		world.goroutines.Sleep(5*time.Second - time.Duration(time.Now().UnixMilli()%5000)*time.Millisecond - 400*time.Millisecond)
 		number := time.Now().UnixMilli() / 5000
 		client := world.client()
 		defer client.pipe.Close()
 		client.ask("GET", raw("GET", "/once/a", "id", "Authorization: Key k1\r\n", ""))
 		if all := world.proxy.Windows(); len(all) != 1 || all[0].Window != number {
-			test.Errorf("%v, not in %d", all, number)
+			test.Errorf("%v, want window %d", all, number)
 		}
 	})
 }
 
-// A request that waits for its answer counts soon after it was sent; one refused
-// late stands for the tenant's next.
-func TestMeterCountsWhatIsUnderWay(test *testing.T) {
+// A request without a response yet counts assumedStartedMs after it was sent; if it is refused
+// later, the tenant's next one is not counted.
+func TestMeterCountsRequestsInFlight(test *testing.T) {
 	now := int64(50_000)
 	meter := newUsageMeter(5*time.Second, func() int64 { return now })
 	total := func() uint64 {
@@ -126,6 +126,6 @@
 		}
 	}
 	if len(meter.running) != 0 {
-		test.Errorf("%d still run", len(meter.running))
+		test.Errorf("%d requests still running", len(meter.running))
 	}
 }
--- a/hostproxy/wait_queues_test.go
+++ b/hostproxy/wait_queues_test.go
@@ -2,31 +2,31 @@
 
 import "testing"
 
-func TestLines(test *testing.T) {
+func TestWaitQueues(test *testing.T) {
 	queues := waitQueues{}
 	high, low, other := waitQueue{"plain", 0}, waitQueue{"plain", 1}, waitQueue{"other", 1}
 	for range maxQueuedRequests {
 		if !queues.enter(low) {
-			test.Fatal("no place")
+			test.Fatal("queue is full early")
 		}
 	}
 	if queues.enter(high) || !queues.anyWaiting() {
-		test.Error("a place too many")
+		test.Error("a request beyond the limit was accepted")
 	}
 	if queues.leave(low); !queues.enter(high) || queues.counts[high] != 1 || queues.counts[low] != maxQueuedRequests-1 {
 		test.Errorf("%v", queues.counts)
 	}
 	if !queues.hasHigherPriority(low) || queues.hasHigherPriority(high) || queues.hasHigherPriority(other) {
-		test.Error("outranked otherwise than by a higher priority at the same service")
+		test.Error("only a higher priority of the same service counts")
 	}
 	queues.leave(high)
 	if queues.hasHigherPriority(low) {
-		test.Error("outranked by one that has left")
+		test.Error("a request that has left still counts")
 	}
 	for range maxQueuedRequests - 1 {
 		queues.leave(low)
 	}
 	if queues.anyWaiting() {
-		test.Error("somebody waits")
+		test.Error("empty queues report a waiting request")
 	}
 }
--- a/hostproxy/world_test.go
+++ b/hostproxy/world_test.go
@@ -26,7 +26,7 @@
 	test       *testing.T
 	goroutines *concurrent.Group
 	counters   *metrics.Counters
-	doors      *doors
+	doors      *fakeNetwork
 	proxy      *Proxy
 	server     *process.Listener
 	listener   *listener
@@ -113,7 +113,7 @@
 		test:       test,
 		goroutines: concurrent.NewGroup(),
 		counters:   metrics.NewCounters(),
-		doors:      newDoors(),
+		doors:      newFakeNetwork(),
 		listener:   newListener(),
 		backends:   map[string]*backend{},
 		book: &routing.State{
@@ -165,7 +165,7 @@
 func (world *world) addAt(name, service, zone string, slots int) *backend {
 	added := newBackend(name, name+":80", world.goroutines)
 	world.backends[name] = added
-	world.doors.serve(added.address, added.accept)
+	world.doors.listen(added.address, added.accept)
 	world.lay(func() {
 		world.table.Backends = append(
 			world.table.Backends,
@@ -211,8 +211,8 @@
 }
 
 func (world *world) client() *client {
-	near, far := newPipes("front")
-	world.listener.put(far)
+	near, far := newPipePair("front")
+	world.listener.enqueue(far)
 	return &client{pipe: near, reader: bufio.NewReader(near)}
 }
 
