--- a/hostproxy/added_latency_test.go
+++ b/hostproxy/added_latency_test.go
@@ -53,7 +53,7 @@
 	proxy.Apply(&routing.State{Config: testRoutingConfig()}, &message.Table{
 		Version:  leaderVersion,
 		Complete: true,
-		Members:  members([]string{"p1"}, []string{"e1"}),
+		Members:  proxyMembers([]string{"p1"}, []string{"e1"}),
 		Backends: []message.Backend{{Name: "b1", Service: "plain", Address: backend, Zone: "e1", Capacity: 10_000}},
 	}, nil)
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
--- a/hostproxy/attempt_test.go
+++ b/hostproxy/attempt_test.go
@@ -229,9 +229,9 @@
 // retry budget.
 func TestUnsentRequestIsRetriedWithoutBudget(test *testing.T) {
 	for name, breakBackend := range map[string]func(*testEnv){
-		"refused dial":    func(env *testEnv) { env.network.serve("b1:80", nil) },
-		"silent dial":     func(env *testEnv) { env.network.silence("b1:80", true) },
-		"immediate reset": func(env *testEnv) { env.network.serve("b1:80", func(pipe *pipe) { pipe.reset() }) },
+		"refused dial":    func(env *testEnv) { env.network.listen("b1:80", nil) },
+		"silent dial":     func(env *testEnv) { env.network.setUnresponsive("b1:80", true) },
+		"immediate reset": func(env *testEnv) { env.network.listen("b1:80", func(pipe *pipe) { pipe.reset() }) },
 		"no connections":  func(env *testEnv) { env.proxy.targets["b1"].openConnections = 1000 },
 	} {
 		for _, path := range []string{"/once/a", "/again/a"} {
@@ -247,7 +247,7 @@
 						test.Error("b1 received the request")
 					}
 					env.proxy.targets["b1"].openConnections = 0
-					env.network.silence("b1:80", false)
+					env.network.setUnresponsive("b1:80", false)
 				})
 			})
 		}
--- a/hostproxy/budget_test.go
+++ b/hostproxy/budget_test.go
@@ -152,14 +152,14 @@
 
 // The version of the proxy's table tells whether there has been a leader.
 func TestBudgetShareFromTable(test *testing.T) {
-	proxy := many([]string{"p1"}, []string{"e1"})[0]
+	proxy := newProxies([]string{"p1"}, []string{"e1"})[0]
 	proxy.config.RetryRatio, proxy.config.RetryExtra = 0.2, 60
 	for _, round := range []uint64{0, 1} {
 		proxy.Apply(
 			&routing.State{Config: testRoutingConfig()},
 			&message.Table{
 				Version: message.TableVersion{Term: message.Term{Number: round}, Number: 1},
-				Members: members([]string{"p1"}, []string{"e1"}),
+				Members: proxyMembers([]string{"p1"}, []string{"e1"}),
 			},
 			nil,
 		)
--- a/hostproxy/choose_test.go
+++ b/hostproxy/choose_test.go
@@ -12,13 +12,13 @@
 // The nearest backends are chosen until they are busy; then requests overflow to the next nearest.
 func TestNearestBackendsFirstThenOverflow(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		proxies, table := placed()
+		proxies, table := proxyAndTable()
 		proxies[0].Apply(&routing.State{Config: testRoutingConfig()}, table, nil)
-		if candidate, _ := proxies[0].pick(nil, nil); candidate.target.backend.Name != "near" {
+		if candidate, _ := proxies[0].choosePlain(nil, nil); candidate.target.backend.Name != "near" {
 			test.Errorf("chose %s, want near", candidate.target.backend.Name)
 		}
 		for range 30 {
-			proxies[0].pick(nil, nil)
+			proxies[0].choosePlain(nil, nil)
 		}
 		for name, target := range proxies[0].targets {
 			if zone := target.backend.Zone; target.backend.Service == "plain" && (target.running == 0 || target.running > 12) {
@@ -26,9 +26,9 @@
 			}
 		}
 		for range 100 {
-			proxies[0].pick(nil, nil)
+			proxies[0].choosePlain(nil, nil)
 		}
-		if _, result := proxies[0].pick(nil, nil); result != allFull {
+		if _, result := proxies[0].choosePlain(nil, nil); result != allFull {
 			test.Errorf("result %d with all backends full", result)
 		}
 		for name, target := range proxies[0].targets {
@@ -45,19 +45,19 @@
 // Equal backends get about equal shares.
 func TestEqualBackendsShareEvenly(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		proxy := many([]string{"p1"}, []string{"e1"})[0]
+		proxy := newProxies([]string{"p1"}, []string{"e1"})[0]
 		backends := []message.Backend{}
 		for _, name := range []string{"a", "b", "c", "d"} {
 			backends = append(backends, message.Backend{Name: name, Service: "plain", Zone: "e1", Capacity: 4})
 		}
 		proxy.Apply(
 			&routing.State{Config: testRoutingConfig()},
-			&message.Table{Version: leaderVersion, Members: members([]string{"p1"}, []string{"e1"}), Backends: backends},
+			&message.Table{Version: leaderVersion, Members: proxyMembers([]string{"p1"}, []string{"e1"}), Backends: backends},
 			nil,
 		)
 		counts := map[string]int{}
 		for range 400 {
-			candidate, _ := proxy.pick(nil, nil)
+			candidate, _ := proxy.choosePlain(nil, nil)
 			counts[candidate.target.backend.Name]++
 			candidate.target.endRequest()
 		}
@@ -72,13 +72,13 @@
 // An ejected backend gets no overflow from full ones.
 func TestOverflowSkipsEjectedBackends(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		proxies, table := placed()
+		proxies, table := proxyAndTable()
 		proxies[0].Apply(&routing.State{Config: testRoutingConfig()}, table, nil)
 		proxies[0].targets["far"].recordFailure(time.Now(), true)
 		for range 36 {
-			proxies[0].pick(nil, nil)
+			proxies[0].choosePlain(nil, nil)
 		}
-		if candidate, result := proxies[0].pick(nil, nil); result != allFull {
+		if candidate, result := proxies[0].choosePlain(nil, nil); result != allFull {
 			test.Errorf("result %d, candidate %v, want allFull", result, candidate)
 		}
 	})
@@ -88,26 +88,26 @@
 // ejected and none was tried.
 func TestTriedBackendsAreNotChosenAgain(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
-		proxies, table := placed()
+		proxies, table := proxyAndTable()
 		proxies[0].Apply(&routing.State{Config: testRoutingConfig()}, table, nil)
 		tried := []*target{}
 		for range 4 {
-			candidate, result := proxies[0].pick(nil, nil, tried...)
+			candidate, result := proxies[0].choosePlain(nil, nil, tried...)
 			if result != chosen {
 				test.Fatalf("result %d, want a choice", result)
 			}
 			tried = append(tried, candidate.target)
 		}
-		if _, result := proxies[0].pick(nil, nil, tried...); result != noneAvailable {
+		if _, result := proxies[0].choosePlain(nil, nil, tried...); result != noneAvailable {
 			test.Errorf("result %d with all tried", result)
 		}
 		for _, target := range tried {
 			target.recordFailure(time.Now(), true)
 		}
-		if _, result := proxies[0].pick(nil, nil, tried[0]); result != noneAvailable {
+		if _, result := proxies[0].choosePlain(nil, nil, tried[0]); result != noneAvailable {
 			test.Errorf("result %d with the others ejected", result)
 		}
-		if _, result := proxies[0].pick(nil, nil); result != chosen {
+		if _, result := proxies[0].choosePlain(nil, nil); result != chosen {
 			test.Errorf("result %d with all ejected", result)
 		}
 	})
@@ -118,10 +118,10 @@
 func TestNoBackendInHomeRegions(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1").handleByDefault(succeed)
-		if _, result := env.proxy.pick(nil, []string{"nowhere"}); result != noneInHomeRegions {
+		if _, result := env.proxy.choosePlain(nil, []string{"nowhere"}); result != noneInHomeRegions {
 			test.Errorf("result %d with the route's homes", result)
 		}
-		if _, result := env.proxy.pick(&routing.Tenant{Name: "t", Homes: []string{"nowhere"}}, nil); result != noneInHomeRegions {
+		if _, result := env.proxy.choosePlain(&routing.Tenant{Name: "t", Homes: []string{"nowhere"}}, nil); result != noneInHomeRegions {
 			test.Errorf("result %d with the tenant's homes", result)
 		}
 	})
--- a/hostproxy/connection_test.go
+++ b/hostproxy/connection_test.go
@@ -68,7 +68,7 @@
 
 // takeIdle returns only reusable connections; others are closed and no longer counted.
 func TestTakeIdleDiscardsUnusableConnections(test *testing.T) {
-	target := newTarget(ownBackend())
+	target := newTarget(testBackend())
 	for range 3 {
 		target.reserveConnection(3)
 	}
--- a/hostproxy/framing_test.go
+++ b/hostproxy/framing_test.go
@@ -29,7 +29,7 @@
 func TestConnectionFieldCannotRemoveEssentialFields(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1")
-		env.keyed()
+		env.requireKeys()
 		client := env.client()
 		defer client.conn.Close()
 		fields := "Authorization: Key k1\r\nConnection: Attempt, host, Content-Length, Tenant, Target, Deadline\r\n"
@@ -142,7 +142,7 @@
 		})
 		for number := range 10 {
 			env.addBackendAt(fmt.Sprint("w", number), "plain", "w1", 8)
-			env.network.serve(fmt.Sprint("w", number, ":80"), nil)
+			env.network.listen(fmt.Sprint("w", number, ":80"), nil)
 		}
 		reply, _ := env.get("/again/a")
 		if len(env.receivedRequests()) != 1 || isNotExecutedStatus(reply.status) || reply.status < 500 {
--- a/hostproxy/request_metrics_test.go
+++ b/hostproxy/request_metrics_test.go
@@ -50,7 +50,7 @@
 		}
 	})
 	withTestEnv(test, func(env *testEnv) {
-		env.fill(3, time.Second)
+		env.fillBackend(3, time.Second)
 		if reply, _ := env.get("/once/a"); reply.status != 503 {
 			test.Fatal(reply.status)
 		}
--- a/hostproxy/testenv_test.go
+++ b/hostproxy/testenv_test.go
@@ -25,7 +25,7 @@
 	test       *testing.T
 	goroutines *concurrent.Group
 	counters   *metrics.Counters
-	network    *doors
+	network    *fakeNetwork
 	proxy      *Proxy
 	server     *process.Listener
 	listener   *listener
@@ -112,7 +112,7 @@
 		test:       test,
 		goroutines: concurrent.NewGroup(),
 		counters:   metrics.NewCounters(),
-		network:    newDoors(),
+		network:    newFakeNetwork(),
 		listener:   newListener(),
 		backends:   map[string]*fakeBackend{},
 		state: &routing.State{
@@ -164,7 +164,7 @@
 func (env *testEnv) addBackendAt(name, service, zone string, capacity int) *fakeBackend {
 	added := newFakeBackend(name, name+":80", env.goroutines)
 	env.backends[name] = added
-	env.network.serve(added.address, added.accept)
+	env.network.listen(added.address, added.accept)
 	env.update(func() {
 		env.table.Backends = append(
 			env.table.Backends,
@@ -210,8 +210,8 @@
 }
 
 func (env *testEnv) client() *client {
-	near, far := newPipes("front")
-	env.listener.put(far)
+	near, far := newPipePair("front")
+	env.listener.enqueue(far)
 	return &client{conn: near, reader: bufio.NewReader(near)}
 }
 
--- a/hostproxy/offer_test.go
+++ b/hostproxy/withdrawn_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// withdrawals are the ways in which a backend stops being a candidate.
+// withdrawals are the ways a backend stops being a candidate.
 var withdrawals = map[string]func(env *testEnv, name string){
 	"leaves": func(env *testEnv, name string) {
 		for index := range env.table.Backends {
@@ -14,7 +14,7 @@
 			}
 		}
 	},
-	"is unlisted": func(env *testEnv, name string) {
+	"is removed": func(env *testEnv, name string) {
 		kept := env.table.Backends[:0]
 		for _, backend := range env.table.Backends {
 			if backend.Name != name {
@@ -32,8 +32,8 @@
 	},
 }
 
-// begin asks in the background; what it returns waits for the reply.
-func (env *testEnv) begin(path string) (wait func() (reply, string)) {
+// startGet sends a GET in the background; wait returns the reply and the request's ID.
+func (env *testEnv) startGet(path string) (wait func() (reply, string)) {
 	type result struct {
 		reply reply
 		id    string
@@ -49,19 +49,19 @@
 	}
 }
 
-// A request that had chosen its backend before the list showed that it leaves, and whose dial
-// came through after that, was sent there all the same (DRAIN, issue 33).
+// Guards against a request sent to a backend that was withdrawn while its connection was being
+// dialled (DRAIN, issue 33).
 func TestWithdrawnWhileDialling(test *testing.T) {
 	for name, withdraw := range withdrawals {
 		test.Run(name, func(test *testing.T) {
 			withTestEnv(test, func(env *testEnv) {
 				env.addBackend("b1")
 				env.addBackendAt("b2", "plain", "w1", 8)
-				env.network.silence("b1:80", true)
-				wait := env.begin("/once/a")
+				env.network.setUnresponsive("b1:80", true)
+				wait := env.startGet("/once/a")
 				env.goroutines.Sleep(100 * time.Millisecond)
 				env.update(func() { withdraw(env, "b1") })
-				env.network.unsilence("b1:80")
+				env.network.resume("b1:80")
 				reply, id := wait()
 				env.expectSuccess(reply, id)
 				if reply.elapsed > 110*time.Millisecond {
@@ -78,16 +78,16 @@
 	}
 }
 
-// A dial to a backend that leaves held its request until the dial's own time was over, and
-// counted as the backend's failure.
+// Guards against a dial to a withdrawn backend that delays its request until the dial timeout,
+// and counts as a failure of the backend.
 func TestWithdrawalEndsDial(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1")
 		env.addBackendAt("b2", "plain", "w1", 8)
-		env.network.silence("b1:80", true)
-		wait := env.begin("/once/a")
+		env.network.setUnresponsive("b1:80", true)
+		wait := env.startGet("/once/a")
 		env.goroutines.Sleep(100 * time.Millisecond)
-		held := env.proxy.targets["b1"]
+		target := env.proxy.targets["b1"]
 		env.update(func() { withdrawals["leaves"](env, "b1") })
 		reply, id := wait()
 		env.expectSuccess(reply, id)
@@ -95,28 +95,28 @@
 			test.Errorf("took %s", reply.elapsed)
 		}
 		if open, running := env.targetLoad("b1"); open != 0 || running != 0 {
-			test.Errorf("%d connections and %d requests are left there", open, running)
+			test.Errorf("%d connections and %d requests remain there", open, running)
 		}
-		if held.failures != 0 || env.counters.Get("connections_failed") != 0 {
+		if target.failures != 0 || env.counters.Get("connections_failed") != 0 {
 			test.Error("counted as the backend's failure")
 		}
 	})
 }
 
-// A retry whose backend is withdrawn before it was sent goes to the next one with the budget
-// and the attempt that it has: the service's budget holds one retry here, the route three
-// attempts, and the third backend answers in the third.
+// A retry whose backend is withdrawn before it was sent goes to the next backend without using
+// more of the budget or another attempt. Here the service's budget allows one retry, the route
+// three attempts, and the third backend responds to the third.
 func TestWithdrawnRetryKeepsItsBudget(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1").handleNext(resetAfterReading)
 		env.addBackendAt("b2", "plain", "e2", 8)
 		env.addBackendAt("b3", "plain", "w1", 8)
-		env.network.silence("b2:80", true)
+		env.network.setUnresponsive("b2:80", true)
 		env.proxy.budgets["plain"].tokens = 1
-		wait := env.begin("/again/a")
+		wait := env.startGet("/again/a")
 		env.goroutines.Sleep(100 * time.Millisecond)
 		env.update(func() { withdrawals["leaves"](env, "b2") })
-		env.network.unsilence("b2:80")
+		env.network.resume("b2:80")
 		reply, id := wait()
 		env.expectSuccess(reply, id)
 		if count := len(env.backends["b2"].requests()); count != 0 {
@@ -127,30 +127,30 @@
 		}
 		for _, name := range []string{"b1", "b2", "b3"} {
 			if _, running := env.targetLoad(name); running != 0 {
-				test.Errorf("%d requests are left at %s", running, name)
+				test.Errorf("%d requests remain at %s", running, name)
 			}
 		}
 	})
 }
 
-// A backend that is offered again gets requests again, also those that were taken back.
-func TestOfferedAgain(test *testing.T) {
+// A backend that becomes a candidate again gets requests, including those taken back from it.
+func TestWithdrawalUndone(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		env.addBackend("b1")
 		env.addBackendAt("b2", "plain", "w1", 8)
-		env.network.silence("b1:80", true)
-		wait := env.begin("/once/a")
+		env.network.setUnresponsive("b1:80", true)
+		wait := env.startGet("/once/a")
 		env.goroutines.Sleep(100 * time.Millisecond)
 		env.update(func() { env.table.Backends[0].Leaving = true })
 		env.update(func() { env.table.Backends[0].Leaving = false })
-		env.network.unsilence("b1:80")
+		env.network.resume("b1:80")
 		reply, id := wait()
 		env.expectSuccess(reply, id)
 		before := len(env.backends["b1"].requests())
 		reply, id = env.get("/once/b")
 		env.expectSuccess(reply, id)
 		if len(env.backends["b1"].requests()) != before+1 {
-			test.Error("no request at the backend that is offered again")
+			test.Error("no request at the backend that is a candidate again")
 		}
 		if sent := env.counters.Get("attempts_sent_withdrawn"); sent != 0 {
 			test.Errorf("%d attempts counted as sent to a withdrawn backend", sent)
