--- a/directory/directory.go
+++ b/directory/directory.go
@@ -84,25 +84,25 @@
 // leaving. Proxies lent by the other partner are used only while the own ones are
 // too few or nearly full.
 func NewView(routes *serviceproxy.Routes, members []message.Member) *View {
-	next, demand := &View{routes: routes}, 0.0
-	for _, known := range members {
-		if known.Kind != message.ProxyKind || !known.Ready || known.Leaving {
+	view, demand := &View{routes: routes}, 0.0
+	for _, member := range members {
+		if member.Kind != message.ProxyKind || !member.Ready || member.Leaving {
 			continue
 		}
-		if known.Guest {
-			next.guests = append(next.guests, known)
+		if member.Guest {
+			view.guests = append(view.guests, member)
 			continue
 		}
-		next.proxies = append(next.proxies, known)
-		demand += known.Demand
+		view.proxies = append(view.proxies, member)
+		demand += member.Demand
 	}
 	settings := routes.Settings()
-	short := len(next.proxies) < *settings.Rule.Proxies
-	full := settings.ProxyRps > 0 && demand > fullLoad*float64(settings.ProxyRps*len(next.proxies))
+	short := len(view.proxies) < *settings.Rule.Proxies
+	full := settings.ProxyRps > 0 && demand > fullLoad*float64(settings.ProxyRps*len(view.proxies))
 	if !short && !full {
-		next.guests = nil
+		view.guests = nil
 	}
-	return next
+	return view
 }
 
 // ServeHTTP answers GET /v1/place with a Placement for the tenant of the bearer
@@ -111,7 +111,7 @@
 	if _, leaving := directory.daemon.StopsIn(); leaving {
 		writer.Header().Set("Connection", "close")
 	}
-	placement, err := directory.answer(request)
+	placement, err := directory.place(request)
 	if err != nil {
 		directory.counters.Add("places_"+string(rpc.CodeOf(err)), 1)
 		agent.WriteError(writer, err)
@@ -121,7 +121,7 @@
 	agent.WriteJSON(writer, http.StatusOK, placement)
 }
 
-func (directory *Directory) answer(request *http.Request) (*Placement, error) {
+func (directory *Directory) place(request *http.Request) (*Placement, error) {
 	if request.URL.Path != "/v1/place" {
 		return nil, rpc.Errorf(rpc.NotFound, "%s", request.URL.Path)
 	}
@@ -143,15 +143,15 @@
 // Place returns the proxies for a tenant by rendezvous hashing, those in the zone
 // near first, spread over zones before a second one of any zone is taken. It
 // returns rpc.NoBackend if no proxy may serve the tenant.
-func (view *View) Place(tenant int, near string) (*Placement, error) {
+func (view *View) Place(tenant int, callerZone string) (*Placement, error) {
 	settings := view.routes.Settings()
 	name := view.routes.TenantName(tenant)
-	ranked := view.rank(view.proxies, tenant, near)
-	guests := view.rank(view.guests, tenant, near)
+	ranked := view.rank(view.proxies, tenant, callerZone)
+	guests := view.rank(view.guests, tenant, callerZone)
 	if len(ranked)+len(guests) == 0 {
 		return nil, &rpc.Error{Code: rpc.NoBackend, Message: "no front machine may take this tenant now", RetryAfterMs: retryAfterMs}
 	}
-	most := view.routes.Proxies(tenant)
+	limit := view.routes.Proxies(tenant)
 	placement := &Placement{
 		Serial:  view.routes.Serial,
 		Tenant:  name,
@@ -159,20 +159,20 @@
 		Proxies: []Proxy{},
 	}
 	zones := map[string]int{}
-	for round := 0; len(placement.Proxies) < most && round < len(ranked); round++ {
-		for _, front := range ranked {
-			if zones[front.Zone] == round && len(placement.Proxies) < most && !placement.has(front.Name) {
-				zones[front.Zone]++
-				placement.Proxies = append(placement.Proxies, Proxy{Name: front.Name, Address: front.PublicAddress, Zone: front.Zone})
+	for round := 0; len(placement.Proxies) < limit && round < len(ranked); round++ {
+		for _, proxy := range ranked {
+			if zones[proxy.Zone] == round && len(placement.Proxies) < limit && !placement.includes(proxy.Name) {
+				zones[proxy.Zone]++
+				placement.Proxies = append(placement.Proxies, Proxy{Name: proxy.Name, Address: proxy.PublicAddress, Zone: proxy.Zone})
 			}
 		}
 	}
 	if len(guests) > 0 {
-		if len(placement.Proxies) == most && most > 1 {
-			placement.Proxies = placement.Proxies[:most-1]
+		if len(placement.Proxies) == limit && limit > 1 {
+			placement.Proxies = placement.Proxies[:limit-1]
 		}
 		for _, guest := range guests {
-			if len(placement.Proxies) < most {
+			if len(placement.Proxies) < limit {
 				placement.Proxies = append(placement.Proxies, Proxy{Name: guest.Name, Address: guest.PublicAddress, Zone: guest.Zone})
 			}
 		}
@@ -181,26 +181,26 @@
 }
 
 // rank orders the fronts that a tenant may use: near ones first, then its own order.
-func (view *View) rank(fronts []message.Member, tenant int, near string) []message.Member {
+func (view *View) rank(members []message.Member, tenant int, callerZone string) []message.Member {
 	name, ranked := view.routes.TenantName(tenant), []message.Member{}
-	for _, front := range fronts {
-		if !view.routes.Drained(front.Zone) && view.routes.ZoneAllowed(front.Zone, tenant) {
-			ranked = append(ranked, front)
+	for _, proxy := range members {
+		if !view.routes.Drained(proxy.Zone) && view.routes.ZoneAllowed(proxy.Zone, tenant) {
+			ranked = append(ranked, proxy)
 		}
 	}
 	sort.Slice(ranked, func(left, right int) bool {
-		leftNear, rightNear := ranked[left].Zone == near, ranked[right].Zone == near
-		if leftNear != rightNear {
-			return leftNear
+		leftInZone, rightInZone := ranked[left].Zone == callerZone, ranked[right].Zone == callerZone
+		if leftInZone != rightInZone {
+			return leftInZone
 		}
 		return serviceproxy.Rank(name, ranked[left].Name) > serviceproxy.Rank(name, ranked[right].Name)
 	})
 	return ranked
 }
 
-func (placement *Placement) has(name string) bool {
-	for _, front := range placement.Proxies {
-		if front.Name == name {
+func (placement *Placement) includes(name string) bool {
+	for _, proxy := range placement.Proxies {
+		if proxy.Name == name {
 			return true
 		}
 	}
--- a/operator/client.go
+++ b/operator/client.go
@@ -34,7 +34,7 @@
 // the refusal of a daemon, rpc.Unreachable if none answered, or rpc.BadMessage
 // for an answer that can't be decoded.
 func (client *Client) Ask(method, path string, body []byte, into any) error {
-	last := rpc.Errorf(rpc.Unreachable, "no daemon given")
+	lastErr := rpc.Errorf(rpc.Unreachable, "no daemon given")
 	for _, daemon := range client.daemons {
 		request, err := http.NewRequest(method, "http://"+daemon+path, bytes.NewReader(body))
 		if err != nil {
@@ -43,28 +43,28 @@
 		request.GetBody = nil
 		response, err := client.client.Do(request)
 		if err != nil {
-			last = rpc.Errorf(rpc.Unreachable, "%v", err)
+			lastErr = rpc.Errorf(rpc.Unreachable, "%v", err)
 			continue
 		}
-		answer, err := io.ReadAll(response.Body)
+		content, err := io.ReadAll(response.Body)
 		response.Body.Close()
 		if err != nil {
-			last = rpc.Errorf(rpc.Unreachable, "%v", err)
+			lastErr = rpc.Errorf(rpc.Unreachable, "%v", err)
 			continue
 		}
 		if response.StatusCode == http.StatusOK {
-			if err := json.Unmarshal(answer, into); err != nil {
+			if err := json.Unmarshal(content, into); err != nil {
 				return rpc.Errorf(rpc.BadMessage, "%v", err)
 			}
 			return nil
 		}
-		last = readRefusal(response.StatusCode, answer)
-		kind := rpc.CodeOf(last)
-		if kind.Status() != http.StatusServiceUnavailable && kind != rpc.OutcomeUnknown {
-			return last
+		lastErr = readRefusal(response.StatusCode, content)
+		code := rpc.CodeOf(lastErr)
+		if code.Status() != http.StatusServiceUnavailable && code != rpc.OutcomeUnknown {
+			return lastErr
 		}
 	}
-	return last
+	return lastErr
 }
 
 // readRefusal returns the error that a daemon's answer holds.
--- a/planner/forecast.go
+++ b/planner/forecast.go
@@ -70,8 +70,8 @@
 	if len(forecast.Moves)+len(forecast.Changes) > 0 {
 		return true
 	}
-	for _, room := range forecast.Rooms {
-		if room.Before != room.After {
+	for _, change := range forecast.Rooms {
+		if change.Before != change.After {
 			return true
 		}
 	}
@@ -82,21 +82,21 @@
 func NewForecast(fleet Fleet, next *config.Settings) *Forecast {
 	forecast := &Forecast{Moves: []Move{}, Rooms: []CapacityChange{}, Shorts: []Shortage{}, Changes: []Change{}}
 	before, after := serviceproxy.NewRoutes(fleet.Serial, fleet.Settings, nil), serviceproxy.NewRoutes(fleet.Serial+1, next, nil)
-	former, later := directory.NewView(before, fleet.Members), directory.NewView(after, fleet.Members)
+	previous, upcoming := directory.NewView(before, fleet.Members), directory.NewView(after, fleet.Members)
 	for _, tenant := range union(fleet.Settings.Tenants, next.Tenants) {
-		from, to := proxies(former, before, tenant), proxies(later, after, tenant)
+		from, to := proxyNames(previous, before, tenant), proxyNames(upcoming, after, tenant)
 		forecast.Tenants++
-		move := Move{Tenant: tenant, From: from, To: to, Left: without(from, to), Joined: without(to, from)}
+		move := Move{Tenant: tenant, From: from, To: to, Left: difference(from, to), Joined: difference(to, from)}
 		if len(move.Left)+len(move.Joined) > 0 {
 			forecast.Moves = append(forecast.Moves, move)
 		}
 	}
-	forecast.rooms(fleet, next)
-	forecast.changes(fleet.Settings.Resolve(), next.Resolve())
+	forecast.compareCapacity(fleet, next)
+	forecast.compareRoutes(fleet.Settings.Resolve(), next.Resolve())
 	return forecast
 }
 
-func proxies(view *directory.View, routes *serviceproxy.Routes, tenant string) []string {
+func proxyNames(view *directory.View, routes *serviceproxy.Routes, tenant string) []string {
 	index, found := routes.TenantNamed(tenant)
 	if !found {
 		return []string{}
@@ -106,8 +106,8 @@
 		return []string{}
 	}
 	names := []string{}
-	for _, front := range placement.Proxies {
-		names = append(names, front.Name)
+	for _, proxy := range placement.Proxies {
+		names = append(names, proxy.Name)
 	}
 	sort.Strings(names)
 	return names
@@ -127,7 +127,7 @@
 	return names
 }
 
-func without(names, others []string) []string {
+func difference(names, others []string) []string {
 	rest := []string{}
 	for _, name := range names {
 		found := false
@@ -142,55 +142,55 @@
 }
 
 // rooms counts the backends a service may use, and sets its floors against them.
-func (forecast *Forecast) rooms(fleet Fleet, next *config.Settings) {
-	rooms, names := map[string]*CapacityChange{}, []string{}
+func (forecast *Forecast) compareCapacity(fleet Fleet, next *config.Settings) {
+	changes, names := map[string]*CapacityChange{}, []string{}
 	for _, backend := range fleet.Backends {
-		room := rooms[backend.Service]
-		if room == nil {
-			room = &CapacityChange{Service: backend.Service, ByZone: map[string]int{}}
-			rooms[backend.Service] = room
+		change := changes[backend.Service]
+		if change == nil {
+			change = &CapacityChange{Service: backend.Service, ByZone: map[string]int{}}
+			changes[backend.Service] = change
 			names = append(names, backend.Service)
 		}
 		if fleet.Settings.Open(backend.Zone, backend.Name) && !backend.Leaving {
-			room.Before++
+			change.Before++
 		}
 		if next.Open(backend.Zone, backend.Name) && !backend.Leaving {
-			room.After++
-			room.ByZone[backend.Zone]++
+			change.After++
+			change.ByZone[backend.Zone]++
 		}
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		forecast.Rooms = append(forecast.Rooms, *rooms[name])
+		forecast.Rooms = append(forecast.Rooms, *changes[name])
 		floor := 0
 		for _, class := range next.Classes {
 			if _, found := class.Services[name]; found {
 				floor += class.FloorRps / max(len(class.Services), 1)
 			}
 		}
-		if capacity := float64(rooms[name].After) * fleet.Capacity; capacity < float64(floor) {
+		if capacity := float64(changes[name].After) * fleet.Capacity; capacity < float64(floor) {
 			forecast.Shorts = append(forecast.Shorts, Shortage{Service: name, Floor: floor, Capacity: capacity})
 		}
 	}
 }
 
-func (forecast *Forecast) changes(before, after []config.Effective) {
+func (forecast *Forecast) compareRoutes(before, after []config.Effective) {
 	type field struct{ route, name string }
-	former, later, keys := map[field]any{}, map[field]any{}, []field{}
-	lay := func(into, other map[field]any, routes []config.Effective) {
+	previous, upcoming, keys := map[field]any{}, map[field]any{}, []field{}
+	collect := func(values, other map[field]any, routes []config.Effective) {
 		for _, route := range routes {
 			for name, source := range route.Values {
 				key := field{route.Class + "/" + route.Service + "/" + route.Route, name}
 				_, known := other[key]
-				if _, twice := into[key]; !known && !twice {
+				if _, twice := values[key]; !known && !twice {
 					keys = append(keys, key)
 				}
-				into[key] = source.Value
+				values[key] = source.Value
 			}
 		}
 	}
-	lay(former, nil, before)
-	lay(later, former, after)
+	collect(previous, nil, before)
+	collect(upcoming, previous, after)
 	sort.Slice(keys, func(left, right int) bool {
 		if keys[left].route != keys[right].route {
 			return keys[left].route < keys[right].route
@@ -198,8 +198,11 @@
 		return keys[left].name < keys[right].name
 	})
 	for _, key := range keys {
-		if !config.Same(former[key], later[key]) {
-			forecast.Changes = append(forecast.Changes, Change{Route: key.route, Field: key.name, Before: former[key], After: later[key]})
+		if !config.Same(previous[key], upcoming[key]) {
+			forecast.Changes = append(
+				forecast.Changes,
+				Change{Route: key.route, Field: key.name, Before: previous[key], After: upcoming[key]},
+			)
 		}
 	}
 }
--- a/serviceproxy/admission.go
+++ b/serviceproxy/admission.go
@@ -13,72 +13,72 @@
 )
 
 const (
-	fullUsage   = 0.85
-	rankUsage   = 0.1
-	leastUsage  = 0.3
-	floorBurst  = 0.5
-	borrowBurst = 0.03
-	paceSpan    = 100 * time.Millisecond
-	paceUp      = 0.02
-	paceUpIdle  = 0.2
-	paceDown    = 0.6
-	idlePart    = 3
-	slowestPace = 0.05
-	firstPace   = 0.5
-	evenPart    = 0.3
-	demandSpan  = 2 * time.Second
+	fullUtilization       = 0.85
+	utilizationPerRank    = 0.1
+	minFullUtilization    = 0.3
+	floorBurstSeconds     = 0.5
+	borrowBurstSeconds    = 0.03
+	borrowAdjustInterval  = 100 * time.Millisecond
+	borrowIncrease        = 0.02
+	borrowIncreaseIdle    = 0.2
+	borrowDecreaseFactor  = 0.6
+	idleDivisor           = 3
+	minBorrowFraction     = 0.05
+	initialBorrowFraction = 0.5
+	evenShareFraction     = 0.3
+	demandWindow          = 2 * time.Second
 )
 
 // Admission is admission control by class: a class may use its floor at any time and
 // borrow more while backends are idle. The lower its rank, the sooner it gives
 // borrowed capacity back.
 type Admission struct {
-	mutex      sync.Mutex
-	classes    map[string]*classLimits
-	since      time.Time
-	tasks      float64
-	demand     float64
-	overloaded time.Time
+	mutex        sync.Mutex
+	classes      map[string]*classLimits
+	windowStart  time.Time
+	requests     float64
+	demand       float64
+	overloadedAt time.Time
 }
 
 type classLimits struct {
-	rank   int
-	floor  *rate.Limiter
-	borrow *rate.Limiter
-	share  float64
-	pace   float64
-	paced  time.Time
+	rank       int
+	floor      *rate.Limiter
+	borrow     *rate.Limiter
+	maxBorrow  float64
+	borrowRate float64
+	adjustedAt time.Time
 }
 
 // NewAdmission returns an Admission without classes, which admits everything.
 func NewAdmission() *Admission {
-	return &Admission{classes: map[string]*classLimits{}, since: time.Now()}
+	return &Admission{classes: map[string]*classLimits{}, windowStart: time.Now()}
 }
 
 // Apply sets floors and borrowing to this proxy's share of the settings. The share
 // follows demand, a part of it is even; all proxies compute it from the same table,
 // so that the shares add up to the whole.
 func (admission *Admission) Apply(settings *config.Settings, table *message.Table, name string) {
-	part := partOf(table, name)
+	fraction := proxyShare(table, name)
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
 	for className, class := range settings.Classes {
-		held := admission.classes[className]
-		if held == nil {
-			held = &classLimits{floor: rate.NewLimiter(0, 0), borrow: rate.NewLimiter(0, 0)}
-			admission.classes[className] = held
+		limits := admission.classes[className]
+		if limits == nil {
+			limits = &classLimits{floor: rate.NewLimiter(0, 0), borrow: rate.NewLimiter(0, 0)}
+			admission.classes[className] = limits
 		}
-		held.rank = class.Rank
-		resize(held.floor, float64(class.FloorRps)*part, floorBurst)
-		share := float64(class.BorrowRps) * part
-		if held.share > 0 {
-			held.pace *= share / held.share
+		limits.rank = class.Rank
+		setRate(limits.floor, float64(class.FloorRps)*fraction, floorBurstSeconds)
+		maxBorrow := float64(class.BorrowRps) * fraction
+		if limits.maxBorrow > 0 {
+			limits.borrowRate *= maxBorrow / limits.maxBorrow
 		} else {
-			held.pace = share * firstPace
+			limits.borrowRate = maxBorrow * initialBorrowFraction
 		}
-		held.share = share
-		held.pace = min(max(held.pace, held.share*slowestPace), held.share)
-		resize(held.borrow, held.pace, borrowBurst)
+		limits.maxBorrow = maxBorrow
+		limits.borrowRate = min(max(limits.borrowRate, limits.maxBorrow*minBorrowFraction), limits.maxBorrow)
+		setRate(limits.borrow, limits.borrowRate, borrowBurstSeconds)
 	}
 	for className := range admission.classes {
 		if _, found := settings.Classes[className]; !found {
@@ -89,7 +89,7 @@
 
 // partOf is a proxy's part of all that are ready; one whose demand is not known
 // yet counts as the mean of the others.
-func partOf(table *message.Table, name string) float64 {
+func proxyShare(table *message.Table, name string) float64 {
 	count, known, total, own := 0, 0, 0.0, 0.0
 	for _, member := range table.Members {
 		if member.Kind != message.ProxyKind || !member.Ready && member.Name != name {
@@ -112,16 +112,16 @@
 	if own == 0 {
 		own = mean
 	}
-	return evenPart*even + (1-evenPart)*own/(total+mean*float64(count-known))
+	return evenShareFraction*even + (1-evenShareFraction)*own/(total+mean*float64(count-known))
 }
 
-func resize(limiter *rate.Limiter, share, span float64) {
+func setRate(limiter *rate.Limiter, perSecond, burstSeconds float64) {
 	burst := 0
-	if share > 0 {
-		burst = int(max(2, math.Ceil(share*span)))
+	if perSecond > 0 {
+		burst = int(max(2, math.Ceil(perSecond*burstSeconds)))
 	}
-	if limiter.Limit() != rate.Limit(share) {
-		limiter.SetLimit(rate.Limit(share))
+	if limiter.Limit() != rate.Limit(perSecond) {
+		limiter.SetLimit(rate.Limit(perSecond))
 	}
 	if limiter.Burst() != burst {
 		limiter.SetBurst(burst)
@@ -132,22 +132,22 @@
 // error is rpc.Overloaded.
 func (admission *Admission) Admit(class string, usage float64) error {
 	admission.mutex.Lock()
-	admission.tasks++
-	held := admission.classes[class]
+	admission.requests++
+	limits := admission.classes[class]
 	admission.mutex.Unlock()
-	if held == nil || held.floor.Allow() {
+	if limits == nil || limits.floor.Allow() {
 		return nil
 	}
-	most := max(fullUsage-rankUsage*float64(held.rank-1), leastUsage)
-	full, idle := usage > most, usage < most/idlePart
-	admission.repace(held, full, idle)
-	allowed := !full && held.borrow.Allow()
+	threshold := max(fullUtilization-utilizationPerRank*float64(limits.rank-1), minFullUtilization)
+	saturated, idle := usage > threshold, usage < threshold/idleDivisor
+	admission.adjustBorrowing(limits, saturated, idle)
+	allowed := !saturated && limits.borrow.Allow()
 	if !idle || !allowed {
 		admission.mutex.Lock()
-		admission.overloaded = time.Now()
+		admission.overloadedAt = time.Now()
 		admission.mutex.Unlock()
 	}
-	if full {
+	if saturated {
 		return &rpc.Error{
 			Code:         rpc.Overloaded,
 			Message:      "class " + class + " is above its floor and backends have no room to lend",
@@ -168,23 +168,23 @@
 
 // repace lets borrowing grow by little while there is room and shrink by much
 // when there is none: what backends report is always a little old.
-func (admission *Admission) repace(held *classLimits, full, idle bool) {
+func (admission *Admission) adjustBorrowing(limits *classLimits, saturated, idle bool) {
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
-	if time.Since(held.paced) < paceSpan {
+	if time.Since(limits.adjustedAt) < borrowAdjustInterval {
 		return
 	}
-	held.paced = time.Now()
-	up := paceUp
+	limits.adjustedAt = time.Now()
+	increase := borrowIncrease
 	if idle {
-		up = paceUpIdle
+		increase = borrowIncreaseIdle
 	}
-	if full {
-		held.pace = max(held.pace*paceDown, held.share*slowestPace)
+	if saturated {
+		limits.borrowRate = max(limits.borrowRate*borrowDecreaseFactor, limits.maxBorrow*minBorrowFraction)
 	} else {
-		held.pace = min(held.pace+held.share*up, held.share)
+		limits.borrowRate = min(limits.borrowRate+limits.maxBorrow*increase, limits.maxBorrow)
 	}
-	resize(held.borrow, held.pace, borrowBurst)
+	setRate(limits.borrow, limits.borrowRate, borrowBurstSeconds)
 }
 
 // Overloaded reports whether borrowing was refused or backends were not idle within
@@ -192,7 +192,7 @@
 func (admission *Admission) Overloaded() bool {
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
-	return time.Since(admission.overloaded) < overloadedTTL
+	return time.Since(admission.overloadedAt) < overloadedTTL
 }
 
 // Demand returns the requests a second that this proxy was asked for, in coarse
@@ -200,12 +200,12 @@
 func (admission *Admission) Demand() float64 {
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
-	if span := time.Since(admission.since); span >= demandSpan {
-		now := admission.tasks / span.Seconds()
-		if admission.demand == 0 || math.Abs(now-admission.demand) > 0.4*admission.demand {
-			admission.demand = math.Pow(1.5, math.Round(math.Log(max(now, 1))/math.Log(1.5)))
+	if elapsed := time.Since(admission.windowStart); elapsed >= demandWindow {
+		current := admission.requests / elapsed.Seconds()
+		if admission.demand == 0 || math.Abs(current-admission.demand) > 0.4*admission.demand {
+			admission.demand = math.Pow(1.5, math.Round(math.Log(max(current, 1))/math.Log(1.5)))
 		}
-		admission.tasks, admission.since = 0, time.Now()
+		admission.requests, admission.windowStart = 0, time.Now()
 	}
 	return admission.demand
 }
--- a/serviceproxy/attempt.go
+++ b/serviceproxy/attempt.go
@@ -34,110 +34,110 @@
 		if err == nil {
 			connection.close()
 		}
-		target.leave()
+		target.release()
 		return nil, false, errWithdrawn
 	}
 	if err != nil {
-		target.leave()
+		target.release()
 		return nil, false, err
 	}
 	// The caller's going away does not cut a send short: what it did must be known.
 	ctx, cancel := context.WithDeadline(context.Background(), task.deadline)
-	sending := &attempt{task: task, target: target, connection: connection, incarnation: incarnation, cancel: cancel}
-	request, err := task.outgoing(ctx, target.backend().Address)
+	attempt := &attempt{task: task, target: target, connection: connection, incarnation: incarnation, cancel: cancel}
+	request, err := task.backendRequest(ctx, target.backend().Address)
 	if err != nil {
-		sending.giveBack(nil)
+		attempt.release(nil)
 		return nil, false, rpc.Errorf(rpc.BadRequest, "%v", err)
 	}
 	task.state.advance(Sent)
-	response, ran, err := connection.send(request)
+	response, maybeRan, err := connection.send(request)
 	if err != nil {
-		sending.discard()
-		return nil, ran, sending.failure(ran, err)
+		attempt.discard()
+		return nil, maybeRan, attempt.sendError(maybeRan, err)
 	}
-	return sending.receive(response)
+	return attempt.receive(response)
 }
 
 // isWithdrawn is whether a target may be sent nothing by what is in force now, which may be
 // newer than the task's plan.
 func (task *task) isWithdrawn(target *Target) bool {
 	routes, backend := task.proxy.plan.Load().routes, target.backend()
-	return target.isWithdrawn() || routes.drained[backend.Zone] || routes.gone[backend.Name]
+	return target.isWithdrawn() || routes.drainedZones[backend.Zone] || routes.drainedBackends[backend.Name]
 }
 
 // giveBack ends the attempt and keeps its connection for another. It closes the rest of a
 // response that was streamed, if there is one.
-func (sending *attempt) giveBack(rest io.ReadCloser) {
-	sending.cancel()
-	sending.target.leave()
+func (attempt *attempt) release(rest io.ReadCloser) {
+	attempt.cancel()
+	attempt.target.release()
 	if rest != nil {
 		rest.Close()
 	}
-	sending.target.giveBack(sending.connection, sending.incarnation, sending.task.route.IdleConnections)
+	attempt.target.returnConnection(attempt.connection, attempt.incarnation, attempt.task.route.IdleConnections)
 }
 
 // discard ends the attempt and closes its connection.
-func (sending *attempt) discard() {
-	sending.cancel()
-	sending.target.leave()
-	sending.connection.close()
+func (attempt *attempt) discard() {
+	attempt.cancel()
+	attempt.target.release()
+	attempt.connection.close()
 }
 
 // failure is the error of a send that broke off. One before the deadline counts against
 // the target.
-func (sending *attempt) failure(ran bool, cause error) error {
-	if !time.Now().Before(sending.task.deadline) {
+func (attempt *attempt) sendError(maybeRan bool, cause error) error {
+	if !time.Now().Before(attempt.task.deadline) {
 		return rpc.Errorf(rpc.DeadlineExceeded, "no answer within the limit")
 	}
 	code := rpc.ConnectionBroken
-	if ran {
+	if maybeRan {
 		code = rpc.BadResponse
 	}
 	err := rpc.Errorf(code, "%v", cause)
-	sending.target.failed(err)
+	attempt.target.recordFailure(err)
 	return err
 }
 
 // receive reads the response as far as it is kept in memory. The attempt of one that is
 // still streaming ends with the task.
-func (sending *attempt) receive(response *http.Response) (*Response, bool, error) {
-	task := sending.task
+func (attempt *attempt) receive(response *http.Response) (*Response, bool, error) {
+	task := attempt.task
 	task.state.advance(Receiving)
-	sending.target.learnFromResponse(sending.incarnation, func(identity *Identity) { identity.fromResponse(response.Header) })
+	attempt.target.updateFromResponse(attempt.incarnation, func(identity *Identity) { identity.updateFromHeader(response.Header) })
 	if serial, err := strconv.ParseUint(response.Header.Get("Oj-Serial"), 10, 64); err == nil {
 		task.proxy.daemon.ObserveSerial(serial)
 	}
-	receipt, err := readResponse(response, task.id, task.route.ResponseBytes, task.route.KeyRequired)
+	result, err := readResponse(response, task.id, task.route.ResponseBytes, task.route.KeyRequired)
 	if err != nil {
-		sending.discard()
+		attempt.discard()
 		if !time.Now().Before(task.deadline) {
 			err = rpc.Errorf(rpc.DeadlineExceeded, "%s", rpc.AsError(err).Message)
 		}
 		return nil, true, err
 	}
-	if receipt.rest != nil {
-		task.finish = func() { sending.giveBack(receipt.rest) }
-		return receipt, true, nil
+	if result.rest != nil {
+		task.finish = func() { attempt.release(result.rest) }
+		return result, true, nil
 	}
-	if receipt.status == http.StatusServiceUnavailable || receipt.status == http.StatusTooManyRequests {
-		sending.giveBack(nil)
-		return nil, receipt.header.Get("Oj-Not-Run") != "true", busyError(receipt)
+	if result.status == http.StatusServiceUnavailable || result.status == http.StatusTooManyRequests {
+		attempt.release(nil)
+		return nil, result.header.Get("Oj-Not-Run") != "true", busyError(result)
 	}
 	response.Body.Close()
-	sending.giveBack(nil)
-	return receipt, true, nil
+	attempt.release(nil)
+	return result, true, nil
 }
 
 // busyError is the error of a backend's response that it is busy.
-func busyError(receipt *Response) error {
-	if receipt.header.Get("Oj-Not-Run") == "true" {
+func busyError(response *Response) error {
+	if response.header.Get("Oj-Not-Run") == "true" {
 		return &rpc.Error{Code: rpc.Overloaded, Message: "the backend is busy", RetryAfterMs: retryAfterMs}
 	}
-	return &rpc.Error{Code: rpc.OutcomeUnknown, Message: fmt.Sprintf("the backend said %d and not whether it ran", receipt.status)}
+	return &rpc.Error{Code: rpc.OutcomeUnknown, Message: fmt.Sprintf("the backend said %d and not whether it ran", response.status)}
 }
 
 // outgoing is the request that a backend gets for the task.
-func (task *task) outgoing(ctx context.Context, address string) (*http.Request, error) {
+func (task *task) backendRequest(ctx context.Context, address string) (*http.Request, error) {
 	url := "http://" + address + task.path
 	if query := task.request.URL.RawQuery; query != "" {
 		url += "?" + query
@@ -150,13 +150,13 @@
 	for name, values := range task.request.Header {
 		request.Header[name] = append([]string{}, values...)
 	}
-	for _, name := range append(hopHeaders, "Authorization", "Accept-Encoding", limitHeader) {
+	for _, name := range append(hopByHopHeaders, "Authorization", "Accept-Encoding", timeoutHeader) {
 		request.Header.Del(name)
 	}
 	for name, value := range map[string]string{
 		"Oj-Task": task.id, "Oj-Tenant": task.plan.routes.TenantName(task.tenant), "Oj-Class": task.route.Class,
 		"Oj-Service": task.route.Service, "Oj-Serial": strconv.FormatUint(task.plan.routes.Serial, 10),
-		limitHeader: strconv.FormatInt(max(time.Until(task.deadline).Milliseconds(), 1), 10),
+		timeoutHeader: strconv.FormatInt(max(time.Until(task.deadline).Milliseconds(), 1), 10),
 	} {
 		request.Header.Set(name, value)
 	}
--- a/serviceproxy/pipe.go
+++ b/serviceproxy/backend_conn.go
@@ -14,16 +14,16 @@
 )
 
 // countedConn knows how many bytes went out, so that "surely not run" is known.
-type countedConn struct {
+type countingConn struct {
 	net.Conn
-	mutex   sync.Mutex
-	written int64
-	severed bool
+	mutex         sync.Mutex
+	written       int64
+	writesBlocked bool
 }
 
-func (conn *countedConn) Write(body []byte) (int, error) {
+func (conn *countingConn) Write(body []byte) (int, error) {
 	conn.mutex.Lock()
-	if conn.severed {
+	if conn.writesBlocked {
 		conn.mutex.Unlock()
 		return 0, net.ErrClosed
 	}
@@ -32,50 +32,50 @@
 	return conn.Conn.Write(body)
 }
 
-func (conn *countedConn) count() int64 {
+func (conn *countingConn) bytesWritten() int64 {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
 	return conn.written
 }
 
 // sever lets nothing more out and then says how much went.
-func (conn *countedConn) sever() int64 {
+func (conn *countingConn) blockWrites() int64 {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
-	conn.severed = true
+	conn.writesBlocked = true
 	return conn.written
 }
 
 // BackendConn is one HTTP/1.1 connection to one incarnation of a backend.
 type BackendConn struct {
-	conn   *countedConn
-	client *http.ClientConn
-	used   time.Time
+	conn     *countingConn
+	client   *http.ClientConn
+	lastUsed time.Time
 }
 
 // Dialer opens a connection; the simulator brings its own.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
 // dialBackend dials and learns who is there before net/http gets the connection.
-func dialBackend(dial Dialer, backend message.Backend, limit time.Time) (*BackendConn, *Identity, error) {
-	ctx, cancel := context.WithDeadline(context.Background(), limit)
+func dialBackend(dial Dialer, backend message.Backend, deadline time.Time) (*BackendConn, *Identity, error) {
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	conn, err := dial(ctx, "tcp", backend.Address)
 	if err != nil {
 		return nil, nil, rpc.Errorf(rpc.ConnectFailed, "%v", err)
 	}
 	identity := &Identity{}
-	err = identity.query(conn, backend.Address, limit)
+	err = identity.query(conn, backend.Address, deadline)
 	if err == nil {
-		err = identity.belongs(backend)
+		err = identity.verify(backend)
 	}
 	if err != nil {
 		conn.Close()
 		return nil, nil, err
 	}
-	counted := &countedConn{Conn: conn}
+	counting := &countingConn{Conn: conn}
 	transport := &http.Transport{
-		DialContext:            func(context.Context, string, string) (net.Conn, error) { return counted, nil },
+		DialContext:            func(context.Context, string, string) (net.Conn, error) { return counting, nil },
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: 64 << 10,
 	}
@@ -84,14 +84,14 @@
 		conn.Close()
 		return nil, nil, rpc.Errorf(rpc.ConnectionBroken, "%v", err)
 	}
-	return &BackendConn{conn: counted, client: client, used: time.Now()}, identity, nil
+	return &BackendConn{conn: counting, client: client, lastUsed: time.Now()}, identity, nil
 }
 
 // send sends the request on this connection only; ran is false when no byte of it left, nor
 // ever will. A success is returned once its request was sent whole: net/http ends a connection
 // whose response was read before that, and with it the rest of the request.
-func (connection *BackendConn) send(request *http.Request) (response *http.Response, ran bool, err error) {
-	before := connection.conn.count()
+func (connection *BackendConn) send(request *http.Request) (response *http.Response, maybeRan bool, err error) {
+	before := connection.conn.bytesWritten()
 	written := make(chan error, 1)
 	trace := &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
 		select {
@@ -101,7 +101,7 @@
 	}}
 	response, err = connection.client.RoundTrip(request.WithContext(httptrace.WithClientTrace(request.Context(), trace)))
 	if err != nil {
-		return nil, connection.conn.sever() > before, err
+		return nil, connection.conn.blockWrites() > before, err
 	}
 	if response.StatusCode >= http.StatusBadRequest {
 		return response, true, nil
@@ -113,13 +113,13 @@
 	}
 	if err != nil {
 		response.Body.Close()
-		connection.conn.sever()
+		connection.conn.blockWrites()
 		return nil, true, fmt.Errorf("answered before the request was sent: %w", err)
 	}
 	return response, true, nil
 }
 
-func (connection *BackendConn) sound() bool {
+func (connection *BackendConn) reusable() bool {
 	return connection.client.Err() == nil && connection.client.Available() == 1
 }
 
--- a/serviceproxy/claim_messages.go
+++ b/serviceproxy/claim_messages.go
@@ -23,35 +23,35 @@
 	rpc.Handle(
 		server,
 		message.MethodCompleteClaim,
-		func(_ context.Context, settle *message.CompleteClaimRequest) (*message.CompleteClaimResponse, error) {
-			claims.store.Complete(settle)
+		func(_ context.Context, completion *message.CompleteClaimRequest) (*message.CompleteClaimResponse, error) {
+			claims.store.Complete(completion)
 			return &message.CompleteClaimResponse{}, nil
 		},
 	)
 	rpc.Handle(
 		server,
 		message.MethodQueryHolder,
-		func(_ context.Context, holds *message.QueryHolderRequest) (*message.QueryHolderResponse, error) {
-			if holds.Holder != claims.holder() {
-				return nil, rpc.Errorf(rpc.WrongBackend, "%s is gone", holds.Holder)
+		func(_ context.Context, query *message.QueryHolderRequest) (*message.QueryHolderResponse, error) {
+			if query.Holder != claims.holder() {
+				return nil, rpc.Errorf(rpc.WrongBackend, "%s is gone", query.Holder)
 			}
-			return claims.onQueryHolder(holds), nil
+			return claims.onQueryHolder(query), nil
 		},
 	)
 	rpc.Handle(
 		server,
 		message.MethodMergeClaims,
-		func(_ context.Context, retell *message.MergeClaimsRequest) (*message.MergeClaimsResponse, error) {
-			claims.store.Merge(retell.Claims)
+		func(_ context.Context, merge *message.MergeClaimsRequest) (*message.MergeClaimsResponse, error) {
+			claims.store.Merge(merge.Claims)
 			return &message.MergeClaimsResponse{}, nil
 		},
 	)
 	rpc.Handle(
 		server,
 		message.MethodFetchClaims,
-		func(_ context.Context, pull *message.FetchClaimsRequest) (*message.FetchClaimsResponse, error) {
+		func(_ context.Context, fetch *message.FetchClaimsRequest) (*message.FetchClaimsResponse, error) {
 			response := &message.FetchClaimsResponse{Joined: claims.Joined(), Complete: claims.Complete()}
-			response.Claims, response.Last, response.Done = claims.store.Page(pull.After, claimsPageSize)
+			response.Claims, response.Last, response.Done = claims.store.Page(fetch.After, claimsPageSize)
 			return response, nil
 		},
 	)
@@ -59,35 +59,38 @@
 
 // grant is this proxy's own answer as a replica.
 func (claims *Claims) grant(claim *message.ClaimRequest) *message.ClaimResponse {
-	whole := claims.Complete()
+	complete := claims.Complete()
 	response := claims.store.Claim(claim)
-	response.Complete = whole
+	response.Complete = complete
 	return response
 }
 
 // onQueryHolder is the holder's word: a claim that neither runs nor was settled here was given back.
-func (claims *Claims) onQueryHolder(holds *message.QueryHolderRequest) *message.QueryHolderResponse {
+func (claims *Claims) onQueryHolder(query *message.QueryHolderRequest) *message.QueryHolderResponse {
 	claims.mutex.Lock()
-	runs := claims.running[holds.Key] == holds.ID
+	running := claims.running[query.Key] == query.ID
 	claims.mutex.Unlock()
-	if held, found := claims.store.Get(holds.Key); found && held.ID == holds.ID && held.Stage != message.ClaimRunning {
-		return &message.QueryHolderResponse{Known: true, Record: held}
+	if record, found := claims.store.Get(query.Key); found && record.ID == query.ID && record.Stage != message.ClaimRunning {
+		return &message.QueryHolderResponse{Known: true, Record: record}
+	}
+	return &message.QueryHolderResponse{
+		Known:  running,
+		Record: message.ClaimRecord{Key: query.Key, ID: query.ID, Stage: message.ClaimRunning},
 	}
-	return &message.QueryHolderResponse{Known: runs, Record: message.ClaimRecord{Key: holds.Key, ID: holds.ID, Stage: message.ClaimRunning}}
 }
 
 // askHolder asks the proxy that claimed a key; nil and not known when it is silent or gone.
-func (claims *Claims) askHolder(claimed *message.ClaimRecord) (*message.ClaimRecord, bool) {
-	for _, known := range claims.proxy.daemon.Version().Table.Members {
-		if holderName(known) != claimed.Holder {
+func (claims *Claims) askHolder(record *message.ClaimRecord) (*message.ClaimRecord, bool) {
+	for _, member := range claims.proxy.daemon.Version().Table.Members {
+		if holderName(member) != record.Holder {
 			continue
 		}
 		response, err := rpc.Call(
 			claims.proxy.daemon.Client(),
-			known.InternalAddress,
+			member.InternalAddress,
 			message.MethodQueryHolder,
 			claimTimeout,
-			&message.QueryHolderRequest{Holder: claimed.Holder, Key: claimed.Key, ID: claimed.ID},
+			&message.QueryHolderRequest{Holder: record.Holder, Key: record.Key, ID: record.ID},
 		)
 		if err != nil {
 			return nil, false
@@ -97,16 +100,16 @@
 	return nil, false
 }
 
-func (claims *Claims) notifyReplicas(ring []message.Member, settle *message.CompleteClaimRequest) {
-	claims.coreStore.enqueue(pendingUpdate{settle: settle})
-	for _, keeper := range ring {
-		if keeper.Name == claims.proxy.daemon.Name() {
-			claims.store.Complete(settle)
+func (claims *Claims) notifyReplicas(replicas []message.Member, completion *message.CompleteClaimRequest) {
+	claims.coreStore.enqueue(pendingUpdate{completed: completion})
+	for _, replica := range replicas {
+		if replica.Name == claims.proxy.daemon.Name() {
+			claims.store.Complete(completion)
 			continue
 		}
 		claims.proxy.goroutines.Start(func() {
 			client := claims.proxy.daemon.Client()
-			_, err := rpc.Call(client, keeper.InternalAddress, message.MethodCompleteClaim, completeTimeout, settle)
+			_, err := rpc.Call(client, replica.InternalAddress, message.MethodCompleteClaim, completeTimeout, completion)
 			if err != nil {
 				claims.proxy.counters.Add("claims_not_settled", 1)
 			}
--- a/serviceproxy/claim_poll.go
+++ b/serviceproxy/claim_poll.go
@@ -7,19 +7,19 @@
 )
 
 // enough is whether the granting members make a quorum of every ring.
-func enough(rings [][]message.Member, granting []message.Member) bool {
-	for _, ring := range rings {
+func quorumInEach(sets [][]message.Member, granted []message.Member) bool {
+	for _, set := range sets {
 		count := 0
-		for _, keeper := range ring {
-			if among(granting, keeper.Name) {
+		for _, replica := range set {
+			if containsMember(granted, replica.Name) {
 				count++
 			}
 		}
-		if len(ring) == 0 || count < quorum(len(ring)) {
+		if len(set) == 0 || count < quorum(len(set)) {
 			return false
 		}
 	}
-	return len(rings) > 0
+	return len(sets) > 0
 }
 
 // claimVote is a replica's or a core's.
@@ -28,12 +28,12 @@
 	core    *message.RecordClaimsResponse
 }
 
-func (answer claimVote) response() *message.ClaimResponse {
-	if answer.replica != nil {
-		return answer.replica
+func (vote claimVote) response() *message.ClaimResponse {
+	if vote.replica != nil {
+		return vote.replica
 	}
-	if len(answer.core.Results) == 1 {
-		return &answer.core.Results[0]
+	if len(vote.core.Results) == 1 {
+		return &vote.core.Results[0]
 	}
 	return &message.ClaimResponse{}
 }
@@ -44,13 +44,13 @@
 	membership  coreMembership
 	replicaSets [][]message.Member
 	members     []message.Member
-	got         map[int]claimVote
+	votes       map[int]claimVote
 }
 
 // refused is what somebody holds of the key; what is settled tells most.
-func (poll *poll) refused() (refusal *message.ClaimRecord) {
-	for _, answer := range poll.got {
-		if response := answer.response(); !response.Granted && response.Existing.ID != "" &&
+func (poll *poll) refusal() (refusal *message.ClaimRecord) {
+	for _, vote := range poll.votes {
+		if response := vote.response(); !response.Granted && response.Existing.ID != "" &&
 			(refusal == nil || refusal.Stage == message.ClaimRunning) {
 			refusal = &response.Existing
 		}
@@ -59,11 +59,11 @@
 }
 
 // cores are the cores' answers.
-func (poll *poll) cores() *coreVotes {
+func (poll *poll) coreVotes() *coreVotes {
 	votes := newCoreVotes(poll.membership)
-	for _, answer := range poll.got {
-		if answer.core != nil {
-			votes.add(answer.core.Membership, answer.core.Core, answer.response().Granted, answer.core.Complete)
+	for _, vote := range poll.votes {
+		if vote.core != nil {
+			votes.add(vote.core.Membership, vote.core.Core, vote.response().Granted, vote.core.Complete)
 		}
 	}
 	return votes
@@ -71,60 +71,64 @@
 
 // quorums is whether the replicas that granted make a quorum of every ring; with
 // wholes, only those whose memory is whole count.
-func (poll *poll) quorums(wholes bool) bool {
-	granting := []message.Member{}
-	for index, answer := range poll.got {
-		if answer.replica != nil && answer.replica.Granted && (answer.replica.Complete || !wholes) {
-			granting = append(granting, poll.members[index])
+func (poll *poll) hasReplicaQuorums(completeOnly bool) bool {
+	granted := []message.Member{}
+	for index, vote := range poll.votes {
+		if vote.replica != nil && vote.replica.Granted && (vote.replica.Complete || !completeOnly) {
+			granted = append(granted, poll.members[index])
 		}
 	}
-	return enough(poll.replicaSets, granting)
+	return quorumInEach(poll.replicaSets, granted)
 }
 
 // ask sends the claim to all replicas and cores, and again where the cores that vote
 // changed meanwhile.
-func (claims *Claims) ask(rings [][]message.Member, members []message.Member, claim *message.ClaimRequest) (*message.ClaimRecord, bool) {
-	away := claims.coreStore.unavailable()
-	round := claims.poll(rings, members, claim, away)
-	if round.cores().outdated() && round.refused() == nil && !round.granted(away) {
+func (claims *Claims) requestClaim(
+	sets [][]message.Member,
+	members []message.Member,
+	claim *message.ClaimRequest,
+) (*message.ClaimRecord, bool) {
+	coresDown := claims.coreStore.unavailable()
+	result := claims.pollOnce(sets, members, claim, coresDown)
+	if result.coreVotes().outdated() && result.refusal() == nil && !result.granted(coresDown) {
 		claims.proxy.counters.Add("claims_by_former_voters", 1)
-		round = claims.poll(rings, members, claim, away)
+		result = claims.pollOnce(sets, members, claim, coresDown)
 	}
-	if refusal := round.refused(); refusal != nil {
+	if refusal := result.refusal(); refusal != nil {
 		return refusal, false
 	}
-	votes := round.cores()
+	votes := result.coreVotes()
 	claims.coreStore.recordContact(votes.durable())
 	if votes.durable() {
-		return nil, round.quorums(!votes.complete())
+		return nil, result.hasReplicaQuorums(!votes.complete())
 	}
-	if !round.quorums(true) {
+	if !result.hasReplicaQuorums(true) {
 		return nil, false
 	}
 	claims.proxy.counters.Add("claims_without_core", 1)
-	claims.coreStore.enqueue(pendingUpdate{retold: &claim.Record})
+	claims.coreStore.enqueue(pendingUpdate{merged: &claim.Record})
 	return nil, true
 }
 
 // granted is whether the answers suffice. A grant needs the replicas' quorum and lasts
 // at a majority of cores. While the cores are away, replicas whose memory is whole go
 // on alone.
-func (poll *poll) granted(away bool) bool {
-	votes := poll.cores()
-	return votes.durable() && poll.quorums(!votes.complete()) || away && poll.quorums(true)
+func (poll *poll) granted(coresDown bool) bool {
+	votes := poll.coreVotes()
+	return votes.durable() && poll.hasReplicaQuorums(!votes.complete()) || coresDown && poll.hasReplicaQuorums(true)
 }
 
 // poll sends the claim to all replicas and cores once; one refusal is enough to stop,
 // and so is an answer by other voters.
-func (claims *Claims) poll(rings [][]message.Member, members []message.Member, claim *message.ClaimRequest, away bool) *poll {
-	membership, cores := claims.coreStore.coresToAsk()
-	round := &poll{membership: membership, replicaSets: rings, members: members}
-	round.got, _ = concurrent.Gather(claims.proxy.goroutines, len(members)+len(cores), func(index int) (claimVote, error) {
+func (claims *Claims) pollOnce(sets [][]message.Member, members []message.Member, claim *message.ClaimRequest, coresDown bool) *poll {
+	membership, cores := claims.coreStore.coresToQuery()
+	result := &poll{membership: membership, replicaSets: sets, members: members}
+	result.votes, _ = concurrent.Gather(claims.proxy.goroutines, len(members)+len(cores), func(index int) (claimVote, error) {
 		if index >= len(members) {
-			response, err := claims.coreStore.ask(
+			response, err := claims.coreStore.recordClaims(
 				cores[index-len(members)],
 				&message.RecordClaimsRequest{Membership: membership.accepted, Claims: []message.ClaimRequest{*claim}},
-				coreStoreLimit,
+				coreClaimTimeout,
 			)
 			return claimVote{core: response}, err
 		}
@@ -133,11 +137,11 @@
 		}
 		response, err := rpc.Call(claims.proxy.daemon.Client(), members[index].InternalAddress, message.MethodClaim, claimTimeout, claim)
 		return claimVote{replica: response}, err
-	}, func(got map[int]claimVote, _ map[int]error) bool {
-		now := *round
-		now.got = got
-		return now.refused() != nil || membership.voters != nil && now.cores().outdated() || now.granted(away)
+	}, func(votes map[int]claimVote, _ map[int]error) bool {
+		partial := *result
+		partial.votes = votes
+		return partial.refusal() != nil || membership.voters != nil && partial.coreVotes().outdated() || partial.granted(coresDown)
 	})
-	claims.coreStore.learn(round.cores().newest)
-	return round
+	claims.coreStore.updateMembership(result.coreVotes().newest)
+	return result
 }
--- a/serviceproxy/claims.go
+++ b/serviceproxy/claims.go
@@ -85,61 +85,61 @@
 	}
 	version := claims.proxy.daemon.Version()
 	others, listed, peers := []message.Member{}, false, []message.Member{}
-	for _, known := range version.Table.Members {
+	for _, member := range version.Table.Members {
 		switch {
-		case known.Name == claims.proxy.daemon.Name():
-			listed = known.Incarnation == claims.proxy.daemon.Incarnation()
-		case known.Kind == message.ProxyKind && known.KeyReplica:
-			others = append(others, known)
-		case known.Kind == message.ProxyKind:
-			peers = append(peers, known)
+		case member.Name == claims.proxy.daemon.Name():
+			listed = member.Incarnation == claims.proxy.daemon.Incarnation()
+		case member.Kind == message.ProxyKind && member.KeyReplica:
+			others = append(others, member)
+		case member.Kind == message.ProxyKind:
+			peers = append(peers, member)
 		}
 	}
 	if !listed {
 		return
 	}
-	request := append(append([]message.Member{}, others...), peers...)
-	got, _ := concurrent.Gather(claims.proxy.goroutines, len(request), func(index int) (*message.FetchClaimsResponse, error) {
-		return fetchAllClaims(claims.proxy.daemon.Client(), request[index].InternalAddress, message.AcceptedValue{}, claims.store.Merge)
+	sources := append(append([]message.Member{}, others...), peers...)
+	responses, _ := concurrent.Gather(claims.proxy.goroutines, len(sources), func(index int) (*message.FetchClaimsResponse, error) {
+		return fetchAllClaims(claims.proxy.daemon.Client(), sources[index].InternalAddress, message.AcceptedValue{}, claims.store.Merge)
 	}, func(map[int]*message.FetchClaimsResponse, map[int]error) bool { return false })
-	grown, wholes := 0, 0
-	for index, response := range got {
+	joined, complete := 0, 0
+	for index, response := range responses {
 		if response.Joined && index < len(others) {
-			grown++
+			joined++
 			if response.Complete {
-				wholes++
+				complete++
 			}
 		}
 	}
-	if grown < len(others)-1 || len(others) == 1 && grown == 0 {
+	if joined < len(others)-1 || len(others) == 1 && joined == 0 {
 		claims.proxy.counters.Add("claims_not_grown", 1)
 		return
 	}
 	claims.mutex.Lock()
-	claims.joined, claims.complete = true, grown > 0 && wholes == grown
+	claims.joined, claims.complete = true, joined > 0 && complete == joined
 	claims.mutex.Unlock()
-	klog.Infof("%s: replica of idempotency keys, state from %d other replicas", claims.proxy.daemon.Name(), grown)
+	klog.Infof("%s: replica of idempotency keys, state from %d other replicas", claims.proxy.daemon.Name(), joined)
 	claims.proxy.counters.Add("claims_grown", 1)
 }
 
 // claim claims the key at a quorum; when the key is taken, it gives what became of it.
-func (claims *Claims) claim(claimed message.ClaimRecord) (*message.ClaimRecord, error) {
+func (claims *Claims) claim(record message.ClaimRecord) (*message.ClaimRecord, error) {
 	claims.mutex.Lock()
-	if claims.running[claimed.Key] != "" {
+	if claims.running[record.Key] != "" {
 		claims.mutex.Unlock()
-		return nil, keyBusy()
+		return nil, keyInFlight()
 	}
-	claims.running[claimed.Key] = claimed.ID
+	claims.running[record.Key] = record.ID
 	claims.mutex.Unlock()
-	instead := ""
+	replaces := ""
 	for range 3 {
-		rings, ring, version := claims.askable(claimed.Key)
-		refusal, granted := claims.ask(rings, ring, &message.ClaimRequest{Record: claimed, Replaces: instead, Table: version})
+		sets, replicas, version := claims.activeReplicas(record.Key)
+		refusal, granted := claims.requestClaim(sets, replicas, &message.ClaimRequest{Record: record, Replaces: replaces, Table: version})
 		if granted {
 			return nil, nil
 		}
 		if refusal == nil {
-			claims.release(ring, claimed)
+			claims.release(replicas, record)
 			claims.proxy.counters.Add("claims_short", 1)
 			return nil, &rpc.Error{
 				Code:         rpc.OutcomeUnknown,
@@ -148,36 +148,36 @@
 				Outcome:      rpc.MayHaveRun,
 			}
 		}
-		if refusal.Digest != claimed.Digest {
-			claims.release(ring, claimed)
+		if refusal.Digest != record.Digest {
+			claims.release(replicas, record)
 			return nil, &rpc.Error{Code: rpc.KeyReused, Message: "the key came with another task"}
 		}
 		if refusal.Stage != message.ClaimRunning {
-			claims.release(ring, claimed)
+			claims.release(replicas, record)
 			return refusal, nil
 		}
-		held, known := claims.askHolder(refusal)
-		if !known && held == nil {
-			claims.release(ring, claimed)
+		latest, known := claims.askHolder(refusal)
+		if !known && latest == nil {
+			claims.release(replicas, record)
 			refusal.Stage = message.ClaimUnknown
 			return refusal, nil
 		}
-		if known && held.Stage != message.ClaimRunning {
-			claims.release(ring, claimed)
-			return held, nil
+		if known && latest.Stage != message.ClaimRunning {
+			claims.release(replicas, record)
+			return latest, nil
 		}
 		if known {
-			claims.release(ring, claimed)
-			return nil, keyBusy()
+			claims.release(replicas, record)
+			return nil, keyInFlight()
 		}
-		instead = refusal.ID
+		replaces = refusal.ID
 	}
-	_, ring, _ := claims.askable(claimed.Key)
-	claims.release(ring, claimed)
-	return nil, keyBusy()
+	_, replicas, _ := claims.activeReplicas(record.Key)
+	claims.release(replicas, record)
+	return nil, keyInFlight()
 }
 
-func keyBusy() error {
+func keyInFlight() error {
 	return &rpc.Error{
 		Code:         rpc.KeyInFlight,
 		Message:      "another send of this key runs; ask again for its outcome",
@@ -189,35 +189,35 @@
 func holderName(member message.Member) string { return member.Name + "/" + member.Incarnation }
 
 // release gives the key back at every replica: this claim's task was never sent.
-func (claims *Claims) release(ring []message.Member, claimed message.ClaimRecord) {
+func (claims *Claims) release(replicas []message.Member, record message.ClaimRecord) {
 	claims.mutex.Lock()
-	if claims.running[claimed.Key] == claimed.ID {
-		delete(claims.running, claimed.Key)
+	if claims.running[record.Key] == record.ID {
+		delete(claims.running, record.Key)
 	}
 	claims.mutex.Unlock()
-	claims.notifyReplicas(ring, &message.CompleteClaimRequest{Record: claimed, Release: true})
+	claims.notifyReplicas(replicas, &message.CompleteClaimRequest{Record: record, Release: true})
 }
 
 // finish keeps how the task ended here and at its replicas.
-func (claims *Claims) finish(claimed message.ClaimRecord, receipt *Response, err error) {
-	_, ring, _ := claims.askable(claimed.Key)
+func (claims *Claims) finish(record message.ClaimRecord, response *Response, err error) {
+	_, replicas, _ := claims.activeReplicas(record.Key)
 	if err != nil && rpc.AsError(err).Outcome == rpc.NotRun {
-		claims.release(ring, claimed)
+		claims.release(replicas, record)
 		return
 	}
-	claimed.Stage = message.ClaimUnknown
-	if receipt != nil {
-		claimed.Stage, claimed.Status = message.ClaimCompleted, receipt.status
-		claimed.Header = receipt.recordedHeader()
-		if len(receipt.body) <= replayBytes {
-			claimed.Body = receipt.body
+	record.Stage = message.ClaimUnknown
+	if response != nil {
+		record.Stage, record.Status = message.ClaimCompleted, response.status
+		record.Header = response.recordedHeader()
+		if len(response.body) <= replayBytes {
+			record.Body = response.body
 		} else {
-			claimed.Status = 0
+			record.Status = 0
 		}
 	}
-	claims.store.Complete(&message.CompleteClaimRequest{Record: claimed})
+	claims.store.Complete(&message.CompleteClaimRequest{Record: record})
 	claims.mutex.Lock()
-	delete(claims.running, claimed.Key)
+	delete(claims.running, record.Key)
 	claims.mutex.Unlock()
-	claims.notifyReplicas(ring, &message.CompleteClaimRequest{Record: claimed})
+	claims.notifyReplicas(replicas, &message.CompleteClaimRequest{Record: record})
 }
--- a/serviceproxy/core_membership.go
+++ b/serviceproxy/core_membership.go
@@ -32,7 +32,7 @@
 }
 
 // same is whether two memberships have the same voters.
-func (membership coreMembership) same(other coreMembership) bool {
+func (membership coreMembership) sameVoters(other coreMembership) bool {
 	return bytes.Equal(membership.accepted.Value.Body, other.accepted.Value.Body)
 }
 
@@ -52,26 +52,26 @@
 	votes  []coreVote
 }
 
-func newCoreVotes(request coreMembership) *coreVotes {
-	return &coreVotes{asked: request, newest: request}
+func newCoreVotes(asked coreMembership) *coreVotes {
+	return &coreVotes{asked: asked, newest: asked}
 }
 
 // add takes an answer; one without a membership was given under that of the question.
-func (votes *coreVotes) add(members message.AcceptedValue, core int, taken, whole bool) {
+func (votes *coreVotes) add(members message.AcceptedValue, core int, recorded, complete bool) {
 	membership := votes.asked
 	if members.Value.Serial > 0 {
 		membership = decodeCoreMembership(members)
 	}
 	votes.newest = votes.newest.newer(membership)
-	votes.votes = append(votes.votes, coreVote{membership: membership, core: core, recorded: taken, complete: whole})
+	votes.votes = append(votes.votes, coreVote{membership: membership, core: core, recorded: recorded, complete: complete})
 }
 
 // has is which voters of the newest membership took the question; with wholes, only
 // those that lack nothing.
-func (votes *coreVotes) has(wholes bool) func(id int) bool {
+func (votes *coreVotes) recordedBy(completeOnly bool) func(id int) bool {
 	return func(id int) bool {
 		for _, vote := range votes.votes {
-			if vote.core == id && vote.recorded && vote.membership.same(votes.newest) && (vote.complete || !wholes) {
+			if vote.core == id && vote.recorded && vote.membership.sameVoters(votes.newest) && (vote.complete || !completeOnly) {
 				return true
 			}
 		}
@@ -81,15 +81,15 @@
 
 // durable is whether a quorum took the question.
 func (votes *coreVotes) durable() bool {
-	return votes.newest.voters != nil && votes.newest.voters.Quorum(votes.has(false))
+	return votes.newest.voters != nil && votes.newest.voters.Quorum(votes.recordedBy(false))
 }
 
 // complete is whether so many that took it lack nothing that no quorum is missed. Those
 // that are only joining don't count: nobody vouches yet for what they hold.
 func (votes *coreVotes) complete() bool {
 	voters := votes.newest.voters
-	return voters != nil && message.CountIn(voters.Current, votes.has(true)) >= message.Majority(voters.Current)
+	return voters != nil && message.CountIn(voters.Current, votes.recordedBy(true)) >= message.Majority(voters.Current)
 }
 
 // outdated is whether the question counted by voters that are no more.
-func (votes *coreVotes) outdated() bool { return !votes.newest.same(votes.asked) }
+func (votes *coreVotes) outdated() bool { return !votes.newest.sameVoters(votes.asked) }
--- a/serviceproxy/core_membership_test.go
+++ b/serviceproxy/core_membership_test.go
@@ -7,14 +7,14 @@
 	"orchidjunction/rpc"
 )
 
-func rosterFor(test *testing.T, round uint64, serial uint64, current, next []message.Peer) coreMembership {
+func membershipFor(test *testing.T, term uint64, serial uint64, current, next []message.Peer) coreMembership {
 	test.Helper()
 	body, err := rpc.Marshal(&message.VoterSet{Current: current, Next: next, LastID: 9})
 	if err != nil {
 		test.Fatal(err)
 	}
 	membership := decodeCoreMembership(
-		message.AcceptedValue{Term: message.Term{Number: round, Core: 1}, Value: message.Value{Serial: serial, Body: body}},
+		message.AcceptedValue{Term: message.Term{Number: term, Core: 1}, Value: message.Value{Serial: serial, Body: body}},
 	)
 	if membership.voters == nil {
 		test.Fatal("not read")
@@ -32,43 +32,43 @@
 
 // Answers are counted by the newest voters that any of them names, by both groups
 // while a voter is replaced.
-func TestCoreVotesCountByTheNewestVoters(test *testing.T) {
-	former := rosterFor(test, 3, 1, peers(1, 2, 3), nil)
-	elected := rosterFor(test, 5, 1, peers(1, 2, 3), nil)
-	step := rosterFor(test, 5, 2, peers(1, 2, 3), peers(1, 2, 4))
-	after := rosterFor(test, 5, 3, peers(1, 2, 4), nil)
-	type answer struct {
-		under coreMembership
-		core  int
-		taken bool
-		whole bool
+func TestCoreVotesUseNewestMembership(test *testing.T) {
+	former := membershipFor(test, 3, 1, peers(1, 2, 3), nil)
+	elected := membershipFor(test, 5, 1, peers(1, 2, 3), nil)
+	joint := membershipFor(test, 5, 2, peers(1, 2, 3), peers(1, 2, 4))
+	after := membershipFor(test, 5, 3, peers(1, 2, 4), nil)
+	type coreAnswer struct {
+		membership coreMembership
+		core       int
+		recorded   bool
+		complete   bool
 	}
-	for number, try := range []struct {
+	for number, tc := range []struct {
 		asked    coreMembership
-		answers  []answer
-		lasting  bool
-		whole    bool
+		answers  []coreAnswer
+		durable  bool
+		complete bool
 		outdated bool
 	}{
-		{asked: former, answers: []answer{{former, 1, true, true}, {former, 3, true, true}}, lasting: true, whole: true},
-		{asked: former, answers: []answer{{elected, 1, true, true}, {former, 3, true, true}}, lasting: true, whole: true},
-		{asked: former, answers: []answer{{former, 1, true, true}, {former, 3, true, false}}, lasting: true},
-		{asked: former, answers: []answer{{former, 1, true, true}, {former, 3, false, true}}},
-		{asked: former, answers: []answer{{after, 1, true, true}, {former, 3, true, true}}, outdated: true},
-		{asked: former, answers: []answer{{after, 1, false, true}, {former, 2, true, true}, {former, 3, true, true}}, outdated: true},
-		{asked: former, answers: []answer{{after, 4, false, true}, {former, 1, true, true}, {former, 2, true, true}}, outdated: true},
-		{asked: step, answers: []answer{{step, 1, true, true}, {step, 3, true, true}}},
-		{asked: step, answers: []answer{{step, 1, true, true}, {step, 3, true, true}, {step, 4, true, false}}, lasting: true, whole: true},
-		{asked: step, answers: []answer{{step, 1, true, true}, {step, 2, true, false}, {step, 4, true, true}}, lasting: true},
-		{asked: coreMembership{}, answers: []answer{{after, 4, true, true}, {after, 2, true, true}}, lasting: true, whole: true, outdated: true},
-		{asked: coreMembership{}, answers: []answer{{former, 3, true, true}, {after, 2, true, true}}, outdated: true},
+		{asked: former, answers: []coreAnswer{{former, 1, true, true}, {former, 3, true, true}}, durable: true, complete: true},
+		{asked: former, answers: []coreAnswer{{elected, 1, true, true}, {former, 3, true, true}}, durable: true, complete: true},
+		{asked: former, answers: []coreAnswer{{former, 1, true, true}, {former, 3, true, false}}, durable: true},
+		{asked: former, answers: []coreAnswer{{former, 1, true, true}, {former, 3, false, true}}},
+		{asked: former, answers: []coreAnswer{{after, 1, true, true}, {former, 3, true, true}}, outdated: true},
+		{asked: former, answers: []coreAnswer{{after, 1, false, true}, {former, 2, true, true}, {former, 3, true, true}}, outdated: true},
+		{asked: former, answers: []coreAnswer{{after, 4, false, true}, {former, 1, true, true}, {former, 2, true, true}}, outdated: true},
+		{asked: joint, answers: []coreAnswer{{joint, 1, true, true}, {joint, 3, true, true}}},
+		{asked: joint, answers: []coreAnswer{{joint, 1, true, true}, {joint, 3, true, true}, {joint, 4, true, false}}, durable: true, complete: true},
+		{asked: joint, answers: []coreAnswer{{joint, 1, true, true}, {joint, 2, true, false}, {joint, 4, true, true}}, durable: true},
+		{asked: coreMembership{}, answers: []coreAnswer{{after, 4, true, true}, {after, 2, true, true}}, durable: true, complete: true, outdated: true},
+		{asked: coreMembership{}, answers: []coreAnswer{{former, 3, true, true}, {after, 2, true, true}}, outdated: true},
 		{asked: coreMembership{}},
 	} {
-		votes := newCoreVotes(try.asked)
-		for _, one := range try.answers {
-			votes.add(one.under.accepted, one.core, one.taken, one.whole)
+		votes := newCoreVotes(tc.asked)
+		for _, vote := range tc.answers {
+			votes.add(vote.membership.accepted, vote.core, vote.recorded, vote.complete)
 		}
-		if votes.durable() != try.lasting || votes.durable() && votes.complete() != try.whole || votes.outdated() != try.outdated {
+		if votes.durable() != tc.durable || votes.durable() && votes.complete() != tc.complete || votes.outdated() != tc.outdated {
 			test.Errorf("try %d: lasting %v, whole %v, outdated %v", number, votes.durable(), votes.complete(), votes.outdated())
 		}
 	}
--- a/serviceproxy/core_store.go
+++ b/serviceproxy/core_store.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	coreStoreLimit  = 200 * time.Millisecond
-	coreStoreRing   = 16_384
-	coreStoreGroup  = 256
-	coreStorePace   = 200 * time.Millisecond
-	unavailableSpan = time.Second
+	coreClaimTimeout  = 200 * time.Millisecond
+	coreQueueSize     = 16_384
+	coreBatchSize     = 256
+	coreRetryInterval = 200 * time.Millisecond
+	unavailableTTL    = time.Second
 )
 
 // coreStore is the client of the cores' store of idempotency keys, which outlasts a
@@ -33,12 +33,12 @@
 // pendingUpdate is an update that the cores don't have yet: a claim granted without
 // them, or how one ended.
 type pendingUpdate struct {
-	retold *message.ClaimRecord
-	settle *message.CompleteClaimRequest
+	merged    *message.ClaimRecord
+	completed *message.CompleteClaimRequest
 }
 
 func newCoreStore(proxy *Proxy) *coreStore {
-	return &coreStore{proxy: proxy, queue: concurrent.NewQueue[pendingUpdate](coreStoreRing)}
+	return &coreStore{proxy: proxy, queue: concurrent.NewQueue[pendingUpdate](coreQueueSize)}
 }
 
 // unavailable reports whether the last attempt, within a second, found no majority of
@@ -46,22 +46,22 @@
 func (store *coreStore) unavailable() bool {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	return time.Since(store.failedAt) < unavailableSpan
+	return time.Since(store.failedAt) < unavailableTTL
 }
 
 // recordContact notes whether a majority of cores answered.
-func (store *coreStore) recordContact(there bool) {
+func (store *coreStore) recordContact(reached bool) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.failedAt = time.Time{}
-	if !there {
+	if !reached {
 		store.failedAt = time.Now()
 	}
 }
 
 // coresToAsk returns the membership to count by and the addresses to ask: those of its
 // voters, and of all known cores while a newer membership was heard of.
-func (store *coreStore) coresToAsk() (coreMembership, []string) {
+func (store *coreStore) coresToQuery() (coreMembership, []string) {
 	store.mutex.Lock()
 	membership := store.membership
 	store.mutex.Unlock()
@@ -79,13 +79,13 @@
 }
 
 // learn records a membership that cores answered with, if it is newer.
-func (store *coreStore) learn(membership coreMembership) {
+func (store *coreStore) updateMembership(membership coreMembership) {
 	store.mutex.Lock()
 	store.membership = store.membership.newer(membership)
 	store.mutex.Unlock()
 }
 
-func (store *coreStore) ask(
+func (store *coreStore) recordClaims(
 	address string,
 	request *message.RecordClaimsRequest,
 	limit time.Duration,
@@ -95,8 +95,8 @@
 
 // enqueue queues an update for deliver; if the queue is full the update is lost and
 // counted.
-func (store *coreStore) enqueue(one pendingUpdate) {
-	if !store.queue.Put(one) {
+func (store *coreStore) enqueue(update pendingUpdate) {
+	if !store.queue.Put(update) {
 		store.proxy.counters.Add("claims_not_owed", 1)
 		return
 	}
@@ -106,12 +106,12 @@
 }
 
 // flush waits until all updates are delivered, at most for rest, before a planned stop.
-func (store *coreStore) flush(rest time.Duration) {
-	for until := time.Now().Add(rest); time.Now().Before(until); {
+func (store *coreStore) flush(limit time.Duration) {
+	for until := time.Now().Add(limit); time.Now().Before(until); {
 		store.mutex.Lock()
 		pending := store.pending
 		store.mutex.Unlock()
-		if pending <= 0 || !store.proxy.goroutines.Sleep(coreStorePace/10) {
+		if pending <= 0 || !store.proxy.goroutines.Sleep(coreRetryInterval/10) {
 			return
 		}
 	}
@@ -122,21 +122,21 @@
 func (store *coreStore) deliver() {
 	goroutines := store.proxy.goroutines
 	for {
-		batch := store.queue.Take(coreStoreGroup)
+		batch := store.queue.Take(coreBatchSize)
 		if len(batch) == 0 {
 			return
 		}
 		request := &message.RecordClaimsRequest{}
-		for _, one := range batch {
-			if one.retold != nil {
-				request.Merged = append(request.Merged, *one.retold)
+		for _, update := range batch {
+			if update.merged != nil {
+				request.Merged = append(request.Merged, *update.merged)
 			} else {
-				request.Completed = append(request.Completed, *one.settle)
+				request.Completed = append(request.Completed, *update.completed)
 			}
 		}
 		for !store.sendToMajority(request) {
 			store.proxy.counters.Add("claims_told_late", 1)
-			if !goroutines.Sleep(coreStorePace) {
+			if !goroutines.Sleep(coreRetryInterval) {
 				return
 			}
 		}
@@ -149,22 +149,22 @@
 // sendToMajority sends an update to the cores. It returns whether a majority of the
 // cores that vote has it.
 func (store *coreStore) sendToMajority(request *message.RecordClaimsRequest) bool {
-	membership, cores := store.coresToAsk()
+	membership, cores := store.coresToQuery()
 	request.Membership = membership.accepted
-	got, _ := concurrent.Gather(store.proxy.goroutines, len(cores), func(index int) (*message.RecordClaimsResponse, error) {
-		return store.ask(cores[index], request, completeTimeout)
-	}, func(got map[int]*message.RecordClaimsResponse, _ map[int]error) bool {
-		return recordedBy(membership, got).durable()
+	responses, _ := concurrent.Gather(store.proxy.goroutines, len(cores), func(index int) (*message.RecordClaimsResponse, error) {
+		return store.recordClaims(cores[index], request, completeTimeout)
+	}, func(responses map[int]*message.RecordClaimsResponse, _ map[int]error) bool {
+		return countVotes(membership, responses).durable()
 	})
-	votes := recordedBy(membership, got)
-	store.learn(votes.newest)
+	votes := countVotes(membership, responses)
+	store.updateMembership(votes.newest)
 	return votes.durable()
 }
 
 // recordedBy returns the votes of the cores that answered an update.
-func recordedBy(membership coreMembership, got map[int]*message.RecordClaimsResponse) *coreVotes {
+func countVotes(membership coreMembership, responses map[int]*message.RecordClaimsResponse) *coreVotes {
 	votes := newCoreVotes(membership)
-	for _, response := range got {
+	for _, response := range responses {
 		votes.add(response.Membership, response.Core, !response.Refused, response.Complete)
 	}
 	return votes
@@ -172,16 +172,16 @@
 
 // restore passes every claim that the cores hold to take. It returns whether a
 // majority of the cores that vote answered and hold all claims.
-func (store *coreStore) restore(take func([]message.ClaimRecord)) bool {
-	membership, cores := store.coresToAsk()
-	got, _ := concurrent.Gather(store.proxy.goroutines, len(cores), func(index int) (*message.FetchClaimsResponse, error) {
-		return fetchAllClaims(store.proxy.daemon.Client(), cores[index], membership.accepted, take)
+func (store *coreStore) restore(merge func([]message.ClaimRecord)) bool {
+	membership, cores := store.coresToQuery()
+	responses, _ := concurrent.Gather(store.proxy.goroutines, len(cores), func(index int) (*message.FetchClaimsResponse, error) {
+		return fetchAllClaims(store.proxy.daemon.Client(), cores[index], membership.accepted, merge)
 	}, func(map[int]*message.FetchClaimsResponse, map[int]error) bool { return false })
 	votes := newCoreVotes(membership)
-	for _, response := range got {
+	for _, response := range responses {
 		votes.add(response.Membership, response.Core, true, response.Complete)
 	}
-	store.learn(votes.newest)
+	store.updateMembership(votes.newest)
 	return votes.complete()
 }
 
@@ -190,17 +190,17 @@
 func fetchAllClaims(
 	client *rpc.Client,
 	address string,
-	members message.AcceptedValue,
-	take func([]message.ClaimRecord),
+	membership message.AcceptedValue,
+	merge func([]message.ClaimRecord),
 ) (*message.FetchClaimsResponse, error) {
 	var first *message.FetchClaimsResponse
-	for after, whole := uint64(0), true; ; {
+	for cursor, complete := uint64(0), true; ; {
 		response, err := rpc.Call(
 			client,
 			address,
 			message.MethodFetchClaims,
 			fetchClaimsTimeout,
-			&message.FetchClaimsRequest{After: after, Membership: members},
+			&message.FetchClaimsRequest{After: cursor, Membership: membership},
 		)
 		if err != nil {
 			return nil, err
@@ -208,12 +208,12 @@
 		if first == nil {
 			first = response
 		}
-		take(response.Claims)
-		whole = whole && response.Complete
+		merge(response.Claims)
+		complete = complete && response.Complete
 		if response.Done {
-			response.Complete, response.Membership, response.Core = whole, first.Membership, first.Core
+			response.Complete, response.Membership, response.Core = complete, first.Membership, first.Core
 			return response, nil
 		}
-		after = response.Last
+		cursor = response.Last
 	}
 }
--- a/serviceproxy/early_response_test.go
+++ b/serviceproxy/early_response_test.go
@@ -23,9 +23,9 @@
 // earlyBackend answers a task before it has read its body, and reads on after a while.
 type earlyBackend struct {
 	readFirst int // bytes of the body that it reads before its answer
-	readsOn   time.Duration
+	pause     time.Duration
 	answer    string // without its task
-	read      atomic.Int64
+	bytesRead atomic.Int64
 }
 
 func (backend *earlyBackend) dial(context.Context, string, string) (net.Conn, error) {
@@ -48,34 +48,34 @@
 	}
 	first, _ := io.CopyN(io.Discard, request.Body, int64(backend.readFirst)) // less where the proxy leaves
 	_, _ = fmt.Fprintf(conn, backend.answer, request.Header.Get("Oj-Task"))  // as above
-	time.Sleep(backend.readsOn)
+	time.Sleep(backend.pause)
 	rest, _ := io.Copy(io.Discard, request.Body) // what the proxy sends yet
-	backend.read.Store(first + rest)
+	backend.bytesRead.Store(first + rest)
 }
 
 // An answer that came before the body was sent was a success for the caller, and the connection
 // was closed on the rest of the body: the backend had a part of it.
-func TestSuccessCoversTheWholeBody(test *testing.T) {
+func TestSuccessRequiresWholeRequestBody(test *testing.T) {
 	const size = 1 << 20
-	for name, one := range map[string]struct {
+	for name, tc := range map[string]struct {
 		backend *earlyBackend
 		code    rpc.Code
 	}{
 		"after the body":       {&earlyBackend{readFirst: size, answer: answerWithBody}, ""},
-		"early, reads on soon": {&earlyBackend{readFirst: 1000, readsOn: time.Second, answer: answerWithBody}, ""},
-		"early, never reads":   {&earlyBackend{readFirst: 1000, readsOn: time.Hour, answer: answerWithBody}, rpc.DeadlineExceeded},
-		"early, without body":  {&earlyBackend{readFirst: 1000, readsOn: time.Second, answer: answerWithoutBody}, rpc.BadResponse},
-		"early, and closes":    {&earlyBackend{readFirst: 1000, readsOn: time.Second, answer: answerAndClose}, ""},
+		"early, reads on soon": {&earlyBackend{readFirst: 1000, pause: time.Second, answer: answerWithBody}, ""},
+		"early, never reads":   {&earlyBackend{readFirst: 1000, pause: time.Hour, answer: answerWithBody}, rpc.DeadlineExceeded},
+		"early, without body":  {&earlyBackend{readFirst: 1000, pause: time.Second, answer: answerWithoutBody}, rpc.BadResponse},
+		"early, and closes":    {&earlyBackend{readFirst: 1000, pause: time.Second, answer: answerAndClose}, ""},
 	} {
 		test.Run(name, func(test *testing.T) {
 			synctest.Test(test, func(test *testing.T) {
-				err := sendBody(one.backend, size)
+				err := sendBody(tc.backend, size)
 				time.Sleep(2 * time.Hour)
-				if read := one.backend.read.Load(); err == nil && read != size {
+				if read := tc.backend.bytesRead.Load(); err == nil && read != size {
 					test.Errorf("a success, and %d of %d bytes", read, size)
 				}
-				if code := rpc.CodeOf(err); (err != nil || one.code != "") && code != one.code {
-					test.Errorf("%v, want %q", err, one.code)
+				if code := rpc.CodeOf(err); (err != nil || tc.code != "") && code != tc.code {
+					test.Errorf("%v, want %q", err, tc.code)
 				}
 				if err != nil && rpc.AsError(err).Outcome != rpc.MayHaveRun {
 					test.Errorf("outcome %q", rpc.AsError(err).Outcome)
@@ -95,7 +95,7 @@
 func sendBody(backend *earlyBackend, size int) error {
 	proxy := &Proxy{counters: metrics.NewCounters(), budget: newRetryBudget(), usage: metrics.NewCounters(), dial: backend.dial}
 	target := newTarget(message.Backend{Name: "b1", Service: "plain", Address: "b1:80"}, backend.dial)
-	target.identity, target.probed = Identity{Incarnation: "b1"}, true
+	target.identity, target.identityKnown = Identity{Incarnation: "b1"}, true
 	defer target.close()
 	proxy.plan.Store(&plan{
 		routes: NewRoutes(1, &config.Settings{}, nil), services: map[string][]*Target{"plain": {target}},
@@ -107,5 +107,5 @@
 		deadline: time.Now().Add(4 * time.Second), tried: map[*Target]bool{},
 	}
 	task.plan.routes.tenants = []tenantEntry{{name: "tenant"}}
-	return task.sendUntilAnswered()
+	return task.sendWithRetries()
 }
--- a/serviceproxy/identity.go
+++ b/serviceproxy/identity.go
@@ -13,7 +13,7 @@
 	"orchidjunction/rpc"
 )
 
-const identityBytes = 16 << 10
+const maxIdentityBytes = 16 << 10
 
 // Identity is what a backend says about itself: on each new connection, and partly
 // in the headers of each response. Usage is its load as a part of its capacity,
@@ -30,22 +30,22 @@
 }
 
 // query reads the identity on the pipe itself, before anything else goes over it.
-func (identity *Identity) query(pipe net.Conn, host string, limit time.Time) error {
-	if err := pipe.SetDeadline(limit); err != nil {
+func (identity *Identity) query(conn net.Conn, host string, deadline time.Time) error {
+	if err := conn.SetDeadline(deadline); err != nil {
 		return rpc.Errorf(rpc.ConnectionBroken, "identity: %v", err)
 	}
-	defer func() { _ = pipe.SetDeadline(time.Time{}) }() // the next use meets a closed connection anyway
-	if _, err := io.WriteString(pipe, "GET /oj/identity HTTP/1.1\r\nHost: "+host+"\r\nAccept: application/json\r\n\r\n"); err != nil {
+	defer func() { _ = conn.SetDeadline(time.Time{}) }() // the next use meets a closed connection anyway
+	if _, err := io.WriteString(conn, "GET /oj/identity HTTP/1.1\r\nHost: "+host+"\r\nAccept: application/json\r\n\r\n"); err != nil {
 		return rpc.Errorf(rpc.ConnectionBroken, "identity: %v", err)
 	}
-	reader := bufio.NewReader(pipe)
+	reader := bufio.NewReader(conn)
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return rpc.Errorf(rpc.BadResponse, "identity: %v", err)
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, identityBytes+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxIdentityBytes+1))
 	response.Body.Close()
-	if err != nil || len(body) > identityBytes || response.StatusCode != http.StatusOK || response.Close || reader.Buffered() > 0 {
+	if err != nil || len(body) > maxIdentityBytes || response.StatusCode != http.StatusOK || response.Close || reader.Buffered() > 0 {
 		return rpc.Errorf(rpc.BadResponse, "identity: status %d, %d bytes, %v", response.StatusCode, len(body), err)
 	}
 	if err := json.Unmarshal(body, identity); err != nil {
@@ -58,7 +58,7 @@
 }
 
 // belongs is nil when the identity is that of the listed backend.
-func (identity *Identity) belongs(backend message.Backend) error {
+func (identity *Identity) verify(backend message.Backend) error {
 	if identity.Service != backend.Service || identity.Instance != backend.Name {
 		return rpc.Errorf(
 			rpc.WrongBackend,
@@ -74,7 +74,7 @@
 }
 
 // fromResponse updates the identity by the headers of a response.
-func (identity *Identity) fromResponse(header http.Header) {
+func (identity *Identity) updateFromHeader(header http.Header) {
 	if usage, err := strconv.ParseFloat(header.Get("Oj-Usage"), 64); err == nil && usage >= 0 {
 		identity.Utilization = usage
 	}
--- a/serviceproxy/key_replicas.go
+++ b/serviceproxy/key_replicas.go
@@ -17,33 +17,33 @@
 }
 
 func newKeyReplicas(table *message.Table, regions map[string]string) *KeyReplicas {
-	keepers := &KeyReplicas{regions: regions}
+	replicas := &KeyReplicas{regions: regions}
 	for _, member := range table.Members {
 		if member.Kind == message.ProxyKind && member.KeyReplica {
-			keepers.members = append(keepers.members, member)
+			replicas.members = append(replicas.members, member)
 		}
 	}
-	return keepers
+	return replicas
 }
 
 // of ranks the ring for a key and takes the first of each region in turn.
-func (keepers *KeyReplicas) of(key message.ClaimKey) []message.Member {
+func (replicas *KeyReplicas) forKey(key message.ClaimKey) []message.Member {
 	type ranked struct {
 		member message.Member
 		score  uint64
 	}
-	ranks := make([]ranked, len(keepers.members))
-	for index, member := range keepers.members {
-		ranks[index] = ranked{member, Rank(key.Tenant+"\x00"+key.Service+"\x00"+key.Key, member.Name)}
+	ranking := make([]ranked, len(replicas.members))
+	for index, member := range replicas.members {
+		ranking[index] = ranked{member, Rank(key.Tenant+"\x00"+key.Service+"\x00"+key.Key, member.Name)}
 	}
-	sort.Slice(ranks, func(left, right int) bool { return ranks[left].score > ranks[right].score })
-	taken, chosen := map[string]int{}, []message.Member{}
-	for round := 0; len(chosen) < min(maxKeyReplicas, len(ranks)); round++ {
-		for _, one := range ranks {
-			region := keepers.regions[one.member.Zone]
-			if taken[region] == round && len(chosen) < maxKeyReplicas && !among(chosen, one.member.Name) {
-				taken[region]++
-				chosen = append(chosen, one.member)
+	sort.Slice(ranking, func(left, right int) bool { return ranking[left].score > ranking[right].score })
+	perRegion, chosen := map[string]int{}, []message.Member{}
+	for round := 0; len(chosen) < min(maxKeyReplicas, len(ranking)); round++ {
+		for _, candidate := range ranking {
+			region := replicas.regions[candidate.member.Zone]
+			if perRegion[region] == round && len(chosen) < maxKeyReplicas && !containsMember(chosen, candidate.member.Name) {
+				perRegion[region]++
+				chosen = append(chosen, candidate.member)
 			}
 		}
 	}
@@ -55,13 +55,13 @@
 func Rank(subject, name string) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(subject + "\x00" + name))
-	mixed := sum.Sum64()
-	mixed ^= mixed >> 33
-	mixed *= 0xff51afd7ed558ccd
-	return mixed ^ mixed>>33
+	hash := sum.Sum64()
+	hash ^= hash >> 33
+	hash *= 0xff51afd7ed558ccd
+	return hash ^ hash>>33
 }
 
-func among(members []message.Member, name string) bool {
+func containsMember(members []message.Member, name string) bool {
 	for _, member := range members {
 		if member.Name == name {
 			return true
--- a/serviceproxy/overload.go
+++ b/serviceproxy/lending_limit.go
@@ -15,9 +15,9 @@
 // flight, and nothing while the classes of its owner are above their floors or were
 // refused.
 type LendingLimit struct {
-	owner *Proxy
-	rate  *rate.Limiter
-	most  int
+	owner       *Proxy
+	rate        *rate.Limiter
+	maxInFlight int
 
 	mutex    sync.Mutex
 	inFlight int
@@ -25,30 +25,30 @@
 
 // NewLendingLimit returns the limit for requests that other proxies in this process carry
 // on the owner's behalf: perSecond requests a second, most at once.
-func NewLendingLimit(owner *Proxy, perSecond float64, most int) *LendingLimit {
-	return &LendingLimit{owner: owner, rate: rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond/4), 1)), most: most}
+func NewLendingLimit(owner *Proxy, perSecond float64, maxInFlight int) *LendingLimit {
+	return &LendingLimit{owner: owner, rate: rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond/4), 1)), maxInFlight: maxInFlight}
 }
 
 // Acquire admits one request of the other partner; the error is rpc.Overloaded. Each
 // admitted request must be given back by Give.
-func (lend *LendingLimit) Acquire() error {
-	lend.mutex.Lock()
-	defer lend.mutex.Unlock()
-	if lend.owner.admission.Overloaded() || lend.inFlight >= lend.most || !lend.rate.Allow() {
-		lend.owner.counters.Add("lending_refused", 1)
+func (limit *LendingLimit) Acquire() error {
+	limit.mutex.Lock()
+	defer limit.mutex.Unlock()
+	if limit.owner.admission.Overloaded() || limit.inFlight >= limit.maxInFlight || !limit.rate.Allow() {
+		limit.owner.counters.Add("lending_refused", 1)
 		return &rpc.Error{Code: rpc.Overloaded, Message: "the lender needs its room", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
 	}
-	lend.inFlight++
-	lend.owner.counters.Add("lent", 1)
+	limit.inFlight++
+	limit.owner.counters.Add("lent", 1)
 	return nil
 }
 
 // Release ends a request that Take admitted.
-func (lend *LendingLimit) Release() {
-	lend.mutex.Lock()
-	lend.inFlight--
-	lend.mutex.Unlock()
+func (limit *LendingLimit) Release() {
+	limit.mutex.Lock()
+	limit.inFlight--
+	limit.mutex.Unlock()
 }
 
 // SetLendingLimit makes this proxy a guest on another partner's machine, bound by the limit.
-func (proxy *Proxy) SetLendingLimit(lend *LendingLimit) { proxy.lending = lend }
+func (proxy *Proxy) SetLendingLimit(limit *LendingLimit) { proxy.lending = limit }
--- a/serviceproxy/proxy.go
+++ b/serviceproxy/proxy.go
@@ -38,12 +38,12 @@
 
 // plan is one version as this proxy uses it: whole, and never changed.
 type plan struct {
-	routes   *Routes
-	services map[string][]*Target
-	all      []*Target
-	emptied  time.Time
-	complete bool
-	proxies  int
+	routes    *Routes
+	services  map[string][]*Target
+	all       []*Target
+	drainedAt time.Time
+	complete  bool
+	proxies   int
 }
 
 // NewProxy returns a proxy without a version; it refuses requests until Apply. It
@@ -87,19 +87,19 @@
 	if version.Settings == nil {
 		return
 	}
-	shares := 0
-	for _, known := range version.Table.Members {
-		if known.Kind == message.ProxyKind {
-			shares++
+	proxies := 0
+	for _, member := range version.Table.Members {
+		if member.Kind == message.ProxyKind {
+			proxies++
 		}
 	}
-	shares = max(shares, 1)
-	proxy.budget.setProxies(shares)
+	proxies = max(proxies, 1)
+	proxy.budget.setProxies(proxies)
 	proxy.budget.setLimits(version.Settings.Retry.Fraction, version.Settings.Retry.Floor)
 	proxy.claims.store.SetTTL(version.Settings.KeyTTL())
 	proxy.admission.Apply(version.Settings, version.Table, proxy.daemon.Name())
-	next := &plan{services: map[string][]*Target{}, complete: version.Table.Complete, proxies: shares}
-	next.routes = proxy.plan.Load().next(version)
+	next := &plan{services: map[string][]*Target{}, complete: version.Table.Complete, proxies: proxies}
+	next.routes = proxy.plan.Load().nextRoutes(version)
 	proxy.mutex.Lock()
 	listed := map[string]bool{}
 	for _, backend := range version.Table.Backends {
@@ -113,7 +113,7 @@
 			proxy.targets[backend.Name] = target
 			proxy.goroutines.Start(func() { proxy.watchTarget(target) })
 		}
-		target.relist(backend, warmupShares(version.Table, backend, proxy.daemon.Name()))
+		target.updateListing(backend, warmupShares(version.Table, backend, proxy.daemon.Name()))
 		next.services[backend.Service] = append(next.services[backend.Service], target)
 		next.all = append(next.all, target)
 	}
@@ -125,9 +125,9 @@
 	}
 	proxy.mutex.Unlock()
 	if next.routes.Drained(proxy.daemon.Zone()) {
-		next.emptied = time.Now()
-		if before := proxy.plan.Load(); before != nil && !before.emptied.IsZero() {
-			next.emptied = before.emptied
+		next.drainedAt = time.Now()
+		if before := proxy.plan.Load(); before != nil && !before.drainedAt.IsZero() {
+			next.drainedAt = before.drainedAt
 		}
 	}
 	proxy.plan.Store(next)
@@ -135,7 +135,7 @@
 }
 
 // next are the routes of a version, those of this plan where it is the same.
-func (plan *plan) next(version *agent.Version) *Routes {
+func (plan *plan) nextRoutes(version *agent.Version) *Routes {
 	if plan == nil {
 		return NewRoutes(version.Serial, version.Settings, nil)
 	}
@@ -148,20 +148,20 @@
 // warmupShares is among how many proxies a backend's gentle rate is split: the
 // same few for all that read this table, and 0 for the others.
 func warmupShares(table *message.Table, backend message.Backend, name string) int {
-	ahead, count, own := 0, 0, Rank(backend.Name, name)
-	for _, known := range table.Members {
-		if known.Kind != message.ProxyKind || known.Leaving {
+	ahead, count, ownRank := 0, 0, Rank(backend.Name, name)
+	for _, member := range table.Members {
+		if member.Kind != message.ProxyKind || member.Leaving {
 			continue
 		}
 		count++
-		if known.Name != name && Rank(backend.Name, known.Name) > own {
+		if member.Name != name && Rank(backend.Name, member.Name) > ownRank {
 			ahead++
 		}
 	}
-	if ahead >= warmupSenders {
+	if ahead >= maxWarmupProxies {
 		return 0
 	}
-	return max(min(warmupSenders, count), 1)
+	return max(min(maxWarmupProxies, count), 1)
 }
 
 func (plan *plan) targets() []*Target {
@@ -181,7 +181,7 @@
 		return false
 	}
 	for _, target := range plan.all {
-		if !target.looked.Load() {
+		if !target.firstProbeDone.Load() {
 			return false
 		}
 	}
@@ -206,11 +206,11 @@
 		} else {
 			proxy.daemon.ObserveSerial(serial)
 		}
-		span := probePace
+		interval := minProbeInterval
 		if plan := proxy.plan.Load(); plan != nil && err == nil {
-			span = probeSpan(plan.proxies)
+			interval = probeInterval(plan.proxies)
 		}
-		target.probeHint.Wait(seen, span)
+		target.probeHint.Wait(seen, interval)
 		if proxy.goroutines.Stopping() {
 			return
 		}
@@ -236,25 +236,25 @@
 func (plan *plan) pickBackend(route *config.FlatRoute, tenant int, tried map[*Target]bool) (*Target, bool) {
 	type choice struct {
 		target *Target
-		usage  float64
+		load   float64
 	}
 	choices := []choice{}
 	for _, target := range plan.services[route.Service] {
 		zone := target.backend().Zone
-		if tried[target] || plan.routes.drained[zone] || plan.routes.gone[target.backend().Name] ||
+		if tried[target] || plan.routes.drainedZones[zone] || plan.routes.drainedBackends[target.backend().Name] ||
 			!plan.routes.allowed(zone, tenant, route) {
 			continue
 		}
-		if usable, usage := target.usable(); usable {
-			choices = append(choices, choice{target, usage})
+		if usable, load := target.usable(); usable {
+			choices = append(choices, choice{target, load})
 		}
 	}
 	for len(choices) > 0 {
 		first, second := rand.IntN(len(choices)), rand.IntN(len(choices))
-		if choices[second].usage < choices[first].usage {
+		if choices[second].load < choices[first].load {
 			first = second
 		}
-		if choices[first].target.admit() {
+		if choices[first].target.acquire() {
 			return choices[first].target, true
 		}
 		choices = append(choices[:first], choices[first+1:]...)
@@ -263,11 +263,11 @@
 }
 
 // usage is the mean of what a service's usable backends report.
-func (plan *plan) usage(service string) float64 {
+func (plan *plan) utilization(service string) float64 {
 	sum, count := 0.0, 0
 	for _, target := range plan.services[service] {
-		if usable, usage := target.usable(); usable {
-			sum += min(usage, 1)
+		if usable, load := target.usable(); usable {
+			sum += min(load, 1)
 			count++
 		}
 	}
--- a/serviceproxy/claim_rings.go
+++ b/serviceproxy/replica_sets.go
@@ -10,10 +10,10 @@
 
 // replicaSet is a ring and, once another replaced it, how long a quorum of it is still asked for.
 type replicaSet struct {
-	replicas *KeyReplicas
-	mark     message.TableVersion
-	at       time.Time
-	until    time.Time
+	replicas  *KeyReplicas
+	version   message.TableVersion
+	appliedAt time.Time
+	usedUntil time.Time
 }
 
 // lostReplicas is how many left a ring at once, and when.
@@ -23,11 +23,11 @@
 }
 
 // current drops the rings that are out of use and gives the newest.
-func (claims *Claims) current() *replicaSet {
+func (claims *Claims) currentReplicas() *replicaSet {
 	kept := claims.recentReplicas[:0]
-	for index, ring := range claims.recentReplicas {
-		if index == len(claims.recentReplicas)-1 || time.Now().Before(ring.until) {
-			kept = append(kept, ring)
+	for index, set := range claims.recentReplicas {
+		if index == len(claims.recentReplicas)-1 || time.Now().Before(set.usedUntil) {
+			kept = append(kept, set)
 		}
 	}
 	claims.recentReplicas = kept
@@ -39,51 +39,51 @@
 func (claims *Claims) outdated(claim *message.ClaimRequest) bool {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
-	ring := claims.current()
-	return claim.Table.Less(ring.mark) && time.Since(ring.at) > replicaSetTTL
+	set := claims.currentReplicas()
+	return claim.Table.Less(set.version) && time.Since(set.appliedAt) > replicaSetTTL
 }
 
 // apply takes a new ring and tells new replicas what they lack; the former ring
 // is asked too for a while.
 func (claims *Claims) apply(next *KeyReplicas, version message.TableVersion) {
 	claims.mutex.Lock()
-	before := claims.current()
+	before := claims.currentReplicas()
 	former := before.replicas
 	if sameMembers(former.members, next.members) {
 		claims.mutex.Unlock()
 		return
 	}
 	now := time.Now()
-	before.until = now.Add(replicaSetTTL)
+	before.usedUntil = now.Add(replicaSetTTL)
 	if len(former.members) == 0 {
-		before.until = now
+		before.usedUntil = now
 	}
-	claims.left(former.members, next.members, now)
-	claims.recentReplicas = append(claims.recentReplicas, replicaSet{replicas: next, mark: version, at: now})
+	claims.recordLost(former.members, next.members, now)
+	claims.recentReplicas = append(claims.recentReplicas, replicaSet{replicas: next, version: version, appliedAt: now})
 	claims.mutex.Unlock()
 	claims.proxy.goroutines.Start(func() { claims.sendMissing(former, next) })
 }
 
 // left doubts this memory when so many replicas are gone within a short time
 // that all who granted a key may be among them.
-func (claims *Claims) left(former, next []message.Member, now time.Time) {
-	gone := lostReplicas{at: now}
+func (claims *Claims) recordLost(former, next []message.Member, now time.Time) {
+	lost := lostReplicas{at: now}
 	for _, member := range former {
 		if !slices.ContainsFunc(next, func(other message.Member) bool { return holderName(other) == holderName(member) }) {
-			gone.count++
+			lost.count++
 		}
 	}
-	claims.lostReplicas = append(claims.lostReplicas, gone)
-	lost := 0
-	for _, one := range claims.lostReplicas {
-		if now.Sub(one.at) < lostReplicaTTL {
-			lost += one.count
+	claims.lostReplicas = append(claims.lostReplicas, lost)
+	total := 0
+	for _, loss := range claims.lostReplicas {
+		if now.Sub(loss.at) < lostReplicaTTL {
+			total += loss.count
 		}
 	}
 	for now.Sub(claims.lostReplicas[0].at) > lostReplicaTTL {
 		claims.lostReplicas = claims.lostReplicas[1:]
 	}
-	if lost >= quorum(min(maxKeyReplicas, len(former)+lost-gone.count)) && claims.complete {
+	if total >= quorum(min(maxKeyReplicas, len(former)+total-lost.count)) && claims.complete {
 		claims.complete = false
 		claims.proxy.counters.Add("claims_doubted", 1)
 	}
@@ -103,14 +103,14 @@
 
 func (claims *Claims) sendMissing(before, next *KeyReplicas) {
 	batches := map[string][]message.ClaimRecord{}
-	for after, done := uint64(0), false; !done; {
+	for cursor, done := uint64(0), false; !done; {
 		var page []message.ClaimRecord
-		page, after, done = claims.store.Page(after, claimsPageSize)
-		for _, held := range page {
-			former := before.of(held.Key)
-			for _, keeper := range next.of(held.Key) {
-				if !among(former, keeper.Name) && keeper.Name != claims.proxy.daemon.Name() {
-					batches[keeper.InternalAddress] = append(batches[keeper.InternalAddress], held)
+		page, cursor, done = claims.store.Page(cursor, claimsPageSize)
+		for _, record := range page {
+			former := before.forKey(record.Key)
+			for _, replica := range next.forKey(record.Key) {
+				if !containsMember(former, replica.Name) && replica.Name != claims.proxy.daemon.Name() {
+					batches[replica.InternalAddress] = append(batches[replica.InternalAddress], record)
 				}
 			}
 		}
@@ -129,20 +129,20 @@
 }
 
 // askable gives every ring in use for a key, and all their members once.
-func (claims *Claims) askable(key message.ClaimKey) ([][]message.Member, []message.Member, message.TableVersion) {
+func (claims *Claims) activeReplicas(key message.ClaimKey) ([][]message.Member, []message.Member, message.TableVersion) {
 	claims.mutex.Lock()
-	version := claims.current().mark
-	held := append([]replicaSet{}, claims.recentReplicas...)
+	version := claims.currentReplicas().version
+	recent := append([]replicaSet{}, claims.recentReplicas...)
 	claims.mutex.Unlock()
-	rings, all := [][]message.Member{}, []message.Member{}
-	for _, one := range held {
-		ring := one.replicas.of(key)
-		rings = append(rings, ring)
-		for _, keeper := range ring {
-			if !among(all, keeper.Name) {
-				all = append(all, keeper)
+	sets, all := [][]message.Member{}, []message.Member{}
+	for _, set := range recent {
+		replicas := set.replicas.forKey(key)
+		sets = append(sets, replicas)
+		for _, replica := range replicas {
+			if !containsMember(all, replica.Name) {
+				all = append(all, replica)
 			}
 		}
 	}
-	return rings, all, version
+	return sets, all, version
 }
--- /dev/null
+++ b/serviceproxy/response.go
@@ -0,0 +1,110 @@
+package serviceproxy
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"slices"
+	"strconv"
+
+	"orchidjunction/rpc"
+)
+
+const maxBufferedBytes = 1 << 20
+
+// Response is a backend's response: body is all of it, or its beginning while rest
+// is still to be streamed. length is the body's size in bytes, -1 if it is unknown.
+type Response struct {
+	status int
+	header http.Header
+	body   []byte
+	rest   io.ReadCloser
+	length int64
+}
+
+var hopByHopHeaders = []string{
+	"Connection",
+	"Keep-Alive",
+	"Proxy-Authenticate",
+	"Proxy-Authorization",
+	"Proxy-Connection",
+	"Te",
+	"Trailer",
+	"Transfer-Encoding",
+	"Upgrade",
+}
+
+var internalHeaders = []string{"Oj-Usage", "Oj-Serial", "Oj-Leaving", "Oj-Cold", "Oj-Incarnation"}
+
+// readResponse checks whose answer it is and reads it whole, up to where
+// streaming begins.
+func readResponse(response *http.Response, taskID string, maxBytes int, buffered bool) (*Response, error) {
+	if echoed := response.Header.Get("Oj-Task"); echoed != taskID {
+		return nil, rpc.Errorf(rpc.BadResponse, "the answer is for task %q", echoed)
+	}
+	if response.StatusCode < 200 {
+		return nil, rpc.Errorf(rpc.BadResponse, "status %d", response.StatusCode)
+	}
+	if response.ContentLength > int64(maxBytes) {
+		return nil, rpc.Errorf(rpc.BadResponse, "%d bytes, allowed %d", response.ContentLength, maxBytes)
+	}
+	result := &Response{status: response.StatusCode, header: response.Header, length: response.ContentLength}
+	bufferLimit := maxBytes
+	if !buffered {
+		bufferLimit = min(maxBytes, maxBufferedBytes)
+	}
+	body, err := io.ReadAll(io.LimitReader(response.Body, int64(bufferLimit)+1))
+	if err != nil {
+		return nil, rpc.Errorf(rpc.BadResponse, "after %d bytes: %v", len(body), err)
+	}
+	if len(body) > maxBytes {
+		return nil, rpc.Errorf(rpc.BadResponse, "more than %d bytes", maxBytes)
+	}
+	result.body = body
+	if len(body) > bufferLimit {
+		result.rest = response.Body
+	} else {
+		result.length = int64(len(body))
+	}
+	return result, nil
+}
+
+// recordedHeader are the headers that a replay gives again, bounded.
+func (response *Response) recordedHeader() map[string]string {
+	recorded, size := map[string]string{}, 0
+	for name, values := range response.header {
+		if size += len(name) + len(values[0]); size <= replayBytes {
+			recorded[name] = values[0]
+		}
+	}
+	for _, name := range append(append([]string{"Content-Length", "Oj-Task", "Date"}, hopByHopHeaders...), internalHeaders...) {
+		delete(recorded, name)
+	}
+	return recorded
+}
+
+// write gives the receipt to the caller; an error means that it was not whole.
+func (response *Response) write(writer http.ResponseWriter, maxBytes int, replayed bool) error {
+	header := writer.Header()
+	for name, values := range response.header {
+		if !slices.Contains(hopByHopHeaders, name) && !slices.Contains(internalHeaders, name) {
+			header[name] = append([]string{}, values...)
+		}
+	}
+	if replayed {
+		header.Set("Oj-Replayed", "true")
+	}
+	header.Del("Content-Length")
+	if response.length >= 0 && response.status != http.StatusNoContent && response.status != http.StatusNotModified {
+		header.Set("Content-Length", strconv.FormatInt(response.length, 10))
+	}
+	writer.WriteHeader(response.status)
+	if _, err := writer.Write(response.body); err != nil || response.rest == nil {
+		return err
+	}
+	copied, err := io.Copy(writer, io.LimitReader(response.rest, int64(maxBytes-len(response.body))+1))
+	if err == nil && copied > int64(maxBytes-len(response.body)) {
+		err = errors.New(string(rpc.TooLarge))
+	}
+	return err
+}
--- a/serviceproxy/retry_budget.go
+++ b/serviceproxy/retry_budget.go
@@ -10,18 +10,18 @@
 // floor is kept, so that kept and new tokens together never exceed the floor in any
 // span.
 type retryBudget struct {
-	mutex    sync.Mutex
-	span     time.Duration
-	begun    time.Time
-	last     time.Time
-	tokens   float64
-	shares   []budgetShare
-	fraction float64
-	floor    float64
+	mutex       sync.Mutex
+	window      time.Duration
+	startedAt   time.Time
+	filledAt    time.Time
+	tokens      float64
+	proxyCounts []proxyCount
+	fraction    float64
+	floor       float64
 }
 
 // budgetShare is among how many proxies the floor was split, and when that was last so.
-type budgetShare struct {
+type proxyCount struct {
 	count int
 	until time.Time
 }
@@ -29,70 +29,70 @@
 // newRetryBudget returns a budget that allows no retry until setLimits.
 func newRetryBudget() *retryBudget {
 	now := time.Now()
-	return &retryBudget{span: 10 * time.Second, begun: now, last: now, shares: []budgetShare{{count: 1, until: now}}}
+	return &retryBudget{window: 10 * time.Second, startedAt: now, filledAt: now, proxyCounts: []proxyCount{{count: 1, until: now}}}
 }
 
 // setProxies sets the number of proxies that share the floor.
 func (budget *retryBudget) setProxies(count int) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
-	budget.fill()
-	if last := &budget.shares[len(budget.shares)-1]; last.count != max(count, 1) {
-		budget.shares = append(budget.shares, budgetShare{count: max(count, 1)})
+	budget.refill()
+	if last := &budget.proxyCounts[len(budget.proxyCounts)-1]; last.count != max(count, 1) {
+		budget.proxyCounts = append(budget.proxyCounts, proxyCount{count: max(count, 1)})
 	}
-	budget.shares[len(budget.shares)-1].until = time.Now()
+	budget.proxyCounts[len(budget.proxyCounts)-1].until = time.Now()
 }
 
 // setLimits sets the tokens per first send and the floor per span over all proxies.
 func (budget *retryBudget) setLimits(fraction float64, floor int) {
 	budget.mutex.Lock()
-	budget.fill()
+	budget.refill()
 	budget.fraction, budget.floor = fraction, float64(floor)
 	budget.mutex.Unlock()
 }
 
 // among is the largest split of the last span: proxies that left may still
 // have used their share.
-func (budget *retryBudget) among() float64 {
+func (budget *retryBudget) maxProxies() float64 {
 	now := time.Now()
-	budget.shares[len(budget.shares)-1].until = now
-	for len(budget.shares) > 1 && now.Sub(budget.shares[0].until) > budget.span {
-		budget.shares = budget.shares[1:]
+	budget.proxyCounts[len(budget.proxyCounts)-1].until = now
+	for len(budget.proxyCounts) > 1 && now.Sub(budget.proxyCounts[0].until) > budget.window {
+		budget.proxyCounts = budget.proxyCounts[1:]
 	}
-	most := 1
-	for _, share := range budget.shares {
-		most = max(most, share.count)
+	highest := 1
+	for _, entry := range budget.proxyCounts {
+		highest = max(highest, entry.count)
 	}
-	return float64(most)
+	return float64(highest)
 }
 
 // fill brings the floor's tokens; a proxy that has just started gets none
 // until the others surely split with it.
-func (budget *retryBudget) fill() {
+func (budget *retryBudget) refill() {
 	now := time.Now()
-	half := budget.floor / 2 / budget.among()
-	if now.Sub(budget.begun) > budget.span {
-		budget.tokens += half * float64(now.Sub(budget.last)) / float64(budget.span)
+	perWindow := budget.floor / 2 / budget.maxProxies()
+	if now.Sub(budget.startedAt) > budget.window {
+		budget.tokens += perWindow * float64(now.Sub(budget.filledAt)) / float64(budget.window)
 	}
-	budget.tokens = min(budget.tokens, budget.most())
-	budget.last = now
+	budget.tokens = min(budget.tokens, budget.capacity())
+	budget.filledAt = now
 }
 
-func (budget *retryBudget) most() float64 { return max(budget.floor/2/budget.among(), 1) }
+func (budget *retryBudget) capacity() float64 { return max(budget.floor/2/budget.maxProxies(), 1) }
 
 // recordSend adds the tokens of a request's first send.
 func (budget *retryBudget) recordSend() {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
-	budget.fill()
-	budget.tokens = min(budget.tokens+budget.fraction, budget.most())
+	budget.refill()
+	budget.tokens = min(budget.tokens+budget.fraction, budget.capacity())
 }
 
 // allow reports whether a retry is allowed, and takes its token.
 func (budget *retryBudget) allow() bool {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
-	budget.fill()
+	budget.refill()
 	if budget.tokens < 1 {
 		return false
 	}
--- a/serviceproxy/retry_budget_test.go
+++ b/serviceproxy/retry_budget_test.go
@@ -9,7 +9,7 @@
 
 // In any ten seconds resends stay within a fifth and the share of the floor,
 // however first sends and wishes for resends come.
-func TestBudgetInAnySpan(test *testing.T) {
+func TestRetryBudgetInEveryWindow(test *testing.T) {
 	for seed := range uint64(5) {
 		synctest.Test(test, func(test *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 3))
@@ -18,16 +18,16 @@
 			budget.setLimits(0.2, 60)
 			type event struct {
 				at    time.Time
-				again bool
+				retry bool
 			}
 			events := []event{}
-			pace := time.Millisecond
+			interval := time.Millisecond
 			granted := 0
 			for range 8_000 {
 				if random.IntN(200) == 0 {
-					pace = time.Duration(100+random.IntN(20_000)) * time.Microsecond
+					interval = time.Duration(100+random.IntN(20_000)) * time.Microsecond
 				}
-				time.Sleep(pace)
+				time.Sleep(interval)
 				if random.IntN(2) == 0 {
 					budget.recordSend()
 					events = append(events, event{time.Now(), false})
@@ -35,16 +35,16 @@
 					granted++
 					events = append(events, event{time.Now(), true})
 				}
-				first, again := 0, 0
+				first, retry := 0, 0
 				for index := len(events) - 1; index >= 0 && time.Since(events[index].at) < 10*time.Second; index-- {
-					if events[index].again {
-						again++
+					if events[index].retry {
+						retry++
 					} else {
 						first++
 					}
 				}
-				if len(events)%50 == 0 && float64(again) > 0.2*float64(first)+20 {
-					test.Fatalf("seed %d: %d resends beside %d first sends", seed, again, first)
+				if len(events)%50 == 0 && float64(retry) > 0.2*float64(first)+20 {
+					test.Fatalf("seed %d: %d resends beside %d first sends", seed, retry, first)
 				}
 			}
 			if granted < 400 {
--- a/serviceproxy/retry_detector.go
+++ b/serviceproxy/retry_detector.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	retrySpan  = time.Second
-	retryCount = 100_000
+	retryWindow     = time.Second
+	maxFingerprints = 100_000
 )
 
 // retryDetector detects retries of callers: requests that repeat one which failed here
 // within the last second count against the retry budget.
 type retryDetector struct {
-	mutex sync.Mutex
-	seen  map[uint64]time.Time
-	swept time.Time
+	mutex    sync.Mutex
+	failedAt map[uint64]time.Time
+	prunedAt time.Time
 }
 
 // newRetryDetector returns a retryDetector that has seen nothing.
-func newRetryDetector() *retryDetector { return &retryDetector{seen: map[uint64]time.Time{}} }
+func newRetryDetector() *retryDetector { return &retryDetector{failedAt: map[uint64]time.Time{}} }
 
 // fingerprintOf identifies a request by its caller and content.
 func fingerprintOf(tenant, key, method, url string, body []byte) uint64 {
@@ -34,28 +34,28 @@
 
 // recordFailure records the fingerprint of a request that reached a backend and got no
 // response. A request that was refused before is no retry when it comes again.
-func (retries *retryDetector) recordFailure(mark uint64) {
+func (retries *retryDetector) recordFailure(fingerprint uint64) {
 	retries.mutex.Lock()
 	defer retries.mutex.Unlock()
 	now := time.Now()
-	if now.Sub(retries.swept) > retrySpan || len(retries.seen) > retryCount {
-		for old, at := range retries.seen {
-			if now.Sub(at) > retrySpan {
-				delete(retries.seen, old)
+	if now.Sub(retries.prunedAt) > retryWindow || len(retries.failedAt) > maxFingerprints {
+		for old, at := range retries.failedAt {
+			if now.Sub(at) > retryWindow {
+				delete(retries.failedAt, old)
 			}
 		}
-		retries.swept = now
+		retries.prunedAt = now
 	}
-	if len(retries.seen) < retryCount {
-		retries.seen[mark] = now
+	if len(retries.failedAt) < maxFingerprints {
+		retries.failedAt[fingerprint] = now
 	}
 }
 
 // isRetry reports whether a request with this fingerprint failed within the last
 // second.
-func (retries *retryDetector) isRetry(mark uint64) bool {
+func (retries *retryDetector) isRetry(fingerprint uint64) bool {
 	retries.mutex.Lock()
 	defer retries.mutex.Unlock()
-	at, found := retries.seen[mark]
-	return found && time.Since(at) < retrySpan
+	at, found := retries.failedAt[fingerprint]
+	return found && time.Since(at) < retryWindow
 }
--- a/serviceproxy/route_table.go
+++ b/serviceproxy/route_table.go
@@ -14,56 +14,56 @@
 // routeTable is the routes of one service in one class, indexed by method and path. It
 // is immutable; the next version shares it while nothing in it changed.
 type routeTable struct {
-	digest    string
-	inherited config.FlatRoute
-	routes    []config.FlatRoute
-	exact     map[routeKey]int
-	open      []int
-	paths     map[string]bool
+	digest     string
+	inherited  config.FlatRoute
+	routes     []config.FlatRoute
+	exact      map[routeKey]int
+	prefixes   []int
+	exactPaths map[string]bool
 }
 
-func newRouteTable(service config.Service, inherited config.FlatRoute, before *routeTable) *routeTable {
-	if before != nil && service.Digest != "" && before.digest == service.Digest && reflect.DeepEqual(before.inherited, inherited) {
-		return before
+func newRouteTable(service config.Service, inherited config.FlatRoute, previous *routeTable) *routeTable {
+	if previous != nil && service.Digest != "" && previous.digest == service.Digest && reflect.DeepEqual(previous.inherited, inherited) {
+		return previous
 	}
 	table := &routeTable{
-		digest:    service.Digest,
-		inherited: inherited,
-		routes:    service.Flatten(inherited),
-		exact:     make(map[routeKey]int, len(service.Routes)),
-		paths:     make(map[string]bool, len(service.Routes)),
+		digest:     service.Digest,
+		inherited:  inherited,
+		routes:     service.Flatten(inherited),
+		exact:      make(map[routeKey]int, len(service.Routes)),
+		exactPaths: make(map[string]bool, len(service.Routes)),
 	}
 	for index := range table.routes {
 		route := &table.routes[index]
 		if strings.HasSuffix(route.Path, "*") {
-			table.open = append(table.open, index)
+			table.prefixes = append(table.prefixes, index)
 			continue
 		}
 		table.exact[routeKey{route.Method, route.Path}] = index
-		table.paths[route.Path] = true
+		table.exactPaths[route.Path] = true
 	}
-	sort.Slice(table.open, func(left, right int) bool {
-		return len(table.routes[table.open[left]].Path) > len(table.routes[table.open[right]].Path)
+	sort.Slice(table.prefixes, func(left, right int) bool {
+		return len(table.routes[table.prefixes[left]].Path) > len(table.routes[table.prefixes[right]].Path)
 	})
 	return table
 }
 
 // find gives the route of a method and path and how exactly it fits; exact paths
 // go first, then the longest prefix.
-func (table *routeTable) find(method, path string) (found *config.FlatRoute, fit int, otherMethod bool) {
+func (table *routeTable) find(method, path string) (found *config.FlatRoute, specificity int, methodMismatch bool) {
 	if index, known := table.exact[routeKey{method, path}]; known {
 		return &table.routes[index], len(path) + 1, false
 	}
-	otherMethod = table.paths[path]
-	for _, index := range table.open {
+	methodMismatch = table.exactPaths[path]
+	for _, index := range table.prefixes {
 		route := &table.routes[index]
 		if !strings.HasPrefix(path, strings.TrimSuffix(route.Path, "*")) {
 			continue
 		}
 		if route.Method == method {
-			return route, len(route.Path) - 1, otherMethod
+			return route, len(route.Path) - 1, methodMismatch
 		}
-		otherMethod = true
+		methodMismatch = true
 	}
-	return nil, 0, otherMethod
+	return nil, 0, methodMismatch
 }
--- a/serviceproxy/routes.go
+++ b/serviceproxy/routes.go
@@ -14,53 +14,53 @@
 // Routes is the settings of one version with names resolved to indices. It is
 // immutable; versions share what did not change.
 type Routes struct {
-	Serial   uint64
-	settings *config.Settings
-	tenants  []tenantEntry
-	byKey    map[string]int
-	tables   map[string][]*routeTable
-	drained  map[string]bool
-	gone     map[string]bool
-	regions  map[string]string
+	Serial          uint64
+	settings        *config.Settings
+	tenants         []tenantEntry
+	tenantByKey     map[string]int
+	tables          map[string][]*routeTable
+	drainedZones    map[string]bool
+	drainedBackends map[string]bool
+	regions         map[string]string
 }
 
 type tenantEntry struct {
-	name    string
-	forbids []string
-	share   int
+	name             string
+	forbiddenRegions []string
+	share            int
 }
 
 // NewRoutes builds the routes of a version; before may be nil.
-func NewRoutes(serial uint64, settings *config.Settings, before *Routes) *Routes {
+func NewRoutes(serial uint64, settings *config.Settings, previous *Routes) *Routes {
 	routes := &Routes{
-		Serial:   serial,
-		settings: settings,
-		byKey:    map[string]int{},
-		tables:   map[string][]*routeTable{},
-		drained:  map[string]bool{},
-		gone:     map[string]bool{},
-		regions:  map[string]string{},
+		Serial:          serial,
+		settings:        settings,
+		tenantByKey:     map[string]int{},
+		tables:          map[string][]*routeTable{},
+		drainedZones:    map[string]bool{},
+		drainedBackends: map[string]bool{},
+		regions:         map[string]string{},
 	}
 	for name, tenant := range settings.Tenants {
 		index := len(routes.tenants)
-		routes.tenants = append(routes.tenants, tenantEntry{name: name, forbids: tenant.ForbidRegions, share: tenant.Share})
+		routes.tenants = append(routes.tenants, tenantEntry{name: name, forbiddenRegions: tenant.ForbidRegions, share: tenant.Share})
 		for _, key := range tenant.Keys {
-			routes.byKey[strings.ToLower(key)] = index
+			routes.tenantByKey[strings.ToLower(key)] = index
 		}
 	}
 	for className, class := range settings.Classes {
 		for name, service := range class.Services {
 			routes.tables[name] = append(
 				routes.tables[name],
-				newRouteTable(service, settings.Inherited(className, name), before.tableOf(className, name)),
+				newRouteTable(service, settings.Inherited(className, name), previous.tableOf(className, name)),
 			)
 		}
 	}
 	for _, zone := range settings.Drained.Zones {
-		routes.drained[zone] = true
+		routes.drainedZones[zone] = true
 	}
 	for _, backend := range settings.Drained.Backends {
-		routes.gone[backend] = true
+		routes.drainedBackends[backend] = true
 	}
 	for name, region := range settings.Regions {
 		for _, zone := range region.Zones {
@@ -74,7 +74,7 @@
 // are kept.
 func (routes *Routes) Tenant(key string) (int, bool) {
 	sum := sha256.Sum256([]byte(key))
-	index, found := routes.byKey["sha256:"+hex.EncodeToString(sum[:])]
+	index, found := routes.tenantByKey["sha256:"+hex.EncodeToString(sum[:])]
 	return index, found
 }
 
@@ -112,34 +112,34 @@
 // Route returns the route of a method and path within a service, in whatever class:
 // exact paths first, then the longest prefix. otherMethod says that only the method
 // does not match.
-func (routes *Routes) Route(service, method, path string) (found *config.FlatRoute, otherMethod bool) {
-	best := 0
+func (routes *Routes) Route(service, method, path string) (found *config.FlatRoute, methodMismatch bool) {
+	bestSpecificity := 0
 	for _, table := range routes.tables[service] {
-		route, fit, other := table.find(method, path)
-		if route != nil && fit > best {
-			found, best = route, fit
+		route, specificity, mismatch := table.find(method, path)
+		if route != nil && specificity > bestSpecificity {
+			found, bestSpecificity = route, specificity
 		}
-		otherMethod = otherMethod || other
+		methodMismatch = methodMismatch || mismatch
 	}
-	return found, otherMethod && found == nil
+	return found, methodMismatch && found == nil
 }
 
 // allowed is whether a backend's or front's zone may serve this tenant's task on this route.
 func (routes *Routes) allowed(zone string, tenant int, route *config.FlatRoute) bool {
 	region := routes.regions[zone]
-	if slices.Contains(routes.tenants[tenant].forbids, region) {
+	if slices.Contains(routes.tenants[tenant].forbiddenRegions, region) {
 		return false
 	}
 	return !slices.Contains(route.ForbidRegions, region)
 }
 
 // Drained reports whether a zone is drained.
-func (routes *Routes) Drained(zone string) bool { return routes.drained[zone] }
+func (routes *Routes) Drained(zone string) bool { return routes.drainedZones[zone] }
 
 // Settings returns the settings that these routes were built from.
 func (routes *Routes) Settings() *config.Settings { return routes.settings }
 
 // ZoneAllowed reports whether a tenant's traffic may enter a zone.
 func (routes *Routes) ZoneAllowed(zone string, tenant int) bool {
-	return !slices.Contains(routes.tenants[tenant].forbids, routes.regions[zone])
+	return !slices.Contains(routes.tenants[tenant].forbiddenRegions, routes.regions[zone])
 }
--- a/serviceproxy/state_machine.go
+++ b/serviceproxy/state_machine.go
@@ -48,17 +48,17 @@
 // stateMachine is the state machine of one request; a transition that is not allowed is
 // counted as a defect.
 type stateMachine struct {
-	now      State
+	state    State
 	counters *metrics.Counters
 }
 
 func newStateMachine(counters *metrics.Counters) *stateMachine {
-	return &stateMachine{now: Arrived, counters: counters}
+	return &stateMachine{state: Arrived, counters: counters}
 }
 
 func (machine *stateMachine) advance(to State) bool {
-	if slices.Contains(transitions[machine.now], to) {
-		machine.now = to
+	if slices.Contains(transitions[machine.state], to) {
+		machine.state = to
 		if len(transitions[to]) == 0 {
 			machine.counters.Add("tasks_"+string(to), 1)
 		}
--- a/serviceproxy/state_machine_test.go
+++ b/serviceproxy/state_machine_test.go
@@ -7,14 +7,14 @@
 )
 
 // Every state but the first is reached, and every way ends.
-func TestChartEnds(test *testing.T) {
+func TestStatesReachableAndTerminating(test *testing.T) {
 	reached := map[State]bool{Arrived: true}
-	for grown := true; grown; {
-		grown = false
-		for from, nexts := range transitions {
-			for _, next := range nexts {
+	for changed := true; changed; {
+		changed = false
+		for from, successors := range transitions {
+			for _, next := range successors {
 				if reached[from] && !reached[next] {
-					reached[next], grown = true, true
+					reached[next], changed = true, true
 				}
 			}
 		}
@@ -23,16 +23,16 @@
 		if !reached[state] {
 			test.Errorf("%s is never reached", state)
 		}
-		if _, goes := transitions[state]; !goes && state != Answered && state != Replayed && state != Refused && state != Unknown &&
+		if _, found := transitions[state]; !found && state != Answered && state != Replayed && state != Refused && state != Unknown &&
 			state != Aborted {
 			test.Errorf("%s has no way on", state)
 		}
 	}
-	for _, unsafe := range [][2]State{{Answered, Assigned}, {Unknown, Assigned}, {Aborted, Answered}, {Arrived, Sent}, {Authenticated, Assigned}} {
+	for _, invalid := range [][2]State{{Answered, Assigned}, {Unknown, Assigned}, {Aborted, Answered}, {Arrived, Sent}, {Authenticated, Assigned}} {
 		counters := metrics.NewCounters()
-		machine := &stateMachine{now: unsafe[0], counters: counters}
-		if machine.advance(unsafe[1]) || counters.Get("task_steps_off_chart") != 1 {
-			test.Errorf("%s to %s is taken", unsafe[0], unsafe[1])
+		machine := &stateMachine{state: invalid[0], counters: counters}
+		if machine.advance(invalid[1]) || counters.Get("task_steps_off_chart") != 1 {
+			test.Errorf("%s to %s is taken", invalid[0], invalid[1])
 		}
 	}
 }
--- a/serviceproxy/target.go
+++ b/serviceproxy/target.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	probeLimit    = 600 * time.Millisecond
-	probePace     = 500 * time.Millisecond
-	probeMost     = 2 * time.Second
-	probers       = 8
-	failuresDown  = 2
-	idlePipeSpan  = 20 * time.Second
-	warmupSettle  = time.Second
-	warmupSenders = 2
+	probeTimeout       = 600 * time.Millisecond
+	minProbeInterval   = 500 * time.Millisecond
+	maxProbeInterval   = 2 * time.Second
+	probersPerInterval = 8
+	unhealthyFailures  = 2
+	idleConnTimeout    = 20 * time.Second
+	warmupDelay        = time.Second
+	maxWarmupProxies   = 2
 )
 
 // Target is one backend as this proxy knows it: its listing, its health by probes
 // and responses, and idle connections, which belong to the incarnation that opened
 // them.
 type Target struct {
-	listing   atomic.Pointer[message.Backend]
-	dial      Dialer
-	looked    atomic.Bool
-	probeHint *concurrent.Condition
+	listing        atomic.Pointer[message.Backend]
+	dial           Dialer
+	firstProbeDone atomic.Bool
+	probeHint      *concurrent.Condition
 
 	mutex         sync.Mutex
 	identity      Identity
-	probed        bool
+	identityKnown bool
 	failures      int
-	wrong         bool
+	ejected       bool
 	closed        bool // no longer listed
 	inFlight      int
 	idle          []*BackendConn
 	warmupLimiter *rate.Limiter
-	shares        int
-	chosen        time.Time
+	warmupProxies int
+	warmupSince   time.Time
 }
 
 func newTarget(backend message.Backend, dial Dialer) *Target {
@@ -56,29 +56,29 @@
 // relist keeps what is known of a backend whose listing changed elsewhere than
 // in its address. While it is cold only shares proxies send to it; 0 means that
 // this one does not.
-func (target *Target) relist(backend message.Backend, shares int) {
+func (target *Target) updateListing(backend message.Backend, warmupProxies int) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	if backend.ProbeHint > target.backend().ProbeHint {
 		target.probeHint.Notify()
 	}
 	target.listing.Store(&backend)
-	if target.shares != shares {
-		if target.shares == 0 {
-			target.chosen = time.Now()
+	if target.warmupProxies != warmupProxies {
+		if target.warmupProxies == 0 {
+			target.warmupSince = time.Now()
 		}
-		target.shares, target.warmupLimiter = shares, nil
+		target.warmupProxies, target.warmupLimiter = warmupProxies, nil
 		target.updateWarmup()
 	}
 }
 
 // updateWarmup sets this proxy's share of the gentle rate; it begins with nothing kept.
 func (target *Target) updateWarmup() {
-	if !target.identity.WarmingUp || target.identity.WarmupRate <= 0 || target.shares == 0 {
+	if !target.identity.WarmingUp || target.identity.WarmupRate <= 0 || target.warmupProxies == 0 {
 		target.warmupLimiter = nil
 		return
 	}
-	share := rate.Limit(target.identity.WarmupRate / float64(target.shares))
+	share := rate.Limit(target.identity.WarmupRate / float64(target.warmupProxies))
 	if target.warmupLimiter == nil {
 		target.warmupLimiter = rate.NewLimiter(share, 1)
 		target.warmupLimiter.Allow()
@@ -90,13 +90,13 @@
 }
 
 // learn takes an identity; pipes of another incarnation are closed.
-func (target *Target) learn(identity Identity) {
+func (target *Target) updateIdentity(identity Identity) {
 	target.mutex.Lock()
 	stale := []*BackendConn{}
-	if target.probed && target.identity.Incarnation != identity.Incarnation {
+	if target.identityKnown && target.identity.Incarnation != identity.Incarnation {
 		stale, target.idle = target.idle, nil
 	}
-	target.identity, target.probed, target.failures, target.wrong = identity, true, 0, false
+	target.identity, target.identityKnown, target.failures, target.ejected = identity, true, 0, false
 	target.updateWarmup()
 	target.mutex.Unlock()
 	for _, connection := range stale {
@@ -104,24 +104,24 @@
 	}
 }
 
-func (target *Target) learnFromResponse(incarnation string, lay func(*Identity)) {
+func (target *Target) updateFromResponse(incarnation string, update func(*Identity)) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	if target.identity.Incarnation == incarnation {
-		lay(&target.identity)
+		update(&target.identity)
 		target.updateWarmup()
 	}
 }
 
 // failed counts an error; a wrong identity takes the target out at once.
-func (target *Target) failed(err error) {
+func (target *Target) recordFailure(err error) {
 	target.mutex.Lock()
 	stale := []*BackendConn{}
 	target.failures++
 	if rpc.CodeOf(err) == rpc.WrongBackend {
-		target.wrong = true
+		target.ejected = true
 	}
-	if target.wrong || target.failures >= failuresDown {
+	if target.ejected || target.failures >= unhealthyFailures {
 		stale, target.idle = target.idle, nil
 	}
 	target.mutex.Unlock()
@@ -131,14 +131,14 @@
 }
 
 func (target *Target) healthy() bool {
-	return target.probed && !target.wrong && target.failures < failuresDown
+	return target.identityKnown && !target.ejected && target.failures < unhealthyFailures
 }
 
 // usable is whether a draw may take it, and how loaded it is.
 func (target *Target) usable() (bool, float64) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	if !target.healthy() || target.leaves() {
+	if !target.healthy() || target.isWithdrawnLocked() {
 		return false, 0
 	}
 	return true, target.identity.Utilization + float64(target.inFlight)*0.05
@@ -146,7 +146,7 @@
 
 // leaves is whether the backend says or the list shows that it should get nothing more. The
 // caller holds the mutex.
-func (target *Target) leaves() bool {
+func (target *Target) isWithdrawnLocked() bool {
 	return target.closed || target.identity.Leaving || target.backend().Leaving
 }
 
@@ -154,29 +154,29 @@
 func (target *Target) isWithdrawn() bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	return target.leaves()
+	return target.isWithdrawnLocked()
 }
 
 // admit takes one place at the target; a cold one gives only its gentle share.
-func (target *Target) admit() bool {
+func (target *Target) acquire() bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	if target.identity.WarmingUp && target.identity.WarmupRate > 0 &&
-		(target.shares == 0 || time.Since(target.chosen) < warmupSettle || !target.warmupLimiter.Allow()) {
+		(target.warmupProxies == 0 || time.Since(target.warmupSince) < warmupDelay || !target.warmupLimiter.Allow()) {
 		return false
 	}
 	target.inFlight++
 	return true
 }
 
-func (target *Target) leave() {
+func (target *Target) release() {
 	target.mutex.Lock()
 	target.inFlight--
 	target.mutex.Unlock()
 }
 
 // connection gives an idle pipe of the present incarnation or opens a new one.
-func (target *Target) connection(limit time.Time) (*BackendConn, string, error) {
+func (target *Target) connection(deadline time.Time) (*BackendConn, string, error) {
 	for {
 		target.mutex.Lock()
 		incarnation := target.identity.Incarnation
@@ -187,21 +187,21 @@
 		connection := target.idle[len(target.idle)-1]
 		target.idle = target.idle[:len(target.idle)-1]
 		target.mutex.Unlock()
-		if connection.sound() && time.Since(connection.used) < idlePipeSpan {
+		if connection.reusable() && time.Since(connection.lastUsed) < idleConnTimeout {
 			return connection, incarnation, nil
 		}
 		connection.close()
 	}
-	until := time.Now().Add(probeLimit)
-	if limit.Before(until) {
-		until = limit
+	dialDeadline := time.Now().Add(probeTimeout)
+	if deadline.Before(dialDeadline) {
+		dialDeadline = deadline
 	}
-	connection, identity, err := dialBackend(target.dial, target.backend(), until)
+	connection, identity, err := dialBackend(target.dial, target.backend(), dialDeadline)
 	if err != nil {
-		target.failed(err)
+		target.recordFailure(err)
 		return nil, "", err
 	}
-	target.learn(*identity)
+	target.updateIdentity(*identity)
 	if identity.Leaving {
 		connection.close()
 		return nil, "", rpc.Errorf(rpc.NoBackend, "%s is leaving", target.backend().Name)
@@ -210,10 +210,10 @@
 }
 
 // giveBack keeps the pipe when it is still sound and its incarnation still stands.
-func (target *Target) giveBack(connection *BackendConn, incarnation string, most int) {
-	connection.used = time.Now()
+func (target *Target) returnConnection(connection *BackendConn, incarnation string, maxIdle int) {
+	connection.lastUsed = time.Now()
 	target.mutex.Lock()
-	keep := connection.sound() && target.identity.Incarnation == incarnation && target.healthy() && len(target.idle) < most
+	keep := connection.reusable() && target.identity.Incarnation == incarnation && target.healthy() && len(target.idle) < maxIdle
 	if keep {
 		target.idle = append(target.idle, connection)
 	}
@@ -225,20 +225,20 @@
 
 // probeSpan is how long a proxy waits between looks at a backend: the more
 // proxies look, the seldomer each does. What one finds makes the others look too.
-func probeSpan(proxies int) time.Duration {
-	return min(max(probePace, probePace*time.Duration(proxies)/probers), probeMost)
+func probeInterval(proxies int) time.Duration {
+	return min(max(minProbeInterval, minProbeInterval*time.Duration(proxies)/probersPerInterval), maxProbeInterval)
 }
 
 // probe opens a fresh pipe, so that who is there now is what counts.
 func (target *Target) probe() (uint64, error) {
-	defer target.looked.Store(true)
-	connection, identity, err := dialBackend(target.dial, target.backend(), time.Now().Add(probeLimit))
+	defer target.firstProbeDone.Store(true)
+	connection, identity, err := dialBackend(target.dial, target.backend(), time.Now().Add(probeTimeout))
 	if err != nil {
-		target.failed(err)
+		target.recordFailure(err)
 		return 0, err
 	}
-	target.learn(*identity)
-	target.giveBack(connection, identity.Incarnation, 4)
+	target.updateIdentity(*identity)
+	target.returnConnection(connection, identity.Incarnation, 4)
 	return identity.Serial, nil
 }
 
@@ -260,7 +260,7 @@
 func (target *Target) close() {
 	target.mutex.Lock()
 	stale := target.idle
-	target.idle, target.wrong, target.closed = nil, true, true
+	target.idle, target.ejected, target.closed = nil, true, true
 	target.mutex.Unlock()
 	for _, connection := range stale {
 		connection.close()
--- a/serviceproxy/task.go
+++ b/serviceproxy/task.go
@@ -94,9 +94,9 @@
 			return err
 		}
 	}
-	origin, _, _ := net.SplitHostPort(task.request.RemoteAddr)
+	remoteHost, _, _ := net.SplitHostPort(task.request.RemoteAddr)
 	task.fingerprint = fingerprintOf(
-		origin+" "+task.plan.routes.TenantName(task.tenant),
+		remoteHost+" "+task.plan.routes.TenantName(task.tenant),
 		task.request.Header.Get(keyHeader),
 		task.request.Method,
 		task.request.URL.RequestURI(),
--- a/serviceproxy/task_admission.go
+++ b/serviceproxy/task_admission.go
@@ -12,19 +12,19 @@
 
 const (
 	// stopMargin is kept free between a request's deadline and the end of the process.
-	stopMargin = 300 * time.Millisecond
+	shutdownMargin = 300 * time.Millisecond
 	// drainedGrace is the time in which callers' placements end after a zone was drained.
 	drainedGrace = 3 * time.Second
 )
 
 // isDrained is whether this front's zone was emptied and the placements are over.
 func (task *task) isDrained() bool {
-	return !task.plan.emptied.IsZero() && time.Since(task.plan.emptied) > drainedGrace
+	return !task.plan.drainedAt.IsZero() && time.Since(task.plan.drainedAt) > drainedGrace
 }
 
 // checkLeaving refuses a request that should go elsewhere: any in a drained zone, and
 // one that might not end before this process stops.
-func (task *task) checkLeaving() error {
+func (task *task) checkDraining() error {
 	if task.isDrained() {
 		return &rpc.Error{
 			Code:         rpc.ZoneDrained,
@@ -33,7 +33,7 @@
 			Outcome:      rpc.NotRun,
 		}
 	}
-	if rest, leaving := task.proxy.daemon.StopsIn(); leaving && time.Until(task.deadline) > rest-stopMargin {
+	if remaining, leaving := task.proxy.daemon.StopsIn(); leaving && time.Until(task.deadline) > remaining-shutdownMargin {
 		return &rpc.Error{
 			Code:         rpc.Stopping,
 			Message:      "this front stops; ask a directory where to go",
@@ -80,8 +80,8 @@
 func (task *task) matchRoute() error {
 	service, path, _ := strings.Cut(strings.TrimPrefix(task.request.URL.Path, "/"), "/")
 	task.path = "/" + path
-	route, otherMethod := task.plan.routes.Route(service, task.request.Method, task.path)
-	if otherMethod {
+	route, methodMismatch := task.plan.routes.Route(service, task.request.Method, task.path)
+	if methodMismatch {
 		return rpc.Errorf(rpc.MethodNotAllowed, "%s is not for %s", task.request.Method, task.request.URL.Path)
 	}
 	if route == nil {
@@ -91,48 +91,48 @@
 	if !task.plan.routes.allowed(task.proxy.daemon.Zone(), task.tenant, route) {
 		return rpc.Errorf(rpc.ForbiddenRegion, "zone %s is closed to this task", task.proxy.daemon.Zone())
 	}
-	limit, err := timeLimit(task.route.TimeoutMs, task.request.Header.Get(limitHeader))
+	timeout, err := requestTimeout(task.route.TimeoutMs, task.request.Header.Get(timeoutHeader))
 	if err != nil {
 		return err
 	}
-	task.deadline = time.Now().Add(limit)
+	task.deadline = time.Now().Add(timeout)
 	task.state.advance(Routed)
 	return nil
 }
 
 // limitHeader is the header by which a caller says how many milliseconds it waits.
-const limitHeader = "Oj-Limit-Ms"
+const timeoutHeader = "Oj-Limit-Ms"
 
 // timeLimit is how long a task may take: as long as its route says, or its caller if that is
 // shorter.
-func timeLimit(routeMs int, callerMs string) (time.Duration, error) {
-	limit := time.Duration(routeMs) * time.Millisecond
+func requestTimeout(routeMs int, callerMs string) (time.Duration, error) {
+	timeout := time.Duration(routeMs) * time.Millisecond
 	if callerMs == "" {
-		return limit, nil
+		return timeout, nil
 	}
-	own, err := strconv.Atoi(callerMs)
-	if err != nil || own < 1 {
-		return 0, rpc.Errorf(rpc.BadRequest, limitHeader+": %q is not a whole number above 0", callerMs)
+	requested, err := strconv.Atoi(callerMs)
+	if err != nil || requested < 1 {
+		return 0, rpc.Errorf(rpc.BadRequest, timeoutHeader+": %q is not a whole number above 0", callerMs)
 	}
-	if own >= routeMs {
-		return limit, nil
+	if requested >= routeMs {
+		return timeout, nil
 	}
-	return time.Duration(own) * time.Millisecond, nil
+	return time.Duration(requested) * time.Millisecond, nil
 }
 
 // readBody reads the whole body, so that a broken caller starts nothing.
 func (task *task) readBody(writer http.ResponseWriter) error {
-	most := int64(task.route.BodyBytes)
-	if task.request.ContentLength > most {
-		return rpc.Errorf(rpc.TooLarge, "%d bytes, allowed %d", task.request.ContentLength, most)
+	maxBytes := int64(task.route.BodyBytes)
+	if task.request.ContentLength > maxBytes {
+		return rpc.Errorf(rpc.TooLarge, "%d bytes, allowed %d", task.request.ContentLength, maxBytes)
 	}
 	controller := http.NewResponseController(writer)
 	_ = controller.SetReadDeadline(task.deadline) // a writer without deadlines is read to its end
-	body, err := io.ReadAll(http.MaxBytesReader(writer, task.request.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(writer, task.request.Body, maxBytes))
 	_ = controller.SetReadDeadline(time.Time{})
 	if err != nil {
-		if int64(len(body)) >= most {
-			return rpc.Errorf(rpc.TooLarge, "allowed %d bytes", most)
+		if int64(len(body)) >= maxBytes {
+			return rpc.Errorf(rpc.TooLarge, "allowed %d bytes", maxBytes)
 		}
 		return rpc.Errorf(rpc.BadRequest, "body: %v", err)
 	}
--- a/serviceproxy/task_send.go
+++ b/serviceproxy/task_send.go
@@ -10,20 +10,20 @@
 
 // minTimeToSend is the least time before a task's deadline that makes another send
 // worth while.
-const minTimeToSend = 5 * time.Millisecond
+const minRetryTime = 5 * time.Millisecond
 
 // send admits the task and has it answered by a backend.
 func (task *task) send() error {
-	if err := task.checkLeaving(); err != nil {
+	if err := task.checkDraining(); err != nil {
 		return err
 	}
-	if lend := task.proxy.lending; lend != nil {
-		if err := lend.Acquire(); err != nil {
+	if limit := task.proxy.lending; limit != nil {
+		if err := limit.Acquire(); err != nil {
 			return err
 		}
-		defer lend.Release()
+		defer limit.Release()
 	}
-	if err := task.proxy.admission.Admit(task.route.Class, task.plan.usage(task.route.Service)); err != nil {
+	if err := task.proxy.admission.Admit(task.route.Class, task.plan.utilization(task.route.Service)); err != nil {
 		return err
 	}
 	if task.proxy.retries.isRetry(task.fingerprint) && !task.proxy.budget.allow() {
@@ -35,28 +35,28 @@
 			Outcome:      rpc.NotRun,
 		}
 	}
-	return task.sendUntilAnswered()
+	return task.sendWithRetries()
 }
 
 // sendUntilAnswered picks a backend and sends until a response is whole, or another send
 // is unsafe, out of budget or out of time. A task whose backend was withdrawn before it was
 // sent goes to another with the attempt and the budget that it has.
-func (task *task) sendUntilAnswered() error {
-	var last error = &rpc.Error{Code: rpc.NoBackend, Message: "no backend can take this now", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
-	mayRun := false
-	for sends, isPaid := 0, false; sends < task.route.Attempts; {
-		target, found := task.nextTarget(sends > 0, isPaid)
+func (task *task) sendWithRetries() error {
+	var lastErr error = &rpc.Error{Code: rpc.NoBackend, Message: "no backend can take this now", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
+	mayHaveRun := false
+	for sends, charged := 0, false; sends < task.route.Attempts; {
+		target, found := task.pickTarget(sends > 0, charged)
 		if !found {
 			break
 		}
-		response, ran, err := task.sendTo(target)
-		if isPaid = errors.Is(err, errWithdrawn); isPaid {
+		response, maybeRan, err := task.sendTo(target)
+		if charged = errors.Is(err, errWithdrawn); charged {
 			task.proxy.counters.Add("sends_taken_back", 1)
 			continue
 		}
 		sends++
-		task.sent = task.sent || ran
-		if ran && !mayRun {
+		task.sent = task.sent || maybeRan
+		if maybeRan && !mayHaveRun {
 			task.proxy.usage.Add(task.plan.routes.TenantName(task.tenant), 1)
 		}
 		if err == nil {
@@ -64,18 +64,18 @@
 			return nil
 		}
 		task.proxy.counters.Add("sends_"+string(rpc.CodeOf(err)), 1)
-		last, mayRun = err, mayRun || ran
-		if !task.maySendAgain(ran) {
+		lastErr, mayHaveRun = err, mayHaveRun || maybeRan
+		if !task.canRetry(maybeRan) {
 			break
 		}
 	}
-	return task.final(last, mayRun)
+	return task.finalError(lastErr, mayHaveRun)
 }
 
 // nextTarget picks a backend that was not tried; a resend needs the retry budget, unless
 // that was asked already.
-func (task *task) nextTarget(resend, isPaid bool) (*Target, bool) {
-	if resend && !isPaid && !task.proxy.budget.allow() {
+func (task *task) pickTarget(retry, charged bool) (*Target, bool) {
+	if retry && !charged && !task.proxy.budget.allow() {
 		task.proxy.counters.Add("resends_refused", 1)
 		return nil, false
 	}
@@ -85,10 +85,10 @@
 	}
 	task.tried[target] = true
 	task.state.advance(Assigned)
-	if isPaid {
+	if charged {
 		return target, true
 	}
-	if resend {
+	if retry {
 		task.proxy.counters.Add("resends", 1)
 	} else {
 		task.proxy.budget.recordSend()
@@ -98,29 +98,29 @@
 
 // maySendAgain is whether another send is safe and in time after one that failed; ran is
 // whether that one may have run at the backend.
-func (task *task) maySendAgain(ran bool) bool {
+func (task *task) canRetry(maybeRan bool) bool {
 	method := task.request.Method
 	readsOnly := method == http.MethodGet || method == http.MethodHead
-	if ran && (task.route.KeyRequired || !readsOnly) {
+	if maybeRan && (task.route.KeyRequired || !readsOnly) {
 		return false
 	}
-	return time.Until(task.deadline) >= minTimeToSend && task.request.Context().Err() == nil
+	return time.Until(task.deadline) >= minRetryTime && task.request.Context().Err() == nil
 }
 
 // final never says 503 of a task that may have run.
-func (task *task) final(last error, mayRun bool) error {
-	final := *rpc.AsError(last)
-	final.Outcome = rpc.NotRun
-	if mayRun {
-		final.Outcome = rpc.MayHaveRun
-		if final.Code.Status() == http.StatusServiceUnavailable {
-			final.Code, final.RetryAfterMs = rpc.OutcomeUnknown, 0
+func (task *task) finalError(lastErr error, mayHaveRun bool) error {
+	result := *rpc.AsError(lastErr)
+	result.Outcome = rpc.NotRun
+	if mayHaveRun {
+		result.Outcome = rpc.MayHaveRun
+		if result.Code.Status() == http.StatusServiceUnavailable {
+			result.Code, result.RetryAfterMs = rpc.OutcomeUnknown, 0
 		}
-		return &final
+		return &result
 	}
-	if final.Code != rpc.DeadlineExceeded {
-		final.Message = string(final.Code) + ": " + final.Message
-		final.Code, final.RetryAfterMs = rpc.NoBackend, retryAfterMs
+	if result.Code != rpc.DeadlineExceeded {
+		result.Message = string(result.Code) + ": " + result.Message
+		result.Code, result.RetryAfterMs = rpc.NoBackend, retryAfterMs
 	}
-	return &final
+	return &result
 }
--- a/serviceproxy/withdrawn_test.go
+++ b/serviceproxy/withdrawn_test.go
@@ -19,52 +19,52 @@
 
 // withdrawalWorld is a proxy with two backends. The one that is dialled first is withdrawn
 // during the dial.
-type withdrawalWorld struct {
+type withdrawalFixture struct {
 	proxy    *Proxy
-	withdraw func(world *withdrawalWorld, target *Target)
+	withdraw func(world *withdrawalFixture, target *Target)
 	first    string         // the backend that was dialled first
 	arrivals map[string]int // tasks at each backend
 }
 
-func newWithdrawalWorld(withdraw func(*withdrawalWorld, *Target)) *withdrawalWorld {
-	world := &withdrawalWorld{withdraw: withdraw, arrivals: map[string]int{}}
-	world.proxy = &Proxy{counters: metrics.NewCounters(), budget: newRetryBudget(), usage: metrics.NewCounters()}
-	world.proxy.dial = world.dial
-	world.apply(&config.Settings{})
+func newWithdrawalFixture(withdraw func(*withdrawalFixture, *Target)) *withdrawalFixture {
+	fixture := &withdrawalFixture{withdraw: withdraw, arrivals: map[string]int{}}
+	fixture.proxy = &Proxy{counters: metrics.NewCounters(), budget: newRetryBudget(), usage: metrics.NewCounters()}
+	fixture.proxy.dial = fixture.dial
+	fixture.apply(&config.Settings{})
 	for _, name := range []string{"b1", "b2"} {
-		target := newTarget(message.Backend{Name: name, Service: "plain", Address: name + ":80", Zone: "zone of " + name}, world.dial)
-		target.identity, target.probed = Identity{Incarnation: name}, true
-		services := world.proxy.plan.Load().services
+		target := newTarget(message.Backend{Name: name, Service: "plain", Address: name + ":80", Zone: "zone of " + name}, fixture.dial)
+		target.identity, target.identityKnown = Identity{Incarnation: name}, true
+		services := fixture.proxy.plan.Load().services
 		services["plain"] = append(services["plain"], target)
 	}
-	return world
+	return fixture
 }
 
 // apply puts other settings in force, with the same targets.
-func (world *withdrawalWorld) apply(settings *config.Settings) {
+func (fixture *withdrawalFixture) apply(settings *config.Settings) {
 	next := &plan{routes: NewRoutes(1, settings, nil), services: map[string][]*Target{}}
-	if before := world.proxy.plan.Load(); before != nil {
+	if before := fixture.proxy.plan.Load(); before != nil {
 		next.services = before.services
 	}
-	world.proxy.plan.Store(next)
+	fixture.proxy.plan.Store(next)
 }
 
-func (world *withdrawalWorld) dial(_ context.Context, _, address string) (net.Conn, error) {
-	if world.first == "" {
-		world.first = strings.TrimSuffix(address, ":80")
-		for _, target := range world.proxy.plan.Load().services["plain"] {
+func (fixture *withdrawalFixture) dial(_ context.Context, _, address string) (net.Conn, error) {
+	if fixture.first == "" {
+		fixture.first = strings.TrimSuffix(address, ":80")
+		for _, target := range fixture.proxy.plan.Load().services["plain"] {
 			if target.backend().Address == address {
-				world.withdraw(world, target)
+				fixture.withdraw(fixture, target)
 			}
 		}
 	}
 	near, far := net.Pipe()
-	go world.serve(strings.TrimSuffix(address, ":80"), far)
+	go fixture.serve(strings.TrimSuffix(address, ":80"), far)
 	return near, nil
 }
 
 // serve is a backend until the proxy closes the connection.
-func (world *withdrawalWorld) serve(name string, conn net.Conn) {
+func (fixture *withdrawalFixture) serve(name string, conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(reader)
@@ -73,7 +73,7 @@
 		}
 		body := fmt.Sprintf(`{"service":"plain","instance":%q,"incarnation":%q}`, name, name)
 		if request.URL.Path != "/oj/identity" {
-			world.arrivals[name]++
+			fixture.arrivals[name]++
 			body = "well"
 		}
 		_, err = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nOj-Task: %s\r\nContent-Length: %d\r\n\r\n%s",
@@ -85,11 +85,11 @@
 }
 
 // send sends one task that has a single attempt.
-func (world *withdrawalWorld) send() error {
+func (fixture *withdrawalFixture) send() error {
 	task := &task{
-		proxy:    world.proxy,
-		plan:     world.proxy.plan.Load(),
-		state:    newStateMachine(world.proxy.counters),
+		proxy:    fixture.proxy,
+		plan:     fixture.proxy.plan.Load(),
+		state:    newStateMachine(fixture.proxy.counters),
 		id:       "task-1",
 		request:  httptest.NewRequest(http.MethodPost, "/charge", nil),
 		route:    &config.FlatRoute{Service: "plain", Attempts: 1, ResponseBytes: 1000},
@@ -98,36 +98,36 @@
 		tried:    map[*Target]bool{},
 	}
 	task.plan.routes.tenants = []tenantEntry{{name: "tenant"}}
-	return task.sendUntilAnswered()
+	return task.sendWithRetries()
 }
 
 // A task whose backend was withdrawn while it was dialled was sent there all the same
 // (DRAIN, issue 33); it goes to another, with the attempt that it has.
 func TestWithdrawnDuringDial(test *testing.T) {
-	for name, withdraw := range map[string]func(*withdrawalWorld, *Target){
-		"leaves": func(_ *withdrawalWorld, target *Target) {
+	for name, withdraw := range map[string]func(*withdrawalFixture, *Target){
+		"leaves": func(_ *withdrawalFixture, target *Target) {
 			backend := target.backend()
 			backend.Leaving = true
-			target.relist(backend, 0)
+			target.updateListing(backend, 0)
 		},
-		"is unlisted": func(_ *withdrawalWorld, target *Target) { target.close() },
-		"is drained": func(world *withdrawalWorld, target *Target) {
-			world.apply(&config.Settings{Drained: config.Drained{Backends: []string{target.backend().Name}}})
+		"is unlisted": func(_ *withdrawalFixture, target *Target) { target.close() },
+		"is drained": func(fixture *withdrawalFixture, target *Target) {
+			fixture.apply(&config.Settings{Drained: config.Drained{Backends: []string{target.backend().Name}}})
 		},
-		"its zone is drained": func(world *withdrawalWorld, target *Target) {
-			world.apply(&config.Settings{Drained: config.Drained{Zones: []string{target.backend().Zone}}})
+		"its zone is drained": func(fixture *withdrawalFixture, target *Target) {
+			fixture.apply(&config.Settings{Drained: config.Drained{Zones: []string{target.backend().Zone}}})
 		},
 	} {
 		test.Run(name, func(test *testing.T) {
 			synctest.Test(test, func(test *testing.T) {
-				world := newWithdrawalWorld(withdraw)
-				if err := world.send(); err != nil {
+				fixture := newWithdrawalFixture(withdraw)
+				if err := fixture.send(); err != nil {
 					test.Error(err)
 				}
-				if world.arrivals[world.first] != 0 || len(world.arrivals) != 1 {
-					test.Errorf("arrivals %v, withdrawn %s", world.arrivals, world.first)
+				if fixture.arrivals[fixture.first] != 0 || len(fixture.arrivals) != 1 {
+					test.Errorf("arrivals %v, withdrawn %s", fixture.arrivals, fixture.first)
 				}
-				for _, target := range world.proxy.plan.Load().services["plain"] {
+				for _, target := range fixture.proxy.plan.Load().services["plain"] {
 					if target.inFlight != 0 {
 						test.Errorf("%d tasks are left at %s", target.inFlight, target.backend().Name)
 					}
