--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory is the directory service: it tells callers which proxies to use and
-// for how long. Versions of settings and members come in through Directory.Apply,
-// which swaps in an immutable view; ServeHTTP answers callers from it.
+// Package directory is the directory service: it tells callers which proxies to use and for how
+// long. Directory.Apply builds an immutable view of each version of settings and members;
+// ServeHTTP answers callers from it.
 package directory
 
 import (
@@ -44,8 +44,8 @@
 	Zone    string `json:"zone"`
 }
 
-// Placement is the answer to a caller. It is valid for HoldMs milliseconds; the
-// proxies are in the order of preference.
+// Placement is the answer to a caller. It is valid for TTLMs milliseconds; the proxies are in
+// order of preference.
 type Placement struct {
 	Serial  uint64  `json:"serial"`
 	Tenant  string  `json:"tenant"`
@@ -80,9 +80,9 @@
 	directory.view.Store(NewView(routes, version.Table.Members))
 }
 
-// NewView selects the proxies that callers may be sent to: those ready and not
-// leaving. Proxies lent by the other partner are used only while the own ones are
-// too few or nearly full.
+// NewView selects the proxies that callers may be sent to: those ready and not leaving. Proxies
+// lent by the other partner are used only while there are too few own ones or these are nearly
+// full.
 func NewView(routes *serviceproxy.Routes, members []message.Member) *View {
 	view, demand := &View{routes: routes}, 0.0
 	for _, member := range members {
@@ -130,26 +130,26 @@
 	}
 	view := directory.view.Load()
 	if view == nil || !directory.daemon.Ready() {
-		return nil, &rpc.Error{Code: rpc.NotReady, Message: "no confirmed settings in force here", RetryAfterMs: retryAfterMs}
+		return nil, &rpc.Error{Code: rpc.NotReady, Message: "no confirmed settings are in force on this directory", RetryAfterMs: retryAfterMs}
 	}
 	key, bearer := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 	tenant, found := view.routes.Tenant(key)
 	if !bearer || !found {
-		return nil, rpc.Errorf(rpc.UnknownKey, "no tenant has this key")
+		return nil, rpc.Errorf(rpc.UnknownKey, "unknown tenant key")
 	}
 	return view.Place(tenant, request.URL.Query().Get("zone"))
 }
 
-// Place returns the proxies for a tenant by rendezvous hashing, those in the zone
-// near first, spread over zones before a second one of any zone is taken. It
-// returns rpc.NoBackend if no proxy may serve the tenant.
+// Place returns the proxies for a tenant by rendezvous hashing, those in the caller's zone first,
+// with one from each zone before a second one of any zone. It returns rpc.NoBackend if no proxy
+// may serve the tenant.
 func (view *View) Place(tenant int, callerZone string) (*Placement, error) {
 	settings := view.routes.Settings()
 	name := view.routes.TenantName(tenant)
 	ranked := view.rank(view.proxies, tenant, callerZone)
 	guests := view.rank(view.guests, tenant, callerZone)
 	if len(ranked)+len(guests) == 0 {
-		return nil, &rpc.Error{Code: rpc.NoBackend, Message: "no front machine may take this tenant now", RetryAfterMs: retryAfterMs}
+		return nil, &rpc.Error{Code: rpc.NoBackend, Message: "no proxy is available for this tenant", RetryAfterMs: retryAfterMs}
 	}
 	limit := view.routes.Proxies(tenant)
 	placement := &Placement{
@@ -180,7 +180,8 @@
 	return placement, nil
 }
 
-// rank orders the fronts that a tenant may use: near ones first, then its own order.
+// rank returns the members that may serve a tenant: those in the caller's zone first, then by the
+// tenant's rendezvous order.
 func (view *View) rank(members []message.Member, tenant int, callerZone string) []message.Member {
 	name, ranked := view.routes.TenantName(tenant), []message.Member{}
 	for _, proxy := range members {
--- a/operator/client.go
+++ b/operator/client.go
@@ -23,18 +23,17 @@
 	client  *http.Client
 }
 
-// NewClient returns a client of the daemons at these addresses (host:port). A nil
-// transport means http.DefaultTransport. Each call to a daemon may take a second.
+// NewClient returns a client of the daemons at these addresses (host:port). A nil transport means
+// http.DefaultTransport. Each call to a daemon times out after a second.
 func NewClient(daemons []string, transport http.RoundTripper) *Client {
 	return &Client{daemons: daemons, client: &http.Client{Transport: transport, Timeout: time.Second}}
 }
 
-// Ask sends one call and decodes a 200 answer's JSON body into into. Any daemon may
-// be sent the same body again, so that a change must carry its own id. It returns
-// the refusal of a daemon, rpc.Unreachable if none answered, or rpc.BadMessage
-// for an answer that can't be decoded.
+// Ask sends one call and decodes the JSON body of a 200 response into into. Several daemons may
+// get the same body, so that a change must carry its own ID. It returns a daemon's error,
+// rpc.Unreachable if none answered, or rpc.BadMessage for a response that can't be decoded.
 func (client *Client) Ask(method, path string, body []byte, into any) error {
-	lastErr := rpc.Errorf(rpc.Unreachable, "no daemon given")
+	lastErr := rpc.Errorf(rpc.Unreachable, "no daemon address given")
 	for _, daemon := range client.daemons {
 		request, err := http.NewRequest(method, "http://"+daemon+path, bytes.NewReader(body))
 		if err != nil {
@@ -67,7 +66,7 @@
 	return lastErr
 }
 
-// readRefusal returns the error that a daemon's answer holds.
+// readRefusal decodes the error in a daemon's response.
 func readRefusal(status int, body []byte) error {
 	refusal := &rpc.Error{}
 	if err := json.Unmarshal(body, refusal); err != nil || refusal.Code == "" {
@@ -76,9 +75,8 @@
 	return refusal
 }
 
-// Settings is the answer to Read: the settings in force at the daemon that
-// answered. Confirmed says that a leader in contact with a majority confirmed the
-// serial.
+// Settings is the result of Read: the settings in force at the daemon that answered. Confirmed
+// says that a leader in contact with a majority confirmed the serial.
 type Settings struct {
 	Serial    uint64          `json:"serial"`
 	Confirmed bool            `json:"confirmed"`
@@ -86,9 +84,8 @@
 	Effective json.RawMessage `json:"effective,omitempty"`
 }
 
-// Change is a whole (Put) or partial (Patch) version of the settings, built on the
-// serial Base. Change is its id: one that was taken is acknowledged again when it
-// is sent again.
+// Change is a whole (Put) or partial (Patch) version of the settings, built on the serial Base.
+// Change is its ID: one that was accepted is acknowledged again when it is resent.
 type Change struct {
 	Base     uint64          `json:"base"`
 	Change   string          `json:"change"`
@@ -96,8 +93,8 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Outcome is an acknowledged change with its serial. Again says that it had been
-// taken before this call.
+// Outcome is an acknowledged change with its serial. Again says that it had been accepted before
+// this call.
 type Outcome struct {
 	Serial uint64 `json:"serial"`
 	Change string `json:"change"`
@@ -140,19 +137,19 @@
 	return status, client.Ask(http.MethodGet, "/v1/status", nil, status)
 }
 
-// Cores tells who votes and who waits for a vote.
+// Cores returns the cores that vote and the learners that wait for a vote.
 func (client *Client) Cores() (*message.MembershipStatus, error) {
 	membership := &message.MembershipStatus{}
 	return membership, client.Ask(http.MethodGet, "/v1/cores", nil, membership)
 }
 
-// Removed is a removal that was decided, by the membership's version.
+// Removed is a committed removal, with the version of the membership.
 type Removed struct {
 	Version uint64 `json:"version"`
 	Again   bool   `json:"again,omitempty"`
 }
 
-// RemoveCore gives a core's vote to a waiting learner.
+// RemoveCore removes a core and gives its vote to a waiting learner.
 func (client *Client) RemoveCore(id int) (*Removed, error) {
 	removed := &Removed{}
 	return removed, client.Ask(http.MethodDelete, fmt.Sprintf("/v1/cores/%d", id), nil, removed)
--- a/planner/forecast.go
+++ b/planner/forecast.go
@@ -1,6 +1,5 @@
-// Package planner forecasts what a change of settings would do before it is made. Look
-// takes the fleet as it is and the next settings and returns a Forecast; ojplan
-// prints it.
+// Package planner forecasts the effects of a change of settings before it is made. NewForecast
+// takes the current fleet and the next settings and returns a Forecast; ojplan prints it.
 package planner
 
 import (
@@ -12,8 +11,8 @@
 	"orchidjunction/serviceproxy"
 )
 
-// Fleet is the state that a forecast starts from. Capacity is the requests a second
-// that one backend carries.
+// Fleet is the state that a forecast starts from. Capacity is the requests per second that one
+// backend can serve.
 type Fleet struct {
 	Serial   uint64
 	Settings *config.Settings
@@ -40,15 +39,15 @@
 	ByZone  map[string]int `json:"after_by_zone"`
 }
 
-// Shortage is a service whose guaranteed rate the backends left could not carry, in
-// requests a second.
+// Shortage is a service whose guaranteed rate exceeds the capacity of the remaining backends, in
+// requests per second.
 type Shortage struct {
 	Service  string  `json:"service"`
 	Floor    int     `json:"floor_rps"`
 	Capacity float64 `json:"capacity_rps"`
 }
 
-// Change is an effective value of a route that would differ.
+// Change is an effective value of a route that would change.
 type Change struct {
 	Route  string `json:"route"`
 	Field  string `json:"field"`
@@ -56,7 +55,7 @@
 	After  any    `json:"after"`
 }
 
-// Forecast is all that the change would move.
+// Forecast is the effects of a change of settings.
 type Forecast struct {
 	Tenants int              `json:"tenants"`
 	Moves   []Move           `json:"moves"`
@@ -65,7 +64,7 @@
 	Changes []Change         `json:"changes"`
 }
 
-// Moving reports whether the change would move anything.
+// Moving reports whether the change would affect any placement, backend count or route value.
 func (forecast *Forecast) Moving() bool {
 	if len(forecast.Moves)+len(forecast.Changes) > 0 {
 		return true
@@ -141,7 +140,8 @@
 	return rest
 }
 
-// rooms counts the backends a service may use, and sets its floors against them.
+// compareCapacity counts the backends that each service may use, and compares their capacity with
+// its floor.
 func (forecast *Forecast) compareCapacity(fleet Fleet, next *config.Settings) {
 	changes, names := map[string]*CapacityChange{}, []string{}
 	for _, backend := range fleet.Backends {
--- a/planner/forecast_test.go
+++ b/planner/forecast_test.go
@@ -45,7 +45,7 @@
 func TestForecast(test *testing.T) {
 	fleet := testFleet(test)
 	if unchanged := NewForecast(fleet, fleet.Settings); unchanged.Moving() || len(unchanged.Shorts) > 0 {
-		test.Errorf("no change moves %+v", unchanged)
+		test.Errorf("forecast without a change: %+v", unchanged)
 	}
 	drained := *fleet.Settings
 	drained.Drained.Zones = []string{"accra"}
@@ -53,16 +53,16 @@
 	for _, move := range forecast.Moves {
 		for _, proxy := range move.To {
 			if proxy == "proxy-0" || proxy == "proxy-6" {
-				test.Errorf("%s goes to %s in the emptied zone", move.Tenant, proxy)
+				test.Errorf("%s is sent to %s in the drained zone", move.Tenant, proxy)
 			}
 		}
 	}
 	if len(forecast.Moves) == 0 || forecast.Rooms[0].Before != 6 || forecast.Rooms[0].After != 5 {
-		test.Errorf("%d moves, %+v", len(forecast.Moves), forecast.Rooms)
+		test.Errorf("%d moves, capacity changes %+v", len(forecast.Moves), forecast.Rooms)
 	}
 	fleet.Capacity = 1
 	if shorts := NewForecast(fleet, &drained).Shorts; len(shorts) != 2 {
-		test.Errorf("shorts %+v", shorts)
+		test.Errorf("shortages %+v", shorts)
 	}
 	faster := *fleet.Settings
 	limit := 900
@@ -76,8 +76,8 @@
 	}
 }
 
-// Placements spread over zones, keep out of forbidden regions, give large
-// tenants more fronts, and move few tenants when a front leaves.
+// Placements spread over zones, avoid forbidden regions, give large tenants more proxies, and move
+// few tenants when a proxy leaves.
 func TestPlacements(test *testing.T) {
 	fleet := testFleet(test)
 	routes := serviceproxy.NewRoutes(1, fleet.Settings, nil)
@@ -103,7 +103,7 @@
 			}
 		}
 		if len(proxies) != want || len(zones) != want {
-			test.Errorf("%s has %d fronts in %d zones, want %d", name, len(proxies), len(zones), want)
+			test.Errorf("%s has %d proxies in %d zones, want %d", name, len(proxies), len(zones), want)
 		}
 	}
 	kept, all := 0, 0
@@ -118,13 +118,13 @@
 		}
 	}
 	if kept*4 < all*3 {
-		test.Errorf("only %d of %d placements stay when one of nine fronts leaves", kept, all)
+		test.Errorf("only %d of %d placements stay when one of nine proxies leaves", kept, all)
 	}
 	guest := append([]message.Member{{Name: "guest", Kind: "proxy", Zone: "accra", Ready: true, Guest: true}}, fleet.Members...)
 	for name, proxies := range place(guest) {
 		for _, proxy := range proxies {
 			if proxy.Name == "guest" {
-				test.Errorf("%s is sent to a guest though own fronts are there", name)
+				test.Errorf("%s is sent to a guest although own proxies are available", name)
 			}
 		}
 	}
--- a/serviceproxy/admission.go
+++ b/serviceproxy/admission.go
@@ -29,9 +29,9 @@
 	demandWindow          = 2 * time.Second
 )
 
-// Admission is admission control by class: a class may use its floor at any time and
-// borrow more while backends are idle. The lower its rank, the sooner it gives
-// borrowed capacity back.
+// Admission is admission control by class. A class may use its floor rate at any time and borrow
+// more while backends have spare capacity. The larger its rank, the lower the utilization at which
+// it stops borrowing.
 type Admission struct {
 	mutex        sync.Mutex
 	classes      map[string]*classLimits
@@ -55,9 +55,9 @@
 	return &Admission{classes: map[string]*classLimits{}, windowStart: time.Now()}
 }
 
-// Apply sets floors and borrowing to this proxy's share of the settings. The share
-// follows demand, a part of it is even; all proxies compute it from the same table,
-// so that the shares add up to the whole.
+// Apply sets floors and borrowing limits to this proxy's share of the configured rates. Part of
+// the share is even, the rest follows demand. All proxies compute it from the same table, so that
+// the shares add up to the configured rates.
 func (admission *Admission) Apply(settings *config.Settings, table *message.Table, name string) {
 	fraction := proxyShare(table, name)
 	admission.mutex.Lock()
@@ -87,8 +87,8 @@
 	}
 }
 
-// partOf is a proxy's part of all that are ready; one whose demand is not known
-// yet counts as the mean of the others.
+// proxyShare returns a proxy's share among the ready proxies. One whose demand is not known yet
+// counts with the mean of the others.
 func proxyShare(table *message.Table, name string) float64 {
 	count, known, total, own := 0, 0, 0.0, 0.0
 	for _, member := range table.Members {
@@ -128,8 +128,8 @@
 	}
 }
 
-// Admit admits one request of a class, given the mean usage of the backends. The
-// error is rpc.Overloaded.
+// Admit admits one request of a class, given the mean utilization of the backends. The error is
+// rpc.Overloaded.
 func (admission *Admission) Admit(class string, usage float64) error {
 	admission.mutex.Lock()
 	admission.requests++
@@ -150,7 +150,7 @@
 	if saturated {
 		return &rpc.Error{
 			Code:         rpc.Overloaded,
-			Message:      "class " + class + " is above its floor and backends have no room to lend",
+			Message:      "class " + class + " is above its floor and the backends have no spare capacity",
 			RetryAfterMs: retryAfterMs,
 			Outcome:      rpc.NotRun,
 		}
@@ -158,7 +158,7 @@
 	if !allowed {
 		return &rpc.Error{
 			Code:         rpc.Overloaded,
-			Message:      "class " + class + " has its floor and all it may borrow",
+			Message:      "class " + class + " has used up its floor and its borrowing limit",
 			RetryAfterMs: retryAfterMs,
 			Outcome:      rpc.NotRun,
 		}
@@ -166,8 +166,9 @@
 	return nil
 }
 
-// repace lets borrowing grow by little while there is room and shrink by much
-// when there is none: what backends report is always a little old.
+// adjustBorrowing raises the borrowing rate in small steps while there is spare capacity and cuts
+// it sharply when there is none, because the utilization that backends report is always slightly
+// stale.
 func (admission *Admission) adjustBorrowing(limits *classLimits, saturated, idle bool) {
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
@@ -187,16 +188,16 @@
 	setRate(limits.borrow, limits.borrowRate, borrowBurstSeconds)
 }
 
-// Overloaded reports whether borrowing was refused or backends were not idle within
-// the last second.
+// Overloaded reports whether, within the last second, a request above its class's floor was
+// refused or found the backends not idle.
 func (admission *Admission) Overloaded() bool {
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
 	return time.Since(admission.overloadedAt) < overloadedTTL
 }
 
-// Demand returns the requests a second that this proxy was asked for, in coarse
-// steps, so that the table changes seldom.
+// Demand returns the requests per second that arrive at this proxy, in coarse steps so that the
+// membership table rarely changes.
 func (admission *Admission) Demand() float64 {
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
--- a/serviceproxy/attempt.go
+++ b/serviceproxy/attempt.go
@@ -13,8 +13,8 @@
 	"orchidjunction/rpc"
 )
 
-// attempt is one send of a task over one connection. Its end gives back, once, what it
-// took: the place at the target and the time limit.
+// attempt is one send of a task over one connection. It ends once, by release or discard, which
+// free its in-flight slot at the target and its context.
 type attempt struct {
 	task        *task
 	target      *Target
@@ -23,11 +23,12 @@
 	cancel      context.CancelFunc
 }
 
-// errWithdrawn is why a task was not sent to a target that was withdrawn since it was picked.
+// errWithdrawn means that a task was not sent because its target was withdrawn after it was
+// picked.
 var errWithdrawn = errors.New("the backend was withdrawn before the task was sent")
 
-// sendTo sends the task to one target. It returns the target's response and whether the
-// task may have run there; errWithdrawn if the target may get nothing any more.
+// sendTo sends the task to one target. It returns the target's response and whether the task may
+// have run there, or errWithdrawn if the target was withdrawn.
 func (task *task) sendTo(target *Target) (*Response, bool, error) {
 	connection, incarnation, err := target.connection(task.deadline)
 	if task.isWithdrawn(target) {
@@ -41,7 +42,7 @@
 		target.release()
 		return nil, false, err
 	}
-	// The caller's going away does not cut a send short: what it did must be known.
+	// A caller that disconnects does not cancel the send, because its outcome must be known.
 	ctx, cancel := context.WithDeadline(context.Background(), task.deadline)
 	attempt := &attempt{task: task, target: target, connection: connection, incarnation: incarnation, cancel: cancel}
 	request, err := task.backendRequest(ctx, target.backend().Address)
@@ -58,15 +59,15 @@
 	return attempt.receive(response)
 }
 
-// isWithdrawn is whether a target may be sent nothing by what is in force now, which may be
-// newer than the task's plan.
+// isWithdrawn reports whether a target must not get requests under the current plan, which may be
+// newer than the task's.
 func (task *task) isWithdrawn(target *Target) bool {
 	routes, backend := task.proxy.plan.Load().routes, target.backend()
 	return target.isWithdrawn() || routes.drainedZones[backend.Zone] || routes.drainedBackends[backend.Name]
 }
 
-// giveBack ends the attempt and keeps its connection for another. It closes the rest of a
-// response that was streamed, if there is one.
+// release ends the attempt and returns its connection for reuse. It closes the rest of a streamed
+// response, if any.
 func (attempt *attempt) release(rest io.ReadCloser) {
 	attempt.cancel()
 	attempt.target.release()
@@ -83,11 +84,11 @@
 	attempt.connection.close()
 }
 
-// failure is the error of a send that broke off. One before the deadline counts against
-// the target.
+// sendError returns the error of a failed send. A failure before the deadline counts against the
+// target.
 func (attempt *attempt) sendError(maybeRan bool, cause error) error {
 	if !time.Now().Before(attempt.task.deadline) {
-		return rpc.Errorf(rpc.DeadlineExceeded, "no answer within the limit")
+		return rpc.Errorf(rpc.DeadlineExceeded, "no response before the deadline")
 	}
 	code := rpc.ConnectionBroken
 	if maybeRan {
@@ -98,8 +99,8 @@
 	return err
 }
 
-// receive reads the response as far as it is kept in memory. The attempt of one that is
-// still streaming ends with the task.
+// receive reads the part of the response that is kept in memory. If the rest is streamed, the
+// attempt ends with the task.
 func (attempt *attempt) receive(response *http.Response) (*Response, bool, error) {
 	task := attempt.task
 	task.state.advance(Receiving)
@@ -128,15 +129,15 @@
 	return result, true, nil
 }
 
-// busyError is the error of a backend's response that it is busy.
+// busyError returns the error for a backend's 429 or 503 response.
 func busyError(response *Response) error {
 	if response.header.Get("Oj-Not-Run") == "true" {
 		return &rpc.Error{Code: rpc.Overloaded, Message: "the backend is busy", RetryAfterMs: retryAfterMs}
 	}
-	return &rpc.Error{Code: rpc.OutcomeUnknown, Message: fmt.Sprintf("the backend said %d and not whether it ran", response.status)}
+	return &rpc.Error{Code: rpc.OutcomeUnknown, Message: fmt.Sprintf("the backend returned status %d without saying whether the request ran", response.status)}
 }
 
-// outgoing is the request that a backend gets for the task.
+// backendRequest builds the request that is sent to a backend for the task.
 func (task *task) backendRequest(ctx context.Context, address string) (*http.Request, error) {
 	url := "http://" + address + task.path
 	if query := task.request.URL.RawQuery; query != "" {
--- a/serviceproxy/backend_conn.go
+++ b/serviceproxy/backend_conn.go
@@ -13,7 +13,7 @@
 	"orchidjunction/rpc"
 )
 
-// countedConn knows how many bytes went out, so that "surely not run" is known.
+// countingConn counts the bytes written, to tell whether a request surely did not run.
 type countingConn struct {
 	net.Conn
 	mutex         sync.Mutex
@@ -38,7 +38,7 @@
 	return conn.written
 }
 
-// sever lets nothing more out and then says how much went.
+// blockWrites blocks all further writes and returns the number of bytes written.
 func (conn *countingConn) blockWrites() int64 {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
@@ -53,10 +53,10 @@
 	lastUsed time.Time
 }
 
-// Dialer opens a connection; the simulator brings its own.
+// Dialer opens a connection; the simulator supplies its own.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialBackend dials and learns who is there before net/http gets the connection.
+// dialBackend opens a connection and verifies the backend's identity before net/http uses it.
 func dialBackend(dial Dialer, backend message.Backend, deadline time.Time) (*BackendConn, *Identity, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
@@ -87,16 +87,16 @@
 	return &BackendConn{conn: counting, client: client, lastUsed: time.Now()}, identity, nil
 }
 
-// send sends the request on this connection only; ran is false when no byte of it left, nor
-// ever will. A success is returned once its request was sent whole: net/http ends a connection
-// whose response was read before that, and with it the rest of the request.
+// send sends the request on this connection only. maybeRan is false if no byte of it was or will
+// be written. A success is returned only after the whole request was written: net/http closes a
+// connection whose response was read earlier, and the rest of the request is lost.
 func (connection *BackendConn) send(request *http.Request) (response *http.Response, maybeRan bool, err error) {
 	before := connection.conn.bytesWritten()
 	written := make(chan error, 1)
 	trace := &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
 		select {
 		case written <- info.Err:
-		default: // known already
+		default: // already reported
 		}
 	}}
 	response, err = connection.client.RoundTrip(request.WithContext(httptrace.WithClientTrace(request.Context(), trace)))
@@ -114,7 +114,7 @@
 	if err != nil {
 		response.Body.Close()
 		connection.conn.blockWrites()
-		return nil, true, fmt.Errorf("answered before the request was sent: %w", err)
+		return nil, true, fmt.Errorf("response arrived before the whole request was sent: %w", err)
 	}
 	return response, true, nil
 }
@@ -123,4 +123,4 @@
 	return connection.client.Err() == nil && connection.client.Available() == 1
 }
 
-func (connection *BackendConn) close() { _ = connection.client.Close() } // given up in any case
+func (connection *BackendConn) close() { _ = connection.client.Close() } // the connection is discarded in any case
--- a/serviceproxy/claim_messages.go
+++ b/serviceproxy/claim_messages.go
@@ -7,16 +7,16 @@
 	"orchidjunction/rpc"
 )
 
-// Register adds the messages between proxies about idempotency keys to the server.
+// Register adds the handlers for messages between proxies about idempotency keys to the server.
 func (proxy *Proxy) Register(server *rpc.Server) {
 	claims := proxy.claims
 	rpc.Handle(server, message.MethodClaim, func(_ context.Context, claim *message.ClaimRequest) (*message.ClaimResponse, error) {
 		if !claims.Joined() {
-			return nil, rpc.Errorf(rpc.NotReady, "not a keeper yet")
+			return nil, rpc.Errorf(rpc.NotReady, "not yet a replica of idempotency keys")
 		}
 		if claims.outdated(claim) {
 			claims.proxy.counters.Add("claims_outdated", 1)
-			return nil, rpc.Errorf(rpc.StaleSerial, "the ring of keepers changed")
+			return nil, rpc.Errorf(rpc.StaleSerial, "the replicas of idempotency keys changed")
 		}
 		return claims.grant(claim), nil
 	})
@@ -33,7 +33,7 @@
 		message.MethodQueryHolder,
 		func(_ context.Context, query *message.QueryHolderRequest) (*message.QueryHolderResponse, error) {
 			if query.Holder != claims.holder() {
-				return nil, rpc.Errorf(rpc.WrongBackend, "%s is gone", query.Holder)
+				return nil, rpc.Errorf(rpc.WrongBackend, "claim holder %s no longer runs here", query.Holder)
 			}
 			return claims.onQueryHolder(query), nil
 		},
@@ -57,7 +57,7 @@
 	)
 }
 
-// grant is this proxy's own answer as a replica.
+// grant answers a claim as a replica.
 func (claims *Claims) grant(claim *message.ClaimRequest) *message.ClaimResponse {
 	complete := claims.Complete()
 	response := claims.store.Claim(claim)
@@ -65,7 +65,8 @@
 	return response
 }
 
-// onQueryHolder is the holder's word: a claim that neither runs nor was settled here was given back.
+// onQueryHolder answers as the holder of a claim. One that is neither running nor completed here
+// was released.
 func (claims *Claims) onQueryHolder(query *message.QueryHolderRequest) *message.QueryHolderResponse {
 	claims.mutex.Lock()
 	running := claims.running[query.Key] == query.ID
@@ -79,7 +80,8 @@
 	}
 }
 
-// askHolder asks the proxy that claimed a key; nil and not known when it is silent or gone.
+// askHolder asks the proxy that claimed a key for the state of its claim. It returns nil and false
+// if that process does not answer or is not listed.
 func (claims *Claims) askHolder(record *message.ClaimRecord) (*message.ClaimRecord, bool) {
 	for _, member := range claims.proxy.daemon.Version().Table.Members {
 		if holderName(member) != record.Holder {
--- a/serviceproxy/claim_poll.go
+++ b/serviceproxy/claim_poll.go
@@ -6,7 +6,7 @@
 	"orchidjunction/rpc"
 )
 
-// enough is whether the granting members make a quorum of every ring.
+// quorumInEach reports whether the granting members form a quorum of every set.
 func quorumInEach(sets [][]message.Member, granted []message.Member) bool {
 	for _, set := range sets {
 		count := 0
@@ -22,7 +22,7 @@
 	return len(sets) > 0
 }
 
-// claimVote is a replica's or a core's.
+// claimVote is the answer of either a replica or a core.
 type claimVote struct {
 	replica *message.ClaimResponse
 	core    *message.RecordClaimsResponse
@@ -38,8 +38,8 @@
 	return &message.ClaimResponse{}
 }
 
-// poll is one round of asking for a claim. Roster is the membership by which the
-// cores that keep it are counted.
+// poll is one round of requests for a claim. membership is the one by which the cores' votes are
+// counted.
 type poll struct {
 	membership  coreMembership
 	replicaSets [][]message.Member
@@ -47,7 +47,7 @@
 	votes       map[int]claimVote
 }
 
-// refused is what somebody holds of the key; what is settled tells most.
+// refusal returns an existing claim of the key from the answers, preferably a finished one.
 func (poll *poll) refusal() (refusal *message.ClaimRecord) {
 	for _, vote := range poll.votes {
 		if response := vote.response(); !response.Granted && response.Existing.ID != "" &&
@@ -58,7 +58,7 @@
 	return refusal
 }
 
-// cores are the cores' answers.
+// coreVotes returns the votes of the cores.
 func (poll *poll) coreVotes() *coreVotes {
 	votes := newCoreVotes(poll.membership)
 	for _, vote := range poll.votes {
@@ -69,8 +69,8 @@
 	return votes
 }
 
-// quorums is whether the replicas that granted make a quorum of every ring; with
-// wholes, only those whose memory is whole count.
+// hasReplicaQuorums reports whether the granting replicas form a quorum of every set. With
+// completeOnly, only replicas that hold all their keys count.
 func (poll *poll) hasReplicaQuorums(completeOnly bool) bool {
 	granted := []message.Member{}
 	for index, vote := range poll.votes {
@@ -81,8 +81,8 @@
 	return quorumInEach(poll.replicaSets, granted)
 }
 
-// ask sends the claim to all replicas and cores, and again where the cores that vote
-// changed meanwhile.
+// requestClaim sends the claim to all replicas and cores, and once more if the voters changed
+// meanwhile.
 func (claims *Claims) requestClaim(
 	sets [][]message.Member,
 	members []message.Member,
@@ -110,16 +110,15 @@
 	return nil, true
 }
 
-// granted is whether the answers suffice. A grant needs the replicas' quorum and lasts
-// at a majority of cores. While the cores are away, replicas whose memory is whole go
-// on alone.
+// granted reports whether the answers suffice. A grant needs a quorum of replicas and a majority
+// of cores. While the cores are unavailable, a quorum of complete replicas is enough.
 func (poll *poll) granted(coresDown bool) bool {
 	votes := poll.coreVotes()
 	return votes.durable() && poll.hasReplicaQuorums(!votes.complete()) || coresDown && poll.hasReplicaQuorums(true)
 }
 
-// poll sends the claim to all replicas and cores once; one refusal is enough to stop,
-// and so is an answer by other voters.
+// pollOnce sends the claim to all replicas and cores once. It stops early at a refusal, at enough
+// grants, and at an answer under newer voters.
 func (claims *Claims) pollOnce(sets [][]message.Member, members []message.Member, claim *message.ClaimRequest, coresDown bool) *poll {
 	membership, cores := claims.coreStore.coresToQuery()
 	result := &poll{membership: membership, replicaSets: sets, members: members}
--- a/serviceproxy/claims.go
+++ b/serviceproxy/claims.go
@@ -23,9 +23,9 @@
 	replayBytes        = 4 << 10
 )
 
-// Claims runs a request with an idempotency key at most once in the whole fleet:
-// its send needs grants by a quorum of proxies that keep the key, and is recorded
-// by a majority of cores while they can be reached.
+// Claims makes a request with an idempotency key run at most once in the whole fleet: sending it
+// needs grants by a quorum of the key's replicas, and is recorded by a majority of cores while
+// they are reachable.
 type Claims struct {
 	proxy     *Proxy
 	store     *idempotency.Store
@@ -49,15 +49,15 @@
 	}
 }
 
-// Complete reports whether this proxy holds every key that it should, so that its
-// grant counts without the cores.
+// Complete reports whether this proxy holds every key that it should, so that its grant counts
+// even without the cores.
 func (claims *Claims) Complete() bool {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
 	return claims.complete
 }
 
-// holder is this process, not only its name.
+// holder identifies this process by name and incarnation.
 func (claims *Claims) holder() string {
 	return claims.proxy.daemon.Name() + "/" + claims.proxy.daemon.Incarnation()
 }
@@ -70,8 +70,9 @@
 	return claims.joined
 }
 
-// join makes this proxy a replica once it knows what the others keep, or when
-// no replica is known to anybody.
+// join makes this proxy a replica once it has the keys of the others, of which one among several
+// may be missing, or if there are no others. An incomplete replica restores its keys from the
+// cores.
 func (claims *Claims) join() {
 	if claims.Joined() && !claims.Complete() && claims.coreStore.restore(claims.store.Merge) {
 		claims.mutex.Lock()
@@ -118,11 +119,12 @@
 	claims.mutex.Lock()
 	claims.joined, claims.complete = true, joined > 0 && complete == joined
 	claims.mutex.Unlock()
-	klog.Infof("%s: replica of idempotency keys, state from %d other replicas", claims.proxy.daemon.Name(), joined)
+	klog.Infof("%s: joined the replicas of idempotency keys with the state of %d others", claims.proxy.daemon.Name(), joined)
 	claims.proxy.counters.Add("claims_grown", 1)
 }
 
-// claim claims the key at a quorum; when the key is taken, it gives what became of it.
+// claim claims the key at a quorum. If the key is already claimed, it returns that claim with its
+// outcome.
 func (claims *Claims) claim(record message.ClaimRecord) (*message.ClaimRecord, error) {
 	claims.mutex.Lock()
 	if claims.running[record.Key] != "" {
@@ -143,14 +145,14 @@
 			claims.proxy.counters.Add("claims_short", 1)
 			return nil, &rpc.Error{
 				Code:         rpc.OutcomeUnknown,
-				Message:      "too few keepers of money keys answer; send the same key again",
+				Message:      "too few replicas of idempotency keys answered; retry with the same key",
 				RetryAfterMs: retryAfterMs,
 				Outcome:      rpc.MayHaveRun,
 			}
 		}
 		if refusal.Digest != record.Digest {
 			claims.release(replicas, record)
-			return nil, &rpc.Error{Code: rpc.KeyReused, Message: "the key came with another task"}
+			return nil, &rpc.Error{Code: rpc.KeyReused, Message: "the idempotency key was used for a different request"}
 		}
 		if refusal.Stage != message.ClaimRunning {
 			claims.release(replicas, record)
@@ -180,7 +182,7 @@
 func keyInFlight() error {
 	return &rpc.Error{
 		Code:         rpc.KeyInFlight,
-		Message:      "another send of this key runs; ask again for its outcome",
+		Message:      "a request with this idempotency key is in progress; retry for its outcome",
 		RetryAfterMs: retryAfterMs,
 		Outcome:      rpc.MayHaveRun,
 	}
@@ -188,7 +190,7 @@
 
 func holderName(member message.Member) string { return member.Name + "/" + member.Incarnation }
 
-// release gives the key back at every replica: this claim's task was never sent.
+// release releases the key at every replica after a claim whose request did not run.
 func (claims *Claims) release(replicas []message.Member, record message.ClaimRecord) {
 	claims.mutex.Lock()
 	if claims.running[record.Key] == record.ID {
@@ -198,7 +200,7 @@
 	claims.notifyReplicas(replicas, &message.CompleteClaimRequest{Record: record, Release: true})
 }
 
-// finish keeps how the task ended here and at its replicas.
+// finish records the outcome of the request here and at the key's replicas.
 func (claims *Claims) finish(record message.ClaimRecord, response *Response, err error) {
 	_, replicas, _ := claims.activeReplicas(record.Key)
 	if err != nil && rpc.AsError(err).Outcome == rpc.NotRun {
--- a/serviceproxy/core_membership.go
+++ b/serviceproxy/core_membership.go
@@ -7,14 +7,14 @@
 	"orchidjunction/message"
 )
 
-// coreMembership is a membership of the cores as a proxy counts by it; its voters are nil
-// while none is known.
+// coreMembership is the membership by which a proxy counts votes of cores. voters is nil while
+// none is known.
 type coreMembership struct {
 	accepted message.AcceptedValue
 	voters   *message.VoterSet
 }
 
-// decodeCoreMembership reads a membership; one that can't be read is as good as none.
+// decodeCoreMembership decodes a membership. It returns an empty one if that fails.
 func decodeCoreMembership(accepted message.AcceptedValue) coreMembership {
 	membership, err := consensus.DecodeMembership(accepted)
 	if err != nil || membership == nil {
@@ -23,7 +23,7 @@
 	return coreMembership{accepted: accepted, voters: membership.VoterSet()}
 }
 
-// newer is the newer of two memberships.
+// newer returns the newer of two memberships.
 func (membership coreMembership) newer(other coreMembership) coreMembership {
 	if other.voters != nil && membership.accepted.Version().Less(other.accepted.Version()) {
 		return other
@@ -31,12 +31,12 @@
 	return membership
 }
 
-// same is whether two memberships have the same voters.
+// sameVoters reports whether two memberships have the same voters.
 func (membership coreMembership) sameVoters(other coreMembership) bool {
 	return bytes.Equal(membership.accepted.Value.Body, other.accepted.Value.Body)
 }
 
-// coreVote is what one core answered, under which membership.
+// coreVote is the answer of one core, with the membership under which it was given.
 type coreVote struct {
 	membership coreMembership
 	core       int
@@ -44,8 +44,8 @@
 	complete   bool
 }
 
-// coreVotes are counted by the newest membership that any answer names; an answer
-// given under other voters than those counts for nothing.
+// coreVotes counts answers by the newest membership that any of them reports. Answers given under
+// other voters are ignored.
 type coreVotes struct {
 	asked  coreMembership
 	newest coreMembership
@@ -56,7 +56,7 @@
 	return &coreVotes{asked: asked, newest: asked}
 }
 
-// add takes an answer; one without a membership was given under that of the question.
+// add adds an answer. One without a membership was given under that of the request.
 func (votes *coreVotes) add(members message.AcceptedValue, core int, recorded, complete bool) {
 	membership := votes.asked
 	if members.Value.Serial > 0 {
@@ -66,8 +66,8 @@
 	votes.votes = append(votes.votes, coreVote{membership: membership, core: core, recorded: recorded, complete: complete})
 }
 
-// has is which voters of the newest membership took the question; with wholes, only
-// those that lack nothing.
+// recordedBy tells which voters of the newest membership recorded the request. With completeOnly,
+// only those that hold all claims count.
 func (votes *coreVotes) recordedBy(completeOnly bool) func(id int) bool {
 	return func(id int) bool {
 		for _, vote := range votes.votes {
@@ -79,17 +79,18 @@
 	}
 }
 
-// durable is whether a quorum took the question.
+// durable reports whether a quorum recorded the request.
 func (votes *coreVotes) durable() bool {
 	return votes.newest.voters != nil && votes.newest.voters.Quorum(votes.recordedBy(false))
 }
 
-// complete is whether so many that took it lack nothing that no quorum is missed. Those
-// that are only joining don't count: nobody vouches yet for what they hold.
+// complete reports whether a majority of the current voters recorded the request and hold all
+// claims, so that they intersect every quorum. Voters that are only joining don't count, because
+// it is not yet certain what they hold.
 func (votes *coreVotes) complete() bool {
 	voters := votes.newest.voters
 	return voters != nil && message.CountIn(voters.Current, votes.recordedBy(true)) >= message.Majority(voters.Current)
 }
 
-// outdated is whether the question counted by voters that are no more.
+// outdated reports whether the request was counted by voters that have since been replaced.
 func (votes *coreVotes) outdated() bool { return !votes.newest.sameVoters(votes.asked) }
--- a/serviceproxy/core_membership_test.go
+++ b/serviceproxy/core_membership_test.go
@@ -17,7 +17,7 @@
 		message.AcceptedValue{Term: message.Term{Number: term, Core: 1}, Value: message.Value{Serial: serial, Body: body}},
 	)
 	if membership.voters == nil {
-		test.Fatal("not read")
+		test.Fatal("the membership was not decoded")
 	}
 	return membership
 }
@@ -30,8 +30,8 @@
 	return all
 }
 
-// Answers are counted by the newest voters that any of them names, by both groups
-// while a voter is replaced.
+// Answers are counted by the newest voters that any of them reports, and by both groups while a
+// voter is being replaced.
 func TestCoreVotesUseNewestMembership(test *testing.T) {
 	former := membershipFor(test, 3, 1, peers(1, 2, 3), nil)
 	elected := membershipFor(test, 5, 1, peers(1, 2, 3), nil)
@@ -69,7 +69,7 @@
 			votes.add(vote.membership.accepted, vote.core, vote.recorded, vote.complete)
 		}
 		if votes.durable() != tc.durable || votes.durable() && votes.complete() != tc.complete || votes.outdated() != tc.outdated {
-			test.Errorf("try %d: lasting %v, whole %v, outdated %v", number, votes.durable(), votes.complete(), votes.outdated())
+			test.Errorf("case %d: durable %v, complete %v, outdated %v", number, votes.durable(), votes.complete(), votes.outdated())
 		}
 	}
 }
--- a/serviceproxy/core_store.go
+++ b/serviceproxy/core_store.go
@@ -18,8 +18,8 @@
 	unavailableTTL    = time.Second
 )
 
-// coreStore is the client of the cores' store of idempotency keys, which outlasts a
-// loss of all proxies.
+// coreStore is the client of the cores' store of idempotency keys, which survives the loss of all
+// proxies.
 type coreStore struct {
 	proxy *Proxy
 	queue *concurrent.Queue[pendingUpdate]
@@ -30,8 +30,8 @@
 	membership coreMembership
 }
 
-// pendingUpdate is an update that the cores don't have yet: a claim granted without
-// them, or how one ended.
+// pendingUpdate is an update that the cores don't have yet: a claim granted without them (merged)
+// or the outcome of one (completed).
 type pendingUpdate struct {
 	merged    *message.ClaimRecord
 	completed *message.CompleteClaimRequest
@@ -41,15 +41,15 @@
 	return &coreStore{proxy: proxy, queue: concurrent.NewQueue[pendingUpdate](coreQueueSize)}
 }
 
-// unavailable reports whether the last attempt, within a second, found no majority of
-// cores.
+// unavailable reports whether the last attempt to reach a majority of cores failed within the last
+// second.
 func (store *coreStore) unavailable() bool {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return time.Since(store.failedAt) < unavailableTTL
 }
 
-// recordContact notes whether a majority of cores answered.
+// recordContact records whether a majority of cores answered.
 func (store *coreStore) recordContact(reached bool) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -59,8 +59,8 @@
 	}
 }
 
-// coresToAsk returns the membership to count by and the addresses to ask: those of its
-// voters, and of all known cores while a newer membership was heard of.
+// coresToQuery returns the membership to count votes by, and the addresses to query: those of its
+// voters, and of all known cores if there is a newer membership.
 func (store *coreStore) coresToQuery() (coreMembership, []string) {
 	store.mutex.Lock()
 	membership := store.membership
@@ -78,7 +78,7 @@
 	return membership, addresses
 }
 
-// learn records a membership that cores answered with, if it is newer.
+// updateMembership records a membership reported by cores, if it is newer.
 func (store *coreStore) updateMembership(membership coreMembership) {
 	store.mutex.Lock()
 	store.membership = store.membership.newer(membership)
@@ -93,8 +93,7 @@
 	return rpc.Call(store.proxy.daemon.Client(), address, message.MethodRecordClaims, limit, request)
 }
 
-// enqueue queues an update for deliver; if the queue is full the update is lost and
-// counted.
+// enqueue queues an update for deliver. If the queue is full, the update is dropped and counted.
 func (store *coreStore) enqueue(update pendingUpdate) {
 	if !store.queue.Put(update) {
 		store.proxy.counters.Add("claims_not_owed", 1)
@@ -105,7 +104,7 @@
 	store.mutex.Unlock()
 }
 
-// flush waits until all updates are delivered, at most for rest, before a planned stop.
+// flush waits until all updates are delivered before a planned stop, at most for limit.
 func (store *coreStore) flush(limit time.Duration) {
 	for until := time.Now().Add(limit); time.Now().Before(until); {
 		store.mutex.Lock()
@@ -118,7 +117,7 @@
 	store.proxy.counters.Add("claims_untold_at_end", 1)
 }
 
-// deliver sends queued updates in order, each until a majority of cores has it.
+// deliver sends queued updates in order and repeats each batch until a majority of cores has it.
 func (store *coreStore) deliver() {
 	goroutines := store.proxy.goroutines
 	for {
@@ -146,8 +145,7 @@
 	}
 }
 
-// sendToMajority sends an update to the cores. It returns whether a majority of the
-// cores that vote has it.
+// sendToMajority sends an update to the cores and reports whether a majority of the voters has it.
 func (store *coreStore) sendToMajority(request *message.RecordClaimsRequest) bool {
 	membership, cores := store.coresToQuery()
 	request.Membership = membership.accepted
@@ -161,7 +159,7 @@
 	return votes.durable()
 }
 
-// recordedBy returns the votes of the cores that answered an update.
+// countVotes returns the votes of the cores that answered an update.
 func countVotes(membership coreMembership, responses map[int]*message.RecordClaimsResponse) *coreVotes {
 	votes := newCoreVotes(membership)
 	for _, response := range responses {
@@ -170,8 +168,8 @@
 	return votes
 }
 
-// restore passes every claim that the cores hold to take. It returns whether a
-// majority of the cores that vote answered and hold all claims.
+// restore passes every claim that the cores hold to merge. It reports whether a majority of the
+// voters answered and holds all claims.
 func (store *coreStore) restore(merge func([]message.ClaimRecord)) bool {
 	membership, cores := store.coresToQuery()
 	responses, _ := concurrent.Gather(store.proxy.goroutines, len(cores), func(index int) (*message.FetchClaimsResponse, error) {
@@ -185,8 +183,8 @@
 	return votes.complete()
 }
 
-// fetchAllClaims passes every page of claims of a proxy or core to take. It returns the last
-// page, with the membership under which the first one was given.
+// fetchAllClaims passes every page of claims of a proxy or core to merge. It returns the last
+// page, with the membership under which the first one was sent.
 func fetchAllClaims(
 	client *rpc.Client,
 	address string,
--- a/serviceproxy/early_response_test.go
+++ b/serviceproxy/early_response_test.go
@@ -20,11 +20,11 @@
 	"orchidjunction/rpc"
 )
 
-// earlyBackend answers a task before it has read its body, and reads on after a while.
+// earlyBackend responds before it has read the whole body, and reads the rest after a pause.
 type earlyBackend struct {
-	readFirst int // bytes of the body that it reads before its answer
+	readFirst int // bytes of the body read before the response
 	pause     time.Duration
-	answer    string // without its task
+	answer    string // format string that takes the task ID
 	bytesRead atomic.Int64
 }
 
@@ -41,20 +41,20 @@
 		return
 	}
 	const identity = `{"service":"plain","instance":"b1","incarnation":"b1"}`
-	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(identity), identity) // the task fails otherwise
+	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(identity), identity) // if this fails, so does the task
 	request, err := http.ReadRequest(reader)
 	if err != nil {
 		return
 	}
-	first, _ := io.CopyN(io.Discard, request.Body, int64(backend.readFirst)) // less where the proxy leaves
+	first, _ := io.CopyN(io.Discard, request.Body, int64(backend.readFirst)) // fewer if the proxy closes the connection
 	_, _ = fmt.Fprintf(conn, backend.answer, request.Header.Get("Oj-Task"))  // as above
 	time.Sleep(backend.pause)
-	rest, _ := io.Copy(io.Discard, request.Body) // what the proxy sends yet
+	rest, _ := io.Copy(io.Discard, request.Body) // whatever the proxy still sends
 	backend.bytesRead.Store(first + rest)
 }
 
-// An answer that came before the body was sent was a success for the caller, and the connection
-// was closed on the rest of the body: the backend had a part of it.
+// A response that came before the whole body was sent counted as a success, but the connection was
+// then closed and the backend got only part of the body.
 func TestSuccessRequiresWholeRequestBody(test *testing.T) {
 	const size = 1 << 20
 	for name, tc := range map[string]struct {
@@ -72,10 +72,10 @@
 				err := sendBody(tc.backend, size)
 				time.Sleep(2 * time.Hour)
 				if read := tc.backend.bytesRead.Load(); err == nil && read != size {
-					test.Errorf("a success, and %d of %d bytes", read, size)
+					test.Errorf("success, but the backend read %d of %d bytes", read, size)
 				}
 				if code := rpc.CodeOf(err); (err != nil || tc.code != "") && code != tc.code {
-					test.Errorf("%v, want %q", err, tc.code)
+					test.Errorf("got error %v, want code %q", err, tc.code)
 				}
 				if err != nil && rpc.AsError(err).Outcome != rpc.MayHaveRun {
 					test.Errorf("outcome %q", rpc.AsError(err).Outcome)
@@ -86,12 +86,12 @@
 }
 
 const (
-	answerWithBody    = "HTTP/1.1 200 OK\r\nOj-Task: %s\r\nContent-Length: 4\r\n\r\nwell"
+	answerWithBody    = "HTTP/1.1 200 OK\r\nOj-Task: %s\r\nContent-Length: 4\r\n\r\ndone"
 	answerWithoutBody = "HTTP/1.1 200 OK\r\nOj-Task: %s\r\nContent-Length: 0\r\n\r\n"
-	answerAndClose    = "HTTP/1.1 200 OK\r\nOj-Task: %s\r\nConnection: close\r\nContent-Length: 4\r\n\r\nwell"
+	answerAndClose    = "HTTP/1.1 200 OK\r\nOj-Task: %s\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone"
 )
 
-// sendBody sends a task with a body of so many bytes to a backend.
+// sendBody sends a task with a body of the given size to a backend.
 func sendBody(backend *earlyBackend, size int) error {
 	proxy := &Proxy{counters: metrics.NewCounters(), budget: newRetryBudget(), usage: metrics.NewCounters(), dial: backend.dial}
 	target := newTarget(message.Backend{Name: "b1", Service: "plain", Address: "b1:80"}, backend.dial)
--- a/serviceproxy/identity.go
+++ b/serviceproxy/identity.go
@@ -15,9 +15,9 @@
 
 const maxIdentityBytes = 16 << 10
 
-// Identity is what a backend says about itself: on each new connection, and partly
-// in the headers of each response. Usage is its load as a part of its capacity,
-// GentleRate the requests a second that it takes while it is cold.
+// Identity is what a backend reports about itself: on each new connection, and partly in the
+// headers of each response. Utilization is its load as a fraction of its capacity, WarmupRate the
+// requests per second that it accepts while warming up.
 type Identity struct {
 	Service     string  `json:"service"`
 	Instance    string  `json:"instance"`
@@ -29,12 +29,12 @@
 	Serial      uint64  `json:"serial"`
 }
 
-// query reads the identity on the pipe itself, before anything else goes over it.
+// query requests the identity on a new connection, before anything else is sent over it.
 func (identity *Identity) query(conn net.Conn, host string, deadline time.Time) error {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return rpc.Errorf(rpc.ConnectionBroken, "identity: %v", err)
 	}
-	defer func() { _ = conn.SetDeadline(time.Time{}) }() // the next use meets a closed connection anyway
+	defer func() { _ = conn.SetDeadline(time.Time{}) }() // the next use of the connection fails as well
 	if _, err := io.WriteString(conn, "GET /oj/identity HTTP/1.1\r\nHost: "+host+"\r\nAccept: application/json\r\n\r\n"); err != nil {
 		return rpc.Errorf(rpc.ConnectionBroken, "identity: %v", err)
 	}
@@ -57,12 +57,12 @@
 	return nil
 }
 
-// belongs is nil when the identity is that of the listed backend.
+// verify returns an error unless the identity is that of the listed backend.
 func (identity *Identity) verify(backend message.Backend) error {
 	if identity.Service != backend.Service || identity.Instance != backend.Name {
 		return rpc.Errorf(
 			rpc.WrongBackend,
-			"%s is %s of %s, listed as %s of %s",
+			"%s identifies as %s of service %s, but is listed as %s of service %s",
 			backend.Address,
 			identity.Instance,
 			identity.Service,
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// fromResponse updates the identity by the headers of a response.
+// updateFromHeader updates the identity from the headers of a response.
 func (identity *Identity) updateFromHeader(header http.Header) {
 	if usage, err := strconv.ParseFloat(header.Get("Oj-Usage"), 64); err == nil && usage >= 0 {
 		identity.Utilization = usage
--- a/serviceproxy/key_replicas.go
+++ b/serviceproxy/key_replicas.go
@@ -9,8 +9,8 @@
 
 const maxKeyReplicas = 5
 
-// KeyReplicas is the set of proxies that keep idempotency keys, as one version of the
-// table names them.
+// KeyReplicas is the set of proxies that store idempotency keys, according to one version of the
+// membership table.
 type KeyReplicas struct {
 	members []message.Member
 	regions map[string]string
@@ -26,7 +26,8 @@
 	return replicas
 }
 
-// of ranks the ring for a key and takes the first of each region in turn.
+// forKey returns the replicas of a key: it ranks the proxies by rendezvous hashing and picks from
+// the regions in turn.
 func (replicas *KeyReplicas) forKey(key message.ClaimKey) []message.Member {
 	type ranked struct {
 		member message.Member
@@ -50,8 +51,8 @@
 	return chosen
 }
 
-// Rank returns the weight of a name for a subject for rendezvous hashing, the same
-// in every process.
+// Rank returns the rendezvous-hashing weight of a name for a subject. It is the same in every
+// process.
 func Rank(subject, name string) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(subject + "\x00" + name))
@@ -70,6 +71,6 @@
 	return false
 }
 
-// quorum is so large that quorums of two rings that differ in two members of
-// five still meet.
+// quorum is large enough that the quorums of two replica sets of five that differ in two members
+// still intersect.
 func quorum(count int) int { return min((count+3)/2, count) }
--- a/serviceproxy/lending_limit.go
+++ b/serviceproxy/lending_limit.go
@@ -11,9 +11,8 @@
 
 const overloadedTTL = time.Second
 
-// LendingLimit limits what a proxy carries for the other partner: a rate, a number in
-// flight, and nothing while the classes of its owner are above their floors or were
-// refused.
+// LendingLimit limits the requests served for the other partner: by rate, by number in flight, and
+// to none while the owner is overloaded (see Admission.Overloaded).
 type LendingLimit struct {
 	owner       *Proxy
 	rate        *rate.Limiter
@@ -23,32 +22,32 @@
 	inFlight int
 }
 
-// NewLendingLimit returns the limit for requests that other proxies in this process carry
-// on the owner's behalf: perSecond requests a second, most at once.
+// NewLendingLimit returns the limit for guest proxies in the owner's process: perSecond requests
+// per second, maxInFlight at once.
 func NewLendingLimit(owner *Proxy, perSecond float64, maxInFlight int) *LendingLimit {
 	return &LendingLimit{owner: owner, rate: rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond/4), 1)), maxInFlight: maxInFlight}
 }
 
-// Acquire admits one request of the other partner; the error is rpc.Overloaded. Each
-// admitted request must be given back by Give.
+// Acquire admits one request of the other partner. The error is rpc.Overloaded. Each admitted
+// request must end with Release.
 func (limit *LendingLimit) Acquire() error {
 	limit.mutex.Lock()
 	defer limit.mutex.Unlock()
 	if limit.owner.admission.Overloaded() || limit.inFlight >= limit.maxInFlight || !limit.rate.Allow() {
 		limit.owner.counters.Add("lending_refused", 1)
-		return &rpc.Error{Code: rpc.Overloaded, Message: "the lender needs its room", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
+		return &rpc.Error{Code: rpc.Overloaded, Message: "the lending proxy has no spare capacity", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
 	}
 	limit.inFlight++
 	limit.owner.counters.Add("lent", 1)
 	return nil
 }
 
-// Release ends a request that Take admitted.
+// Release ends a request that Acquire admitted.
 func (limit *LendingLimit) Release() {
 	limit.mutex.Lock()
 	limit.inFlight--
 	limit.mutex.Unlock()
 }
 
-// SetLendingLimit makes this proxy a guest on another partner's machine, bound by the limit.
+// SetLendingLimit makes this proxy a guest on the other partner's machine, subject to the limit.
 func (proxy *Proxy) SetLendingLimit(limit *LendingLimit) { proxy.lending = limit }
--- a/serviceproxy/proxy.go
+++ b/serviceproxy/proxy.go
@@ -14,9 +14,8 @@
 	"orchidjunction/rpc"
 )
 
-// Proxy is the HTTP handler that carries requests of the settings' routes to
-// backends. It lives as long as the process and replaces its plan with each
-// version.
+// Proxy is the HTTP handler that forwards requests to backends by the routes in the settings. It
+// lives as long as the process and replaces its plan with each version.
 type Proxy struct {
 	daemon     *agent.Daemon
 	goroutines *concurrent.Group
@@ -36,7 +35,7 @@
 	prefix     string
 }
 
-// plan is one version as this proxy uses it: whole, and never changed.
+// plan is this proxy's immutable view of one version.
 type plan struct {
 	routes    *Routes
 	services  map[string][]*Target
@@ -134,7 +133,8 @@
 	proxy.claims.apply(newKeyReplicas(version.Table, next.routes.regions), version.Table.Version)
 }
 
-// next are the routes of a version, those of this plan where it is the same.
+// nextRoutes returns the routes of a version, which are those of this plan if the serial is the
+// same.
 func (plan *plan) nextRoutes(version *agent.Version) *Routes {
 	if plan == nil {
 		return NewRoutes(version.Serial, version.Settings, nil)
@@ -145,8 +145,8 @@
 	return NewRoutes(version.Serial, version.Settings, plan.routes)
 }
 
-// warmupShares is among how many proxies a backend's gentle rate is split: the
-// same few for all that read this table, and 0 for the others.
+// warmupShares returns the number of proxies that share a backend's warm-up rate, or 0 if the
+// named proxy is not one of them. All proxies that read the same table choose the same ones.
 func warmupShares(table *message.Table, backend message.Backend, name string) int {
 	ahead, count, ownRank := 0, 0, Rank(backend.Name, name)
 	for _, member := range table.Members {
@@ -171,7 +171,8 @@
 	return plan.all
 }
 
-// warm is true from when every backend of a plan was looked at once.
+// warm reports whether every backend of a complete plan was probed once; from then on it stays
+// true.
 func (proxy *Proxy) warm() bool {
 	if proxy.warmed.Load() {
 		return true
@@ -189,7 +190,7 @@
 	return true
 }
 
-// watchTarget probes one target until the proxy ends.
+// watchTarget probes one target until it is no longer listed or the proxy stops.
 func (proxy *Proxy) watchTarget(target *Target) {
 	for {
 		proxy.mutex.Lock()
@@ -231,8 +232,8 @@
 	return probes
 }
 
-// pickBackend returns the less loaded of two random backends that the request may go
-// to, and takes a place there.
+// pickBackend returns the less loaded of two random backends that may serve the request, and takes
+// an in-flight slot there.
 func (plan *plan) pickBackend(route *config.FlatRoute, tenant int, tried map[*Target]bool) (*Target, bool) {
 	type choice struct {
 		target *Target
@@ -262,7 +263,7 @@
 	return nil, false
 }
 
-// usage is the mean of what a service's usable backends report.
+// utilization returns the mean load of a service's usable backends.
 func (plan *plan) utilization(service string) float64 {
 	sum, count := 0.0, 0
 	for _, target := range plan.services[service] {
--- a/serviceproxy/replica_sets.go
+++ b/serviceproxy/replica_sets.go
@@ -8,7 +8,8 @@
 	"orchidjunction/rpc"
 )
 
-// replicaSet is a ring and, once another replaced it, how long a quorum of it is still asked for.
+// replicaSet is a set of replicas and its table version. Once it was replaced, claims need its
+// quorum until usedUntil.
 type replicaSet struct {
 	replicas  *KeyReplicas
 	version   message.TableVersion
@@ -16,13 +17,13 @@
 	usedUntil time.Time
 }
 
-// lostReplicas is how many left a ring at once, and when.
+// lostReplicas is how many replicas left in one change of the set, and when.
 type lostReplicas struct {
 	count int
 	at    time.Time
 }
 
-// current drops the rings that are out of use and gives the newest.
+// currentReplicas drops expired sets and returns the newest.
 func (claims *Claims) currentReplicas() *replicaSet {
 	kept := claims.recentReplicas[:0]
 	for index, set := range claims.recentReplicas {
@@ -34,8 +35,8 @@
 	return &claims.recentReplicas[len(claims.recentReplicas)-1]
 }
 
-// outdated is whether a claim comes from a proxy that does not know this ring
-// though it stands for longer than the former one is still asked.
+// outdated reports whether a claim comes from a proxy that does not know the current set, although
+// it was applied longer ago than its predecessor stays in use.
 func (claims *Claims) outdated(claim *message.ClaimRequest) bool {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
@@ -43,8 +44,8 @@
 	return claim.Table.Less(set.version) && time.Since(set.appliedAt) > replicaSetTTL
 }
 
-// apply takes a new ring and tells new replicas what they lack; the former ring
-// is asked too for a while.
+// apply applies a new set and sends new replicas the keys that they lack. The previous set stays
+// in use for replicaSetTTL.
 func (claims *Claims) apply(next *KeyReplicas, version message.TableVersion) {
 	claims.mutex.Lock()
 	before := claims.currentReplicas()
@@ -64,8 +65,8 @@
 	claims.proxy.goroutines.Start(func() { claims.sendMissing(former, next) })
 }
 
-// left doubts this memory when so many replicas are gone within a short time
-// that all who granted a key may be among them.
+// recordLost marks the local keys as incomplete when so many replicas left within lostReplicaTTL
+// that they may include all that granted a key.
 func (claims *Claims) recordLost(former, next []message.Member, now time.Time) {
 	lost := lostReplicas{at: now}
 	for _, member := range former {
@@ -128,7 +129,8 @@
 	}
 }
 
-// askable gives every ring in use for a key, and all their members once.
+// activeReplicas returns the replicas of a key in every set in use, the same replicas without
+// duplicates, and the current table version.
 func (claims *Claims) activeReplicas(key message.ClaimKey) ([][]message.Member, []message.Member, message.TableVersion) {
 	claims.mutex.Lock()
 	version := claims.currentReplicas().version
--- a/serviceproxy/response.go
+++ b/serviceproxy/response.go
@@ -12,8 +12,8 @@
 
 const maxBufferedBytes = 1 << 20
 
-// Response is a backend's response: body is all of it, or its beginning while rest
-// is still to be streamed. length is the body's size in bytes, -1 if it is unknown.
+// Response is a backend's response. body holds all of its body, or the beginning if rest is to be
+// streamed. length is the body's size in bytes, -1 if unknown.
 type Response struct {
 	status int
 	header http.Header
@@ -36,17 +36,17 @@
 
 var internalHeaders = []string{"Oj-Usage", "Oj-Serial", "Oj-Leaving", "Oj-Cold", "Oj-Incarnation"}
 
-// readResponse checks whose answer it is and reads it whole, up to where
-// streaming begins.
+// readResponse checks that the response belongs to the task and reads its body: all of it if
+// buffered is set, otherwise up to maxBufferedBytes.
 func readResponse(response *http.Response, taskID string, maxBytes int, buffered bool) (*Response, error) {
 	if echoed := response.Header.Get("Oj-Task"); echoed != taskID {
-		return nil, rpc.Errorf(rpc.BadResponse, "the answer is for task %q", echoed)
+		return nil, rpc.Errorf(rpc.BadResponse, "response is for task %q", echoed)
 	}
 	if response.StatusCode < 200 {
-		return nil, rpc.Errorf(rpc.BadResponse, "status %d", response.StatusCode)
+		return nil, rpc.Errorf(rpc.BadResponse, "unexpected status %d", response.StatusCode)
 	}
 	if response.ContentLength > int64(maxBytes) {
-		return nil, rpc.Errorf(rpc.BadResponse, "%d bytes, allowed %d", response.ContentLength, maxBytes)
+		return nil, rpc.Errorf(rpc.BadResponse, "response of %d bytes exceeds the limit of %d", response.ContentLength, maxBytes)
 	}
 	result := &Response{status: response.StatusCode, header: response.Header, length: response.ContentLength}
 	bufferLimit := maxBytes
@@ -55,10 +55,10 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, int64(bufferLimit)+1))
 	if err != nil {
-		return nil, rpc.Errorf(rpc.BadResponse, "after %d bytes: %v", len(body), err)
+		return nil, rpc.Errorf(rpc.BadResponse, "reading the response failed after %d bytes: %v", len(body), err)
 	}
 	if len(body) > maxBytes {
-		return nil, rpc.Errorf(rpc.BadResponse, "more than %d bytes", maxBytes)
+		return nil, rpc.Errorf(rpc.BadResponse, "response exceeds the limit of %d bytes", maxBytes)
 	}
 	result.body = body
 	if len(body) > bufferLimit {
@@ -69,7 +69,7 @@
 	return result, nil
 }
 
-// recordedHeader are the headers that a replay gives again, bounded.
+// recordedHeader returns the headers to store for replays, at most replayBytes of them.
 func (response *Response) recordedHeader() map[string]string {
 	recorded, size := map[string]string{}, 0
 	for name, values := range response.header {
@@ -83,7 +83,7 @@
 	return recorded
 }
 
-// write gives the receipt to the caller; an error means that it was not whole.
+// write sends the response to the caller. An error means that it was not sent in full.
 func (response *Response) write(writer http.ResponseWriter, maxBytes int, replayed bool) error {
 	header := writer.Header()
 	for name, values := range response.header {
--- a/serviceproxy/retry_budget.go
+++ b/serviceproxy/retry_budget.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// retryBudget is a retry budget as a token bucket: retries may be a fraction of first
-// sends plus this proxy's share of a floor for the whole fleet. At most half of the
-// floor is kept, so that kept and new tokens together never exceed the floor in any
-// span.
+// retryBudget is a token bucket that limits retries to a fraction of first sends plus this proxy's
+// share of a floor for the whole fleet. At most half of the floor is saved up, so that saved and
+// new tokens together never exceed the floor in any window.
 type retryBudget struct {
 	mutex       sync.Mutex
 	window      time.Duration
@@ -20,7 +19,7 @@
 	floor       float64
 }
 
-// budgetShare is among how many proxies the floor was split, and when that was last so.
+// proxyCount is a number of proxies that shared the floor, and until when.
 type proxyCount struct {
 	count int
 	until time.Time
@@ -43,7 +42,7 @@
 	budget.proxyCounts[len(budget.proxyCounts)-1].until = time.Now()
 }
 
-// setLimits sets the tokens per first send and the floor per span over all proxies.
+// setLimits sets the tokens per first send and the floor per window for all proxies together.
 func (budget *retryBudget) setLimits(fraction float64, floor int) {
 	budget.mutex.Lock()
 	budget.refill()
@@ -51,8 +50,8 @@
 	budget.mutex.Unlock()
 }
 
-// among is the largest split of the last span: proxies that left may still
-// have used their share.
+// maxProxies returns the largest number of proxies that shared the floor within the last window,
+// since proxies that left may have used their share.
 func (budget *retryBudget) maxProxies() float64 {
 	now := time.Now()
 	budget.proxyCounts[len(budget.proxyCounts)-1].until = now
@@ -66,8 +65,8 @@
 	return float64(highest)
 }
 
-// fill brings the floor's tokens; a proxy that has just started gets none
-// until the others surely split with it.
+// refill adds the floor's tokens. A proxy gets none in its first window, until the others are sure
+// to share the floor with it.
 func (budget *retryBudget) refill() {
 	now := time.Now()
 	perWindow := budget.floor / 2 / budget.maxProxies()
@@ -80,7 +79,7 @@
 
 func (budget *retryBudget) capacity() float64 { return max(budget.floor/2/budget.maxProxies(), 1) }
 
-// recordSend adds the tokens of a request's first send.
+// recordSend adds the tokens for the first send of a request.
 func (budget *retryBudget) recordSend() {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
@@ -88,7 +87,7 @@
 	budget.tokens = min(budget.tokens+budget.fraction, budget.capacity())
 }
 
-// allow reports whether a retry is allowed, and takes its token.
+// allow reports whether a retry is allowed, and if so takes a token.
 func (budget *retryBudget) allow() bool {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
--- a/serviceproxy/retry_budget_test.go
+++ b/serviceproxy/retry_budget_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// In any ten seconds resends stay within a fifth and the share of the floor,
-// however first sends and wishes for resends come.
+// In any ten seconds retries stay within a fifth of the first sends plus the proxy's share of the
+// floor, however first sends and retries are mixed.
 func TestRetryBudgetInEveryWindow(test *testing.T) {
 	for seed := range uint64(5) {
 		synctest.Test(test, func(test *testing.T) {
@@ -44,11 +44,11 @@
 					}
 				}
 				if len(events)%50 == 0 && float64(retry) > 0.2*float64(first)+20 {
-					test.Fatalf("seed %d: %d resends beside %d first sends", seed, retry, first)
+					test.Fatalf("seed %d: %d retries for %d first sends", seed, retry, first)
 				}
 			}
 			if granted < 400 {
-				test.Fatalf("seed %d: only %d granted", seed, granted)
+				test.Fatalf("seed %d: only %d retries allowed", seed, granted)
 			}
 		})
 	}
--- a/serviceproxy/retry_detector.go
+++ b/serviceproxy/retry_detector.go
@@ -11,15 +11,14 @@
 	maxFingerprints = 100_000
 )
 
-// retryDetector detects retries of callers: requests that repeat one which failed here
-// within the last second count against the retry budget.
+// retryDetector detects retries by callers: requests that repeat one that failed here within the
+// last second count against the retry budget.
 type retryDetector struct {
 	mutex    sync.Mutex
 	failedAt map[uint64]time.Time
 	prunedAt time.Time
 }
 
-// newRetryDetector returns a retryDetector that has seen nothing.
 func newRetryDetector() *retryDetector { return &retryDetector{failedAt: map[uint64]time.Time{}} }
 
 // fingerprintOf identifies a request by its caller and content.
@@ -32,8 +31,8 @@
 	return sum.Sum64()
 }
 
-// recordFailure records the fingerprint of a request that reached a backend and got no
-// response. A request that was refused before is no retry when it comes again.
+// recordFailure records the fingerprint of a request that reached a backend and got no response.
+// Repeating a request that was refused before it reached a backend is no retry.
 func (retries *retryDetector) recordFailure(fingerprint uint64) {
 	retries.mutex.Lock()
 	defer retries.mutex.Unlock()
--- a/serviceproxy/route_table.go
+++ b/serviceproxy/route_table.go
@@ -11,8 +11,8 @@
 // routeKey is the exact method and path of a route within a service.
 type routeKey struct{ method, path string }
 
-// routeTable is the routes of one service in one class, indexed by method and path. It
-// is immutable; the next version shares it while nothing in it changed.
+// routeTable is the routes of one service in one class, indexed by method and path. It is
+// immutable; the next version shares it if nothing in it changed.
 type routeTable struct {
 	digest     string
 	inherited  config.FlatRoute
@@ -48,8 +48,8 @@
 	return table
 }
 
-// find gives the route of a method and path and how exactly it fits; exact paths
-// go first, then the longest prefix.
+// find returns the route of a method and path, and how specific it is. Exact paths come first,
+// then the longest prefix.
 func (table *routeTable) find(method, path string) (found *config.FlatRoute, specificity int, methodMismatch bool) {
 	if index, known := table.exact[routeKey{method, path}]; known {
 		return &table.routes[index], len(path) + 1, false
--- a/serviceproxy/routes.go
+++ b/serviceproxy/routes.go
@@ -11,8 +11,8 @@
 
 const sharePerProxy = 4
 
-// Routes is the settings of one version with names resolved to indices. It is
-// immutable; versions share what did not change.
+// Routes is the settings of one version with tenant names resolved to indices. It is immutable;
+// versions share route tables that did not change.
 type Routes struct {
 	Serial          uint64
 	settings        *config.Settings
@@ -30,7 +30,7 @@
 	share            int
 }
 
-// NewRoutes builds the routes of a version; before may be nil.
+// NewRoutes builds the routes of a version; previous may be nil.
 func NewRoutes(serial uint64, settings *config.Settings, previous *Routes) *Routes {
 	routes := &Routes{
 		Serial:          serial,
@@ -109,9 +109,8 @@
 	return nil
 }
 
-// Route returns the route of a method and path within a service, in whatever class:
-// exact paths first, then the longest prefix. otherMethod says that only the method
-// does not match.
+// Route returns the route of a method and path within a service, in any class: exact paths first,
+// then the longest prefix. methodMismatch says that the path matches but not the method.
 func (routes *Routes) Route(service, method, path string) (found *config.FlatRoute, methodMismatch bool) {
 	bestSpecificity := 0
 	for _, table := range routes.tables[service] {
@@ -124,7 +123,7 @@
 	return found, methodMismatch && found == nil
 }
 
-// allowed is whether a backend's or front's zone may serve this tenant's task on this route.
+// allowed reports whether a proxy or backend in the zone may serve the tenant on this route.
 func (routes *Routes) allowed(zone string, tenant int, route *config.FlatRoute) bool {
 	region := routes.regions[zone]
 	if slices.Contains(routes.tenants[tenant].forbiddenRegions, region) {
--- a/serviceproxy/state_machine.go
+++ b/serviceproxy/state_machine.go
@@ -1,13 +1,12 @@
-// Package serviceproxy is the data plane of the product's own interface: it carries
-// callers' requests to backends as the settings say. (Host routes are carried by
-// package hostproxy.)
+// Package serviceproxy is the data plane of the product's own interface: it forwards callers'
+// requests to backends according to the settings. (Package hostproxy forwards those of host
+// routes.)
 //
-// Versions of settings, members and backends come in through Proxy.Apply. A request
-// comes in through Proxy.ServeHTTP as a task: it is authenticated, matched to a
-// route, admitted (Admission), for requests that may run only once claimed by
-// idempotency key (Claims), and sent to a backend (Target) over a Pipe, again
-// within the retry budget if that is safe. Health of backends goes out through
-// Proxy.Probes.
+// Proxy.Apply applies versions of settings, members and backends. Proxy.ServeHTTP handles a
+// request as a task: it is authenticated, matched to a route, claimed by idempotency key if it may
+// run only once (Claims), admitted (Admission), and sent to a backend (Target) over a BackendConn.
+// It is retried within the retry budget if that is safe. Proxy.Probes returns the health of the
+// backends.
 package serviceproxy
 
 import (
@@ -16,7 +15,7 @@
 	"orchidjunction/metrics"
 )
 
-// State is where a request stands on its way through a proxy.
+// State is the state of a request in a proxy.
 type State string
 
 // The states of a request. Those from Answered on are final.
--- a/serviceproxy/state_machine_test.go
+++ b/serviceproxy/state_machine_test.go
@@ -6,7 +6,8 @@
 	"orchidjunction/metrics"
 )
 
-// Every state but the first is reached, and every way ends.
+// Every state is reachable, every path ends in a final state, and invalid transitions are refused
+// and counted.
 func TestStatesReachableAndTerminating(test *testing.T) {
 	reached := map[State]bool{Arrived: true}
 	for changed := true; changed; {
@@ -21,18 +22,18 @@
 	}
 	for _, state := range []State{Authenticated, Routed, KeyClaimed, Assigned, Sent, Receiving, Answered, Replayed, Refused, Unknown, Aborted} {
 		if !reached[state] {
-			test.Errorf("%s is never reached", state)
+			test.Errorf("state %s is not reachable", state)
 		}
 		if _, found := transitions[state]; !found && state != Answered && state != Replayed && state != Refused && state != Unknown &&
 			state != Aborted {
-			test.Errorf("%s has no way on", state)
+			test.Errorf("state %s is not final but has no transitions", state)
 		}
 	}
 	for _, invalid := range [][2]State{{Answered, Assigned}, {Unknown, Assigned}, {Aborted, Answered}, {Arrived, Sent}, {Authenticated, Assigned}} {
 		counters := metrics.NewCounters()
 		machine := &stateMachine{state: invalid[0], counters: counters}
 		if machine.advance(invalid[1]) || counters.Get("task_steps_off_chart") != 1 {
-			test.Errorf("%s to %s is taken", invalid[0], invalid[1])
+			test.Errorf("transition from %s to %s was not refused and counted once", invalid[0], invalid[1])
 		}
 	}
 }
--- a/serviceproxy/target.go
+++ b/serviceproxy/target.go
@@ -23,9 +23,8 @@
 	maxWarmupProxies   = 2
 )
 
-// Target is one backend as this proxy knows it: its listing, its health by probes
-// and responses, and idle connections, which belong to the incarnation that opened
-// them.
+// Target is one backend as this proxy sees it: its listing, its health according to probes and
+// responses, and idle connections to its current incarnation.
 type Target struct {
 	listing        atomic.Pointer[message.Backend]
 	dial           Dialer
@@ -53,9 +52,9 @@
 
 func (target *Target) backend() message.Backend { return *target.listing.Load() }
 
-// relist keeps what is known of a backend whose listing changed elsewhere than
-// in its address. While it is cold only shares proxies send to it; 0 means that
-// this one does not.
+// updateListing applies a listing with the same address and keeps the state of the target. While
+// the backend is warming up, only warmupProxies proxies send to it; 0 means that this one does
+// not.
 func (target *Target) updateListing(backend message.Backend, warmupProxies int) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
@@ -72,7 +71,7 @@
 	}
 }
 
-// updateWarmup sets this proxy's share of the gentle rate; it begins with nothing kept.
+// updateWarmup sets this proxy's share of the warm-up rate. A new limiter starts without a token.
 func (target *Target) updateWarmup() {
 	if !target.identity.WarmingUp || target.identity.WarmupRate <= 0 || target.warmupProxies == 0 {
 		target.warmupLimiter = nil
@@ -89,7 +88,7 @@
 	}
 }
 
-// learn takes an identity; pipes of another incarnation are closed.
+// updateIdentity records an identity and closes idle connections to another incarnation.
 func (target *Target) updateIdentity(identity Identity) {
 	target.mutex.Lock()
 	stale := []*BackendConn{}
@@ -113,7 +112,7 @@
 	}
 }
 
-// failed counts an error; a wrong identity takes the target out at once.
+// recordFailure counts an error. A wrong identity ejects the target at once.
 func (target *Target) recordFailure(err error) {
 	target.mutex.Lock()
 	stale := []*BackendConn{}
@@ -134,7 +133,7 @@
 	return target.identityKnown && !target.ejected && target.failures < unhealthyFailures
 }
 
-// usable is whether a draw may take it, and how loaded it is.
+// usable reports whether the target may be picked, and its load.
 func (target *Target) usable() (bool, float64) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
@@ -144,20 +143,21 @@
 	return true, target.identity.Utilization + float64(target.inFlight)*0.05
 }
 
-// leaves is whether the backend says or the list shows that it should get nothing more. The
-// caller holds the mutex.
+// isWithdrawnLocked reports whether the backend or its listing says that it must get no more
+// requests. The caller holds the mutex.
 func (target *Target) isWithdrawnLocked() bool {
 	return target.closed || target.identity.Leaving || target.backend().Leaving
 }
 
-// isWithdrawn is whether the target may be sent nothing more.
+// isWithdrawn reports whether the target must get no more requests.
 func (target *Target) isWithdrawn() bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
 	return target.isWithdrawnLocked()
 }
 
-// admit takes one place at the target; a cold one gives only its gentle share.
+// acquire takes an in-flight slot. A target that is warming up has only this proxy's share of the
+// warm-up rate.
 func (target *Target) acquire() bool {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
@@ -175,7 +175,7 @@
 	target.mutex.Unlock()
 }
 
-// connection gives an idle pipe of the present incarnation or opens a new one.
+// connection returns an idle connection to the current incarnation or opens a new one.
 func (target *Target) connection(deadline time.Time) (*BackendConn, string, error) {
 	for {
 		target.mutex.Lock()
@@ -204,12 +204,13 @@
 	target.updateIdentity(*identity)
 	if identity.Leaving {
 		connection.close()
-		return nil, "", rpc.Errorf(rpc.NoBackend, "%s is leaving", target.backend().Name)
+		return nil, "", rpc.Errorf(rpc.NoBackend, "backend %s is leaving", target.backend().Name)
 	}
 	return connection, identity.Incarnation, nil
 }
 
-// giveBack keeps the pipe when it is still sound and its incarnation still stands.
+// returnConnection keeps a connection for reuse if it is reusable and the incarnation is still the
+// same.
 func (target *Target) returnConnection(connection *BackendConn, incarnation string, maxIdle int) {
 	connection.lastUsed = time.Now()
 	target.mutex.Lock()
@@ -223,13 +224,13 @@
 	}
 }
 
-// probeSpan is how long a proxy waits between looks at a backend: the more
-// proxies look, the seldomer each does. What one finds makes the others look too.
+// probeInterval returns the time between probes of a backend by one proxy, which grows with the
+// number of proxies. What one finds makes the others probe, too.
 func probeInterval(proxies int) time.Duration {
 	return min(max(minProbeInterval, minProbeInterval*time.Duration(proxies)/probersPerInterval), maxProbeInterval)
 }
 
-// probe opens a fresh pipe, so that who is there now is what counts.
+// probe opens a new connection, so that it checks the process that listens now.
 func (target *Target) probe() (uint64, error) {
 	defer target.firstProbeDone.Store(true)
 	connection, identity, err := dialBackend(target.dial, target.backend(), time.Now().Add(probeTimeout))
--- a/serviceproxy/task.go
+++ b/serviceproxy/task.go
@@ -16,7 +16,7 @@
 	keyHeader    = "Idempotency-Key"
 )
 
-// task is one request of a caller on its way through the proxy.
+// task is one caller's request while the proxy handles it.
 type task struct {
 	proxy       *Proxy
 	plan        *plan
@@ -36,7 +36,7 @@
 	sent        bool
 }
 
-// ServeHTTP carries a caller's request to a backend and the response back.
+// ServeHTTP forwards a caller's request to a backend and returns its response.
 func (proxy *Proxy) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	task := &task{
 		proxy: proxy, state: newStateMachine(proxy.counters), request: request, tried: map[*Target]bool{}, finish: func() {},
@@ -54,7 +54,7 @@
 	task.deliver(writer)
 }
 
-// refuse writes a refusal; one that names no outcome ran nothing.
+// refuse writes an error response. An error without an outcome means that the request did not run.
 func (task *task) refuse(writer http.ResponseWriter, refusal rpc.Error) {
 	if refusal.Outcome == "" {
 		refusal.Outcome = rpc.NotRun
@@ -84,7 +84,7 @@
 func (task *task) serve(writer http.ResponseWriter) error {
 	task.plan = task.proxy.plan.Load()
 	if task.plan == nil || !task.proxy.daemon.Ready() {
-		return task.redirect(rpc.NotReady, "no confirmed settings in force here")
+		return task.redirect(rpc.NotReady, "no confirmed settings are in force on this proxy")
 	}
 	if task.isDrained() {
 		writer.Header().Set("Connection", "close")
--- a/serviceproxy/task_admission.go
+++ b/serviceproxy/task_admission.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// stopMargin is kept free between a request's deadline and the end of the process.
+	// shutdownMargin is the minimum time between a request's deadline and the end of the process.
 	shutdownMargin = 300 * time.Millisecond
-	// drainedGrace is the time in which callers' placements end after a zone was drained.
+	// drainedGrace is the time within which callers' placements expire after a zone was drained.
 	drainedGrace = 3 * time.Second
 )
 
-// isDrained is whether this front's zone was emptied and the placements are over.
+// isDrained reports whether this proxy's zone is drained and callers' placements have expired.
 func (task *task) isDrained() bool {
 	return !task.plan.drainedAt.IsZero() && time.Since(task.plan.drainedAt) > drainedGrace
 }
 
-// checkLeaving refuses a request that should go elsewhere: any in a drained zone, and
-// one that might not end before this process stops.
+// checkDraining refuses any request in a drained zone, and one that might not end before this
+// process stops.
 func (task *task) checkDraining() error {
 	if task.isDrained() {
 		return &rpc.Error{
 			Code:         rpc.ZoneDrained,
-			Message:      "this zone is emptied; ask a directory where to go",
+			Message:      "this zone is drained; ask a directory for another proxy",
 			RetryAfterMs: retryAfterMs,
 			Outcome:      rpc.NotRun,
 		}
@@ -36,7 +36,7 @@
 	if remaining, leaving := task.proxy.daemon.StopsIn(); leaving && time.Until(task.deadline) > remaining-shutdownMargin {
 		return &rpc.Error{
 			Code:         rpc.Stopping,
-			Message:      "this front stops; ask a directory where to go",
+			Message:      "this proxy is stopping; ask a directory for another one",
 			RetryAfterMs: retryAfterMs,
 			Outcome:      rpc.NotRun,
 		}
@@ -44,13 +44,13 @@
 	return nil
 }
 
-// redirect refuses a request that another proxy may serve. Whether an idempotency key
-// was used before is not known here, so that its outcome is unknown.
+// redirect refuses a request that another proxy may serve. With an idempotency key, the outcome is
+// unknown, because the key may have been used before.
 func (task *task) redirect(code rpc.Code, cause string) error {
 	if task.request.Header.Get(keyHeader) != "" {
 		return &rpc.Error{
 			Code:         rpc.OutcomeUnknown,
-			Message:      cause + "; send the key again there",
+			Message:      cause + "; retry with the same key at another proxy",
 			RetryAfterMs: retryAfterMs,
 			Outcome:      rpc.MayHaveRun,
 		}
@@ -62,34 +62,34 @@
 func (task *task) authenticate() error {
 	key, bearer := strings.CutPrefix(task.request.Header.Get("Authorization"), "Bearer ")
 	if !bearer || key == "" {
-		return rpc.Errorf(rpc.UnknownKey, "want Authorization: Bearer and a tenant's key")
+		return rpc.Errorf(rpc.UnknownKey, "want Authorization: Bearer with a tenant's key")
 	}
 	tenant, found := task.plan.routes.Tenant(key)
 	if !found {
-		return rpc.Errorf(rpc.UnknownKey, "no tenant has this key")
+		return rpc.Errorf(rpc.UnknownKey, "unknown tenant key")
 	}
 	if named := task.request.Header.Get("Oj-Tenant"); named != "" && named != task.plan.routes.TenantName(tenant) {
-		return rpc.Errorf(rpc.WrongTenant, "the key is not that of %q", named)
+		return rpc.Errorf(rpc.WrongTenant, "the key does not belong to tenant %q", named)
 	}
 	task.tenant = tenant
 	task.state.advance(Authenticated)
 	return nil
 }
 
-// matchRoute finds the route and the deadline.
+// matchRoute finds the route and sets the deadline.
 func (task *task) matchRoute() error {
 	service, path, _ := strings.Cut(strings.TrimPrefix(task.request.URL.Path, "/"), "/")
 	task.path = "/" + path
 	route, methodMismatch := task.plan.routes.Route(service, task.request.Method, task.path)
 	if methodMismatch {
-		return rpc.Errorf(rpc.MethodNotAllowed, "%s is not for %s", task.request.Method, task.request.URL.Path)
+		return rpc.Errorf(rpc.MethodNotAllowed, "method %s is not allowed for %s", task.request.Method, task.request.URL.Path)
 	}
 	if route == nil {
 		return rpc.Errorf(rpc.UnknownRoute, "%s", task.request.URL.Path)
 	}
 	task.route = route
 	if !task.plan.routes.allowed(task.proxy.daemon.Zone(), task.tenant, route) {
-		return rpc.Errorf(rpc.ForbiddenRegion, "zone %s is closed to this task", task.proxy.daemon.Zone())
+		return rpc.Errorf(rpc.ForbiddenRegion, "this request may not be served in zone %s", task.proxy.daemon.Zone())
 	}
 	timeout, err := requestTimeout(task.route.TimeoutMs, task.request.Header.Get(timeoutHeader))
 	if err != nil {
@@ -100,11 +100,10 @@
 	return nil
 }
 
-// limitHeader is the header by which a caller says how many milliseconds it waits.
+// timeoutHeader is the header in which a caller sends its timeout in milliseconds.
 const timeoutHeader = "Oj-Limit-Ms"
 
-// timeLimit is how long a task may take: as long as its route says, or its caller if that is
-// shorter.
+// requestTimeout returns the shorter of the route's and the caller's timeout.
 func requestTimeout(routeMs int, callerMs string) (time.Duration, error) {
 	timeout := time.Duration(routeMs) * time.Millisecond
 	if callerMs == "" {
@@ -112,7 +111,7 @@
 	}
 	requested, err := strconv.Atoi(callerMs)
 	if err != nil || requested < 1 {
-		return 0, rpc.Errorf(rpc.BadRequest, timeoutHeader+": %q is not a whole number above 0", callerMs)
+		return 0, rpc.Errorf(rpc.BadRequest, timeoutHeader+": %q is not a positive integer", callerMs)
 	}
 	if requested >= routeMs {
 		return timeout, nil
@@ -120,19 +119,19 @@
 	return time.Duration(requested) * time.Millisecond, nil
 }
 
-// readBody reads the whole body, so that a broken caller starts nothing.
+// readBody reads the whole body first, so that a request that the caller cuts off does not run.
 func (task *task) readBody(writer http.ResponseWriter) error {
 	maxBytes := int64(task.route.BodyBytes)
 	if task.request.ContentLength > maxBytes {
-		return rpc.Errorf(rpc.TooLarge, "%d bytes, allowed %d", task.request.ContentLength, maxBytes)
+		return rpc.Errorf(rpc.TooLarge, "body of %d bytes exceeds the limit of %d", task.request.ContentLength, maxBytes)
 	}
 	controller := http.NewResponseController(writer)
-	_ = controller.SetReadDeadline(task.deadline) // a writer without deadlines is read to its end
+	_ = controller.SetReadDeadline(task.deadline) // without support for deadlines the body is read to its end
 	body, err := io.ReadAll(http.MaxBytesReader(writer, task.request.Body, maxBytes))
 	_ = controller.SetReadDeadline(time.Time{})
 	if err != nil {
 		if int64(len(body)) >= maxBytes {
-			return rpc.Errorf(rpc.TooLarge, "allowed %d bytes", maxBytes)
+			return rpc.Errorf(rpc.TooLarge, "body exceeds the limit of %d bytes", maxBytes)
 		}
 		return rpc.Errorf(rpc.BadRequest, "body: %v", err)
 	}
--- a/serviceproxy/task_admission_test.go
+++ b/serviceproxy/task_admission_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A caller's limit at the end of its range overflowed to a time that had passed: the task was
-// refused at once, though its caller would wait for ever.
+// A caller's timeout at the end of its range overflowed to a deadline in the past, so that the
+// request was refused at once.
 func TestCallerTimeout(test *testing.T) {
 	const routeMs = 4000
 	for text, want := range map[string]time.Duration{
--- a/serviceproxy/task_idempotent.go
+++ b/serviceproxy/task_idempotent.go
@@ -10,14 +10,14 @@
 	"orchidjunction/rpc"
 )
 
-// maxKeyLength bounds an idempotency key, in bytes.
+// maxKeyLength is the maximum length of an idempotency key in bytes.
 const maxKeyLength = 200
 
-// sendOnce sends a request once for its idempotency key; later ones get its response.
+// sendOnce sends at most one request per idempotency key and replays its response to later ones.
 func (task *task) sendOnce() error {
 	key := task.request.Header.Get(keyHeader)
 	if key == "" || len(key) > maxKeyLength {
-		return rpc.Errorf(rpc.KeyRequired, "want %s of 1 to %d letters", keyHeader, maxKeyLength)
+		return rpc.Errorf(rpc.KeyRequired, "%s must have 1 to %d bytes", keyHeader, maxKeyLength)
 	}
 	digest := sha256.Sum256(
 		append([]byte(fmt.Sprintf("%s %s?%s\n", task.request.Method, task.path, task.request.URL.RawQuery)), task.body...),
@@ -39,10 +39,10 @@
 	return err
 }
 
-// replay returns the recorded response of the key's one send.
+// replay answers with the response recorded for the key.
 func (task *task) replay(existing *message.ClaimRecord) error {
 	if existing.Stage != message.ClaimCompleted || existing.Status == 0 {
-		return &rpc.Error{Code: rpc.OutcomeUnknown, Message: "this key was sent before and its answer is not here", Outcome: rpc.MayHaveRun}
+		return &rpc.Error{Code: rpc.OutcomeUnknown, Message: "a request with this key was sent before, but its response is not recorded", Outcome: rpc.MayHaveRun}
 	}
 	task.response, task.replayed = &Response{
 		status: existing.Status,
--- a/serviceproxy/task_send.go
+++ b/serviceproxy/task_send.go
@@ -8,11 +8,10 @@
 	"orchidjunction/rpc"
 )
 
-// minTimeToSend is the least time before a task's deadline that makes another send
-// worth while.
+// minRetryTime is the minimum time left before a task's deadline for a retry.
 const minRetryTime = 5 * time.Millisecond
 
-// send admits the task and has it answered by a backend.
+// send admits the task and sends it to a backend.
 func (task *task) send() error {
 	if err := task.checkDraining(); err != nil {
 		return err
@@ -30,7 +29,7 @@
 		task.proxy.counters.Add("quick_retries_refused", 1)
 		return &rpc.Error{
 			Code:         rpc.Overloaded,
-			Message:      "this task just failed here and the budget for retries is used up",
+			Message:      "this request failed here within the last second and the retry budget is exhausted",
 			RetryAfterMs: retryAfterMs,
 			Outcome:      rpc.NotRun,
 		}
@@ -38,11 +37,11 @@
 	return task.sendWithRetries()
 }
 
-// sendUntilAnswered picks a backend and sends until a response is whole, or another send
-// is unsafe, out of budget or out of time. A task whose backend was withdrawn before it was
-// sent goes to another with the attempt and the budget that it has.
+// sendWithRetries sends the task to backends until a response is complete, or a retry is unsafe,
+// over budget or too late. If a backend was withdrawn before the task was sent, another one gets
+// it without using up an attempt or retry budget.
 func (task *task) sendWithRetries() error {
-	var lastErr error = &rpc.Error{Code: rpc.NoBackend, Message: "no backend can take this now", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
+	var lastErr error = &rpc.Error{Code: rpc.NoBackend, Message: "no backend is available", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
 	mayHaveRun := false
 	for sends, charged := 0, false; sends < task.route.Attempts; {
 		target, found := task.pickTarget(sends > 0, charged)
@@ -72,8 +71,8 @@
 	return task.finalError(lastErr, mayHaveRun)
 }
 
-// nextTarget picks a backend that was not tried; a resend needs the retry budget, unless
-// that was asked already.
+// pickTarget picks a backend that was not tried yet. A retry needs a token of the retry budget,
+// unless charged says that this attempt was already accounted for.
 func (task *task) pickTarget(retry, charged bool) (*Target, bool) {
 	if retry && !charged && !task.proxy.budget.allow() {
 		task.proxy.counters.Add("resends_refused", 1)
@@ -96,8 +95,8 @@
 	return target, true
 }
 
-// maySendAgain is whether another send is safe and in time after one that failed; ran is
-// whether that one may have run at the backend.
+// canRetry reports whether a failed send can be retried safely and in time. maybeRan says that the
+// task may have run at the backend.
 func (task *task) canRetry(maybeRan bool) bool {
 	method := task.request.Method
 	readsOnly := method == http.MethodGet || method == http.MethodHead
@@ -107,7 +106,7 @@
 	return time.Until(task.deadline) >= minRetryTime && task.request.Context().Err() == nil
 }
 
-// final never says 503 of a task that may have run.
+// finalError returns the error for the caller. It is never 503 for a task that may have run.
 func (task *task) finalError(lastErr error, mayHaveRun bool) error {
 	result := *rpc.AsError(lastErr)
 	result.Outcome = rpc.NotRun
--- a/serviceproxy/withdrawn_test.go
+++ b/serviceproxy/withdrawn_test.go
@@ -17,13 +17,13 @@
 	"orchidjunction/metrics"
 )
 
-// withdrawalWorld is a proxy with two backends. The one that is dialled first is withdrawn
+// withdrawalFixture is a proxy with two backends. The one that is dialled first is withdrawn
 // during the dial.
 type withdrawalFixture struct {
 	proxy    *Proxy
 	withdraw func(world *withdrawalFixture, target *Target)
 	first    string         // the backend that was dialled first
-	arrivals map[string]int // tasks at each backend
+	arrivals map[string]int // requests per backend
 }
 
 func newWithdrawalFixture(withdraw func(*withdrawalFixture, *Target)) *withdrawalFixture {
@@ -32,7 +32,7 @@
 	fixture.proxy.dial = fixture.dial
 	fixture.apply(&config.Settings{})
 	for _, name := range []string{"b1", "b2"} {
-		target := newTarget(message.Backend{Name: name, Service: "plain", Address: name + ":80", Zone: "zone of " + name}, fixture.dial)
+		target := newTarget(message.Backend{Name: name, Service: "plain", Address: name + ":80", Zone: "zone-" + name}, fixture.dial)
 		target.identity, target.identityKnown = Identity{Incarnation: name}, true
 		services := fixture.proxy.plan.Load().services
 		services["plain"] = append(services["plain"], target)
@@ -63,7 +63,7 @@
 	return near, nil
 }
 
-// serve is a backend until the proxy closes the connection.
+// serve answers as a backend until the proxy closes the connection.
 func (fixture *withdrawalFixture) serve(name string, conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	for {
@@ -74,7 +74,7 @@
 		body := fmt.Sprintf(`{"service":"plain","instance":%q,"incarnation":%q}`, name, name)
 		if request.URL.Path != "/oj/identity" {
 			fixture.arrivals[name]++
-			body = "well"
+			body = "done"
 		}
 		_, err = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nOj-Task: %s\r\nContent-Length: %d\r\n\r\n%s",
 			request.Header.Get("Oj-Task"), len(body), body)
@@ -101,8 +101,8 @@
 	return task.sendWithRetries()
 }
 
-// A task whose backend was withdrawn while it was dialled was sent there all the same
-// (DRAIN, issue 33); it goes to another, with the attempt that it has.
+// A task was sent to a backend that was withdrawn while it was being dialled (DRAIN, issue 33). It
+// must go to another one, without using up its attempt.
 func TestWithdrawnDuringDial(test *testing.T) {
 	for name, withdraw := range map[string]func(*withdrawalFixture, *Target){
 		"leaves": func(_ *withdrawalFixture, target *Target) {
@@ -125,11 +125,11 @@
 					test.Error(err)
 				}
 				if fixture.arrivals[fixture.first] != 0 || len(fixture.arrivals) != 1 {
-					test.Errorf("arrivals %v, withdrawn %s", fixture.arrivals, fixture.first)
+					test.Errorf("requests per backend %v, withdrawn backend %s", fixture.arrivals, fixture.first)
 				}
 				for _, target := range fixture.proxy.plan.Load().services["plain"] {
 					if target.inFlight != 0 {
-						test.Errorf("%d tasks are left at %s", target.inFlight, target.backend().Name)
+						test.Errorf("%d requests still in flight at %s", target.inFlight, target.backend().Name)
 					}
 					target.close()
 				}
--- a/slo/objectives.go
+++ b/slo/objectives.go
@@ -1,6 +1,6 @@
-// Package slo reads service-level objectives in a subset of OpenSLO v1 and reports
-// how the counters of the daemons stand against them. Read gives Documents; Against
-// turns them and the summed counters into Reports.
+// Package slo reads service-level objectives in a subset of OpenSLO v1 and compares them with the
+// daemons' counters. Read returns Documents; Evaluate turns them and the summed counters into
+// Reports.
 package slo
 
 import (
@@ -13,8 +13,7 @@
 	"orchidjunction/rpc"
 )
 
-// Document is one service-level objective in the form of OpenSLO v1, as far as it
-// is used here.
+// Document is one service-level objective in OpenSLO v1, with the fields that are used here.
 type Document struct {
 	APIVersion string `yaml:"apiVersion"`
 	Kind       string `yaml:"kind"`
@@ -55,7 +54,7 @@
 	} `yaml:"metricSource"`
 }
 
-// Objective is the least ratio of good events that is aimed at, between 0 and 1.
+// Objective is the minimum ratio of good events, between 0 and 1.
 type Objective struct {
 	DisplayName string  `yaml:"displayName"`
 	Target      float64 `yaml:"target"`
@@ -114,8 +113,8 @@
 	return nil
 }
 
-// Report is one objective with what was counted. Left is the part of the error
-// budget that is left; it is negative once the budget is spent.
+// Report is one objective with its counts. Left is the fraction of the error budget that remains;
+// it is negative once the budget is exceeded.
 type Report struct {
 	Name   string  `json:"name"`
 	Target float64 `json:"target"`
--- a/slo/objectives_test.go
+++ b/slo/objectives_test.go
@@ -47,7 +47,7 @@
 			test.Fatalf("the example lacks %q", wrong[0])
 		}
 		if _, err := Read([]byte(strings.Replace(text, wrong[0], wrong[1], 1))); err == nil {
-			test.Errorf("%q is taken", wrong[1])
+			test.Errorf("%q is accepted", wrong[1])
 		}
 	}
 }
