--- a/directory/directory.go
+++ b/directory/directory.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	retryAfterMs = 1000
-	fullLoad     = 0.8
+	retryAfterMs   = 1000
+	nearlyFullLoad = 0.8
 )
 
 // Directory answers callers from one immutable view per version.
@@ -81,8 +81,7 @@
 }
 
 // NewView selects the proxies that callers may be sent to: those ready and not leaving. Proxies
-// lent by the other partner are used only while there are too few own ones or these are nearly
-// full.
+// lent by the other partner are used only while the own ones are too few or nearly at capacity.
 func NewView(routes *serviceproxy.Routes, members []message.Member) *View {
 	view, demand := &View{routes: routes}, 0.0
 	for _, member := range members {
@@ -97,9 +96,9 @@
 		demand += member.Demand
 	}
 	settings := routes.Settings()
-	short := len(view.proxies) < *settings.Rule.Proxies
-	full := settings.ProxyRps > 0 && demand > fullLoad*float64(settings.ProxyRps*len(view.proxies))
-	if !short && !full {
+	tooFew := len(view.proxies) < *settings.Rule.Proxies
+	nearlyFull := settings.ProxyRps > 0 && demand > nearlyFullLoad*float64(settings.ProxyRps*len(view.proxies))
+	if !tooFew && !nearlyFull {
 		view.guests = nil
 	}
 	return view
@@ -130,7 +129,11 @@
 	}
 	view := directory.view.Load()
 	if view == nil || !directory.daemon.Ready() {
-		return nil, &rpc.Error{Code: rpc.NotReady, Message: "no confirmed settings are in force on this directory", RetryAfterMs: retryAfterMs}
+		return nil, &rpc.Error{
+			Code:         rpc.NotReady,
+			Message:      "no confirmed settings are in force on this directory",
+			RetryAfterMs: retryAfterMs,
+		}
 	}
 	key, bearer := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 	tenant, found := view.routes.Tenant(key)
--- a/operator/client.go
+++ b/operator/client.go
@@ -57,7 +57,7 @@
 			}
 			return nil
 		}
-		lastErr = readRefusal(response.StatusCode, content)
+		lastErr = decodeError(response.StatusCode, content)
 		code := rpc.CodeOf(lastErr)
 		if code.Status() != http.StatusServiceUnavailable && code != rpc.OutcomeUnknown {
 			return lastErr
@@ -66,13 +66,13 @@
 	return lastErr
 }
 
-// readRefusal decodes the error in a daemon's response.
-func readRefusal(status int, body []byte) error {
-	refusal := &rpc.Error{}
-	if err := json.Unmarshal(body, refusal); err != nil || refusal.Code == "" {
+// decodeError decodes the error in a daemon's response.
+func decodeError(status int, body []byte) error {
+	result := &rpc.Error{}
+	if err := json.Unmarshal(body, result); err != nil || result.Code == "" {
 		return rpc.Errorf(rpc.BadMessage, "status %d: %s", status, body)
 	}
-	return refusal
+	return result
 }
 
 // Settings is the result of Read: the settings in force at the daemon that answered. Confirmed
--- a/planner/forecast.go
+++ b/planner/forecast.go
@@ -81,9 +81,9 @@
 func NewForecast(fleet Fleet, next *config.Settings) *Forecast {
 	forecast := &Forecast{Moves: []Move{}, Rooms: []CapacityChange{}, Shorts: []Shortage{}, Changes: []Change{}}
 	before, after := serviceproxy.NewRoutes(fleet.Serial, fleet.Settings, nil), serviceproxy.NewRoutes(fleet.Serial+1, next, nil)
-	previous, upcoming := directory.NewView(before, fleet.Members), directory.NewView(after, fleet.Members)
+	previous, updated := directory.NewView(before, fleet.Members), directory.NewView(after, fleet.Members)
 	for _, tenant := range union(fleet.Settings.Tenants, next.Tenants) {
-		from, to := proxyNames(previous, before, tenant), proxyNames(upcoming, after, tenant)
+		from, to := proxyNames(previous, before, tenant), proxyNames(updated, after, tenant)
 		forecast.Tenants++
 		move := Move{Tenant: tenant, From: from, To: to, Left: difference(from, to), Joined: difference(to, from)}
 		if len(move.Left)+len(move.Joined) > 0 {
@@ -127,17 +127,17 @@
 }
 
 func difference(names, others []string) []string {
-	rest := []string{}
+	remaining := []string{}
 	for _, name := range names {
 		found := false
 		for _, other := range others {
 			found = found || other == name
 		}
 		if !found {
-			rest = append(rest, name)
+			remaining = append(remaining, name)
 		}
 	}
-	return rest
+	return remaining
 }
 
 // compareCapacity counts the backends that each service may use, and compares their capacity with
@@ -176,13 +176,13 @@
 
 func (forecast *Forecast) compareRoutes(before, after []config.Effective) {
 	type field struct{ route, name string }
-	previous, upcoming, keys := map[field]any{}, map[field]any{}, []field{}
+	previous, updated, keys := map[field]any{}, map[field]any{}, []field{}
 	collect := func(values, other map[field]any, routes []config.Effective) {
 		for _, route := range routes {
 			for name, source := range route.Values {
 				key := field{route.Class + "/" + route.Service + "/" + route.Route, name}
 				_, known := other[key]
-				if _, twice := values[key]; !known && !twice {
+				if _, duplicate := values[key]; !known && !duplicate {
 					keys = append(keys, key)
 				}
 				values[key] = source.Value
@@ -190,7 +190,7 @@
 		}
 	}
 	collect(previous, nil, before)
-	collect(upcoming, previous, after)
+	collect(updated, previous, after)
 	sort.Slice(keys, func(left, right int) bool {
 		if keys[left].route != keys[right].route {
 			return keys[left].route < keys[right].route
@@ -198,10 +198,10 @@
 		return keys[left].name < keys[right].name
 	})
 	for _, key := range keys {
-		if !config.Same(previous[key], upcoming[key]) {
+		if !config.Same(previous[key], updated[key]) {
 			forecast.Changes = append(
 				forecast.Changes,
-				Change{Route: key.route, Field: key.name, Before: previous[key], After: upcoming[key]},
+				Change{Route: key.route, Field: key.name, Before: previous[key], After: updated[key]},
 			)
 		}
 	}
--- a/planner/forecast_test.go
+++ b/planner/forecast_test.go
@@ -61,15 +61,15 @@
 		test.Errorf("%d moves, capacity changes %+v", len(forecast.Moves), forecast.Rooms)
 	}
 	fleet.Capacity = 1
-	if shorts := NewForecast(fleet, &drained).Shorts; len(shorts) != 2 {
-		test.Errorf("shortages %+v", shorts)
+	if shortages := NewForecast(fleet, &drained).Shorts; len(shortages) != 2 {
+		test.Errorf("shortages %+v", shortages)
 	}
-	faster := *fleet.Settings
+	withTimeout := *fleet.Settings
 	limit := 900
-	faster.Rule.TimeoutMs = &limit
+	withTimeout.Rule.TimeoutMs = &limit
 	if changes := NewForecast(
 		fleet,
-		&faster,
+		&withTimeout,
 	).Changes; len(changes) != 1 || changes[0].Route != "reading/reading-grid/history" || changes[0].Field != "limit_ms" ||
 		changes[0].After != 900 {
 		test.Errorf("changes %+v", changes)
@@ -110,8 +110,8 @@
 	for name, proxies := range place(fleet.Members[:8]) {
 		for _, proxy := range proxies {
 			all++
-			for _, former := range before[name] {
-				if former.Name == proxy.Name {
+			for _, previous := range before[name] {
+				if previous.Name == proxy.Name {
 					kept++
 				}
 			}
--- a/serviceproxy/admission.go
+++ b/serviceproxy/admission.go
@@ -90,29 +90,29 @@
 // proxyShare returns a proxy's share among the ready proxies. One whose demand is not known yet
 // counts with the mean of the others.
 func proxyShare(table *message.Table, name string) float64 {
-	count, known, total, own := 0, 0, 0.0, 0.0
+	count, known, total, ownDemand := 0, 0, 0.0, 0.0
 	for _, member := range table.Members {
 		if member.Kind != message.ProxyKind || !member.Ready && member.Name != name {
 			continue
 		}
 		count++
 		if member.Name == name {
-			own = member.Demand
+			ownDemand = member.Demand
 		}
 		if member.Demand > 0 {
 			known++
 			total += member.Demand
 		}
 	}
-	even := 1 / float64(max(count, 1))
+	evenShare := 1 / float64(max(count, 1))
 	if known == 0 {
-		return even
+		return evenShare
 	}
 	mean := total / float64(known)
-	if own == 0 {
-		own = mean
+	if ownDemand == 0 {
+		ownDemand = mean
 	}
-	return evenShareFraction*even + (1-evenShareFraction)*own/(total+mean*float64(count-known))
+	return evenShareFraction*evenShare + (1-evenShareFraction)*ownDemand/(total+mean*float64(count-known))
 }
 
 func setRate(limiter *rate.Limiter, perSecond, burstSeconds float64) {
@@ -130,7 +130,7 @@
 
 // Admit admits one request of a class, given the mean utilization of the backends. The error is
 // rpc.Overloaded.
-func (admission *Admission) Admit(class string, usage float64) error {
+func (admission *Admission) Admit(class string, utilization float64) error {
 	admission.mutex.Lock()
 	admission.requests++
 	limits := admission.classes[class]
@@ -139,7 +139,7 @@
 		return nil
 	}
 	threshold := max(fullUtilization-utilizationPerRank*float64(limits.rank-1), minFullUtilization)
-	saturated, idle := usage > threshold, usage < threshold/idleDivisor
+	saturated, idle := utilization > threshold, utilization < threshold/idleDivisor
 	admission.adjustBorrowing(limits, saturated, idle)
 	allowed := !saturated && limits.borrow.Allow()
 	if !idle || !allowed {
--- a/serviceproxy/attempt.go
+++ b/serviceproxy/attempt.go
@@ -117,7 +117,7 @@
 		return nil, true, err
 	}
 	if result.rest != nil {
-		task.finish = func() { attempt.release(result.rest) }
+		task.cleanup = func() { attempt.release(result.rest) }
 		return result, true, nil
 	}
 	if result.status == http.StatusServiceUnavailable || result.status == http.StatusTooManyRequests {
@@ -134,7 +134,10 @@
 	if response.header.Get("Oj-Not-Run") == "true" {
 		return &rpc.Error{Code: rpc.Overloaded, Message: "the backend is busy", RetryAfterMs: retryAfterMs}
 	}
-	return &rpc.Error{Code: rpc.OutcomeUnknown, Message: fmt.Sprintf("the backend returned status %d without saying whether the request ran", response.status)}
+	return &rpc.Error{
+		Code:    rpc.OutcomeUnknown,
+		Message: fmt.Sprintf("the backend returned status %d without saying whether the request ran", response.status),
+	}
 }
 
 // backendRequest builds the request that is sent to a backend for the task.
--- a/serviceproxy/backend_conn.go
+++ b/serviceproxy/backend_conn.go
@@ -38,7 +38,7 @@
 	return conn.written
 }
 
-// blockWrites blocks all further writes and returns the number of bytes written.
+// blockWrites makes all further writes fail and returns the number of bytes written so far.
 func (conn *countingConn) blockWrites() int64 {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
--- a/serviceproxy/claim_messages.go
+++ b/serviceproxy/claim_messages.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// askHolder asks the proxy that claimed a key for the state of its claim. It returns nil and false
+// queryHolder asks the proxy that claimed a key for the state of its claim. It returns nil and false
 // if that process does not answer or is not listed.
-func (claims *Claims) askHolder(record *message.ClaimRecord) (*message.ClaimRecord, bool) {
+func (claims *Claims) queryHolder(record *message.ClaimRecord) (*message.ClaimRecord, bool) {
 	for _, member := range claims.proxy.daemon.Version().Table.Members {
 		if holderName(member) != record.Holder {
 			continue
--- a/serviceproxy/claims.go
+++ b/serviceproxy/claims.go
@@ -85,34 +85,34 @@
 		return
 	}
 	version := claims.proxy.daemon.Version()
-	others, listed, peers := []message.Member{}, false, []message.Member{}
+	otherReplicas, listed, nonReplicas := []message.Member{}, false, []message.Member{}
 	for _, member := range version.Table.Members {
 		switch {
 		case member.Name == claims.proxy.daemon.Name():
 			listed = member.Incarnation == claims.proxy.daemon.Incarnation()
 		case member.Kind == message.ProxyKind && member.KeyReplica:
-			others = append(others, member)
+			otherReplicas = append(otherReplicas, member)
 		case member.Kind == message.ProxyKind:
-			peers = append(peers, member)
+			nonReplicas = append(nonReplicas, member)
 		}
 	}
 	if !listed {
 		return
 	}
-	sources := append(append([]message.Member{}, others...), peers...)
+	sources := append(append([]message.Member{}, otherReplicas...), nonReplicas...)
 	responses, _ := concurrent.Gather(claims.proxy.goroutines, len(sources), func(index int) (*message.FetchClaimsResponse, error) {
 		return fetchAllClaims(claims.proxy.daemon.Client(), sources[index].InternalAddress, message.AcceptedValue{}, claims.store.Merge)
 	}, func(map[int]*message.FetchClaimsResponse, map[int]error) bool { return false })
 	joined, complete := 0, 0
 	for index, response := range responses {
-		if response.Joined && index < len(others) {
+		if response.Joined && index < len(otherReplicas) {
 			joined++
 			if response.Complete {
 				complete++
 			}
 		}
 	}
-	if joined < len(others)-1 || len(others) == 1 && joined == 0 {
+	if joined < len(otherReplicas)-1 || len(otherReplicas) == 1 && joined == 0 {
 		claims.proxy.counters.Add("claims_not_grown", 1)
 		return
 	}
@@ -158,7 +158,7 @@
 			claims.release(replicas, record)
 			return refusal, nil
 		}
-		latest, known := claims.askHolder(refusal)
+		latest, known := claims.queryHolder(refusal)
 		if !known && latest == nil {
 			claims.release(replicas, record)
 			refusal.Stage = message.ClaimUnknown
@@ -190,7 +190,7 @@
 
 func holderName(member message.Member) string { return member.Name + "/" + member.Incarnation }
 
-// release releases the key at every replica after a claim whose request did not run.
+// release releases the key at every replica, because the request of this claim did not run.
 func (claims *Claims) release(replicas []message.Member, record message.ClaimRecord) {
 	claims.mutex.Lock()
 	if claims.running[record.Key] == record.ID {
--- a/serviceproxy/core_membership.go
+++ b/serviceproxy/core_membership.go
@@ -66,8 +66,8 @@
 	votes.votes = append(votes.votes, coreVote{membership: membership, core: core, recorded: recorded, complete: complete})
 }
 
-// recordedBy tells which voters of the newest membership recorded the request. With completeOnly,
-// only those that hold all claims count.
+// recordedBy returns a function that reports whether a core recorded the request under the newest
+// voters and, with completeOnly, holds all claims.
 func (votes *coreVotes) recordedBy(completeOnly bool) func(id int) bool {
 	return func(id int) bool {
 		for _, vote := range votes.votes {
@@ -92,5 +92,5 @@
 	return voters != nil && message.CountIn(voters.Current, votes.recordedBy(true)) >= message.Majority(voters.Current)
 }
 
-// outdated reports whether the request was counted by voters that have since been replaced.
+// outdated reports whether an answer came under newer voters than those of the request.
 func (votes *coreVotes) outdated() bool { return !votes.newest.sameVoters(votes.asked) }
--- a/serviceproxy/core_membership_test.go
+++ b/serviceproxy/core_membership_test.go
@@ -33,10 +33,10 @@
 // Answers are counted by the newest voters that any of them reports, and by both groups while a
 // voter is being replaced.
 func TestCoreVotesUseNewestMembership(test *testing.T) {
-	former := membershipFor(test, 3, 1, peers(1, 2, 3), nil)
-	elected := membershipFor(test, 5, 1, peers(1, 2, 3), nil)
+	initial := membershipFor(test, 3, 1, peers(1, 2, 3), nil)
+	reelected := membershipFor(test, 5, 1, peers(1, 2, 3), nil)
 	joint := membershipFor(test, 5, 2, peers(1, 2, 3), peers(1, 2, 4))
-	after := membershipFor(test, 5, 3, peers(1, 2, 4), nil)
+	final := membershipFor(test, 5, 3, peers(1, 2, 4), nil)
 	type coreAnswer struct {
 		membership coreMembership
 		core       int
@@ -50,18 +50,18 @@
 		complete bool
 		outdated bool
 	}{
-		{asked: former, answers: []coreAnswer{{former, 1, true, true}, {former, 3, true, true}}, durable: true, complete: true},
-		{asked: former, answers: []coreAnswer{{elected, 1, true, true}, {former, 3, true, true}}, durable: true, complete: true},
-		{asked: former, answers: []coreAnswer{{former, 1, true, true}, {former, 3, true, false}}, durable: true},
-		{asked: former, answers: []coreAnswer{{former, 1, true, true}, {former, 3, false, true}}},
-		{asked: former, answers: []coreAnswer{{after, 1, true, true}, {former, 3, true, true}}, outdated: true},
-		{asked: former, answers: []coreAnswer{{after, 1, false, true}, {former, 2, true, true}, {former, 3, true, true}}, outdated: true},
-		{asked: former, answers: []coreAnswer{{after, 4, false, true}, {former, 1, true, true}, {former, 2, true, true}}, outdated: true},
+		{asked: initial, answers: []coreAnswer{{initial, 1, true, true}, {initial, 3, true, true}}, durable: true, complete: true},
+		{asked: initial, answers: []coreAnswer{{reelected, 1, true, true}, {initial, 3, true, true}}, durable: true, complete: true},
+		{asked: initial, answers: []coreAnswer{{initial, 1, true, true}, {initial, 3, true, false}}, durable: true},
+		{asked: initial, answers: []coreAnswer{{initial, 1, true, true}, {initial, 3, false, true}}},
+		{asked: initial, answers: []coreAnswer{{final, 1, true, true}, {initial, 3, true, true}}, outdated: true},
+		{asked: initial, answers: []coreAnswer{{final, 1, false, true}, {initial, 2, true, true}, {initial, 3, true, true}}, outdated: true},
+		{asked: initial, answers: []coreAnswer{{final, 4, false, true}, {initial, 1, true, true}, {initial, 2, true, true}}, outdated: true},
 		{asked: joint, answers: []coreAnswer{{joint, 1, true, true}, {joint, 3, true, true}}},
 		{asked: joint, answers: []coreAnswer{{joint, 1, true, true}, {joint, 3, true, true}, {joint, 4, true, false}}, durable: true, complete: true},
 		{asked: joint, answers: []coreAnswer{{joint, 1, true, true}, {joint, 2, true, false}, {joint, 4, true, true}}, durable: true},
-		{asked: coreMembership{}, answers: []coreAnswer{{after, 4, true, true}, {after, 2, true, true}}, durable: true, complete: true, outdated: true},
-		{asked: coreMembership{}, answers: []coreAnswer{{former, 3, true, true}, {after, 2, true, true}}, outdated: true},
+		{asked: coreMembership{}, answers: []coreAnswer{{final, 4, true, true}, {final, 2, true, true}}, durable: true, complete: true, outdated: true},
+		{asked: coreMembership{}, answers: []coreAnswer{{initial, 3, true, true}, {final, 2, true, true}}, outdated: true},
 		{asked: coreMembership{}},
 	} {
 		votes := newCoreVotes(tc.asked)
--- a/serviceproxy/early_response_test.go
+++ b/serviceproxy/early_response_test.go
@@ -29,9 +29,9 @@
 }
 
 func (backend *earlyBackend) dial(context.Context, string, string) (net.Conn, error) {
-	near, far := net.Pipe()
-	go backend.serve(far)
-	return near, nil
+	client, server := net.Pipe()
+	go backend.serve(server)
+	return client, nil
 }
 
 func (backend *earlyBackend) serve(conn net.Conn) {
--- a/serviceproxy/identity.go
+++ b/serviceproxy/identity.go
@@ -34,7 +34,7 @@
 	if err := conn.SetDeadline(deadline); err != nil {
 		return rpc.Errorf(rpc.ConnectionBroken, "identity: %v", err)
 	}
-	defer func() { _ = conn.SetDeadline(time.Time{}) }() // the next use of the connection fails as well
+	defer func() { _ = conn.SetDeadline(time.Time{}) }() // if this fails, so does the next use of the connection
 	if _, err := io.WriteString(conn, "GET /oj/identity HTTP/1.1\r\nHost: "+host+"\r\nAccept: application/json\r\n\r\n"); err != nil {
 		return rpc.Errorf(rpc.ConnectionBroken, "identity: %v", err)
 	}
--- a/serviceproxy/key_replicas.go
+++ b/serviceproxy/key_replicas.go
@@ -54,9 +54,9 @@
 // Rank returns the rendezvous-hashing weight of a name for a subject. It is the same in every
 // process.
 func Rank(subject, name string) uint64 {
-	sum := fnv.New64a()
-	sum.Write([]byte(subject + "\x00" + name))
-	hash := sum.Sum64()
+	hasher := fnv.New64a()
+	hasher.Write([]byte(subject + "\x00" + name))
+	hash := hasher.Sum64()
 	hash ^= hash >> 33
 	hash *= 0xff51afd7ed558ccd
 	return hash ^ hash>>33
--- a/serviceproxy/lending_limit.go
+++ b/serviceproxy/lending_limit.go
@@ -35,7 +35,12 @@
 	defer limit.mutex.Unlock()
 	if limit.owner.admission.Overloaded() || limit.inFlight >= limit.maxInFlight || !limit.rate.Allow() {
 		limit.owner.counters.Add("lending_refused", 1)
-		return &rpc.Error{Code: rpc.Overloaded, Message: "the lending proxy has no spare capacity", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
+		return &rpc.Error{
+			Code:         rpc.Overloaded,
+			Message:      "the lending proxy has no spare capacity",
+			RetryAfterMs: retryAfterMs,
+			Outcome:      rpc.NotRun,
+		}
 	}
 	limit.inFlight++
 	limit.owner.counters.Add("lent", 1)
--- a/serviceproxy/proxy.go
+++ b/serviceproxy/proxy.go
@@ -37,12 +37,12 @@
 
 // plan is this proxy's immutable view of one version.
 type plan struct {
-	routes    *Routes
-	services  map[string][]*Target
-	all       []*Target
-	drainedAt time.Time
-	complete  bool
-	proxies   int
+	routes     *Routes
+	services   map[string][]*Target
+	allTargets []*Target
+	drainedAt  time.Time
+	complete   bool
+	proxies    int
 }
 
 // NewProxy returns a proxy without a version; it refuses requests until Apply. It
@@ -114,7 +114,7 @@
 		}
 		target.updateListing(backend, warmupShares(version.Table, backend, proxy.daemon.Name()))
 		next.services[backend.Service] = append(next.services[backend.Service], target)
-		next.all = append(next.all, target)
+		next.allTargets = append(next.allTargets, target)
 	}
 	for name, target := range proxy.targets {
 		if !listed[name] {
@@ -168,7 +168,7 @@
 	if plan == nil {
 		return nil
 	}
-	return plan.all
+	return plan.allTargets
 }
 
 // warm reports whether every backend of a complete plan was probed once; from then on it stays
@@ -181,7 +181,7 @@
 	if plan == nil || !plan.complete {
 		return false
 	}
-	for _, target := range plan.all {
+	for _, target := range plan.allTargets {
 		if !target.firstProbeDone.Load() {
 			return false
 		}
@@ -225,8 +225,8 @@
 	if plan == nil {
 		return nil
 	}
-	probes := make([]message.Probe, 0, len(plan.all))
-	for _, target := range plan.all {
+	probes := make([]message.Probe, 0, len(plan.allTargets))
+	for _, target := range plan.allTargets {
 		probes = append(probes, target.report())
 	}
 	return probes
--- a/serviceproxy/replica_sets.go
+++ b/serviceproxy/replica_sets.go
@@ -62,7 +62,7 @@
 	claims.recordLost(former.members, next.members, now)
 	claims.recentReplicas = append(claims.recentReplicas, replicaSet{replicas: next, version: version, appliedAt: now})
 	claims.mutex.Unlock()
-	claims.proxy.goroutines.Start(func() { claims.sendMissing(former, next) })
+	claims.proxy.goroutines.Start(func() { claims.sendMissingClaims(former, next) })
 }
 
 // recordLost marks the local keys as incomplete when so many replicas left within lostReplicaTTL
@@ -102,7 +102,7 @@
 	return true
 }
 
-func (claims *Claims) sendMissing(before, next *KeyReplicas) {
+func (claims *Claims) sendMissingClaims(before, next *KeyReplicas) {
 	batches := map[string][]message.ClaimRecord{}
 	for cursor, done := uint64(0), false; !done; {
 		var page []message.ClaimRecord
@@ -129,8 +129,8 @@
 	}
 }
 
-// activeReplicas returns the replicas of a key in every set in use, the same replicas without
-// duplicates, and the current table version.
+// activeReplicas returns the replicas of a key in every set in use, the union of these, and the
+// current table version.
 func (claims *Claims) activeReplicas(key message.ClaimKey) ([][]message.Member, []message.Member, message.TableVersion) {
 	claims.mutex.Lock()
 	version := claims.currentReplicas().version
--- a/serviceproxy/response.go
+++ b/serviceproxy/response.go
@@ -39,8 +39,8 @@
 // readResponse checks that the response belongs to the task and reads its body: all of it if
 // buffered is set, otherwise up to maxBufferedBytes.
 func readResponse(response *http.Response, taskID string, maxBytes int, buffered bool) (*Response, error) {
-	if echoed := response.Header.Get("Oj-Task"); echoed != taskID {
-		return nil, rpc.Errorf(rpc.BadResponse, "response is for task %q", echoed)
+	if responseTask := response.Header.Get("Oj-Task"); responseTask != taskID {
+		return nil, rpc.Errorf(rpc.BadResponse, "response is for task %q", responseTask)
 	}
 	if response.StatusCode < 200 {
 		return nil, rpc.Errorf(rpc.BadResponse, "unexpected status %d", response.StatusCode)
@@ -69,7 +69,7 @@
 	return result, nil
 }
 
-// recordedHeader returns the headers to store for replays, at most replayBytes of them.
+// recordedHeader returns the headers to store for replays, up to replayBytes in total.
 func (response *Response) recordedHeader() map[string]string {
 	recorded, size := map[string]string{}, 0
 	for name, values := range response.header {
--- a/serviceproxy/retry_budget.go
+++ b/serviceproxy/retry_budget.go
@@ -36,7 +36,7 @@
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
 	budget.refill()
-	if last := &budget.proxyCounts[len(budget.proxyCounts)-1]; last.count != max(count, 1) {
+	if latest := &budget.proxyCounts[len(budget.proxyCounts)-1]; latest.count != max(count, 1) {
 		budget.proxyCounts = append(budget.proxyCounts, proxyCount{count: max(count, 1)})
 	}
 	budget.proxyCounts[len(budget.proxyCounts)-1].until = time.Now()
--- a/serviceproxy/retry_budget_test.go
+++ b/serviceproxy/retry_budget_test.go
@@ -35,16 +35,16 @@
 					granted++
 					events = append(events, event{time.Now(), true})
 				}
-				first, retry := 0, 0
+				firstSends, retries := 0, 0
 				for index := len(events) - 1; index >= 0 && time.Since(events[index].at) < 10*time.Second; index-- {
 					if events[index].retry {
-						retry++
+						retries++
 					} else {
-						first++
+						firstSends++
 					}
 				}
-				if len(events)%50 == 0 && float64(retry) > 0.2*float64(first)+20 {
-					test.Fatalf("seed %d: %d retries for %d first sends", seed, retry, first)
+				if len(events)%50 == 0 && float64(retries) > 0.2*float64(firstSends)+20 {
+					test.Fatalf("seed %d: %d retries for %d first sends", seed, retries, firstSends)
 				}
 			}
 			if granted < 400 {
--- a/serviceproxy/retry_detector.go
+++ b/serviceproxy/retry_detector.go
@@ -23,12 +23,12 @@
 
 // fingerprintOf identifies a request by its caller and content.
 func fingerprintOf(tenant, key, method, url string, body []byte) uint64 {
-	sum := fnv.New64a()
+	hash := fnv.New64a()
 	for _, part := range []string{tenant, key, method, url} {
-		sum.Write([]byte(part + "\x00"))
+		hash.Write([]byte(part + "\x00"))
 	}
-	sum.Write(body)
-	return sum.Sum64()
+	hash.Write(body)
+	return hash.Sum64()
 }
 
 // recordFailure records the fingerprint of a request that reached a backend and got no response.
--- a/serviceproxy/routes.go
+++ b/serviceproxy/routes.go
@@ -73,8 +73,8 @@
 // Tenant returns the index of the tenant that holds the key. Only digests of keys
 // are kept.
 func (routes *Routes) Tenant(key string) (int, bool) {
-	sum := sha256.Sum256([]byte(key))
-	index, found := routes.tenantByKey["sha256:"+hex.EncodeToString(sum[:])]
+	digest := sha256.Sum256([]byte(key))
+	index, found := routes.tenantByKey["sha256:"+hex.EncodeToString(digest[:])]
 	return index, found
 }
 
--- a/serviceproxy/state_machine_test.go
+++ b/serviceproxy/state_machine_test.go
@@ -9,19 +9,19 @@
 // Every state is reachable, every path ends in a final state, and invalid transitions are refused
 // and counted.
 func TestStatesReachableAndTerminating(test *testing.T) {
-	reached := map[State]bool{Arrived: true}
+	reachable := map[State]bool{Arrived: true}
 	for changed := true; changed; {
 		changed = false
 		for from, successors := range transitions {
 			for _, next := range successors {
-				if reached[from] && !reached[next] {
-					reached[next], changed = true, true
+				if reachable[from] && !reachable[next] {
+					reachable[next], changed = true, true
 				}
 			}
 		}
 	}
 	for _, state := range []State{Authenticated, Routed, KeyClaimed, Assigned, Sent, Receiving, Answered, Replayed, Refused, Unknown, Aborted} {
-		if !reached[state] {
+		if !reachable[state] {
 			test.Errorf("state %s is not reachable", state)
 		}
 		if _, found := transitions[state]; !found && state != Answered && state != Replayed && state != Refused && state != Unknown &&
--- a/serviceproxy/task.go
+++ b/serviceproxy/task.go
@@ -30,19 +30,19 @@
 	deadline    time.Time
 	tried       map[*Target]bool
 	response    *Response
-	finish      func()
+	cleanup     func()
 	replayed    bool
 	fingerprint uint64
-	sent        bool
+	maybeRan    bool
 }
 
 // ServeHTTP forwards a caller's request to a backend and returns its response.
 func (proxy *Proxy) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	task := &task{
-		proxy: proxy, state: newStateMachine(proxy.counters), request: request, tried: map[*Target]bool{}, finish: func() {},
+		proxy: proxy, state: newStateMachine(proxy.counters), request: request, tried: map[*Target]bool{}, cleanup: func() {},
 		id: proxy.prefix + "-" + strconv.FormatUint(proxy.taskIDs.Add(1), 36),
 	}
-	defer func() { task.finish() }()
+	defer func() { task.cleanup() }()
 	writer.Header().Set("Oj-Task", task.id)
 	if _, leaving := proxy.daemon.StopsIn(); leaving {
 		writer.Header().Set("Connection", "close")
@@ -64,7 +64,7 @@
 	} else {
 		task.state.advance(Unknown)
 	}
-	if task.sent {
+	if task.maybeRan {
 		task.proxy.retries.recordFailure(task.fingerprint)
 	}
 	task.proxy.counters.Add("refused_"+string(refusal.Code), 1)
--- a/serviceproxy/task_idempotent.go
+++ b/serviceproxy/task_idempotent.go
@@ -42,7 +42,11 @@
 // replay answers with the response recorded for the key.
 func (task *task) replay(existing *message.ClaimRecord) error {
 	if existing.Stage != message.ClaimCompleted || existing.Status == 0 {
-		return &rpc.Error{Code: rpc.OutcomeUnknown, Message: "a request with this key was sent before, but its response is not recorded", Outcome: rpc.MayHaveRun}
+		return &rpc.Error{
+			Code:    rpc.OutcomeUnknown,
+			Message: "a request with this key was sent before, but its response is not recorded",
+			Outcome: rpc.MayHaveRun,
+		}
 	}
 	task.response, task.replayed = &Response{
 		status: existing.Status,
--- a/serviceproxy/task_send.go
+++ b/serviceproxy/task_send.go
@@ -43,8 +43,8 @@
 func (task *task) sendWithRetries() error {
 	var lastErr error = &rpc.Error{Code: rpc.NoBackend, Message: "no backend is available", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
 	mayHaveRun := false
-	for sends, charged := 0, false; sends < task.route.Attempts; {
-		target, found := task.pickTarget(sends > 0, charged)
+	for attempts, charged := 0, false; attempts < task.route.Attempts; {
+		target, found := task.pickTarget(attempts > 0, charged)
 		if !found {
 			break
 		}
@@ -53,8 +53,8 @@
 			task.proxy.counters.Add("sends_taken_back", 1)
 			continue
 		}
-		sends++
-		task.sent = task.sent || maybeRan
+		attempts++
+		task.maybeRan = task.maybeRan || maybeRan
 		if maybeRan && !mayHaveRun {
 			task.proxy.usage.Add(task.plan.routes.TenantName(task.tenant), 1)
 		}
--- a/serviceproxy/withdrawn_test.go
+++ b/serviceproxy/withdrawn_test.go
@@ -20,14 +20,14 @@
 // withdrawalFixture is a proxy with two backends. The one that is dialled first is withdrawn
 // during the dial.
 type withdrawalFixture struct {
-	proxy    *Proxy
-	withdraw func(world *withdrawalFixture, target *Target)
-	first    string         // the backend that was dialled first
-	arrivals map[string]int // requests per backend
+	proxy        *Proxy
+	withdraw     func(fixture *withdrawalFixture, target *Target)
+	dialledFirst string         // a backend
+	requests     map[string]int // requests per backend
 }
 
 func newWithdrawalFixture(withdraw func(*withdrawalFixture, *Target)) *withdrawalFixture {
-	fixture := &withdrawalFixture{withdraw: withdraw, arrivals: map[string]int{}}
+	fixture := &withdrawalFixture{withdraw: withdraw, requests: map[string]int{}}
 	fixture.proxy = &Proxy{counters: metrics.NewCounters(), budget: newRetryBudget(), usage: metrics.NewCounters()}
 	fixture.proxy.dial = fixture.dial
 	fixture.apply(&config.Settings{})
@@ -50,17 +50,17 @@
 }
 
 func (fixture *withdrawalFixture) dial(_ context.Context, _, address string) (net.Conn, error) {
-	if fixture.first == "" {
-		fixture.first = strings.TrimSuffix(address, ":80")
+	if fixture.dialledFirst == "" {
+		fixture.dialledFirst = strings.TrimSuffix(address, ":80")
 		for _, target := range fixture.proxy.plan.Load().services["plain"] {
 			if target.backend().Address == address {
 				fixture.withdraw(fixture, target)
 			}
 		}
 	}
-	near, far := net.Pipe()
-	go fixture.serve(strings.TrimSuffix(address, ":80"), far)
-	return near, nil
+	client, server := net.Pipe()
+	go fixture.serve(strings.TrimSuffix(address, ":80"), server)
+	return client, nil
 }
 
 // serve answers as a backend until the proxy closes the connection.
@@ -73,7 +73,7 @@
 		}
 		body := fmt.Sprintf(`{"service":"plain","instance":%q,"incarnation":%q}`, name, name)
 		if request.URL.Path != "/oj/identity" {
-			fixture.arrivals[name]++
+			fixture.requests[name]++
 			body = "done"
 		}
 		_, err = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nOj-Task: %s\r\nContent-Length: %d\r\n\r\n%s",
@@ -124,8 +124,8 @@
 				if err := fixture.send(); err != nil {
 					test.Error(err)
 				}
-				if fixture.arrivals[fixture.first] != 0 || len(fixture.arrivals) != 1 {
-					test.Errorf("requests per backend %v, withdrawn backend %s", fixture.arrivals, fixture.first)
+				if fixture.requests[fixture.dialledFirst] != 0 || len(fixture.requests) != 1 {
+					test.Errorf("requests per backend %v, withdrawn backend %s", fixture.requests, fixture.dialledFirst)
 				}
 				for _, target := range fixture.proxy.plan.Load().services["plain"] {
 					if target.inFlight != 0 {
--- a/slo/objectives.go
+++ b/slo/objectives.go
@@ -60,7 +60,7 @@
 	Target      float64 `yaml:"target"`
 }
 
-const source = "orchidjunction"
+const metricSourceType = "orchidjunction"
 
 // Read decodes one or more YAML documents. It returns rpc.BadRequest for an
 // unknown field, a form that is not supported, or no document.
@@ -101,8 +101,14 @@
 		return rpc.Errorf(rpc.BadRequest, "%s: spec.objectives must be given", name)
 	}
 	for path, metric := range map[string]*Metric{"good": &ratio.Good, "total": &ratio.Total} {
-		if metric.MetricSource.Type != source || len(metric.MetricSource.Spec.Counters) == 0 {
-			return rpc.Errorf(rpc.BadRequest, "%s: ratioMetric.%s: want a metricSource of type %s with counters", name, path, source)
+		if metric.MetricSource.Type != metricSourceType || len(metric.MetricSource.Spec.Counters) == 0 {
+			return rpc.Errorf(
+				rpc.BadRequest,
+				"%s: ratioMetric.%s: want a metricSource of type %s with counters",
+				name,
+				path,
+				metricSourceType,
+			)
 		}
 	}
 	for _, objective := range document.Spec.Objectives {
--- a/slo/objectives_test.go
+++ b/slo/objectives_test.go
@@ -31,11 +31,11 @@
 	if reports[1].Good != 5 || reports[1].Total != 6 || reports[1].Met {
 		test.Errorf("%+v", reports[1])
 	}
-	if quiet := Evaluate(documents, nil); !quiet[0].Met || quiet[0].Left != 1 {
-		test.Errorf("%+v", quiet[0])
+	if noEvents := Evaluate(documents, nil); !noEvents[0].Met || noEvents[0].Left != 1 {
+		test.Errorf("%+v", noEvents[0])
 	}
 	text := string(body)
-	for _, wrong := range [][2]string{
+	for _, replacement := range [][2]string{
 		{"kind: SLO", "kind: Alert"},
 		{"target: 0.995", "target: 1"},
 		{"type: orchidjunction", "type: other"},
@@ -43,11 +43,11 @@
 		{"kind: SLO", "kind: SLO\ncolour: red"},
 		{"name: tasks-answered", "name: \"\""},
 	} {
-		if !strings.Contains(text, wrong[0]) {
-			test.Fatalf("the example lacks %q", wrong[0])
+		if !strings.Contains(text, replacement[0]) {
+			test.Fatalf("the example lacks %q", replacement[0])
 		}
-		if _, err := Read([]byte(strings.Replace(text, wrong[0], wrong[1], 1))); err == nil {
-			test.Errorf("%q is accepted", wrong[1])
+		if _, err := Read([]byte(strings.Replace(text, replacement[0], replacement[1], 1))); err == nil {
+			test.Errorf("%q is accepted", replacement[1])
 		}
 	}
 }
