--- a/directory/directory.go
+++ b/directory/directory.go
@@ -144,8 +144,8 @@
 }
 
 // Place returns the proxies for a tenant by rendezvous hashing, those in the caller's zone first,
-// with one from each zone before a second one of any zone. It returns rpc.NoBackend if no proxy
-// may serve the tenant.
+// with one of each zone before a second one of any. It returns rpc.NoBackend if no proxy may serve
+// the tenant.
 func (view *View) Place(tenant int, callerZone string) (*Placement, error) {
 	settings := view.routes.Settings()
 	name := view.routes.TenantName(tenant)
--- a/planner/forecast.go
+++ b/planner/forecast.go
@@ -64,7 +64,7 @@
 	Changes []Change         `json:"changes"`
 }
 
-// Moving reports whether the change would affect any placement, backend count or route value.
+// Moving reports whether the change would affect placements, backend counts or routes.
 func (forecast *Forecast) Moving() bool {
 	if len(forecast.Moves)+len(forecast.Changes) > 0 {
 		return true
@@ -140,8 +140,7 @@
 	return remaining
 }
 
-// compareCapacity counts the backends that each service may use, and compares their capacity with
-// its floor.
+// compareCapacity counts the backends a service may use and compares them with its floor.
 func (forecast *Forecast) compareCapacity(fleet Fleet, next *config.Settings) {
 	changes, names := map[string]*CapacityChange{}, []string{}
 	for _, backend := range fleet.Backends {
--- a/serviceproxy/admission.go
+++ b/serviceproxy/admission.go
@@ -29,9 +29,8 @@
 	demandWindow          = 2 * time.Second
 )
 
-// Admission is admission control by class. A class may use its floor rate at any time and borrow
-// more while backends have spare capacity. The larger its rank, the lower the utilization at which
-// it stops borrowing.
+// Admission controls admission by class. A class may always use its floor, and borrow more while
+// backends have spare capacity. The larger its rank, the earlier it must stop borrowing.
 type Admission struct {
 	mutex        sync.Mutex
 	classes      map[string]*classLimits
@@ -55,9 +54,9 @@
 	return &Admission{classes: map[string]*classLimits{}, windowStart: time.Now()}
 }
 
-// Apply sets floors and borrowing limits to this proxy's share of the configured rates. Part of
-// the share is even, the rest follows demand. All proxies compute it from the same table, so that
-// the shares add up to the configured rates.
+// Apply sets floors and borrowing to this proxy's share of the settings. Part of the share is
+// even, the rest follows demand. All proxies compute it from the same table, so that the shares
+// add up.
 func (admission *Admission) Apply(settings *config.Settings, table *message.Table, name string) {
 	fraction := proxyShare(table, name)
 	admission.mutex.Lock()
@@ -166,9 +165,8 @@
 	return nil
 }
 
-// adjustBorrowing raises the borrowing rate in small steps while there is spare capacity and cuts
-// it sharply when there is none, because the utilization that backends report is always slightly
-// stale.
+// adjustBorrowing raises the borrowing rate slowly while there is spare capacity and cuts it
+// sharply when there is none: the reported utilization is always slightly stale.
 func (admission *Admission) adjustBorrowing(limits *classLimits, saturated, idle bool) {
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
@@ -196,8 +194,8 @@
 	return time.Since(admission.overloadedAt) < overloadedTTL
 }
 
-// Demand returns the requests per second that arrive at this proxy, in coarse steps so that the
-// membership table rarely changes.
+// Demand returns the requests per second at this proxy, in coarse steps so that the table rarely
+// changes.
 func (admission *Admission) Demand() float64 {
 	admission.mutex.Lock()
 	defer admission.mutex.Unlock()
--- a/serviceproxy/attempt.go
+++ b/serviceproxy/attempt.go
@@ -14,7 +14,7 @@
 )
 
 // attempt is one send of a task over one connection. It ends once, by release or discard, which
-// free its in-flight slot at the target and its context.
+// free its in-flight slot and context.
 type attempt struct {
 	task        *task
 	target      *Target
@@ -23,8 +23,7 @@
 	cancel      context.CancelFunc
 }
 
-// errWithdrawn means that a task was not sent because its target was withdrawn after it was
-// picked.
+// errWithdrawn means that the target was withdrawn between its choice and the send.
 var errWithdrawn = errors.New("the backend was withdrawn before the task was sent")
 
 // sendTo sends the task to one target. It returns the target's response and whether the task may
@@ -59,7 +58,7 @@
 	return attempt.receive(response)
 }
 
-// isWithdrawn reports whether a target must not get requests under the current plan, which may be
+// isWithdrawn reports whether a target must get no requests by the current plan, which may be
 // newer than the task's.
 func (task *task) isWithdrawn(target *Target) bool {
 	routes, backend := task.proxy.plan.Load().routes, target.backend()
--- a/serviceproxy/backend_conn.go
+++ b/serviceproxy/backend_conn.go
@@ -38,7 +38,7 @@
 	return conn.written
 }
 
-// blockWrites makes all further writes fail and returns the number of bytes written so far.
+// blockWrites makes further writes fail and returns the bytes written so far.
 func (conn *countingConn) blockWrites() int64 {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
@@ -88,8 +88,8 @@
 }
 
 // send sends the request on this connection only. maybeRan is false if no byte of it was or will
-// be written. A success is returned only after the whole request was written: net/http closes a
-// connection whose response was read earlier, and the rest of the request is lost.
+// be written. A success is returned only once the whole request was written: net/http closes a
+// connection whose response was read earlier, and drops the rest.
 func (connection *BackendConn) send(request *http.Request) (response *http.Response, maybeRan bool, err error) {
 	before := connection.conn.bytesWritten()
 	written := make(chan error, 1)
--- a/serviceproxy/claim_messages.go
+++ b/serviceproxy/claim_messages.go
@@ -7,7 +7,7 @@
 	"orchidjunction/rpc"
 )
 
-// Register adds the handlers for messages between proxies about idempotency keys to the server.
+// Register adds the handlers for messages between proxies about idempotency keys.
 func (proxy *Proxy) Register(server *rpc.Server) {
 	claims := proxy.claims
 	rpc.Handle(server, message.MethodClaim, func(_ context.Context, claim *message.ClaimRequest) (*message.ClaimResponse, error) {
@@ -80,8 +80,8 @@
 	}
 }
 
-// queryHolder asks the proxy that claimed a key for the state of its claim. It returns nil and false
-// if that process does not answer or is not listed.
+// queryHolder asks the proxy that claimed a key. It returns nil and false if that process does not
+// answer or is not listed.
 func (claims *Claims) queryHolder(record *message.ClaimRecord) (*message.ClaimRecord, bool) {
 	for _, member := range claims.proxy.daemon.Version().Table.Members {
 		if holderName(member) != record.Holder {
--- a/serviceproxy/claim_poll.go
+++ b/serviceproxy/claim_poll.go
@@ -38,8 +38,7 @@
 	return &message.ClaimResponse{}
 }
 
-// poll is one round of requests for a claim. membership is the one by which the cores' votes are
-// counted.
+// poll is one round of requests for a claim. The cores' votes are counted by membership.
 type poll struct {
 	membership  coreMembership
 	replicaSets [][]message.Member
@@ -69,8 +68,8 @@
 	return votes
 }
 
-// hasReplicaQuorums reports whether the granting replicas form a quorum of every set. With
-// completeOnly, only replicas that hold all their keys count.
+// hasReplicaQuorums reports whether the granting replicas form a quorum of every set; with
+// completeOnly, only those that hold all their keys count.
 func (poll *poll) hasReplicaQuorums(completeOnly bool) bool {
 	granted := []message.Member{}
 	for index, vote := range poll.votes {
--- a/serviceproxy/claims.go
+++ b/serviceproxy/claims.go
@@ -70,9 +70,8 @@
 	return claims.joined
 }
 
-// join makes this proxy a replica once it has the keys of the others, of which one among several
-// may be missing, or if there are no others. An incomplete replica restores its keys from the
-// cores.
+// join makes this proxy a replica once it has the keys of the others (of several, one may fail),
+// or if there are none. An incomplete replica restores its keys from the cores.
 func (claims *Claims) join() {
 	if claims.Joined() && !claims.Complete() && claims.coreStore.restore(claims.store.Merge) {
 		claims.mutex.Lock()
@@ -190,7 +189,7 @@
 
 func holderName(member message.Member) string { return member.Name + "/" + member.Incarnation }
 
-// release releases the key at every replica, because the request of this claim did not run.
+// release releases the key at every replica; the request did not run.
 func (claims *Claims) release(replicas []message.Member, record message.ClaimRecord) {
 	claims.mutex.Lock()
 	if claims.running[record.Key] == record.ID {
--- a/serviceproxy/core_membership.go
+++ b/serviceproxy/core_membership.go
@@ -85,8 +85,8 @@
 }
 
 // complete reports whether a majority of the current voters recorded the request and hold all
-// claims, so that they intersect every quorum. Voters that are only joining don't count, because
-// it is not yet certain what they hold.
+// claims, so that they intersect every quorum. Joining voters don't count: it is not certain yet
+// what they hold.
 func (votes *coreVotes) complete() bool {
 	voters := votes.newest.voters
 	return voters != nil && message.CountIn(voters.Current, votes.recordedBy(true)) >= message.Majority(voters.Current)
--- a/serviceproxy/core_store.go
+++ b/serviceproxy/core_store.go
@@ -30,8 +30,8 @@
 	membership coreMembership
 }
 
-// pendingUpdate is an update that the cores don't have yet: a claim granted without them (merged)
-// or the outcome of one (completed).
+// pendingUpdate is an update that the cores don't have yet: a claim granted without them or a
+// completed one.
 type pendingUpdate struct {
 	merged    *message.ClaimRecord
 	completed *message.CompleteClaimRequest
@@ -41,8 +41,7 @@
 	return &coreStore{proxy: proxy, queue: concurrent.NewQueue[pendingUpdate](coreQueueSize)}
 }
 
-// unavailable reports whether the last attempt to reach a majority of cores failed within the last
-// second.
+// unavailable reports whether the last attempt, within a second, reached no majority of cores.
 func (store *coreStore) unavailable() bool {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -59,8 +58,8 @@
 	}
 }
 
-// coresToQuery returns the membership to count votes by, and the addresses to query: those of its
-// voters, and of all known cores if there is a newer membership.
+// coresToQuery returns the membership to count votes by and the addresses to query: its voters,
+// and all known cores if there is a newer membership.
 func (store *coreStore) coresToQuery() (coreMembership, []string) {
 	store.mutex.Lock()
 	membership := store.membership
@@ -183,8 +182,8 @@
 	return votes.complete()
 }
 
-// fetchAllClaims passes every page of claims of a proxy or core to merge. It returns the last
-// page, with the membership under which the first one was sent.
+// fetchAllClaims passes every page of claims of a proxy or core to merge. It returns the last page
+// with the membership of the first one.
 func fetchAllClaims(
 	client *rpc.Client,
 	address string,
--- a/serviceproxy/key_replicas.go
+++ b/serviceproxy/key_replicas.go
@@ -9,8 +9,7 @@
 
 const maxKeyReplicas = 5
 
-// KeyReplicas is the set of proxies that store idempotency keys, according to one version of the
-// membership table.
+// KeyReplicas is the set of proxies that store idempotency keys in one version of the table.
 type KeyReplicas struct {
 	members []message.Member
 	regions map[string]string
@@ -51,8 +50,7 @@
 	return chosen
 }
 
-// Rank returns the rendezvous-hashing weight of a name for a subject. It is the same in every
-// process.
+// Rank returns the rendezvous-hashing weight of a name for a subject, the same in every process.
 func Rank(subject, name string) uint64 {
 	hasher := fnv.New64a()
 	hasher.Write([]byte(subject + "\x00" + name))
@@ -71,6 +69,5 @@
 	return false
 }
 
-// quorum is large enough that the quorums of two replica sets of five that differ in two members
-// still intersect.
+// quorum is so large that quorums of two sets of five that differ in two members intersect.
 func quorum(count int) int { return min((count+3)/2, count) }
--- a/serviceproxy/proxy.go
+++ b/serviceproxy/proxy.go
@@ -14,8 +14,8 @@
 	"orchidjunction/rpc"
 )
 
-// Proxy is the HTTP handler that forwards requests to backends by the routes in the settings. It
-// lives as long as the process and replaces its plan with each version.
+// Proxy is the HTTP handler that forwards requests to backends. It lives as long as the process
+// and replaces its plan with each version.
 type Proxy struct {
 	daemon     *agent.Daemon
 	goroutines *concurrent.Group
@@ -133,8 +133,7 @@
 	proxy.claims.apply(newKeyReplicas(version.Table, next.routes.regions), version.Table.Version)
 }
 
-// nextRoutes returns the routes of a version, which are those of this plan if the serial is the
-// same.
+// nextRoutes returns the routes of a version; the same serial reuses those of this plan.
 func (plan *plan) nextRoutes(version *agent.Version) *Routes {
 	if plan == nil {
 		return NewRoutes(version.Serial, version.Settings, nil)
@@ -145,8 +144,8 @@
 	return NewRoutes(version.Serial, version.Settings, plan.routes)
 }
 
-// warmupShares returns the number of proxies that share a backend's warm-up rate, or 0 if the
-// named proxy is not one of them. All proxies that read the same table choose the same ones.
+// warmupShares returns how many proxies share a backend's warm-up rate, or 0 if the named one does
+// not. All that read the same table choose the same few.
 func warmupShares(table *message.Table, backend message.Backend, name string) int {
 	ahead, count, ownRank := 0, 0, Rank(backend.Name, name)
 	for _, member := range table.Members {
@@ -171,8 +170,7 @@
 	return plan.allTargets
 }
 
-// warm reports whether every backend of a complete plan was probed once; from then on it stays
-// true.
+// warm reports whether every backend of a complete plan was probed once, and then stays true.
 func (proxy *Proxy) warm() bool {
 	if proxy.warmed.Load() {
 		return true
--- a/serviceproxy/replica_sets.go
+++ b/serviceproxy/replica_sets.go
@@ -8,8 +8,8 @@
 	"orchidjunction/rpc"
 )
 
-// replicaSet is a set of replicas and its table version. Once it was replaced, claims need its
-// quorum until usedUntil.
+// replicaSet is a set of replicas and its table version. Once replaced, it must still grant until
+// usedUntil.
 type replicaSet struct {
 	replicas  *KeyReplicas
 	version   message.TableVersion
@@ -35,8 +35,8 @@
 	return &claims.recentReplicas[len(claims.recentReplicas)-1]
 }
 
-// outdated reports whether a claim comes from a proxy that does not know the current set, although
-// it was applied longer ago than its predecessor stays in use.
+// outdated reports whether a claim comes from a proxy that does not know the current set, though
+// its predecessor is out of use.
 func (claims *Claims) outdated(claim *message.ClaimRequest) bool {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
--- a/serviceproxy/response.go
+++ b/serviceproxy/response.go
@@ -12,8 +12,8 @@
 
 const maxBufferedBytes = 1 << 20
 
-// Response is a backend's response. body holds all of its body, or the beginning if rest is to be
-// streamed. length is the body's size in bytes, -1 if unknown.
+// Response is a backend's response. body is all of it, or its beginning if rest is to be streamed.
+// length is the body's size in bytes, -1 if unknown.
 type Response struct {
 	status int
 	header http.Header
@@ -36,8 +36,8 @@
 
 var internalHeaders = []string{"Oj-Usage", "Oj-Serial", "Oj-Leaving", "Oj-Cold", "Oj-Incarnation"}
 
-// readResponse checks that the response belongs to the task and reads its body: all of it if
-// buffered is set, otherwise up to maxBufferedBytes.
+// readResponse checks that the response is the task's and reads it: all of it if buffered is set,
+// otherwise up to maxBufferedBytes.
 func readResponse(response *http.Response, taskID string, maxBytes int, buffered bool) (*Response, error) {
 	if responseTask := response.Header.Get("Oj-Task"); responseTask != taskID {
 		return nil, rpc.Errorf(rpc.BadResponse, "response is for task %q", responseTask)
--- a/serviceproxy/retry_budget.go
+++ b/serviceproxy/retry_budget.go
@@ -50,8 +50,8 @@
 	budget.mutex.Unlock()
 }
 
-// maxProxies returns the largest number of proxies that shared the floor within the last window,
-// since proxies that left may have used their share.
+// maxProxies returns the most proxies that shared the floor within the last window: those that
+// left may have used their share.
 func (budget *retryBudget) maxProxies() float64 {
 	now := time.Now()
 	budget.proxyCounts[len(budget.proxyCounts)-1].until = now
@@ -65,8 +65,8 @@
 	return float64(highest)
 }
 
-// refill adds the floor's tokens. A proxy gets none in its first window, until the others are sure
-// to share the floor with it.
+// refill adds the floor's tokens. A proxy gets none in its first window, until the others surely
+// share with it.
 func (budget *retryBudget) refill() {
 	now := time.Now()
 	perWindow := budget.floor / 2 / budget.maxProxies()
--- a/serviceproxy/retry_budget_test.go
+++ b/serviceproxy/retry_budget_test.go
@@ -8,7 +8,7 @@
 )
 
 // In any ten seconds retries stay within a fifth of the first sends plus the proxy's share of the
-// floor, however first sends and retries are mixed.
+// floor, in whatever order they come.
 func TestRetryBudgetInEveryWindow(test *testing.T) {
 	for seed := range uint64(5) {
 		synctest.Test(test, func(test *testing.T) {
--- a/serviceproxy/routes.go
+++ b/serviceproxy/routes.go
@@ -110,7 +110,7 @@
 }
 
 // Route returns the route of a method and path within a service, in any class: exact paths first,
-// then the longest prefix. methodMismatch says that the path matches but not the method.
+// then the longest prefix. methodMismatch says that only the method does not match.
 func (routes *Routes) Route(service, method, path string) (found *config.FlatRoute, methodMismatch bool) {
 	bestSpecificity := 0
 	for _, table := range routes.tables[service] {
--- a/serviceproxy/state_machine.go
+++ b/serviceproxy/state_machine.go
@@ -1,6 +1,5 @@
 // Package serviceproxy is the data plane of the product's own interface: it forwards callers'
-// requests to backends according to the settings. (Package hostproxy forwards those of host
-// routes.)
+// requests to backends. (Package hostproxy does so for host routes.)
 //
 // Proxy.Apply applies versions of settings, members and backends. Proxy.ServeHTTP handles a
 // request as a task: it is authenticated, matched to a route, claimed by idempotency key if it may
--- a/serviceproxy/state_machine_test.go
+++ b/serviceproxy/state_machine_test.go
@@ -6,8 +6,7 @@
 	"orchidjunction/metrics"
 )
 
-// Every state is reachable, every path ends in a final state, and invalid transitions are refused
-// and counted.
+// Every state is reachable, every path ends, and invalid transitions are refused.
 func TestStatesReachableAndTerminating(test *testing.T) {
 	reachable := map[State]bool{Arrived: true}
 	for changed := true; changed; {
--- a/serviceproxy/target.go
+++ b/serviceproxy/target.go
@@ -52,9 +52,8 @@
 
 func (target *Target) backend() message.Backend { return *target.listing.Load() }
 
-// updateListing applies a listing with the same address and keeps the state of the target. While
-// the backend is warming up, only warmupProxies proxies send to it; 0 means that this one does
-// not.
+// updateListing applies a listing with the same address and keeps the other state. While the
+// backend is warming up, only warmupProxies proxies send to it; 0 means that this one does not.
 func (target *Target) updateListing(backend message.Backend, warmupProxies int) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
@@ -209,8 +208,7 @@
 	return connection, identity.Incarnation, nil
 }
 
-// returnConnection keeps a connection for reuse if it is reusable and the incarnation is still the
-// same.
+// returnConnection keeps a connection that is reusable and to the current incarnation.
 func (target *Target) returnConnection(connection *BackendConn, incarnation string, maxIdle int) {
 	connection.lastUsed = time.Now()
 	target.mutex.Lock()
--- a/serviceproxy/task_admission.go
+++ b/serviceproxy/task_admission.go
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// redirect refuses a request that another proxy may serve. With an idempotency key, the outcome is
-// unknown, because the key may have been used before.
+// redirect refuses a request that another proxy may serve. With an idempotency key its outcome is
+// unknown: the key may have been used before.
 func (task *task) redirect(code rpc.Code, cause string) error {
 	if task.request.Header.Get(keyHeader) != "" {
 		return &rpc.Error{
@@ -119,7 +119,7 @@
 	return time.Duration(requested) * time.Millisecond, nil
 }
 
-// readBody reads the whole body first, so that a request that the caller cuts off does not run.
+// readBody reads the whole body first, so that a truncated request does not run.
 func (task *task) readBody(writer http.ResponseWriter) error {
 	maxBytes := int64(task.route.BodyBytes)
 	if task.request.ContentLength > maxBytes {
--- a/serviceproxy/task_send.go
+++ b/serviceproxy/task_send.go
@@ -38,8 +38,8 @@
 }
 
 // sendWithRetries sends the task to backends until a response is complete, or a retry is unsafe,
-// over budget or too late. If a backend was withdrawn before the task was sent, another one gets
-// it without using up an attempt or retry budget.
+// over budget or too late. If a backend is withdrawn before the send, another one gets the task
+// without a further attempt or retry token.
 func (task *task) sendWithRetries() error {
 	var lastErr error = &rpc.Error{Code: rpc.NoBackend, Message: "no backend is available", RetryAfterMs: retryAfterMs, Outcome: rpc.NotRun}
 	mayHaveRun := false
@@ -71,8 +71,8 @@
 	return task.finalError(lastErr, mayHaveRun)
 }
 
-// pickTarget picks a backend that was not tried yet. A retry needs a token of the retry budget,
-// unless charged says that this attempt was already accounted for.
+// pickTarget picks a backend that was not tried yet. A retry takes a token of the retry budget,
+// unless the attempt was charged already.
 func (task *task) pickTarget(retry, charged bool) (*Target, bool) {
 	if retry && !charged && !task.proxy.budget.allow() {
 		task.proxy.counters.Add("resends_refused", 1)
--- a/serviceproxy/withdrawn_test.go
+++ b/serviceproxy/withdrawn_test.go
@@ -101,8 +101,8 @@
 	return task.sendWithRetries()
 }
 
-// A task was sent to a backend that was withdrawn while it was being dialled (DRAIN, issue 33). It
-// must go to another one, without using up its attempt.
+// A task was sent to a backend that was withdrawn during the dial (DRAIN, issue 33). It must go to
+// another one, without using up its attempt.
 func TestWithdrawnDuringDial(test *testing.T) {
 	for name, withdraw := range map[string]func(*withdrawalFixture, *Target){
 		"leaves": func(_ *withdrawalFixture, target *Target) {
