--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory is the directory service: it tells callers which proxies to use and
-// for how long. Versions of settings and members come in through Directory.Apply,
-// which swaps in an immutable view; ServeHTTP answers callers from it.
+// Package directory is the directory service: it tells callers which proxies to use and for how
+// long. Directory.Apply builds an immutable view of each version of settings and members;
+// ServeHTTP answers callers from it.
 package directory
 
 import (
@@ -18,8 +18,8 @@
 )
 
 const (
-	retryAfterMs = 1000
-	fullLoad     = 0.8
+	retryAfterMs   = 1000
+	nearlyFullLoad = 0.8
 )
 
 // Directory answers callers from one immutable view per version.
@@ -44,8 +44,8 @@
 	Zone    string `json:"zone"`
 }
 
-// Placement is the answer to a caller. It is valid for HoldMs milliseconds; the
-// proxies are in the order of preference.
+// Placement is the answer to a caller. It is valid for TTLMs milliseconds; the proxies are in
+// order of preference.
 type Placement struct {
 	Serial  uint64  `json:"serial"`
 	Tenant  string  `json:"tenant"`
@@ -80,29 +80,28 @@
 	directory.view.Store(NewView(routes, version.Table.Members))
 }
 
-// NewView selects the proxies that callers may be sent to: those ready and not
-// leaving. Proxies lent by the other partner are used only while the own ones are
-// too few or nearly full.
+// NewView selects the proxies that callers may be sent to: those ready and not leaving. Proxies
+// lent by the other partner are used only while the own ones are too few or nearly at capacity.
 func NewView(routes *serviceproxy.Routes, members []message.Member) *View {
-	next, demand := &View{routes: routes}, 0.0
-	for _, known := range members {
-		if known.Kind != message.ProxyKind || !known.Ready || known.Leaving {
+	view, demand := &View{routes: routes}, 0.0
+	for _, member := range members {
+		if member.Kind != message.ProxyKind || !member.Ready || member.Leaving {
 			continue
 		}
-		if known.Guest {
-			next.guests = append(next.guests, known)
+		if member.Guest {
+			view.guests = append(view.guests, member)
 			continue
 		}
-		next.proxies = append(next.proxies, known)
-		demand += known.Demand
+		view.proxies = append(view.proxies, member)
+		demand += member.Demand
 	}
 	settings := routes.Settings()
-	short := len(next.proxies) < *settings.Rule.Proxies
-	full := settings.ProxyRps > 0 && demand > fullLoad*float64(settings.ProxyRps*len(next.proxies))
-	if !short && !full {
-		next.guests = nil
+	tooFew := len(view.proxies) < *settings.Rule.Proxies
+	nearlyFull := settings.ProxyRps > 0 && demand > nearlyFullLoad*float64(settings.ProxyRps*len(view.proxies))
+	if !tooFew && !nearlyFull {
+		view.guests = nil
 	}
-	return next
+	return view
 }
 
 // ServeHTTP answers GET /v1/place with a Placement for the tenant of the bearer
@@ -111,7 +110,7 @@
 	if _, leaving := directory.daemon.StopsIn(); leaving {
 		writer.Header().Set("Connection", "close")
 	}
-	placement, err := directory.answer(request)
+	placement, err := directory.place(request)
 	if err != nil {
 		directory.counters.Add("places_"+string(rpc.CodeOf(err)), 1)
 		agent.WriteError(writer, err)
@@ -121,7 +120,7 @@
 	agent.WriteJSON(writer, http.StatusOK, placement)
 }
 
-func (directory *Directory) answer(request *http.Request) (*Placement, error) {
+func (directory *Directory) place(request *http.Request) (*Placement, error) {
 	if request.URL.Path != "/v1/place" {
 		return nil, rpc.Errorf(rpc.NotFound, "%s", request.URL.Path)
 	}
@@ -130,28 +129,32 @@
 	}
 	view := directory.view.Load()
 	if view == nil || !directory.daemon.Ready() {
-		return nil, &rpc.Error{Code: rpc.NotReady, Message: "no confirmed settings in force here", RetryAfterMs: retryAfterMs}
+		return nil, &rpc.Error{
+			Code:         rpc.NotReady,
+			Message:      "no confirmed settings are in force on this directory",
+			RetryAfterMs: retryAfterMs,
+		}
 	}
 	key, bearer := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 	tenant, found := view.routes.Tenant(key)
 	if !bearer || !found {
-		return nil, rpc.Errorf(rpc.UnknownKey, "no tenant has this key")
+		return nil, rpc.Errorf(rpc.UnknownKey, "unknown tenant key")
 	}
 	return view.Place(tenant, request.URL.Query().Get("zone"))
 }
 
-// Place returns the proxies for a tenant by rendezvous hashing, those in the zone
-// near first, spread over zones before a second one of any zone is taken. It
-// returns rpc.NoBackend if no proxy may serve the tenant.
-func (view *View) Place(tenant int, near string) (*Placement, error) {
+// Place returns the proxies for a tenant by rendezvous hashing, those in the caller's zone first,
+// with one of each zone before a second one of any. It returns rpc.NoBackend if no proxy may serve
+// the tenant.
+func (view *View) Place(tenant int, callerZone string) (*Placement, error) {
 	settings := view.routes.Settings()
 	name := view.routes.TenantName(tenant)
-	ranked := view.rank(view.proxies, tenant, near)
-	guests := view.rank(view.guests, tenant, near)
+	ranked := view.rank(view.proxies, tenant, callerZone)
+	guests := view.rank(view.guests, tenant, callerZone)
 	if len(ranked)+len(guests) == 0 {
-		return nil, &rpc.Error{Code: rpc.NoBackend, Message: "no front machine may take this tenant now", RetryAfterMs: retryAfterMs}
+		return nil, &rpc.Error{Code: rpc.NoBackend, Message: "no proxy is available for this tenant", RetryAfterMs: retryAfterMs}
 	}
-	most := view.routes.Proxies(tenant)
+	limit := view.routes.Proxies(tenant)
 	placement := &Placement{
 		Serial:  view.routes.Serial,
 		Tenant:  name,
@@ -159,20 +162,20 @@
 		Proxies: []Proxy{},
 	}
 	zones := map[string]int{}
-	for round := 0; len(placement.Proxies) < most && round < len(ranked); round++ {
-		for _, front := range ranked {
-			if zones[front.Zone] == round && len(placement.Proxies) < most && !placement.has(front.Name) {
-				zones[front.Zone]++
-				placement.Proxies = append(placement.Proxies, Proxy{Name: front.Name, Address: front.PublicAddress, Zone: front.Zone})
+	for round := 0; len(placement.Proxies) < limit && round < len(ranked); round++ {
+		for _, proxy := range ranked {
+			if zones[proxy.Zone] == round && len(placement.Proxies) < limit && !placement.includes(proxy.Name) {
+				zones[proxy.Zone]++
+				placement.Proxies = append(placement.Proxies, Proxy{Name: proxy.Name, Address: proxy.PublicAddress, Zone: proxy.Zone})
 			}
 		}
 	}
 	if len(guests) > 0 {
-		if len(placement.Proxies) == most && most > 1 {
-			placement.Proxies = placement.Proxies[:most-1]
+		if len(placement.Proxies) == limit && limit > 1 {
+			placement.Proxies = placement.Proxies[:limit-1]
 		}
 		for _, guest := range guests {
-			if len(placement.Proxies) < most {
+			if len(placement.Proxies) < limit {
 				placement.Proxies = append(placement.Proxies, Proxy{Name: guest.Name, Address: guest.PublicAddress, Zone: guest.Zone})
 			}
 		}
@@ -180,27 +183,28 @@
 	return placement, nil
 }
 
-// rank orders the fronts that a tenant may use: near ones first, then its own order.
-func (view *View) rank(fronts []message.Member, tenant int, near string) []message.Member {
+// rank returns the members that may serve a tenant: those in the caller's zone first, then by the
+// tenant's rendezvous order.
+func (view *View) rank(members []message.Member, tenant int, callerZone string) []message.Member {
 	name, ranked := view.routes.TenantName(tenant), []message.Member{}
-	for _, front := range fronts {
-		if !view.routes.Drained(front.Zone) && view.routes.ZoneAllowed(front.Zone, tenant) {
-			ranked = append(ranked, front)
+	for _, proxy := range members {
+		if !view.routes.Drained(proxy.Zone) && view.routes.ZoneAllowed(proxy.Zone, tenant) {
+			ranked = append(ranked, proxy)
 		}
 	}
 	sort.Slice(ranked, func(left, right int) bool {
-		leftNear, rightNear := ranked[left].Zone == near, ranked[right].Zone == near
-		if leftNear != rightNear {
-			return leftNear
+		leftInZone, rightInZone := ranked[left].Zone == callerZone, ranked[right].Zone == callerZone
+		if leftInZone != rightInZone {
+			return leftInZone
 		}
 		return serviceproxy.Rank(name, ranked[left].Name) > serviceproxy.Rank(name, ranked[right].Name)
 	})
 	return ranked
 }
 
-func (placement *Placement) has(name string) bool {
-	for _, front := range placement.Proxies {
-		if front.Name == name {
+func (placement *Placement) includes(name string) bool {
+	for _, proxy := range placement.Proxies {
+		if proxy.Name == name {
 			return true
 		}
 	}
--- a/planner/forecast.go
+++ b/planner/forecast.go
@@ -1,6 +1,5 @@
-// Package planner forecasts what a change of settings would do before it is made. Look
-// takes the fleet as it is and the next settings and returns a Forecast; ojplan
-// prints it.
+// Package planner forecasts the effects of a change of settings before it is made. NewForecast
+// takes the current fleet and the next settings and returns a Forecast; ojplan prints it.
 package planner
 
 import (
@@ -12,8 +11,8 @@
 	"orchidjunction/serviceproxy"
 )
 
-// Fleet is the state that a forecast starts from. Capacity is the requests a second
-// that one backend carries.
+// Fleet is the state that a forecast starts from. Capacity is the requests per second that one
+// backend can serve.
 type Fleet struct {
 	Serial   uint64
 	Settings *config.Settings
@@ -40,15 +39,15 @@
 	ByZone  map[string]int `json:"after_by_zone"`
 }
 
-// Shortage is a service whose guaranteed rate the backends left could not carry, in
-// requests a second.
+// Shortage is a service whose guaranteed rate exceeds the capacity of the remaining backends, in
+// requests per second.
 type Shortage struct {
 	Service  string  `json:"service"`
 	Floor    int     `json:"floor_rps"`
 	Capacity float64 `json:"capacity_rps"`
 }
 
-// Change is an effective value of a route that would differ.
+// Change is an effective value of a route that would change.
 type Change struct {
 	Route  string `json:"route"`
 	Field  string `json:"field"`
@@ -56,7 +55,7 @@
 	After  any    `json:"after"`
 }
 
-// Forecast is all that the change would move.
+// Forecast is the effects of a change of settings.
 type Forecast struct {
 	Tenants int              `json:"tenants"`
 	Moves   []Move           `json:"moves"`
@@ -65,13 +64,13 @@
 	Changes []Change         `json:"changes"`
 }
 
-// Moving reports whether the change would move anything.
+// Moving reports whether the change would affect placements, backend counts or routes.
 func (forecast *Forecast) Moving() bool {
 	if len(forecast.Moves)+len(forecast.Changes) > 0 {
 		return true
 	}
-	for _, room := range forecast.Rooms {
-		if room.Before != room.After {
+	for _, change := range forecast.Rooms {
+		if change.Before != change.After {
 			return true
 		}
 	}
@@ -82,21 +81,21 @@
 func NewForecast(fleet Fleet, next *config.Settings) *Forecast {
 	forecast := &Forecast{Moves: []Move{}, Rooms: []CapacityChange{}, Shorts: []Shortage{}, Changes: []Change{}}
 	before, after := serviceproxy.NewRoutes(fleet.Serial, fleet.Settings, nil), serviceproxy.NewRoutes(fleet.Serial+1, next, nil)
-	former, later := directory.NewView(before, fleet.Members), directory.NewView(after, fleet.Members)
+	previous, updated := directory.NewView(before, fleet.Members), directory.NewView(after, fleet.Members)
 	for _, tenant := range union(fleet.Settings.Tenants, next.Tenants) {
-		from, to := proxies(former, before, tenant), proxies(later, after, tenant)
+		from, to := proxyNames(previous, before, tenant), proxyNames(updated, after, tenant)
 		forecast.Tenants++
-		move := Move{Tenant: tenant, From: from, To: to, Left: without(from, to), Joined: without(to, from)}
+		move := Move{Tenant: tenant, From: from, To: to, Left: difference(from, to), Joined: difference(to, from)}
 		if len(move.Left)+len(move.Joined) > 0 {
 			forecast.Moves = append(forecast.Moves, move)
 		}
 	}
-	forecast.rooms(fleet, next)
-	forecast.changes(fleet.Settings.Resolve(), next.Resolve())
+	forecast.compareCapacity(fleet, next)
+	forecast.compareRoutes(fleet.Settings.Resolve(), next.Resolve())
 	return forecast
 }
 
-func proxies(view *directory.View, routes *serviceproxy.Routes, tenant string) []string {
+func proxyNames(view *directory.View, routes *serviceproxy.Routes, tenant string) []string {
 	index, found := routes.TenantNamed(tenant)
 	if !found {
 		return []string{}
@@ -106,8 +105,8 @@
 		return []string{}
 	}
 	names := []string{}
-	for _, front := range placement.Proxies {
-		names = append(names, front.Name)
+	for _, proxy := range placement.Proxies {
+		names = append(names, proxy.Name)
 	}
 	sort.Strings(names)
 	return names
@@ -127,70 +126,70 @@
 	return names
 }
 
-func without(names, others []string) []string {
-	rest := []string{}
+func difference(names, others []string) []string {
+	remaining := []string{}
 	for _, name := range names {
 		found := false
 		for _, other := range others {
 			found = found || other == name
 		}
 		if !found {
-			rest = append(rest, name)
+			remaining = append(remaining, name)
 		}
 	}
-	return rest
+	return remaining
 }
 
-// rooms counts the backends a service may use, and sets its floors against them.
-func (forecast *Forecast) rooms(fleet Fleet, next *config.Settings) {
-	rooms, names := map[string]*CapacityChange{}, []string{}
+// compareCapacity counts the backends a service may use and compares them with its floor.
+func (forecast *Forecast) compareCapacity(fleet Fleet, next *config.Settings) {
+	changes, names := map[string]*CapacityChange{}, []string{}
 	for _, backend := range fleet.Backends {
-		room := rooms[backend.Service]
-		if room == nil {
-			room = &CapacityChange{Service: backend.Service, ByZone: map[string]int{}}
-			rooms[backend.Service] = room
+		change := changes[backend.Service]
+		if change == nil {
+			change = &CapacityChange{Service: backend.Service, ByZone: map[string]int{}}
+			changes[backend.Service] = change
 			names = append(names, backend.Service)
 		}
 		if fleet.Settings.Open(backend.Zone, backend.Name) && !backend.Leaving {
-			room.Before++
+			change.Before++
 		}
 		if next.Open(backend.Zone, backend.Name) && !backend.Leaving {
-			room.After++
-			room.ByZone[backend.Zone]++
+			change.After++
+			change.ByZone[backend.Zone]++
 		}
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		forecast.Rooms = append(forecast.Rooms, *rooms[name])
+		forecast.Rooms = append(forecast.Rooms, *changes[name])
 		floor := 0
 		for _, class := range next.Classes {
 			if _, found := class.Services[name]; found {
 				floor += class.FloorRps / max(len(class.Services), 1)
 			}
 		}
-		if capacity := float64(rooms[name].After) * fleet.Capacity; capacity < float64(floor) {
+		if capacity := float64(changes[name].After) * fleet.Capacity; capacity < float64(floor) {
 			forecast.Shorts = append(forecast.Shorts, Shortage{Service: name, Floor: floor, Capacity: capacity})
 		}
 	}
 }
 
-func (forecast *Forecast) changes(before, after []config.Effective) {
+func (forecast *Forecast) compareRoutes(before, after []config.Effective) {
 	type field struct{ route, name string }
-	former, later, keys := map[field]any{}, map[field]any{}, []field{}
-	lay := func(into, other map[field]any, routes []config.Effective) {
+	previous, updated, keys := map[field]any{}, map[field]any{}, []field{}
+	collect := func(values, other map[field]any, routes []config.Effective) {
 		for _, route := range routes {
 			for name, source := range route.Values {
 				key := field{route.Class + "/" + route.Service + "/" + route.Route, name}
 				_, known := other[key]
-				if _, twice := into[key]; !known && !twice {
+				if _, duplicate := values[key]; !known && !duplicate {
 					keys = append(keys, key)
 				}
-				into[key] = source.Value
+				values[key] = source.Value
 			}
 		}
 	}
-	lay(former, nil, before)
-	lay(later, former, after)
+	collect(previous, nil, before)
+	collect(updated, previous, after)
 	sort.Slice(keys, func(left, right int) bool {
 		if keys[left].route != keys[right].route {
 			return keys[left].route < keys[right].route
@@ -198,8 +197,11 @@
 		return keys[left].name < keys[right].name
 	})
 	for _, key := range keys {
-		if !config.Same(former[key], later[key]) {
-			forecast.Changes = append(forecast.Changes, Change{Route: key.route, Field: key.name, Before: former[key], After: later[key]})
+		if !config.Same(previous[key], updated[key]) {
+			forecast.Changes = append(
+				forecast.Changes,
+				Change{Route: key.route, Field: key.name, Before: previous[key], After: updated[key]},
+			)
 		}
 	}
 }
--- a/serviceproxy/proxy.go
+++ b/serviceproxy/proxy.go
@@ -14,9 +14,8 @@
 	"orchidjunction/rpc"
 )
 
-// Proxy is the HTTP handler that carries requests of the settings' routes to
-// backends. It lives as long as the process and replaces its plan with each
-// version.
+// Proxy is the HTTP handler that forwards requests to backends. It lives as long as the process
+// and replaces its plan with each version.
 type Proxy struct {
 	daemon     *agent.Daemon
 	goroutines *concurrent.Group
@@ -36,14 +35,14 @@
 	prefix     string
 }
 
-// plan is one version as this proxy uses it: whole, and never changed.
+// plan is this proxy's immutable view of one version.
 type plan struct {
-	routes   *Routes
-	services map[string][]*Target
-	all      []*Target
-	emptied  time.Time
-	complete bool
-	proxies  int
+	routes     *Routes
+	services   map[string][]*Target
+	allTargets []*Target
+	drainedAt  time.Time
+	complete   bool
+	proxies    int
 }
 
 // NewProxy returns a proxy without a version; it refuses requests until Apply. It
@@ -87,19 +86,19 @@
 	if version.Settings == nil {
 		return
 	}
-	shares := 0
-	for _, known := range version.Table.Members {
-		if known.Kind == message.ProxyKind {
-			shares++
+	proxies := 0
+	for _, member := range version.Table.Members {
+		if member.Kind == message.ProxyKind {
+			proxies++
 		}
 	}
-	shares = max(shares, 1)
-	proxy.budget.setProxies(shares)
+	proxies = max(proxies, 1)
+	proxy.budget.setProxies(proxies)
 	proxy.budget.setLimits(version.Settings.Retry.Fraction, version.Settings.Retry.Floor)
 	proxy.claims.store.SetTTL(version.Settings.KeyTTL())
 	proxy.admission.Apply(version.Settings, version.Table, proxy.daemon.Name())
-	next := &plan{services: map[string][]*Target{}, complete: version.Table.Complete, proxies: shares}
-	next.routes = proxy.plan.Load().next(version)
+	next := &plan{services: map[string][]*Target{}, complete: version.Table.Complete, proxies: proxies}
+	next.routes = proxy.plan.Load().nextRoutes(version)
 	proxy.mutex.Lock()
 	listed := map[string]bool{}
 	for _, backend := range version.Table.Backends {
@@ -113,9 +112,9 @@
 			proxy.targets[backend.Name] = target
 			proxy.goroutines.Start(func() { proxy.watchTarget(target) })
 		}
-		target.relist(backend, warmupShares(version.Table, backend, proxy.daemon.Name()))
+		target.updateListing(backend, warmupShares(version.Table, backend, proxy.daemon.Name()))
 		next.services[backend.Service] = append(next.services[backend.Service], target)
-		next.all = append(next.all, target)
+		next.allTargets = append(next.allTargets, target)
 	}
 	for name, target := range proxy.targets {
 		if !listed[name] {
@@ -125,17 +124,17 @@
 	}
 	proxy.mutex.Unlock()
 	if next.routes.Drained(proxy.daemon.Zone()) {
-		next.emptied = time.Now()
-		if before := proxy.plan.Load(); before != nil && !before.emptied.IsZero() {
-			next.emptied = before.emptied
+		next.drainedAt = time.Now()
+		if before := proxy.plan.Load(); before != nil && !before.drainedAt.IsZero() {
+			next.drainedAt = before.drainedAt
 		}
 	}
 	proxy.plan.Store(next)
 	proxy.claims.apply(newKeyReplicas(version.Table, next.routes.regions), version.Table.Version)
 }
 
-// next are the routes of a version, those of this plan where it is the same.
-func (plan *plan) next(version *agent.Version) *Routes {
+// nextRoutes returns the routes of a version; the same serial reuses those of this plan.
+func (plan *plan) nextRoutes(version *agent.Version) *Routes {
 	if plan == nil {
 		return NewRoutes(version.Serial, version.Settings, nil)
 	}
@@ -145,33 +144,33 @@
 	return NewRoutes(version.Serial, version.Settings, plan.routes)
 }
 
-// warmupShares is among how many proxies a backend's gentle rate is split: the
-// same few for all that read this table, and 0 for the others.
+// warmupShares returns how many proxies share a backend's warm-up rate, or 0 if the named one does
+// not. All that read the same table choose the same few.
 func warmupShares(table *message.Table, backend message.Backend, name string) int {
-	ahead, count, own := 0, 0, Rank(backend.Name, name)
-	for _, known := range table.Members {
-		if known.Kind != message.ProxyKind || known.Leaving {
+	ahead, count, ownRank := 0, 0, Rank(backend.Name, name)
+	for _, member := range table.Members {
+		if member.Kind != message.ProxyKind || member.Leaving {
 			continue
 		}
 		count++
-		if known.Name != name && Rank(backend.Name, known.Name) > own {
+		if member.Name != name && Rank(backend.Name, member.Name) > ownRank {
 			ahead++
 		}
 	}
-	if ahead >= warmupSenders {
+	if ahead >= maxWarmupProxies {
 		return 0
 	}
-	return max(min(warmupSenders, count), 1)
+	return max(min(maxWarmupProxies, count), 1)
 }
 
 func (plan *plan) targets() []*Target {
 	if plan == nil {
 		return nil
 	}
-	return plan.all
+	return plan.allTargets
 }
 
-// warm is true from when every backend of a plan was looked at once.
+// warm reports whether every backend of a complete plan was probed once, and then stays true.
 func (proxy *Proxy) warm() bool {
 	if proxy.warmed.Load() {
 		return true
@@ -180,8 +179,8 @@
 	if plan == nil || !plan.complete {
 		return false
 	}
-	for _, target := range plan.all {
-		if !target.looked.Load() {
+	for _, target := range plan.allTargets {
+		if !target.firstProbeDone.Load() {
 			return false
 		}
 	}
@@ -189,7 +188,7 @@
 	return true
 }
 
-// watchTarget probes one target until the proxy ends.
+// watchTarget probes one target until it is no longer listed or the proxy stops.
 func (proxy *Proxy) watchTarget(target *Target) {
 	for {
 		proxy.mutex.Lock()
@@ -206,11 +205,11 @@
 		} else {
 			proxy.daemon.ObserveSerial(serial)
 		}
-		span := probePace
+		interval := minProbeInterval
 		if plan := proxy.plan.Load(); plan != nil && err == nil {
-			span = probeSpan(plan.proxies)
+			interval = probeInterval(plan.proxies)
 		}
-		target.probeHint.Wait(seen, span)
+		target.probeHint.Wait(seen, interval)
 		if proxy.goroutines.Stopping() {
 			return
 		}
@@ -224,37 +223,37 @@
 	if plan == nil {
 		return nil
 	}
-	probes := make([]message.Probe, 0, len(plan.all))
-	for _, target := range plan.all {
+	probes := make([]message.Probe, 0, len(plan.allTargets))
+	for _, target := range plan.allTargets {
 		probes = append(probes, target.report())
 	}
 	return probes
 }
 
-// pickBackend returns the less loaded of two random backends that the request may go
-// to, and takes a place there.
+// pickBackend returns the less loaded of two random backends that may serve the request, and takes
+// an in-flight slot there.
 func (plan *plan) pickBackend(route *config.FlatRoute, tenant int, tried map[*Target]bool) (*Target, bool) {
 	type choice struct {
 		target *Target
-		usage  float64
+		load   float64
 	}
 	choices := []choice{}
 	for _, target := range plan.services[route.Service] {
 		zone := target.backend().Zone
-		if tried[target] || plan.routes.drained[zone] || plan.routes.gone[target.backend().Name] ||
+		if tried[target] || plan.routes.drainedZones[zone] || plan.routes.drainedBackends[target.backend().Name] ||
 			!plan.routes.allowed(zone, tenant, route) {
 			continue
 		}
-		if usable, usage := target.usable(); usable {
-			choices = append(choices, choice{target, usage})
+		if usable, load := target.usable(); usable {
+			choices = append(choices, choice{target, load})
 		}
 	}
 	for len(choices) > 0 {
 		first, second := rand.IntN(len(choices)), rand.IntN(len(choices))
-		if choices[second].usage < choices[first].usage {
+		if choices[second].load < choices[first].load {
 			first = second
 		}
-		if choices[first].target.admit() {
+		if choices[first].target.acquire() {
 			return choices[first].target, true
 		}
 		choices = append(choices[:first], choices[first+1:]...)
@@ -262,12 +261,12 @@
 	return nil, false
 }
 
-// usage is the mean of what a service's usable backends report.
-func (plan *plan) usage(service string) float64 {
+// utilization returns the mean load of a service's usable backends.
+func (plan *plan) utilization(service string) float64 {
 	sum, count := 0.0, 0
 	for _, target := range plan.services[service] {
-		if usable, usage := target.usable(); usable {
-			sum += min(usage, 1)
+		if usable, load := target.usable(); usable {
+			sum += min(load, 1)
 			count++
 		}
 	}
--- a/serviceproxy/retry_budget_test.go
+++ b/serviceproxy/retry_budget_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// In any ten seconds resends stay within a fifth and the share of the floor,
-// however first sends and wishes for resends come.
-func TestBudgetInAnySpan(test *testing.T) {
+// In any ten seconds retries stay within a fifth of the first sends plus the proxy's share of the
+// floor, in whatever order they come.
+func TestRetryBudgetInEveryWindow(test *testing.T) {
 	for seed := range uint64(5) {
 		synctest.Test(test, func(test *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 3))
@@ -18,16 +18,16 @@
 			budget.setLimits(0.2, 60)
 			type event struct {
 				at    time.Time
-				again bool
+				retry bool
 			}
 			events := []event{}
-			pace := time.Millisecond
+			interval := time.Millisecond
 			granted := 0
 			for range 8_000 {
 				if random.IntN(200) == 0 {
-					pace = time.Duration(100+random.IntN(20_000)) * time.Microsecond
+					interval = time.Duration(100+random.IntN(20_000)) * time.Microsecond
 				}
-				time.Sleep(pace)
+				time.Sleep(interval)
 				if random.IntN(2) == 0 {
 					budget.recordSend()
 					events = append(events, event{time.Now(), false})
@@ -35,20 +35,20 @@
 					granted++
 					events = append(events, event{time.Now(), true})
 				}
-				first, again := 0, 0
+				firstSends, retries := 0, 0
 				for index := len(events) - 1; index >= 0 && time.Since(events[index].at) < 10*time.Second; index-- {
-					if events[index].again {
-						again++
+					if events[index].retry {
+						retries++
 					} else {
-						first++
+						firstSends++
 					}
 				}
-				if len(events)%50 == 0 && float64(again) > 0.2*float64(first)+20 {
-					test.Fatalf("seed %d: %d resends beside %d first sends", seed, again, first)
+				if len(events)%50 == 0 && float64(retries) > 0.2*float64(firstSends)+20 {
+					test.Fatalf("seed %d: %d retries for %d first sends", seed, retries, firstSends)
 				}
 			}
 			if granted < 400 {
-				test.Fatalf("seed %d: only %d granted", seed, granted)
+				test.Fatalf("seed %d: only %d retries allowed", seed, granted)
 			}
 		})
 	}
--- a/serviceproxy/state_machine.go
+++ b/serviceproxy/state_machine.go
@@ -1,13 +1,11 @@
-// Package serviceproxy is the data plane of the product's own interface: it carries
-// callers' requests to backends as the settings say. (Host routes are carried by
-// package hostproxy.)
+// Package serviceproxy is the data plane of the product's own interface: it forwards callers'
+// requests to backends. (Package hostproxy does so for host routes.)
 //
-// Versions of settings, members and backends come in through Proxy.Apply. A request
-// comes in through Proxy.ServeHTTP as a task: it is authenticated, matched to a
-// route, admitted (Admission), for requests that may run only once claimed by
-// idempotency key (Claims), and sent to a backend (Target) over a Pipe, again
-// within the retry budget if that is safe. Health of backends goes out through
-// Proxy.Probes.
+// Proxy.Apply applies versions of settings, members and backends. Proxy.ServeHTTP handles a
+// request as a task: it is authenticated, matched to a route, claimed by idempotency key if it may
+// run only once (Claims), admitted (Admission), and sent to a backend (Target) over a BackendConn.
+// It is retried within the retry budget if that is safe. Proxy.Probes returns the health of the
+// backends.
 package serviceproxy
 
 import (
@@ -16,7 +14,7 @@
 	"orchidjunction/metrics"
 )
 
-// State is where a request stands on its way through a proxy.
+// State is the state of a request in a proxy.
 type State string
 
 // The states of a request. Those from Answered on are final.
@@ -48,17 +46,17 @@
 // stateMachine is the state machine of one request; a transition that is not allowed is
 // counted as a defect.
 type stateMachine struct {
-	now      State
+	state    State
 	counters *metrics.Counters
 }
 
 func newStateMachine(counters *metrics.Counters) *stateMachine {
-	return &stateMachine{now: Arrived, counters: counters}
+	return &stateMachine{state: Arrived, counters: counters}
 }
 
 func (machine *stateMachine) advance(to State) bool {
-	if slices.Contains(transitions[machine.now], to) {
-		machine.now = to
+	if slices.Contains(transitions[machine.state], to) {
+		machine.state = to
 		if len(transitions[to]) == 0 {
 			machine.counters.Add("tasks_"+string(to), 1)
 		}
--- a/serviceproxy/state_machine_test.go
+++ b/serviceproxy/state_machine_test.go
@@ -6,33 +6,33 @@
 	"orchidjunction/metrics"
 )
 
-// Every state but the first is reached, and every way ends.
-func TestChartEnds(test *testing.T) {
-	reached := map[State]bool{Arrived: true}
-	for grown := true; grown; {
-		grown = false
-		for from, nexts := range transitions {
-			for _, next := range nexts {
-				if reached[from] && !reached[next] {
-					reached[next], grown = true, true
+// Every state is reachable, every path ends, and invalid transitions are refused.
+func TestStatesReachableAndTerminating(test *testing.T) {
+	reachable := map[State]bool{Arrived: true}
+	for changed := true; changed; {
+		changed = false
+		for from, successors := range transitions {
+			for _, next := range successors {
+				if reachable[from] && !reachable[next] {
+					reachable[next], changed = true, true
 				}
 			}
 		}
 	}
 	for _, state := range []State{Authenticated, Routed, KeyClaimed, Assigned, Sent, Receiving, Answered, Replayed, Refused, Unknown, Aborted} {
-		if !reached[state] {
-			test.Errorf("%s is never reached", state)
+		if !reachable[state] {
+			test.Errorf("state %s is not reachable", state)
 		}
-		if _, goes := transitions[state]; !goes && state != Answered && state != Replayed && state != Refused && state != Unknown &&
+		if _, found := transitions[state]; !found && state != Answered && state != Replayed && state != Refused && state != Unknown &&
 			state != Aborted {
-			test.Errorf("%s has no way on", state)
+			test.Errorf("state %s is not final but has no transitions", state)
 		}
 	}
-	for _, unsafe := range [][2]State{{Answered, Assigned}, {Unknown, Assigned}, {Aborted, Answered}, {Arrived, Sent}, {Authenticated, Assigned}} {
+	for _, invalid := range [][2]State{{Answered, Assigned}, {Unknown, Assigned}, {Aborted, Answered}, {Arrived, Sent}, {Authenticated, Assigned}} {
 		counters := metrics.NewCounters()
-		machine := &stateMachine{now: unsafe[0], counters: counters}
-		if machine.advance(unsafe[1]) || counters.Get("task_steps_off_chart") != 1 {
-			test.Errorf("%s to %s is taken", unsafe[0], unsafe[1])
+		machine := &stateMachine{state: invalid[0], counters: counters}
+		if machine.advance(invalid[1]) || counters.Get("task_steps_off_chart") != 1 {
+			test.Errorf("transition from %s to %s was not refused and counted once", invalid[0], invalid[1])
 		}
 	}
 }
--- a/slo/objectives.go
+++ b/slo/objectives.go
@@ -1,6 +1,6 @@
-// Package slo reads service-level objectives in a subset of OpenSLO v1 and reports
-// how the counters of the daemons stand against them. Read gives Documents; Against
-// turns them and the summed counters into Reports.
+// Package slo reads service-level objectives in a subset of OpenSLO v1 and compares them with the
+// daemons' counters. Read returns Documents; Evaluate turns them and the summed counters into
+// Reports.
 package slo
 
 import (
@@ -13,8 +13,7 @@
 	"orchidjunction/rpc"
 )
 
-// Document is one service-level objective in the form of OpenSLO v1, as far as it
-// is used here.
+// Document is one service-level objective in OpenSLO v1, with the fields that are used here.
 type Document struct {
 	APIVersion string `yaml:"apiVersion"`
 	Kind       string `yaml:"kind"`
@@ -55,13 +54,13 @@
 	} `yaml:"metricSource"`
 }
 
-// Objective is the least ratio of good events that is aimed at, between 0 and 1.
+// Objective is the minimum ratio of good events, between 0 and 1.
 type Objective struct {
 	DisplayName string  `yaml:"displayName"`
 	Target      float64 `yaml:"target"`
 }
 
-const source = "orchidjunction"
+const metricSourceType = "orchidjunction"
 
 // Read decodes one or more YAML documents. It returns rpc.BadRequest for an
 // unknown field, a form that is not supported, or no document.
@@ -102,8 +101,14 @@
 		return rpc.Errorf(rpc.BadRequest, "%s: spec.objectives must be given", name)
 	}
 	for path, metric := range map[string]*Metric{"good": &ratio.Good, "total": &ratio.Total} {
-		if metric.MetricSource.Type != source || len(metric.MetricSource.Spec.Counters) == 0 {
-			return rpc.Errorf(rpc.BadRequest, "%s: ratioMetric.%s: want a metricSource of type %s with counters", name, path, source)
+		if metric.MetricSource.Type != metricSourceType || len(metric.MetricSource.Spec.Counters) == 0 {
+			return rpc.Errorf(
+				rpc.BadRequest,
+				"%s: ratioMetric.%s: want a metricSource of type %s with counters",
+				name,
+				path,
+				metricSourceType,
+			)
 		}
 	}
 	for _, objective := range document.Spec.Objectives {
@@ -114,8 +119,8 @@
 	return nil
 }
 
-// Report is one objective with what was counted. Left is the part of the error
-// budget that is left; it is negative once the budget is spent.
+// Report is one objective with its counts. Left is the fraction of the error budget that remains;
+// it is negative once the budget is exceeded.
 type Report struct {
 	Name   string  `json:"name"`
 	Target float64 `json:"target"`
