--- a/hostproxy/field_checks_test.go
+++ b/hostproxy/field_checks_test.go
@@ -240,7 +240,7 @@
 
 // containers hold fields that are gone through themselves; a version is the operator's own
 // (control.TestDecideNamesTheStaleBaseFirst), and what the product does not know is only
-// given back (platform.TestWholeIsGivenBackAsItCame).
+// given back (platform.TestConfigRoundTripsUnchanged).
 var containers = []reflect.Type{
 	reflect.TypeFor[[]routing.Route](), reflect.TypeFor[[]routing.Service](), reflect.TypeFor[[]routing.Tenant](),
 	reflect.TypeFor[routing.Limits](), reflect.TypeFor[uint64](), reflect.TypeFor[[]routing.Extra](),
