--- a/process/client_conn.go
+++ b/process/client_conn.go
@@ -11,79 +11,78 @@
 	"time"
 )
 
-// connPhase is what a client's connection is used for at a time.
+// connPhase is the state of a client's connection.
 type connPhase uint8
 
 const (
-	phaseNew     connPhase = iota // opened, and nothing came yet
-	phaseIdle                     // answered, and nothing of another request came yet
-	phaseHead                     // a part of a request's head came
-	phaseServing                  // a handler answers, or the server refuses
+	phaseNew     connPhase = iota // opened, nothing received
+	phaseIdle                     // answered, nothing of the next request received
+	phaseHead                     // part of a request's head received
+	phaseServing                  // a handler or the server is answering
 )
 
-// clientConn is a client's connection. net/http's server cannot change its bounds while it
-// runs, so the connection keeps the time and the length of heads and the time between
-// requests itself: it sets the deadlines of reads while it waits for a request, and passes
-// the server's own on while one is served. A head that breaks a limit is refused here, and
-// for the server the client has fallen silent.
+// clientConn is a client's connection that enforces ConnLimits, since the limits of a net/http
+// server cannot change while it runs. It sets its own read deadlines while it waits for a
+// request, and passes on the server's while one is served. A head over a limit is refused here;
+// the server sees a read timeout.
 //
-// Limits that change act at once on a connection that waits. A head that has begun keeps the
-// more generous of the former and the new ones.
+// Changed limits apply immediately to a waiting connection. A head that has begun keeps the
+// higher of the old and the new limits.
 type clientConn struct {
 	net.Conn
 	tracker    *connTracker
 	overBudget bool
-	// answering is set while a handler answers. Only what the library writes at other times
-	// can be a refusal of its own.
+	// answering is set while a handler answers. Only what net/http writes at other times can
+	// be one of its own error responses.
 	answering atomic.Bool
-	refused   atomic.Bool // nothing is read any more
+	refused   atomic.Bool // no more reads
 
-	mutex    sync.Mutex
-	phase    connPhase
-	since    time.Time // when the phase began
-	limits   ConnLimits
-	head     int64 // bytes that came of the head
-	reserved int64 // bytes of the memory for heads
-	armed    bool  // whether reads have a deadline of the connection's own
-	awaited  bool  // whether the server has begun to wait for the next request
-	ending   bool  // whether a wait is to end now
+	mutex       sync.Mutex
+	phase       connPhase
+	phaseStart  time.Time // when the phase began
+	limits      ConnLimits
+	headBytes   int64 // received bytes of the head
+	reserved    int64 // bytes reserved in the tracker's memory
+	armed       bool  // whether the read deadline is the connection's own
+	waitStarted bool  // whether the server has begun to wait for the next request
+	ending      bool  // whether the wait must end now
 }
 
-// await starts the wait for a request, as phaseNew or phaseIdle. The limits in force are
-// read under the mutex: those that change meanwhile come by limitsChanged after it.
-func (conn *clientConn) await(phase connPhase) {
+// beginWait starts the wait for a request, in phaseNew or phaseIdle. It reads the limits under
+// the mutex, so that a concurrent change follows by limitsChanged.
+func (conn *clientConn) beginWait(phase connPhase) {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
-	conn.release()
+	conn.releaseMemory()
 	conn.limits = conn.tracker.current()
-	conn.enter(phase)
+	conn.setPhase(phase)
 	conn.arm()
 }
 
-// enter begins a phase. The mutex is held.
-func (conn *clientConn) enter(phase connPhase) {
-	conn.phase, conn.since = phase, time.Now()
-	conn.head, conn.awaited, conn.ending = 0, false, false
+// setPhase begins a phase. The caller holds the mutex.
+func (conn *clientConn) setPhase(phase connPhase) {
+	conn.phase, conn.phaseStart = phase, time.Now()
+	conn.headBytes, conn.waitStarted, conn.ending = 0, false, false
 }
 
-// deadline is when the wait for bytes ends. The mutex is held.
+// deadline returns the end of the wait for bytes. The caller holds the mutex.
 func (conn *clientConn) deadline() time.Time {
 	switch {
 	case conn.ending:
-		return conn.since
+		return conn.phaseStart
 	case conn.phase == phaseIdle:
-		return conn.since.Add(conn.limits.IdleTimeout)
+		return conn.phaseStart.Add(conn.limits.IdleTimeout)
 	}
-	return conn.since.Add(conn.limits.HeaderTimeout)
+	return conn.phaseStart.Add(conn.limits.HeaderTimeout)
 }
 
-// arm gives reads the phase's deadline. The mutex is held.
+// arm sets the phase's read deadline. The caller holds the mutex.
 func (conn *clientConn) arm() {
 	conn.armed = true
-	_ = conn.Conn.SetReadDeadline(conn.deadline()) // fails where the connection is closed, and reads fail too
+	_ = conn.Conn.SetReadDeadline(conn.deadline()) // fails only if the connection is closed; reads fail too
 }
 
-// disarm takes the deadline away. The mutex is held.
+// disarm clears the deadline. The caller holds the mutex.
 func (conn *clientConn) disarm() {
 	if conn.armed {
 		conn.armed = false
@@ -91,25 +90,25 @@
 	}
 }
 
-// SetReadDeadline takes the server's deadlines while a request is served. While one is
-// awaited they only tell how far the server is: it sets one when it begins to wait, and one
-// when it has bytes, which it may have read together with the request before.
+// SetReadDeadline applies the server's deadlines while a request is served. While waiting, a call
+// only shows the server's progress: it sets a deadline when it begins to wait, and another one
+// when it has bytes, which it may have read together with the previous request.
 func (conn *clientConn) SetReadDeadline(deadline time.Time) error {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
 	switch {
 	case conn.phase == phaseServing:
 		return conn.Conn.SetReadDeadline(deadline)
-	case conn.phase == phaseIdle && !conn.awaited:
-		conn.awaited = true
+	case conn.phase == phaseIdle && !conn.waitStarted:
+		conn.waitStarted = true
 	case conn.phase == phaseIdle:
-		conn.enter(phaseHead)
+		conn.setPhase(phaseHead)
 		conn.arm()
 	}
 	return nil
 }
 
-// Read reads a part of a request.
+// Read implements net.Conn with the limits.
 func (conn *clientConn) Read(buffer []byte) (int, error) {
 	if conn.refused.Load() {
 		return 0, os.ErrDeadlineExceeded
@@ -119,11 +118,11 @@
 	}
 	for {
 		count, err := conn.Conn.Read(buffer)
-		if errors.Is(err, os.ErrDeadlineExceeded) && conn.extended() {
+		if errors.Is(err, os.ErrDeadlineExceeded) && conn.extendDeadline() {
 			continue
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			count, err = conn.readLast(buffer, err)
+			count, err = conn.readAtDeadline(buffer, err)
 		}
 		if count > 0 {
 			conn.received(count)
@@ -132,21 +131,21 @@
 	}
 }
 
-// checkHead finds what keeps a head from growing, and gives its next part a deadline.
+// checkHead returns a refusal if the head may not grow further, and else sets the read deadline.
 func (conn *clientConn) checkHead() *headRefusal {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
 	if conn.phase != phaseHead {
 		return nil
 	}
-	if conn.head >= conn.limits.HeaderBytes {
+	if conn.headBytes >= conn.limits.HeaderBytes {
 		return headTooLarge
 	}
-	if conn.tracker.memory != nil && conn.head > freeHeaderBytes+conn.reserved {
-		if !conn.tracker.memory.Reserve(conn.reserved, conn.head) {
+	if conn.tracker.memory != nil && conn.headBytes > freeHeaderBytes+conn.reserved {
+		if !conn.tracker.memory.Reserve(conn.reserved, conn.headBytes) {
 			return headWithoutMemory
 		}
-		conn.reserved += conn.head
+		conn.reserved += conn.headBytes
 	}
 	conn.arm()
 	return nil
@@ -158,16 +157,16 @@
 	defer conn.mutex.Unlock()
 	switch conn.phase {
 	case phaseNew, phaseIdle:
-		conn.enter(phaseHead)
-		conn.head = int64(count)
+		conn.setPhase(phaseHead)
+		conn.headBytes = int64(count)
 	case phaseHead:
-		conn.head += int64(count)
+		conn.headBytes += int64(count)
 	case phaseServing:
 	}
 }
 
-// extended is whether the wait goes on after its deadline, since the limits have grown.
-func (conn *clientConn) extended() bool {
+// extendDeadline reports whether the wait continues after its deadline because limits were raised.
+func (conn *clientConn) extendDeadline() bool {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
 	if conn.phase == phaseServing || !time.Now().Before(conn.deadline()) {
@@ -177,9 +176,9 @@
 	return true
 }
 
-// readLast ends a wait whose time is up. Bytes that came before it ended are served:
-// this process may have been too slow to read them.
-func (conn *clientConn) readLast(buffer []byte, err error) (int, error) {
+// readAtDeadline ends a wait at its deadline. It returns bytes that have already arrived, since
+// this process may have been too slow to read them in time.
+func (conn *clientConn) readAtDeadline(buffer []byte, err error) (int, error) {
 	conn.mutex.Lock()
 	phase, ending := conn.phase, conn.ending
 	if phase == phaseServing {
@@ -193,7 +192,7 @@
 	}
 	switch {
 	case phase == phaseHead:
-		return 0, conn.refuse(headLate)
+		return 0, conn.refuse(headTimeout)
 	case ending:
 	case phase == phaseIdle:
 		conn.tracker.counters.Add("connections_closed_idle", 1)
@@ -203,18 +202,18 @@
 	return 0, err
 }
 
-// readAvailable reads what has come already, without a wait.
+// readAvailable reads what has already arrived, without blocking.
 func readAvailable(from net.Conn, buffer []byte) int {
-	able, found := from.(syscall.Conn)
-	if !found {
+	source, ok := from.(syscall.Conn)
+	if !ok {
 		return 0
 	}
-	raw, err := able.SyscallConn()
+	raw, err := source.SyscallConn()
 	if err != nil {
 		return 0
 	}
 	count := 0
-	_ = raw.Read(func(descriptor uintptr) bool { // fails where the connection is closed, and nothing is read
+	_ = raw.Read(func(descriptor uintptr) bool { // fails only if the connection is closed; count stays 0
 		count, err = syscall.Read(int(descriptor), buffer)
 		return true
 	})
@@ -224,7 +223,7 @@
 	return max(count, 0)
 }
 
-// stateChanged takes what the server says of the connection.
+// stateChanged handles the server's ConnState callback.
 func (conn *clientConn) stateChanged(state http.ConnState) {
 	switch state {
 	case http.StateActive:
@@ -234,25 +233,25 @@
 		conn.mutex.Unlock()
 	case http.StateIdle:
 		conn.answering.Store(false)
-		conn.await(phaseIdle)
+		conn.beginWait(phaseIdle)
 	case http.StateClosed, http.StateHijacked:
-		conn.tracker.forget(conn)
+		conn.tracker.remove(conn)
 		conn.mutex.Lock()
-		conn.release()
+		conn.releaseMemory()
 		conn.mutex.Unlock()
 	case http.StateNew:
 	}
 }
 
-// release gives back the memory of the head. The mutex is held.
-func (conn *clientConn) release() {
+// releaseMemory releases the head's reserved memory. The caller holds the mutex.
+func (conn *clientConn) releaseMemory() {
 	if conn.reserved > 0 {
 		conn.tracker.memory.Release(conn.reserved)
 		conn.reserved = 0
 	}
 }
 
-// limitsChanged puts limits in force on an open connection.
+// limitsChanged applies new limits to an open connection.
 func (conn *clientConn) limitsChanged(limits ConnLimits) {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
@@ -260,7 +259,7 @@
 	case phaseServing:
 		return
 	case phaseHead:
-		conn.limits = conn.limits.widest(limits)
+		conn.limits = conn.limits.union(limits)
 	case phaseNew, phaseIdle:
 		conn.limits = limits
 	}
@@ -269,27 +268,27 @@
 	}
 }
 
-// endIfIdle ends the wait for a request, on a new connection once it has waited for a while.
+// endIfIdle ends the wait for a request, on a new connection once it has waited longer than fresh.
 func (conn *clientConn) endIfIdle(fresh time.Duration) {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
-	if conn.phase == phaseIdle || conn.phase == phaseNew && time.Since(conn.since) > fresh {
+	if conn.phase == phaseIdle || conn.phase == phaseNew && time.Since(conn.phaseStart) > fresh {
 		conn.ending = true
 		conn.arm()
 	}
 }
 
-// headerLimit is the length that the request now served may have.
+// headerLimit returns the maximum head length of the current request.
 func (conn *clientConn) headerLimit() int64 {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
 	return conn.limits.HeaderBytes
 }
 
-// CloseWrite lets the library end an answer before it closes.
+// CloseWrite lets net/http half-close the connection after a response.
 func (conn *clientConn) CloseWrite() error {
-	if half, able := conn.Conn.(interface{ CloseWrite() error }); able {
-		return half.CloseWrite()
+	if halfCloser, ok := conn.Conn.(interface{ CloseWrite() error }); ok {
+		return halfCloser.CloseWrite()
 	}
 	return nil
 }
--- a/process/conn_budget.go
+++ b/process/conn_budget.go
@@ -2,69 +2,69 @@
 
 import "sync/atomic"
 
-// Shares of a process's descriptors. Connections above the first share get 503 and a time to
-// come back, those above the second are closed unread; the rest is for backends, disks and
-// the system's own calls.
+// Shares of a process's file descriptors. Connections above the served share get 503 with
+// Retry-After, those above the refused share are closed unread. The rest is for backends, disks
+// and internal calls.
 const (
-	reservedDescriptors   = 200
-	servedShareNumerator  = 3
-	servedShareDenom      = 4
-	refusedShareNumerator = 13
-	refusedShareDenom     = 16
+	reservedDescriptors     = 200
+	servedShareNumerator    = 3
+	servedShareDenominator  = 4
+	refusedShareNumerator   = 13
+	refusedShareDenominator = 16
 )
 
-// ConnBudget bounds the connections that a process's listeners hold open together.
+// ConnBudget limits the open connections of all listeners of a process.
 type ConnBudget struct {
-	served int64 // up to this many are served
-	most   int64 // up to this many are open, those above served with a refusal
-	open   atomic.Int64
+	maxServed int64 // connections that are served
+	maxOpen   int64 // open connections, including those that are answered with 503
+	open      atomic.Int64
 }
 
-// NewConnBudget returns the budget of a process with so many descriptors; nil, which bounds
-// nothing, where that is not known.
+// NewConnBudget returns the budget of a process with the given number of file descriptors. It
+// returns nil, which means unlimited, if there are not more than the reserved ones.
 func NewConnBudget(descriptors int) *ConnBudget {
 	usable := int64(descriptors) - reservedDescriptors
 	if usable <= 0 {
 		return nil
 	}
 	return &ConnBudget{
-		served: usable * servedShareNumerator / servedShareDenom,
-		most:   usable * refusedShareNumerator / refusedShareDenom,
+		maxServed: usable * servedShareNumerator / servedShareDenominator,
+		maxOpen:   usable * refusedShareNumerator / refusedShareDenominator,
 	}
 }
 
-// admission is what becomes of a new connection.
+// admission is the decision on a new connection.
 type admission uint8
 
 const (
 	admitServed  admission = iota
-	admitRefused           // its first request is refused
-	admitClosed            // it is closed unread
+	admitRefused           // the first request gets 503
+	admitClosed            // closed unread
 )
 
-// enter counts a new connection, unless that is to be closed.
-func (budget *ConnBudget) enter() admission {
+// acquire counts a new connection, unless it must be closed.
+func (budget *ConnBudget) acquire() admission {
 	if budget == nil {
 		return admitServed
 	}
-	open := budget.open.Add(1)
+	count := budget.open.Add(1)
 	switch {
-	case open <= budget.served:
+	case count <= budget.maxServed:
 		return admitServed
-	case open <= budget.most:
+	case count <= budget.maxOpen:
 		return admitRefused
 	}
 	budget.open.Add(-1)
 	return admitClosed
 }
 
-func (budget *ConnBudget) leave() {
+func (budget *ConnBudget) release() {
 	if budget != nil {
 		budget.open.Add(-1)
 	}
 }
 
-// Open returns how many connections are open.
+// Open returns the number of open connections.
 func (budget *ConnBudget) Open() int64 {
 	if budget == nil {
 		return 0
--- a/process/conn_limits.go
+++ b/process/conn_limits.go
@@ -8,30 +8,30 @@
 	"orchidjunction/rpc"
 )
 
-// Limits of a listener's connections where nobody has given others.
+// Default limits of a listener's connections.
 const (
 	defaultHeaderBytes   = 64 << 10
 	defaultHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout   = time.Minute
 )
 
-// freeHeaderBytes is what each connection may hold of a request's head without a
-// reservation; most heads are shorter.
+// freeHeaderBytes is the part of a request's head that each connection may hold without a
+// memory reservation; most heads are shorter.
 const freeHeaderBytes = 8 << 10
 
-// ConnLimits bound what a client may do on a connection. A limit of 0 is not given: the
-// listener's own holds, or else the default one.
+// ConnLimits holds the limits of a client's connection. A limit of 0 stands for the listener's
+// own, or else the default.
 type ConnLimits struct {
-	// HeaderBytes is the length of a request's head: its request line and its header.
+	// HeaderBytes is the maximum length of a request's head: its request line and its header.
 	HeaderBytes int64
-	// HeaderTimeout is the time from a head's first byte to its last. A new connection has
-	// as long for its first byte.
+	// HeaderTimeout is the maximum time from a head's first byte to its last, and also from
+	// the opening of a connection to its first byte.
 	HeaderTimeout time.Duration
-	// IdleTimeout is the time from an answer to the next request's first byte.
+	// IdleTimeout is the maximum time from a response to the next request's first byte.
 	IdleTimeout time.Duration
 }
 
-// ConnLimitsOf are the limits that an operator's routing names.
+// ConnLimitsOf converts the limits of an operator's routing configuration.
 func ConnLimitsOf(limits routing.Limits) ConnLimits {
 	return ConnLimits{
 		HeaderBytes:   int64(limits.HeaderBytes),
@@ -46,8 +46,8 @@
 	IdleTimeout:   defaultIdleTimeout,
 }
 
-// orElse returns the limits, with others in place of those that are not given.
-func (limits ConnLimits) orElse(others ConnLimits) ConnLimits {
+// withDefaults replaces zero limits by those of others.
+func (limits ConnLimits) withDefaults(others ConnLimits) ConnLimits {
 	if limits.HeaderBytes <= 0 {
 		limits.HeaderBytes = others.HeaderBytes
 	}
@@ -60,8 +60,8 @@
 	return limits
 }
 
-// widest returns the more generous of each of two limits.
-func (limits ConnLimits) widest(other ConnLimits) ConnLimits {
+// union returns the higher of each pair of limits.
+func (limits ConnLimits) union(other ConnLimits) ConnLimits {
 	return ConnLimits{
 		HeaderBytes:   max(limits.HeaderBytes, other.HeaderBytes),
 		HeaderTimeout: max(limits.HeaderTimeout, other.HeaderTimeout),
@@ -69,8 +69,7 @@
 	}
 }
 
-// Milliseconds is a number of milliseconds as a duration; one too large for that is the
-// longest duration.
+// Milliseconds converts a number of milliseconds to a duration, at most the maximum duration.
 func Milliseconds(count int) time.Duration {
 	if int64(count) > math.MaxInt64/int64(time.Millisecond) {
 		return math.MaxInt64
@@ -78,33 +77,39 @@
 	return time.Duration(count) * time.Millisecond
 }
 
-// HeadMemory bounds the memory that the heads of requests take. It is safe for concurrent use.
+// HeadMemory limits the memory of request heads. It is safe for concurrent use.
 type HeadMemory interface {
-	// Reserve takes bytes for a head that holds some already; false when there are not so many.
+	// Reserve takes bytes for a head that has already reserved some. It returns false if they
+	// are not available.
 	Reserve(reserved, bytes int64) bool
 	Release(bytes int64)
 }
 
-// LimitFlags are the limits of a program's listeners as flags.
+// LimitFlags holds the command-line flags for connection limits.
 type LimitFlags struct {
 	headerBytes, headerTimeoutMs, idleTimeoutMs int
 }
 
-// NewLimitFlags adds the flags to a program's command line. They bound what those outside
-// may do; calls between processes keep to the default limits.
+// NewLimitFlags adds the flags to a program's command line. They apply to external listeners;
+// calls between processes have the default limits.
 func NewLimitFlags(flags *Flags) *LimitFlags {
 	limits := &LimitFlags{
 		headerBytes:     defaultHeaderBytes,
 		headerTimeoutMs: int(defaultHeaderTimeout.Milliseconds()),
 		idleTimeoutMs:   int(defaultIdleTimeout.Milliseconds()),
 	}
-	flags.Parser.Int(&limits.headerBytes, "", "max-header-bytes", "longest head of a request")
-	flags.Parser.Int(&limits.headerTimeoutMs, "", "header-timeout-ms", "time for the head of a request")
-	flags.Parser.Int(&limits.idleTimeoutMs, "", "idle-timeout-ms", "time that a connection may wait for its next request")
+	flags.Parser.Int(&limits.headerBytes, "", "max-header-bytes", "maximum size of a request's head (request line and header) in bytes")
+	flags.Parser.Int(&limits.headerTimeoutMs, "", "header-timeout-ms", "maximum time to receive a request's head in milliseconds")
+	flags.Parser.Int(
+		&limits.idleTimeoutMs,
+		"",
+		"idle-timeout-ms",
+		"maximum time that a connection may be idle between requests in milliseconds",
+	)
 	return limits
 }
 
-// Limits returns what the flags say, or which of them is out of range.
+// Limits returns the limits, or an error that names a flag out of range.
 func (limits *LimitFlags) Limits() (ConnLimits, error) {
 	for _, flag := range []struct {
 		name  string
@@ -115,7 +120,7 @@
 		{"idle-timeout-ms", limits.idleTimeoutMs},
 	} {
 		if flag.value < 1 {
-			return ConnLimits{}, rpc.Errorf(rpc.BadFlag, "--%s: %d is below 1", flag.name, flag.value)
+			return ConnLimits{}, rpc.Errorf(rpc.BadFlag, "--%s: %d is less than 1", flag.name, flag.value)
 		}
 	}
 	return ConnLimits{
--- a/process/conn_tracker.go
+++ b/process/conn_tracker.go
@@ -8,15 +8,15 @@
 	"orchidjunction/metrics"
 )
 
-// freshConnection is how long a drain leaves a new connection for its first byte.
-const freshConnection = 300 * time.Millisecond
+// newConnGrace is how long a drain waits for the first byte of a new connection.
+const newConnGrace = 300 * time.Millisecond
 
-// connTracker are a listener's open connections and the limits in force on them.
+// connTracker holds a listener's open connections and their limits.
 type connTracker struct {
 	counters *metrics.Counters
 	memory   HeadMemory
 	budget   *ConnBudget
-	own      ConnLimits
+	base     ConnLimits
 
 	mutex  sync.Mutex
 	limits ConnLimits
@@ -28,20 +28,20 @@
 	if counters == nil {
 		counters = metrics.NewCounters()
 	}
-	own := options.Limits.orElse(defaultLimits)
+	own := options.Limits.withDefaults(defaultLimits)
 	return &connTracker{
 		counters: counters,
 		memory:   options.Memory,
 		budget:   options.Budget,
-		own:      own,
+		base:     own,
 		limits:   own,
 		conns:    map[*clientConn]bool{},
 	}
 }
 
-// open begins to follow an accepted connection; nil where it was closed instead.
-func (tracker *connTracker) open(accepted net.Conn) *clientConn {
-	admitted := tracker.budget.enter()
+// add tracks an accepted connection. It returns nil if the connection was closed instead.
+func (tracker *connTracker) add(accepted net.Conn) *clientConn {
+	admitted := tracker.budget.acquire()
 	if admitted == admitClosed {
 		tracker.counters.Add("connections_closed_full", 1)
 		accepted.Close()
@@ -51,32 +51,32 @@
 	tracker.mutex.Lock()
 	tracker.conns[conn] = true
 	tracker.mutex.Unlock()
-	conn.await(phaseNew)
+	conn.beginWait(phaseNew)
 	return conn
 }
 
-// forget ends the following of a connection that is closed.
-func (tracker *connTracker) forget(conn *clientConn) {
+// remove stops tracking a closed connection.
+func (tracker *connTracker) remove(conn *clientConn) {
 	tracker.mutex.Lock()
 	known := tracker.conns[conn]
 	delete(tracker.conns, conn)
 	tracker.mutex.Unlock()
 	if known {
-		tracker.budget.leave()
+		tracker.budget.release()
 	}
 }
 
-// current returns the limits in force.
+// current returns the current limits.
 func (tracker *connTracker) current() ConnLimits {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
 	return tracker.limits
 }
 
-// setLimits puts limits in force, on open connections too. Those that are not given are the
+// setLimits changes the limits, also of open connections. Zero limits fall back to the
 // listener's own.
 func (tracker *connTracker) setLimits(limits ConnLimits) {
-	limits = limits.orElse(tracker.own)
+	limits = limits.withDefaults(tracker.base)
 	tracker.mutex.Lock()
 	changed := tracker.limits != limits
 	tracker.limits = limits
@@ -84,22 +84,22 @@
 	if !changed {
 		return
 	}
-	for _, conn := range tracker.all() {
+	for _, conn := range tracker.snapshot() {
 		conn.limitsChanged(limits)
 	}
 }
 
-// closeIdle ends the connections that wait for a request, new ones a little later, and
-// returns how many are still open.
+// closeIdle closes connections that wait for a request, new ones after newConnGrace, and returns
+// the number of tracked connections.
 func (tracker *connTracker) closeIdle() int {
-	conns := tracker.all()
+	conns := tracker.snapshot()
 	for _, conn := range conns {
-		conn.endIfIdle(freshConnection)
+		conn.endIfIdle(newConnGrace)
 	}
 	return len(conns)
 }
 
-func (tracker *connTracker) all() []*clientConn {
+func (tracker *connTracker) snapshot() []*clientConn {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
 	conns := make([]*clientConn, 0, len(tracker.conns))
--- a/process/conn_tracker_test.go
+++ b/process/conn_tracker_test.go
@@ -12,22 +12,22 @@
 	"orchidjunction/concurrent"
 )
 
-// slowListener's connections hold what they read back until they are let go.
-type slowListener struct {
+// heldReadListener accepts connections whose second read returns only after held is done.
+type heldReadListener struct {
 	net.Listener
 	held *sync.WaitGroup
 	read *sync.WaitGroup
 }
 
-func (listener slowListener) Accept() (net.Conn, error) {
+func (listener heldReadListener) Accept() (net.Conn, error) {
 	conn, err := listener.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &slowConn{Conn: conn, held: listener.held, read: listener.read}, nil
+	return &heldReadConn{Conn: conn, held: listener.held, read: listener.read}, nil
 }
 
-type slowConn struct {
+type heldReadConn struct {
 	net.Conn
 	held  *sync.WaitGroup
 	read  *sync.WaitGroup
@@ -35,7 +35,7 @@
 	reads int
 }
 
-func (conn *slowConn) Read(body []byte) (int, error) {
+func (conn *heldReadConn) Read(body []byte) (int, error) {
 	count, err := conn.Conn.Read(body)
 	if count > 1 {
 		conn.mutex.Lock()
@@ -50,10 +50,10 @@
 	return count, err
 }
 
-// A request that this process has read is served in a planned stop, also before the
-// server knows of it; an idle connection ends at once, and nothing new is taken.
-func TestDrainServesWhatWasRead(test *testing.T) {
-	open, err := net.Listen("tcp", "127.0.0.1:0")
+// A drain must serve a request that the process has read, even before the server has seen it.
+// It must close idle connections immediately and accept no new ones.
+func TestDrainServesRequestsAlreadyRead(test *testing.T) {
+	netListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -61,10 +61,10 @@
 	held.Add(1)
 	read.Add(1)
 	handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { writer.Write([]byte("served")) })
-	listener := NewListener(slowListener{open, held, read}, handler, ListenOptions{})
+	listener := NewListener(heldReadListener{netListener, held, read}, handler, ListenOptions{})
 	goroutines := concurrent.NewGroup()
 	listener.Serve(goroutines)
-	ask := func(conn net.Conn) { say(test, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n") }
+	ask := func(conn net.Conn) { send(test, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n") }
 	answer := func(reader *bufio.Reader) string {
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
@@ -74,7 +74,7 @@
 		return string(body)
 	}
 	dial := func() (net.Conn, *bufio.Reader) {
-		conn, err := net.Dial("tcp", open.Addr().String())
+		conn, err := net.Dial("tcp", netListener.Addr().String())
 		if err != nil {
 			test.Fatal(err)
 		}
@@ -97,18 +97,18 @@
 		drained[0] = listener.Drain(10 * time.Second)
 	})
 	if _, err := idle.ReadByte(); err == nil {
-		test.Error("the idle connection got something")
+		test.Error("idle connection received data")
 	}
 	held.Done()
 	if got := answer(reader); got != "served" {
-		test.Errorf("the request that was read: %s", got)
+		test.Errorf("request already read: got %s, want it served", got)
 	}
 	ended.Wait()
 	if !drained[0] {
-		test.Error("not drained")
+		test.Error("Drain returned false")
 	}
-	if conn, err := net.Dial("tcp", open.Addr().String()); err == nil {
+	if conn, err := net.Dial("tcp", netListener.Addr().String()); err == nil {
 		conn.Close()
-		test.Error("taken after the stop began")
+		test.Error("connection accepted after the drain began")
 	}
 }
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -12,7 +12,7 @@
 	"orchidjunction/rpc"
 )
 
-// DataPlane is what a daemon does besides being a member.
+// DataPlane is the part of a daemon that serves callers.
 type DataPlane interface {
 	http.Handler
 	Apply(*agent.Version)
@@ -20,11 +20,11 @@
 	Run()
 }
 
-// Constructor makes the plane of one daemon.
+// Constructor creates the data plane of a daemon, and its function that returns probes.
 type Constructor func(*agent.Daemon, *concurrent.Group, *metrics.Counters) (DataPlane, func() []message.Probe)
 
-// Instance is one daemon with its open sides; a process has one, or two when it
-// is a guest at the other partner as well.
+// Instance is a daemon with its listeners. A process has one, or two if it is also a guest in
+// the other partner's deployment.
 type Instance struct {
 	Daemon    *agent.Daemon
 	Plane     DataPlane
@@ -48,12 +48,12 @@
 		version := instance.Daemon.Version()
 		return version.Serial, version.Body()
 	}, instance.Daemon.Ready)
-	outside, inside := ListenOptions{Limits: limits, Counters: instance.counters}, ListenOptions{Counters: instance.counters}
+	external, internal := ListenOptions{Limits: limits, Counters: instance.counters}, ListenOptions{Counters: instance.counters}
 	for _, side := range []struct {
 		address string
 		handler http.Handler
 		options ListenOptions
-	}{{config.PublicAddress, plane, outside}, {config.InternalAddress, server, inside}, {config.OperatorAddress, operate, outside}} {
+	}{{config.PublicAddress, plane, external}, {config.InternalAddress, server, internal}, {config.OperatorAddress, operate, external}} {
 		listener, err := Listen(side.address, side.handler, side.options)
 		flags.Exit(err)
 		instance.listeners = append(instance.listeners, listener)
@@ -75,7 +75,8 @@
 	})
 }
 
-// Guest is a second place at the other partner, if it is given, and what is lent there.
+// Guest configures an optional second instance in the other partner's deployment, and the limits
+// of the capacity lent to it.
 type Guest struct {
 	Config    agent.Config
 	PerSecond float64
@@ -84,30 +85,45 @@
 }
 
 func (guest *Guest) add(flags *Flags) {
-	flags.Parser.String(&guest.Config.Name, "", "guest-name", "this machine's name at the other partner, when it lends room there")
-	flags.Parser.String(&guest.Config.Zone, "", "guest-zone", "zone of the other partner's that this machine counts as")
-	flags.Parser.String(&guest.Config.PublicAddress, "", "guest-listen", "IP:port for the other partner's callers")
-	flags.Parser.String(&guest.Config.InternalAddress, "", "guest-wire", "IP:port for the other partner's processes")
-	flags.Parser.String(&guest.Config.OperatorAddress, "", "guest-operate", "IP:port for the other partner's operators")
-	flags.Parser.StringSlice(&guest.Config.Seeds, "", "guest-seed", "IP:port of a core of the other partner's; up to three")
-	flags.Parser.Float64(&guest.PerSecond, "", "lend-rps", "tasks a second lent to the other partner at most")
-	flags.Parser.Int(&guest.InFlight, "", "lend-in-flight", "tasks at once lent to the other partner at most")
+	flags.Parser.String(
+		&guest.Config.Name,
+		"",
+		"guest-name",
+		"name of this daemon in the other partner's deployment; enables lending capacity to it",
+	)
+	flags.Parser.String(&guest.Config.Zone, "", "guest-zone", "zone of the other partner's deployment that this daemon belongs to")
+	flags.Parser.String(&guest.Config.PublicAddress, "", "guest-listen", "IP:port to listen on for the other partner's callers")
+	flags.Parser.String(&guest.Config.InternalAddress, "", "guest-wire", "IP:port to listen on for the other partner's processes")
+	flags.Parser.String(&guest.Config.OperatorAddress, "", "guest-operate", "IP:port to listen on for the other partner's operators")
+	flags.Parser.StringSlice(
+		&guest.Config.Seeds,
+		"",
+		"guest-seed",
+		"internal IP:port of one of the other partner's cores; may be repeated, up to three",
+	)
+	flags.Parser.Float64(&guest.PerSecond, "", "lend-rps", "maximum rate of tasks per second lent to the other partner")
+	flags.Parser.Int(&guest.InFlight, "", "lend-in-flight", "maximum number of concurrent tasks lent to the other partner")
 }
 
-func (guest *Guest) given() bool { return guest.Config.Name != "" || len(guest.Config.Seeds) > 0 }
+func (guest *Guest) enabled() bool { return guest.Config.Name != "" || len(guest.Config.Seeds) > 0 }
 
-// RunDaemon is the life of a directory node or a proxy.
+// RunDaemon parses the command line and runs a directory node or a proxy until it is stopped.
 func RunDaemon(flags *Flags, kind string, guest *Guest, construct Constructor) {
 	config := agent.Config{Kind: kind}
 	grace, settle := 6000, 2500
-	flags.Parser.String(&config.Name, "", "name", "this daemon's name, unlike any other's")
-	flags.Parser.String(&config.Zone, "", "zone", "zone this daemon stands in")
-	flags.Parser.String(&config.PublicAddress, "", "listen", "IP:port for callers")
-	flags.Parser.String(&config.InternalAddress, "", "wire", "IP:port for the system's own processes")
-	flags.Parser.String(&config.OperatorAddress, "", "operate", "IP:port for operators")
-	flags.Parser.StringSlice(&config.Seeds, "", "seed", "IP:port of a core's wire side; up to three")
-	flags.Parser.Int(&grace, "", "grace-ms", "grace after SIGTERM for what is in flight")
-	flags.Parser.Int(&settle, "", "settle-ms", "part of the grace in which callers learn to go elsewhere")
+	flags.Parser.String(&config.Name, "", "name", "unique name of this daemon")
+	flags.Parser.String(&config.Zone, "", "zone", "zone of this daemon")
+	flags.Parser.String(&config.PublicAddress, "", "listen", "IP:port to listen on for callers")
+	flags.Parser.String(&config.InternalAddress, "", "wire", "IP:port to listen on for calls of other processes of the system")
+	flags.Parser.String(&config.OperatorAddress, "", "operate", "IP:port to listen on for operators")
+	flags.Parser.StringSlice(&config.Seeds, "", "seed", "internal IP:port (--wire) of a core; may be repeated, up to three")
+	flags.Parser.Int(&grace, "", "grace-ms", "time after SIGTERM to finish requests in flight, in milliseconds")
+	flags.Parser.Int(
+		&settle,
+		"",
+		"settle-ms",
+		"part of --grace-ms in which the daemon still accepts requests while callers move away, in milliseconds",
+	)
 	limitFlags := NewLimitFlags(flags)
 	if guest != nil {
 		guest.add(flags)
@@ -117,17 +133,17 @@
 	flags.Exit(err)
 	flags.Exit(config.Check())
 	if grace < 0 || settle < 0 || settle > grace {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "--settle-ms: %d is not in 0 to the grace of %d", settle, grace))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--settle-ms: %d is not between 0 and --grace-ms (%d)", settle, grace))
 	}
 	goroutines := concurrent.NewGroup()
 	instances := []*Instance{newInstance(flags, config, limits, goroutines, construct)}
-	if guest != nil && guest.given() {
+	if guest != nil && guest.enabled() {
 		guest.Config.Kind, guest.Config.Guest = kind, true
 		if err := guest.Config.Check(); err != nil {
-			flags.Exit(rpc.WithPrefix("as a guest", err))
+			flags.Exit(rpc.WithPrefix("guest", err))
 		}
 		if guest.PerSecond <= 0 || guest.InFlight < 1 {
-			flags.Exit(rpc.Errorf(rpc.BadFlag, "--lend-rps and --lend-in-flight: a guest lends something of both"))
+			flags.Exit(rpc.Errorf(rpc.BadFlag, "--lend-rps and --lend-in-flight must be positive for a guest"))
 		}
 		instances = append(instances, newInstance(flags, guest.Config, limits, goroutines, construct))
 		guest.Join(instances[0].Plane, instances[1].Plane)
@@ -141,11 +157,11 @@
 			instance := instances[index]
 			return instance.Daemon.Retire(settleTime, graceTime, instance.listeners[0].Drain), nil
 		}, func(map[int]bool, map[int]error) bool { return false })
-		whole := true
-		for _, one := range ended {
-			whole = whole && one
+		allFinished := true
+		for _, finished := range ended {
+			allFinished = allFinished && finished
 		}
-		klog.Infof("%s: stopping, all requests in flight finished: %v", config.Name, whole)
+		klog.Infof("%s: stopping, all requests in flight finished: %v", config.Name, allFinished)
 		goroutines.Stop()
 	})
 	klog.Infof("%s: started in zone %s", config.Name, config.Zone)
--- a/process/framing_test.go
+++ b/process/framing_test.go
@@ -12,8 +12,8 @@
 	"orchidjunction/concurrent"
 )
 
-// listen serves a handler on a free port of this machine, until the test's end.
-func listen(test *testing.T, handler http.Handler) net.Conn {
+// dialTestServer serves a handler on a free loopback port until the test ends, and connects to it.
+func dialTestServer(test *testing.T, handler http.Handler) net.Conn {
 	test.Helper()
 	probe, fault := net.Listen("tcp", "127.0.0.1:0")
 	if fault != nil {
@@ -39,19 +39,19 @@
 	return conn
 }
 
-// say sends a text whole.
-func say(test *testing.T, conn net.Conn, text string) {
+// send writes all of text.
+func send(test *testing.T, conn net.Conn, text string) {
 	test.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
 		test.Error(err)
 	}
 }
 
-// A body that reads like one of the library's refusals is handed on unchanged.
-func TestBodyLikeARefusalIsUnchanged(test *testing.T) {
-	refusal := "HTTP/1.1 400 Bad Request" + string(bareHead) + "400 Bad Request"
+// A body that resembles one of net/http's error responses must be passed on unchanged.
+func TestBodyResemblingLibraryErrorIsUnchanged(test *testing.T) {
+	refusal := "HTTP/1.1 400 Bad Request" + string(libraryErrorHeader) + "400 Bad Request"
 	body := refusal + strings.Repeat("x", 16<<10)
-	conn := listen(test, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+	conn := dialTestServer(test, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		writer.WriteHeader(http.StatusOK)
 		writer.(http.Flusher).Flush()
@@ -59,28 +59,31 @@
 	}))
 	reader := bufio.NewReader(conn)
 	for range 2 {
-		say(test, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
+		send(test, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			test.Fatal(err)
 		}
 		if got, err := io.ReadAll(response.Body); err != nil || string(got) != body {
-			test.Errorf("%d bytes of %d, beginning with %.60q: %v", len(got), len(body), got, err)
+			test.Errorf("received %d bytes of %d, beginning with %.60q: %v", len(got), len(body), got, err)
 		}
 	}
-	say(test, conn, "BLAH\r\n\r\n")
+	send(test, conn, "BLAH\r\n\r\n")
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil || response.StatusCode != http.StatusBadRequest || response.Header.Get("Content-Type") != "application/json" {
-		test.Errorf("a refusal after answers: %+v, %v", response, err)
+		test.Errorf("malformed request after two responses: got %+v, %v", response, err)
 	}
 }
 
-// The library answers nothing in a handler's place: a success is a handler's own.
-func TestNoAnswerOfTheLibrarysOwn(test *testing.T) {
-	conn := listen(test, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusNotFound) }))
-	say(test, conn, "OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n")
+// net/http must not answer OPTIONS * itself: every success comes from a handler.
+func TestOptionsAsteriskReachesHandler(test *testing.T) {
+	conn := dialTestServer(
+		test,
+		http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusNotFound) }),
+	)
+	send(test, conn, "OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n")
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || response.StatusCode != http.StatusNotFound {
-		test.Errorf("%+v, %v", response, err)
+		test.Errorf("got %+v, %v, want 404", response, err)
 	}
 }
--- a/process/head_refusal.go
+++ b/process/head_refusal.go
@@ -11,10 +11,10 @@
 	"orchidjunction/rpc"
 )
 
-// retryAfterSeconds is when a client that is refused for want of room may come back.
+// retryAfterSeconds is the Retry-After value of 503 responses.
 const retryAfterSeconds = "1"
 
-// headRefusal is why a head is refused before the server has read it.
+// headRefusal is the response to a request that is rejected because of its head or its connection.
 type headRefusal struct {
 	status  int
 	code    rpc.Code
@@ -24,24 +24,24 @@
 
 var (
 	headTooLarge = &headRefusal{
-		http.StatusRequestHeaderFieldsTooLarge, rpc.TooLarge, "the request's head is longer than the limit", "heads_too_large",
+		http.StatusRequestHeaderFieldsTooLarge, rpc.TooLarge, "request head exceeds the size limit", "heads_too_large",
 	}
-	headLate          = &headRefusal{http.StatusRequestTimeout, rpc.RequestTimeout, "the request's head came too slowly", "heads_late"}
+	headTimeout       = &headRefusal{http.StatusRequestTimeout, rpc.RequestTimeout, "request head not received in time", "heads_late"}
 	headWithoutMemory = &headRefusal{
-		http.StatusServiceUnavailable, rpc.Overloaded, "no memory for the request's head", "heads_without_memory",
+		http.StatusServiceUnavailable, rpc.Overloaded, "not enough memory for the request head", "heads_without_memory",
 	}
 	connectionRefused = &headRefusal{http.StatusServiceUnavailable, rpc.Overloaded, "too many connections", "connections_refused_full"}
 )
 
-// Times of a refusal: the client's machine has refusalWriteTimeout to take it, and the
-// client refusalLinger to read it, since a close with unread bytes resets the connection.
+// refusalWriteTimeout bounds the writing of a refusal. The connection stays open for refusalLinger
+// after it, since closing with unread bytes resets the connection before the client has read it.
 const (
 	refusalWriteTimeout = time.Second
 	refusalLinger       = 500 * time.Millisecond
 )
 
-// refuse answers a head that is not read to its end, and returns what the server shall take
-// for the end of the connection.
+// refuse responds to a head that is not read to its end. It returns the read error that makes
+// the server close the connection.
 func (conn *clientConn) refuse(refusal *headRefusal) error {
 	conn.refused.Store(true)
 	conn.tracker.counters.Add(refusal.counter, 1)
@@ -52,15 +52,15 @@
 	return os.ErrDeadlineExceeded
 }
 
-// refusalBody is the body of a refusal, as all others of the system are.
+// refusalBody returns an error body in the same format as the handlers' errors.
 func refusalBody(code rpc.Code, message string) []byte {
-	text, _ := json.Marshal(&rpc.Error{Code: code, Message: message, Outcome: rpc.NotRun}) // texts only
+	text, _ := json.Marshal(&rpc.Error{Code: code, Message: message, Outcome: rpc.NotRun}) // a struct of strings, cannot fail
 	return append(text, '\n')
 }
 
 func (refusal *headRefusal) body() []byte { return refusalBody(refusal.code, refusal.message) }
 
-// answer refuses a request that the server has read; the connection ends with it.
+// answer rejects a request that the server has read, and closes the connection.
 func (refusal *headRefusal) answer(writer http.ResponseWriter) {
 	header := writer.Header()
 	header.Set("Content-Type", "application/json")
@@ -72,7 +72,7 @@
 	writer.Write(refusal.body())
 }
 
-// writeTo refuses a request on its connection.
+// writeTo writes the refusal directly to the connection.
 func (refusal *headRefusal) writeTo(conn io.Writer) error {
 	retry := ""
 	if refusal.status == http.StatusServiceUnavailable {
--- a/process/listener.go
+++ b/process/listener.go
@@ -14,10 +14,10 @@
 	"orchidjunction/rpc"
 )
 
-// drainInterval is the time between looks for connections that a drain can end.
+// drainInterval is the time between checks for idle connections during a drain.
 const drainInterval = 20 * time.Millisecond
 
-// ListenOptions are what a listener keeps to. Counters, Memory and Budget may be nil.
+// ListenOptions configures a listener. Counters, Memory and Budget may be nil.
 type ListenOptions struct {
 	Limits   ConnLimits
 	Counters *metrics.Counters
@@ -25,82 +25,82 @@
 	Budget   *ConnBudget
 }
 
-// Listener is one open address and what serves it.
+// Listener is an HTTP server on one address.
 type Listener struct {
-	server  *http.Server
-	open    net.Listener
-	tracker *connTracker
+	server   *http.Server
+	listener net.Listener
+	tracker  *connTracker
 }
 
-// Listen opens an address; what the handler does not answer there gets a typed
-// refusal, and the library answers nothing in its place.
+// Listen opens an address. Malformed requests get a JSON error; all others, also OPTIONS *, go
+// to the handler.
 func Listen(address string, handler http.Handler, options ListenOptions) (*Listener, error) {
 	if err := rpc.CheckAddress("listen", address); err != nil {
 		return nil, err
 	}
-	open, err := net.Listen("tcp", address)
+	netListener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, rpc.Errorf(rpc.BadFlag, "%s: %v", address, err)
 	}
-	return NewListener(open, handler, options), nil
+	return NewListener(netListener, handler, options), nil
 }
 
-// NewListener serves what an open listener accepts.
-func NewListener(open net.Listener, handler http.Handler, options ListenOptions) *Listener {
+// NewListener returns a Listener on an open net.Listener.
+func NewListener(netListener net.Listener, handler http.Handler, options ListenOptions) *Listener {
 	tracker := newConnTracker(options)
 	server := &http.Server{
-		Handler:                      checked(handler),
+		Handler:                      checkRequest(handler),
 		DisableGeneralOptionsHandler: true,
-		MaxHeaderBytes:               math.MaxInt32, // the connections keep the limit
+		MaxHeaderBytes:               math.MaxInt32, // enforced by clientConn
 		ErrorLog:                     klog.NewStandardLogger("INFO"),
 		ConnContext:                  withConn,
 		ConnState: func(conn net.Conn, state http.ConnState) {
-			if client, is := conn.(*clientConn); is {
+			if client, ok := conn.(*clientConn); ok {
 				client.stateChanged(state)
 			}
 		},
 	}
-	return &Listener{open: trackedListener{open, tracker}, tracker: tracker, server: server}
+	return &Listener{listener: trackedListener{netListener, tracker}, tracker: tracker, server: server}
 }
 
-// trackedListener accepts connections that keep to the tracker's limits.
+// trackedListener wraps accepted connections so that the tracker's limits apply.
 type trackedListener struct {
 	net.Listener
 	tracker *connTracker
 }
 
-// Accept waits for the next connection that there is room for.
+// Accept returns the next connection within the budget.
 func (listener trackedListener) Accept() (net.Conn, error) {
 	for {
 		accepted, err := listener.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if conn := listener.tracker.open(accepted); conn != nil {
+		if conn := listener.tracker.add(accepted); conn != nil {
 			return conn, nil
 		}
 	}
 }
 
-// SetLimits puts limits in force, for new connections and for open ones.
+// SetLimits changes the limits of new and open connections.
 func (listener *Listener) SetLimits(limits ConnLimits) { listener.tracker.setLimits(limits) }
 
 // Serve accepts connections until the listener is drained or closed.
 func (listener *Listener) Serve(goroutines *concurrent.Group) {
 	goroutines.Start(func() {
-		err := listener.server.Serve(listener.open)
+		err := listener.server.Serve(listener.listener)
 		if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			klog.Errorf("%s: stopped accepting connections: %v", listener.open.Addr(), err)
+			klog.Errorf("%s: stopped accepting connections: %v", listener.listener.Addr(), err)
 		}
 	})
 }
 
-// Drain takes nothing new and waits for what is in flight, at most the grace. A
-// connection that waits for a request is ended by its reads: what was read of a
-// request before that is served.
+// Drain stops accepting connections and waits up to grace for requests in flight. It reports
+// whether all finished. Idle connections are closed by a read deadline, so that a request that
+// was already read is still served.
 func (listener *Listener) Drain(grace time.Duration) bool {
 	until := time.Now().Add(grace)
-	listener.open.Close()
+	listener.listener.Close()
 	for {
 		if listener.tracker.closeIdle() == 0 {
 			return true
@@ -113,5 +113,5 @@
 	}
 }
 
-// Close ends the listener and all its connections at once.
-func (listener *Listener) Close() { _ = listener.server.Close() } // what it cannot close is closed already
+// Close closes the listener and all its connections immediately.
+func (listener *Listener) Close() { _ = listener.server.Close() } // fails only for what is already closed
--- a/process/refusal.go
+++ b/process/refusal.go
@@ -10,20 +10,20 @@
 	"orchidjunction/rpc"
 )
 
-// connKey is where a request's context holds its connection.
-type connKey struct{}
+// connContextKey is the context key of a request's connection.
+type connContextKey struct{}
 
-// withConn puts the connection into the context of its requests.
+// withConn adds the connection to the context of its requests.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, conn)
+	return context.WithValue(ctx, connContextKey{}, conn)
 }
 
-// checked lets a connection know that a handler answers on it, and refuses what the
-// connection may not carry before the handler sees it.
-func checked(handler http.Handler) http.Handler {
+// checkRequest wraps a handler. It marks the connection as answering and rejects requests over
+// the connection budget or with too long a head.
+func checkRequest(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		conn, is := request.Context().Value(connKey{}).(*clientConn)
-		if !is {
+		conn, ok := request.Context().Value(connContextKey{}).(*clientConn)
+		if !ok {
 			handler.ServeHTTP(writer, request)
 			return
 		}
@@ -41,44 +41,44 @@
 	})
 }
 
-// Lengths of the parts of a head beside its names and values.
+// Lengths of the parts of a request head besides its field names and values.
 const (
-	requestLineSpaces = len("  \r\n")
-	fieldSeparators   = len(":\r\n")
-	headEnd           = len("\r\n")
-	hostName          = len("Host")
-	transferEncoding  = len("Transfer-Encoding")
+	requestLineOverhead    = len("  \r\n")
+	fieldOverhead          = len(":\r\n")
+	headTerminatorLength   = len("\r\n")
+	hostLength             = len("Host")
+	transferEncodingLength = len("Transfer-Encoding")
 )
 
-// headSize is the least length of a request's head: the library does not tell of white space
-// around values. It counts what the library takes out of the header as well.
+// headSize returns the minimum length of a request's head, since net/http does not report white
+// space around values. It includes the fields that net/http removes from the header.
 func headSize(request *http.Request) int64 {
-	size := len(request.Method) + len(request.RequestURI) + len(request.Proto) + requestLineSpaces + headEnd
+	size := len(request.Method) + len(request.RequestURI) + len(request.Proto) + requestLineOverhead + headTerminatorLength
 	if request.Host != "" {
-		size += hostName + len(request.Host) + fieldSeparators
+		size += hostLength + len(request.Host) + fieldOverhead
 	}
 	for _, coding := range request.TransferEncoding {
-		size += transferEncoding + len(coding) + fieldSeparators
+		size += transferEncodingLength + len(coding) + fieldOverhead
 	}
 	for name, values := range request.Header {
 		for _, value := range values {
-			size += len(name) + len(value) + fieldSeparators
+			size += len(name) + len(value) + fieldOverhead
 		}
 	}
 	return int64(size)
 }
 
-// bareHead is how the library's refusals go on after the status line; answers
-// of handlers always have a date.
-var bareHead = []byte("\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n")
+// libraryErrorHeader follows the status line in net/http's own error responses. Responses of
+// handlers always have a Date.
+var libraryErrorHeader = []byte("\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n")
 
-// Write gives the library's own refusals of malformed requests the form that all other
-// refusals have. A handler's bytes are never touched.
+// Write replaces net/http's own error responses to malformed requests by the JSON errors of the
+// system. It passes on a handler's bytes unchanged.
 func (conn *clientConn) Write(body []byte) (int, error) {
 	if conn.answering.Load() {
 		return conn.Conn.Write(body)
 	}
-	line, text, found := bytes.Cut(body, bareHead)
+	line, text, found := bytes.Cut(body, libraryErrorHeader)
 	if !found || !bytes.HasPrefix(line, []byte("HTTP/1.")) || bytes.Contains(line, []byte("\r\n")) {
 		return conn.Conn.Write(body)
 	}
--- a/process/refusal_test.go
+++ b/process/refusal_test.go
@@ -14,16 +14,16 @@
 	"orchidjunction/rpc"
 )
 
-// Malformed and oversized requests get a typed refusal and reach no handler.
-func TestMalformedRequestsAreTyped(test *testing.T) {
+// Malformed and oversized requests must get a JSON error with a code and reach no handler.
+func TestMalformedRequestsGetTypedErrors(test *testing.T) {
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		test.Fatal(err)
 	}
 	address := probe.Addr().String()
 	probe.Close()
-	touched := 0
-	handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { touched++ })
+	handled := 0
+	handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { handled++ })
 	listener, err := Listen(address, handler, ListenOptions{Limits: ConnLimits{HeaderBytes: 4 << 10}})
 	if err != nil {
 		test.Fatal(err)
@@ -42,20 +42,20 @@
 		if err != nil {
 			test.Fatal(err)
 		}
-		_, _ = io.WriteString(conn, text) // refused before all of an oversized one is read
+		_, _ = io.WriteString(conn, text) // fails if an oversized request is refused before it is sent completely
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
-			test.Errorf("%.20q: %v", text, err)
+			test.Errorf("%.20q: no response: %v", text, err)
 			continue
 		}
 		refusal := rpc.Error{}
 		err = json.NewDecoder(response.Body).Decode(&refusal)
 		if got := fmt.Sprintf("%d %s", response.StatusCode, refusal.Code); got != want || err != nil {
-			test.Errorf("%.20q: %s, %v, want %s", text, got, err, want)
+			test.Errorf("%.20q: got %s, %v, want %s", text, got, err, want)
 		}
 		conn.Close()
 	}
-	if touched > 0 {
-		test.Errorf("%d reached the handler", touched)
+	if handled > 0 {
+		test.Errorf("%d requests reached the handler", handled)
 	}
 }
--- a/process/run.go
+++ b/process/run.go
@@ -1,4 +1,4 @@
-// Package process is what the commands share: flags, logs, listeners, signals.
+// Package process contains what the commands share: flags, logs, listeners, signals.
 package process
 
 import (
@@ -22,75 +22,75 @@
 	"orchidjunction/rpc"
 )
 
-// Release is the version that the programs tell.
-const Release = "0.1.0"
+// Version is the version that --version prints.
+const Version = "0.1.0"
 
-// Flags is one program's command line.
+// Flags parses the command line of a program.
 type Flags struct {
-	Parser *flaggy.Parser
-	name   string
-	levels int
+	Parser   *flaggy.Parser
+	name     string
+	logLevel int
 }
 
-// NewFlags begins a program's command line with the flags that all programs have.
+// NewFlags returns Flags with the flags that all programs have.
 func NewFlags(name, about string) *Flags {
 	flags := &Flags{Parser: flaggy.NewParser(name), name: name}
 	flags.Parser.Description = about
-	flags.Parser.Version = Release
+	flags.Parser.Version = Version
 	flags.Parser.ShowHelpOnUnexpected = false
-	flags.Parser.Int(&flags.levels, "", "log-level", "verbosity of the log, 0 to 9")
+	flags.Parser.Int(&flags.logLevel, "", "log-level", "log verbosity, 0 to 9")
 	return flags
 }
 
-// Parse reads the arguments, which take precedence over those of a --place file.
+// Parse parses the arguments, which take precedence over those of a --place file.
 func (flags *Flags) Parse() {
-	arguments, err := configFile(os.Args[1:])
+	arguments, err := expandFlagFile(os.Args[1:])
 	flags.Exit(err)
 	for index, argument := range arguments {
 		if argument == "-" {
 			arguments[index] = "/dev/stdin"
 		}
 	}
-	flags.Exit(flags.known(arguments))
+	flags.Exit(flags.checkKnown(arguments))
 	if err := flags.Parser.ParseArgs(arguments); err != nil {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "%v", err))
 	}
-	if flags.levels < 0 || flags.levels > 9 {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "--log-level: %d is not in 0 to 9", flags.levels))
+	if flags.logLevel < 0 || flags.logLevel > 9 {
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--log-level: %d is not between 0 and 9", flags.logLevel))
 	}
 	set := flag.NewFlagSet("log", flag.ContinueOnError)
 	klog.InitFlags(set)
-	for name, value := range map[string]string{"logtostderr": "true", "v": strconv.Itoa(flags.levels)} {
+	for name, value := range map[string]string{"logtostderr": "true", "v": strconv.Itoa(flags.logLevel)} {
 		if err := set.Set(name, value); err != nil {
 			flags.Exit(rpc.Errorf(rpc.BadFlag, "log: %v", err))
 		}
 	}
 }
 
-// known refuses what flaggy would pass over in silence.
-func (flags *Flags) known(arguments []string) error {
+// checkKnown rejects unknown flags and stray arguments, which flaggy would silently ignore.
+func (flags *Flags) checkKnown(arguments []string) error {
 	takesValue := map[string]bool{"help": false, "h": false, "version": false}
-	learn := func(known []*flaggy.Flag) {
-		for _, one := range known {
-			_, switched := one.AssignmentVar.(*bool)
-			takesValue[one.LongName], takesValue[one.ShortName] = !switched, !switched
+	addFlags := func(known []*flaggy.Flag) {
+		for _, option := range known {
+			_, isBool := option.AssignmentVar.(*bool)
+			takesValue[option.LongName], takesValue[option.ShortName] = !isBool, !isBool
 		}
 	}
-	learn(flags.Parser.Flags)
+	addFlags(flags.Parser.Flags)
 	for _, subcommand := range flags.Parser.Subcommands {
-		learn(subcommand.Flags)
+		addFlags(subcommand.Flags)
 	}
 	for index := 0; index < len(arguments); index++ {
 		name, _, joined := strings.Cut(strings.TrimLeft(arguments[index], "-"), "=")
 		if !strings.HasPrefix(arguments[index], "-") {
 			if len(flags.Parser.Subcommands) == 0 {
-				return rpc.Errorf(rpc.BadFlag, "%q belongs to no flag", arguments[index])
+				return rpc.Errorf(rpc.BadFlag, "unexpected argument %q", arguments[index])
 			}
 			continue
 		}
 		valued, found := takesValue[name]
 		if !found || name == "" {
-			return rpc.Errorf(rpc.BadFlag, "no flag %s", arguments[index])
+			return rpc.Errorf(rpc.BadFlag, "unknown flag %s", arguments[index])
 		}
 		if valued && !joined {
 			index++
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// Exit ends with status 2 and one line, where there is an error.
+// Exit prints err on one line and exits with status 2. It does nothing if err is nil.
 func (flags *Flags) Exit(err error) {
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", flags.name, err)
@@ -107,8 +107,9 @@
 	}
 }
 
-// configFile turns the lines "flag value" of a file into arguments; the command line wins.
-func configFile(arguments []string) ([]string, error) {
+// expandFlagFile replaces --place by the "flag value" lines of the named file, without flags that
+// are also given on the command line.
+func expandFlagFile(arguments []string) ([]string, error) {
 	for index, argument := range arguments {
 		path, given := strings.CutPrefix(argument, "--place=")
 		width := 1
@@ -133,7 +134,7 @@
 			if strings.HasPrefix(name, "-") {
 				return nil, rpc.Errorf(rpc.BadFlag, "%s:%d: want \"flag value\"", path, number+1)
 			}
-			if !overridden(rest, name) {
+			if !isSet(rest, name) {
 				fromFile = append(fromFile, "--"+name+"="+strings.TrimSpace(value))
 			}
 		}
@@ -142,7 +143,7 @@
 	return arguments, nil
 }
 
-func overridden(arguments []string, name string) bool {
+func isSet(arguments []string, name string) bool {
 	for _, argument := range arguments {
 		if argument == "--"+name || strings.HasPrefix(argument, "--"+name+"=") {
 			return true
@@ -151,7 +152,7 @@
 	return false
 }
 
-// Transport is how processes reach each other.
+// Transport returns the HTTP transport of calls between processes.
 func Transport() *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second, KeepAlive: 5 * time.Second}).DialContext,
@@ -160,7 +161,7 @@
 	}
 }
 
-// OnTerm calls the hook at SIGTERM or SIGINT.
+// OnTerm calls hook at SIGTERM or SIGINT.
 func OnTerm(goroutines *concurrent.Group, hook func()) {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	goroutines.OnStop(cancel)
@@ -170,7 +171,7 @@
 	})
 }
 
-// LogCounts writes the counters now and then.
+// LogCounts logs the counters once a minute.
 func LogCounts(goroutines *concurrent.Group, counters *metrics.Counters, name string) {
 	goroutines.Every(concurrent.Fixed(time.Minute), func() {
 		var line strings.Builder
--- a/process/far.go
+++ b/process/wan.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// WANTransport is a Transport that gives up a connection whose bytes nobody
-// took for so long: a machine without power, or behind a cut, says nothing.
+// WANTransport returns a Transport that drops a connection if sent data stays unacknowledged for
+// userTimeout: a peer without power or behind a network partition sends no reset.
 func WANTransport(userTimeout time.Duration) *http.Transport {
 	transport := Transport()
 	dialer := &net.Dialer{Timeout: time.Second, KeepAlive: 5 * time.Second, Control: SetUserTimeout(userTimeout)}
@@ -18,20 +18,20 @@
 	return transport
 }
 
-// SocketControl sets options of a socket before it is connected, as net.Dialer's Control.
+// SocketControl sets options of a socket before it is connected. It is a net.Dialer's Control.
 type SocketControl func(network, address string, conn syscall.RawConn) error
 
-// SetUserTimeout is a SocketControl that sets TCP_USER_TIMEOUT.
+// SetUserTimeout returns a SocketControl that sets TCP_USER_TIMEOUT.
 func SetUserTimeout(span time.Duration) SocketControl {
-	return setOption(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(span.Milliseconds()))
+	return setSocketOption(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(span.Milliseconds()))
 }
 
-// SetReceiveBuffer is a SocketControl that bounds the bytes which a peer may have under way.
+// SetReceiveBuffer returns a SocketControl that limits the bytes that a peer may have in flight.
 func SetReceiveBuffer(bytes int) SocketControl {
-	return setOption(unix.SOL_SOCKET, unix.SO_RCVBUF, bytes)
+	return setSocketOption(unix.SOL_SOCKET, unix.SO_RCVBUF, bytes)
 }
 
-// Controls is the SocketControl that does what all the given ones do, in their order.
+// Controls returns a SocketControl that calls the given ones in order.
 func Controls(controls ...SocketControl) SocketControl {
 	return func(network, address string, conn syscall.RawConn) error {
 		for _, control := range controls {
@@ -43,13 +43,13 @@
 	}
 }
 
-func setOption(level, option, value int) SocketControl {
+func setSocketOption(level, option, value int) SocketControl {
 	return func(_, _ string, conn syscall.RawConn) error {
 		var err error
-		if opened := conn.Control(func(handle uintptr) {
+		if controlErr := conn.Control(func(handle uintptr) {
 			err = unix.SetsockoptInt(int(handle), level, option, value)
-		}); opened != nil {
-			return opened
+		}); controlErr != nil {
+			return controlErr
 		}
 		return err
 	}
