--- a/cmd/ojbackend/main.go
+++ b/cmd/ojbackend/main.go
@@ -1,4 +1,4 @@
-// Command ojbackend is a stand-in for a backend of a partner.
+// Command ojbackend simulates a partner's backend.
 package main
 
 import (
@@ -12,22 +12,22 @@
 )
 
 func main() {
-	flags := process.NewFlags("ojbackend", "a stand-in for a partner's backend")
+	flags := process.NewFlags("ojbackend", "simulates a partner's backend")
 	place := standin.BackendConfig{Room: 32, WorkMs: 5, GentleRate: 10}
 	listen, leaveMs := "", 2500
-	flags.Parser.String(&listen, "", "listen", "IP:port to answer on")
-	flags.Parser.String(&place.Service, "", "service", "service this backend belongs to")
-	flags.Parser.String(&place.Instance, "", "instance", "this backend's name")
-	flags.Parser.Int(&place.WorkMs, "", "work-ms", "time a task takes")
-	flags.Parser.Int(&place.ColdMs, "", "cold-ms", "time it stays cold after its start")
-	flags.Parser.Float64(&place.GentleRate, "", "gentle-rate", "tasks a second while cold")
-	flags.Parser.Int(&place.Room, "", "room", "tasks in flight at full usage")
-	flags.Parser.String(&place.Journal, "", "journal", "file that keeps the charges")
-	flags.Parser.Int(&leaveMs, "", "leave-ms", "time between SIGTERM and the end")
+	flags.Parser.String(&listen, "", "listen", "IP:port to listen on")
+	flags.Parser.String(&place.Service, "", "service", "service of this backend")
+	flags.Parser.String(&place.Instance, "", "instance", "name of this backend")
+	flags.Parser.Int(&place.WorkMs, "", "work-ms", "time per task in milliseconds")
+	flags.Parser.Int(&place.ColdMs, "", "cold-ms", "warm-up time after the start in milliseconds")
+	flags.Parser.Float64(&place.GentleRate, "", "gentle-rate", "tasks per second during warm-up")
+	flags.Parser.Int(&place.Room, "", "room", "number of concurrent tasks at which the reported load is 1")
+	flags.Parser.String(&place.Journal, "", "journal", "file in which charges are recorded")
+	flags.Parser.Int(&leaveMs, "", "leave-ms", "time from SIGTERM until the listener is drained, in milliseconds")
 	flags.Parse()
 	flags.Exit(rpc.CheckAddress("--listen", listen))
 	if place.Service == "" || place.Instance == "" {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "--service and --instance must be given"))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--service and --instance are required"))
 	}
 	place.Incarnation = agent.NewID()
 	backend, err := standin.NewBackend(place)
--- a/cmd/ojcluster/capacity.go
+++ b/cmd/ojcluster/capacity.go
@@ -10,25 +10,24 @@
 	"orchidjunction/rpc"
 )
 
-// capacityPage is the command that writes the tables of the capacity page.
-type capacityPage struct {
+// capacityCommand is the subcommand that generates the tables of the capacity page.
+type capacityCommand struct {
 	command       *flaggy.Subcommand
 	entries, page string
 }
 
-func capacityFlags(flags *process.Flags) *capacityPage {
-	capacity := &capacityPage{command: flaggy.NewSubcommand("capacity"), page: "docs/CAPACITY.md"}
-	capacity.command.Description = "writes the tables of the capacity page from journal entries of the bench's sweep"
-	capacity.command.String(&capacity.entries, "", "entries", "files of journal entries, comma between")
-	capacity.command.String(&capacity.page, "", "page", "the page")
+func capacityFlags(flags *process.Flags) *capacityCommand {
+	capacity := &capacityCommand{command: flaggy.NewSubcommand("capacity"), page: "docs/CAPACITY.md"}
+	capacity.command.Description = "generate the tables of the capacity page from the journal entries of a benchmark sweep"
+	capacity.command.String(&capacity.entries, "", "entries", "comma-separated files with journal entries")
+	capacity.command.String(&capacity.page, "", "page", "the page to update")
 	flags.Parser.AttachSubcommand(capacity.command, 1)
 	return capacity
 }
 
-// write writes the tables.
-func (capacity *capacityPage) write() error {
+func (capacity *capacityCommand) write() error {
 	if capacity.entries == "" {
-		return rpc.Errorf(rpc.BadFlag, "--entries must be given")
+		return rpc.Errorf(rpc.BadFlag, "--entries is required")
 	}
 	sweeps := []*sweep.Sweep{}
 	for path := range strings.SplitSeq(capacity.entries, ",") {
--- a/cmd/ojcluster/main.go
+++ b/cmd/ojcluster/main.go
@@ -1,6 +1,5 @@
-// Command ojcluster runs a deployment of real processes on this machine, injects the
-// faults of a scenario and prints the verdicts. It also writes the
-// tables of the capacity page.
+// Command ojcluster runs a deployment of real processes on this machine, injects the faults of a
+// scenario and prints the verdicts. It also generates the tables of the capacity page.
 package main
 
 import (
@@ -17,7 +16,7 @@
 	"orchidjunction/rpc"
 )
 
-// options is what the command line says beside what holds for every fleet.
+// options holds the command-line options. spec holds those that are the same for every fleet.
 type options struct {
 	size     string
 	scenario string
@@ -36,17 +35,19 @@
 		"ojcluster",
 		"runs a deployment of orchidjunction's processes and injects faults; scenarios: "+strings.Join(cluster.Names(), ", "),
 	)
-	given := parse(flags)
-	chosen, found := cluster.Scenarios[given.scenario]
+	opts := parse(flags)
+	scenario, found := cluster.Scenarios[opts.scenario]
 	if !found {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "--scenario: no scenario %q; there are %s", given.scenario, strings.Join(cluster.Names(), ", ")))
+		flags.Exit(
+			rpc.Errorf(rpc.BadFlag, "--scenario: unknown scenario %q, want one of %s", opts.scenario, strings.Join(cluster.Names(), ", ")),
+		)
 	}
-	sizes := given.sizes()
+	sizes := opts.sizes()
 	goroutines := concurrent.NewGroup()
-	fleets := given.newFleets(flags, sizes, goroutines)
+	fleets := opts.newFleets(flags, sizes, goroutines)
 	process.OnTerm(goroutines, goroutines.Stop)
-	begin := time.Now()
-	verdicts, err := cluster.PlayBoth(fleets, chosen, goroutines)
+	start := time.Now()
+	verdicts, err := cluster.PlayBoth(fleets, scenario, goroutines)
 	goroutines.Stop()
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "ojcluster: %v\n", err)
@@ -57,85 +58,89 @@
 		if len(verdicts) > 1 {
 			fmt.Printf("%s:\n", sizes[index])
 		}
-		allHold = checker.Print(os.Stdout, lines, given.untimed) && allHold
+		allHold = checker.Print(os.Stdout, lines, opts.untimed) && allHold
 	}
 	fmt.Printf(
 		"%s: %v after %v\n",
-		given.scenario,
-		map[bool]string{true: "all hold", false: "not all hold"}[allHold],
-		time.Since(begin).Round(time.Second),
+		opts.scenario,
+		map[bool]string{true: "all verdicts hold", false: "not all verdicts hold"}[allHold],
+		time.Since(start).Round(time.Second),
 	)
 	if !allHold {
 		os.Exit(1)
 	}
 }
 
-// parse reads the command line. Where that asks for a measurement, it is made here and
-// the process ends.
+// parse parses the command line. It runs the capacity subcommand, if given, and exits.
 func parse(flags *process.Flags) *options {
-	given := &options{
+	opts := &options{
 		size: "small", scenario: "calm", examples: "examples", bin: "bin", seed: 1,
 		spec: cluster.Spec{BasePort: 21000, Seconds: 20, Seed: 1, LagMs: 1000, Changes: 2, Tries: 4},
 	}
-	flags.Parser.String(&given.size, "", "size", "small, volta, saqtau, or both partners together, lending to each other")
-	flags.Parser.String(&given.scenario, "", "scenario", "the faults to inject")
-	flags.Parser.String(&given.examples, "", "examples", "folder with the sizes' settings files")
-	flags.Parser.String(&given.settings, "", "settings", "settings file, when not that of the size")
-	flags.Parser.String(&given.bin, "", "bin", "folder with the programs")
-	flags.Parser.String(&given.folder, "", "folder", "new folder for data and logs; a temporary one when not given")
-	flags.Parser.Int(&given.spec.BasePort, "", "base-port", "first of the ports used on 127.0.0.1")
-	flags.Parser.Float64(&given.spec.Seconds, "", "seconds", "how long callers call")
-	flags.Parser.Int(&given.rate, "", "rate", "tasks a second, when not that of the size")
-	flags.Parser.Int(&given.seed, "", "seed", "seed of everything drawn")
-	flags.Parser.Int(&given.spec.Changes, "", "changes", "settings changes a second, about")
-	flags.Parser.Int(&given.spec.Tries, "", "tries", "tries that a caller makes for one task")
-	flags.Parser.Bool(&given.untimed, "", "untimed", "show the verdicts that a slow machine could fail, but do not count them")
+	flags.Parser.String(
+		&opts.size,
+		"",
+		"size",
+		"size of the deployment: small, volta, saqtau, or both (volta and saqtau, lending to each other)",
+	)
+	flags.Parser.String(&opts.scenario, "", "scenario", "faults to inject")
+	flags.Parser.String(&opts.examples, "", "examples", "folder with the settings files of the sizes")
+	flags.Parser.String(&opts.settings, "", "settings", "settings file; default: that of the size")
+	flags.Parser.String(&opts.bin, "", "bin", "folder with the executables")
+	flags.Parser.String(&opts.folder, "", "folder", "new folder for data and logs; default: a temporary one")
+	flags.Parser.Int(&opts.spec.BasePort, "", "base-port", "first port to use on 127.0.0.1")
+	flags.Parser.Float64(&opts.spec.Seconds, "", "seconds", "duration of the load in seconds")
+	flags.Parser.Int(&opts.rate, "", "rate", "tasks per second; default: that of the size")
+	flags.Parser.Int(&opts.seed, "", "seed", "seed of the random generators")
+	flags.Parser.Int(&opts.spec.Changes, "", "changes", "approximate number of settings changes per second")
+	flags.Parser.Int(&opts.spec.Tries, "", "tries", "maximum number of attempts of a caller per task")
+	flags.Parser.Bool(&opts.untimed, "", "untimed", "do not fail on verdicts that depend on the speed of the machine, only print them")
 	capacity := capacityFlags(flags)
 	flags.Parse()
 	if capacity.command.Used {
 		flags.Exit(capacity.write())
 		os.Exit(0)
 	}
-	return given
+	return opts
 }
 
-// sizes are the names of the fleets to run.
-func (given *options) sizes() []string {
-	if given.size != cluster.Both {
-		return []string{given.size}
+// sizes returns the names of the fleets to run.
+func (opts *options) sizes() []string {
+	if opts.size != cluster.Both {
+		return []string{opts.size}
 	}
-	given.spec.Guests = 2
+	opts.spec.Guests = 2
 	return []string{"volta", "saqtau"}
 }
 
-// newFleets returns a fleet of each size on ports of its own; two lend to each other.
-func (given *options) newFleets(flags *process.Flags, sizes []string, goroutines *concurrent.Group) []*cluster.Fleet {
-	if given.folder == "" {
-		made, err := os.MkdirTemp("", "ojcluster-")
+// newFleets returns a fleet of each size, on separate ports. Two fleets lend to each other.
+func (opts *options) newFleets(flags *process.Flags, sizes []string, goroutines *concurrent.Group) []*cluster.Fleet {
+	if opts.folder == "" {
+		created, err := os.MkdirTemp("", "ojcluster-")
 		if err != nil {
 			flags.Exit(rpc.Errorf(rpc.BadFlag, "--folder: %v", err))
 		}
-		given.folder = made
+		opts.folder = created
 	}
-	fleets, port := []*cluster.Fleet{}, given.spec.BasePort
+	fleets, port := []*cluster.Fleet{}, opts.spec.BasePort
 	for _, name := range sizes {
 		base, found := cluster.Sizes[name]
 		if !found {
-			flags.Exit(rpc.Errorf(rpc.BadFlag, "--size: no size %q; there are small, volta, saqtau and both", name))
+			flags.Exit(rpc.Errorf(rpc.BadFlag, "--size: unknown size %q, want small, volta, saqtau or both", name))
 		}
-		spec := given.specOf(&base, port)
+		spec := opts.specOf(&base, port)
 		if len(sizes) > 1 {
-			spec.Folder = filepath.Join(given.folder, name)
+			spec.Folder = filepath.Join(opts.folder, name)
 		}
 		fleet, err := cluster.NewFleet(spec, goroutines)
 		flags.Exit(err)
 		fleets = append(fleets, fleet)
 		port += spec.Ports()
 		fmt.Printf(
-			"%s of %s, seed %d: %d cores, %d directories, %d proxies, %d backends, %d tasks a second for %v s; data and logs in %s\n",
-			given.scenario,
+			"%s of %s, seed %d: %d cores, %d directories, %d proxies, %d backends, %d tasks per second for %v s; data and logs in %s\n",
+			opts.scenario,
 			name,
-			given.seed,
+			opts.seed,
 			spec.Cores,
 			spec.Directories,
 			spec.Proxies,
@@ -152,19 +157,19 @@
 	return fleets
 }
 
-// specOf is the spec of a fleet of one size whose ports begin at port.
-func (given *options) specOf(base *cluster.Spec, port int) cluster.Spec {
-	spec := given.spec
-	spec.Settings = filepath.Join(given.examples, base.Settings+".json")
+// specOf returns the spec of a fleet of one size with port as its first port.
+func (opts *options) specOf(base *cluster.Spec, port int) cluster.Spec {
+	spec := opts.spec
+	spec.Settings = filepath.Join(opts.examples, base.Settings+".json")
 	spec.Cores, spec.Directories, spec.Proxies, spec.Backends = base.Cores, base.Directories, base.Proxies, base.Backends
 	spec.Rate, spec.MoneyPart = base.Rate, base.MoneyPart
-	spec.Bin, spec.Seed = given.bin, uint64(given.seed)
-	spec.BasePort, spec.Folder = port, given.folder
-	if given.settings != "" {
-		spec.Settings = given.settings
+	spec.Bin, spec.Seed = opts.bin, uint64(opts.seed)
+	spec.BasePort, spec.Folder = port, opts.folder
+	if opts.settings != "" {
+		spec.Settings = opts.settings
 	}
-	if given.rate > 0 {
-		spec.Rate = given.rate
+	if opts.rate > 0 {
+		spec.Rate = opts.rate
 	}
 	return spec
 }
--- a/cmd/ojcore/main.go
+++ b/cmd/ojcore/main.go
@@ -1,5 +1,5 @@
-// Command ojcore is a core: it votes in elections, leads when it is elected, and
-// keeps settings, usage reports and idempotency keys on its disk.
+// Command ojcore runs a core: it takes part in elections, leads if elected, and stores settings,
+// usage reports and idempotency keys on disk.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	"orchidjunction/storage"
 )
 
-// options is what the command line says beside the core's own configuration.
+// options holds the command-line options that are not part of control.Config.
 type options struct {
 	data   string
 	grace  time.Duration
@@ -29,12 +29,12 @@
 }
 
 func main() {
-	flags, config, given := parse()
+	flags, config, opts := parse()
 	goroutines, counters := concurrent.NewGroup(), metrics.NewCounters()
 	client := rpc.NewClient(process.Transport())
-	finder := agent.NewLeaderFinder(client, goroutines, knownCores(config))
+	finder := agent.NewLeaderFinder(client, goroutines, coreAddresses(config))
 	config.OnMembershipChange = finder.ObserveMembership
-	core, err := control.NewCore(*config, storage.Folder(given.data), client, goroutines, counters)
+	core, err := control.NewCore(*config, storage.Folder(opts.data), client, goroutines, counters)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "ojcore: %v\n", err)
 		os.Exit(3)
@@ -42,11 +42,11 @@
 	server := rpc.NewServer(counters)
 	core.Register(server)
 	forwarder := agent.NewForwarder(finder, client, counters)
-	name := nameOf(config)
+	name := coreName(config)
 	operatorAPI := agent.NewOperatorAPI(name, forwarder, counters, core.Settings, core.CanVote)
 	internal, err := process.Listen(config.InternalAddress, server, process.ListenOptions{Counters: counters})
 	flags.Exit(err)
-	operators, err := process.Listen(config.OperatorAddress, operatorAPI, process.ListenOptions{Limits: given.limits, Counters: counters})
+	operators, err := process.Listen(config.OperatorAddress, operatorAPI, process.ListenOptions{Limits: opts.limits, Counters: counters})
 	flags.Exit(err)
 	internal.Serve(goroutines)
 	operators.Serve(goroutines)
@@ -54,9 +54,9 @@
 	core.Run()
 	process.LogCounts(goroutines, counters, name)
 	process.OnTerm(goroutines, func() {
-		begin := time.Now()
-		core.Retire(given.grace)
-		operators.Drain(given.grace - time.Since(begin))
+		start := time.Now()
+		core.Retire(opts.grace)
+		operators.Drain(opts.grace - time.Since(start))
 		goroutines.Stop()
 	})
 	klog.Infof("%s: started in zone %s", name, config.Zone)
@@ -68,60 +68,59 @@
 	core.Close()
 }
 
-// parse reads the command line and makes the data folder; it ends the process where
-// either is wrong.
+// parse parses the command line and creates the data folder. It exits on errors.
 func parse() (*process.Flags, *control.Config, *options) {
-	flags := process.NewFlags("ojcore", "a core machine of orchidjunction: keeps settings on disk and elects the leader")
-	config, given := &control.Config{}, &options{}
+	flags := process.NewFlags("ojcore", "core of orchidjunction: elects the leader and stores settings on disk")
+	config, opts := &control.Config{}, &options{}
 	peers, seeds := []string{}, []string{}
 	heartbeatMs, suspicionMs, graceMs := 75, 300, 6000
-	flags.Parser.Int(&config.ID, "", "id", "this core's id, 1 to 99, where it founds the system")
-	flags.Parser.String(&config.Zone, "", "zone", "zone this core stands in")
-	flags.Parser.String(&config.InternalAddress, "", "wire", "IP:port for the system's own processes")
-	flags.Parser.String(&config.OperatorAddress, "", "operate", "IP:port for operators")
-	flags.Parser.StringSlice(&peers, "", "peer", "another core as id=IP:port; once per core")
+	flags.Parser.Int(&config.ID, "", "id", "ID of this core, 1 to 99; not for a joining core (--seed)")
+	flags.Parser.String(&config.Zone, "", "zone", "zone of this core")
+	flags.Parser.String(&config.InternalAddress, "", "wire", "IP:port to listen on for calls of other processes of the system")
+	flags.Parser.String(&config.OperatorAddress, "", "operate", "IP:port to listen on for operators")
+	flags.Parser.StringSlice(&peers, "", "peer", "another core as id=IP:port; repeat for each core")
 	flags.Parser.StringSlice(
 		&seeds,
 		"",
 		"seed",
-		"IP:port of a core that may know who votes, for a new core instead of --id and --peer; once per core",
+		"internal IP:port of an existing core, for a joining core instead of --id and --peer; repeat for each core",
 	)
-	flags.Parser.String(&given.data, "", "data", "data folder; only this one is written")
-	flags.Parser.String(&config.PlatformAddress, "", "platform", "IP:port of the platform's list")
-	flags.Parser.Bool(&config.Bootstrap, "", "found", "let a blank disk found a new system when every core is blank")
-	flags.Parser.Int(&heartbeatMs, "", "beat-ms", "milliseconds between the leader's heartbeats")
-	flags.Parser.Int(&suspicionMs, "", "suspect-ms", "silence after which a leader is suspected")
-	flags.Parser.Int(&graceMs, "", "grace-ms", "grace after SIGTERM")
+	flags.Parser.String(&opts.data, "", "data", "data folder; nothing is written elsewhere")
+	flags.Parser.String(&config.PlatformAddress, "", "platform", "IP:port of the platform's API that lists backends")
+	flags.Parser.Bool(&config.Bootstrap, "", "found", "create a new system if the disks of all cores are blank")
+	flags.Parser.Int(&heartbeatMs, "", "beat-ms", "interval of the leader's heartbeats in milliseconds")
+	flags.Parser.Int(&suspicionMs, "", "suspect-ms", "time without heartbeats after which the leader is suspected, in milliseconds")
+	flags.Parser.Int(&graceMs, "", "grace-ms", "maximum duration of the shutdown after SIGTERM in milliseconds")
 	limitFlags := process.NewLimitFlags(flags)
 	flags.Parse()
 	limits, err := limitFlags.Limits()
 	flags.Exit(err)
-	given.limits = limits
-	flags.Exit(takePeers(config, peers))
-	flags.Exit(takeSeeds(config, seeds))
+	opts.limits = limits
+	flags.Exit(configurePeers(config, peers))
+	flags.Exit(configureSeeds(config, seeds))
 	config.HeartbeatInterval = process.Milliseconds(heartbeatMs)
 	config.SuspicionTimeout = process.Milliseconds(suspicionMs)
 	config.Seed = uint64(time.Now().UnixNano())
 	if graceMs < 0 {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "--grace-ms: %d is below 0", graceMs))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--grace-ms: %d is negative", graceMs))
 	}
-	given.grace = process.Milliseconds(graceMs)
+	opts.grace = process.Milliseconds(graceMs)
 	flags.Exit(config.Check())
 	flags.Exit(rpc.CheckAddress("--operate", config.OperatorAddress))
 	if config.PlatformAddress != "" {
 		flags.Exit(rpc.CheckAddress("--platform", config.PlatformAddress))
 	}
-	if given.data == "" {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "--data must be given"))
+	if opts.data == "" {
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--data is required"))
 	}
-	if err := os.MkdirAll(given.data, 0o700); err != nil {
+	if err := os.MkdirAll(opts.data, 0o700); err != nil {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--data: %v", err))
 	}
-	return flags, config, given
+	return flags, config, opts
 }
 
-// takePeers reads the values of --peer.
-func takePeers(config *control.Config, peers []string) error {
+// configurePeers parses the values of --peer.
+func configurePeers(config *control.Config, peers []string) error {
 	for _, text := range peers {
 		id, address, _ := strings.Cut(text, "=")
 		number, err := strconv.Atoi(id)
--- a/cmd/ojcore/seeds.go
+++ b/cmd/ojcore/seeds.go
@@ -8,19 +8,19 @@
 	"orchidjunction/rpc"
 )
 
-// takeSeeds makes a core that was given seeds one that joins a running system.
-func takeSeeds(config *control.Config, seeds []string) error {
+// configureSeeds makes a core with seeds join a running system.
+func configureSeeds(config *control.Config, seeds []string) error {
 	if len(seeds) == 0 {
 		if config.ID == 0 {
-			return rpc.Errorf(rpc.BadFlag, "--id or --seed must be given")
+			return rpc.Errorf(rpc.BadFlag, "--id or --seed is required")
 		}
 		return nil
 	}
 	if config.ID != 0 || len(config.Peers) > 0 {
-		return rpc.Errorf(rpc.BadFlag, "--seed: a core that joins gets its id from the others; leave out --id and --peer")
+		return rpc.Errorf(rpc.BadFlag, "--seed: a joining core is assigned its ID; leave out --id and --peer")
 	}
 	if config.Bootstrap {
-		return rpc.Errorf(rpc.BadFlag, "--found: a core that joins founds nothing; leave it out beside --seed")
+		return rpc.Errorf(rpc.BadFlag, "--found cannot be combined with --seed: a joining core does not create a new system")
 	}
 	if slices.Contains(seeds, config.InternalAddress) {
 		return rpc.Errorf(rpc.BadFlag, "--seed: %s is this core's own --wire", config.InternalAddress)
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// knownCores are the cores' addresses that the flags name.
-func knownCores(config *control.Config) []string {
+// coreAddresses returns the addresses of all cores in the configuration.
+func coreAddresses(config *control.Config) []string {
 	addresses := []string{config.InternalAddress}
 	for _, peer := range config.Peers {
 		addresses = append(addresses, peer.Address)
@@ -38,8 +38,8 @@
 	return append(addresses, config.Seeds...)
 }
 
-// nameOf is what logs and counters call this core.
-func nameOf(config *control.Config) string {
+// coreName returns the name of this core in logs and counters.
+func coreName(config *control.Config) string {
 	if config.ID > 0 {
 		return fmt.Sprintf("core-%d", config.ID)
 	}
--- a/cmd/ojcore/seeds_test.go
+++ b/cmd/ojcore/seeds_test.go
@@ -9,8 +9,8 @@
 	"orchidjunction/rpc"
 )
 
-func TestSeedsAreCheckedAgainstOtherFlags(test *testing.T) {
-	for _, try := range []struct {
+func TestSeedFlagConflicts(test *testing.T) {
+	for _, testCase := range []struct {
 		place control.Config
 		seeds []string
 		says  string
@@ -23,13 +23,14 @@
 		{control.Config{InternalAddress: "10.0.0.4:1"}, []string{"10.0.0.4:1"}, "own --wire"},
 		{control.Config{InternalAddress: "10.0.0.4:1"}, []string{"10.0.0.1:1", "10.0.0.2:1"}, ""},
 	} {
-		config := try.place
-		err := takeSeeds(&config, try.seeds)
-		if try.says == "" && err != nil || try.says != "" && (err == nil || !strings.Contains(rpc.AsError(err).Message, try.says)) {
-			test.Errorf("%+v %v: %v, want %q", try.place, try.seeds, err, try.says)
+		config := testCase.place
+		err := configureSeeds(&config, testCase.seeds)
+		if testCase.says == "" && err != nil ||
+			testCase.says != "" && (err == nil || !strings.Contains(rpc.AsError(err).Message, testCase.says)) {
+			test.Errorf("%+v %v: %v, want %q", testCase.place, testCase.seeds, err, testCase.says)
 		}
-		if err == nil && len(config.Seeds) != len(try.seeds) {
-			test.Errorf("%+v: seeds %v", try.place, config.Seeds)
+		if err == nil && len(config.Seeds) != len(testCase.seeds) {
+			test.Errorf("%+v: seeds %v", testCase.place, config.Seeds)
 		}
 	}
 }
--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -1,6 +1,6 @@
-// Command ojctl is the operators' command: it reads and changes settings, drains
-// zones and backends, and reports status and service-level objectives. Exit codes:
-// 0 done, 1 refused, 2 wrong use, 3 outcome unknown, 4 no daemon answers.
+// Command ojctl is the operators' command-line tool: it reads and changes settings, drains zones
+// and backends, and reports status and service-level objectives. Exit status: 0 success,
+// 1 rejected, 2 usage error, 3 outcome unknown, 4 no daemon reachable.
 package main
 
 import (
@@ -25,108 +25,108 @@
 )
 
 const (
-	exitRefused = 1
-	exitUnknown = 3
-	exitSilent  = 4
-	tries       = 5
+	exitRefused        = 1
+	exitOutcomeUnknown = 3
+	exitUnreachable    = 4
+	maxAttempts        = 5
 )
 
-type errand struct {
-	client   *operator.Client
-	daemons  []string
-	file     string
-	name     string
-	kind     string
-	changeID string
-	operator string
-	base     int
-	whole    bool
+type cli struct {
+	client    *operator.Client
+	daemons   []string
+	file      string
+	name      string
+	kind      string
+	changeID  string
+	operator  string
+	base      int
+	effective bool
 
-	termSeconds int
+	deadlineSeconds int
 }
 
 func main() {
-	flags := process.NewFlags("ojctl", "reads and changes orchidjunction's settings")
-	command := &errand{base: -1}
-	flags.Parser.StringSlice(&command.daemons, "d", "daemon", "IP:port of a daemon's operators' side; may be given more than once")
-	uses := map[*flaggy.Subcommand]func(*errand) error{}
-	add := func(name, about string, run func(*errand) error, shape func(*flaggy.Subcommand)) {
+	flags := process.NewFlags("ojctl", "operates orchidjunction: settings, drains, roll-outs, cores and status")
+	command := &cli{base: -1}
+	flags.Parser.StringSlice(&command.daemons, "d", "daemon", "IP:port of a daemon's operator API; may be repeated")
+	handlers := map[*flaggy.Subcommand]func(*cli) error{}
+	add := func(name, about string, run func(*cli) error, shape func(*flaggy.Subcommand)) {
 		subcommand := flaggy.NewSubcommand(name)
 		subcommand.Description = about
 		if shape != nil {
 			shape(subcommand)
 		}
 		flags.Parser.AttachSubcommand(subcommand, 1)
-		uses[subcommand] = run
+		handlers[subcommand] = run
 	}
 	file := func(subcommand *flaggy.Subcommand) {
-		subcommand.AddPositionalValue(&command.file, "file", 1, true, "settings as JSON, - for standard input")
+		subcommand.AddPositionalValue(&command.file, "file", 1, true, "JSON settings file, - for standard input")
 	}
 	change := func(subcommand *flaggy.Subcommand) {
-		subcommand.Int(&command.base, "b", "base", "serial that the change is based on; what is in force when not given")
-		subcommand.String(&command.changeID, "c", "change", "change id; the same id never makes a second change")
-		subcommand.String(&command.operator, "o", "operator", "who changes it, for the history")
+		subcommand.Int(&command.base, "b", "base", "serial of the settings that the change is based on; default: the current one")
+		subcommand.String(&command.changeID, "c", "change", "change ID; a change is applied only once per ID; default: a random one")
+		subcommand.String(&command.operator, "o", "operator", "name of the operator, for the history")
 	}
-	which := func(subcommand *flaggy.Subcommand) {
+	targetArguments := func(subcommand *flaggy.Subcommand) {
 		subcommand.AddPositionalValue(&command.kind, "kind", 1, true, "zone or backend")
-		subcommand.AddPositionalValue(&command.name, "name", 2, true, "which one")
+		subcommand.AddPositionalValue(&command.name, "name", 2, true, "name of the zone or backend")
 		change(subcommand)
 	}
-	add("check", "reads a settings file and names everything wrong in it", (*errand).check, file)
-	add("digest", "gives the form of a tenant's key that settings keep", (*errand).digest, func(subcommand *flaggy.Subcommand) {
-		subcommand.AddPositionalValue(&command.name, "key", 1, true, "the key")
+	add("check", "validate a settings file offline and list all errors", (*cli).check, file)
+	add("digest", "print the digest of a tenant's key for the settings", (*cli).digest, func(subcommand *flaggy.Subcommand) {
+		subcommand.AddPositionalValue(&command.name, "key", 1, true, "the tenant's key")
 	})
-	add("show", "shows the settings in force", (*errand).show, func(subcommand *flaggy.Subcommand) {
-		subcommand.Bool(&command.whole, "e", "effective", "show each route's values and the branch they come from")
+	add("show", "show the current settings", (*cli).show, func(subcommand *flaggy.Subcommand) {
+		subcommand.Bool(&command.effective, "e", "effective", "show the effective values of each route and where they are set")
 	})
-	add("put", "puts a whole version in force", (*errand).put, func(subcommand *flaggy.Subcommand) { file(subcommand); change(subcommand) })
+	add("put", "replace all settings", (*cli).put, func(subcommand *flaggy.Subcommand) { file(subcommand); change(subcommand) })
 	add(
 		"patch",
-		"lays a partial version over the one in force",
-		(*errand).patch,
+		"merge a partial version into the current settings",
+		(*cli).patch,
 		func(subcommand *flaggy.Subcommand) { file(subcommand); change(subcommand) },
 	)
-	add("drain", "empties a zone or a backend", (*errand).drain, which)
-	add("refill", "takes a zone or a backend back", (*errand).refill, which)
-	add("history", "lists the changes in force so far", (*errand).history, nil)
+	add("drain", "drain a zone or a backend", (*cli).drain, targetArguments)
+	add("refill", "end the drain of a zone or a backend", (*cli).refill, targetArguments)
+	add("history", "list the applied changes", (*cli).history, nil)
 	add(
 		"aims",
-		"reports against service-level aims, from the counters of all daemons",
-		(*errand).aims,
+		"evaluate service-level objectives from the counters of all daemons",
+		(*cli).objectives,
 		func(subcommand *flaggy.Subcommand) {
-			subcommand.AddPositionalValue(&command.file, "file", 1, true, "aims as OpenSLO documents")
+			subcommand.AddPositionalValue(&command.file, "file", 1, true, "service-level objectives as OpenSLO documents")
 		},
 	)
-	command.coreCommands(flags, uses)
-	command.rolloutCommands(flags, uses)
-	add("status", "shows the leader, the cores and every daemon", (*errand).status, nil)
+	command.coreCommands(flags, handlers)
+	command.rolloutCommands(flags, handlers)
+	add("status", "show the leader, the cores and all daemons", (*cli).status, nil)
 	flags.Parse()
-	for subcommand, run := range uses {
+	for subcommand, run := range handlers {
 		if !subcommand.Used {
 			continue
 		}
 		if subcommand.Name != "check" && subcommand.Name != "digest" {
 			if len(command.daemons) == 0 {
-				flags.Exit(rpc.Errorf(rpc.BadFlag, "--daemon must be given"))
+				flags.Exit(rpc.Errorf(rpc.BadFlag, "--daemon is required"))
 			}
 			for _, daemon := range command.daemons {
 				flags.Exit(rpc.CheckAddress("--daemon", daemon))
 			}
 		}
 		command.client = operator.NewClient(command.daemons, process.Transport())
-		end(run(command))
+		exitOnError(run(command))
 		return
 	}
 	flags.Exit(
 		rpc.Errorf(
 			rpc.BadFlag,
-			"want a command: check, digest, show, put, patch, drain, refill, history, aims, core, rollout or status",
+			"missing command, one of check, digest, show, put, patch, drain, refill, history, aims, core, rollout or status",
 		),
 	)
 }
 
-// end prints an error and turns it into the exit status that scripts read.
-func end(err error) {
+// exitOnError prints err and exits with its status. It does nothing if err is nil.
+func exitOnError(err error) {
 	if err == nil {
 		return
 	}
@@ -140,14 +140,14 @@
 	case rpc.CodeOf(err) == rpc.BadFlag:
 		os.Exit(2)
 	case rpc.CodeOf(err) == rpc.OutcomeUnknown:
-		os.Exit(exitUnknown)
+		os.Exit(exitOutcomeUnknown)
 	case rpc.CodeOf(err) == rpc.Unreachable || rpc.CodeOf(err).Status() == 503:
-		os.Exit(exitSilent)
+		os.Exit(exitUnreachable)
 	}
 	os.Exit(exitRefused)
 }
 
-func (command *errand) read() ([]byte, error) {
+func (command *cli) read() ([]byte, error) {
 	var body []byte
 	var err error
 	if command.file == "-" {
@@ -163,15 +163,15 @@
 	return body, nil
 }
 
-func show(document any) {
+func printJSON(document any) {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(document); err != nil {
-		end(rpc.Errorf(rpc.OutcomeUnknown, "output: %v", err))
+		exitOnError(rpc.Errorf(rpc.OutcomeUnknown, "writing the result: %v", err))
 	}
 }
 
-func (command *errand) check() error {
+func (command *cli) check() error {
 	body, err := command.read()
 	if err != nil {
 		return err
@@ -184,22 +184,22 @@
 	return nil
 }
 
-func (command *errand) digest() error {
+func (command *cli) digest() error {
 	sum := sha256.Sum256([]byte(command.name))
 	fmt.Println("sha256:" + hex.EncodeToString(sum[:]))
 	return nil
 }
 
-func (command *errand) show() error {
-	settings, err := command.client.Read(command.whole)
+func (command *cli) show() error {
+	settings, err := command.client.Read(command.effective)
 	if err != nil {
 		return err
 	}
 	if !settings.Confirmed {
-		fmt.Fprintln(os.Stderr, "ojctl: no leader; this is what the asked daemon has in force")
+		fmt.Fprintln(os.Stderr, "ojctl: no leader; showing the settings of the daemon that answered")
 	}
-	if !command.whole {
-		show(settings)
+	if !command.effective {
+		printJSON(settings)
 		return nil
 	}
 	routes := []config.Effective{}
@@ -221,7 +221,7 @@
 	return nil
 }
 
-func (command *errand) change(body []byte) (operator.Change, error) {
+func (command *cli) change(body []byte) (operator.Change, error) {
 	change := operator.Change{Base: uint64(max(command.base, 0)), Change: command.changeID, Operator: command.operator, Settings: body}
 	if change.Change == "" {
 		change.Change = agent.NewID()
@@ -236,35 +236,35 @@
 	return change, nil
 }
 
-// apply sends the change; an unknown outcome is asked again under the same id.
-func (command *errand) apply(change operator.Change, send func(operator.Change) (*operator.Outcome, error)) error {
+// apply sends the change. If the outcome is unknown, it retries with the same change ID.
+func (command *cli) apply(change operator.Change, send func(operator.Change) (*operator.Outcome, error)) error {
 	outcome, err := send(change)
-	for try := 1; try < tries && err != nil && rpc.CodeOf(err) == rpc.OutcomeUnknown; try++ {
+	for try := 1; try < maxAttempts && err != nil && rpc.CodeOf(err) == rpc.OutcomeUnknown; try++ {
 		outcome, err = send(change)
 	}
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "change id %s\n", change.Change)
+		fmt.Fprintf(os.Stderr, "change ID %s\n", change.Change)
 		return err
 	}
-	show(outcome)
+	printJSON(outcome)
 	return nil
 }
 
-func (command *errand) put() error {
+func (command *cli) put() error {
 	return command.send(func(change operator.Change) (*operator.Outcome, error) { return command.client.Put(change) })
 }
 
-func (command *errand) patch() error {
+func (command *cli) patch() error {
 	return command.send(func(change operator.Change) (*operator.Outcome, error) { return command.client.Patch(change) })
 }
 
-func (command *errand) send(send func(operator.Change) (*operator.Outcome, error)) error {
+func (command *cli) send(send func(operator.Change) (*operator.Outcome, error)) error {
 	body, err := command.read()
 	if err != nil {
 		return err
 	}
 	if !json.Valid(body) {
-		return rpc.Errorf(rpc.BadFlag, "%s is not JSON", command.file)
+		return rpc.Errorf(rpc.BadFlag, "%s is not valid JSON", command.file)
 	}
 	change, err := command.change(body)
 	if err != nil {
@@ -273,26 +273,27 @@
 	return command.apply(change, send)
 }
 
-func (command *errand) drain() error  { return command.mark(true) }
-func (command *errand) refill() error { return command.mark(false) }
+func (command *cli) drain() error  { return command.setDrained(true) }
+func (command *cli) refill() error { return command.setDrained(false) }
 
-// mark empties or refills; losing a race to another change, it looks again.
-func (command *errand) mark(drained bool) error {
+// setDrained begins or ends a drain. If another change comes first, it reads the settings again
+// and retries.
+func (command *cli) setDrained(drained bool) error {
 	if command.kind != "zone" && command.kind != "backend" {
-		return rpc.Errorf(rpc.BadFlag, "%q is neither zone nor backend", command.kind)
+		return rpc.Errorf(rpc.BadFlag, "%q is neither \"zone\" nor \"backend\"", command.kind)
 	}
 	for try := 0; ; try++ {
 		settings, err := command.client.Read(false)
 		if err != nil {
 			return err
 		}
-		tree, err := config.Read(settings.Settings)
+		current, err := config.Read(settings.Settings)
 		if err != nil {
 			return err
 		}
-		names := tree.Drained.Zones
+		names := current.Drained.Zones
 		if command.kind == "backend" {
-			names = tree.Drained.Backends
+			names = current.Drained.Backends
 		}
 		kept := []string{}
 		for _, name := range names {
@@ -312,33 +313,33 @@
 			change.Change = agent.NewID()
 		}
 		err = command.apply(change, command.client.Patch)
-		if err == nil || rpc.CodeOf(err) != rpc.StaleBase || command.base >= 0 || try >= tries {
+		if err == nil || rpc.CodeOf(err) != rpc.StaleBase || command.base >= 0 || try >= maxAttempts {
 			return err
 		}
 	}
 }
 
-func (command *errand) history() error {
-	trail := struct {
+func (command *cli) history() error {
+	history := struct {
 		Serial  uint64                 `json:"serial"`
 		Changes []message.HistoryEntry `json:"changes"`
 	}{}
-	if err := command.client.Ask("GET", "/v1/changes", nil, &trail); err != nil {
+	if err := command.client.Ask("GET", "/v1/changes", nil, &history); err != nil {
 		return err
 	}
-	for _, entry := range trail.Changes {
+	for _, entry := range history.Changes {
 		fmt.Printf("%6d  %-8s %-26s %s\n", entry.Serial, entry.Kind, entry.Change, entry.Operator)
 	}
 	return nil
 }
 
-func (command *errand) status() error {
+func (command *cli) status() error {
 	status, err := command.client.Status()
 	if err != nil {
 		return err
 	}
 	fmt.Printf(
-		"leader core %d at %s, ballot %s, %s, revoked by %s\n",
+		"leader core %d at %s, term %s, %s, revocation by %s\n",
 		status.Leader.Core,
 		status.Leader.Address,
 		status.Leader.Term,
@@ -346,7 +347,7 @@
 		status.Revocation,
 	)
 	for _, condition := range status.Conditions {
-		fmt.Printf("  [%s] %s (%s)\n", mark(condition.Holds), condition.Name, condition.Detail)
+		fmt.Printf("  [%s] %s (%s)\n", yesNo(condition.Holds), condition.Name, condition.Detail)
 	}
 	fmt.Printf(
 		"settings serial %d, table %s/%d, %d backends\n",
@@ -355,14 +356,14 @@
 		status.Table.Number,
 		len(status.Backends),
 	)
-	showMembership(&status.Membership)
+	printMembership(&status.Membership)
 	for _, core := range status.Cores {
 		fmt.Printf(
-			"core %d %-21s voter %s seen %s serial %d under %s\n",
+			"core %d %-21s voter %s seen %s serial %d term %s\n",
 			core.Core,
 			core.Address,
-			mark(core.Voter),
-			mark(core.Seen),
+			yesNo(core.Voter),
+			yesNo(core.Seen),
 			core.Versions[0].Serial,
 			core.Versions[0].Term,
 		)
@@ -373,8 +374,8 @@
 			daemon.Member.Kind,
 			daemon.Member.Name,
 			daemon.Member.Zone,
-			mark(daemon.Member.Ready),
-			mark(daemon.Member.Leaving),
+			yesNo(daemon.Member.Ready),
+			yesNo(daemon.Member.Leaving),
 			daemon.Serial,
 			daemon.Table.Number,
 			strings.TrimSpace(daemon.Parent),
@@ -383,8 +384,8 @@
 	return nil
 }
 
-// aims asks every daemon that the leader knows for its counters.
-func (command *errand) aims() error {
+// objectives evaluates the objectives on the counters of all daemons that the leader knows.
+func (command *cli) objectives() error {
 	body, err := command.read()
 	if err != nil {
 		return err
@@ -397,31 +398,31 @@
 	if err != nil {
 		return err
 	}
-	sums, silent := status.Counts, 0
+	totals, unreachable := status.Counts, 0
 	for _, daemon := range status.Members {
 		counts := map[string]uint64{}
 		if err := operator.NewClient([]string{daemon.Member.OperatorAddress}, process.Transport()).
 			Ask("GET", "/v1/counts", nil, &counts); err != nil {
-			silent++
+			unreachable++
 			continue
 		}
 		for name, count := range counts {
-			sums[name] += count
+			totals[name] += count
 		}
 	}
-	if silent > 0 {
-		fmt.Fprintf(os.Stderr, "ojctl: %d daemons did not tell their counters\n", silent)
+	if unreachable > 0 {
+		fmt.Fprintf(os.Stderr, "ojctl: no counters from %d unreachable daemons\n", unreachable)
 	}
 	missed := 0
-	for _, report := range slo.Evaluate(documents, sums) {
+	for _, report := range slo.Evaluate(documents, totals) {
 		fmt.Printf(
-			"%-24s target %.4f, %d of %d, %.4f, met %s, budget left %.0f%%\n",
+			"%-24s target %.4f, good %d of %d, ratio %.4f, met %s, error budget left %.0f%%\n",
 			report.Name,
 			report.Target,
 			report.Good,
 			report.Total,
 			report.Ratio,
-			mark(report.Met),
+			yesNo(report.Met),
 			100*report.Left,
 		)
 		if !report.Met {
@@ -429,12 +430,12 @@
 		}
 	}
 	if missed > 0 {
-		return rpc.Errorf(rpc.ObjectiveMissed, "%d aims are missed", missed)
+		return rpc.Errorf(rpc.ObjectiveMissed, "%d objectives missed", missed)
 	}
 	return nil
 }
 
-func mark(holds bool) string {
+func yesNo(holds bool) string {
 	if holds {
 		return "yes"
 	}
--- a/cmd/ojctl/rollout.go
+++ b/cmd/ojctl/rollout.go
@@ -15,15 +15,15 @@
 	"orchidjunction/rpc"
 )
 
-// watchInterval is the pause between two looks at a roll-out.
+// watchInterval is the interval at which `rollout watch` polls.
 const watchInterval = time.Second
 
 // rolloutCommands adds `rollout start`, `status`, `watch` and `abort`.
-func (command *errand) rolloutCommands(flags *process.Flags, uses map[*flaggy.Subcommand]func(*errand) error) {
+func (command *cli) rolloutCommands(flags *process.Flags, handlers map[*flaggy.Subcommand]func(*cli) error) {
 	rollout := flaggy.NewSubcommand("rollout")
-	rollout.Description = "brings a new version of a service into use: rollout start, status, watch or abort"
-	runs := map[*flaggy.Subcommand]func(*errand) error{}
-	add := func(name, about string, run func(*errand) error) *flaggy.Subcommand {
+	rollout.Description = "roll out a new version of a service: rollout start, status, watch or abort"
+	runs := map[*flaggy.Subcommand]func(*cli) error{}
+	add := func(name, about string, run func(*cli) error) *flaggy.Subcommand {
 		subcommand := flaggy.NewSubcommand(name)
 		subcommand.Description = about
 		subcommand.AddPositionalValue(&command.name, "service", 1, true, "the service")
@@ -31,33 +31,33 @@
 		runs[subcommand] = run
 		return subcommand
 	}
-	start := add("start", "shifts a service's requests to the backends of a version", (*errand).startRollout)
-	start.AddPositionalValue(&command.kind, "version", 2, true, "the version, as the list of backends names it")
-	start.Int(&command.termSeconds, "t", "term", "seconds within which it is to be complete")
-	add("status", "shows where a service's newest roll-out stands", (*errand).showRollout)
-	add("watch", "shows each change of a service's newest roll-out until it ends", (*errand).watchRollout)
-	add("abort", "gives all requests back to the former version", (*errand).abortRollout)
+	start := add("start", "shift a service's requests gradually to the backends of a version", (*cli).startRollout)
+	start.AddPositionalValue(&command.kind, "version", 2, true, "the version, as in the list of backends")
+	start.Int(&command.deadlineSeconds, "t", "term", "time in which the roll-out must complete, in seconds")
+	add("status", "show the state of a service's latest roll-out", (*cli).showRollout)
+	add("watch", "show each change of a service's latest roll-out until it ends", (*cli).watchRollout)
+	add("abort", "abort a roll-out and return all requests to the previous version", (*cli).abortRollout)
 	flags.Parser.AttachSubcommand(rollout, 1)
-	uses[rollout] = func(command *errand) error {
+	handlers[rollout] = func(command *cli) error {
 		for subcommand, run := range runs {
 			if subcommand.Used {
 				return run(command)
 			}
 		}
-		return rpc.Errorf(rpc.BadFlag, "want rollout start, status, watch or abort")
+		return rpc.Errorf(rpc.BadFlag, "missing subcommand, one of rollout start, status, watch or abort")
 	}
 }
 
-func (command *errand) rolloutPath() string {
+func (command *cli) rolloutPath() string {
 	return agent.RolloutPath + "/" + url.PathEscape(command.name)
 }
 
-func (command *errand) startRollout() error {
-	if command.termSeconds <= 0 {
-		return rpc.Errorf(rpc.BadFlag, "--term: %d seconds, want one at least", command.termSeconds)
+func (command *cli) startRollout() error {
+	if command.deadlineSeconds <= 0 {
+		return rpc.Errorf(rpc.BadFlag, "--term: %d is not a positive number of seconds", command.deadlineSeconds)
 	}
 	body, err := json.Marshal(agent.RolloutRequest{
-		Service: command.name, Target: command.kind, TermMs: int64(command.termSeconds) * time.Second.Milliseconds(),
+		Service: command.name, Target: command.kind, TermMs: int64(command.deadlineSeconds) * time.Second.Milliseconds(),
 	})
 	if err != nil {
 		return rpc.Errorf(rpc.BadRequest, "%v", err)
@@ -65,32 +65,32 @@
 	return command.orderRollout(http.MethodPost, agent.RolloutPath, body)
 }
 
-func (command *errand) abortRollout() error {
+func (command *cli) abortRollout() error {
 	return command.orderRollout(http.MethodDelete, command.rolloutPath(), nil)
 }
 
-// orderRollout sends an order; one without a clear answer is sent again, which starts nothing
-// anew.
-func (command *errand) orderRollout(method, path string, body []byte) error {
+// orderRollout sends a request to start or abort. Without a definite response it retries, which
+// starts no second roll-out.
+func (command *cli) orderRollout(method, path string, body []byte) error {
 	receipt := agent.RolloutReceipt{}
 	err := command.client.Ask(method, path, body, &receipt)
-	for try := 1; try < tries && err != nil && rpc.CodeOf(err).Status() >= http.StatusInternalServerError; try++ {
-		time.Sleep(orderRest)
+	for try := 1; try < maxAttempts && err != nil && rpc.CodeOf(err).Status() >= http.StatusInternalServerError; try++ {
+		time.Sleep(retryDelay)
 		err = command.client.Ask(method, path, body, &receipt)
 	}
 	if err != nil {
 		return err
 	}
-	fmt.Printf("roll-out %d of %s, taken before: %s\n", receipt.ID, command.name, mark(receipt.Duplicate))
+	fmt.Printf("roll-out %d of %s, already accepted before: %s\n", receipt.ID, command.name, yesNo(receipt.Duplicate))
 	return nil
 }
 
-func (command *errand) readRollout() (*agent.RolloutStatus, error) {
+func (command *cli) readRollout() (*agent.RolloutStatus, error) {
 	status := &agent.RolloutStatus{}
 	return status, command.client.Ask(http.MethodGet, command.rolloutPath(), nil, status)
 }
 
-func (command *errand) showRollout() error {
+func (command *cli) showRollout() error {
 	status, err := command.readRollout()
 	if err != nil {
 		return err
@@ -102,14 +102,14 @@
 func printRollout(status *agent.RolloutStatus) {
 	fmt.Printf("roll-out %d of %s to %s: %s, step %d, share %.1f%%\n",
 		status.ID, status.Service, status.Target, status.Phase, status.Step, 100*status.Share)
-	fmt.Printf("  new version: %d requests, %d judged, %d exceed the reference, %d failed\n",
+	fmt.Printf("  new version: %d requests, %d evaluated, %d exceed the reference, %d failed\n",
 		status.Requests, status.Items, status.Exceedances, status.Failures)
-	fmt.Printf("  former version: %d requests, %d failed, %d in flight\n",
+	fmt.Printf("  previous version: %d requests, %d failed, %d in flight\n",
 		status.FormerRequests, status.FormerFailures, status.FormerInFlight)
 }
 
-// watchRollout ends with an error if the roll-out does not become complete.
-func (command *errand) watchRollout() error {
+// watchRollout prints changes until the roll-out ends. It returns an error if it was reverted.
+func (command *cli) watchRollout() error {
 	shown := agent.RolloutStatus{}
 	for {
 		status, err := command.readRollout()
--- a/cmd/ojdirectory/main.go
+++ b/cmd/ojdirectory/main.go
@@ -1,4 +1,4 @@
-// Command ojdirectory is a directory node: it tells callers which proxies to use.
+// Command ojdirectory runs a directory node: it tells callers which proxies to use.
 package main
 
 import (
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	flags := process.NewFlags("ojdirectory", "a directory node of orchidjunction: tells callers where to go")
+	flags := process.NewFlags("ojdirectory", "directory node of orchidjunction: tells callers which proxies to use")
 	process.RunDaemon(
 		flags,
 		message.DirectoryKind,
--- a/cmd/ojload/main.go
+++ b/cmd/ojload/main.go
@@ -1,5 +1,5 @@
-// Command ojload is a stand-in for callers: it asks directories for proxies,
-// sends requests to them and prints what they saw as JSON.
+// Command ojload generates the load of simulated callers: it asks directories for proxies, sends
+// requests to them and prints the results as JSON.
 package main
 
 import (
@@ -15,9 +15,9 @@
 )
 
 func main() {
-	flags := process.NewFlags("ojload", "a stand-in for callers; prints what they saw as JSON")
+	flags := process.NewFlags("ojload", "load generator that simulates callers and prints the results as JSON")
 	path := ""
-	flags.Parser.String(&path, "", "plan", "JSON file saying who calls what, where and how often")
+	flags.Parser.String(&path, "", "plan", "JSON file with directories, callers, calls, rate and duration")
 	flags.Parse()
 	plan := standin.LoadPlan{}
 	body, err := os.ReadFile(path)
@@ -28,7 +28,7 @@
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--plan: %v", err))
 	}
 	if plan.PerSecond < 1 || plan.Seconds <= 0 || len(plan.Directories) == 0 || len(plan.Callers) == 0 || len(plan.Calls) == 0 {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "--plan: directories, callers, calls, per_second and seconds must be given"))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--plan: directories, callers, calls, per_second and seconds are required"))
 	}
 	goroutines := concurrent.NewGroup()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
@@ -39,6 +39,6 @@
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(report); err != nil {
-		flags.Exit(rpc.Errorf(rpc.DiskFailure, "output: %v", err))
+		flags.Exit(rpc.Errorf(rpc.DiskFailure, "writing the report: %v", err))
 	}
 }
--- a/cmd/ojplan/main.go
+++ b/cmd/ojplan/main.go
@@ -1,4 +1,4 @@
-// Command ojplan forecasts what a change of settings would move before it is made.
+// Command ojplan forecasts the effects of a change of settings before it is made.
 package main
 
 import (
@@ -14,137 +14,147 @@
 	"orchidjunction/rpc"
 )
 
-// The exit statuses beside 0.
+// Exit status if not 0.
 const (
-	exitInvalid = 1
-	exitMoves   = 3
-	exitSilent  = 4
-	exitShort   = 5
+	exitInvalid     = 1
+	exitChanges     = 3
+	exitUnreachable = 4
+	exitFloorsShort = 5
 )
 
-// options is what the command line says.
+// options holds the command-line options.
 type options struct {
-	daemons  []string
-	empties  []string
-	whole    string
-	partial  string
-	asJSON   bool
-	capacity float64
+	daemons    []string
+	drainZones []string
+	whole      string
+	partial    string
+	asJSON     bool
+	capacity   float64
 }
 
 func main() {
-	flags, given := parse()
-	client := operator.NewClient(given.daemons, process.Transport())
-	held, err := client.Read(false)
-	end(err, exitSilent)
+	flags, opts := parse()
+	client := operator.NewClient(opts.daemons, process.Transport())
+	current, err := client.Read(false)
+	exitOnError(err, exitUnreachable)
 	status, err := client.Status()
-	end(err, exitSilent)
-	before, err := config.Read(held.Settings)
-	end(err, exitInvalid)
-	after, err := config.Read(given.next(flags, held.Settings, before))
-	end(err, exitInvalid)
-	fleet := planner.Fleet{Serial: held.Serial, Settings: before, Backends: status.Backends, Capacity: given.capacity}
-	for _, known := range status.Members {
-		fleet.Members = append(fleet.Members, known.Member)
+	exitOnError(err, exitUnreachable)
+	before, err := config.Read(current.Settings)
+	exitOnError(err, exitInvalid)
+	after, err := config.Read(opts.newSettings(flags, current.Settings, before))
+	exitOnError(err, exitInvalid)
+	fleet := planner.Fleet{Serial: current.Serial, Settings: before, Backends: status.Backends, Capacity: opts.capacity}
+	for _, member := range status.Members {
+		fleet.Members = append(fleet.Members, member.Member)
 	}
 	forecast := planner.NewForecast(fleet, after)
-	if given.asJSON {
+	if opts.asJSON {
 		encoder := json.NewEncoder(os.Stdout)
 		encoder.SetIndent("", "  ")
 		if err := encoder.Encode(forecast); err != nil {
-			flags.Exit(rpc.Errorf(rpc.DiskFailure, "output: %v", err))
+			flags.Exit(rpc.Errorf(rpc.DiskFailure, "writing the forecast: %v", err))
 		}
 	} else {
-		show(forecast)
+		printForecast(forecast)
 	}
 	if len(forecast.Shorts) > 0 {
-		os.Exit(exitShort)
+		os.Exit(exitFloorsShort)
 	}
 	if forecast.Moving() {
-		os.Exit(exitMoves)
+		os.Exit(exitChanges)
 	}
 }
 
-// parse reads the command line; it ends the process where that is wrong.
+// parse parses the command line. It exits on errors.
 func parse() (*process.Flags, *options) {
 	flags := process.NewFlags(
 		"ojplan",
-		"shows what a change would move; exit 0 nothing, 3 something, 5 floors short, 1 invalid, 4 no answer",
+		"forecasts the effects of a change of settings; exit status: 0 no effect, 1 invalid, 3 effects, 4 no daemon reachable, 5 too few backends for the guaranteed rates",
 	)
-	given := &options{capacity: 30}
-	flags.Parser.StringSlice(&given.daemons, "d", "daemon", "IP:port of a daemon's operators' side; may be given more than once")
-	flags.Parser.String(&given.whole, "", "whole", "file with a whole new version")
-	flags.Parser.String(&given.partial, "", "partial", "file with a partial new version")
-	flags.Parser.StringSlice(&given.empties, "", "empty", "zone to empty; may be given more than once")
-	flags.Parser.Float64(&given.capacity, "", "backend-rps", "tasks a second that one backend carries, to set against the floors")
-	flags.Parser.Bool(&given.asJSON, "", "json", "print the forecast as JSON")
+	opts := &options{capacity: 30}
+	flags.Parser.StringSlice(&opts.daemons, "d", "daemon", "IP:port of a daemon's operator API; may be repeated")
+	flags.Parser.String(&opts.whole, "", "whole", "file with complete new settings")
+	flags.Parser.String(&opts.partial, "", "partial", "file with partial settings to merge into the current ones")
+	flags.Parser.StringSlice(&opts.drainZones, "", "empty", "zone to drain; may be repeated")
+	flags.Parser.Float64(
+		&opts.capacity,
+		"",
+		"backend-rps",
+		"capacity of one backend in tasks per second, compared with the guaranteed rates (floors)",
+	)
+	flags.Parser.Bool(&opts.asJSON, "", "json", "print the forecast as JSON")
 	flags.Parse()
-	if len(given.daemons) == 0 {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "--daemon must be given"))
+	if len(opts.daemons) == 0 {
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--daemon is required"))
 	}
-	for _, daemon := range given.daemons {
+	for _, daemon := range opts.daemons {
 		flags.Exit(rpc.CheckAddress("--daemon", daemon))
 	}
-	if given.whole != "" && given.partial != "" || given.whole == "" && given.partial == "" && len(given.empties) == 0 {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "want one of --whole and --partial, or --empty"))
+	if opts.whole != "" && opts.partial != "" || opts.whole == "" && opts.partial == "" && len(opts.drainZones) == 0 {
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "either --whole or --partial, or else --empty, is required"))
 	}
-	if given.capacity <= 0 {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "--backend-rps: %v is not above 0", given.capacity))
+	if opts.capacity <= 0 {
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--backend-rps: %v is not positive", opts.capacity))
 	}
-	return flags, given
+	return flags, opts
 }
 
-// next is the text of the settings as they would be after the change.
-func (given *options) next(flags *process.Flags, held []byte, before *config.Settings) []byte {
-	body := held
-	if file := given.whole + given.partial; file != "" {
+// newSettings returns the settings after the change.
+func (opts *options) newSettings(flags *process.Flags, current []byte, before *config.Settings) []byte {
+	body := current
+	if file := opts.whole + opts.partial; file != "" {
 		change, err := os.ReadFile(file)
 		if err != nil {
 			flags.Exit(rpc.Errorf(rpc.BadFlag, "%v", err))
 		}
-		if body = change; given.partial != "" {
-			body, err = config.Patch(held, change)
-			end(err, exitInvalid)
+		if body = change; opts.partial != "" {
+			body, err = config.Patch(current, change)
+			exitOnError(err, exitInvalid)
 		}
 	}
-	if len(given.empties) == 0 {
+	if len(opts.drainZones) == 0 {
 		return body
 	}
-	zones := append(before.Drained.Zones, given.empties...)
+	zones := append(before.Drained.Zones, opts.drainZones...)
 	drained, err := json.Marshal(map[string]any{"drained": map[string]any{"zones": zones}})
-	end(err, exitInvalid)
+	exitOnError(err, exitInvalid)
 	body, err = config.Patch(body, drained)
-	end(err, exitInvalid)
+	exitOnError(err, exitInvalid)
 	return body
 }
 
-// show prints a forecast as text.
-func show(forecast *planner.Forecast) {
-	fmt.Printf("%d of %d tenants move\n", len(forecast.Moves), forecast.Tenants)
+// printForecast prints a forecast as text.
+func printForecast(forecast *planner.Forecast) {
+	fmt.Printf("%d of %d tenants change proxies\n", len(forecast.Moves), forecast.Tenants)
 	for _, move := range forecast.Moves {
-		fmt.Printf("  %-20s leaves %s, joins %s\n", move.Tenant, names(move.Left), names(move.Joined))
+		fmt.Printf("  %-20s leaves %s, joins %s\n", move.Tenant, joinNames(move.Left), joinNames(move.Joined))
 	}
 	for _, room := range forecast.Rooms {
-		fmt.Printf("service %-20s %d backends, then %d %v\n", room.Service, room.Before, room.After, room.ByZone)
+		fmt.Printf("service %-20s backends before %d, after %d %v\n", room.Service, room.Before, room.After, room.ByZone)
 	}
 	for _, change := range forecast.Changes {
-		fmt.Printf("route %s: %s %v, then %v\n", change.Route, change.Field, change.Before, change.After)
+		fmt.Printf("route %s: %s before %v, after %v\n", change.Route, change.Field, change.Before, change.After)
 	}
-	for _, short := range forecast.Shorts {
-		fmt.Printf("SHORT %s: floors of %d a second, backends for %.0f\n", short.Service, short.Floor, short.Capacity)
+	for _, shortfall := range forecast.Shorts {
+		fmt.Printf(
+			"SHORT %s: guaranteed rates of %d tasks per second, capacity of the backends %.0f\n",
+			shortfall.Service,
+			shortfall.Floor,
+			shortfall.Capacity,
+		)
 	}
 }
 
-// names joins names for a line of text.
-func names(list []string) string {
+// joinNames joins names for printing.
+func joinNames(list []string) string {
 	if len(list) == 0 {
 		return "none"
 	}
 	return strings.Join(list, " ")
 }
 
-// end prints an error and ends the process with a status; without one it does nothing.
-func end(err error, status int) {
+// exitOnError prints err and exits with status. It does nothing if err is nil.
+func exitOnError(err error, status int) {
 	if err == nil {
 		return
 	}
--- a/cmd/ojplatform/main.go
+++ b/cmd/ojplatform/main.go
@@ -1,5 +1,4 @@
-// Command ojplatform is a stand-in for the platform: its list of backends and its
-// billing.
+// Command ojplatform simulates the platform: its list of backends and its billing.
 package main
 
 import (
@@ -14,13 +13,13 @@
 )
 
 func main() {
-	flags := process.NewFlags("ojplatform", "a stand-in for the platform: a paged, late, rate-limited list")
+	flags := process.NewFlags("ojplatform", "simulates the platform's list of backends: paged, delayed and rate-limited")
 	listen, backends, page, lag, rate := "", "", 10, 1000, 20
-	flags.Parser.String(&listen, "", "listen", "IP:port to answer on")
-	flags.Parser.String(&backends, "", "backends", "JSON file with the first list")
-	flags.Parser.Int(&page, "", "page", "backends on a page")
-	flags.Parser.Int(&lag, "", "lag-ms", "how late the list is")
-	flags.Parser.Int(&rate, "", "rate", "pages a second")
+	flags.Parser.String(&listen, "", "listen", "IP:port to listen on")
+	flags.Parser.String(&backends, "", "backends", "JSON file with the initial list")
+	flags.Parser.Int(&page, "", "page", "backends per page")
+	flags.Parser.Int(&lag, "", "lag-ms", "delay of the list in milliseconds")
+	flags.Parser.Int(&rate, "", "rate", "maximum number of pages per second")
 	flags.Parse()
 	flags.Exit(rpc.CheckAddress("--listen", listen))
 	items := []standin.Listed{}
@@ -34,7 +33,7 @@
 		}
 	}
 	if rate < 1 || page < 1 || lag < 0 {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "--rate and --page are at least 1, --lag-ms at least 0"))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "--rate and --page must be at least 1, --lag-ms at least 0"))
 	}
 	goroutines := concurrent.NewGroup()
 	standIn := standin.NewPlatform(page, process.Milliseconds(lag), float64(rate), items)
--- a/cmd/ojproxy/main.go
+++ b/cmd/ojproxy/main.go
@@ -1,4 +1,4 @@
-// Command ojproxy is a proxy: it carries callers' requests to backends.
+// Command ojproxy runs a proxy: it forwards callers' requests to backends.
 package main
 
 import (
@@ -14,7 +14,7 @@
 )
 
 func main() {
-	flags := process.NewFlags("ojproxy", "a front machine of orchidjunction: carries callers' tasks to backends")
+	flags := process.NewFlags("ojproxy", "proxy of orchidjunction: forwards callers' tasks to backends")
 	dialer := &net.Dialer{Timeout: time.Second}
 	guest := &process.Guest{}
 	guest.Join = func(owner, borrower process.DataPlane) {
--- a/cmd/orchidjunction/core.go
+++ b/cmd/orchidjunction/core.go
@@ -19,49 +19,51 @@
 	"orchidjunction/storage"
 )
 
-// The times of a core on the platform. Regions are tens of milliseconds apart;
-// suspicionTimeout leaves room for lost heartbeats.
+// Intervals and timeouts of a core on the platform. The latency between regions is tens of
+// milliseconds; suspicionTimeout tolerates lost heartbeats.
 const (
-	heartbeatInterval = 150 * time.Millisecond
-	suspicionTimeout  = 750 * time.Millisecond
-	tableInterval     = 150 * time.Millisecond
-	sessionTTL        = 2500 * time.Millisecond
-	findInterval      = 50 * time.Millisecond // between questions for the leader
-	// attemptTimeout bounds one attempt to bring a change to the leader, reportTimeout one
-	// to report usage, and userTimeout the time in which sent bytes must be acknowledged.
+	heartbeatInterval  = 150 * time.Millisecond
+	suspicionTimeout   = 750 * time.Millisecond
+	tableInterval      = 150 * time.Millisecond
+	sessionTTL         = 2500 * time.Millisecond
+	findLeaderInterval = 50 * time.Millisecond // between queries for the leader
+	// attemptTimeout bounds one attempt to forward a change to the leader, reportTimeout one
+	// to report usage, and userTimeout the time until sent bytes are acknowledged.
 	attemptTimeout = 800 * time.Millisecond
 	reportTimeout  = 1000 * time.Millisecond
 	userTimeout    = 1500 * time.Millisecond
-	// settleAfter is the time after a window's end in which its counts come in;
-	// reportMargin is kept free before a report is due.
-	settleAfter  = 3500 * time.Millisecond
-	reportMargin = 1100 * time.Millisecond
-	// graceMargin is kept free between the last work of a process and its end.
+	// usageSettleDelay is the time after a window's end in which its counts arrive;
+	// reportMargin is reserved before a report is due.
+	usageSettleDelay = 3500 * time.Millisecond
+	reportMargin     = 1100 * time.Millisecond
+	// graceMargin is reserved between the last work of a process and the end of its grace period.
 	graceMargin = 500 * time.Millisecond
 )
 
-// How the list of backends is read.
+// Constants for reading the list of backends.
 const (
 	minListInterval = 300 * time.Millisecond
 	maxListInterval = time.Second
-	// listShare is the part of the time to leave a backend that one interval may take.
-	listShare = 3.5
-	// listsUntilGone is how many whole lists in a row must lack a backend that is gone.
-	listsUntilGone = 2
+	// drainDivisor is the ratio of the time to drain a backend, less the lag of the list, to the
+	// interval between two reads.
+	drainDivisor = 3.5
+	// missingListsUntilGone is the number of consecutive complete lists without a backend after
+	// which it counts as gone.
+	missingListsUntilGone = 2
 )
 
-// replaceShare leaves most of the time in which a newcomer has to count for
-// electing a leader, catching up and two rounds of the quorum.
-const replaceShare = 4
+// replaceDivisor is the ratio of the allowed catch-up time to the delay before a replacement. Most
+// of that time is left for an election, catching up and two quorum rounds.
+const replaceDivisor = 4
 
-// listInterval leaves the larger part of the time to leave a backend for the list's lag
-// and for telling everybody.
+// listInterval returns the interval between two reads of the list. It leaves most of the time to
+// drain a backend for the lag of the list and for informing all processes.
 func listInterval(settings *platform.Settings) time.Duration {
-	interval := time.Duration(float64(settings.Bounds.Drain-settings.Platform.Lag) / listShare)
+	interval := time.Duration(float64(settings.Bounds.Drain-settings.Platform.Lag) / drainDivisor)
 	return max(minListInterval, min(maxListInterval, interval))
 }
 
-// runCore runs a core until the process is asked to end.
+// runCore runs a core until the process is told to stop.
 func (node *node) runCore() error {
 	settings := node.source.Settings()
 	if err := makeDataFolder(settings.Folder); err != nil {
@@ -69,7 +71,7 @@
 	}
 	client := rpc.NewClient(process.WANTransport(userTimeout))
 	finder := agent.NewLeaderFinder(client, node.goroutines, internalSeeds(settings)).
-		WithIntervals(agent.Intervals{FindLeader: findInterval})
+		WithIntervals(agent.Intervals{FindLeader: findLeaderInterval})
 	var core *control.Core
 	platformClient := platform.NewClient(settings.Platform.Address, process.WANTransport(userTimeout), func() int64 { return core.Now() })
 	config := coreConfig(settings, platformClient)
@@ -107,9 +109,9 @@
 	node.source.Follow(node.goroutines)
 	process.LogCounts(node.goroutines, node.counters, settings.Name)
 	process.OnTerm(node.goroutines, func() {
-		begin, grace := time.Now(), settings.Bounds.Grace-graceMargin
+		start, grace := time.Now(), settings.Bounds.Grace-graceMargin
 		core.Retire(grace)
-		node.listeners[1].Drain(grace - time.Since(begin))
+		node.listeners[1].Drain(grace - time.Since(start))
 		node.goroutines.Stop()
 	})
 	klog.Infof("%s: core started in zone %s", settings.Name, settings.Zone)
@@ -118,10 +120,10 @@
 	return nil
 }
 
-// makeDataFolder makes the folder in which a core keeps its state.
+// makeDataFolder creates the folder for a core's state.
 func makeDataFolder(folder string) error {
 	if folder == "" {
-		return rpc.Errorf(rpc.BadFlag, "a core needs a data folder")
+		return rpc.Errorf(rpc.BadFlag, "a core requires a data folder in the settings")
 	}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return rpc.Errorf(rpc.BadFlag, "data folder: %v", err)
@@ -129,7 +131,7 @@
 	return nil
 }
 
-// coreConfig is the config of a core by the platform's settings.
+// coreConfig derives the configuration of a core from the platform's settings.
 func coreConfig(settings *platform.Settings, platformClient *platform.Client) control.Config {
 	config := control.Config{
 		Name:              settings.Name,
@@ -146,8 +148,8 @@
 		SessionTTL:        sessionTTL,
 		ListBackends:      platformClient.ListBackends,
 		ListInterval:      listInterval(settings),
-		ListsUntilGone:    listsUntilGone,
-		ReplaceAfter:      settings.Bounds.CatchUp / replaceShare,
+		ListsUntilGone:    missingListsUntilGone,
+		ReplaceAfter:      settings.Bounds.CatchUp / replaceDivisor,
 		Rollouts:          rollout.Bounds{Share: settings.Bounds.CanaryShare, Extra: settings.Bounds.CanaryExtra},
 	}
 	if !settings.Metered() {
@@ -155,7 +157,7 @@
 	}
 	config.Metering = control.Metering{
 		Window:        settings.Bounds.ReportWindow,
-		SettleAfter:   settleAfter,
+		SettleAfter:   usageSettleDelay,
 		SettleLatest:  settings.Bounds.UsageDelay - reportMargin,
 		TakeoverQuiet: settings.Bounds.Lease,
 		Report: func(report control.WindowReport) control.ReportResult {
--- a/cmd/orchidjunction/main.go
+++ b/cmd/orchidjunction/main.go
@@ -1,5 +1,5 @@
-// Command orchidjunction is a machine on the users' platform: a proxy or a core, as its
-// subcommand says, with the settings file that the platform names in the environment.
+// Command orchidjunction runs a proxy or a core on a platform. The platform provides the settings
+// file, whose path is in the environment.
 package main
 
 import "C"
@@ -21,10 +21,10 @@
 )
 
 func main() {
-	flags := process.NewFlags("orchidjunction", "a machine of orchidjunction on a platform")
+	flags := process.NewFlags("orchidjunction", "runs a proxy or a core of orchidjunction on a platform")
 	proxy, core := flaggy.NewSubcommand("proxy"), flaggy.NewSubcommand("core")
-	proxy.Description = "carries clients' requests to backends and answers where to go"
-	core.Description = "keeps the routing, elects the leader and takes operators' orders"
+	proxy.Description = "forward clients' requests to backends and answer look-ups of proxies"
+	core.Description = "store the routing, elect the leader and serve the operator API"
 	flags.Parser.AttachSubcommand(proxy, 1)
 	flags.Parser.AttachSubcommand(core, 1)
 	limitFlags := process.NewLimitFlags(flags)
@@ -32,7 +32,7 @@
 	limits, err := limitFlags.Limits()
 	flags.Exit(err)
 	if !proxy.Used && !core.Used {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "want proxy or core"))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "missing subcommand, proxy or core"))
 	}
 	source, err := platform.NewSource()
 	flags.Exit(err)
@@ -45,36 +45,36 @@
 	}
 }
 
-// memoryLimitShare is the part of the process's memory from which on the garbage collector
-// works harder rather than let it grow.
+// memoryLimitShare is the share of the process's memory that is set as the soft memory limit of
+// the Go runtime.
 const memoryLimitShare = 0.85
 
-// limitMemory tells the runtime how much memory the machine lets the process take.
+// limitMemory sets the soft memory limit of the runtime according to the settings.
 func limitMemory(settings *platform.Settings) {
 	if settings.Machine.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(float64(settings.Machine.MemoryMB<<20) * memoryLimitShare))
 	}
 }
 
-// node is one process with its listeners, in the order in which they were opened.
+// node is a process with its listeners, in the order of opening.
 type node struct {
 	source     *platform.Source
 	goroutines *concurrent.Group
 	counters   *metrics.Counters
-	limits     process.ConnLimits // of those outside, unless an operator's routing has others
+	limits     process.ConnLimits // of external listeners, overridden by the operator's routing
 	listeners  []*process.Listener
 	externals  []*process.Listener
 }
 
-// endpoint is one address and what serves it. An external one serves those outside, by the
-// limits and the budget of their connections; others serve the system's own processes.
+// endpoint is a listen address with its handler. The limits and the budget of connections apply to
+// external endpoints; the others serve processes of the system.
 type endpoint struct {
 	address  string
 	handler  http.Handler
 	external bool
 }
 
-// open listens on every endpoint that has an address.
+// open listens on all endpoints that have an address.
 func (node *node) open(memory process.HeadMemory, endpoints ...endpoint) error {
 	budget := process.NewConnBudget(node.source.Settings().Machine.Descriptors)
 	node.counters.Gauge("connections_open", func() float64 { return float64(budget.Open()) })
@@ -102,17 +102,18 @@
 	return nil
 }
 
-// setLimits puts an operator's limits in force on the connections of those outside.
+// setLimits applies the operator's limits to the external listeners.
 func (node *node) setLimits(limits routing.Limits) {
 	for _, listener := range node.externals {
 		listener.SetLimits(process.ConnLimitsOf(limits))
 	}
 }
 
-// metricsPath is where every role gives its figures, on its readiness or operators' side.
+// metricsPath is the path of the metrics: on the readiness address of a proxy, on the operator
+// address of a core.
 const metricsPath = "/metrics"
 
-// withMetrics serves the process's figures beside another handler.
+// withMetrics adds the process's metrics to a handler.
 func withMetrics(counters *metrics.Counters, handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.Method == http.MethodGet && request.URL.Path == metricsPath {
@@ -123,8 +124,8 @@
 	})
 }
 
-// internalAddress is where a machine's process takes messages from the others: the first
-// of the ports that the platform gives it.
+// internalAddress returns the address for calls between processes: the machine's IP address with
+// the first port of its range.
 func internalAddress(settings *platform.Settings, address string) string {
 	if parsed, err := netip.ParseAddrPort(address); err == nil {
 		address = parsed.Addr().String()
@@ -132,7 +133,7 @@
 	return address + ":" + strconv.Itoa(settings.FirstPort)
 }
 
-// internalSeeds are the internal addresses of the machines to ask first.
+// internalSeeds returns the internal addresses of the seed machines.
 func internalSeeds(settings *platform.Settings) []string {
 	seeds := []string{}
 	for _, seed := range settings.Seeds {
--- a/cmd/orchidjunction/proxy.go
+++ b/cmd/orchidjunction/proxy.go
@@ -15,26 +15,25 @@
 	"orchidjunction/rpc"
 )
 
-// The times of a proxy on the platform.
+// Intervals and timeouts of a proxy on the platform.
 const (
 	sessionInterval    = 500 * time.Millisecond
 	watchTimeout       = 2500 * time.Millisecond
 	pulseInterval      = 500 * time.Millisecond
 	checkReachInterval = 500 * time.Millisecond
-	// usageInterval is how long a count is known to this process alone.
+	// usageInterval is the interval at which usage counts are reported to the leader.
 	usageInterval = 250 * time.Millisecond
-	// backendUserTimeout is the time in which bytes that were sent to a backend must be
-	// acknowledged.
+	// backendUserTimeout is the maximum time until a backend acknowledges sent bytes.
 	backendUserTimeout = 700 * time.Millisecond
-	// lingerTime is how long a proxy that leaves goes on accepting requests, until its
-	// clients know.
-	lingerTime = 2500 * time.Millisecond
+	// retireLinger is the time for which a stopping proxy still accepts requests, until clients
+	// have learned that it is leaving.
+	retireLinger = 2500 * time.Millisecond
 )
 
-// keepAlive finds connections to backends whose machine is gone.
+// keepAlive detects connections to backends whose machine is gone.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}
 
-// agentConfig is the config of a proxy's session with the cores.
+// agentConfig derives the configuration of a proxy's session with the cores.
 func agentConfig(settings *platform.Settings) agent.Config {
 	address := internalAddress(settings, settings.Address)
 	return agent.Config{
@@ -46,7 +45,7 @@
 		OperatorAddress: address,
 		Seeds:           internalSeeds(settings),
 		Intervals: agent.Intervals{
-			Session: sessionInterval, Watch: watchTimeout, FindLeader: findInterval,
+			Session: sessionInterval, Watch: watchTimeout, FindLeader: findLeaderInterval,
 			Pulse: pulseInterval, CheckReach: checkReachInterval, UsageCount: usageInterval,
 		},
 		ForwardLimits:  agent.ForwardLimits{Attempt: attemptTimeout},
@@ -56,7 +55,7 @@
 	}
 }
 
-// proxyConfig is the config of a proxy's data plane.
+// proxyConfig derives the configuration of a proxy's data plane.
 func proxyConfig(settings *platform.Settings) hostproxy.Config {
 	return hostproxy.Config{
 		Name:         settings.Name,
@@ -75,7 +74,7 @@
 	}
 }
 
-// runProxy runs a proxy until the process is asked to end.
+// runProxy runs a proxy until the process is told to stop.
 func (node *node) runProxy() error {
 	settings := node.source.Settings()
 	client := rpc.NewClient(process.WANTransport(userTimeout))
@@ -127,7 +126,7 @@
 	process.OnTerm(node.goroutines, func() {
 		plane.Leave()
 		grace := settings.Bounds.Grace - graceMargin
-		finished := daemon.Retire(min(lingerTime, grace/2), grace, node.listeners[0].Drain)
+		finished := daemon.Retire(min(retireLinger, grace/2), grace, node.listeners[0].Drain)
 		klog.Infof("%s: stopping, all requests in flight finished: %v", settings.Name, finished)
 		node.goroutines.Stop()
 	})
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -122,7 +122,7 @@
 		&settle,
 		"",
 		"settle-ms",
-		"part of --grace-ms in which the daemon still accepts requests while callers move away, in milliseconds",
+		"part of --grace-ms to wait for callers to move to other daemons, in milliseconds",
 	)
 	limitFlags := NewLimitFlags(flags)
 	if guest != nil {
