--- a/cmd/ojcluster/main.go
+++ b/cmd/ojcluster/main.go
@@ -104,7 +104,6 @@
 	return opts
 }
 
-// sizes returns the names of the fleets to run.
 func (opts *options) sizes() []string {
 	if opts.size != cluster.Both {
 		return []string{opts.size}
--- a/cmd/ojcore/main.go
+++ b/cmd/ojcore/main.go
@@ -119,7 +119,6 @@
 	return flags, config, opts
 }
 
-// configurePeers parses the values of --peer.
 func configurePeers(config *control.Config, peers []string) error {
 	for _, text := range peers {
 		id, address, _ := strings.Cut(text, "=")
--- a/cmd/ojcore/seeds.go
+++ b/cmd/ojcore/seeds.go
@@ -29,7 +29,6 @@
 	return nil
 }
 
-// coreAddresses returns the addresses of all cores in the configuration.
 func coreAddresses(config *control.Config) []string {
 	addresses := []string{config.InternalAddress}
 	for _, peer := range config.Peers {
--- a/cmd/ojcore/seeds_test.go
+++ b/cmd/ojcore/seeds_test.go
@@ -11,9 +11,9 @@
 
 func TestSeedFlagConflicts(test *testing.T) {
 	for _, testCase := range []struct {
-		place control.Config
-		seeds []string
-		says  string
+		config control.Config
+		seeds  []string
+		want   string
 	}{
 		{control.Config{InternalAddress: "10.0.0.4:1"}, nil, "--id or --seed"},
 		{control.Config{InternalAddress: "10.0.0.4:1", ID: 1}, nil, ""},
@@ -23,14 +23,14 @@
 		{control.Config{InternalAddress: "10.0.0.4:1"}, []string{"10.0.0.4:1"}, "own --wire"},
 		{control.Config{InternalAddress: "10.0.0.4:1"}, []string{"10.0.0.1:1", "10.0.0.2:1"}, ""},
 	} {
-		config := testCase.place
+		config := testCase.config
 		err := configureSeeds(&config, testCase.seeds)
-		if testCase.says == "" && err != nil ||
-			testCase.says != "" && (err == nil || !strings.Contains(rpc.AsError(err).Message, testCase.says)) {
-			test.Errorf("%+v %v: %v, want %q", testCase.place, testCase.seeds, err, testCase.says)
+		if testCase.want == "" && err != nil ||
+			testCase.want != "" && (err == nil || !strings.Contains(rpc.AsError(err).Message, testCase.want)) {
+			test.Errorf("%+v with seeds %v: got %v, want %q", testCase.config, testCase.seeds, err, testCase.want)
 		}
 		if err == nil && len(config.Seeds) != len(testCase.seeds) {
-			test.Errorf("%+v: seeds %v", testCase.place, config.Seeds)
+			test.Errorf("%+v: got seeds %v, want %v", testCase.config, config.Seeds, testCase.seeds)
 		}
 	}
 }
--- a/cmd/ojctl/cores.go
+++ b/cmd/ojctl/cores.go
@@ -16,7 +16,6 @@
 // retryDelay is the pause before a request without a definite response is sent again.
 const retryDelay = 300 * time.Millisecond
 
-// coreCommands adds `core list` and `core remove`.
 func (command *cli) coreCommands(flags *process.Flags, handlers map[*flaggy.Subcommand]func(*cli) error) {
 	core := flaggy.NewSubcommand("core")
 	core.Description = "list the cores or remove a voter: core list, core remove ID"
@@ -48,7 +47,6 @@
 	return nil
 }
 
-// printMembership prints a membership, one core per line.
 func printMembership(membership *message.MembershipStatus) {
 	fmt.Printf("membership %d, term %s\n", membership.Version, membership.Term)
 	printVoters("voter", membership.Voters)
--- a/cmd/ojctl/rollout.go
+++ b/cmd/ojctl/rollout.go
@@ -18,7 +18,6 @@
 // watchInterval is the interval at which `rollout watch` polls.
 const watchInterval = time.Second
 
-// rolloutCommands adds `rollout start`, `status`, `watch` and `abort`.
 func (command *cli) rolloutCommands(flags *process.Flags, handlers map[*flaggy.Subcommand]func(*cli) error) {
 	rollout := flaggy.NewSubcommand("rollout")
 	rollout.Description = "roll out a new version of a service: rollout start, status, watch or abort"
--- a/cmd/ojplan/main.go
+++ b/cmd/ojplan/main.go
@@ -22,7 +22,6 @@
 	exitFloorsShort = 5
 )
 
-// options holds the command-line options.
 type options struct {
 	daemons    []string
 	drainZones []string
@@ -65,7 +64,6 @@
 	}
 }
 
-// parse parses the command line. It exits on errors.
 func parse() (*process.Flags, *options) {
 	flags := process.NewFlags(
 		"ojplan",
@@ -99,7 +97,6 @@
 	return flags, opts
 }
 
-// newSettings returns the settings after the change.
 func (opts *options) newSettings(flags *process.Flags, current []byte, before *config.Settings) []byte {
 	body := current
 	if file := opts.whole + opts.partial; file != "" {
@@ -123,14 +120,13 @@
 	return body
 }
 
-// printForecast prints a forecast as text.
 func printForecast(forecast *planner.Forecast) {
 	fmt.Printf("%d of %d tenants change proxies\n", len(forecast.Moves), forecast.Tenants)
 	for _, move := range forecast.Moves {
 		fmt.Printf("  %-20s leaves %s, joins %s\n", move.Tenant, joinNames(move.Left), joinNames(move.Joined))
 	}
-	for _, room := range forecast.Rooms {
-		fmt.Printf("service %-20s backends before %d, after %d %v\n", room.Service, room.Before, room.After, room.ByZone)
+	for _, service := range forecast.Rooms {
+		fmt.Printf("service %-20s backends before %d, after %d %v\n", service.Service, service.Before, service.After, service.ByZone)
 	}
 	for _, change := range forecast.Changes {
 		fmt.Printf("route %s: %s before %v, after %v\n", change.Route, change.Field, change.Before, change.After)
@@ -145,7 +141,6 @@
 	}
 }
 
-// joinNames joins names for printing.
 func joinNames(list []string) string {
 	if len(list) == 0 {
 		return "none"
--- a/cmd/orchidjunction/core.go
+++ b/cmd/orchidjunction/core.go
@@ -63,7 +63,6 @@
 	return max(minListInterval, min(maxListInterval, interval))
 }
 
-// runCore runs a core until the process is told to stop.
 func (node *node) runCore() error {
 	settings := node.source.Settings()
 	if err := makeDataFolder(settings.Folder); err != nil {
@@ -120,7 +119,6 @@
 	return nil
 }
 
-// makeDataFolder creates the folder for a core's state.
 func makeDataFolder(folder string) error {
 	if folder == "" {
 		return rpc.Errorf(rpc.BadFlag, "a core requires a data folder in the settings")
@@ -131,7 +129,6 @@
 	return nil
 }
 
-// coreConfig derives the configuration of a core from the platform's settings.
 func coreConfig(settings *platform.Settings, platformClient *platform.Client) control.Config {
 	config := control.Config{
 		Name:              settings.Name,
--- a/cmd/orchidjunction/main.go
+++ b/cmd/orchidjunction/main.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// memoryLimitShare is the share of the process's memory that is set as the soft memory limit of
-// the Go runtime.
+// memoryLimitShare is the share of the process's memory above which the garbage collector works
+// harder: the soft memory limit of the Go runtime.
 const memoryLimitShare = 0.85
 
 // limitMemory sets the soft memory limit of the runtime according to the settings.
@@ -74,7 +74,6 @@
 	external bool
 }
 
-// open listens on all endpoints that have an address.
 func (node *node) open(memory process.HeadMemory, endpoints ...endpoint) error {
 	budget := process.NewConnBudget(node.source.Settings().Machine.Descriptors)
 	node.counters.Gauge("connections_open", func() float64 { return float64(budget.Open()) })
@@ -102,7 +101,6 @@
 	return nil
 }
 
-// setLimits applies the operator's limits to the external listeners.
 func (node *node) setLimits(limits routing.Limits) {
 	for _, listener := range node.externals {
 		listener.SetLimits(process.ConnLimitsOf(limits))
@@ -113,7 +111,6 @@
 // address of a core.
 const metricsPath = "/metrics"
 
-// withMetrics adds the process's metrics to a handler.
 func withMetrics(counters *metrics.Counters, handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.Method == http.MethodGet && request.URL.Path == metricsPath {
--- a/cmd/orchidjunction/proxy.go
+++ b/cmd/orchidjunction/proxy.go
@@ -33,7 +33,6 @@
 // keepAlive detects connections to backends whose machine is gone.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}
 
-// agentConfig derives the configuration of a proxy's session with the cores.
 func agentConfig(settings *platform.Settings) agent.Config {
 	address := internalAddress(settings, settings.Address)
 	return agent.Config{
@@ -55,7 +54,6 @@
 	}
 }
 
-// proxyConfig derives the configuration of a proxy's data plane.
 func proxyConfig(settings *platform.Settings) hostproxy.Config {
 	return hostproxy.Config{
 		Name:         settings.Name,
@@ -74,7 +72,6 @@
 	}
 }
 
-// runProxy runs a proxy until the process is told to stop.
 func (node *node) runProxy() error {
 	settings := node.source.Settings()
 	client := rpc.NewClient(process.WANTransport(userTimeout))
--- a/process/client_conn.go
+++ b/process/client_conn.go
@@ -251,7 +251,6 @@
 	}
 }
 
-// limitsChanged applies new limits to an open connection.
 func (conn *clientConn) limitsChanged(limits ConnLimits) {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
@@ -278,7 +277,6 @@
 	}
 }
 
-// headerLimit returns the maximum head length of the current request.
 func (conn *clientConn) headerLimit() int64 {
 	conn.mutex.Lock()
 	defer conn.mutex.Unlock()
--- a/process/client_conn_test.go
+++ b/process/client_conn_test.go
@@ -18,7 +18,6 @@
 	"orchidjunction/rpc"
 )
 
-// pipeListener accepts in-memory connections.
 type pipeListener struct {
 	conns chan net.Conn
 	ended chan struct{}
@@ -45,14 +44,12 @@
 
 func (listener *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// dial connects to the server.
 func (listener *pipeListener) dial() *testClient {
 	clientSide, serverSide := net.Pipe()
 	listener.conns <- serverSide
 	return &testClient{conn: clientSide, reader: bufio.NewReader(clientSide), opened: time.Now()}
 }
 
-// testClient is a client with one connection.
 type testClient struct {
 	conn   net.Conn
 	reader *bufio.Reader
--- a/process/conn_tracker.go
+++ b/process/conn_tracker.go
@@ -66,7 +66,6 @@
 	}
 }
 
-// current returns the current limits.
 func (tracker *connTracker) current() ConnLimits {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -44,7 +44,7 @@
 	server := rpc.NewServer(instance.counters)
 	instance.Daemon.Register(server)
 	plane.Register(server)
-	operate := agent.NewOperatorAPI(config.Name, instance.Daemon.Forwarder, instance.counters, func() (uint64, []byte) {
+	operatorAPI := agent.NewOperatorAPI(config.Name, instance.Daemon.Forwarder, instance.counters, func() (uint64, []byte) {
 		version := instance.Daemon.Version()
 		return version.Serial, version.Body()
 	}, instance.Daemon.Ready)
@@ -53,7 +53,7 @@
 		address string
 		handler http.Handler
 		options ListenOptions
-	}{{config.PublicAddress, plane, external}, {config.InternalAddress, server, internal}, {config.OperatorAddress, operate, external}} {
+	}{{config.PublicAddress, plane, external}, {config.InternalAddress, server, internal}, {config.OperatorAddress, operatorAPI, external}} {
 		listener, err := Listen(side.address, side.handler, side.options)
 		flags.Exit(err)
 		instance.listeners = append(instance.listeners, listener)
--- a/process/framing_test.go
+++ b/process/framing_test.go
@@ -39,7 +39,6 @@
 	return conn
 }
 
-// send writes all of text.
 func send(test *testing.T, conn net.Conn, text string) {
 	test.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
--- a/process/head_refusal.go
+++ b/process/head_refusal.go
@@ -54,7 +54,7 @@
 
 // refusalBody returns an error body in the same format as the handlers' errors.
 func refusalBody(code rpc.Code, message string) []byte {
-	text, _ := json.Marshal(&rpc.Error{Code: code, Message: message, Outcome: rpc.NotRun}) // a struct of strings, cannot fail
+	text, _ := json.Marshal(&rpc.Error{Code: code, Message: message, Outcome: rpc.NotRun}) // cannot fail: plain values only
 	return append(text, '\n')
 }
 
--- a/process/refusal.go
+++ b/process/refusal.go
@@ -13,7 +13,6 @@
 // connContextKey is the context key of a request's connection.
 type connContextKey struct{}
 
-// withConn adds the connection to the context of its requests.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, conn)
 }
--- a/process/run.go
+++ b/process/run.go
@@ -112,14 +112,14 @@
 func expandFlagFile(arguments []string) ([]string, error) {
 	for index, argument := range arguments {
 		path, given := strings.CutPrefix(argument, "--place=")
-		width := 1
+		count := 1
 		if argument == "--place" && index+1 < len(arguments) {
-			path, given, width = arguments[index+1], true, 2
+			path, given, count = arguments[index+1], true, 2
 		}
 		if !given {
 			continue
 		}
-		rest := append(append([]string{}, arguments[:index]...), arguments[index+width:]...)
+		others := append(append([]string{}, arguments[:index]...), arguments[index+count:]...)
 		body, err := os.ReadFile(path)
 		if err != nil {
 			return nil, rpc.Errorf(rpc.BadFlag, "--place: %v", err)
@@ -134,11 +134,11 @@
 			if strings.HasPrefix(name, "-") {
 				return nil, rpc.Errorf(rpc.BadFlag, "%s:%d: want \"flag value\"", path, number+1)
 			}
-			if !isSet(rest, name) {
+			if !isSet(others, name) {
 				fromFile = append(fromFile, "--"+name+"="+strings.TrimSpace(value))
 			}
 		}
-		return append(fromFile, rest...), nil
+		return append(fromFile, others...), nil
 	}
 	return arguments, nil
 }
