--- a/cmd/ojctl/cores.go
+++ b/cmd/ojctl/cores.go
@@ -80,7 +80,7 @@
 		return rpc.Errorf(rpc.BadFlag, "core remove: %q is not a core ID; use core list to show the IDs", command.name)
 	}
 	removed, err := command.client.RemoveCore(id)
-	for try := 1; try < maxAttempts && isRetryable(err); try++ {
+	for attempt := 1; attempt < maxAttempts && isRetryable(err); attempt++ {
 		time.Sleep(retryDelay)
 		removed, err = command.client.RemoveCore(id)
 	}
--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	exitRefused        = 1
+	exitRejected       = 1
 	exitOutcomeUnknown = 3
 	exitUnreachable    = 4
 	maxAttempts        = 5
@@ -144,7 +144,7 @@
 	case rpc.CodeOf(err) == rpc.Unreachable || rpc.CodeOf(err).Status() == 503:
 		os.Exit(exitUnreachable)
 	}
-	os.Exit(exitRefused)
+	os.Exit(exitRejected)
 }
 
 func (command *cli) read() ([]byte, error) {
@@ -239,7 +239,7 @@
 // apply sends the change. If the outcome is unknown, it retries with the same change ID.
 func (command *cli) apply(change operator.Change, send func(operator.Change) (*operator.Outcome, error)) error {
 	outcome, err := send(change)
-	for try := 1; try < maxAttempts && err != nil && rpc.CodeOf(err) == rpc.OutcomeUnknown; try++ {
+	for attempt := 1; attempt < maxAttempts && err != nil && rpc.CodeOf(err) == rpc.OutcomeUnknown; attempt++ {
 		outcome, err = send(change)
 	}
 	if err != nil {
@@ -282,7 +282,7 @@
 	if command.kind != "zone" && command.kind != "backend" {
 		return rpc.Errorf(rpc.BadFlag, "%q is neither \"zone\" nor \"backend\"", command.kind)
 	}
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		settings, err := command.client.Read(false)
 		if err != nil {
 			return err
@@ -313,7 +313,7 @@
 			change.Change = agent.NewID()
 		}
 		err = command.apply(change, command.client.Patch)
-		if err == nil || rpc.CodeOf(err) != rpc.StaleBase || command.base >= 0 || try >= maxAttempts {
+		if err == nil || rpc.CodeOf(err) != rpc.StaleBase || command.base >= 0 || attempt >= maxAttempts {
 			return err
 		}
 	}
--- a/cmd/ojctl/rollout.go
+++ b/cmd/ojctl/rollout.go
@@ -73,7 +73,7 @@
 func (command *cli) orderRollout(method, path string, body []byte) error {
 	receipt := agent.RolloutReceipt{}
 	err := command.client.Ask(method, path, body, &receipt)
-	for try := 1; try < maxAttempts && err != nil && rpc.CodeOf(err).Status() >= http.StatusInternalServerError; try++ {
+	for attempt := 1; attempt < maxAttempts && err != nil && rpc.CodeOf(err).Status() >= http.StatusInternalServerError; attempt++ {
 		time.Sleep(retryDelay)
 		err = command.client.Ask(method, path, body, &receipt)
 	}
--- a/process/client_conn.go
+++ b/process/client_conn.go
@@ -258,7 +258,7 @@
 	case phaseServing:
 		return
 	case phaseHead:
-		conn.limits = conn.limits.union(limits)
+		conn.limits = conn.limits.maxOf(limits)
 	case phaseNew, phaseIdle:
 		conn.limits = limits
 	}
--- a/process/client_conn_test.go
+++ b/process/client_conn_test.go
@@ -185,13 +185,13 @@
 		for range 3 {
 			client.send(plainRequest)
 			if status := client.status(); status != 200 {
-				test.Fatal(status)
+				test.Fatalf("status %d, want 200", status)
 			}
 			time.Sleep(1900 * time.Millisecond)
 		}
 		client.send(plainRequest)
 		if status := client.status(); status != 200 {
-			test.Fatal(status)
+			test.Fatalf("status %d, want 200", status)
 		}
 		if took := client.closedAfter(time.Now()); took != 2*time.Second {
 			test.Errorf("idle connection closed after %v, want 2 s", took)
@@ -210,7 +210,7 @@
 		client := server.dial()
 		client.send(plainRequest + plainRequest[:8])
 		if status := client.status(); status != 200 {
-			test.Fatal(status)
+			test.Fatalf("status %d, want 200", status)
 		}
 		time.Sleep(5 * time.Second)
 		client.send(plainRequest[8:])
@@ -239,7 +239,7 @@
 		for _, client := range []*testClient{idle, other} {
 			client.send(plainRequest)
 			if status := client.status(); status != 200 {
-				test.Fatal(status)
+				test.Fatalf("status %d, want 200", status)
 			}
 		}
 		slow, late := server.dial(), server.dial()
@@ -264,7 +264,7 @@
 		kept := server.dial()
 		kept.send(plainRequest)
 		if status := kept.status(); status != 200 {
-			test.Fatal(status)
+			test.Fatalf("status %d, want 200", status)
 		}
 		time.Sleep(1900 * time.Millisecond)
 		server.listener.SetLimits(wide)
@@ -479,7 +479,7 @@
 	conn := newConnTracker(ListenOptions{Limits: ConnLimits{HeaderTimeout: time.Nanosecond}}).add(accepted)
 	buffer := make([]byte, 100)
 	if count, err := conn.Read(buffer); count != 8 || err != nil {
-		test.Fatal(count, err)
+		test.Fatalf("start of the head: read %d bytes, %v", count, err)
 	}
 	if count, err := conn.Read(buffer); count != 0 || err == nil {
 		test.Fatalf("late head: read %d bytes, %v", count, err)
--- a/process/conn_limits.go
+++ b/process/conn_limits.go
@@ -60,8 +60,8 @@
 	return limits
 }
 
-// union returns the higher of each pair of limits.
-func (limits ConnLimits) union(other ConnLimits) ConnLimits {
+// maxOf returns the higher of each pair of limits.
+func (limits ConnLimits) maxOf(other ConnLimits) ConnLimits {
 	return ConnLimits{
 		HeaderBytes:   max(limits.HeaderBytes, other.HeaderBytes),
 		HeaderTimeout: max(limits.HeaderTimeout, other.HeaderTimeout),
--- a/process/conn_limits_test.go
+++ b/process/conn_limits_test.go
@@ -25,9 +25,9 @@
 // default.
 func TestMissingLimitsFallBackToListenerLimits(test *testing.T) {
 	own := ConnLimits{HeaderBytes: 9000}.withDefaults(defaultLimits)
-	given := ConnLimitsOf(routing.Limits{HeaderMs: 700}).withDefaults(own)
-	if want := (ConnLimits{HeaderBytes: 9000, HeaderTimeout: 700 * time.Millisecond, IdleTimeout: time.Minute}); given != want {
-		test.Errorf("got %+v, want %+v", given, want)
+	limits := ConnLimitsOf(routing.Limits{HeaderMs: 700}).withDefaults(own)
+	if want := (ConnLimits{HeaderBytes: 9000, HeaderTimeout: 700 * time.Millisecond, IdleTimeout: time.Minute}); limits != want {
+		test.Errorf("got %+v, want %+v", limits, want)
 	}
 	largest := ConnLimitsOf(routing.Limits{HeaderBytes: math.MaxInt64, HeaderMs: math.MaxInt64, IdleMs: math.MaxInt64}).withDefaults(own)
 	if largest.HeaderBytes != math.MaxInt64 || largest.HeaderTimeout != math.MaxInt64 || largest.IdleTimeout != math.MaxInt64 {
--- a/process/conn_tracker_test.go
+++ b/process/conn_tracker_test.go
@@ -81,7 +81,7 @@
 		ask(conn)
 		reader := bufio.NewReader(conn)
 		if got := answer(reader); got != "served" {
-			test.Fatal(got)
+			test.Fatalf("first response: %s", got)
 		}
 		return conn, reader
 	}
--- a/process/framing_test.go
+++ b/process/framing_test.go
@@ -15,9 +15,9 @@
 // dialTestServer serves a handler on a free loopback port until the test ends, and connects to it.
 func dialTestServer(test *testing.T, handler http.Handler) net.Conn {
 	test.Helper()
-	probe, fault := net.Listen("tcp", "127.0.0.1:0")
-	if fault != nil {
-		test.Fatal(fault)
+	probe, netErr := net.Listen("tcp", "127.0.0.1:0")
+	if netErr != nil {
+		test.Fatal(netErr)
 	}
 	address := probe.Addr().String()
 	probe.Close()
@@ -31,9 +31,9 @@
 		listener.Close()
 		goroutines.Wait()
 	})
-	conn, fault := net.Dial("tcp", address)
-	if fault != nil {
-		test.Fatal(fault)
+	conn, netErr := net.Dial("tcp", address)
+	if netErr != nil {
+		test.Fatal(netErr)
 	}
 	test.Cleanup(func() { conn.Close() })
 	return conn
--- a/process/run.go
+++ b/process/run.go
@@ -111,12 +111,12 @@
 // are also given on the command line.
 func expandFlagFile(arguments []string) ([]string, error) {
 	for index, argument := range arguments {
-		path, given := strings.CutPrefix(argument, "--place=")
+		path, found := strings.CutPrefix(argument, "--place=")
 		count := 1
 		if argument == "--place" && index+1 < len(arguments) {
-			path, given, count = arguments[index+1], true, 2
+			path, found, count = arguments[index+1], true, 2
 		}
-		if !given {
+		if !found {
 			continue
 		}
 		others := append(append([]string{}, arguments[:index]...), arguments[index+count:]...)
--- a/process/wan_test.go
+++ b/process/wan_test.go
@@ -55,11 +55,11 @@
 		test.Fatal(err)
 	}
 	value := 0
-	added := raw.Control(func(handle uintptr) {
+	controlErr := raw.Control(func(handle uintptr) {
 		value, err = unix.GetsockoptInt(int(handle), level, option)
 	})
-	if added != nil || err != nil {
-		test.Fatal(added, err)
+	if controlErr != nil || err != nil {
+		test.Fatal(controlErr, err)
 	}
 	return value
 }
