--- a/control/model_actions_test.go
+++ b/control/model_actions_test.go
@@ -7,265 +7,266 @@
 	"orchidjunction/message"
 )
 
-// modelKind is a kind of step that the model can take.
-type modelKind string
+// modelActionKind is a kind of action that the model can take.
+type modelActionKind string
 
 const (
-	modelDeliver   modelKind = "deliver"
-	modelRepeat    modelKind = "deliver and keep"
-	modelUnheard   modelKind = "deliver and lose the answer"
-	modelStand     modelKind = "stand"
-	modelGiveUp    modelKind = "give up"
-	modelTimeOut   modelKind = "time out"
-	modelOrder     modelKind = "order"
-	modelEnlist    modelKind = "enlist"
-	modelReplace   modelKind = "replace"
-	modelSettles   modelKind = "settle step"
-	modelRestore   modelKind = "restore"
-	modelMend      modelKind = "mend a copy"
-	modelSurveyed  modelKind = "survey"
-	modelCrash     modelKind = "crash"
-	modelPowerLoss modelKind = "power loss while handling"
-	modelWipe      modelKind = "wipe"
-	modelRestart   modelKind = "restart"
+	modelDeliver           modelActionKind = "deliver"
+	modelDuplicate         modelActionKind = "deliver a duplicate"
+	modelLoseResponse      modelActionKind = "deliver and lose the response"
+	modelCampaign          modelActionKind = "campaign"
+	modelAbort             modelActionKind = "abort"
+	modelTimeout           modelActionKind = "timeout"
+	modelStartWrite        modelActionKind = "write"
+	modelJoin              modelActionKind = "join"
+	modelReplace           modelActionKind = "replace"
+	modelFinishReplacement modelActionKind = "finish replacement"
+	modelRestore           modelActionKind = "restore"
+	modelRepair            modelActionKind = "repair a replica"
+	modelRecoverCommitted  modelActionKind = "recover committed"
+	modelCrash             modelActionKind = "crash"
+	modelPowerLoss         modelActionKind = "power loss while handling a message"
+	modelWipe              modelActionKind = "wipe disk"
+	modelRestart           modelActionKind = "restart"
 )
 
-// modelAction is one step: what, by which machine or of which message, and with what.
+// modelAction is one action of the model.
 type modelAction struct {
-	kind     modelKind
-	machine  int
-	other    int
+	kind modelActionKind
+	// target is the index of a message in flight or of a machine, depending on kind.
+	target   int
+	argument int
 	register message.Register
 }
 
-// actions are all steps that may be taken now, within the bounds.
-func (world *modelWorld) actions(add func(modelAction)) {
-	bounds, spent := world.bounds, &world.spent
-	for index, packet := range world.flight {
-		if world.cut[packet.from][packet.to] || world.machines[packet.to].process == nil {
+// possibleActions passes each action that is possible now, within the bounds, to add.
+func (cluster *modelCluster) possibleActions(add func(modelAction)) {
+	bounds, counts := cluster.bounds, &cluster.counts
+	for index, packet := range cluster.inFlight {
+		if cluster.blocked[packet.from][packet.to] || cluster.machines[packet.to].process == nil {
 			continue
 		}
-		add(modelAction{kind: modelDeliver, machine: index})
-		if bounds.prompt && spent.losses < bounds.losses {
-			add(modelAction{kind: modelUnheard, machine: index})
+		add(modelAction{kind: modelDeliver, target: index})
+		if bounds.promptResponses && counts.lostResponses < bounds.lostResponses {
+			add(modelAction{kind: modelLoseResponse, target: index})
 		}
-		if !packet.answers && spent.duplicates < bounds.duplicates {
-			add(modelAction{kind: modelRepeat, machine: index})
+		if !packet.isResponse && counts.duplicates < bounds.duplicates {
+			add(modelAction{kind: modelDuplicate, target: index})
 		}
-		if !packet.answers && spent.powerLoss < bounds.powerLoss {
-			add(modelAction{kind: modelPowerLoss, machine: index, other: spent.powerLoss % 3})
+		if !packet.isResponse && counts.powerLosses < bounds.powerLosses {
+			add(modelAction{kind: modelPowerLoss, target: index, argument: counts.powerLosses % 3})
 		}
 	}
-	for index, machine := range world.machines {
+	for index, machine := range cluster.machines {
 		if machine.process == nil {
-			add(modelAction{kind: modelRestart, machine: index})
-		} else if spent.crashes < bounds.crashes {
-			add(modelAction{kind: modelCrash, machine: index})
+			add(modelAction{kind: modelRestart, target: index})
+		} else if counts.crashes < bounds.crashes {
+			add(modelAction{kind: modelCrash, target: index})
 		}
-		if spent.wipes < bounds.wipes {
-			add(modelAction{kind: modelWipe, machine: index})
+		if counts.wipes < bounds.wipes {
+			add(modelAction{kind: modelWipe, target: index})
 		}
 		if machine.process != nil {
-			world.processActions(machine, add)
+			cluster.processActions(machine, add)
 		}
 	}
 }
 
-// processActions are the steps that a process may take of itself.
-func (world *modelWorld) processActions(machine *modelMachine, add func(modelAction)) {
-	process, bounds, spent := machine.process, world.bounds, &world.spent
+// processActions passes each action that a running process can begin to add.
+func (cluster *modelCluster) processActions(machine *modelMachine, add func(modelAction)) {
+	process, bounds, counts := machine.process, cluster.bounds, &cluster.counts
 	view, blank := process.core.membership(), process.core.replica.Blank()
-	if !process.idle() && spent.giveUps < bounds.giveUps {
-		add(modelAction{kind: modelGiveUp, machine: machine.index})
+	if !process.isIdle() && counts.aborts < bounds.aborts {
+		add(modelAction{kind: modelAbort, target: machine.index})
 	}
-	if bounds.timeOuts && world.stuck(machine) {
-		add(modelAction{kind: modelTimeOut, machine: machine.index})
+	if bounds.timeouts && cluster.isStuck(machine) {
+		add(modelAction{kind: modelTimeout, target: machine.index})
 	}
 	if process.leadership != nil {
-		world.leaderActions(machine, view, add)
+		cluster.leaderActions(machine, view, add)
 		return
 	}
-	if view.Votes() && !blank && spent.surveys < bounds.surveys {
-		add(modelAction{kind: modelSurveyed, machine: machine.index})
+	if view.Votes() && !blank && counts.recoveries < bounds.recoveries {
+		add(modelAction{kind: modelRecoverCommitted, target: machine.index})
 	}
-	if !process.idle() {
+	if !process.isIdle() {
 		return
 	}
-	if view.Votes() && !blank && world.rules.mayLead(view, view.ID) && spent.candidates < bounds.candidates {
-		add(modelAction{kind: modelStand, machine: machine.index})
+	if view.Votes() && !blank && cluster.rules.mayLead(view, view.ID) && counts.candidacies < bounds.candidacies {
+		add(modelAction{kind: modelCampaign, target: machine.index})
 	}
-	if view.Votes() && blank && spent.candidates < bounds.candidates {
-		add(modelAction{kind: modelRestore, machine: machine.index})
+	if view.Votes() && blank && counts.candidacies < bounds.candidacies {
+		add(modelAction{kind: modelRestore, target: machine.index})
 	}
-	if !view.Votes() && process.enlisting == 0 && spent.enlists < bounds.enlists {
-		for _, other := range world.machines {
+	if !view.Votes() && process.joinCall == 0 && counts.joins < bounds.joins {
+		for _, other := range cluster.machines {
 			if other.index != machine.index && other.process != nil {
-				add(modelAction{kind: modelEnlist, machine: machine.index, other: other.index})
+				add(modelAction{kind: modelJoin, target: machine.index, argument: other.index})
 			}
 		}
 	}
 }
 
-// stuck is whether nothing is on its way any more that a process waits for, or whether
-// its leadership is over and it has heard of that.
-func (world *modelWorld) stuck(machine *modelMachine) bool {
+// isStuck reports whether no message that a process waits for is in flight, or its replica has
+// promised a later term than that of its leadership.
+func (cluster *modelCluster) isStuck(machine *modelMachine) bool {
 	process := machine.process
-	if process.idle() {
+	if process.isIdle() {
 		return false
 	}
 	if process.leadership != nil && process.leadership.term.Less(process.core.replica.State().Promised) {
 		return true
 	}
-	if process.leadership != nil && process.push == nil {
+	if process.leadership != nil && process.replication == nil {
 		return false
 	}
-	for _, packet := range world.flight {
-		asker := packet.from
-		if packet.answers {
-			asker = packet.to
+	for _, packet := range cluster.inFlight {
+		requester := packet.from
+		if packet.isResponse {
+			requester = packet.to
 		}
-		if asker == machine.index && packet.life == process.life && process.waitsFor(packet.call) {
+		if requester == machine.index && packet.incarnation == process.incarnation && process.awaits(packet.call) {
 			return false
 		}
 	}
 	return true
 }
 
-func (world *modelWorld) leaderActions(machine *modelMachine, view *consensus.View, add func(modelAction)) {
-	process, bounds, spent := machine.process, world.bounds, &world.spent
-	if spent.mends < bounds.mends {
-		for _, other := range world.machines {
+func (cluster *modelCluster) leaderActions(machine *modelMachine, view *consensus.View, add func(modelAction)) {
+	process, bounds, counts := machine.process, cluster.bounds, &cluster.counts
+	if counts.repairs < bounds.repairs {
+		for _, other := range cluster.machines {
 			for _, register := range append([]message.Register{message.MembersRegister}, bounds.registers...) {
 				if other.index != machine.index && other.process != nil {
-					add(modelAction{kind: modelMend, machine: machine.index, other: other.index, register: register})
+					add(modelAction{kind: modelRepair, target: machine.index, argument: other.index, register: register})
 				}
 			}
 		}
 	}
-	if process.push != nil {
+	if process.replication != nil {
 		return
 	}
-	if spent.orders < bounds.orders {
+	if counts.writes < bounds.writes {
 		for _, register := range bounds.registers {
-			add(modelAction{kind: modelOrder, machine: machine.index, register: register})
+			add(modelAction{kind: modelStartWrite, target: machine.index, register: register})
 		}
 	}
 	if view.Changing() {
-		add(modelAction{kind: modelSettles, machine: machine.index})
+		add(modelAction{kind: modelFinishReplacement, target: machine.index})
 		return
 	}
-	if spent.steps >= bounds.steps {
+	if counts.replacements >= bounds.replacements {
 		return
 	}
-	for _, other := range world.machines {
+	for _, other := range cluster.machines {
 		if other.process == nil || view.HasAddress(other.address) {
 			continue
 		}
 		for _, leaving := range view.Voters {
 			if leaving.ID != view.ID {
-				add(modelAction{kind: modelReplace, machine: machine.index, other: other.index*64 + leaving.ID})
+				add(modelAction{kind: modelReplace, target: machine.index, argument: other.index*64 + leaving.ID})
 			}
 		}
 	}
 }
 
-// do takes one step and says whether all invariants still hold.
-func (world *modelWorld) do(action modelAction) *modelViolation {
-	if world.tracing {
-		world.trace = append(world.trace, world.tell(action))
+// apply takes one action and returns the first violated invariant, or nil.
+func (cluster *modelCluster) apply(action modelAction) *modelViolation {
+	if cluster.tracing {
+		cluster.trace = append(cluster.trace, cluster.describe(action))
 	}
-	spent := &world.spent
+	counts := &cluster.counts
 	switch action.kind {
 	case modelDeliver:
-		world.deliver(world.take(action.machine))
-		if world.bounds.prompt {
-			world.answersAtOnce(false)
+		cluster.deliver(cluster.takePacket(action.target))
+		if cluster.bounds.promptResponses {
+			cluster.finishResponses(false)
 		}
-	case modelUnheard:
-		spent.losses++
-		world.deliver(world.take(action.machine))
-		world.answersAtOnce(true)
-	case modelRepeat:
-		spent.duplicates++
-		world.deliver(world.flight[action.machine])
+	case modelLoseResponse:
+		counts.lostResponses++
+		cluster.deliver(cluster.takePacket(action.target))
+		cluster.finishResponses(true)
+	case modelDuplicate:
+		counts.duplicates++
+		cluster.deliver(cluster.inFlight[action.target])
 	case modelPowerLoss:
-		spent.powerLoss++
-		world.losesPower(world.take(action.machine), action.other)
+		counts.powerLosses++
+		cluster.losePower(cluster.takePacket(action.target), action.argument)
 	case modelCrash:
-		spent.crashes++
-		world.own(action.machine).process = nil
+		counts.crashes++
+		cluster.ownMachine(action.target).process = nil
 	case modelWipe:
-		spent.wipes++
-		world.own(action.machine).wipe()
+		counts.wipes++
+		cluster.ownMachine(action.target).wipe()
 	case modelRestart:
-		machine := world.own(action.machine)
+		machine := cluster.ownMachine(action.target)
 		machine.start()
-		if voter := machine.process.core.replica; world.rules.blankDiskVotes && voter.Blank() {
-			modelMust(voter.Join(newModelFirst(world.bounds).Accepted()))
+		if replica := machine.process.core.replica; cluster.rules.blankDiskVotes && replica.Blank() {
+			modelMust(replica.Join(modelInitialMembership(cluster.bounds).Accepted()))
 		}
-	case modelStand:
-		spent.candidates++
-		world.stand(world.own(action.machine))
-	case modelSurveyed:
-		spent.surveys++
-		world.surveyed(world.own(action.machine))
+	case modelCampaign:
+		counts.candidacies++
+		cluster.campaign(cluster.ownMachine(action.target))
+	case modelRecoverCommitted:
+		counts.recoveries++
+		cluster.recoverCommitted(cluster.ownMachine(action.target))
 	case modelRestore:
-		spent.candidates++
-		world.surveys(world.own(action.machine))
-	case modelEnlist:
-		spent.enlists++
-		world.enlists(world.own(action.machine), action.other)
-	case modelGiveUp:
-		spent.giveUps++
-		world.own(action.machine).process.revoke()
-	case modelTimeOut:
-		world.own(action.machine).process.revoke()
-	case modelOrder:
-		spent.orders++
-		world.order(world.own(action.machine), action.register)
+		counts.candidacies++
+		cluster.startRestore(cluster.ownMachine(action.target))
+	case modelJoin:
+		counts.joins++
+		cluster.join(cluster.ownMachine(action.target), action.argument)
+	case modelAbort:
+		counts.aborts++
+		cluster.ownMachine(action.target).process.abort()
+	case modelTimeout:
+		cluster.ownMachine(action.target).process.abort()
+	case modelStartWrite:
+		counts.writes++
+		cluster.write(cluster.ownMachine(action.target), action.register)
 	case modelReplace:
-		spent.steps++
-		world.replaces(world.own(action.machine), action.other%64, action.other/64)
-	case modelSettles:
-		world.settles(world.own(action.machine))
-	case modelMend:
-		spent.mends++
-		world.mends(world.own(action.machine), action.other, action.register)
+		counts.replacements++
+		cluster.replaceVoter(cluster.ownMachine(action.target), action.argument%64, action.argument/64)
+	case modelFinishReplacement:
+		cluster.finishReplacement(cluster.ownMachine(action.target))
+	case modelRepair:
+		counts.repairs++
+		cluster.repair(cluster.ownMachine(action.target), action.argument, action.register)
 	}
-	world.prune()
-	return world.ledger.broken
+	cluster.dropObsolete()
+	return cluster.observer.violation
 }
 
-// answersAtOnce has the last message, where it is an answer, arrive or be lost. An
-// answer can bring about another one, of a leader to a learner that waits.
-func (world *modelWorld) answersAtOnce(lost bool) {
-	for last := len(world.flight) - 1; last >= 0 && world.flight[last].answers; last = len(world.flight) - 1 {
-		packet := world.take(last)
+// finishResponses delivers or drops the last message in flight while it is a response. A
+// delivered response can cause another one, from a leader to a waiting learner.
+func (cluster *modelCluster) finishResponses(lost bool) {
+	for last := len(cluster.inFlight) - 1; last >= 0 && cluster.inFlight[last].isResponse; last = len(cluster.inFlight) - 1 {
+		packet := cluster.takePacket(last)
 		if !lost {
-			world.deliver(packet)
+			cluster.deliver(packet)
 		}
 	}
 }
 
-// losesPower cuts the power of a machine before what it does with a message is synced:
-// nothing, a part or all of what it wrote may be there afterwards, and nobody hears.
-func (world *modelWorld) losesPower(packet *modelPacket, much int) {
-	machine := world.own(packet.to)
-	before := len(world.flight)
+// losePower stops a machine while it handles a message, before its writes are synced. None,
+// some or all of the written bytes survive, and no response is sent.
+func (cluster *modelCluster) losePower(packet *modelPacket, written int) {
+	machine := cluster.ownMachine(packet.to)
+	before := len(cluster.inFlight)
 	machine.disk.Failing = true
-	world.deliver(packet)
+	cluster.deliver(packet)
 	machine.process = nil
-	machine.disk.LosePower([]int{0, 7, 1 << 20}[much])
-	if !world.rules.syncs {
+	machine.disk.LosePower([]int{0, 7, 1 << 20}[written])
+	if !cluster.rules.syncs {
 		return
 	}
-	world.flight = world.flight[:before]
-	if request, offered := packet.message.(*message.AcceptRequest); offered && machine.holds(request) {
-		world.ledger.accepted(machine.index, request)
+	cluster.inFlight = cluster.inFlight[:before]
+	if request, proposed := packet.message.(*message.AcceptRequest); proposed && machine.hasAccepted(request) {
+		cluster.observer.recordAcceptance(machine.index, request)
 	}
 }
 
-func newModelFirst(bounds *modelBounds) *consensus.Membership {
+func modelInitialMembership(bounds *modelBounds) *consensus.Membership {
 	addresses := []string{}
 	for index := range bounds.founders {
 		addresses = append(addresses, fmt.Sprintf("10.0.0.%d:7000", index+1))
@@ -273,44 +274,44 @@
 	return consensus.InitialMembership(addresses)
 }
 
-// tell is an action in words, for the trace of a violation.
-func (world *modelWorld) tell(action modelAction) string {
+// describe formats an action for the trace of a violation.
+func (cluster *modelCluster) describe(action modelAction) string {
 	switch action.kind {
-	case modelDeliver, modelRepeat, modelPowerLoss, modelUnheard:
-		packet := world.flight[action.machine]
+	case modelDeliver, modelDuplicate, modelPowerLoss, modelLoseResponse:
+		packet := cluster.inFlight[action.target]
 		return fmt.Sprintf(
-			"%s %d->%d as %d %T%+v",
+			"%s %d->%d voter ID %d %T%+v",
 			action.kind,
 			packet.from+1,
 			packet.to+1,
-			packet.as,
+			packet.voterID,
 			packet.message,
-			modelBrief(packet.message),
+			modelSummary(packet.message),
 		)
 	case modelReplace:
-		return fmt.Sprintf("machine %d: replace ID %d by machine %d", action.machine+1, action.other%64, action.other/64+1)
-	case modelEnlist, modelMend:
-		return fmt.Sprintf("machine %d: %s at machine %d, register %d", action.machine+1, action.kind, action.other+1, action.register)
+		return fmt.Sprintf("machine %d: replace ID %d by machine %d", action.target+1, action.argument%64, action.argument/64+1)
+	case modelJoin, modelRepair:
+		return fmt.Sprintf("machine %d: %s at machine %d, register %d", action.target+1, action.kind, action.argument+1, action.register)
 	}
-	return fmt.Sprintf("machine %d: %s", action.machine+1, action.kind)
+	return fmt.Sprintf("machine %d: %s", action.target+1, action.kind)
 }
 
-func modelBrief(request any) string {
-	switch request := request.(type) {
+func modelSummary(body any) string {
+	switch body := body.(type) {
 	case *message.PrepareRequest:
-		return fmt.Sprintf(" ballot %s by membership %v", request.Term, request.Membership.Version())
+		return fmt.Sprintf(" term %s membership %v", body.Term, body.Membership.Version())
 	case *message.PrepareResponse:
-		return fmt.Sprintf(" granted %v promised %s", request.Granted, request.Promised)
+		return fmt.Sprintf(" granted %v promised %s", body.Granted, body.Promised)
 	case *message.AcceptRequest:
-		return fmt.Sprintf(" register %d under %s serial %d", request.Register, request.Term, request.Value.Serial)
+		return fmt.Sprintf(" register %d term %s serial %d", body.Register, body.Term, body.Value.Serial)
 	case *message.AcceptResponse:
-		return fmt.Sprintf(" taken %v", request.Accepted)
+		return fmt.Sprintf(" accepted %v", body.Accepted)
 	case *message.JoinResponse:
-		return fmt.Sprintf(" admitted %v under %s", request.Admitted, request.Term)
+		return fmt.Sprintf(" admitted %v term %s", body.Admitted, body.Term)
 	case *message.HeartbeatRequest:
-		return fmt.Sprintf(" under %s", request.Term)
+		return fmt.Sprintf(" term %s", body.Term)
 	case *message.HeartbeatResponse:
-		return fmt.Sprintf(" taken %v voter %v", request.Accepted, request.Voter)
+		return fmt.Sprintf(" accepted %v voter %v", body.Accepted, body.Voter)
 	}
 	return ""
 }
--- a/control/model_digest_test.go
+++ b/control/model_digest_test.go
@@ -14,142 +14,142 @@
 	"orchidjunction/rpc"
 )
 
-// modelDigest collects what tells two states of the model apart.
+// modelDigest is an encoding that distinguishes the states of the model.
 type modelDigest []byte
 
-func (digest *modelDigest) numbers(numbers ...int) {
+func (digest *modelDigest) appendInts(numbers ...int) {
 	for _, number := range numbers {
 		*digest = binary.AppendVarint(*digest, int64(number))
 	}
 }
 
-func (digest *modelDigest) text(text string) {
-	digest.numbers(len(text))
+func (digest *modelDigest) appendText(text string) {
+	digest.appendInts(len(text))
 	*digest = append(*digest, text...)
 }
 
-func (digest *modelDigest) flag(flags ...bool) {
+func (digest *modelDigest) appendFlags(flags ...bool) {
 	for _, flag := range flags {
 		if flag {
-			digest.numbers(1)
+			digest.appendInts(1)
 		} else {
-			digest.numbers(0)
+			digest.appendInts(0)
 		}
 	}
 }
 
-func (digest *modelDigest) ballot(term message.Term) {
-	digest.numbers(int(term.Number), term.Core)
+func (digest *modelDigest) appendTerm(term message.Term) {
+	digest.appendInts(int(term.Number), term.Core)
 }
 
-func (digest *modelDigest) mark(version message.Version) {
-	digest.ballot(version.Term)
-	digest.numbers(int(version.Serial))
+func (digest *modelDigest) appendVersion(version message.Version) {
+	digest.appendTerm(version.Term)
+	digest.appendInts(int(version.Serial))
 }
 
-func (digest *modelDigest) value(value message.Value) {
-	digest.numbers(int(value.Serial))
-	digest.text(string(value.Body))
+func (digest *modelDigest) appendValue(value message.Value) {
+	digest.appendInts(int(value.Serial))
+	digest.appendText(string(value.Body))
 }
 
-func (digest *modelDigest) accepted(all [message.Registers]message.AcceptedValue) {
+func (digest *modelDigest) appendAccepted(all [message.Registers]message.AcceptedValue) {
 	for _, accepted := range all {
-		digest.ballot(accepted.Term)
-		digest.value(accepted.Value)
+		digest.appendTerm(accepted.Term)
+		digest.appendValue(accepted.Value)
 	}
 }
 
-func (digest *modelDigest) membership(membership *consensus.Membership) {
-	digest.mark(membership.Version)
-	digest.numbers(membership.LastID, len(membership.Voters), len(membership.Next))
+func (digest *modelDigest) appendMembership(membership *consensus.Membership) {
+	digest.appendVersion(membership.Version)
+	digest.appendInts(membership.LastID, len(membership.Voters), len(membership.Next))
 	for _, peer := range append(slices.Clip(membership.Voters), membership.Next...) {
-		digest.numbers(peer.ID, modelIndex(peer.Address))
+		digest.appendInts(peer.ID, modelIndex(peer.Address))
 	}
 }
 
-func (digest *modelDigest) state(state *consensus.State) {
-	digest.flag(state.SinceBootstrap, state.Initialized)
-	digest.ballot(state.Promised)
-	digest.accepted(state.Accepted)
+func (digest *modelDigest) appendState(state *consensus.State) {
+	digest.appendFlags(state.SinceBootstrap, state.Initialized)
+	digest.appendTerm(state.Promised)
+	digest.appendAccepted(state.Accepted)
 }
 
-func (digest *modelDigest) message(request any) {
+func (digest *modelDigest) appendMessage(request any) {
 	packed, err := rpc.Marshal(request)
 	if err != nil {
 		panic(err)
 	}
-	digest.text(string(packed))
+	digest.appendText(string(packed))
 }
 
-// hash is a digest of the whole state, whatever the order of messages on their way.
-func (world *modelWorld) hash() [16]byte {
+// hash returns a hash of the whole state, independent of the order of messages in flight.
+func (cluster *modelCluster) hash() [16]byte {
 	digest := make(modelDigest, 0, 2048)
-	spent := world.spent
-	digest.numbers(
-		spent.candidates,
-		spent.orders,
-		spent.crashes,
-		spent.powerLoss,
-		spent.wipes,
-		spent.steps,
-		spent.enlists,
-		spent.mends,
-		spent.surveys,
-		spent.duplicates,
-		spent.giveUps,
-		spent.losses,
+	counts := cluster.counts
+	digest.appendInts(
+		counts.candidacies,
+		counts.writes,
+		counts.crashes,
+		counts.powerLosses,
+		counts.wipes,
+		counts.replacements,
+		counts.joins,
+		counts.repairs,
+		counts.recoveries,
+		counts.duplicates,
+		counts.aborts,
+		counts.lostResponses,
 	)
-	for _, machine := range world.machines {
-		digest.text(machine.digest())
+	for _, machine := range cluster.machines {
+		digest.appendText(machine.digest())
 	}
-	packets := make([]string, 0, len(world.flight))
-	for _, packet := range world.flight {
+	packets := make([]string, 0, len(cluster.inFlight))
+	for _, packet := range cluster.inFlight {
 		packets = append(packets, packet.digest())
 	}
 	sort.Strings(packets)
 	for _, packet := range packets {
-		digest.text(packet)
+		digest.appendText(packet)
 	}
-	digest.ledger(world.ledger)
-	whole := sha256.Sum256(digest)
-	return [16]byte(whole[:16])
+	digest.appendObserver(cluster.observer)
+	sum := sha256.Sum256(digest)
+	return [16]byte(sum[:16])
 }
 
-// digest is a message's; it is kept, since messages don't change.
+// digest returns the encoded packet. It is cached, since packets do not change.
 func (packet *modelPacket) digest() string {
-	if packet.digested == "" {
+	if packet.cachedDigest == "" {
 		digest := modelDigest{}
-		digest.numbers(packet.from, packet.to, packet.life, packet.call, packet.as, int(packet.register))
-		digest.flag(packet.answers, packet.amnesiac)
-		if response, beats := packet.message.(*message.HeartbeatResponse); beats {
+		digest.appendInts(packet.from, packet.to, packet.incarnation, packet.call, packet.voterID, int(packet.register))
+		digest.appendFlags(packet.isResponse, packet.amnesiac)
+		if response, isHeartbeat := packet.message.(*message.HeartbeatResponse); isHeartbeat {
 			untimed := *response
 			untimed.NowMs, untimed.AnchorMs = 0, 0
-			digest.message(&untimed)
+			digest.appendMessage(&untimed)
 		} else {
-			digest.message(packet.message)
+			digest.appendMessage(packet.message)
 		}
-		packet.digested = string(digest)
+		packet.cachedDigest = string(digest)
 	}
-	return packet.digested
+	return packet.cachedDigest
 }
 
-// digest is a machine's; it is kept until the machine changes.
+// digest returns the encoded machine, cached until ownMachine is called for it.
 func (machine *modelMachine) digest() string {
-	if machine.digested == "" {
+	if machine.cachedDigest == "" {
 		digest := modelDigest{}
-		digest.numbers(machine.lives, int(machine.voted), int(machine.forgotten))
+		digest.appendInts(machine.incarnations, int(machine.votedIDs), int(machine.lostIDs))
 		if machine.process == nil {
-			digest.state(modelLasting(machine.disk))
+			digest.appendState(modelDiskState(machine.disk))
 		} else {
-			digest.process(machine.process)
+			digest.appendProcess(machine.process)
 		}
-		machine.digested = string(digest)
+		machine.cachedDigest = string(digest)
 	}
-	return machine.digested
+	return machine.cachedDigest
 }
 
-// modelLasting is what a stopped machine's disk holds, read by the real store.
-func modelLasting(disk *testdisk.Disk) *consensus.State {
+// modelDiskState returns the state on a stopped machine's disk, as the real store reads it.
+func modelDiskState(disk *testdisk.Disk) *consensus.State {
 	store, err := replica.OpenStore(disk.Clone())
 	if err != nil {
 		panic(err)
@@ -157,73 +157,73 @@
 	return store.State()
 }
 
-func (digest *modelDigest) process(process *modelProcess) {
-	digest.state(process.core.replica.State())
-	digest.membership(process.core.membership().Membership)
-	digest.numbers(process.life, process.calls, process.enlisting, int(process.core.election.highestTerm))
-	digest.ballot(process.core.election.leader.Term)
-	digest.accepted(process.core.committed)
-	if survey := process.survey; survey != nil {
-		digest.numbers(1, survey.call)
-		digest.mark(survey.view.Version)
-		for _, id := range slices.Sorted(maps.Keys(survey.response)) {
-			digest.numbers(id)
-			digest.message(survey.response[id])
+func (digest *modelDigest) appendProcess(process *modelProcess) {
+	digest.appendState(process.core.replica.State())
+	digest.appendMembership(process.core.membership().Membership)
+	digest.appendInts(process.incarnation, process.calls, process.joinCall, int(process.core.election.highestTerm))
+	digest.appendTerm(process.core.election.leader.Term)
+	digest.appendAccepted(process.core.committed)
+	if stateQuery := process.stateQuery; stateQuery != nil {
+		digest.appendInts(1, stateQuery.call)
+		digest.appendVersion(stateQuery.view.Version)
+		for _, id := range slices.Sorted(maps.Keys(stateQuery.responses)) {
+			digest.appendInts(id)
+			digest.appendMessage(stateQuery.responses[id])
 		}
 	}
 	if candidacy := process.candidacy; candidacy != nil {
-		digest.numbers(2, candidacy.call)
-		digest.ballot(candidacy.ballot)
-		digest.mark(candidacy.view.Version)
+		digest.appendInts(2, candidacy.call)
+		digest.appendTerm(candidacy.term)
+		digest.appendVersion(candidacy.view.Version)
 		for _, id := range slices.Sorted(maps.Keys(candidacy.promises)) {
-			digest.numbers(id)
-			digest.accepted(candidacy.promises[id].Accepted)
+			digest.appendInts(id)
+			digest.appendAccepted(candidacy.promises[id].Accepted)
 		}
 	}
-	if push := process.push; push != nil {
-		digest.numbers(3, push.call, push.leaving)
-		digest.text(string(push.purpose) + push.learner)
-		digest.ballot(push.ballot)
-		if push.view != nil {
-			digest.membership(push.view.Membership)
+	if replication := process.replication; replication != nil {
+		digest.appendInts(3, replication.call, replication.leavingID)
+		digest.appendText(string(replication.purpose) + replication.learner)
+		digest.appendTerm(replication.term)
+		if replication.view != nil {
+			digest.appendMembership(replication.view.Membership)
 		}
 		for register := range message.Registers {
-			digest.numbers(int(push.took[register]))
-			digest.value(push.values[register])
+			digest.appendInts(int(replication.acceptedBy[register]))
+			digest.appendValue(replication.values[register])
 		}
 	}
 	if admission := process.admission; admission != nil {
-		digest.numbers(4, admission.call, int(admission.took))
-		digest.text(admission.asked.digest() + admission.history)
-		digest.mark(admission.view.Version)
+		digest.appendInts(4, admission.call, int(admission.confirmedBy))
+		digest.appendText(admission.request.digest() + admission.acknowledged)
+		digest.appendVersion(admission.view.Version)
 	}
 	if leadership := process.leadership; leadership != nil {
-		digest.numbers(5)
-		digest.ballot(leadership.term)
+		digest.appendInts(5)
+		digest.appendTerm(leadership.term)
 		for _, value := range leadership.values {
-			digest.value(value)
+			digest.appendValue(value)
 		}
 	}
 }
 
-func (digest *modelDigest) ledger(ledger *modelLedger) {
-	for register := range ledger.history {
-		digest.text(ledger.history[register] + "/" + ledger.acknowledged[register])
-		digest.ballot(ledger.under[register])
+func (digest *modelDigest) appendObserver(observer *modelObserver) {
+	for register := range observer.decided {
+		digest.appendText(observer.decided[register] + "/" + observer.acknowledged[register])
+		digest.appendTerm(observer.decidedTerm[register])
 	}
-	digest.membership(ledger.version)
-	for _, term := range slices.SortedFunc(maps.Keys(ledger.leaders), compareTerms) {
-		digest.ballot(term)
-		digest.numbers(ledger.leaders[term])
+	digest.appendMembership(observer.membership)
+	for _, term := range slices.SortedFunc(maps.Keys(observer.leaders), compareTerms) {
+		digest.appendTerm(term)
+		digest.appendInts(observer.leaders[term])
 	}
-	for _, id := range slices.Sorted(maps.Keys(ledger.given)) {
-		digest.numbers(id, modelIndex(ledger.given[id]))
+	for _, id := range slices.Sorted(maps.Keys(observer.addresses)) {
+		digest.appendInts(id, modelIndex(observer.addresses[id]))
 	}
-	for _, proposal := range slices.SortedFunc(slices.Values(ledger.proposals), compareProposals) {
-		digest.ballot(proposal.ballot)
-		digest.numbers(int(proposal.register), len(proposal.versions), int(proposal.acceptors))
-		digest.value(proposal.value)
-		digest.flag(proposal.decided)
+	for _, proposal := range slices.SortedFunc(slices.Values(observer.proposals), compareProposals) {
+		digest.appendTerm(proposal.term)
+		digest.appendInts(int(proposal.register), len(proposal.views), int(proposal.acceptors))
+		digest.appendValue(proposal.value)
+		digest.appendFlags(proposal.decided)
 	}
 }
 
@@ -238,7 +238,7 @@
 }
 
 func compareProposals(left, right modelProposal) int {
-	if order := compareTerms(left.ballot, right.ballot); order != 0 {
+	if order := compareTerms(left.term, right.term); order != 0 {
 		return order
 	}
 	if left.register != right.register {
--- a/control/model_machine_test.go
+++ b/control/model_machine_test.go
@@ -14,90 +14,90 @@
 	"orchidjunction/replica"
 )
 
-// modelMachine is one machine of the model: its disk, and the process on it while one runs.
+// modelMachine is a machine with its disk and its process, which is nil while stopped.
 type modelMachine struct {
-	index   int
-	address string
-	disk    *testdisk.Disk
-	process *modelProcess
-	lives   int
-	// voted are the decided IDs under which this disk answered somebody who counted it,
-	// and forgotten those of earlier disks; neither is known to the rules.
-	voted     modelIDs
-	forgotten modelIDs
-	digested  string
-}
-
-// modelIDs is a set of voters' IDs, or of machines.
-type modelIDs uint64
-
-func (ids modelIDs) has(id int) bool            { return ids&(1<<id) != 0 }
-func (ids modelIDs) with(id int) modelIDs       { return ids | 1<<id }
-func (ids modelIDs) without(id int) modelIDs    { return ids &^ (1 << id) }
-func (ids modelIDs) and(more modelIDs) modelIDs { return ids | more }
-
-// modelProcess is a running core: the real Core with its real Voter, of which only the
-// methods that do no I/O are called, and what it is waiting for.
+	index        int
+	address      string
+	disk         *testdisk.Disk
+	process      *modelProcess
+	incarnations int
+	// votedIDs are the decided IDs under which this disk sent responses that count, and lostIDs
+	// those of lost disks. The rules know neither.
+	votedIDs     modelIDSet
+	lostIDs      modelIDSet
+	cachedDigest string
+}
+
+// modelIDSet is a set of voter IDs or of machine indexes.
+type modelIDSet uint64
+
+func (ids modelIDSet) has(id int) bool                  { return ids&(1<<id) != 0 }
+func (ids modelIDSet) with(id int) modelIDSet           { return ids | 1<<id }
+func (ids modelIDSet) without(id int) modelIDSet        { return ids &^ (1 << id) }
+func (ids modelIDSet) union(more modelIDSet) modelIDSet { return ids | more }
+
+// modelProcess is a running core: a real Core with a real Replica, of which only methods that
+// do no network I/O are called, and its calls in progress.
 type modelProcess struct {
-	core       *Core
-	life       int
-	calls      int
-	enlisting  int
-	survey     *modelSurvey
-	candidacy  *modelCandidacy
-	push       *modelPush
-	admission  *modelAdmission
-	leadership *Leadership
+	core        *Core
+	incarnation int
+	calls       int
+	joinCall    int
+	stateQuery  *modelStateQuery
+	candidacy   *modelCandidacy
+	replication *modelReplication
+	admission   *modelAdmission
+	leadership  *Leadership
 }
 
-// modelSurvey is a blank voter's question to all others, before it fences them.
-type modelSurvey struct {
-	call     int
-	view     *consensus.View
-	response map[int]*message.ReplicaStateResponse
+// modelStateQuery is a blank voter's request for the state of all others, before it fences them.
+type modelStateQuery struct {
+	call      int
+	view      *consensus.View
+	responses map[int]*message.ReplicaStateResponse
 }
 
-// modelCandidacy is a ballot that is being pushed.
+// modelCandidacy is a candidacy that collects promises.
 type modelCandidacy struct {
-	call     int
-	view     *consensus.View
-	ballot   message.Term
-	promises map[int]*message.PrepareResponse
-	restores bool
+	call      int
+	view      *consensus.View
+	term      message.Term
+	promises  map[int]*message.PrepareResponse
+	restoring bool
 }
 
 type modelPurpose string
 
 const (
-	modelEstablish modelPurpose = "establish"
-	modelWrite     modelPurpose = "write"
-	modelCatchUp   modelPurpose = "catch up"
-	modelStep      modelPurpose = "step"
-	modelRewrite   modelPurpose = "rewrite"
-	modelSettle    modelPurpose = "settle"
+	modelEstablish  modelPurpose = "establish"
+	modelWrite      modelPurpose = "write"
+	modelCatchUp    modelPurpose = "catch up"
+	modelWriteJoint modelPurpose = "write joint membership"
+	modelRewrite    modelPurpose = "rewrite"
+	modelWriteFinal modelPurpose = "write final membership"
 )
 
-// modelPush is a set of values on their way to a quorum, or to one learner.
-type modelPush struct {
+// modelReplication is a write of values to a quorum, or to one learner, in progress.
+type modelReplication struct {
 	call    int
 	purpose modelPurpose
 	view    *consensus.View
-	ballot  message.Term
+	term    message.Term
 	values  map[message.Register]message.Value
-	// inherited are the versions under which the values were accepted before.
-	inherited message.Versions
-	took      map[message.Register]modelIDs
-	learner   string
-	leaving   int
+	// inherited has the versions with which the values were accepted under earlier terms.
+	inherited  message.Versions
+	acceptedBy map[message.Register]modelIDSet
+	learner    string
+	leavingID  int
 }
 
-// modelAdmission is a learner's question that waits for a confirmed heartbeat.
+// modelAdmission is a learner's join request that waits for a confirmed heartbeat.
 type modelAdmission struct {
-	call    int
-	view    *consensus.View
-	asked   *modelPacket
-	took    modelIDs
-	history string
+	call         int
+	view         *consensus.View
+	request      *modelPacket
+	confirmedBy  modelIDSet
+	acknowledged string
 }
 
 func newModelMachine(index int, lying bool) *modelMachine {
@@ -115,11 +115,11 @@
 	return &next
 }
 
-// modelSegmentLimit makes the store write snapshots often.
-const modelSegmentLimit = 1500
+// modelSegmentBytes is small so that the store often writes snapshots.
+const modelSegmentBytes = 1500
 
 func newModelCore(address string, store *replica.Store) *Core {
-	store.LimitSegments(modelSegmentLimit)
+	store.LimitSegments(modelSegmentBytes)
 	core := &Core{
 		counters:     metrics.NewCounters(),
 		updates:      concurrent.NewCondition(),
@@ -142,7 +142,7 @@
 	return core
 }
 
-// openReplica makes the replica of a store the core's own.
+// openReplica sets the core's replica to one on the given store.
 func (core *Core) openReplica(store *replica.Store) {
 	core.replica = replica.New(
 		store,
@@ -150,28 +150,28 @@
 	)
 }
 
-// start runs a process on the disk as it is.
+// start starts a process on the machine's disk.
 func (machine *modelMachine) start() {
 	store, err := replica.OpenStore(machine.disk)
 	if err != nil {
 		panic(err)
 	}
-	machine.lives++
-	machine.process = &modelProcess{core: newModelCore(machine.address, store), life: machine.lives}
+	machine.incarnations++
+	machine.process = &modelProcess{core: newModelCore(machine.address, store), incarnation: machine.incarnations}
 }
 
-// holds is whether the disk of a stopped machine has accepted what was offered.
-func (machine *modelMachine) holds(request *message.AcceptRequest) bool {
-	offered := message.Version{Term: request.Term, Serial: request.Value.Serial}
-	return modelLasting(machine.disk).Accepted[request.Register].Version() == offered
+// hasAccepted reports whether a stopped machine's disk has accepted the request's value.
+func (machine *modelMachine) hasAccepted(request *message.AcceptRequest) bool {
+	proposed := message.Version{Term: request.Term, Serial: request.Value.Serial}
+	return modelDiskState(machine.disk).Accepted[request.Register].Version() == proposed
 }
 
-// wipe replaces the disk by an empty one.
+// wipe stops the process and replaces the disk by an empty one.
 func (machine *modelMachine) wipe() {
 	lying := machine.disk.Lying
 	machine.process, machine.disk = nil, testdisk.New()
 	machine.disk.Lying = lying
-	machine.forgotten, machine.voted = machine.forgotten.and(machine.voted), 0
+	machine.lostIDs, machine.votedIDs = machine.lostIDs.union(machine.votedIDs), 0
 }
 
 func (process *modelProcess) clone(address string, disk *testdisk.Disk) *modelProcess {
@@ -181,20 +181,20 @@
 	next.core.members = consensus.NewTracker(process.core.membership(), next.core.membershipChanged)
 	next.core.election.highestTerm, next.core.election.leader = process.core.election.highestTerm, process.core.election.leader
 	next.core.committed = process.core.committed
-	if process.survey != nil {
-		survey := *process.survey
-		survey.response = maps.Clone(survey.response)
-		next.survey = &survey
+	if process.stateQuery != nil {
+		stateQuery := *process.stateQuery
+		stateQuery.responses = maps.Clone(stateQuery.responses)
+		next.stateQuery = &stateQuery
 	}
 	if process.candidacy != nil {
 		candidacy := *process.candidacy
 		candidacy.promises = maps.Clone(candidacy.promises)
 		next.candidacy = &candidacy
 	}
-	if process.push != nil {
-		push := *process.push
-		push.took = maps.Clone(push.took)
-		next.push = &push
+	if process.replication != nil {
+		replication := *process.replication
+		replication.acceptedBy = maps.Clone(replication.acceptedBy)
+		next.replication = &replication
 	}
 	if process.admission != nil {
 		admission := *process.admission
@@ -211,12 +211,12 @@
 	return process.calls
 }
 
-// revoke ends the leadership and every attempt at one.
-func (process *modelProcess) revoke() {
-	process.survey, process.candidacy, process.push, process.admission, process.leadership = nil, nil, nil, nil, nil
+// abort ends the leadership and every attempt at one.
+func (process *modelProcess) abort() {
+	process.stateQuery, process.candidacy, process.replication, process.admission, process.leadership = nil, nil, nil, nil, nil
 }
 
-// idle is whether the process neither leads nor tries to.
-func (process *modelProcess) idle() bool {
-	return process.leadership == nil && process.survey == nil && process.candidacy == nil && process.push == nil
+// isIdle reports whether the process neither leads nor tries to.
+func (process *modelProcess) isIdle() bool {
+	return process.leadership == nil && process.stateQuery == nil && process.candidacy == nil && process.replication == nil
 }
--- a/control/model_mutants_test.go
+++ b/control/model_mutants_test.go
@@ -10,23 +10,23 @@
 	"orchidjunction/message"
 )
 
-// modelMutant is a seeded bug, and the invariants of which it must break one.
+// modelMutant is a seeded bug and the invariants of which it must violate one.
 type modelMutant struct {
-	name   string
-	breaks []string
-	mutate func(rules *modelRules)
-	// form is the form of deployment whose walks must find it.
-	form int
-	// detailed lets the invariants on single answers find it too; without that it has
-	// to show in what is decided, led and served.
+	name     string
+	violates []string
+	mutate   func(rules *modelRules)
+	// scenario is the index of the scenario whose walks must detect it.
+	scenario int
+	// detailed includes the invariants on single responses and counts. Without them, the bug
+	// must show in what is decided, led or served.
 	detailed bool
-	// near is a walk that found it when last measured; with the race detector, which
-	// slows all walks, the search begins there.
-	near int
+	// startWalk is where the search begins under the race detector, which slows walks down. It
+	// is near a walk that detected the bug.
+	startWalk int
 }
 
-// modelTooFew counts with one voter less than a majority of each group.
-func modelTooFew(view *consensus.View, has func(id int) bool) bool {
+// modelOneBelowMajority requires one voter fewer than a majority of each group.
+func modelOneBelowMajority(view *consensus.View, has func(id int) bool) bool {
 	if !view.Votes() {
 		return false
 	}
@@ -38,13 +38,13 @@
 	return true
 }
 
-// modelFirstGroup counts a majority of the former voters only, also during a step.
-func modelFirstGroup(view *consensus.View, has func(id int) bool) bool {
+// modelFormerMajority requires only a majority of the former voters, also in a joint membership.
+func modelFormerMajority(view *consensus.View, has func(id int) bool) bool {
 	return view.Votes() && message.CountIn(view.Voters, has) >= message.Majority(view.Voters)
 }
 
-// modelOldest takes over the oldest values in place of the newest.
-func modelOldest(
+// modelOldestValues returns the oldest values instead of the newest.
+func modelOldestValues(
 	view *consensus.View,
 	promises map[int]*message.PrepareResponse,
 ) (oldest [message.Registers]message.AcceptedValue, from [message.Registers]int) {
@@ -59,52 +59,57 @@
 	return oldest, from
 }
 
+// Indexes of modelScenarios.
 const (
-	modelThree = iota
-	modelFour
-	modelLate
-	modelFive
-	modelWiped
-	modelStale
-	modelEmptied
-	modelStray
+	modelThreeVoters = iota
+	modelFourVoters
+	modelLateVoter
+	modelFiveVoters
+	modelWipedDisks
+	modelStaleLeader
+	modelStaleLeaderEmptyDisk
+	modelUndecidedJoint
 )
 
 var modelMutants = []modelMutant{
 	{
-		name:   "a candidate needs one promise less",
-		form:   modelThree,
-		breaks: []string{acknowledgedIsKept, oneValuePerSerial, oneLeaderPerTerm, confirmedReadIsNewest},
-		mutate: func(rules *modelRules) { rules.decides = modelTooFew },
+		name:     "a candidate needs one promise fewer",
+		scenario: modelThreeVoters,
+		violates: []string{decisionsAreKept, oneValuePerSerial, oneLeaderPerTerm, confirmedReadIsCurrent},
+		mutate:   func(rules *modelRules) { rules.decides = modelOneBelowMajority },
 	},
 	{
-		name:     "a reference names the serial alone",
-		form:     modelThree,
-		breaks:   []string{oneValuePerSerial, acknowledgedIsKept},
+		name:     "a reference matches by serial alone",
+		scenario: modelThreeVoters,
+		violates: []string{oneValuePerSerial, decisionsAreKept},
 		detailed: true,
 		mutate:   func(rules *modelRules) { rules.acceptsBySerial = true },
 	},
 	{
-		name: "a write needs one replica less", form: modelThree, breaks: []string{acknowledgedIsKept},
-		mutate: func(rules *modelRules) { rules.pushed = modelTooFew },
+		name: "a write needs one replica fewer", scenario: modelThreeVoters, violates: []string{decisionsAreKept},
+		mutate: func(rules *modelRules) { rules.decidedBy = modelOneBelowMajority },
 	},
 	{
-		name: "a write needs one replica less, of 4", form: modelFour, breaks: []string{acknowledgedIsKept},
-		mutate: func(rules *modelRules) { rules.pushed = modelTooFew },
+		name: "a write needs one replica fewer, 4 voters", scenario: modelFourVoters, violates: []string{decisionsAreKept},
+		mutate: func(rules *modelRules) { rules.decidedBy = modelOneBelowMajority },
 	},
 	{
-		name: "a step counts the former voters only", form: modelThree, breaks: []string{oneVoterPerStep, acknowledgedIsKept, quorumsMeet},
+		name:     "a joint quorum counts the former voters only",
+		scenario: modelThreeVoters,
+		violates: []string{oneVoterPerChange, decisionsAreKept, quorumsIntersect},
 		mutate: func(rules *modelRules) {
-			rules.pushed = modelFirstGroup
+			rules.decidedBy = modelFormerMajority
 			rules.decides = func(view *consensus.View, has func(id int) bool) bool {
-				return modelFirstGroup(view, func(id int) bool { return id == view.ID || has(id) })
+				return modelFormerMajority(view, func(id int) bool { return id == view.ID || has(id) })
 			}
 		},
 	},
 	{
-		name: "nobody refuses an older membership", form: modelThree, breaks: []string{acknowledgedIsKept, oneVoterPerStep, quorumsMeet},
+		name:     "an outdated membership is not rejected",
+		scenario: modelThreeVoters,
+		violates: []string{decisionsAreKept, oneVoterPerChange, quorumsIntersect},
 		mutate: func(rules *modelRules) {
-			rules.askedMembers = func(view *consensus.View) message.AcceptedValue {
+			rules.prepareMembership = func(view *consensus.View) message.AcceptedValue {
 				request := view.Accepted()
 				request.Term.Number = math.MaxUint32
 				return request
@@ -112,34 +117,36 @@
 		},
 	},
 	{
-		name: "a change without the joint step", form: modelThree, breaks: []string{oneVoterPerStep},
-		mutate: func(rules *modelRules) { rules.beginsByStep = false },
+		name: "a change without the joint membership", scenario: modelThreeVoters, violates: []string{oneVoterPerChange},
+		mutate: func(rules *modelRules) { rules.usesJointMembership = false },
 	},
 	{
-		name: "two voters change in a step", form: modelFour, breaks: []string{oneVoterPerStep},
+		name: "two voters change at once", scenario: modelFourVoters, violates: []string{oneVoterPerChange},
 		mutate: func(rules *modelRules) {
-			rules.replaced = func(view *consensus.View, leaving int, address string) *consensus.Membership {
-				step := view.WithReplacement(leaving, address)
-				other := slices.IndexFunc(step.Next, func(peer message.Peer) bool { return peer.ID != view.ID && peer.Address != address })
-				step.LastID++
-				step.Next[other] = message.Peer{ID: step.LastID, Address: step.Next[other].Address}
-				return step
+			rules.withReplacement = func(view *consensus.View, leaving int, address string) *consensus.Membership {
+				joint := view.WithReplacement(leaving, address)
+				other := slices.IndexFunc(joint.Next, func(peer message.Peer) bool { return peer.ID != view.ID && peer.Address != address })
+				joint.LastID++
+				joint.Next[other] = message.Peer{ID: joint.LastID, Address: joint.Next[other].Address}
+				return joint
 			}
 		},
 	},
 	{
-		name: "a newcomer gets the ID of the one that left", form: modelThree, breaks: []string{idsAreUsedOnce},
+		name: "a new voter reuses the ID of the replaced one", scenario: modelThreeVoters, violates: []string{idsAreUsedOnce},
 		mutate: func(rules *modelRules) {
-			rules.replaced = func(view *consensus.View, leaving int, address string) *consensus.Membership {
-				step := view.WithReplacement(leaving, address)
-				step.LastID = view.LastID
-				step.Next[len(step.Next)-1].ID = leaving
-				return step
+			rules.withReplacement = func(view *consensus.View, leaving int, address string) *consensus.Membership {
+				joint := view.WithReplacement(leaving, address)
+				joint.LastID = view.LastID
+				joint.Next[len(joint.Next)-1].ID = leaving
+				return joint
 			}
 		},
 	},
 	{
-		name: "ballots without the core's ID", form: modelThree, breaks: []string{oneLeaderPerTerm, oneValuePerSerial, acknowledgedIsKept},
+		name:     "terms without the core's ID",
+		scenario: modelThreeVoters,
+		violates: []string{oneLeaderPerTerm, oneValuePerSerial, decisionsAreKept},
 		mutate: func(rules *modelRules) {
 			rules.nextTerm = func(core *Core, view *consensus.View) message.Term {
 				term, _ := core.nextTerm(view)
@@ -149,95 +156,106 @@
 		},
 	},
 	{
-		name: "a joining core stands", form: modelThree, breaks: []string{onlyVotersLead}, detailed: true,
+		name: "a joining core campaigns", scenario: modelThreeVoters, violates: []string{onlyVotersLead}, detailed: true,
 		mutate: func(rules *modelRules) { rules.mayLead = func(view *consensus.View, id int) bool { return id > 0 } },
 	},
 	{
-		name: "a ballot takes over the oldest values", form: modelThree, breaks: []string{acknowledgedIsKept},
-		mutate: func(rules *modelRules) { rules.takenOver = modelOldest },
+		name: "a candidate inherits the oldest values", scenario: modelThreeVoters, violates: []string{decisionsAreKept},
+		mutate: func(rules *modelRules) { rules.inheritedValues = modelOldestValues },
 	},
 	{
-		name: "a blank disk votes", form: modelThree, breaks: []string{acknowledgedIsKept},
+		name: "a blank disk votes", scenario: modelThreeVoters, violates: []string{decisionsAreKept},
 		mutate: func(rules *modelRules) { rules.blankDiskVotes = true },
 	},
 	{
-		name: "a sync that does not last", form: modelThree, breaks: []string{acknowledgedIsKept, oneLeaderPerTerm, oneValuePerSerial},
-		mutate: func(rules *modelRules) { rules.syncs = false },
+		name:     "a sync that is not durable",
+		scenario: modelThreeVoters,
+		violates: []string{decisionsAreKept, oneLeaderPerTerm, oneValuePerSerial},
+		mutate:   func(rules *modelRules) { rules.syncs = false },
 	},
 	{
-		name: "a blank voter fences one other voter less", form: modelWiped, breaks: []string{acknowledgedIsKept},
+		name: "a restored voter fences one fewer voter", scenario: modelWipedDisks, violates: []string{decisionsAreKept},
 		mutate: func(rules *modelRules) {
-			rules.fencesWithout = modelFenceTooFew
+			rules.fencesWithout = modelFenceOneFewer
 			rules.mayRestore = func(core *Core, view *consensus.View, response map[int]*message.ReplicaStateResponse) bool {
 				return view.MayLead(view.ID) &&
-					modelFenceTooFew(
+					modelFenceOneFewer(
 						view,
 						view.ID,
-						consensus.Agreed(response, func(answer *message.ReplicaStateResponse) bool { return answer.Initialized }),
+						consensus.Agreed(response, func(state *message.ReplicaStateResponse) bool { return state.Initialized }),
 					)
 			}
 		},
 	},
 	{
-		name:   "a restored voter has promised nothing",
-		near:   4770,
-		form:   modelWiped,
-		breaks: []string{acknowledgedIsKept, oneValuePerSerial, servedIsDecided},
+		name:      "a restored voter has promised nothing",
+		startWalk: 4770,
+		scenario:  modelWipedDisks,
+		violates:  []string{decisionsAreKept, oneValuePerSerial, servedIsDecided},
 		mutate: func(rules *modelRules) {
-			rules.found = func(core *Core, _ message.Term, _ [message.Registers]message.AcceptedValue) error {
+			rules.initialize = func(core *Core, _ message.Term, _ [message.Registers]message.AcceptedValue) error {
 				return core.replica.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil)
 			}
 		},
 	},
 	{
-		name:   "a restored voter keeps copies as votes of former ballots",
-		near:   800,
-		form:   modelWiped,
-		breaks: []string{acknowledgedIsKept, servedIsDecided},
-		mutate: func(rules *modelRules) { rules.found = modelFoundAsVotes },
+		name:      "a restored voter keeps copies as votes of former terms",
+		startWalk: 800,
+		scenario:  modelWipedDisks,
+		violates:  []string{decisionsAreKept, servedIsDecided},
+		mutate:    func(rules *modelRules) { rules.initialize = modelInitializeAsVotes },
 	},
 	{
-		name: "a voter is admitted as a learner", near: 1800, form: modelWiped, breaks: []string{acknowledgedIsKept, servedIsDecided},
+		name:      "a voter is admitted as a learner",
+		startWalk: 1800,
+		scenario:  modelWipedDisks,
+		violates:  []string{decisionsAreKept, servedIsDecided},
 		mutate: func(rules *modelRules) {
 			rules.admits = func(*consensus.View, string) bool { return true }
-			rules.mayBeginEmpty = func(core *Core, response *message.JoinResponse) bool {
+			rules.mayInitializeLearner = func(core *Core, response *message.JoinResponse) bool {
 				return response.Admitted && core.replica.Blank()
 			}
-			rules.beginEmpty = modelBeginEmpty
+			rules.initializeLearner = modelInitializeEmpty
 		},
 	},
 	{
-		name: "a learner is admitted unconfirmed", form: modelStale, breaks: []string{acknowledgedIsKept, onlyVotersCount}, detailed: true,
-		mutate: func(rules *modelRules) { rules.confirms = false },
+		name:     "a learner is admitted without confirmation",
+		scenario: modelStaleLeader,
+		violates: []string{decisionsAreKept, onlyVotersCount},
+		detailed: true,
+		mutate:   func(rules *modelRules) { rules.confirmsAdmission = false },
 	},
 	{
-		name:     "a learner forgets who votes",
-		near:     660,
-		form:     modelEmptied,
-		breaks:   []string{acknowledgedIsKept, quorumsMeet, onlyVotersCount},
-		detailed: true,
+		name:      "a learner does not store the membership",
+		startWalk: 660,
+		scenario:  modelStaleLeaderEmptyDisk,
+		violates:  []string{decisionsAreKept, quorumsIntersect, onlyVotersCount},
+		detailed:  true,
 		mutate: func(rules *modelRules) {
-			rules.beginEmpty = func(core *Core, term message.Term) {
-				modelBeginEmpty(core, term)
+			rules.initializeLearner = func(core *Core, term message.Term) {
+				modelInitializeEmpty(core, term)
 			}
 		},
 	},
 	{
-		name:   "a leader counts by what it heard",
-		near:   650,
-		form:   modelStray,
-		breaks: []string{oneVoterPerStep, servedIsDecided, acknowledgedIsKept, quorumsMeet},
+		name:      "a leader counts by a membership it did not write",
+		startWalk: 650,
+		scenario:  modelUndecidedJoint,
+		violates:  []string{oneVoterPerChange, servedIsDecided, decisionsAreKept, quorumsIntersect},
 		mutate: func(rules *modelRules) {
-			rules.leadsBy = func(*Core, *consensus.View, message.Term) error { return nil }
+			rules.adoptRewritten = func(*Core, *consensus.View, message.Term) error { return nil }
 		},
 	},
 	{
-		name: "a step ends without catching up or rewriting", near: 220, form: modelThree, breaks: []string{acknowledgedIsKept},
-		mutate: func(rules *modelRules) { rules.catchesUp, rules.rewrites = false, false },
+		name:      "a replacement without catch-up and rewrite",
+		startWalk: 220,
+		scenario:  modelThreeVoters,
+		violates:  []string{decisionsAreKept},
+		mutate:    func(rules *modelRules) { rules.catchesUpLearner, rules.rewritesValues = false, false },
 	},
 }
 
-func modelFenceTooFew(view *consensus.View, lost int, has func(id int) bool) bool {
+func modelFenceOneFewer(view *consensus.View, lost int, has func(id int) bool) bool {
 	return message.CountIn(
 		view.Voters,
 		func(id int) bool { return id != lost && has(id) },
@@ -248,56 +266,56 @@
 	)
 }
 
-// modelFoundAsVotes takes over copies as if this replica had accepted them.
-func modelFoundAsVotes(core *Core, term message.Term, accepted [message.Registers]message.AcceptedValue) error {
-	step := consensus.Record{Initialized: true, Promised: &term}
+// modelInitializeAsVotes stores copies as if this replica had accepted them.
+func modelInitializeAsVotes(core *Core, term message.Term, accepted [message.Registers]message.AcceptedValue) error {
+	record := consensus.Record{Initialized: true, Promised: &term}
 	for register := range accepted {
 		if accepted[register].Value.Serial > 0 {
-			step.Then = append(step.Then, consensus.Record{Register: message.Register(register), Accepted: &accepted[register]})
+			record.Then = append(record.Then, consensus.Record{Register: message.Register(register), Accepted: &accepted[register]})
 		}
 	}
 	store := core.replica.Store()
-	if err := store.Append(step); err != nil {
+	if err := store.Append(record); err != nil {
 		return err
 	}
 	core.openReplica(store)
 	return nil
 }
 
-// modelBeginEmpty begins without a look at the membership.
-func modelBeginEmpty(core *Core, term message.Term) {
+// modelInitializeEmpty initializes a replica without checking or storing the membership.
+func modelInitializeEmpty(core *Core, term message.Term) {
 	modelMust(core.replica.Initialize(term, [message.Registers]message.AcceptedValue{}, nil))
 }
 
-// modelMutantWalks bound the search for one mutant.
-const modelMutantWalks = 20000
+// modelMaxMutantWalks limits the search for one mutant.
+const modelMaxMutantWalks = 20000
 
-// TestModelFindsMutants seeds one bug after the other; walks must find each.
-func TestModelFindsMutants(test *testing.T) {
-	modelQuiet(test)
+// TestModelDetectsMutants seeds one bug at a time. Random walks must detect each.
+func TestModelDetectsMutants(test *testing.T) {
+	modelSilenceLogs(test)
 	for _, mutant := range modelMutants {
 		test.Run(mutant.name, func(test *testing.T) {
 			rules := modelRealRules()
 			mutant.mutate(rules)
-			began := time.Now()
+			started := time.Now()
 			first := 0
-			if modelBeginsNear {
-				first = mutant.near
+			if modelUseStartWalk {
+				first = mutant.startWalk
 			}
-			for index := first; index < first+modelMutantWalks; index++ {
-				walk := newModelWalk(rules, &modelForms[mutant.form], uint64(index+1))
-				walk.world.ledger.outcomesOnly = !mutant.detailed
-				violation := walk.run(modelWalkSteps)
+			for index := first; index < first+modelMaxMutantWalks; index++ {
+				walk := newModelWalk(rules, &modelScenarios[mutant.scenario], uint64(index+1))
+				walk.cluster.observer.outcomesOnly = !mutant.detailed
+				violation := walk.run(modelStepsPerWalk)
 				if violation == nil {
 					continue
 				}
-				if !slices.Contains(mutant.breaks, violation.invariant) {
-					test.Errorf("found as %v; want one of %q", violation, mutant.breaks)
+				if !slices.Contains(mutant.violates, violation.invariant) {
+					test.Errorf("detected as %v; want one of %q", violation, mutant.violates)
 				}
-				test.Logf("found by walk %d in %v: %v", index+1, time.Since(began).Round(time.Millisecond), violation)
+				test.Logf("detected by walk %d in %v: %v", index+1, time.Since(started).Round(time.Millisecond), violation)
 				return
 			}
-			test.Errorf("not found by %d walks in %v", modelMutantWalks, time.Since(began).Round(time.Millisecond))
+			test.Errorf("not detected by %d walks in %v", modelMaxMutantWalks, time.Since(started).Round(time.Millisecond))
 		})
 	}
 }
--- a/control/model_raced_test.go
+++ b/control/model_race_test.go
@@ -2,9 +2,9 @@
 
 package control
 
-// The race detector makes the model some ten times as slow.
+// The race detector slows the model down about tenfold.
 const (
 	modelDefaultWalks  = 40
 	modelDefaultStates = 2000
-	modelBeginsNear    = true
+	modelUseStartWalk  = true
 )
--- a/control/model_steps_test.go
+++ b/control/model_steps_test.go
@@ -7,14 +7,14 @@
 	"orchidjunction/message"
 )
 
-// What a machine does of itself.
+// Actions that a machine begins.
 
-// stand begins a candidacy; the pre-check, which only saves rounds, is left out.
-func (world *modelWorld) stand(machine *modelMachine) {
+// campaign begins a candidacy, without the pre-check, which only saves rounds.
+func (cluster *modelCluster) campaign(machine *modelMachine) {
 	process := machine.process
 	core, view := process.core, process.core.membership()
-	term := world.rules.nextTerm(core, view)
-	request := &message.PrepareRequest{Term: term, Membership: world.rules.askedMembers(view)}
+	term := cluster.rules.nextTerm(core, view)
+	request := &message.PrepareRequest{Term: term, Membership: cluster.rules.prepareMembership(view)}
 	own, err := core.replica.Prepare(request)
 	if err != nil || !own.Granted {
 		if err == nil {
@@ -25,382 +25,406 @@
 	process.candidacy = &modelCandidacy{
 		call:     process.nextCall(),
 		view:     view,
-		ballot:   term,
+		term:     term,
 		promises: map[int]*message.PrepareResponse{view.ID: own},
 	}
 	for _, peer := range view.Peers {
-		world.ask(machine, process.candidacy.call, peer, request)
+		cluster.sendRequest(machine, process.candidacy.call, peer, request)
 	}
-	world.fenced(machine)
+	cluster.handlePromises(machine)
 }
 
-// surveys begins the return of a blank voter.
-func (world *modelWorld) surveys(machine *modelMachine) {
+// startRestore begins to restore a blank voter.
+func (cluster *modelCluster) startRestore(machine *modelMachine) {
 	process := machine.process
 	view := process.core.membership()
-	process.survey = &modelSurvey{call: process.nextCall(), view: view, response: map[int]*message.ReplicaStateResponse{}}
+	process.stateQuery = &modelStateQuery{call: process.nextCall(), view: view, responses: map[int]*message.ReplicaStateResponse{}}
 	for _, peer := range view.Peers {
-		world.ask(machine, process.survey.call, peer, &message.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Version})
+		cluster.sendRequest(
+			machine,
+			process.stateQuery.call,
+			peer,
+			&message.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Version},
+		)
 	}
 }
 
-// enlists asks any other core who votes and, at the leader, to become a learner.
-func (world *modelWorld) enlists(machine *modelMachine, at int) {
+// join asks another core for the membership and, if it leads, for admission as a learner.
+func (cluster *modelCluster) join(machine *modelMachine, through int) {
 	process := machine.process
-	process.enlisting = process.nextCall()
+	process.joinCall = process.nextCall()
 	request := &message.JoinRequest{
 		Address:        machine.address,
 		SinceBootstrap: process.core.sinceBootstrap(),
 		Known:          process.core.membership().Version,
 	}
-	world.ask(machine, process.enlisting, message.Peer{Address: world.machines[at].address}, request)
+	cluster.sendRequest(machine, process.joinCall, message.Peer{Address: cluster.machines[through].address}, request)
 }
 
-// order has the leader write an operator's order.
-func (world *modelWorld) order(machine *modelMachine, register message.Register) {
+// write makes the leader write a new value of a register.
+func (cluster *modelCluster) write(machine *modelMachine, register message.Register) {
 	leadership := machine.process.leadership
 	current := leadership.value(register)
-	tag := byte('a' + world.spent.orders)
+	tag := byte('a' + cluster.counts.writes)
 	value := message.Value{Serial: current.Serial + 1, Body: append([]byte(string(current.Body)), tag)}
-	world.pushes(
+	cluster.replicate(
 		machine,
-		&modelPush{
+		&modelReplication{
 			purpose: modelWrite,
 			view:    machine.process.core.membership(),
-			ballot:  leadership.term,
+			term:    leadership.term,
 			values:  map[message.Register]message.Value{register: value},
 		},
 	)
 }
 
-// replaces begins to give a voter's place to a learner.
-func (world *modelWorld) replaces(machine *modelMachine, leaving, learner int) {
-	address := world.machines[learner].address
-	push := &modelPush{purpose: modelCatchUp, learner: address, leaving: leaving, values: world.held(machine)}
-	if !world.rules.catchesUp {
-		world.steps(machine, push)
+// replaceVoter begins to replace a voter by a learner.
+func (cluster *modelCluster) replaceVoter(machine *modelMachine, leaving, learner int) {
+	address := cluster.machines[learner].address
+	replication := &modelReplication{purpose: modelCatchUp, learner: address, leavingID: leaving, values: cluster.currentValues(machine)}
+	if !cluster.rules.catchesUpLearner {
+		cluster.writeJointMembership(machine, replication)
 		return
 	}
-	world.pushes(machine, push)
+	cluster.replicate(machine, replication)
 }
 
-// steps writes the joint membership once the learner has everything.
-func (world *modelWorld) steps(machine *modelMachine, former *modelPush) {
-	next := world.rules.replaced(machine.process.core.membership(), former.leaving, former.learner)
-	if !world.rules.beginsByStep {
+// writeJointMembership writes the joint membership once the learner has caught up.
+func (cluster *modelCluster) writeJointMembership(machine *modelMachine, former *modelReplication) {
+	next := cluster.rules.withReplacement(machine.process.core.membership(), former.leavingID, former.learner)
+	if !cluster.rules.usesJointMembership {
 		joint := &consensus.View{Membership: next}
-		next = world.rules.settled(joint)
+		next = cluster.rules.withoutFormer(joint)
 		next.Version.Serial = joint.Version.Serial
 	}
-	world.writesMembers(machine, modelStep, next)
+	cluster.writeMembership(machine, modelWriteJoint, next)
 }
 
-// settles ends a step between two memberships.
-func (world *modelWorld) settles(machine *modelMachine) {
-	if !world.rules.rewrites {
-		world.writesMembers(machine, modelSettle, world.rules.settled(machine.process.core.membership()))
+// finishReplacement begins to end a joint membership.
+func (cluster *modelCluster) finishReplacement(machine *modelMachine) {
+	if !cluster.rules.rewritesValues {
+		cluster.writeMembership(machine, modelWriteFinal, cluster.rules.withoutFormer(machine.process.core.membership()))
 		return
 	}
-	world.pushes(machine, &modelPush{purpose: modelRewrite, view: machine.process.core.membership(), values: world.held(machine)})
+	cluster.replicate(
+		machine,
+		&modelReplication{purpose: modelRewrite, view: machine.process.core.membership(), values: cluster.currentValues(machine)},
+	)
 }
 
-func (world *modelWorld) writesMembers(machine *modelMachine, purpose modelPurpose, next *consensus.Membership) {
+func (cluster *modelCluster) writeMembership(machine *modelMachine, purpose modelPurpose, next *consensus.Membership) {
 	process := machine.process
-	view, err := world.rules.countsBy(process.core, next, process.leadership.term)
+	view, err := cluster.rules.adopt(process.core, next, process.leadership.term)
 	if err != nil {
-		process.revoke()
+		process.abort()
 		return
 	}
 	values := map[message.Register]message.Value{message.MembersRegister: view.Accepted().Value}
-	world.pushes(machine, &modelPush{purpose: purpose, view: view, values: values})
+	cluster.replicate(machine, &modelReplication{purpose: purpose, view: view, values: values})
 }
 
-// mends sends a leader's value to a core that seems to lack it; nobody counts that.
-func (world *modelWorld) mends(machine *modelMachine, to int, register message.Register) {
+// repair sends a leader's value to another core. The response does not count for a quorum.
+func (cluster *modelCluster) repair(machine *modelMachine, to int, register message.Register) {
 	leadership := machine.process.leadership
 	request := &message.AcceptRequest{Term: leadership.term, Register: register, Value: leadership.value(register)}
-	world.ask(machine, 0, message.Peer{Address: world.machines[to].address}, request)
+	cluster.sendRequest(machine, 0, message.Peer{Address: cluster.machines[to].address}, request)
 }
 
-// held are the values that a leadership holds.
-func (world *modelWorld) held(machine *modelMachine) map[message.Register]message.Value {
+// currentValues returns the values of a leadership.
+func (cluster *modelCluster) currentValues(machine *modelMachine) map[message.Register]message.Value {
 	values := map[message.Register]message.Value{message.MembersRegister: machine.process.leadership.value(message.MembersRegister)}
-	for _, register := range world.bounds.registers {
+	for _, register := range cluster.bounds.registers {
 		values[register] = machine.process.leadership.value(register)
 	}
 	return values
 }
 
-// pushes sends values to every voter of a membership, this one too, or to one learner.
-func (world *modelWorld) pushes(machine *modelMachine, push *modelPush) {
+// replicate sends values to every voter of a membership, including this one, or to one learner.
+func (cluster *modelCluster) replicate(machine *modelMachine, replication *modelReplication) {
 	process := machine.process
-	push.call = process.nextCall()
-	push.took = map[message.Register]modelIDs{}
+	replication.call = process.nextCall()
+	replication.acceptedBy = map[message.Register]modelIDSet{}
 	if process.leadership != nil {
-		push.ballot = process.leadership.term
+		replication.term = process.leadership.term
 	}
-	process.push = push
-	targets := []message.Peer{{Address: push.learner}}
-	if push.purpose != modelCatchUp {
-		targets = append([]message.Peer{{ID: push.view.ID, Address: machine.address}}, push.view.Peers...)
+	process.replication = replication
+	targets := []message.Peer{{Address: replication.learner}}
+	if replication.purpose != modelCatchUp {
+		targets = append([]message.Peer{{ID: replication.view.ID, Address: machine.address}}, replication.view.Peers...)
 	}
 	for register := range message.Registers {
-		value, found := push.values[register]
+		value, found := replication.values[register]
 		if !found {
 			continue
 		}
-		if push.purpose != modelCatchUp {
-			world.ledger.proposed(push.ballot, register, value, push.view)
+		if replication.purpose != modelCatchUp {
+			cluster.observer.recordProposal(replication.term, register, value, replication.view)
 		}
 		for _, peer := range targets {
-			request := &message.AcceptRequest{Term: push.ballot, Register: register, Value: value}
-			if inherited := push.inherited[register]; inherited != (message.Version{}) {
+			request := &message.AcceptRequest{Term: replication.term, Register: register, Value: value}
+			if inherited := replication.inherited[register]; inherited != (message.Version{}) {
 				request = request.ByReference(inherited)
 			}
-			world.ask(machine, push.call, peer, request)
+			cluster.sendRequest(machine, replication.call, peer, request)
 		}
 	}
 }
 
-// fenced goes on to establish once a quorum promised.
-func (world *modelWorld) fenced(machine *modelMachine) {
+// handlePromises begins to establish a leadership once a quorum has promised.
+func (cluster *modelCluster) handlePromises(machine *modelMachine) {
 	process := machine.process
 	candidacy := process.candidacy
 	has := consensus.Agreed(candidacy.promises, consensus.Granted)
-	if candidacy.restores {
-		if !world.rules.fencesWithout(candidacy.view, candidacy.view.ID, has) {
+	if candidacy.restoring {
+		if !cluster.rules.fencesWithout(candidacy.view, candidacy.view.ID, has) {
 			return
 		}
-		accepted, _ := world.rules.takenOver(candidacy.view, candidacy.promises)
-		if world.rules.found(process.core, candidacy.ballot, accepted) != nil {
-			process.revoke()
+		accepted, _ := cluster.rules.inheritedValues(candidacy.view, candidacy.promises)
+		if cluster.rules.initialize(process.core, candidacy.term, accepted) != nil {
+			process.abort()
 			return
 		}
-		machine.forgotten = machine.forgotten.without(candidacy.view.ID)
+		machine.lostIDs = machine.lostIDs.without(candidacy.view.ID)
 		candidacy.promises[candidacy.view.ID] = &message.PrepareResponse{
 			Granted:  true,
-			Promised: candidacy.ballot,
+			Promised: candidacy.term,
 			Accepted: process.core.replica.State().Accepted,
 		}
 	}
-	if !world.rules.decides(candidacy.view, has) {
+	if !cluster.rules.decides(candidacy.view, has) {
 		return
 	}
 	process.candidacy = nil
-	if !world.rules.mayLead(candidacy.view, candidacy.view.ID) {
+	if !cluster.rules.mayLead(candidacy.view, candidacy.view.ID) {
 		return
 	}
-	newest, _ := world.rules.takenOver(candidacy.view, candidacy.promises)
-	push := &modelPush{
+	newest, _ := cluster.rules.inheritedValues(candidacy.view, candidacy.promises)
+	replication := &modelReplication{
 		purpose: modelEstablish,
 		view:    candidacy.view,
-		ballot:  candidacy.ballot,
+		term:    candidacy.term,
 		values:  map[message.Register]message.Value{},
 	}
-	push.values[message.MembersRegister] = newest[message.MembersRegister].Value
-	for _, register := range world.bounds.registers {
-		push.values[register] = newest[register].Value
-		push.inherited[register] = world.rules.refersTo(newest[register])
+	replication.values[message.MembersRegister] = newest[message.MembersRegister].Value
+	for _, register := range cluster.bounds.registers {
+		replication.values[register] = newest[register].Value
+		replication.inherited[register] = cluster.rules.inheritedVersion(newest[register])
 	}
-	world.pushes(machine, push)
-	if candidacy.restores {
-		world.holdsCopies(machine, push)
+	cluster.replicate(machine, replication)
+	if candidacy.restoring {
+		cluster.recordRestoredVotes(machine, replication)
 	}
 }
 
-// holdsCopies notes what a restored voter holds under its own ballot: that is a vote.
-func (world *modelWorld) holdsCopies(machine *modelMachine, push *modelPush) {
+// recordRestoredVotes records the values that a restored voter stored with its own term as votes.
+func (cluster *modelCluster) recordRestoredVotes(machine *modelMachine, replication *modelReplication) {
 	accepted := machine.process.core.replica.State().Accepted
-	for register, value := range push.values {
-		if accepted[register].Version() == (message.Version{Term: push.ballot, Serial: value.Serial}) {
-			world.ledger.accepted(machine.index, &message.AcceptRequest{Term: push.ballot, Register: register, Value: value})
+	for register, value := range replication.values {
+		if accepted[register].Version() == (message.Version{Term: replication.term, Serial: value.Serial}) {
+			cluster.observer.recordAcceptance(
+				machine.index,
+				&message.AcceptRequest{Term: replication.term, Register: register, Value: value},
+			)
 		}
 	}
 }
 
-// surveyed is the rule of a core that heard of no leader: it serves what a quorum
-// accepted under one ballot. The others are asked at one moment.
-func (world *modelWorld) surveyed(machine *modelMachine) {
+// recoverCommitted models runRoutingRecovery: a core serves the values that a quorum accepted
+// under one term. All others are asked at the same moment.
+func (cluster *modelCluster) recoverCommitted(machine *modelMachine) {
 	core := machine.process.core
 	own, view := core.replica.State(), core.membership()
-	for _, register := range world.bounds.registers {
+	for _, register := range cluster.bounds.registers {
 		accepted := own.Accepted[register]
 		same := func(response *message.ReplicaStateResponse) bool {
 			return response.Initialized && response.Versions[register] == accepted.Version()
 		}
-		response := map[int]*message.ReplicaStateResponse{}
+		responses := map[int]*message.ReplicaStateResponse{}
 		for _, peer := range view.Peers {
-			other := world.machines[modelIndex(peer.Address)]
-			if other.process == nil || world.cut[machine.index][other.index] || world.cut[other.index][machine.index] {
+			other := cluster.machines[modelIndex(peer.Address)]
+			if other.process == nil || cluster.blocked[machine.index][other.index] || cluster.blocked[other.index][machine.index] {
 				continue
 			}
-			if answer, err := other.process.core.onReplicaState(
+			if state, err := other.process.core.onReplicaState(
 				&message.ReplicaStateRequest{Core: max(view.ID, 1), Membership: view.Version},
 			); err == nil {
-				response[peer.ID] = answer
-				core.learnMembership(answer.Membership)
+				responses[peer.ID] = state
+				core.learnMembership(state.Membership)
 			}
 		}
-		if accepted.Value.Serial > 0 && core.membership().SameVoters(view) && view.Decides(consensus.Agreed(response, same)) {
-			world.ledger.serves(machine.index, register, accepted.Value)
+		if accepted.Value.Serial > 0 && core.membership().SameVoters(view) && view.Decides(consensus.Agreed(responses, same)) {
+			cluster.observer.checkServed(machine.index, register, accepted.Value)
 		}
 	}
 }
 
-// What a machine does with a message.
+// Handling of messages.
 
-func (world *modelWorld) deliver(packet *modelPacket) {
-	machine := world.own(packet.to)
+func (cluster *modelCluster) deliver(packet *modelPacket) {
+	machine := cluster.ownMachine(packet.to)
 	process := machine.process
 	if process == nil {
 		return
 	}
-	if packet.answers {
-		if process.life == packet.life {
-			world.hears(machine, packet)
+	if packet.isResponse {
+		if process.incarnation == packet.incarnation {
+			cluster.handleResponse(machine, packet)
 		}
 		return
 	}
 	switch request := packet.message.(type) {
 	case *message.PrepareRequest:
 		if response, err := process.core.onPrepare(request); err == nil {
-			world.counts(machine, packet, response.Granted)
-			world.answer(packet, response)
+			cluster.recordVote(machine, packet, response.Granted)
+			cluster.sendResponse(packet, response)
 		}
 	case *message.AcceptRequest:
-		if held := process.core.replica.State().Accepted[request.Register]; world.rules.acceptsBySerial &&
-			request.Inherited.Serial > 0 && request.Inherited.Serial == held.Value.Serial {
-			request = request.ByReference(held.Version())
+		if accepted := process.core.replica.State().Accepted[request.Register]; cluster.rules.acceptsBySerial &&
+			request.Inherited.Serial > 0 && request.Inherited.Serial == accepted.Value.Serial {
+			request = request.ByReference(accepted.Version())
 		}
 		if response, err := process.core.onAccept(request); err == nil {
-			world.counts(machine, packet, response.Accepted)
+			cluster.recordVote(machine, packet, response.Accepted)
 			if response.Accepted {
-				world.ledger.accepted(machine.index, request)
-				world.ledger.holds(request.Term, request.Register, process.core.replica.State().Accepted[request.Register])
+				cluster.observer.recordAcceptance(machine.index, request)
+				cluster.observer.checkAccepted(request.Term, request.Register, process.core.replica.State().Accepted[request.Register])
 			}
-			world.answer(packet, response)
+			cluster.sendResponse(packet, response)
 		}
 	case *message.HeartbeatRequest:
 		if response, err := process.core.onHeartbeat(request); err == nil {
-			world.counts(machine, packet, response.Accepted && response.Voter)
+			cluster.recordVote(machine, packet, response.Accepted && response.Voter)
 			for register, accepted := range process.core.committed {
-				world.ledger.serves(machine.index, message.Register(register), accepted.Value)
+				cluster.observer.checkServed(machine.index, message.Register(register), accepted.Value)
 			}
-			world.answer(packet, response)
+			cluster.sendResponse(packet, response)
 		}
 	case *message.ReplicaStateRequest:
 		if response, err := process.core.onReplicaState(request); err == nil {
-			world.answer(packet, response)
+			cluster.sendResponse(packet, response)
 		}
 	case *message.JoinRequest:
-		world.hearsEnlist(machine, packet, request)
+		cluster.handleJoin(machine, packet, request)
 	}
 }
 
-// counts notes that the answer of a replica counts for an ID.
-func (world *modelWorld) counts(machine *modelMachine, packet *modelPacket, agrees bool) {
-	if !agrees || packet.as == 0 {
+// recordVote records that a replica's response counts for a voter ID.
+func (cluster *modelCluster) recordVote(machine *modelMachine, packet *modelPacket, agrees bool) {
+	if !agrees || packet.voterID == 0 {
 		return
 	}
 	if machine.process.core.replica.Blank() {
-		world.ledger.violated(onlyVotersCount, "machine %d answers %T as ID %d on a blank disk", machine.index+1, packet.message, packet.as)
+		cluster.observer.report(
+			onlyVotersCount,
+			"machine %d answers %T for voter ID %d with a blank disk",
+			machine.index+1,
+			packet.message,
+			packet.voterID,
+		)
 	}
-	if world.ledger.given[packet.as] == machine.address {
-		machine.voted = machine.voted.with(packet.as)
+	if cluster.observer.addresses[packet.voterID] == machine.address {
+		machine.votedIDs = machine.votedIDs.with(packet.voterID)
 	}
 }
 
-// hearsEnlist is onEnlist: a leader answers a learner once a heartbeat begun later was
-// taken by a quorum.
-func (world *modelWorld) hearsEnlist(machine *modelMachine, packet *modelPacket, request *message.JoinRequest) {
+// handleJoin models onJoin. A leader answers a learner once a quorum has accepted a
+// heartbeat sent after the request.
+func (cluster *modelCluster) handleJoin(machine *modelMachine, packet *modelPacket, request *message.JoinRequest) {
 	process := machine.process
 	view := process.core.membership()
 	if !view.Known() {
 		return
 	}
-	if process.leadership == nil || !world.rules.admits(view, request.Address) {
-		world.answer(packet, &message.JoinResponse{Membership: process.core.members.NewerThan(request.Known)})
+	if process.leadership == nil || !cluster.rules.admits(view, request.Address) {
+		cluster.sendResponse(packet, &message.JoinResponse{Membership: process.core.members.NewerThan(request.Known)})
 		return
 	}
 	if process.admission != nil {
 		return
 	}
 	process.admission = &modelAdmission{
-		call:    process.nextCall(),
-		view:    view,
-		asked:   packet,
-		history: world.ledger.acknowledged[message.SettingsRegister],
+		call:         process.nextCall(),
+		view:         view,
+		request:      packet,
+		acknowledged: cluster.observer.acknowledged[message.SettingsRegister],
 	}
-	_, beat := process.leadership.nextHeartbeat(view)
+	_, heartbeat := process.leadership.nextHeartbeat(view)
 	for _, peer := range view.Peers {
-		world.ask(machine, process.admission.call, peer, beat)
+		cluster.sendRequest(machine, process.admission.call, peer, heartbeat)
 	}
-	world.confirmed(machine)
+	cluster.completeAdmission(machine)
 }
 
-// confirmed answers a learner that waits.
-func (world *modelWorld) confirmed(machine *modelMachine) {
+// completeAdmission answers a waiting learner once the leadership is confirmed.
+func (cluster *modelCluster) completeAdmission(machine *modelMachine) {
 	process := machine.process
 	admission := process.admission
-	if world.rules.confirms {
-		if !world.rules.decides(admission.view, admission.took.has) || process.core.replica.State().Promised != process.leadership.term {
+	if cluster.rules.confirmsAdmission {
+		if !cluster.rules.decides(admission.view, admission.confirmedBy.has) ||
+			process.core.replica.State().Promised != process.leadership.term {
 			return
 		}
-		if body := string(process.leadership.value(message.SettingsRegister).Body); !strings.HasPrefix(body, admission.history) {
-			world.ledger.violated(confirmedReadIsNewest, "machine %d holds %q, acknowledged was %q", machine.index, body, admission.history)
+		if body := string(process.leadership.value(message.SettingsRegister).Body); !strings.HasPrefix(body, admission.acknowledged) {
+			cluster.observer.report(
+				confirmedReadIsCurrent,
+				"machine %d holds %q, but %q was acknowledged",
+				machine.index,
+				body,
+				admission.acknowledged,
+			)
 		}
 	}
 	process.admission = nil
-	request := admission.asked.message.(*message.JoinRequest)
+	request := admission.request.message.(*message.JoinRequest)
 	response := &message.JoinResponse{
 		Term:     process.leadership.term,
-		Admitted: world.rules.admits(process.core.membership(), request.Address),
+		Admitted: cluster.rules.admits(process.core.membership(), request.Address),
 	}
 	response.Membership = process.core.members.NewerThan(request.Known)
-	world.answer(admission.asked, response)
+	cluster.sendResponse(admission.request, response)
 }
 
-// hears is what a process does with an answer to its call.
-func (world *modelWorld) hears(machine *modelMachine, packet *modelPacket) {
+// handleResponse handles the response to a process's call.
+func (cluster *modelCluster) handleResponse(machine *modelMachine, packet *modelPacket) {
 	process := machine.process
-	if !process.waitsFor(packet.call) {
+	if !process.awaits(packet.call) {
 		return
 	}
-	if packet.amnesiac && modelAgrees(packet.message) {
-		world.ledger.violated(
+	if packet.amnesiac && modelIsAgreement(packet.message) {
+		cluster.observer.report(
 			onlyVotersCount,
-			"%T of machine %d counts for ID %d without the disk that voted so",
+			"%T of machine %d counts for voter ID %d, but the disk that voted under that ID is lost",
 			packet.message,
 			packet.from+1,
-			packet.as,
+			packet.voterID,
 		)
 	}
 	switch response := packet.message.(type) {
 	case *message.PrepareResponse:
-		for id, promise := range process.core.grantedPromises(map[int]*message.PrepareResponse{packet.as: response}) {
+		for id, promise := range process.core.grantedPromises(map[int]*message.PrepareResponse{packet.voterID: response}) {
 			process.candidacy.promises[id] = promise
-			world.fenced(machine)
+			cluster.handlePromises(machine)
 		}
 	case *message.AcceptResponse:
-		world.hearsAccept(machine, packet, response)
+		cluster.handleAcceptResponse(machine, packet, response)
 	case *message.HeartbeatResponse:
 		if process.leadership == nil {
 			return
 		}
 		if response.Accepted && response.Voter {
-			process.admission.took = process.admission.took.with(packet.as)
-			world.confirmed(machine)
+			process.admission.confirmedBy = process.admission.confirmedBy.with(packet.voterID)
+			cluster.completeAdmission(machine)
 		}
 	case *message.ReplicaStateResponse:
-		world.hearsSurvey(machine, packet, response)
+		cluster.handleReplicaState(machine, packet, response)
 	case *message.JoinResponse:
-		world.hearsEnlisted(machine, response)
+		cluster.handleJoinResponse(machine, response)
 	}
 }
 
-// modelAgrees is whether an answer would count.
-func modelAgrees(request any) bool {
-	switch response := request.(type) {
+// modelIsAgreement reports whether a response counts for a quorum.
+func modelIsAgreement(response any) bool {
+	switch response := response.(type) {
 	case *message.PrepareResponse:
 		return response.Granted
 	case *message.AcceptResponse:
@@ -411,35 +435,36 @@
 	return false
 }
 
-func (world *modelWorld) hearsSurvey(machine *modelMachine, packet *modelPacket, response *message.ReplicaStateResponse) {
+func (cluster *modelCluster) handleReplicaState(machine *modelMachine, packet *modelPacket, response *message.ReplicaStateResponse) {
 	process := machine.process
-	survey, core := process.survey, process.core
+	stateQuery, core := process.stateQuery, process.core
 	core.observeTermNumber(response.Promised.Number)
 	core.learnMembership(response.Membership)
-	survey.response[packet.as] = response
-	if !world.rules.mayRestore(core, survey.view, survey.response) {
+	stateQuery.responses[packet.voterID] = response
+	if !cluster.rules.mayRestore(core, stateQuery.view, stateQuery.responses) {
 		return
 	}
-	process.survey = nil
-	term := world.rules.nextTerm(core, survey.view)
+	process.stateQuery = nil
+	term := cluster.rules.nextTerm(core, stateQuery.view)
 	process.candidacy = &modelCandidacy{
-		call:     process.nextCall(),
-		view:     survey.view,
-		ballot:   term,
-		promises: map[int]*message.PrepareResponse{},
-		restores: true,
+		call:      process.nextCall(),
+		view:      stateQuery.view,
+		term:      term,
+		promises:  map[int]*message.PrepareResponse{},
+		restoring: true,
 	}
-	request := &message.PrepareRequest{Term: term, Membership: world.rules.askedMembers(survey.view)}
-	for _, peer := range survey.view.Peers {
-		world.ask(machine, process.candidacy.call, peer, request)
+	request := &message.PrepareRequest{Term: term, Membership: cluster.rules.prepareMembership(stateQuery.view)}
+	for _, peer := range stateQuery.view.Peers {
+		cluster.sendRequest(machine, process.candidacy.call, peer, request)
 	}
 }
 
-// hearsEnlisted is join for a core that knew no membership, and learn for others.
-func (world *modelWorld) hearsEnlisted(machine *modelMachine, response *message.JoinResponse) {
+// handleJoinResponse models adoptFirstMembership for a core without a membership, and
+// followAsLearner for others.
+func (cluster *modelCluster) handleJoinResponse(machine *modelMachine, response *message.JoinResponse) {
 	process := machine.process
 	core := process.core
-	process.enlisting = 0
+	process.joinCall = 0
 	membership, err := consensus.DecodeMembership(response.Membership)
 	if !core.membership().Known() && err == nil && membership != nil && core.replica.Blank() &&
 		consensus.NewView(machine.address, membership).MayVoteAtOnce(core.sinceBootstrap()) {
@@ -448,58 +473,65 @@
 		}
 	}
 	core.learnMembership(response.Membership)
-	if world.rules.mayBeginEmpty(core, response) {
-		world.rules.beginEmpty(core, response.Term)
+	if cluster.rules.mayInitializeLearner(core, response) {
+		cluster.rules.initializeLearner(core, response.Term)
 	}
 }
 
-func (world *modelWorld) hearsAccept(machine *modelMachine, packet *modelPacket, response *message.AcceptResponse) {
+func (cluster *modelCluster) handleAcceptResponse(machine *modelMachine, packet *modelPacket, response *message.AcceptResponse) {
 	process := machine.process
-	push := process.push
+	replication := process.replication
 	if response.LacksValue {
-		request := &message.AcceptRequest{Term: push.ballot, Register: packet.register, Value: push.values[packet.register]}
-		world.ask(machine, push.call, message.Peer{ID: packet.as, Address: world.machines[packet.from].address}, request)
+		request := &message.AcceptRequest{Term: replication.term, Register: packet.register, Value: replication.values[packet.register]}
+		cluster.sendRequest(
+			machine,
+			replication.call,
+			message.Peer{ID: packet.voterID, Address: cluster.machines[packet.from].address},
+			request,
+		)
 		return
 	}
 	if !response.Accepted {
 		process.core.observeTermNumber(response.Promised.Number)
 		return
 	}
-	push.took[packet.register] = push.took[packet.register].with(packet.as)
-	for register := range push.values {
-		took := push.took[register]
-		if push.purpose == modelCatchUp && took == 0 || push.purpose != modelCatchUp && !world.rules.pushed(push.view, took.has) {
+	replication.acceptedBy[packet.register] = replication.acceptedBy[packet.register].with(packet.voterID)
+	for register := range replication.values {
+		accepted := replication.acceptedBy[register]
+		if replication.purpose == modelCatchUp && accepted == 0 ||
+			replication.purpose != modelCatchUp && !cluster.rules.decidedBy(replication.view, accepted.has) {
 			return
 		}
 	}
-	process.push = nil
-	if push.purpose != modelCatchUp {
-		for register := range push.values {
-			world.ledger.counted(push, register)
+	process.replication = nil
+	if replication.purpose != modelCatchUp {
+		for register := range replication.values {
+			cluster.observer.checkCounted(replication, register)
 		}
 	}
-	world.pushed(machine, push)
+	cluster.completeReplication(machine, replication)
 }
 
-// pushed is what follows once a quorum took all values of a push.
-func (world *modelWorld) pushed(machine *modelMachine, push *modelPush) {
+// completeReplication takes the next step once all values are accepted.
+func (cluster *modelCluster) completeReplication(machine *modelMachine, replication *modelReplication) {
 	process := machine.process
-	switch push.purpose {
+	switch replication.purpose {
 	case modelEstablish:
-		if process.core.replica.State().Promised != push.ballot || world.rules.leadsBy(process.core, push.view, push.ballot) != nil {
+		if process.core.replica.State().Promised != replication.term ||
+			cluster.rules.adoptRewritten(process.core, replication.view, replication.term) != nil {
 			return
 		}
-		process.leadership = &Leadership{core: process.core, term: push.ballot}
-		for register, value := range push.values {
+		process.leadership = &Leadership{core: process.core, term: replication.term}
+		for register, value := range replication.values {
 			process.leadership.values[register] = value
 		}
-		world.ledger.leads(machine.index, push)
+		cluster.observer.recordLeadership(machine.index, replication)
 	case modelCatchUp:
-		world.steps(machine, push)
+		cluster.writeJointMembership(machine, replication)
 	case modelRewrite:
-		world.writesMembers(machine, modelSettle, world.rules.settled(push.view))
+		cluster.writeMembership(machine, modelWriteFinal, cluster.rules.withoutFormer(replication.view))
 	default:
-		for register, value := range push.values {
+		for register, value := range replication.values {
 			process.leadership.values[register] = value
 		}
 	}
--- a/control/model_walk_test.go
+++ b/control/model_walk_test.go
@@ -15,83 +15,82 @@
 )
 
 var (
-	modelWalks = flag.Int("walks", 0, "how many random walks of the model each form takes; 0 is the default")
-	modelSeed  = flag.Uint64("walk-seed", 1, "the first seed of the model's random walks")
+	modelWalkCount = flag.Int("walks", 0, "number of random walks of the model for each scenario; 0 selects the default")
+	modelWalkSeed  = flag.Uint64("walk-seed", 1, "first seed of the model's random walks")
 )
 
-// modelWalkSteps is the length of a random walk.
-const modelWalkSteps = 500
+// modelStepsPerWalk is the length of a random walk, in actions.
+const modelStepsPerWalk = 500
 
-// modelQuiet keeps the rules' own log lines out of a model's run.
-func modelQuiet(test testing.TB) {
+// modelSilenceLogs discards the log output of the core during a test.
+func modelSilenceLogs(test testing.TB) {
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
 	test.Cleanup(func() { klog.LogToStderr(true) })
 }
 
-// modelWeights are how often a walk takes each kind of step, beside deliveries.
-var modelWeights = map[modelKind]int{
-	modelStand: 10, modelTimeOut: 40, modelOrder: 10, modelEnlist: 8, modelReplace: 30, modelSettles: 30,
-	modelRestore: 20, modelMend: 1, modelSurveyed: 1, modelRestart: 10,
+// modelWeights are the relative frequencies of the actions of a walk, except deliveries and faults.
+var modelWeights = map[modelActionKind]int{
+	modelCampaign: 10, modelTimeout: 40, modelStartWrite: 10, modelJoin: 8, modelReplace: 30, modelFinishReplacement: 30,
+	modelRestore: 20, modelRepair: 1, modelRecoverCommitted: 1, modelRestart: 10,
 }
 
-// modelHarms are how often a walk does each kind of harm.
-var modelHarms = map[modelKind]int{modelGiveUp: 3, modelCrash: 3, modelPowerLoss: 2, modelWipe: 2}
+// modelFaultWeights are the relative frequencies of faults.
+var modelFaultWeights = map[modelActionKind]int{modelAbort: 3, modelCrash: 3, modelPowerLoss: 2, modelWipe: 2}
 
 var (
-	modelWipesFirst   = map[modelKind]int{modelGiveUp: 2, modelCrash: 2, modelPowerLoss: 1, modelWipe: 6}
-	modelCrashesFirst = map[modelKind]int{modelGiveUp: 3, modelCrash: 6, modelPowerLoss: 1, modelWipe: 1}
+	modelMostlyWipes   = map[modelActionKind]int{modelAbort: 2, modelCrash: 2, modelPowerLoss: 1, modelWipe: 6}
+	modelMostlyCrashes = map[modelActionKind]int{modelAbort: 3, modelCrash: 6, modelPowerLoss: 1, modelWipe: 1}
 )
 
-// modelHarmPace is how many steps go by between two harms on average.
-const modelHarmPace = 40
+// modelFaultInterval is the average number of actions between two faults.
+const modelFaultInterval = 40
 
-// modelLedWeights are those that differ while some machine leads.
-var modelLedWeights = map[modelKind]int{modelStand: 1, modelRestart: 4, modelEnlist: 4}
+// modelLeaderWeights replaces some of modelWeights while a machine leads.
+var modelLeaderWeights = map[modelActionKind]int{modelCampaign: 1, modelRestart: 4, modelJoin: 4}
 
-// modelWalk is one random walk.
 type modelWalk struct {
-	form   modelWalkForm
-	world  *modelWorld
-	random *rand.Rand
-	calm   int
-	harms  bool
-	done   map[modelKind]int
+	scenario                  modelScenario
+	cluster                   *modelCluster
+	random                    *rand.Rand
+	stepsUntilPartitionChange int
+	injectFault               bool
+	taken                     map[modelActionKind]int
 }
 
-func newModelWalk(rules *modelRules, form *modelWalkForm, seed uint64) *modelWalk {
+func newModelWalk(rules *modelRules, scenario *modelScenario, seed uint64) *modelWalk {
 	walk := &modelWalk{
-		form:   *form,
-		world:  newModelWorld(rules, &form.bounds),
-		random: rand.New(rand.NewPCG(seed, 16)),
-		done:   map[modelKind]int{},
+		scenario: *scenario,
+		cluster:  newModelCluster(rules, &scenario.bounds),
+		random:   rand.New(rand.NewPCG(seed, 16)),
+		taken:    map[modelActionKind]int{},
 	}
-	if form.pace == 0 {
-		walk.form.harms, walk.form.pace = modelHarms, modelHarmPace
+	if scenario.faultInterval == 0 {
+		walk.scenario.faultWeights, walk.scenario.faultInterval = modelFaultWeights, modelFaultInterval
 	}
-	if form.prepare != nil {
-		form.prepare(walk.world)
+	if scenario.prepare != nil {
+		scenario.prepare(walk.cluster)
 	}
-	for index := range walk.world.machines {
-		walk.world.owned = walk.world.owned.with(index)
+	for index := range walk.cluster.machines {
+		walk.cluster.owned = walk.cluster.owned.with(index)
 	}
 	return walk
 }
 
-// run takes so many steps; it ends at the first violation.
+// run takes up to the given number of actions, and stops at the first violation.
 func (walk *modelWalk) run(steps int) *modelViolation {
 	for range steps {
-		walk.changeCut()
+		walk.changePartition()
 		action, found := walk.choose()
 		if !found {
 			continue
 		}
-		walk.done[action.kind]++
-		if violation := walk.world.do(action); violation != nil {
+		walk.taken[action.kind]++
+		if violation := walk.cluster.apply(action); violation != nil {
 			return violation
 		}
 		if action.kind == modelDeliver && walk.random.IntN(4) > 0 {
-			if violation := walk.answerAtOnce(); violation != nil {
+			if violation := walk.deliverLastResponse(); violation != nil {
 				return violation
 			}
 		}
@@ -99,51 +98,52 @@
 	return nil
 }
 
-// answerAtOnce delivers the last message sent, where it is an answer, as most are soon.
-func (walk *modelWalk) answerAtOnce() *modelViolation {
-	last := len(walk.world.flight) - 1
-	if last < 0 || !walk.world.flight[last].answers || walk.world.cut[walk.world.flight[last].from][walk.world.flight[last].to] {
+// deliverLastResponse delivers the last message in flight if it is a response.
+func (walk *modelWalk) deliverLastResponse() *modelViolation {
+	last := len(walk.cluster.inFlight) - 1
+	if last < 0 || !walk.cluster.inFlight[last].isResponse ||
+		walk.cluster.blocked[walk.cluster.inFlight[last].from][walk.cluster.inFlight[last].to] {
 		return nil
 	}
-	return walk.world.do(modelAction{kind: modelDeliver, machine: last})
+	return walk.cluster.apply(modelAction{kind: modelDeliver, target: last})
 }
 
-// weights are those of the steps now.
-func (walk *modelWalk) weights() func(kind modelKind) int {
-	if walk.harms {
-		return func(kind modelKind) int { return walk.form.harms[kind] }
+// weights returns the weights of the kinds of action in the present state.
+func (walk *modelWalk) weights() func(kind modelActionKind) int {
+	if walk.injectFault {
+		return func(kind modelActionKind) int { return walk.scenario.faultWeights[kind] }
 	}
 	led := slices.ContainsFunc(
-		walk.world.machines,
+		walk.cluster.machines,
 		func(machine *modelMachine) bool { return machine.process != nil && machine.process.leadership != nil },
 	)
-	return func(kind modelKind) int {
-		if weight, found := modelLedWeights[kind]; led && found {
+	return func(kind modelActionKind) int {
+		if weight, found := modelLeaderWeights[kind]; led && found {
 			return weight
 		}
 		return modelWeights[kind]
 	}
 }
 
-// choose draws a kind of step by weight, then a step of that kind. What is on its way
-// goes first most of the time, and some of it is lost.
+// choose draws a kind of action by weight, then an action of that kind. It prefers deliveries,
+// and drops some of the messages.
 func (walk *modelWalk) choose() (modelAction, bool) {
-	kinds := map[modelKind][]modelAction{}
-	walk.harms = walk.random.IntN(walk.form.pace) == 0
+	kinds := map[modelActionKind][]modelAction{}
+	walk.injectFault = walk.random.IntN(walk.scenario.faultInterval) == 0
 	total, weights := 0, walk.weights()
-	walk.world.actions(func(action modelAction) {
+	walk.cluster.possibleActions(func(action modelAction) {
 		if len(kinds[action.kind]) == 0 {
 			total += weights(action.kind)
 		}
 		kinds[action.kind] = append(kinds[action.kind], action)
 	})
-	if deliveries := kinds[modelDeliver]; len(deliveries) > 0 && !walk.harms && walk.random.IntN(100) < 93 {
-		if repeats := kinds[modelRepeat]; len(repeats) > 0 && walk.random.IntN(50) == 0 {
-			return repeats[walk.random.IntN(len(repeats))], true
+	if deliveries := kinds[modelDeliver]; len(deliveries) > 0 && !walk.injectFault && walk.random.IntN(100) < 93 {
+		if duplicates := kinds[modelDuplicate]; len(duplicates) > 0 && walk.random.IntN(50) == 0 {
+			return duplicates[walk.random.IntN(len(duplicates))], true
 		}
 		chosen := deliveries[walk.random.IntN(len(deliveries))]
 		if walk.random.IntN(40) == 0 {
-			walk.world.take(chosen.machine)
+			walk.cluster.takePacket(chosen.target)
 			return modelAction{}, false
 		}
 		return chosen, true
@@ -152,7 +152,7 @@
 		return modelAction{}, false
 	}
 	draw := walk.random.IntN(total)
-	for _, kind := range modelKinds {
+	for _, kind := range modelActionKinds {
 		if len(kinds[kind]) == 0 {
 			continue
 		}
@@ -163,130 +163,142 @@
 	return modelAction{}, false
 }
 
-var modelKinds = []modelKind{
-	modelTimeOut, modelStand, modelGiveUp, modelOrder, modelEnlist, modelReplace, modelSettles, modelRestore, modelMend, modelSurveyed,
-	modelCrash, modelPowerLoss, modelWipe, modelRestart,
+var modelActionKinds = []modelActionKind{
+	modelTimeout,
+	modelCampaign,
+	modelAbort,
+	modelStartWrite,
+	modelJoin,
+	modelReplace,
+	modelFinishReplacement,
+	modelRestore,
+	modelRepair,
+	modelRecoverCommitted,
+	modelCrash,
+	modelPowerLoss,
+	modelWipe,
+	modelRestart,
 }
 
-// changeCut cuts machines off from the others for a while, or one way only.
-func (walk *modelWalk) changeCut() {
-	walk.calm--
-	if walk.calm > 0 || walk.world.bounds.cuts == 0 {
+// changePartition partitions the machines for a while, in one or both directions, or heals them.
+func (walk *modelWalk) changePartition() {
+	walk.stepsUntilPartitionChange--
+	if walk.stepsUntilPartitionChange > 0 || walk.cluster.bounds.partitions == 0 {
 		return
 	}
-	walk.calm = 30 + walk.random.IntN(120)
-	count := len(walk.world.machines)
-	walk.world.cut = [8][8]bool{}
+	walk.stepsUntilPartitionChange = 30 + walk.random.IntN(120)
+	count := len(walk.cluster.machines)
+	walk.cluster.blocked = [8][8]bool{}
 	if walk.random.IntN(2) == 0 {
 		return
 	}
-	apart, oneWay := walk.random.Uint64(), walk.random.IntN(4)
+	side, oneWay := walk.random.Uint64(), walk.random.IntN(4)
 	for from := range count {
 		for to := range count {
-			crosses := apart>>from&1 != apart>>to&1
-			walk.world.cut[from][to] = crosses && (oneWay > 0 || apart>>from&1 == 1)
+			crosses := side>>from&1 != side>>to&1
+			walk.cluster.blocked[from][to] = crosses && (oneWay > 0 || side>>from&1 == 1)
 		}
 	}
 }
 
-// modelWalkForm is a form of deployment that walks start from.
-type modelWalkForm struct {
+// modelScenario is a deployment that walks start from.
+type modelScenario struct {
 	name    string
 	bounds  modelBounds
-	prepare func(world *modelWorld)
-	// harms and pace replace modelHarms and modelHarmPace where they are set.
-	harms map[modelKind]int
-	pace  int
+	prepare func(cluster *modelCluster)
+	// faultWeights and faultInterval replace modelFaultWeights and modelFaultInterval if set.
+	faultWeights  map[modelActionKind]int
+	faultInterval int
 }
 
-var modelData = []message.Register{message.SettingsRegister, message.ReportsRegister}
+var modelRegisters = []message.Register{message.SettingsRegister, message.ReportsRegister}
 
-// modelMany are bounds that a walk hardly reaches.
-func modelMany(founders, spares, late int) modelBounds {
+// modelAmpleBounds returns bounds that a walk rarely reaches.
+func modelAmpleBounds(founders, spares, lateFounders int) modelBounds {
 	return modelBounds{
-		founders:   founders,
-		spares:     spares,
-		late:       late,
-		registers:  modelData,
-		candidates: 40,
-		orders:     40,
-		crashes:    20,
-		powerLoss:  12,
-		wipes:      12,
-		steps:      20,
-		enlists:    80,
-		mends:      40,
-		surveys:    40,
-		duplicates: 40,
-		giveUps:    30,
-		timeOuts:   true,
-		cuts:       1,
+		founders:     founders,
+		spares:       spares,
+		lateFounders: lateFounders,
+		registers:    modelRegisters,
+		candidacies:  40,
+		writes:       40,
+		crashes:      20,
+		powerLosses:  12,
+		wipes:        12,
+		replacements: 20,
+		joins:        80,
+		repairs:      40,
+		recoveries:   40,
+		duplicates:   40,
+		aborts:       30,
+		timeouts:     true,
+		partitions:   1,
 	}
 }
 
-var modelForms = []modelWalkForm{
-	{name: "3 voters, 2 newcomers", bounds: modelMany(3, 2, 0)},
-	{name: "4 voters, 1 newcomer", bounds: modelMany(4, 1, 0)},
-	{name: "3 voters, 1 newcomer, one voter late", bounds: modelMany(3, 1, 1)},
-	{name: "5 voters, 2 newcomers", bounds: modelMany(5, 2, 0)},
-	{name: "3 voters that lose their disks often", bounds: modelMany(3, 0, 0), harms: modelWipesFirst, pace: 20},
+var modelScenarios = []modelScenario{
+	{name: "3 voters, 2 spares", bounds: modelAmpleBounds(3, 2, 0)},
+	{name: "4 voters, 1 spare", bounds: modelAmpleBounds(4, 1, 0)},
+	{name: "3 voters, 1 spare, one voter without the membership", bounds: modelAmpleBounds(3, 1, 1)},
+	{name: "5 voters, 2 spares", bounds: modelAmpleBounds(5, 2, 0)},
+	{name: "3 voters, frequent disk losses", bounds: modelAmpleBounds(3, 0, 0), faultWeights: modelMostlyWipes, faultInterval: 20},
 	{
-		name:    "two of 3 replaced, one still leads as before",
-		bounds:  modelMany(3, 2, 0),
-		prepare: modelTwoReplaced,
-		harms:   modelWipesFirst,
-		pace:    25,
+		name:          "two of 3 replaced, stale leader",
+		bounds:        modelAmpleBounds(3, 2, 0),
+		prepare:       modelPrepareTwoReplaced,
+		faultWeights:  modelMostlyWipes,
+		faultInterval: 25,
 	},
 	{
-		name:    "two of 3 replaced, one still leads as before, one is empty",
-		bounds:  modelMany(3, 2, 0),
-		prepare: modelTwoEmptied,
-		harms:   modelCrashesFirst,
-		pace:    15,
+		name:          "two of 3 replaced, stale leader, one blank disk",
+		bounds:        modelAmpleBounds(3, 2, 0),
+		prepare:       modelPrepareEmptyDisk,
+		faultWeights:  modelMostlyCrashes,
+		faultInterval: 15,
 	},
-	{name: "3 voters, one of which holds a dead leader's step", bounds: modelMany(3, 1, 0), prepare: modelStrayStep},
+	{name: "3 voters, a crashed leader's joint membership at one", bounds: modelAmpleBounds(3, 1, 0), prepare: modelPrepareUndecidedJoint},
 }
 
-// TestModelWalks takes seeded random walks by the real rules.
-func TestModelWalks(test *testing.T) {
-	modelQuiet(test)
-	count := *modelWalks
+// TestModelRandomWalks takes seeded random walks with the real rules.
+func TestModelRandomWalks(test *testing.T) {
+	modelSilenceLogs(test)
+	count := *modelWalkCount
 	if count == 0 {
 		count = modelDefaultWalks
 	}
-	for _, form := range modelForms {
-		test.Run(form.name, func(test *testing.T) {
-			began, tally := time.Now(), map[modelKind]int{}
-			leaderships, orders, versions := 0, 0, 0
+	for _, scenario := range modelScenarios {
+		test.Run(scenario.name, func(test *testing.T) {
+			started, taken := time.Now(), map[modelActionKind]int{}
+			leaderships, writes, changes := 0, 0, 0
 			for index := range count {
-				walk := newModelWalk(modelRealRules(), &form, *modelSeed+uint64(index))
-				if violation := walk.run(modelWalkSteps); violation != nil {
+				walk := newModelWalk(modelRealRules(), &scenario, *modelWalkSeed+uint64(index))
+				if violation := walk.run(modelStepsPerWalk); violation != nil {
 					test.Fatalf(
 						"seed %d: %v\n%s",
-						*modelSeed+uint64(index),
+						*modelWalkSeed+uint64(index),
 						violation,
-						modelTrace(&form, modelRealRules(), *modelSeed+uint64(index), false),
+						modelTrace(&scenario, modelRealRules(), *modelWalkSeed+uint64(index), false),
 					)
 				}
-				for kind, done := range walk.done {
-					tally[kind] += done
+				for kind, times := range walk.taken {
+					taken[kind] += times
 				}
-				leaderships += len(walk.world.ledger.leaders)
-				versions += int(walk.world.ledger.version.Version.Serial) - 1
-				for _, register := range modelData {
-					orders += len(walk.world.ledger.history[register])
+				leaderships += len(walk.cluster.observer.leaders)
+				changes += int(walk.cluster.observer.membership.Version.Serial) - 1
+				for _, register := range modelRegisters {
+					writes += len(walk.cluster.observer.decided[register])
 				}
 			}
-			test.Logf("%d walks of %d steps in %v: %d leaderships, %d orders decided, %d memberships decided, steps taken %v",
-				count, modelWalkSteps, time.Since(began).Round(time.Millisecond), leaderships, orders, versions, tally)
+			test.Logf("%d walks of %d actions in %v: %d leaderships, %d writes decided, %d memberships decided, actions taken %v",
+				count, modelStepsPerWalk, time.Since(started).Round(time.Millisecond), leaderships, writes, changes, taken)
 		})
 	}
 }
 
-// modelTrace is the way to a violation, walked again.
-func modelTrace(form *modelWalkForm, rules *modelRules, seed uint64, outcomesOnly bool) string {
-	walk := newModelWalk(rules, form, seed)
-	walk.world.tracing, walk.world.ledger.outcomesOnly = true, outcomesOnly
-	_ = walk.run(modelWalkSteps) // its violation is known
-	return strings.Join(walk.world.trace, "\n")
+// modelTrace repeats a walk and returns the actions that led to its violation.
+func modelTrace(scenario *modelScenario, rules *modelRules, seed uint64, outcomesOnly bool) string {
+	walk := newModelWalk(rules, scenario, seed)
+	walk.cluster.tracing, walk.cluster.observer.outcomesOnly = true, outcomesOnly
+	_ = walk.run(modelStepsPerWalk) // its violation is known
+	return strings.Join(walk.cluster.trace, "\n")
 }
--- a/control/model_unraced_test.go
+++ b/control/model_without_race_test.go
@@ -5,5 +5,5 @@
 const (
 	modelDefaultWalks  = 600
 	modelDefaultStates = 25000
-	modelBeginsNear    = false
+	modelUseStartWalk  = false
 )
