--- a/control/model_actions_test.go
+++ b/control/model_actions_test.go
@@ -7,7 +7,6 @@
 	"orchidjunction/message"
 )
 
-// modelActionKind is a kind of action that the model can take.
 type modelActionKind string
 
 const (
@@ -30,7 +29,6 @@
 	modelRestart           modelActionKind = "restart"
 )
 
-// modelAction is one action of the model.
 type modelAction struct {
 	kind modelActionKind
 	// target is the index of a message in flight or of a machine, depending on kind.
--- a/control/model_cluster_test.go
+++ b/control/model_cluster_test.go
@@ -47,7 +47,7 @@
 	from, to    int
 	incarnation int
 	call        int
-	// voterID is the ID for which the requester counts the response, or 0.
+	// voterID is the ID for which the response counts, or 0.
 	voterID    int
 	register   message.Register
 	message    any
@@ -128,7 +128,7 @@
 	}
 }
 
-// ownMachine returns a machine that may be changed, after copying it if it is shared.
+// ownMachine returns a machine to change, after copying it if it is shared.
 func (cluster *modelCluster) ownMachine(index int) *modelMachine {
 	if !cluster.owned.has(index) {
 		cluster.machines[index] = cluster.machines[index].clone()
@@ -158,7 +158,6 @@
 	cluster.send(packet)
 }
 
-// sendResponse sends a response to the sender of a request.
 func (cluster *modelCluster) sendResponse(request *modelPacket, response any) {
 	amnesiac := request.voterID > 0 && cluster.machines[request.to].lostIDs.has(request.voterID)
 	cluster.send(
@@ -176,14 +175,12 @@
 	)
 }
 
-// takePacket removes a message in flight and returns it.
 func (cluster *modelCluster) takePacket(index int) *modelPacket {
 	packet := cluster.inFlight[index]
 	cluster.inFlight = slices.Delete(cluster.inFlight, index, index+1)
 	return packet
 }
 
-// dropObsolete drops messages that can no longer have an effect.
 func (cluster *modelCluster) dropObsolete() {
 	cluster.inFlight = slices.DeleteFunc(cluster.inFlight, cluster.isObsolete)
 }
--- a/control/model_digest_test.go
+++ b/control/model_digest_test.go
@@ -148,7 +148,7 @@
 	return machine.cachedDigest
 }
 
-// modelDiskState returns the state on a stopped machine's disk, as the real store reads it.
+// modelDiskState reads a stopped machine's disk with the real store.
 func modelDiskState(disk *testdisk.Disk) *consensus.State {
 	store, err := replica.OpenStore(disk.Clone())
 	if err != nil {
--- a/control/model_machine_test.go
+++ b/control/model_machine_test.go
@@ -50,14 +50,13 @@
 	leadership  *Leadership
 }
 
-// modelStateQuery is a blank voter's request for the state of all others, before it fences them.
+// modelStateQuery asks all other voters for their state before a blank voter fences them.
 type modelStateQuery struct {
 	call      int
 	view      *consensus.View
 	responses map[int]*message.ReplicaStateResponse
 }
 
-// modelCandidacy is a candidacy that collects promises.
 type modelCandidacy struct {
 	call      int
 	view      *consensus.View
@@ -150,7 +149,6 @@
 	)
 }
 
-// start starts a process on the machine's disk.
 func (machine *modelMachine) start() {
 	store, err := replica.OpenStore(machine.disk)
 	if err != nil {
--- a/control/model_mutants_test.go
+++ b/control/model_mutants_test.go
@@ -287,7 +287,6 @@
 	modelMust(core.replica.Initialize(term, [message.Registers]message.AcceptedValue{}, nil))
 }
 
-// modelMaxMutantWalks limits the search for one mutant.
 const modelMaxMutantWalks = 20000
 
 // TestModelDetectsMutants seeds one bug at a time. Random walks must detect each.
--- a/control/model_observer_test.go
+++ b/control/model_observer_test.go
@@ -25,7 +25,6 @@
 	confirmedReadIsCurrent = "a confirmed leader holds all values acknowledged before the request"
 )
 
-// modelViolation is a violated invariant.
 type modelViolation struct {
 	invariant string
 	detail    string
@@ -44,8 +43,8 @@
 	decided   bool
 }
 
-// modelObserver checks the invariants with knowledge of all machines. It counts quorums itself,
-// so that a wrong quorum in the rules does not hide a violation.
+// modelObserver checks the invariants across all machines. It counts quorums itself, so that a
+// wrong quorum in the rules does not hide a violation.
 type modelObserver struct {
 	proposals []modelProposal
 	// decided is the last decided value of each data register. A value's body has one letter
@@ -141,7 +140,7 @@
 	}
 }
 
-// checkAccepted checks that a value accepted with a proposal's version is the proposed value.
+// checkAccepted compares a value accepted with a proposal's version to the proposed value.
 func (observer *modelObserver) checkAccepted(term message.Term, register message.Register, accepted message.AcceptedValue) {
 	proposal := observer.findProposal(term, register, accepted.Value.Serial)
 	if proposal == nil || accepted.Term != term || string(proposal.value.Body) == string(accepted.Value.Body) {
@@ -281,7 +280,6 @@
 	}
 }
 
-// recordLeadership checks a leadership that begins.
 func (observer *modelObserver) recordLeadership(machine int, replication *modelReplication) {
 	if other, found := observer.leaders[replication.term]; found {
 		observer.report(oneLeaderPerTerm, "machines %d and %d lead under term %s", other, machine, replication.term)
--- a/control/model_rules_test.go
+++ b/control/model_rules_test.go
@@ -5,8 +5,8 @@
 	"orchidjunction/message"
 )
 
-// modelRules are the rules that the model's actions follow. modelRealRules returns those of the
-// package. A seeded bug replaces some of them.
+// modelRules are the rules that actions follow: those of the package, except for the ones that
+// a seeded bug replaces.
 type modelRules struct {
 	decides              func(view *consensus.View, has func(id int) bool) bool
 	decidedBy            func(view *consensus.View, accepted func(id int) bool) bool
@@ -36,7 +36,6 @@
 	acceptsBySerial bool
 }
 
-// modelRealRules returns the rules of the package.
 func modelRealRules() *modelRules {
 	return &modelRules{
 		decides: (*consensus.View).Decides,
--- a/control/model_script_test.go
+++ b/control/model_script_test.go
@@ -7,8 +7,7 @@
 	"orchidjunction/message"
 )
 
-// modelScript takes chosen actions, for states that random walks rarely reach. Machines are
-// numbered from 1.
+// modelScript reaches states that random walks rarely reach. Machines are numbered from 1.
 type modelScript struct {
 	cluster *modelCluster
 	fail    func(format string, values ...any)
--- a/control/model_steps_test.go
+++ b/control/model_steps_test.go
@@ -78,7 +78,6 @@
 	)
 }
 
-// replaceVoter begins to replace a voter by a learner.
 func (cluster *modelCluster) replaceVoter(machine *modelMachine, leaving, learner int) {
 	address := cluster.machines[learner].address
 	replication := &modelReplication{purpose: modelCatchUp, learner: address, leavingID: leaving, values: cluster.currentValues(machine)}
@@ -123,14 +122,13 @@
 	cluster.replicate(machine, &modelReplication{purpose: purpose, view: view, values: values})
 }
 
-// repair sends a leader's value to another core. The response does not count for a quorum.
+// repair sends a leader's value to another core, whose response does not count.
 func (cluster *modelCluster) repair(machine *modelMachine, to int, register message.Register) {
 	leadership := machine.process.leadership
 	request := &message.AcceptRequest{Term: leadership.term, Register: register, Value: leadership.value(register)}
 	cluster.sendRequest(machine, 0, message.Peer{Address: cluster.machines[to].address}, request)
 }
 
-// currentValues returns the values of a leadership.
 func (cluster *modelCluster) currentValues(machine *modelMachine) map[message.Register]message.Value {
 	values := map[message.Register]message.Value{message.MembersRegister: machine.process.leadership.value(message.MembersRegister)}
 	for _, register := range cluster.bounds.registers {
@@ -139,7 +137,7 @@
 	return values
 }
 
-// replicate sends values to every voter of a membership, including this one, or to one learner.
+// replicate sends values to every voter, including this one, or to one learner.
 func (cluster *modelCluster) replicate(machine *modelMachine, replication *modelReplication) {
 	process := machine.process
 	replication.call = process.nextCall()
@@ -216,7 +214,7 @@
 	}
 }
 
-// recordRestoredVotes records the values that a restored voter stored with its own term as votes.
+// recordRestoredVotes counts the values that a restored voter stored under its new term as votes.
 func (cluster *modelCluster) recordRestoredVotes(machine *modelMachine, replication *modelReplication) {
 	accepted := machine.process.core.replica.State().Accepted
 	for register, value := range replication.values {
@@ -384,7 +382,6 @@
 	cluster.sendResponse(admission.request, response)
 }
 
-// handleResponse handles the response to a process's call.
 func (cluster *modelCluster) handleResponse(machine *modelMachine, packet *modelPacket) {
 	process := machine.process
 	if !process.awaits(packet.call) {
--- a/control/model_walk_test.go
+++ b/control/model_walk_test.go
@@ -19,23 +19,21 @@
 	modelWalkSeed  = flag.Uint64("walk-seed", 1, "first seed of the model's random walks")
 )
 
-// modelStepsPerWalk is the length of a random walk, in actions.
 const modelStepsPerWalk = 500
 
-// modelSilenceLogs discards the log output of the core during a test.
+// modelSilenceLogs discards log output during a test.
 func modelSilenceLogs(test testing.TB) {
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
 	test.Cleanup(func() { klog.LogToStderr(true) })
 }
 
-// modelWeights are the relative frequencies of the actions of a walk, except deliveries and faults.
+// modelWeights are the relative frequencies of actions other than deliveries and faults.
 var modelWeights = map[modelActionKind]int{
 	modelCampaign: 10, modelTimeout: 40, modelStartWrite: 10, modelJoin: 8, modelReplace: 30, modelFinishReplacement: 30,
 	modelRestore: 20, modelRepair: 1, modelRecoverCommitted: 1, modelRestart: 10,
 }
 
-// modelFaultWeights are the relative frequencies of faults.
 var modelFaultWeights = map[modelActionKind]int{modelAbort: 3, modelCrash: 3, modelPowerLoss: 2, modelWipe: 2}
 
 var (
@@ -98,7 +96,7 @@
 	return nil
 }
 
-// deliverLastResponse delivers the last message in flight if it is a response.
+// deliverLastResponse delivers the last message if it is a response, as most arrive soon.
 func (walk *modelWalk) deliverLastResponse() *modelViolation {
 	last := len(walk.cluster.inFlight) - 1
 	if last < 0 || !walk.cluster.inFlight[last].isResponse ||
@@ -108,7 +106,6 @@
 	return walk.cluster.apply(modelAction{kind: modelDeliver, target: last})
 }
 
-// weights returns the weights of the kinds of action in the present state.
 func (walk *modelWalk) weights() func(kind modelActionKind) int {
 	if walk.injectFault {
 		return func(kind modelActionKind) int { return walk.scenario.faultWeights[kind] }
@@ -125,8 +122,8 @@
 	}
 }
 
-// choose draws a kind of action by weight, then an action of that kind. It prefers deliveries,
-// and drops some of the messages.
+// choose draws a kind of action by weight, then an action of that kind. It prefers deliveries
+// and drops some messages.
 func (walk *modelWalk) choose() (modelAction, bool) {
 	kinds := map[modelActionKind][]modelAction{}
 	walk.injectFault = walk.random.IntN(walk.scenario.faultInterval) == 0
@@ -180,7 +177,7 @@
 	modelRestart,
 }
 
-// changePartition partitions the machines for a while, in one or both directions, or heals them.
+// changePartition partitions the machines in one or both directions, or heals the partition.
 func (walk *modelWalk) changePartition() {
 	walk.stepsUntilPartitionChange--
 	if walk.stepsUntilPartitionChange > 0 || walk.cluster.bounds.partitions == 0 {
