--- a/control/claims.go
+++ b/control/claims.go
@@ -30,7 +30,7 @@
 	core.learnMembership(request.Membership)
 	view := core.membership()
 	known := view.Accepted()
-	response := &message.RecordClaimsResponse{Core: view.ID, Membership: unlessSame(request.Membership, known), Refused: true}
+	response := &message.RecordClaimsResponse{Core: view.ID, Membership: membershipIfDifferent(request.Membership, known), Refused: true}
 	if !view.Votes() {
 		core.counters.Add("claims_refused_without_vote", 1)
 		return response, nil
@@ -50,7 +50,7 @@
 }
 
 // unlessSame returns the known membership if its version is not the sender's.
-func unlessSame(sent, known message.AcceptedValue) message.AcceptedValue {
+func membershipIfDifferent(sent, known message.AcceptedValue) message.AcceptedValue {
 	if sent.Version() == known.Version() {
 		return message.AcceptedValue{}
 	}
@@ -70,16 +70,16 @@
 	view := core.membership()
 	known := view.Accepted()
 	if request.After == 0 && view.Known() {
-		fence := &idempotency.Write{Request: &message.RecordClaimsRequest{}, Membership: known}
-		if err := core.claims.Submit(fence); err != nil {
+		barrier := &idempotency.Write{Request: &message.RecordClaimsRequest{}, Membership: known}
+		if err := core.claims.Submit(barrier); err != nil {
 			return nil, err
 		}
-		if fence.Refused {
+		if barrier.Refused {
 			return nil, rpc.Errorf(rpc.NotReady, "membership %v is no more", known.Version())
 		}
 	}
 	response := &message.FetchClaimsResponse{
-		Membership: unlessSame(request.Membership, known),
+		Membership: membershipIfDifferent(request.Membership, known),
 		Core:       view.ID,
 		Complete:   core.claimsComplete(view),
 	}
@@ -122,59 +122,59 @@
 
 // fetchCount is how many voters were asked for their claims, how many of them record
 // nothing under older memberships any more, and from how many all claims were fetched.
-type fetchCount struct {
+type claimFetchSummary struct {
 	asked    int
 	fenced   int
 	complete int
 }
 
 // fetchResult is what came of fetching one core's claims.
-type fetchResult struct {
+type claimFetchResult struct {
 	fenced   bool
 	complete bool
 }
 
 // fetchClaimsFromVoters fetches the claims of the other voters.
-func (core *Core) fetchClaimsFromVoters(view *consensus.View) fetchCount {
+func (core *Core) fetchClaimsFromVoters(view *consensus.View) claimFetchSummary {
 	peers := []message.Peer{}
 	for _, peer := range view.Voters {
 		if peer.ID != view.ID {
 			peers = append(peers, peer)
 		}
 	}
-	results, _ := concurrent.Gather(core.goroutines, len(peers), func(index int) (fetchResult, error) {
+	results, _ := concurrent.Gather(core.goroutines, len(peers), func(index int) (claimFetchResult, error) {
 		return core.fetchClaims(view, peers[index])
-	}, func(map[int]fetchResult, map[int]error) bool { return false })
-	count := fetchCount{asked: len(peers)}
+	}, func(map[int]claimFetchResult, map[int]error) bool { return false })
+	counts := claimFetchSummary{asked: len(peers)}
 	for _, result := range results {
 		if result.fenced {
-			count.fenced++
+			counts.fenced++
 		}
 		if result.complete {
-			count.complete++
+			counts.complete++
 		}
 	}
-	return count
+	return counts
 }
 
 // fetchClaims fetches all claims of another core, page by page, and records them here.
-func (core *Core) fetchClaims(view *consensus.View, peer message.Peer) (fetchResult, error) {
+func (core *Core) fetchClaims(view *consensus.View, peer message.Peer) (claimFetchResult, error) {
 	membership := view.Accepted()
 	for after := uint64(0); ; {
 		request := &message.FetchClaimsRequest{After: after, Membership: membership}
 		response, err := rpc.Call(core.client, peer.Address, message.MethodFetchClaims, fetchClaimsTimeout, request)
 		if err != nil {
-			return fetchResult{}, err
+			return claimFetchResult{}, err
 		}
 		core.learnMembership(response.Membership)
 		if message.Supersedes(response.Membership, membership) || response.Core != peer.ID {
-			return fetchResult{}, rpc.Errorf(rpc.NotReady, "core at %s counts by other voters", peer.Address)
+			return claimFetchResult{}, rpc.Errorf(rpc.NotReady, "core at %s counts by other voters", peer.Address)
 		}
 		if err := core.mergeClaims(response.Claims); err != nil {
-			return fetchResult{}, err
+			return claimFetchResult{}, err
 		}
 		if !response.Complete || response.Done {
-			return fetchResult{fenced: true, complete: response.Complete}, nil
+			return claimFetchResult{fenced: true, complete: response.Complete}, nil
 		}
 		after = response.Last
 	}
--- a/control/config.go
+++ b/control/config.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	foundingQuiet   = 700 * time.Millisecond
-	sessionTTL      = 1500 * time.Millisecond
-	minWriteTimeout = 600 * time.Millisecond
-	minReplaceAfter = time.Second
-	minHeartbeat    = 10 * time.Millisecond
-	maxGivenID      = 99
+	defaultFoundingQuiet = 700 * time.Millisecond
+	defaultSessionTTL    = 1500 * time.Millisecond
+	minWriteTimeout      = 600 * time.Millisecond
+	minReplaceAfter      = time.Second
+	minHeartbeatInterval = 10 * time.Millisecond
+	maxConfiguredID      = 99
 )
 
 // Config is what a core learns of itself from its flags or its settings file. A core
@@ -85,36 +85,36 @@
 	}
 	setDefault(&config.Rollouts, rollout.DefaultBounds)
 	setDefault(&config.ReplaceAfter, max(minReplaceAfter, 2*config.SuspicionTimeout))
-	setDefault(&config.FoundingQuiet, foundingQuiet)
+	setDefault(&config.FoundingQuiet, defaultFoundingQuiet)
 	setDefault(&config.TableInterval, config.HeartbeatInterval)
-	setDefault(&config.SessionTTL, sessionTTL)
+	setDefault(&config.SessionTTL, defaultSessionTTL)
 	setDefault(&config.ListInterval, discovery.DefaultInterval)
 	setDefault(&config.ListsUntilGone, discovery.DefaultListsUntilGone)
 	return config
 }
 
 // setDefault sets a value that is zero.
-func setDefault[T comparable](value *T, standard T) {
+func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
-		*value = standard
+		*value = defaultValue
 	}
 }
 
 // view returns the membership that was accepted last, or else the one that was given. As
 // long as no core was ever replaced, addresses are as they were given.
-func (config *Config) view(accepted *consensus.Membership) *consensus.View {
+func (config *Config) initialView(accepted *consensus.Membership) *consensus.View {
 	if config.discoversPeers() {
 		return consensus.NewView(config.InternalAddress, accepted)
 	}
-	given := consensus.NewMembership(append([]message.Peer{{ID: config.ID, Address: config.InternalAddress}}, config.Peers...))
-	if accepted != nil && accepted.Version.Serial > given.Version.Serial {
+	configured := consensus.NewMembership(append([]message.Peer{{ID: config.ID, Address: config.InternalAddress}}, config.Peers...))
+	if accepted != nil && accepted.Version.Serial > configured.Version.Serial {
 		return consensus.NewView(config.InternalAddress, accepted)
 	}
 	if accepted != nil {
-		given.Version = accepted.Version
+		configured.Version = accepted.Version
 	}
-	return consensus.NewView(config.InternalAddress, given)
+	return consensus.NewView(config.InternalAddress, configured)
 }
 
 // discoversPeers reports whether this core learns who the others are from its seeds.
@@ -136,13 +136,13 @@
 
 // Check returns BadFlag if the config can't work; its message names the flag of ojcore.
 func (config *Config) Check() error {
-	if config.HeartbeatInterval < minHeartbeat || config.SuspicionTimeout < 3*config.HeartbeatInterval {
+	if config.HeartbeatInterval < minHeartbeatInterval || config.SuspicionTimeout < 3*config.HeartbeatInterval {
 		return rpc.Errorf(
 			rpc.BadFlag,
 			"--suspect-ms: %v must be at least three heartbeats of %v, and a heartbeat %v",
 			config.SuspicionTimeout,
 			config.HeartbeatInterval,
-			minHeartbeat,
+			minHeartbeatInterval,
 		)
 	}
 	if err := rpc.CheckAddress("--wire", config.InternalAddress); err != nil {
@@ -155,8 +155,8 @@
 }
 
 func (config *Config) checkPeers() error {
-	if config.ID < 1 || config.ID > maxGivenID {
-		return rpc.Errorf(rpc.BadFlag, "--id: %d is not in 1 to %d", config.ID, maxGivenID)
+	if config.ID < 1 || config.ID > maxConfiguredID {
+		return rpc.Errorf(rpc.BadFlag, "--id: %d is not in 1 to %d", config.ID, maxConfiguredID)
 	}
 	seen := map[int]bool{config.ID: true}
 	for _, peer := range config.Peers {
--- a/control/content.go
+++ b/control/content.go
@@ -12,14 +12,14 @@
 const (
 	// historyGroup is how many serials one chunk of the history spans, and
 	// maxHistoryGroups how many such chunks are kept.
-	historyGroup     = 16
-	maxHistoryGroups = 32
-	historyPrefix    = "trail/"
+	serialsPerHistoryChunk = 16
+	maxHistoryChunks       = 32
+	historyPathPrefix      = "trail/"
 )
 
 // content is the content of the settings register: the tree of settings and the history
 // of changes. Both are sent and stored as chunks. It is immutable but for chunks.
-type content struct {
+type settingsContent struct {
 	serial  uint64
 	tree    *config.Tree
 	history []message.HistoryEntry
@@ -28,11 +28,11 @@
 
 // next returns the content after a change, with the older entries of the history dropped
 // by whole chunks.
-func (current *content) next(tree *config.Tree, entry message.HistoryEntry) *content {
-	next := &content{serial: entry.Serial, tree: tree, chunks: message.Chunks{}}
+func (current *settingsContent) next(tree *config.Tree, entry message.HistoryEntry) *settingsContent {
+	next := &settingsContent{serial: entry.Serial, tree: tree, chunks: message.Chunks{}}
 	oldest := uint64(0)
-	if group := entry.Serial / historyGroup; group >= maxHistoryGroups {
-		oldest = (group - maxHistoryGroups + 1) * historyGroup
+	if group := entry.Serial / serialsPerHistoryChunk; group >= maxHistoryChunks {
+		oldest = (group - maxHistoryChunks + 1) * serialsPerHistoryChunk
 	}
 	for _, former := range current.history {
 		if former.Serial >= oldest {
@@ -45,7 +45,7 @@
 
 // value returns the register's value: the references of the chunks that make the content
 // up. It adds their texts to the content's chunks.
-func (current *content) value() message.Value {
+func (current *settingsContent) value() message.Value {
 	value := message.Value{Serial: current.serial}
 	if current.tree != nil {
 		value.Chunks = append(value.Chunks, current.tree.Refs...)
@@ -57,11 +57,11 @@
 }
 
 // addHistory adds the references of the history to a value.
-func (current *content) addHistory(value message.Value) message.Value {
+func (current *settingsContent) addHistory(value message.Value) message.Value {
 	groups := map[uint64][]message.HistoryEntry{}
 	order := []uint64{}
 	for _, entry := range current.history {
-		group := entry.Serial / historyGroup
+		group := entry.Serial / serialsPerHistoryChunk
 		if groups[group] == nil {
 			order = append(order, group)
 		}
@@ -70,7 +70,7 @@
 	for _, group := range order {
 		text, _ := rpc.Marshal(groups[group]) // structures of numbers and texts are always encoded
 		digest := message.DigestOf(text)
-		value.Chunks = append(value.Chunks, message.ChunkRef{Path: fmt.Sprintf("%s%016d", historyPrefix, group), Digest: digest})
+		value.Chunks = append(value.Chunks, message.ChunkRef{Path: fmt.Sprintf("%s%016d", historyPathPrefix, group), Digest: digest})
 		current.chunks[digest] = text
 	}
 	return value
@@ -78,18 +78,18 @@
 
 // readContent returns the content of a value whose chunks are all given. Chunks that the
 // former content has too are not parsed again.
-func readContent(former *content, value message.Value, chunks message.Chunks) (*content, error) {
+func decodeContent(former *settingsContent, value message.Value, chunks message.Chunks) (*settingsContent, error) {
 	if value.Serial == 0 {
-		return &content{}, nil
+		return &settingsContent{}, nil
 	}
-	current := &content{serial: value.Serial, chunks: make(message.Chunks, len(value.Chunks))}
+	current := &settingsContent{serial: value.Serial, chunks: make(message.Chunks, len(value.Chunks))}
 	for _, ref := range value.Chunks {
 		text, found := chunks[ref.Digest]
 		if !found {
 			return nil, rpc.Errorf(rpc.CorruptChunk, "chunk %s of serial %d is missing", ref.Path, value.Serial)
 		}
 		current.chunks[ref.Digest] = text
-		if !isHistory(ref) {
+		if !isHistoryRef(ref) {
 			continue
 		}
 		entries := []message.HistoryEntry{}
@@ -102,19 +102,19 @@
 	if former != nil {
 		formerTree = former.tree
 	}
-	tree, err := config.Assemble(formerTree, treeChunks(value.Chunks), current.chunks)
+	tree, err := config.Assemble(formerTree, settingsRefs(value.Chunks), current.chunks)
 	current.tree = tree
 	return current, err
 }
 
-func isHistory(ref message.ChunkRef) bool {
-	return len(ref.Path) > len(historyPrefix) && strings.HasPrefix(ref.Path, historyPrefix)
+func isHistoryRef(ref message.ChunkRef) bool {
+	return len(ref.Path) > len(historyPathPrefix) && strings.HasPrefix(ref.Path, historyPathPrefix)
 }
 
 // treeChunks returns the references of the settings, without those of the history.
-func treeChunks(refs []message.ChunkRef) []message.ChunkRef {
+func settingsRefs(refs []message.ChunkRef) []message.ChunkRef {
 	for index, ref := range refs {
-		if isHistory(ref) {
+		if isHistoryRef(ref) {
 			return refs[:index]
 		}
 	}
@@ -122,7 +122,7 @@
 }
 
 // newChunks returns the texts of those chunks of a value that a former value lacks.
-func newChunks(value, former message.Value, chunks message.Chunks) message.Chunks {
+func addedChunks(value, former message.Value, chunks message.Chunks) message.Chunks {
 	isKnown := map[string]bool{}
 	for _, ref := range former.Chunks {
 		isKnown[ref.Digest] = true
@@ -137,7 +137,7 @@
 }
 
 // committedContent returns the committed settings, parsed at most once.
-func (core *Core) committedContent() (*content, error) {
+func (core *Core) committedContent() (*settingsContent, error) {
 	core.contentLock.Lock()
 	defer core.contentLock.Unlock()
 	core.mutex.Lock()
@@ -146,7 +146,7 @@
 	if former != nil && former.serial == value.Serial {
 		return former, nil
 	}
-	current, err := readContent(former, value, chunks)
+	current, err := decodeContent(former, value, chunks)
 	if err != nil {
 		core.counters.Add("contents_unreadable", 1)
 		return nil, err
@@ -176,7 +176,7 @@
 
 // gatherChunks returns the chunks of a value: those known, and the others from the core
 // at an address.
-func (core *Core) gatherChunks(address string, value message.Value, known message.Chunks) (message.Chunks, error) {
+func (core *Core) collectChunks(address string, value message.Value, known message.Chunks) (message.Chunks, error) {
 	chunks := message.Chunks{}
 	for _, ref := range value.Chunks {
 		if text, found := known[ref.Digest]; found {
--- a/control/core.go
+++ b/control/core.go
@@ -51,7 +51,7 @@
 	backends    *discovery.Reader
 	usage       *usage.Sums
 	windows     *usage.Windows
-	reporting   reporting
+	reporting   reportingState
 	usageCopies *usageCopies
 	claims      *idempotency.Log
 
@@ -68,7 +68,7 @@
 	rolloutReports   rolloutReports
 	waitingRollouts  []rollout.Waiting
 	observedBackends observedBackends
-	listed           listedBackends
+	listed           listedBackendsCache
 	fetchCache       fetchCache
 
 	// mutex guards the fields below. It is never held during a call or a disk write.
@@ -77,7 +77,7 @@
 	leadership       *Leadership
 	committed        [message.Registers]message.AcceptedValue
 	chunks           message.Chunks
-	content          *content
+	content          *settingsContent
 	tables           tableState
 	diskFailure      diskFailure
 	sessionsSharedAt time.Time
@@ -135,7 +135,7 @@
 		probeHints:   newProbeHints(),
 		usage:        usage.NewSums(),
 		windows:      usage.NewWindows(),
-		reporting:    reporting{startedAt: time.Now()},
+		reporting:    reportingState{startedAt: time.Now()},
 		updates:      concurrent.NewCondition(),
 		wakeElection: concurrent.NewCondition(),
 		contentLock:  concurrent.NewLock(),
@@ -147,7 +147,7 @@
 		PromiseRaised:      core.promiseRaised,
 		MembershipAccepted: core.learnMembership,
 	})
-	core.members = consensus.NewTracker(config.view(core.replica.State().Membership()), core.membershipChanged)
+	core.members = consensus.NewTracker(config.initialView(core.replica.State().Membership()), core.membershipChanged)
 	core.role = newRoleState(Following, core.membership().ID, counters)
 	if core.replica.Blank() {
 		core.role = newRoleState(Blank, core.membership().ID, counters)
@@ -184,8 +184,8 @@
 	every(concurrent.Fixed(config.HeartbeatInterval), core.sendHeartbeats)
 	every(concurrent.Fixed(2*config.HeartbeatInterval), core.shareSessions)
 	every(concurrent.Fixed(config.TableInterval), core.buildTable)
-	every(concurrent.Fixed(config.TableInterval), core.followTable)
-	every(core.leaderInterval(concurrent.Fixed(decideInterval)), core.decideRollouts)
+	every(concurrent.Fixed(config.TableInterval), core.fetchLeaderTable)
+	every(core.leaderInterval(concurrent.Fixed(rolloutDecisionInterval)), core.decideRollouts)
 	every(core.leaderInterval(concurrent.Fixed(config.HeartbeatInterval)), core.changeMembership)
 	if core.readsBackends {
 		every(core.leaderInterval(core.backends.Interval), core.readBackends)
--- a/control/establishment.go
+++ b/control/establishment.go
@@ -25,7 +25,7 @@
 	promises   map[int]*message.PrepareResponse
 	values     [message.Registers]message.Value
 	inherited  message.Versions
-	content    *content
+	content    *settingsContent
 	routing    *routing.State
 	rollouts   *rollout.State
 }
@@ -88,7 +88,7 @@
 	}
 	settings := establishment.values[message.SettingsRegister]
 	source := establishment.view.AddressOf(sources[message.SettingsRegister])
-	chunks, err := core.gatherChunks(source, settings, core.replica.State().Chunks)
+	chunks, err := core.collectChunks(source, settings, core.replica.State().Chunks)
 	if err != nil {
 		return err
 	}
@@ -112,6 +112,6 @@
 	core.mutex.Lock()
 	former := core.content
 	core.mutex.Unlock()
-	establishment.content, err = readContent(former, settings, chunks)
+	establishment.content, err = decodeContent(former, settings, chunks)
 	return err
 }
--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -26,8 +26,8 @@
 		return &next
 	}
 	next.Evacuated = slices.Delete(slices.Clone(state.Evacuated), index, index+1)
-	next.Restored = slices.DeleteFunc(slices.Clone(state.Restored), func(former routing.RestoredZone) bool {
-		return former.Zone == request.Zone || now-former.AtMs > restoredZoneTTL.Milliseconds()
+	next.Restored = slices.DeleteFunc(slices.Clone(state.Restored), func(zone routing.RestoredZone) bool {
+		return zone.Zone == request.Zone || now-zone.AtMs > restoredZoneTTL.Milliseconds()
 	})
 	next.Restored = append(next.Restored, routing.RestoredZone{Zone: request.Zone, AtMs: now})
 	return &next
--- a/control/fetch_cache.go
+++ b/control/fetch_cache.go
@@ -9,7 +9,7 @@
 )
 
 // fetchCacheSize is how many responses with the newest table are kept.
-const fetchCacheSize = 4
+const maxCachedResponses = 4
 
 // fetchCache keeps responses with the newest table, encoded once for all daemons. It is
 // safe for concurrent use.
@@ -30,13 +30,13 @@
 	cache.mutex.Lock()
 	defer cache.mutex.Unlock()
 	key := fetchKey{response.Serial, response.Routing, response.Rollouts}
-	if known := cache.responses[key]; known != nil && cache.table == response.Table {
-		return known, nil
+	if cached := cache.responses[key]; cached != nil && cache.table == response.Table {
+		return cached, nil
 	}
 	if err := response.Encode(); err != nil {
 		return nil, err
 	}
-	if cache.table != response.Table || len(cache.responses) >= fetchCacheSize {
+	if cache.table != response.Table || len(cache.responses) >= maxCachedResponses {
 		cache.table, cache.responses = response.Table, map[fetchKey]*message.FetchResponse{}
 	}
 	cache.responses[key] = response
--- a/control/forwarded_session_test.go
+++ b/control/forwarded_session_test.go
@@ -23,7 +23,7 @@
 	}
 	next := usage.NewWindows()
 	for _, held := range core.sessions.ownedBy(core.membership().ID) {
-		forwarded := core.forForwarding(held)
+		forwarded := core.forwardedSession(held)
 		next.Add(&forwarded)
 	}
 	if sum := next.Sum(10); sum["first"] != 5 || sum["second"] != 2 {
@@ -54,7 +54,7 @@
 	}
 	next := usage.NewWindows()
 	for _, held := range core.sessions.ownedBy(core.membership().ID) {
-		forwarded := core.forForwarding(held)
+		forwarded := core.forwardedSession(held)
 		next.Add(&forwarded)
 	}
 	if !next.AwaitsProcess(11, 1) || next.Sum(11)["first"] != 1 {
--- a/control/heartbeat.go
+++ b/control/heartbeat.go
@@ -172,7 +172,7 @@
 	core.mutex.Lock()
 	isNewLeader := core.election.follow(request)
 	core.election.timeout = core.nextElectionTimeout()
-	core.tables.wanted = request.Table
+	core.tables.announced = request.Table
 	core.mutex.Unlock()
 	if request.NowMs > 0 {
 		core.observeLeaderClock(request.NowMs)
--- a/control/initial_view_test.go
+++ b/control/initial_view_test.go
@@ -28,7 +28,7 @@
 		{step, former.Voters, step.Version},
 		{step.WithoutFormer(), step.Next, step.WithoutFormer().Version},
 	} {
-		view := config.view(testCase.accepted)
+		view := config.initialView(testCase.accepted)
 		if len(view.Voters) != len(testCase.want) || view.Version != testCase.version {
 			test.Errorf("case %d: membership %+v", number, view.Membership)
 			continue
@@ -47,7 +47,7 @@
 		{ID: 1, Address: "10.0.0.1:1"},
 		{ID: 2, Address: "10.0.0.2:1"},
 	}
-	if view := removed.view(step.WithoutFormer()); view.ID != 0 || view.Votes() {
+	if view := removed.initialView(step.WithoutFormer()); view.ID != 0 || view.Votes() {
 		test.Errorf("a removed core still has ID %d", view.ID)
 	}
 }
--- a/control/leadership.go
+++ b/control/leadership.go
@@ -37,7 +37,7 @@
 	lameduck            bool
 	successor           message.Leader
 	values              [message.Registers]message.Value
-	content             *content
+	content             *settingsContent
 	routing             *routing.State
 	rollouts            *rollout.State
 	responses           map[int]*message.HeartbeatResponse
@@ -88,7 +88,7 @@
 	return leadership.values[register]
 }
 
-func (leadership *Leadership) settings() *content {
+func (leadership *Leadership) settings() *settingsContent {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	return leadership.content
@@ -223,7 +223,7 @@
 		Term:     leadership.term,
 		Register: register,
 		Value:    next.value,
-		Chunks:   newChunks(next.value, current, next.chunks),
+		Chunks:   addedChunks(next.value, current, next.chunks),
 	}
 	if err := core.replicate(core.membership(), request, next.chunks); err != nil {
 		core.counters.Add("write_unknown", 1)
@@ -240,7 +240,7 @@
 }
 
 // writeSettings writes the settings that build derives from the current ones.
-func (leadership *Leadership) writeSettings(build func(current *content) (*content, error)) (uint64, error) {
+func (leadership *Leadership) writeSettings(build func(current *settingsContent) (*settingsContent, error)) (uint64, error) {
 	return leadership.write(message.SettingsRegister, func(message.Value) (*proposal, error) {
 		next, err := build(leadership.settings())
 		if err != nil || next == nil {
--- a/control/model_machine_test.go
+++ b/control/model_machine_test.go
@@ -137,7 +137,7 @@
 	core.sessions = newSessions(core.config.SessionTTL)
 	core.openReplica(store)
 	core.role = newRoleState(Following, 0, core.counters)
-	core.members = consensus.NewTracker(core.config.view(core.replica.State().Membership()), core.membershipChanged)
+	core.members = consensus.NewTracker(core.config.initialView(core.replica.State().Membership()), core.membershipChanged)
 	core.election.highestTerm = core.replica.State().Promised.Number
 	return core
 }
--- a/control/probe_hints.go
+++ b/control/probe_hints.go
@@ -15,15 +15,15 @@
 // goes out with the table, and each proxy then probes the backend itself at once: all
 // that is shared is that there is something to see. It is safe for concurrent use.
 type ProbeHints struct {
-	mutex     sync.Mutex
-	findings  map[string]map[string]finding // by backend, then by proxy
-	known     map[string]finding
-	counts    map[string]uint64
-	changedAt map[string]time.Time
+	mutex    sync.Mutex
+	states   map[string]map[string]probeState // by backend, then by proxy
+	newest   map[string]probeState
+	counts   map[string]uint64
+	raisedAt map[string]time.Time
 }
 
 // finding is what of a probe makes a difference to where requests go.
-type finding struct {
+type probeState struct {
 	incarnation string
 	healthy     bool
 	leaving     bool
@@ -32,10 +32,10 @@
 
 func newProbeHints() *ProbeHints {
 	return &ProbeHints{
-		findings:  map[string]map[string]finding{},
-		known:     map[string]finding{},
-		counts:    map[string]uint64{},
-		changedAt: map[string]time.Time{},
+		states:   map[string]map[string]probeState{},
+		newest:   map[string]probeState{},
+		counts:   map[string]uint64{},
+		raisedAt: map[string]time.Time{},
 	}
 }
 
@@ -45,25 +45,25 @@
 	hints.mutex.Lock()
 	defer hints.mutex.Unlock()
 	for _, probe := range session.Probes {
-		found := finding{incarnation: probe.Incarnation, healthy: probe.Healthy, leaving: probe.Leaving, warmingUp: probe.WarmingUp}
-		hints.observeFinding(session.Member.Name, probe.Backend, found)
+		state := probeState{incarnation: probe.Incarnation, healthy: probe.Healthy, leaving: probe.Leaving, warmingUp: probe.WarmingUp}
+		hints.observeState(session.Member.Name, probe.Backend, state)
 	}
 }
 
-func (hints *ProbeHints) observeFinding(proxy, backend string, found finding) {
-	byProxy := hints.findings[backend]
-	if byProxy == nil {
-		byProxy = map[string]finding{}
-		hints.findings[backend] = byProxy
+func (hints *ProbeHints) observeState(proxy, backend string, state probeState) {
+	states := hints.states[backend]
+	if states == nil {
+		states = map[string]probeState{}
+		hints.states[backend] = states
 	}
-	former, hasFormer := byProxy[proxy]
-	isNew := hasFormer && former != found && hints.known[backend] != found
-	if isNew && time.Since(hints.changedAt[backend]) < probeHintInterval {
+	former, hasFormer := states[proxy]
+	isNew := hasFormer && former != state && hints.newest[backend] != state
+	if isNew && time.Since(hints.raisedAt[backend]) < probeHintInterval {
 		return // it is new again with the next session
 	}
-	byProxy[proxy] = found
+	states[proxy] = state
 	if isNew {
-		hints.known[backend], hints.changedAt[backend] = found, time.Now()
+		hints.newest[backend], hints.raisedAt[backend] = state, time.Now()
 		hints.counts[backend]++
 	}
 }
@@ -89,24 +89,24 @@
 		}
 		hinted[index].ProbeHint = count
 	}
-	hints.forgetUnlisted(backends)
+	hints.removeUnlisted(backends)
 	return hinted
 }
 
 // forgetUnlisted drops the findings of backends that are gone. Their counts stay.
-func (hints *ProbeHints) forgetUnlisted(backends []message.Backend) {
-	if len(hints.findings) == 0 {
+func (hints *ProbeHints) removeUnlisted(backends []message.Backend) {
+	if len(hints.states) == 0 {
 		return
 	}
 	isListed := make(map[string]bool, len(backends))
 	for index := range backends {
 		isListed[backends[index].Name] = true
 	}
-	for name := range hints.findings {
+	for name := range hints.states {
 		if !isListed[name] {
-			delete(hints.findings, name)
-			delete(hints.known, name)
-			delete(hints.changedAt, name)
+			delete(hints.states, name)
+			delete(hints.newest, name)
+			delete(hints.raisedAt, name)
 		}
 	}
 }
--- a/control/registers.go
+++ b/control/registers.go
@@ -138,7 +138,7 @@
 	}
 	core.mutex.Lock()
 	if value := core.committed[message.SettingsRegister].Value; value.Serial > request.Serial {
-		response.Serial, response.Chunks = value.Serial, treeChunks(value.Chunks)
+		response.Serial, response.Chunks = value.Serial, settingsRefs(value.Chunks)
 	}
 	core.tables.addTo(response, request.Table)
 	core.mutex.Unlock()
--- a/control/restore.go
+++ b/control/restore.go
@@ -102,7 +102,7 @@
 	}
 	accepted, sources := consensus.InheritedValues(view, promises)
 	source := view.AddressOf(sources[message.SettingsRegister])
-	chunks, err := core.gatherChunks(source, accepted[message.SettingsRegister].Value, nil)
+	chunks, err := core.collectChunks(source, accepted[message.SettingsRegister].Value, nil)
 	if err != nil {
 		return nil, err
 	}
--- a/control/rollout_decisions.go
+++ b/control/rollout_decisions.go
@@ -13,7 +13,7 @@
 )
 
 // decideInterval is how often the leader decides on active roll-outs.
-const decideInterval = 150 * time.Millisecond
+const rolloutDecisionInterval = 150 * time.Millisecond
 
 // decideRollouts is the leader's task to take the next decision on each active roll-out, and
 // to note at which version each service is.
@@ -50,15 +50,15 @@
 		return
 	}
 	core.waitingRollouts = waiting
-	for _, one := range waiting {
-		klog.Infof("roll-out of %s waits: %s", one.Service, one.Obstacle)
+	for _, entry := range waiting {
+		klog.Infof("roll-out of %s waits: %s", entry.Service, entry.Obstacle)
 	}
 }
 
 // observeVersions notes at which version each service of a complete list is.
 func (core *Core) observeVersions(leadership *Leadership, backends []message.Backend) {
-	if mixed := rollout.MixedVersions(backends); mixed != core.observedBackends.mixed {
-		core.observedBackends.mixed = mixed
+	if mixed := rollout.MixedVersions(backends); mixed != core.observedBackends.mixedVersions {
+		core.observedBackends.mixedVersions = mixed
 		klog.Infof("services listed at several versions: %s", cmp.Or(mixed, "none"))
 	}
 	if leadership.currentRollouts().ObserveVersions(backends) == nil {
@@ -68,19 +68,19 @@
 		return current.ObserveVersions(backends), nil
 	})
 	if err != nil {
-		core.observedBackends.forget()
+		core.observedBackends.reset()
 	}
 }
 
 // observedBackends is the list of which the versions were noted last. It is used by one
 // goroutine.
 type observedBackends struct {
-	list  observedList
-	mixed string // the services that are listed at several versions
+	list          listIdentity
+	mixedVersions string // the services that are listed at several versions
 }
 
 // observedList tells one list from another: it is the same slice as long as nothing changes.
-type observedList struct {
+type listIdentity struct {
 	term  message.Term
 	first *message.Backend
 	count int
@@ -91,13 +91,13 @@
 	if len(backends) == 0 {
 		return false
 	}
-	next := observedList{term: term, first: &backends[0], count: len(backends)}
+	next := listIdentity{term: term, first: &backends[0], count: len(backends)}
 	isNew := observed.list != next
 	observed.list = next
 	return isNew
 }
 
-func (observed *observedBackends) forget() { observed.list = observedList{} }
+func (observed *observedBackends) reset() { observed.list = listIdentity{} }
 
 // observeRollouts returns what the leader knows that roll-outs are decided by.
 func (core *Core) observeRollouts(leadership *Leadership, backends []message.Backend) *rollout.Observation {
@@ -106,7 +106,7 @@
 		NowMs:     core.Now(),
 		IsSettled: table.Version.Term == leadership.term,
 		Backends:  backends,
-		Reported:  core.rolloutReports.of,
+		Reported:  core.rolloutReports.countsOf,
 	}
 	for _, member := range table.Members {
 		if member.Kind == message.ProxyKind && (member.Ready || member.Leaving) {
@@ -127,7 +127,7 @@
 		if former == next {
 			continue
 		}
-		total := former.Total(core.rolloutReports.of(former.ID))
+		total := former.Total(core.rolloutReports.countsOf(former.ID))
 		klog.Infof("roll-out %d of %s to %q: step %d, share %.3f, phase %s, serial %d, %d ms after the order; "+
 			"requests %d of %d, items %d, exceedances %d, failures %d, of the former version %d of %d, %d in flight",
 			next.ID, service.Name, next.Target, next.Step, next.Share, next.Phase, serial, core.Now()-next.StartMs,
--- a/control/rollout_reports.go
+++ b/control/rollout_reports.go
@@ -9,11 +9,11 @@
 )
 
 // reportsTTL is how long the counts of a process are kept that reports no more.
-const reportsTTL = 5 * time.Minute
+const rolloutReportTTL = 5 * time.Minute
 
 // relayTime is how much later than a newer report an older one may come, by way of another
 // core. What comes later still with an earlier time is of a process whose clock was set back.
-const relayTime = 2 * time.Second
+const maxRelayDelay = 2 * time.Second
 
 // rolloutReports is what processes of proxies reported for roll-outs, the newest report of
 // each. Its zero value has none. It is safe for concurrent use.
@@ -35,7 +35,7 @@
 	defer reports.mutex.Unlock()
 	receivedAt := time.Now().Add(-age)
 	former, found := reports.processes[incarnation]
-	if found && former.sentMs > sentMs && receivedAt.Sub(former.receivedAt) <= relayTime {
+	if found && former.sentMs > sentMs && receivedAt.Sub(former.receivedAt) <= maxRelayDelay {
 		return
 	}
 	if reports.processes == nil {
@@ -43,21 +43,21 @@
 	}
 	reports.processes[incarnation] = rolloutReport{sentMs: sentMs, receivedAt: receivedAt, counts: counts}
 	for process, report := range reports.processes {
-		if time.Since(report.receivedAt) > reportsTTL {
+		if time.Since(report.receivedAt) > rolloutReportTTL {
 			delete(reports.processes, process)
 		}
 	}
 }
 
 // of returns what each process reported for a roll-out, in the order in which counts are kept.
-func (reports *rolloutReports) of(id uint64) []rollout.ProcessCounts {
+func (reports *rolloutReports) countsOf(id uint64) []rollout.ProcessCounts {
 	reports.mutex.Lock()
 	defer reports.mutex.Unlock()
 	counts := []rollout.ProcessCounts{}
 	for incarnation, report := range reports.processes {
-		for _, one := range report.counts {
-			if one.ID == id {
-				counts = append(counts, rollout.ProcessCounts{Incarnation: incarnation, Counts: one})
+		for _, count := range report.counts {
+			if count.ID == id {
+				counts = append(counts, rollout.ProcessCounts{Incarnation: incarnation, Counts: count})
 			}
 		}
 	}
@@ -70,7 +70,7 @@
 	defer reports.mutex.Unlock()
 	report, found := reports.processes[incarnation]
 	if !found {
-		return reportsTTL
+		return rolloutReportTTL
 	}
 	return time.Since(report.receivedAt)
 }
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -35,19 +35,19 @@
 
 // listedBackends keeps which of the platform's backends proxies may know of, as long as
 // neither the list nor the roll-outs change. It is used by one goroutine.
-type listedBackends struct {
+type listedBackendsCache struct {
 	serial uint64
 	source []message.Backend
 	listed []message.Backend
 }
 
 // of returns the backends of a list that the roll-outs of a serial let proxies know of.
-func (kept *listedBackends) of(backends []message.Backend, serial uint64, state *rollout.State) []message.Backend {
-	isSame := len(backends) > 0 && len(kept.source) == len(backends) && &kept.source[0] == &backends[0]
-	if !isSame || kept.serial != serial {
-		kept.serial, kept.source, kept.listed = serial, backends, state.Listed(backends)
+func (cache *listedBackendsCache) get(backends []message.Backend, serial uint64, state *rollout.State) []message.Backend {
+	isSame := len(backends) > 0 && len(cache.source) == len(backends) && &cache.source[0] == &backends[0]
+	if !isSame || cache.serial != serial {
+		cache.serial, cache.source, cache.listed = serial, backends, state.Listed(backends)
 	}
-	return kept.listed
+	return cache.listed
 }
 
 // Rollouts returns the serial and the content of the committed roll-outs as this core holds
@@ -65,19 +65,19 @@
 }
 
 // addRollouts adds the committed roll-outs to a response if they are newer than a serial.
-func (core *Core) addRollouts(response *message.FetchResponse, than uint64) {
-	if than == everything {
+func (core *Core) addRollouts(response *message.FetchResponse, since uint64) {
+	if since == maxSerial {
 		return
 	}
-	if serial, state := core.Rollouts(); serial > than {
+	if serial, state := core.Rollouts(); serial > since {
 		response.Rollouts, response.RolloutList = serial, state.Messages()
 	}
 }
 
 // addWatchedRollouts adds the committed roll-outs to the response to a watch if they are newer
 // than a serial.
-func (core *Core) addWatchedRollouts(response *message.WatchResponse, than uint64) {
-	if serial, state := core.Rollouts(); serial > than {
+func (core *Core) addWatchedRollouts(response *message.WatchResponse, since uint64) {
+	if serial, state := core.Rollouts(); serial > since {
 		response.Rollouts, response.RolloutList = serial, state.Messages()
 	}
 }
@@ -107,17 +107,17 @@
 	if order.QueryOnly {
 		return &message.RolloutOrderResponse{ID: leadership.currentRollouts().NewestID(order.Service)}, nil
 	}
-	response, isDecided := &message.RolloutOrderResponse{}, false
+	response, isUnwritten := &message.RolloutOrderResponse{}, false
 	response.Serial, err = leadership.writeRollouts(func(current *rollout.State) (*rollout.State, error) {
 		next, err := leadership.applyRolloutOrder(current, order)
-		isDecided = next == nil
+		isUnwritten = next == nil
 		response.Duplicate, response.ID = next == nil && err == nil, current.NewestID(order.Service)
 		if next != nil {
 			response.ID = next.NewestID(order.Service)
 		}
 		return next, err
 	})
-	if isDecided {
+	if isUnwritten {
 		err = leadership.confirmDecision(err)
 	}
 	if err != nil {
@@ -161,6 +161,6 @@
 	}
 	return &message.RolloutReadResponse{
 		Rollout: service.Rollout.Message(service.Name),
-		Counts:  service.Rollout.Total(core.rolloutReports.of(service.Rollout.ID)),
+		Counts:  service.Rollout.Total(core.rolloutReports.countsOf(service.Rollout.ID)),
 	}, nil
 }
--- a/control/rollouts_test.go
+++ b/control/rollouts_test.go
@@ -11,18 +11,18 @@
 
 // A report that comes late does not replace a newer one, and counts of a process that fell
 // silent stay: evidence is neither lost nor counted twice.
-func TestNewestRolloutReportHolds(test *testing.T) {
+func TestNewestRolloutReportIsKept(test *testing.T) {
 	reports := &rolloutReports{}
-	countsOf := func(items uint64) []message.RolloutCounts {
+	countItems := func(items uint64) []message.RolloutCounts {
 		return []message.RolloutCounts{{ID: 1, Step: 1, Items: items}}
 	}
-	reports.add("b", 1000, 0, countsOf(5))
-	reports.add("a", 1000, 0, countsOf(7))
-	reports.add("a", 1500, 0, countsOf(9))
-	reports.add("a", 1200, 0, countsOf(8))
+	reports.add("b", 1000, 0, countItems(5))
+	reports.add("a", 1000, 0, countItems(7))
+	reports.add("a", 1500, 0, countItems(9))
+	reports.add("a", 1200, 0, countItems(8))
 	reports.add("c", 1000, 0, []message.RolloutCounts{{ID: 2, Items: 100}})
-	roll := &rollout.Rollout{ID: 1, Phase: message.RolloutActive}
-	if total := roll.Total(reports.of(1)); total.Items != 14 {
+	active := &rollout.Rollout{ID: 1, Phase: message.RolloutActive}
+	if total := active.Total(reports.countsOf(1)); total.Items != 14 {
 		test.Errorf("%d items, want 14", total.Items)
 	}
 	if reports.age("a") > time.Minute || reports.age("nobody") < time.Minute {
@@ -32,19 +32,19 @@
 
 // Guards against a proxy that counts for no roll-out, and holds each one up as silent, since it
 // started with a clock that was ahead: its reports after the correction passed for older ones.
-func TestReportsAfterACorrectedClockCount(test *testing.T) {
+func TestReportsAfterClockCorrectionCount(test *testing.T) {
 	synctest.Test(test, func(*testing.T) {
 		reports := &rolloutReports{}
 		reports.add("a", 60_000, 0, nil)
-		const interval, later = 500 * time.Millisecond, 6
-		for report := range later {
+		const interval, reportCount = 500 * time.Millisecond, 6
+		for report := range reportCount {
 			time.Sleep(interval) // virtual time
 			sentMs := 30_000 + int64(report)*interval.Milliseconds()
 			reports.add("a", sentMs, 0, []message.RolloutCounts{{ID: 1, Step: 1, Items: uint64(report)}})
 		}
-		roll := &rollout.Rollout{ID: 1, Phase: message.RolloutActive}
-		if total := roll.Total(reports.of(1)); total.Items != later-1 || reports.age("a") != 0 {
-			test.Errorf("%d items, report %v old, want %d of now", total.Items, reports.age("a"), later-1)
+		active := &rollout.Rollout{ID: 1, Phase: message.RolloutActive}
+		if total := active.Total(reports.countsOf(1)); total.Items != reportCount-1 || reports.age("a") != 0 {
+			test.Errorf("%d items, report %v old, want %d of now", total.Items, reports.age("a"), reportCount-1)
 		}
 	})
 }
@@ -62,12 +62,12 @@
 	if err != nil {
 		test.Fatal(err)
 	}
-	kept := &listedBackends{}
-	first := kept.of(backends, 1, before)
-	if again := kept.of(backends, 1, before); len(first) != 2 || &again[0] != &first[0] {
+	cache := &listedBackendsCache{}
+	first := cache.get(backends, 1, before)
+	if again := cache.get(backends, 1, before); len(first) != 2 || &again[0] != &first[0] {
 		test.Errorf("%+v, then %+v", first, again)
 	}
-	if listed := kept.of(backends, 2, after); len(listed) != 3 {
+	if listed := cache.get(backends, 2, after); len(listed) != 3 {
 		test.Errorf("ordered: %+v", listed)
 	}
 }
--- a/control/routing.go
+++ b/control/routing.go
@@ -29,7 +29,7 @@
 	if err := checkRoutingBase(state, change); err != nil {
 		return nil, false, err
 	}
-	config, err := changedRouting(state, change)
+	config, err := changedConfig(state, change)
 	if err != nil {
 		return nil, false, err
 	}
@@ -57,7 +57,7 @@
 	return nil
 }
 
-func changedRouting(state *routing.State, change *routing.Change) (routing.Config, error) {
+func changedConfig(state *routing.State, change *routing.Change) (routing.Config, error) {
 	switch {
 	case change.Whole != nil:
 		return *change.Whole, nil
@@ -94,13 +94,13 @@
 	if err := rpc.Unmarshal(request.Body, change); err != nil {
 		return nil, err
 	}
-	response, isDecided := &message.RoutingChangeResponse{}, false
+	response, isUnwritten := &message.RoutingChangeResponse{}, false
 	response.Serial, err = leadership.writeRouting(func(current *routing.State) (*routing.State, error) {
 		next, isDuplicate, err := applyRoutingChange(current, change)
-		response.Duplicate, isDecided = isDuplicate, next == nil
+		response.Duplicate, isUnwritten = isDuplicate, next == nil
 		return next, err
 	})
-	if isDecided {
+	if isUnwritten {
 		err = leadership.confirmDecision(err)
 	}
 	if err != nil {
--- a/control/routing_test.go
+++ b/control/routing_test.go
@@ -9,14 +9,14 @@
 )
 
 // A zone that was taken back is remembered for a while, by when that was.
-func TestEvacuatedAndReopened(test *testing.T) {
+func TestEvacuateAndRestoreZone(test *testing.T) {
 	state := &routing.State{}
 	for number, step := range []struct {
 		zone      string
 		begin     bool
 		at        int64
 		evacuated []string
-		reopened  []routing.RestoredZone
+		restored  []routing.RestoredZone
 	}{
 		{"b", true, 1000, []string{"b"}, nil},
 		{"a", true, 2000, []string{"a", "b"}, nil},
@@ -31,7 +31,7 @@
 		next := applyEvacuation(state, &message.EvacuateRequest{Zone: step.zone, Begin: step.begin}, step.at)
 		if next == nil || len(next.Evacuated) != len(step.evacuated) ||
 			len(step.evacuated) > 0 && !reflect.DeepEqual(next.Evacuated, step.evacuated) ||
-			!reflect.DeepEqual(next.Restored, step.reopened) {
+			!reflect.DeepEqual(next.Restored, step.restored) {
 			test.Fatalf("step %d: %+v", number, next)
 		}
 		state = next
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -21,11 +21,11 @@
 // Sessions are the daemons this core knows, because they or another core shared them. It is
 // safe for concurrent use.
 type Sessions struct {
-	mutex       sync.Mutex
-	byName      map[string]trackedSession
-	coresSeenAt map[int]time.Time
-	massLapseAt time.Time
-	ttl         time.Duration
+	mutex        sync.Mutex
+	byName       map[string]trackedSession
+	coresSeenAt  map[int]time.Time
+	massExpiryAt time.Time
+	ttl          time.Duration
 }
 
 func newSessions(ttl time.Duration) *Sessions {
@@ -105,7 +105,7 @@
 }
 
 // ended reports whether a daemon said that it ends.
-func (sessions *Sessions) ended(name string) bool {
+func (sessions *Sessions) hasEnded(name string) bool {
 	sessions.mutex.Lock()
 	defer sessions.mutex.Unlock()
 	return sessions.byName[name].session.Ended
@@ -114,30 +114,30 @@
 // massLapse reports whether more than half of the members fell silent just now. Then it
 // may be this side that was cut off: nobody is dropped until all had the time to speak
 // again, which begins anew while nobody speaks at all.
-func (sessions *Sessions) massLapse(members []message.Member, isActive map[string]bool) bool {
+func (sessions *Sessions) massExpiry(members []message.Member, isActive map[string]bool) bool {
 	silent := 0
 	for _, member := range members {
-		if !isActive[member.Name] && !sessions.ended(member.Name) {
+		if !isActive[member.Name] && !sessions.hasEnded(member.Name) {
 			silent++
 		}
 	}
 	sessions.mutex.Lock()
 	defer sessions.mutex.Unlock()
 	if silent*2 <= len(members) {
-		sessions.massLapseAt = time.Time{}
+		sessions.massExpiryAt = time.Time{}
 		return false
 	}
-	if sessions.massLapseAt.IsZero() || silent == len(members) {
-		sessions.massLapseAt = time.Now()
+	if sessions.massExpiryAt.IsZero() || silent == len(members) {
+		sessions.massExpiryAt = time.Now()
 	}
-	return time.Since(sessions.massLapseAt) < sessions.ttl
+	return time.Since(sessions.massExpiryAt) < sessions.ttl
 }
 
 // onSession takes a daemon's heartbeat and says who leads and which versions are newest.
 func (core *Core) onSession(session *message.Session) (*message.SessionResponse, error) {
 	session.AgeMs = 0
 	core.observeDaemonClock(session)
-	core.takeSession(session, core.membership().ID)
+	core.recordSession(session, core.membership().ID)
 	_, now := core.clockTimes()
 	isLeader := core.advertisesLeadership()
 	view := core.membership()
@@ -160,7 +160,7 @@
 }
 
 // takeSession takes what a session brings that a daemon has with a core.
-func (core *Core) takeSession(session *message.Session, owner int) {
+func (core *Core) recordSession(session *message.Session, owner int) {
 	core.sessions.add(*session, owner)
 	core.usage.Add(session.Member.Incarnation, session.Usage)
 	core.probeHints.observe(session)
@@ -173,7 +173,7 @@
 func (core *Core) onShareSessions(request *message.ShareSessionsRequest) (*message.ShareSessionsResponse, error) {
 	core.sessions.observeCore(request.Core)
 	for index := range request.Sessions {
-		core.takeSession(&request.Sessions[index], request.Core)
+		core.recordSession(&request.Sessions[index], request.Core)
 	}
 	return &message.ShareSessionsResponse{}, nil
 }
@@ -213,7 +213,7 @@
 	request := &message.ShareSessionsRequest{Core: id}
 	for _, tracked := range core.sessions.ownedBy(id) {
 		if tracked.renewedAt.After(since) {
-			request.Sessions = append(request.Sessions, core.forForwarding(tracked))
+			request.Sessions = append(request.Sessions, core.forwardedSession(tracked))
 		}
 	}
 	if len(request.Sessions) == 0 {
@@ -232,7 +232,7 @@
 
 // forForwarding returns a session as the leader gets it from this core: with all counts
 // that were reported to this core, since what the session itself brought may only add to them.
-func (core *Core) forForwarding(tracked trackedSession) message.Session {
+func (core *Core) forwardedSession(tracked trackedSession) message.Session {
 	session := tracked.session
 	session.AgeMs = time.Since(tracked.renewedAt).Milliseconds()
 	if all, isComplete := core.windows.CountsOf(&session); isComplete {
--- a/control/settings.go
+++ b/control/settings.go
@@ -16,8 +16,8 @@
 // changeDigest identifies what a change does, so that an ID which names two changes is
 // found out.
 func changeDigest(request *message.ChangeRequest) string {
-	text := append([]byte(fmt.Sprintf("%s %d ", request.Kind, request.Base)), request.Body...)
-	sum := sha256.Sum256(text)
+	content := append([]byte(fmt.Sprintf("%s %d ", request.Kind, request.Base)), request.Body...)
+	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:changeDigestBytes])
 }
 
@@ -47,25 +47,25 @@
 }
 
 func (leadership *Leadership) changeSettings(request *message.ChangeRequest) (*message.ChangeResponse, error) {
-	parsed, err := parseAhead(request, leadership.settings())
+	preparsed, err := preparse(request, leadership.settings())
 	if err != nil {
 		return nil, leadership.confirmDecision(err)
 	}
 	digest := changeDigest(request)
 	var duplicate *message.HistoryEntry
-	isDecided := false
-	serial, err := leadership.writeSettings(func(current *content) (*content, error) {
-		isDecided = true
+	isUnwritten := false
+	serial, err := leadership.writeSettings(func(current *settingsContent) (*settingsContent, error) {
+		isUnwritten = true
 		var err error
 		duplicate, err = findDuplicate(current.history, request.ID, digest)
 		if duplicate != nil || err != nil {
 			return nil, err
 		}
-		next, err := leadership.applyChange(request, current, parsed, digest)
-		isDecided = err != nil
+		next, err := leadership.applyChange(request, current, preparsed, digest)
+		isUnwritten = err != nil
 		return next, err
 	})
-	if isDecided {
+	if isUnwritten {
 		err = leadership.confirmDecision(err)
 	}
 	if err != nil {
@@ -79,7 +79,7 @@
 
 // parseAhead parses a whole change before the write lock is taken, if it is based on the
 // current settings. It returns nil for other changes.
-func parseAhead(request *message.ChangeRequest, current *content) (*config.Tree, error) {
+func preparse(request *message.ChangeRequest, current *settingsContent) (*config.Tree, error) {
 	if request.Kind != message.WholeChange || request.Base != current.serial {
 		return nil, nil
 	}
@@ -105,16 +105,16 @@
 // applyChange returns the content after a change.
 func (leadership *Leadership) applyChange(
 	request *message.ChangeRequest,
-	current *content,
-	parsed *config.Tree,
+	current *settingsContent,
+	preparsed *config.Tree,
 	digest string,
-) (*content, error) {
+) (*settingsContent, error) {
 	if request.Base != current.serial {
 		return nil, &rpc.Error{Code: rpc.StaleBase, Message: fmt.Sprintf("based on %d", request.Base), Serial: current.serial}
 	}
-	tree, err := parsed, error(nil)
+	tree, err := preparsed, error(nil)
 	switch {
-	case parsed != nil:
+	case preparsed != nil:
 	case request.Kind == message.WholeChange:
 		tree, err = config.Parse(request.Body, current.tree)
 	default:
--- a/control/stored_test.go
+++ b/control/stored_test.go
@@ -20,12 +20,12 @@
 	"orchidjunction/usage"
 )
 
-var updateStored = flag.Bool("update-stored", false, "write the descriptions of testdata/stored anew")
+var updateGolden = flag.Bool("update-stored", false, "write the descriptions of testdata/stored anew")
 
-const storedFolder = "testdata/stored"
+const storedDataFolder = "testdata/stored"
 
 // copyOf is a folder's files in a new folder, which a test may change.
-func copyOf(test *testing.T, folder string) storage.Folder {
+func copyFolder(test *testing.T, folder string) storage.Folder {
 	test.Helper()
 	copied := test.TempDir()
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
@@ -55,23 +55,23 @@
 			len(accepted.Value.Chunks),
 			state.Committed[register].Serial,
 		)
-		for _, part := range accepted.Value.Chunks {
-			fmt.Fprintf(text, "  part %s %x, %d bytes\n", part.Path, part.Digest, len(state.Chunks[part.Digest]))
+		for _, ref := range accepted.Value.Chunks {
+			fmt.Fprintf(text, "  part %s %x, %d bytes\n", ref.Path, ref.Digest, len(state.Chunks[ref.Digest]))
 		}
 	}
-	if voters := state.Membership(); voters != nil {
+	if membership := state.Membership(); membership != nil {
 		fmt.Fprintf(
 			text,
 			"membership %d under %d.%d: last id %d\n",
-			voters.Version.Serial,
-			voters.Version.Term.Number,
-			voters.Version.Term.Core,
-			voters.LastID,
+			membership.Version.Serial,
+			membership.Version.Term.Number,
+			membership.Version.Term.Core,
+			membership.LastID,
 		)
-		for _, peer := range voters.Voters {
+		for _, peer := range membership.Voters {
 			fmt.Fprintf(text, "  voter %d at %s\n", peer.ID, peer.Address)
 		}
-		for _, peer := range voters.Next {
+		for _, peer := range membership.Next {
 			fmt.Fprintf(text, "  next voter %d at %s\n", peer.ID, peer.Address)
 		}
 	}
@@ -79,38 +79,38 @@
 
 func describeSettings(test *testing.T, text *bytes.Buffer, state *consensus.State) {
 	value := state.Accepted[message.SettingsRegister].Value
-	now, err := readContent(nil, value, state.Chunks)
+	current, err := decodeContent(nil, value, state.Chunks)
 	if err != nil {
 		test.Fatal(err)
 	}
-	if now.tree == nil {
+	if current.tree == nil {
 		return
 	}
-	fmt.Fprintf(text, "settings %d: %x\n", now.serial, message.DigestOf(now.tree.Body()))
-	for _, entry := range now.history {
+	fmt.Fprintf(text, "settings %d: %x\n", current.serial, message.DigestOf(current.tree.Body()))
+	for _, entry := range current.history {
 		fmt.Fprintf(text, "  change %d %s %s %s by %q\n", entry.Serial, entry.Change, entry.Digest, entry.Kind, entry.Operator)
 	}
 }
 
 func describeRouting(test *testing.T, text *bytes.Buffer, state *consensus.State) {
-	book, err := routing.DecodeState(state.Accepted[message.RoutingRegister].Value.Body)
+	stored, err := routing.DecodeState(state.Accepted[message.RoutingRegister].Value.Body)
 	if err != nil {
 		test.Fatal(err)
 	}
 	fmt.Fprintf(
 		text,
 		"routing %d: %d routes, %d services, evacuated %v, %d reopened\n",
-		book.Config.Version,
-		len(book.Config.Routes),
-		len(book.Config.Services),
-		book.Evacuated,
-		len(book.Restored),
+		stored.Config.Version,
+		len(stored.Config.Routes),
+		len(stored.Config.Services),
+		stored.Evacuated,
+		len(stored.Restored),
 	)
 	for version := range uint64(10) {
-		fmt.Fprintf(text, "  version %d forgotten: %v\n", version, book.History.MayHaveForgotten(version))
+		fmt.Fprintf(text, "  version %d forgotten: %v\n", version, stored.History.MayHaveForgotten(version))
 	}
 	for _, zone := range []string{"z0", "z1", "z2"} {
-		fmt.Fprintf(text, "  zone %s changed %d times\n", zone, book.ChangesOf(zone))
+		fmt.Fprintf(text, "  zone %s changed %d times\n", zone, stored.ChangesOf(zone))
 	}
 }
 
@@ -120,11 +120,11 @@
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	text := ""
+	formatted := ""
 	for _, name := range names {
-		text += fmt.Sprintf(" %s=%d", name, counts[name])
+		formatted += fmt.Sprintf(" %s=%d", name, counts[name])
 	}
-	return text
+	return formatted
 }
 
 // describeReports reads the reports register as sums by tenants, or else as windows.
@@ -163,7 +163,7 @@
 }
 
 // completeAs is the voter that lacks no claim, 0 for none.
-func completeAs(log *idempotency.Log) int {
+func completeVoter(log *idempotency.Log) int {
 	for id := range 100 {
 		if log.CompleteFor(id) {
 			return id
@@ -185,22 +185,22 @@
 		len(claims),
 		last,
 		done,
-		completeAs(log),
+		completeVoter(log),
 		log.Membership().Value.Serial,
 	)
-	for _, claimed := range claims {
+	for _, claim := range claims {
 		fmt.Fprintf(
 			text,
 			"  %s/%s/%s %s by %s: stage %d, status %d, %d headers, body %x\n",
-			claimed.Key.Tenant,
-			claimed.Key.Service,
-			claimed.Key.Key,
-			claimed.ID,
-			claimed.Holder,
-			claimed.Stage,
-			claimed.Status,
-			len(claimed.Header),
-			message.DigestOf(claimed.Body),
+			claim.Key.Tenant,
+			claim.Key.Service,
+			claim.Key.Key,
+			claim.ID,
+			claim.Holder,
+			claim.Stage,
+			claim.Status,
+			len(claim.Header),
+			message.DigestOf(claim.Body),
 		)
 	}
 }
@@ -227,7 +227,7 @@
 // one whose power was lost, a learner's, a replaced core's and its replacement's, one
 // with a snapshot, and one whose last step is torn.
 func TestStoredDataStaysReadable(test *testing.T) {
-	entries, err := os.ReadDir(storedFolder)
+	entries, err := os.ReadDir(storedDataFolder)
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -237,10 +237,10 @@
 			continue
 		}
 		folders++
-		disk := copyOf(test, filepath.Join(storedFolder, entry.Name()))
-		file := filepath.Join(storedFolder, entry.Name()+".golden")
+		disk := copyFolder(test, filepath.Join(storedDataFolder, entry.Name()))
+		file := filepath.Join(storedDataFolder, entry.Name()+".golden")
 		got := describe(test, disk)
-		if *updateStored {
+		if *updateGolden {
 			if err := os.WriteFile(file, []byte(got), 0o600); err != nil {
 				test.Fatal(err)
 			}
--- a/control/table.go
+++ b/control/table.go
@@ -13,7 +13,7 @@
 
 // everything is a serial that is newer than any: a FetchRequest with it asks for nothing
 // of that kind.
-const everything = ^uint64(0)
+const maxSerial = ^uint64(0)
 
 // maxWatchDelta is the most entries of the table that the response to a watch brings, about
 // 10 kB.
@@ -22,9 +22,9 @@
 // tableState is the newest table that a core holds, and the version that the leader
 // announced. The core's mutex guards it.
 type tableState struct {
-	current *message.Table
-	log     *message.TableLog
-	wanted  message.TableVersion
+	current   *message.Table
+	log       *message.TableLog
+	announced message.TableVersion
 }
 
 func newTableState() tableState {
@@ -32,11 +32,11 @@
 }
 
 // addTo adds the table, or what changed in it, to a response if it is newer than a version.
-func (state *tableState) addTo(response *message.FetchResponse, than message.TableVersion) {
-	if !than.Less(state.current.Version) {
+func (state *tableState) addTo(response *message.FetchResponse, since message.TableVersion) {
+	if !since.Less(state.current.Version) {
 		return
 	}
-	delta, isKnown := state.log.Since(than, state.current)
+	delta, isKnown := state.log.Since(since, state.current)
 	response.Delta = delta
 	if !isKnown {
 		response.Table = state.current
@@ -45,8 +45,8 @@
 
 // addDelta adds what changed in the table to a response if that is small: daemons wait for
 // the response only a little longer than they let the watch last.
-func (state *tableState) addDelta(response *message.WatchResponse, than message.TableVersion) {
-	delta, isKnown := state.log.Since(than, state.current)
+func (state *tableState) addDelta(response *message.WatchResponse, since message.TableVersion) {
+	delta, isKnown := state.log.Since(since, state.current)
 	if isKnown && delta.Entries() <= maxWatchDelta {
 		response.Delta = delta
 	}
@@ -118,7 +118,7 @@
 	serial, rollouts := core.Rollouts()
 	next.Rollouts = serial
 	if backends, isComplete := core.backends.Backends(); isComplete {
-		next.Backends, next.Complete = core.listed.of(backends, serial, rollouts), true
+		next.Backends, next.Complete = core.listed.get(backends, serial, rollouts), true
 	}
 	next.Backends = core.probeHints.apply(next.Backends, former.Backends)
 	return next
@@ -135,9 +135,9 @@
 		isActive[tracked.session.Member.Name] = true
 	}
 	isNewLeader := time.Since(leadership.startedAt) < core.config.SessionTTL
-	if isNewLeader || core.sessions.massLapse(former, isActive) {
+	if isNewLeader || core.sessions.massExpiry(former, isActive) {
 		for _, member := range former {
-			if !isActive[member.Name] && !core.sessions.ended(member.Name) {
+			if !isActive[member.Name] && !core.sessions.hasEnded(member.Name) {
 				members = append(members, member)
 			}
 		}
@@ -190,14 +190,14 @@
 // the newest that a daemon has, or else, if no backends are known here, one with backends
 // that a daemon or another core has. It returns the given table if there is none.
 func (core *Core) recoverTable(table *message.Table, sessions []trackedSession) *message.Table {
-	if recovered := core.newerTable(table, sessions); recovered != nil {
+	if recovered := core.fetchNewerTable(table, sessions); recovered != nil {
 		core.counters.Add("tables_rebuilt", 1)
 		return recovered
 	}
 	if _, isComplete := core.backends.Backends(); isComplete || table.Complete {
 		return table
 	}
-	source := core.completeTable(table, sessions)
+	source := core.fetchCompleteTable(table, sessions)
 	if source == nil {
 		return table
 	}
@@ -208,7 +208,7 @@
 }
 
 // newerTable fetches the newest table that a daemon has, nil if none is newer.
-func (core *Core) newerTable(table *message.Table, sessions []trackedSession) *message.Table {
+func (core *Core) fetchNewerTable(table *message.Table, sessions []trackedSession) *message.Table {
 	newest, source := table.Version, ""
 	for _, tracked := range sessions {
 		if newest.Less(tracked.session.Table) {
@@ -229,7 +229,7 @@
 // completeTable fetches a table with backends that is older than the given one: from the
 // daemon with the newest or, before this leadership's first table, from another core.
 // It returns nil if there is none.
-func (core *Core) completeTable(table *message.Table, sessions []trackedSession) *message.Table {
+func (core *Core) fetchCompleteTable(table *message.Table, sessions []trackedSession) *message.Table {
 	newest, source := message.TableVersion{}, ""
 	for _, tracked := range sessions {
 		if newest.Less(tracked.session.Table) && tracked.session.Table.Less(table.Version) {
@@ -247,7 +247,7 @@
 	}
 	isComplete := func(recovered *message.Table) bool { return recovered.Complete }
 	responses := callPeers(core, core.membership(), func(peer message.Peer) (*message.Table, error) {
-		return core.heldTable(peer.Address)
+		return core.fetchAnyTable(peer.Address)
 	}, isComplete, func(has func(id int) bool) bool {
 		return slices.ContainsFunc(core.membership().Peers, func(peer message.Peer) bool { return has(peer.ID) })
 	})
@@ -260,7 +260,7 @@
 }
 
 // heldTable fetches whichever table a process at an address holds, an empty one if it has none.
-func (core *Core) heldTable(address string) (*message.Table, error) {
+func (core *Core) fetchAnyTable(address string) (*message.Table, error) {
 	table, err := core.fetchTable(address, &message.Table{})
 	if err == nil && table == nil {
 		table = &message.Table{}
@@ -269,12 +269,12 @@
 }
 
 // followTable fetches the leader's table at the other cores.
-func (core *Core) followTable() {
+func (core *Core) fetchLeaderTable() {
 	core.mutex.Lock()
 	leader, isLeader := core.election.leader, core.leadership != nil
-	held, wanted := core.tables.current, core.tables.wanted
+	held, announced := core.tables.current, core.tables.announced
 	core.mutex.Unlock()
-	if isLeader || !leader.Known() || !held.Version.Less(wanted) {
+	if isLeader || !leader.Known() || !held.Version.Less(announced) {
 		return
 	}
 	if table, err := core.fetchTable(leader.Address, held); err == nil && table != nil {
@@ -285,7 +285,7 @@
 // fetchTable returns the newer table that a process at an address holds, nil if it has
 // none.
 func (core *Core) fetchTable(address string, held *message.Table) (*message.Table, error) {
-	request := &message.FetchRequest{Serial: everything, Routing: everything, Rollouts: everything, Table: held.Version}
+	request := &message.FetchRequest{Serial: maxSerial, Routing: maxSerial, Rollouts: maxSerial, Table: held.Version}
 	response, err := rpc.Call(core.client, address, message.MethodFetch, core.callTimeout(), request)
 	if err != nil {
 		return nil, err
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -15,7 +15,7 @@
 )
 
 // listed is a reader that has read a list of so many backends.
-func listed(count int) *discovery.Reader {
+func newListReader(count int) *discovery.Reader {
 	list := make([]message.Backend, 0, count)
 	for number := range count {
 		list = append(
@@ -42,7 +42,7 @@
 func BenchmarkUnchangedTable(bench *testing.B) {
 	for _, count := range []int{100, 1000, 10000, 85000} {
 		bench.Run(fmt.Sprint(count), func(bench *testing.B) {
-			reader := listed(count)
+			reader := newListReader(count)
 			hints := newProbeHints()
 			backends, _ := reader.Backends()
 			before := &message.Table{Backends: hints.apply(backends, nil), Complete: true}
@@ -61,17 +61,17 @@
 // never fall below those of the table before.
 func TestProbeHintsAreAppliedToACopy(test *testing.T) {
 	hints, listed := newProbeHints(), []message.Backend{{Name: "a"}, {Name: "b"}, {Name: "c", ProbeHint: 9}}
-	laid := hints.apply(listed, []message.Backend{{Name: "b", ProbeHint: 4}})
-	if laid[0].ProbeHint != 0 || laid[1].ProbeHint != 4 || laid[2].ProbeHint != 0 {
-		test.Errorf("%v", laid)
+	hinted := hints.apply(listed, []message.Backend{{Name: "b", ProbeHint: 4}})
+	if hinted[0].ProbeHint != 0 || hinted[1].ProbeHint != 4 || hinted[2].ProbeHint != 0 {
+		test.Errorf("%v", hinted)
 	}
 	if listed[1].ProbeHint != 0 || listed[2].ProbeHint != 9 {
 		test.Errorf("the list itself changed: %v", listed)
 	}
-	if again := hints.apply(laid, nil); &again[0] != &laid[0] {
+	if again := hints.apply(hinted, nil); &again[0] != &hinted[0] {
 		test.Error("copied though the counts are there")
 	}
-	if none := hints.apply(nil, laid); len(none) != 0 {
+	if none := hints.apply(nil, hinted); len(none) != 0 {
 		test.Errorf("%v", none)
 	}
 }
@@ -97,8 +97,8 @@
 
 // Daemons that hold the same get the same bytes, packed once, and never those
 // of an older table or of another routing.
-func TestFetchesArePackedOnce(test *testing.T) {
-	answers := &fetchCache{}
+func TestFetchResponsesAreEncodedOnce(test *testing.T) {
+	cache := &fetchCache{}
 	tables := []*message.Table{
 		{Version: message.TableVersion{Number: 1}},
 		{Version: message.TableVersion{Number: 2}, Members: []message.Member{{Name: "p"}}},
@@ -109,7 +109,7 @@
 			for routing := range uint64(6) {
 				request := &message.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}}
 				want, _ := rpc.Marshal(request)
-				response, err := answers.get(request)
+				response, err := cache.get(request)
 				if err != nil {
 					test.Fatal(err)
 				}
@@ -117,7 +117,7 @@
 				if string(body) != string(want) {
 					test.Errorf("round %d: another answer for table %d, routing %d", round, table.Version.Number, routing)
 				}
-				again, _ := answers.get(&message.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}})
+				again, _ := cache.get(&message.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}})
 				if again != response {
 					test.Error("packed twice")
 				}
@@ -132,7 +132,7 @@
 	if len(seen) != 12 {
 		test.Errorf("%d answers", len(seen))
 	}
-	if response, _ := answers.get(&message.FetchResponse{Routing: 9}); response.Routing != 9 || response.Table != nil {
+	if response, _ := cache.get(&message.FetchResponse{Routing: 9}); response.Routing != 9 || response.Table != nil {
 		test.Errorf("%+v", response)
 	}
 }
@@ -164,9 +164,9 @@
 			}
 		})
 		bench.Run(fmt.Sprint(count, "-packed-once"), func(bench *testing.B) {
-			answers := &fetchCache{}
+			cache := &fetchCache{}
 			for bench.Loop() {
-				response, _ := answers.get(&message.FetchResponse{Table: table})
+				response, _ := cache.get(&message.FetchResponse{Table: table})
 				if _, err := (rpc.Codec{}).Marshal(response); err != nil {
 					bench.Fatal(err)
 				}
@@ -176,8 +176,8 @@
 }
 
 // Guards against long polls that time out: a change of many entries is left to a fetch.
-func TestWatchBringsSmallDeltasOnly(test *testing.T) {
-	for _, sort := range []struct {
+func TestWatchSendsSmallDeltasOnly(test *testing.T) {
+	for _, testCase := range []struct {
 		changed int
 		isSent  bool
 	}{{1, true}, {maxWatchDelta, true}, {maxWatchDelta + 1, false}} {
@@ -188,7 +188,7 @@
 		for number := range maxWatchDelta + 1 {
 			backend := message.Backend{Name: fmt.Sprintf("backend-%03d", number)}
 			former.Backends = append(former.Backends, backend)
-			backend.Leaving = number < sort.changed
+			backend.Leaving = number < testCase.changed
 			next.Backends = append(next.Backends, backend)
 		}
 		state.log.Record(state.current, former)
@@ -196,8 +196,8 @@
 		state.current = next
 		response := &message.WatchResponse{}
 		state.addDelta(response, former.Version)
-		if (response.Delta != nil) != sort.isSent {
-			test.Errorf("%d changes: delta sent %v", sort.changed, response.Delta != nil)
+		if (response.Delta != nil) != testCase.isSent {
+			test.Errorf("%d changes: delta sent %v", testCase.changed, response.Delta != nil)
 		}
 	}
 }
--- a/control/usage_copies.go
+++ b/control/usage_copies.go
@@ -33,11 +33,11 @@
 	logLock *concurrent.Lock
 	log     *usage.WindowLog
 
-	mutex     sync.Mutex
-	receivers map[string]copiedCounts // by the cores' addresses
-	failedAt  map[string]time.Time    // when a copy failed last, by the cores' addresses
-	term      message.Term            // of the leadership that fetches
-	fetched   map[string]bool         // cores that gave it their counts, by addresses
+	mutex    sync.Mutex
+	copied   map[string]copiedCounts // by the cores' addresses
+	failedAt map[string]time.Time    // when a copy failed last, by the cores' addresses
+	term     message.Term            // of the leadership that fetches
+	fetched  map[string]bool         // cores that gave it their counts, by addresses
 }
 
 // copiedCounts is which changes of the counts a core's process has got.
@@ -45,11 +45,11 @@
 
 func newUsageCopies(core *Core) *usageCopies {
 	return &usageCopies{
-		core:      core,
-		logLock:   concurrent.NewLock(),
-		receivers: map[string]copiedCounts{},
-		failedAt:  map[string]time.Time{},
-		fetched:   map[string]bool{},
+		core:     core,
+		logLock:  concurrent.NewLock(),
+		copied:   map[string]copiedCounts{},
+		failedAt: map[string]time.Time{},
+		fetched:  map[string]bool{},
 	}
 }
 
@@ -93,7 +93,7 @@
 	}
 	view := core.membership()
 	missing := message.Majority(view.Voters) - 1
-	for _, peer := range core.usageCopies.preferred(view.Peers) {
+	for _, peer := range core.usageCopies.copyOrder(view.Peers) {
 		if missing == 0 {
 			return
 		}
@@ -105,7 +105,7 @@
 
 // preferred returns the cores in the order in which they are given copies: those that failed
 // come last, the longest ago first.
-func (copies *usageCopies) preferred(peers []message.Peer) []message.Peer {
+func (copies *usageCopies) copyOrder(peers []message.Peer) []message.Peer {
 	copies.mutex.Lock()
 	defer copies.mutex.Unlock()
 	return slices.SortedStableFunc(slices.Values(peers), func(left, right message.Peer) int {
@@ -117,7 +117,7 @@
 func (copies *usageCopies) sendTo(address string) bool {
 	core := copies.core
 	copies.mutex.Lock()
-	known := copies.receivers[address]
+	known := copies.copied[address]
 	copies.mutex.Unlock()
 	counts, changes := core.windows.ChangedSince(known.change)
 	if len(counts) == 0 {
@@ -141,7 +141,7 @@
 		next.change = 0
 	}
 	copies.mutex.Lock()
-	copies.receivers[address] = next
+	copies.copied[address] = next
 	copies.mutex.Unlock()
 	core.counters.Add("usage_copies", 1)
 	return true
@@ -217,7 +217,7 @@
 
 // hasCounts reports whether a leadership holds what former leaders left: all other voters
 // gave their counts, or after a while so many that one of them got each copy.
-func (copies *usageCopies) hasCounts(leadership *Leadership) bool {
+func (copies *usageCopies) hasFormerCounts(leadership *Leadership) bool {
 	view := copies.core.membership()
 	missing := 0
 	for _, peer := range view.Peers {
@@ -225,9 +225,9 @@
 			missing++
 		}
 	}
-	mayMiss := 0
+	maxMissing := 0
 	if time.Since(leadership.startedAt) >= takeoverDelay {
-		mayMiss = len(view.Voters) - message.Majority(view.Voters)
+		maxMissing = len(view.Voters) - message.Majority(view.Voters)
 	}
-	return missing <= mayMiss
+	return missing <= maxMissing
 }
--- a/control/usage_copies_test.go
+++ b/control/usage_copies_test.go
@@ -40,7 +40,7 @@
 // While no leader is there all daemons report to cores that answer once the counts are on
 // their disk. Those that come together share a write, so that the disk has time for the
 // election.
-func TestCountsThatComeTogetherShareAWrite(test *testing.T) {
+func TestConcurrentCountsShareAWrite(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		disk := &slowDisk{Disk: testdisk.New()}
 		goroutines := concurrent.NewGroup()
@@ -64,9 +64,9 @@
 		if took := time.Since(begin); took > 100*time.Millisecond || disk.syncs.Load() > 10 {
 			test.Errorf("%d syncs in %v for %d reports", disk.syncs.Load(), took, daemons)
 		}
-		again := usage.NewWindows()
-		if _, err := usage.OpenWindowLog(disk, again); err != nil || again.Sum(5)["a"] != daemons {
-			test.Errorf("%v, %v on the disk", err, again.Sum(5))
+		reopened := usage.NewWindows()
+		if _, err := usage.OpenWindowLog(disk, reopened); err != nil || reopened.Sum(5)["a"] != daemons {
+			test.Errorf("%v, %v on the disk", err, reopened.Sum(5))
 		}
 	})
 }
--- a/control/window_reports.go
+++ b/control/window_reports.go
@@ -15,7 +15,7 @@
 	// windowTTL is how long after its end a window may still be reported.
 	windowTTL = 30 * time.Second
 	// windowSilence is for how long at least a silent process is waited for.
-	windowSilence = 2 * time.Second
+	silentProcessTimeout = 2 * time.Second
 	// takeoverDelay is how long processes have to tell a new leader what they counted.
 	takeoverDelay       = 1500 * time.Millisecond
 	reportRetryInterval = time.Second
@@ -54,7 +54,7 @@
 
 // reporting is when and under which term this process reported windows. It is safe for
 // concurrent use.
-type reporting struct {
+type reportingState struct {
 	mutex        sync.Mutex
 	startedAt    time.Time
 	lastReportAt time.Time
@@ -63,14 +63,14 @@
 }
 
 // isFenced reports whether the platform refused reports of a term.
-func (reporting *reporting) isFenced(term message.Term) bool {
+func (reporting *reportingState) isFenced(term message.Term) bool {
 	reporting.mutex.Lock()
 	defer reporting.mutex.Unlock()
 	return reporting.fencedTerm == term
 }
 
 // record notes a report of a term.
-func (reporting *reporting) record(term message.Term, result ReportResult) {
+func (reporting *reportingState) record(term message.Term, result ReportResult) {
 	reporting.mutex.Lock()
 	defer reporting.mutex.Unlock()
 	reporting.term, reporting.lastReportAt = term, time.Now()
@@ -81,11 +81,11 @@
 
 // isQuiet reports whether what this process reported under a former term, or another
 // process of this core might have, is longer ago than a time.
-func (reporting *reporting) isQuiet(term message.Term, quiet time.Duration) bool {
+func (reporting *reportingState) isQuiet(term message.Term, quiet time.Duration) bool {
 	reporting.mutex.Lock()
 	defer reporting.mutex.Unlock()
-	isFormer := reporting.term != term && time.Since(reporting.lastReportAt) < quiet
-	return time.Since(reporting.startedAt) >= quiet && !isFormer
+	isRecent := reporting.term != term && time.Since(reporting.lastReportAt) < quiet
+	return time.Since(reporting.startedAt) >= quiet && !isRecent
 }
 
 // onWindowCounts takes what a process reports between two heartbeats. A core that does not
@@ -168,10 +168,10 @@
 }
 
 // writeWindows writes sealed windows, unless the state is not at the window from any more.
-func (core *Core) writeWindows(leadership *Leadership, from, next int64, sealed []usage.SealedWindow) error {
+func (core *Core) writeWindows(leadership *Leadership, expectedNext, next int64, sealed []usage.SealedWindow) error {
 	_, err := leadership.write(message.ReportsRegister, func(current message.Value) (*proposal, error) {
 		state, err := usage.DecodeWindowState(current)
-		if err != nil || state.Next != from {
+		if err != nil || state.Next != expectedNext {
 			return nil, err
 		}
 		state.Seal(next, sealed, core.windows.IsReported)
@@ -193,11 +193,11 @@
 	if sinceEnd < config.SettleAfter {
 		return false
 	}
-	isCounted := core.usageCopies.hasCounts(leadership)
+	isCounted := core.usageCopies.hasFormerCounts(leadership)
 	if isCounted && !core.windows.AwaitsProcess(window, end) && core.windows.AllReported(core.Table(), end) {
 		return true
 	}
-	latest := max(config.SettleLatest, config.SettleAfter+windowSilence)
+	latest := max(config.SettleLatest, config.SettleAfter+silentProcessTimeout)
 	return sinceEnd >= latest && time.Since(leadership.startedAt) >= takeoverDelay
 }
 
