--- a/control/backends.go
+++ b/control/backends.go
@@ -4,7 +4,7 @@
 	"orchidjunction/discovery"
 )
 
-// discoveryOptions returns how this core reads the list of backends.
+// discoveryOptions returns the options with which this core reads the list of backends.
 func (core *Core) discoveryOptions() discovery.Options {
 	options := discovery.Options{
 		Lister:         core.config.ListBackends,
@@ -20,8 +20,8 @@
 	return options
 }
 
-// readBackends is the leader's task to read the list of backends, and that of a core that
-// has heard of no leader since its start.
+// readBackends reads the list of backends on the leader, and on a core that has heard of no
+// leader since it started.
 func (core *Core) readBackends() {
 	leadership, err := core.currentLeadership()
 	if err != nil && core.neverHeardLeader() {
--- a/control/claims.go
+++ b/control/claims.go
@@ -18,14 +18,14 @@
 	fetchClaimsTimeout  = 2 * time.Second
 )
 
-// recordClaims records claims under the newest membership known.
+// recordClaims records claims under the newest known membership.
 func (core *Core) recordClaims(request *message.RecordClaimsRequest) (*idempotency.Write, error) {
 	write := &idempotency.Write{Request: request, Membership: core.membership().Accepted()}
 	return write, core.claims.Submit(write)
 }
 
-// onRecordClaims records claims under the newest membership known and returns that one:
-// the sender counts no answers that were given under other voters.
+// onRecordClaims records claims under the newest known membership and returns that membership:
+// the sender ignores responses given under other voters.
 func (core *Core) onRecordClaims(request *message.RecordClaimsRequest) (*message.RecordClaimsResponse, error) {
 	core.learnMembership(request.Membership)
 	view := core.membership()
@@ -49,7 +49,8 @@
 	return response, nil
 }
 
-// unlessSame returns the known membership if its version is not the sender's.
+// membershipIfDifferent returns the known membership if its version differs from that of the sent
+// one.
 func membershipIfDifferent(sent, known message.AcceptedValue) message.AcceptedValue {
 	if sent.Version() == known.Version() {
 		return message.AcceptedValue{}
@@ -57,14 +58,14 @@
 	return known
 }
 
-// claimsComplete reports whether this core votes, not only joins, and lacks no claim.
+// claimsComplete reports whether this core is a voter, not only joining, and lacks no claim.
 func (core *Core) claimsComplete(view *consensus.View) bool {
 	return consensus.ContainsPeer(view.Voters, view.ID) && core.claims.CompleteFor(view.ID)
 }
 
-// onFetchClaims returns a page of claims. Before the first one this core notes, on disk,
-// the newest membership: from then on it records nothing that is counted by an older one
-// with other voters, so that nothing the sender should hold comes here unknown to it.
+// onFetchClaims returns a page of claims. Before the first page, it records the newest membership
+// on disk. From then on this core records no claims under an older membership with other voters:
+// the sender would not learn of those.
 func (core *Core) onFetchClaims(request *message.FetchClaimsRequest) (*message.FetchClaimsResponse, error) {
 	core.learnMembership(request.Membership)
 	view := core.membership()
@@ -75,7 +76,7 @@
 			return nil, err
 		}
 		if barrier.Refused {
-			return nil, rpc.Errorf(rpc.NotReady, "membership %v is no more", known.Version())
+			return nil, rpc.Errorf(rpc.NotReady, "membership %v has been superseded", known.Version())
 		}
 	}
 	response := &message.FetchClaimsResponse{
@@ -87,9 +88,9 @@
 	return response, nil
 }
 
-// repairClaims is the task of a voter that lacks claims, since its disk was lost or it
-// took another voter's place: those of so many voters that lack none that no quorum is
-// missed complete its own. Of n voters that takes n - majority + 1.
+// repairClaims completes the claims of a voter that lacks some, because its disk was lost or it
+// replaced another voter. It fetches them from so many complete voters that every quorum includes
+// at least one of them: n - majority + 1 of n voters.
 func (core *Core) repairClaims() {
 	if current, err := core.committedContent(); err == nil && current.serial > 0 {
 		core.claims.Store().SetTTL(current.tree.Settings.KeyTTL())
@@ -120,15 +121,15 @@
 	}
 }
 
-// fetchCount is how many voters were asked for their claims, how many of them record
-// nothing under older memberships any more, and from how many all claims were fetched.
+// claimFetchSummary counts the voters that were asked for their claims, those that no longer
+// record claims under older memberships, and those whose claims were all fetched.
 type claimFetchSummary struct {
 	asked    int
 	fenced   int
 	complete int
 }
 
-// fetchResult is what came of fetching one core's claims.
+// claimFetchResult is the outcome of fetching one core's claims.
 type claimFetchResult struct {
 	fenced   bool
 	complete bool
@@ -168,7 +169,7 @@
 		}
 		core.learnMembership(response.Membership)
 		if message.Supersedes(response.Membership, membership) || response.Core != peer.ID {
-			return claimFetchResult{}, rpc.Errorf(rpc.NotReady, "core at %s counts by other voters", peer.Address)
+			return claimFetchResult{}, rpc.Errorf(rpc.NotReady, "core at %s has a newer membership or another ID", peer.Address)
 		}
 		if err := core.mergeClaims(response.Claims); err != nil {
 			return claimFetchResult{}, err
@@ -180,7 +181,7 @@
 	}
 }
 
-// mergeClaims records another core's claims, as many at a time as one message may hold.
+// mergeClaims records another core's claims in batches of the maximum message size.
 func (core *Core) mergeClaims(claims []message.ClaimRecord) error {
 	for len(claims) > 0 {
 		count := min(len(claims), message.MaxClaimsPerMessage)
@@ -189,7 +190,7 @@
 			return err
 		}
 		if write.Refused {
-			return rpc.Errorf(rpc.NotReady, "the membership changed meanwhile")
+			return rpc.Errorf(rpc.NotReady, "membership changed while claims were being merged")
 		}
 		claims = claims[count:]
 	}
