--- a/control/config.go
+++ b/control/config.go
@@ -19,8 +19,8 @@
 	maxConfiguredID      = 99
 )
 
-// Config is what a core learns of itself from its flags or its settings file. A core
-// without an ID finds the others through its seeds and stores who they are.
+// Config is a core's configuration, from its flags or its settings file. A core without an ID
+// finds the others through its seeds and stores the membership.
 type Config struct {
 	ID              int
 	Name            string
@@ -29,27 +29,27 @@
 	OperatorAddress string // IP:port, for operators
 	Peers           []message.Peer
 	Seeds           []string // the internal addresses of some cores
-	Seed            uint64   // of all that is drawn
+	Seed            uint64   // of all random numbers
 
-	// Bootstrap allows a blank disk to begin a new system, which takes MinFounders cores
-	// at least, and none more for FoundingQuiet.
+	// Bootstrap allows a core with a blank disk to found a new system. That takes at least
+	// MinFounders cores, and no further one appearing for FoundingQuiet.
 	Bootstrap     bool
 	MinFounders   int
 	FoundingQuiet time.Duration
 
 	HeartbeatInterval time.Duration
 	SuspicionTimeout  time.Duration
-	// ReplaceAfter is how long a voter is silent before a learner takes its place.
+	// ReplaceAfter is how long a voter must be silent before a learner replaces it.
 	ReplaceAfter time.Duration
 
-	// DirectSessions says that daemons hold their sessions with the leader itself.
+	// DirectSessions makes daemons hold their sessions with the leader itself.
 	DirectSessions bool
 	SessionTTL     time.Duration
 	TableInterval  time.Duration
 
-	// PlatformAddress is where the platform that the product brings itself lists the
-	// backends and takes reports. ListBackends and Metering replace it; ListZones returns
-	// the zones that ListBackends knows, if it lists by zone.
+	// PlatformAddress is the address of the bundled platform, which lists the backends and
+	// receives usage reports. ListBackends and Metering replace it. ListZones returns the zones
+	// that ListBackends knows; it is nil if ListBackends does not list by zone.
 	PlatformAddress string
 	ListBackends    discovery.Lister
 	ListZones       func() []string
@@ -57,19 +57,20 @@
 	ListsUntilGone  int
 	Metering        Metering
 
-	// Rollouts bounds what a version that may be bad gets, and RolloutVerdict judges it.
+	// Rollouts limits the requests to a version that may be bad, and RolloutVerdict decides
+	// whether it is bad.
 	Rollouts       rollout.Bounds
 	RolloutVerdict rollout.Verdict
 
 	// Wall returns the wall clock in milliseconds since the Unix epoch.
 	Wall func() int64
-	// OnRole is called when this core has begun to lead.
+	// OnRole is called when this core starts to lead.
 	OnRole func(role Role, term message.Term)
-	// OnMembershipChange is called with the voters' addresses whenever they change.
+	// OnMembershipChange is called with the voters' addresses when the membership changes.
 	OnMembershipChange func(version message.Version, addresses []string)
 }
 
-// withDefaults returns the config with defaults in place of what was left open.
+// withDefaults returns the config with defaults for unset values.
 func (config Config) withDefaults() Config {
 	if config.Wall == nil {
 		config.Wall = func() int64 { return time.Now().UnixMilli() }
@@ -93,7 +94,7 @@
 	return config
 }
 
-// setDefault sets a value that is zero.
+// setDefault sets a zero value to a default.
 func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
@@ -101,8 +102,8 @@
 	}
 }
 
-// view returns the membership that was accepted last, or else the one that was given. As
-// long as no core was ever replaced, addresses are as they were given.
+// initialView returns the accepted membership or, if there is none, the configured one. Until a
+// core is replaced, the configured addresses apply.
 func (config *Config) initialView(accepted *consensus.Membership) *consensus.View {
 	if config.discoversPeers() {
 		return consensus.NewView(config.InternalAddress, accepted)
@@ -117,11 +118,11 @@
 	return consensus.NewView(config.InternalAddress, configured)
 }
 
-// discoversPeers reports whether this core learns who the others are from its seeds.
+// discoversPeers reports whether this core learns its peers from its seeds.
 func (config *Config) discoversPeers() bool { return config.ID == 0 }
 
-// firstTableDelay returns how long a leader that nobody can give a table waits for the
-// daemons' sessions before it makes the first one.
+// firstTableDelay returns how long a leader that can recover no table waits for the daemons'
+// sessions before it builds the first one.
 func (config *Config) firstTableDelay() time.Duration {
 	if config.DirectSessions {
 		return config.SessionTTL / 5
@@ -129,17 +130,17 @@
 	return config.SessionTTL
 }
 
-// writeTimeout returns how long a value is offered to the other cores.
+// writeTimeout returns how long a value is sent to the other cores, apart from its transfer time.
 func (config *Config) writeTimeout() time.Duration {
 	return max(minWriteTimeout, 2*config.SuspicionTimeout)
 }
 
-// Check returns BadFlag if the config can't work; its message names the flag of ojcore.
+// Check returns BadFlag if the config is invalid. The message names the flag of ojcore.
 func (config *Config) Check() error {
 	if config.HeartbeatInterval < minHeartbeatInterval || config.SuspicionTimeout < 3*config.HeartbeatInterval {
 		return rpc.Errorf(
 			rpc.BadFlag,
-			"--suspect-ms: %v must be at least three heartbeats of %v, and a heartbeat %v",
+			"--suspect-ms: %v must be at least three heartbeats of %v, and a heartbeat at least %v",
 			config.SuspicionTimeout,
 			config.HeartbeatInterval,
 			minHeartbeatInterval,
@@ -156,12 +157,12 @@
 
 func (config *Config) checkPeers() error {
 	if config.ID < 1 || config.ID > maxConfiguredID {
-		return rpc.Errorf(rpc.BadFlag, "--id: %d is not in 1 to %d", config.ID, maxConfiguredID)
+		return rpc.Errorf(rpc.BadFlag, "--id: %d is out of range 1 to %d", config.ID, maxConfiguredID)
 	}
 	seen := map[int]bool{config.ID: true}
 	for _, peer := range config.Peers {
 		if seen[peer.ID] {
-			return rpc.Errorf(rpc.BadFlag, "--peer: id %d is there twice", peer.ID)
+			return rpc.Errorf(rpc.BadFlag, "--peer: duplicate ID %d", peer.ID)
 		}
 		seen[peer.ID] = true
 		if err := rpc.CheckAddress("--peer", peer.Address); err != nil {
@@ -169,17 +170,17 @@
 		}
 	}
 	if len(config.Peers)%2 != 0 {
-		return rpc.Errorf(rpc.BadFlag, "--peer: %d cores in all; want an odd count", len(config.Peers)+1)
+		return rpc.Errorf(rpc.BadFlag, "--peer: %d cores in total, want an odd number", len(config.Peers)+1)
 	}
 	return nil
 }
 
 func (config *Config) checkSeeds() error {
 	if len(config.Peers) > 0 {
-		return rpc.Errorf(rpc.BadFlag, "--peer: goes with an id, not with seeds")
+		return rpc.Errorf(rpc.BadFlag, "--peer: requires an ID; not allowed with seeds")
 	}
 	if config.MinFounders < 1 || config.MinFounders > maxFounders {
-		return rpc.Errorf(rpc.BadFlag, "--least: %d is not in 1 to %d", config.MinFounders, maxFounders)
+		return rpc.Errorf(rpc.BadFlag, "--least: %d is out of range 1 to %d", config.MinFounders, maxFounders)
 	}
 	for _, seed := range config.Seeds {
 		if err := rpc.CheckAddress("--seed", seed); err != nil {
--- a/control/config_test.go
+++ b/control/config_test.go
@@ -8,8 +8,8 @@
 	"orchidjunction/rpc"
 )
 
-// A config with an id names its peers, one without finds them by seeds; one thing
-// changed at a time, each is refused.
+// A config with an ID lists its peers, one without an ID lists seeds. Each case makes both
+// invalid in one way.
 func TestConfigRejectsInvalidValues(test *testing.T) {
 	withPeers := Config{
 		ID:                1,
@@ -26,13 +26,13 @@
 		SuspicionTimeout:  750 * time.Millisecond,
 	}
 	for name, change := range map[string]func(*Config, *Config){
-		"no id and no seed":   func(withPeers, withSeeds *Config) { withPeers.ID, withSeeds.Seeds = 0, nil },
-		"id 100, least 100":   func(withPeers, withSeeds *Config) { withPeers.ID, withSeeds.MinFounders = 100, 100 },
-		"no least, two cores": func(withPeers, withSeeds *Config) { withSeeds.MinFounders, withPeers.Peers = 0, withPeers.Peers[:1] },
-		"peers twice":         func(withPeers, withSeeds *Config) { withPeers.Peers[1].ID, withSeeds.Peers = 2, withPeers.Peers },
-		"a wrong address":     func(withPeers, withSeeds *Config) { withPeers.Peers[1].Address, withSeeds.Seeds[1] = "b", "b" },
-		"a wrong own address": func(withPeers, withSeeds *Config) { withPeers.InternalAddress, withSeeds.InternalAddress = "", "" },
-		"a hasty suspicion": func(withPeers, withSeeds *Config) {
+		"no ID, no seeds":                        func(withPeers, withSeeds *Config) { withPeers.ID, withSeeds.Seeds = 0, nil },
+		"out of range":                           func(withPeers, withSeeds *Config) { withPeers.ID, withSeeds.MinFounders = 100, 100 },
+		"too few founders, even number of cores": func(withPeers, withSeeds *Config) { withSeeds.MinFounders, withPeers.Peers = 0, withPeers.Peers[:1] },
+		"duplicate peer, peers and seeds":        func(withPeers, withSeeds *Config) { withPeers.Peers[1].ID, withSeeds.Peers = 2, withPeers.Peers },
+		"invalid address":                        func(withPeers, withSeeds *Config) { withPeers.Peers[1].Address, withSeeds.Seeds[1] = "b", "b" },
+		"no own address":                         func(withPeers, withSeeds *Config) { withPeers.InternalAddress, withSeeds.InternalAddress = "", "" },
+		"short suspicion time-out": func(withPeers, withSeeds *Config) {
 			withPeers.SuspicionTimeout, withSeeds.SuspicionTimeout = time.Millisecond, time.Millisecond
 		},
 	} {
@@ -47,7 +47,7 @@
 		change(&peersConfig, &seedsConfig)
 		for _, config := range []*Config{&peersConfig, &seedsConfig} {
 			if err := config.Check(); err == nil || rpc.CodeOf(err) != rpc.BadFlag {
-				test.Errorf("%s: %+v: %v", name, config, err)
+				test.Errorf("%s: %+v: got error %v, want BadFlag", name, config, err)
 			}
 		}
 	}
