--- a/control/content.go
+++ b/control/content.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// historyGroup is how many serials one chunk of the history spans, and
-	// maxHistoryGroups how many such chunks are kept.
+	// The history is split into chunks of serialsPerHistoryChunk serials, of which the newest
+	// maxHistoryChunks are kept.
 	serialsPerHistoryChunk = 16
 	maxHistoryChunks       = 32
 	historyPathPrefix      = "trail/"
 )
 
-// content is the content of the settings register: the tree of settings and the history
-// of changes. Both are sent and stored as chunks. It is immutable but for chunks.
+// settingsContent is the content of the settings register: the tree of settings and the history
+// of changes, both sent and stored as chunks. It is immutable except for chunks.
 type settingsContent struct {
 	serial  uint64
 	tree    *config.Tree
@@ -26,8 +26,7 @@
 	chunks  message.Chunks
 }
 
-// next returns the content after a change, with the older entries of the history dropped
-// by whole chunks.
+// next returns the content after a change. Old history is dropped by whole chunks.
 func (current *settingsContent) next(tree *config.Tree, entry message.HistoryEntry) *settingsContent {
 	next := &settingsContent{serial: entry.Serial, tree: tree, chunks: message.Chunks{}}
 	oldest := uint64(0)
@@ -43,8 +42,8 @@
 	return next
 }
 
-// value returns the register's value: the references of the chunks that make the content
-// up. It adds their texts to the content's chunks.
+// value returns the register's value, which is the references to the chunks of the content. It
+// adds their texts to the content's chunks.
 func (current *settingsContent) value() message.Value {
 	value := message.Value{Serial: current.serial}
 	if current.tree != nil {
@@ -56,7 +55,8 @@
 	return current.addHistory(value)
 }
 
-// addHistory adds the references of the history to a value.
+// addHistory adds the references to the history's chunks to a value, and the texts to the
+// content's chunks.
 func (current *settingsContent) addHistory(value message.Value) message.Value {
 	groups := map[uint64][]message.HistoryEntry{}
 	order := []uint64{}
@@ -68,7 +68,7 @@
 		groups[group] = append(groups[group], entry)
 	}
 	for _, group := range order {
-		text, _ := rpc.Marshal(groups[group]) // structures of numbers and texts are always encoded
+		text, _ := rpc.Marshal(groups[group]) // cannot fail: entries contain only numbers and strings
 		digest := message.DigestOf(text)
 		value.Chunks = append(value.Chunks, message.ChunkRef{Path: fmt.Sprintf("%s%016d", historyPathPrefix, group), Digest: digest})
 		current.chunks[digest] = text
@@ -76,8 +76,8 @@
 	return value
 }
 
-// readContent returns the content of a value whose chunks are all given. Chunks that the
-// former content has too are not parsed again.
+// decodeContent returns the content of a value whose chunks are all given. Chunks that the former
+// content also has are not parsed again.
 func decodeContent(former *settingsContent, value message.Value, chunks message.Chunks) (*settingsContent, error) {
 	if value.Serial == 0 {
 		return &settingsContent{}, nil
@@ -111,7 +111,7 @@
 	return len(ref.Path) > len(historyPathPrefix) && strings.HasPrefix(ref.Path, historyPathPrefix)
 }
 
-// treeChunks returns the references of the settings, without those of the history.
+// settingsRefs returns the references to the settings' chunks, without those of the history.
 func settingsRefs(refs []message.ChunkRef) []message.ChunkRef {
 	for index, ref := range refs {
 		if isHistoryRef(ref) {
@@ -121,7 +121,7 @@
 	return refs
 }
 
-// newChunks returns the texts of those chunks of a value that a former value lacks.
+// addedChunks returns the texts of the chunks of a value that a former value does not have.
 func addedChunks(value, former message.Value, chunks message.Chunks) message.Chunks {
 	isKnown := map[string]bool{}
 	for _, ref := range former.Chunks {
@@ -136,7 +136,7 @@
 	return added
 }
 
-// committedContent returns the committed settings, parsed at most once.
+// committedContent returns the committed settings. Each version is decoded at most once.
 func (core *Core) committedContent() (*settingsContent, error) {
 	core.contentLock.Lock()
 	defer core.contentLock.Unlock()
@@ -157,7 +157,8 @@
 	return current, nil
 }
 
-// onFetchChunks returns the chunks that this core has accepted or knows as committed.
+// onFetchChunks returns those of the requested chunks that this core has accepted or knows as
+// committed.
 func (core *Core) onFetchChunks(request *message.FetchChunksRequest) (*message.FetchChunksResponse, error) {
 	accepted := core.replica.State().Chunks
 	core.mutex.Lock()
@@ -174,7 +175,7 @@
 	return response, nil
 }
 
-// gatherChunks returns the chunks of a value: those known, and the others from the core
+// collectChunks returns the chunks of a value. Those that are not known are fetched from the core
 // at an address.
 func (core *Core) collectChunks(address string, value message.Value, known message.Chunks) (message.Chunks, error) {
 	chunks := message.Chunks{}
--- a/control/settings.go
+++ b/control/settings.go
@@ -13,16 +13,16 @@
 
 const changeDigestBytes = 16
 
-// changeDigest identifies what a change does, so that an ID which names two changes is
-// found out.
+// changeDigest identifies the effect of a change, so that the reuse of an ID for another change
+// is detected.
 func changeDigest(request *message.ChangeRequest) string {
 	content := append([]byte(fmt.Sprintf("%s %d ", request.Kind, request.Base)), request.Body...)
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:changeDigestBytes])
 }
 
-// onChange makes an operator's change of the settings at the leader, or returns why not.
-// A repeated or refused change is answered only by who still leads.
+// onChange applies an operator's change of the settings on the leader. Repeated and refused
+// changes are answered only once the leadership is confirmed.
 func (core *Core) onChange(request *message.ChangeRequest) (*message.ChangeResponse, error) {
 	leadership, err := core.currentLeadership()
 	if err != nil {
@@ -77,7 +77,7 @@
 	return &message.ChangeResponse{Serial: serial}, nil
 }
 
-// parseAhead parses a whole change before the write lock is taken, if it is based on the
+// preparse parses a whole change before the write lock is taken if the change is based on the
 // current settings. It returns nil for other changes.
 func preparse(request *message.ChangeRequest, current *settingsContent) (*config.Tree, error) {
 	if request.Kind != message.WholeChange || request.Base != current.serial {
@@ -86,8 +86,8 @@
 	return config.Parse(request.Body, current.tree)
 }
 
-// findDuplicate returns the entry of a change that was made before. It returns
-// ChangeIDReused if the ID named another one.
+// findDuplicate returns the history entry of a change that has already been made. It returns
+// ChangeIDReused if the ID belongs to another change.
 func findDuplicate(history []message.HistoryEntry, id, digest string) (*message.HistoryEntry, error) {
 	for index := range history {
 		entry := &history[index]
@@ -95,7 +95,7 @@
 			continue
 		}
 		if entry.Digest != digest {
-			return nil, &rpc.Error{Code: rpc.ChangeIDReused, Message: "the id named another change", Serial: entry.Serial}
+			return nil, &rpc.Error{Code: rpc.ChangeIDReused, Message: "ID was already used for another change", Serial: entry.Serial}
 		}
 		return entry, nil
 	}
@@ -110,7 +110,7 @@
 	digest string,
 ) (*settingsContent, error) {
 	if request.Base != current.serial {
-		return nil, &rpc.Error{Code: rpc.StaleBase, Message: fmt.Sprintf("based on %d", request.Base), Serial: current.serial}
+		return nil, &rpc.Error{Code: rpc.StaleBase, Message: fmt.Sprintf("based on serial %d", request.Base), Serial: current.serial}
 	}
 	tree, err := preparsed, error(nil)
 	switch {
@@ -134,7 +134,7 @@
 	return current.next(tree, entry), nil
 }
 
-// onRead returns the confirmed settings, or their history.
+// onRead returns the settings, or their history, once the leadership is confirmed.
 func (core *Core) onRead(request *message.ReadRequest) (*message.ReadResponse, error) {
 	leadership, err := core.confirmedLeadership()
 	if err != nil {
--- a/control/status.go
+++ b/control/status.go
@@ -6,7 +6,7 @@
 	"orchidjunction/message"
 )
 
-// onStatus returns this core's view of the deployment; the leader's is the complete one.
+// onStatus returns this core's view of the deployment. Only the leader's is complete.
 func (core *Core) onStatus(*message.StatusRequest) (*message.StatusResponse, error) {
 	core.mutex.Lock()
 	response := &message.StatusResponse{
@@ -41,7 +41,7 @@
 	return response, nil
 }
 
-// peerStatus returns the other voters as the leader sees them.
+// peerStatus returns the leader's view of the other voters.
 func (leadership *Leadership) peerStatus() []message.CoreStatus {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
