--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -9,11 +9,11 @@
 	"orchidjunction/rpc"
 )
 
-// restoredZoneTTL is how long it is remembered when a zone was taken back.
+// restoredZoneTTL is how long the time of a zone's restoration is kept.
 const restoredZoneTTL = time.Minute
 
-// applyEvacuation returns the routing after an order on a zone at a time in milliseconds,
-// nil if the order changes nothing.
+// applyEvacuation returns the routing after an evacuation order, nil if the order changes
+// nothing. The time now is in milliseconds.
 func applyEvacuation(state *routing.State, request *message.EvacuateRequest, now int64) *routing.State {
 	index, isEvacuated := slices.BinarySearch(state.Evacuated, request.Zone)
 	if isEvacuated == request.Begin {
@@ -33,9 +33,9 @@
 	return &next
 }
 
-// onEvacuate takes a zone's backends out of use, or back into it. An order that was under
-// way while the zone changed is not carried out: its operator gave up on it, and may have
-// been notified since that the contrary is in force.
+// onEvacuate evacuates a zone or restores it. An order is rejected if the zone has changed since
+// it was sent: its operator gave up on it and may have been told since that the opposite is in
+// force.
 func (core *Core) onEvacuate(request *message.EvacuateRequest) (*message.EvacuateResponse, error) {
 	leadership, err := core.currentLeadership()
 	if err != nil {
@@ -49,7 +49,7 @@
 		next := applyEvacuation(current, request, core.Now())
 		response.Changes = current.ChangesOf(request.Zone)
 		if next != nil && response.Changes != request.ExpectedChanges {
-			return nil, rpc.Errorf(rpc.ZoneChanged, "changed %d times, the order is upon %d", response.Changes, request.ExpectedChanges)
+			return nil, rpc.Errorf(rpc.ZoneChanged, "zone changed %d times, order expects %d", response.Changes, request.ExpectedChanges)
 		}
 		isChanged = next != nil
 		return next, nil
--- a/control/routing.go
+++ b/control/routing.go
@@ -6,8 +6,8 @@
 	"orchidjunction/rpc"
 )
 
-// Routing returns the serial and the content of the committed routing as this core holds
-// it, 0 and an empty one if it can't be read.
+// Routing returns the serial and the content of the committed routing as known to this core, or 0
+// and an empty state if it cannot be decoded.
 func (core *Core) Routing() (uint64, *routing.State) {
 	core.mutex.Lock()
 	value := core.committed[message.RoutingRegister].Value
@@ -19,9 +19,9 @@
 	return value.Serial, state
 }
 
-// applyRoutingChange returns the routing after a change, or that the change was made
-// before. A base that is not current is reported before all else that may be wrong: who
-// lost a race sent a valid change. Whether a very old change was made is not known.
+// applyRoutingChange returns the routing after a change, or isDuplicate if the change has already
+// been made. A stale base is reported before any other error: a client that lost a race sent a
+// valid change. For a very old change it is unknown whether it was made.
 func applyRoutingChange(state *routing.State, change *routing.Change) (next *routing.State, isDuplicate bool, err error) {
 	if state.History.Contains(change.Version, change.Digest) {
 		return nil, true, nil
@@ -42,17 +42,17 @@
 	return &changed, false, nil
 }
 
-// checkRoutingBase refuses a change that is not based on the current version, or whose
-// own version is not above that.
+// checkRoutingBase rejects a change that is not based on the current version, or whose own
+// version is not above it.
 func checkRoutingBase(state *routing.State, change *routing.Change) error {
 	current := state.Config.Version
 	switch {
 	case change.Base != current && state.History.MayHaveForgotten(change.Version):
-		return &rpc.Error{Code: rpc.Forgotten, Message: "too long ago to know whether it was taken", Serial: current}
+		return &rpc.Error{Code: rpc.Forgotten, Message: "version is too old to tell whether the change was made", Serial: current}
 	case change.Base != current:
-		return &rpc.Error{Code: rpc.StaleBase, Message: "another version is in place", Serial: current}
+		return &rpc.Error{Code: rpc.StaleBase, Message: "base is not the current version", Serial: current}
 	case change.Version <= current:
-		return &rpc.Error{Code: rpc.StaleVersion, Message: "a version as high is in place", Serial: current}
+		return &rpc.Error{Code: rpc.StaleVersion, Message: "version is not above the current version", Serial: current}
 	}
 	return nil
 }
@@ -64,27 +64,27 @@
 	case change.Patch != nil:
 		return state.Config.Apply(change.Patch)
 	}
-	return routing.Config{}, rpc.Errorf(rpc.BadRequest, "neither a whole routing nor a patch")
+	return routing.Config{}, rpc.Errorf(rpc.BadRequest, "change contains neither a whole routing nor a patch")
 }
 
-// writeRouting writes the routing that build makes of the current one and returns the
-// serial that holds it; if build makes none, that is the current serial.
+// writeRouting writes the routing that build returns and returns its serial, or the current
+// serial if build returns nil.
 func (leadership *Leadership) writeRouting(build func(current *routing.State) (*routing.State, error)) (uint64, error) {
 	return writeState(leadership, message.RoutingRegister, func() (*routing.State, error) {
 		return build(leadership.currentRouting())
 	}, func(next *routing.State) { leadership.routing = next })
 }
 
-// currentRouting returns the routing that the leadership wrote or inherited.
+// currentRouting returns the routing that the leadership wrote last or inherited.
 func (leadership *Leadership) currentRouting() *routing.State {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	return leadership.routing
 }
 
-// onRoutingChange makes an operator's change of the routing at the leader, or returns why
-// not. What needs no write, a repeated or a refused change, is answered only by who still
-// leads: the next leader may have made the change, or others.
+// onRoutingChange applies an operator's change of the routing on the leader. Repeated and refused
+// changes need no write, so they are answered only once the leadership is confirmed: a later
+// leader may have made this change or others.
 func (core *Core) onRoutingChange(request *message.RoutingChangeRequest) (*message.RoutingChangeResponse, error) {
 	leadership, err := core.currentLeadership()
 	if err != nil {
@@ -111,7 +111,7 @@
 	return response, nil
 }
 
-// onRoutingRead returns the confirmed routing.
+// onRoutingRead returns the routing once the leadership is confirmed.
 func (core *Core) onRoutingRead(*message.RoutingReadRequest) (*message.RoutingReadResponse, error) {
 	leadership, err := core.confirmedLeadership()
 	if err != nil {
--- a/control/routing_test.go
+++ b/control/routing_test.go
@@ -8,7 +8,7 @@
 	"orchidjunction/routing"
 )
 
-// A zone that was taken back is remembered for a while, by when that was.
+// The time of a zone's restoration is kept for a minute.
 func TestEvacuateAndRestoreZone(test *testing.T) {
 	state := &routing.State{}
 	for number, step := range []struct {
@@ -26,13 +26,13 @@
 		{"b", false, 63500, []string{}, []routing.RestoredZone{{Zone: "a", AtMs: 4000}, {Zone: "b", AtMs: 63500}}},
 	} {
 		if again := applyEvacuation(state, &message.EvacuateRequest{Zone: step.zone, Begin: !step.begin}, step.at); again != nil {
-			test.Errorf("step %d: the contrary changed something", number)
+			test.Errorf("step %d: the opposite order changed the routing", number)
 		}
 		next := applyEvacuation(state, &message.EvacuateRequest{Zone: step.zone, Begin: step.begin}, step.at)
 		if next == nil || len(next.Evacuated) != len(step.evacuated) ||
 			len(step.evacuated) > 0 && !reflect.DeepEqual(next.Evacuated, step.evacuated) ||
 			!reflect.DeepEqual(next.Restored, step.restored) {
-			test.Fatalf("step %d: %+v", number, next)
+			test.Fatalf("step %d: got %+v, want evacuated %v, restored %v", number, next, step.evacuated, step.restored)
 		}
 		state = next
 	}
