--- a/control/fetch_cache.go
+++ b/control/fetch_cache.go
@@ -8,11 +8,10 @@
 	"orchidjunction/rpc"
 )
 
-// fetchCacheSize is how many responses with the newest table are kept.
 const maxCachedResponses = 4
 
-// fetchCache keeps responses with the newest table, encoded once for all daemons. It is
-// safe for concurrent use.
+// fetchCache caches responses with the newest table, so that each is encoded once for all
+// daemons. It is safe for concurrent use.
 type fetchCache struct {
 	mutex     sync.Mutex
 	table     *message.Table
@@ -21,7 +20,7 @@
 
 type fetchKey struct{ serial, routing, rollouts uint64 }
 
-// get returns the encoded response that says the same. One without a table is small and
+// get returns the cached response with the same content. A response without a table is small and
 // is returned as it is.
 func (cache *fetchCache) get(response *message.FetchResponse) (*message.FetchResponse, error) {
 	if response.Table == nil {
@@ -43,7 +42,7 @@
 	return response, nil
 }
 
-// routingCache keeps a committed routing as daemons get it, encoded once. It is safe for
+// routingCache caches the committed routing in the form sent to daemons. It is safe for
 // concurrent use.
 type routingCache struct {
 	mutex  sync.Mutex
@@ -51,7 +50,7 @@
 	body   []byte
 }
 
-// get returns the routing without what only orders are judged by, encoded and compressed.
+// get returns the routing without its history, encoded and compressed.
 func (cache *routingCache) get(value message.Value) ([]byte, error) {
 	cache.mutex.Lock()
 	defer cache.mutex.Unlock()
--- a/control/gauges.go
+++ b/control/gauges.go
@@ -6,7 +6,7 @@
 	"orchidjunction/message"
 )
 
-// registerGauges adds what operators read of a core beside its counters.
+// registerGauges registers a core's gauges.
 func (core *Core) registerGauges() {
 	gauge := core.counters.Gauge
 	gauge("leading", func() float64 {
@@ -52,8 +52,8 @@
 	return core.committedSerial(register)
 }
 
-// oldestWindowAge returns how many seconds ago the oldest window ended that this core, as
-// the leader, has not sealed; 0 at others.
+// oldestWindowAge returns the seconds since the end of the oldest unsealed window on the leader,
+// 0 on other cores.
 func (core *Core) oldestWindowAge() float64 {
 	length := core.config.Metering.Window
 	if length == 0 {
--- a/control/probe_hints.go
+++ b/control/probe_hints.go
@@ -8,12 +8,12 @@
 	"orchidjunction/message"
 )
 
-// probeHintInterval is how often one backend's hint rises at most.
+// probeHintInterval is the minimum time between two increases of a backend's hint.
 const probeHintInterval = 500 * time.Millisecond
 
-// ProbeHints counts for each backend how often some proxy found it changed. The count
-// goes out with the table, and each proxy then probes the backend itself at once: all
-// that is shared is that there is something to see. It is safe for concurrent use.
+// ProbeHints counts for each backend how often a proxy found its state changed. Proxies get the
+// count with the table and probe the backend immediately when it increases. Only the fact that
+// something changed is shared, not the state. ProbeHints is safe for concurrent use.
 type ProbeHints struct {
 	mutex    sync.Mutex
 	states   map[string]map[string]probeState // by backend, then by proxy
@@ -22,7 +22,7 @@
 	raisedAt map[string]time.Time
 }
 
-// finding is what of a probe makes a difference to where requests go.
+// probeState is the part of a probe's result that affects routing.
 type probeState struct {
 	incarnation string
 	healthy     bool
@@ -39,8 +39,8 @@
 	}
 }
 
-// observe raises the hints of backends of which a session has a finding that is new to
-// its proxy and to everybody.
+// observe increases the hints of the backends for which a session reports a state that is new
+// both for its proxy and among all proxies.
 func (hints *ProbeHints) observe(session *message.Session) {
 	hints.mutex.Lock()
 	defer hints.mutex.Unlock()
@@ -59,7 +59,7 @@
 	former, hasFormer := states[proxy]
 	isNew := hasFormer && former != state && hints.newest[backend] != state
 	if isNew && time.Since(hints.raisedAt[backend]) < probeHintInterval {
-		return // it is new again with the next session
+		return // the next session reports it again
 	}
 	states[proxy] = state
 	if isNew {
@@ -68,8 +68,8 @@
 	}
 }
 
-// apply returns the backends with their hints, which never fall below those of a former
-// table. It returns the same slice if all have them already.
+// apply returns the backends with their hints, which never fall below those of the former table.
+// It returns the same slice if all hints are already set.
 func (hints *ProbeHints) apply(backends, former []message.Backend) []message.Backend {
 	hints.mutex.Lock()
 	defer hints.mutex.Unlock()
@@ -93,7 +93,7 @@
 	return hinted
 }
 
-// forgetUnlisted drops the findings of backends that are gone. Their counts stay.
+// removeUnlisted drops the states of backends that are no longer listed. Their counts are kept.
 func (hints *ProbeHints) removeUnlisted(backends []message.Backend) {
 	if len(hints.states) == 0 {
 		return
