--- a/control/rollout_decisions.go
+++ b/control/rollout_decisions.go
@@ -12,11 +12,11 @@
 	"orchidjunction/rpc"
 )
 
-// decideInterval is how often the leader decides on active roll-outs.
+// rolloutDecisionInterval is the time between two of the leader's decisions on active rollouts.
 const rolloutDecisionInterval = 150 * time.Millisecond
 
-// decideRollouts is the leader's task to take the next decision on each active roll-out, and
-// to note at which version each service is.
+// decideRollouts takes the leader's next decision on each active rollout, and records the current
+// version of each service.
 func (core *Core) decideRollouts() {
 	leadership, err := core.currentLeadership()
 	if err != nil || leadership.check() != nil {
@@ -44,7 +44,7 @@
 	core.logWaiting(waiting)
 }
 
-// logWaiting logs what roll-outs wait for when that changed.
+// logWaiting logs what rollouts wait for when that changes.
 func (core *Core) logWaiting(waiting []rollout.Waiting) {
 	if slices.Equal(waiting, core.waitingRollouts) {
 		return
@@ -55,7 +55,7 @@
 	}
 }
 
-// observeVersions notes at which version each service of a complete list is.
+// observeVersions records the current version of each service from a complete list.
 func (core *Core) observeVersions(leadership *Leadership, backends []message.Backend) {
 	if mixed := rollout.MixedVersions(backends); mixed != core.observedBackends.mixedVersions {
 		core.observedBackends.mixedVersions = mixed
@@ -72,21 +72,21 @@
 	}
 }
 
-// observedBackends is the list of which the versions were noted last. It is used by one
-// goroutine.
+// observedBackends is the list whose versions were last recorded. It is used by one goroutine.
 type observedBackends struct {
 	list          listIdentity
 	mixedVersions string // the services that are listed at several versions
 }
 
-// observedList tells one list from another: it is the same slice as long as nothing changes.
+// listIdentity identifies a list without comparing its entries: the slice stays the same until an
+// entry changes.
 type listIdentity struct {
 	term  message.Term
 	first *message.Backend
 	count int
 }
 
-// isNew reports whether a list differs from the one of the last call.
+// isNew reports whether a list differs from that of the last call.
 func (observed *observedBackends) isNew(term message.Term, backends []message.Backend) bool {
 	if len(backends) == 0 {
 		return false
@@ -99,7 +99,7 @@
 
 func (observed *observedBackends) reset() { observed.list = listIdentity{} }
 
-// observeRollouts returns what the leader knows that roll-outs are decided by.
+// observeRollouts returns the leader's observations from which rollouts are decided.
 func (core *Core) observeRollouts(leadership *Leadership, backends []message.Backend) *rollout.Observation {
 	table := core.Table()
 	observation := &rollout.Observation{
@@ -117,7 +117,7 @@
 	return observation
 }
 
-// logRollouts logs the decisions that made one state of another.
+// logRollouts logs the decisions by which two states differ.
 func (core *Core) logRollouts(before, after *rollout.State, serial uint64) {
 	if before == after {
 		return
--- a/control/rollout_reports.go
+++ b/control/rollout_reports.go
@@ -8,28 +8,30 @@
 	"orchidjunction/rollout"
 )
 
-// reportsTTL is how long the counts of a process are kept that reports no more.
+// rolloutReportTTL is how long the counts of a process that no longer reports are kept.
 const rolloutReportTTL = 5 * time.Minute
 
-// relayTime is how much later than a newer report an older one may come, by way of another
-// core. What comes later still with an earlier time is of a process whose clock was set back.
+// maxRelayDelay is the maximum time by which a report relayed by another core may arrive after a
+// newer one. A report that arrives even later with an earlier time comes from a process whose
+// clock was set back.
 const maxRelayDelay = 2 * time.Second
 
-// rolloutReports is what processes of proxies reported for roll-outs, the newest report of
-// each. Its zero value has none. It is safe for concurrent use.
+// rolloutReports holds the newest report on rollouts from each proxy process. Its zero value is
+// empty. It is safe for concurrent use.
 type rolloutReports struct {
 	mutex     sync.Mutex
 	processes map[string]rolloutReport // by incarnation
 }
 
-// rolloutReport is one process's newest report, by the process's clock and by this core's.
+// rolloutReport is the newest report of a process, with its time by the process's clock and by
+// this core's.
 type rolloutReport struct {
 	sentMs     int64
 	receivedAt time.Time
 	counts     []message.RolloutCounts
 }
 
-// add takes what a process counted so far, unless a newer report is known.
+// add records the counts of a process so far, unless a newer report is known.
 func (reports *rolloutReports) add(incarnation string, sentMs int64, age time.Duration, counts []message.RolloutCounts) {
 	reports.mutex.Lock()
 	defer reports.mutex.Unlock()
@@ -49,7 +51,7 @@
 	}
 }
 
-// of returns what each process reported for a roll-out, in the order in which counts are kept.
+// countsOf returns the counts of each process for a rollout, in the order of Rollout.Counts.
 func (reports *rolloutReports) countsOf(id uint64) []rollout.ProcessCounts {
 	reports.mutex.Lock()
 	defer reports.mutex.Unlock()
@@ -64,7 +66,7 @@
 	return rollout.Sorted(counts)
 }
 
-// age returns how old the newest report of a process is.
+// age returns the age of a process's newest report.
 func (reports *rolloutReports) age(incarnation string) time.Duration {
 	reports.mutex.Lock()
 	defer reports.mutex.Unlock()
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -10,8 +10,8 @@
 	"orchidjunction/rpc"
 )
 
-// rolloutsCache keeps the decoded content of the committed roll-outs. It is safe for
-// concurrent use.
+// rolloutsCache caches the decoded content of the committed rollouts. It is safe for concurrent
+// use.
 type rolloutsCache struct {
 	mutex  sync.Mutex
 	serial uint64
@@ -33,15 +33,15 @@
 	return state, nil
 }
 
-// listedBackends keeps which of the platform's backends proxies may know of, as long as
-// neither the list nor the roll-outs change. It is used by one goroutine.
+// listedBackendsCache caches the backends to list to proxies until the platform's list or the
+// rollouts change. It is used by one goroutine.
 type listedBackendsCache struct {
 	serial uint64
 	source []message.Backend
 	listed []message.Backend
 }
 
-// of returns the backends of a list that the roll-outs of a serial let proxies know of.
+// get returns those of the backends that are listed to proxies under the rollouts of a serial.
 func (cache *listedBackendsCache) get(backends []message.Backend, serial uint64, state *rollout.State) []message.Backend {
 	isSame := len(backends) > 0 && len(cache.source) == len(backends) && &cache.source[0] == &backends[0]
 	if !isSame || cache.serial != serial {
@@ -50,8 +50,8 @@
 	return cache.listed
 }
 
-// Rollouts returns the serial and the content of the committed roll-outs as this core holds
-// them, 0 and an empty one if they can't be read.
+// Rollouts returns the serial and the content of the committed rollouts as known to this core, or
+// 0 and an empty state if they cannot be decoded.
 func (core *Core) Rollouts() (uint64, *rollout.State) {
 	core.mutex.Lock()
 	value := core.committed[message.RolloutsRegister].Value
@@ -64,7 +64,7 @@
 	return value.Serial, state
 }
 
-// addRollouts adds the committed roll-outs to a response if they are newer than a serial.
+// addRollouts adds the committed rollouts to a response if they are newer than a serial.
 func (core *Core) addRollouts(response *message.FetchResponse, since uint64) {
 	if since == maxSerial {
 		return
@@ -74,7 +74,7 @@
 	}
 }
 
-// addWatchedRollouts adds the committed roll-outs to the response to a watch if they are newer
+// addWatchedRollouts adds the committed rollouts to the response to a watch if they are newer
 // than a serial.
 func (core *Core) addWatchedRollouts(response *message.WatchResponse, since uint64) {
 	if serial, state := core.Rollouts(); serial > since {
@@ -82,23 +82,23 @@
 	}
 }
 
-// currentRollouts returns the roll-outs that the leadership wrote or inherited.
+// currentRollouts returns the rollouts that the leadership wrote last or inherited.
 func (leadership *Leadership) currentRollouts() *rollout.State {
 	leadership.mutex.Lock()
 	defer leadership.mutex.Unlock()
 	return leadership.rollouts
 }
 
-// writeRollouts writes the roll-outs that build makes of the current ones and returns the
-// serial that holds them; if build makes none, that is the current serial.
+// writeRollouts writes the rollouts that build returns and returns their serial, or the current
+// serial if build returns nil.
 func (leadership *Leadership) writeRollouts(build func(current *rollout.State) (*rollout.State, error)) (uint64, error) {
 	return writeState(leadership, message.RolloutsRegister, func() (*rollout.State, error) {
 		return build(leadership.currentRollouts())
 	}, func(next *rollout.State) { leadership.rollouts = next })
 }
 
-// onRolloutOrder begins a roll-out or ends one. What needs no write, a repeated or a refused
-// order, is answered only by who still leads.
+// onRolloutOrder starts or aborts a rollout. Repeated and refused orders need no write, so they
+// are answered only once the leadership is confirmed.
 func (core *Core) onRolloutOrder(order *message.RolloutOrder) (*message.RolloutOrderResponse, error) {
 	leadership, err := core.currentLeadership()
 	if err != nil {
@@ -131,15 +131,15 @@
 	return response, nil
 }
 
-// applyRolloutOrder returns the roll-outs after an order, nil if it was taken before.
+// applyRolloutOrder returns the rollouts after an order, nil if the order is a duplicate.
 func (leadership *Leadership) applyRolloutOrder(current *rollout.State, order *message.RolloutOrder) (*rollout.State, error) {
 	if !leadership.hasService(order.Service) {
-		return nil, rpc.Errorf(rpc.NotFound, "no service %.200q", order.Service)
+		return nil, rpc.Errorf(rpc.NotFound, "service %.200q not found", order.Service)
 	}
 	return current.Order(order, leadership.core.Now())
 }
 
-// hasService reports whether the routing has a service.
+// hasService reports whether the routing contains a service.
 func (leadership *Leadership) hasService(name string) bool {
 	for _, service := range leadership.currentRouting().Config.Services {
 		if service.Name == name {
@@ -149,7 +149,7 @@
 	return false
 }
 
-// onRolloutRead returns the confirmed newest roll-out of a service.
+// onRolloutRead returns the newest rollout of a service once the leadership is confirmed.
 func (core *Core) onRolloutRead(request *message.RolloutReadRequest) (*message.RolloutReadResponse, error) {
 	leadership, err := core.confirmedLeadership()
 	if err != nil {
@@ -157,7 +157,7 @@
 	}
 	service := leadership.currentRollouts().Service(request.Service)
 	if service == nil || service.Rollout == nil {
-		return nil, rpc.Errorf(rpc.NotFound, "%.200q had no roll-out", request.Service)
+		return nil, rpc.Errorf(rpc.NotFound, "service %.200q has had no rollout", request.Service)
 	}
 	return &message.RolloutReadResponse{
 		Rollout: service.Rollout.Message(service.Name),
--- a/control/rollouts_test.go
+++ b/control/rollouts_test.go
@@ -9,8 +9,8 @@
 	"orchidjunction/rollout"
 )
 
-// A report that comes late does not replace a newer one, and counts of a process that fell
-// silent stay: evidence is neither lost nor counted twice.
+// Guards against counts that are lost or counted twice: a late report does not replace a newer
+// one, and the counts of a process that no longer reports are kept.
 func TestNewestRolloutReportIsKept(test *testing.T) {
 	reports := &rolloutReports{}
 	countItems := func(items uint64) []message.RolloutCounts {
@@ -26,12 +26,13 @@
 		test.Errorf("%d items, want 14", total.Items)
 	}
 	if reports.age("a") > time.Minute || reports.age("nobody") < time.Minute {
-		test.Errorf("ages %v and %v", reports.age("a"), reports.age("nobody"))
+		test.Errorf("report ages %v and %v, want below and above 1 min", reports.age("a"), reports.age("nobody"))
 	}
 }
 
-// Guards against a proxy that counts for no roll-out, and holds each one up as silent, since it
-// started with a clock that was ahead: its reports after the correction passed for older ones.
+// Guards against ignoring a proxy that started with a clock ahead of time: its reports after the
+// correction were taken for older ones, so its counts were missing and it blocked rollouts as
+// silent.
 func TestReportsAfterClockCorrectionCount(test *testing.T) {
 	synctest.Test(test, func(*testing.T) {
 		reports := &rolloutReports{}
@@ -44,13 +45,13 @@
 		}
 		active := &rollout.Rollout{ID: 1, Phase: message.RolloutActive}
 		if total := active.Total(reports.countsOf(1)); total.Items != reportCount-1 || reports.age("a") != 0 {
-			test.Errorf("%d items, report %v old, want %d of now", total.Items, reports.age("a"), reportCount-1)
+			test.Errorf("%d items, report age %v, want %d items and age 0", total.Items, reports.age("a"), reportCount-1)
 		}
 	})
 }
 
-// The list that proxies may know of is made anew when the list or the roll-outs change, and
-// is the same slice otherwise, by which tables tell that nothing changed.
+// The list for proxies changes with the platform's list and with the rollouts. Otherwise it is
+// the same slice, by which unchanged tables are detected.
 func TestListedBackendsFollowTheRollouts(test *testing.T) {
 	backends := []message.Backend{
 		{Name: "a", Service: "desk", Revision: "v1"},
@@ -65,9 +66,9 @@
 	cache := &listedBackendsCache{}
 	first := cache.get(backends, 1, before)
 	if again := cache.get(backends, 1, before); len(first) != 2 || &again[0] != &first[0] {
-		test.Errorf("%+v, then %+v", first, again)
+		test.Errorf("listed %+v, then %+v; want the same slice of 2", first, again)
 	}
 	if listed := cache.get(backends, 2, after); len(listed) != 3 {
-		test.Errorf("ordered: %+v", listed)
+		test.Errorf("listed %+v after the order, want all 3", listed)
 	}
 }
