--- a/control/sessions.go
+++ b/control/sessions.go
@@ -10,7 +10,7 @@
 	"orchidjunction/rpc"
 )
 
-// trackedSession is a daemon's session with the core that it spoke to.
+// trackedSession is a daemon's session and the core to which the daemon sent it.
 type trackedSession struct {
 	session   message.Session
 	core      int
@@ -18,8 +18,8 @@
 	renewedAt time.Time
 }
 
-// Sessions are the daemons this core knows, because they or another core shared them. It is
-// safe for concurrent use.
+// Sessions holds the sessions of daemons, received from them or shared by other cores. It is safe
+// for concurrent use.
 type Sessions struct {
 	mutex        sync.Mutex
 	byName       map[string]trackedSession
@@ -32,7 +32,7 @@
 	return &Sessions{ttl: ttl, byName: map[string]trackedSession{}, coresSeenAt: map[int]time.Time{}}
 }
 
-// add takes a session that a daemon has with a core, unless a newer one is known.
+// add records a session of a daemon with a core, unless a newer one is known.
 func (sessions *Sessions) add(session message.Session, core int) {
 	renewedAt := time.Now().Add(-time.Duration(session.AgeMs) * time.Millisecond)
 	sessions.mutex.Lock()
@@ -49,14 +49,15 @@
 	}
 }
 
-// observeCore notes that another core spoke to this one.
+// observeCore records that another core sent a message to this one.
 func (sessions *Sessions) observeCore(core int) {
 	sessions.mutex.Lock()
 	sessions.coresSeenAt[core] = time.Now()
 	sessions.mutex.Unlock()
 }
 
-// recentCores returns how many other cores spoke to this one within a time.
+// recentCores returns the number of other cores that sent a message to this one within a
+// duration.
 func (sessions *Sessions) recentCores(within time.Duration) int {
 	sessions.mutex.Lock()
 	defer sessions.mutex.Unlock()
@@ -69,7 +70,7 @@
 	return count
 }
 
-// ownedBy returns the sessions that daemons have with a core, also of those that ended.
+// ownedBy returns the unexpired sessions of daemons with a core, including ended ones.
 func (sessions *Sessions) ownedBy(core int) []trackedSession {
 	sessions.mutex.Lock()
 	defer sessions.mutex.Unlock()
@@ -82,8 +83,8 @@
 	return owned
 }
 
-// active returns the sessions that daemons have with a core, with any if that is 0,
-// sorted by name. It forgets those that have expired.
+// active returns the active sessions with a core, or with any core if that is 0, sorted by name.
+// It drops expired sessions.
 func (sessions *Sessions) active(core int) []trackedSession {
 	sessions.mutex.Lock()
 	defer sessions.mutex.Unlock()
@@ -104,16 +105,16 @@
 	return active
 }
 
-// ended reports whether a daemon said that it ends.
+// hasEnded reports whether a daemon announced that it is shutting down.
 func (sessions *Sessions) hasEnded(name string) bool {
 	sessions.mutex.Lock()
 	defer sessions.mutex.Unlock()
 	return sessions.byName[name].session.Ended
 }
 
-// massLapse reports whether more than half of the members fell silent just now. Then it
-// may be this side that was cut off: nobody is dropped until all had the time to speak
-// again, which begins anew while nobody speaks at all.
+// massExpiry reports whether more than half of the members have recently become silent. This
+// core's side of the network may then be the one that is cut off, so no member is dropped until
+// all have had one TTL to report again. That time restarts while all are silent.
 func (sessions *Sessions) massExpiry(members []message.Member, isActive map[string]bool) bool {
 	silent := 0
 	for _, member := range members {
@@ -133,7 +134,7 @@
 	return time.Since(sessions.massExpiryAt) < sessions.ttl
 }
 
-// onSession takes a daemon's heartbeat and says who leads and which versions are newest.
+// onSession records a daemon's heartbeat and returns the leader and the newest versions.
 func (core *Core) onSession(session *message.Session) (*message.SessionResponse, error) {
 	session.AgeMs = 0
 	core.observeDaemonClock(session)
@@ -159,7 +160,7 @@
 	return response, nil
 }
 
-// takeSession takes what a session brings that a daemon has with a core.
+// recordSession records a daemon's session with a core, and the reports in it.
 func (core *Core) recordSession(session *message.Session, owner int) {
 	core.sessions.add(*session, owner)
 	core.usage.Add(session.Member.Incarnation, session.Usage)
@@ -169,7 +170,7 @@
 	core.rolloutReports.add(session.Member.Incarnation, session.NowMs, age, session.RolloutCounts)
 }
 
-// onShareSessions takes the sessions that daemons have with another core.
+// onShareSessions records the sessions that daemons have with another core.
 func (core *Core) onShareSessions(request *message.ShareSessionsRequest) (*message.ShareSessionsResponse, error) {
 	core.sessions.observeCore(request.Core)
 	for index := range request.Sessions {
@@ -178,9 +179,8 @@
 	return &message.ShareSessionsResponse{}, nil
 }
 
-// shareSessions sends the sessions that daemons have with this core to the other cores.
-// Where daemons hold them with the leader itself, it sends the leader those that came
-// here instead.
+// shareSessions sends the sessions that daemons have with this core to the other cores. With
+// direct sessions, it sends them only to the leader.
 func (core *Core) shareSessions() {
 	if core.config.DirectSessions {
 		core.forwardSessions()
@@ -200,7 +200,7 @@
 	}, func(*message.ShareSessionsResponse) bool { return true }, waitForAll)
 }
 
-// forwardSessions sends the leader what is new since the last time.
+// forwardSessions sends the leader the sessions renewed since the last time.
 func (core *Core) forwardSessions() {
 	core.mutex.Lock()
 	leader, isLeader, since := core.election.leader, core.leadership != nil, core.sessionsSharedAt
@@ -230,8 +230,8 @@
 	return rpc.Call(core.client, address, message.MethodShareSessions, core.callTimeout(), request)
 }
 
-// forForwarding returns a session as the leader gets it from this core: with all counts
-// that were reported to this core, since what the session itself brought may only add to them.
+// forwardedSession returns a session as it is forwarded to the leader: with all counts that were
+// reported to this core, since the session itself may contain only the latest changes.
 func (core *Core) forwardedSession(tracked trackedSession) message.Session {
 	session := tracked.session
 	session.AgeMs = time.Since(tracked.renewedAt).Milliseconds()
