--- a/control/table.go
+++ b/control/table.go
@@ -11,16 +11,15 @@
 	"orchidjunction/rpc"
 )
 
-// everything is a serial that is newer than any: a FetchRequest with it asks for nothing
-// of that kind.
+// maxSerial is at least as new as any serial. In a FetchRequest it excludes a register from the
+// response.
 const maxSerial = ^uint64(0)
 
-// maxWatchDelta is the most entries of the table that the response to a watch brings, about
-// 10 kB.
+// maxWatchDelta is the maximum number of table entries in the response to a watch, about 10 kB.
 const maxWatchDelta = 64
 
-// tableState is the newest table that a core holds, and the version that the leader
-// announced. The core's mutex guards it.
+// tableState is the newest table that a core has, and the version announced by the leader. The
+// core's mutex guards it.
 type tableState struct {
 	current   *message.Table
 	log       *message.TableLog
@@ -31,7 +30,7 @@
 	return tableState{current: &message.Table{}, log: message.NewTableLog()}
 }
 
-// addTo adds the table, or what changed in it, to a response if it is newer than a version.
+// addTo adds the table or a delta to a response if the table is newer than a version.
 func (state *tableState) addTo(response *message.FetchResponse, since message.TableVersion) {
 	if !since.Less(state.current.Version) {
 		return
@@ -43,8 +42,8 @@
 	}
 }
 
-// addDelta adds what changed in the table to a response if that is small: daemons wait for
-// the response only a little longer than they let the watch last.
+// addDelta adds a delta to a response if it is small: daemons wait for the response only slightly
+// longer than the duration of the watch.
 func (state *tableState) addDelta(response *message.WatchResponse, since message.TableVersion) {
 	delta, isKnown := state.log.Since(since, state.current)
 	if isKnown && delta.Entries() <= maxWatchDelta {
@@ -52,15 +51,15 @@
 	}
 }
 
-// Table returns the newest table. It must not be changed.
+// Table returns the newest table. It must not be modified.
 func (core *Core) Table() *message.Table {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	return core.tables.current
 }
 
-// setTable takes a table if it is newer than the one held and built under roll-outs that are
-// known here: daemons get both from this core.
+// setTable sets the table if it is newer than the current one and its rollouts are known to this
+// core, since daemons get both from here.
 func (core *Core) setTable(table *message.Table) {
 	core.mutex.Lock()
 	isNewer := core.tables.current.Version.Less(table.Version) && table.Rollouts <= core.committedSerial(message.RolloutsRegister)
@@ -74,8 +73,8 @@
 	}
 }
 
-// buildTable is the leader's task to make a table of the daemons that have a session and
-// of the backends that the platform lists, if anything changed.
+// buildTable builds the leader's table of the daemons that have a session and of the backends
+// that the platform lists, if anything changed.
 func (core *Core) buildTable() {
 	leadership, err := core.currentLeadership()
 	if err != nil && core.config.DirectSessions && core.neverHeardLeader() {
@@ -124,8 +123,8 @@
 	return next
 }
 
-// nextMembers returns the daemons that have a session and those that are not given up
-// yet: all until daemons had the time to speak to a new leader, or to the cores that they
+// nextMembers returns the daemons that have a session, and those of the former table that are not
+// dropped yet: all of them until they had time to report to a new leader, or to cores that they
 // were cut off from.
 func (core *Core) nextMembers(leadership *Leadership, former []message.Member, sessions []trackedSession) []message.Member {
 	members := []message.Member{}
@@ -146,12 +145,12 @@
 	return members
 }
 
-// sameTable reports whether two tables differ in their versions alone.
+// sameTable reports whether two tables have the same entries, whatever their versions.
 func sameTable(former, next *message.Table) bool {
 	return former.Complete == next.Complete && slices.Equal(former.Members, next.Members) && sameBackends(former.Backends, next.Backends)
 }
 
-// sameBackends compares two lists; it is fast if both are one.
+// sameBackends compares two lists. It is fast if they are the same slice.
 func sameBackends(former, next []message.Backend) bool {
 	if len(former) != len(next) {
 		return false
@@ -159,9 +158,9 @@
 	return len(former) == 0 || &former[0] == &next[0] || slices.Equal(former, next)
 }
 
-// buildTableBeforeLeader makes the table of a core that has heard of no leader since its
-// start, for the daemons that come to it. Every leader's table is newer. It names no cold
-// backend: that has no owner yet, and cores differ on when it is warm.
+// buildTableBeforeLeader builds a table for daemons that connect to a core which has heard of no
+// leader since it started. Any leader's table is newer. It contains no cold backends: no proxy is
+// assigned to warm them up yet, and cores disagree on when they are warm.
 func (core *Core) buildTableBeforeLeader() {
 	former := core.Table()
 	backends, isComplete := core.backends.Backends()
@@ -186,9 +185,9 @@
 	core.setTable(next)
 }
 
-// recoverTable returns a table as the cores have lost it but some process still holds it:
-// the newest that a daemon has, or else, if no backends are known here, one with backends
-// that a daemon or another core has. It returns the given table if there is none.
+// recoverTable returns a table that the cores lost but some process still has: the newest table
+// of a daemon or, if this core knows no backends, one with the backends of a daemon's or another
+// core's table. If there is none, it returns the given table.
 func (core *Core) recoverTable(table *message.Table, sessions []trackedSession) *message.Table {
 	if recovered := core.fetchNewerTable(table, sessions); recovered != nil {
 		core.counters.Add("tables_rebuilt", 1)
@@ -207,7 +206,7 @@
 	}
 }
 
-// newerTable fetches the newest table that a daemon has, nil if none is newer.
+// fetchNewerTable fetches the newest table of a daemon, or nil if none is newer.
 func (core *Core) fetchNewerTable(table *message.Table, sessions []trackedSession) *message.Table {
 	newest, source := table.Version, ""
 	for _, tracked := range sessions {
@@ -226,9 +225,9 @@
 	return recovered
 }
 
-// completeTable fetches a table with backends that is older than the given one: from the
-// daemon with the newest or, before this leadership's first table, from another core.
-// It returns nil if there is none.
+// fetchCompleteTable fetches a complete table that is older than the given one: from the daemon
+// with the newest one or, if there has been no leader's table yet, from another core. It returns
+// nil if there is none.
 func (core *Core) fetchCompleteTable(table *message.Table, sessions []trackedSession) *message.Table {
 	newest, source := message.TableVersion{}, ""
 	for _, tracked := range sessions {
@@ -259,7 +258,7 @@
 	return nil
 }
 
-// heldTable fetches whichever table a process at an address holds, an empty one if it has none.
+// fetchAnyTable fetches the table of the process at an address, or an empty one if it has none.
 func (core *Core) fetchAnyTable(address string) (*message.Table, error) {
 	table, err := core.fetchTable(address, &message.Table{})
 	if err == nil && table == nil {
@@ -268,7 +267,7 @@
 	return table, err
 }
 
-// followTable fetches the leader's table at the other cores.
+// fetchLeaderTable fetches the leader's table on the other cores.
 func (core *Core) fetchLeaderTable() {
 	core.mutex.Lock()
 	leader, isLeader := core.election.leader, core.leadership != nil
@@ -282,8 +281,8 @@
 	}
 }
 
-// fetchTable returns the newer table that a process at an address holds, nil if it has
-// none.
+// fetchTable fetches the table of the process at an address, or nil if it has none newer than
+// held.
 func (core *Core) fetchTable(address string, held *message.Table) (*message.Table, error) {
 	request := &message.FetchRequest{Serial: maxSerial, Routing: maxSerial, Rollouts: maxSerial, Table: held.Version}
 	response, err := rpc.Call(core.client, address, message.MethodFetch, core.callTimeout(), request)
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -14,7 +14,7 @@
 	"orchidjunction/rpc"
 )
 
-// listed is a reader that has read a list of so many backends.
+// newListReader returns a reader that has read a list of count backends.
 func newListReader(count int) *discovery.Reader {
 	list := make([]message.Backend, 0, count)
 	for number := range count {
@@ -38,7 +38,7 @@
 	return reader
 }
 
-// What the leader does at each table pace while nothing changes.
+// The leader's work in each table interval while nothing changes.
 func BenchmarkUnchangedTable(bench *testing.B) {
 	for _, count := range []int{100, 1000, 10000, 85000} {
 		bench.Run(fmt.Sprint(count), func(bench *testing.B) {
@@ -50,29 +50,28 @@
 				backends, _ := reader.Backends()
 				next := &message.Table{Backends: hints.apply(backends, before.Backends), Complete: true}
 				if !sameTable(before, next) {
-					bench.Fatal("a table that did not change is called another one")
+					bench.Fatal("an unchanged table is reported as different")
 				}
 			}
 		})
 	}
 }
 
-// Counts are laid over backends without changing the list they come from, and
-// never fall below those of the table before.
+// Hints are set on a copy of the backends and never fall below those of the former table.
 func TestProbeHintsAreAppliedToACopy(test *testing.T) {
 	hints, listed := newProbeHints(), []message.Backend{{Name: "a"}, {Name: "b"}, {Name: "c", ProbeHint: 9}}
 	hinted := hints.apply(listed, []message.Backend{{Name: "b", ProbeHint: 4}})
 	if hinted[0].ProbeHint != 0 || hinted[1].ProbeHint != 4 || hinted[2].ProbeHint != 0 {
-		test.Errorf("%v", hinted)
+		test.Errorf("hints of %v, want 0, 4, 0", hinted)
 	}
 	if listed[1].ProbeHint != 0 || listed[2].ProbeHint != 9 {
-		test.Errorf("the list itself changed: %v", listed)
+		test.Errorf("the original list was modified: %v", listed)
 	}
 	if again := hints.apply(hinted, nil); &again[0] != &hinted[0] {
-		test.Error("copied though the counts are there")
+		test.Error("list copied although all hints were set")
 	}
 	if none := hints.apply(nil, hinted); len(none) != 0 {
-		test.Errorf("%v", none)
+		test.Errorf("hints on an empty list: %v, want none", none)
 	}
 }
 
@@ -80,23 +79,23 @@
 	member, backend := []message.Member{{Name: "p", Ready: true}}, []message.Backend{{Name: "b", WarmAtMs: 5}}
 	table := &message.Table{Members: member, Backends: backend, Complete: true}
 	for name, next := range map[string]*message.Table{
-		"a member":            {Members: []message.Member{{Name: "p"}}, Backends: backend, Complete: true},
-		"a backend":           {Members: member, Backends: []message.Backend{{Name: "b", WarmAtMs: 6}}, Complete: true},
-		"no backends":         {Members: member, Complete: true},
-		"one backend more":    {Members: member, Backends: append(slices.Clone(backend), message.Backend{}), Complete: true},
-		"whether it is whole": {Members: member, Backends: backend},
+		"a member":         {Members: []message.Member{{Name: "p"}}, Backends: backend, Complete: true},
+		"a backend":        {Members: member, Backends: []message.Backend{{Name: "b", WarmAtMs: 6}}, Complete: true},
+		"no backends":      {Members: member, Complete: true},
+		"an extra backend": {Members: member, Backends: append(slices.Clone(backend), message.Backend{}), Complete: true},
+		"completeness":     {Members: member, Backends: backend},
 	} {
 		if sameTable(table, next) {
-			test.Errorf("same, though %s differs", name)
+			test.Errorf("tables reported as the same although they differ in: %s", name)
 		}
 	}
 	if !sameTable(table, &message.Table{Members: slices.Clone(member), Backends: slices.Clone(backend), Complete: true}) {
-		test.Error("a copy is not the same")
+		test.Error("a copy is reported as different")
 	}
 }
 
-// Daemons that hold the same get the same bytes, packed once, and never those
-// of an older table or of another routing.
+// Daemons with the same versions get the same bytes, encoded once, and never those of an older
+// table or another routing.
 func TestFetchResponsesAreEncodedOnce(test *testing.T) {
 	cache := &fetchCache{}
 	tables := []*message.Table{
@@ -115,29 +114,29 @@
 				}
 				body, _ := rpc.Codec{}.Marshal(response)
 				if string(body) != string(want) {
-					test.Errorf("round %d: another answer for table %d, routing %d", round, table.Version.Number, routing)
+					test.Errorf("round %d: wrong response for table %d, routing %d", round, table.Version.Number, routing)
 				}
 				again, _ := cache.get(&message.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}})
 				if again != response {
-					test.Error("packed twice")
+					test.Error("response encoded twice")
 				}
 				body[0] ^= 0xff
 				if second, _ := (rpc.Codec{}).Marshal(again); string(second) != string(want) {
-					test.Error("who was given bytes changed those of others")
+					test.Error("modifying one response's bytes modified those of others")
 				}
 				seen[string(want)] = response
 			}
 		}
 	}
 	if len(seen) != 12 {
-		test.Errorf("%d answers", len(seen))
+		test.Errorf("%d different responses, want 12", len(seen))
 	}
 	if response, _ := cache.get(&message.FetchResponse{Routing: 9}); response.Routing != 9 || response.Table != nil {
-		test.Errorf("%+v", response)
+		test.Errorf("got %+v, want routing 9 and no table", response)
 	}
 }
 
-// What a fetch of the whole table costs the core that answers.
+// The cost of a fetch of the whole table for the responding core.
 func BenchmarkFetch(bench *testing.B) {
 	for _, count := range []int{192, 768, 16000} {
 		table := &message.Table{Version: message.TableVersion{Number: 1}}
@@ -156,14 +155,14 @@
 				Ready:           true,
 			})
 		}
-		bench.Run(fmt.Sprint(count, "-before"), func(bench *testing.B) {
+		bench.Run(fmt.Sprint(count, "-uncached"), func(bench *testing.B) {
 			for bench.Loop() {
 				if _, err := (rpc.Codec{}).Marshal(&message.FetchResponse{Table: table}); err != nil {
 					bench.Fatal(err)
 				}
 			}
 		})
-		bench.Run(fmt.Sprint(count, "-packed-once"), func(bench *testing.B) {
+		bench.Run(fmt.Sprint(count, "-cached"), func(bench *testing.B) {
 			cache := &fetchCache{}
 			for bench.Loop() {
 				response, _ := cache.get(&message.FetchResponse{Table: table})
@@ -175,7 +174,8 @@
 	}
 }
 
-// Guards against long polls that time out: a change of many entries is left to a fetch.
+// Guards against watches that time out while a large delta is transferred; a fetch is used
+// instead.
 func TestWatchSendsSmallDeltasOnly(test *testing.T) {
 	for _, testCase := range []struct {
 		changed int
@@ -197,7 +197,7 @@
 		response := &message.WatchResponse{}
 		state.addDelta(response, former.Version)
 		if (response.Delta != nil) != testCase.isSent {
-			test.Errorf("%d changes: delta sent %v", testCase.changed, response.Delta != nil)
+			test.Errorf("%d changes: delta sent %v, want %v", testCase.changed, response.Delta != nil, testCase.isSent)
 		}
 	}
 }
