--- a/control/usage_copies.go
+++ b/control/usage_copies.go
@@ -14,22 +14,21 @@
 )
 
 const (
-	// journalInterval is how often counts are written to the own disk, and copyInterval how
-	// often the leader copies them to other cores.
+	// Counts are written to this core's disk every journalInterval, and copied from the leader to
+	// other cores every copyInterval.
 	journalInterval = 200 * time.Millisecond
 	copyInterval    = 250 * time.Millisecond
-	// fetchCountsInterval is how often a new leader asks the cores that have not given it
-	// their counts yet.
+	// fetchCountsInterval is how often a new leader asks the cores whose counts it does not have
+	// yet.
 	fetchCountsInterval = 250 * time.Millisecond
 )
 
-// usageCopies keeps the counts of windows that are not sealed yet on this core's disk and
-// in the memory of enough others that they outlive the loss of as many cores as a quorum
-// does. It is safe for concurrent use.
+// usageCopies keeps the counts of unsealed windows on this core's disk and in the memory of other
+// cores, so that they survive the loss of a minority of the cores. It is safe for concurrent use.
 type usageCopies struct {
 	core *Core
 
-	// logLock is held over a write to the disk.
+	// logLock is held during a disk write.
 	logLock *concurrent.Lock
 	log     *usage.WindowLog
 
@@ -40,7 +39,7 @@
 	fetched  map[string]bool         // cores that gave it their counts, by addresses
 }
 
-// copiedCounts is which changes of the counts a core's process has got.
+// copiedCounts is the newest change of the counts that a core's process has received.
 type copiedCounts struct{ process, change uint64 }
 
 func newUsageCopies(core *Core) *usageCopies {
@@ -53,24 +52,25 @@
 	}
 }
 
-// open reads the counts that a former process of this core had on its disk.
+// open uses a log opened by OpenWindowLog, which has read the counts of former processes of this
+// core.
 func (copies *usageCopies) open(log *usage.WindowLog, err error) {
 	if err != nil {
 		copies.core.counters.Add("usage_log_unreadable", 1)
-		klog.Warningf("core: counts of usage on disk are left behind: %v", err)
+		klog.Warningf("core: usage log unreadable; skipping the remaining usage counts on disk: %v", err)
 	}
 	copies.log = log
 }
 
-// close closes the log, after the goroutines have ended.
+// close closes the log. It is called after the goroutines have ended.
 func (copies *usageCopies) close() {
 	if copies.log != nil {
 		copies.log.Close()
 	}
 }
 
-// journal writes to the disk what was counted since the last time. Those that call it while
-// the disk is busy share the next write.
+// journal writes the counts since the last call to the disk. Concurrent calls share the next
+// write.
 func (copies *usageCopies) journal() error {
 	copies.logLock.Lock()
 	defer copies.logLock.Unlock()
@@ -81,12 +81,11 @@
 	return err
 }
 
-// journalUsage is the task of each core to keep the counts that it holds on its disk. What
-// the disk refuses is written the next time.
+// journalUsage writes this core's counts to its disk. After an error, the next call retries.
 func (core *Core) journalUsage() { _ = core.usageCopies.journal() }
 
-// copyUsage is the leader's task to give other cores what was counted since their last copy:
-// so many that with its own there are as many as a quorum.
+// copyUsage sends the leader's counts since the last copy to so many other cores that, with the
+// leader, a quorum has them.
 func (core *Core) copyUsage() {
 	if _, err := core.currentLeadership(); err != nil {
 		return
@@ -103,8 +102,8 @@
 	}
 }
 
-// preferred returns the cores in the order in which they are given copies: those that failed
-// come last, the longest ago first.
+// copyOrder returns the cores in the order in which they are sent copies: cores to which a copy
+// has failed come last, least recent failure first.
 func (copies *usageCopies) copyOrder(peers []message.Peer) []message.Peer {
 	copies.mutex.Lock()
 	defer copies.mutex.Unlock()
@@ -113,7 +112,7 @@
 	})
 }
 
-// sendTo copies what changed to a core and reports whether that core is up to date.
+// sendTo sends the changed counts to a core and reports whether that core is up to date.
 func (copies *usageCopies) sendTo(address string) bool {
 	core := copies.core
 	copies.mutex.Lock()
@@ -147,8 +146,8 @@
 	return true
 }
 
-// onCopyCounts takes a copy and answers once it is on the disk. A disk that refuses is no
-// reason to refuse the copy: it is in the memory of two cores then.
+// onCopyCounts records a copy and responds after the disk write. A failed write is no reason to
+// refuse the copy, which is then in the memory of two cores.
 func (core *Core) onCopyCounts(request *message.CopyCountsRequest) (*message.CopyCountsResponse, error) {
 	counts, err := message.DecodeCounts(request.Body)
 	if err != nil {
@@ -159,7 +158,7 @@
 	return &message.CopyCountsResponse{Process: core.windows.Process()}, nil
 }
 
-// onFetchCounts returns all counts that this core holds.
+// onFetchCounts returns all counts of this core.
 func (core *Core) onFetchCounts(*message.FetchCountsRequest) (*message.FetchCountsResponse, error) {
 	counts, _ := core.windows.ChangedSince(0)
 	body, err := message.EncodeCounts(counts)
@@ -169,8 +168,8 @@
 	return &message.FetchCountsResponse{Body: body}, nil
 }
 
-// fetchUsage is a new leader's task to fetch the counts that former leaders left at the
-// others, from each core once, whenever that is back.
+// fetchUsage fetches the counts of former leaders for a new leader: from each other core once, as
+// soon as that core is reachable.
 func (core *Core) fetchUsage() {
 	leadership, err := core.currentLeadership()
 	if err != nil {
@@ -182,7 +181,7 @@
 	}, func(*message.FetchCountsResponse) bool { return true }, waitForAll)
 }
 
-// fetchFrom fetches the counts of a core, unless that core gave them under the term already.
+// fetchFrom fetches the counts of a core, unless they have been fetched under the term.
 func (copies *usageCopies) fetchFrom(term message.Term, address string) (*message.FetchCountsResponse, error) {
 	if copies.hasFetched(term, address) {
 		return &message.FetchCountsResponse{}, nil
@@ -205,7 +204,8 @@
 	return response, nil
 }
 
-// hasFetched reports whether a core gave its counts under a term; a new term begins anew.
+// hasFetched reports whether a core's counts have been fetched under a term. A new term resets
+// this.
 func (copies *usageCopies) hasFetched(term message.Term, address string) bool {
 	copies.mutex.Lock()
 	defer copies.mutex.Unlock()
@@ -215,8 +215,8 @@
 	return copies.fetched[address]
 }
 
-// hasCounts reports whether a leadership holds what former leaders left: all other voters
-// gave their counts, or after a while so many that one of them got each copy.
+// hasFormerCounts reports whether a leadership has the counts of former leaders: all other voters
+// have sent theirs or, after takeoverDelay, so many that each copy was on one of them.
 func (copies *usageCopies) hasFormerCounts(leadership *Leadership) bool {
 	view := copies.core.membership()
 	missing := 0
--- a/control/usage_copies_test.go
+++ b/control/usage_copies_test.go
@@ -15,7 +15,7 @@
 	"orchidjunction/usage"
 )
 
-// slowDisk counts the syncs of files, each of which takes a while.
+// slowDisk counts file syncs and delays each of them.
 type slowDisk struct {
 	*testdisk.Disk
 	syncs atomic.Int64
@@ -37,9 +37,8 @@
 	return file.File.Sync()
 }
 
-// While no leader is there all daemons report to cores that answer once the counts are on
-// their disk. Those that come together share a write, so that the disk has time for the
-// election.
+// Without a leader, all daemons report to cores that respond once the counts are on disk.
+// Concurrent reports share a write, so that the disk has time for the election.
 func TestConcurrentCountsShareAWrite(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		disk := &slowDisk{Disk: testdisk.New()}
@@ -62,11 +61,11 @@
 		}
 		goroutines.Wait()
 		if took := time.Since(begin); took > 100*time.Millisecond || disk.syncs.Load() > 10 {
-			test.Errorf("%d syncs in %v for %d reports", disk.syncs.Load(), took, daemons)
+			test.Errorf("%d syncs in %v for %d reports, want at most 10 in 100 ms", disk.syncs.Load(), took, daemons)
 		}
 		reopened := usage.NewWindows()
 		if _, err := usage.OpenWindowLog(disk, reopened); err != nil || reopened.Sum(5)["a"] != daemons {
-			test.Errorf("%v, %v on the disk", err, reopened.Sum(5))
+			test.Errorf("error %v, counts on disk %v, want a=%d", err, reopened.Sum(5), daemons)
 		}
 	})
 }
--- a/control/usage_reports.go
+++ b/control/usage_reports.go
@@ -22,7 +22,7 @@
 	maxReportResponse  = 1 << 16
 )
 
-// onUsageCount takes the counts that a process tells at once, if this core leads.
+// onUsageCount records counts that a process reports between heartbeats, if this core leads.
 func (core *Core) onUsageCount(request *message.UsageCountRequest) (*message.UsageCountResponse, error) {
 	if _, err := core.currentLeadership(); err != nil {
 		return nil, err
@@ -31,8 +31,8 @@
 	return &message.UsageCountResponse{}, nil
 }
 
-// usageState returns this core's leadership and the state of its reports register, nil if
-// there is none to work on.
+// usageState returns this core's leadership and the decoded reports register, or nil if this core
+// does not lead or reports are not sent to the bundled platform.
 func (core *Core) usageState() (*Leadership, *usage.State) {
 	leadership, err := core.currentLeadership()
 	if err != nil || leadership.check() != nil || core.config.PlatformAddress == "" {
@@ -46,8 +46,7 @@
 	return leadership, state
 }
 
-// sealUsage is the leader's task to seal what was reported to it, and to end a period that is
-// over.
+// sealUsage seals new counts on the leader, and ends a period when it is over.
 func (core *Core) sealUsage() {
 	leadership, state := core.usageState()
 	if state == nil {
@@ -65,8 +64,8 @@
 	}
 }
 
-// writeUsage has a quorum accept the running counts, and with them the reports of an
-// ended period, before any is sent.
+// writeUsage writes the running counts, and the reports of an ended period, to the reports
+// register, before any report is sent.
 func (core *Core) writeUsage(leadership *Leadership, settings *config.Settings) error {
 	endsPeriod, now := core.usage.PeriodOver(leadership.term), time.Now()
 	_, err := leadership.write(message.ReportsRegister, func(current message.Value) (*proposal, error) {
@@ -91,8 +90,8 @@
 	return err
 }
 
-// deliverUsage is the leader's task to send what is sealed. A slow response holds up no
-// other report.
+// deliverUsage sends the leader's sealed reports concurrently: a slow response delays no other
+// report.
 func (core *Core) deliverUsage() {
 	_, state := core.usageState()
 	if state == nil {
@@ -137,7 +136,7 @@
 		return false
 	}
 	defer response.Body.Close()
-	// The status alone tells; the rest is read only to free the connection.
+	// Only the status matters; the body is read so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReportResponse))
 	return response.StatusCode >= 200 && response.StatusCode < 300
 }
--- a/control/window_reports.go
+++ b/control/window_reports.go
@@ -14,17 +14,17 @@
 	windowInterval = 250 * time.Millisecond
 	// windowTTL is how long after its end a window may still be reported.
 	windowTTL = 30 * time.Second
-	// windowSilence is for how long at least a silent process is waited for.
+	// silentProcessTimeout is the minimum time to wait for a silent process.
 	silentProcessTimeout = 2 * time.Second
-	// takeoverDelay is how long processes have to tell a new leader what they counted.
+	// takeoverDelay is the time that processes have to report their counts to a new leader.
 	takeoverDelay       = 1500 * time.Millisecond
 	reportRetryInterval = time.Second
 )
 
-// Metering is how requests are counted by windows of true time, window k from k times
-// Window after the Unix epoch, and to whom the counts are reported. A window is sealed
-// SettleAfter after its end, or up to SettleLatest after it while a daemon that counted
-// is silent. A Report must end well before TakeoverQuiet is over.
+// Metering configures how requests are counted by windows of true time, and where the counts are
+// reported. Window k starts k times Window after the Unix epoch. A window is sealed SettleAfter
+// after its end, or up to SettleLatest after it while a daemon that counted is silent. A call of
+// Report must end well within TakeoverQuiet, the time before a former holder may report again.
 type Metering struct {
 	Window        time.Duration
 	SettleAfter   time.Duration
@@ -33,8 +33,8 @@
 	Report        func(WindowReport) ReportResult
 }
 
-// WindowReport is one sealed window as its holder reports it. Fence is a fencing token:
-// it rises with each leadership.
+// WindowReport is the report of one sealed window. Holder is the reporting core, and Fence a
+// fencing token that increases with each leadership.
 type WindowReport struct {
 	Window  int64
 	Tenants map[string]uint64
@@ -42,17 +42,17 @@
 	Fence   uint64
 }
 
-// ReportResult is what became of a report.
+// ReportResult is the outcome of a report.
 type ReportResult int
 
-// The results: to be sent again, accepted, or refused because a newer leadership reports.
+// Outcomes of a report: send it again, accepted, or refused because a newer leadership reports.
 const (
 	ReportRetry ReportResult = iota
 	ReportAccepted
 	ReportFenced
 )
 
-// reporting is when and under which term this process reported windows. It is safe for
+// reportingState records when and under which term this process reported windows. It is safe for
 // concurrent use.
 type reportingState struct {
 	mutex        sync.Mutex
@@ -69,7 +69,7 @@
 	return reporting.fencedTerm == term
 }
 
-// record notes a report of a term.
+// record stores the time, term and result of a report.
 func (reporting *reportingState) record(term message.Term, result ReportResult) {
 	reporting.mutex.Lock()
 	defer reporting.mutex.Unlock()
@@ -79,8 +79,8 @@
 	}
 }
 
-// isQuiet reports whether what this process reported under a former term, or another
-// process of this core might have, is longer ago than a time.
+// isQuiet reports whether, for the given time, this process has reported nothing under a former
+// term and no former process of this core can have reported.
 func (reporting *reportingState) isQuiet(term message.Term, quiet time.Duration) bool {
 	reporting.mutex.Lock()
 	defer reporting.mutex.Unlock()
@@ -88,8 +88,8 @@
 	return time.Since(reporting.startedAt) >= quiet && !isRecent
 }
 
-// onWindowCounts takes what a process reports between two heartbeats. A core that does not
-// lead keeps it on its disk for the next leader, which asks for it.
+// onWindowCounts records the counts that a process reports between two heartbeats. A core that
+// does not lead writes them to its disk for the next leader to fetch.
 func (core *Core) onWindowCounts(request *message.WindowCountsRequest) (*message.WindowCountsResponse, error) {
 	core.windows.AddBetween(request)
 	core.rolloutReports.add(request.Incarnation, request.NowMs, 0, request.RolloutCounts)
@@ -101,8 +101,8 @@
 	return &message.WindowCountsResponse{Process: core.windows.Process()}, nil
 }
 
-// windowState returns this core's leadership and the state of its reports register, nil
-// if there is none to work on.
+// windowState returns this core's leadership and the decoded reports register, or nil if this
+// core does not lead, is fenced or has no routing.
 func (core *Core) windowState() (*Leadership, *usage.WindowState) {
 	leadership, err := core.currentLeadership()
 	if err != nil || leadership.check() != nil {
@@ -119,15 +119,15 @@
 	return leadership, state
 }
 
-// mayReport reports whether a former holder's reports are long past, so that holders
-// never alternate within that time.
+// mayReport reports whether this core has reported nothing under a former term for TakeoverQuiet,
+// so that two holders never alternate within that time.
 func (core *Core) mayReport(leadership *Leadership) bool {
 	quiet := core.config.Metering.TakeoverQuiet
 	return time.Since(leadership.startedAt) >= quiet || core.reporting.isQuiet(leadership.term, quiet)
 }
 
-// firstWindow returns the window that counting begins with: the present one or, under a
-// routing that a former leadership wrote, the one before.
+// firstWindow returns the window with which counting starts: the present one or, if the routing
+// was written by a former leadership, the one before.
 func (leadership *Leadership) firstWindow(present int64) int64 {
 	if leadership.inherited[message.RoutingRegister] > 0 {
 		return present - 1
@@ -135,8 +135,8 @@
 	return present
 }
 
-// sealWindows is the leader's task to have a quorum accept the counts of ended windows
-// before anybody hears of them.
+// sealWindows writes the counts of ended windows to the reports register on the leader, before
+// any of them is reported.
 func (core *Core) sealWindows() {
 	if !core.clockTrusted() {
 		return
@@ -167,7 +167,7 @@
 	core.counters.Add("windows_sealed", uint64(len(sealed)))
 }
 
-// writeWindows writes sealed windows, unless the state is not at the window from any more.
+// writeWindows writes sealed windows if the register's next window is still expectedNext.
 func (core *Core) writeWindows(leadership *Leadership, expectedNext, next int64, sealed []usage.SealedWindow) error {
 	_, err := leadership.write(message.ReportsRegister, func(current message.Value) (*proposal, error) {
 		state, err := usage.DecodeWindowState(current)
@@ -184,8 +184,8 @@
 	return err
 }
 
-// windowSettled reports whether a window's counts are in: it ended a while ago, and who
-// counted has reported since or had the time to, also to a new leader.
+// windowSettled reports whether a window's counts are complete: it has ended long enough ago, and
+// every process that counted has reported since or had time to, also to a new leader.
 func (core *Core) windowSettled(leadership *Leadership, window, now int64) bool {
 	config := core.config.Metering
 	end := (window + 1) * config.Window.Milliseconds()
@@ -201,8 +201,8 @@
 	return sinceEnd >= latest && time.Since(leadership.startedAt) >= takeoverDelay
 }
 
-// reportWindows is the leader's task to report what is sealed, the oldest first, each
-// only after a heartbeat that a quorum accepted since: another core may have taken its place.
+// reportWindows reports the leader's sealed windows, oldest first. The leadership is confirmed
+// before each report, since another core may have become leader.
 func (core *Core) reportWindows() {
 	leadership, state := core.windowState()
 	if state == nil || !core.mayReport(leadership) {
@@ -219,7 +219,7 @@
 	}
 }
 
-// reportWindow reports one window and returns whether the next one may follow.
+// reportWindow reports one window and returns whether the next one may be reported.
 func (core *Core) reportWindow(leadership *Leadership, sealed usage.SealedWindow) bool {
 	result := core.config.Metering.Report(WindowReport{
 		Window:  sealed.Window,
@@ -242,7 +242,7 @@
 	return false
 }
 
-// fencingToken returns a number that rises with each leadership and that no two share.
+// fencingToken returns a number that increases with each leadership and is unique to it.
 func fencingToken(term message.Term) uint64 {
 	return term.Number*(message.MaxPeerID+1) + uint64(term.Core)
 }
