--- a/control/stored_test.go
+++ b/control/stored_test.go
@@ -20,11 +20,11 @@
 	"orchidjunction/usage"
 )
 
-var updateGolden = flag.Bool("update-stored", false, "write the descriptions of testdata/stored anew")
+var updateGolden = flag.Bool("update-stored", false, "regenerate the descriptions in testdata/stored")
 
 const storedDataFolder = "testdata/stored"
 
-// copyOf is a folder's files in a new folder, which a test may change.
+// copyFolder copies a folder's files to a new folder that a test may modify.
 func copyFolder(test *testing.T, folder string) storage.Folder {
 	test.Helper()
 	copied := test.TempDir()
@@ -37,7 +37,7 @@
 func describeStore(text *bytes.Buffer, state *consensus.State) {
 	fmt.Fprintf(
 		text,
-		"founded %v, opening %v, promised %d.%d\n",
+		"initialized %v, since bootstrap %v, promised %d.%d\n",
 		state.Initialized,
 		state.SinceBootstrap,
 		state.Promised.Number,
@@ -46,7 +46,7 @@
 	for register, accepted := range state.Accepted {
 		fmt.Fprintf(
 			text,
-			"register %d: serial %d under %d.%d, body %x, %d parts, committed %d\n",
+			"register %d: serial %d under %d.%d, body %x, %d chunks, committed %d\n",
 			register,
 			accepted.Value.Serial,
 			accepted.Term.Number,
@@ -56,7 +56,7 @@
 			state.Committed[register].Serial,
 		)
 		for _, ref := range accepted.Value.Chunks {
-			fmt.Fprintf(text, "  part %s %x, %d bytes\n", ref.Path, ref.Digest, len(state.Chunks[ref.Digest]))
+			fmt.Fprintf(text, "  chunk %s %x, %d bytes\n", ref.Path, ref.Digest, len(state.Chunks[ref.Digest]))
 		}
 	}
 	if membership := state.Membership(); membership != nil {
@@ -99,7 +99,7 @@
 	}
 	fmt.Fprintf(
 		text,
-		"routing %d: %d routes, %d services, evacuated %v, %d reopened\n",
+		"routing %d: %d routes, %d services, evacuated %v, %d restored\n",
 		stored.Config.Version,
 		len(stored.Config.Routes),
 		len(stored.Config.Services),
@@ -127,7 +127,7 @@
 	return formatted
 }
 
-// describeReports reads the reports register as sums by tenants, or else as windows.
+// describeReports describes the reports register, either as sums by tenant or as windows.
 func describeReports(test *testing.T, text *bytes.Buffer, state *consensus.State) {
 	value := state.Accepted[message.ReportsRegister].Value
 	sums := &usage.State{}
@@ -162,7 +162,7 @@
 	}
 }
 
-// completeAs is the voter that lacks no claim, 0 for none.
+// completeVoter returns the voter for which the log is complete, 0 for none.
 func completeVoter(log *idempotency.Log) int {
 	for id := range 100 {
 		if log.CompleteFor(id) {
@@ -181,7 +181,7 @@
 	claims, last, done := log.Store().Page(0, 1<<20)
 	fmt.Fprintf(
 		text,
-		"claims: %d, last %d, done %v, whole as %d, membership %d\n",
+		"claims: %d, last %d, done %v, complete for %d, membership %d\n",
 		len(claims),
 		last,
 		done,
@@ -205,7 +205,7 @@
 	}
 }
 
-// describe opens a core's data folder and says all that is in it.
+// describe opens a core's data folder and describes everything in it.
 func describe(test *testing.T, disk storage.Disk) string {
 	test.Helper()
 	store, err := replica.OpenStore(disk)
@@ -222,10 +222,10 @@
 	return text.String()
 }
 
-// Folders that the release of December 2026 wrote are read as that release read them,
-// and once more after this one has written its own snapshot: a leader's, a follower's,
-// one whose power was lost, a learner's, a replaced core's and its replacement's, one
-// with a snapshot, and one whose last step is torn.
+// Data folders written by the release of December 2026 are read as that release read them, and
+// again after this release has written its own snapshot. They are from a leader, a follower, a
+// core that lost power, a learner, a replaced core and its replacement, a core with a snapshot,
+// and one whose last record is torn.
 func TestStoredDataStaysReadable(test *testing.T) {
 	entries, err := os.ReadDir(storedDataFolder)
 	if err != nil {
@@ -250,10 +250,10 @@
 			test.Fatal(err)
 		}
 		if got != string(want) {
-			test.Errorf("%s is read as\n%s\nwant\n%s", entry.Name(), got, want)
+			test.Errorf("folder %s is read as\n%s\nwant\n%s", entry.Name(), got, want)
 		}
 		if again := describe(test, disk); again != string(want) {
-			test.Errorf("%s is read the second time as\n%s\nwant\n%s", entry.Name(), again, want)
+			test.Errorf("folder %s is read the second time as\n%s\nwant\n%s", entry.Name(), again, want)
 		}
 	}
 	if folders != 7 {
