--- a/control/claims.go
+++ b/control/claims.go
@@ -135,7 +135,6 @@
 	complete bool
 }
 
-// fetchClaimsFromVoters fetches the claims of the other voters.
 func (core *Core) fetchClaimsFromVoters(view *consensus.View) claimFetchSummary {
 	peers := []message.Peer{}
 	for _, peer := range view.Voters {
--- a/control/config.go
+++ b/control/config.go
@@ -94,7 +94,6 @@
 	return config
 }
 
-// setDefault sets a zero value to a default.
 func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
--- a/control/gauges.go
+++ b/control/gauges.go
@@ -6,7 +6,6 @@
 	"orchidjunction/message"
 )
 
-// registerGauges registers a core's gauges.
 func (core *Core) registerGauges() {
 	gauge := core.counters.Gauge
 	gauge("leading", func() float64 {
@@ -45,7 +44,6 @@
 	gauge("usage_window_age_seconds", core.oldestWindowAge)
 }
 
-// committedSerialOf returns the serial of a register's committed value.
 func (core *Core) committedSerialOf(register message.Register) uint64 {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -18,7 +18,6 @@
 	state  *rollout.State
 }
 
-// get returns the decoded content of a value.
 func (cache *rolloutsCache) get(value message.Value) (*rollout.State, error) {
 	cache.mutex.Lock()
 	defer cache.mutex.Unlock()
@@ -139,7 +138,6 @@
 	return current.Order(order, leadership.core.Now())
 }
 
-// hasService reports whether the routing contains a service.
 func (leadership *Leadership) hasService(name string) bool {
 	for _, service := range leadership.currentRouting().Config.Services {
 		if service.Name == name {
--- a/control/settings.go
+++ b/control/settings.go
@@ -102,7 +102,6 @@
 	return nil, nil
 }
 
-// applyChange returns the content after a change.
 func (leadership *Leadership) applyChange(
 	request *message.ChangeRequest,
 	current *settingsContent,
--- a/control/table.go
+++ b/control/table.go
@@ -103,7 +103,6 @@
 	}
 }
 
-// nextTable returns the table that follows a former one.
 func (core *Core) nextTable(leadership *Leadership, former *message.Table, sessions []trackedSession) *message.Table {
 	next := &message.Table{
 		Version:  message.TableVersion{Term: leadership.term, Number: 1},
--- a/control/usage_copies.go
+++ b/control/usage_copies.go
@@ -158,7 +158,6 @@
 	return &message.CopyCountsResponse{Process: core.windows.Process()}, nil
 }
 
-// onFetchCounts returns all counts of this core.
 func (core *Core) onFetchCounts(*message.FetchCountsRequest) (*message.FetchCountsResponse, error) {
 	counts, _ := core.windows.ChangedSince(0)
 	body, err := message.EncodeCounts(counts)
