--- a/control/claims.go
+++ b/control/claims.go
@@ -18,19 +18,19 @@
 	fetchClaimsTimeout  = 2 * time.Second
 )
 
-// recordClaims records claims under the newest membership known.
+// recordClaims records claims under the newest known membership.
 func (core *Core) recordClaims(request *message.RecordClaimsRequest) (*idempotency.Write, error) {
 	write := &idempotency.Write{Request: request, Membership: core.membership().Accepted()}
 	return write, core.claims.Submit(write)
 }
 
-// onRecordClaims records claims under the newest membership known and returns that one:
-// the sender counts no answers that were given under other voters.
+// onRecordClaims records claims under the newest known membership and returns that membership:
+// the sender ignores responses given under other voters.
 func (core *Core) onRecordClaims(request *message.RecordClaimsRequest) (*message.RecordClaimsResponse, error) {
 	core.learnMembership(request.Membership)
 	view := core.membership()
 	known := view.Accepted()
-	response := &message.RecordClaimsResponse{Core: view.ID, Membership: unlessSame(request.Membership, known), Refused: true}
+	response := &message.RecordClaimsResponse{Core: view.ID, Membership: membershipIfDifferent(request.Membership, known), Refused: true}
 	if !view.Votes() {
 		core.counters.Add("claims_refused_without_vote", 1)
 		return response, nil
@@ -49,37 +49,38 @@
 	return response, nil
 }
 
-// unlessSame returns the known membership if its version is not the sender's.
-func unlessSame(sent, known message.AcceptedValue) message.AcceptedValue {
+// membershipIfDifferent returns the known membership if its version differs from that of the sent
+// one.
+func membershipIfDifferent(sent, known message.AcceptedValue) message.AcceptedValue {
 	if sent.Version() == known.Version() {
 		return message.AcceptedValue{}
 	}
 	return known
 }
 
-// claimsComplete reports whether this core votes, not only joins, and lacks no claim.
+// claimsComplete reports whether this core is a voter, not only joining, and lacks no claim.
 func (core *Core) claimsComplete(view *consensus.View) bool {
 	return consensus.ContainsPeer(view.Voters, view.ID) && core.claims.CompleteFor(view.ID)
 }
 
-// onFetchClaims returns a page of claims. Before the first one this core notes, on disk,
-// the newest membership: from then on it records nothing that is counted by an older one
-// with other voters, so that nothing the sender should hold comes here unknown to it.
+// onFetchClaims returns a page of claims. Before the first page, it records the newest membership
+// on disk. From then on this core records no claims under an older membership with other voters:
+// the sender would not learn of those.
 func (core *Core) onFetchClaims(request *message.FetchClaimsRequest) (*message.FetchClaimsResponse, error) {
 	core.learnMembership(request.Membership)
 	view := core.membership()
 	known := view.Accepted()
 	if request.After == 0 && view.Known() {
-		fence := &idempotency.Write{Request: &message.RecordClaimsRequest{}, Membership: known}
-		if err := core.claims.Submit(fence); err != nil {
+		barrier := &idempotency.Write{Request: &message.RecordClaimsRequest{}, Membership: known}
+		if err := core.claims.Submit(barrier); err != nil {
 			return nil, err
 		}
-		if fence.Refused {
-			return nil, rpc.Errorf(rpc.NotReady, "membership %v is no more", known.Version())
+		if barrier.Refused {
+			return nil, rpc.Errorf(rpc.NotReady, "membership %v has been superseded", known.Version())
 		}
 	}
 	response := &message.FetchClaimsResponse{
-		Membership: unlessSame(request.Membership, known),
+		Membership: membershipIfDifferent(request.Membership, known),
 		Core:       view.ID,
 		Complete:   core.claimsComplete(view),
 	}
@@ -87,9 +88,9 @@
 	return response, nil
 }
 
-// repairClaims is the task of a voter that lacks claims, since its disk was lost or it
-// took another voter's place: those of so many voters that lack none that no quorum is
-// missed complete its own. Of n voters that takes n - majority + 1.
+// repairClaims completes the claims of a voter that lacks some, because its disk was lost or it
+// replaced another voter. It fetches them from so many complete voters that every quorum includes
+// at least one of them: n - majority + 1 of n voters.
 func (core *Core) repairClaims() {
 	if current, err := core.committedContent(); err == nil && current.serial > 0 {
 		core.claims.Store().SetTTL(current.tree.Settings.KeyTTL())
@@ -120,67 +121,66 @@
 	}
 }
 
-// fetchCount is how many voters were asked for their claims, how many of them record
-// nothing under older memberships any more, and from how many all claims were fetched.
-type fetchCount struct {
+// claimFetchSummary counts the voters that were asked for their claims, those that no longer
+// record claims under older memberships, and those whose claims were all fetched.
+type claimFetchSummary struct {
 	asked    int
 	fenced   int
 	complete int
 }
 
-// fetchResult is what came of fetching one core's claims.
-type fetchResult struct {
+// claimFetchResult is the outcome of fetching one core's claims.
+type claimFetchResult struct {
 	fenced   bool
 	complete bool
 }
 
-// fetchClaimsFromVoters fetches the claims of the other voters.
-func (core *Core) fetchClaimsFromVoters(view *consensus.View) fetchCount {
+func (core *Core) fetchClaimsFromVoters(view *consensus.View) claimFetchSummary {
 	peers := []message.Peer{}
 	for _, peer := range view.Voters {
 		if peer.ID != view.ID {
 			peers = append(peers, peer)
 		}
 	}
-	results, _ := concurrent.Gather(core.goroutines, len(peers), func(index int) (fetchResult, error) {
+	results, _ := concurrent.Gather(core.goroutines, len(peers), func(index int) (claimFetchResult, error) {
 		return core.fetchClaims(view, peers[index])
-	}, func(map[int]fetchResult, map[int]error) bool { return false })
-	count := fetchCount{asked: len(peers)}
+	}, func(map[int]claimFetchResult, map[int]error) bool { return false })
+	counts := claimFetchSummary{asked: len(peers)}
 	for _, result := range results {
 		if result.fenced {
-			count.fenced++
+			counts.fenced++
 		}
 		if result.complete {
-			count.complete++
+			counts.complete++
 		}
 	}
-	return count
+	return counts
 }
 
 // fetchClaims fetches all claims of another core, page by page, and records them here.
-func (core *Core) fetchClaims(view *consensus.View, peer message.Peer) (fetchResult, error) {
+func (core *Core) fetchClaims(view *consensus.View, peer message.Peer) (claimFetchResult, error) {
 	membership := view.Accepted()
 	for after := uint64(0); ; {
 		request := &message.FetchClaimsRequest{After: after, Membership: membership}
 		response, err := rpc.Call(core.client, peer.Address, message.MethodFetchClaims, fetchClaimsTimeout, request)
 		if err != nil {
-			return fetchResult{}, err
+			return claimFetchResult{}, err
 		}
 		core.learnMembership(response.Membership)
 		if message.Supersedes(response.Membership, membership) || response.Core != peer.ID {
-			return fetchResult{}, rpc.Errorf(rpc.NotReady, "core at %s counts by other voters", peer.Address)
+			return claimFetchResult{}, rpc.Errorf(rpc.NotReady, "core at %s has a newer membership or another ID", peer.Address)
 		}
 		if err := core.mergeClaims(response.Claims); err != nil {
-			return fetchResult{}, err
+			return claimFetchResult{}, err
 		}
 		if !response.Complete || response.Done {
-			return fetchResult{fenced: true, complete: response.Complete}, nil
+			return claimFetchResult{fenced: true, complete: response.Complete}, nil
 		}
 		after = response.Last
 	}
 }
 
-// mergeClaims records another core's claims, as many at a time as one message may hold.
+// mergeClaims records another core's claims in batches of the maximum message size.
 func (core *Core) mergeClaims(claims []message.ClaimRecord) error {
 	for len(claims) > 0 {
 		count := min(len(claims), message.MaxClaimsPerMessage)
@@ -189,7 +189,7 @@
 			return err
 		}
 		if write.Refused {
-			return rpc.Errorf(rpc.NotReady, "the membership changed meanwhile")
+			return rpc.Errorf(rpc.NotReady, "membership changed while claims were being merged")
 		}
 		claims = claims[count:]
 	}
--- a/control/content.go
+++ b/control/content.go
@@ -10,29 +10,28 @@
 )
 
 const (
-	// historyGroup is how many serials one chunk of the history spans, and
-	// maxHistoryGroups how many such chunks are kept.
-	historyGroup     = 16
-	maxHistoryGroups = 32
-	historyPrefix    = "trail/"
+	// The history is split into chunks of serialsPerHistoryChunk serials, of which the newest
+	// maxHistoryChunks are kept.
+	serialsPerHistoryChunk = 16
+	maxHistoryChunks       = 32
+	historyPathPrefix      = "trail/"
 )
 
-// content is the content of the settings register: the tree of settings and the history
-// of changes. Both are sent and stored as chunks. It is immutable but for chunks.
-type content struct {
+// settingsContent is the content of the settings register: the tree of settings and the history
+// of changes, both sent and stored as chunks. It is immutable except for chunks.
+type settingsContent struct {
 	serial  uint64
 	tree    *config.Tree
 	history []message.HistoryEntry
 	chunks  message.Chunks
 }
 
-// next returns the content after a change, with the older entries of the history dropped
-// by whole chunks.
-func (current *content) next(tree *config.Tree, entry message.HistoryEntry) *content {
-	next := &content{serial: entry.Serial, tree: tree, chunks: message.Chunks{}}
+// next returns the content after a change. Old history is dropped by whole chunks.
+func (current *settingsContent) next(tree *config.Tree, entry message.HistoryEntry) *settingsContent {
+	next := &settingsContent{serial: entry.Serial, tree: tree, chunks: message.Chunks{}}
 	oldest := uint64(0)
-	if group := entry.Serial / historyGroup; group >= maxHistoryGroups {
-		oldest = (group - maxHistoryGroups + 1) * historyGroup
+	if group := entry.Serial / serialsPerHistoryChunk; group >= maxHistoryChunks {
+		oldest = (group - maxHistoryChunks + 1) * serialsPerHistoryChunk
 	}
 	for _, former := range current.history {
 		if former.Serial >= oldest {
@@ -43,9 +42,9 @@
 	return next
 }
 
-// value returns the register's value: the references of the chunks that make the content
-// up. It adds their texts to the content's chunks.
-func (current *content) value() message.Value {
+// value returns the register's value, which is the references to the chunks of the content. It
+// adds their texts to the content's chunks.
+func (current *settingsContent) value() message.Value {
 	value := message.Value{Serial: current.serial}
 	if current.tree != nil {
 		value.Chunks = append(value.Chunks, current.tree.Refs...)
@@ -56,40 +55,41 @@
 	return current.addHistory(value)
 }
 
-// addHistory adds the references of the history to a value.
-func (current *content) addHistory(value message.Value) message.Value {
+// addHistory adds the references to the history's chunks to a value, and the texts to the
+// content's chunks.
+func (current *settingsContent) addHistory(value message.Value) message.Value {
 	groups := map[uint64][]message.HistoryEntry{}
 	order := []uint64{}
 	for _, entry := range current.history {
-		group := entry.Serial / historyGroup
+		group := entry.Serial / serialsPerHistoryChunk
 		if groups[group] == nil {
 			order = append(order, group)
 		}
 		groups[group] = append(groups[group], entry)
 	}
 	for _, group := range order {
-		text, _ := rpc.Marshal(groups[group]) // structures of numbers and texts are always encoded
+		text, _ := rpc.Marshal(groups[group]) // cannot fail: entries contain only numbers and strings
 		digest := message.DigestOf(text)
-		value.Chunks = append(value.Chunks, message.ChunkRef{Path: fmt.Sprintf("%s%016d", historyPrefix, group), Digest: digest})
+		value.Chunks = append(value.Chunks, message.ChunkRef{Path: fmt.Sprintf("%s%016d", historyPathPrefix, group), Digest: digest})
 		current.chunks[digest] = text
 	}
 	return value
 }
 
-// readContent returns the content of a value whose chunks are all given. Chunks that the
-// former content has too are not parsed again.
-func readContent(former *content, value message.Value, chunks message.Chunks) (*content, error) {
+// decodeContent returns the content of a value whose chunks are all given. Chunks that the former
+// content also has are not parsed again.
+func decodeContent(former *settingsContent, value message.Value, chunks message.Chunks) (*settingsContent, error) {
 	if value.Serial == 0 {
-		return &content{}, nil
+		return &settingsContent{}, nil
 	}
-	current := &content{serial: value.Serial, chunks: make(message.Chunks, len(value.Chunks))}
+	current := &settingsContent{serial: value.Serial, chunks: make(message.Chunks, len(value.Chunks))}
 	for _, ref := range value.Chunks {
 		text, found := chunks[ref.Digest]
 		if !found {
 			return nil, rpc.Errorf(rpc.CorruptChunk, "chunk %s of serial %d is missing", ref.Path, value.Serial)
 		}
 		current.chunks[ref.Digest] = text
-		if !isHistory(ref) {
+		if !isHistoryRef(ref) {
 			continue
 		}
 		entries := []message.HistoryEntry{}
@@ -102,27 +102,27 @@
 	if former != nil {
 		formerTree = former.tree
 	}
-	tree, err := config.Assemble(formerTree, treeChunks(value.Chunks), current.chunks)
+	tree, err := config.Assemble(formerTree, settingsRefs(value.Chunks), current.chunks)
 	current.tree = tree
 	return current, err
 }
 
-func isHistory(ref message.ChunkRef) bool {
-	return len(ref.Path) > len(historyPrefix) && strings.HasPrefix(ref.Path, historyPrefix)
+func isHistoryRef(ref message.ChunkRef) bool {
+	return len(ref.Path) > len(historyPathPrefix) && strings.HasPrefix(ref.Path, historyPathPrefix)
 }
 
-// treeChunks returns the references of the settings, without those of the history.
-func treeChunks(refs []message.ChunkRef) []message.ChunkRef {
+// settingsRefs returns the references to the settings' chunks, without those of the history.
+func settingsRefs(refs []message.ChunkRef) []message.ChunkRef {
 	for index, ref := range refs {
-		if isHistory(ref) {
+		if isHistoryRef(ref) {
 			return refs[:index]
 		}
 	}
 	return refs
 }
 
-// newChunks returns the texts of those chunks of a value that a former value lacks.
-func newChunks(value, former message.Value, chunks message.Chunks) message.Chunks {
+// addedChunks returns the texts of the chunks of a value that a former value does not have.
+func addedChunks(value, former message.Value, chunks message.Chunks) message.Chunks {
 	isKnown := map[string]bool{}
 	for _, ref := range former.Chunks {
 		isKnown[ref.Digest] = true
@@ -136,8 +136,8 @@
 	return added
 }
 
-// committedContent returns the committed settings, parsed at most once.
-func (core *Core) committedContent() (*content, error) {
+// committedContent returns the committed settings. Each version is decoded at most once.
+func (core *Core) committedContent() (*settingsContent, error) {
 	core.contentLock.Lock()
 	defer core.contentLock.Unlock()
 	core.mutex.Lock()
@@ -146,7 +146,7 @@
 	if former != nil && former.serial == value.Serial {
 		return former, nil
 	}
-	current, err := readContent(former, value, chunks)
+	current, err := decodeContent(former, value, chunks)
 	if err != nil {
 		core.counters.Add("contents_unreadable", 1)
 		return nil, err
@@ -157,7 +157,8 @@
 	return current, nil
 }
 
-// onFetchChunks returns the chunks that this core has accepted or knows as committed.
+// onFetchChunks returns those of the requested chunks that this core has accepted or knows as
+// committed.
 func (core *Core) onFetchChunks(request *message.FetchChunksRequest) (*message.FetchChunksResponse, error) {
 	accepted := core.replica.State().Chunks
 	core.mutex.Lock()
@@ -174,9 +175,9 @@
 	return response, nil
 }
 
-// gatherChunks returns the chunks of a value: those known, and the others from the core
+// collectChunks returns the chunks of a value. Those that are not known are fetched from the core
 // at an address.
-func (core *Core) gatherChunks(address string, value message.Value, known message.Chunks) (message.Chunks, error) {
+func (core *Core) collectChunks(address string, value message.Value, known message.Chunks) (message.Chunks, error) {
 	chunks := message.Chunks{}
 	for _, ref := range value.Chunks {
 		if text, found := known[ref.Digest]; found {
--- a/control/probe_hints.go
+++ b/control/probe_hints.go
@@ -8,22 +8,22 @@
 	"orchidjunction/message"
 )
 
-// probeHintInterval is how often one backend's hint rises at most.
+// probeHintInterval is the minimum time between two increases of a backend's hint.
 const probeHintInterval = 500 * time.Millisecond
 
-// ProbeHints counts for each backend how often some proxy found it changed. The count
-// goes out with the table, and each proxy then probes the backend itself at once: all
-// that is shared is that there is something to see. It is safe for concurrent use.
+// ProbeHints counts for each backend how often a proxy found its state changed. Proxies get the
+// count with the table and probe the backend immediately when it increases. Only the fact that
+// something changed is shared, not the state. ProbeHints is safe for concurrent use.
 type ProbeHints struct {
-	mutex     sync.Mutex
-	findings  map[string]map[string]finding // by backend, then by proxy
-	known     map[string]finding
-	counts    map[string]uint64
-	changedAt map[string]time.Time
+	mutex    sync.Mutex
+	states   map[string]map[string]probeState // by backend, then by proxy
+	newest   map[string]probeState
+	counts   map[string]uint64
+	raisedAt map[string]time.Time
 }
 
-// finding is what of a probe makes a difference to where requests go.
-type finding struct {
+// probeState is the part of a probe's result that affects routing.
+type probeState struct {
 	incarnation string
 	healthy     bool
 	leaving     bool
@@ -32,44 +32,44 @@
 
 func newProbeHints() *ProbeHints {
 	return &ProbeHints{
-		findings:  map[string]map[string]finding{},
-		known:     map[string]finding{},
-		counts:    map[string]uint64{},
-		changedAt: map[string]time.Time{},
+		states:   map[string]map[string]probeState{},
+		newest:   map[string]probeState{},
+		counts:   map[string]uint64{},
+		raisedAt: map[string]time.Time{},
 	}
 }
 
-// observe raises the hints of backends of which a session has a finding that is new to
-// its proxy and to everybody.
+// observe increases the hints of the backends for which a session reports a state that is new
+// both for its proxy and among all proxies.
 func (hints *ProbeHints) observe(session *message.Session) {
 	hints.mutex.Lock()
 	defer hints.mutex.Unlock()
 	for _, probe := range session.Probes {
-		found := finding{incarnation: probe.Incarnation, healthy: probe.Healthy, leaving: probe.Leaving, warmingUp: probe.WarmingUp}
-		hints.observeFinding(session.Member.Name, probe.Backend, found)
+		state := probeState{incarnation: probe.Incarnation, healthy: probe.Healthy, leaving: probe.Leaving, warmingUp: probe.WarmingUp}
+		hints.observeState(session.Member.Name, probe.Backend, state)
 	}
 }
 
-func (hints *ProbeHints) observeFinding(proxy, backend string, found finding) {
-	byProxy := hints.findings[backend]
-	if byProxy == nil {
-		byProxy = map[string]finding{}
-		hints.findings[backend] = byProxy
+func (hints *ProbeHints) observeState(proxy, backend string, state probeState) {
+	states := hints.states[backend]
+	if states == nil {
+		states = map[string]probeState{}
+		hints.states[backend] = states
 	}
-	former, hasFormer := byProxy[proxy]
-	isNew := hasFormer && former != found && hints.known[backend] != found
-	if isNew && time.Since(hints.changedAt[backend]) < probeHintInterval {
-		return // it is new again with the next session
+	former, hasFormer := states[proxy]
+	isNew := hasFormer && former != state && hints.newest[backend] != state
+	if isNew && time.Since(hints.raisedAt[backend]) < probeHintInterval {
+		return // the next session reports it again
 	}
-	byProxy[proxy] = found
+	states[proxy] = state
 	if isNew {
-		hints.known[backend], hints.changedAt[backend] = found, time.Now()
+		hints.newest[backend], hints.raisedAt[backend] = state, time.Now()
 		hints.counts[backend]++
 	}
 }
 
-// apply returns the backends with their hints, which never fall below those of a former
-// table. It returns the same slice if all have them already.
+// apply returns the backends with their hints, which never fall below those of the former table.
+// It returns the same slice if all hints are already set.
 func (hints *ProbeHints) apply(backends, former []message.Backend) []message.Backend {
 	hints.mutex.Lock()
 	defer hints.mutex.Unlock()
@@ -89,24 +89,24 @@
 		}
 		hinted[index].ProbeHint = count
 	}
-	hints.forgetUnlisted(backends)
+	hints.removeUnlisted(backends)
 	return hinted
 }
 
-// forgetUnlisted drops the findings of backends that are gone. Their counts stay.
-func (hints *ProbeHints) forgetUnlisted(backends []message.Backend) {
-	if len(hints.findings) == 0 {
+// removeUnlisted drops the states of backends that are no longer listed. Their counts are kept.
+func (hints *ProbeHints) removeUnlisted(backends []message.Backend) {
+	if len(hints.states) == 0 {
 		return
 	}
 	isListed := make(map[string]bool, len(backends))
 	for index := range backends {
 		isListed[backends[index].Name] = true
 	}
-	for name := range hints.findings {
+	for name := range hints.states {
 		if !isListed[name] {
-			delete(hints.findings, name)
-			delete(hints.known, name)
-			delete(hints.changedAt, name)
+			delete(hints.states, name)
+			delete(hints.newest, name)
+			delete(hints.raisedAt, name)
 		}
 	}
 }
--- a/control/rollout_decisions.go
+++ b/control/rollout_decisions.go
@@ -12,11 +12,11 @@
 	"orchidjunction/rpc"
 )
 
-// decideInterval is how often the leader decides on active roll-outs.
-const decideInterval = 150 * time.Millisecond
+// rolloutDecisionInterval is the time between two of the leader's decisions on active rollouts.
+const rolloutDecisionInterval = 150 * time.Millisecond
 
-// decideRollouts is the leader's task to take the next decision on each active roll-out, and
-// to note at which version each service is.
+// decideRollouts takes the leader's next decision on each active rollout, and records the current
+// version of each service.
 func (core *Core) decideRollouts() {
 	leadership, err := core.currentLeadership()
 	if err != nil || leadership.check() != nil {
@@ -44,21 +44,21 @@
 	core.logWaiting(waiting)
 }
 
-// logWaiting logs what roll-outs wait for when that changed.
+// logWaiting logs what rollouts wait for when that changes.
 func (core *Core) logWaiting(waiting []rollout.Waiting) {
 	if slices.Equal(waiting, core.waitingRollouts) {
 		return
 	}
 	core.waitingRollouts = waiting
-	for _, one := range waiting {
-		klog.Infof("roll-out of %s waits: %s", one.Service, one.Obstacle)
+	for _, entry := range waiting {
+		klog.Infof("roll-out of %s waits: %s", entry.Service, entry.Obstacle)
 	}
 }
 
-// observeVersions notes at which version each service of a complete list is.
+// observeVersions records the current version of each service from a complete list.
 func (core *Core) observeVersions(leadership *Leadership, backends []message.Backend) {
-	if mixed := rollout.MixedVersions(backends); mixed != core.observedBackends.mixed {
-		core.observedBackends.mixed = mixed
+	if mixed := rollout.MixedVersions(backends); mixed != core.observedBackends.mixedVersions {
+		core.observedBackends.mixedVersions = mixed
 		klog.Infof("services listed at several versions: %s", cmp.Or(mixed, "none"))
 	}
 	if leadership.currentRollouts().ObserveVersions(backends) == nil {
@@ -68,45 +68,45 @@
 		return current.ObserveVersions(backends), nil
 	})
 	if err != nil {
-		core.observedBackends.forget()
+		core.observedBackends.reset()
 	}
 }
 
-// observedBackends is the list of which the versions were noted last. It is used by one
-// goroutine.
+// observedBackends is the list whose versions were last recorded. It is used by one goroutine.
 type observedBackends struct {
-	list  observedList
-	mixed string // the services that are listed at several versions
+	list          listIdentity
+	mixedVersions string // the services that are listed at several versions
 }
 
-// observedList tells one list from another: it is the same slice as long as nothing changes.
-type observedList struct {
+// listIdentity identifies a list without comparing its entries: the slice stays the same until an
+// entry changes.
+type listIdentity struct {
 	term  message.Term
 	first *message.Backend
 	count int
 }
 
-// isNew reports whether a list differs from the one of the last call.
+// isNew reports whether a list differs from that of the last call.
 func (observed *observedBackends) isNew(term message.Term, backends []message.Backend) bool {
 	if len(backends) == 0 {
 		return false
 	}
-	next := observedList{term: term, first: &backends[0], count: len(backends)}
+	next := listIdentity{term: term, first: &backends[0], count: len(backends)}
 	isNew := observed.list != next
 	observed.list = next
 	return isNew
 }
 
-func (observed *observedBackends) forget() { observed.list = observedList{} }
+func (observed *observedBackends) reset() { observed.list = listIdentity{} }
 
-// observeRollouts returns what the leader knows that roll-outs are decided by.
+// observeRollouts returns the leader's observations from which rollouts are decided.
 func (core *Core) observeRollouts(leadership *Leadership, backends []message.Backend) *rollout.Observation {
 	table := core.Table()
 	observation := &rollout.Observation{
 		NowMs:     core.Now(),
 		IsSettled: table.Version.Term == leadership.term,
 		Backends:  backends,
-		Reported:  core.rolloutReports.of,
+		Reported:  core.rolloutReports.countsOf,
 	}
 	for _, member := range table.Members {
 		if member.Kind == message.ProxyKind && (member.Ready || member.Leaving) {
@@ -117,7 +117,7 @@
 	return observation
 }
 
-// logRollouts logs the decisions that made one state of another.
+// logRollouts logs the decisions by which two states differ.
 func (core *Core) logRollouts(before, after *rollout.State, serial uint64) {
 	if before == after {
 		return
@@ -127,7 +127,7 @@
 		if former == next {
 			continue
 		}
-		total := former.Total(core.rolloutReports.of(former.ID))
+		total := former.Total(core.rolloutReports.countsOf(former.ID))
 		klog.Infof("roll-out %d of %s to %q: step %d, share %.3f, phase %s, serial %d, %d ms after the order; "+
 			"requests %d of %d, items %d, exceedances %d, failures %d, of the former version %d of %d, %d in flight",
 			next.ID, service.Name, next.Target, next.Step, next.Share, next.Phase, serial, core.Now()-next.StartMs,
--- a/control/settings.go
+++ b/control/settings.go
@@ -13,16 +13,16 @@
 
 const changeDigestBytes = 16
 
-// changeDigest identifies what a change does, so that an ID which names two changes is
-// found out.
+// changeDigest identifies the effect of a change, so that the reuse of an ID for another change
+// is detected.
 func changeDigest(request *message.ChangeRequest) string {
-	text := append([]byte(fmt.Sprintf("%s %d ", request.Kind, request.Base)), request.Body...)
-	sum := sha256.Sum256(text)
+	content := append([]byte(fmt.Sprintf("%s %d ", request.Kind, request.Base)), request.Body...)
+	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:changeDigestBytes])
 }
 
-// onChange makes an operator's change of the settings at the leader, or returns why not.
-// A repeated or refused change is answered only by who still leads.
+// onChange applies an operator's change of the settings on the leader. Repeated and refused
+// changes are answered only once the leadership is confirmed.
 func (core *Core) onChange(request *message.ChangeRequest) (*message.ChangeResponse, error) {
 	leadership, err := core.currentLeadership()
 	if err != nil {
@@ -47,25 +47,25 @@
 }
 
 func (leadership *Leadership) changeSettings(request *message.ChangeRequest) (*message.ChangeResponse, error) {
-	parsed, err := parseAhead(request, leadership.settings())
+	preparsed, err := preparse(request, leadership.settings())
 	if err != nil {
 		return nil, leadership.confirmDecision(err)
 	}
 	digest := changeDigest(request)
 	var duplicate *message.HistoryEntry
-	isDecided := false
-	serial, err := leadership.writeSettings(func(current *content) (*content, error) {
-		isDecided = true
+	isUnwritten := false
+	serial, err := leadership.writeSettings(func(current *settingsContent) (*settingsContent, error) {
+		isUnwritten = true
 		var err error
 		duplicate, err = findDuplicate(current.history, request.ID, digest)
 		if duplicate != nil || err != nil {
 			return nil, err
 		}
-		next, err := leadership.applyChange(request, current, parsed, digest)
-		isDecided = err != nil
+		next, err := leadership.applyChange(request, current, preparsed, digest)
+		isUnwritten = err != nil
 		return next, err
 	})
-	if isDecided {
+	if isUnwritten {
 		err = leadership.confirmDecision(err)
 	}
 	if err != nil {
@@ -77,17 +77,17 @@
 	return &message.ChangeResponse{Serial: serial}, nil
 }
 
-// parseAhead parses a whole change before the write lock is taken, if it is based on the
+// preparse parses a whole change before the write lock is taken if the change is based on the
 // current settings. It returns nil for other changes.
-func parseAhead(request *message.ChangeRequest, current *content) (*config.Tree, error) {
+func preparse(request *message.ChangeRequest, current *settingsContent) (*config.Tree, error) {
 	if request.Kind != message.WholeChange || request.Base != current.serial {
 		return nil, nil
 	}
 	return config.Parse(request.Body, current.tree)
 }
 
-// findDuplicate returns the entry of a change that was made before. It returns
-// ChangeIDReused if the ID named another one.
+// findDuplicate returns the history entry of a change that has already been made. It returns
+// ChangeIDReused if the ID belongs to another change.
 func findDuplicate(history []message.HistoryEntry, id, digest string) (*message.HistoryEntry, error) {
 	for index := range history {
 		entry := &history[index]
@@ -95,26 +95,25 @@
 			continue
 		}
 		if entry.Digest != digest {
-			return nil, &rpc.Error{Code: rpc.ChangeIDReused, Message: "the id named another change", Serial: entry.Serial}
+			return nil, &rpc.Error{Code: rpc.ChangeIDReused, Message: "ID was already used for another change", Serial: entry.Serial}
 		}
 		return entry, nil
 	}
 	return nil, nil
 }
 
-// applyChange returns the content after a change.
 func (leadership *Leadership) applyChange(
 	request *message.ChangeRequest,
-	current *content,
-	parsed *config.Tree,
+	current *settingsContent,
+	preparsed *config.Tree,
 	digest string,
-) (*content, error) {
+) (*settingsContent, error) {
 	if request.Base != current.serial {
-		return nil, &rpc.Error{Code: rpc.StaleBase, Message: fmt.Sprintf("based on %d", request.Base), Serial: current.serial}
+		return nil, &rpc.Error{Code: rpc.StaleBase, Message: fmt.Sprintf("based on serial %d", request.Base), Serial: current.serial}
 	}
-	tree, err := parsed, error(nil)
+	tree, err := preparsed, error(nil)
 	switch {
-	case parsed != nil:
+	case preparsed != nil:
 	case request.Kind == message.WholeChange:
 		tree, err = config.Parse(request.Body, current.tree)
 	default:
@@ -134,7 +133,7 @@
 	return current.next(tree, entry), nil
 }
 
-// onRead returns the confirmed settings, or their history.
+// onRead returns the settings, or their history, once the leadership is confirmed.
 func (core *Core) onRead(request *message.ReadRequest) (*message.ReadResponse, error) {
 	leadership, err := core.confirmedLeadership()
 	if err != nil {
--- a/control/table.go
+++ b/control/table.go
@@ -11,56 +11,55 @@
 	"orchidjunction/rpc"
 )
 
-// everything is a serial that is newer than any: a FetchRequest with it asks for nothing
-// of that kind.
-const everything = ^uint64(0)
+// maxSerial is at least as new as any serial. In a FetchRequest it excludes a register from the
+// response.
+const maxSerial = ^uint64(0)
 
-// maxWatchDelta is the most entries of the table that the response to a watch brings, about
-// 10 kB.
+// maxWatchDelta is the maximum number of table entries in the response to a watch, about 10 kB.
 const maxWatchDelta = 64
 
-// tableState is the newest table that a core holds, and the version that the leader
-// announced. The core's mutex guards it.
+// tableState is the newest table that a core has, and the version announced by the leader. The
+// core's mutex guards it.
 type tableState struct {
-	current *message.Table
-	log     *message.TableLog
-	wanted  message.TableVersion
+	current   *message.Table
+	log       *message.TableLog
+	announced message.TableVersion
 }
 
 func newTableState() tableState {
 	return tableState{current: &message.Table{}, log: message.NewTableLog()}
 }
 
-// addTo adds the table, or what changed in it, to a response if it is newer than a version.
-func (state *tableState) addTo(response *message.FetchResponse, than message.TableVersion) {
-	if !than.Less(state.current.Version) {
+// addTo adds the table or a delta to a response if the table is newer than a version.
+func (state *tableState) addTo(response *message.FetchResponse, since message.TableVersion) {
+	if !since.Less(state.current.Version) {
 		return
 	}
-	delta, isKnown := state.log.Since(than, state.current)
+	delta, isKnown := state.log.Since(since, state.current)
 	response.Delta = delta
 	if !isKnown {
 		response.Table = state.current
 	}
 }
 
-// addDelta adds what changed in the table to a response if that is small: daemons wait for
-// the response only a little longer than they let the watch last.
-func (state *tableState) addDelta(response *message.WatchResponse, than message.TableVersion) {
-	delta, isKnown := state.log.Since(than, state.current)
+// addDelta adds a delta to a response if it is small: daemons wait for the response only slightly
+// longer than the duration of the watch.
+func (state *tableState) addDelta(response *message.WatchResponse, since message.TableVersion) {
+	delta, isKnown := state.log.Since(since, state.current)
 	if isKnown && delta.Entries() <= maxWatchDelta {
 		response.Delta = delta
 	}
 }
 
-// Table returns the newest table. It must not be changed.
+// Table returns the newest table. It must not be modified.
 func (core *Core) Table() *message.Table {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
 	return core.tables.current
 }
 
-// setTable takes a table if it is newer than the one held and built under roll-outs that are
-// known here: daemons get both from this core.
+// setTable sets the table if it is newer than the current one and its rollouts are known to this
+// core, since daemons get both from here.
 func (core *Core) setTable(table *message.Table) {
 	core.mutex.Lock()
 	isNewer := core.tables.current.Version.Less(table.Version) && table.Rollouts <= core.committedSerial(message.RolloutsRegister)
@@ -74,8 +73,8 @@
 	}
 }
 
-// buildTable is the leader's task to make a table of the daemons that have a session and
-// of the backends that the platform lists, if anything changed.
+// buildTable builds the leader's table of the daemons that have a session and of the backends
+// that the platform lists, if anything changed.
 func (core *Core) buildTable() {
 	leadership, err := core.currentLeadership()
 	if err != nil && core.config.DirectSessions && core.neverHeardLeader() {
@@ -104,7 +103,6 @@
 	}
 }
 
-// nextTable returns the table that follows a former one.
 func (core *Core) nextTable(leadership *Leadership, former *message.Table, sessions []trackedSession) *message.Table {
 	next := &message.Table{
 		Version:  message.TableVersion{Term: leadership.term, Number: 1},
@@ -118,14 +116,14 @@
 	serial, rollouts := core.Rollouts()
 	next.Rollouts = serial
 	if backends, isComplete := core.backends.Backends(); isComplete {
-		next.Backends, next.Complete = core.listed.of(backends, serial, rollouts), true
+		next.Backends, next.Complete = core.listed.get(backends, serial, rollouts), true
 	}
 	next.Backends = core.probeHints.apply(next.Backends, former.Backends)
 	return next
 }
 
-// nextMembers returns the daemons that have a session and those that are not given up
-// yet: all until daemons had the time to speak to a new leader, or to the cores that they
+// nextMembers returns the daemons that have a session, and those of the former table that are not
+// dropped yet: all of them until they had time to report to a new leader, or to cores that they
 // were cut off from.
 func (core *Core) nextMembers(leadership *Leadership, former []message.Member, sessions []trackedSession) []message.Member {
 	members := []message.Member{}
@@ -135,9 +133,9 @@
 		isActive[tracked.session.Member.Name] = true
 	}
 	isNewLeader := time.Since(leadership.startedAt) < core.config.SessionTTL
-	if isNewLeader || core.sessions.massLapse(former, isActive) {
+	if isNewLeader || core.sessions.massExpiry(former, isActive) {
 		for _, member := range former {
-			if !isActive[member.Name] && !core.sessions.ended(member.Name) {
+			if !isActive[member.Name] && !core.sessions.hasEnded(member.Name) {
 				members = append(members, member)
 			}
 		}
@@ -146,12 +144,12 @@
 	return members
 }
 
-// sameTable reports whether two tables differ in their versions alone.
+// sameTable reports whether two tables have the same entries, whatever their versions.
 func sameTable(former, next *message.Table) bool {
 	return former.Complete == next.Complete && slices.Equal(former.Members, next.Members) && sameBackends(former.Backends, next.Backends)
 }
 
-// sameBackends compares two lists; it is fast if both are one.
+// sameBackends compares two lists. It is fast if they are the same slice.
 func sameBackends(former, next []message.Backend) bool {
 	if len(former) != len(next) {
 		return false
@@ -159,9 +157,9 @@
 	return len(former) == 0 || &former[0] == &next[0] || slices.Equal(former, next)
 }
 
-// buildTableBeforeLeader makes the table of a core that has heard of no leader since its
-// start, for the daemons that come to it. Every leader's table is newer. It names no cold
-// backend: that has no owner yet, and cores differ on when it is warm.
+// buildTableBeforeLeader builds a table for daemons that connect to a core which has heard of no
+// leader since it started. Any leader's table is newer. It contains no cold backends: no proxy is
+// assigned to warm them up yet, and cores disagree on when they are warm.
 func (core *Core) buildTableBeforeLeader() {
 	former := core.Table()
 	backends, isComplete := core.backends.Backends()
@@ -186,18 +184,18 @@
 	core.setTable(next)
 }
 
-// recoverTable returns a table as the cores have lost it but some process still holds it:
-// the newest that a daemon has, or else, if no backends are known here, one with backends
-// that a daemon or another core has. It returns the given table if there is none.
+// recoverTable returns a table that the cores lost but some process still has: the newest table
+// of a daemon or, if this core knows no backends, one with the backends of a daemon's or another
+// core's table. If there is none, it returns the given table.
 func (core *Core) recoverTable(table *message.Table, sessions []trackedSession) *message.Table {
-	if recovered := core.newerTable(table, sessions); recovered != nil {
+	if recovered := core.fetchNewerTable(table, sessions); recovered != nil {
 		core.counters.Add("tables_rebuilt", 1)
 		return recovered
 	}
 	if _, isComplete := core.backends.Backends(); isComplete || table.Complete {
 		return table
 	}
-	source := core.completeTable(table, sessions)
+	source := core.fetchCompleteTable(table, sessions)
 	if source == nil {
 		return table
 	}
@@ -207,8 +205,8 @@
 	}
 }
 
-// newerTable fetches the newest table that a daemon has, nil if none is newer.
-func (core *Core) newerTable(table *message.Table, sessions []trackedSession) *message.Table {
+// fetchNewerTable fetches the newest table of a daemon, or nil if none is newer.
+func (core *Core) fetchNewerTable(table *message.Table, sessions []trackedSession) *message.Table {
 	newest, source := table.Version, ""
 	for _, tracked := range sessions {
 		if newest.Less(tracked.session.Table) {
@@ -226,10 +224,10 @@
 	return recovered
 }
 
-// completeTable fetches a table with backends that is older than the given one: from the
-// daemon with the newest or, before this leadership's first table, from another core.
-// It returns nil if there is none.
-func (core *Core) completeTable(table *message.Table, sessions []trackedSession) *message.Table {
+// fetchCompleteTable fetches a complete table that is older than the given one: from the daemon
+// with the newest one or, if there has been no leader's table yet, from another core. It returns
+// nil if there is none.
+func (core *Core) fetchCompleteTable(table *message.Table, sessions []trackedSession) *message.Table {
 	newest, source := message.TableVersion{}, ""
 	for _, tracked := range sessions {
 		if newest.Less(tracked.session.Table) && tracked.session.Table.Less(table.Version) {
@@ -247,7 +245,7 @@
 	}
 	isComplete := func(recovered *message.Table) bool { return recovered.Complete }
 	responses := callPeers(core, core.membership(), func(peer message.Peer) (*message.Table, error) {
-		return core.heldTable(peer.Address)
+		return core.fetchAnyTable(peer.Address)
 	}, isComplete, func(has func(id int) bool) bool {
 		return slices.ContainsFunc(core.membership().Peers, func(peer message.Peer) bool { return has(peer.ID) })
 	})
@@ -259,8 +257,8 @@
 	return nil
 }
 
-// heldTable fetches whichever table a process at an address holds, an empty one if it has none.
-func (core *Core) heldTable(address string) (*message.Table, error) {
+// fetchAnyTable fetches the table of the process at an address, or an empty one if it has none.
+func (core *Core) fetchAnyTable(address string) (*message.Table, error) {
 	table, err := core.fetchTable(address, &message.Table{})
 	if err == nil && table == nil {
 		table = &message.Table{}
@@ -268,13 +266,13 @@
 	return table, err
 }
 
-// followTable fetches the leader's table at the other cores.
-func (core *Core) followTable() {
+// fetchLeaderTable fetches the leader's table on the other cores.
+func (core *Core) fetchLeaderTable() {
 	core.mutex.Lock()
 	leader, isLeader := core.election.leader, core.leadership != nil
-	held, wanted := core.tables.current, core.tables.wanted
+	held, announced := core.tables.current, core.tables.announced
 	core.mutex.Unlock()
-	if isLeader || !leader.Known() || !held.Version.Less(wanted) {
+	if isLeader || !leader.Known() || !held.Version.Less(announced) {
 		return
 	}
 	if table, err := core.fetchTable(leader.Address, held); err == nil && table != nil {
@@ -282,10 +280,10 @@
 	}
 }
 
-// fetchTable returns the newer table that a process at an address holds, nil if it has
-// none.
+// fetchTable fetches the table of the process at an address, or nil if it has none newer than
+// held.
 func (core *Core) fetchTable(address string, held *message.Table) (*message.Table, error) {
-	request := &message.FetchRequest{Serial: everything, Routing: everything, Rollouts: everything, Table: held.Version}
+	request := &message.FetchRequest{Serial: maxSerial, Routing: maxSerial, Rollouts: maxSerial, Table: held.Version}
 	response, err := rpc.Call(core.client, address, message.MethodFetch, core.callTimeout(), request)
 	if err != nil {
 		return nil, err
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -14,8 +14,8 @@
 	"orchidjunction/rpc"
 )
 
-// listed is a reader that has read a list of so many backends.
-func listed(count int) *discovery.Reader {
+// newListReader returns a reader that has read a list of count backends.
+func newListReader(count int) *discovery.Reader {
 	list := make([]message.Backend, 0, count)
 	for number := range count {
 		list = append(
@@ -38,11 +38,11 @@
 	return reader
 }
 
-// What the leader does at each table pace while nothing changes.
+// The leader's work in each table interval while nothing changes.
 func BenchmarkUnchangedTable(bench *testing.B) {
 	for _, count := range []int{100, 1000, 10000, 85000} {
 		bench.Run(fmt.Sprint(count), func(bench *testing.B) {
-			reader := listed(count)
+			reader := newListReader(count)
 			hints := newProbeHints()
 			backends, _ := reader.Backends()
 			before := &message.Table{Backends: hints.apply(backends, nil), Complete: true}
@@ -50,29 +50,28 @@
 				backends, _ := reader.Backends()
 				next := &message.Table{Backends: hints.apply(backends, before.Backends), Complete: true}
 				if !sameTable(before, next) {
-					bench.Fatal("a table that did not change is called another one")
+					bench.Fatal("an unchanged table is reported as different")
 				}
 			}
 		})
 	}
 }
 
-// Counts are laid over backends without changing the list they come from, and
-// never fall below those of the table before.
+// Hints are set on a copy of the backends and never fall below those of the former table.
 func TestProbeHintsAreAppliedToACopy(test *testing.T) {
 	hints, listed := newProbeHints(), []message.Backend{{Name: "a"}, {Name: "b"}, {Name: "c", ProbeHint: 9}}
-	laid := hints.apply(listed, []message.Backend{{Name: "b", ProbeHint: 4}})
-	if laid[0].ProbeHint != 0 || laid[1].ProbeHint != 4 || laid[2].ProbeHint != 0 {
-		test.Errorf("%v", laid)
+	hinted := hints.apply(listed, []message.Backend{{Name: "b", ProbeHint: 4}})
+	if hinted[0].ProbeHint != 0 || hinted[1].ProbeHint != 4 || hinted[2].ProbeHint != 0 {
+		test.Errorf("hints of %v, want 0, 4, 0", hinted)
 	}
 	if listed[1].ProbeHint != 0 || listed[2].ProbeHint != 9 {
-		test.Errorf("the list itself changed: %v", listed)
+		test.Errorf("the original list was modified: %v", listed)
 	}
-	if again := hints.apply(laid, nil); &again[0] != &laid[0] {
-		test.Error("copied though the counts are there")
+	if again := hints.apply(hinted, nil); &again[0] != &hinted[0] {
+		test.Error("list copied although all hints were set")
 	}
-	if none := hints.apply(nil, laid); len(none) != 0 {
-		test.Errorf("%v", none)
+	if none := hints.apply(nil, hinted); len(none) != 0 {
+		test.Errorf("hints on an empty list: %v, want none", none)
 	}
 }
 
@@ -80,25 +79,25 @@
 	member, backend := []message.Member{{Name: "p", Ready: true}}, []message.Backend{{Name: "b", WarmAtMs: 5}}
 	table := &message.Table{Members: member, Backends: backend, Complete: true}
 	for name, next := range map[string]*message.Table{
-		"a member":            {Members: []message.Member{{Name: "p"}}, Backends: backend, Complete: true},
-		"a backend":           {Members: member, Backends: []message.Backend{{Name: "b", WarmAtMs: 6}}, Complete: true},
-		"no backends":         {Members: member, Complete: true},
-		"one backend more":    {Members: member, Backends: append(slices.Clone(backend), message.Backend{}), Complete: true},
-		"whether it is whole": {Members: member, Backends: backend},
+		"a member":         {Members: []message.Member{{Name: "p"}}, Backends: backend, Complete: true},
+		"a backend":        {Members: member, Backends: []message.Backend{{Name: "b", WarmAtMs: 6}}, Complete: true},
+		"no backends":      {Members: member, Complete: true},
+		"an extra backend": {Members: member, Backends: append(slices.Clone(backend), message.Backend{}), Complete: true},
+		"completeness":     {Members: member, Backends: backend},
 	} {
 		if sameTable(table, next) {
-			test.Errorf("same, though %s differs", name)
+			test.Errorf("tables reported as the same although they differ in: %s", name)
 		}
 	}
 	if !sameTable(table, &message.Table{Members: slices.Clone(member), Backends: slices.Clone(backend), Complete: true}) {
-		test.Error("a copy is not the same")
+		test.Error("a copy is reported as different")
 	}
 }
 
-// Daemons that hold the same get the same bytes, packed once, and never those
-// of an older table or of another routing.
-func TestFetchesArePackedOnce(test *testing.T) {
-	answers := &fetchCache{}
+// Daemons with the same versions get the same bytes, encoded once, and never those of an older
+// table or another routing.
+func TestFetchResponsesAreEncodedOnce(test *testing.T) {
+	cache := &fetchCache{}
 	tables := []*message.Table{
 		{Version: message.TableVersion{Number: 1}},
 		{Version: message.TableVersion{Number: 2}, Members: []message.Member{{Name: "p"}}},
@@ -109,35 +108,35 @@
 			for routing := range uint64(6) {
 				request := &message.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}}
 				want, _ := rpc.Marshal(request)
-				response, err := answers.get(request)
+				response, err := cache.get(request)
 				if err != nil {
 					test.Fatal(err)
 				}
 				body, _ := rpc.Codec{}.Marshal(response)
 				if string(body) != string(want) {
-					test.Errorf("round %d: another answer for table %d, routing %d", round, table.Version.Number, routing)
+					test.Errorf("round %d: wrong response for table %d, routing %d", round, table.Version.Number, routing)
 				}
-				again, _ := answers.get(&message.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}})
+				again, _ := cache.get(&message.FetchResponse{Table: table, Routing: routing, RoutingBody: []byte{byte(routing)}})
 				if again != response {
-					test.Error("packed twice")
+					test.Error("response encoded twice")
 				}
 				body[0] ^= 0xff
 				if second, _ := (rpc.Codec{}).Marshal(again); string(second) != string(want) {
-					test.Error("who was given bytes changed those of others")
+					test.Error("modifying one response's bytes modified those of others")
 				}
 				seen[string(want)] = response
 			}
 		}
 	}
 	if len(seen) != 12 {
-		test.Errorf("%d answers", len(seen))
+		test.Errorf("%d different responses, want 12", len(seen))
 	}
-	if response, _ := answers.get(&message.FetchResponse{Routing: 9}); response.Routing != 9 || response.Table != nil {
-		test.Errorf("%+v", response)
+	if response, _ := cache.get(&message.FetchResponse{Routing: 9}); response.Routing != 9 || response.Table != nil {
+		test.Errorf("got %+v, want routing 9 and no table", response)
 	}
 }
 
-// What a fetch of the whole table costs the core that answers.
+// The cost of a fetch of the whole table for the responding core.
 func BenchmarkFetch(bench *testing.B) {
 	for _, count := range []int{192, 768, 16000} {
 		table := &message.Table{Version: message.TableVersion{Number: 1}}
@@ -156,17 +155,17 @@
 				Ready:           true,
 			})
 		}
-		bench.Run(fmt.Sprint(count, "-before"), func(bench *testing.B) {
+		bench.Run(fmt.Sprint(count, "-uncached"), func(bench *testing.B) {
 			for bench.Loop() {
 				if _, err := (rpc.Codec{}).Marshal(&message.FetchResponse{Table: table}); err != nil {
 					bench.Fatal(err)
 				}
 			}
 		})
-		bench.Run(fmt.Sprint(count, "-packed-once"), func(bench *testing.B) {
-			answers := &fetchCache{}
+		bench.Run(fmt.Sprint(count, "-cached"), func(bench *testing.B) {
+			cache := &fetchCache{}
 			for bench.Loop() {
-				response, _ := answers.get(&message.FetchResponse{Table: table})
+				response, _ := cache.get(&message.FetchResponse{Table: table})
 				if _, err := (rpc.Codec{}).Marshal(response); err != nil {
 					bench.Fatal(err)
 				}
@@ -175,9 +174,10 @@
 	}
 }
 
-// Guards against long polls that time out: a change of many entries is left to a fetch.
-func TestWatchBringsSmallDeltasOnly(test *testing.T) {
-	for _, sort := range []struct {
+// Guards against watches that time out while a large delta is transferred; a fetch is used
+// instead.
+func TestWatchSendsSmallDeltasOnly(test *testing.T) {
+	for _, testCase := range []struct {
 		changed int
 		isSent  bool
 	}{{1, true}, {maxWatchDelta, true}, {maxWatchDelta + 1, false}} {
@@ -188,7 +188,7 @@
 		for number := range maxWatchDelta + 1 {
 			backend := message.Backend{Name: fmt.Sprintf("backend-%03d", number)}
 			former.Backends = append(former.Backends, backend)
-			backend.Leaving = number < sort.changed
+			backend.Leaving = number < testCase.changed
 			next.Backends = append(next.Backends, backend)
 		}
 		state.log.Record(state.current, former)
@@ -196,8 +196,8 @@
 		state.current = next
 		response := &message.WatchResponse{}
 		state.addDelta(response, former.Version)
-		if (response.Delta != nil) != sort.isSent {
-			test.Errorf("%d changes: delta sent %v", sort.changed, response.Delta != nil)
+		if (response.Delta != nil) != testCase.isSent {
+			test.Errorf("%d changes: delta sent %v, want %v", testCase.changed, response.Delta != nil, testCase.isSent)
 		}
 	}
 }
