--- a/harness/soak/backend.go
+++ b/harness/soak/backend.go
@@ -14,104 +14,104 @@
 
 const (
 	backendCapacity = 4
-	// maxQueued is how many requests wait for a place; more are refused.
-	maxQueued   = 4
-	minWork     = 10 * time.Millisecond
-	workSpread  = 40 * time.Millisecond
-	headTimeout = 5 * time.Second
+	// maxQueued is how many requests may wait for a slot; further ones are refused.
+	maxQueued         = 4
+	minServiceTime    = 10 * time.Millisecond
+	serviceTimeRange  = 40 * time.Millisecond
+	readHeaderTimeout = 5 * time.Second
 )
 
-// arrival is one request that began to run at a backend.
+// arrival is one request whose execution began at a backend.
 type arrival struct {
-	id       string
-	backend  *backend
-	at       time.Time
-	method   string
-	path     string
-	body     string // its digest
-	wasBad   bool   // answered with a failure of the version
-	complete bool   // the whole body came
+	id           string
+	backend      *backend
+	at           time.Time
+	method       string
+	path         string
+	bodyDigest   string // SHA-256, in hex
+	failed       bool   // answered with a simulated failure of the version
+	bodyComplete bool   // the whole body was received
 }
 
-// backend is an entry of the platform's list and a stand-in of a backend at its address. It
-// answers each request with its seal and the request's attempt id.
+// backend is an entry of the platform's backend list and the stand-in that serves at its
+// address. It answers each request with its seal and the request's attempt ID.
 type backend struct {
-	ID       string // these stand in the platform's list
+	ID       string // the exported fields are rendered into the platform's list
 	Service  string
 	Address  string
 	Zone     string
 	Revision string
 	Capacity int
 
-	badShare float64 // of its answers that are failures
-	log      *evidence
-	server   *http.Server
-	slots    chan struct{}
+	failureShare float64 // fraction of its responses
+	recorder     *recorder
+	server       *http.Server
+	slots        chan struct{}
 
 	mutex     sync.Mutex
-	leavingAt time.Time // since when the list says that it leaves
+	leavingAt time.Time // when the list began to mark it as leaving, zero before
 	warmAt    time.Time
 	queued    int
 	running   int
 }
 
-// newBackend starts a backend on an address of its own.
-func newBackend(id, service, zone, revision string, badShare float64, log *evidence) (*backend, error) {
+// newBackend starts a backend on a port of its own.
+func newBackend(id, service, zone, revision string, failureShare float64, recorder *recorder) (*backend, error) {
 	listener, err := net.Listen("tcp", "127.0.3.1:0")
 	if err != nil {
 		return nil, err
 	}
 	backend := &backend{
-		ID:       id,
-		Service:  service,
-		Address:  listener.Addr().String(),
-		Zone:     zone,
-		Revision: revision,
-		Capacity: backendCapacity,
-		badShare: badShare,
-		log:      log,
-		slots:    make(chan struct{}, backendCapacity),
+		ID:           id,
+		Service:      service,
+		Address:      listener.Addr().String(),
+		Zone:         zone,
+		Revision:     revision,
+		Capacity:     backendCapacity,
+		failureShare: failureShare,
+		recorder:     recorder,
+		slots:        make(chan struct{}, backendCapacity),
 	}
-	backend.server = &http.Server{Handler: backend, ReadHeaderTimeout: headTimeout}
+	backend.server = &http.Server{Handler: backend, ReadHeaderTimeout: readHeaderTimeout}
 	go func() { _ = backend.server.Serve(listener) }() // ends when the server is closed
 	return backend, nil
 }
 
-// Leaving is whether the list says that the backend leaves.
-func (backend *backend) Leaving() bool { return !backend.left().IsZero() }
+// Leaving reports whether the list marks the backend as leaving.
+func (backend *backend) Leaving() bool { return !backend.leavingSince().IsZero() }
 
-// WarmupLeft is how long the backend warms up yet.
+// WarmupLeft returns the rest of the backend's warm-up time.
 func (backend *backend) WarmupLeft() time.Duration {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	return max(0, time.Until(backend.warmAt))
 }
 
-func (backend *backend) left() time.Time {
+func (backend *backend) leavingSince() time.Time {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	return backend.leavingAt
 }
 
-// leave makes the list say that the backend leaves, from now on.
-func (backend *backend) leave() {
+// markLeaving makes the list mark the backend as leaving.
+func (backend *backend) markLeaving() {
 	backend.mutex.Lock()
 	backend.leavingAt = time.Now()
 	backend.mutex.Unlock()
 }
 
-// close ends the backend at once.
+// close closes the listener and all connections immediately.
 func (backend *backend) close() { _ = backend.server.Close() }
 
-// isIdle reports whether no request is under way here.
+// isIdle reports whether no request is queued or running.
 func (backend *backend) isIdle() bool {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	return backend.running == 0 && backend.queued == 0
 }
 
-// enter takes a place in the queue.
-func (backend *backend) enter() bool {
+// admit counts a request in, unless the queue is full.
+func (backend *backend) admit() bool {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	if backend.queued >= maxQueued+backendCapacity {
@@ -121,7 +121,7 @@
 	return true
 }
 
-func (backend *backend) exit() {
+func (backend *backend) release() {
 	backend.mutex.Lock()
 	backend.queued--
 	backend.mutex.Unlock()
@@ -140,31 +140,31 @@
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if !backend.enter() {
+	if !backend.admit() {
 		header.Set(headers.NotExecuted, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer backend.exit()
-	seen := &arrival{id: id, backend: backend, at: time.Now(), method: request.Method, path: request.URL.RequestURI()}
+	defer backend.release()
+	received := &arrival{id: id, backend: backend, at: time.Now(), method: request.Method, path: request.URL.RequestURI()}
 	hash := sha256.New()
 	_, err := io.Copy(hash, request.Body)
-	seen.complete, seen.body = err == nil, hex.EncodeToString(hash.Sum(nil))
-	seen.wasBad = rand.Float64() < backend.badShare
+	received.bodyComplete, received.bodyDigest = err == nil, hex.EncodeToString(hash.Sum(nil))
+	received.failed = rand.Float64() < backend.failureShare
 	backend.slots <- struct{}{}
-	backend.log.arrived(seen)
-	time.Sleep(minWork + time.Duration(rand.Int64N(int64(workSpread))))
+	backend.recorder.addArrival(received)
+	time.Sleep(minServiceTime + time.Duration(rand.Int64N(int64(serviceTimeRange))))
 	<-backend.slots
 	header.Set(headers.Seal, backend.ID)
 	header.Set(headers.Load, fmt.Sprintf("%d,0,%d", len(backend.slots), backendCapacity))
 	if backend.Leaving() {
 		header.Set("Connection", "close")
 	}
-	if seen.wasBad {
+	if received.failed {
 		writer.WriteHeader(http.StatusInternalServerError)
 	}
-	_, _ = writer.Write([]byte(answerBody(backend.ID, id)))
+	_, _ = writer.Write([]byte(responseBody(backend.ID, id)))
 }
 
-// answerBody is what a backend answers to a request.
-func answerBody(backend, id string) string { return backend + " ran " + id + "\n" }
+// responseBody is the body with which a backend answers a request.
+func responseBody(backend, id string) string { return backend + " ran " + id + "\n" }
--- a/harness/soak/bounds.go
+++ b/harness/soak/bounds.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Bounds are the time bounds that a deployment is given and judged by.
+// Bounds are the bounds that the deployment's settings carry and the rules check.
 type Bounds struct {
-	Contact     time.Duration // calm before a machine is bound by rules with a time bound
+	Contact     time.Duration // without a disturbance before timed rules apply to a machine
 	Acknowledge time.Duration // until an order is acknowledged
 	Apply       time.Duration // until an acknowledged configuration is in force
-	Drain       time.Duration // until a backend that leaves gets no more requests
+	Drain       time.Duration // until a leaving backend gets no more requests
 	Grace       time.Duration // from SIGTERM to SIGKILL
-	LossSlack   time.Duration // in which a connection may end whose request was just sent
-	Rollback    time.Duration // until a version gets nothing more after badAnswersToRevert bad answers
+	LossSlack   time.Duration // after a request was sent, in which its connection may end
+	Rollback    time.Duration // until a version gets no more requests after badAnswersToRevert failures
 	CanaryShare float64       // of a service's requests that a bad version may get
-	CanaryExtra int           // requests beside that share
+	CanaryExtra int           // requests beyond that share
 }
 
-// badAnswersToRevert is the number of bad answers after which a roll-back is due.
+// badAnswersToRevert is the number of failed responses after which a rollback is due.
 const badAnswersToRevert = 50
 
-// DefaultBounds are those of a small deployment.
+// DefaultBounds returns the bounds of a small deployment.
 func DefaultBounds() Bounds {
 	return Bounds{
 		Contact:     4 * time.Second,
--- a/harness/soak/check.go
+++ b/harness/soak/check.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Rule names what must hold.
+// Rule is the name of a property that must hold.
 type Rule string
 
 // The rules of a soak.
@@ -27,25 +27,25 @@
 
 var rules = []Rule{RuleConfig, RuleDrain, RuleExposure, RuleLimits, RuleLost, RuleMixed, RuleOrders, RuleRefused, RuleTwice, RuleUnasked}
 
-// maxShown is how many cases of a broken rule are kept as text.
-const maxShown = 5
+// maxCases limits the violations of a rule that are kept as text.
+const maxCases = 5
 
-// Report is how often each rule was judged and broken.
+// Report counts how often each rule was checked and broken.
 type Report struct {
 	Seed     uint64
 	Requests int
 	Served   int
-	Judged   map[Rule]int
+	Checked  map[Rule]int
 	Broken   map[Rule]int
 	Cases    map[Rule][]string
 	Notes    []string
 }
 
 func newReport(seed uint64) *Report {
-	return &Report{Seed: seed, Judged: map[Rule]int{}, Broken: map[Rule]int{}, Cases: map[Rule][]string{}}
+	return &Report{Seed: seed, Checked: map[Rule]int{}, Broken: map[Rule]int{}, Cases: map[Rule][]string{}}
 }
 
-// Holds reports whether no rule was broken and something was served.
+// Holds reports whether no rule was broken and at least one request was served.
 func (report *Report) Holds() bool {
 	broken := 0
 	for _, count := range report.Broken {
@@ -54,15 +54,15 @@
 	return broken == 0 && report.Served > 0
 }
 
-// String returns the report as text, one rule a line.
+// String returns the report as text, one line per rule.
 func (report *Report) String() string {
 	text := &strings.Builder{}
 	line := func(format string, values ...any) { text.WriteString(fmt.Sprintf(format, values...) + "\n") }
 	line("seed %d: %d requests, %d served", report.Seed, report.Requests, report.Served)
 	for _, rule := range rules {
-		line("  %-9s judged %6d, broken %d", rule, report.Judged[rule], report.Broken[rule])
-		for _, shown := range report.Cases[rule] {
-			line("    %s", shown)
+		line("  %-9s checked %6d, broken %d", rule, report.Checked[rule], report.Broken[rule])
+		for _, example := range report.Cases[rule] {
+			line("    %s", example)
 		}
 	}
 	for _, note := range report.Notes {
@@ -71,145 +71,181 @@
 	return text.String()
 }
 
-// judged counts one case of a rule; a broken one is kept with its text.
-func (report *Report) judged(rule Rule, isBroken bool, format string, values ...any) {
-	report.Judged[rule]++
+// record counts one check of a rule, and keeps the text of a violation.
+func (report *Report) record(rule Rule, isBroken bool, format string, values ...any) {
+	report.Checked[rule]++
 	if !isBroken {
 		return
 	}
 	report.Broken[rule]++
-	if len(report.Cases[rule]) < maxShown {
+	if len(report.Cases[rule]) < maxCases {
 		report.Cases[rule] = append(report.Cases[rule], fmt.Sprintf(format, values...))
 	}
 }
 
-// judge holds what was recorded against the rules.
-type judge struct {
-	log    *evidence
-	calm   *calm
-	bounds Bounds
-	report *Report
+// ruleChecker checks the recorded events against the rules.
+type ruleChecker struct {
+	recorder     *recorder
+	disturbances *disturbances
+	bounds       Bounds
+	report       *Report
 }
 
-func (judge *judge) all() {
-	arrivals := judge.byID()
-	for _, exchange := range judge.log.exchanges {
+func (checker *ruleChecker) checkTraffic() {
+	arrivals := checker.arrivalsByID()
+	for _, exchange := range checker.recorder.exchanges {
 		if exchange.isProbe {
 			continue
 		}
-		judge.report.Requests++
+		checker.report.Requests++
 		if exchange.status == http.StatusOK {
-			judge.report.Served++
+			checker.report.Served++
 		}
-		judge.answer(exchange, arrivals[exchange.id])
-		judge.lost(exchange, arrivals[exchange.id])
+		checker.checkResponse(exchange, arrivals[exchange.id])
+		checker.checkLost(exchange, arrivals[exchange.id])
 	}
-	for _, arrival := range judge.log.arrivals {
-		exchange := judge.log.exchanges[arrival.id]
-		judge.unasked(arrival, exchange)
+	for _, arrival := range checker.recorder.arrivals {
+		exchange := checker.recorder.exchanges[arrival.id]
+		checker.checkUnasked(arrival, exchange)
 		if exchange != nil {
-			judge.drain(arrival, exchange)
-			judge.config(arrival, exchange)
+			checker.checkDrain(arrival, exchange)
+			checker.checkConfig(arrival, exchange)
 		}
 	}
-	for _, shift := range judge.log.shifts {
-		judge.shift(shift)
+	for _, rollout := range checker.recorder.rollouts {
+		checker.checkRollout(rollout)
 	}
-	for _, version := range judge.log.versions {
-		judge.acknowledged("version", version.sentAt, version.ackedAt)
+	for _, version := range checker.recorder.configChanges {
+		checker.checkAcknowledged("version", version.sentAt, version.acknowledgedAt)
 	}
 }
 
-func (judge *judge) byID() map[string][]*arrival {
+func (checker *ruleChecker) arrivalsByID() map[string][]*arrival {
 	arrivals := map[string][]*arrival{}
-	for _, arrival := range judge.log.arrivals {
+	for _, arrival := range checker.recorder.arrivals {
 		arrivals[arrival.id] = append(arrivals[arrival.id], arrival)
 	}
 	return arrivals
 }
 
-// answer judges what a client got.
-func (judge *judge) answer(exchange *exchange, arrivals []*arrival) {
+// checkResponse checks MIXED, and for POST also TWICE and REFUSED: 429 and 503 tell a
+// client that its request was not executed.
+func (checker *ruleChecker) checkResponse(exchange *exchange, arrivals []*arrival) {
 	if exchange.method == http.MethodPost {
-		judge.report.judged(RuleTwice, len(arrivals) > 1, "%s ran %d times", exchange.id, len(arrivals))
-		isPromise := exchange.status == http.StatusTooManyRequests || exchange.status == http.StatusServiceUnavailable
-		judge.report.judged(RuleRefused, isPromise && len(arrivals) > 0, "%s got %d and ran", exchange.id, exchange.status)
+		checker.report.record(RuleTwice, len(arrivals) > 1, "%s was executed %d times", exchange.id, len(arrivals))
+		saysNotExecuted := exchange.status == http.StatusTooManyRequests || exchange.status == http.StatusServiceUnavailable
+		checker.report.record(
+			RuleRefused,
+			saysNotExecuted && len(arrivals) > 0,
+			"%s was answered %d but executed",
+			exchange.id,
+			exchange.status,
+		)
 	}
 	if exchange.status != http.StatusOK {
 		return
 	}
-	wanted := answerBody(exchange.seal, exchange.id)
-	isOwn := slices.ContainsFunc(arrivals, func(arrival *arrival) bool { return arrival.backend.ID == exchange.seal })
-	judge.report.judged(RuleMixed, !isOwn || exchange.answer != wanted,
-		"%s: sealed by %q, answer %.60q", exchange.id, exchange.seal, exchange.answer)
+	wanted := responseBody(exchange.seal, exchange.id)
+	ranAtSealer := slices.ContainsFunc(arrivals, func(arrival *arrival) bool { return arrival.backend.ID == exchange.seal })
+	checker.report.record(RuleMixed, !ranAtSealer || exchange.responseBody != wanted,
+		"%s: response sealed by %q, body %.60q", exchange.id, exchange.seal, exchange.responseBody)
 }
 
-// lost judges requests whose connection ended without an answer around the planned end of
-// their proxy.
-func (judge *judge) lost(exchange *exchange, arrivals []*arrival) {
+// checkLost checks requests in flight during a planned stop of their proxy: the connection
+// must not end without a response.
+func (checker *ruleChecker) checkLost(exchange *exchange, arrivals []*arrival) {
 	until := exchange.endedAt
-	if !judge.calm.planned(exchange.proxy, exchange.sentAt, until) || judge.calm.unplanned(exchange.sentAt, until) {
+	if !checker.disturbances.stoppedAsPlanned(exchange.proxy, exchange.sentAt, until) ||
+		checker.disturbances.anyUnplanned(exchange.sentAt, until) {
 		return
 	}
-	isGone := exchange.status == 0 && !exchange.timedOut
-	isLate := until.Sub(exchange.sentAt) > judge.bounds.LossSlack
-	judge.report.judged(RuleLost, isGone && (len(arrivals) > 0 || exchange.method == http.MethodGet && isLate && !exchange.reused),
-		"%s %s at %s: connection ended after %v, ran %d times", exchange.method, exchange.id, exchange.proxy,
-		until.Sub(exchange.sentAt).Round(time.Millisecond), len(arrivals))
+	gotNoResponse := exchange.status == 0 && !exchange.timedOut
+	outlastedSlack := until.Sub(exchange.sentAt) > checker.bounds.LossSlack
+	checker.report.record(
+		RuleLost,
+		gotNoResponse && (len(arrivals) > 0 || exchange.method == http.MethodGet && outlastedSlack && !exchange.onReusedConn),
+		"%s %s at %s: connection ended without a response after %v, executed %d times",
+		exchange.method,
+		exchange.id,
+		exchange.proxy,
+		until.Sub(exchange.sentAt).Round(time.Millisecond),
+		len(arrivals),
+	)
 }
 
-// unasked judges whether a backend ran what a client sent.
-func (judge *judge) unasked(arrival *arrival, exchange *exchange) {
+// checkUnasked checks that a backend executed exactly what a client sent.
+func (checker *ruleChecker) checkUnasked(arrival *arrival, exchange *exchange) {
 	if exchange == nil {
-		judge.report.judged(RuleUnasked, true, "%s ran %q, which no client sent", arrival.backend.ID, arrival.id)
+		checker.report.record(RuleUnasked, true, "%s executed %q, which no client sent", arrival.backend.ID, arrival.id)
 		return
 	}
-	isSame := arrival.method == exchange.method && arrival.path == exchange.path && (!arrival.complete || arrival.body == exchange.body)
-	judge.report.judged(RuleUnasked, !isSame, "%s ran %s as %s %s, body as sent: %v",
-		arrival.backend.ID, arrival.id, arrival.method, arrival.path, arrival.body == exchange.body)
+	isSame := arrival.method == exchange.method && arrival.path == exchange.path &&
+		(!arrival.bodyComplete || arrival.bodyDigest == exchange.bodyDigest)
+	checker.report.record(RuleUnasked, !isSame, "%s executed %s as %s %s, body as sent: %v",
+		arrival.backend.ID, arrival.id, arrival.method, arrival.path, arrival.bodyDigest == exchange.bodyDigest)
 }
 
-// drain judges whether a request came to a backend that had left for too long.
-func (judge *judge) drain(arrival *arrival, exchange *exchange) {
-	leftAt := arrival.backend.left()
+// checkDrain checks that no request reaches a backend that has been leaving for too long.
+func (checker *ruleChecker) checkDrain(arrival *arrival, exchange *exchange) {
+	leftAt := arrival.backend.leavingSince()
 	if leftAt.IsZero() || arrival.at.Before(leftAt) {
 		return
 	}
-	if !judge.calm.inTouch(exchange.proxy, exchange.sentAt, arrival.at) {
+	if !checker.disturbances.undisturbed(exchange.proxy, exchange.sentAt, arrival.at) {
 		return
 	}
-	late := arrival.at.Sub(leftAt)
-	onItsWay := arrival.at.Sub(exchange.sentAt)
-	judge.report.judged(RuleDrain, late > judge.bounds.Drain, "%s by %s came to %s %v after that left, on its way for %v",
-		arrival.id, exchange.proxy, arrival.backend.ID, late.Round(time.Millisecond), onItsWay.Round(time.Millisecond))
+	sinceLeaving := arrival.at.Sub(leftAt)
+	inTransit := arrival.at.Sub(exchange.sentAt)
+	checker.report.record(
+		RuleDrain,
+		sinceLeaving > checker.bounds.Drain,
+		"%s via %s reached %s %v after it began to leave, in transit for %v",
+		arrival.id,
+		exchange.proxy,
+		arrival.backend.ID,
+		sinceLeaving.Round(time.Millisecond),
+		inTransit.Round(time.Millisecond),
+	)
 }
 
-// config judges whether a request ran at a service that only an older version allows.
-func (judge *judge) config(arrival *arrival, exchange *exchange) {
-	if exchange.service != "" {
-		judge.report.judged(RuleConfig, arrival.backend.Service != exchange.service, "%s ran at %s", exchange.path, arrival.backend.Service)
+// checkConfig checks that a request ran at a service that a version possibly in force allows.
+func (checker *ruleChecker) checkConfig(arrival *arrival, exchange *exchange) {
+	if exchange.routeService != "" {
+		checker.report.record(
+			RuleConfig,
+			arrival.backend.Service != exchange.routeService,
+			"%s was executed at service %s",
+			exchange.path,
+			arrival.backend.Service,
+		)
 		return
 	}
-	if !judge.calm.inTouch(exchange.proxy, exchange.sentAt.Add(-judge.bounds.Apply), arrival.at) {
+	if !checker.disturbances.undisturbed(exchange.proxy, exchange.sentAt.Add(-checker.bounds.Apply), arrival.at) {
 		return
 	}
 	allowed := map[string]bool{}
-	for _, version := range judge.possible(exchange.sentAt, arrival.at) {
-		allowed[version.movedTo] = true
+	for _, version := range checker.possibleVersions(exchange.sentAt, arrival.at) {
+		allowed[version.service] = true
 	}
-	judge.report.judged(RuleConfig, !allowed[arrival.backend.Service], "%s by %s ran at %s, which only an older version allows",
-		arrival.id, exchange.proxy, arrival.backend.Service)
+	checker.report.record(
+		RuleConfig,
+		!allowed[arrival.backend.Service],
+		"%s via %s was executed at service %s, which only an older version allows",
+		arrival.id,
+		exchange.proxy,
+		arrival.backend.Service,
+	)
 }
 
-// possible returns the versions that may have been in force at some time of a span, at a
-// machine in touch.
-func (judge *judge) possible(from, to time.Time) []*acknowledged {
-	versions := []*acknowledged{}
-	for _, version := range judge.log.versions {
+// possibleVersions returns the versions that may have been in force during a span, at a
+// machine without disturbances.
+func (checker *ruleChecker) possibleVersions(from, to time.Time) []*configChange {
+	versions := []*configChange{}
+	for _, version := range checker.recorder.configChanges {
 		if version.sentAt.After(to) {
 			break
 		}
-		if !version.ackedAt.IsZero() && version.ackedAt.Add(judge.bounds.Apply).Before(from) {
+		if !version.acknowledgedAt.IsZero() && version.acknowledgedAt.Add(checker.bounds.Apply).Before(from) {
 			versions = versions[:0]
 		}
 		versions = append(versions, version)
@@ -217,68 +253,75 @@
 	return versions
 }
 
-// acknowledged judges whether an order was acknowledged in time while the cores were calm.
-func (judge *judge) acknowledged(what string, sentAt, ackedAt time.Time) {
-	until := sentAt.Add(judge.bounds.Acknowledge)
-	if !judge.calm.settled(sentAt, until) {
+// checkAcknowledged checks that an order was acknowledged in time, unless a core was disturbed.
+func (checker *ruleChecker) checkAcknowledged(what string, sentAt, ackedAt time.Time) {
+	until := sentAt.Add(checker.bounds.Acknowledge)
+	if !checker.disturbances.coresUndisturbed(sentAt, until) {
 		return
 	}
-	judge.report.judged(RuleOrders, ackedAt.IsZero() || ackedAt.After(until), "%s sent at %s, acknowledged: %v",
+	checker.report.record(RuleOrders, ackedAt.IsZero() || ackedAt.After(until), "%s sent at %s, acknowledged: %v",
 		what, sentAt.Format(time.StampMilli), !ackedAt.IsZero())
 }
 
-// shift judges a roll-out: its acknowledgement, its end and, if the version was bad, what
-// was sent to it.
-func (judge *judge) shift(shift *shift) {
-	judge.acknowledged("roll-out of "+shift.target, shift.sentAt, shift.ackedAt)
-	judge.report.Notes = append(judge.report.Notes, fmt.Sprintf("roll-out of %s, bad: %v, complete: %v, reverted: %v after %v of %v",
-		shift.target, shift.isBad, shift.complete, shift.reverted, shift.finalAt.Sub(shift.sentAt).Round(time.Millisecond), shift.over))
-	if !shift.isBad {
+// checkRollout checks a rollout's acknowledgement and, for a bad version, its outcome and
+// the requests that reached it.
+func (checker *ruleChecker) checkRollout(rollout *rolloutRecord) {
+	checker.checkAcknowledged("rollout of "+rollout.target, rollout.sentAt, rollout.acknowledgedAt)
+	checker.report.Notes = append(checker.report.Notes, fmt.Sprintf(
+		"rollout of %s: bad %v, complete %v, reverted %v, ended after %v of %v",
+		rollout.target,
+		rollout.isBad,
+		rollout.completed,
+		rollout.reverted,
+		rollout.endedAt.Sub(rollout.sentAt).Round(time.Millisecond),
+		rollout.term,
+	))
+	if !rollout.isBad {
 		return
 	}
-	judge.report.judged(RuleExposure, shift.complete, "the bad version %s is complete", shift.target)
-	all, exposed, badAnswers := 0, 0, 0
+	checker.report.record(RuleExposure, rollout.completed, "rollout of bad version %s was completed", rollout.target)
+	total, exposed, badAnswers := 0, 0, 0
 	var revertDue time.Time
-	for _, arrival := range judge.log.arrivals {
-		exchange := judge.log.exchanges[arrival.id]
-		if exchange == nil || arrival.backend.Service != shift.service || arrival.at.Before(shift.sentAt) {
+	for _, arrival := range checker.recorder.arrivals {
+		exchange := checker.recorder.exchanges[arrival.id]
+		if exchange == nil || arrival.backend.Service != rollout.service || arrival.at.Before(rollout.sentAt) {
 			continue
 		}
-		inTerm := arrival.at.Before(shift.sentAt.Add(shift.over))
-		if inTerm {
-			all++
+		withinTerm := arrival.at.Before(rollout.sentAt.Add(rollout.term))
+		if withinTerm {
+			total++
 		}
-		if arrival.backend.Revision != shift.target || !judge.calm.inTouch(exchange.proxy, exchange.sentAt, arrival.at) {
+		if arrival.backend.Revision != rollout.target || !checker.disturbances.undisturbed(exchange.proxy, exchange.sentAt, arrival.at) {
 			continue
 		}
-		if inTerm {
+		if withinTerm {
 			exposed++
 		}
-		if arrival.wasBad {
+		if arrival.failed {
 			badAnswers++
 		}
 		if badAnswers == badAnswersToRevert && revertDue.IsZero() {
-			revertDue = arrival.at.Add(judge.bounds.Rollback)
+			revertDue = arrival.at.Add(checker.bounds.Rollback)
 		}
-		judge.report.judged(RuleExposure, !revertDue.IsZero() && exchange.sentAt.After(revertDue),
-			"%s by %s ran at %s, sent %v after the roll-back was due", arrival.id, exchange.proxy, shift.target,
+		checker.report.record(RuleExposure, !revertDue.IsZero() && exchange.sentAt.After(revertDue),
+			"%s via %s was executed at version %s, sent %v after the rollback was due", arrival.id, exchange.proxy, rollout.target,
 			exchange.sentAt.Sub(revertDue).Round(time.Millisecond))
 	}
-	most := judge.bounds.CanaryShare*float64(all) + float64(judge.bounds.CanaryExtra)
-	judge.report.judged(RuleExposure, float64(exposed) > most, "%s got %d of %d requests", shift.target, exposed, all)
+	allowed := checker.bounds.CanaryShare*float64(total) + float64(checker.bounds.CanaryExtra)
+	checker.report.record(RuleExposure, float64(exposed) > allowed, "bad version %s got %d of %d requests", rollout.target, exposed, total)
 }
 
-// readBack judges the configuration that the operator reads at the end: the newest that
-// was acknowledged, or one sent after it that got no clear answer.
-func (judge *judge) readBack(status int, body string) {
+// checkReadBack checks the configuration that the operator reads at the end: it must be the
+// newest acknowledged one, or one sent after it whose outcome is unknown.
+func (checker *ruleChecker) checkReadBack(status int, body string) {
 	allowed := []string{}
-	for _, version := range judge.log.versions {
-		if !version.ackedAt.IsZero() {
+	for _, version := range checker.recorder.configChanges {
+		if !version.acknowledgedAt.IsZero() {
 			allowed = allowed[:0]
 		}
 		allowed = append(allowed, fmt.Sprintf(`"r%d"`, version.version))
 	}
 	isAllowed := slices.ContainsFunc(allowed, func(version string) bool { return strings.Contains(body, version) })
-	judge.report.judged(RuleConfig, status != http.StatusOK || !isAllowed,
-		"read back: status %d, none of %v: %.80q", status, allowed, body)
+	checker.report.record(RuleConfig, status != http.StatusOK || !isAllowed,
+		"configuration read back: status %d, want one of %v, got %.80q", status, allowed, body)
 }
--- a/harness/soak/check_limits.go
+++ b/harness/soak/check_limits.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// limitSlack is how much earlier or later than its limit a connection may end: what a busy
-// machine's timers and processes take.
-const limitSlack = 500 * time.Millisecond
+// limitTolerance is how far from its limit a connection may end, since timers and
+// scheduling are late on a busy machine.
+const limitTolerance = 500 * time.Millisecond
 
-// limits judges whether the limits of the versions in force ended clients' connections and
-// refused their heads, and nothing else did.
-func (judge *judge) limits() {
-	arrivals := judge.byID()
-	for _, probe := range judge.log.probes {
-		if !judge.calm.inTouch(probe.proxy, probe.begin, probe.end) {
+// checkLimits checks that connections end and headers are refused exactly as the limits of
+// the versions in force require.
+func (checker *ruleChecker) checkLimits() {
+	arrivals := checker.arrivalsByID()
+	for _, probe := range checker.recorder.probes {
+		if !checker.disturbances.undisturbed(probe.proxy, probe.begin, probe.end) {
 			continue
 		}
-		versions := judge.possible(probe.begin, probe.end)
+		versions := checker.possibleVersions(probe.begin, probe.end)
 		switch probe.kind {
-		case restProbe:
-			judge.rest(probe, judge.possible(probe.end.Add(-limitSlack), probe.end))
+		case idleProbe:
+			checker.checkIdleClose(probe, checker.possibleVersions(probe.end.Add(-limitTolerance), probe.end))
 		case reuseProbe:
-			judge.report.judged(RuleLimits, endedByLimit(probe.status), "%s: %v after a rest of %v: status %d",
-				probe.proxy, probe.kind, rounded(probe), probe.status)
-		case slowProbe:
-			judge.slowHead(probe, versions)
-		case longProbe:
-			judge.longHead(probe, versions, len(arrivals[probe.id]))
-		case probeKinds:
+			checker.report.record(RuleLimits, refusedByLimit(probe.status), "%s: %v probe after %v idle: status %d",
+				probe.proxy, probe.kind, roundedDuration(probe), probe.status)
+		case slowHeaderProbe:
+			checker.checkSlowHeader(probe, versions)
+		case longHeaderProbe:
+			checker.checkLongHeader(probe, versions, len(arrivals[probe.requestID]))
+		case probeKindCount:
 		}
 	}
 }
 
-// endedByLimit is whether a request was ended by a limit, or got no answer at all. Any other
-// refusal, for want of backends, came on a connection that was open.
-func endedByLimit(status int) bool {
+// refusedByLimit reports whether a limit refused a request, or it got no response at all. Any
+// other refusal, such as a lack of backends, shows that the connection was open.
+func refusedByLimit(status int) bool {
 	return status == 0 || status == http.StatusRequestTimeout || status == http.StatusRequestHeaderFieldsTooLarge
 }
 
-func rounded(probe *limitProbe) time.Duration {
+func roundedDuration(probe *limitProbe) time.Duration {
 	return probe.end.Sub(probe.begin).Round(time.Millisecond)
 }
 
-// spread returns the shortest and the longest of the versions' limits.
-func spread(versions []*acknowledged, limit func(limits) time.Duration) (shortest, longest time.Duration) {
+// limitRange returns the shortest and the longest of the versions' limits.
+func limitRange(versions []*configChange, limit func(connLimits) time.Duration) (shortest, longest time.Duration) {
 	for index, version := range versions {
 		value := limit(version.limits)
 		if index == 0 || value < shortest {
@@ -55,37 +55,41 @@
 	return shortest, longest
 }
 
-func (judge *judge) rest(probe *limitProbe, versions []*acknowledged) {
-	shortest, longest := spread(versions, func(limits limits) time.Duration { return limits.IdleTimeout })
+func (checker *ruleChecker) checkIdleClose(probe *limitProbe, versions []*configChange) {
+	shortest, longest := limitRange(versions, func(limits connLimits) time.Duration { return limits.IdleTimeout })
 	took := probe.end.Sub(probe.begin)
-	isWrong := probe.open || took < shortest-limitSlack || took > longest+limitSlack && !judge.shrank(probe)
-	judge.report.judged(RuleLimits, isWrong, "%s: %v ended after %v, open: %v, limits in force %v to %v",
-		probe.proxy, probe.kind, rounded(probe), probe.open, shortest, longest)
+	isWrong := probe.stillOpen || took < shortest-limitTolerance || took > longest+limitTolerance && !checker.matchesRecentIdleLimit(probe)
+	checker.report.record(RuleLimits, isWrong, "%s: %v probe ended after %v, still open: %v, limits in force %v to %v",
+		probe.proxy, probe.kind, roundedDuration(probe), probe.stillOpen, shortest, longest)
 }
 
-// shrank reports whether a version with a shorter limit came into force just before the
-// probe's end: a connection that has rested for longer ends with it.
-func (judge *judge) shrank(probe *limitProbe) bool {
-	_, before := spread(judge.possible(probe.begin, probe.end), func(limits limits) time.Duration { return limits.IdleTimeout })
-	from := probe.end.Add(-judge.bounds.Apply - limitSlack)
-	_, justBefore := spread(judge.possible(from, probe.end), func(limits limits) time.Duration { return limits.IdleTimeout })
-	return probe.end.Sub(probe.begin) <= max(before, justBefore)+limitSlack
+// matchesRecentIdleLimit reports whether the probe ended within the longest idle limit of its
+// whole span, or of the last moments: a shorter limit ends connections already idle for longer.
+func (checker *ruleChecker) matchesRecentIdleLimit(probe *limitProbe) bool {
+	_, fullSpan := limitRange(
+		checker.possibleVersions(probe.begin, probe.end),
+		func(limits connLimits) time.Duration { return limits.IdleTimeout },
+	)
+	from := probe.end.Add(-checker.bounds.Apply - limitTolerance)
+	_, recent := limitRange(checker.possibleVersions(from, probe.end), func(limits connLimits) time.Duration { return limits.IdleTimeout })
+	return probe.end.Sub(probe.begin) <= max(fullSpan, recent)+limitTolerance
 }
 
-// slowHead judges a head that never ends. One that has begun keeps the wider limits.
-func (judge *judge) slowHead(probe *limitProbe, versions []*acknowledged) {
-	shortest, longest := spread(versions, func(limits limits) time.Duration { return limits.HeaderTimeout })
+// checkSlowHeader checks a header that never ends. While a header is being received, a change
+// of limits can only widen them.
+func (checker *ruleChecker) checkSlowHeader(probe *limitProbe, versions []*configChange) {
+	shortest, longest := limitRange(versions, func(limits connLimits) time.Duration { return limits.HeaderTimeout })
 	took := probe.end.Sub(probe.begin)
-	isWrong := probe.status != http.StatusRequestTimeout || took < shortest-limitSlack || took > longest+limitSlack
-	judge.report.judged(RuleLimits, isWrong, "%s: %v ended after %v with %d, limits in force %v to %v",
-		probe.proxy, probe.kind, rounded(probe), probe.status, shortest, longest)
+	isWrong := probe.status != http.StatusRequestTimeout || took < shortest-limitTolerance || took > longest+limitTolerance
+	checker.report.record(RuleLimits, isWrong, "%s: %v probe ended after %v with status %d, limits in force %v to %v",
+		probe.proxy, probe.kind, roundedDuration(probe), probe.status, shortest, longest)
 }
 
-// longHead judges a head that some versions allow and others don't.
-func (judge *judge) longHead(probe *limitProbe, versions []*acknowledged, arrivals int) {
+// checkLongHeader checks a header that some versions allow and others refuse.
+func (checker *ruleChecker) checkLongHeader(probe *limitProbe, versions []*configChange, arrivals int) {
 	mayPass, mayFail := false, false
 	for _, version := range versions {
-		if longHead <= version.limits.HeaderBytes {
+		if longHeaderBytes <= version.limits.HeaderBytes {
 			mayPass = true
 		} else {
 			mayFail = true
@@ -94,10 +98,10 @@
 	isRefused := probe.status == http.StatusRequestHeaderFieldsTooLarge && arrivals == 0
 	isServed := probe.status != http.StatusRequestHeaderFieldsTooLarge && probe.status != 0
 	isAllowed := mayPass && isServed || mayFail && isRefused
-	judge.report.judged(
+	checker.report.record(
 		RuleLimits,
 		!isAllowed,
-		"%s: %v got %d and ran %d times, may pass: %v, may be refused: %v",
+		"%s: %v probe got status %d, executed %d times, may pass: %v, may be refused: %v",
 		probe.proxy,
 		probe.kind,
 		probe.status,
--- a/harness/soak/client.go
+++ b/harness/soak/client.go
@@ -18,27 +18,27 @@
 
 const (
 	host = "desk.example"
-	// requestDeadline is how long a client waits; the routes allow as much.
+	// requestDeadline is how long a client waits; the routes' timeout is the same.
 	requestDeadline = 4 * time.Second
-	answerSlack     = 500 * time.Millisecond
+	responseSlack   = 500 * time.Millisecond
 	dialTimeout     = time.Second
 	thinkTime       = 30 * time.Millisecond
 	maxBody         = 48 << 10
-	// smallBodies is the share of bodies that fit one packet.
-	smallBodies = 0.7
-	smallBody   = 600
+	// smallBodyShare is the fraction of bodies that fit into one packet.
+	smallBodyShare = 0.7
+	maxSmallBody   = 600
 )
 
-// Services and the routes to them.
+// Services and the paths of the routes to them.
 const (
 	deskService = "desk"
 	roomService = "room"
 	viewPath    = "/view/"
 	postPath    = "/post/"
-	movedPath   = "/moved/" // to either service, as the configuration says
+	movedPath   = "/moved/" // to the service that the configuration names
 )
 
-// emptyDigest is the digest of a body without bytes.
+// emptyDigest is the digest of an empty body.
 var emptyDigest = digestOf(nil)
 
 func digestOf(body []byte) string {
@@ -46,24 +46,24 @@
 	return hex.EncodeToString(digest[:])
 }
 
-// client sends one request after the other on a connection to a random proxy. It uses the
-// connection until the proxy closes it or asks it to.
+// client sends requests one after another on a connection to a random proxy, which it reuses
+// until the proxy closes it or asks for its close.
 type client struct {
-	number  int
-	random  *rand.Rand
-	proxies []*machine
-	log     *evidence
-	count   int
+	number   int
+	random   *rand.Rand
+	proxies  []*machine
+	recorder *recorder
+	requests int
 
-	conn   net.Conn
-	reader *bufio.Reader
-	proxy  *machine
-	used   bool
+	conn     net.Conn
+	reader   *bufio.Reader
+	proxy    *machine
+	connUsed bool
 }
 
 // run sends requests until done is closed.
 func (client *client) run(done <-chan struct{}) {
-	defer client.hangUp()
+	defer client.disconnect()
 	for {
 		select {
 		case <-done:
@@ -71,7 +71,7 @@
 		case <-time.After(time.Duration(client.random.Int64N(int64(2 * thinkTime)))):
 		}
 		if client.conn != nil || client.connect() {
-			client.request()
+			client.sendRequest()
 		}
 	}
 }
@@ -82,44 +82,44 @@
 	if err != nil {
 		return false
 	}
-	client.conn, client.reader, client.proxy, client.used = conn, bufio.NewReader(conn), proxy, false
+	client.conn, client.reader, client.proxy, client.connUsed = conn, bufio.NewReader(conn), proxy, false
 	return true
 }
 
-func (client *client) hangUp() {
+func (client *client) disconnect() {
 	if client.conn != nil {
 		client.conn.Close()
 		client.conn = nil
 	}
 }
 
-// next draws the next request and its body.
-func (client *client) next() (*exchange, []byte) {
-	client.count++
+// nextRequest returns a random request and its body.
+func (client *client) nextRequest() (*exchange, []byte) {
+	client.requests++
 	exchange := &exchange{
-		id:     fmt.Sprintf("%x-%x", client.number, client.count),
-		proxy:  client.proxy.name,
-		method: http.MethodGet,
-		reused: client.used,
+		id:           fmt.Sprintf("%x-%x", client.number, client.requests),
+		proxy:        client.proxy.name,
+		method:       http.MethodGet,
+		onReusedConn: client.connUsed,
 	}
 	body := []byte{}
 	switch client.random.IntN(4) {
 	case 0, 1:
-		exchange.path, exchange.service = viewPath, deskService
+		exchange.path, exchange.routeService = viewPath, deskService
 	case 2:
 		exchange.path = movedPath
 	case 3:
-		exchange.method, exchange.path, exchange.service = http.MethodPost, postPath, deskService
-		body = client.body()
+		exchange.method, exchange.path, exchange.routeService = http.MethodPost, postPath, deskService
+		body = client.randomBody()
 	}
-	exchange.path += strconv.Itoa(client.count) + "?from=" + strconv.Itoa(client.number)
-	exchange.body = digestOf(body)
+	exchange.path += strconv.Itoa(client.requests) + "?from=" + strconv.Itoa(client.number)
+	exchange.bodyDigest = digestOf(body)
 	return exchange, body
 }
 
-func (client *client) body() []byte {
-	size := client.random.IntN(smallBody)
-	if client.random.Float64() > smallBodies {
+func (client *client) randomBody() []byte {
+	size := client.random.IntN(maxSmallBody)
+	if client.random.Float64() > smallBodyShare {
 		size = client.random.IntN(maxBody)
 	}
 	body := make([]byte, size)
@@ -129,34 +129,34 @@
 	return body
 }
 
-// request sends one request and records its answer.
-func (client *client) request() {
-	exchange, body := client.next()
-	text := &bytes.Buffer{}
-	fmt.Fprintf(text, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", exchange.method, exchange.path, host,
+// sendRequest sends one request and records its response.
+func (client *client) sendRequest() {
+	exchange, body := client.nextRequest()
+	request := &bytes.Buffer{}
+	fmt.Fprintf(request, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", exchange.method, exchange.path, host,
 		headers.Attempt, exchange.id, headers.Deadline, requestDeadline.Milliseconds())
 	if exchange.method == http.MethodPost {
-		fmt.Fprintf(text, "Content-Length: %d\r\n", len(body))
+		fmt.Fprintf(request, "Content-Length: %d\r\n", len(body))
 	}
-	text.WriteString("\r\n")
-	text.Write(body)
+	request.WriteString("\r\n")
+	request.Write(body)
 	exchange.sentAt = time.Now()
-	client.log.sent(exchange)
-	client.used = true
-	keep := client.exchange(exchange, text.Bytes())
+	client.recorder.addExchange(exchange)
+	client.connUsed = true
+	reusable := client.roundTrip(exchange, request.Bytes())
 	exchange.endedAt = time.Now()
-	if !keep {
-		client.hangUp()
+	if !reusable {
+		client.disconnect()
 	}
 }
 
-// exchange sends a request and reads its answer; it returns whether the connection may be
-// used again.
-func (client *client) exchange(exchange *exchange, text []byte) bool {
-	if err := client.conn.SetDeadline(exchange.sentAt.Add(requestDeadline + answerSlack)); err != nil {
+// roundTrip sends a request and reads its response; it reports whether the connection can be
+// reused.
+func (client *client) roundTrip(exchange *exchange, request []byte) bool {
+	if err := client.conn.SetDeadline(exchange.sentAt.Add(requestDeadline + responseSlack)); err != nil {
 		return false
 	}
-	if _, err := client.conn.Write(text); err != nil {
+	if _, err := client.conn.Write(request); err != nil {
 		return false
 	}
 	response, err := http.ReadResponse(client.reader, &http.Request{Method: exchange.method})
@@ -165,11 +165,11 @@
 		return false
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		exchange.timedOut = errors.Is(err, os.ErrDeadlineExceeded)
 		return false
 	}
-	exchange.status, exchange.seal, exchange.answer = response.StatusCode, response.Header.Get(headers.Seal), string(answer)
+	exchange.status, exchange.seal, exchange.responseBody = response.StatusCode, response.Header.Get(headers.Seal), string(body)
 	return !response.Close
 }
--- a/harness/soak/deployment.go
+++ b/harness/soak/deployment.go
@@ -15,28 +15,28 @@
 
 const (
 	coreCount = 3
-	// startTimeout is how long a deployment may take until it is configured and ready.
-	startTimeout  = 60 * time.Second
-	readyInterval = 100 * time.Millisecond
-	firstPort     = 20000
-	portSpan      = 9000
-	portTries     = 50
+	// startTimeout limits the time until a deployment is configured and ready.
+	startTimeout    = 60 * time.Second
+	readyInterval   = 100 * time.Millisecond
+	firstPort       = 20000
+	portSpan        = 9000
+	maxPortAttempts = 50
 )
 
 var (
-	errNotStarted = errors.New("the deployment was not configured and ready in time")
-	errNoPorts    = errors.New("no free ports")
+	errStartTimeout = errors.New("deployment not configured and ready in time")
+	errNoPorts      = errors.New("no free ports")
 )
 
-// zones are where machines and backends are, in turn.
-var zones = []zone{{"accra-osu", "accra"}, {"kumasi-adum", "kumasi"}, {"tamale-central", "tamale"}}
+// zones are assigned to machines and backends in rotation.
+var zones = []zoneInfo{{"accra-osu", "accra"}, {"kumasi-adum", "kumasi"}, {"tamale-central", "tamale"}}
 
-// deployment is real processes on loopback addresses, with the stand-in of the platform.
+// deployment is a set of real processes on loopback addresses and a stand-in of the platform.
 type deployment struct {
 	program  string
 	folder   string
 	bounds   Bounds
-	wire     *wire
+	wire     *wireFormat
 	ports    ports
 	provider *provider
 	machines []*machine
@@ -66,13 +66,19 @@
 	return deployment, nil
 }
 
-// freePorts returns ports that nothing listens on.
+// freePorts returns ports on which nothing listens.
 func freePorts() (ports, error) {
-	for range portTries {
+	for range maxPortAttempts {
 		base := firstPort + rand.IntN(portSpan)
-		if arePortsFree(base, internalPorts+4) {
-			next := base + internalPorts
-			return ports{internal: base, clients: next, ready: next + 1, operators: next + 2, lookups: next + 3}, nil
+		if arePortsFree(base, internalPortCount+4) {
+			afterInternal := base + internalPortCount
+			return ports{
+				internal:  base,
+				clients:   afterInternal,
+				ready:     afterInternal + 1,
+				operators: afterInternal + 2,
+				lookups:   afterInternal + 3,
+			}, nil
 		}
 	}
 	return ports{}, errNoPorts
@@ -119,14 +125,14 @@
 		Zone:      machine.zone,
 		Zones:     zones,
 		FirstPort: deployment.ports.internal,
-		LastPort:  deployment.ports.internal + internalPorts - 1,
+		LastPort:  deployment.ports.internal + internalPortCount - 1,
 		First:     machine.isFirstStart(),
 		IsCore:    machine.role == coreRole,
 		Folder:    filepath.Join(deployment.folder, machine.name),
 		Operators: machine.operatorsAddress(),
 		Clients:   machine.clientsAddress(),
 		Ready:     machine.readyAddress(),
-		Lookups:   at(machine.address, deployment.ports.lookups),
+		Lookups:   joinPort(machine.address, deployment.ports.lookups),
 		Provider:  deployment.provider.address,
 		Bounds:    deployment.bounds,
 	}
@@ -140,7 +146,7 @@
 	return machine.launch(deployment.program, deployment.folder, deployment.wire.names.SettingsVariable, text)
 }
 
-// start starts all machines and returns once the first configuration is taken and all
+// start starts all machines and returns once the first configuration is accepted and all
 // proxies are ready.
 func (deployment *deployment) start(ctx context.Context, operator *operator, first configuration) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
@@ -155,12 +161,12 @@
 		return err
 	}
 	if status != http.StatusOK {
-		return fmt.Errorf("%w: the first configuration got %d", errNotStarted, status)
+		return fmt.Errorf("%w: first configuration was answered with status %d", errStartTimeout, status)
 	}
 	for _, proxy := range deployment.withRole(proxyRole) {
 		for !deployment.isReady(proxy) {
 			if sleep(ctx, readyInterval); ctx.Err() != nil {
-				return fmt.Errorf("%w: %s is not ready", errNotStarted, proxy.name)
+				return fmt.Errorf("%w: %s is not ready", errStartTimeout, proxy.name)
 			}
 		}
 	}
@@ -176,19 +182,19 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// stop ends all processes and stand-ins.
+// stop kills all processes and stops the stand-ins.
 func (deployment *deployment) stop() {
 	for _, machine := range deployment.machines {
-		machine.awaitEnd(0)
+		machine.waitOrKill(0)
 	}
-	for _, backend := range deployment.provider.listed(func(*backend) bool { return true }) {
+	for _, backend := range deployment.provider.backendsWhere(func(*backend) bool { return true }) {
 		backend.close()
 	}
-	_ = deployment.provider.server.Close() // nothing is asked for any more
+	_ = deployment.provider.server.Close() // no process is left to use it
 }
 
-// newFolder makes the folder for settings, logs and the cores' state.
-func newFolder(folder string) (string, error) {
+// makeFolder creates the folder for settings, logs and the cores' state.
+func makeFolder(folder string) (string, error) {
 	if folder == "" {
 		return os.MkdirTemp("", "soak")
 	}
--- a/harness/soak/faults.go
+++ b/harness/soak/faults.go
@@ -9,89 +9,89 @@
 	"time"
 )
 
-// Times of what the soak does to machines and backends.
+// Times and sizes of faults, restarts, drains and rollouts.
 const (
-	restartDelay   = 300 * time.Millisecond
-	startTime      = time.Second // in which a started process counts as disturbed
-	minFreeze      = 500 * time.Millisecond
-	freezeSpread   = 2 * time.Second
-	minPause       = 300 * time.Millisecond
-	pauseSpread    = 1500 * time.Millisecond
-	drainCount     = 3
-	drainSlack     = 1500 * time.Millisecond // beyond Drain, in which a backend that leaves serves on
-	idleInterval   = 20 * time.Millisecond
-	maxIdleWait    = 6 * time.Second
-	warmupSpan     = 1500 * time.Millisecond
-	rolloutPause   = 2 * time.Second
-	rolloutPoll    = 250 * time.Millisecond
-	rolloutSlack   = 6 * time.Second // beyond the term, in which an end is still read
-	revertedLinger = 2 * time.Second // until the backends of a reverted version leave
-	badVersion     = 0.5             // share of a bad version's answers that fail
+	restartDelay           = 300 * time.Millisecond
+	startupTime            = time.Second // for which a started process counts as disturbed
+	minFreeze              = 500 * time.Millisecond
+	freezeRange            = 2 * time.Second
+	minPause               = 300 * time.Millisecond
+	pauseRange             = 1500 * time.Millisecond
+	drainCount             = 3
+	drainSlack             = 1500 * time.Millisecond // beyond Drain, for which a leaving backend keeps serving
+	idlePollInterval       = 20 * time.Millisecond
+	maxIdleWait            = 6 * time.Second
+	warmupSpan             = 1500 * time.Millisecond
+	rolloutPause           = 2 * time.Second
+	rolloutPollInterval    = 250 * time.Millisecond
+	rolloutSlack           = 6 * time.Second // beyond the term, for which the outcome is still polled
+	revertedDrainDelay     = 2 * time.Second // until the backends of a version that was not completed leave
+	badVersionFailureShare = 0.5             // of its responses
 )
 
-// soak is one run: a deployment, those who use it and what they recorded.
+// soak is one run: a deployment, the disturbances of it and the records of its users.
 type soak struct {
-	options    Options
-	random     *rand.Rand
-	deployment *deployment
-	operator   *operator
-	log        *evidence
-	calm       *calm
-	attack     *slowHeads // nil without one
-	work       sync.WaitGroup
-	names      int
-	version    int
-	movedTo    string
-	printf     func(format string, values ...any)
+	options         Options
+	random          *rand.Rand
+	deployment      *deployment
+	operator        *operator
+	recorder        *recorder
+	disturbances    *disturbances
+	slowHeaders     *slowHeaderAttack // nil without an attack
+	retirements     sync.WaitGroup
+	backendsStarted int
+	configVersion   int
+	movedService    string
+	printf          func(format string, values ...any)
 }
 
-// pause waits for a random time, which ends early with ctx.
-func pause(ctx context.Context, random *rand.Rand) {
-	sleep(ctx, minPause+time.Duration(random.Int64N(int64(pauseSpread))))
+// randomPause waits for a random time or until ctx ends.
+func randomPause(ctx context.Context, random *rand.Rand) {
+	sleep(ctx, minPause+time.Duration(random.Int64N(int64(pauseRange))))
 }
 
-// terminate sends SIGTERM, SIGKILL after the grace, and starts the process again.
+// terminate sends SIGTERM, then SIGKILL after the grace period, and restarts the process.
 func (soak *soak) terminate(machine *machine) {
-	end := soak.calm.begin(machine.name, machine.role == coreRole, true)
+	end := soak.disturbances.begin(machine.name, machine.role == coreRole, true)
 	defer end()
 	machine.signal(syscall.SIGTERM)
-	if !machine.awaitEnd(soak.options.Bounds.Grace) {
-		soak.printf("%s: still ran at the end of its grace", machine.name)
+	if !machine.waitOrKill(soak.options.Bounds.Grace) {
+		soak.printf("%s: killed, still running at the end of its grace period", machine.name)
 	}
 	soak.restart(machine)
 }
 
-// kill sends SIGKILL and starts the process again.
+// kill sends SIGKILL and restarts the process.
 func (soak *soak) kill(machine *machine) {
-	end := soak.calm.begin(machine.name, machine.role == coreRole, false)
+	end := soak.disturbances.begin(machine.name, machine.role == coreRole, false)
 	defer end()
-	machine.awaitEnd(0)
+	machine.waitOrKill(0)
 	soak.restart(machine)
 }
 
 func (soak *soak) restart(machine *machine) {
 	time.Sleep(restartDelay)
 	if err := soak.deployment.launch(machine); err != nil {
-		soak.printf("%s: %v", machine.name, err)
+		soak.printf("%s: restart failed: %v", machine.name, err)
 		return
 	}
-	time.Sleep(startTime)
+	time.Sleep(startupTime)
 }
 
-// freeze stops a process for a while.
+// freeze suspends a process for a span.
 func (soak *soak) freeze(machine *machine, span time.Duration) {
-	end := soak.calm.begin(machine.name, machine.role == coreRole, false)
+	end := soak.disturbances.begin(machine.name, machine.role == coreRole, false)
 	defer end()
 	machine.signal(syscall.SIGSTOP)
 	time.Sleep(span)
 	machine.signal(syscall.SIGCONT)
 }
 
-// disturbProxies stops, kills and freezes proxies one after the other until ctx ends. While
-// onlyPlanned says so, they are stopped in order.
+// disturbProxies terminates, kills and freezes random proxies, one at a time, until ctx ends.
+// While onlyPlanned returns true, they are only terminated.
 func (soak *soak) disturbProxies(ctx context.Context, random *rand.Rand, onlyPlanned func() bool) {
 	proxies := soak.deployment.withRole(proxyRole)
-	for pause(ctx, random); ctx.Err() == nil; pause(ctx, random) {
+	for randomPause(ctx, random); ctx.Err() == nil; randomPause(ctx, random) {
 		proxy := proxies[random.IntN(len(proxies))]
 		switch kind := random.IntN(4); {
 		case onlyPlanned() || kind < 2:
@@ -99,15 +99,15 @@
 		case kind == 2:
 			soak.kill(proxy)
 		default:
-			soak.freeze(proxy, minFreeze+time.Duration(random.Int64N(int64(freezeSpread))))
+			soak.freeze(proxy, minFreeze+time.Duration(random.Int64N(int64(freezeRange))))
 		}
 	}
 }
 
-// disturbCores stops, kills and freezes cores, one at a time, until ctx ends.
+// disturbCores terminates, kills and freezes random cores, one at a time, until ctx ends.
 func (soak *soak) disturbCores(ctx context.Context, random *rand.Rand) {
 	cores := soak.deployment.withRole(coreRole)
-	for pause(ctx, random); ctx.Err() == nil; sleep(ctx, soak.options.Bounds.Contact) {
+	for randomPause(ctx, random); ctx.Err() == nil; sleep(ctx, soak.options.Bounds.Contact) {
 		core := cores[random.IntN(len(cores))]
 		switch random.IntN(3) {
 		case 0:
@@ -115,22 +115,22 @@
 		case 1:
 			soak.kill(core)
 		default:
-			soak.freeze(core, minFreeze+time.Duration(random.Int64N(int64(freezeSpread))))
+			soak.freeze(core, minFreeze+time.Duration(random.Int64N(int64(freezeRange))))
 		}
 	}
 }
 
-// newBackends starts backends of a service, one zone after the other.
-func (soak *soak) newBackends(count int, service, revision string, badShare float64, isCold bool) ([]*backend, error) {
+// newBackends starts backends of a service, spread over the zones in rotation.
+func (soak *soak) newBackends(count int, service, revision string, failureShare float64, needsWarmup bool) ([]*backend, error) {
 	backends := []*backend{}
 	for range count {
-		soak.names++
-		id := fmt.Sprintf("i-%s-%d", service, soak.names)
-		backend, err := newBackend(id, service, zones[soak.names%len(zones)].Name, revision, badShare, soak.log)
+		soak.backendsStarted++
+		id := fmt.Sprintf("i-%s-%d", service, soak.backendsStarted)
+		backend, err := newBackend(id, service, zones[soak.backendsStarted%len(zones)].Name, revision, failureShare, soak.recorder)
 		if err != nil {
 			return nil, err
 		}
-		if isCold {
+		if needsWarmup {
 			backend.warmAt = time.Now().Add(warmupSpan)
 		}
 		backends = append(backends, backend)
@@ -138,16 +138,17 @@
 	return backends, nil
 }
 
-// retire makes backends leave in order and ends them a little after the bound.
+// retire marks backends as leaving, and removes them in the background after the drain bound
+// once they are idle.
 func (soak *soak) retire(backends []*backend) {
 	for _, backend := range backends {
-		backend.leave()
+		backend.markLeaving()
 	}
-	soak.work.Go(func() {
+	soak.retirements.Go(func() {
 		time.Sleep(soak.options.Bounds.Drain + drainSlack)
 		for _, backend := range backends {
 			for until := time.Now().Add(maxIdleWait); !backend.isIdle() && time.Now().Before(until); {
-				time.Sleep(idleInterval)
+				time.Sleep(idlePollInterval)
 			}
 			soak.deployment.provider.remove(backend)
 			backend.close()
@@ -155,11 +156,11 @@
 	})
 }
 
-// drainBackends replaces backends of the service without roll-outs, some at a time, until
+// drainBackends replaces backends of a service, a few at a time and without a rollout, until
 // ctx ends.
 func (soak *soak) drainBackends(ctx context.Context, random *rand.Rand, service string) {
-	for pause(ctx, random); ctx.Err() == nil; sleep(ctx, soak.options.Bounds.Drain) {
-		present := soak.deployment.provider.listed(func(backend *backend) bool {
+	for randomPause(ctx, random); ctx.Err() == nil; sleep(ctx, soak.options.Bounds.Drain) {
+		present := soak.deployment.provider.backendsWhere(func(backend *backend) bool {
 			return backend.Service == service && !backend.Leaving()
 		})
 		count := min(drainCount, len(present)-1)
@@ -169,7 +170,7 @@
 		random.Shuffle(len(present), func(left, right int) { present[left], present[right] = present[right], present[left] })
 		successors, err := soak.newBackends(count, service, present[0].Revision, 0, true)
 		if err != nil {
-			soak.printf("backends: %v", err)
+			soak.printf("could not start backends: %v", err)
 			return
 		}
 		soak.deployment.provider.add(successors...)
--- a/harness/soak/limits.go
+++ b/harness/soak/limits.go
@@ -13,76 +13,77 @@
 	"time"
 )
 
-// limits are those of clients' connections in one version of the routing.
-type limits struct {
+// connLimits are the limits on client connections in one version of the configuration.
+type connLimits struct {
 	HeaderBytes   int
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
-// The limits that versions have: each is drawn by itself. They lie on both sides of what a
-// process has of its own before it knows a routing.
+// Each limit of a version is drawn independently from these two. They lie on both sides of
+// the defaults that a process uses before it has a configuration.
 var (
-	tightLimits = limits{HeaderBytes: 4096, HeaderTimeout: time.Second, IdleTimeout: 2 * time.Second}
-	wideLimits  = limits{HeaderBytes: 80 << 10, HeaderTimeout: 6500 * time.Millisecond, IdleTimeout: 5 * time.Second}
+	lowLimits  = connLimits{HeaderBytes: 4096, HeaderTimeout: time.Second, IdleTimeout: 2 * time.Second}
+	highLimits = connLimits{HeaderBytes: 80 << 10, HeaderTimeout: 6500 * time.Millisecond, IdleTimeout: 5 * time.Second}
 )
 
-func drawLimits(random *rand.Rand) limits {
-	drawn := tightLimits
+func randomLimits(random *rand.Rand) connLimits {
+	drawn := lowLimits
 	if random.IntN(2) == 0 {
-		drawn.HeaderBytes = wideLimits.HeaderBytes
+		drawn.HeaderBytes = highLimits.HeaderBytes
 	}
 	if random.IntN(2) == 0 {
-		drawn.HeaderTimeout = wideLimits.HeaderTimeout
+		drawn.HeaderTimeout = highLimits.HeaderTimeout
 	}
 	if random.IntN(2) == 0 {
-		drawn.IdleTimeout = wideLimits.IdleTimeout
+		drawn.IdleTimeout = highLimits.IdleTimeout
 	}
 	return drawn
 }
 
-// probeKind is what a client does to see a limit act.
+// probeKind is the way in which a client probes a limit.
 type probeKind uint8
 
 const (
-	restProbe  probeKind = iota // rests after an answer until the proxy closes the connection
-	reuseProbe                  // rests as long as all limits allow, and asks again
-	slowProbe                   // sends a part of a head and no more
-	longProbe                   // sends a long head
-	probeKinds
+	idleProbe       probeKind = iota // idles after a response until the proxy closes the connection
+	reuseProbe                       // idles for less than all idle timeouts, then sends another request
+	slowHeaderProbe                  // sends part of a header and no more
+	longHeaderProbe                  // sends a long header
+	probeKindCount
 )
 
 func (kind probeKind) String() string {
-	return [...]string{"rest", "reuse", "slow head", "long head"}[kind]
+	return [...]string{"idle", "reuse", "slow header", "long header"}[kind]
 }
 
 const (
-	// limitClients is how many clients try the limits at a time.
+	// limitClients is the number of clients that probe limits concurrently.
 	limitClients = 8
-	// probeTimeout ends a probe that no limit has ended.
+	// probeTimeout ends a probe that no limit ends.
 	probeTimeout = 10 * time.Second
-	// reuseShare is the part of the shortest idle timeout after which clients still ask.
-	reuseShare = 0.8
-	partOfHead = 60 // bytes
-	longHead   = 70 << 10
+	// reuseIdleShare is the fraction of the shortest idle timeout after which a connection is
+	// reused.
+	reuseIdleShare     = 0.8
+	partialHeaderBytes = 60
+	longHeaderBytes    = 70 << 10
 )
 
-// limitProbe is what a client tried and what became of it.
+// limitProbe is one probe of a limit and its outcome.
 type limitProbe struct {
-	kind   probeKind
-	proxy  string
-	id     string    // of the request that the probe is about
-	begin  time.Time // of the rest or the head
-	end    time.Time
-	status int // of the answer, 0 if the connection ended without one
-	open   bool
+	kind      probeKind
+	proxy     string
+	requestID string    // of the probe's last request
+	begin     time.Time // of the idle time or the header
+	end       time.Time
+	status    int // of the response, 0 if the connection ended without one
+	stillOpen bool
 }
 
-// limitClient tries the limits of clients' connections, one after the other.
+// limitClient probes random limits on client connections, one at a time.
 type limitClient struct {
-	random  *rand.Rand
-	proxies []*machine
-	log     *evidence
+	random   *rand.Rand
+	proxies  []*machine
+	recorder *recorder
 }
 
 func (client *limitClient) run(done <-chan struct{}) {
@@ -97,67 +98,67 @@
 		if err != nil {
 			continue
 		}
-		probe := &limitProbe{kind: probeKind(client.random.IntN(int(probeKinds))), proxy: proxy.name}
-		if client.try(probe, conn) {
-			client.log.probed(probe)
+		probe := &limitProbe{kind: probeKind(client.random.IntN(int(probeKindCount))), proxy: proxy.name}
+		if client.runProbe(probe, conn) {
+			client.recorder.addProbe(probe)
 		}
 		conn.Close()
 	}
 }
 
-// request records a request of the probe's and returns its text, with a head of at least so
-// many bytes.
-func (client *limitClient) request(probe *limitProbe, size int) string {
-	probe.id = fmt.Sprintf("limit-%x", client.random.Uint64())
+// newRequest records a request of the probe and returns its text, padded to at least
+// headerBytes.
+func (client *limitClient) newRequest(probe *limitProbe, headerBytes int) string {
+	probe.requestID = fmt.Sprintf("limit-%x", client.random.Uint64())
 	exchange := &exchange{
-		id: probe.id, proxy: probe.proxy, method: http.MethodGet, path: viewPath + "limit", service: deskService,
-		sentAt: time.Now(), body: emptyDigest, isProbe: true,
+		id: probe.requestID, proxy: probe.proxy, method: http.MethodGet, path: viewPath + "limit", routeService: deskService,
+		sentAt: time.Now(), bodyDigest: emptyDigest, isProbe: true,
 	}
-	client.log.sent(exchange)
-	head := fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", exchange.path, host, headers.Attempt, exchange.id)
-	return head + "Filler: " + strings.Repeat("x", max(0, size-len(head))) + "\r\n\r\n"
+	client.recorder.addExchange(exchange)
+	header := fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", exchange.path, host, headers.Attempt, exchange.id)
+	return header + "Filler: " + strings.Repeat("x", max(0, headerBytes-len(header))) + "\r\n\r\n"
 }
 
-// try plays one probe on a connection; false if the connection failed before the probe began.
-func (client *limitClient) try(probe *limitProbe, conn net.Conn) bool {
+// runProbe runs one probe on a connection; false if the connection failed before it began.
+func (client *limitClient) runProbe(probe *limitProbe, conn net.Conn) bool {
 	reader := bufio.NewReader(conn)
 	if err := conn.SetDeadline(time.Now().Add(2 * probeTimeout)); err != nil {
 		return false
 	}
 	switch probe.kind {
-	case restProbe, reuseProbe:
-		if _, err := io.WriteString(conn, client.request(probe, 0)); err != nil || readStatus(reader) != http.StatusOK {
+	case idleProbe, reuseProbe:
+		if _, err := io.WriteString(conn, client.newRequest(probe, 0)); err != nil || readStatus(reader) != http.StatusOK {
 			return false
 		}
-	case slowProbe, longProbe, probeKinds:
+	case slowHeaderProbe, longHeaderProbe, probeKindCount:
 	}
 	probe.begin = time.Now()
 	switch probe.kind {
-	case restProbe:
-		probe.open = !closesWithin(conn, reader, probeTimeout)
+	case idleProbe:
+		probe.stillOpen = !closedWithin(conn, reader, probeTimeout)
 	case reuseProbe:
-		rest := time.Duration(reuseShare * float64(tightLimits.IdleTimeout))
-		if closesWithin(conn, reader, rest) {
+		idle := time.Duration(reuseIdleShare * float64(lowLimits.IdleTimeout))
+		if closedWithin(conn, reader, idle) {
 			break
 		}
-		if _, err := io.WriteString(conn, client.request(probe, 0)); err == nil {
+		if _, err := io.WriteString(conn, client.newRequest(probe, 0)); err == nil {
 			probe.status = readStatus(reader)
 		}
-	case slowProbe:
-		if _, err := io.WriteString(conn, client.request(probe, 0)[:partOfHead]); err != nil {
+	case slowHeaderProbe:
+		if _, err := io.WriteString(conn, client.newRequest(probe, 0)[:partialHeaderBytes]); err != nil {
 			return false
 		}
 		probe.status = readStatus(reader)
-	case longProbe:
-		_, _ = io.WriteString(conn, client.request(probe, longHead)) // a refusal may come before its end
+	case longHeaderProbe:
+		_, _ = io.WriteString(conn, client.newRequest(probe, longHeaderBytes)) // the proxy may refuse it before its end
 		probe.status = readStatus(reader)
-	case probeKinds:
+	case probeKindCount:
 	}
 	probe.end = time.Now()
 	return true
 }
 
-// readStatus reads one answer and returns its status, 0 if none came.
+// readStatus reads one response and returns its status, 0 if none came.
 func readStatus(reader *bufio.Reader) int {
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
@@ -169,8 +170,8 @@
 	return response.StatusCode
 }
 
-// closesWithin waits until the connection is closed; false if it is open after the limit.
-func closesWithin(conn net.Conn, reader *bufio.Reader, limit time.Duration) bool {
+// closedWithin waits until the peer closes the connection; false if it is open after the limit.
+func closedWithin(conn net.Conn, reader *bufio.Reader, limit time.Duration) bool {
 	if err := conn.SetReadDeadline(time.Now().Add(limit)); err != nil {
 		return true
 	}
--- a/harness/soak/machine.go
+++ b/harness/soak/machine.go
@@ -11,65 +11,68 @@
 	"time"
 )
 
-// Roles of machines, as the program's subcommands name them.
+// Roles of machines, which are also the program's subcommands.
 const (
 	coreRole  = "core"
 	proxyRole = "proxy"
 )
 
-// machine is one machine with one process, which may be started again and again.
+// machine is one machine with one process, which may be restarted.
 type machine struct {
 	name, role, address string
-	zone                zone
+	zone                zoneInfo
 	ports               ports
 
 	mutex   sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{} // closed when the present process has ended
+	exited  chan struct{} // closed when the current process has exited
 	starts  int
 }
 
-// ports of a deployment; they are alike on all machines.
+// ports are a deployment's ports, the same on all machines.
 type ports struct{ internal, clients, ready, operators, lookups int }
 
-// internalPorts is how many ports are for messages between daemons.
-const internalPorts = 16
+// internalPortCount is the number of ports for messages between daemons.
+const internalPortCount = 16
 
-func (machine *machine) clientsAddress() string { return at(machine.address, machine.ports.clients) }
+func (machine *machine) clientsAddress() string {
+	return joinPort(machine.address, machine.ports.clients)
+}
 
 func (machine *machine) operatorsAddress() string {
-	return at(machine.address, machine.ports.operators)
+	return joinPort(machine.address, machine.ports.operators)
 }
-func (machine *machine) readyAddress() string { return at(machine.address, machine.ports.ready) }
 
-func at(address string, port int) string { return net.JoinHostPort(address, strconv.Itoa(port)) }
+func (machine *machine) readyAddress() string { return joinPort(machine.address, machine.ports.ready) }
+
+func joinPort(address string, port int) string { return net.JoinHostPort(address, strconv.Itoa(port)) }
 
-// launch starts the process with a settings file. Its output is appended to its log file.
+// launch writes the settings file and starts the process, with its output appended to a log file.
 func (machine *machine) launch(program, folder, variable string, text []byte) error {
 	settingsPath := filepath.Join(folder, machine.name+".toml")
 	if err := os.WriteFile(settingsPath, text, 0o600); err != nil {
 		return err
 	}
-	log, err := os.OpenFile(filepath.Join(folder, machine.name+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(filepath.Join(folder, machine.name+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	command := exec.Command(program, machine.role)
 	command.Env = []string{variable + "=" + settingsPath, "PATH=" + os.Getenv("PATH")}
-	command.Stdout, command.Stderr = log, log
+	command.Stdout, command.Stderr = logFile, logFile
 	if err := command.Start(); err != nil {
-		_ = log.Close() // nothing was written
+		_ = logFile.Close() // the start error is the one to report
 		return err
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	machine.mutex.Lock()
-	machine.command, machine.ended = command, ended
+	machine.command, machine.exited = command, exited
 	machine.starts++
 	machine.mutex.Unlock()
 	go func() {
-		_ = command.Wait() // how it ended is of no interest
-		_ = log.Close()    // the process wrote through a descriptor of its own
-		close(ended)
+		_ = command.Wait()  // the exit status is not checked
+		_ = logFile.Close() // the process wrote through its own descriptor
+		close(exited)
 	}()
 	return nil
 }
@@ -81,7 +84,7 @@
 	return machine.starts == 0
 }
 
-// pid is the number of the process, 0 if there was none yet.
+// pid returns the process ID, 0 before the first start.
 func (machine *machine) pid() int {
 	machine.mutex.Lock()
 	defer machine.mutex.Unlock()
@@ -91,7 +94,7 @@
 	return machine.command.Process.Pid
 }
 
-// signal sends a signal to the process; one that just ended needs none.
+// signal sends a signal to the process, if it is still running.
 func (machine *machine) signal(signal syscall.Signal) {
 	machine.mutex.Lock()
 	defer machine.mutex.Unlock()
@@ -100,21 +103,21 @@
 	}
 }
 
-// awaitEnd waits until the process has ended and kills it after the limit. It returns
-// whether it ended by itself.
-func (machine *machine) awaitEnd(limit time.Duration) bool {
+// waitOrKill waits until the process has exited and kills it after the limit. It reports
+// whether the process exited within the limit.
+func (machine *machine) waitOrKill(limit time.Duration) bool {
 	machine.mutex.Lock()
-	ended := machine.ended
+	exited := machine.exited
 	machine.mutex.Unlock()
-	if ended == nil {
+	if exited == nil {
 		return true
 	}
 	select {
-	case <-ended:
+	case <-exited:
 		return true
 	case <-time.After(limit):
 		machine.signal(syscall.SIGKILL)
-		<-ended
+		<-exited
 		return false
 	}
 }
--- a/harness/soak/operator.go
+++ b/harness/soak/operator.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	callTimeout = time.Second
-	orderPause  = 100 * time.Millisecond
+	callTimeout   = time.Second
+	retryInterval = 100 * time.Millisecond
 )
 
-// operator sends orders to the cores, each until it is answered, at any core.
+// operator sends orders to random cores.
 type operator struct {
 	random *rand.Rand
 	cores  []*machine
 	client *http.Client
-	wire   *wire
+	wire   *wireFormat
 }
 
-func newOperator(random *rand.Rand, cores []*machine, wire *wire) *operator {
+func newOperator(random *rand.Rand, cores []*machine, wire *wireFormat) *operator {
 	return &operator{random: random, cores: cores, wire: wire, client: &http.Client{Timeout: callTimeout}}
 }
 
-// call sends a request to a random core; a status of 0 is no answer.
+// call sends a request to a random core; a status of 0 means no response.
 func (operator *operator) call(ctx context.Context, method, path string, body []byte) (int, []byte) {
 	core := operator.cores[operator.random.IntN(len(operator.cores))]
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+core.operatorsAddress()+path, bytes.NewReader(body))
@@ -47,9 +47,9 @@
 	return response.StatusCode, text
 }
 
-// order sends an order until it is answered for good or ctx ends, and returns the status of
-// the last answer.
-func (operator *operator) order(ctx context.Context, method, path string, body []byte) int {
+// sendUntilAnswered sends an order until it gets a final answer or ctx ends, and returns the
+// last status. 408, 429 and 5xx are not final.
+func (operator *operator) sendUntilAnswered(ctx context.Context, method, path string, body []byte) int {
 	status := 0
 	for ctx.Err() == nil {
 		status, _ = operator.call(ctx, method, path, body)
@@ -57,42 +57,42 @@
 			status != http.StatusRequestTimeout && status != http.StatusTooManyRequests {
 			return status
 		}
-		sleep(ctx, orderPause)
+		sleep(ctx, retryInterval)
 	}
 	return status
 }
 
-// configure sends a configuration until it is answered for good.
+// configure sends a configuration until it gets a final answer.
 func (operator *operator) configure(ctx context.Context, values configuration) (int, error) {
 	body, err := operator.wire.render("configuration.json.tmpl", values)
 	if err != nil {
 		return 0, err
 	}
-	return operator.order(ctx, http.MethodPut, "/config", body), nil
+	return operator.sendUntilAnswered(ctx, http.MethodPut, "/config", body), nil
 }
 
-// rolloutStatus is where a roll-out stands, as the operator reads it.
+// rolloutStatus is the part of a rollout's status that the soak uses.
 type rolloutStatus struct {
 	State string `json:"state"`
 }
 
-// States of a roll-out.
+// Final states of a rollout.
 const (
 	stateComplete = "complete"
 	stateReverted = "reverted"
 )
 
-// rolloutState reads where a service's roll-out stands, empty if there is no answer.
+// rolloutState reads the state of a service's rollout, empty if there is no answer.
 func (operator *operator) rolloutState(ctx context.Context, service string) string {
 	status, body := operator.call(ctx, http.MethodGet, "/rollouts/"+service, nil)
-	read := rolloutStatus{}
-	if status != http.StatusOK || json.Unmarshal(body, &read) != nil {
+	rollout := rolloutStatus{}
+	if status != http.StatusOK || json.Unmarshal(body, &rollout) != nil {
 		return ""
 	}
-	return read.State
+	return rollout.State
 }
 
-// sleep waits for a time or until ctx ends.
+// sleep waits for a span or until ctx ends.
 func sleep(ctx context.Context, span time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/harness/soak/orders.go
+++ b/harness/soak/orders.go
@@ -8,93 +8,94 @@
 	"time"
 )
 
-// changeConfigurations moves a route between two services and draws the limits of clients'
-// connections, again and again until ctx ends.
+// changeConfigurations repeatedly moves a route between two services and changes the limits on
+// client connections, until ctx ends.
 func (soak *soak) changeConfigurations(ctx context.Context, random *rand.Rand) {
-	for pause(ctx, random); ctx.Err() == nil; pause(ctx, random) {
-		next := roomService
-		if soak.movedTo == roomService {
-			next = deskService
+	for randomPause(ctx, random); ctx.Err() == nil; randomPause(ctx, random) {
+		service := roomService
+		if soak.movedService == roomService {
+			service = deskService
 		}
-		if !soak.configure(ctx, next, drawLimits(random)) {
+		if !soak.configure(ctx, service, randomLimits(random)) {
 			return
 		}
 	}
 }
 
-// configure sends the next version; false if it was not acknowledged.
-func (soak *soak) configure(ctx context.Context, movedTo string, limits limits) bool {
-	record := &acknowledged{version: soak.version + 1, movedTo: movedTo, limits: limits, sentAt: time.Now()}
-	soak.log.configured(record)
-	next := configuration{Version: record.version, Base: soak.version, MovedTo: movedTo, Limits: limits}
+// configure sends the next version of the configuration; false if it was not acknowledged.
+func (soak *soak) configure(ctx context.Context, service string, limits connLimits) bool {
+	change := &configChange{version: soak.configVersion + 1, service: service, limits: limits, sentAt: time.Now()}
+	soak.recorder.addConfigChange(change)
+	next := configuration{Version: change.version, Base: soak.configVersion, MovedTo: service, Limits: limits}
 	status, err := soak.operator.configure(ctx, next)
 	if err != nil || status != http.StatusOK {
-		soak.printf("version %d was not acknowledged: status %d, %v", record.version, status, err)
+		soak.printf("configuration version %d was not acknowledged: status %d, %v", change.version, status, err)
 		return false
 	}
-	record.ackedAt = time.Now()
-	soak.version, soak.movedTo = record.version, movedTo
+	change.acknowledgedAt = time.Now()
+	soak.configVersion, soak.movedService = change.version, service
 	return true
 }
 
-// rollOut brings one version after the other into a service, good ones and bad ones, until
-// ctx ends.
-func (soak *soak) rollOut(ctx context.Context, random *rand.Rand, service string) {
-	for number := 2; ctx.Err() == nil; number++ {
-		soak.bringIn(ctx, service, fmt.Sprintf("v%d", number), random.IntN(2) == 0)
+// runRollouts rolls out one version of a service after another, good and bad ones, until ctx
+// ends.
+func (soak *soak) runRollouts(ctx context.Context, random *rand.Rand, service string) {
+	for version := 2; ctx.Err() == nil; version++ {
+		soak.runRollout(ctx, service, fmt.Sprintf("v%d", version), random.IntN(2) == 0)
 		sleep(ctx, rolloutPause)
 	}
 }
 
-// bringIn orders one roll-out and follows it to its end.
-func (soak *soak) bringIn(ctx context.Context, service, target string, isBad bool) {
-	former := soak.deployment.provider.listed(func(backend *backend) bool {
+// runRollout orders one rollout and waits for its end, then removes the old backends, or the new ones
+// if it was not completed.
+func (soak *soak) runRollout(ctx context.Context, service, target string, isBad bool) {
+	replaced := soak.deployment.provider.backendsWhere(func(backend *backend) bool {
 		return backend.Service == service && !backend.Leaving()
 	})
-	badShare := 0.0
+	failureShare := 0.0
 	if isBad {
-		badShare = badVersion
+		failureShare = badVersionFailureShare
 	}
-	next, err := soak.newBackends(len(former), service, target, badShare, true)
+	started, err := soak.newBackends(len(replaced), service, target, failureShare, true)
 	if err != nil {
-		soak.printf("backends: %v", err)
+		soak.printf("could not start backends: %v", err)
 		return
 	}
-	record := &shift{service: service, target: target, isBad: isBad, over: soak.options.RolloutTerm, sentAt: time.Now()}
-	soak.log.ordered(record)
-	soak.deployment.provider.add(next...)
-	body, err := soak.deployment.wire.render("rollout.json.tmpl", rolloutOrder{Service: service, Target: target, Over: record.over})
+	rollout := &rolloutRecord{service: service, target: target, isBad: isBad, term: soak.options.RolloutTerm, sentAt: time.Now()}
+	soak.recorder.addRollout(rollout)
+	soak.deployment.provider.add(started...)
+	body, err := soak.deployment.wire.render("rollout.json.tmpl", rolloutOrder{Service: service, Target: target, Over: rollout.term})
 	if err != nil {
-		soak.printf("roll-out: %v", err)
+		soak.printf("could not render the rollout order: %v", err)
 		return
 	}
-	ordering, cancel := context.WithDeadline(ctx, record.sentAt.Add(record.over))
+	ordering, cancel := context.WithDeadline(ctx, rollout.sentAt.Add(rollout.term))
 	defer cancel()
-	if soak.operator.order(ordering, http.MethodPost, "/rollouts", body) == http.StatusOK {
-		record.ackedAt = time.Now()
+	if soak.operator.sendUntilAnswered(ordering, http.MethodPost, "/rollouts", body) == http.StatusOK {
+		rollout.acknowledgedAt = time.Now()
 	}
-	soak.follow(record)
-	if record.complete {
-		for _, backend := range former {
+	soak.awaitRolloutEnd(rollout)
+	if rollout.completed {
+		for _, backend := range replaced {
 			soak.deployment.provider.remove(backend)
 			backend.close()
 		}
 		return
 	}
-	time.Sleep(revertedLinger)
-	soak.retire(next)
+	time.Sleep(revertedDrainDelay)
+	soak.retire(started)
 }
 
-// follow reads a roll-out's state until it has ended.
-func (soak *soak) follow(record *shift) {
-	until := record.sentAt.Add(record.over + rolloutSlack)
-	for ; time.Now().Before(until); time.Sleep(rolloutPoll) {
-		switch soak.operator.rolloutState(context.Background(), record.service) {
+// awaitRolloutEnd polls a rollout until it has ended or rolloutSlack after its term.
+func (soak *soak) awaitRolloutEnd(rollout *rolloutRecord) {
+	deadline := rollout.sentAt.Add(rollout.term + rolloutSlack)
+	for ; time.Now().Before(deadline); time.Sleep(rolloutPollInterval) {
+		switch soak.operator.rolloutState(context.Background(), rollout.service) {
 		case stateComplete:
-			record.finalAt, record.complete = time.Now(), true
+			rollout.endedAt, rollout.completed = time.Now(), true
 			return
 		case stateReverted:
-			record.finalAt, record.reverted = time.Now(), true
+			rollout.endedAt, rollout.reverted = time.Now(), true
 			return
 		}
 	}
--- a/harness/soak/provider.go
+++ b/harness/soak/provider.go
@@ -7,42 +7,42 @@
 	"sync"
 )
 
-// provider is the stand-in of the platform: its list of backends, and usage reports, which
-// it accepts.
+// provider is the stand-in of the platform: it serves the backend list and accepts usage
+// reports.
 type provider struct {
 	address string
 	server  *http.Server
-	wire    *wire
+	wire    *wireFormat
 
 	mutex    sync.Mutex
 	backends []*backend
 }
 
-func newProvider(wire *wire) (*provider, error) {
+func newProvider(wire *wireFormat) (*provider, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	provider := &provider{wire: wire, address: listener.Addr().String()}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /backends", provider.list)
+	mux.HandleFunc("GET /backends", provider.serveList)
 	mux.HandleFunc("POST /usage", func(http.ResponseWriter, *http.Request) {})
-	provider.server = &http.Server{Handler: mux, ReadHeaderTimeout: headTimeout}
+	provider.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	go func() { _ = provider.server.Serve(listener) }() // ends when the server is closed
 	return provider, nil
 }
 
-// listed returns the backends that a filter takes.
-func (provider *provider) listed(takes func(*backend) bool) []*backend {
+// backendsWhere returns the backends that match.
+func (provider *provider) backendsWhere(matches func(*backend) bool) []*backend {
 	provider.mutex.Lock()
 	defer provider.mutex.Unlock()
-	taken := []*backend{}
+	selected := []*backend{}
 	for _, backend := range provider.backends {
-		if takes(backend) {
-			taken = append(taken, backend)
+		if matches(backend) {
+			selected = append(selected, backend)
 		}
 	}
-	return taken
+	return selected
 }
 
 func (provider *provider) add(backends ...*backend) {
@@ -51,16 +51,16 @@
 	provider.mutex.Unlock()
 }
 
-func (provider *provider) remove(gone *backend) {
+func (provider *provider) remove(removed *backend) {
 	provider.mutex.Lock()
-	provider.backends = slices.DeleteFunc(slices.Clone(provider.backends), func(backend *backend) bool { return backend == gone })
+	provider.backends = slices.DeleteFunc(slices.Clone(provider.backends), func(backend *backend) bool { return backend == removed })
 	provider.mutex.Unlock()
 }
 
-// list answers one page with the backends of the zone that the query names, or of all.
-func (provider *provider) list(writer http.ResponseWriter, request *http.Request) {
+// serveList answers with the backends of the zone in the query, or of all zones, on one page.
+func (provider *provider) serveList(writer http.ResponseWriter, request *http.Request) {
 	zone := request.URL.Query().Get("zone")
-	entries := provider.listed(func(backend *backend) bool { return zone == "" || backend.Zone == zone })
+	entries := provider.backendsWhere(func(backend *backend) bool { return zone == "" || backend.Zone == zone })
 	body, err := provider.wire.render("backends.json.tmpl", entries)
 	if err != nil {
 		writer.WriteHeader(http.StatusInternalServerError)
--- a/harness/soak/run.go
+++ b/harness/soak/run.go
@@ -1,7 +1,7 @@
-// Package soak runs a deployment of real processes on loopback addresses while clients keep
-// using open connections, and while signals, restarts, changes of the configuration, drains
-// of backends and roll-outs overlap, drawn from a seed. What clients, backends and the
-// operator recorded is then held against the rules: check.go.
+// Package soak runs a deployment of real processes on loopback addresses under client load
+// on persistent connections, while signals, restarts, configuration changes, backend drains
+// and rollouts overlap, drawn from a seed. It then checks the records of clients, backends
+// and the operator against the rules in check.go.
 package soak
 
 import (
@@ -14,36 +14,36 @@
 	"time"
 )
 
-// Options say how long a soak runs and how large it is.
+// Options set the length and the size of a soak.
 type Options struct {
-	Program     string // the program of the deploy file
-	Folder      string // for logs; a temporary one, removed at the end, if empty
+	Program     string // path of the binary under test
+	Folder      string // for settings, logs and state; if empty, a temporary one that is removed at the end
 	Seed        uint64
 	Span        time.Duration // of the disturbances
 	Proxies     int
 	Clients     int
 	Backends    int // of each of the two services
-	SlowHeads   int // connections to one proxy that send a byte of a head each second
+	SlowHeads   int // connections to one proxy that send a byte of a header each second
 	RolloutTerm time.Duration
 	Bounds      Bounds
 	Printf      func(format string, values ...any)
 }
 
-// Shares of the span in which only planned work is done, and from which on cores are
-// disturbed too.
+// Until plannedOnlyShare of the span proxies are only stopped as planned; from
+// coreFaultsFromShare on cores are disturbed too.
 const (
-	plannedShare = 0.35
-	coresShare   = 0.6
+	plannedOnlyShare    = 0.35
+	coreFaultsFromShare = 0.6
 )
 
-// Run runs one soak and returns what it found.
+// Run runs one soak and returns its report.
 func Run(options Options) (*Report, error) {
-	folder, err := newFolder(options.Folder)
+	folder, err := makeFolder(options.Folder)
 	if err != nil {
 		return nil, err
 	}
 	if options.Folder == "" {
-		defer func() { _ = os.RemoveAll(folder) }() // a temporary folder
+		defer func() { _ = os.RemoveAll(folder) }()
 	}
 	deployment, err := newDeployment(options.Program, folder, options.Bounds, options.Proxies)
 	if err != nil {
@@ -52,23 +52,23 @@
 	defer deployment.stop()
 	random := rand.New(rand.NewPCG(options.Seed, 0))
 	soak := &soak{
-		options:    options,
-		random:     random,
-		deployment: deployment,
-		operator:   newOperator(fork(random), deployment.withRole(coreRole), deployment.wire),
-		log:        newEvidence(),
-		calm:       &calm{contact: options.Bounds.Contact},
-		printf:     options.Printf,
+		options:      options,
+		random:       random,
+		deployment:   deployment,
+		operator:     newOperator(newStream(random), deployment.withRole(coreRole), deployment.wire),
+		recorder:     newRecorder(),
+		disturbances: &disturbances{settleTime: options.Bounds.Contact},
+		printf:       options.Printf,
 	}
 	if err := soak.start(); err != nil {
 		return nil, err
 	}
-	soak.play()
-	return soak.judge(), nil
+	soak.runLoad()
+	return soak.checkRules(), nil
 }
 
-// fork returns a generator of its own, so that goroutines don't change each other's draws.
-func fork(random *rand.Rand) *rand.Rand {
+// newStream returns a separate generator, so that goroutines don't affect each other's draws.
+func newStream(random *rand.Rand) *rand.Rand {
 	return rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 }
 
@@ -80,84 +80,92 @@
 		}
 		soak.deployment.provider.add(backends...)
 	}
-	soak.version, soak.movedTo = 1, deskService
+	soak.configVersion, soak.movedService = 1, deskService
 	begin := time.Now()
-	first := configuration{Version: 1, MovedTo: deskService, Limits: wideLimits}
+	first := configuration{Version: 1, MovedTo: deskService, Limits: highLimits}
 	if err := soak.deployment.start(context.Background(), soak.operator, first); err != nil {
 		return err
 	}
-	soak.log.configured(&acknowledged{version: 1, movedTo: deskService, limits: wideLimits, sentAt: begin, ackedAt: time.Now()})
+	soak.recorder.addConfigChange(
+		&configChange{version: 1, service: deskService, limits: highLimits, sentAt: begin, acknowledgedAt: time.Now()},
+	)
 	time.Sleep(soak.options.Bounds.Contact)
 	return nil
 }
 
-// play runs clients and disturbances for the span, then lets all come to rest.
-func (soak *soak) play() {
+// runLoad runs clients and disturbances for the span, and the clients until the deployment
+// has settled.
+func (soak *soak) runLoad() {
 	done := make(chan struct{})
-	var users sync.WaitGroup
-	users.Go(func() { soak.calm.watchStalls(done) })
+	var clients sync.WaitGroup
+	clients.Go(func() { soak.disturbances.watchStalls(done) })
 	for number := range soak.options.Clients {
-		user := &client{number: number + 1, random: fork(soak.random), proxies: soak.deployment.withRole(proxyRole), log: soak.log}
-		users.Go(func() { user.run(done) })
+		user := &client{
+			number:   number + 1,
+			random:   newStream(soak.random),
+			proxies:  soak.deployment.withRole(proxyRole),
+			recorder: soak.recorder,
+		}
+		clients.Go(func() { user.run(done) })
 	}
 	for range limitClients {
-		user := &limitClient{random: fork(soak.random), proxies: soak.deployment.withRole(proxyRole), log: soak.log}
-		users.Go(func() { user.run(done) })
+		user := &limitClient{random: newStream(soak.random), proxies: soak.deployment.withRole(proxyRole), recorder: soak.recorder}
+		clients.Go(func() { user.run(done) })
 	}
-	attack := &slowHeads{target: soak.deployment.withRole(proxyRole)[0], count: soak.options.SlowHeads}
+	attack := &slowHeaderAttack{target: soak.deployment.withRole(proxyRole)[0], count: soak.options.SlowHeads}
 	if attack.count > 0 {
-		soak.attack = attack
-		users.Go(func() { attack.run(done) })
+		soak.slowHeaders = attack
+		clients.Go(func() { attack.run(done) })
 	}
-	soak.disturb()
+	soak.injectDisturbances()
 	time.Sleep(soak.options.Bounds.Contact)
 	close(done)
-	users.Wait()
+	clients.Wait()
 }
 
-// disturb runs all disturbances at once for the span.
-func (soak *soak) disturb() {
+// injectDisturbances runs all kinds of disturbances concurrently for the span.
+func (soak *soak) injectDisturbances() {
 	ctx, cancel := context.WithTimeout(context.Background(), soak.options.Span)
 	defer cancel()
 	onlyPlanned := atomic.Bool{}
 	onlyPlanned.Store(true)
-	time.AfterFunc(share(soak.options.Span, plannedShare), func() { onlyPlanned.Store(false) })
+	time.AfterFunc(fractionOf(soak.options.Span, plannedOnlyShare), func() { onlyPlanned.Store(false) })
 	tasks := []func(*rand.Rand){
 		func(random *rand.Rand) { soak.disturbProxies(ctx, random, onlyPlanned.Load) },
 		func(random *rand.Rand) { soak.drainBackends(ctx, random, roomService) },
 		func(random *rand.Rand) { soak.changeConfigurations(ctx, random) },
-		func(random *rand.Rand) { soak.rollOut(ctx, random, deskService) },
+		func(random *rand.Rand) { soak.runRollouts(ctx, random, deskService) },
 		func(random *rand.Rand) {
-			sleep(ctx, share(soak.options.Span, coresShare))
+			sleep(ctx, fractionOf(soak.options.Span, coreFaultsFromShare))
 			soak.disturbCores(ctx, random)
 		},
 	}
 	var running sync.WaitGroup
 	for _, task := range tasks {
-		random := fork(soak.random)
+		random := newStream(soak.random)
 		running.Go(func() { task(random) })
 	}
 	running.Wait()
-	soak.work.Wait()
+	soak.retirements.Wait()
 }
 
-func share(span time.Duration, part float64) time.Duration {
-	return time.Duration(float64(span) * part)
+func fractionOf(span time.Duration, fraction float64) time.Duration {
+	return time.Duration(float64(span) * fraction)
 }
 
-// judge holds the records against the rules.
-func (soak *soak) judge() *Report {
+// checkRules checks the records against the rules.
+func (soak *soak) checkRules() *Report {
 	report := newReport(soak.options.Seed)
-	judge := &judge{log: soak.log, calm: soak.calm, bounds: soak.options.Bounds, report: report}
-	judge.all()
-	judge.limits()
-	if soak.attack != nil {
-		report.Notes = append(report.Notes, soak.attack.note(soak.log))
+	checker := &ruleChecker{recorder: soak.recorder, disturbances: soak.disturbances, bounds: soak.options.Bounds, report: report}
+	checker.checkTraffic()
+	checker.checkLimits()
+	if soak.slowHeaders != nil {
+		report.Notes = append(report.Notes, soak.slowHeaders.summary(soak.recorder))
 	}
 	status, body := 0, []byte(nil)
-	for until := time.Now().Add(soak.options.Bounds.Contact); status != http.StatusOK && time.Now().Before(until); time.Sleep(orderPause) {
+	for deadline := time.Now().Add(soak.options.Bounds.Contact); status != http.StatusOK && time.Now().Before(deadline); time.Sleep(retryInterval) {
 		status, body = soak.operator.call(context.Background(), http.MethodGet, "/config", nil)
 	}
-	judge.readBack(status, string(body))
+	checker.checkReadBack(status, string(body))
 	return report
 }
--- a/harness/soak/wire.go
+++ b/harness/soak/wire.go
@@ -10,25 +10,26 @@
 	"orchidjunction/platform"
 )
 
-// wireFiles are the platform's messages and settings: the soak itself knows none of their names.
+// wireFiles are templates of the platform's messages and settings. Field names of the platform
+// are only here, not in the code of the soak.
 //
 //go:embed wire
 var wireFiles embed.FS
 
-// headers are the platform's names of the fields of requests and answers.
+// headers are the platform's header names in requests and responses.
 var headers = platform.RequestHeaders()
 
-// wire renders what the stand-ins send.
-type wire struct {
+// wireFormat renders messages to the deployment and its settings files.
+type wireFormat struct {
 	names struct {
 		SettingsVariable string // the environment variable that names the settings file
-		ReadyPath        string // where a proxy says whether it is ready
+		ReadyPath        string // of a proxy's readiness check
 	}
 	templates *template.Template
 }
 
-func newWire() (*wire, error) {
-	wire := &wire{}
+func newWire() (*wireFormat, error) {
+	wire := &wireFormat{}
 	names, err := wireFiles.ReadFile("wire/names.json")
 	if err != nil {
 		return nil, err
@@ -40,20 +41,20 @@
 	return wire, err
 }
 
-func (wire *wire) render(name string, values any) ([]byte, error) {
+func (wire *wireFormat) render(name string, values any) ([]byte, error) {
 	text := &bytes.Buffer{}
 	err := wire.templates.ExecuteTemplate(text, name, values)
 	return text.Bytes(), err
 }
 
-// zone is a zone and its region.
-type zone struct{ Name, Region string }
+// zoneInfo is a zone and its region.
+type zoneInfo struct{ Name, Region string }
 
-// settings are what the settings file of one machine holds.
+// settings are the values of one machine's settings file.
 type settings struct {
 	Name, Role, Address                string
-	Zone                               zone
-	Zones                              []zone
+	Zone                               zoneInfo
+	Zones                              []zoneInfo
 	FirstPort, LastPort                int
 	Seeds                              []string
 	First, IsCore                      bool
@@ -63,15 +64,15 @@
 	Bounds                             Bounds
 }
 
-// configuration is one version of the routing: only the service of one route and the limits
-// of clients' connections change.
+// configuration is one version of the configuration: versions differ only in the service of
+// one route and in the limits on client connections.
 type configuration struct {
 	Version, Base int
 	MovedTo       string
-	Limits        limits
+	Limits        connLimits
 }
 
-// rolloutOrder is an order to shift a service to a version.
+// rolloutOrder is an order to roll out a version of a service.
 type rolloutOrder struct {
 	Service, Target string
 	Over            time.Duration
