--- a/harness/checker/evidence_test.go
+++ b/harness/checker/evidence_test.go
@@ -11,8 +11,8 @@
 	"orchidjunction/rpc"
 )
 
-// clean is evidence of a small run in which nothing went wrong.
-func clean(test *testing.T) *Evidence {
+// cleanEvidence returns the evidence of a small run without violations.
+func cleanEvidence(test *testing.T) *Evidence {
 	test.Helper()
 	body, err := os.ReadFile("../../examples/small.json")
 	if err != nil {
@@ -85,81 +85,81 @@
 	return evidence
 }
 
-// Each line fails for its own break, made one at a time, and for no other.
-func TestEachLineCanFail(test *testing.T) {
-	for _, verdict := range clean(test).Judge() {
+// Each violation, made one at a time, fails its own verdict and no other.
+func TestEachVerdictFailsForItsViolation(test *testing.T) {
+	for _, verdict := range cleanEvidence(test).Judge() {
 		if !verdict.Holds {
-			test.Errorf("clean: %s: %s", verdict.Name, verdict.Detail)
+			test.Errorf("evidence without violations: verdict %q fails: %s", verdict.Name, verdict.Detail)
 		}
 	}
 	arrival := func(number int) func(*Evidence) *standin.Arrival {
 		return func(evidence *Evidence) *standin.Arrival { return &evidence.Backends[0].Arrivals[number] }
 	}
 	try := func(evidence *Evidence, number int) *standin.Try { return &evidence.Callers[0].Tries[number] }
-	for _, broken := range []struct {
-		line string
-		make func(*Evidence)
+	for _, violation := range []struct {
+		verdict string
+		inject  func(*Evidence)
 	}{
 		{"no key charged twice", func(evidence *Evidence) {
 			again := *arrival(8)(evidence)
 			evidence.Backends = append(evidence.Backends, standin.BackendRecord{Instance: "back", Service: "meters", Arrivals: []standin.Arrival{again}})
 		}},
-		{"no busy answer for a task that ran", func(evidence *Evidence) { try(evidence, 5).Status = 503 }},
-		{"no busy answer for a task that ran", func(evidence *Evidence) {
+		{"no busy response for an executed task", func(evidence *Evidence) { try(evidence, 5).Status = 503 }},
+		{"no busy response for an executed task", func(evidence *Evidence) {
 			late := *try(evidence, 5)
 			late.ID, late.Status, late.AtMs = "k5.1", 503, late.AtMs+60
 			evidence.Callers[0].Tries = append(evidence.Callers[0].Tries, late)
 		}},
-		{"every paid answer has its charge", func(evidence *Evidence) { arrival(5)(evidence).ChargedMs = 0 }},
-		{"receipts whole and one's own", func(evidence *Evidence) { try(evidence, 3).Mangled = true }},
-		{"receipts whole and one's own", func(evidence *Evidence) { try(evidence, 3).Foreign = true }},
-		{"no task at another service's backend", func(evidence *Evidence) { evidence.Backends[0].Service = "gifts" }},
-		{"no task with a wrong tenant", func(evidence *Evidence) {
+		{"every success with a key was charged", func(evidence *Evidence) { arrival(5)(evidence).ChargedMs = 0 }},
+		{"responses complete and for the right request", func(evidence *Evidence) { try(evidence, 3).Mangled = true }},
+		{"responses complete and for the right request", func(evidence *Evidence) { try(evidence, 3).Foreign = true }},
+		{"no task sent to another service's backend", func(evidence *Evidence) { evidence.Backends[0].Service = "gifts" }},
+		{"no task attributed to the wrong tenant", func(evidence *Evidence) {
 			try(evidence, 3).Tenant, try(evidence, 3).Key = "birch", ""
 		}},
-		{"nothing in a region its owner forbade", func(evidence *Evidence) { evidence.Zones["back"] = "w1" }},
-		{"nothing in a region its owner forbade", func(evidence *Evidence) { try(evidence, 3).Front = "other" }},
-		{"nothing at a leaving backend after 4 s", func(evidence *Evidence) { arrival(4)(evidence).LeavingMs = 5000 }},
-		{"nothing where emptied or withdrawn after 4 s", func(evidence *Evidence) {
+		{"no task served in a forbidden region", func(evidence *Evidence) { evidence.Zones["back"] = "w1" }},
+		{"no task served in a forbidden region", func(evidence *Evidence) { try(evidence, 3).Front = "other" }},
+		{"no task sent to a backend leaving for 4 s", func(evidence *Evidence) { arrival(4)(evidence).LeavingMs = 5000 }},
+		{"no traffic 4 s after a drain or key withdrawal", func(evidence *Evidence) {
 			evidence.Windows = []Window{{Kind: "backend", Subject: "back", From: 9000}}
 		}},
-		{"nothing where emptied or withdrawn after 4 s", func(evidence *Evidence) {
+		{"no traffic 4 s after a drain or key withdrawal", func(evidence *Evidence) {
 			evidence.Windows = []Window{{Kind: "front", Subject: "front", From: 9000, Until: 9500}}
 		}},
-		{"nothing where emptied or withdrawn after 4 s", func(evidence *Evidence) {
+		{"no traffic 4 s after a drain or key withdrawal", func(evidence *Evidence) {
 			evidence.Windows = []Window{{Kind: "tenant", Subject: "alder", From: 9000}}
 		}},
-		{"no slide back once a backend saw newer", func(evidence *Evidence) {
+		{"no older settings at a backend 4 s after newer", func(evidence *Evidence) {
 			arrival(1)(evidence).Serial, evidence.Ledger.Acked = 8, map[string]Ack{}
 		}},
-		{"acknowledged settings in force in 4 s", func(evidence *Evidence) {
+		{"acknowledged settings in force within 4 s", func(evidence *Evidence) {
 			evidence.Ledger.Acked["more"] = Ack{Serial: 8, Base: 7, AtMs: 1000}
 			evidence.History = append(evidence.History, message.HistoryEntry{Serial: 8, Change: "more"})
 			evidence.Callers[0].Placed = nil
 		}},
-		{"acknowledged settings in force in 4 s", func(evidence *Evidence) { evidence.Callers[0].Placed[0].Serial = 6 }},
-		{"acknowledged settings in force in 4 s", func(evidence *Evidence) { evidence.Ledger.Behind = []string{"serial 7"} }},
-		{"refused and lost changes never in force", func(evidence *Evidence) {
+		{"acknowledged settings in force within 4 s", func(evidence *Evidence) { evidence.Callers[0].Placed[0].Serial = 6 }},
+		{"acknowledged settings in force within 4 s", func(evidence *Evidence) { evidence.Ledger.NotInForce = []string{"serial 7"} }},
+		{"refused changes never applied", func(evidence *Evidence) {
 			evidence.History = append(evidence.History, message.HistoryEntry{Serial: 8, Change: "two"})
 		}},
 		{"no acknowledged change lost", func(evidence *Evidence) { evidence.History = nil }},
 		{"no acknowledged change lost", func(evidence *Evidence) { evidence.Ledger.Acked["one"] = Ack{Serial: 7, Base: 5} }},
-		{"resends within a fifth and sixty in ten seconds", func(evidence *Evidence) {
+		{"resends in 10 s at most 20% of first sends + 60", func(evidence *Evidence) {
 			for number := range 90 {
 				again := *arrival(number)(evidence)
 				again.ChargedMs = 0
 				evidence.Backends[0].Arrivals = append(evidence.Backends[0].Arrivals, again)
 			}
 		}},
-		{"cold backends within their gentle rate", func(evidence *Evidence) {
+		{"cold backends within their gentle_rate", func(evidence *Evidence) {
 			for number := range 20 {
 				arrival(number)(evidence).Cold, arrival(number)(evidence).AtMs = true, 1000
 			}
 		}},
-		{"operators answered within a second", func(evidence *Evidence) { evidence.Ledger.Late = []string{"read"} }},
-		{"planned stops cut nothing in flight", func(evidence *Evidence) { evidence.Callers[0].Unknown = 1 }},
-		{"planned stops cut nothing in flight", func(evidence *Evidence) { evidence.Callers[0].Unserved = 1 }},
-		{"classes served within their floors", func(evidence *Evidence) {
+		{"operator calls answered within 1 s", func(evidence *Evidence) { evidence.Ledger.SlowCalls = []string{"read"} }},
+		{"no task in flight lost by planned work", func(evidence *Evidence) { evidence.Callers[0].Unknown = 1 }},
+		{"no task in flight lost by planned work", func(evidence *Evidence) { evidence.Callers[0].Unserved = 1 }},
+		{"classes served within their floor_rps", func(evidence *Evidence) {
 			for number := range 40 {
 				try(evidence, number).Code, try(evidence, number).Status = "busy", 502
 			}
@@ -167,16 +167,16 @@
 		{"usage reported within 5% and 10 s, none missing", func(evidence *Evidence) { delete(evidence.Reports, "small-alder-2") }},
 		{"usage reported within 5% and 10 s, none missing", func(evidence *Evidence) { evidence.ReportAt["small-alder-3"] += 9000 }},
 		{"usage reported within 5% and 10 s, none missing", func(evidence *Evidence) { evidence.Settings.Tenants["quiet"] = config.Tenant{} }},
-		{"no report sent twice with different counts", func(evidence *Evidence) {
+		{"usage reports resent unchanged", func(evidence *Evidence) {
 			evidence.Reports["small-alder-3"] = append(evidence.Reports["small-alder-3"], "{}")
 		}},
-		{"stops end with 0", func(evidence *Evidence) { evidence.Codes = []string{"proxy exit 2"} }},
+		{"no failed step or process exit", func(evidence *Evidence) { evidence.Codes = []string{"proxy exit 2"} }},
 	} {
-		evidence := clean(test)
-		broken.make(evidence)
+		evidence := cleanEvidence(test)
+		violation.inject(evidence)
 		for _, verdict := range evidence.Judge() {
-			if verdict.Holds == (verdict.Name == broken.line) {
-				test.Errorf("break of %q: %s holds %v: %s", broken.line, verdict.Name, verdict.Holds, verdict.Detail)
+			if verdict.Holds == (verdict.Name == violation.verdict) {
+				test.Errorf("violation of %q: verdict %q holds: %v: %s", violation.verdict, verdict.Name, verdict.Holds, verdict.Detail)
 			}
 		}
 	}
--- a/harness/checker/money.go
+++ b/harness/checker/money.go
@@ -7,13 +7,13 @@
 	"orchidjunction/harness/standin"
 )
 
-func (evidence *Evidence) chargedOnce() (bad []string, detail string) {
-	for key, charges := range evidence.charges {
+func (evidence *Evidence) checkChargedOnce() (bad []string, detail string) {
+	for key, charges := range evidence.chargesByKey {
 		if len(charges) > 1 {
 			bad = append(
 				bad,
 				fmt.Sprintf(
-					"%s by %s at %d and by %s at %d",
+					"%s charged by task %s at %d and by %s at %d",
 					key,
 					charges[0].Task,
 					charges[0].ChargedMs,
@@ -23,40 +23,58 @@
 			)
 		}
 	}
-	return bad, fmt.Sprintf("%d keys charged", len(evidence.charges))
+	return bad, fmt.Sprintf("%d keys charged", len(evidence.chargesByKey))
 }
 
-// busyMeansNotRun: a try told "busy" or "not run" ran nowhere, before or after
-// its answer, and its key was not charged when the try was made.
-func (evidence *Evidence) busyMeansNotRun() (bad []string, detail string) {
-	response := 0
-	evidence.tries(func(try standin.Try) {
+// checkBusyNotExecuted checks that an attempt answered "busy" or "not run" was executed
+// nowhere, before or after, and that its key was not charged before it was made.
+func (evidence *Evidence) checkBusyNotExecuted() (bad []string, detail string) {
+	notRun := 0
+	evidence.eachTry(func(try standin.Try) {
 		if try.Status != http.StatusServiceUnavailable && (try.Status == 0 || try.Outcome != "not_run") {
 			return
 		}
-		response++
-		if arrival, found := evidence.ran[try.Tenant+"/"+try.ID]; found {
-			bad = append(bad, fmt.Sprintf("try %s told %d %s, ran at %d as %s", try.ID, try.Status, try.Code, arrival.RanMs, arrival.Task))
+		notRun++
+		if arrival, found := evidence.executedByTry[try.Tenant+"/"+try.ID]; found {
+			bad = append(
+				bad,
+				fmt.Sprintf(
+					"attempt %s was answered %d %s, but executed at %d as task %s",
+					try.ID,
+					try.Status,
+					try.Code,
+					arrival.RanMs,
+					arrival.Task,
+				),
+			)
 		}
-		for _, charge := range evidence.charges[try.Tenant+"/"+try.Key] {
+		for _, charge := range evidence.chargesByKey[try.Tenant+"/"+try.Key] {
 			if try.Key != "" && try.Status == http.StatusServiceUnavailable && charge.ChargedMs < try.AtMs {
-				bad = append(bad, fmt.Sprintf("try %s told %s, key charged %d ms before it", try.ID, try.Code, try.AtMs-charge.ChargedMs))
+				bad = append(
+					bad,
+					fmt.Sprintf(
+						"attempt %s was answered %s, but its key was charged %d ms earlier",
+						try.ID,
+						try.Code,
+						try.AtMs-charge.ChargedMs,
+					),
+				)
 			}
 		}
 	})
-	return bad, fmt.Sprintf("%d tries told not run", response)
+	return bad, fmt.Sprintf("%d attempts answered as not executed", notRun)
 }
 
-func (evidence *Evidence) paidIsCharged() (bad []string, detail string) {
-	paid := 0
-	evidence.tries(func(try standin.Try) {
+func (evidence *Evidence) checkSuccessCharged() (bad []string, detail string) {
+	succeeded := 0
+	evidence.eachTry(func(try standin.Try) {
 		if try.Key == "" || try.Status != http.StatusOK {
 			return
 		}
-		paid++
-		if len(evidence.charges[try.Tenant+"/"+try.Key]) == 0 {
+		succeeded++
+		if len(evidence.chargesByKey[try.Tenant+"/"+try.Key]) == 0 {
 			bad = append(bad, try.ID)
 		}
 	})
-	return bad, fmt.Sprintf("%d paid answers", paid)
+	return bad, fmt.Sprintf("%d successful attempts with a key", succeeded)
 }
--- a/harness/checker/settings.go
+++ b/harness/checker/settings.go
@@ -7,30 +7,36 @@
 	"orchidjunction/harness/standin"
 )
 
-// serialsRise: once a backend saw a serial, older ones end within 4 s.
-func (evidence *Evidence) serialsRise() (bad []string, detail string) {
+// checkSerialsPerBackend checks that older serials end at a backend within 4 s of a newer one.
+func (evidence *Evidence) checkSerialsPerBackend() (bad []string, detail string) {
 	highest, since := uint64(0), int64(0)
 	var last *standin.BackendRecord
-	detail = evidence.arrivals(func(record *standin.BackendRecord, arrival *standin.Arrival) {
+	detail = evidence.eachArrival(func(record *standin.BackendRecord, arrival *standin.Arrival) {
 		if record != last {
 			highest, since, last = 0, 0, record
 		}
 		if arrival.Serial > highest {
 			highest, since = arrival.Serial, arrival.AtMs
 		}
-		if arrival.Serial < highest && arrival.AtMs-since > maxLateMs {
+		if arrival.Serial < highest && arrival.AtMs-since > maxDelayMs {
 			bad = append(
 				bad,
-				fmt.Sprintf("%s got serial %d, saw %d %d ms before", record.Instance, arrival.Serial, highest, arrival.AtMs-since),
+				fmt.Sprintf(
+					"%s got serial %d after serial %d, seen %d ms earlier",
+					record.Instance,
+					arrival.Serial,
+					highest,
+					arrival.AtMs-since,
+				),
 			)
 		}
 	})
 	return bad, detail
 }
 
-// inForce: nothing that a front sent, or a directory placed, by a serial older
-// than one acknowledged 4 s before, at whatever machine.
-func (evidence *Evidence) inForce() (bad []string, detail string) {
+// checkInForce checks that no proxy sends and no directory places with a serial older than
+// one acknowledged 4 s before at any machine.
+func (evidence *Evidence) checkInForce() (bad []string, detail string) {
 	if evidence.Ledger == nil {
 		return nil, "no operators"
 	}
@@ -47,96 +53,100 @@
 			highest[index] = max(ack.Serial, highest[index-1])
 		}
 	}
-	needed := func(at int64) uint64 {
-		index := sort.Search(len(acks), func(index int) bool { return acks[index].AtMs > at-maxLateMs })
+	newestDue := func(at int64) uint64 {
+		index := sort.Search(len(acks), func(index int) bool { return acks[index].AtMs > at-maxDelayMs })
 		if index == 0 {
 			return 0
 		}
 		return highest[index-1]
 	}
-	evidence.arrivals(func(record *standin.BackendRecord, arrival *standin.Arrival) {
-		if need := needed(arrival.AtMs); arrival.Serial > 0 && arrival.Serial < need {
+	evidence.eachArrival(func(record *standin.BackendRecord, arrival *standin.Arrival) {
+		if due := newestDue(arrival.AtMs); arrival.Serial > 0 && arrival.Serial < due {
 			bad = append(
 				bad,
-				fmt.Sprintf("%s sent %s by serial %d, %d was acknowledged", arrival.Task, record.Instance, arrival.Serial, need),
+				fmt.Sprintf("task %s at %s used serial %d, acknowledged was %d", arrival.Task, record.Instance, arrival.Serial, due),
 			)
 		}
 	})
 	for _, callers := range evidence.Callers {
 		for _, placed := range callers.Placed {
-			if need := needed(placed.AtMs); placed.Serial < need {
-				bad = append(bad, fmt.Sprintf("%s placed by serial %d, %d was acknowledged", placed.Directory, placed.Serial, need))
+			if due := newestDue(placed.AtMs); placed.Serial < due {
+				bad = append(
+					bad,
+					fmt.Sprintf("directory %s placed with serial %d, acknowledged was %d", placed.Directory, placed.Serial, due),
+				)
 			}
 		}
 	}
-	bad = append(bad, ledger.Behind...)
+	bad = append(bad, ledger.NotInForce...)
 	return bad, fmt.Sprintf(
-		"%d followed, p50 %.0f ms, max %.0f ms",
+		"%d changes followed, in force after p50 %.0f ms, max %.0f ms",
 		len(ledger.InForceMs),
 		Quantile(ledger.InForceMs, 0.5),
 		Quantile(ledger.InForceMs, 1),
 	)
 }
 
-// losersNever: what was refused, or lost its race, is nowhere in the trail.
-func (evidence *Evidence) losersNever() (bad []string, detail string) {
+// checkRefusedChanges checks that refused changes, such as losers of a race, are not in the
+// history.
+func (evidence *Evidence) checkRefusedChanges() (bad []string, detail string) {
 	if evidence.Ledger == nil {
 		return nil, "no operators"
 	}
 	for _, entry := range evidence.History {
-		if kind, refused := evidence.Ledger.Refused[entry.Change]; refused {
-			bad = append(bad, fmt.Sprintf("%s refused as %s is serial %d", entry.Change, kind, entry.Serial))
+		if code, refused := evidence.Ledger.Refused[entry.Change]; refused {
+			bad = append(bad, fmt.Sprintf("%s was refused as %s but is serial %d in the history", entry.Change, code, entry.Serial))
 		}
 	}
-	return bad, fmt.Sprintf("%d refused", len(evidence.Ledger.Refused))
+	return bad, fmt.Sprintf("%d changes refused", len(evidence.Ledger.Refused))
 }
 
-func (evidence *Evidence) ackedKept() (bad []string, detail string) {
+func (evidence *Evidence) checkAcknowledgedChanges() (bad []string, detail string) {
 	if evidence.Ledger == nil {
 		return nil, "no operators"
 	}
-	kept, oldest, last := map[string]uint64{}, uint64(0), uint64(0)
+	serialOf, oldest, last := map[string]uint64{}, uint64(0), uint64(0)
 	for _, entry := range evidence.History {
 		if entry.Serial <= last {
-			bad = append(bad, fmt.Sprintf("trail goes from %d to %d", last, entry.Serial))
+			bad = append(bad, fmt.Sprintf("history goes from serial %d to %d", last, entry.Serial))
 		}
-		if _, twice := kept[entry.Change]; twice {
-			bad = append(bad, entry.Change+" is in the trail twice")
+		if _, isDuplicate := serialOf[entry.Change]; isDuplicate {
+			bad = append(bad, entry.Change+" is in the history twice")
 		}
 		if oldest == 0 {
 			oldest = entry.Serial
 		}
-		kept[entry.Change], last = entry.Serial, entry.Serial
+		serialOf[entry.Change], last = entry.Serial, entry.Serial
 	}
-	serials := map[uint64]string{}
+	changeOf := map[uint64]string{}
 	for change, ack := range evidence.Ledger.Acked {
-		if kept[change] != ack.Serial && ack.Serial >= oldest {
-			bad = append(bad, fmt.Sprintf("%s acknowledged as %d, kept as %d", change, ack.Serial, kept[change]))
+		if serialOf[change] != ack.Serial && ack.Serial >= oldest {
+			bad = append(bad, fmt.Sprintf("%s acknowledged as serial %d, in the history as %d", change, ack.Serial, serialOf[change]))
 		}
-		if other := serials[ack.Serial]; other != "" {
+		if other := changeOf[ack.Serial]; other != "" {
 			bad = append(bad, fmt.Sprintf("serial %d acknowledged for %s and %s", ack.Serial, change, other))
 		}
 		if ack.Serial != ack.Base+1 {
-			bad = append(bad, fmt.Sprintf("%s based on %d acknowledged as %d", change, ack.Base, ack.Serial))
+			bad = append(bad, fmt.Sprintf("%s based on serial %d acknowledged as %d", change, ack.Base, ack.Serial))
 		}
-		serials[ack.Serial] = change
+		changeOf[ack.Serial] = change
 	}
-	return bad, fmt.Sprintf("%d acknowledged, %d unknown", len(evidence.Ledger.Acked), len(evidence.Ledger.Unknown))
+	return bad, fmt.Sprintf("%d changes acknowledged, %d outcomes unknown", len(evidence.Ledger.Acked), len(evidence.Ledger.Unknown))
 }
 
-func (evidence *Evidence) operatorsAnswered() (bad []string, detail string) {
+func (evidence *Evidence) checkOperatorCalls() (bad []string, detail string) {
 	ledger := evidence.Ledger
 	if ledger == nil {
 		return nil, "no operators"
 	}
 	return append(
 			bad,
-			ledger.Late...), fmt.Sprintf(
+			ledger.SlowCalls...), fmt.Sprintf(
 			"longest %.0f ms, %d answers, p50 %.0f ms p99 %.0f ms, longest gap between acknowledgements %d ms",
 			Quantile(ledger.AnswerMs, 1),
 			len(ledger.AnswerMs),
 			Quantile(ledger.AnswerMs, 0.5),
 			Quantile(ledger.AnswerMs, 0.99),
-			ledger.GapMs,
+			ledger.LongestAckGapMs,
 		)
 }
--- a/harness/checker/usage.go
+++ b/harness/checker/usage.go
@@ -20,94 +20,98 @@
 	Tasks  int    `json:"tasks"`
 }
 
-// usageLateMs is how long after a task the reports must hold it.
-const usageLateMs = 10_000
+// maxUsageDelayMs bounds the time from a task to the report that counts it.
+const maxUsageDelayMs = 10_000
 
-// maxUsageError is the share of a tenant's tasks by which its reports may be off.
+// maxUsageError is the fraction of a tenant's tasks by which its reports may deviate.
 const maxUsageError = 0.05
 
-// usageReports is what was reported to the platform, put together by tenant.
+// usageReports sums up the reports to the platform by tenant.
 type usageReports struct {
-	tasks   map[string]int
-	periods map[string]map[uint64]bool
-	counts  map[string][]reportedCount
-	last    uint64 // the last period that was reported
-	lateMs  int64  // the longest time from a period's end to its report
+	tasks           map[string]int
+	reportedPeriods map[string]map[uint64]bool
+	reportedCounts  map[string][]taskCount
+	lastPeriod      uint64 // the last reported period
+	longestDelayMs  int64  // the longest time from a period's end to its report
 }
 
-// reportedCount is how many tasks one report named, and when it came.
-type reportedCount struct {
+// taskCount is the count of tasks in one report, and when it was received.
+type taskCount struct {
 	atMs  int64
 	tasks int
 }
 
-// add takes one report that came at a time.
+// add adds a report that was received at atMs.
 func (reports *usageReports) add(report *usageReport, atMs int64) {
 	tenant := report.Tenant
 	reports.tasks[tenant] += report.Tasks
-	if reports.periods[tenant] == nil {
-		reports.periods[tenant] = map[uint64]bool{}
+	if reports.reportedPeriods[tenant] == nil {
+		reports.reportedPeriods[tenant] = map[uint64]bool{}
 	}
-	reports.periods[tenant][report.Period] = true
-	reports.counts[tenant] = append(reports.counts[tenant], reportedCount{atMs: atMs, tasks: report.Tasks})
-	reports.last = max(reports.last, report.Period)
-	reports.lateMs = max(reports.lateMs, atMs-report.ToMs)
+	reports.reportedPeriods[tenant][report.Period] = true
+	reports.reportedCounts[tenant] = append(reports.reportedCounts[tenant], taskCount{atMs: atMs, tasks: report.Tasks})
+	reports.lastPeriod = max(reports.lastPeriod, report.Period)
+	reports.longestDelayMs = max(reports.longestDelayMs, atMs-report.ToMs)
 }
 
-// missing names the tenants without any report and the periods without one.
-func (reports *usageReports) missing(settings *config.Settings) (bad []string) {
+// missingReports names the tenants without any report and the periods without one.
+func (reports *usageReports) missingReports(settings *config.Settings) (bad []string) {
 	if settings != nil {
 		for tenant := range settings.Tenants {
-			if reports.periods[tenant] == nil {
-				bad = append(bad, tenant+" has no report at all")
+			if reports.reportedPeriods[tenant] == nil {
+				bad = append(bad, tenant+" has no report")
 			}
 		}
 	}
-	for tenant, held := range reports.periods {
-		for period := uint64(1); period <= reports.last; period++ {
-			if !held[period] {
-				bad = append(bad, fmt.Sprintf("%s lacks period %d", tenant, period))
+	for tenant, periods := range reports.reportedPeriods {
+		for period := uint64(1); period <= reports.lastPeriod; period++ {
+			if !periods[period] {
+				bad = append(bad, fmt.Sprintf("%s has no report for period %d", tenant, period))
 			}
 		}
 	}
 	return bad
 }
 
-// usageReported compares what was reported to the platform with the tasks that the
-// backends saw: in all, by period for every tenant, quiet ones too, and for
-// every task within ten seconds of it.
-func (evidence *Evidence) usageReported() (bad []string, detail string) {
+// checkUsage compares the reports to the platform with the tasks that the backends saw:
+// totals match within maxUsageError, every tenant, also one without tasks, has a report
+// for every period, and every task is reported within ten seconds.
+func (evidence *Evidence) checkUsage() (bad []string, detail string) {
 	if evidence.Reports == nil {
-		return nil, "no platform"
+		return nil, "no usage reports collected"
 	}
 	reports, bad := evidence.readUsageReports()
-	bad = append(bad, reports.missing(evidence.Settings)...)
-	worst, slowest := 0.0, int64(0)
-	for tenant, tasks := range evidence.ranTasks() {
-		off := math.Abs(float64(reports.tasks[tenant]-len(tasks))) / float64(len(tasks))
-		worst = max(worst, off)
-		if off > maxUsageError {
-			bad = append(bad, fmt.Sprintf("%s reported %d, seen %d", tenant, reports.tasks[tenant], len(tasks)))
+	bad = append(bad, reports.missingReports(evidence.Settings)...)
+	maxDeviation, maxLag := 0.0, int64(0)
+	for tenant, tasks := range evidence.firstRunTimes() {
+		deviation := math.Abs(float64(reports.tasks[tenant]-len(tasks))) / float64(len(tasks))
+		maxDeviation = max(maxDeviation, deviation)
+		if deviation > maxUsageError {
+			bad = append(bad, fmt.Sprintf("%s: %d tasks reported, %d seen", tenant, reports.tasks[tenant], len(tasks)))
 		}
-		lag := reportLag(tasks, reports.counts[tenant])
-		slowest = max(slowest, lag)
-		if lag > usageLateMs {
-			bad = append(bad, fmt.Sprintf("%s's tasks were reported up to %d ms late", tenant, lag))
+		lag := reportLag(tasks, reports.reportedCounts[tenant])
+		maxLag = max(maxLag, lag)
+		if lag > maxUsageDelayMs {
+			bad = append(bad, fmt.Sprintf("%s: tasks reported up to %d ms after they ran", tenant, lag))
 		}
 	}
 	return bad, fmt.Sprintf(
-		"%d reports, worst %.1f%% off, latest %d ms after its period, slowest %d ms after the task",
+		"%d reports, at most %.1f%% off, %d ms after the period's end, %d ms after the task",
 		len(evidence.Reports),
-		worst*100,
-		reports.lateMs,
-		slowest,
+		maxDeviation*100,
+		reports.longestDelayMs,
+		maxLag,
 	)
 }
 
-// readUsageReports puts the reports together, and names those that cannot be read or
-// came too long after their period's begin.
+// readUsageReports sums up the reports, and names those that cannot be decoded or that
+// came too long after the start of their period.
 func (evidence *Evidence) readUsageReports() (*usageReports, []string) {
-	reports := &usageReports{tasks: map[string]int{}, periods: map[string]map[uint64]bool{}, counts: map[string][]reportedCount{}}
+	reports := &usageReports{
+		tasks:           map[string]int{},
+		reportedPeriods: map[string]map[uint64]bool{},
+		reportedCounts:  map[string][]taskCount{},
+	}
 	bad := []string{}
 	for id, bodies := range evidence.Reports {
 		report, atMs := usageReport{}, evidence.ReportAt[id]
@@ -115,27 +119,28 @@
 			bad = append(bad, fmt.Sprintf("%s: %v", id, err))
 			continue
 		}
-		if lag := atMs - report.FromMs; report.Tasks > 0 && lag > usageLateMs && !evidence.Jumps {
-			bad = append(bad, fmt.Sprintf("%s came %d ms after its period began", id, lag))
+		if lag := atMs - report.FromMs; report.Tasks > 0 && lag > maxUsageDelayMs && !evidence.Jumps {
+			bad = append(bad, fmt.Sprintf("%s was received %d ms after its period began", id, lag))
 		}
 		reports.add(&report, atMs)
 	}
 	return reports, bad
 }
 
-// ranTasks gives the times at which each tenant's tasks ran first.
-func (evidence *Evidence) ranTasks() map[string][]int64 {
-	first := map[string]standin.Arrival{}
-	evidence.arrivals(func(_ *standin.BackendRecord, arrival *standin.Arrival) {
+// firstRunTimes returns, by tenant, the sorted times at which its tasks first reached a
+// backend.
+func (evidence *Evidence) firstRunTimes() map[string][]int64 {
+	firstRuns := map[string]standin.Arrival{}
+	evidence.eachArrival(func(_ *standin.BackendRecord, arrival *standin.Arrival) {
 		if arrival.Tenant == "" {
 			return
 		}
-		if before, found := first[arrival.Task]; !found || arrival.AtMs < before.AtMs {
-			first[arrival.Task] = *arrival
+		if earlier, found := firstRuns[arrival.Task]; !found || arrival.AtMs < earlier.AtMs {
+			firstRuns[arrival.Task] = *arrival
 		}
 	})
 	tasks := map[string][]int64{}
-	for _, arrival := range first {
+	for _, arrival := range firstRuns {
 		tasks[arrival.Tenant] = append(tasks[arrival.Tenant], arrival.AtMs)
 	}
 	for _, times := range tasks {
@@ -144,9 +149,9 @@
 	return tasks
 }
 
-// reportLag is the longest time from a task to the report by which as many
-// tasks were reported; what maxUsageError allows to be missing is left out.
-func reportLag(tasks []int64, reports []reportedCount) int64 {
+// reportLag returns the longest time from a task to the report with which the total
+// reaches that task's rank, less the fraction maxUsageError that may be missing.
+func reportLag(tasks []int64, reports []taskCount) int64 {
 	sort.Slice(reports, func(left, right int) bool { return reports[left].atMs < reports[right].atMs })
 	longest, reported, next := int64(0), 0, 0
 	for index, at := range tasks {
@@ -162,8 +167,8 @@
 	return longest
 }
 
-// usageSame wants a report that was sent again to say the same.
-func (evidence *Evidence) usageSame() (bad []string, detail string) {
+// checkUsageResends checks that a report is resent unchanged.
+func (evidence *Evidence) checkUsageResends() (bad []string, detail string) {
 	for id, bodies := range evidence.Reports {
 		for _, body := range bodies {
 			if body != bodies[0] {
--- a/harness/simulation/budget_test.go
+++ b/harness/simulation/budget_test.go
@@ -38,10 +38,10 @@
 		report := generator.Run(world.goroutines.Sleep)
 		client.CloseIdleConnections()
 		verdicts := world.judge(nil, report)
-		if resends, _ := strconv.Atoi(strings.Fields(verdicts["resends within a fifth and sixty in ten seconds"])[0]); resends < 30 {
+		if resends, _ := strconv.Atoi(strings.Fields(verdicts["resends in 10 s at most 20% of first sends + 60"])[0]); resends < 30 {
 			world.broke("only %d resends", resends)
 		}
-		test.Logf("%s, %v", verdicts["resends within a fifth and sixty in ten seconds"], report.Statuses)
+		test.Logf("%s, %v", verdicts["resends in 10 s at most 20% of first sends + 60"], report.Statuses)
 		world.report(test)
 	})
 }
@@ -76,7 +76,7 @@
 		verdicts := world.judge(nil, report)
 		test.Logf(
 			"%s; %s; %d tries for %d tasks, %v",
-			verdicts["resends within a fifth and sixty in ten seconds"],
+			verdicts["resends in 10 s at most 20% of first sends + 60"],
 			verdicts["no key charged twice"],
 			len(report.Tries),
 			report.Asked,
--- a/harness/simulation/cold_test.go
+++ b/harness/simulation/cold_test.go
@@ -45,7 +45,7 @@
 		})
 		report := generator.Run(world.goroutines.Sleep)
 		client.CloseIdleConnections()
-		detail := world.judge(nil, report)["cold backends within their gentle rate"]
+		detail := world.judge(nil, report)["cold backends within their gentle_rate"]
 		if used, _ := strconv.Atoi(strings.Fields(detail)[0]); used < 20 {
 			world.broke("cold backends were hardly used: %s", detail)
 		}
--- a/harness/simulation/combined_faults_test.go
+++ b/harness/simulation/combined_faults_test.go
@@ -86,7 +86,7 @@
 		report.Served,
 		report.Asked,
 		report.Unknown,
-		details["operators answered within a second"],
+		details["operator calls answered within 1 s"],
 		details["usage reported within 5% and 10 s, none missing"],
 		faults.Done,
 	)
--- a/harness/simulation/partition_test.go
+++ b/harness/simulation/partition_test.go
@@ -58,7 +58,7 @@
 			if again < 5 {
 				world.broke("%s: healed, it served %d", cut.name, again)
 			}
-			test.Logf("%s: %s; %v", cut.name, details["acknowledged settings in force in 4 s"], report.Statuses)
+			test.Logf("%s: %s; %v", cut.name, details["acknowledged settings in force within 4 s"], report.Statuses)
 			world.report(test)
 			world.Close()
 		}
--- a/harness/simulation/stop_test.go
+++ b/harness/simulation/stop_test.go
@@ -48,7 +48,7 @@
 		report := generator.Run(func(span time.Duration) bool { return world.Rest(span) && !done.Load() })
 		client.CloseIdleConnections()
 		details := world.judge(nil, report)
-		test.Logf("%s %v", details["planned stops cut nothing in flight"], report.Statuses)
+		test.Logf("%s %v", details["no task in flight lost by planned work"], report.Statuses)
 		world.report(test)
 	})
 }
