--- a/harness/testdisk/disk.go
+++ b/harness/testdisk/disk.go
@@ -1,6 +1,6 @@
-// Package testdisk is a storage.Disk in memory that keeps exactly what was synced, and
-// that is cheap to copy. Tests and models use it; package simulation has a disk that is as
-// unkind as a real one.
+// Package testdisk provides an in-memory storage.Disk for tests and models. It keeps exactly
+// what was synced and is cheap to clone. Package simulation has a disk with the faults of a
+// real one.
 package testdisk
 
 import (
@@ -13,85 +13,90 @@
 
 var errPowerLost = errors.New("power lost")
 
-// Disk keeps bytes by a sync of their file and names by a sync of the folder. It is not
-// safe for concurrent use.
+// Disk makes a file's content durable when the file is synced, and names when the disk is
+// synced. It is not safe for concurrent use.
 type Disk struct {
-	// Failing makes syncs fail, as a loss of power before them would.
+	// Failing makes syncs fail, as if power were lost before them.
 	Failing bool
-	// Lying makes a sync return before anything is durable: a seeded bug.
+	// Lying makes syncs succeed without making anything durable, to simulate a missing sync.
 	Lying bool
 
-	inodes  []inode
-	names   map[string]int
-	durable map[string]int
+	inodes       []inode
+	inodeByName  map[string]int
+	durableNames map[string]int
 }
 
 type inode struct {
-	body   []byte
-	synced int
+	content     []byte
+	syncedBytes int
 }
 
 // New returns an empty disk.
 func New() *Disk {
-	return &Disk{names: map[string]int{}, durable: map[string]int{}}
+	return &Disk{inodeByName: map[string]int{}, durableNames: map[string]int{}}
 }
 
-// Clone returns a disk with the same content. It shares the bytes until one of the two
-// disks changes them.
+// Clone returns a disk with the same content. The two disks share the bytes until one of
+// them changes them.
 func (disk *Disk) Clone() *Disk {
-	clone := &Disk{names: maps.Clone(disk.names), durable: maps.Clone(disk.durable), Failing: disk.Failing, Lying: disk.Lying}
+	clone := &Disk{
+		inodeByName:  maps.Clone(disk.inodeByName),
+		durableNames: maps.Clone(disk.durableNames),
+		Failing:      disk.Failing,
+		Lying:        disk.Lying,
+	}
 	clone.inodes = slices.Clone(disk.inodes)
 	for index := range disk.inodes {
-		disk.inodes[index].body = slices.Clip(disk.inodes[index].body)
-		clone.inodes[index].body = disk.inodes[index].body
+		disk.inodes[index].content = slices.Clip(disk.inodes[index].content)
+		clone.inodes[index].content = disk.inodes[index].content
 	}
 	return clone
 }
 
-// FileOf returns the file on this disk that stands for one of the disk it was cloned from.
+// FileOf returns this disk's counterpart of an open file of the disk it was cloned from.
 func (disk *Disk) FileOf(file storage.File) storage.File {
 	return &openFile{disk: disk, inode: file.(*openFile).inode}
 }
 
-// LosePower drops what was not synced, but for the first bytes of torn writes, and stops
-// failing.
+// LosePower drops what was not synced, except the first tornBytes of each file's unsynced
+// bytes, and clears Failing.
 func (disk *Disk) LosePower(tornBytes int) {
-	disk.names = maps.Clone(disk.durable)
+	disk.inodeByName = maps.Clone(disk.durableNames)
 	for index := range disk.inodes {
 		inode := &disk.inodes[index]
-		inode.body = slices.Clone(inode.body[:min(inode.synced+tornBytes, len(inode.body))])
-		inode.synced = len(inode.body)
+		inode.content = slices.Clone(inode.content[:min(inode.syncedBytes+tornBytes, len(inode.content))])
+		inode.syncedBytes = len(inode.content)
 	}
 	disk.Failing = false
 }
 
-// List returns the names of all files in order.
+// List returns the sorted names of all files.
 func (disk *Disk) List() ([]string, error) {
-	return slices.Sorted(maps.Keys(disk.names)), nil
+	return slices.Sorted(maps.Keys(disk.inodeByName)), nil
 }
 
 // Read returns a file's content.
 func (disk *Disk) Read(name string) ([]byte, error) {
-	return slices.Clone(disk.inodes[disk.names[name]].body), nil
+	return slices.Clone(disk.inodes[disk.inodeByName[name]].content), nil
 }
 
 // Create opens an empty file for writing.
 func (disk *Disk) Create(name string) (storage.File, error) {
 	disk.inodes = append(disk.inodes, inode{})
-	disk.names[name] = len(disk.inodes) - 1
-	return &openFile{disk: disk, inode: disk.names[name]}, nil
+	disk.inodeByName[name] = len(disk.inodes) - 1
+	return &openFile{disk: disk, inode: disk.inodeByName[name]}, nil
 }
 
-// Rename gives a file another name.
-func (disk *Disk) Rename(before, after string) error {
-	disk.names[after] = disk.names[before]
-	delete(disk.names, before)
+// Rename renames a file, replacing any file of the new name.
+func (disk *Disk) Rename(oldName, newName string) error {
+	disk.inodeByName[newName] = disk.inodeByName[oldName]
+	delete(disk.inodeByName, oldName)
 	return nil
 }
 
-// Remove removes a file.
+// Remove removes a file name.
 func (disk *Disk) Remove(name string) error {
-	delete(disk.names, name)
+	delete(disk.inodeByName, name)
 	return nil
 }
 
@@ -101,7 +106,7 @@
 		return errPowerLost
 	}
 	if !disk.Lying {
-		disk.durable = maps.Clone(disk.names)
+		disk.durableNames = maps.Clone(disk.inodeByName)
 	}
 	return nil
 }
@@ -111,10 +116,10 @@
 	inode int
 }
 
-func (file *openFile) Write(body []byte) (int, error) {
+func (file *openFile) Write(data []byte) (int, error) {
 	inode := &file.disk.inodes[file.inode]
-	inode.body = append(inode.body, body...)
-	return len(body), nil
+	inode.content = append(inode.content, data...)
+	return len(data), nil
 }
 
 func (file *openFile) Sync() error {
@@ -123,7 +128,7 @@
 	}
 	if !file.disk.Lying {
 		inode := &file.disk.inodes[file.inode]
-		inode.synced = len(inode.body)
+		inode.syncedBytes = len(inode.content)
 	}
 	return nil
 }
