--- a/harness/soak/bounds.go
+++ b/harness/soak/bounds.go
@@ -10,13 +10,13 @@
 	Drain       time.Duration // until a leaving backend gets no more requests
 	Grace       time.Duration // from SIGTERM to SIGKILL
 	LossSlack   time.Duration // after a request was sent, in which its connection may end
-	Rollback    time.Duration // until a version gets no more requests after badAnswersToRevert failures
+	Rollback    time.Duration // until a version gets no more requests after failuresToRevert failures
 	CanaryShare float64       // of a service's requests that a bad version may get
 	CanaryExtra int           // requests beyond that share
 }
 
-// badAnswersToRevert is the number of failed responses after which a rollback is due.
-const badAnswersToRevert = 50
+// failuresToRevert is the number of failed responses after which a rollback is due.
+const failuresToRevert = 50
 
 // DefaultBounds returns the bounds of a small deployment.
 func DefaultBounds() Bounds {
--- a/harness/soak/check.go
+++ b/harness/soak/check.go
@@ -116,7 +116,7 @@
 		checker.checkRollout(rollout)
 	}
 	for _, version := range checker.recorder.configChanges {
-		checker.checkAcknowledged("version", version.sentAt, version.acknowledgedAt)
+		checker.checkAcknowledged("configuration", version.sentAt, version.acknowledgedAt)
 	}
 }
 
@@ -151,8 +151,8 @@
 		"%s: response sealed by %q, body %.60q", exchange.id, exchange.seal, exchange.responseBody)
 }
 
-// checkLost checks requests in flight during a planned stop of their proxy: the connection
-// must not end without a response.
+// checkLost checks requests in flight during a planned stop of their proxy: an executed one
+// must get a response, and so must a GET on a new connection if it lasted beyond LossSlack.
 func (checker *ruleChecker) checkLost(exchange *exchange, arrivals []*arrival) {
 	until := exchange.endedAt
 	if !checker.disturbances.stoppedAsPlanned(exchange.proxy, exchange.sentAt, until) ||
@@ -187,14 +187,14 @@
 
 // checkDrain checks that no request reaches a backend that has been leaving for too long.
 func (checker *ruleChecker) checkDrain(arrival *arrival, exchange *exchange) {
-	leftAt := arrival.backend.leavingSince()
-	if leftAt.IsZero() || arrival.at.Before(leftAt) {
+	leavingSince := arrival.backend.leavingSince()
+	if leavingSince.IsZero() || arrival.at.Before(leavingSince) {
 		return
 	}
 	if !checker.disturbances.undisturbed(exchange.proxy, exchange.sentAt, arrival.at) {
 		return
 	}
-	sinceLeaving := arrival.at.Sub(leftAt)
+	sinceLeaving := arrival.at.Sub(leavingSince)
 	inTransit := arrival.at.Sub(exchange.sentAt)
 	checker.report.record(
 		RuleDrain,
@@ -254,13 +254,13 @@
 }
 
 // checkAcknowledged checks that an order was acknowledged in time, unless a core was disturbed.
-func (checker *ruleChecker) checkAcknowledged(what string, sentAt, ackedAt time.Time) {
+func (checker *ruleChecker) checkAcknowledged(what string, sentAt, acknowledgedAt time.Time) {
 	until := sentAt.Add(checker.bounds.Acknowledge)
 	if !checker.disturbances.coresUndisturbed(sentAt, until) {
 		return
 	}
-	checker.report.record(RuleOrders, ackedAt.IsZero() || ackedAt.After(until), "%s sent at %s, acknowledged: %v",
-		what, sentAt.Format(time.StampMilli), !ackedAt.IsZero())
+	checker.report.record(RuleOrders, acknowledgedAt.IsZero() || acknowledgedAt.After(until), "%s sent at %s, acknowledged: %v",
+		what, sentAt.Format(time.StampMilli), !acknowledgedAt.IsZero())
 }
 
 // checkRollout checks a rollout's acknowledgement and, for a bad version, its outcome and
@@ -280,7 +280,7 @@
 		return
 	}
 	checker.report.record(RuleExposure, rollout.completed, "rollout of bad version %s was completed", rollout.target)
-	total, exposed, badAnswers := 0, 0, 0
+	total, exposed, failures := 0, 0, 0
 	var revertDue time.Time
 	for _, arrival := range checker.recorder.arrivals {
 		exchange := checker.recorder.exchanges[arrival.id]
@@ -298,9 +298,9 @@
 			exposed++
 		}
 		if arrival.failed {
-			badAnswers++
+			failures++
 		}
-		if badAnswers == badAnswersToRevert && revertDue.IsZero() {
+		if failures == failuresToRevert && revertDue.IsZero() {
 			revertDue = arrival.at.Add(checker.bounds.Rollback)
 		}
 		checker.report.record(RuleExposure, !revertDue.IsZero() && exchange.sentAt.After(revertDue),
