--- a/harness/checker/evidence.go
+++ b/harness/checker/evidence.go
@@ -23,9 +23,8 @@
 	Detail string `json:"detail"`
 }
 
-// Window is a span in which a backend or a proxy (Kind "front") must get no traffic,
-// or a tenant must not be served. Times are milliseconds since the Unix epoch; Until
-// is 0 while the span is open.
+// Window is a span in which a backend, a proxy (Kind "front") or a tenant must not be
+// served, in milliseconds since the Unix epoch. Until is 0 while the span is open.
 type Window struct {
 	Kind    string
 	Subject string
@@ -137,7 +136,7 @@
 	return fmt.Sprintf("%d tasks at backends", count)
 }
 
-// Quantile returns the quantile of the values at a fraction from 0 to 1, and 0 without values.
+// Quantile returns the quantile of values at a fraction from 0 to 1; 0 without values.
 func Quantile(values []float64, fraction float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/harness/checker/ledger.go
+++ b/harness/checker/ledger.go
@@ -22,8 +22,7 @@
 	Start(duty func())
 }
 
-// Ack is an acknowledged change. AtMs is the time of the acknowledgement in
-// milliseconds since the Unix epoch.
+// Ack is an acknowledged change; AtMs is the time in milliseconds since the Unix epoch.
 type Ack struct {
 	Serial uint64
 	Base   uint64
@@ -161,8 +160,7 @@
 	_ = ledger.Make(change, client, random, send) // recorded by Make
 }
 
-// withHold returns the settings with another rule.hold_ms, or unchanged if they can't be
-// decoded.
+// withHold returns the settings with another rule.hold_ms.
 func withHold(tree json.RawMessage, holdMs int) json.RawMessage {
 	sections := map[string]json.RawMessage{}
 	rule := map[string]any{}
--- a/harness/checker/settings.go
+++ b/harness/checker/settings.go
@@ -87,8 +87,7 @@
 	)
 }
 
-// checkRefusedChanges checks that refused changes, such as losers of a race, are not in the
-// history.
+// checkRefusedChanges checks that refused changes, as by a lost race, are not in the history.
 func (evidence *Evidence) checkRefusedChanges() (bad []string, detail string) {
 	if evidence.Ledger == nil {
 		return nil, "no operators"
--- a/harness/checker/traffic.go
+++ b/harness/checker/traffic.go
@@ -30,7 +30,6 @@
 	return bad, detail
 }
 
-// checkTenant checks that a backend sees the tenant that made the attempt.
 func (evidence *Evidence) checkTenant() (bad []string, detail string) {
 	tenants := map[string]map[string]bool{}
 	evidence.eachTry(func(try standin.Try) {
@@ -164,7 +163,6 @@
 	return bad, fmt.Sprintf("%d resends, at most %d in 10 s", total, most)
 }
 
-// checkColdBackends counts the tasks that a cold backend got in any second.
 func (evidence *Evidence) checkColdBackends() (bad []string, detail string) {
 	cold, most := 0, 0
 	for _, record := range evidence.Backends {
@@ -190,9 +188,8 @@
 	return bad, fmt.Sprintf("%d tasks at cold backends, at most %d in a second", cold, most)
 }
 
-// checkPlannedWork checks that every task gets its complete response under planned work, if
-// need be from another proxy. Tasks whose attempts were all refused as busy were never
-// accepted; checkFloors covers them.
+// checkPlannedWork checks that under planned work every task gets its response, if need be
+// from another proxy. Tasks refused as busy by all attempts are left to checkFloors.
 func (evidence *Evidence) checkPlannedWork() (bad []string, detail string) {
 	for _, callers := range evidence.Callers {
 		served, onlyBusy := map[string]bool{}, map[string]bool{}
@@ -238,10 +235,10 @@
 	return bad, detail
 }
 
-// checkFloors checks that hardly any attempt is refused as busy while its class asks, in
-// this second and the one before, for no more than nine tenths of its floor. At most a
-// fiftieth may be, and a twentieth after unplanned faults, since the floor is divided among
-// proxies by slightly outdated demand. Lent capacity may always be refused.
+// checkFloors counts attempts refused as busy though their class asked, in that second and
+// the one before, for no more than nine tenths of its floor. A fiftieth may be refused, or a
+// twentieth after unplanned faults, since proxies share the floor by slightly outdated
+// demand. Lent capacity may always be refused.
 func (evidence *Evidence) checkFloors() (bad []string, detail string) {
 	if evidence.Settings == nil {
 		return nil, "no settings given"
--- a/harness/checker/usage.go
+++ b/harness/checker/usage.go
@@ -127,8 +127,7 @@
 	return reports, bad
 }
 
-// firstRunTimes returns, by tenant, the sorted times at which its tasks first reached a
-// backend.
+// firstRunTimes returns the sorted times, by tenant, at which tasks first reached a backend.
 func (evidence *Evidence) firstRunTimes() map[string][]int64 {
 	firstRuns := map[string]standin.Arrival{}
 	evidence.eachArrival(func(_ *standin.BackendRecord, arrival *standin.Arrival) {
--- a/harness/soak/check.go
+++ b/harness/soak/check.go
@@ -83,7 +83,6 @@
 	}
 }
 
-// ruleChecker checks the recorded events against the rules.
 type ruleChecker struct {
 	recorder     *recorder
 	disturbances *disturbances
@@ -237,8 +236,7 @@
 	)
 }
 
-// possibleVersions returns the versions that may have been in force during a span, at a
-// machine without disturbances.
+// possibleVersions returns the versions that an undisturbed machine may have used in a span.
 func (checker *ruleChecker) possibleVersions(from, to time.Time) []*configChange {
 	versions := []*configChange{}
 	for _, version := range checker.recorder.configChanges {
@@ -253,7 +251,7 @@
 	return versions
 }
 
-// checkAcknowledged checks that an order was acknowledged in time, unless a core was disturbed.
+// checkAcknowledged checks that undisturbed cores acknowledged an order in time.
 func (checker *ruleChecker) checkAcknowledged(what string, sentAt, acknowledgedAt time.Time) {
 	until := sentAt.Add(checker.bounds.Acknowledge)
 	if !checker.disturbances.coresUndisturbed(sentAt, until) {
@@ -311,8 +309,8 @@
 	checker.report.record(RuleExposure, float64(exposed) > allowed, "bad version %s got %d of %d requests", rollout.target, exposed, total)
 }
 
-// checkReadBack checks the configuration that the operator reads at the end: it must be the
-// newest acknowledged one, or one sent after it whose outcome is unknown.
+// checkReadBack checks that the final configuration is the newest acknowledged one, or one
+// sent after it with an unknown outcome.
 func (checker *ruleChecker) checkReadBack(status int, body string) {
 	allowed := []string{}
 	for _, version := range checker.recorder.configChanges {
--- a/harness/soak/check_limits.go
+++ b/harness/soak/check_limits.go
@@ -5,12 +5,10 @@
 	"time"
 )
 
-// limitTolerance is how far from its limit a connection may end, since timers and
-// scheduling are late on a busy machine.
+// limitTolerance allows for late timers and scheduling on a busy machine.
 const limitTolerance = 500 * time.Millisecond
 
-// checkLimits checks that connections end and headers are refused exactly as the limits of
-// the versions in force require.
+// checkLimits checks that connections end and headers are refused by the limits in force only.
 func (checker *ruleChecker) checkLimits() {
 	arrivals := checker.arrivalsByID()
 	for _, probe := range checker.recorder.probes {
@@ -33,8 +31,8 @@
 	}
 }
 
-// refusedByLimit reports whether a limit refused a request, or it got no response at all. Any
-// other refusal, such as a lack of backends, shows that the connection was open.
+// refusedByLimit reports whether a limit refused a request, or it got no response. Any other
+// status, as for a lack of backends, shows that the connection was open.
 func refusedByLimit(status int) bool {
 	return status == 0 || status == http.StatusRequestTimeout || status == http.StatusRequestHeaderFieldsTooLarge
 }
@@ -43,7 +41,6 @@
 	return probe.end.Sub(probe.begin).Round(time.Millisecond)
 }
 
-// limitRange returns the shortest and the longest of the versions' limits.
 func limitRange(versions []*configChange, limit func(connLimits) time.Duration) (shortest, longest time.Duration) {
 	for index, version := range versions {
 		value := limit(version.limits)
@@ -63,8 +60,8 @@
 		probe.proxy, probe.kind, roundedDuration(probe), probe.stillOpen, shortest, longest)
 }
 
-// matchesRecentIdleLimit reports whether the probe ended within the longest idle limit of its
-// whole span, or of the last moments: a shorter limit ends connections already idle for longer.
+// matchesRecentIdleLimit allows the longest idle limit of the probe's span or its last moments:
+// a new, shorter limit ends connections that have been idle for longer.
 func (checker *ruleChecker) matchesRecentIdleLimit(probe *limitProbe) bool {
 	_, fullSpan := limitRange(
 		checker.possibleVersions(probe.begin, probe.end),
@@ -75,8 +72,8 @@
 	return probe.end.Sub(probe.begin) <= max(fullSpan, recent)+limitTolerance
 }
 
-// checkSlowHeader checks a header that never ends. While a header is being received, a change
-// of limits can only widen them.
+// checkSlowHeader checks a header that never ends. Changes can only widen the limits of a
+// header that has begun.
 func (checker *ruleChecker) checkSlowHeader(probe *limitProbe, versions []*configChange) {
 	shortest, longest := limitRange(versions, func(limits connLimits) time.Duration { return limits.HeaderTimeout })
 	took := probe.end.Sub(probe.begin)
--- a/harness/soak/client.go
+++ b/harness/soak/client.go
@@ -38,7 +38,6 @@
 	movedPath   = "/moved/" // to the service that the configuration names
 )
 
-// emptyDigest is the digest of an empty body.
 var emptyDigest = digestOf(nil)
 
 func digestOf(body []byte) string {
@@ -46,8 +45,8 @@
 	return hex.EncodeToString(digest[:])
 }
 
-// client sends requests one after another on a connection to a random proxy, which it reuses
-// until the proxy closes it or asks for its close.
+// client sends one request at a time to a random proxy, on one connection until the proxy
+// closes it or asks for that.
 type client struct {
 	number   int
 	random   *rand.Rand
@@ -129,7 +128,6 @@
 	return body
 }
 
-// sendRequest sends one request and records its response.
 func (client *client) sendRequest() {
 	exchange, body := client.nextRequest()
 	request := &bytes.Buffer{}
@@ -150,8 +148,7 @@
 	}
 }
 
-// roundTrip sends a request and reads its response; it reports whether the connection can be
-// reused.
+// roundTrip sends a request, reads its response and reports whether the connection is reusable.
 func (client *client) roundTrip(exchange *exchange, request []byte) bool {
 	if err := client.conn.SetDeadline(exchange.sentAt.Add(requestDeadline + responseSlack)); err != nil {
 		return false
--- a/harness/soak/deployment.go
+++ b/harness/soak/deployment.go
@@ -31,7 +31,7 @@
 // zones are assigned to machines and backends in rotation.
 var zones = []zoneInfo{{"accra-osu", "accra"}, {"kumasi-adum", "kumasi"}, {"tamale-central", "tamale"}}
 
-// deployment is a set of real processes on loopback addresses and a stand-in of the platform.
+// deployment is real processes on loopback addresses and a stand-in of the platform.
 type deployment struct {
 	program  string
 	folder   string
@@ -66,7 +66,6 @@
 	return deployment, nil
 }
 
-// freePorts returns ports on which nothing listens.
 func freePorts() (ports, error) {
 	for range maxPortAttempts {
 		base := firstPort + rand.IntN(portSpan)
@@ -105,7 +104,6 @@
 	})
 }
 
-// withRole returns the machines of a role.
 func (deployment *deployment) withRole(role string) []*machine {
 	machines := []*machine{}
 	for _, machine := range deployment.machines {
--- a/harness/soak/disturbances.go
+++ b/harness/soak/disturbances.go
@@ -14,8 +14,7 @@
 	begin, end time.Time // end is zero while it lasts
 }
 
-// disturbances records disturbances and answers which machines were undisturbed in a span.
-// It is safe for concurrent use.
+// disturbances is a log of disturbances, safe for concurrent use.
 type disturbances struct {
 	mutex      sync.Mutex
 	settleTime time.Duration
@@ -35,14 +34,12 @@
 	}
 }
 
-// record adds a disturbance that is over.
 func (disturbances *disturbances) record(span disturbance) {
 	disturbances.mutex.Lock()
 	disturbances.spans = append(disturbances.spans, &span)
 	disturbances.mutex.Unlock()
 }
 
-// anyOverlap reports whether a matching disturbance overlaps a span.
 func (disturbances *disturbances) anyOverlap(from, to time.Time, matches func(*disturbance) bool) bool {
 	disturbances.mutex.Lock()
 	defer disturbances.mutex.Unlock()
@@ -57,22 +54,20 @@
 	return false
 }
 
-// coresUndisturbed reports whether no core was disturbed from settleTime before a span until
-// its end.
+// coresUndisturbed reports whether no core was disturbed in a span and settleTime before it.
 func (disturbances *disturbances) coresUndisturbed(from, to time.Time) bool {
 	return !disturbances.anyOverlap(from.Add(-disturbances.settleTime), to, func(span *disturbance) bool { return span.isCore })
 }
 
-// undisturbed reports whether neither a machine nor any core was disturbed from settleTime
-// before a span until its end.
+// undisturbed reports whether neither a machine nor a core was disturbed in a span and
+// settleTime before it.
 func (disturbances *disturbances) undisturbed(machine string, from, to time.Time) bool {
 	return !disturbances.anyOverlap(from.Add(-disturbances.settleTime), to, func(span *disturbance) bool {
 		return span.isCore || span.machine == machine || span.machine == ""
 	})
 }
 
-// anyUnplanned reports whether an unplanned disturbance happened from settleTime before a span
-// until its end.
+// anyUnplanned reports an unplanned disturbance in a span or settleTime before it.
 func (disturbances *disturbances) anyUnplanned(from, to time.Time) bool {
 	return disturbances.anyOverlap(from.Add(-disturbances.settleTime), to, func(span *disturbance) bool { return !span.isPlanned })
 }
@@ -84,8 +79,8 @@
 
 const (
 	stallInterval = 20 * time.Millisecond
-	// maxStall is the longest pause of this process that is ignored. After a longer one the
-	// host is too busy for time bounds, so all machines count as disturbed.
+	// maxStall is the longest pause of this process that is ignored. After a longer one, which
+	// shows a host too busy for time bounds, all machines count as disturbed.
 	maxStall = 150 * time.Millisecond
 )
 
--- a/harness/soak/faults.go
+++ b/harness/soak/faults.go
@@ -25,11 +25,11 @@
 	rolloutPause           = 2 * time.Second
 	rolloutPollInterval    = 250 * time.Millisecond
 	rolloutSlack           = 6 * time.Second // beyond the term, for which the outcome is still polled
-	revertedDrainDelay     = 2 * time.Second // until the backends of a version that was not completed leave
+	revertedDrainDelay     = 2 * time.Second // until the backends of a failed rollout leave
 	badVersionFailureShare = 0.5             // of its responses
 )
 
-// soak is one run: a deployment, the disturbances of it and the records of its users.
+// soak is one run.
 type soak struct {
 	options         Options
 	random          *rand.Rand
@@ -45,7 +45,6 @@
 	printf          func(format string, values ...any)
 }
 
-// randomPause waits for a random time or until ctx ends.
 func randomPause(ctx context.Context, random *rand.Rand) {
 	sleep(ctx, minPause+time.Duration(random.Int64N(int64(pauseRange))))
 }
@@ -87,8 +86,8 @@
 	machine.signal(syscall.SIGCONT)
 }
 
-// disturbProxies terminates, kills and freezes random proxies, one at a time, until ctx ends.
-// While onlyPlanned returns true, they are only terminated.
+// disturbProxies terminates random proxies until ctx ends, and also kills and freezes them
+// once onlyPlanned returns false.
 func (soak *soak) disturbProxies(ctx context.Context, random *rand.Rand, onlyPlanned func() bool) {
 	proxies := soak.deployment.withRole(proxyRole)
 	for randomPause(ctx, random); ctx.Err() == nil; randomPause(ctx, random) {
@@ -138,8 +137,7 @@
 	return backends, nil
 }
 
-// retire marks backends as leaving, and removes them in the background after the drain bound
-// once they are idle.
+// retire marks backends as leaving and later, after Drain, removes them once they are idle.
 func (soak *soak) retire(backends []*backend) {
 	for _, backend := range backends {
 		backend.markLeaving()
--- a/harness/soak/limits.go
+++ b/harness/soak/limits.go
@@ -61,14 +61,12 @@
 	limitClients = 8
 	// probeTimeout ends a probe that no limit ends.
 	probeTimeout = 10 * time.Second
-	// reuseIdleShare is the fraction of the shortest idle timeout after which a connection is
-	// reused.
+	// reuseIdleShare is the fraction of the shortest idle timeout before a reuse.
 	reuseIdleShare     = 0.8
 	partialHeaderBytes = 60
 	longHeaderBytes    = 70 << 10
 )
 
-// limitProbe is one probe of a limit and its outcome.
 type limitProbe struct {
 	kind      probeKind
 	proxy     string
@@ -106,8 +104,7 @@
 	}
 }
 
-// newRequest records a request of the probe and returns its text, padded to at least
-// headerBytes.
+// newRequest records a request and returns its text, padded to at least headerBytes.
 func (client *limitClient) newRequest(probe *limitProbe, headerBytes int) string {
 	probe.requestID = fmt.Sprintf("limit-%x", client.random.Uint64())
 	exchange := &exchange{
@@ -119,7 +116,7 @@
 	return header + "Filler: " + strings.Repeat("x", max(0, headerBytes-len(header))) + "\r\n\r\n"
 }
 
-// runProbe runs one probe on a connection; false if the connection failed before it began.
+// runProbe runs one probe; false if the connection failed before it began.
 func (client *limitClient) runProbe(probe *limitProbe, conn net.Conn) bool {
 	reader := bufio.NewReader(conn)
 	if err := conn.SetDeadline(time.Now().Add(2 * probeTimeout)); err != nil {
@@ -170,7 +167,7 @@
 	return response.StatusCode
 }
 
-// closedWithin waits until the peer closes the connection; false if it is open after the limit.
+// closedWithin waits for the peer to close the connection; false after the limit.
 func closedWithin(conn net.Conn, reader *bufio.Reader, limit time.Duration) bool {
 	if err := conn.SetReadDeadline(time.Now().Add(limit)); err != nil {
 		return true
--- a/harness/soak/machine.go
+++ b/harness/soak/machine.go
@@ -47,7 +47,7 @@
 
 func joinPort(address string, port int) string { return net.JoinHostPort(address, strconv.Itoa(port)) }
 
-// launch writes the settings file and starts the process, with its output appended to a log file.
+// launch starts the process with a settings file and appends its output to a log file.
 func (machine *machine) launch(program, folder, variable string, text []byte) error {
 	settingsPath := filepath.Join(folder, machine.name+".toml")
 	if err := os.WriteFile(settingsPath, text, 0o600); err != nil {
@@ -77,7 +77,6 @@
 	return nil
 }
 
-// isFirstStart reports whether the machine's process has never been started.
 func (machine *machine) isFirstStart() bool {
 	machine.mutex.Lock()
 	defer machine.mutex.Unlock()
@@ -103,8 +102,7 @@
 	}
 }
 
-// waitOrKill waits until the process has exited and kills it after the limit. It reports
-// whether the process exited within the limit.
+// waitOrKill waits for the process to exit and kills it after the limit; false if it had to.
 func (machine *machine) waitOrKill(limit time.Duration) bool {
 	machine.mutex.Lock()
 	exited := machine.exited
--- a/harness/soak/operator.go
+++ b/harness/soak/operator.go
@@ -47,8 +47,8 @@
 	return response.StatusCode, text
 }
 
-// sendUntilAnswered sends an order until it gets a final answer or ctx ends, and returns the
-// last status. 408, 429 and 5xx are not final.
+// sendUntilAnswered retries an order until ctx ends or the status, which it returns, is final:
+// not 0, 408, 429 or 5xx.
 func (operator *operator) sendUntilAnswered(ctx context.Context, method, path string, body []byte) int {
 	status := 0
 	for ctx.Err() == nil {
@@ -92,7 +92,6 @@
 	return rollout.State
 }
 
-// sleep waits for a span or until ctx ends.
 func sleep(ctx context.Context, span time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/harness/soak/orders.go
+++ b/harness/soak/orders.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// changeConfigurations repeatedly moves a route between two services and changes the limits on
-// client connections, until ctx ends.
+// changeConfigurations repeatedly moves a route between two services and changes client
+// connection limits, until ctx ends.
 func (soak *soak) changeConfigurations(ctx context.Context, random *rand.Rand) {
 	for randomPause(ctx, random); ctx.Err() == nil; randomPause(ctx, random) {
 		service := roomService
@@ -37,8 +37,7 @@
 	return true
 }
 
-// runRollouts rolls out one version of a service after another, good and bad ones, until ctx
-// ends.
+// runRollouts rolls out good and bad versions of a service until ctx ends.
 func (soak *soak) runRollouts(ctx context.Context, random *rand.Rand, service string) {
 	for version := 2; ctx.Err() == nil; version++ {
 		soak.runRollout(ctx, service, fmt.Sprintf("v%d", version), random.IntN(2) == 0)
@@ -46,8 +45,8 @@
 	}
 }
 
-// runRollout orders one rollout and waits for its end, then removes the old backends, or the new ones
-// if it was not completed.
+// runRollout orders one rollout, waits for its end and removes the backends of the version
+// that lost.
 func (soak *soak) runRollout(ctx context.Context, service, target string, isBad bool) {
 	replaced := soak.deployment.provider.backendsWhere(func(backend *backend) bool {
 		return backend.Service == service && !backend.Leaving()
--- a/harness/soak/provider.go
+++ b/harness/soak/provider.go
@@ -32,7 +32,6 @@
 	return provider, nil
 }
 
-// backendsWhere returns the backends that match.
 func (provider *provider) backendsWhere(matches func(*backend) bool) []*backend {
 	provider.mutex.Lock()
 	defer provider.mutex.Unlock()
--- a/harness/soak/recorder.go
+++ b/harness/soak/recorder.go
@@ -45,8 +45,8 @@
 	reverted       bool
 }
 
-// recorder collects the events that clients, backends and the operator saw. Its methods are
-// safe for concurrent use; the checks read it after all writers have ended.
+// recorder collects what clients, backends and the operator saw. Its methods are safe for
+// concurrent use; the checks read it after all writers have ended.
 type recorder struct {
 	mutex         sync.Mutex
 	exchanges     map[string]*exchange // by attempt ID
--- a/harness/soak/run.go
+++ b/harness/soak/run.go
@@ -67,7 +67,7 @@
 	return soak.checkRules(), nil
 }
 
-// newStream returns a separate generator, so that goroutines don't affect each other's draws.
+// newStream returns a generator of its own, so that goroutines don't affect each other's draws.
 func newStream(random *rand.Rand) *rand.Rand {
 	return rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 }
@@ -153,7 +153,6 @@
 	return time.Duration(float64(span) * fraction)
 }
 
-// checkRules checks the records against the rules.
 func (soak *soak) checkRules() *Report {
 	report := newReport(soak.options.Seed)
 	checker := &ruleChecker{recorder: soak.recorder, disturbances: soak.disturbances, bounds: soak.options.Bounds, report: report}
--- a/harness/soak/slow_headers.go
+++ b/harness/soak/slow_headers.go
@@ -21,8 +21,8 @@
 	endlessHeader      = "GET /view/slow HTTP/1.1\r\nHost: desk.example\r\nEndless: "
 )
 
-// slowHeaderAttack attacks one proxy with connections that send a byte of a header each second
-// and are reopened when the proxy closes them.
+// slowHeaderAttack opens connections to one proxy that send a byte of a header each second, and
+// reopens them when the proxy closes them.
 type slowHeaderAttack struct {
 	target *machine
 	count  int
@@ -31,7 +31,6 @@
 	peakMemoryKB, peakDescriptors      atomic.Int64
 }
 
-// run attacks the proxy until done is closed.
 func (attack *slowHeaderAttack) run(done <-chan struct{}) {
 	var running sync.WaitGroup
 	running.Go(func() { attack.sampleResources(done) })
@@ -147,7 +146,6 @@
 	}
 }
 
-// sleepUnlessDone waits for a span or until done is closed.
 func sleepUnlessDone(done <-chan struct{}, span time.Duration) {
 	select {
 	case <-done:
--- a/harness/soak/wire.go
+++ b/harness/soak/wire.go
@@ -10,8 +10,8 @@
 	"orchidjunction/platform"
 )
 
-// wireFiles are templates of the platform's messages and settings. Field names of the platform
-// are only here, not in the code of the soak.
+// wireFiles are templates of the platform's messages and settings; the code has none of their
+// field names.
 //
 //go:embed wire
 var wireFiles embed.FS
@@ -47,7 +47,6 @@
 	return text.Bytes(), err
 }
 
-// zoneInfo is a zone and its region.
 type zoneInfo struct{ Name, Region string }
 
 // settings are the values of one machine's settings file.
@@ -64,8 +63,8 @@
 	Bounds                             Bounds
 }
 
-// configuration is one version of the configuration: versions differ only in the service of
-// one route and in the limits on client connections.
+// configuration is one version: only the service of one route and the limits on client
+// connections change.
 type configuration struct {
 	Version, Base int
 	MovedTo       string
--- a/harness/testdisk/disk.go
+++ b/harness/testdisk/disk.go
@@ -18,7 +18,7 @@
 type Disk struct {
 	// Failing makes syncs fail, as if power were lost before them.
 	Failing bool
-	// Lying makes syncs succeed without making anything durable, to simulate a missing sync.
+	// Lying makes syncs succeed without effect, to simulate a missing sync.
 	Lying bool
 
 	inodes       []inode
@@ -58,8 +58,7 @@
 	return &openFile{disk: disk, inode: file.(*openFile).inode}
 }
 
-// LosePower drops what was not synced, except the first tornBytes of each file's unsynced
-// bytes, and clears Failing.
+// LosePower drops unsynced data, except the first tornBytes of each file's, and clears Failing.
 func (disk *Disk) LosePower(tornBytes int) {
 	disk.inodeByName = maps.Clone(disk.durableNames)
 	for index := range disk.inodes {
@@ -87,14 +86,14 @@
 	return &openFile{disk: disk, inode: disk.inodeByName[name]}, nil
 }
 
-// Rename renames a file, replacing any file of the new name.
+// Rename renames a file, replacing any other.
 func (disk *Disk) Rename(oldName, newName string) error {
 	disk.inodeByName[newName] = disk.inodeByName[oldName]
 	delete(disk.inodeByName, oldName)
 	return nil
 }
 
-// Remove removes a file name.
+// Remove removes a file.
 func (disk *Disk) Remove(name string) error {
 	delete(disk.inodeByName, name)
 	return nil
