--- a/harness/simulation/budget_test.go
+++ b/harness/simulation/budget_test.go
@@ -34,12 +34,12 @@
 		})
 		plan := world.plan(35, 22)
 		plan.Calls, plan.Tries = plan.Calls[1:2], 3
-		generator, client := world.Origin(plan)
+		generator, client := world.NewLoadGenerator(plan)
 		report := generator.Run(world.goroutines.Sleep)
 		client.CloseIdleConnections()
 		verdicts := world.judge(nil, report)
 		if resends, _ := strconv.Atoi(strings.Fields(verdicts["resends within a fifth and sixty in ten seconds"])[0]); resends < 30 {
-			world.broke("only %d resends", resends)
+			world.reportViolation("only %d resends", resends)
 		}
 		test.Logf("%s, %v", verdicts["resends within a fifth and sixty in ten seconds"], report.Statuses)
 		world.report(test)
@@ -70,7 +70,7 @@
 		})
 		plan := world.plan(40, 45)
 		plan.Calls, plan.Tries, plan.Hasty, plan.Patient, plan.Eager = plan.Calls[:2], 6, true, true, 20
-		generator, client := world.Origin(plan)
+		generator, client := world.NewLoadGenerator(plan)
 		report := generator.Run(world.goroutines.Sleep)
 		client.CloseIdleConnections()
 		verdicts := world.judge(nil, report)
--- a/harness/simulation/catchup_test.go
+++ b/harness/simulation/catchup_test.go
@@ -22,8 +22,8 @@
 		world.Net.Freeze(machine.Host, true)
 		return func() { world.Net.Freeze(machine.Host, false) }
 	case "cut":
-		world.isolate(index, true)
-		return func() { world.isolate(index, false) }
+		world.isolateCore(index, true)
+		return func() { world.isolateCore(index, false) }
 	case "wiped":
 		world.WipeCore(index)
 	default:
@@ -36,8 +36,8 @@
 func (world *World) change(version *atomic.Uint64, count int) {
 	for range count {
 		last := version.Load()
-		if err := world.Put(last+1, last); err != nil {
-			world.broke("%d on %d: %v", last+1, last, err)
+		if err := world.PutRouting(last+1, last); err != nil {
+			world.reportViolation("%d on %d: %v", last+1, last, err)
 			return
 		}
 		version.Store(last + 1)
@@ -69,8 +69,8 @@
 }
 
 func catchUp(test *testing.T, seed uint64, kind string, count int, leads bool) {
-	world := NewFarWorld(seed, 3)
-	defer world.CloseFar()
+	world := NewRegionalWorld(seed, 3)
+	defer world.CloseRegional()
 	world.farUp(test, 3)
 	version := atomic.Uint64{}
 	version.Store(1)
@@ -94,7 +94,7 @@
 		ended.Store(true)
 	})
 	if !world.Until(6*time.Second, func() bool { return world.lasts(index) >= missed }) {
-		world.broke("holds serial %d, %d were made while it was away", world.lasts(index), missed)
+		world.reportViolation("holds serial %d, %d were made while it was away", world.lasts(index), missed)
 	}
 	took := time.Since(begin)
 	world.Rest(2 * time.Second)
@@ -112,13 +112,13 @@
 	} else {
 		world.StartCore(leader)
 	}
-	state, err := world.Book()
+	state, err := world.ReadRouting()
 	if err != nil || state.Config.Version != acknowledged {
-		world.broke("read back %+v after the leader was lost, %d was acknowledged: %v", state, acknowledged, err)
+		world.reportViolation("read back %+v after the leader was lost, %d was acknowledged: %v", state, acknowledged, err)
 	}
 	for _, machine := range world.Cores {
 		if used := machine.Disk.MostUsed(); used > diskBound {
-			world.broke("core %d used %d bytes of disk", machine.ID, used)
+			world.reportViolation("core %d used %d bytes of disk", machine.ID, used)
 		}
 	}
 	test.Logf("caught up after %v, %d bytes of disk at most", took, world.Cores[index].Disk.MostUsed())
@@ -144,8 +144,8 @@
 }
 
 func memberCatchesUp(test *testing.T, seed uint64, kind string, count int) {
-	world := NewFarWorld(seed, 3)
-	defer world.CloseFar()
+	world := NewRegionalWorld(seed, 3)
+	defer world.CloseRegional()
 	world.farUp(test, 3)
 	version := atomic.Uint64{}
 	version.Store(1)
@@ -173,7 +173,7 @@
 		world.StartMember(one)
 	}
 	if took, whole := world.reached(version.Load(), 5*time.Second); !whole {
-		world.broke(
+		world.reportViolation(
 			"%s has routing serial %d in force after %v, version %d was acknowledged",
 			one.Name,
 			one.Daemon.Version().RoutingSerial,
@@ -212,8 +212,8 @@
 
 // leadsWithNewState is whether the core that missed changes came to lead.
 func leadsWithNewState(test *testing.T, seed uint64, kind string, count int) bool {
-	world := NewFarWorld(seed, 3)
-	defer world.CloseFar()
+	world := NewRegionalWorld(seed, 3)
+	defer world.CloseRegional()
 	world.farUp(test, 3)
 	version := atomic.Uint64{}
 	version.Store(1)
@@ -225,11 +225,11 @@
 	back()
 	world.KillCore(leader, true)
 	if !world.Until(10*time.Second, func() bool { return world.Leader() >= 0 }) {
-		world.broke("nobody leads")
+		world.reportViolation("nobody leads")
 	}
-	state, err := world.Book()
+	state, err := world.ReadRouting()
 	if err != nil || state.Config.Version != version.Load() {
-		world.broke("read back %+v, %d was acknowledged: %v", state, version.Load(), err)
+		world.reportViolation("read back %+v, %d was acknowledged: %v", state, version.Load(), err)
 	}
 	world.report(test)
 	return world.Leader() == index
--- a/harness/simulation/change_test.go
+++ b/harness/simulation/change_test.go
@@ -31,7 +31,7 @@
 			case "planned":
 				ended.Store(false)
 				world.goroutines.Start(func() {
-					world.TermCore(leader)
+					world.TerminateCore(leader)
 					ended.Store(true)
 				})
 			case "killed":
@@ -54,7 +54,7 @@
 			serial = outcome.Serial
 			waits[kind] = append(waits[kind], wait)
 			if kind == "planned" && wait > 100*time.Millisecond || wait > time.Second {
-				world.broke("%s: an operator waited %v", kind, wait)
+				world.reportViolation("%s: an operator waited %v", kind, wait)
 			}
 			switch kind {
 			case "frozen":
--- a/harness/simulation/changes_during_partition_test.go
+++ b/harness/simulation/changes_during_partition_test.go
@@ -26,17 +26,17 @@
 // leaderCalls are the calls whose clear answers only a leader may give: repeats, true
 // and untrue refusals, what changes nothing, and reads. Version 1 is in force.
 func leaderCalls() []call {
-	invalid := Routing(2)
+	invalid := NewRoutingConfig(2)
 	invalid.Routes[0].Service = "nobody"
 	broken, _ := rpc.Marshal(&routing.Change{Version: 2, Base: 1, Digest: "invalid", Whole: invalid})
 	dangling, _ := rpc.Marshal(
 		&routing.Change{Version: 2, Base: 1, Digest: "dangling", Patch: &routing.Patch{RemoveServices: []string{"desk"}}},
 	)
-	low, _ := rpc.Marshal(&routing.Change{Version: 1, Base: 1, Digest: "low", Whole: Routing(1)})
+	low, _ := rpc.Marshal(&routing.Change{Version: 1, Base: 1, Digest: "low", Whole: NewRoutingConfig(1)})
 	return []call{
-		callOf("repeat", message.MethodRoutingChange, WholeChange(1, 0)),
-		callOf("stale base", message.MethodRoutingChange, WholeChange(9, 0)),
-		callOf("newer base", message.MethodRoutingChange, WholeChange(9, 3)),
+		callOf("repeat", message.MethodRoutingChange, NewRoutingChange(1, 0)),
+		callOf("stale base", message.MethodRoutingChange, NewRoutingChange(9, 0)),
+		callOf("newer base", message.MethodRoutingChange, NewRoutingChange(9, 3)),
 		callOf("stale version", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: low}),
 		callOf("invalid", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: broken}),
 		callOf("invalid patch", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: dangling}),
@@ -99,9 +99,9 @@
 	if err := world.Evacuate("z1", true); err != nil {
 		test.Fatal(err)
 	}
-	if _, err := order(
+	if _, err := forward(
 		world,
-		world.holds(),
+		world.forwarders(),
 		message.MethodChange,
 		&message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)},
 	); err != nil {
@@ -116,13 +116,13 @@
 	each(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"cut", "mute", "deaf", "frozen"} {
 			for _, restarted := range []bool{false, true} {
-				world := NewFarWorld(seed, 3+2*int(seed%2))
+				world := NewRegionalWorld(seed, 3+2*int(seed%2))
 				world.withSettings(test)
 				leader := world.calm(test)
 				client := rpc.NewClient(world.Net.Transport(world.Members[0].Host))
 				for _, one := range leaderCalls() {
 					if err := one.ask(client, world.Cores[leader].InternalAddress, time.Second); unclear(err) {
-						world.broke("in touch, %s: %v", one.name, err)
+						world.reportViolation("in touch, %s: %v", one.name, err)
 					}
 				}
 				world.lose(leader, kind, true)
@@ -141,7 +141,7 @@
 						request := time.Since(begin)
 						world.goroutines.Start(func() {
 							if err := one.ask(client, world.Cores[leader].InternalAddress, 30*time.Second); !unclear(err) {
-								world.broke("%s, restarted %v, %s asked after %v: %v", kind, restarted, one.name, request, err)
+								world.reportViolation("%s, restarted %v, %s asked after %v: %v", kind, restarted, one.name, request, err)
 							}
 							mutex.Lock()
 							open--
@@ -155,11 +155,11 @@
 				}
 				world.lose(leader, kind, false)
 				if !world.Until(40*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return open == 0 }) {
-					world.broke("%s: %d calls open", kind, open)
+					world.reportViolation("%s: %d calls open", kind, open)
 				}
 				client.Close()
 				world.report(test)
-				world.CloseFar()
+				world.CloseRegional()
 			}
 		}
 	})
--- a/harness/simulation/clock_outage_test.go
+++ b/harness/simulation/clock_outage_test.go
@@ -11,7 +11,7 @@
 func TestCoresThatStartUnderWrongClocksKeepTheWindows(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, jump := range []int64{5000, -5000, 3_600_000, -3_600_000} {
-			world := NewFarWorld(seed, 3+2*int(seed%2))
+			world := NewRegionalWorld(seed, 3+2*int(seed%2))
 			meters := newMeters(world)
 			meters.sure = true
 			world.farUp(test, 6)
@@ -22,23 +22,23 @@
 			world.calm(test)
 			world.killAll(seed%3 == 0, false)
 			for index, machine := range world.Cores {
-				machine.jump.Store(jump + int64(index)*10)
+				machine.clockOffsetMs.Store(jump + int64(index)*10)
 			}
 			load(time.Duration(500+seed*71%700) * time.Millisecond)
 			world.returnFrom(-1)
 			load(25 * time.Second)
 			for _, one := range world.Members {
 				if off := one.Daemon.Now() - time.Now().UnixMilli(); off > 150 || off < -150 {
-					world.broke("clocks off by %d ms: %s is off by %d ms", jump, one.Name, off)
+					world.reportViolation("clocks off by %d ms: %s is off by %d ms", jump, one.Name, off)
 				}
 			}
-			before := len(world.Broken)
+			before := len(world.Violations)
 			meters.judge(first, time.Now().UnixMilli()/meters.span-4, 12_000, 0.05)
-			for index := range world.Broken[before:] {
-				world.Broken[before+index] = time.Duration(jump*1e6).String() + ": " + world.Broken[before+index]
+			for index := range world.Violations[before:] {
+				world.Violations[before+index] = time.Duration(jump*1e6).String() + ": " + world.Violations[before+index]
 			}
 			world.report(test)
-			world.CloseFar()
+			world.CloseRegional()
 		}
 	})
 }
--- a/harness/simulation/cold_test.go
+++ b/harness/simulation/cold_test.go
@@ -22,13 +22,13 @@
 		late := world.AddDaemon("proxy", "w1")
 		plan := world.plan(70, 14)
 		plan.Calls = plan.Calls[1:2]
-		generator, client := world.Origin(plan)
+		generator, client := world.NewLoadGenerator(plan)
 		world.goroutines.Start(func() {
 			world.Rest(time.Second)
 			for range 2 {
 				world.AddBackend("meters", "w1", standin.BackendConfig{WorkMs: 5, Room: 32, ColdMs: 9000, GentleRate: 6})
 			}
-			world.List()
+			world.PublishBackends()
 			world.Rest(2 * time.Second)
 			world.StartDaemon(late)
 			world.Rest(time.Second)
@@ -47,7 +47,7 @@
 		client.CloseIdleConnections()
 		detail := world.judge(nil, report)["cold backends within their gentle rate"]
 		if used, _ := strconv.Atoi(strings.Fields(detail)[0]); used < 20 {
-			world.broke("cold backends were hardly used: %s", detail)
+			world.reportViolation("cold backends were hardly used: %s", detail)
 		}
 		test.Logf("%d of %d served, %s", report.Served, report.Asked, detail)
 		world.report(test)
--- a/harness/simulation/combined_faults.go
+++ b/harness/simulation/combined_faults.go
@@ -11,24 +11,25 @@
 	"orchidjunction/operator"
 )
 
-// CombinedFaults injects faults into a whole partner, every kind of process, one draw
-// after another; each is healed before the next.
+// CombinedFaults injects random faults into all kinds of processes of a deployment; each is
+// healed before the next.
 type CombinedFaults struct {
-	world  *World
-	chaos  *RandomFaults
-	ledger *checker.Ledger
-	random *rand.Rand
-	Done   []string
-	number int
+	world      *World
+	coreFaults *RandomFaults
+	ledger     *checker.Ledger
+	random     *rand.Rand
+	Injected   []string
+	changes    int
 }
 
-// CombinedFaults returns an injector of every fault of the world, drawn by its seed;
-// ledger makes the changes of settings that some faults need.
+// CombinedFaults returns an injector that follows the world's seed; some faults change
+// settings through ledger.
 func (world *World) CombinedFaults(ledger *checker.Ledger) *CombinedFaults {
-	return &CombinedFaults{world: world, chaos: world.RandomFaults(), ledger: ledger, random: rand.New(rand.NewPCG(world.Seed, 71))}
+	return &CombinedFaults{world: world, coreFaults: world.RandomFaults(), ledger: ledger, random: rand.New(rand.NewPCG(world.Seed, 71))}
 }
 
-// SystemFaults are those beside the cores' own.
+// SystemFaults are the kinds of faults that CombinedFaults.Run chooses from; "core" stands for
+// one of CoreFaults.
 var SystemFaults = []string{
 	"core",
 	"core",
@@ -59,21 +60,21 @@
 	"all-down",
 }
 
-// Run draws faults until the span is over.
+// Run injects random faults, one after another, until the span is over.
 func (faults *CombinedFaults) Run(span time.Duration) {
 	for until := time.Now().Add(span); time.Now().Before(until); {
 		kind := SystemFaults[faults.random.IntN(len(SystemFaults))]
-		faults.Done = append(faults.Done, kind)
+		faults.Injected = append(faults.Injected, kind)
 		faults.Inject(kind)
-		faults.world.Rest(faults.span(300, 2500))
+		faults.world.Rest(faults.randomSpan(300, 2500))
 	}
 }
 
-func (faults *CombinedFaults) span(least, most int) time.Duration {
+func (faults *CombinedFaults) randomSpan(least, most int) time.Duration {
 	return time.Duration(least+faults.random.IntN(most-least)) * time.Millisecond
 }
 
-func (faults *CombinedFaults) proxies() []*Daemon {
+func (faults *CombinedFaults) shuffledProxies() []*Daemon {
 	proxies := []*Daemon{}
 	for _, daemon := range faults.world.Daemons {
 		if daemon.Kind == message.ProxyKind && daemon.Lender == nil {
@@ -84,8 +85,8 @@
 	return proxies
 }
 
-// away ends daemons for a while.
-func (faults *CombinedFaults) away(daemons []*Daemon, span time.Duration) {
+// restart kills daemons and starts them again after the span.
+func (faults *CombinedFaults) restart(daemons []*Daemon, span time.Duration) {
 	for _, daemon := range daemons {
 		faults.world.KillDaemon(daemon)
 	}
@@ -95,8 +96,8 @@
 	}
 }
 
-// lost takes the power from zones, whatever stands there, and gives it back.
-func (faults *CombinedFaults) lost(zones ...string) {
+// powerOffZones stops all daemons and backends of the zones and one core for a while.
+func (faults *CombinedFaults) powerOffZones(zones ...string) {
 	world := faults.world
 	daemons := []*Daemon{}
 	for _, daemon := range world.Daemons {
@@ -111,7 +112,7 @@
 			world.StopBackend(backend)
 		}
 	}
-	faults.away(daemons, faults.span(800, 4000))
+	faults.restart(daemons, faults.randomSpan(800, 4000))
 	world.StartCore(core)
 	for _, backend := range world.Backends {
 		if slices.Contains(zones, backend.Listed.Zone) {
@@ -120,18 +121,19 @@
 	}
 }
 
-// change patches until it is acknowledged, and tells when.
-func (faults *CombinedFaults) change(body string) int64 {
+// changeSettings retries a patch until it is acknowledged, and returns that time in Unix
+// milliseconds, or 0 after 60 attempts.
+func (faults *CombinedFaults) changeSettings(body string) int64 {
 	for range 60 {
-		doors := faults.world.OperatorAddresses()
-		if len(doors) == 0 {
+		addresses := faults.world.OperatorAddresses()
+		if len(addresses) == 0 {
 			faults.world.Rest(100 * time.Millisecond)
 			continue
 		}
-		faults.number++
-		client := faults.world.Client(doors[faults.random.IntN(len(doors))])
+		faults.changes++
+		client := faults.world.Client(addresses[faults.random.IntN(len(addresses))])
 		if settings, err := client.Read(false); err == nil && settings.Confirmed {
-			change := operator.Change{Base: settings.Serial, Change: fmt.Sprint("all-", faults.number), Settings: []byte(body)}
+			change := operator.Change{Base: settings.Serial, Change: fmt.Sprint("all-", faults.changes), Settings: []byte(body)}
 			patch := func(client *operator.Client) (*operator.Outcome, error) { return client.Patch(change) }
 			if faults.ledger.Make(change, client, faults.random, patch) == nil {
 				return time.Now().UnixMilli()
@@ -139,28 +141,28 @@
 		}
 		faults.world.Rest(30 * time.Millisecond)
 	}
-	faults.world.broke("never acknowledged: %s", body)
+	faults.world.reportViolation("settings change was not acknowledged: %s", body)
 	return 0
 }
 
-// within does something between a change and its undoing, and notes what must
-// not be served in between.
-func (faults *CombinedFaults) within(windows []checker.Window, do, undo string, span time.Duration, meanwhile func()) {
-	from := faults.change(do)
+// whileChanged runs meanwhile between a settings change and its reversal. The subjects of
+// windows must not be served from 4.5 s after the change until the reversal.
+func (faults *CombinedFaults) whileChanged(windows []checker.Window, apply, revert string, span time.Duration, meanwhile func()) {
+	from := faults.changeSettings(apply)
 	for index := range windows {
 		windows[index].From = from + 4500
 	}
 	meanwhile()
 	faults.world.Rest(span)
 	until := time.Now().UnixMilli()
-	faults.change(undo)
+	faults.changeSettings(revert)
 	for index := range windows {
 		windows[index].Until = until
 	}
 	faults.world.windows = append(faults.world.windows, windows...)
 }
 
-func (faults *CombinedFaults) emptied(zone string, meanwhile func()) {
+func (faults *CombinedFaults) whileDrained(zone string, meanwhile func()) {
 	windows := []checker.Window{}
 	for _, backend := range faults.world.Backends {
 		if backend.Listed.Zone == zone {
@@ -172,112 +174,125 @@
 			windows = append(windows, checker.Window{Kind: "front", Subject: daemon.PublicAddress})
 		}
 	}
-	faults.within(windows, fmt.Sprintf(`{"drained":{"zones":[%q]}}`, zone), `{"drained":{"zones":[]}}`, faults.span(5000, 7000), meanwhile)
+	faults.whileChanged(
+		windows,
+		fmt.Sprintf(`{"drained":{"zones":[%q]}}`, zone),
+		`{"drained":{"zones":[]}}`,
+		faults.randomSpan(5000, 7000),
+		meanwhile,
+	)
 }
 
-// Inject brings one fault about and heals it.
+// Inject injects one fault and heals it.
 func (faults *CombinedFaults) Inject(kind string) {
 	world, random := faults.world, faults.random
-	proxies, zones := faults.proxies(), []string{"e1", "w1", "s1"}
+	proxies, zones := faults.shuffledProxies(), []string{"e1", "w1", "s1"}
 	random.Shuffle(len(zones), func(left, right int) { zones[left], zones[right] = zones[right], zones[left] })
 	backend := world.Backends[random.IntN(len(world.Backends))]
 	switch kind {
 	case "core":
-		faults.chaos.Inject(CoreFaults[random.IntN(len(CoreFaults))], random.IntN(len(world.Cores)))
+		faults.coreFaults.Inject(CoreFaults[random.IntN(len(CoreFaults))], random.IntN(len(world.Cores)))
 	case "clock":
 		jumps := []int64{-7_200_000, -180_000, -9_000, 9_000, 180_000, 7_200_000}
-		world.Cores[random.IntN(len(world.Cores))].jump.Store(jumps[random.IntN(len(jumps))])
+		world.Cores[random.IntN(len(world.Cores))].clockOffsetMs.Store(jumps[random.IntN(len(jumps))])
 	case "disk-fails":
 		index := random.IntN(len(world.Cores))
 		world.Cores[index].Disk.Fail(true)
-		world.Rest(faults.span(300, 1500))
+		world.Rest(faults.randomSpan(300, 1500))
 		world.KillCore(index, true)
 		world.StartCore(index)
 	case "proxy-killed":
-		faults.away(proxies[:1], faults.span(50, 2500))
+		faults.restart(proxies[:1], faults.randomSpan(50, 2500))
 	case "proxies-killed":
-		faults.away(proxies[:2+random.IntN(len(proxies)-2)], faults.span(50, 2500))
+		faults.restart(proxies[:2+random.IntN(len(proxies)-2)], faults.randomSpan(50, 2500))
 	case "dir-killed":
-		faults.away(world.Daemons[:1], faults.span(50, 1500))
+		faults.restart(world.Daemons[:1], faults.randomSpan(50, 1500))
 	case "proxy-stopped":
-		world.TermDaemon(proxies[0])
+		world.TerminateDaemon(proxies[0])
 		world.StartDaemon(proxies[0])
 	case "warned-then-killed":
 		world.goroutines.Start(func() { proxies[0].Daemon.Leave() })
-		world.Rest(faults.span(50, 1200))
-		faults.away(proxies[:1], faults.span(50, 500))
+		world.Rest(faults.randomSpan(50, 1200))
+		faults.restart(proxies[:1], faults.randomSpan(50, 500))
 	case "proxy-frozen":
 		world.Net.Freeze(proxies[0].Host, true)
-		world.Rest(faults.span(200, 6000))
+		world.Rest(faults.randomSpan(200, 6000))
 		world.Net.Freeze(proxies[0].Host, false)
 	case "proxy-cut":
-		world.part(
+		world.isolateDaemons(
 			proxies[:1],
-			cutOff{oneWay: random.IntN(3), span: faults.span(500, 6000), flap: time.Duration(random.IntN(2)) * 600 * time.Millisecond},
+			isolation{
+				oneWay: random.IntN(3),
+				span:   faults.randomSpan(500, 6000),
+				flap:   time.Duration(random.IntN(2)) * 600 * time.Millisecond,
+			},
 		)
 	case "proxies-apart", "core-away":
-		turn := func(shut bool) {
+		setCut := func(cut bool) {
 			for index, proxy := range proxies[:len(proxies)/2] {
-				world.Net.Cut(proxy.Host, proxies[len(proxies)-1-index].Host, shut && kind == "proxies-apart")
+				world.Net.Cut(proxy.Host, proxies[len(proxies)-1-index].Host, cut && kind == "proxies-apart")
 			}
 			for _, core := range world.Cores {
 				for _, daemon := range world.Daemons {
-					world.Net.Cut(core.Host, daemon.Host, shut && kind == "core-away")
+					world.Net.Cut(core.Host, daemon.Host, cut && kind == "core-away")
 				}
 			}
 		}
-		turn(true)
-		world.Rest(faults.span(500, 4000))
-		turn(false)
+		setCut(true)
+		world.Rest(faults.randomSpan(500, 4000))
+		setCut(false)
 	case "zone-lost", "region-lost":
-		faults.lost(zones[0])
+		faults.powerOffZones(zones[0])
 	case "zone-emptied":
-		faults.emptied(zones[0], func() {})
+		faults.whileDrained(zones[0], func() {})
 	case "zone-lost-other-emptied":
-		faults.emptied(zones[0], func() { faults.lost(zones[1]) })
+		faults.whileDrained(zones[0], func() { faults.powerOffZones(zones[1]) })
 	case "backend-crash":
 		world.StopBackend(backend)
-		world.Rest(faults.span(100, 2500))
+		world.Rest(faults.randomSpan(100, 2500))
 		world.ReviveBackend(backend, 0)
 	case "backends-cold-herd":
-		herd := world.Backends[:len(world.Backends)/2]
-		for _, one := range herd {
-			world.StopBackend(one)
+		crashed := world.Backends[:len(world.Backends)/2]
+		for _, crashedBackend := range crashed {
+			world.StopBackend(crashedBackend)
 		}
-		world.Rest(faults.span(100, 1500))
-		for _, one := range herd {
-			world.ReviveBackend(one, 4000)
+		world.Rest(faults.randomSpan(100, 1500))
+		for _, crashedBackend := range crashed {
+			world.ReviveBackend(crashedBackend, 4000)
 		}
-		faults.away(proxies[:1], faults.span(200, 1500))
+		faults.restart(proxies[:1], faults.randomSpan(200, 1500))
 	case "backend-frozen":
 		world.Net.Freeze(host(backend.Listed.Address), true)
-		world.Rest(faults.span(200, 3000))
+		world.Rest(faults.randomSpan(200, 3000))
 		world.Net.Freeze(host(backend.Listed.Address), false)
 	case "backend-leaves":
 		backend.Backend.Leave()
-		world.Rest(faults.span(4000, 7000))
+		world.Rest(faults.randomSpan(4000, 7000))
 		world.StopBackend(backend)
 		world.ReviveBackend(backend, 2000)
 	case "misbehave":
 		for range 6 {
 			modes := []string{"lose", "garbage", "truncate", "foreign", "overlong", "vanish", "busy"}
 			world.Backends[random.IntN(len(world.Backends))].Backend.Misbehave(modes[random.IntN(len(modes))], 1+random.IntN(4))
-			world.Rest(faults.span(50, 300))
+			world.Rest(faults.randomSpan(50, 300))
 		}
 	case "platform":
-		world.Platform.Misbehave([]string{"gone", "refuse", "shift"}[random.IntN(3)], faults.span(500, 3000))
+		world.Platform.Misbehave([]string{"gone", "refuse", "shift"}[random.IntN(3)], faults.randomSpan(500, 3000))
 		world.Rest(2 * time.Second)
 	case "platform-usage":
-		world.Platform.Misbehave([]string{"usage-gone", "usage-refuse", "usage-slow", "usage-late"}[random.IntN(4)], faults.span(500, 3000))
+		world.Platform.Misbehave(
+			[]string{"usage-gone", "usage-refuse", "usage-slow", "usage-late"}[random.IntN(4)],
+			faults.randomSpan(500, 3000),
+		)
 		world.Rest(2 * time.Second)
 	case "lag":
 		world.Platform.SetLag([]time.Duration{200 * time.Millisecond, 3 * time.Second, 3 * time.Minute}[random.IntN(3)])
 	case "keys":
-		faults.within(
+		faults.whileChanged(
 			[]checker.Window{{Kind: "tenant", Subject: "birch"}},
 			`{"tenants":{"birch":{"keys":[]}}}`,
 			fmt.Sprintf(`{"tenants":{"birch":{"keys":[%q]}}}`, digestOf("key-of-birch")),
-			faults.span(5000, 6500),
+			faults.randomSpan(5000, 6500),
 			func() {},
 		)
 	case "all-down":
@@ -293,15 +308,15 @@
 		for _, daemon := range daemons {
 			world.KillDaemon(daemon)
 		}
-		world.Rest(faults.span(10, 500))
+		world.Rest(faults.randomSpan(10, 500))
 		for index := range world.Cores {
 			world.StartCore(index)
 		}
 		for _, daemon := range daemons {
 			world.StartDaemon(daemon)
 		}
-		if !world.Until(15*time.Second, world.ready) {
-			world.broke("not back in 15 s")
+		if !world.Until(15*time.Second, world.daemonsReady) {
+			world.reportViolation("daemons not ready 15 s after the restart of the whole deployment")
 		}
 	}
 }
--- a/harness/simulation/combined_faults_test.go
+++ b/harness/simulation/combined_faults_test.go
@@ -13,7 +13,7 @@
 func TestEverythingAtOnce(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		worlds := []*World{NewWorld(seed, 3)}
-		worlds = append(worlds, worlds[0].Neighbour(3))
+		worlds = append(worlds, worlds[0].NewPartnerWorld(3))
 		worlds[1].Seed = seed + 10_000
 		for _, world := range worlds {
 			defer world.Close()
@@ -21,7 +21,7 @@
 				world.AddBackend("meters", []string{"e1", "w1", "s1"}[index%3], standin.BackendConfig{WorkMs: 10, Room: 64, GentleRate: 10})
 			}
 			world.up(test, 8)
-			world.reports = true
+			world.checkUsageReports = true
 		}
 		for index, world := range worlds {
 			guest := world.AddDaemon("proxy", "e1")
@@ -54,10 +54,10 @@
 
 // everything harms one partner and judges it.
 func (world *World) everything(test *testing.T, span time.Duration) {
-	ledger := world.Operators(2, 600*time.Millisecond)
+	ledger := world.StartOperators(2, 600*time.Millisecond)
 	plan := world.plan(25, 600)
 	plan.Eager, plan.Tries, plan.Patient = 10, 5, true
-	generator, client := world.Origin(plan)
+	generator, client := world.NewLoadGenerator(plan)
 	faults := world.CombinedFaults(ledger)
 	begin, done := time.Now(), false
 	world.goroutines.Start(func() {
@@ -78,7 +78,7 @@
 	world.Rest(12 * time.Second)
 	details := world.judge(ledger, report)
 	if report.Served < report.Asked*6/10 {
-		world.broke("%d of %d served: %v", report.Served, report.Asked, report.Statuses)
+		world.reportViolation("%d of %d served: %v", report.Served, report.Asked, report.Statuses)
 	}
 	test.Logf(
 		"%v, %d of %d served, %d unknown, %s, %s, faults %v",
@@ -88,6 +88,6 @@
 		report.Unknown,
 		details["operators answered within a second"],
 		details["usage reported within 5% and 10 s, none missing"],
-		faults.Done,
+		faults.Injected,
 	)
 }
--- a/harness/simulation/conn.go
+++ b/harness/simulation/conn.go
@@ -9,124 +9,123 @@
 	"time"
 )
 
-// half is one direction of a connection: bytes arrive after the net's delay,
-// and not while the way is shut.
-type half struct {
+// stream is one direction of a connection. Bytes arrive after the network's delay, and
+// not while the link is blocked.
+type stream struct {
 	mutex  sync.Mutex
 	wake   *sync.Cond
-	parts  []part
+	chunks []chunk
 	closed bool
-	// lost is whether what is written goes nowhere, since the reader is gone.
-	lost  bool
-	limit time.Time
-	// busyUntil is when the link has carried all that was written.
+	// readerGone says that written bytes are discarded: the reading process has vanished.
+	readerGone   bool
+	readDeadline time.Time
+	// busyUntil is when the link will have transmitted all bytes written so far.
 	busyUntil time.Time
-	shut      func() bool
+	blocked   func() bool
 }
 
-type part struct {
-	body []byte
-	at   time.Time
+type chunk struct {
+	data    []byte
+	arrival time.Time
 }
 
-func newHalf(shut func() bool) *half {
-	half := &half{shut: shut}
-	half.wake = sync.NewCond(&half.mutex)
-	return half
+func newStream(blocked func() bool) *stream {
+	stream := &stream{blocked: blocked}
+	stream.wake = sync.NewCond(&stream.mutex)
+	return stream
 }
 
-func (half *half) stir() {
-	half.mutex.Lock()
-	half.wake.Broadcast()
-	half.mutex.Unlock()
+func (stream *stream) wakeReader() {
+	stream.mutex.Lock()
+	stream.wake.Broadcast()
+	stream.mutex.Unlock()
 }
 
-// write sends bytes that keep the link busy for a time and arrive after a delay.
-func (half *half) write(body []byte, delay, busy time.Duration) (int, error) {
-	half.mutex.Lock()
-	defer half.mutex.Unlock()
-	if half.lost {
+// write queues bytes that take transmission to send and arrive delay after that.
+func (stream *stream) write(body []byte, delay, transmission time.Duration) (int, error) {
+	stream.mutex.Lock()
+	defer stream.mutex.Unlock()
+	if stream.readerGone {
 		return len(body), nil
 	}
-	if half.closed {
+	if stream.closed {
 		return 0, io.ErrClosedPipe
 	}
-	if now := time.Now(); half.busyUntil.Before(now) {
-		half.busyUntil = now
+	if now := time.Now(); stream.busyUntil.Before(now) {
+		stream.busyUntil = now
 	}
-	half.busyUntil = half.busyUntil.Add(busy)
-	at := half.busyUntil.Add(delay)
-	half.parts = append(half.parts, part{body: append([]byte{}, body...), at: at})
-	time.AfterFunc(time.Until(at), half.stir)
+	stream.busyUntil = stream.busyUntil.Add(transmission)
+	arrival := stream.busyUntil.Add(delay)
+	stream.chunks = append(stream.chunks, chunk{data: append([]byte{}, body...), arrival: arrival})
+	time.AfterFunc(time.Until(arrival), stream.wakeReader)
 	return len(body), nil
 }
 
-func (half *half) read(into []byte) (int, error) {
-	half.mutex.Lock()
-	defer half.mutex.Unlock()
+func (stream *stream) read(buffer []byte) (int, error) {
+	stream.mutex.Lock()
+	defer stream.mutex.Unlock()
 	for {
-		if !half.limit.IsZero() && !time.Now().Before(half.limit) {
+		if !stream.readDeadline.IsZero() && !time.Now().Before(stream.readDeadline) {
 			return 0, os.ErrDeadlineExceeded
 		}
-		if len(half.parts) > 0 && !time.Now().Before(half.parts[0].at) && !half.shut() {
-			count := copy(into, half.parts[0].body)
-			if half.parts[0].body = half.parts[0].body[count:]; len(half.parts[0].body) == 0 {
-				half.parts = half.parts[1:]
+		if len(stream.chunks) > 0 && !time.Now().Before(stream.chunks[0].arrival) && !stream.blocked() {
+			count := copy(buffer, stream.chunks[0].data)
+			if stream.chunks[0].data = stream.chunks[0].data[count:]; len(stream.chunks[0].data) == 0 {
+				stream.chunks = stream.chunks[1:]
 			}
 			return count, nil
 		}
-		if half.closed && len(half.parts) == 0 {
+		if stream.closed && len(stream.chunks) == 0 {
 			return 0, io.EOF
 		}
-		half.wake.Wait()
+		stream.wake.Wait()
 	}
 }
 
-func (half *half) close(drop bool) {
-	half.mutex.Lock()
-	half.closed = true
-	if drop {
-		half.parts = nil
+func (stream *stream) close(discard bool) {
+	stream.mutex.Lock()
+	stream.closed = true
+	if discard {
+		stream.chunks = nil
 	}
-	half.wake.Broadcast()
-	half.mutex.Unlock()
+	stream.wake.Broadcast()
+	stream.mutex.Unlock()
 }
 
-// lose ends the reader, and lets writers go on as if somebody still read.
-func (half *half) lose() {
-	half.mutex.Lock()
-	half.lost = true
-	half.mutex.Unlock()
-	half.close(true)
+// closeReader ends the reader; writes still succeed, but their bytes are discarded.
+func (stream *stream) closeReader() {
+	stream.mutex.Lock()
+	stream.readerGone = true
+	stream.mutex.Unlock()
+	stream.close(true)
 }
 
-func (half *half) setLimit(limit time.Time) {
-	half.mutex.Lock()
-	half.limit = limit
-	half.wake.Broadcast()
-	half.mutex.Unlock()
-	if span := time.Until(limit); !limit.IsZero() && span > 0 {
-		time.AfterFunc(span, half.stir)
+func (stream *stream) setReadDeadline(deadline time.Time) {
+	stream.mutex.Lock()
+	stream.readDeadline = deadline
+	stream.wake.Broadcast()
+	stream.mutex.Unlock()
+	if remaining := time.Until(deadline); !deadline.IsZero() && remaining > 0 {
+		time.AfterFunc(remaining, stream.wakeReader)
 	}
 }
 
-// conn is one end.
+// conn is one end of a connection.
 type conn struct {
-	in, out       *half
+	in, out       *stream
 	local, remote address
-	net           *Net
+	network       *Network
 	abandoned     atomic.Bool
 }
 
-// joins is whether a host is at one of the ends.
-func (conn *conn) joins(name string) bool {
+func (conn *conn) hasEndpoint(name string) bool {
 	return host(string(conn.local)) == name || host(string(conn.remote)) == name
 }
 
-// abandon ends this end; the other one is told nothing.
+// abandon closes this end without notifying the other one.
 func (conn *conn) abandon() {
 	conn.abandoned.Store(true)
-	conn.in.lose()
+	conn.in.closeReader()
 }
 
 type address string
@@ -134,12 +133,16 @@
 func (address address) Network() string { return "tcp" }
 func (address address) String() string  { return string(address) }
 
-func (conn *conn) Read(into []byte) (int, error) { return conn.in.read(into) }
+func (conn *conn) Read(buffer []byte) (int, error) { return conn.in.read(buffer) }
 func (conn *conn) Write(body []byte) (int, error) {
 	if conn.abandoned.Load() {
 		return 0, io.ErrClosedPipe
 	}
-	return conn.out.write(body, conn.net.delay(host(string(conn.local)), host(string(conn.remote))), conn.net.sending(len(body)))
+	return conn.out.write(
+		body,
+		conn.network.delay(host(string(conn.local)), host(string(conn.remote))),
+		conn.network.transmissionTime(len(body)),
+	)
 }
 
 func (conn *conn) Close() error {
@@ -152,9 +155,9 @@
 }
 func (conn *conn) LocalAddr() net.Addr  { return conn.local }
 func (conn *conn) RemoteAddr() net.Addr { return conn.remote }
-func (conn *conn) SetDeadline(limit time.Time) error {
-	conn.in.setLimit(limit)
+func (conn *conn) SetDeadline(deadline time.Time) error {
+	conn.in.setReadDeadline(deadline)
 	return nil
 }
-func (conn *conn) SetReadDeadline(limit time.Time) error { return conn.SetDeadline(limit) }
-func (conn *conn) SetWriteDeadline(time.Time) error      { return nil }
+func (conn *conn) SetReadDeadline(deadline time.Time) error { return conn.SetDeadline(deadline) }
+func (conn *conn) SetWriteDeadline(time.Time) error         { return nil }
--- a/harness/simulation/control_test.go
+++ b/harness/simulation/control_test.go
@@ -27,7 +27,7 @@
 // faultSpan is a span of trouble for some cores or members; no end means it goes on.
 type faultSpan struct {
 	cores      []int
-	members    []*FarDaemon
+	members    []*RegionalDaemon
 	begin, end time.Time
 }
 
@@ -73,7 +73,7 @@
 }
 
 // under notes who is in trouble while something is done.
-func (side *Control) under(cores []int, members []*FarDaemon, do func()) {
+func (side *Control) under(cores []int, members []*RegionalDaemon, do func()) {
 	one := &faultSpan{cores: cores, members: members, begin: time.Now()}
 	side.mutex.Lock()
 	side.faults = append(side.faults, one)
@@ -85,7 +85,7 @@
 }
 
 // spared is how many cores had no trouble in a span, and whether a member had none.
-func (side *Control) spared(from, until time.Time, one *FarDaemon) (int, bool) {
+func (side *Control) spared(from, until time.Time, one *RegionalDaemon) (int, bool) {
 	side.mutex.Lock()
 	defer side.mutex.Unlock()
 	touched, calm := map[int]bool{}, true
@@ -161,21 +161,21 @@
 		return
 	}
 	begin := time.Now()
-	response, err := order(side.world, holds, message.MethodRoutingRead, &message.RoutingReadRequest{})
+	response, err := forward(side.world, holds, message.MethodRoutingRead, &message.RoutingReadRequest{})
 	if err != nil {
 		return
 	}
 	state, err := routing.DecodeState(response.Body)
 	if err != nil {
-		side.world.broke("read back: %v", err)
+		side.world.reportViolation("read back: %v", err)
 		return
 	}
 	base := state.Config.Version
 	if acknowledged, _ := side.newest(begin); base < acknowledged {
-		side.world.broke("%d was acknowledged, then %d read back", acknowledged, base)
+		side.world.reportViolation("%d was acknowledged, then %d read back", acknowledged, base)
 	}
 	one := side.begun(&answered{what: "routing", base: base, version: base + 1 + uint64(random.IntN(3))*8 + number})
-	taken, err := order(side.world, holds, message.MethodRoutingChange, WholeChange(one.version, base))
+	taken, err := forward(side.world, holds, message.MethodRoutingChange, NewRoutingChange(one.version, base))
 	if err != nil {
 		side.note(one, 0, err)
 		return
@@ -190,7 +190,12 @@
 // reached.
 func (side *Control) repeat(holds []*agent.Forwarder, acknowledged *answered) {
 	again := side.begun(&answered{what: acknowledged.what, base: acknowledged.base, version: acknowledged.version})
-	response, err := order(side.world, append(holds[1:], holds[0]), message.MethodRoutingChange, WholeChange(again.version, again.base))
+	response, err := forward(
+		side.world,
+		append(holds[1:], holds[0]),
+		message.MethodRoutingChange,
+		NewRoutingChange(again.version, again.base),
+	)
 	if err != nil {
 		side.note(again, 0, err)
 		return
@@ -204,7 +209,7 @@
 	zone, begin := fmt.Sprint("z", number), false
 	return func() bool {
 		side.world.Rest(time.Duration(100+random.IntN(1400)) * time.Millisecond)
-		holds := side.world.holds()
+		holds := side.world.forwarders()
 		for _, one := range side.world.Members {
 			holds = append(holds, one.Daemon.Forwarder)
 		}
@@ -215,7 +220,7 @@
 		}
 		begin = !begin
 		one := side.begun(&answered{what: zone, emptied: begin})
-		response, err := side.world.evacuateBy(holds, zone, begin)
+		response, err := side.world.evacuateThrough(holds, zone, begin)
 		if err != nil {
 			side.note(one, 0, err)
 			return true
@@ -250,7 +255,13 @@
 		}
 		side.mutex.Lock()
 		if known, found := side.versions[version.RoutingSerial]; found && known != version.Routing.Config.Version {
-			side.world.broke("serial %d holds %d, and %d at %s", version.RoutingSerial, known, version.Routing.Config.Version, one.Name)
+			side.world.reportViolation(
+				"serial %d holds %d, and %d at %s",
+				version.RoutingSerial,
+				known,
+				version.Routing.Config.Version,
+				one.Name,
+			)
 		}
 		_, seen := side.versions[version.RoutingSerial]
 		side.versions[version.RoutingSerial] = version.Routing.Config.Version
@@ -259,7 +270,7 @@
 			continue
 		}
 		if held, blank := side.held(version.RoutingSerial); held+blank < side.most() {
-			side.world.broke("%s has serial %d in force, which lasts at %d cores", one.Name, version.RoutingSerial, held)
+			side.world.reportViolation("%s has serial %d in force, which lasts at %d cores", one.Name, version.RoutingSerial, held)
 		}
 	}
 	for _, one := range side.world.Members {
@@ -275,7 +286,13 @@
 			}
 		}
 		if _, serial := side.newest(now.Add(-limit)); one.Daemon.Version().RoutingSerial < serial {
-			side.world.broke("%s holds serial %d, %d was acknowledged %v ago", one.Name, one.Daemon.Version().RoutingSerial, serial, limit)
+			side.world.reportViolation(
+				"%s holds serial %d, %d was acknowledged %v ago",
+				one.Name,
+				one.Daemon.Version().RoutingSerial,
+				serial,
+				limit,
+			)
 		}
 	}
 	side.world.Rest(100 * time.Millisecond)
@@ -296,7 +313,12 @@
 		if side.acts[index].holder != report.Holder {
 			other = true
 		} else if other {
-			side.world.broke("%s acted, another, and %s again within %v", report.Holder, report.Holder, time.Since(side.acts[index].at))
+			side.world.reportViolation(
+				"%s acted, another, and %s again within %v",
+				report.Holder,
+				report.Holder,
+				time.Since(side.acts[index].at),
+			)
 		}
 	}
 	return result
@@ -305,7 +327,7 @@
 // judge looks at the end at all that operators were told.
 func (side *Control) judge(test *testing.T) {
 	world := side.world
-	state, err := world.Book()
+	state, err := world.ReadRouting()
 	if err != nil {
 		test.Fatal(err)
 	}
@@ -323,7 +345,7 @@
 			late++
 			side.mutex.Unlock()
 			if cores, _ := side.spared(order.begin.Add(-contactSpan), order.begin.Add(ackSpan), nil); cores >= side.most() {
-				world.broke(
+				world.reportViolation(
 					"%s %d on %d at %v took %v while %d cores were settled: %v",
 					order.what,
 					order.version,
@@ -343,34 +365,34 @@
 		taken := orders[routing.DigestOf(fmt.Sprintf("%d on %d", order.version, order.base))]
 		if order.err != nil {
 			if taken && rpc.AsError(order.err).RetryAfterMs == 0 {
-				world.broke("%d on %d was refused and is in the trail: %v", order.version, order.base, order.err)
+				world.reportViolation("%d on %d was refused and is in the trail: %v", order.version, order.base, order.err)
 			}
 			continue
 		}
 		acknowledged, longest = acknowledged+1, max(longest, took)
 		if !taken {
-			world.broke("%d on %d was acknowledged and is not in the trail", order.version, order.base)
+			world.reportViolation("%d on %d was acknowledged and is not in the trail", order.version, order.base)
 		}
 		if other, found := bases[order.base]; found && other != order.version {
-			world.broke("%d and %d were both acknowledged on %d", other, order.version, order.base)
+			world.reportViolation("%d and %d were both acknowledged on %d", other, order.version, order.base)
 		}
 		bases[order.base] = order.version
 	}
 	for zone, order := range zones {
 		if held := slices.Contains(state.Evacuated, zone); order.err == nil && held != order.emptied {
-			world.broke("%s emptied %v, read back %v", zone, order.emptied, state.Evacuated)
+			world.reportViolation("%s emptied %v, read back %v", zone, order.emptied, state.Evacuated)
 		}
 	}
 	for serial, version := range side.versions {
 		if !applied[version] {
-			world.broke("%d was in force as serial %d and is not in the trail", version, serial)
+			world.reportViolation("%d was in force as serial %d and is not in the trail", version, serial)
 		}
 	}
 	if state.History.Forgotten > 0 || acknowledged < 15 {
-		world.broke("%d routings acknowledged, %d in the trail", acknowledged, state.History.Count)
+		world.reportViolation("%d routings acknowledged, %d in the trail", acknowledged, state.History.Count)
 	}
 	if held := world.rosters(); len(held) != 1 {
-		world.broke("%v", held)
+		world.reportViolation("%v", held)
 	}
 	test.Logf(
 		"%d orders, %d acknowledged routings, %d late, longest %v, %d leaderships, %d windows told",
@@ -378,7 +400,7 @@
 		acknowledged,
 		late,
 		longest,
-		len(world.Leads),
+		len(world.Leaderships),
 		side.meters.windowsTold(),
 	)
 }
@@ -401,9 +423,9 @@
 // told lasts and is in force in time, nothing goes back, duties have one holder.
 func TestControlSideUnderEverything(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3+2*int(seed%2))
+		world := NewRegionalWorld(seed, 3+2*int(seed%2))
 		side := world.Control()
-		defer world.CloseFar()
+		defer world.CloseRegional()
 		world.farUp(test, 6)
 		world.Rest(contactSpan)
 		side.begin()
@@ -422,7 +444,7 @@
 			test.Fatal("operators have no answer")
 		}
 		side.judge(test)
-		test.Logf("faults %v, beside them %v", hard.chaos.Done, links.chaos.Done)
+		test.Logf("faults %v, beside them %v", hard.chaos.Injected, links.chaos.Injected)
 		world.report(test)
 	})
 }
--- a/harness/simulation/core.go
+++ b/harness/simulation/core.go
@@ -16,7 +16,7 @@
 	"orchidjunction/rpc"
 )
 
-// ObservedLeadership is one leadership that came to stand.
+// ObservedLeadership records that a core became leader.
 type ObservedLeadership struct {
 	Core int
 	Host string
@@ -24,7 +24,7 @@
 	At   time.Time
 }
 
-// Core is one core machine of the world.
+// Core is a simulated core machine.
 type Core struct {
 	ID              int
 	Host            string
@@ -38,23 +38,23 @@
 	servers         []*http.Server
 	client          *rpc.Client
 	starts          uint64
-	jump            atomic.Int64
-	wiped           bool
+	clockOffsetMs   atomic.Int64
+	emptyDisk       bool
 	gone            bool
-	// returned is whether a removed machine was started again.
+	// returned says that the machine was removed and then started again.
 	returned  bool
 	Forwarder *agent.Forwarder
 }
 
-// retireLimit is how long a core has from SIGTERM until it is killed.
-const retireLimit = 6 * time.Second
+// retireTimeout is the time from SIGTERM until a core is killed.
+const retireTimeout = 6 * time.Second
 
 func newCore(id int, host string, disk *Disk) *Core {
 	return &Core{ID: id, Host: host, InternalAddress: host + ":41", OperatorAddress: host + ":42", Disk: disk}
 }
 
-// machines are the core machines of the deployment as they are now: one a seat,
-// without those that were replaced.
+// machines returns the current core machines of the deployment, without those that were
+// replaced.
 func (world *World) machines() []*Core {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
@@ -67,23 +67,23 @@
 	return world.Cores[index]
 }
 
-// StartCore starts a core on whatever its disk holds.
-func (world *World) StartCore(index int) { world.start(world.machine(index)) }
+// StartCore starts a core from the present content of its disk.
+func (world *World) StartCore(index int) { world.startMachine(world.machine(index)) }
 
-// start does nothing for a machine that runs already or is gone for good.
-func (world *World) start(machine *Core) {
-	if machine.life(world) != nil || world.isGone(machine) {
+// startMachine does nothing if the machine is already running or permanently removed.
+func (world *World) startMachine(machine *Core) {
+	if machine.running(world) != nil || world.isGone(machine) {
 		return
 	}
-	config := world.corePlace(machine)
+	config := world.coreConfig(machine)
 	machine.goroutines = concurrent.NewGroup()
 	machine.client = rpc.NewClient(world.Net.Transport(machine.Host))
 	counters := metrics.NewCounters()
-	finder := world.coreFinder(machine, &config)
+	finder := world.newLeaderFinder(machine, &config)
 	config.OnMembershipChange = finder.ObserveMembership
 	core, err := control.NewCore(config, machine.Disk, machine.client, machine.goroutines, counters)
 	if err != nil {
-		world.broke("core %d does not start: %v", machine.ID, err)
+		world.reportViolation("core %d failed to start: %v", machine.ID, err)
 		return
 	}
 	server := rpc.NewServer(counters)
@@ -104,7 +104,7 @@
 	core.Run()
 }
 
-func (world *World) corePlace(machine *Core) control.Config {
+func (world *World) coreConfig(machine *Core) control.Config {
 	config := control.Config{
 		ID:                machine.ID,
 		Zone:              "z",
@@ -122,19 +122,20 @@
 			config.Peers = append(config.Peers, message.Peer{ID: other.ID, Address: other.InternalAddress})
 		}
 	}
-	config.Wall = func() int64 { return time.Now().UnixMilli() + machine.jump.Load() }
-	if world.Shape != nil {
-		world.Shape(machine, &config)
+	config.Wall = func() int64 { return time.Now().UnixMilli() + machine.clockOffsetMs.Load() }
+	if world.AdjustCoreConfig != nil {
+		world.AdjustCoreConfig(machine, &config)
 		if err := config.Check(); err != nil {
-			world.broke("%s: %v", machine.Host, err)
+			world.reportViolation("%s: %v", machine.Host, err)
 		}
 	}
-	config.OnRole = func(_ control.Role, term message.Term) { world.led(machine, term) }
+	config.OnRole = func(_ control.Role, term message.Term) { world.checkLeadership(machine, term) }
 	return config
 }
 
-// coreFinder knows at first what the core was told: all cores, or its seeds.
-func (world *World) coreFinder(machine *Core, config *control.Config) *agent.LeaderFinder {
+// newLeaderFinder starts from the addresses that the core is configured with: its seeds,
+// or all cores.
+func (world *World) newLeaderFinder(machine *Core, config *control.Config) *agent.LeaderFinder {
 	addresses := append([]string{}, config.Seeds...)
 	if len(addresses) == 0 {
 		for _, other := range world.machines() {
@@ -144,16 +145,17 @@
 	return agent.NewLeaderFinder(machine.client, machine.goroutines, addresses).WithIntervals(world.Intervals)
 }
 
-// led judges each leadership as it comes to stand: its ballot must by then be
-// lasting at a majority of the voters that it knows, in a step between two groups of
-// both, and no register it left behind may be newer.
-func (world *World) led(leader *Core, term message.Term) {
+// checkLeadership checks a new leader. A majority of the voters in its membership must have
+// promised its term and accepted its settings register in that term, both on durable storage;
+// during a membership change that holds for the old and for the new voters. No other core may
+// have led in the same term.
+func (world *World) checkLeadership(leader *Core, term message.Term) {
 	own, err := replica.OpenStore(world.diskOf(leader).Copy())
 	if err != nil {
 		return
 	}
 	promised, rewritten := map[string]bool{}, map[string]bool{}
-	for _, machine := range world.everyMachine() {
+	for _, machine := range world.allMachines() {
 		store, err := replica.OpenStore(world.diskOf(machine).Copy())
 		if err != nil {
 			continue
@@ -162,39 +164,51 @@
 		promised[machine.InternalAddress] = !state.Promised.Less(term)
 		rewritten[machine.InternalAddress] = !state.Accepted[message.SettingsRegister].Term.Less(term)
 	}
-	for _, group := range world.votersOf(own.State()) {
-		if count, need := among(group, promised), len(group)/2+1; count < need {
-			world.broke("core %d leads under %s, fenced at %d of %d", leader.ID, term, count, need)
+	for _, group := range world.voterGroups(own.State()) {
+		if count, need := countMarked(group, promised), len(group)/2+1; count < need {
+			world.reportViolation(
+				"core %d leads under %s, but only %d of the required %d voters promised the term",
+				leader.ID,
+				term,
+				count,
+				need,
+			)
 		}
-		if count, need := among(group, rewritten), len(group)/2+1; count < need {
-			world.broke("core %d leads under %s, re-written at %d of %d", leader.ID, term, count, need)
+		if count, need := countMarked(group, rewritten), len(group)/2+1; count < need {
+			world.reportViolation(
+				"core %d leads under %s, but only %d of the required %d voters accepted the settings in it",
+				leader.ID,
+				term,
+				count,
+				need,
+			)
 		}
 	}
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	for _, other := range world.Leads {
+	for _, other := range world.Leaderships {
 		if other.Term == term {
-			world.Broken = append(world.Broken, fmt.Sprintf("%s and %s both led under %s", other.Host, leader.Host, term))
+			world.Violations = append(world.Violations, fmt.Sprintf("%s and %s were both leader in term %s", other.Host, leader.Host, term))
 		}
 	}
-	world.Leads = append(world.Leads, ObservedLeadership{Core: leader.ID, Host: leader.Host, Term: term, At: time.Now()})
+	world.Leaderships = append(world.Leaderships, ObservedLeadership{Core: leader.ID, Host: leader.Host, Term: term, At: time.Now()})
 }
 
-// votersOf are the addresses of each group that decides by a core's state; where
-// that has no membership, all cores that there are.
-func (world *World) votersOf(state *consensus.State) [][]string {
+// voterGroups returns the addresses of the voters in a core's state: one group, or two
+// during a membership change. Without a membership the group is all cores.
+func (world *World) voterGroups(state *consensus.State) [][]string {
 	membership := state.Membership()
 	if membership == nil {
-		return [][]string{wires(world.machines())}
+		return [][]string{internalAddresses(world.machines())}
 	}
-	groups := [][]string{addressesOf(membership.Voters)}
+	groups := [][]string{peerAddresses(membership.Voters)}
 	if len(membership.Next) > 0 {
-		groups = append(groups, addressesOf(membership.Next))
+		groups = append(groups, peerAddresses(membership.Next))
 	}
 	return groups
 }
 
-func addressesOf(peers []message.Peer) []string {
+func peerAddresses(peers []message.Peer) []string {
 	addresses := []string{}
 	for _, peer := range peers {
 		addresses = append(addresses, peer.Address)
@@ -202,10 +216,10 @@
 	return addresses
 }
 
-func among(addresses []string, has map[string]bool) int {
+func countMarked(addresses []string, marked map[string]bool) int {
 	count := 0
 	for _, address := range addresses {
-		if has[address] {
+		if marked[address] {
 			count++
 		}
 	}
@@ -218,8 +232,8 @@
 	return machine.Disk
 }
 
-// voterDisks are the disks of the deployment's machines, and of those that are
-// being replaced and have not ended yet.
+// voterDisks returns the disks of the current machines, and of those that are being
+// replaced but still running.
 func (world *World) voterDisks() []*Disk {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
@@ -235,8 +249,8 @@
 	return disks
 }
 
-// life is the core that runs on this machine now, nil when none does.
-func (machine *Core) life(world *World) *control.Core {
+// running returns the core that is running on this machine, or nil.
+func (machine *Core) running(world *World) *control.Core {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	if !machine.Alive {
@@ -245,8 +259,9 @@
 	return machine.Core
 }
 
-// hold is what brings orders from this machine to the leader, nil when none runs.
-func (machine *Core) hold(world *World) *agent.Forwarder {
+// runningForwarder returns what forwards requests from this machine to the leader, or nil
+// if no core is running.
+func (machine *Core) runningForwarder(world *World) *agent.Forwarder {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	if !machine.Alive {
@@ -261,16 +276,17 @@
 	return machine.gone
 }
 
-// KillCore ends a core at once; with power lost only synced data stays.
-func (world *World) KillCore(index int, power bool) { world.kill(world.machine(index), power) }
+// KillCore kills a core's process. With power it is a power loss, in which unsynced data may
+// be lost.
+func (world *World) KillCore(index int, power bool) { world.killMachine(world.machine(index), power) }
 
-func (world *World) kill(machine *Core, power bool) {
-	world.end(machine, power, world.Net.Kill)
+func (world *World) killMachine(machine *Core, power bool) {
+	world.stopProcess(machine, power, world.Net.Kill)
 }
 
-// end ends a machine's process; disconnect is what becomes of its connections.
-func (world *World) end(machine *Core, power bool, disconnect func(host string)) {
-	if !world.ends(&machine.Alive) {
+// stopProcess ends a machine's process; disconnect breaks its connections.
+func (world *World) stopProcess(machine *Core, power bool, disconnect func(host string)) {
+	if !world.markStopped(&machine.Alive) {
 		return
 	}
 	world.mutex.Lock()
@@ -279,30 +295,30 @@
 	disconnect(machine.Host)
 	machine.goroutines.Stop()
 	for _, server := range machine.servers {
-		_ = server.Close() // its listeners are the net's
+		_ = server.Close() // the network has closed its listeners
 	}
 	machine.client.Close()
 }
 
-// TermCore is the platform's warning: the core steps down if it leads, then ends.
-func (world *World) TermCore(index int) { world.term(world.machine(index)) }
+// TerminateCore simulates SIGTERM: the core steps down if it is the leader, then exits.
+func (world *World) TerminateCore(index int) { world.terminate(world.machine(index)) }
 
-func (world *World) term(machine *Core) {
-	core := machine.life(world)
+func (world *World) terminate(machine *Core) {
+	core := machine.running(world)
 	if core == nil {
 		return
 	}
-	core.Retire(retireLimit)
-	world.kill(machine, false)
+	core.Retire(retireTimeout)
+	world.killMachine(machine, false)
 }
 
-// WipeCore ends a core and gives it an empty disk.
-func (world *World) WipeCore(index int) { world.wipe(world.machine(index)) }
+// WipeCore kills a core and replaces its disk by an empty one.
+func (world *World) WipeCore(index int) { world.wipeMachine(world.machine(index)) }
 
-func (world *World) wipe(machine *Core) {
-	world.kill(machine, true)
+func (world *World) wipeMachine(machine *Core) {
+	world.killMachine(machine, true)
 	world.mutex.Lock()
 	machine.Disk = NewDisk(world.Seed + uint64(machine.ID) + 76)
-	machine.wiped = true
+	machine.emptyDisk = true
 	world.mutex.Unlock()
 }
--- a/harness/simulation/disk.go
+++ b/harness/simulation/disk.go
@@ -1,8 +1,8 @@
-// Package simulation runs whole deployments in virtual time: cores, proxies, directories,
-// callers and backends are the product's own code over a simulated network (net.go),
-// disk (disk.go) and clock. A seed decides when machines lose power, links are cut and
-// messages are late, so that every run can be repeated. Package checker judges what
-// callers, backends and operators saw.
+// Package simulation runs complete deployments in virtual time. Cores, proxies and directories
+// are production code; callers and backends are stand-ins. The network (net.go), the disk
+// (disk.go) and the clock are simulated. A seed determines when machines lose power, links are
+// cut and messages are delayed, so that every run is repeatable. Package checker checks what
+// callers, backends and operators observed.
 package simulation
 
 import (
@@ -15,80 +15,80 @@
 	"orchidjunction/storage"
 )
 
-// sectorSize is what a torn write keeps or loses as one.
+// sectorSize is the number of bytes that a torn write keeps or loses as a unit.
 const sectorSize = 512
 
-// Refusal names the calls that a disk refuses.
+// Refusal selects the kinds of calls that a disk fails.
 type Refusal struct {
 	Writes bool
 	Syncs  bool
-	Names  bool // creating, renaming, removing
+	Names  bool // create, rename, remove
 }
 
-// Disk is a folder whose power may go. A file keeps what its last sync covered;
-// each later write is present, missing or torn. Each name that was made, renamed
-// or removed since the folder's last sync is kept or lost by itself.
+// Disk is a directory that can lose power. A file keeps the writes up to its last sync;
+// each later write is present, missing or torn. Each name that was created, renamed or
+// removed since the directory's last sync is kept or lost independently.
 type Disk struct {
-	mutex   sync.Mutex
-	wake    *sync.Cond
-	random  *rand.Rand
-	files   map[string]*blob
-	lasting map[string]*blob
-	stalled bool
-	dead    bool
-	calls   int
-	refuses Refusal
-	room    int
-	most    int
+	mutex     sync.Mutex
+	wake      *sync.Cond
+	random    *rand.Rand
+	files     map[string]*fileContent
+	durable   map[string]*fileContent
+	stalled   bool
+	dead      bool
+	callsLeft int
+	refusal   Refusal
+	capacity  int
+	peakUsed  int
 }
 
 var (
-	errGone   = errors.New("no such file")
-	errFaulty = errors.New("disk fault")
-	errFull   = errors.New("no space left")
+	errNotFound = errors.New("no such file")
+	errFaulty   = errors.New("disk fault")
+	errFull     = errors.New("no space left")
 )
 
-// NewDisk returns an empty disk whose losses are drawn by seed.
+// NewDisk returns an empty disk. The seed determines what a power loss destroys.
 func NewDisk(seed uint64) *Disk {
-	disk := &Disk{random: rand.New(rand.NewPCG(seed, 11)), files: map[string]*blob{}, lasting: map[string]*blob{}}
+	disk := &Disk{random: rand.New(rand.NewPCG(seed, 11)), files: map[string]*fileContent{}, durable: map[string]*fileContent{}}
 	disk.wake = sync.NewCond(&disk.mutex)
 	return disk
 }
 
-// PowerLoss leaves what lasts, and of the rest what the draws leave; at one loss
-// in four all that was not synced is gone.
+// PowerLoss keeps durable data and a random part of the rest. One loss in four destroys
+// everything that was not synced.
 func (disk *Disk) PowerLoss() {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	nothing := disk.random.IntN(4) == 0
-	left := map[string]*blob{}
+	onlySynced := disk.random.IntN(4) == 0
+	left := map[string]*fileContent{}
 	for _, name := range disk.names() {
-		kept := disk.lasting[name]
-		if kept != disk.files[name] && !nothing && disk.random.IntN(2) == 0 {
-			kept = disk.files[name]
+		survivor := disk.durable[name]
+		if survivor != disk.files[name] && !onlySynced && disk.random.IntN(2) == 0 {
+			survivor = disk.files[name]
 		}
-		if kept == nil {
+		if survivor == nil {
 			continue
 		}
-		if nothing {
-			left[name] = newBlob(kept.synced())
+		if onlySynced {
+			left[name] = newFileContent(survivor.durablePrefix())
 		} else {
-			left[name] = newBlob(kept.torn(disk.random))
+			left[name] = newFileContent(survivor.afterPowerLoss(disk.random))
 		}
 	}
-	disk.files, disk.lasting = left, map[string]*blob{}
-	maps.Copy(disk.lasting, left)
+	disk.files, disk.durable = left, map[string]*fileContent{}
+	maps.Copy(disk.durable, left)
 	disk.stalled = false
 	disk.wake.Broadcast()
 }
 
-// names are all that stand in the folder now or at its last sync.
+// names returns the names in the directory now and those at its last sync.
 func (disk *Disk) names() []string {
 	names := []string{}
 	for name := range disk.files {
 		names = append(names, name)
 	}
-	for name := range disk.lasting {
+	for name := range disk.durable {
 		if disk.files[name] == nil {
 			names = append(names, name)
 		}
@@ -97,8 +97,8 @@
 	return names
 }
 
-// Sever takes the disk from a killed process: what that still writes is lost,
-// and the next process gets the rest, after a power loss only what lasted.
+// Sever detaches the disk from a killed process, whose further changes fail, and returns the
+// next process's disk, with what a power loss left if power was lost.
 func (disk *Disk) Sever(power bool) *Disk {
 	if power {
 		disk.PowerLoss()
@@ -111,40 +111,41 @@
 	return next
 }
 
-// Fork is a second disk with the same content and no troubles.
+// Fork returns a second disk with the same content and no faults.
 func (disk *Disk) Fork() *Disk {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	next := NewDisk(disk.random.Uint64())
-	next.most = disk.most
-	copies := map[*blob]*blob{}
-	copied := func(held *blob) *blob {
-		if copies[held] == nil {
-			copies[held] = held.copied()
+	next.peakUsed = disk.peakUsed
+	copies := map[*fileContent]*fileContent{}
+	clone := func(content *fileContent) *fileContent {
+		if copies[content] == nil {
+			copies[content] = content.clone()
 		}
-		return copies[held]
+		return copies[content]
 	}
-	for name, held := range disk.files {
-		next.files[name] = copied(held)
+	for name, content := range disk.files {
+		next.files[name] = clone(content)
 	}
-	for name, held := range disk.lasting {
-		next.lasting[name] = copied(held)
+	for name, content := range disk.durable {
+		next.durable[name] = clone(content)
 	}
 	return next
 }
 
-// Copy is the least that a power loss now would leave, for judging.
+// Copy returns a disk with only the durable data, the least that a power loss now would
+// leave.
 func (disk *Disk) Copy() *Disk {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	copied := NewDisk(1)
-	for name, held := range disk.lasting {
-		copied.files[name] = newBlob(held.synced())
+	minimum := NewDisk(1)
+	for name, content := range disk.durable {
+		minimum.files[name] = newFileContent(content.durablePrefix())
 	}
-	return copied
+	return minimum
 }
 
-// Stall makes every sync wait until told otherwise.
+// Stall blocks every sync until it is called with false.
 func (disk *Disk) Stall(stalled bool) {
 	disk.mutex.Lock()
 	disk.stalled = stalled
@@ -152,86 +153,86 @@
 	disk.mutex.Unlock()
 }
 
-// Fail makes the disk refuse all but reads.
+// Fail makes all calls except reads fail.
 func (disk *Disk) Fail(failing bool) {
 	disk.Refuse(Refusal{Writes: failing, Syncs: failing, Names: failing})
 }
 
-// Refuse makes the disk refuse some calls until told otherwise.
+// Refuse makes the selected kinds of calls fail until it is called again.
 func (disk *Disk) Refuse(refusal Refusal) {
 	disk.mutex.Lock()
-	disk.refuses = refusal
+	disk.refusal = refusal
 	disk.mutex.Unlock()
 }
 
-// DieAfter ends all but reading after so many more calls that change something,
-// as if the process had been killed there.
+// DieAfter makes all calls except reads fail from the given mutating call on, as if the
+// process had been killed there.
 func (disk *Disk) DieAfter(calls int) {
 	disk.mutex.Lock()
-	disk.calls = calls
+	disk.callsLeft = calls
 	disk.mutex.Unlock()
 }
 
-// called counts a call that changes something, and is whether the disk still lives.
-func (disk *Disk) called() bool {
-	if disk.calls > 0 {
-		disk.calls--
-		disk.dead = disk.dead || disk.calls == 0
+// countCall counts a mutating call and reports whether the disk is still usable.
+func (disk *Disk) countCall() bool {
+	if disk.callsLeft > 0 {
+		disk.callsLeft--
+		disk.dead = disk.dead || disk.callsLeft == 0
 	}
 	return !disk.dead
 }
 
-// Room bounds the bytes of all files; 0 is no bound.
+// Room limits the total size of all files in bytes; 0 means no limit.
 func (disk *Disk) Room(bytes int) {
 	disk.mutex.Lock()
-	disk.room = bytes
+	disk.capacity = bytes
 	disk.mutex.Unlock()
 }
 
-// Used is the bytes of all files.
+// Used returns the total size of all files in bytes.
 func (disk *Disk) Used() int {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	return disk.used()
 }
 
-// MostUsed is the most bytes that all files had at once.
+// MostUsed returns the peak total size of all files in bytes.
 func (disk *Disk) MostUsed() int {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	return disk.most
+	return disk.peakUsed
 }
 
 func (disk *Disk) used() int {
 	sum := 0
-	for _, held := range disk.files {
-		sum += len(held.body)
+	for _, content := range disk.files {
+		sum += len(content.body)
 	}
 	return sum
 }
 
-// Harm flips one bit of a file, as worn media do.
+// Harm flips one bit of a file, as media corruption does.
 func (disk *Disk) Harm(name string, at int) {
 	disk.mutex.Lock()
 	disk.files[name].body[at] ^= 0x10
 	disk.mutex.Unlock()
 }
 
-// Cut leaves only the first bytes of a file.
+// Cut truncates a file to its first size bytes.
 func (disk *Disk) Cut(name string, size int) {
 	disk.mutex.Lock()
 	disk.files[name].truncate(size)
 	disk.mutex.Unlock()
 }
 
-// Size is a file's length in bytes, with what is not synced yet.
+// Size returns a file's length in bytes, including unsynced writes.
 func (disk *Disk) Size(name string) int {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	return len(disk.files[name].body)
 }
 
-// List returns the names of the files in sorted order, as storage.Disk says.
+// List implements storage.Disk.
 func (disk *Disk) List() ([]string, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
@@ -243,117 +244,117 @@
 	return names, nil
 }
 
-// Read returns a copy of a file, with what is not synced yet.
+// Read returns a copy of a file, including unsynced writes.
 func (disk *Disk) Read(name string) ([]byte, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	if disk.files[name] == nil {
-		return nil, errGone
+		return nil, errNotFound
 	}
 	return append([]byte{}, disk.files[name].body...), nil
 }
 
-// changeNames is whether the folder takes a change of its names.
-func (disk *Disk) changeNames() error {
-	if !disk.called() || disk.refuses.Names {
+// beginNameChange returns an error if creating, renaming or removing a file must fail.
+func (disk *Disk) beginNameChange() error {
+	if !disk.countCall() || disk.refusal.Names {
 		return errFaulty
 	}
 	return nil
 }
 
-// Create opens an empty file, as storage.Disk says.
+// Create implements storage.Disk.
 func (disk *Disk) Create(name string) (storage.File, error) {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	if err := disk.changeNames(); err != nil {
+	if err := disk.beginNameChange(); err != nil {
 		return nil, err
 	}
-	disk.files[name] = newBlob(nil)
-	return &file{disk: disk, blob: disk.files[name]}, nil
+	disk.files[name] = newFileContent(nil)
+	return &file{disk: disk, content: disk.files[name]}, nil
 }
 
-// Rename gives a file another name, as storage.Disk says; it lasts once the folder is
-// synced.
+// Rename implements storage.Disk; it is durable once the directory is synced.
 func (disk *Disk) Rename(before, after string) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	if err := disk.changeNames(); err != nil {
+	if err := disk.beginNameChange(); err != nil {
 		return err
 	}
 	if disk.files[before] == nil {
-		return errGone
+		return errNotFound
 	}
 	disk.files[after] = disk.files[before]
 	delete(disk.files, before)
 	return nil
 }
 
-// Remove deletes a file, as storage.Disk says; it lasts once the folder is synced.
+// Remove implements storage.Disk; it is durable once the directory is synced.
 func (disk *Disk) Remove(name string) error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	if err := disk.changeNames(); err != nil {
+	if err := disk.beginNameChange(); err != nil {
 		return err
 	}
 	delete(disk.files, name)
 	return nil
 }
 
-// Sync makes the folder's names last.
+// Sync makes the directory's present names durable.
 func (disk *Disk) Sync() error {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	if err := disk.answers(); err != nil {
+	if err := disk.beginSync(); err != nil {
 		return err
 	}
-	disk.lasting = map[string]*blob{}
-	maps.Copy(disk.lasting, disk.files)
+	disk.durable = map[string]*fileContent{}
+	maps.Copy(disk.durable, disk.files)
 	return nil
 }
 
-// answers waits while the disk is stalled, and is whether it then syncs.
-func (disk *Disk) answers() error {
+// beginSync waits while the disk is stalled and returns an error if the sync must fail.
+func (disk *Disk) beginSync() error {
 	for disk.stalled {
 		disk.wake.Wait()
 	}
-	if !disk.called() || disk.refuses.Syncs {
+	if !disk.countCall() || disk.refusal.Syncs {
 		return errFaulty
 	}
 	return nil
 }
 
-// sync is one file's; what a failed one left behind, no later one covers.
-func (disk *Disk) sync(held *blob) error {
-	err := disk.answers()
+// sync syncs one file. Writes that a failed sync should have covered are not covered by
+// later syncs either.
+func (disk *Disk) sync(content *fileContent) error {
+	err := disk.beginSync()
 	if err == nil {
-		held.sync()
+		content.sync()
 	} else if !disk.dead {
-		held.drop()
+		content.drop()
 	}
 	return err
 }
 
 type file struct {
-	disk *Disk
-	blob *blob
+	disk    *Disk
+	content *fileContent
 }
 
-// Write takes as much as there is room for.
+// Write writes as many bytes as the disk has room for.
 func (file *file) Write(body []byte) (int, error) {
 	disk := file.disk
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
-	if !disk.called() || disk.refuses.Writes {
+	if !disk.countCall() || disk.refusal.Writes {
 		return 0, errFaulty
 	}
-	taken := body
-	if disk.room > 0 {
-		taken = body[:max(0, min(len(body), disk.room-disk.used()))]
+	accepted := body
+	if disk.capacity > 0 {
+		accepted = body[:max(0, min(len(body), disk.capacity-disk.used()))]
 	}
-	file.blob.write(taken)
-	disk.most = max(disk.most, disk.used())
-	if len(taken) < len(body) {
-		return len(taken), errFull
+	file.content.write(accepted)
+	disk.peakUsed = max(disk.peakUsed, disk.used())
+	if len(accepted) < len(body) {
+		return len(accepted), errFull
 	}
 	return len(body), nil
 }
@@ -361,7 +362,7 @@
 func (file *file) Sync() error {
 	file.disk.mutex.Lock()
 	defer file.disk.mutex.Unlock()
-	return file.disk.sync(file.blob)
+	return file.disk.sync(file.content)
 }
 
 func (file *file) Close() error { return nil }
--- a/harness/simulation/drain_test.go
+++ b/harness/simulation/drain_test.go
@@ -51,9 +51,9 @@
 
 // page answers after the way there and back.
 func (list *pagedList) page(request discovery.PageRequest) discovery.Page {
-	list.world.Rest(farWay)
+	list.world.Rest(interRegionDelay)
 	page := list.read(request)
-	list.world.Rest(farWay)
+	list.world.Rest(interRegionDelay)
 	return page
 }
 
@@ -106,13 +106,13 @@
 // leader, far from the platform, read 22 pages one after the other before it told anybody.
 func TestDrainIsInForceInTimeWithALongListFarAway(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 5)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 5)
+		defer world.CloseRegional()
 		random := rand.New(rand.NewPCG(seed, 53))
 		list := newPagedList(world, listedBackends)
-		world.Listed, world.ListZones = list.page, list.zones
-		shape := world.Shape
-		world.Shape = func(machine *Core, config *control.Config) {
+		world.ListBackends, world.ListZones = list.page, list.zones
+		shape := world.AdjustCoreConfig
+		world.AdjustCoreConfig = func(machine *Core, config *control.Config) {
 			shape(machine, config)
 			config.TableInterval, config.ListInterval = 150*time.Millisecond, 630*time.Millisecond
 		}
@@ -122,10 +122,10 @@
 			world.Rest(time.Duration(random.IntN(5000)) * time.Millisecond)
 			name, shown := list.drain(random.IntN(listedBackends)), time.Now()
 			if !world.Until(2*drainBound, func() bool { return world.leavesEverywhere(name) }) {
-				world.broke("%s: not in force everywhere", name)
+				world.reportViolation("%s: not in force everywhere", name)
 			}
 			if took := time.Since(shown); took > drainBound-requestAllowance-updateAllowance {
-				world.broke("%s: in force everywhere after %v", name, took)
+				world.reportViolation("%s: in force everywhere after %v", name, took)
 			}
 		}
 		world.report(test)
@@ -136,22 +136,27 @@
 // a second way to the leader and back, after they were told that there was one.
 func TestSmallUpdateComesWithTheWatch(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 5)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 5)
+		defer world.CloseRegional()
 		list := newPagedList(world, listPage)
-		world.Listed = list.page
+		world.ListBackends = list.page
 		world.farUp(test, 9)
 		for number := range drainsPerSeed {
 			world.Rest(5 * time.Second)
 			name := list.drain(number)
-			leads := func() bool { return leaves(world.Cores[max(world.Leader(), 0)].life(world).Table(), name) }
+			leads := func() bool { return leaves(world.Cores[max(world.Leader(), 0)].running(world).Table(), name) }
 			if !world.Until(drainBound, leads) {
-				world.broke("%s: not in the leader's table", name)
+				world.reportViolation("%s: not in the leader's table", name)
 			}
 			told := time.Now()
 			world.Until(drainBound, func() bool { return world.leavesEverywhere(name) })
-			if took := time.Since(told); took > farWay+20*time.Millisecond {
-				world.broke("%s: in force everywhere %v after the leader's table, want one way of %v", name, took, farWay)
+			if took := time.Since(told); took > interRegionDelay+20*time.Millisecond {
+				world.reportViolation(
+					"%s: in force everywhere %v after the leader's table, want one way of %v",
+					name,
+					took,
+					interRegionDelay,
+				)
 			}
 		}
 		world.report(test)
--- a/harness/simulation/duel_test.go
+++ b/harness/simulation/duel_test.go
@@ -17,14 +17,14 @@
 	leader := world.calm(test)
 	machine := world.Cores[leader]
 	begin, before := time.Now(), world.leads()
-	world.end(machine, true, func(host string) { world.Net.Vanish(host, true) })
-	world.Net.Vanish(machine.Host, true)
+	world.stopProcess(machine, true, func(host string) { world.Net.Blackhole(host, true) })
+	world.Net.Blackhole(machine.Host, true)
 	if !world.Until(20*time.Second, func() bool { return world.leads() > before && world.Leader() >= 0 }) {
-		world.broke("nobody leads")
+		world.reportViolation("nobody leads")
 	}
 	took := time.Since(begin)
-	world.Net.Vanish(machine.Host, false)
-	world.start(machine)
+	world.Net.Blackhole(machine.Host, false)
+	world.startMachine(machine)
 	return took
 }
 
@@ -33,7 +33,7 @@
 func TestCandidatesGiveWayWhileACoreHangs(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
-			world := NewFarWorld(seed, cores)
+			world := NewRegionalWorld(seed, cores)
 			world.farUp(test, 0)
 			spans := []time.Duration{}
 			for range 12 {
@@ -44,10 +44,10 @@
 			middle, worst := spans[len(spans)/2], spans[len(spans)-1]
 			test.Logf("%d cores: without a leader for %v, at most %v", cores, middle, worst)
 			if middle > middleLeaderless || worst > worstLeaderless {
-				world.broke("%d cores: without a leader for %v", cores, spans)
+				world.reportViolation("%d cores: without a leader for %v", cores, spans)
 			}
 			world.report(test)
-			world.CloseFar()
+			world.CloseRegional()
 		}
 	})
 }
--- a/harness/simulation/duty_test.go
+++ b/harness/simulation/duty_test.go
@@ -13,7 +13,7 @@
 func TestLeaderOutOfTouchReportsNoUsage(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"cut", "mute", "deaf"} {
-			world := NewFarWorld(seed, 3)
+			world := NewRegionalWorld(seed, 3)
 			newMeters(world)
 			mutex, reported := sync.Mutex{}, map[string][]time.Time{}
 			world.Metering.Report = func(report control.WindowReport) control.ReportResult {
@@ -34,18 +34,18 @@
 				world.lose(lost, kind, false)
 				mutex.Lock()
 				if len(reported[holder]) == 0 {
-					world.broke("%s: no report at all", kind)
+					world.reportViolation("%s: no report at all", kind)
 				}
 				for _, at := range reported[holder] {
 					if at.After(since) {
-						world.broke("%s: reported %v after it lost touch", kind, at.Sub(since))
+						world.reportViolation("%s: reported %v after it lost touch", kind, at.Sub(since))
 					}
 				}
 				reported = map[string][]time.Time{}
 				mutex.Unlock()
 			}
 			world.report(test)
-			world.CloseFar()
+			world.CloseRegional()
 		}
 	})
 }
--- a/harness/simulation/election_test.go
+++ b/harness/simulation/election_test.go
@@ -51,7 +51,7 @@
 
 func (world *World) report(test *testing.T) {
 	test.Helper()
-	for _, broken := range world.Broken {
+	for _, broken := range world.Violations {
 		test.Error(broken)
 	}
 }
@@ -68,7 +68,7 @@
 // up starts cores and daemons and puts the first settings in force.
 func (world *World) up(test *testing.T, daemons int) {
 	test.Helper()
-	world.List()
+	world.PublishBackends()
 	for index := range world.Cores {
 		world.StartCore(index)
 	}
@@ -81,7 +81,7 @@
 		world.StartDaemon(world.AddDaemon(kind, zones[index%3]))
 	}
 	world.first(test)
-	if !world.Until(10*time.Second, world.ready) {
+	if !world.Until(10*time.Second, world.daemonsReady) {
 		test.Fatal("daemons not ready")
 	}
 }
@@ -91,13 +91,13 @@
 		world := NewWorld(seed, 3+2*int(seed%5/4))
 		defer world.Close()
 		world.up(test, 3)
-		ledger := world.Operators(3, 150*time.Millisecond)
+		ledger := world.StartOperators(3, 150*time.Millisecond)
 		faults := world.RandomFaults()
 		faults.Run(chaosSpan())
 		ledger.Stop()
 		world.judge(ledger)
 		if len(ledger.Acked) < 10 {
-			world.broke("only %d changes acknowledged", len(ledger.Acked))
+			world.reportViolation("only %d changes acknowledged", len(ledger.Acked))
 		}
 		last := ledger.Newest()
 		if !world.Until(4*time.Second, func() bool {
@@ -108,16 +108,16 @@
 			}
 			return true
 		}) {
-			world.broke("serial %d is not in force everywhere after 4 s", last)
+			world.reportViolation("serial %d is not in force everywhere after 4 s", last)
 		}
 		test.Logf(
 			"%d acknowledged, %d refused, %d unknown, %d leaderships, longest answer %.0f ms, faults %v",
 			len(ledger.Acked),
 			len(ledger.Refused),
 			len(ledger.Unknown),
-			len(world.Leads),
+			len(world.Leaderships),
 			checker.Quantile(ledger.AnswerMs, 1),
-			faults.Done,
+			faults.Injected,
 		)
 		world.report(test)
 	})
--- a/harness/simulation/evacuated_test.go
+++ b/harness/simulation/evacuated_test.go
@@ -20,7 +20,7 @@
 			world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 32})
 		}
 		world.up(test, 5)
-		_, client := world.Origin(world.plan(1, 1))
+		_, client := world.NewLoadGenerator(world.plan(1, 1))
 		defer client.CloseIdleConnections()
 		front := world.Daemons[1]
 		call := func(header string) (int, string) {
@@ -34,24 +34,24 @@
 			}
 		}
 		if status, code := call(""); status != 200 {
-			world.broke("before: %d %s", status, code)
+			world.reportViolation("before: %d %s", status, code)
 		}
 		drain(1, []string{front.Zone})
 		world.Rest(time.Second)
 		if status, code := call(""); status != 200 {
-			world.broke("callers whose placement still holds: %d %s", status, code)
+			world.reportViolation("callers whose placement still holds: %d %s", status, code)
 		}
 		world.Rest(3 * time.Second)
 		if status, code := call(""); status != 503 || code != "zone_emptied" {
-			world.broke("after 4 s: %d %s", status, code)
+			world.reportViolation("after 4 s: %d %s", status, code)
 		}
 		if status, code := call("Idempotency-Key"); status != 503 {
-			world.broke("a key after 4 s: %d %s", status, code)
+			world.reportViolation("a key after 4 s: %d %s", status, code)
 		}
 		drain(2, []string{})
 		world.Rest(time.Second)
 		if status, code := call(""); status != 200 {
-			world.broke("refilled: %d %s", status, code)
+			world.reportViolation("refilled: %d %s", status, code)
 		}
 		world.report(test)
 	})
--- a/harness/simulation/evidence.go
+++ b/harness/simulation/evidence.go
@@ -8,52 +8,52 @@
 	"orchidjunction/harness/standin"
 )
 
-// Operators starts racing operators.
-func (world *World) Operators(count int, pace time.Duration) *checker.Ledger {
+// StartOperators starts operators that change the settings concurrently.
+func (world *World) StartOperators(count int, pace time.Duration) *checker.Ledger {
 	ledger := checker.NewLedger(world, world.Seed)
 	ledger.Operate(count, pace)
 	return ledger
 }
 
-// Start and Serials make the world a ground for operators.
+// Start implements checker.System.
 func (world *World) Start(duty func()) { world.goroutines.Start(duty) }
 
-// Serials returns the versions of the settings in force at the daemons that are ready.
+// Serials returns the version of the settings that each ready daemon applies.
 func (world *World) Serials() []uint64 {
 	serials := []uint64{}
 	for _, daemon := range world.Daemons {
-		if life := daemon.life(world); life != nil && life.Ready() {
+		if life := daemon.running(world); life != nil && life.Ready() {
 			serials = append(serials, life.Version().Serial)
 		}
 	}
 	return serials
 }
 
-func (world *World) seen() []standin.BackendRecord {
-	all := append([]standin.BackendRecord{}, world.past...)
+func (world *World) backendRecords() []standin.BackendRecord {
+	all := append([]standin.BackendRecord{}, world.formerBackends...)
 	for _, backend := range world.Backends {
 		all = append(all, backend.Backend.Seen())
 	}
 	return all
 }
 
-// judge makes the fleet's verdicts of what was seen in this world; each detail
-// by its line's name.
+// judge runs the checks on what was observed in this world, records each failed one as a
+// violation and returns the verdicts' details by check name.
 func (world *World) judge(ledger *checker.Ledger, reports ...standin.LoadReport) map[string]string {
 	settings, err := config.Read(Settings(1000))
 	if err != nil {
-		world.broke("%v", err)
+		world.reportViolation("%v", err)
 		return nil
 	}
 	evidence := &checker.Evidence{
 		Callers:  reports,
-		Backends: world.seen(),
+		Backends: world.backendRecords(),
 		Settings: settings,
 		Zones:    map[string]string{},
 		Ledger:   ledger,
 		Windows:  world.windows,
-		Planned:  world.planned,
-		Jumps:    world.reports,
+		Planned:  world.plannedOnly,
+		Jumps:    world.checkUsageReports,
 	}
 	for _, backend := range world.Backends {
 		evidence.Zones[backend.Listed.Name] = backend.Listed.Zone
@@ -63,25 +63,25 @@
 	}
 	if ledger != nil {
 		if evidence.History, err = ledger.History(20 * time.Second); err != nil {
-			world.broke("no trail at the end: %v", err)
+			world.reportViolation("failed to read the change history at the end: %v", err)
 		}
 	}
-	if world.reports {
+	if world.checkUsageReports {
 		evidence.Reports, evidence.ReportAt = world.Platform.Told()
 	}
 	details := map[string]string{}
 	for _, verdict := range evidence.Judge() {
 		details[verdict.Name] = verdict.Detail
 		if !verdict.Holds {
-			world.broke("%s: %s", verdict.Name, verdict.Detail)
+			world.reportViolation("%s: %s", verdict.Name, verdict.Detail)
 		}
 	}
 	return details
 }
 
-func (world *World) ready() bool {
+func (world *World) daemonsReady() bool {
 	for _, daemon := range world.Daemons {
-		if life := daemon.life(world); life != nil && !life.Ready() {
+		if life := daemon.running(world); life != nil && !life.Ready() {
 			return false
 		}
 	}
--- a/harness/simulation/halves_test.go
+++ b/harness/simulation/halves_test.go
@@ -45,7 +45,7 @@
 	halves.reads.Add(1)
 	state, err := routing.DecodeState(response.Body)
 	if err != nil || state.Config.Version < wanted {
-		halves.broke("read %d (%v), %d was acknowledged before", state.Config.Version, err, wanted)
+		halves.reportViolation("read %d (%v), %d was acknowledged before", state.Config.Version, err, wanted)
 	}
 }
 
@@ -53,10 +53,10 @@
 func (halves *halves) order(until time.Time) {
 	random := rand.New(rand.NewPCG(halves.Seed, 103))
 	for time.Now().Before(until) {
-		if holds := halves.holds(); len(holds) > 0 {
+		if holds := halves.forwarders(); len(holds) > 0 {
 			version := halves.acknowledged.Load()
 			hold := holds[random.IntN(len(holds))]
-			if _, err := agent.Forward(hold, message.MethodRoutingChange, WholeChange(version+1, version)); err == nil {
+			if _, err := agent.Forward(hold, message.MethodRoutingChange, NewRoutingChange(version+1, version)); err == nil {
 				halves.acknowledged.Store(version + 1)
 			}
 		}
@@ -70,7 +70,7 @@
 func TestReadsInHalvesAreNewestOrRefused(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
-			halves := &halves{World: NewFarWorld(seed, cores), random: rand.New(rand.NewPCG(seed, 101))}
+			halves := &halves{World: NewRegionalWorld(seed, cores), random: rand.New(rand.NewPCG(seed, 101))}
 			halves.farUp(test, 3)
 			halves.acknowledged.Store(1)
 			end := time.Now().Add(40 * time.Second)
@@ -78,7 +78,7 @@
 			for index := range halves.Cores {
 				halves.goroutines.Start(func() {
 					for time.Now().Before(end) {
-						if hold := halves.machine(index).hold(halves.World); hold != nil {
+						if hold := halves.machine(index).runningForwarder(halves.World); hold != nil {
 							halves.readAt(hold)
 						}
 						halves.Rest(70 * time.Millisecond)
@@ -103,11 +103,11 @@
 			halves.Rest(time.Until(end) + 2*time.Second)
 			halves.calm(test)
 			wanted := halves.acknowledged.Load()
-			if state, err := halves.Book(); err != nil || state.Config.Version < wanted {
-				halves.broke("%d cores: read back %+v %v, %d was acknowledged", cores, state, err, wanted)
+			if state, err := halves.ReadRouting(); err != nil || state.Config.Version < wanted {
+				halves.reportViolation("%d cores: read back %+v %v, %d was acknowledged", cores, state, err, wanted)
 			}
 			if wanted < 20 || halves.reads.Load() < 100 || halves.refused.Load() < 5 {
-				halves.broke(
+				halves.reportViolation(
 					"%d cores: %d orders, %d reads, %d refused: too few to tell",
 					cores,
 					wanted,
@@ -117,7 +117,7 @@
 			}
 			test.Logf("%d cores: %d orders, %d reads, %d refused", cores, wanted, halves.reads.Load(), halves.refused.Load())
 			halves.report(test)
-			halves.CloseFar()
+			halves.CloseRegional()
 		}
 	})
 }
--- a/harness/simulation/injector_test.go
+++ b/harness/simulation/injector_test.go
@@ -13,7 +13,7 @@
 	random *rand.Rand
 	kinds  []string
 	cores  []string
-	losses *Losses
+	losses *LossBudget
 }
 
 func (side *Control) injector(number uint64, kinds, cores []string) *Injector {
@@ -70,15 +70,15 @@
 	for _, index := range cores {
 		machines = append(machines, side.world.machine(index))
 	}
-	if !side.losses.Take(machines, reserveLimit) {
-		side.chaos.Done["skipped"]++
+	if !side.losses.Acquire(machines, reserveLimit) {
+		side.chaos.Injected["skipped"]++
 		return nil, false
 	}
-	return func() { side.losses.Give(machines) }, true
+	return func() { side.losses.Release(machines) }, true
 }
 
 // lose is under for a fault by which the cores are lost for a while.
-func (side *Injector) lose(cores []int, members []*FarDaemon, do func()) {
+func (side *Injector) lose(cores []int, members []*RegionalDaemon, do func()) {
 	release, reserved := side.reserve(cores)
 	if !reserved {
 		return
@@ -138,9 +138,9 @@
 		}
 		defer release()
 		if kind == "power-after-ack" {
-			side.put(world.holds(), random, 7)
+			side.put(world.forwarders(), random, 7)
 		}
-		members := []*FarDaemon{}
+		members := []*RegionalDaemon{}
 		if kind != "power-after-ack" || random.IntN(2) == 0 {
 			members = world.Members
 		}
@@ -165,7 +165,7 @@
 			return
 		}
 		defer release()
-		side.put(world.holds(), random, 7)
+		side.put(world.forwarders(), random, 7)
 		side.under(gone, nil, func() {
 			for _, index := range gone {
 				world.WipeCore(index)
@@ -173,12 +173,12 @@
 			world.Rest(side.span(10, 3000))
 			world.startAll()
 			if !world.Until(30*time.Second, world.sound) {
-				world.broke("%s: cores %v do not vote again", kind, gone)
+				world.reportViolation("%s: cores %v do not vote again", kind, gone)
 			}
 		})
 	case "region-lost":
 		region := random.IntN(3)
-		cores, members := []int{}, []*FarDaemon{}
+		cores, members := []int{}, []*RegionalDaemon{}
 		for index := range world.machines() {
 			if index%3 == region {
 				cores = append(cores, index)
@@ -216,7 +216,7 @@
 			cut(false)
 		})
 	case "member-killed", "members-killed":
-		members := []*FarDaemon{one}
+		members := []*RegionalDaemon{one}
 		if kind == "members-killed" {
 			members = world.Members[:len(world.Members)/2]
 		}
@@ -228,7 +228,7 @@
 			world.startAll()
 		})
 	case "member-frozen":
-		side.under(nil, []*FarDaemon{one}, func() {
+		side.under(nil, []*RegionalDaemon{one}, func() {
 			world.Net.Freeze(one.Host, true)
 			world.Rest(side.span(200, 6000))
 			world.Net.Freeze(one.Host, false)
@@ -245,7 +245,7 @@
 				}
 			}
 		}
-		side.under(nil, []*FarDaemon{one}, func() {
+		side.under(nil, []*RegionalDaemon{one}, func() {
 			cut(true)
 			world.Rest(side.span(500, 7000))
 			cut(false)
@@ -259,7 +259,7 @@
 func (side *Injector) Run(span time.Duration) {
 	for until := time.Now().Add(span); time.Now().Before(until); {
 		kind := side.kinds[side.random.IntN(len(side.kinds))]
-		side.chaos.Done[kind]++
+		side.chaos.Injected[kind]++
 		side.Inject(kind)
 		if side.random.IntN(3) > 0 {
 			side.world.Rest(side.span(200, 9000))
--- a/harness/simulation/large_state_test.go
+++ b/harness/simulation/large_state_test.go
@@ -22,7 +22,7 @@
 
 // manyRoutesChange is a whole routing of many routes.
 func manyRoutesChange(version, base uint64) *message.RoutingChangeRequest {
-	whole := Routing(version)
+	whole := NewRoutingConfig(version)
 	route := whole.Routes[0]
 	for number := range manyRoutes - 1 {
 		route.Name, route.Prefix = fmt.Sprint("route-of-many-", number), fmt.Sprintf("/many/%d/", number)
@@ -40,17 +40,17 @@
 func TestLeaderStandsAgainWithALargeState(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, trouble := range []string{"all hold it", "one is behind", "one lost its disk"} {
-			world := NewFarWorld(seed, 3)
+			world := NewRegionalWorld(seed, 3)
 			world.farUp(test, 0)
 			leader := world.calm(test)
 			other := (leader + 1 + int(seed%2)) % 3
 			if trouble == "one is behind" {
 				world.KillCore(other, true)
 			}
-			if _, err := order(world, world.holds(), message.MethodRoutingChange, manyRoutesChange(2, 1)); err != nil {
+			if _, err := forward(world, world.forwarders(), message.MethodRoutingChange, manyRoutesChange(2, 1)); err != nil {
 				test.Fatal(err)
 			}
-			world.Net.Rate(thinRate)
+			world.Net.SetRate(thinRate)
 			world.killAll(true, false)
 			if trouble == "one lost its disk" {
 				world.WipeCore(other)
@@ -59,18 +59,18 @@
 			world.startAll()
 			begin := time.Now()
 			if !world.Until(recoveryLimit, func() bool { return world.Leader() >= 0 }) {
-				world.broke("%s: nobody leads after %v", trouble, recoveryLimit)
+				world.reportViolation("%s: nobody leads after %v", trouble, recoveryLimit)
 			}
 			test.Logf("%s: a leader after %v", trouble, time.Since(begin))
 			if !world.Until(recoveryLimit, world.sound) {
-				world.broke("%s: not all vote", trouble)
+				world.reportViolation("%s: not all vote", trouble)
 			}
-			world.Net.Rate(0)
-			if state, err := world.Book(); err != nil || state.Config.Version != 2 || len(state.Config.Routes) != manyRoutes {
-				world.broke("%s: read back %v", trouble, err)
+			world.Net.SetRate(0)
+			if state, err := world.ReadRouting(); err != nil || state.Config.Version != 2 || len(state.Config.Routes) != manyRoutes {
+				world.reportViolation("%s: read back %v", trouble, err)
 			}
 			world.report(test)
-			world.CloseFar()
+			world.CloseRegional()
 		}
 	})
 }
--- a/harness/simulation/leave_test.go
+++ b/harness/simulation/leave_test.go
@@ -77,8 +77,8 @@
 // the caller can fall back to the former call.
 func TestUnknownCallHasItsCode(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		world.farUp(test, 0)
 		caller := rpc.NewClient(world.Net.Transport("10.8.0.1"))
 		defer caller.Close()
--- a/harness/simulation/lending_test.go
+++ b/harness/simulation/lending_test.go
@@ -39,8 +39,8 @@
 				calm.Calls, storm.Calls = storm.Calls, calm.Calls
 			}
 			calm.Tries, storm.Tries, storm.Seed = 1, 1, seed+500
-			first, firstClient := world.Origin(calm)
-			second, secondClient := world.Origin(storm)
+			first, firstClient := world.NewLoadGenerator(calm)
+			second, secondClient := world.NewLoadGenerator(storm)
 			ended := make(chan standin.LoadReport, 1)
 			world.goroutines.Start(func() { ended <- second.Run(world.goroutines.Sleep) })
 			served := first.Run(world.goroutines.Sleep)
@@ -58,7 +58,7 @@
 				stormed.Statuses,
 			)
 			if served.Served < served.Asked*98/100 || served.LatencyMs["p99"] > 600 {
-				world.broke(
+				world.reportViolation(
 					"storm of %s: %d of %d others served, p99 %.0f ms: %v",
 					storming,
 					served.Served,
@@ -68,7 +68,7 @@
 				)
 			}
 			if stormed.Served < 35*10 || stormed.Unserved == 0 {
-				world.broke("storm of %s: %d of it served, %d held back", storming, stormed.Served, stormed.Unserved)
+				world.reportViolation("storm of %s: %d of it served, %d held back", storming, stormed.Served, stormed.Unserved)
 			}
 			world.report(test)
 			world.Close()
--- a/harness/simulation/membership_test.go
+++ b/harness/simulation/membership_test.go
@@ -31,12 +31,12 @@
 		}
 		return false
 	}) {
-		world.broke("%s: %v", what, world.rosters())
+		world.reportViolation("%s: %v", what, world.rosters())
 	}
 	if !world.Until(10*time.Second, func() bool { return world.Leader() >= 0 }) {
-		world.broke("%s: no leader", what)
-	} else if err := world.Put(1, 0); err != nil {
-		world.broke("%s: %v", what, err)
+		world.reportViolation("%s: no leader", what)
+	} else if err := world.PutRouting(1, 0); err != nil {
+		world.reportViolation("%s: %v", what, err)
 	}
 }
 
@@ -93,15 +93,15 @@
 			}},
 			{"the founder's links are cut", 80, nothing, func(world *World) {
 				world.Rest(700*time.Millisecond + some(500))
-				world.isolate(0, true)
+				world.isolateCore(0, true)
 				world.Rest(2 * time.Second)
-				world.isolate(0, false)
+				world.isolateCore(0, false)
 			}},
 			{"started again without word of the first start", 80, nothing, func(world *World) {
 				world.Rest(300 * time.Millisecond)
 				for index := range world.Cores {
 					world.KillCore(index, true)
-					world.Cores[index].wiped = true
+					world.Cores[index].emptyDisk = true
 					world.StartCore(index)
 				}
 			}},
@@ -114,7 +114,7 @@
 		}
 		for _, cores := range []int{3, 4, 5} {
 			for _, beginning := range beginnings {
-				world := NewFarWorld(seed, cores)
+				world := NewRegionalWorld(seed, cores)
 				beginning.before(world)
 				for index := range world.Cores {
 					world.StartCore(index)
@@ -123,7 +123,7 @@
 				beginning.after(world)
 				world.oneRoster(test, fmt.Sprintf("%d cores, %s", cores, beginning.name), cores)
 				world.report(test)
-				world.CloseFar()
+				world.CloseRegional()
 			}
 		}
 	})
@@ -133,8 +133,8 @@
 // vote; it brings operators' orders to the leader.
 func TestLateCoreForwards(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 4)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 4)
+		defer world.CloseRegional()
 		for index := range 3 {
 			world.StartCore(index)
 		}
@@ -143,18 +143,23 @@
 		world.Rest(3 * time.Second)
 		late := world.Cores[3]
 		if late.Core.CanVote() {
-			world.broke("a core outside the roster votes")
+			world.reportViolation("a core outside the roster votes")
 		}
 		for version := uint64(2); version < 6; version++ {
-			if _, err := order(world, world.holds()[3:], message.MethodRoutingChange, WholeChange(version, version-1)); err != nil {
-				world.broke("through the late core: %v", err)
+			if _, err := forward(
+				world,
+				world.forwarders()[3:],
+				message.MethodRoutingChange,
+				NewRoutingChange(version, version-1),
+			); err != nil {
+				world.reportViolation("through the late core: %v", err)
 			}
 			leader := world.Leader()
 			world.KillCore(leader, true)
 			world.StartCore(leader)
 		}
 		if held := world.rosters(); len(held) != 1 {
-			world.broke("%v", held)
+			world.reportViolation("%v", held)
 		}
 		world.report(test)
 	})
@@ -165,32 +170,32 @@
 func TestBlankCoreComesBack(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
-			world := NewFarWorld(seed, cores)
+			world := NewRegionalWorld(seed, cores)
 			for index := range world.Cores {
 				world.StartCore(index)
 			}
 			world.oneRoster(test, "at first", cores)
 			for round := range 4 {
 				lost := (int(seed) + round) % cores
-				if err := world.Put(uint64(round+2), uint64(round+1)); err != nil {
-					world.broke("%v", err)
+				if err := world.PutRouting(uint64(round+2), uint64(round+1)); err != nil {
+					world.reportViolation("%v", err)
 				}
 				world.WipeCore(lost)
 				world.Rest(time.Duration(round) * 400 * time.Millisecond)
 				world.StartCore(lost)
 				if !world.Until(15*time.Second, func() bool { return world.Cores[lost].Core.CanVote() }) {
-					world.broke("core %d does not vote again", lost)
+					world.reportViolation("core %d does not vote again", lost)
 				}
-				state, err := world.Book()
+				state, err := world.ReadRouting()
 				if err != nil || state.Config.Version != uint64(round+2) {
-					world.broke("read back %+v %v", state, err)
+					world.reportViolation("read back %+v %v", state, err)
 				}
 			}
 			if held := world.rosters(); len(held) != 1 {
-				world.broke("%v", held)
+				world.reportViolation("%v", held)
 			}
 			world.report(test)
-			world.CloseFar()
+			world.CloseRegional()
 		}
 	})
 }
@@ -199,8 +204,8 @@
 // before there was a roster, and no longer counts as new, founds nothing either.
 func TestNobodyFoundsAlone(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		away := int(seed) % 3
 		for index := range world.Cores {
 			if index != away {
@@ -209,7 +214,7 @@
 		}
 		world.Rest(10 * time.Second)
 		if held := world.rosters(); len(held) != 0 || world.Leader() >= 0 {
-			world.broke("two of three founded %v", held)
+			world.reportViolation("two of three founded %v", held)
 		}
 		world.StartCore(away)
 		world.oneRoster(test, "the third came", 3)
--- a/harness/simulation/metered_usage_test.go
+++ b/harness/simulation/metered_usage_test.go
@@ -47,12 +47,12 @@
 		TakeoverQuiet: 3 * time.Second,
 		Report:        made.report,
 	}
-	world.Requests = made.windows
+	world.RequestCounts = made.windows
 	return made
 }
 
 // begin counts requests that a member begins now, by its own clock.
-func (meters *meters) begin(one *FarDaemon) {
+func (meters *meters) begin(one *RegionalDaemon) {
 	window := one.Daemon.Now() / meters.span
 	meters.mutex.Lock()
 	defer meters.mutex.Unlock()
@@ -79,7 +79,7 @@
 	}
 }
 
-func (meters *meters) windows(one *FarDaemon) []message.WindowCount {
+func (meters *meters) windows(one *RegionalDaemon) []message.WindowCount {
 	meters.mutex.Lock()
 	defer meters.mutex.Unlock()
 	all := []message.WindowCount{}
@@ -113,7 +113,7 @@
 		return control.ReportRetry
 	}
 	if holder, found := meters.fences[report.Fence]; found && holder != report.Holder {
-		meters.world.broke("%s and %s share fence %d", holder, report.Holder, report.Fence)
+		meters.world.reportViolation("%s and %s share fence %d", holder, report.Holder, report.Fence)
 	}
 	meters.fences[report.Fence] = report.Holder
 	if report.Fence < meters.highest {
@@ -121,7 +121,7 @@
 	}
 	meters.highest = report.Fence
 	if before, found := meters.told[report.Window]; found && !maps.Equal(before.Tenants, report.Tenants) {
-		meters.world.broke("window %d: %v, then %v", report.Window, before.Tenants, report.Tenants)
+		meters.world.reportViolation("window %d: %v, then %v", report.Window, before.Tenants, report.Tenants)
 	}
 	if _, found := meters.told[report.Window]; !found {
 		meters.at[report.Window] = time.Now().UnixMilli()
@@ -141,7 +141,7 @@
 	for window := first; window <= last; window++ {
 		report, found := meters.told[window]
 		if !found {
-			meters.world.broke("window %d was not reported", window)
+			meters.world.reportViolation("window %d was not reported", window)
 			continue
 		}
 		sum := uint64(0)
@@ -149,10 +149,10 @@
 			sum += requests
 		}
 		if begun := meters.begun[window]; float64(sum) < float64(begun)*(1-share) || float64(sum) > float64(begun)*(1+share) {
-			meters.world.broke("window %d: %d reported, %d begun", window, sum, begun)
+			meters.world.reportViolation("window %d: %d reported, %d begun", window, sum, begun)
 		}
 		if delay := meters.at[window] - (window+1)*meters.span; delay > late {
-			meters.world.broke("window %d: reported after %d ms", window, delay)
+			meters.world.reportViolation("window %d: reported after %d ms", window, delay)
 		}
 	}
 }
@@ -167,9 +167,9 @@
 // platform that is away and the loss of all cores, no window has two counts.
 func TestWindowsAreSealedOnce(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
+		world := NewRegionalWorld(seed, 3)
 		meters := newMeters(world)
-		defer world.CloseFar()
+		defer world.CloseRegional()
 		world.farUp(test, 4)
 		load := func(span time.Duration) { meters.load(span, 20*time.Millisecond) }
 		load(12 * time.Second)
@@ -186,7 +186,7 @@
 			case 1:
 				meters.stop(true)
 				load(4 * time.Second)
-				world.goroutines.Start(func() { world.TermCore(leader); world.StartCore(leader) })
+				world.goroutines.Start(func() { world.TerminateCore(leader); world.StartCore(leader) })
 				load(2 * time.Second)
 				meters.stop(false)
 			case 2:
@@ -216,9 +216,9 @@
 // counts are in; one that said farewell isn't.
 func TestSilentMemberIsWaitedFor(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
+		world := NewRegionalWorld(seed, 3)
 		meters := newMeters(world)
-		defer world.CloseFar()
+		defer world.CloseRegional()
 		world.farUp(test, 2)
 		world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%meters.span < 10 })
 		world.Rest(10 * time.Second)
@@ -251,9 +251,9 @@
 // took the first routing died at once.
 func TestFirstWindowIsReported(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
+		world := NewRegionalWorld(seed, 3)
 		meters := newMeters(world)
-		defer world.CloseFar()
+		defer world.CloseRegional()
 		for index := range world.Cores {
 			world.StartCore(index)
 		}
@@ -264,7 +264,7 @@
 			test.Fatal("no leader")
 		}
 		world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%meters.span > meters.span-500 })
-		if err := world.Put(1, 0); err != nil {
+		if err := world.PutRouting(1, 0); err != nil {
 			test.Fatal(err)
 		}
 		world.KillCore(world.Leader(), true)
@@ -285,10 +285,10 @@
 // next leader exactly so, though the counts came meanwhile.
 func TestSealedWindowNeverChanges(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
+		world := NewRegionalWorld(seed, 3)
 		meters := newMeters(world)
 		meters.sure = true
-		defer world.CloseFar()
+		defer world.CloseRegional()
 		world.farUp(test, 2)
 		for round := range 3 {
 			world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%meters.span < 10 })
@@ -316,7 +316,7 @@
 				_, response := meters.told[window]
 				return response
 			}) {
-				world.broke("window %d was not reported", window)
+				world.reportViolation("window %d was not reported", window)
 			}
 			cut(false)
 			world.Rest(1200 * time.Millisecond)
@@ -326,7 +326,7 @@
 			world.StartCore(leader)
 			meters.mutex.Lock()
 			if tellers := meters.tellers[window]; len(tellers) < 2 {
-				world.broke("window %d was told by %v only", window, tellers)
+				world.reportViolation("window %d was told by %v only", window, tellers)
 			}
 			meters.mutex.Unlock()
 		}
@@ -338,14 +338,14 @@
 // while all goes on: the time of day that all use stays near the true one.
 func TestClocksThatJump(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		random := rand.New(rand.NewPCG(seed, 31))
 		jump := func() int64 { return []int64{-7_200_000, -3000, 2500, 4_000_000}[random.IntN(4)] }
 		wrong := int(seed) % 3
-		world.Cores[wrong].jump.Store(jump())
+		world.Cores[wrong].clockOffsetMs.Store(jump())
 		for range 4 {
-			world.AddMember(random.IntN(3)).Jump = jump()
+			world.AddMember(random.IntN(3)).ClockOffsetMs = jump()
 		}
 		for index := range world.Cores {
 			world.StartCore(index)
@@ -357,13 +357,13 @@
 		near := func(what string, most int64) {
 			for _, one := range world.Members {
 				if off := one.Daemon.Now() - time.Now().UnixMilli(); off > most || off < -most {
-					world.broke("%s: %s is off by %d ms", what, one.Name, off)
+					world.reportViolation("%s: %s is off by %d ms", what, one.Name, off)
 				}
 			}
 			for _, machine := range world.Cores {
-				if core := machine.life(world); core != nil {
+				if core := machine.running(world); core != nil {
 					if off := core.Now() - time.Now().UnixMilli(); off > most || off < -most {
-						world.broke("%s: core %d is off by %d ms", what, machine.ID, off)
+						world.reportViolation("%s: core %d is off by %d ms", what, machine.ID, off)
 					}
 				}
 			}
@@ -372,21 +372,21 @@
 		near("started", 40)
 		for round := range 8 {
 			machine := world.Cores[(wrong+round)%3]
-			machine.jump.Store(jump())
+			machine.clockOffsetMs.Store(jump())
 			switch round % 4 {
 			case 1:
 				world.KillCore(world.Leader(), true)
 				world.Rest(4 * time.Second)
 				near("leader away", 60)
 				for index, one := range world.Cores {
-					if one.life(world) == nil {
-						one.jump.Store(0)
+					if one.running(world) == nil {
+						one.clockOffsetMs.Store(0)
 						world.StartCore(index)
 					}
 				}
 			case 3:
 				world.KillCore(wrong, true)
-				world.Cores[wrong].jump.Store(jump())
+				world.Cores[wrong].clockOffsetMs.Store(jump())
 				world.StartCore(wrong)
 			}
 			world.Until(10*time.Second, func() bool { return world.Leader() >= 0 })
@@ -400,10 +400,10 @@
 // A member that said farewell is out of the table at once, others by their silence.
 func TestFarewellLeavesTheTable(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		world.farUp(test, 5)
-		listed := func(one *FarDaemon) bool {
+		listed := func(one *RegionalDaemon) bool {
 			for _, known := range world.Members[0].Daemon.Version().Table.Members {
 				if known.Name == one.Name {
 					return true
@@ -411,10 +411,10 @@
 			}
 			return false
 		}
-		left := func(one *FarDaemon) time.Duration {
+		left := func(one *RegionalDaemon) time.Duration {
 			begin := time.Now()
 			if !listed(one) || !world.Until(10*time.Second, func() bool { return !listed(one) }) {
-				world.broke("%s is still listed", one.Name)
+				world.reportViolation("%s is still listed", one.Name)
 			}
 			return time.Since(begin)
 		}
@@ -425,7 +425,7 @@
 		world.KillMember(world.Members[4])
 		silent := left(world.Members[4])
 		if said > 600*time.Millisecond || silent < 1500*time.Millisecond || silent > 4*time.Second {
-			world.broke("left the table after %v with a farewell, %v without", said, silent)
+			world.reportViolation("left the table after %v with a farewell, %v without", said, silent)
 		}
 		world.report(test)
 	})
--- a/harness/simulation/money_test.go
+++ b/harness/simulation/money_test.go
@@ -28,7 +28,7 @@
 		plan.Eager, plan.Tries = 40, 6
 		plan.Calls = plan.Calls[:1]
 		plan.Callers = plan.Callers[:1]
-		generator, client := world.Origin(plan)
+		generator, client := world.NewLoadGenerator(plan)
 		random := rand.New(rand.NewPCG(seed, 37))
 		done := atomic.Bool{}
 		proxies := []*Daemon{}
@@ -93,7 +93,7 @@
 		world.Rest(4 * time.Second)
 		world.judge(nil, report)
 		if report.Served < report.Asked/2 {
-			world.broke("only %d of %d served: %v", report.Served, report.Asked, report.Statuses)
+			world.reportViolation("only %d of %d served: %v", report.Served, report.Asked, report.Statuses)
 		}
 		test.Logf(
 			"%d asked, %d served, %d unknown, %d not, harms %v, statuses %v",
--- a/harness/simulation/net.go
+++ b/harness/simulation/net.go
@@ -14,31 +14,32 @@
 	"orchidjunction/concurrent"
 )
 
-// Faults are the odds, in a thousand, of what happens to a message.
-type Faults struct {
-	LoseAsked int
-	LoseTold  int
-	Twice     int
-	SlowMs    int
-}
-
-// Net joins hosts; the host of an address is its IP.
-type Net struct {
-	mutex      sync.Mutex
-	random     *rand.Rand
-	listeners  map[string]*listener
-	conns      []*conn
-	cut        map[[2]string]bool
-	frozen     map[string]bool
-	gone       map[string]bool
-	lives      map[string]int
-	faults     Faults
-	slow       map[string]time.Duration
-	lag        func(from, to string) time.Duration
-	rate       int
-	goroutines *concurrent.Group
-	Messages   int
-	Bytes      int
+// MessageFaults has the probabilities, per mille, that a message's request or response is
+// lost or that it is sent twice, and the maximum random delay of a message.
+type MessageFaults struct {
+	RequestLoss  int
+	ResponseLoss int
+	Duplication  int
+	MaxDelayMs   int
+}
+
+// Network connects hosts; the host of an address is its IP address.
+type Network struct {
+	mutex          sync.Mutex
+	random         *rand.Rand
+	listeners      map[string]*listener
+	conns          []*conn
+	cut            map[[2]string]bool
+	frozen         map[string]bool
+	blackholed     map[string]bool
+	incarnations   map[string]int
+	faults         MessageFaults
+	responseDelays map[string]time.Duration
+	lag            func(from, to string) time.Duration
+	bytesPerSecond int
+	goroutines     *concurrent.Group
+	Messages       int
+	Bytes          int
 }
 
 var (
@@ -46,54 +47,54 @@
 	errLost    = errors.New("message lost")
 )
 
-// NewNet returns a network without faults whose delays are drawn by seed.
-func NewNet(seed uint64) *Net {
-	return &Net{
-		random:     rand.New(rand.NewPCG(seed, 13)),
-		listeners:  map[string]*listener{},
-		cut:        map[[2]string]bool{},
-		frozen:     map[string]bool{},
-		gone:       map[string]bool{},
-		lives:      map[string]int{},
-		goroutines: concurrent.NewGroup(),
+// NewNetwork returns a network without faults whose random delays follow the seed.
+func NewNetwork(seed uint64) *Network {
+	return &Network{
+		random:       rand.New(rand.NewPCG(seed, 13)),
+		listeners:    map[string]*listener{},
+		cut:          map[[2]string]bool{},
+		frozen:       map[string]bool{},
+		blackholed:   map[string]bool{},
+		incarnations: map[string]int{},
+		goroutines:   concurrent.NewGroup(),
 	}
 }
 
-func (net *Net) odds(of int) bool { return of > 0 && net.random.IntN(1000) < of }
+func (network *Network) chance(perMille int) bool {
+	return perMille > 0 && network.random.IntN(1000) < perMille
+}
 
-func (net *Net) delay(from, to string) time.Duration {
-	net.mutex.Lock()
-	defer net.mutex.Unlock()
-	span := time.Duration(200+net.random.IntN(800)) * time.Microsecond
-	if net.lag != nil {
-		span += net.lag(from, to)
+func (network *Network) delay(from, to string) time.Duration {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	span := time.Duration(200+network.random.IntN(800)) * time.Microsecond
+	if network.lag != nil {
+		span += network.lag(from, to)
 	}
 	return span
 }
 
-// Lag makes the way from one host to another longer.
-func (net *Net) Lag(lag func(from, to string) time.Duration) {
-	net.mutex.Lock()
-	net.lag = lag
-	net.mutex.Unlock()
+// SetLag adds a delay that depends on the two hosts.
+func (network *Network) SetLag(lag func(from, to string) time.Duration) {
+	network.mutex.Lock()
+	network.lag = lag
+	network.mutex.Unlock()
 }
 
-// Rate makes every connection carry so many bytes a second in each direction from now on; 0
-// is no bound.
-func (net *Net) Rate(bytesPerSecond int) {
-	net.mutex.Lock()
-	net.rate = bytesPerSecond
-	net.mutex.Unlock()
+// SetRate limits the bandwidth of every connection in each direction; 0 means no limit.
+func (network *Network) SetRate(bytesPerSecond int) {
+	network.mutex.Lock()
+	network.bytesPerSecond = bytesPerSecond
+	network.mutex.Unlock()
 }
 
-// sending returns how long a connection is busy with so many bytes.
-func (net *Net) sending(bytes int) time.Duration {
-	net.mutex.Lock()
-	defer net.mutex.Unlock()
-	if net.rate == 0 {
+func (network *Network) transmissionTime(bytes int) time.Duration {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	if network.bytesPerSecond == 0 {
 		return 0
 	}
-	return time.Duration(float64(bytes) / float64(net.rate) * float64(time.Second))
+	return time.Duration(float64(bytes) / float64(network.bytesPerSecond) * float64(time.Second))
 }
 
 func host(address string) string {
@@ -103,132 +104,130 @@
 
 func splitHost(address string) (string, string, error) { return net.SplitHostPort(address) }
 
-// shut is whether bytes from one host to another stand still.
-func (net *Net) shut(from, to string) bool {
-	net.mutex.Lock()
-	defer net.mutex.Unlock()
-	return net.cut[[2]string{from, to}] || net.frozen[from] || net.frozen[to]
+// blocked reports whether bytes from one host to another are held back.
+func (network *Network) blocked(from, to string) bool {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	return network.cut[[2]string{from, to}] || network.frozen[from] || network.frozen[to]
 }
 
-// away is whether one of two hosts is gone without a word.
-func (net *Net) away(from, to string) bool {
-	net.mutex.Lock()
-	defer net.mutex.Unlock()
-	return net.gone[from] || net.gone[to]
+// unreachable reports whether one of two hosts is blackholed.
+func (network *Network) unreachable(from, to string) bool {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	return network.blackholed[from] || network.blackholed[to]
 }
 
-func (net *Net) change(turn func()) {
-	net.mutex.Lock()
-	turn()
-	conns := append([]*conn{}, net.conns...)
-	net.mutex.Unlock()
+func (network *Network) update(apply func()) {
+	network.mutex.Lock()
+	apply()
+	conns := append([]*conn{}, network.conns...)
+	network.mutex.Unlock()
 	for _, conn := range conns {
-		conn.in.stir()
-		conn.out.stir()
+		conn.in.wakeReader()
+		conn.out.wakeReader()
 	}
 }
 
-// Cut stops all bytes between two hosts, both ways, until healed.
-func (net *Net) Cut(left, right string, cut bool) {
-	net.change(func() { net.cut[[2]string{left, right}], net.cut[[2]string{right, left}] = cut, cut })
+// Cut blocks the traffic between two hosts in both directions, or unblocks it.
+func (network *Network) Cut(left, right string, cut bool) {
+	network.update(func() { network.cut[[2]string{left, right}], network.cut[[2]string{right, left}] = cut, cut })
 }
 
-// CutOneWay stops bytes in one direction only.
-func (net *Net) CutOneWay(from, to string, cut bool) {
-	net.change(func() { net.cut[[2]string{from, to}] = cut })
+// CutOneWay blocks or unblocks the traffic in one direction only.
+func (network *Network) CutOneWay(from, to string, cut bool) {
+	network.update(func() { network.cut[[2]string{from, to}] = cut })
 }
 
-// Freeze stops a host's bytes; thawed, what was under way arrives late.
-func (net *Net) Freeze(host string, frozen bool) {
-	net.change(func() { net.frozen[host] = frozen })
+// Freeze blocks a host's traffic. When the host is unfrozen, the bytes in flight arrive late.
+func (network *Network) Freeze(host string, frozen bool) {
+	network.update(func() { network.frozen[host] = frozen })
 }
 
-// Slow makes one host's answers to messages late; no name ends all of it.
-func (net *Net) Slow(host string, span time.Duration) {
-	net.mutex.Lock()
-	defer net.mutex.Unlock()
-	if net.slow = map[string]time.Duration{}; host != "" {
-		net.slow[host] = span
+// SetRequestDelay delays all messages to one host and none to others; an empty name ends it.
+func (network *Network) SetRequestDelay(host string, span time.Duration) {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	if network.responseDelays = map[string]time.Duration{}; host != "" {
+		network.responseDelays[host] = span
 	}
 }
 
-// Faults sets how often messages are lost, doubled and late from now on.
-func (net *Net) Faults(faults Faults) {
-	net.mutex.Lock()
-	net.faults = faults
-	net.mutex.Unlock()
+func (network *Network) SetMessageFaults(faults MessageFaults) {
+	network.mutex.Lock()
+	network.faults = faults
+	network.mutex.Unlock()
 }
 
-// Kill breaks every connection of a host, as a killed process does; bytes that
-// a cut held back are lost, since nobody is left to send them again. What the
-// dead process had under way reaches nobody any more.
-func (net *Net) Kill(name string) {
-	for _, conn := range net.disconnect(name) {
+// Kill breaks every connection of a host, as a killed process does. Bytes that a cut held
+// back are lost, since no process is left to retransmit them.
+func (network *Network) Kill(name string) {
+	for _, conn := range network.disconnect(name) {
 		conn.in.close(true)
-		conn.out.close(conn.out.shut())
+		conn.out.close(conn.out.blocked())
 	}
 }
 
-// disconnect takes a host's listeners and connections out of the net: both ends
-// of each connection. What its process has under way reaches nobody any more.
-func (net *Net) disconnect(name string) []*conn {
-	net.mutex.Lock()
-	net.lives[name]++
-	broken := net.take(func(conn *conn) bool { return conn.joins(name) })
+// disconnect removes a host's listeners and both ends of its connections from the network.
+// Dialers of its process fail from then on.
+func (network *Network) disconnect(name string) []*conn {
+	network.mutex.Lock()
+	network.incarnations[name]++
+	broken := network.removeConns(func(conn *conn) bool { return conn.hasEndpoint(name) })
 	closing := []*listener{}
-	for address, open := range net.listeners {
+	for address, open := range network.listeners {
 		if host(address) == name {
 			closing = append(closing, open)
 		}
 	}
-	net.mutex.Unlock()
+	network.mutex.Unlock()
 	for _, open := range closing {
 		_ = open.Close() // never fails
 	}
 	return broken
 }
 
-// take removes connections from the net's list; the caller holds the mutex.
-func (net *Net) take(wanted func(*conn) bool) []*conn {
+// removeConns removes and returns the wanted connections; the caller holds the mutex.
+func (network *Network) removeConns(wanted func(*conn) bool) []*conn {
 	kept, taken := []*conn{}, []*conn{}
-	for _, conn := range net.conns {
+	for _, conn := range network.conns {
 		if wanted(conn) {
 			taken = append(taken, conn)
 		} else {
 			kept = append(kept, conn)
 		}
 	}
-	net.conns = kept
+	network.conns = kept
 	return taken
 }
 
-// Vanish takes a host away with no word to anybody: connections to it hang, and so
-// do attempts to connect, as long as it is gone.
-func (net *Net) Vanish(name string, gone bool) {
-	net.mutex.Lock()
-	net.gone[name] = gone
-	net.mutex.Unlock()
-	if !gone {
+// Blackhole makes a host disappear without closing its connections: they hang, and so do
+// attempts to connect, until the host is back.
+func (network *Network) Blackhole(name string, blackholed bool) {
+	network.mutex.Lock()
+	network.blackholed[name] = blackholed
+	network.mutex.Unlock()
+	if !blackholed {
 		return
 	}
-	left := []*conn{}
-	for _, conn := range net.disconnect(name) {
+	remaining := []*conn{}
+	for _, conn := range network.disconnect(name) {
 		if host(string(conn.local)) == name {
 			conn.abandon()
 		} else {
-			left = append(left, conn)
+			remaining = append(remaining, conn)
 		}
 	}
-	net.mutex.Lock()
-	net.conns = append(net.conns, left...)
-	net.mutex.Unlock()
+	network.mutex.Lock()
+	network.conns = append(network.conns, remaining...)
+	network.mutex.Unlock()
 }
 
-// Reset breaks all connections between two hosts; both may connect again.
-func (net *Net) Reset(left, right string) {
-	net.mutex.Lock()
-	broken := net.take(func(conn *conn) bool { return conn.joins(left) && conn.joins(right) })
-	net.mutex.Unlock()
+// Reset breaks all connections between two hosts, which may reconnect.
+func (network *Network) Reset(left, right string) {
+	network.mutex.Lock()
+	broken := network.removeConns(func(conn *conn) bool { return conn.hasEndpoint(left) && conn.hasEndpoint(right) })
+	network.mutex.Unlock()
 	for _, conn := range broken {
 		conn.in.close(true)
 		conn.out.close(true)
@@ -236,54 +235,54 @@
 }
 
 type listener struct {
-	net     *Net
+	network *Network
 	address string
 	mutex   sync.Mutex
 	wake    *sync.Cond
-	waiting []*conn
+	backlog []*conn
 	closed  bool
 }
 
-// Listen opens an address; it fails where the address is open already.
-func (net *Net) Listen(address string) (*listener, error) {
-	net.mutex.Lock()
-	defer net.mutex.Unlock()
-	if net.listeners[address] != nil {
+// Listen fails if the address is already in use.
+func (network *Network) Listen(address string) (*listener, error) {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	if network.listeners[address] != nil {
 		return nil, errRefused
 	}
-	open := &listener{net: net, address: address}
+	open := &listener{network: network, address: address}
 	open.wake = sync.NewCond(&open.mutex)
-	net.listeners[address] = open
+	network.listeners[address] = open
 	return open, nil
 }
 
 func (listener *listener) Accept() (net.Conn, error) {
 	listener.mutex.Lock()
 	defer listener.mutex.Unlock()
-	for len(listener.waiting) == 0 {
+	for len(listener.backlog) == 0 {
 		if listener.closed {
 			return nil, net.ErrClosed
 		}
 		listener.wake.Wait()
 	}
-	conn := listener.waiting[0]
-	listener.waiting = listener.waiting[1:]
+	conn := listener.backlog[0]
+	listener.backlog = listener.backlog[1:]
 	return conn, nil
 }
 
 func (listener *listener) Close() error {
-	listener.net.mutex.Lock()
-	if listener.net.listeners[listener.address] == listener {
-		delete(listener.net.listeners, listener.address)
+	listener.network.mutex.Lock()
+	if listener.network.listeners[listener.address] == listener {
+		delete(listener.network.listeners, listener.address)
 	}
-	listener.net.mutex.Unlock()
+	listener.network.mutex.Unlock()
 	listener.mutex.Lock()
 	listener.closed = true
-	waiting := listener.waiting
-	listener.waiting = nil
+	backlog := listener.backlog
+	listener.backlog = nil
 	listener.wake.Broadcast()
 	listener.mutex.Unlock()
-	for _, conn := range waiting {
+	for _, conn := range backlog {
 		_ = conn.Close() // never fails
 	}
 	return nil
@@ -291,106 +290,112 @@
 
 func (listener *listener) Addr() net.Addr { return address(listener.address) }
 
-// Dialer is how a host reaches others.
-func (net *Net) Dialer(from string) func(ctx context.Context, network, to string) (net.Conn, error) {
-	net.mutex.Lock()
-	life := net.lives[from]
-	net.mutex.Unlock()
+// Dialer returns a host's dial function; it fails once the host's process has ended.
+func (network *Network) Dialer(from string) func(ctx context.Context, network, to string) (net.Conn, error) {
+	network.mutex.Lock()
+	incarnation := network.incarnations[from]
+	network.mutex.Unlock()
 	return func(ctx context.Context, _, to string) (netConn, error) {
-		return net.dial(ctx, from, to, func() bool { return net.lives[from] != life })
+		return network.dial(ctx, from, to, func() bool { return network.incarnations[from] != incarnation })
 	}
 }
 
 type netConn = net.Conn
 
-func (net *Net) dial(ctx context.Context, from, to string, dead func() bool) (net.Conn, error) {
+func (network *Network) dial(ctx context.Context, from, to string, dead func() bool) (net.Conn, error) {
 	until := time.Now().Add(time.Second)
 	if limit, found := ctx.Deadline(); found && limit.Before(until) {
 		until = limit
 	}
-	for net.shut(from, host(to)) || net.away(from, host(to)) {
+	for network.blocked(from, host(to)) || network.unreachable(from, host(to)) {
 		if !time.Now().Before(until) {
-			return nil, dialFault(context.DeadlineExceeded)
+			return nil, dialError(context.DeadlineExceeded)
 		}
 		time.Sleep(5 * time.Millisecond)
 		if ctx.Err() != nil {
-			return nil, dialFault(ctx.Err())
+			return nil, dialError(ctx.Err())
 		}
 	}
-	net.mutex.Lock()
-	open := net.listeners[to]
+	network.mutex.Lock()
+	open := network.listeners[to]
 	if open == nil || dead() {
-		net.mutex.Unlock()
-		return nil, dialFault(errRefused)
+		network.mutex.Unlock()
+		return nil, dialError(errRefused)
 	}
 	target := host(to)
-	there := newHalf(func() bool { return net.shut(from, target) })
-	back := newHalf(func() bool { return net.shut(target, from) })
-	near := &conn{in: back, out: there, local: address(from + ":1"), remote: address(to), net: net}
-	far := &conn{in: there, out: back, local: address(to), remote: address(from + ":1"), net: net}
-	net.conns = append(net.conns, near, far)
-	net.mutex.Unlock()
+	there := newStream(func() bool { return network.blocked(from, target) })
+	back := newStream(func() bool { return network.blocked(target, from) })
+	near := &conn{in: back, out: there, local: address(from + ":1"), remote: address(to), network: network}
+	far := &conn{in: there, out: back, local: address(to), remote: address(from + ":1"), network: network}
+	network.conns = append(network.conns, near, far)
+	network.mutex.Unlock()
 	open.mutex.Lock()
 	defer open.mutex.Unlock()
 	if open.closed {
 		_ = near.Close() // never fails
-		return nil, dialFault(errRefused)
+		return nil, dialError(errRefused)
 	}
-	open.waiting = append(open.waiting, far)
+	open.backlog = append(open.backlog, far)
 	open.wake.Signal()
 	return near, nil
 }
 
-func dialFault(cause error) error { return &net.OpError{Op: "dial", Net: "tcp", Err: cause} }
+func dialError(cause error) error { return &net.OpError{Op: "dial", Net: "tcp", Err: cause} }
 
-// Transport carries a host's messages, with the net's faults.
-func (net *Net) Transport(from string) *Transport {
+// Transport returns a transport for a host's messages that applies the network's faults.
+func (network *Network) Transport(from string) *Transport {
 	return &Transport{
-		net:   net,
-		inner: &http.Transport{DialContext: net.Dialer(from), IdleConnTimeout: 20 * time.Second, MaxIdleConnsPerHost: 8},
+		network: network,
+		inner:   &http.Transport{DialContext: network.Dialer(from), IdleConnTimeout: 20 * time.Second, MaxIdleConnsPerHost: 8},
 	}
 }
 
-// Transport loses, doubles and delays whole messages.
+// Transport is an HTTP transport that loses, duplicates and delays whole messages.
 type Transport struct {
-	net   *Net
-	inner *http.Transport
+	network *Network
+	inner   *http.Transport
 }
 
-// CloseIdleConnections closes the connections that carry no request.
+// CloseIdleConnections closes the connections without a request in flight.
 func (transport *Transport) CloseIdleConnections() { transport.inner.CloseIdleConnections() }
 
-// RoundTrip carries a request as http.RoundTripper says, with the network's faults.
+// RoundTrip implements http.RoundTripper with the network's faults.
 func (transport *Transport) RoundTrip(request *http.Request) (*http.Response, error) {
-	network := transport.net
+	network := transport.network
 	network.mutex.Lock()
 	faults := network.faults
 	network.Messages++
 	network.Bytes += int(max(request.ContentLength, 0))
-	loseAsked, loseTold, twice := network.odds(faults.LoseAsked), network.odds(faults.LoseTold), network.odds(faults.Twice)
-	wait := network.slow[host(request.URL.Host)]
-	if faults.SlowMs > 0 {
-		wait += time.Duration(network.random.IntN(faults.SlowMs*1000)) * time.Microsecond
+	loseRequest, loseResponse, duplicate := network.chance(
+		faults.RequestLoss,
+	), network.chance(
+		faults.ResponseLoss,
+	), network.chance(
+		faults.Duplication,
+	)
+	delay := network.responseDelays[host(request.URL.Host)]
+	if faults.MaxDelayMs > 0 {
+		delay += time.Duration(network.random.IntN(faults.MaxDelayMs*1000)) * time.Microsecond
 	}
 	network.mutex.Unlock()
-	if wait > 0 {
-		time.Sleep(wait)
+	if delay > 0 {
+		time.Sleep(delay)
 	}
-	if loseAsked {
+	if loseRequest {
 		<-request.Context().Done()
 		return nil, errLost
 	}
-	if twice && request.Body != nil {
+	if duplicate && request.Body != nil {
 		body, err := io.ReadAll(request.Body)
 		request.Body.Close()
 		if err != nil {
 			return nil, err
 		}
 		request.Body = io.NopCloser(bytes.NewReader(body))
-		network.goroutines.Start(func() { transport.again(request, body) })
+		network.goroutines.Start(func() { transport.sendDuplicate(request, body) })
 	}
 	response, err := transport.inner.RoundTrip(request)
-	if err == nil && loseTold {
+	if err == nil && loseResponse {
 		response.Body.Close()
 		<-request.Context().Done()
 		return nil, errLost
@@ -398,37 +403,37 @@
 	return response, err
 }
 
-// again sends the same message once more, later, and drops the answer.
-func (transport *Transport) again(request *http.Request, body []byte) {
-	transport.net.mutex.Lock()
-	wait := time.Duration(transport.net.random.IntN(400)) * time.Millisecond
-	transport.net.mutex.Unlock()
-	time.Sleep(wait)
+// sendDuplicate sends the same message again after a random delay and discards the response.
+func (transport *Transport) sendDuplicate(request *http.Request, body []byte) {
+	transport.network.mutex.Lock()
+	delay := time.Duration(transport.network.random.IntN(400)) * time.Millisecond
+	transport.network.mutex.Unlock()
+	time.Sleep(delay)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	copied := request.Clone(ctx)
 	copied.Body = io.NopCloser(bytes.NewReader(body))
 	if response, err := transport.inner.RoundTrip(copied); err == nil {
-		_, _ = io.Copy(io.Discard, response.Body) // nobody waits for this answer
+		_, _ = io.Copy(io.Discard, response.Body) // the response is not needed
 		response.Body.Close()
 	}
 }
 
-// Close ends what is left once a world ends.
-func (net *Net) Close() {
-	net.goroutines.Wait()
-	net.mutex.Lock()
-	conns := net.conns
-	net.conns = nil
-	net.mutex.Unlock()
+// Close waits for the duplicates in flight and closes all connections.
+func (network *Network) Close() {
+	network.goroutines.Wait()
+	network.mutex.Lock()
+	conns := network.conns
+	network.conns = nil
+	network.mutex.Unlock()
 	for _, conn := range conns {
 		_ = conn.Close() // never fails
 	}
 }
 
-// Count is how many messages went out so far, and their bytes.
-func (net *Net) Count() (int, int) {
-	net.mutex.Lock()
-	defer net.mutex.Unlock()
-	return net.Messages, net.Bytes
+// Count returns how many messages were sent so far, and their size in bytes.
+func (network *Network) Count() (int, int) {
+	network.mutex.Lock()
+	defer network.mutex.Unlock()
+	return network.Messages, network.Bytes
 }
--- a/harness/simulation/numbers_test.go
+++ b/harness/simulation/numbers_test.go
@@ -13,14 +13,14 @@
 
 // textOf is an operator's text of a routing that another operator's differs from.
 func textOf(version, base uint64, operator int) string {
-	config := Routing(version)
+	config := NewRoutingConfig(version)
 	config.Routes[0].TimeoutMs += operator
 	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Whole: config}))
 }
 
 // patchOf is an operator's text of a change of nothing but the base's time limit.
 func patchOf(version, base uint64) string {
-	changed := Routing(base).Routes
+	changed := NewRoutingConfig(base).Routes
 	changed[0].TimeoutMs = int(1000 + version)
 	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{Routes: changed}}))
 }
@@ -44,8 +44,8 @@
 // each is told ever after, at every core.
 func TestOneNumberNamesOneConfiguration(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3+2*int(seed%2))
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3+2*int(seed%2))
+		defer world.CloseRegional()
 		world.farUp(test, 1)
 		caller := world.operatorCaller()
 		version, random := uint64(1), rand.New(rand.NewPCG(seed, 41))
@@ -82,14 +82,14 @@
 			}
 			mutex.Lock()
 			if codes[0]+codes[1] != http.StatusOK+http.StatusPreconditionFailed {
-				world.broke("%s after %v: %v", kind, wait, codes)
+				world.reportViolation("%s after %v: %v", kind, wait, codes)
 			}
 			mutex.Unlock()
 			world.calm(test)
 			for operator, text := range texts {
 				for index := range world.Cores {
 					if code, answer := caller.call(index, http.MethodPut, "/config", text); code != codes[operator] {
-						world.broke(
+						world.reportViolation(
 							"%s after %v: operator %d was told %d, then at core %d: %d %s",
 							kind,
 							wait,
@@ -115,8 +115,8 @@
 	long(test)
 	const changes = 400
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		world.farUp(test, 1)
 		caller := world.operatorCaller()
 		type sent struct{ method, text string }
@@ -136,7 +136,7 @@
 			for index := range world.Cores {
 				for number := int(seed) % 7; number < len(orders); number += 37 {
 					if code, answer := caller.call(index, orders[number].method, "/config", orders[number].text); code != http.StatusOK {
-						world.broke("%s, core %d, order %d: %d %s", when, index, number, code, answer)
+						world.reportViolation("%s, core %d, order %d: %d %s", when, index, number, code, answer)
 					}
 				}
 			}
--- a/harness/simulation/operator_test.go
+++ b/harness/simulation/operator_test.go
@@ -27,7 +27,7 @@
 // operatorCaller opens the platform's side of every living core.
 func (world *World) operatorCaller() *operatorCaller {
 	for index, machine := range world.Cores {
-		if machine.life(world) != nil {
+		if machine.running(world) != nil {
 			world.openOperators(index)
 		}
 	}
@@ -87,12 +87,12 @@
 // zoned breaks unless a zone is as it was acknowledged last.
 func (world *World) zoned(test *testing.T, zone string, evacuated bool, when string) {
 	test.Helper()
-	state, err := world.Book()
+	state, err := world.ReadRouting()
 	if err != nil {
 		test.Fatal(err)
 	}
 	if slices.Contains(state.Evacuated, zone) != evacuated {
-		world.broke("%s: %s was acknowledged evacuated %v, is %v", when, zone, evacuated, !evacuated)
+		world.reportViolation("%s: %s was acknowledged evacuated %v, is %v", when, zone, evacuated, !evacuated)
 	}
 }
 
@@ -109,7 +109,7 @@
 
 // wholeBody is an operator's text of the routing that Routing makes.
 func wholeBody(version, base uint64) string {
-	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Whole: Routing(version)}))
+	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Whole: NewRoutingConfig(version)}))
 }
 
 // invalidPatch leaves a route without its service.
@@ -123,11 +123,11 @@
 // or not. Whatever it is asked then, it says within the second that an operator waits
 // that the call is to go elsewhere; there all is acknowledged, and afterwards here.
 func TestCutOffEntryPointSendsItsCallersOn(test *testing.T) {
-	const answered = callerSilence + 2*farWay
+	const answered = callerSilence + 2*interRegionDelay
 	each(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"cut", "mute", "deaf"} {
 			for _, leads := range []bool{true, false} {
-				world := NewFarWorld(seed, 3)
+				world := NewRegionalWorld(seed, 3)
 				world.farUp(test, 3)
 				operator := world.operatorCaller()
 				lost := world.calm(test)
@@ -157,7 +157,7 @@
 						world.goroutines.Start(func() {
 							code, answer := operator.within(answered, lost, one.method, one.path, one.body)
 							if code != http.StatusServiceUnavailable && code != http.StatusRequestTimeout {
-								world.broke(
+								world.reportViolation(
 									"%s, leads %v: %s %s asked after %v: %d %.100s",
 									kind,
 									leads,
@@ -176,7 +176,7 @@
 					world.Rest(time.Duration(300+seed*131%400) * time.Millisecond)
 				}
 				operator.until(test, others, http.MethodPut, "/config", first)
-				state, err := world.Book()
+				state, err := world.ReadRouting()
 				if err != nil {
 					test.Fatal(err)
 				}
@@ -196,11 +196,11 @@
 					"/config",
 					wholeBody(6, 5),
 				); code != http.StatusPreconditionFailed {
-					world.broke("%s: back in touch, the loser of a race: %d %s", kind, code, answer)
+					world.reportViolation("%s: back in touch, the loser of a race: %d %s", kind, code, answer)
 				}
 				world.zoned(test, "z1", true, kind)
 				world.report(test)
-				world.CloseFar()
+				world.CloseRegional()
 			}
 		}
 	})
@@ -210,12 +210,12 @@
 // acknowledged: that one stays in force.
 func TestDoubledEvacuationDoesNotComeBack(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		world.farUp(test, 1)
 		operator := world.operatorCaller()
 		world.calm(test)
-		world.Net.Faults(Faults{Twice: 1000})
+		world.Net.SetMessageFaults(MessageFaults{Duplication: 1000})
 		for round := range 16 {
 			first, second, begin := http.MethodPost, http.MethodDelete, false
 			if round%2 == 1 {
@@ -245,7 +245,7 @@
 		for _, kind := range []string{"way to the leader cut", "way from the operator cut", "entry frozen"} {
 			for _, begin := range []bool{true, false} {
 				for _, wait := range []time.Duration{0, 20 * time.Millisecond, 80 * time.Millisecond, 180 * time.Millisecond} {
-					world := NewFarWorld(seed, 3)
+					world := NewRegionalWorld(seed, 3)
 					world.farUp(test, 1)
 					operator := world.operatorCaller()
 					leader := world.calm(test)
@@ -278,7 +278,7 @@
 					world.Rest(4 * time.Second)
 					world.zoned(test, "z1", !begin, kind+" after "+wait.String())
 					world.report(test)
-					world.CloseFar()
+					world.CloseRegional()
 				}
 			}
 		}
--- a/harness/simulation/outage_test.go
+++ b/harness/simulation/outage_test.go
@@ -30,7 +30,7 @@
 			{"a core away until the end", func(world *World) []standin.Try { world.KillCore(int(seed)%3, true); return nil }, nothing},
 			{"a disk stalls", func(world *World) []standin.Try { world.Cores[int(seed)%3].Disk.Stall(true); return nil }, nothing},
 			{"a core is slow", func(world *World) []standin.Try {
-				world.Net.Slow(world.Cores[int(seed)%3].Host, 300*time.Millisecond)
+				world.Net.SetRequestDelay(world.Cores[int(seed)%3].Host, 300*time.Millisecond)
 				return nil
 			}, nothing},
 			{"the core gone and back", func(world *World) []standin.Try {
@@ -60,7 +60,7 @@
 			for _, daemon := range world.Daemons {
 				world.KillDaemon(daemon)
 			}
-			world.Net.Slow("", 0)
+			world.Net.SetRequestDelay("", 0)
 			kind.after(world)
 			for index := range world.Cores {
 				world.StartCore(index)
@@ -69,8 +69,8 @@
 				world.StartDaemon(daemon)
 			}
 			begin := time.Now()
-			if !world.Until(15*time.Second, world.ready) {
-				world.broke("%s: not ready in 15 s", kind.name)
+			if !world.Until(15*time.Second, world.daemonsReady) {
+				world.reportViolation("%s: not ready in 15 s", kind.name)
 			}
 			ready := time.Since(begin)
 			slowest, replays := world.payAgain(tries)
@@ -79,12 +79,12 @@
 			}
 			later, _ := world.payAgain(tries)
 			if most := 3 * time.Second; slowest > most || later > most || replays == 0 {
-				world.broke("%s: final answers after %v and %v, %d replayed", kind.name, slowest, later, replays)
+				world.reportViolation("%s: final answers after %v and %v, %d replayed", kind.name, slowest, later, replays)
 			}
-			before := len(world.Broken)
+			before := len(world.Violations)
 			details := world.judge(nil, standin.LoadReport{Tries: tries})
-			for index := range world.Broken[before:] {
-				world.Broken[before+index] = kind.name + ": " + world.Broken[before+index]
+			for index := range world.Violations[before:] {
+				world.Violations[before+index] = kind.name + ": " + world.Violations[before+index]
 			}
 			test.Logf(
 				"%s: ready after %v, %s, final answers after %v and %v, %d replayed",
@@ -107,7 +107,7 @@
 	random := rand.New(rand.NewPCG(world.Seed, uint64(first)))
 	plan := world.plan(1, 1)
 	plan.Calls = plan.Calls[:1]
-	generator, client := world.Origin(plan)
+	generator, client := world.NewLoadGenerator(plan)
 	fronts := world.fronts()
 	for number := range count {
 		if random.IntN(3) == 0 {
@@ -146,7 +146,7 @@
 func (world *World) payAgain(tries []standin.Try) (slowest time.Duration, replays int) {
 	plan := world.plan(1, 1)
 	plan.Calls = plan.Calls[:1]
-	generator, client := world.Origin(plan)
+	generator, client := world.NewLoadGenerator(plan)
 	defer client.CloseIdleConnections()
 	fronts := world.fronts()
 	for number, try := range tries {
--- a/harness/simulation/partition.go
+++ b/harness/simulation/partition.go
@@ -2,8 +2,10 @@
 
 import "time"
 
-// cutOff is one way to lose touch: who is cut from all others of ours, and how.
-type cutOff struct {
+// isolation describes a network partition that cuts proxies off from the rest of their
+// deployment. oneWay 1 cuts only the traffic to them, 2 only the traffic from them, 0 both.
+// With flap the links come back for flap/8 after each flap.
+type isolation struct {
 	name    string
 	proxies int
 	oneWay  int
@@ -11,42 +13,42 @@
 	span    time.Duration
 }
 
-// part cuts the lone ones from all others of ours for a while, then heals.
-func (world *World) part(lone []*Daemon, cut cutOff) {
-	inside := map[string]bool{}
-	for _, daemon := range lone {
-		inside[daemon.Host] = true
+// isolateDaemons cuts daemons off from the rest of the deployment for cut.span.
+func (world *World) isolateDaemons(isolated []*Daemon, cut isolation) {
+	isIsolated := map[string]bool{}
+	for _, daemon := range isolated {
+		isIsolated[daemon.Host] = true
 	}
 	hosts := []string{}
 	for _, core := range world.Cores {
 		hosts = append(hosts, core.Host)
 	}
 	for _, daemon := range world.Daemons {
-		if !inside[daemon.Host] {
+		if !isIsolated[daemon.Host] {
 			hosts = append(hosts, daemon.Host)
 		}
 	}
-	turn := func(shut bool) {
-		for _, daemon := range lone {
+	setCut := func(on bool) {
+		for _, daemon := range isolated {
 			for _, host := range hosts {
 				if cut.oneWay != 2 {
-					world.Net.CutOneWay(host, daemon.Host, shut)
+					world.Net.CutOneWay(host, daemon.Host, on)
 				}
 				if cut.oneWay != 1 {
-					world.Net.CutOneWay(daemon.Host, host, shut)
+					world.Net.CutOneWay(daemon.Host, host, on)
 				}
 			}
 		}
 	}
 	for until := time.Now().Add(cut.span); time.Now().Before(until); {
-		turn(true)
+		setCut(true)
 		if cut.flap == 0 {
 			world.Rest(cut.span)
 			break
 		}
 		world.Rest(cut.flap)
-		turn(false)
+		setCut(false)
 		world.Rest(cut.flap / 8)
 	}
-	turn(false)
+	setCut(false)
 }
--- a/harness/simulation/partition_test.go
+++ b/harness/simulation/partition_test.go
@@ -19,7 +19,7 @@
 func TestCutOffStops(test *testing.T) {
 	long(test)
 	each(test, func(test *testing.T, seed uint64) {
-		for _, cut := range []cutOff{{"alone", 1, 0, 0, healAfter}, {"region", 3, 0, 0, healAfter}, {"fewer than half", 4, 0, 0, healAfter}, {"deaf", 1, 1, 0, healAfter}, {"mute", 1, 2, 0, healAfter}, {"flapping", 2, 0, 700 * time.Millisecond, healAfter}} {
+		for _, cut := range []isolation{{"alone", 1, 0, 0, healAfter}, {"region", 3, 0, 0, healAfter}, {"fewer than half", 4, 0, 0, healAfter}, {"deaf", 1, 1, 0, healAfter}, {"mute", 1, 2, 0, healAfter}, {"flapping", 2, 0, 700 * time.Millisecond, healAfter}} {
 			world := NewWorld(seed, 3)
 			for _, zone := range []string{"e1", "w1", "s1"} {
 				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
@@ -32,21 +32,21 @@
 			for _, daemon := range lone {
 				plan.Fronts = append(plan.Fronts, daemon.PublicAddress)
 			}
-			generator, client := world.Origin(plan)
-			ledger := world.Operators(2, 400*time.Millisecond)
+			generator, client := world.NewLoadGenerator(plan)
+			ledger := world.StartOperators(2, 400*time.Millisecond)
 			world.goroutines.Start(func() {
 				world.Rest(2 * time.Second)
-				world.part(lone, cut)
+				world.isolateDaemons(lone, cut)
 				world.Rest(100 * time.Millisecond)
 				world.withdraw(ledger, "birch")
 			})
 			report := generator.Run(world.Rest)
 			ledger.Stop()
 			client.CloseIdleConnections()
-			before := len(world.Broken)
+			before := len(world.Violations)
 			details := world.judge(ledger, report)
-			for index := range world.Broken[before:] {
-				world.Broken[before+index] = cut.name + ": " + world.Broken[before+index]
+			for index := range world.Violations[before:] {
+				world.Violations[before+index] = cut.name + ": " + world.Violations[before+index]
 			}
 			again := 0
 			for _, try := range report.Tries {
@@ -56,7 +56,7 @@
 				}
 			}
 			if again < 5 {
-				world.broke("%s: healed, it served %d", cut.name, again)
+				world.reportViolation("%s: healed, it served %d", cut.name, again)
 			}
 			test.Logf("%s: %s; %v", cut.name, details["acknowledged settings in force in 4 s"], report.Statuses)
 			world.report(test)
@@ -97,7 +97,7 @@
 		}
 		world.Rest(20 * time.Millisecond)
 	}
-	world.broke("keys not withdrawn")
+	world.reportViolation("keys not withdrawn")
 }
 
 // The core alone is out of reach for a while: traffic and money go on at all fronts.
@@ -113,7 +113,7 @@
 		world.Until(5*time.Second, func() bool { return world.keepers() == 6 })
 		plan := world.plan(40, 14)
 		plan.Patient = true
-		generator, client := world.Origin(plan)
+		generator, client := world.NewLoadGenerator(plan)
 		turn := func(shut bool) {
 			for _, core := range world.Cores {
 				for _, daemon := range world.Daemons {
@@ -129,7 +129,7 @@
 		})
 		report := generator.Run(world.Rest)
 		client.CloseIdleConnections()
-		world.planned = true
+		world.plannedOnly = true
 		world.judge(nil, report)
 		for _, try := range report.Tries {
 			if try.Status == 504 {
--- a/harness/simulation/partner_test.go
+++ b/harness/simulation/partner_test.go
@@ -14,7 +14,7 @@
 	each(test, func(test *testing.T, seed uint64) {
 		lender := NewWorld(seed, 3)
 		defer lender.Close()
-		borrower := lender.Neighbour(3)
+		borrower := lender.NewPartnerWorld(3)
 		defer borrower.Close()
 		for _, world := range []*World{lender, borrower} {
 			for _, zone := range []string{"e1", "w1", "s1"} {
@@ -30,14 +30,14 @@
 			borrower.StartDaemon(guest)
 			guests = append(guests, guest)
 		}
-		if !borrower.Until(5*time.Second, func() bool { return borrower.ready() }) {
+		if !borrower.Until(5*time.Second, func() bool { return borrower.daemonsReady() }) {
 			test.Fatal("guests not ready")
 		}
 		borrower.Rest(2 * time.Second)
 		calls := func(world *World, rate int, seconds float64) standin.LoadReport {
 			plan := world.plan(rate, seconds)
 			plan.Calls = plan.Calls[:2]
-			generator, client := world.Origin(plan)
+			generator, client := world.NewLoadGenerator(plan)
 			report := generator.Run(world.goroutines.Sleep)
 			client.CloseIdleConnections()
 			return report
@@ -45,7 +45,7 @@
 		report := calls(borrower, 20, 5)
 		lent := lender.Daemons[1].Counters.Get("lent") + lender.Daemons[2].Counters.Get("lent")
 		if report.Served < report.Asked*98/100 || lent == 0 {
-			borrower.broke("%d of %d served, %d lent: %v", report.Served, report.Asked, lent, report.Statuses)
+			borrower.reportViolation("%d of %d served, %d lent: %v", report.Served, report.Asked, lent, report.Statuses)
 		}
 		borrower.judge(nil, report)
 		stormed := make(chan standin.LoadReport, 1)
@@ -55,17 +55,17 @@
 		storm := <-stormed
 		refused := lender.Daemons[1].Counters.Get("lending_refused") + lender.Daemons[2].Counters.Get("lending_refused")
 		if refused == 0 {
-			lender.broke("a pressed lender went on lending")
+			lender.reportViolation("a pressed lender went on lending")
 		}
 		if pressed.Served < pressed.Asked*9/10 {
-			borrower.broke("%d of %d served while the lender was pressed: %v", pressed.Served, pressed.Asked, pressed.Statuses)
+			borrower.reportViolation("%d of %d served while the lender was pressed: %v", pressed.Served, pressed.Asked, pressed.Statuses)
 		}
 		if storm.Served < 6*40 {
-			lender.broke("the lender served %d below its floor: %v", storm.Served, storm.Statuses)
+			lender.reportViolation("the lender served %d below its floor: %v", storm.Served, storm.Statuses)
 		}
 		for _, member := range guests[0].Daemon.Version().Table.Members {
 			if member.Guest && member.KeyReplica {
-				borrower.broke("%s keeps claims on the other partner's machine", member.Name)
+				borrower.reportViolation("%s keeps claims on the other partner's machine", member.Name)
 			}
 		}
 		for index := range borrower.Cores {
@@ -76,7 +76,7 @@
 		}
 		alone := calls(lender, 20, 4)
 		if alone.Served < alone.Asked*98/100 {
-			lender.broke("%d of %d served after the other partner fell: %v", alone.Served, alone.Asked, alone.Statuses)
+			lender.reportViolation("%d of %d served after the other partner fell: %v", alone.Served, alone.Asked, alone.Statuses)
 		}
 		test.Logf("%d lent, %d refused, storm %d of %d", lent, refused, storm.Served, storm.Asked)
 		lender.report(test)
--- a/harness/simulation/platform_test.go
+++ b/harness/simulation/platform_test.go
@@ -61,12 +61,12 @@
 				}
 				for _, backend := range stays {
 					if !held[backend.Name] {
-						world.broke("%s stayed listed and is not held, %d are", backend.Name, len(held))
+						world.reportViolation("%s stayed listed and is not held, %d are", backend.Name, len(held))
 					}
 				}
 				versions++
 				world.Rest(50 * time.Millisecond)
-				if len(world.Broken) > 0 {
+				if len(world.Violations) > 0 {
 					break
 				}
 			}
@@ -76,9 +76,14 @@
 			held := daemon.Daemon.Version().Table.Backends
 			return len(held) == 24
 		}) {
-			world.broke("a backend that left is still held: %d", len(daemon.Daemon.Version().Table.Backends))
+			world.reportViolation("a backend that left is still held: %d", len(daemon.Daemon.Version().Table.Backends))
 		}
-		test.Logf("looked %d times, %d leaderships, %d reads refused by the platform", versions, len(world.Leads), world.Platform.Limited)
+		test.Logf(
+			"looked %d times, %d leaderships, %d reads refused by the platform",
+			versions,
+			len(world.Leaderships),
+			world.Platform.Limited,
+		)
 		world.report(test)
 	})
 }
--- a/harness/simulation/recovery_test.go
+++ b/harness/simulation/recovery_test.go
@@ -25,7 +25,7 @@
 
 func (world *World) startAll() {
 	for _, machine := range world.machines() {
-		world.start(machine)
+		world.startMachine(machine)
 	}
 	for _, one := range world.Members {
 		if !one.Alive {
@@ -37,12 +37,12 @@
 // coresApart cuts all cores from each other.
 func (world *World) coresApart(cut bool) {
 	for index := range world.Cores {
-		world.isolate(index, cut)
+		world.isolateCore(index, cut)
 	}
 }
 
 // serves is the version that a member serves by, 0 while it can't.
-func (one *FarDaemon) serves() uint64 {
+func (one *RegionalDaemon) serves() uint64 {
 	version := one.Daemon.Version()
 	if version.Routing == nil || !version.Table.Complete {
 		return 0
@@ -67,7 +67,7 @@
 
 func (world *World) sound() bool {
 	for _, machine := range world.machines() {
-		if core := machine.life(world); core == nil || !core.CanVote() {
+		if core := machine.running(world); core == nil || !core.CanVote() {
 			return false
 		}
 	}
@@ -77,7 +77,7 @@
 func (world *World) leads() int {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	return len(world.Leads)
+	return len(world.Leaderships)
 }
 
 // calm waits until one leads and all vote.
@@ -93,7 +93,7 @@
 func (world *World) calmNotFirst(test *testing.T) int {
 	test.Helper()
 	for world.calm(test) == 0 {
-		world.TermCore(0)
+		world.TerminateCore(0)
 		world.StartCore(0)
 	}
 	return world.Leader()
@@ -104,7 +104,7 @@
 func TestServedSoonAfterAllEnded(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
-			world := NewFarWorld(seed, cores)
+			world := NewRegionalWorld(seed, cores)
 			world.farUp(test, 4)
 			version := uint64(1)
 			for round, kind := range []string{"killed", "power", "wiped", "leader stays away", "leader wiped, others were cut", "killed"} {
@@ -112,9 +112,9 @@
 				cut := []int{}
 				for offset := 1; offset <= cores/2 && kind == "leader wiped, others were cut"; offset++ {
 					cut = append(cut, (leader+offset)%cores)
-					world.isolate((leader+offset)%cores, true)
+					world.isolateCore((leader+offset)%cores, true)
 				}
-				if err := world.Put(version+1, version); err != nil {
+				if err := world.PutRouting(version+1, version); err != nil {
 					test.Fatal(err)
 				}
 				version++
@@ -134,7 +134,7 @@
 				}
 				world.Rest(time.Duration(seed*37%8) * 50 * time.Millisecond)
 				for _, index := range cut {
-					world.isolate(index, false)
+					world.isolateCore(index, false)
 				}
 				world.startAll()
 				if kind == "leader stays away" {
@@ -143,22 +143,22 @@
 				begin := time.Now()
 				took, done := world.serving(version, false, 10*time.Second)
 				if !done || took > first {
-					world.broke("%d cores, %s: served after %v, want %v", cores, kind, took, first)
+					world.reportViolation("%d cores, %s: served after %v, want %v", cores, kind, took, first)
 				}
 				_, done = world.serving(version, true, 10*time.Second)
 				if all := time.Since(begin); !done || all > whole {
-					world.broke("%d cores, %s: served everywhere after %v, want %v", cores, kind, all, whole)
+					world.reportViolation("%d cores, %s: served everywhere after %v, want %v", cores, kind, all, whole)
 				} else {
 					test.Logf("%d cores, %s: served after %v, everywhere after %v", cores, kind, took, all)
 				}
 				world.startAll()
 				world.calm(test)
-				if state, err := world.Book(); err != nil || state.Config.Version != version {
-					world.broke("%d cores, %s: read back %+v %v", cores, kind, state, err)
+				if state, err := world.ReadRouting(); err != nil || state.Config.Version != version {
+					world.reportViolation("%d cores, %s: read back %+v %v", cores, kind, state, err)
 				}
 			}
 			world.report(test)
-			world.CloseFar()
+			world.CloseRegional()
 		}
 	})
 }
@@ -179,7 +179,7 @@
 		},
 	)
 	held := voter.State().Accepted[message.RoutingRegister]
-	body, _ := rpc.Marshal(NewState(version))
+	body, _ := rpc.Marshal(NewRoutingState(version))
 	response, err := voter.Accept(
 		&message.AcceptRequest{
 			Term:     voter.State().Promised,
@@ -199,7 +199,7 @@
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			for _, apart := range []bool{true, false} {
-				world := NewFarWorld(seed, cores)
+				world := NewRegionalWorld(seed, cores)
 				world.farUp(test, 3)
 				world.Rest(time.Second)
 				world.killAll(true, true)
@@ -228,26 +228,26 @@
 				}
 				for _, one := range world.Members {
 					if apart && one.serves() != 1 {
-						world.broke("%d cores: %s does not serve what was known committed", cores, one.Name)
+						world.reportViolation("%d cores: %s does not serve what was known committed", cores, one.Name)
 					}
 				}
 				world.coresApart(false)
 				world.startAll()
 				world.calm(test)
-				state, err := world.Book()
+				state, err := world.ReadRouting()
 				if err != nil {
 					test.Fatal(err)
 				}
 				if took, done := world.serving(state.Config.Version, true, 5*time.Second); !done {
-					world.broke("%d cores: %d not everywhere after %v", cores, state.Config.Version, took)
+					world.reportViolation("%d cores: %d not everywhere after %v", cores, state.Config.Version, took)
 				}
 				for _, one := range world.Members {
 					if one.serves() != state.Config.Version {
-						world.broke("%d decided, %s holds %d", state.Config.Version, one.Name, one.serves())
+						world.reportViolation("%d decided, %s holds %d", state.Config.Version, one.Name, one.serves())
 					}
 				}
 				world.report(test)
-				world.CloseFar()
+				world.CloseRegional()
 			}
 		}
 	})
@@ -256,8 +256,8 @@
 // A core that restarts alone leaves the leader where it is.
 func TestRestartAloneDisturbsNobody(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3+2*int(seed%2))
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3+2*int(seed%2))
+		defer world.CloseRegional()
 		world.farUp(test, 2)
 		leader := world.calmNotFirst(test)
 		before := world.leads()
@@ -271,12 +271,12 @@
 				world.StartCore(index)
 				world.Rest(2 * time.Second)
 				if err := world.Evacuate("z", round%2 == 0); err != nil {
-					world.broke("%v", err)
+					world.reportViolation("%v", err)
 				}
 			}
 		}
 		if after := world.leads(); after != before || world.Leader() != leader {
-			world.broke("core %d led, then %v", leader+1, world.Leads[before:])
+			world.reportViolation("core %d led, then %v", leader+1, world.Leaderships[before:])
 		}
 		world.report(test)
 	})
@@ -286,12 +286,12 @@
 func (world *World) counted(name string) uint64 {
 	sum := uint64(0)
 	for _, machine := range world.Cores {
-		if machine.life(world) == nil {
+		if machine.running(world) == nil {
 			continue
 		}
 		response, err := rpc.Call(machine.client, machine.InternalAddress, message.MethodStatus, time.Second, &message.StatusRequest{})
 		if err != nil {
-			world.broke("no status of core %d: %v", machine.ID, err)
+			world.reportViolation("no status of core %d: %v", machine.ID, err)
 			continue
 		}
 		sum += response.Counts[name]
@@ -303,7 +303,7 @@
 func TestCoresStandInTurn(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
-			world := NewFarWorld(seed, cores)
+			world := NewRegionalWorld(seed, cores)
 			world.farUp(test, 0)
 			longest := time.Duration(0)
 			for round := range 25 {
@@ -321,20 +321,20 @@
 				world.Rest(time.Until(begin.Add(2 * time.Second)))
 				switch after := world.leads(); after - before {
 				case 0:
-					world.broke("%d cores, round %d: nobody leads after 2 s", cores, round)
+					world.reportViolation("%d cores, round %d: nobody leads after 2 s", cores, round)
 				case 1:
-					longest = max(longest, world.Leads[before].At.Sub(begin))
+					longest = max(longest, world.Leaderships[before].At.Sub(begin))
 				default:
-					world.broke("%d cores, round %d: %v within 2 s", cores, round, world.Leads[before:])
+					world.reportViolation("%d cores, round %d: %v within 2 s", cores, round, world.Leaderships[before:])
 				}
 				if fences := world.counted("standing_revoking"); fences > 1 {
-					world.broke("%d cores, round %d: %d fences", cores, round, fences)
+					world.reportViolation("%d cores, round %d: %d fences", cores, round, fences)
 				}
 				world.startAll()
 			}
 			test.Logf("%d cores: the latest leader stood after %v", cores, longest)
 			world.report(test)
-			world.CloseFar()
+			world.CloseRegional()
 		}
 	})
 }
@@ -344,14 +344,14 @@
 // back in touch it follows without disturbing.
 func TestRestartedCutOff(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		world.farUp(test, 2)
 		lone, fresh, near := int(seed)%3, world.AddMember(0), world.AddMember(1)
 		world.Rest(time.Second)
 		world.KillCore(lone, true)
-		world.isolate(lone, true)
-		if err := world.Put(2, 1); err != nil {
+		world.isolateCore(lone, true)
+		if err := world.PutRouting(2, 1); err != nil {
 			test.Fatal(err)
 		}
 		for index, machine := range world.Cores {
@@ -363,22 +363,22 @@
 		world.StartMember(near)
 		world.Rest(1500 * time.Millisecond)
 		if fresh.serves() != 2 || near.serves() != 1 {
-			world.broke("in touch with all: serves %d, with the lone core: %d", fresh.serves(), near.serves())
+			world.reportViolation("in touch with all: serves %d, with the lone core: %d", fresh.serves(), near.serves())
 		}
 		if world.Cores[lone].Core.Leads() {
-			world.broke("a core that is cut off leads")
+			world.reportViolation("a core that is cut off leads")
 		}
 		before, leader := world.leads(), world.Leader()
-		world.isolate(lone, false)
+		world.isolateCore(lone, false)
 		for _, machine := range world.Cores {
 			world.Net.Cut(machine.Host, near.Host, false)
 		}
 		if took, done := world.serving(2, true, 4*time.Second); !done {
-			world.broke("back in touch: not caught up after %v", took)
+			world.reportViolation("back in touch: not caught up after %v", took)
 		}
 		world.Rest(2 * time.Second)
 		if after := world.leads(); after != before || world.Leader() != leader {
-			world.broke("back in touch the lone core made %v", world.Leads[before:])
+			world.reportViolation("back in touch the lone core made %v", world.Leaderships[before:])
 		}
 		world.report(test)
 	})
@@ -390,7 +390,7 @@
 		table := one.Daemon.Version().Table
 		content := fmt.Sprint(table.Members, table.Backends)
 		if known, found := contents[table.Version]; found && known != content && table.Version.Term.Number > 0 {
-			world.broke("table %v is not the same at %s:\n%s\n%s", table.Version, one.Name, known, content)
+			world.reportViolation("table %v is not the same at %s:\n%s\n%s", table.Version, one.Name, known, content)
 		}
 		contents[table.Version] = content
 	}
@@ -401,9 +401,9 @@
 func TestTablesOfNoLeaderAreNoGroundForChanges(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for range 3 {
-			world := NewFarWorld(seed, 3)
+			world := NewRegionalWorld(seed, 3)
 			backends := []message.Backend{}
-			world.Listed = func(discovery.PageRequest) discovery.Page { return discovery.Page{Backends: backends} }
+			world.ListBackends = func(discovery.PageRequest) discovery.Page { return discovery.Page{Backends: backends} }
 			for index := range 3 {
 				backends = append(
 					backends,
@@ -433,11 +433,11 @@
 			}
 			for _, one := range world.Members {
 				if table := one.Daemon.Version().Table; table.Version.Term.Number == 0 || len(table.Members) != 6 {
-					world.broke("%s holds %+v", one.Name, table)
+					world.reportViolation("%s holds %+v", one.Name, table)
 				}
 			}
 			world.report(test)
-			world.CloseFar()
+			world.CloseRegional()
 		}
 	})
 }
@@ -446,9 +446,9 @@
 // no leader's, and the next leader's keeps a member that can't speak just then.
 func TestTableBeforeALeaderIsTheOldest(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
-		world.Listed = func(discovery.PageRequest) discovery.Page {
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
+		world.ListBackends = func(discovery.PageRequest) discovery.Page {
 			return discovery.Page{Backends: []message.Backend{{Name: "b", Service: "desk", Address: "10.9.9.9:80", Capacity: 4}}}
 		}
 		world.farUp(test, 5)
@@ -473,11 +473,11 @@
 				for _, one := range world.Members {
 					table := one.Daemon.Version().Table
 					if table.Version.Less(marks[one.Name]) {
-						world.broke("round %d: %s went back from table %v to %v", round, one.Name, marks[one.Name], table.Version)
+						world.reportViolation("round %d: %s went back from table %v to %v", round, one.Name, marks[one.Name], table.Version)
 					}
 					marks[one.Name] = table.Version
 					if one != late && table.Version.Term.Number == 0 {
-						world.broke("round %d: %s took a table of no leader", round, one.Name)
+						world.reportViolation("round %d: %s took a table of no leader", round, one.Name)
 					}
 					listed := false
 					for _, known := range table.Members {
@@ -498,7 +498,7 @@
 			}
 			cut(false)
 			if !late.Daemon.Version().Table.Complete {
-				world.broke("round %d: the new member has no table", round)
+				world.reportViolation("round %d: the new member has no table", round)
 			}
 		}
 		world.report(test)
@@ -511,12 +511,12 @@
 	each(test, func(test *testing.T, seed uint64) {
 		refused := 0
 		for range 4 {
-			world := NewFarWorld(seed, 3)
-			world.Net.Lag(func(string, string) time.Duration { return 0 })
+			world := NewRegionalWorld(seed, 3)
+			world.Net.SetLag(func(string, string) time.Duration { return 0 })
 			world.farUp(test, 0)
 			leader := world.calmNotFirst(test)
 			world.Rest(time.Second)
-			world.isolate(leader, true)
+			world.isolateCore(leader, true)
 			for index := range world.Cores {
 				if index != leader {
 					world.KillCore(index, true)
@@ -526,7 +526,7 @@
 			other := (leader + 1) % 3
 			if !world.Until(2*time.Second, func() bool {
 				for index, machine := range world.Cores {
-					if core := machine.life(world); index != leader && core.Leads() {
+					if core := machine.running(world); index != leader && core.Leads() {
 						other = index
 						return true
 					}
@@ -541,7 +541,7 @@
 					world.Cores[index].InternalAddress,
 					message.MethodRoutingChange,
 					500*time.Millisecond,
-					WholeChange(version, base),
+					NewRoutingChange(version, base),
 				)
 				return err
 			}
@@ -556,19 +556,25 @@
 				time.Second,
 				&message.RoutingReadRequest{},
 			); err == nil {
-				world.broke("the replaced leader read serial %d back", read.Serial)
+				world.reportViolation("the replaced leader read serial %d back", read.Serial)
 			}
-			_, err := rpc.Call(client, world.Cores[leader].InternalAddress, message.MethodRoutingChange, time.Second, WholeChange(3, 2))
+			_, err := rpc.Call(
+				client,
+				world.Cores[leader].InternalAddress,
+				message.MethodRoutingChange,
+				time.Second,
+				NewRoutingChange(3, 2),
+			)
 			if kind := rpc.CodeOf(err); kind == rpc.StaleBase {
-				world.broke("the replaced leader refused: %v", err)
+				world.reportViolation("the replaced leader refused: %v", err)
 			} else if kind != rpc.NotLeader && kind != rpc.NoLeader {
-				world.broke("the replaced leader answered %v", err)
+				world.reportViolation("the replaced leader answered %v", err)
 			} else {
 				refused++
 			}
 			client.Close()
 			world.report(test)
-			world.CloseFar()
+			world.CloseRegional()
 		}
 		test.Log(fmt.Sprint(refused, " sent on"))
 	})
--- a/harness/simulation/refuse_test.go
+++ b/harness/simulation/refuse_test.go
@@ -13,8 +13,8 @@
 // core votes and holds what was ordered meanwhile, without a restart.
 func TestCoreWithARefusingDiskStaysUp(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		world.farUp(test, 3)
 		version := uint64(1)
 		for _, kind := range []string{"leader refuses", "follower refuses", "leader is full", "restarted"} {
@@ -39,8 +39,8 @@
 			slowest := time.Duration(0)
 			for until := time.Now().Add(20 * time.Second); time.Now().Before(until); {
 				begin := time.Now()
-				if err := world.Put(version+1, version); err != nil {
-					world.broke("%s: %v", kind, err)
+				if err := world.PutRouting(version+1, version); err != nil {
+					world.reportViolation("%s: %v", kind, err)
 					break
 				}
 				version++
@@ -48,23 +48,23 @@
 				world.Rest(time.Second)
 			}
 			if slowest > 2*time.Second {
-				world.broke("%s: an order took %v", kind, slowest)
+				world.reportViolation("%s: an order took %v", kind, slowest)
 			}
 			if machine.goroutines.Stopping() {
-				world.broke("%s: the core ended", kind)
+				world.reportViolation("%s: the core ended", kind)
 				break
 			}
 			if machine.Core.CanVote() || world.Leader() == index {
-				world.broke("%s: votes %v, leads %v", kind, machine.Core.CanVote(), world.Leader() == index)
+				world.reportViolation("%s: votes %v, leads %v", kind, machine.Core.CanVote(), world.Leader() == index)
 			}
 			machine.Disk.Fail(false)
 			machine.Disk.Room(0)
 			if !world.Until(2*time.Second, func() bool { return machine.Core.CanVote() }) {
-				world.broke("%s: does not vote again", kind)
+				world.reportViolation("%s: does not vote again", kind)
 			}
 			world.Rest(time.Second)
 			if held := world.lasts(index); held < world.lasts((index+1)%3) {
-				world.broke("%s: holds serial %d on its disk, another %d", kind, held, world.lasts((index+1)%3))
+				world.reportViolation("%s: holds serial %d on its disk, another %d", kind, held, world.lasts((index+1)%3))
 			}
 		}
 		world.report(test)
@@ -75,30 +75,30 @@
 // does not send it the same values at each beat, and it catches up afterwards.
 func TestStalledDiskIsNotSentValuesAgainAndAgain(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		world.farUp(test, 3)
 		leader := world.calm(test)
 		index := (leader + 1) % 3
 		before := world.counted("copies_mended")
 		world.Cores[index].Disk.Stall(true)
 		for version := uint64(1); version < 9; version++ {
-			if err := world.Put(version+1, version); err != nil {
-				world.broke("%d: %v", version+1, err)
+			if err := world.PutRouting(version+1, version); err != nil {
+				world.reportViolation("%d: %v", version+1, err)
 			}
 			world.Rest(time.Second)
 		}
 		world.Rest(2 * time.Second)
 		if sent := world.counted("copies_mended") - before; sent > 10 {
-			world.broke("values sent %d times to a disk that does not answer", sent)
+			world.reportViolation("values sent %d times to a disk that does not answer", sent)
 		}
 		if world.Leader() != leader {
-			world.broke("the lead moved from %d to %d", leader, world.Leader())
+			world.reportViolation("the lead moved from %d to %d", leader, world.Leader())
 		}
 		world.Cores[index].Disk.Stall(false)
 		world.Rest(2 * time.Second)
 		if world.lasts(index) != world.lasts(leader) {
-			world.broke("holds serial %d, the leader %d", world.lasts(index), world.lasts(leader))
+			world.reportViolation("holds serial %d, the leader %d", world.lasts(index), world.lasts(leader))
 		}
 		world.report(test)
 	})
@@ -108,21 +108,21 @@
 // more are made: it goes on leading and soon holds itself what the others took.
 func TestLeaderHoldsWhatItsStalledDiskMissed(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		world.farUp(test, 3)
 		leader := world.calm(test)
 		world.Cores[leader].Disk.Stall(true)
 		for version := uint64(1); version < 5; version++ {
-			if err := world.Put(version+1, version); err != nil {
-				world.broke("%d: %v", version+1, err)
+			if err := world.PutRouting(version+1, version); err != nil {
+				world.reportViolation("%d: %v", version+1, err)
 			}
 			world.Rest(time.Second)
 		}
 		world.Cores[leader].Disk.Stall(false)
 		world.Rest(time.Second)
 		if now := world.Leader(); now != leader || world.lasts(leader) != world.lasts((leader+1)%3) {
-			world.broke(
+			world.reportViolation(
 				"core %d led and %d leads; holds serial %d, another %d",
 				leader,
 				now,
--- a/harness/simulation/regions.go
+++ b/harness/simulation/regions.go
@@ -19,30 +19,30 @@
 )
 
 const (
-	farBeat    = 150 * time.Millisecond
-	farSuspect = 750 * time.Millisecond
-	farWay     = 55 * time.Millisecond
-	farReplace = time.Second
+	regionalHeartbeat    = 150 * time.Millisecond
+	regionalSuspicion    = 750 * time.Millisecond
+	interRegionDelay     = 55 * time.Millisecond
+	regionalReplaceAfter = time.Second
 
-	// drawsApart keeps the random draws of cores different, as the program's are.
-	drawsApart = 7919
-	farSession = 500 * time.Millisecond
+	// seedStride gives each core a different random sequence, as in production.
+	seedStride      = 7919
+	regionalSession = 500 * time.Millisecond
 )
 
-// FarDaemon is a daemon without a data plane.
-type FarDaemon struct {
-	Name     string
-	Host     string
-	Region   int
-	Daemon   *agent.Daemon
-	Counters *metrics.Counters
-	Alive    bool
-	Jump     int64
-	Seeds    []string
-	// inForce is the version of the routing that the data plane serves by.
+// RegionalDaemon is a daemon without a data plane.
+type RegionalDaemon struct {
+	Name          string
+	Host          string
+	Region        int
+	Daemon        *agent.Daemon
+	Counters      *metrics.Counters
+	Alive         bool
+	ClockOffsetMs int64
+	Seeds         []string
+	// inForce is the routing version that a data plane would serve.
 	inForce atomic.Uint64
-	// OnVersion, if it is set, is called with each version that is put in force, and
-	// Rollouts returns what is counted for roll-outs.
+	// OnVersion, if set, is called with each applied version; Rollouts returns the roll-out
+	// counts.
 	OnVersion func(version *agent.Version)
 	Rollouts  func() []message.RolloutCounts
 
@@ -51,12 +51,12 @@
 	client     *rpc.Client
 }
 
-// NewFarWorld is a system in three regions far from each other, whose cores
-// find each other by seeds and whose daemons hear news from the cores themselves.
-func NewFarWorld(seed uint64, cores int) *World {
+// NewRegionalWorld returns a deployment in three distant regions. Its cores find each other
+// through seeds, and its daemons keep sessions with the cores directly.
+func NewRegionalWorld(seed uint64, cores int) *World {
 	world := NewWorld(seed, cores)
 	world.Intervals = agent.Intervals{
-		Session:    farSession,
+		Session:    regionalSession,
 		Watch:      2500 * time.Millisecond,
 		FindLeader: 100 * time.Millisecond,
 		Pulse:      500 * time.Millisecond,
@@ -67,142 +67,142 @@
 		machine.Host = fmt.Sprintf("10.%d.0.%d", 10*(index%3), index+1)
 		machine.InternalAddress, machine.OperatorAddress = machine.Host+":41", machine.Host+":42"
 	}
-	world.Seeds = wires(world.Cores[:seedCount])
+	world.Seeds = internalAddresses(world.Cores[:seedCount])
 	region := func(host string) string {
 		first, _, _ := strings.Cut(strings.TrimPrefix(host, "10."), ".")
 		return first
 	}
-	world.Net.Lag(func(from, to string) time.Duration {
+	world.Net.SetLag(func(from, to string) time.Duration {
 		if region(from) == region(to) {
 			return 0
 		}
-		return farWay
+		return interRegionDelay
 	})
-	world.Shape = world.farPlace
+	world.AdjustCoreConfig = world.regionalCoreConfig
 	return world
 }
 
-func (world *World) farPlace(machine *Core, config *control.Config) {
+func (world *World) regionalCoreConfig(machine *Core, config *control.Config) {
 	config.ID, config.Peers, config.PlatformAddress = 0, nil, ""
-	config.Seed += uint64(machine.ID) * drawsApart
-	config.Name, config.Bootstrap, config.MinFounders = machine.Host, !machine.wiped, 3
-	config.Seeds = world.seedsFor(&machine.Seeds)
-	config.HeartbeatInterval, config.SuspicionTimeout, config.TableInterval = farBeat, farSuspect, 250*time.Millisecond
-	config.ReplaceAfter = farReplace
+	config.Seed += uint64(machine.ID) * seedStride
+	config.Name, config.Bootstrap, config.MinFounders = machine.Host, !machine.emptyDisk, 3
+	config.Seeds = world.seedsOf(&machine.Seeds)
+	config.HeartbeatInterval, config.SuspicionTimeout, config.TableInterval = regionalHeartbeat, regionalSuspicion, 250*time.Millisecond
+	config.ReplaceAfter = regionalReplaceAfter
 	config.DirectSessions, config.SessionTTL = true, 2500*time.Millisecond
-	config.ListBackends, config.ListsUntilGone = world.lists, 2
+	config.ListBackends, config.ListsUntilGone = world.listBackends, 2
 	config.ListZones = world.ListZones
 	config.Metering = world.Metering
 }
 
-// seedsFor gives a process the seeds that its settings name; those that it is told
-// at its first start stay the same until TurnSeeds.
-func (world *World) seedsFor(response *[]string) []string {
+// seedsOf returns the seeds in a process's settings. They are set at its first start and
+// then stay the same until SetSeeds.
+func (world *World) seedsOf(stored *[]string) []string {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	if *response == nil {
-		*response = world.Seeds
+	if *stored == nil {
+		*stored = world.Seeds
 	}
-	return append([]string{}, *response...)
+	return append([]string{}, *stored...)
 }
 
-// lists is an empty list of backends unless the world has its own.
-func (world *World) lists(_ context.Context, page discovery.PageRequest) discovery.Page {
-	if world.Listed == nil {
+// listBackends returns no backends unless ListBackends is set.
+func (world *World) listBackends(_ context.Context, page discovery.PageRequest) discovery.Page {
+	if world.ListBackends == nil {
 		return discovery.Page{}
 	}
-	return world.Listed(page)
+	return world.ListBackends(page)
 }
 
-// AddMember lays out a daemon of a region; StartMember starts it.
-func (world *World) AddMember(region int) *FarDaemon {
+// AddMember adds a daemon in a region; StartMember starts it.
+func (world *World) AddMember(region int) *RegionalDaemon {
 	index := len(world.Members)
-	one := &FarDaemon{Name: fmt.Sprintf("member-%d", index), Host: fmt.Sprintf("10.%d.1.%d", 10*region, index+1), Region: region}
-	world.Members = append(world.Members, one)
-	return one
+	member := &RegionalDaemon{Name: fmt.Sprintf("member-%d", index), Host: fmt.Sprintf("10.%d.1.%d", 10*region, index+1), Region: region}
+	world.Members = append(world.Members, member)
+	return member
 }
 
-// StartMember starts a daemon that AddMember laid out.
-func (world *World) StartMember(one *FarDaemon) {
-	spot := agent.Config{
-		Name:            one.Name,
+// StartMember starts a daemon that AddMember returned.
+func (world *World) StartMember(member *RegionalDaemon) {
+	config := agent.Config{
+		Name:            member.Name,
 		Kind:            message.ProxyKind,
-		Zone:            fmt.Sprint("z", one.Region),
-		InternalAddress: one.Host + ":41",
-		PublicAddress:   one.Host + ":80",
-		OperatorAddress: one.Host + ":42",
+		Zone:            fmt.Sprint("z", member.Region),
+		InternalAddress: member.Host + ":41",
+		PublicAddress:   member.Host + ":80",
+		OperatorAddress: member.Host + ":42",
 		Intervals:       world.Intervals,
 		ForwardLimits:   world.Limits,
 		DirectSessions:  true,
 		ServesAlone:     true,
 		Routed:          true,
-		Wall:            func() int64 { return time.Now().UnixMilli() + one.Jump },
+		Wall:            func() int64 { return time.Now().UnixMilli() + member.ClockOffsetMs },
 	}
-	spot.Seeds = world.seedsFor(&one.Seeds)
-	one.goroutines, one.Counters = concurrent.NewGroup(), metrics.NewCounters()
-	one.client = rpc.NewClient(world.Net.Transport(one.Host))
-	one.Daemon = agent.NewDaemon(spot, agent.NewID(), one.client, one.goroutines, one.Counters)
+	config.Seeds = world.seedsOf(&member.Seeds)
+	member.goroutines, member.Counters = concurrent.NewGroup(), metrics.NewCounters()
+	member.client = rpc.NewClient(world.Net.Transport(member.Host))
+	member.Daemon = agent.NewDaemon(config, agent.NewID(), member.client, member.goroutines, member.Counters)
 	last := uint64(0)
-	one.inForce.Store(0)
-	one.Daemon.OnVersion(func(version *agent.Version) {
+	member.inForce.Store(0)
+	member.Daemon.OnVersion(func(version *agent.Version) {
 		if version.Servable() {
-			one.inForce.Store(version.Routing.Config.Version)
+			member.inForce.Store(version.Routing.Config.Version)
 		}
 		if version.RoutingSerial < last {
-			world.broke("%s slid from routing %d to %d", one.Name, last, version.RoutingSerial)
+			world.reportViolation("%s went back from routing version %d to %d", member.Name, last, version.RoutingSerial)
 		}
 		last = version.RoutingSerial
-		if one.OnVersion != nil {
-			one.OnVersion(version)
+		if member.OnVersion != nil {
+			member.OnVersion(version)
 		}
 	}, nil)
-	if one.Rollouts != nil {
-		one.Daemon.SetRollouts(one.Rollouts)
+	if member.Rollouts != nil {
+		member.Daemon.SetRollouts(member.Rollouts)
 	}
-	if world.Requests != nil {
-		one.Daemon.SetWindows(func() []message.WindowCount { return world.Requests(one) })
+	if world.RequestCounts != nil {
+		member.Daemon.SetWindows(func() []message.WindowCount { return world.RequestCounts(member) })
 	}
-	world.Net.Vanish(one.Host, false)
-	server := rpc.NewServer(one.Counters)
-	one.Daemon.Register(server)
-	one.server = world.serve(one.goroutines, spot.InternalAddress, server)
-	one.Alive = true
-	one.Daemon.Run()
+	world.Net.Blackhole(member.Host, false)
+	server := rpc.NewServer(member.Counters)
+	member.Daemon.Register(server)
+	member.server = world.serve(member.goroutines, config.InternalAddress, server)
+	member.Alive = true
+	member.Daemon.Run()
 }
 
-// KillMember ends a daemon as a crash does.
-func (world *World) KillMember(one *FarDaemon) {
-	if !world.ends(&one.Alive) {
+// KillMember simulates a crash of the daemon's process.
+func (world *World) KillMember(member *RegionalDaemon) {
+	if !world.markStopped(&member.Alive) {
 		return
 	}
-	world.Net.Kill(one.Host)
-	one.goroutines.Stop()
-	_ = one.server.Close() // its listener is the net's
-	one.client.Close()
+	world.Net.Kill(member.Host)
+	member.goroutines.Stop()
+	_ = member.server.Close() // the network has closed its listener
+	member.client.Close()
 }
 
-// PowerOffMember ends a daemon as a loss of power does: nobody hears of it, and whoever
-// connects to its machine waits until StartMember.
-func (world *World) PowerOffMember(one *FarDaemon) {
-	if !world.ends(&one.Alive) {
+// PowerOffMember simulates a power loss of the daemon's machine: its connections hang, and
+// so do attempts to connect until StartMember.
+func (world *World) PowerOffMember(member *RegionalDaemon) {
+	if !world.markStopped(&member.Alive) {
 		return
 	}
-	world.Net.Vanish(one.Host, true)
-	one.goroutines.Stop()
-	_ = one.server.Close() // its listener is the net's
-	one.client.Close()
+	world.Net.Blackhole(member.Host, true)
+	member.goroutines.Stop()
+	_ = member.server.Close() // the network has closed its listener
+	member.client.Close()
 }
 
-// CloseFar ends the members, then all else.
-func (world *World) CloseFar() {
-	for _, one := range world.Members {
-		world.KillMember(one)
+// CloseRegional stops the members, then closes the world.
+func (world *World) CloseRegional() {
+	for _, member := range world.Members {
+		world.KillMember(member)
 	}
 	world.Close()
 }
 
-// Routing is a small one for worlds.
-func Routing(version uint64) *routing.Config {
+// NewRoutingConfig returns a small routing configuration for tests.
+func NewRoutingConfig(version uint64) *routing.Config {
 	return &routing.Config{
 		Version:  version,
 		Services: []routing.Service{{Name: "desk"}},
@@ -221,33 +221,36 @@
 	}
 }
 
-// NewState is a small routing as the register holds it.
-func NewState(version uint64) *routing.State { return &routing.State{Config: *Routing(version)} }
+// NewRoutingState returns the state that the routing register holds for that configuration.
+func NewRoutingState(version uint64) *routing.State {
+	return &routing.State{Config: *NewRoutingConfig(version)}
+}
 
-// WholeChange is an operator's order of a whole routing on top of a version.
-func WholeChange(version, base uint64) *message.RoutingChangeRequest {
+// NewRoutingChange returns an operator's request to replace the routing of version base.
+func NewRoutingChange(version, base uint64) *message.RoutingChangeRequest {
 	body, _ := rpc.Marshal(
-		&routing.Change{Version: version, Base: base, Digest: fmt.Sprintf("%d on %d", version, base), Whole: Routing(version)},
+		&routing.Change{Version: version, Base: base, Digest: fmt.Sprintf("%d on %d", version, base), Whole: NewRoutingConfig(version)},
 	)
 	return &message.RoutingChangeRequest{Body: body}
 }
 
-// order sends an order by some holds in turn until it has an answer that ends it.
-func order[Request, Response any](
+// forward sends a request through the forwarders in turn until it gets a final response.
+func forward[Request, Response any](
 	world *World,
-	holds []*agent.Forwarder,
+	forwarders []*agent.Forwarder,
 	method rpc.Method[Request, Response],
 	request *Request,
 ) (*Response, error) {
-	return again(world, holds, func(forwarder *agent.Forwarder) (*Response, error) {
+	return retry(world, forwarders, func(forwarder *agent.Forwarder) (*Response, error) {
 		return agent.Forward(forwarder, method, request)
 	})
 }
 
-// again sends by some holds in turn until there is an answer that ends it.
-func again[Told any](world *World, holds []*agent.Forwarder, send func(*agent.Forwarder) (*Told, error)) (*Told, error) {
+// retry calls send with the forwarders in turn until there is a final response: success, an
+// error without a retry time, or the 22nd error.
+func retry[Response any](world *World, forwarders []*agent.Forwarder, send func(*agent.Forwarder) (*Response, error)) (*Response, error) {
 	for try := 0; ; try++ {
-		response, err := send(holds[try%len(holds)])
+		response, err := send(forwarders[try%len(forwarders)])
 		if err == nil || rpc.AsError(err).RetryAfterMs == 0 || try > 20 {
 			return response, err
 		}
@@ -255,49 +258,50 @@
 	}
 }
 
-func (world *World) holds() []*agent.Forwarder {
-	holds := []*agent.Forwarder{}
+func (world *World) forwarders() []*agent.Forwarder {
+	forwarders := []*agent.Forwarder{}
 	for _, machine := range world.machines() {
-		if forwarder := machine.hold(world); forwarder != nil {
-			holds = append(holds, forwarder)
+		if forwarder := machine.runningForwarder(world); forwarder != nil {
+			forwarders = append(forwarders, forwarder)
 		}
 	}
-	return holds
+	return forwarders
 }
 
-// Put sends a routing until it is taken or refused.
-func (world *World) Put(version, base uint64) error {
-	_, err := order(world, world.holds(), message.MethodRoutingChange, WholeChange(version, base))
+// PutRouting sends a routing until it is accepted or rejected.
+func (world *World) PutRouting(version, base uint64) error {
+	_, err := forward(world, world.forwarders(), message.MethodRoutingChange, NewRoutingChange(version, base))
 	return err
 }
 
-// Evacuate sends an order on a zone until it is acknowledged or refused.
+// Evacuate begins or ends the evacuation of a zone; it retries until the request is
+// acknowledged or rejected.
 func (world *World) Evacuate(zone string, begin bool) error {
-	_, err := world.evacuateBy(world.holds(), zone, begin)
+	_, err := world.evacuateThrough(world.forwarders(), zone, begin)
 	return err
 }
 
-func (world *World) evacuateBy(holds []*agent.Forwarder, zone string, begin bool) (*message.EvacuateResponse, error) {
-	return again(world, holds, func(forwarder *agent.Forwarder) (*message.EvacuateResponse, error) {
+func (world *World) evacuateThrough(forwarders []*agent.Forwarder, zone string, begin bool) (*message.EvacuateResponse, error) {
+	return retry(world, forwarders, func(forwarder *agent.Forwarder) (*message.EvacuateResponse, error) {
 		return agent.Evacuate(context.Background(), forwarder, zone, begin)
 	})
 }
 
-// OrderRollout sends an order for a roll-out until it is acknowledged or refused.
+// OrderRollout sends a roll-out order until it is acknowledged or rejected.
 func (world *World) OrderRollout(order message.RolloutOrder) (*message.RolloutOrderResponse, error) {
-	return again(world, world.holds(), func(forwarder *agent.Forwarder) (*message.RolloutOrderResponse, error) {
+	return retry(world, world.forwarders(), func(forwarder *agent.Forwarder) (*message.RolloutOrderResponse, error) {
 		return agent.OrderRollout(context.Background(), forwarder, order)
 	})
 }
 
-// ReadRollout reads the confirmed newest roll-out of a service.
+// ReadRollout reads the confirmed state of the newest roll-out of a service.
 func (world *World) ReadRollout(service string) (*message.RolloutReadResponse, error) {
-	return order(world, world.holds(), message.MethodRolloutRead, &message.RolloutReadRequest{Service: service})
+	return forward(world, world.forwarders(), message.MethodRolloutRead, &message.RolloutReadRequest{Service: service})
 }
 
-// Book reads the confirmed routing back.
-func (world *World) Book() (*routing.State, error) {
-	response, err := order(world, world.holds(), message.MethodRoutingRead, &message.RoutingReadRequest{})
+// ReadRouting reads the confirmed routing.
+func (world *World) ReadRouting() (*routing.State, error) {
+	response, err := forward(world, world.forwarders(), message.MethodRoutingRead, &message.RoutingReadRequest{})
 	if err != nil {
 		return nil, err
 	}
--- a/harness/simulation/regions_test.go
+++ b/harness/simulation/regions_test.go
@@ -33,7 +33,7 @@
 		racer.mutex.Unlock()
 	}()
 	holds := func() []*agent.Forwarder {
-		all := world.holds()
+		all := world.forwarders()
 		for _, one := range world.Members {
 			all = append(all, one.Daemon.Forwarder)
 		}
@@ -45,31 +45,31 @@
 		world.Rest(time.Duration(random.IntN(300)) * time.Millisecond)
 		if random.IntN(4) == 0 {
 			begin := random.IntN(2) == 0
-			_, err := world.evacuateBy(holds(), zone, begin)
+			_, err := world.evacuateThrough(holds(), zone, begin)
 			racer.mutex.Lock()
 			racer.zones[zone], racer.unsure[zone] = begin, err != nil
 			racer.mutex.Unlock()
 			continue
 		}
-		response, err := order(world, holds(), message.MethodRoutingRead, &message.RoutingReadRequest{})
+		response, err := forward(world, holds(), message.MethodRoutingRead, &message.RoutingReadRequest{})
 		if err != nil {
 			continue
 		}
 		state, err := routing.DecodeState(response.Body)
 		if err != nil {
-			world.broke("read back: %v", err)
+			world.reportViolation("read back: %v", err)
 			return
 		}
 		base := state.Config.Version
 		racer.mutex.Lock()
 		for version := range racer.acked {
 			if version > base && racer.acked[version] < base {
-				world.broke("%d on %d was acknowledged, then %d read", version, racer.acked[version], base)
+				world.reportViolation("%d on %d was acknowledged, then %d read", version, racer.acked[version], base)
 			}
 		}
 		racer.mutex.Unlock()
 		version := base + 1 + uint64(random.IntN(3))*3 + uint64(number)
-		if _, err := order(world, holds(), message.MethodRoutingChange, WholeChange(version, base)); err == nil {
+		if _, err := forward(world, holds(), message.MethodRoutingChange, NewRoutingChange(version, base)); err == nil {
 			racer.mutex.Lock()
 			racer.acked[version] = base
 			racer.mutex.Unlock()
@@ -81,9 +81,9 @@
 // what they were told lasts, no base is built on twice, and members follow.
 func TestFarChaosKeepsWhatOperatorsWereTold(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3+2*int(seed%2))
+		world := NewRegionalWorld(seed, 3+2*int(seed%2))
 		meters := newMeters(world)
-		defer world.CloseFar()
+		defer world.CloseRegional()
 		world.farUp(test, 4)
 		racers := &racer{world: world, acked: map[uint64]uint64{}, zones: map[string]bool{}, unsure: map[string]bool{}}
 		stop := false
@@ -106,7 +106,7 @@
 		faults := world.RandomFaults()
 		for until := time.Now().Add(2 * chaosSpan()); time.Now().Before(until); {
 			faults.Inject(CoreFaults[faults.random.IntN(len(CoreFaults))], faults.random.IntN(len(world.Cores)))
-			world.Rest(faults.span(100*time.Millisecond, 4*time.Second))
+			world.Rest(faults.randomSpan(100*time.Millisecond, 4*time.Second))
 		}
 		racers.mutex.Lock()
 		stop = true
@@ -114,7 +114,7 @@
 		if !world.Until(60*time.Second, func() bool { racers.mutex.Lock(); defer racers.mutex.Unlock(); return racers.ended == 3 }) {
 			test.Fatal("operators have no answer")
 		}
-		state, err := world.Book()
+		state, err := world.ReadRouting()
 		if err != nil {
 			test.Fatal(err)
 		}
@@ -124,10 +124,10 @@
 		}
 		for version, base := range racers.acked {
 			if !applied[version] {
-				world.broke("%d on %d was acknowledged and is not in the trail", version, base)
+				world.reportViolation("%d on %d was acknowledged and is not in the trail", version, base)
 			}
 			if other, found := bases[base]; found {
-				world.broke("%d and %d were both acknowledged on %d", other, version, base)
+				world.reportViolation("%d and %d were both acknowledged on %d", other, version, base)
 			}
 			bases[base] = version
 		}
@@ -137,24 +137,24 @@
 				held = held || one == zone
 			}
 			if held != emptied && !racers.unsure[zone] {
-				world.broke("%s emptied %v, read back %v", zone, emptied, state.Evacuated)
+				world.reportViolation("%s emptied %v, read back %v", zone, emptied, state.Evacuated)
 			}
 		}
 		if took, whole := world.reached(state.Config.Version, 4*time.Second); !whole {
-			world.broke("routing %d is not everywhere after %v", state.Config.Version, took)
+			world.reportViolation("routing %d is not everywhere after %v", state.Config.Version, took)
 		}
 		if len(racers.acked) < 15 {
-			world.broke("only %d routings were acknowledged", len(racers.acked))
+			world.reportViolation("only %d routings were acknowledged", len(racers.acked))
 		}
 		if held := world.rosters(); len(held) != 1 {
-			world.broke("%v", held)
+			world.reportViolation("%v", held)
 		}
 		test.Logf(
 			"%d acknowledged, %d leaderships, %d windows told, faults %v",
 			len(racers.acked),
-			len(world.Leads),
+			len(world.Leaderships),
 			meters.windowsTold(),
-			faults.Done,
+			faults.Injected,
 		)
 		world.report(test)
 	})
--- a/harness/simulation/relay_test.go
+++ b/harness/simulation/relay_test.go
@@ -15,7 +15,7 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		world.up(test, 30)
-		ledger := world.Operators(1, 700*time.Millisecond)
+		ledger := world.StartOperators(1, 700*time.Millisecond)
 		random := rand.New(rand.NewPCG(seed, 53))
 		frozen := map[*Daemon]bool{}
 		for range 12 {
@@ -37,7 +37,7 @@
 		world.judge(ledger)
 		world.settled(ledger, frozen)
 		if len(ledger.Acked) < 5 {
-			world.broke("only %d changes", len(ledger.Acked))
+			world.reportViolation("only %d changes", len(ledger.Acked))
 		}
 		world.report(test)
 	})
@@ -54,7 +54,7 @@
 		}
 		return true
 	}) {
-		world.broke("serial %d is not in force everywhere after 4 s", last)
+		world.reportViolation("serial %d is not in force everywhere after 4 s", last)
 	}
 	world.Rest(500 * time.Millisecond)
 }
--- a/harness/simulation/removal_test.go
+++ b/harness/simulation/removal_test.go
@@ -46,7 +46,7 @@
 // the founding cores alone.
 func (world *World) reportWithSpares(test *testing.T) {
 	test.Helper()
-	for _, broken := range world.Broken {
+	for _, broken := range world.Violations {
 		if !strings.Contains(broken, " leads under ") {
 			test.Error(broken)
 		}
