--- a/harness/simulation/replace.go
+++ b/harness/simulation/replace.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// seedCount is how many seeds a process is told.
+// seedCount is the number of seeds in a process's settings.
 const seedCount = 3
 
-// AddCore starts a core more, on a new machine at a new address with an empty
-// disk; its seeds are those that the operators' list holds now.
+// AddCore starts an additional core on a new machine with a new address and an empty disk.
+// Its seeds come from the operators' current list.
 func (world *World) AddCore(region int) int {
-	machine := world.newcomer(region, world.operatorSeeds())
+	machine := world.newMachine(region, world.operatorSeeds())
 	world.mutex.Lock()
 	index := len(world.Cores)
 	world.Cores = append(world.Cores, machine)
 	world.mutex.Unlock()
-	world.start(machine)
+	world.startMachine(machine)
 	return index
 }
 
-// newcomer lays out a machine that was not there at the founding.
-func (world *World) newcomer(region int, seeds []string) *Core {
+// newMachine returns a machine that was not part of the initial deployment.
+func (world *World) newMachine(region int, seeds []string) *Core {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	world.laidOut++
-	id := world.laidOut
+	world.machinesCreated++
+	id := world.machinesCreated
 	machine := newCore(id, fmt.Sprintf("10.%d.2.%d", 10*region, id), NewDisk(world.Seed+uint64(id)*31))
-	machine.Seeds, machine.wiped = seeds, true
+	machine.Seeds, machine.emptyDisk = seeds, true
 	return machine
 }
 
-// operatorSeeds are three machines of the operators' list as it was before
-// anything of it ended: it lags, so that it may name dead machines, but not only such.
+// operatorSeeds returns three random machines of the operators' list. The list is outdated:
+// it may name removed machines, but not only those.
 func (world *World) operatorSeeds() []string {
 	machines := world.machines()
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	world.replacing.Shuffle(len(machines), func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
+	world.seedRandom.Shuffle(len(machines), func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
 	seeds := machines[:min(seedCount, len(machines))]
 	if !slices.ContainsFunc(seeds, func(machine *Core) bool { return !machine.gone }) {
 		if alive := slices.IndexFunc(machines, func(machine *Core) bool { return !machine.gone }); alive >= 0 {
 			seeds[0] = machines[alive]
 		}
 	}
-	return wires(seeds)
+	return internalAddresses(seeds)
 }
 
-func wires(machines []*Core) []string {
+func internalAddresses(machines []*Core) []string {
 	addresses := []string{}
 	for _, machine := range machines {
 		addresses = append(addresses, machine.InternalAddress)
@@ -56,101 +56,101 @@
 	return addresses
 }
 
-// TurnSeeds names other seeds to all processes that start from now on.
-func (world *World) TurnSeeds(seeds ...string) {
+// SetSeeds replaces the seeds in the settings of all processes that start from now on.
+func (world *World) SetSeeds(seeds ...string) {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	world.Seeds = append([]string{}, seeds...)
 	for _, machine := range world.Cores {
 		machine.Seeds = world.Seeds
 	}
-	for _, one := range world.Members {
-		one.Seeds = world.Seeds
+	for _, member := range world.Members {
+		member.Seeds = world.Seeds
 	}
 }
 
-// LoseCore ends a machine for good: its connections hang, and its disk is lost
-// but for what ReturnRemoved gives back.
+// LoseCore permanently removes a machine: its connections hang, and its disk is lost unless
+// ReturnRemoved brings it back.
 func (world *World) LoseCore(index int) *Core {
 	machine := world.machine(index)
-	world.vanish(machine)
+	world.removeForGood(machine)
 	return machine
 }
 
-func (world *World) vanish(machine *Core) {
-	vanish := func(host string) { world.Net.Vanish(host, true) }
-	world.end(machine, true, vanish)
-	vanish(machine.Host)
+func (world *World) removeForGood(machine *Core) {
+	blackhole := func(host string) { world.Net.Blackhole(host, true) }
+	world.stopProcess(machine, true, blackhole)
+	blackhole(machine.Host)
 	world.mutex.Lock()
 	machine.gone = true
 	world.mutex.Unlock()
 }
 
-// ReplaceCore loses a machine for good; an empty one starts the gap later at
-// another address and takes its index.
+// ReplaceCore permanently removes a machine. An empty one at another address takes its index
+// and starts gap later.
 func (world *World) ReplaceCore(index int, gap time.Duration) *Core {
 	seeds := world.operatorSeeds()
 	world.LoseCore(index)
 	world.Rest(gap)
-	return world.Fill(index, seeds)
+	return world.StartReplacement(index, seeds)
 }
 
-// Fill starts an empty machine at another address in the place of one that is
-// gone or about to leave. No seeds given: those of the operators' list.
-func (world *World) Fill(index int, seeds []string) *Core {
+// StartReplacement starts an empty machine at another address in place of one that is removed
+// or about to leave. Nil seeds stand for those of the operators' list.
+func (world *World) StartReplacement(index int, seeds []string) *Core {
 	former := world.machine(index)
 	if seeds == nil {
 		seeds = world.operatorSeeds()
 	}
-	machine := world.newcomer(former.region(), seeds)
+	machine := world.newMachine(former.region(), seeds)
 	world.mutex.Lock()
 	world.Removed = append(world.Removed, former)
 	world.Cores[index] = machine
 	world.mutex.Unlock()
-	world.start(machine)
+	world.startMachine(machine)
 	return machine
 }
 
-// ReplaceCorePlanned starts the new machine first; the gap later the old one gets
-// SIGTERM, and does not come back.
+// ReplaceCorePlanned starts the new machine first. The old one gets SIGTERM gap later and
+// does not return.
 func (world *World) ReplaceCorePlanned(index int, gap time.Duration) (leaving, newcomer *Core) {
 	leaving = world.machine(index)
-	newcomer = world.Fill(index, nil)
+	newcomer = world.StartReplacement(index, nil)
 	world.Rest(gap)
 	world.Leave(leaving)
 	return leaving, newcomer
 }
 
-// Leave ends a machine by SIGTERM, for good.
+// Leave terminates a machine by SIGTERM and permanently removes it.
 func (world *World) Leave(machine *Core) {
-	world.term(machine)
-	world.vanish(machine)
+	world.terminate(machine)
+	world.removeForGood(machine)
 }
 
-// ReturnRemoved starts a machine that was removed, with its old disk and seeds.
+// ReturnRemoved restarts a replaced machine with its old disk and seeds.
 func (world *World) ReturnRemoved(index int) *Core {
 	world.mutex.Lock()
 	machine := world.Removed[index]
 	machine.gone = false
 	machine.returned = true
 	world.mutex.Unlock()
-	world.Net.Vanish(machine.Host, false)
-	world.start(machine)
+	world.Net.Blackhole(machine.Host, false)
+	world.startMachine(machine)
 	return machine
 }
 
-// removed are the machines that were replaced, the first one first.
+// removed returns the replaced machines, oldest replacement first.
 func (world *World) removed() []*Core {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	return append([]*Core{}, world.Removed...)
 }
 
-// region is the number of the region that a far core stands in.
+// region returns the region number of a core of a regional world.
 func (machine *Core) region() int {
 	region := 0
 	if _, err := fmt.Sscanf(machine.Host, "10.%d.", &region); err != nil {
-		panic(fmt.Sprintf("%s is no far core's host: %v", machine.Host, err))
+		panic(fmt.Sprintf("%s is not the host of a regional core: %v", machine.Host, err))
 	}
 	return region / 10
 }
--- a/harness/simulation/replace_run_test.go
+++ b/harness/simulation/replace_run_test.go
@@ -95,7 +95,7 @@
 func (side *replacer) Run(span time.Duration) {
 	for until := time.Now().Add(span); time.Now().Before(until); {
 		kind := side.kinds[side.random.IntN(len(side.kinds))]
-		side.chaos.Done[kind]++
+		side.chaos.Injected[kind]++
 		side.Inject(kind)
 		if side.random.IntN(3) > 0 {
 			side.world.Rest(side.span(200, 6000))
@@ -112,7 +112,7 @@
 		}
 		side.world.Rest(side.span(300, 2500))
 		for _, index := range indexes {
-			side.world.Fill(index, seeds)
+			side.world.StartReplacement(index, seeds)
 		}
 	})
 	side.turnSeeds()
@@ -122,7 +122,7 @@
 func (side *replacer) replacePlanned(index int) {
 	side.lose([]int{index}, nil, func() {
 		leaving := side.world.machine(index)
-		side.world.Fill(index, nil)
+		side.world.StartReplacement(index, nil)
 		side.world.Rest(side.span(50, 2000))
 		side.world.Leave(leaving)
 	})
@@ -136,7 +136,7 @@
 		seeds := world.operatorSeeds()
 		world.LoseCore(index)
 		world.Rest(side.span(300, 2500))
-		world.Fill(index, seeds)
+		world.StartReplacement(index, seeds)
 		world.Rest(side.span(10, 2000))
 		world.killAll(true, side.random.IntN(2) == 0)
 		world.Rest(side.span(10, 1000))
@@ -158,7 +158,7 @@
 	}
 	machine := side.world.ReturnRemoved(removed[side.random.IntN(len(removed))])
 	side.world.Rest(side.span(500, 9000))
-	side.world.vanish(machine)
+	side.world.removeForGood(machine)
 }
 
 // hasSeat is whether a disk of the deployment still counts a machine's vote.
@@ -173,14 +173,14 @@
 
 // turnSeeds names three of the cores there are to all that start from now on.
 func (side *replacer) turnSeeds() {
-	side.world.TurnSeeds(side.world.operatorSeeds()...)
+	side.world.SetSeeds(side.world.operatorSeeds()...)
 }
 
 // cutOff cuts a core from all others and from the members, for 20 s at most.
 func (side *replacer) cutOff(index int, from, to bool) {
 	world, machine := side.world, side.world.machine(index)
 	hosts := []string{}
-	for _, other := range world.everyMachine() {
+	for _, other := range world.allMachines() {
 		if other != machine {
 			hosts = append(hosts, other.Host)
 		}
@@ -207,9 +207,9 @@
 	for index := range side.world.Cores {
 		machine := side.world.machine(index)
 		side.lose([]int{index}, nil, func() {
-			side.world.term(machine)
+			side.world.terminate(machine)
 			side.world.Rest(side.span(50, 1500))
-			side.world.start(machine)
+			side.world.startMachine(machine)
 		})
 	}
 }
@@ -226,14 +226,14 @@
 		count = *seeds
 	}
 	eachOf(test, count, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, []int{3, 5, 3, 5, 4}[seed%5])
+		world := NewRegionalWorld(seed, []int{3, 5, 3, 5, 4}[seed%5])
 		side := world.Control()
 		side.losesAnswers = true
-		defer world.CloseFar()
+		defer world.CloseRegional()
 		world.farUp(test, 6)
 		world.Rest(contactSpan)
 		side.begin()
-		losses := world.Losses(syncSpan)
+		losses := world.NewLossBudget(syncSpan)
 		hard, links := &replacer{
 			side.injector(0, ReplacementFaults, SurvivedCoreFaults),
 		}, side.injector(
@@ -258,8 +258,8 @@
 			"%d cores, %d removed, faults %v, beside them %v",
 			len(world.Cores),
 			len(world.Removed),
-			hard.chaos.Done,
-			links.chaos.Done,
+			hard.chaos.Injected,
+			links.chaos.Injected,
 		)
 		world.report(test)
 	})
--- a/harness/simulation/replace_test.go
+++ b/harness/simulation/replace_test.go
@@ -25,7 +25,7 @@
 				one.restUntil(started.Add(syncSpan))
 				second := one.after(lost, 1+int(seed)%(cores-1))
 				one.survives("replaced", second)
-				one.Fill(second, nil)
+				one.StartReplacement(second, nil)
 				one.Rest(syncSpan)
 				one.settled("replaced again")
 				one.end()
@@ -43,7 +43,7 @@
 				former := one.after(one.leader(), offset)
 				begin := time.Now()
 				one.ReplaceCorePlanned(former, one.span(50*time.Millisecond, 1500*time.Millisecond))
-				if took := time.Since(begin); took > 1500*time.Millisecond+retireLimit {
+				if took := time.Since(begin); took > 1500*time.Millisecond+retireTimeout {
 					one.broke("left after %v", took)
 				}
 				one.order(syncSpan / 2)
@@ -64,10 +64,10 @@
 			one := newTrial(test, seed, 3, 3, "the wiped one is back "+back)
 			leader := one.leader()
 			stale, wiped := one.after(leader, 1), one.after(leader, 2)
-			one.isolate(stale, true)
+			one.isolateCore(stale, true)
 			one.mustOrder("the third is cut off")
 			one.WipeCore(wiped)
-			one.isolate(stale, false)
+			one.isolateCore(stale, false)
 			gap := newcomerGap
 			if back == "at once" {
 				one.StartCore(wiped)
@@ -101,7 +101,7 @@
 				one.keepsAll(fmt.Sprint("replacement ", round+1))
 			}
 			one.settled("three replaced")
-			one.TurnSeeds(wires(one.machines())...)
+			one.SetSeeds(internalAddresses(one.machines())...)
 			late := one.AddMember(1)
 			one.StartMember(late)
 			one.keepsAll("a late member")
@@ -194,7 +194,7 @@
 		{"one way only is cut", 5, func(one *trial, leader int) {
 			mute := one.machine(one.after(leader, 1))
 			turn := func(on bool) {
-				for _, other := range one.everyMachine() {
+				for _, other := range one.allMachines() {
 					if other != mute {
 						one.Net.CutOneWay(mute.Host, other.Host, on)
 					}
@@ -230,7 +230,7 @@
 		{"connections are reset", 3, func(one *trial, leader int) {
 			wait := one.meanwhile(func() {
 				for range 40 {
-					machines := one.everyMachine()
+					machines := one.allMachines()
 					left, right := machines[one.random.IntN(len(machines))], machines[one.random.IntN(len(machines))]
 					one.Net.Reset(left.Host, right.Host)
 					one.Rest(100 * time.Millisecond)
@@ -257,9 +257,9 @@
 	wait := one.meanwhile(func() {
 		for _, machine := range one.machines() {
 			if machine != leaving {
-				one.term(machine)
+				one.terminate(machine)
 				one.Rest(one.span(50*time.Millisecond, 700*time.Millisecond))
-				one.start(machine)
+				one.startMachine(machine)
 				one.Rest(syncSpan / 2)
 			}
 		}
@@ -288,7 +288,7 @@
 				one.Rest(one.span(10*time.Millisecond, 2500*time.Millisecond))
 				one.killAll(true, false)
 				if planned {
-					one.kill(leaving, true)
+					one.killMachine(leaving, true)
 				}
 				one.Rest(one.span(10*time.Millisecond, time.Second))
 				one.startAll()
@@ -332,7 +332,7 @@
 			}
 			one.Rest(newcomerGap)
 			for offset := range cores / 2 {
-				one.Fill(one.after(first, offset), nil)
+				one.StartReplacement(one.after(first, offset), nil)
 			}
 			one.order(syncSpan / 2)
 			one.Rest(syncSpan)
@@ -369,7 +369,7 @@
 				one.Rest(away)
 				one.isolateMachine(machine, false)
 				one.Net.Freeze(machine.Host, false)
-				one.start(machine)
+				one.startMachine(machine)
 				one.Rest(syncSpan)
 				one.settled("back")
 				for offset := range cores / 2 {
@@ -396,7 +396,7 @@
 			others := slices.DeleteFunc(one.machines(), func(machine *Core) bool { return slices.Contains(few, machine) })
 			founders := one.machines()
 			turn := func(on bool) {
-				for _, lone := range one.everyMachine() {
+				for _, lone := range one.allMachines() {
 					for _, other := range others {
 						if !slices.Contains(others, lone) {
 							one.Net.Cut(lone.Host, other.Host, on)
@@ -407,16 +407,16 @@
 			turn(true)
 			one.Rest(one.span(10*time.Millisecond, 2*time.Second))
 			for region := range 3 {
-				newcomer := one.newcomer(region, wires(few))
+				newcomer := one.newMachine(region, internalAddresses(few))
 				for _, other := range others {
 					one.Net.Cut(newcomer.Host, other.Host, true)
 				}
 				one.mutex.Lock()
 				one.Cores = append(one.Cores, newcomer)
 				one.mutex.Unlock()
-				one.start(newcomer)
+				one.startMachine(newcomer)
 			}
-			one.Rest(2 * farSuspect)
+			one.Rest(2 * regionalSuspicion)
 			before := one.leads()
 			for until := time.Now().Add(20 * time.Second); time.Now().Before(until); one.Rest(2 * time.Second) {
 				for _, machine := range one.machines() {
@@ -426,9 +426,9 @@
 				}
 			}
 			one.mutex.Lock()
-			for _, lead := range one.Leads[before:] {
+			for _, lead := range one.Leaderships[before:] {
 				if !slices.ContainsFunc(others, func(machine *Core) bool { return machine.Host == lead.Host }) {
-					one.Broken = append(one.Broken, fmt.Sprintf("%s: %s led", one.name, lead.Host))
+					one.Violations = append(one.Violations, fmt.Sprintf("%s: %s led", one.name, lead.Host))
 				}
 			}
 			one.mutex.Unlock()
@@ -447,7 +447,7 @@
 	defer client.Close()
 	for _, ask := range []func() error{
 		func() error {
-			_, err := rpc.Call(client, machine.InternalAddress, message.MethodRoutingChange, time.Second, WholeChange(1000+one.newest, one.newest))
+			_, err := rpc.Call(client, machine.InternalAddress, message.MethodRoutingChange, time.Second, NewRoutingChange(1000+one.newest, one.newest))
 			return err
 		},
 		func() error {
@@ -480,7 +480,7 @@
 			before := one.leads()
 			returned := one.ReturnRemoved(0)
 			late := one.AddMember(2)
-			late.Seeds = wires([]*Core{returned})
+			late.Seeds = internalAddresses([]*Core{returned})
 			one.StartMember(late)
 			one.Rest(syncSpan)
 			one.stays(returned, before)
@@ -488,11 +488,11 @@
 			lost := one.after(index, 1)
 			one.LoseCore(lost)
 			one.Rest(newcomerGap)
-			one.Fill(lost, wires([]*Core{returned}))
+			one.StartReplacement(lost, internalAddresses([]*Core{returned}))
 			one.Rest(syncSpan)
 			one.keepsAll("a newcomer knows but the one that is back")
 			one.newNumber(returned, former)
-			one.vanish(returned)
+			one.removeForGood(returned)
 			one.Rest(syncSpan)
 			one.settled("the one that was back is gone")
 			one.end()
@@ -517,11 +517,11 @@
 			one.Net.Cut(one.Removed[0].Host, one.Removed[1].Host, false)
 			before := one.leads()
 			returned := []*Core{one.ReturnRemoved(0), one.ReturnRemoved(1)}
-			newcomer := one.newcomer(0, wires(returned))
+			newcomer := one.newMachine(0, internalAddresses(returned))
 			for _, other := range current {
 				one.Net.Cut(newcomer.Host, other.Host, true)
 			}
-			one.start(newcomer)
+			one.startMachine(newcomer)
 			for range 5 {
 				one.Rest(2 * time.Second)
 				for _, machine := range append(returned, newcomer) {
@@ -531,7 +531,7 @@
 			one.stays(returned[0], before)
 			one.stays(returned[1], before)
 			one.stays(newcomer, before)
-			one.kill(newcomer, false)
+			one.killMachine(newcomer, false)
 			for _, machine := range returned {
 				one.isolateMachine(machine, false)
 			}
@@ -562,8 +562,8 @@
 // them under a former number of this machine.
 func (one *trial) newNumber(machine *Core, former int) {
 	running := func(address string) bool {
-		return slices.ContainsFunc(one.everyMachine(), func(other *Core) bool {
-			core := other.life(one.World)
+		return slices.ContainsFunc(one.allMachines(), func(other *Core) bool {
+			core := other.running(one.World)
 			return other.InternalAddress == address && core != nil && core.CanVote()
 		})
 	}
@@ -591,14 +591,14 @@
 
 // stays is whether a core without a seat has led or leads.
 func (one *trial) stays(machine *Core, before int) {
-	if core := machine.life(one.World); core == nil || core.Leads() {
+	if core := machine.running(one.World); core == nil || core.Leads() {
 		one.broke("%s runs %v, and leads", machine.Host, core != nil)
 	}
 	one.mutex.Lock()
 	defer one.mutex.Unlock()
-	for _, lead := range one.Leads[before:] {
+	for _, lead := range one.Leaderships[before:] {
 		if lead.Host == machine.Host {
-			one.Broken = append(one.Broken, fmt.Sprintf("%s: %s led under %s", one.name, lead.Host, lead.Term))
+			one.Violations = append(one.Violations, fmt.Sprintf("%s: %s led under %s", one.name, lead.Host, lead.Term))
 		}
 	}
 }
@@ -615,18 +615,18 @@
 			alive := one.machine(one.after(lost[1], 1))
 			switch way {
 			case "two are dead":
-				one.Fill(lost[0], wires([]*Core{gone[0], gone[1], alive}))
+				one.StartReplacement(lost[0], internalAddresses([]*Core{gone[0], gone[1], alive}))
 			case "cut off for a while":
 				one.isolateMachine(alive, true)
-				one.Fill(lost[0], wires([]*Core{gone[0], alive}))
+				one.StartReplacement(lost[0], internalAddresses([]*Core{gone[0], alive}))
 				one.isolateMachine(alive, true)
 				one.Rest(2 * time.Second)
 				one.isolateMachine(alive, false)
 			case "a newcomer":
-				first := one.Fill(lost[0], wires([]*Core{gone[0], alive}))
-				one.Fill(lost[1], wires([]*Core{gone[0], gone[1], first}))
+				first := one.StartReplacement(lost[0], internalAddresses([]*Core{gone[0], alive}))
+				one.StartReplacement(lost[1], internalAddresses([]*Core{gone[0], gone[1], first}))
 			case "restarted while it catches up":
-				one.Fill(lost[0], wires([]*Core{alive}))
+				one.StartReplacement(lost[0], internalAddresses([]*Core{alive}))
 				for range 3 {
 					one.Rest(one.span(10*time.Millisecond, time.Second))
 					one.KillCore(lost[0], true)
@@ -634,7 +634,7 @@
 				}
 			}
 			if one.machine(lost[1]) == gone[1] {
-				one.Fill(lost[1], nil)
+				one.StartReplacement(lost[1], nil)
 			}
 			one.Rest(syncSpan)
 			one.settled("two newcomers")
--- a/harness/simulation/replaced_test.go
+++ b/harness/simulation/replaced_test.go
@@ -23,7 +23,7 @@
 
 // StartSpare starts a core on an empty disk that finds the others by its seeds.
 func (world *World) StartSpare(number int) *Spare {
-	host := fmt.Sprintf("10.%d.1.%d", world.Base, number)
+	host := fmt.Sprintf("10.%d.1.%d", world.Subnet, number)
 	spare := &Spare{
 		Core: &Core{
 			Host:            host,
@@ -49,14 +49,14 @@
 		Seed:              world.Seed + uint64(number)*7919,
 	}
 	if err := config.Check(); err != nil {
-		world.broke("spare %d: %v", number, err)
+		world.reportViolation("spare %d: %v", number, err)
 	}
 	spare.goroutines, spare.client = concurrent.NewGroup(), rpc.NewClient(world.Net.Transport(host))
 	finder := agent.NewLeaderFinder(spare.client, spare.goroutines, seeds)
 	config.OnMembershipChange = finder.ObserveMembership
 	core, err := control.NewCore(config, spare.Disk, spare.client, spare.goroutines, spare.counters)
 	if err != nil {
-		world.broke("spare %d does not start: %v", number, err)
+		world.reportViolation("spare %d does not start: %v", number, err)
 		return spare
 	}
 	spare.Core.Core, spare.Alive = core, true
@@ -75,7 +75,7 @@
 
 // EndSpare ends a spare core at once.
 func (world *World) EndSpare(spare *Spare) {
-	if !world.ends(&spare.Alive) {
+	if !world.markStopped(&spare.Alive) {
 		return
 	}
 	world.Net.Kill(spare.Host)
@@ -143,8 +143,8 @@
 		for _, daemon := range world.Daemons {
 			world.StartDaemon(daemon)
 		}
-		if !world.Until(15*time.Second, world.ready) {
-			world.broke("not ready in 15 s")
+		if !world.Until(15*time.Second, world.daemonsReady) {
+			world.reportViolation("not ready in 15 s")
 		}
 		_, replays := world.payAgain(tries)
 		details := world.judge(nil, standin.LoadReport{Tries: tries})
@@ -178,8 +178,8 @@
 		for _, daemon := range world.Daemons {
 			world.StartDaemon(daemon)
 		}
-		if !world.Until(15*time.Second, world.ready) {
-			world.broke("not ready in 15 s")
+		if !world.Until(15*time.Second, world.daemonsReady) {
+			world.reportViolation("not ready in 15 s")
 		}
 		_, replays := world.payAgain(tries)
 		details := world.judge(nil, standin.LoadReport{Tries: tries})
--- a/harness/simulation/rollout_test.go
+++ b/harness/simulation/rollout_test.go
@@ -44,14 +44,14 @@
 
 // newRolledService begins a world with the service and its members.
 func newRolledService(test *testing.T, seed uint64, failures uint64) *rolledService {
-	world := NewFarWorld(seed, 5)
+	world := NewRegionalWorld(seed, 5)
 	service := &rolledService{
 		world:    world,
 		failures: failures,
 		counts:   map[string]map[int]message.RolloutCounts{},
 		steps:    map[string]message.Rollout{},
 	}
-	world.Listed = service.list
+	world.ListBackends = service.list
 	world.farUp(test, 0)
 	for index := range rolloutMembers {
 		service.addMember(index % 3)
@@ -102,12 +102,12 @@
 		next = version.Rollouts[0]
 	}
 	if next.ID < former.ID || next.ID == former.ID && (next.Step < former.Step || next.Phase < former.Phase) {
-		service.world.broke("%s went back from %+v to %+v", member, former, next)
+		service.world.reportViolation("%s went back from %+v to %+v", member, former, next)
 	}
 	service.steps[member] = next
 	for _, backend := range version.Table.Backends {
 		if backend.Revision == "v2" && next.ID == 0 {
-			service.world.broke("%s has %s without an order", member, backend.Name)
+			service.world.reportViolation("%s has %s without an order", member, backend.Name)
 			return
 		}
 	}
@@ -184,7 +184,7 @@
 func TestRolloutIsComplete(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
-		defer service.world.CloseFar()
+		defer service.world.CloseRegional()
 		service.mutex.Lock()
 		service.isListed = true // before the order: no member may have them
 		service.mutex.Unlock()
@@ -203,7 +203,7 @@
 func TestBadRolloutIsReverted(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 33)
-		defer service.world.CloseFar()
+		defer service.world.CloseRegional()
 		begin := time.Now()
 		service.order(test)
 		service.awaitPhase(test, message.RolloutReverted)
@@ -221,7 +221,7 @@
 		test.Run(fmt.Sprint("step ", step), func(test *testing.T) {
 			each(test, func(test *testing.T, seed uint64) {
 				service := newRolledService(test, seed, 0)
-				defer service.world.CloseFar()
+				defer service.world.CloseRegional()
 				id := service.order(test)
 				reached := service.world.Until(rolloutTerm, func() bool { return service.read().Step >= step })
 				if !reached {
@@ -252,7 +252,7 @@
 func TestAcknowledgedRolloutOutlivesAll(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
-		defer service.world.CloseFar()
+		defer service.world.CloseRegional()
 		id := service.order(test)
 		service.world.killAll(true, true)
 		service.world.Rest(time.Second)
@@ -281,7 +281,7 @@
 func TestRolloutOrderWithLostAnswerBeginsOne(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
-		defer service.world.CloseFar()
+		defer service.world.CloseRegional()
 		leader := service.world.calm(test)
 		acknowledged := make(chan error, 1)
 		go func() {
@@ -306,7 +306,7 @@
 func TestMemberMissesTheRolloutsSteps(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
-		defer service.world.CloseFar()
+		defer service.world.CloseRegional()
 		service.order(test)
 		if !service.world.Until(rolloutTerm, func() bool { return service.read().Step > 0 }) {
 			test.Fatal("no step")
@@ -329,8 +329,8 @@
 func TestRolloutByTheOwnInterface(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
-		defer service.world.CloseFar()
-		api := agent.NewRolloutAPI(service.world.holds()[0], metrics.NewCounters())
+		defer service.world.CloseRegional()
+		api := agent.NewRolloutAPI(service.world.forwarders()[0], metrics.NewCounters())
 		call := func(method, path, body string) (int, agent.RolloutStatus) {
 			recorder, status := httptest.NewRecorder(), agent.RolloutStatus{}
 			api.ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
--- a/harness/simulation/routing_test.go
+++ b/harness/simulation/routing_test.go
@@ -25,7 +25,7 @@
 	if !world.Until(10*time.Second, func() bool { return world.Leader() >= 0 }) {
 		test.Fatal("no leader")
 	}
-	if err := world.Put(1, 0); err != nil {
+	if err := world.PutRouting(1, 0); err != nil {
 		test.Fatal(err)
 	}
 	if !world.Until(5*time.Second, world.membersReady) {
@@ -60,26 +60,31 @@
 // another base nor an invalid one gets in; of two at once one does.
 func TestRoutingTakenRepeatedStaleRaced(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		world.farUp(test, 3)
 		for _, step := range []struct {
 			version, base uint64
 			want          rpc.Code
 		}{{5, 1, ""}, {5, 1, ""}, {1, 0, ""}, {4, 5, rpc.StaleVersion}, {5, 5, rpc.StaleVersion}, {9, 1, rpc.StaleBase}, {9, 5, ""}} {
 			got := rpc.Code("")
-			if err := world.Put(step.version, step.base); err != nil {
+			if err := world.PutRouting(step.version, step.base); err != nil {
 				got = rpc.CodeOf(err)
 			}
 			if got != step.want {
-				world.broke("%d on %d: %q, want %q", step.version, step.base, got, step.want)
+				world.reportViolation("%d on %d: %q, want %q", step.version, step.base, got, step.want)
 			}
 		}
-		invalid := Routing(10)
+		invalid := NewRoutingConfig(10)
 		invalid.Routes[0].Service = "nobody"
 		body, _ := rpc.Marshal(&routing.Change{Version: 10, Base: 9, Digest: "wrong", Whole: invalid})
-		if _, err := order(world, world.holds(), message.MethodRoutingChange, &message.RoutingChangeRequest{Body: body}); err == nil {
-			world.broke("an invalid routing was taken")
+		if _, err := forward(
+			world,
+			world.forwarders(),
+			message.MethodRoutingChange,
+			&message.RoutingChangeRequest{Body: body},
+		); err == nil {
+			world.reportViolation("an invalid routing was taken")
 		}
 		last := uint64(9)
 		for round := range 10 {
@@ -88,7 +93,7 @@
 			for racer := range uint64(2) {
 				version := last + 1 + racer
 				world.goroutines.Start(func() {
-					_, err := order(world, world.holds()[racer:], message.MethodRoutingChange, WholeChange(version, last))
+					_, err := forward(world, world.forwarders()[racer:], message.MethodRoutingChange, NewRoutingChange(version, last))
 					mutex.Lock()
 					defer mutex.Unlock()
 					if done++; err == nil {
@@ -109,18 +114,18 @@
 				test.Fatal("no answer")
 			}
 			if len(taken) != 1 || refused != 1 {
-				world.broke("round %d on %d: %v taken, %d refused", round, last, taken, refused)
+				world.reportViolation("round %d on %d: %v taken, %d refused", round, last, taken, refused)
 			}
-			state, err := world.Book()
+			state, err := world.ReadRouting()
 			if err != nil || len(taken) > 0 && state.Config.Version != taken[0] {
-				world.broke("round %d: %v taken, read back %+v %v", round, taken, state, err)
+				world.reportViolation("round %d: %v taken, read back %+v %v", round, taken, state, err)
 				break
 			}
 			last = state.Config.Version
 		}
 		took, whole := world.reached(last, 2*time.Second)
 		if !whole {
-			world.broke("routing %d is not everywhere after %v", last, took)
+			world.reportViolation("routing %d is not everywhere after %v", last, took)
 		}
 		world.report(test)
 	})
@@ -129,26 +134,31 @@
 // A patch changes what it names and keeps the rest, also which zones are emptied.
 func TestRoutingPatchKeepsTheRest(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		world.farUp(test, 1)
 		if err := world.Evacuate("z1", true); err != nil {
 			test.Fatal(err)
 		}
-		more := Routing(2).Routes
+		more := NewRoutingConfig(2).Routes
 		more[0].Prefix = "/b/"
 		body, _ := rpc.Marshal(&routing.Change{Version: 2, Base: 1, Digest: "patch", Patch: &routing.Patch{Routes: more}})
-		if _, err := order(world, world.holds(), message.MethodRoutingChange, &message.RoutingChangeRequest{Body: body}); err != nil {
+		if _, err := forward(
+			world,
+			world.forwarders(),
+			message.MethodRoutingChange,
+			&message.RoutingChangeRequest{Body: body},
+		); err != nil {
 			test.Fatal(err)
 		}
-		state, err := world.Book()
+		state, err := world.ReadRouting()
 		if err != nil || state.Config.Version != 2 || len(state.Config.Routes) != 2 || fmt.Sprint(state.Evacuated) != "[z1]" {
-			world.broke("after the patch: %+v %v", state, err)
+			world.reportViolation("after the patch: %+v %v", state, err)
 		}
 		if took, whole := world.reached(2, time.Second); !whole {
-			world.broke("not everywhere after %v", took)
+			world.reportViolation("not everywhere after %v", took)
 		} else if held := world.Members[0].Daemon.Version().Routing; fmt.Sprint(held.Evacuated) != "[z1]" || held.History.Count > 0 {
-			world.broke("a member holds %+v", held)
+			world.reportViolation("a member holds %+v", held)
 		}
 		world.report(test)
 	})
@@ -158,8 +168,8 @@
 // acknowledged, when power goes everywhere, and when one disk is lost with it.
 func TestAcknowledgedLastsEverything(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		world.farUp(test, 2)
 		version, want := uint64(1), map[string]bool{}
 		for round := range 9 {
@@ -168,7 +178,7 @@
 				test.Fatal(err)
 			}
 			want[zone] = !want[zone]
-			if err := world.Put(version+1, version); err != nil {
+			if err := world.PutRouting(version+1, version); err != nil {
 				test.Fatal(err)
 			}
 			version++
@@ -194,7 +204,7 @@
 			if !world.Until(15*time.Second, func() bool { return world.Leader() >= 0 }) {
 				test.Fatal("no leader")
 			}
-			state, err := world.Book()
+			state, err := world.ReadRouting()
 			if err != nil {
 				test.Fatal(err)
 			}
@@ -204,11 +214,11 @@
 			}
 			for zone, emptied := range want {
 				if held[zone] != emptied {
-					world.broke("round %d: %s emptied %v, read back %v", round, zone, emptied, state.Evacuated)
+					world.reportViolation("round %d: %s emptied %v, read back %v", round, zone, emptied, state.Evacuated)
 				}
 			}
 			if state.Config.Version != version {
-				world.broke("round %d: version %d, read back %d", round, version, state.Config.Version)
+				world.reportViolation("round %d: version %d, read back %d", round, version, state.Config.Version)
 			}
 			world.Until(15*time.Second, func() bool {
 				for _, machine := range world.Cores {
@@ -227,8 +237,8 @@
 // a warning and without, or frozen; and how soon it is in force everywhere.
 func TestFarLeaderChange(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		world.farUp(test, 9)
 		version := uint64(1)
 		for round := range 9 {
@@ -248,10 +258,10 @@
 			case "frozen":
 				world.Net.Freeze(world.Cores[leader].Host, true)
 			case "cut":
-				world.isolate(leader, true)
+				world.isolateCore(leader, true)
 			}
 			begin := time.Now()
-			_, err := order(world, holds, message.MethodRoutingChange, WholeChange(version+1, version))
+			_, err := forward(world, holds, message.MethodRoutingChange, NewRoutingChange(version+1, version))
 			wait := time.Since(begin)
 			if err != nil {
 				test.Fatalf("%s: %v", kind, err)
@@ -260,23 +270,23 @@
 			spread, whole := world.reached(version, 5*time.Second)
 			most := map[string]time.Duration{"calm": 400 * time.Millisecond, "planned": 1200 * time.Millisecond, "killed": 4 * time.Second, "frozen": 4 * time.Second, "cut": 4 * time.Second}[kind]
 			if wait > most {
-				world.broke("%s: an operator waited %v", kind, wait)
+				world.reportViolation("%s: an operator waited %v", kind, wait)
 			}
 			if !whole || kind == "calm" && spread > 400*time.Millisecond || spread > 2*time.Second {
-				world.broke("%s: in force after %v, everywhere: %v", kind, spread, whole)
+				world.reportViolation("%s: in force after %v, everywhere: %v", kind, spread, whole)
 			}
 			if !world.membersReady() {
-				world.broke("%s: a member is not ready", kind)
+				world.reportViolation("%s: a member is not ready", kind)
 			}
 			test.Logf("%s: acknowledged after %v, everywhere %v later", kind, wait, spread)
 			switch kind {
 			case "frozen":
 				world.Net.Freeze(world.Cores[leader].Host, false)
 			case "cut":
-				world.isolate(leader, false)
+				world.isolateCore(leader, false)
 			case "planned":
-				if _, err := world.evacuateBy(holds[:1], "z", true); err != nil {
-					world.broke("a retired core does not forward: %v", err)
+				if _, err := world.evacuateThrough(holds[:1], "z", true); err != nil {
+					world.reportViolation("a retired core does not forward: %v", err)
 				}
 				world.KillCore(leader, false)
 				world.StartCore(leader)
@@ -292,8 +302,8 @@
 // catches up once it is back; one that stood still asks first.
 func TestMemberServesAlone(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		world := NewFarWorld(seed, 3)
-		defer world.CloseFar()
+		world := NewRegionalWorld(seed, 3)
+		defer world.CloseRegional()
 		world.farUp(test, 3)
 		lone := world.Members[int(seed)%3]
 		cut := func(shut bool) {
@@ -302,19 +312,19 @@
 			}
 		}
 		cut(true)
-		if err := world.Put(2, 1); err != nil {
+		if err := world.PutRouting(2, 1); err != nil {
 			test.Fatal(err)
 		}
 		for range 100 {
 			world.Rest(100 * time.Millisecond)
 			if !lone.Daemon.Ready() || lone.Daemon.Version().Routing.Config.Version != 1 {
-				world.broke("cut off: ready %v, version %d", lone.Daemon.Ready(), lone.Daemon.Version().Routing.Config.Version)
+				world.reportViolation("cut off: ready %v, version %d", lone.Daemon.Ready(), lone.Daemon.Version().Routing.Config.Version)
 				break
 			}
 		}
 		cut(false)
 		if took, whole := world.reached(2, 4*time.Second); !whole {
-			world.broke("back in touch: not caught up after %v", took)
+			world.reportViolation("back in touch: not caught up after %v", took)
 		}
 		world.report(test)
 	})
@@ -325,10 +335,10 @@
 func TestListedBackendsOnlyMoveOn(test *testing.T) {
 	world := func(seed uint64, listed func(call int) []message.Backend) func(test *testing.T) {
 		return func(test *testing.T) {
-			world := NewFarWorld(seed, 3)
-			defer world.CloseFar()
+			world := NewRegionalWorld(seed, 3)
+			defer world.CloseRegional()
 			mutex, call := sync.Mutex{}, 0
-			world.Listed = func(discovery.PageRequest) discovery.Page {
+			world.ListBackends = func(discovery.PageRequest) discovery.Page {
 				mutex.Lock()
 				defer mutex.Unlock()
 				call++
@@ -340,16 +350,16 @@
 				world.Rest(100 * time.Millisecond)
 				for _, backend := range world.Members[0].Daemon.Version().Table.Backends {
 					if left = left || backend.Leaving; left && !backend.Leaving {
-						world.broke("a backend stays again")
+						world.reportViolation("a backend stays again")
 					}
 					if warm > 0 && backend.WarmAtMs != 0 && backend.WarmAtMs != warm {
-						world.broke("warm at %d, then %d", warm, backend.WarmAtMs)
+						world.reportViolation("warm at %d, then %d", warm, backend.WarmAtMs)
 					}
 					warm = backend.WarmAtMs
 				}
 			}
 			if held := world.Members[0].Daemon.Version().Table.Backends; len(held) != 0 || !left {
-				world.broke("left %v, still held: %v", left, held)
+				world.reportViolation("left %v, still held: %v", left, held)
 			}
 			world.report(test)
 		}
--- a/harness/simulation/stale_test.go
+++ b/harness/simulation/stale_test.go
@@ -12,7 +12,7 @@
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		world.up(test, 1)
-		ledger := world.Operators(3, 100*time.Millisecond)
+		ledger := world.StartOperators(3, 100*time.Millisecond)
 		faults := world.RandomFaults()
 		for round := range 8 {
 			kind := "stale-leader-lost"
@@ -20,14 +20,14 @@
 				kind = "stale-disk-lost"
 			}
 			if !world.Until(10*time.Second, func() bool { return world.Leader() >= 0 }) {
-				world.broke("no leader before round %d", round)
+				world.reportViolation("no leader before round %d", round)
 			}
 			world.Rest(500 * time.Millisecond)
 			faults.Inject(kind, 0)
 		}
 		ledger.Stop()
 		world.judge(ledger)
-		test.Logf("%d acknowledged, %d leaderships, faults %v", len(ledger.Acked), len(world.Leads), faults.Done)
+		test.Logf("%d acknowledged, %d leaderships, faults %v", len(ledger.Acked), len(world.Leaderships), faults.Injected)
 		world.report(test)
 	})
 }
--- a/harness/simulation/stop_test.go
+++ b/harness/simulation/stop_test.go
@@ -17,7 +17,7 @@
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.planned = true
+		world.plannedOnly = true
 		for _, zone := range []string{"e1", "w1", "s1"} {
 			world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
 		}
@@ -33,12 +33,12 @@
 			plan.Calls,
 			standin.Call{Weight: 20, Class: "pages", Method: "GET", Path: "/meters/slow/7?bytes=1500000&work=4700", LimitMs: 5500},
 		)
-		generator, client := world.Origin(plan)
+		generator, client := world.NewLoadGenerator(plan)
 		done := atomic.Bool{}
 		world.goroutines.Start(func() {
 			for _, daemon := range world.Daemons {
 				world.Rest(time.Duration(300+seed%7*100) * time.Millisecond)
-				world.TermDaemon(daemon)
+				world.TerminateDaemon(daemon)
 				world.Rest(200 * time.Millisecond)
 				world.StartDaemon(daemon)
 				world.Rest(2 * time.Second)
--- a/harness/simulation/total_loss_test.go
+++ b/harness/simulation/total_loss_test.go
@@ -39,10 +39,10 @@
 
 func newTotalLoss(test *testing.T, seed uint64, cores int) *totalLoss {
 	test.Helper()
-	loss := &totalLoss{World: NewFarWorld(seed, cores), random: rand.New(rand.NewPCG(seed, 97))}
+	loss := &totalLoss{World: NewRegionalWorld(seed, cores), random: rand.New(rand.NewPCG(seed, 97))}
 	loss.version.Store(1)
 	loss.list.Store(&listState{trouble: listSound})
-	loss.Listed = loss.listed
+	loss.ListBackends = loss.listed
 	loss.farUp(test, 6)
 	return loss
 }
@@ -75,8 +75,8 @@
 // powerOffAll takes the power of every machine at the same moment.
 func (loss *totalLoss) powerOffAll() {
 	for _, machine := range loss.machines() {
-		loss.end(machine, true, func(host string) { loss.Net.Vanish(host, true) })
-		loss.Net.Vanish(machine.Host, true)
+		loss.stopProcess(machine, true, func(host string) { loss.Net.Blackhole(host, true) })
+		loss.Net.Blackhole(machine.Host, true)
 	}
 	for _, one := range loss.Members {
 		loss.PowerOffMember(one)
@@ -88,8 +88,8 @@
 	starts := []func(){}
 	for _, machine := range loss.machines() {
 		starts = append(starts, func() {
-			loss.Net.Vanish(machine.Host, false)
-			loss.start(machine)
+			loss.Net.Blackhole(machine.Host, false)
+			loss.startMachine(machine)
 		})
 	}
 	for _, one := range loss.Members {
@@ -106,11 +106,11 @@
 // reports that it was.
 func (loss *totalLoss) orderNext(limit time.Duration) bool {
 	for until := time.Now().Add(limit); time.Now().Before(until); loss.Rest(orderRest) {
-		if len(loss.holds()) == 0 {
+		if len(loss.forwarders()) == 0 {
 			continue
 		}
 		version := loss.version.Load()
-		if err := loss.Put(version+1, version); err == nil {
+		if err := loss.PutRouting(version+1, version); err == nil {
 			loss.version.Store(version + 1)
 			return true
 		}
@@ -129,14 +129,14 @@
 		}
 		if inForce > 0 && inForce < wanted {
 			version := one.Daemon.Version()
-			loss.broke(
+			loss.reportViolation(
 				"%s: %s serves by %d, %d was acknowledged; it holds routing %d, table %v, complete %v",
 				what, one.Name, inForce, wanted, version.RoutingSerial, version.Table.Version, version.Table.Complete,
 			)
 		}
 	}
 	if serving > 0 && serving < len(loss.Members) {
-		loss.broke("%s: %d of %d members know the backends", what, serving, len(loss.Members))
+		loss.reportViolation("%s: %d of %d members know the backends", what, serving, len(loss.Members))
 	}
 }
 
@@ -164,7 +164,7 @@
 				back := time.Now()
 				wanted := uint64(round) + 2
 				if !loss.Until(20*time.Second, func() bool { return loss.version.Load() >= wanted }) {
-					loss.broke("%s, round %d: %d is not acknowledged", trouble, round, wanted)
+					loss.reportViolation("%s, round %d: %d is not acknowledged", trouble, round, wanted)
 				}
 				latest := back.Add(contactSpan)
 				if now := time.Now(); now.After(latest) {
@@ -175,12 +175,19 @@
 				loss.Rest(time.Until(until.Add(contactSpan + inForceSpan)))
 				for _, one := range loss.Members {
 					if inForce := one.inForce.Load(); inForce != wanted {
-						loss.broke("%s, round %d: in calm %s serves by %d, %d was acknowledged", trouble, round, one.Name, inForce, wanted)
+						loss.reportViolation(
+							"%s, round %d: in calm %s serves by %d, %d was acknowledged",
+							trouble,
+							round,
+							one.Name,
+							inForce,
+							wanted,
+						)
 					}
 				}
 			}
 			loss.report(test)
-			loss.CloseFar()
+			loss.CloseRegional()
 		}
 	})
 }
@@ -219,28 +226,28 @@
 			loss.judgeInForce(fmt.Sprint("round ", round), acknowledged)
 		}
 		loss.report(test)
-		loss.CloseFar()
+		loss.CloseRegional()
 	})
 }
 
 // judgeBook wants what was acknowledged in the confirmed routing, and the newest order
 // acknowledged again when it is sent again. It goes on from what is in force.
 func (loss *totalLoss) judgeBook(what string, acknowledged uint64, zones []string) {
-	state, err := loss.Book()
+	state, err := loss.ReadRouting()
 	if err != nil {
-		loss.broke("%s: no read back: %v", what, err)
+		loss.reportViolation("%s: no read back: %v", what, err)
 		return
 	}
 	if state.Config.Version < acknowledged {
-		loss.broke("%s: %d was acknowledged, %d read back", what, acknowledged, state.Config.Version)
+		loss.reportViolation("%s: %d was acknowledged, %d read back", what, acknowledged, state.Config.Version)
 	}
 	for _, zone := range zones {
 		if !slices.Contains(state.Evacuated, zone) {
-			loss.broke("%s: the evacuation of %s is lost", what, zone)
+			loss.reportViolation("%s: the evacuation of %s is lost", what, zone)
 		}
 	}
-	if err := loss.Put(acknowledged, acknowledged-1); err != nil {
-		loss.broke("%s: %d sent again: %v", what, acknowledged, err)
+	if err := loss.PutRouting(acknowledged, acknowledged-1); err != nil {
+		loss.reportViolation("%s: %d sent again: %v", what, acknowledged, err)
 	}
 	loss.version.Store(state.Config.Version)
 }
--- a/harness/simulation/traffic_test.go
+++ b/harness/simulation/traffic_test.go
@@ -40,7 +40,7 @@
 			world.AddBackend("meters", zones[index%3], standin.BackendConfig{WorkMs: 5, Room: 16, GentleRate: 10})
 		}
 		world.up(test, 5)
-		generator, client := world.Origin(world.plan(40, 20))
+		generator, client := world.NewLoadGenerator(world.plan(40, 20))
 		random := rand.New(rand.NewPCG(seed, 31))
 		done := atomic.Bool{}
 		world.goroutines.Start(func() {
@@ -59,7 +59,7 @@
 		client.CloseIdleConnections()
 		world.judge(nil, report)
 		if report.Served < report.Asked*8/10 {
-			world.broke("only %d of %d served: %v", report.Served, report.Asked, report.Statuses)
+			world.reportViolation("only %d of %d served: %v", report.Served, report.Asked, report.Statuses)
 		}
 		test.Logf("%d asked, %d served, %d unknown, statuses %v", report.Asked, report.Served, report.Unknown, report.Statuses)
 		world.report(test)
@@ -75,7 +75,7 @@
 			world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 16})
 		}
 		world.up(test, 5)
-		generator, client := world.Origin(world.plan(60, 10))
+		generator, client := world.NewLoadGenerator(world.plan(60, 10))
 		old := world.Backends[0].Backend
 		world.goroutines.Start(func() {
 			world.Rest(3 * time.Second)
@@ -87,11 +87,11 @@
 		client.CloseIdleConnections()
 		stranger := world.Backends[0].Backend.Seen()
 		if len(stranger.Arrivals) != 0 {
-			world.broke("%d tasks reached another service's backend", len(stranger.Arrivals))
+			world.reportViolation("%d tasks reached another service's backend", len(stranger.Arrivals))
 		}
 		world.judge(nil, report)
 		if len(old.Seen().Arrivals) == 0 || report.Served < report.Asked*9/10 {
-			world.broke("%d tasks at the old backend, %d of %d served", len(old.Seen().Arrivals), report.Served, report.Asked)
+			world.reportViolation("%d tasks at the old backend, %d of %d served", len(old.Seen().Arrivals), report.Served, report.Asked)
 		}
 		world.report(test)
 	})
@@ -105,7 +105,7 @@
 		world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 16})
 		world.AddBackend("meters", "s1", standin.BackendConfig{WorkMs: 5, Room: 16})
 		world.up(test, 5)
-		_, client := world.Origin(world.plan(1, 1))
+		_, client := world.NewLoadGenerator(world.plan(1, 1))
 		front := func(zone string) string {
 			for _, daemon := range world.Daemons {
 				if daemon.Kind == "proxy" && daemon.Zone == zone {
@@ -137,22 +137,22 @@
 				wrong.body,
 			)
 			if got := fmt.Sprintf("%d %s", status, code); got != wrong.want {
-				world.broke("%s %s with %s %.20s: %s, want %s", wrong.method, wrong.path, wrong.key, wrong.value, got, wrong.want)
+				world.reportViolation("%s %s with %s %.20s: %s, want %s", wrong.method, wrong.path, wrong.key, wrong.value, got, wrong.want)
 			}
 		}
-		for _, backend := range world.seen() {
+		for _, backend := range world.backendRecords() {
 			if len(backend.Arrivals) > 0 {
-				world.broke("%s was touched", backend.Instance)
+				world.reportViolation("%s was touched", backend.Instance)
 			}
 		}
 		for range 20 {
 			world.Rest(100 * time.Millisecond)
 			if status, _ := world.ask(client, "GET", "http://"+front("w1")+"/meters/pages/1", "key-of-birch", "", "", ""); status != 200 {
-				world.broke("a good call got %d", status)
+				world.reportViolation("a good call got %d", status)
 			}
 		}
-		if south := world.seen()[1]; len(south.Arrivals) > 0 {
-			world.broke("a forbidden region's backend served %d tasks", len(south.Arrivals))
+		if south := world.backendRecords()[1]; len(south.Arrivals) > 0 {
+			world.reportViolation("a forbidden region's backend served %d tasks", len(south.Arrivals))
 		}
 		client.CloseIdleConnections()
 		world.report(test)
--- a/harness/simulation/trial_test.go
+++ b/harness/simulation/trial_test.go
@@ -38,7 +38,7 @@
 func newTrial(test *testing.T, seed uint64, cores, members int, name string) *trial {
 	test.Helper()
 	one := &trial{
-		World:  NewFarWorld(seed, cores),
+		World:  NewRegionalWorld(seed, cores),
 		test:   test,
 		name:   fmt.Sprintf("%d cores, %s", cores, name),
 		random: rand.New(rand.NewPCG(seed, 53)),
@@ -57,11 +57,11 @@
 func (one *trial) end() {
 	one.test.Helper()
 	one.report(one.test)
-	one.CloseFar()
+	one.CloseRegional()
 }
 
 func (one *trial) broke(format string, values ...any) {
-	one.World.broke("%s: %s", one.name, fmt.Sprintf(format, values...))
+	one.World.reportViolation("%s: %s", one.name, fmt.Sprintf(format, values...))
 }
 
 // span is a length of time by the seed.
@@ -77,12 +77,12 @@
 	random := rand.New(rand.NewPCG(one.Seed, one.newest))
 	lost := random.IntN(3) == 0
 	for until, try := time.Now().Add(limit), random.IntN(9); time.Now().Before(until); try++ {
-		holds := one.holds()
+		holds := one.forwarders()
 		if len(holds) == 0 {
 			one.Rest(orderRest)
 			continue
 		}
-		_, err := agent.Forward(holds[try%len(holds)], message.MethodRoutingChange, WholeChange(one.newest+1, one.newest))
+		_, err := agent.Forward(holds[try%len(holds)], message.MethodRoutingChange, NewRoutingChange(one.newest+1, one.newest))
 		switch {
 		case err == nil && lost:
 			lost = false
@@ -111,7 +111,7 @@
 // orders are acknowledged.
 func (one *trial) keepsAll(what string) {
 	one.mustOrder(what)
-	state, err := one.Book()
+	state, err := one.ReadRouting()
 	switch {
 	case err != nil:
 		one.broke("%s: no read back: %v", what, err)
@@ -146,7 +146,7 @@
 	if membership == nil {
 		return nil
 	}
-	addresses := addressesOf(append(slices.Clone(membership.Voters), membership.Next...))
+	addresses := peerAddresses(append(slices.Clone(membership.Voters), membership.Next...))
 	slices.Sort(addresses)
 	return slices.Compact(addresses)
 }
@@ -154,11 +154,11 @@
 // votes waits until exactly these machines have a seat by all of their disks, and
 // use it.
 func (one *trial) votes(what string, machines []*Core) {
-	wanted := wires(machines)
+	wanted := internalAddresses(machines)
 	slices.Sort(wanted)
 	agreed := func() bool {
 		for _, machine := range machines {
-			core := machine.life(one.World)
+			core := machine.running(one.World)
 			if core == nil || !core.CanVote() || !slices.Equal(seats(machine.Disk), wanted) {
 				return false
 			}
@@ -169,7 +169,7 @@
 		return
 	}
 	for _, machine := range machines {
-		core := machine.life(one.World)
+		core := machine.running(one.World)
 		one.broke(
 			"%s: %s votes %v, its disk has the seats %v, want %v",
 			what,
--- a/harness/simulation/usage_loss_test.go
+++ b/harness/simulation/usage_loss_test.go
@@ -19,8 +19,8 @@
 func usageLosses() []usageLoss {
 	powerOff := func(world *World) {
 		for _, machine := range world.machines() {
-			world.end(machine, true, func(host string) { world.Net.Vanish(host, true) })
-			world.Net.Vanish(machine.Host, true)
+			world.stopProcess(machine, true, func(host string) { world.Net.Blackhole(host, true) })
+			world.Net.Blackhole(machine.Host, true)
 		}
 		for _, one := range world.Members {
 			world.PowerOffMember(one)
@@ -46,8 +46,8 @@
 		}},
 		{"the leader's power, then half of the daemons before there is another", func(world *World, leader int, load func(time.Duration)) {
 			host := world.Cores[leader].Host
-			world.end(world.Cores[leader], true, func(host string) { world.Net.Vanish(host, true) })
-			world.Net.Vanish(host, true)
+			world.stopProcess(world.Cores[leader], true, func(host string) { world.Net.Blackhole(host, true) })
+			world.Net.Blackhole(host, true)
 			load(300 * time.Millisecond)
 			world.Rest(unflushed)
 			for index, one := range world.Members {
@@ -74,9 +74,9 @@
 // returnFrom starts everything but a core that stays away.
 func (world *World) returnFrom(away int) {
 	for index, machine := range world.machines() {
-		world.Net.Vanish(machine.Host, false)
+		world.Net.Blackhole(machine.Host, false)
 		if index != away {
-			world.start(machine)
+			world.startMachine(machine)
 		}
 	}
 	for _, one := range world.Members {
@@ -92,7 +92,7 @@
 func TestUsageOutlivesThoseThatKnewIt(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for number, loss := range usageLosses() {
-			world := NewFarWorld(seed, 3+2*int(seed%2))
+			world := NewRegionalWorld(seed, 3+2*int(seed%2))
 			meters := newMeters(world)
 			meters.sure = true
 			world.farUp(test, 6)
@@ -111,13 +111,13 @@
 			load(15 * time.Second)
 			world.returnFrom(-1)
 			load(15 * time.Second)
-			before := len(world.Broken)
+			before := len(world.Violations)
 			meters.judge(first, time.Now().UnixMilli()/meters.span-4, 10_000, 0.05)
-			for index := range world.Broken[before:] {
-				world.Broken[before+index] = loss.name + ": " + world.Broken[before+index]
+			for index := range world.Violations[before:] {
+				world.Violations[before+index] = loss.name + ": " + world.Violations[before+index]
 			}
 			world.report(test)
-			world.CloseFar()
+			world.CloseRegional()
 		}
 	})
 }
--- a/harness/simulation/world.go
+++ b/harness/simulation/world.go
@@ -23,9 +23,9 @@
 	"orchidjunction/serviceproxy"
 )
 
-// World is a whole fleet in one bubble of virtual time.
+// World is a complete simulated deployment, which runs in a testing/synctest bubble.
 type World struct {
-	Net        *Net
+	Net        *Network
 	Seed       uint64
 	Cores      []*Core
 	Removed    []*Core
@@ -33,36 +33,36 @@
 	Daemons    []*Daemon
 	Backends   []*Backend
 	Platform   *standin.Platform
-	Base       int
+	Subnet     int
 	random     *rand.Rand
 	goroutines *concurrent.Group
 	servers    []*http.Server
 
-	mutex   sync.Mutex
-	Broken  []string
-	Leads   []ObservedLeadership
-	applied map[uint64]string
-	past    []standin.BackendRecord
-	windows []checker.Window
-	reports bool
-	lives   int
-	// laidOut counts the core machines that there ever were.
-	laidOut   int
-	replacing *rand.Rand
-	planned   bool
-	Shape     func(machine *Core, config *control.Config)
-	Intervals agent.Intervals
-	Limits    agent.ForwardLimits
-
-	Members  []*FarDaemon
-	Requests func(*FarDaemon) []message.WindowCount
-	Metering control.Metering
-	Listed   func(page discovery.PageRequest) discovery.Page
-	// ListZones returns the zones by which Listed lists, if it does.
+	mutex             sync.Mutex
+	Violations        []string
+	Leaderships       []ObservedLeadership
+	contentBySerial   map[uint64]string
+	formerBackends    []standin.BackendRecord
+	windows           []checker.Window
+	checkUsageReports bool
+	revivals          int
+	// machinesCreated also counts the core machines that were replaced.
+	machinesCreated  int
+	seedRandom       *rand.Rand
+	plannedOnly      bool
+	AdjustCoreConfig func(machine *Core, config *control.Config)
+	Intervals        agent.Intervals
+	Limits           agent.ForwardLimits
+
+	Members       []*RegionalDaemon
+	RequestCounts func(*RegionalDaemon) []message.WindowCount
+	Metering      control.Metering
+	ListBackends  func(page discovery.PageRequest) discovery.Page
+	// ListZones, if set, returns the zones that ListBackends can list separately.
 	ListZones func() []string
 }
 
-// Daemon is one directory node or proxy of the world.
+// Daemon is a simulated directory node or proxy.
 type Daemon struct {
 	Name            string
 	Kind            string
@@ -78,74 +78,73 @@
 	goroutines      *concurrent.Group
 	servers         []*http.Server
 	client          *rpc.Client
-	highest         uint64
+	highestSerial   uint64
 	Lender          *Daemon
 }
 
-// Backend is one backend of the world.
+// Backend is a simulated backend.
 type Backend struct {
 	Listed  standin.Listed
 	Backend *standin.Backend
 	server  *http.Server
 }
 
-// The cores of a simulated deployment send heartbeats and stand for election at these
-// times, which are shorter than in production so that runs are short.
+// The heartbeat interval and the election timeout of the simulated cores are shorter than in
+// production so that runs are short.
 const (
 	HeartbeatInterval = 75 * time.Millisecond
 	SuspicionTimeout  = 300 * time.Millisecond
-	settle            = 2500 * time.Millisecond
-	grace             = 6 * time.Second
+	leaveDelay        = 2500 * time.Millisecond
+	leaveGrace        = 6 * time.Second
 )
 
-func (world *World) platformAddress() string { return fmt.Sprintf("10.%d.0.1:80", world.Base+9) }
+func (world *World) platformAddress() string { return fmt.Sprintf("10.%d.0.1:80", world.Subnet+9) }
 
-// NewWorld returns a deployment of so many cores on a network of its own. Its faults are
-// drawn by seed.
-func NewWorld(seed uint64, cores int) *World { return newWorld(NewNet(seed), 0, seed, cores) }
+// NewWorld returns a deployment with its own network. Its random faults follow the seed.
+func NewWorld(seed uint64, cores int) *World { return newWorld(NewNetwork(seed), 0, seed, cores) }
 
-// Neighbour is a second system on the same net, the other partner's.
-func (world *World) Neighbour(cores int) *World {
-	return newWorld(world.Net, world.Base+100, world.Seed+1000, cores)
+// NewPartnerWorld returns the deployment of another partner on the same network.
+func (world *World) NewPartnerWorld(cores int) *World {
+	return newWorld(world.Net, world.Subnet+100, world.Seed+1000, cores)
 }
 
-func newWorld(net *Net, base int, seed uint64, cores int) *World {
+func newWorld(network *Network, subnet int, seed uint64, cores int) *World {
 	world := &World{
-		Net:        net,
-		Base:       base,
-		Seed:       seed,
-		random:     rand.New(rand.NewPCG(seed, 17)),
-		goroutines: concurrent.NewGroup(),
-		applied:    map[uint64]string{},
-		laidOut:    cores,
-		replacing:  rand.New(rand.NewPCG(seed, 41)),
+		Net:             network,
+		Subnet:          subnet,
+		Seed:            seed,
+		random:          rand.New(rand.NewPCG(seed, 17)),
+		goroutines:      concurrent.NewGroup(),
+		contentBySerial: map[uint64]string{},
+		machinesCreated: cores,
+		seedRandom:      rand.New(rand.NewPCG(seed, 41)),
 	}
 	for index := range cores {
-		host := fmt.Sprintf("10.%d.0.%d", base, index+1)
+		host := fmt.Sprintf("10.%d.0.%d", subnet, index+1)
 		world.Cores = append(world.Cores, newCore(index+1, host, NewDisk(seed+uint64(index))))
 	}
 	return world
 }
 
-func (world *World) broke(format string, values ...any) {
+func (world *World) reportViolation(format string, values ...any) {
 	world.mutex.Lock()
-	world.Broken = append(world.Broken, fmt.Sprintf(format, values...))
+	world.Violations = append(world.Violations, fmt.Sprintf(format, values...))
 	world.mutex.Unlock()
 }
 
 func (world *World) serve(goroutines *concurrent.Group, address string, handler http.Handler) *http.Server {
 	open, err := world.Net.Listen(address)
 	if err != nil {
-		world.broke("listen %s: %v", address, err)
+		world.reportViolation("listen %s: %v", address, err)
 		return &http.Server{}
 	}
 	server := &http.Server{Handler: handler}
-	goroutines.Start(func() { _ = server.Serve(open) }) // ends when the server or its host does
+	goroutines.Start(func() { _ = server.Serve(open) }) // returns when the server or its listener is closed
 	return server
 }
 
-// ends is whether something lived until now.
-func (world *World) ends(alive *bool) bool {
+// markStopped clears alive and returns its former value.
+func (world *World) markStopped(alive *bool) bool {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	lived := *alive
@@ -153,8 +152,8 @@
 	return lived
 }
 
-// life is the daemon that runs in this place now, nil when none does.
-func (daemon *Daemon) life(world *World) *agent.Daemon {
+// running returns the daemon's current process, or nil.
+func (daemon *Daemon) running(world *World) *agent.Daemon {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	if !daemon.Alive {
@@ -163,10 +162,10 @@
 	return daemon.Daemon
 }
 
-// AddDaemon lays out a directory node or a proxy; StartDaemon starts it.
+// AddDaemon adds a directory node or a proxy; StartDaemon starts it.
 func (world *World) AddDaemon(kind, zone string) *Daemon {
 	index := len(world.Daemons)
-	host := fmt.Sprintf("10.%d.%d.%d", world.Base+1, index/200, index%200+1)
+	host := fmt.Sprintf("10.%d.%d.%d", world.Subnet+1, index/200, index%200+1)
 	daemon := &Daemon{
 		Name:            fmt.Sprintf("%s-%03d", kind, index),
 		Kind:            kind,
@@ -180,13 +179,13 @@
 	return daemon
 }
 
-// StartDaemon starts a daemon that is laid out.
+// StartDaemon starts a daemon that AddDaemon returned.
 func (world *World) StartDaemon(daemon *Daemon) {
 	seeds := []string{}
 	for _, core := range world.Cores[:min(3, len(world.Cores))] {
 		seeds = append(seeds, core.InternalAddress)
 	}
-	spot := agent.Config{
+	config := agent.Config{
 		Name:            daemon.Name,
 		Kind:            daemon.Kind,
 		Zone:            daemon.Zone,
@@ -198,9 +197,9 @@
 	}
 	daemon.goroutines, daemon.Counters = concurrent.NewGroup(), metrics.NewCounters()
 	daemon.client = rpc.NewClient(world.Net.Transport(daemon.Host))
-	made := agent.NewDaemon(spot, agent.NewID(), daemon.client, daemon.goroutines, daemon.Counters)
+	started := agent.NewDaemon(config, agent.NewID(), daemon.client, daemon.goroutines, daemon.Counters)
 	world.mutex.Lock()
-	daemon.Daemon = made
+	daemon.Daemon = started
 	world.mutex.Unlock()
 	var outer http.Handler
 	if daemon.Kind == message.ProxyKind {
@@ -210,13 +209,13 @@
 			daemon.Proxy.SetLendingLimit(serviceproxy.NewLendingLimit(daemon.Lender.Proxy, 50, 32))
 		}
 		daemon.Daemon.OnVersion(
-			func(version *agent.Version) { world.takes(daemon, version); daemon.Proxy.Apply(version) },
+			func(version *agent.Version) { world.checkVersion(daemon, version); daemon.Proxy.Apply(version) },
 			daemon.Proxy.Probes,
 		)
 	} else {
 		placements := directory.NewDirectory(daemon.Daemon, daemon.Counters)
 		outer = placements
-		daemon.Daemon.OnVersion(func(version *agent.Version) { world.takes(daemon, version); placements.Apply(version) }, nil)
+		daemon.Daemon.OnVersion(func(version *agent.Version) { world.checkVersion(daemon, version); placements.Apply(version) }, nil)
 	}
 	server := rpc.NewServer(daemon.Counters)
 	daemon.Daemon.Register(server)
@@ -233,7 +232,7 @@
 		world.serve(daemon.goroutines, daemon.OperatorAddress, operate),
 	}
 	world.mutex.Lock()
-	daemon.Alive, daemon.highest = true, 0
+	daemon.Alive, daemon.highestSerial = true, 0
 	world.mutex.Unlock()
 	daemon.Daemon.Run()
 	if daemon.Proxy != nil {
@@ -241,36 +240,40 @@
 	}
 }
 
-// takes judges each version as it comes into force.
-func (world *World) takes(daemon *Daemon, version *agent.Version) {
+// checkVersion checks that a daemon's applied settings never go back to an older version, and
+// that a version has the same content everywhere.
+func (world *World) checkVersion(daemon *Daemon, version *agent.Version) {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	if version.Serial < daemon.highest {
-		world.Broken = append(world.Broken, fmt.Sprintf("%s slid from %d to %d", daemon.Name, daemon.highest, version.Serial))
+	if version.Serial < daemon.highestSerial {
+		world.Violations = append(
+			world.Violations,
+			fmt.Sprintf("%s went back from settings version %d to %d", daemon.Name, daemon.highestSerial, version.Serial),
+		)
 	}
-	daemon.highest = version.Serial
-	if body, found := world.applied[version.Serial]; found && body != string(version.Body()) {
-		world.Broken = append(world.Broken, fmt.Sprintf("serial %d has two contents", version.Serial))
+	daemon.highestSerial = version.Serial
+	if body, found := world.contentBySerial[version.Serial]; found && body != string(version.Body()) {
+		world.Violations = append(world.Violations, fmt.Sprintf("settings version %d has two different contents", version.Serial))
 	}
-	world.applied[version.Serial] = string(version.Body())
+	world.contentBySerial[version.Serial] = string(version.Body())
 }
 
-// KillDaemon ends a daemon as a crash does.
+// KillDaemon simulates a crash of the daemon's process.
 func (world *World) KillDaemon(daemon *Daemon) {
-	if !world.ends(&daemon.Alive) {
+	if !world.markStopped(&daemon.Alive) {
 		return
 	}
 	world.Net.Kill(daemon.Host)
 	daemon.goroutines.Stop()
 	for _, server := range daemon.servers {
-		_ = server.Close() // its listeners are the net's
+		_ = server.Close() // the network has closed its listeners
 	}
 	daemon.client.Close()
 }
 
-// TermDaemon is the platform's warning to a daemon, as its program takes it.
-func (world *World) TermDaemon(daemon *Daemon) {
-	daemon.Daemon.Retire(settle, grace, func(rest time.Duration) bool {
+// TerminateDaemon simulates SIGTERM: the daemon retires as its program does, then exits.
+func (world *World) TerminateDaemon(daemon *Daemon) {
+	daemon.Daemon.Retire(leaveDelay, leaveGrace, func(rest time.Duration) bool {
 		ctx, cancel := context.WithTimeout(context.Background(), rest)
 		defer cancel()
 		return daemon.servers[0].Shutdown(ctx) == nil
@@ -278,45 +281,46 @@
 	world.KillDaemon(daemon)
 }
 
-// AddBackend starts a backend; List makes the platform list all that were added.
-func (world *World) AddBackend(service, zone string, place standin.BackendConfig) *Backend {
+// AddBackend starts a backend; PublishBackends adds it to the platform's list.
+func (world *World) AddBackend(service, zone string, config standin.BackendConfig) *Backend {
 	index := len(world.Backends)
-	address := fmt.Sprintf("10.%d.%d.%d:80", world.Base+2, index/200, index%200+1)
-	place.Service, place.Instance = service, fmt.Sprintf("back-%03d", index)
-	if place.Incarnation == "" {
-		place.Incarnation = "1"
+	address := fmt.Sprintf("10.%d.%d.%d:80", world.Subnet+2, index/200, index%200+1)
+	config.Service, config.Instance = service, fmt.Sprintf("back-%03d", index)
+	if config.Incarnation == "" {
+		config.Incarnation = "1"
 	}
-	inner, _ := standin.NewBackend(place)
-	backend := &Backend{Backend: inner, Listed: standin.Listed{Name: place.Instance, Service: service, Address: address, Zone: zone}}
-	backend.server = world.serve(world.goroutines, address, inner)
+	standIn, _ := standin.NewBackend(config)
+	backend := &Backend{Backend: standIn, Listed: standin.Listed{Name: config.Instance, Service: service, Address: address, Zone: zone}}
+	backend.server = world.serve(world.goroutines, address, standIn)
 	world.Backends = append(world.Backends, backend)
 	return backend
 }
 
-// ReviveBackend starts a backend anew at its address, cold if need be.
+// ReviveBackend restarts a backend at its address with a new incarnation that is cold for
+// coldMs.
 func (world *World) ReviveBackend(backend *Backend, coldMs int) {
-	place := backend.Backend.Place()
-	world.lives++
-	place.Incarnation, place.ColdMs = fmt.Sprint("life-", world.lives), coldMs
-	inner, _ := standin.NewBackend(place)
-	world.ServeBackend(backend, inner)
+	config := backend.Backend.Place()
+	world.revivals++
+	config.Incarnation, config.ColdMs = fmt.Sprint("life-", world.revivals), coldMs
+	standIn, _ := standin.NewBackend(config)
+	world.ServeBackend(backend, standIn)
 }
 
-// StopBackend ends a backend as a crash does.
+// StopBackend simulates a crash of the backend.
 func (world *World) StopBackend(backend *Backend) {
 	world.Net.Kill(host(backend.Listed.Address))
-	_ = backend.server.Close() // its listener is the net's
+	_ = backend.server.Close() // the network has closed its listener
 }
 
-// ServeBackend opens an address again, for another stand-in if need be.
-func (world *World) ServeBackend(backend *Backend, inner *standin.Backend) {
-	world.past = append(world.past, backend.Backend.Seen())
-	backend.Backend = inner
-	backend.server = world.serve(world.goroutines, backend.Listed.Address, inner)
+// ServeBackend serves a backend's address again, with the given stand-in.
+func (world *World) ServeBackend(backend *Backend, standIn *standin.Backend) {
+	world.formerBackends = append(world.formerBackends, backend.Backend.Seen())
+	backend.Backend = standIn
+	backend.server = world.serve(world.goroutines, backend.Listed.Address, standIn)
 }
 
-// List makes the backends' present state what the platform lists.
-func (world *World) List() {
+// PublishBackends makes the platform list the present backends.
+func (world *World) PublishBackends() {
 	items := []standin.Listed{}
 	for _, backend := range world.Backends {
 		items = append(items, backend.Listed)
@@ -329,38 +333,38 @@
 	world.Platform.Set(items)
 }
 
-// Client is an operator's, at one daemon's or core's door.
-func (world *World) Client(door string) *operator.Client {
-	return operator.NewClient([]string{door}, &http.Transport{DialContext: world.Net.Dialer("10.8.0.1"), DisableKeepAlives: true})
+// Client returns an operator's client for one operator address of a core or daemon.
+func (world *World) Client(address string) *operator.Client {
+	return operator.NewClient([]string{address}, &http.Transport{DialContext: world.Net.Dialer("10.8.0.1"), DisableKeepAlives: true})
 }
 
-// OperatorAddresses are the operators' doors of all that live.
+// OperatorAddresses returns the operator addresses of all running cores and daemons.
 func (world *World) OperatorAddresses() []string {
-	doors := []string{}
+	addresses := []string{}
 	for _, core := range world.machines() {
-		if core.life(world) != nil {
-			doors = append(doors, core.OperatorAddress)
+		if core.running(world) != nil {
+			addresses = append(addresses, core.OperatorAddress)
 		}
 	}
 	for _, daemon := range world.Daemons {
-		if daemon.life(world) != nil {
-			doors = append(doors, daemon.OperatorAddress)
+		if daemon.running(world) != nil {
+			addresses = append(addresses, daemon.OperatorAddress)
 		}
 	}
-	return doors
+	return addresses
 }
 
-// Leader is the index of the core that leads with all conditions standing, or -1.
+// Leader returns the index of the core that is an active leader, or -1.
 func (world *World) Leader() int {
 	for index, machine := range world.machines() {
-		if core := machine.life(world); core != nil && core.Leads() {
+		if core := machine.running(world); core != nil && core.Leads() {
 			return index
 		}
 	}
 	return -1
 }
 
-// Until waits in virtual time for a condition.
+// Until waits in virtual time for a condition and reports whether it came true.
 func (world *World) Until(limit time.Duration, holds func() bool) bool {
 	for until := time.Now().Add(limit); time.Now().Before(until); {
 		if holds() {
@@ -371,11 +375,12 @@
 	return holds()
 }
 
-// Rest sleeps in virtual time; false once the world ends.
+// Rest sleeps in virtual time; it returns false once the world is closed.
 func (world *World) Rest(span time.Duration) bool { return world.goroutines.Sleep(span) }
 
-// Origin plays callers from outside.
-func (world *World) Origin(plan standin.LoadPlan) (*standin.LoadGenerator, *http.Client) {
+// NewLoadGenerator returns a generator of requests from outside the deployment, and its HTTP
+// client.
+func (world *World) NewLoadGenerator(plan standin.LoadPlan) (*standin.LoadGenerator, *http.Client) {
 	client := &http.Client{
 		Transport: &http.Transport{
 			DialContext:         world.Net.Dialer("10.7.0.1"),
@@ -387,27 +392,27 @@
 	return standin.NewLoadGenerator(plan, client, world.goroutines.Start), client
 }
 
-// Close ends everything, so that the bubble can end.
+// Close stops all goroutines, so that the synctest bubble can end.
 func (world *World) Close() {
 	for _, daemon := range world.Daemons {
 		world.KillDaemon(daemon)
 	}
-	for _, machine := range world.everyMachine() {
-		world.kill(machine, false)
+	for _, machine := range world.allMachines() {
+		world.killMachine(machine, false)
 	}
 	world.goroutines.Stop()
 	for _, backend := range world.Backends {
-		_ = backend.server.Close() // its listener is the net's
+		_ = backend.server.Close() // the network closes its listener
 	}
 	for _, server := range world.servers {
-		_ = server.Close() // its listeners are the net's
+		_ = server.Close() // the network closes its listeners
 	}
 	time.Sleep(10 * time.Second)
 	world.Net.Close()
 	time.Sleep(10 * time.Second)
 }
 
-// Settings is a small tree for worlds.
+// Settings returns a small settings document for tests.
 func Settings(hold int) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"format":1,"partner":"sim","ack_ms":400,
 	"rule":{"limit_ms":2000,"sends":3,"body_bytes":65536,"receipt_bytes":4194304,"hold_ms":%d,"fronts":3,"pipes":16},
