--- a/harness/simulation/combined_faults.go
+++ b/harness/simulation/combined_faults.go
@@ -22,10 +22,10 @@
 	changes    int
 }
 
-// CombinedFaults returns an injector that follows the world's seed; some faults change
+// NewCombinedFaults returns an injector that follows the world's seed; some faults change
 // settings through ledger.
-func (world *World) CombinedFaults(ledger *checker.Ledger) *CombinedFaults {
-	return &CombinedFaults{world: world, coreFaults: world.RandomFaults(), ledger: ledger, random: rand.New(rand.NewPCG(world.Seed, 71))}
+func (world *World) NewCombinedFaults(ledger *checker.Ledger) *CombinedFaults {
+	return &CombinedFaults{world: world, coreFaults: world.NewRandomFaults(), ledger: ledger, random: rand.New(rand.NewPCG(world.Seed, 71))}
 }
 
 // SystemFaults are the kinds of faults that CombinedFaults.Run chooses from; "core" stands for
@@ -70,8 +70,8 @@
 	}
 }
 
-func (faults *CombinedFaults) randomSpan(least, most int) time.Duration {
-	return time.Duration(least+faults.random.IntN(most-least)) * time.Millisecond
+func (faults *CombinedFaults) randomSpan(minimum, maximum int) time.Duration {
+	return time.Duration(minimum+faults.random.IntN(maximum-minimum)) * time.Millisecond
 }
 
 func (faults *CombinedFaults) shuffledProxies() []*Daemon {
@@ -253,12 +253,12 @@
 		world.ReviveBackend(backend, 0)
 	case "backends-cold-herd":
 		crashed := world.Backends[:len(world.Backends)/2]
-		for _, crashedBackend := range crashed {
-			world.StopBackend(crashedBackend)
+		for _, each := range crashed {
+			world.StopBackend(each)
 		}
 		world.Rest(faults.randomSpan(100, 1500))
-		for _, crashedBackend := range crashed {
-			world.ReviveBackend(crashedBackend, 4000)
+		for _, each := range crashed {
+			world.ReviveBackend(each, 4000)
 		}
 		faults.restart(proxies[:1], faults.randomSpan(200, 1500))
 	case "backend-frozen":
--- a/harness/simulation/combined_faults_test.go
+++ b/harness/simulation/combined_faults_test.go
@@ -58,7 +58,7 @@
 	plan := world.plan(25, 600)
 	plan.Eager, plan.Tries, plan.Patient = 10, 5, true
 	generator, client := world.NewLoadGenerator(plan)
-	faults := world.CombinedFaults(ledger)
+	faults := world.NewCombinedFaults(ledger)
 	begin, done := time.Now(), false
 	world.goroutines.Start(func() {
 		faults.Run(span)
--- a/harness/simulation/core.go
+++ b/harness/simulation/core.go
@@ -40,7 +40,7 @@
 	starts          uint64
 	clockOffsetMs   atomic.Int64
 	emptyDisk       bool
-	gone            bool
+	removedForGood  bool
 	// returned says that the machine was removed and then started again.
 	returned  bool
 	Forwarder *agent.Forwarder
@@ -72,7 +72,7 @@
 
 // startMachine does nothing if the machine is already running or permanently removed.
 func (world *World) startMachine(machine *Core) {
-	if machine.running(world) != nil || world.isGone(machine) {
+	if machine.running(world) != nil || world.isRemovedForGood(machine) {
 		return
 	}
 	config := world.coreConfig(machine)
@@ -95,10 +95,10 @@
 	world.mutex.Lock()
 	machine.Core, machine.Forwarder, machine.Alive = core, forwarder, true
 	world.mutex.Unlock()
-	operate := agent.NewOperatorAPI(fmt.Sprint(machine.ID), forwarder, counters, core.Settings, core.CanVote)
+	operatorAPI := agent.NewOperatorAPI(fmt.Sprint(machine.ID), forwarder, counters, core.Settings, core.CanVote)
 	machine.servers = []*http.Server{
 		world.serve(machine.goroutines, machine.InternalAddress, server),
-		world.serve(machine.goroutines, machine.OperatorAddress, operate),
+		world.serve(machine.goroutines, machine.OperatorAddress, operatorAPI),
 	}
 	finder.Run()
 	core.Run()
@@ -126,7 +126,7 @@
 	if world.AdjustCoreConfig != nil {
 		world.AdjustCoreConfig(machine, &config)
 		if err := config.Check(); err != nil {
-			world.reportViolation("%s: %v", machine.Host, err)
+			world.reportViolation("configuration of core %s is invalid: %v", machine.Host, err)
 		}
 	}
 	config.OnRole = func(_ control.Role, term message.Term) { world.checkLeadership(machine, term) }
@@ -154,7 +154,7 @@
 	if err != nil {
 		return
 	}
-	promised, rewritten := map[string]bool{}, map[string]bool{}
+	promised, accepted := map[string]bool{}, map[string]bool{}
 	for _, machine := range world.allMachines() {
 		store, err := replica.OpenStore(world.diskOf(machine).Copy())
 		if err != nil {
@@ -162,25 +162,25 @@
 		}
 		state := store.State()
 		promised[machine.InternalAddress] = !state.Promised.Less(term)
-		rewritten[machine.InternalAddress] = !state.Accepted[message.SettingsRegister].Term.Less(term)
+		accepted[machine.InternalAddress] = !state.Accepted[message.SettingsRegister].Term.Less(term)
 	}
 	for _, group := range world.voterGroups(own.State()) {
-		if count, need := countMarked(group, promised), len(group)/2+1; count < need {
+		if count, required := countMarked(group, promised), len(group)/2+1; count < required {
 			world.reportViolation(
 				"core %d leads under %s, but only %d of the required %d voters promised the term",
 				leader.ID,
 				term,
 				count,
-				need,
+				required,
 			)
 		}
-		if count, need := countMarked(group, rewritten), len(group)/2+1; count < need {
+		if count, required := countMarked(group, accepted), len(group)/2+1; count < required {
 			world.reportViolation(
 				"core %d leads under %s, but only %d of the required %d voters accepted the settings in it",
 				leader.ID,
 				term,
 				count,
-				need,
+				required,
 			)
 		}
 	}
@@ -270,10 +270,10 @@
 	return machine.Forwarder
 }
 
-func (world *World) isGone(machine *Core) bool {
+func (world *World) isRemovedForGood(machine *Core) bool {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	return machine.gone
+	return machine.removedForGood
 }
 
 // KillCore kills a core's process. With power it is a power loss, in which unsynced data may
--- a/harness/simulation/election_test.go
+++ b/harness/simulation/election_test.go
@@ -92,7 +92,7 @@
 		defer world.Close()
 		world.up(test, 3)
 		ledger := world.StartOperators(3, 150*time.Millisecond)
-		faults := world.RandomFaults()
+		faults := world.NewRandomFaults()
 		faults.Run(chaosSpan())
 		ledger.Stop()
 		world.judge(ledger)
--- a/harness/simulation/evidence.go
+++ b/harness/simulation/evidence.go
@@ -16,14 +16,14 @@
 }
 
 // Start implements checker.System.
-func (world *World) Start(duty func()) { world.goroutines.Start(duty) }
+func (world *World) Start(task func()) { world.goroutines.Start(task) }
 
 // Serials returns the version of the settings that each ready daemon applies.
 func (world *World) Serials() []uint64 {
 	serials := []uint64{}
 	for _, daemon := range world.Daemons {
-		if life := daemon.running(world); life != nil && life.Ready() {
-			serials = append(serials, life.Version().Serial)
+		if running := daemon.running(world); running != nil && running.Ready() {
+			serials = append(serials, running.Version().Serial)
 		}
 	}
 	return serials
@@ -81,7 +81,7 @@
 
 func (world *World) daemonsReady() bool {
 	for _, daemon := range world.Daemons {
-		if life := daemon.running(world); life != nil && !life.Ready() {
+		if running := daemon.running(world); running != nil && !running.Ready() {
 			return false
 		}
 	}
--- a/harness/simulation/injector_test.go
+++ b/harness/simulation/injector_test.go
@@ -19,7 +19,7 @@
 func (side *Control) injector(number uint64, kinds, cores []string) *Injector {
 	one := &Injector{
 		Control: side,
-		chaos:   side.world.RandomFaults(),
+		chaos:   side.world.NewRandomFaults(),
 		random:  rand.New(rand.NewPCG(side.world.Seed, 83+number)),
 		kinds:   kinds,
 		cores:   cores,
--- a/harness/simulation/loss_budget.go
+++ b/harness/simulation/loss_budget.go
@@ -27,20 +27,20 @@
 	return &LossBudget{world: world, maxLost: (len(world.machines()) - 1) / 2, recoverySpan: span, lostUntil: map[*Core]time.Time{}}
 }
 
-// Acquire waits up to limit until the budget allows the machines to be lost, marks them as
+// Acquire waits up to timeout until the budget allows the machines to be lost, marks them as
 // lost and reports whether it did. Losing all machines at once requires that none is lost.
-func (budget *LossBudget) Acquire(machines []*Core, limit time.Duration) bool {
+func (budget *LossBudget) Acquire(machines []*Core, timeout time.Duration) bool {
 	if len(machines) == len(budget.world.machines()) {
 		budget.addWaiting(1)
 		defer budget.addWaiting(-1)
-		return budget.world.Until(limit, func() bool { return budget.tryAcquireAll(machines) })
+		return budget.world.Until(timeout, func() bool { return budget.tryAcquireAll(machines) })
 	}
-	return len(machines) <= budget.maxLost && budget.world.Until(limit, func() bool { return budget.tryAcquire(machines) })
+	return len(machines) <= budget.maxLost && budget.world.Until(timeout, func() bool { return budget.tryAcquire(machines) })
 }
 
-func (budget *LossBudget) addWaiting(change int) {
+func (budget *LossBudget) addWaiting(delta int) {
 	budget.mutex.Lock()
-	budget.waitingForAll += change
+	budget.waitingForAll += delta
 	budget.mutex.Unlock()
 }
 
--- a/harness/simulation/net.go
+++ b/harness/simulation/net.go
@@ -19,7 +19,7 @@
 type MessageFaults struct {
 	RequestLoss  int
 	ResponseLoss int
-	Duplication  int
+	Duplicate    int
 	MaxDelayMs   int
 }
 
@@ -34,7 +34,7 @@
 	blackholed     map[string]bool
 	incarnations   map[string]int
 	faults         MessageFaults
-	responseDelays map[string]time.Duration
+	requestDelays  map[string]time.Duration
 	lag            func(from, to string) time.Duration
 	bytesPerSecond int
 	goroutines     *concurrent.Group
@@ -60,7 +60,8 @@
 	}
 }
 
-func (network *Network) chance(perMille int) bool {
+// draw returns true with the given probability; the caller holds the mutex.
+func (network *Network) draw(perMille int) bool {
 	return perMille > 0 && network.random.IntN(1000) < perMille
 }
 
@@ -148,8 +149,8 @@
 func (network *Network) SetRequestDelay(host string, span time.Duration) {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
-	if network.responseDelays = map[string]time.Duration{}; host != "" {
-		network.responseDelays[host] = span
+	if network.requestDelays = map[string]time.Duration{}; host != "" {
+		network.requestDelays[host] = span
 	}
 }
 
@@ -175,30 +176,30 @@
 	network.incarnations[name]++
 	broken := network.removeConns(func(conn *conn) bool { return conn.hasEndpoint(name) })
 	closing := []*listener{}
-	for address, open := range network.listeners {
+	for address, ln := range network.listeners {
 		if host(address) == name {
-			closing = append(closing, open)
+			closing = append(closing, ln)
 		}
 	}
 	network.mutex.Unlock()
-	for _, open := range closing {
-		_ = open.Close() // never fails
+	for _, ln := range closing {
+		_ = ln.Close() // never fails
 	}
 	return broken
 }
 
 // removeConns removes and returns the wanted connections; the caller holds the mutex.
 func (network *Network) removeConns(wanted func(*conn) bool) []*conn {
-	kept, taken := []*conn{}, []*conn{}
+	kept, removed := []*conn{}, []*conn{}
 	for _, conn := range network.conns {
 		if wanted(conn) {
-			taken = append(taken, conn)
+			removed = append(removed, conn)
 		} else {
 			kept = append(kept, conn)
 		}
 	}
 	network.conns = kept
-	return taken
+	return removed
 }
 
 // Blackhole makes a host disappear without closing its connections: they hang, and so do
@@ -250,10 +251,10 @@
 	if network.listeners[address] != nil {
 		return nil, errRefused
 	}
-	open := &listener{network: network, address: address}
-	open.wake = sync.NewCond(&open.mutex)
-	network.listeners[address] = open
-	return open, nil
+	ln := &listener{network: network, address: address}
+	ln.wake = sync.NewCond(&ln.mutex)
+	network.listeners[address] = ln
+	return ln, nil
 }
 
 func (listener *listener) Accept() (net.Conn, error) {
@@ -302,10 +303,10 @@
 
 type netConn = net.Conn
 
-func (network *Network) dial(ctx context.Context, from, to string, dead func() bool) (net.Conn, error) {
+func (network *Network) dial(ctx context.Context, from, to string, processEnded func() bool) (net.Conn, error) {
 	until := time.Now().Add(time.Second)
-	if limit, found := ctx.Deadline(); found && limit.Before(until) {
-		until = limit
+	if deadline, found := ctx.Deadline(); found && deadline.Before(until) {
+		until = deadline
 	}
 	for network.blocked(from, host(to)) || network.unreachable(from, host(to)) {
 		if !time.Now().Before(until) {
@@ -317,27 +318,27 @@
 		}
 	}
 	network.mutex.Lock()
-	open := network.listeners[to]
-	if open == nil || dead() {
+	ln := network.listeners[to]
+	if ln == nil || processEnded() {
 		network.mutex.Unlock()
 		return nil, dialError(errRefused)
 	}
 	target := host(to)
-	there := newStream(func() bool { return network.blocked(from, target) })
-	back := newStream(func() bool { return network.blocked(target, from) })
-	near := &conn{in: back, out: there, local: address(from + ":1"), remote: address(to), network: network}
-	far := &conn{in: there, out: back, local: address(to), remote: address(from + ":1"), network: network}
-	network.conns = append(network.conns, near, far)
+	toServer := newStream(func() bool { return network.blocked(from, target) })
+	toClient := newStream(func() bool { return network.blocked(target, from) })
+	clientEnd := &conn{in: toClient, out: toServer, local: address(from + ":1"), remote: address(to), network: network}
+	serverEnd := &conn{in: toServer, out: toClient, local: address(to), remote: address(from + ":1"), network: network}
+	network.conns = append(network.conns, clientEnd, serverEnd)
 	network.mutex.Unlock()
-	open.mutex.Lock()
-	defer open.mutex.Unlock()
-	if open.closed {
-		_ = near.Close() // never fails
+	ln.mutex.Lock()
+	defer ln.mutex.Unlock()
+	if ln.closed {
+		_ = clientEnd.Close() // never fails
 		return nil, dialError(errRefused)
 	}
-	open.backlog = append(open.backlog, far)
-	open.wake.Signal()
-	return near, nil
+	ln.backlog = append(ln.backlog, serverEnd)
+	ln.wake.Signal()
+	return clientEnd, nil
 }
 
 func dialError(cause error) error { return &net.OpError{Op: "dial", Net: "tcp", Err: cause} }
@@ -366,14 +367,8 @@
 	faults := network.faults
 	network.Messages++
 	network.Bytes += int(max(request.ContentLength, 0))
-	loseRequest, loseResponse, duplicate := network.chance(
-		faults.RequestLoss,
-	), network.chance(
-		faults.ResponseLoss,
-	), network.chance(
-		faults.Duplication,
-	)
-	delay := network.responseDelays[host(request.URL.Host)]
+	loseRequest, loseResponse, resend := network.draw(faults.RequestLoss), network.draw(faults.ResponseLoss), network.draw(faults.Duplicate)
+	delay := network.requestDelays[host(request.URL.Host)]
 	if faults.MaxDelayMs > 0 {
 		delay += time.Duration(network.random.IntN(faults.MaxDelayMs*1000)) * time.Microsecond
 	}
@@ -385,7 +380,7 @@
 		<-request.Context().Done()
 		return nil, errLost
 	}
-	if duplicate && request.Body != nil {
+	if resend && request.Body != nil {
 		body, err := io.ReadAll(request.Body)
 		request.Body.Close()
 		if err != nil {
--- a/harness/simulation/operator_test.go
+++ b/harness/simulation/operator_test.go
@@ -215,7 +215,7 @@
 		world.farUp(test, 1)
 		operator := world.operatorCaller()
 		world.calm(test)
-		world.Net.SetMessageFaults(MessageFaults{Duplication: 1000})
+		world.Net.SetMessageFaults(MessageFaults{Duplicate: 1000})
 		for round := range 16 {
 			first, second, begin := http.MethodPost, http.MethodDelete, false
 			if round%2 == 1 {
--- a/harness/simulation/partition.go
+++ b/harness/simulation/partition.go
@@ -13,8 +13,8 @@
 	span    time.Duration
 }
 
-// isolateDaemons cuts daemons off from the rest of the deployment for cut.span.
-func (world *World) isolateDaemons(isolated []*Daemon, cut isolation) {
+// isolateDaemons cuts daemons off from the rest of the deployment for how.span.
+func (world *World) isolateDaemons(isolated []*Daemon, how isolation) {
 	isIsolated := map[string]bool{}
 	for _, daemon := range isolated {
 		isIsolated[daemon.Host] = true
@@ -31,24 +31,24 @@
 	setCut := func(on bool) {
 		for _, daemon := range isolated {
 			for _, host := range hosts {
-				if cut.oneWay != 2 {
+				if how.oneWay != 2 {
 					world.Net.CutOneWay(host, daemon.Host, on)
 				}
-				if cut.oneWay != 1 {
+				if how.oneWay != 1 {
 					world.Net.CutOneWay(daemon.Host, host, on)
 				}
 			}
 		}
 	}
-	for until := time.Now().Add(cut.span); time.Now().Before(until); {
+	for until := time.Now().Add(how.span); time.Now().Before(until); {
 		setCut(true)
-		if cut.flap == 0 {
-			world.Rest(cut.span)
+		if how.flap == 0 {
+			world.Rest(how.span)
 			break
 		}
-		world.Rest(cut.flap)
+		world.Rest(how.flap)
 		setCut(false)
-		world.Rest(cut.flap / 8)
+		world.Rest(how.flap / 8)
 	}
 	setCut(false)
 }
--- a/harness/simulation/platform_test.go
+++ b/harness/simulation/platform_test.go
@@ -40,7 +40,7 @@
 		if !world.Until(30*time.Second, func() bool { return daemon.Daemon.Ready() }) {
 			test.Fatal("not ready")
 		}
-		faults := world.RandomFaults()
+		faults := world.NewRandomFaults()
 		ends := time.Now().Add(60 * time.Second)
 		sometimes := standin.Listed{Name: "aaa-sometimes", Service: "meters", Address: "10.5.1.1:80", Zone: "e1"}
 		versions := 0
--- a/harness/simulation/random_faults.go
+++ b/harness/simulation/random_faults.go
@@ -12,8 +12,8 @@
 	Injected map[string]int
 }
 
-// RandomFaults returns an injector of core faults that follows the world's seed.
-func (world *World) RandomFaults() *RandomFaults {
+// NewRandomFaults returns an injector of core faults that follows the world's seed.
+func (world *World) NewRandomFaults() *RandomFaults {
 	return &RandomFaults{world: world, random: rand.New(rand.NewPCG(world.Seed, 23)), Injected: map[string]int{}}
 }
 
@@ -38,8 +38,8 @@
 	"refuse-restart",
 }
 
-func (faults *RandomFaults) randomSpan(least, most time.Duration) time.Duration {
-	return least + time.Duration(faults.random.Int64N(int64(most-least)))
+func (faults *RandomFaults) randomSpan(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(faults.random.Int64N(int64(maximum-minimum)))
 }
 
 // Run injects random faults, one after another, until the span is over.
@@ -107,7 +107,7 @@
 	case "stale-leader-lost", "stale-disk-lost":
 		faults.loseLeaderWithStaleMember(kind == "stale-disk-lost")
 	case "faults":
-		world.Net.SetMessageFaults(MessageFaults{RequestLoss: 60, ResponseLoss: 60, Duplication: 100, MaxDelayMs: 30})
+		world.Net.SetMessageFaults(MessageFaults{RequestLoss: 60, ResponseLoss: 60, Duplicate: 100, MaxDelayMs: 30})
 		world.Rest(faults.randomSpan(500*time.Millisecond, 2*time.Second))
 		world.Net.SetMessageFaults(MessageFaults{})
 	}
@@ -120,9 +120,9 @@
 	set(false)
 }
 
-func (faults *RandomFaults) restart(machine *Core, power bool, most time.Duration) {
+func (faults *RandomFaults) restart(machine *Core, power bool, maximum time.Duration) {
 	faults.world.killMachine(machine, power)
-	faults.world.Rest(faults.randomSpan(10*time.Millisecond, most))
+	faults.world.Rest(faults.randomSpan(10*time.Millisecond, maximum))
 	faults.world.startMachine(machine)
 }
 
--- a/harness/simulation/regions.go
+++ b/harness/simulation/regions.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	regionalHeartbeat    = 150 * time.Millisecond
-	regionalSuspicion    = 750 * time.Millisecond
-	interRegionDelay     = 55 * time.Millisecond
-	regionalReplaceAfter = time.Second
+	regionalHeartbeatInterval = 150 * time.Millisecond
+	regionalSuspicionTimeout  = 750 * time.Millisecond
+	interRegionDelay          = 55 * time.Millisecond
+	regionalReplaceAfter      = time.Second
 
 	// seedStride gives each core a different random sequence, as in production.
-	seedStride      = 7919
-	regionalSession = 500 * time.Millisecond
+	seedStride              = 7919
+	regionalSessionInterval = 500 * time.Millisecond
 )
 
 // RegionalDaemon is a daemon without a data plane.
@@ -56,7 +56,7 @@
 func NewRegionalWorld(seed uint64, cores int) *World {
 	world := NewWorld(seed, cores)
 	world.Intervals = agent.Intervals{
-		Session:    regionalSession,
+		Session:    regionalSessionInterval,
 		Watch:      2500 * time.Millisecond,
 		FindLeader: 100 * time.Millisecond,
 		Pulse:      500 * time.Millisecond,
@@ -87,7 +87,7 @@
 	config.Seed += uint64(machine.ID) * seedStride
 	config.Name, config.Bootstrap, config.MinFounders = machine.Host, !machine.emptyDisk, 3
 	config.Seeds = world.seedsOf(&machine.Seeds)
-	config.HeartbeatInterval, config.SuspicionTimeout, config.TableInterval = regionalHeartbeat, regionalSuspicion, 250*time.Millisecond
+	config.HeartbeatInterval, config.SuspicionTimeout, config.TableInterval = regionalHeartbeatInterval, regionalSuspicionTimeout, 250*time.Millisecond
 	config.ReplaceAfter = regionalReplaceAfter
 	config.DirectSessions, config.SessionTTL = true, 2500*time.Millisecond
 	config.ListBackends, config.ListsUntilGone = world.listBackends, 2
--- a/harness/simulation/regions_test.go
+++ b/harness/simulation/regions_test.go
@@ -103,7 +103,7 @@
 				world.Rest(50 * time.Millisecond)
 			}
 		})
-		faults := world.RandomFaults()
+		faults := world.NewRandomFaults()
 		for until := time.Now().Add(2 * chaosSpan()); time.Now().Before(until); {
 			faults.Inject(CoreFaults[faults.random.IntN(len(CoreFaults))], faults.random.IntN(len(world.Cores)))
 			world.Rest(faults.randomSpan(100*time.Millisecond, 4*time.Second))
--- a/harness/simulation/replace.go
+++ b/harness/simulation/replace.go
@@ -38,10 +38,10 @@
 	machines := world.machines()
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	world.seedRandom.Shuffle(len(machines), func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
+	world.operatorRandom.Shuffle(len(machines), func(left, right int) { machines[left], machines[right] = machines[right], machines[left] })
 	seeds := machines[:min(seedCount, len(machines))]
-	if !slices.ContainsFunc(seeds, func(machine *Core) bool { return !machine.gone }) {
-		if alive := slices.IndexFunc(machines, func(machine *Core) bool { return !machine.gone }); alive >= 0 {
+	if !slices.ContainsFunc(seeds, func(machine *Core) bool { return !machine.removedForGood }) {
+		if alive := slices.IndexFunc(machines, func(machine *Core) bool { return !machine.removedForGood }); alive >= 0 {
 			seeds[0] = machines[alive]
 		}
 	}
@@ -82,16 +82,16 @@
 	world.stopProcess(machine, true, blackhole)
 	blackhole(machine.Host)
 	world.mutex.Lock()
-	machine.gone = true
+	machine.removedForGood = true
 	world.mutex.Unlock()
 }
 
 // ReplaceCore permanently removes a machine. An empty one at another address takes its index
-// and starts gap later.
-func (world *World) ReplaceCore(index int, gap time.Duration) *Core {
+// and starts after the delay.
+func (world *World) ReplaceCore(index int, delay time.Duration) *Core {
 	seeds := world.operatorSeeds()
 	world.LoseCore(index)
-	world.Rest(gap)
+	world.Rest(delay)
 	return world.StartReplacement(index, seeds)
 }
 
@@ -111,14 +111,14 @@
 	return machine
 }
 
-// ReplaceCorePlanned starts the new machine first. The old one gets SIGTERM gap later and
-// does not return.
-func (world *World) ReplaceCorePlanned(index int, gap time.Duration) (leaving, newcomer *Core) {
+// ReplaceCorePlanned starts the new machine first. The old one gets SIGTERM after the
+// delay and does not return.
+func (world *World) ReplaceCorePlanned(index int, delay time.Duration) (leaving, replacement *Core) {
 	leaving = world.machine(index)
-	newcomer = world.StartReplacement(index, nil)
-	world.Rest(gap)
+	replacement = world.StartReplacement(index, nil)
+	world.Rest(delay)
 	world.Leave(leaving)
-	return leaving, newcomer
+	return leaving, replacement
 }
 
 // Leave terminates a machine by SIGTERM and permanently removes it.
@@ -131,7 +131,7 @@
 func (world *World) ReturnRemoved(index int) *Core {
 	world.mutex.Lock()
 	machine := world.Removed[index]
-	machine.gone = false
+	machine.removedForGood = false
 	machine.returned = true
 	world.mutex.Unlock()
 	world.Net.Blackhole(machine.Host, false)
--- a/harness/simulation/replace_test.go
+++ b/harness/simulation/replace_test.go
@@ -416,7 +416,7 @@
 				one.mutex.Unlock()
 				one.startMachine(newcomer)
 			}
-			one.Rest(2 * regionalSuspicion)
+			one.Rest(2 * regionalSuspicionTimeout)
 			before := one.leads()
 			for until := time.Now().Add(20 * time.Second); time.Now().Before(until); one.Rest(2 * time.Second) {
 				for _, machine := range one.machines() {
--- a/harness/simulation/stale_test.go
+++ b/harness/simulation/stale_test.go
@@ -13,7 +13,7 @@
 		defer world.Close()
 		world.up(test, 1)
 		ledger := world.StartOperators(3, 100*time.Millisecond)
-		faults := world.RandomFaults()
+		faults := world.NewRandomFaults()
 		for round := range 8 {
 			kind := "stale-leader-lost"
 			if round%2 == 1 {
--- a/harness/simulation/world.go
+++ b/harness/simulation/world.go
@@ -48,7 +48,7 @@
 	revivals          int
 	// machinesCreated also counts the core machines that were replaced.
 	machinesCreated  int
-	seedRandom       *rand.Rand
+	operatorRandom   *rand.Rand
 	plannedOnly      bool
 	AdjustCoreConfig func(machine *Core, config *control.Config)
 	Intervals        agent.Intervals
@@ -89,13 +89,13 @@
 	server  *http.Server
 }
 
-// The heartbeat interval and the election timeout of the simulated cores are shorter than in
+// The heartbeat interval and the suspicion timeout of the simulated cores are shorter than in
 // production so that runs are short.
 const (
 	HeartbeatInterval = 75 * time.Millisecond
 	SuspicionTimeout  = 300 * time.Millisecond
-	leaveDelay        = 2500 * time.Millisecond
-	leaveGrace        = 6 * time.Second
+	retireSettle      = 2500 * time.Millisecond
+	retireGrace       = 6 * time.Second
 )
 
 func (world *World) platformAddress() string { return fmt.Sprintf("10.%d.0.1:80", world.Subnet+9) }
@@ -117,7 +117,7 @@
 		goroutines:      concurrent.NewGroup(),
 		contentBySerial: map[uint64]string{},
 		machinesCreated: cores,
-		seedRandom:      rand.New(rand.NewPCG(seed, 41)),
+		operatorRandom:  rand.New(rand.NewPCG(seed, 41)),
 	}
 	for index := range cores {
 		host := fmt.Sprintf("10.%d.0.%d", subnet, index+1)
@@ -133,13 +133,13 @@
 }
 
 func (world *World) serve(goroutines *concurrent.Group, address string, handler http.Handler) *http.Server {
-	open, err := world.Net.Listen(address)
+	ln, err := world.Net.Listen(address)
 	if err != nil {
 		world.reportViolation("listen %s: %v", address, err)
 		return &http.Server{}
 	}
 	server := &http.Server{Handler: handler}
-	goroutines.Start(func() { _ = server.Serve(open) }) // returns when the server or its listener is closed
+	goroutines.Start(func() { _ = server.Serve(ln) }) // returns when the server or its listener is closed
 	return server
 }
 
@@ -147,9 +147,9 @@
 func (world *World) markStopped(alive *bool) bool {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
-	lived := *alive
+	wasAlive := *alive
 	*alive = false
-	return lived
+	return wasAlive
 }
 
 // running returns the daemon's current process, or nil.
@@ -201,10 +201,10 @@
 	world.mutex.Lock()
 	daemon.Daemon = started
 	world.mutex.Unlock()
-	var outer http.Handler
+	var publicHandler http.Handler
 	if daemon.Kind == message.ProxyKind {
 		daemon.Proxy = serviceproxy.NewProxy(daemon.Daemon, daemon.goroutines, daemon.Counters, world.Net.Dialer(daemon.Host))
-		outer = daemon.Proxy
+		publicHandler = daemon.Proxy
 		if daemon.Lender != nil {
 			daemon.Proxy.SetLendingLimit(serviceproxy.NewLendingLimit(daemon.Lender.Proxy, 50, 32))
 		}
@@ -214,7 +214,7 @@
 		)
 	} else {
 		placements := directory.NewDirectory(daemon.Daemon, daemon.Counters)
-		outer = placements
+		publicHandler = placements
 		daemon.Daemon.OnVersion(func(version *agent.Version) { world.checkVersion(daemon, version); placements.Apply(version) }, nil)
 	}
 	server := rpc.NewServer(daemon.Counters)
@@ -222,14 +222,14 @@
 	if daemon.Proxy != nil {
 		daemon.Proxy.Register(server)
 	}
-	operate := agent.NewOperatorAPI(daemon.Name, daemon.Daemon.Forwarder, daemon.Counters, func() (uint64, []byte) {
+	operatorAPI := agent.NewOperatorAPI(daemon.Name, daemon.Daemon.Forwarder, daemon.Counters, func() (uint64, []byte) {
 		version := daemon.Daemon.Version()
 		return version.Serial, version.Body()
 	}, daemon.Daemon.Ready)
 	daemon.servers = []*http.Server{
-		world.serve(daemon.goroutines, daemon.PublicAddress, outer),
+		world.serve(daemon.goroutines, daemon.PublicAddress, publicHandler),
 		world.serve(daemon.goroutines, daemon.InternalAddress, server),
-		world.serve(daemon.goroutines, daemon.OperatorAddress, operate),
+		world.serve(daemon.goroutines, daemon.OperatorAddress, operatorAPI),
 	}
 	world.mutex.Lock()
 	daemon.Alive, daemon.highestSerial = true, 0
@@ -273,8 +273,8 @@
 
 // TerminateDaemon simulates SIGTERM: the daemon retires as its program does, then exits.
 func (world *World) TerminateDaemon(daemon *Daemon) {
-	daemon.Daemon.Retire(leaveDelay, leaveGrace, func(rest time.Duration) bool {
-		ctx, cancel := context.WithTimeout(context.Background(), rest)
+	daemon.Daemon.Retire(retireSettle, retireGrace, func(remaining time.Duration) bool {
+		ctx, cancel := context.WithTimeout(context.Background(), remaining)
 		defer cancel()
 		return daemon.servers[0].Shutdown(ctx) == nil
 	})
@@ -365,14 +365,14 @@
 }
 
 // Until waits in virtual time for a condition and reports whether it came true.
-func (world *World) Until(limit time.Duration, holds func() bool) bool {
-	for until := time.Now().Add(limit); time.Now().Before(until); {
-		if holds() {
+func (world *World) Until(timeout time.Duration, condition func() bool) bool {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
+		if condition() {
 			return true
 		}
 		world.goroutines.Sleep(5 * time.Millisecond)
 	}
-	return holds()
+	return condition()
 }
 
 // Rest sleeps in virtual time; it returns false once the world is closed.
