--- a/harness/simulation/core.go
+++ b/harness/simulation/core.go
@@ -276,21 +276,22 @@
 	return machine.removedForGood
 }
 
-// KillCore kills a core's process. With power it is a power loss, in which unsynced data may
-// be lost.
-func (world *World) KillCore(index int, power bool) { world.killMachine(world.machine(index), power) }
+// KillCore kills a core's process; with powerLoss, unsynced data may be lost.
+func (world *World) KillCore(index int, powerLoss bool) {
+	world.killMachine(world.machine(index), powerLoss)
+}
 
-func (world *World) killMachine(machine *Core, power bool) {
-	world.stopProcess(machine, power, world.Net.Kill)
+func (world *World) killMachine(machine *Core, powerLoss bool) {
+	world.stopProcess(machine, powerLoss, world.Net.Kill)
 }
 
 // stopProcess ends a machine's process; disconnect breaks its connections.
-func (world *World) stopProcess(machine *Core, power bool, disconnect func(host string)) {
+func (world *World) stopProcess(machine *Core, powerLoss bool, disconnect func(host string)) {
 	if !world.markStopped(&machine.Alive) {
 		return
 	}
 	world.mutex.Lock()
-	machine.Disk = machine.Disk.Sever(power)
+	machine.Disk = machine.Disk.Sever(powerLoss)
 	world.mutex.Unlock()
 	disconnect(machine.Host)
 	machine.goroutines.Stop()
--- a/harness/simulation/disk.go
+++ b/harness/simulation/disk.go
@@ -97,10 +97,10 @@
 	return names
 }
 
-// Sever detaches the disk from a killed process, whose further changes fail, and returns the
-// next process's disk, with what a power loss left if power was lost.
-func (disk *Disk) Sever(power bool) *Disk {
-	if power {
+// Sever detaches the disk from a killed process, whose further changes fail, and returns a
+// disk with its content for the next process. With powerLoss, PowerLoss comes first.
+func (disk *Disk) Sever(powerLoss bool) *Disk {
+	if powerLoss {
 		disk.PowerLoss()
 	}
 	next := disk.Fork()
@@ -165,8 +165,8 @@
 	disk.mutex.Unlock()
 }
 
-// DieAfter makes all calls except reads fail from the given mutating call on, as if the
-// process had been killed there.
+// DieAfter makes the last of the given number of mutating calls fail, and all later ones, as
+// if the process had been killed there.
 func (disk *Disk) DieAfter(calls int) {
 	disk.mutex.Lock()
 	disk.callsLeft = calls
--- a/harness/simulation/loss_budget.go
+++ b/harness/simulation/loss_budget.go
@@ -72,8 +72,8 @@
 // lostCount requires that the caller holds the mutex.
 func (budget *LossBudget) lostCount() int {
 	count := 0
-	for _, until := range budget.lostUntil {
-		if time.Now().Before(until) {
+	for _, end := range budget.lostUntil {
+		if time.Now().Before(end) {
 			count++
 		}
 	}
--- a/harness/simulation/random_faults.go
+++ b/harness/simulation/random_faults.go
@@ -120,8 +120,8 @@
 	set(false)
 }
 
-func (faults *RandomFaults) restart(machine *Core, power bool, maximum time.Duration) {
-	faults.world.killMachine(machine, power)
+func (faults *RandomFaults) restart(machine *Core, powerLoss bool, maximum time.Duration) {
+	faults.world.killMachine(machine, powerLoss)
 	faults.world.Rest(faults.randomSpan(10*time.Millisecond, maximum))
 	faults.world.startMachine(machine)
 }
