--- a/harness/simulation/leave_test.go
+++ b/harness/simulation/leave_test.go
@@ -52,12 +52,12 @@
 					&message.LeaveVoterRequest{Core: id, Address: address})
 			}
 			if response, err := leave("10.0.9.9:41"); err != nil || response.Wait {
-				one.broke("another core's end: %+v, %v", response, err)
+				one.reportViolation("another core's end: %+v, %v", response, err)
 			}
 			one.Rest(3 * time.Second)
 			one.votes("another core's end", before)
 			if response, err := leave(voter.InternalAddress); err != nil || !response.Wait {
-				one.broke("its own end: %+v, %v", response, err)
+				one.reportViolation("its own end: %+v, %v", response, err)
 			}
 			one.Rest(3 * time.Second)
 			after := []*Core{one.machine(learner)}
--- a/harness/simulation/net.go
+++ b/harness/simulation/net.go
@@ -154,6 +154,7 @@
 	}
 }
 
+// SetMessageFaults replaces the present message faults.
 func (network *Network) SetMessageFaults(faults MessageFaults) {
 	network.mutex.Lock()
 	network.faults = faults
--- a/harness/simulation/replace_test.go
+++ b/harness/simulation/replace_test.go
@@ -44,7 +44,7 @@
 				begin := time.Now()
 				one.ReplaceCorePlanned(former, one.span(50*time.Millisecond, 1500*time.Millisecond))
 				if took := time.Since(begin); took > 1500*time.Millisecond+retireTimeout {
-					one.broke("left after %v", took)
+					one.reportViolation("left after %v", took)
 				}
 				one.order(syncSpan / 2)
 				one.restUntil(begin.Add(syncSpan))
@@ -460,7 +460,7 @@
 		},
 	} {
 		if ask() == nil {
-			one.broke("%s acknowledged without a majority", machine.Host)
+			one.reportViolation("%s acknowledged without a majority", machine.Host)
 		}
 	}
 }
@@ -572,10 +572,10 @@
 		held = seats(one.machine(one.leader()).Disk)
 		return len(held) == len(one.Cores) && !slices.ContainsFunc(held, func(address string) bool { return !running(address) })
 	}) {
-		one.broke("the seats are %v", held)
+		one.reportViolation("the seats are %v", held)
 	}
 	if slices.Contains(held, machine.InternalAddress) && voterID(machine) == former {
-		one.broke("%s votes again as %d", machine.Host, former)
+		one.reportViolation("%s votes again as %d", machine.Host, former)
 	}
 }
 
@@ -592,7 +592,7 @@
 // stays is whether a core without a seat has led or leads.
 func (one *trial) stays(machine *Core, before int) {
 	if core := machine.running(one.World); core == nil || core.Leads() {
-		one.broke("%s runs %v, and leads", machine.Host, core != nil)
+		one.reportViolation("%s runs %v, and leads", machine.Host, core != nil)
 	}
 	one.mutex.Lock()
 	defer one.mutex.Unlock()
--- a/harness/simulation/trial_test.go
+++ b/harness/simulation/trial_test.go
@@ -60,7 +60,7 @@
 	one.CloseRegional()
 }
 
-func (one *trial) broke(format string, values ...any) {
+func (one *trial) reportViolation(format string, values ...any) {
 	one.World.reportViolation("%s: %s", one.name, fmt.Sprintf(format, values...))
 }
 
@@ -92,7 +92,7 @@
 			one.orders++
 			return true
 		case rpc.AsError(err).RetryAfterMs == 0:
-			one.broke("%d on %d is refused: %v", one.newest+1, one.newest, err)
+			one.reportViolation("%d on %d is refused: %v", one.newest+1, one.newest, err)
 			return false
 		}
 		one.Rest(orderRest)
@@ -103,7 +103,7 @@
 // mustOrder is an order in calm.
 func (one *trial) mustOrder(what string) {
 	if begin := time.Now(); !one.order(calmLimit) {
-		one.broke("%s: no acknowledgement in %v of calm", what, time.Since(begin))
+		one.reportViolation("%s: no acknowledgement in %v of calm", what, time.Since(begin))
 	}
 }
 
@@ -114,14 +114,14 @@
 	state, err := one.ReadRouting()
 	switch {
 	case err != nil:
-		one.broke("%s: no read back: %v", what, err)
+		one.reportViolation("%s: no read back: %v", what, err)
 	case state.Config.Version != one.newest:
-		one.broke("%s: %d was acknowledged, %d read back", what, one.newest, state.Config.Version)
+		one.reportViolation("%s: %d was acknowledged, %d read back", what, one.newest, state.Config.Version)
 	case !slices.Contains(state.Evacuated, evacuatedOne):
-		one.broke("%s: the evacuation of %s is lost", what, evacuatedOne)
+		one.reportViolation("%s: the evacuation of %s is lost", what, evacuatedOne)
 	}
 	if took, whole := one.reached(one.newest, contactSpan+inForceSpan); !whole {
-		one.broke("%s: members hold %v after %v, %d was acknowledged", what, one.routings(), took, one.newest)
+		one.reportViolation("%s: members hold %v after %v, %d was acknowledged", what, one.routings(), took, one.newest)
 	} else if took > inForceSpan/2 {
 		one.test.Logf("%s: %s: %d in force after %v", one.name, what, one.newest, took)
 	}
@@ -170,7 +170,7 @@
 	}
 	for _, machine := range machines {
 		core := machine.running(one.World)
-		one.broke(
+		one.reportViolation(
 			"%s: %s votes %v, its disk has the seats %v, want %v",
 			what,
 			machine.Host,
@@ -200,7 +200,7 @@
 // leader is the index of the core that leads.
 func (one *trial) leader() int {
 	if !one.Until(calmLimit, func() bool { return one.Leader() >= 0 }) {
-		one.broke("no leader")
+		one.reportViolation("no leader")
 		return 0
 	}
 	return one.Leader()
@@ -218,7 +218,7 @@
 	})
 	return func() {
 		if !one.Until(time.Minute, done.Load) {
-			one.broke("what went on meanwhile does not end")
+			one.reportViolation("what went on meanwhile does not end")
 		}
 	}
 }
