--- a/harness/simulation/core.go
+++ b/harness/simulation/core.go
@@ -133,8 +133,7 @@
 	return config
 }
 
-// newLeaderFinder starts from the addresses that the core is configured with: its seeds,
-// or all cores.
+// newLeaderFinder starts with the core's seeds, or without seeds with all cores.
 func (world *World) newLeaderFinder(machine *Core, config *control.Config) *agent.LeaderFinder {
 	addresses := append([]string{}, config.Seeds...)
 	if len(addresses) == 0 {
@@ -145,10 +144,9 @@
 	return agent.NewLeaderFinder(machine.client, machine.goroutines, addresses).WithIntervals(world.Intervals)
 }
 
-// checkLeadership checks a new leader. A majority of the voters in its membership must have
-// promised its term and accepted its settings register in that term, both on durable storage;
-// during a membership change that holds for the old and for the new voters. No other core may
-// have led in the same term.
+// checkLeadership checks that a majority of a new leader's voters, of the old and of the new
+// ones during a membership change, have durably promised its term and accepted the settings
+// register in it, and that no other core led in the same term.
 func (world *World) checkLeadership(leader *Core, term message.Term) {
 	own, err := replica.OpenStore(world.diskOf(leader).Copy())
 	if err != nil {
@@ -259,8 +257,7 @@
 	return machine.Core
 }
 
-// runningForwarder returns what forwards requests from this machine to the leader, or nil
-// if no core is running.
+// runningForwarder returns the machine's forwarder to the leader, or nil if no core is running.
 func (machine *Core) runningForwarder(world *World) *agent.Forwarder {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
--- a/harness/simulation/disk.go
+++ b/harness/simulation/disk.go
@@ -1,8 +1,8 @@
-// Package simulation runs complete deployments in virtual time. Cores, proxies and directories
-// are production code; callers and backends are stand-ins. The network (net.go), the disk
-// (disk.go) and the clock are simulated. A seed determines when machines lose power, links are
-// cut and messages are delayed, so that every run is repeatable. Package checker checks what
-// callers, backends and operators observed.
+// Package simulation runs complete deployments in virtual time: production cores, proxies and
+// directories, and stand-ins for callers and backends. The network (net.go), the disk (disk.go)
+// and the clock are simulated. A seed determines power losses, cut links and message delays, so
+// that every run is repeatable. Package checker checks what callers, backends and operators
+// observed.
 package simulation
 
 import (
--- a/harness/simulation/file_content.go
+++ b/harness/simulation/file_content.go
@@ -17,9 +17,9 @@
 type writeState int
 
 const (
-	unsynced writeState = iota // not synced yet
-	durable                    // synced
-	dropped                    // its sync failed; later syncs do not cover it
+	unsynced writeState = iota
+	durable
+	dropped // its sync failed; later syncs do not cover it
 )
 
 // newFileContent returns content that is durable as a whole.
--- a/harness/simulation/loss_budget.go
+++ b/harness/simulation/loss_budget.go
@@ -19,7 +19,7 @@
 	waitingForAll int
 }
 
-// openEndedLoss stands for the duration of a loss that has not been released yet.
+// openEndedLoss is the duration of a loss until it is released.
 const openEndedLoss = 1000 * time.Hour
 
 // NewLossBudget allows a minority of the cores to be lost at a time.
--- a/harness/simulation/net.go
+++ b/harness/simulation/net.go
@@ -14,8 +14,8 @@
 	"orchidjunction/concurrent"
 )
 
-// MessageFaults has the probabilities, per mille, that a message's request or response is
-// lost or that it is sent twice, and the maximum random delay of a message.
+// MessageFaults has the probabilities, per mille, that a request or its response is lost or
+// that it is sent twice, and its maximum random delay.
 type MessageFaults struct {
 	RequestLoss  int
 	ResponseLoss int
--- a/harness/simulation/replace.go
+++ b/harness/simulation/replace.go
@@ -139,14 +139,13 @@
 	return machine
 }
 
-// removed returns the replaced machines, oldest replacement first.
+// removed returns the replaced machines, oldest first.
 func (world *World) removed() []*Core {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	return append([]*Core{}, world.Removed...)
 }
 
-// region returns the region number of a core of a regional world.
 func (machine *Core) region() int {
 	region := 0
 	if _, err := fmt.Sscanf(machine.Host, "10.%d.", &region); err != nil {
--- a/harness/simulation/world.go
+++ b/harness/simulation/world.go
@@ -143,7 +143,6 @@
 	return server
 }
 
-// markStopped clears alive and returns its former value.
 func (world *World) markStopped(alive *bool) bool {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
