--- a/harness/simulation/platform_test.go
+++ b/harness/simulation/platform_test.go
@@ -40,7 +40,7 @@
 		if !world.Until(30*time.Second, func() bool { return daemon.Daemon.Ready() }) {
 			test.Fatal("not ready")
 		}
-		faults := world.RandomFaults()
+		faults := world.NewRandomFaults()
 		ends := time.Now().Add(60 * time.Second)
 		sometimes := standin.Listed{Name: "aaa-sometimes", Service: "meters", Address: "10.5.1.1:80", Zone: "e1"}
 		versions := 0
@@ -61,12 +61,12 @@
 				}
 				for _, backend := range stays {
 					if !held[backend.Name] {
-						world.broke("%s stayed listed and is not held, %d are", backend.Name, len(held))
+						world.reportViolation("%s stayed listed and is not held, %d are", backend.Name, len(held))
 					}
 				}
 				versions++
 				world.Rest(50 * time.Millisecond)
-				if len(world.Broken) > 0 {
+				if len(world.Violations) > 0 {
 					break
 				}
 			}
@@ -76,9 +76,14 @@
 			held := daemon.Daemon.Version().Table.Backends
 			return len(held) == 24
 		}) {
-			world.broke("a backend that left is still held: %d", len(daemon.Daemon.Version().Table.Backends))
+			world.reportViolation("a backend that left is still held: %d", len(daemon.Daemon.Version().Table.Backends))
 		}
-		test.Logf("looked %d times, %d leaderships, %d reads refused by the platform", versions, len(world.Leads), world.Platform.Limited)
+		test.Logf(
+			"looked %d times, %d leaderships, %d reads refused by the platform",
+			versions,
+			len(world.Leaderships),
+			world.Platform.Limited,
+		)
 		world.report(test)
 	})
 }
--- a/harness/simulation/trial_test.go
+++ b/harness/simulation/trial_test.go
@@ -38,7 +38,7 @@
 func newTrial(test *testing.T, seed uint64, cores, members int, name string) *trial {
 	test.Helper()
 	one := &trial{
-		World:  NewFarWorld(seed, cores),
+		World:  NewRegionalWorld(seed, cores),
 		test:   test,
 		name:   fmt.Sprintf("%d cores, %s", cores, name),
 		random: rand.New(rand.NewPCG(seed, 53)),
@@ -57,11 +57,11 @@
 func (one *trial) end() {
 	one.test.Helper()
 	one.report(one.test)
-	one.CloseFar()
+	one.CloseRegional()
 }
 
-func (one *trial) broke(format string, values ...any) {
-	one.World.broke("%s: %s", one.name, fmt.Sprintf(format, values...))
+func (one *trial) reportViolation(format string, values ...any) {
+	one.World.reportViolation("%s: %s", one.name, fmt.Sprintf(format, values...))
 }
 
 // span is a length of time by the seed.
@@ -77,12 +77,12 @@
 	random := rand.New(rand.NewPCG(one.Seed, one.newest))
 	lost := random.IntN(3) == 0
 	for until, try := time.Now().Add(limit), random.IntN(9); time.Now().Before(until); try++ {
-		holds := one.holds()
+		holds := one.forwarders()
 		if len(holds) == 0 {
 			one.Rest(orderRest)
 			continue
 		}
-		_, err := agent.Forward(holds[try%len(holds)], message.MethodRoutingChange, WholeChange(one.newest+1, one.newest))
+		_, err := agent.Forward(holds[try%len(holds)], message.MethodRoutingChange, NewRoutingChange(one.newest+1, one.newest))
 		switch {
 		case err == nil && lost:
 			lost = false
@@ -92,7 +92,7 @@
 			one.orders++
 			return true
 		case rpc.AsError(err).RetryAfterMs == 0:
-			one.broke("%d on %d is refused: %v", one.newest+1, one.newest, err)
+			one.reportViolation("%d on %d is refused: %v", one.newest+1, one.newest, err)
 			return false
 		}
 		one.Rest(orderRest)
@@ -103,7 +103,7 @@
 // mustOrder is an order in calm.
 func (one *trial) mustOrder(what string) {
 	if begin := time.Now(); !one.order(calmLimit) {
-		one.broke("%s: no acknowledgement in %v of calm", what, time.Since(begin))
+		one.reportViolation("%s: no acknowledgement in %v of calm", what, time.Since(begin))
 	}
 }
 
@@ -111,17 +111,17 @@
 // orders are acknowledged.
 func (one *trial) keepsAll(what string) {
 	one.mustOrder(what)
-	state, err := one.Book()
+	state, err := one.ReadRouting()
 	switch {
 	case err != nil:
-		one.broke("%s: no read back: %v", what, err)
+		one.reportViolation("%s: no read back: %v", what, err)
 	case state.Config.Version != one.newest:
-		one.broke("%s: %d was acknowledged, %d read back", what, one.newest, state.Config.Version)
+		one.reportViolation("%s: %d was acknowledged, %d read back", what, one.newest, state.Config.Version)
 	case !slices.Contains(state.Evacuated, evacuatedOne):
-		one.broke("%s: the evacuation of %s is lost", what, evacuatedOne)
+		one.reportViolation("%s: the evacuation of %s is lost", what, evacuatedOne)
 	}
 	if took, whole := one.reached(one.newest, contactSpan+inForceSpan); !whole {
-		one.broke("%s: members hold %v after %v, %d was acknowledged", what, one.routings(), took, one.newest)
+		one.reportViolation("%s: members hold %v after %v, %d was acknowledged", what, one.routings(), took, one.newest)
 	} else if took > inForceSpan/2 {
 		one.test.Logf("%s: %s: %d in force after %v", one.name, what, one.newest, took)
 	}
@@ -146,7 +146,7 @@
 	if membership == nil {
 		return nil
 	}
-	addresses := addressesOf(append(slices.Clone(membership.Voters), membership.Next...))
+	addresses := peerAddresses(append(slices.Clone(membership.Voters), membership.Next...))
 	slices.Sort(addresses)
 	return slices.Compact(addresses)
 }
@@ -154,11 +154,11 @@
 // votes waits until exactly these machines have a seat by all of their disks, and
 // use it.
 func (one *trial) votes(what string, machines []*Core) {
-	wanted := wires(machines)
+	wanted := internalAddresses(machines)
 	slices.Sort(wanted)
 	agreed := func() bool {
 		for _, machine := range machines {
-			core := machine.life(one.World)
+			core := machine.running(one.World)
 			if core == nil || !core.CanVote() || !slices.Equal(seats(machine.Disk), wanted) {
 				return false
 			}
@@ -169,8 +169,8 @@
 		return
 	}
 	for _, machine := range machines {
-		core := machine.life(one.World)
-		one.broke(
+		core := machine.running(one.World)
+		one.reportViolation(
 			"%s: %s votes %v, its disk has the seats %v, want %v",
 			what,
 			machine.Host,
@@ -200,7 +200,7 @@
 // leader is the index of the core that leads.
 func (one *trial) leader() int {
 	if !one.Until(calmLimit, func() bool { return one.Leader() >= 0 }) {
-		one.broke("no leader")
+		one.reportViolation("no leader")
 		return 0
 	}
 	return one.Leader()
@@ -218,7 +218,7 @@
 	})
 	return func() {
 		if !one.Until(time.Minute, done.Load) {
-			one.broke("what went on meanwhile does not end")
+			one.reportViolation("what went on meanwhile does not end")
 		}
 	}
 }
