--- a/agent/operator_api.go
+++ b/agent/operator_api.go
@@ -238,7 +238,7 @@
 	Duplicate bool   `json:"again,omitempty"`
 }
 
-// remove replaces a voter by a learner. It is idempotent.
+// remove replaces a voter by a learner. It is safe to repeat.
 func (api *OperatorAPI) remove(writer http.ResponseWriter, request *http.Request) {
 	id, err := strconv.Atoi(request.PathValue("id"))
 	if err != nil || id < 1 || id > message.MaxPeerID {
--- a/hostproxy/attempt.go
+++ b/hostproxy/attempt.go
@@ -94,7 +94,7 @@
 }
 
 // attempt sends the request to one backend and reads the response. It sends nothing if a
-// non-idempotent request may have run already or the backend has been withdrawn.
+// non-repeatable request may have run already or the backend has been withdrawn.
 func (proxy *Proxy) attempt(request *request, candidate *candidate, maxOpen int) (*response, outcome) {
 	if request.mayHaveRun && !request.route.Kind.IsIdempotent() {
 		proxy.counters.Add("repeats_prevented", 1)
--- a/hostproxy/attempt_test.go
+++ b/hostproxy/attempt_test.go
@@ -67,7 +67,7 @@
 	})
 }
 
-// A non-idempotent request that may have run is not retried, and its client is not told that it
+// A non-repeatable request that may have run is not retried, and its client is not told that it
 // was not executed.
 func TestNonIdempotentRequestReachesOneBackend(test *testing.T) {
 	for name, handle := range failureModes {
@@ -91,7 +91,7 @@
 	}
 }
 
-// An idempotent request is retried at another backend after any failure, and the client gets
+// A repeatable request is retried at another backend after any failure, and the client gets
 // only that backend's response.
 func TestIdempotentRequestIsRetried(test *testing.T) {
 	for name, handle := range failureModes {
--- a/hostproxy/backend_response.go
+++ b/hostproxy/backend_response.go
@@ -47,7 +47,7 @@
 )
 
 // classify returns the kind of a response head. A head must have exactly one attempt ID.
-func (names *Headers) classify(head *http.Response, id string, idempotent bool) headKind {
+func (names *Headers) classify(head *http.Response, id string, repeatable bool) headKind {
 	status := head.StatusCode
 	if head.Proto != "HTTP/1.1" || status < 100 || status == http.StatusSwitchingProtocols || containsSecondHead(head) {
 		return malformedHead
@@ -70,7 +70,7 @@
 		return refusalHead
 	case status < 300 && head.Header.Get(names.Seal) == "":
 		return malformedHead
-	case !idempotent && impliesNotExecuted(status):
+	case !repeatable && impliesNotExecuted(status):
 		return malformedHead
 	}
 	return finalHead
--- a/hostproxy/backend_response_test.go
+++ b/hostproxy/backend_response_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// Responses that a backend may send to a non-idempotent request, and what the client receives.
+// Responses that a backend may send to a non-repeatable request, and what the client receives.
 func TestBackendResponseScripts(test *testing.T) {
 	sealed := func(id, status, fields string) string { return sealedResponse(id, status, fields, successBody(id)) }
 	for name, testCase := range map[string]struct {
--- a/hostproxy/client_cancel_test.go
+++ b/hostproxy/client_cancel_test.go
@@ -42,7 +42,7 @@
 			env.addBackend("b1").onConnect(func(*pipe) { env.goroutines.Sleep(10 * time.Second) })
 		}, 0, 0},
 		{"executing", "/again/a", "GET", "", 50 * time.Millisecond, func(env *testEnv) { env.addBackend("b1").handleByDefault(neverRespond) }, 1, 0},
-		{"executing, non-idempotent", "/once/a", "GET", "", 50 * time.Millisecond, func(env *testEnv) { env.addBackend("b1").handleByDefault(neverRespond) }, 1, 0},
+		{"executing, non-repeatable", "/once/a", "GET", "", 50 * time.Millisecond, func(env *testEnv) { env.addBackend("b1").handleByDefault(neverRespond) }, 1, 0},
 		{"streaming", "/load/a", "GET", "", 50 * time.Millisecond, func(env *testEnv) {
 			env.addBackend("b1").handleNext(func(exchange *exchange) bool {
 				respondLarge(4*maxBufferedBodyBytes, 2*maxBufferedBodyBytes, false)(exchange)
--- a/hostproxy/forward.go
+++ b/hostproxy/forward.go
@@ -136,7 +136,7 @@
 // handleOutcome processes the outcome of an attempt. It returns true if the client has been
 // sent a response.
 func (proxy *Proxy) handleOutcome(request *request, response *response, outcome outcome) bool {
-	idempotent := request.route.Kind.IsIdempotent()
+	repeatable := request.route.Kind.IsIdempotent()
 	if outcome == unsent {
 		if len(request.tried) > maxUnsentAttempts {
 			proxy.refuse(request, http.StatusServiceUnavailable, rpc.NoBackend)
@@ -148,7 +148,7 @@
 	exhausted := request.attempts >= request.route.Attempts
 	switch outcome {
 	case answered:
-		if !idempotent || response.head.StatusCode < 500 || exhausted {
+		if !repeatable || response.head.StatusCode < 500 || exhausted {
 			proxy.sendResponse(request, response)
 			return true
 		}
@@ -157,7 +157,7 @@
 		proxy.counters.Add("attempts_refused", 1)
 	case lost:
 		proxy.counters.Add("attempts_lost", 1)
-		if !idempotent {
+		if !repeatable {
 			proxy.fail(request)
 			return true
 		}
--- a/hostproxy/fuzz_test.go
+++ b/hostproxy/fuzz_test.go
@@ -382,7 +382,7 @@
 
 // FuzzConnectionStates runs any order of requests, responses, extra bytes, resets, stalls and
 // idle times over reused connections. A client gets only the complete response to its own
-// request or a correct error, and a non-idempotent request is executed at most once.
+// request or a correct error, and a non-repeatable request is executed at most once.
 func FuzzConnectionStates(fuzz *testing.F) {
 	surplus := sealedResponse("another", "200 OK", "Date: Monday\r\n", "another's")
 	for kind := range 6 {
@@ -410,7 +410,7 @@
 	})
 }
 
-// FuzzAnswer sends any bytes as the response to a non-idempotent request; "{id}" stands for
+// FuzzAnswer sends any bytes as the response to a non-repeatable request; "{id}" stands for
 // its attempt ID. The client always gets one valid reply; it is a success only with the ID and
 // a seal, and says that nothing was executed only if the bytes do.
 func FuzzAnswer(fuzz *testing.F) {
--- a/hostproxy/judge_test.go
+++ b/hostproxy/judge_test.go
@@ -173,7 +173,7 @@
 	})
 }
 
-// Guards against a slow route that masks a regression of a fast one.
+// Guards against a slow route that hides a slowdown of a fast one.
 func TestRoutesAreScoredSeparately(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		proxy := newProxies([]string{"p1"}, []string{"e1"})[0]
--- a/hostproxy/rollout_test.go
+++ b/hostproxy/rollout_test.go
@@ -188,7 +188,7 @@
 }
 
 // Guards against a retry at the version under test that has just failed, against one without
-// budget, and against retries of non-idempotent requests.
+// budget, and against retries of non-repeatable requests.
 func TestRetryGoesToOldVersion(test *testing.T) {
 	withTestEnv(test, func(env *testEnv) {
 		old := env.addVersion("a1", "v1", 8)
@@ -206,7 +206,7 @@
 		}
 		seen := len(old.requests())
 		if reply, _ := env.get("/once/a"); reply.status != 500 || len(old.requests()) != seen {
-			test.Errorf("non-idempotent request was retried: %d", reply.status)
+			test.Errorf("non-repeatable request was retried: %d", reply.status)
 		}
 	})
 }
--- a/message/settings.go
+++ b/message/settings.go
@@ -10,7 +10,7 @@
 
 const maxChangeID = 128
 
-// ChangeRequest is an operator's change of the settings. ID makes it idempotent: it is applied
+// ChangeRequest is an operator's change of the settings. ID makes it safe to repeat: it is applied
 // once however often it is sent. Base is the serial of the settings that it changes.
 type ChangeRequest struct {
 	ID       string
