--- a/hostproxy/upload_test.go
+++ b/hostproxy/upload_test.go
@@ -120,7 +120,8 @@
 }
 
 // A backend that responds with success before it has read the body must still get exactly the
-// whole body: the client was told that its data was accepted.
+// whole body: the client was told that its data was accepted. The backend pauses before its first
+// read, so that the proxy reads the response while the body is still being sent.
 func TestBodyIsSentAfterEarlySuccess(test *testing.T) {
 	body := string(letters(0, 900<<10))
 	success := func(fields string) func(string) string {
@@ -139,13 +140,13 @@
 		readInterval time.Duration
 		cancels      bool
 	}{
-		"keep-alive":     {plain, success(""), 0, false},
-		"close":          {plain, success("Connection: close\r\n"), 0, false},
-		"two responses":  {plain, surplus, 0, false},
-		"no content":     {plain, func(id string) string { return "HTTP/1.1 204 No Content\r\nAttempt: id\r\nSeal: s-id\r\n\r\n" }, 0, false},
+		"keep-alive":     {plain, success(""), time.Millisecond, false},
+		"close":          {plain, success("Connection: close\r\n"), time.Millisecond, false},
+		"two responses":  {plain, surplus, time.Millisecond, false},
+		"no content":     {plain, func(id string) string { return "HTTP/1.1 204 No Content\r\nAttempt: id\r\nSeal: s-id\r\n\r\n" }, time.Millisecond, false},
 		"large response": {plain, func(id string) string { return sealedResponse(id, "200 OK", "", large) }, 10 * time.Millisecond, false},
-		"chunked":        {head + chunks, success(""), 0, false},
-		"expect":         {rawRequest("POST", "/once/a", "id", "Expect: 100-continue\r\n", body), success(""), 0, false},
+		"chunked":        {head + chunks, success(""), time.Millisecond, false},
+		"expect":         {rawRequest("POST", "/once/a", "id", "Expect: 100-continue\r\n", body), success(""), time.Millisecond, false},
 		"back pressure":  {plain, success(""), 100 * time.Millisecond, false},
 		"client cancels": {plain, success(""), 100 * time.Millisecond, true},
 	} {
@@ -161,6 +162,9 @@
 			if reply.err != nil || reply.status/100 != 2 || reply.elapsed > 200*time.Millisecond {
 				test.Errorf("%s: %d %v after %s", name, reply.status, reply.err, reply.elapsed)
 			}
+			if got, _ := responder.received(); got != "" {
+				test.Errorf("%s: backend read %d bytes of the body before its response was passed on", name, len(got))
+			}
 			if testCase.cancels {
 				client.conn.Close()
 			}
