--- a/hostproxy/mutations_test.go
+++ b/hostproxy/mutations_test.go
@@ -75,7 +75,12 @@
 	for _, testCase := range responseCases {
 		size := len(testCase.response("id2"))
 		for cut := range size {
-			result := runScript(test, "GET", "/once/a", func(id string) responseScript { return writeAndClose(testCase.response(id)[:cut]) })
+			result := runScript(
+				test,
+				"GET",
+				"/once/a",
+				func(id string) responseScript { return writeAndClose(testCase.response(id)[:cut]) },
+			)
 			testCase.check(test, fmt.Sprintf("%s truncated after %d bytes", testCase.name, cut), &result)
 		}
 	}
--- a/hostproxy/view_test.go
+++ b/hostproxy/view_test.go
@@ -34,14 +34,18 @@
 
 func proxyAndTable() ([]*Proxy, *message.Table) {
 	proxies := newProxies([]string{"p1"}, []string{"e1"})
-	return proxies, &message.Table{Version: leaderVersion, Members: proxyMembers([]string{"p1"}, []string{"e1"}), Backends: []message.Backend{
-		{Name: "near", Service: "plain", Zone: "e1", Capacity: 4},
-		{Name: "beside", Service: "plain", Zone: "e2", Capacity: 4},
-		{Name: "far", Service: "plain", Zone: "w1", Capacity: 4},
-		{Name: "foreign", Service: "other", Zone: "e1", Capacity: 4},
-		{Name: "stray", Service: "unknown", Zone: "e1", Capacity: 4},
-		{Name: "nowhere", Service: "plain", Zone: "z9", Capacity: 4},
-	}}
+	return proxies, &message.Table{
+		Version: leaderVersion,
+		Members: proxyMembers([]string{"p1"}, []string{"e1"}),
+		Backends: []message.Backend{
+			{Name: "near", Service: "plain", Zone: "e1", Capacity: 4},
+			{Name: "beside", Service: "plain", Zone: "e2", Capacity: 4},
+			{Name: "far", Service: "plain", Zone: "w1", Capacity: 4},
+			{Name: "foreign", Service: "other", Zone: "e1", Capacity: 4},
+			{Name: "stray", Service: "unknown", Zone: "e1", Capacity: 4},
+			{Name: "nowhere", Service: "plain", Zone: "z9", Capacity: 4},
+		},
+	}
 }
 
 // Home regions of route and tenant both apply, even if no backend remains.
