--- a/harness/cluster/backend_faults.go
+++ b/harness/cluster/backend_faults.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func (fleet *Fleet) fault(process *Process, mode string, count int) {
+func (fleet *Fleet) injectFault(process *Process, mode string, count int) {
 	response, err := fleet.client.Get(fmt.Sprintf("http://%s/stand/fault?mode=%s&count=%d", process.PublicAddress, mode, count))
 	if err == nil {
 		response.Body.Close()
@@ -15,59 +15,59 @@
 }
 
 func backendsMisbehave(fleet *Fleet) {
-	random := fleet.random()
+	random := fleet.newRandom()
 	for range 30 {
-		kinds := []string{"lose", "garbage", "truncate", "foreign", "overlong", "vanish", "busy"}
-		fleet.fault(fleet.Backends[random.IntN(len(fleet.Backends))], kinds[random.IntN(len(kinds))], 1+random.IntN(3))
-		fleet.rest(0.03)
+		modes := []string{"lose", "garbage", "truncate", "foreign", "overlong", "vanish", "busy"}
+		fleet.injectFault(fleet.Backends[random.IntN(len(fleet.Backends))], modes[random.IntN(len(modes))], 1+random.IntN(3))
+		fleet.sleepFraction(0.03)
 	}
 }
 
 func backendsCrash(fleet *Fleet) {
-	random := fleet.random()
+	random := fleet.newRandom()
 	for range 4 {
-		fleet.rest(0.1)
+		fleet.sleepFraction(0.1)
 		process := fleet.Backends[random.IntN(len(fleet.Backends))]
-		fleet.stop(process, syscall.SIGKILL, time.Second)
+		fleet.restart(process, syscall.SIGKILL, time.Second)
 	}
 }
 
-func backendsVanish(fleet *Fleet) {
-	fleet.rest(0.1)
+func backendsFreeze(fleet *Fleet) {
+	fleet.sleepFraction(0.1)
 	for _, process := range fleet.Backends[:2] {
 		process.Signal(syscall.SIGSTOP)
 	}
-	fleet.rest(0.4)
+	fleet.sleepFraction(0.4)
 	for _, process := range fleet.Backends[:2] {
 		process.Signal(syscall.SIGCONT)
 	}
 }
 
-// backendsReplaced stops them one by one with the platform's warning; each comes back cold.
+// backendsReplaced stops backends one by one with SIGTERM and restarts them cold.
 func backendsReplaced(fleet *Fleet) {
 	for _, process := range fleet.Backends[:min(4, len(fleet.Backends))] {
-		process.arguments = fleet.backArguments(process, 6000)
-		fleet.stop(process, syscall.SIGTERM, 300*time.Millisecond)
-		fleet.rest(0.05)
+		process.arguments = fleet.backendArguments(process, 6000)
+		fleet.restart(process, syscall.SIGTERM, 300*time.Millisecond)
+		fleet.sleepFraction(0.05)
 	}
 }
 
-// addressReused gives a dead backend's address to another service's backend.
-func addressReused(fleet *Fleet) {
-	fleet.rest(0.2)
+// backendAddressReused starts a backend of another service at the address of a killed one.
+func backendAddressReused(fleet *Fleet) {
+	fleet.sleepFraction(0.2)
 	process := fleet.Backends[0]
 	process.Signal(syscall.SIGKILL)
 	process.Wait(time.Second)
-	other := fleet.services[len(fleet.services)-1]
+	otherService := fleet.services[len(fleet.services)-1]
 	process.arguments = []string{
 		"--listen",
 		process.PublicAddress,
 		"--service",
-		other,
+		otherService,
 		"--instance",
 		"stranger",
 		"--journal",
-		filepath.Join(fleet.Spec.Folder, "stranger"+journalEnd),
+		filepath.Join(fleet.Spec.Folder, "stranger"+journalSuffix),
 	}
 	fleet.start(process)
 }
@@ -82,18 +82,18 @@
 	}
 }
 
-func coldHerd(fleet *Fleet) {
-	fleet.rest(0.2)
-	herd := fleet.Backends[:len(fleet.Backends)/2]
-	for _, process := range herd {
-		process.arguments = fleet.backArguments(process, 5000)
+func coldBackends(fleet *Fleet) {
+	fleet.sleepFraction(0.2)
+	restarted := fleet.Backends[:len(fleet.Backends)/2]
+	for _, process := range restarted {
+		process.arguments = fleet.backendArguments(process, 5000)
 		process.Signal(syscall.SIGKILL)
 	}
 	fleet.goroutines.Sleep(500 * time.Millisecond)
-	for _, process := range herd {
+	for _, process := range restarted {
 		process.Wait(time.Second)
 		fleet.start(process)
 	}
-	fleet.stop(fleet.Proxies[1], syscall.SIGKILL, 300*time.Millisecond)
-	fleet.stop(fleet.Proxies[2], syscall.SIGTERM, 300*time.Millisecond)
+	fleet.restart(fleet.Proxies[1], syscall.SIGKILL, 300*time.Millisecond)
+	fleet.restart(fleet.Proxies[2], syscall.SIGTERM, 300*time.Millisecond)
 }
--- a/harness/cluster/changes.go
+++ b/harness/cluster/changes.go
@@ -12,31 +12,31 @@
 )
 
 func backendDrained(fleet *Fleet) {
-	fleet.rest(0.2)
+	fleet.sleepFraction(0.2)
 	fleet.drain("backends", fleet.Backends[0].Name)
-	fleet.rest(0.5)
+	fleet.sleepFraction(0.5)
 	fleet.drain("backends", "")
 }
 
-func zoneEmptied(fleet *Fleet) {
-	fleet.rest(0.2)
-	forecast := fleet.forecast(fleet.zones[0])
+func zoneDrained(fleet *Fleet) {
+	fleet.sleepFraction(0.2)
+	forecast := fleet.drainForecast(fleet.zones[0])
 	fleet.drain("zones", fleet.zones[0])
 	fleet.goroutines.Sleep(2 * time.Second)
-	fleet.compareForecast(forecast)
-	fleet.rest(0.4)
+	fleet.checkForecast(forecast)
+	fleet.sleepFraction(0.4)
 	fleet.drain("zones", "")
 }
 
-// drain empties what is named, or refills all, and notes the window for the verdict.
+// drain drains a zone or backend, or ends all drains if name is empty, and records the windows for the checker.
 func (fleet *Fleet) drain(kind, name string) {
 	names := []string{}
 	if name != "" {
 		names = append(names, name)
 	}
 	body, _ := json.Marshal(map[string]any{"drained": map[string][]string{kind: names}})
-	if !fleet.patch(body) {
-		fleet.codes = append(fleet.codes, "drain not acknowledged")
+	if !fleet.patchSettings(body) {
+		fleet.failures = append(fleet.failures, "change of drains not acknowledged")
 		return
 	}
 	now := time.Now().UnixMilli()
@@ -57,13 +57,13 @@
 	}
 }
 
-// patch makes a partial change, again after lost races.
-func (fleet *Fleet) patch(body []byte) bool {
-	for try := range 20 {
-		settings, err := fleet.Operator(try).Read(false)
+// patchSettings makes a partial change. It retries, as a concurrent change may win.
+func (fleet *Fleet) patchSettings(body []byte) bool {
+	for attempt := range 20 {
+		settings, err := fleet.OperatorClient(attempt).Read(false)
 		if err == nil && settings.Confirmed {
-			if _, err = fleet.Operator(try).
-				Patch(operator.Change{Base: settings.Serial, Change: fmt.Sprintf("fleet-%d-%d", time.Now().UnixNano(), try), Operator: "ojcluster", Settings: body}); err == nil {
+			if _, err = fleet.OperatorClient(attempt).
+				Patch(operator.Change{Base: settings.Serial, Change: fmt.Sprintf("fleet-%d-%d", time.Now().UnixNano(), attempt), Operator: "ojcluster", Settings: body}); err == nil {
 				return true
 			}
 		}
@@ -73,21 +73,21 @@
 }
 
 func keysWithdrawn(fleet *Fleet) {
-	fleet.rest(0.3)
+	fleet.sleepFraction(0.3)
 	names := sortedKeys(fleet.settings.Tenants)
 	name := names[0]
-	if fleet.patch([]byte(fmt.Sprintf(`{"tenants":{%q:{"keys":[]}}}`, name))) {
+	if fleet.patchSettings([]byte(fmt.Sprintf(`{"tenants":{%q:{"keys":[]}}}`, name))) {
 		fleet.windows = append(fleet.windows, checker.Window{Kind: "tenant", Subject: name, From: time.Now().UnixMilli() + 4500})
 	}
 }
 
 func settingsLarge(fleet *Fleet) {
-	fleet.rest(0.2)
-	fleet.grow(20_000)
+	fleet.sleepFraction(0.2)
+	fleet.addRoutes(20_000)
 }
 
-// grow adds so many routes to the last class.
-func (fleet *Fleet) grow(count int) {
+// addRoutes adds count routes to the last class.
+func (fleet *Fleet) addRoutes(count int) {
 	routes := map[string]any{}
 	for index := range count {
 		routes[fmt.Sprintf("bulk-%d", index)] = map[string]any{
@@ -103,29 +103,29 @@
 			},
 		},
 	)
-	begin := time.Now()
-	taken := fleet.patch(body)
+	start := time.Now()
+	acknowledged := fleet.patchSettings(body)
 	fmt.Printf(
 		"%s: large settings: %d bytes, acknowledged %v after %v\n",
-		fleet.name,
+		fleet.partnerName,
 		len(body),
-		taken,
-		time.Since(begin).Round(time.Millisecond),
+		acknowledged,
+		time.Since(start).Round(time.Millisecond),
 	)
-	if !taken {
-		fleet.codes = append(fleet.codes, "large settings not acknowledged")
+	if !acknowledged {
+		fleet.failures = append(fleet.failures, "large settings not acknowledged")
 	}
 }
 
-// storm lets dozens of operators change a large tree while the leader changes;
-// bodies above the limit are refused meanwhile.
-func storm(fleet *Fleet) {
-	fleet.grow(5_000)
+// concurrentChanges lets dozens of operators change large settings during leader changes.
+// Meanwhile, bodies above the size limit must be refused.
+func concurrentChanges(fleet *Fleet) {
+	fleet.addRoutes(5_000)
 	fleet.ledger.Operate(24, 2*time.Second)
 	for range 2 {
-		huge := operator.Change{Base: 1, Settings: []byte(`{"fill":"` + strings.Repeat("x", 17<<20) + `"}`)}
-		if _, err := fleet.Operator(0).Put(huge); err == nil || rpc.CodeOf(err) != rpc.TooLarge {
-			fleet.codes = append(fleet.codes, fmt.Sprintf("17 MB taken: %v", err))
+		oversized := operator.Change{Base: 1, Settings: []byte(`{"fill":"` + strings.Repeat("x", 17<<20) + `"}`)}
+		if _, err := fleet.OperatorClient(0).Put(oversized); err == nil || rpc.CodeOf(err) != rpc.TooLarge {
+			fleet.failures = append(fleet.failures, fmt.Sprintf("settings of 17 MiB were not refused as too large: %v", err))
 		}
 		leaderChanges(fleet)
 	}
--- a/harness/cluster/cluster.go
+++ b/harness/cluster/cluster.go
@@ -19,39 +19,38 @@
 	"orchidjunction/rpc"
 )
 
-// Fleet is the processes of one run and what is recorded about them.
+// Fleet holds the processes of one run and the records of them.
 type Fleet struct {
-	Spec       Spec
-	settings   *config.Settings
-	body       []byte
-	goroutines *concurrent.Group
-	client     *http.Client
-	zones      []string
-	services   []string
-
-	Cores       []*Process
-	Directories []*Process
-	Proxies     []*Process
-	Backends    []*Process
-	Platform    *Process
-	origin      *Process
-	listed      []standin.Listed
-	port        int
-	added       int
-	codes       []string
-	windows     []checker.Window
-	ledger      *checker.Ledger
-	called      time.Time
-	peer        *Fleet
-	guests      map[string]string
-	name        string
-
-	mutex  sync.Mutex
-	judged bool
+	Spec         Spec
+	settings     *config.Settings
+	settingsBody []byte
+	goroutines   *concurrent.Group
+	client       *http.Client
+	zones        []string
+	services     []string
+
+	Cores         []*Process
+	Directories   []*Process
+	Proxies       []*Process
+	Backends      []*Process
+	Platform      *Process
+	loadGenerator *Process
+	backendList   []standin.Listed
+	nextPort      int
+	addedCores    int
+	failures      []string
+	windows       []checker.Window
+	ledger        *checker.Ledger
+	loadStart     time.Time
+	peer          *Fleet
+	guests        map[string]string
+	partnerName   string
+
+	mutex    sync.Mutex
+	finished bool
 }
 
-// NewFleet decides names, addresses and command lines of all processes; it starts
-// none.
+// NewFleet assigns names, addresses and command lines to all processes without starting them.
 func NewFleet(spec Spec, goroutines *concurrent.Group) (*Fleet, error) {
 	settings, body, err := spec.Check()
 	if err != nil {
@@ -64,85 +63,85 @@
 		return nil, rpc.Errorf(rpc.BadFlag, "--folder: %s is not empty", spec.Folder)
 	}
 	fleet := &Fleet{
-		Spec:       spec,
-		settings:   settings,
-		body:       body,
-		goroutines: goroutines,
-		port:       spec.BasePort,
-		guests:     map[string]string{},
-		name:       settings.Partner,
-		client:     &http.Client{Timeout: 2 * time.Second},
+		Spec:         spec,
+		settings:     settings,
+		settingsBody: body,
+		goroutines:   goroutines,
+		nextPort:     spec.BasePort,
+		guests:       map[string]string{},
+		partnerName:  settings.Partner,
+		client:       &http.Client{Timeout: 2 * time.Second},
 	}
 	names := sortedKeys(settings.Regions)
-	for depth := 0; len(fleet.zones) < len(names)*8 && depth < 8; depth++ {
+	for index := 0; len(fleet.zones) < len(names)*8 && index < 8; index++ {
 		for _, name := range names {
-			if zones := settings.Regions[name].Zones; depth < len(zones) {
-				fleet.zones = append(fleet.zones, zones[depth])
+			if zones := settings.Regions[name].Zones; index < len(zones) {
+				fleet.zones = append(fleet.zones, zones[index])
 			}
 		}
 	}
-	known := map[string]bool{}
+	seen := map[string]bool{}
 	for _, class := range settings.Classes {
 		for service := range class.Services {
-			if !known[service] {
-				known[service] = true
+			if !seen[service] {
+				seen[service] = true
 				fleet.services = append(fleet.services, service)
 			}
 		}
 	}
 	sort.Strings(fleet.services)
-	return fleet, fleet.lay()
+	return fleet, fleet.planProcesses()
 }
 
-// wait lets nobody end before the other partner has seen all it wants to see.
-func (fleet *Fleet) wait() {
+// waitForPeer keeps the fleet running until the peer has finished too, for at most 2 minutes.
+func (fleet *Fleet) waitForPeer() {
 	fleet.mutex.Lock()
-	fleet.judged = true
+	fleet.finished = true
 	fleet.mutex.Unlock()
-	for until := time.Now().Add(2 * time.Minute); fleet.peer != nil && time.Now().Before(until); {
+	for deadline := time.Now().Add(2 * time.Minute); fleet.peer != nil && time.Now().Before(deadline); {
 		fleet.peer.mutex.Lock()
-		judged := fleet.peer.judged
+		finished := fleet.peer.finished
 		fleet.peer.mutex.Unlock()
-		if judged || !fleet.goroutines.Sleep(50*time.Millisecond) {
+		if finished || !fleet.goroutines.Sleep(50*time.Millisecond) {
 			return
 		}
 	}
 }
 
-func (fleet *Fleet) all() []*Process {
+func (fleet *Fleet) allProcesses() []*Process {
 	all := append(append(append([]*Process{fleet.Platform}, fleet.Backends...), fleet.Cores...), fleet.Directories...)
 	return append(all, fleet.Proxies...)
 }
 
+// daemons returns the directories and proxies.
 func (fleet *Fleet) daemons() []*Process {
 	return append(append([]*Process{}, fleet.Directories...), fleet.Proxies...)
 }
 
-// cores returns the cores that are not replaced, while a scenario may replace some.
-func (fleet *Fleet) cores() []*Process {
+// currentCores returns a copy of Cores, which a scenario that replaces cores may change meanwhile.
+func (fleet *Fleet) currentCores() []*Process {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	return append([]*Process{}, fleet.Cores...)
 }
 
-// Operator returns a client that calls all daemons in turn, beginning with the one
-// of this index.
-func (fleet *Fleet) Operator(first int) *operator.Client {
-	doors := []string{}
-	daemons := append(fleet.daemons(), fleet.cores()...)
-	for turn := range daemons {
-		doors = append(doors, daemons[(first+turn)%len(daemons)].OperatorAddress)
+// OperatorClient returns a client that tries all daemons and cores in turn, starting at index first.
+func (fleet *Fleet) OperatorClient(first int) *operator.Client {
+	addresses := []string{}
+	daemons := append(fleet.daemons(), fleet.currentCores()...)
+	for offset := range daemons {
+		addresses = append(addresses, daemons[(first+offset)%len(daemons)].OperatorAddress)
 	}
-	return operator.NewClient(doors, &http.Transport{DisableKeepAlives: true})
+	return operator.NewClient(addresses, &http.Transport{DisableKeepAlives: true})
 }
 
-// Leader returns the core that leads, nil if none is known.
+// Leader returns the leader, or nil if none is known.
 func (fleet *Fleet) Leader() *Process {
-	status, err := fleet.Operator(0).Status()
+	status, err := fleet.OperatorClient(0).Status()
 	if err != nil {
 		return nil
 	}
-	for _, process := range fleet.cores() {
+	for _, process := range fleet.currentCores() {
 		if process.InternalAddress == status.Leader.Address {
 			return process
 		}
@@ -150,19 +149,19 @@
 	return nil
 }
 
-const journalEnd = ".journal"
+const journalSuffix = ".journal"
 
-// Seen returns the records of all backends, of those that were killed too.
-func (fleet *Fleet) Seen() []standin.BackendRecord {
+// BackendRecords returns the records of all backends, including those that were killed.
+func (fleet *Fleet) BackendRecords() []standin.BackendRecord {
 	all := []standin.BackendRecord{}
-	journals, _ := filepath.Glob(filepath.Join(fleet.Spec.Folder, "*"+journalEnd))
+	journals, _ := filepath.Glob(filepath.Join(fleet.Spec.Folder, "*"+journalSuffix))
 	for _, path := range journals {
 		all = append(all, standin.ReadBackendRecords(path)...)
 	}
 	return all
 }
 
-// Zones returns the zones of backends by name and of proxies by address.
+// Zones maps names of backends and addresses of proxies to zones.
 func (fleet *Fleet) Zones() map[string]string {
 	zones := map[string]string{}
 	for _, process := range fleet.Backends {
@@ -175,37 +174,37 @@
 	return zones
 }
 
-// OperatorAddresses returns the operators' addresses of all processes that run.
+// OperatorAddresses returns the operator addresses of all running daemons and cores.
 func (fleet *Fleet) OperatorAddresses() []string {
-	doors := []string{}
-	for _, process := range append(fleet.daemons(), fleet.cores()...) {
+	addresses := []string{}
+	for _, process := range append(fleet.daemons(), fleet.currentCores()...) {
 		if process.Alive() {
-			doors = append(doors, process.OperatorAddress)
+			addresses = append(addresses, process.OperatorAddress)
 		}
 	}
-	return doors
+	return addresses
 }
 
-// Client returns a client of the process with this operators' address.
-func (fleet *Fleet) Client(door string) *operator.Client {
-	return operator.NewClient([]string{door}, nil)
+// Client returns a client of the process with this operator address.
+func (fleet *Fleet) Client(address string) *operator.Client {
+	return operator.NewClient([]string{address}, nil)
 }
 
-// Rest sleeps; it returns false once the run is stopped.
-func (fleet *Fleet) Rest(span time.Duration) bool { return fleet.goroutines.Sleep(span) }
+// Rest sleeps and returns false once the run is stopped.
+func (fleet *Fleet) Rest(duration time.Duration) bool { return fleet.goroutines.Sleep(duration) }
 
-// Start runs duty in a goroutine of the run.
-func (fleet *Fleet) Start(duty func()) { fleet.goroutines.Start(duty) }
+// Start runs function in one of the run's goroutines.
+func (fleet *Fleet) Start(function func()) { fleet.goroutines.Start(function) }
 
-// Down stops all processes in order and records exit codes other than 0.
-func (fleet *Fleet) Down() {
-	for _, process := range fleet.all() {
+// Shutdown sends SIGTERM to all processes, resuming frozen ones, and records exit codes other than 0.
+func (fleet *Fleet) Shutdown() {
+	for _, process := range fleet.allProcesses() {
 		process.Signal(syscall.SIGCONT)
 		process.Signal(syscall.SIGTERM)
 	}
-	for _, process := range fleet.all() {
+	for _, process := range fleet.allProcesses() {
 		if code := process.Wait(12 * time.Second); code != 0 {
-			fleet.codes = append(fleet.codes, fmt.Sprintf("%s exit %d", process.Name, code))
+			fleet.failures = append(fleet.failures, fmt.Sprintf("%s ended with exit code %d", process.Name, code))
 		}
 	}
 }
--- a/harness/cluster/comparison.go
+++ b/harness/cluster/comparison.go
@@ -14,9 +14,9 @@
 	"orchidjunction/planner"
 )
 
-// compare asks a backend directly and through a proxy, in turns.
-func compare(fleet *Fleet) {
-	fleet.rest(0.2)
+// compareLatency prints the latency of a backend called directly and through a proxy.
+func compareLatency(fleet *Fleet) {
+	fleet.sleepFraction(0.2)
 	backend, proxy := fleet.Backends[0], fleet.Proxies[0]
 	var path string
 	for _, route := range fleet.settings.Resolve() {
@@ -32,7 +32,7 @@
 			request.Header.Set("Authorization", "Bearer key-of-"+tenant)
 			request.Header.Set("Oj-Service", backend.Service)
 			request.Header.Set("Oj-Task", fmt.Sprintf("compare-%d", number))
-			begin := time.Now()
+			start := time.Now()
 			response, err := fleet.client.Do(request)
 			if err != nil {
 				continue
@@ -43,12 +43,12 @@
 			}
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
-				times[name] = append(times[name], float64(time.Since(begin).Microseconds())/1000)
+				times[name] = append(times[name], float64(time.Since(start).Microseconds())/1000)
 			}
 		}
 	}
 	fmt.Printf(
-		"compare: direct p50 %.2f ms p99 %.2f ms, through p50 %.2f ms p99 %.2f ms, ratio of p50 %.2f, of %d and %d\n",
+		"compare: direct p50 %.2f ms p99 %.2f ms, through a proxy p50 %.2f ms p99 %.2f ms, ratio of p50 %.2f, %d and %d samples\n",
 		checker.Quantile(times["direct"], 0.5),
 		checker.Quantile(times["direct"], 0.99),
 		checker.Quantile(
@@ -62,33 +62,33 @@
 	)
 }
 
-// forecast is what the planner says of emptying a zone.
-func (fleet *Fleet) forecast(zone string) *planner.Forecast {
-	held, err := fleet.Operator(0).Read(false)
-	status, silent := fleet.Operator(0).Status()
-	if err != nil || silent != nil {
+// drainForecast returns the planner's forecast of draining a zone, or nil if a read fails.
+func (fleet *Fleet) drainForecast(zone string) *planner.Forecast {
+	response, err := fleet.OperatorClient(0).Read(false)
+	status, statusErr := fleet.OperatorClient(0).Status()
+	if err != nil || statusErr != nil {
 		return nil
 	}
-	before, err := config.Read(held.Settings)
+	before, err := config.Read(response.Settings)
 	if err != nil {
 		return nil
 	}
 	after := *before
 	after.Drained.Zones = []string{zone}
-	look := planner.Fleet{Serial: held.Serial, Settings: before, Backends: status.Backends, Capacity: 30}
-	for _, known := range status.Members {
-		look.Members = append(look.Members, known.Member)
+	state := planner.Fleet{Serial: response.Serial, Settings: before, Backends: status.Backends, Capacity: 30}
+	for _, entry := range status.Members {
+		state.Members = append(state.Members, entry.Member)
 	}
-	return planner.NewForecast(look, &after)
+	return planner.NewForecast(state, &after)
 }
 
-// compareForecast asks a directory where tenants go now and sets it against the forecast.
-func (fleet *Fleet) compareForecast(forecast *planner.Forecast) {
+// checkForecast compares a directory's current placements with the forecast.
+func (fleet *Fleet) checkForecast(forecast *planner.Forecast) {
 	if forecast == nil {
-		fleet.codes = append(fleet.codes, "no forecast")
+		fleet.failures = append(fleet.failures, "no forecast of the drain")
 		return
 	}
-	right := 0
+	matching := 0
 	for _, move := range forecast.Moves {
 		request, _ := http.NewRequest(http.MethodGet, "http://"+fleet.Directories[0].PublicAddress+"/v1/place", nil)
 		request.Header.Set("Authorization", "Bearer key-of-"+move.Tenant)
@@ -100,19 +100,25 @@
 		err = json.NewDecoder(response.Body).Decode(&placement)
 		response.Body.Close()
 		if err != nil {
-			fleet.codes = append(fleet.codes, fmt.Sprintf("placement of %s: %v", move.Tenant, err))
+			fleet.failures = append(fleet.failures, fmt.Sprintf("placement of %s: %v", move.Tenant, err))
 			continue
 		}
-		got := []string{}
-		for _, front := range placement.Proxies {
-			got = append(got, front.Name)
+		found := []string{}
+		for _, proxy := range placement.Proxies {
+			found = append(found, proxy.Name)
 		}
-		sort.Strings(got)
-		if strings.Join(got, " ") == strings.Join(move.To, " ") {
-			right++
+		sort.Strings(found)
+		if strings.Join(found, " ") == strings.Join(move.To, " ") {
+			matching++
 		} else {
-			fleet.codes = append(fleet.codes, fmt.Sprintf("%s forecast at %v, found at %v", move.Tenant, move.To, got))
+			fleet.failures = append(fleet.failures, fmt.Sprintf("tenant %s: proxies %v forecast, %v found", move.Tenant, move.To, found))
 		}
 	}
-	fmt.Printf("%s: forecast: %d of %d tenants would move, %d moved as said\n", fleet.name, len(forecast.Moves), forecast.Tenants, right)
+	fmt.Printf(
+		"%s: forecast: %d of %d tenants would move, %d moved as forecast\n",
+		fleet.partnerName,
+		len(forecast.Moves),
+		forecast.Tenants,
+		matching,
+	)
 }
--- a/harness/cluster/layout.go
+++ b/harness/cluster/layout.go
@@ -10,11 +10,11 @@
 	"orchidjunction/rpc"
 )
 
-// Lend makes the first proxies guests of the other partner's fleet too.
+// Lend makes the first Spec.Guests proxies also guests of the other partner's fleet.
 func (fleet *Fleet) Lend(peer *Fleet) {
 	fleet.peer = peer
 	for index, process := range fleet.Proxies[:min(fleet.Spec.Guests, len(fleet.Proxies))] {
-		zone, outer := peer.zones[index%len(peer.zones)], fleet.address()
+		zone, publicAddress := peer.zones[index%len(peer.zones)], fleet.newAddress()
 		process.arguments = append(
 			process.arguments,
 			"--guest-name",
@@ -22,11 +22,11 @@
 			"--guest-zone",
 			zone,
 			"--guest-listen",
-			outer,
+			publicAddress,
 			"--guest-wire",
-			fleet.address(),
+			fleet.newAddress(),
 			"--guest-operate",
-			fleet.address(),
+			fleet.newAddress(),
 			"--lend-rps",
 			"60",
 			"--lend-in-flight",
@@ -35,38 +35,38 @@
 		for _, core := range peer.Cores[:min(3, len(peer.Cores))] {
 			process.arguments = append(process.arguments, "--guest-seed", core.InternalAddress)
 		}
-		peer.guests[outer] = zone
+		peer.guests[publicAddress] = zone
 	}
 }
 
-func (fleet *Fleet) address() string {
-	fleet.port++
-	return fmt.Sprintf("127.0.0.1:%d", fleet.port-1)
+func (fleet *Fleet) newAddress() string {
+	fleet.nextPort++
+	return fmt.Sprintf("127.0.0.1:%d", fleet.nextPort-1)
 }
 
-func (fleet *Fleet) process(name, kind string, arguments ...string) *Process {
+func (fleet *Fleet) newProcess(name, kind string, arguments ...string) *Process {
 	return newProcess(fleet.goroutines, fleet.Spec.Bin, fleet.Spec.Folder, name, kind, arguments...)
 }
 
-// lay decides every process's place and command line.
-func (fleet *Fleet) lay() error {
-	platform := fleet.address()
+// planProcesses assigns zone, addresses and command line to each process.
+func (fleet *Fleet) planProcesses() error {
+	platform := fleet.newAddress()
 	for index := range fleet.Spec.Backends {
-		process := fleet.process(fmt.Sprintf("back-%02d", index), "ojbackend")
-		process.Zone, process.Service, process.PublicAddress = fleet.zones[index/len(fleet.services)%len(fleet.zones)], fleet.services[index%len(fleet.services)], fleet.address()
-		process.arguments = fleet.backArguments(process, 0)
+		process := fleet.newProcess(fmt.Sprintf("back-%02d", index), "ojbackend")
+		process.Zone, process.Service, process.PublicAddress = fleet.zones[index/len(fleet.services)%len(fleet.zones)], fleet.services[index%len(fleet.services)], fleet.newAddress()
+		process.arguments = fleet.backendArguments(process, 0)
 		fleet.Backends = append(fleet.Backends, process)
-		fleet.listed = append(
-			fleet.listed,
+		fleet.backendList = append(
+			fleet.backendList,
 			standin.Listed{Name: process.Name, Service: process.Service, Address: process.PublicAddress, Zone: process.Zone},
 		)
 	}
 	list := filepath.Join(fleet.Spec.Folder, "backends.json")
-	body, _ := json.Marshal(fleet.listed)
+	body, _ := json.Marshal(fleet.backendList)
 	if err := os.WriteFile(list, body, 0o600); err != nil {
 		return rpc.Errorf(rpc.DiskFailure, "%v", err)
 	}
-	fleet.Platform = fleet.process(
+	fleet.Platform = fleet.newProcess(
 		"platform",
 		"ojplatform",
 		"--listen",
@@ -78,8 +78,8 @@
 	)
 	fleet.Platform.PublicAddress = platform
 	for index := range fleet.Spec.Cores {
-		process := fleet.process(fmt.Sprintf("core-%d", index+1), "ojcore")
-		process.Zone, process.InternalAddress, process.OperatorAddress = fleet.zones[index%len(fleet.zones)], fleet.address(), fleet.address()
+		process := fleet.newProcess(fmt.Sprintf("core-%d", index+1), "ojcore")
+		process.Zone, process.InternalAddress, process.OperatorAddress = fleet.zones[index%len(fleet.zones)], fleet.newAddress(), fleet.newAddress()
 		fleet.Cores = append(fleet.Cores, process)
 	}
 	for index, process := range fleet.Cores {
@@ -93,15 +93,15 @@
 			}
 		}
 	}
-	for _, side := range []struct {
+	for _, group := range []struct {
 		kind    string
 		program string
 		count   int
 		into    *[]*Process
 	}{{"dir", "ojdirectory", fleet.Spec.Directories, &fleet.Directories}, {"proxy", "ojproxy", fleet.Spec.Proxies, &fleet.Proxies}} {
-		for index := range side.count {
-			process := fleet.process(fmt.Sprintf("%s-%02d", side.kind, index), side.program)
-			process.Zone, process.PublicAddress, process.InternalAddress, process.OperatorAddress = fleet.zones[index%len(fleet.zones)], fleet.address(), fleet.address(), fleet.address()
+		for index := range group.count {
+			process := fleet.newProcess(fmt.Sprintf("%s-%02d", group.kind, index), group.program)
+			process.Zone, process.PublicAddress, process.InternalAddress, process.OperatorAddress = fleet.zones[index%len(fleet.zones)], fleet.newAddress(), fleet.newAddress(), fleet.newAddress()
 			process.arguments = []string{
 				"--name",
 				process.Name,
@@ -117,15 +117,15 @@
 			for _, core := range fleet.Cores[:min(3, len(fleet.Cores))] {
 				process.arguments = append(process.arguments, "--seed", core.InternalAddress)
 			}
-			*side.into = append(*side.into, process)
+			*group.into = append(*group.into, process)
 		}
 	}
 	return nil
 }
 
-func (fleet *Fleet) backArguments(process *Process, coldMs int) []string {
+func (fleet *Fleet) backendArguments(process *Process, coldMs int) []string {
 	return []string{
 		"--listen", process.PublicAddress, "--service", process.Service, "--instance", process.Name, "--cold-ms", fmt.Sprint(coldMs),
-		"--journal", filepath.Join(fleet.Spec.Folder, process.Name+journalEnd),
+		"--journal", filepath.Join(fleet.Spec.Folder, process.Name+journalSuffix),
 	}
 }
--- a/harness/cluster/load.go
+++ b/harness/cluster/load.go
@@ -14,8 +14,8 @@
 	"orchidjunction/rpc"
 )
 
-// Call starts the callers.
-func (fleet *Fleet) Call() error {
+// StartLoad starts the load generator, with tenants weighted by their shares.
+func (fleet *Fleet) StartLoad() error {
 	plan := standin.LoadPlan{
 		PerSecond: fleet.Spec.Rate,
 		Seconds:   fleet.Spec.Seconds + 3600,
@@ -30,7 +30,7 @@
 		plan.Callers = append(plan.Callers, standin.Caller{Tenant: name, Key: "key-of-" + name, Weight: tenant.Share})
 	}
 	sort.Slice(plan.Callers, func(left, right int) bool { return plan.Callers[left].Tenant < plan.Callers[right].Tenant })
-	money, other := []standin.Call{}, []standin.Call{}
+	keyed, unkeyed := []standin.Call{}, []standin.Call{}
 	for _, route := range fleet.settings.Resolve() {
 		call := standin.Call{
 			Class:   route.Class,
@@ -47,23 +47,23 @@
 			call.Path = strings.Replace(call.Path, "bytes=2000", "bytes=1500000", 1)
 		}
 		if route.KeyRequired {
-			money = append(money, call)
+			keyed = append(keyed, call)
 		} else {
-			other = append(other, call)
+			unkeyed = append(unkeyed, call)
 		}
 	}
 	large := 0
-	for _, call := range other {
+	for _, call := range unkeyed {
 		if strings.Contains(call.Path, "1500000") {
 			large++
 		}
 	}
-	for _, call := range money {
-		call.Weight = 100 * fleet.Spec.MoneyPart / len(money)
+	for _, call := range keyed {
+		call.Weight = 100 * fleet.Spec.MoneyPart / len(keyed)
 		plan.Calls = append(plan.Calls, call)
 	}
-	for _, call := range other {
-		call.Weight = (100*(100-fleet.Spec.MoneyPart) - 20*large) / max(len(other)-large, 1)
+	for _, call := range unkeyed {
+		call.Weight = (100*(100-fleet.Spec.MoneyPart) - 20*large) / max(len(unkeyed)-large, 1)
 		if strings.Contains(call.Path, "1500000") {
 			call.Weight = 20
 		}
@@ -74,24 +74,24 @@
 	if err := os.WriteFile(path, body, 0o600); err != nil {
 		return rpc.Errorf(rpc.DiskFailure, "%v", err)
 	}
-	fleet.called = time.Now()
-	fleet.origin = fleet.process("origin", "ojload", "--plan", path)
-	return fleet.origin.Start()
+	fleet.loadStart = time.Now()
+	fleet.loadGenerator = fleet.newProcess("origin", "ojload", "--plan", path)
+	return fleet.loadGenerator.Start()
 }
 
-// Callers waits until the load has lasted as long as the Spec says, stops the
-// callers and returns their report.
-func (fleet *Fleet) Callers() (*standin.LoadReport, error) {
-	fleet.goroutines.Sleep(time.Until(fleet.called.Add(time.Duration(fleet.Spec.Seconds * float64(time.Second)))))
-	fleet.origin.Signal(syscall.SIGTERM)
-	fleet.origin.Wait(60 * time.Second)
-	body, err := os.ReadFile(fleet.origin.log)
+// FinishLoad waits until the load has lasted Spec.Seconds, stops the load generator and
+// returns its report.
+func (fleet *Fleet) FinishLoad() (*standin.LoadReport, error) {
+	fleet.goroutines.Sleep(time.Until(fleet.loadStart.Add(time.Duration(fleet.Spec.Seconds * float64(time.Second)))))
+	fleet.loadGenerator.Signal(syscall.SIGTERM)
+	fleet.loadGenerator.Wait(60 * time.Second)
+	body, err := os.ReadFile(fleet.loadGenerator.logPath)
 	report := &standin.LoadReport{}
 	if err == nil {
 		err = json.Unmarshal(body, report)
 	}
 	if err != nil {
-		return nil, rpc.Errorf(rpc.BadMessage, "callers' report: %v", err)
+		return nil, rpc.Errorf(rpc.BadMessage, "report of the load generator: %v", err)
 	}
 	return report, nil
 }
--- a/harness/cluster/readiness.go
+++ b/harness/cluster/readiness.go
@@ -11,100 +11,100 @@
 	"orchidjunction/rpc"
 )
 
-// Up starts all processes, puts the first settings in force and waits until every
-// daemon is ready.
-func (fleet *Fleet) Up() error {
-	for _, process := range fleet.all() {
+// Bootstrap starts all processes, activates the first settings and waits until every daemon
+// is ready.
+func (fleet *Fleet) Bootstrap() error {
+	for _, process := range fleet.allProcesses() {
 		if err := process.Start(); err != nil {
 			return err
 		}
 	}
-	limit := time.Now().Add(30 * time.Second)
-	var last error
+	deadline := time.Now().Add(30 * time.Second)
+	var lastErr error
 	if fleet.peer != nil {
-		fleet.body = fleet.short()
+		fleet.settingsBody = fleet.settingsBelowDemand()
 	}
-	for time.Now().Before(limit) {
-		settings, err := fleet.Operator(0).Read(false)
+	for time.Now().Before(deadline) {
+		settings, err := fleet.OperatorClient(0).Read(false)
 		if err == nil && settings.Confirmed && settings.Serial == 0 {
-			_, err = fleet.Operator(0).Put(operator.Change{Base: 0, Change: "first", Operator: "ojcluster", Settings: fleet.body})
+			_, err = fleet.OperatorClient(0).
+				Put(operator.Change{Base: 0, Change: "first", Operator: "ojcluster", Settings: fleet.settingsBody})
 		}
 		if err == nil && settings.Confirmed {
-			return fleet.ready(limit)
+			return fleet.waitReady(deadline)
 		}
-		last = err
+		lastErr = err
 		fleet.goroutines.Sleep(50 * time.Millisecond)
 	}
-	return rpc.Errorf(rpc.NotReady, "no settings in force in time: %v", last)
+	return rpc.Errorf(rpc.NotReady, "no settings in force within 30 s: %v", lastErr)
 }
 
-// short are the settings of a partner whose fronts carry less than it
-// needs, so that room is borrowed all the time.
-func (fleet *Fleet) short() []byte {
-	whole := map[string]json.RawMessage{}
-	if json.Unmarshal(fleet.body, &whole) != nil {
-		return fleet.body
+// settingsBelowDemand returns settings in which the partner's proxies have half the capacity
+// for its load, so that it borrows all the time.
+func (fleet *Fleet) settingsBelowDemand() []byte {
+	document := map[string]json.RawMessage{}
+	if json.Unmarshal(fleet.settingsBody, &document) != nil {
+		return fleet.settingsBody
 	}
-	whole["front_rps"] = json.RawMessage(fmt.Sprint(max(fleet.Spec.Rate/len(fleet.Proxies)/2, 1)))
-	body, _ := json.Marshal(whole)
+	document["front_rps"] = json.RawMessage(fmt.Sprint(max(fleet.Spec.Rate/len(fleet.Proxies)/2, 1)))
+	body, _ := json.Marshal(document)
 	return body
 }
 
-// Serials returns the serial in force at every daemon, 0 for those that are not
-// ready.
+// Serials returns the serial in force at each daemon, 0 for those that are not ready.
 func (fleet *Fleet) Serials() []uint64 {
 	daemons := fleet.daemons()
-	got, _ := concurrent.Gather(fleet.goroutines, len(daemons), func(index int) (uint64, error) {
+	results, _ := concurrent.Gather(fleet.goroutines, len(daemons), func(index int) (uint64, error) {
 		health := struct {
 			Serial uint64 `json:"serial"`
 			Ready  bool   `json:"ready"`
 		}{}
-		err := fleet.get(daemons[index].OperatorAddress, "/v1/health", &health)
+		err := fleet.getJSON(daemons[index].OperatorAddress, "/v1/health", &health)
 		if !health.Ready {
 			health.Serial = 0
 		}
 		return health.Serial, err
 	}, func(map[int]uint64, map[int]error) bool { return false })
 	serials := make([]uint64, len(daemons))
-	for index, serial := range got {
+	for index, serial := range results {
 		serials[index] = serial
 	}
 	return serials
 }
 
-func (fleet *Fleet) get(address, path string, into any) error {
+func (fleet *Fleet) getJSON(address, path string, result any) error {
 	response, err := fleet.client.Get("http://" + address + path)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	return json.NewDecoder(response.Body).Decode(into)
+	return json.NewDecoder(response.Body).Decode(result)
 }
 
-func (fleet *Fleet) ready(limit time.Time) error {
-	for time.Now().Before(limit) {
+func (fleet *Fleet) waitReady(deadline time.Time) error {
+	for time.Now().Before(deadline) {
 		ready := true
 		for _, serial := range fleet.Serials() {
 			ready = ready && serial > 0
 		}
-		if ready && fleet.placing() && fleet.keeping() {
+		if ready && fleet.directoriesReady() && fleet.keyReplicasReady() {
 			return nil
 		}
 		fleet.goroutines.Sleep(50 * time.Millisecond)
 	}
-	return rpc.Errorf(rpc.NotReady, "serials in force: %v", fleet.Serials())
+	return rpc.Errorf(rpc.NotReady, "not ready in time; serials in force: %v", fleet.Serials())
 }
 
-// keeping is true once every proxy that lives keeps claims.
-func (fleet *Fleet) keeping() bool {
-	status, err := fleet.Operator(0).Status()
+// keyReplicasReady reports whether every running proxy is a key replica.
+func (fleet *Fleet) keyReplicasReady() bool {
+	status, err := fleet.OperatorClient(0).Status()
 	if err != nil {
 		return false
 	}
-	keepers, proxies := 0, 0
-	for _, known := range status.Members {
-		if known.Member.KeyReplica {
-			keepers++
+	replicas, proxies := 0, 0
+	for _, entry := range status.Members {
+		if entry.Member.KeyReplica {
+			replicas++
 		}
 	}
 	for _, process := range fleet.Proxies {
@@ -112,11 +112,11 @@
 			proxies++
 		}
 	}
-	return keepers >= proxies
+	return replicas >= proxies
 }
 
-// placing is true once every directory sends callers somewhere.
-func (fleet *Fleet) placing() bool {
+// directoriesReady reports whether every directory returns a placement for each tenant.
+func (fleet *Fleet) directoriesReady() bool {
 	for _, directory := range fleet.Directories {
 		for name := range fleet.settings.Tenants {
 			request, err := http.NewRequest(http.MethodGet, "http://"+directory.PublicAddress+"/v1/place", nil)
--- a/harness/cluster/replace.go
+++ b/harness/cluster/replace.go
@@ -11,43 +11,43 @@
 )
 
 const (
-	replaceLimit = 15 * time.Second
-	termLimit    = 8 * time.Second
-	lookPace     = 50 * time.Millisecond
+	replaceTimeout = 15 * time.Second
+	stopTimeout    = 8 * time.Second
+	pollInterval   = 50 * time.Millisecond
 )
 
-// coresReplaced replaces every founding core: one that is gone for good, one by plan
-// (the new one first, then SIGTERM), and the leader by plan. Then daemons restart with
-// the new cores as their seeds.
+// coresReplaced replaces a lost core, another one as planned (the new one starts before the
+// old one gets SIGTERM), and the leader as planned. Then a proxy and a directory restart with
+// the new cores as seeds.
 func coresReplaced(fleet *Fleet) {
 	for _, step := range []struct {
 		name    string
-		leads   bool
+		leading bool
 		planned bool
 	}{{"gone", false, false}, {"planned", false, true}, {"leader", true, true}} {
-		fleet.rest(0.1)
-		old := fleet.coreWhich(step.leads)
+		fleet.sleepFraction(0.1)
+		old := fleet.findCore(step.leading)
 		if old == nil {
-			fleet.codes = append(fleet.codes, "no core to replace: "+step.name)
+			fleet.failures = append(fleet.failures, "found no core to replace for step "+step.name)
 			return
 		}
 		if step.planned {
-			fleet.replaceByPlan(step.name, old)
+			fleet.replaceCoreAsPlanned(step.name, old)
 		} else {
-			fleet.replaceGone(step.name, old)
+			fleet.replaceLostCore(step.name, old)
 		}
 	}
-	fleet.rest(0.1)
+	fleet.sleepFraction(0.1)
 	for _, daemon := range []*Process{fleet.Proxies[0], fleet.Directories[0]} {
-		fleet.reseed(daemon)
-		fleet.stop(daemon, syscall.SIGTERM, 100*time.Millisecond)
-		fleet.rest(0.05)
+		fleet.updateSeeds(daemon)
+		fleet.restart(daemon, syscall.SIGTERM, 100*time.Millisecond)
+		fleet.sleepFraction(0.05)
 	}
 }
 
-// reseed names the cores of now among a daemon's flags, for its next start.
-func (fleet *Fleet) reseed(daemon *Process) {
-	cores := fleet.cores()
+// updateSeeds puts the current cores into a daemon's --seed flags, for its next start.
+func (fleet *Fleet) updateSeeds(daemon *Process) {
+	cores := fleet.currentCores()
 	for index, argument := range daemon.arguments {
 		if argument == "--seed" && len(cores) > 0 {
 			daemon.arguments[index+1], cores = cores[0].InternalAddress, cores[1:]
@@ -55,10 +55,10 @@
 	}
 }
 
-// coreWhich is the leader, or a founding core that doesn't lead.
-func (fleet *Fleet) coreWhich(leads bool) *Process {
+// findCore returns the leader, or an initial core that is not the leader.
+func (fleet *Fleet) findCore(leading bool) *Process {
 	leader := fleet.Leader()
-	if leads || leader == nil {
+	if leading || leader == nil {
 		return leader
 	}
 	for _, core := range fleet.Cores {
@@ -69,11 +69,11 @@
 	return nil
 }
 
-// newCore starts a core on an empty folder that is told the cores' addresses only.
-func (fleet *Fleet) newCore(zone string) *Process {
-	fleet.added++
-	core := fleet.process(fmt.Sprintf("core-%d", fleet.Spec.Cores+fleet.added), "ojcore")
-	core.Zone, core.InternalAddress, core.OperatorAddress = zone, fleet.address(), fleet.address()
+// startNewCore starts a core with an empty data folder and the cores' addresses as seeds.
+func (fleet *Fleet) startNewCore(zone string) *Process {
+	fleet.addedCores++
+	core := fleet.newProcess(fmt.Sprintf("core-%d", fleet.Spec.Cores+fleet.addedCores), "ojcore")
+	core.Zone, core.InternalAddress, core.OperatorAddress = zone, fleet.newAddress(), fleet.newAddress()
 	core.arguments = []string{
 		"--zone",
 		zone,
@@ -90,68 +90,68 @@
 		core.arguments = append(core.arguments, "--seed", seed.InternalAddress)
 	}
 	if err := core.Start(); err != nil {
-		fleet.codes = append(fleet.codes, err.Error())
+		fleet.failures = append(fleet.failures, err.Error())
 	}
 	return core
 }
 
-// replaceGone kills a core and starts another one, which takes its place by itself.
-func (fleet *Fleet) replaceGone(name string, old *Process) {
+// replaceLostCore kills a core and starts a new one, which must replace it without an operator.
+func (fleet *Fleet) replaceLostCore(name string, old *Process) {
 	old.Signal(syscall.SIGKILL)
 	old.Wait(time.Second)
-	begin := time.Now()
-	core := fleet.newCore(old.Zone)
-	fleet.succeeds(name, old, core, begin)
+	start := time.Now()
+	core := fleet.startNewCore(old.Zone)
+	fleet.awaitReplacement(name, old, core, start)
 }
 
-// replaceByPlan starts a core first, and ends the old one once the new one is ready.
-func (fleet *Fleet) replaceByPlan(name string, old *Process) {
-	core := fleet.newCore(old.Zone)
-	if !fleet.membershipComes(func(membership *message.MembershipStatus) bool {
+// replaceCoreAsPlanned starts a new core and stops the old one once the new one is a synced learner.
+func (fleet *Fleet) replaceCoreAsPlanned(name string, old *Process) {
+	core := fleet.startNewCore(old.Zone)
+	if !fleet.awaitMembership(func(membership *message.MembershipStatus) bool {
 		return slices.ContainsFunc(membership.Learners, func(learner message.LearnerStatus) bool {
 			return learner.Address == core.InternalAddress && learner.Synced
 		})
 	}) {
-		fleet.codes = append(fleet.codes, name+": "+core.Name+" is no synced learner in time")
+		fleet.failures = append(fleet.failures, name+": "+core.Name+" did not become a synced learner in time")
 	}
-	begin := time.Now()
+	start := time.Now()
 	old.Signal(syscall.SIGTERM)
-	if code := old.Wait(termLimit); code != 0 {
-		fleet.codes = append(fleet.codes, fmt.Sprintf("%s exit %d", old.Name, code))
+	if code := old.Wait(stopTimeout); code != 0 {
+		fleet.failures = append(fleet.failures, fmt.Sprintf("%s ended with exit code %d", old.Name, code))
 	}
-	fleet.succeeds(name, old, core, begin)
+	fleet.awaitReplacement(name, old, core, start)
 }
 
-// succeeds waits until the new core votes in the old one's place.
-func (fleet *Fleet) succeeds(name string, old, core *Process, begin time.Time) {
-	taken := fleet.membershipComes(func(membership *message.MembershipStatus) bool {
-		votes := func(address string) bool {
+// awaitReplacement waits until the new core is a voter and the old one is not.
+func (fleet *Fleet) awaitReplacement(name string, old, core *Process, start time.Time) {
+	replaced := fleet.awaitMembership(func(membership *message.MembershipStatus) bool {
+		isVoter := func(address string) bool {
 			return slices.ContainsFunc(membership.Voters, func(voter message.VoterStatus) bool { return voter.Address == address })
 		}
-		return len(membership.Next) == 0 && len(membership.Voters) == fleet.Spec.Cores && votes(core.InternalAddress) &&
-			!votes(old.InternalAddress)
+		return len(membership.Next) == 0 && len(membership.Voters) == fleet.Spec.Cores && isVoter(core.InternalAddress) &&
+			!isVoter(old.InternalAddress)
 	})
-	if !taken {
-		fleet.codes = append(fleet.codes, fmt.Sprintf("%s: %s has not the place of %s", name, core.Name, old.Name))
+	if !replaced {
+		fleet.failures = append(fleet.failures, fmt.Sprintf("%s: %s has not replaced %s", name, core.Name, old.Name))
 	}
 	fmt.Printf(
-		"%s: %s: %s in the place of %s after %v: %v\n",
-		fleet.name,
+		"%s: %s: %s replaced %s after %v: %v\n",
+		fleet.partnerName,
 		name,
 		core.Name,
 		old.Name,
-		time.Since(begin).Round(time.Millisecond),
-		taken,
+		time.Since(start).Round(time.Millisecond),
+		replaced,
 	)
 	fleet.mutex.Lock()
 	fleet.Cores[slices.Index(fleet.Cores, old)] = core
 	fleet.mutex.Unlock()
 }
 
-// membershipComes waits until the leader tells of such a membership.
-func (fleet *Fleet) membershipComes(holds func(*message.MembershipStatus) bool) bool {
-	for limit := time.Now().Add(replaceLimit); time.Now().Before(limit); fleet.goroutines.Sleep(lookPace) {
-		if membership, err := fleet.Operator(0).Cores(); err == nil && holds(membership) {
+// awaitMembership waits until the reported membership meets condition; false after replaceTimeout.
+func (fleet *Fleet) awaitMembership(condition func(*message.MembershipStatus) bool) bool {
+	for deadline := time.Now().Add(replaceTimeout); time.Now().Before(deadline); fleet.goroutines.Sleep(pollInterval) {
+		if membership, err := fleet.OperatorClient(0).Cores(); err == nil && condition(membership) {
 			return true
 		}
 	}
--- a/harness/cluster/scenario.go
+++ b/harness/cluster/scenario.go
@@ -15,57 +15,64 @@
 	"orchidjunction/rpc"
 )
 
-// Scenario injects faults into a running fleet. Planned says that it does nothing
-// but planned work, under which the strictest guarantees hold.
+// Scenario injects faults into a running fleet. Planned means that it does only planned
+// work, for which the checks are strictest.
 type Scenario struct {
-	About   string
-	Planned bool
-	Inject  func(fleet *Fleet)
+	Description string
+	Planned     bool
+	Inject      func(fleet *Fleet)
 }
 
-// Scenarios are all scenarios by name.
+// Scenarios holds all scenarios by name.
 var Scenarios = map[string]Scenario{
-	"calm":           {About: "no faults", Planned: true, Inject: func(*Fleet) {}},
-	"compare":        {About: "latency of a backend called directly and through a proxy, in turns", Planned: true, Inject: compare},
-	"misbehaviour":   {About: "backends lose answers and send garbage", Inject: backendsMisbehave},
-	"backend-crash":  {About: "backends are killed and come back", Inject: backendsCrash},
-	"backend-vanish": {About: "backends fall silent and come back", Inject: backendsVanish},
-	"replaced":       {About: "backends are replaced one by one and come back cold", Planned: true, Inject: backendsReplaced},
-	"reused":         {About: "a backend's address goes to another service", Inject: addressReused},
-	"drained":        {About: "a backend is drained and taken back", Planned: true, Inject: backendDrained},
-	"zone-emptied":   {About: "a zone is emptied by settings and taken back", Planned: true, Inject: zoneEmptied},
-	"zone-lost":      {About: "a zone loses power", Inject: zoneLost},
-	"region-lost":    {About: "a region loses power", Inject: regionLost},
-	"keys-withdrawn": {About: "a tenant's keys are withdrawn while its callers are connected", Inject: keysWithdrawn},
-	"large":          {About: "settings grow very large", Planned: true, Inject: settingsLarge},
-	"proxies-killed": {About: "proxies are killed, one after another", Inject: proxiesKilled},
-	"herd":           {About: "half the proxies, a directory and a core are killed at once", Inject: manyKilled},
-	"in-turn":        {About: "every machine of ours is restarted in turn", Planned: true, Inject: restartedInTurn},
-	"frozen":         {About: "the leader, a proxy and a directory freeze", Inject: frozen},
-	"disk-lost":      {About: "each core loses its disk, one after another", Inject: coreDiskLost},
+	"calm": {Description: "no faults", Planned: true, Inject: func(*Fleet) {}},
+	"compare": {
+		Description: "alternate calls to a backend, directly and through a proxy, to compare latencies",
+		Planned:     true,
+		Inject:      compareLatency,
+	},
+	"misbehaviour":   {Description: "backends drop responses and send invalid ones", Inject: backendsMisbehave},
+	"backend-crash":  {Description: "backends are killed and restarted", Inject: backendsCrash},
+	"backend-vanish": {Description: "backends are frozen and resumed", Inject: backendsFreeze},
+	"replaced":       {Description: "backends are stopped one by one and restarted cold", Planned: true, Inject: backendsReplaced},
+	"reused":         {Description: "a backend's address is reused by another service", Inject: backendAddressReused},
+	"drained":        {Description: "a backend is drained and restored", Planned: true, Inject: backendDrained},
+	"zone-emptied":   {Description: "a zone is drained by settings and restored", Planned: true, Inject: zoneDrained},
+	"zone-lost":      {Description: "a zone loses power", Inject: zoneLost},
+	"region-lost":    {Description: "a region loses power", Inject: regionLost},
+	"keys-withdrawn": {Description: "a tenant's keys are revoked while its callers are connected", Inject: keysWithdrawn},
+	"large":          {Description: "20,000 routes are added to the settings", Planned: true, Inject: settingsLarge},
+	"proxies-killed": {Description: "proxies are killed, one after another", Inject: proxiesKilled},
+	"herd":           {Description: "half of the proxies, a directory and a core are killed at once", Inject: manyKilled},
+	"in-turn":        {Description: "all cores, directories and proxies are restarted one by one", Planned: true, Inject: rollingRestart},
+	"frozen":         {Description: "the leader, a proxy and a directory are frozen one by one", Inject: processesFrozen},
+	"disk-lost":      {Description: "each core loses its disk, one after another", Inject: coreDiskLost},
 	"cores-replaced": {
-		About:   "each core is replaced by a new one: one gone for good, one by plan, then the leader",
-		Planned: true,
-		Inject:  coresReplaced,
+		Description: "each core is replaced by a new one: a lost one, one as planned, then the leader",
+		Planned:     true,
+		Inject:      coresReplaced,
 	},
-	"core-gone": {About: "all cores are killed for a while", Inject: coreGone},
-	"all-down":  {About: "every process of ours is killed at once", Inject: allDown},
+	"core-gone": {Description: "all cores are killed for a while", Inject: allCoresKilled},
+	"all-down":  {Description: "all cores, directories and proxies are killed at once", Inject: allDaemonsKilled},
 	"storm": {
-		About:   "dozens of operators change a large tree through all daemons while the leader changes",
-		Planned: true,
-		Inject:  storm,
+		Description: "dozens of operators change large settings through all daemons during leader changes",
+		Planned:     true,
+		Inject:      concurrentChanges,
+	},
+	"lending": {
+		Description: "a lending proxy is killed, then lowers its limit; then all daemons of one partner are killed",
+		Inject:      lendingFaults,
 	},
-	"lending": {About: "the lender storms, falls, restarts and changes its word; the borrower falls", Inject: lendingFaults},
-	"warned":  {About: "proxies and a core are warned and killed before they are done", Inject: warnedThenKilled},
+	"warned": {Description: "proxies and a core get SIGTERM and are killed before they have stopped", Inject: killedWhileStopping},
 	"platform": {
-		About:  "the platform refuses, shifts its pages, vanishes, and takes reports slowly or not",
-		Inject: platformMisbehaves,
+		Description: "the platform refuses calls, shifts pages, breaks connections, and delays or refuses usage reports",
+		Inject:      platformMisbehaves,
 	},
-	"cold-herd":      {About: "half of the backends come back cold at once while proxies leave and join", Inject: coldHerd},
-	"leader-changes": {About: "the leader is stopped once by SIGTERM, once by SIGKILL", Planned: true, Inject: leaderChanges},
+	"cold-herd":      {Description: "half of the backends restart cold at once while proxies leave and join", Inject: coldBackends},
+	"leader-changes": {Description: "the leader is stopped by SIGTERM, then by SIGKILL", Planned: true, Inject: leaderChanges},
 }
 
-// Names returns the names of all scenarios in order.
+// Names returns the sorted names of all scenarios.
 func Names() []string {
 	names := []string{}
 	for name := range Scenarios {
@@ -77,35 +84,35 @@
 
 func leaderChanges(fleet *Fleet) {
 	for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
-		fleet.rest(0.15)
+		fleet.sleepFraction(0.15)
 		leader := fleet.Leader()
 		if leader == nil {
-			fleet.codes = append(fleet.codes, "no leader to stop")
+			fleet.failures = append(fleet.failures, "no known leader to stop")
 			continue
 		}
 		leader.Signal(signal)
 		code := leader.Wait(8 * time.Second)
 		if signal == syscall.SIGTERM && code != 0 {
-			fleet.codes = append(fleet.codes, fmt.Sprintf("%s exit %d", leader.Name, code))
+			fleet.failures = append(fleet.failures, fmt.Sprintf("%s ended with exit code %d", leader.Name, code))
 		}
-		fleet.rest(0.1)
+		fleet.sleepFraction(0.1)
 		fleet.start(leader)
 	}
 }
 
-// rest waits for a part of the run's whole time.
-func (fleet *Fleet) rest(part float64) {
-	fleet.goroutines.Sleep(time.Duration(part * fleet.Spec.Seconds * float64(time.Second)))
+// sleepFraction sleeps for a fraction of the run's duration.
+func (fleet *Fleet) sleepFraction(fraction float64) {
+	fleet.goroutines.Sleep(time.Duration(fraction * fleet.Spec.Seconds * float64(time.Second)))
 }
 
-// Play runs a scenario from the start of the fleet to the verdicts.
-func (fleet *Fleet) Play(scenario Scenario) ([]checker.Verdict, error) {
-	defer fleet.Down()
-	defer fleet.wait()
-	if err := fleet.Up(); err != nil {
+// Run starts the fleet, runs a scenario and returns the verdicts.
+func (fleet *Fleet) Run(scenario Scenario) ([]checker.Verdict, error) {
+	defer fleet.Shutdown()
+	defer fleet.waitForPeer()
+	if err := fleet.Bootstrap(); err != nil {
 		return nil, err
 	}
-	if err := fleet.Call(); err != nil {
+	if err := fleet.StartLoad(); err != nil {
 		return nil, err
 	}
 	ledger := checker.NewLedger(fleet, fleet.Spec.Seed)
@@ -114,7 +121,7 @@
 		ledger.Operate(2, 2*time.Second/time.Duration(fleet.Spec.Changes))
 	}
 	scenario.Inject(fleet)
-	report, err := fleet.Callers()
+	report, err := fleet.FinishLoad()
 	ledger.Stop()
 	if err != nil {
 		return nil, err
@@ -142,19 +149,19 @@
 		Reports map[string][]string `json:"reports"`
 		AtMs    map[string]int64    `json:"at_ms"`
 	}{}
-	if err := fleet.get(fleet.Platform.PublicAddress, "/stand/reports", &reports); err != nil {
-		return nil, rpc.Errorf(rpc.PlatformError, "reports: %v", err)
+	if err := fleet.getJSON(fleet.Platform.PublicAddress, "/stand/reports", &reports); err != nil {
+		return nil, rpc.Errorf(rpc.PlatformError, "reading the usage reports: %v", err)
 	}
 	evidence.Reports, evidence.ReportAt = reports.Reports, reports.AtMs
-	fleet.wait()
-	fleet.Down()
-	evidence.Backends, evidence.Codes = fleet.Seen(), fleet.codes
-	return append(evidence.Judge(), fleet.lent(report, scenario.Planned)...), nil
+	fleet.waitForPeer()
+	fleet.Shutdown()
+	evidence.Backends, evidence.Codes = fleet.BackendRecords(), fleet.failures
+	return append(evidence.Judge(), fleet.lendingVerdicts(report, scenario.Planned)...), nil
 }
 
-// lent is whether callers were served at the other partner's machines, and how
-// each class fared beside its floor. It is due where fronts are there to lend.
-func (fleet *Fleet) lent(report *standin.LoadReport, due bool) []checker.Verdict {
+// lendingVerdicts reports the rate of each class beside its floor and, with a peer, whether
+// callers were served at the other partner's proxies, which must be so if expected.
+func (fleet *Fleet) lendingVerdicts(report *standin.LoadReport, expected bool) []checker.Verdict {
 	served, refused := 0, 0
 	classes := map[string][]float64{}
 	for _, try := range report.Tries {
@@ -170,36 +177,35 @@
 			refused++
 		}
 	}
-	detail, span := "", time.Since(fleet.called).Seconds()
+	detail, seconds := "", time.Since(fleet.loadStart).Seconds()
 	for _, class := range sortedKeys(classes) {
 		detail += fmt.Sprintf(
-			"%s: floor %d, served %.0f a second, p99 %.0f ms; ",
+			"%s: floor %d/s, served %.0f/s, p99 %.0f ms; ",
 			class,
 			fleet.settings.Classes[class].FloorRps,
-			float64(len(classes[class]))/span,
+			float64(len(classes[class]))/seconds,
 			checker.Quantile(classes[class], 0.99),
 		)
 	}
-	verdicts := []checker.Verdict{{Name: "classes beside their floors", Holds: true, Detail: detail}}
+	verdicts := []checker.Verdict{{Name: "rates of classes compared with their floors", Holds: true, Detail: detail}}
 	if fleet.peer != nil {
 		verdicts = append(
 			verdicts,
 			checker.Verdict{
-				Name:   "lending is seen by callers",
+				Name:   "callers served at the other partner's proxies",
 				Timed:  true,
-				Holds:  served > 0 || !due,
-				Detail: fmt.Sprintf("%d served at the other partner's fronts, %d not", served, refused),
+				Holds:  served > 0 || !expected,
+				Detail: fmt.Sprintf("%d attempts served there, %d not", served, refused),
 			},
 		)
 	}
 	return verdicts
 }
 
-// PlayBoth runs a scenario on several fleets at once and returns the verdicts of
-// each.
+// PlayBoth runs a scenario on several fleets at once and returns the verdicts of each.
 func PlayBoth(fleets []*Fleet, scenario Scenario, goroutines *concurrent.Group) ([][]checker.Verdict, error) {
-	got, failed := concurrent.Gather(goroutines, len(fleets), func(index int) ([]checker.Verdict, error) {
-		verdicts, err := fleets[index].Play(scenario)
+	results, failed := concurrent.Gather(goroutines, len(fleets), func(index int) ([]checker.Verdict, error) {
+		verdicts, err := fleets[index].Run(scenario)
 		if err != nil {
 			return nil, err
 		}
@@ -209,7 +215,7 @@
 		return nil, rpc.AsError(err)
 	}
 	all := make([][]checker.Verdict, len(fleets))
-	for index, verdicts := range got {
+	for index, verdicts := range results {
 		all[index] = verdicts
 	}
 	return all, nil
--- a/harness/cluster/spec.go
+++ b/harness/cluster/spec.go
@@ -10,10 +10,9 @@
 	"orchidjunction/rpc"
 )
 
-// Spec is the size of a fleet and its load: Rate requests a second for Seconds,
-// MoneyPart percent of them with an idempotency key, about Changes changes of
-// settings a second. Ports are taken from BasePort on. LagMs is how late the
-// platform's list is.
+// Spec is the size of a fleet and its load: Rate requests per second for Seconds, MoneyPart
+// percent of them with an idempotency key, with about Changes settings changes per second.
+// BasePort is the first port. LagMs is the delay of the platform's list.
 type Spec struct {
 	Settings    string
 	Bin         string
@@ -34,36 +33,36 @@
 	Guests      int
 }
 
-// Sizes are the fleets that have a name.
+// Sizes holds the predefined fleets by name.
 var Sizes = map[string]Spec{
 	"small":  {Settings: "small", Cores: 3, Directories: 2, Proxies: 4, Backends: 6, Rate: 60, MoneyPart: 25},
 	"volta":  {Settings: "volta", Cores: 3, Directories: 2, Proxies: 9, Backends: 33, Rate: 220, MoneyPart: 25},
 	"saqtau": {Settings: "saqtau", Cores: 3, Directories: 2, Proxies: 10, Backends: 36, Rate: 460, MoneyPart: 25},
 }
 
-// Both is the size of the two partners' fleets in one run, lending to each other.
+// Both is the size that runs the fleets of both partners, which lend to each other.
 const Both = "both"
 
-// outgoingPorts begin here; a daemon that restarts could find its own taken.
-const outgoingPorts = 32768
+// firstEphemeralPort is the first port of outgoing connections. One of these could hold the port
+// of a daemon that restarts, so the fleet stays below.
+const firstEphemeralPort = 32768
 
-// newCores is the number of cores that a scenario may add.
-const newCores = 3
+// maxAddedCores is the number of cores that a scenario may add.
+const maxAddedCores = 3
 
-// Ports returns the number of ports that the fleet takes.
+// Ports returns the number of ports that the fleet needs.
 func (spec *Spec) Ports() int {
-	return 2*(spec.Cores+newCores) + 3*(spec.Directories+spec.Proxies+spec.Guests) + spec.Backends + 1
+	return 2*(spec.Cores+maxAddedCores) + 3*(spec.Directories+spec.Proxies+spec.Guests) + spec.Backends + 1
 }
 
-// Check reads the settings and returns rpc.BadFlag or rpc.Invalid for what could
-// not run, before anything starts.
+// Check reads the settings and returns rpc.BadFlag or rpc.Invalid if the fleet could not run.
 func (spec *Spec) Check() (*config.Settings, []byte, error) {
 	if spec.Cores%2 == 0 || spec.Cores < 1 || spec.Cores > 7 || spec.Directories < 1 || spec.Proxies < 1 || spec.Proxies > 64 ||
 		spec.Backends < 1 ||
 		spec.Backends > 256 {
 		return nil, nil, rpc.Errorf(
 			rpc.BadFlag,
-			"impossible size: %d cores, %d directories, %d proxies, %d backends",
+			"invalid size: %d cores, %d directories, %d proxies, %d backends",
 			spec.Cores,
 			spec.Directories,
 			spec.Proxies,
@@ -71,15 +70,15 @@
 		)
 	}
 	if spec.Rate < 1 || spec.Rate > 5000 || spec.Seconds < 1 || spec.Seconds > 3600 {
-		return nil, nil, rpc.Errorf(rpc.BadFlag, "impossible load: %d a second for %v seconds", spec.Rate, spec.Seconds)
+		return nil, nil, rpc.Errorf(rpc.BadFlag, "invalid load: %d requests per second for %v s", spec.Rate, spec.Seconds)
 	}
-	if spec.BasePort < 1024 || spec.BasePort+spec.Ports() > outgoingPorts {
+	if spec.BasePort < 1024 || spec.BasePort+spec.Ports() > firstEphemeralPort {
 		return nil, nil, rpc.Errorf(
 			rpc.BadFlag,
-			"--base-port: %d and the %d after it are not all between 1024 and %d, below those of outgoing connections",
+			"--base-port: the %[2]d ports from %[1]d on must be at least 1024 and below %[3]d, where ports of outgoing connections start",
 			spec.BasePort,
 			spec.Ports(),
-			outgoingPorts,
+			firstEphemeralPort,
 		)
 	}
 	body, err := os.ReadFile(spec.Settings)
@@ -96,11 +95,11 @@
 		}
 	}
 	for port := spec.BasePort; port < spec.BasePort+spec.Ports(); port++ {
-		open, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
+		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
 			return nil, nil, rpc.Errorf(rpc.BadFlag, "--base-port: %v", err)
 		}
-		open.Close()
+		listener.Close()
 	}
 	return settings, body, nil
 }
