--- a/harness/standin/backend.go
+++ b/harness/standin/backend.go
@@ -1,7 +1,6 @@
-// Package standin holds stand-ins for what is outside the system, for the simulator
-// and for real processes: backends (Backend), the platform (Platform) and callers
-// (Origin). Each follows its side of the interface, can be told to misbehave, and
-// records what it saw for package checker.
+// Package standin simulates the systems around this one, for the simulator and for real
+// processes: backends (Backend), the platform (Platform) and callers (LoadGenerator). Backend
+// and Platform can inject faults; all of them record what package checker needs.
 package standin
 
 import (
@@ -20,11 +19,10 @@
 	"k8s.io/klog/v2"
 )
 
-// BackendConfig is the identity and behaviour of a Backend. WorkMs is the time that
-// a request takes, ColdMs how long the backend is slow after its start, both in
-// milliseconds; GentleRate is the requests a second that it takes meanwhile, Room
-// the requests that it takes at once. Journal, if set, is the file that records are
-// appended to.
+// BackendConfig is the identity and behaviour of a Backend. WorkMs is the time per request
+// and ColdMs the warm-up time after the start, both in milliseconds. GentleRate is the number
+// of requests per second that it reports for the warm-up, Room the number of concurrent
+// requests at which its usage is 1. Journal, if set, is the file for its records.
 type BackendConfig struct {
 	Service     string
 	Instance    string
@@ -36,122 +34,120 @@
 	Journal     string
 }
 
-// Backend is an HTTP handler that behaves as a backend and records each request.
+// Backend is an HTTP handler that simulates a backend and records each request.
 type Backend struct {
-	place BackendConfig
-	since time.Time
+	config  BackendConfig
+	started time.Time
 
-	mutex    sync.Mutex
-	seen     BackendRecord
-	serial   uint64
-	inFlight int
-	leaving  time.Time
-	fault    string
-	faults   int
-	journal  *os.File
+	mutex        sync.Mutex
+	record       BackendRecord
+	serial       uint64
+	inFlight     int
+	leavingSince time.Time
+	faultMode    string
+	faultsLeft   int
+	journal      *os.File
 }
 
-// NewBackend returns a backend that starts now. The error is that of opening its
-// journal.
-func NewBackend(place BackendConfig) (*Backend, error) {
+// NewBackend returns a backend that starts now. It fails if its journal can't be opened.
+func NewBackend(config BackendConfig) (*Backend, error) {
 	backend := &Backend{
-		place: place,
-		since: time.Now(),
-		seen:  BackendRecord{Instance: place.Instance, Service: place.Service, Gentle: place.GentleRate},
+		config:  config,
+		started: time.Now(),
+		record:  BackendRecord{Instance: config.Instance, Service: config.Service, Gentle: config.GentleRate},
 	}
-	if place.Journal == "" {
+	if config.Journal == "" {
 		return backend, nil
 	}
-	journal, err := os.OpenFile(place.Journal, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	journal, err := os.OpenFile(config.Journal, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	backend.journal = journal
 	if err == nil {
-		backend.write(journalLine{Begin: &backend.seen})
+		backend.appendJournal(journalLine{Begin: &backend.record})
 	}
 	return backend, err
 }
 
-func (backend *Backend) write(line journalLine) {
+func (backend *Backend) appendJournal(line journalLine) {
 	if backend.journal != nil {
 		body, _ := json.Marshal(line)
 		if _, err := backend.journal.Write(append(body, '\n')); err != nil {
-			klog.Errorf("journal: %v", err)
+			klog.Errorf("writing the journal of the backend: %v", err)
 		}
 	}
 }
 
-// Place returns the identity and behaviour that the backend was made with.
-func (backend *Backend) Place() BackendConfig { return backend.place }
+// Place returns the configuration of the backend.
+func (backend *Backend) Place() BackendConfig { return backend.config }
 
 func (backend *Backend) cold() bool {
-	return time.Since(backend.since) < time.Duration(backend.place.ColdMs)*time.Millisecond
+	return time.Since(backend.started) < time.Duration(backend.config.ColdMs)*time.Millisecond
 }
 
-// Leave marks the backend as leaving, as a machine does that was told to stop.
+// Leave makes the backend report that it is leaving, as one that was told to stop.
 func (backend *Backend) Leave() {
 	backend.mutex.Lock()
-	if backend.leaving.IsZero() {
-		backend.leaving = time.Now()
+	if backend.leavingSince.IsZero() {
+		backend.leavingSince = time.Now()
 	}
 	backend.mutex.Unlock()
 }
 
-// Misbehave makes the next count requests end with the named fault.
-func (backend *Backend) Misbehave(err string, count int) {
+// Misbehave injects a fault into the next count requests.
+func (backend *Backend) Misbehave(mode string, count int) {
 	backend.mutex.Lock()
-	backend.fault, backend.faults = err, count
+	backend.faultMode, backend.faultsLeft = mode, count
 	backend.mutex.Unlock()
 }
 
-// Seen returns what this incarnation has recorded so far.
+// Seen returns the record of this incarnation so far.
 func (backend *Backend) Seen() BackendRecord {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
-	seen := backend.seen
-	seen.Arrivals = append([]Arrival{}, backend.seen.Arrivals...)
-	return seen
+	record := backend.record
+	record.Arrivals = append([]Arrival{}, backend.record.Arrivals...)
+	return record
 }
 
-// ServeHTTP answers identity requests, the commands under /stand/ and requests of
-// callers.
+// ServeHTTP serves the identity, the commands under /stand/ and requests of callers.
 func (backend *Backend) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	switch request.URL.Path {
 	case "/oj/identity":
-		backend.identity(writer)
+		backend.serveIdentity(writer)
 	case "/stand/leave":
 		backend.Leave()
 	case "/stand/fault":
 		count, _ := strconv.Atoi(request.URL.Query().Get("count"))
 		backend.Misbehave(request.URL.Query().Get("mode"), count)
 	default:
-		backend.work(writer, request)
+		backend.runTask(writer, request)
 	}
 }
 
-func (backend *Backend) identity(writer http.ResponseWriter) {
+func (backend *Backend) serveIdentity(writer http.ResponseWriter) {
 	backend.mutex.Lock()
-	document := map[string]any{
-		"service":     backend.place.Service,
-		"instance":    backend.place.Instance,
-		"incarnation": backend.place.Incarnation,
+	identity := map[string]any{
+		"service":     backend.config.Service,
+		"instance":    backend.config.Instance,
+		"incarnation": backend.config.Incarnation,
 		"usage":       backend.usage(),
 		"cold":        backend.cold(),
-		"gentle_rate": backend.place.GentleRate,
-		"leaving":     !backend.leaving.IsZero(),
+		"gentle_rate": backend.config.GentleRate,
+		"leaving":     !backend.leavingSince.IsZero(),
 		"serial":      backend.serial,
 	}
 	backend.mutex.Unlock()
-	body, _ := json.Marshal(document)
+	body, _ := json.Marshal(identity)
 	writer.Header().Set("Content-Type", "application/json")
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	writer.Write(body)
 }
 
 func (backend *Backend) usage() float64 {
-	return float64(backend.inFlight) / float64(max(backend.place.Room, 1))
+	return float64(backend.inFlight) / float64(max(backend.config.Room, 1))
 }
 
-// take notes a task's arrival and gives its number and the misbehaviour due to it.
-func (backend *Backend) take(request *http.Request) (int, string) {
+// recordArrival records a request and returns its number and the fault to inject, if any.
+func (backend *Backend) recordArrival(request *http.Request) (int, string) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	now, header := time.Now(), request.Header
@@ -168,70 +164,70 @@
 	}
 	arrival.Serial, _ = strconv.ParseUint(header.Get("Oj-Serial"), 10, 64)
 	backend.serial = max(backend.serial, arrival.Serial)
-	if !backend.leaving.IsZero() {
-		arrival.LeavingMs = now.Sub(backend.leaving).Milliseconds()
+	if !backend.leavingSince.IsZero() {
+		arrival.LeavingMs = now.Sub(backend.leavingSince).Milliseconds()
 	}
-	number := len(backend.seen.Arrivals)
-	backend.seen.Arrivals = append(backend.seen.Arrivals, arrival)
-	backend.write(journalLine{Arrival: &arrival, Number: number})
-	if backend.faults == 0 {
+	number := len(backend.record.Arrivals)
+	backend.record.Arrivals = append(backend.record.Arrivals, arrival)
+	backend.appendJournal(journalLine{Arrival: &arrival, Number: number})
+	if backend.faultsLeft == 0 {
 		return number, ""
 	}
-	backend.faults--
-	return number, backend.fault
+	backend.faultsLeft--
+	return number, backend.faultMode
 }
 
-// ran notes that a task was run; money is charged by then.
-func (backend *Backend) ran(number int) {
+// recordRun records that a task has run and, if it has an idempotency key, was charged.
+func (backend *Backend) recordRun(number int) {
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
-	arrival := &backend.seen.Arrivals[number]
+	arrival := &backend.record.Arrivals[number]
 	arrival.RanMs = time.Now().UnixMilli()
 	if arrival.Key != "" {
 		arrival.ChargedMs = arrival.RanMs
 	}
-	backend.write(journalLine{Arrival: arrival, Number: number})
+	backend.appendJournal(journalLine{Arrival: arrival, Number: number})
 }
 
-// work runs one task. Money is charged before the answer, as a backend that
-// loses its answer would have done.
-func (backend *Backend) work(writer http.ResponseWriter, request *http.Request) {
+// runTask runs one task. It charges before it responds, as a backend whose response is lost
+// has charged too.
+func (backend *Backend) runTask(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, 64<<20))
 	if err != nil {
 		return
 	}
-	number, misbehaviour := backend.take(request)
+	number, fault := backend.recordArrival(request)
 	header := writer.Header()
 	header.Set("Oj-Task", request.Header.Get("Oj-Task"))
-	if misbehaviour == "busy" {
+	if fault == "busy" {
 		header.Set("Oj-Not-Run", "true")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if misbehaviour == "vanish" {
+	if fault == "vanish" {
 		hijack(writer, "")
 		return
 	}
 	backend.mutex.Lock()
 	backend.inFlight++
-	crowd := max(1, float64(backend.inFlight)/float64(max(backend.place.Room, 1)))
+	slowdown := max(1, float64(backend.inFlight)/float64(max(backend.config.Room, 1)))
 	backend.mutex.Unlock()
-	time.Sleep(time.Duration(crowd * float64(backend.workMs(request)) * float64(time.Millisecond)))
-	backend.ran(number)
+	time.Sleep(time.Duration(slowdown * float64(backend.workMs(request)) * float64(time.Millisecond)))
+	backend.recordRun(number)
 	backend.mutex.Lock()
 	backend.inFlight--
 	header.Set("Oj-Usage", strconv.FormatFloat(backend.usage(), 'f', 4, 64))
 	header.Set("Oj-Serial", strconv.FormatUint(backend.serial, 10))
-	header.Set("Oj-Leaving", strconv.FormatBool(!backend.leaving.IsZero()))
+	header.Set("Oj-Leaving", strconv.FormatBool(!backend.leavingSince.IsZero()))
 	header.Set("Oj-Cold", strconv.FormatBool(backend.cold()))
 	backend.mutex.Unlock()
-	answer := backend.answer(request, body)
-	sum := sha256.Sum256(answer)
+	response := backend.responseBody(request, body)
+	sum := sha256.Sum256(response)
 	header.Set("Stand-Sum", hex.EncodeToString(sum[:]))
 	header.Set("Stand-For", request.Header.Get("Oj-Tenant")+" "+request.URL.Path)
 	header.Set("Content-Type", "application/json")
-	header.Set("Content-Length", strconv.Itoa(len(answer)))
-	switch misbehaviour {
+	header.Set("Content-Length", strconv.Itoa(len(response)))
+	switch fault {
 	case "lose":
 		hijack(writer, "")
 	case "garbage":
@@ -242,14 +238,14 @@
 			fmt.Sprintf(
 				"HTTP/1.1 200 OK\r\nOj-Task: %s\r\nContent-Length: %d\r\n\r\n%s",
 				request.Header.Get("Oj-Task"),
-				len(answer),
-				answer[:len(answer)/2],
+				len(response),
+				response[:len(response)/2],
 			),
 		)
 	case "foreign":
 		header.Set("Oj-Task", "someone-else")
 		header.Set("Stand-For", "someone else")
-		writer.Write(answer)
+		writer.Write(response)
 	case "overlong":
 		hijack(
 			writer,
@@ -258,23 +254,23 @@
 	case "stall":
 		time.Sleep(30 * time.Second)
 	default:
-		writer.Write(answer)
+		writer.Write(response)
 	}
 }
 
-// workMs is longer where the caller says so.
+// workMs returns the time of the task, which the query parameter work overrides, up to 30 s.
 func (backend *Backend) workMs(request *http.Request) int {
-	if asked, err := strconv.Atoi(request.URL.Query().Get("work")); err == nil {
-		return min(max(asked, 0), 30_000)
+	if requested, err := strconv.Atoi(request.URL.Query().Get("work")); err == nil {
+		return min(max(requested, 0), 30_000)
 	}
-	return backend.place.WorkMs
+	return backend.config.WorkMs
 }
 
-func (backend *Backend) answer(request *http.Request, body []byte) []byte {
+func (backend *Backend) responseBody(request *http.Request, body []byte) []byte {
 	size, _ := strconv.Atoi(request.URL.Query().Get("bytes"))
 	text := fmt.Sprintf(
 		"{\"from\":%q,\"tenant\":%q,\"path\":%q,\"took\":%d,\"fill\":\"",
-		backend.place.Instance,
+		backend.config.Instance,
 		request.Header.Get("Oj-Tenant"),
 		request.URL.Path,
 		len(body),
@@ -285,7 +281,7 @@
 	return []byte(text + "\"}")
 }
 
-// hijack writes raw bytes and breaks the connection.
+// hijack writes raw bytes and closes the connection.
 func hijack(writer http.ResponseWriter, text string) {
 	conn, _, err := http.NewResponseController(writer).Hijack()
 	if err != nil {
--- a/harness/standin/witness.go
+++ b/harness/standin/backend_record.go
@@ -7,7 +7,7 @@
 	"os"
 )
 
-// BackendRecord is what one incarnation of a backend recorded.
+// BackendRecord holds the requests that one incarnation of a backend received.
 type BackendRecord struct {
 	Instance string    `json:"instance"`
 	Service  string    `json:"service"`
@@ -15,8 +15,8 @@
 	Arrivals []Arrival `json:"arrivals,omitempty"`
 }
 
-// Arrival is one request as a backend saw it; times are milliseconds since the Unix
-// epoch, 0 for what did not happen.
+// Arrival is one request as a backend saw it. Times are in milliseconds since the Unix epoch,
+// 0 for what did not happen.
 type Arrival struct {
 	AtMs      int64  `json:"at"`
 	Try       string `json:"try,omitempty"`
@@ -33,16 +33,15 @@
 	ChargedMs int64  `json:"charged_ms,omitempty"`
 }
 
-// journalLine is a beginning, an arrival, or how the arrival of that number went on.
+// journalLine is the start of an incarnation, or the state of the arrival with this number.
 type journalLine struct {
 	Begin   *BackendRecord `json:"begin,omitempty"`
 	Arrival *Arrival       `json:"arrival,omitempty"`
 	Number  int            `json:"number,omitempty"`
 }
 
-// ReadBackendRecords reads the records of all incarnations from a journal. Lines that
-// can't be decoded are skipped, as the last one may be torn; a missing file has no
-// records.
+// ReadBackendRecords reads the records of all incarnations from a journal. It skips lines that
+// can't be decoded, as the last one may be incomplete. A missing file has no records.
 func ReadBackendRecords(path string) []BackendRecord {
 	body, _ := os.ReadFile(path)
 	all := []BackendRecord{}
--- a/harness/standin/origin.go
+++ b/harness/standin/load_generator.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// Call is one kind of request that callers send: Body bytes long, LimitMs
-// milliseconds at most. Money says that it carries an idempotency key.
+// Call is a kind of request that callers send, with a body of Body bytes and a time limit of
+// LimitMs milliseconds. Money means that it has an idempotency key.
 type Call struct {
 	Weight  int    `json:"weight"`
 	Method  string `json:"method"`
@@ -28,17 +28,17 @@
 	Class   string `json:"class"`
 }
 
-// Caller is the callers of one tenant, with its key and its part of the load.
+// Caller stands for all callers of a tenant, with its API key and its weight in the load.
 type Caller struct {
 	Tenant string `json:"tenant"`
 	Key    string `json:"key"`
 	Weight int    `json:"weight"`
 }
 
-// LoadPlan is the load: who calls what, PerSecond times a second for Seconds.
-// Tries bounds the tries for one request. Patient callers wait when they are told
-// to retry, Hasty ones never pause, and Eager percent of the requests with a key
-// are sent twice at once.
+// LoadPlan describes the load: who calls what, PerSecond times a second for Seconds, with up to
+// Tries attempts per request. Patient callers retry a request with a key after an unknown outcome
+// if the response has Retry-After. Hasty callers retry without a pause. Eager percent of the
+// attempts with a key are duplicated.
 type LoadPlan struct {
 	Directories []string `json:"directories"`
 	Callers     []Caller `json:"callers"`
@@ -54,9 +54,8 @@
 	Hasty       bool     `json:"hasty"`
 }
 
-// Try is one attempt of a request as its caller saw it; times are milliseconds
-// since the Unix epoch. Mangled says that the body was damaged, Foreign that it was
-// meant for another request.
+// Try is one attempt of a request as its caller saw it. Times are in milliseconds since the Unix
+// epoch. Mangled means that the body was corrupted, Foreign that it belongs to another request.
 type Try struct {
 	ID      string `json:"id"`
 	Task    string `json:"task"`
@@ -78,14 +77,14 @@
 	Replay  bool   `json:"replay,omitempty"`
 }
 
-// Placed is one placement that a directory gave, with the serial of its settings.
+// Placed is a placement returned by a directory, with the serial of its settings.
 type Placed struct {
 	AtMs      int64  `json:"at"`
 	Directory string `json:"directory"`
 	Serial    uint64 `json:"serial"`
 }
 
-// LoadReport is what all callers saw.
+// LoadReport holds the results of all callers.
 type LoadReport struct {
 	Asked     int                `json:"asked"`
 	Served    int                `json:"served"`
@@ -99,58 +98,58 @@
 	GapMs     int64              `json:"longest_gap_ms"`
 }
 
-// LoadGenerator generates the load of an OriginPlan and records every try.
+// LoadGenerator generates the load of a LoadPlan and records every attempt.
 type LoadGenerator struct {
 	plan   LoadPlan
 	client *http.Client
 	start  func(func())
 
-	mutex     sync.Mutex
-	report    LoadReport
-	random    *rand.Rand
-	latencies []float64
-	fronts    map[string]heldFronts
-	lastGood  time.Time
-	running   int
-	done      *sync.Cond
+	mutex      sync.Mutex
+	report     LoadReport
+	random     *rand.Rand
+	latencies  []float64
+	placements map[string]cachedPlacement
+	lastServed time.Time
+	running    int
+	done       *sync.Cond
 }
 
-type heldFronts struct {
-	fronts []string
-	until  time.Time
+type cachedPlacement struct {
+	proxies []string
+	expires time.Time
 }
 
-// NewLoadGenerator returns an Origin that sends by client and starts goroutines by start.
+// NewLoadGenerator returns a generator that sends with client and starts goroutines with start.
 func NewLoadGenerator(plan LoadPlan, client *http.Client, start func(func())) *LoadGenerator {
 	generator := &LoadGenerator{
-		plan:   plan,
-		client: client,
-		start:  start,
-		random: rand.New(rand.NewPCG(plan.Seed, 7)),
-		fronts: map[string]heldFronts{},
+		plan:       plan,
+		client:     client,
+		start:      start,
+		random:     rand.New(rand.NewPCG(plan.Seed, 7)),
+		placements: map[string]cachedPlacement{},
 	}
 	generator.report = LoadReport{Statuses: map[string]int{}, LatencyMs: map[string]float64{}}
 	generator.done = sync.NewCond(&generator.mutex)
 	return generator
 }
 
-// Run sends the planned load, waits for the last answers and returns the report. It
-// ends early once rest returns false.
-func (generator *LoadGenerator) Run(rest func(time.Duration) bool) LoadReport {
-	begin := time.Now()
-	generator.lastGood = begin
+// Run sends the planned load, waits for the last responses and returns the report. It stops
+// sending once sleep returns false.
+func (generator *LoadGenerator) Run(sleep func(time.Duration) bool) LoadReport {
+	start := time.Now()
+	generator.lastServed = start
 	total := int(float64(generator.plan.PerSecond) * generator.plan.Seconds)
 	for number := range total {
-		due := begin.Add(time.Duration(float64(number) / float64(generator.plan.PerSecond) * float64(time.Second)))
-		if wait := time.Until(due); wait > 0 && !rest(wait) {
+		due := start.Add(time.Duration(float64(number) / float64(generator.plan.PerSecond) * float64(time.Second)))
+		if wait := time.Until(due); wait > 0 && !sleep(wait) {
 			break
 		}
 		generator.mutex.Lock()
-		caller, call := generator.draw()
+		caller, call := generator.pickCall()
 		generator.running++
 		generator.mutex.Unlock()
 		generator.start(func() {
-			generator.task(caller, call, fmt.Sprintf("k%d-%d", generator.plan.Seed, number))
+			generator.runTask(caller, call, fmt.Sprintf("k%d-%d", generator.plan.Seed, number))
 			generator.mutex.Lock()
 			generator.running--
 			generator.done.Broadcast()
@@ -163,23 +162,23 @@
 		generator.done.Wait()
 	}
 	sort.Float64s(generator.latencies)
-	for name, part := range map[string]float64{"p50": 0.5, "p90": 0.9, "p99": 0.99, "max": 1} {
+	for name, quantile := range map[string]float64{"p50": 0.5, "p90": 0.9, "p99": 0.99, "max": 1} {
 		if count := len(generator.latencies); count > 0 {
-			generator.report.LatencyMs[name] = generator.latencies[min(int(part*float64(count)), count-1)]
+			generator.report.LatencyMs[name] = generator.latencies[min(int(quantile*float64(count)), count-1)]
 		}
 	}
 	return generator.report
 }
 
-func (generator *LoadGenerator) draw() (Caller, Call) {
+func (generator *LoadGenerator) pickCall() (Caller, Call) {
 	pick := func(weights func(int) int, count int) int {
 		sum := 0
 		for index := range count {
 			sum += weights(index)
 		}
-		mark := generator.random.IntN(max(sum, 1))
+		point := generator.random.IntN(max(sum, 1))
 		for index := range count {
-			if mark -= weights(index); mark < 0 {
+			if point -= weights(index); point < 0 {
 				return index
 			}
 		}
@@ -190,19 +189,19 @@
 	return caller, call
 }
 
-// place asks a directory, and keeps its answer as long as it holds.
-func (generator *LoadGenerator) place(caller Caller, number int) []string {
+// findProxies returns the proxies of the caller's placement, which it caches until it expires.
+func (generator *LoadGenerator) findProxies(caller Caller, number int) []string {
 	if len(generator.plan.Fronts) > 0 {
 		return generator.plan.Fronts
 	}
 	generator.mutex.Lock()
-	held := generator.fronts[caller.Tenant]
+	cached := generator.placements[caller.Tenant]
 	generator.mutex.Unlock()
-	if time.Now().Before(held.until) {
-		return held.fronts
+	if time.Now().Before(cached.expires) {
+		return cached.proxies
 	}
-	for turn := range generator.plan.Directories {
-		directory := generator.plan.Directories[(number+turn)%len(generator.plan.Directories)]
+	for offset := range generator.plan.Directories {
+		directory := generator.plan.Directories[(number+offset)%len(generator.plan.Directories)]
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		request, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+directory+"/v1/place?zone="+generator.plan.Zone, nil)
 		request.Header.Set("Authorization", "Bearer "+caller.Key)
@@ -224,28 +223,28 @@
 		if err != nil || len(placement.Fronts) == 0 {
 			continue
 		}
-		fronts := []string{}
-		for _, front := range placement.Fronts {
-			fronts = append(fronts, front.Address)
+		proxies := []string{}
+		for _, proxy := range placement.Fronts {
+			proxies = append(proxies, proxy.Address)
 		}
 		generator.mutex.Lock()
 		generator.report.Placed = append(
 			generator.report.Placed,
 			Placed{AtMs: time.Now().UnixMilli(), Directory: directory, Serial: placement.Serial},
 		)
-		generator.fronts[caller.Tenant] = heldFronts{
-			fronts: fronts,
-			until:  time.Now().Add(time.Duration(placement.HoldMs) * time.Millisecond),
+		generator.placements[caller.Tenant] = cachedPlacement{
+			proxies: proxies,
+			expires: time.Now().Add(time.Duration(placement.HoldMs) * time.Millisecond),
 		}
 		generator.mutex.Unlock()
-		return fronts
+		return proxies
 	}
-	return held.fronts
+	return cached.proxies
 }
 
-// task is one task with the caller's own tries, each at another front.
-func (generator *LoadGenerator) task(caller Caller, call Call, key string) {
-	begin := time.Now()
+// runTask makes up to LoadPlan.Tries attempts of one task, each at the next proxy.
+func (generator *LoadGenerator) runTask(caller Caller, call Call, key string) {
+	start := time.Now()
 	generator.mutex.Lock()
 	generator.report.Asked++
 	number := generator.report.Asked
@@ -255,29 +254,29 @@
 	}
 	served, unknown := false, false
 	for try := range max(generator.plan.Tries, 1) {
-		fronts := generator.place(caller, number+try)
-		if len(fronts) == 0 {
-			generator.count("no_placement")
+		proxies := generator.findProxies(caller, number+try)
+		if len(proxies) == 0 {
+			generator.countStatus("no_placement")
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		if call.Money && generator.eager() {
-			generator.double(caller, call, key, try, fronts[(number+try+1)%len(fronts)])
+		if call.Money && generator.drawDuplicate() {
+			generator.sendDuplicate(caller, call, key, try, proxies[(number+try+1)%len(proxies)])
 		}
-		seen := generator.Once(caller, call, key, fmt.Sprintf("%s.%d", key, try), fronts[(number+try)%len(fronts)])
-		if seen.Status == 200 && !seen.Mangled {
+		attempt := generator.Once(caller, call, key, fmt.Sprintf("%s.%d", key, try), proxies[(number+try)%len(proxies)])
+		if attempt.Status == 200 && !attempt.Mangled {
 			served = true
-			generator.good(begin)
+			generator.recordServed(start)
 			break
 		}
-		if seen.Outcome != "not_run" && seen.Status != 409 {
+		if attempt.Outcome != "not_run" && attempt.Status != 409 {
 			unknown = true
-			if call.Money && generator.plan.Eager == 0 && (!seen.Retry || !generator.plan.Patient) {
+			if call.Money && generator.plan.Eager == 0 && (!attempt.Retry || !generator.plan.Patient) {
 				break
 			}
 		}
 		generator.mutex.Lock()
-		delete(generator.fronts, caller.Tenant)
+		delete(generator.placements, caller.Tenant)
 		generator.mutex.Unlock()
 		if !generator.plan.Hasty {
 			time.Sleep(time.Duration(50*(try+1)) * time.Millisecond)
@@ -295,20 +294,20 @@
 	}
 }
 
-func (generator *LoadGenerator) eager() bool {
+func (generator *LoadGenerator) drawDuplicate() bool {
 	generator.mutex.Lock()
 	defer generator.mutex.Unlock()
 	return generator.random.IntN(100) < generator.plan.Eager
 }
 
-// double sends the same key at the same time, as impatient callers do.
-func (generator *LoadGenerator) double(caller Caller, call Call, key string, try int, front string) {
+// sendDuplicate sends a request with the same key within 20 ms, as impatient callers do.
+func (generator *LoadGenerator) sendDuplicate(caller Caller, call Call, key string, try int, front string) {
 	generator.mutex.Lock()
 	generator.running++
-	wait := time.Duration(generator.random.IntN(20)) * time.Millisecond
+	delay := time.Duration(generator.random.IntN(20)) * time.Millisecond
 	generator.mutex.Unlock()
 	generator.start(func() {
-		time.Sleep(wait)
+		time.Sleep(delay)
 		generator.Once(caller, call, key, fmt.Sprintf("%s.%d-double", key, try), front)
 		generator.mutex.Lock()
 		generator.running--
@@ -317,7 +316,7 @@
 	})
 }
 
-// Once makes one try at one proxy, records it and returns it.
+// Once makes one attempt at one proxy, records it and returns it.
 func (generator *LoadGenerator) Once(caller Caller, call Call, key, id, front string) Try {
 	path, _, _ := strings.Cut(call.Path, "?")
 	try := Try{
@@ -345,7 +344,7 @@
 	return try
 }
 
-// Tries returns the tries recorded so far.
+// Tries returns the attempts recorded so far.
 func (generator *LoadGenerator) Tries() []Try {
 	generator.mutex.Lock()
 	defer generator.mutex.Unlock()
@@ -398,28 +397,28 @@
 		try.Foreign = response.Header.Get("Stand-For") != caller.Tenant+" /"+inner
 		return
 	}
-	refusal := struct {
+	failure := struct {
 		Code    string `json:"code"`
 		Outcome string `json:"outcome"`
 		Cause   string `json:"cause"`
 	}{}
-	_ = json.Unmarshal(body, &refusal) // any other body leaves all fields empty
-	try.Code, try.Outcome, try.Cause = refusal.Code, refusal.Outcome, refusal.Cause
+	_ = json.Unmarshal(body, &failure) // another body leaves the fields empty
+	try.Code, try.Outcome, try.Cause = failure.Code, failure.Outcome, failure.Cause
 }
 
-func (generator *LoadGenerator) count(code string) {
+func (generator *LoadGenerator) countStatus(code string) {
 	generator.mutex.Lock()
 	generator.report.Statuses[code]++
 	generator.mutex.Unlock()
 }
 
-func (generator *LoadGenerator) good(begin time.Time) {
+func (generator *LoadGenerator) recordServed(start time.Time) {
 	now := time.Now()
 	generator.mutex.Lock()
 	defer generator.mutex.Unlock()
-	generator.latencies = append(generator.latencies, float64(now.Sub(begin).Microseconds())/1000)
-	if gap := now.Sub(generator.lastGood).Milliseconds(); gap > generator.report.GapMs {
+	generator.latencies = append(generator.latencies, float64(now.Sub(start).Microseconds())/1000)
+	if gap := now.Sub(generator.lastServed).Milliseconds(); gap > generator.report.GapMs {
 		generator.report.GapMs = gap
 	}
-	generator.lastGood = now
+	generator.lastServed = now
 }
--- a/harness/standin/platform.go
+++ b/harness/standin/platform.go
@@ -11,7 +11,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Listed is one backend in the platform's list.
+// Listed is a backend in the platform's list.
 type Listed struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
@@ -20,46 +20,46 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// Platform is an HTTP handler that behaves as the platform: it lists backends in
-// pages, late and rate-limited, and takes usage reports.
+// Platform is an HTTP handler that simulates the platform: it serves a list of backends in
+// pages, delayed and rate-limited, and accepts usage reports.
 type Platform struct {
-	page    int
-	lag     time.Duration
-	limiter *rate.Limiter
+	pageSize int
+	lag      time.Duration
+	limiter  *rate.Limiter
 
 	mutex    sync.Mutex
-	lists    []datedList
+	versions []listVersion
 	Reports  map[string][]string
 	ReportAt map[string]int64
 	Limited  int
 	mode     string
 	until    time.Time
-	turns    int
+	shifts   int
 }
 
-type datedList struct {
+type listVersion struct {
 	at    time.Time
 	items []Listed
 }
 
-// NewPlatform returns a platform that lists items, page entries a page, late by
-// lag, and takes perSecond calls a second.
+// NewPlatform returns a platform that lists items, page of them per page and delayed by lag,
+// and allows perSecond list requests per second.
 func NewPlatform(page int, lag time.Duration, perSecond float64, items []Listed) *Platform {
 	return &Platform{
-		page: max(page, 1), lag: lag, limiter: rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond), 1)),
-		lists: []datedList{{items: items}}, Reports: map[string][]string{}, ReportAt: map[string]int64{},
+		pageSize: max(page, 1), lag: lag, limiter: rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond), 1)),
+		versions: []listVersion{{items: items}}, Reports: map[string][]string{}, ReportAt: map[string]int64{},
 	}
 }
 
-// Misbehave injects the named fault for a while: the platform refuses, vanishes or
-// shifts its pages, or its usage side refuses, answers slowly or too late.
-func (platform *Platform) Misbehave(mode string, span time.Duration) {
+// Misbehave injects a fault for a while: the platform refuses requests, closes connections or
+// shifts its pages. Modes with the prefix "usage-" affect usage reports only.
+func (platform *Platform) Misbehave(mode string, duration time.Duration) {
 	platform.mutex.Lock()
-	platform.mode, platform.until = mode, time.Now().Add(span)
+	platform.mode, platform.until = mode, time.Now().Add(duration)
 	platform.mutex.Unlock()
 }
 
-func (platform *Platform) now() string {
+func (platform *Platform) currentMode() string {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	if time.Now().After(platform.until) {
@@ -68,31 +68,30 @@
 	return platform.mode
 }
 
-// SetLag sets how late the list is.
+// SetLag sets the delay of the list.
 func (platform *Platform) SetLag(lag time.Duration) {
 	platform.mutex.Lock()
 	platform.lag = lag
 	platform.mutex.Unlock()
 }
 
-// Set replaces the list; callers see it once the lag is over.
+// Set replaces the list, which becomes visible after the lag.
 func (platform *Platform) Set(items []Listed) {
 	platform.mutex.Lock()
-	platform.lists = append(platform.lists, datedList{at: time.Now(), items: items})
+	platform.versions = append(platform.versions, listVersion{at: time.Now(), items: items})
 	platform.mutex.Unlock()
 }
 
-func (platform *Platform) visible() []Listed {
-	for len(platform.lists) > 1 && time.Since(platform.lists[1].at) >= platform.lag {
-		platform.lists = platform.lists[1:]
+func (platform *Platform) visibleList() []Listed {
+	for len(platform.versions) > 1 && time.Since(platform.versions[1].at) >= platform.lag {
+		platform.versions = platform.versions[1:]
 	}
-	return platform.lists[0].items
+	return platform.versions[0].items
 }
 
-// ServeHTTP answers calls for the list, usage reports, and the commands under
-// /stand/.
+// ServeHTTP serves the list, usage reports and the commands under /stand/.
 func (platform *Platform) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	switch mode := platform.now(); {
+	switch mode := platform.currentMode(); {
 	case mode == "gone" || mode == "usage-gone" && request.URL.Path == "/v1/usage":
 		hijack(writer, "")
 		return
@@ -109,9 +108,9 @@
 		span, _ := time.ParseDuration(request.URL.Query().Get("span"))
 		platform.Misbehave(request.URL.Query().Get("mode"), span)
 	case "/v1/backends":
-		platform.list(writer, request)
+		platform.serveList(writer, request)
 	case "/v1/usage":
-		platform.usage(writer, request)
+		platform.serveUsage(writer, request)
 	case "/stand/backends":
 		items := []Listed{}
 		if err := json.NewDecoder(request.Body).Decode(&items); err != nil {
@@ -129,7 +128,7 @@
 	}
 }
 
-func (platform *Platform) list(writer http.ResponseWriter, request *http.Request) {
+func (platform *Platform) serveList(writer http.ResponseWriter, request *http.Request) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	if !platform.limiter.Allow() {
@@ -138,15 +137,15 @@
 		writer.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	items := platform.visible()
+	items := platform.visibleList()
 	if platform.mode == "shift" && time.Now().Before(platform.until) {
-		platform.turns++
-		turned := platform.turns * 7 % max(len(items), 1)
-		items = append(append([]Listed{}, items[turned:]...), items[:turned]...)
+		platform.shifts++
+		offset := platform.shifts * 7 % max(len(items), 1)
+		items = append(append([]Listed{}, items[offset:]...), items[:offset]...)
 	}
 	start, _ := strconv.Atoi(request.URL.Query().Get("page"))
 	start = min(max(start, 0), len(items))
-	end := min(start+platform.page, len(items))
+	end := min(start+platform.pageSize, len(items))
 	next := ""
 	if end < len(items) {
 		next = strconv.Itoa(end)
@@ -155,14 +154,14 @@
 	_ = json.NewEncoder(writer).Encode(map[string]any{"items": items[start:end], "next": next})
 }
 
-// usage keeps every body that came for a report's id, so that differing ones show.
-func (platform *Platform) usage(writer http.ResponseWriter, request *http.Request) {
+// serveUsage records all bodies received for a report ID, so that the checker can find differing ones.
+func (platform *Platform) serveUsage(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, 1<<20))
 	report := struct {
 		ID string `json:"id"`
 	}{}
 	if err != nil || json.Unmarshal(body, &report) != nil || report.ID == "" {
-		http.Error(writer, "bad report", http.StatusBadRequest)
+		http.Error(writer, "usage report is not valid JSON or has no id", http.StatusBadRequest)
 		return
 	}
 	platform.mutex.Lock()
@@ -174,14 +173,14 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// Told returns the bodies sent for each usage report, by report id, and when the
-// first one came, in milliseconds since the Unix epoch.
+// Told returns the bodies received for each usage report, by report ID, and the time of the
+// first one in milliseconds since the Unix epoch.
 func (platform *Platform) Told() (map[string][]string, map[string]int64) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
-	bodies, at := map[string][]string{}, map[string]int64{}
+	bodies, firstAt := map[string][]string{}, map[string]int64{}
 	for id, sent := range platform.Reports {
-		bodies[id], at[id] = append([]string{}, sent...), platform.ReportAt[id]
+		bodies[id], firstAt[id] = append([]string{}, sent...), platform.ReportAt[id]
 	}
-	return bodies, at
+	return bodies, firstAt
 }
