--- a/harness/sweep/page.go
+++ b/harness/sweep/page.go
@@ -9,30 +9,30 @@
 	"orchidjunction/rpc"
 )
 
-// targetMachines is the size of two years out, of which the capacity page speaks.
+// targetMachines is the fleet size expected in two years, for which the capacity page plans.
 const targetMachines = 16_000
 
-// The written part of the page stands between these lines.
+// Markers around the generated part of the page.
 const (
-	beginMark = "<!-- written by: ojcluster capacity -->"
-	endMark   = "<!-- end of what ojcluster capacity writes -->"
+	beginMarker = "<!-- written by: ojcluster capacity -->"
+	endMarker   = "<!-- end of what ojcluster capacity writes -->"
 )
 
-// bounds are what the target size allows the busiest, by the names of rows.
+// bounds holds the limits for the highest values at the target size, by row name.
 var bounds = map[string]string{
-	"core: processor %":   "19 machines in all",
+	"core: processor %":   "19 machines in total",
 	"proxy: processor %":  "3.1 for control",
 	"proxy: memory MB":    "256",
-	"proxy: kB a second":  "4 for control; this row holds requests too",
+	"proxy: kB a second":  "4 for control; this row includes requests",
 	"config in force, ms": "11,000",
 }
 
-// Tables returns the tables of a sweep in Markdown.
+// Tables returns the sweep's tables in Markdown.
 func (sweep *Sweep) Tables() string {
 	text := &strings.Builder{}
 	largest := sweep.Sizes[len(sweep.Sizes)-1]
-	fmt.Fprintf(text, "Sweep %s on %s, begun %s, commit %.8s. Middle / busiest or longest machine, by machines of ours.\n\n",
-		sweep.ID, sweep.Site, sweep.At, sweep.Head)
+	fmt.Fprintf(text, "Sweep %s on %s, started %s, commit %.8s. Median / busiest or slowest machine; columns: number of own machines.\n\n",
+		sweep.ID, sweep.Site, sweep.At, sweep.Commit)
 	text.WriteString("| |")
 	for _, size := range sweep.Sizes {
 		fmt.Fprintf(text, " %d |", size)
@@ -43,9 +43,15 @@
 		row := &sweep.Rows[index]
 		fmt.Fprintf(text, "| %s |", row.Name)
 		for _, sample := range row.Samples {
-			fmt.Fprintf(text, " %s / %s |", figure(sample.Middle), figure(sample.Most))
+			fmt.Fprintf(text, " %s / %s |", formatNumber(sample.Median), formatNumber(sample.Highest))
 		}
-		fmt.Fprintf(text, " %s | %s | %s |\n", figure(row.Power), figure(row.At(targetMachines, largest)), bounds[row.Name])
+		fmt.Fprintf(
+			text,
+			" %s | %s | %s |\n",
+			formatNumber(row.Exponent),
+			formatNumber(row.Extrapolate(targetMachines, largest)),
+			bounds[row.Name],
+		)
 	}
 	text.WriteString("\n| day | worth less prices | served in time |\n| --- | --- | --- |\n")
 	for _, day := range sweep.Days {
@@ -54,9 +60,9 @@
 	return text.String()
 }
 
-// figure writes a number with three digits, and larger ones whole.
-func figure(value float64) string {
-	if value == 0 { // also a zero with a sign
+// formatNumber formats a number with three significant digits, or as an integer from 1000 on.
+func formatNumber(value float64) string {
+	if value == 0 { // also negative zero
 		return "0"
 	}
 	if value >= 1000 {
@@ -65,22 +71,22 @@
 	return strconv.FormatFloat(value, 'g', 3, 64)
 }
 
-// WritePage puts the tables of sweeps into their place on a page and leaves the rest alone.
+// WritePage replaces the generated part of a page with the tables of sweeps.
 func WritePage(path string, sweeps []*Sweep) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
 		return rpc.Errorf(rpc.BadFlag, "%w", err)
 	}
-	before, rest, hasBegin := strings.Cut(string(page), beginMark+"\n")
-	_, after, hasEnd := strings.Cut(rest, endMark)
+	before, rest, hasBegin := strings.Cut(string(page), beginMarker+"\n")
+	_, after, hasEnd := strings.Cut(rest, endMarker)
 	if !hasBegin || !hasEnd {
-		return rpc.Errorf(rpc.BadFlag, "%s has no lines %q and %q", path, beginMark, endMark)
+		return rpc.Errorf(rpc.BadFlag, "%s lacks the line %q or %q", path, beginMarker, endMarker)
 	}
 	tables := make([]string, 0, len(sweeps))
 	for _, sweep := range sweeps {
 		tables = append(tables, sweep.Tables())
 	}
-	text := before + beginMark + "\n\n" + strings.Join(tables, "\n") + "\n" + endMark + after
+	text := before + beginMarker + "\n\n" + strings.Join(tables, "\n") + "\n" + endMarker + after
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		return rpc.Errorf(rpc.BadFlag, "%w", err)
 	}
--- a/harness/sweep/sweep.go
+++ b/harness/sweep/sweep.go
@@ -1,6 +1,6 @@
-// Package sweep turns a journal entry of the bench's sweep, which plays one day at several
-// sizes of the fleet, into the tables of the capacity page: what was measured, how it grows,
-// and where that leads at the size that the product is designed for.
+// Package sweep converts a journal entry of a benchmark sweep, which runs one day's load at
+// several sizes of the fleet, into the tables of the capacity page: the measured values, their
+// growth, and the extrapolation to the size that the product is designed for.
 package sweep
 
 import (
@@ -14,44 +14,44 @@
 	"orchidjunction/rpc"
 )
 
-// Sample is what one size of the fleet showed: the middle one of the machines, and the
-// busiest or longest.
-type Sample struct{ Middle, Most float64 }
+// Sample holds the values at one size of the fleet: of the median machine and of the busiest or
+// slowest one.
+type Sample struct{ Median, Highest float64 }
 
-// Row is one figure over all sizes. The busiest grows as machines to the power.
+// Row holds one metric at all sizes. Highest grows as the number of machines to the power Exponent.
 type Row struct {
-	Name    string
-	Samples []Sample
-	Power   float64
+	Name     string
+	Samples  []Sample
+	Exponent float64
 }
 
-// At returns what the busiest would be with a number of machines, carried on from the
-// largest size with the row's power. It is no measurement.
-func (row *Row) At(machines, largest int) float64 {
-	last := row.Samples[len(row.Samples)-1].Most
-	return last * math.Pow(float64(machines)/float64(largest), row.Power)
+// Extrapolate returns the estimated highest value for a number of machines, extrapolated from
+// the largest size with the row's exponent.
+func (row *Row) Extrapolate(machines, largest int) float64 {
+	last := row.Samples[len(row.Samples)-1].Highest
+	return last * math.Pow(float64(machines)/float64(largest), row.Exponent)
 }
 
-// Day is what playing one size came to.
+// Day holds the result of the day at one size.
 type Day struct {
 	Name   string  `json:"name"`
 	Worth  float64 `json:"G"`
 	Served float64 `json:"served"`
 }
 
-// Sweep is one sweep.
+// Sweep holds the results of one sweep.
 type Sweep struct {
-	ID    string
-	Site  string
-	At    string
-	Head  string // the commit that was played
-	Sizes []int
-	Rows  []Row
-	Days  []Day
+	ID     string
+	Site   string
+	At     string
+	Commit string // the commit under test
+	Sizes  []int
+	Rows   []Row
+	Days   []Day
 }
 
-// entry is what a journal entry holds of a sweep.
-type entry struct {
+// journalEntry holds the fields of a journal entry that describe a sweep.
+type journalEntry struct {
 	ID     string   `json:"id"`
 	At     []string `json:"at"`
 	Cmd    string   `json:"cmd"`
@@ -62,12 +62,12 @@
 }
 
 var (
-	headLine = regexp.MustCompile(`^\s+(\d+(?:\s+\d+)+)\s+power\b`)
-	rowLine  = regexp.MustCompile(`^(\S.*?)\s{2,}(\S+ / \S+(?:\s+\S+ / \S+)*)\s+(-?[\d.]+)\s+\S+\s*$`)
-	pair     = regexp.MustCompile(`(\S+) / (\S+)`)
+	headerPattern = regexp.MustCompile(`^\s+(\d+(?:\s+\d+)+)\s+power\b`)
+	rowPattern    = regexp.MustCompile(`^(\S.*?)\s{2,}(\S+ / \S+(?:\s+\S+ / \S+)*)\s+(-?[\d.]+)\s+\S+\s*$`)
+	samplePattern = regexp.MustCompile(`(\S+) / (\S+)`)
 )
 
-// Read reads a journal entry of a sweep.
+// Read reads the journal entry of a sweep from a file.
 func Read(path string) (*Sweep, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
@@ -76,28 +76,28 @@
 	return Parse(body)
 }
 
-// Parse reads the text of a journal entry. It refuses one that is of no sweep or has no table.
+// Parse parses a journal entry. It rejects entries of other commands and those without a table.
 func Parse(body []byte) (*Sweep, error) {
-	read := entry{}
-	if err := json.Unmarshal(body, &read); err != nil {
+	entry := journalEntry{}
+	if err := json.Unmarshal(body, &entry); err != nil {
 		return nil, rpc.Errorf(rpc.BadFlag, "journal entry: %w", err)
 	}
-	if read.Cmd != "sweep" || len(read.At) == 0 {
-		return nil, rpc.Errorf(rpc.BadFlag, "journal entry %s is of %q, not of a sweep", read.ID, read.Cmd)
+	if entry.Cmd != "sweep" || len(entry.At) == 0 {
+		return nil, rpc.Errorf(rpc.BadFlag, "journal entry %s: command %q, want a sweep with its start time", entry.ID, entry.Cmd)
 	}
-	sweep := &Sweep{ID: read.ID, Site: read.Site, At: read.At[0], Head: read.Head, Days: read.Days}
-	for line := range strings.SplitSeq(read.Digest, "\n") {
+	sweep := &Sweep{ID: entry.ID, Site: entry.Site, At: entry.At[0], Commit: entry.Head, Days: entry.Days}
+	for line := range strings.SplitSeq(entry.Digest, "\n") {
 		sweep.addLine(line)
 	}
 	if len(sweep.Sizes) == 0 || len(sweep.Rows) == 0 {
-		return nil, rpc.Errorf(rpc.BadFlag, "journal entry %s has no table of sizes", read.ID)
+		return nil, rpc.Errorf(rpc.BadFlag, "journal entry %s has no table with the sizes of the fleet", entry.ID)
 	}
 	for index := range sweep.Rows {
 		if row := &sweep.Rows[index]; len(row.Samples) != len(sweep.Sizes) {
 			return nil, rpc.Errorf(
 				rpc.BadFlag,
-				"journal entry %s: %q has %d of %d sizes",
-				read.ID,
+				"journal entry %s: row %q has values for %d of %d sizes",
+				entry.ID,
 				row.Name,
 				len(row.Samples),
 				len(sweep.Sizes),
@@ -107,28 +107,28 @@
 	return sweep, nil
 }
 
-// addLine takes a line of the table; others are passed over.
+// addLine parses a line of the table and ignores other lines.
 func (sweep *Sweep) addLine(line string) {
-	if head := headLine.FindStringSubmatch(line); head != nil {
-		for size := range strings.FieldsSeq(head[1]) {
-			machines, _ := strconv.Atoi(size) // matched as digits
+	if header := headerPattern.FindStringSubmatch(line); header != nil {
+		for size := range strings.FieldsSeq(header[1]) {
+			machines, _ := strconv.Atoi(size) // the pattern matches only digits
 			sweep.Sizes = append(sweep.Sizes, machines)
 		}
 		return
 	}
-	matched := rowLine.FindStringSubmatch(line)
-	if matched == nil || len(sweep.Sizes) == 0 {
+	match := rowPattern.FindStringSubmatch(line)
+	if match == nil || len(sweep.Sizes) == 0 {
 		return
 	}
-	row := Row{Name: matched[1], Power: number(matched[3])}
-	for _, sample := range pair.FindAllStringSubmatch(matched[2], -1) {
-		row.Samples = append(row.Samples, Sample{Middle: number(sample[1]), Most: number(sample[2])})
+	row := Row{Name: match[1], Exponent: parseNumber(match[3])}
+	for _, sample := range samplePattern.FindAllStringSubmatch(match[2], -1) {
+		row.Samples = append(row.Samples, Sample{Median: parseNumber(sample[1]), Highest: parseNumber(sample[2])})
 	}
 	sweep.Rows = append(sweep.Rows, row)
 }
 
-// number is NaN for what is no number.
-func number(text string) float64 {
+// parseNumber returns NaN for text that is not a number.
+func parseNumber(text string) float64 {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return math.NaN()
--- a/harness/sweep/sweep_test.go
+++ b/harness/sweep/sweep_test.go
@@ -21,44 +21,42 @@
 power: the busiest grows as machines to this power
 `
 
-func entryOf(change func(fields map[string]any)) []byte {
+func newEntry(change func(fields map[string]any)) []byte {
 	fields := map[string]any{
 		"id": "e98d", "at": []string{"2026-12-02T11:50:44Z", ""}, "cmd": "sweep", "site": "grid", "head": "fb19f06084d4",
 		"days": []map[string]any{{"name": "sweep-30", "G": 0.9012, "served": 0.9653}}, "digest": digest,
 	}
 	change(fields)
-	body, _ := json.Marshal(fields) // a map of texts and numbers
+	body, _ := json.Marshal(fields) // strings and numbers can be encoded
 	return body
 }
 
-// A sweep's entry is read whole, and carried on to the target size by each row's power.
-func TestSweepIsReadAndCarriedOn(test *testing.T) {
-	sweep, err := Parse(entryOf(func(map[string]any) {}))
+func TestParseAndExtrapolate(test *testing.T) {
+	sweep, err := Parse(newEntry(func(map[string]any) {}))
 	if err != nil {
 		test.Fatal(err)
 	}
 	if len(sweep.Sizes) != 3 || sweep.Sizes[2] != 300 || len(sweep.Rows) != 3 {
-		test.Fatalf("%+v", sweep)
+		test.Fatalf("sizes and rows are %+v, want 3 of each", sweep)
 	}
 	row := sweep.Rows[1]
-	if row.Name != "config in force, ms" || row.Samples[2] != (Sample{139, 1308}) || row.Power != 0.57 {
-		test.Errorf("%+v", row)
+	if row.Name != "config in force, ms" || row.Samples[2] != (Sample{139, 1308}) || row.Exponent != 0.57 {
+		test.Errorf("row 1 is %+v", row)
 	}
-	if sweep.Rows[2].Power != -0.2 {
-		test.Errorf("%+v", sweep.Rows[2])
+	if sweep.Rows[2].Exponent != -0.2 {
+		test.Errorf("row 2 is %+v, want exponent -0.2", sweep.Rows[2])
 	}
-	if got, want := row.At(30_000, 300), 1308*math.Pow(100, 0.57); math.Abs(got-want) > 1e-6 {
-		test.Errorf("%v, want %v", got, want)
+	if got, want := row.Extrapolate(30_000, 300), 1308*math.Pow(100, 0.57); math.Abs(got-want) > 1e-6 {
+		test.Errorf("extrapolated value is %v, want %v", got, want)
 	}
-	for _, wanted := range []string{"| 139 / 1308 | 0.57 |", "| sweep-30 | 0.901 | 0.965 |", "commit fb19f060.", "| 11,000 |"} {
-		if !strings.Contains(sweep.Tables(), wanted) {
-			test.Errorf("no %q in\n%s", wanted, sweep.Tables())
+	for _, want := range []string{"| 139 / 1308 | 0.57 |", "| sweep-30 | 0.901 | 0.965 |", "commit fb19f060.", "| 11,000 |"} {
+		if !strings.Contains(sweep.Tables(), want) {
+			test.Errorf("tables lack %q:\n%s", want, sweep.Tables())
 		}
 	}
 }
 
-// What is no sweep's entry is refused with its reason.
-func TestOtherEntriesAreRefused(test *testing.T) {
+func TestInvalidEntriesAreRejected(test *testing.T) {
 	for name, change := range map[string]func(fields map[string]any){
 		"another command": func(fields map[string]any) { fields["cmd"] = "score" },
 		"no table":        func(fields map[string]any) { fields["digest"] = "nothing" },
@@ -67,26 +65,25 @@
 			fields["digest"] = strings.Replace(digest, "34.0 / 61.0      139 / 1308", "34.0 / 61.0", 1)
 		},
 	} {
-		if _, err := Parse(entryOf(change)); err == nil {
-			test.Errorf("%s is taken", name)
+		if _, err := Parse(newEntry(change)); err == nil {
+			test.Errorf("entry with %s is accepted", name)
 		}
 	}
 	if _, err := Parse([]byte("{")); err == nil {
-		test.Error("half an entry is taken")
+		test.Error("a truncated entry is accepted")
 	}
 	if _, err := Read(filepath.Join(test.TempDir(), "none.json")); err == nil {
-		test.Error("no file is taken")
+		test.Error("a missing file is accepted")
 	}
 }
 
-// Only the place between the two lines changes.
-func TestPageChangesInItsPlaceOnly(test *testing.T) {
-	sweep, err := Parse(entryOf(func(map[string]any) {}))
+func TestWritePageReplacesOnlyTheTables(test *testing.T) {
+	sweep, err := Parse(newEntry(func(map[string]any) {}))
 	if err != nil {
 		test.Fatal(err)
 	}
 	path := filepath.Join(test.TempDir(), "page.md")
-	if err := os.WriteFile(path, []byte("before\n"+beginMark+"\nold\n"+endMark+"\nafter\n"), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte("before\n"+beginMarker+"\nold\n"+endMarker+"\nafter\n"), 0o600); err != nil {
 		test.Fatal(err)
 	}
 	for range 2 {
@@ -99,14 +96,15 @@
 		test.Fatal(err)
 	}
 	text := string(written)
-	if !strings.HasPrefix(text, "before\n"+beginMark) || !strings.HasSuffix(text, endMark+"\nafter\n") || strings.Contains(text, "old") ||
+	if !strings.HasPrefix(text, "before\n"+beginMarker) || !strings.HasSuffix(text, endMarker+"\nafter\n") ||
+		strings.Contains(text, "old") ||
 		strings.Count(text, "core: processor") != 1 {
-		test.Errorf("%s", text)
+		test.Errorf("page is not rewritten between the markers only:\n%s", text)
 	}
 	if err := os.WriteFile(path, []byte("no marks"), 0o600); err != nil {
 		test.Fatal(err)
 	}
 	if WritePage(path, []*Sweep{sweep}) == nil {
-		test.Error("a page without a place is written")
+		test.Error("a page without markers is written")
 	}
 }
