--- a/harness/golden/golden.go
+++ b/harness/golden/golden.go
@@ -1,8 +1,7 @@
-// Package golden compares encodings with those that an earlier release wrote, so that
-// processes of two releases understand each other and disks stay readable.
+// Package golden compares encodings with those of an earlier release, so that processes of two
+// releases understand each other and stored data stays readable.
 //
-// A golden file has one line for each value: its name, a space, and its encoding in
-// hexadecimal digits.
+// A golden file has one line per value: its name, a space and its encoding in hexadecimal.
 package golden
 
 import (
@@ -17,14 +16,13 @@
 	"testing"
 )
 
-var update = flag.Bool("update-golden", false, "write golden files anew")
+var update = flag.Bool("update-golden", false, "rewrite the golden files")
 
-// filler sets every exported field of a value to something of its own, always the
-// same for the same structure.
+// filler fills values deterministically. count makes the fields differ.
 type filler struct{ count int64 }
 
-// Fill sets all exported fields of the structure that value points to, and all below
-// them, to values that are never zero. Slices get two elements, maps get one.
+// Fill recursively sets all exported fields of the structure that value points to to non-zero
+// values. Slices get two elements, maps one.
 func Fill(value any) {
 	(&filler{}).set(reflect.ValueOf(value).Elem())
 }
@@ -54,7 +52,7 @@
 	case reflect.Struct:
 		fill.setFields(value)
 	default:
-		panic("golden: no value for a " + value.Kind().String())
+		panic("golden: unsupported kind " + value.Kind().String())
 	}
 }
 
@@ -90,28 +88,28 @@
 	}
 }
 
-// Format is how values are encoded and decoded.
+// Format is an encoding.
 type Format struct {
 	Marshal   func(value any) ([]byte, error)
 	Unmarshal func(body []byte, value any) error
 }
 
-// Check fills each value, which must be a pointer to a structure, and fails the test
-// unless its encoding is the one in the file and the file's encoding is decoded into
-// an equal value. With the flag -update-golden it writes the file first.
+// Check fills each value, which must be a pointer to a structure, and fails the test unless its
+// encoding is the one in the file and that one decodes to an equal value. With the flag
+// -update-golden it rewrites the file first.
 func (format Format) Check(test *testing.T, file string, values map[string]any) {
 	test.Helper()
 	encodings := format.encode(test, values)
 	if *update {
-		write(test, file, encodings)
+		writeFile(test, file, encodings)
 	}
-	want := read(test, file)
+	want := readFile(test, file)
 	if len(want) != len(values) {
-		test.Errorf("%s has %d encodings for %d values", file, len(want), len(values))
+		test.Errorf("%s has %d encodings, want %d", file, len(want), len(values))
 	}
 	for name, value := range values {
 		if encodings[name] != want[name] {
-			test.Errorf("%s is encoded as\n%s\nwas\n%s", name, encodings[name], want[name])
+			test.Errorf("encoding of %s is\n%s\nwant\n%s", name, encodings[name], want[name])
 		}
 		format.checkDecoded(test, name, want[name], value)
 	}
@@ -131,23 +129,23 @@
 	return encodings
 }
 
-func (format Format) checkDecoded(test *testing.T, name, encoding string, filled any) {
+func (format Format) checkDecoded(test *testing.T, name, encoding string, want any) {
 	test.Helper()
 	body, err := hex.DecodeString(encoding)
 	if err != nil {
 		test.Fatalf("%s: %v", name, err)
 	}
-	decoded := reflect.New(reflect.TypeOf(filled).Elem()).Interface()
+	decoded := reflect.New(reflect.TypeOf(want).Elem()).Interface()
 	if err := format.Unmarshal(body, decoded); err != nil {
 		test.Errorf("%s: %v", name, err)
 		return
 	}
-	if !reflect.DeepEqual(decoded, filled) {
-		test.Errorf("%s is decoded as %+v, want %+v", name, decoded, filled)
+	if !reflect.DeepEqual(decoded, want) {
+		test.Errorf("%s decodes to %+v, want %+v", name, decoded, want)
 	}
 }
 
-func read(test *testing.T, file string) map[string]string {
+func readFile(test *testing.T, file string) map[string]string {
 	test.Helper()
 	content, err := os.ReadFile(file)
 	if err != nil {
@@ -157,14 +155,14 @@
 	for line := range strings.Lines(string(content)) {
 		name, encoding, found := strings.Cut(strings.TrimSpace(line), " ")
 		if !found {
-			test.Fatalf("%s: malformed line %q", file, line)
+			test.Fatalf("%s: line without an encoding: %q", file, line)
 		}
 		encodings[name] = encoding
 	}
 	return encodings
 }
 
-func write(test *testing.T, file string, encodings map[string]string) {
+func writeFile(test *testing.T, file string, encodings map[string]string) {
 	test.Helper()
 	names := make([]string, 0, len(encodings))
 	for name := range encodings {
