--- a/harness/cluster/layout.go
+++ b/harness/cluster/layout.go
@@ -94,10 +94,10 @@
 		}
 	}
 	for _, group := range []struct {
-		kind    string
-		program string
-		count   int
-		into    *[]*Process
+		kind      string
+		program   string
+		count     int
+		processes *[]*Process
 	}{{"dir", "ojdirectory", fleet.Spec.Directories, &fleet.Directories}, {"proxy", "ojproxy", fleet.Spec.Proxies, &fleet.Proxies}} {
 		for index := range group.count {
 			process := fleet.newProcess(fmt.Sprintf("%s-%02d", group.kind, index), group.program)
@@ -117,7 +117,7 @@
 			for _, core := range fleet.Cores[:min(3, len(fleet.Cores))] {
 				process.arguments = append(process.arguments, "--seed", core.InternalAddress)
 			}
-			*group.into = append(*group.into, process)
+			*group.processes = append(*group.processes, process)
 		}
 	}
 	return nil
--- a/harness/cluster/spec.go
+++ b/harness/cluster/spec.go
@@ -44,7 +44,7 @@
 const Both = "both"
 
 // firstEphemeralPort is the first port of outgoing connections. One of these could hold the port
-// of a daemon that restarts, so the fleet stays below.
+// of a daemon that restarts, so all ports of the fleet are below.
 const firstEphemeralPort = 32768
 
 // maxAddedCores is the number of cores that a scenario may add.
--- a/harness/standin/load_generator.go
+++ b/harness/standin/load_generator.go
@@ -301,14 +301,14 @@
 }
 
 // sendDuplicate sends a request with the same key within 20 ms, as impatient callers do.
-func (generator *LoadGenerator) sendDuplicate(caller Caller, call Call, key string, try int, front string) {
+func (generator *LoadGenerator) sendDuplicate(caller Caller, call Call, key string, try int, proxy string) {
 	generator.mutex.Lock()
 	generator.running++
 	delay := time.Duration(generator.random.IntN(20)) * time.Millisecond
 	generator.mutex.Unlock()
 	generator.start(func() {
 		time.Sleep(delay)
-		generator.Once(caller, call, key, fmt.Sprintf("%s.%d-double", key, try), front)
+		generator.Once(caller, call, key, fmt.Sprintf("%s.%d-double", key, try), proxy)
 		generator.mutex.Lock()
 		generator.running--
 		generator.done.Broadcast()
@@ -317,7 +317,7 @@
 }
 
 // Once makes one attempt at one proxy, records it and returns it.
-func (generator *LoadGenerator) Once(caller Caller, call Call, key, id, front string) Try {
+func (generator *LoadGenerator) Once(caller Caller, call Call, key, id, proxy string) Try {
 	path, _, _ := strings.Cut(call.Path, "?")
 	try := Try{
 		ID:     id,
@@ -326,7 +326,7 @@
 		Class:  call.Class,
 		Method: call.Method,
 		Path:   path,
-		Front:  front,
+		Front:  proxy,
 		AtMs:   time.Now().UnixMilli(),
 	}
 	if call.Money {
@@ -393,8 +393,8 @@
 	if response.StatusCode == http.StatusOK {
 		sum := sha256.Sum256(body)
 		try.Mangled = response.Header.Get("Stand-Sum") != hex.EncodeToString(sum[:])
-		_, inner, _ := strings.Cut(strings.TrimPrefix(try.Path, "/"), "/")
-		try.Foreign = response.Header.Get("Stand-For") != caller.Tenant+" /"+inner
+		_, backendPath, _ := strings.Cut(strings.TrimPrefix(try.Path, "/"), "/")
+		try.Foreign = response.Header.Get("Stand-For") != caller.Tenant+" /"+backendPath
 		return
 	}
 	failure := struct {
--- a/harness/standin/platform.go
+++ b/harness/standin/platform.go
@@ -42,11 +42,11 @@
 	items []Listed
 }
 
-// NewPlatform returns a platform that lists items, page of them per page and delayed by lag,
+// NewPlatform returns a platform that lists items, pageSize of them per page and delayed by lag,
 // and allows perSecond list requests per second.
-func NewPlatform(page int, lag time.Duration, perSecond float64, items []Listed) *Platform {
+func NewPlatform(pageSize int, lag time.Duration, perSecond float64, items []Listed) *Platform {
 	return &Platform{
-		pageSize: max(page, 1), lag: lag, limiter: rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond), 1)),
+		pageSize: max(pageSize, 1), lag: lag, limiter: rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond), 1)),
 		versions: []listVersion{{items: items}}, Reports: map[string][]string{}, ReportAt: map[string]int64{},
 	}
 }
