--- a/harness/simulation/disk.go
+++ b/harness/simulation/disk.go
@@ -165,7 +165,7 @@
 	disk.mutex.Unlock()
 }
 
-// DieAfter makes the last of the given number of mutating calls fail, and all later ones, as
+// DieAfter makes the last of the given number of calls that change the disk fail, and all later ones, as
 // if the process had been killed there.
 func (disk *Disk) DieAfter(calls int) {
 	disk.mutex.Lock()
@@ -173,7 +173,7 @@
 	disk.mutex.Unlock()
 }
 
-// countCall counts a mutating call and reports whether the disk is still usable.
+// countCall counts a call that changes the disk and reports whether the disk is still usable.
 func (disk *Disk) countCall() bool {
 	if disk.callsLeft > 0 {
 		disk.callsLeft--
