--- a/harness/simulation/metered_usage_test.go
+++ b/harness/simulation/metered_usage_test.go
@@ -12,7 +12,8 @@
 	"orchidjunction/message"
 )
 
-// meters is the platform that windows are reported to, and what was truly counted.
+// usageCollector stands in for the platform that receives usage reports. It also counts
+// the requests that were really started, for comparison.
 type meters struct {
 	mutex   sync.Mutex
 	world   *World
@@ -51,7 +52,7 @@
 	return made
 }
 
-// begin counts requests that a member begins now, by its own clock.
+// startRequest counts a request that a member starts now, in the window of the member's clock.
 func (meters *meters) begin(one *FarDaemon) {
 	window := one.Daemon.Now() / meters.span
 	meters.mutex.Lock()
@@ -68,7 +69,7 @@
 	meters.begun[time.Now().UnixMilli()/meters.span]++
 }
 
-// load begins a request at each living member again and again, for some time.
+// generateLoad starts requests at all running members for the given time.
 func (meters *meters) load(span, pause time.Duration) {
 	for until := time.Now().Add(span); time.Now().Before(until); meters.world.Rest(pause) {
 		for _, one := range meters.world.Members {
@@ -92,14 +93,14 @@
 	return all
 }
 
-// windowsTold is how many windows were reported.
+// reportedWindows returns the number of windows reported.
 func (meters *meters) windowsTold() int {
 	meters.mutex.Lock()
 	defer meters.mutex.Unlock()
 	return len(meters.told)
 }
 
-// fencesSeen is how many fences reports had.
+// fenceCount returns the number of different fences seen in reports.
 func (meters *meters) fencesSeen() int {
 	meters.mutex.Lock()
 	defer meters.mutex.Unlock()
@@ -113,7 +114,7 @@
 		return control.ReportRetry
 	}
 	if holder, found := meters.fences[report.Fence]; found && holder != report.Holder {
-		meters.world.broke("%s and %s share fence %d", holder, report.Holder, report.Fence)
+		meters.world.broke("%s and %s both report under fence %d", holder, report.Holder, report.Fence)
 	}
 	meters.fences[report.Fence] = report.Holder
 	if report.Fence < meters.highest {
@@ -121,7 +122,7 @@
 	}
 	meters.highest = report.Fence
 	if before, found := meters.told[report.Window]; found && !maps.Equal(before.Tenants, report.Tenants) {
-		meters.world.broke("window %d: %v, then %v", report.Window, before.Tenants, report.Tenants)
+		meters.world.broke("window %d: reported as %v, then as %v", report.Window, before.Tenants, report.Tenants)
 	}
 	if _, found := meters.told[report.Window]; !found {
 		meters.at[report.Window] = time.Now().UnixMilli()
@@ -134,7 +135,8 @@
 	return control.ReportAccepted
 }
 
-// judge compares what was reported of some windows with what was truly begun.
+// checkWindows compares the reports of windows first to last with the requests started:
+// delays are at most late ms, sums deviate by at most share.
 func (meters *meters) judge(first, last int64, late int64, share float64) {
 	meters.mutex.Lock()
 	defer meters.mutex.Unlock()
@@ -149,10 +151,10 @@
 			sum += requests
 		}
 		if begun := meters.begun[window]; float64(sum) < float64(begun)*(1-share) || float64(sum) > float64(begun)*(1+share) {
-			meters.world.broke("window %d: %d reported, %d begun", window, sum, begun)
+			meters.world.broke("window %d: %d requests reported, %d started", window, sum, begun)
 		}
 		if delay := meters.at[window] - (window+1)*meters.span; delay > late {
-			meters.world.broke("window %d: reported after %d ms", window, delay)
+			meters.world.broke("window %d: reported %d ms after its end", window, delay)
 		}
 	}
 }
@@ -163,8 +165,8 @@
 	meters.mutex.Unlock()
 }
 
-// Windows are reported once, whole and in time; over changes of leaders, a
-// platform that is away and the loss of all cores, no window has two counts.
+// Each window is reported completely, in time and with one result, across leader
+// changes, platform outages and the loss of all cores.
 func TestWindowsAreSealedOnce(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -212,8 +214,8 @@
 	})
 }
 
-// A member that is silent as a window is sealed is waited for a while, and its
-// counts are in; one that said farewell isn't.
+// Sealing a window waits some time for an unreachable member, so that its counts are
+// included; a retired member is not waited for.
 func TestSilentMemberIsWaitedFor(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -247,8 +249,8 @@
 	})
 }
 
-// The first window that anything began in is reported, though the leader that
-// took the first routing died at once.
+// The first window with requests is reported although the leader that accepted the
+// first routing is killed right after.
 func TestFirstWindowIsReported(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -281,8 +283,8 @@
 	})
 }
 
-// A window that was sealed without a member's last counts is told again by the
-// next leader exactly so, though the counts came meanwhile.
+// A window sealed without a member's last counts is reported unchanged by the next
+// leader, even if the counts have arrived meanwhile.
 func TestSealedWindowNeverChanges(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -326,7 +328,7 @@
 			world.StartCore(leader)
 			meters.mutex.Lock()
 			if tellers := meters.tellers[window]; len(tellers) < 2 {
-				world.broke("window %d was told by %v only", window, tellers)
+				world.broke("window %d was reported by %v only, want two leaders", window, tellers)
 			}
 			meters.mutex.Unlock()
 		}
@@ -334,8 +336,8 @@
 	})
 }
 
-// Wall clocks are wrong by seconds or hours on one core and on members, and jump
-// while all goes on: the time of day that all use stays near the true one.
+// Wall clocks of one core and of members are off by seconds or hours and jump during
+// operation: the time of day in use stays close to the true one.
 func TestClocksThatJump(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -357,19 +359,19 @@
 		near := func(what string, most int64) {
 			for _, one := range world.Members {
 				if off := one.Daemon.Now() - time.Now().UnixMilli(); off > most || off < -most {
-					world.broke("%s: %s is off by %d ms", what, one.Name, off)
+					world.broke("%s: the clock of %s is off by %d ms", what, one.Name, off)
 				}
 			}
 			for _, machine := range world.Cores {
 				if core := machine.life(world); core != nil {
 					if off := core.Now() - time.Now().UnixMilli(); off > most || off < -most {
-						world.broke("%s: core %d is off by %d ms", what, machine.ID, off)
+						world.broke("%s: the clock of core %d is off by %d ms", what, machine.ID, off)
 					}
 				}
 			}
 		}
 		world.Rest(2 * time.Second)
-		near("started", 40)
+		near("after start", 40)
 		for round := range 8 {
 			machine := world.Cores[(wrong+round)%3]
 			machine.jump.Store(jump())
@@ -377,7 +379,7 @@
 			case 1:
 				world.KillCore(world.Leader(), true)
 				world.Rest(4 * time.Second)
-				near("leader away", 60)
+				near("without the leader", 60)
 				for index, one := range world.Cores {
 					if one.life(world) == nil {
 						one.jump.Store(0)
@@ -397,7 +399,7 @@
 	})
 }
 
-// A member that said farewell is out of the table at once, others by their silence.
+// A member that retires leaves the table at once, a killed one after its timeout.
 func TestFarewellLeavesTheTable(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -414,7 +416,7 @@
 		left := func(one *FarDaemon) time.Duration {
 			begin := time.Now()
 			if !listed(one) || !world.Until(10*time.Second, func() bool { return !listed(one) }) {
-				world.broke("%s is still listed", one.Name)
+				world.broke("%s is not listed at first, or still listed after 10 s", one.Name)
 			}
 			return time.Since(begin)
 		}
@@ -425,7 +427,7 @@
 		world.KillMember(world.Members[4])
 		silent := left(world.Members[4])
 		if said > 600*time.Millisecond || silent < 1500*time.Millisecond || silent > 4*time.Second {
-			world.broke("left the table after %v with a farewell, %v without", said, silent)
+			world.broke("left the table %v after retiring, %v after being killed", said, silent)
 		}
 		world.report(test)
 	})
--- a/harness/simulation/money_test.go
+++ b/harness/simulation/money_test.go
@@ -9,9 +9,9 @@
 	"orchidjunction/harness/standin"
 )
 
-// Impatient callers send the same key twice at once, at several proxies, again
-// after lost answers, while proxies die, freeze, are cut off and restart, and
-// while the core is gone for a while.
+// Callers send the same key concurrently to several proxies, and again after lost
+// answers, while proxies are killed, frozen, partitioned and restarted and while all
+// cores are down for a time: no key is charged twice.
 func TestMoneyOnceWhileProxiesFail(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -22,7 +22,7 @@
 		}
 		world.up(test, 8)
 		if !world.Until(5*time.Second, func() bool { return world.keepers() == 6 }) {
-			test.Fatalf("%d keepers", world.keepers())
+			test.Fatalf("%d key replicas, want 6", world.keepers())
 		}
 		plan := world.plan(30, 25)
 		plan.Eager, plan.Tries = 40, 6
@@ -93,10 +93,10 @@
 		world.Rest(4 * time.Second)
 		world.judge(nil, report)
 		if report.Served < report.Asked/2 {
-			world.broke("only %d of %d served: %v", report.Served, report.Asked, report.Statuses)
+			world.broke("only %d of %d requests served: %v", report.Served, report.Asked, report.Statuses)
 		}
 		test.Logf(
-			"%d asked, %d served, %d unknown, %d not, harms %v, statuses %v",
+			"%d requests, %d served, %d with unknown outcome, %d not served, faults %v, statuses %v",
 			report.Asked,
 			report.Served,
 			report.Unknown,
@@ -108,6 +108,7 @@
 	})
 }
 
+// keepers counts the members that hold key replicas.
 func (world *World) keepers() int {
 	count := 0
 	for _, member := range world.Daemons[0].Daemon.Version().Table.Members {
--- a/harness/simulation/numbers_test.go
+++ b/harness/simulation/numbers_test.go
@@ -11,22 +11,22 @@
 	"orchidjunction/routing"
 )
 
-// textOf is an operator's text of a routing that another operator's differs from.
+// textOf returns the body of an order for a whole routing, different for each operator.
 func textOf(version, base uint64, operator int) string {
 	config := Routing(version)
 	config.Routes[0].TimeoutMs += operator
 	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Whole: config}))
 }
 
-// patchOf is an operator's text of a change of nothing but the base's time limit.
+// patchOf returns the body of a patch that only changes the first route's time limit.
 func patchOf(version, base uint64) string {
 	changed := Routing(base).Routes
 	changed[0].TimeoutMs = int(1000 + version)
 	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{Routes: changed}}))
 }
 
-// settle sends an order as it is to cores in a random order until it is answered for
-// good, and gives the status.
+// settle sends the same order to random cores until the answer is final, and returns its
+// status, or 0 after 100 attempts.
 func (caller *operatorCaller) settle(random *rand.Rand, method, path, body string) int {
 	for range 100 {
 		code, _ := caller.call(random.IntN(len(caller.world.Cores)), method, path, body)
@@ -38,10 +38,9 @@
 	return 0
 }
 
-// Two operators give different configurations one number, at once and through any two
-// cores, while the leader is cut off, stands still, dies or loses its disk at some
-// moment of it. One is acknowledged and the other told that it lost, and so
-// each is told ever after, at every core.
+// Two operators order different configurations under the same version concurrently, through
+// random cores, while the leader is partitioned, frozen, killed or loses its disk. One order
+// is acknowledged, the other refused, and every core repeats these answers afterwards.
 func TestOneNumberNamesOneConfiguration(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3+2*int(seed%2))
@@ -82,7 +81,7 @@
 			}
 			mutex.Lock()
 			if codes[0]+codes[1] != http.StatusOK+http.StatusPreconditionFailed {
-				world.broke("%s after %v: %v", kind, wait, codes)
+				world.broke("%s after %v: statuses %v, want one 200 and one 412", kind, wait, codes)
 			}
 			mutex.Unlock()
 			world.calm(test)
@@ -90,7 +89,7 @@
 				for index := range world.Cores {
 					if code, answer := caller.call(index, http.MethodPut, "/config", text); code != codes[operator] {
 						world.broke(
-							"%s after %v: operator %d was told %d, then at core %d: %d %s",
+							"%s after %v: operator %d got %d, then core %d answered %d %s",
 							kind,
 							wait,
 							operator,
@@ -108,9 +107,9 @@
 	})
 }
 
-// What was acknowledged is so again when it is sent again hundreds of changes later,
-// whole or in part, through every core, after restarts, the loss of each disk in turn,
-// and of all power.
+// Acknowledged orders, whole configurations and patches, are acknowledged again when they are
+// resent to any core hundreds of changes later, also after the loss of each disk in turn and
+// a power loss of all machines.
 func TestRepeatsAreKnownAfterHundredsOfChanges(test *testing.T) {
 	long(test)
 	const changes = 400
@@ -128,7 +127,7 @@
 			}
 			orders = append(orders, one)
 			if code := caller.settle(random, one.method, "/config", one.text); code != http.StatusOK {
-				test.Fatalf("%d: %d", version, code)
+				test.Fatalf("version %d: status %d", version, code)
 			}
 		}
 		again := func(when string) {
@@ -141,7 +140,7 @@
 				}
 			}
 		}
-		again("at once")
+		again("right after the changes")
 		for index := range world.Cores {
 			world.WipeCore(index)
 			world.Rest(2 * time.Second)
@@ -149,13 +148,13 @@
 			world.openOperators(index)
 			world.calm(test)
 		}
-		again("every disk lost in turn")
+		again("after the loss of each disk in turn")
 		world.killAll(true, false)
 		for index := range world.Cores {
 			world.StartCore(index)
 			world.openOperators(index)
 		}
-		again("all power lost")
+		again("after a power loss of all cores and members")
 		world.report(test)
 	})
 }
--- a/harness/simulation/operator_test.go
+++ b/harness/simulation/operator_test.go
@@ -15,16 +15,17 @@
 	"orchidjunction/routing"
 )
 
-// callerSilence is after how long a platform's operator leaves a daemon that says nothing.
+// operatorTimeout is how long the platform's operator waits for an answer.
 const callerSilence = time.Second
 
-// operatorCaller is the platform's operator at the cores' doors.
+// operatorClient acts as the platform's operator and calls the cores' control APIs.
 type operatorCaller struct {
 	world  *World
 	client *http.Client
 }
 
-// operatorCaller opens the platform's side of every living core.
+// newOperatorClient serves the platform's control API on every running core and returns a
+// client for it.
 func (world *World) operatorCaller() *operatorCaller {
 	for index, machine := range world.Cores {
 		if machine.life(world) != nil {
@@ -35,7 +36,7 @@
 	return &operatorCaller{world: world, client: &http.Client{Transport: transport}}
 }
 
-// openOperators opens the platform's side of a core that was started.
+// serveOperatorAPI serves the platform's control API on a running core.
 func (world *World) openOperators(index int) {
 	machine := world.Cores[index]
 	machine.Forwarder.SetLocalLeader(machine.Core.Leader)
@@ -47,7 +48,7 @@
 	machine.servers = append(machine.servers, world.serve(machine.goroutines, machine.Host+":43", control))
 }
 
-// call asks one core once and gives the status; 0 means that no answer came in time.
+// call sends one request to a core and returns the status, 0 if no answer came in time.
 func (caller *operatorCaller) call(index int, method, path, body string) (int, string) {
 	return caller.within(callerSilence, index, method, path, body)
 }
@@ -68,7 +69,7 @@
 	return response.StatusCode, string(answer)
 }
 
-// until calls some cores in turn until one acknowledges.
+// callUntilOK calls the cores in turn until one acknowledges.
 func (caller *operatorCaller) until(test *testing.T, cores []int, method, path, body string) {
 	test.Helper()
 	for try := range 40 {
@@ -81,10 +82,10 @@
 		}
 		caller.world.Rest(200 * time.Millisecond)
 	}
-	test.Fatalf("%s %s: never acknowledged", method, path)
+	test.Fatalf("%s %s: not acknowledged in 40 attempts", method, path)
 }
 
-// zoned breaks unless a zone is as it was acknowledged last.
+// checkEvacuated records a violation unless the zone's state is the one acknowledged last.
 func (world *World) zoned(test *testing.T, zone string, evacuated bool, when string) {
 	test.Helper()
 	state, err := world.Book()
@@ -92,11 +93,11 @@
 		test.Fatal(err)
 	}
 	if slices.Contains(state.Evacuated, zone) != evacuated {
-		world.broke("%s: %s was acknowledged evacuated %v, is %v", when, zone, evacuated, !evacuated)
+		world.broke("%s: zone %s was acknowledged as evacuated=%v, is %v", when, zone, evacuated, !evacuated)
 	}
 }
 
-// followers are the cores that do not lead.
+// followers returns the indexes of all cores except the leader.
 func (world *World) followers(leader int) []int {
 	others := []int{}
 	for index := range world.Cores {
@@ -107,21 +108,21 @@
 	return others
 }
 
-// wholeBody is an operator's text of the routing that Routing makes.
+// wholeBody returns the body of an order for Routing(version).
 func wholeBody(version, base uint64) string {
 	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Whole: Routing(version)}))
 }
 
-// invalidPatch leaves a route without its service.
+// invalidPatch returns the body of a patch that removes the service of a route.
 func invalidPatch(version, base uint64) string {
 	return string(
 		platform.WriteOrder(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{RemoveServices: []string{"desk"}}}),
 	)
 }
 
-// A core is cut off from the others for 20 s, both ways or one way, whether it leads
-// or not. Whatever it is asked then, it says within the second that an operator waits
-// that the call is to go elsewhere; there all is acknowledged, and afterwards here.
+// A core, leader or follower, is partitioned from the others for 20 s in one or both
+// directions. It answers every call with 503 or 408 within the operator's timeout, so that the
+// operator tries another core; the others acknowledge the orders, and so does it once healed.
 func TestCutOffEntryPointSendsItsCallersOn(test *testing.T) {
 	const answered = callerSilence + 2*farWay
 	each(test, func(test *testing.T, seed uint64) {
@@ -158,7 +159,7 @@
 							code, answer := operator.within(answered, lost, one.method, one.path, one.body)
 							if code != http.StatusServiceUnavailable && code != http.StatusRequestTimeout {
 								world.broke(
-									"%s, leads %v: %s %s asked after %v: %d %.100s",
+									"%s, leader %v: %s %s sent after %v: got %d %.100s, want 503 or 408",
 									kind,
 									leads,
 									one.method,
@@ -196,7 +197,7 @@
 					"/config",
 					wholeBody(6, 5),
 				); code != http.StatusPreconditionFailed {
-					world.broke("%s: back in touch, the loser of a race: %d %s", kind, code, answer)
+					world.broke("%s: after healing, a conflicting order got %d %s, want 412", kind, code, answer)
 				}
 				world.zoned(test, "z1", true, kind)
 				world.report(test)
@@ -206,8 +207,8 @@
 	})
 }
 
-// Messages between cores come a second time, late, after the contrary order was
-// acknowledged: that one stays in force.
+// Duplicates of messages between cores arrive after the opposite order was acknowledged:
+// the opposite order stays in force.
 func TestDoubledEvacuationDoesNotComeBack(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -228,21 +229,21 @@
 			for until := time.Now().Add(time.Second); time.Now().Before(until); world.Rest(10 * time.Millisecond) {
 				if _, state := world.Cores[leader].Core.Routing(); world.Leader() == leader &&
 					slices.Contains(state.Evacuated, "z1") != begin {
-					test.Fatalf("round %d: acknowledged evacuated %v, then committed %v", round, begin, !begin)
+					test.Fatalf("round %d: acknowledged as evacuated=%v, then committed as %v", round, begin, !begin)
 				}
 			}
-			world.zoned(test, "z1", begin, "doubled")
+			world.zoned(test, "z1", begin, "duplicated messages")
 		}
 		world.report(test)
 	})
 }
 
-// The entry point that was asked first loses its way to the leader, or stands still,
-// with the order under way. The operator goes elsewhere, and on to the contrary order.
-// What was under way comes through long after and changes nothing.
+// The first core that gets an order loses its link to the leader, or freezes, with the order
+// in flight. The operator sends the order and then the opposite one through other cores. The
+// delayed first order is delivered much later and must change nothing.
 func TestLateEvacuationDoesNotComeBack(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		for _, kind := range []string{"way to the leader cut", "way from the operator cut", "entry frozen"} {
+		for _, kind := range []string{"link to the leader cut", "link from the operator cut", "first core frozen"} {
 			for _, begin := range []bool{true, false} {
 				for _, wait := range []time.Duration{0, 20 * time.Millisecond, 80 * time.Millisecond, 180 * time.Millisecond} {
 					world := NewFarWorld(seed, 3)
@@ -258,11 +259,11 @@
 					}
 					lose := func(lost bool) {
 						switch kind {
-						case "way to the leader cut":
+						case "link to the leader cut":
 							world.Net.CutOneWay(world.Cores[entry].Host, world.Cores[leader].Host, lost)
-						case "way from the operator cut":
+						case "link from the operator cut":
 							world.Net.CutOneWay("10.8.0.1", world.Cores[entry].Host, lost)
-						case "entry frozen":
+						case "first core frozen":
 							world.Net.Freeze(world.Cores[entry].Host, lost)
 						}
 					}
--- a/harness/simulation/outage_test.go
+++ b/harness/simulation/outage_test.go
@@ -10,30 +10,31 @@
 	"orchidjunction/harness/standin"
 )
 
-// outage is what goes on before everything dies, and what comes back.
+// outage is a kind of total outage. before runs ahead of it and returns the payments sent;
+// after runs ahead of the restart.
 type outage struct {
 	name   string
 	before func(world *World) []standin.Try
 	after  func(world *World)
 }
 
-// Money is sent, some of its answers are lost, and everything of ours dies at
-// once, power too. All is back; every key is sent again, at once and after
-// minutes: no key is charged twice, and each gets the first answer or "unknown".
+// Payments are sent and some answers lost; then all cores lose power and all daemons are
+// killed at once. After the restart every key is resent, at once and minutes later: no key is
+// charged twice, and each gets its first answer or "unknown".
 func TestMoneyOutlivesEverything(test *testing.T) {
 	long(test)
 	nothing, calm := func(*World) {}, func(*World) []standin.Try { return nil }
 	each(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []outage{
-			{"power", calm, nothing},
-			{"a core's disk lost", calm, func(world *World) { world.WipeCore(int(seed) % 3) }},
-			{"a core away until the end", func(world *World) []standin.Try { world.KillCore(int(seed)%3, true); return nil }, nothing},
+			{"power loss", calm, nothing},
+			{"one core's disk lost", calm, func(world *World) { world.WipeCore(int(seed) % 3) }},
+			{"one core down before the outage", func(world *World) []standin.Try { world.KillCore(int(seed)%3, true); return nil }, nothing},
 			{"a disk stalls", func(world *World) []standin.Try { world.Cores[int(seed)%3].Disk.Stall(true); return nil }, nothing},
 			{"a core is slow", func(world *World) []standin.Try {
 				world.Net.Slow(world.Cores[int(seed)%3].Host, 300*time.Millisecond)
 				return nil
 			}, nothing},
-			{"the core gone and back", func(world *World) []standin.Try {
+			{"all cores restarted first", func(world *World) []standin.Try {
 				for index := range world.Cores {
 					world.KillCore(index, true)
 				}
@@ -74,12 +75,12 @@
 			}
 			ready := time.Since(begin)
 			slowest, replays := world.payAgain(tries)
-			if kind.name == "power" {
+			if kind.name == "power loss" {
 				world.Rest(2 * time.Minute)
 			}
 			later, _ := world.payAgain(tries)
 			if most := 3 * time.Second; slowest > most || later > most || replays == 0 {
-				world.broke("%s: final answers after %v and %v, %d replayed", kind.name, slowest, later, replays)
+				world.broke("%s: final answers after at most %v and %v, %d replayed", kind.name, slowest, later, replays)
 			}
 			before := len(world.Broken)
 			details := world.judge(nil, standin.LoadReport{Tries: tries})
@@ -101,8 +102,8 @@
 	})
 }
 
-// pay sends keys at random fronts while backends lose answers; the last ones are
-// cut short by whatever comes next.
+// sendPayments sends keys to random proxies while backends lose answers. It does not wait for
+// the last answers.
 func (world *World) pay(count, first int) []standin.Try {
 	random := rand.New(rand.NewPCG(world.Seed, uint64(first)))
 	plan := world.plan(1, 1)
@@ -142,7 +143,8 @@
 	return fronts
 }
 
-// payAgain sends each key until its answer is final, and gives the longest time to it.
+// resendPayments resends each key until its answer is final, and returns the longest wait and
+// the number of replayed answers.
 func (world *World) payAgain(tries []standin.Try) (slowest time.Duration, replays int) {
 	plan := world.plan(1, 1)
 	plan.Calls = plan.Calls[:1]
--- a/harness/simulation/partition_test.go
+++ b/harness/simulation/partition_test.go
@@ -12,10 +12,9 @@
 
 const healAfter = 8 * time.Second
 
-// Some daemons lose touch with the core and the rest while callers stay with
-// them and backends answer them: a key is withdrawn, a zone emptied and settings
-// changed meanwhile, and what the lone ones do not know ends within 4 s. Healed,
-// they serve again.
+// Proxies are partitioned from the cores and the other daemons, but still reach callers and
+// backends, while a tenant's keys are revoked and settings are changed. They must stop serving
+// what may be outdated within 4 s, and serve again once healed.
 func TestCutOffStops(test *testing.T) {
 	long(test)
 	each(test, func(test *testing.T, seed uint64) {
@@ -56,7 +55,7 @@
 				}
 			}
 			if again < 5 {
-				world.broke("%s: healed, it served %d", cut.name, again)
+				world.broke("%s: the first proxy served %d requests after healing, want 5", cut.name, again)
 			}
 			test.Logf("%s: %s; %v", cut.name, details["acknowledged settings in force within 4 s"], report.Statuses)
 			world.report(test)
@@ -65,7 +64,7 @@
 	})
 }
 
-// apart names proxies to cut off.
+// pickProxies selects the proxies to partition.
 func (world *World) apart(count, seed int) (lone []*Daemon) {
 	proxies := []*Daemon{}
 	for _, daemon := range world.Daemons {
@@ -81,7 +80,7 @@
 	return lone
 }
 
-// withdraw takes a tenant's keys away and says since when nothing of it may be served.
+// revokeKeys removes a tenant's keys and records the time from which it may not be served.
 func (world *World) withdraw(ledger *checker.Ledger, tenant string) {
 	body := []byte(fmt.Sprintf(`{"tenants":{%q:{"keys":[]}}}`, tenant))
 	for try := range 50 {
@@ -97,10 +96,10 @@
 		}
 		world.Rest(20 * time.Millisecond)
 	}
-	world.broke("keys not withdrawn")
+	world.broke("the keys of %s could not be revoked in 50 attempts", tenant)
 }
 
-// The core alone is out of reach for a while: traffic and money go on at all fronts.
+// The cores are unreachable for 8 s: all proxies go on serving requests and payments.
 func TestCoreOutOfReachStopsNothing(test *testing.T) {
 	long(test)
 	each(test, func(test *testing.T, seed uint64) {
@@ -136,7 +135,7 @@
 				test.Logf("%+v", try)
 			}
 		}
-		test.Logf("%d of %d served, %v", report.Served, report.Asked, report.Statuses)
+		test.Logf("%d of %d requests served, statuses %v", report.Served, report.Asked, report.Statuses)
 		world.report(test)
 	})
 }
--- a/harness/simulation/partner_test.go
+++ b/harness/simulation/partner_test.go
@@ -7,9 +7,9 @@
 	"orchidjunction/harness/standin"
 )
 
-// A partner short of front machines uses the other's idle ones; under a storm of
-// its own the lender takes its room back; and when one partner falls whole, the
-// other's traffic does not notice.
+// A deployment with too few proxies uses idle ones of its partner. Under load of its own the
+// lender takes its capacity back, and a total failure of the borrower leaves the lender's
+// traffic unaffected.
 func TestPartnersLendFrontMachines(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		lender := NewWorld(seed, 3)
@@ -31,7 +31,7 @@
 			guests = append(guests, guest)
 		}
 		if !borrower.Until(5*time.Second, func() bool { return borrower.ready() }) {
-			test.Fatal("guests not ready")
+			test.Fatal("borrowed proxies not ready")
 		}
 		borrower.Rest(2 * time.Second)
 		calls := func(world *World, rate int, seconds float64) standin.LoadReport {
@@ -45,7 +45,7 @@
 		report := calls(borrower, 20, 5)
 		lent := lender.Daemons[1].Counters.Get("lent") + lender.Daemons[2].Counters.Get("lent")
 		if report.Served < report.Asked*98/100 || lent == 0 {
-			borrower.broke("%d of %d served, %d lent: %v", report.Served, report.Asked, lent, report.Statuses)
+			borrower.broke("%d of %d requests served, %d lent: %v", report.Served, report.Asked, lent, report.Statuses)
 		}
 		borrower.judge(nil, report)
 		stormed := make(chan standin.LoadReport, 1)
@@ -55,17 +55,17 @@
 		storm := <-stormed
 		refused := lender.Daemons[1].Counters.Get("lending_refused") + lender.Daemons[2].Counters.Get("lending_refused")
 		if refused == 0 {
-			lender.broke("a pressed lender went on lending")
+			lender.broke("the lender refused no lending while overloaded")
 		}
 		if pressed.Served < pressed.Asked*9/10 {
-			borrower.broke("%d of %d served while the lender was pressed: %v", pressed.Served, pressed.Asked, pressed.Statuses)
+			borrower.broke("%d of %d requests served while the lender was overloaded: %v", pressed.Served, pressed.Asked, pressed.Statuses)
 		}
 		if storm.Served < 6*40 {
-			lender.broke("the lender served %d below its floor: %v", storm.Served, storm.Statuses)
+			lender.broke("the lender served only %d requests under load, want 240: %v", storm.Served, storm.Statuses)
 		}
 		for _, member := range guests[0].Daemon.Version().Table.Members {
 			if member.Guest && member.KeyReplica {
-				borrower.broke("%s keeps claims on the other partner's machine", member.Name)
+				borrower.broke("%s is a key replica on the partner's machine", member.Name)
 			}
 		}
 		for index := range borrower.Cores {
@@ -76,9 +76,9 @@
 		}
 		alone := calls(lender, 20, 4)
 		if alone.Served < alone.Asked*98/100 {
-			lender.broke("%d of %d served after the other partner fell: %v", alone.Served, alone.Asked, alone.Statuses)
+			lender.broke("%d of %d requests served after the partner failed: %v", alone.Served, alone.Asked, alone.Statuses)
 		}
-		test.Logf("%d lent, %d refused, storm %d of %d", lent, refused, storm.Served, storm.Asked)
+		test.Logf("%d lent, %d refused, %d of %d served under load", lent, refused, storm.Served, storm.Asked)
 		lender.report(test)
 		borrower.report(test)
 	})
--- a/harness/simulation/platform_test.go
+++ b/harness/simulation/platform_test.go
@@ -9,9 +9,9 @@
 	"orchidjunction/harness/standin"
 )
 
-// The list comes in pages, late, rate-limited, and changes between pages while
-// leaders die. No daemon ever holds a part of a list, and none loses a backend
-// that stayed listed; one that left is gone in the end.
+// The platform's list is paged, slow and rate-limited, and changes between pages while leaders
+// are killed. No daemon holds a partial list or loses a backend that stays listed; a backend
+// that is removed from the list disappears in the end.
 func TestPlatformListWholeOrNot(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -61,7 +61,7 @@
 				}
 				for _, backend := range stays {
 					if !held[backend.Name] {
-						world.broke("%s stayed listed and is not held, %d are", backend.Name, len(held))
+						world.broke("%s is listed but missing among the daemon's %d backends", backend.Name, len(held))
 					}
 				}
 				versions++
@@ -76,9 +76,9 @@
 			held := daemon.Daemon.Version().Table.Backends
 			return len(held) == 24
 		}) {
-			world.broke("a backend that left is still held: %d", len(daemon.Daemon.Version().Table.Backends))
+			world.broke("an unlisted backend is still held, %d in all", len(daemon.Daemon.Version().Table.Backends))
 		}
-		test.Logf("looked %d times, %d leaderships, %d reads refused by the platform", versions, len(world.Leads), world.Platform.Limited)
+		test.Logf("%d checks, %d leaderships, %d reads refused by the platform", versions, len(world.Leads), world.Platform.Limited)
 		world.report(test)
 	})
 }
--- a/harness/simulation/recovery_test.go
+++ b/harness/simulation/recovery_test.go
@@ -11,7 +11,7 @@
 	"orchidjunction/rpc"
 )
 
-// killAll ends every core, and every member too where wanted.
+// killAll kills all cores, by power loss if power is set, and all members if members is set.
 func (world *World) killAll(power, members bool) {
 	for index := range world.Cores {
 		world.KillCore(index, power)
@@ -34,14 +34,14 @@
 	}
 }
 
-// coresApart cuts all cores from each other.
+// coresApart isolates the cores from each other, or joins them again.
 func (world *World) coresApart(cut bool) {
 	for index := range world.Cores {
 		world.isolate(index, cut)
 	}
 }
 
-// serves is the version that a member serves by, 0 while it can't.
+// servingVersion returns the routing version that a member serves with, 0 if it cannot serve.
 func (one *FarDaemon) serves() uint64 {
 	version := one.Daemon.Version()
 	if version.Routing == nil || !version.Table.Complete {
@@ -50,7 +50,8 @@
 	return version.Routing.Config.Version
 }
 
-// serving is how long after now the first member, or every one, serves a version.
+// waitServing waits until one member, or all of them, serve with at least a version, and
+// returns how long that took.
 func (world *World) serving(version uint64, all bool, limit time.Duration) (time.Duration, bool) {
 	begin := time.Now()
 	done := world.Until(limit, func() bool {
@@ -65,6 +66,7 @@
 	return time.Since(begin), done
 }
 
+// sound reports whether all cores run and vote.
 func (world *World) sound() bool {
 	for _, machine := range world.machines() {
 		if core := machine.life(world); core == nil || !core.CanVote() {
@@ -74,22 +76,24 @@
 	return true
 }
 
+// leads returns the number of leaderships so far.
 func (world *World) leads() int {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	return len(world.Leads)
 }
 
-// calm waits until one leads and all vote.
+// waitStable waits until there is a leader and all cores vote, and returns the leader's index.
 func (world *World) calm(test *testing.T) int {
 	test.Helper()
 	if !world.Until(20*time.Second, func() bool { return world.Leader() >= 0 && world.sound() }) {
-		test.Fatal("not calm")
+		test.Fatal("no leader, or a core does not vote, after 20 s")
 	}
 	return world.Leader()
 }
 
-// calmNotFirst is calm under a leader that is not the one that stands first.
+// waitStableNotFirst is waitStable with a leader other than core 0, which is the first to
+// become a candidate.
 func (world *World) calmNotFirst(test *testing.T) int {
 	test.Helper()
 	for world.calm(test) == 0 {
@@ -99,18 +103,18 @@
 	return world.Leader()
 }
 
-// All end just after a routing was acknowledged: by a kill, by the loss of power,
-// or with as many disks as may be lost. Members serve it soon after the start.
+// All processes end just after a routing was acknowledged: killed, by power loss, or with the
+// loss of as many disks as tolerated. Members serve with it soon after the restart.
 func TestServedSoonAfterAllEnded(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := NewFarWorld(seed, cores)
 			world.farUp(test, 4)
 			version := uint64(1)
-			for round, kind := range []string{"killed", "power", "wiped", "leader stays away", "leader wiped, others were cut", "killed"} {
+			for round, kind := range []string{"killed", "power", "wiped", "leader stays down", "leader wiped, minority was cut off", "killed"} {
 				leader := world.calm(test)
 				cut := []int{}
-				for offset := 1; offset <= cores/2 && kind == "leader wiped, others were cut"; offset++ {
+				for offset := 1; offset <= cores/2 && kind == "leader wiped, minority was cut off"; offset++ {
 					cut = append(cut, (leader+offset)%cores)
 					world.isolate((leader+offset)%cores, true)
 				}
@@ -126,9 +130,9 @@
 					for lost := range cores / 2 {
 						world.WipeCore((int(seed) + round + lost) % cores)
 					}
-				case "leader stays away":
+				case "leader stays down":
 					whole = 2500 * time.Millisecond
-				case "leader wiped, others were cut":
+				case "leader wiped, minority was cut off":
 					first, whole = 2500*time.Millisecond, 2500*time.Millisecond
 					world.WipeCore(leader)
 				}
@@ -137,24 +141,24 @@
 					world.isolate(index, false)
 				}
 				world.startAll()
-				if kind == "leader stays away" {
+				if kind == "leader stays down" {
 					world.KillCore(leader, false)
 				}
 				begin := time.Now()
 				took, done := world.serving(version, false, 10*time.Second)
 				if !done || took > first {
-					world.broke("%d cores, %s: served after %v, want %v", cores, kind, took, first)
+					world.broke("%d cores, %s: first member served after %v, want at most %v", cores, kind, took, first)
 				}
 				_, done = world.serving(version, true, 10*time.Second)
 				if all := time.Since(begin); !done || all > whole {
-					world.broke("%d cores, %s: served everywhere after %v, want %v", cores, kind, all, whole)
+					world.broke("%d cores, %s: all members served after %v, want at most %v", cores, kind, all, whole)
 				} else {
-					test.Logf("%d cores, %s: served after %v, everywhere after %v", cores, kind, took, all)
+					test.Logf("%d cores, %s: first member served after %v, all after %v", cores, kind, took, all)
 				}
 				world.startAll()
 				world.calm(test)
 				if state, err := world.Book(); err != nil || state.Config.Version != version {
-					world.broke("%d cores, %s: read back %+v %v", cores, kind, state, err)
+					world.broke("%d cores, %s: state after the restart %+v, error %v", cores, kind, state, err)
 				}
 			}
 			world.report(test)
@@ -163,7 +167,7 @@
 	})
 }
 
-// accepted lays an uncommitted routing on a stopped core's disk.
+// writeAccepted writes an accepted but uncommitted routing to a stopped core's disk.
 func (world *World) accepted(test *testing.T, index int, version uint64) {
 	test.Helper()
 	store, err := replica.OpenStore(world.Cores[index].Disk)
@@ -193,8 +197,8 @@
 	store.Close()
 }
 
-// A routing that less than a majority accepted is told to nobody before a leader
-// decides on it, and after that all hold the same.
+// A routing accepted by less than a majority is not distributed before a leader decides on
+// it; after that all members hold the same routing.
 func TestUndecidedIsNotHandedOut(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
@@ -222,13 +226,13 @@
 				for until := time.Now().Add(5 * time.Second); time.Now().Before(until); world.Rest(20 * time.Millisecond) {
 					for _, one := range world.Members {
 						if version := one.Daemon.Version(); version.Routing != nil && version.Routing.Config.Version > 1 {
-							test.Fatalf("%d cores, apart %v: %s holds an undecided routing", cores, apart, one.Name)
+							test.Fatalf("%d cores, isolated %v: %s holds an uncommitted routing", cores, apart, one.Name)
 						}
 					}
 				}
 				for _, one := range world.Members {
 					if apart && one.serves() != 1 {
-						world.broke("%d cores: %s does not serve what was known committed", cores, one.Name)
+						world.broke("%d cores: %s does not serve with the committed routing", cores, one.Name)
 					}
 				}
 				world.coresApart(false)
@@ -239,11 +243,11 @@
 					test.Fatal(err)
 				}
 				if took, done := world.serving(state.Config.Version, true, 5*time.Second); !done {
-					world.broke("%d cores: %d not everywhere after %v", cores, state.Config.Version, took)
+					world.broke("%d cores: routing %d not in force at all members after %v", cores, state.Config.Version, took)
 				}
 				for _, one := range world.Members {
 					if one.serves() != state.Config.Version {
-						world.broke("%d decided, %s holds %d", state.Config.Version, one.Name, one.serves())
+						world.broke("routing %d committed, %s serves with %d", state.Config.Version, one.Name, one.serves())
 					}
 				}
 				world.report(test)
@@ -253,7 +257,7 @@
 	})
 }
 
-// A core that restarts alone leaves the leader where it is.
+// The restart of a single follower does not change the leader.
 func TestRestartAloneDisturbsNobody(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3+2*int(seed%2))
@@ -276,13 +280,13 @@
 			}
 		}
 		if after := world.leads(); after != before || world.Leader() != leader {
-			world.broke("core %d led, then %v", leader+1, world.Leads[before:])
+			world.broke("core %d led, then followed leaderships %v", leader+1, world.Leads[before:])
 		}
 		world.report(test)
 	})
 }
 
-// counted is a counter's sum over the living cores.
+// sumCounter returns the sum of a counter over the running cores.
 func (world *World) counted(name string) uint64 {
 	sum := uint64(0)
 	for _, machine := range world.Cores {
@@ -291,7 +295,7 @@
 		}
 		response, err := rpc.Call(machine.client, machine.InternalAddress, message.MethodStatus, time.Second, &message.StatusRequest{})
 		if err != nil {
-			world.broke("no status of core %d: %v", machine.ID, err)
+			world.broke("cannot read the status of core %d: %v", machine.ID, err)
 			continue
 		}
 		sum += response.Counts[name]
@@ -299,7 +303,8 @@
 	return sum
 }
 
-// Cores that start again together stand in turn: one fence, one leadership, and soon.
+// Cores that restart together become candidates one after the other: within 2 s there is one
+// leadership with at most one fence.
 func TestCoresStandInTurn(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
@@ -321,27 +326,27 @@
 				world.Rest(time.Until(begin.Add(2 * time.Second)))
 				switch after := world.leads(); after - before {
 				case 0:
-					world.broke("%d cores, round %d: nobody leads after 2 s", cores, round)
+					world.broke("%d cores, round %d: no leader after 2 s", cores, round)
 				case 1:
 					longest = max(longest, world.Leads[before].At.Sub(begin))
 				default:
-					world.broke("%d cores, round %d: %v within 2 s", cores, round, world.Leads[before:])
+					world.broke("%d cores, round %d: more than one leadership within 2 s: %v", cores, round, world.Leads[before:])
 				}
 				if fences := world.counted("standing_revoking"); fences > 1 {
-					world.broke("%d cores, round %d: %d fences", cores, round, fences)
+					world.broke("%d cores, round %d: %d fences, want at most 1", cores, round, fences)
 				}
 				world.startAll()
 			}
-			test.Logf("%d cores: the latest leader stood after %v", cores, longest)
+			test.Logf("%d cores: the slowest leadership began after %v", cores, longest)
 			world.report(test)
 			world.CloseFar()
 		}
 	})
 }
 
-// A core that restarts cut off from the others tells what it knew committed and
-// leads nothing; members in touch with the others go on to what is newer, and
-// back in touch it follows without disturbing.
+// A core that restarts isolated distributes the routing that it knows as committed and does
+// not lead; members that reach the other cores move on to the newer routing. Once healed it
+// follows without a leader change.
 func TestRestartedCutOff(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -363,10 +368,10 @@
 		world.StartMember(near)
 		world.Rest(1500 * time.Millisecond)
 		if fresh.serves() != 2 || near.serves() != 1 {
-			world.broke("in touch with all: serves %d, with the lone core: %d", fresh.serves(), near.serves())
+			world.broke("member with all cores serves %d, want 2; member with only the isolated core %d, want 1", fresh.serves(), near.serves())
 		}
 		if world.Cores[lone].Core.Leads() {
-			world.broke("a core that is cut off leads")
+			world.broke("an isolated core leads")
 		}
 		before, leader := world.leads(), world.Leader()
 		world.isolate(lone, false)
@@ -374,30 +379,31 @@
 			world.Net.Cut(machine.Host, near.Host, false)
 		}
 		if took, done := world.serving(2, true, 4*time.Second); !done {
-			world.broke("back in touch: not caught up after %v", took)
+			world.broke("after healing: not caught up after %v", took)
 		}
 		world.Rest(2 * time.Second)
 		if after := world.leads(); after != before || world.Leader() != leader {
-			world.broke("back in touch the lone core made %v", world.Leads[before:])
+			world.broke("after healing, the isolated core caused leaderships %v", world.Leads[before:])
 		}
 		world.report(test)
 	})
 }
 
-// sameTables judges that all who hold a leader's table hold the same under one mark.
+// checkTables checks that a leader's table has the same content at all members that hold the
+// same version of it.
 func (world *World) sameTables(contents map[message.TableVersion]string) {
 	for _, one := range world.Members {
 		table := one.Daemon.Version().Table
 		content := fmt.Sprint(table.Members, table.Backends)
 		if known, found := contents[table.Version]; found && known != content && table.Version.Term.Number > 0 {
-			world.broke("table %v is not the same at %s:\n%s\n%s", table.Version, one.Name, known, content)
+			world.broke("table %v differs at %s:\n%s\n%s", table.Version, one.Name, known, content)
 		}
 		contents[table.Version] = content
 	}
 }
 
-// Members start under cores that restart too and hold tables of no leader, each
-// core's another; under a leader's mark all hold the same nonetheless.
+// Members start while the cores restart without a leader, and get a different provisional
+// table from each core. Tables of the same leader version must be equal nonetheless.
 func TestTablesOfNoLeaderAreNoGroundForChanges(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for range 3 {
@@ -433,7 +439,7 @@
 			}
 			for _, one := range world.Members {
 				if table := one.Daemon.Version().Table; table.Version.Term.Number == 0 || len(table.Members) != 6 {
-					world.broke("%s holds %+v", one.Name, table)
+					world.broke("%s holds table %+v, want a leader's with 6 members", one.Name, table)
 				}
 			}
 			world.report(test)
@@ -442,8 +448,8 @@
 	})
 }
 
-// All cores restart under living members. A table from before a leader replaces
-// no leader's, and the next leader's keeps a member that can't speak just then.
+// All cores restart while members run. A provisional table replaces no leader's table, and the
+// next leader's table keeps a member that is unreachable at that time.
 func TestTableBeforeALeaderIsTheOldest(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -477,7 +483,7 @@
 					}
 					marks[one.Name] = table.Version
 					if one != late && table.Version.Term.Number == 0 {
-						world.broke("round %d: %s took a table of no leader", round, one.Name)
+						world.broke("round %d: %s accepted a table without a leader", round, one.Name)
 					}
 					listed := false
 					for _, known := range table.Members {
@@ -505,8 +511,8 @@
 	})
 }
 
-// A leader that others have replaced without its knowledge does not refuse an
-// order for a base it never heard of: that may be in force already.
+// A deposed leader that does not know of its successor must not refuse an order whose base it
+// has not seen: that base may be in force already.
 func TestReplacedLeaderRefusesNoNewerBase(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		refused := 0
@@ -556,13 +562,13 @@
 				time.Second,
 				&message.RoutingReadRequest{},
 			); err == nil {
-				world.broke("the replaced leader read serial %d back", read.Serial)
+				world.broke("the deposed leader answered a read with serial %d", read.Serial)
 			}
 			_, err := rpc.Call(client, world.Cores[leader].InternalAddress, message.MethodRoutingChange, time.Second, WholeChange(3, 2))
 			if kind := rpc.CodeOf(err); kind == rpc.StaleBase {
-				world.broke("the replaced leader refused: %v", err)
+				world.broke("the deposed leader refused the order: %v", err)
 			} else if kind != rpc.NotLeader && kind != rpc.NoLeader {
-				world.broke("the replaced leader answered %v", err)
+				world.broke("the deposed leader answered %v, want not_leader or no_leader", err)
 			} else {
 				refused++
 			}
@@ -570,6 +576,6 @@
 			world.report(test)
 			world.CloseFar()
 		}
-		test.Log(fmt.Sprint(refused, " sent on"))
+		test.Log(fmt.Sprint(refused, " orders redirected"))
 	})
 }
--- a/harness/simulation/refuse_test.go
+++ b/harness/simulation/refuse_test.go
@@ -8,30 +8,30 @@
 	"orchidjunction/replica"
 )
 
-// A core's disk refuses all for twenty seconds. The core stays up and does not vote;
-// a leader hands the lead on; orders are acknowledged throughout; with room again the
-// core votes and holds what was ordered meanwhile, without a restart.
+// A core's disk fails all writes, or is full, for 20 s. The core stays up but does not vote, a
+// leader hands over leadership, and orders are acknowledged throughout. Once the disk works
+// again the core votes and catches up without a restart.
 func TestCoreWithARefusingDiskStaysUp(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 3)
 		version := uint64(1)
-		for _, kind := range []string{"leader refuses", "follower refuses", "leader is full", "restarted"} {
+		for _, kind := range []string{"leader's disk fails", "follower's disk fails", "leader's disk is full", "follower restarts with a failing disk"} {
 			index := world.calm(test)
-			if kind == "follower refuses" || kind == "restarted" {
+			if kind == "follower's disk fails" || kind == "follower restarts with a failing disk" {
 				index = (index + 1) % 3
 			}
 			machine := world.Cores[index]
 			trouble := func() {
-				if kind == "leader is full" {
+				if kind == "leader's disk is full" {
 					machine.Disk.Room(machine.Disk.Used())
 				} else {
 					machine.Disk.Fail(true)
 				}
 			}
 			trouble()
-			if kind == "restarted" {
+			if kind == "follower restarts with a failing disk" {
 				world.KillCore(index, true)
 				trouble()
 				world.StartCore(index)
@@ -51,28 +51,28 @@
 				world.broke("%s: an order took %v", kind, slowest)
 			}
 			if machine.goroutines.Stopping() {
-				world.broke("%s: the core ended", kind)
+				world.broke("%s: the core terminated", kind)
 				break
 			}
 			if machine.Core.CanVote() || world.Leader() == index {
-				world.broke("%s: votes %v, leads %v", kind, machine.Core.CanVote(), world.Leader() == index)
+				world.broke("%s: votes %v, leads %v, want neither", kind, machine.Core.CanVote(), world.Leader() == index)
 			}
 			machine.Disk.Fail(false)
 			machine.Disk.Room(0)
 			if !world.Until(2*time.Second, func() bool { return machine.Core.CanVote() }) {
-				world.broke("%s: does not vote again", kind)
+				world.broke("%s: does not vote within 2 s of the disk's recovery", kind)
 			}
 			world.Rest(time.Second)
 			if held := world.lasts(index); held < world.lasts((index+1)%3) {
-				world.broke("%s: holds serial %d on its disk, another %d", kind, held, world.lasts((index+1)%3))
+				world.broke("%s: has serial %d on disk, another core has %d", kind, held, world.lasts((index+1)%3))
 			}
 		}
 		world.report(test)
 	})
 }
 
-// A follower's disk does not answer for ten seconds while orders go on: the leader
-// does not send it the same values at each beat, and it catches up afterwards.
+// A follower's disk stalls for ten seconds during orders: the leader does not resend the same
+// values with each heartbeat, and the follower catches up afterwards.
 func TestStalledDiskIsNotSentValuesAgainAndAgain(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -84,28 +84,28 @@
 		world.Cores[index].Disk.Stall(true)
 		for version := uint64(1); version < 9; version++ {
 			if err := world.Put(version+1, version); err != nil {
-				world.broke("%d: %v", version+1, err)
+				world.broke("version %d: %v", version+1, err)
 			}
 			world.Rest(time.Second)
 		}
 		world.Rest(2 * time.Second)
 		if sent := world.counted("copies_mended") - before; sent > 10 {
-			world.broke("values sent %d times to a disk that does not answer", sent)
+			world.broke("values sent %d times to a core with a stalled disk, want at most 10", sent)
 		}
 		if world.Leader() != leader {
-			world.broke("the lead moved from %d to %d", leader, world.Leader())
+			world.broke("leadership moved from core %d to %d", leader, world.Leader())
 		}
 		world.Cores[index].Disk.Stall(false)
 		world.Rest(2 * time.Second)
 		if world.lasts(index) != world.lasts(leader) {
-			world.broke("holds serial %d, the leader %d", world.lasts(index), world.lasts(leader))
+			world.broke("follower has serial %d on disk, the leader %d", world.lasts(index), world.lasts(leader))
 		}
 		world.report(test)
 	})
 }
 
-// The leader's disk does not answer for some seconds while orders go on, and then no
-// more are made: it goes on leading and soon holds itself what the others took.
+// The leader's disk stalls for some seconds during orders, and no order follows: it keeps
+// leading, and its own disk soon holds what the followers accepted.
 func TestLeaderHoldsWhatItsStalledDiskMissed(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -115,7 +115,7 @@
 		world.Cores[leader].Disk.Stall(true)
 		for version := uint64(1); version < 5; version++ {
 			if err := world.Put(version+1, version); err != nil {
-				world.broke("%d: %v", version+1, err)
+				world.broke("version %d: %v", version+1, err)
 			}
 			world.Rest(time.Second)
 		}
@@ -123,7 +123,7 @@
 		world.Rest(time.Second)
 		if now := world.Leader(); now != leader || world.lasts(leader) != world.lasts((leader+1)%3) {
 			world.broke(
-				"core %d led and %d leads; holds serial %d, another %d",
+				"core %d led, core %d leads; the former has serial %d on disk, a follower %d",
 				leader,
 				now,
 				world.lasts(leader),
@@ -134,7 +134,7 @@
 	})
 }
 
-// lasts is the routing's serial that a core's disk would keep through a power loss.
+// durableSerial returns the routing serial that a core's disk would keep in a power loss.
 func (world *World) lasts(index int) uint64 {
 	store, err := replica.OpenStore(world.Cores[index].Disk.Copy())
 	if err != nil {
--- a/harness/simulation/regions_test.go
+++ b/harness/simulation/regions_test.go
@@ -12,7 +12,8 @@
 	"orchidjunction/routing"
 )
 
-// racer orders routings on top of what it reads, each by a number of its own.
+// racer runs concurrent operators that order routings on top of the one they read, each with
+// versions of its own, and records the answers.
 type racer struct {
 	world  *World
 	mutex  sync.Mutex
@@ -22,8 +23,8 @@
 	ended  int
 }
 
-// run orders until told to stop; an order without a clear answer is sent again
-// unchanged, by another way.
+// run sends orders while going returns true. An order without a definite answer is resent
+// unchanged through another daemon.
 func (racer *racer) run(number int, going func() bool) {
 	world := racer.world
 	random := rand.New(rand.NewPCG(world.Seed, uint64(100+number)))
@@ -57,14 +58,14 @@
 		}
 		state, err := routing.DecodeState(response.Body)
 		if err != nil {
-			world.broke("read back: %v", err)
+			world.broke("cannot decode the state read: %v", err)
 			return
 		}
 		base := state.Config.Version
 		racer.mutex.Lock()
 		for version := range racer.acked {
 			if version > base && racer.acked[version] < base {
-				world.broke("%d on %d was acknowledged, then %d read", version, racer.acked[version], base)
+				world.broke("version %d on base %d was acknowledged, then %d was read", version, racer.acked[version], base)
 			}
 		}
 		racer.mutex.Unlock()
@@ -77,8 +78,8 @@
 	}
 }
 
-// Cores are harmed one after the other, and all at once, while operators race:
-// what they were told lasts, no base is built on twice, and members follow.
+// Faults hit cores one after the other and all at once while operators send conflicting
+// orders: acknowledged orders last, no two are acknowledged on one base, and members follow.
 func TestFarChaosKeepsWhatOperatorsWereTold(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3+2*int(seed%2))
@@ -112,7 +113,7 @@
 		stop = true
 		racers.mutex.Unlock()
 		if !world.Until(60*time.Second, func() bool { racers.mutex.Lock(); defer racers.mutex.Unlock(); return racers.ended == 3 }) {
-			test.Fatal("operators have no answer")
+			test.Fatal("operators have no final answer after 60 s")
 		}
 		state, err := world.Book()
 		if err != nil {
@@ -124,10 +125,10 @@
 		}
 		for version, base := range racers.acked {
 			if !applied[version] {
-				world.broke("%d on %d was acknowledged and is not in the trail", version, base)
+				world.broke("version %d on base %d was acknowledged but is not in the history", version, base)
 			}
 			if other, found := bases[base]; found {
-				world.broke("%d and %d were both acknowledged on %d", other, version, base)
+				world.broke("versions %d and %d were both acknowledged on base %d", other, version, base)
 			}
 			bases[base] = version
 		}
@@ -137,20 +138,20 @@
 				held = held || one == zone
 			}
 			if held != emptied && !racers.unsure[zone] {
-				world.broke("%s emptied %v, read back %v", zone, emptied, state.Evacuated)
+				world.broke("zone %s: evacuated %v acknowledged, read back %v", zone, emptied, state.Evacuated)
 			}
 		}
 		if took, whole := world.reached(state.Config.Version, 4*time.Second); !whole {
-			world.broke("routing %d is not everywhere after %v", state.Config.Version, took)
+			world.broke("routing %d is not in force at all members after %v", state.Config.Version, took)
 		}
 		if len(racers.acked) < 15 {
 			world.broke("only %d routings were acknowledged", len(racers.acked))
 		}
 		if held := world.rosters(); len(held) != 1 {
-			world.broke("%v", held)
+			world.broke("memberships differ: %v", held)
 		}
 		test.Logf(
-			"%d acknowledged, %d leaderships, %d windows told, faults %v",
+			"%d acknowledged, %d leaderships, %d windows reported, faults %v",
 			len(racers.acked),
 			len(world.Leads),
 			meters.windowsTold(),
--- a/harness/simulation/relay_test.go
+++ b/harness/simulation/relay_test.go
@@ -8,8 +8,8 @@
 	"orchidjunction/harness/checker"
 )
 
-// Relays die, freeze and return in a tree of thirty while operators change
-// settings: every daemon that lives has each change within 4 s, and none slides back.
+// Relays in a tree of thirty daemons are killed, frozen and restored while operators change
+// settings: every running daemon has each change within 4 s, and none goes back to an old one.
 func TestRelaysDie(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -37,13 +37,13 @@
 		world.judge(ledger)
 		world.settled(ledger, frozen)
 		if len(ledger.Acked) < 5 {
-			world.broke("only %d changes", len(ledger.Acked))
+			world.broke("only %d changes acknowledged, want 5", len(ledger.Acked))
 		}
 		world.report(test)
 	})
 }
 
-// settled waits until what is acknowledged now is in force at all that live.
+// awaitInForce waits until the newest acknowledged settings are in force at all running daemons.
 func (world *World) settled(ledger *checker.Ledger, frozen map[*Daemon]bool) {
 	last := ledger.Newest()
 	if !world.Until(4*time.Second, func() bool {
@@ -54,7 +54,7 @@
 		}
 		return true
 	}) {
-		world.broke("serial %d is not in force everywhere after 4 s", last)
+		world.broke("serial %d is not in force at all daemons after 4 s", last)
 	}
 	world.Rest(500 * time.Millisecond)
 }
--- a/harness/simulation/removal_test.go
+++ b/harness/simulation/removal_test.go
@@ -12,7 +12,7 @@
 	"orchidjunction/rpc"
 )
 
-// voters are the IDs of those that vote, as an operators' door tells.
+// voterIDs formats the IDs of the voters in a membership status.
 func voters(membership *message.MembershipStatus) string {
 	ids := []int{}
 	for _, voter := range membership.Voters {
@@ -21,18 +21,18 @@
 	return fmt.Sprint(ids)
 }
 
-// membership asks an operators' door until it answers.
+// membership reads the membership status through the operator API, with retries.
 func (world *World) membership(test *testing.T, client *operator.Client) *message.MembershipStatus {
 	test.Helper()
 	var response *message.MembershipStatus
 	var err error
 	if !world.Until(10*time.Second, func() bool { response, err = client.Cores(); return err == nil }) {
-		test.Fatalf("who votes: %v", err)
+		test.Fatalf("cannot read the membership: %v", err)
 	}
 	return response
 }
 
-// remove sends the order until its answer is clear.
+// removeCore orders the removal of a core, with up to 10 retries after server errors.
 func (world *World) remove(client *operator.Client, id int) (*operator.Removed, error) {
 	removed, err := client.RemoveCore(id)
 	for try := 0; try < 10 && err != nil && rpc.CodeOf(err).Status() >= 500; try++ {
@@ -42,8 +42,8 @@
 	return removed, err
 }
 
-// reportWithSpares leaves out what World judges of leaderships: it counts the disks of
-// the founding cores alone.
+// reportWithSpares omits World's checks of leaderships, which only count the founding cores'
+// disks.
 func (world *World) reportWithSpares(test *testing.T) {
 	test.Helper()
 	for _, broken := range world.Broken {
@@ -53,8 +53,8 @@
 	}
 }
 
-// An operator removes cores by hand, the leader too: each order is refused while no
-// learner is ready, acknowledged once decided, and acknowledged again.
+// An operator removes cores, the leader included: each order is refused while no learner is
+// ready, acknowledged once decided, and acknowledged again when repeated.
 func TestOperatorRemovesCores(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -64,17 +64,17 @@
 		leader := world.Leader()
 		goes, stays := world.Cores[(leader+1)%3], world.Cores[(leader+2)%3]
 		if _, err := world.remove(client, goes.ID); err == nil || rpc.CodeOf(err) != rpc.NoLearner {
-			test.Errorf("removed without a learner: %v", err)
+			test.Errorf("removal without a learner: got %v, want no_learner", err)
 		}
 		if _, err := world.remove(client, 9); err == nil || rpc.CodeOf(err) != rpc.NotFound {
-			test.Errorf("removed one that never was: %v", err)
+			test.Errorf("removal of an unknown core: got %v, want not_found", err)
 		}
 		if response := world.membership(
 			test,
 			client,
 		); voters(response) != "[1 2 3]" || response.Version != 1 || len(response.Learners) != 0 ||
 			len(response.Next) != 0 {
-			test.Errorf("at first %+v", response)
+			test.Errorf("initial membership %+v", response)
 		}
 		for number, order := range []struct {
 			remove int
@@ -89,7 +89,7 @@
 				})
 			}
 			if !world.Until(10*time.Second, ready) {
-				test.Errorf("the learner isn't ready: %+v", world.membership(test, client))
+				test.Errorf("the learner is not ready: %+v", world.membership(test, client))
 			}
 			begin := time.Now()
 			removed, err := world.remove(client, order.remove)
@@ -103,10 +103,10 @@
 				client,
 			); voters(response) != fmt.Sprint(order.left) || response.Version != removed.Version ||
 				len(response.Next) != 0 {
-				test.Errorf("order %d: %+v", number, response)
+				test.Errorf("membership after order %d: %+v", number, response)
 			}
 			if again, err := world.remove(client, order.remove); err != nil || !again.Again {
-				test.Errorf("the same order again: %+v %v", again, err)
+				test.Errorf("repeated order: got %+v, error %v, want an acknowledged repeat", again, err)
 			}
 			if err := world.changeSettings(client, uint64(number)); err != nil {
 				test.Errorf("a change after order %d: %v", number, err)
@@ -121,7 +121,7 @@
 	})
 }
 
-// changeSettings makes a change of the settings in force.
+// changeSettings changes the settings in force, with retries.
 func (world *World) changeSettings(client *operator.Client, number uint64) error {
 	var err error
 	world.Until(10*time.Second, func() bool {
@@ -137,8 +137,8 @@
 	return err
 }
 
-// Two operators remove two cores at once while one learner waits, and then one core
-// while two wait: one place is given at a time, and one for each core removed.
+// Two operators concurrently remove two cores while there is one learner, and then the same
+// core while there are two: only one learner is promoted for each core removed.
 func TestRemovalsRace(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -170,7 +170,7 @@
 				if err := <-answers; err == nil {
 					removed++
 				} else if rpc.CodeOf(err) != rpc.NoLearner {
-					test.Errorf("refused: %v", err)
+					test.Errorf("removal refused: got %v, want no_learner", err)
 				}
 			}
 			return removed
@@ -179,11 +179,11 @@
 		defer world.EndSpare(spare)
 		world.Until(10*time.Second, learners(1))
 		if removed := race(others); removed != 1 {
-			test.Errorf("%d of two cores removed for one learner", removed)
+			test.Errorf("%d of two removals acknowledged with one learner, want 1", removed)
 		}
 		response := world.membership(test, clients[0])
 		if len(response.Voters) != 3 || response.Version != 3 {
-			test.Errorf("after the first race %+v", response)
+			test.Errorf("membership after the first race %+v", response)
 		}
 		for number := range 2 {
 			more := world.StartSpare(2 + number)
@@ -191,10 +191,10 @@
 		}
 		world.Until(10*time.Second, learners(2))
 		if removed := race([]int{4, 4}); removed != 2 {
-			test.Errorf("%d of two orders for one core acknowledged", removed)
+			test.Errorf("%d of two removals of the same core acknowledged, want 2", removed)
 		}
 		if response := world.membership(test, clients[0]); len(response.Voters) != 3 || response.Version != 5 {
-			test.Errorf("after the second race %+v", response)
+			test.Errorf("membership after the second race %+v", response)
 		}
 		world.reportWithSpares(test)
 	})
--- a/harness/simulation/replace_run_test.go
+++ b/harness/simulation/replace_run_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ReplacementFaults are those of the control side with core replacement among them.
-// Each kind may come more than once.
+// replacementFaults are the control plane's faults and core replacements. Kinds that occur
+// more than once are drawn more often.
 var ReplacementFaults = append([]string{
 	"replace",
 	"replace",
@@ -28,7 +28,7 @@
 	"core",
 }, SideFaults...)
 
-// SurvivedCoreFaults are the cores' own that lose no more than a deployment survives.
+// toleratedCoreFaults and toleratedLinkFaults lose no more than a deployment tolerates.
 var (
 	SurvivedCoreFaults = []string{
 		"kill",
@@ -49,10 +49,10 @@
 	SurvivedLinkFaults = []string{"freeze", "cut", "one-way", "reset", "faults"}
 )
 
-// replacer injects replacement beside all other faults.
+// replacementInjector injects core replacements in addition to all other faults.
 type replacer struct{ *Injector }
 
-// Inject brings one fault about and heals it.
+// Inject causes one fault and heals it.
 func (side *replacer) Inject(kind string) {
 	random := side.random
 	index := random.IntN(len(side.world.Cores))
@@ -91,7 +91,7 @@
 	}
 }
 
-// Run draws faults until the span is over; some follow each other at once.
+// Run injects random faults for the span; two of three are followed by a pause.
 func (side *replacer) Run(span time.Duration) {
 	for until := time.Now().Add(span); time.Now().Before(until); {
 		kind := side.kinds[side.random.IntN(len(side.kinds))]
@@ -103,7 +103,7 @@
 	}
 }
 
-// replace loses cores for good; empty ones come a while later.
+// replace loses cores permanently and starts empty ones some time later.
 func (side *replacer) replace(indexes []int) {
 	side.lose(indexes, nil, func() {
 		seeds := side.world.operatorSeeds()
@@ -118,7 +118,7 @@
 	side.turnSeeds()
 }
 
-// replacePlanned starts a new core, then stops the old one for good.
+// replacePlanned starts a new core, then stops the old one permanently.
 func (side *replacer) replacePlanned(index int) {
 	side.lose([]int{index}, nil, func() {
 		leaving := side.world.machine(index)
@@ -129,7 +129,7 @@
 	side.turnSeeds()
 }
 
-// allDownReplacing takes the power from all cores while one is replaced.
+// allDownReplacing cuts the power of all cores while one is being replaced.
 func (side *replacer) allDownReplacing(index int) {
 	world := side.world
 	side.lose(side.every(), nil, func() {
@@ -145,7 +145,8 @@
 	side.turnSeeds()
 }
 
-// returnRemoved starts one whose seat another has, with its old disk, for a while.
+// returnRemoved starts a removed core that is no voter any more with its old disk, and ends it
+// after 0.5 to 9 s.
 func (side *replacer) returnRemoved() {
 	removed := []int{}
 	for index, machine := range side.world.removed() {
@@ -161,7 +162,7 @@
 	side.world.vanish(machine)
 }
 
-// hasSeat is whether a disk of the deployment still counts a machine's vote.
+// isVoter reports whether any disk of the deployment lists a machine as a voter.
 func (world *World) hasSeat(machine *Core) bool {
 	for _, disk := range world.voterDisks() {
 		if slices.Contains(seats(disk), machine.InternalAddress) {
@@ -171,12 +172,12 @@
 	return false
 }
 
-// turnSeeds names three of the cores there are to all that start from now on.
+// refreshSeeds makes three current cores the seeds of all processes started from now on.
 func (side *replacer) turnSeeds() {
 	side.world.TurnSeeds(side.world.operatorSeeds()...)
 }
 
-// cutOff cuts a core from all others and from the members, for 20 s at most.
+// cutOff cuts a core's outgoing links, incoming links or both to the other cores, for 2 to 20 s.
 func (side *replacer) cutOff(index int, from, to bool) {
 	world, machine := side.world, side.world.machine(index)
 	hosts := []string{}
@@ -202,7 +203,7 @@
 	})
 }
 
-// roll stops and starts each core in turn.
+// roll restarts the cores one after the other.
 func (side *replacer) roll() {
 	for index := range side.world.Cores {
 		machine := side.world.machine(index)
@@ -214,12 +215,12 @@
 	}
 }
 
-// replacementSeeds are played at least: one run draws but some of the pairs of faults.
+// minReplacementSeeds is the least number of seeds, as one run covers only some pairs of faults.
 const replacementSeeds = 20
 
-// The control side with core replacement beside all other faults, as many lost at a
-// time as a deployment survives: what operators were told lasts and is in force in
-// time, also where an answer was lost and the order came again by another door.
+// Core replacements and all other faults hit the control plane, never more at a time than a
+// deployment tolerates: acknowledged orders last and come into force in time, also if an answer
+// was lost and the order was resent through another daemon.
 func TestControlSideUnderReplacement(test *testing.T) {
 	count := max(*seeds, replacementSeeds)
 	if raced {
@@ -251,11 +252,11 @@
 		world.Until(time.Minute, ended.Load)
 		world.Rest(contactSpan + inForceSpan)
 		if !side.stop(60 * time.Second) {
-			test.Fatal("operators have no answer")
+			test.Fatal("operators have no final answer after 60 s")
 		}
 		side.judge(test)
 		test.Logf(
-			"%d cores, %d removed, faults %v, beside them %v",
+			"%d cores, %d removed, faults %v, link faults %v",
 			len(world.Cores),
 			len(world.Removed),
 			hard.chaos.Done,
--- a/harness/simulation/replace_test.go
+++ b/harness/simulation/replace_test.go
@@ -11,8 +11,8 @@
 	"orchidjunction/rpc"
 )
 
-// A core is gone for good and an empty one comes at another address. The next loss
-// may come sync_s after that one's start, and leaves a majority with everything.
+// A core is lost permanently and an empty one starts at another address. A second loss sync_s
+// after that start leaves a majority with all data.
 func TestReplacedCoreThenSecondLoss(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
@@ -34,7 +34,7 @@
 	})
 }
 
-// The new core starts first, then the old one gets SIGTERM and is no more.
+// The new core starts first, then the old one gets SIGTERM and does not return.
 func TestPlannedReplacementThenLoss(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
@@ -44,7 +44,7 @@
 				begin := time.Now()
 				one.ReplaceCorePlanned(former, one.span(50*time.Millisecond, 1500*time.Millisecond))
 				if took := time.Since(begin); took > 1500*time.Millisecond+retireLimit {
-					one.broke("left after %v", took)
+					one.broke("the planned replacement took %v", took)
 				}
 				one.order(syncSpan / 2)
 				one.restUntil(begin.Add(syncSpan))
@@ -56,16 +56,16 @@
 	})
 }
 
-// A core leaves that alone holds what was acknowledged last: the other one that had
-// it lost its disk, the third was cut off.
+// The core that leaves holds the only copy of the last acknowledged order: the second core
+// with a copy lost its disk, the third was cut off.
 func TestLeavingCoreHoldsTheOnlyFreshCopy(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		for _, back := range []string{"at once", "while it leaves"} {
-			one := newTrial(test, seed, 3, 3, "the wiped one is back "+back)
+		for _, back := range []string{"at once", "while the leader leaves"} {
+			one := newTrial(test, seed, 3, 3, "the wiped core restarts "+back)
 			leader := one.leader()
 			stale, wiped := one.after(leader, 1), one.after(leader, 2)
 			one.isolate(stale, true)
-			one.mustOrder("the third is cut off")
+			one.mustOrder("one core is cut off")
 			one.WipeCore(wiped)
 			one.isolate(stale, false)
 			gap := newcomerGap
@@ -76,14 +76,14 @@
 			one.Rest(gap + one.span(10*time.Millisecond, 500*time.Millisecond))
 			one.StartCore(wiped)
 			wait()
-			one.settled("it left")
+			one.settled("after it left")
 			one.end()
 		}
 	})
 }
 
-// Replacements follow each other until no founding address is left. Members that
-// were there all the time follow; those that start later are told other seeds.
+// Cores are replaced one after the other until no founding address is left. Running members
+// follow; members that start later get other seeds.
 func TestNoFoundingAddressIsLeft(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, way := range []string{"lost", "planned", "mixed"} {
@@ -100,7 +100,7 @@
 				one.restUntil(started.Add(syncSpan))
 				one.keepsAll(fmt.Sprint("replacement ", round+1))
 			}
-			one.settled("three replaced")
+			one.settled("all three replaced")
 			one.TurnSeeds(wires(one.machines())...)
 			late := one.AddMember(1)
 			one.StartMember(late)
@@ -108,13 +108,13 @@
 			one.killAll(true, false)
 			one.Rest(time.Second)
 			one.startAll()
-			one.settled("all lost power")
+			one.settled("after a power loss of all cores")
 			one.end()
 		}
 	})
 }
 
-// A second replacement begins before the first is through.
+// A second replacement begins before the first is complete.
 func TestReplacementDuringAnother(test *testing.T) {
 	type overlap struct {
 		name  string
@@ -145,20 +145,20 @@
 		one.ReplaceCore(first, newcomerGap)
 	}
 	each(test, func(test *testing.T, seed uint64) {
-		for _, case1 := range []overlap{{"both planned", 3, planned}, {"both planned", 5, planned}, {"both lost", 5, lost}, {"one planned, one lost", 5, mixed}, {"the newcomer is lost", 3, newcomerLost}} {
+		for _, case1 := range []overlap{{"both planned", 3, planned}, {"both planned", 5, planned}, {"both lost", 5, lost}, {"one planned, one lost", 5, mixed}, {"the new core is lost", 3, newcomerLost}} {
 			one := newTrial(test, seed, case1.cores, 3, case1.name)
 			first := one.after(one.leader(), int(seed)%2)
 			case1.both(one, first, one.after(first, 1))
 			one.Rest(syncSpan)
-			one.settled("both are through")
-			one.survives("both are through", one.after(first, 2))
+			one.settled("both replacements complete")
+			one.survives("both replacements complete", one.after(first, 2))
 			one.end()
 		}
 	})
 }
 
-// Replacements meet other faults. What these make impossible while they last is not
-// wanted; afterwards everything is there, and each machine votes.
+// Replacements coincide with other faults. During a fault only what is still possible is
+// checked; afterwards all data must be there and each machine must vote.
 func TestReplacementDuringOtherFaults(test *testing.T) {
 	type meeting struct {
 		name  string
@@ -185,13 +185,13 @@
 			one.Rest(longCut)
 			one.isolateMachine(cut, false)
 		}},
-		{"the leaving one is cut off", 3, func(one *trial, leader int) {
+		{"the leaving core is cut off", 3, func(one *trial, leader int) {
 			leaving := one.machine(one.after(leader, int(one.Seed)%2))
 			one.isolateMachine(leaving, true)
 			one.Rest(one.span(10*time.Millisecond, 2*time.Second))
 			one.ReplaceCorePlanned(slices.Index(one.machines(), leaving), newcomerGap)
 		}},
-		{"one way only is cut", 5, func(one *trial, leader int) {
+		{"another cannot send", 5, func(one *trial, leader int) {
 			mute := one.machine(one.after(leader, 1))
 			turn := func(on bool) {
 				for _, other := range one.everyMachine() {
@@ -203,7 +203,7 @@
 			turn(true)
 			one.ReplaceCore(one.after(leader, 2), newcomerGap)
 			one.Rest(syncSpan)
-			one.keepsAll("one is mute, one replaced")
+			one.keepsAll("one cannot send, one replaced")
 			turn(false)
 		}},
 		{"another has lost its disk", 5, func(one *trial, leader int) {
@@ -212,21 +212,21 @@
 			one.Rest(one.span(10*time.Millisecond, time.Second))
 			one.ReplaceCore(one.after(leader, int(one.Seed)%2*2), newcomerGap)
 		}},
-		{"the same has lost its disk", 3, func(one *trial, leader int) {
+		{"the replaced core lost its disk first", 3, func(one *trial, leader int) {
 			one.WipeCore(leader)
 			one.StartCore(leader)
 			one.Rest(one.span(10*time.Millisecond, 300*time.Millisecond))
 			one.ReplaceCore(leader, newcomerGap)
 		}},
-		{"another loses its disk in time", 3, func(one *trial, leader int) {
+		{"another loses its disk after the sync", 3, func(one *trial, leader int) {
 			one.ReplaceCore(leader, newcomerGap)
 			one.Rest(syncSpan)
 			one.order(calmLimit)
 			one.WipeCore(one.after(leader, 1))
 			one.StartCore(one.after(leader, 1))
 		}},
-		{"all are stopped in turn", 5, rolling},
-		{"all are stopped in turn", 3, rolling},
+		{"all others restart in turn", 5, rolling},
+		{"all others restart in turn", 3, rolling},
 		{"connections are reset", 3, func(one *trial, leader int) {
 			wait := one.meanwhile(func() {
 				for range 40 {
@@ -245,13 +245,13 @@
 			one := newTrial(test, seed, meeting.cores, 3, meeting.name)
 			meeting.play(one, one.leader())
 			one.Rest(syncSpan)
-			one.settled("calm again")
+			one.settled("after the fault")
 			one.end()
 		}
 	})
 }
 
-// rolling stops and starts each core in turn while one is replaced as planned.
+// rollDuringReplacement restarts the other cores in turn while one is replaced as planned.
 func rolling(one *trial, leader int) {
 	leaving := one.machine(one.after(leader, int(one.Seed)%2))
 	wait := one.meanwhile(func() {
@@ -269,7 +269,7 @@
 	wait()
 }
 
-// All cores lose power at any moment of a replacement.
+// All cores lose power at a random moment of a replacement.
 func TestAllLosePowerDuringReplacement(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
@@ -294,14 +294,14 @@
 				one.startAll()
 				wait()
 				one.Rest(syncSpan)
-				one.settled("all are back")
+				one.settled("after the restart")
 				one.end()
 			}
 		}
 	})
 }
 
-// Four cores vote from the founding on; three of them are a majority.
+// One of four founding cores is replaced; three are a majority.
 func TestReplacementOfOneOfFour(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for offset := range 2 {
@@ -320,12 +320,12 @@
 	})
 }
 
-// Five cores lose two at a time, nine lose four, and again once the newcomers had
-// their time.
+// Five cores lose two at a time, nine lose four, and as many again once the new cores had time
+// to synchronize.
 func TestAsManyReplacedAsMayBeLost(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{5, 9} {
-			one := newTrial(test, seed, cores, 3, "as many as may be lost")
+			one := newTrial(test, seed, cores, 3, "the largest tolerated minority is replaced")
 			first := one.leader()
 			for offset := range cores / 2 {
 				one.LoseCore(one.after(first, offset))
@@ -347,8 +347,8 @@
 	})
 }
 
-// A core that is cut off, frozen or without power for 20 s keeps its seat as long as
-// nobody comes in its place, and its vote counts again.
+// A core that is cut off, frozen or without power for 20 s remains a voter as long as no
+// learner takes its place, and its vote counts again.
 func TestAbsentCoreKeepsItsSeat(test *testing.T) {
 	const away = 20 * time.Second
 	each(test, func(test *testing.T, seed uint64) {
@@ -365,29 +365,29 @@
 				case "without power":
 					one.KillCore(absent, true)
 				}
-				one.mustOrder("away")
+				one.mustOrder("one core absent")
 				one.Rest(away)
 				one.isolateMachine(machine, false)
 				one.Net.Freeze(machine.Host, false)
 				one.start(machine)
 				one.Rest(syncSpan)
-				one.settled("back")
+				one.settled("the absent core is back")
 				for offset := range cores / 2 {
 					one.LoseCore(one.after(absent, 1+offset))
 				}
-				one.keepsAll("others are lost")
+				one.keepsAll("a minority of the others is lost")
 				one.end()
 			}
 		}
 	})
 }
 
-// A minority that is cut off with newcomers on its side is no quorum, also if these
-// are more than all others; and a newcomer for whom there is no seat takes none.
+// An isolated minority with new cores on its side is no quorum, even if together they
+// outnumber the others; and a new core without a vacant place does not become a voter.
 func TestMinorityWithNewcomersIsNoQuorum(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
-			one := newTrial(test, seed, cores, 0, "cut off with newcomers")
+			one := newTrial(test, seed, cores, 0, "minority cut off with new cores")
 			leader := one.leader()
 			few := []*Core{}
 			for offset := range cores / 2 {
@@ -428,20 +428,20 @@
 			one.mutex.Lock()
 			for _, lead := range one.Leads[before:] {
 				if !slices.ContainsFunc(others, func(machine *Core) bool { return machine.Host == lead.Host }) {
-					one.Broken = append(one.Broken, fmt.Sprintf("%s: %s led", one.name, lead.Host))
+					one.Broken = append(one.Broken, fmt.Sprintf("%s: %s led without a majority", one.name, lead.Host))
 				}
 			}
 			one.mutex.Unlock()
 			turn(false)
 			one.Rest(syncSpan)
-			one.keepsAll("together again")
-			one.votes("together again", founders)
+			one.keepsAll("after healing")
+			one.votes("after healing", founders)
 			one.end()
 		}
 	})
 }
 
-// refuses is whether a core that can't reach a majority acknowledges an order.
+// checkRefuses checks that a core without a majority acknowledges neither orders nor reads.
 func (one *trial) refuses(machine *Core) {
 	client := rpc.NewClient(one.Net.Transport("10.8.0.1"))
 	defer client.Close()
@@ -465,10 +465,10 @@
 	}
 }
 
-// A removed core returns with its old disk and its old seeds. It neither votes nor
-// leads nor acknowledges, and members and newcomers that are told of it alone
-// come to the quorum. Once a place is free it may take that as any newcomer does,
-// under a number that it never had; gone again, its place is another's.
+// A removed core returns with its old disk and seeds. It neither votes nor leads nor
+// acknowledges, and members and new cores whose only seed it is find the quorum. It may take
+// a vacant place like any new core, under an ID that it never had; when it is gone again,
+// another core takes its place.
 func TestRemovedCoreReturns(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, way := range []string{"left as planned", "was lost"} {
@@ -484,24 +484,24 @@
 			one.StartMember(late)
 			one.Rest(syncSpan)
 			one.stays(returned, before)
-			one.settled("it is back")
+			one.settled("the removed core is back")
 			lost := one.after(index, 1)
 			one.LoseCore(lost)
 			one.Rest(newcomerGap)
 			one.Fill(lost, wires([]*Core{returned}))
 			one.Rest(syncSpan)
-			one.keepsAll("a newcomer knows but the one that is back")
+			one.keepsAll("the returned core is the only seed")
 			one.newNumber(returned, former)
 			one.vanish(returned)
 			one.Rest(syncSpan)
-			one.settled("the one that was back is gone")
+			one.settled("the returned core is gone")
 			one.end()
 		}
 	})
 }
 
-// Two removed cores, a majority by the seats that the first of them knew, return
-// cut off from all others, with a newcomer on their side.
+// Two removed cores, a majority of the membership that the first of them knows, return
+// isolated from all others, with a new core on their side.
 func TestRemovedCoresAreNoQuorum(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, way := range []string{"left as planned", "was lost"} {
@@ -536,7 +536,7 @@
 				one.isolateMachine(machine, false)
 			}
 			one.Rest(syncSpan)
-			one.settled("they are in touch")
+			one.settled("after healing")
 			one.stays(returned[0], before)
 			one.stays(returned[1], before)
 			one.end()
@@ -544,7 +544,7 @@
 	})
 }
 
-// voterID is the number under which a machine votes by its own disk, 0 for none.
+// voterID returns the voter ID of a machine according to its own disk, 0 for none.
 func voterID(machine *Core) int {
 	store, err := replica.OpenStore(machine.Disk.Copy())
 	if err != nil || store.State().Membership() == nil {
@@ -558,8 +558,8 @@
 	return 0
 }
 
-// newNumber wants the voters to be as many as ever, all of them running, and none of
-// them under a former number of this machine.
+// checkNewVoterID checks that there are as many voters as cores, that all of them run, and that
+// the machine does not vote under its former ID.
 func (one *trial) newNumber(machine *Core, former int) {
 	running := func(address string) bool {
 		return slices.ContainsFunc(one.everyMachine(), func(other *Core) bool {
@@ -572,14 +572,14 @@
 		held = seats(one.machine(one.leader()).Disk)
 		return len(held) == len(one.Cores) && !slices.ContainsFunc(held, func(address string) bool { return !running(address) })
 	}) {
-		one.broke("the seats are %v", held)
+		one.broke("voters are %v, want one running voter for each core", held)
 	}
 	if slices.Contains(held, machine.InternalAddress) && voterID(machine) == former {
-		one.broke("%s votes again as %d", machine.Host, former)
+		one.broke("%s votes again under its former ID %d", machine.Host, former)
 	}
 }
 
-// removeAt replaces a core one way or the other, and gives the newcomer its time.
+// replaceAndSync replaces a core, planned or not, and gives the new one time to synchronize.
 func (one *trial) removeAt(way string, index int) {
 	if way == "was lost" {
 		one.ReplaceCore(index, newcomerGap)
@@ -589,40 +589,41 @@
 	one.Rest(syncSpan)
 }
 
-// stays is whether a core without a seat has led or leads.
+// checkNeverLeads checks that a core that is no voter runs, and has not led since the first
+// before leaderships.
 func (one *trial) stays(machine *Core, before int) {
 	if core := machine.life(one.World); core == nil || core.Leads() {
-		one.broke("%s runs %v, and leads", machine.Host, core != nil)
+		one.broke("%s: running %v, want a running core that does not lead", machine.Host, core != nil)
 	}
 	one.mutex.Lock()
 	defer one.mutex.Unlock()
 	for _, lead := range one.Leads[before:] {
 		if lead.Host == machine.Host {
-			one.Broken = append(one.Broken, fmt.Sprintf("%s: %s led under %s", one.name, lead.Host, lead.Term))
+			one.Broken = append(one.Broken, fmt.Sprintf("%s: %s led in term %s without being a voter", one.name, lead.Host, lead.Term))
 		}
 	}
 }
 
-// A newcomer's seeds name a machine that is gone, one that is cut off for a while,
-// or other newcomers; it comes to the quorum nonetheless.
+// A new core's seeds name lost machines, one that is cut off for a while, or other new cores;
+// it finds the quorum nonetheless.
 func TestNewcomerFindsTheQuorum(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		for _, way := range []string{"two are dead", "cut off for a while", "a newcomer", "restarted while it catches up"} {
+		for _, way := range []string{"two of three seeds are lost", "the only running seed is cut off for a while", "a seed is a new core", "restarted while it catches up"} {
 			one := newTrial(test, seed, 5, 3, way)
 			lost := []int{one.after(int(seed), 0), one.after(int(seed), 1)}
 			gone := []*Core{one.LoseCore(lost[0]), one.LoseCore(lost[1])}
 			one.Rest(newcomerGap)
 			alive := one.machine(one.after(lost[1], 1))
 			switch way {
-			case "two are dead":
+			case "two of three seeds are lost":
 				one.Fill(lost[0], wires([]*Core{gone[0], gone[1], alive}))
-			case "cut off for a while":
+			case "the only running seed is cut off for a while":
 				one.isolateMachine(alive, true)
 				one.Fill(lost[0], wires([]*Core{gone[0], alive}))
 				one.isolateMachine(alive, true)
 				one.Rest(2 * time.Second)
 				one.isolateMachine(alive, false)
-			case "a newcomer":
+			case "a seed is a new core":
 				first := one.Fill(lost[0], wires([]*Core{gone[0], alive}))
 				one.Fill(lost[1], wires([]*Core{gone[0], gone[1], first}))
 			case "restarted while it catches up":
@@ -637,7 +638,7 @@
 				one.Fill(lost[1], nil)
 			}
 			one.Rest(syncSpan)
-			one.settled("two newcomers")
+			one.settled("two new cores")
 			one.end()
 		}
 	})
--- a/harness/simulation/replaced_test.go
+++ b/harness/simulation/replaced_test.go
@@ -15,13 +15,13 @@
 	"orchidjunction/rpc"
 )
 
-// Spare is a core machine beside the founding ones: it has seeds and no ID.
+// Spare is a core machine that is not a founding one: it has seeds and no ID.
 type Spare struct {
 	*Core
 	counters *metrics.Counters
 }
 
-// StartSpare starts a core on an empty disk that finds the others by its seeds.
+// StartSpare starts a core with an empty disk that finds the others through its seeds.
 func (world *World) StartSpare(number int) *Spare {
 	host := fmt.Sprintf("10.%d.1.%d", world.Base, number)
 	spare := &Spare{
@@ -73,7 +73,7 @@
 	return spare
 }
 
-// EndSpare ends a spare core at once.
+// EndSpare kills a spare core.
 func (world *World) EndSpare(spare *Spare) {
 	if !world.ends(&spare.Alive) {
 		return
@@ -86,21 +86,21 @@
 	spare.client.Close()
 }
 
-// cutDaemons cuts a core from every daemon, or joins it to them again.
+// cutDaemons cuts a core off from all daemons, or joins them again.
 func (world *World) cutDaemons(core *Core, cut bool) {
 	for _, daemon := range world.Daemons {
 		world.Net.Cut(core.Host, daemon.Host, cut)
 	}
 }
 
-// wholeClaims is whether a core says that it lacks no claim it should hold.
+// hasAllClaims reports whether a core says that it holds all claims it should.
 func wholeClaims(core *Core) bool {
 	response, err := rpc.Call(core.client, core.InternalAddress, message.MethodFetchClaims, time.Second, &message.FetchClaimsRequest{})
 	return err == nil && response.Complete
 }
 
-// upWithKeepers starts the system with a backend in each zone, and waits until all
-// proxies keep keys.
+// startWithKeyReplicas starts the system with a backend in each zone, and waits until all
+// proxies are key replicas.
 func (world *World) upWithKeepers(test *testing.T) {
 	test.Helper()
 	for _, zone := range []string{"e1", "w1", "s1"} {
@@ -108,14 +108,14 @@
 	}
 	world.up(test, 8)
 	if !world.Until(5*time.Second, func() bool { return world.keepers() == 6 }) {
-		test.Fatalf("%d keepers", world.keepers())
+		test.Fatalf("%d key replicas, want 6", world.keepers())
 	}
 	world.Rest(time.Second)
 }
 
-// A core that the others lost, but not the proxies, is replaced. Before and after
-// that, keys are claimed at this core and at one other; then every proxy dies, and
-// only the cores that were not asked are there: no key may be new to them.
+// A core that the other cores cannot reach, but the proxies can, is replaced. Before and after
+// that, keys are claimed at it and at one other core; then all proxies are killed and only the
+// cores without these requests are reachable: they must know every key.
 func TestReplacedCoreKeepsNoClaimToItself(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -153,8 +153,8 @@
 	})
 }
 
-// Every core is replaced, one after the other, each for good. Each newcomer comes to
-// lack no claim, and the last three know the keys that only the first three were told.
+// Every core is replaced permanently, one after the other. Each new core gets all claims, and
+// the last three know the keys that were claimed only at the first three.
 func TestClaimsOutliveEveryFoundingCore(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -166,9 +166,9 @@
 			spare := world.replaceCore(test, index, number+1)
 			begin := time.Now()
 			if !world.Until(10*time.Second, func() bool { return wholeClaims(spare.Core) }) {
-				test.Fatalf("replacement %d: the newcomer still lacks claims", number+1)
+				test.Fatalf("replacement %d: the new core still lacks claims after 10 s", number+1)
 			}
-			test.Logf("replacement %d: whole after another %v", number+1, time.Since(begin))
+			test.Logf("replacement %d: all claims after another %v", number+1, time.Since(begin))
 			world.Cores[index] = spare.Core
 			tries = append(tries, world.pay(10, 1000*(number+1))...)
 		}
@@ -185,7 +185,7 @@
 		details := world.judge(nil, standin.LoadReport{Tries: tries})
 		test.Logf("%s, %d replayed", details["no key charged twice"], replays)
 		if replays == 0 {
-			test.Error("nothing was replayed")
+			test.Error("no answer was replayed")
 		}
 		world.reportWithSpares(test)
 	})
--- a/harness/simulation/returned_test.go
+++ b/harness/simulation/returned_test.go
@@ -8,7 +8,7 @@
 	"orchidjunction/message"
 )
 
-// replaceCore kills a core for good and lets a spare one take its place.
+// replaceWithSpare kills a core and waits until a spare one has taken its place.
 func (world *World) replaceCore(test *testing.T, index, number int) *Spare {
 	test.Helper()
 	world.KillCore(index, true)
@@ -20,9 +20,9 @@
 	return spare
 }
 
-// Cores that restart with flags which still name a replaced one count by their disks.
-// The replaced one, back with its old disk and flags, makes no majority with another
-// one, and votes again only under a new ID, in the place of one that is gone.
+// Cores that restart with flags that still name a replaced core use the membership on their
+// disks. The replaced core, restarted with its old disk and flags, forms no majority with
+// another one, and votes again only under a new ID, in the place of a lost core.
 func TestReplacedCoreReturns(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -34,7 +34,7 @@
 		defer world.EndSpare(spare)
 		client := world.Client(world.Daemons[1].OperatorAddress)
 		if err := world.changeSettings(client, 1); err != nil {
-			test.Fatalf("after the replacement: %v", err)
+			test.Fatalf("change after the replacement: %v", err)
 		}
 		for _, index := range []int{one, two} {
 			world.KillCore(index, true)
@@ -44,11 +44,11 @@
 		world.StartCore(old)
 		world.Rest(8 * time.Second)
 		if world.Leader() >= 0 || world.Cores[old].Core.CanVote() {
-			test.Errorf("a replaced core makes a majority: leader %d, it votes: %v", world.Leader(), world.Cores[old].Core.CanVote())
+			test.Errorf("a replaced core counts for a majority: leader %d, replaced core votes %v", world.Leader(), world.Cores[old].Core.CanVote())
 		}
 		world.Net.Freeze(spare.Host, false)
 		if err := world.changeSettings(client, 2); err != nil {
-			test.Errorf("with one founding core and the spare one: %v", err)
+			test.Errorf("change with one founding core and the spare: %v", err)
 		}
 		again := func() bool {
 			response := world.membership(test, client)
@@ -57,22 +57,22 @@
 			})
 		}
 		if !world.Until(10*time.Second, again) {
-			test.Errorf("back, it does not take the place of the one that is gone: %+v", world.membership(test, client))
+			test.Errorf("the returned core does not take the lost core's place: %+v", world.membership(test, client))
 		}
 		world.StartCore(two)
 		world.Rest(2 * time.Second)
 		if world.Cores[two].Core.CanVote() {
-			test.Error("the next replaced core votes when it is back")
+			test.Error("the second replaced core votes after its restart")
 		}
 		if err := world.changeSettings(client, 3); err != nil {
-			test.Errorf("at the end: %v", err)
+			test.Errorf("change at the end: %v", err)
 		}
 		world.reportWithSpares(test)
 	})
 }
 
-// All cores stop, one gets another address, and all get flags that say so: nobody was
-// ever replaced, so the flags count.
+// All cores stop, one gets another address, and all restart with flags that name it: as no core
+// was ever replaced, the flags apply.
 func TestCoreMovesWhileNoneWasReplaced(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -104,11 +104,11 @@
 		world.KillCore((int(seed)+1)%3, true)
 		client = world.Client(moved.OperatorAddress)
 		if err := world.changeSettings(client, 3); err != nil {
-			test.Errorf("with the moved core and one other: %v", err)
+			test.Errorf("change with the moved core and one other: %v", err)
 		}
 		response := world.membership(test, client)
 		if response.Version != 1 || voters(response) != "[1 2 3]" || response.Voters[moved.ID-1].Address != moved.InternalAddress {
-			test.Errorf("%+v", response)
+			test.Errorf("membership %+v", response)
 		}
 		world.report(test)
 	})
--- a/harness/simulation/rollout_test.go
+++ b/harness/simulation/rollout_test.go
@@ -21,7 +21,7 @@
 
 const (
 	rolloutTerm      = 14 * time.Second
-	rolloutRequests  = 40 // of each member between two looks at its counts
+	rolloutRequests  = 40 // of each member between two reads of its counts
 	rolloutBackends  = 12 // of each version
 	rolloutMembers   = 6
 	rolloutPatience  = 3 * rolloutTerm
@@ -30,8 +30,8 @@
 
 var rolloutOrder = message.RolloutOrder{Service: "desk", Target: "v2", TermMs: rolloutTerm.Milliseconds()}
 
-// rolledService is a service of whose version v2 the platform lists backends once it is
-// ordered; the members count requests by the step that is in force at them.
+// rolledService is a service whose backends of version v2 are listed once its roll-out is
+// ordered; members count requests under the step that is in force there.
 type rolledService struct {
 	world    *World
 	failures uint64 // of 100 requests at v2
@@ -42,7 +42,7 @@
 	steps    map[string]message.Rollout               // in force at members
 }
 
-// newRolledService begins a world with the service and its members.
+// newRolledService starts a world with the service and its members.
 func newRolledService(test *testing.T, seed uint64, failures uint64) *rolledService {
 	world := NewFarWorld(seed, 5)
 	service := &rolledService{
@@ -92,8 +92,8 @@
 	return page
 }
 
-// inForce checks a version that a member puts in force: it never has backends of v2 without
-// an order, nor goes back a step.
+// inForce checks a version that comes into force at a member: it has no backends of v2 without
+// an order, and does not go back a step.
 func (service *rolledService) inForce(member string, version *agent.Version) {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
@@ -113,7 +113,7 @@
 	}
 }
 
-// count serves some requests at a member and returns what it counted so far.
+// count simulates some requests at a member and returns its counts so far.
 func (service *rolledService) count(member string) []message.RolloutCounts {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
@@ -136,7 +136,7 @@
 	return slices.Collect(maps.Values(service.counts[member]))
 }
 
-// order orders v2, whose backends are listed from then on.
+// order orders the roll-out of v2, whose backends are listed from then on.
 func (service *rolledService) order(test *testing.T) uint64 {
 	test.Helper()
 	response, err := service.world.OrderRollout(rolloutOrder)
@@ -149,7 +149,7 @@
 	return response.ID
 }
 
-// read returns the confirmed roll-out, a zero one while nobody confirms it.
+// read returns the confirmed roll-out, or a zero one if none can be confirmed.
 func (service *rolledService) read() message.Rollout {
 	response, err := service.world.ReadRollout("desk")
 	if err != nil {
@@ -162,7 +162,7 @@
 func (service *rolledService) awaitPhase(test *testing.T, phase message.RolloutPhase) {
 	test.Helper()
 	if !service.world.Until(rolloutPatience, func() bool { return service.read().Phase == phase }) {
-		test.Fatalf("not %s but %+v", phase, service.read())
+		test.Fatalf("roll-out did not become %s: %+v", phase, service.read())
 	}
 	isInForce := func() bool {
 		service.mutex.Lock()
@@ -179,8 +179,8 @@
 	}
 }
 
-// A roll-out that is ordered is acknowledged and complete by its term, and its state can be
-// read from then on; the platform's backends of a new version do nothing before the order.
+// An ordered roll-out is acknowledged and complete within its term, and its state can be read;
+// no member has the listed backends of the new version before the order.
 func TestRolloutIsComplete(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
@@ -193,13 +193,13 @@
 		service.order(test)
 		service.awaitPhase(test, message.RolloutComplete)
 		if took := time.Since(begin); took > rolloutTerm {
-			test.Errorf("complete after %v", took)
+			test.Errorf("roll-out complete after %v, later than its term", took)
 		}
 		service.world.report(test)
 	})
 }
 
-// A version that fails is reverted at all proxies soon after its first failures.
+// A failing version is reverted at all members soon after its first failures.
 func TestBadRolloutIsReverted(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 33)
@@ -208,14 +208,14 @@
 		service.order(test)
 		service.awaitPhase(test, message.RolloutReverted)
 		if took := time.Since(begin); took > 8*time.Second {
-			test.Errorf("reverted after %v", took)
+			test.Errorf("roll-out reverted after %v, want at most 8 s", took)
 		}
 		service.world.report(test)
 	})
 }
 
-// The next leader takes up a roll-out where the former one left it, at each of its steps, and
-// begins none anew: no member goes back a step, and the order stays one.
+// The next leader continues a roll-out at the step where the former one left it and starts no
+// other: no member goes back a step, and the order keeps its ID.
 func TestRolloutOutlivesItsLeader(test *testing.T) {
 	for step := range rolloutStepCount {
 		test.Run(fmt.Sprint("step ", step), func(test *testing.T) {
@@ -225,7 +225,7 @@
 				id := service.order(test)
 				reached := service.world.Until(rolloutTerm, func() bool { return service.read().Step >= step })
 				if !reached {
-					test.Fatalf("no step %d", step)
+					test.Fatalf("step %d not reached", step)
 				}
 				before := service.read()
 				leader := service.world.calm(test)
@@ -236,10 +236,10 @@
 				service.world.StartCore(leader)
 				ended := func() bool { return service.read().Phase > message.RolloutActive }
 				if !service.world.Until(rolloutPatience, ended) {
-					test.Fatalf("not ended: %+v", service.read())
+					test.Fatalf("roll-out not finished: %+v", service.read())
 				}
 				if after := service.read(); after.ID != id || after.Step < before.Step {
-					test.Errorf("was %+v, is %+v", before, after)
+					test.Errorf("roll-out went back from %+v to %+v, or changed its ID", before, after)
 				}
 				service.world.report(test)
 			})
@@ -247,8 +247,8 @@
 	}
 }
 
-// An order that was acknowledged is there after the loss of power of all cores and members;
-// sent again, as if its answer was lost, it begins no second roll-out.
+// An acknowledged order survives a power loss of all cores and members; resent, as if its
+// answer was lost, it starts no second roll-out.
 func TestAcknowledgedRolloutOutlivesAll(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
@@ -261,23 +261,23 @@
 		service.mutex.Unlock()
 		service.world.startAll()
 		if !service.world.Until(10*time.Second, func() bool { return service.read().ID == id }) {
-			test.Fatalf("%+v, want roll-out %d", service.read(), id)
+			test.Fatalf("got roll-out %+v, want ID %d", service.read(), id)
 		}
 		if again := service.order(test); again != id {
-			test.Errorf("the order again began roll-out %d", again)
+			test.Errorf("the repeated order started roll-out %d", again)
 		}
 		other := message.RolloutOrder{Service: "desk", Target: "v3", TermMs: rolloutTerm.Milliseconds()}
 		if service.read().Phase == message.RolloutActive {
 			if _, err := service.world.OrderRollout(other); rpc.CodeOf(err) != rpc.RolloutActive {
-				test.Errorf("another version meanwhile: %v", err)
+				test.Errorf("order of another version during the roll-out: got %v, want rollout_active", err)
 			}
 		}
 		service.world.report(test)
 	})
 }
 
-// An order whose answer is lost with its leader is sent again until it is acknowledged, and
-// begins one roll-out, whether or not the lost leader had carried it out.
+// An order whose answer is lost with the leader is resent until it is acknowledged, and starts
+// one roll-out, whether or not the lost leader had committed it.
 func TestRolloutOrderWithLostAnswerBeginsOne(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
@@ -295,21 +295,21 @@
 		}
 		service.world.StartCore(leader)
 		if again := service.order(test); again != 1 || service.read().ID != 1 {
-			test.Errorf("the order again began roll-out %d, newest %+v", again, service.read())
+			test.Errorf("the repeated order started roll-out %d, newest %+v", again, service.read())
 		}
 		service.world.report(test)
 	})
 }
 
-// A member that is cut off during the steps does not let the roll-out go on blindly, and one
-// that starts anew during it gets the present step before it has a backend of the version.
+// A roll-out does not advance unobserved while a member is missing; the member gets the current
+// step after its restart, before it has backends of the new version.
 func TestMemberMissesTheRolloutsSteps(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseFar()
 		service.order(test)
 		if !service.world.Until(rolloutTerm, func() bool { return service.read().Step > 0 }) {
-			test.Fatal("no step")
+			test.Fatal("no step after the first")
 		}
 		one := service.world.Members[int(seed)%rolloutMembers]
 		service.world.KillMember(one)
@@ -324,8 +324,8 @@
 	})
 }
 
-// The product's own interface starts, shows and aborts a roll-out; an abort gives all requests
-// back to the former version, and what is wrong is refused with a code.
+// The roll-out API starts, shows and aborts a roll-out; an abort returns all requests to the
+// former version, and invalid requests are refused with the right status.
 func TestRolloutByTheOwnInterface(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
@@ -335,7 +335,7 @@
 			recorder, status := httptest.NewRecorder(), agent.RolloutStatus{}
 			api.ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
 			if err := json.Unmarshal(recorder.Body.Bytes(), &status); err != nil {
-				test.Errorf("%s %s: %s", method, path, recorder.Body)
+				test.Errorf("%s %s: invalid JSON: %s", method, path, recorder.Body)
 			}
 			return recorder.Code, status
 		}
@@ -354,14 +354,14 @@
 		}
 		status, receipt := call(http.MethodPost, "/v1/rollouts", `{"service":"desk","target":"v2","term_ms":14000}`)
 		if status != http.StatusOK || receipt.ID != 1 {
-			test.Fatalf("%d %+v", status, receipt)
+			test.Fatalf("order: %d %+v", status, receipt)
 		}
 		status, shown := call(http.MethodGet, "/v1/rollouts/desk", "")
 		if status != http.StatusOK || shown.Phase != "active" || shown.Target != "v2" {
-			test.Errorf("%d %+v", status, shown)
+			test.Errorf("read: %d %+v", status, shown)
 		}
 		if status, _ := call(http.MethodDelete, "/v1/rollouts/desk", ""); status != 200 {
-			test.Errorf("abort: %d", status)
+			test.Errorf("abort: status %d", status)
 		}
 		service.awaitPhase(test, message.RolloutReverted)
 		service.world.report(test)
--- a/harness/simulation/routing_test.go
+++ b/harness/simulation/routing_test.go
@@ -13,7 +13,7 @@
 	"orchidjunction/rpc"
 )
 
-// farUp starts the cores and members of a far world and puts routing 1 in force.
+// startFar starts the cores and members of a far world and puts routing 1 in force.
 func (world *World) farUp(test *testing.T, members int) {
 	test.Helper()
 	for index := range world.Cores {
@@ -29,10 +29,11 @@
 		test.Fatal(err)
 	}
 	if !world.Until(5*time.Second, world.membersReady) {
-		test.Fatal("members not ready")
+		test.Fatal("members not ready within 5 s")
 	}
 }
 
+// membersReady reports whether all members are ready.
 func (world *World) membersReady() bool {
 	for _, one := range world.Members {
 		if !one.Daemon.Ready() {
@@ -42,7 +43,8 @@
 	return true
 }
 
-// reached is how long after now all living members have a routing in force.
+// waitRouting waits until a routing is in force at all running members, and returns how long
+// that took.
 func (world *World) reached(version uint64, limit time.Duration) (time.Duration, bool) {
 	begin := time.Now()
 	whole := world.Until(limit, func() bool {
@@ -56,8 +58,8 @@
 	return time.Since(begin), whole
 }
 
-// A routing is taken once, a repeat is told so, and neither an old version nor
-// another base nor an invalid one gets in; of two at once one does.
+// A routing is accepted once and its repeats are acknowledged; an old version, a wrong base or
+// an invalid routing is refused; of two concurrent orders on one base exactly one is accepted.
 func TestRoutingTakenRepeatedStaleRaced(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -72,14 +74,14 @@
 				got = rpc.CodeOf(err)
 			}
 			if got != step.want {
-				world.broke("%d on %d: %q, want %q", step.version, step.base, got, step.want)
+				world.broke("version %d on base %d: got code %q, want %q", step.version, step.base, got, step.want)
 			}
 		}
 		invalid := Routing(10)
 		invalid.Routes[0].Service = "nobody"
 		body, _ := rpc.Marshal(&routing.Change{Version: 10, Base: 9, Digest: "wrong", Whole: invalid})
 		if _, err := order(world, world.holds(), message.MethodRoutingChange, &message.RoutingChangeRequest{Body: body}); err == nil {
-			world.broke("an invalid routing was taken")
+			world.broke("an invalid routing was accepted")
 		}
 		last := uint64(9)
 		for round := range 10 {
@@ -106,27 +108,27 @@
 				world.StartCore(leader)
 			}
 			if !world.Until(20*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return done == 2 }) {
-				test.Fatal("no answer")
+				test.Fatal("no final answer to concurrent orders within 20 s")
 			}
 			if len(taken) != 1 || refused != 1 {
-				world.broke("round %d on %d: %v taken, %d refused", round, last, taken, refused)
+				world.broke("round %d on base %d: %v accepted, %d refused, want one each", round, last, taken, refused)
 			}
 			state, err := world.Book()
 			if err != nil || len(taken) > 0 && state.Config.Version != taken[0] {
-				world.broke("round %d: %v taken, read back %+v %v", round, taken, state, err)
+				world.broke("round %d: %v accepted, read back %+v, error %v", round, taken, state, err)
 				break
 			}
 			last = state.Config.Version
 		}
 		took, whole := world.reached(last, 2*time.Second)
 		if !whole {
-			world.broke("routing %d is not everywhere after %v", last, took)
+			world.broke("routing %d is not in force at all members after %v", last, took)
 		}
 		world.report(test)
 	})
 }
 
-// A patch changes what it names and keeps the rest, also which zones are emptied.
+// A patch changes what it names and keeps everything else, including the evacuated zones.
 func TestRoutingPatchKeepsTheRest(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -143,19 +145,19 @@
 		}
 		state, err := world.Book()
 		if err != nil || state.Config.Version != 2 || len(state.Config.Routes) != 2 || fmt.Sprint(state.Evacuated) != "[z1]" {
-			world.broke("after the patch: %+v %v", state, err)
+			world.broke("state after the patch: %+v, error %v", state, err)
 		}
 		if took, whole := world.reached(2, time.Second); !whole {
-			world.broke("not everywhere after %v", took)
+			world.broke("the patch is not in force after %v", took)
 		} else if held := world.Members[0].Daemon.Version().Routing; fmt.Sprint(held.Evacuated) != "[z1]" || held.History.Count > 0 {
-			world.broke("a member holds %+v", held)
+			world.broke("the member's routing is %+v, want z1 evacuated and no history", held)
 		}
 		world.report(test)
 	})
 }
 
-// Emptied zones and the newest routing last when the leader dies just after it
-// acknowledged, when power goes everywhere, and when one disk is lost with it.
+// Evacuated zones and the newest routing survive if the leader loses power, or its disk, just
+// after the acknowledgement, and if all cores lose power and one of them its disk.
 func TestAcknowledgedLastsEverything(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -204,11 +206,11 @@
 			}
 			for zone, emptied := range want {
 				if held[zone] != emptied {
-					world.broke("round %d: %s emptied %v, read back %v", round, zone, emptied, state.Evacuated)
+					world.broke("round %d: zone %s: evacuated %v acknowledged, read back %v", round, zone, emptied, state.Evacuated)
 				}
 			}
 			if state.Config.Version != version {
-				world.broke("round %d: version %d, read back %d", round, version, state.Config.Version)
+				world.broke("round %d: version %d acknowledged, %d read back", round, version, state.Config.Version)
 			}
 			world.Until(15*time.Second, func() bool {
 				for _, machine := range world.Cores {
@@ -223,8 +225,8 @@
 	})
 }
 
-// What an operator waits who orders a routing while the leader is stopped, with
-// a warning and without, or frozen; and how soon it is in force everywhere.
+// Bounds an operator's wait for an acknowledgement while the leader is stopped gracefully,
+// killed, frozen or cut off, and the time until the routing is in force at all members.
 func TestFarLeaderChange(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -260,15 +262,15 @@
 			spread, whole := world.reached(version, 5*time.Second)
 			most := map[string]time.Duration{"calm": 400 * time.Millisecond, "planned": 1200 * time.Millisecond, "killed": 4 * time.Second, "frozen": 4 * time.Second, "cut": 4 * time.Second}[kind]
 			if wait > most {
-				world.broke("%s: an operator waited %v", kind, wait)
+				world.broke("%s: acknowledged after %v, too late", kind, wait)
 			}
 			if !whole || kind == "calm" && spread > 400*time.Millisecond || spread > 2*time.Second {
-				world.broke("%s: in force after %v, everywhere: %v", kind, spread, whole)
+				world.broke("%s: distribution took %v, in force at all members: %v", kind, spread, whole)
 			}
 			if !world.membersReady() {
 				world.broke("%s: a member is not ready", kind)
 			}
-			test.Logf("%s: acknowledged after %v, everywhere %v later", kind, wait, spread)
+			test.Logf("%s: acknowledged after %v, in force at all members %v later", kind, wait, spread)
 			switch kind {
 			case "frozen":
 				world.Net.Freeze(world.Cores[leader].Host, false)
@@ -288,8 +290,8 @@
 	})
 }
 
-// A member that is cut off from all cores stays ready on what it holds, and
-// catches up once it is back; one that stood still asks first.
+// A member cut off from all cores stays ready with the routing it has, and catches up once it
+// is connected again.
 func TestMemberServesAlone(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
@@ -308,20 +310,20 @@
 		for range 100 {
 			world.Rest(100 * time.Millisecond)
 			if !lone.Daemon.Ready() || lone.Daemon.Version().Routing.Config.Version != 1 {
-				world.broke("cut off: ready %v, version %d", lone.Daemon.Ready(), lone.Daemon.Version().Routing.Config.Version)
+				world.broke("cut off: ready %v, version %d, want a ready member with version 1", lone.Daemon.Ready(), lone.Daemon.Version().Routing.Config.Version)
 				break
 			}
 		}
 		cut(false)
 		if took, whole := world.reached(2, 4*time.Second); !whole {
-			world.broke("back in touch: not caught up after %v", took)
+			world.broke("reconnected: not caught up after %v", took)
 		}
 		world.report(test)
 	})
 }
 
-// A backend that leaves stays leaving, its warm time moves by no jitter, and it
-// is gone once two whole lists lack it.
+// A leaving backend stays leaving, its warm-up time is not moved by jitter in the list, and it
+// is gone once two complete lists lack it.
 func TestListedBackendsOnlyMoveOn(test *testing.T) {
 	world := func(seed uint64, listed func(call int) []message.Backend) func(test *testing.T) {
 		return func(test *testing.T) {
@@ -340,16 +342,16 @@
 				world.Rest(100 * time.Millisecond)
 				for _, backend := range world.Members[0].Daemon.Version().Table.Backends {
 					if left = left || backend.Leaving; left && !backend.Leaving {
-						world.broke("a backend stays again")
+						world.broke("a leaving backend is no longer leaving")
 					}
 					if warm > 0 && backend.WarmAtMs != 0 && backend.WarmAtMs != warm {
-						world.broke("warm at %d, then %d", warm, backend.WarmAtMs)
+						world.broke("warm-up time changed from %d to %d", warm, backend.WarmAtMs)
 					}
 					warm = backend.WarmAtMs
 				}
 			}
 			if held := world.Members[0].Daemon.Version().Table.Backends; len(held) != 0 || !left {
-				world.broke("left %v, still held: %v", left, held)
+				world.broke("leaving seen %v, backends still listed: %v", left, held)
 			}
 			world.report(test)
 		}
--- a/harness/simulation/scale_test.go
+++ b/harness/simulation/scale_test.go
@@ -11,8 +11,8 @@
 	"orchidjunction/operator"
 )
 
-// What a change and a leader change cost, by the number of daemons and the size
-// of the settings. Virtual time: the machine's speed is not in the figures.
+// Bounds the cost of a settings change and of a leader change by the number of daemons and the
+// size of the settings. Time is virtual, so the machine's speed does not affect the figures.
 func TestCostOfDelivery(test *testing.T) {
 	long(test)
 	sizes, perDaemon := []int{12, 36, 120}, map[int]float64{}
@@ -35,11 +35,11 @@
 			world.StopBackend(world.Backends[2])
 			gone := time.Now()
 			if !world.Until(10*time.Second, func() bool { return world.left(world.Backends[2].Listed.Name) }) {
-				test.Errorf("%d daemons: a dead backend is not left", size)
+				test.Errorf("%d daemons: a dead backend is still considered healthy after 10 s", size)
 			}
-			test.Logf("%d daemons: %.1f probes a second a backend, a dead one left by all in %v", size, looks, time.Since(gone))
+			test.Logf("%d daemons: %.1f probes per second and backend, a dead one detected by all in %v", size, looks, time.Since(gone))
 			if looks > 60 {
-				test.Errorf("%d daemons: %.1f probes a second a backend", size, looks)
+				test.Errorf("%d daemons: %.1f probes per second and backend, want at most 60", size, looks)
 			}
 			later, laterBytes := world.Net.Count()
 			perDaemon[size] = float64(later-calm) / 10 / float64(size)
@@ -76,7 +76,7 @@
 			world.Until(5*time.Second, func() bool { return world.Leader() >= 0 })
 			gap := time.Since(begin)
 			test.Logf(
-				"%d daemons: %.1f messages and %.0f bytes a second a daemon, small change everywhere in %v, %d bytes in %v, leader killed and followed in %v",
+				"%d daemons: %.1f messages and %.0f bytes per second and daemon, small change at all in %v, %d bytes in %v, new leader after %v",
 				size,
 				perDaemon[size],
 				float64(laterBytes-bytes)/10/float64(size),
@@ -86,7 +86,7 @@
 				gap,
 			)
 			if slowest > 2*time.Second || slowLarge > 4*time.Second {
-				test.Errorf("%d daemons: %v and %v to be everywhere", size, slowest, slowLarge)
+				test.Errorf("%d daemons: small change at all daemons after %v, large one after %v", size, slowest, slowLarge)
 			}
 			if gap > time.Second {
 				test.Errorf("%d daemons: %v without a leader", size, gap)
@@ -94,7 +94,7 @@
 		})
 	}
 	if last := sizes[len(sizes)-1]; perDaemon[last] > 1.5*perDaemon[sizes[0]] {
-		test.Errorf("messages a daemon grow from %.1f to %.1f", perDaemon[sizes[0]], perDaemon[last])
+		test.Errorf("messages per daemon grow from %.1f to %.1f", perDaemon[sizes[0]], perDaemon[last])
 	}
 }
 
@@ -105,7 +105,7 @@
 	return count
 }
 
-// left is whether no proxy takes a backend for healthy any more.
+// unhealthyEverywhere reports whether no proxy considers a backend healthy.
 func (world *World) left(name string) bool {
 	for _, daemon := range world.Daemons {
 		if daemon.Proxy == nil {
@@ -120,6 +120,8 @@
 	return true
 }
 
+// waitSerial waits until all daemons have the settings with a serial, and returns how long that
+// took.
 func (world *World) everywhere(test *testing.T, serial uint64) time.Duration {
 	test.Helper()
 	begin := time.Now()
@@ -131,7 +133,7 @@
 		}
 		return true
 	}) {
-		test.Errorf("serial %d is not everywhere after 10 s", serial)
+		test.Errorf("serial %d is not at all daemons after 10 s", serial)
 	}
 	return time.Since(begin)
 }
--- a/harness/simulation/stale_test.go
+++ b/harness/simulation/stale_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A core that missed writes returns just as the leader dies, alone or with a
-// third core's disk: what was acknowledged without it must still win.
+// A core that missed writes returns just as the leader dies, alone or together with a third
+// core's disk: the writes acknowledged without it must survive.
 func TestStaleCoreNeverWins(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -27,7 +27,7 @@
 		}
 		ledger.Stop()
 		world.judge(ledger)
-		test.Logf("%d acknowledged, %d leaderships, faults %v", len(ledger.Acked), len(world.Leads), faults.Done)
+		test.Logf("%d changes acknowledged, %d leaderships, faults %v", len(ledger.Acked), len(world.Leads), faults.Done)
 		world.report(test)
 	})
 }
--- a/harness/simulation/start_test.go
+++ b/harness/simulation/start_test.go
@@ -7,12 +7,13 @@
 	"orchidjunction/operator"
 )
 
+// putFirstSettings puts the first settings, retrying while no core accepts them.
 func (world *World) first(test *testing.T) {
 	test.Helper()
 	if !world.Until(10*time.Second, func() bool {
 		_, err := world.Client(world.Cores[0].OperatorAddress).Put(operator.Change{Base: 0, Change: "first", Settings: Settings(1000)})
 		return err == nil
 	}) {
-		test.Fatal("no first settings")
+		test.Fatal("the first settings were not accepted within 10 s")
 	}
 }
--- a/harness/simulation/stop_test.go
+++ b/harness/simulation/stop_test.go
@@ -9,9 +9,8 @@
 	"orchidjunction/operator"
 )
 
-// Every directory and proxy is stopped with the platform's warning and started
-// again, in turn, while tasks of nearly 5 s, large maps and money are in flight:
-// each task is served whole.
+// Every directory and proxy is terminated gracefully and restarted, one after the other, while
+// tasks of nearly 5 s, large responses and payments are in flight: each is served completely.
 func TestPlannedStopsCutNothing(test *testing.T) {
 	long(test)
 	each(test, func(test *testing.T, seed uint64) {
@@ -48,7 +47,7 @@
 		report := generator.Run(func(span time.Duration) bool { return world.Rest(span) && !done.Load() })
 		client.CloseIdleConnections()
 		details := world.judge(nil, report)
-		test.Logf("%s %v", details["no task in flight lost by planned work"], report.Statuses)
+		test.Logf("%s, statuses %v", details["no task in flight lost by planned work"], report.Statuses)
 		world.report(test)
 	})
 }
--- a/harness/simulation/total_loss_test.go
+++ b/harness/simulation/total_loss_test.go
@@ -13,25 +13,25 @@
 	"orchidjunction/message"
 )
 
-// listTrouble is what becomes of the platform's list after a total loss of power.
+// listFault is how reads of the platform's list fail after a total power loss.
 type listTrouble string
 
 const (
-	listSound  listTrouble = "list sound"
-	listBusy   listTrouble = "list puts off"
-	listSilent listTrouble = "list silent"
-	listFaulty listTrouble = "list refuses"
+	listSound  listTrouble = "list available"
+	listBusy   listTrouble = "list rate-limited"
+	listSilent listTrouble = "list times out"
+	listFaulty listTrouble = "list unavailable"
 )
 
-// totalLoss is a deployment whose machines all lose power soon after an order.
+// totalLoss is a deployment whose machines all lose power shortly after an order.
 type totalLoss struct {
 	*World
 	random  *rand.Rand
-	version atomic.Uint64 // acknowledged
+	version atomic.Uint64 // newest acknowledged
 	list    atomic.Pointer[listState]
 }
 
-// listState is a trouble of the list, and when it begins and ends.
+// listState is a fault of the list with its start and end.
 type listState struct {
 	trouble     listTrouble
 	from, until time.Time
@@ -47,7 +47,7 @@
 	return loss
 }
 
-// listed is the platform's list, or what its trouble makes of it.
+// listed returns the platform's list, or an error according to the current fault.
 func (loss *totalLoss) listed(discovery.PageRequest) discovery.Page {
 	state := loss.list.Load()
 	if time.Now().After(state.from) && time.Now().Before(state.until) {
@@ -72,7 +72,7 @@
 	return least + time.Duration(loss.random.Int64N(int64(most-least)))
 }
 
-// powerOffAll takes the power of every machine at the same moment.
+// powerOffAll cuts the power of all machines at the same moment.
 func (loss *totalLoss) powerOffAll() {
 	for _, machine := range loss.machines() {
 		loss.end(machine, true, func(host string) { loss.Net.Vanish(host, true) })
@@ -83,7 +83,7 @@
 	}
 }
 
-// returnAll starts all machines in any order within a time.
+// startShuffled starts all machines in random order, within the given time on average.
 func (loss *totalLoss) returnAll(within time.Duration) {
 	starts := []func(){}
 	for _, machine := range loss.machines() {
@@ -102,8 +102,8 @@
 	}
 }
 
-// orderNext sends the next routing until it is acknowledged or the time is over, and
-// reports that it was.
+// orderNext sends the next routing until it is acknowledged or the limit has passed, and
+// reports whether it was acknowledged.
 func (loss *totalLoss) orderNext(limit time.Duration) bool {
 	for until := time.Now().Add(limit); time.Now().Before(until); loss.Rest(orderRest) {
 		if len(loss.holds()) == 0 {
@@ -118,8 +118,8 @@
 	return false
 }
 
-// judgeInForce wants an acknowledged version in force at all members, unless nobody has a
-// list of backends yet: what one of them knows, the leader tells the others.
+// checkInForce checks that an acknowledged version is in force at all members, unless none has
+// a list of backends yet: the leader distributes the list that one member knows to the others.
 func (loss *totalLoss) judgeInForce(what string, wanted uint64) {
 	serving := 0
 	for _, one := range loss.Members {
@@ -130,19 +130,19 @@
 		if inForce > 0 && inForce < wanted {
 			version := one.Daemon.Version()
 			loss.broke(
-				"%s: %s serves by %d, %d was acknowledged; it holds routing %d, table %v, complete %v",
+				"%s: %s serves with version %d, %d was acknowledged; routing serial %d, table %v, complete %v",
 				what, one.Name, inForce, wanted, version.RoutingSerial, version.Table.Version, version.Table.Complete,
 			)
 		}
 	}
 	if serving > 0 && serving < len(loss.Members) {
-		loss.broke("%s: %d of %d members know the backends", what, serving, len(loss.Members))
+		loss.broke("%s: only %d of %d members know the backends", what, serving, len(loss.Members))
 	}
 }
 
-// All machines lose power 5 to 400 ms after an order was sent and come back in any order,
-// at times while the platform's list cannot be read. Every daemon in touch serves by the
-// acknowledged version in time, whatever it began with.
+// All machines lose power 5 to 400 ms after an order was sent and restart in random order, in
+// some cases while the platform's list cannot be read. Every connected member serves with the
+// acknowledged version in time, whatever state it started from.
 func TestAcknowledgedIsInForceAfterTotalLoss(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, trouble := range []listTrouble{listSound, listBusy, listSilent, listFaulty} {
@@ -164,7 +164,7 @@
 				back := time.Now()
 				wanted := uint64(round) + 2
 				if !loss.Until(20*time.Second, func() bool { return loss.version.Load() >= wanted }) {
-					loss.broke("%s, round %d: %d is not acknowledged", trouble, round, wanted)
+					loss.broke("%s, round %d: version %d was not acknowledged within 20 s", trouble, round, wanted)
 				}
 				latest := back.Add(contactSpan)
 				if now := time.Now(); now.After(latest) {
@@ -175,7 +175,7 @@
 				loss.Rest(time.Until(until.Add(contactSpan + inForceSpan)))
 				for _, one := range loss.Members {
 					if inForce := one.inForce.Load(); inForce != wanted {
-						loss.broke("%s, round %d: in calm %s serves by %d, %d was acknowledged", trouble, round, one.Name, inForce, wanted)
+						loss.broke("%s, round %d: after recovery %s serves with version %d, %d was acknowledged", trouble, round, one.Name, inForce, wanted)
 					}
 				}
 			}
@@ -185,9 +185,9 @@
 	})
 }
 
-// All machines lose power at the same moment, daemons too, and as many cores lose their
-// disks as a quorum outlives: no process remembers anything. What was acknowledged is read
-// back and in force, an order sent again is known, and terms and IDs go on.
+// All machines, members included, lose power at the same moment, and as many cores as a quorum
+// tolerates lose their disks, so that nothing is left in memory. Acknowledged orders are read
+// back and in force, a resent order is recognized, and terms and IDs continue.
 func TestAcknowledgedOutlivesPowerAndDisks(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		loss := newTotalLoss(test, seed, 3+2*int(seed%2))
@@ -200,7 +200,7 @@
 			}
 			zones = append(zones, zone)
 			if !loss.orderNext(calmLimit) {
-				test.Fatal("no acknowledgement in calm")
+				test.Fatal("order not acknowledged by a stable quorum")
 			}
 			acknowledged := loss.version.Load()
 			if round%2 == 1 {
@@ -223,24 +223,24 @@
 	})
 }
 
-// judgeBook wants what was acknowledged in the confirmed routing, and the newest order
-// acknowledged again when it is sent again. It goes on from what is in force.
+// checkReadBack checks that the confirmed routing has what was acknowledged, and that the
+// newest order is acknowledged again when resent. Later orders build on what was read.
 func (loss *totalLoss) judgeBook(what string, acknowledged uint64, zones []string) {
 	state, err := loss.Book()
 	if err != nil {
-		loss.broke("%s: no read back: %v", what, err)
+		loss.broke("%s: cannot read the routing back: %v", what, err)
 		return
 	}
 	if state.Config.Version < acknowledged {
-		loss.broke("%s: %d was acknowledged, %d read back", what, acknowledged, state.Config.Version)
+		loss.broke("%s: version %d was acknowledged, %d read back", what, acknowledged, state.Config.Version)
 	}
 	for _, zone := range zones {
 		if !slices.Contains(state.Evacuated, zone) {
-			loss.broke("%s: the evacuation of %s is lost", what, zone)
+			loss.broke("%s: the acknowledged evacuation of %s is lost", what, zone)
 		}
 	}
 	if err := loss.Put(acknowledged, acknowledged-1); err != nil {
-		loss.broke("%s: %d sent again: %v", what, acknowledged, err)
+		loss.broke("%s: version %d resent: %v", what, acknowledged, err)
 	}
 	loss.version.Store(state.Config.Version)
 }
--- a/harness/simulation/traffic_test.go
+++ b/harness/simulation/traffic_test.go
@@ -11,7 +11,7 @@
 	"orchidjunction/harness/standin"
 )
 
-// plan is a mix of money, pages and one large receipt.
+// loadPlan returns a mix of payments, pages and a few large pages.
 func (world *World) plan(perSecond int, seconds float64) standin.LoadPlan {
 	plan := standin.LoadPlan{
 		PerSecond: perSecond, Seconds: seconds, Tries: 4, Seed: world.Seed,
@@ -30,7 +30,7 @@
 	return plan
 }
 
-// Backends lose answers, send garbage, break and leave while callers go on.
+// Backends lose answers, send garbage, fail and leave during load.
 func TestBackendsMisbehave(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -59,14 +59,14 @@
 		client.CloseIdleConnections()
 		world.judge(nil, report)
 		if report.Served < report.Asked*8/10 {
-			world.broke("only %d of %d served: %v", report.Served, report.Asked, report.Statuses)
+			world.broke("only %d of %d requests served: %v", report.Served, report.Asked, report.Statuses)
 		}
-		test.Logf("%d asked, %d served, %d unknown, statuses %v", report.Asked, report.Served, report.Unknown, report.Statuses)
+		test.Logf("%d requests, %d served, %d with unknown outcome, statuses %v", report.Asked, report.Served, report.Unknown, report.Statuses)
 		world.report(test)
 	})
 }
 
-// A backend's address goes to another service, and its pipes are still open.
+// A backend's address is reused by another service while connections to it are pooled.
 func TestReusedAddress(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -87,17 +87,17 @@
 		client.CloseIdleConnections()
 		stranger := world.Backends[0].Backend.Seen()
 		if len(stranger.Arrivals) != 0 {
-			world.broke("%d tasks reached another service's backend", len(stranger.Arrivals))
+			world.broke("%d requests reached another service's backend", len(stranger.Arrivals))
 		}
 		world.judge(nil, report)
 		if len(old.Seen().Arrivals) == 0 || report.Served < report.Asked*9/10 {
-			world.broke("%d tasks at the old backend, %d of %d served", len(old.Seen().Arrivals), report.Served, report.Asked)
+			world.broke("%d requests reached the old backend, %d of %d served", len(old.Seen().Arrivals), report.Served, report.Asked)
 		}
 		world.report(test)
 	})
 }
 
-// Wrong callers touch no backend.
+// Refused requests reach no backend.
 func TestRefusalsTouchNoBackend(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -142,17 +142,17 @@
 		}
 		for _, backend := range world.seen() {
 			if len(backend.Arrivals) > 0 {
-				world.broke("%s was touched", backend.Instance)
+				world.broke("a refused request reached %s", backend.Instance)
 			}
 		}
 		for range 20 {
 			world.Rest(100 * time.Millisecond)
 			if status, _ := world.ask(client, "GET", "http://"+front("w1")+"/meters/pages/1", "key-of-birch", "", "", ""); status != 200 {
-				world.broke("a good call got %d", status)
+				world.broke("a valid call got %d", status)
 			}
 		}
 		if south := world.seen()[1]; len(south.Arrivals) > 0 {
-			world.broke("a forbidden region's backend served %d tasks", len(south.Arrivals))
+			world.broke("a forbidden region's backend got %d requests", len(south.Arrivals))
 		}
 		client.CloseIdleConnections()
 		world.report(test)
--- a/harness/simulation/trial_test.go
+++ b/harness/simulation/trial_test.go
@@ -23,8 +23,8 @@
 	evacuatedOne = "z-kept"
 )
 
-// trial is a far world whose cores are replaced while an operator orders one
-// routing on top of the other.
+// replacementScenario is a far world whose cores are replaced while an operator orders a
+// sequence of routings.
 type trial struct {
 	*World
 	test   *testing.T
@@ -34,7 +34,7 @@
 	orders int
 }
 
-// newTrial is up, with one zone evacuated and one routing in force.
+// newScenario starts a scenario with one zone evacuated and one routing ordered.
 func newTrial(test *testing.T, seed uint64, cores, members int, name string) *trial {
 	test.Helper()
 	one := &trial{
@@ -49,11 +49,11 @@
 	if err := one.Evacuate(evacuatedOne, true); err != nil {
 		test.Fatal(one.name, err)
 	}
-	one.mustOrder("at first")
+	one.mustOrder("initial state")
 	return one
 }
 
-// end reports what broke, and closes the world.
+// end reports violations and closes the world.
 func (one *trial) end() {
 	one.test.Helper()
 	one.report(one.test)
@@ -64,15 +64,15 @@
 	one.World.broke("%s: %s", one.name, fmt.Sprintf(format, values...))
 }
 
-// span is a length of time by the seed.
+// randomDuration returns a duration between least and most, drawn by the seed.
 func (one *trial) span(least, most time.Duration) time.Duration {
 	return least + time.Duration(one.random.Int64N(int64(most-least)))
 }
 
 func (one *trial) restUntil(at time.Time) { one.Rest(time.Until(at)) }
 
-// order sends one routing by all doors in turn until it is acknowledged. Every
-// third answer is lost on its way to the operator, who sends the same again.
+// order sends one routing through all daemons in turn until it is acknowledged. For every third
+// order the first answer is lost on its way to the operator, who resends it.
 func (one *trial) order(limit time.Duration) bool {
 	random := rand.New(rand.NewPCG(one.Seed, one.newest))
 	lost := random.IntN(3) == 0
@@ -92,7 +92,7 @@
 			one.orders++
 			return true
 		case rpc.AsError(err).RetryAfterMs == 0:
-			one.broke("%d on %d is refused: %v", one.newest+1, one.newest, err)
+			one.broke("version %d on base %d refused: %v", one.newest+1, one.newest, err)
 			return false
 		}
 		one.Rest(orderRest)
@@ -100,33 +100,34 @@
 	return false
 }
 
-// mustOrder is an order in calm.
+// mustOrder sends an order that must be acknowledged, as a quorum is available.
 func (one *trial) mustOrder(what string) {
 	if begin := time.Now(); !one.order(calmLimit) {
-		one.broke("%s: no acknowledgement in %v of calm", what, time.Since(begin))
+		one.broke("%s: order not acknowledged within %v", what, time.Since(begin))
 	}
 }
 
-// keepsAll is whether all that was acknowledged is there and known everywhere, and
-// orders are acknowledged.
+// checkAcknowledged checks that everything acknowledged is stored and in force at all members,
+// and that a new order is acknowledged.
 func (one *trial) keepsAll(what string) {
 	one.mustOrder(what)
 	state, err := one.Book()
 	switch {
 	case err != nil:
-		one.broke("%s: no read back: %v", what, err)
+		one.broke("%s: cannot read the routing back: %v", what, err)
 	case state.Config.Version != one.newest:
-		one.broke("%s: %d was acknowledged, %d read back", what, one.newest, state.Config.Version)
+		one.broke("%s: version %d was acknowledged, %d read back", what, one.newest, state.Config.Version)
 	case !slices.Contains(state.Evacuated, evacuatedOne):
-		one.broke("%s: the evacuation of %s is lost", what, evacuatedOne)
+		one.broke("%s: the acknowledged evacuation of %s is lost", what, evacuatedOne)
 	}
 	if took, whole := one.reached(one.newest, contactSpan+inForceSpan); !whole {
-		one.broke("%s: members hold %v after %v, %d was acknowledged", what, one.routings(), took, one.newest)
+		one.broke("%s: members serve with versions %v after %v, %d was acknowledged", what, one.routings(), took, one.newest)
 	} else if took > inForceSpan/2 {
-		one.test.Logf("%s: %s: %d in force after %v", one.name, what, one.newest, took)
+		one.test.Logf("%s: %s: version %d in force after %v", one.name, what, one.newest, took)
 	}
 }
 
+// servingVersions returns the version that each member serves with.
 func (one *trial) routings() []uint64 {
 	held := []uint64{}
 	for _, member := range one.Members {
@@ -135,8 +136,8 @@
 	return held
 }
 
-// seats are the addresses of those that vote by what a disk holds, in a step between
-// two groups those of both.
+// voterAddresses returns the addresses of the voters on a disk, those of both memberships
+// during a change.
 func seats(disk *Disk) []string {
 	store, err := replica.OpenStore(disk.Copy())
 	if err != nil {
@@ -151,8 +152,7 @@
 	return slices.Compact(addresses)
 }
 
-// votes waits until exactly these machines have a seat by all of their disks, and
-// use it.
+// checkVoters waits until exactly these machines are voters on all of their disks, and vote.
 func (one *trial) votes(what string, machines []*Core) {
 	wanted := wires(machines)
 	slices.Sort(wanted)
@@ -171,7 +171,7 @@
 	for _, machine := range machines {
 		core := machine.life(one.World)
 		one.broke(
-			"%s: %s votes %v, its disk has the seats %v, want %v",
+			"%s: %s votes %v, voters on its disk %v, want %v",
 			what,
 			machine.Host,
 			core != nil && core.CanVote(),
@@ -181,35 +181,35 @@
 	}
 }
 
-// settled is keepsAll, with a vote for each machine of the deployment.
+// checkRecovered is checkAcknowledged and checkVoters for all machines of the deployment.
 func (one *trial) settled(what string) {
 	one.keepsAll(what)
 	one.votes(what, one.machines())
-	one.keepsAll(what + ", all vote")
+	one.keepsAll(what + ", all voting")
 }
 
-// survives loses machines for good, of those that were there before the newcomers,
-// and wants the rest to go on with everything.
+// checkSurvivesLoss loses the given cores permanently and checks that the others still have
+// everything.
 func (one *trial) survives(what string, indexes ...int) {
 	for _, index := range indexes {
 		one.LoseCore(index)
 	}
-	one.keepsAll(fmt.Sprintf("%s, then cores %v are lost", what, indexes))
+	one.keepsAll(fmt.Sprintf("%s, then cores %v lost", what, indexes))
 }
 
-// leader is the index of the core that leads.
+// leader waits for a leader and returns its index.
 func (one *trial) leader() int {
 	if !one.Until(calmLimit, func() bool { return one.Leader() >= 0 }) {
-		one.broke("no leader")
+		one.broke("no leader within 8 s")
 		return 0
 	}
 	return one.Leader()
 }
 
-// after is the index some places behind another.
+// indexAfter returns the index offset places after another, cyclically.
 func (one *trial) after(index, offset int) int { return (index + offset) % len(one.Cores) }
 
-// meanwhile does something at the same time; wait is until that has ended.
+// concurrently runs do concurrently; wait blocks until it has returned, for up to a minute.
 func (one *trial) meanwhile(do func()) (wait func()) {
 	done := atomic.Bool{}
 	one.goroutines.Start(func() {
@@ -218,7 +218,7 @@
 	})
 	return func() {
 		if !one.Until(time.Minute, done.Load) {
-			one.broke("what went on meanwhile does not end")
+			one.broke("a concurrent step did not end within a minute")
 		}
 	}
 }
--- a/harness/simulation/usage_loss_test.go
+++ b/harness/simulation/usage_loss_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// unflushed is the longest time for which a count may be known to one machine alone.
+// maxUnreplicated is the longest time for which a count may exist on one machine only.
 const unflushed = 600 * time.Millisecond
 
-// usageLoss is what ends all at once while usage is counted.
+// usageLoss is a simultaneous loss of processes while usage is counted.
 type usageLoss struct {
 	name string
-	// strike ends processes, with the leader at an index. Load has requests begin.
+	// inject ends processes, given the leader's index; load generates requests.
 	strike func(world *World, leader int, load func(time.Duration))
 }
 
-// usageLosses are the losses that no count may be lost by, once it is older than unflushed.
+// usageLosses are the losses that every count older than maxUnreplicated must survive.
 func usageLosses() []usageLoss {
 	powerOff := func(world *World) {
 		for _, machine := range world.machines() {
@@ -27,7 +27,7 @@
 		}
 	}
 	return []usageLoss{
-		{"leader and half of those that reported to it", func(world *World, leader int, _ func(time.Duration)) {
+		{"leader and half of the daemons", func(world *World, leader int, _ func(time.Duration)) {
 			world.KillCore(leader, true)
 			for index, one := range world.Members {
 				if index%2 == 0 {
@@ -44,7 +44,7 @@
 			world.Rest(300 * time.Millisecond)
 			world.KillCore(leader, false)
 		}},
-		{"the leader's power, then half of the daemons before there is another", func(world *World, leader int, load func(time.Duration)) {
+		{"the leader's power, then half of the daemons before the next election", func(world *World, leader int, load func(time.Duration)) {
 			host := world.Cores[leader].Host
 			world.end(world.Cores[leader], true, func(host string) { world.Net.Vanish(host, true) })
 			world.Net.Vanish(host, true)
@@ -57,12 +57,12 @@
 			}
 		}},
 		{"all daemons and all cores killed", func(world *World, _ int, _ func(time.Duration)) { world.killAll(false, true) }},
-		{"all power", func(world *World, _ int, _ func(time.Duration)) { powerOff(world) }},
-		{"all power, and the leader's disk", func(world *World, leader int, _ func(time.Duration)) {
+		{"power of all machines", func(world *World, _ int, _ func(time.Duration)) { powerOff(world) }},
+		{"power of all machines, and the leader's disk", func(world *World, leader int, _ func(time.Duration)) {
 			powerOff(world)
 			world.WipeCore(leader)
 		}},
-		{"all power, and the disks of as many others as may be lost", func(world *World, leader int, _ func(time.Duration)) {
+		{"power of all machines, and the disks of a minority of cores", func(world *World, leader int, _ func(time.Duration)) {
 			powerOff(world)
 			for offset := 1; offset <= len(world.Cores)/2; offset++ {
 				world.WipeCore((leader + offset) % len(world.Cores))
@@ -71,7 +71,7 @@
 	}
 }
 
-// returnFrom starts everything but a core that stays away.
+// startAllExcept starts everything except one core; -1 excepts none.
 func (world *World) returnFrom(away int) {
 	for index, machine := range world.machines() {
 		world.Net.Vanish(machine.Host, false)
@@ -86,9 +86,9 @@
 	}
 }
 
-// Processes that counted end together with the core that they reported to, at any moment
-// of a window. Every window is reported once and right; only what was counted within
-// unflushed before the loss may lack.
+// Processes with usage counts end together with the core that they report to, at a random
+// moment of a window. Every window is reported with one correct result; only counts of the last
+// maxUnreplicated before the loss may be missing.
 func TestUsageOutlivesThoseThatKnewIt(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for number, loss := range usageLosses() {
