--- a/harness/simulation/budget_test.go
+++ b/harness/simulation/budget_test.go
@@ -32,7 +32,7 @@
 			world.Rest(time.Second)
 			world.StartDaemon(world.Daemons[1])
 		})
-		plan := world.plan(35, 22)
+		plan := world.loadPlan(35, 22)
 		plan.Calls, plan.Tries = plan.Calls[1:2], 3
 		generator, client := world.Origin(plan)
 		report := generator.Run(world.goroutines.Sleep)
@@ -68,7 +68,7 @@
 				backend.Backend.Misbehave("", 0)
 			}
 		})
-		plan := world.plan(40, 45)
+		plan := world.loadPlan(40, 45)
 		plan.Calls, plan.Tries, plan.Hasty, plan.Patient, plan.Eager = plan.Calls[:2], 6, true, true, 20
 		generator, client := world.Origin(plan)
 		report := generator.Run(world.goroutines.Sleep)
--- a/harness/simulation/catchup_test.go
+++ b/harness/simulation/catchup_test.go
@@ -50,7 +50,7 @@
 // acknowledged last; and no disk ever holds more than a bounded number of bytes.
 func TestCoreCatchesUpAfterManyChanges(test *testing.T) {
 	counts := []int{10, 400, 2000}
-	if raced {
+	if raceEnabled {
 		counts = counts[:1]
 	}
 	for _, count := range counts {
@@ -71,10 +71,10 @@
 func catchUp(test *testing.T, seed uint64, kind string, count int, leads bool) {
 	world := NewFarWorld(seed, 3)
 	defer world.CloseFar()
-	world.farUp(test, 3)
+	world.startFar(test, 3)
 	version := atomic.Uint64{}
 	version.Store(1)
-	index := world.calm(test)
+	index := world.waitStable(test)
 	if !leads {
 		index = (index + 1) % 3
 	}
@@ -85,7 +85,7 @@
 		world.Rest(5 * time.Second) // nobody tries to send it the last change any more
 	}
 	back()
-	missed, begin := world.lasts((index+1)%3), time.Now()
+	missed, begin := world.durableSerial((index+1)%3), time.Now()
 	stop, ended := atomic.Bool{}, atomic.Bool{}
 	world.goroutines.Start(func() {
 		for !stop.Load() && going {
@@ -93,14 +93,14 @@
 		}
 		ended.Store(true)
 	})
-	if !world.Until(6*time.Second, func() bool { return world.lasts(index) >= missed }) {
-		world.broke("holds serial %d, %d were made while it was away", world.lasts(index), missed)
+	if !world.Until(6*time.Second, func() bool { return world.durableSerial(index) >= missed }) {
+		world.broke("holds serial %d, %d were made while it was away", world.durableSerial(index), missed)
 	}
 	took := time.Since(begin)
 	world.Rest(2 * time.Second)
 	stop.Store(true)
 	world.Until(10*time.Second, ended.Load)
-	leader, acknowledged := world.calm(test), version.Load()
+	leader, acknowledged := world.waitStable(test), version.Load()
 	other := 3 - index - leader
 	if leader == index {
 		other = (index + 1) % 3
@@ -129,7 +129,7 @@
 // after it is back, never an older one than it had, by a bounded message.
 func TestMemberCatchesUpAfterManyChanges(test *testing.T) {
 	counts := []int{10, 400}
-	if raced {
+	if raceEnabled {
 		counts = counts[:1]
 	}
 	for _, count := range counts {
@@ -146,7 +146,7 @@
 func memberCatchesUp(test *testing.T, seed uint64, kind string, count int) {
 	world := NewFarWorld(seed, 3)
 	defer world.CloseFar()
-	world.farUp(test, 3)
+	world.startFar(test, 3)
 	version := atomic.Uint64{}
 	version.Store(1)
 	one := world.Members[int(seed)%3]
@@ -172,7 +172,7 @@
 	default:
 		world.StartMember(one)
 	}
-	if took, whole := world.reached(version.Load(), 5*time.Second); !whole {
+	if took, whole := world.waitRouting(version.Load(), 5*time.Second); !whole {
 		world.broke(
 			"%s has routing serial %d in force after %v, version %d was acknowledged",
 			one.Name,
@@ -189,7 +189,7 @@
 func TestReturnedCoreDoesNotLeadWithOldState(test *testing.T) {
 	led := atomic.Int32{}
 	counts := []int{10, 400}
-	if raced {
+	if raceEnabled {
 		counts = []int{10, 20, 30, 40}
 	}
 	for _, count := range counts {
@@ -214,10 +214,10 @@
 func leadsWithNewState(test *testing.T, seed uint64, kind string, count int) bool {
 	world := NewFarWorld(seed, 3)
 	defer world.CloseFar()
-	world.farUp(test, 3)
+	world.startFar(test, 3)
 	version := atomic.Uint64{}
 	version.Store(1)
-	leader := world.calm(test)
+	leader := world.waitStable(test)
 	index := (leader + 1 + int(seed)%2) % 3
 	back := world.away(kind, index)
 	world.change(&version, count)
--- a/harness/simulation/changes_during_partition_test.go
+++ b/harness/simulation/changes_during_partition_test.go
@@ -95,7 +95,7 @@
 // withSettings puts the first settings, a zone's evacuation and routing 1 in force.
 func (world *World) withSettings(test *testing.T) {
 	test.Helper()
-	world.farUp(test, 3)
+	world.startFar(test, 3)
 	if err := world.Evacuate("z1", true); err != nil {
 		test.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 			for _, restarted := range []bool{false, true} {
 				world := NewFarWorld(seed, 3+2*int(seed%2))
 				world.withSettings(test)
-				leader := world.calm(test)
+				leader := world.waitStable(test)
 				client := rpc.NewClient(world.Net.Transport(world.Members[0].Host))
 				for _, one := range leaderCalls() {
 					if err := one.ask(client, world.Cores[leader].InternalAddress, time.Second); unclear(err) {
--- a/harness/simulation/claims_test.go
+++ b/harness/simulation/claims_test.go
@@ -44,7 +44,7 @@
 		world := NewWorld(3, 1)
 		defer world.Close()
 		world.StartCore(0)
-		world.first(test)
+		world.putFirstSettings(test)
 		core, client := world.Cores[0], rpc.NewClient(world.Net.Transport("10.7.0.9"))
 		defer client.Close()
 		size := func() (bytes, files int) {
@@ -64,7 +64,7 @@
 			return stats.HeapAlloc
 		}
 		seconds, most := 120, 0
-		if raced {
+		if raceEnabled {
 			seconds = 20
 		}
 		before := heap()
@@ -105,7 +105,7 @@
 			world := NewWorld(seed, 1)
 			defer world.Close()
 			world.StartCore(0)
-			world.first(test)
+			world.putFirstSettings(test)
 			client := rpc.NewClient(world.Net.Transport("10.7.0.9"))
 			defer client.Close()
 			for group := range 6 {
@@ -162,7 +162,7 @@
 		for index := range world.Cores {
 			world.StartCore(index)
 		}
-		world.first(test)
+		world.putFirstSettings(test)
 		client := rpc.NewClient(world.Net.Transport("10.7.0.9"))
 		defer client.Close()
 		other := claim(0, 1)
--- a/harness/simulation/clock_outage_test.go
+++ b/harness/simulation/clock_outage_test.go
@@ -12,20 +12,20 @@
 	each(test, func(test *testing.T, seed uint64) {
 		for _, jump := range []int64{5000, -5000, 3_600_000, -3_600_000} {
 			world := NewFarWorld(seed, 3+2*int(seed%2))
-			meters := newMeters(world)
-			meters.sure = true
-			world.farUp(test, 6)
-			load := func(span time.Duration) { meters.load(span, 10*time.Millisecond) }
+			meters := newUsageCollector(world)
+			meters.reliable = true
+			world.startFar(test, 6)
+			load := func(span time.Duration) { meters.generateLoad(span, 10*time.Millisecond) }
 			load(12 * time.Second)
-			first := time.Now().UnixMilli()/meters.span - 1
+			first := time.Now().UnixMilli()/meters.windowMs - 1
 			load(time.Duration(seed*367%5000) * time.Millisecond)
-			world.calm(test)
+			world.waitStable(test)
 			world.killAll(seed%3 == 0, false)
 			for index, machine := range world.Cores {
 				machine.jump.Store(jump + int64(index)*10)
 			}
 			load(time.Duration(500+seed*71%700) * time.Millisecond)
-			world.returnFrom(-1)
+			world.startAllExcept(-1)
 			load(25 * time.Second)
 			for _, one := range world.Members {
 				if off := one.Daemon.Now() - time.Now().UnixMilli(); off > 150 || off < -150 {
@@ -33,7 +33,7 @@
 				}
 			}
 			before := len(world.Broken)
-			meters.judge(first, time.Now().UnixMilli()/meters.span-4, 12_000, 0.05)
+			meters.checkWindows(first, time.Now().UnixMilli()/meters.windowMs-4, 12_000, 0.05)
 			for index := range world.Broken[before:] {
 				world.Broken[before+index] = time.Duration(jump*1e6).String() + ": " + world.Broken[before+index]
 			}
--- a/harness/simulation/cold_test.go
+++ b/harness/simulation/cold_test.go
@@ -20,7 +20,7 @@
 		}
 		world.up(test, 7)
 		late := world.AddDaemon("proxy", "w1")
-		plan := world.plan(70, 14)
+		plan := world.loadPlan(70, 14)
 		plan.Calls = plan.Calls[1:2]
 		generator, client := world.Origin(plan)
 		world.goroutines.Start(func() {
--- a/harness/simulation/combined_faults_test.go
+++ b/harness/simulation/combined_faults_test.go
@@ -30,7 +30,7 @@
 		}
 		ended := 0
 		span := 40 * time.Second
-		if raced {
+		if raceEnabled {
 			span = 8 * time.Second
 		}
 		for _, world := range worlds {
@@ -55,7 +55,7 @@
 // everything harms one partner and judges it.
 func (world *World) everything(test *testing.T, span time.Duration) {
 	ledger := world.Operators(2, 600*time.Millisecond)
-	plan := world.plan(25, 600)
+	plan := world.loadPlan(25, 600)
 	plan.Eager, plan.Tries, plan.Patient = 10, 5, true
 	generator, client := world.Origin(plan)
 	faults := world.CombinedFaults(ledger)
--- a/harness/simulation/control_test.go
+++ b/harness/simulation/control_test.go
@@ -50,7 +50,7 @@
 // Control is the whole control side under faults, and what is judged of it.
 type Control struct {
 	world  *World
-	meters *meters
+	meters *usageCollector
 
 	mutex    sync.Mutex
 	faults   []*faultSpan
@@ -67,7 +67,7 @@
 
 func (world *World) Control() *Control {
 	side := &Control{world: world, versions: map[uint64]uint64{}, tables: map[message.TableVersion]string{}}
-	side.meters = newMeters(world)
+	side.meters = newUsageCollector(world)
 	world.Metering.Report = side.report
 	return side
 }
@@ -242,7 +242,7 @@
 // watch judges what members have in force.
 func (side *Control) watch() bool {
 	now := time.Now()
-	side.world.sameTables(side.tables)
+	side.world.checkTables(side.tables)
 	for _, one := range side.world.Members {
 		version := one.Daemon.Version()
 		if version.Routing == nil {
@@ -379,7 +379,7 @@
 		late,
 		longest,
 		len(world.Leads),
-		side.meters.windowsTold(),
+		side.meters.reportedWindows(),
 	)
 }
 
@@ -391,7 +391,7 @@
 	side.duty(side.watch)
 	side.duty(func() bool {
 		for _, one := range side.world.Members {
-			side.meters.begin(one)
+			side.meters.startRequest(one)
 		}
 		return side.world.Rest(100 * time.Millisecond)
 	})
@@ -404,7 +404,7 @@
 		world := NewFarWorld(seed, 3+2*int(seed%2))
 		side := world.Control()
 		defer world.CloseFar()
-		world.farUp(test, 6)
+		world.startFar(test, 6)
 		world.Rest(contactSpan)
 		side.begin()
 		hard, links := side.injector(0, SideFaults, CoreFaults), side.injector(1, SideLinkFaults, CoreLinkFaults)
--- a/harness/simulation/duel_test.go
+++ b/harness/simulation/duel_test.go
@@ -14,12 +14,12 @@
 
 // leaderless is how long nobody leads after the power of the leader is gone.
 func (world *World) leaderless(test *testing.T) time.Duration {
-	leader := world.calm(test)
+	leader := world.waitStable(test)
 	machine := world.Cores[leader]
-	begin, before := time.Now(), world.leads()
+	begin, before := time.Now(), world.leadershipCount()
 	world.end(machine, true, func(host string) { world.Net.Vanish(host, true) })
 	world.Net.Vanish(machine.Host, true)
-	if !world.Until(20*time.Second, func() bool { return world.leads() > before && world.Leader() >= 0 }) {
+	if !world.Until(20*time.Second, func() bool { return world.leadershipCount() > before && world.Leader() >= 0 }) {
 		world.broke("nobody leads")
 	}
 	took := time.Since(begin)
@@ -34,7 +34,7 @@
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := NewFarWorld(seed, cores)
-			world.farUp(test, 0)
+			world.startFar(test, 0)
 			spans := []time.Duration{}
 			for range 12 {
 				spans = append(spans, world.leaderless(test))
--- a/harness/simulation/duty_test.go
+++ b/harness/simulation/duty_test.go
@@ -14,7 +14,7 @@
 	each(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"cut", "mute", "deaf"} {
 			world := NewFarWorld(seed, 3)
-			newMeters(world)
+			newUsageCollector(world)
 			mutex, reported := sync.Mutex{}, map[string][]time.Time{}
 			world.Metering.Report = func(report control.WindowReport) control.ReportResult {
 				mutex.Lock()
@@ -22,9 +22,9 @@
 				reported[report.Holder] = append(reported[report.Holder], time.Now())
 				return control.ReportRetry
 			}
-			world.farUp(test, 1)
+			world.startFar(test, 1)
 			for range 5 {
-				lost := world.calm(test)
+				lost := world.waitStable(test)
 				holder := world.Cores[lost].Host
 				world.Until(30*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return len(reported[holder]) > 0 })
 				world.Rest(time.Duration(seed*37%11) * 100 * time.Millisecond)
--- a/harness/simulation/election_test.go
+++ b/harness/simulation/election_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(main *testing.M) {
 	flag.Parse()
-	if raced && *seeds == 2 {
+	if raceEnabled && *seeds == 2 {
 		*seeds = 1
 	}
 	if !*loud {
@@ -41,7 +41,7 @@
 func eachOf(test *testing.T, count int, play func(test *testing.T, seed uint64)) {
 	for seed := *first; seed < *first+count; seed++ {
 		test.Run(fmt.Sprint(seed), func(test *testing.T) {
-			if !raced {
+			if !raceEnabled {
 				test.Parallel()
 			}
 			synctest.Test(test, func(test *testing.T) { play(test, uint64(seed)) })
@@ -60,7 +60,7 @@
 // memory, not at odds: TestEverythingAtOnce goes the same ways under it.
 func long(test *testing.T) {
 	test.Helper()
-	if raced {
+	if raceEnabled {
 		test.Skip("runs without the race detector")
 	}
 }
@@ -80,7 +80,7 @@
 		}
 		world.StartDaemon(world.AddDaemon(kind, zones[index%3]))
 	}
-	world.first(test)
+	world.putFirstSettings(test)
 	if !world.Until(10*time.Second, world.ready) {
 		test.Fatal("daemons not ready")
 	}
@@ -125,7 +125,7 @@
 
 // chaosSpan is shorter under the race detector, which looks at memory, not at odds.
 func chaosSpan() time.Duration {
-	if raced {
+	if raceEnabled {
 		return 10 * time.Second
 	}
 	return 40 * time.Second
--- a/harness/simulation/evacuated_test.go
+++ b/harness/simulation/evacuated_test.go
@@ -20,7 +20,7 @@
 			world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 32})
 		}
 		world.up(test, 5)
-		_, client := world.Origin(world.plan(1, 1))
+		_, client := world.Origin(world.loadPlan(1, 1))
 		defer client.CloseIdleConnections()
 		front := world.Daemons[1]
 		call := func(header string) (int, string) {
--- a/harness/simulation/halves_test.go
+++ b/harness/simulation/halves_test.go
@@ -71,7 +71,7 @@
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			halves := &halves{World: NewFarWorld(seed, cores), random: rand.New(rand.NewPCG(seed, 101))}
-			halves.farUp(test, 3)
+			halves.startFar(test, 3)
 			halves.acknowledged.Store(1)
 			end := time.Now().Add(40 * time.Second)
 			halves.goroutines.Start(func() { halves.order(end) })
@@ -101,7 +101,7 @@
 				halves.Rest(time.Duration(200+halves.random.IntN(3000)) * time.Millisecond)
 			}
 			halves.Rest(time.Until(end) + 2*time.Second)
-			halves.calm(test)
+			halves.waitStable(test)
 			wanted := halves.acknowledged.Load()
 			if state, err := halves.Book(); err != nil || state.Config.Version < wanted {
 				halves.broke("%d cores: read back %+v %v, %d was acknowledged", cores, state, err, wanted)
--- a/harness/simulation/injector_test.go
+++ b/harness/simulation/injector_test.go
@@ -153,7 +153,7 @@
 			}
 			world.Rest(side.span(10, 1000))
 			world.startAll()
-			world.Until(20*time.Second, world.sound)
+			world.Until(20*time.Second, world.allVote)
 		})
 	case "wipe-after-ack", "most-wiped":
 		gone := []int{leader}
@@ -172,7 +172,7 @@
 			}
 			world.Rest(side.span(10, 3000))
 			world.startAll()
-			if !world.Until(30*time.Second, world.sound) {
+			if !world.Until(30*time.Second, world.allVote) {
 				world.broke("%s: cores %v do not vote again", kind, gone)
 			}
 		})
--- a/harness/simulation/large_state_test.go
+++ b/harness/simulation/large_state_test.go
@@ -41,8 +41,8 @@
 	each(test, func(test *testing.T, seed uint64) {
 		for _, trouble := range []string{"all hold it", "one is behind", "one lost its disk"} {
 			world := NewFarWorld(seed, 3)
-			world.farUp(test, 0)
-			leader := world.calm(test)
+			world.startFar(test, 0)
+			leader := world.waitStable(test)
 			other := (leader + 1 + int(seed%2)) % 3
 			if trouble == "one is behind" {
 				world.KillCore(other, true)
@@ -62,7 +62,7 @@
 				world.broke("%s: nobody leads after %v", trouble, recoveryLimit)
 			}
 			test.Logf("%s: a leader after %v", trouble, time.Since(begin))
-			if !world.Until(recoveryLimit, world.sound) {
+			if !world.Until(recoveryLimit, world.allVote) {
 				world.broke("%s: not all vote", trouble)
 			}
 			world.Net.Rate(0)
--- a/harness/simulation/leave_test.go
+++ b/harness/simulation/leave_test.go
@@ -10,7 +10,7 @@
 )
 
 // idOf is the ID under which a machine votes, by its disk.
-func (one *trial) idOf(machine *Core) int {
+func (one *replacementScenario) idOf(machine *Core) int {
 	store, err := replica.OpenStore(machine.Disk.Copy())
 	if err != nil {
 		one.test.Fatal(err)
@@ -30,9 +30,9 @@
 func TestLeaveNamesItsAddress(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, isFormer := range []bool{false, true} {
-			one := newTrial(test, seed, 3, 1, "leave")
+			one := newScenario(test, seed, 3, 1, "leave")
 			leader := one.leader()
-			voter := one.machine(one.after(leader, 1))
+			voter := one.machine(one.indexAfter(leader, 1))
 			learner := one.AddCore(int(seed) % 3)
 			one.Rest(2 * time.Second)
 			before := one.machines()[:3]
@@ -55,7 +55,7 @@
 				one.broke("another core's end: %+v, %v", response, err)
 			}
 			one.Rest(3 * time.Second)
-			one.votes("another core's end", before)
+			one.checkVoters("another core's end", before)
 			if response, err := leave(voter.InternalAddress); err != nil || !response.Wait {
 				one.broke("its own end: %+v, %v", response, err)
 			}
@@ -66,7 +66,7 @@
 					after = append(after, machine)
 				}
 			}
-			one.votes("its own end", after)
+			one.checkVoters("its own end", after)
 			caller.Close()
 			one.end()
 		}
@@ -79,7 +79,7 @@
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
-		world.farUp(test, 0)
+		world.startFar(test, 0)
 		caller := rpc.NewClient(world.Net.Transport("10.8.0.1"))
 		defer caller.Close()
 		const unknown rpc.Method[message.LeaveRequest, message.LeaveResponse] = "not-there"
--- a/harness/simulation/lending_test.go
+++ b/harness/simulation/lending_test.go
@@ -33,7 +33,7 @@
 				test.Fatal(err)
 			}
 			world.Rest(2 * time.Second)
-			calm, storm := world.plan(15, 10), world.plan(500, 10)
+			calm, storm := world.loadPlan(15, 10), world.loadPlan(500, 10)
 			calm.Calls, storm.Calls = calm.Calls[:1], storm.Calls[1:2]
 			if storming == "money" {
 				calm.Calls, storm.Calls = storm.Calls, calm.Calls
--- a/harness/simulation/metered_usage_test.go
+++ b/harness/simulation/metered_usage_test.go
@@ -14,78 +14,78 @@
 
 // usageCollector stands in for the platform that receives usage reports. It also counts
 // the requests that were really started, for comparison.
-type meters struct {
-	mutex   sync.Mutex
-	world   *World
-	random  *rand.Rand
-	span    int64
-	counted map[string]map[int64]map[string]uint64
-	begun   map[int64]uint64
-	told    map[int64]control.WindowReport
-	at      map[int64]int64
-	fences  map[uint64]string
-	tellers map[int64]map[string]bool
-	highest uint64
-	down    bool
-	sure    bool
+type usageCollector struct {
+	mutex           sync.Mutex
+	world           *World
+	random          *rand.Rand
+	windowMs        int64
+	countsByProcess map[string]map[int64]map[string]uint64
+	startedByWindow map[int64]uint64
+	reports         map[int64]control.WindowReport
+	reportedAt      map[int64]int64
+	holderByFence   map[uint64]string
+	reporters       map[int64]map[string]bool
+	highestFence    uint64
+	unavailable     bool
+	reliable        bool
 }
 
-func newMeters(world *World) *meters {
-	made := &meters{
-		world:   world,
-		random:  rand.New(rand.NewPCG(world.Seed, 29)),
-		span:    5000,
-		counted: map[string]map[int64]map[string]uint64{},
-		begun:   map[int64]uint64{},
-		told:    map[int64]control.WindowReport{},
-		at:      map[int64]int64{},
-		fences:  map[uint64]string{},
-		tellers: map[int64]map[string]bool{},
+func newUsageCollector(world *World) *usageCollector {
+	collector := &usageCollector{
+		world:           world,
+		random:          rand.New(rand.NewPCG(world.Seed, 29)),
+		windowMs:        5000,
+		countsByProcess: map[string]map[int64]map[string]uint64{},
+		startedByWindow: map[int64]uint64{},
+		reports:         map[int64]control.WindowReport{},
+		reportedAt:      map[int64]int64{},
+		holderByFence:   map[uint64]string{},
+		reporters:       map[int64]map[string]bool{},
 	}
 	world.Metering = control.Metering{
 		Window:        5 * time.Second,
 		SettleAfter:   3500 * time.Millisecond,
 		TakeoverQuiet: 3 * time.Second,
-		Report:        made.report,
+		Report:        collector.report,
 	}
-	world.Requests = made.windows
-	return made
+	world.Requests = collector.windowCounts
+	return collector
 }
 
 // startRequest counts a request that a member starts now, in the window of the member's clock.
-func (meters *meters) begin(one *FarDaemon) {
-	window := one.Daemon.Now() / meters.span
-	meters.mutex.Lock()
-	defer meters.mutex.Unlock()
-	tenant := fmt.Sprint("tenant-", meters.random.IntN(3))
-	process := one.Daemon.Incarnation()
-	if meters.counted[process] == nil {
-		meters.counted[process] = map[int64]map[string]uint64{}
+func (collector *usageCollector) startRequest(member *FarDaemon) {
+	window := member.Daemon.Now() / collector.windowMs
+	collector.mutex.Lock()
+	defer collector.mutex.Unlock()
+	tenant := fmt.Sprint("tenant-", collector.random.IntN(3))
+	process := member.Daemon.Incarnation()
+	if collector.countsByProcess[process] == nil {
+		collector.countsByProcess[process] = map[int64]map[string]uint64{}
 	}
-	if meters.counted[process][window] == nil {
-		meters.counted[process][window] = map[string]uint64{}
+	if collector.countsByProcess[process][window] == nil {
+		collector.countsByProcess[process][window] = map[string]uint64{}
 	}
-	meters.counted[process][window][tenant]++
-	meters.begun[time.Now().UnixMilli()/meters.span]++
+	collector.countsByProcess[process][window][tenant]++
+	collector.startedByWindow[time.Now().UnixMilli()/collector.windowMs]++
 }
 
 // generateLoad starts requests at all running members for the given time.
-func (meters *meters) load(span, pause time.Duration) {
-	for until := time.Now().Add(span); time.Now().Before(until); meters.world.Rest(pause) {
-		for _, one := range meters.world.Members {
-			if one.Alive {
-				meters.begin(one)
+func (collector *usageCollector) generateLoad(span, pause time.Duration) {
+	for until := time.Now().Add(span); time.Now().Before(until); collector.world.Rest(pause) {
+		for _, member := range collector.world.Members {
+			if member.Alive {
+				collector.startRequest(member)
 			}
 		}
 	}
 }
 
-func (meters *meters) windows(one *FarDaemon) []message.WindowCount {
-	meters.mutex.Lock()
-	defer meters.mutex.Unlock()
+func (collector *usageCollector) windowCounts(member *FarDaemon) []message.WindowCount {
+	collector.mutex.Lock()
+	defer collector.mutex.Unlock()
 	all := []message.WindowCount{}
-	now := one.Daemon.Now() / meters.span
-	for window, tenants := range meters.counted[one.Daemon.Incarnation()] {
+	now := member.Daemon.Now() / collector.windowMs
+	for window, tenants := range collector.countsByProcess[member.Daemon.Incarnation()] {
 		if window > now-6 {
 			all = append(all, message.WindowCount{Window: window, Tenants: maps.Clone(tenants)})
 		}
@@ -94,90 +94,91 @@
 }
 
 // reportedWindows returns the number of windows reported.
-func (meters *meters) windowsTold() int {
-	meters.mutex.Lock()
-	defer meters.mutex.Unlock()
-	return len(meters.told)
+func (collector *usageCollector) reportedWindows() int {
+	collector.mutex.Lock()
+	defer collector.mutex.Unlock()
+	return len(collector.reports)
 }
 
 // fenceCount returns the number of different fences seen in reports.
-func (meters *meters) fencesSeen() int {
-	meters.mutex.Lock()
-	defer meters.mutex.Unlock()
-	return len(meters.fences)
+func (collector *usageCollector) fenceCount() int {
+	collector.mutex.Lock()
+	defer collector.mutex.Unlock()
+	return len(collector.holderByFence)
 }
 
-func (meters *meters) report(report control.WindowReport) control.ReportResult {
-	meters.mutex.Lock()
-	defer meters.mutex.Unlock()
-	if meters.down || !meters.sure && meters.random.IntN(5) == 0 {
+func (collector *usageCollector) report(report control.WindowReport) control.ReportResult {
+	collector.mutex.Lock()
+	defer collector.mutex.Unlock()
+	if collector.unavailable || !collector.reliable && collector.random.IntN(5) == 0 {
 		return control.ReportRetry
 	}
-	if holder, found := meters.fences[report.Fence]; found && holder != report.Holder {
-		meters.world.broke("%s and %s both report under fence %d", holder, report.Holder, report.Fence)
+	if holder, found := collector.holderByFence[report.Fence]; found && holder != report.Holder {
+		collector.world.broke("%s and %s both report under fence %d", holder, report.Holder, report.Fence)
 	}
-	meters.fences[report.Fence] = report.Holder
-	if report.Fence < meters.highest {
+	collector.holderByFence[report.Fence] = report.Holder
+	if report.Fence < collector.highestFence {
 		return control.ReportFenced
 	}
-	meters.highest = report.Fence
-	if before, found := meters.told[report.Window]; found && !maps.Equal(before.Tenants, report.Tenants) {
-		meters.world.broke("window %d: reported as %v, then as %v", report.Window, before.Tenants, report.Tenants)
+	collector.highestFence = report.Fence
+	if before, found := collector.reports[report.Window]; found && !maps.Equal(before.Tenants, report.Tenants) {
+		collector.world.broke("window %d: reported as %v, then as %v", report.Window, before.Tenants, report.Tenants)
 	}
-	if _, found := meters.told[report.Window]; !found {
-		meters.at[report.Window] = time.Now().UnixMilli()
+	if _, found := collector.reports[report.Window]; !found {
+		collector.reportedAt[report.Window] = time.Now().UnixMilli()
 	}
-	meters.told[report.Window] = report
-	if meters.tellers[report.Window] == nil {
-		meters.tellers[report.Window] = map[string]bool{}
+	collector.reports[report.Window] = report
+	if collector.reporters[report.Window] == nil {
+		collector.reporters[report.Window] = map[string]bool{}
 	}
-	meters.tellers[report.Window][report.Holder] = true
+	collector.reporters[report.Window][report.Holder] = true
 	return control.ReportAccepted
 }
 
 // checkWindows compares the reports of windows first to last with the requests started:
 // delays are at most late ms, sums deviate by at most share.
-func (meters *meters) judge(first, last int64, late int64, share float64) {
-	meters.mutex.Lock()
-	defer meters.mutex.Unlock()
+func (collector *usageCollector) checkWindows(first, last int64, maxDelayMs int64, maxDeviation float64) {
+	collector.mutex.Lock()
+	defer collector.mutex.Unlock()
 	for window := first; window <= last; window++ {
-		report, found := meters.told[window]
+		report, found := collector.reports[window]
 		if !found {
-			meters.world.broke("window %d was not reported", window)
+			collector.world.broke("window %d was not reported", window)
 			continue
 		}
 		sum := uint64(0)
 		for _, requests := range report.Tenants {
 			sum += requests
 		}
-		if begun := meters.begun[window]; float64(sum) < float64(begun)*(1-share) || float64(sum) > float64(begun)*(1+share) {
-			meters.world.broke("window %d: %d requests reported, %d started", window, sum, begun)
+		if begun := collector.startedByWindow[window]; float64(sum) < float64(begun)*(1-maxDeviation) ||
+			float64(sum) > float64(begun)*(1+maxDeviation) {
+			collector.world.broke("window %d: %d requests reported, %d started", window, sum, begun)
 		}
-		if delay := meters.at[window] - (window+1)*meters.span; delay > late {
-			meters.world.broke("window %d: reported %d ms after its end", window, delay)
+		if delay := collector.reportedAt[window] - (window+1)*collector.windowMs; delay > maxDelayMs {
+			collector.world.broke("window %d: reported %d ms after its end", window, delay)
 		}
 	}
 }
 
-func (meters *meters) stop(down bool) {
-	meters.mutex.Lock()
-	meters.down = down
-	meters.mutex.Unlock()
+func (collector *usageCollector) setUnavailable(down bool) {
+	collector.mutex.Lock()
+	collector.unavailable = down
+	collector.mutex.Unlock()
 }
 
 // Each window is reported completely, in time and with one result, across leader
 // changes, platform outages and the loss of all cores.
-func TestWindowsAreSealedOnce(test *testing.T) {
+func TestWindowsAreReportedOnce(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
-		meters := newMeters(world)
+		collector := newUsageCollector(world)
 		defer world.CloseFar()
-		world.farUp(test, 4)
-		load := func(span time.Duration) { meters.load(span, 20*time.Millisecond) }
+		world.startFar(test, 4)
+		load := func(span time.Duration) { collector.generateLoad(span, 20*time.Millisecond) }
 		load(12 * time.Second)
-		calm := time.Now().UnixMilli()/meters.span - 1
+		firstWindow := time.Now().UnixMilli()/collector.windowMs - 1
 		load(20 * time.Second)
-		meters.judge(calm, time.Now().UnixMilli()/meters.span-3, 10_000, 0.02)
+		collector.checkWindows(firstWindow, time.Now().UnixMilli()/collector.windowMs-3, 10_000, 0.02)
 		for round := range 8 {
 			leader := world.Leader()
 			switch round % 4 {
@@ -186,11 +187,11 @@
 				load(time.Second)
 				world.StartCore(leader)
 			case 1:
-				meters.stop(true)
+				collector.setUnavailable(true)
 				load(4 * time.Second)
 				world.goroutines.Start(func() { world.TermCore(leader); world.StartCore(leader) })
 				load(2 * time.Second)
-				meters.stop(false)
+				collector.setUnavailable(false)
 			case 2:
 				world.Net.Freeze(world.Cores[leader].Host, true)
 				load(3 * time.Second)
@@ -208,43 +209,43 @@
 			world.Until(10*time.Second, func() bool { return world.Leader() >= 0 })
 		}
 		load(12 * time.Second)
-		meters.judge(calm, time.Now().UnixMilli()/meters.span-4, 25_000, 0.02)
-		test.Logf("%d windows, %d fences", meters.windowsTold(), meters.fencesSeen())
+		collector.checkWindows(firstWindow, time.Now().UnixMilli()/collector.windowMs-4, 25_000, 0.02)
+		test.Logf("%d windows, %d fences", collector.reportedWindows(), collector.fenceCount())
 		world.report(test)
 	})
 }
 
 // Sealing a window waits some time for an unreachable member, so that its counts are
 // included; a retired member is not waited for.
-func TestSilentMemberIsWaitedFor(test *testing.T) {
+func TestSealingWaitsForUnreachableMember(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
-		meters := newMeters(world)
+		collector := newUsageCollector(world)
 		defer world.CloseFar()
-		world.farUp(test, 2)
-		world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%meters.span < 10 })
+		world.startFar(test, 2)
+		world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%collector.windowMs < 10 })
 		world.Rest(10 * time.Second)
-		window := time.Now().UnixMilli() / meters.span
-		begin := func(count int) {
+		window := time.Now().UnixMilli() / collector.windowMs
+		startRequests := func(count int) {
 			for range count {
-				for _, one := range world.Members {
-					meters.begin(one)
+				for _, member := range world.Members {
+					collector.startRequest(member)
 				}
 				world.Rest(10 * time.Millisecond)
 			}
 		}
-		begin(100)
+		startRequests(100)
 		world.Rest(3 * time.Second)
 		for _, core := range world.Cores {
 			world.Net.Cut(core.Host, world.Members[0].Host, true)
 		}
-		begin(50)
+		startRequests(50)
 		world.Rest(3900 * time.Millisecond)
 		for _, core := range world.Cores {
 			world.Net.Cut(core.Host, world.Members[0].Host, false)
 		}
 		world.Rest(5 * time.Second)
-		meters.judge(window, window, 10_000, 0)
+		collector.checkWindows(window, window, 10_000, 0)
 		world.report(test)
 	})
 }
@@ -254,7 +255,7 @@
 func TestFirstWindowIsReported(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
-		meters := newMeters(world)
+		collector := newUsageCollector(world)
 		defer world.CloseFar()
 		for index := range world.Cores {
 			world.StartCore(index)
@@ -265,20 +266,20 @@
 		if !world.Until(10*time.Second, func() bool { return world.Leader() >= 0 }) {
 			test.Fatal("no leader")
 		}
-		world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%meters.span > meters.span-500 })
+		world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%collector.windowMs > collector.windowMs-500 })
 		if err := world.Put(1, 0); err != nil {
 			test.Fatal(err)
 		}
 		world.KillCore(world.Leader(), true)
-		window := time.Now().UnixMilli() / meters.span
+		window := time.Now().UnixMilli() / collector.windowMs
 		for range 20 {
-			for _, one := range world.Members {
-				meters.begin(one)
+			for _, member := range world.Members {
+				collector.startRequest(member)
 			}
 			world.Rest(10 * time.Millisecond)
 		}
 		world.Rest(12 * time.Second)
-		meters.judge(window, window, 12_000, 0)
+		collector.checkWindows(window, window, 12_000, 0)
 		world.report(test)
 	})
 }
@@ -288,34 +289,34 @@
 func TestSealedWindowNeverChanges(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
-		meters := newMeters(world)
-		meters.sure = true
+		collector := newUsageCollector(world)
+		collector.reliable = true
 		defer world.CloseFar()
-		world.farUp(test, 2)
+		world.startFar(test, 2)
 		for round := range 3 {
-			world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%meters.span < 10 })
+			world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%collector.windowMs < 10 })
 			world.Rest(10 * time.Second)
-			window := time.Now().UnixMilli() / meters.span
+			window := time.Now().UnixMilli() / collector.windowMs
 			cut := func(shut bool) {
 				for _, core := range world.Cores {
 					world.Net.Cut(core.Host, world.Members[0].Host, shut)
 				}
 			}
-			begin := func(count int) {
+			startRequests := func(count int) {
 				for range count {
-					for _, one := range world.Members {
-						meters.begin(one)
+					for _, member := range world.Members {
+						collector.startRequest(member)
 					}
 					world.Rest(10 * time.Millisecond)
 				}
 			}
-			begin(100)
+			startRequests(100)
 			cut(true)
-			begin(100)
+			startRequests(100)
 			if !world.Until(15*time.Second, func() bool {
-				meters.mutex.Lock()
-				defer meters.mutex.Unlock()
-				_, response := meters.told[window]
+				collector.mutex.Lock()
+				defer collector.mutex.Unlock()
+				_, response := collector.reports[window]
 				return response
 			}) {
 				world.broke("window %d was not reported", window)
@@ -326,11 +327,11 @@
 			world.KillCore(leader, round%2 == 0)
 			world.Rest(8 * time.Second)
 			world.StartCore(leader)
-			meters.mutex.Lock()
-			if tellers := meters.tellers[window]; len(tellers) < 2 {
-				world.broke("window %d was reported by %v only, want two leaders", window, tellers)
+			collector.mutex.Lock()
+			if reporters := collector.reporters[window]; len(reporters) < 2 {
+				world.broke("window %d was reported by %v only, want two leaders", window, reporters)
 			}
-			meters.mutex.Unlock()
+			collector.mutex.Unlock()
 		}
 		world.report(test)
 	})
@@ -338,7 +339,7 @@
 
 // Wall clocks of one core and of members are off by seconds or hours and jump during
 // operation: the time of day in use stays close to the true one.
-func TestClocksThatJump(test *testing.T) {
+func TestWallClockJumps(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
@@ -352,26 +353,26 @@
 		for index := range world.Cores {
 			world.StartCore(index)
 		}
-		for _, one := range world.Members {
-			world.StartMember(one)
+		for _, member := range world.Members {
+			world.StartMember(member)
 		}
 		world.Until(10*time.Second, func() bool { return world.Leader() >= 0 })
-		near := func(what string, most int64) {
-			for _, one := range world.Members {
-				if off := one.Daemon.Now() - time.Now().UnixMilli(); off > most || off < -most {
-					world.broke("%s: the clock of %s is off by %d ms", what, one.Name, off)
+		checkClocks := func(what string, limitMs int64) {
+			for _, member := range world.Members {
+				if off := member.Daemon.Now() - time.Now().UnixMilli(); off > limitMs || off < -limitMs {
+					world.broke("%s: the clock of %s is off by %d ms", what, member.Name, off)
 				}
 			}
 			for _, machine := range world.Cores {
 				if core := machine.life(world); core != nil {
-					if off := core.Now() - time.Now().UnixMilli(); off > most || off < -most {
+					if off := core.Now() - time.Now().UnixMilli(); off > limitMs || off < -limitMs {
 						world.broke("%s: the clock of core %d is off by %d ms", what, machine.ID, off)
 					}
 				}
 			}
 		}
 		world.Rest(2 * time.Second)
-		near("after start", 40)
+		checkClocks("after start", 40)
 		for round := range 8 {
 			machine := world.Cores[(wrong+round)%3]
 			machine.jump.Store(jump())
@@ -379,7 +380,7 @@
 			case 1:
 				world.KillCore(world.Leader(), true)
 				world.Rest(4 * time.Second)
-				near("without the leader", 60)
+				checkClocks("without the leader", 60)
 				for index, one := range world.Cores {
 					if one.life(world) == nil {
 						one.jump.Store(0)
@@ -393,41 +394,41 @@
 			}
 			world.Until(10*time.Second, func() bool { return world.Leader() >= 0 })
 			world.Rest(2 * time.Second)
-			near(fmt.Sprint("round ", round), 60)
+			checkClocks(fmt.Sprint("round ", round), 60)
 		}
 		world.report(test)
 	})
 }
 
 // A member that retires leaves the table at once, a killed one after its timeout.
-func TestFarewellLeavesTheTable(test *testing.T) {
+func TestRetiredMemberLeavesTableAtOnce(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
-		world.farUp(test, 5)
-		listed := func(one *FarDaemon) bool {
+		world.startFar(test, 5)
+		listed := func(member *FarDaemon) bool {
 			for _, known := range world.Members[0].Daemon.Version().Table.Members {
-				if known.Name == one.Name {
+				if known.Name == member.Name {
 					return true
 				}
 			}
 			return false
 		}
-		left := func(one *FarDaemon) time.Duration {
+		timeToLeave := func(member *FarDaemon) time.Duration {
 			begin := time.Now()
-			if !listed(one) || !world.Until(10*time.Second, func() bool { return !listed(one) }) {
-				world.broke("%s is not listed at first, or still listed after 10 s", one.Name)
+			if !listed(member) || !world.Until(10*time.Second, func() bool { return !listed(member) }) {
+				world.broke("%s is not listed at first, or still listed after 10 s", member.Name)
 			}
 			return time.Since(begin)
 		}
 		world.Rest(2 * time.Second)
 		world.Members[3].Daemon.Retire(100*time.Millisecond, time.Second, func(time.Duration) bool { return true })
 		world.KillMember(world.Members[3])
-		said := left(world.Members[3])
+		retired := timeToLeave(world.Members[3])
 		world.KillMember(world.Members[4])
-		silent := left(world.Members[4])
-		if said > 600*time.Millisecond || silent < 1500*time.Millisecond || silent > 4*time.Second {
-			world.broke("left the table %v after retiring, %v after being killed", said, silent)
+		killed := timeToLeave(world.Members[4])
+		if retired > 600*time.Millisecond || killed < 1500*time.Millisecond || killed > 4*time.Second {
+			world.broke("left the table %v after retiring, %v after being killed", retired, killed)
 		}
 		world.report(test)
 	})
--- a/harness/simulation/money_test.go
+++ b/harness/simulation/money_test.go
@@ -12,7 +12,7 @@
 // Callers send the same key concurrently to several proxies, and again after lost
 // answers, while proxies are killed, frozen, partitioned and restarted and while all
 // cores are down for a time: no key is charged twice.
-func TestMoneyOnceWhileProxiesFail(test *testing.T) {
+func TestKeysChargedOnceDuringProxyFailures(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
@@ -21,10 +21,10 @@
 			world.AddBackend("meters", zones[index%3], standin.BackendConfig{WorkMs: 20, Room: 16})
 		}
 		world.up(test, 8)
-		if !world.Until(5*time.Second, func() bool { return world.keepers() == 6 }) {
-			test.Fatalf("%d key replicas, want 6", world.keepers())
+		if !world.Until(5*time.Second, func() bool { return world.keyReplicaCount() == 6 }) {
+			test.Fatalf("%d key replicas, want 6", world.keyReplicaCount())
 		}
-		plan := world.plan(30, 25)
+		plan := world.loadPlan(30, 25)
 		plan.Eager, plan.Tries = 40, 6
 		plan.Calls = plan.Calls[:1]
 		plan.Callers = plan.Callers[:1]
@@ -37,13 +37,13 @@
 				proxies = append(proxies, daemon)
 			}
 		}
-		harms := map[string]int{}
+		faultCounts := map[string]int{}
 		world.goroutines.Start(func() {
 			for !done.Load() {
 				proxy := proxies[random.IntN(len(proxies))]
 				wait := time.Duration(100+random.IntN(2500)) * time.Millisecond
 				kind := []string{"kill", "freeze", "cut", "lose", "core", "two"}[random.IntN(6)]
-				harms[kind]++
+				faultCounts[kind]++
 				switch kind {
 				case "kill":
 					world.KillDaemon(proxy)
@@ -101,15 +101,15 @@
 			report.Served,
 			report.Unknown,
 			report.Unserved,
-			harms,
+			faultCounts,
 			report.Statuses,
 		)
 		world.report(test)
 	})
 }
 
-// keepers counts the members that hold key replicas.
-func (world *World) keepers() int {
+// keyReplicaCount counts the members that hold key replicas.
+func (world *World) keyReplicaCount() int {
 	count := 0
 	for _, member := range world.Daemons[0].Daemon.Version().Table.Members {
 		if member.KeyReplica {
--- a/harness/simulation/operator_test.go
+++ b/harness/simulation/operator_test.go
@@ -16,28 +16,28 @@
 )
 
 // operatorTimeout is how long the platform's operator waits for an answer.
-const callerSilence = time.Second
+const operatorTimeout = time.Second
 
 // operatorClient acts as the platform's operator and calls the cores' control APIs.
-type operatorCaller struct {
-	world  *World
-	client *http.Client
+type operatorClient struct {
+	world      *World
+	httpClient *http.Client
 }
 
 // newOperatorClient serves the platform's control API on every running core and returns a
 // client for it.
-func (world *World) operatorCaller() *operatorCaller {
+func (world *World) newOperatorClient() *operatorClient {
 	for index, machine := range world.Cores {
 		if machine.life(world) != nil {
-			world.openOperators(index)
+			world.serveOperatorAPI(index)
 		}
 	}
 	transport := &http.Transport{DialContext: world.Net.Dialer("10.8.0.1"), DisableKeepAlives: true}
-	return &operatorCaller{world: world, client: &http.Client{Transport: transport}}
+	return &operatorClient{world: world, httpClient: &http.Client{Transport: transport}}
 }
 
 // serveOperatorAPI serves the platform's control API on a running core.
-func (world *World) openOperators(index int) {
+func (world *World) serveOperatorAPI(index int) {
 	machine := world.Cores[index]
 	machine.Forwarder.SetLocalLeader(machine.Core.Leader)
 	control := platform.NewControl(
@@ -49,18 +49,18 @@
 }
 
 // call sends one request to a core and returns the status, 0 if no answer came in time.
-func (caller *operatorCaller) call(index int, method, path, body string) (int, string) {
-	return caller.within(callerSilence, index, method, path, body)
+func (client *operatorClient) call(index int, method, path, body string) (int, string) {
+	return client.callWithin(operatorTimeout, index, method, path, body)
 }
 
-func (caller *operatorCaller) within(limit time.Duration, index int, method, path, body string) (int, string) {
+func (client *operatorClient) callWithin(limit time.Duration, index int, method, path, body string) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+caller.world.Cores[index].Host+":43"+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+client.world.Cores[index].Host+":43"+path, strings.NewReader(body))
 	if err != nil {
 		return 0, err.Error()
 	}
-	response, err := caller.client.Do(request)
+	response, err := client.httpClient.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -70,30 +70,30 @@
 }
 
 // callUntilOK calls the cores in turn until one acknowledges.
-func (caller *operatorCaller) until(test *testing.T, cores []int, method, path, body string) {
+func (client *operatorClient) callUntilOK(test *testing.T, cores []int, method, path, body string) {
 	test.Helper()
 	for try := range 40 {
-		code, answer := caller.call(cores[try%len(cores)], method, path, body)
+		code, answer := client.call(cores[try%len(cores)], method, path, body)
 		if code == http.StatusOK {
 			return
 		}
 		if code >= 400 && code < 500 {
 			test.Fatalf("%s %s: %d %s", method, path, code, answer)
 		}
-		caller.world.Rest(200 * time.Millisecond)
+		client.world.Rest(200 * time.Millisecond)
 	}
 	test.Fatalf("%s %s: not acknowledged in 40 attempts", method, path)
 }
 
 // checkEvacuated records a violation unless the zone's state is the one acknowledged last.
-func (world *World) zoned(test *testing.T, zone string, evacuated bool, when string) {
+func (world *World) checkEvacuated(test *testing.T, zone string, evacuated bool, phase string) {
 	test.Helper()
 	state, err := world.Book()
 	if err != nil {
 		test.Fatal(err)
 	}
 	if slices.Contains(state.Evacuated, zone) != evacuated {
-		world.broke("%s: zone %s was acknowledged as evacuated=%v, is %v", when, zone, evacuated, !evacuated)
+		world.broke("%s: zone %s was acknowledged as evacuated=%v, is %v", phase, zone, evacuated, !evacuated)
 	}
 }
 
@@ -123,25 +123,25 @@
 // A core, leader or follower, is partitioned from the others for 20 s in one or both
 // directions. It answers every call with 503 or 408 within the operator's timeout, so that the
 // operator tries another core; the others acknowledge the orders, and so does it once healed.
-func TestCutOffEntryPointSendsItsCallersOn(test *testing.T) {
-	const answered = callerSilence + 2*farWay
+func TestPartitionedCoreRedirectsOperators(test *testing.T) {
+	const answerLimit = operatorTimeout + 2*farWay
 	each(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"cut", "mute", "deaf"} {
-			for _, leads := range []bool{true, false} {
+			for _, isLeader := range []bool{true, false} {
 				world := NewFarWorld(seed, 3)
-				world.farUp(test, 3)
-				operator := world.operatorCaller()
-				lost := world.calm(test)
-				if !leads {
-					lost = world.followers(lost)[int(seed)%2]
+				world.startFar(test, 3)
+				client := world.newOperatorClient()
+				isolated := world.waitStable(test)
+				if !isLeader {
+					isolated = world.followers(isolated)[int(seed)%2]
 				}
-				others := world.followers(lost)
+				others := world.followers(isolated)
 				first := wholeBody(5, 1)
-				operator.until(test, others, http.MethodPut, "/config", first)
-				world.lose(lost, kind, true)
-				begin, mutex, open := time.Now(), sync.Mutex{}, 0
+				client.callUntilOK(test, others, http.MethodPut, "/config", first)
+				world.lose(isolated, kind, true)
+				begin, mutex, pending := time.Now(), sync.Mutex{}, 0
 				for time.Since(begin) < 20*time.Second {
-					for _, one := range []struct{ method, path, body string }{
+					for _, call := range []struct{ method, path, body string }{
 						{"GET", "/config", ""},
 						{"PUT", "/config", first},
 						{"PUT", "/config", wholeBody(9, 1)},
@@ -151,55 +151,55 @@
 						{"POST", "/evacuate/z1", ""},
 						{"DELETE", "/evacuate/z2", ""},
 					} {
-						request := time.Since(begin)
+						sentAfter := time.Since(begin)
 						mutex.Lock()
-						open++
+						pending++
 						mutex.Unlock()
 						world.goroutines.Start(func() {
-							code, answer := operator.within(answered, lost, one.method, one.path, one.body)
+							code, answer := client.callWithin(answerLimit, isolated, call.method, call.path, call.body)
 							if code != http.StatusServiceUnavailable && code != http.StatusRequestTimeout {
 								world.broke(
 									"%s, leader %v: %s %s sent after %v: got %d %.100s, want 503 or 408",
 									kind,
-									leads,
-									one.method,
-									one.path,
-									request,
+									isLeader,
+									call.method,
+									call.path,
+									sentAfter,
 									code,
 									answer,
 								)
 							}
 							mutex.Lock()
-							open--
+							pending--
 							mutex.Unlock()
 						})
 					}
 					world.Rest(time.Duration(300+seed*131%400) * time.Millisecond)
 				}
-				operator.until(test, others, http.MethodPut, "/config", first)
+				client.callUntilOK(test, others, http.MethodPut, "/config", first)
 				state, err := world.Book()
 				if err != nil {
 					test.Fatal(err)
 				}
 				last := wholeBody(10, state.Config.Version)
-				operator.until(test, others, http.MethodPut, "/config", last)
-				operator.until(test, others, http.MethodPost, "/evacuate/z1", "")
-				world.Until(5*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return open == 0 })
-				world.lose(lost, kind, false)
-				world.calm(test)
+				client.callUntilOK(test, others, http.MethodPut, "/config", last)
+				client.callUntilOK(test, others, http.MethodPost, "/evacuate/z1", "")
+				world.Until(5*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return pending == 0 })
+				world.lose(isolated, kind, false)
+				world.waitStable(test)
 				for _, body := range []string{first, last} {
-					operator.until(test, []int{lost}, http.MethodPut, "/config", body)
+					client.callUntilOK(test, []int{isolated}, http.MethodPut, "/config", body)
 				}
-				if code, answer := operator.within(
-					answered,
-					lost,
+				if code, answer := client.callWithin(
+					answerLimit,
+					isolated,
 					http.MethodPut,
 					"/config",
 					wholeBody(6, 5),
 				); code != http.StatusPreconditionFailed {
 					world.broke("%s: after healing, a conflicting order got %d %s, want 412", kind, code, answer)
 				}
-				world.zoned(test, "z1", true, kind)
+				world.checkEvacuated(test, "z1", true, kind)
 				world.report(test)
 				world.CloseFar()
 			}
@@ -209,30 +209,30 @@
 
 // Duplicates of messages between cores arrive after the opposite order was acknowledged:
 // the opposite order stays in force.
-func TestDoubledEvacuationDoesNotComeBack(test *testing.T) {
+func TestDuplicatedEvacuationIsNotReapplied(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
-		world.farUp(test, 1)
-		operator := world.operatorCaller()
-		world.calm(test)
+		world.startFar(test, 1)
+		client := world.newOperatorClient()
+		world.waitStable(test)
 		world.Net.Faults(Faults{Twice: 1000})
 		for round := range 16 {
-			first, second, begin := http.MethodPost, http.MethodDelete, false
+			first, second, evacuated := http.MethodPost, http.MethodDelete, false
 			if round%2 == 1 {
-				first, second, begin = second, first, true
+				first, second, evacuated = second, first, true
 			}
-			leader := world.calm(test)
-			entries := append([]int{leader}, world.followers(leader)...)
-			operator.until(test, entries, first, "/evacuate/z1", "")
-			operator.until(test, entries, second, "/evacuate/z1", "")
+			leader := world.waitStable(test)
+			cores := append([]int{leader}, world.followers(leader)...)
+			client.callUntilOK(test, cores, first, "/evacuate/z1", "")
+			client.callUntilOK(test, cores, second, "/evacuate/z1", "")
 			for until := time.Now().Add(time.Second); time.Now().Before(until); world.Rest(10 * time.Millisecond) {
 				if _, state := world.Cores[leader].Core.Routing(); world.Leader() == leader &&
-					slices.Contains(state.Evacuated, "z1") != begin {
-					test.Fatalf("round %d: acknowledged as evacuated=%v, then committed as %v", round, begin, !begin)
+					slices.Contains(state.Evacuated, "z1") != evacuated {
+					test.Fatalf("round %d: acknowledged as evacuated=%v, then committed as %v", round, evacuated, !evacuated)
 				}
 			}
-			world.zoned(test, "z1", begin, "duplicated messages")
+			world.checkEvacuated(test, "z1", evacuated, "duplicated messages")
 		}
 		world.report(test)
 	})
@@ -241,43 +241,43 @@
 // The first core that gets an order loses its link to the leader, or freezes, with the order
 // in flight. The operator sends the order and then the opposite one through other cores. The
 // delayed first order is delivered much later and must change nothing.
-func TestLateEvacuationDoesNotComeBack(test *testing.T) {
+func TestDelayedEvacuationIsNotReapplied(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"link to the leader cut", "link from the operator cut", "first core frozen"} {
-			for _, begin := range []bool{true, false} {
+			for _, evacuateFirst := range []bool{true, false} {
 				for _, wait := range []time.Duration{0, 20 * time.Millisecond, 80 * time.Millisecond, 180 * time.Millisecond} {
 					world := NewFarWorld(seed, 3)
-					world.farUp(test, 1)
-					operator := world.operatorCaller()
-					leader := world.calm(test)
+					world.startFar(test, 1)
+					client := world.newOperatorClient()
+					leader := world.waitStable(test)
 					others := world.followers(leader)
-					entry, elsewhere := others[int(seed)%2], []int{others[1-int(seed)%2], leader}
+					firstCore, otherCores := others[int(seed)%2], []int{others[1-int(seed)%2], leader}
 					first, second := http.MethodPost, http.MethodDelete
-					if !begin {
-						operator.until(test, elsewhere, first, "/evacuate/z1", "")
+					if !evacuateFirst {
+						client.callUntilOK(test, otherCores, first, "/evacuate/z1", "")
 						first, second = second, first
 					}
-					lose := func(lost bool) {
+					setFault := func(lost bool) {
 						switch kind {
 						case "link to the leader cut":
-							world.Net.CutOneWay(world.Cores[entry].Host, world.Cores[leader].Host, lost)
+							world.Net.CutOneWay(world.Cores[firstCore].Host, world.Cores[leader].Host, lost)
 						case "link from the operator cut":
-							world.Net.CutOneWay("10.8.0.1", world.Cores[entry].Host, lost)
+							world.Net.CutOneWay("10.8.0.1", world.Cores[firstCore].Host, lost)
 						case "first core frozen":
-							world.Net.Freeze(world.Cores[entry].Host, lost)
+							world.Net.Freeze(world.Cores[firstCore].Host, lost)
 						}
 					}
 					world.goroutines.Start(func() {
 						world.Rest(wait)
-						lose(true)
+						setFault(true)
 					})
-					operator.call(entry, first, "/evacuate/z1", "")
-					operator.until(test, elsewhere, first, "/evacuate/z1", "")
-					operator.until(test, elsewhere, second, "/evacuate/z1", "")
+					client.call(firstCore, first, "/evacuate/z1", "")
+					client.callUntilOK(test, otherCores, first, "/evacuate/z1", "")
+					client.callUntilOK(test, otherCores, second, "/evacuate/z1", "")
 					world.Rest(3 * time.Second)
-					lose(false)
+					setFault(false)
 					world.Rest(4 * time.Second)
-					world.zoned(test, "z1", !begin, kind+" after "+wait.String())
+					world.checkEvacuated(test, "z1", !evacuateFirst, kind+" after "+wait.String())
 					world.report(test)
 					world.CloseFar()
 				}
--- a/harness/simulation/outage_test.go
+++ b/harness/simulation/outage_test.go
@@ -23,38 +23,38 @@
 // charged twice, and each gets its first answer or "unknown".
 func TestMoneyOutlivesEverything(test *testing.T) {
 	long(test)
-	nothing, calm := func(*World) {}, func(*World) []standin.Try { return nil }
+	noChange, noTries := func(*World) {}, func(*World) []standin.Try { return nil }
 	each(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []outage{
-			{"power loss", calm, nothing},
-			{"one core's disk lost", calm, func(world *World) { world.WipeCore(int(seed) % 3) }},
-			{"one core down before the outage", func(world *World) []standin.Try { world.KillCore(int(seed)%3, true); return nil }, nothing},
-			{"a disk stalls", func(world *World) []standin.Try { world.Cores[int(seed)%3].Disk.Stall(true); return nil }, nothing},
+			{"power loss", noTries, noChange},
+			{"one core's disk lost", noTries, func(world *World) { world.WipeCore(int(seed) % 3) }},
+			{"one core down before the outage", func(world *World) []standin.Try { world.KillCore(int(seed)%3, true); return nil }, noChange},
+			{"a disk stalls", func(world *World) []standin.Try { world.Cores[int(seed)%3].Disk.Stall(true); return nil }, noChange},
 			{"a core is slow", func(world *World) []standin.Try {
 				world.Net.Slow(world.Cores[int(seed)%3].Host, 300*time.Millisecond)
 				return nil
-			}, nothing},
+			}, noChange},
 			{"all cores restarted first", func(world *World) []standin.Try {
 				for index := range world.Cores {
 					world.KillCore(index, true)
 				}
-				tries := world.pay(20, 1000)
+				tries := world.sendPayments(20, 1000)
 				for index := range world.Cores {
 					world.StartCore(index)
 				}
 				world.Until(10*time.Second, func() bool { return world.Leader() >= 0 })
 				world.Rest(2 * time.Second)
 				return tries
-			}, nothing},
+			}, noChange},
 		} {
 			world := NewWorld(seed, 3)
 			for _, zone := range []string{"e1", "w1", "s1"} {
 				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 20, Room: 64})
 			}
 			world.up(test, 8)
-			world.Until(5*time.Second, func() bool { return world.keepers() == 6 })
+			world.Until(5*time.Second, func() bool { return world.keyReplicaCount() == 6 })
 			world.Rest(time.Second)
-			tries := append(kind.before(world), world.pay(40, 0)...)
+			tries := append(kind.before(world), world.sendPayments(40, 0)...)
 			for index := range world.Cores {
 				world.KillCore(index, true)
 			}
@@ -74,12 +74,12 @@
 				world.broke("%s: not ready in 15 s", kind.name)
 			}
 			ready := time.Since(begin)
-			slowest, replays := world.payAgain(tries)
+			slowest, replays := world.resendPayments(tries)
 			if kind.name == "power loss" {
 				world.Rest(2 * time.Minute)
 			}
-			later, _ := world.payAgain(tries)
-			if most := 3 * time.Second; slowest > most || later > most || replays == 0 {
+			later, _ := world.resendPayments(tries)
+			if limit := 3 * time.Second; slowest > limit || later > limit || replays == 0 {
 				world.broke("%s: final answers after at most %v and %v, %d replayed", kind.name, slowest, later, replays)
 			}
 			before := len(world.Broken)
@@ -104,18 +104,18 @@
 
 // sendPayments sends keys to random proxies while backends lose answers. It does not wait for
 // the last answers.
-func (world *World) pay(count, first int) []standin.Try {
+func (world *World) sendPayments(count, first int) []standin.Try {
 	random := rand.New(rand.NewPCG(world.Seed, uint64(first)))
-	plan := world.plan(1, 1)
+	plan := world.loadPlan(1, 1)
 	plan.Calls = plan.Calls[:1]
 	generator, client := world.Origin(plan)
-	fronts := world.fronts()
+	addresses := world.proxyAddresses()
 	for number := range count {
 		if random.IntN(3) == 0 {
 			world.Backends[random.IntN(len(world.Backends))].Backend.Misbehave("lose", 1)
 		}
-		key, front := fmt.Sprintf("pay-%d", first+number), fronts[random.IntN(len(fronts))]
-		world.goroutines.Start(func() { generator.Once(plan.Callers[0], plan.Calls[0], key, key+".0", front) })
+		key, address := fmt.Sprintf("pay-%d", first+number), addresses[random.IntN(len(addresses))]
+		world.goroutines.Start(func() { generator.Once(plan.Callers[0], plan.Calls[0], key, key+".0", address) })
 		world.Rest(time.Duration(random.IntN(60)) * time.Millisecond)
 	}
 	client.CloseIdleConnections()
@@ -133,7 +133,7 @@
 	return tries
 }
 
-func (world *World) fronts() []string {
+func (world *World) proxyAddresses() []string {
 	fronts := []string{}
 	for _, daemon := range world.Daemons {
 		if daemon.Kind == "proxy" {
@@ -145,26 +145,26 @@
 
 // resendPayments resends each key until its answer is final, and returns the longest wait and
 // the number of replayed answers.
-func (world *World) payAgain(tries []standin.Try) (slowest time.Duration, replays int) {
-	plan := world.plan(1, 1)
+func (world *World) resendPayments(tries []standin.Try) (slowest time.Duration, replays int) {
+	plan := world.loadPlan(1, 1)
 	plan.Calls = plan.Calls[:1]
 	generator, client := world.Origin(plan)
 	defer client.CloseIdleConnections()
-	fronts := world.fronts()
+	addresses := world.proxyAddresses()
 	for number, try := range tries {
 		begin := time.Now()
-		for again := range 100 {
-			seen := generator.Once(
+		for attempt := range 100 {
+			answer := generator.Once(
 				plan.Callers[0],
 				plan.Calls[0],
 				try.Key,
-				fmt.Sprintf("%s.%d-%d", try.Key, time.Now().UnixMilli(), again),
-				fronts[(number+again)%len(fronts)],
+				fmt.Sprintf("%s.%d-%d", try.Key, time.Now().UnixMilli(), attempt),
+				addresses[(number+attempt)%len(addresses)],
 			)
-			if seen.Replay {
+			if answer.Replay {
 				replays++
 			}
-			if seen.Status == http.StatusOK || seen.Status == http.StatusGatewayTimeout && !seen.Retry {
+			if answer.Status == http.StatusOK || answer.Status == http.StatusGatewayTimeout && !answer.Retry {
 				break
 			}
 			world.Rest(50 * time.Millisecond)
--- a/harness/simulation/partition_test.go
+++ b/harness/simulation/partition_test.go
@@ -15,7 +15,7 @@
 // Proxies are partitioned from the cores and the other daemons, but still reach callers and
 // backends, while a tenant's keys are revoked and settings are changed. They must stop serving
 // what may be outdated within 4 s, and serve again once healed.
-func TestCutOffStops(test *testing.T) {
+func TestPartitionedProxiesStopServing(test *testing.T) {
 	long(test)
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cut := range []cutOff{{"alone", 1, 0, 0, healAfter}, {"region", 3, 0, 0, healAfter}, {"fewer than half", 4, 0, 0, healAfter}, {"deaf", 1, 1, 0, healAfter}, {"mute", 1, 2, 0, healAfter}, {"flapping", 2, 0, 700 * time.Millisecond, healAfter}} {
@@ -24,20 +24,20 @@
 				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
 			}
 			world.up(test, 12)
-			lone := world.apart(cut.proxies, int(seed))
-			plan := world.plan(40, 16)
+			isolated := world.pickProxies(cut.proxies, int(seed))
+			plan := world.loadPlan(40, 16)
 			plan.Calls = plan.Calls[1:2]
 			plan.Calls[0].Class, plan.Tries = "", 1
-			for _, daemon := range lone {
+			for _, daemon := range isolated {
 				plan.Fronts = append(plan.Fronts, daemon.PublicAddress)
 			}
 			generator, client := world.Origin(plan)
 			ledger := world.Operators(2, 400*time.Millisecond)
 			world.goroutines.Start(func() {
 				world.Rest(2 * time.Second)
-				world.part(lone, cut)
+				world.part(isolated, cut)
 				world.Rest(100 * time.Millisecond)
-				world.withdraw(ledger, "birch")
+				world.revokeKeys(ledger, "birch")
 			})
 			report := generator.Run(world.Rest)
 			ledger.Stop()
@@ -47,15 +47,15 @@
 			for index := range world.Broken[before:] {
 				world.Broken[before+index] = cut.name + ": " + world.Broken[before+index]
 			}
-			again := 0
+			servedAfterHealing := 0
 			for _, try := range report.Tries {
-				if try.Tenant == "alder" && try.Status == 200 && try.Front == lone[0].PublicAddress &&
+				if try.Tenant == "alder" && try.Status == 200 && try.Front == isolated[0].PublicAddress &&
 					try.AtMs > report.Tries[len(report.Tries)-1].AtMs-2000 {
-					again++
+					servedAfterHealing++
 				}
 			}
-			if again < 5 {
-				world.broke("%s: the first proxy served %d requests after healing, want 5", cut.name, again)
+			if servedAfterHealing < 5 {
+				world.broke("%s: the first proxy served %d requests after healing, want 5", cut.name, servedAfterHealing)
 			}
 			test.Logf("%s: %s; %v", cut.name, details["acknowledged settings in force within 4 s"], report.Statuses)
 			world.report(test)
@@ -65,7 +65,7 @@
 }
 
 // pickProxies selects the proxies to partition.
-func (world *World) apart(count, seed int) (lone []*Daemon) {
+func (world *World) pickProxies(count, seed int) (picked []*Daemon) {
 	proxies := []*Daemon{}
 	for _, daemon := range world.Daemons {
 		if daemon.Kind == "proxy" {
@@ -74,14 +74,14 @@
 	}
 	for index := range proxies {
 		if index < count {
-			lone = append(lone, proxies[(index+seed)%len(proxies)])
+			picked = append(picked, proxies[(index+seed)%len(proxies)])
 		}
 	}
-	return lone
+	return picked
 }
 
 // revokeKeys removes a tenant's keys and records the time from which it may not be served.
-func (world *World) withdraw(ledger *checker.Ledger, tenant string) {
+func (world *World) revokeKeys(ledger *checker.Ledger, tenant string) {
 	body := []byte(fmt.Sprintf(`{"tenants":{%q:{"keys":[]}}}`, tenant))
 	for try := range 50 {
 		client := world.Client(world.Cores[try%len(world.Cores)].OperatorAddress)
@@ -100,7 +100,7 @@
 }
 
 // The cores are unreachable for 8 s: all proxies go on serving requests and payments.
-func TestCoreOutOfReachStopsNothing(test *testing.T) {
+func TestTrafficContinuesWithoutCores(test *testing.T) {
 	long(test)
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -109,11 +109,11 @@
 			world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
 		}
 		world.up(test, 9)
-		world.Until(5*time.Second, func() bool { return world.keepers() == 6 })
-		plan := world.plan(40, 14)
+		world.Until(5*time.Second, func() bool { return world.keyReplicaCount() == 6 })
+		plan := world.loadPlan(40, 14)
 		plan.Patient = true
 		generator, client := world.Origin(plan)
-		turn := func(shut bool) {
+		setCut := func(shut bool) {
 			for _, core := range world.Cores {
 				for _, daemon := range world.Daemons {
 					world.Net.Cut(core.Host, daemon.Host, shut)
@@ -122,9 +122,9 @@
 		}
 		world.goroutines.Start(func() {
 			world.Rest(2 * time.Second)
-			turn(true)
+			setCut(true)
 			world.Rest(8 * time.Second)
-			turn(false)
+			setCut(false)
 		})
 		report := generator.Run(world.Rest)
 		client.CloseIdleConnections()
--- a/harness/simulation/partner_test.go
+++ b/harness/simulation/partner_test.go
@@ -10,7 +10,7 @@
 // A deployment with too few proxies uses idle ones of its partner. Under load of its own the
 // lender takes its capacity back, and a total failure of the borrower leaves the lender's
 // traffic unaffected.
-func TestPartnersLendFrontMachines(test *testing.T) {
+func TestPartnersLendProxies(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		lender := NewWorld(seed, 3)
 		defer lender.Close()
@@ -34,31 +34,36 @@
 			test.Fatal("borrowed proxies not ready")
 		}
 		borrower.Rest(2 * time.Second)
-		calls := func(world *World, rate int, seconds float64) standin.LoadReport {
-			plan := world.plan(rate, seconds)
+		runLoad := func(world *World, rate int, seconds float64) standin.LoadReport {
+			plan := world.loadPlan(rate, seconds)
 			plan.Calls = plan.Calls[:2]
 			generator, client := world.Origin(plan)
 			report := generator.Run(world.goroutines.Sleep)
 			client.CloseIdleConnections()
 			return report
 		}
-		report := calls(borrower, 20, 5)
+		report := runLoad(borrower, 20, 5)
 		lent := lender.Daemons[1].Counters.Get("lent") + lender.Daemons[2].Counters.Get("lent")
 		if report.Served < report.Asked*98/100 || lent == 0 {
 			borrower.broke("%d of %d requests served, %d lent: %v", report.Served, report.Asked, lent, report.Statuses)
 		}
 		borrower.judge(nil, report)
-		stormed := make(chan standin.LoadReport, 1)
-		lender.goroutines.Start(func() { stormed <- calls(lender, 150, 6) })
+		stormReports := make(chan standin.LoadReport, 1)
+		lender.goroutines.Start(func() { stormReports <- runLoad(lender, 150, 6) })
 		borrower.Rest(2 * time.Second)
-		pressed := calls(borrower, 20, 3)
-		storm := <-stormed
+		duringStorm := runLoad(borrower, 20, 3)
+		storm := <-stormReports
 		refused := lender.Daemons[1].Counters.Get("lending_refused") + lender.Daemons[2].Counters.Get("lending_refused")
 		if refused == 0 {
 			lender.broke("the lender refused no lending while overloaded")
 		}
-		if pressed.Served < pressed.Asked*9/10 {
-			borrower.broke("%d of %d requests served while the lender was overloaded: %v", pressed.Served, pressed.Asked, pressed.Statuses)
+		if duringStorm.Served < duringStorm.Asked*9/10 {
+			borrower.broke(
+				"%d of %d requests served while the lender was overloaded: %v",
+				duringStorm.Served,
+				duringStorm.Asked,
+				duringStorm.Statuses,
+			)
 		}
 		if storm.Served < 6*40 {
 			lender.broke("the lender served only %d requests under load, want 240: %v", storm.Served, storm.Statuses)
@@ -74,9 +79,14 @@
 		for _, daemon := range borrower.Daemons {
 			borrower.KillDaemon(daemon)
 		}
-		alone := calls(lender, 20, 4)
-		if alone.Served < alone.Asked*98/100 {
-			lender.broke("%d of %d requests served after the partner failed: %v", alone.Served, alone.Asked, alone.Statuses)
+		afterFailure := runLoad(lender, 20, 4)
+		if afterFailure.Served < afterFailure.Asked*98/100 {
+			lender.broke(
+				"%d of %d requests served after the partner failed: %v",
+				afterFailure.Served,
+				afterFailure.Asked,
+				afterFailure.Statuses,
+			)
 		}
 		test.Logf("%d lent, %d refused, %d of %d served under load", lent, refused, storm.Served, storm.Asked)
 		lender.report(test)
--- a/harness/simulation/race_off_test.go
+++ b/harness/simulation/race_off_test.go
@@ -2,4 +2,4 @@
 
 package simulation
 
-const raced = false
+const raceEnabled = false
--- a/harness/simulation/race_on_test.go
+++ b/harness/simulation/race_on_test.go
@@ -2,4 +2,4 @@
 
 package simulation
 
-const raced = true
+const raceEnabled = true
--- a/harness/simulation/recovery_test.go
+++ b/harness/simulation/recovery_test.go
@@ -16,9 +16,9 @@
 	for index := range world.Cores {
 		world.KillCore(index, power)
 	}
-	for _, one := range world.Members {
+	for _, member := range world.Members {
 		if members {
-			world.KillMember(one)
+			world.KillMember(member)
 		}
 	}
 }
@@ -27,23 +27,23 @@
 	for _, machine := range world.machines() {
 		world.start(machine)
 	}
-	for _, one := range world.Members {
-		if !one.Alive {
-			world.StartMember(one)
+	for _, member := range world.Members {
+		if !member.Alive {
+			world.StartMember(member)
 		}
 	}
 }
 
-// coresApart isolates the cores from each other, or joins them again.
-func (world *World) coresApart(cut bool) {
+// isolateCores isolates the cores from each other, or joins them again.
+func (world *World) isolateCores(cut bool) {
 	for index := range world.Cores {
 		world.isolate(index, cut)
 	}
 }
 
 // servingVersion returns the routing version that a member serves with, 0 if it cannot serve.
-func (one *FarDaemon) serves() uint64 {
-	version := one.Daemon.Version()
+func (member *FarDaemon) servingVersion() uint64 {
+	version := member.Daemon.Version()
 	if version.Routing == nil || !version.Table.Complete {
 		return 0
 	}
@@ -52,12 +52,12 @@
 
 // waitServing waits until one member, or all of them, serve with at least a version, and
 // returns how long that took.
-func (world *World) serving(version uint64, all bool, limit time.Duration) (time.Duration, bool) {
+func (world *World) waitServing(version uint64, all bool, limit time.Duration) (time.Duration, bool) {
 	begin := time.Now()
 	done := world.Until(limit, func() bool {
 		count := 0
-		for _, one := range world.Members {
-			if one.Alive && one.serves() >= version {
+		for _, member := range world.Members {
+			if member.Alive && member.servingVersion() >= version {
 				count++
 			}
 		}
@@ -66,8 +66,8 @@
 	return time.Since(begin), done
 }
 
-// sound reports whether all cores run and vote.
-func (world *World) sound() bool {
+// allVote reports whether all cores run and vote.
+func (world *World) allVote() bool {
 	for _, machine := range world.machines() {
 		if core := machine.life(world); core == nil || !core.CanVote() {
 			return false
@@ -76,17 +76,17 @@
 	return true
 }
 
-// leads returns the number of leaderships so far.
-func (world *World) leads() int {
+// leadershipCount returns the number of leaderships so far.
+func (world *World) leadershipCount() int {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	return len(world.Leads)
 }
 
 // waitStable waits until there is a leader and all cores vote, and returns the leader's index.
-func (world *World) calm(test *testing.T) int {
+func (world *World) waitStable(test *testing.T) int {
 	test.Helper()
-	if !world.Until(20*time.Second, func() bool { return world.Leader() >= 0 && world.sound() }) {
+	if !world.Until(20*time.Second, func() bool { return world.Leader() >= 0 && world.allVote() }) {
 		test.Fatal("no leader, or a core does not vote, after 20 s")
 	}
 	return world.Leader()
@@ -94,9 +94,9 @@
 
 // waitStableNotFirst is waitStable with a leader other than core 0, which is the first to
 // become a candidate.
-func (world *World) calmNotFirst(test *testing.T) int {
+func (world *World) waitStableNotFirst(test *testing.T) int {
 	test.Helper()
-	for world.calm(test) == 0 {
+	for world.waitStable(test) == 0 {
 		world.TermCore(0)
 		world.StartCore(0)
 	}
@@ -105,14 +105,14 @@
 
 // All processes end just after a routing was acknowledged: killed, by power loss, or with the
 // loss of as many disks as tolerated. Members serve with it soon after the restart.
-func TestServedSoonAfterAllEnded(test *testing.T) {
+func TestRoutingServedSoonAfterFullRestart(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := NewFarWorld(seed, cores)
-			world.farUp(test, 4)
+			world.startFar(test, 4)
 			version := uint64(1)
 			for round, kind := range []string{"killed", "power", "wiped", "leader stays down", "leader wiped, minority was cut off", "killed"} {
-				leader := world.calm(test)
+				leader := world.waitStable(test)
 				cut := []int{}
 				for offset := 1; offset <= cores/2 && kind == "leader wiped, minority was cut off"; offset++ {
 					cut = append(cut, (leader+offset)%cores)
@@ -123,17 +123,17 @@
 				}
 				version++
 				world.killAll(kind != "killed", true)
-				first, whole := 400*time.Millisecond, 600*time.Millisecond
+				firstLimit, allLimit := 400*time.Millisecond, 600*time.Millisecond
 				switch kind {
 				case "wiped":
-					first, whole = 400*time.Millisecond, 1800*time.Millisecond
+					firstLimit, allLimit = 400*time.Millisecond, 1800*time.Millisecond
 					for lost := range cores / 2 {
 						world.WipeCore((int(seed) + round + lost) % cores)
 					}
 				case "leader stays down":
-					whole = 2500 * time.Millisecond
+					allLimit = 2500 * time.Millisecond
 				case "leader wiped, minority was cut off":
-					first, whole = 2500*time.Millisecond, 2500*time.Millisecond
+					firstLimit, allLimit = 2500*time.Millisecond, 2500*time.Millisecond
 					world.WipeCore(leader)
 				}
 				world.Rest(time.Duration(seed*37%8) * 50 * time.Millisecond)
@@ -145,18 +145,18 @@
 					world.KillCore(leader, false)
 				}
 				begin := time.Now()
-				took, done := world.serving(version, false, 10*time.Second)
-				if !done || took > first {
-					world.broke("%d cores, %s: first member served after %v, want at most %v", cores, kind, took, first)
+				took, done := world.waitServing(version, false, 10*time.Second)
+				if !done || took > firstLimit {
+					world.broke("%d cores, %s: first member served after %v, want at most %v", cores, kind, took, firstLimit)
 				}
-				_, done = world.serving(version, true, 10*time.Second)
-				if all := time.Since(begin); !done || all > whole {
-					world.broke("%d cores, %s: all members served after %v, want at most %v", cores, kind, all, whole)
+				_, done = world.waitServing(version, true, 10*time.Second)
+				if all := time.Since(begin); !done || all > allLimit {
+					world.broke("%d cores, %s: all members served after %v, want at most %v", cores, kind, all, allLimit)
 				} else {
 					test.Logf("%d cores, %s: first member served after %v, all after %v", cores, kind, took, all)
 				}
 				world.startAll()
-				world.calm(test)
+				world.waitStable(test)
 				if state, err := world.Book(); err != nil || state.Config.Version != version {
 					world.broke("%d cores, %s: state after the restart %+v, error %v", cores, kind, state, err)
 				}
@@ -168,7 +168,7 @@
 }
 
 // writeAccepted writes an accepted but uncommitted routing to a stopped core's disk.
-func (world *World) accepted(test *testing.T, index int, version uint64) {
+func (world *World) writeAccepted(test *testing.T, index int, version uint64) {
 	test.Helper()
 	store, err := replica.OpenStore(world.Cores[index].Disk)
 	if err != nil {
@@ -199,55 +199,55 @@
 
 // A routing accepted by less than a majority is not distributed before a leader decides on
 // it; after that all members hold the same routing.
-func TestUndecidedIsNotHandedOut(test *testing.T) {
+func TestUncommittedRoutingIsNotDistributed(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
-			for _, apart := range []bool{true, false} {
+			for _, isolated := range []bool{true, false} {
 				world := NewFarWorld(seed, cores)
-				world.farUp(test, 3)
+				world.startFar(test, 3)
 				world.Rest(time.Second)
 				world.killAll(true, true)
 				holders := map[int]bool{}
 				for offset := range cores / 2 {
 					holders[(int(seed)+offset)%cores] = true
-					world.accepted(test, (int(seed)+offset)%cores, 2)
+					world.writeAccepted(test, (int(seed)+offset)%cores, 2)
 				}
-				if apart {
-					world.coresApart(true)
+				if isolated {
+					world.isolateCores(true)
 				}
 				for index := range world.Cores {
-					if apart || holders[index] {
+					if isolated || holders[index] {
 						world.StartCore(index)
 					}
 				}
-				for _, one := range world.Members {
-					world.StartMember(one)
+				for _, member := range world.Members {
+					world.StartMember(member)
 				}
 				for until := time.Now().Add(5 * time.Second); time.Now().Before(until); world.Rest(20 * time.Millisecond) {
-					for _, one := range world.Members {
-						if version := one.Daemon.Version(); version.Routing != nil && version.Routing.Config.Version > 1 {
-							test.Fatalf("%d cores, isolated %v: %s holds an uncommitted routing", cores, apart, one.Name)
+					for _, member := range world.Members {
+						if version := member.Daemon.Version(); version.Routing != nil && version.Routing.Config.Version > 1 {
+							test.Fatalf("%d cores, isolated %v: %s holds an uncommitted routing", cores, isolated, member.Name)
 						}
 					}
 				}
-				for _, one := range world.Members {
-					if apart && one.serves() != 1 {
-						world.broke("%d cores: %s does not serve with the committed routing", cores, one.Name)
+				for _, member := range world.Members {
+					if isolated && member.servingVersion() != 1 {
+						world.broke("%d cores: %s does not serve with the committed routing", cores, member.Name)
 					}
 				}
-				world.coresApart(false)
+				world.isolateCores(false)
 				world.startAll()
-				world.calm(test)
+				world.waitStable(test)
 				state, err := world.Book()
 				if err != nil {
 					test.Fatal(err)
 				}
-				if took, done := world.serving(state.Config.Version, true, 5*time.Second); !done {
+				if took, done := world.waitServing(state.Config.Version, true, 5*time.Second); !done {
 					world.broke("%d cores: routing %d not in force at all members after %v", cores, state.Config.Version, took)
 				}
-				for _, one := range world.Members {
-					if one.serves() != state.Config.Version {
-						world.broke("routing %d committed, %s serves with %d", state.Config.Version, one.Name, one.serves())
+				for _, member := range world.Members {
+					if member.servingVersion() != state.Config.Version {
+						world.broke("routing %d committed, %s serves with %d", state.Config.Version, member.Name, member.servingVersion())
 					}
 				}
 				world.report(test)
@@ -258,13 +258,13 @@
 }
 
 // The restart of a single follower does not change the leader.
-func TestRestartAloneDisturbsNobody(test *testing.T) {
+func TestFollowerRestartKeepsLeader(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3+2*int(seed%2))
 		defer world.CloseFar()
-		world.farUp(test, 2)
-		leader := world.calmNotFirst(test)
-		before := world.leads()
+		world.startFar(test, 2)
+		leader := world.waitStableNotFirst(test)
+		before := world.leadershipCount()
 		for index := range world.Cores {
 			for round := range 3 {
 				if index == leader {
@@ -279,7 +279,7 @@
 				}
 			}
 		}
-		if after := world.leads(); after != before || world.Leader() != leader {
+		if after := world.leadershipCount(); after != before || world.Leader() != leader {
 			world.broke("core %d led, then followed leaderships %v", leader+1, world.Leads[before:])
 		}
 		world.report(test)
@@ -287,7 +287,7 @@
 }
 
 // sumCounter returns the sum of a counter over the running cores.
-func (world *World) counted(name string) uint64 {
+func (world *World) sumCounter(name string) uint64 {
 	sum := uint64(0)
 	for _, machine := range world.Cores {
 		if machine.life(world) == nil {
@@ -305,15 +305,15 @@
 
 // Cores that restart together become candidates one after the other: within 2 s there is one
 // leadership with at most one fence.
-func TestCoresStandInTurn(test *testing.T) {
+func TestElectionAfterFullRestartIsStaggered(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := NewFarWorld(seed, cores)
-			world.farUp(test, 0)
+			world.startFar(test, 0)
 			longest := time.Duration(0)
 			for round := range 25 {
-				world.calm(test)
-				before := world.leads()
+				world.waitStable(test)
+				before := world.leadershipCount()
 				world.killAll(round%2 == 0, false)
 				world.Rest(500 * time.Millisecond)
 				begin := time.Now()
@@ -324,7 +324,7 @@
 					world.Rest(time.Duration(round%3) * time.Duration(world.random.IntN(60)) * time.Millisecond)
 				}
 				world.Rest(time.Until(begin.Add(2 * time.Second)))
-				switch after := world.leads(); after - before {
+				switch after := world.leadershipCount(); after - before {
 				case 0:
 					world.broke("%d cores, round %d: no leader after 2 s", cores, round)
 				case 1:
@@ -332,7 +332,7 @@
 				default:
 					world.broke("%d cores, round %d: more than one leadership within 2 s: %v", cores, round, world.Leads[before:])
 				}
-				if fences := world.counted("standing_revoking"); fences > 1 {
+				if fences := world.sumCounter("standing_revoking"); fences > 1 {
 					world.broke("%d cores, round %d: %d fences, want at most 1", cores, round, fences)
 				}
 				world.startAll()
@@ -347,42 +347,46 @@
 // A core that restarts isolated distributes the routing that it knows as committed and does
 // not lead; members that reach the other cores move on to the newer routing. Once healed it
 // follows without a leader change.
-func TestRestartedCutOff(test *testing.T) {
+func TestCoreRestartsIsolated(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
-		world.farUp(test, 2)
-		lone, fresh, near := int(seed)%3, world.AddMember(0), world.AddMember(1)
+		world.startFar(test, 2)
+		isolated, fresh, nearIsolated := int(seed)%3, world.AddMember(0), world.AddMember(1)
 		world.Rest(time.Second)
-		world.KillCore(lone, true)
-		world.isolate(lone, true)
+		world.KillCore(isolated, true)
+		world.isolate(isolated, true)
 		if err := world.Put(2, 1); err != nil {
 			test.Fatal(err)
 		}
 		for index, machine := range world.Cores {
-			world.Net.Cut(machine.Host, near.Host, index != lone)
+			world.Net.Cut(machine.Host, nearIsolated.Host, index != isolated)
 		}
-		world.StartCore(lone)
+		world.StartCore(isolated)
 		world.Rest(time.Duration(seed%3) * 100 * time.Millisecond)
 		world.StartMember(fresh)
-		world.StartMember(near)
+		world.StartMember(nearIsolated)
 		world.Rest(1500 * time.Millisecond)
-		if fresh.serves() != 2 || near.serves() != 1 {
-			world.broke("member with all cores serves %d, want 2; member with only the isolated core %d, want 1", fresh.serves(), near.serves())
+		if fresh.servingVersion() != 2 || nearIsolated.servingVersion() != 1 {
+			world.broke(
+				"member with all cores serves %d, want 2; member with only the isolated core %d, want 1",
+				fresh.servingVersion(),
+				nearIsolated.servingVersion(),
+			)
 		}
-		if world.Cores[lone].Core.Leads() {
+		if world.Cores[isolated].Core.Leads() {
 			world.broke("an isolated core leads")
 		}
-		before, leader := world.leads(), world.Leader()
-		world.isolate(lone, false)
+		before, leader := world.leadershipCount(), world.Leader()
+		world.isolate(isolated, false)
 		for _, machine := range world.Cores {
-			world.Net.Cut(machine.Host, near.Host, false)
+			world.Net.Cut(machine.Host, nearIsolated.Host, false)
 		}
-		if took, done := world.serving(2, true, 4*time.Second); !done {
+		if took, done := world.waitServing(2, true, 4*time.Second); !done {
 			world.broke("after healing: not caught up after %v", took)
 		}
 		world.Rest(2 * time.Second)
-		if after := world.leads(); after != before || world.Leader() != leader {
+		if after := world.leadershipCount(); after != before || world.Leader() != leader {
 			world.broke("after healing, the isolated core caused leaderships %v", world.Leads[before:])
 		}
 		world.report(test)
@@ -391,12 +395,12 @@
 
 // checkTables checks that a leader's table has the same content at all members that hold the
 // same version of it.
-func (world *World) sameTables(contents map[message.TableVersion]string) {
-	for _, one := range world.Members {
-		table := one.Daemon.Version().Table
+func (world *World) checkTables(contents map[message.TableVersion]string) {
+	for _, member := range world.Members {
+		table := member.Daemon.Version().Table
 		content := fmt.Sprint(table.Members, table.Backends)
 		if known, found := contents[table.Version]; found && known != content && table.Version.Term.Number > 0 {
-			world.broke("table %v differs at %s:\n%s\n%s", table.Version, one.Name, known, content)
+			world.broke("table %v differs at %s:\n%s\n%s", table.Version, member.Name, known, content)
 		}
 		contents[table.Version] = content
 	}
@@ -404,7 +408,7 @@
 
 // Members start while the cores restart without a leader, and get a different provisional
 // table from each core. Tables of the same leader version must be equal nonetheless.
-func TestTablesOfNoLeaderAreNoGroundForChanges(test *testing.T) {
+func TestProvisionalTablesAreNoBaseForChanges(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for range 3 {
 			world := NewFarWorld(seed, 3)
@@ -416,30 +420,30 @@
 					message.Backend{Name: fmt.Sprint("b", index), Service: "desk", Address: "10.9.9.9:80", Capacity: 4},
 				)
 			}
-			world.farUp(test, 6)
+			world.startFar(test, 6)
 			world.Rest(time.Second)
 			world.killAll(true, true)
-			world.coresApart(true)
+			world.isolateCores(true)
 			for index, machine := range world.Cores {
-				for _, one := range world.Members {
-					world.Net.Cut(machine.Host, one.Host, one.Region != index)
+				for _, member := range world.Members {
+					world.Net.Cut(machine.Host, member.Host, member.Region != index)
 				}
 			}
 			world.startAll()
 			world.Rest(time.Duration(4500+seed%5*300) * time.Millisecond)
-			world.coresApart(false)
+			world.isolateCores(false)
 			for _, machine := range world.Cores {
-				for _, one := range world.Members {
-					world.Net.Cut(machine.Host, one.Host, false)
+				for _, member := range world.Members {
+					world.Net.Cut(machine.Host, member.Host, false)
 				}
 			}
 			contents := map[message.TableVersion]string{}
 			for until := time.Now().Add(6 * time.Second); time.Now().Before(until); world.Rest(20 * time.Millisecond) {
-				world.sameTables(contents)
+				world.checkTables(contents)
 			}
-			for _, one := range world.Members {
-				if table := one.Daemon.Version().Table; table.Version.Term.Number == 0 || len(table.Members) != 6 {
-					world.broke("%s holds table %+v, want a leader's with 6 members", one.Name, table)
+			for _, member := range world.Members {
+				if table := member.Daemon.Version().Table; table.Version.Term.Number == 0 || len(table.Members) != 6 {
+					world.broke("%s holds table %+v, want a leader's with 6 members", member.Name, table)
 				}
 			}
 			world.report(test)
@@ -450,22 +454,22 @@
 
 // All cores restart while members run. A provisional table replaces no leader's table, and the
 // next leader's table keeps a member that is unreachable at that time.
-func TestTableBeforeALeaderIsTheOldest(test *testing.T) {
+func TestProvisionalTableReplacesNoLeadersTable(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.Listed = func(discovery.PageRequest) discovery.Page {
 			return discovery.Page{Backends: []message.Backend{{Name: "b", Service: "desk", Address: "10.9.9.9:80", Capacity: 4}}}
 		}
-		world.farUp(test, 5)
+		world.startFar(test, 5)
 		world.Rest(3 * time.Second)
-		mute, marks := world.Members[int(seed)%5], map[string]message.TableVersion{}
+		unreachable, versions := world.Members[int(seed)%5], map[string]message.TableVersion{}
 		for round := range 4 {
-			world.calm(test)
+			world.waitStable(test)
 			world.Rest(3 * time.Second)
 			cut := func(shut bool) {
 				for _, machine := range world.Cores {
-					world.Net.Cut(machine.Host, mute.Host, shut)
+					world.Net.Cut(machine.Host, unreachable.Host, shut)
 				}
 			}
 			cut(true)
@@ -476,25 +480,25 @@
 			world.StartMember(late)
 			begin := time.Now()
 			for time.Since(begin) < 1400*time.Millisecond {
-				for _, one := range world.Members {
-					table := one.Daemon.Version().Table
-					if table.Version.Less(marks[one.Name]) {
-						world.broke("round %d: %s went back from table %v to %v", round, one.Name, marks[one.Name], table.Version)
+				for _, member := range world.Members {
+					table := member.Daemon.Version().Table
+					if table.Version.Less(versions[member.Name]) {
+						world.broke("round %d: %s went back from table %v to %v", round, member.Name, versions[member.Name], table.Version)
 					}
-					marks[one.Name] = table.Version
-					if one != late && table.Version.Term.Number == 0 {
-						world.broke("round %d: %s accepted a table without a leader", round, one.Name)
+					versions[member.Name] = table.Version
+					if member != late && table.Version.Term.Number == 0 {
+						world.broke("round %d: %s accepted a table without a leader", round, member.Name)
 					}
 					listed := false
 					for _, known := range table.Members {
-						listed = listed || known.Name == mute.Name
+						listed = listed || known.Name == unreachable.Name
 					}
 					if !listed && table.Version.Term.Number > 0 {
 						test.Fatalf(
 							"round %d: %s lost %s from its table %v after %v",
 							round,
-							one.Name,
-							mute.Name,
+							member.Name,
+							unreachable.Name,
 							table.Version,
 							time.Since(begin),
 						)
@@ -513,14 +517,14 @@
 
 // A deposed leader that does not know of its successor must not refuse an order whose base it
 // has not seen: that base may be in force already.
-func TestReplacedLeaderRefusesNoNewerBase(test *testing.T) {
+func TestDeposedLeaderRefusesNoNewerBase(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		refused := 0
 		for range 4 {
 			world := NewFarWorld(seed, 3)
 			world.Net.Lag(func(string, string) time.Duration { return 0 })
-			world.farUp(test, 0)
-			leader := world.calmNotFirst(test)
+			world.startFar(test, 0)
+			leader := world.waitStableNotFirst(test)
 			world.Rest(time.Second)
 			world.isolate(leader, true)
 			for index := range world.Cores {
@@ -541,7 +545,7 @@
 			}) {
 				test.Fatal("no second leader")
 			}
-			ask := func(index int, version, base uint64) error {
+			orderAt := func(index int, version, base uint64) error {
 				_, err := rpc.Call(
 					world.Cores[other].client,
 					world.Cores[index].InternalAddress,
@@ -551,7 +555,7 @@
 				)
 				return err
 			}
-			if err := ask(other, 2, 1); err != nil {
+			if err := orderAt(other, 2, 1); err != nil {
 				test.Fatal(err)
 			}
 			client := rpc.NewClient(world.Net.Transport("10.8.0.1"))
--- a/harness/simulation/refuse_test.go
+++ b/harness/simulation/refuse_test.go
@@ -11,29 +11,29 @@
 // A core's disk fails all writes, or is full, for 20 s. The core stays up but does not vote, a
 // leader hands over leadership, and orders are acknowledged throughout. Once the disk works
 // again the core votes and catches up without a restart.
-func TestCoreWithARefusingDiskStaysUp(test *testing.T) {
+func TestCoreWithFailingDiskStaysUp(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
-		world.farUp(test, 3)
+		world.startFar(test, 3)
 		version := uint64(1)
 		for _, kind := range []string{"leader's disk fails", "follower's disk fails", "leader's disk is full", "follower restarts with a failing disk"} {
-			index := world.calm(test)
+			index := world.waitStable(test)
 			if kind == "follower's disk fails" || kind == "follower restarts with a failing disk" {
 				index = (index + 1) % 3
 			}
 			machine := world.Cores[index]
-			trouble := func() {
+			breakDisk := func() {
 				if kind == "leader's disk is full" {
 					machine.Disk.Room(machine.Disk.Used())
 				} else {
 					machine.Disk.Fail(true)
 				}
 			}
-			trouble()
+			breakDisk()
 			if kind == "follower restarts with a failing disk" {
 				world.KillCore(index, true)
-				trouble()
+				breakDisk()
 				world.StartCore(index)
 			}
 			slowest := time.Duration(0)
@@ -63,8 +63,8 @@
 				world.broke("%s: does not vote within 2 s of the disk's recovery", kind)
 			}
 			world.Rest(time.Second)
-			if held := world.lasts(index); held < world.lasts((index+1)%3) {
-				world.broke("%s: has serial %d on disk, another core has %d", kind, held, world.lasts((index+1)%3))
+			if serial := world.durableSerial(index); serial < world.durableSerial((index+1)%3) {
+				world.broke("%s: has serial %d on disk, another core has %d", kind, serial, world.durableSerial((index+1)%3))
 			}
 		}
 		world.report(test)
@@ -73,14 +73,14 @@
 
 // A follower's disk stalls for ten seconds during orders: the leader does not resend the same
 // values with each heartbeat, and the follower catches up afterwards.
-func TestStalledDiskIsNotSentValuesAgainAndAgain(test *testing.T) {
+func TestValuesAreNotResentToStalledDisk(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
-		world.farUp(test, 3)
-		leader := world.calm(test)
+		world.startFar(test, 3)
+		leader := world.waitStable(test)
 		index := (leader + 1) % 3
-		before := world.counted("copies_mended")
+		before := world.sumCounter("copies_mended")
 		world.Cores[index].Disk.Stall(true)
 		for version := uint64(1); version < 9; version++ {
 			if err := world.Put(version+1, version); err != nil {
@@ -89,7 +89,7 @@
 			world.Rest(time.Second)
 		}
 		world.Rest(2 * time.Second)
-		if sent := world.counted("copies_mended") - before; sent > 10 {
+		if sent := world.sumCounter("copies_mended") - before; sent > 10 {
 			world.broke("values sent %d times to a core with a stalled disk, want at most 10", sent)
 		}
 		if world.Leader() != leader {
@@ -97,8 +97,8 @@
 		}
 		world.Cores[index].Disk.Stall(false)
 		world.Rest(2 * time.Second)
-		if world.lasts(index) != world.lasts(leader) {
-			world.broke("follower has serial %d on disk, the leader %d", world.lasts(index), world.lasts(leader))
+		if world.durableSerial(index) != world.durableSerial(leader) {
+			world.broke("follower has serial %d on disk, the leader %d", world.durableSerial(index), world.durableSerial(leader))
 		}
 		world.report(test)
 	})
@@ -106,12 +106,12 @@
 
 // The leader's disk stalls for some seconds during orders, and no order follows: it keeps
 // leading, and its own disk soon holds what the followers accepted.
-func TestLeaderHoldsWhatItsStalledDiskMissed(test *testing.T) {
+func TestLeaderCatchesUpAfterDiskStall(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
-		world.farUp(test, 3)
-		leader := world.calm(test)
+		world.startFar(test, 3)
+		leader := world.waitStable(test)
 		world.Cores[leader].Disk.Stall(true)
 		for version := uint64(1); version < 5; version++ {
 			if err := world.Put(version+1, version); err != nil {
@@ -121,13 +121,13 @@
 		}
 		world.Cores[leader].Disk.Stall(false)
 		world.Rest(time.Second)
-		if now := world.Leader(); now != leader || world.lasts(leader) != world.lasts((leader+1)%3) {
+		if now := world.Leader(); now != leader || world.durableSerial(leader) != world.durableSerial((leader+1)%3) {
 			world.broke(
 				"core %d led, core %d leads; the former has serial %d on disk, a follower %d",
 				leader,
 				now,
-				world.lasts(leader),
-				world.lasts((leader+1)%3),
+				world.durableSerial(leader),
+				world.durableSerial((leader+1)%3),
 			)
 		}
 		world.report(test)
@@ -135,7 +135,7 @@
 }
 
 // durableSerial returns the routing serial that a core's disk would keep in a power loss.
-func (world *World) lasts(index int) uint64 {
+func (world *World) durableSerial(index int) uint64 {
 	store, err := replica.OpenStore(world.Cores[index].Disk.Copy())
 	if err != nil {
 		return 0
--- a/harness/simulation/regions_test.go
+++ b/harness/simulation/regions_test.go
@@ -12,47 +12,47 @@
 	"orchidjunction/routing"
 )
 
-// racer runs concurrent operators that order routings on top of the one they read, each with
+// operatorRace runs concurrent operators that order routings on top of the one they read, each with
 // versions of its own, and records the answers.
-type racer struct {
-	world  *World
-	mutex  sync.Mutex
-	acked  map[uint64]uint64
-	zones  map[string]bool
-	unsure map[string]bool
-	ended  int
+type operatorRace struct {
+	world         *World
+	mutex         sync.Mutex
+	baseByVersion map[uint64]uint64
+	zones         map[string]bool
+	uncertain     map[string]bool
+	finished      int
 }
 
 // run sends orders while going returns true. An order without a definite answer is resent
 // unchanged through another daemon.
-func (racer *racer) run(number int, going func() bool) {
-	world := racer.world
+func (operators *operatorRace) run(number int, isRunning func() bool) {
+	world := operators.world
 	random := rand.New(rand.NewPCG(world.Seed, uint64(100+number)))
 	defer func() {
-		racer.mutex.Lock()
-		racer.ended++
-		racer.mutex.Unlock()
+		operators.mutex.Lock()
+		operators.finished++
+		operators.mutex.Unlock()
 	}()
-	holds := func() []*agent.Forwarder {
+	forwarders := func() []*agent.Forwarder {
 		all := world.holds()
-		for _, one := range world.Members {
-			all = append(all, one.Daemon.Forwarder)
+		for _, member := range world.Members {
+			all = append(all, member.Daemon.Forwarder)
 		}
 		random.Shuffle(len(all), func(left, right int) { all[left], all[right] = all[right], all[left] })
 		return all
 	}
 	zone := fmt.Sprint("z", number)
-	for going() {
+	for isRunning() {
 		world.Rest(time.Duration(random.IntN(300)) * time.Millisecond)
 		if random.IntN(4) == 0 {
 			begin := random.IntN(2) == 0
-			_, err := world.evacuateBy(holds(), zone, begin)
-			racer.mutex.Lock()
-			racer.zones[zone], racer.unsure[zone] = begin, err != nil
-			racer.mutex.Unlock()
+			_, err := world.evacuateBy(forwarders(), zone, begin)
+			operators.mutex.Lock()
+			operators.zones[zone], operators.uncertain[zone] = begin, err != nil
+			operators.mutex.Unlock()
 			continue
 		}
-		response, err := order(world, holds(), message.MethodRoutingRead, &message.RoutingReadRequest{})
+		response, err := order(world, forwarders(), message.MethodRoutingRead, &message.RoutingReadRequest{})
 		if err != nil {
 			continue
 		}
@@ -62,44 +62,44 @@
 			return
 		}
 		base := state.Config.Version
-		racer.mutex.Lock()
-		for version := range racer.acked {
-			if version > base && racer.acked[version] < base {
-				world.broke("version %d on base %d was acknowledged, then %d was read", version, racer.acked[version], base)
+		operators.mutex.Lock()
+		for version := range operators.baseByVersion {
+			if version > base && operators.baseByVersion[version] < base {
+				world.broke("version %d on base %d was acknowledged, then %d was read", version, operators.baseByVersion[version], base)
 			}
 		}
-		racer.mutex.Unlock()
+		operators.mutex.Unlock()
 		version := base + 1 + uint64(random.IntN(3))*3 + uint64(number)
-		if _, err := order(world, holds(), message.MethodRoutingChange, WholeChange(version, base)); err == nil {
-			racer.mutex.Lock()
-			racer.acked[version] = base
-			racer.mutex.Unlock()
+		if _, err := order(world, forwarders(), message.MethodRoutingChange, WholeChange(version, base)); err == nil {
+			operators.mutex.Lock()
+			operators.baseByVersion[version] = base
+			operators.mutex.Unlock()
 		}
 	}
 }
 
 // Faults hit cores one after the other and all at once while operators send conflicting
 // orders: acknowledged orders last, no two are acknowledged on one base, and members follow.
-func TestFarChaosKeepsWhatOperatorsWereTold(test *testing.T) {
+func TestAcknowledgedOrdersSurviveCoreFaults(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3+2*int(seed%2))
-		meters := newMeters(world)
+		collector := newUsageCollector(world)
 		defer world.CloseFar()
-		world.farUp(test, 4)
-		racers := &racer{world: world, acked: map[uint64]uint64{}, zones: map[string]bool{}, unsure: map[string]bool{}}
-		stop := false
-		going := func() bool {
-			racers.mutex.Lock()
-			defer racers.mutex.Unlock()
-			return !stop
+		world.startFar(test, 4)
+		operators := &operatorRace{world: world, baseByVersion: map[uint64]uint64{}, zones: map[string]bool{}, uncertain: map[string]bool{}}
+		stopped := false
+		isRunning := func() bool {
+			operators.mutex.Lock()
+			defer operators.mutex.Unlock()
+			return !stopped
 		}
 		for number := range 3 {
-			world.goroutines.Start(func() { racers.run(number, going) })
+			world.goroutines.Start(func() { operators.run(number, isRunning) })
 		}
 		world.goroutines.Start(func() {
-			for going() {
-				for _, one := range world.Members {
-					meters.begin(one)
+			for isRunning() {
+				for _, member := range world.Members {
+					collector.startRequest(member)
 				}
 				world.Rest(50 * time.Millisecond)
 			}
@@ -109,52 +109,55 @@
 			faults.Inject(CoreFaults[faults.random.IntN(len(CoreFaults))], faults.random.IntN(len(world.Cores)))
 			world.Rest(faults.span(100*time.Millisecond, 4*time.Second))
 		}
-		racers.mutex.Lock()
-		stop = true
-		racers.mutex.Unlock()
-		if !world.Until(60*time.Second, func() bool { racers.mutex.Lock(); defer racers.mutex.Unlock(); return racers.ended == 3 }) {
+		operators.mutex.Lock()
+		stopped = true
+		operators.mutex.Unlock()
+		if !world.Until(
+			60*time.Second,
+			func() bool { operators.mutex.Lock(); defer operators.mutex.Unlock(); return operators.finished == 3 },
+		) {
 			test.Fatal("operators have no final answer after 60 s")
 		}
 		state, err := world.Book()
 		if err != nil {
 			test.Fatal(err)
 		}
-		applied, bases := map[uint64]bool{}, map[uint64]uint64{}
+		applied, versionByBase := map[uint64]bool{}, map[uint64]uint64{}
 		for _, one := range state.History.Entries() {
 			applied[one.Version] = true
 		}
-		for version, base := range racers.acked {
+		for version, base := range operators.baseByVersion {
 			if !applied[version] {
 				world.broke("version %d on base %d was acknowledged but is not in the history", version, base)
 			}
-			if other, found := bases[base]; found {
+			if other, found := versionByBase[base]; found {
 				world.broke("versions %d and %d were both acknowledged on base %d", other, version, base)
 			}
-			bases[base] = version
+			versionByBase[base] = version
 		}
-		for zone, emptied := range racers.zones {
+		for zone, evacuated := range operators.zones {
 			held := false
 			for _, one := range state.Evacuated {
 				held = held || one == zone
 			}
-			if held != emptied && !racers.unsure[zone] {
-				world.broke("zone %s: evacuated %v acknowledged, read back %v", zone, emptied, state.Evacuated)
+			if held != evacuated && !operators.uncertain[zone] {
+				world.broke("zone %s: evacuated %v acknowledged, read back %v", zone, evacuated, state.Evacuated)
 			}
 		}
-		if took, whole := world.reached(state.Config.Version, 4*time.Second); !whole {
+		if took, reached := world.waitRouting(state.Config.Version, 4*time.Second); !reached {
 			world.broke("routing %d is not in force at all members after %v", state.Config.Version, took)
 		}
-		if len(racers.acked) < 15 {
-			world.broke("only %d routings were acknowledged", len(racers.acked))
+		if len(operators.baseByVersion) < 15 {
+			world.broke("only %d routings were acknowledged", len(operators.baseByVersion))
 		}
 		if held := world.rosters(); len(held) != 1 {
 			world.broke("memberships differ: %v", held)
 		}
 		test.Logf(
 			"%d acknowledged, %d leaderships, %d windows reported, faults %v",
-			len(racers.acked),
+			len(operators.baseByVersion),
 			len(world.Leads),
-			meters.windowsTold(),
+			collector.reportedWindows(),
 			faults.Done,
 		)
 		world.report(test)
--- a/harness/simulation/relay_test.go
+++ b/harness/simulation/relay_test.go
@@ -10,7 +10,7 @@
 
 // Relays in a tree of thirty daemons are killed, frozen and restored while operators change
 // settings: every running daemon has each change within 4 s, and none goes back to an old one.
-func TestRelaysDie(test *testing.T) {
+func TestRelayFailures(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
@@ -23,19 +23,19 @@
 			if freeze := random.IntN(2) == 0; freeze {
 				frozen[relay] = true
 				world.Net.Freeze(relay.Host, true)
-				world.settled(ledger, frozen)
+				world.awaitInForce(ledger, frozen)
 				world.Net.Freeze(relay.Host, false)
 				delete(frozen, relay)
 			} else {
 				world.KillDaemon(relay)
-				world.settled(ledger, frozen)
+				world.awaitInForce(ledger, frozen)
 				world.StartDaemon(relay)
 			}
 			world.Rest(time.Duration(random.IntN(800)) * time.Millisecond)
 		}
 		ledger.Stop()
 		world.judge(ledger)
-		world.settled(ledger, frozen)
+		world.awaitInForce(ledger, frozen)
 		if len(ledger.Acked) < 5 {
 			world.broke("only %d changes acknowledged, want 5", len(ledger.Acked))
 		}
@@ -44,7 +44,7 @@
 }
 
 // awaitInForce waits until the newest acknowledged settings are in force at all running daemons.
-func (world *World) settled(ledger *checker.Ledger, frozen map[*Daemon]bool) {
+func (world *World) awaitInForce(ledger *checker.Ledger, frozen map[*Daemon]bool) {
 	last := ledger.Newest()
 	if !world.Until(4*time.Second, func() bool {
 		for _, daemon := range world.Daemons {
--- a/harness/simulation/removal_test.go
+++ b/harness/simulation/removal_test.go
@@ -13,7 +13,7 @@
 )
 
 // voterIDs formats the IDs of the voters in a membership status.
-func voters(membership *message.MembershipStatus) string {
+func voterIDs(membership *message.MembershipStatus) string {
 	ids := []int{}
 	for _, voter := range membership.Voters {
 		ids = append(ids, voter.ID)
@@ -21,8 +21,8 @@
 	return fmt.Sprint(ids)
 }
 
-// membership reads the membership status through the operator API, with retries.
-func (world *World) membership(test *testing.T, client *operator.Client) *message.MembershipStatus {
+// readMembership reads the membership status through the operator API, with retries.
+func (world *World) readMembership(test *testing.T, client *operator.Client) *message.MembershipStatus {
 	test.Helper()
 	var response *message.MembershipStatus
 	var err error
@@ -33,7 +33,7 @@
 }
 
 // removeCore orders the removal of a core, with up to 10 retries after server errors.
-func (world *World) remove(client *operator.Client, id int) (*operator.Removed, error) {
+func (world *World) removeCore(client *operator.Client, id int) (*operator.Removed, error) {
 	removed, err := client.RemoveCore(id)
 	for try := 0; try < 10 && err != nil && rpc.CodeOf(err).Status() >= 500; try++ {
 		world.Rest(300 * time.Millisecond)
@@ -62,50 +62,50 @@
 		world.up(test, 2)
 		client := world.Client(world.Daemons[1].OperatorAddress)
 		leader := world.Leader()
-		goes, stays := world.Cores[(leader+1)%3], world.Cores[(leader+2)%3]
-		if _, err := world.remove(client, goes.ID); err == nil || rpc.CodeOf(err) != rpc.NoLearner {
+		leaving, staying := world.Cores[(leader+1)%3], world.Cores[(leader+2)%3]
+		if _, err := world.removeCore(client, leaving.ID); err == nil || rpc.CodeOf(err) != rpc.NoLearner {
 			test.Errorf("removal without a learner: got %v, want no_learner", err)
 		}
-		if _, err := world.remove(client, 9); err == nil || rpc.CodeOf(err) != rpc.NotFound {
+		if _, err := world.removeCore(client, 9); err == nil || rpc.CodeOf(err) != rpc.NotFound {
 			test.Errorf("removal of an unknown core: got %v, want not_found", err)
 		}
-		if response := world.membership(
+		if response := world.readMembership(
 			test,
 			client,
-		); voters(response) != "[1 2 3]" || response.Version != 1 || len(response.Learners) != 0 ||
+		); voterIDs(response) != "[1 2 3]" || response.Version != 1 || len(response.Learners) != 0 ||
 			len(response.Next) != 0 {
 			test.Errorf("initial membership %+v", response)
 		}
 		for number, order := range []struct {
 			remove int
 			left   []int
-		}{{goes.ID, []int{stays.ID, leader + 1, 4}}, {leader + 1, []int{stays.ID, 4, 5}}} {
+		}{{leaving.ID, []int{staying.ID, leader + 1, 4}}, {leader + 1, []int{staying.ID, 4, 5}}} {
 			spare := world.StartSpare(number + 1)
 			defer world.EndSpare(spare)
 			ready := func() bool {
-				response := world.membership(test, client)
+				response := world.readMembership(test, client)
 				return slices.ContainsFunc(response.Learners, func(one message.LearnerStatus) bool {
 					return one.Address == spare.InternalAddress && one.Synced && one.Seen
 				})
 			}
 			if !world.Until(10*time.Second, ready) {
-				test.Errorf("the learner is not ready: %+v", world.membership(test, client))
+				test.Errorf("the learner is not ready: %+v", world.readMembership(test, client))
 			}
 			begin := time.Now()
-			removed, err := world.remove(client, order.remove)
+			removed, err := world.removeCore(client, order.remove)
 			if err != nil {
 				test.Fatalf("core %d is not removed: %v", order.remove, err)
 			}
 			test.Logf("core %d removed after %v: version %d", order.remove, time.Since(begin), removed.Version)
 			slices.Sort(order.left)
-			if response := world.membership(
+			if response := world.readMembership(
 				test,
 				client,
-			); voters(response) != fmt.Sprint(order.left) || response.Version != removed.Version ||
+			); voterIDs(response) != fmt.Sprint(order.left) || response.Version != removed.Version ||
 				len(response.Next) != 0 {
 				test.Errorf("membership after order %d: %+v", number, response)
 			}
-			if again, err := world.remove(client, order.remove); err != nil || !again.Again {
+			if again, err := world.removeCore(client, order.remove); err != nil || !again.Again {
 				test.Errorf("repeated order: got %+v, error %v, want an acknowledged repeat", again, err)
 			}
 			if err := world.changeSettings(client, uint64(number)); err != nil {
@@ -139,17 +139,17 @@
 
 // Two operators concurrently remove two cores while there is one learner, and then the same
 // core while there are two: only one learner is promoted for each core removed.
-func TestRemovalsRace(test *testing.T) {
+func TestConcurrentRemovals(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		world.up(test, 2)
 		leader := world.Leader()
-		others := []int{(leader+1)%3 + 1, (leader+2)%3 + 1}
+		followers := []int{(leader+1)%3 + 1, (leader+2)%3 + 1}
 		clients := []*operator.Client{world.Client(world.Daemons[0].OperatorAddress), world.Client(world.Daemons[1].OperatorAddress)}
-		learners := func(count int) func() bool {
+		haveLearners := func(count int) func() bool {
 			return func() bool {
-				response, synced := world.membership(test, clients[0]), 0
+				response, synced := world.readMembership(test, clients[0]), 0
 				for _, one := range response.Learners {
 					if one.Synced {
 						synced++
@@ -162,7 +162,7 @@
 			answers := make(chan error, len(ids))
 			for index, id := range ids {
 				world.goroutines.Start(func() {
-					_, err := world.remove(clients[index], id)
+					_, err := world.removeCore(clients[index], id)
 					answers <- err
 				})
 			}
@@ -177,11 +177,11 @@
 		}
 		spare := world.StartSpare(1)
 		defer world.EndSpare(spare)
-		world.Until(10*time.Second, learners(1))
-		if removed := race(others); removed != 1 {
+		world.Until(10*time.Second, haveLearners(1))
+		if removed := race(followers); removed != 1 {
 			test.Errorf("%d of two removals acknowledged with one learner, want 1", removed)
 		}
-		response := world.membership(test, clients[0])
+		response := world.readMembership(test, clients[0])
 		if len(response.Voters) != 3 || response.Version != 3 {
 			test.Errorf("membership after the first race %+v", response)
 		}
@@ -189,11 +189,11 @@
 			more := world.StartSpare(2 + number)
 			defer world.EndSpare(more)
 		}
-		world.Until(10*time.Second, learners(2))
+		world.Until(10*time.Second, haveLearners(2))
 		if removed := race([]int{4, 4}); removed != 2 {
 			test.Errorf("%d of two removals of the same core acknowledged, want 2", removed)
 		}
-		if response := world.membership(test, clients[0]); len(response.Voters) != 3 || response.Version != 5 {
+		if response := world.readMembership(test, clients[0]); len(response.Voters) != 3 || response.Version != 5 {
 			test.Errorf("membership after the second race %+v", response)
 		}
 		world.reportWithSpares(test)
--- a/harness/simulation/replace_run_test.go
+++ b/harness/simulation/replace_run_test.go
@@ -9,7 +9,7 @@
 
 // replacementFaults are the control plane's faults and core replacements. Kinds that occur
 // more than once are drawn more often.
-var ReplacementFaults = append([]string{
+var replacementFaults = append([]string{
 	"replace",
 	"replace",
 	"replace-leader",
@@ -30,7 +30,7 @@
 
 // toleratedCoreFaults and toleratedLinkFaults lose no more than a deployment tolerates.
 var (
-	SurvivedCoreFaults = []string{
+	toleratedCoreFaults = []string{
 		"kill",
 		"power",
 		"term",
@@ -46,126 +46,126 @@
 		"full",
 		"refuse-restart",
 	}
-	SurvivedLinkFaults = []string{"freeze", "cut", "one-way", "reset", "faults"}
+	toleratedLinkFaults = []string{"freeze", "cut", "one-way", "reset", "faults"}
 )
 
 // replacementInjector injects core replacements in addition to all other faults.
-type replacer struct{ *Injector }
+type replacementInjector struct{ *Injector }
 
 // Inject causes one fault and heals it.
-func (side *replacer) Inject(kind string) {
-	random := side.random
-	index := random.IntN(len(side.world.Cores))
-	leader := max(side.world.Leader(), 0)
+func (injector *replacementInjector) Inject(kind string) {
+	random := injector.random
+	index := random.IntN(len(injector.world.Cores))
+	leader := max(injector.world.Leader(), 0)
 	switch kind {
 	case "replace":
-		side.replace([]int{index})
+		injector.replace([]int{index})
 	case "replace-leader":
-		side.replace([]int{leader})
+		injector.replace([]int{leader})
 	case "replace-many":
-		side.replace(random.Perm(len(side.world.Cores))[:(len(side.world.Cores)-1)/2])
+		injector.replace(random.Perm(len(injector.world.Cores))[:(len(injector.world.Cores)-1)/2])
 	case "replace-planned":
-		side.replacePlanned(index)
+		injector.replacePlanned(index)
 	case "replace-planned-leader":
-		side.replacePlanned(leader)
+		injector.replacePlanned(leader)
 	case "replace-in-turn":
-		for index := range side.world.Cores {
-			side.replacePlanned(index)
+		for index := range injector.world.Cores {
+			injector.replacePlanned(index)
 		}
 	case "all-down-replacing":
-		side.allDownReplacing(index)
+		injector.allDownReplacing(index)
 	case "return-removed":
-		side.returnRemoved()
+		injector.returnRemoved()
 	case "turn-seeds":
-		side.turnSeeds()
+		injector.refreshSeeds()
 	case "cut-off":
-		side.cutOff(index, true, true)
+		injector.cutOff(index, true, true)
 	case "mute":
-		side.cutOff(index, true, false)
+		injector.cutOff(index, true, false)
 	case "deaf":
-		side.cutOff(index, false, true)
+		injector.cutOff(index, false, true)
 	case "roll":
-		side.roll()
+		injector.roll()
 	default:
-		side.Injector.Inject(kind)
+		injector.Injector.Inject(kind)
 	}
 }
 
 // Run injects random faults for the span; two of three are followed by a pause.
-func (side *replacer) Run(span time.Duration) {
+func (injector *replacementInjector) Run(span time.Duration) {
 	for until := time.Now().Add(span); time.Now().Before(until); {
-		kind := side.kinds[side.random.IntN(len(side.kinds))]
-		side.chaos.Done[kind]++
-		side.Inject(kind)
-		if side.random.IntN(3) > 0 {
-			side.world.Rest(side.span(200, 6000))
+		kind := injector.kinds[injector.random.IntN(len(injector.kinds))]
+		injector.chaos.Done[kind]++
+		injector.Inject(kind)
+		if injector.random.IntN(3) > 0 {
+			injector.world.Rest(injector.span(200, 6000))
 		}
 	}
 }
 
 // replace loses cores permanently and starts empty ones some time later.
-func (side *replacer) replace(indexes []int) {
-	side.lose(indexes, nil, func() {
-		seeds := side.world.operatorSeeds()
+func (injector *replacementInjector) replace(indexes []int) {
+	injector.lose(indexes, nil, func() {
+		seeds := injector.world.operatorSeeds()
 		for _, index := range indexes {
-			side.world.LoseCore(index)
+			injector.world.LoseCore(index)
 		}
-		side.world.Rest(side.span(300, 2500))
+		injector.world.Rest(injector.span(300, 2500))
 		for _, index := range indexes {
-			side.world.Fill(index, seeds)
+			injector.world.Fill(index, seeds)
 		}
 	})
-	side.turnSeeds()
+	injector.refreshSeeds()
 }
 
 // replacePlanned starts a new core, then stops the old one permanently.
-func (side *replacer) replacePlanned(index int) {
-	side.lose([]int{index}, nil, func() {
-		leaving := side.world.machine(index)
-		side.world.Fill(index, nil)
-		side.world.Rest(side.span(50, 2000))
-		side.world.Leave(leaving)
+func (injector *replacementInjector) replacePlanned(index int) {
+	injector.lose([]int{index}, nil, func() {
+		leaving := injector.world.machine(index)
+		injector.world.Fill(index, nil)
+		injector.world.Rest(injector.span(50, 2000))
+		injector.world.Leave(leaving)
 	})
-	side.turnSeeds()
+	injector.refreshSeeds()
 }
 
 // allDownReplacing cuts the power of all cores while one is being replaced.
-func (side *replacer) allDownReplacing(index int) {
-	world := side.world
-	side.lose(side.every(), nil, func() {
+func (injector *replacementInjector) allDownReplacing(index int) {
+	world := injector.world
+	injector.lose(injector.every(), nil, func() {
 		seeds := world.operatorSeeds()
 		world.LoseCore(index)
-		world.Rest(side.span(300, 2500))
+		world.Rest(injector.span(300, 2500))
 		world.Fill(index, seeds)
-		world.Rest(side.span(10, 2000))
-		world.killAll(true, side.random.IntN(2) == 0)
-		world.Rest(side.span(10, 1000))
+		world.Rest(injector.span(10, 2000))
+		world.killAll(true, injector.random.IntN(2) == 0)
+		world.Rest(injector.span(10, 1000))
 		world.startAll()
 	})
-	side.turnSeeds()
+	injector.refreshSeeds()
 }
 
 // returnRemoved starts a removed core that is no voter any more with its old disk, and ends it
 // after 0.5 to 9 s.
-func (side *replacer) returnRemoved() {
+func (injector *replacementInjector) returnRemoved() {
 	removed := []int{}
-	for index, machine := range side.world.removed() {
-		if !side.world.hasSeat(machine) {
+	for index, machine := range injector.world.removed() {
+		if !injector.world.isVoter(machine) {
 			removed = append(removed, index)
 		}
 	}
 	if len(removed) == 0 {
 		return
 	}
-	machine := side.world.ReturnRemoved(removed[side.random.IntN(len(removed))])
-	side.world.Rest(side.span(500, 9000))
-	side.world.vanish(machine)
+	machine := injector.world.ReturnRemoved(removed[injector.random.IntN(len(removed))])
+	injector.world.Rest(injector.span(500, 9000))
+	injector.world.vanish(machine)
 }
 
 // isVoter reports whether any disk of the deployment lists a machine as a voter.
-func (world *World) hasSeat(machine *Core) bool {
+func (world *World) isVoter(machine *Core) bool {
 	for _, disk := range world.voterDisks() {
-		if slices.Contains(seats(disk), machine.InternalAddress) {
+		if slices.Contains(voterAddresses(disk), machine.InternalAddress) {
 			return true
 		}
 	}
@@ -173,57 +173,57 @@
 }
 
 // refreshSeeds makes three current cores the seeds of all processes started from now on.
-func (side *replacer) turnSeeds() {
-	side.world.TurnSeeds(side.world.operatorSeeds()...)
+func (injector *replacementInjector) refreshSeeds() {
+	injector.world.TurnSeeds(injector.world.operatorSeeds()...)
 }
 
 // cutOff cuts a core's outgoing links, incoming links or both to the other cores, for 2 to 20 s.
-func (side *replacer) cutOff(index int, from, to bool) {
-	world, machine := side.world, side.world.machine(index)
+func (injector *replacementInjector) cutOff(index int, outgoing, incoming bool) {
+	world, machine := injector.world, injector.world.machine(index)
 	hosts := []string{}
 	for _, other := range world.everyMachine() {
 		if other != machine {
 			hosts = append(hosts, other.Host)
 		}
 	}
-	turn := func(on bool) {
+	setCut := func(on bool) {
 		for _, host := range hosts {
-			if from {
+			if outgoing {
 				world.Net.CutOneWay(machine.Host, host, on)
 			}
-			if to {
+			if incoming {
 				world.Net.CutOneWay(host, machine.Host, on)
 			}
 		}
 	}
-	side.lose([]int{index}, nil, func() {
-		turn(true)
-		world.Rest(side.span(2000, 20000))
-		turn(false)
+	injector.lose([]int{index}, nil, func() {
+		setCut(true)
+		world.Rest(injector.span(2000, 20000))
+		setCut(false)
 	})
 }
 
 // roll restarts the cores one after the other.
-func (side *replacer) roll() {
-	for index := range side.world.Cores {
-		machine := side.world.machine(index)
-		side.lose([]int{index}, nil, func() {
-			side.world.term(machine)
-			side.world.Rest(side.span(50, 1500))
-			side.world.start(machine)
+func (injector *replacementInjector) roll() {
+	for index := range injector.world.Cores {
+		machine := injector.world.machine(index)
+		injector.lose([]int{index}, nil, func() {
+			injector.world.term(machine)
+			injector.world.Rest(injector.span(50, 1500))
+			injector.world.start(machine)
 		})
 	}
 }
 
 // minReplacementSeeds is the least number of seeds, as one run covers only some pairs of faults.
-const replacementSeeds = 20
+const minReplacementSeeds = 20
 
 // Core replacements and all other faults hit the control plane, never more at a time than a
 // deployment tolerates: acknowledged orders last and come into force in time, also if an answer
 // was lost and the order was resent through another daemon.
-func TestControlSideUnderReplacement(test *testing.T) {
-	count := max(*seeds, replacementSeeds)
-	if raced {
+func TestControlPlaneUnderReplacement(test *testing.T) {
+	count := max(*seeds, minReplacementSeeds)
+	if raceEnabled {
 		count = *seeds
 	}
 	eachOf(test, count, func(test *testing.T, seed uint64) {
@@ -231,25 +231,25 @@
 		side := world.Control()
 		side.losesAnswers = true
 		defer world.CloseFar()
-		world.farUp(test, 6)
+		world.startFar(test, 6)
 		world.Rest(contactSpan)
 		side.begin()
 		losses := world.Losses(syncSpan)
-		hard, links := &replacer{
-			side.injector(0, ReplacementFaults, SurvivedCoreFaults),
+		coreFaults, linkFaults := &replacementInjector{
+			side.injector(0, replacementFaults, toleratedCoreFaults),
 		}, side.injector(
 			1,
 			SideLinkFaults,
-			SurvivedLinkFaults,
+			toleratedLinkFaults,
 		)
-		hard.losses, links.losses = losses, losses
-		ended := atomic.Bool{}
+		coreFaults.losses, linkFaults.losses = losses, losses
+		linksDone := atomic.Bool{}
 		world.goroutines.Start(func() {
-			links.Run(2 * chaosSpan())
-			ended.Store(true)
+			linkFaults.Run(2 * chaosSpan())
+			linksDone.Store(true)
 		})
-		hard.Run(2 * chaosSpan())
-		world.Until(time.Minute, ended.Load)
+		coreFaults.Run(2 * chaosSpan())
+		world.Until(time.Minute, linksDone.Load)
 		world.Rest(contactSpan + inForceSpan)
 		if !side.stop(60 * time.Second) {
 			test.Fatal("operators have no final answer after 60 s")
@@ -259,8 +259,8 @@
 			"%d cores, %d removed, faults %v, link faults %v",
 			len(world.Cores),
 			len(world.Removed),
-			hard.chaos.Done,
-			links.chaos.Done,
+			coreFaults.chaos.Done,
+			linkFaults.chaos.Done,
 		)
 		world.report(test)
 	})
--- a/harness/simulation/replace_test.go
+++ b/harness/simulation/replace_test.go
@@ -17,18 +17,18 @@
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			for offset := range 2 {
-				one := newTrial(test, seed, cores, 4, []string{"the leader is replaced", "a follower is replaced"}[offset])
-				lost := one.after(one.leader(), offset)
-				one.ReplaceCore(lost, newcomerGap)
+				scenario := newScenario(test, seed, cores, 4, []string{"the leader is replaced", "a follower is replaced"}[offset])
+				lost := scenario.indexAfter(scenario.leader(), offset)
+				scenario.ReplaceCore(lost, newcomerGap)
 				started := time.Now()
-				one.order(syncSpan / 2)
-				one.restUntil(started.Add(syncSpan))
-				second := one.after(lost, 1+int(seed)%(cores-1))
-				one.survives("replaced", second)
-				one.Fill(second, nil)
-				one.Rest(syncSpan)
-				one.settled("replaced again")
-				one.end()
+				scenario.order(syncSpan / 2)
+				scenario.restUntil(started.Add(syncSpan))
+				second := scenario.indexAfter(lost, 1+int(seed)%(cores-1))
+				scenario.checkSurvivesLoss("replaced", second)
+				scenario.Fill(second, nil)
+				scenario.Rest(syncSpan)
+				scenario.checkRecovered("replaced again")
+				scenario.end()
 			}
 		}
 	})
@@ -39,18 +39,18 @@
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			for offset := range 2 {
-				one := newTrial(test, seed, cores, 4, []string{"the leader leaves", "a follower leaves"}[offset])
-				former := one.after(one.leader(), offset)
+				scenario := newScenario(test, seed, cores, 4, []string{"the leader leaves", "a follower leaves"}[offset])
+				leaving := scenario.indexAfter(scenario.leader(), offset)
 				begin := time.Now()
-				one.ReplaceCorePlanned(former, one.span(50*time.Millisecond, 1500*time.Millisecond))
+				scenario.ReplaceCorePlanned(leaving, scenario.randomDuration(50*time.Millisecond, 1500*time.Millisecond))
 				if took := time.Since(begin); took > 1500*time.Millisecond+retireLimit {
-					one.broke("the planned replacement took %v", took)
+					scenario.broke("the planned replacement took %v", took)
 				}
-				one.order(syncSpan / 2)
-				one.restUntil(begin.Add(syncSpan))
-				one.votes("planned", one.machines())
-				one.survives("planned", one.after(former, 1+int(seed)%(cores-1)))
-				one.end()
+				scenario.order(syncSpan / 2)
+				scenario.restUntil(begin.Add(syncSpan))
+				scenario.checkVoters("planned", scenario.machines())
+				scenario.checkSurvivesLoss("planned", scenario.indexAfter(leaving, 1+int(seed)%(cores-1)))
+				scenario.end()
 			}
 		}
 	})
@@ -58,58 +58,58 @@
 
 // The core that leaves holds the only copy of the last acknowledged order: the second core
 // with a copy lost its disk, the third was cut off.
-func TestLeavingCoreHoldsTheOnlyFreshCopy(test *testing.T) {
+func TestLeavingCoreHoldsOnlyNewestCopy(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		for _, back := range []string{"at once", "while the leader leaves"} {
-			one := newTrial(test, seed, 3, 3, "the wiped core restarts "+back)
-			leader := one.leader()
-			stale, wiped := one.after(leader, 1), one.after(leader, 2)
-			one.isolate(stale, true)
-			one.mustOrder("one core is cut off")
-			one.WipeCore(wiped)
-			one.isolate(stale, false)
+		for _, restart := range []string{"at once", "while the leader leaves"} {
+			scenario := newScenario(test, seed, 3, 3, "the wiped core restarts "+restart)
+			leader := scenario.leader()
+			stale, wiped := scenario.indexAfter(leader, 1), scenario.indexAfter(leader, 2)
+			scenario.isolate(stale, true)
+			scenario.mustOrder("one core is cut off")
+			scenario.WipeCore(wiped)
+			scenario.isolate(stale, false)
 			gap := newcomerGap
-			if back == "at once" {
-				one.StartCore(wiped)
+			if restart == "at once" {
+				scenario.StartCore(wiped)
 			}
-			wait := one.meanwhile(func() { one.ReplaceCorePlanned(leader, gap) })
-			one.Rest(gap + one.span(10*time.Millisecond, 500*time.Millisecond))
-			one.StartCore(wiped)
+			wait := scenario.concurrently(func() { scenario.ReplaceCorePlanned(leader, gap) })
+			scenario.Rest(gap + scenario.randomDuration(10*time.Millisecond, 500*time.Millisecond))
+			scenario.StartCore(wiped)
 			wait()
-			one.settled("after it left")
-			one.end()
+			scenario.checkRecovered("after it left")
+			scenario.end()
 		}
 	})
 }
 
 // Cores are replaced one after the other until no founding address is left. Running members
 // follow; members that start later get other seeds.
-func TestNoFoundingAddressIsLeft(test *testing.T) {
+func TestAllFoundingCoresReplaced(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, way := range []string{"lost", "planned", "mixed"} {
-			one := newTrial(test, seed, 3, 4, way)
+			scenario := newScenario(test, seed, 3, 4, way)
 			for round := range 3 {
-				index := one.after(int(seed), round)
+				index := scenario.indexAfter(int(seed), round)
 				started := time.Now()
 				if way == "lost" || way == "mixed" && round%2 == 0 {
-					one.ReplaceCore(index, newcomerGap)
+					scenario.ReplaceCore(index, newcomerGap)
 					started = time.Now()
 				} else {
-					one.ReplaceCorePlanned(index, newcomerGap)
+					scenario.ReplaceCorePlanned(index, newcomerGap)
 				}
-				one.restUntil(started.Add(syncSpan))
-				one.keepsAll(fmt.Sprint("replacement ", round+1))
+				scenario.restUntil(started.Add(syncSpan))
+				scenario.checkAcknowledged(fmt.Sprint("replacement ", round+1))
 			}
-			one.settled("all three replaced")
-			one.TurnSeeds(wires(one.machines())...)
-			late := one.AddMember(1)
-			one.StartMember(late)
-			one.keepsAll("a late member")
-			one.killAll(true, false)
-			one.Rest(time.Second)
-			one.startAll()
-			one.settled("after a power loss of all cores")
-			one.end()
+			scenario.checkRecovered("all three replaced")
+			scenario.TurnSeeds(wires(scenario.machines())...)
+			late := scenario.AddMember(1)
+			scenario.StartMember(late)
+			scenario.checkAcknowledged("a late member")
+			scenario.killAll(true, false)
+			scenario.Rest(time.Second)
+			scenario.startAll()
+			scenario.checkRecovered("after a power loss of all cores")
+			scenario.end()
 		}
 	})
 }
@@ -117,42 +117,42 @@
 // A second replacement begins before the first is complete.
 func TestReplacementDuringAnother(test *testing.T) {
 	type overlap struct {
-		name  string
-		cores int
-		both  func(one *trial, first, second int)
+		name    string
+		cores   int
+		replace func(scenario *replacementScenario, first, second int)
 	}
-	planned := func(one *trial, first, second int) {
-		wait := one.meanwhile(func() { one.ReplaceCorePlanned(first, newcomerGap) })
-		one.Rest(one.span(100*time.Millisecond, 1500*time.Millisecond))
-		one.ReplaceCorePlanned(second, newcomerGap)
+	planned := func(scenario *replacementScenario, first, second int) {
+		wait := scenario.concurrently(func() { scenario.ReplaceCorePlanned(first, newcomerGap) })
+		scenario.Rest(scenario.randomDuration(100*time.Millisecond, 1500*time.Millisecond))
+		scenario.ReplaceCorePlanned(second, newcomerGap)
 		wait()
 	}
-	lost := func(one *trial, first, second int) {
-		wait := one.meanwhile(func() { one.ReplaceCore(first, newcomerGap) })
-		one.Rest(one.span(10*time.Millisecond, 1500*time.Millisecond))
-		one.ReplaceCore(second, newcomerGap)
+	lost := func(scenario *replacementScenario, first, second int) {
+		wait := scenario.concurrently(func() { scenario.ReplaceCore(first, newcomerGap) })
+		scenario.Rest(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
+		scenario.ReplaceCore(second, newcomerGap)
 		wait()
 	}
-	mixed := func(one *trial, first, second int) {
-		wait := one.meanwhile(func() { one.ReplaceCorePlanned(first, newcomerGap) })
-		one.Rest(one.span(10*time.Millisecond, 1500*time.Millisecond))
-		one.ReplaceCore(second, newcomerGap)
+	mixed := func(scenario *replacementScenario, first, second int) {
+		wait := scenario.concurrently(func() { scenario.ReplaceCorePlanned(first, newcomerGap) })
+		scenario.Rest(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
+		scenario.ReplaceCore(second, newcomerGap)
 		wait()
 	}
-	newcomerLost := func(one *trial, first, _ int) {
-		one.ReplaceCore(first, newcomerGap)
-		one.Rest(one.span(10*time.Millisecond, 1500*time.Millisecond))
-		one.ReplaceCore(first, newcomerGap)
+	newcomerLost := func(scenario *replacementScenario, first, _ int) {
+		scenario.ReplaceCore(first, newcomerGap)
+		scenario.Rest(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
+		scenario.ReplaceCore(first, newcomerGap)
 	}
 	each(test, func(test *testing.T, seed uint64) {
-		for _, case1 := range []overlap{{"both planned", 3, planned}, {"both planned", 5, planned}, {"both lost", 5, lost}, {"one planned, one lost", 5, mixed}, {"the new core is lost", 3, newcomerLost}} {
-			one := newTrial(test, seed, case1.cores, 3, case1.name)
-			first := one.after(one.leader(), int(seed)%2)
-			case1.both(one, first, one.after(first, 1))
-			one.Rest(syncSpan)
-			one.settled("both replacements complete")
-			one.survives("both replacements complete", one.after(first, 2))
-			one.end()
+		for _, overlapCase := range []overlap{{"both planned", 3, planned}, {"both planned", 5, planned}, {"both lost", 5, lost}, {"one planned, one lost", 5, mixed}, {"the new core is lost", 3, newcomerLost}} {
+			scenario := newScenario(test, seed, overlapCase.cores, 3, overlapCase.name)
+			first := scenario.indexAfter(scenario.leader(), int(seed)%2)
+			overlapCase.replace(scenario, first, scenario.indexAfter(first, 1))
+			scenario.Rest(syncSpan)
+			scenario.checkRecovered("both replacements complete")
+			scenario.checkSurvivesLoss("both replacements complete", scenario.indexAfter(first, 2))
+			scenario.end()
 		}
 	})
 }
@@ -160,112 +160,112 @@
 // Replacements coincide with other faults. During a fault only what is still possible is
 // checked; afterwards all data must be there and each machine must vote.
 func TestReplacementDuringOtherFaults(test *testing.T) {
-	type meeting struct {
+	type faultCase struct {
 		name  string
 		cores int
-		play  func(one *trial, leader int)
+		run   func(scenario *replacementScenario, leader int)
 	}
 	const longCut = 20 * time.Second
-	meetings := []meeting{
-		{"another is cut off for 20 s", 5, func(one *trial, leader int) {
-			cut := one.machine(one.after(leader, 1))
-			one.isolateMachine(cut, true)
-			one.Rest(longCut / 4)
-			one.ReplaceCore(leader, newcomerGap)
-			one.Rest(syncSpan)
-			one.keepsAll("one is cut off, one replaced")
-			one.Rest(longCut / 4)
-			one.isolateMachine(cut, false)
+	faultCases := []faultCase{
+		{"another is cut off for 20 s", 5, func(scenario *replacementScenario, leader int) {
+			cut := scenario.machine(scenario.indexAfter(leader, 1))
+			scenario.isolateMachine(cut, true)
+			scenario.Rest(longCut / 4)
+			scenario.ReplaceCore(leader, newcomerGap)
+			scenario.Rest(syncSpan)
+			scenario.checkAcknowledged("one is cut off, one replaced")
+			scenario.Rest(longCut / 4)
+			scenario.isolateMachine(cut, false)
 		}},
-		{"another is cut off for 20 s", 3, func(one *trial, leader int) {
-			cut := one.machine(one.after(leader, 1))
-			one.isolateMachine(cut, true)
-			one.mustOrder("one is cut off")
-			one.ReplaceCore(one.after(leader, 2), newcomerGap)
-			one.Rest(longCut)
-			one.isolateMachine(cut, false)
+		{"another is cut off for 20 s", 3, func(scenario *replacementScenario, leader int) {
+			cut := scenario.machine(scenario.indexAfter(leader, 1))
+			scenario.isolateMachine(cut, true)
+			scenario.mustOrder("one is cut off")
+			scenario.ReplaceCore(scenario.indexAfter(leader, 2), newcomerGap)
+			scenario.Rest(longCut)
+			scenario.isolateMachine(cut, false)
 		}},
-		{"the leaving core is cut off", 3, func(one *trial, leader int) {
-			leaving := one.machine(one.after(leader, int(one.Seed)%2))
-			one.isolateMachine(leaving, true)
-			one.Rest(one.span(10*time.Millisecond, 2*time.Second))
-			one.ReplaceCorePlanned(slices.Index(one.machines(), leaving), newcomerGap)
+		{"the leaving core is cut off", 3, func(scenario *replacementScenario, leader int) {
+			leaving := scenario.machine(scenario.indexAfter(leader, int(scenario.Seed)%2))
+			scenario.isolateMachine(leaving, true)
+			scenario.Rest(scenario.randomDuration(10*time.Millisecond, 2*time.Second))
+			scenario.ReplaceCorePlanned(slices.Index(scenario.machines(), leaving), newcomerGap)
 		}},
-		{"another cannot send", 5, func(one *trial, leader int) {
-			mute := one.machine(one.after(leader, 1))
-			turn := func(on bool) {
-				for _, other := range one.everyMachine() {
-					if other != mute {
-						one.Net.CutOneWay(mute.Host, other.Host, on)
+		{"another cannot send", 5, func(scenario *replacementScenario, leader int) {
+			muted := scenario.machine(scenario.indexAfter(leader, 1))
+			setCut := func(on bool) {
+				for _, other := range scenario.everyMachine() {
+					if other != muted {
+						scenario.Net.CutOneWay(muted.Host, other.Host, on)
 					}
 				}
 			}
-			turn(true)
-			one.ReplaceCore(one.after(leader, 2), newcomerGap)
-			one.Rest(syncSpan)
-			one.keepsAll("one cannot send, one replaced")
-			turn(false)
+			setCut(true)
+			scenario.ReplaceCore(scenario.indexAfter(leader, 2), newcomerGap)
+			scenario.Rest(syncSpan)
+			scenario.checkAcknowledged("one cannot send, one replaced")
+			setCut(false)
 		}},
-		{"another has lost its disk", 5, func(one *trial, leader int) {
-			one.WipeCore(one.after(leader, 1))
-			one.StartCore(one.after(leader, 1))
-			one.Rest(one.span(10*time.Millisecond, time.Second))
-			one.ReplaceCore(one.after(leader, int(one.Seed)%2*2), newcomerGap)
+		{"another has lost its disk", 5, func(scenario *replacementScenario, leader int) {
+			scenario.WipeCore(scenario.indexAfter(leader, 1))
+			scenario.StartCore(scenario.indexAfter(leader, 1))
+			scenario.Rest(scenario.randomDuration(10*time.Millisecond, time.Second))
+			scenario.ReplaceCore(scenario.indexAfter(leader, int(scenario.Seed)%2*2), newcomerGap)
 		}},
-		{"the replaced core lost its disk first", 3, func(one *trial, leader int) {
-			one.WipeCore(leader)
-			one.StartCore(leader)
-			one.Rest(one.span(10*time.Millisecond, 300*time.Millisecond))
-			one.ReplaceCore(leader, newcomerGap)
+		{"the replaced core lost its disk first", 3, func(scenario *replacementScenario, leader int) {
+			scenario.WipeCore(leader)
+			scenario.StartCore(leader)
+			scenario.Rest(scenario.randomDuration(10*time.Millisecond, 300*time.Millisecond))
+			scenario.ReplaceCore(leader, newcomerGap)
 		}},
-		{"another loses its disk after the sync", 3, func(one *trial, leader int) {
-			one.ReplaceCore(leader, newcomerGap)
-			one.Rest(syncSpan)
-			one.order(calmLimit)
-			one.WipeCore(one.after(leader, 1))
-			one.StartCore(one.after(leader, 1))
+		{"another loses its disk after the sync", 3, func(scenario *replacementScenario, leader int) {
+			scenario.ReplaceCore(leader, newcomerGap)
+			scenario.Rest(syncSpan)
+			scenario.order(orderLimit)
+			scenario.WipeCore(scenario.indexAfter(leader, 1))
+			scenario.StartCore(scenario.indexAfter(leader, 1))
 		}},
-		{"all others restart in turn", 5, rolling},
-		{"all others restart in turn", 3, rolling},
-		{"connections are reset", 3, func(one *trial, leader int) {
-			wait := one.meanwhile(func() {
+		{"all others restart in turn", 5, rollDuringReplacement},
+		{"all others restart in turn", 3, rollDuringReplacement},
+		{"connections are reset", 3, func(scenario *replacementScenario, leader int) {
+			wait := scenario.concurrently(func() {
 				for range 40 {
-					machines := one.everyMachine()
-					left, right := machines[one.random.IntN(len(machines))], machines[one.random.IntN(len(machines))]
-					one.Net.Reset(left.Host, right.Host)
-					one.Rest(100 * time.Millisecond)
+					machines := scenario.everyMachine()
+					left, right := machines[scenario.random.IntN(len(machines))], machines[scenario.random.IntN(len(machines))]
+					scenario.Net.Reset(left.Host, right.Host)
+					scenario.Rest(100 * time.Millisecond)
 				}
 			})
-			one.ReplaceCore(one.after(leader, int(one.Seed)%2), newcomerGap)
+			scenario.ReplaceCore(scenario.indexAfter(leader, int(scenario.Seed)%2), newcomerGap)
 			wait()
 		}},
 	}
 	each(test, func(test *testing.T, seed uint64) {
-		for _, meeting := range meetings {
-			one := newTrial(test, seed, meeting.cores, 3, meeting.name)
-			meeting.play(one, one.leader())
-			one.Rest(syncSpan)
-			one.settled("after the fault")
-			one.end()
+		for _, faultCase := range faultCases {
+			scenario := newScenario(test, seed, faultCase.cores, 3, faultCase.name)
+			faultCase.run(scenario, scenario.leader())
+			scenario.Rest(syncSpan)
+			scenario.checkRecovered("after the fault")
+			scenario.end()
 		}
 	})
 }
 
 // rollDuringReplacement restarts the other cores in turn while one is replaced as planned.
-func rolling(one *trial, leader int) {
-	leaving := one.machine(one.after(leader, int(one.Seed)%2))
-	wait := one.meanwhile(func() {
-		for _, machine := range one.machines() {
+func rollDuringReplacement(scenario *replacementScenario, leader int) {
+	leaving := scenario.machine(scenario.indexAfter(leader, int(scenario.Seed)%2))
+	wait := scenario.concurrently(func() {
+		for _, machine := range scenario.machines() {
 			if machine != leaving {
-				one.term(machine)
-				one.Rest(one.span(50*time.Millisecond, 700*time.Millisecond))
-				one.start(machine)
-				one.Rest(syncSpan / 2)
+				scenario.term(machine)
+				scenario.Rest(scenario.randomDuration(50*time.Millisecond, 700*time.Millisecond))
+				scenario.start(machine)
+				scenario.Rest(syncSpan / 2)
 			}
 		}
 	})
-	one.Rest(one.span(10*time.Millisecond, 3*time.Second))
-	one.ReplaceCorePlanned(slices.Index(one.machines(), leaving), newcomerGap)
+	scenario.Rest(scenario.randomDuration(10*time.Millisecond, 3*time.Second))
+	scenario.ReplaceCorePlanned(slices.Index(scenario.machines(), leaving), newcomerGap)
 	wait()
 }
 
@@ -275,27 +275,27 @@
 		for _, cores := range []int{3, 5} {
 			for round := range 4 {
 				planned := round%2 == 1
-				one := newTrial(test, seed, cores, 3, fmt.Sprintf("round %d, planned %v", round, planned))
-				index := one.after(one.leader(), round/2)
-				leaving := one.machine(index)
-				wait := one.meanwhile(func() {
+				scenario := newScenario(test, seed, cores, 3, fmt.Sprintf("round %d, planned %v", round, planned))
+				index := scenario.indexAfter(scenario.leader(), round/2)
+				leaving := scenario.machine(index)
+				wait := scenario.concurrently(func() {
 					if planned {
-						one.ReplaceCorePlanned(index, newcomerGap)
+						scenario.ReplaceCorePlanned(index, newcomerGap)
 					} else {
-						one.ReplaceCore(index, newcomerGap)
+						scenario.ReplaceCore(index, newcomerGap)
 					}
 				})
-				one.Rest(one.span(10*time.Millisecond, 2500*time.Millisecond))
-				one.killAll(true, false)
+				scenario.Rest(scenario.randomDuration(10*time.Millisecond, 2500*time.Millisecond))
+				scenario.killAll(true, false)
 				if planned {
-					one.kill(leaving, true)
+					scenario.kill(leaving, true)
 				}
-				one.Rest(one.span(10*time.Millisecond, time.Second))
-				one.startAll()
+				scenario.Rest(scenario.randomDuration(10*time.Millisecond, time.Second))
+				scenario.startAll()
 				wait()
-				one.Rest(syncSpan)
-				one.settled("after the restart")
-				one.end()
+				scenario.Rest(syncSpan)
+				scenario.checkRecovered("after the restart")
+				scenario.end()
 			}
 		}
 	})
@@ -305,78 +305,78 @@
 func TestReplacementOfOneOfFour(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for offset := range 2 {
-			one := newTrial(test, seed, 4, 3, []string{"the leader is replaced", "a follower is replaced"}[offset])
-			lost := one.after(one.leader(), offset)
+			scenario := newScenario(test, seed, 4, 3, []string{"the leader is replaced", "a follower is replaced"}[offset])
+			lost := scenario.indexAfter(scenario.leader(), offset)
 			if offset == int(seed)%2 {
-				one.ReplaceCore(lost, newcomerGap)
+				scenario.ReplaceCore(lost, newcomerGap)
 			} else {
-				one.ReplaceCorePlanned(lost, newcomerGap)
+				scenario.ReplaceCorePlanned(lost, newcomerGap)
 			}
-			one.Rest(syncSpan)
-			one.settled("replaced")
-			one.survives("replaced", one.after(lost, 1+int(seed)%3))
-			one.end()
+			scenario.Rest(syncSpan)
+			scenario.checkRecovered("replaced")
+			scenario.checkSurvivesLoss("replaced", scenario.indexAfter(lost, 1+int(seed)%3))
+			scenario.end()
 		}
 	})
 }
 
 // Five cores lose two at a time, nine lose four, and as many again once the new cores had time
 // to synchronize.
-func TestAsManyReplacedAsMayBeLost(test *testing.T) {
+func TestLargestMinorityReplaced(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{5, 9} {
-			one := newTrial(test, seed, cores, 3, "the largest tolerated minority is replaced")
-			first := one.leader()
+			scenario := newScenario(test, seed, cores, 3, "the largest tolerated minority is replaced")
+			first := scenario.leader()
 			for offset := range cores / 2 {
-				one.LoseCore(one.after(first, offset))
+				scenario.LoseCore(scenario.indexAfter(first, offset))
 			}
-			one.Rest(newcomerGap)
+			scenario.Rest(newcomerGap)
 			for offset := range cores / 2 {
-				one.Fill(one.after(first, offset), nil)
+				scenario.Fill(scenario.indexAfter(first, offset), nil)
 			}
-			one.order(syncSpan / 2)
-			one.Rest(syncSpan)
-			one.votes("replaced", one.machines())
+			scenario.order(syncSpan / 2)
+			scenario.Rest(syncSpan)
+			scenario.checkVoters("replaced", scenario.machines())
 			others := []int{}
 			for offset := range cores / 2 {
-				others = append(others, one.after(first, cores/2+offset))
+				others = append(others, scenario.indexAfter(first, cores/2+offset))
 			}
-			one.survives("replaced", others...)
-			one.end()
+			scenario.checkSurvivesLoss("replaced", others...)
+			scenario.end()
 		}
 	})
 }
 
 // A core that is cut off, frozen or without power for 20 s remains a voter as long as no
 // learner takes its place, and its vote counts again.
-func TestAbsentCoreKeepsItsSeat(test *testing.T) {
+func TestAbsentCoreStaysVoter(test *testing.T) {
 	const away = 20 * time.Second
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			for _, way := range []string{"cut off", "frozen", "without power"} {
-				one := newTrial(test, seed, cores, 3, way)
-				absent := one.after(one.leader(), int(seed)%2)
-				machine := one.machine(absent)
+				scenario := newScenario(test, seed, cores, 3, way)
+				absent := scenario.indexAfter(scenario.leader(), int(seed)%2)
+				machine := scenario.machine(absent)
 				switch way {
 				case "cut off":
-					one.isolateMachine(machine, true)
+					scenario.isolateMachine(machine, true)
 				case "frozen":
-					one.Net.Freeze(machine.Host, true)
+					scenario.Net.Freeze(machine.Host, true)
 				case "without power":
-					one.KillCore(absent, true)
+					scenario.KillCore(absent, true)
 				}
-				one.mustOrder("one core absent")
-				one.Rest(away)
-				one.isolateMachine(machine, false)
-				one.Net.Freeze(machine.Host, false)
-				one.start(machine)
-				one.Rest(syncSpan)
-				one.settled("the absent core is back")
+				scenario.mustOrder("one core absent")
+				scenario.Rest(away)
+				scenario.isolateMachine(machine, false)
+				scenario.Net.Freeze(machine.Host, false)
+				scenario.start(machine)
+				scenario.Rest(syncSpan)
+				scenario.checkRecovered("the absent core is back")
 				for offset := range cores / 2 {
-					one.LoseCore(one.after(absent, 1+offset))
+					scenario.LoseCore(scenario.indexAfter(absent, 1+offset))
 				}
-				one.keepsAll("a minority of the others is lost")
-				one.end()
+				scenario.checkAcknowledged("a minority of the others is lost")
+				scenario.end()
 			}
 		}
 	})
@@ -384,70 +384,70 @@
 
 // An isolated minority with new cores on its side is no quorum, even if together they
 // outnumber the others; and a new core without a vacant place does not become a voter.
-func TestMinorityWithNewcomersIsNoQuorum(test *testing.T) {
+func TestMinorityWithNewCoresIsNoQuorum(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
-			one := newTrial(test, seed, cores, 0, "minority cut off with new cores")
-			leader := one.leader()
-			few := []*Core{}
+			scenario := newScenario(test, seed, cores, 0, "minority cut off with new cores")
+			leader := scenario.leader()
+			minority := []*Core{}
 			for offset := range cores / 2 {
-				few = append(few, one.machine(one.after(leader, int(seed)%2+offset)))
+				minority = append(minority, scenario.machine(scenario.indexAfter(leader, int(seed)%2+offset)))
 			}
-			others := slices.DeleteFunc(one.machines(), func(machine *Core) bool { return slices.Contains(few, machine) })
-			founders := one.machines()
-			turn := func(on bool) {
-				for _, lone := range one.everyMachine() {
-					for _, other := range others {
-						if !slices.Contains(others, lone) {
-							one.Net.Cut(lone.Host, other.Host, on)
+			majority := slices.DeleteFunc(scenario.machines(), func(machine *Core) bool { return slices.Contains(minority, machine) })
+			founders := scenario.machines()
+			setCut := func(on bool) {
+				for _, isolated := range scenario.everyMachine() {
+					for _, other := range majority {
+						if !slices.Contains(majority, isolated) {
+							scenario.Net.Cut(isolated.Host, other.Host, on)
 						}
 					}
 				}
 			}
-			turn(true)
-			one.Rest(one.span(10*time.Millisecond, 2*time.Second))
+			setCut(true)
+			scenario.Rest(scenario.randomDuration(10*time.Millisecond, 2*time.Second))
 			for region := range 3 {
-				newcomer := one.newcomer(region, wires(few))
-				for _, other := range others {
-					one.Net.Cut(newcomer.Host, other.Host, true)
+				newcomer := scenario.newcomer(region, wires(minority))
+				for _, other := range majority {
+					scenario.Net.Cut(newcomer.Host, other.Host, true)
 				}
-				one.mutex.Lock()
-				one.Cores = append(one.Cores, newcomer)
-				one.mutex.Unlock()
-				one.start(newcomer)
+				scenario.mutex.Lock()
+				scenario.Cores = append(scenario.Cores, newcomer)
+				scenario.mutex.Unlock()
+				scenario.start(newcomer)
 			}
-			one.Rest(2 * farSuspect)
-			before := one.leads()
-			for until := time.Now().Add(20 * time.Second); time.Now().Before(until); one.Rest(2 * time.Second) {
-				for _, machine := range one.machines() {
-					if !slices.Contains(others, machine) {
-						one.refuses(machine)
+			scenario.Rest(2 * farSuspect)
+			before := scenario.leadershipCount()
+			for until := time.Now().Add(20 * time.Second); time.Now().Before(until); scenario.Rest(2 * time.Second) {
+				for _, machine := range scenario.machines() {
+					if !slices.Contains(majority, machine) {
+						scenario.checkRefuses(machine)
 					}
 				}
 			}
-			one.mutex.Lock()
-			for _, lead := range one.Leads[before:] {
-				if !slices.ContainsFunc(others, func(machine *Core) bool { return machine.Host == lead.Host }) {
-					one.Broken = append(one.Broken, fmt.Sprintf("%s: %s led without a majority", one.name, lead.Host))
+			scenario.mutex.Lock()
+			for _, lead := range scenario.Leads[before:] {
+				if !slices.ContainsFunc(majority, func(machine *Core) bool { return machine.Host == lead.Host }) {
+					scenario.Broken = append(scenario.Broken, fmt.Sprintf("%s: %s led without a majority", scenario.name, lead.Host))
 				}
 			}
-			one.mutex.Unlock()
-			turn(false)
-			one.Rest(syncSpan)
-			one.keepsAll("after healing")
-			one.votes("after healing", founders)
-			one.end()
+			scenario.mutex.Unlock()
+			setCut(false)
+			scenario.Rest(syncSpan)
+			scenario.checkAcknowledged("after healing")
+			scenario.checkVoters("after healing", founders)
+			scenario.end()
 		}
 	})
 }
 
 // checkRefuses checks that a core without a majority acknowledges neither orders nor reads.
-func (one *trial) refuses(machine *Core) {
-	client := rpc.NewClient(one.Net.Transport("10.8.0.1"))
+func (scenario *replacementScenario) checkRefuses(machine *Core) {
+	client := rpc.NewClient(scenario.Net.Transport("10.8.0.1"))
 	defer client.Close()
-	for _, ask := range []func() error{
+	for _, call := range []func() error{
 		func() error {
-			_, err := rpc.Call(client, machine.InternalAddress, message.MethodRoutingChange, time.Second, WholeChange(1000+one.newest, one.newest))
+			_, err := rpc.Call(client, machine.InternalAddress, message.MethodRoutingChange, time.Second, WholeChange(1000+scenario.newestVersion, scenario.newestVersion))
 			return err
 		},
 		func() error {
@@ -459,8 +459,8 @@
 			return err
 		},
 	} {
-		if ask() == nil {
-			one.broke("%s acknowledged without a majority", machine.Host)
+		if call() == nil {
+			scenario.broke("%s acknowledged without a majority", machine.Host)
 		}
 	}
 }
@@ -472,30 +472,30 @@
 func TestRemovedCoreReturns(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, way := range []string{"left as planned", "was lost"} {
-			one := newTrial(test, seed, 3, 3, "it "+way)
-			index := one.after(one.leader(), int(seed)%2)
-			former := voterID(one.machine(index))
-			one.removeAt(way, index)
-			one.settled("removed")
-			before := one.leads()
-			returned := one.ReturnRemoved(0)
-			late := one.AddMember(2)
+			scenario := newScenario(test, seed, 3, 3, "it "+way)
+			index := scenario.indexAfter(scenario.leader(), int(seed)%2)
+			former := voterID(scenario.machine(index))
+			scenario.replaceAndSync(way, index)
+			scenario.checkRecovered("removed")
+			before := scenario.leadershipCount()
+			returned := scenario.ReturnRemoved(0)
+			late := scenario.AddMember(2)
 			late.Seeds = wires([]*Core{returned})
-			one.StartMember(late)
-			one.Rest(syncSpan)
-			one.stays(returned, before)
-			one.settled("the removed core is back")
-			lost := one.after(index, 1)
-			one.LoseCore(lost)
-			one.Rest(newcomerGap)
-			one.Fill(lost, wires([]*Core{returned}))
-			one.Rest(syncSpan)
-			one.keepsAll("the returned core is the only seed")
-			one.newNumber(returned, former)
-			one.vanish(returned)
-			one.Rest(syncSpan)
-			one.settled("the returned core is gone")
-			one.end()
+			scenario.StartMember(late)
+			scenario.Rest(syncSpan)
+			scenario.checkNeverLeads(returned, before)
+			scenario.checkRecovered("the removed core is back")
+			lost := scenario.indexAfter(index, 1)
+			scenario.LoseCore(lost)
+			scenario.Rest(newcomerGap)
+			scenario.Fill(lost, wires([]*Core{returned}))
+			scenario.Rest(syncSpan)
+			scenario.checkAcknowledged("the returned core is the only seed")
+			scenario.checkNewVoterID(returned, former)
+			scenario.vanish(returned)
+			scenario.Rest(syncSpan)
+			scenario.checkRecovered("the returned core is gone")
+			scenario.end()
 		}
 	})
 }
@@ -505,41 +505,41 @@
 func TestRemovedCoresAreNoQuorum(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, way := range []string{"left as planned", "was lost"} {
-			one := newTrial(test, seed, 3, 3, "each "+way)
+			scenario := newScenario(test, seed, 3, 3, "each "+way)
 			for round := range 2 {
-				one.removeAt(way, one.after(int(seed), round))
-				one.settled(fmt.Sprint("removed ", round+1))
+				scenario.replaceAndSync(way, scenario.indexAfter(int(seed), round))
+				scenario.checkRecovered(fmt.Sprint("removed ", round+1))
 			}
-			current := one.machines()
-			for _, removed := range one.Removed {
-				one.isolateMachine(removed, true)
+			current := scenario.machines()
+			for _, removed := range scenario.Removed {
+				scenario.isolateMachine(removed, true)
 			}
-			one.Net.Cut(one.Removed[0].Host, one.Removed[1].Host, false)
-			before := one.leads()
-			returned := []*Core{one.ReturnRemoved(0), one.ReturnRemoved(1)}
-			newcomer := one.newcomer(0, wires(returned))
+			scenario.Net.Cut(scenario.Removed[0].Host, scenario.Removed[1].Host, false)
+			before := scenario.leadershipCount()
+			returned := []*Core{scenario.ReturnRemoved(0), scenario.ReturnRemoved(1)}
+			newcomer := scenario.newcomer(0, wires(returned))
 			for _, other := range current {
-				one.Net.Cut(newcomer.Host, other.Host, true)
+				scenario.Net.Cut(newcomer.Host, other.Host, true)
 			}
-			one.start(newcomer)
+			scenario.start(newcomer)
 			for range 5 {
-				one.Rest(2 * time.Second)
+				scenario.Rest(2 * time.Second)
 				for _, machine := range append(returned, newcomer) {
-					one.refuses(machine)
+					scenario.checkRefuses(machine)
 				}
 			}
-			one.stays(returned[0], before)
-			one.stays(returned[1], before)
-			one.stays(newcomer, before)
-			one.kill(newcomer, false)
+			scenario.checkNeverLeads(returned[0], before)
+			scenario.checkNeverLeads(returned[1], before)
+			scenario.checkNeverLeads(newcomer, before)
+			scenario.kill(newcomer, false)
 			for _, machine := range returned {
-				one.isolateMachine(machine, false)
+				scenario.isolateMachine(machine, false)
 			}
-			one.Rest(syncSpan)
-			one.settled("after healing")
-			one.stays(returned[0], before)
-			one.stays(returned[1], before)
-			one.end()
+			scenario.Rest(syncSpan)
+			scenario.checkRecovered("after healing")
+			scenario.checkNeverLeads(returned[0], before)
+			scenario.checkNeverLeads(returned[1], before)
+			scenario.end()
 		}
 	})
 }
@@ -560,86 +560,90 @@
 
 // checkNewVoterID checks that there are as many voters as cores, that all of them run, and that
 // the machine does not vote under its former ID.
-func (one *trial) newNumber(machine *Core, former int) {
-	running := func(address string) bool {
-		return slices.ContainsFunc(one.everyMachine(), func(other *Core) bool {
-			core := other.life(one.World)
+func (scenario *replacementScenario) checkNewVoterID(machine *Core, former int) {
+	isRunning := func(address string) bool {
+		return slices.ContainsFunc(scenario.everyMachine(), func(other *Core) bool {
+			core := other.life(scenario.World)
 			return other.InternalAddress == address && core != nil && core.CanVote()
 		})
 	}
-	held := []string{}
-	if !one.Until(seatsLimit, func() bool {
-		held = seats(one.machine(one.leader()).Disk)
-		return len(held) == len(one.Cores) && !slices.ContainsFunc(held, func(address string) bool { return !running(address) })
+	addresses := []string{}
+	if !scenario.Until(votersLimit, func() bool {
+		addresses = voterAddresses(scenario.machine(scenario.leader()).Disk)
+		return len(addresses) == len(scenario.Cores) &&
+			!slices.ContainsFunc(addresses, func(address string) bool { return !isRunning(address) })
 	}) {
-		one.broke("voters are %v, want one running voter for each core", held)
+		scenario.broke("voters are %v, want one running voter for each core", addresses)
 	}
-	if slices.Contains(held, machine.InternalAddress) && voterID(machine) == former {
-		one.broke("%s votes again under its former ID %d", machine.Host, former)
+	if slices.Contains(addresses, machine.InternalAddress) && voterID(machine) == former {
+		scenario.broke("%s votes again under its former ID %d", machine.Host, former)
 	}
 }
 
 // replaceAndSync replaces a core, planned or not, and gives the new one time to synchronize.
-func (one *trial) removeAt(way string, index int) {
+func (scenario *replacementScenario) replaceAndSync(way string, index int) {
 	if way == "was lost" {
-		one.ReplaceCore(index, newcomerGap)
+		scenario.ReplaceCore(index, newcomerGap)
 	} else {
-		one.ReplaceCorePlanned(index, newcomerGap)
+		scenario.ReplaceCorePlanned(index, newcomerGap)
 	}
-	one.Rest(syncSpan)
+	scenario.Rest(syncSpan)
 }
 
 // checkNeverLeads checks that a core that is no voter runs, and has not led since the first
 // before leaderships.
-func (one *trial) stays(machine *Core, before int) {
-	if core := machine.life(one.World); core == nil || core.Leads() {
-		one.broke("%s: running %v, want a running core that does not lead", machine.Host, core != nil)
+func (scenario *replacementScenario) checkNeverLeads(machine *Core, before int) {
+	if core := machine.life(scenario.World); core == nil || core.Leads() {
+		scenario.broke("%s: running %v, want a running core that does not lead", machine.Host, core != nil)
 	}
-	one.mutex.Lock()
-	defer one.mutex.Unlock()
-	for _, lead := range one.Leads[before:] {
+	scenario.mutex.Lock()
+	defer scenario.mutex.Unlock()
+	for _, lead := range scenario.Leads[before:] {
 		if lead.Host == machine.Host {
-			one.Broken = append(one.Broken, fmt.Sprintf("%s: %s led in term %s without being a voter", one.name, lead.Host, lead.Term))
+			scenario.Broken = append(
+				scenario.Broken,
+				fmt.Sprintf("%s: %s led in term %s without being a voter", scenario.name, lead.Host, lead.Term),
+			)
 		}
 	}
 }
 
 // A new core's seeds name lost machines, one that is cut off for a while, or other new cores;
 // it finds the quorum nonetheless.
-func TestNewcomerFindsTheQuorum(test *testing.T) {
+func TestNewCoreFindsQuorum(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, way := range []string{"two of three seeds are lost", "the only running seed is cut off for a while", "a seed is a new core", "restarted while it catches up"} {
-			one := newTrial(test, seed, 5, 3, way)
-			lost := []int{one.after(int(seed), 0), one.after(int(seed), 1)}
-			gone := []*Core{one.LoseCore(lost[0]), one.LoseCore(lost[1])}
-			one.Rest(newcomerGap)
-			alive := one.machine(one.after(lost[1], 1))
+			scenario := newScenario(test, seed, 5, 3, way)
+			lost := []int{scenario.indexAfter(int(seed), 0), scenario.indexAfter(int(seed), 1)}
+			gone := []*Core{scenario.LoseCore(lost[0]), scenario.LoseCore(lost[1])}
+			scenario.Rest(newcomerGap)
+			alive := scenario.machine(scenario.indexAfter(lost[1], 1))
 			switch way {
 			case "two of three seeds are lost":
-				one.Fill(lost[0], wires([]*Core{gone[0], gone[1], alive}))
+				scenario.Fill(lost[0], wires([]*Core{gone[0], gone[1], alive}))
 			case "the only running seed is cut off for a while":
-				one.isolateMachine(alive, true)
-				one.Fill(lost[0], wires([]*Core{gone[0], alive}))
-				one.isolateMachine(alive, true)
-				one.Rest(2 * time.Second)
-				one.isolateMachine(alive, false)
+				scenario.isolateMachine(alive, true)
+				scenario.Fill(lost[0], wires([]*Core{gone[0], alive}))
+				scenario.isolateMachine(alive, true)
+				scenario.Rest(2 * time.Second)
+				scenario.isolateMachine(alive, false)
 			case "a seed is a new core":
-				first := one.Fill(lost[0], wires([]*Core{gone[0], alive}))
-				one.Fill(lost[1], wires([]*Core{gone[0], gone[1], first}))
+				first := scenario.Fill(lost[0], wires([]*Core{gone[0], alive}))
+				scenario.Fill(lost[1], wires([]*Core{gone[0], gone[1], first}))
 			case "restarted while it catches up":
-				one.Fill(lost[0], wires([]*Core{alive}))
+				scenario.Fill(lost[0], wires([]*Core{alive}))
 				for range 3 {
-					one.Rest(one.span(10*time.Millisecond, time.Second))
-					one.KillCore(lost[0], true)
-					one.StartCore(lost[0])
+					scenario.Rest(scenario.randomDuration(10*time.Millisecond, time.Second))
+					scenario.KillCore(lost[0], true)
+					scenario.StartCore(lost[0])
 				}
 			}
-			if one.machine(lost[1]) == gone[1] {
-				one.Fill(lost[1], nil)
+			if scenario.machine(lost[1]) == gone[1] {
+				scenario.Fill(lost[1], nil)
 			}
-			one.Rest(syncSpan)
-			one.settled("two new cores")
-			one.end()
+			scenario.Rest(syncSpan)
+			scenario.checkRecovered("two new cores")
+			scenario.end()
 		}
 	})
 }
--- a/harness/simulation/replaced_test.go
+++ b/harness/simulation/replaced_test.go
@@ -63,10 +63,10 @@
 	server := rpc.NewServer(spare.counters)
 	core.Register(server)
 	spare.Forwarder = agent.NewForwarder(finder, spare.client, spare.counters)
-	operate := agent.NewOperatorAPI(fmt.Sprint("spare-", number), spare.Forwarder, spare.counters, core.Settings, core.CanVote)
+	operatorAPI := agent.NewOperatorAPI(fmt.Sprint("spare-", number), spare.Forwarder, spare.counters, core.Settings, core.CanVote)
 	spare.servers = []*http.Server{
 		world.serve(spare.goroutines, spare.InternalAddress, server),
-		world.serve(spare.goroutines, spare.OperatorAddress, operate),
+		world.serve(spare.goroutines, spare.OperatorAddress, operatorAPI),
 	}
 	finder.Run()
 	core.Run()
@@ -94,21 +94,21 @@
 }
 
 // hasAllClaims reports whether a core says that it holds all claims it should.
-func wholeClaims(core *Core) bool {
+func hasAllClaims(core *Core) bool {
 	response, err := rpc.Call(core.client, core.InternalAddress, message.MethodFetchClaims, time.Second, &message.FetchClaimsRequest{})
 	return err == nil && response.Complete
 }
 
 // startWithKeyReplicas starts the system with a backend in each zone, and waits until all
 // proxies are key replicas.
-func (world *World) upWithKeepers(test *testing.T) {
+func (world *World) startWithKeyReplicas(test *testing.T) {
 	test.Helper()
 	for _, zone := range []string{"e1", "w1", "s1"} {
 		world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 20, Room: 64})
 	}
 	world.up(test, 8)
-	if !world.Until(5*time.Second, func() bool { return world.keepers() == 6 }) {
-		test.Fatalf("%d key replicas, want 6", world.keepers())
+	if !world.Until(5*time.Second, func() bool { return world.keyReplicaCount() == 6 }) {
+		test.Fatalf("%d key replicas, want 6", world.keyReplicaCount())
 	}
 	world.Rest(time.Second)
 }
@@ -116,37 +116,37 @@
 // A core that the other cores cannot reach, but the proxies can, is replaced. Before and after
 // that, keys are claimed at it and at one other core; then all proxies are killed and only the
 // cores without these requests are reachable: they must know every key.
-func TestReplacedCoreKeepsNoClaimToItself(test *testing.T) {
+func TestReplacedCoresClaimsAreKept(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.upWithKeepers(test)
+		world.startWithKeyReplicas(test)
 		leader := world.Leader()
-		leads, stays, goes := world.Cores[leader], world.Cores[(leader+1)%3], world.Cores[(leader+2)%3]
-		world.cutDaemons(leads, true)
-		tries := world.pay(10, 1000)
-		world.Net.Cut(goes.Host, leads.Host, true)
-		world.Net.Cut(goes.Host, stays.Host, true)
+		leaderCore, staying, leaving := world.Cores[leader], world.Cores[(leader+1)%3], world.Cores[(leader+2)%3]
+		world.cutDaemons(leaderCore, true)
+		tries := world.sendPayments(10, 1000)
+		world.Net.Cut(leaving.Host, leaderCore.Host, true)
+		world.Net.Cut(leaving.Host, staying.Host, true)
 		spare := world.StartSpare(1)
 		defer world.EndSpare(spare)
-		world.Net.Cut(goes.Host, spare.Host, true)
-		if !world.Until(10*time.Second, func() bool { return spare.Core.Core.CanVote() && wholeClaims(spare.Core) }) {
+		world.Net.Cut(leaving.Host, spare.Host, true)
+		if !world.Until(10*time.Second, func() bool { return spare.Core.Core.CanVote() && hasAllClaims(spare.Core) }) {
 			test.Fatal("the spare core does not vote with all claims")
 		}
-		tries = append(tries, world.pay(20, 0)...)
+		tries = append(tries, world.sendPayments(20, 0)...)
 		for _, daemon := range world.Daemons {
 			world.KillDaemon(daemon)
 		}
 		world.KillCore((leader+2)%3, true)
-		world.cutDaemons(leads, false)
-		world.cutDaemons(stays, true)
+		world.cutDaemons(leaderCore, false)
+		world.cutDaemons(staying, true)
 		for _, daemon := range world.Daemons {
 			world.StartDaemon(daemon)
 		}
 		if !world.Until(15*time.Second, world.ready) {
 			world.broke("not ready in 15 s")
 		}
-		_, replays := world.payAgain(tries)
+		_, replays := world.resendPayments(tries)
 		details := world.judge(nil, standin.LoadReport{Tries: tries})
 		test.Logf("%s, %d replayed", details["no key charged twice"], replays)
 		world.report(test)
@@ -155,22 +155,22 @@
 
 // Every core is replaced permanently, one after the other. Each new core gets all claims, and
 // the last three know the keys that were claimed only at the first three.
-func TestClaimsOutliveEveryFoundingCore(test *testing.T) {
+func TestClaimsSurviveReplacementOfAllCores(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.upWithKeepers(test)
-		tries := world.pay(20, 0)
+		world.startWithKeyReplicas(test)
+		tries := world.sendPayments(20, 0)
 		for number := range 3 {
 			index := (int(seed) + number) % 3
-			spare := world.replaceCore(test, index, number+1)
+			spare := world.replaceWithSpare(test, index, number+1)
 			begin := time.Now()
-			if !world.Until(10*time.Second, func() bool { return wholeClaims(spare.Core) }) {
+			if !world.Until(10*time.Second, func() bool { return hasAllClaims(spare.Core) }) {
 				test.Fatalf("replacement %d: the new core still lacks claims after 10 s", number+1)
 			}
 			test.Logf("replacement %d: all claims after another %v", number+1, time.Since(begin))
 			world.Cores[index] = spare.Core
-			tries = append(tries, world.pay(10, 1000*(number+1))...)
+			tries = append(tries, world.sendPayments(10, 1000*(number+1))...)
 		}
 		for _, daemon := range world.Daemons {
 			world.KillDaemon(daemon)
@@ -181,7 +181,7 @@
 		if !world.Until(15*time.Second, world.ready) {
 			world.broke("not ready in 15 s")
 		}
-		_, replays := world.payAgain(tries)
+		_, replays := world.resendPayments(tries)
 		details := world.judge(nil, standin.LoadReport{Tries: tries})
 		test.Logf("%s, %d replayed", details["no key charged twice"], replays)
 		if replays == 0 {
--- a/harness/simulation/returned_test.go
+++ b/harness/simulation/returned_test.go
@@ -9,7 +9,7 @@
 )
 
 // replaceWithSpare kills a core and waits until a spare one has taken its place.
-func (world *World) replaceCore(test *testing.T, index, number int) *Spare {
+func (world *World) replaceWithSpare(test *testing.T, index, number int) *Spare {
 	test.Helper()
 	world.KillCore(index, true)
 	spare := world.StartSpare(number)
@@ -29,39 +29,43 @@
 		defer world.Close()
 		world.up(test, 2)
 		leader := world.Leader()
-		old, one, two := (leader+1)%3, leader, (leader+2)%3
-		spare := world.replaceCore(test, old, 1)
+		replaced, first, second := (leader+1)%3, leader, (leader+2)%3
+		spare := world.replaceWithSpare(test, replaced, 1)
 		defer world.EndSpare(spare)
 		client := world.Client(world.Daemons[1].OperatorAddress)
 		if err := world.changeSettings(client, 1); err != nil {
 			test.Fatalf("change after the replacement: %v", err)
 		}
-		for _, index := range []int{one, two} {
+		for _, index := range []int{first, second} {
 			world.KillCore(index, true)
 		}
 		world.Net.Freeze(spare.Host, true)
-		world.StartCore(one)
-		world.StartCore(old)
+		world.StartCore(first)
+		world.StartCore(replaced)
 		world.Rest(8 * time.Second)
-		if world.Leader() >= 0 || world.Cores[old].Core.CanVote() {
-			test.Errorf("a replaced core counts for a majority: leader %d, replaced core votes %v", world.Leader(), world.Cores[old].Core.CanVote())
+		if world.Leader() >= 0 || world.Cores[replaced].Core.CanVote() {
+			test.Errorf(
+				"a replaced core counts for a majority: leader %d, replaced core votes %v",
+				world.Leader(),
+				world.Cores[replaced].Core.CanVote(),
+			)
 		}
 		world.Net.Freeze(spare.Host, false)
 		if err := world.changeSettings(client, 2); err != nil {
 			test.Errorf("change with one founding core and the spare: %v", err)
 		}
-		again := func() bool {
-			response := world.membership(test, client)
+		oldTookPlace := func() bool {
+			response := world.readMembership(test, client)
 			return len(response.Next) == 0 && slices.ContainsFunc(response.Voters, func(voter message.VoterStatus) bool {
-				return voter.Address == world.Cores[old].InternalAddress && voter.ID == 5
+				return voter.Address == world.Cores[replaced].InternalAddress && voter.ID == 5
 			})
 		}
-		if !world.Until(10*time.Second, again) {
-			test.Errorf("the returned core does not take the lost core's place: %+v", world.membership(test, client))
+		if !world.Until(10*time.Second, oldTookPlace) {
+			test.Errorf("the returned core does not take the lost core's place: %+v", world.readMembership(test, client))
 		}
-		world.StartCore(two)
+		world.StartCore(second)
 		world.Rest(2 * time.Second)
-		if world.Cores[two].Core.CanVote() {
+		if world.Cores[second].Core.CanVote() {
 			test.Error("the second replaced core votes after its restart")
 		}
 		if err := world.changeSettings(client, 3); err != nil {
@@ -73,7 +77,7 @@
 
 // All cores stop, one gets another address, and all restart with flags that name it: as no core
 // was ever replaced, the flags apply.
-func TestCoreMovesWhileNoneWasReplaced(test *testing.T) {
+func TestCoreAddressChangesWithoutReplacement(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
@@ -106,8 +110,8 @@
 		if err := world.changeSettings(client, 3); err != nil {
 			test.Errorf("change with the moved core and one other: %v", err)
 		}
-		response := world.membership(test, client)
-		if response.Version != 1 || voters(response) != "[1 2 3]" || response.Voters[moved.ID-1].Address != moved.InternalAddress {
+		response := world.readMembership(test, client)
+		if response.Version != 1 || voterIDs(response) != "[1 2 3]" || response.Voters[moved.ID-1].Address != moved.InternalAddress {
 			test.Errorf("membership %+v", response)
 		}
 		world.report(test)
--- a/harness/simulation/rollout_test.go
+++ b/harness/simulation/rollout_test.go
@@ -24,7 +24,7 @@
 	rolloutRequests  = 40 // of each member between two reads of its counts
 	rolloutBackends  = 12 // of each version
 	rolloutMembers   = 6
-	rolloutPatience  = 3 * rolloutTerm
+	rolloutTimeout   = 3 * rolloutTerm
 	rolloutStepCount = 3
 )
 
@@ -52,12 +52,12 @@
 		steps:    map[string]message.Rollout{},
 	}
 	world.Listed = service.list
-	world.farUp(test, 0)
+	world.startFar(test, 0)
 	for index := range rolloutMembers {
 		service.addMember(index % 3)
 	}
-	for _, one := range world.Members {
-		world.StartMember(one)
+	for _, member := range world.Members {
+		world.StartMember(member)
 	}
 	if !world.Until(5*time.Second, world.membersReady) {
 		test.Fatal("members not ready")
@@ -66,9 +66,9 @@
 }
 
 func (service *rolledService) addMember(region int) {
-	one := service.world.AddMember(region)
-	one.OnVersion = func(version *agent.Version) { service.inForce(one.Name, version) }
-	one.Rollouts = func() []message.RolloutCounts { return service.count(one.Name) }
+	member := service.world.AddMember(region)
+	member.OnVersion = func(version *agent.Version) { service.inForce(member.Name, version) }
+	member.Rollouts = func() []message.RolloutCounts { return service.count(member.Name) }
 }
 
 func (service *rolledService) list(discovery.PageRequest) discovery.Page {
@@ -161,14 +161,14 @@
 // awaitPhase waits until the roll-out is in a phase and every member has it in force.
 func (service *rolledService) awaitPhase(test *testing.T, phase message.RolloutPhase) {
 	test.Helper()
-	if !service.world.Until(rolloutPatience, func() bool { return service.read().Phase == phase }) {
+	if !service.world.Until(rolloutTimeout, func() bool { return service.read().Phase == phase }) {
 		test.Fatalf("roll-out did not become %s: %+v", phase, service.read())
 	}
 	isInForce := func() bool {
 		service.mutex.Lock()
 		defer service.mutex.Unlock()
-		for _, one := range service.world.Members {
-			if service.steps[one.Name].Phase != phase {
+		for _, member := range service.world.Members {
+			if service.steps[member.Name].Phase != phase {
 				return false
 			}
 		}
@@ -181,7 +181,7 @@
 
 // An ordered roll-out is acknowledged and complete within its term, and its state can be read;
 // no member has the listed backends of the new version before the order.
-func TestRolloutIsComplete(test *testing.T) {
+func TestRolloutCompletes(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseFar()
@@ -216,7 +216,7 @@
 
 // The next leader continues a roll-out at the step where the former one left it and starts no
 // other: no member goes back a step, and the order keeps its ID.
-func TestRolloutOutlivesItsLeader(test *testing.T) {
+func TestRolloutSurvivesLeaderLoss(test *testing.T) {
 	for step := range rolloutStepCount {
 		test.Run(fmt.Sprint("step ", step), func(test *testing.T) {
 			each(test, func(test *testing.T, seed uint64) {
@@ -228,14 +228,14 @@
 					test.Fatalf("step %d not reached", step)
 				}
 				before := service.read()
-				leader := service.world.calm(test)
+				leader := service.world.waitStable(test)
 				service.world.KillCore(leader, true)
 				if !service.world.Until(10*time.Second, func() bool { return service.world.Leader() >= 0 }) {
 					test.Fatal("no leader")
 				}
 				service.world.StartCore(leader)
 				ended := func() bool { return service.read().Phase > message.RolloutActive }
-				if !service.world.Until(rolloutPatience, ended) {
+				if !service.world.Until(rolloutTimeout, ended) {
 					test.Fatalf("roll-out not finished: %+v", service.read())
 				}
 				if after := service.read(); after.ID != id || after.Step < before.Step {
@@ -249,7 +249,7 @@
 
 // An acknowledged order survives a power loss of all cores and members; resent, as if its
 // answer was lost, it starts no second roll-out.
-func TestAcknowledgedRolloutOutlivesAll(test *testing.T) {
+func TestAcknowledgedRolloutSurvivesPowerLoss(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseFar()
@@ -278,11 +278,11 @@
 
 // An order whose answer is lost with the leader is resent until it is acknowledged, and starts
 // one roll-out, whether or not the lost leader had committed it.
-func TestRolloutOrderWithLostAnswerBeginsOne(test *testing.T) {
+func TestRolloutOrderWithLostAnswerIsAppliedOnce(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseFar()
-		leader := service.world.calm(test)
+		leader := service.world.waitStable(test)
 		acknowledged := make(chan error, 1)
 		go func() {
 			_, err := service.world.OrderRollout(rolloutOrder)
@@ -303,7 +303,7 @@
 
 // A roll-out does not advance unobserved while a member is missing; the member gets the current
 // step after its restart, before it has backends of the new version.
-func TestMemberMissesTheRolloutsSteps(test *testing.T) {
+func TestMemberMissesRolloutSteps(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseFar()
@@ -311,14 +311,14 @@
 		if !service.world.Until(rolloutTerm, func() bool { return service.read().Step > 0 }) {
 			test.Fatal("no step after the first")
 		}
-		one := service.world.Members[int(seed)%rolloutMembers]
-		service.world.KillMember(one)
+		member := service.world.Members[int(seed)%rolloutMembers]
+		service.world.KillMember(member)
 		service.mutex.Lock()
-		delete(service.steps, one.Name)
-		delete(service.counts, one.Name)
+		delete(service.steps, member.Name)
+		delete(service.counts, member.Name)
 		service.mutex.Unlock()
 		service.world.Rest(time.Second)
-		service.world.StartMember(one)
+		service.world.StartMember(member)
 		service.awaitPhase(test, message.RolloutComplete)
 		service.world.report(test)
 	})
@@ -326,7 +326,7 @@
 
 // The roll-out API starts, shows and aborts a roll-out; an abort returns all requests to the
 // former version, and invalid requests are refused with the right status.
-func TestRolloutByTheOwnInterface(test *testing.T) {
+func TestRolloutAPI(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseFar()
--- a/harness/simulation/routing_test.go
+++ b/harness/simulation/routing_test.go
@@ -14,7 +14,7 @@
 )
 
 // startFar starts the cores and members of a far world and puts routing 1 in force.
-func (world *World) farUp(test *testing.T, members int) {
+func (world *World) startFar(test *testing.T, members int) {
 	test.Helper()
 	for index := range world.Cores {
 		world.StartCore(index)
@@ -35,8 +35,8 @@
 
 // membersReady reports whether all members are ready.
 func (world *World) membersReady() bool {
-	for _, one := range world.Members {
-		if !one.Daemon.Ready() {
+	for _, member := range world.Members {
+		if !member.Daemon.Ready() {
 			return false
 		}
 	}
@@ -45,26 +45,26 @@
 
 // waitRouting waits until a routing is in force at all running members, and returns how long
 // that took.
-func (world *World) reached(version uint64, limit time.Duration) (time.Duration, bool) {
+func (world *World) waitRouting(version uint64, limit time.Duration) (time.Duration, bool) {
 	begin := time.Now()
-	whole := world.Until(limit, func() bool {
-		for _, one := range world.Members {
-			if one.Alive && (one.Daemon.Version().Routing == nil || one.Daemon.Version().Routing.Config.Version < version) {
+	reached := world.Until(limit, func() bool {
+		for _, member := range world.Members {
+			if member.Alive && (member.Daemon.Version().Routing == nil || member.Daemon.Version().Routing.Config.Version < version) {
 				return false
 			}
 		}
 		return true
 	})
-	return time.Since(begin), whole
+	return time.Since(begin), reached
 }
 
 // A routing is accepted once and its repeats are acknowledged; an old version, a wrong base or
 // an invalid routing is refused; of two concurrent orders on one base exactly one is accepted.
-func TestRoutingTakenRepeatedStaleRaced(test *testing.T) {
+func TestRoutingOrdersAcceptedOnceOrRefused(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
-		world.farUp(test, 3)
+		world.startFar(test, 3)
 		for _, step := range []struct {
 			version, base uint64
 			want          rpc.Code
@@ -85,7 +85,7 @@
 		}
 		last := uint64(9)
 		for round := range 10 {
-			taken, refused := []uint64{}, 0
+			accepted, refused := []uint64{}, 0
 			mutex, done := sync.Mutex{}, 0
 			for racer := range uint64(2) {
 				version := last + 1 + racer
@@ -94,7 +94,7 @@
 					mutex.Lock()
 					defer mutex.Unlock()
 					if done++; err == nil {
-						taken = append(taken, version)
+						accepted = append(accepted, version)
 					} else {
 						refused++
 					}
@@ -110,18 +110,18 @@
 			if !world.Until(20*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return done == 2 }) {
 				test.Fatal("no final answer to concurrent orders within 20 s")
 			}
-			if len(taken) != 1 || refused != 1 {
-				world.broke("round %d on base %d: %v accepted, %d refused, want one each", round, last, taken, refused)
+			if len(accepted) != 1 || refused != 1 {
+				world.broke("round %d on base %d: %v accepted, %d refused, want one each", round, last, accepted, refused)
 			}
 			state, err := world.Book()
-			if err != nil || len(taken) > 0 && state.Config.Version != taken[0] {
-				world.broke("round %d: %v accepted, read back %+v, error %v", round, taken, state, err)
+			if err != nil || len(accepted) > 0 && state.Config.Version != accepted[0] {
+				world.broke("round %d: %v accepted, read back %+v, error %v", round, accepted, state, err)
 				break
 			}
 			last = state.Config.Version
 		}
-		took, whole := world.reached(last, 2*time.Second)
-		if !whole {
+		took, reached := world.waitRouting(last, 2*time.Second)
+		if !reached {
 			world.broke("routing %d is not in force at all members after %v", last, took)
 		}
 		world.report(test)
@@ -133,13 +133,13 @@
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
-		world.farUp(test, 1)
+		world.startFar(test, 1)
 		if err := world.Evacuate("z1", true); err != nil {
 			test.Fatal(err)
 		}
-		more := Routing(2).Routes
-		more[0].Prefix = "/b/"
-		body, _ := rpc.Marshal(&routing.Change{Version: 2, Base: 1, Digest: "patch", Patch: &routing.Patch{Routes: more}})
+		routes := Routing(2).Routes
+		routes[0].Prefix = "/b/"
+		body, _ := rpc.Marshal(&routing.Change{Version: 2, Base: 1, Digest: "patch", Patch: &routing.Patch{Routes: routes}})
 		if _, err := order(world, world.holds(), message.MethodRoutingChange, &message.RoutingChangeRequest{Body: body}); err != nil {
 			test.Fatal(err)
 		}
@@ -147,7 +147,7 @@
 		if err != nil || state.Config.Version != 2 || len(state.Config.Routes) != 2 || fmt.Sprint(state.Evacuated) != "[z1]" {
 			world.broke("state after the patch: %+v, error %v", state, err)
 		}
-		if took, whole := world.reached(2, time.Second); !whole {
+		if took, reached := world.waitRouting(2, time.Second); !reached {
 			world.broke("the patch is not in force after %v", took)
 		} else if held := world.Members[0].Daemon.Version().Routing; fmt.Sprint(held.Evacuated) != "[z1]" || held.History.Count > 0 {
 			world.broke("the member's routing is %+v, want z1 evacuated and no history", held)
@@ -162,7 +162,7 @@
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
-		world.farUp(test, 2)
+		world.startFar(test, 2)
 		version, want := uint64(1), map[string]bool{}
 		for round := range 9 {
 			zone := fmt.Sprint("z", round%4)
@@ -204,9 +204,9 @@
 			for _, zone := range state.Evacuated {
 				held[zone] = true
 			}
-			for zone, emptied := range want {
-				if held[zone] != emptied {
-					world.broke("round %d: zone %s: evacuated %v acknowledged, read back %v", round, zone, emptied, state.Evacuated)
+			for zone, evacuated := range want {
+				if held[zone] != evacuated {
+					world.broke("round %d: zone %s: evacuated %v acknowledged, read back %v", round, zone, evacuated, state.Evacuated)
 				}
 			}
 			if state.Config.Version != version {
@@ -227,24 +227,24 @@
 
 // Bounds an operator's wait for an acknowledgement while the leader is stopped gracefully,
 // killed, frozen or cut off, and the time until the routing is in force at all members.
-func TestFarLeaderChange(test *testing.T) {
+func TestOrderDuringLeaderChange(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
-		world.farUp(test, 9)
+		world.startFar(test, 9)
 		version := uint64(1)
 		for round := range 9 {
 			kind := []string{"calm", "planned", "killed", "frozen", "cut"}[round%5]
 			world.Until(5*time.Second, func() bool { return world.Leader() >= 0 })
 			world.Rest(3 * time.Second)
 			leader := world.Leader()
-			holds := []*agent.Forwarder{world.Members[round%9].Daemon.Forwarder, world.Members[(round+1)%9].Daemon.Forwarder}
+			forwarders := []*agent.Forwarder{world.Members[round%9].Daemon.Forwarder, world.Members[(round+1)%9].Daemon.Forwarder}
 			switch kind {
 			case "planned":
 				world.goroutines.Start(func() {
 					world.Cores[leader].Core.Retire(6 * time.Second)
 				})
-				holds[0] = world.Cores[leader].Forwarder
+				forwarders[0] = world.Cores[leader].Forwarder
 			case "killed":
 				world.KillCore(leader, true)
 			case "frozen":
@@ -253,19 +253,19 @@
 				world.isolate(leader, true)
 			}
 			begin := time.Now()
-			_, err := order(world, holds, message.MethodRoutingChange, WholeChange(version+1, version))
+			_, err := order(world, forwarders, message.MethodRoutingChange, WholeChange(version+1, version))
 			wait := time.Since(begin)
 			if err != nil {
 				test.Fatalf("%s: %v", kind, err)
 			}
 			version++
-			spread, whole := world.reached(version, 5*time.Second)
-			most := map[string]time.Duration{"calm": 400 * time.Millisecond, "planned": 1200 * time.Millisecond, "killed": 4 * time.Second, "frozen": 4 * time.Second, "cut": 4 * time.Second}[kind]
-			if wait > most {
+			spread, reached := world.waitRouting(version, 5*time.Second)
+			limits := map[string]time.Duration{"calm": 400 * time.Millisecond, "planned": 1200 * time.Millisecond, "killed": 4 * time.Second, "frozen": 4 * time.Second, "cut": 4 * time.Second}[kind]
+			if wait > limits {
 				world.broke("%s: acknowledged after %v, too late", kind, wait)
 			}
-			if !whole || kind == "calm" && spread > 400*time.Millisecond || spread > 2*time.Second {
-				world.broke("%s: distribution took %v, in force at all members: %v", kind, spread, whole)
+			if !reached || kind == "calm" && spread > 400*time.Millisecond || spread > 2*time.Second {
+				world.broke("%s: distribution took %v, in force at all members: %v", kind, spread, reached)
 			}
 			if !world.membersReady() {
 				world.broke("%s: a member is not ready", kind)
@@ -277,7 +277,7 @@
 			case "cut":
 				world.isolate(leader, false)
 			case "planned":
-				if _, err := world.evacuateBy(holds[:1], "z", true); err != nil {
+				if _, err := world.evacuateBy(forwarders[:1], "z", true); err != nil {
 					world.broke("a retired core does not forward: %v", err)
 				}
 				world.KillCore(leader, false)
@@ -292,15 +292,15 @@
 
 // A member cut off from all cores stays ready with the routing it has, and catches up once it
 // is connected again.
-func TestMemberServesAlone(test *testing.T) {
+func TestIsolatedMemberKeepsServing(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
-		world.farUp(test, 3)
-		lone := world.Members[int(seed)%3]
+		world.startFar(test, 3)
+		isolated := world.Members[int(seed)%3]
 		cut := func(shut bool) {
 			for _, core := range world.Cores {
-				world.Net.Cut(core.Host, lone.Host, shut)
+				world.Net.Cut(core.Host, isolated.Host, shut)
 			}
 		}
 		cut(true)
@@ -309,13 +309,17 @@
 		}
 		for range 100 {
 			world.Rest(100 * time.Millisecond)
-			if !lone.Daemon.Ready() || lone.Daemon.Version().Routing.Config.Version != 1 {
-				world.broke("cut off: ready %v, version %d, want a ready member with version 1", lone.Daemon.Ready(), lone.Daemon.Version().Routing.Config.Version)
+			if !isolated.Daemon.Ready() || isolated.Daemon.Version().Routing.Config.Version != 1 {
+				world.broke(
+					"cut off: ready %v, version %d, want a ready member with version 1",
+					isolated.Daemon.Ready(),
+					isolated.Daemon.Version().Routing.Config.Version,
+				)
 				break
 			}
 		}
 		cut(false)
-		if took, whole := world.reached(2, 4*time.Second); !whole {
+		if took, reached := world.waitRouting(2, 4*time.Second); !reached {
 			world.broke("reconnected: not caught up after %v", took)
 		}
 		world.report(test)
@@ -324,41 +328,41 @@
 
 // A leaving backend stays leaving, its warm-up time is not moved by jitter in the list, and it
 // is gone once two complete lists lack it.
-func TestListedBackendsOnlyMoveOn(test *testing.T) {
-	world := func(seed uint64, listed func(call int) []message.Backend) func(test *testing.T) {
+func TestListedBackendStateIsMonotonic(test *testing.T) {
+	scenario := func(seed uint64, listed func(call int) []message.Backend) func(test *testing.T) {
 		return func(test *testing.T) {
-			world := NewFarWorld(seed, 3)
-			defer world.CloseFar()
+			scenario := NewFarWorld(seed, 3)
+			defer scenario.CloseFar()
 			mutex, call := sync.Mutex{}, 0
-			world.Listed = func(discovery.PageRequest) discovery.Page {
+			scenario.Listed = func(discovery.PageRequest) discovery.Page {
 				mutex.Lock()
 				defer mutex.Unlock()
 				call++
 				return discovery.Page{Backends: listed(call)}
 			}
-			world.farUp(test, 1)
-			left, warm := false, int64(0)
+			scenario.startFar(test, 1)
+			leaving, warmAtMs := false, int64(0)
 			for range 600 {
-				world.Rest(100 * time.Millisecond)
-				for _, backend := range world.Members[0].Daemon.Version().Table.Backends {
-					if left = left || backend.Leaving; left && !backend.Leaving {
-						world.broke("a leaving backend is no longer leaving")
+				scenario.Rest(100 * time.Millisecond)
+				for _, backend := range scenario.Members[0].Daemon.Version().Table.Backends {
+					if leaving = leaving || backend.Leaving; leaving && !backend.Leaving {
+						scenario.broke("a leaving backend is no longer leaving")
 					}
-					if warm > 0 && backend.WarmAtMs != 0 && backend.WarmAtMs != warm {
-						world.broke("warm-up time changed from %d to %d", warm, backend.WarmAtMs)
+					if warmAtMs > 0 && backend.WarmAtMs != 0 && backend.WarmAtMs != warmAtMs {
+						scenario.broke("warm-up time changed from %d to %d", warmAtMs, backend.WarmAtMs)
 					}
-					warm = backend.WarmAtMs
+					warmAtMs = backend.WarmAtMs
 				}
 			}
-			if held := world.Members[0].Daemon.Version().Table.Backends; len(held) != 0 || !left {
-				world.broke("leaving seen %v, backends still listed: %v", left, held)
+			if held := scenario.Members[0].Daemon.Version().Table.Backends; len(held) != 0 || !leaving {
+				scenario.broke("leaving seen %v, backends still listed: %v", leaving, held)
 			}
-			world.report(test)
+			scenario.report(test)
 		}
 	}
 	eachWorld(test, func(seed uint64) func(test *testing.T) {
-		warm := time.Now().Add(time.Hour).UnixMilli()
-		return world(seed, func(call int) []message.Backend {
+		warmAtMs := time.Now().Add(time.Hour).UnixMilli()
+		return scenario(seed, func(call int) []message.Backend {
 			if call > 40 {
 				return nil
 			}
@@ -367,7 +371,7 @@
 				Service:  "desk",
 				Address:  "10.9.9.9:80",
 				Capacity: 4,
-				WarmAtMs: warm + int64(call%5)*90,
+				WarmAtMs: warmAtMs + int64(call%5)*90,
 				Leaving:  call > 15 && call%3 > 0,
 			}
 			if call%4 == 0 {
@@ -378,6 +382,6 @@
 	})
 }
 
-func eachWorld(test *testing.T, play func(seed uint64) func(test *testing.T)) {
-	each(test, func(test *testing.T, seed uint64) { play(seed)(test) })
+func eachWorld(test *testing.T, run func(seed uint64) func(test *testing.T)) {
+	each(test, func(test *testing.T, seed uint64) { run(seed)(test) })
 }
--- a/harness/simulation/scale_test.go
+++ b/harness/simulation/scale_test.go
@@ -16,7 +16,7 @@
 func TestCostOfDelivery(test *testing.T) {
 	long(test)
 	sizes, perDaemon := []int{12, 36, 120}, map[int]float64{}
-	if raced {
+	if raceEnabled {
 		sizes = sizes[:2]
 	}
 	for _, size := range sizes {
@@ -28,21 +28,26 @@
 			}
 			world.up(test, size)
 			world.Rest(5 * time.Second)
-			calm, bytes := world.Net.Count()
-			looked := world.probes()
+			messagesBefore, bytesBefore := world.Net.Count()
+			probesBefore := world.probes()
 			world.Rest(10 * time.Second)
-			looks := float64(world.probes()-looked) / 10 / 3
+			probeRate := float64(world.probes()-probesBefore) / 10 / 3
 			world.StopBackend(world.Backends[2])
-			gone := time.Now()
-			if !world.Until(10*time.Second, func() bool { return world.left(world.Backends[2].Listed.Name) }) {
+			stoppedAt := time.Now()
+			if !world.Until(10*time.Second, func() bool { return world.unhealthyEverywhere(world.Backends[2].Listed.Name) }) {
 				test.Errorf("%d daemons: a dead backend is still considered healthy after 10 s", size)
 			}
-			test.Logf("%d daemons: %.1f probes per second and backend, a dead one detected by all in %v", size, looks, time.Since(gone))
-			if looks > 60 {
-				test.Errorf("%d daemons: %.1f probes per second and backend, want at most 60", size, looks)
+			test.Logf(
+				"%d daemons: %.1f probes per second and backend, a dead one detected by all in %v",
+				size,
+				probeRate,
+				time.Since(stoppedAt),
+			)
+			if probeRate > 60 {
+				test.Errorf("%d daemons: %.1f probes per second and backend, want at most 60", size, probeRate)
 			}
-			later, laterBytes := world.Net.Count()
-			perDaemon[size] = float64(later-calm) / 10 / float64(size)
+			messagesAfter, bytesAfter := world.Net.Count()
+			perDaemon[size] = float64(messagesAfter-messagesBefore) / 10 / float64(size)
 			slowest := time.Duration(0)
 			for number := range 5 {
 				outcome, err := world.Client(world.Cores[0].OperatorAddress).
@@ -50,7 +55,7 @@
 				if err != nil {
 					test.Fatal(err)
 				}
-				slowest = max(slowest, world.everywhere(test, outcome.Serial))
+				slowest = max(slowest, world.waitSerial(test, outcome.Serial))
 			}
 			large := map[string]any{}
 			if err := json.Unmarshal(Settings(3000), &large); err != nil {
@@ -69,7 +74,7 @@
 			if err != nil {
 				test.Fatal(err)
 			}
-			slowLarge := world.everywhere(test, outcome.Serial)
+			slowLarge := world.waitSerial(test, outcome.Serial)
 			leader := world.Leader()
 			world.KillCore(leader, true)
 			begin := time.Now()
@@ -79,7 +84,7 @@
 				"%d daemons: %.1f messages and %.0f bytes per second and daemon, small change at all in %v, %d bytes in %v, new leader after %v",
 				size,
 				perDaemon[size],
-				float64(laterBytes-bytes)/10/float64(size),
+				float64(bytesAfter-bytesBefore)/10/float64(size),
 				slowest,
 				len(body),
 				slowLarge,
@@ -106,7 +111,7 @@
 }
 
 // unhealthyEverywhere reports whether no proxy considers a backend healthy.
-func (world *World) left(name string) bool {
+func (world *World) unhealthyEverywhere(name string) bool {
 	for _, daemon := range world.Daemons {
 		if daemon.Proxy == nil {
 			continue
@@ -122,7 +127,7 @@
 
 // waitSerial waits until all daemons have the settings with a serial, and returns how long that
 // took.
-func (world *World) everywhere(test *testing.T, serial uint64) time.Duration {
+func (world *World) waitSerial(test *testing.T, serial uint64) time.Duration {
 	test.Helper()
 	begin := time.Now()
 	if !world.Until(10*time.Second, func() bool {
--- a/harness/simulation/stale_test.go
+++ b/harness/simulation/stale_test.go
@@ -7,7 +7,7 @@
 
 // A core that missed writes returns just as the leader dies, alone or together with a third
 // core's disk: the writes acknowledged without it must survive.
-func TestStaleCoreNeverWins(test *testing.T) {
+func TestStaleCoreNeverOverwritesAcknowledged(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
--- a/harness/simulation/stop_test.go
+++ b/harness/simulation/stop_test.go
@@ -11,7 +11,7 @@
 
 // Every directory and proxy is terminated gracefully and restarted, one after the other, while
 // tasks of nearly 5 s, large responses and payments are in flight: each is served completely.
-func TestPlannedStopsCutNothing(test *testing.T) {
+func TestPlannedStopsLoseNoRequests(test *testing.T) {
 	long(test)
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -25,7 +25,7 @@
 			Patch(operator.Change{Base: 1, Change: "hold", Settings: []byte(`{"rule":{"hold_ms":8000}}`)}); err != nil {
 			test.Fatal(err)
 		}
-		plan := world.plan(25, 600)
+		plan := world.loadPlan(25, 600)
 		plan.Patient, plan.Tries = true, 8
 		plan.Calls[1].Weight = 35
 		plan.Calls = append(
