--- a/harness/simulation/total_loss_test.go
+++ b/harness/simulation/total_loss_test.go
@@ -14,36 +14,36 @@
 )
 
 // listFault is how reads of the platform's list fail after a total power loss.
-type listTrouble string
+type listFault string
 
 const (
-	listSound  listTrouble = "list available"
-	listBusy   listTrouble = "list rate-limited"
-	listSilent listTrouble = "list times out"
-	listFaulty listTrouble = "list unavailable"
+	listHealthy     listFault = "list available"
+	listRateLimited listFault = "list rate-limited"
+	listTimeout     listFault = "list times out"
+	listUnavailable listFault = "list unavailable"
 )
 
 // totalLoss is a deployment whose machines all lose power shortly after an order.
 type totalLoss struct {
 	*World
-	random  *rand.Rand
-	version atomic.Uint64 // newest acknowledged
-	list    atomic.Pointer[listState]
+	random       *rand.Rand
+	acknowledged atomic.Uint64 // newest acknowledged
+	list         atomic.Pointer[listState]
 }
 
 // listState is a fault of the list with its start and end.
 type listState struct {
-	trouble     listTrouble
+	fault       listFault
 	from, until time.Time
 }
 
 func newTotalLoss(test *testing.T, seed uint64, cores int) *totalLoss {
 	test.Helper()
 	loss := &totalLoss{World: NewFarWorld(seed, cores), random: rand.New(rand.NewPCG(seed, 97))}
-	loss.version.Store(1)
-	loss.list.Store(&listState{trouble: listSound})
+	loss.acknowledged.Store(1)
+	loss.list.Store(&listState{fault: listHealthy})
 	loss.Listed = loss.listed
-	loss.farUp(test, 6)
+	loss.startFar(test, 6)
 	return loss
 }
 
@@ -51,13 +51,13 @@
 func (loss *totalLoss) listed(discovery.PageRequest) discovery.Page {
 	state := loss.list.Load()
 	if time.Now().After(state.from) && time.Now().Before(state.until) {
-		switch state.trouble {
-		case listBusy:
+		switch state.fault {
+		case listRateLimited:
 			return discovery.Page{Err: errors.New("too many calls"), RetryAfter: 300 * time.Millisecond}
-		case listSilent:
+		case listTimeout:
 			loss.Rest(2 * time.Second)
 			return discovery.Page{Err: errors.New("no answer")}
-		case listFaulty:
+		case listUnavailable:
 			return discovery.Page{Err: errors.New("unavailable")}
 		}
 	}
@@ -68,7 +68,7 @@
 	return discovery.Page{Backends: backends}
 }
 
-func (loss *totalLoss) span(least, most time.Duration) time.Duration {
+func (loss *totalLoss) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(loss.random.Int64N(int64(most-least)))
 }
 
@@ -78,13 +78,13 @@
 		loss.end(machine, true, func(host string) { loss.Net.Vanish(host, true) })
 		loss.Net.Vanish(machine.Host, true)
 	}
-	for _, one := range loss.Members {
-		loss.PowerOffMember(one)
+	for _, member := range loss.Members {
+		loss.PowerOffMember(member)
 	}
 }
 
 // startShuffled starts all machines in random order, within the given time on average.
-func (loss *totalLoss) returnAll(within time.Duration) {
+func (loss *totalLoss) startShuffled(within time.Duration) {
 	starts := []func(){}
 	for _, machine := range loss.machines() {
 		starts = append(starts, func() {
@@ -92,26 +92,26 @@
 			loss.start(machine)
 		})
 	}
-	for _, one := range loss.Members {
-		starts = append(starts, func() { loss.StartMember(one) })
+	for _, member := range loss.Members {
+		starts = append(starts, func() { loss.StartMember(member) })
 	}
 	loss.random.Shuffle(len(starts), func(left, right int) { starts[left], starts[right] = starts[right], starts[left] })
 	for _, start := range starts {
 		start()
-		loss.Rest(loss.span(0, 2*within/time.Duration(len(starts))))
+		loss.Rest(loss.randomDuration(0, 2*within/time.Duration(len(starts))))
 	}
 }
 
 // orderNext sends the next routing until it is acknowledged or the limit has passed, and
 // reports whether it was acknowledged.
 func (loss *totalLoss) orderNext(limit time.Duration) bool {
-	for until := time.Now().Add(limit); time.Now().Before(until); loss.Rest(orderRest) {
+	for until := time.Now().Add(limit); time.Now().Before(until); loss.Rest(orderRetryInterval) {
 		if len(loss.holds()) == 0 {
 			continue
 		}
-		version := loss.version.Load()
+		version := loss.acknowledged.Load()
 		if err := loss.Put(version+1, version); err == nil {
-			loss.version.Store(version + 1)
+			loss.acknowledged.Store(version + 1)
 			return true
 		}
 	}
@@ -120,23 +120,23 @@
 
 // checkInForce checks that an acknowledged version is in force at all members, unless none has
 // a list of backends yet: the leader distributes the list that one member knows to the others.
-func (loss *totalLoss) judgeInForce(what string, wanted uint64) {
+func (loss *totalLoss) checkInForce(phase string, wanted uint64) {
 	serving := 0
-	for _, one := range loss.Members {
-		inForce := one.inForce.Load()
+	for _, member := range loss.Members {
+		inForce := member.inForce.Load()
 		if inForce > 0 {
 			serving++
 		}
 		if inForce > 0 && inForce < wanted {
-			version := one.Daemon.Version()
+			version := member.Daemon.Version()
 			loss.broke(
 				"%s: %s serves with version %d, %d was acknowledged; routing serial %d, table %v, complete %v",
-				what, one.Name, inForce, wanted, version.RoutingSerial, version.Table.Version, version.Table.Complete,
+				phase, member.Name, inForce, wanted, version.RoutingSerial, version.Table.Version, version.Table.Complete,
 			)
 		}
 	}
 	if serving > 0 && serving < len(loss.Members) {
-		loss.broke("%s: only %d of %d members know the backends", what, serving, len(loss.Members))
+		loss.broke("%s: only %d of %d members know the backends", phase, serving, len(loss.Members))
 	}
 }
 
@@ -145,37 +145,44 @@
 // acknowledged version in time, whatever state it started from.
 func TestAcknowledgedIsInForceAfterTotalLoss(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		for _, trouble := range []listTrouble{listSound, listBusy, listSilent, listFaulty} {
+		for _, fault := range []listFault{listHealthy, listRateLimited, listTimeout, listUnavailable} {
 			loss := newTotalLoss(test, seed, 3+2*int(seed%2))
 			for round := range 3 {
-				loss.calm(test)
+				loss.waitStable(test)
 				if seed%2 == 1 && round == 0 {
 					loss.ReplaceCore(int(seed)%len(loss.Cores), time.Second)
-					loss.calm(test)
+					loss.waitStable(test)
 				}
 				loss.goroutines.Start(func() { loss.orderNext(30 * time.Second) })
-				loss.Rest(loss.span(5*time.Millisecond, 400*time.Millisecond))
+				loss.Rest(loss.randomDuration(5*time.Millisecond, 400*time.Millisecond))
 				loss.powerOffAll()
-				loss.Rest(loss.span(400*time.Millisecond, 1500*time.Millisecond))
-				from := time.Now().Add(loss.span(0, 800*time.Millisecond))
-				until := from.Add(loss.span(time.Second, 20*time.Second))
-				loss.list.Store(&listState{trouble: trouble, from: from, until: until})
-				loss.returnAll(300 * time.Millisecond)
+				loss.Rest(loss.randomDuration(400*time.Millisecond, 1500*time.Millisecond))
+				from := time.Now().Add(loss.randomDuration(0, 800*time.Millisecond))
+				until := from.Add(loss.randomDuration(time.Second, 20*time.Second))
+				loss.list.Store(&listState{fault: fault, from: from, until: until})
+				loss.startShuffled(300 * time.Millisecond)
 				back := time.Now()
 				wanted := uint64(round) + 2
-				if !loss.Until(20*time.Second, func() bool { return loss.version.Load() >= wanted }) {
-					loss.broke("%s, round %d: version %d was not acknowledged within 20 s", trouble, round, wanted)
+				if !loss.Until(20*time.Second, func() bool { return loss.acknowledged.Load() >= wanted }) {
+					loss.broke("%s, round %d: version %d was not acknowledged within 20 s", fault, round, wanted)
 				}
 				latest := back.Add(contactSpan)
 				if now := time.Now(); now.After(latest) {
 					latest = now
 				}
 				loss.Rest(time.Until(latest.Add(inForceSpan)))
-				loss.judgeInForce(fmt.Sprintf("%s, round %d", trouble, round), wanted)
+				loss.checkInForce(fmt.Sprintf("%s, round %d", fault, round), wanted)
 				loss.Rest(time.Until(until.Add(contactSpan + inForceSpan)))
-				for _, one := range loss.Members {
-					if inForce := one.inForce.Load(); inForce != wanted {
-						loss.broke("%s, round %d: after recovery %s serves with version %d, %d was acknowledged", trouble, round, one.Name, inForce, wanted)
+				for _, member := range loss.Members {
+					if inForce := member.inForce.Load(); inForce != wanted {
+						loss.broke(
+							"%s, round %d: after recovery %s serves with version %d, %d was acknowledged",
+							fault,
+							round,
+							member.Name,
+							inForce,
+							wanted,
+						)
 					}
 				}
 			}
@@ -188,35 +195,35 @@
 // All machines, members included, lose power at the same moment, and as many cores as a quorum
 // tolerates lose their disks, so that nothing is left in memory. Acknowledged orders are read
 // back and in force, a resent order is recognized, and terms and IDs continue.
-func TestAcknowledgedOutlivesPowerAndDisks(test *testing.T) {
+func TestAcknowledgedSurvivesPowerAndDiskLoss(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		loss := newTotalLoss(test, seed, 3+2*int(seed%2))
 		zones := []string{}
 		for round := range 4 {
-			loss.calm(test)
+			loss.waitStable(test)
 			zone := fmt.Sprint("z", round)
 			if err := loss.Evacuate(zone, true); err != nil {
 				test.Fatal(err)
 			}
 			zones = append(zones, zone)
-			if !loss.orderNext(calmLimit) {
+			if !loss.orderNext(orderLimit) {
 				test.Fatal("order not acknowledged by a stable quorum")
 			}
-			acknowledged := loss.version.Load()
+			acknowledged := loss.acknowledged.Load()
 			if round%2 == 1 {
 				loss.goroutines.Start(func() { loss.orderNext(time.Second) })
-				loss.Rest(loss.span(5*time.Millisecond, 400*time.Millisecond))
+				loss.Rest(loss.randomDuration(5*time.Millisecond, 400*time.Millisecond))
 			}
 			loss.powerOffAll()
 			for offset := range len(loss.Cores) / 2 {
 				loss.WipeCore((int(seed) + round + offset) % len(loss.Cores))
 			}
-			loss.Rest(loss.span(400*time.Millisecond, 1500*time.Millisecond))
-			loss.returnAll(300 * time.Millisecond)
-			loss.calm(test)
-			loss.judgeBook(fmt.Sprint("round ", round), acknowledged, zones)
+			loss.Rest(loss.randomDuration(400*time.Millisecond, 1500*time.Millisecond))
+			loss.startShuffled(300 * time.Millisecond)
+			loss.waitStable(test)
+			loss.checkReadBack(fmt.Sprint("round ", round), acknowledged, zones)
 			loss.Rest(contactSpan + inForceSpan)
-			loss.judgeInForce(fmt.Sprint("round ", round), acknowledged)
+			loss.checkInForce(fmt.Sprint("round ", round), acknowledged)
 		}
 		loss.report(test)
 		loss.CloseFar()
@@ -225,22 +232,22 @@
 
 // checkReadBack checks that the confirmed routing has what was acknowledged, and that the
 // newest order is acknowledged again when resent. Later orders build on what was read.
-func (loss *totalLoss) judgeBook(what string, acknowledged uint64, zones []string) {
+func (loss *totalLoss) checkReadBack(phase string, acknowledged uint64, zones []string) {
 	state, err := loss.Book()
 	if err != nil {
-		loss.broke("%s: cannot read the routing back: %v", what, err)
+		loss.broke("%s: cannot read the routing back: %v", phase, err)
 		return
 	}
 	if state.Config.Version < acknowledged {
-		loss.broke("%s: version %d was acknowledged, %d read back", what, acknowledged, state.Config.Version)
+		loss.broke("%s: version %d was acknowledged, %d read back", phase, acknowledged, state.Config.Version)
 	}
 	for _, zone := range zones {
 		if !slices.Contains(state.Evacuated, zone) {
-			loss.broke("%s: the acknowledged evacuation of %s is lost", what, zone)
+			loss.broke("%s: the acknowledged evacuation of %s is lost", phase, zone)
 		}
 	}
 	if err := loss.Put(acknowledged, acknowledged-1); err != nil {
-		loss.broke("%s: version %d resent: %v", what, acknowledged, err)
+		loss.broke("%s: version %d resent: %v", phase, acknowledged, err)
 	}
-	loss.version.Store(state.Config.Version)
+	loss.acknowledged.Store(state.Config.Version)
 }
--- a/harness/simulation/traffic_test.go
+++ b/harness/simulation/traffic_test.go
@@ -12,7 +12,7 @@
 )
 
 // loadPlan returns a mix of payments, pages and a few large pages.
-func (world *World) plan(perSecond int, seconds float64) standin.LoadPlan {
+func (world *World) loadPlan(perSecond int, seconds float64) standin.LoadPlan {
 	plan := standin.LoadPlan{
 		PerSecond: perSecond, Seconds: seconds, Tries: 4, Seed: world.Seed,
 		Callers: []standin.Caller{{Tenant: "alder", Key: "key-of-alder", Weight: 2}, {Tenant: "birch", Key: "key-of-birch", Weight: 1}},
@@ -31,7 +31,7 @@
 }
 
 // Backends lose answers, send garbage, fail and leave during load.
-func TestBackendsMisbehave(test *testing.T) {
+func TestFaultyBackends(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
@@ -40,7 +40,7 @@
 			world.AddBackend("meters", zones[index%3], standin.BackendConfig{WorkMs: 5, Room: 16, GentleRate: 10})
 		}
 		world.up(test, 5)
-		generator, client := world.Origin(world.plan(40, 20))
+		generator, client := world.Origin(world.loadPlan(40, 20))
 		random := rand.New(rand.NewPCG(seed, 31))
 		done := atomic.Bool{}
 		world.goroutines.Start(func() {
@@ -61,7 +61,13 @@
 		if report.Served < report.Asked*8/10 {
 			world.broke("only %d of %d requests served: %v", report.Served, report.Asked, report.Statuses)
 		}
-		test.Logf("%d requests, %d served, %d with unknown outcome, statuses %v", report.Asked, report.Served, report.Unknown, report.Statuses)
+		test.Logf(
+			"%d requests, %d served, %d with unknown outcome, statuses %v",
+			report.Asked,
+			report.Served,
+			report.Unknown,
+			report.Statuses,
+		)
 		world.report(test)
 	})
 }
@@ -75,7 +81,7 @@
 			world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 16})
 		}
 		world.up(test, 5)
-		generator, client := world.Origin(world.plan(60, 10))
+		generator, client := world.Origin(world.loadPlan(60, 10))
 		old := world.Backends[0].Backend
 		world.goroutines.Start(func() {
 			world.Rest(3 * time.Second)
@@ -85,9 +91,9 @@
 		})
 		report := generator.Run(world.goroutines.Sleep)
 		client.CloseIdleConnections()
-		stranger := world.Backends[0].Backend.Seen()
-		if len(stranger.Arrivals) != 0 {
-			world.broke("%d requests reached another service's backend", len(stranger.Arrivals))
+		reused := world.Backends[0].Backend.Seen()
+		if len(reused.Arrivals) != 0 {
+			world.broke("%d requests reached another service's backend", len(reused.Arrivals))
 		}
 		world.judge(nil, report)
 		if len(old.Seen().Arrivals) == 0 || report.Served < report.Asked*9/10 {
@@ -98,15 +104,15 @@
 }
 
 // Refused requests reach no backend.
-func TestRefusalsTouchNoBackend(test *testing.T) {
+func TestRefusedRequestsReachNoBackend(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 16})
 		world.AddBackend("meters", "s1", standin.BackendConfig{WorkMs: 5, Room: 16})
 		world.up(test, 5)
-		_, client := world.Origin(world.plan(1, 1))
-		front := func(zone string) string {
+		_, client := world.Origin(world.loadPlan(1, 1))
+		proxyIn := func(zone string) string {
 			for _, daemon := range world.Daemons {
 				if daemon.Kind == "proxy" && daemon.Zone == zone {
 					return daemon.PublicAddress
@@ -114,7 +120,7 @@
 			}
 			return ""
 		}
-		for _, wrong := range []struct{ method, zone, path, key, header, value, body, want string }{
+		for _, invalid := range []struct{ method, zone, path, key, header, value, body, want string }{
 			{"GET", "w1", "/meters/pages/1", "", "", "", "", "401 unknown_key"},
 			{"GET", "w1", "/meters/pages/1", "key-of-nobody", "", "", "", "401 unknown_key"},
 			{"GET", "w1", "/meters/pages/1", "key-of-alder", "Oj-Tenant", "birch", "", "403 wrong_tenant"},
@@ -129,15 +135,15 @@
 		} {
 			status, code := world.ask(
 				client,
-				wrong.method,
-				"http://"+front(wrong.zone)+wrong.path,
-				wrong.key,
-				wrong.header,
-				wrong.value,
-				wrong.body,
+				invalid.method,
+				"http://"+proxyIn(invalid.zone)+invalid.path,
+				invalid.key,
+				invalid.header,
+				invalid.value,
+				invalid.body,
 			)
-			if got := fmt.Sprintf("%d %s", status, code); got != wrong.want {
-				world.broke("%s %s with %s %.20s: %s, want %s", wrong.method, wrong.path, wrong.key, wrong.value, got, wrong.want)
+			if got := fmt.Sprintf("%d %s", status, code); got != invalid.want {
+				world.broke("%s %s with %s %.20s: %s, want %s", invalid.method, invalid.path, invalid.key, invalid.value, got, invalid.want)
 			}
 		}
 		for _, backend := range world.seen() {
@@ -147,12 +153,12 @@
 		}
 		for range 20 {
 			world.Rest(100 * time.Millisecond)
-			if status, _ := world.ask(client, "GET", "http://"+front("w1")+"/meters/pages/1", "key-of-birch", "", "", ""); status != 200 {
+			if status, _ := world.ask(client, "GET", "http://"+proxyIn("w1")+"/meters/pages/1", "key-of-birch", "", "", ""); status != 200 {
 				world.broke("a valid call got %d", status)
 			}
 		}
-		if south := world.seen()[1]; len(south.Arrivals) > 0 {
-			world.broke("a forbidden region's backend got %d requests", len(south.Arrivals))
+		if otherRegion := world.seen()[1]; len(otherRegion.Arrivals) > 0 {
+			world.broke("a forbidden region's backend got %d requests", len(otherRegion.Arrivals))
 		}
 		client.CloseIdleConnections()
 		world.report(test)
--- a/harness/simulation/usage_loss_test.go
+++ b/harness/simulation/usage_loss_test.go
@@ -6,13 +6,13 @@
 )
 
 // maxUnreplicated is the longest time for which a count may exist on one machine only.
-const unflushed = 600 * time.Millisecond
+const maxUnreplicated = 600 * time.Millisecond
 
 // usageLoss is a simultaneous loss of processes while usage is counted.
 type usageLoss struct {
 	name string
 	// inject ends processes, given the leader's index; load generates requests.
-	strike func(world *World, leader int, load func(time.Duration))
+	inject func(world *World, leader int, load func(time.Duration))
 }
 
 // usageLosses are the losses that every count older than maxUnreplicated must survive.
@@ -22,23 +22,23 @@
 			world.end(machine, true, func(host string) { world.Net.Vanish(host, true) })
 			world.Net.Vanish(machine.Host, true)
 		}
-		for _, one := range world.Members {
-			world.PowerOffMember(one)
+		for _, member := range world.Members {
+			world.PowerOffMember(member)
 		}
 	}
 	return []usageLoss{
 		{"leader and half of the daemons", func(world *World, leader int, _ func(time.Duration)) {
 			world.KillCore(leader, true)
-			for index, one := range world.Members {
+			for index, member := range world.Members {
 				if index%2 == 0 {
-					world.KillMember(one)
+					world.KillMember(member)
 				}
 			}
 		}},
 		{"half of the daemons, then the leader", func(world *World, leader int, _ func(time.Duration)) {
-			for index, one := range world.Members {
+			for index, member := range world.Members {
 				if index%2 == 1 {
-					world.KillMember(one)
+					world.KillMember(member)
 				}
 			}
 			world.Rest(300 * time.Millisecond)
@@ -49,10 +49,10 @@
 			world.end(world.Cores[leader], true, func(host string) { world.Net.Vanish(host, true) })
 			world.Net.Vanish(host, true)
 			load(300 * time.Millisecond)
-			world.Rest(unflushed)
-			for index, one := range world.Members {
+			world.Rest(maxUnreplicated)
+			for index, member := range world.Members {
 				if index%2 == 1 {
-					world.KillMember(one)
+					world.KillMember(member)
 				}
 			}
 		}},
@@ -72,16 +72,16 @@
 }
 
 // startAllExcept starts everything except one core; -1 excepts none.
-func (world *World) returnFrom(away int) {
+func (world *World) startAllExcept(away int) {
 	for index, machine := range world.machines() {
 		world.Net.Vanish(machine.Host, false)
 		if index != away {
 			world.start(machine)
 		}
 	}
-	for _, one := range world.Members {
-		if !one.Alive {
-			world.StartMember(one)
+	for _, member := range world.Members {
+		if !member.Alive {
+			world.StartMember(member)
 		}
 	}
 }
@@ -89,30 +89,30 @@
 // Processes with usage counts end together with the core that they report to, at a random
 // moment of a window. Every window is reported with one correct result; only counts of the last
 // maxUnreplicated before the loss may be missing.
-func TestUsageOutlivesThoseThatKnewIt(test *testing.T) {
+func TestUsageSurvivesLossOfItsHolders(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for number, loss := range usageLosses() {
 			world := NewFarWorld(seed, 3+2*int(seed%2))
-			meters := newMeters(world)
-			meters.sure = true
-			world.farUp(test, 6)
-			load := func(span time.Duration) { meters.load(span, 10*time.Millisecond) }
+			collector := newUsageCollector(world)
+			collector.reliable = true
+			world.startFar(test, 6)
+			load := func(span time.Duration) { collector.generateLoad(span, 10*time.Millisecond) }
 			load(12 * time.Second)
-			first := time.Now().UnixMilli()/meters.span - 1
+			first := time.Now().UnixMilli()/collector.windowMs - 1
 			load(time.Duration(seed*367%5000+uint64(number)*977%5000) * time.Millisecond)
-			world.Rest(unflushed)
-			leader, away := world.calm(test), -1
-			loss.strike(world, leader, load)
+			world.Rest(maxUnreplicated)
+			leader, down := world.waitStable(test), -1
+			loss.inject(world, leader, load)
 			if number == 0 {
-				away = leader
+				down = leader
 			}
 			world.Rest(time.Duration(300+seed*53%900) * time.Millisecond)
-			world.returnFrom(away)
+			world.startAllExcept(down)
 			load(15 * time.Second)
-			world.returnFrom(-1)
+			world.startAllExcept(-1)
 			load(15 * time.Second)
 			before := len(world.Broken)
-			meters.judge(first, time.Now().UnixMilli()/meters.span-4, 10_000, 0.05)
+			collector.checkWindows(first, time.Now().UnixMilli()/collector.windowMs-4, 10_000, 0.05)
 			for index := range world.Broken[before:] {
 				world.Broken[before+index] = loss.name + ": " + world.Broken[before+index]
 			}
