--- a/harness/simulation/disk_failure_test.go
+++ b/harness/simulation/disk_failure_test.go
@@ -48,7 +48,7 @@
 				world.Rest(time.Second)
 			}
 			if slowest > 2*time.Second {
-				world.broke("%s: an order took %v", kind, slowest)
+				world.broke("%s: an order took %v, want at most 2 s", kind, slowest)
 			}
 			if machine.goroutines.Stopping() {
 				world.broke("%s: the core terminated", kind)
--- a/harness/simulation/leave_test.go
+++ b/harness/simulation/leave_test.go
@@ -10,17 +10,17 @@
 )
 
 // idOf is the ID under which a machine votes, by its disk.
-func (one *replacementScenario) idOf(machine *Core) int {
+func (scenario *replacementScenario) idOf(machine *Core) int {
 	store, err := replica.OpenStore(machine.Disk.Copy())
 	if err != nil {
-		one.test.Fatal(err)
+		scenario.test.Fatal(err)
 	}
 	for _, voter := range store.State().Membership().Voters {
 		if voter.Address == machine.InternalAddress {
 			return voter.ID
 		}
 	}
-	one.test.Fatalf("%s has no vote", machine.Host)
+	scenario.test.Fatalf("%s has no vote", machine.Host)
 	return 0
 }
 
@@ -30,45 +30,45 @@
 func TestLeaveNamesItsAddress(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, isFormer := range []bool{false, true} {
-			one := newScenario(test, seed, 3, 1, "leave")
-			leader := one.leader()
-			voter := one.machine(one.indexAfter(leader, 1))
-			learner := one.AddCore(int(seed) % 3)
-			one.Rest(2 * time.Second)
-			before := one.machines()[:3]
-			id := one.idOf(voter)
-			caller := rpc.NewClient(one.Net.Transport(voter.Host))
+			scenario := newScenario(test, seed, 3, 1, "leave")
+			leader := scenario.leader()
+			voter := scenario.machine(scenario.indexAfter(leader, 1))
+			learner := scenario.AddCore(int(seed) % 3)
+			scenario.Rest(2 * time.Second)
+			before := scenario.machines()[:3]
+			id := scenario.idOf(voter)
+			caller := rpc.NewClient(scenario.Net.Transport(voter.Host))
 			leave := func(address string) (*message.LeaveResponse, error) {
 				if isFormer && address == voter.InternalAddress {
 					return rpc.Call(
 						caller,
-						one.machine(leader).InternalAddress,
+						scenario.machine(leader).InternalAddress,
 						message.MethodLeave,
 						time.Second,
 						&message.LeaveRequest{Core: id},
 					)
 				}
-				return rpc.Call(caller, one.machine(leader).InternalAddress, message.MethodLeaveVoter, time.Second,
+				return rpc.Call(caller, scenario.machine(leader).InternalAddress, message.MethodLeaveVoter, time.Second,
 					&message.LeaveVoterRequest{Core: id, Address: address})
 			}
 			if response, err := leave("10.0.9.9:41"); err != nil || response.Wait {
-				one.broke("another core's end: %+v, %v", response, err)
+				scenario.broke("another core's end: %+v, %v", response, err)
 			}
-			one.Rest(3 * time.Second)
-			one.checkVoters("another core's end", before)
+			scenario.Rest(3 * time.Second)
+			scenario.checkVoters("another core's end", before)
 			if response, err := leave(voter.InternalAddress); err != nil || !response.Wait {
-				one.broke("its own end: %+v, %v", response, err)
+				scenario.broke("its own end: %+v, %v", response, err)
 			}
-			one.Rest(3 * time.Second)
-			after := []*Core{one.machine(learner)}
+			scenario.Rest(3 * time.Second)
+			after := []*Core{scenario.machine(learner)}
 			for _, machine := range before {
 				if machine != voter {
 					after = append(after, machine)
 				}
 			}
-			one.checkVoters("its own end", after)
+			scenario.checkVoters("its own end", after)
 			caller.Close()
-			one.end()
+			scenario.end()
 		}
 	})
 }
--- a/harness/simulation/metered_usage_test.go
+++ b/harness/simulation/metered_usage_test.go
@@ -83,14 +83,14 @@
 func (collector *usageCollector) windowCounts(member *FarDaemon) []message.WindowCount {
 	collector.mutex.Lock()
 	defer collector.mutex.Unlock()
-	all := []message.WindowCount{}
+	counts := []message.WindowCount{}
 	now := member.Daemon.Now() / collector.windowMs
 	for window, tenants := range collector.countsByProcess[member.Daemon.Incarnation()] {
 		if window > now-6 {
-			all = append(all, message.WindowCount{Window: window, Tenants: maps.Clone(tenants)})
+			counts = append(counts, message.WindowCount{Window: window, Tenants: maps.Clone(tenants)})
 		}
 	}
-	return all
+	return counts
 }
 
 // reportedWindows returns the number of windows reported.
@@ -136,7 +136,7 @@
 }
 
 // checkWindows compares the reports of windows first to last with the requests started:
-// delays are at most late ms, sums deviate by at most share.
+// delays of at most maxDelayMs, sums that deviate by at most maxDeviation.
 func (collector *usageCollector) checkWindows(first, last int64, maxDelayMs int64, maxDeviation float64) {
 	collector.mutex.Lock()
 	defer collector.mutex.Unlock()
@@ -150,9 +150,9 @@
 		for _, requests := range report.Tenants {
 			sum += requests
 		}
-		if begun := collector.startedByWindow[window]; float64(sum) < float64(begun)*(1-maxDeviation) ||
-			float64(sum) > float64(begun)*(1+maxDeviation) {
-			collector.world.broke("window %d: %d requests reported, %d started", window, sum, begun)
+		if started := collector.startedByWindow[window]; float64(sum) < float64(started)*(1-maxDeviation) ||
+			float64(sum) > float64(started)*(1+maxDeviation) {
+			collector.world.broke("window %d: %d requests reported, %d started", window, sum, started)
 		}
 		if delay := collector.reportedAt[window] - (window+1)*collector.windowMs; delay > maxDelayMs {
 			collector.world.broke("window %d: reported %d ms after its end", window, delay)
@@ -160,9 +160,9 @@
 	}
 }
 
-func (collector *usageCollector) setUnavailable(down bool) {
+func (collector *usageCollector) setUnavailable(unavailable bool) {
 	collector.mutex.Lock()
-	collector.unavailable = down
+	collector.unavailable = unavailable
 	collector.mutex.Unlock()
 }
 
@@ -344,11 +344,11 @@
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		random := rand.New(rand.NewPCG(seed, 31))
-		jump := func() int64 { return []int64{-7_200_000, -3000, 2500, 4_000_000}[random.IntN(4)] }
-		wrong := int(seed) % 3
-		world.Cores[wrong].jump.Store(jump())
+		randomJump := func() int64 { return []int64{-7_200_000, -3000, 2500, 4_000_000}[random.IntN(4)] }
+		skewed := int(seed) % 3
+		world.Cores[skewed].jump.Store(randomJump())
 		for range 4 {
-			world.AddMember(random.IntN(3)).Jump = jump()
+			world.AddMember(random.IntN(3)).Jump = randomJump()
 		}
 		for index := range world.Cores {
 			world.StartCore(index)
@@ -357,16 +357,16 @@
 			world.StartMember(member)
 		}
 		world.Until(10*time.Second, func() bool { return world.Leader() >= 0 })
-		checkClocks := func(what string, limitMs int64) {
+		checkClocks := func(phase string, limitMs int64) {
 			for _, member := range world.Members {
-				if off := member.Daemon.Now() - time.Now().UnixMilli(); off > limitMs || off < -limitMs {
-					world.broke("%s: the clock of %s is off by %d ms", what, member.Name, off)
+				if offsetMs := member.Daemon.Now() - time.Now().UnixMilli(); offsetMs > limitMs || offsetMs < -limitMs {
+					world.broke("%s: the clock of %s is off by %d ms", phase, member.Name, offsetMs)
 				}
 			}
 			for _, machine := range world.Cores {
 				if core := machine.life(world); core != nil {
-					if off := core.Now() - time.Now().UnixMilli(); off > limitMs || off < -limitMs {
-						world.broke("%s: the clock of core %d is off by %d ms", what, machine.ID, off)
+					if offsetMs := core.Now() - time.Now().UnixMilli(); offsetMs > limitMs || offsetMs < -limitMs {
+						world.broke("%s: the clock of core %d is off by %d ms", phase, machine.ID, offsetMs)
 					}
 				}
 			}
@@ -374,23 +374,23 @@
 		world.Rest(2 * time.Second)
 		checkClocks("after start", 40)
 		for round := range 8 {
-			machine := world.Cores[(wrong+round)%3]
-			machine.jump.Store(jump())
+			machine := world.Cores[(skewed+round)%3]
+			machine.jump.Store(randomJump())
 			switch round % 4 {
 			case 1:
 				world.KillCore(world.Leader(), true)
 				world.Rest(4 * time.Second)
 				checkClocks("without the leader", 60)
-				for index, one := range world.Cores {
-					if one.life(world) == nil {
-						one.jump.Store(0)
+				for index, machine := range world.Cores {
+					if machine.life(world) == nil {
+						machine.jump.Store(0)
 						world.StartCore(index)
 					}
 				}
 			case 3:
-				world.KillCore(wrong, true)
-				world.Cores[wrong].jump.Store(jump())
-				world.StartCore(wrong)
+				world.KillCore(skewed, true)
+				world.Cores[skewed].jump.Store(randomJump())
+				world.StartCore(skewed)
 			}
 			world.Until(10*time.Second, func() bool { return world.Leader() >= 0 })
 			world.Rest(2 * time.Second)
--- a/harness/simulation/money_test.go
+++ b/harness/simulation/money_test.go
@@ -41,26 +41,26 @@
 		world.goroutines.Start(func() {
 			for !done.Load() {
 				proxy := proxies[random.IntN(len(proxies))]
-				wait := time.Duration(100+random.IntN(2500)) * time.Millisecond
+				downtime := time.Duration(100+random.IntN(2500)) * time.Millisecond
 				kind := []string{"kill", "freeze", "cut", "lose", "core", "two"}[random.IntN(6)]
 				faultCounts[kind]++
 				switch kind {
 				case "kill":
 					world.KillDaemon(proxy)
-					world.Rest(wait)
+					world.Rest(downtime)
 					world.StartDaemon(proxy)
 				case "two":
 					other := proxies[(random.IntN(len(proxies)-1)+1)%len(proxies)]
 					world.KillDaemon(proxy)
 					world.KillDaemon(other)
-					world.Rest(wait)
+					world.Rest(downtime)
 					world.StartDaemon(proxy)
 					if other != proxy {
 						world.StartDaemon(other)
 					}
 				case "freeze":
 					world.Net.Freeze(proxy.Host, true)
-					world.Rest(wait)
+					world.Rest(downtime)
 					world.Net.Freeze(proxy.Host, false)
 				case "cut":
 					for _, other := range world.Daemons {
@@ -69,7 +69,7 @@
 							defer world.Net.Cut(proxy.Host, other.Host, false)
 						}
 					}
-					world.Rest(wait)
+					world.Rest(downtime)
 					for _, other := range world.Daemons {
 						world.Net.Cut(proxy.Host, other.Host, false)
 					}
@@ -77,7 +77,7 @@
 					for index := range world.Cores {
 						world.KillCore(index, true)
 					}
-					world.Rest(wait)
+					world.Rest(downtime)
 					for index := range world.Cores {
 						world.StartCore(index)
 					}
--- a/harness/simulation/operator_race_test.go
+++ b/harness/simulation/operator_race_test.go
@@ -23,7 +23,7 @@
 	finished      int
 }
 
-// run sends orders while going returns true. An order without a definite answer is resent
+// run sends orders while isRunning returns true. An order without a definite answer is resent
 // unchanged through another daemon.
 func (operators *operatorRace) run(number int, isRunning func() bool) {
 	world := operators.world
@@ -34,21 +34,21 @@
 		operators.mutex.Unlock()
 	}()
 	forwarders := func() []*agent.Forwarder {
-		all := world.holds()
+		shuffled := world.holds()
 		for _, member := range world.Members {
-			all = append(all, member.Daemon.Forwarder)
+			shuffled = append(shuffled, member.Daemon.Forwarder)
 		}
-		random.Shuffle(len(all), func(left, right int) { all[left], all[right] = all[right], all[left] })
-		return all
+		random.Shuffle(len(shuffled), func(left, right int) { shuffled[left], shuffled[right] = shuffled[right], shuffled[left] })
+		return shuffled
 	}
 	zone := fmt.Sprint("z", number)
 	for isRunning() {
 		world.Rest(time.Duration(random.IntN(300)) * time.Millisecond)
 		if random.IntN(4) == 0 {
-			begin := random.IntN(2) == 0
-			_, err := world.evacuateBy(forwarders(), zone, begin)
+			evacuate := random.IntN(2) == 0
+			_, err := world.evacuateBy(forwarders(), zone, evacuate)
 			operators.mutex.Lock()
-			operators.zones[zone], operators.uncertain[zone] = begin, err != nil
+			operators.zones[zone], operators.uncertain[zone] = evacuate, err != nil
 			operators.mutex.Unlock()
 			continue
 		}
@@ -123,8 +123,8 @@
 			test.Fatal(err)
 		}
 		applied, versionByBase := map[uint64]bool{}, map[uint64]uint64{}
-		for _, one := range state.History.Entries() {
-			applied[one.Version] = true
+		for _, entry := range state.History.Entries() {
+			applied[entry.Version] = true
 		}
 		for version, base := range operators.baseByVersion {
 			if !applied[version] {
@@ -137,8 +137,8 @@
 		}
 		for zone, evacuated := range operators.zones {
 			held := false
-			for _, one := range state.Evacuated {
-				held = held || one == zone
+			for _, entry := range state.Evacuated {
+				held = held || entry == zone
 			}
 			if held != evacuated && !operators.uncertain[zone] {
 				world.broke("zone %s: evacuated %v acknowledged, read back %v", zone, evacuated, state.Evacuated)
--- a/harness/simulation/outage_test.go
+++ b/harness/simulation/outage_test.go
@@ -26,7 +26,7 @@
 	noChange, noTries := func(*World) {}, func(*World) []standin.Try { return nil }
 	each(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []outage{
-			{"power loss", noTries, noChange},
+			{"power", noTries, noChange},
 			{"one core's disk lost", noTries, func(world *World) { world.WipeCore(int(seed) % 3) }},
 			{"one core down before the outage", func(world *World) []standin.Try { world.KillCore(int(seed)%3, true); return nil }, noChange},
 			{"a disk stalls", func(world *World) []standin.Try { world.Cores[int(seed)%3].Disk.Stall(true); return nil }, noChange},
@@ -75,7 +75,7 @@
 			}
 			ready := time.Since(begin)
 			slowest, replays := world.resendPayments(tries)
-			if kind.name == "power loss" {
+			if kind.name == "power" {
 				world.Rest(2 * time.Minute)
 			}
 			later, _ := world.resendPayments(tries)
@@ -134,13 +134,13 @@
 }
 
 func (world *World) proxyAddresses() []string {
-	fronts := []string{}
+	addresses := []string{}
 	for _, daemon := range world.Daemons {
 		if daemon.Kind == "proxy" {
-			fronts = append(fronts, daemon.PublicAddress)
+			addresses = append(addresses, daemon.PublicAddress)
 		}
 	}
-	return fronts
+	return addresses
 }
 
 // resendPayments resends each key until its answer is final, and returns the longest wait and
--- a/harness/simulation/partition_test.go
+++ b/harness/simulation/partition_test.go
@@ -13,8 +13,8 @@
 const healAfter = 8 * time.Second
 
 // Proxies are partitioned from the cores and the other daemons, but still reach callers and
-// backends, while a tenant's keys are revoked and settings are changed. They must stop serving
-// what may be outdated within 4 s, and serve again once healed.
+// backends, while a tenant's keys are revoked, a zone is drained and settings change. They must
+// stop serving what may be outdated within 4 s, and serve again once healed.
 func TestPartitionedProxiesStopServing(test *testing.T) {
 	long(test)
 	each(test, func(test *testing.T, seed uint64) {
@@ -96,7 +96,7 @@
 		}
 		world.Rest(20 * time.Millisecond)
 	}
-	world.broke("the keys of %s could not be revoked in 50 attempts", tenant)
+	world.broke("the keys could not be revoked in 50 attempts")
 }
 
 // The cores are unreachable for 8 s: all proxies go on serving requests and payments.
--- a/harness/simulation/recovery_test.go
+++ b/harness/simulation/recovery_test.go
@@ -207,16 +207,16 @@
 				world.startFar(test, 3)
 				world.Rest(time.Second)
 				world.killAll(true, true)
-				holders := map[int]bool{}
+				accepted := map[int]bool{}
 				for offset := range cores / 2 {
-					holders[(int(seed)+offset)%cores] = true
+					accepted[(int(seed)+offset)%cores] = true
 					world.writeAccepted(test, (int(seed)+offset)%cores, 2)
 				}
 				if isolated {
 					world.isolateCores(true)
 				}
 				for index := range world.Cores {
-					if isolated || holders[index] {
+					if isolated || accepted[index] {
 						world.StartCore(index)
 					}
 				}
@@ -352,7 +352,7 @@
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.startFar(test, 2)
-		isolated, fresh, nearIsolated := int(seed)%3, world.AddMember(0), world.AddMember(1)
+		isolated, connected, isolatedMember := int(seed)%3, world.AddMember(0), world.AddMember(1)
 		world.Rest(time.Second)
 		world.KillCore(isolated, true)
 		world.isolate(isolated, true)
@@ -360,18 +360,18 @@
 			test.Fatal(err)
 		}
 		for index, machine := range world.Cores {
-			world.Net.Cut(machine.Host, nearIsolated.Host, index != isolated)
+			world.Net.Cut(machine.Host, isolatedMember.Host, index != isolated)
 		}
 		world.StartCore(isolated)
 		world.Rest(time.Duration(seed%3) * 100 * time.Millisecond)
-		world.StartMember(fresh)
-		world.StartMember(nearIsolated)
+		world.StartMember(connected)
+		world.StartMember(isolatedMember)
 		world.Rest(1500 * time.Millisecond)
-		if fresh.servingVersion() != 2 || nearIsolated.servingVersion() != 1 {
+		if connected.servingVersion() != 2 || isolatedMember.servingVersion() != 1 {
 			world.broke(
 				"member with all cores serves %d, want 2; member with only the isolated core %d, want 1",
-				fresh.servingVersion(),
-				nearIsolated.servingVersion(),
+				connected.servingVersion(),
+				isolatedMember.servingVersion(),
 			)
 		}
 		if world.Cores[isolated].Core.Leads() {
@@ -380,7 +380,7 @@
 		before, leader := world.leadershipCount(), world.Leader()
 		world.isolate(isolated, false)
 		for _, machine := range world.Cores {
-			world.Net.Cut(machine.Host, nearIsolated.Host, false)
+			world.Net.Cut(machine.Host, isolatedMember.Host, false)
 		}
 		if took, done := world.waitServing(2, true, 4*time.Second); !done {
 			world.broke("after healing: not caught up after %v", took)
--- a/harness/simulation/relay_test.go
+++ b/harness/simulation/relay_test.go
@@ -45,16 +45,16 @@
 
 // awaitInForce waits until the newest acknowledged settings are in force at all running daemons.
 func (world *World) awaitInForce(ledger *checker.Ledger, frozen map[*Daemon]bool) {
-	last := ledger.Newest()
+	newest := ledger.Newest()
 	if !world.Until(4*time.Second, func() bool {
 		for _, daemon := range world.Daemons {
-			if daemon.Alive && !frozen[daemon] && daemon.Daemon.Version().Serial < last {
+			if daemon.Alive && !frozen[daemon] && daemon.Daemon.Version().Serial < newest {
 				return false
 			}
 		}
 		return true
 	}) {
-		world.broke("serial %d is not in force at all daemons after 4 s", last)
+		world.broke("serial %d is not in force at all daemons after 4 s", newest)
 	}
 	world.Rest(500 * time.Millisecond)
 }
--- a/harness/simulation/removal_test.go
+++ b/harness/simulation/removal_test.go
@@ -84,8 +84,8 @@
 			defer world.EndSpare(spare)
 			ready := func() bool {
 				response := world.readMembership(test, client)
-				return slices.ContainsFunc(response.Learners, func(one message.LearnerStatus) bool {
-					return one.Address == spare.InternalAddress && one.Synced && one.Seen
+				return slices.ContainsFunc(response.Learners, func(learner message.LearnerStatus) bool {
+					return learner.Address == spare.InternalAddress && learner.Synced && learner.Seen
 				})
 			}
 			if !world.Until(10*time.Second, ready) {
@@ -150,8 +150,8 @@
 		haveLearners := func(count int) func() bool {
 			return func() bool {
 				response, synced := world.readMembership(test, clients[0]), 0
-				for _, one := range response.Learners {
-					if one.Synced {
+				for _, learner := range response.Learners {
+					if learner.Synced {
 						synced++
 					}
 				}
@@ -186,8 +186,8 @@
 			test.Errorf("membership after the first race %+v", response)
 		}
 		for number := range 2 {
-			more := world.StartSpare(2 + number)
-			defer world.EndSpare(more)
+			another := world.StartSpare(2 + number)
+			defer world.EndSpare(another)
 		}
 		world.Until(10*time.Second, haveLearners(2))
 		if removed := race([]int{4, 4}); removed != 2 {
--- a/harness/simulation/replacement_scenario_test.go
+++ b/harness/simulation/replacement_scenario_test.go
@@ -16,7 +16,7 @@
 
 const (
 	syncSpan           = 4 * time.Second
-	newcomerGap        = time.Second
+	replacementDelay   = time.Second
 	orderLimit         = 8 * time.Second
 	votersLimit        = 15 * time.Second
 	orderRetryInterval = 100 * time.Millisecond
@@ -77,13 +77,13 @@
 	random := rand.New(rand.NewPCG(scenario.Seed, scenario.newestVersion))
 	lost := random.IntN(3) == 0
 	for until, try := time.Now().Add(limit), random.IntN(9); time.Now().Before(until); try++ {
-		holds := scenario.holds()
-		if len(holds) == 0 {
+		forwarders := scenario.holds()
+		if len(forwarders) == 0 {
 			scenario.Rest(orderRetryInterval)
 			continue
 		}
 		_, err := agent.Forward(
-			holds[try%len(holds)],
+			forwarders[try%len(forwarders)],
 			message.MethodRoutingChange,
 			WholeChange(scenario.newestVersion+1, scenario.newestVersion),
 		)
@@ -105,35 +105,35 @@
 }
 
 // mustOrder sends an order that must be acknowledged, as a quorum is available.
-func (scenario *replacementScenario) mustOrder(what string) {
+func (scenario *replacementScenario) mustOrder(phase string) {
 	if begin := time.Now(); !scenario.order(orderLimit) {
-		scenario.broke("%s: order not acknowledged within %v", what, time.Since(begin))
+		scenario.broke("%s: order not acknowledged within %v", phase, time.Since(begin))
 	}
 }
 
 // checkAcknowledged checks that everything acknowledged is stored and in force at all members,
 // and that a new order is acknowledged.
-func (scenario *replacementScenario) checkAcknowledged(what string) {
-	scenario.mustOrder(what)
+func (scenario *replacementScenario) checkAcknowledged(phase string) {
+	scenario.mustOrder(phase)
 	state, err := scenario.Book()
 	switch {
 	case err != nil:
-		scenario.broke("%s: cannot read the routing back: %v", what, err)
+		scenario.broke("%s: cannot read the routing back: %v", phase, err)
 	case state.Config.Version != scenario.newestVersion:
-		scenario.broke("%s: version %d was acknowledged, %d read back", what, scenario.newestVersion, state.Config.Version)
+		scenario.broke("%s: version %d was acknowledged, %d read back", phase, scenario.newestVersion, state.Config.Version)
 	case !slices.Contains(state.Evacuated, evacuatedZone):
-		scenario.broke("%s: the acknowledged evacuation of %s is lost", what, evacuatedZone)
+		scenario.broke("%s: the acknowledged evacuation of %s is lost", phase, evacuatedZone)
 	}
-	if took, whole := scenario.waitRouting(scenario.newestVersion, contactSpan+inForceSpan); !whole {
+	if took, reached := scenario.waitRouting(scenario.newestVersion, contactSpan+inForceSpan); !reached {
 		scenario.broke(
 			"%s: members serve with versions %v after %v, %d was acknowledged",
-			what,
+			phase,
 			scenario.servingVersions(),
 			took,
 			scenario.newestVersion,
 		)
 	} else if took > inForceSpan/2 {
-		scenario.test.Logf("%s: %s: version %d in force after %v", scenario.name, what, scenario.newestVersion, took)
+		scenario.test.Logf("%s: %s: version %d in force after %v", scenario.name, phase, scenario.newestVersion, took)
 	}
 }
 
@@ -163,7 +163,7 @@
 }
 
 // checkVoters waits until exactly these machines are voters on all of their disks, and vote.
-func (scenario *replacementScenario) checkVoters(what string, machines []*Core) {
+func (scenario *replacementScenario) checkVoters(phase string, machines []*Core) {
 	wanted := wires(machines)
 	slices.Sort(wanted)
 	agreed := func() bool {
@@ -182,7 +182,7 @@
 		core := machine.life(scenario.World)
 		scenario.broke(
 			"%s: %s votes %v, voters on its disk %v, want %v",
-			what,
+			phase,
 			machine.Host,
 			core != nil && core.CanVote(),
 			voterAddresses(machine.Disk),
@@ -192,19 +192,19 @@
 }
 
 // checkRecovered is checkAcknowledged and checkVoters for all machines of the deployment.
-func (scenario *replacementScenario) checkRecovered(what string) {
-	scenario.checkAcknowledged(what)
-	scenario.checkVoters(what, scenario.machines())
-	scenario.checkAcknowledged(what + ", all voting")
+func (scenario *replacementScenario) checkRecovered(phase string) {
+	scenario.checkAcknowledged(phase)
+	scenario.checkVoters(phase, scenario.machines())
+	scenario.checkAcknowledged(phase + ", all voting")
 }
 
 // checkSurvivesLoss loses the given cores permanently and checks that the others still have
 // everything.
-func (scenario *replacementScenario) checkSurvivesLoss(what string, indexes ...int) {
+func (scenario *replacementScenario) checkSurvivesLoss(phase string, indexes ...int) {
 	for _, index := range indexes {
 		scenario.LoseCore(index)
 	}
-	scenario.checkAcknowledged(fmt.Sprintf("%s, then cores %v lost", what, indexes))
+	scenario.checkAcknowledged(fmt.Sprintf("%s, then cores %v lost", phase, indexes))
 }
 
 // leader waits for a leader and returns its index.
--- a/harness/simulation/replacement_test.go
+++ b/harness/simulation/replacement_test.go
@@ -19,7 +19,7 @@
 			for offset := range 2 {
 				scenario := newScenario(test, seed, cores, 4, []string{"the leader is replaced", "a follower is replaced"}[offset])
 				lost := scenario.indexAfter(scenario.leader(), offset)
-				scenario.ReplaceCore(lost, newcomerGap)
+				scenario.ReplaceCore(lost, replacementDelay)
 				started := time.Now()
 				scenario.order(syncSpan / 2)
 				scenario.restUntil(started.Add(syncSpan))
@@ -68,7 +68,7 @@
 			scenario.mustOrder("one core is cut off")
 			scenario.WipeCore(wiped)
 			scenario.isolate(stale, false)
-			gap := newcomerGap
+			gap := replacementDelay
 			if restart == "at once" {
 				scenario.StartCore(wiped)
 			}
@@ -86,16 +86,16 @@
 // follow; members that start later get other seeds.
 func TestAllFoundingCoresReplaced(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		for _, way := range []string{"lost", "planned", "mixed"} {
-			scenario := newScenario(test, seed, 3, 4, way)
+		for _, kind := range []string{"lost", "planned", "mixed"} {
+			scenario := newScenario(test, seed, 3, 4, kind)
 			for round := range 3 {
 				index := scenario.indexAfter(int(seed), round)
 				started := time.Now()
-				if way == "lost" || way == "mixed" && round%2 == 0 {
-					scenario.ReplaceCore(index, newcomerGap)
+				if kind == "lost" || kind == "mixed" && round%2 == 0 {
+					scenario.ReplaceCore(index, replacementDelay)
 					started = time.Now()
 				} else {
-					scenario.ReplaceCorePlanned(index, newcomerGap)
+					scenario.ReplaceCorePlanned(index, replacementDelay)
 				}
 				scenario.restUntil(started.Add(syncSpan))
 				scenario.checkAcknowledged(fmt.Sprint("replacement ", round+1))
@@ -122,27 +122,27 @@
 		replace func(scenario *replacementScenario, first, second int)
 	}
 	planned := func(scenario *replacementScenario, first, second int) {
-		wait := scenario.concurrently(func() { scenario.ReplaceCorePlanned(first, newcomerGap) })
+		wait := scenario.concurrently(func() { scenario.ReplaceCorePlanned(first, replacementDelay) })
 		scenario.Rest(scenario.randomDuration(100*time.Millisecond, 1500*time.Millisecond))
-		scenario.ReplaceCorePlanned(second, newcomerGap)
+		scenario.ReplaceCorePlanned(second, replacementDelay)
 		wait()
 	}
 	lost := func(scenario *replacementScenario, first, second int) {
-		wait := scenario.concurrently(func() { scenario.ReplaceCore(first, newcomerGap) })
+		wait := scenario.concurrently(func() { scenario.ReplaceCore(first, replacementDelay) })
 		scenario.Rest(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
-		scenario.ReplaceCore(second, newcomerGap)
+		scenario.ReplaceCore(second, replacementDelay)
 		wait()
 	}
 	mixed := func(scenario *replacementScenario, first, second int) {
-		wait := scenario.concurrently(func() { scenario.ReplaceCorePlanned(first, newcomerGap) })
+		wait := scenario.concurrently(func() { scenario.ReplaceCorePlanned(first, replacementDelay) })
 		scenario.Rest(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
-		scenario.ReplaceCore(second, newcomerGap)
+		scenario.ReplaceCore(second, replacementDelay)
 		wait()
 	}
 	newcomerLost := func(scenario *replacementScenario, first, _ int) {
-		scenario.ReplaceCore(first, newcomerGap)
+		scenario.ReplaceCore(first, replacementDelay)
 		scenario.Rest(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
-		scenario.ReplaceCore(first, newcomerGap)
+		scenario.ReplaceCore(first, replacementDelay)
 	}
 	each(test, func(test *testing.T, seed uint64) {
 		for _, overlapCase := range []overlap{{"both planned", 3, planned}, {"both planned", 5, planned}, {"both lost", 5, lost}, {"one planned, one lost", 5, mixed}, {"the new core is lost", 3, newcomerLost}} {
@@ -171,7 +171,7 @@
 			cut := scenario.machine(scenario.indexAfter(leader, 1))
 			scenario.isolateMachine(cut, true)
 			scenario.Rest(longCut / 4)
-			scenario.ReplaceCore(leader, newcomerGap)
+			scenario.ReplaceCore(leader, replacementDelay)
 			scenario.Rest(syncSpan)
 			scenario.checkAcknowledged("one is cut off, one replaced")
 			scenario.Rest(longCut / 4)
@@ -181,7 +181,7 @@
 			cut := scenario.machine(scenario.indexAfter(leader, 1))
 			scenario.isolateMachine(cut, true)
 			scenario.mustOrder("one is cut off")
-			scenario.ReplaceCore(scenario.indexAfter(leader, 2), newcomerGap)
+			scenario.ReplaceCore(scenario.indexAfter(leader, 2), replacementDelay)
 			scenario.Rest(longCut)
 			scenario.isolateMachine(cut, false)
 		}},
@@ -189,7 +189,7 @@
 			leaving := scenario.machine(scenario.indexAfter(leader, int(scenario.Seed)%2))
 			scenario.isolateMachine(leaving, true)
 			scenario.Rest(scenario.randomDuration(10*time.Millisecond, 2*time.Second))
-			scenario.ReplaceCorePlanned(slices.Index(scenario.machines(), leaving), newcomerGap)
+			scenario.ReplaceCorePlanned(slices.Index(scenario.machines(), leaving), replacementDelay)
 		}},
 		{"another cannot send", 5, func(scenario *replacementScenario, leader int) {
 			muted := scenario.machine(scenario.indexAfter(leader, 1))
@@ -201,7 +201,7 @@
 				}
 			}
 			setCut(true)
-			scenario.ReplaceCore(scenario.indexAfter(leader, 2), newcomerGap)
+			scenario.ReplaceCore(scenario.indexAfter(leader, 2), replacementDelay)
 			scenario.Rest(syncSpan)
 			scenario.checkAcknowledged("one cannot send, one replaced")
 			setCut(false)
@@ -210,16 +210,16 @@
 			scenario.WipeCore(scenario.indexAfter(leader, 1))
 			scenario.StartCore(scenario.indexAfter(leader, 1))
 			scenario.Rest(scenario.randomDuration(10*time.Millisecond, time.Second))
-			scenario.ReplaceCore(scenario.indexAfter(leader, int(scenario.Seed)%2*2), newcomerGap)
+			scenario.ReplaceCore(scenario.indexAfter(leader, int(scenario.Seed)%2*2), replacementDelay)
 		}},
 		{"the replaced core lost its disk first", 3, func(scenario *replacementScenario, leader int) {
 			scenario.WipeCore(leader)
 			scenario.StartCore(leader)
 			scenario.Rest(scenario.randomDuration(10*time.Millisecond, 300*time.Millisecond))
-			scenario.ReplaceCore(leader, newcomerGap)
+			scenario.ReplaceCore(leader, replacementDelay)
 		}},
 		{"another loses its disk after the sync", 3, func(scenario *replacementScenario, leader int) {
-			scenario.ReplaceCore(leader, newcomerGap)
+			scenario.ReplaceCore(leader, replacementDelay)
 			scenario.Rest(syncSpan)
 			scenario.order(orderLimit)
 			scenario.WipeCore(scenario.indexAfter(leader, 1))
@@ -236,7 +236,7 @@
 					scenario.Rest(100 * time.Millisecond)
 				}
 			})
-			scenario.ReplaceCore(scenario.indexAfter(leader, int(scenario.Seed)%2), newcomerGap)
+			scenario.ReplaceCore(scenario.indexAfter(leader, int(scenario.Seed)%2), replacementDelay)
 			wait()
 		}},
 	}
@@ -265,7 +265,7 @@
 		}
 	})
 	scenario.Rest(scenario.randomDuration(10*time.Millisecond, 3*time.Second))
-	scenario.ReplaceCorePlanned(slices.Index(scenario.machines(), leaving), newcomerGap)
+	scenario.ReplaceCorePlanned(slices.Index(scenario.machines(), leaving), replacementDelay)
 	wait()
 }
 
@@ -280,9 +280,9 @@
 				leaving := scenario.machine(index)
 				wait := scenario.concurrently(func() {
 					if planned {
-						scenario.ReplaceCorePlanned(index, newcomerGap)
+						scenario.ReplaceCorePlanned(index, replacementDelay)
 					} else {
-						scenario.ReplaceCore(index, newcomerGap)
+						scenario.ReplaceCore(index, replacementDelay)
 					}
 				})
 				scenario.Rest(scenario.randomDuration(10*time.Millisecond, 2500*time.Millisecond))
@@ -308,9 +308,9 @@
 			scenario := newScenario(test, seed, 4, 3, []string{"the leader is replaced", "a follower is replaced"}[offset])
 			lost := scenario.indexAfter(scenario.leader(), offset)
 			if offset == int(seed)%2 {
-				scenario.ReplaceCore(lost, newcomerGap)
+				scenario.ReplaceCore(lost, replacementDelay)
 			} else {
-				scenario.ReplaceCorePlanned(lost, newcomerGap)
+				scenario.ReplaceCorePlanned(lost, replacementDelay)
 			}
 			scenario.Rest(syncSpan)
 			scenario.checkRecovered("replaced")
@@ -330,7 +330,7 @@
 			for offset := range cores / 2 {
 				scenario.LoseCore(scenario.indexAfter(first, offset))
 			}
-			scenario.Rest(newcomerGap)
+			scenario.Rest(replacementDelay)
 			for offset := range cores / 2 {
 				scenario.Fill(scenario.indexAfter(first, offset), nil)
 			}
@@ -353,11 +353,11 @@
 	const away = 20 * time.Second
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
-			for _, way := range []string{"cut off", "frozen", "without power"} {
-				scenario := newScenario(test, seed, cores, 3, way)
+			for _, kind := range []string{"cut off", "frozen", "without power"} {
+				scenario := newScenario(test, seed, cores, 3, kind)
 				absent := scenario.indexAfter(scenario.leader(), int(seed)%2)
 				machine := scenario.machine(absent)
-				switch way {
+				switch kind {
 				case "cut off":
 					scenario.isolateMachine(machine, true)
 				case "frozen":
@@ -471,11 +471,11 @@
 // another core takes its place.
 func TestRemovedCoreReturns(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		for _, way := range []string{"left as planned", "was lost"} {
-			scenario := newScenario(test, seed, 3, 3, "it "+way)
+		for _, kind := range []string{"left as planned", "was lost"} {
+			scenario := newScenario(test, seed, 3, 3, "it "+kind)
 			index := scenario.indexAfter(scenario.leader(), int(seed)%2)
 			former := voterID(scenario.machine(index))
-			scenario.replaceAndSync(way, index)
+			scenario.replaceAndSync(kind, index)
 			scenario.checkRecovered("removed")
 			before := scenario.leadershipCount()
 			returned := scenario.ReturnRemoved(0)
@@ -487,7 +487,7 @@
 			scenario.checkRecovered("the removed core is back")
 			lost := scenario.indexAfter(index, 1)
 			scenario.LoseCore(lost)
-			scenario.Rest(newcomerGap)
+			scenario.Rest(replacementDelay)
 			scenario.Fill(lost, wires([]*Core{returned}))
 			scenario.Rest(syncSpan)
 			scenario.checkAcknowledged("the returned core is the only seed")
@@ -504,10 +504,10 @@
 // isolated from all others, with a new core on their side.
 func TestRemovedCoresAreNoQuorum(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		for _, way := range []string{"left as planned", "was lost"} {
-			scenario := newScenario(test, seed, 3, 3, "each "+way)
+		for _, kind := range []string{"left as planned", "was lost"} {
+			scenario := newScenario(test, seed, 3, 3, "each "+kind)
 			for round := range 2 {
-				scenario.replaceAndSync(way, scenario.indexAfter(int(seed), round))
+				scenario.replaceAndSync(kind, scenario.indexAfter(int(seed), round))
 				scenario.checkRecovered(fmt.Sprint("removed ", round+1))
 			}
 			current := scenario.machines()
@@ -581,17 +581,17 @@
 }
 
 // replaceAndSync replaces a core, planned or not, and gives the new one time to synchronize.
-func (scenario *replacementScenario) replaceAndSync(way string, index int) {
-	if way == "was lost" {
-		scenario.ReplaceCore(index, newcomerGap)
+func (scenario *replacementScenario) replaceAndSync(kind string, index int) {
+	if kind == "was lost" {
+		scenario.ReplaceCore(index, replacementDelay)
 	} else {
-		scenario.ReplaceCorePlanned(index, newcomerGap)
+		scenario.ReplaceCorePlanned(index, replacementDelay)
 	}
 	scenario.Rest(syncSpan)
 }
 
-// checkNeverLeads checks that a core that is no voter runs, and has not led since the first
-// before leaderships.
+// checkNeverLeads checks that a core that is no voter runs, and has led in no leadership but
+// the first ones, whose number is given by before.
 func (scenario *replacementScenario) checkNeverLeads(machine *Core, before int) {
 	if core := machine.life(scenario.World); core == nil || core.Leads() {
 		scenario.broke("%s: running %v, want a running core that does not lead", machine.Host, core != nil)
@@ -612,33 +612,33 @@
 // it finds the quorum nonetheless.
 func TestNewCoreFindsQuorum(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		for _, way := range []string{"two of three seeds are lost", "the only running seed is cut off for a while", "a seed is a new core", "restarted while it catches up"} {
-			scenario := newScenario(test, seed, 5, 3, way)
+		for _, kind := range []string{"two of three seeds are lost", "the only running seed is cut off for a while", "a seed is a new core", "restarted while it catches up"} {
+			scenario := newScenario(test, seed, 5, 3, kind)
 			lost := []int{scenario.indexAfter(int(seed), 0), scenario.indexAfter(int(seed), 1)}
-			gone := []*Core{scenario.LoseCore(lost[0]), scenario.LoseCore(lost[1])}
-			scenario.Rest(newcomerGap)
-			alive := scenario.machine(scenario.indexAfter(lost[1], 1))
-			switch way {
+			lostCores := []*Core{scenario.LoseCore(lost[0]), scenario.LoseCore(lost[1])}
+			scenario.Rest(replacementDelay)
+			running := scenario.machine(scenario.indexAfter(lost[1], 1))
+			switch kind {
 			case "two of three seeds are lost":
-				scenario.Fill(lost[0], wires([]*Core{gone[0], gone[1], alive}))
+				scenario.Fill(lost[0], wires([]*Core{lostCores[0], lostCores[1], running}))
 			case "the only running seed is cut off for a while":
-				scenario.isolateMachine(alive, true)
-				scenario.Fill(lost[0], wires([]*Core{gone[0], alive}))
-				scenario.isolateMachine(alive, true)
+				scenario.isolateMachine(running, true)
+				scenario.Fill(lost[0], wires([]*Core{lostCores[0], running}))
+				scenario.isolateMachine(running, true)
 				scenario.Rest(2 * time.Second)
-				scenario.isolateMachine(alive, false)
+				scenario.isolateMachine(running, false)
 			case "a seed is a new core":
-				first := scenario.Fill(lost[0], wires([]*Core{gone[0], alive}))
-				scenario.Fill(lost[1], wires([]*Core{gone[0], gone[1], first}))
+				first := scenario.Fill(lost[0], wires([]*Core{lostCores[0], running}))
+				scenario.Fill(lost[1], wires([]*Core{lostCores[0], lostCores[1], first}))
 			case "restarted while it catches up":
-				scenario.Fill(lost[0], wires([]*Core{alive}))
+				scenario.Fill(lost[0], wires([]*Core{running}))
 				for range 3 {
 					scenario.Rest(scenario.randomDuration(10*time.Millisecond, time.Second))
 					scenario.KillCore(lost[0], true)
 					scenario.StartCore(lost[0])
 				}
 			}
-			if scenario.machine(lost[1]) == gone[1] {
+			if scenario.machine(lost[1]) == lostCores[1] {
 				scenario.Fill(lost[1], nil)
 			}
 			scenario.Rest(syncSpan)
--- a/harness/simulation/routing_test.go
+++ b/harness/simulation/routing_test.go
@@ -87,10 +87,10 @@
 		for round := range 10 {
 			accepted, refused := []uint64{}, 0
 			mutex, done := sync.Mutex{}, 0
-			for racer := range uint64(2) {
-				version := last + 1 + racer
+			for number := range uint64(2) {
+				version := last + 1 + number
 				world.goroutines.Start(func() {
-					_, err := order(world, world.holds()[racer:], message.MethodRoutingChange, WholeChange(version, last))
+					_, err := order(world, world.holds()[number:], message.MethodRoutingChange, WholeChange(version, last))
 					mutex.Lock()
 					defer mutex.Unlock()
 					if done++; err == nil {
@@ -366,7 +366,7 @@
 			if call > 40 {
 				return nil
 			}
-			one := message.Backend{
+			backend := message.Backend{
 				Name:     "b",
 				Service:  "desk",
 				Address:  "10.9.9.9:80",
@@ -375,9 +375,9 @@
 				Leaving:  call > 15 && call%3 > 0,
 			}
 			if call%4 == 0 {
-				one.WarmAtMs = 0
+				backend.WarmAtMs = 0
 			}
-			return []message.Backend{one}
+			return []message.Backend{backend}
 		})
 	})
 }
--- a/harness/simulation/total_loss_test.go
+++ b/harness/simulation/total_loss_test.go
@@ -161,12 +161,12 @@
 				until := from.Add(loss.randomDuration(time.Second, 20*time.Second))
 				loss.list.Store(&listState{fault: fault, from: from, until: until})
 				loss.startShuffled(300 * time.Millisecond)
-				back := time.Now()
+				restarted := time.Now()
 				wanted := uint64(round) + 2
 				if !loss.Until(20*time.Second, func() bool { return loss.acknowledged.Load() >= wanted }) {
 					loss.broke("%s, round %d: version %d was not acknowledged within 20 s", fault, round, wanted)
 				}
-				latest := back.Add(contactSpan)
+				latest := restarted.Add(contactSpan)
 				if now := time.Now(); now.After(latest) {
 					latest = now
 				}
--- a/harness/simulation/version_conflict_test.go
+++ b/harness/simulation/version_conflict_test.go
@@ -51,15 +51,15 @@
 		for _, kind := range []string{"calm", "cut", "mute", "deaf", "frozen", "killed", "wiped", "cut", "deaf", "killed"} {
 			leader := world.waitStable(test)
 			wait := time.Duration(random.IntN(450)) * time.Millisecond
-			mutex, codes, texts := sync.Mutex{}, map[int]int{}, []string{
+			mutex, codes, bodies := sync.Mutex{}, map[int]int{}, []string{
 				configBody(version+3, version, 1),
 				configBody(version+3, version, 2),
 			}
-			for operator, text := range texts {
-				own := rand.New(rand.NewPCG(seed, version*8+uint64(operator)))
+			for operator, body := range bodies {
+				operatorRandom := rand.New(rand.NewPCG(seed, version*8+uint64(operator)))
 				world.goroutines.Start(func() {
-					world.Rest(time.Duration(own.IntN(100)) * time.Millisecond)
-					code := client.callUntilFinal(own, http.MethodPut, "/config", text)
+					world.Rest(time.Duration(operatorRandom.IntN(100)) * time.Millisecond)
+					code := client.callUntilFinal(operatorRandom, http.MethodPut, "/config", body)
 					mutex.Lock()
 					codes[operator] = code
 					mutex.Unlock()
@@ -88,9 +88,9 @@
 			}
 			mutex.Unlock()
 			world.waitStable(test)
-			for operator, text := range texts {
+			for operator, body := range bodies {
 				for index := range world.Cores {
-					if code, answer := client.call(index, http.MethodPut, "/config", text); code != codes[operator] {
+					if code, answer := client.call(index, http.MethodPut, "/config", body); code != codes[operator] {
 						world.broke(
 							"%s after %v: operator %d got %d, then core %d answered %d %s",
 							kind,
@@ -121,15 +121,15 @@
 		defer world.CloseFar()
 		world.startFar(test, 1)
 		client := world.newOperatorClient()
-		type sent struct{ method, text string }
-		orders, random := []sent{}, rand.New(rand.NewPCG(seed, 43))
+		type sentOrder struct{ method, body string }
+		orders, random := []sentOrder{}, rand.New(rand.NewPCG(seed, 43))
 		for version := uint64(2); version < 2+changes; version++ {
-			request := sent{http.MethodPut, configBody(version, version-1, 1)}
+			request := sentOrder{http.MethodPut, configBody(version, version-1, 1)}
 			if version%3 == 0 {
-				request = sent{http.MethodPatch, patchBody(version, version-1)}
+				request = sentOrder{http.MethodPatch, patchBody(version, version-1)}
 			}
 			orders = append(orders, request)
-			if code := client.callUntilFinal(random, request.method, "/config", request.text); code != http.StatusOK {
+			if code := client.callUntilFinal(random, request.method, "/config", request.body); code != http.StatusOK {
 				test.Fatalf("version %d: status %d", version, code)
 			}
 		}
@@ -137,7 +137,7 @@
 			world.waitStable(test)
 			for index := range world.Cores {
 				for number := int(seed) % 7; number < len(orders); number += 37 {
-					if code, answer := client.call(index, orders[number].method, "/config", orders[number].text); code != http.StatusOK {
+					if code, answer := client.call(index, orders[number].method, "/config", orders[number].body); code != http.StatusOK {
 						world.broke("%s, core %d, order %d: %d %s", phase, index, number, code, answer)
 					}
 				}
