--- a/harness/simulation/budget_test.go
+++ b/harness/simulation/budget_test.go
@@ -9,8 +9,8 @@
 	"orchidjunction/harness/standin"
 )
 
-// Half of all backends break every answer while proxies join and die: in no ten
-// seconds do backends see more resends than a fifth of the rest and sixty.
+// Guards the fleet-wide retry budget: half of the backends lose every response while proxies
+// start and are killed. In any 10 s, resends stay within 20% of the first sends plus 60.
 func TestResendsInAnyTenSeconds(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -46,9 +46,9 @@
 	})
 }
 
-// Callers who try again at once and six times, with pages and money, while half
-// of the backends lose every answer for 36 s: resends stay bounded in any ten of
-// them, and no key is charged twice.
+// Callers retry up to six times without a pause, with pages and money, while half of the
+// backends lose every response for 36 s: resends stay bounded in any 10 s and no key is
+// charged twice.
 func TestHastyCallersInAPartialOutage(test *testing.T) {
 	long(test)
 	each(test, func(test *testing.T, seed uint64) {
@@ -75,7 +75,7 @@
 		client.CloseIdleConnections()
 		verdicts := world.judge(nil, report)
 		test.Logf(
-			"%s; %s; %d tries for %d tasks, %v",
+			"%s; %s; %d attempts for %d requests, %v",
 			verdicts["resends in 10 s at most 20% of first sends + 60"],
 			verdicts["no key charged twice"],
 			len(report.Tries),
--- a/harness/simulation/call_limit_test.go
+++ b/harness/simulation/call_limit_test.go
@@ -12,23 +12,23 @@
 	"orchidjunction/rpc"
 )
 
-// No more calls than the limit are answered at once, all are answered in the end, and callers
-// that leave while they wait take no slot with them.
+// A server handles no more calls at once than the limit, handles all of them in the end, and
+// frees the slots of callers that time out while they wait.
 func TestCallsAreLimited(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		const most, callers = 5, 60
+		const limit, callers = 5, 60
 		world := NewWorld(seed, 1)
 		defer world.Close()
 		server := rpc.NewServer(metrics.NewCounters())
-		var now, highest atomic.Int64
+		var running, peak atomic.Int64
 		rpc.Handle(server, message.MethodLeader, func(context.Context, *message.LeaderRequest) (*message.LeaderResponse, error) {
-			current := now.Add(1)
-			highest.Store(max(highest.Load(), current))
+			current := running.Add(1)
+			peak.Store(max(peak.Load(), current))
 			world.Rest(50 * time.Millisecond)
-			now.Add(-1)
+			running.Add(-1)
 			return &message.LeaderResponse{}, nil
 		})
-		rpc.LimitCalls(server, message.MethodLeader, most)
+		rpc.LimitCalls(server, message.MethodLeader, limit)
 		goroutines := concurrent.NewGroup()
 		world.servers = append(world.servers, world.serve(goroutines, "10.0.5.1:41", server))
 		client := rpc.NewClient(world.Net.Transport("10.0.5.2"))
@@ -44,17 +44,17 @@
 				})
 			}
 			if !world.Until(20*time.Second, func() bool { return ended.Load() == callers }) {
-				test.Fatal("calls do not end")
+				test.Fatal("calls did not end within 20 s")
 			}
 			if timeout > time.Second && answered.Load() != callers {
-				test.Errorf("%d of %d answered", answered.Load(), callers)
+				test.Errorf("%d of %d calls answered", answered.Load(), callers)
 			}
-			if timeout < time.Second && answered.Load() > 2*most {
-				test.Errorf("%d answered in %v", answered.Load(), timeout)
+			if timeout < time.Second && answered.Load() > 2*limit {
+				test.Errorf("%d calls answered within a time-out of %v", answered.Load(), timeout)
 			}
 		}
-		if highest.Load() != most {
-			test.Errorf("%d at once, want %d", highest.Load(), most)
+		if peak.Load() != limit {
+			test.Errorf("peak of %d concurrent calls, want %d", peak.Load(), limit)
 		}
 	})
 }
--- a/harness/simulation/call_test.go
+++ b/harness/simulation/call_test.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// ask makes one call and gives its status and, of a refusal, the code.
+// ask sends one HTTP request and returns the status and, for a refusal, the error code.
 func (world *World) ask(client *http.Client, method, url, key, header, value, body string) (int, string) {
-	request, fault := http.NewRequest(method, url, strings.NewReader(body))
-	if fault != nil {
-		return 0, fault.Error()
+	request, err := http.NewRequest(method, url, strings.NewReader(body))
+	if err != nil {
+		return 0, err.Error()
 	}
 	if key != "" {
 		request.Header.Set("Authorization", "Bearer "+key)
@@ -19,15 +19,15 @@
 	if header != "" {
 		request.Header.Set(header, value)
 	}
-	response, fault := client.Do(request)
-	if fault != nil {
-		return 0, fault.Error()
+	response, err := client.Do(request)
+	if err != nil {
+		return 0, err.Error()
 	}
 	defer response.Body.Close()
-	answer, _ := io.ReadAll(response.Body)
-	mishap := struct {
+	content, _ := io.ReadAll(response.Body)
+	refusal := struct {
 		Code string `json:"code"`
 	}{}
-	_ = json.Unmarshal(answer, &mishap) // an answer that is no refusal has no code
-	return response.StatusCode, mishap.Code
+	_ = json.Unmarshal(content, &refusal) // only refusals have a JSON body with a code
+	return response.StatusCode, refusal.Code
 }
--- a/harness/simulation/catchup_test.go
+++ b/harness/simulation/catchup_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// absences are the ways in which a core misses changes.
-var absences = []string{"restarted", "power", "wiped", "frozen", "cut"}
+// outageKinds are the ways in which a core misses changes.
+var outageKinds = []string{"restarted", "power", "wiped", "frozen", "cut"}
 
-// diskBound is two segments, as a power loss may undo the last removal, and room for
-// small snapshots: half of what 2,000 changes of these tests amount to.
-const diskBound = 9 << 20
+// diskLimit is in bytes: two log segments, as a power loss may undo the last removal, and room
+// for small snapshots. It is half of what 2,000 changes of these tests write.
+const diskLimit = 9 << 20
 
-// away takes a core out of the system; the function it gives brings it back.
-func (world *World) away(kind string, index int) func() {
+// takeDown stops, wipes, freezes or isolates a core; the function it returns restores the core.
+func (world *World) takeDown(kind string, index int) func() {
 	machine := world.Cores[index]
 	switch kind {
 	case "frozen":
@@ -32,34 +32,34 @@
 	return func() { world.StartCore(index) }
 }
 
-// change puts so many routings in force, each on top of the last.
-func (world *World) change(version *atomic.Uint64, count int) {
+// putRoutings puts count routings in force, each based on the one before.
+func (world *World) putRoutings(version *atomic.Uint64, count int) {
 	for range count {
 		last := version.Load()
 		if err := world.Put(last+1, last); err != nil {
-			world.broke("%d on %d: %v", last+1, last, err)
+			world.broke("put of version %d on base %d: %v", last+1, last, err)
 			return
 		}
 		version.Store(last + 1)
 	}
 }
 
-// A core is away while 10, 400 and 2,000 changes are made, each way as the
-// leader and as another (2,000 with the first seed only). It is back with all of them on its disk within
-// seconds, while changes go on or none is made (by seed); the next leader, whoever it is, holds what was
-// acknowledged last; and no disk ever holds more than a bounded number of bytes.
+// A core, the leader or another, misses 10, 400 or 2,000 changes (2,000 with the first seed
+// only). After its return it stores all of them within seconds, while changes continue or
+// stop (by seed). The next leader, whoever it is, holds the last acknowledged change, and
+// disk use stays bounded.
 func TestCoreCatchesUpAfterManyChanges(test *testing.T) {
 	counts := []int{10, 400, 2000}
 	if raced {
 		counts = counts[:1]
 	}
 	for _, count := range counts {
-		for number, kind := range absences {
+		for position, kind := range outageKinds {
 			test.Run(fmt.Sprint(count, " ", kind), func(test *testing.T) {
 				eachWorld(test, func(seed uint64) func(test *testing.T) {
 					return func(test *testing.T) {
-						if count < 2000 || seed == uint64(*first) {
-							catchUp(test, seed, kind, count, (int(seed)+number)%2 == 0)
+						if count < 2000 || seed == uint64(*firstSeed) {
+							coreCatchesUp(test, seed, kind, count, (int(seed)+position)%2 == 0)
 						}
 					}
 				})
@@ -68,33 +68,33 @@
 	}
 }
 
-func catchUp(test *testing.T, seed uint64, kind string, count int, leads bool) {
+func coreCatchesUp(test *testing.T, seed uint64, kind string, count int, isLeader bool) {
 	world := NewFarWorld(seed, 3)
 	defer world.CloseFar()
 	world.farUp(test, 3)
 	version := atomic.Uint64{}
 	version.Store(1)
 	index := world.calm(test)
-	if !leads {
+	if !isLeader {
 		index = (index + 1) % 3
 	}
-	going := seed%2 == 1
-	back := world.away(kind, index)
-	world.change(&version, count)
-	if !going {
-		world.Rest(5 * time.Second) // nobody tries to send it the last change any more
+	continued := seed%2 == 1
+	restore := world.takeDown(kind, index)
+	world.putRoutings(&version, count)
+	if !continued {
+		world.Rest(5 * time.Second) // past the retries of the last change
 	}
-	back()
-	missed, begin := world.lasts((index+1)%3), time.Now()
+	restore()
+	wanted, begin := world.lasts((index+1)%3), time.Now()
 	stop, ended := atomic.Bool{}, atomic.Bool{}
 	world.goroutines.Start(func() {
-		for !stop.Load() && going {
-			world.change(&version, 1)
+		for !stop.Load() && continued {
+			world.putRoutings(&version, 1)
 		}
 		ended.Store(true)
 	})
-	if !world.Until(6*time.Second, func() bool { return world.lasts(index) >= missed }) {
-		world.broke("holds serial %d, %d were made while it was away", world.lasts(index), missed)
+	if !world.Until(6*time.Second, func() bool { return world.lasts(index) >= wanted }) {
+		world.broke("returned core has serial %d, the others had %d at its return", world.lasts(index), wanted)
 	}
 	took := time.Since(begin)
 	world.Rest(2 * time.Second)
@@ -114,10 +114,10 @@
 	}
 	state, err := world.Book()
 	if err != nil || state.Config.Version != acknowledged {
-		world.broke("read back %+v after the leader was lost, %d was acknowledged: %v", state, acknowledged, err)
+		world.broke("read %+v after the loss of the leader, version %d was acknowledged: %v", state, acknowledged, err)
 	}
 	for _, machine := range world.Cores {
-		if used := machine.Disk.MostUsed(); used > diskBound {
+		if used := machine.Disk.MostUsed(); used > diskLimit {
 			world.broke("core %d used %d bytes of disk", machine.ID, used)
 		}
 	}
@@ -125,8 +125,8 @@
 	world.report(test)
 }
 
-// A member is away while many changes are made: it has the newest in force soon
-// after it is back, never an older one than it had, by a bounded message.
+// A member misses many changes: soon after its return it has the newest routing in force,
+// never an older one than before, and the message that brings it is bounded.
 func TestMemberCatchesUpAfterManyChanges(test *testing.T) {
 	counts := []int{10, 400}
 	if raced {
@@ -149,34 +149,34 @@
 	world.farUp(test, 3)
 	version := atomic.Uint64{}
 	version.Store(1)
-	one := world.Members[int(seed)%3]
-	cut := func(shut bool) {
+	member := world.Members[int(seed)%3]
+	setCut := func(cut bool) {
 		for _, machine := range world.Cores {
-			world.Net.Cut(one.Host, machine.Host, shut)
+			world.Net.Cut(member.Host, machine.Host, cut)
 		}
 	}
 	switch kind {
 	case "frozen":
-		world.Net.Freeze(one.Host, true)
+		world.Net.Freeze(member.Host, true)
 	case "cut":
-		cut(true)
+		setCut(true)
 	default:
-		world.KillMember(one)
+		world.KillMember(member)
 	}
-	world.change(&version, count)
+	world.putRoutings(&version, count)
 	switch kind {
 	case "frozen":
-		world.Net.Freeze(one.Host, false)
+		world.Net.Freeze(member.Host, false)
 	case "cut":
-		cut(false)
+		setCut(false)
 	default:
-		world.StartMember(one)
+		world.StartMember(member)
 	}
-	if took, whole := world.reached(version.Load(), 5*time.Second); !whole {
+	if took, reached := world.reached(version.Load(), 5*time.Second); !reached {
 		world.broke(
-			"%s has routing serial %d in force after %v, version %d was acknowledged",
-			one.Name,
-			one.Daemon.Version().RoutingSerial,
+			"%s has routing serial %d in force %v after its return, version %d was acknowledged",
+			member.Name,
+			member.Daemon.Version().RoutingSerial,
 			took,
 			version.Load(),
 		)
@@ -184,8 +184,8 @@
 	world.report(test)
 }
 
-// The leader is lost at the moment when a core comes back that missed changes: those
-// two that are left hold what was acknowledged, whichever of them leads.
+// The leader is lost at the moment when a core that missed changes returns: the two that are
+// left hold what was acknowledged, whichever of them leads.
 func TestReturnedCoreDoesNotLeadWithOldState(test *testing.T) {
 	led := atomic.Int32{}
 	counts := []int{10, 400}
@@ -197,7 +197,7 @@
 			test.Run(fmt.Sprint(count, " ", kind), func(test *testing.T) {
 				eachWorld(test, func(seed uint64) func(test *testing.T) {
 					return func(test *testing.T) {
-						if leadsWithNewState(test, seed, kind, count) {
+						if returnedCoreLeads(test, seed, kind, count) {
 							led.Add(1)
 						}
 					}
@@ -206,12 +206,12 @@
 		}
 	}
 	if led.Load() == 0 {
-		test.Error("no core that missed changes came to lead")
+		test.Error("no core that missed changes was elected leader in any run")
 	}
 }
 
-// leadsWithNewState is whether the core that missed changes came to lead.
-func leadsWithNewState(test *testing.T, seed uint64, kind string, count int) bool {
+// returnedCoreLeads reports whether the core that missed changes was elected leader.
+func returnedCoreLeads(test *testing.T, seed uint64, kind string, count int) bool {
 	world := NewFarWorld(seed, 3)
 	defer world.CloseFar()
 	world.farUp(test, 3)
@@ -219,17 +219,17 @@
 	version.Store(1)
 	leader := world.calm(test)
 	index := (leader + 1 + int(seed)%2) % 3
-	back := world.away(kind, index)
-	world.change(&version, count)
+	restore := world.takeDown(kind, index)
+	world.putRoutings(&version, count)
 	leader = world.Leader()
-	back()
+	restore()
 	world.KillCore(leader, true)
 	if !world.Until(10*time.Second, func() bool { return world.Leader() >= 0 }) {
-		world.broke("nobody leads")
+		world.broke("no leader within 10 s")
 	}
 	state, err := world.Book()
 	if err != nil || state.Config.Version != version.Load() {
-		world.broke("read back %+v, %d was acknowledged: %v", state, version.Load(), err)
+		world.broke("read %+v, version %d was acknowledged: %v", state, version.Load(), err)
 	}
 	world.report(test)
 	return world.Leader() == index
--- a/harness/simulation/change_test.go
+++ b/harness/simulation/change_test.go
@@ -10,8 +10,8 @@
 	"orchidjunction/operator"
 )
 
-// What an operator waits who asks a daemon for a change just as the leader is
-// stopped: with the platform's warning, without it, and frozen.
+// Measures how long an operator waits for a change sent through a daemon just as the leader
+// is stopped: with the platform's notice, killed without one, or frozen.
 func TestLeaderChangeAsOperatorsSeeIt(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -54,7 +54,7 @@
 			serial = outcome.Serial
 			waits[kind] = append(waits[kind], wait)
 			if kind == "planned" && wait > 100*time.Millisecond || wait > time.Second {
-				world.broke("%s: an operator waited %v", kind, wait)
+				world.broke("%s leader: an operator waited %v", kind, wait)
 			}
 			switch kind {
 			case "frozen":
--- a/harness/simulation/changes_during_partition_test.go
+++ b/harness/simulation/changes_during_partition_test.go
@@ -10,22 +10,22 @@
 	"orchidjunction/rpc"
 )
 
-// call is one message to a core, by its name.
-type call struct {
+// coreCall is a named request to a core; limit is its time-out.
+type coreCall struct {
 	name string
-	ask  func(client *rpc.Client, address string, limit time.Duration) error
+	send func(client *rpc.Client, address string, limit time.Duration) error
 }
 
-func callOf[Request, Response any](name string, method rpc.Method[Request, Response], request *Request) call {
-	return call{name: name, ask: func(client *rpc.Client, address string, limit time.Duration) error {
+func newCoreCall[Request, Response any](name string, method rpc.Method[Request, Response], request *Request) coreCall {
+	return coreCall{name: name, send: func(client *rpc.Client, address string, limit time.Duration) error {
 		_, err := rpc.Call(client, address, method, limit, request)
 		return err
 	}}
 }
 
-// leaderCalls are the calls whose clear answers only a leader may give: repeats, true
-// and untrue refusals, what changes nothing, and reads. Version 1 is in force.
-func leaderCalls() []call {
+// leaderOnlyCalls are the calls to which only a leader may give a definite answer: repeats,
+// changes that it refuses, no-ops and reads. Version 1 is in force.
+func leaderOnlyCalls() []coreCall {
 	invalid := Routing(2)
 	invalid.Routes[0].Service = "nobody"
 	broken, _ := rpc.Marshal(&routing.Change{Version: 2, Base: 1, Digest: "invalid", Whole: invalid})
@@ -33,26 +33,26 @@
 		&routing.Change{Version: 2, Base: 1, Digest: "dangling", Patch: &routing.Patch{RemoveServices: []string{"desk"}}},
 	)
 	low, _ := rpc.Marshal(&routing.Change{Version: 1, Base: 1, Digest: "low", Whole: Routing(1)})
-	return []call{
-		callOf("repeat", message.MethodRoutingChange, WholeChange(1, 0)),
-		callOf("stale base", message.MethodRoutingChange, WholeChange(9, 0)),
-		callOf("newer base", message.MethodRoutingChange, WholeChange(9, 3)),
-		callOf("stale version", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: low}),
-		callOf("invalid", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: broken}),
-		callOf("invalid patch", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: dangling}),
-		callOf("evacuated before", message.MethodEvacuate, &message.EvacuateRequest{Zone: "z1", Begin: true}),
-		callOf("never evacuated", message.MethodEvacuate, &message.EvacuateRequest{Zone: "z2", Begin: false}),
-		callOf("read", message.MethodRoutingRead, &message.RoutingReadRequest{}),
-		callOf("settings", message.MethodRead, &message.ReadRequest{}),
-		callOf("confirm", message.MethodReadIndex, &message.ReadIndexRequest{}),
-		callOf("settings repeat", message.MethodChange, &message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)}),
-		callOf(
+	return []coreCall{
+		newCoreCall("repeat", message.MethodRoutingChange, WholeChange(1, 0)),
+		newCoreCall("stale base", message.MethodRoutingChange, WholeChange(9, 0)),
+		newCoreCall("newer base", message.MethodRoutingChange, WholeChange(9, 3)),
+		newCoreCall("stale version", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: low}),
+		newCoreCall("invalid", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: broken}),
+		newCoreCall("invalid patch", message.MethodRoutingChange, &message.RoutingChangeRequest{Body: dangling}),
+		newCoreCall("evacuated before", message.MethodEvacuate, &message.EvacuateRequest{Zone: "z1", Begin: true}),
+		newCoreCall("never evacuated", message.MethodEvacuate, &message.EvacuateRequest{Zone: "z2", Begin: false}),
+		newCoreCall("read", message.MethodRoutingRead, &message.RoutingReadRequest{}),
+		newCoreCall("settings", message.MethodRead, &message.ReadRequest{}),
+		newCoreCall("confirm", message.MethodReadIndex, &message.ReadIndexRequest{}),
+		newCoreCall("settings repeat", message.MethodChange, &message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(1000)}),
+		newCoreCall(
 			"settings stale base",
 			message.MethodChange,
 			&message.ChangeRequest{ID: "other", Base: 7, Kind: "whole", Body: Settings(900)},
 		),
-		callOf("settings id reused", message.MethodChange, &message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(900)}),
-		callOf(
+		newCoreCall("settings id reused", message.MethodChange, &message.ChangeRequest{ID: "first", Kind: "whole", Body: Settings(900)}),
+		newCoreCall(
 			"settings invalid",
 			message.MethodChange,
 			&message.ChangeRequest{ID: "third", Base: 1, Kind: "partial", Body: []byte(`{"ack_ms":-4}`)},
@@ -60,9 +60,9 @@
 	}
 }
 
-// unclear is whether an answer lets its caller move on: it neither acknowledges nor
-// refuses anything.
-func unclear(err error) bool {
+// isIndefinite reports whether an answer neither acknowledges nor refuses a request, so that
+// the caller may try another core.
+func isIndefinite(err error) bool {
 	if err == nil {
 		return false
 	}
@@ -73,27 +73,29 @@
 	return false
 }
 
-// lose puts a core out of touch with the others: both ways, one way, or frozen.
-func (world *World) lose(index int, kind string, lost bool) {
+// partitionCore cuts a core off from the others or rejoins it: both directions ("cut"),
+// outgoing only ("mute"), incoming only ("deaf"), or all its traffic ("frozen").
+func (world *World) lose(index int, kind string, cut bool) {
 	host := world.Cores[index].Host
 	for other := range world.Cores {
 		if other == index {
 			continue
 		}
 		if kind == "cut" || kind == "mute" {
-			world.Net.CutOneWay(host, world.Cores[other].Host, lost)
+			world.Net.CutOneWay(host, world.Cores[other].Host, cut)
 		}
 		if kind == "cut" || kind == "deaf" {
-			world.Net.CutOneWay(world.Cores[other].Host, host, lost)
+			world.Net.CutOneWay(world.Cores[other].Host, host, cut)
 		}
 	}
 	if kind == "frozen" {
-		world.Net.Freeze(host, lost)
+		world.Net.Freeze(host, cut)
 	}
 }
 
-// withSettings puts the first settings, a zone's evacuation and routing 1 in force.
-func (world *World) withSettings(test *testing.T) {
+// startWithSettings starts the system and puts the first settings, a zone's evacuation and
+// routing 1 in force.
+func (world *World) startWithSettings(test *testing.T) {
 	test.Helper()
 	world.farUp(test, 3)
 	if err := world.Evacuate("z1", true); err != nil {
@@ -109,20 +111,20 @@
 	}
 }
 
-// A leader that lost touch with the others gives no clear answer from that moment
-// on, to whatever it is asked; others may lead at once, having been restarted. The
-// same calls have clear answers at who leads.
-func TestLeaderOutOfTouchAnswersNothingClear(test *testing.T) {
+// A leader that is cut off from the others gives no definite answer from that moment on, to
+// any call, as restarted cores may elect another at once. Before the cut it answers the same
+// calls definitely.
+func TestPartitionedLeaderGivesNoDefiniteAnswer(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"cut", "mute", "deaf", "frozen"} {
 			for _, restarted := range []bool{false, true} {
 				world := NewFarWorld(seed, 3+2*int(seed%2))
-				world.withSettings(test)
+				world.startWithSettings(test)
 				leader := world.calm(test)
 				client := rpc.NewClient(world.Net.Transport(world.Members[0].Host))
-				for _, one := range leaderCalls() {
-					if err := one.ask(client, world.Cores[leader].InternalAddress, time.Second); unclear(err) {
-						world.broke("in touch, %s: %v", one.name, err)
+				for _, call := range leaderOnlyCalls() {
+					if err := call.send(client, world.Cores[leader].InternalAddress, time.Second); isIndefinite(err) {
+						world.broke("before the partition, %s: %v", call.name, err)
 					}
 				}
 				world.lose(leader, kind, true)
@@ -132,19 +134,26 @@
 						world.StartCore(index)
 					}
 				}
-				begin, mutex, open := time.Now(), sync.Mutex{}, 0
+				begin, mutex, pending := time.Now(), sync.Mutex{}, 0
 				for time.Since(begin) < 20*time.Second {
-					for _, one := range leaderCalls() {
+					for _, call := range leaderOnlyCalls() {
 						mutex.Lock()
-						open++
+						pending++
 						mutex.Unlock()
-						request := time.Since(begin)
+						sentAfter := time.Since(begin)
 						world.goroutines.Start(func() {
-							if err := one.ask(client, world.Cores[leader].InternalAddress, 30*time.Second); !unclear(err) {
-								world.broke("%s, restarted %v, %s asked after %v: %v", kind, restarted, one.name, request, err)
+							if err := call.send(client, world.Cores[leader].InternalAddress, 30*time.Second); !isIndefinite(err) {
+								world.broke(
+									"%s, others restarted %v, %s sent %v after the partition got a definite answer: %v",
+									kind,
+									restarted,
+									call.name,
+									sentAfter,
+									err,
+								)
 							}
 							mutex.Lock()
-							open--
+							pending--
 							mutex.Unlock()
 						})
 					}
@@ -154,8 +163,8 @@
 					}
 				}
 				world.lose(leader, kind, false)
-				if !world.Until(40*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return open == 0 }) {
-					world.broke("%s: %d calls open", kind, open)
+				if !world.Until(40*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return pending == 0 }) {
+					world.broke("%s: %d calls without an answer", kind, pending)
 				}
 				client.Close()
 				world.report(test)
--- a/harness/simulation/claims_test.go
+++ b/harness/simulation/claims_test.go
@@ -15,8 +15,8 @@
 	"orchidjunction/rpc"
 )
 
-// claim is a message that claims so many keys for the first time.
-func claim(first, count int) *message.RecordClaimsRequest {
+// newClaims returns a request that claims count keys, numbered from first.
+func newClaims(first, count int) *message.RecordClaimsRequest {
 	request := &message.RecordClaimsRequest{}
 	for number := range count {
 		key := message.ClaimKey{Tenant: "coast-grid", Service: "reading-grid", Key: fmt.Sprintf("key-%032d", first+number)}
@@ -36,9 +36,10 @@
 	return request
 }
 
-// Ten times today's money for as long as keys are remembered: what a core needs
-// grows with the keys remembered, and no more: the old ones go, from disk too.
-func TestClaimsGrowWithWhatIsRemembered(test *testing.T) {
+// Claims arrive at ten times the present rate of money requests, for three times the
+// retention period: storage grows only with the keys that are still remembered, and old
+// claims are deleted from disk too.
+func TestClaimStorageIsBounded(test *testing.T) {
 	long(test)
 	synctest.Test(test, func(test *testing.T) {
 		world := NewWorld(3, 1)
@@ -63,7 +64,7 @@
 			runtime.ReadMemStats(&stats)
 			return stats.HeapAlloc
 		}
-		seconds, most := 120, 0
+		seconds, peak := 120, 0
 		if raced {
 			seconds = 20
 		}
@@ -74,16 +75,16 @@
 				core.InternalAddress,
 				message.MethodRecordClaims,
 				time.Second,
-				claim(second*115, 115),
+				newClaims(second*115, 115),
 			); err != nil {
 				test.Fatal(err)
 			}
 			world.Rest(10 * time.Second / 10 * time.Duration(600/seconds))
 			bytes, _ := size()
-			most = max(most, bytes)
+			peak = max(peak, bytes)
 			if second == seconds {
 				test.Logf(
-					"%d keys remembered: %d bytes on disk a key; heap of core and simulated disk %d a key",
+					"%d keys remembered: %d bytes of disk per key, %d bytes of heap per key (core and simulated disk)",
 					seconds*115,
 					bytes/(seconds*115),
 					(heap()-before)/uint64(seconds*115),
@@ -91,15 +92,15 @@
 			}
 		}
 		bytes, files := size()
-		test.Logf("%d claims in all, at most %d bytes in %d files", 3*seconds*115, most, files)
-		if most > 2*seconds*115*400+8<<20 || files < 1 || bytes == 0 {
-			test.Errorf("old claims stay: %d bytes, %d files", most, files)
+		test.Logf("%d claims in all, at most %d bytes in %d files", 3*seconds*115, peak, files)
+		if peak > 2*seconds*115*400+8<<20 || files < 1 || bytes == 0 {
+			test.Errorf("old claims are not deleted: %d bytes, %d files", peak, files)
 		}
 	})
 }
 
-// A torn tail of the claim log is cut; a worn record before a sound one ends the core.
-func TestTornAndWornClaims(test *testing.T) {
+// A torn tail of the claim log is truncated; a corrupt record before a valid one stops the core.
+func TestTornAndCorruptClaims(test *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(test, func(test *testing.T) {
 			world := NewWorld(seed, 1)
@@ -114,7 +115,7 @@
 					world.Cores[0].InternalAddress,
 					message.MethodRecordClaims,
 					time.Second,
-					claim(group*3, 3),
+					newClaims(group*3, 3),
 				); err != nil {
 					test.Fatal(err)
 				}
@@ -141,20 +142,20 @@
 				}
 				return err
 			}
-			torn, worn := world.Cores[0].Disk.Fork(), world.Cores[0].Disk.Fork()
+			torn, corrupt := world.Cores[0].Disk.Fork(), world.Cores[0].Disk.Fork()
 			torn.Cut(name, length-1-int(seed)*7)
-			worn.Harm(name, length/3+int(seed)*5)
+			corrupt.Harm(name, length/3+int(seed)*5)
 			if err := open(torn); err != nil {
-				test.Errorf("a torn tail: %v", err)
+				test.Errorf("open with a torn tail: %v", err)
 			}
-			if err := open(worn); err == nil || rpc.CodeOf(err) != rpc.CorruptStore {
-				test.Errorf("a worn record: %v", err)
+			if err := open(corrupt); err == nil || rpc.CodeOf(err) != rpc.CorruptStore {
+				test.Errorf("open with a corrupt record: %v", err)
 			}
 		})
 	}
 }
 
-// A key claimed at cores is another's at once, whichever core is asked first.
+// A claimed key is refused to another ID at once, and granted again to its own.
 func TestTwoClaimsOfOneKey(test *testing.T) {
 	synctest.Test(test, func(test *testing.T) {
 		world := NewWorld(4, 3)
@@ -165,9 +166,9 @@
 		world.first(test)
 		client := rpc.NewClient(world.Net.Transport("10.7.0.9"))
 		defer client.Close()
-		other := claim(0, 1)
+		other := newClaims(0, 1)
 		other.Claims[0].Record.ID = "ffff-1"
-		for index, request := range []*message.RecordClaimsRequest{claim(0, 1), other, claim(0, 1)} {
+		for index, request := range []*message.RecordClaimsRequest{newClaims(0, 1), other, newClaims(0, 1)} {
 			response, err := rpc.Call(client, world.Cores[1].InternalAddress, message.MethodRecordClaims, time.Second, request)
 			if err != nil || response.Results[0].Granted != (index != 1) ||
 				index == 1 && response.Results[0].Existing.ID != "0a1b2c3d4e-0" {
--- a/harness/simulation/clock_outage_test.go
+++ b/harness/simulation/clock_outage_test.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// All clocks are off while all cores are killed at once and start again. Daemons that ran
-// on know the time of day: the windows that they count in go on, each reported once and
-// right.
-func TestCoresThatStartUnderWrongClocksKeepTheWindows(test *testing.T) {
+// All cores are killed at once and restart with wrong clocks. Daemons that kept running know
+// the time of day: their usage windows continue, each reported once and correctly.
+func TestUsageWindowsSurviveRestartWithWrongClocks(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, jump := range []int64{5000, -5000, 3_600_000, -3_600_000} {
 			world := NewFarWorld(seed, 3+2*int(seed%2))
@@ -27,9 +26,9 @@
 			load(time.Duration(500+seed*71%700) * time.Millisecond)
 			world.returnFrom(-1)
 			load(25 * time.Second)
-			for _, one := range world.Members {
-				if off := one.Daemon.Now() - time.Now().UnixMilli(); off > 150 || off < -150 {
-					world.broke("clocks off by %d ms: %s is off by %d ms", jump, one.Name, off)
+			for _, member := range world.Members {
+				if offset := member.Daemon.Now() - time.Now().UnixMilli(); offset > 150 || offset < -150 {
+					world.broke("core clocks off by %d ms: clock of %s is off by %d ms", jump, member.Name, offset)
 				}
 			}
 			before := len(world.Broken)
--- a/harness/simulation/cold_test.go
+++ b/harness/simulation/cold_test.go
@@ -9,8 +9,8 @@
 	"orchidjunction/harness/standin"
 )
 
-// Backends come cold under load while proxies join, are cut off from the core
-// and restart: in no second does one get more than its gentle rate.
+// Cold backends join under load while proxies start, restart and are cut off from the cores:
+// in no second does a backend get more requests than its gentle rate.
 func TestColdBackendsAreNotFlooded(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
@@ -47,7 +47,7 @@
 		client.CloseIdleConnections()
 		detail := world.judge(nil, report)["cold backends within their gentle_rate"]
 		if used, _ := strconv.Atoi(strings.Fields(detail)[0]); used < 20 {
-			world.broke("cold backends were hardly used: %s", detail)
+			world.broke("cold backends got fewer than 20 requests: %s", detail)
 		}
 		test.Logf("%d of %d served, %s", report.Served, report.Asked, detail)
 		world.report(test)
--- a/harness/simulation/combined_faults_test.go
+++ b/harness/simulation/combined_faults_test.go
@@ -7,9 +7,9 @@
 	"orchidjunction/harness/standin"
 )
 
-// Both partners, lending to each other, under every harm of the brief, drawn by
-// seed against every kind of process, while operators race and callers call:
-// all lines are judged. One seed again: -run Everything -seed N -seeds 1 -v.
+// Two partners that lend to each other run under all system faults, drawn by seed and against
+// every kind of process, with concurrent operators and load: all verdicts are checked. To
+// repeat one seed: -run Everything -seed N -seeds 1 -v.
 func TestEverythingAtOnce(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		worlds := []*World{NewWorld(seed, 3)}
@@ -35,7 +35,7 @@
 		}
 		for _, world := range worlds {
 			worlds[0].goroutines.Start(func() {
-				world.everything(test, span)
+				world.runCombinedFaults(test, span)
 				worlds[0].mutex.Lock()
 				ended++
 				worlds[0].mutex.Unlock()
@@ -52,8 +52,8 @@
 	})
 }
 
-// everything harms one partner and judges it.
-func (world *World) everything(test *testing.T, span time.Duration) {
+// runCombinedFaults runs faults, operators and load in one world and checks the verdicts.
+func (world *World) runCombinedFaults(test *testing.T, span time.Duration) {
 	ledger := world.Operators(2, 600*time.Millisecond)
 	plan := world.plan(25, 600)
 	plan.Eager, plan.Tries, plan.Patient = 10, 5, true
@@ -78,10 +78,10 @@
 	world.Rest(12 * time.Second)
 	details := world.judge(ledger, report)
 	if report.Served < report.Asked*6/10 {
-		world.broke("%d of %d served: %v", report.Served, report.Asked, report.Statuses)
+		world.broke("%d of %d requests served: %v", report.Served, report.Asked, report.Statuses)
 	}
 	test.Logf(
-		"%v, %d of %d served, %d unknown, %s, %s, faults %v",
+		"%v, %d of %d requests served, %d with unknown outcome, %s, %s, faults %v",
 		time.Since(begin).Round(time.Second),
 		report.Served,
 		report.Asked,
--- a/harness/simulation/control_test.go
+++ b/harness/simulation/control_test.go
@@ -17,412 +17,441 @@
 )
 
 const (
-	contactSpan = 5 * time.Second
-	inForceSpan = 4 * time.Second
-	stretchSpan = 10 * time.Second
-	ackSpan     = 5 * time.Second
-	leaseSpan   = 3 * time.Second
+	contactSpan            = 5 * time.Second
+	inForceSpan            = 4 * time.Second
+	faultPropagationMargin = 10 * time.Second
+	ackLimit               = 5 * time.Second
+	leaseDuration          = 3 * time.Second
 )
 
-// faultSpan is a span of trouble for some cores or members; no end means it goes on.
-type faultSpan struct {
+// faultInterval is the time that a fault affects some cores or members; no end means it lasts.
+type faultInterval struct {
 	cores      []int
 	members    []*FarDaemon
 	begin, end time.Time
 }
 
-// answered is an operator's order and what became of it.
-type answered struct {
-	what          string
+// operatorRequest is an operator's request and its outcome.
+type operatorRequest struct {
+	target        string
 	version, base uint64
-	emptied       bool
+	evacuated     bool
 	serial        uint64
 	begin, end    time.Time
 	err           error
 }
 
-// acted is one call to the platform that was not refused for its fence.
-type acted struct {
+// usageReport is a report to the platform that its fencing check did not refuse.
+type usageReport struct {
 	holder string
 	at     time.Time
 }
 
-// Control is the whole control side under faults, and what is judged of it.
+// Control runs the control plane under faults and checks its guarantees.
 type Control struct {
 	world  *World
 	meters *meters
 
 	mutex    sync.Mutex
-	faults   []*faultSpan
-	orders   []*answered
-	acts     []acted
+	faults   []*faultInterval
+	requests []*operatorRequest
+	reports  []usageReport
 	versions map[uint64]uint64
 	tables   map[message.TableVersion]string
 	stopped  bool
 	running  int
 
-	// losesAnswers is whether some answers to operators are lost on their way.
+	// losesAnswers makes operators repeat some acknowledged requests, as if the responses were lost.
 	losesAnswers bool
 }
 
 func (world *World) Control() *Control {
-	side := &Control{world: world, versions: map[uint64]uint64{}, tables: map[message.TableVersion]string{}}
-	side.meters = newMeters(world)
-	world.Metering.Report = side.report
-	return side
+	checker := &Control{world: world, versions: map[uint64]uint64{}, tables: map[message.TableVersion]string{}}
+	checker.meters = newMeters(world)
+	world.Metering.Report = checker.checkReport
+	return checker
 }
 
-// under notes who is in trouble while something is done.
-func (side *Control) under(cores []int, members []*FarDaemon, do func()) {
-	one := &faultSpan{cores: cores, members: members, begin: time.Now()}
-	side.mutex.Lock()
-	side.faults = append(side.faults, one)
-	side.mutex.Unlock()
+// duringFault records which cores and members are affected while do runs.
+func (checker *Control) duringFault(cores []int, members []*FarDaemon, do func()) {
+	interval := &faultInterval{cores: cores, members: members, begin: time.Now()}
+	checker.mutex.Lock()
+	checker.faults = append(checker.faults, interval)
+	checker.mutex.Unlock()
 	do()
-	side.mutex.Lock()
-	one.end = time.Now()
-	side.mutex.Unlock()
+	checker.mutex.Lock()
+	interval.end = time.Now()
+	checker.mutex.Unlock()
 }
 
-// spared is how many cores had no trouble in a span, and whether a member had none.
-func (side *Control) spared(from, until time.Time, one *FarDaemon) (int, bool) {
-	side.mutex.Lock()
-	defer side.mutex.Unlock()
-	touched, calm := map[int]bool{}, true
-	for _, err := range side.faults {
-		if err.begin.After(until) || !err.end.IsZero() && err.end.Before(from) {
+// unaffected returns how many cores had no fault in a period, and whether the member had none.
+func (checker *Control) unaffected(from, until time.Time, member *FarDaemon) (int, bool) {
+	checker.mutex.Lock()
+	defer checker.mutex.Unlock()
+	affected, unaffected := map[int]bool{}, true
+	for _, fault := range checker.faults {
+		if fault.begin.After(until) || !fault.end.IsZero() && fault.end.Before(from) {
 			continue
 		}
-		for _, index := range err.cores {
-			touched[index] = true
+		for _, index := range fault.cores {
+			affected[index] = true
 		}
-		calm = calm && !slices.Contains(err.members, one)
+		unaffected = unaffected && !slices.Contains(fault.members, member)
 	}
-	return len(side.world.Cores) - len(touched), calm
+	return len(checker.world.Cores) - len(affected), unaffected
 }
 
-func (side *Control) most() int { return len(side.world.Cores)/2 + 1 }
+func (checker *Control) quorum() int { return len(checker.world.Cores)/2 + 1 }
 
-func (side *Control) duty(duty func() bool) {
-	side.mutex.Lock()
-	side.running++
-	side.mutex.Unlock()
-	side.world.goroutines.Start(func() {
-		for duty() {
-			side.mutex.Lock()
-			ends := side.stopped
-			side.mutex.Unlock()
-			if ends {
+func (checker *Control) startLoop(step func() bool) {
+	checker.mutex.Lock()
+	checker.running++
+	checker.mutex.Unlock()
+	checker.world.goroutines.Start(func() {
+		for step() {
+			checker.mutex.Lock()
+			stopped := checker.stopped
+			checker.mutex.Unlock()
+			if stopped {
 				break
 			}
 		}
-		side.mutex.Lock()
-		side.running--
-		side.mutex.Unlock()
+		checker.mutex.Lock()
+		checker.running--
+		checker.mutex.Unlock()
 	})
 }
 
-func (side *Control) stop(limit time.Duration) bool {
-	side.mutex.Lock()
-	side.stopped = true
-	side.mutex.Unlock()
-	return side.world.Until(limit, func() bool { side.mutex.Lock(); defer side.mutex.Unlock(); return side.running == 0 })
+func (checker *Control) stop(limit time.Duration) bool {
+	checker.mutex.Lock()
+	checker.stopped = true
+	checker.mutex.Unlock()
+	return checker.world.Until(limit, func() bool { checker.mutex.Lock(); defer checker.mutex.Unlock(); return checker.running == 0 })
 }
 
-// newest is what was acknowledged by then.
-func (side *Control) newest(by time.Time) (version, serial uint64) {
-	side.mutex.Lock()
-	defer side.mutex.Unlock()
-	for _, order := range side.orders {
-		if order.err == nil && !order.end.IsZero() && !order.end.After(by) {
-			version, serial = max(version, order.version), max(serial, order.serial)
+// newestAcknowledged returns the highest version and serial that were acknowledged by a time.
+func (checker *Control) newestAcknowledged(by time.Time) (version, serial uint64) {
+	checker.mutex.Lock()
+	defer checker.mutex.Unlock()
+	for _, request := range checker.requests {
+		if request.err == nil && !request.end.IsZero() && !request.end.After(by) {
+			version, serial = max(version, request.version), max(serial, request.serial)
 		}
 	}
 	return version, serial
 }
 
-func (side *Control) note(order *answered, serial uint64, err error) {
-	side.mutex.Lock()
-	defer side.mutex.Unlock()
-	order.serial, order.err, order.end = serial, err, time.Now()
+func (checker *Control) finishRequest(request *operatorRequest, serial uint64, err error) {
+	checker.mutex.Lock()
+	defer checker.mutex.Unlock()
+	request.serial, request.err, request.end = serial, err, time.Now()
 }
 
-func (side *Control) begun(order *answered) *answered {
-	side.mutex.Lock()
-	defer side.mutex.Unlock()
-	order.begin = time.Now()
-	side.orders = append(side.orders, order)
-	return order
+func (checker *Control) startRequest(request *operatorRequest) *operatorRequest {
+	checker.mutex.Lock()
+	defer checker.mutex.Unlock()
+	request.begin = time.Now()
+	checker.requests = append(checker.requests, request)
+	return request
 }
 
-// put reads the routing back and orders another on top of it.
-func (side *Control) put(holds []*agent.Forwarder, random *rand.Rand, number uint64) {
-	if len(holds) == 0 {
+// changeRouting reads the routing and sends a change based on it.
+func (checker *Control) changeRouting(forwarders []*agent.Forwarder, random *rand.Rand, number uint64) {
+	if len(forwarders) == 0 {
 		return
 	}
 	begin := time.Now()
-	response, err := order(side.world, holds, message.MethodRoutingRead, &message.RoutingReadRequest{})
+	response, err := order(checker.world, forwarders, message.MethodRoutingRead, &message.RoutingReadRequest{})
 	if err != nil {
 		return
 	}
 	state, err := routing.DecodeState(response.Body)
 	if err != nil {
-		side.world.broke("read back: %v", err)
+		checker.world.broke("decode the routing: %v", err)
 		return
 	}
 	base := state.Config.Version
-	if acknowledged, _ := side.newest(begin); base < acknowledged {
-		side.world.broke("%d was acknowledged, then %d read back", acknowledged, base)
+	if acknowledged, _ := checker.newestAcknowledged(begin); base < acknowledged {
+		checker.world.broke("version %d was acknowledged, a later read returned %d", acknowledged, base)
 	}
-	one := side.begun(&answered{what: "routing", base: base, version: base + 1 + uint64(random.IntN(3))*8 + number})
-	taken, err := order(side.world, holds, message.MethodRoutingChange, WholeChange(one.version, base))
+	request := checker.startRequest(&operatorRequest{target: "routing", base: base, version: base + 1 + uint64(random.IntN(3))*8 + number})
+	accepted, err := order(checker.world, forwarders, message.MethodRoutingChange, WholeChange(request.version, base))
 	if err != nil {
-		side.note(one, 0, err)
+		checker.finishRequest(request, 0, err)
 		return
 	}
-	side.note(one, taken.Serial, nil)
-	if side.losesAnswers && random.IntN(4) == 0 {
-		side.repeat(holds, one)
+	checker.finishRequest(request, accepted.Serial, nil)
+	if checker.losesAnswers && random.IntN(4) == 0 {
+		checker.resend(forwarders, request)
 	}
 }
 
-// repeat sends an order again, by other doors, as an operator does whom no answer
-// reached.
-func (side *Control) repeat(holds []*agent.Forwarder, acknowledged *answered) {
-	again := side.begun(&answered{what: acknowledged.what, base: acknowledged.base, version: acknowledged.version})
-	response, err := order(side.world, append(holds[1:], holds[0]), message.MethodRoutingChange, WholeChange(again.version, again.base))
+// resend repeats a request through other entry points, as an operator does that got no
+// response.
+func (checker *Control) resend(forwarders []*agent.Forwarder, acknowledged *operatorRequest) {
+	request := checker.startRequest(&operatorRequest{target: acknowledged.target, base: acknowledged.base, version: acknowledged.version})
+	response, err := order(
+		checker.world,
+		append(forwarders[1:], forwarders[0]),
+		message.MethodRoutingChange,
+		WholeChange(request.version, request.base),
+	)
 	if err != nil {
-		side.note(again, 0, err)
+		checker.finishRequest(request, 0, err)
 		return
 	}
-	side.note(again, response.Serial, nil)
+	checker.finishRequest(request, response.Serial, nil)
 }
 
-// operate is one of several operators, by any door.
-func (side *Control) operate(number uint64) func() bool {
-	random := rand.New(rand.NewPCG(side.world.Seed, 100+number))
-	zone, begin := fmt.Sprint("z", number), false
+// operatorLoop returns the step of an operator that uses all entry points in random order.
+func (checker *Control) operatorLoop(number uint64) func() bool {
+	random := rand.New(rand.NewPCG(checker.world.Seed, 100+number))
+	zone, evacuate := fmt.Sprint("z", number), false
 	return func() bool {
-		side.world.Rest(time.Duration(100+random.IntN(1400)) * time.Millisecond)
-		holds := side.world.holds()
-		for _, one := range side.world.Members {
-			holds = append(holds, one.Daemon.Forwarder)
+		checker.world.Rest(time.Duration(100+random.IntN(1400)) * time.Millisecond)
+		forwarders := checker.world.holds()
+		for _, member := range checker.world.Members {
+			forwarders = append(forwarders, member.Daemon.Forwarder)
 		}
-		random.Shuffle(len(holds), func(left, right int) { holds[left], holds[right] = holds[right], holds[left] })
+		random.Shuffle(len(forwarders), func(left, right int) { forwarders[left], forwarders[right] = forwarders[right], forwarders[left] })
 		if random.IntN(3) > 0 {
-			side.put(holds, random, number)
+			checker.changeRouting(forwarders, random, number)
 			return true
 		}
-		begin = !begin
-		one := side.begun(&answered{what: zone, emptied: begin})
-		response, err := side.world.evacuateBy(holds, zone, begin)
+		evacuate = !evacuate
+		request := checker.startRequest(&operatorRequest{target: zone, evacuated: evacuate})
+		response, err := checker.world.evacuateBy(forwarders, zone, evacuate)
 		if err != nil {
-			side.note(one, 0, err)
+			checker.finishRequest(request, 0, err)
 			return true
 		}
-		side.note(one, response.Serial, nil)
+		checker.finishRequest(request, response.Serial, nil)
 		return true
 	}
 }
 
-// held is how many disks would keep a serial through a loss of power now, and how
+// durableCopies returns how many disks would keep a serial after a power loss now, and how
 // many are blank.
-func (side *Control) held(serial uint64) (held, blank int) {
-	for _, disk := range side.world.voterDisks() {
+func (checker *Control) durableCopies(serial uint64) (copies, blank int) {
+	for _, disk := range checker.world.voterDisks() {
 		store, err := replica.OpenStore(disk.Copy())
 		if err != nil || !store.State().Initialized {
 			blank++
 		} else if store.State().Accepted[message.RoutingRegister].Value.Serial >= serial {
-			held++
+			copies++
 		}
 	}
-	return held, blank
+	return copies, blank
 }
 
-// watch judges what members have in force.
-func (side *Control) watch() bool {
+// checkMembers checks the routing that members have in force.
+func (checker *Control) checkMembers() bool {
 	now := time.Now()
-	side.world.sameTables(side.tables)
-	for _, one := range side.world.Members {
-		version := one.Daemon.Version()
+	checker.world.sameTables(checker.tables)
+	for _, member := range checker.world.Members {
+		version := member.Daemon.Version()
 		if version.Routing == nil {
 			continue
 		}
-		side.mutex.Lock()
-		if known, found := side.versions[version.RoutingSerial]; found && known != version.Routing.Config.Version {
-			side.world.broke("serial %d holds %d, and %d at %s", version.RoutingSerial, known, version.Routing.Config.Version, one.Name)
+		checker.mutex.Lock()
+		if known, found := checker.versions[version.RoutingSerial]; found && known != version.Routing.Config.Version {
+			checker.world.broke(
+				"serial %d is version %d, but %d at %s",
+				version.RoutingSerial,
+				known,
+				version.Routing.Config.Version,
+				member.Name,
+			)
 		}
-		_, seen := side.versions[version.RoutingSerial]
-		side.versions[version.RoutingSerial] = version.Routing.Config.Version
-		side.mutex.Unlock()
+		_, seen := checker.versions[version.RoutingSerial]
+		checker.versions[version.RoutingSerial] = version.Routing.Config.Version
+		checker.mutex.Unlock()
 		if seen {
 			continue
 		}
-		if held, blank := side.held(version.RoutingSerial); held+blank < side.most() {
-			side.world.broke("%s has serial %d in force, which lasts at %d cores", one.Name, version.RoutingSerial, held)
+		if copies, blank := checker.durableCopies(version.RoutingSerial); copies+blank < checker.quorum() {
+			checker.world.broke("%s has serial %d in force, which only %d cores have stored", member.Name, version.RoutingSerial, copies)
 		}
 	}
-	for _, one := range side.world.Members {
-		cores, calm := side.spared(now.Add(-contactSpan), now, one)
-		if !calm || !one.Alive {
+	for _, member := range checker.world.Members {
+		cores, unaffected := checker.unaffected(now.Add(-contactSpan), now, member)
+		if !unaffected || !member.Alive {
 			continue
 		}
 		limit := inForceSpan
-		if cores < len(side.world.Cores) {
-			limit += stretchSpan
-			if cores, _ = side.spared(now.Add(-limit-contactSpan), now, one); cores < side.most() {
+		if cores < len(checker.world.Cores) {
+			limit += faultPropagationMargin
+			if cores, _ = checker.unaffected(now.Add(-limit-contactSpan), now, member); cores < checker.quorum() {
 				continue
 			}
 		}
-		if _, serial := side.newest(now.Add(-limit)); one.Daemon.Version().RoutingSerial < serial {
-			side.world.broke("%s holds serial %d, %d was acknowledged %v ago", one.Name, one.Daemon.Version().RoutingSerial, serial, limit)
+		if _, serial := checker.newestAcknowledged(now.Add(-limit)); member.Daemon.Version().RoutingSerial < serial {
+			checker.world.broke(
+				"%s has serial %d in force, %d was acknowledged over %v ago",
+				member.Name,
+				member.Daemon.Version().RoutingSerial,
+				serial,
+				limit,
+			)
 		}
 	}
-	side.world.Rest(100 * time.Millisecond)
+	checker.world.Rest(100 * time.Millisecond)
 	return true
 }
 
-// report judges the holders' order and hands on.
-func (side *Control) report(report control.WindowReport) control.ReportResult {
-	result := side.meters.report(report)
+// checkReport counts a report and checks that holders do not alternate within a lease's duration.
+func (checker *Control) checkReport(report control.WindowReport) control.ReportResult {
+	result := checker.meters.report(report)
 	if result == control.ReportFenced {
 		return result
 	}
-	side.mutex.Lock()
-	defer side.mutex.Unlock()
-	side.acts = append(side.acts, acted{report.Holder, time.Now()})
+	checker.mutex.Lock()
+	defer checker.mutex.Unlock()
+	checker.reports = append(checker.reports, usageReport{report.Holder, time.Now()})
 	other := false
-	for index := len(side.acts) - 1; index >= 0 && time.Since(side.acts[index].at) < leaseSpan; index-- {
-		if side.acts[index].holder != report.Holder {
+	for index := len(checker.reports) - 1; index >= 0 && time.Since(checker.reports[index].at) < leaseDuration; index-- {
+		if checker.reports[index].holder != report.Holder {
 			other = true
 		} else if other {
-			side.world.broke("%s acted, another, and %s again within %v", report.Holder, report.Holder, time.Since(side.acts[index].at))
+			checker.world.broke(
+				"%s reported, then another, then %s again within %v",
+				report.Holder,
+				report.Holder,
+				time.Since(checker.reports[index].at),
+			)
 		}
 	}
 	return result
 }
 
-// judge looks at the end at all that operators were told.
-func (side *Control) judge(test *testing.T) {
-	world := side.world
+// checkRequests checks, at the end, all responses to operators.
+func (checker *Control) judge(test *testing.T) {
+	world := checker.world
 	state, err := world.Book()
 	if err != nil {
 		test.Fatal(err)
 	}
-	applied, orders, bases, zones := map[uint64]bool{1: true}, map[routing.ShortDigest]bool{}, map[uint64]uint64{}, map[string]*answered{}
-	for _, one := range state.History.Entries() {
-		applied[one.Version], orders[one.Digest] = true, true
+	applied, digests, versionByBase, lastByZone := map[uint64]bool{1: true},
+		map[routing.ShortDigest]bool{},
+		map[uint64]uint64{},
+		map[string]*operatorRequest{}
+	for _, entry := range state.History.Entries() {
+		applied[entry.Version], digests[entry.Digest] = true, true
 	}
-	side.mutex.Lock()
-	defer side.mutex.Unlock()
+	checker.mutex.Lock()
+	defer checker.mutex.Unlock()
 	acknowledged, late, longest := 0, 0, time.Duration(0)
-	for _, order := range side.orders {
-		took := order.end.Sub(order.begin)
-		proper := order.err == nil || rpc.AsError(order.err).RetryAfterMs > 0
-		if took > ackSpan && proper {
+	for _, request := range checker.requests {
+		took := request.end.Sub(request.begin)
+		proper := request.err == nil || rpc.AsError(request.err).RetryAfterMs > 0
+		if took > ackLimit && proper {
 			late++
-			side.mutex.Unlock()
-			if cores, _ := side.spared(order.begin.Add(-contactSpan), order.begin.Add(ackSpan), nil); cores >= side.most() {
+			checker.mutex.Unlock()
+			if cores, _ := checker.unaffected(
+				request.begin.Add(-contactSpan),
+				request.begin.Add(ackLimit),
+				nil,
+			); cores >= checker.quorum() {
 				world.broke(
-					"%s %d on %d at %v took %v while %d cores were settled: %v",
-					order.what,
-					order.version,
-					order.base,
-					order.begin,
+					"%s version %d on base %d at %v took %v while %d cores had no fault: %v",
+					request.target,
+					request.version,
+					request.base,
+					request.begin,
 					took,
 					cores,
-					order.err,
+					request.err,
 				)
 			}
-			side.mutex.Lock()
+			checker.mutex.Lock()
 		}
-		if order.what != "routing" {
-			zones[order.what] = order
+		if request.target != "routing" {
+			lastByZone[request.target] = request
 			continue
 		}
-		taken := orders[routing.DigestOf(fmt.Sprintf("%d on %d", order.version, order.base))]
-		if order.err != nil {
-			if taken && rpc.AsError(order.err).RetryAfterMs == 0 {
-				world.broke("%d on %d was refused and is in the trail: %v", order.version, order.base, order.err)
+		inHistory := digests[routing.DigestOf(fmt.Sprintf("%d on %d", request.version, request.base))]
+		if request.err != nil {
+			if inHistory && rpc.AsError(request.err).RetryAfterMs == 0 {
+				world.broke("version %d on base %d was refused and is in the history: %v", request.version, request.base, request.err)
 			}
 			continue
 		}
 		acknowledged, longest = acknowledged+1, max(longest, took)
-		if !taken {
-			world.broke("%d on %d was acknowledged and is not in the trail", order.version, order.base)
+		if !inHistory {
+			world.broke("version %d on base %d was acknowledged and is not in the history", request.version, request.base)
 		}
-		if other, found := bases[order.base]; found && other != order.version {
-			world.broke("%d and %d were both acknowledged on %d", other, order.version, order.base)
+		if other, found := versionByBase[request.base]; found && other != request.version {
+			world.broke("versions %d and %d were both acknowledged on base %d", other, request.version, request.base)
 		}
-		bases[order.base] = order.version
+		versionByBase[request.base] = request.version
 	}
-	for zone, order := range zones {
-		if held := slices.Contains(state.Evacuated, zone); order.err == nil && held != order.emptied {
-			world.broke("%s emptied %v, read back %v", zone, order.emptied, state.Evacuated)
+	for zone, request := range lastByZone {
+		if evacuated := slices.Contains(state.Evacuated, zone); request.err == nil && evacuated != request.evacuated {
+			world.broke("%s: evacuation %v was acknowledged, read %v", zone, request.evacuated, state.Evacuated)
 		}
 	}
-	for serial, version := range side.versions {
+	for serial, version := range checker.versions {
 		if !applied[version] {
-			world.broke("%d was in force as serial %d and is not in the trail", version, serial)
+			world.broke("version %d was in force as serial %d and is not in the history", version, serial)
 		}
 	}
 	if state.History.Forgotten > 0 || acknowledged < 15 {
-		world.broke("%d routings acknowledged, %d in the trail", acknowledged, state.History.Count)
+		world.broke("%d routings acknowledged, want at least 15; %d in the history, none forgotten", acknowledged, state.History.Count)
 	}
-	if held := world.rosters(); len(held) != 1 {
-		world.broke("%v", held)
+	if memberships := world.rosters(); len(memberships) != 1 {
+		world.broke("cores store differing memberships: %v", memberships)
 	}
 	test.Logf(
-		"%d orders, %d acknowledged routings, %d late, longest %v, %d leaderships, %d windows told",
-		len(side.orders),
+		"%d requests, %d acknowledged routings, %d late, slowest %v, %d leaderships, %d usage windows reported",
+		len(checker.requests),
 		acknowledged,
 		late,
 		longest,
 		len(world.Leads),
-		side.meters.windowsTold(),
+		checker.meters.windowsTold(),
 	)
 }
 
-// begin starts operators, requests, and the watch over what members hold.
-func (side *Control) begin() {
+// start starts operators, requests and the checks of members.
+func (checker *Control) begin() {
 	for number := range uint64(3) {
-		side.duty(side.operate(number))
+		checker.startLoop(checker.operatorLoop(number))
 	}
-	side.duty(side.watch)
-	side.duty(func() bool {
-		for _, one := range side.world.Members {
-			side.meters.begin(one)
+	checker.startLoop(checker.checkMembers)
+	checker.startLoop(func() bool {
+		for _, member := range checker.world.Members {
+			checker.meters.begin(member)
 		}
-		return side.world.Rest(100 * time.Millisecond)
+		return checker.world.Rest(100 * time.Millisecond)
 	})
 }
 
-// The whole control side under every fault, with far links: what operators were
-// told lasts and is in force in time, nothing goes back, duties have one holder.
+// Runs the control plane across regions under all faults: acknowledged changes last and are
+// in force in time, no version is rolled back, and usage reports have one holder at a time.
 func TestControlSideUnderEverything(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3+2*int(seed%2))
-		side := world.Control()
+		checker := world.Control()
 		defer world.CloseFar()
 		world.farUp(test, 6)
 		world.Rest(contactSpan)
-		side.begin()
-		hard, links := side.injector(0, SideFaults, CoreFaults), side.injector(1, SideLinkFaults, CoreLinkFaults)
+		checker.begin()
+		faults, linkFaults := checker.injector(0, SideFaults, CoreFaults), checker.injector(1, SideLinkFaults, CoreLinkFaults)
 		ended := false
 		world.goroutines.Start(func() {
-			links.Run(2 * chaosSpan())
-			side.mutex.Lock()
+			linkFaults.Run(2 * chaosSpan())
+			checker.mutex.Lock()
 			ended = true
-			side.mutex.Unlock()
+			checker.mutex.Unlock()
 		})
-		hard.Run(2 * chaosSpan())
-		world.Until(time.Minute, func() bool { side.mutex.Lock(); defer side.mutex.Unlock(); return ended })
+		faults.Run(2 * chaosSpan())
+		world.Until(time.Minute, func() bool { checker.mutex.Lock(); defer checker.mutex.Unlock(); return ended })
 		world.Rest(contactSpan + inForceSpan)
-		if !side.stop(60 * time.Second) {
-			test.Fatal("operators have no answer")
+		if !checker.stop(60 * time.Second) {
+			test.Fatal("operator requests did not end within 60 s")
 		}
-		side.judge(test)
-		test.Logf("faults %v, beside them %v", hard.chaos.Done, links.chaos.Done)
+		checker.judge(test)
+		test.Logf("faults %v, link faults %v", faults.chaos.Done, linkFaults.chaos.Done)
 		world.report(test)
 	})
 }
--- a/harness/simulation/drain_test.go
+++ b/harness/simulation/drain_test.go
@@ -13,13 +13,13 @@
 	"orchidjunction/message"
 )
 
-// The list and the bound of the large deployments: a proxy must choose a draining backend
-// no more so early that a request which it sent before still arrives within the bound.
+// The list and the drain bound of the large deployments. A proxy must stop choosing a draining
+// backend early enough that a request it sent before still arrives within the bound.
 const (
 	drainBound       = 3 * time.Second
 	requestAllowance = 700 * time.Millisecond
-	// updateAllowance is what an update may take longer than here, behind other bytes on a
-	// proxy's thin link: 0.9 s as measured on a large deployment.
+	// updateAllowance is the extra time of an update that queues behind other traffic on a
+	// proxy's slow link; updates took 0.9 s on a large deployment.
 	updateAllowance = 600 * time.Millisecond
 	listedBackends  = 1080
 	listedZones     = 9
@@ -27,7 +27,7 @@
 	drainsPerSeed   = 6
 )
 
-// pagedList is a platform's list, in pages and by zone, in a region far from the leader.
+// pagedList is a platform's backend list, paged and by zone, in a region far from the leader.
 type pagedList struct {
 	world *World
 
@@ -49,7 +49,7 @@
 	return list
 }
 
-// page answers after the way there and back.
+// page returns a page after the round trip to the platform.
 func (list *pagedList) page(request discovery.PageRequest) discovery.Page {
 	list.world.Rest(farWay)
 	page := list.read(request)
@@ -75,7 +75,7 @@
 	return page
 }
 
-// zones returns those of the list.
+// zones returns the zones of the list.
 func (list *pagedList) zones() []string {
 	zones := []string{}
 	for index := range listedZones {
@@ -84,7 +84,7 @@
 	return zones
 }
 
-// drain makes the list show that a backend leaves.
+// drain marks a backend as leaving in the list and returns its name.
 func (list *pagedList) drain(index int) string {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
@@ -92,18 +92,18 @@
 	return list.backends[index].Name
 }
 
-// leavesEverywhere reports whether all daemons hold that a backend leaves.
-func (world *World) leavesEverywhere(name string) bool {
-	for _, one := range world.Members {
-		if !leaves(one.Daemon.Version().Table, name) {
+// isLeavingEverywhere reports whether the tables of all daemons mark a backend as leaving.
+func (world *World) isLeavingEverywhere(name string) bool {
+	for _, member := range world.Members {
+		if !isLeaving(member.Daemon.Version().Table, name) {
 			return false
 		}
 	}
 	return true
 }
 
-// Guards against requests to a backend over 3 s after the list showed that it leaves: the
-// leader, far from the platform, read 22 pages one after the other before it told anybody.
+// Guards against requests to a backend more than 3 s after the list shows that it leaves: the
+// leader, far from the platform, read 22 pages one after the other before it sent an update.
 func TestDrainIsInForceInTimeWithALongListFarAway(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 5)
@@ -120,20 +120,20 @@
 		world.Rest(10 * time.Second)
 		for range drainsPerSeed {
 			world.Rest(time.Duration(random.IntN(5000)) * time.Millisecond)
-			name, shown := list.drain(random.IntN(listedBackends)), time.Now()
-			if !world.Until(2*drainBound, func() bool { return world.leavesEverywhere(name) }) {
-				world.broke("%s: not in force everywhere", name)
+			name, drainedAt := list.drain(random.IntN(listedBackends)), time.Now()
+			if !world.Until(2*drainBound, func() bool { return world.isLeavingEverywhere(name) }) {
+				world.broke("%s: drain not in force everywhere in time", name)
 			}
-			if took := time.Since(shown); took > drainBound-requestAllowance-updateAllowance {
-				world.broke("%s: in force everywhere after %v", name, took)
+			if took := time.Since(drainedAt); took > drainBound-requestAllowance-updateAllowance {
+				world.broke("%s: drain in force everywhere only after %v", name, took)
 			}
 		}
 		world.report(test)
 	})
 }
 
-// Guards against drains told late: daemons that waited for an update asked for it once more,
-// a second way to the leader and back, after they were told that there was one.
+// Guards against late drains: waiting daemons were only notified of an update and had to fetch
+// it with a second round trip to the leader.
 func TestSmallUpdateComesWithTheWatch(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 5)
@@ -144,22 +144,27 @@
 		for number := range drainsPerSeed {
 			world.Rest(5 * time.Second)
 			name := list.drain(number)
-			leads := func() bool { return leaves(world.Cores[max(world.Leader(), 0)].life(world).Table(), name) }
-			if !world.Until(drainBound, leads) {
-				world.broke("%s: not in the leader's table", name)
+			updated := func() bool { return isLeaving(world.Cores[max(world.Leader(), 0)].life(world).Table(), name) }
+			if !world.Until(drainBound, updated) {
+				world.broke("%s: drain not in the leader's table", name)
 			}
-			told := time.Now()
-			world.Until(drainBound, func() bool { return world.leavesEverywhere(name) })
-			if took := time.Since(told); took > farWay+20*time.Millisecond {
-				world.broke("%s: in force everywhere %v after the leader's table, want one way of %v", name, took, farWay)
+			updatedAt := time.Now()
+			world.Until(drainBound, func() bool { return world.isLeavingEverywhere(name) })
+			if took := time.Since(updatedAt); took > farWay+20*time.Millisecond {
+				world.broke(
+					"%s: drain in force everywhere %v after the leader's table has it, want the one-way latency of %v",
+					name,
+					took,
+					farWay,
+				)
 			}
 		}
 		world.report(test)
 	})
 }
 
-// leaves reports whether a table says that a backend leaves.
-func leaves(table *message.Table, name string) bool {
+// isLeaving reports whether a table marks a backend as leaving.
+func isLeaving(table *message.Table, name string) bool {
 	for _, backend := range table.Backends {
 		if backend.Name == name {
 			return backend.Leaving
--- a/harness/simulation/duel_test.go
+++ b/harness/simulation/duel_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// The bounds of the time without a leader: half of all cases, and the worst.
+// The limits of the time without a leader: median and maximum.
 const (
-	middleLeaderless = 1500 * time.Millisecond
+	medianLeaderless = 1500 * time.Millisecond
 	worstLeaderless  = 1700 * time.Millisecond
 )
 
-// leaderless is how long nobody leads after the power of the leader is gone.
-func (world *World) leaderless(test *testing.T) time.Duration {
+// electionTime returns how long there is no leader after the leader loses power.
+func (world *World) electionTime(test *testing.T) time.Duration {
 	leader := world.calm(test)
 	machine := world.Cores[leader]
 	begin, before := time.Now(), world.leads()
 	world.end(machine, true, func(host string) { world.Net.Vanish(host, true) })
 	world.Net.Vanish(machine.Host, true)
 	if !world.Until(20*time.Second, func() bool { return world.leads() > before && world.Leader() >= 0 }) {
-		world.broke("nobody leads")
+		world.broke("no leader within 20 s")
 	}
 	took := time.Since(begin)
 	world.Net.Vanish(machine.Host, false)
@@ -28,8 +28,9 @@
 	return took
 }
 
-// The leader's machine falls silent, so that every question to it hangs, and the others
-// stand at nearly the same time: one gives way, and the next leader is there soon.
+// Guards against duelling candidates: the leader's machine vanishes, so that calls to it hang,
+// and the others become candidates at nearly the same time. One gives way, and the next
+// leader is elected soon.
 func TestCandidatesGiveWayWhileACoreHangs(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
@@ -37,14 +38,14 @@
 			world.farUp(test, 0)
 			spans := []time.Duration{}
 			for range 12 {
-				spans = append(spans, world.leaderless(test))
+				spans = append(spans, world.electionTime(test))
 				world.Rest(2 * time.Second)
 			}
 			slices.Sort(spans)
-			middle, worst := spans[len(spans)/2], spans[len(spans)-1]
-			test.Logf("%d cores: without a leader for %v, at most %v", cores, middle, worst)
-			if middle > middleLeaderless || worst > worstLeaderless {
-				world.broke("%d cores: without a leader for %v", cores, spans)
+			median, worst := spans[len(spans)/2], spans[len(spans)-1]
+			test.Logf("%d cores: without a leader for a median of %v, at most %v", cores, median, worst)
+			if median > medianLeaderless || worst > worstLeaderless {
+				world.broke("%d cores: too long without a leader: %v", cores, spans)
 			}
 			world.report(test)
 			world.CloseFar()
--- a/harness/simulation/duty_test.go
+++ b/harness/simulation/duty_test.go
@@ -8,9 +8,9 @@
 	"orchidjunction/control"
 )
 
-// A leader that lost touch with the others makes no report of usage from that moment
-// on: another may hold the duty at once.
-func TestLeaderOutOfTouchReportsNoUsage(test *testing.T) {
+// A leader that is cut off from the others reports no usage from that moment on, as another
+// may hold the reporting lease at once.
+func TestPartitionedLeaderReportsNoUsage(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"cut", "mute", "deaf"} {
 			world := NewFarWorld(seed, 3)
@@ -24,21 +24,21 @@
 			}
 			world.farUp(test, 1)
 			for range 5 {
-				lost := world.calm(test)
-				holder := world.Cores[lost].Host
+				leader := world.calm(test)
+				holder := world.Cores[leader].Host
 				world.Until(30*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return len(reported[holder]) > 0 })
 				world.Rest(time.Duration(seed*37%11) * 100 * time.Millisecond)
-				world.lose(lost, kind, true)
+				world.lose(leader, kind, true)
 				since := time.Now()
 				world.Rest(10 * time.Second)
-				world.lose(lost, kind, false)
+				world.lose(leader, kind, false)
 				mutex.Lock()
 				if len(reported[holder]) == 0 {
-					world.broke("%s: no report at all", kind)
+					world.broke("%s: the leader made no report before the partition", kind)
 				}
 				for _, at := range reported[holder] {
 					if at.After(since) {
-						world.broke("%s: reported %v after it lost touch", kind, at.Sub(since))
+						world.broke("%s: the leader reported %v after the partition", kind, at.Sub(since))
 					}
 				}
 				reported = map[string][]time.Time{}
--- a/harness/simulation/election_test.go
+++ b/harness/simulation/election_test.go
@@ -15,9 +15,9 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 2, "how many seeds a simulated run takes")
-	first = flag.Int("seed", 1, "the first of them")
-	loud  = flag.Bool("loud", false, "show the programs' logs")
+	seeds     = flag.Int("seeds", 2, "number of seeds per simulated test")
+	firstSeed = flag.Int("seed", 1, "first seed")
+	showLogs  = flag.Bool("loud", false, "show the logs of the simulated processes")
 )
 
 func TestMain(main *testing.M) {
@@ -25,39 +25,39 @@
 	if raced && *seeds == 2 {
 		*seeds = 1
 	}
-	if !*loud {
+	if !*showLogs {
 		klog.LogToStderr(false)
 		klog.SetOutput(io.Discard)
 	}
 	os.Exit(main.Run())
 }
 
-// each plays one world per seed and shows what it broke.
-func each(test *testing.T, play func(test *testing.T, seed uint64)) {
-	eachOf(test, *seeds, play)
+// each runs a test once per seed, each in virtual time of its own.
+func each(test *testing.T, run func(test *testing.T, seed uint64)) {
+	eachOf(test, *seeds, run)
 }
 
-// eachOf is each for another number of seeds.
-func eachOf(test *testing.T, count int, play func(test *testing.T, seed uint64)) {
-	for seed := *first; seed < *first+count; seed++ {
+// eachOf runs a test for count seeds.
+func eachOf(test *testing.T, count int, run func(test *testing.T, seed uint64)) {
+	for seed := *firstSeed; seed < *firstSeed+count; seed++ {
 		test.Run(fmt.Sprint(seed), func(test *testing.T) {
 			if !raced {
 				test.Parallel()
 			}
-			synctest.Test(test, func(test *testing.T) { play(test, uint64(seed)) })
+			synctest.Test(test, func(test *testing.T) { run(test, uint64(seed)) })
 		})
 	}
 }
 
 func (world *World) report(test *testing.T) {
 	test.Helper()
-	for _, broken := range world.Broken {
-		test.Error(broken)
+	for _, failure := range world.Broken {
+		test.Error(failure)
 	}
 }
 
-// long leaves a long run to the tests without the race detector, which looks at
-// memory, not at odds: TestEverythingAtOnce goes the same ways under it.
+// long skips a long test under the race detector, which needs the code paths but not
+// many random cases: TestEverythingAtOnce covers the same paths under it.
 func long(test *testing.T) {
 	test.Helper()
 	if raced {
@@ -82,11 +82,11 @@
 	}
 	world.first(test)
 	if !world.Until(10*time.Second, world.ready) {
-		test.Fatal("daemons not ready")
+		test.Fatal("daemons not ready within 10 s")
 	}
 }
 
-func TestChaosKeepsWhatOperatorsWereTold(test *testing.T) {
+func TestAcknowledgedChangesSurviveRandomFaults(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3+2*int(seed%5/4))
 		defer world.Close()
@@ -97,7 +97,7 @@
 		ledger.Stop()
 		world.judge(ledger)
 		if len(ledger.Acked) < 10 {
-			world.broke("only %d changes acknowledged", len(ledger.Acked))
+			world.broke("only %d changes acknowledged, want at least 10", len(ledger.Acked))
 		}
 		last := ledger.Newest()
 		if !world.Until(4*time.Second, func() bool {
@@ -111,7 +111,7 @@
 			world.broke("serial %d is not in force everywhere after 4 s", last)
 		}
 		test.Logf(
-			"%d acknowledged, %d refused, %d unknown, %d leaderships, longest answer %.0f ms, faults %v",
+			"%d acknowledged, %d refused, %d unknown, %d leaderships, slowest response %.0f ms, faults %v",
 			len(ledger.Acked),
 			len(ledger.Refused),
 			len(ledger.Unknown),
@@ -123,7 +123,7 @@
 	})
 }
 
-// chaosSpan is shorter under the race detector, which looks at memory, not at odds.
+// chaosSpan is shorter under the race detector, which does not need many random cases.
 func chaosSpan() time.Duration {
 	if raced {
 		return 10 * time.Second
--- a/harness/simulation/evacuated_test.go
+++ b/harness/simulation/evacuated_test.go
@@ -10,9 +10,9 @@
 	"orchidjunction/operator"
 )
 
-// A zone is emptied: its fronts are named to nobody, and turn away those who
-// come all the same; its backends get nothing more; refilled, both serve again.
-func TestEmptiedZone(test *testing.T) {
+// Once a zone is drained, its proxies still serve callers whose placement is valid, and then
+// refuse all requests. After the drain ends they serve again.
+func TestDrainedZoneIsNotServed(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
@@ -22,9 +22,9 @@
 		world.up(test, 5)
 		_, client := world.Origin(world.plan(1, 1))
 		defer client.CloseIdleConnections()
-		front := world.Daemons[1]
+		proxy := world.Daemons[1]
 		call := func(header string) (int, string) {
-			return world.ask(client, "GET", "http://"+front.PublicAddress+"/meters/pages/1", "key-of-alder", header, "k", "")
+			return world.ask(client, "GET", "http://"+proxy.PublicAddress+"/meters/pages/1", "key-of-alder", header, "k", "")
 		}
 		drain := func(base uint64, zones []string) {
 			body, _ := json.Marshal(map[string]any{"drained": map[string]any{"zones": zones}})
@@ -34,24 +34,24 @@
 			}
 		}
 		if status, code := call(""); status != 200 {
-			world.broke("before: %d %s", status, code)
+			world.broke("before the drain: %d %s", status, code)
 		}
-		drain(1, []string{front.Zone})
+		drain(1, []string{proxy.Zone})
 		world.Rest(time.Second)
 		if status, code := call(""); status != 200 {
-			world.broke("callers whose placement still holds: %d %s", status, code)
+			world.broke("1 s after the drain, placement still valid: %d %s", status, code)
 		}
 		world.Rest(3 * time.Second)
 		if status, code := call(""); status != 503 || code != "zone_emptied" {
-			world.broke("after 4 s: %d %s", status, code)
+			world.broke("4 s after the drain: %d %s", status, code)
 		}
 		if status, code := call("Idempotency-Key"); status != 503 {
-			world.broke("a key after 4 s: %d %s", status, code)
+			world.broke("4 s after the drain, request with a key: %d %s", status, code)
 		}
 		drain(2, []string{})
 		world.Rest(time.Second)
 		if status, code := call(""); status != 200 {
-			world.broke("refilled: %d %s", status, code)
+			world.broke("after the end of the drain: %d %s", status, code)
 		}
 		world.report(test)
 	})
--- a/harness/simulation/halves_test.go
+++ b/harness/simulation/halves_test.go
@@ -11,113 +11,115 @@
 	"orchidjunction/routing"
 )
 
-// halves is a deployment whose cores are cut into two groups. Operators and daemons reach
-// both.
-type halves struct {
+// partitionedWorld is a deployment whose cores are partitioned into two groups. Operators and
+// daemons reach both.
+type partitionedWorld struct {
 	*World
 	random       *rand.Rand
-	acknowledged atomic.Uint64 // the newest version
-	reads        atomic.Int64  // that were answered
+	acknowledged atomic.Uint64 // newest version
+	reads        atomic.Int64  // answered reads
 	refused      atomic.Int64
 }
 
-// cut cuts the cores into those of a group and the others, or joins them.
-func (halves *halves) cut(group map[int]bool, cut bool) {
-	machines := halves.machines()
+// partition separates the cores of a group from the others, or rejoins them.
+func (world *partitionedWorld) partition(group map[int]bool, cut bool) {
+	machines := world.machines()
 	for left := range machines {
 		for right := range left {
 			if group[left] != group[right] {
-				halves.Net.Cut(machines[left].Host, machines[right].Host, cut)
+				world.Net.Cut(machines[left].Host, machines[right].Host, cut)
 			}
 		}
 	}
 }
 
-// readAt reads the configuration at one core's entry point: the newest that was acknowledged
-// before the question, a newer one, or no clear answer.
-func (halves *halves) readAt(forwarder *agent.Forwarder) {
-	wanted := halves.acknowledged.Load()
+// readAt reads the configuration at one core's entry point. The read must return at least the
+// version that was acknowledged before it, or fail.
+func (world *partitionedWorld) readAt(forwarder *agent.Forwarder) {
+	wanted := world.acknowledged.Load()
 	response, err := agent.Forward(forwarder, message.MethodRoutingRead, &message.RoutingReadRequest{})
 	if err != nil {
-		halves.refused.Add(1)
+		world.refused.Add(1)
 		return
 	}
-	halves.reads.Add(1)
+	world.reads.Add(1)
 	state, err := routing.DecodeState(response.Body)
 	if err != nil || state.Config.Version < wanted {
-		halves.broke("read %d (%v), %d was acknowledged before", state.Config.Version, err, wanted)
+		world.broke("read version %d (%v), %d was acknowledged before the read", state.Config.Version, err, wanted)
 	}
 }
 
-// order sends routings one after the other, by any core's entry point, until a time.
-func (halves *halves) order(until time.Time) {
-	random := rand.New(rand.NewPCG(halves.Seed, 103))
+// sendChanges sends routings one after the other, through random cores' entry points, until a
+// deadline.
+func (world *partitionedWorld) sendChanges(until time.Time) {
+	random := rand.New(rand.NewPCG(world.Seed, 103))
 	for time.Now().Before(until) {
-		if holds := halves.holds(); len(holds) > 0 {
-			version := halves.acknowledged.Load()
-			hold := holds[random.IntN(len(holds))]
-			if _, err := agent.Forward(hold, message.MethodRoutingChange, WholeChange(version+1, version)); err == nil {
-				halves.acknowledged.Store(version + 1)
+		if forwarders := world.holds(); len(forwarders) > 0 {
+			version := world.acknowledged.Load()
+			forwarder := forwarders[random.IntN(len(forwarders))]
+			if _, err := agent.Forward(forwarder, message.MethodRoutingChange, WholeChange(version+1, version)); err == nil {
+				world.acknowledged.Store(version + 1)
 			}
 		}
-		halves.Rest(100 * time.Millisecond)
+		world.Rest(100 * time.Millisecond)
 	}
 }
 
-// The cores are cut into halves at any moment, at times one-sided losses of power overlap,
-// while orders and reads come to every core. No read is older than what was acknowledged
-// before it, no order is lost, and both go on once the cut is healed.
-func TestReadsInHalvesAreNewestOrRefused(test *testing.T) {
+// The cores are partitioned into two groups at random times, and at times a core loses power
+// meanwhile, while changes and reads reach every core. No read returns less than was
+// acknowledged before it, no acknowledged change is lost, and both continue once the
+// partition heals.
+func TestReadsDuringPartitionAreNewestOrRefused(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
-			halves := &halves{World: NewFarWorld(seed, cores), random: rand.New(rand.NewPCG(seed, 101))}
-			halves.farUp(test, 3)
-			halves.acknowledged.Store(1)
+			world := &partitionedWorld{World: NewFarWorld(seed, cores), random: rand.New(rand.NewPCG(seed, 101))}
+			world.farUp(test, 3)
+			world.acknowledged.Store(1)
 			end := time.Now().Add(40 * time.Second)
-			halves.goroutines.Start(func() { halves.order(end) })
-			for index := range halves.Cores {
-				halves.goroutines.Start(func() {
+			world.goroutines.Start(func() { world.sendChanges(end) })
+			for index := range world.Cores {
+				world.goroutines.Start(func() {
 					for time.Now().Before(end) {
-						if hold := halves.machine(index).hold(halves.World); hold != nil {
-							halves.readAt(hold)
+						if forwarder := world.machine(index).hold(world.World); forwarder != nil {
+							world.readAt(forwarder)
 						}
-						halves.Rest(70 * time.Millisecond)
+						world.Rest(70 * time.Millisecond)
 					}
 				})
 			}
 			for time.Now().Before(end.Add(-10 * time.Second)) {
 				group := map[int]bool{}
-				for _, index := range halves.random.Perm(cores)[:cores/2] {
+				for _, index := range world.random.Perm(cores)[:cores/2] {
 					group[index] = true
 				}
-				halves.cut(group, true)
-				lost := halves.random.IntN(2 * cores)
+				world.partition(group, true)
+				lost := world.random.IntN(2 * cores)
 				if lost < cores {
-					halves.KillCore(lost, true)
+					world.KillCore(lost, true)
 				}
-				halves.Rest(time.Duration(200+halves.random.IntN(4000)) * time.Millisecond)
-				halves.cut(group, false)
-				halves.startAll()
-				halves.Rest(time.Duration(200+halves.random.IntN(3000)) * time.Millisecond)
+				world.Rest(time.Duration(200+world.random.IntN(4000)) * time.Millisecond)
+				world.partition(group, false)
+				world.startAll()
+				world.Rest(time.Duration(200+world.random.IntN(3000)) * time.Millisecond)
 			}
-			halves.Rest(time.Until(end) + 2*time.Second)
-			halves.calm(test)
-			wanted := halves.acknowledged.Load()
-			if state, err := halves.Book(); err != nil || state.Config.Version < wanted {
-				halves.broke("%d cores: read back %+v %v, %d was acknowledged", cores, state, err, wanted)
+			world.Rest(time.Until(end) + 2*time.Second)
+			world.calm(test)
+			wanted := world.acknowledged.Load()
+			if state, err := world.Book(); err != nil || state.Config.Version < wanted {
+				world.broke("%d cores: read %+v %v, version %d was acknowledged", cores, state, err, wanted)
 			}
-			if wanted < 20 || halves.reads.Load() < 100 || halves.refused.Load() < 5 {
-				halves.broke(
-					"%d cores: %d orders, %d reads, %d refused: too few to tell",
+			if wanted < 20 || world.reads.Load() < 100 || world.refused.Load() < 5 {
+				world.broke(
+					"%d cores: %d changes, %d reads, %d refused: too few for the test to be valid",
 					cores,
 					wanted,
-					halves.reads.Load(),
-					halves.refused.Load(),
+					world.reads.Load(),
+					world.refused.Load(),
 				)
 			}
-			test.Logf("%d cores: %d orders, %d reads, %d refused", cores, wanted, halves.reads.Load(), halves.refused.Load())
-			halves.report(test)
-			halves.CloseFar()
+			test.Logf("%d cores: %d changes, %d reads, %d refused", cores, wanted, world.reads.Load(), world.refused.Load())
+			world.report(test)
+			world.CloseFar()
 		}
 	})
 }
--- a/harness/simulation/injector_test.go
+++ b/harness/simulation/injector_test.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Injector injects faults, one after the other; two may be at it at once.
+// Injector injects faults one after the other; two injectors may run at once.
 type Injector struct {
 	*Control
-	chaos  *RandomFaults
-	random *rand.Rand
-	kinds  []string
-	cores  []string
-	losses *Losses
+	chaos      *RandomFaults
+	random     *rand.Rand
+	kinds      []string
+	coreFaults []string
+	losses     *Losses
 }
 
-func (side *Control) injector(number uint64, kinds, cores []string) *Injector {
-	one := &Injector{
-		Control: side,
-		chaos:   side.world.RandomFaults(),
-		random:  rand.New(rand.NewPCG(side.world.Seed, 83+number)),
-		kinds:   kinds,
-		cores:   cores,
+func (checker *Control) injector(number uint64, kinds, cores []string) *Injector {
+	injector := &Injector{
+		Control:    checker,
+		chaos:      checker.world.RandomFaults(),
+		random:     rand.New(rand.NewPCG(checker.world.Seed, 83+number)),
+		kinds:      kinds,
+		coreFaults: cores,
 	}
-	one.chaos.random = rand.New(rand.NewPCG(side.world.Seed, 183+number))
-	return one
+	injector.chaos.random = rand.New(rand.NewPCG(checker.world.Seed, 183+number))
+	return injector
 }
 
-// SideFaults are those of the control side beside the cores' own.
+// SideFaults are the faults of the whole control plane; "core" draws one of a single core's.
 var SideFaults = []string{
 	"core",
 	"core",
@@ -48,132 +48,133 @@
 	"calm",
 }
 
-// SideLinkFaults go on beside those: no process ends by them.
+// SideLinkFaults run concurrently with those and stop no process.
 var (
 	SideLinkFaults = []string{"core", "member-frozen", "member-cut", "calm"}
 	CoreLinkFaults = []string{"freeze", "cut", "one-way", "alone", "faults"}
 )
 
-func (side *Injector) span(least, most int) time.Duration {
-	return time.Duration(least+side.random.IntN(most-least)) * time.Millisecond
+func (injector *Injector) span(least, most int) time.Duration {
+	return time.Duration(least+injector.random.IntN(most-least)) * time.Millisecond
 }
 
-// reserveLimit is how long a fault waits until as many machines may be lost.
+// reserveLimit is how long a fault waits until its machines may be lost.
 const reserveLimit = 15 * time.Second
 
-// reserve counts machines as lost; not all may be lost at any time.
-func (side *Injector) reserve(cores []int) (release func(), reserved bool) {
-	if side.losses == nil {
+// reserve counts machines as lost, as only some may be lost at one time. The fault is skipped
+// if it gets no reservation.
+func (injector *Injector) reserve(cores []int) (release func(), reserved bool) {
+	if injector.losses == nil {
 		return func() {}, true
 	}
 	machines := []*Core{}
 	for _, index := range cores {
-		machines = append(machines, side.world.machine(index))
+		machines = append(machines, injector.world.machine(index))
 	}
-	if !side.losses.Take(machines, reserveLimit) {
-		side.chaos.Done["skipped"]++
+	if !injector.losses.Take(machines, reserveLimit) {
+		injector.chaos.Done["skipped"]++
 		return nil, false
 	}
-	return func() { side.losses.Give(machines) }, true
+	return func() { injector.losses.Give(machines) }, true
 }
 
-// lose is under for a fault by which the cores are lost for a while.
-func (side *Injector) lose(cores []int, members []*FarDaemon, do func()) {
-	release, reserved := side.reserve(cores)
+// lose is duringFault for a fault that takes the cores down for a while.
+func (injector *Injector) lose(cores []int, members []*FarDaemon, do func()) {
+	release, reserved := injector.reserve(cores)
 	if !reserved {
 		return
 	}
 	defer release()
-	side.under(cores, members, do)
+	injector.duringFault(cores, members, do)
 }
 
-func (side *Control) every() []int {
+func (checker *Control) every() []int {
 	all := []int{}
-	for index := range side.world.Cores {
+	for index := range checker.world.Cores {
 		all = append(all, index)
 	}
 	return all
 }
 
-// Inject brings one fault about and heals it.
-func (side *Injector) Inject(kind string) {
-	world, random := side.world, side.random
-	index, one := random.IntN(len(world.Cores)), world.Members[random.IntN(len(world.Members))]
+// Inject injects one fault and heals it.
+func (injector *Injector) Inject(kind string) {
+	world, random := injector.world, injector.random
+	index, member := random.IntN(len(world.Cores)), world.Members[random.IntN(len(world.Members))]
 	leader := max(world.Leader(), 0)
-	lost := (len(world.Cores) - 1) / 2
+	tolerated := (len(world.Cores) - 1) / 2
 	switch kind {
 	case "core":
-		kind = side.cores[random.IntN(len(side.cores))]
-		touched := []int{index}
+		kind = injector.coreFaults[random.IntN(len(injector.coreFaults))]
+		affected := []int{index}
 		switch kind {
 		case "kill-leader":
-			touched = []int{leader}
+			affected = []int{leader}
 		case "alone", "refuse", "full", "refuse-restart":
-			touched = []int{leader, index}
+			affected = []int{leader, index}
 		case "reset":
-			side.under(touched, nil, func() { side.chaos.Inject(kind, index) })
+			injector.duringFault(affected, nil, func() { injector.chaos.Inject(kind, index) })
 			return
 		case "all", "stale-leader-lost", "stale-disk-lost":
-			touched = side.every()
+			affected = injector.every()
 		case "wipe":
-			if side.losses == nil {
-				touched = side.every()
+			if injector.losses == nil {
+				affected = injector.every()
 			}
 		case "faults":
-			side.under(side.every(), world.Members, func() { side.chaos.Inject(kind, index) })
+			injector.duringFault(injector.every(), world.Members, func() { injector.chaos.Inject(kind, index) })
 			return
 		}
-		side.lose(touched, nil, func() { side.chaos.Inject(kind, index) })
+		injector.lose(affected, nil, func() { injector.chaos.Inject(kind, index) })
 	case "disk-fails":
-		side.lose([]int{index}, nil, func() {
+		injector.lose([]int{index}, nil, func() {
 			world.machine(index).Disk.Fail(true)
-			world.Rest(side.span(300, 1500))
+			world.Rest(injector.span(300, 1500))
 			world.KillCore(index, true)
 			world.StartCore(index)
 		})
 	case "all-wiped", "all-down", "power-after-ack":
-		release, reserved := side.reserve(side.every())
+		release, reserved := injector.reserve(injector.every())
 		if !reserved {
 			return
 		}
 		defer release()
 		if kind == "power-after-ack" {
-			side.put(world.holds(), random, 7)
+			injector.changeRouting(world.holds(), random, 7)
 		}
 		members := []*FarDaemon{}
 		if kind != "power-after-ack" || random.IntN(2) == 0 {
 			members = world.Members
 		}
-		side.under(side.every(), members, func() {
+		injector.duringFault(injector.every(), members, func() {
 			world.killAll(kind != "all-down", len(members) > 0)
-			for offset := range lost {
+			for offset := range tolerated {
 				if kind == "all-wiped" {
 					world.WipeCore((index + offset) % len(world.Cores))
 				}
 			}
-			world.Rest(side.span(10, 1000))
+			world.Rest(injector.span(10, 1000))
 			world.startAll()
 			world.Until(20*time.Second, world.sound)
 		})
 	case "wipe-after-ack", "most-wiped":
-		gone := []int{leader}
-		for offset := 1; offset < lost && kind == "most-wiped"; offset++ {
-			gone = append(gone, (leader+offset)%len(world.Cores))
+		wiped := []int{leader}
+		for offset := 1; offset < tolerated && kind == "most-wiped"; offset++ {
+			wiped = append(wiped, (leader+offset)%len(world.Cores))
 		}
-		release, reserved := side.reserve(gone)
+		release, reserved := injector.reserve(wiped)
 		if !reserved {
 			return
 		}
 		defer release()
-		side.put(world.holds(), random, 7)
-		side.under(gone, nil, func() {
-			for _, index := range gone {
+		injector.changeRouting(world.holds(), random, 7)
+		injector.duringFault(wiped, nil, func() {
+			for _, index := range wiped {
 				world.WipeCore(index)
 			}
-			world.Rest(side.span(10, 3000))
+			world.Rest(injector.span(10, 3000))
 			world.startAll()
 			if !world.Until(30*time.Second, world.sound) {
-				world.broke("%s: cores %v do not vote again", kind, gone)
+				world.broke("%s: cores %v do not vote again within 30 s", kind, wiped)
 			}
 		})
 	case "region-lost":
@@ -184,85 +185,85 @@
 				cores = append(cores, index)
 			}
 		}
-		for _, one := range world.Members {
-			if one.Region == region {
-				members = append(members, one)
+		for _, member := range world.Members {
+			if member.Region == region {
+				members = append(members, member)
 			}
 		}
-		side.lose(cores, members, func() {
+		injector.lose(cores, members, func() {
 			for _, index := range cores {
 				world.KillCore(index, true)
 			}
-			for _, one := range members {
-				world.KillMember(one)
+			for _, member := range members {
+				world.KillMember(member)
 			}
-			world.Rest(side.span(500, 7000))
+			world.Rest(injector.span(500, 7000))
 			world.startAll()
 		})
 	case "cores-apart":
-		few := random.Perm(len(world.Cores))[:lost]
-		cut := func(shut bool) {
+		minority := random.Perm(len(world.Cores))[:tolerated]
+		cut := func(isCut bool) {
 			for index, machine := range world.machines() {
-				for _, other := range few {
-					if !slices.Contains(few, index) {
-						world.Net.Cut(machine.Host, world.machine(other).Host, shut)
+				for _, other := range minority {
+					if !slices.Contains(minority, index) {
+						world.Net.Cut(machine.Host, world.machine(other).Host, isCut)
 					}
 				}
 			}
 		}
-		side.lose(few, nil, func() {
+		injector.lose(minority, nil, func() {
 			cut(true)
-			world.Rest(side.span(500, 8000))
+			world.Rest(injector.span(500, 8000))
 			cut(false)
 		})
 	case "member-killed", "members-killed":
-		members := []*FarDaemon{one}
+		members := []*FarDaemon{member}
 		if kind == "members-killed" {
 			members = world.Members[:len(world.Members)/2]
 		}
-		side.under(nil, members, func() {
-			for _, one := range members {
-				world.KillMember(one)
+		injector.duringFault(nil, members, func() {
+			for _, member := range members {
+				world.KillMember(member)
 			}
-			world.Rest(side.span(50, 2500))
+			world.Rest(injector.span(50, 2500))
 			world.startAll()
 		})
 	case "member-frozen":
-		side.under(nil, []*FarDaemon{one}, func() {
-			world.Net.Freeze(one.Host, true)
-			world.Rest(side.span(200, 6000))
-			world.Net.Freeze(one.Host, false)
+		injector.duringFault(nil, []*FarDaemon{member}, func() {
+			world.Net.Freeze(member.Host, true)
+			world.Rest(injector.span(200, 6000))
+			world.Net.Freeze(member.Host, false)
 		})
 	case "member-cut":
-		way := random.IntN(3)
-		cut := func(shut bool) {
+		direction := random.IntN(3)
+		cut := func(isCut bool) {
 			for _, machine := range world.machines() {
-				if way != 1 {
-					world.Net.CutOneWay(machine.Host, one.Host, shut)
+				if direction != 1 {
+					world.Net.CutOneWay(machine.Host, member.Host, isCut)
 				}
-				if way != 2 {
-					world.Net.CutOneWay(one.Host, machine.Host, shut)
+				if direction != 2 {
+					world.Net.CutOneWay(member.Host, machine.Host, isCut)
 				}
 			}
 		}
-		side.under(nil, []*FarDaemon{one}, func() {
+		injector.duringFault(nil, []*FarDaemon{member}, func() {
 			cut(true)
-			world.Rest(side.span(500, 7000))
+			world.Rest(injector.span(500, 7000))
 			cut(false)
 		})
 	case "calm":
-		world.Rest(side.span(5000, 9000))
+		world.Rest(injector.span(5000, 9000))
 	}
 }
 
-// Run draws faults until the span is over; some follow each other at once.
-func (side *Injector) Run(span time.Duration) {
+// Run injects random faults until the span is over, some without a pause between them.
+func (injector *Injector) Run(span time.Duration) {
 	for until := time.Now().Add(span); time.Now().Before(until); {
-		kind := side.kinds[side.random.IntN(len(side.kinds))]
-		side.chaos.Done[kind]++
-		side.Inject(kind)
-		if side.random.IntN(3) > 0 {
-			side.world.Rest(side.span(200, 9000))
+		kind := injector.kinds[injector.random.IntN(len(injector.kinds))]
+		injector.chaos.Done[kind]++
+		injector.Inject(kind)
+		if injector.random.IntN(3) > 0 {
+			injector.world.Rest(injector.span(200, 9000))
 		}
 	}
 }
--- a/harness/simulation/large_state_test.go
+++ b/harness/simulation/large_state_test.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// manyRoutes are as many as operators had when no core led again.
+	// manyRoutes is the number of routes with which no leader was elected.
 	manyRoutes = 13_700
-	// thinRate is the rate of the links between cores, in bytes a second: a copy of so many
-	// routes takes longer than any time-out of an election.
-	thinRate = 1 << 20
-	// recoveryLimit is the time in which a leader must stand after a total loss.
+	// slowLinkRate is the rate of the links between cores, in bytes per second: a copy of
+	// manyRoutes takes longer than any election time-out.
+	slowLinkRate = 1 << 20
+	// recoveryLimit is the time in which a leader must be elected after a total outage.
 	recoveryLimit = 15 * time.Second
 )
 
-// manyRoutesChange is a whole routing of many routes.
+// manyRoutesChange replaces the whole routing by one of manyRoutes routes.
 func manyRoutesChange(version, base uint64) *message.RoutingChangeRequest {
 	whole := Routing(version)
 	route := whole.Routes[0]
@@ -29,45 +29,45 @@
 		whole.Routes = append(whole.Routes, route)
 	}
 	change := &routing.Change{Version: version, Base: base, Digest: fmt.Sprint("many ", version), Whole: whole}
-	body, _ := rpc.Marshal(change) // structures of numbers and texts are always encoded
+	body, _ := rpc.Marshal(change) // cannot fail for numbers and strings
 	return &message.RoutingChangeRequest{Body: body}
 }
 
-// All cores lose power while the routing is large and a copy of it takes seconds between
-// them. Candidates deposed one another without end: each had a quorum accept the whole state
-// again, and nobody waited for that. One must lead in time, also where a core holds an older
-// routing, or lost its disk.
-func TestLeaderStandsAgainWithALargeState(test *testing.T) {
+// Guards against an endless election after all cores lose power with a routing so large that
+// a copy takes seconds: each candidate had a quorum accept the whole state again, and was
+// deposed by the next before that ended. A leader must be elected in time, also where a core
+// has an older routing or lost its disk.
+func TestLeaderIsElectedWithALargeState(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		for _, trouble := range []string{"all hold it", "one is behind", "one lost its disk"} {
+		for _, condition := range []string{"all hold it", "one is behind", "one lost its disk"} {
 			world := NewFarWorld(seed, 3)
 			world.farUp(test, 0)
 			leader := world.calm(test)
 			other := (leader + 1 + int(seed%2)) % 3
-			if trouble == "one is behind" {
+			if condition == "one is behind" {
 				world.KillCore(other, true)
 			}
 			if _, err := order(world, world.holds(), message.MethodRoutingChange, manyRoutesChange(2, 1)); err != nil {
 				test.Fatal(err)
 			}
-			world.Net.Rate(thinRate)
+			world.Net.Rate(slowLinkRate)
 			world.killAll(true, false)
-			if trouble == "one lost its disk" {
+			if condition == "one lost its disk" {
 				world.WipeCore(other)
 			}
 			world.Rest(time.Second)
 			world.startAll()
 			begin := time.Now()
 			if !world.Until(recoveryLimit, func() bool { return world.Leader() >= 0 }) {
-				world.broke("%s: nobody leads after %v", trouble, recoveryLimit)
+				world.broke("%s: no leader after %v", condition, recoveryLimit)
 			}
-			test.Logf("%s: a leader after %v", trouble, time.Since(begin))
+			test.Logf("%s: a leader after %v", condition, time.Since(begin))
 			if !world.Until(recoveryLimit, world.sound) {
-				world.broke("%s: not all vote", trouble)
+				world.broke("%s: not all cores vote in time", condition)
 			}
 			world.Net.Rate(0)
 			if state, err := world.Book(); err != nil || state.Config.Version != 2 || len(state.Config.Routes) != manyRoutes {
-				world.broke("%s: read back %v", trouble, err)
+				world.broke("%s: read after recovery: %v", condition, err)
 			}
 			world.report(test)
 			world.CloseFar()
--- a/harness/simulation/leave_test.go
+++ b/harness/simulation/leave_test.go
@@ -9,8 +9,8 @@
 	"orchidjunction/rpc"
 )
 
-// idOf is the ID under which a machine votes, by its disk.
-func (one *trial) idOf(machine *Core) int {
+// voterID returns the ID under which a machine votes, as its disk has it.
+func (one *trial) voterID(machine *Core) int {
 	store, err := replica.OpenStore(machine.Disk.Copy())
 	if err != nil {
 		one.test.Fatal(err)
@@ -24,58 +24,58 @@
 	return 0
 }
 
-// A core that kept the ID of a step which was never decided announces its end while a
-// learner waits: the voter that has the ID keeps its place. The voter's own announcement,
-// also in the form of a former release, gives it to the learner.
+// A core with the ID of a membership change that was never committed announces its shutdown
+// while a learner waits: the voter that has the ID stays a voter. The voter's own
+// announcement, also in the form of an earlier release, gives its place to the learner.
 func TestLeaveNamesItsAddress(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
-		for _, isFormer := range []bool{false, true} {
-			one := newTrial(test, seed, 3, 1, "leave")
-			leader := one.leader()
-			voter := one.machine(one.after(leader, 1))
-			learner := one.AddCore(int(seed) % 3)
-			one.Rest(2 * time.Second)
-			before := one.machines()[:3]
-			id := one.idOf(voter)
-			caller := rpc.NewClient(one.Net.Transport(voter.Host))
+		for _, isOldForm := range []bool{false, true} {
+			run := newTrial(test, seed, 3, 1, "leave")
+			leader := run.leader()
+			voter := run.machine(run.after(leader, 1))
+			learner := run.AddCore(int(seed) % 3)
+			run.Rest(2 * time.Second)
+			before := run.machines()[:3]
+			id := run.voterID(voter)
+			caller := rpc.NewClient(run.Net.Transport(voter.Host))
 			leave := func(address string) (*message.LeaveResponse, error) {
-				if isFormer && address == voter.InternalAddress {
+				if isOldForm && address == voter.InternalAddress {
 					return rpc.Call(
 						caller,
-						one.machine(leader).InternalAddress,
+						run.machine(leader).InternalAddress,
 						message.MethodLeave,
 						time.Second,
 						&message.LeaveRequest{Core: id},
 					)
 				}
-				return rpc.Call(caller, one.machine(leader).InternalAddress, message.MethodLeaveVoter, time.Second,
+				return rpc.Call(caller, run.machine(leader).InternalAddress, message.MethodLeaveVoter, time.Second,
 					&message.LeaveVoterRequest{Core: id, Address: address})
 			}
 			if response, err := leave("10.0.9.9:41"); err != nil || response.Wait {
-				one.broke("another core's end: %+v, %v", response, err)
+				run.broke("leave with another core's address: %+v, %v", response, err)
 			}
-			one.Rest(3 * time.Second)
-			one.votes("another core's end", before)
+			run.Rest(3 * time.Second)
+			run.votes("leave with another core's address", before)
 			if response, err := leave(voter.InternalAddress); err != nil || !response.Wait {
-				one.broke("its own end: %+v, %v", response, err)
+				run.broke("leave with its own address: %+v, %v", response, err)
 			}
-			one.Rest(3 * time.Second)
-			after := []*Core{one.machine(learner)}
+			run.Rest(3 * time.Second)
+			after := []*Core{run.machine(learner)}
 			for _, machine := range before {
 				if machine != voter {
 					after = append(after, machine)
 				}
 			}
-			one.votes("its own end", after)
+			run.votes("leave with its own address", after)
 			caller.Close()
-			one.end()
+			run.end()
 		}
 	})
 }
 
-// A call that a former release does not know is told apart from one that fails, so that
-// the caller can fall back to the former call.
-func TestUnknownCallHasItsCode(test *testing.T) {
+// A call of a method that an earlier release does not know returns a code of its own, so that
+// the caller can fall back to the earlier method.
+func TestUnknownMethodHasItsOwnCode(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
--- a/harness/simulation/lending_test.go
+++ b/harness/simulation/lending_test.go
@@ -9,12 +9,12 @@
 	"orchidjunction/operator"
 )
 
-// A storm of one class borrows idle room and gives it back: the other class is
-// served throughout within its floor and in time, whichever of them storms.
-func TestStormTakesNothingBelowFloors(test *testing.T) {
+// An overload of one class borrows idle capacity and gives it back: the other class is served
+// within its floor and in time throughout, whichever class is overloaded.
+func TestOverloadOfOneClassKeepsTheOthersFloor(test *testing.T) {
 	long(test)
 	each(test, func(test *testing.T, seed uint64) {
-		for _, storming := range []string{"pages", "money"} {
+		for _, overloaded := range []string{"pages", "money"} {
 			world := NewWorld(seed, 3)
 			for _, zone := range []string{"e1", "w1", "s1"} {
 				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 100, Room: 4})
@@ -33,42 +33,42 @@
 				test.Fatal(err)
 			}
 			world.Rest(2 * time.Second)
-			calm, storm := world.plan(15, 10), world.plan(500, 10)
-			calm.Calls, storm.Calls = calm.Calls[:1], storm.Calls[1:2]
-			if storming == "money" {
-				calm.Calls, storm.Calls = storm.Calls, calm.Calls
+			normalPlan, overloadPlan := world.plan(15, 10), world.plan(500, 10)
+			normalPlan.Calls, overloadPlan.Calls = normalPlan.Calls[:1], overloadPlan.Calls[1:2]
+			if overloaded == "money" {
+				normalPlan.Calls, overloadPlan.Calls = overloadPlan.Calls, normalPlan.Calls
 			}
-			calm.Tries, storm.Tries, storm.Seed = 1, 1, seed+500
-			first, firstClient := world.Origin(calm)
-			second, secondClient := world.Origin(storm)
+			normalPlan.Tries, overloadPlan.Tries, overloadPlan.Seed = 1, 1, seed+500
+			normal, normalClient := world.Origin(normalPlan)
+			overload, overloadClient := world.Origin(overloadPlan)
 			ended := make(chan standin.LoadReport, 1)
-			world.goroutines.Start(func() { ended <- second.Run(world.goroutines.Sleep) })
-			served := first.Run(world.goroutines.Sleep)
-			stormed := <-ended
-			firstClient.CloseIdleConnections()
-			secondClient.CloseIdleConnections()
+			world.goroutines.Start(func() { ended <- overload.Run(world.goroutines.Sleep) })
+			normalReport := normal.Run(world.goroutines.Sleep)
+			overloadReport := <-ended
+			normalClient.CloseIdleConnections()
+			overloadClient.CloseIdleConnections()
 			test.Logf(
-				"storm of %s: %d of %d others served, p99 %.0f ms; of the storm %d of %d, %v",
-				storming,
-				served.Served,
-				served.Asked,
-				served.LatencyMs["p99"],
-				stormed.Served,
-				stormed.Asked,
-				stormed.Statuses,
+				"overload of %s: %d of %d others served, p99 %.0f ms; %d of %d of the overload served, %v",
+				overloaded,
+				normalReport.Served,
+				normalReport.Asked,
+				normalReport.LatencyMs["p99"],
+				overloadReport.Served,
+				overloadReport.Asked,
+				overloadReport.Statuses,
 			)
-			if served.Served < served.Asked*98/100 || served.LatencyMs["p99"] > 600 {
+			if normalReport.Served < normalReport.Asked*98/100 || normalReport.LatencyMs["p99"] > 600 {
 				world.broke(
-					"storm of %s: %d of %d others served, p99 %.0f ms: %v",
-					storming,
-					served.Served,
-					served.Asked,
-					served.LatencyMs["p99"],
-					served.Statuses,
+					"overload of %s: %d of %d others served, p99 %.0f ms: %v",
+					overloaded,
+					normalReport.Served,
+					normalReport.Asked,
+					normalReport.LatencyMs["p99"],
+					normalReport.Statuses,
 				)
 			}
-			if stormed.Served < 35*10 || stormed.Unserved == 0 {
-				world.broke("storm of %s: %d of it served, %d held back", storming, stormed.Served, stormed.Unserved)
+			if overloadReport.Served < 35*10 || overloadReport.Unserved == 0 {
+				world.broke("overload of %s: %d of it served, %d not served", overloaded, overloadReport.Served, overloadReport.Unserved)
 			}
 			world.report(test)
 			world.Close()
--- a/harness/simulation/membership_test.go
+++ b/harness/simulation/membership_test.go
@@ -10,79 +10,80 @@
 	"orchidjunction/replica"
 )
 
-// rosters are those that the disks hold now, each once, with how many hold it.
+// rosters returns the distinct memberships on the cores' disks, each with the number of disks.
 func (world *World) rosters() map[string]int {
-	held := map[string]int{}
+	counts := map[string]int{}
 	for _, machine := range world.Cores {
 		store, err := replica.OpenStore(machine.Disk.Copy())
 		if err == nil && store.State().Membership() != nil {
-			held[fmt.Sprint(store.State().Membership().Voters)]++
+			counts[fmt.Sprint(store.State().Membership().Voters)]++
 		}
 	}
-	return held
+	return counts
 }
 
-func (world *World) oneRoster(test *testing.T, what string, holders int) {
+func (world *World) requireOneMembership(test *testing.T, scenario string, holders int) {
 	test.Helper()
 	if !world.Until(15*time.Second, func() bool {
-		held := world.rosters()
-		for _, count := range held {
-			return len(held) == 1 && count >= holders
+		memberships := world.rosters()
+		for _, count := range memberships {
+			return len(memberships) == 1 && count >= holders
 		}
 		return false
 	}) {
-		world.broke("%s: %v", what, world.rosters())
+		world.broke("%s: want one membership, stored on enough cores: %v", scenario, world.rosters())
 	}
 	if !world.Until(10*time.Second, func() bool { return world.Leader() >= 0 }) {
-		world.broke("%s: no leader", what)
+		world.broke("%s: no leader within 10 s", scenario)
 	} else if err := world.Put(1, 0); err != nil {
-		world.broke("%s: %v", what, err)
+		world.broke("%s: put: %v", scenario, err)
 	}
 }
 
-// beginning is one way in which a system starts for the first time.
-type beginning struct {
-	name   string
-	apart  int
-	before func(world *World)
-	after  func(world *World)
+// startScenario is one way in which a system starts for the first time; its cores start up to
+// maxDelayMs apart.
+type startScenario struct {
+	name       string
+	maxDelayMs int
+	before     func(world *World)
+	after      func(world *World)
 }
 
-// lonely cuts the last core from all seeds but one.
-func lonely(shut bool) func(world *World) {
+// isolateLastCore cuts the last of four or more cores off from all seeds but one.
+func isolateLastCore(cut bool) func(world *World) {
 	return func(world *World) {
 		last := world.Cores[len(world.Cores)-1]
 		for _, seed := range world.Cores[:2] {
-			world.Net.Cut(seed.Host, last.Host, shut && len(world.Cores) > 3)
+			world.Net.Cut(seed.Host, last.Host, cut && len(world.Cores) > 3)
 		}
 	}
 }
 
-// Cores that start together, apart, or with the founder killed and started
-// again at any moment, found one roster, and all of them know it.
+// Cores that start together, apart, or while the bootstrapping core is killed and restarted at
+// any moment initialize one membership, and all of them store it.
 func TestMembershipIsInitializedOnce(test *testing.T) {
 	nothing := func(*World) {}
 	each(test, func(test *testing.T, seed uint64) {
 		random := rand.New(rand.NewPCG(seed, 37))
-		some := func(most int) time.Duration { return time.Duration(random.IntN(most)) * time.Millisecond }
-		beginnings := []beginning{
+		randomDelay := func(most int) time.Duration { return time.Duration(random.IntN(most)) * time.Millisecond }
+		scenarios := []startScenario{
 			{"together", 80, nothing, nothing},
 			{"a seed is slow", 80, nothing, func(world *World) {
 				world.KillCore(int(seed)%3, false)
 				world.Rest(4 * time.Second)
 				world.StartCore(int(seed) % 3)
 			}},
-			{"the founder is killed", 80, nothing, func(world *World) {
+			{"the bootstrapping core is killed", 80, nothing, func(world *World) {
 				for range 4 {
-					world.Rest(300*time.Millisecond + some(400))
+					world.Rest(300*time.Millisecond + randomDelay(400))
 					world.KillCore(0, true)
-					world.Rest(some(200))
+					world.Rest(randomDelay(200))
 					world.StartCore(0)
 				}
 			}},
 			{"all are killed", 80, nothing, func(world *World) {
 				for range 3 {
-					world.Rest(400*time.Millisecond + some(600))
+					world.Rest(400*time.Millisecond + randomDelay(600))
 					for index := range world.Cores {
 						world.KillCore(index, true)
 					}
@@ -91,13 +92,13 @@
 					}
 				}
 			}},
-			{"the founder's links are cut", 80, nothing, func(world *World) {
-				world.Rest(700*time.Millisecond + some(500))
+			{"the bootstrapping core's links are cut", 80, nothing, func(world *World) {
+				world.Rest(700*time.Millisecond + randomDelay(500))
 				world.isolate(0, true)
 				world.Rest(2 * time.Second)
 				world.isolate(0, false)
 			}},
-			{"started again without word of the first start", 80, nothing, func(world *World) {
+			{"restarted, no longer counted as a first start", 80, nothing, func(world *World) {
 				world.Rest(300 * time.Millisecond)
 				for index := range world.Cores {
 					world.KillCore(index, true)
@@ -107,21 +108,24 @@
 			}},
 		}
 		for index := range 4 {
-			beginnings = append(beginnings, beginning{"one core reaches one seed only", 1 + 20*index, lonely(true), func(world *World) {
-				world.Rest(5 * time.Second)
-				lonely(false)(world)
-			}})
+			scenarios = append(
+				scenarios,
+				startScenario{"one core reaches one seed only", 1 + 20*index, isolateLastCore(true), func(world *World) {
+					world.Rest(5 * time.Second)
+					isolateLastCore(false)(world)
+				}},
+			)
 		}
 		for _, cores := range []int{3, 4, 5} {
-			for _, beginning := range beginnings {
+			for _, scenario := range scenarios {
 				world := NewFarWorld(seed, cores)
-				beginning.before(world)
+				scenario.before(world)
 				for index := range world.Cores {
 					world.StartCore(index)
-					world.Rest(some(beginning.apart))
+					world.Rest(randomDelay(scenario.maxDelayMs))
 				}
-				beginning.after(world)
-				world.oneRoster(test, fmt.Sprintf("%d cores, %s", cores, beginning.name), cores)
+				scenario.after(world)
+				world.requireOneMembership(test, fmt.Sprintf("%d cores, %s", cores, scenario.name), cores)
 				world.report(test)
 				world.CloseFar()
 			}
@@ -129,8 +133,8 @@
 	})
 }
 
-// A core that starts long after the others is not in the roster and doesn't
-// vote; it brings operators' orders to the leader.
+// A core that starts long after the others is not a member and doesn't vote; it forwards
+// operators' requests to the leader.
 func TestLateCoreForwards(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 4)
@@ -138,56 +142,56 @@
 		for index := range 3 {
 			world.StartCore(index)
 		}
-		world.oneRoster(test, "three of four", 3)
+		world.requireOneMembership(test, "three of four started", 3)
 		world.StartCore(3)
 		world.Rest(3 * time.Second)
 		late := world.Cores[3]
 		if late.Core.CanVote() {
-			world.broke("a core outside the roster votes")
+			world.broke("a core that is not a member votes")
 		}
 		for version := uint64(2); version < 6; version++ {
 			if _, err := order(world, world.holds()[3:], message.MethodRoutingChange, WholeChange(version, version-1)); err != nil {
-				world.broke("through the late core: %v", err)
+				world.broke("change through the late core: %v", err)
 			}
 			leader := world.Leader()
 			world.KillCore(leader, true)
 			world.StartCore(leader)
 		}
-		if held := world.rosters(); len(held) != 1 {
-			world.broke("%v", held)
+		if memberships := world.rosters(); len(memberships) != 1 {
+			world.broke("cores store differing memberships: %v", memberships)
 		}
 		world.report(test)
 	})
 }
 
-// A core back with a blank disk takes the roster from the others and votes only
-// once it fenced so many that nothing it helped to decide is lost.
-func TestBlankCoreComesBack(test *testing.T) {
+// A core that returns with a blank disk takes the membership from the others and votes only
+// once it has fenced enough of them that nothing it helped to decide is lost.
+func TestWipedCoreRejoins(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := NewFarWorld(seed, cores)
 			for index := range world.Cores {
 				world.StartCore(index)
 			}
-			world.oneRoster(test, "at first", cores)
+			world.requireOneMembership(test, "after the start", cores)
 			for round := range 4 {
-				lost := (int(seed) + round) % cores
+				wiped := (int(seed) + round) % cores
 				if err := world.Put(uint64(round+2), uint64(round+1)); err != nil {
 					world.broke("%v", err)
 				}
-				world.WipeCore(lost)
+				world.WipeCore(wiped)
 				world.Rest(time.Duration(round) * 400 * time.Millisecond)
-				world.StartCore(lost)
-				if !world.Until(15*time.Second, func() bool { return world.Cores[lost].Core.CanVote() }) {
-					world.broke("core %d does not vote again", lost)
+				world.StartCore(wiped)
+				if !world.Until(15*time.Second, func() bool { return world.Cores[wiped].Core.CanVote() }) {
+					world.broke("core %d does not vote again within 15 s", wiped)
 				}
 				state, err := world.Book()
 				if err != nil || state.Config.Version != uint64(round+2) {
-					world.broke("read back %+v %v", state, err)
+					world.broke("read %+v %v after a core was wiped", state, err)
 				}
 			}
-			if held := world.rosters(); len(held) != 1 {
-				world.broke("%v", held)
+			if memberships := world.rosters(); len(memberships) != 1 {
+				world.broke("cores store differing memberships: %v", memberships)
 			}
 			world.report(test)
 			world.CloseFar()
@@ -195,24 +199,23 @@
 	})
 }
 
-// While one of three is away nobody founds anything; one that lost its disk
-// before there was a roster, and no longer counts as new, founds nothing either.
-func TestNobodyFoundsAlone(test *testing.T) {
+// No membership is initialized while one of three cores is missing.
+func TestMembershipIsNotInitializedWhileACoreIsMissing(test *testing.T) {
 	each(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
-		away := int(seed) % 3
+		missing := int(seed) % 3
 		for index := range world.Cores {
-			if index != away {
+			if index != missing {
 				world.StartCore(index)
 			}
 		}
 		world.Rest(10 * time.Second)
-		if held := world.rosters(); len(held) != 0 || world.Leader() >= 0 {
-			world.broke("two of three founded %v", held)
+		if memberships := world.rosters(); len(memberships) != 0 || world.Leader() >= 0 {
+			world.broke("two of three cores initialized %v", memberships)
 		}
-		world.StartCore(away)
-		world.oneRoster(test, "the third came", 3)
+		world.StartCore(missing)
+		world.requireOneMembership(test, "after the third core started", 3)
 		world.report(test)
 	})
 }
