--- a/harness/simulation/budget_test.go
+++ b/harness/simulation/budget_test.go
@@ -12,13 +12,13 @@
 // Guards the fleet-wide retry budget: half of the backends lose every response while proxies
 // start and are killed. In any 10 s, resends stay within 20% of the first sends plus 60.
 func TestResendsInAnyTenSeconds(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 6 {
 			world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 32})
 		}
-		world.up(test, 5)
+		world.startSystem(test, 5)
 		late := world.AddDaemon("proxy", "w1")
 		world.goroutines.Start(func() {
 			world.Rest(3 * time.Second)
@@ -42,7 +42,7 @@
 			world.broke("only %d resends", resends)
 		}
 		test.Logf("%s, %v", verdicts["resends in 10 s at most 20% of first sends + 60"], report.Statuses)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
@@ -50,14 +50,14 @@
 // backends lose every response for 36 s: resends stay bounded in any 10 s and no key is
 // charged twice.
 func TestHastyCallersInAPartialOutage(test *testing.T) {
-	long(test)
-	each(test, func(test *testing.T, seed uint64) {
+	skipUnderRaceDetector(test)
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 6 {
 			world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 32})
 		}
-		world.up(test, 5)
+		world.startSystem(test, 5)
 		world.goroutines.Start(func() {
 			world.Rest(3 * time.Second)
 			for _, backend := range world.Backends[:3] {
@@ -82,6 +82,6 @@
 			report.Asked,
 			report.Statuses,
 		)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/call_limit_test.go
+++ b/harness/simulation/call_limit_test.go
@@ -15,7 +15,7 @@
 // A server handles no more calls at once than the limit, handles all of them in the end, and
 // frees the slots of callers that time out while they wait.
 func TestCallsAreLimited(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		const limit, callers = 5, 60
 		world := NewWorld(seed, 1)
 		defer world.Close()
--- a/harness/simulation/call_test.go
+++ b/harness/simulation/call_test.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// ask sends one HTTP request and returns the status and, for a refusal, the error code.
-func (world *World) ask(client *http.Client, method, url, key, header, value, body string) (int, string) {
+// send sends one HTTP request and returns the status and, for a refusal, the error code.
+func (world *World) send(client *http.Client, method, url, key, header, value, body string) (int, string) {
 	request, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
 		return 0, err.Error()
--- a/harness/simulation/catchup_test.go
+++ b/harness/simulation/catchup_test.go
@@ -122,7 +122,7 @@
 		}
 	}
 	test.Logf("caught up after %v, %d bytes of disk at most", took, world.Cores[index].Disk.MostUsed())
-	world.report(test)
+	world.reportFailures(test)
 }
 
 // A member misses many changes: soon after its return it has the newest routing in force,
@@ -181,7 +181,7 @@
 			version.Load(),
 		)
 	}
-	world.report(test)
+	world.reportFailures(test)
 }
 
 // The leader is lost at the moment when a core that missed changes returns: the two that are
@@ -231,6 +231,6 @@
 	if err != nil || state.Config.Version != version.Load() {
 		world.broke("read %+v, version %d was acknowledged: %v", state, version.Load(), err)
 	}
-	world.report(test)
+	world.reportFailures(test)
 	return world.Leader() == index
 }
--- a/harness/simulation/change_test.go
+++ b/harness/simulation/change_test.go
@@ -13,10 +13,10 @@
 // Measures how long an operator waits for a change sent through a daemon just as the leader
 // is stopped: with the platform's notice, killed without one, or frozen.
 func TestLeaderChangeAsOperatorsSeeIt(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.up(test, 2)
+		world.startSystem(test, 2)
 		ended := atomic.Bool{}
 		ended.Store(true)
 		waits, serial := map[string][]time.Duration{}, uint64(1)
@@ -68,6 +68,6 @@
 			slices.Sort(waits[kind])
 			test.Logf("%s: %v", kind, waits[kind])
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/changes_during_partition_test.go
+++ b/harness/simulation/changes_during_partition_test.go
@@ -75,7 +75,7 @@
 
 // partitionCore cuts a core off from the others or rejoins it: both directions ("cut"),
 // outgoing only ("mute"), incoming only ("deaf"), or all its traffic ("frozen").
-func (world *World) lose(index int, kind string, cut bool) {
+func (world *World) partitionCore(index int, kind string, cut bool) {
 	host := world.Cores[index].Host
 	for other := range world.Cores {
 		if other == index {
@@ -115,7 +115,7 @@
 // any call, as restarted cores may elect another at once. Before the cut it answers the same
 // calls definitely.
 func TestPartitionedLeaderGivesNoDefiniteAnswer(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"cut", "mute", "deaf", "frozen"} {
 			for _, restarted := range []bool{false, true} {
 				world := NewFarWorld(seed, 3+2*int(seed%2))
@@ -127,7 +127,7 @@
 						world.broke("before the partition, %s: %v", call.name, err)
 					}
 				}
-				world.lose(leader, kind, true)
+				world.partitionCore(leader, kind, true)
 				for index := range world.Cores {
 					if restarted && index != leader {
 						world.KillCore(index, true)
@@ -162,12 +162,12 @@
 						world.Rest(3 * time.Second)
 					}
 				}
-				world.lose(leader, kind, false)
+				world.partitionCore(leader, kind, false)
 				if !world.Until(40*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return pending == 0 }) {
 					world.broke("%s: %d calls without an answer", kind, pending)
 				}
 				client.Close()
-				world.report(test)
+				world.reportFailures(test)
 				world.CloseFar()
 			}
 		}
--- a/harness/simulation/claims_test.go
+++ b/harness/simulation/claims_test.go
@@ -40,7 +40,7 @@
 // retention period: storage grows only with the keys that are still remembered, and old
 // claims are deleted from disk too.
 func TestClaimStorageIsBounded(test *testing.T) {
-	long(test)
+	skipUnderRaceDetector(test)
 	synctest.Test(test, func(test *testing.T) {
 		world := NewWorld(3, 1)
 		defer world.Close()
--- a/harness/simulation/clock_outage_test.go
+++ b/harness/simulation/clock_outage_test.go
@@ -8,7 +8,7 @@
 // All cores are killed at once and restart with wrong clocks. Daemons that kept running know
 // the time of day: their usage windows continue, each reported once and correctly.
 func TestUsageWindowsSurviveRestartWithWrongClocks(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, jump := range []int64{5000, -5000, 3_600_000, -3_600_000} {
 			world := NewFarWorld(seed, 3+2*int(seed%2))
 			meters := newMeters(world)
@@ -36,7 +36,7 @@
 			for index := range world.Broken[before:] {
 				world.Broken[before+index] = time.Duration(jump*1e6).String() + ": " + world.Broken[before+index]
 			}
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseFar()
 		}
 	})
--- a/harness/simulation/cold_test.go
+++ b/harness/simulation/cold_test.go
@@ -12,13 +12,13 @@
 // Cold backends join under load while proxies start, restart and are cut off from the cores:
 // in no second does a backend get more requests than its gentle rate.
 func TestColdBackendsAreNotFlooded(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 3 {
 			world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 32})
 		}
-		world.up(test, 7)
+		world.startSystem(test, 7)
 		late := world.AddDaemon("proxy", "w1")
 		plan := world.plan(70, 14)
 		plan.Calls = plan.Calls[1:2]
@@ -50,6 +50,6 @@
 			world.broke("cold backends got fewer than 20 requests: %s", detail)
 		}
 		test.Logf("%d of %d served, %s", report.Served, report.Asked, detail)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/combined_faults_test.go
+++ b/harness/simulation/combined_faults_test.go
@@ -11,7 +11,7 @@
 // every kind of process, with concurrent operators and load: all verdicts are checked. To
 // repeat one seed: -run Everything -seed N -seeds 1 -v.
 func TestEverythingAtOnce(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		worlds := []*World{NewWorld(seed, 3)}
 		worlds = append(worlds, worlds[0].Neighbour(3))
 		worlds[1].Seed = seed + 10_000
@@ -20,7 +20,7 @@
 			for index := range 6 {
 				world.AddBackend("meters", []string{"e1", "w1", "s1"}[index%3], standin.BackendConfig{WorkMs: 10, Room: 64, GentleRate: 10})
 			}
-			world.up(test, 8)
+			world.startSystem(test, 8)
 			world.reports = true
 		}
 		for index, world := range worlds {
@@ -47,7 +47,7 @@
 			return ended == 2
 		})
 		for _, world := range worlds {
-			world.report(test)
+			world.reportFailures(test)
 		}
 	})
 }
--- a/harness/simulation/control_test.go
+++ b/harness/simulation/control_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	contactSpan            = 5 * time.Second
-	inForceSpan            = 4 * time.Second
+	settleTime             = 5 * time.Second
+	propagationLimit       = 4 * time.Second
 	faultPropagationMargin = 10 * time.Second
 	ackLimit               = 5 * time.Second
 	leaseDuration          = 3 * time.Second
@@ -47,8 +47,8 @@
 	at     time.Time
 }
 
-// Control runs the control plane under faults and checks its guarantees.
-type Control struct {
+// ControlChecker runs the control plane under faults and checks its guarantees.
+type ControlChecker struct {
 	world  *World
 	meters *meters
 
@@ -61,19 +61,19 @@
 	stopped  bool
 	running  int
 
-	// losesAnswers makes operators repeat some acknowledged requests, as if the responses were lost.
-	losesAnswers bool
+	// resendsAcknowledged makes operators repeat some acknowledged requests, as if the responses were lost.
+	resendsAcknowledged bool
 }
 
-func (world *World) Control() *Control {
-	checker := &Control{world: world, versions: map[uint64]uint64{}, tables: map[message.TableVersion]string{}}
+func (world *World) newControlChecker() *ControlChecker {
+	checker := &ControlChecker{world: world, versions: map[uint64]uint64{}, tables: map[message.TableVersion]string{}}
 	checker.meters = newMeters(world)
 	world.Metering.Report = checker.checkReport
 	return checker
 }
 
 // duringFault records which cores and members are affected while do runs.
-func (checker *Control) duringFault(cores []int, members []*FarDaemon, do func()) {
+func (checker *ControlChecker) duringFault(cores []int, members []*FarDaemon, do func()) {
 	interval := &faultInterval{cores: cores, members: members, begin: time.Now()}
 	checker.mutex.Lock()
 	checker.faults = append(checker.faults, interval)
@@ -85,7 +85,7 @@
 }
 
 // unaffected returns how many cores had no fault in a period, and whether the member had none.
-func (checker *Control) unaffected(from, until time.Time, member *FarDaemon) (int, bool) {
+func (checker *ControlChecker) unaffected(from, until time.Time, member *FarDaemon) (int, bool) {
 	checker.mutex.Lock()
 	defer checker.mutex.Unlock()
 	affected, unaffected := map[int]bool{}, true
@@ -101,9 +101,9 @@
 	return len(checker.world.Cores) - len(affected), unaffected
 }
 
-func (checker *Control) quorum() int { return len(checker.world.Cores)/2 + 1 }
+func (checker *ControlChecker) quorum() int { return len(checker.world.Cores)/2 + 1 }
 
-func (checker *Control) startLoop(step func() bool) {
+func (checker *ControlChecker) startLoop(step func() bool) {
 	checker.mutex.Lock()
 	checker.running++
 	checker.mutex.Unlock()
@@ -122,7 +122,7 @@
 	})
 }
 
-func (checker *Control) stop(limit time.Duration) bool {
+func (checker *ControlChecker) stop(limit time.Duration) bool {
 	checker.mutex.Lock()
 	checker.stopped = true
 	checker.mutex.Unlock()
@@ -130,7 +130,7 @@
 }
 
 // newestAcknowledged returns the highest version and serial that were acknowledged by a time.
-func (checker *Control) newestAcknowledged(by time.Time) (version, serial uint64) {
+func (checker *ControlChecker) newestAcknowledged(by time.Time) (version, serial uint64) {
 	checker.mutex.Lock()
 	defer checker.mutex.Unlock()
 	for _, request := range checker.requests {
@@ -141,13 +141,13 @@
 	return version, serial
 }
 
-func (checker *Control) finishRequest(request *operatorRequest, serial uint64, err error) {
+func (checker *ControlChecker) finishRequest(request *operatorRequest, serial uint64, err error) {
 	checker.mutex.Lock()
 	defer checker.mutex.Unlock()
 	request.serial, request.err, request.end = serial, err, time.Now()
 }
 
-func (checker *Control) startRequest(request *operatorRequest) *operatorRequest {
+func (checker *ControlChecker) startRequest(request *operatorRequest) *operatorRequest {
 	checker.mutex.Lock()
 	defer checker.mutex.Unlock()
 	request.begin = time.Now()
@@ -156,7 +156,7 @@
 }
 
 // changeRouting reads the routing and sends a change based on it.
-func (checker *Control) changeRouting(forwarders []*agent.Forwarder, random *rand.Rand, number uint64) {
+func (checker *ControlChecker) changeRouting(forwarders []*agent.Forwarder, random *rand.Rand, number uint64) {
 	if len(forwarders) == 0 {
 		return
 	}
@@ -181,14 +181,14 @@
 		return
 	}
 	checker.finishRequest(request, accepted.Serial, nil)
-	if checker.losesAnswers && random.IntN(4) == 0 {
+	if checker.resendsAcknowledged && random.IntN(4) == 0 {
 		checker.resend(forwarders, request)
 	}
 }
 
 // resend repeats a request through other entry points, as an operator does that got no
 // response.
-func (checker *Control) resend(forwarders []*agent.Forwarder, acknowledged *operatorRequest) {
+func (checker *ControlChecker) resend(forwarders []*agent.Forwarder, acknowledged *operatorRequest) {
 	request := checker.startRequest(&operatorRequest{target: acknowledged.target, base: acknowledged.base, version: acknowledged.version})
 	response, err := order(
 		checker.world,
@@ -204,7 +204,7 @@
 }
 
 // operatorLoop returns the step of an operator that uses all entry points in random order.
-func (checker *Control) operatorLoop(number uint64) func() bool {
+func (checker *ControlChecker) operatorLoop(number uint64) func() bool {
 	random := rand.New(rand.NewPCG(checker.world.Seed, 100+number))
 	zone, evacuate := fmt.Sprint("z", number), false
 	return func() bool {
@@ -232,7 +232,7 @@
 
 // durableCopies returns how many disks would keep a serial after a power loss now, and how
 // many are blank.
-func (checker *Control) durableCopies(serial uint64) (copies, blank int) {
+func (checker *ControlChecker) durableCopies(serial uint64) (copies, blank int) {
 	for _, disk := range checker.world.voterDisks() {
 		store, err := replica.OpenStore(disk.Copy())
 		if err != nil || !store.State().Initialized {
@@ -245,7 +245,7 @@
 }
 
 // checkMembers checks the routing that members have in force.
-func (checker *Control) checkMembers() bool {
+func (checker *ControlChecker) checkMembers() bool {
 	now := time.Now()
 	checker.world.sameTables(checker.tables)
 	for _, member := range checker.world.Members {
@@ -274,14 +274,14 @@
 		}
 	}
 	for _, member := range checker.world.Members {
-		cores, unaffected := checker.unaffected(now.Add(-contactSpan), now, member)
+		cores, unaffected := checker.unaffected(now.Add(-settleTime), now, member)
 		if !unaffected || !member.Alive {
 			continue
 		}
-		limit := inForceSpan
+		limit := propagationLimit
 		if cores < len(checker.world.Cores) {
 			limit += faultPropagationMargin
-			if cores, _ = checker.unaffected(now.Add(-limit-contactSpan), now, member); cores < checker.quorum() {
+			if cores, _ = checker.unaffected(now.Add(-limit-settleTime), now, member); cores < checker.quorum() {
 				continue
 			}
 		}
@@ -300,7 +300,7 @@
 }
 
 // checkReport counts a report and checks that holders do not alternate within a lease's duration.
-func (checker *Control) checkReport(report control.WindowReport) control.ReportResult {
+func (checker *ControlChecker) checkReport(report control.WindowReport) control.ReportResult {
 	result := checker.meters.report(report)
 	if result == control.ReportFenced {
 		return result
@@ -325,7 +325,7 @@
 }
 
 // checkRequests checks, at the end, all responses to operators.
-func (checker *Control) judge(test *testing.T) {
+func (checker *ControlChecker) checkRequests(test *testing.T) {
 	world := checker.world
 	state, err := world.Book()
 	if err != nil {
@@ -348,7 +348,7 @@
 			late++
 			checker.mutex.Unlock()
 			if cores, _ := checker.unaffected(
-				request.begin.Add(-contactSpan),
+				request.begin.Add(-settleTime),
 				request.begin.Add(ackLimit),
 				nil,
 			); cores >= checker.quorum() {
@@ -398,7 +398,7 @@
 	if state.History.Forgotten > 0 || acknowledged < 15 {
 		world.broke("%d routings acknowledged, want at least 15; %d in the history, none forgotten", acknowledged, state.History.Count)
 	}
-	if memberships := world.rosters(); len(memberships) != 1 {
+	if memberships := world.storedMemberships(); len(memberships) != 1 {
 		world.broke("cores store differing memberships: %v", memberships)
 	}
 	test.Logf(
@@ -413,7 +413,7 @@
 }
 
 // start starts operators, requests and the checks of members.
-func (checker *Control) begin() {
+func (checker *ControlChecker) start() {
 	for number := range uint64(3) {
 		checker.startLoop(checker.operatorLoop(number))
 	}
@@ -429,29 +429,29 @@
 // Runs the control plane across regions under all faults: acknowledged changes last and are
 // in force in time, no version is rolled back, and usage reports have one holder at a time.
 func TestControlSideUnderEverything(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3+2*int(seed%2))
-		checker := world.Control()
+		checker := world.newControlChecker()
 		defer world.CloseFar()
 		world.farUp(test, 6)
-		world.Rest(contactSpan)
-		checker.begin()
-		faults, linkFaults := checker.injector(0, SideFaults, CoreFaults), checker.injector(1, SideLinkFaults, CoreLinkFaults)
+		world.Rest(settleTime)
+		checker.start()
+		faults, linkFaults := checker.newInjector(0, ControlFaults, CoreFaults), checker.newInjector(1, ControlLinkFaults, CoreLinkFaults)
 		ended := false
 		world.goroutines.Start(func() {
-			linkFaults.Run(2 * chaosSpan())
+			linkFaults.Run(2 * faultDuration())
 			checker.mutex.Lock()
 			ended = true
 			checker.mutex.Unlock()
 		})
-		faults.Run(2 * chaosSpan())
+		faults.Run(2 * faultDuration())
 		world.Until(time.Minute, func() bool { checker.mutex.Lock(); defer checker.mutex.Unlock(); return ended })
-		world.Rest(contactSpan + inForceSpan)
+		world.Rest(settleTime + propagationLimit)
 		if !checker.stop(60 * time.Second) {
 			test.Fatal("operator requests did not end within 60 s")
 		}
-		checker.judge(test)
-		test.Logf("faults %v, link faults %v", faults.chaos.Done, linkFaults.chaos.Done)
-		world.report(test)
+		checker.checkRequests(test)
+		test.Logf("faults %v, link faults %v", faults.randomFaults.Done, linkFaults.randomFaults.Done)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/drain_test.go
+++ b/harness/simulation/drain_test.go
@@ -105,7 +105,7 @@
 // Guards against requests to a backend more than 3 s after the list shows that it leaves: the
 // leader, far from the platform, read 22 pages one after the other before it sent an update.
 func TestDrainIsInForceInTimeWithALongListFarAway(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 5)
 		defer world.CloseFar()
 		random := rand.New(rand.NewPCG(seed, 53))
@@ -128,14 +128,14 @@
 				world.broke("%s: drain in force everywhere only after %v", name, took)
 			}
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // Guards against late drains: waiting daemons were only notified of an update and had to fetch
 // it with a second round trip to the leader.
 func TestSmallUpdateComesWithTheWatch(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 5)
 		defer world.CloseFar()
 		list := newPagedList(world, listPage)
@@ -159,7 +159,7 @@
 				)
 			}
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
--- a/harness/simulation/duel_test.go
+++ b/harness/simulation/duel_test.go
@@ -32,7 +32,7 @@
 // and the others become candidates at nearly the same time. One gives way, and the next
 // leader is elected soon.
 func TestCandidatesGiveWayWhileACoreHangs(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := NewFarWorld(seed, cores)
 			world.farUp(test, 0)
@@ -47,7 +47,7 @@
 			if median > medianLeaderless || worst > worstLeaderless {
 				world.broke("%d cores: too long without a leader: %v", cores, spans)
 			}
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseFar()
 		}
 	})
--- a/harness/simulation/duty_test.go
+++ b/harness/simulation/duty_test.go
@@ -11,7 +11,7 @@
 // A leader that is cut off from the others reports no usage from that moment on, as another
 // may hold the reporting lease at once.
 func TestPartitionedLeaderReportsNoUsage(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"cut", "mute", "deaf"} {
 			world := NewFarWorld(seed, 3)
 			newMeters(world)
@@ -28,10 +28,10 @@
 				holder := world.Cores[leader].Host
 				world.Until(30*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return len(reported[holder]) > 0 })
 				world.Rest(time.Duration(seed*37%11) * 100 * time.Millisecond)
-				world.lose(leader, kind, true)
+				world.partitionCore(leader, kind, true)
 				since := time.Now()
 				world.Rest(10 * time.Second)
-				world.lose(leader, kind, false)
+				world.partitionCore(leader, kind, false)
 				mutex.Lock()
 				if len(reported[holder]) == 0 {
 					world.broke("%s: the leader made no report before the partition", kind)
@@ -44,7 +44,7 @@
 				reported = map[string][]time.Time{}
 				mutex.Unlock()
 			}
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseFar()
 		}
 	})
--- a/harness/simulation/election_test.go
+++ b/harness/simulation/election_test.go
@@ -15,15 +15,15 @@
 )
 
 var (
-	seeds     = flag.Int("seeds", 2, "number of seeds per simulated test")
-	firstSeed = flag.Int("seed", 1, "first seed")
-	showLogs  = flag.Bool("loud", false, "show the logs of the simulated processes")
+	seedsPerTest = flag.Int("seeds", 2, "number of seeds per simulated test")
+	firstSeed    = flag.Int("seed", 1, "first seed")
+	showLogs     = flag.Bool("loud", false, "show the logs of the simulated processes")
 )
 
 func TestMain(main *testing.M) {
 	flag.Parse()
-	if raced && *seeds == 2 {
-		*seeds = 1
+	if raced && *seedsPerTest == 2 {
+		*seedsPerTest = 1
 	}
 	if !*showLogs {
 		klog.LogToStderr(false)
@@ -32,13 +32,13 @@
 	os.Exit(main.Run())
 }
 
-// each runs a test once per seed, each in virtual time of its own.
-func each(test *testing.T, run func(test *testing.T, seed uint64)) {
-	eachOf(test, *seeds, run)
+// forEachSeed runs a test once per seed, each in virtual time of its own.
+func forEachSeed(test *testing.T, run func(test *testing.T, seed uint64)) {
+	forSeeds(test, *seedsPerTest, run)
 }
 
-// eachOf runs a test for count seeds.
-func eachOf(test *testing.T, count int, run func(test *testing.T, seed uint64)) {
+// forSeeds runs a test for count seeds.
+func forSeeds(test *testing.T, count int, run func(test *testing.T, seed uint64)) {
 	for seed := *firstSeed; seed < *firstSeed+count; seed++ {
 		test.Run(fmt.Sprint(seed), func(test *testing.T) {
 			if !raced {
@@ -49,24 +49,24 @@
 	}
 }
 
-func (world *World) report(test *testing.T) {
+func (world *World) reportFailures(test *testing.T) {
 	test.Helper()
 	for _, failure := range world.Broken {
 		test.Error(failure)
 	}
 }
 
-// long skips a long test under the race detector, which needs the code paths but not
-// many random cases: TestEverythingAtOnce covers the same paths under it.
-func long(test *testing.T) {
+// skipUnderRaceDetector skips a long test under the race detector, which needs the code paths
+// but not many random cases: TestEverythingAtOnce covers the same paths under it.
+func skipUnderRaceDetector(test *testing.T) {
 	test.Helper()
 	if raced {
 		test.Skip("runs without the race detector")
 	}
 }
 
-// up starts cores and daemons and puts the first settings in force.
-func (world *World) up(test *testing.T, daemons int) {
+// startSystem starts cores and daemons and puts the first settings in force.
+func (world *World) startSystem(test *testing.T, daemons int) {
 	test.Helper()
 	world.List()
 	for index := range world.Cores {
@@ -87,13 +87,13 @@
 }
 
 func TestAcknowledgedChangesSurviveRandomFaults(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3+2*int(seed%5/4))
 		defer world.Close()
-		world.up(test, 3)
+		world.startSystem(test, 3)
 		ledger := world.Operators(3, 150*time.Millisecond)
 		faults := world.RandomFaults()
-		faults.Run(chaosSpan())
+		faults.Run(faultDuration())
 		ledger.Stop()
 		world.judge(ledger)
 		if len(ledger.Acked) < 10 {
@@ -119,12 +119,12 @@
 			checker.Quantile(ledger.AnswerMs, 1),
 			faults.Done,
 		)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
-// chaosSpan is shorter under the race detector, which does not need many random cases.
-func chaosSpan() time.Duration {
+// faultDuration is shorter under the race detector, which does not need many random cases.
+func faultDuration() time.Duration {
 	if raced {
 		return 10 * time.Second
 	}
--- a/harness/simulation/evacuated_test.go
+++ b/harness/simulation/evacuated_test.go
@@ -13,18 +13,18 @@
 // Once a zone is drained, its proxies still serve callers whose placement is valid, and then
 // refuse all requests. After the drain ends they serve again.
 func TestDrainedZoneIsNotServed(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for _, zone := range []string{"e1", "w1", "s1"} {
 			world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 32})
 		}
-		world.up(test, 5)
+		world.startSystem(test, 5)
 		_, client := world.Origin(world.plan(1, 1))
 		defer client.CloseIdleConnections()
 		proxy := world.Daemons[1]
 		call := func(header string) (int, string) {
-			return world.ask(client, "GET", "http://"+proxy.PublicAddress+"/meters/pages/1", "key-of-alder", header, "k", "")
+			return world.send(client, "GET", "http://"+proxy.PublicAddress+"/meters/pages/1", "key-of-alder", header, "k", "")
 		}
 		drain := func(base uint64, zones []string) {
 			body, _ := json.Marshal(map[string]any{"drained": map[string]any{"zones": zones}})
@@ -53,6 +53,6 @@
 		if status, code := call(""); status != 200 {
 			world.broke("after the end of the drain: %d %s", status, code)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/halves_test.go
+++ b/harness/simulation/halves_test.go
@@ -70,7 +70,7 @@
 // acknowledged before it, no acknowledged change is lost, and both continue once the
 // partition heals.
 func TestReadsDuringPartitionAreNewestOrRefused(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := &partitionedWorld{World: NewFarWorld(seed, cores), random: rand.New(rand.NewPCG(seed, 101))}
 			world.farUp(test, 3)
@@ -118,7 +118,7 @@
 				)
 			}
 			test.Logf("%d cores: %d changes, %d reads, %d refused", cores, wanted, world.reads.Load(), world.refused.Load())
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseFar()
 		}
 	})
--- a/harness/simulation/injector_test.go
+++ b/harness/simulation/injector_test.go
@@ -8,28 +8,28 @@
 
 // Injector injects faults one after the other; two injectors may run at once.
 type Injector struct {
-	*Control
-	chaos      *RandomFaults
-	random     *rand.Rand
-	kinds      []string
-	coreFaults []string
-	losses     *Losses
+	*ControlChecker
+	randomFaults *RandomFaults
+	random       *rand.Rand
+	kinds        []string
+	coreFaults   []string
+	losses       *Losses
 }
 
-func (checker *Control) injector(number uint64, kinds, cores []string) *Injector {
+func (checker *ControlChecker) newInjector(number uint64, kinds, cores []string) *Injector {
 	injector := &Injector{
-		Control:    checker,
-		chaos:      checker.world.RandomFaults(),
-		random:     rand.New(rand.NewPCG(checker.world.Seed, 83+number)),
-		kinds:      kinds,
-		coreFaults: cores,
+		ControlChecker: checker,
+		randomFaults:   checker.world.RandomFaults(),
+		random:         rand.New(rand.NewPCG(checker.world.Seed, 83+number)),
+		kinds:          kinds,
+		coreFaults:     cores,
 	}
-	injector.chaos.random = rand.New(rand.NewPCG(checker.world.Seed, 183+number))
+	injector.randomFaults.random = rand.New(rand.NewPCG(checker.world.Seed, 183+number))
 	return injector
 }
 
-// SideFaults are the faults of the whole control plane; "core" draws one of a single core's.
-var SideFaults = []string{
+// ControlFaults are the faults of the whole control plane; "core" draws one of a single core's.
+var ControlFaults = []string{
 	"core",
 	"core",
 	"core",
@@ -48,13 +48,13 @@
 	"calm",
 }
 
-// SideLinkFaults run concurrently with those and stop no process.
+// ControlLinkFaults run concurrently with those and stop no process.
 var (
-	SideLinkFaults = []string{"core", "member-frozen", "member-cut", "calm"}
-	CoreLinkFaults = []string{"freeze", "cut", "one-way", "alone", "faults"}
+	ControlLinkFaults = []string{"core", "member-frozen", "member-cut", "calm"}
+	CoreLinkFaults    = []string{"freeze", "cut", "one-way", "alone", "faults"}
 )
 
-func (injector *Injector) span(least, most int) time.Duration {
+func (injector *Injector) randomDuration(least, most int) time.Duration {
 	return time.Duration(least+injector.random.IntN(most-least)) * time.Millisecond
 }
 
@@ -72,14 +72,14 @@
 		machines = append(machines, injector.world.machine(index))
 	}
 	if !injector.losses.Take(machines, reserveLimit) {
-		injector.chaos.Done["skipped"]++
+		injector.randomFaults.Done["skipped"]++
 		return nil, false
 	}
 	return func() { injector.losses.Give(machines) }, true
 }
 
-// lose is duringFault for a fault that takes the cores down for a while.
-func (injector *Injector) lose(cores []int, members []*FarDaemon, do func()) {
+// duringLoss is duringFault for a fault that takes the cores down for a while.
+func (injector *Injector) duringLoss(cores []int, members []*FarDaemon, do func()) {
 	release, reserved := injector.reserve(cores)
 	if !reserved {
 		return
@@ -88,7 +88,7 @@
 	injector.duringFault(cores, members, do)
 }
 
-func (checker *Control) every() []int {
+func (checker *ControlChecker) allCores() []int {
 	all := []int{}
 	for index := range checker.world.Cores {
 		all = append(all, index)
@@ -112,28 +112,28 @@
 		case "alone", "refuse", "full", "refuse-restart":
 			affected = []int{leader, index}
 		case "reset":
-			injector.duringFault(affected, nil, func() { injector.chaos.Inject(kind, index) })
+			injector.duringFault(affected, nil, func() { injector.randomFaults.Inject(kind, index) })
 			return
 		case "all", "stale-leader-lost", "stale-disk-lost":
-			affected = injector.every()
+			affected = injector.allCores()
 		case "wipe":
 			if injector.losses == nil {
-				affected = injector.every()
+				affected = injector.allCores()
 			}
 		case "faults":
-			injector.duringFault(injector.every(), world.Members, func() { injector.chaos.Inject(kind, index) })
+			injector.duringFault(injector.allCores(), world.Members, func() { injector.randomFaults.Inject(kind, index) })
 			return
 		}
-		injector.lose(affected, nil, func() { injector.chaos.Inject(kind, index) })
+		injector.duringLoss(affected, nil, func() { injector.randomFaults.Inject(kind, index) })
 	case "disk-fails":
-		injector.lose([]int{index}, nil, func() {
+		injector.duringLoss([]int{index}, nil, func() {
 			world.machine(index).Disk.Fail(true)
-			world.Rest(injector.span(300, 1500))
+			world.Rest(injector.randomDuration(300, 1500))
 			world.KillCore(index, true)
 			world.StartCore(index)
 		})
 	case "all-wiped", "all-down", "power-after-ack":
-		release, reserved := injector.reserve(injector.every())
+		release, reserved := injector.reserve(injector.allCores())
 		if !reserved {
 			return
 		}
@@ -145,14 +145,14 @@
 		if kind != "power-after-ack" || random.IntN(2) == 0 {
 			members = world.Members
 		}
-		injector.duringFault(injector.every(), members, func() {
+		injector.duringFault(injector.allCores(), members, func() {
 			world.killAll(kind != "all-down", len(members) > 0)
 			for offset := range tolerated {
 				if kind == "all-wiped" {
 					world.WipeCore((index + offset) % len(world.Cores))
 				}
 			}
-			world.Rest(injector.span(10, 1000))
+			world.Rest(injector.randomDuration(10, 1000))
 			world.startAll()
 			world.Until(20*time.Second, world.sound)
 		})
@@ -171,7 +171,7 @@
 			for _, index := range wiped {
 				world.WipeCore(index)
 			}
-			world.Rest(injector.span(10, 3000))
+			world.Rest(injector.randomDuration(10, 3000))
 			world.startAll()
 			if !world.Until(30*time.Second, world.sound) {
 				world.broke("%s: cores %v do not vote again within 30 s", kind, wiped)
@@ -190,14 +190,14 @@
 				members = append(members, member)
 			}
 		}
-		injector.lose(cores, members, func() {
+		injector.duringLoss(cores, members, func() {
 			for _, index := range cores {
 				world.KillCore(index, true)
 			}
 			for _, member := range members {
 				world.KillMember(member)
 			}
-			world.Rest(injector.span(500, 7000))
+			world.Rest(injector.randomDuration(500, 7000))
 			world.startAll()
 		})
 	case "cores-apart":
@@ -211,9 +211,9 @@
 				}
 			}
 		}
-		injector.lose(minority, nil, func() {
+		injector.duringLoss(minority, nil, func() {
 			cut(true)
-			world.Rest(injector.span(500, 8000))
+			world.Rest(injector.randomDuration(500, 8000))
 			cut(false)
 		})
 	case "member-killed", "members-killed":
@@ -225,13 +225,13 @@
 			for _, member := range members {
 				world.KillMember(member)
 			}
-			world.Rest(injector.span(50, 2500))
+			world.Rest(injector.randomDuration(50, 2500))
 			world.startAll()
 		})
 	case "member-frozen":
 		injector.duringFault(nil, []*FarDaemon{member}, func() {
 			world.Net.Freeze(member.Host, true)
-			world.Rest(injector.span(200, 6000))
+			world.Rest(injector.randomDuration(200, 6000))
 			world.Net.Freeze(member.Host, false)
 		})
 	case "member-cut":
@@ -248,11 +248,11 @@
 		}
 		injector.duringFault(nil, []*FarDaemon{member}, func() {
 			cut(true)
-			world.Rest(injector.span(500, 7000))
+			world.Rest(injector.randomDuration(500, 7000))
 			cut(false)
 		})
 	case "calm":
-		world.Rest(injector.span(5000, 9000))
+		world.Rest(injector.randomDuration(5000, 9000))
 	}
 }
 
@@ -260,10 +260,10 @@
 func (injector *Injector) Run(span time.Duration) {
 	for until := time.Now().Add(span); time.Now().Before(until); {
 		kind := injector.kinds[injector.random.IntN(len(injector.kinds))]
-		injector.chaos.Done[kind]++
+		injector.randomFaults.Done[kind]++
 		injector.Inject(kind)
 		if injector.random.IntN(3) > 0 {
-			injector.world.Rest(injector.span(200, 9000))
+			injector.world.Rest(injector.randomDuration(200, 9000))
 		}
 	}
 }
--- a/harness/simulation/large_state_test.go
+++ b/harness/simulation/large_state_test.go
@@ -38,7 +38,7 @@
 // deposed by the next before that ended. A leader must be elected in time, also where a core
 // has an older routing or lost its disk.
 func TestLeaderIsElectedWithALargeState(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, condition := range []string{"all hold it", "one is behind", "one lost its disk"} {
 			world := NewFarWorld(seed, 3)
 			world.farUp(test, 0)
@@ -69,7 +69,7 @@
 			if state, err := world.Book(); err != nil || state.Config.Version != 2 || len(state.Config.Routes) != manyRoutes {
 				world.broke("%s: read after recovery: %v", condition, err)
 			}
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseFar()
 		}
 	})
--- a/harness/simulation/leave_test.go
+++ b/harness/simulation/leave_test.go
@@ -28,7 +28,7 @@
 // while a learner waits: the voter that has the ID stays a voter. The voter's own
 // announcement, also in the form of an earlier release, gives its place to the learner.
 func TestLeaveNamesItsAddress(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, isOldForm := range []bool{false, true} {
 			run := newTrial(test, seed, 3, 1, "leave")
 			leader := run.leader()
@@ -76,7 +76,7 @@
 // A call of a method that an earlier release does not know returns a code of its own, so that
 // the caller can fall back to the earlier method.
 func TestUnknownMethodHasItsOwnCode(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 0)
--- a/harness/simulation/lending_test.go
+++ b/harness/simulation/lending_test.go
@@ -12,14 +12,14 @@
 // An overload of one class borrows idle capacity and gives it back: the other class is served
 // within its floor and in time throughout, whichever class is overloaded.
 func TestOverloadOfOneClassKeepsTheOthersFloor(test *testing.T) {
-	long(test)
-	each(test, func(test *testing.T, seed uint64) {
+	skipUnderRaceDetector(test)
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, overloaded := range []string{"pages", "money"} {
 			world := NewWorld(seed, 3)
 			for _, zone := range []string{"e1", "w1", "s1"} {
 				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 100, Room: 4})
 			}
-			world.up(test, 4)
+			world.startSystem(test, 4)
 			body, _ := json.Marshal(
 				map[string]any{
 					"classes": map[string]any{
@@ -70,7 +70,7 @@
 			if overloadReport.Served < 35*10 || overloadReport.Unserved == 0 {
 				world.broke("overload of %s: %d of it served, %d not served", overloaded, overloadReport.Served, overloadReport.Unserved)
 			}
-			world.report(test)
+			world.reportFailures(test)
 			world.Close()
 		}
 	})
--- a/harness/simulation/membership_test.go
+++ b/harness/simulation/membership_test.go
@@ -10,8 +10,8 @@
 	"orchidjunction/replica"
 )
 
-// rosters returns the distinct memberships on the cores' disks, each with the number of disks.
-func (world *World) rosters() map[string]int {
+// storedMemberships returns the distinct memberships on the cores' disks, each with the number of disks.
+func (world *World) storedMemberships() map[string]int {
 	counts := map[string]int{}
 	for _, machine := range world.Cores {
 		store, err := replica.OpenStore(machine.Disk.Copy())
@@ -25,13 +25,13 @@
 func (world *World) requireOneMembership(test *testing.T, scenario string, holders int) {
 	test.Helper()
 	if !world.Until(15*time.Second, func() bool {
-		memberships := world.rosters()
+		memberships := world.storedMemberships()
 		for _, count := range memberships {
 			return len(memberships) == 1 && count >= holders
 		}
 		return false
 	}) {
-		world.broke("%s: want one membership, stored on enough cores: %v", scenario, world.rosters())
+		world.broke("%s: want one membership, stored on enough cores: %v", scenario, world.storedMemberships())
 	}
 	if !world.Until(10*time.Second, func() bool { return world.Leader() >= 0 }) {
 		world.broke("%s: no leader within 10 s", scenario)
@@ -63,7 +63,7 @@
 // any moment initialize one membership, and all of them store it.
 func TestMembershipIsInitializedOnce(test *testing.T) {
 	nothing := func(*World) {}
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		random := rand.New(rand.NewPCG(seed, 37))
 		randomDelay := func(most int) time.Duration { return time.Duration(random.IntN(most)) * time.Millisecond }
 		scenarios := []startScenario{
@@ -126,7 +126,7 @@
 				}
 				scenario.after(world)
 				world.requireOneMembership(test, fmt.Sprintf("%d cores, %s", cores, scenario.name), cores)
-				world.report(test)
+				world.reportFailures(test)
 				world.CloseFar()
 			}
 		}
@@ -136,7 +136,7 @@
 // A core that starts long after the others is not a member and doesn't vote; it forwards
 // operators' requests to the leader.
 func TestLateCoreForwards(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 4)
 		defer world.CloseFar()
 		for index := range 3 {
@@ -157,17 +157,17 @@
 			world.KillCore(leader, true)
 			world.StartCore(leader)
 		}
-		if memberships := world.rosters(); len(memberships) != 1 {
+		if memberships := world.storedMemberships(); len(memberships) != 1 {
 			world.broke("cores store differing memberships: %v", memberships)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A core that returns with a blank disk takes the membership from the others and votes only
 // once it has fenced enough of them that nothing it helped to decide is lost.
 func TestWipedCoreRejoins(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := NewFarWorld(seed, cores)
 			for index := range world.Cores {
@@ -190,10 +190,10 @@
 					world.broke("read %+v %v after a core was wiped", state, err)
 				}
 			}
-			if memberships := world.rosters(); len(memberships) != 1 {
+			if memberships := world.storedMemberships(); len(memberships) != 1 {
 				world.broke("cores store differing memberships: %v", memberships)
 			}
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseFar()
 		}
 	})
@@ -201,7 +201,7 @@
 
 // No membership is initialized while one of three cores is missing.
 func TestMembershipIsNotInitializedWhileACoreIsMissing(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		missing := int(seed) % 3
@@ -211,11 +211,11 @@
 			}
 		}
 		world.Rest(10 * time.Second)
-		if memberships := world.rosters(); len(memberships) != 0 || world.Leader() >= 0 {
+		if memberships := world.storedMemberships(); len(memberships) != 0 || world.Leader() >= 0 {
 			world.broke("two of three cores initialized %v", memberships)
 		}
 		world.StartCore(missing)
 		world.requireOneMembership(test, "after the third core started", 3)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/metered_usage_test.go
+++ b/harness/simulation/metered_usage_test.go
@@ -166,7 +166,7 @@
 // Windows are reported once, whole and in time; over changes of leaders, a
 // platform that is away and the loss of all cores, no window has two counts.
 func TestWindowsAreSealedOnce(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		meters := newMeters(world)
 		defer world.CloseFar()
@@ -208,14 +208,14 @@
 		load(12 * time.Second)
 		meters.judge(calm, time.Now().UnixMilli()/meters.span-4, 25_000, 0.02)
 		test.Logf("%d windows, %d fences", meters.windowsTold(), meters.fencesSeen())
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A member that is silent as a window is sealed is waited for a while, and its
 // counts are in; one that said farewell isn't.
 func TestSilentMemberIsWaitedFor(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		meters := newMeters(world)
 		defer world.CloseFar()
@@ -243,14 +243,14 @@
 		}
 		world.Rest(5 * time.Second)
 		meters.judge(window, window, 10_000, 0)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // The first window that anything began in is reported, though the leader that
 // took the first routing died at once.
 func TestFirstWindowIsReported(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		meters := newMeters(world)
 		defer world.CloseFar()
@@ -277,14 +277,14 @@
 		}
 		world.Rest(12 * time.Second)
 		meters.judge(window, window, 12_000, 0)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A window that was sealed without a member's last counts is told again by the
 // next leader exactly so, though the counts came meanwhile.
 func TestSealedWindowNeverChanges(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		meters := newMeters(world)
 		meters.sure = true
@@ -330,14 +330,14 @@
 			}
 			meters.mutex.Unlock()
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // Wall clocks are wrong by seconds or hours on one core and on members, and jump
 // while all goes on: the time of day that all use stays near the true one.
 func TestClocksThatJump(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		random := rand.New(rand.NewPCG(seed, 31))
@@ -393,13 +393,13 @@
 			world.Rest(2 * time.Second)
 			near(fmt.Sprint("round ", round), 60)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A member that said farewell is out of the table at once, others by their silence.
 func TestFarewellLeavesTheTable(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 5)
@@ -427,6 +427,6 @@
 		if said > 600*time.Millisecond || silent < 1500*time.Millisecond || silent > 4*time.Second {
 			world.broke("left the table after %v with a farewell, %v without", said, silent)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/money_test.go
+++ b/harness/simulation/money_test.go
@@ -13,14 +13,14 @@
 // after lost answers, while proxies die, freeze, are cut off and restart, and
 // while the core is gone for a while.
 func TestMoneyOnceWhileProxiesFail(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		zones := []string{"e1", "w1", "s1"}
 		for index := range 6 {
 			world.AddBackend("meters", zones[index%3], standin.BackendConfig{WorkMs: 20, Room: 16})
 		}
-		world.up(test, 8)
+		world.startSystem(test, 8)
 		if !world.Until(5*time.Second, func() bool { return world.keepers() == 6 }) {
 			test.Fatalf("%d keepers", world.keepers())
 		}
@@ -104,7 +104,7 @@
 			harms,
 			report.Statuses,
 		)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
--- a/harness/simulation/numbers_test.go
+++ b/harness/simulation/numbers_test.go
@@ -43,7 +43,7 @@
 // moment of it. One is acknowledged and the other told that it lost, and so
 // each is told ever after, at every core.
 func TestOneNumberNamesOneConfiguration(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3+2*int(seed%2))
 		defer world.CloseFar()
 		world.farUp(test, 1)
@@ -71,14 +71,14 @@
 				world.WipeCore(leader)
 			case "calm":
 			default:
-				world.lose(leader, kind, true)
+				world.partitionCore(leader, kind, true)
 			}
 			world.Until(40*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return len(codes) == 2 })
 			if kind == "killed" || kind == "wiped" {
 				world.StartCore(leader)
 				world.openOperators(leader)
 			} else if kind != "calm" {
-				world.lose(leader, kind, false)
+				world.partitionCore(leader, kind, false)
 			}
 			mutex.Lock()
 			if codes[0]+codes[1] != http.StatusOK+http.StatusPreconditionFailed {
@@ -104,7 +104,7 @@
 			}
 			version += 3
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
@@ -112,9 +112,9 @@
 // whole or in part, through every core, after restarts, the loss of each disk in turn,
 // and of all power.
 func TestRepeatsAreKnownAfterHundredsOfChanges(test *testing.T) {
-	long(test)
+	skipUnderRaceDetector(test)
 	const changes = 400
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 1)
@@ -156,6 +156,6 @@
 			world.openOperators(index)
 		}
 		again("all power lost")
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/operator_test.go
+++ b/harness/simulation/operator_test.go
@@ -124,7 +124,7 @@
 // that the call is to go elsewhere; there all is acknowledged, and afterwards here.
 func TestCutOffEntryPointSendsItsCallersOn(test *testing.T) {
 	const answered = callerSilence + 2*farWay
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"cut", "mute", "deaf"} {
 			for _, leads := range []bool{true, false} {
 				world := NewFarWorld(seed, 3)
@@ -137,7 +137,7 @@
 				others := world.followers(lost)
 				first := wholeBody(5, 1)
 				operator.until(test, others, http.MethodPut, "/config", first)
-				world.lose(lost, kind, true)
+				world.partitionCore(lost, kind, true)
 				begin, mutex, open := time.Now(), sync.Mutex{}, 0
 				for time.Since(begin) < 20*time.Second {
 					for _, one := range []struct{ method, path, body string }{
@@ -184,7 +184,7 @@
 				operator.until(test, others, http.MethodPut, "/config", last)
 				operator.until(test, others, http.MethodPost, "/evacuate/z1", "")
 				world.Until(5*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return open == 0 })
-				world.lose(lost, kind, false)
+				world.partitionCore(lost, kind, false)
 				world.calm(test)
 				for _, body := range []string{first, last} {
 					operator.until(test, []int{lost}, http.MethodPut, "/config", body)
@@ -199,7 +199,7 @@
 					world.broke("%s: back in touch, the loser of a race: %d %s", kind, code, answer)
 				}
 				world.zoned(test, "z1", true, kind)
-				world.report(test)
+				world.reportFailures(test)
 				world.CloseFar()
 			}
 		}
@@ -209,7 +209,7 @@
 // Messages between cores come a second time, late, after the contrary order was
 // acknowledged: that one stays in force.
 func TestDoubledEvacuationDoesNotComeBack(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 1)
@@ -233,7 +233,7 @@
 			}
 			world.zoned(test, "z1", begin, "doubled")
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
@@ -241,7 +241,7 @@
 // with the order under way. The operator goes elsewhere, and on to the contrary order.
 // What was under way comes through long after and changes nothing.
 func TestLateEvacuationDoesNotComeBack(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"way to the leader cut", "way from the operator cut", "entry frozen"} {
 			for _, begin := range []bool{true, false} {
 				for _, wait := range []time.Duration{0, 20 * time.Millisecond, 80 * time.Millisecond, 180 * time.Millisecond} {
@@ -277,7 +277,7 @@
 					lose(false)
 					world.Rest(4 * time.Second)
 					world.zoned(test, "z1", !begin, kind+" after "+wait.String())
-					world.report(test)
+					world.reportFailures(test)
 					world.CloseFar()
 				}
 			}
--- a/harness/simulation/outage_test.go
+++ b/harness/simulation/outage_test.go
@@ -21,9 +21,9 @@
 // once, power too. All is back; every key is sent again, at once and after
 // minutes: no key is charged twice, and each gets the first answer or "unknown".
 func TestMoneyOutlivesEverything(test *testing.T) {
-	long(test)
+	skipUnderRaceDetector(test)
 	nothing, calm := func(*World) {}, func(*World) []standin.Try { return nil }
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []outage{
 			{"power", calm, nothing},
 			{"a core's disk lost", calm, func(world *World) { world.WipeCore(int(seed) % 3) }},
@@ -50,7 +50,7 @@
 			for _, zone := range []string{"e1", "w1", "s1"} {
 				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 20, Room: 64})
 			}
-			world.up(test, 8)
+			world.startSystem(test, 8)
 			world.Until(5*time.Second, func() bool { return world.keepers() == 6 })
 			world.Rest(time.Second)
 			tries := append(kind.before(world), world.pay(40, 0)...)
@@ -95,7 +95,7 @@
 				later,
 				replays,
 			)
-			world.report(test)
+			world.reportFailures(test)
 			world.Close()
 		}
 	})
--- a/harness/simulation/partition_test.go
+++ b/harness/simulation/partition_test.go
@@ -17,14 +17,14 @@
 // changed meanwhile, and what the lone ones do not know ends within 4 s. Healed,
 // they serve again.
 func TestCutOffStops(test *testing.T) {
-	long(test)
-	each(test, func(test *testing.T, seed uint64) {
+	skipUnderRaceDetector(test)
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cut := range []cutOff{{"alone", 1, 0, 0, healAfter}, {"region", 3, 0, 0, healAfter}, {"fewer than half", 4, 0, 0, healAfter}, {"deaf", 1, 1, 0, healAfter}, {"mute", 1, 2, 0, healAfter}, {"flapping", 2, 0, 700 * time.Millisecond, healAfter}} {
 			world := NewWorld(seed, 3)
 			for _, zone := range []string{"e1", "w1", "s1"} {
 				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
 			}
-			world.up(test, 12)
+			world.startSystem(test, 12)
 			lone := world.apart(cut.proxies, int(seed))
 			plan := world.plan(40, 16)
 			plan.Calls = plan.Calls[1:2]
@@ -59,7 +59,7 @@
 				world.broke("%s: healed, it served %d", cut.name, again)
 			}
 			test.Logf("%s: %s; %v", cut.name, details["acknowledged settings in force within 4 s"], report.Statuses)
-			world.report(test)
+			world.reportFailures(test)
 			world.Close()
 		}
 	})
@@ -102,14 +102,14 @@
 
 // The core alone is out of reach for a while: traffic and money go on at all fronts.
 func TestCoreOutOfReachStopsNothing(test *testing.T) {
-	long(test)
-	each(test, func(test *testing.T, seed uint64) {
+	skipUnderRaceDetector(test)
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for _, zone := range []string{"e1", "w1", "s1"} {
 			world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
 		}
-		world.up(test, 9)
+		world.startSystem(test, 9)
 		world.Until(5*time.Second, func() bool { return world.keepers() == 6 })
 		plan := world.plan(40, 14)
 		plan.Patient = true
@@ -137,6 +137,6 @@
 			}
 		}
 		test.Logf("%d of %d served, %v", report.Served, report.Asked, report.Statuses)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/partner_test.go
+++ b/harness/simulation/partner_test.go
@@ -11,7 +11,7 @@
 // its own the lender takes its room back; and when one partner falls whole, the
 // other's traffic does not notice.
 func TestPartnersLendFrontMachines(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		lender := NewWorld(seed, 3)
 		defer lender.Close()
 		borrower := lender.Neighbour(3)
@@ -21,8 +21,8 @@
 				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 10, Room: 64})
 			}
 		}
-		lender.up(test, 4)
-		borrower.up(test, 2)
+		lender.startSystem(test, 4)
+		borrower.startSystem(test, 2)
 		guests := []*Daemon{}
 		for index := range 2 {
 			guest := borrower.AddDaemon("proxy", []string{"e1", "w1"}[index])
@@ -79,7 +79,7 @@
 			lender.broke("%d of %d served after the other partner fell: %v", alone.Served, alone.Asked, alone.Statuses)
 		}
 		test.Logf("%d lent, %d refused, storm %d of %d", lent, refused, storm.Served, storm.Asked)
-		lender.report(test)
-		borrower.report(test)
+		lender.reportFailures(test)
+		borrower.reportFailures(test)
 	})
 }
--- a/harness/simulation/platform_test.go
+++ b/harness/simulation/platform_test.go
@@ -13,7 +13,7 @@
 // leaders die. No daemon ever holds a part of a list, and none loses a backend
 // that stayed listed; one that left is gone in the end.
 func TestPlatformListWholeOrNot(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		random := rand.New(rand.NewPCG(seed, 47))
@@ -79,6 +79,6 @@
 			world.broke("a backend that left is still held: %d", len(daemon.Daemon.Version().Table.Backends))
 		}
 		test.Logf("looked %d times, %d leaderships, %d reads refused by the platform", versions, len(world.Leads), world.Platform.Limited)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/recovery_test.go
+++ b/harness/simulation/recovery_test.go
@@ -102,7 +102,7 @@
 // All end just after a routing was acknowledged: by a kill, by the loss of power,
 // or with as many disks as may be lost. Members serve it soon after the start.
 func TestServedSoonAfterAllEnded(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := NewFarWorld(seed, cores)
 			world.farUp(test, 4)
@@ -157,7 +157,7 @@
 					world.broke("%d cores, %s: read back %+v %v", cores, kind, state, err)
 				}
 			}
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseFar()
 		}
 	})
@@ -196,7 +196,7 @@
 // A routing that less than a majority accepted is told to nobody before a leader
 // decides on it, and after that all hold the same.
 func TestUndecidedIsNotHandedOut(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			for _, apart := range []bool{true, false} {
 				world := NewFarWorld(seed, cores)
@@ -246,7 +246,7 @@
 						world.broke("%d decided, %s holds %d", state.Config.Version, one.Name, one.serves())
 					}
 				}
-				world.report(test)
+				world.reportFailures(test)
 				world.CloseFar()
 			}
 		}
@@ -255,7 +255,7 @@
 
 // A core that restarts alone leaves the leader where it is.
 func TestRestartAloneDisturbsNobody(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3+2*int(seed%2))
 		defer world.CloseFar()
 		world.farUp(test, 2)
@@ -278,7 +278,7 @@
 		if after := world.leads(); after != before || world.Leader() != leader {
 			world.broke("core %d led, then %v", leader+1, world.Leads[before:])
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
@@ -301,7 +301,7 @@
 
 // Cores that start again together stand in turn: one fence, one leadership, and soon.
 func TestCoresStandInTurn(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := NewFarWorld(seed, cores)
 			world.farUp(test, 0)
@@ -333,7 +333,7 @@
 				world.startAll()
 			}
 			test.Logf("%d cores: the latest leader stood after %v", cores, longest)
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseFar()
 		}
 	})
@@ -343,7 +343,7 @@
 // leads nothing; members in touch with the others go on to what is newer, and
 // back in touch it follows without disturbing.
 func TestRestartedCutOff(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 2)
@@ -380,7 +380,7 @@
 		if after := world.leads(); after != before || world.Leader() != leader {
 			world.broke("back in touch the lone core made %v", world.Leads[before:])
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
@@ -399,7 +399,7 @@
 // Members start under cores that restart too and hold tables of no leader, each
 // core's another; under a leader's mark all hold the same nonetheless.
 func TestTablesOfNoLeaderAreNoGroundForChanges(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for range 3 {
 			world := NewFarWorld(seed, 3)
 			backends := []message.Backend{}
@@ -436,7 +436,7 @@
 					world.broke("%s holds %+v", one.Name, table)
 				}
 			}
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseFar()
 		}
 	})
@@ -445,7 +445,7 @@
 // All cores restart under living members. A table from before a leader replaces
 // no leader's, and the next leader's keeps a member that can't speak just then.
 func TestTableBeforeALeaderIsTheOldest(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.Listed = func(discovery.PageRequest) discovery.Page {
@@ -501,14 +501,14 @@
 				world.broke("round %d: the new member has no table", round)
 			}
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A leader that others have replaced without its knowledge does not refuse an
 // order for a base it never heard of: that may be in force already.
 func TestReplacedLeaderRefusesNoNewerBase(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		refused := 0
 		for range 4 {
 			world := NewFarWorld(seed, 3)
@@ -567,7 +567,7 @@
 				refused++
 			}
 			client.Close()
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseFar()
 		}
 		test.Log(fmt.Sprint(refused, " sent on"))
--- a/harness/simulation/refuse_test.go
+++ b/harness/simulation/refuse_test.go
@@ -12,7 +12,7 @@
 // a leader hands the lead on; orders are acknowledged throughout; with room again the
 // core votes and holds what was ordered meanwhile, without a restart.
 func TestCoreWithARefusingDiskStaysUp(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 3)
@@ -67,14 +67,14 @@
 				world.broke("%s: holds serial %d on its disk, another %d", kind, held, world.lasts((index+1)%3))
 			}
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A follower's disk does not answer for ten seconds while orders go on: the leader
 // does not send it the same values at each beat, and it catches up afterwards.
 func TestStalledDiskIsNotSentValuesAgainAndAgain(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 3)
@@ -100,14 +100,14 @@
 		if world.lasts(index) != world.lasts(leader) {
 			world.broke("holds serial %d, the leader %d", world.lasts(index), world.lasts(leader))
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // The leader's disk does not answer for some seconds while orders go on, and then no
 // more are made: it goes on leading and soon holds itself what the others took.
 func TestLeaderHoldsWhatItsStalledDiskMissed(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 3)
@@ -130,7 +130,7 @@
 				world.lasts((leader+1)%3),
 			)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
--- a/harness/simulation/regions_test.go
+++ b/harness/simulation/regions_test.go
@@ -80,7 +80,7 @@
 // Cores are harmed one after the other, and all at once, while operators race:
 // what they were told lasts, no base is built on twice, and members follow.
 func TestFarChaosKeepsWhatOperatorsWereTold(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3+2*int(seed%2))
 		meters := newMeters(world)
 		defer world.CloseFar()
@@ -104,7 +104,7 @@
 			}
 		})
 		faults := world.RandomFaults()
-		for until := time.Now().Add(2 * chaosSpan()); time.Now().Before(until); {
+		for until := time.Now().Add(2 * faultDuration()); time.Now().Before(until); {
 			faults.Inject(CoreFaults[faults.random.IntN(len(CoreFaults))], faults.random.IntN(len(world.Cores)))
 			world.Rest(faults.span(100*time.Millisecond, 4*time.Second))
 		}
@@ -146,7 +146,7 @@
 		if len(racers.acked) < 15 {
 			world.broke("only %d routings were acknowledged", len(racers.acked))
 		}
-		if held := world.rosters(); len(held) != 1 {
+		if held := world.storedMemberships(); len(held) != 1 {
 			world.broke("%v", held)
 		}
 		test.Logf(
@@ -156,6 +156,6 @@
 			meters.windowsTold(),
 			faults.Done,
 		)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/relay_test.go
+++ b/harness/simulation/relay_test.go
@@ -11,10 +11,10 @@
 // Relays die, freeze and return in a tree of thirty while operators change
 // settings: every daemon that lives has each change within 4 s, and none slides back.
 func TestRelaysDie(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.up(test, 30)
+		world.startSystem(test, 30)
 		ledger := world.Operators(1, 700*time.Millisecond)
 		random := rand.New(rand.NewPCG(seed, 53))
 		frozen := map[*Daemon]bool{}
@@ -39,7 +39,7 @@
 		if len(ledger.Acked) < 5 {
 			world.broke("only %d changes", len(ledger.Acked))
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
--- a/harness/simulation/removal_test.go
+++ b/harness/simulation/removal_test.go
@@ -56,10 +56,10 @@
 // An operator removes cores by hand, the leader too: each order is refused while no
 // learner is ready, acknowledged once decided, and acknowledged again.
 func TestOperatorRemovesCores(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.up(test, 2)
+		world.startSystem(test, 2)
 		client := world.Client(world.Daemons[1].OperatorAddress)
 		leader := world.Leader()
 		goes, stays := world.Cores[(leader+1)%3], world.Cores[(leader+2)%3]
@@ -140,10 +140,10 @@
 // Two operators remove two cores at once while one learner waits, and then one core
 // while two wait: one place is given at a time, and one for each core removed.
 func TestRemovalsRace(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.up(test, 2)
+		world.startSystem(test, 2)
 		leader := world.Leader()
 		others := []int{(leader+1)%3 + 1, (leader+2)%3 + 1}
 		clients := []*operator.Client{world.Client(world.Daemons[0].OperatorAddress), world.Client(world.Daemons[1].OperatorAddress)}
--- a/harness/simulation/replace_run_test.go
+++ b/harness/simulation/replace_run_test.go
@@ -26,7 +26,7 @@
 	"deaf",
 	"roll",
 	"core",
-}, SideFaults...)
+}, ControlFaults...)
 
 // SurvivedCoreFaults are the cores' own that lose no more than a deployment survives.
 var (
@@ -95,22 +95,22 @@
 func (side *replacer) Run(span time.Duration) {
 	for until := time.Now().Add(span); time.Now().Before(until); {
 		kind := side.kinds[side.random.IntN(len(side.kinds))]
-		side.chaos.Done[kind]++
+		side.randomFaults.Done[kind]++
 		side.Inject(kind)
 		if side.random.IntN(3) > 0 {
-			side.world.Rest(side.span(200, 6000))
+			side.world.Rest(side.randomDuration(200, 6000))
 		}
 	}
 }
 
 // replace loses cores for good; empty ones come a while later.
 func (side *replacer) replace(indexes []int) {
-	side.lose(indexes, nil, func() {
+	side.duringLoss(indexes, nil, func() {
 		seeds := side.world.operatorSeeds()
 		for _, index := range indexes {
 			side.world.LoseCore(index)
 		}
-		side.world.Rest(side.span(300, 2500))
+		side.world.Rest(side.randomDuration(300, 2500))
 		for _, index := range indexes {
 			side.world.Fill(index, seeds)
 		}
@@ -120,10 +120,10 @@
 
 // replacePlanned starts a new core, then stops the old one for good.
 func (side *replacer) replacePlanned(index int) {
-	side.lose([]int{index}, nil, func() {
+	side.duringLoss([]int{index}, nil, func() {
 		leaving := side.world.machine(index)
 		side.world.Fill(index, nil)
-		side.world.Rest(side.span(50, 2000))
+		side.world.Rest(side.randomDuration(50, 2000))
 		side.world.Leave(leaving)
 	})
 	side.turnSeeds()
@@ -132,14 +132,14 @@
 // allDownReplacing takes the power from all cores while one is replaced.
 func (side *replacer) allDownReplacing(index int) {
 	world := side.world
-	side.lose(side.every(), nil, func() {
+	side.duringLoss(side.allCores(), nil, func() {
 		seeds := world.operatorSeeds()
 		world.LoseCore(index)
-		world.Rest(side.span(300, 2500))
+		world.Rest(side.randomDuration(300, 2500))
 		world.Fill(index, seeds)
-		world.Rest(side.span(10, 2000))
+		world.Rest(side.randomDuration(10, 2000))
 		world.killAll(true, side.random.IntN(2) == 0)
-		world.Rest(side.span(10, 1000))
+		world.Rest(side.randomDuration(10, 1000))
 		world.startAll()
 	})
 	side.turnSeeds()
@@ -157,7 +157,7 @@
 		return
 	}
 	machine := side.world.ReturnRemoved(removed[side.random.IntN(len(removed))])
-	side.world.Rest(side.span(500, 9000))
+	side.world.Rest(side.randomDuration(500, 9000))
 	side.world.vanish(machine)
 }
 
@@ -195,9 +195,9 @@
 			}
 		}
 	}
-	side.lose([]int{index}, nil, func() {
+	side.duringLoss([]int{index}, nil, func() {
 		turn(true)
-		world.Rest(side.span(2000, 20000))
+		world.Rest(side.randomDuration(2000, 20000))
 		turn(false)
 	})
 }
@@ -206,9 +206,9 @@
 func (side *replacer) roll() {
 	for index := range side.world.Cores {
 		machine := side.world.machine(index)
-		side.lose([]int{index}, nil, func() {
+		side.duringLoss([]int{index}, nil, func() {
 			side.world.term(machine)
-			side.world.Rest(side.span(50, 1500))
+			side.world.Rest(side.randomDuration(50, 1500))
 			side.world.start(machine)
 		})
 	}
@@ -221,46 +221,46 @@
 // time as a deployment survives: what operators were told lasts and is in force in
 // time, also where an answer was lost and the order came again by another door.
 func TestControlSideUnderReplacement(test *testing.T) {
-	count := max(*seeds, replacementSeeds)
+	count := max(*seedsPerTest, replacementSeeds)
 	if raced {
-		count = *seeds
+		count = *seedsPerTest
 	}
-	eachOf(test, count, func(test *testing.T, seed uint64) {
+	forSeeds(test, count, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, []int{3, 5, 3, 5, 4}[seed%5])
-		side := world.Control()
-		side.losesAnswers = true
+		side := world.newControlChecker()
+		side.resendsAcknowledged = true
 		defer world.CloseFar()
 		world.farUp(test, 6)
-		world.Rest(contactSpan)
-		side.begin()
+		world.Rest(settleTime)
+		side.start()
 		losses := world.Losses(syncSpan)
 		hard, links := &replacer{
-			side.injector(0, ReplacementFaults, SurvivedCoreFaults),
-		}, side.injector(
+			side.newInjector(0, ReplacementFaults, SurvivedCoreFaults),
+		}, side.newInjector(
 			1,
-			SideLinkFaults,
+			ControlLinkFaults,
 			SurvivedLinkFaults,
 		)
 		hard.losses, links.losses = losses, losses
 		ended := atomic.Bool{}
 		world.goroutines.Start(func() {
-			links.Run(2 * chaosSpan())
+			links.Run(2 * faultDuration())
 			ended.Store(true)
 		})
-		hard.Run(2 * chaosSpan())
+		hard.Run(2 * faultDuration())
 		world.Until(time.Minute, ended.Load)
-		world.Rest(contactSpan + inForceSpan)
+		world.Rest(settleTime + propagationLimit)
 		if !side.stop(60 * time.Second) {
 			test.Fatal("operators have no answer")
 		}
-		side.judge(test)
+		side.checkRequests(test)
 		test.Logf(
 			"%d cores, %d removed, faults %v, beside them %v",
 			len(world.Cores),
 			len(world.Removed),
-			hard.chaos.Done,
-			links.chaos.Done,
+			hard.randomFaults.Done,
+			links.randomFaults.Done,
 		)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/replace_test.go
+++ b/harness/simulation/replace_test.go
@@ -14,7 +14,7 @@
 // A core is gone for good and an empty one comes at another address. The next loss
 // may come sync_s after that one's start, and leaves a majority with everything.
 func TestReplacedCoreThenSecondLoss(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			for offset := range 2 {
 				one := newTrial(test, seed, cores, 4, []string{"the leader is replaced", "a follower is replaced"}[offset])
@@ -36,7 +36,7 @@
 
 // The new core starts first, then the old one gets SIGTERM and is no more.
 func TestPlannedReplacementThenLoss(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			for offset := range 2 {
 				one := newTrial(test, seed, cores, 4, []string{"the leader leaves", "a follower leaves"}[offset])
@@ -59,7 +59,7 @@
 // A core leaves that alone holds what was acknowledged last: the other one that had
 // it lost its disk, the third was cut off.
 func TestLeavingCoreHoldsTheOnlyFreshCopy(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, back := range []string{"at once", "while it leaves"} {
 			one := newTrial(test, seed, 3, 3, "the wiped one is back "+back)
 			leader := one.leader()
@@ -85,7 +85,7 @@
 // Replacements follow each other until no founding address is left. Members that
 // were there all the time follow; those that start later are told other seeds.
 func TestNoFoundingAddressIsLeft(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, way := range []string{"lost", "planned", "mixed"} {
 			one := newTrial(test, seed, 3, 4, way)
 			for round := range 3 {
@@ -144,7 +144,7 @@
 		one.Rest(one.span(10*time.Millisecond, 1500*time.Millisecond))
 		one.ReplaceCore(first, newcomerGap)
 	}
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, case1 := range []overlap{{"both planned", 3, planned}, {"both planned", 5, planned}, {"both lost", 5, lost}, {"one planned, one lost", 5, mixed}, {"the newcomer is lost", 3, newcomerLost}} {
 			one := newTrial(test, seed, case1.cores, 3, case1.name)
 			first := one.after(one.leader(), int(seed)%2)
@@ -240,7 +240,7 @@
 			wait()
 		}},
 	}
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, meeting := range meetings {
 			one := newTrial(test, seed, meeting.cores, 3, meeting.name)
 			meeting.play(one, one.leader())
@@ -271,7 +271,7 @@
 
 // All cores lose power at any moment of a replacement.
 func TestAllLosePowerDuringReplacement(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			for round := range 4 {
 				planned := round%2 == 1
@@ -303,7 +303,7 @@
 
 // Four cores vote from the founding on; three of them are a majority.
 func TestReplacementOfOneOfFour(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for offset := range 2 {
 			one := newTrial(test, seed, 4, 3, []string{"the leader is replaced", "a follower is replaced"}[offset])
 			lost := one.after(one.leader(), offset)
@@ -323,7 +323,7 @@
 // Five cores lose two at a time, nine lose four, and again once the newcomers had
 // their time.
 func TestAsManyReplacedAsMayBeLost(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{5, 9} {
 			one := newTrial(test, seed, cores, 3, "as many as may be lost")
 			first := one.leader()
@@ -351,7 +351,7 @@
 // nobody comes in its place, and its vote counts again.
 func TestAbsentCoreKeepsItsSeat(test *testing.T) {
 	const away = 20 * time.Second
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			for _, way := range []string{"cut off", "frozen", "without power"} {
 				one := newTrial(test, seed, cores, 3, way)
@@ -385,7 +385,7 @@
 // A minority that is cut off with newcomers on its side is no quorum, also if these
 // are more than all others; and a newcomer for whom there is no seat takes none.
 func TestMinorityWithNewcomersIsNoQuorum(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			one := newTrial(test, seed, cores, 0, "cut off with newcomers")
 			leader := one.leader()
@@ -470,7 +470,7 @@
 // come to the quorum. Once a place is free it may take that as any newcomer does,
 // under a number that it never had; gone again, its place is another's.
 func TestRemovedCoreReturns(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, way := range []string{"left as planned", "was lost"} {
 			one := newTrial(test, seed, 3, 3, "it "+way)
 			index := one.after(one.leader(), int(seed)%2)
@@ -503,7 +503,7 @@
 // Two removed cores, a majority by the seats that the first of them knew, return
 // cut off from all others, with a newcomer on their side.
 func TestRemovedCoresAreNoQuorum(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, way := range []string{"left as planned", "was lost"} {
 			one := newTrial(test, seed, 3, 3, "each "+way)
 			for round := range 2 {
@@ -606,7 +606,7 @@
 // A newcomer's seeds name a machine that is gone, one that is cut off for a while,
 // or other newcomers; it comes to the quorum nonetheless.
 func TestNewcomerFindsTheQuorum(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, way := range []string{"two are dead", "cut off for a while", "a newcomer", "restarted while it catches up"} {
 			one := newTrial(test, seed, 5, 3, way)
 			lost := []int{one.after(int(seed), 0), one.after(int(seed), 1)}
--- a/harness/simulation/replaced_test.go
+++ b/harness/simulation/replaced_test.go
@@ -106,7 +106,7 @@
 	for _, zone := range []string{"e1", "w1", "s1"} {
 		world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 20, Room: 64})
 	}
-	world.up(test, 8)
+	world.startSystem(test, 8)
 	if !world.Until(5*time.Second, func() bool { return world.keepers() == 6 }) {
 		test.Fatalf("%d keepers", world.keepers())
 	}
@@ -117,7 +117,7 @@
 // that, keys are claimed at this core and at one other; then every proxy dies, and
 // only the cores that were not asked are there: no key may be new to them.
 func TestReplacedCoreKeepsNoClaimToItself(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		world.upWithKeepers(test)
@@ -149,14 +149,14 @@
 		_, replays := world.payAgain(tries)
 		details := world.judge(nil, standin.LoadReport{Tries: tries})
 		test.Logf("%s, %d replayed", details["no key charged twice"], replays)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // Every core is replaced, one after the other, each for good. Each newcomer comes to
 // lack no claim, and the last three know the keys that only the first three were told.
 func TestClaimsOutliveEveryFoundingCore(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		world.upWithKeepers(test)
--- a/harness/simulation/returned_test.go
+++ b/harness/simulation/returned_test.go
@@ -24,10 +24,10 @@
 // The replaced one, back with its old disk and flags, makes no majority with another
 // one, and votes again only under a new ID, in the place of one that is gone.
 func TestReplacedCoreReturns(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.up(test, 2)
+		world.startSystem(test, 2)
 		leader := world.Leader()
 		old, one, two := (leader+1)%3, leader, (leader+2)%3
 		spare := world.replaceCore(test, old, 1)
@@ -74,10 +74,10 @@
 // All cores stop, one gets another address, and all get flags that say so: nobody was
 // ever replaced, so the flags count.
 func TestCoreMovesWhileNoneWasReplaced(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.up(test, 2)
+		world.startSystem(test, 2)
 		client := world.Client(world.Cores[0].OperatorAddress)
 		if err := world.changeSettings(client, 1); err != nil {
 			test.Fatal(err)
@@ -110,6 +110,6 @@
 		if response.Version != 1 || voters(response) != "[1 2 3]" || response.Voters[moved.ID-1].Address != moved.InternalAddress {
 			test.Errorf("%+v", response)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/rollout_test.go
+++ b/harness/simulation/rollout_test.go
@@ -182,7 +182,7 @@
 // A roll-out that is ordered is acknowledged and complete by its term, and its state can be
 // read from then on; the platform's backends of a new version do nothing before the order.
 func TestRolloutIsComplete(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseFar()
 		service.mutex.Lock()
@@ -195,13 +195,13 @@
 		if took := time.Since(begin); took > rolloutTerm {
 			test.Errorf("complete after %v", took)
 		}
-		service.world.report(test)
+		service.world.reportFailures(test)
 	})
 }
 
 // A version that fails is reverted at all proxies soon after its first failures.
 func TestBadRolloutIsReverted(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 33)
 		defer service.world.CloseFar()
 		begin := time.Now()
@@ -210,7 +210,7 @@
 		if took := time.Since(begin); took > 8*time.Second {
 			test.Errorf("reverted after %v", took)
 		}
-		service.world.report(test)
+		service.world.reportFailures(test)
 	})
 }
 
@@ -219,7 +219,7 @@
 func TestRolloutOutlivesItsLeader(test *testing.T) {
 	for step := range rolloutStepCount {
 		test.Run(fmt.Sprint("step ", step), func(test *testing.T) {
-			each(test, func(test *testing.T, seed uint64) {
+			forEachSeed(test, func(test *testing.T, seed uint64) {
 				service := newRolledService(test, seed, 0)
 				defer service.world.CloseFar()
 				id := service.order(test)
@@ -241,7 +241,7 @@
 				if after := service.read(); after.ID != id || after.Step < before.Step {
 					test.Errorf("was %+v, is %+v", before, after)
 				}
-				service.world.report(test)
+				service.world.reportFailures(test)
 			})
 		})
 	}
@@ -250,7 +250,7 @@
 // An order that was acknowledged is there after the loss of power of all cores and members;
 // sent again, as if its answer was lost, it begins no second roll-out.
 func TestAcknowledgedRolloutOutlivesAll(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseFar()
 		id := service.order(test)
@@ -272,14 +272,14 @@
 				test.Errorf("another version meanwhile: %v", err)
 			}
 		}
-		service.world.report(test)
+		service.world.reportFailures(test)
 	})
 }
 
 // An order whose answer is lost with its leader is sent again until it is acknowledged, and
 // begins one roll-out, whether or not the lost leader had carried it out.
 func TestRolloutOrderWithLostAnswerBeginsOne(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseFar()
 		leader := service.world.calm(test)
@@ -297,14 +297,14 @@
 		if again := service.order(test); again != 1 || service.read().ID != 1 {
 			test.Errorf("the order again began roll-out %d, newest %+v", again, service.read())
 		}
-		service.world.report(test)
+		service.world.reportFailures(test)
 	})
 }
 
 // A member that is cut off during the steps does not let the roll-out go on blindly, and one
 // that starts anew during it gets the present step before it has a backend of the version.
 func TestMemberMissesTheRolloutsSteps(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseFar()
 		service.order(test)
@@ -320,14 +320,14 @@
 		service.world.Rest(time.Second)
 		service.world.StartMember(one)
 		service.awaitPhase(test, message.RolloutComplete)
-		service.world.report(test)
+		service.world.reportFailures(test)
 	})
 }
 
 // The product's own interface starts, shows and aborts a roll-out; an abort gives all requests
 // back to the former version, and what is wrong is refused with a code.
 func TestRolloutByTheOwnInterface(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseFar()
 		api := agent.NewRolloutAPI(service.world.holds()[0], metrics.NewCounters())
@@ -364,6 +364,6 @@
 			test.Errorf("abort: %d", status)
 		}
 		service.awaitPhase(test, message.RolloutReverted)
-		service.world.report(test)
+		service.world.reportFailures(test)
 	})
 }
--- a/harness/simulation/routing_test.go
+++ b/harness/simulation/routing_test.go
@@ -59,7 +59,7 @@
 // A routing is taken once, a repeat is told so, and neither an old version nor
 // another base nor an invalid one gets in; of two at once one does.
 func TestRoutingTakenRepeatedStaleRaced(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 3)
@@ -122,13 +122,13 @@
 		if !whole {
 			world.broke("routing %d is not everywhere after %v", last, took)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A patch changes what it names and keeps the rest, also which zones are emptied.
 func TestRoutingPatchKeepsTheRest(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 1)
@@ -150,14 +150,14 @@
 		} else if held := world.Members[0].Daemon.Version().Routing; fmt.Sprint(held.Evacuated) != "[z1]" || held.History.Count > 0 {
 			world.broke("a member holds %+v", held)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // Emptied zones and the newest routing last when the leader dies just after it
 // acknowledged, when power goes everywhere, and when one disk is lost with it.
 func TestAcknowledgedLastsEverything(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 2)
@@ -219,14 +219,14 @@
 				return true
 			})
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // What an operator waits who orders a routing while the leader is stopped, with
 // a warning and without, or frozen; and how soon it is in force everywhere.
 func TestFarLeaderChange(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 9)
@@ -284,14 +284,14 @@
 				world.StartCore(leader)
 			}
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A member that is cut off from all cores stays ready on what it holds, and
 // catches up once it is back; one that stood still asks first.
 func TestMemberServesAlone(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewFarWorld(seed, 3)
 		defer world.CloseFar()
 		world.farUp(test, 3)
@@ -316,7 +316,7 @@
 		if took, whole := world.reached(2, 4*time.Second); !whole {
 			world.broke("back in touch: not caught up after %v", took)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
@@ -351,7 +351,7 @@
 			if held := world.Members[0].Daemon.Version().Table.Backends; len(held) != 0 || !left {
 				world.broke("left %v, still held: %v", left, held)
 			}
-			world.report(test)
+			world.reportFailures(test)
 		}
 	}
 	eachWorld(test, func(seed uint64) func(test *testing.T) {
@@ -377,5 +377,5 @@
 }
 
 func eachWorld(test *testing.T, play func(seed uint64) func(test *testing.T)) {
-	each(test, func(test *testing.T, seed uint64) { play(seed)(test) })
+	forEachSeed(test, func(test *testing.T, seed uint64) { play(seed)(test) })
 }
--- a/harness/simulation/scale_test.go
+++ b/harness/simulation/scale_test.go
@@ -14,7 +14,7 @@
 // What a change and a leader change cost, by the number of daemons and the size
 // of the settings. Virtual time: the machine's speed is not in the figures.
 func TestCostOfDelivery(test *testing.T) {
-	long(test)
+	skipUnderRaceDetector(test)
 	sizes, perDaemon := []int{12, 36, 120}, map[int]float64{}
 	if raced {
 		sizes = sizes[:2]
@@ -26,7 +26,7 @@
 			for range 3 {
 				world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 32})
 			}
-			world.up(test, size)
+			world.startSystem(test, size)
 			world.Rest(5 * time.Second)
 			calm, bytes := world.Net.Count()
 			looked := world.probes()
--- a/harness/simulation/stale_test.go
+++ b/harness/simulation/stale_test.go
@@ -8,10 +8,10 @@
 // A core that missed writes returns just as the leader dies, alone or with a
 // third core's disk: what was acknowledged without it must still win.
 func TestStaleCoreNeverWins(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.up(test, 1)
+		world.startSystem(test, 1)
 		ledger := world.Operators(3, 100*time.Millisecond)
 		faults := world.RandomFaults()
 		for round := range 8 {
@@ -28,6 +28,6 @@
 		ledger.Stop()
 		world.judge(ledger)
 		test.Logf("%d acknowledged, %d leaderships, faults %v", len(ledger.Acked), len(world.Leads), faults.Done)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/stop_test.go
+++ b/harness/simulation/stop_test.go
@@ -13,15 +13,15 @@
 // again, in turn, while tasks of nearly 5 s, large maps and money are in flight:
 // each task is served whole.
 func TestPlannedStopsCutNothing(test *testing.T) {
-	long(test)
-	each(test, func(test *testing.T, seed uint64) {
+	skipUnderRaceDetector(test)
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		world.planned = true
 		for _, zone := range []string{"e1", "w1", "s1"} {
 			world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
 		}
-		world.up(test, 6)
+		world.startSystem(test, 6)
 		if _, err := world.Client(world.Cores[0].OperatorAddress).
 			Patch(operator.Change{Base: 1, Change: "hold", Settings: []byte(`{"rule":{"hold_ms":8000}}`)}); err != nil {
 			test.Fatal(err)
@@ -49,6 +49,6 @@
 		client.CloseIdleConnections()
 		details := world.judge(nil, report)
 		test.Logf("%s %v", details["no task in flight lost by planned work"], report.Statuses)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/total_loss_test.go
+++ b/harness/simulation/total_loss_test.go
@@ -144,7 +144,7 @@
 // at times while the platform's list cannot be read. Every daemon in touch serves by the
 // acknowledged version in time, whatever it began with.
 func TestAcknowledgedIsInForceAfterTotalLoss(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, trouble := range []listTrouble{listSound, listBusy, listSilent, listFaulty} {
 			loss := newTotalLoss(test, seed, 3+2*int(seed%2))
 			for round := range 3 {
@@ -166,20 +166,20 @@
 				if !loss.Until(20*time.Second, func() bool { return loss.version.Load() >= wanted }) {
 					loss.broke("%s, round %d: %d is not acknowledged", trouble, round, wanted)
 				}
-				latest := back.Add(contactSpan)
+				latest := back.Add(settleTime)
 				if now := time.Now(); now.After(latest) {
 					latest = now
 				}
-				loss.Rest(time.Until(latest.Add(inForceSpan)))
+				loss.Rest(time.Until(latest.Add(propagationLimit)))
 				loss.judgeInForce(fmt.Sprintf("%s, round %d", trouble, round), wanted)
-				loss.Rest(time.Until(until.Add(contactSpan + inForceSpan)))
+				loss.Rest(time.Until(until.Add(settleTime + propagationLimit)))
 				for _, one := range loss.Members {
 					if inForce := one.inForce.Load(); inForce != wanted {
 						loss.broke("%s, round %d: in calm %s serves by %d, %d was acknowledged", trouble, round, one.Name, inForce, wanted)
 					}
 				}
 			}
-			loss.report(test)
+			loss.reportFailures(test)
 			loss.CloseFar()
 		}
 	})
@@ -189,7 +189,7 @@
 // disks as a quorum outlives: no process remembers anything. What was acknowledged is read
 // back and in force, an order sent again is known, and terms and IDs go on.
 func TestAcknowledgedOutlivesPowerAndDisks(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		loss := newTotalLoss(test, seed, 3+2*int(seed%2))
 		zones := []string{}
 		for round := range 4 {
@@ -215,10 +215,10 @@
 			loss.returnAll(300 * time.Millisecond)
 			loss.calm(test)
 			loss.judgeBook(fmt.Sprint("round ", round), acknowledged, zones)
-			loss.Rest(contactSpan + inForceSpan)
+			loss.Rest(settleTime + propagationLimit)
 			loss.judgeInForce(fmt.Sprint("round ", round), acknowledged)
 		}
-		loss.report(test)
+		loss.reportFailures(test)
 		loss.CloseFar()
 	})
 }
--- a/harness/simulation/traffic_test.go
+++ b/harness/simulation/traffic_test.go
@@ -32,14 +32,14 @@
 
 // Backends lose answers, send garbage, break and leave while callers go on.
 func TestBackendsMisbehave(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		zones := []string{"e1", "w1", "s1"}
 		for index := range 6 {
 			world.AddBackend("meters", zones[index%3], standin.BackendConfig{WorkMs: 5, Room: 16, GentleRate: 10})
 		}
-		world.up(test, 5)
+		world.startSystem(test, 5)
 		generator, client := world.Origin(world.plan(40, 20))
 		random := rand.New(rand.NewPCG(seed, 31))
 		done := atomic.Bool{}
@@ -62,19 +62,19 @@
 			world.broke("only %d of %d served: %v", report.Served, report.Asked, report.Statuses)
 		}
 		test.Logf("%d asked, %d served, %d unknown, statuses %v", report.Asked, report.Served, report.Unknown, report.Statuses)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A backend's address goes to another service, and its pipes are still open.
 func TestReusedAddress(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 3 {
 			world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 16})
 		}
-		world.up(test, 5)
+		world.startSystem(test, 5)
 		generator, client := world.Origin(world.plan(60, 10))
 		old := world.Backends[0].Backend
 		world.goroutines.Start(func() {
@@ -93,18 +93,18 @@
 		if len(old.Seen().Arrivals) == 0 || report.Served < report.Asked*9/10 {
 			world.broke("%d tasks at the old backend, %d of %d served", len(old.Seen().Arrivals), report.Served, report.Asked)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // Wrong callers touch no backend.
 func TestRefusalsTouchNoBackend(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 16})
 		world.AddBackend("meters", "s1", standin.BackendConfig{WorkMs: 5, Room: 16})
-		world.up(test, 5)
+		world.startSystem(test, 5)
 		_, client := world.Origin(world.plan(1, 1))
 		front := func(zone string) string {
 			for _, daemon := range world.Daemons {
@@ -127,7 +127,7 @@
 			{"POST", "w1", "/meters/credits", "key-of-alder", "Idempotency-Key", "k", strings.Repeat("x", 70_000), "413 too_large"},
 			{"GET", "w1", "/meters/pages/1", "key-of-alder", "Oj-Limit-Ms", "soon", "", "400 bad_request"},
 		} {
-			status, code := world.ask(
+			status, code := world.send(
 				client,
 				wrong.method,
 				"http://"+front(wrong.zone)+wrong.path,
@@ -147,7 +147,7 @@
 		}
 		for range 20 {
 			world.Rest(100 * time.Millisecond)
-			if status, _ := world.ask(client, "GET", "http://"+front("w1")+"/meters/pages/1", "key-of-birch", "", "", ""); status != 200 {
+			if status, _ := world.send(client, "GET", "http://"+front("w1")+"/meters/pages/1", "key-of-birch", "", "", ""); status != 200 {
 				world.broke("a good call got %d", status)
 			}
 		}
@@ -155,6 +155,6 @@
 			world.broke("a forbidden region's backend served %d tasks", len(south.Arrivals))
 		}
 		client.CloseIdleConnections()
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/trial_test.go
+++ b/harness/simulation/trial_test.go
@@ -56,7 +56,7 @@
 // end reports what broke, and closes the world.
 func (one *trial) end() {
 	one.test.Helper()
-	one.report(one.test)
+	one.reportFailures(one.test)
 	one.CloseFar()
 }
 
@@ -120,9 +120,9 @@
 	case !slices.Contains(state.Evacuated, evacuatedOne):
 		one.broke("%s: the evacuation of %s is lost", what, evacuatedOne)
 	}
-	if took, whole := one.reached(one.newest, contactSpan+inForceSpan); !whole {
+	if took, whole := one.reached(one.newest, settleTime+propagationLimit); !whole {
 		one.broke("%s: members hold %v after %v, %d was acknowledged", what, one.routings(), took, one.newest)
-	} else if took > inForceSpan/2 {
+	} else if took > propagationLimit/2 {
 		one.test.Logf("%s: %s: %d in force after %v", one.name, what, one.newest, took)
 	}
 }
--- a/harness/simulation/usage_loss_test.go
+++ b/harness/simulation/usage_loss_test.go
@@ -90,7 +90,7 @@
 // of a window. Every window is reported once and right; only what was counted within
 // unflushed before the loss may lack.
 func TestUsageOutlivesThoseThatKnewIt(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for number, loss := range usageLosses() {
 			world := NewFarWorld(seed, 3+2*int(seed%2))
 			meters := newMeters(world)
@@ -116,7 +116,7 @@
 			for index := range world.Broken[before:] {
 				world.Broken[before+index] = loss.name + ": " + world.Broken[before+index]
 			}
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseFar()
 		}
 	})
