--- a/harness/simulation/control_test.go
+++ b/harness/simulation/control_test.go
@@ -24,7 +24,7 @@
 	leaseDuration          = 3 * time.Second
 )
 
-// faultInterval is the time that a fault affects some cores or members; no end means it lasts.
+// faultInterval is the time that a fault affects some cores or members; a zero end means that it goes on.
 type faultInterval struct {
 	cores      []int
 	members    []*FarDaemon
@@ -340,11 +340,11 @@
 	}
 	checker.mutex.Lock()
 	defer checker.mutex.Unlock()
-	acknowledged, late, longest := 0, 0, time.Duration(0)
+	acknowledged, late, slowest := 0, 0, time.Duration(0)
 	for _, request := range checker.requests {
 		took := request.end.Sub(request.begin)
-		proper := request.err == nil || rpc.AsError(request.err).RetryAfterMs > 0
-		if took > ackLimit && proper {
+		mustBeTimely := request.err == nil || rpc.AsError(request.err).RetryAfterMs > 0
+		if took > ackLimit && mustBeTimely {
 			late++
 			checker.mutex.Unlock()
 			if cores, _ := checker.unaffected(
@@ -376,7 +376,7 @@
 			}
 			continue
 		}
-		acknowledged, longest = acknowledged+1, max(longest, took)
+		acknowledged, slowest = acknowledged+1, max(slowest, took)
 		if !inHistory {
 			world.broke("version %d on base %d was acknowledged and is not in the history", request.version, request.base)
 		}
@@ -406,7 +406,7 @@
 		len(checker.requests),
 		acknowledged,
 		late,
-		longest,
+		slowest,
 		len(world.Leads),
 		checker.meters.windowsTold(),
 	)
--- a/harness/simulation/large_state_test.go
+++ b/harness/simulation/large_state_test.go
@@ -39,7 +39,7 @@
 // has an older routing or lost its disk.
 func TestLeaderIsElectedWithALargeState(test *testing.T) {
 	forEachSeed(test, func(test *testing.T, seed uint64) {
-		for _, condition := range []string{"all hold it", "one is behind", "one lost its disk"} {
+		for _, condition := range []string{"all have it", "one is behind", "one lost its disk"} {
 			world := NewFarWorld(seed, 3)
 			world.farUp(test, 0)
 			leader := world.calm(test)
@@ -61,7 +61,7 @@
 			if !world.Until(recoveryLimit, func() bool { return world.Leader() >= 0 }) {
 				world.broke("%s: no leader after %v", condition, recoveryLimit)
 			}
-			test.Logf("%s: a leader after %v", condition, time.Since(begin))
+			test.Logf("%s: leader elected after %v", condition, time.Since(begin))
 			if !world.Until(recoveryLimit, world.sound) {
 				world.broke("%s: not all cores vote in time", condition)
 			}
