--- a/harness/simulation/disk_failure_test.go
+++ b/harness/simulation/disk_failure_test.go
@@ -12,7 +12,7 @@
 // leader hands over leadership, and orders are acknowledged throughout. Once the disk works
 // again the core votes and catches up without a restart.
 func TestCoreWithFailingDiskStaysUp(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		world.startFar(test, 3)
@@ -67,14 +67,14 @@
 				world.reportViolation("%s: has serial %d on disk, another core has %d", kind, serial, world.durableSerial((index+1)%3))
 			}
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A follower's disk stalls for ten seconds during orders: the leader does not resend the same
 // values with each heartbeat, and the follower catches up afterwards.
 func TestValuesAreNotResentToStalledDisk(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		world.startFar(test, 3)
@@ -100,14 +100,14 @@
 		if world.durableSerial(index) != world.durableSerial(leader) {
 			world.reportViolation("follower has serial %d on disk, the leader %d", world.durableSerial(index), world.durableSerial(leader))
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // The leader's disk stalls for some seconds during orders, and no order follows: it keeps
 // leading, and its own disk soon holds what the followers accepted.
 func TestLeaderCatchesUpAfterDiskStall(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		world.startFar(test, 3)
@@ -130,7 +130,7 @@
 				world.durableSerial((leader+1)%3),
 			)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
--- a/harness/simulation/change_test.go
+++ b/harness/simulation/leader_change_test.go
@@ -10,13 +10,13 @@
 	"orchidjunction/operator"
 )
 
-// What an operator waits who asks a daemon for a change just as the leader is
-// stopped: with the platform's warning, without it, and frozen.
+// Measures how long an operator waits for a change sent through a daemon just as the leader
+// is stopped: with the platform's notice, killed without one, or frozen.
 func TestLeaderChangeAsOperatorsSeeIt(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.up(test, 2)
+		world.startSystem(test, 2)
 		ended := atomic.Bool{}
 		ended.Store(true)
 		waits, serial := map[string][]time.Duration{}, uint64(1)
@@ -54,7 +54,7 @@
 			serial = outcome.Serial
 			waits[kind] = append(waits[kind], wait)
 			if kind == "planned" && wait > 100*time.Millisecond || wait > time.Second {
-				world.reportViolation("%s: an operator waited %v", kind, wait)
+				world.reportViolation("%s leader: an operator waited %v", kind, wait)
 			}
 			switch kind {
 			case "frozen":
@@ -68,6 +68,6 @@
 			slices.Sort(waits[kind])
 			test.Logf("%s: %v", kind, waits[kind])
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/leave_test.go
+++ b/harness/simulation/leave_test.go
@@ -9,8 +9,8 @@
 	"orchidjunction/rpc"
 )
 
-// idOf is the ID under which a machine votes, by its disk.
-func (scenario *replacementScenario) idOf(machine *Core) int {
+// voterID returns the ID under which a machine votes, as its disk has it.
+func (scenario *replacementScenario) voterID(machine *Core) int {
 	store, err := replica.OpenStore(machine.Disk.Copy())
 	if err != nil {
 		scenario.test.Fatal(err)
@@ -24,22 +24,22 @@
 	return 0
 }
 
-// A core that kept the ID of a step which was never decided announces its end while a
-// learner waits: the voter that has the ID keeps its place. The voter's own announcement,
-// also in the form of a former release, gives it to the learner.
+// A core with the ID of a membership change that was never committed announces its shutdown
+// while a learner waits: the voter that has the ID stays a voter. The voter's own
+// announcement, also in the form of an earlier release, gives its place to the learner.
 func TestLeaveNamesItsAddress(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
-		for _, isFormer := range []bool{false, true} {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
+		for _, isOldForm := range []bool{false, true} {
 			scenario := newScenario(test, seed, 3, 1, "leave")
 			leader := scenario.leader()
 			voter := scenario.machine(scenario.indexAfter(leader, 1))
 			learner := scenario.AddCore(int(seed) % 3)
 			scenario.Rest(2 * time.Second)
 			before := scenario.machines()[:3]
-			id := scenario.idOf(voter)
+			id := scenario.voterID(voter)
 			caller := rpc.NewClient(scenario.Net.Transport(voter.Host))
 			leave := func(address string) (*message.LeaveResponse, error) {
-				if isFormer && address == voter.InternalAddress {
+				if isOldForm && address == voter.InternalAddress {
 					return rpc.Call(
 						caller,
 						scenario.machine(leader).InternalAddress,
@@ -52,12 +52,12 @@
 					&message.LeaveVoterRequest{Core: id, Address: address})
 			}
 			if response, err := leave("10.0.9.9:41"); err != nil || response.Wait {
-				scenario.reportViolation("another core's end: %+v, %v", response, err)
+				scenario.reportViolation("leave with another core's address: %+v, %v", response, err)
 			}
 			scenario.Rest(3 * time.Second)
-			scenario.checkVoters("another core's end", before)
+			scenario.checkVoters("leave with another core's address", before)
 			if response, err := leave(voter.InternalAddress); err != nil || !response.Wait {
-				scenario.reportViolation("its own end: %+v, %v", response, err)
+				scenario.reportViolation("leave with its own address: %+v, %v", response, err)
 			}
 			scenario.Rest(3 * time.Second)
 			after := []*Core{scenario.machine(learner)}
@@ -66,17 +66,17 @@
 					after = append(after, machine)
 				}
 			}
-			scenario.checkVoters("its own end", after)
+			scenario.checkVoters("leave with its own address", after)
 			caller.Close()
 			scenario.end()
 		}
 	})
 }
 
-// A call that a former release does not know is told apart from one that fails, so that
-// the caller can fall back to the former call.
-func TestUnknownCallHasItsCode(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+// A call of a method that an earlier release does not know returns a code of its own, so that
+// the caller can fall back to the earlier method.
+func TestUnknownMethodHasItsOwnCode(test *testing.T) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		world.startFar(test, 0)
--- a/harness/simulation/metered_usage_test.go
+++ b/harness/simulation/metered_usage_test.go
@@ -169,7 +169,7 @@
 // Each window is reported completely, in time and with one result, across leader
 // changes, platform outages and the loss of all cores.
 func TestWindowsAreReportedOnce(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		collector := newUsageCollector(world)
 		defer world.CloseRegional()
@@ -211,14 +211,14 @@
 		load(12 * time.Second)
 		collector.checkWindows(firstWindow, time.Now().UnixMilli()/collector.windowMs-4, 25_000, 0.02)
 		test.Logf("%d windows, %d fences", collector.reportedWindows(), collector.fenceCount())
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // Sealing a window waits some time for an unreachable member, so that its counts are
 // included; a retired member is not waited for.
 func TestSealingWaitsForUnreachableMember(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		collector := newUsageCollector(world)
 		defer world.CloseRegional()
@@ -246,14 +246,14 @@
 		}
 		world.Rest(5 * time.Second)
 		collector.checkWindows(window, window, 10_000, 0)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // The first window with requests is reported although the leader that accepted the
 // first routing is killed right after.
 func TestFirstWindowIsReported(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		collector := newUsageCollector(world)
 		defer world.CloseRegional()
@@ -280,14 +280,14 @@
 		}
 		world.Rest(12 * time.Second)
 		collector.checkWindows(window, window, 12_000, 0)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A window sealed without a member's last counts is reported unchanged by the next
 // leader, even if the counts have arrived meanwhile.
 func TestSealedWindowNeverChanges(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		collector := newUsageCollector(world)
 		collector.reliable = true
@@ -333,14 +333,14 @@
 			}
 			collector.mutex.Unlock()
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // Wall clocks of one core and of members are off by seconds or hours and jump during
 // operation: the time of day in use stays close to the true one.
 func TestWallClockJumps(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		random := rand.New(rand.NewPCG(seed, 31))
@@ -396,13 +396,13 @@
 			world.Rest(2 * time.Second)
 			checkClocks(fmt.Sprint("round ", round), 60)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A member that retires leaves the table at once, a killed one after its timeout.
 func TestRetiredMemberLeavesTableAtOnce(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		world.startFar(test, 5)
@@ -430,6 +430,6 @@
 		if retired > 600*time.Millisecond || killed < 1500*time.Millisecond || killed > 4*time.Second {
 			world.reportViolation("left the table %v after retiring, %v after being killed", retired, killed)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/money_test.go
+++ b/harness/simulation/money_test.go
@@ -13,14 +13,14 @@
 // answers, while proxies are killed, frozen, partitioned and restarted and while all
 // cores are down for a time: no key is charged twice.
 func TestKeysChargedOnceDuringProxyFailures(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		zones := []string{"e1", "w1", "s1"}
 		for index := range 6 {
 			world.AddBackend("meters", zones[index%3], standin.BackendConfig{WorkMs: 20, Room: 16})
 		}
-		world.up(test, 8)
+		world.startSystem(test, 8)
 		if !world.Until(5*time.Second, func() bool { return world.keyReplicaCount() == 6 }) {
 			test.Fatalf("%d key replicas, want 6", world.keyReplicaCount())
 		}
@@ -104,7 +104,7 @@
 			faultCounts,
 			report.Statuses,
 		)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
--- a/harness/simulation/operator_race_test.go
+++ b/harness/simulation/operator_race_test.go
@@ -86,7 +86,7 @@
 // Faults hit cores one after the other and all at once while operators send conflicting
 // orders: acknowledged orders last, no two are acknowledged on one base, and members follow.
 func TestAcknowledgedOrdersSurviveCoreFaults(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3+2*int(seed%2))
 		collector := newUsageCollector(world)
 		defer world.CloseRegional()
@@ -110,7 +110,7 @@
 			}
 		})
 		faults := world.NewRandomFaults()
-		for until := time.Now().Add(2 * chaosSpan()); time.Now().Before(until); {
+		for until := time.Now().Add(2 * faultDuration()); time.Now().Before(until); {
 			faults.Inject(CoreFaults[faults.random.IntN(len(CoreFaults))], faults.random.IntN(len(world.Cores)))
 			world.Rest(faults.randomSpan(100*time.Millisecond, 4*time.Second))
 		}
@@ -155,7 +155,7 @@
 		if len(operators.baseByVersion) < 15 {
 			world.reportViolation("only %d routings were acknowledged", len(operators.baseByVersion))
 		}
-		if held := world.rosters(); len(held) != 1 {
+		if held := world.storedMemberships(); len(held) != 1 {
 			world.reportViolation("memberships differ: %v", held)
 		}
 		test.Logf(
@@ -165,6 +165,6 @@
 			collector.reportedWindows(),
 			faults.Injected,
 		)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/operator_test.go
+++ b/harness/simulation/operator_test.go
@@ -125,7 +125,7 @@
 // operator tries another core; the others acknowledge the orders, and so does it once healed.
 func TestPartitionedCoreRedirectsOperators(test *testing.T) {
 	const answerLimit = operatorTimeout + 2*interRegionDelay
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"cut", "mute", "deaf"} {
 			for _, isLeader := range []bool{true, false} {
 				world := NewRegionalWorld(seed, 3)
@@ -138,7 +138,7 @@
 				others := world.followers(isolated)
 				first := wholeBody(5, 1)
 				client.callUntilOK(test, others, http.MethodPut, "/config", first)
-				world.lose(isolated, kind, true)
+				world.partitionCore(isolated, kind, true)
 				begin, mutex, pending := time.Now(), sync.Mutex{}, 0
 				for time.Since(begin) < 20*time.Second {
 					for _, call := range []struct{ method, path, body string }{
@@ -185,7 +185,7 @@
 				client.callUntilOK(test, others, http.MethodPut, "/config", last)
 				client.callUntilOK(test, others, http.MethodPost, "/evacuate/z1", "")
 				world.Until(5*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return pending == 0 })
-				world.lose(isolated, kind, false)
+				world.partitionCore(isolated, kind, false)
 				world.waitStable(test)
 				for _, body := range []string{first, last} {
 					client.callUntilOK(test, []int{isolated}, http.MethodPut, "/config", body)
@@ -200,7 +200,7 @@
 					world.reportViolation("%s: after healing, a conflicting order got %d %s, want 412", kind, code, answer)
 				}
 				world.checkEvacuated(test, "z1", true, kind)
-				world.report(test)
+				world.reportFailures(test)
 				world.CloseRegional()
 			}
 		}
@@ -210,7 +210,7 @@
 // Duplicates of messages between cores arrive after the opposite order was acknowledged:
 // the opposite order stays in force.
 func TestDuplicatedEvacuationIsNotReapplied(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		world.startFar(test, 1)
@@ -234,7 +234,7 @@
 			}
 			world.checkEvacuated(test, "z1", evacuated, "duplicated messages")
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
@@ -242,7 +242,7 @@
 // in flight. The operator sends the order and then the opposite one through other cores. The
 // delayed first order is delivered much later and must change nothing.
 func TestDelayedEvacuationIsNotReapplied(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"link to the leader cut", "link from the operator cut", "first core frozen"} {
 			for _, evacuateFirst := range []bool{true, false} {
 				for _, wait := range []time.Duration{0, 20 * time.Millisecond, 80 * time.Millisecond, 180 * time.Millisecond} {
@@ -278,7 +278,7 @@
 					setFault(false)
 					world.Rest(4 * time.Second)
 					world.checkEvacuated(test, "z1", !evacuateFirst, kind+" after "+wait.String())
-					world.report(test)
+					world.reportFailures(test)
 					world.CloseRegional()
 				}
 			}
--- a/harness/simulation/outage_test.go
+++ b/harness/simulation/outage_test.go
@@ -22,9 +22,9 @@
 // killed at once. After the restart every key is resent, at once and minutes later: no key is
 // charged twice, and each gets its first answer or "unknown".
 func TestMoneyOutlivesEverything(test *testing.T) {
-	long(test)
+	skipUnderRaceDetector(test)
 	noChange, noTries := func(*World) {}, func(*World) []standin.Try { return nil }
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []outage{
 			{"power", noTries, noChange},
 			{"one core's disk lost", noTries, func(world *World) { world.WipeCore(int(seed) % 3) }},
@@ -51,7 +51,7 @@
 			for _, zone := range []string{"e1", "w1", "s1"} {
 				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 20, Room: 64})
 			}
-			world.up(test, 8)
+			world.startSystem(test, 8)
 			world.Until(5*time.Second, func() bool { return world.keyReplicaCount() == 6 })
 			world.Rest(time.Second)
 			tries := append(kind.before(world), world.sendPayments(40, 0)...)
@@ -96,7 +96,7 @@
 				later,
 				replays,
 			)
-			world.report(test)
+			world.reportFailures(test)
 			world.Close()
 		}
 	})
--- a/harness/simulation/partition_test.go
+++ b/harness/simulation/partition_test.go
@@ -16,14 +16,14 @@
 // backends, while a tenant's keys are revoked, a zone is drained and settings change. They must
 // stop serving what may be outdated within 4 s, and serve again once healed.
 func TestPartitionedProxiesStopServing(test *testing.T) {
-	long(test)
-	each(test, func(test *testing.T, seed uint64) {
+	skipUnderRaceDetector(test)
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cut := range []isolation{{"alone", 1, 0, 0, healAfter}, {"region", 3, 0, 0, healAfter}, {"fewer than half", 4, 0, 0, healAfter}, {"deaf", 1, 1, 0, healAfter}, {"mute", 1, 2, 0, healAfter}, {"flapping", 2, 0, 700 * time.Millisecond, healAfter}} {
 			world := NewWorld(seed, 3)
 			for _, zone := range []string{"e1", "w1", "s1"} {
 				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
 			}
-			world.up(test, 12)
+			world.startSystem(test, 12)
 			isolated := world.pickProxies(cut.proxies, int(seed))
 			plan := world.loadPlan(40, 16)
 			plan.Calls = plan.Calls[1:2]
@@ -58,7 +58,7 @@
 				world.reportViolation("%s: the first proxy served %d requests after healing, want 5", cut.name, servedAfterHealing)
 			}
 			test.Logf("%s: %s; %v", cut.name, details["acknowledged settings in force within 4 s"], report.Statuses)
-			world.report(test)
+			world.reportFailures(test)
 			world.Close()
 		}
 	})
@@ -101,14 +101,14 @@
 
 // The cores are unreachable for 8 s: all proxies go on serving requests and payments.
 func TestTrafficContinuesWithoutCores(test *testing.T) {
-	long(test)
-	each(test, func(test *testing.T, seed uint64) {
+	skipUnderRaceDetector(test)
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for _, zone := range []string{"e1", "w1", "s1"} {
 			world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
 		}
-		world.up(test, 9)
+		world.startSystem(test, 9)
 		world.Until(5*time.Second, func() bool { return world.keyReplicaCount() == 6 })
 		plan := world.loadPlan(40, 14)
 		plan.Patient = true
@@ -136,6 +136,6 @@
 			}
 		}
 		test.Logf("%d of %d requests served, statuses %v", report.Served, report.Asked, report.Statuses)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/planned_stop_test.go
+++ b/harness/simulation/planned_stop_test.go
@@ -12,15 +12,15 @@
 // Every directory and proxy is terminated gracefully and restarted, one after the other, while
 // tasks of nearly 5 s, large responses and payments are in flight: each is served completely.
 func TestPlannedStopsLoseNoRequests(test *testing.T) {
-	long(test)
-	each(test, func(test *testing.T, seed uint64) {
+	skipUnderRaceDetector(test)
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		world.plannedOnly = true
 		for _, zone := range []string{"e1", "w1", "s1"} {
 			world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 5, Room: 64})
 		}
-		world.up(test, 6)
+		world.startSystem(test, 6)
 		if _, err := world.Client(world.Cores[0].OperatorAddress).
 			Patch(operator.Change{Base: 1, Change: "hold", Settings: []byte(`{"rule":{"hold_ms":8000}}`)}); err != nil {
 			test.Fatal(err)
@@ -48,6 +48,6 @@
 		client.CloseIdleConnections()
 		details := world.judge(nil, report)
 		test.Logf("%s, statuses %v", details["no task in flight lost by planned work"], report.Statuses)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/platform_test.go
+++ b/harness/simulation/platform_test.go
@@ -13,7 +13,7 @@
 // are killed. No daemon holds a partial list or loses a backend that stays listed; a backend
 // that is removed from the list disappears in the end.
 func TestPlatformListIsNeverPartial(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		random := rand.New(rand.NewPCG(seed, 47))
@@ -84,6 +84,6 @@
 			len(world.Leaderships),
 			world.Platform.Limited,
 		)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/proxy_lending_test.go
+++ b/harness/simulation/proxy_lending_test.go
@@ -11,7 +11,7 @@
 // lender takes its capacity back, and a total failure of the borrower leaves the lender's
 // traffic unaffected.
 func TestPartnersLendProxies(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		lender := NewWorld(seed, 3)
 		defer lender.Close()
 		borrower := lender.NewPartnerWorld(3)
@@ -21,8 +21,8 @@
 				world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 10, Room: 64})
 			}
 		}
-		lender.up(test, 4)
-		borrower.up(test, 2)
+		lender.startSystem(test, 4)
+		borrower.startSystem(test, 2)
 		guests := []*Daemon{}
 		for index := range 2 {
 			guest := borrower.AddDaemon("proxy", []string{"e1", "w1"}[index])
@@ -89,7 +89,7 @@
 			)
 		}
 		test.Logf("%d lent, %d refused, %d of %d served under load", lent, refused, storm.Served, storm.Asked)
-		lender.report(test)
-		borrower.report(test)
+		lender.reportFailures(test)
+		borrower.reportFailures(test)
 	})
 }
--- a/harness/simulation/recovery_test.go
+++ b/harness/simulation/recovery_test.go
@@ -106,7 +106,7 @@
 // All processes end just after a routing was acknowledged: killed, by power loss, or with the
 // loss of as many disks as tolerated. Members serve with it soon after the restart.
 func TestRoutingServedSoonAfterFullRestart(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := NewRegionalWorld(seed, cores)
 			world.startFar(test, 4)
@@ -161,7 +161,7 @@
 					world.reportViolation("%d cores, %s: state after the restart %+v, error %v", cores, kind, state, err)
 				}
 			}
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseRegional()
 		}
 	})
@@ -200,7 +200,7 @@
 // A routing accepted by less than a majority is not distributed before a leader decides on
 // it; after that all members hold the same routing.
 func TestUncommittedRoutingIsNotDistributed(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			for _, isolated := range []bool{true, false} {
 				world := NewRegionalWorld(seed, cores)
@@ -255,7 +255,7 @@
 						)
 					}
 				}
-				world.report(test)
+				world.reportFailures(test)
 				world.CloseRegional()
 			}
 		}
@@ -264,7 +264,7 @@
 
 // The restart of a single follower does not change the leader.
 func TestFollowerRestartKeepsLeader(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3+2*int(seed%2))
 		defer world.CloseRegional()
 		world.startFar(test, 2)
@@ -287,7 +287,7 @@
 		if after := world.leadershipCount(); after != before || world.Leader() != leader {
 			world.reportViolation("core %d led, then followed leaderships %v", leader+1, world.Leaderships[before:])
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
@@ -311,7 +311,7 @@
 // Cores that restart together become candidates one after the other: within 2 s there is one
 // leadership with at most one fence.
 func TestElectionAfterFullRestartIsStaggered(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := NewRegionalWorld(seed, cores)
 			world.startFar(test, 0)
@@ -348,7 +348,7 @@
 				world.startAll()
 			}
 			test.Logf("%d cores: the slowest leadership began after %v", cores, longest)
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseRegional()
 		}
 	})
@@ -358,7 +358,7 @@
 // not lead; members that reach the other cores move on to the newer routing. Once healed it
 // follows without a leader change.
 func TestCoreRestartsIsolated(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		world.startFar(test, 2)
@@ -399,7 +399,7 @@
 		if after := world.leadershipCount(); after != before || world.Leader() != leader {
 			world.reportViolation("after healing, the isolated core caused leaderships %v", world.Leaderships[before:])
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
@@ -419,7 +419,7 @@
 // Members start while the cores restart without a leader, and get a different provisional
 // table from each core. Tables of the same leader version must be equal nonetheless.
 func TestProvisionalTablesAreNoBaseForChanges(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for range 3 {
 			world := NewRegionalWorld(seed, 3)
 			backends := []message.Backend{}
@@ -456,7 +456,7 @@
 					world.reportViolation("%s holds table %+v, want a leader's with 6 members", member.Name, table)
 				}
 			}
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseRegional()
 		}
 	})
@@ -465,7 +465,7 @@
 // All cores restart while members run. A provisional table replaces no leader's table, and the
 // next leader's table keeps a member that is unreachable at that time.
 func TestProvisionalTableReplacesNoLeadersTable(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		world.ListBackends = func(discovery.PageRequest) discovery.Page {
@@ -527,14 +527,14 @@
 				world.reportViolation("round %d: the new member has no table", round)
 			}
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A deposed leader that does not know of its successor must not refuse an order whose base it
 // has not seen: that base may be in force already.
 func TestDeposedLeaderRefusesNoNewerBase(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		refused := 0
 		for range 4 {
 			world := NewRegionalWorld(seed, 3)
@@ -599,7 +599,7 @@
 				refused++
 			}
 			client.Close()
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseRegional()
 		}
 		test.Log(fmt.Sprint(refused, " orders redirected"))
--- a/harness/simulation/relay_test.go
+++ b/harness/simulation/relay_test.go
@@ -11,10 +11,10 @@
 // Relays in a tree of thirty daemons are killed, frozen and restored while operators change
 // settings: every running daemon has each change within 4 s, and none goes back to an old one.
 func TestRelayFailures(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.up(test, 30)
+		world.startSystem(test, 30)
 		ledger := world.StartOperators(1, 700*time.Millisecond)
 		random := rand.New(rand.NewPCG(seed, 53))
 		frozen := map[*Daemon]bool{}
@@ -39,7 +39,7 @@
 		if len(ledger.Acked) < 5 {
 			world.reportViolation("only %d changes acknowledged, want 5", len(ledger.Acked))
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
--- a/harness/simulation/replaced_core_return_test.go
+++ b/harness/simulation/replaced_core_return_test.go
@@ -24,10 +24,10 @@
 // disks. The replaced core, restarted with its old disk and flags, forms no majority with
 // another one, and votes again only under a new ID, in the place of a lost core.
 func TestReplacedCoreReturns(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.up(test, 2)
+		world.startSystem(test, 2)
 		leader := world.Leader()
 		replaced, first, second := (leader+1)%3, leader, (leader+2)%3
 		spare := world.replaceWithSpare(test, replaced, 1)
@@ -78,10 +78,10 @@
 // All cores stop, one gets another address, and all restart with flags that name it: as no core
 // was ever replaced, the flags apply.
 func TestCoreAddressChangesWithoutReplacement(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.up(test, 2)
+		world.startSystem(test, 2)
 		client := world.Client(world.Cores[0].OperatorAddress)
 		if err := world.changeSettings(client, 1); err != nil {
 			test.Fatal(err)
@@ -114,6 +114,6 @@
 		if response.Version != 1 || voterIDs(response) != "[1 2 3]" || response.Voters[moved.ID-1].Address != moved.InternalAddress {
 			test.Errorf("membership %+v", response)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/replacement_claims_test.go
+++ b/harness/simulation/replacement_claims_test.go
@@ -106,7 +106,7 @@
 	for _, zone := range []string{"e1", "w1", "s1"} {
 		world.AddBackend("meters", zone, standin.BackendConfig{WorkMs: 20, Room: 64})
 	}
-	world.up(test, 8)
+	world.startSystem(test, 8)
 	if !world.Until(5*time.Second, func() bool { return world.keyReplicaCount() == 6 }) {
 		test.Fatalf("%d key replicas, want 6", world.keyReplicaCount())
 	}
@@ -117,7 +117,7 @@
 // that, keys are claimed at it and at one other core; then all proxies are killed and only the
 // cores without these requests are reachable: they must know every key.
 func TestReplacedCoresClaimsAreKept(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		world.startWithKeyReplicas(test)
@@ -149,14 +149,14 @@
 		_, replays := world.resendPayments(tries)
 		details := world.judge(nil, standin.LoadReport{Tries: tries})
 		test.Logf("%s, %d replayed", details["no key charged twice"], replays)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // Every core is replaced permanently, one after the other. Each new core gets all claims, and
 // the last three know the keys that were claimed only at the first three.
 func TestClaimsSurviveReplacementOfAllCores(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		world.startWithKeyReplicas(test)
--- a/harness/simulation/replacement_faults_test.go
+++ b/harness/simulation/replacement_faults_test.go
@@ -26,7 +26,7 @@
 	"deaf",
 	"roll",
 	"core",
-}, SideFaults...)
+}, ControlFaults...)
 
 // toleratedCoreFaults and toleratedLinkFaults lose no more than a deployment tolerates.
 var (
@@ -95,22 +95,22 @@
 func (injector *replacementInjector) Run(span time.Duration) {
 	for until := time.Now().Add(span); time.Now().Before(until); {
 		kind := injector.kinds[injector.random.IntN(len(injector.kinds))]
-		injector.chaos.Injected[kind]++
+		injector.randomFaults.Injected[kind]++
 		injector.Inject(kind)
 		if injector.random.IntN(3) > 0 {
-			injector.world.Rest(injector.span(200, 6000))
+			injector.world.Rest(injector.randomDuration(200, 6000))
 		}
 	}
 }
 
 // replace loses cores permanently and starts empty ones some time later.
 func (injector *replacementInjector) replace(indexes []int) {
-	injector.lose(indexes, nil, func() {
+	injector.duringLoss(indexes, nil, func() {
 		seeds := injector.world.operatorSeeds()
 		for _, index := range indexes {
 			injector.world.LoseCore(index)
 		}
-		injector.world.Rest(injector.span(300, 2500))
+		injector.world.Rest(injector.randomDuration(300, 2500))
 		for _, index := range indexes {
 			injector.world.StartReplacement(index, seeds)
 		}
@@ -120,10 +120,10 @@
 
 // replacePlanned starts a new core, then stops the old one permanently.
 func (injector *replacementInjector) replacePlanned(index int) {
-	injector.lose([]int{index}, nil, func() {
+	injector.duringLoss([]int{index}, nil, func() {
 		leaving := injector.world.machine(index)
 		injector.world.StartReplacement(index, nil)
-		injector.world.Rest(injector.span(50, 2000))
+		injector.world.Rest(injector.randomDuration(50, 2000))
 		injector.world.Leave(leaving)
 	})
 	injector.refreshSeeds()
@@ -132,14 +132,14 @@
 // allDownReplacing cuts the power of all cores while one is being replaced.
 func (injector *replacementInjector) allDownReplacing(index int) {
 	world := injector.world
-	injector.lose(injector.every(), nil, func() {
+	injector.duringLoss(injector.allCores(), nil, func() {
 		seeds := world.operatorSeeds()
 		world.LoseCore(index)
-		world.Rest(injector.span(300, 2500))
+		world.Rest(injector.randomDuration(300, 2500))
 		world.StartReplacement(index, seeds)
-		world.Rest(injector.span(10, 2000))
+		world.Rest(injector.randomDuration(10, 2000))
 		world.killAll(true, injector.random.IntN(2) == 0)
-		world.Rest(injector.span(10, 1000))
+		world.Rest(injector.randomDuration(10, 1000))
 		world.startAll()
 	})
 	injector.refreshSeeds()
@@ -158,7 +158,7 @@
 		return
 	}
 	machine := injector.world.ReturnRemoved(removed[injector.random.IntN(len(removed))])
-	injector.world.Rest(injector.span(500, 9000))
+	injector.world.Rest(injector.randomDuration(500, 9000))
 	injector.world.removeForGood(machine)
 }
 
@@ -196,9 +196,9 @@
 			}
 		}
 	}
-	injector.lose([]int{index}, nil, func() {
+	injector.duringLoss([]int{index}, nil, func() {
 		setCut(true)
-		world.Rest(injector.span(2000, 20000))
+		world.Rest(injector.randomDuration(2000, 20000))
 		setCut(false)
 	})
 }
@@ -207,9 +207,9 @@
 func (injector *replacementInjector) roll() {
 	for index := range injector.world.Cores {
 		machine := injector.world.machine(index)
-		injector.lose([]int{index}, nil, func() {
+		injector.duringLoss([]int{index}, nil, func() {
 			injector.world.terminate(machine)
-			injector.world.Rest(injector.span(50, 1500))
+			injector.world.Rest(injector.randomDuration(50, 1500))
 			injector.world.startMachine(machine)
 		})
 	}
@@ -222,46 +222,46 @@
 // deployment tolerates: acknowledged orders last and come into force in time, also if an answer
 // was lost and the order was resent through another daemon.
 func TestControlPlaneUnderReplacement(test *testing.T) {
-	count := max(*seeds, minReplacementSeeds)
+	count := max(*seedsPerTest, minReplacementSeeds)
 	if raceEnabled {
-		count = *seeds
+		count = *seedsPerTest
 	}
-	eachOf(test, count, func(test *testing.T, seed uint64) {
+	forSeeds(test, count, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, []int{3, 5, 3, 5, 4}[seed%5])
-		side := world.Control()
-		side.losesAnswers = true
+		side := world.newControlChecker()
+		side.resendsAcknowledged = true
 		defer world.CloseRegional()
 		world.startFar(test, 6)
-		world.Rest(contactSpan)
-		side.begin()
+		world.Rest(settleTime)
+		side.start()
 		losses := world.NewLossBudget(syncSpan)
 		coreFaults, linkFaults := &replacementInjector{
-			side.injector(0, replacementFaults, toleratedCoreFaults),
-		}, side.injector(
+			side.newInjector(0, replacementFaults, toleratedCoreFaults),
+		}, side.newInjector(
 			1,
-			SideLinkFaults,
+			ControlLinkFaults,
 			toleratedLinkFaults,
 		)
 		coreFaults.losses, linkFaults.losses = losses, losses
 		linksDone := atomic.Bool{}
 		world.goroutines.Start(func() {
-			linkFaults.Run(2 * chaosSpan())
+			linkFaults.Run(2 * faultDuration())
 			linksDone.Store(true)
 		})
-		coreFaults.Run(2 * chaosSpan())
+		coreFaults.Run(2 * faultDuration())
 		world.Until(time.Minute, linksDone.Load)
-		world.Rest(contactSpan + inForceSpan)
+		world.Rest(settleTime + propagationLimit)
 		if !side.stop(60 * time.Second) {
 			test.Fatal("operators have no final answer after 60 s")
 		}
-		side.judge(test)
+		side.checkRequests(test)
 		test.Logf(
 			"%d cores, %d removed, faults %v, link faults %v",
 			len(world.Cores),
 			len(world.Removed),
-			coreFaults.chaos.Injected,
-			linkFaults.chaos.Injected,
+			coreFaults.randomFaults.Injected,
+			linkFaults.randomFaults.Injected,
 		)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/replacement_scenario_test.go
+++ b/harness/simulation/replacement_scenario_test.go
@@ -56,7 +56,7 @@
 // end reports violations and closes the world.
 func (scenario *replacementScenario) end() {
 	scenario.test.Helper()
-	scenario.report(scenario.test)
+	scenario.reportFailures(scenario.test)
 	scenario.CloseRegional()
 }
 
@@ -124,7 +124,7 @@
 	case !slices.Contains(state.Evacuated, evacuatedZone):
 		scenario.reportViolation("%s: the acknowledged evacuation of %s is lost", phase, evacuatedZone)
 	}
-	if took, reached := scenario.waitRouting(scenario.newestVersion, contactSpan+inForceSpan); !reached {
+	if took, reached := scenario.waitRouting(scenario.newestVersion, settleTime+propagationLimit); !reached {
 		scenario.reportViolation(
 			"%s: members serve with versions %v after %v, %d was acknowledged",
 			phase,
@@ -132,7 +132,7 @@
 			took,
 			scenario.newestVersion,
 		)
-	} else if took > inForceSpan/2 {
+	} else if took > propagationLimit/2 {
 		scenario.test.Logf("%s: %s: version %d in force after %v", scenario.name, phase, scenario.newestVersion, took)
 	}
 }
--- a/harness/simulation/replacement_test.go
+++ b/harness/simulation/replacement_test.go
@@ -14,7 +14,7 @@
 // A core is lost permanently and an empty one starts at another address. A second loss sync_s
 // after that start leaves a majority with all data.
 func TestReplacedCoreThenSecondLoss(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			for offset := range 2 {
 				scenario := newScenario(test, seed, cores, 4, []string{"the leader is replaced", "a follower is replaced"}[offset])
@@ -36,7 +36,7 @@
 
 // The new core starts first, then the old one gets SIGTERM and does not return.
 func TestPlannedReplacementThenLoss(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			for offset := range 2 {
 				scenario := newScenario(test, seed, cores, 4, []string{"the leader leaves", "a follower leaves"}[offset])
@@ -59,7 +59,7 @@
 // The core that leaves holds the only copy of the last acknowledged order: the second core
 // with a copy lost its disk, the third was cut off.
 func TestLeavingCoreHoldsOnlyNewestCopy(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, restart := range []string{"at once", "while the leader leaves"} {
 			scenario := newScenario(test, seed, 3, 3, "the wiped core restarts "+restart)
 			leader := scenario.leader()
@@ -85,7 +85,7 @@
 // Cores are replaced one after the other until no founding address is left. Running members
 // follow; members that start later get other seeds.
 func TestAllFoundingCoresReplaced(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"lost", "planned", "mixed"} {
 			scenario := newScenario(test, seed, 3, 4, kind)
 			for round := range 3 {
@@ -144,7 +144,7 @@
 		scenario.Rest(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
 		scenario.ReplaceCore(first, replacementDelay)
 	}
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, overlapCase := range []overlap{{"both planned", 3, planned}, {"both planned", 5, planned}, {"both lost", 5, lost}, {"one planned, one lost", 5, mixed}, {"the new core is lost", 3, newcomerLost}} {
 			scenario := newScenario(test, seed, overlapCase.cores, 3, overlapCase.name)
 			first := scenario.indexAfter(scenario.leader(), int(seed)%2)
@@ -240,7 +240,7 @@
 			wait()
 		}},
 	}
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, faultCase := range faultCases {
 			scenario := newScenario(test, seed, faultCase.cores, 3, faultCase.name)
 			faultCase.run(scenario, scenario.leader())
@@ -271,7 +271,7 @@
 
 // All cores lose power at a random moment of a replacement.
 func TestAllLosePowerDuringReplacement(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			for round := range 4 {
 				planned := round%2 == 1
@@ -303,7 +303,7 @@
 
 // One of four founding cores is replaced; three are a majority.
 func TestReplacementOfOneOfFour(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for offset := range 2 {
 			scenario := newScenario(test, seed, 4, 3, []string{"the leader is replaced", "a follower is replaced"}[offset])
 			lost := scenario.indexAfter(scenario.leader(), offset)
@@ -323,7 +323,7 @@
 // Five cores lose two at a time, nine lose four, and as many again once the new cores had time
 // to synchronize.
 func TestLargestMinorityReplaced(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{5, 9} {
 			scenario := newScenario(test, seed, cores, 3, "the largest tolerated minority is replaced")
 			first := scenario.leader()
@@ -351,7 +351,7 @@
 // learner takes its place, and its vote counts again.
 func TestAbsentCoreStaysVoter(test *testing.T) {
 	const away = 20 * time.Second
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			for _, kind := range []string{"cut off", "frozen", "without power"} {
 				scenario := newScenario(test, seed, cores, 3, kind)
@@ -385,7 +385,7 @@
 // An isolated minority with new cores on its side is no quorum, even if together they
 // outnumber the others; and a new core without a vacant place does not become a voter.
 func TestMinorityWithNewCoresIsNoQuorum(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			scenario := newScenario(test, seed, cores, 0, "minority cut off with new cores")
 			leader := scenario.leader()
@@ -473,7 +473,7 @@
 // a vacant place like any new core, under an ID that it never had; when it is gone again,
 // another core takes its place.
 func TestRemovedCoreReturns(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"left as planned", "was lost"} {
 			scenario := newScenario(test, seed, 3, 3, "it "+kind)
 			index := scenario.indexAfter(scenario.leader(), int(seed)%2)
@@ -506,7 +506,7 @@
 // Two removed cores, a majority of the membership that the first of them knows, return
 // isolated from all others, with a new core on their side.
 func TestRemovedCoresAreNoQuorum(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"left as planned", "was lost"} {
 			scenario := newScenario(test, seed, 3, 3, "each "+kind)
 			for round := range 2 {
@@ -614,7 +614,7 @@
 // A new core's seeds name lost machines, one that is cut off for a while, or other new cores;
 // it finds the quorum nonetheless.
 func TestNewCoreFindsQuorum(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"two of three seeds are lost", "the only running seed is cut off for a while", "a seed is a new core", "restarted while it catches up"} {
 			scenario := newScenario(test, seed, 5, 3, kind)
 			lost := []int{scenario.indexAfter(int(seed), 0), scenario.indexAfter(int(seed), 1)}
--- a/harness/simulation/budget_test.go
+++ b/harness/simulation/retry_budget_test.go
@@ -9,16 +9,16 @@
 	"orchidjunction/harness/standin"
 )
 
-// Half of all backends break every answer while proxies join and die: in no ten
-// seconds do backends see more resends than a fifth of the rest and sixty.
+// Guards the fleet-wide retry budget: half of the backends lose every response while proxies
+// start and are killed. In any 10 s, resends stay within 20% of the first sends plus 60.
 func TestResendsInAnyTenSeconds(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 6 {
 			world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 32})
 		}
-		world.up(test, 5)
+		world.startSystem(test, 5)
 		late := world.AddDaemon("proxy", "w1")
 		world.goroutines.Start(func() {
 			world.Rest(3 * time.Second)
@@ -42,22 +42,22 @@
 			world.reportViolation("only %d resends", resends)
 		}
 		test.Logf("%s, %v", verdicts["resends in 10 s at most 20% of first sends + 60"], report.Statuses)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
-// Callers who try again at once and six times, with pages and money, while half
-// of the backends lose every answer for 36 s: resends stay bounded in any ten of
-// them, and no key is charged twice.
+// Callers retry up to six times without a pause, with pages and money, while half of the
+// backends lose every response for 36 s: resends stay bounded in any 10 s and no key is
+// charged twice.
 func TestHastyCallersInAPartialOutage(test *testing.T) {
-	long(test)
-	each(test, func(test *testing.T, seed uint64) {
+	skipUnderRaceDetector(test)
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 6 {
 			world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 32})
 		}
-		world.up(test, 5)
+		world.startSystem(test, 5)
 		world.goroutines.Start(func() {
 			world.Rest(3 * time.Second)
 			for _, backend := range world.Backends[:3] {
@@ -75,13 +75,13 @@
 		client.CloseIdleConnections()
 		verdicts := world.judge(nil, report)
 		test.Logf(
-			"%s; %s; %d tries for %d tasks, %v",
+			"%s; %s; %d attempts for %d requests, %v",
 			verdicts["resends in 10 s at most 20% of first sends + 60"],
 			verdicts["no key charged twice"],
 			len(report.Tries),
 			report.Asked,
 			report.Statuses,
 		)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/rollout_test.go
+++ b/harness/simulation/rollout_test.go
@@ -182,7 +182,7 @@
 // An ordered roll-out is acknowledged and complete within its term, and its state can be read;
 // no member has the listed backends of the new version before the order.
 func TestRolloutCompletes(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseRegional()
 		service.mutex.Lock()
@@ -195,13 +195,13 @@
 		if took := time.Since(begin); took > rolloutTerm {
 			test.Errorf("roll-out complete after %v, later than its term", took)
 		}
-		service.world.report(test)
+		service.world.reportFailures(test)
 	})
 }
 
 // A failing version is reverted at all members soon after its first failures.
 func TestBadRolloutIsReverted(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 33)
 		defer service.world.CloseRegional()
 		begin := time.Now()
@@ -210,7 +210,7 @@
 		if took := time.Since(begin); took > 8*time.Second {
 			test.Errorf("roll-out reverted after %v, want at most 8 s", took)
 		}
-		service.world.report(test)
+		service.world.reportFailures(test)
 	})
 }
 
@@ -219,7 +219,7 @@
 func TestRolloutSurvivesLeaderLoss(test *testing.T) {
 	for step := range rolloutStepCount {
 		test.Run(fmt.Sprint("step ", step), func(test *testing.T) {
-			each(test, func(test *testing.T, seed uint64) {
+			forEachSeed(test, func(test *testing.T, seed uint64) {
 				service := newRolledService(test, seed, 0)
 				defer service.world.CloseRegional()
 				id := service.order(test)
@@ -241,7 +241,7 @@
 				if after := service.read(); after.ID != id || after.Step < before.Step {
 					test.Errorf("roll-out went back from %+v to %+v, or changed its ID", before, after)
 				}
-				service.world.report(test)
+				service.world.reportFailures(test)
 			})
 		})
 	}
@@ -250,7 +250,7 @@
 // An acknowledged order survives a power loss of all cores and members; resent, as if its
 // answer was lost, it starts no second roll-out.
 func TestAcknowledgedRolloutSurvivesPowerLoss(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseRegional()
 		id := service.order(test)
@@ -272,14 +272,14 @@
 				test.Errorf("order of another version during the roll-out: got %v, want rollout_active", err)
 			}
 		}
-		service.world.report(test)
+		service.world.reportFailures(test)
 	})
 }
 
 // An order whose answer is lost with the leader is resent until it is acknowledged, and starts
 // one roll-out, whether or not the lost leader had committed it.
 func TestRolloutOrderWithLostAnswerIsAppliedOnce(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseRegional()
 		leader := service.world.waitStable(test)
@@ -297,14 +297,14 @@
 		if again := service.order(test); again != 1 || service.read().ID != 1 {
 			test.Errorf("the repeated order started roll-out %d, newest %+v", again, service.read())
 		}
-		service.world.report(test)
+		service.world.reportFailures(test)
 	})
 }
 
 // A roll-out does not advance unobserved while a member is missing; the member gets the current
 // step after its restart, before it has backends of the new version.
 func TestMemberMissesRolloutSteps(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseRegional()
 		service.order(test)
@@ -320,14 +320,14 @@
 		service.world.Rest(time.Second)
 		service.world.StartMember(member)
 		service.awaitPhase(test, message.RolloutComplete)
-		service.world.report(test)
+		service.world.reportFailures(test)
 	})
 }
 
 // The roll-out API starts, shows and aborts a roll-out; an abort returns all requests to the
 // former version, and invalid requests are refused with the right status.
 func TestRolloutAPI(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		service := newRolledService(test, seed, 0)
 		defer service.world.CloseRegional()
 		api := agent.NewRolloutAPI(service.world.forwarders()[0], metrics.NewCounters())
@@ -364,6 +364,6 @@
 			test.Errorf("abort: status %d", status)
 		}
 		service.awaitPhase(test, message.RolloutReverted)
-		service.world.report(test)
+		service.world.reportFailures(test)
 	})
 }
--- a/harness/simulation/routing_test.go
+++ b/harness/simulation/routing_test.go
@@ -61,7 +61,7 @@
 // A routing is accepted once and its repeats are acknowledged; an old version, a wrong base or
 // an invalid routing is refused; of two concurrent orders on one base exactly one is accepted.
 func TestRoutingOrdersAcceptedOnceOrRefused(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		world.startFar(test, 3)
@@ -129,13 +129,13 @@
 		if !reached {
 			world.reportViolation("routing %d is not in force at all members after %v", last, took)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A patch changes what it names and keeps everything else, including the evacuated zones.
 func TestRoutingPatchKeepsTheRest(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		world.startFar(test, 1)
@@ -162,14 +162,14 @@
 		} else if held := world.Members[0].Daemon.Version().Routing; fmt.Sprint(held.Evacuated) != "[z1]" || held.History.Count > 0 {
 			world.reportViolation("the member's routing is %+v, want z1 evacuated and no history", held)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // Evacuated zones and the newest routing survive if the leader loses power, or its disk, just
 // after the acknowledgement, and if all cores lose power and one of them its disk.
 func TestAcknowledgedLastsEverything(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		world.startFar(test, 2)
@@ -237,14 +237,14 @@
 				return true
 			})
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // Bounds an operator's wait for an acknowledgement while the leader is stopped gracefully,
 // killed, frozen or cut off, and the time until the routing is in force at all members.
 func TestOrderDuringLeaderChange(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		world.startFar(test, 9)
@@ -302,14 +302,14 @@
 				world.StartCore(leader)
 			}
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A member cut off from all cores stays ready with the routing it has, and catches up once it
 // is connected again.
 func TestIsolatedMemberKeepsServing(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		world.startFar(test, 3)
@@ -338,7 +338,7 @@
 		if took, reached := world.waitRouting(2, 4*time.Second); !reached {
 			world.reportViolation("reconnected: not caught up after %v", took)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
@@ -373,7 +373,7 @@
 			if held := scenario.Members[0].Daemon.Version().Table.Backends; len(held) != 0 || !leaving {
 				scenario.reportViolation("leaving seen %v, backends still listed: %v", leaving, held)
 			}
-			scenario.report(test)
+			scenario.reportFailures(test)
 		}
 	}
 	eachWorld(test, func(seed uint64) func(test *testing.T) {
@@ -399,5 +399,5 @@
 }
 
 func eachWorld(test *testing.T, run func(seed uint64) func(test *testing.T)) {
-	each(test, func(test *testing.T, seed uint64) { run(seed)(test) })
+	forEachSeed(test, func(test *testing.T, seed uint64) { run(seed)(test) })
 }
--- a/harness/simulation/scale_test.go
+++ b/harness/simulation/scale_test.go
@@ -14,7 +14,7 @@
 // Bounds the cost of a settings change and of a leader change by the number of daemons and the
 // size of the settings. Time is virtual, so the machine's speed does not affect the figures.
 func TestCostOfDelivery(test *testing.T) {
-	long(test)
+	skipUnderRaceDetector(test)
 	sizes, perDaemon := []int{12, 36, 120}, map[int]float64{}
 	if raceEnabled {
 		sizes = sizes[:2]
@@ -26,7 +26,7 @@
 			for range 3 {
 				world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 32})
 			}
-			world.up(test, size)
+			world.startSystem(test, size)
 			world.Rest(5 * time.Second)
 			messagesBefore, bytesBefore := world.Net.Count()
 			probesBefore := world.probes()
--- a/harness/simulation/stale_test.go
+++ b/harness/simulation/stale_test.go
@@ -8,10 +8,10 @@
 // A core that missed writes returns just as the leader dies, alone or together with a third
 // core's disk: the writes acknowledged without it must survive.
 func TestStaleCoreNeverOverwritesAcknowledged(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
-		world.up(test, 1)
+		world.startSystem(test, 1)
 		ledger := world.StartOperators(3, 100*time.Millisecond)
 		faults := world.NewRandomFaults()
 		for round := range 8 {
@@ -28,6 +28,6 @@
 		ledger.Stop()
 		world.judge(ledger)
 		test.Logf("%d changes acknowledged, %d leaderships, faults %v", len(ledger.Acked), len(world.Leaderships), faults.Injected)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/total_loss_test.go
+++ b/harness/simulation/total_loss_test.go
@@ -144,7 +144,7 @@
 // some cases while the platform's list cannot be read. Every connected member serves with the
 // acknowledged version in time, whatever state it started from.
 func TestAcknowledgedIsInForceAfterTotalLoss(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, fault := range []listFault{listHealthy, listRateLimited, listTimeout, listUnavailable} {
 			loss := newTotalLoss(test, seed, 3+2*int(seed%2))
 			for round := range 3 {
@@ -166,13 +166,13 @@
 				if !loss.Until(20*time.Second, func() bool { return loss.acknowledged.Load() >= wanted }) {
 					loss.reportViolation("%s, round %d: version %d was not acknowledged within 20 s", fault, round, wanted)
 				}
-				latest := restarted.Add(contactSpan)
+				latest := restarted.Add(settleTime)
 				if now := time.Now(); now.After(latest) {
 					latest = now
 				}
-				loss.Rest(time.Until(latest.Add(inForceSpan)))
+				loss.Rest(time.Until(latest.Add(propagationLimit)))
 				loss.checkInForce(fmt.Sprintf("%s, round %d", fault, round), wanted)
-				loss.Rest(time.Until(until.Add(contactSpan + inForceSpan)))
+				loss.Rest(time.Until(until.Add(settleTime + propagationLimit)))
 				for _, member := range loss.Members {
 					if inForce := member.inForce.Load(); inForce != wanted {
 						loss.reportViolation(
@@ -186,7 +186,7 @@
 					}
 				}
 			}
-			loss.report(test)
+			loss.reportFailures(test)
 			loss.CloseRegional()
 		}
 	})
@@ -196,7 +196,7 @@
 // tolerates lose their disks, so that nothing is left in memory. Acknowledged orders are read
 // back and in force, a resent order is recognized, and terms and IDs continue.
 func TestAcknowledgedSurvivesPowerAndDiskLoss(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		loss := newTotalLoss(test, seed, 3+2*int(seed%2))
 		zones := []string{}
 		for round := range 4 {
@@ -222,10 +222,10 @@
 			loss.startShuffled(300 * time.Millisecond)
 			loss.waitStable(test)
 			loss.checkReadBack(fmt.Sprint("round ", round), acknowledged, zones)
-			loss.Rest(contactSpan + inForceSpan)
+			loss.Rest(settleTime + propagationLimit)
 			loss.checkInForce(fmt.Sprint("round ", round), acknowledged)
 		}
-		loss.report(test)
+		loss.reportFailures(test)
 		loss.CloseRegional()
 	})
 }
--- a/harness/simulation/traffic_test.go
+++ b/harness/simulation/traffic_test.go
@@ -32,14 +32,14 @@
 
 // Backends lose answers, send garbage, fail and leave during load.
 func TestFaultyBackends(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		zones := []string{"e1", "w1", "s1"}
 		for index := range 6 {
 			world.AddBackend("meters", zones[index%3], standin.BackendConfig{WorkMs: 5, Room: 16, GentleRate: 10})
 		}
-		world.up(test, 5)
+		world.startSystem(test, 5)
 		generator, client := world.NewLoadGenerator(world.loadPlan(40, 20))
 		random := rand.New(rand.NewPCG(seed, 31))
 		done := atomic.Bool{}
@@ -68,19 +68,19 @@
 			report.Unknown,
 			report.Statuses,
 		)
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // A backend's address is reused by another service while connections to it are pooled.
 func TestReusedAddress(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		for range 3 {
 			world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 16})
 		}
-		world.up(test, 5)
+		world.startSystem(test, 5)
 		generator, client := world.NewLoadGenerator(world.loadPlan(60, 10))
 		old := world.Backends[0].Backend
 		world.goroutines.Start(func() {
@@ -104,18 +104,18 @@
 				report.Asked,
 			)
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
 // Refused requests reach no backend.
 func TestRefusedRequestsReachNoBackend(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
 		defer world.Close()
 		world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 16})
 		world.AddBackend("meters", "s1", standin.BackendConfig{WorkMs: 5, Room: 16})
-		world.up(test, 5)
+		world.startSystem(test, 5)
 		_, client := world.NewLoadGenerator(world.loadPlan(1, 1))
 		proxyIn := func(zone string) string {
 			for _, daemon := range world.Daemons {
@@ -138,7 +138,7 @@
 			{"POST", "w1", "/meters/credits", "key-of-alder", "Idempotency-Key", "k", strings.Repeat("x", 70_000), "413 too_large"},
 			{"GET", "w1", "/meters/pages/1", "key-of-alder", "Oj-Limit-Ms", "soon", "", "400 bad_request"},
 		} {
-			status, code := world.ask(
+			status, code := world.send(
 				client,
 				invalid.method,
 				"http://"+proxyIn(invalid.zone)+invalid.path,
@@ -166,7 +166,15 @@
 		}
 		for range 20 {
 			world.Rest(100 * time.Millisecond)
-			if status, _ := world.ask(client, "GET", "http://"+proxyIn("w1")+"/meters/pages/1", "key-of-birch", "", "", ""); status != 200 {
+			if status, _ := world.send(
+				client,
+				"GET",
+				"http://"+proxyIn("w1")+"/meters/pages/1",
+				"key-of-birch",
+				"",
+				"",
+				"",
+			); status != 200 {
 				world.reportViolation("a valid call got %d", status)
 			}
 		}
@@ -174,6 +182,6 @@
 			world.reportViolation("a forbidden region's backend got %d requests", len(otherRegion.Arrivals))
 		}
 		client.CloseIdleConnections()
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
--- a/harness/simulation/usage_loss_test.go
+++ b/harness/simulation/usage_loss_test.go
@@ -90,7 +90,7 @@
 // moment of a window. Every window is reported with one correct result; only counts of the last
 // maxUnreplicated before the loss may be missing.
 func TestUsageSurvivesLossOfItsHolders(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for number, loss := range usageLosses() {
 			world := NewRegionalWorld(seed, 3+2*int(seed%2))
 			collector := newUsageCollector(world)
@@ -116,7 +116,7 @@
 			for index := range world.Violations[before:] {
 				world.Violations[before+index] = loss.name + ": " + world.Violations[before+index]
 			}
-			world.report(test)
+			world.reportFailures(test)
 			world.CloseRegional()
 		}
 	})
--- a/harness/simulation/version_conflict_test.go
+++ b/harness/simulation/version_conflict_test.go
@@ -42,7 +42,7 @@
 // random cores, while the leader is partitioned, frozen, killed or loses its disk. One order
 // is acknowledged, the other refused, and every core repeats these answers afterwards.
 func TestOneVersionHasOneConfiguration(test *testing.T) {
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3+2*int(seed%2))
 		defer world.CloseRegional()
 		world.startFar(test, 1)
@@ -73,14 +73,14 @@
 				world.WipeCore(leader)
 			case "calm":
 			default:
-				world.lose(leader, kind, true)
+				world.partitionCore(leader, kind, true)
 			}
 			world.Until(40*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return len(codes) == 2 })
 			if kind == "killed" || kind == "wiped" {
 				world.StartCore(leader)
 				world.serveOperatorAPI(leader)
 			} else if kind != "calm" {
-				world.lose(leader, kind, false)
+				world.partitionCore(leader, kind, false)
 			}
 			mutex.Lock()
 			if codes[0]+codes[1] != http.StatusOK+http.StatusPreconditionFailed {
@@ -106,7 +106,7 @@
 			}
 			version += 3
 		}
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
 
@@ -114,9 +114,9 @@
 // resent to any core hundreds of changes later, also after the loss of each disk in turn and
 // a power loss of all machines.
 func TestRepeatedOrdersAreRecognizedAfterManyChanges(test *testing.T) {
-	long(test)
+	skipUnderRaceDetector(test)
 	const changes = 400
-	each(test, func(test *testing.T, seed uint64) {
+	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
 		world.startFar(test, 1)
@@ -158,6 +158,6 @@
 			world.serveOperatorAPI(index)
 		}
 		resendAll("after a power loss of all cores and members")
-		world.report(test)
+		world.reportFailures(test)
 	})
 }
