--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -25,8 +25,8 @@
 	LastID  int
 }
 
-// InitialMembership returns the membership of the system's first start. The cores have
-// the IDs from 1, in the order of their addresses.
+// InitialMembership returns the membership of the system's first start. It assigns the
+// IDs from 1 in the order of the addresses.
 func InitialMembership(addresses []string) *Membership {
 	sorted := slices.SortedFunc(slices.Values(addresses), CompareAddresses)
 	peers := make([]message.Peer, 0, len(sorted))
@@ -62,8 +62,8 @@
 	return &Membership{Version: accepted.Version(), Voters: voters.Current, Next: voters.Next, LastID: voters.LastID}, nil
 }
 
-// Accepted returns the membership as an accepted value of its register. A nil Membership
-// gives the value of serial 0.
+// Accepted returns the membership as an accepted value of its register. It returns the
+// value of serial 0 for a nil Membership.
 func (membership *Membership) Accepted() message.AcceptedValue {
 	if membership == nil {
 		return message.AcceptedValue{}
--- a/consensus/membership_test.go
+++ b/consensus/membership_test.go
@@ -66,7 +66,7 @@
 }
 
 // Without the joint version between them, majorities of the old and of the new voters
-// need not intersect.
+// need not intersect. This is why a replacement goes through a joint version.
 func TestReplacementWithoutJointVersionIsUnsafe(test *testing.T) {
 	before := initialMembershipOf(3)
 	after := before.WithReplacement(3, "10.9.0.1:41").WithoutFormer()
@@ -79,7 +79,7 @@
 	}
 }
 
-// The voters that fence a blank voter intersect every quorum that it was part of.
+// The other voters that fence a blank voter intersect every quorum that it was part of.
 func TestFencedVotersIntersectQuorumsOfBlankVoter(test *testing.T) {
 	for count := 1; count <= 7; count++ {
 		before := initialMembershipOf(count)
--- a/consensus/state.go
+++ b/consensus/state.go
@@ -2,7 +2,7 @@
 
 import "orchidjunction/message"
 
-// State is the durable state of a replica. Tags give the stored names of fields.
+// State is the durable state of a replica. The tags are the stored names of its fields.
 type State struct {
 	// SinceBootstrap says that the disk has been there since the system's first start.
 	SinceBootstrap bool `msgpack:"Opening"`
