--- a/storage/journal.go
+++ b/storage/journal.go
@@ -19,7 +19,8 @@
 //
 // After a write, a sync or a change of names failed, it is unknown what has reached the
 // disk, and a later sync may succeed without covering it. The journal then rejects all
-// frames until its owner starts a new segment or rewrites the last one.
+// frames until its owner has written what it needs elsewhere, by starting a new segment or
+// by rewriting the last one.
 //
 // A Journal is not safe for concurrent use.
 type Journal struct {
@@ -98,7 +99,7 @@
 // LimitSegments sets the size in bytes above which the next segment is due.
 func (journal *Journal) LimitSegments(bytes int64) { journal.limit = bytes }
 
-// Full reports whether a frame needs the next segment. An empty segment takes any frame.
+// Full reports whether a frame needs the next segment. An empty segment has room for any frame.
 func (journal *Journal) Full(frame []byte) bool {
 	return journal.size > 0 && journal.size+int64(len(frame)) > journal.limit
 }
