--- a/control/claims.go
+++ b/control/claims.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// mergeClaims records another core's claims in batches of the maximum message size.
+// mergeClaims records another core's claims in batches of at most MaxClaimsPerMessage.
 func (core *Core) mergeClaims(claims []message.ClaimRecord) error {
 	for len(claims) > 0 {
 		count := min(len(claims), message.MaxClaimsPerMessage)
--- a/control/config.go
+++ b/control/config.go
@@ -31,8 +31,8 @@
 	Seeds           []string // the internal addresses of some cores
 	Seed            uint64   // of all random numbers
 
-	// Bootstrap allows a core with a blank disk to found a new system. That takes at least
-	// MinFounders cores, and no further one appearing for FoundingQuiet.
+	// Bootstrap allows a core with a blank disk to found a new system, once there are at least
+	// MinFounders cores and no other core has appeared for FoundingQuiet.
 	Bootstrap     bool
 	MinFounders   int
 	FoundingQuiet time.Duration
--- a/control/election.go
+++ b/control/election.go
@@ -118,9 +118,9 @@
 }
 
 // campaign runs one candidacy: pre-vote, fencing of older terms and establishment. It returns
-// true if the core deferred to a better candidate. After the pre-vote it gives up if
-// leaderSeenAt is no longer seenBefore: a higher term would depose the leader seen or the
-// candidate promised a term.
+// true if the core deferred to a better candidate. After the pre-vote it gives up if this core
+// has seen a leader, or promised a term to another candidate, later than seenBefore: a higher
+// term would depose that leader or candidate.
 func (core *Core) campaign(mustNotDefer bool, seenBefore time.Time) bool {
 	if !core.diskWritable() || !core.role.transition(Prechecking) {
 		return false
--- a/control/lameduck.go
+++ b/control/lameduck.go
@@ -10,10 +10,10 @@
 	"orchidjunction/rpc"
 )
 
-// Retire shuts this core down within the timeout. A leader first becomes lameduck: the write
-// in progress finishes, new ones are refused with the successor's address, and the successor
-// is asked to take over. The core then waits until a learner, if there is one, has replaced it
-// as a voter.
+// Retire prepares the planned shutdown of this core, within the timeout. A leader first becomes
+// lameduck: the write in progress finishes, new ones are refused with the successor's address,
+// and the successor is asked to take over. The core then waits until a learner, if there is one,
+// has replaced it as a voter.
 func (core *Core) Retire(timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	leadership, err := core.currentLeadership()
--- a/control/model_actions_test.go
+++ b/control/model_actions_test.go
@@ -37,7 +37,7 @@
 	register message.Register
 }
 
-// possibleActions passes each action that is possible now, within the bounds, to add.
+// possibleActions calls add for each action that is possible now, within the bounds.
 func (cluster *modelCluster) possibleActions(add func(modelAction)) {
 	bounds, counts := cluster.bounds, &cluster.counts
 	for index, packet := range cluster.inFlight {
@@ -70,7 +70,7 @@
 	}
 }
 
-// processActions passes each action that a running process can begin to add.
+// processActions calls add for each action that a running process can begin.
 func (cluster *modelCluster) processActions(machine *modelMachine, add func(modelAction)) {
 	process, bounds, counts := machine.process, cluster.bounds, &cluster.counts
 	view, blank := process.core.membership(), process.core.replica.Blank()
--- a/control/model_observer_test.go
+++ b/control/model_observer_test.go
@@ -241,8 +241,8 @@
 	return slices.Equal(left.Voters, right.Voters) && slices.Equal(left.Next, right.Next) && left.LastID == right.LastID
 }
 
-// modelIsValidChange reports whether next is a joint membership that replaces at most one voter
-// of now, or, if now is a joint membership, that of its next voters alone.
+// modelIsValidChange reports whether next may follow now. After a joint membership it must have
+// the next voters alone, and otherwise be a joint membership that replaces at most one voter.
 func modelIsValidChange(now, next *consensus.Membership) bool {
 	if len(now.Next) > 0 {
 		return len(next.Next) == 0 && slices.Equal(now.Next, next.Voters)
--- a/control/replacement.go
+++ b/control/replacement.go
@@ -225,8 +225,8 @@
 	leadership.finishReplacement()
 }
 
-// beginReplacement writes the joint membership of the two groups. No other write is in
-// progress meanwhile.
+// beginReplacement sends the learner the current values and writes the joint membership. No
+// other write can come between the two.
 func (leadership *Leadership) beginReplacement(leaving message.Peer, address string) error {
 	leadership.writeLock.Lock()
 	defer leadership.writeLock.Unlock()
--- a/control/role.go
+++ b/control/role.go
@@ -14,7 +14,7 @@
 
 // Roles of a core.
 const (
-	Blank        Role = "blank"        // voter whose disk is empty or lost and must be restored
+	Blank        Role = "blank"        // its disk is blank: new, or lost and to be restored
 	Learner      Role = "learner"      // has no vote and follows the leader
 	Following    Role = "following"    // votes and follows the leader
 	Prechecking  Role = "prechecking"  // candidate in the pre-vote
--- a/control/usage_reports.go
+++ b/control/usage_reports.go
@@ -32,7 +32,7 @@
 }
 
 // usageState returns this core's leadership and the decoded reports register, or nil if this core
-// does not lead or reports are not sent to the bundled platform.
+// does not lead, does not report to the bundled platform or cannot decode the register.
 func (core *Core) usageState() (*Leadership, *usage.State) {
 	leadership, err := core.currentLeadership()
 	if err != nil || leadership.check() != nil || core.config.PlatformAddress == "" {
--- a/control/window_reports.go
+++ b/control/window_reports.go
@@ -102,7 +102,7 @@
 }
 
 // windowState returns this core's leadership and the decoded reports register, or nil if this
-// core does not lead, is fenced or has no routing.
+// core does not lead, is fenced, has no routing or cannot decode the register.
 func (core *Core) windowState() (*Leadership, *usage.WindowState) {
 	leadership, err := core.currentLeadership()
 	if err != nil || leadership.check() != nil {
