--- a/consensus/acceptor.go
+++ b/consensus/acceptor.go
@@ -72,7 +72,7 @@
 	return &message.AcceptResponse{Accepted: true, Promised: request.Term}, state.acceptRecord(request)
 }
 
-// acceptInherited accepts the value that the replica already holds under a new term.
+// acceptInherited accepts, under a new term, the value that the replica already holds.
 func (state *State) acceptInherited(request *message.AcceptRequest) (*message.AcceptResponse, *Record) {
 	if state.Accepted[request.Register].Version() != request.Inherited || request.Inherited.Serial != request.Value.Serial {
 		return &message.AcceptResponse{Promised: state.Promised, LacksValue: true}, nil
--- a/control/election.go
+++ b/control/election.go
@@ -153,7 +153,7 @@
 }
 
 // sawLeaderSince reports whether this core has seen a leader, or promised a term to a
-// candidate, since it read seenBefore from leaderSeenAt.
+// candidate, since leaderSeenAt was seenBefore.
 func (core *Core) sawLeaderSince(seenBefore time.Time) bool {
 	core.mutex.Lock()
 	defer core.mutex.Unlock()
