--- a/hostproxy/backend_response.go
+++ b/hostproxy/backend_response.go
@@ -46,7 +46,8 @@
 	finalHead
 )
 
-// classify returns the kind of a response head. A head must have exactly one attempt ID.
+// classify returns the kind of a response head. Nothing can be concluded from a head, other than
+// a 1xx, without exactly one attempt ID: it is malformed.
 func (names *Headers) classify(head *http.Response, id string, repeatable bool) headKind {
 	status := head.StatusCode
 	if head.Proto != "HTTP/1.1" || status < 100 || status == http.StatusSwitchingProtocols || containsSecondHead(head) {
--- a/hostproxy/body.go
+++ b/hostproxy/body.go
@@ -27,7 +27,7 @@
 type requestBody struct {
 	segments [][]byte
 	size     int64
-	// reserved is how many bytes of RequestMemory the body holds.
+	// reserved is the number of bytes reserved for the body in RequestMemory.
 	reserved int64
 }
 
--- a/hostproxy/budget.go
+++ b/hostproxy/budget.go
@@ -38,7 +38,7 @@
 }
 
 // setProvisionalShare sets the share while the number of proxies is not known from a
-// leader: the limit is what a new process starts with.
+// leader: the limit is then at most initialBudget.
 func (budget *retryBudget) setProvisionalShare(ratio, extra float64, proxies int) {
 	budget.setShare(ratio, extra, proxies)
 	budget.mutex.Lock()
--- a/hostproxy/client_cancel_test.go
+++ b/hostproxy/client_cancel_test.go
@@ -9,7 +9,8 @@
 // cancelTimeout is how soon after its client has disconnected a request must have ended.
 const cancelTimeout = 500 * time.Millisecond
 
-// firstThen handles the first request, at any backend that uses it, differently from later ones.
+// firstThen returns a handler, to be shared by backends, that passes the first request to first
+// and later ones to others.
 func firstThen(first, others handler) handler {
 	var count atomic.Int64
 	return func(exchange *exchange) bool {
--- a/hostproxy/fuzz_test.go
+++ b/hostproxy/fuzz_test.go
@@ -213,7 +213,7 @@
 // fuzzRun executes a program of bytes. A step is a request with the behaviour of its
 // backends, a pause, or an event on the connections of a backend.
 type fuzzRun struct {
-	world   *testEnv
+	env     *testEnv
 	oracle  *oracle
 	program []byte
 	secret  [sha256.Size]byte
@@ -261,17 +261,17 @@
 		case 5:
 			run.request("GET", "/once/a", "", true)
 		case 6:
-			run.world.goroutines.Sleep(time.Duration(run.nextByte()) * 40 * time.Millisecond)
+			run.env.goroutines.Sleep(time.Duration(run.nextByte()) * 40 * time.Millisecond)
 		case 7:
-			backend := run.world.backends[[]string{"b1", "b2"}[kind/8%2]]
+			backend := run.env.backends[[]string{"b1", "b2"}[kind/8%2]]
 			if kind/16%2 == 0 {
 				backend.closeConnections()
 			} else {
-				run.world.resetConnections(backend)
+				run.env.resetConnections(backend)
 			}
 		}
 	}
-	run.world.goroutines.Sleep(3 * time.Second)
+	run.env.goroutines.Sleep(3 * time.Second)
 	synctest.Wait()
 	run.checkArrivals()
 }
@@ -289,7 +289,7 @@
 
 // request sends a request; the program selects the behaviour at its first two arrivals.
 func (run *fuzzRun) request(method, path, body string, cancels bool) {
-	env, id := run.world, run.nextID()
+	env, id := run.env, run.nextID()
 	var mutex sync.Mutex
 	remaining := []behaviour{behaviours[run.nextByte()%len(behaviours)], behaviours[run.nextByte()%len(behaviours)], behaviours[0]}
 	bytes := run.nextRaw()
@@ -325,7 +325,7 @@
 
 // checkReply checks a reply against the oracle.
 func (run *fuzzRun) checkReply(id, method string, reply reply) {
-	test := run.world.test
+	test := run.env.test
 	run.oracle.mutex.Lock()
 	defer run.oracle.mutex.Unlock()
 	record := run.oracle.attempt(id)
@@ -357,7 +357,7 @@
 
 // checkArrivals checks the requests at the backends after the end of the program.
 func (run *fuzzRun) checkArrivals() {
-	test := run.world.test
+	test := run.env.test
 	run.oracle.mutex.Lock()
 	defer run.oracle.mutex.Unlock()
 	for id, record := range run.oracle.attempts {
@@ -405,7 +405,7 @@
 			for _, budget := range env.proxy.view.Load().budgets {
 				budget.tokens = budget.limit
 			}
-			(&fuzzRun{world: env, oracle: newOracle(), program: program, secret: sha256.Sum256(program)}).run()
+			(&fuzzRun{env: env, oracle: newOracle(), program: program, secret: sha256.Sum256(program)}).run()
 		})
 	})
 }
--- a/hostproxy/proxy.go
+++ b/hostproxy/proxy.go
@@ -22,8 +22,8 @@
 	waitInterval = 50 * time.Millisecond
 	// maxUnsentAttempts limits the attempts of a request that cannot be sent to any backend.
 	maxUnsentAttempts = 6
-	// suspectMargin is added to ListLag: how long backends are suspect after the evacuation of
-	// their zone ends.
+	// After the evacuation of their zone ends, backends are suspect for ListLag plus
+	// suspectMargin.
 	suspectMargin = 2 * time.Second
 )
 
@@ -62,7 +62,8 @@
 	maxProxiesSeen   int
 }
 
-// NewProxy returns a proxy. clusterTimeMs returns the time agreed on by the cores, in milliseconds.
+// NewProxy returns a proxy. clusterTimeMs returns the cluster time, which the cores agree on, in
+// milliseconds.
 func NewProxy(config Config, dial Dialer, clusterTimeMs func() int64, goroutines *concurrent.Group, counters *metrics.Counters) *Proxy {
 	proxy := &Proxy{
 		config:          config,
--- a/hostproxy/request_memory_test.go
+++ b/hostproxy/request_memory_test.go
@@ -86,7 +86,7 @@
 	withTestEnv(test, func(env *testEnv) {
 		body := string(letters(0, 900<<10))
 		success := func(id string) string { return sealedResponse(id, "200 OK", "", successBody(id)) }
-		responder := &earlyResponder{world: env, response: success, readInterval: 50 * time.Millisecond}
+		responder := &earlyResponder{env: env, response: success, readInterval: 50 * time.Millisecond}
 		env.addBackend("b1").onConnect(responder.serve)
 		client := env.client()
 		defer client.conn.Close()
--- a/hostproxy/rollout.go
+++ b/hostproxy/rollout.go
@@ -211,7 +211,7 @@
 }
 
 // currentVersion returns the version of a service that serves without an order: the target of
-// a complete rollout, else the previous current version. If that has no backends or is
+// a complete rollout, else the version that served before. If that has no backends or is
 // unknown, it is the most common version that is not an order's target: a version that no
 // order allows gets no requests.
 func (proxy *Proxy) currentVersion(service string, revisions map[string]int, order *message.Rollout) string {
--- a/hostproxy/shaper.go
+++ b/hostproxy/shaper.go
@@ -68,7 +68,7 @@
 }
 
 // transferLimiter limits concurrent downloads, so that the bytes their senders have in
-// flight never fill the link for long; a slow reader alone cannot prevent that.
+// flight never fill the link for long; reading slowly is not enough to hold the senders back.
 type transferLimiter struct {
 	limit int
 
--- a/hostproxy/upload_test.go
+++ b/hostproxy/upload_test.go
@@ -81,7 +81,7 @@
 // earlyResponder is a backend that responds after a request's head, and then reads and records
 // the rest of the connection at intervals.
 type earlyResponder struct {
-	world        *testEnv
+	env          *testEnv
 	response     func(id string) string
 	readInterval time.Duration
 
@@ -110,7 +110,7 @@
 	_, _ = io.WriteString(pipe, responder.response("id")) // the proxy may have closed the connection
 	part := make([]byte, 64<<10)
 	for {
-		responder.world.goroutines.Sleep(responder.readInterval)
+		responder.env.goroutines.Sleep(responder.readInterval)
 		count, err := pipe.Read(part)
 		responder.record(part[:count], err != nil)
 		if err != nil {
@@ -151,7 +151,7 @@
 		"client cancels": {plain, success(""), 100 * time.Millisecond, true},
 	} {
 		withTestEnv(test, func(env *testEnv) {
-			responder := &earlyResponder{world: env, response: testCase.response, readInterval: testCase.readInterval}
+			responder := &earlyResponder{env: env, response: testCase.response, readInterval: testCase.readInterval}
 			env.addBackend("b1").onConnect(responder.serve)
 			client := env.client()
 			defer client.conn.Close()
@@ -186,7 +186,7 @@
 	for limit, complete := range map[time.Duration]bool{1500 * time.Millisecond: true, 200 * time.Millisecond: false} {
 		withTestEnv(test, func(env *testEnv) {
 			responder := &earlyResponder{
-				world:        env,
+				env:          env,
 				response:     func(id string) string { return sealedResponse(id, "200 OK", "", successBody(id)) },
 				readInterval: 50 * time.Millisecond,
 			}
--- a/hostproxy/usage_meter.go
+++ b/hostproxy/usage_meter.go
@@ -11,7 +11,7 @@
 
 const retainedWindows = 7
 
-// usageMeter counts the requests that began at backends, by tenant and window of true time.
+// usageMeter counts the requests that began at backends, by tenant and window of cluster time.
 type usageMeter struct {
 	window time.Duration
 	now    func() int64
--- a/hostproxy/view.go
+++ b/hostproxy/view.go
@@ -34,8 +34,8 @@
 	connectionLimits []int
 }
 
-// provisionalProxies is the least number of proxies that a service's connection limit is
-// divided among while their number is not known from a leader.
+// While the number of proxies is not known from a leader, a service's connection limit is divided
+// among at least provisionalProxies.
 const provisionalProxies = 32
 
 // The proxies together use this fraction of a service's connection limit; each may open at
--- a/hostproxy/wait_queues.go
+++ b/hostproxy/wait_queues.go
@@ -15,7 +15,7 @@
 	total  int
 }
 
-// enter returns false if maxWaiting requests are waiting already.
+// enter returns false if maxQueuedRequests requests are waiting already.
 func (queues *waitQueues) enter(queue waitQueue) bool {
 	queues.mutex.Lock()
 	defer queues.mutex.Unlock()
