--- a/rollout/martingale/bounds.go
+++ b/rollout/martingale/bounds.go
@@ -118,7 +118,8 @@
 	}
 }
 
-// minRootSquare is the minimum of (1 + sqrt(k))^2. It keeps k above 0: a small alpha starts later.
+// minRootSquare is the minimum of (1 + sqrt(k))^2. It keeps k above 0 by a later start
+// for a small alpha.
 const minRootSquare = 1.1
 
 // kappa returns the smallest factor for which the paper's process is a supermartingale.
--- a/rollout/martingale/simulation_test.go
+++ b/rollout/martingale/simulation_test.go
@@ -90,7 +90,7 @@
 // itemSource reports whether the next item of a rollout exceeds.
 type itemSource func() bool
 
-// independent returns items that exceed independently at a rate.
+// independent returns items that each exceed with probability rate, independently of the others.
 func independent(random *rand.Rand, rate float64) itemSource {
 	return func() bool { return random.Float64() < rate }
 }
