--- a/routing/check.go
+++ b/routing/check.go
@@ -52,7 +52,8 @@
 	return path
 }
 
-// Check returns an error that lists the problems of the config, nil if it is valid.
+// Check returns an error with the number of problems and the first maxDetails of them, nil if the
+// config is valid.
 func (config *Config) Check() error {
 	checker := &checker{}
 	services := make(map[string]bool, len(config.Services))
--- a/routing/config.go
+++ b/routing/config.go
@@ -78,7 +78,8 @@
 	Extras      []Extra
 }
 
-// Limits bound the size of requests and the time to receive them.
+// Limits bound the sizes of request heads and bodies, the time to receive a head, and the time
+// that a connection may be idle between requests.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -166,7 +167,7 @@
 	return &bare
 }
 
-// RestoredZone is when a zone was last restored, in milliseconds of true time. Its backends may
+// RestoredZone is when a zone was last restored, in milliseconds of cluster time. Its backends may
 // have turned cold in the meantime, and lists of them lag.
 type RestoredZone struct {
 	Zone string
