--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -80,12 +80,12 @@
 	return &message.VoterSet{Current: membership.Voters, Next: membership.Next, LastID: membership.LastID}
 }
 
-// Changing reports whether this is a joint version.
-func (membership *Membership) Changing() bool { return len(membership.Next) > 0 }
+// IsJoint reports whether this is a joint version.
+func (membership *Membership) IsJoint() bool { return len(membership.Next) > 0 }
 
 // Groups returns the groups of voters; a quorum needs a majority of each.
 func (membership *Membership) Groups() [][]message.Peer {
-	if membership.Changing() {
+	if membership.IsJoint() {
 		return [][]message.Peer{membership.Voters, membership.Next}
 	}
 	return [][]message.Peer{membership.Voters}
@@ -113,10 +113,10 @@
 	return membership.VoterSet().Quorum(has)
 }
 
-// FencesWithout reports whether a voter whose disk was lost may vote again: the other
+// FencesLostVoter reports whether a voter whose disk was lost may vote again: the other
 // voters for which has returns true intersect every quorum that it was part of, and form
 // a quorum together with it. Of n voters this takes n - majority + 1 others.
-func (membership *Membership) FencesWithout(lost int, has func(id int) bool) bool {
+func (membership *Membership) FencesLostVoter(lost int, has func(id int) bool) bool {
 	others := func(id int) bool { return id != lost && has(id) }
 	for _, group := range membership.Groups() {
 		required := message.Majority(group)
@@ -148,8 +148,8 @@
 	return joint
 }
 
-// WithoutFormer returns the version after a joint one, which has only the new voters.
-func (membership *Membership) WithoutFormer() *Membership {
+// AfterJoint returns the version after a joint one, which has only the new voters.
+func (membership *Membership) AfterJoint() *Membership {
 	next := &Membership{Voters: membership.Next, LastID: membership.LastID}
 	next.Version.Serial = membership.Version.Serial + 1
 	return next
--- a/consensus/membership_test.go
+++ b/consensus/membership_test.go
@@ -40,7 +40,7 @@
 	for count := 1; count <= 9; count++ {
 		before := initialMembershipOf(count)
 		joint := before.WithReplacement(count, "10.9.0.1:41")
-		after := joint.WithoutFormer()
+		after := joint.AfterJoint()
 		for _, pair := range [][2]*Membership{{before, before}, {before, joint}, {joint, joint}, {joint, after}, {after, after}} {
 			forEachSubset(pair[:], func(has func(id int) bool) {
 				if pair[0].Quorum(has) && pair[1].Quorum(func(id int) bool { return !has(id) }) {
@@ -55,7 +55,7 @@
 				}
 			})
 		}
-		if before.Changing() || !joint.Changing() || after.Changing() || len(after.Voters) != count || after.Version.Serial != 3 ||
+		if before.IsJoint() || !joint.IsJoint() || after.IsJoint() || len(after.Voters) != count || after.Version.Serial != 3 ||
 			after.LastID != count+1 {
 			test.Fatalf("%d cores: before %+v, joint %+v, after %+v", count, before, joint, after)
 		}
@@ -69,7 +69,7 @@
 // need not intersect.
 func TestReplacementWithoutJointVersionIsUnsafe(test *testing.T) {
 	before := initialMembershipOf(3)
-	after := before.WithReplacement(3, "10.9.0.1:41").WithoutFormer()
+	after := before.WithReplacement(3, "10.9.0.1:41").AfterJoint()
 	disjoint := false
 	forEachSubset([]*Membership{before, after}, func(has func(id int) bool) {
 		disjoint = disjoint || before.Quorum(has) && after.Quorum(func(id int) bool { return !has(id) })
@@ -84,11 +84,11 @@
 	for count := 1; count <= 7; count++ {
 		before := initialMembershipOf(count)
 		joint := before.WithReplacement(count, "10.9.0.1:41")
-		for _, membership := range []*Membership{before, joint, joint.WithoutFormer()} {
+		for _, membership := range []*Membership{before, joint, joint.AfterJoint()} {
 			for _, lost := range membership.All() {
 				forEachSubset([]*Membership{membership}, func(has func(id int) bool) {
 					others := func(id int) bool { return id != lost.ID && !has(id) }
-					if membership.FencesWithout(lost.ID, has) &&
+					if membership.FencesLostVoter(lost.ID, has) &&
 						membership.Quorum(func(id int) bool { return id == lost.ID || others(id) }) {
 						test.Fatalf(
 							"%d cores: the voters that fence %d do not intersect a quorum of %v -> %v",
@@ -148,14 +148,14 @@
 		test.Fatalf("decoded membership differs: %+v, error %v", decoded, err)
 	}
 	nonVoter := NewView("10.8.0.1:41", joint)
-	if nonVoter.Votes() || len(nonVoter.Peers) != 4 || nonVoter.Decides(func(int) bool { return true }) {
+	if nonVoter.IsVoter() || len(nonVoter.Peers) != 4 || nonVoter.IsQuorumWithSelf(func(int) bool { return true }) {
 		test.Errorf("view of a non-voter: %+v", nonVoter)
 	}
 	joining := NewView("10.9.0.1:41", joint)
 	if joining.ID != 4 || joining.MayLead(joining.ID) || len(joining.Peers) != 3 {
 		test.Errorf("view of the joining core: %+v", joining)
 	}
-	if !joining.Decides(func(id int) bool { return id == 2 || id == 3 }) || joining.Decides(func(id int) bool { return id == 2 }) {
+	if !joining.IsQuorumWithSelf(func(id int) bool { return id == 2 || id == 3 }) || joining.IsQuorumWithSelf(func(id int) bool { return id == 2 }) {
 		test.Error("a joint version must need a majority of both groups")
 	}
 }
--- a/consensus/tracker.go
+++ b/consensus/tracker.go
@@ -49,7 +49,7 @@
 // otherwise the value of serial 0.
 func (tracker *Tracker) NewerThan(version message.Version) message.AcceptedValue {
 	view := tracker.View()
-	if !view.Known() || !version.Less(view.Version) {
+	if !view.HasMembership() || !version.Less(view.Version) {
 		return message.AcceptedValue{}
 	}
 	return view.Accepted()
@@ -79,8 +79,8 @@
 }
 
 // MayRestore reports whether a voter with a blank disk may restore its replica: the
-// initialized replicas that responded fence it (FencesWithout), and the voters have not
+// initialized replicas that responded fence it (FencesLostVoter), and the voters have not
 // changed since it asked.
 func (tracker *Tracker) MayRestore(view *View, responses map[int]*message.ReplicaStateResponse) bool {
-	return tracker.View().SameVoters(view) && view.MayLead(view.ID) && view.FencesWithout(view.ID, Agreed(responses, Initialized))
+	return tracker.View().SameVoters(view) && view.MayLead(view.ID) && view.FencesLostVoter(view.ID, Agreed(responses, Initialized))
 }
--- a/consensus/view.go
+++ b/consensus/view.go
@@ -39,25 +39,25 @@
 	return view.LastID == other.LastID && slices.Equal(view.Voters, other.Voters) && slices.Equal(view.Next, other.Next)
 }
 
-// Known reports whether a membership is known.
-func (view *View) Known() bool { return view.Version.Serial > 0 }
+// HasMembership reports whether a membership is known.
+func (view *View) HasMembership() bool { return view.Version.Serial > 0 }
 
-// Votes reports whether this core is a voter.
-func (view *View) Votes() bool { return view.ID > 0 }
+// IsVoter reports whether this core is a voter.
+func (view *View) IsVoter() bool { return view.ID > 0 }
 
-// Decides reports whether this core and the voters for which has returns true are a
+// IsQuorumWithSelf reports whether this core and the voters for which has returns true are a
 // quorum. It is false if this core is not a voter.
-func (view *View) Decides(has func(id int) bool) bool {
-	return view.Votes() && view.Quorum(func(id int) bool { return id == view.ID || has(id) })
+func (view *View) IsQuorumWithSelf(has func(id int) bool) bool {
+	return view.IsVoter() && view.Quorum(func(id int) bool { return id == view.ID || has(id) })
 }
 
-// DecidedBy is like Decides, but counts this core only if has returns true for it.
-func (view *View) DecidedBy(has func(id int) bool) bool { return view.Votes() && view.Quorum(has) }
+// DecidedBy is like IsQuorumWithSelf, but counts this core only if has returns true for it.
+func (view *View) DecidedBy(has func(id int) bool) bool { return view.IsVoter() && view.Quorum(has) }
 
 // MajoritySize returns the size of a majority of the current voters, or math.MaxInt if
 // this core is not a voter.
 func (view *View) MajoritySize() int {
-	if !view.Votes() {
+	if !view.IsVoter() {
 		return math.MaxInt
 	}
 	return message.Majority(view.Voters)
@@ -87,7 +87,7 @@
 // or no membership is known.
 func (view *View) Addresses() []string {
 	all := []string{}
-	if view.Votes() || !view.Known() {
+	if view.IsVoter() || !view.HasMembership() {
 		all = append(all, view.Address)
 	}
 	for _, peer := range view.Peers {
@@ -96,11 +96,13 @@
 	return all
 }
 
-// WithSelf returns all voters, this core first.
-func (view *View) WithSelf() []message.Peer {
+// AllPeers returns all voters, this core first.
+func (view *View) AllPeers() []message.Peer {
 	return append([]message.Peer{{ID: view.ID, Address: view.Address}}, view.Peers...)
 }
 
-// MayVoteAtOnce reports whether a core that learns its first membership may vote without
+// MayVoteWithoutRestore reports whether a core that learns its first membership may vote without
 // a restore. A disk that has been there since the system's first start has never voted.
-func (view *View) MayVoteAtOnce(sinceBootstrap bool) bool { return sinceBootstrap && view.Votes() }
+func (view *View) MayVoteWithoutRestore(sinceBootstrap bool) bool {
+	return sinceBootstrap && view.IsVoter()
+}
--- a/control/claims.go
+++ b/control/claims.go
@@ -31,7 +31,7 @@
 	view := core.membership()
 	known := view.Accepted()
 	response := &message.RecordClaimsResponse{Core: view.ID, Membership: membershipIfDifferent(request.Membership, known), Refused: true}
-	if !view.Votes() {
+	if !view.IsVoter() {
 		core.counters.Add("claims_refused_without_vote", 1)
 		return response, nil
 	}
@@ -70,7 +70,7 @@
 	core.learnMembership(request.Membership)
 	view := core.membership()
 	known := view.Accepted()
-	if request.After == 0 && view.Known() {
+	if request.After == 0 && view.HasMembership() {
 		barrier := &idempotency.Write{Request: &message.RecordClaimsRequest{}, Membership: known}
 		if err := core.claims.Submit(barrier); err != nil {
 			return nil, err
--- a/control/commit_proof.go
+++ b/control/commit_proof.go
@@ -10,7 +10,7 @@
 // get the routing before an election ends.
 func (core *Core) runRoutingRecovery() {
 	for core.neverHeardLeader() && !core.goroutines.Stopping() {
-		if core.membership().Votes() && !core.replica.Blank() && core.recoverCommittedRouting() {
+		if core.membership().IsVoter() && !core.replica.Blank() && core.recoverCommittedRouting() {
 			return
 		}
 		if !core.goroutines.Sleep(core.config.HeartbeatInterval) {
@@ -31,8 +31,8 @@
 		return consensus.Initialized(response) && response.Versions[message.RoutingRegister] == accepted.Version()
 	}
 	view := core.membership()
-	responses := core.askReplicaStates(view, hasSame, view.Decides)
-	if !view.Decides(consensus.Agreed(responses, hasSame)) || !core.membership().SameVoters(view) {
+	responses := core.askReplicaStates(view, hasSame, view.IsQuorumWithSelf)
+	if !view.IsQuorumWithSelf(consensus.Agreed(responses, hasSame)) || !core.membership().SameVoters(view) {
 		return false
 	}
 	core.counters.Add("surveys_proved", 1)
--- a/control/core.go
+++ b/control/core.go
@@ -162,7 +162,7 @@
 
 // Run starts the core's goroutines. They end when the group is stopped.
 func (core *Core) Run() {
-	if view := core.membership(); view.Known() {
+	if view := core.membership(); view.HasMembership() {
 		core.config.OnMembershipChange(view.Version, view.Addresses())
 	}
 	core.goroutines.OnStop(core.updates.Notify)
--- a/control/disk_failure.go
+++ b/control/disk_failure.go
@@ -44,7 +44,7 @@
 
 // CanVote reports whether this core is a voter whose disk accepts writes.
 func (core *Core) CanVote() bool {
-	return !core.replica.Blank() && core.membership().Votes() && core.diskWritable()
+	return !core.replica.Blank() && core.membership().IsVoter() && core.diskWritable()
 }
 
 // diskWritable reports whether the disk neither refuses writes nor stalls.
--- a/control/election.go
+++ b/control/election.go
@@ -24,10 +24,10 @@
 		snapshot := core.takeElectionSnapshot()
 		switch {
 		case snapshot.role == Retired || snapshot.role == Lameduck || snapshot.isLeader:
-		case !core.membership().Known():
+		case !core.membership().HasMembership():
 			core.discoverMembership()
 			continue
-		case !core.membership().Votes():
+		case !core.membership().IsVoter():
 			core.followAsLearner()
 			continue
 		case core.mayAdoptFirstMembership():
@@ -189,7 +189,7 @@
 		core.counters.Add("prechecks_by_old_members", 1)
 	case leaderAlive:
 		core.counters.Add("prechecks_leader_alive", 1)
-	case !view.Decides(granted):
+	case !view.IsQuorumWithSelf(granted):
 		core.counters.Add("prechecks_short", 1)
 	case !mustNotDefer && hasBetterCandidate(view, own, responses):
 		core.counters.Add("prechecks_yielded", 1)
--- a/control/establishment.go
+++ b/control/establishment.go
@@ -60,7 +60,7 @@
 	if revocation.Method == TermFence && revocation.Term == establishment.term {
 		establishment.promises = revocation.Promises
 	}
-	if establishment.view.Decides(consensus.Agreed(establishment.promises, consensus.Granted)) {
+	if establishment.view.IsQuorumWithSelf(consensus.Agreed(establishment.promises, consensus.Granted)) {
 		return nil
 	}
 	promises, err := establishment.core.prepare(establishment.view, establishment.term)
--- a/control/heartbeat.go
+++ b/control/heartbeat.go
@@ -38,7 +38,7 @@
 	responses, _ := concurrent.Gather(core.goroutines, len(peers), func(index int) (*message.HeartbeatResponse, error) {
 		return leadership.sendHeartbeatTo(peers[index], request)
 	}, func(responses map[int]*message.HeartbeatResponse, _ map[int]error) bool {
-		return view.Decides(acceptedHeartbeat(peers, responses))
+		return view.IsQuorumWithSelf(acceptedHeartbeat(peers, responses))
 	})
 	for _, response := range responses {
 		if leadership.term.Less(response.Promised) {
@@ -47,7 +47,7 @@
 			return false
 		}
 	}
-	if !view.Decides(acceptedHeartbeat(peers, responses)) || core.replica.State().Promised != leadership.term {
+	if !view.IsQuorumWithSelf(acceptedHeartbeat(peers, responses)) || core.replica.State().Promised != leadership.term {
 		return false
 	}
 	leadership.recordHeartbeatQuorum(number, begin)
--- a/control/initial_view_test.go
+++ b/control/initial_view_test.go
@@ -26,7 +26,7 @@
 		{nil, []message.Peer{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}, message.Version{Serial: 1}},
 		{former, []message.Peer{{ID: 1, Address: "10.0.0.1:1"}, {ID: 2, Address: "10.0.0.2:1"}, {ID: 3, Address: "10.0.0.33:1"}}, former.Version},
 		{step, former.Voters, step.Version},
-		{step.WithoutFormer(), step.Next, step.WithoutFormer().Version},
+		{step.AfterJoint(), step.Next, step.AfterJoint().Version},
 	} {
 		view := config.initialView(testCase.accepted)
 		if len(view.Voters) != len(testCase.want) || view.Version != testCase.version {
@@ -47,7 +47,7 @@
 		{ID: 1, Address: "10.0.0.1:1"},
 		{ID: 2, Address: "10.0.0.2:1"},
 	}
-	if view := removed.initialView(step.WithoutFormer()); view.ID != 0 || view.Votes() {
+	if view := removed.initialView(step.AfterJoint()); view.ID != 0 || view.IsVoter() {
 		test.Errorf("a removed core still has ID %d", view.ID)
 	}
 }
--- a/control/join.go
+++ b/control/join.go
@@ -118,7 +118,7 @@
 // mayAdoptFirstMembership reports whether a membership that came with another core's call, not
 // with the response to this core's own request, gives it a vote at the first start.
 func (core *Core) mayAdoptFirstMembership() bool {
-	return core.config.discoversPeers() && core.replica.Blank() && core.membership().MayVoteAtOnce(core.sinceBootstrap())
+	return core.config.discoversPeers() && core.replica.Blank() && core.membership().MayVoteWithoutRestore(core.sinceBootstrap())
 }
 
 // adoptFirstMembership applies the first membership that this core learns. At the system's
@@ -129,7 +129,7 @@
 		return
 	}
 	view := consensus.NewView(core.config.InternalAddress, membership)
-	votesImmediately := view.MayVoteAtOnce(core.sinceBootstrap())
+	votesImmediately := view.MayVoteWithoutRestore(core.sinceBootstrap())
 	if votesImmediately && core.replica.Join(accepted) != nil {
 		core.goroutines.Sleep(joinInterval)
 		return
@@ -152,7 +152,7 @@
 // onJoin returns the membership and the leader. A leader also admits a core without a vote as
 // a learner.
 func (core *Core) onJoin(request *message.JoinRequest) (*message.JoinResponse, error) {
-	if !core.membership().Known() {
+	if !core.membership().HasMembership() {
 		core.founders.addFounder(request.Address)
 		return &message.JoinResponse{}, nil
 	}
--- a/control/learner.go
+++ b/control/learner.go
@@ -102,7 +102,7 @@
 // mayInitializeLearner reports whether a response allows this core's blank disk to become an
 // empty replica.
 func (core *Core) mayInitializeLearner(response *message.JoinResponse) bool {
-	return response.Admitted && core.replica.Blank() && !core.membership().Votes()
+	return response.Admitted && core.replica.Blank() && !core.membership().IsVoter()
 }
 
 // initializeLearner makes a blank disk a replica that has accepted nothing but the membership.
@@ -112,7 +112,7 @@
 // waits for the membership that the admitting leader wrote under its term.
 func (core *Core) initializeLearner(term message.Term) {
 	view := core.membership()
-	if view.Votes() || view.Version.Term != term {
+	if view.IsVoter() || view.Version.Term != term {
 		return
 	}
 	accepted := [message.Registers]message.AcceptedValue{}
--- a/control/leave.go
+++ b/control/leave.go
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	view := core.membership()
-	hasSuccessor := len(leadership.waitingLearners(view)) > 0 || view.Changing()
+	hasSuccessor := len(leadership.waitingLearners(view)) > 0 || view.IsJoint()
 	for _, voter := range view.All() {
 		if hasSuccessor && isCaller(voter, consensus.ContainsPeer(view.Voters, voter.ID)) {
 			leadership.replacements.announceLeaving(voter.ID)
@@ -52,7 +52,7 @@
 	if limit := begin.Add(leaveTimeout); limit.Before(deadline) {
 		deadline = limit
 	}
-	for time.Now().Before(deadline) && core.membership().Votes() && len(core.membership().Peers) > 0 {
+	for time.Now().Before(deadline) && core.membership().IsVoter() && len(core.membership().Peers) > 0 {
 		response, err := core.announceLeave()
 		if err == nil {
 			core.learnMembership(response.Membership)
--- a/control/membership_status.go
+++ b/control/membership_status.go
@@ -14,7 +14,7 @@
 	view := core.membership()
 	status := message.MembershipStatus{Version: view.Version.Serial, Term: view.Version.Term, Learners: []message.LearnerStatus{}}
 	status.Voters = core.voterStatus(leadership, view.Voters)
-	if view.Changing() {
+	if view.IsJoint() {
 		status.Next = core.voterStatus(leadership, view.Next)
 	}
 	if leadership != nil {
--- a/control/model_actions_test.go
+++ b/control/model_actions_test.go
@@ -84,19 +84,19 @@
 		cluster.leaderActions(machine, view, add)
 		return
 	}
-	if view.Votes() && !blank && counts.recoveries < bounds.recoveries {
+	if view.IsVoter() && !blank && counts.recoveries < bounds.recoveries {
 		add(modelAction{kind: modelRecoverCommitted, target: machine.index})
 	}
 	if !process.isIdle() {
 		return
 	}
-	if view.Votes() && !blank && cluster.rules.mayLead(view, view.ID) && counts.candidacies < bounds.candidacies {
+	if view.IsVoter() && !blank && cluster.rules.mayLead(view, view.ID) && counts.candidacies < bounds.candidacies {
 		add(modelAction{kind: modelCampaign, target: machine.index})
 	}
-	if view.Votes() && blank && counts.candidacies < bounds.candidacies {
+	if view.IsVoter() && blank && counts.candidacies < bounds.candidacies {
 		add(modelAction{kind: modelRestore, target: machine.index})
 	}
-	if !view.Votes() && process.joinCall == 0 && counts.joins < bounds.joins {
+	if !view.IsVoter() && process.joinCall == 0 && counts.joins < bounds.joins {
 		for _, other := range cluster.machines {
 			if other.index != machine.index && other.process != nil {
 				add(modelAction{kind: modelJoin, target: machine.index, argument: other.index})
@@ -149,7 +149,7 @@
 			add(modelAction{kind: modelStartWrite, target: machine.index, register: register})
 		}
 	}
-	if view.Changing() {
+	if view.IsJoint() {
 		add(modelAction{kind: modelFinishReplacement, target: machine.index})
 		return
 	}
--- a/control/model_mutants_test.go
+++ b/control/model_mutants_test.go
@@ -27,7 +27,7 @@
 
 // modelOneBelowMajority requires one voter fewer than a majority of each group.
 func modelOneBelowMajority(view *consensus.View, has func(id int) bool) bool {
-	if !view.Votes() {
+	if !view.IsVoter() {
 		return false
 	}
 	for _, group := range view.Groups() {
@@ -40,7 +40,7 @@
 
 // modelFormerMajority requires only a majority of the former voters, also in a joint membership.
 func modelFormerMajority(view *consensus.View, has func(id int) bool) bool {
-	return view.Votes() && message.CountIn(view.Voters, has) >= message.Majority(view.Voters)
+	return view.IsVoter() && message.CountIn(view.Voters, has) >= message.Majority(view.Voters)
 }
 
 // modelOldestValues returns the oldest values instead of the newest.
--- a/control/model_rules_test.go
+++ b/control/model_rules_test.go
@@ -38,14 +38,16 @@
 
 func modelRealRules() *modelRules {
 	return &modelRules{
-		decides: (*consensus.View).Decides,
+		decides: (*consensus.View).IsQuorumWithSelf,
 		decidedBy: func(view *consensus.View, accepted func(id int) bool) bool {
 			return view.DecidedBy(accepted)
 		},
 		mayRestore: func(core *Core, view *consensus.View, responses map[int]*message.ReplicaStateResponse) bool {
 			return core.members.MayRestore(view, responses)
 		},
-		fencesWithout:     func(view *consensus.View, lost int, has func(id int) bool) bool { return view.FencesWithout(lost, has) },
+		fencesWithout: func(view *consensus.View, lost int, has func(id int) bool) bool {
+			return view.FencesLostVoter(lost, has)
+		},
 		prepareMembership: func(view *consensus.View) message.AcceptedValue { return view.Accepted() },
 		inheritedValues:   consensus.InheritedValues,
 		inheritedVersion:  message.AcceptedValue.Version,
@@ -63,7 +65,7 @@
 		withReplacement: func(view *consensus.View, leaving int, address string) *consensus.Membership {
 			return view.WithReplacement(leaving, address)
 		},
-		withoutFormer: func(view *consensus.View) *consensus.Membership { return view.WithoutFormer() },
+		withoutFormer: func(view *consensus.View) *consensus.Membership { return view.AfterJoint() },
 		adopt: func(core *Core, next *consensus.Membership, term message.Term) (*consensus.View, error) {
 			return core.members.Adopt(next, term)
 		},
--- a/control/model_steps_test.go
+++ b/control/model_steps_test.go
@@ -250,7 +250,7 @@
 				core.learnMembership(state.Membership)
 			}
 		}
-		if accepted.Value.Serial > 0 && core.membership().SameVoters(view) && view.Decides(consensus.Agreed(responses, same)) {
+		if accepted.Value.Serial > 0 && core.membership().SameVoters(view) && view.IsQuorumWithSelf(consensus.Agreed(responses, same)) {
 			cluster.observer.checkServed(machine.index, register, accepted.Value)
 		}
 	}
@@ -330,7 +330,7 @@
 func (cluster *modelCluster) handleJoin(machine *modelMachine, packet *modelPacket, request *message.JoinRequest) {
 	process := machine.process
 	view := process.core.membership()
-	if !view.Known() {
+	if !view.HasMembership() {
 		return
 	}
 	if process.leadership == nil || !cluster.rules.admits(view, request.Address) {
@@ -463,8 +463,8 @@
 	core := process.core
 	process.joinCall = 0
 	membership, err := consensus.DecodeMembership(response.Membership)
-	if !core.membership().Known() && err == nil && membership != nil && core.replica.Blank() &&
-		consensus.NewView(machine.address, membership).MayVoteAtOnce(core.sinceBootstrap()) {
+	if !core.membership().HasMembership() && err == nil && membership != nil && core.replica.Blank() &&
+		consensus.NewView(machine.address, membership).MayVoteWithoutRestore(core.sinceBootstrap()) {
 		if core.replica.Join(response.Membership) != nil {
 			return
 		}
--- a/control/remove_voter.go
+++ b/control/remove_voter.go
@@ -49,7 +49,7 @@
 // leadership decided.
 func (leadership *Leadership) decidedMembership() (*consensus.View, error) {
 	core := leadership.core
-	if core.membership().Changing() {
+	if core.membership().IsJoint() {
 		leadership.finishReplacement()
 	}
 	if err := leadership.check(); err != nil {
@@ -57,7 +57,7 @@
 	}
 	view := core.membership()
 	decided := message.Version{Term: leadership.term, Serial: leadership.value(message.MembersRegister).Serial}
-	if view.Changing() || view.Version != decided {
+	if view.IsJoint() || view.Version != decided {
 		return nil, &rpc.Error{Code: rpc.NotStarted, Message: "another replacement is in progress", RetryAfterMs: removalRetryMs}
 	}
 	return view, nil
--- a/control/replacement.go
+++ b/control/replacement.go
@@ -184,7 +184,7 @@
 		return
 	}
 	view := core.membership()
-	if view.Changing() {
+	if view.IsJoint() {
 		leadership.finishReplacement()
 		return
 	}
@@ -245,7 +245,7 @@
 // through an operator or the periodic task.
 func (leadership *Leadership) checkReplacement(leaving message.Peer, address string) error {
 	view := leadership.core.membership()
-	if view.Changing() || !consensus.ContainsPeer(view.Voters, leaving.ID) || view.HasAddress(address) {
+	if view.IsJoint() || !consensus.ContainsPeer(view.Voters, leaving.ID) || view.HasAddress(address) {
 		return rpc.Errorf(rpc.NotStarted, "the membership has changed to version %d", view.Version.Serial)
 	}
 	return nil
@@ -276,7 +276,7 @@
 	leadership.writeLock.Lock()
 	defer leadership.writeLock.Unlock()
 	view := core.membership()
-	if !view.Changing() || leadership.check() != nil {
+	if !view.IsJoint() || leadership.check() != nil {
 		return
 	}
 	values, chunks := leadership.snapshot()
@@ -285,7 +285,7 @@
 		core.endLeadership(leadership)
 		return
 	}
-	if leadership.writeMembership(view.WithoutFormer()) != nil {
+	if leadership.writeMembership(view.AfterJoint()) != nil {
 		return
 	}
 	core.counters.Add("replacements", 1)
--- a/control/replication.go
+++ b/control/replication.go
@@ -59,7 +59,7 @@
 // has accepted it. A core gets the chunks that it reports missing.
 func (core *Core) replicate(view *consensus.View, request *message.AcceptRequest, chunks message.Chunks) error {
 	deadline := time.Now().Add(core.config.writeTimeout() + transferTime(request.Value.Size()))
-	voters := view.WithSelf()
+	voters := view.AllPeers()
 	send := func(index int) (*message.AcceptResponse, error) {
 		if index == 0 {
 			return sendAccept(request, chunks, core.replica.Accept)
--- a/control/restore.go
+++ b/control/restore.go
@@ -97,7 +97,7 @@
 func (core *Core) restoreFromPeers(view *consensus.View, term message.Term, bytes int) (map[int]*message.PrepareResponse, error) {
 	request := &message.PrepareRequest{Term: term, Membership: view.Accepted()}
 	promises := core.preparePeers(view, request, bytes, waitForAll)
-	if !view.FencesWithout(view.ID, consensus.Agreed(promises, consensus.Granted)) {
+	if !view.FencesLostVoter(view.ID, consensus.Agreed(promises, consensus.Granted)) {
 		return nil, rpc.Errorf(rpc.StaleTerm, "only %d cores promised term %s", len(promises), term)
 	}
 	accepted, sources := consensus.InheritedValues(view, promises)
--- a/control/revocation.go
+++ b/control/revocation.go
@@ -76,12 +76,12 @@
 		return nil, rpc.Errorf(rpc.StaleTerm, "this core has promised term %s", own.Promised)
 	}
 	request.Held = consensus.VersionsOf(own.Accepted)
-	promises := core.preparePeers(view, request, core.replica.State().Size(), view.Decides)
+	promises := core.preparePeers(view, request, core.replica.State().Size(), view.IsQuorumWithSelf)
 	for _, promise := range promises {
 		consensus.CompletePromise(promise, own.Accepted)
 	}
 	promises[view.ID] = own
-	if !view.Decides(consensus.Agreed(promises, consensus.Granted)) {
+	if !view.IsQuorumWithSelf(consensus.Agreed(promises, consensus.Granted)) {
 		return nil, rpc.Errorf(
 			rpc.StaleTerm,
 			"%d cores but no quorum of membership %d promised term %s",
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -187,7 +187,7 @@
 		return
 	}
 	view := core.membership()
-	if !view.Votes() {
+	if !view.IsVoter() {
 		return
 	}
 	request := &message.ShareSessionsRequest{Core: view.ID}
--- a/replica/store.go
+++ b/replica/store.go
@@ -26,7 +26,7 @@
 // accepts no records until Repair succeeds.
 func OpenStore(disk storage.Disk) (*Store, error) {
 	store := &Store{disk: disk}
-	if err := storage.RemoveDrafts(disk); err != nil {
+	if err := storage.RemoveTempFiles(disk); err != nil {
 		return nil, err
 	}
 	newest, hasSnapshot, err := store.readSnapshot()
--- a/storage/files.go
+++ b/storage/files.go
@@ -57,8 +57,8 @@
 	return file, nil
 }
 
-// RemoveDrafts removes the temporary files that a crash left behind.
-func RemoveDrafts(disk Disk) error {
+// RemoveTempFiles removes the temporary files that a crash left behind.
+func RemoveTempFiles(disk Disk) error {
 	names, err := disk.List()
 	if err != nil {
 		return diskError(rpc.DiskFailure, err, "list")
