--- a/control/evacuation.go
+++ b/control/evacuation.go
@@ -20,7 +20,7 @@
 		return nil
 	}
 	next := *state
-	next.Zones = state.WithChangeOf(request.Zone)
+	next.Zones = state.WithZoneChange(request.Zone)
 	if request.Begin {
 		next.Evacuated = slices.Insert(slices.Clone(state.Evacuated), index, request.Zone)
 		return &next
@@ -42,12 +42,12 @@
 		return nil, err
 	}
 	if request.QueryOnly {
-		return &message.EvacuateResponse{Changes: leadership.currentRouting().ChangesOf(request.Zone)}, nil
+		return &message.EvacuateResponse{Changes: leadership.currentRouting().ZoneChangeCount(request.Zone)}, nil
 	}
 	response, isChanged := &message.EvacuateResponse{}, false
 	response.Serial, err = leadership.writeRouting(func(current *routing.State) (*routing.State, error) {
 		next := applyEvacuation(current, request, core.Now())
-		response.Changes = current.ChangesOf(request.Zone)
+		response.Changes = current.ZoneChangeCount(request.Zone)
 		if next != nil && response.Changes != request.ExpectedChanges {
 			return nil, rpc.Errorf(rpc.ZoneChanged, "zone changed %d times, order expects %d", response.Changes, request.ExpectedChanges)
 		}
--- a/control/rollout_reports.go
+++ b/control/rollout_reports.go
@@ -63,7 +63,7 @@
 			}
 		}
 	}
-	return rollout.Sorted(counts)
+	return rollout.SortCounts(counts)
 }
 
 // age returns the age of a process's newest report.
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -44,7 +44,7 @@
 func (cache *listedBackendsCache) get(backends []message.Backend, serial uint64, state *rollout.State) []message.Backend {
 	isSame := len(backends) > 0 && len(cache.source) == len(backends) && &cache.source[0] == &backends[0]
 	if !isSame || cache.serial != serial {
-		cache.serial, cache.source, cache.listed = serial, backends, state.Listed(backends)
+		cache.serial, cache.source, cache.listed = serial, backends, state.FilterBackends(backends)
 	}
 	return cache.listed
 }
--- a/control/routing.go
+++ b/control/routing.go
@@ -47,7 +47,7 @@
 func checkRoutingBase(state *routing.State, change *routing.Change) error {
 	current := state.Config.Version
 	switch {
-	case change.Base != current && state.History.MayHaveForgotten(change.Version):
+	case change.Base != current && state.History.MayHaveDropped(change.Version):
 		return &rpc.Error{Code: rpc.Forgotten, Message: "version is too old to tell whether the change was made", Serial: current}
 	case change.Base != current:
 		return &rpc.Error{Code: rpc.StaleBase, Message: "base is not the current version", Serial: current}
--- a/control/stored_test.go
+++ b/control/stored_test.go
@@ -107,10 +107,10 @@
 		len(stored.Restored),
 	)
 	for version := range uint64(10) {
-		fmt.Fprintf(text, "  version %d forgotten: %v\n", version, stored.History.MayHaveForgotten(version))
+		fmt.Fprintf(text, "  version %d forgotten: %v\n", version, stored.History.MayHaveDropped(version))
 	}
 	for _, zone := range []string{"z0", "z1", "z2"} {
-		fmt.Fprintf(text, "  zone %s changed %d times\n", zone, stored.ChangesOf(zone))
+		fmt.Fprintf(text, "  zone %s changed %d times\n", zone, stored.ZoneChangeCount(zone))
 	}
 }
 
--- a/control/table.go
+++ b/control/table.go
@@ -169,7 +169,7 @@
 	serial, rollouts := core.Rollouts()
 	next := &message.Table{Version: message.TableVersion{Number: former.Version.Number + 1}, Complete: true, Rollouts: serial}
 	now := core.Now()
-	for _, backend := range rollouts.Listed(backends) {
+	for _, backend := range rollouts.FilterBackends(backends) {
 		if backend.WarmAtMs <= now {
 			next.Backends = append(next.Backends, backend)
 		}
--- a/hostproxy/judge.go
+++ b/hostproxy/judge.go
@@ -116,5 +116,5 @@
 	for index := range routes {
 		names[routes[index].Name] = true
 	}
-	proxy.references.Keep(func(key score.Key) bool { return names[key.Route] })
+	proxy.references.Retain(func(key score.Key) bool { return names[key.Route] })
 }
--- a/rollout/counts.go
+++ b/rollout/counts.go
@@ -12,8 +12,8 @@
 	return cmp.Or(cmp.Compare(left.Incarnation, right.Incarnation), cmp.Compare(left.Counts.Step, right.Counts.Step))
 }
 
-// Sorted sorts counts in place in the order of Rollout.Counts.
-func Sorted(counts []ProcessCounts) []ProcessCounts {
+// SortCounts sorts counts in place in the order of Rollout.Counts.
+func SortCounts(counts []ProcessCounts) []ProcessCounts {
 	slices.SortFunc(counts, compareCounts)
 	return counts
 }
--- a/rollout/decide_test.go
+++ b/rollout/decide_test.go
@@ -105,7 +105,7 @@
 			all = append(all, ProcessCounts{Incarnation: fmt.Sprint("p", index), Counts: counts})
 		}
 	}
-	return Sorted(all)
+	return SortCounts(all)
 }
 
 func (service *simulatedService) observation() *Observation {
--- a/rollout/low_traffic_test.go
+++ b/rollout/low_traffic_test.go
@@ -27,7 +27,7 @@
 					},
 				})
 			}
-			return Sorted(all)
+			return SortCounts(all)
 		}
 		step := service.rollout().Step
 		if next, _ := Decide(service.state, observation, rules); next != nil {
--- a/rollout/order_test.go
+++ b/rollout/order_test.go
@@ -71,7 +71,7 @@
 	if newest := next.Service("desk").Rollout; newest.Phase != message.RolloutComplete || newest.ID != 1 {
 		test.Errorf("%+v", newest)
 	}
-	if listed := next.Listed(backends); len(listed) != 1 {
+	if listed := next.FilterBackends(backends); len(listed) != 1 {
 		test.Errorf("listed backends: %+v", listed)
 	}
 }
--- a/rollout/score/references.go
+++ b/rollout/score/references.go
@@ -64,8 +64,8 @@
 	return len(references.routes)
 }
 
-// Keep deletes the references for which keep returns false.
-func (references *References) Keep(keep func(Key) bool) {
+// Retain deletes the references for which keep returns false.
+func (references *References) Retain(keep func(Key) bool) {
 	references.mutex.Lock()
 	defer references.mutex.Unlock()
 	for key := range references.routes {
--- a/rollout/score/score_test.go
+++ b/rollout/score/score_test.go
@@ -270,7 +270,7 @@
 		test.Errorf("%v allocations per item", allocated)
 	}
 	references.Add(other, item, 1)
-	references.Keep(func(key Key) bool { return key == other })
+	references.Retain(func(key Key) bool { return key == other })
 	if references.Len() != 1 {
 		test.Errorf("%d references, want 1", references.Len())
 	}
--- a/rollout/version.go
+++ b/rollout/version.go
@@ -34,10 +34,10 @@
 	return next
 }
 
-// Listed returns the backends to list to proxies. Backends of a version that was not ordered or
+// FilterBackends returns the backends to list to proxies. Backends of a version that was not ordered or
 // was reverted are left out while the service has others: an order may still follow, or the
 // version may be bad. If no service has several versions, backends itself is returned.
-func (state *State) Listed(backends []message.Backend) []message.Backend {
+func (state *State) FilterBackends(backends []message.Backend) []message.Backend {
 	listed := countRevisions(backends)
 	allowed := map[string]func(revision string) bool{}
 	for name, revisions := range listed {
--- a/rollout/version_test.go
+++ b/rollout/version_test.go
@@ -58,11 +58,11 @@
 		"only a reverted version stays":      {reverted, []string{"-v1*a", "v2*a"}, "v2"},
 		"a reverted and an unknown version":  {reverted, []string{"v2*aaa", "v3*a"}, "v3"},
 	} {
-		if listed := revisionsOf(testCase.state.Listed(backendsOf(testCase.groups...))); listed != testCase.want {
+		if listed := revisionsOf(testCase.state.FilterBackends(backendsOf(testCase.groups...))); listed != testCase.want {
 			test.Errorf("%s: listed %q, want %q", name, listed, testCase.want)
 		}
 	}
-	if all := backendsOf("v1*aaa"); &known.Listed(all)[0] != &all[0] {
+	if all := backendsOf("v1*aaa"); &known.FilterBackends(all)[0] != &all[0] {
 		test.Error("a list with one version per service was copied")
 	}
 }
--- a/routing/config.go
+++ b/routing/config.go
@@ -135,8 +135,8 @@
 	Count uint64
 }
 
-// ChangesOf returns the number of times that a zone was evacuated or restored.
-func (state *State) ChangesOf(zone string) uint64 {
+// ZoneChangeCount returns the number of times that a zone was evacuated or restored.
+func (state *State) ZoneChangeCount(zone string) uint64 {
 	index, found := state.findZone(zone)
 	if !found {
 		return 0
@@ -144,8 +144,8 @@
 	return state.Zones[index].Count
 }
 
-// WithChangeOf returns the changes of all zones with one more for a zone.
-func (state *State) WithChangeOf(zone string) []ZoneChanges {
+// WithZoneChange returns the changes of all zones with one more for a zone.
+func (state *State) WithZoneChange(zone string) []ZoneChanges {
 	index, found := state.findZone(zone)
 	zones := slices.Clone(state.Zones)
 	if !found {
--- a/routing/history.go
+++ b/routing/history.go
@@ -101,9 +101,9 @@
 	return false
 }
 
-// MayHaveForgotten reports whether a change of this version may have been accepted and dropped
+// MayHaveDropped reports whether a change of this version may have been accepted and dropped
 // from the history since.
-func (history History) MayHaveForgotten(version uint64) bool { return version <= history.Forgotten }
+func (history History) MayHaveDropped(version uint64) bool { return version <= history.Forgotten }
 
 // With returns the history with one more change. Its version must be above all others.
 func (history History) With(version uint64, digest string) History {
--- a/routing/history_test.go
+++ b/routing/history_test.go
@@ -21,13 +21,13 @@
 	for number, version := range versions {
 		isKept := number >= dropped
 		if history.Contains(version, fmt.Sprint(number)) != isKept || history.Contains(version, "another") ||
-			history.MayHaveForgotten(version) == isKept {
+			history.MayHaveDropped(version) == isKept {
 			test.Fatalf(
 				"change %d of %d: contained %v, possibly forgotten %v",
 				number,
 				len(versions),
 				history.Contains(version, fmt.Sprint(number)),
-				history.MayHaveForgotten(version),
+				history.MayHaveDropped(version),
 			)
 		}
 	}
--- a/routing/index.go
+++ b/routing/index.go
@@ -140,8 +140,8 @@
 	return position, known
 }
 
-// Evacuated reports whether no requests may be sent to the backends of a zone.
-func (index *Index) Evacuated(zone string) bool { return index.evacuated[zone] }
+// IsEvacuated reports whether no requests may be sent to the backends of a zone.
+func (index *Index) IsEvacuated(zone string) bool { return index.evacuated[zone] }
 
 // normalizeHost returns a host in lower case and without its port.
 func normalizeHost(host string) string {
--- a/routing/index_test.go
+++ b/routing/index_test.go
@@ -125,7 +125,7 @@
 	if _, found := index.ServiceIndex("cedar"); found {
 		test.Error("found an unknown service")
 	}
-	if !index.Evacuated("z1") || index.Evacuated("z2") || index.Version != 3 || !index.KeysRequired || index.Limits.IdleMs != 20 {
+	if !index.IsEvacuated("z1") || index.IsEvacuated("z2") || index.Version != 3 || !index.KeysRequired || index.Limits.IdleMs != 20 {
 		test.Errorf("%+v", index)
 	}
 }
