--- a/cmd/orchidjunction/core.go
+++ b/cmd/orchidjunction/core.go
@@ -153,10 +153,10 @@
 		return config
 	}
 	config.Metering = control.Metering{
-		Window:        settings.Bounds.ReportWindow,
-		SettleAfter:   usageSettleDelay,
-		SettleLatest:  settings.Bounds.UsageDelay - reportMargin,
-		TakeoverQuiet: settings.Bounds.Lease,
+		Window:              settings.Bounds.ReportWindow,
+		SettleAfter:         usageSettleDelay,
+		SettleLatest:        settings.Bounds.UsageDelay - reportMargin,
+		TakeoverQuietPeriod: settings.Bounds.Lease,
 		Report: func(report control.WindowReport) control.ReportResult {
 			ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 			defer cancel()
--- a/cmd/orchidjunction/proxy.go
+++ b/cmd/orchidjunction/proxy.go
@@ -56,19 +56,19 @@
 
 func proxyConfig(settings *platform.Settings) hostproxy.Config {
 	return hostproxy.Config{
-		Name:         settings.Name,
-		Zone:         settings.Zone,
-		Regions:      settings.Zones,
-		Headers:      platform.RequestHeaders(),
-		RetryRatio:   settings.Bounds.RetryRatio,
-		RetryExtra:   settings.Bounds.RetryExtra,
-		WarmupExcess: settings.Bounds.WarmupExcess,
-		WarmupExtra:  settings.Bounds.WarmupExtra,
-		UsageWindow:  settings.Bounds.ReportWindow,
-		MemoryBytes:  int64(settings.Machine.MemoryMB) << 20,
-		UserTimeout:  backendUserTimeout,
-		ListLag:      settings.Platform.Lag,
-		LinkBytes:    settings.Machine.LinkMbps * 1e6 / 8,
+		Name:               settings.Name,
+		Zone:               settings.Zone,
+		Regions:            settings.Zones,
+		Headers:            platform.RequestHeaders(),
+		RetryRatio:         settings.Bounds.RetryRatio,
+		RetryExtra:         settings.Bounds.RetryExtra,
+		WarmupExcess:       settings.Bounds.WarmupExcess,
+		WarmupExtra:        settings.Bounds.WarmupExtra,
+		UsageWindow:        settings.Bounds.ReportWindow,
+		MemoryBytes:        int64(settings.Machine.MemoryMB) << 20,
+		UserTimeout:        backendUserTimeout,
+		BackendListLag:     settings.Platform.Lag,
+		LinkBytesPerSecond: settings.Machine.LinkMbps * 1e6 / 8,
 	}
 }
 
@@ -82,7 +82,7 @@
 	daemon := agent.NewDaemon(config, agent.NewID(), client, node.goroutines, node.counters)
 	planeConfig := proxyConfig(settings)
 	control := process.SetUserTimeout(backendUserTimeout)
-	if planeConfig.LinkBytes > 0 {
+	if planeConfig.LinkBytesPerSecond > 0 {
 		control = process.Controls(control, process.SetReceiveBuffer(hostproxy.TransferWindow))
 	}
 	dialer := &net.Dialer{Control: control, KeepAliveConfig: keepAlive}
@@ -92,7 +92,7 @@
 			plane.Apply(version.Routing, version.ServingTable(), version.Rollouts)
 		}
 	}, nil)
-	daemon.SetWindows(plane.Windows)
+	daemon.SetWindows(plane.UsageWindows)
 	daemon.SetRollouts(plane.RolloutCounts)
 	daemon.SetWarm(plane.Ready)
 	daemon.OnRetire(plane.FinishUploads)
@@ -100,15 +100,15 @@
 	daemon.Register(server)
 	lookups := platform.NewLookup(node.source.Settings, func() *message.Table { return daemon.Version().Table },
 		func() (string, bool) { return settings.Listen.Clients, plane.Ready() })
-	lookups.SetHomed(plane.HasHomes)
+	lookups.SetHomed(plane.HasHomeRegions)
 	ready := withMetrics(node.counters, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-		if !daemon.Ready() || plane.Leaving() {
+		if !daemon.Ready() || plane.Draining() {
 			writer.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}))
 	plane.OnLimits(node.setLimits)
 	if err := node.open(
-		plane.Memory(),
+		plane.RequestMemory(),
 		endpoint{address: settings.Listen.Clients, handler: plane, external: true},
 		endpoint{address: config.InternalAddress, handler: server},
 		endpoint{address: settings.Listen.Ready, handler: ready},
@@ -121,7 +121,7 @@
 	node.source.Follow(node.goroutines)
 	process.LogCounts(node.goroutines, node.counters, settings.Name)
 	process.OnTerm(node.goroutines, func() {
-		plane.Leave()
+		plane.StartDrain()
 		grace := settings.Bounds.Grace - graceMargin
 		finished := daemon.Retire(min(retireLinger, grace/2), grace, node.listeners[0].Drain)
 		klog.Infof("%s: stopping, all requests in flight finished: %v", settings.Name, finished)
--- a/control/backends.go
+++ b/control/backends.go
@@ -7,11 +7,11 @@
 // discoveryOptions returns the options with which this core reads the list of backends.
 func (core *Core) discoveryOptions() discovery.Options {
 	options := discovery.Options{
-		Lister:         core.config.ListBackends,
-		Zones:          core.config.ListZones,
-		Interval:       core.config.ListInterval,
-		ListsUntilGone: core.config.ListsUntilGone,
-		Now:            core.Now,
+		Lister:                   core.config.ListBackends,
+		Zones:                    core.config.ListZones,
+		Interval:                 core.config.ListInterval,
+		MissingListsUntilRemoved: core.config.ListsUntilGone,
+		Now:                      core.Now,
 	}
 	if options.Lister == nil && core.config.PlatformAddress != "" {
 		options.Lister = discovery.HTTPLister(core.config.PlatformAddress, core.client.Transport(), core.counters)
--- a/control/config.go
+++ b/control/config.go
@@ -32,10 +32,10 @@
 	Seed            uint64   // of all random numbers
 
 	// Bootstrap allows a core with a blank disk to found a new system. That takes at least
-	// MinFounders cores, and no further one appearing for FoundingQuiet.
-	Bootstrap     bool
-	MinFounders   int
-	FoundingQuiet time.Duration
+	// MinFounders cores, and no further one appearing for FoundingQuietPeriod.
+	Bootstrap           bool
+	MinFounders         int
+	FoundingQuietPeriod time.Duration
 
 	HeartbeatInterval time.Duration
 	SuspicionTimeout  time.Duration
@@ -86,11 +86,11 @@
 	}
 	setDefault(&config.Rollouts, rollout.DefaultBounds)
 	setDefault(&config.ReplaceAfter, max(minReplaceAfter, 2*config.SuspicionTimeout))
-	setDefault(&config.FoundingQuiet, defaultFoundingQuiet)
+	setDefault(&config.FoundingQuietPeriod, defaultFoundingQuiet)
 	setDefault(&config.TableInterval, config.HeartbeatInterval)
 	setDefault(&config.SessionTTL, defaultSessionTTL)
 	setDefault(&config.ListInterval, discovery.DefaultInterval)
-	setDefault(&config.ListsUntilGone, discovery.DefaultListsUntilGone)
+	setDefault(&config.ListsUntilGone, discovery.DefaultMissingListsUntilRemoved)
 	return config
 }
 
--- a/control/join.go
+++ b/control/join.go
@@ -85,7 +85,7 @@
 		core.adoptFirstMembership(membership)
 		return
 	}
-	addresses, isComplete := core.founders.complete(core.config.Seeds, core.config.MinFounders, core.config.FoundingQuiet)
+	addresses, isComplete := core.founders.complete(core.config.Seeds, core.config.MinFounders, core.config.FoundingQuietPeriod)
 	if isComplete && core.createsInitialMembership() {
 		core.adoptFirstMembership(consensus.InitialMembership(addresses).Accepted())
 		return
--- a/control/table_test.go
+++ b/control/table_test.go
@@ -31,7 +31,7 @@
 	}
 	lister := func(context.Context, discovery.PageRequest) discovery.Page { return discovery.Page{Backends: list} }
 	reader := discovery.NewReader(
-		discovery.Options{Lister: lister, Interval: time.Second, ListsUntilGone: 2, Now: func() int64 { return 0 }},
+		discovery.Options{Lister: lister, Interval: time.Second, MissingListsUntilRemoved: 2, Now: func() int64 { return 0 }},
 		metrics.NewCounters(),
 	)
 	reader.Read(concurrent.NewGroup(), func() bool { return true })
--- a/control/window_reports.go
+++ b/control/window_reports.go
@@ -24,13 +24,13 @@
 // Metering configures how requests are counted by windows of true time, and where the counts are
 // reported. Window k starts k times Window after the Unix epoch. A window is sealed SettleAfter
 // after its end, or up to SettleLatest after it while a daemon that counted is silent. A call of
-// Report must end well within TakeoverQuiet, the time before a former holder may report again.
+// Report must end well within TakeoverQuietPeriod, the time before a former holder may report again.
 type Metering struct {
-	Window        time.Duration
-	SettleAfter   time.Duration
-	SettleLatest  time.Duration
-	TakeoverQuiet time.Duration
-	Report        func(WindowReport) ReportResult
+	Window              time.Duration
+	SettleAfter         time.Duration
+	SettleLatest        time.Duration
+	TakeoverQuietPeriod time.Duration
+	Report              func(WindowReport) ReportResult
 }
 
 // WindowReport is the report of one sealed window. Holder is the reporting core, and Fence a
@@ -119,10 +119,10 @@
 	return leadership, state
 }
 
-// mayReport reports whether this core has reported nothing under a former term for TakeoverQuiet,
+// mayReport reports whether this core has reported nothing under a former term for TakeoverQuietPeriod,
 // so that two holders never alternate within that time.
 func (core *Core) mayReport(leadership *Leadership) bool {
-	quiet := core.config.Metering.TakeoverQuiet
+	quiet := core.config.Metering.TakeoverQuietPeriod
 	return time.Since(leadership.startedAt) >= quiet || core.reporting.isQuiet(leadership.term, quiet)
 }
 
--- a/discovery/partition_test.go
+++ b/discovery/partition_test.go
@@ -71,11 +71,11 @@
 		names = append(names, fmt.Sprint("zone-", index))
 	}
 	return NewReader(Options{
-		Lister:         platform.page,
-		Zones:          func() []string { return names },
-		Interval:       testInterval,
-		ListsUntilGone: 2,
-		Now:            func() int64 { return 0 },
+		Lister:                   platform.page,
+		Zones:                    func() []string { return names },
+		Interval:                 testInterval,
+		MissingListsUntilRemoved: 2,
+		Now:                      func() int64 { return 0 },
 	}, metrics.NewCounters())
 }
 
--- a/discovery/reader.go
+++ b/discovery/reader.go
@@ -18,9 +18,9 @@
 const (
 	// DefaultInterval is the pause between two scans of the list.
 	DefaultInterval = time.Second
-	// DefaultListsUntilGone is how many complete lists in a row must lack a backend before
+	// DefaultMissingListsUntilRemoved is how many complete lists in a row must lack a backend before
 	// it is removed.
-	DefaultListsUntilGone = 3
+	DefaultMissingListsUntilRemoved = 3
 
 	pageTimeout    = 2 * time.Second
 	maxPages       = 1000
@@ -55,11 +55,11 @@
 // epoch. Zones returns the zones by which the platform lists backends; it is nil if the
 // Lister supports only the whole list.
 type Options struct {
-	Lister         Lister
-	Zones          func() []string
-	Interval       time.Duration
-	ListsUntilGone int
-	Now            func() int64
+	Lister                   Lister
+	Zones                    func() []string
+	Interval                 time.Duration
+	MissingListsUntilRemoved int
+	Now                      func() int64
 }
 
 // Reader scans the list repeatedly: as a whole, or by zone if that takes too long
@@ -186,14 +186,14 @@
 	reader.dropMissing(list)
 }
 
-// dropMissing removes the backends that ListsUntilGone lists in a row lack.
+// dropMissing removes the backends that MissingListsUntilRemoved lists in a row lack.
 func (reader *Reader) dropMissing(list *list) {
 	for name, backend := range reader.backends {
 		if _, found := list.backends[name]; found || !list.covers(backend) {
 			continue
 		}
 		reader.missedLists[name]++
-		if reader.missedLists[name] >= reader.options.ListsUntilGone {
+		if reader.missedLists[name] >= reader.options.MissingListsUntilRemoved {
 			delete(reader.backends, name)
 			delete(reader.missedLists, name)
 			reader.sorted = nil
--- a/discovery/reader_test.go
+++ b/discovery/reader_test.go
@@ -28,10 +28,10 @@
 		)
 	}
 	options := Options{
-		ListsUntilGone: 2,
-		Interval:       time.Second,
-		Lister:         func(context.Context, PageRequest) Page { return Page{Backends: list} },
-		Now:            func() int64 { return 0 },
+		MissingListsUntilRemoved: 2,
+		Interval:                 time.Second,
+		Lister:                   func(context.Context, PageRequest) Page { return Page{Backends: list} },
+		Now:                      func() int64 { return 0 },
 	}
 	reader := NewReader(options, metrics.NewCounters())
 	scanOnce(reader)
--- a/harness/simulation/metered_usage_test.go
+++ b/harness/simulation/metered_usage_test.go
@@ -42,10 +42,10 @@
 		tellers: map[int64]map[string]bool{},
 	}
 	world.Metering = control.Metering{
-		Window:        5 * time.Second,
-		SettleAfter:   3500 * time.Millisecond,
-		TakeoverQuiet: 3 * time.Second,
-		Report:        made.report,
+		Window:              5 * time.Second,
+		SettleAfter:         3500 * time.Millisecond,
+		TakeoverQuietPeriod: 3 * time.Second,
+		Report:              made.report,
 	}
 	world.RequestCounts = made.windows
 	return made
--- a/hostproxy/added_latency_test.go
+++ b/hostproxy/added_latency_test.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		bench.Fatal(err)
 	}
-	listener := process.NewListener(socket, proxy, process.ListenOptions{Counters: counters, Memory: proxy.Memory()})
+	listener := process.NewListener(socket, proxy, process.ListenOptions{Counters: counters, Memory: proxy.RequestMemory()})
 	listener.Serve(goroutines)
 	return &loopbackServer{Listener: listener, URL: "http://" + socket.Addr().String()}, counters
 }
--- a/hostproxy/config.go
+++ b/hostproxy/config.go
@@ -20,13 +20,13 @@
 	// UserTimeout is how long a backend's machine may leave sent bytes unacknowledged before
 	// it is considered dead; 0 selects the kernel's default.
 	UserTimeout time.Duration
-	// ListLag is the maximum delay until a change appears in the platform's list of backends.
-	ListLag time.Duration
+	// BackendListLag is the maximum delay until a change appears in the platform's list of backends.
+	BackendListLag time.Duration
 	// MemoryBytes is the memory available to the process; 0 if unknown.
 	MemoryBytes int64
-	// LinkBytes is the capacity of the machine's network link in bytes per second; 0 means
+	// LinkBytesPerSecond is the capacity of the machine's network link in bytes per second; 0 means
 	// unlimited.
-	LinkBytes float64
+	LinkBytesPerSecond float64
 }
 
 func (config *Config) region() string { return config.Regions[config.Zone] }
--- a/hostproxy/proxy.go
+++ b/hostproxy/proxy.go
@@ -22,7 +22,7 @@
 	waitInterval = 50 * time.Millisecond
 	// maxUnsentAttempts limits the attempts of a request that cannot be sent to any backend.
 	maxUnsentAttempts = 6
-	// suspectMargin is added to ListLag: how long backends are suspect after the evacuation of
+	// suspectMargin is added to BackendListLag: how long backends are suspect after the evacuation of
 	// their zone ends.
 	suspectMargin = 2 * time.Second
 )
@@ -85,8 +85,8 @@
 		strippedHeaders: map[string]bool{},
 		limitsHook:      func(routing.Limits) {},
 	}
-	proxy.inbound, proxy.outbound = newShaper(config.LinkBytes, proxy.clock()), newShaper(config.LinkBytes, proxy.clock())
-	proxy.transfers = newTransferLimiter(config.LinkBytes)
+	proxy.inbound, proxy.outbound = newShaper(config.LinkBytesPerSecond, proxy.clock()), newShaper(config.LinkBytesPerSecond, proxy.clock())
+	proxy.transfers = newTransferLimiter(config.LinkBytesPerSecond)
 	proxy.usageMeter = newUsageMeter(config.UsageWindow, clusterTimeMs)
 	counters.Gauge("requests_in_flight", func() float64 { return float64(proxy.InFlight()) })
 	counters.Gauge("body_bytes_held", func() float64 { return float64(proxy.memory.InUse()) })
@@ -97,14 +97,14 @@
 	return proxy
 }
 
-func (config *Config) suspectTTL() time.Duration { return config.ListLag + suspectMargin }
+func (config *Config) suspectTTL() time.Duration { return config.BackendListLag + suspectMargin }
 
 // OnLimits sets a hook that receives the client connection limits whenever a routing state is
 // applied. It must be called before Apply.
 func (proxy *Proxy) OnLimits(hook func(routing.Limits)) { proxy.limitsHook = hook }
 
-// Memory is the memory limit for request bodies and long heads, shared with the listeners.
-func (proxy *Proxy) Memory() *RequestMemory { return proxy.memory }
+// RequestMemory is the memory limit for request bodies and long heads, shared with the listeners.
+func (proxy *Proxy) RequestMemory() *RequestMemory { return proxy.memory }
 
 // Run starts the background work: closing expired connections and probing ejected backends.
 func (proxy *Proxy) Run() {
@@ -165,24 +165,24 @@
 	proxy.capacityFreed.Notify()
 }
 
-// Leave makes responses tell clients to close their connections.
-func (proxy *Proxy) Leave() { proxy.leaving.Store(true) }
+// StartDrain makes responses tell clients to close their connections.
+func (proxy *Proxy) StartDrain() { proxy.leaving.Store(true) }
 
-// Leaving reports whether Leave has been called.
-func (proxy *Proxy) Leaving() bool { return proxy.leaving.Load() }
+// Draining reports whether StartDrain has been called.
+func (proxy *Proxy) Draining() bool { return proxy.leaving.Load() }
 
 // InFlight returns the number of requests in progress.
 func (proxy *Proxy) InFlight() int { return proxy.inFlight.value() }
 
-// Ready reports whether a view is installed and Leave has not been called.
-func (proxy *Proxy) Ready() bool { return proxy.view.Load() != nil && !proxy.Leaving() }
+// Ready reports whether a view is installed and StartDrain has not been called.
+func (proxy *Proxy) Ready() bool { return proxy.view.Load() != nil && !proxy.Draining() }
 
-// HasHomes reports whether requests for a host may be restricted to certain regions. It
+// HasHomeRegions reports whether requests for a host may be restricted to certain regions. It
 // returns true until a view is installed.
-func (proxy *Proxy) HasHomes(host string) bool {
+func (proxy *Proxy) HasHomeRegions(host string) bool {
 	view := proxy.view.Load()
 	return view == nil || view.index.HasHomes(host)
 }
 
-// Windows returns the usage counts of recent windows.
-func (proxy *Proxy) Windows() []message.WindowCount { return proxy.usageMeter.Windows() }
+// UsageWindows returns the usage counts of recent windows.
+func (proxy *Proxy) UsageWindows() []message.WindowCount { return proxy.usageMeter.Windows() }
--- a/hostproxy/request.go
+++ b/hostproxy/request.go
@@ -85,7 +85,7 @@
 
 // setStage moves a request to another stage and counts unexpected transitions.
 func (proxy *Proxy) setStage(request *request, to stage) {
-	if to == ending && proxy.Leaving() {
+	if to == ending && proxy.Draining() {
 		request.writer.Header().Set("Connection", "close")
 	}
 	if slices.Contains(stageTransitions[request.stage], to) {
--- a/hostproxy/request_test.go
+++ b/hostproxy/request_test.go
@@ -455,7 +455,7 @@
 		if env.proxy.InFlight() != 1 {
 			test.Errorf("%d in flight", env.proxy.InFlight())
 		}
-		env.proxy.Leave()
+		env.proxy.StartDrain()
 		reply := client.roundTrip("GET", "")
 		env.expectSuccess(reply, "id")
 		if !reply.closes {
--- a/hostproxy/testenv_test.go
+++ b/hostproxy/testenv_test.go
@@ -43,16 +43,16 @@
 
 func testConfig(name, zone string) Config {
 	return Config{
-		Name:         name,
-		Zone:         zone,
-		Regions:      map[string]string{"e1": "east", "e2": "east", "w1": "west"},
-		Headers:      testHeaders,
-		RetryRatio:   0.2,
-		RetryExtra:   60,
-		WarmupExcess: 1.5,
-		WarmupExtra:  5,
-		UsageWindow:  5 * time.Second,
-		ListLag:      time.Second,
+		Name:           name,
+		Zone:           zone,
+		Regions:        map[string]string{"e1": "east", "e2": "east", "w1": "west"},
+		Headers:        testHeaders,
+		RetryRatio:     0.2,
+		RetryExtra:     60,
+		WarmupExcess:   1.5,
+		WarmupExtra:    5,
+		UsageWindow:    5 * time.Second,
+		BackendListLag: time.Second,
 	}
 }
 
@@ -134,7 +134,7 @@
 	env.server = process.NewListener(env.listener, env.proxy, process.ListenOptions{
 		Limits:   process.ConnLimits{HeaderBytes: http.DefaultMaxHeaderBytes},
 		Counters: env.counters,
-		Memory:   env.proxy.Memory(),
+		Memory:   env.proxy.RequestMemory(),
 	})
 	env.proxy.OnLimits(func(limits routing.Limits) { env.server.SetLimits(process.ConnLimitsOf(limits)) })
 	env.server.Serve(env.goroutines)
--- a/hostproxy/upload_test.go
+++ b/hostproxy/upload_test.go
@@ -195,7 +195,7 @@
 			defer client.conn.Close()
 			env.expectSuccess(client.roundTrip("POST", rawRequest("POST", "/once/a", "id", "", body)), "id")
 			begin := time.Now()
-			env.proxy.Leave()
+			env.proxy.StartDrain()
 			env.proxy.FinishUploads(limit)
 			if took := time.Since(begin); took > limit {
 				test.Errorf("stopped after %s, limit %s", took, limit)
--- a/hostproxy/usage_meter_test.go
+++ b/hostproxy/usage_meter_test.go
@@ -63,7 +63,7 @@
 				client.conn.Close()
 			}
 			total := uint64(0)
-			for _, window := range env.proxy.Windows() {
+			for _, window := range env.proxy.UsageWindows() {
 				total += window.Tenants["first"]
 				if len(window.Tenants) != 1 {
 					test.Errorf("%s: %v", name, window.Tenants)
@@ -86,7 +86,7 @@
 		client := env.client()
 		defer client.conn.Close()
 		client.roundTrip("GET", rawRequest("GET", "/once/a", "id", "Authorization: Key k1\r\n", ""))
-		if all := env.proxy.Windows(); len(all) != 1 || all[0].Window != number {
+		if all := env.proxy.UsageWindows(); len(all) != 1 || all[0].Window != number {
 			test.Errorf("%v, want window %d", all, number)
 		}
 	})
