--- a/config/effective.go
+++ b/config/effective.go
@@ -71,8 +71,8 @@
 	return all
 }
 
-// Same reports whether two effective values are equal.
-func Same(left, right any) bool { return reflect.DeepEqual(left, right) }
+// EqualValues reports whether two effective values are equal.
+func EqualValues(left, right any) bool { return reflect.DeepEqual(left, right) }
 
 // FlatRoute is a route with its effective values, as the data plane uses it. TimeoutMs
 // bounds the duration of a request, Attempts the number of tries, BodyBytes and
--- a/config/settings.go
+++ b/config/settings.go
@@ -117,8 +117,8 @@
 
 func sortedNames[T any](named map[string]T) []string { return slices.Sorted(maps.Keys(named)) }
 
-// Open reports whether neither the zone nor the backend is drained.
-func (settings *Settings) Open(zone, backend string) bool {
+// BackendEnabled reports whether neither the zone nor the backend is drained.
+func (settings *Settings) BackendEnabled(zone, backend string) bool {
 	if slices.Contains(settings.Drained.Zones, zone) {
 		return false
 	}
--- a/control/usage_copies.go
+++ b/control/usage_copies.go
@@ -153,7 +153,7 @@
 	if err != nil {
 		return nil, err
 	}
-	core.windows.AddCopies(counts)
+	core.windows.MergeCounts(counts)
 	_ = core.usageCopies.journal()
 	return &message.CopyCountsResponse{Process: core.windows.Process()}, nil
 }
@@ -194,7 +194,7 @@
 	if err != nil {
 		return nil, err
 	}
-	core.windows.AddCopies(counts)
+	core.windows.MergeCounts(counts)
 	copies.mutex.Lock()
 	defer copies.mutex.Unlock()
 	if copies.term == term {
--- a/control/usage_reports.go
+++ b/control/usage_reports.go
@@ -56,7 +56,7 @@
 	if settings.serial == 0 {
 		return
 	}
-	if !core.usage.HasNew(state) && !core.usage.PeriodOver(leadership.term) {
+	if !core.usage.HasUnsealedCounts(state) && !core.usage.PeriodOver(leadership.term) {
 		return
 	}
 	if err := core.writeUsage(leadership, settings.tree.Settings); err != nil {
@@ -73,7 +73,7 @@
 		if err != nil {
 			return nil, err
 		}
-		next := core.usage.Next(former, usage.Sealing{
+		next := core.usage.Next(former, usage.SealInput{
 			Partner:    settings.Partner,
 			Tenants:    settings.TenantNames(),
 			WallMs:     core.config.Wall(),
@@ -85,7 +85,7 @@
 			return nil, err
 		}
 		value := message.Value{Serial: current.Serial + 1, Body: body}
-		return &proposal{value: value, accepted: func() { core.usage.Sealed(leadership.term, now, endsPeriod) }}, nil
+		return &proposal{value: value, accepted: func() { core.usage.RecordSeal(leadership.term, now, endsPeriod) }}, nil
 	})
 	return err
 }
@@ -105,7 +105,7 @@
 	}
 	concurrent.Gather(core.goroutines, len(unsent), func(index int) (struct{}, error) {
 		if core.deliverReport(unsent[index]) {
-			core.usage.Deliver(unsent[index].ID)
+			core.usage.MarkDelivered(unsent[index].ID)
 			core.counters.Add("usage_reports_delivered", 1)
 		}
 		return struct{}{}, nil
--- a/control/window_reports.go
+++ b/control/window_reports.go
@@ -91,7 +91,7 @@
 // onWindowCounts records the counts that a process reports between two heartbeats. A core that
 // does not lead writes them to its disk for the next leader to fetch.
 func (core *Core) onWindowCounts(request *message.WindowCountsRequest) (*message.WindowCountsResponse, error) {
-	core.windows.AddBetween(request)
+	core.windows.AddCounts(request)
 	core.rolloutReports.add(request.Incarnation, request.NowMs, 0, request.RolloutCounts)
 	if _, err := core.currentLeadership(); err != nil {
 		if err := core.usageCopies.journal(); err != nil {
--- a/planner/forecast.go
+++ b/planner/forecast.go
@@ -150,10 +150,10 @@
 			changes[backend.Service] = change
 			names = append(names, backend.Service)
 		}
-		if fleet.Settings.Open(backend.Zone, backend.Name) && !backend.Leaving {
+		if fleet.Settings.BackendEnabled(backend.Zone, backend.Name) && !backend.Leaving {
 			change.Before++
 		}
-		if next.Open(backend.Zone, backend.Name) && !backend.Leaving {
+		if next.BackendEnabled(backend.Zone, backend.Name) && !backend.Leaving {
 			change.After++
 			change.ByZone[backend.Zone]++
 		}
@@ -197,7 +197,7 @@
 		return keys[left].name < keys[right].name
 	})
 	for _, key := range keys {
-		if !config.Same(previous[key], updated[key]) {
+		if !config.EqualValues(previous[key], updated[key]) {
 			forecast.Changes = append(
 				forecast.Changes,
 				Change{Route: key.route, Field: key.name, Before: previous[key], After: updated[key]},
--- a/usage/sums.go
+++ b/usage/sums.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// HasNew reports whether processes have reported counts that the state does not include.
-func (sums *Sums) HasNew(state *State) bool {
+// HasUnsealedCounts reports whether processes have reported counts that the state does not include.
+func (sums *Sums) HasUnsealedCounts(state *State) bool {
 	sums.mutex.Lock()
 	defer sums.mutex.Unlock()
 	for process, counts := range sums.counts {
@@ -145,8 +145,8 @@
 	return now.Sub(sums.sealedAt).Milliseconds()
 }
 
-// Sealed records that the leadership of a term sealed the counts.
-func (sums *Sums) Sealed(term message.Term, now time.Time, periodEnded bool) {
+// RecordSeal records that the leadership of a term sealed the counts.
+func (sums *Sums) RecordSeal(term message.Term, now time.Time, periodEnded bool) {
 	sums.mutex.Lock()
 	defer sums.mutex.Unlock()
 	sums.term, sums.sealedAt = term, now
@@ -155,8 +155,8 @@
 	}
 }
 
-// Deliver marks a report as delivered.
-func (sums *Sums) Deliver(id string) {
+// MarkDelivered marks a report as delivered.
+func (sums *Sums) MarkDelivered(id string) {
 	sums.mutex.Lock()
 	sums.delivered[id] = true
 	sums.mutex.Unlock()
@@ -169,9 +169,9 @@
 	return sums.delivered[id]
 }
 
-// Sealing holds the inputs for the next state: who is billed, the wall clock in milliseconds
+// SealInput holds the inputs for the next state: who is billed, the wall clock in milliseconds
 // since the Unix epoch, the milliseconds since the last seal, and whether the period ends.
-type Sealing struct {
+type SealInput struct {
 	Partner    string
 	Tenants    []string
 	WallMs     int64
@@ -181,7 +181,7 @@
 
 // Next returns the previous state with the counts reported since. It drops processes that
 // were not seen for processTTL by the age of the state.
-func (sums *Sums) Next(previous *State, sealing Sealing) *State {
+func (sums *Sums) Next(previous *State, sealing SealInput) *State {
 	sums.mutex.Lock()
 	defer sums.mutex.Unlock()
 	next := &State{
@@ -237,7 +237,7 @@
 }
 
 // endPeriod turns the open counts into one report per tenant and drops delivered reports.
-func (state *State) endPeriod(sealing Sealing, delivered map[string]bool) {
+func (state *State) endPeriod(sealing SealInput, delivered map[string]bool) {
 	from := state.ToMs
 	state.Period++
 	state.ToMs = sealing.WallMs
--- a/usage/sums_test.go
+++ b/usage/sums_test.go
@@ -52,7 +52,7 @@
 			}
 			state = sums.Next(
 				state,
-				Sealing{Partner: tree.Partner, Tenants: tree.TenantNames(), WallMs: now, SinceMs: elapsed, EndsPeriod: endsPeriod},
+				SealInput{Partner: tree.Partner, Tenants: tree.TenantNames(), WallMs: now, SinceMs: elapsed, EndsPeriod: endsPeriod},
 			)
 			if state.Period == previousPeriod {
 				continue
@@ -69,7 +69,7 @@
 				}
 				periods[report.ID] = true
 				reported += report.Tasks
-				sums.Deliver(report.ID)
+				sums.MarkDelivered(report.ID)
 			}
 		}
 		for _, open := range state.Open {
--- a/usage/window_copies.go
+++ b/usage/window_copies.go
@@ -39,9 +39,9 @@
 	return counts, windows.changes
 }
 
-// AddCopies merges counts from another core or from the disk. They do not advance the time
+// MergeCounts merges counts from another core or from the disk. They do not advance the time
 // up to which a process has reported.
-func (windows *Windows) AddCopies(counts []message.ProcessCounts) {
+func (windows *Windows) MergeCounts(counts []message.ProcessCounts) {
 	windows.mutex.Lock()
 	defer windows.mutex.Unlock()
 	for _, process := range counts {
--- a/usage/window_log.go
+++ b/usage/window_log.go
@@ -45,13 +45,13 @@
 	if err := storage.ReadSnapshot(disk, snapshotKind, log.snapshotNumber, &counts); err != nil {
 		return log, err
 	}
-	windows.AddCopies(counts)
+	windows.MergeCounts(counts)
 	_, err = storage.OpenJournal(disk, segmentKind, log.snapshotNumber, func(_ uint64, payload []byte) error {
 		added := []message.ProcessCounts{}
 		if err := rpc.Unmarshal(payload, &added); err != nil {
 			return err
 		}
-		windows.AddCopies(added)
+		windows.MergeCounts(added)
 		return nil
 	})
 	return log, err
--- a/usage/window_log_test.go
+++ b/usage/window_log_test.go
@@ -71,7 +71,7 @@
 					reported[incarnation] = map[string]uint64{}
 				}
 				reported[incarnation][tenant] += uint64(random.IntN(300))
-				windows.AddCopies([]message.ProcessCounts{{
+				windows.MergeCounts([]message.ProcessCounts{{
 					Name: incarnation, Incarnation: incarnation,
 					Windows: []message.WindowCount{{Window: 7, Tenants: map[string]uint64{tenant: reported[incarnation][tenant]}}},
 				}})
@@ -109,7 +109,7 @@
 	}
 	windows := usage.NewWindows()
 	log, _ := usage.OpenWindowLog(disk, windows)
-	windows.AddCopies([]message.ProcessCounts{{
+	windows.MergeCounts([]message.ProcessCounts{{
 		Incarnation: "one",
 		Windows:     []message.WindowCount{{Window: 1, Tenants: map[string]uint64{"a": 2}}},
 	}})
--- a/usage/windows.go
+++ b/usage/windows.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// AddBetween records the counts that a process reports between two heartbeats of its
+// AddCounts records the counts that a process reports between two heartbeats of its
 // session.
-func (windows *Windows) AddBetween(request *message.WindowCountsRequest) {
+func (windows *Windows) AddCounts(request *message.WindowCountsRequest) {
 	windows.mutex.Lock()
 	defer windows.mutex.Unlock()
 	if windows.hasBase(request.BaseProcess) {
