--- a/agent/daemon.go
+++ b/agent/daemon.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// SetKeepsClaims sets the function that reports whether this daemon replicates idempotency keys.
-func (daemon *Daemon) SetKeepsClaims(isKeyReplica func() bool) {
+// SetKeyReplica sets the function that reports whether this daemon replicates idempotency keys.
+func (daemon *Daemon) SetKeyReplica(isKeyReplica func() bool) {
 	daemon.callbacks.isKeyReplica = isKeyReplica
 }
 
@@ -150,8 +150,8 @@
 	daemon.callbacks.rollouts = rollouts
 }
 
-// SetWarm sets the function that reports whether this daemon has completed its probes.
-func (daemon *Daemon) SetWarm(isWarm func() bool) { daemon.callbacks.isWarm = isWarm }
+// SetWarmedUp sets the function that reports whether this daemon has completed its probes.
+func (daemon *Daemon) SetWarmedUp(isWarm func() bool) { daemon.callbacks.isWarm = isWarm }
 
 // OnRetire sets the function that sends the last notifications to other processes. Retire calls
 // it after draining, with the remaining grace period.
@@ -189,9 +189,9 @@
 		daemon.goroutines.Start(daemon.watchParents)
 	}
 	daemon.goroutines.Start(daemon.confirmVersion)
-	daemon.goroutines.Every(concurrent.Fixed(daemon.intervals.Pulse), daemon.checkForPause)
+	daemon.goroutines.Every(concurrent.Fixed(daemon.intervals.PauseCheck), daemon.checkForPause)
 	if !daemon.config.ServesAlone {
-		daemon.goroutines.Every(concurrent.Fixed(daemon.intervals.CheckReach), daemon.checkReachability)
+		daemon.goroutines.Every(concurrent.Fixed(daemon.intervals.PartitionCheck), daemon.checkReachability)
 	}
 	if daemon.intervals.UsageCount > 0 {
 		daemon.goroutines.Every(concurrent.Fixed(daemon.intervals.UsageCount), daemon.sendUsage)
--- a/agent/retire.go
+++ b/agent/retire.go
@@ -27,8 +27,8 @@
 	return drained
 }
 
-// StopsIn returns the time left until the daemon stops, and whether a stop is planned.
-func (daemon *Daemon) StopsIn() (time.Duration, bool) {
+// TimeToStop returns the time left until the daemon stops, and whether a stop is planned.
+func (daemon *Daemon) TimeToStop() (time.Duration, bool) {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	return time.Until(daemon.stopsAt), daemon.leaving && !daemon.stopsAt.IsZero()
--- a/cmd/ojbackend/main.go
+++ b/cmd/ojbackend/main.go
@@ -38,7 +38,7 @@
 	listener, err := process.Listen(listen, backend, process.ListenOptions{})
 	flags.Exit(err)
 	listener.Serve(goroutines)
-	process.OnTerm(goroutines, func() {
+	process.OnTerminate(goroutines, func() {
 		backend.Leave()
 		goroutines.Sleep(process.Milliseconds(leaveMs))
 		listener.Drain(6*time.Second - process.Milliseconds(leaveMs))
--- a/cmd/ojcluster/main.go
+++ b/cmd/ojcluster/main.go
@@ -45,7 +45,7 @@
 	sizes := opts.sizes()
 	goroutines := concurrent.NewGroup()
 	fleets := opts.newFleets(flags, sizes, goroutines)
-	process.OnTerm(goroutines, goroutines.Stop)
+	process.OnTerminate(goroutines, goroutines.Stop)
 	start := time.Now()
 	verdicts, err := cluster.PlayBoth(fleets, scenario, goroutines)
 	goroutines.Stop()
--- a/cmd/ojcore/main.go
+++ b/cmd/ojcore/main.go
@@ -53,7 +53,7 @@
 	finder.Run()
 	core.Run()
 	process.LogCounts(goroutines, counters, name)
-	process.OnTerm(goroutines, func() {
+	process.OnTerminate(goroutines, func() {
 		start := time.Now()
 		core.Retire(opts.grace)
 		operators.Drain(opts.grace - time.Since(start))
--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -324,7 +324,7 @@
 		Serial  uint64                 `json:"serial"`
 		Changes []message.HistoryEntry `json:"changes"`
 	}{}
-	if err := command.client.Ask("GET", "/v1/changes", nil, &history); err != nil {
+	if err := command.client.Do("GET", "/v1/changes", nil, &history); err != nil {
 		return err
 	}
 	for _, entry := range history.Changes {
@@ -402,7 +402,7 @@
 	for _, daemon := range status.Members {
 		counts := map[string]uint64{}
 		if err := operator.NewClient([]string{daemon.Member.OperatorAddress}, process.Transport()).
-			Ask("GET", "/v1/counts", nil, &counts); err != nil {
+			Do("GET", "/v1/counts", nil, &counts); err != nil {
 			unreachable++
 			continue
 		}
--- a/cmd/ojctl/rollout.go
+++ b/cmd/ojctl/rollout.go
@@ -72,10 +72,10 @@
 // starts no second roll-out.
 func (command *cli) orderRollout(method, path string, body []byte) error {
 	receipt := agent.RolloutReceipt{}
-	err := command.client.Ask(method, path, body, &receipt)
+	err := command.client.Do(method, path, body, &receipt)
 	for attempt := 1; attempt < maxAttempts && err != nil && rpc.CodeOf(err).Status() >= http.StatusInternalServerError; attempt++ {
 		time.Sleep(retryDelay)
-		err = command.client.Ask(method, path, body, &receipt)
+		err = command.client.Do(method, path, body, &receipt)
 	}
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 
 func (command *cli) readRollout() (*agent.RolloutStatus, error) {
 	status := &agent.RolloutStatus{}
-	return status, command.client.Ask(http.MethodGet, command.rolloutPath(), nil, status)
+	return status, command.client.Do(http.MethodGet, command.rolloutPath(), nil, status)
 }
 
 func (command *cli) showRollout() error {
--- a/cmd/ojload/main.go
+++ b/cmd/ojload/main.go
@@ -33,7 +33,7 @@
 	goroutines := concurrent.NewGroup()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
 	generator := standin.NewLoadGenerator(plan, client, goroutines.Start)
-	process.OnTerm(goroutines, goroutines.Stop)
+	process.OnTerminate(goroutines, goroutines.Stop)
 	report := generator.Run(goroutines.Sleep)
 	goroutines.Stop()
 	encoder := json.NewEncoder(os.Stdout)
--- a/cmd/ojplan/main.go
+++ b/cmd/ojplan/main.go
@@ -56,10 +56,10 @@
 	} else {
 		printForecast(forecast)
 	}
-	if len(forecast.Shorts) > 0 {
+	if len(forecast.Shortages) > 0 {
 		os.Exit(exitFloorsShort)
 	}
-	if forecast.Moving() {
+	if forecast.HasEffect() {
 		os.Exit(exitChanges)
 	}
 }
@@ -125,13 +125,13 @@
 	for _, move := range forecast.Moves {
 		fmt.Printf("  %-20s leaves %s, joins %s\n", move.Tenant, joinNames(move.Left), joinNames(move.Joined))
 	}
-	for _, service := range forecast.Rooms {
+	for _, service := range forecast.CapacityChanges {
 		fmt.Printf("service %-20s backends before %d, after %d %v\n", service.Service, service.Before, service.After, service.ByZone)
 	}
 	for _, change := range forecast.Changes {
 		fmt.Printf("route %s: %s before %v, after %v\n", change.Route, change.Field, change.Before, change.After)
 	}
-	for _, shortfall := range forecast.Shorts {
+	for _, shortfall := range forecast.Shortages {
 		fmt.Printf(
 			"SHORT %s: guaranteed rates of %d tasks per second, capacity of the backends %.0f\n",
 			shortfall.Service,
--- a/cmd/ojplatform/main.go
+++ b/cmd/ojplatform/main.go
@@ -40,7 +40,7 @@
 	listener, err := process.Listen(listen, standIn, process.ListenOptions{})
 	flags.Exit(err)
 	listener.Serve(goroutines)
-	process.OnTerm(goroutines, func() {
+	process.OnTerminate(goroutines, func() {
 		listener.Drain(time.Second)
 		goroutines.Stop()
 	})
--- a/cmd/ojproxy/main.go
+++ b/cmd/ojproxy/main.go
@@ -17,7 +17,7 @@
 	flags := process.NewFlags("ojproxy", "proxy of orchidjunction: forwards callers' tasks to backends")
 	dialer := &net.Dialer{Timeout: time.Second}
 	guest := &process.Guest{}
-	guest.Join = func(owner, borrower process.DataPlane) {
+	guest.Link = func(owner, borrower process.DataPlane) {
 		borrower.(*serviceproxy.Proxy).SetLendingLimit(
 			serviceproxy.NewLendingLimit(owner.(*serviceproxy.Proxy), guest.PerSecond, guest.InFlight),
 		)
--- a/cmd/orchidjunction/core.go
+++ b/cmd/orchidjunction/core.go
@@ -107,7 +107,7 @@
 	core.Run()
 	node.source.Follow(node.goroutines)
 	process.LogCounts(node.goroutines, node.counters, settings.Name)
-	process.OnTerm(node.goroutines, func() {
+	process.OnTerminate(node.goroutines, func() {
 		start, grace := time.Now(), settings.Bounds.Grace-graceMargin
 		core.Retire(grace)
 		node.listeners[1].Drain(grace - time.Since(start))
--- a/cmd/orchidjunction/proxy.go
+++ b/cmd/orchidjunction/proxy.go
@@ -45,7 +45,7 @@
 		Seeds:           internalSeeds(settings),
 		Intervals: agent.Intervals{
 			Session: sessionInterval, Watch: watchTimeout, FindLeader: findLeaderInterval,
-			Pulse: pulseInterval, CheckReach: checkReachInterval, UsageCount: usageInterval,
+			PauseCheck: pulseInterval, PartitionCheck: checkReachInterval, UsageCount: usageInterval,
 		},
 		ForwardLimits:  agent.ForwardLimits{Attempt: attemptTimeout},
 		DirectSessions: true,
@@ -94,7 +94,7 @@
 	}, nil)
 	daemon.SetWindows(plane.UsageWindows)
 	daemon.SetRollouts(plane.RolloutCounts)
-	daemon.SetWarm(plane.Ready)
+	daemon.SetWarmedUp(plane.Ready)
 	daemon.OnRetire(plane.FinishUploads)
 	server := rpc.NewServer(node.counters)
 	daemon.Register(server)
@@ -120,7 +120,7 @@
 	plane.Run()
 	node.source.Follow(node.goroutines)
 	process.LogCounts(node.goroutines, node.counters, settings.Name)
-	process.OnTerm(node.goroutines, func() {
+	process.OnTerminate(node.goroutines, func() {
 		plane.StartDrain()
 		grace := settings.Bounds.Grace - graceMargin
 		finished := daemon.Retire(min(retireLinger, grace/2), grace, node.listeners[0].Drain)
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -107,7 +107,7 @@
 // ServeHTTP answers GET /v1/place with a Placement for the tenant of the bearer
 // key.
 func (directory *Directory) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	if _, leaving := directory.daemon.StopsIn(); leaving {
+	if _, leaving := directory.daemon.TimeToStop(); leaving {
 		writer.Header().Set("Connection", "close")
 	}
 	placement, err := directory.place(request)
--- a/harness/checker/ledger.go
+++ b/harness/checker/ledger.go
@@ -254,7 +254,7 @@
 	last := rpc.Errorf(rpc.Unreachable, "no operator address")
 	for until := time.Now().Add(limit); time.Now().Before(until); {
 		for _, address := range ledger.system.OperatorAddresses() {
-			if last = ledger.system.Client(address).Ask(http.MethodGet, "/v1/changes", nil, &history); last == nil {
+			if last = ledger.system.Client(address).Do(http.MethodGet, "/v1/changes", nil, &history); last == nil {
 				return history.Changes, nil
 			}
 		}
--- a/harness/simulation/regions.go
+++ b/harness/simulation/regions.go
@@ -59,7 +59,7 @@
 		Session:    regionalSessionInterval,
 		Watch:      2500 * time.Millisecond,
 		FindLeader: 100 * time.Millisecond,
-		Pulse:      500 * time.Millisecond,
+		PauseCheck: 500 * time.Millisecond,
 		UsageCount: 250 * time.Millisecond,
 	}
 	world.Limits = agent.ForwardLimits{Attempt: 700 * time.Millisecond}
--- a/operator/client.go
+++ b/operator/client.go
@@ -29,10 +29,10 @@
 	return &Client{daemons: daemons, client: &http.Client{Transport: transport, Timeout: time.Second}}
 }
 
-// Ask sends one call and decodes the JSON body of a 200 response into into. Several daemons may
+// Do sends one call and decodes the JSON body of a 200 response into into. Several daemons may
 // get the same body, so that a change must carry its own ID. It returns a daemon's error,
 // rpc.Unreachable if none answered, or rpc.BadMessage for a response that can't be decoded.
-func (client *Client) Ask(method, path string, body []byte, into any) error {
+func (client *Client) Do(method, path string, body []byte, into any) error {
 	lastErr := rpc.Errorf(rpc.Unreachable, "no daemon address given")
 	for _, daemon := range client.daemons {
 		request, err := http.NewRequest(method, "http://"+daemon+path, bytes.NewReader(body))
@@ -109,7 +109,7 @@
 		path += "?effective=1"
 	}
 	settings := &Settings{}
-	return settings, client.Ask(http.MethodGet, path, nil, settings)
+	return settings, client.Do(http.MethodGet, path, nil, settings)
 }
 
 // Put replaces the whole settings.
@@ -128,29 +128,29 @@
 		return nil, rpc.Errorf(rpc.BadRequest, "%v", err)
 	}
 	outcome := &Outcome{}
-	return outcome, client.Ask(method, "/v1/settings", body, outcome)
+	return outcome, client.Do(method, "/v1/settings", body, outcome)
 }
 
 // Status returns the leader, the members and the backends as the cores know them.
 func (client *Client) Status() (*message.StatusResponse, error) {
 	status := &message.StatusResponse{}
-	return status, client.Ask(http.MethodGet, "/v1/status", nil, status)
+	return status, client.Do(http.MethodGet, "/v1/status", nil, status)
 }
 
 // Cores returns the cores that vote and the learners that wait for a vote.
 func (client *Client) Cores() (*message.MembershipStatus, error) {
 	membership := &message.MembershipStatus{}
-	return membership, client.Ask(http.MethodGet, "/v1/cores", nil, membership)
+	return membership, client.Do(http.MethodGet, "/v1/cores", nil, membership)
 }
 
-// Removed is a committed removal, with the version of the membership.
-type Removed struct {
+// Removal is a committed removal, with the version of the membership.
+type Removal struct {
 	Version uint64 `json:"version"`
 	Again   bool   `json:"again,omitempty"`
 }
 
 // RemoveCore removes a core and gives its vote to a waiting learner.
-func (client *Client) RemoveCore(id int) (*Removed, error) {
-	removed := &Removed{}
-	return removed, client.Ask(http.MethodDelete, fmt.Sprintf("/v1/cores/%d", id), nil, removed)
+func (client *Client) RemoveCore(id int) (*Removal, error) {
+	removed := &Removal{}
+	return removed, client.Do(http.MethodDelete, fmt.Sprintf("/v1/cores/%d", id), nil, removed)
 }
--- a/planner/forecast.go
+++ b/planner/forecast.go
@@ -57,19 +57,19 @@
 
 // Forecast is the effects of a change of settings.
 type Forecast struct {
-	Tenants int              `json:"tenants"`
-	Moves   []Move           `json:"moves"`
-	Rooms   []CapacityChange `json:"rooms"`
-	Shorts  []Shortage       `json:"floors_short"`
-	Changes []Change         `json:"changes"`
+	Tenants         int              `json:"tenants"`
+	Moves           []Move           `json:"moves"`
+	CapacityChanges []CapacityChange `json:"rooms"`
+	Shortages       []Shortage       `json:"floors_short"`
+	Changes         []Change         `json:"changes"`
 }
 
-// Moving reports whether the change would affect placements, backend counts or routes.
-func (forecast *Forecast) Moving() bool {
+// HasEffect reports whether the change would affect placements, backend counts or routes.
+func (forecast *Forecast) HasEffect() bool {
 	if len(forecast.Moves)+len(forecast.Changes) > 0 {
 		return true
 	}
-	for _, change := range forecast.Rooms {
+	for _, change := range forecast.CapacityChanges {
 		if change.Before != change.After {
 			return true
 		}
@@ -79,7 +79,7 @@
 
 // NewForecast compares the fleet under its settings with the same fleet under next.
 func NewForecast(fleet Fleet, next *config.Settings) *Forecast {
-	forecast := &Forecast{Moves: []Move{}, Rooms: []CapacityChange{}, Shorts: []Shortage{}, Changes: []Change{}}
+	forecast := &Forecast{Moves: []Move{}, CapacityChanges: []CapacityChange{}, Shortages: []Shortage{}, Changes: []Change{}}
 	before, after := serviceproxy.NewRoutes(fleet.Serial, fleet.Settings, nil), serviceproxy.NewRoutes(fleet.Serial+1, next, nil)
 	previous, updated := directory.NewView(before, fleet.Members), directory.NewView(after, fleet.Members)
 	for _, tenant := range union(fleet.Settings.Tenants, next.Tenants) {
@@ -160,7 +160,7 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		forecast.Rooms = append(forecast.Rooms, *changes[name])
+		forecast.CapacityChanges = append(forecast.CapacityChanges, *changes[name])
 		floor := 0
 		for _, class := range next.Classes {
 			if _, found := class.Services[name]; found {
@@ -168,7 +168,7 @@
 			}
 		}
 		if capacity := float64(changes[name].After) * fleet.Capacity; capacity < float64(floor) {
-			forecast.Shorts = append(forecast.Shorts, Shortage{Service: name, Floor: floor, Capacity: capacity})
+			forecast.Shortages = append(forecast.Shortages, Shortage{Service: name, Floor: floor, Capacity: capacity})
 		}
 	}
 }
--- a/planner/forecast_test.go
+++ b/planner/forecast_test.go
@@ -44,7 +44,7 @@
 
 func TestForecast(test *testing.T) {
 	fleet := testFleet(test)
-	if unchanged := NewForecast(fleet, fleet.Settings); unchanged.Moving() || len(unchanged.Shorts) > 0 {
+	if unchanged := NewForecast(fleet, fleet.Settings); unchanged.HasEffect() || len(unchanged.Shortages) > 0 {
 		test.Errorf("forecast without a change: %+v", unchanged)
 	}
 	drained := *fleet.Settings
@@ -57,11 +57,11 @@
 			}
 		}
 	}
-	if len(forecast.Moves) == 0 || forecast.Rooms[0].Before != 6 || forecast.Rooms[0].After != 5 {
-		test.Errorf("%d moves, capacity changes %+v", len(forecast.Moves), forecast.Rooms)
+	if len(forecast.Moves) == 0 || forecast.CapacityChanges[0].Before != 6 || forecast.CapacityChanges[0].After != 5 {
+		test.Errorf("%d moves, capacity changes %+v", len(forecast.Moves), forecast.CapacityChanges)
 	}
 	fleet.Capacity = 1
-	if shortages := NewForecast(fleet, &drained).Shorts; len(shortages) != 2 {
+	if shortages := NewForecast(fleet, &drained).Shortages; len(shortages) != 2 {
 		test.Errorf("shortages %+v", shortages)
 	}
 	withTimeout := *fleet.Settings
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -81,7 +81,7 @@
 	Config    agent.Config
 	PerSecond float64
 	InFlight  int
-	Join      func(owner, guest DataPlane)
+	Link      func(owner, guest DataPlane)
 }
 
 func (guest *Guest) add(flags *Flags) {
@@ -146,12 +146,12 @@
 			flags.Exit(rpc.Errorf(rpc.BadFlag, "--lend-rps and --lend-in-flight must be positive for a guest"))
 		}
 		instances = append(instances, newInstance(flags, guest.Config, limits, goroutines, construct))
-		guest.Join(instances[0].Plane, instances[1].Plane)
+		guest.Link(instances[0].Plane, instances[1].Plane)
 	}
 	for _, instance := range instances {
 		instance.run(goroutines)
 	}
-	OnTerm(goroutines, func() {
+	OnTerminate(goroutines, func() {
 		settleTime, graceTime := Milliseconds(settle), Milliseconds(grace)
 		ended, _ := concurrent.Gather(goroutines, len(instances), func(index int) (bool, error) {
 			instance := instances[index]
--- a/process/run.go
+++ b/process/run.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// OnTerm calls hook at SIGTERM or SIGINT.
-func OnTerm(goroutines *concurrent.Group, hook func()) {
+// OnTerminate calls hook at SIGTERM or SIGINT.
+func OnTerminate(goroutines *concurrent.Group, hook func()) {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	goroutines.OnStop(cancel)
 	goroutines.Start(func() {
--- a/serviceproxy/proxy.go
+++ b/serviceproxy/proxy.go
@@ -61,8 +61,8 @@
 		prefix:     agent.NewID()[:10],
 	}
 	proxy.claims = newClaims(proxy)
-	daemon.SetKeepsClaims(proxy.claims.Joined)
-	daemon.SetWarm(proxy.warm)
+	daemon.SetKeyReplica(proxy.claims.Joined)
+	daemon.SetWarmedUp(proxy.warm)
 	daemon.SetUsage(proxy.usage.All)
 	daemon.SetDemand(proxy.admission.Demand)
 	daemon.OnRetire(proxy.claims.coreStore.flush)
--- a/serviceproxy/task.go
+++ b/serviceproxy/task.go
@@ -44,7 +44,7 @@
 	}
 	defer func() { task.cleanup() }()
 	writer.Header().Set("Oj-Task", task.id)
-	if _, leaving := proxy.daemon.StopsIn(); leaving {
+	if _, leaving := proxy.daemon.TimeToStop(); leaving {
 		writer.Header().Set("Connection", "close")
 	}
 	if err := task.serve(writer); err != nil {
--- a/serviceproxy/task_admission.go
+++ b/serviceproxy/task_admission.go
@@ -33,7 +33,7 @@
 			Outcome:      rpc.NotRun,
 		}
 	}
-	if remaining, leaving := task.proxy.daemon.StopsIn(); leaving && time.Until(task.deadline) > remaining-shutdownMargin {
+	if remaining, leaving := task.proxy.daemon.TimeToStop(); leaving && time.Until(task.deadline) > remaining-shutdownMargin {
 		return &rpc.Error{
 			Code:         rpc.Stopping,
 			Message:      "this proxy is stopping; ask a directory for another one",
