--- a/cmd/orchidjunction/core.go
+++ b/cmd/orchidjunction/core.go
@@ -59,13 +59,13 @@
 // listInterval returns the interval between two reads of the list. It leaves most of the time to
 // drain a backend for the lag of the list and for informing all processes.
 func listInterval(settings *platform.Settings) time.Duration {
-	interval := time.Duration(float64(settings.Bounds.Drain-settings.Platform.Lag) / drainDivisor)
+	interval := time.Duration(float64(settings.Bounds.Drain-settings.Platform.ListLag) / drainDivisor)
 	return max(minListInterval, min(maxListInterval, interval))
 }
 
 func (node *node) runCore() error {
 	settings := node.source.Settings()
-	if err := makeDataFolder(settings.Folder); err != nil {
+	if err := makeDataFolder(settings.StateDir); err != nil {
 		return err
 	}
 	client := rpc.NewClient(process.WANTransport(userTimeout))
@@ -79,7 +79,7 @@
 	if err := config.Check(); err != nil {
 		return err
 	}
-	core, err := control.NewCore(config, storage.Folder(settings.Folder), client, node.goroutines, node.counters)
+	core, err := control.NewCore(config, storage.Folder(settings.StateDir), client, node.goroutines, node.counters)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 	forwarder := agent.NewForwarder(finder, client, node.counters).WithLimits(agent.ForwardLimits{Attempt: attemptTimeout})
 	forwarder.SetLocalLeader(core.Leader)
 	operators := platform.NewControl(
-		platform.NewLeaderOrders(forwarder),
+		platform.NewLeaderCommands(forwarder),
 		func() map[string]string { return node.source.Settings().Zones },
 		node.counters,
 	)
@@ -135,7 +135,7 @@
 		Zone:              settings.Zone,
 		InternalAddress:   internalAddress(settings, settings.Address),
 		Seeds:             internalSeeds(settings),
-		Bootstrap:         settings.First,
+		Bootstrap:         settings.Bootstrap,
 		MinFounders:       2*settings.Survive.Machines + 1,
 		HeartbeatInterval: heartbeatInterval,
 		SuspicionTimeout:  suspicionTimeout,
--- a/cmd/orchidjunction/proxy.go
+++ b/cmd/orchidjunction/proxy.go
@@ -67,7 +67,7 @@
 		UsageWindow:        settings.Bounds.ReportWindow,
 		MemoryBytes:        int64(settings.Machine.MemoryMB) << 20,
 		UserTimeout:        backendUserTimeout,
-		BackendListLag:     settings.Platform.Lag,
+		BackendListLag:     settings.Platform.ListLag,
 		LinkBytesPerSecond: settings.Machine.LinkMbps * 1e6 / 8,
 	}
 }
@@ -100,7 +100,7 @@
 	daemon.Register(server)
 	lookups := platform.NewLookup(node.source.Settings, func() *message.Table { return daemon.Version().Table },
 		func() (string, bool) { return settings.Listen.Clients, plane.Ready() })
-	lookups.SetHomed(plane.HasHomeRegions)
+	lookups.SetHasHomes(plane.HasHomeRegions)
 	ready := withMetrics(node.counters, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		if !daemon.Ready() || plane.Draining() {
 			writer.WriteHeader(http.StatusServiceUnavailable)
--- a/harness/simulation/numbers_test.go
+++ b/harness/simulation/numbers_test.go
@@ -15,14 +15,14 @@
 func textOf(version, base uint64, operator int) string {
 	config := NewRoutingConfig(version)
 	config.Routes[0].TimeoutMs += operator
-	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Whole: config}))
+	return string(platform.WriteChange(&routing.Change{Version: version, Base: base, Whole: config}))
 }
 
 // patchOf is an operator's text of a change of nothing but the base's time limit.
 func patchOf(version, base uint64) string {
 	changed := NewRoutingConfig(base).Routes
 	changed[0].TimeoutMs = int(1000 + version)
-	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{Routes: changed}}))
+	return string(platform.WriteChange(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{Routes: changed}}))
 }
 
 // settle sends an order as it is to cores in a random order until it is answered for
--- a/harness/simulation/operator_test.go
+++ b/harness/simulation/operator_test.go
@@ -40,7 +40,7 @@
 	machine := world.Cores[index]
 	machine.Forwarder.SetLocalLeader(machine.Core.Leader)
 	control := platform.NewControl(
-		platform.NewLeaderOrders(machine.Forwarder),
+		platform.NewLeaderCommands(machine.Forwarder),
 		func() map[string]string { return nil },
 		metrics.NewCounters(),
 	)
@@ -109,13 +109,13 @@
 
 // wholeBody is an operator's text of the routing that Routing makes.
 func wholeBody(version, base uint64) string {
-	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Whole: NewRoutingConfig(version)}))
+	return string(platform.WriteChange(&routing.Change{Version: version, Base: base, Whole: NewRoutingConfig(version)}))
 }
 
 // invalidPatch leaves a route without its service.
 func invalidPatch(version, base uint64) string {
 	return string(
-		platform.WriteOrder(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{RemoveServices: []string{"desk"}}}),
+		platform.WriteChange(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{RemoveServices: []string{"desk"}}}),
 	)
 }
 
