--- a/cmd/ojsoak/main.go
+++ b/cmd/ojsoak/main.go
@@ -40,9 +40,9 @@
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "all numbers must be positive; --seed and --slow-heads may be 0"))
 	}
 	options := soak.Options{
-		Program: program, Folder: folder, Span: time.Duration(seconds) * time.Second,
+		Program: program, Folder: folder, Duration: time.Duration(seconds) * time.Second,
 		Proxies: proxies, Clients: clients, Backends: backends, SlowHeads: slowHeads,
-		RolloutTerm: time.Duration(term) * time.Second, Bounds: soak.DefaultBounds(),
+		RolloutDuration: time.Duration(term) * time.Second, Bounds: soak.DefaultBounds(),
 		Printf: func(format string, values ...any) {
 			if isVerbose {
 				fmt.Printf(format+"\n", values...)
--- a/harness/checker/evidence.go
+++ b/harness/checker/evidence.go
@@ -1,6 +1,6 @@
 // Package checker checks the guarantees of the system against the records of callers,
 // backends, the platform and operators. The simulator and the fleet runner collect
-// Evidence, partly with a Ledger that changes settings while they run;
+// Evidence, partly with a ChangeRecorder that changes settings while they run;
 // Evidence.Judge turns it into Verdicts.
 package checker
 
@@ -33,21 +33,21 @@
 }
 
 // Evidence holds the records of one run. Planned says that only planned work was done,
-// Jumps that clocks were stepped; Codes are failed steps and process exits.
+// ClockSteps that clocks were stepped; Failures are failed steps and process exits.
 type Evidence struct {
-	Callers  []standin.LoadReport
-	Backends []standin.BackendRecord
-	Settings *config.Settings
-	Zones    map[string]string
-	Guests   map[string]string
-	Ledger   *Ledger
-	History  []message.HistoryEntry
-	Planned  bool
-	Jumps    bool
-	Codes    []string
-	Windows  []Window
-	Reports  map[string][]string
-	ReportAt map[string]int64
+	Callers     []standin.LoadReport
+	Backends    []standin.BackendRecord
+	Settings    *config.Settings
+	Zones       map[string]string
+	LentProxies map[string]string
+	Ledger      *ChangeRecorder
+	History     []message.HistoryEntry
+	Planned     bool
+	ClockSteps  bool
+	Failures    []string
+	Windows     []Window
+	Reports     map[string][]string
+	ReportAt    map[string]int64
 
 	chargesByKey  map[string][]standin.Arrival
 	executedByTry map[string]standin.Arrival
@@ -85,7 +85,7 @@
 		{"classes served within their floor_rps", true, evidence.checkFloors},
 		{"usage reported within 5% and 10 s, none missing", true, evidence.checkUsage},
 		{"usage reports resent unchanged", false, evidence.checkUsageResends},
-		{"no failed step or process exit", false, func() ([]string, string) { return evidence.Codes, "" }},
+		{"no failed step or process exit", false, func() ([]string, string) { return evidence.Failures, "" }},
 	} {
 		bad, detail := check.run()
 		if len(bad) > 0 {
--- a/harness/checker/evidence_test.go
+++ b/harness/checker/evidence_test.go
@@ -170,7 +170,7 @@
 		{"usage reports resent unchanged", func(evidence *Evidence) {
 			evidence.Reports["small-alder-3"] = append(evidence.Reports["small-alder-3"], "{}")
 		}},
-		{"no failed step or process exit", func(evidence *Evidence) { evidence.Codes = []string{"proxy exit 2"} }},
+		{"no failed step or process exit", func(evidence *Evidence) { evidence.Failures = []string{"proxy exit 2"} }},
 	} {
 		evidence := cleanEvidence(test)
 		violation.inject(evidence)
--- a/harness/checker/ledger.go
+++ b/harness/checker/ledger.go
@@ -18,7 +18,7 @@
 	OperatorAddresses() []string
 	Client(door string) *operator.Client
 	Serials() []uint64
-	Rest(span time.Duration) bool
+	Sleep(span time.Duration) bool
 	Start(duty func())
 }
 
@@ -29,8 +29,8 @@
 	AtMs   int64
 }
 
-// Ledger changes settings as operators do and records the outcomes.
-type Ledger struct {
+// ChangeRecorder changes settings as operators do and records the outcomes.
+type ChangeRecorder struct {
 	system System
 	seed   uint64
 
@@ -54,10 +54,10 @@
 	maxReplacedBytes = 100_000
 )
 
-// NewLedger returns a Ledger that changes the settings of system, with random choices
+// NewLedger returns a ChangeRecorder that changes the settings of system, with random choices
 // drawn from seed.
-func NewLedger(system System, seed uint64) *Ledger {
-	return &Ledger{
+func NewLedger(system System, seed uint64) *ChangeRecorder {
+	return &ChangeRecorder{
 		system:  system,
 		seed:    seed,
 		Acked:   map[string]Ack{},
@@ -67,17 +67,17 @@
 	}
 }
 
-// Operate starts operators that each make a change every pace on average. Some changes
+// StartOperators starts operators that each make a change every pace on average. Some changes
 // are invalid, some race on the same base; a change with an unknown outcome is
 // retried unchanged.
-func (ledger *Ledger) Operate(operators int, pace time.Duration) {
+func (ledger *ChangeRecorder) StartOperators(operators int, pace time.Duration) {
 	for number := range operators {
 		ledger.mutex.Lock()
 		ledger.runningOperators++
 		random := rand.New(rand.NewPCG(ledger.seed, uint64(100+ledger.runningOperators+100*number)))
 		ledger.mutex.Unlock()
 		ledger.system.Start(func() {
-			for ledger.system.Rest(time.Duration(random.Int64N(int64(2*pace)))) && !ledger.isStopped() {
+			for ledger.system.Sleep(time.Duration(random.Int64N(int64(2*pace)))) && !ledger.isStopped() {
 				ledger.change(random)
 			}
 			ledger.mutex.Lock()
@@ -87,14 +87,14 @@
 	}
 }
 
-func (ledger *Ledger) isStopped() bool {
+func (ledger *ChangeRecorder) isStopped() bool {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	return ledger.stopped
 }
 
 // Stop stops the operators and waits for their last calls.
-func (ledger *Ledger) Stop() {
+func (ledger *ChangeRecorder) Stop() {
 	ledger.mutex.Lock()
 	ledger.stopped = true
 	ledger.mutex.Unlock()
@@ -102,13 +102,13 @@
 		ledger.mutex.Lock()
 		running := ledger.runningOperators
 		ledger.mutex.Unlock()
-		if running == 0 || !ledger.system.Rest(5*time.Millisecond) {
+		if running == 0 || !ledger.system.Sleep(5*time.Millisecond) {
 			return
 		}
 	}
 }
 
-func (ledger *Ledger) timeCall(what string, call func() error) error {
+func (ledger *ChangeRecorder) timeCall(what string, call func() error) error {
 	begin := time.Now()
 	err := call()
 	took := time.Since(begin)
@@ -121,7 +121,7 @@
 	return err
 }
 
-func (ledger *Ledger) randomClient(random *rand.Rand) (*operator.Client, bool) {
+func (ledger *ChangeRecorder) randomClient(random *rand.Rand) (*operator.Client, bool) {
 	addresses := ledger.system.OperatorAddresses()
 	if len(addresses) == 0 {
 		return nil, false
@@ -130,7 +130,7 @@
 }
 
 // change makes one change at a random daemon and records its outcome.
-func (ledger *Ledger) change(random *rand.Rand) {
+func (ledger *ChangeRecorder) change(random *rand.Rand) {
 	client, found := ledger.randomClient(random)
 	if !found {
 		return
@@ -157,7 +157,7 @@
 		change.Settings = withHold(settings.Settings, 1000+random.IntN(2000))
 		send = func(client *operator.Client) (*operator.Outcome, error) { return client.Put(change) }
 	}
-	_ = ledger.Make(change, client, random, send) // recorded by Make
+	_ = ledger.Apply(change, client, random, send) // recorded by Apply
 }
 
 // withHold returns the settings with another rule.hold_ms.
@@ -173,9 +173,9 @@
 	return body
 }
 
-// Make sends one change, retries it while its outcome is unknown, records the outcome
+// Apply sends one change, retries it while its outcome is unknown, records the outcome
 // and returns it.
-func (ledger *Ledger) Make(
+func (ledger *ChangeRecorder) Apply(
 	change operator.Change,
 	client *operator.Client,
 	random *rand.Rand,
@@ -184,7 +184,7 @@
 	var outcome *operator.Outcome
 	err := ledger.timeCall(change.Change, func() (err error) { outcome, err = send(client); return })
 	for attempt := 0; attempt < 6 && err != nil && (rpc.CodeOf(err) == rpc.OutcomeUnknown || rpc.CodeOf(err) == rpc.Unreachable); attempt++ {
-		ledger.system.Rest(50 * time.Millisecond)
+		ledger.system.Sleep(50 * time.Millisecond)
 		if client, found := ledger.randomClient(random); found {
 			retryErr := ledger.timeCall(change.Change+" retry", func() (err error) { outcome, err = send(client); return })
 			if retryErr == nil || rpc.CodeOf(retryErr) != rpc.NotStarted && rpc.CodeOf(retryErr) != rpc.QueueFull {
@@ -212,7 +212,7 @@
 }
 
 // awaitInForce waits until every ready daemon has at least the serial.
-func (ledger *Ledger) awaitInForce(serial uint64, acknowledgedAt time.Time) {
+func (ledger *ChangeRecorder) awaitInForce(serial uint64, acknowledgedAt time.Time) {
 	for time.Since(acknowledgedAt) < maxDelayMs*time.Millisecond {
 		behind := 0
 		for _, inForce := range ledger.system.Serials() {
@@ -226,7 +226,7 @@
 			ledger.mutex.Unlock()
 			return
 		}
-		if !ledger.system.Rest(10 * time.Millisecond) {
+		if !ledger.system.Sleep(10 * time.Millisecond) {
 			return
 		}
 	}
@@ -236,7 +236,7 @@
 }
 
 // Newest returns the highest acknowledged serial.
-func (ledger *Ledger) Newest() uint64 {
+func (ledger *ChangeRecorder) Newest() uint64 {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	newest := uint64(0)
@@ -247,7 +247,7 @@
 }
 
 // History reads the history of changes from any core that answers within the limit.
-func (ledger *Ledger) History(limit time.Duration) ([]message.HistoryEntry, error) {
+func (ledger *ChangeRecorder) History(limit time.Duration) ([]message.HistoryEntry, error) {
 	history := struct {
 		Changes []message.HistoryEntry `json:"changes"`
 	}{}
@@ -258,7 +258,7 @@
 				return history.Changes, nil
 			}
 		}
-		ledger.system.Rest(50 * time.Millisecond)
+		ledger.system.Sleep(50 * time.Millisecond)
 	}
 	return nil, last
 }
--- a/harness/checker/traffic.go
+++ b/harness/checker/traffic.go
@@ -253,7 +253,7 @@
 	})
 	evidence.eachTry(func(try standin.Try) {
 		floor := evidence.Settings.Classes[try.Class].FloorRps * 9 / 10
-		if evidence.Guests[try.Front] != "" {
+		if evidence.LentProxies[try.Front] != "" {
 			return
 		}
 		if second := try.AtMs / 1000; requested[key(try.Class, second)] <= floor && requested[key(try.Class, second-1)] <= floor {
--- a/harness/checker/usage.go
+++ b/harness/checker/usage.go
@@ -119,7 +119,7 @@
 			bad = append(bad, fmt.Sprintf("%s: %v", id, err))
 			continue
 		}
-		if lag := atMs - report.FromMs; report.Tasks > 0 && lag > maxUsageDelayMs && !evidence.Jumps {
+		if lag := atMs - report.FromMs; report.Tasks > 0 && lag > maxUsageDelayMs && !evidence.ClockSteps {
 			bad = append(bad, fmt.Sprintf("%s was received %d ms after its period began", id, lag))
 		}
 		reports.add(&report, atMs)
--- a/harness/cluster/changes.go
+++ b/harness/cluster/changes.go
@@ -121,7 +121,7 @@
 // bodies above the limit are refused meanwhile.
 func storm(fleet *Fleet) {
 	fleet.grow(5_000)
-	fleet.ledger.Operate(24, 2*time.Second)
+	fleet.ledger.StartOperators(24, 2*time.Second)
 	for range 2 {
 		huge := operator.Change{Base: 1, Settings: []byte(`{"fill":"` + strings.Repeat("x", 17<<20) + `"}`)}
 		if _, err := fleet.Operator(0).Put(huge); err == nil || rpc.CodeOf(err) != rpc.TooLarge {
--- a/harness/cluster/cluster.go
+++ b/harness/cluster/cluster.go
@@ -40,7 +40,7 @@
 	added       int
 	codes       []string
 	windows     []checker.Window
-	ledger      *checker.Ledger
+	ledger      *checker.ChangeRecorder
 	called      time.Time
 	peer        *Fleet
 	guests      map[string]string
@@ -191,8 +191,8 @@
 	return operator.NewClient([]string{door}, nil)
 }
 
-// Rest sleeps; it returns false once the run is stopped.
-func (fleet *Fleet) Rest(span time.Duration) bool { return fleet.goroutines.Sleep(span) }
+// Sleep sleeps; it returns false once the run is stopped.
+func (fleet *Fleet) Sleep(span time.Duration) bool { return fleet.goroutines.Sleep(span) }
 
 // Start runs duty in a goroutine of the run.
 func (fleet *Fleet) Start(duty func()) { fleet.goroutines.Start(duty) }
--- a/harness/cluster/scenario.go
+++ b/harness/cluster/scenario.go
@@ -111,7 +111,7 @@
 	ledger := checker.NewLedger(fleet, fleet.Spec.Seed)
 	fleet.ledger = ledger
 	if fleet.Spec.Changes > 0 {
-		ledger.Operate(2, 2*time.Second/time.Duration(fleet.Spec.Changes))
+		ledger.StartOperators(2, 2*time.Second/time.Duration(fleet.Spec.Changes))
 	}
 	scenario.Inject(fleet)
 	report, err := fleet.Callers()
@@ -120,13 +120,13 @@
 		return nil, err
 	}
 	evidence := &checker.Evidence{
-		Callers:  []standin.LoadReport{*report},
-		Settings: fleet.settings,
-		Zones:    fleet.Zones(),
-		Guests:   fleet.guests,
-		Ledger:   ledger,
-		Planned:  scenario.Planned,
-		Windows:  fleet.windows,
+		Callers:     []standin.LoadReport{*report},
+		Settings:    fleet.settings,
+		Zones:       fleet.Zones(),
+		LentProxies: fleet.guests,
+		Ledger:      ledger,
+		Planned:     scenario.Planned,
+		Windows:     fleet.windows,
 	}
 	if evidence.History, err = ledger.History(10 * time.Second); err != nil {
 		return nil, err
@@ -148,7 +148,7 @@
 	evidence.Reports, evidence.ReportAt = reports.Reports, reports.AtMs
 	fleet.wait()
 	fleet.Down()
-	evidence.Backends, evidence.Codes = fleet.Seen(), fleet.codes
+	evidence.Backends, evidence.Failures = fleet.Seen(), fleet.codes
 	return append(evidence.Judge(), fleet.lent(report, scenario.Planned)...), nil
 }
 
--- a/harness/simulation/budget_test.go
+++ b/harness/simulation/budget_test.go
@@ -21,15 +21,15 @@
 		world.up(test, 5)
 		late := world.AddDaemon("proxy", "w1")
 		world.goroutines.Start(func() {
-			world.Rest(3 * time.Second)
+			world.Sleep(3 * time.Second)
 			for _, backend := range world.Backends[:3] {
 				backend.Backend.Misbehave("lose", 1_000_000)
 			}
-			world.Rest(3 * time.Second)
+			world.Sleep(3 * time.Second)
 			world.StartDaemon(late)
-			world.Rest(2 * time.Second)
+			world.Sleep(2 * time.Second)
 			world.KillDaemon(world.Daemons[1])
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 			world.StartDaemon(world.Daemons[1])
 		})
 		plan := world.plan(35, 22)
@@ -59,11 +59,11 @@
 		}
 		world.up(test, 5)
 		world.goroutines.Start(func() {
-			world.Rest(3 * time.Second)
+			world.Sleep(3 * time.Second)
 			for _, backend := range world.Backends[:3] {
 				backend.Backend.Misbehave("lose", 1_000_000)
 			}
-			world.Rest(36 * time.Second)
+			world.Sleep(36 * time.Second)
 			for _, backend := range world.Backends[:3] {
 				backend.Backend.Misbehave("", 0)
 			}
--- a/harness/simulation/call_limit_test.go
+++ b/harness/simulation/call_limit_test.go
@@ -24,7 +24,7 @@
 		rpc.Handle(server, message.MethodLeader, func(context.Context, *message.LeaderRequest) (*message.LeaderResponse, error) {
 			current := now.Add(1)
 			highest.Store(max(highest.Load(), current))
-			world.Rest(50 * time.Millisecond)
+			world.Sleep(50 * time.Millisecond)
 			now.Add(-1)
 			return &message.LeaderResponse{}, nil
 		})
--- a/harness/simulation/catchup_test.go
+++ b/harness/simulation/catchup_test.go
@@ -82,7 +82,7 @@
 	back := world.away(kind, index)
 	world.change(&version, count)
 	if !going {
-		world.Rest(5 * time.Second) // nobody tries to send it the last change any more
+		world.Sleep(5 * time.Second) // nobody tries to send it the last change any more
 	}
 	back()
 	missed, begin := world.lasts((index+1)%3), time.Now()
@@ -97,7 +97,7 @@
 		world.reportViolation("holds serial %d, %d were made while it was away", world.lasts(index), missed)
 	}
 	took := time.Since(begin)
-	world.Rest(2 * time.Second)
+	world.Sleep(2 * time.Second)
 	stop.Store(true)
 	world.Until(10*time.Second, ended.Load)
 	leader, acknowledged := world.calm(test), version.Load()
--- a/harness/simulation/change_test.go
+++ b/harness/simulation/change_test.go
@@ -25,7 +25,7 @@
 			if !world.Until(5*time.Second, func() bool { return world.Leader() >= 0 }) {
 				test.Fatal("no leader")
 			}
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 			leader := world.Leader()
 			switch kind {
 			case "planned":
@@ -39,13 +39,13 @@
 			case "frozen":
 				world.Net.Freeze(world.Cores[leader].Host, true)
 			}
-			world.Rest(time.Duration(seed%10) * time.Millisecond)
+			world.Sleep(time.Duration(seed%10) * time.Millisecond)
 			change := operator.Change{Base: serial, Change: fmt.Sprint("during-", round), Settings: Settings(2000 + round)}
 			begin := time.Now()
 			outcome, err := world.Client(world.Daemons[1].OperatorAddress).Put(change)
 			wait := time.Since(begin)
 			for try := 0; err != nil && try < 5; try++ {
-				world.Rest(100 * time.Millisecond)
+				world.Sleep(100 * time.Millisecond)
 				outcome, err = world.Client(world.Daemons[1].OperatorAddress).Put(change)
 			}
 			if err != nil {
--- a/harness/simulation/changes_during_partition_test.go
+++ b/harness/simulation/changes_during_partition_test.go
@@ -148,9 +148,9 @@
 							mutex.Unlock()
 						})
 					}
-					world.Rest(time.Duration(50+seed*13%50) * time.Millisecond)
+					world.Sleep(time.Duration(50+seed*13%50) * time.Millisecond)
 					if time.Since(begin) > time.Second {
-						world.Rest(3 * time.Second)
+						world.Sleep(3 * time.Second)
 					}
 				}
 				world.lose(leader, kind, false)
--- a/harness/simulation/claims_test.go
+++ b/harness/simulation/claims_test.go
@@ -78,7 +78,7 @@
 			); err != nil {
 				test.Fatal(err)
 			}
-			world.Rest(10 * time.Second / 10 * time.Duration(600/seconds))
+			world.Sleep(10 * time.Second / 10 * time.Duration(600/seconds))
 			bytes, _ := size()
 			most = max(most, bytes)
 			if second == seconds {
--- a/harness/simulation/cold_test.go
+++ b/harness/simulation/cold_test.go
@@ -24,21 +24,21 @@
 		plan.Calls = plan.Calls[1:2]
 		generator, client := world.NewLoadGenerator(plan)
 		world.goroutines.Start(func() {
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 			for range 2 {
 				world.AddBackend("meters", "w1", standin.BackendConfig{WorkMs: 5, Room: 32, ColdMs: 9000, GentleRate: 6})
 			}
 			world.PublishBackends()
-			world.Rest(2 * time.Second)
+			world.Sleep(2 * time.Second)
 			world.StartDaemon(late)
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 			world.KillDaemon(world.Daemons[1])
-			world.Rest(500 * time.Millisecond)
+			world.Sleep(500 * time.Millisecond)
 			world.StartDaemon(world.Daemons[1])
 			for _, core := range world.Cores {
 				world.Net.Cut(world.Daemons[2].Host, core.Host, true)
 			}
-			world.Rest(3 * time.Second)
+			world.Sleep(3 * time.Second)
 			for _, core := range world.Cores {
 				world.Net.Cut(world.Daemons[2].Host, core.Host, false)
 			}
--- a/harness/simulation/combined_faults.go
+++ b/harness/simulation/combined_faults.go
@@ -16,7 +16,7 @@
 type CombinedFaults struct {
 	world      *World
 	coreFaults *RandomFaults
-	ledger     *checker.Ledger
+	ledger     *checker.ChangeRecorder
 	random     *rand.Rand
 	Injected   []string
 	changes    int
@@ -24,7 +24,7 @@
 
 // NewCombinedFaults returns an injector that follows the world's seed; some faults change
 // settings through ledger.
-func (world *World) NewCombinedFaults(ledger *checker.Ledger) *CombinedFaults {
+func (world *World) NewCombinedFaults(ledger *checker.ChangeRecorder) *CombinedFaults {
 	return &CombinedFaults{world: world, coreFaults: world.NewRandomFaults(), ledger: ledger, random: rand.New(rand.NewPCG(world.Seed, 71))}
 }
 
@@ -66,7 +66,7 @@
 		kind := SystemFaults[faults.random.IntN(len(SystemFaults))]
 		faults.Injected = append(faults.Injected, kind)
 		faults.Inject(kind)
-		faults.world.Rest(faults.randomSpan(300, 2500))
+		faults.world.Sleep(faults.randomSpan(300, 2500))
 	}
 }
 
@@ -90,7 +90,7 @@
 	for _, daemon := range daemons {
 		faults.world.KillDaemon(daemon)
 	}
-	faults.world.Rest(span)
+	faults.world.Sleep(span)
 	for _, daemon := range daemons {
 		faults.world.StartDaemon(daemon)
 	}
@@ -127,7 +127,7 @@
 	for range 60 {
 		addresses := faults.world.OperatorAddresses()
 		if len(addresses) == 0 {
-			faults.world.Rest(100 * time.Millisecond)
+			faults.world.Sleep(100 * time.Millisecond)
 			continue
 		}
 		faults.changes++
@@ -135,11 +135,11 @@
 		if settings, err := client.Read(false); err == nil && settings.Confirmed {
 			change := operator.Change{Base: settings.Serial, Change: fmt.Sprint("all-", faults.changes), Settings: []byte(body)}
 			patch := func(client *operator.Client) (*operator.Outcome, error) { return client.Patch(change) }
-			if faults.ledger.Make(change, client, faults.random, patch) == nil {
+			if faults.ledger.Apply(change, client, faults.random, patch) == nil {
 				return time.Now().UnixMilli()
 			}
 		}
-		faults.world.Rest(30 * time.Millisecond)
+		faults.world.Sleep(30 * time.Millisecond)
 	}
 	faults.world.reportViolation("settings change was not acknowledged: %s", body)
 	return 0
@@ -153,7 +153,7 @@
 		windows[index].From = from + 4500
 	}
 	meanwhile()
-	faults.world.Rest(span)
+	faults.world.Sleep(span)
 	until := time.Now().UnixMilli()
 	faults.changeSettings(revert)
 	for index := range windows {
@@ -198,7 +198,7 @@
 	case "disk-fails":
 		index := random.IntN(len(world.Cores))
 		world.Cores[index].Disk.Fail(true)
-		world.Rest(faults.randomSpan(300, 1500))
+		world.Sleep(faults.randomSpan(300, 1500))
 		world.KillCore(index, true)
 		world.StartCore(index)
 	case "proxy-killed":
@@ -212,11 +212,11 @@
 		world.StartDaemon(proxies[0])
 	case "warned-then-killed":
 		world.goroutines.Start(func() { proxies[0].Daemon.Leave() })
-		world.Rest(faults.randomSpan(50, 1200))
+		world.Sleep(faults.randomSpan(50, 1200))
 		faults.restart(proxies[:1], faults.randomSpan(50, 500))
 	case "proxy-frozen":
 		world.Net.Freeze(proxies[0].Host, true)
-		world.Rest(faults.randomSpan(200, 6000))
+		world.Sleep(faults.randomSpan(200, 6000))
 		world.Net.Freeze(proxies[0].Host, false)
 	case "proxy-cut":
 		world.isolateDaemons(
@@ -239,7 +239,7 @@
 			}
 		}
 		setCut(true)
-		world.Rest(faults.randomSpan(500, 4000))
+		world.Sleep(faults.randomSpan(500, 4000))
 		setCut(false)
 	case "zone-lost", "region-lost":
 		faults.powerOffZones(zones[0])
@@ -249,42 +249,42 @@
 		faults.whileDrained(zones[0], func() { faults.powerOffZones(zones[1]) })
 	case "backend-crash":
 		world.StopBackend(backend)
-		world.Rest(faults.randomSpan(100, 2500))
+		world.Sleep(faults.randomSpan(100, 2500))
 		world.ReviveBackend(backend, 0)
 	case "backends-cold-herd":
 		crashed := world.Backends[:len(world.Backends)/2]
 		for _, each := range crashed {
 			world.StopBackend(each)
 		}
-		world.Rest(faults.randomSpan(100, 1500))
+		world.Sleep(faults.randomSpan(100, 1500))
 		for _, each := range crashed {
 			world.ReviveBackend(each, 4000)
 		}
 		faults.restart(proxies[:1], faults.randomSpan(200, 1500))
 	case "backend-frozen":
 		world.Net.Freeze(host(backend.Listed.Address), true)
-		world.Rest(faults.randomSpan(200, 3000))
+		world.Sleep(faults.randomSpan(200, 3000))
 		world.Net.Freeze(host(backend.Listed.Address), false)
 	case "backend-leaves":
 		backend.Backend.Leave()
-		world.Rest(faults.randomSpan(4000, 7000))
+		world.Sleep(faults.randomSpan(4000, 7000))
 		world.StopBackend(backend)
 		world.ReviveBackend(backend, 2000)
 	case "misbehave":
 		for range 6 {
 			modes := []string{"lose", "garbage", "truncate", "foreign", "overlong", "vanish", "busy"}
 			world.Backends[random.IntN(len(world.Backends))].Backend.Misbehave(modes[random.IntN(len(modes))], 1+random.IntN(4))
-			world.Rest(faults.randomSpan(50, 300))
+			world.Sleep(faults.randomSpan(50, 300))
 		}
 	case "platform":
 		world.Platform.Misbehave([]string{"gone", "refuse", "shift"}[random.IntN(3)], faults.randomSpan(500, 3000))
-		world.Rest(2 * time.Second)
+		world.Sleep(2 * time.Second)
 	case "platform-usage":
 		world.Platform.Misbehave(
 			[]string{"usage-gone", "usage-refuse", "usage-slow", "usage-late"}[random.IntN(4)],
 			faults.randomSpan(500, 3000),
 		)
-		world.Rest(2 * time.Second)
+		world.Sleep(2 * time.Second)
 	case "lag":
 		world.Platform.SetLag([]time.Duration{200 * time.Millisecond, 3 * time.Second, 3 * time.Minute}[random.IntN(3)])
 	case "keys":
@@ -308,7 +308,7 @@
 		for _, daemon := range daemons {
 			world.KillDaemon(daemon)
 		}
-		world.Rest(faults.randomSpan(10, 500))
+		world.Sleep(faults.randomSpan(10, 500))
 		for index := range world.Cores {
 			world.StartCore(index)
 		}
--- a/harness/simulation/combined_faults_test.go
+++ b/harness/simulation/combined_faults_test.go
@@ -62,7 +62,7 @@
 	begin, done := time.Now(), false
 	world.goroutines.Start(func() {
 		faults.Run(span)
-		world.Rest(6 * time.Second)
+		world.Sleep(6 * time.Second)
 		world.mutex.Lock()
 		done = true
 		world.mutex.Unlock()
@@ -71,11 +71,11 @@
 		world.mutex.Lock()
 		ended := done
 		world.mutex.Unlock()
-		return world.Rest(span) && !ended
+		return world.Sleep(span) && !ended
 	})
 	ledger.Stop()
 	client.CloseIdleConnections()
-	world.Rest(12 * time.Second)
+	world.Sleep(12 * time.Second)
 	details := world.judge(ledger, report)
 	if report.Served < report.Asked*6/10 {
 		world.reportViolation("%d of %d served: %v", report.Served, report.Asked, report.Statuses)
--- a/harness/simulation/control_test.go
+++ b/harness/simulation/control_test.go
@@ -208,7 +208,7 @@
 	random := rand.New(rand.NewPCG(side.world.Seed, 100+number))
 	zone, begin := fmt.Sprint("z", number), false
 	return func() bool {
-		side.world.Rest(time.Duration(100+random.IntN(1400)) * time.Millisecond)
+		side.world.Sleep(time.Duration(100+random.IntN(1400)) * time.Millisecond)
 		holds := side.world.forwarders()
 		for _, one := range side.world.Members {
 			holds = append(holds, one.Daemon.Forwarder)
@@ -295,7 +295,7 @@
 			)
 		}
 	}
-	side.world.Rest(100 * time.Millisecond)
+	side.world.Sleep(100 * time.Millisecond)
 	return true
 }
 
@@ -415,7 +415,7 @@
 		for _, one := range side.world.Members {
 			side.meters.begin(one)
 		}
-		return side.world.Rest(100 * time.Millisecond)
+		return side.world.Sleep(100 * time.Millisecond)
 	})
 }
 
@@ -427,7 +427,7 @@
 		side := world.Control()
 		defer world.CloseRegional()
 		world.farUp(test, 6)
-		world.Rest(contactSpan)
+		world.Sleep(contactSpan)
 		side.begin()
 		hard, links := side.injector(0, SideFaults, CoreFaults), side.injector(1, SideLinkFaults, CoreLinkFaults)
 		ended := false
@@ -439,7 +439,7 @@
 		})
 		hard.Run(2 * chaosSpan())
 		world.Until(time.Minute, func() bool { side.mutex.Lock(); defer side.mutex.Unlock(); return ended })
-		world.Rest(contactSpan + inForceSpan)
+		world.Sleep(contactSpan + inForceSpan)
 		if !side.stop(60 * time.Second) {
 			test.Fatal("operators have no answer")
 		}
--- a/harness/simulation/drain_test.go
+++ b/harness/simulation/drain_test.go
@@ -51,9 +51,9 @@
 
 // page answers after the way there and back.
 func (list *pagedList) page(request discovery.PageRequest) discovery.Page {
-	list.world.Rest(interRegionDelay)
+	list.world.Sleep(interRegionDelay)
 	page := list.read(request)
-	list.world.Rest(interRegionDelay)
+	list.world.Sleep(interRegionDelay)
 	return page
 }
 
@@ -117,9 +117,9 @@
 			config.TableInterval, config.ListInterval = 150*time.Millisecond, 630*time.Millisecond
 		}
 		world.farUp(test, 9)
-		world.Rest(10 * time.Second)
+		world.Sleep(10 * time.Second)
 		for range drainsPerSeed {
-			world.Rest(time.Duration(random.IntN(5000)) * time.Millisecond)
+			world.Sleep(time.Duration(random.IntN(5000)) * time.Millisecond)
 			name, shown := list.drain(random.IntN(listedBackends)), time.Now()
 			if !world.Until(2*drainBound, func() bool { return world.leavesEverywhere(name) }) {
 				world.reportViolation("%s: not in force everywhere", name)
@@ -142,7 +142,7 @@
 		world.ListBackends = list.page
 		world.farUp(test, 9)
 		for number := range drainsPerSeed {
-			world.Rest(5 * time.Second)
+			world.Sleep(5 * time.Second)
 			name := list.drain(number)
 			leads := func() bool { return leaves(world.Cores[max(world.Leader(), 0)].running(world).Table(), name) }
 			if !world.Until(drainBound, leads) {
--- a/harness/simulation/duel_test.go
+++ b/harness/simulation/duel_test.go
@@ -38,7 +38,7 @@
 			spans := []time.Duration{}
 			for range 12 {
 				spans = append(spans, world.leaderless(test))
-				world.Rest(2 * time.Second)
+				world.Sleep(2 * time.Second)
 			}
 			slices.Sort(spans)
 			middle, worst := spans[len(spans)/2], spans[len(spans)-1]
--- a/harness/simulation/duty_test.go
+++ b/harness/simulation/duty_test.go
@@ -27,10 +27,10 @@
 				lost := world.calm(test)
 				holder := world.Cores[lost].Host
 				world.Until(30*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return len(reported[holder]) > 0 })
-				world.Rest(time.Duration(seed*37%11) * 100 * time.Millisecond)
+				world.Sleep(time.Duration(seed*37%11) * 100 * time.Millisecond)
 				world.lose(lost, kind, true)
 				since := time.Now()
-				world.Rest(10 * time.Second)
+				world.Sleep(10 * time.Second)
 				world.lose(lost, kind, false)
 				mutex.Lock()
 				if len(reported[holder]) == 0 {
--- a/harness/simulation/evacuated_test.go
+++ b/harness/simulation/evacuated_test.go
@@ -37,11 +37,11 @@
 			world.reportViolation("before: %d %s", status, code)
 		}
 		drain(1, []string{front.Zone})
-		world.Rest(time.Second)
+		world.Sleep(time.Second)
 		if status, code := call(""); status != 200 {
 			world.reportViolation("callers whose placement still holds: %d %s", status, code)
 		}
-		world.Rest(3 * time.Second)
+		world.Sleep(3 * time.Second)
 		if status, code := call(""); status != 503 || code != "zone_emptied" {
 			world.reportViolation("after 4 s: %d %s", status, code)
 		}
@@ -49,7 +49,7 @@
 			world.reportViolation("a key after 4 s: %d %s", status, code)
 		}
 		drain(2, []string{})
-		world.Rest(time.Second)
+		world.Sleep(time.Second)
 		if status, code := call(""); status != 200 {
 			world.reportViolation("refilled: %d %s", status, code)
 		}
--- a/harness/simulation/evidence.go
+++ b/harness/simulation/evidence.go
@@ -9,9 +9,9 @@
 )
 
 // StartOperators starts operators that change the settings concurrently.
-func (world *World) StartOperators(count int, pace time.Duration) *checker.Ledger {
+func (world *World) StartOperators(count int, pace time.Duration) *checker.ChangeRecorder {
 	ledger := checker.NewLedger(world, world.Seed)
-	ledger.Operate(count, pace)
+	ledger.StartOperators(count, pace)
 	return ledger
 }
 
@@ -39,21 +39,21 @@
 
 // judge runs the checks on what was observed in this world, records each failed one as a
 // violation and returns the verdicts' details by check name.
-func (world *World) judge(ledger *checker.Ledger, reports ...standin.LoadReport) map[string]string {
+func (world *World) judge(ledger *checker.ChangeRecorder, reports ...standin.LoadReport) map[string]string {
 	settings, err := config.Read(Settings(1000))
 	if err != nil {
 		world.reportViolation("%v", err)
 		return nil
 	}
 	evidence := &checker.Evidence{
-		Callers:  reports,
-		Backends: world.backendRecords(),
-		Settings: settings,
-		Zones:    map[string]string{},
-		Ledger:   ledger,
-		Windows:  world.windows,
-		Planned:  world.plannedOnly,
-		Jumps:    world.checkUsageReports,
+		Callers:    reports,
+		Backends:   world.backendRecords(),
+		Settings:   settings,
+		Zones:      map[string]string{},
+		Ledger:     ledger,
+		Windows:    world.windows,
+		Planned:    world.plannedOnly,
+		ClockSteps: world.checkUsageReports,
 	}
 	for _, backend := range world.Backends {
 		evidence.Zones[backend.Listed.Name] = backend.Listed.Zone
--- a/harness/simulation/halves_test.go
+++ b/harness/simulation/halves_test.go
@@ -60,7 +60,7 @@
 				halves.acknowledged.Store(version + 1)
 			}
 		}
-		halves.Rest(100 * time.Millisecond)
+		halves.Sleep(100 * time.Millisecond)
 	}
 }
 
@@ -81,7 +81,7 @@
 						if hold := halves.machine(index).runningForwarder(halves.World); hold != nil {
 							halves.readAt(hold)
 						}
-						halves.Rest(70 * time.Millisecond)
+						halves.Sleep(70 * time.Millisecond)
 					}
 				})
 			}
@@ -95,12 +95,12 @@
 				if lost < cores {
 					halves.KillCore(lost, true)
 				}
-				halves.Rest(time.Duration(200+halves.random.IntN(4000)) * time.Millisecond)
+				halves.Sleep(time.Duration(200+halves.random.IntN(4000)) * time.Millisecond)
 				halves.cut(group, false)
 				halves.startAll()
-				halves.Rest(time.Duration(200+halves.random.IntN(3000)) * time.Millisecond)
+				halves.Sleep(time.Duration(200+halves.random.IntN(3000)) * time.Millisecond)
 			}
-			halves.Rest(time.Until(end) + 2*time.Second)
+			halves.Sleep(time.Until(end) + 2*time.Second)
 			halves.calm(test)
 			wanted := halves.acknowledged.Load()
 			if state, err := halves.ReadRouting(); err != nil || state.Config.Version < wanted {
--- a/harness/simulation/injector_test.go
+++ b/harness/simulation/injector_test.go
@@ -127,7 +127,7 @@
 	case "disk-fails":
 		side.lose([]int{index}, nil, func() {
 			world.machine(index).Disk.Fail(true)
-			world.Rest(side.span(300, 1500))
+			world.Sleep(side.span(300, 1500))
 			world.KillCore(index, true)
 			world.StartCore(index)
 		})
@@ -151,7 +151,7 @@
 					world.WipeCore((index + offset) % len(world.Cores))
 				}
 			}
-			world.Rest(side.span(10, 1000))
+			world.Sleep(side.span(10, 1000))
 			world.startAll()
 			world.Until(20*time.Second, world.sound)
 		})
@@ -170,7 +170,7 @@
 			for _, index := range gone {
 				world.WipeCore(index)
 			}
-			world.Rest(side.span(10, 3000))
+			world.Sleep(side.span(10, 3000))
 			world.startAll()
 			if !world.Until(30*time.Second, world.sound) {
 				world.reportViolation("%s: cores %v do not vote again", kind, gone)
@@ -196,7 +196,7 @@
 			for _, one := range members {
 				world.KillMember(one)
 			}
-			world.Rest(side.span(500, 7000))
+			world.Sleep(side.span(500, 7000))
 			world.startAll()
 		})
 	case "cores-apart":
@@ -212,7 +212,7 @@
 		}
 		side.lose(few, nil, func() {
 			cut(true)
-			world.Rest(side.span(500, 8000))
+			world.Sleep(side.span(500, 8000))
 			cut(false)
 		})
 	case "member-killed", "members-killed":
@@ -224,13 +224,13 @@
 			for _, one := range members {
 				world.KillMember(one)
 			}
-			world.Rest(side.span(50, 2500))
+			world.Sleep(side.span(50, 2500))
 			world.startAll()
 		})
 	case "member-frozen":
 		side.under(nil, []*RegionalDaemon{one}, func() {
 			world.Net.Freeze(one.Host, true)
-			world.Rest(side.span(200, 6000))
+			world.Sleep(side.span(200, 6000))
 			world.Net.Freeze(one.Host, false)
 		})
 	case "member-cut":
@@ -247,11 +247,11 @@
 		}
 		side.under(nil, []*RegionalDaemon{one}, func() {
 			cut(true)
-			world.Rest(side.span(500, 7000))
+			world.Sleep(side.span(500, 7000))
 			cut(false)
 		})
 	case "calm":
-		world.Rest(side.span(5000, 9000))
+		world.Sleep(side.span(5000, 9000))
 	}
 }
 
@@ -262,7 +262,7 @@
 		side.chaos.Injected[kind]++
 		side.Inject(kind)
 		if side.random.IntN(3) > 0 {
-			side.world.Rest(side.span(200, 9000))
+			side.world.Sleep(side.span(200, 9000))
 		}
 	}
 }
--- a/harness/simulation/large_state_test.go
+++ b/harness/simulation/large_state_test.go
@@ -55,7 +55,7 @@
 			if trouble == "one lost its disk" {
 				world.WipeCore(other)
 			}
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 			world.startAll()
 			begin := time.Now()
 			if !world.Until(recoveryLimit, func() bool { return world.Leader() >= 0 }) {
--- a/harness/simulation/leave_test.go
+++ b/harness/simulation/leave_test.go
@@ -34,7 +34,7 @@
 			leader := one.leader()
 			voter := one.machine(one.after(leader, 1))
 			learner := one.AddCore(int(seed) % 3)
-			one.Rest(2 * time.Second)
+			one.Sleep(2 * time.Second)
 			before := one.machines()[:3]
 			id := one.idOf(voter)
 			caller := rpc.NewClient(one.Net.Transport(voter.Host))
@@ -54,12 +54,12 @@
 			if response, err := leave("10.0.9.9:41"); err != nil || response.Wait {
 				one.reportViolation("another core's end: %+v, %v", response, err)
 			}
-			one.Rest(3 * time.Second)
+			one.Sleep(3 * time.Second)
 			one.votes("another core's end", before)
 			if response, err := leave(voter.InternalAddress); err != nil || !response.Wait {
 				one.reportViolation("its own end: %+v, %v", response, err)
 			}
-			one.Rest(3 * time.Second)
+			one.Sleep(3 * time.Second)
 			after := []*Core{one.machine(learner)}
 			for _, machine := range before {
 				if machine != voter {
--- a/harness/simulation/lending_test.go
+++ b/harness/simulation/lending_test.go
@@ -32,7 +32,7 @@
 				Patch(operator.Change{Base: 1, Change: "borrow", Settings: body}); err != nil {
 				test.Fatal(err)
 			}
-			world.Rest(2 * time.Second)
+			world.Sleep(2 * time.Second)
 			calm, storm := world.plan(15, 10), world.plan(500, 10)
 			calm.Calls, storm.Calls = calm.Calls[:1], storm.Calls[1:2]
 			if storming == "money" {
--- a/harness/simulation/membership_test.go
+++ b/harness/simulation/membership_test.go
@@ -69,20 +69,20 @@
 			{"together", 80, nothing, nothing},
 			{"a seed is slow", 80, nothing, func(world *World) {
 				world.KillCore(int(seed)%3, false)
-				world.Rest(4 * time.Second)
+				world.Sleep(4 * time.Second)
 				world.StartCore(int(seed) % 3)
 			}},
 			{"the founder is killed", 80, nothing, func(world *World) {
 				for range 4 {
-					world.Rest(300*time.Millisecond + some(400))
+					world.Sleep(300*time.Millisecond + some(400))
 					world.KillCore(0, true)
-					world.Rest(some(200))
+					world.Sleep(some(200))
 					world.StartCore(0)
 				}
 			}},
 			{"all are killed", 80, nothing, func(world *World) {
 				for range 3 {
-					world.Rest(400*time.Millisecond + some(600))
+					world.Sleep(400*time.Millisecond + some(600))
 					for index := range world.Cores {
 						world.KillCore(index, true)
 					}
@@ -92,13 +92,13 @@
 				}
 			}},
 			{"the founder's links are cut", 80, nothing, func(world *World) {
-				world.Rest(700*time.Millisecond + some(500))
+				world.Sleep(700*time.Millisecond + some(500))
 				world.isolateCore(0, true)
-				world.Rest(2 * time.Second)
+				world.Sleep(2 * time.Second)
 				world.isolateCore(0, false)
 			}},
 			{"started again without word of the first start", 80, nothing, func(world *World) {
-				world.Rest(300 * time.Millisecond)
+				world.Sleep(300 * time.Millisecond)
 				for index := range world.Cores {
 					world.KillCore(index, true)
 					world.Cores[index].emptyDisk = true
@@ -108,7 +108,7 @@
 		}
 		for index := range 4 {
 			beginnings = append(beginnings, beginning{"one core reaches one seed only", 1 + 20*index, lonely(true), func(world *World) {
-				world.Rest(5 * time.Second)
+				world.Sleep(5 * time.Second)
 				lonely(false)(world)
 			}})
 		}
@@ -118,7 +118,7 @@
 				beginning.before(world)
 				for index := range world.Cores {
 					world.StartCore(index)
-					world.Rest(some(beginning.apart))
+					world.Sleep(some(beginning.apart))
 				}
 				beginning.after(world)
 				world.oneRoster(test, fmt.Sprintf("%d cores, %s", cores, beginning.name), cores)
@@ -140,7 +140,7 @@
 		}
 		world.oneRoster(test, "three of four", 3)
 		world.StartCore(3)
-		world.Rest(3 * time.Second)
+		world.Sleep(3 * time.Second)
 		late := world.Cores[3]
 		if late.Core.CanVote() {
 			world.reportViolation("a core outside the roster votes")
@@ -181,7 +181,7 @@
 					world.reportViolation("%v", err)
 				}
 				world.WipeCore(lost)
-				world.Rest(time.Duration(round) * 400 * time.Millisecond)
+				world.Sleep(time.Duration(round) * 400 * time.Millisecond)
 				world.StartCore(lost)
 				if !world.Until(15*time.Second, func() bool { return world.Cores[lost].Core.CanVote() }) {
 					world.reportViolation("core %d does not vote again", lost)
@@ -212,7 +212,7 @@
 				world.StartCore(index)
 			}
 		}
-		world.Rest(10 * time.Second)
+		world.Sleep(10 * time.Second)
 		if held := world.rosters(); len(held) != 0 || world.Leader() >= 0 {
 			world.reportViolation("two of three founded %v", held)
 		}
--- a/harness/simulation/metered_usage_test.go
+++ b/harness/simulation/metered_usage_test.go
@@ -70,7 +70,7 @@
 
 // load begins a request at each living member again and again, for some time.
 func (meters *meters) load(span, pause time.Duration) {
-	for until := time.Now().Add(span); time.Now().Before(until); meters.world.Rest(pause) {
+	for until := time.Now().Add(span); time.Now().Before(until); meters.world.Sleep(pause) {
 		for _, one := range meters.world.Members {
 			if one.Alive {
 				meters.begin(one)
@@ -221,27 +221,27 @@
 		defer world.CloseRegional()
 		world.farUp(test, 2)
 		world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%meters.span < 10 })
-		world.Rest(10 * time.Second)
+		world.Sleep(10 * time.Second)
 		window := time.Now().UnixMilli() / meters.span
 		begin := func(count int) {
 			for range count {
 				for _, one := range world.Members {
 					meters.begin(one)
 				}
-				world.Rest(10 * time.Millisecond)
+				world.Sleep(10 * time.Millisecond)
 			}
 		}
 		begin(100)
-		world.Rest(3 * time.Second)
+		world.Sleep(3 * time.Second)
 		for _, core := range world.Cores {
 			world.Net.Cut(core.Host, world.Members[0].Host, true)
 		}
 		begin(50)
-		world.Rest(3900 * time.Millisecond)
+		world.Sleep(3900 * time.Millisecond)
 		for _, core := range world.Cores {
 			world.Net.Cut(core.Host, world.Members[0].Host, false)
 		}
-		world.Rest(5 * time.Second)
+		world.Sleep(5 * time.Second)
 		meters.judge(window, window, 10_000, 0)
 		world.report(test)
 	})
@@ -273,9 +273,9 @@
 			for _, one := range world.Members {
 				meters.begin(one)
 			}
-			world.Rest(10 * time.Millisecond)
+			world.Sleep(10 * time.Millisecond)
 		}
-		world.Rest(12 * time.Second)
+		world.Sleep(12 * time.Second)
 		meters.judge(window, window, 12_000, 0)
 		world.report(test)
 	})
@@ -292,7 +292,7 @@
 		world.farUp(test, 2)
 		for round := range 3 {
 			world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%meters.span < 10 })
-			world.Rest(10 * time.Second)
+			world.Sleep(10 * time.Second)
 			window := time.Now().UnixMilli() / meters.span
 			cut := func(shut bool) {
 				for _, core := range world.Cores {
@@ -304,7 +304,7 @@
 					for _, one := range world.Members {
 						meters.begin(one)
 					}
-					world.Rest(10 * time.Millisecond)
+					world.Sleep(10 * time.Millisecond)
 				}
 			}
 			begin(100)
@@ -319,10 +319,10 @@
 				world.reportViolation("window %d was not reported", window)
 			}
 			cut(false)
-			world.Rest(1200 * time.Millisecond)
+			world.Sleep(1200 * time.Millisecond)
 			leader := world.Leader()
 			world.KillCore(leader, round%2 == 0)
-			world.Rest(8 * time.Second)
+			world.Sleep(8 * time.Second)
 			world.StartCore(leader)
 			meters.mutex.Lock()
 			if tellers := meters.tellers[window]; len(tellers) < 2 {
@@ -368,7 +368,7 @@
 				}
 			}
 		}
-		world.Rest(2 * time.Second)
+		world.Sleep(2 * time.Second)
 		near("started", 40)
 		for round := range 8 {
 			machine := world.Cores[(wrong+round)%3]
@@ -376,7 +376,7 @@
 			switch round % 4 {
 			case 1:
 				world.KillCore(world.Leader(), true)
-				world.Rest(4 * time.Second)
+				world.Sleep(4 * time.Second)
 				near("leader away", 60)
 				for index, one := range world.Cores {
 					if one.running(world) == nil {
@@ -390,7 +390,7 @@
 				world.StartCore(wrong)
 			}
 			world.Until(10*time.Second, func() bool { return world.Leader() >= 0 })
-			world.Rest(2 * time.Second)
+			world.Sleep(2 * time.Second)
 			near(fmt.Sprint("round ", round), 60)
 		}
 		world.report(test)
@@ -418,7 +418,7 @@
 			}
 			return time.Since(begin)
 		}
-		world.Rest(2 * time.Second)
+		world.Sleep(2 * time.Second)
 		world.Members[3].Daemon.Retire(100*time.Millisecond, time.Second, func(time.Duration) bool { return true })
 		world.KillMember(world.Members[3])
 		said := left(world.Members[3])
--- a/harness/simulation/money_test.go
+++ b/harness/simulation/money_test.go
@@ -47,20 +47,20 @@
 				switch kind {
 				case "kill":
 					world.KillDaemon(proxy)
-					world.Rest(wait)
+					world.Sleep(wait)
 					world.StartDaemon(proxy)
 				case "two":
 					other := proxies[(random.IntN(len(proxies)-1)+1)%len(proxies)]
 					world.KillDaemon(proxy)
 					world.KillDaemon(other)
-					world.Rest(wait)
+					world.Sleep(wait)
 					world.StartDaemon(proxy)
 					if other != proxy {
 						world.StartDaemon(other)
 					}
 				case "freeze":
 					world.Net.Freeze(proxy.Host, true)
-					world.Rest(wait)
+					world.Sleep(wait)
 					world.Net.Freeze(proxy.Host, false)
 				case "cut":
 					for _, other := range world.Daemons {
@@ -69,7 +69,7 @@
 							defer world.Net.Cut(proxy.Host, other.Host, false)
 						}
 					}
-					world.Rest(wait)
+					world.Sleep(wait)
 					for _, other := range world.Daemons {
 						world.Net.Cut(proxy.Host, other.Host, false)
 					}
@@ -77,20 +77,20 @@
 					for index := range world.Cores {
 						world.KillCore(index, true)
 					}
-					world.Rest(wait)
+					world.Sleep(wait)
 					for index := range world.Cores {
 						world.StartCore(index)
 					}
 				case "lose":
 					world.Backends[random.IntN(6)].Backend.Misbehave("lose", 3)
 				}
-				world.Rest(time.Duration(random.IntN(1500)) * time.Millisecond)
+				world.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
 			}
 		})
 		report := generator.Run(world.goroutines.Sleep)
 		done.Store(true)
 		client.CloseIdleConnections()
-		world.Rest(4 * time.Second)
+		world.Sleep(4 * time.Second)
 		world.judge(nil, report)
 		if report.Served < report.Asked/2 {
 			world.reportViolation("only %d of %d served: %v", report.Served, report.Asked, report.Statuses)
--- a/harness/simulation/numbers_test.go
+++ b/harness/simulation/numbers_test.go
@@ -33,7 +33,7 @@
 		if code == http.StatusOK || code >= 400 && code < 500 && code != http.StatusRequestTimeout && code != http.StatusTooManyRequests {
 			return code
 		}
-		caller.world.Rest(time.Duration(50+random.IntN(250)) * time.Millisecond)
+		caller.world.Sleep(time.Duration(50+random.IntN(250)) * time.Millisecond)
 	}
 	return 0
 }
@@ -56,14 +56,14 @@
 			for operator, text := range texts {
 				own := rand.New(rand.NewPCG(seed, version*8+uint64(operator)))
 				world.goroutines.Start(func() {
-					world.Rest(time.Duration(own.IntN(100)) * time.Millisecond)
+					world.Sleep(time.Duration(own.IntN(100)) * time.Millisecond)
 					code := caller.settle(own, http.MethodPut, "/config", text)
 					mutex.Lock()
 					codes[operator] = code
 					mutex.Unlock()
 				})
 			}
-			world.Rest(wait)
+			world.Sleep(wait)
 			switch kind {
 			case "killed":
 				world.KillCore(leader, true)
@@ -144,7 +144,7 @@
 		again("at once")
 		for index := range world.Cores {
 			world.WipeCore(index)
-			world.Rest(2 * time.Second)
+			world.Sleep(2 * time.Second)
 			world.StartCore(index)
 			world.openOperators(index)
 			world.calm(test)
--- a/harness/simulation/operator_test.go
+++ b/harness/simulation/operator_test.go
@@ -79,7 +79,7 @@
 		if code >= 400 && code < 500 {
 			test.Fatalf("%s %s: %d %s", method, path, code, answer)
 		}
-		caller.world.Rest(200 * time.Millisecond)
+		caller.world.Sleep(200 * time.Millisecond)
 	}
 	test.Fatalf("%s %s: never acknowledged", method, path)
 }
@@ -173,7 +173,7 @@
 							mutex.Unlock()
 						})
 					}
-					world.Rest(time.Duration(300+seed*131%400) * time.Millisecond)
+					world.Sleep(time.Duration(300+seed*131%400) * time.Millisecond)
 				}
 				operator.until(test, others, http.MethodPut, "/config", first)
 				state, err := world.ReadRouting()
@@ -225,7 +225,7 @@
 			entries := append([]int{leader}, world.followers(leader)...)
 			operator.until(test, entries, first, "/evacuate/z1", "")
 			operator.until(test, entries, second, "/evacuate/z1", "")
-			for until := time.Now().Add(time.Second); time.Now().Before(until); world.Rest(10 * time.Millisecond) {
+			for until := time.Now().Add(time.Second); time.Now().Before(until); world.Sleep(10 * time.Millisecond) {
 				if _, state := world.Cores[leader].Core.Routing(); world.Leader() == leader &&
 					slices.Contains(state.Evacuated, "z1") != begin {
 					test.Fatalf("round %d: acknowledged evacuated %v, then committed %v", round, begin, !begin)
@@ -267,15 +267,15 @@
 						}
 					}
 					world.goroutines.Start(func() {
-						world.Rest(wait)
+						world.Sleep(wait)
 						lose(true)
 					})
 					operator.call(entry, first, "/evacuate/z1", "")
 					operator.until(test, elsewhere, first, "/evacuate/z1", "")
 					operator.until(test, elsewhere, second, "/evacuate/z1", "")
-					world.Rest(3 * time.Second)
+					world.Sleep(3 * time.Second)
 					lose(false)
-					world.Rest(4 * time.Second)
+					world.Sleep(4 * time.Second)
 					world.zoned(test, "z1", !begin, kind+" after "+wait.String())
 					world.report(test)
 					world.CloseRegional()
--- a/harness/simulation/outage_test.go
+++ b/harness/simulation/outage_test.go
@@ -42,7 +42,7 @@
 					world.StartCore(index)
 				}
 				world.Until(10*time.Second, func() bool { return world.Leader() >= 0 })
-				world.Rest(2 * time.Second)
+				world.Sleep(2 * time.Second)
 				return tries
 			}, nothing},
 		} {
@@ -52,7 +52,7 @@
 			}
 			world.up(test, 8)
 			world.Until(5*time.Second, func() bool { return world.keepers() == 6 })
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 			tries := append(kind.before(world), world.pay(40, 0)...)
 			for index := range world.Cores {
 				world.KillCore(index, true)
@@ -75,7 +75,7 @@
 			ready := time.Since(begin)
 			slowest, replays := world.payAgain(tries)
 			if kind.name == "power" {
-				world.Rest(2 * time.Minute)
+				world.Sleep(2 * time.Minute)
 			}
 			later, _ := world.payAgain(tries)
 			if most := 3 * time.Second; slowest > most || later > most || replays == 0 {
@@ -115,7 +115,7 @@
 		}
 		key, front := fmt.Sprintf("pay-%d", first+number), fronts[random.IntN(len(fronts))]
 		world.goroutines.Start(func() { generator.Once(plan.Callers[0], plan.Calls[0], key, key+".0", front) })
-		world.Rest(time.Duration(random.IntN(60)) * time.Millisecond)
+		world.Sleep(time.Duration(random.IntN(60)) * time.Millisecond)
 	}
 	client.CloseIdleConnections()
 	tries := generator.Tries()
@@ -165,7 +165,7 @@
 			if seen.Status == http.StatusOK || seen.Status == http.StatusGatewayTimeout && !seen.Retry {
 				break
 			}
-			world.Rest(50 * time.Millisecond)
+			world.Sleep(50 * time.Millisecond)
 		}
 		slowest = max(slowest, time.Since(begin))
 	}
--- a/harness/simulation/partition.go
+++ b/harness/simulation/partition.go
@@ -43,12 +43,12 @@
 	for until := time.Now().Add(how.span); time.Now().Before(until); {
 		setCut(true)
 		if how.flap == 0 {
-			world.Rest(how.span)
+			world.Sleep(how.span)
 			break
 		}
-		world.Rest(how.flap)
+		world.Sleep(how.flap)
 		setCut(false)
-		world.Rest(how.flap / 8)
+		world.Sleep(how.flap / 8)
 	}
 	setCut(false)
 }
--- a/harness/simulation/partition_test.go
+++ b/harness/simulation/partition_test.go
@@ -35,12 +35,12 @@
 			generator, client := world.NewLoadGenerator(plan)
 			ledger := world.StartOperators(2, 400*time.Millisecond)
 			world.goroutines.Start(func() {
-				world.Rest(2 * time.Second)
+				world.Sleep(2 * time.Second)
 				world.isolateDaemons(lone, cut)
-				world.Rest(100 * time.Millisecond)
+				world.Sleep(100 * time.Millisecond)
 				world.withdraw(ledger, "birch")
 			})
-			report := generator.Run(world.Rest)
+			report := generator.Run(world.Sleep)
 			ledger.Stop()
 			client.CloseIdleConnections()
 			before := len(world.Violations)
@@ -82,7 +82,7 @@
 }
 
 // withdraw takes a tenant's keys away and says since when nothing of it may be served.
-func (world *World) withdraw(ledger *checker.Ledger, tenant string) {
+func (world *World) withdraw(ledger *checker.ChangeRecorder, tenant string) {
 	body := []byte(fmt.Sprintf(`{"tenants":{%q:{"keys":[]}}}`, tenant))
 	for try := range 50 {
 		client := world.Client(world.Cores[try%len(world.Cores)].OperatorAddress)
@@ -95,7 +95,7 @@
 				return
 			}
 		}
-		world.Rest(20 * time.Millisecond)
+		world.Sleep(20 * time.Millisecond)
 	}
 	world.reportViolation("keys not withdrawn")
 }
@@ -122,12 +122,12 @@
 			}
 		}
 		world.goroutines.Start(func() {
-			world.Rest(2 * time.Second)
+			world.Sleep(2 * time.Second)
 			turn(true)
-			world.Rest(8 * time.Second)
+			world.Sleep(8 * time.Second)
 			turn(false)
 		})
-		report := generator.Run(world.Rest)
+		report := generator.Run(world.Sleep)
 		client.CloseIdleConnections()
 		world.plannedOnly = true
 		world.judge(nil, report)
--- a/harness/simulation/partner_test.go
+++ b/harness/simulation/partner_test.go
@@ -33,7 +33,7 @@
 		if !borrower.Until(5*time.Second, func() bool { return borrower.daemonsReady() }) {
 			test.Fatal("guests not ready")
 		}
-		borrower.Rest(2 * time.Second)
+		borrower.Sleep(2 * time.Second)
 		calls := func(world *World, rate int, seconds float64) standin.LoadReport {
 			plan := world.plan(rate, seconds)
 			plan.Calls = plan.Calls[:2]
@@ -50,7 +50,7 @@
 		borrower.judge(nil, report)
 		stormed := make(chan standin.LoadReport, 1)
 		lender.goroutines.Start(func() { stormed <- calls(lender, 150, 6) })
-		borrower.Rest(2 * time.Second)
+		borrower.Sleep(2 * time.Second)
 		pressed := calls(borrower, 20, 3)
 		storm := <-stormed
 		refused := lender.Daemons[1].Counters.Get("lending_refused") + lender.Daemons[2].Counters.Get("lending_refused")
--- a/harness/simulation/platform_test.go
+++ b/harness/simulation/platform_test.go
@@ -65,7 +65,7 @@
 					}
 				}
 				versions++
-				world.Rest(50 * time.Millisecond)
+				world.Sleep(50 * time.Millisecond)
 				if len(world.Violations) > 0 {
 					break
 				}
--- a/harness/simulation/random_faults.go
+++ b/harness/simulation/random_faults.go
@@ -47,7 +47,7 @@
 	world := faults.world
 	for until := time.Now().Add(span); time.Now().Before(until); {
 		faults.Inject(CoreFaults[faults.random.IntN(len(CoreFaults))], faults.random.IntN(len(world.machines())))
-		world.Rest(faults.randomSpan(100*time.Millisecond, 1500*time.Millisecond))
+		world.Sleep(faults.randomSpan(100*time.Millisecond, 1500*time.Millisecond))
 	}
 }
 
@@ -67,7 +67,7 @@
 		}
 	case "term":
 		world.terminate(machine)
-		world.Rest(faults.randomSpan(10*time.Millisecond, 500*time.Millisecond))
+		world.Sleep(faults.randomSpan(10*time.Millisecond, 500*time.Millisecond))
 		world.startMachine(machine)
 	case "freeze":
 		faults.whileOn(func(on bool) { world.Net.Freeze(machine.Host, on) })
@@ -79,7 +79,7 @@
 		world.Net.Reset(machine.Host, other.Host)
 	case "stall":
 		machine.Disk.Stall(true)
-		world.Rest(faults.randomSpan(50*time.Millisecond, 1200*time.Millisecond))
+		world.Sleep(faults.randomSpan(50*time.Millisecond, 1200*time.Millisecond))
 		machine.Disk.Stall(false)
 	case "refuse", "full", "refuse-restart":
 		if leader := world.Leader(); leader >= 0 && faults.random.IntN(2) == 0 {
@@ -88,14 +88,14 @@
 		faults.refuseDiskCalls(kind, machine)
 	case "wipe":
 		world.wipeMachine(machine)
-		world.Rest(faults.randomSpan(10*time.Millisecond, 800*time.Millisecond))
+		world.Sleep(faults.randomSpan(10*time.Millisecond, 800*time.Millisecond))
 		world.startMachine(machine)
 		world.Until(10*time.Second, func() bool { return machine.Core.CanVote() })
 	case "all":
 		for _, each := range machines {
 			world.killMachine(each, true)
 		}
-		world.Rest(faults.randomSpan(10*time.Millisecond, 500*time.Millisecond))
+		world.Sleep(faults.randomSpan(10*time.Millisecond, 500*time.Millisecond))
 		for _, each := range machines {
 			world.startMachine(each)
 		}
@@ -108,7 +108,7 @@
 		faults.loseLeaderWithStaleMember(kind == "stale-disk-lost")
 	case "faults":
 		world.Net.SetMessageFaults(MessageFaults{RequestLoss: 60, ResponseLoss: 60, Duplicate: 100, MaxDelayMs: 30})
-		world.Rest(faults.randomSpan(500*time.Millisecond, 2*time.Second))
+		world.Sleep(faults.randomSpan(500*time.Millisecond, 2*time.Second))
 		world.Net.SetMessageFaults(MessageFaults{})
 	}
 }
@@ -116,13 +116,13 @@
 // whileOn turns a fault on for a random time.
 func (faults *RandomFaults) whileOn(set func(on bool)) {
 	set(true)
-	faults.world.Rest(faults.randomSpan(50*time.Millisecond, 1500*time.Millisecond))
+	faults.world.Sleep(faults.randomSpan(50*time.Millisecond, 1500*time.Millisecond))
 	set(false)
 }
 
 func (faults *RandomFaults) restart(machine *Core, powerLoss bool, maximum time.Duration) {
 	faults.world.killMachine(machine, powerLoss)
-	faults.world.Rest(faults.randomSpan(10*time.Millisecond, maximum))
+	faults.world.Sleep(faults.randomSpan(10*time.Millisecond, maximum))
 	faults.world.startMachine(machine)
 }
 
@@ -136,7 +136,7 @@
 	count := len(world.Cores)
 	stale := (leader + 1) % count
 	world.isolateCore(stale, true)
-	world.Rest(faults.randomSpan(400*time.Millisecond, 1200*time.Millisecond))
+	world.Sleep(faults.randomSpan(400*time.Millisecond, 1200*time.Millisecond))
 	lost := (leader + 2) % count
 	world.KillCore(leader, true)
 	if wiped {
@@ -145,7 +145,7 @@
 	}
 	world.isolateCore(stale, false)
 	world.Until(4*time.Second, func() bool { return world.Leader() >= 0 })
-	world.Rest(faults.randomSpan(10*time.Millisecond, 500*time.Millisecond))
+	world.Sleep(faults.randomSpan(10*time.Millisecond, 500*time.Millisecond))
 	world.StartCore(leader)
 	world.Until(10*time.Second, func() bool { return world.Cores[lost].Core.CanVote() })
 }
@@ -164,12 +164,12 @@
 		}
 	}
 	impair()
-	world.Rest(faults.randomSpan(50*time.Millisecond, 2*time.Second))
+	world.Sleep(faults.randomSpan(50*time.Millisecond, 2*time.Second))
 	if kind == "refuse-restart" {
 		world.killMachine(machine, faults.random.IntN(2) == 0)
 		impair()
 		world.startMachine(machine)
-		world.Rest(faults.randomSpan(50*time.Millisecond, 2*time.Second))
+		world.Sleep(faults.randomSpan(50*time.Millisecond, 2*time.Second))
 	}
 	machine.Disk.Refuse(Refusal{})
 	machine.Disk.Room(0)
--- a/harness/simulation/recovery_test.go
+++ b/harness/simulation/recovery_test.go
@@ -132,7 +132,7 @@
 					first, whole = 2500*time.Millisecond, 2500*time.Millisecond
 					world.WipeCore(leader)
 				}
-				world.Rest(time.Duration(seed*37%8) * 50 * time.Millisecond)
+				world.Sleep(time.Duration(seed*37%8) * 50 * time.Millisecond)
 				for _, index := range cut {
 					world.isolateCore(index, false)
 				}
@@ -201,7 +201,7 @@
 			for _, apart := range []bool{true, false} {
 				world := NewRegionalWorld(seed, cores)
 				world.farUp(test, 3)
-				world.Rest(time.Second)
+				world.Sleep(time.Second)
 				world.killAll(true, true)
 				holders := map[int]bool{}
 				for offset := range cores / 2 {
@@ -219,7 +219,7 @@
 				for _, one := range world.Members {
 					world.StartMember(one)
 				}
-				for until := time.Now().Add(5 * time.Second); time.Now().Before(until); world.Rest(20 * time.Millisecond) {
+				for until := time.Now().Add(5 * time.Second); time.Now().Before(until); world.Sleep(20 * time.Millisecond) {
 					for _, one := range world.Members {
 						if version := one.Daemon.Version(); version.Routing != nil && version.Routing.Config.Version > 1 {
 							test.Fatalf("%d cores, apart %v: %s holds an undecided routing", cores, apart, one.Name)
@@ -267,9 +267,9 @@
 					continue
 				}
 				world.KillCore(index, round%2 == 0)
-				world.Rest(time.Duration(round) * 400 * time.Millisecond)
+				world.Sleep(time.Duration(round) * 400 * time.Millisecond)
 				world.StartCore(index)
-				world.Rest(2 * time.Second)
+				world.Sleep(2 * time.Second)
 				if err := world.Evacuate("z", round%2 == 0); err != nil {
 					world.reportViolation("%v", err)
 				}
@@ -310,15 +310,15 @@
 				world.calm(test)
 				before := world.leads()
 				world.killAll(round%2 == 0, false)
-				world.Rest(500 * time.Millisecond)
+				world.Sleep(500 * time.Millisecond)
 				begin := time.Now()
 				for index := range world.Cores {
 					if round%5 != 4 || index != int(seed)%cores {
 						world.StartCore(index)
 					}
-					world.Rest(time.Duration(round%3) * time.Duration(world.random.IntN(60)) * time.Millisecond)
+					world.Sleep(time.Duration(round%3) * time.Duration(world.random.IntN(60)) * time.Millisecond)
 				}
-				world.Rest(time.Until(begin.Add(2 * time.Second)))
+				world.Sleep(time.Until(begin.Add(2 * time.Second)))
 				switch after := world.leads(); after - before {
 				case 0:
 					world.reportViolation("%d cores, round %d: nobody leads after 2 s", cores, round)
@@ -348,7 +348,7 @@
 		defer world.CloseRegional()
 		world.farUp(test, 2)
 		lone, fresh, near := int(seed)%3, world.AddMember(0), world.AddMember(1)
-		world.Rest(time.Second)
+		world.Sleep(time.Second)
 		world.KillCore(lone, true)
 		world.isolateCore(lone, true)
 		if err := world.PutRouting(2, 1); err != nil {
@@ -358,10 +358,10 @@
 			world.Net.Cut(machine.Host, near.Host, index != lone)
 		}
 		world.StartCore(lone)
-		world.Rest(time.Duration(seed%3) * 100 * time.Millisecond)
+		world.Sleep(time.Duration(seed%3) * 100 * time.Millisecond)
 		world.StartMember(fresh)
 		world.StartMember(near)
-		world.Rest(1500 * time.Millisecond)
+		world.Sleep(1500 * time.Millisecond)
 		if fresh.serves() != 2 || near.serves() != 1 {
 			world.reportViolation("in touch with all: serves %d, with the lone core: %d", fresh.serves(), near.serves())
 		}
@@ -376,7 +376,7 @@
 		if took, done := world.serving(2, true, 4*time.Second); !done {
 			world.reportViolation("back in touch: not caught up after %v", took)
 		}
-		world.Rest(2 * time.Second)
+		world.Sleep(2 * time.Second)
 		if after := world.leads(); after != before || world.Leader() != leader {
 			world.reportViolation("back in touch the lone core made %v", world.Leaderships[before:])
 		}
@@ -411,7 +411,7 @@
 				)
 			}
 			world.farUp(test, 6)
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 			world.killAll(true, true)
 			world.coresApart(true)
 			for index, machine := range world.Cores {
@@ -420,7 +420,7 @@
 				}
 			}
 			world.startAll()
-			world.Rest(time.Duration(4500+seed%5*300) * time.Millisecond)
+			world.Sleep(time.Duration(4500+seed%5*300) * time.Millisecond)
 			world.coresApart(false)
 			for _, machine := range world.Cores {
 				for _, one := range world.Members {
@@ -428,7 +428,7 @@
 				}
 			}
 			contents := map[message.TableVersion]string{}
-			for until := time.Now().Add(6 * time.Second); time.Now().Before(until); world.Rest(20 * time.Millisecond) {
+			for until := time.Now().Add(6 * time.Second); time.Now().Before(until); world.Sleep(20 * time.Millisecond) {
 				world.sameTables(contents)
 			}
 			for _, one := range world.Members {
@@ -452,11 +452,11 @@
 			return discovery.Page{Backends: []message.Backend{{Name: "b", Service: "desk", Address: "10.9.9.9:80", Capacity: 4}}}
 		}
 		world.farUp(test, 5)
-		world.Rest(3 * time.Second)
+		world.Sleep(3 * time.Second)
 		mute, marks := world.Members[int(seed)%5], map[string]message.TableVersion{}
 		for round := range 4 {
 			world.calm(test)
-			world.Rest(3 * time.Second)
+			world.Sleep(3 * time.Second)
 			cut := func(shut bool) {
 				for _, machine := range world.Cores {
 					world.Net.Cut(machine.Host, mute.Host, shut)
@@ -464,7 +464,7 @@
 			}
 			cut(true)
 			world.killAll(round%2 == 0, false)
-			world.Rest(200 * time.Millisecond)
+			world.Sleep(200 * time.Millisecond)
 			world.startAll()
 			late := world.AddMember(round % 3)
 			world.StartMember(late)
@@ -494,7 +494,7 @@
 						)
 					}
 				}
-				world.Rest(10 * time.Millisecond)
+				world.Sleep(10 * time.Millisecond)
 			}
 			cut(false)
 			if !late.Daemon.Version().Table.Complete {
@@ -515,7 +515,7 @@
 			world.Net.SetLag(func(string, string) time.Duration { return 0 })
 			world.farUp(test, 0)
 			leader := world.calmNotFirst(test)
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 			world.isolateCore(leader, true)
 			for index := range world.Cores {
 				if index != leader {
--- a/harness/simulation/refuse_test.go
+++ b/harness/simulation/refuse_test.go
@@ -45,7 +45,7 @@
 				}
 				version++
 				slowest = max(slowest, time.Since(begin))
-				world.Rest(time.Second)
+				world.Sleep(time.Second)
 			}
 			if slowest > 2*time.Second {
 				world.reportViolation("%s: an order took %v", kind, slowest)
@@ -62,7 +62,7 @@
 			if !world.Until(2*time.Second, func() bool { return machine.Core.CanVote() }) {
 				world.reportViolation("%s: does not vote again", kind)
 			}
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 			if held := world.lasts(index); held < world.lasts((index+1)%3) {
 				world.reportViolation("%s: holds serial %d on its disk, another %d", kind, held, world.lasts((index+1)%3))
 			}
@@ -86,9 +86,9 @@
 			if err := world.PutRouting(version+1, version); err != nil {
 				world.reportViolation("%d: %v", version+1, err)
 			}
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 		}
-		world.Rest(2 * time.Second)
+		world.Sleep(2 * time.Second)
 		if sent := world.counted("copies_mended") - before; sent > 10 {
 			world.reportViolation("values sent %d times to a disk that does not answer", sent)
 		}
@@ -96,7 +96,7 @@
 			world.reportViolation("the lead moved from %d to %d", leader, world.Leader())
 		}
 		world.Cores[index].Disk.Stall(false)
-		world.Rest(2 * time.Second)
+		world.Sleep(2 * time.Second)
 		if world.lasts(index) != world.lasts(leader) {
 			world.reportViolation("holds serial %d, the leader %d", world.lasts(index), world.lasts(leader))
 		}
@@ -117,10 +117,10 @@
 			if err := world.PutRouting(version+1, version); err != nil {
 				world.reportViolation("%d: %v", version+1, err)
 			}
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 		}
 		world.Cores[leader].Disk.Stall(false)
-		world.Rest(time.Second)
+		world.Sleep(time.Second)
 		if now := world.Leader(); now != leader || world.lasts(leader) != world.lasts((leader+1)%3) {
 			world.reportViolation(
 				"core %d led and %d leads; holds serial %d, another %d",
--- a/harness/simulation/regions.go
+++ b/harness/simulation/regions.go
@@ -254,7 +254,7 @@
 		if err == nil || rpc.AsError(err).RetryAfterMs == 0 || try > 20 {
 			return response, err
 		}
-		world.Rest(200 * time.Millisecond)
+		world.Sleep(200 * time.Millisecond)
 	}
 }
 
--- a/harness/simulation/regions_test.go
+++ b/harness/simulation/regions_test.go
@@ -42,7 +42,7 @@
 	}
 	zone := fmt.Sprint("z", number)
 	for going() {
-		world.Rest(time.Duration(random.IntN(300)) * time.Millisecond)
+		world.Sleep(time.Duration(random.IntN(300)) * time.Millisecond)
 		if random.IntN(4) == 0 {
 			begin := random.IntN(2) == 0
 			_, err := world.evacuateThrough(holds(), zone, begin)
@@ -100,13 +100,13 @@
 				for _, one := range world.Members {
 					meters.begin(one)
 				}
-				world.Rest(50 * time.Millisecond)
+				world.Sleep(50 * time.Millisecond)
 			}
 		})
 		faults := world.NewRandomFaults()
 		for until := time.Now().Add(2 * chaosSpan()); time.Now().Before(until); {
 			faults.Inject(CoreFaults[faults.random.IntN(len(CoreFaults))], faults.random.IntN(len(world.Cores)))
-			world.Rest(faults.randomSpan(100*time.Millisecond, 4*time.Second))
+			world.Sleep(faults.randomSpan(100*time.Millisecond, 4*time.Second))
 		}
 		racers.mutex.Lock()
 		stop = true
--- a/harness/simulation/relay_test.go
+++ b/harness/simulation/relay_test.go
@@ -31,7 +31,7 @@
 				world.settled(ledger, frozen)
 				world.StartDaemon(relay)
 			}
-			world.Rest(time.Duration(random.IntN(800)) * time.Millisecond)
+			world.Sleep(time.Duration(random.IntN(800)) * time.Millisecond)
 		}
 		ledger.Stop()
 		world.judge(ledger)
@@ -44,7 +44,7 @@
 }
 
 // settled waits until what is acknowledged now is in force at all that live.
-func (world *World) settled(ledger *checker.Ledger, frozen map[*Daemon]bool) {
+func (world *World) settled(ledger *checker.ChangeRecorder, frozen map[*Daemon]bool) {
 	last := ledger.Newest()
 	if !world.Until(4*time.Second, func() bool {
 		for _, daemon := range world.Daemons {
@@ -56,5 +56,5 @@
 	}) {
 		world.reportViolation("serial %d is not in force everywhere after 4 s", last)
 	}
-	world.Rest(500 * time.Millisecond)
+	world.Sleep(500 * time.Millisecond)
 }
--- a/harness/simulation/removal_test.go
+++ b/harness/simulation/removal_test.go
@@ -36,7 +36,7 @@
 func (world *World) remove(client *operator.Client, id int) (*operator.Removal, error) {
 	removed, err := client.RemoveCore(id)
 	for try := 0; try < 10 && err != nil && rpc.CodeOf(err).Status() >= 500; try++ {
-		world.Rest(300 * time.Millisecond)
+		world.Sleep(300 * time.Millisecond)
 		removed, err = client.RemoveCore(id)
 	}
 	return removed, err
--- a/harness/simulation/replace.go
+++ b/harness/simulation/replace.go
@@ -91,7 +91,7 @@
 func (world *World) ReplaceCore(index int, delay time.Duration) *Core {
 	seeds := world.operatorSeeds()
 	world.LoseCore(index)
-	world.Rest(delay)
+	world.Sleep(delay)
 	return world.StartReplacement(index, seeds)
 }
 
@@ -116,7 +116,7 @@
 func (world *World) ReplaceCorePlanned(index int, delay time.Duration) (leaving, replacement *Core) {
 	leaving = world.machine(index)
 	replacement = world.StartReplacement(index, nil)
-	world.Rest(delay)
+	world.Sleep(delay)
 	world.Leave(leaving)
 	return leaving, replacement
 }
--- a/harness/simulation/replace_run_test.go
+++ b/harness/simulation/replace_run_test.go
@@ -98,7 +98,7 @@
 		side.chaos.Injected[kind]++
 		side.Inject(kind)
 		if side.random.IntN(3) > 0 {
-			side.world.Rest(side.span(200, 6000))
+			side.world.Sleep(side.span(200, 6000))
 		}
 	}
 }
@@ -110,7 +110,7 @@
 		for _, index := range indexes {
 			side.world.LoseCore(index)
 		}
-		side.world.Rest(side.span(300, 2500))
+		side.world.Sleep(side.span(300, 2500))
 		for _, index := range indexes {
 			side.world.StartReplacement(index, seeds)
 		}
@@ -123,7 +123,7 @@
 	side.lose([]int{index}, nil, func() {
 		leaving := side.world.machine(index)
 		side.world.StartReplacement(index, nil)
-		side.world.Rest(side.span(50, 2000))
+		side.world.Sleep(side.span(50, 2000))
 		side.world.Leave(leaving)
 	})
 	side.turnSeeds()
@@ -135,11 +135,11 @@
 	side.lose(side.every(), nil, func() {
 		seeds := world.operatorSeeds()
 		world.LoseCore(index)
-		world.Rest(side.span(300, 2500))
+		world.Sleep(side.span(300, 2500))
 		world.StartReplacement(index, seeds)
-		world.Rest(side.span(10, 2000))
+		world.Sleep(side.span(10, 2000))
 		world.killAll(true, side.random.IntN(2) == 0)
-		world.Rest(side.span(10, 1000))
+		world.Sleep(side.span(10, 1000))
 		world.startAll()
 	})
 	side.turnSeeds()
@@ -157,7 +157,7 @@
 		return
 	}
 	machine := side.world.ReturnRemoved(removed[side.random.IntN(len(removed))])
-	side.world.Rest(side.span(500, 9000))
+	side.world.Sleep(side.span(500, 9000))
 	side.world.removeForGood(machine)
 }
 
@@ -197,7 +197,7 @@
 	}
 	side.lose([]int{index}, nil, func() {
 		turn(true)
-		world.Rest(side.span(2000, 20000))
+		world.Sleep(side.span(2000, 20000))
 		turn(false)
 	})
 }
@@ -208,7 +208,7 @@
 		machine := side.world.machine(index)
 		side.lose([]int{index}, nil, func() {
 			side.world.terminate(machine)
-			side.world.Rest(side.span(50, 1500))
+			side.world.Sleep(side.span(50, 1500))
 			side.world.startMachine(machine)
 		})
 	}
@@ -231,7 +231,7 @@
 		side.losesAnswers = true
 		defer world.CloseRegional()
 		world.farUp(test, 6)
-		world.Rest(contactSpan)
+		world.Sleep(contactSpan)
 		side.begin()
 		losses := world.NewLossBudget(syncSpan)
 		hard, links := &replacer{
@@ -249,7 +249,7 @@
 		})
 		hard.Run(2 * chaosSpan())
 		world.Until(time.Minute, ended.Load)
-		world.Rest(contactSpan + inForceSpan)
+		world.Sleep(contactSpan + inForceSpan)
 		if !side.stop(60 * time.Second) {
 			test.Fatal("operators have no answer")
 		}
--- a/harness/simulation/replace_test.go
+++ b/harness/simulation/replace_test.go
@@ -26,7 +26,7 @@
 				second := one.after(lost, 1+int(seed)%(cores-1))
 				one.survives("replaced", second)
 				one.StartReplacement(second, nil)
-				one.Rest(syncSpan)
+				one.Sleep(syncSpan)
 				one.settled("replaced again")
 				one.end()
 			}
@@ -73,7 +73,7 @@
 				one.StartCore(wiped)
 			}
 			wait := one.meanwhile(func() { one.ReplaceCorePlanned(leader, gap) })
-			one.Rest(gap + one.span(10*time.Millisecond, 500*time.Millisecond))
+			one.Sleep(gap + one.span(10*time.Millisecond, 500*time.Millisecond))
 			one.StartCore(wiped)
 			wait()
 			one.settled("it left")
@@ -106,7 +106,7 @@
 			one.StartMember(late)
 			one.keepsAll("a late member")
 			one.killAll(true, false)
-			one.Rest(time.Second)
+			one.Sleep(time.Second)
 			one.startAll()
 			one.settled("all lost power")
 			one.end()
@@ -123,25 +123,25 @@
 	}
 	planned := func(one *trial, first, second int) {
 		wait := one.meanwhile(func() { one.ReplaceCorePlanned(first, newcomerGap) })
-		one.Rest(one.span(100*time.Millisecond, 1500*time.Millisecond))
+		one.Sleep(one.span(100*time.Millisecond, 1500*time.Millisecond))
 		one.ReplaceCorePlanned(second, newcomerGap)
 		wait()
 	}
 	lost := func(one *trial, first, second int) {
 		wait := one.meanwhile(func() { one.ReplaceCore(first, newcomerGap) })
-		one.Rest(one.span(10*time.Millisecond, 1500*time.Millisecond))
+		one.Sleep(one.span(10*time.Millisecond, 1500*time.Millisecond))
 		one.ReplaceCore(second, newcomerGap)
 		wait()
 	}
 	mixed := func(one *trial, first, second int) {
 		wait := one.meanwhile(func() { one.ReplaceCorePlanned(first, newcomerGap) })
-		one.Rest(one.span(10*time.Millisecond, 1500*time.Millisecond))
+		one.Sleep(one.span(10*time.Millisecond, 1500*time.Millisecond))
 		one.ReplaceCore(second, newcomerGap)
 		wait()
 	}
 	newcomerLost := func(one *trial, first, _ int) {
 		one.ReplaceCore(first, newcomerGap)
-		one.Rest(one.span(10*time.Millisecond, 1500*time.Millisecond))
+		one.Sleep(one.span(10*time.Millisecond, 1500*time.Millisecond))
 		one.ReplaceCore(first, newcomerGap)
 	}
 	each(test, func(test *testing.T, seed uint64) {
@@ -149,7 +149,7 @@
 			one := newTrial(test, seed, case1.cores, 3, case1.name)
 			first := one.after(one.leader(), int(seed)%2)
 			case1.both(one, first, one.after(first, 1))
-			one.Rest(syncSpan)
+			one.Sleep(syncSpan)
 			one.settled("both are through")
 			one.survives("both are through", one.after(first, 2))
 			one.end()
@@ -170,11 +170,11 @@
 		{"another is cut off for 20 s", 5, func(one *trial, leader int) {
 			cut := one.machine(one.after(leader, 1))
 			one.isolateMachine(cut, true)
-			one.Rest(longCut / 4)
+			one.Sleep(longCut / 4)
 			one.ReplaceCore(leader, newcomerGap)
-			one.Rest(syncSpan)
+			one.Sleep(syncSpan)
 			one.keepsAll("one is cut off, one replaced")
-			one.Rest(longCut / 4)
+			one.Sleep(longCut / 4)
 			one.isolateMachine(cut, false)
 		}},
 		{"another is cut off for 20 s", 3, func(one *trial, leader int) {
@@ -182,13 +182,13 @@
 			one.isolateMachine(cut, true)
 			one.mustOrder("one is cut off")
 			one.ReplaceCore(one.after(leader, 2), newcomerGap)
-			one.Rest(longCut)
+			one.Sleep(longCut)
 			one.isolateMachine(cut, false)
 		}},
 		{"the leaving one is cut off", 3, func(one *trial, leader int) {
 			leaving := one.machine(one.after(leader, int(one.Seed)%2))
 			one.isolateMachine(leaving, true)
-			one.Rest(one.span(10*time.Millisecond, 2*time.Second))
+			one.Sleep(one.span(10*time.Millisecond, 2*time.Second))
 			one.ReplaceCorePlanned(slices.Index(one.machines(), leaving), newcomerGap)
 		}},
 		{"one way only is cut", 5, func(one *trial, leader int) {
@@ -202,25 +202,25 @@
 			}
 			turn(true)
 			one.ReplaceCore(one.after(leader, 2), newcomerGap)
-			one.Rest(syncSpan)
+			one.Sleep(syncSpan)
 			one.keepsAll("one is mute, one replaced")
 			turn(false)
 		}},
 		{"another has lost its disk", 5, func(one *trial, leader int) {
 			one.WipeCore(one.after(leader, 1))
 			one.StartCore(one.after(leader, 1))
-			one.Rest(one.span(10*time.Millisecond, time.Second))
+			one.Sleep(one.span(10*time.Millisecond, time.Second))
 			one.ReplaceCore(one.after(leader, int(one.Seed)%2*2), newcomerGap)
 		}},
 		{"the same has lost its disk", 3, func(one *trial, leader int) {
 			one.WipeCore(leader)
 			one.StartCore(leader)
-			one.Rest(one.span(10*time.Millisecond, 300*time.Millisecond))
+			one.Sleep(one.span(10*time.Millisecond, 300*time.Millisecond))
 			one.ReplaceCore(leader, newcomerGap)
 		}},
 		{"another loses its disk in time", 3, func(one *trial, leader int) {
 			one.ReplaceCore(leader, newcomerGap)
-			one.Rest(syncSpan)
+			one.Sleep(syncSpan)
 			one.order(calmLimit)
 			one.WipeCore(one.after(leader, 1))
 			one.StartCore(one.after(leader, 1))
@@ -233,7 +233,7 @@
 					machines := one.allMachines()
 					left, right := machines[one.random.IntN(len(machines))], machines[one.random.IntN(len(machines))]
 					one.Net.Reset(left.Host, right.Host)
-					one.Rest(100 * time.Millisecond)
+					one.Sleep(100 * time.Millisecond)
 				}
 			})
 			one.ReplaceCore(one.after(leader, int(one.Seed)%2), newcomerGap)
@@ -244,7 +244,7 @@
 		for _, meeting := range meetings {
 			one := newTrial(test, seed, meeting.cores, 3, meeting.name)
 			meeting.play(one, one.leader())
-			one.Rest(syncSpan)
+			one.Sleep(syncSpan)
 			one.settled("calm again")
 			one.end()
 		}
@@ -258,13 +258,13 @@
 		for _, machine := range one.machines() {
 			if machine != leaving {
 				one.terminate(machine)
-				one.Rest(one.span(50*time.Millisecond, 700*time.Millisecond))
+				one.Sleep(one.span(50*time.Millisecond, 700*time.Millisecond))
 				one.startMachine(machine)
-				one.Rest(syncSpan / 2)
+				one.Sleep(syncSpan / 2)
 			}
 		}
 	})
-	one.Rest(one.span(10*time.Millisecond, 3*time.Second))
+	one.Sleep(one.span(10*time.Millisecond, 3*time.Second))
 	one.ReplaceCorePlanned(slices.Index(one.machines(), leaving), newcomerGap)
 	wait()
 }
@@ -285,15 +285,15 @@
 						one.ReplaceCore(index, newcomerGap)
 					}
 				})
-				one.Rest(one.span(10*time.Millisecond, 2500*time.Millisecond))
+				one.Sleep(one.span(10*time.Millisecond, 2500*time.Millisecond))
 				one.killAll(true, false)
 				if planned {
 					one.killMachine(leaving, true)
 				}
-				one.Rest(one.span(10*time.Millisecond, time.Second))
+				one.Sleep(one.span(10*time.Millisecond, time.Second))
 				one.startAll()
 				wait()
-				one.Rest(syncSpan)
+				one.Sleep(syncSpan)
 				one.settled("all are back")
 				one.end()
 			}
@@ -312,7 +312,7 @@
 			} else {
 				one.ReplaceCorePlanned(lost, newcomerGap)
 			}
-			one.Rest(syncSpan)
+			one.Sleep(syncSpan)
 			one.settled("replaced")
 			one.survives("replaced", one.after(lost, 1+int(seed)%3))
 			one.end()
@@ -330,12 +330,12 @@
 			for offset := range cores / 2 {
 				one.LoseCore(one.after(first, offset))
 			}
-			one.Rest(newcomerGap)
+			one.Sleep(newcomerGap)
 			for offset := range cores / 2 {
 				one.StartReplacement(one.after(first, offset), nil)
 			}
 			one.order(syncSpan / 2)
-			one.Rest(syncSpan)
+			one.Sleep(syncSpan)
 			one.votes("replaced", one.machines())
 			others := []int{}
 			for offset := range cores / 2 {
@@ -366,11 +366,11 @@
 					one.KillCore(absent, true)
 				}
 				one.mustOrder("away")
-				one.Rest(away)
+				one.Sleep(away)
 				one.isolateMachine(machine, false)
 				one.Net.Freeze(machine.Host, false)
 				one.startMachine(machine)
-				one.Rest(syncSpan)
+				one.Sleep(syncSpan)
 				one.settled("back")
 				for offset := range cores / 2 {
 					one.LoseCore(one.after(absent, 1+offset))
@@ -405,7 +405,7 @@
 				}
 			}
 			turn(true)
-			one.Rest(one.span(10*time.Millisecond, 2*time.Second))
+			one.Sleep(one.span(10*time.Millisecond, 2*time.Second))
 			for region := range 3 {
 				newcomer := one.newMachine(region, internalAddresses(few))
 				for _, other := range others {
@@ -416,9 +416,9 @@
 				one.mutex.Unlock()
 				one.startMachine(newcomer)
 			}
-			one.Rest(2 * regionalSuspicionTimeout)
+			one.Sleep(2 * regionalSuspicionTimeout)
 			before := one.leads()
-			for until := time.Now().Add(20 * time.Second); time.Now().Before(until); one.Rest(2 * time.Second) {
+			for until := time.Now().Add(20 * time.Second); time.Now().Before(until); one.Sleep(2 * time.Second) {
 				for _, machine := range one.machines() {
 					if !slices.Contains(others, machine) {
 						one.refuses(machine)
@@ -433,7 +433,7 @@
 			}
 			one.mutex.Unlock()
 			turn(false)
-			one.Rest(syncSpan)
+			one.Sleep(syncSpan)
 			one.keepsAll("together again")
 			one.votes("together again", founders)
 			one.end()
@@ -482,18 +482,18 @@
 			late := one.AddMember(2)
 			late.Seeds = internalAddresses([]*Core{returned})
 			one.StartMember(late)
-			one.Rest(syncSpan)
+			one.Sleep(syncSpan)
 			one.stays(returned, before)
 			one.settled("it is back")
 			lost := one.after(index, 1)
 			one.LoseCore(lost)
-			one.Rest(newcomerGap)
+			one.Sleep(newcomerGap)
 			one.StartReplacement(lost, internalAddresses([]*Core{returned}))
-			one.Rest(syncSpan)
+			one.Sleep(syncSpan)
 			one.keepsAll("a newcomer knows but the one that is back")
 			one.newNumber(returned, former)
 			one.removeForGood(returned)
-			one.Rest(syncSpan)
+			one.Sleep(syncSpan)
 			one.settled("the one that was back is gone")
 			one.end()
 		}
@@ -523,7 +523,7 @@
 			}
 			one.startMachine(newcomer)
 			for range 5 {
-				one.Rest(2 * time.Second)
+				one.Sleep(2 * time.Second)
 				for _, machine := range append(returned, newcomer) {
 					one.refuses(machine)
 				}
@@ -535,7 +535,7 @@
 			for _, machine := range returned {
 				one.isolateMachine(machine, false)
 			}
-			one.Rest(syncSpan)
+			one.Sleep(syncSpan)
 			one.settled("they are in touch")
 			one.stays(returned[0], before)
 			one.stays(returned[1], before)
@@ -586,7 +586,7 @@
 	} else {
 		one.ReplaceCorePlanned(index, newcomerGap)
 	}
-	one.Rest(syncSpan)
+	one.Sleep(syncSpan)
 }
 
 // stays is whether a core without a seat has led or leads.
@@ -611,7 +611,7 @@
 			one := newTrial(test, seed, 5, 3, way)
 			lost := []int{one.after(int(seed), 0), one.after(int(seed), 1)}
 			gone := []*Core{one.LoseCore(lost[0]), one.LoseCore(lost[1])}
-			one.Rest(newcomerGap)
+			one.Sleep(newcomerGap)
 			alive := one.machine(one.after(lost[1], 1))
 			switch way {
 			case "two are dead":
@@ -620,7 +620,7 @@
 				one.isolateMachine(alive, true)
 				one.StartReplacement(lost[0], internalAddresses([]*Core{gone[0], alive}))
 				one.isolateMachine(alive, true)
-				one.Rest(2 * time.Second)
+				one.Sleep(2 * time.Second)
 				one.isolateMachine(alive, false)
 			case "a newcomer":
 				first := one.StartReplacement(lost[0], internalAddresses([]*Core{gone[0], alive}))
@@ -628,7 +628,7 @@
 			case "restarted while it catches up":
 				one.StartReplacement(lost[0], internalAddresses([]*Core{alive}))
 				for range 3 {
-					one.Rest(one.span(10*time.Millisecond, time.Second))
+					one.Sleep(one.span(10*time.Millisecond, time.Second))
 					one.KillCore(lost[0], true)
 					one.StartCore(lost[0])
 				}
@@ -636,7 +636,7 @@
 			if one.machine(lost[1]) == gone[1] {
 				one.StartReplacement(lost[1], nil)
 			}
-			one.Rest(syncSpan)
+			one.Sleep(syncSpan)
 			one.settled("two newcomers")
 			one.end()
 		}
--- a/harness/simulation/replaced_test.go
+++ b/harness/simulation/replaced_test.go
@@ -110,7 +110,7 @@
 	if !world.Until(5*time.Second, func() bool { return world.keepers() == 6 }) {
 		test.Fatalf("%d keepers", world.keepers())
 	}
-	world.Rest(time.Second)
+	world.Sleep(time.Second)
 }
 
 // A core that the others lost, but not the proxies, is replaced. Before and after
--- a/harness/simulation/returned_test.go
+++ b/harness/simulation/returned_test.go
@@ -16,7 +16,7 @@
 	if !world.Until(10*time.Second, spare.Core.Core.CanVote) {
 		test.Fatal("the spare core does not vote")
 	}
-	world.Rest(time.Second)
+	world.Sleep(time.Second)
 	return spare
 }
 
@@ -42,7 +42,7 @@
 		world.Net.Freeze(spare.Host, true)
 		world.StartCore(one)
 		world.StartCore(old)
-		world.Rest(8 * time.Second)
+		world.Sleep(8 * time.Second)
 		if world.Leader() >= 0 || world.Cores[old].Core.CanVote() {
 			test.Errorf("a replaced core makes a majority: leader %d, it votes: %v", world.Leader(), world.Cores[old].Core.CanVote())
 		}
@@ -60,7 +60,7 @@
 			test.Errorf("back, it does not take the place of the one that is gone: %+v", world.membership(test, client))
 		}
 		world.StartCore(two)
-		world.Rest(2 * time.Second)
+		world.Sleep(2 * time.Second)
 		if world.Cores[two].Core.CanVote() {
 			test.Error("the next replaced core votes when it is back")
 		}
@@ -91,7 +91,7 @@
 		for index := range world.Cores {
 			world.StartCore(index)
 		}
-		world.Rest(3 * time.Second)
+		world.Sleep(3 * time.Second)
 		for index := range world.Cores {
 			if !world.Cores[index].Core.CanVote() {
 				test.Errorf("core %d does not vote", index+1)
--- a/harness/simulation/rollout_test.go
+++ b/harness/simulation/rollout_test.go
@@ -188,7 +188,7 @@
 		service.mutex.Lock()
 		service.isListed = true // before the order: no member may have them
 		service.mutex.Unlock()
-		service.world.Rest(2 * time.Second)
+		service.world.Sleep(2 * time.Second)
 		begin := time.Now()
 		service.order(test)
 		service.awaitPhase(test, message.RolloutComplete)
@@ -255,7 +255,7 @@
 		defer service.world.CloseRegional()
 		id := service.order(test)
 		service.world.killAll(true, true)
-		service.world.Rest(time.Second)
+		service.world.Sleep(time.Second)
 		service.mutex.Lock()
 		service.steps = map[string]message.Rollout{}
 		service.mutex.Unlock()
@@ -288,7 +288,7 @@
 			_, err := service.world.OrderRollout(rolloutOrder)
 			acknowledged <- err
 		}()
-		service.world.Rest(time.Duration(seed*67%400) * time.Millisecond)
+		service.world.Sleep(time.Duration(seed*67%400) * time.Millisecond)
 		service.world.KillCore(leader, true)
 		if err := <-acknowledged; err != nil {
 			test.Errorf("not acknowledged: %v", err)
@@ -317,7 +317,7 @@
 		delete(service.steps, one.Name)
 		delete(service.counts, one.Name)
 		service.mutex.Unlock()
-		service.world.Rest(time.Second)
+		service.world.Sleep(time.Second)
 		service.world.StartMember(one)
 		service.awaitPhase(test, message.RolloutComplete)
 		service.world.report(test)
--- a/harness/simulation/routing_test.go
+++ b/harness/simulation/routing_test.go
@@ -104,10 +104,10 @@
 				})
 			}
 			if round == 5 {
-				world.Rest(time.Duration(seed*37%200) * time.Millisecond)
+				world.Sleep(time.Duration(seed*37%200) * time.Millisecond)
 				leader := world.Leader()
 				world.KillCore(leader, true)
-				world.Rest(300 * time.Millisecond)
+				world.Sleep(300 * time.Millisecond)
 				world.StartCore(leader)
 			}
 			if !world.Until(20*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return done == 2 }) {
@@ -185,20 +185,20 @@
 			switch leader := world.Leader(); round % 3 {
 			case 0:
 				world.KillCore(leader, true)
-				world.Rest(time.Duration(seed%5) * 300 * time.Millisecond)
+				world.Sleep(time.Duration(seed%5) * 300 * time.Millisecond)
 				world.StartCore(leader)
 			case 1:
 				for index := range world.Cores {
 					world.KillCore(index, true)
 				}
 				world.WipeCore((round + int(seed)) % 3)
-				world.Rest(time.Second)
+				world.Sleep(time.Second)
 				for index := range world.Cores {
 					world.StartCore(index)
 				}
 			case 2:
 				world.WipeCore(leader)
-				world.Rest(200 * time.Millisecond)
+				world.Sleep(200 * time.Millisecond)
 				world.StartCore(leader)
 			}
 			if !world.Until(15*time.Second, func() bool { return world.Leader() >= 0 }) {
@@ -244,7 +244,7 @@
 		for round := range 9 {
 			kind := []string{"calm", "planned", "killed", "frozen", "cut"}[round%5]
 			world.Until(5*time.Second, func() bool { return world.Leader() >= 0 })
-			world.Rest(3 * time.Second)
+			world.Sleep(3 * time.Second)
 			leader := world.Leader()
 			holds := []*agent.Forwarder{world.Members[round%9].Daemon.Forwarder, world.Members[(round+1)%9].Daemon.Forwarder}
 			switch kind {
@@ -316,7 +316,7 @@
 			test.Fatal(err)
 		}
 		for range 100 {
-			world.Rest(100 * time.Millisecond)
+			world.Sleep(100 * time.Millisecond)
 			if !lone.Daemon.Ready() || lone.Daemon.Version().Routing.Config.Version != 1 {
 				world.reportViolation("cut off: ready %v, version %d", lone.Daemon.Ready(), lone.Daemon.Version().Routing.Config.Version)
 				break
@@ -347,7 +347,7 @@
 			world.farUp(test, 1)
 			left, warm := false, int64(0)
 			for range 600 {
-				world.Rest(100 * time.Millisecond)
+				world.Sleep(100 * time.Millisecond)
 				for _, backend := range world.Members[0].Daemon.Version().Table.Backends {
 					if left = left || backend.Leaving; left && !backend.Leaving {
 						world.reportViolation("a backend stays again")
--- a/harness/simulation/scale_test.go
+++ b/harness/simulation/scale_test.go
@@ -27,10 +27,10 @@
 				world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 32})
 			}
 			world.up(test, size)
-			world.Rest(5 * time.Second)
+			world.Sleep(5 * time.Second)
 			calm, bytes := world.Net.Count()
 			looked := world.probes()
-			world.Rest(10 * time.Second)
+			world.Sleep(10 * time.Second)
 			looks := float64(world.probes()-looked) / 10 / 3
 			world.StopBackend(world.Backends[2])
 			gone := time.Now()
--- a/harness/simulation/stale_test.go
+++ b/harness/simulation/stale_test.go
@@ -22,7 +22,7 @@
 			if !world.Until(10*time.Second, func() bool { return world.Leader() >= 0 }) {
 				world.reportViolation("no leader before round %d", round)
 			}
-			world.Rest(500 * time.Millisecond)
+			world.Sleep(500 * time.Millisecond)
 			faults.Inject(kind, 0)
 		}
 		ledger.Stop()
--- a/harness/simulation/stop_test.go
+++ b/harness/simulation/stop_test.go
@@ -37,15 +37,15 @@
 		done := atomic.Bool{}
 		world.goroutines.Start(func() {
 			for _, daemon := range world.Daemons {
-				world.Rest(time.Duration(300+seed%7*100) * time.Millisecond)
+				world.Sleep(time.Duration(300+seed%7*100) * time.Millisecond)
 				world.TerminateDaemon(daemon)
-				world.Rest(200 * time.Millisecond)
+				world.Sleep(200 * time.Millisecond)
 				world.StartDaemon(daemon)
-				world.Rest(2 * time.Second)
+				world.Sleep(2 * time.Second)
 			}
 			done.Store(true)
 		})
-		report := generator.Run(func(span time.Duration) bool { return world.Rest(span) && !done.Load() })
+		report := generator.Run(func(span time.Duration) bool { return world.Sleep(span) && !done.Load() })
 		client.CloseIdleConnections()
 		details := world.judge(nil, report)
 		test.Logf("%s %v", details["no task in flight lost by planned work"], report.Statuses)
--- a/harness/simulation/total_loss_test.go
+++ b/harness/simulation/total_loss_test.go
@@ -55,7 +55,7 @@
 		case listBusy:
 			return discovery.Page{Err: errors.New("too many calls"), RetryAfter: 300 * time.Millisecond}
 		case listSilent:
-			loss.Rest(2 * time.Second)
+			loss.Sleep(2 * time.Second)
 			return discovery.Page{Err: errors.New("no answer")}
 		case listFaulty:
 			return discovery.Page{Err: errors.New("unavailable")}
@@ -98,14 +98,14 @@
 	loss.random.Shuffle(len(starts), func(left, right int) { starts[left], starts[right] = starts[right], starts[left] })
 	for _, start := range starts {
 		start()
-		loss.Rest(loss.span(0, 2*within/time.Duration(len(starts))))
+		loss.Sleep(loss.span(0, 2*within/time.Duration(len(starts))))
 	}
 }
 
 // orderNext sends the next routing until it is acknowledged or the time is over, and
 // reports that it was.
 func (loss *totalLoss) orderNext(limit time.Duration) bool {
-	for until := time.Now().Add(limit); time.Now().Before(until); loss.Rest(orderRest) {
+	for until := time.Now().Add(limit); time.Now().Before(until); loss.Sleep(orderRest) {
 		if len(loss.forwarders()) == 0 {
 			continue
 		}
@@ -154,9 +154,9 @@
 					loss.calm(test)
 				}
 				loss.goroutines.Start(func() { loss.orderNext(30 * time.Second) })
-				loss.Rest(loss.span(5*time.Millisecond, 400*time.Millisecond))
+				loss.Sleep(loss.span(5*time.Millisecond, 400*time.Millisecond))
 				loss.powerOffAll()
-				loss.Rest(loss.span(400*time.Millisecond, 1500*time.Millisecond))
+				loss.Sleep(loss.span(400*time.Millisecond, 1500*time.Millisecond))
 				from := time.Now().Add(loss.span(0, 800*time.Millisecond))
 				until := from.Add(loss.span(time.Second, 20*time.Second))
 				loss.list.Store(&listState{trouble: trouble, from: from, until: until})
@@ -170,9 +170,9 @@
 				if now := time.Now(); now.After(latest) {
 					latest = now
 				}
-				loss.Rest(time.Until(latest.Add(inForceSpan)))
+				loss.Sleep(time.Until(latest.Add(inForceSpan)))
 				loss.judgeInForce(fmt.Sprintf("%s, round %d", trouble, round), wanted)
-				loss.Rest(time.Until(until.Add(contactSpan + inForceSpan)))
+				loss.Sleep(time.Until(until.Add(contactSpan + inForceSpan)))
 				for _, one := range loss.Members {
 					if inForce := one.inForce.Load(); inForce != wanted {
 						loss.reportViolation(
@@ -212,17 +212,17 @@
 			acknowledged := loss.version.Load()
 			if round%2 == 1 {
 				loss.goroutines.Start(func() { loss.orderNext(time.Second) })
-				loss.Rest(loss.span(5*time.Millisecond, 400*time.Millisecond))
+				loss.Sleep(loss.span(5*time.Millisecond, 400*time.Millisecond))
 			}
 			loss.powerOffAll()
 			for offset := range len(loss.Cores) / 2 {
 				loss.WipeCore((int(seed) + round + offset) % len(loss.Cores))
 			}
-			loss.Rest(loss.span(400*time.Millisecond, 1500*time.Millisecond))
+			loss.Sleep(loss.span(400*time.Millisecond, 1500*time.Millisecond))
 			loss.returnAll(300 * time.Millisecond)
 			loss.calm(test)
 			loss.judgeBook(fmt.Sprint("round ", round), acknowledged, zones)
-			loss.Rest(contactSpan + inForceSpan)
+			loss.Sleep(contactSpan + inForceSpan)
 			loss.judgeInForce(fmt.Sprint("round ", round), acknowledged)
 		}
 		loss.report(test)
--- a/harness/simulation/traffic_test.go
+++ b/harness/simulation/traffic_test.go
@@ -78,7 +78,7 @@
 		generator, client := world.NewLoadGenerator(world.plan(60, 10))
 		old := world.Backends[0].Backend
 		world.goroutines.Start(func() {
-			world.Rest(3 * time.Second)
+			world.Sleep(3 * time.Second)
 			world.StopBackend(world.Backends[0])
 			other, _ := standin.NewBackend(standin.BackendConfig{Service: "gifts", Instance: "stranger", Incarnation: "2", WorkMs: 5})
 			world.ServeBackend(world.Backends[0], other)
@@ -146,7 +146,7 @@
 			}
 		}
 		for range 20 {
-			world.Rest(100 * time.Millisecond)
+			world.Sleep(100 * time.Millisecond)
 			if status, _ := world.ask(client, "GET", "http://"+front("w1")+"/meters/pages/1", "key-of-birch", "", "", ""); status != 200 {
 				world.reportViolation("a good call got %d", status)
 			}
--- a/harness/simulation/trial_test.go
+++ b/harness/simulation/trial_test.go
@@ -69,7 +69,7 @@
 	return least + time.Duration(one.random.Int64N(int64(most-least)))
 }
 
-func (one *trial) restUntil(at time.Time) { one.Rest(time.Until(at)) }
+func (one *trial) restUntil(at time.Time) { one.Sleep(time.Until(at)) }
 
 // order sends one routing by all doors in turn until it is acknowledged. Every
 // third answer is lost on its way to the operator, who sends the same again.
@@ -79,7 +79,7 @@
 	for until, try := time.Now().Add(limit), random.IntN(9); time.Now().Before(until); try++ {
 		holds := one.forwarders()
 		if len(holds) == 0 {
-			one.Rest(orderRest)
+			one.Sleep(orderRest)
 			continue
 		}
 		_, err := agent.Forward(holds[try%len(holds)], message.MethodRoutingChange, NewRoutingChange(one.newest+1, one.newest))
@@ -95,7 +95,7 @@
 			one.reportViolation("%d on %d is refused: %v", one.newest+1, one.newest, err)
 			return false
 		}
-		one.Rest(orderRest)
+		one.Sleep(orderRest)
 	}
 	return false
 }
--- a/harness/simulation/usage_loss_test.go
+++ b/harness/simulation/usage_loss_test.go
@@ -41,7 +41,7 @@
 					world.KillMember(one)
 				}
 			}
-			world.Rest(300 * time.Millisecond)
+			world.Sleep(300 * time.Millisecond)
 			world.KillCore(leader, false)
 		}},
 		{"the leader's power, then half of the daemons before there is another", func(world *World, leader int, load func(time.Duration)) {
@@ -49,7 +49,7 @@
 			world.stopProcess(world.Cores[leader], true, func(host string) { world.Net.Blackhole(host, true) })
 			world.Net.Blackhole(host, true)
 			load(300 * time.Millisecond)
-			world.Rest(unflushed)
+			world.Sleep(unflushed)
 			for index, one := range world.Members {
 				if index%2 == 1 {
 					world.KillMember(one)
@@ -100,13 +100,13 @@
 			load(12 * time.Second)
 			first := time.Now().UnixMilli()/meters.span - 1
 			load(time.Duration(seed*367%5000+uint64(number)*977%5000) * time.Millisecond)
-			world.Rest(unflushed)
+			world.Sleep(unflushed)
 			leader, away := world.calm(test), -1
 			loss.strike(world, leader, load)
 			if number == 0 {
 				away = leader
 			}
-			world.Rest(time.Duration(300+seed*53%900) * time.Millisecond)
+			world.Sleep(time.Duration(300+seed*53%900) * time.Millisecond)
 			world.returnFrom(away)
 			load(15 * time.Second)
 			world.returnFrom(-1)
--- a/harness/simulation/world.go
+++ b/harness/simulation/world.go
@@ -374,8 +374,8 @@
 	return condition()
 }
 
-// Rest sleeps in virtual time; it returns false once the world is closed.
-func (world *World) Rest(span time.Duration) bool { return world.goroutines.Sleep(span) }
+// Sleep sleeps in virtual time; it returns false once the world is closed.
+func (world *World) Sleep(span time.Duration) bool { return world.goroutines.Sleep(span) }
 
 // NewLoadGenerator returns a generator of requests from outside the deployment, and its HTTP
 // client.
--- a/harness/soak/orders.go
+++ b/harness/soak/orders.go
@@ -60,7 +60,7 @@
 		soak.printf("could not start backends: %v", err)
 		return
 	}
-	rollout := &rolloutRecord{service: service, target: target, isBad: isBad, term: soak.options.RolloutTerm, sentAt: time.Now()}
+	rollout := &rolloutRecord{service: service, target: target, isBad: isBad, term: soak.options.RolloutDuration, sentAt: time.Now()}
 	soak.recorder.addRollout(rollout)
 	soak.deployment.provider.add(started...)
 	body, err := soak.deployment.wire.render("rollout.json.tmpl", rolloutOrder{Service: service, Target: target, Over: rollout.term})
--- a/harness/soak/run.go
+++ b/harness/soak/run.go
@@ -16,17 +16,17 @@
 
 // Options set the length and the size of a soak.
 type Options struct {
-	Program     string // path of the binary under test
-	Folder      string // for settings, logs and state; if empty, a temporary one that is removed at the end
-	Seed        uint64
-	Span        time.Duration // of the disturbances
-	Proxies     int
-	Clients     int
-	Backends    int // of each of the two services
-	SlowHeads   int // connections to one proxy that send a byte of a header each second
-	RolloutTerm time.Duration
-	Bounds      Bounds
-	Printf      func(format string, values ...any)
+	Program         string // path of the binary under test
+	Folder          string // for settings, logs and state; if empty, a temporary one that is removed at the end
+	Seed            uint64
+	Duration        time.Duration // of the disturbances
+	Proxies         int
+	Clients         int
+	Backends        int // of each of the two services
+	SlowHeads       int // connections to one proxy that send a byte of a header each second
+	RolloutDuration time.Duration
+	Bounds          Bounds
+	Printf          func(format string, values ...any)
 }
 
 // Until plannedOnlyShare of the span proxies are only stopped as planned; from
@@ -125,18 +125,18 @@
 
 // injectDisturbances runs all kinds of disturbances concurrently for the span.
 func (soak *soak) injectDisturbances() {
-	ctx, cancel := context.WithTimeout(context.Background(), soak.options.Span)
+	ctx, cancel := context.WithTimeout(context.Background(), soak.options.Duration)
 	defer cancel()
 	onlyPlanned := atomic.Bool{}
 	onlyPlanned.Store(true)
-	time.AfterFunc(fractionOf(soak.options.Span, plannedOnlyShare), func() { onlyPlanned.Store(false) })
+	time.AfterFunc(fractionOf(soak.options.Duration, plannedOnlyShare), func() { onlyPlanned.Store(false) })
 	tasks := []func(*rand.Rand){
 		func(random *rand.Rand) { soak.disturbProxies(ctx, random, onlyPlanned.Load) },
 		func(random *rand.Rand) { soak.drainBackends(ctx, random, roomService) },
 		func(random *rand.Rand) { soak.changeConfigurations(ctx, random) },
 		func(random *rand.Rand) { soak.runRollouts(ctx, random, deskService) },
 		func(random *rand.Rand) {
-			sleep(ctx, fractionOf(soak.options.Span, coreFaultsFromShare))
+			sleep(ctx, fractionOf(soak.options.Duration, coreFaultsFromShare))
 			soak.disturbCores(ctx, random)
 		},
 	}
