--- a/control/model_actions_test.go
+++ b/control/model_actions_test.go
@@ -251,7 +251,7 @@
 func (cluster *modelCluster) losePower(packet *modelPacket, written int) {
 	machine := cluster.ownMachine(packet.to)
 	before := len(cluster.inFlight)
-	machine.disk.Failing = true
+	machine.disk.FailSyncs = true
 	cluster.deliver(packet)
 	machine.process = nil
 	machine.disk.LosePower([]int{0, 7, 1 << 20}[written])
--- a/control/model_cluster_test.go
+++ b/control/model_cluster_test.go
@@ -94,8 +94,8 @@
 	first := consensus.InitialMembership(addresses)
 	cluster.observer = newModelObserver(first)
 	for index, machine := range cluster.machines {
-		lying := machine.disk.Lying
-		machine.disk.Lying = false
+		lying := machine.disk.SkipSyncs
+		machine.disk.SkipSyncs = false
 		machine.start()
 		replica := machine.process.core.replica
 		if index < bounds.founders {
@@ -104,7 +104,7 @@
 		if index < bounds.founders-bounds.lateFounders {
 			modelMust(replica.Join(first.Accepted()))
 		}
-		machine.disk.Lying = lying
+		machine.disk.SkipSyncs = lying
 	}
 	return cluster
 }
--- a/control/model_machine_test.go
+++ b/control/model_machine_test.go
@@ -101,7 +101,7 @@
 
 func newModelMachine(index int, lying bool) *modelMachine {
 	machine := &modelMachine{index: index, address: fmt.Sprintf("10.0.0.%d:7000", index+1), disk: testdisk.New()}
-	machine.disk.Lying = lying
+	machine.disk.SkipSyncs = lying
 	return machine
 }
 
@@ -166,9 +166,9 @@
 
 // wipe stops the process and replaces the disk by an empty one.
 func (machine *modelMachine) wipe() {
-	lying := machine.disk.Lying
+	lying := machine.disk.SkipSyncs
 	machine.process, machine.disk = nil, testdisk.New()
-	machine.disk.Lying = lying
+	machine.disk.SkipSyncs = lying
 	machine.lostIDs, machine.votedIDs = machine.lostIDs.union(machine.votedIDs), 0
 }
 
--- a/harness/simulation/catchup_test.go
+++ b/harness/simulation/catchup_test.go
@@ -117,11 +117,11 @@
 		world.reportViolation("read back %+v after the leader was lost, %d was acknowledged: %v", state, acknowledged, err)
 	}
 	for _, machine := range world.Cores {
-		if used := machine.Disk.MostUsed(); used > diskBound {
+		if used := machine.Disk.PeakUsed(); used > diskBound {
 			world.reportViolation("core %d used %d bytes of disk", machine.ID, used)
 		}
 	}
-	test.Logf("caught up after %v, %d bytes of disk at most", took, world.Cores[index].Disk.MostUsed())
+	test.Logf("caught up after %v, %d bytes of disk at most", took, world.Cores[index].Disk.PeakUsed())
 	world.report(test)
 }
 
--- a/harness/simulation/claims_test.go
+++ b/harness/simulation/claims_test.go
@@ -141,9 +141,9 @@
 				}
 				return err
 			}
-			torn, worn := world.Cores[0].Disk.Fork(), world.Cores[0].Disk.Fork()
-			torn.Cut(name, length-1-int(seed)*7)
-			worn.Harm(name, length/3+int(seed)*5)
+			torn, worn := world.Cores[0].Disk.Clone(), world.Cores[0].Disk.Clone()
+			torn.Truncate(name, length-1-int(seed)*7)
+			worn.FlipBit(name, length/3+int(seed)*5)
 			if err := open(torn); err != nil {
 				test.Errorf("a torn tail: %v", err)
 			}
--- a/harness/simulation/core.go
+++ b/harness/simulation/core.go
@@ -288,7 +288,7 @@
 		return
 	}
 	world.mutex.Lock()
-	machine.Disk = machine.Disk.Sever(powerLoss)
+	machine.Disk = machine.Disk.Detach(powerLoss)
 	world.mutex.Unlock()
 	disconnect(machine.Host)
 	machine.goroutines.Stop()
--- a/harness/simulation/disk.go
+++ b/harness/simulation/disk.go
@@ -18,8 +18,8 @@
 // sectorSize is the number of bytes that a torn write keeps or loses as a unit.
 const sectorSize = 512
 
-// Refusal selects the kinds of calls that a disk fails.
-type Refusal struct {
+// DiskFaults selects the kinds of calls that a disk fails.
+type DiskFaults struct {
 	Writes bool
 	Syncs  bool
 	Names  bool // create, rename, remove
@@ -37,7 +37,7 @@
 	stalled   bool
 	dead      bool
 	callsLeft int
-	refusal   Refusal
+	refusal   DiskFaults
 	capacity  int
 	peakUsed  int
 }
@@ -97,13 +97,13 @@
 	return names
 }
 
-// Sever detaches the disk from a killed process, whose further changes fail, and returns a
+// Detach detaches the disk from a killed process, whose further changes fail, and returns a
 // disk with its content for the next process. With powerLoss, PowerLoss comes first.
-func (disk *Disk) Sever(powerLoss bool) *Disk {
+func (disk *Disk) Detach(powerLoss bool) *Disk {
 	if powerLoss {
 		disk.PowerLoss()
 	}
-	next := disk.Fork()
+	next := disk.Clone()
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	disk.dead, disk.stalled = true, false
@@ -111,8 +111,8 @@
 	return next
 }
 
-// Fork returns a second disk with the same content and no faults.
-func (disk *Disk) Fork() *Disk {
+// Clone returns a second disk with the same content and no faults.
+func (disk *Disk) Clone() *Disk {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	next := NewDisk(disk.random.Uint64())
@@ -155,19 +155,19 @@
 
 // Fail makes all calls except reads fail.
 func (disk *Disk) Fail(failing bool) {
-	disk.Refuse(Refusal{Writes: failing, Syncs: failing, Names: failing})
+	disk.SetFaults(DiskFaults{Writes: failing, Syncs: failing, Names: failing})
 }
 
-// Refuse makes the selected kinds of calls fail until it is called again.
-func (disk *Disk) Refuse(refusal Refusal) {
+// SetFaults makes the selected kinds of calls fail until it is called again.
+func (disk *Disk) SetFaults(refusal DiskFaults) {
 	disk.mutex.Lock()
 	disk.refusal = refusal
 	disk.mutex.Unlock()
 }
 
-// DieAfter makes the last of the given number of calls that change the disk fail, and all later ones, as
+// FailAfter makes the last of the given number of calls that change the disk fail, and all later ones, as
 // if the process had been killed there.
-func (disk *Disk) DieAfter(calls int) {
+func (disk *Disk) FailAfter(calls int) {
 	disk.mutex.Lock()
 	disk.callsLeft = calls
 	disk.mutex.Unlock()
@@ -182,8 +182,8 @@
 	return !disk.dead
 }
 
-// Room limits the total size of all files in bytes; 0 means no limit.
-func (disk *Disk) Room(bytes int) {
+// SetCapacity limits the total size of all files in bytes; 0 means no limit.
+func (disk *Disk) SetCapacity(bytes int) {
 	disk.mutex.Lock()
 	disk.capacity = bytes
 	disk.mutex.Unlock()
@@ -196,8 +196,8 @@
 	return disk.used()
 }
 
-// MostUsed returns the peak total size of all files in bytes.
-func (disk *Disk) MostUsed() int {
+// PeakUsed returns the peak total size of all files in bytes.
+func (disk *Disk) PeakUsed() int {
 	disk.mutex.Lock()
 	defer disk.mutex.Unlock()
 	return disk.peakUsed
@@ -211,15 +211,15 @@
 	return sum
 }
 
-// Harm flips one bit of a file, as media corruption does.
-func (disk *Disk) Harm(name string, at int) {
+// FlipBit flips one bit of a file, as media corruption does.
+func (disk *Disk) FlipBit(name string, at int) {
 	disk.mutex.Lock()
 	disk.files[name].body[at] ^= 0x10
 	disk.mutex.Unlock()
 }
 
-// Cut truncates a file to its first size bytes.
-func (disk *Disk) Cut(name string, size int) {
+// Truncate truncates a file to its first size bytes.
+func (disk *Disk) Truncate(name string, size int) {
 	disk.mutex.Lock()
 	disk.files[name].truncate(size)
 	disk.mutex.Unlock()
--- a/harness/simulation/random_faults.go
+++ b/harness/simulation/random_faults.go
@@ -156,10 +156,10 @@
 	world := faults.world
 	impair := func() {
 		if kind == "full" {
-			machine.Disk.Room(max(1, machine.Disk.Used()))
+			machine.Disk.SetCapacity(max(1, machine.Disk.Used()))
 		} else {
-			machine.Disk.Refuse(
-				[]Refusal{{Writes: true}, {Syncs: true}, {Names: true}, {Writes: true, Syncs: true, Names: true}}[faults.random.IntN(4)],
+			machine.Disk.SetFaults(
+				[]DiskFaults{{Writes: true}, {Syncs: true}, {Names: true}, {Writes: true, Syncs: true, Names: true}}[faults.random.IntN(4)],
 			)
 		}
 	}
@@ -171,8 +171,8 @@
 		world.startMachine(machine)
 		world.Sleep(faults.randomSpan(50*time.Millisecond, 2*time.Second))
 	}
-	machine.Disk.Refuse(Refusal{})
-	machine.Disk.Room(0)
+	machine.Disk.SetFaults(DiskFaults{})
+	machine.Disk.SetCapacity(0)
 	if !world.Until(10*time.Second, func() bool { return machine.Core.CanVote() }) {
 		world.reportViolation("core %d cannot vote 10 s after its disk recovered", machine.ID)
 	}
--- a/harness/simulation/refuse_test.go
+++ b/harness/simulation/refuse_test.go
@@ -25,7 +25,7 @@
 			machine := world.Cores[index]
 			trouble := func() {
 				if kind == "leader is full" {
-					machine.Disk.Room(machine.Disk.Used())
+					machine.Disk.SetCapacity(machine.Disk.Used())
 				} else {
 					machine.Disk.Fail(true)
 				}
@@ -58,7 +58,7 @@
 				world.reportViolation("%s: votes %v, leads %v", kind, machine.Core.CanVote(), world.Leader() == index)
 			}
 			machine.Disk.Fail(false)
-			machine.Disk.Room(0)
+			machine.Disk.SetCapacity(0)
 			if !world.Until(2*time.Second, func() bool { return machine.Core.CanVote() }) {
 				world.reportViolation("%s: does not vote again", kind)
 			}
--- a/harness/testdisk/disk.go
+++ b/harness/testdisk/disk.go
@@ -16,10 +16,10 @@
 // Disk makes a file's content durable when the file is synced, and names when the disk is
 // synced. It is not safe for concurrent use.
 type Disk struct {
-	// Failing makes syncs fail, as if power were lost before them.
-	Failing bool
-	// Lying makes syncs succeed without effect, to simulate a missing sync.
-	Lying bool
+	// FailSyncs makes syncs fail, as if power were lost before them.
+	FailSyncs bool
+	// SkipSyncs makes syncs succeed without effect, to simulate a missing sync.
+	SkipSyncs bool
 
 	inodes       []inode
 	inodeByName  map[string]int
@@ -42,8 +42,8 @@
 	clone := &Disk{
 		inodeByName:  maps.Clone(disk.inodeByName),
 		durableNames: maps.Clone(disk.durableNames),
-		Failing:      disk.Failing,
-		Lying:        disk.Lying,
+		FailSyncs:    disk.FailSyncs,
+		SkipSyncs:    disk.SkipSyncs,
 	}
 	clone.inodes = slices.Clone(disk.inodes)
 	for index := range disk.inodes {
@@ -58,7 +58,7 @@
 	return &openFile{disk: disk, inode: file.(*openFile).inode}
 }
 
-// LosePower drops unsynced data, except the first tornBytes of each file's, and clears Failing.
+// LosePower drops unsynced data, except the first tornBytes of each file's, and clears FailSyncs.
 func (disk *Disk) LosePower(tornBytes int) {
 	disk.inodeByName = maps.Clone(disk.durableNames)
 	for index := range disk.inodes {
@@ -66,7 +66,7 @@
 		inode.content = slices.Clone(inode.content[:min(inode.syncedBytes+tornBytes, len(inode.content))])
 		inode.syncedBytes = len(inode.content)
 	}
-	disk.Failing = false
+	disk.FailSyncs = false
 }
 
 // List returns the sorted names of all files.
@@ -101,10 +101,10 @@
 
 // Sync makes the names durable.
 func (disk *Disk) Sync() error {
-	if disk.Failing {
+	if disk.FailSyncs {
 		return errPowerLost
 	}
-	if !disk.Lying {
+	if !disk.SkipSyncs {
 		disk.durableNames = maps.Clone(disk.inodeByName)
 	}
 	return nil
@@ -122,10 +122,10 @@
 }
 
 func (file *openFile) Sync() error {
-	if file.disk.Failing {
+	if file.disk.FailSyncs {
 		return errPowerLost
 	}
-	if !file.disk.Lying {
+	if !file.disk.SkipSyncs {
 		inode := &file.disk.inodes[file.inode]
 		inode.syncedBytes = len(inode.content)
 	}
--- a/idempotency/log_group_test.go
+++ b/idempotency/log_group_test.go
@@ -56,7 +56,7 @@
 		previous, next := testMemberships()
 		disk := testdisk.New()
 		log := mustOpenLog(test, disk)
-		disk.Failing = true
+		disk.FailSyncs = true
 		kept := &Write{Request: claimRequest("kept"), Membership: next, CompleteAs: 2}
 		late := &Write{Request: claimRequest("late"), Membership: previous}
 		writeAsGroup(test, log, kept, late)
@@ -68,7 +68,7 @@
 				log.CompleteFor(2),
 			)
 		}
-		disk.Failing = false
+		disk.FailSyncs = false
 		time.Sleep(diskRetryInterval)
 		if err := log.repair(); err != nil || !log.CompleteFor(2) {
 			test.Fatalf("repair after the disk recovered: %v, complete %v", err, log.CompleteFor(2))
--- a/idempotency/power_loss_test.go
+++ b/idempotency/power_loss_test.go
@@ -92,14 +92,14 @@
 					test.Fatalf("seed %d round %d: granted claim %s is lost", seed, round, lost)
 				}
 				driver.promoteHeld()
-				disk.DieAfter(1 + random.IntN(150))
+				disk.FailAfter(1 + random.IntN(150))
 				for driver.claimNext() {
 					time.Sleep(time.Duration(random.IntN(40)) * time.Second)
 					if random.IntN(30) == 0 {
 						time.Sleep(idempotency.DefaultTTL)
 					}
 				}
-				disk = disk.Sever(random.IntN(4) > 0)
+				disk = disk.Detach(random.IntN(4) > 0)
 			}
 		})
 	}
@@ -125,10 +125,10 @@
 					driver.claimNext()
 				}
 				if random.IntN(3) == 0 {
-					disk = disk.Sever(true)
+					disk = disk.Detach(true)
 					continue
 				}
-				disk.Refuse([]simulation.Refusal{{Writes: true}, {Syncs: true}, {Writes: true, Syncs: true, Names: true}}[random.IntN(3)])
+				disk.SetFaults([]simulation.DiskFaults{{Writes: true}, {Syncs: true}, {Writes: true, Syncs: true, Names: true}}[random.IntN(3)])
 				for range 1 + random.IntN(10) {
 					if driver.claimNext() {
 						test.Fatalf("seed %d round %d: claim granted while the disk fails", seed, round)
@@ -139,7 +139,7 @@
 					test.Fatalf("seed %d round %d: log does not report the disk error", seed, round)
 				}
 				if random.IntN(3) > 0 {
-					disk.Refuse(simulation.Refusal{})
+					disk.SetFaults(simulation.DiskFaults{})
 					time.Sleep(time.Second)
 					for range 1 + random.IntN(5) {
 						if !driver.claimNext() {
@@ -148,8 +148,8 @@
 						driver.promoteHeld()
 					}
 				}
-				disk = disk.Sever(random.IntN(3) > 0)
-				disk.Refuse(simulation.Refusal{})
+				disk = disk.Detach(random.IntN(3) > 0)
+				disk.SetFaults(simulation.DiskFaults{})
 			}
 		})
 	}
--- a/replica/inherited_test.go
+++ b/replica/inherited_test.go
@@ -37,14 +37,14 @@
 		}
 	}
 	reference := renewal.ByReference(message.Version{Term: first, Serial: 7})
-	before := disk.MostUsed()
+	before := disk.PeakUsed()
 	if response, err := voter.Accept(reference); err != nil || !response.Accepted {
 		test.Fatal(response, err)
 	}
-	if added := disk.MostUsed() - before; added > large/2 {
+	if added := disk.PeakUsed() - before; added > large/2 {
 		test.Errorf("accepting by reference used %d bytes of disk", added)
 	}
-	store, err := replica.OpenStore(disk.Sever(true))
+	store, err := replica.OpenStore(disk.Detach(true))
 	if err != nil {
 		test.Fatal(err)
 	}
--- a/replica/power_test.go
+++ b/replica/power_test.go
@@ -111,9 +111,9 @@
 		checker := &durabilityChecker{test: test, random: random, lastBytes: map[message.Version]byte{}}
 		for round := range 12 {
 			if random.IntN(3) == 0 {
-				disk.DieAfter(1 + random.IntN(10))
+				disk.FailAfter(1 + random.IntN(10))
 				_ = checker.open(disk) // the process may die while it opens the store
-				disk = disk.Sever(random.IntN(2) == 0)
+				disk = disk.Detach(random.IntN(2) == 0)
 			}
 			if err := checker.open(disk); err != nil {
 				names, _ := disk.List()
@@ -122,11 +122,11 @@
 			if err := checker.voter.Initialize(message.Term{}, [message.Registers]message.AcceptedValue{}, nil); err != nil {
 				test.Fatalf("seed %d: initialize: %v", seed, err)
 			}
-			disk.DieAfter(1 + random.IntN(120))
+			disk.FailAfter(1 + random.IntN(120))
 			for checker.step() {
 			}
 			before, _ := disk.List()
-			disk = disk.Sever(random.IntN(4) > 0)
+			disk = disk.Detach(random.IntN(4) > 0)
 			after, _ := disk.List()
 			if strings.Join(before, " ") != strings.Join(after, " ") {
 				namesChanged++
@@ -163,10 +163,10 @@
 				}
 			}
 			for range random.IntN(3) {
-				disk.Refuse(
-					[]simulation.Refusal{{Writes: true}, {Syncs: true}, {Names: true}, {Writes: true, Syncs: true, Names: true}, {}}[random.IntN(5)],
+				disk.SetFaults(
+					[]simulation.DiskFaults{{Writes: true}, {Syncs: true}, {Names: true}, {Writes: true, Syncs: true, Names: true}, {}}[random.IntN(5)],
 				)
-				disk.Room(disk.Used() + 1 + random.IntN(9000))
+				disk.SetCapacity(disk.Used() + 1 + random.IntN(9000))
 				for range 8 {
 					if checker.store.Err() != nil {
 						stepsWithError++
@@ -181,8 +181,8 @@
 				if random.IntN(4) == 0 {
 					break
 				}
-				disk.Refuse(simulation.Refusal{})
-				disk.Room(0)
+				disk.SetFaults(simulation.DiskFaults{})
+				disk.SetCapacity(0)
 				if err := checker.voter.Repair(); err != nil {
 					test.Fatalf("seed %d: repair: %v", seed, err)
 				}
@@ -192,9 +192,9 @@
 					}
 				}
 			}
-			disk = disk.Sever(random.IntN(3) > 0)
-			disk.Refuse(simulation.Refusal{})
-			disk.Room(0)
+			disk = disk.Detach(random.IntN(3) > 0)
+			disk.SetFaults(simulation.DiskFaults{})
+			disk.SetCapacity(0)
 		}
 	}
 	if stepsWithError < 2000 {
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -89,7 +89,7 @@
 			case "repair":
 				result = fmt.Sprint(voter.Repair() == nil)
 			case "power":
-				disk = disk.Sever(true)
+				disk = disk.Detach(true)
 				voter = open()
 				state := voter.State()
 				result = fmt.Sprintf(
--- a/replica/store_test.go
+++ b/replica/store_test.go
@@ -77,7 +77,7 @@
 		disk := simulation.NewDisk(seed)
 		for round := range 4 {
 			acknowledged := writeToDisk(test, disk, random, 15)
-			disk = disk.Sever(true)
+			disk = disk.Detach(true)
 			store, err := replica.OpenStore(disk)
 			if err != nil {
 				test.Fatalf("seed %d round %d: %v", seed, round, err)
@@ -112,14 +112,14 @@
 		before := sendRequests(voter, random, 1+random.IntN(6))
 		name := newestSegment(disk)
 		length := disk.Size(name)
-		intact := disk.Fork()
+		intact := disk.Clone()
 		sendRequests(voter, random, 1)
 		newLength := disk.Size(name)
 		if newLength <= length || name != newestSegment(disk) {
 			continue
 		}
-		torn := disk.Fork()
-		torn.Cut(name, length+random.IntN(newLength-length))
+		torn := disk.Clone()
+		torn.Truncate(name, length+random.IntN(newLength-length))
 		store, err := replica.OpenStore(torn)
 		if err != nil || !sameState(before, store.State()) {
 			test.Fatalf("seed %d: torn tail: wrong state, or error %v", seed, err)
@@ -128,7 +128,7 @@
 		if length == 0 {
 			continue
 		}
-		disk.Harm(name, random.IntN(length))
+		disk.FlipBit(name, random.IntN(length))
 		if _, err := replica.OpenStore(disk); err == nil || rpc.CodeOf(err) != rpc.CorruptStore {
 			test.Fatalf("seed %d: flipped bit: error %v, want code corrupt_store", seed, err)
 		}
@@ -150,7 +150,7 @@
 		test.Fatal(err)
 	}
 	acknowledged := writeToDisk(test, disk, rand.New(rand.NewPCG(1, 1)), 8)
-	store, err := replica.OpenStore(disk.Sever(true))
+	store, err := replica.OpenStore(disk.Detach(true))
 	if err != nil || !sameState(acknowledged, store.State()) {
 		test.Fatalf("acknowledged %v %v, restored %+v: error %v", acknowledged.Promised, acknowledged.Versions(), store, err)
 	}
@@ -179,8 +179,8 @@
 	}
 	size := intact.Size("segment-0000000000000000")
 	for offset := 0; offset < size; offset += 7 {
-		disk := intact.Fork()
-		disk.Harm("segment-0000000000000000", offset)
+		disk := intact.Clone()
+		disk.FlipBit("segment-0000000000000000", offset)
 		voter := open(disk)
 		if !voter.Blank() || voter.State().Versions() != (message.Versions{}) {
 			test.Fatalf("damage at byte %d: replica is not blank: %+v", offset, voter.State())
@@ -189,7 +189,7 @@
 			test.Fatalf("damage at byte %d: replica was not initialized again: %v", offset, err)
 		}
 		voter.Close()
-		if reopened := open(disk.Sever(true)); reopened.Blank() || reopened.State().Promised.Number != 6 {
+		if reopened := open(disk.Detach(true)); reopened.Blank() || reopened.State().Promised.Number != 6 {
 			test.Fatalf("damage at byte %d: after a power loss: %+v", offset, reopened.State())
 		}
 	}
@@ -215,7 +215,7 @@
 		}
 		written += large
 	}
-	if most := disk.MostUsed(); most > 5*large {
+	if most := disk.PeakUsed(); most > 5*large {
 		test.Errorf("disk usage reached %d bytes after %d were written", most, written)
 	}
 }
--- a/usage/window_log_test.go
+++ b/usage/window_log_test.go
@@ -75,11 +75,11 @@
 					Name: incarnation, Incarnation: incarnation,
 					Windows: []message.WindowCount{{Window: 7, Tenants: map[string]uint64{tenant: reported[incarnation][tenant]}}},
 				}})
-				disk.Refuse(simulation.Refusal{Syncs: random.IntN(6) == 0, Names: random.IntN(6) == 0})
+				disk.SetFaults(simulation.DiskFaults{Syncs: random.IntN(6) == 0, Names: random.IntN(6) == 0})
 				if random.IntN(2) == 0 && log.Append() == nil {
 					durable = reported.clone()
 				}
-				disk.Refuse(simulation.Refusal{})
+				disk.SetFaults(simulation.DiskFaults{})
 				if random.IntN(4) == 0 {
 					if err := log.Append(); err != nil {
 						test.Fatalf("seed %d, round %d: append on a working disk: %v", seed, round, err)
@@ -88,7 +88,7 @@
 				}
 			}
 			log.Close()
-			disk = disk.Sever(true)
+			disk = disk.Detach(true)
 		}
 	}
 }
