--- a/cmd/orchidjunction/core.go
+++ b/cmd/orchidjunction/core.go
@@ -87,7 +87,7 @@
 	core.Register(server)
 	forwarder := agent.NewForwarder(finder, client, node.counters).WithLimits(agent.ForwardLimits{Attempt: attemptTimeout})
 	forwarder.SetLocalLeader(core.Leader)
-	operators := platform.NewControl(
+	operators := platform.NewOperatorAPI(
 		platform.NewLeaderCommands(forwarder),
 		func() map[string]string { return node.source.Settings().Zones },
 		node.counters,
@@ -131,23 +131,23 @@
 
 func coreConfig(settings *platform.Settings, platformClient *platform.Client) control.Config {
 	config := control.Config{
-		Name:              settings.Name,
-		Zone:              settings.Zone,
-		InternalAddress:   internalAddress(settings, settings.Address),
-		Seeds:             internalSeeds(settings),
-		Bootstrap:         settings.Bootstrap,
-		MinFounders:       2*settings.Survive.Machines + 1,
-		HeartbeatInterval: heartbeatInterval,
-		SuspicionTimeout:  suspicionTimeout,
-		Seed:              uint64(time.Now().UnixNano()),
-		DirectSessions:    true,
-		TableInterval:     tableInterval,
-		SessionTTL:        sessionTTL,
-		ListBackends:      platformClient.ListBackends,
-		ListInterval:      listInterval(settings),
-		ListsUntilGone:    missingListsUntilGone,
-		ReplaceAfter:      settings.Bounds.CatchUp / replaceDivisor,
-		Rollouts:          rollout.Bounds{Share: settings.Bounds.CanaryShare, Extra: settings.Bounds.CanaryExtra},
+		Name:                     settings.Name,
+		Zone:                     settings.Zone,
+		InternalAddress:          internalAddress(settings, settings.Address),
+		Seeds:                    internalSeeds(settings),
+		Bootstrap:                settings.Bootstrap,
+		MinFounders:              2*settings.Survive.Machines + 1,
+		HeartbeatInterval:        heartbeatInterval,
+		SuspicionTimeout:         suspicionTimeout,
+		Seed:                     uint64(time.Now().UnixNano()),
+		DirectSessions:           true,
+		TableInterval:            tableInterval,
+		SessionTTL:               sessionTTL,
+		ListBackends:             platformClient.ListBackends,
+		ListInterval:             listInterval(settings),
+		MissingListsUntilRemoved: missingListsUntilGone,
+		ReplaceAfter:             settings.Bounds.CatchUp / replaceDivisor,
+		Rollouts:                 rollout.Bounds{Share: settings.Bounds.CanaryShare, Extra: settings.Bounds.CanaryExtra},
 	}
 	if !settings.Metered() {
 		return config
--- a/control/backends.go
+++ b/control/backends.go
@@ -10,7 +10,7 @@
 		Lister:                   core.config.ListBackends,
 		Zones:                    core.config.ListZones,
 		Interval:                 core.config.ListInterval,
-		MissingListsUntilRemoved: core.config.ListsUntilGone,
+		MissingListsUntilRemoved: core.config.MissingListsUntilRemoved,
 		Now:                      core.Now,
 	}
 	if options.Lister == nil && core.config.PlatformAddress != "" {
--- a/control/config.go
+++ b/control/config.go
@@ -50,12 +50,12 @@
 	// PlatformAddress is the address of the bundled platform, which lists the backends and
 	// receives usage reports. ListBackends and Metering replace it. ListZones returns the zones
 	// that ListBackends knows; it is nil if ListBackends does not list by zone.
-	PlatformAddress string
-	ListBackends    discovery.Lister
-	ListZones       func() []string
-	ListInterval    time.Duration
-	ListsUntilGone  int
-	Metering        Metering
+	PlatformAddress          string
+	ListBackends             discovery.Lister
+	ListZones                func() []string
+	ListInterval             time.Duration
+	MissingListsUntilRemoved int
+	Metering                 Metering
 
 	// Rollouts limits the requests to a version that may be bad, and RolloutVerdict decides
 	// whether it is bad.
@@ -90,7 +90,7 @@
 	setDefault(&config.TableInterval, config.HeartbeatInterval)
 	setDefault(&config.SessionTTL, defaultSessionTTL)
 	setDefault(&config.ListInterval, discovery.DefaultInterval)
-	setDefault(&config.ListsUntilGone, discovery.DefaultMissingListsUntilRemoved)
+	setDefault(&config.MissingListsUntilRemoved, discovery.DefaultMissingListsUntilRemoved)
 	return config
 }
 
--- a/control/model_mutants_test.go
+++ b/control/model_mutants_test.go
@@ -176,7 +176,7 @@
 	{
 		name: "a restored voter fences one fewer voter", scenario: modelWipedDisks, violates: []string{decisionsAreKept},
 		mutate: func(rules *modelRules) {
-			rules.fencesWithout = modelFenceOneFewer
+			rules.fencesLostVoter = modelFenceOneFewer
 			rules.mayRestore = func(core *Core, view *consensus.View, response map[int]*message.ReplicaStateResponse) bool {
 				return view.MayLead(view.ID) &&
 					modelFenceOneFewer(
--- a/control/model_rules_test.go
+++ b/control/model_rules_test.go
@@ -11,7 +11,7 @@
 	decides              func(view *consensus.View, has func(id int) bool) bool
 	decidedBy            func(view *consensus.View, accepted func(id int) bool) bool
 	mayRestore           func(core *Core, view *consensus.View, response map[int]*message.ReplicaStateResponse) bool
-	fencesWithout        func(view *consensus.View, lost int, has func(id int) bool) bool
+	fencesLostVoter      func(view *consensus.View, lost int, has func(id int) bool) bool
 	prepareMembership    func(view *consensus.View) message.AcceptedValue
 	inheritedValues      func(view *consensus.View, promises map[int]*message.PrepareResponse) ([message.Registers]message.AcceptedValue, [message.Registers]int)
 	inheritedVersion     func(inherited message.AcceptedValue) message.Version
@@ -22,7 +22,7 @@
 	mayInitializeLearner func(core *Core, response *message.JoinResponse) bool
 	initializeLearner    func(core *Core, term message.Term)
 	withReplacement      func(view *consensus.View, leaving int, address string) *consensus.Membership
-	withoutFormer        func(view *consensus.View) *consensus.Membership
+	afterJoint           func(view *consensus.View) *consensus.Membership
 	adopt                func(core *Core, next *consensus.Membership, term message.Term) (*consensus.View, error)
 	adoptRewritten       func(core *Core, view *consensus.View, term message.Term) error
 
@@ -45,7 +45,7 @@
 		mayRestore: func(core *Core, view *consensus.View, responses map[int]*message.ReplicaStateResponse) bool {
 			return core.members.MayRestore(view, responses)
 		},
-		fencesWithout: func(view *consensus.View, lost int, has func(id int) bool) bool {
+		fencesLostVoter: func(view *consensus.View, lost int, has func(id int) bool) bool {
 			return view.FencesLostVoter(lost, has)
 		},
 		prepareMembership: func(view *consensus.View) message.AcceptedValue { return view.Accepted() },
@@ -65,7 +65,7 @@
 		withReplacement: func(view *consensus.View, leaving int, address string) *consensus.Membership {
 			return view.WithReplacement(leaving, address)
 		},
-		withoutFormer: func(view *consensus.View) *consensus.Membership { return view.AfterJoint() },
+		afterJoint: func(view *consensus.View) *consensus.Membership { return view.AfterJoint() },
 		adopt: func(core *Core, next *consensus.Membership, term message.Term) (*consensus.View, error) {
 			return core.members.Adopt(next, term)
 		},
--- a/control/model_steps_test.go
+++ b/control/model_steps_test.go
@@ -93,7 +93,7 @@
 	next := cluster.rules.withReplacement(machine.process.core.membership(), former.leavingID, former.learner)
 	if !cluster.rules.usesJointMembership {
 		joint := &consensus.View{Membership: next}
-		next = cluster.rules.withoutFormer(joint)
+		next = cluster.rules.afterJoint(joint)
 		next.Version.Serial = joint.Version.Serial
 	}
 	cluster.writeMembership(machine, modelWriteJoint, next)
@@ -102,7 +102,7 @@
 // finishReplacement begins to end a joint membership.
 func (cluster *modelCluster) finishReplacement(machine *modelMachine) {
 	if !cluster.rules.rewritesValues {
-		cluster.writeMembership(machine, modelWriteFinal, cluster.rules.withoutFormer(machine.process.core.membership()))
+		cluster.writeMembership(machine, modelWriteFinal, cluster.rules.afterJoint(machine.process.core.membership()))
 		return
 	}
 	cluster.replicate(
@@ -174,7 +174,7 @@
 	candidacy := process.candidacy
 	has := consensus.Agreed(candidacy.promises, consensus.Granted)
 	if candidacy.restoring {
-		if !cluster.rules.fencesWithout(candidacy.view, candidacy.view.ID, has) {
+		if !cluster.rules.fencesLostVoter(candidacy.view, candidacy.view.ID, has) {
 			return
 		}
 		accepted, _ := cluster.rules.inheritedValues(candidacy.view, candidacy.promises)
@@ -526,7 +526,7 @@
 	case modelCatchUp:
 		cluster.writeJointMembership(machine, replication)
 	case modelRewrite:
-		cluster.writeMembership(machine, modelWriteFinal, cluster.rules.withoutFormer(replication.view))
+		cluster.writeMembership(machine, modelWriteFinal, cluster.rules.afterJoint(replication.view))
 	default:
 		for register, value := range replication.values {
 			process.leadership.values[register] = value
--- a/harness/checker/evidence_test.go
+++ b/harness/checker/evidence_test.go
@@ -25,7 +25,7 @@
 	settings.Tenants = map[string]config.Tenant{"alder": {ForbidRegions: []string{"west"}}}
 	evidence := &Evidence{
 		Settings: settings, Zones: map[string]string{"back": "e1", "front": "e1", "other": "w1"}, Planned: true,
-		Ledger: NewLedger(nil, 1), Reports: map[string][]string{}, ReportAt: map[string]int64{},
+		Ledger: NewChangeRecorder(nil, 1), Reports: map[string][]string{}, ReportAt: map[string]int64{},
 	}
 	callers := standin.LoadReport{Asked: 200, Served: 200}
 	record := standin.BackendRecord{Instance: "back", Service: "meters", Gentle: 10}
--- a/harness/checker/ledger.go
+++ b/harness/checker/ledger.go
@@ -54,9 +54,9 @@
 	maxReplacedBytes = 100_000
 )
 
-// NewLedger returns a ChangeRecorder that changes the settings of system, with random choices
+// NewChangeRecorder returns a ChangeRecorder that changes the settings of system, with random choices
 // drawn from seed.
-func NewLedger(system System, seed uint64) *ChangeRecorder {
+func NewChangeRecorder(system System, seed uint64) *ChangeRecorder {
 	return &ChangeRecorder{
 		system:  system,
 		seed:    seed,
--- a/harness/cluster/scenario.go
+++ b/harness/cluster/scenario.go
@@ -108,7 +108,7 @@
 	if err := fleet.Call(); err != nil {
 		return nil, err
 	}
-	ledger := checker.NewLedger(fleet, fleet.Spec.Seed)
+	ledger := checker.NewChangeRecorder(fleet, fleet.Spec.Seed)
 	fleet.ledger = ledger
 	if fleet.Spec.Changes > 0 {
 		ledger.StartOperators(2, 2*time.Second/time.Duration(fleet.Spec.Changes))
--- a/harness/simulation/evidence.go
+++ b/harness/simulation/evidence.go
@@ -10,7 +10,7 @@
 
 // StartOperators starts operators that change the settings concurrently.
 func (world *World) StartOperators(count int, pace time.Duration) *checker.ChangeRecorder {
-	ledger := checker.NewLedger(world, world.Seed)
+	ledger := checker.NewChangeRecorder(world, world.Seed)
 	ledger.StartOperators(count, pace)
 	return ledger
 }
--- a/harness/simulation/operator_test.go
+++ b/harness/simulation/operator_test.go
@@ -39,7 +39,7 @@
 func (world *World) openOperators(index int) {
 	machine := world.Cores[index]
 	machine.Forwarder.SetLocalLeader(machine.Core.Leader)
-	control := platform.NewControl(
+	control := platform.NewOperatorAPI(
 		platform.NewLeaderCommands(machine.Forwarder),
 		func() map[string]string { return nil },
 		metrics.NewCounters(),
--- a/harness/simulation/regions.go
+++ b/harness/simulation/regions.go
@@ -90,7 +90,7 @@
 	config.HeartbeatInterval, config.SuspicionTimeout, config.TableInterval = regionalHeartbeatInterval, regionalSuspicionTimeout, 250*time.Millisecond
 	config.ReplaceAfter = regionalReplaceAfter
 	config.DirectSessions, config.SessionTTL = true, 2500*time.Millisecond
-	config.ListBackends, config.ListsUntilGone = world.listBackends, 2
+	config.ListBackends, config.MissingListsUntilRemoved = world.listBackends, 2
 	config.ListZones = world.ListZones
 	config.Metering = world.Metering
 }
