--- a/consensus/membership_test.go
+++ b/consensus/membership_test.go
@@ -155,7 +155,8 @@
 	if joining.ID != 4 || joining.MayLead(joining.ID) || len(joining.Peers) != 3 {
 		test.Errorf("view of the joining core: %+v", joining)
 	}
-	if !joining.IsQuorumWithSelf(func(id int) bool { return id == 2 || id == 3 }) || joining.IsQuorumWithSelf(func(id int) bool { return id == 2 }) {
+	if !joining.IsQuorumWithSelf(func(id int) bool { return id == 2 || id == 3 }) ||
+		joining.IsQuorumWithSelf(func(id int) bool { return id == 2 }) {
 		test.Error("a joint version must need a majority of both groups")
 	}
 }
--- a/idempotency/power_loss_test.go
+++ b/idempotency/power_loss_test.go
@@ -128,7 +128,9 @@
 					disk = disk.Detach(true)
 					continue
 				}
-				disk.SetFaults([]simulation.DiskFaults{{Writes: true}, {Syncs: true}, {Writes: true, Syncs: true, Names: true}}[random.IntN(3)])
+				disk.SetFaults(
+					[]simulation.DiskFaults{{Writes: true}, {Syncs: true}, {Writes: true, Syncs: true, Names: true}}[random.IntN(3)],
+				)
 				for range 1 + random.IntN(10) {
 					if driver.claimNext() {
 						test.Fatalf("seed %d round %d: claim granted while the disk fails", seed, round)
