--- a/cmd/orchidjunction/core.go
+++ b/cmd/orchidjunction/core.go
@@ -59,13 +59,13 @@
 // listInterval returns the interval between two reads of the list. It leaves most of the time to
 // drain a backend for the lag of the list and for informing all processes.
 func listInterval(settings *platform.Settings) time.Duration {
-	interval := time.Duration(float64(settings.Bounds.Drain-settings.Platform.Lag) / drainDivisor)
+	interval := time.Duration(float64(settings.Bounds.Drain-settings.Platform.ListLag) / drainDivisor)
 	return max(minListInterval, min(maxListInterval, interval))
 }
 
 func (node *node) runCore() error {
 	settings := node.source.Settings()
-	if err := makeDataFolder(settings.Folder); err != nil {
+	if err := makeDataFolder(settings.StateDir); err != nil {
 		return err
 	}
 	client := rpc.NewClient(process.WANTransport(userTimeout))
@@ -79,7 +79,7 @@
 	if err := config.Check(); err != nil {
 		return err
 	}
-	core, err := control.NewCore(config, storage.Folder(settings.Folder), client, node.goroutines, node.counters)
+	core, err := control.NewCore(config, storage.Folder(settings.StateDir), client, node.goroutines, node.counters)
 	if err != nil {
 		return err
 	}
@@ -87,8 +87,8 @@
 	core.Register(server)
 	forwarder := agent.NewForwarder(finder, client, node.counters).WithLimits(agent.ForwardLimits{Attempt: attemptTimeout})
 	forwarder.SetLocalLeader(core.Leader)
-	operators := platform.NewControl(
-		platform.NewLeaderOrders(forwarder),
+	operators := platform.NewOperatorAPI(
+		platform.NewLeaderCommands(forwarder),
 		func() map[string]string { return node.source.Settings().Zones },
 		node.counters,
 	)
@@ -107,7 +107,7 @@
 	core.Run()
 	node.source.Follow(node.goroutines)
 	process.LogCounts(node.goroutines, node.counters, settings.Name)
-	process.OnTerm(node.goroutines, func() {
+	process.OnTerminate(node.goroutines, func() {
 		start, grace := time.Now(), settings.Bounds.Grace-graceMargin
 		core.Retire(grace)
 		node.listeners[1].Drain(grace - time.Since(start))
@@ -131,32 +131,32 @@
 
 func coreConfig(settings *platform.Settings, platformClient *platform.Client) control.Config {
 	config := control.Config{
-		Name:              settings.Name,
-		Zone:              settings.Zone,
-		InternalAddress:   internalAddress(settings, settings.Address),
-		Seeds:             internalSeeds(settings),
-		Bootstrap:         settings.First,
-		MinFounders:       2*settings.Survive.Machines + 1,
-		HeartbeatInterval: heartbeatInterval,
-		SuspicionTimeout:  suspicionTimeout,
-		Seed:              uint64(time.Now().UnixNano()),
-		DirectSessions:    true,
-		TableInterval:     tableInterval,
-		SessionTTL:        sessionTTL,
-		ListBackends:      platformClient.ListBackends,
-		ListInterval:      listInterval(settings),
-		ListsUntilGone:    missingListsUntilGone,
-		ReplaceAfter:      settings.Bounds.CatchUp / replaceDivisor,
-		Rollouts:          rollout.Bounds{Share: settings.Bounds.CanaryShare, Extra: settings.Bounds.CanaryExtra},
+		Name:                     settings.Name,
+		Zone:                     settings.Zone,
+		InternalAddress:          internalAddress(settings, settings.Address),
+		Seeds:                    internalSeeds(settings),
+		Bootstrap:                settings.Bootstrap,
+		MinFounders:              2*settings.Survive.Machines + 1,
+		HeartbeatInterval:        heartbeatInterval,
+		SuspicionTimeout:         suspicionTimeout,
+		Seed:                     uint64(time.Now().UnixNano()),
+		DirectSessions:           true,
+		TableInterval:            tableInterval,
+		SessionTTL:               sessionTTL,
+		ListBackends:             platformClient.ListBackends,
+		ListInterval:             listInterval(settings),
+		MissingListsUntilRemoved: missingListsUntilGone,
+		ReplaceAfter:             settings.Bounds.CatchUp / replaceDivisor,
+		Rollouts:                 rollout.Bounds{Share: settings.Bounds.CanaryShare, Extra: settings.Bounds.CanaryExtra},
 	}
 	if !settings.Metered() {
 		return config
 	}
 	config.Metering = control.Metering{
-		Window:        settings.Bounds.ReportWindow,
-		SettleAfter:   usageSettleDelay,
-		SettleLatest:  settings.Bounds.UsageDelay - reportMargin,
-		TakeoverQuiet: settings.Bounds.Lease,
+		Window:              settings.Bounds.ReportWindow,
+		SettleAfter:         usageSettleDelay,
+		SettleLatest:        settings.Bounds.UsageDelay - reportMargin,
+		TakeoverQuietPeriod: settings.Bounds.Lease,
 		Report: func(report control.WindowReport) control.ReportResult {
 			ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 			defer cancel()
--- a/control/config.go
+++ b/control/config.go
@@ -32,10 +32,10 @@
 	Seed            uint64   // of all random numbers
 
 	// Bootstrap allows a core with a blank disk to found a new system, once there are at least
-	// MinFounders cores and no other core has appeared for FoundingQuiet.
-	Bootstrap     bool
-	MinFounders   int
-	FoundingQuiet time.Duration
+	// MinFounders cores and no other core has appeared for FoundingQuietPeriod.
+	Bootstrap           bool
+	MinFounders         int
+	FoundingQuietPeriod time.Duration
 
 	HeartbeatInterval time.Duration
 	SuspicionTimeout  time.Duration
@@ -50,12 +50,12 @@
 	// PlatformAddress is the address of the bundled platform, which lists the backends and
 	// receives usage reports. ListBackends and Metering replace it. ListZones returns the zones
 	// that ListBackends knows; it is nil if ListBackends does not list by zone.
-	PlatformAddress string
-	ListBackends    discovery.Lister
-	ListZones       func() []string
-	ListInterval    time.Duration
-	ListsUntilGone  int
-	Metering        Metering
+	PlatformAddress          string
+	ListBackends             discovery.Lister
+	ListZones                func() []string
+	ListInterval             time.Duration
+	MissingListsUntilRemoved int
+	Metering                 Metering
 
 	// Rollouts limits the requests to a version that may be bad, and RolloutVerdict decides
 	// whether it is bad.
@@ -86,11 +86,11 @@
 	}
 	setDefault(&config.Rollouts, rollout.DefaultBounds)
 	setDefault(&config.ReplaceAfter, max(minReplaceAfter, 2*config.SuspicionTimeout))
-	setDefault(&config.FoundingQuiet, defaultFoundingQuiet)
+	setDefault(&config.FoundingQuietPeriod, defaultFoundingQuiet)
 	setDefault(&config.TableInterval, config.HeartbeatInterval)
 	setDefault(&config.SessionTTL, defaultSessionTTL)
 	setDefault(&config.ListInterval, discovery.DefaultInterval)
-	setDefault(&config.ListsUntilGone, discovery.DefaultListsUntilGone)
+	setDefault(&config.MissingListsUntilRemoved, discovery.DefaultMissingListsUntilRemoved)
 	return config
 }
 
--- a/control/model_mutants_test.go
+++ b/control/model_mutants_test.go
@@ -27,7 +27,7 @@
 
 // modelOneBelowMajority requires one voter fewer than a majority of each group.
 func modelOneBelowMajority(view *consensus.View, has func(id int) bool) bool {
-	if !view.Votes() {
+	if !view.IsVoter() {
 		return false
 	}
 	for _, group := range view.Groups() {
@@ -40,7 +40,7 @@
 
 // modelFormerMajority requires only a majority of the former voters, also in a joint membership.
 func modelFormerMajority(view *consensus.View, has func(id int) bool) bool {
-	return view.Votes() && message.CountIn(view.Voters, has) >= message.Majority(view.Voters)
+	return view.IsVoter() && message.CountIn(view.Voters, has) >= message.Majority(view.Voters)
 }
 
 // modelOldestValues returns the oldest values instead of the newest.
@@ -176,7 +176,7 @@
 	{
 		name: "a restored voter fences one fewer voter", scenario: modelWipedDisks, violates: []string{decisionsAreKept},
 		mutate: func(rules *modelRules) {
-			rules.fencesWithout = modelFenceOneFewer
+			rules.fencesLostVoter = modelFenceOneFewer
 			rules.mayRestore = func(core *Core, view *consensus.View, response map[int]*message.ReplicaStateResponse) bool {
 				return view.MayLead(view.ID) &&
 					modelFenceOneFewer(
--- a/control/model_steps_test.go
+++ b/control/model_steps_test.go
@@ -93,7 +93,7 @@
 	next := cluster.rules.withReplacement(machine.process.core.membership(), former.leavingID, former.learner)
 	if !cluster.rules.usesJointMembership {
 		joint := &consensus.View{Membership: next}
-		next = cluster.rules.withoutFormer(joint)
+		next = cluster.rules.afterJoint(joint)
 		next.Version.Serial = joint.Version.Serial
 	}
 	cluster.writeMembership(machine, modelWriteJoint, next)
@@ -102,7 +102,7 @@
 // finishReplacement begins to end a joint membership.
 func (cluster *modelCluster) finishReplacement(machine *modelMachine) {
 	if !cluster.rules.rewritesValues {
-		cluster.writeMembership(machine, modelWriteFinal, cluster.rules.withoutFormer(machine.process.core.membership()))
+		cluster.writeMembership(machine, modelWriteFinal, cluster.rules.afterJoint(machine.process.core.membership()))
 		return
 	}
 	cluster.replicate(
@@ -174,7 +174,7 @@
 	candidacy := process.candidacy
 	has := consensus.Agreed(candidacy.promises, consensus.Granted)
 	if candidacy.restoring {
-		if !cluster.rules.fencesWithout(candidacy.view, candidacy.view.ID, has) {
+		if !cluster.rules.fencesLostVoter(candidacy.view, candidacy.view.ID, has) {
 			return
 		}
 		accepted, _ := cluster.rules.inheritedValues(candidacy.view, candidacy.promises)
@@ -250,7 +250,7 @@
 				core.learnMembership(state.Membership)
 			}
 		}
-		if accepted.Value.Serial > 0 && core.membership().SameVoters(view) && view.Decides(consensus.Agreed(responses, same)) {
+		if accepted.Value.Serial > 0 && core.membership().SameVoters(view) && view.IsQuorumWithSelf(consensus.Agreed(responses, same)) {
 			cluster.observer.checkServed(machine.index, register, accepted.Value)
 		}
 	}
@@ -330,7 +330,7 @@
 func (cluster *modelCluster) handleJoin(machine *modelMachine, packet *modelPacket, request *message.JoinRequest) {
 	process := machine.process
 	view := process.core.membership()
-	if !view.Known() {
+	if !view.HasMembership() {
 		return
 	}
 	if process.leadership == nil || !cluster.rules.admits(view, request.Address) {
@@ -463,8 +463,8 @@
 	core := process.core
 	process.joinCall = 0
 	membership, err := consensus.DecodeMembership(response.Membership)
-	if !core.membership().Known() && err == nil && membership != nil && core.replica.Blank() &&
-		consensus.NewView(machine.address, membership).MayVoteAtOnce(core.sinceBootstrap()) {
+	if !core.membership().HasMembership() && err == nil && membership != nil && core.replica.Blank() &&
+		consensus.NewView(machine.address, membership).MayVoteWithoutRestore(core.sinceBootstrap()) {
 		if core.replica.Join(response.Membership) != nil {
 			return
 		}
@@ -526,7 +526,7 @@
 	case modelCatchUp:
 		cluster.writeJointMembership(machine, replication)
 	case modelRewrite:
-		cluster.writeMembership(machine, modelWriteFinal, cluster.rules.withoutFormer(replication.view))
+		cluster.writeMembership(machine, modelWriteFinal, cluster.rules.afterJoint(replication.view))
 	default:
 		for register, value := range replication.values {
 			process.leadership.values[register] = value
--- a/harness/cluster/changes.go
+++ b/harness/cluster/changes.go
@@ -121,7 +121,7 @@
 // Meanwhile, bodies above the size limit must be refused.
 func concurrentChanges(fleet *Fleet) {
 	fleet.addRoutes(5_000)
-	fleet.ledger.Operate(24, 2*time.Second)
+	fleet.ledger.StartOperators(24, 2*time.Second)
 	for range 2 {
 		oversized := operator.Change{Base: 1, Settings: []byte(`{"fill":"` + strings.Repeat("x", 17<<20) + `"}`)}
 		if _, err := fleet.OperatorClient(0).Put(oversized); err == nil || rpc.CodeOf(err) != rpc.TooLarge {
--- a/harness/cluster/cluster.go
+++ b/harness/cluster/cluster.go
@@ -40,7 +40,7 @@
 	addedCores    int
 	failures      []string
 	windows       []checker.Window
-	ledger        *checker.Ledger
+	ledger        *checker.ChangeRecorder
 	loadStart     time.Time
 	peer          *Fleet
 	guests        map[string]string
@@ -190,8 +190,8 @@
 	return operator.NewClient([]string{address}, nil)
 }
 
-// Rest sleeps and returns false once the run is stopped.
-func (fleet *Fleet) Rest(duration time.Duration) bool { return fleet.goroutines.Sleep(duration) }
+// Sleep sleeps and returns false once the run is stopped.
+func (fleet *Fleet) Sleep(duration time.Duration) bool { return fleet.goroutines.Sleep(duration) }
 
 // Start runs function in one of the run's goroutines.
 func (fleet *Fleet) Start(function func()) { fleet.goroutines.Start(function) }
--- a/harness/cluster/scenario.go
+++ b/harness/cluster/scenario.go
@@ -115,10 +115,10 @@
 	if err := fleet.StartLoad(); err != nil {
 		return nil, err
 	}
-	ledger := checker.NewLedger(fleet, fleet.Spec.Seed)
+	ledger := checker.NewChangeRecorder(fleet, fleet.Spec.Seed)
 	fleet.ledger = ledger
 	if fleet.Spec.Changes > 0 {
-		ledger.Operate(2, 2*time.Second/time.Duration(fleet.Spec.Changes))
+		ledger.StartOperators(2, 2*time.Second/time.Duration(fleet.Spec.Changes))
 	}
 	scenario.Inject(fleet)
 	report, err := fleet.FinishLoad()
@@ -127,13 +127,13 @@
 		return nil, err
 	}
 	evidence := &checker.Evidence{
-		Callers:  []standin.LoadReport{*report},
-		Settings: fleet.settings,
-		Zones:    fleet.Zones(),
-		Guests:   fleet.guests,
-		Ledger:   ledger,
-		Planned:  scenario.Planned,
-		Windows:  fleet.windows,
+		Callers:     []standin.LoadReport{*report},
+		Settings:    fleet.settings,
+		Zones:       fleet.Zones(),
+		LentProxies: fleet.guests,
+		Ledger:      ledger,
+		Planned:     scenario.Planned,
+		Windows:     fleet.windows,
 	}
 	if evidence.History, err = ledger.History(10 * time.Second); err != nil {
 		return nil, err
@@ -155,7 +155,7 @@
 	evidence.Reports, evidence.ReportAt = reports.Reports, reports.AtMs
 	fleet.waitForPeer()
 	fleet.Shutdown()
-	evidence.Backends, evidence.Codes = fleet.BackendRecords(), fleet.failures
+	evidence.Backends, evidence.Failures = fleet.BackendRecords(), fleet.failures
 	return append(evidence.Judge(), fleet.lendingVerdicts(report, scenario.Planned)...), nil
 }
 
--- a/harness/simulation/catchup_test.go
+++ b/harness/simulation/catchup_test.go
@@ -82,7 +82,7 @@
 	restore := world.takeDown(kind, index)
 	world.putRoutings(&version, count)
 	if !continued {
-		world.Rest(5 * time.Second) // past the retries of the last change
+		world.Sleep(5 * time.Second) // past the retries of the last change
 	}
 	restore()
 	wanted, begin := world.durableSerial((index+1)%3), time.Now()
@@ -97,7 +97,7 @@
 		world.reportViolation("returned core has serial %d, the others had %d at its return", world.durableSerial(index), wanted)
 	}
 	took := time.Since(begin)
-	world.Rest(2 * time.Second)
+	world.Sleep(2 * time.Second)
 	stop.Store(true)
 	world.Until(10*time.Second, ended.Load)
 	leader, acknowledged := world.waitStable(test), version.Load()
@@ -117,11 +117,11 @@
 		world.reportViolation("read %+v after the loss of the leader, version %d was acknowledged: %v", state, acknowledged, err)
 	}
 	for _, machine := range world.Cores {
-		if used := machine.Disk.MostUsed(); used > diskLimit {
+		if used := machine.Disk.PeakUsed(); used > diskLimit {
 			world.reportViolation("core %d used %d bytes of disk", machine.ID, used)
 		}
 	}
-	test.Logf("caught up after %v, %d bytes of disk at most", took, world.Cores[index].Disk.MostUsed())
+	test.Logf("caught up after %v, %d bytes of disk at most", took, world.Cores[index].Disk.PeakUsed())
 	world.reportFailures(test)
 }
 
--- a/harness/simulation/changes_during_partition_test.go
+++ b/harness/simulation/changes_during_partition_test.go
@@ -157,9 +157,9 @@
 							mutex.Unlock()
 						})
 					}
-					world.Rest(time.Duration(50+seed*13%50) * time.Millisecond)
+					world.Sleep(time.Duration(50+seed*13%50) * time.Millisecond)
 					if time.Since(begin) > time.Second {
-						world.Rest(3 * time.Second)
+						world.Sleep(3 * time.Second)
 					}
 				}
 				world.partitionCore(leader, kind, false)
--- a/harness/simulation/claims_test.go
+++ b/harness/simulation/claims_test.go
@@ -79,7 +79,7 @@
 			); err != nil {
 				test.Fatal(err)
 			}
-			world.Rest(10 * time.Second / 10 * time.Duration(600/seconds))
+			world.Sleep(10 * time.Second / 10 * time.Duration(600/seconds))
 			bytes, _ := size()
 			peak = max(peak, bytes)
 			if second == seconds {
@@ -142,9 +142,9 @@
 				}
 				return err
 			}
-			torn, corrupt := world.Cores[0].Disk.Fork(), world.Cores[0].Disk.Fork()
-			torn.Cut(name, length-1-int(seed)*7)
-			corrupt.Harm(name, length/3+int(seed)*5)
+			torn, corrupt := world.Cores[0].Disk.Clone(), world.Cores[0].Disk.Clone()
+			torn.Truncate(name, length-1-int(seed)*7)
+			corrupt.FlipBit(name, length/3+int(seed)*5)
 			if err := open(torn); err != nil {
 				test.Errorf("open with a torn tail: %v", err)
 			}
--- a/harness/simulation/class_overload_test.go
+++ b/harness/simulation/class_overload_test.go
@@ -32,7 +32,7 @@
 				Patch(operator.Change{Base: 1, Change: "borrow", Settings: body}); err != nil {
 				test.Fatal(err)
 			}
-			world.Rest(2 * time.Second)
+			world.Sleep(2 * time.Second)
 			normalPlan, overloadPlan := world.loadPlan(15, 10), world.loadPlan(500, 10)
 			normalPlan.Calls, overloadPlan.Calls = normalPlan.Calls[:1], overloadPlan.Calls[1:2]
 			if overloaded == "money" {
--- a/harness/simulation/competing_candidates_test.go
+++ b/harness/simulation/competing_candidates_test.go
@@ -39,7 +39,7 @@
 			spans := []time.Duration{}
 			for range 12 {
 				spans = append(spans, world.electionTime(test))
-				world.Rest(2 * time.Second)
+				world.Sleep(2 * time.Second)
 			}
 			slices.Sort(spans)
 			median, worst := spans[len(spans)/2], spans[len(spans)-1]
--- a/harness/simulation/control_test.go
+++ b/harness/simulation/control_test.go
@@ -208,7 +208,7 @@
 	random := rand.New(rand.NewPCG(checker.world.Seed, 100+number))
 	zone, evacuate := fmt.Sprint("z", number), false
 	return func() bool {
-		checker.world.Rest(time.Duration(100+random.IntN(1400)) * time.Millisecond)
+		checker.world.Sleep(time.Duration(100+random.IntN(1400)) * time.Millisecond)
 		forwarders := checker.world.forwarders()
 		for _, member := range checker.world.Members {
 			forwarders = append(forwarders, member.Daemon.Forwarder)
@@ -300,7 +300,7 @@
 			)
 		}
 	}
-	checker.world.Rest(100 * time.Millisecond)
+	checker.world.Sleep(100 * time.Millisecond)
 	return true
 }
 
@@ -436,7 +436,7 @@
 		for _, member := range checker.world.Members {
 			checker.meters.startRequest(member)
 		}
-		return checker.world.Rest(100 * time.Millisecond)
+		return checker.world.Sleep(100 * time.Millisecond)
 	})
 }
 
@@ -448,7 +448,7 @@
 		checker := world.newControlChecker()
 		defer world.CloseRegional()
 		world.startFar(test, 6)
-		world.Rest(settleTime)
+		world.Sleep(settleTime)
 		checker.start()
 		faults, linkFaults := checker.newInjector(0, ControlFaults, CoreFaults), checker.newInjector(1, ControlLinkFaults, CoreLinkFaults)
 		ended := false
@@ -460,7 +460,7 @@
 		})
 		faults.Run(2 * faultDuration())
 		world.Until(time.Minute, func() bool { checker.mutex.Lock(); defer checker.mutex.Unlock(); return ended })
-		world.Rest(settleTime + propagationLimit)
+		world.Sleep(settleTime + propagationLimit)
 		if !checker.stop(60 * time.Second) {
 			test.Fatal("operator requests did not end within 60 s")
 		}
--- a/harness/simulation/disk_failure_test.go
+++ b/harness/simulation/disk_failure_test.go
@@ -25,7 +25,7 @@
 			machine := world.Cores[index]
 			breakDisk := func() {
 				if kind == "leader's disk is full" {
-					machine.Disk.Room(machine.Disk.Used())
+					machine.Disk.SetCapacity(machine.Disk.Used())
 				} else {
 					machine.Disk.Fail(true)
 				}
@@ -45,7 +45,7 @@
 				}
 				version++
 				slowest = max(slowest, time.Since(begin))
-				world.Rest(time.Second)
+				world.Sleep(time.Second)
 			}
 			if slowest > 2*time.Second {
 				world.reportViolation("%s: an order took %v, want at most 2 s", kind, slowest)
@@ -58,11 +58,11 @@
 				world.reportViolation("%s: votes %v, leads %v, want neither", kind, machine.Core.CanVote(), world.Leader() == index)
 			}
 			machine.Disk.Fail(false)
-			machine.Disk.Room(0)
+			machine.Disk.SetCapacity(0)
 			if !world.Until(2*time.Second, func() bool { return machine.Core.CanVote() }) {
 				world.reportViolation("%s: does not vote within 2 s of the disk's recovery", kind)
 			}
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 			if serial := world.durableSerial(index); serial < world.durableSerial((index+1)%3) {
 				world.reportViolation("%s: has serial %d on disk, another core has %d", kind, serial, world.durableSerial((index+1)%3))
 			}
@@ -86,9 +86,9 @@
 			if err := world.PutRouting(version+1, version); err != nil {
 				world.reportViolation("version %d: %v", version+1, err)
 			}
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 		}
-		world.Rest(2 * time.Second)
+		world.Sleep(2 * time.Second)
 		if sent := world.sumCounter("copies_mended") - before; sent > 10 {
 			world.reportViolation("values sent %d times to a core with a stalled disk, want at most 10", sent)
 		}
@@ -96,7 +96,7 @@
 			world.reportViolation("leadership moved from core %d to %d", leader, world.Leader())
 		}
 		world.Cores[index].Disk.Stall(false)
-		world.Rest(2 * time.Second)
+		world.Sleep(2 * time.Second)
 		if world.durableSerial(index) != world.durableSerial(leader) {
 			world.reportViolation("follower has serial %d on disk, the leader %d", world.durableSerial(index), world.durableSerial(leader))
 		}
@@ -117,10 +117,10 @@
 			if err := world.PutRouting(version+1, version); err != nil {
 				world.reportViolation("version %d: %v", version+1, err)
 			}
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 		}
 		world.Cores[leader].Disk.Stall(false)
-		world.Rest(time.Second)
+		world.Sleep(time.Second)
 		if now := world.Leader(); now != leader || world.durableSerial(leader) != world.durableSerial((leader+1)%3) {
 			world.reportViolation(
 				"core %d led, core %d leads; the former has serial %d on disk, a follower %d",
--- a/harness/simulation/drain_test.go
+++ b/harness/simulation/drain_test.go
@@ -51,9 +51,9 @@
 
 // page returns a page after the round trip to the platform.
 func (list *pagedList) page(request discovery.PageRequest) discovery.Page {
-	list.world.Rest(interRegionDelay)
+	list.world.Sleep(interRegionDelay)
 	page := list.read(request)
-	list.world.Rest(interRegionDelay)
+	list.world.Sleep(interRegionDelay)
 	return page
 }
 
@@ -117,9 +117,9 @@
 			config.TableInterval, config.ListInterval = 150*time.Millisecond, 630*time.Millisecond
 		}
 		world.startFar(test, 9)
-		world.Rest(10 * time.Second)
+		world.Sleep(10 * time.Second)
 		for range drainsPerSeed {
-			world.Rest(time.Duration(random.IntN(5000)) * time.Millisecond)
+			world.Sleep(time.Duration(random.IntN(5000)) * time.Millisecond)
 			name, drainedAt := list.drain(random.IntN(listedBackends)), time.Now()
 			if !world.Until(2*drainBound, func() bool { return world.isLeavingEverywhere(name) }) {
 				world.reportViolation("%s: drain not in force everywhere in time", name)
@@ -142,7 +142,7 @@
 		world.ListBackends = list.page
 		world.startFar(test, 9)
 		for number := range drainsPerSeed {
-			world.Rest(5 * time.Second)
+			world.Sleep(5 * time.Second)
 			name := list.drain(number)
 			updated := func() bool { return isLeaving(world.Cores[max(world.Leader(), 0)].running(world).Table(), name) }
 			if !world.Until(drainBound, updated) {
--- a/harness/simulation/drained_zone_test.go
+++ b/harness/simulation/drained_zone_test.go
@@ -37,11 +37,11 @@
 			world.reportViolation("before the drain: %d %s", status, code)
 		}
 		drain(1, []string{proxy.Zone})
-		world.Rest(time.Second)
+		world.Sleep(time.Second)
 		if status, code := call(""); status != 200 {
 			world.reportViolation("1 s after the drain, placement still valid: %d %s", status, code)
 		}
-		world.Rest(3 * time.Second)
+		world.Sleep(3 * time.Second)
 		if status, code := call(""); status != 503 || code != "zone_emptied" {
 			world.reportViolation("4 s after the drain: %d %s", status, code)
 		}
@@ -49,7 +49,7 @@
 			world.reportViolation("4 s after the drain, request with a key: %d %s", status, code)
 		}
 		drain(2, []string{})
-		world.Rest(time.Second)
+		world.Sleep(time.Second)
 		if status, code := call(""); status != 200 {
 			world.reportViolation("after the end of the drain: %d %s", status, code)
 		}
--- a/harness/simulation/injector_test.go
+++ b/harness/simulation/injector_test.go
@@ -128,7 +128,7 @@
 	case "disk-fails":
 		injector.duringLoss([]int{index}, nil, func() {
 			world.machine(index).Disk.Fail(true)
-			world.Rest(injector.randomDuration(300, 1500))
+			world.Sleep(injector.randomDuration(300, 1500))
 			world.KillCore(index, true)
 			world.StartCore(index)
 		})
@@ -152,7 +152,7 @@
 					world.WipeCore((index + offset) % len(world.Cores))
 				}
 			}
-			world.Rest(injector.randomDuration(10, 1000))
+			world.Sleep(injector.randomDuration(10, 1000))
 			world.startAll()
 			world.Until(20*time.Second, world.allVote)
 		})
@@ -171,7 +171,7 @@
 			for _, index := range wiped {
 				world.WipeCore(index)
 			}
-			world.Rest(injector.randomDuration(10, 3000))
+			world.Sleep(injector.randomDuration(10, 3000))
 			world.startAll()
 			if !world.Until(30*time.Second, world.allVote) {
 				world.reportViolation("%s: cores %v do not vote again within 30 s", kind, wiped)
@@ -197,7 +197,7 @@
 			for _, member := range members {
 				world.KillMember(member)
 			}
-			world.Rest(injector.randomDuration(500, 7000))
+			world.Sleep(injector.randomDuration(500, 7000))
 			world.startAll()
 		})
 	case "cores-apart":
@@ -213,7 +213,7 @@
 		}
 		injector.duringLoss(minority, nil, func() {
 			cut(true)
-			world.Rest(injector.randomDuration(500, 8000))
+			world.Sleep(injector.randomDuration(500, 8000))
 			cut(false)
 		})
 	case "member-killed", "members-killed":
@@ -225,13 +225,13 @@
 			for _, member := range members {
 				world.KillMember(member)
 			}
-			world.Rest(injector.randomDuration(50, 2500))
+			world.Sleep(injector.randomDuration(50, 2500))
 			world.startAll()
 		})
 	case "member-frozen":
 		injector.duringFault(nil, []*RegionalDaemon{member}, func() {
 			world.Net.Freeze(member.Host, true)
-			world.Rest(injector.randomDuration(200, 6000))
+			world.Sleep(injector.randomDuration(200, 6000))
 			world.Net.Freeze(member.Host, false)
 		})
 	case "member-cut":
@@ -248,11 +248,11 @@
 		}
 		injector.duringFault(nil, []*RegionalDaemon{member}, func() {
 			cut(true)
-			world.Rest(injector.randomDuration(500, 7000))
+			world.Sleep(injector.randomDuration(500, 7000))
 			cut(false)
 		})
 	case "calm":
-		world.Rest(injector.randomDuration(5000, 9000))
+		world.Sleep(injector.randomDuration(5000, 9000))
 	}
 }
 
@@ -263,7 +263,7 @@
 		injector.randomFaults.Injected[kind]++
 		injector.Inject(kind)
 		if injector.random.IntN(3) > 0 {
-			injector.world.Rest(injector.randomDuration(200, 9000))
+			injector.world.Sleep(injector.randomDuration(200, 9000))
 		}
 	}
 }
--- a/harness/simulation/large_state_test.go
+++ b/harness/simulation/large_state_test.go
@@ -55,7 +55,7 @@
 			if condition == "one lost its disk" {
 				world.WipeCore(other)
 			}
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 			world.startAll()
 			begin := time.Now()
 			if !world.Until(recoveryLimit, func() bool { return world.Leader() >= 0 }) {
--- a/harness/simulation/leave_test.go
+++ b/harness/simulation/leave_test.go
@@ -34,7 +34,7 @@
 			leader := scenario.leader()
 			voter := scenario.machine(scenario.indexAfter(leader, 1))
 			learner := scenario.AddCore(int(seed) % 3)
-			scenario.Rest(2 * time.Second)
+			scenario.Sleep(2 * time.Second)
 			before := scenario.machines()[:3]
 			id := scenario.voterID(voter)
 			caller := rpc.NewClient(scenario.Net.Transport(voter.Host))
@@ -54,12 +54,12 @@
 			if response, err := leave("10.0.9.9:41"); err != nil || response.Wait {
 				scenario.reportViolation("leave with another core's address: %+v, %v", response, err)
 			}
-			scenario.Rest(3 * time.Second)
+			scenario.Sleep(3 * time.Second)
 			scenario.checkVoters("leave with another core's address", before)
 			if response, err := leave(voter.InternalAddress); err != nil || !response.Wait {
 				scenario.reportViolation("leave with its own address: %+v, %v", response, err)
 			}
-			scenario.Rest(3 * time.Second)
+			scenario.Sleep(3 * time.Second)
 			after := []*Core{scenario.machine(learner)}
 			for _, machine := range before {
 				if machine != voter {
--- a/harness/simulation/membership_test.go
+++ b/harness/simulation/membership_test.go
@@ -70,20 +70,20 @@
 			{"together", 80, nothing, nothing},
 			{"a seed is slow", 80, nothing, func(world *World) {
 				world.KillCore(int(seed)%3, false)
-				world.Rest(4 * time.Second)
+				world.Sleep(4 * time.Second)
 				world.StartCore(int(seed) % 3)
 			}},
 			{"the bootstrapping core is killed", 80, nothing, func(world *World) {
 				for range 4 {
-					world.Rest(300*time.Millisecond + randomDelay(400))
+					world.Sleep(300*time.Millisecond + randomDelay(400))
 					world.KillCore(0, true)
-					world.Rest(randomDelay(200))
+					world.Sleep(randomDelay(200))
 					world.StartCore(0)
 				}
 			}},
 			{"all are killed", 80, nothing, func(world *World) {
 				for range 3 {
-					world.Rest(400*time.Millisecond + randomDelay(600))
+					world.Sleep(400*time.Millisecond + randomDelay(600))
 					for index := range world.Cores {
 						world.KillCore(index, true)
 					}
@@ -93,13 +93,13 @@
 				}
 			}},
 			{"the bootstrapping core's links are cut", 80, nothing, func(world *World) {
-				world.Rest(700*time.Millisecond + randomDelay(500))
+				world.Sleep(700*time.Millisecond + randomDelay(500))
 				world.isolateCore(0, true)
-				world.Rest(2 * time.Second)
+				world.Sleep(2 * time.Second)
 				world.isolateCore(0, false)
 			}},
 			{"restarted, no longer counted as a first start", 80, nothing, func(world *World) {
-				world.Rest(300 * time.Millisecond)
+				world.Sleep(300 * time.Millisecond)
 				for index := range world.Cores {
 					world.KillCore(index, true)
 					world.Cores[index].emptyDisk = true
@@ -111,7 +111,7 @@
 			scenarios = append(
 				scenarios,
 				startScenario{"one core reaches one seed only", 1 + 20*index, isolateLastCore(true), func(world *World) {
-					world.Rest(5 * time.Second)
+					world.Sleep(5 * time.Second)
 					isolateLastCore(false)(world)
 				}},
 			)
@@ -122,7 +122,7 @@
 				scenario.before(world)
 				for index := range world.Cores {
 					world.StartCore(index)
-					world.Rest(randomDelay(scenario.maxDelayMs))
+					world.Sleep(randomDelay(scenario.maxDelayMs))
 				}
 				scenario.after(world)
 				world.requireOneMembership(test, fmt.Sprintf("%d cores, %s", cores, scenario.name), cores)
@@ -144,7 +144,7 @@
 		}
 		world.requireOneMembership(test, "three of four started", 3)
 		world.StartCore(3)
-		world.Rest(3 * time.Second)
+		world.Sleep(3 * time.Second)
 		late := world.Cores[3]
 		if late.Core.CanVote() {
 			world.reportViolation("a core that is not a member votes")
@@ -185,7 +185,7 @@
 					world.reportViolation("%v", err)
 				}
 				world.WipeCore(wiped)
-				world.Rest(time.Duration(round) * 400 * time.Millisecond)
+				world.Sleep(time.Duration(round) * 400 * time.Millisecond)
 				world.StartCore(wiped)
 				if !world.Until(15*time.Second, func() bool { return world.Cores[wiped].Core.CanVote() }) {
 					world.reportViolation("core %d does not vote again within 15 s", wiped)
@@ -215,7 +215,7 @@
 				world.StartCore(index)
 			}
 		}
-		world.Rest(10 * time.Second)
+		world.Sleep(10 * time.Second)
 		if memberships := world.storedMemberships(); len(memberships) != 0 || world.Leader() >= 0 {
 			world.reportViolation("two of three cores initialized %v", memberships)
 		}
--- a/harness/simulation/metered_usage_test.go
+++ b/harness/simulation/metered_usage_test.go
@@ -43,10 +43,10 @@
 		reporters:       map[int64]map[string]bool{},
 	}
 	world.Metering = control.Metering{
-		Window:        5 * time.Second,
-		SettleAfter:   3500 * time.Millisecond,
-		TakeoverQuiet: 3 * time.Second,
-		Report:        collector.report,
+		Window:              5 * time.Second,
+		SettleAfter:         3500 * time.Millisecond,
+		TakeoverQuietPeriod: 3 * time.Second,
+		Report:              collector.report,
 	}
 	world.RequestCounts = collector.windowCounts
 	return collector
@@ -71,7 +71,7 @@
 
 // generateLoad starts requests at all running members for the given time.
 func (collector *usageCollector) generateLoad(span, pause time.Duration) {
-	for until := time.Now().Add(span); time.Now().Before(until); collector.world.Rest(pause) {
+	for until := time.Now().Add(span); time.Now().Before(until); collector.world.Sleep(pause) {
 		for _, member := range collector.world.Members {
 			if member.Alive {
 				collector.startRequest(member)
@@ -224,27 +224,27 @@
 		defer world.CloseRegional()
 		world.startFar(test, 2)
 		world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%collector.windowMs < 10 })
-		world.Rest(10 * time.Second)
+		world.Sleep(10 * time.Second)
 		window := time.Now().UnixMilli() / collector.windowMs
 		startRequests := func(count int) {
 			for range count {
 				for _, member := range world.Members {
 					collector.startRequest(member)
 				}
-				world.Rest(10 * time.Millisecond)
+				world.Sleep(10 * time.Millisecond)
 			}
 		}
 		startRequests(100)
-		world.Rest(3 * time.Second)
+		world.Sleep(3 * time.Second)
 		for _, core := range world.Cores {
 			world.Net.Cut(core.Host, world.Members[0].Host, true)
 		}
 		startRequests(50)
-		world.Rest(3900 * time.Millisecond)
+		world.Sleep(3900 * time.Millisecond)
 		for _, core := range world.Cores {
 			world.Net.Cut(core.Host, world.Members[0].Host, false)
 		}
-		world.Rest(5 * time.Second)
+		world.Sleep(5 * time.Second)
 		collector.checkWindows(window, window, 10_000, 0)
 		world.reportFailures(test)
 	})
@@ -276,9 +276,9 @@
 			for _, member := range world.Members {
 				collector.startRequest(member)
 			}
-			world.Rest(10 * time.Millisecond)
+			world.Sleep(10 * time.Millisecond)
 		}
-		world.Rest(12 * time.Second)
+		world.Sleep(12 * time.Second)
 		collector.checkWindows(window, window, 12_000, 0)
 		world.reportFailures(test)
 	})
@@ -295,7 +295,7 @@
 		world.startFar(test, 2)
 		for round := range 3 {
 			world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%collector.windowMs < 10 })
-			world.Rest(10 * time.Second)
+			world.Sleep(10 * time.Second)
 			window := time.Now().UnixMilli() / collector.windowMs
 			cut := func(shut bool) {
 				for _, core := range world.Cores {
@@ -307,7 +307,7 @@
 					for _, member := range world.Members {
 						collector.startRequest(member)
 					}
-					world.Rest(10 * time.Millisecond)
+					world.Sleep(10 * time.Millisecond)
 				}
 			}
 			startRequests(100)
@@ -322,10 +322,10 @@
 				world.reportViolation("window %d was not reported", window)
 			}
 			cut(false)
-			world.Rest(1200 * time.Millisecond)
+			world.Sleep(1200 * time.Millisecond)
 			leader := world.Leader()
 			world.KillCore(leader, round%2 == 0)
-			world.Rest(8 * time.Second)
+			world.Sleep(8 * time.Second)
 			world.StartCore(leader)
 			collector.mutex.Lock()
 			if reporters := collector.reporters[window]; len(reporters) < 2 {
@@ -371,7 +371,7 @@
 				}
 			}
 		}
-		world.Rest(2 * time.Second)
+		world.Sleep(2 * time.Second)
 		checkClocks("after start", 40)
 		for round := range 8 {
 			machine := world.Cores[(skewed+round)%3]
@@ -379,7 +379,7 @@
 			switch round % 4 {
 			case 1:
 				world.KillCore(world.Leader(), true)
-				world.Rest(4 * time.Second)
+				world.Sleep(4 * time.Second)
 				checkClocks("without the leader", 60)
 				for index, machine := range world.Cores {
 					if machine.running(world) == nil {
@@ -393,7 +393,7 @@
 				world.StartCore(skewed)
 			}
 			world.Until(10*time.Second, func() bool { return world.Leader() >= 0 })
-			world.Rest(2 * time.Second)
+			world.Sleep(2 * time.Second)
 			checkClocks(fmt.Sprint("round ", round), 60)
 		}
 		world.reportFailures(test)
@@ -421,7 +421,7 @@
 			}
 			return time.Since(begin)
 		}
-		world.Rest(2 * time.Second)
+		world.Sleep(2 * time.Second)
 		world.Members[3].Daemon.Retire(100*time.Millisecond, time.Second, func(time.Duration) bool { return true })
 		world.KillMember(world.Members[3])
 		retired := timeToLeave(world.Members[3])
--- a/harness/simulation/operator_race_test.go
+++ b/harness/simulation/operator_race_test.go
@@ -43,7 +43,7 @@
 	}
 	zone := fmt.Sprint("z", number)
 	for isRunning() {
-		world.Rest(time.Duration(random.IntN(300)) * time.Millisecond)
+		world.Sleep(time.Duration(random.IntN(300)) * time.Millisecond)
 		if random.IntN(4) == 0 {
 			evacuate := random.IntN(2) == 0
 			_, err := world.evacuateThrough(forwarders(), zone, evacuate)
@@ -106,13 +106,13 @@
 				for _, member := range world.Members {
 					collector.startRequest(member)
 				}
-				world.Rest(50 * time.Millisecond)
+				world.Sleep(50 * time.Millisecond)
 			}
 		})
 		faults := world.NewRandomFaults()
 		for until := time.Now().Add(2 * faultDuration()); time.Now().Before(until); {
 			faults.Inject(CoreFaults[faults.random.IntN(len(CoreFaults))], faults.random.IntN(len(world.Cores)))
-			world.Rest(faults.randomSpan(100*time.Millisecond, 4*time.Second))
+			world.Sleep(faults.randomSpan(100*time.Millisecond, 4*time.Second))
 		}
 		operators.mutex.Lock()
 		stopped = true
--- a/harness/simulation/operator_test.go
+++ b/harness/simulation/operator_test.go
@@ -40,8 +40,8 @@
 func (world *World) serveOperatorAPI(index int) {
 	machine := world.Cores[index]
 	machine.Forwarder.SetLocalLeader(machine.Core.Leader)
-	control := platform.NewControl(
-		platform.NewLeaderOrders(machine.Forwarder),
+	control := platform.NewOperatorAPI(
+		platform.NewLeaderCommands(machine.Forwarder),
 		func() map[string]string { return nil },
 		metrics.NewCounters(),
 	)
@@ -80,7 +80,7 @@
 		if code >= 400 && code < 500 {
 			test.Fatalf("%s %s: %d %s", method, path, code, answer)
 		}
-		client.world.Rest(200 * time.Millisecond)
+		client.world.Sleep(200 * time.Millisecond)
 	}
 	test.Fatalf("%s %s: not acknowledged in 40 attempts", method, path)
 }
@@ -110,13 +110,13 @@
 
 // wholeBody returns the body of an order for Routing(version).
 func wholeBody(version, base uint64) string {
-	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Whole: NewRoutingConfig(version)}))
+	return string(platform.WriteChange(&routing.Change{Version: version, Base: base, Whole: NewRoutingConfig(version)}))
 }
 
 // invalidPatch returns the body of a patch that removes the service of a route.
 func invalidPatch(version, base uint64) string {
 	return string(
-		platform.WriteOrder(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{RemoveServices: []string{"desk"}}}),
+		platform.WriteChange(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{RemoveServices: []string{"desk"}}}),
 	)
 }
 
@@ -174,7 +174,7 @@
 							mutex.Unlock()
 						})
 					}
-					world.Rest(time.Duration(300+seed*131%400) * time.Millisecond)
+					world.Sleep(time.Duration(300+seed*131%400) * time.Millisecond)
 				}
 				client.callUntilOK(test, others, http.MethodPut, "/config", first)
 				state, err := world.ReadRouting()
@@ -226,7 +226,7 @@
 			cores := append([]int{leader}, world.followers(leader)...)
 			client.callUntilOK(test, cores, first, "/evacuate/z1", "")
 			client.callUntilOK(test, cores, second, "/evacuate/z1", "")
-			for until := time.Now().Add(time.Second); time.Now().Before(until); world.Rest(10 * time.Millisecond) {
+			for until := time.Now().Add(time.Second); time.Now().Before(until); world.Sleep(10 * time.Millisecond) {
 				if _, state := world.Cores[leader].Core.Routing(); world.Leader() == leader &&
 					slices.Contains(state.Evacuated, "z1") != evacuated {
 					test.Fatalf("round %d: acknowledged as evacuated=%v, then committed as %v", round, evacuated, !evacuated)
@@ -268,15 +268,15 @@
 						}
 					}
 					world.goroutines.Start(func() {
-						world.Rest(wait)
+						world.Sleep(wait)
 						setFault(true)
 					})
 					client.call(firstCore, first, "/evacuate/z1", "")
 					client.callUntilOK(test, otherCores, first, "/evacuate/z1", "")
 					client.callUntilOK(test, otherCores, second, "/evacuate/z1", "")
-					world.Rest(3 * time.Second)
+					world.Sleep(3 * time.Second)
 					setFault(false)
-					world.Rest(4 * time.Second)
+					world.Sleep(4 * time.Second)
 					world.checkEvacuated(test, "z1", !evacuateFirst, kind+" after "+wait.String())
 					world.reportFailures(test)
 					world.CloseRegional()
--- a/harness/simulation/outage_test.go
+++ b/harness/simulation/outage_test.go
@@ -43,7 +43,7 @@
 					world.StartCore(index)
 				}
 				world.Until(10*time.Second, func() bool { return world.Leader() >= 0 })
-				world.Rest(2 * time.Second)
+				world.Sleep(2 * time.Second)
 				return tries
 			}, noChange},
 		} {
@@ -53,7 +53,7 @@
 			}
 			world.startSystem(test, 8)
 			world.Until(5*time.Second, func() bool { return world.keyReplicaCount() == 6 })
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 			tries := append(kind.before(world), world.sendPayments(40, 0)...)
 			for index := range world.Cores {
 				world.KillCore(index, true)
@@ -76,7 +76,7 @@
 			ready := time.Since(begin)
 			slowest, replays := world.resendPayments(tries)
 			if kind.name == "power" {
-				world.Rest(2 * time.Minute)
+				world.Sleep(2 * time.Minute)
 			}
 			later, _ := world.resendPayments(tries)
 			if limit := 3 * time.Second; slowest > limit || later > limit || replays == 0 {
@@ -116,7 +116,7 @@
 		}
 		key, address := fmt.Sprintf("pay-%d", first+number), addresses[random.IntN(len(addresses))]
 		world.goroutines.Start(func() { generator.Once(plan.Callers[0], plan.Calls[0], key, key+".0", address) })
-		world.Rest(time.Duration(random.IntN(60)) * time.Millisecond)
+		world.Sleep(time.Duration(random.IntN(60)) * time.Millisecond)
 	}
 	client.CloseIdleConnections()
 	tries := generator.Tries()
@@ -167,7 +167,7 @@
 			if answer.Status == http.StatusOK || answer.Status == http.StatusGatewayTimeout && !answer.Retry {
 				break
 			}
-			world.Rest(50 * time.Millisecond)
+			world.Sleep(50 * time.Millisecond)
 		}
 		slowest = max(slowest, time.Since(begin))
 	}
--- a/harness/simulation/partition_reads_test.go
+++ b/harness/simulation/partition_reads_test.go
@@ -61,7 +61,7 @@
 				world.acknowledged.Store(version + 1)
 			}
 		}
-		world.Rest(100 * time.Millisecond)
+		world.Sleep(100 * time.Millisecond)
 	}
 }
 
@@ -83,7 +83,7 @@
 						if forwarder := world.machine(index).runningForwarder(world.World); forwarder != nil {
 							world.readAt(forwarder)
 						}
-						world.Rest(70 * time.Millisecond)
+						world.Sleep(70 * time.Millisecond)
 					}
 				})
 			}
@@ -97,12 +97,12 @@
 				if lost < cores {
 					world.KillCore(lost, true)
 				}
-				world.Rest(time.Duration(200+world.random.IntN(4000)) * time.Millisecond)
+				world.Sleep(time.Duration(200+world.random.IntN(4000)) * time.Millisecond)
 				world.partition(group, false)
 				world.startAll()
-				world.Rest(time.Duration(200+world.random.IntN(3000)) * time.Millisecond)
+				world.Sleep(time.Duration(200+world.random.IntN(3000)) * time.Millisecond)
 			}
-			world.Rest(time.Until(end) + 2*time.Second)
+			world.Sleep(time.Until(end) + 2*time.Second)
 			world.waitStable(test)
 			wanted := world.acknowledged.Load()
 			if state, err := world.ReadRouting(); err != nil || state.Config.Version < wanted {
--- a/harness/simulation/partition_test.go
+++ b/harness/simulation/partition_test.go
@@ -34,12 +34,12 @@
 			generator, client := world.NewLoadGenerator(plan)
 			ledger := world.StartOperators(2, 400*time.Millisecond)
 			world.goroutines.Start(func() {
-				world.Rest(2 * time.Second)
+				world.Sleep(2 * time.Second)
 				world.isolateDaemons(isolated, cut)
-				world.Rest(100 * time.Millisecond)
+				world.Sleep(100 * time.Millisecond)
 				world.revokeKeys(ledger, "birch")
 			})
-			report := generator.Run(world.Rest)
+			report := generator.Run(world.Sleep)
 			ledger.Stop()
 			client.CloseIdleConnections()
 			before := len(world.Violations)
@@ -81,7 +81,7 @@
 }
 
 // revokeKeys removes a tenant's keys and records the time from which it may not be served.
-func (world *World) revokeKeys(ledger *checker.Ledger, tenant string) {
+func (world *World) revokeKeys(ledger *checker.ChangeRecorder, tenant string) {
 	body := []byte(fmt.Sprintf(`{"tenants":{%q:{"keys":[]}}}`, tenant))
 	for try := range 50 {
 		client := world.Client(world.Cores[try%len(world.Cores)].OperatorAddress)
@@ -94,7 +94,7 @@
 				return
 			}
 		}
-		world.Rest(20 * time.Millisecond)
+		world.Sleep(20 * time.Millisecond)
 	}
 	world.reportViolation("the keys could not be revoked in 50 attempts")
 }
@@ -121,12 +121,12 @@
 			}
 		}
 		world.goroutines.Start(func() {
-			world.Rest(2 * time.Second)
+			world.Sleep(2 * time.Second)
 			setCut(true)
-			world.Rest(8 * time.Second)
+			world.Sleep(8 * time.Second)
 			setCut(false)
 		})
-		report := generator.Run(world.Rest)
+		report := generator.Run(world.Sleep)
 		client.CloseIdleConnections()
 		world.plannedOnly = true
 		world.judge(nil, report)
--- a/harness/simulation/partitioned_leader_usage_test.go
+++ b/harness/simulation/partitioned_leader_usage_test.go
@@ -27,10 +27,10 @@
 				leader := world.waitStable(test)
 				holder := world.Cores[leader].Host
 				world.Until(30*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return len(reported[holder]) > 0 })
-				world.Rest(time.Duration(seed*37%11) * 100 * time.Millisecond)
+				world.Sleep(time.Duration(seed*37%11) * 100 * time.Millisecond)
 				world.partitionCore(leader, kind, true)
 				since := time.Now()
-				world.Rest(10 * time.Second)
+				world.Sleep(10 * time.Second)
 				world.partitionCore(leader, kind, false)
 				mutex.Lock()
 				if len(reported[holder]) == 0 {
--- a/harness/simulation/platform_test.go
+++ b/harness/simulation/platform_test.go
@@ -65,7 +65,7 @@
 					}
 				}
 				checks++
-				world.Rest(50 * time.Millisecond)
+				world.Sleep(50 * time.Millisecond)
 				if len(world.Violations) > 0 {
 					break
 				}
--- a/harness/simulation/proxy_lending_test.go
+++ b/harness/simulation/proxy_lending_test.go
@@ -33,7 +33,7 @@
 		if !borrower.Until(5*time.Second, func() bool { return borrower.daemonsReady() }) {
 			test.Fatal("borrowed proxies not ready")
 		}
-		borrower.Rest(2 * time.Second)
+		borrower.Sleep(2 * time.Second)
 		runLoad := func(world *World, rate int, seconds float64) standin.LoadReport {
 			plan := world.loadPlan(rate, seconds)
 			plan.Calls = plan.Calls[:2]
@@ -50,7 +50,7 @@
 		borrower.judge(nil, report)
 		stormReports := make(chan standin.LoadReport, 1)
 		lender.goroutines.Start(func() { stormReports <- runLoad(lender, 150, 6) })
-		borrower.Rest(2 * time.Second)
+		borrower.Sleep(2 * time.Second)
 		duringStorm := runLoad(borrower, 20, 3)
 		storm := <-stormReports
 		refused := lender.Daemons[1].Counters.Get("lending_refused") + lender.Daemons[2].Counters.Get("lending_refused")
--- a/harness/simulation/recovery_test.go
+++ b/harness/simulation/recovery_test.go
@@ -136,7 +136,7 @@
 					firstLimit, allLimit = 2500*time.Millisecond, 2500*time.Millisecond
 					world.WipeCore(leader)
 				}
-				world.Rest(time.Duration(seed*37%8) * 50 * time.Millisecond)
+				world.Sleep(time.Duration(seed*37%8) * 50 * time.Millisecond)
 				for _, index := range cut {
 					world.isolateCore(index, false)
 				}
@@ -205,7 +205,7 @@
 			for _, isolated := range []bool{true, false} {
 				world := NewRegionalWorld(seed, cores)
 				world.startFar(test, 3)
-				world.Rest(time.Second)
+				world.Sleep(time.Second)
 				world.killAll(true, true)
 				accepted := map[int]bool{}
 				for offset := range cores / 2 {
@@ -223,7 +223,7 @@
 				for _, member := range world.Members {
 					world.StartMember(member)
 				}
-				for until := time.Now().Add(5 * time.Second); time.Now().Before(until); world.Rest(20 * time.Millisecond) {
+				for until := time.Now().Add(5 * time.Second); time.Now().Before(until); world.Sleep(20 * time.Millisecond) {
 					for _, member := range world.Members {
 						if version := member.Daemon.Version(); version.Routing != nil && version.Routing.Config.Version > 1 {
 							test.Fatalf("%d cores, isolated %v: %s holds an uncommitted routing", cores, isolated, member.Name)
@@ -276,9 +276,9 @@
 					continue
 				}
 				world.KillCore(index, round%2 == 0)
-				world.Rest(time.Duration(round) * 400 * time.Millisecond)
+				world.Sleep(time.Duration(round) * 400 * time.Millisecond)
 				world.StartCore(index)
-				world.Rest(2 * time.Second)
+				world.Sleep(2 * time.Second)
 				if err := world.Evacuate("z", round%2 == 0); err != nil {
 					world.reportViolation("%v", err)
 				}
@@ -320,15 +320,15 @@
 				world.waitStable(test)
 				before := world.leadershipCount()
 				world.killAll(round%2 == 0, false)
-				world.Rest(500 * time.Millisecond)
+				world.Sleep(500 * time.Millisecond)
 				begin := time.Now()
 				for index := range world.Cores {
 					if round%5 != 4 || index != int(seed)%cores {
 						world.StartCore(index)
 					}
-					world.Rest(time.Duration(round%3) * time.Duration(world.random.IntN(60)) * time.Millisecond)
+					world.Sleep(time.Duration(round%3) * time.Duration(world.random.IntN(60)) * time.Millisecond)
 				}
-				world.Rest(time.Until(begin.Add(2 * time.Second)))
+				world.Sleep(time.Until(begin.Add(2 * time.Second)))
 				switch after := world.leadershipCount(); after - before {
 				case 0:
 					world.reportViolation("%d cores, round %d: no leader after 2 s", cores, round)
@@ -363,7 +363,7 @@
 		defer world.CloseRegional()
 		world.startFar(test, 2)
 		isolated, connected, isolatedMember := int(seed)%3, world.AddMember(0), world.AddMember(1)
-		world.Rest(time.Second)
+		world.Sleep(time.Second)
 		world.KillCore(isolated, true)
 		world.isolateCore(isolated, true)
 		if err := world.PutRouting(2, 1); err != nil {
@@ -373,10 +373,10 @@
 			world.Net.Cut(machine.Host, isolatedMember.Host, index != isolated)
 		}
 		world.StartCore(isolated)
-		world.Rest(time.Duration(seed%3) * 100 * time.Millisecond)
+		world.Sleep(time.Duration(seed%3) * 100 * time.Millisecond)
 		world.StartMember(connected)
 		world.StartMember(isolatedMember)
-		world.Rest(1500 * time.Millisecond)
+		world.Sleep(1500 * time.Millisecond)
 		if connected.servingVersion() != 2 || isolatedMember.servingVersion() != 1 {
 			world.reportViolation(
 				"member with all cores serves %d, want 2; member with only the isolated core %d, want 1",
@@ -395,7 +395,7 @@
 		if took, done := world.waitServing(2, true, 4*time.Second); !done {
 			world.reportViolation("after healing: not caught up after %v", took)
 		}
-		world.Rest(2 * time.Second)
+		world.Sleep(2 * time.Second)
 		if after := world.leadershipCount(); after != before || world.Leader() != leader {
 			world.reportViolation("after healing, the isolated core caused leaderships %v", world.Leaderships[before:])
 		}
@@ -431,7 +431,7 @@
 				)
 			}
 			world.startFar(test, 6)
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 			world.killAll(true, true)
 			world.isolateCores(true)
 			for index, machine := range world.Cores {
@@ -440,7 +440,7 @@
 				}
 			}
 			world.startAll()
-			world.Rest(time.Duration(4500+seed%5*300) * time.Millisecond)
+			world.Sleep(time.Duration(4500+seed%5*300) * time.Millisecond)
 			world.isolateCores(false)
 			for _, machine := range world.Cores {
 				for _, member := range world.Members {
@@ -448,7 +448,7 @@
 				}
 			}
 			contents := map[message.TableVersion]string{}
-			for until := time.Now().Add(6 * time.Second); time.Now().Before(until); world.Rest(20 * time.Millisecond) {
+			for until := time.Now().Add(6 * time.Second); time.Now().Before(until); world.Sleep(20 * time.Millisecond) {
 				world.checkTables(contents)
 			}
 			for _, member := range world.Members {
@@ -472,11 +472,11 @@
 			return discovery.Page{Backends: []message.Backend{{Name: "b", Service: "desk", Address: "10.9.9.9:80", Capacity: 4}}}
 		}
 		world.startFar(test, 5)
-		world.Rest(3 * time.Second)
+		world.Sleep(3 * time.Second)
 		unreachable, versions := world.Members[int(seed)%5], map[string]message.TableVersion{}
 		for round := range 4 {
 			world.waitStable(test)
-			world.Rest(3 * time.Second)
+			world.Sleep(3 * time.Second)
 			cut := func(shut bool) {
 				for _, machine := range world.Cores {
 					world.Net.Cut(machine.Host, unreachable.Host, shut)
@@ -484,7 +484,7 @@
 			}
 			cut(true)
 			world.killAll(round%2 == 0, false)
-			world.Rest(200 * time.Millisecond)
+			world.Sleep(200 * time.Millisecond)
 			world.startAll()
 			late := world.AddMember(round % 3)
 			world.StartMember(late)
@@ -520,7 +520,7 @@
 						)
 					}
 				}
-				world.Rest(10 * time.Millisecond)
+				world.Sleep(10 * time.Millisecond)
 			}
 			cut(false)
 			if !late.Daemon.Version().Table.Complete {
@@ -541,7 +541,7 @@
 			world.Net.SetLag(func(string, string) time.Duration { return 0 })
 			world.startFar(test, 0)
 			leader := world.waitStableNotFirst(test)
-			world.Rest(time.Second)
+			world.Sleep(time.Second)
 			world.isolateCore(leader, true)
 			for index := range world.Cores {
 				if index != leader {
--- a/harness/simulation/regions.go
+++ b/harness/simulation/regions.go
@@ -59,7 +59,7 @@
 		Session:    regionalSessionInterval,
 		Watch:      2500 * time.Millisecond,
 		FindLeader: 100 * time.Millisecond,
-		Pulse:      500 * time.Millisecond,
+		PauseCheck: 500 * time.Millisecond,
 		UsageCount: 250 * time.Millisecond,
 	}
 	world.Limits = agent.ForwardLimits{Attempt: 700 * time.Millisecond}
@@ -90,7 +90,7 @@
 	config.HeartbeatInterval, config.SuspicionTimeout, config.TableInterval = regionalHeartbeatInterval, regionalSuspicionTimeout, 250*time.Millisecond
 	config.ReplaceAfter = regionalReplaceAfter
 	config.DirectSessions, config.SessionTTL = true, 2500*time.Millisecond
-	config.ListBackends, config.ListsUntilGone = world.listBackends, 2
+	config.ListBackends, config.MissingListsUntilRemoved = world.listBackends, 2
 	config.ListZones = world.ListZones
 	config.Metering = world.Metering
 }
@@ -254,7 +254,7 @@
 		if err == nil || rpc.AsError(err).RetryAfterMs == 0 || try > 20 {
 			return response, err
 		}
-		world.Rest(200 * time.Millisecond)
+		world.Sleep(200 * time.Millisecond)
 	}
 }
 
--- a/harness/simulation/relay_test.go
+++ b/harness/simulation/relay_test.go
@@ -31,7 +31,7 @@
 				world.awaitInForce(ledger, frozen)
 				world.StartDaemon(relay)
 			}
-			world.Rest(time.Duration(random.IntN(800)) * time.Millisecond)
+			world.Sleep(time.Duration(random.IntN(800)) * time.Millisecond)
 		}
 		ledger.Stop()
 		world.judge(ledger)
@@ -44,7 +44,7 @@
 }
 
 // awaitInForce waits until the newest acknowledged settings are in force at all running daemons.
-func (world *World) awaitInForce(ledger *checker.Ledger, frozen map[*Daemon]bool) {
+func (world *World) awaitInForce(ledger *checker.ChangeRecorder, frozen map[*Daemon]bool) {
 	newest := ledger.Newest()
 	if !world.Until(4*time.Second, func() bool {
 		for _, daemon := range world.Daemons {
@@ -56,5 +56,5 @@
 	}) {
 		world.reportViolation("serial %d is not in force at all daemons after 4 s", newest)
 	}
-	world.Rest(500 * time.Millisecond)
+	world.Sleep(500 * time.Millisecond)
 }
--- a/harness/simulation/removal_test.go
+++ b/harness/simulation/removal_test.go
@@ -33,10 +33,10 @@
 }
 
 // removeCore orders the removal of a core, with up to 10 retries after server errors.
-func (world *World) removeCore(client *operator.Client, id int) (*operator.Removed, error) {
+func (world *World) removeCore(client *operator.Client, id int) (*operator.Removal, error) {
 	removed, err := client.RemoveCore(id)
 	for try := 0; try < 10 && err != nil && rpc.CodeOf(err).Status() >= 500; try++ {
-		world.Rest(300 * time.Millisecond)
+		world.Sleep(300 * time.Millisecond)
 		removed, err = client.RemoveCore(id)
 	}
 	return removed, err
--- a/harness/simulation/replaced_core_return_test.go
+++ b/harness/simulation/replaced_core_return_test.go
@@ -16,7 +16,7 @@
 	if !world.Until(10*time.Second, spare.Core.Core.CanVote) {
 		test.Fatal("the spare core does not vote")
 	}
-	world.Rest(time.Second)
+	world.Sleep(time.Second)
 	return spare
 }
 
@@ -42,7 +42,7 @@
 		world.Net.Freeze(spare.Host, true)
 		world.StartCore(first)
 		world.StartCore(replaced)
-		world.Rest(8 * time.Second)
+		world.Sleep(8 * time.Second)
 		if world.Leader() >= 0 || world.Cores[replaced].Core.CanVote() {
 			test.Errorf(
 				"a replaced core counts for a majority: leader %d, replaced core votes %v",
@@ -64,7 +64,7 @@
 			test.Errorf("the returned core does not take the lost core's place: %+v", world.readMembership(test, client))
 		}
 		world.StartCore(second)
-		world.Rest(2 * time.Second)
+		world.Sleep(2 * time.Second)
 		if world.Cores[second].Core.CanVote() {
 			test.Error("the second replaced core votes after its restart")
 		}
@@ -95,7 +95,7 @@
 		for index := range world.Cores {
 			world.StartCore(index)
 		}
-		world.Rest(3 * time.Second)
+		world.Sleep(3 * time.Second)
 		for index := range world.Cores {
 			if !world.Cores[index].Core.CanVote() {
 				test.Errorf("core %d does not vote", index+1)
--- a/harness/simulation/replacement_claims_test.go
+++ b/harness/simulation/replacement_claims_test.go
@@ -110,7 +110,7 @@
 	if !world.Until(5*time.Second, func() bool { return world.keyReplicaCount() == 6 }) {
 		test.Fatalf("%d key replicas, want 6", world.keyReplicaCount())
 	}
-	world.Rest(time.Second)
+	world.Sleep(time.Second)
 }
 
 // A core that the other cores cannot reach, but the proxies can, is replaced. Before and after
--- a/harness/simulation/replacement_faults_test.go
+++ b/harness/simulation/replacement_faults_test.go
@@ -98,7 +98,7 @@
 		injector.randomFaults.Injected[kind]++
 		injector.Inject(kind)
 		if injector.random.IntN(3) > 0 {
-			injector.world.Rest(injector.randomDuration(200, 6000))
+			injector.world.Sleep(injector.randomDuration(200, 6000))
 		}
 	}
 }
@@ -110,7 +110,7 @@
 		for _, index := range indexes {
 			injector.world.LoseCore(index)
 		}
-		injector.world.Rest(injector.randomDuration(300, 2500))
+		injector.world.Sleep(injector.randomDuration(300, 2500))
 		for _, index := range indexes {
 			injector.world.StartReplacement(index, seeds)
 		}
@@ -123,7 +123,7 @@
 	injector.duringLoss([]int{index}, nil, func() {
 		leaving := injector.world.machine(index)
 		injector.world.StartReplacement(index, nil)
-		injector.world.Rest(injector.randomDuration(50, 2000))
+		injector.world.Sleep(injector.randomDuration(50, 2000))
 		injector.world.Leave(leaving)
 	})
 	injector.refreshSeeds()
@@ -135,11 +135,11 @@
 	injector.duringLoss(injector.allCores(), nil, func() {
 		seeds := world.operatorSeeds()
 		world.LoseCore(index)
-		world.Rest(injector.randomDuration(300, 2500))
+		world.Sleep(injector.randomDuration(300, 2500))
 		world.StartReplacement(index, seeds)
-		world.Rest(injector.randomDuration(10, 2000))
+		world.Sleep(injector.randomDuration(10, 2000))
 		world.killAll(true, injector.random.IntN(2) == 0)
-		world.Rest(injector.randomDuration(10, 1000))
+		world.Sleep(injector.randomDuration(10, 1000))
 		world.startAll()
 	})
 	injector.refreshSeeds()
@@ -158,7 +158,7 @@
 		return
 	}
 	machine := injector.world.ReturnRemoved(removed[injector.random.IntN(len(removed))])
-	injector.world.Rest(injector.randomDuration(500, 9000))
+	injector.world.Sleep(injector.randomDuration(500, 9000))
 	injector.world.removeForGood(machine)
 }
 
@@ -198,7 +198,7 @@
 	}
 	injector.duringLoss([]int{index}, nil, func() {
 		setCut(true)
-		world.Rest(injector.randomDuration(2000, 20000))
+		world.Sleep(injector.randomDuration(2000, 20000))
 		setCut(false)
 	})
 }
@@ -209,7 +209,7 @@
 		machine := injector.world.machine(index)
 		injector.duringLoss([]int{index}, nil, func() {
 			injector.world.terminate(machine)
-			injector.world.Rest(injector.randomDuration(50, 1500))
+			injector.world.Sleep(injector.randomDuration(50, 1500))
 			injector.world.startMachine(machine)
 		})
 	}
@@ -232,7 +232,7 @@
 		side.resendsAcknowledged = true
 		defer world.CloseRegional()
 		world.startFar(test, 6)
-		world.Rest(settleTime)
+		world.Sleep(settleTime)
 		side.start()
 		losses := world.NewLossBudget(syncSpan)
 		coreFaults, linkFaults := &replacementInjector{
@@ -250,7 +250,7 @@
 		})
 		coreFaults.Run(2 * faultDuration())
 		world.Until(time.Minute, linksDone.Load)
-		world.Rest(settleTime + propagationLimit)
+		world.Sleep(settleTime + propagationLimit)
 		if !side.stop(60 * time.Second) {
 			test.Fatal("operators have no final answer after 60 s")
 		}
--- a/harness/simulation/replacement_scenario_test.go
+++ b/harness/simulation/replacement_scenario_test.go
@@ -69,7 +69,7 @@
 	return least + time.Duration(scenario.random.Int64N(int64(most-least)))
 }
 
-func (scenario *replacementScenario) restUntil(at time.Time) { scenario.Rest(time.Until(at)) }
+func (scenario *replacementScenario) restUntil(at time.Time) { scenario.Sleep(time.Until(at)) }
 
 // order sends one routing through all daemons in turn until it is acknowledged. For every third
 // order the first answer is lost on its way to the operator, who resends it.
@@ -79,7 +79,7 @@
 	for until, try := time.Now().Add(limit), random.IntN(9); time.Now().Before(until); try++ {
 		forwarders := scenario.forwarders()
 		if len(forwarders) == 0 {
-			scenario.Rest(orderRetryInterval)
+			scenario.Sleep(orderRetryInterval)
 			continue
 		}
 		_, err := agent.Forward(
@@ -99,7 +99,7 @@
 			scenario.reportViolation("version %d on base %d refused: %v", scenario.newestVersion+1, scenario.newestVersion, err)
 			return false
 		}
-		scenario.Rest(orderRetryInterval)
+		scenario.Sleep(orderRetryInterval)
 	}
 	return false
 }
--- a/harness/simulation/replacement_test.go
+++ b/harness/simulation/replacement_test.go
@@ -26,7 +26,7 @@
 				second := scenario.indexAfter(lost, 1+int(seed)%(cores-1))
 				scenario.checkSurvivesLoss("replaced", second)
 				scenario.StartReplacement(second, nil)
-				scenario.Rest(syncSpan)
+				scenario.Sleep(syncSpan)
 				scenario.checkRecovered("replaced again")
 				scenario.end()
 			}
@@ -73,7 +73,7 @@
 				scenario.StartCore(wiped)
 			}
 			wait := scenario.concurrently(func() { scenario.ReplaceCorePlanned(leader, gap) })
-			scenario.Rest(gap + scenario.randomDuration(10*time.Millisecond, 500*time.Millisecond))
+			scenario.Sleep(gap + scenario.randomDuration(10*time.Millisecond, 500*time.Millisecond))
 			scenario.StartCore(wiped)
 			wait()
 			scenario.checkRecovered("after it left")
@@ -106,7 +106,7 @@
 			scenario.StartMember(late)
 			scenario.checkAcknowledged("a late member")
 			scenario.killAll(true, false)
-			scenario.Rest(time.Second)
+			scenario.Sleep(time.Second)
 			scenario.startAll()
 			scenario.checkRecovered("after a power loss of all cores")
 			scenario.end()
@@ -123,25 +123,25 @@
 	}
 	planned := func(scenario *replacementScenario, first, second int) {
 		wait := scenario.concurrently(func() { scenario.ReplaceCorePlanned(first, replacementDelay) })
-		scenario.Rest(scenario.randomDuration(100*time.Millisecond, 1500*time.Millisecond))
+		scenario.Sleep(scenario.randomDuration(100*time.Millisecond, 1500*time.Millisecond))
 		scenario.ReplaceCorePlanned(second, replacementDelay)
 		wait()
 	}
 	lost := func(scenario *replacementScenario, first, second int) {
 		wait := scenario.concurrently(func() { scenario.ReplaceCore(first, replacementDelay) })
-		scenario.Rest(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
+		scenario.Sleep(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
 		scenario.ReplaceCore(second, replacementDelay)
 		wait()
 	}
 	mixed := func(scenario *replacementScenario, first, second int) {
 		wait := scenario.concurrently(func() { scenario.ReplaceCorePlanned(first, replacementDelay) })
-		scenario.Rest(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
+		scenario.Sleep(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
 		scenario.ReplaceCore(second, replacementDelay)
 		wait()
 	}
 	newcomerLost := func(scenario *replacementScenario, first, _ int) {
 		scenario.ReplaceCore(first, replacementDelay)
-		scenario.Rest(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
+		scenario.Sleep(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
 		scenario.ReplaceCore(first, replacementDelay)
 	}
 	forEachSeed(test, func(test *testing.T, seed uint64) {
@@ -149,7 +149,7 @@
 			scenario := newScenario(test, seed, overlapCase.cores, 3, overlapCase.name)
 			first := scenario.indexAfter(scenario.leader(), int(seed)%2)
 			overlapCase.replace(scenario, first, scenario.indexAfter(first, 1))
-			scenario.Rest(syncSpan)
+			scenario.Sleep(syncSpan)
 			scenario.checkRecovered("both replacements complete")
 			scenario.checkSurvivesLoss("both replacements complete", scenario.indexAfter(first, 2))
 			scenario.end()
@@ -170,11 +170,11 @@
 		{"another is cut off for 20 s", 5, func(scenario *replacementScenario, leader int) {
 			cut := scenario.machine(scenario.indexAfter(leader, 1))
 			scenario.isolateMachine(cut, true)
-			scenario.Rest(longCut / 4)
+			scenario.Sleep(longCut / 4)
 			scenario.ReplaceCore(leader, replacementDelay)
-			scenario.Rest(syncSpan)
+			scenario.Sleep(syncSpan)
 			scenario.checkAcknowledged("one is cut off, one replaced")
-			scenario.Rest(longCut / 4)
+			scenario.Sleep(longCut / 4)
 			scenario.isolateMachine(cut, false)
 		}},
 		{"another is cut off for 20 s", 3, func(scenario *replacementScenario, leader int) {
@@ -182,13 +182,13 @@
 			scenario.isolateMachine(cut, true)
 			scenario.mustOrder("one is cut off")
 			scenario.ReplaceCore(scenario.indexAfter(leader, 2), replacementDelay)
-			scenario.Rest(longCut)
+			scenario.Sleep(longCut)
 			scenario.isolateMachine(cut, false)
 		}},
 		{"the leaving core is cut off", 3, func(scenario *replacementScenario, leader int) {
 			leaving := scenario.machine(scenario.indexAfter(leader, int(scenario.Seed)%2))
 			scenario.isolateMachine(leaving, true)
-			scenario.Rest(scenario.randomDuration(10*time.Millisecond, 2*time.Second))
+			scenario.Sleep(scenario.randomDuration(10*time.Millisecond, 2*time.Second))
 			scenario.ReplaceCorePlanned(slices.Index(scenario.machines(), leaving), replacementDelay)
 		}},
 		{"another cannot send", 5, func(scenario *replacementScenario, leader int) {
@@ -202,25 +202,25 @@
 			}
 			setCut(true)
 			scenario.ReplaceCore(scenario.indexAfter(leader, 2), replacementDelay)
-			scenario.Rest(syncSpan)
+			scenario.Sleep(syncSpan)
 			scenario.checkAcknowledged("one cannot send, one replaced")
 			setCut(false)
 		}},
 		{"another has lost its disk", 5, func(scenario *replacementScenario, leader int) {
 			scenario.WipeCore(scenario.indexAfter(leader, 1))
 			scenario.StartCore(scenario.indexAfter(leader, 1))
-			scenario.Rest(scenario.randomDuration(10*time.Millisecond, time.Second))
+			scenario.Sleep(scenario.randomDuration(10*time.Millisecond, time.Second))
 			scenario.ReplaceCore(scenario.indexAfter(leader, int(scenario.Seed)%2*2), replacementDelay)
 		}},
 		{"the replaced core lost its disk first", 3, func(scenario *replacementScenario, leader int) {
 			scenario.WipeCore(leader)
 			scenario.StartCore(leader)
-			scenario.Rest(scenario.randomDuration(10*time.Millisecond, 300*time.Millisecond))
+			scenario.Sleep(scenario.randomDuration(10*time.Millisecond, 300*time.Millisecond))
 			scenario.ReplaceCore(leader, replacementDelay)
 		}},
 		{"another loses its disk after the sync", 3, func(scenario *replacementScenario, leader int) {
 			scenario.ReplaceCore(leader, replacementDelay)
-			scenario.Rest(syncSpan)
+			scenario.Sleep(syncSpan)
 			scenario.order(orderLimit)
 			scenario.WipeCore(scenario.indexAfter(leader, 1))
 			scenario.StartCore(scenario.indexAfter(leader, 1))
@@ -233,7 +233,7 @@
 					machines := scenario.allMachines()
 					left, right := machines[scenario.random.IntN(len(machines))], machines[scenario.random.IntN(len(machines))]
 					scenario.Net.Reset(left.Host, right.Host)
-					scenario.Rest(100 * time.Millisecond)
+					scenario.Sleep(100 * time.Millisecond)
 				}
 			})
 			scenario.ReplaceCore(scenario.indexAfter(leader, int(scenario.Seed)%2), replacementDelay)
@@ -244,7 +244,7 @@
 		for _, faultCase := range faultCases {
 			scenario := newScenario(test, seed, faultCase.cores, 3, faultCase.name)
 			faultCase.run(scenario, scenario.leader())
-			scenario.Rest(syncSpan)
+			scenario.Sleep(syncSpan)
 			scenario.checkRecovered("after the fault")
 			scenario.end()
 		}
@@ -258,13 +258,13 @@
 		for _, machine := range scenario.machines() {
 			if machine != leaving {
 				scenario.terminate(machine)
-				scenario.Rest(scenario.randomDuration(50*time.Millisecond, 700*time.Millisecond))
+				scenario.Sleep(scenario.randomDuration(50*time.Millisecond, 700*time.Millisecond))
 				scenario.startMachine(machine)
-				scenario.Rest(syncSpan / 2)
+				scenario.Sleep(syncSpan / 2)
 			}
 		}
 	})
-	scenario.Rest(scenario.randomDuration(10*time.Millisecond, 3*time.Second))
+	scenario.Sleep(scenario.randomDuration(10*time.Millisecond, 3*time.Second))
 	scenario.ReplaceCorePlanned(slices.Index(scenario.machines(), leaving), replacementDelay)
 	wait()
 }
@@ -285,15 +285,15 @@
 						scenario.ReplaceCore(index, replacementDelay)
 					}
 				})
-				scenario.Rest(scenario.randomDuration(10*time.Millisecond, 2500*time.Millisecond))
+				scenario.Sleep(scenario.randomDuration(10*time.Millisecond, 2500*time.Millisecond))
 				scenario.killAll(true, false)
 				if planned {
 					scenario.killMachine(leaving, true)
 				}
-				scenario.Rest(scenario.randomDuration(10*time.Millisecond, time.Second))
+				scenario.Sleep(scenario.randomDuration(10*time.Millisecond, time.Second))
 				scenario.startAll()
 				wait()
-				scenario.Rest(syncSpan)
+				scenario.Sleep(syncSpan)
 				scenario.checkRecovered("after the restart")
 				scenario.end()
 			}
@@ -312,7 +312,7 @@
 			} else {
 				scenario.ReplaceCorePlanned(lost, replacementDelay)
 			}
-			scenario.Rest(syncSpan)
+			scenario.Sleep(syncSpan)
 			scenario.checkRecovered("replaced")
 			scenario.checkSurvivesLoss("replaced", scenario.indexAfter(lost, 1+int(seed)%3))
 			scenario.end()
@@ -330,12 +330,12 @@
 			for offset := range cores / 2 {
 				scenario.LoseCore(scenario.indexAfter(first, offset))
 			}
-			scenario.Rest(replacementDelay)
+			scenario.Sleep(replacementDelay)
 			for offset := range cores / 2 {
 				scenario.StartReplacement(scenario.indexAfter(first, offset), nil)
 			}
 			scenario.order(syncSpan / 2)
-			scenario.Rest(syncSpan)
+			scenario.Sleep(syncSpan)
 			scenario.checkVoters("replaced", scenario.machines())
 			others := []int{}
 			for offset := range cores / 2 {
@@ -366,11 +366,11 @@
 					scenario.KillCore(absent, true)
 				}
 				scenario.mustOrder("one core absent")
-				scenario.Rest(away)
+				scenario.Sleep(away)
 				scenario.isolateMachine(machine, false)
 				scenario.Net.Freeze(machine.Host, false)
 				scenario.startMachine(machine)
-				scenario.Rest(syncSpan)
+				scenario.Sleep(syncSpan)
 				scenario.checkRecovered("the absent core is back")
 				for offset := range cores / 2 {
 					scenario.LoseCore(scenario.indexAfter(absent, 1+offset))
@@ -405,7 +405,7 @@
 				}
 			}
 			setCut(true)
-			scenario.Rest(scenario.randomDuration(10*time.Millisecond, 2*time.Second))
+			scenario.Sleep(scenario.randomDuration(10*time.Millisecond, 2*time.Second))
 			for region := range 3 {
 				newcomer := scenario.newMachine(region, internalAddresses(minority))
 				for _, other := range majority {
@@ -416,9 +416,9 @@
 				scenario.mutex.Unlock()
 				scenario.startMachine(newcomer)
 			}
-			scenario.Rest(2 * regionalSuspicionTimeout)
+			scenario.Sleep(2 * regionalSuspicionTimeout)
 			before := scenario.leadershipCount()
-			for until := time.Now().Add(20 * time.Second); time.Now().Before(until); scenario.Rest(2 * time.Second) {
+			for until := time.Now().Add(20 * time.Second); time.Now().Before(until); scenario.Sleep(2 * time.Second) {
 				for _, machine := range scenario.machines() {
 					if !slices.Contains(majority, machine) {
 						scenario.checkRefuses(machine)
@@ -436,7 +436,7 @@
 			}
 			scenario.mutex.Unlock()
 			setCut(false)
-			scenario.Rest(syncSpan)
+			scenario.Sleep(syncSpan)
 			scenario.checkAcknowledged("after healing")
 			scenario.checkVoters("after healing", founders)
 			scenario.end()
@@ -485,18 +485,18 @@
 			late := scenario.AddMember(2)
 			late.Seeds = internalAddresses([]*Core{returned})
 			scenario.StartMember(late)
-			scenario.Rest(syncSpan)
+			scenario.Sleep(syncSpan)
 			scenario.checkNeverLeads(returned, before)
 			scenario.checkRecovered("the removed core is back")
 			lost := scenario.indexAfter(index, 1)
 			scenario.LoseCore(lost)
-			scenario.Rest(replacementDelay)
+			scenario.Sleep(replacementDelay)
 			scenario.StartReplacement(lost, internalAddresses([]*Core{returned}))
-			scenario.Rest(syncSpan)
+			scenario.Sleep(syncSpan)
 			scenario.checkAcknowledged("the returned core is the only seed")
 			scenario.checkNewVoterID(returned, former)
 			scenario.removeForGood(returned)
-			scenario.Rest(syncSpan)
+			scenario.Sleep(syncSpan)
 			scenario.checkRecovered("the returned core is gone")
 			scenario.end()
 		}
@@ -526,7 +526,7 @@
 			}
 			scenario.startMachine(newcomer)
 			for range 5 {
-				scenario.Rest(2 * time.Second)
+				scenario.Sleep(2 * time.Second)
 				for _, machine := range append(returned, newcomer) {
 					scenario.checkRefuses(machine)
 				}
@@ -538,7 +538,7 @@
 			for _, machine := range returned {
 				scenario.isolateMachine(machine, false)
 			}
-			scenario.Rest(syncSpan)
+			scenario.Sleep(syncSpan)
 			scenario.checkRecovered("after healing")
 			scenario.checkNeverLeads(returned[0], before)
 			scenario.checkNeverLeads(returned[1], before)
@@ -590,7 +590,7 @@
 	} else {
 		scenario.ReplaceCorePlanned(index, replacementDelay)
 	}
-	scenario.Rest(syncSpan)
+	scenario.Sleep(syncSpan)
 }
 
 // checkNeverLeads checks that a core that is no voter runs, and has led in no leadership but
@@ -619,7 +619,7 @@
 			scenario := newScenario(test, seed, 5, 3, kind)
 			lost := []int{scenario.indexAfter(int(seed), 0), scenario.indexAfter(int(seed), 1)}
 			lostCores := []*Core{scenario.LoseCore(lost[0]), scenario.LoseCore(lost[1])}
-			scenario.Rest(replacementDelay)
+			scenario.Sleep(replacementDelay)
 			running := scenario.machine(scenario.indexAfter(lost[1], 1))
 			switch kind {
 			case "two of three seeds are lost":
@@ -628,7 +628,7 @@
 				scenario.isolateMachine(running, true)
 				scenario.StartReplacement(lost[0], internalAddresses([]*Core{lostCores[0], running}))
 				scenario.isolateMachine(running, true)
-				scenario.Rest(2 * time.Second)
+				scenario.Sleep(2 * time.Second)
 				scenario.isolateMachine(running, false)
 			case "a seed is a new core":
 				first := scenario.StartReplacement(lost[0], internalAddresses([]*Core{lostCores[0], running}))
@@ -636,7 +636,7 @@
 			case "restarted while it catches up":
 				scenario.StartReplacement(lost[0], internalAddresses([]*Core{running}))
 				for range 3 {
-					scenario.Rest(scenario.randomDuration(10*time.Millisecond, time.Second))
+					scenario.Sleep(scenario.randomDuration(10*time.Millisecond, time.Second))
 					scenario.KillCore(lost[0], true)
 					scenario.StartCore(lost[0])
 				}
@@ -644,7 +644,7 @@
 			if scenario.machine(lost[1]) == lostCores[1] {
 				scenario.StartReplacement(lost[1], nil)
 			}
-			scenario.Rest(syncSpan)
+			scenario.Sleep(syncSpan)
 			scenario.checkRecovered("two new cores")
 			scenario.end()
 		}
--- a/harness/simulation/routing_test.go
+++ b/harness/simulation/routing_test.go
@@ -106,10 +106,10 @@
 				})
 			}
 			if round == 5 {
-				world.Rest(time.Duration(seed*37%200) * time.Millisecond)
+				world.Sleep(time.Duration(seed*37%200) * time.Millisecond)
 				leader := world.Leader()
 				world.KillCore(leader, true)
-				world.Rest(300 * time.Millisecond)
+				world.Sleep(300 * time.Millisecond)
 				world.StartCore(leader)
 			}
 			if !world.Until(20*time.Second, func() bool { mutex.Lock(); defer mutex.Unlock(); return done == 2 }) {
@@ -187,20 +187,20 @@
 			switch leader := world.Leader(); round % 3 {
 			case 0:
 				world.KillCore(leader, true)
-				world.Rest(time.Duration(seed%5) * 300 * time.Millisecond)
+				world.Sleep(time.Duration(seed%5) * 300 * time.Millisecond)
 				world.StartCore(leader)
 			case 1:
 				for index := range world.Cores {
 					world.KillCore(index, true)
 				}
 				world.WipeCore((round + int(seed)) % 3)
-				world.Rest(time.Second)
+				world.Sleep(time.Second)
 				for index := range world.Cores {
 					world.StartCore(index)
 				}
 			case 2:
 				world.WipeCore(leader)
-				world.Rest(200 * time.Millisecond)
+				world.Sleep(200 * time.Millisecond)
 				world.StartCore(leader)
 			}
 			if !world.Until(15*time.Second, func() bool { return world.Leader() >= 0 }) {
@@ -252,7 +252,7 @@
 		for round := range 9 {
 			kind := []string{"calm", "planned", "killed", "frozen", "cut"}[round%5]
 			world.Until(5*time.Second, func() bool { return world.Leader() >= 0 })
-			world.Rest(3 * time.Second)
+			world.Sleep(3 * time.Second)
 			leader := world.Leader()
 			forwarders := []*agent.Forwarder{world.Members[round%9].Daemon.Forwarder, world.Members[(round+1)%9].Daemon.Forwarder}
 			switch kind {
@@ -324,7 +324,7 @@
 			test.Fatal(err)
 		}
 		for range 100 {
-			world.Rest(100 * time.Millisecond)
+			world.Sleep(100 * time.Millisecond)
 			if !isolated.Daemon.Ready() || isolated.Daemon.Version().Routing.Config.Version != 1 {
 				world.reportViolation(
 					"cut off: ready %v, version %d, want a ready member with version 1",
@@ -359,7 +359,7 @@
 			scenario.startFar(test, 1)
 			leaving, warmAtMs := false, int64(0)
 			for range 600 {
-				scenario.Rest(100 * time.Millisecond)
+				scenario.Sleep(100 * time.Millisecond)
 				for _, backend := range scenario.Members[0].Daemon.Version().Table.Backends {
 					if leaving = leaving || backend.Leaving; leaving && !backend.Leaving {
 						scenario.reportViolation("a leaving backend is no longer leaving")
--- a/harness/simulation/scale_test.go
+++ b/harness/simulation/scale_test.go
@@ -27,10 +27,10 @@
 				world.AddBackend("meters", "e1", standin.BackendConfig{WorkMs: 5, Room: 32})
 			}
 			world.startSystem(test, size)
-			world.Rest(5 * time.Second)
+			world.Sleep(5 * time.Second)
 			messagesBefore, bytesBefore := world.Net.Count()
 			probesBefore := world.probes()
-			world.Rest(10 * time.Second)
+			world.Sleep(10 * time.Second)
 			probeRate := float64(world.probes()-probesBefore) / 10 / 3
 			world.StopBackend(world.Backends[2])
 			stoppedAt := time.Now()
--- a/harness/simulation/total_loss_test.go
+++ b/harness/simulation/total_loss_test.go
@@ -55,7 +55,7 @@
 		case listRateLimited:
 			return discovery.Page{Err: errors.New("too many calls"), RetryAfter: 300 * time.Millisecond}
 		case listTimeout:
-			loss.Rest(2 * time.Second)
+			loss.Sleep(2 * time.Second)
 			return discovery.Page{Err: errors.New("no answer")}
 		case listUnavailable:
 			return discovery.Page{Err: errors.New("unavailable")}
@@ -98,14 +98,14 @@
 	loss.random.Shuffle(len(starts), func(left, right int) { starts[left], starts[right] = starts[right], starts[left] })
 	for _, start := range starts {
 		start()
-		loss.Rest(loss.randomDuration(0, 2*within/time.Duration(len(starts))))
+		loss.Sleep(loss.randomDuration(0, 2*within/time.Duration(len(starts))))
 	}
 }
 
 // orderNext sends the next routing until it is acknowledged or the limit has passed, and
 // reports whether it was acknowledged.
 func (loss *totalLoss) orderNext(limit time.Duration) bool {
-	for until := time.Now().Add(limit); time.Now().Before(until); loss.Rest(orderRetryInterval) {
+	for until := time.Now().Add(limit); time.Now().Before(until); loss.Sleep(orderRetryInterval) {
 		if len(loss.forwarders()) == 0 {
 			continue
 		}
@@ -154,9 +154,9 @@
 					loss.waitStable(test)
 				}
 				loss.goroutines.Start(func() { loss.orderNext(30 * time.Second) })
-				loss.Rest(loss.randomDuration(5*time.Millisecond, 400*time.Millisecond))
+				loss.Sleep(loss.randomDuration(5*time.Millisecond, 400*time.Millisecond))
 				loss.powerOffAll()
-				loss.Rest(loss.randomDuration(400*time.Millisecond, 1500*time.Millisecond))
+				loss.Sleep(loss.randomDuration(400*time.Millisecond, 1500*time.Millisecond))
 				from := time.Now().Add(loss.randomDuration(0, 800*time.Millisecond))
 				until := from.Add(loss.randomDuration(time.Second, 20*time.Second))
 				loss.list.Store(&listState{fault: fault, from: from, until: until})
@@ -170,9 +170,9 @@
 				if now := time.Now(); now.After(latest) {
 					latest = now
 				}
-				loss.Rest(time.Until(latest.Add(propagationLimit)))
+				loss.Sleep(time.Until(latest.Add(propagationLimit)))
 				loss.checkInForce(fmt.Sprintf("%s, round %d", fault, round), wanted)
-				loss.Rest(time.Until(until.Add(settleTime + propagationLimit)))
+				loss.Sleep(time.Until(until.Add(settleTime + propagationLimit)))
 				for _, member := range loss.Members {
 					if inForce := member.inForce.Load(); inForce != wanted {
 						loss.reportViolation(
@@ -212,17 +212,17 @@
 			acknowledged := loss.acknowledged.Load()
 			if round%2 == 1 {
 				loss.goroutines.Start(func() { loss.orderNext(time.Second) })
-				loss.Rest(loss.randomDuration(5*time.Millisecond, 400*time.Millisecond))
+				loss.Sleep(loss.randomDuration(5*time.Millisecond, 400*time.Millisecond))
 			}
 			loss.powerOffAll()
 			for offset := range len(loss.Cores) / 2 {
 				loss.WipeCore((int(seed) + round + offset) % len(loss.Cores))
 			}
-			loss.Rest(loss.randomDuration(400*time.Millisecond, 1500*time.Millisecond))
+			loss.Sleep(loss.randomDuration(400*time.Millisecond, 1500*time.Millisecond))
 			loss.startShuffled(300 * time.Millisecond)
 			loss.waitStable(test)
 			loss.checkReadBack(fmt.Sprint("round ", round), acknowledged, zones)
-			loss.Rest(settleTime + propagationLimit)
+			loss.Sleep(settleTime + propagationLimit)
 			loss.checkInForce(fmt.Sprint("round ", round), acknowledged)
 		}
 		loss.reportFailures(test)
--- a/harness/simulation/traffic_test.go
+++ b/harness/simulation/traffic_test.go
@@ -84,7 +84,7 @@
 		generator, client := world.NewLoadGenerator(world.loadPlan(60, 10))
 		old := world.Backends[0].Backend
 		world.goroutines.Start(func() {
-			world.Rest(3 * time.Second)
+			world.Sleep(3 * time.Second)
 			world.StopBackend(world.Backends[0])
 			other, _ := standin.NewBackend(standin.BackendConfig{Service: "gifts", Instance: "stranger", Incarnation: "2", WorkMs: 5})
 			world.ServeBackend(world.Backends[0], other)
@@ -165,7 +165,7 @@
 			}
 		}
 		for range 20 {
-			world.Rest(100 * time.Millisecond)
+			world.Sleep(100 * time.Millisecond)
 			if status, _ := world.send(
 				client,
 				"GET",
--- a/harness/simulation/version_conflict_test.go
+++ b/harness/simulation/version_conflict_test.go
@@ -15,14 +15,14 @@
 func configBody(version, base uint64, operator int) string {
 	config := NewRoutingConfig(version)
 	config.Routes[0].TimeoutMs += operator
-	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Whole: config}))
+	return string(platform.WriteChange(&routing.Change{Version: version, Base: base, Whole: config}))
 }
 
 // patchBody returns the body of a patch that only changes the first route's time limit.
 func patchBody(version, base uint64) string {
 	changed := NewRoutingConfig(base).Routes
 	changed[0].TimeoutMs = int(1000 + version)
-	return string(platform.WriteOrder(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{Routes: changed}}))
+	return string(platform.WriteChange(&routing.Change{Version: version, Base: base, Patch: &routing.Patch{Routes: changed}}))
 }
 
 // callUntilFinal sends the same order to random cores until the answer is final, and returns its
@@ -33,7 +33,7 @@
 		if code == http.StatusOK || code >= 400 && code < 500 && code != http.StatusRequestTimeout && code != http.StatusTooManyRequests {
 			return code
 		}
-		client.world.Rest(time.Duration(50+random.IntN(250)) * time.Millisecond)
+		client.world.Sleep(time.Duration(50+random.IntN(250)) * time.Millisecond)
 	}
 	return 0
 }
@@ -58,14 +58,14 @@
 			for operator, body := range bodies {
 				operatorRandom := rand.New(rand.NewPCG(seed, version*8+uint64(operator)))
 				world.goroutines.Start(func() {
-					world.Rest(time.Duration(operatorRandom.IntN(100)) * time.Millisecond)
+					world.Sleep(time.Duration(operatorRandom.IntN(100)) * time.Millisecond)
 					code := client.callUntilFinal(operatorRandom, http.MethodPut, "/config", body)
 					mutex.Lock()
 					codes[operator] = code
 					mutex.Unlock()
 				})
 			}
-			world.Rest(wait)
+			world.Sleep(wait)
 			switch kind {
 			case "killed":
 				world.KillCore(leader, true)
@@ -146,7 +146,7 @@
 		resendAll("right after the changes")
 		for index := range world.Cores {
 			world.WipeCore(index)
-			world.Rest(2 * time.Second)
+			world.Sleep(2 * time.Second)
 			world.StartCore(index)
 			world.serveOperatorAPI(index)
 			world.waitStable(test)
--- a/usage/window_log_test.go
+++ b/usage/window_log_test.go
@@ -71,15 +71,15 @@
 					reported[incarnation] = map[string]uint64{}
 				}
 				reported[incarnation][tenant] += uint64(random.IntN(300))
-				windows.AddCopies([]message.ProcessCounts{{
+				windows.MergeCounts([]message.ProcessCounts{{
 					Name: incarnation, Incarnation: incarnation,
 					Windows: []message.WindowCount{{Window: 7, Tenants: map[string]uint64{tenant: reported[incarnation][tenant]}}},
 				}})
-				disk.Refuse(simulation.Refusal{Syncs: random.IntN(6) == 0, Names: random.IntN(6) == 0})
+				disk.SetFaults(simulation.DiskFaults{Syncs: random.IntN(6) == 0, Names: random.IntN(6) == 0})
 				if random.IntN(2) == 0 && log.Append() == nil {
 					durable = reported.clone()
 				}
-				disk.Refuse(simulation.Refusal{})
+				disk.SetFaults(simulation.DiskFaults{})
 				if random.IntN(4) == 0 {
 					if err := log.Append(); err != nil {
 						test.Fatalf("seed %d, round %d: append on a working disk: %v", seed, round, err)
@@ -88,7 +88,7 @@
 				}
 			}
 			log.Close()
-			disk = disk.Sever(true)
+			disk = disk.Detach(true)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 	}
 	windows := usage.NewWindows()
 	log, _ := usage.OpenWindowLog(disk, windows)
-	windows.AddCopies([]message.ProcessCounts{{
+	windows.MergeCounts([]message.ProcessCounts{{
 		Incarnation: "one",
 		Windows:     []message.WindowCount{{Window: 1, Tenants: map[string]uint64{"a": 2}}},
 	}})
