--- a/agent/daemon.go
+++ b/agent/daemon.go
@@ -145,7 +145,7 @@
 	daemon.callbacks.windows = windows
 }
 
-// SetRollouts sets the function that returns the counts for the roll-outs in force.
+// SetRollouts sets the function that returns the counts for the rollouts in force.
 func (daemon *Daemon) SetRollouts(rollouts func() []message.RolloutCounts) {
 	daemon.callbacks.rollouts = rollouts
 }
--- a/agent/rollout.go
+++ b/agent/rollout.go
@@ -8,9 +8,9 @@
 	"orchidjunction/rpc"
 )
 
-// OrderRollout forwards a roll-out order to the leader. As with Evacuate, a request may reach
+// OrderRollout forwards a rollout order to the leader. As with Evacuate, a request may reach
 // the leader long after its sender has given up. OrderRollout therefore first queries the ID
-// of the service's newest roll-out, and the leader executes the order only if the ID still
+// of the service's newest rollout, and the leader executes the order only if the ID still
 // matches. No order is sent once ctx has ended.
 func OrderRollout(ctx context.Context, forwarder *Forwarder, order message.RolloutOrder) (*message.RolloutOrderResponse, error) {
 	ctx, cancel := context.WithDeadline(ctx, forwarder.deadline(ctx))
@@ -31,8 +31,8 @@
 	return response, err
 }
 
-// rolloutCounts returns this process's counts for the active roll-outs. The cores keep the
-// sums of roll-outs that have ended.
+// rolloutCounts returns this process's counts for the active rollouts. The cores keep the
+// sums of rollouts that have ended.
 func (daemon *Daemon) rolloutCounts() []message.RolloutCounts {
 	active := map[uint64]bool{}
 	for _, rollout := range daemon.Version().Rollouts {
@@ -41,7 +41,7 @@
 	return slices.DeleteFunc(daemon.callbacks.rollouts(), func(counts message.RolloutCounts) bool { return !active[counts.ID] })
 }
 
-// ReadRollout reads a service's newest roll-out from the leader.
+// ReadRollout reads a service's newest rollout from the leader.
 func ReadRollout(forwarder *Forwarder, service string) (*message.RolloutReadResponse, error) {
 	return Forward(forwarder, message.MethodRolloutRead, &message.RolloutReadRequest{Service: service})
 }
--- a/agent/rollout_api.go
+++ b/agent/rollout_api.go
@@ -15,7 +15,7 @@
 // RolloutPath is the URL path of the RolloutAPI.
 const RolloutPath = "/v1/rollouts"
 
-// RolloutAPI is the HTTP API for roll-outs: POST starts one, GET returns the newest of a service
+// RolloutAPI is the HTTP API for rollouts: POST starts one, GET returns the newest of a service
 // with its counts, and DELETE aborts it.
 type RolloutAPI struct {
 	forwarder *Forwarder
@@ -39,7 +39,7 @@
 	api.mux.ServeHTTP(writer, request)
 }
 
-// RolloutRequest orders a roll-out that must complete within TermMs milliseconds.
+// RolloutRequest orders a rollout that must complete within TermMs milliseconds.
 type RolloutRequest struct {
 	Service string `json:"service"`
 	Target  string `json:"target"`
@@ -52,7 +52,7 @@
 	Duplicate bool   `json:"again,omitempty"`
 }
 
-// RolloutStatus is the state of a roll-out and the total counts of all proxies.
+// RolloutStatus is the state of a rollout and the total counts of all proxies.
 type RolloutStatus struct {
 	ID             uint64  `json:"id"`
 	Service        string  `json:"service"`
--- a/agent/session.go
+++ b/agent/session.go
@@ -130,7 +130,7 @@
 }
 
 // sendUsage reports usage to the leader if it has changed since the last report, so that a
-// crash of this process loses little of it. Session heartbeats report it too, to any core.
+// crash of this process loses little of it. Session heartbeats report it too, to the session's core.
 func (daemon *Daemon) sendUsage() {
 	leader, usage := daemon.LeaderFinder.Leader(), daemon.callbacks.usage()
 	if !leader.Known() || maps.Equal(usage, daemon.reportedUsage) {
--- a/agent/updates.go
+++ b/agent/updates.go
@@ -10,7 +10,7 @@
 	"orchidjunction/rpc"
 )
 
-// maxFetchAttempts limits how often a fetch is repeated because its chunks have been replaced.
+// maxFetchAttempts limits the attempts of a fetch whose chunks are replaced in the meantime.
 const maxFetchAttempts = 3
 
 // watch long-polls a process until it has something newer than version or the watch interval
--- a/agent/version.go
+++ b/agent/version.go
@@ -6,7 +6,7 @@
 	"orchidjunction/routing"
 )
 
-// Version is the state in force in a daemon: settings, routing and roll-outs with their
+// Version is the state in force in a daemon: settings, routing and rollouts with their
 // serials, and the table. It is immutable and replaced as a whole.
 type Version struct {
 	Serial        uint64
@@ -41,7 +41,7 @@
 }
 
 // withUpdate returns the version updated with the newer parts of a response. A table is applied
-// only together with, or after, the roll-outs under which it was built.
+// only together with, or after, the rollouts under which it was built.
 func (version *Version) withUpdate(response *message.FetchResponse, chunks message.Chunks) (*Version, error) {
 	next := *version
 	if response.Serial > version.Serial {
--- a/agent/version_test.go
+++ b/agent/version_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// A table that lists backends of a version being rolled out is applied only with the roll-outs
+// A table that lists backends of a version being rolled out is applied only with the rollouts
 // under which it was built: without them the daemon would send these backends a full share.
 func TestTableWaitsForItsRollouts(test *testing.T) {
 	newTable := func(number, rollouts uint64) *message.Table {
--- a/agent/watch.go
+++ b/agent/watch.go
@@ -65,7 +65,7 @@
 	return !isNewer || daemon.fetch(ctx, core) || ctx.Err() != nil
 }
 
-// applyWatchResponse applies the roll-outs and the table delta of a watch response.
+// applyWatchResponse applies the rollouts and the table delta of a watch response.
 func (daemon *Daemon) applyWatchResponse(response *message.WatchResponse) {
 	update := &message.FetchResponse{Delta: response.Delta}
 	if response.Rollouts > daemon.Version().RolloutSerial {
