--- a/rpc/compression.go
+++ b/rpc/compression.go
@@ -16,8 +16,8 @@
 )
 
 // sharedWriter is the only gzip writer of the process: a writer uses almost a megabyte, and a core
-// responds to hundreds of daemons at once. It is locked from the first to the last byte of a
-// message, which is in memory. The compression level favours CPU time over size.
+// responds to hundreds of daemons at once. It is locked while a message is compressed into memory,
+// never while a connection is written. The compression level favours CPU time over size.
 var sharedWriter struct {
 	mutex sync.Mutex
 	gzip  *gzip.Writer
--- a/rpc/error_test.go
+++ b/rpc/error_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// A wrapped Error matches its code and its cause. A valid message decodes to a nil error.
+// A wrapped Error matches its code and its cause. Success returns a nil error, not an error that
+// contains a nil *Error.
 func TestErrorsAreFoundByCodeAndCause(test *testing.T) {
 	cause := Errorf(DiskFailure, "sync: %w", io.ErrShortWrite)
 	wrapped := fmt.Errorf("roll: %w", cause)
