--- a/concurrent/group.go
+++ b/concurrent/group.go
@@ -29,7 +29,7 @@
 	return group
 }
 
-// Start runs task in a goroutine that Wait waits for, even after Stop.
+// Start runs task in a goroutine that Wait waits for. It does so after Stop, too.
 func (group *Group) Start(task func()) {
 	group.mutex.Lock()
 	group.running++
