--- a/metrics/counters.go
+++ b/metrics/counters.go
@@ -98,10 +98,10 @@
 	counters.set.NewGauge(metricName(name), value)
 }
 
-// Label is a label of a histogram.
+// Label is a name and a value that distinguish histograms of the same name.
 type Label struct{ Name, Value string }
 
-// Histogram is a histogram of durations. It is safe for concurrent use.
+// Histogram counts durations by durationBuckets. It is safe for concurrent use.
 type Histogram struct{ inner *vm.PrometheusHistogram }
 
 // Histogram returns the histogram with the given name, which must end in _seconds, and labels,
