--- a/idempotency/log.go
+++ b/idempotency/log.go
@@ -36,7 +36,7 @@
 
 	// Used only by the writer goroutine once the log is open.
 	unwritten       *group    // in the store, but not on disk after a disk error
-	lastDiskErrorAt time.Time // or of the last attempt to repair
+	lastDiskErrorAt time.Time // or the time of the last repair attempt
 	segmentAges     map[uint64]time.Duration
 	membership      message.AcceptedValue // the newest under which anything was recorded or read
 
@@ -372,8 +372,8 @@
 // CompleteFor reports whether the log is complete for a voter.
 func (log *Log) CompleteFor(id int) bool { return id > 0 && log.completeVoter() == id }
 
-// completeVoter returns the voter for which the log is complete, 0 for none. A voter that
-// has recorded everything for longer than the TTL is complete.
+// completeVoter returns the voter for which the log is complete, 0 for none. The log is
+// complete for a voter that has recorded everything for longer than the TTL.
 func (log *Log) completeVoter() int {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
