--- a/discovery/partition.go
+++ b/discovery/partition.go
@@ -55,8 +55,8 @@
 	return []string{allZones}
 }
 
-// isTooSlow reports whether the list can be read by zone and a scan of the whole list,
-// with at least the given number of backends or all known ones, takes too long.
+// isTooSlow reports whether the list can be read by zone and a scan of the whole list takes
+// too long. The list has as many backends as listed or known, whichever is more.
 func (reader *Reader) isTooSlow(listed int) bool {
 	if len(reader.zones()) < 2 {
 		return false
--- a/discovery/reader.go
+++ b/discovery/reader.go
@@ -218,8 +218,8 @@
 }
 
 // mergeBackend merges a listed backend into the known one, which is zero if there is none.
-// Leaving is never revoked. The warm-up end ignores jitter, and pages from before the
-// backend's warm-up began.
+// Leaving is never revoked. The known warm-up end is kept if the listed one differs only by
+// jitter, or is from a page from before the warm-up began.
 func (reader *Reader) mergeBackend(former, listed message.Backend) message.Backend {
 	listed.Leaving = listed.Leaving || former.Leaving
 	isNear := listed.WarmAtMs > former.WarmAtMs-warmJitterMs && listed.WarmAtMs < former.WarmAtMs+warmJitterMs
--- a/discovery/scan.go
+++ b/discovery/scan.go
@@ -168,7 +168,7 @@
 	return page
 }
 
-// markLeaving takes effect before the list is read to its end.
+// markLeaving marks a page's leaving backends before the list is read to its end.
 func (scan *scan) markLeaving(page Page) {
 	if leaving := scan.reader.markLeaving(page.Backends); leaving > 0 {
 		klog.Infof("backend list: %d backends newly leaving, %v after the scan began", leaving, time.Since(scan.startedAt))
