--- a/usage/windows.go
+++ b/usage/windows.go
@@ -108,13 +108,13 @@
 }
 
 // isComplete reports whether a session's counts and those known here are all that its
-// process counted, which excludes changes since a report to another process.
+// process counted. They are not if the session has only changes since a report to another process.
 func (windows *Windows) isComplete(session *message.Session) bool {
 	return windows.hasBase(session.BaseProcess)
 }
 
-// hasBase reports whether the counts known here include the base of a report that holds
-// only changes since a report to the given process; 0 means that there is no base.
+// hasBase reports whether the counts known here include those on which a report builds: the
+// counts reported earlier to the given process, or none if it is 0.
 func (windows *Windows) hasBase(process uint64) bool {
 	return process == 0 || process == windows.process
 }
