--- a/config/effective.go
+++ b/config/effective.go
@@ -75,8 +75,8 @@
 func Same(left, right any) bool { return reflect.DeepEqual(left, right) }
 
 // FlatRoute is a route with its effective values, as the data plane uses it. TimeoutMs
-// bounds the duration of a request, Attempts the number of tries, BodyBytes and
-// ResponseBytes the bodies, IdleConnections the idle connections per backend.
+// bounds the duration of a request, Attempts the number of tries, BodyBytes the request body,
+// ResponseBytes the response body, IdleConnections the idle connections per backend.
 type FlatRoute struct {
 	Class           string
 	Service         string
--- a/config/read.go
+++ b/config/read.go
@@ -285,7 +285,7 @@
 	return settings
 }
 
-// topFields are those except tenants and classes.
+// topFields returns the top-level fields except tenants and classes.
 func (reader *reader) topFields(settings *Settings) fields {
 	return fields{
 		"format":    reader.integer(&settings.Format, 1, 1),
@@ -337,7 +337,7 @@
 	return class
 }
 
-// classFields are those except services.
+// classFields returns the fields of a class except services.
 func (reader *reader) classFields(class *Class) fields {
 	return fields{
 		"rank":       reader.integer(&class.Rank, 1, 16),
@@ -356,7 +356,7 @@
 	return service
 }
 
-// serviceFields are those except routes.
+// serviceFields returns the fields of a service except routes.
 func (reader *reader) serviceFields(service *Service) fields {
 	return fields{"rule": reader.rule(&service.Rule)}
 }
