--- a/message/claim.go
+++ b/message/claim.go
@@ -64,8 +64,8 @@
 	Table    TableVersion
 }
 
-// ClaimResponse reports whether the claim was granted, or otherwise which claim has the key. It
-// counts without the cores only if Complete, that is, if the replica has all earlier claims.
+// ClaimResponse reports whether the claim was granted, or otherwise which claim has the key. Without
+// a majority of complete cores, a grant counts only if Complete: the replica lacks no earlier claim.
 type ClaimResponse struct {
 	Granted  bool
 	Complete bool        `msgpack:"Whole"`
--- a/message/methods.go
+++ b/message/methods.go
@@ -55,9 +55,9 @@
 	MethodRenewCandidacy rpc.Method[RenewCandidacyRequest, RenewCandidacyResponse] = "renew-candidacy"
 	// MethodReplicaState asks a replica for its state.
 	MethodReplicaState rpc.Method[ReplicaStateRequest, ReplicaStateResponse] = "restore"
-	// MethodRolloutOrder starts or aborts the roll-out of a version.
+	// MethodRolloutOrder starts or aborts the rollout of a version.
 	MethodRolloutOrder rpc.Method[RolloutOrder, RolloutOrderResponse] = "rollout"
-	// MethodRolloutRead reads a service's newest roll-out from the leader.
+	// MethodRolloutRead reads a service's newest rollout from the leader.
 	MethodRolloutRead rpc.Method[RolloutReadRequest, RolloutReadResponse] = "rolloutread"
 	// MethodRoutingChange changes the routing.
 	MethodRoutingChange rpc.Method[RoutingChangeRequest, RoutingChangeResponse] = "routechange"
--- a/message/rollout.go
+++ b/message/rollout.go
@@ -2,13 +2,13 @@
 
 import "orchidjunction/rpc"
 
-// MaxRolloutTermMs is the maximum term of a roll-out, one week in milliseconds.
+// MaxRolloutTermMs is the maximum term of a rollout, one week in milliseconds.
 const MaxRolloutTermMs = 7 * 24 * 3600 * 1000
 
 // maxVersionName is the maximum length of the name of a service or version in bytes.
 const maxVersionName = 200
 
-// RolloutPhase is the phase of a roll-out.
+// RolloutPhase is the phase of a rollout.
 type RolloutPhase uint8
 
 // The phases. RolloutComplete and RolloutReverted are final.
@@ -32,9 +32,9 @@
 }
 
 // Rollout is the shift of a service's requests to the backends of a version, as decided by the
-// leader. ID identifies the order; later roll-outs of the same service have higher IDs. Share is
+// leader. ID identifies the order; later rollouts of the same service have higher IDs. Share is
 // the fraction of the service's requests, from 0 to 1, that each proxy sends to the version while
-// the roll-out is active. Step counts the shares so far. Exclusive says that the former version,
+// the rollout is active. Step counts the shares so far. Exclusive says that the former version,
 // which is about to shut down, receives no more requests, not even retries.
 type Rollout struct {
 	Service string
@@ -47,10 +47,10 @@
 	Exclusive bool
 }
 
-// RolloutOrder starts the roll-out of a version or, with Abort, aborts the current one. The
-// roll-out must complete within TermMs milliseconds. ExpectedID is the ID of the service's newest
-// roll-out from an earlier response: the leader rejects a delayed order if the service has had
-// another roll-out since. With QueryOnly nothing changes and only the ID is returned.
+// RolloutOrder starts the rollout of a version or, with Abort, aborts the current one. The
+// rollout must complete within TermMs milliseconds. ExpectedID is the ID of the service's newest
+// rollout from an earlier response: the leader rejects a delayed order if the service has had
+// another rollout since. With QueryOnly nothing changes and only the ID is returned.
 type RolloutOrder struct {
 	Service    string
 	Target     string
@@ -78,15 +78,15 @@
 	return nil
 }
 
-// RolloutOrderResponse contains the serial of the roll-outs register, and the ID of the service's
-// newest roll-out, 0 if there is none. Duplicate is true if the order was already accepted.
+// RolloutOrderResponse contains the serial of the rollouts register, and the ID of the service's
+// newest rollout, 0 if there is none. Duplicate is true if the order was already accepted.
 type RolloutOrderResponse struct {
 	Serial    uint64
 	ID        uint64
 	Duplicate bool
 }
 
-// RolloutReadRequest asks the leader for the newest roll-out of a service.
+// RolloutReadRequest asks the leader for the newest rollout of a service.
 type RolloutReadRequest struct {
 	Service string
 }
@@ -99,14 +99,14 @@
 	return nil
 }
 
-// RolloutReadResponse contains the confirmed newest roll-out of a service and the total counts of
+// RolloutReadResponse contains the confirmed newest rollout of a service and the total counts of
 // all proxies.
 type RolloutReadResponse struct {
 	Rollout Rollout
 	Counts  RolloutCounts
 }
 
-// RolloutCounts contains a proxy process's counts for one step of a roll-out. Counts never
+// RolloutCounts contains a proxy process's counts for one step of a rollout. Counts never
 // decrease, and exist as soon as the step is in force in the process. Requests counts the
 // requests sent to backends of the target version, Items their scored responses, Exceedances the
 // scores in the tail of the reference, and Failures the failed requests. FormerRequests,
--- a/message/session.go
+++ b/message/session.go
@@ -15,7 +15,7 @@
 // Session is a daemon's heartbeat to a core: its member entry, its versions in force, its health
 // checks of backends, and its counts. Windows contains the changes since the last counts that
 // the core's process BaseProcess acknowledged, or all counts if BaseProcess is 0. Rollouts is
-// the serial of the roll-outs in force. Times are in milliseconds.
+// the serial of the rollouts in force. Times are in milliseconds.
 type Session struct {
 	Member Member
 	Serial uint64
--- a/message/table.go
+++ b/message/table.go
@@ -63,7 +63,7 @@
 }
 
 // Table is the soft state replicated to every daemon: the daemons and the backends, both sorted
-// by name. Rollouts is the serial of the roll-outs under which the backends are listed: a table
+// by name. Rollouts is the serial of the rollouts under which the backends are listed: a table
 // that lists a new version must not be applied without them. A Table is immutable.
 type Table struct {
 	Version  TableVersion `json:"mark" msgpack:"Mark"`
--- a/message/update.go
+++ b/message/update.go
@@ -25,7 +25,7 @@
 	return min(time.Duration(request.SpanMs)*time.Millisecond, maxWatchDuration)
 }
 
-// WatchResponse contains the responder's versions, newer roll-outs, and the table delta if only
+// WatchResponse contains the responder's versions, newer rollouts, and the table delta if only
 // the table is newer and the delta is small. Daemons thus learn without a fetch which backends
 // must no longer receive requests.
 type WatchResponse struct {
@@ -44,7 +44,7 @@
 		response.Rollouts > request.Rollouts || request.Table.Less(response.Table)
 }
 
-// NewerInTableOnly reports whether only the table is newer than in request. Roll-outs are ignored
+// NewerInTableOnly reports whether only the table is newer than in request. Rollouts are ignored
 // because they are part of the response.
 func (response *WatchResponse) NewerInTableOnly(request *WatchRequest) bool {
 	return response.Serial <= request.Serial && response.Routing <= request.Routing && request.Table.Less(response.Table)
@@ -60,7 +60,7 @@
 }
 
 // FetchResponse contains what is newer: the chunk references of the settings, the table or its
-// delta, the routing without its history, and the newest roll-out of each service.
+// delta, the routing without its history, and the newest rollout of each service.
 type FetchResponse struct {
 	Serial uint64
 	Chunks []ChunkRef `msgpack:"Parts"`
