--- a/config/tree.go
+++ b/config/tree.go
@@ -61,7 +61,7 @@
 	return tree, nil
 }
 
-// Patch returns the tree with a JSON merge patch applied, see the function Patch.
+// Patch returns the tree with a JSON merge patch (RFC 7396) applied. It checks the result.
 func (tree *Tree) Patch(partial []byte) (*Tree, error) {
 	patch, err := readPartial(partial)
 	if err != nil {
