--- a/serviceproxy/claim_poll.go
+++ b/serviceproxy/claim_poll.go
@@ -38,7 +38,7 @@
 	return &message.ClaimResponse{}
 }
 
-// poll is one round of requests for a claim. The cores' votes are counted by membership.
+// poll is one round of requests for a claim. membership has the cores' voters as known before it.
 type poll struct {
 	membership  coreMembership
 	replicaSets [][]message.Member
--- a/serviceproxy/core_membership.go
+++ b/serviceproxy/core_membership.go
@@ -84,8 +84,8 @@
 	return votes.newest.voters != nil && votes.newest.voters.Quorum(votes.recordedBy(false))
 }
 
-// complete reports whether a majority of the current voters recorded the request and hold all
-// claims, so that they intersect every quorum. Joining voters don't count: it is not certain yet
+// complete reports whether a majority of the current voters recorded the request and holds all
+// claims, so that it intersects every quorum. Joining voters don't count: it is not certain yet
 // what they hold.
 func (votes *coreVotes) complete() bool {
 	voters := votes.newest.voters
--- a/serviceproxy/core_store.go
+++ b/serviceproxy/core_store.go
@@ -59,7 +59,7 @@
 }
 
 // coresToQuery returns the membership to count votes by and the addresses to query: its voters,
-// and all known cores if there is a newer membership.
+// and all known cores if there is a newer membership or none is known.
 func (store *coreStore) coresToQuery() (coreMembership, []string) {
 	store.mutex.Lock()
 	membership := store.membership
--- a/serviceproxy/early_response_test.go
+++ b/serviceproxy/early_response_test.go
@@ -24,7 +24,7 @@
 type earlyBackend struct {
 	readFirst int // bytes of the body read before the response
 	pause     time.Duration
-	answer    string // format string that takes the task ID
+	answer    string // format string with a verb for the task ID
 	bytesRead atomic.Int64
 }
 
--- a/serviceproxy/proxy.go
+++ b/serviceproxy/proxy.go
@@ -144,8 +144,8 @@
 	return NewRoutes(version.Serial, version.Settings, plan.routes)
 }
 
-// warmupShares returns how many proxies share a backend's warm-up rate, or 0 if the named one does
-// not. All that read the same table choose the same few.
+// warmupShares returns how many proxies share a backend's warm-up rate, or 0 if the proxy called
+// name is not one of them. All that read the same table choose the same few.
 func warmupShares(table *message.Table, backend message.Backend, name string) int {
 	ahead, count, ownRank := 0, 0, Rank(backend.Name, name)
 	for _, member := range table.Members {
@@ -216,8 +216,7 @@
 	}
 }
 
-// Probes returns what this proxy knows of each backend's health, for its report to
-// the cores.
+// Probes returns this proxy's view of each backend's health, for its report to the cores.
 func (proxy *Proxy) Probes() []message.Probe {
 	plan := proxy.plan.Load()
 	if plan == nil {
--- a/serviceproxy/target.go
+++ b/serviceproxy/target.go
@@ -52,8 +52,9 @@
 
 func (target *Target) backend() message.Backend { return *target.listing.Load() }
 
-// updateListing applies a listing with the same address and keeps the other state. While the
-// backend is warming up, only warmupProxies proxies send to it; 0 means that this one does not.
+// updateListing applies a listing with the same address and service, and keeps the other state.
+// While the backend is warming up, only warmupProxies proxies send to it; 0 means that this one
+// does not.
 func (target *Target) updateListing(backend message.Backend, warmupProxies int) {
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
@@ -223,7 +224,7 @@
 }
 
 // probeInterval returns the time between probes of a backend by one proxy, which grows with the
-// number of proxies. What one finds makes the others probe, too.
+// number of proxies. A change that one of them finds makes the others probe, too.
 func probeInterval(proxies int) time.Duration {
 	return min(max(minProbeInterval, minProbeInterval*time.Duration(proxies)/probersPerInterval), maxProbeInterval)
 }
--- a/serviceproxy/task_admission.go
+++ b/serviceproxy/task_admission.go
@@ -22,8 +22,8 @@
 	return !task.plan.drainedAt.IsZero() && time.Since(task.plan.drainedAt) > drainedGrace
 }
 
-// checkDraining refuses any request in a drained zone, and one that might not end before this
-// process stops.
+// checkDraining refuses any request once isDrained, and one that might not end before this process
+// stops.
 func (task *task) checkDraining() error {
 	if task.isDrained() {
 		return &rpc.Error{
--- a/serviceproxy/withdrawn_test.go
+++ b/serviceproxy/withdrawn_test.go
@@ -22,7 +22,7 @@
 type withdrawalFixture struct {
 	proxy        *Proxy
 	withdraw     func(fixture *withdrawalFixture, target *Target)
-	dialledFirst string         // a backend
+	dialledFirst string         // name of a backend
 	requests     map[string]int // requests per backend
 }
 
