--- a/process/conn_budget.go
+++ b/process/conn_budget.go
@@ -21,7 +21,7 @@
 }
 
 // NewConnBudget returns the budget of a process with the given number of file descriptors. It
-// returns nil, which means unlimited, if there are not more than the reserved ones.
+// returns nil, which means unlimited, if the number is unknown (0) or at most reservedDescriptors.
 func NewConnBudget(descriptors int) *ConnBudget {
 	usable := int64(descriptors) - reservedDescriptors
 	if usable <= 0 {
--- a/process/conn_limits.go
+++ b/process/conn_limits.go
@@ -19,8 +19,8 @@
 // memory reservation; most heads are shorter.
 const freeHeaderBytes = 8 << 10
 
-// ConnLimits holds the limits of a client's connection. A limit of 0 stands for the listener's
-// own, or else the default.
+// ConnLimits holds the limits of a client's connection. A limit of 0 means the listener's own,
+// or else the default.
 type ConnLimits struct {
 	// HeaderBytes is the maximum length of a request's head: its request line and its header.
 	HeaderBytes int64
--- a/process/daemon.go
+++ b/process/daemon.go
@@ -20,7 +20,8 @@
 	Run()
 }
 
-// Constructor creates the data plane of a daemon, and its function that returns probes.
+// Constructor creates the data plane of a daemon. It also returns the function that reports the
+// plane's probes of backends.
 type Constructor func(*agent.Daemon, *concurrent.Group, *metrics.Counters) (DataPlane, func() []message.Probe)
 
 // Instance is a daemon with its listeners. A process has one, or two if it is also a guest in
