--- a/hostproxy/proxy.go
+++ b/hostproxy/proxy.go
@@ -58,7 +58,7 @@
 	evacuatedZones   map[string]bool
 	rollouts         map[string]*rollout // by service
 	lastTargetNumber uint32
-	stableVersions   map[string]string // by service: the version that serves if no roll-out is active
+	stableVersions   map[string]string // by service: the version that serves if no rollout is active
 	maxProxiesSeen   int
 }
 
