--- a/cmd/ojctl/main.go
+++ b/cmd/ojctl/main.go
@@ -46,7 +46,7 @@
 }
 
 func main() {
-	flags := process.NewFlags("ojctl", "operates orchidjunction: settings, drains, roll-outs, cores and status")
+	flags := process.NewFlags("ojctl", "operates orchidjunction: settings, drains, rollouts, cores and status")
 	command := &cli{base: -1}
 	flags.Parser.StringSlice(&command.daemons, "d", "daemon", "IP:port of a daemon's operator API; may be repeated")
 	handlers := map[*flaggy.Subcommand]func(*cli) error{}
--- a/cmd/ojctl/rollout.go
+++ b/cmd/ojctl/rollout.go
@@ -32,10 +32,10 @@
 	}
 	start := add("start", "shift a service's requests gradually to the backends of a version", (*cli).startRollout)
 	start.AddPositionalValue(&command.kind, "version", 2, true, "the version, as in the list of backends")
-	start.Int(&command.deadlineSeconds, "t", "term", "time in which the roll-out must complete, in seconds")
-	add("status", "show the state of a service's latest roll-out", (*cli).showRollout)
-	add("watch", "show each change of a service's latest roll-out until it ends", (*cli).watchRollout)
-	add("abort", "abort a roll-out and return all requests to the previous version", (*cli).abortRollout)
+	start.Int(&command.deadlineSeconds, "t", "term", "time in which the rollout must complete, in seconds")
+	add("status", "show the state of a service's latest rollout", (*cli).showRollout)
+	add("watch", "show each change of a service's latest rollout until it ends", (*cli).watchRollout)
+	add("abort", "abort a rollout and return all requests to the previous version", (*cli).abortRollout)
 	flags.Parser.AttachSubcommand(rollout, 1)
 	handlers[rollout] = func(command *cli) error {
 		for subcommand, run := range runs {
@@ -69,7 +69,7 @@
 }
 
 // orderRollout sends a request to start or abort. Without a definite response it retries, which
-// starts no second roll-out.
+// starts no second rollout.
 func (command *cli) orderRollout(method, path string, body []byte) error {
 	receipt := agent.RolloutReceipt{}
 	err := command.client.Ask(method, path, body, &receipt)
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("roll-out %d of %s, already accepted before: %s\n", receipt.ID, command.name, yesNo(receipt.Duplicate))
+	fmt.Printf("rollout %d of %s, already accepted before: %s\n", receipt.ID, command.name, yesNo(receipt.Duplicate))
 	return nil
 }
 
@@ -99,7 +99,7 @@
 }
 
 func printRollout(status *agent.RolloutStatus) {
-	fmt.Printf("roll-out %d of %s to %s: %s, step %d, share %.1f%%\n",
+	fmt.Printf("rollout %d of %s to %s: %s, step %d, share %.1f%%\n",
 		status.ID, status.Service, status.Target, status.Phase, status.Step, 100*status.Share)
 	fmt.Printf("  new version: %d requests, %d evaluated, %d exceed the reference, %d failed\n",
 		status.Requests, status.Items, status.Exceedances, status.Failures)
@@ -107,7 +107,7 @@
 		status.FormerRequests, status.FormerFailures, status.FormerInFlight)
 }
 
-// watchRollout prints changes until the roll-out ends. It returns an error if it was reverted.
+// watchRollout prints changes until the rollout ends. It returns an error if it was reverted.
 func (command *cli) watchRollout() error {
 	shown := agent.RolloutStatus{}
 	for {
@@ -123,7 +123,7 @@
 		case message.RolloutComplete.String():
 			return nil
 		case message.RolloutReverted.String():
-			return rpc.Errorf(rpc.ObjectiveMissed, "the roll-out was reverted")
+			return rpc.Errorf(rpc.ObjectiveMissed, "the rollout was reverted")
 		}
 		time.Sleep(watchInterval)
 	}
--- a/cmd/ojplan/main.go
+++ b/cmd/ojplan/main.go
@@ -89,7 +89,7 @@
 		flags.Exit(rpc.CheckAddress("--daemon", daemon))
 	}
 	if opts.whole != "" && opts.partial != "" || opts.whole == "" && opts.partial == "" && len(opts.drainZones) == 0 {
-		flags.Exit(rpc.Errorf(rpc.BadFlag, "either --whole or --partial, or else --empty, is required"))
+		flags.Exit(rpc.Errorf(rpc.BadFlag, "one of --whole, --partial and --empty is required; --whole and --partial exclude each other"))
 	}
 	if opts.capacity <= 0 {
 		flags.Exit(rpc.Errorf(rpc.BadFlag, "--backend-rps: %v is not positive", opts.capacity))
--- a/cmd/ojsoak/main.go
+++ b/cmd/ojsoak/main.go
@@ -1,5 +1,5 @@
 // Command ojsoak runs a deployment of real processes on loopback addresses under overlapping
-// signals, restarts, changes, drains and roll-outs, randomly drawn from a seed, and checks the
+// signals, restarts, changes, drains and rollouts, randomly drawn from a seed, and checks the
 // observations of clients, backends and operators against the rules. It exits with 1 if a rule
 // was violated.
 package main
@@ -33,7 +33,7 @@
 		"slow-heads",
 		"number of connections to the first proxy that send one byte of a request head per second",
 	)
-	flags.Parser.Int(&term, "", "term", "maximum duration of a roll-out in seconds")
+	flags.Parser.Int(&term, "", "term", "maximum duration of a rollout in seconds")
 	flags.Parser.Bool(&isVerbose, "", "verbose", "print events")
 	flags.Parse()
 	if seeds < 1 || seconds < 1 || proxies < 1 || clients < 1 || backends < 1 || term < 1 || seed < 0 || slowHeads < 0 {
--- a/cmd/orchidjunction/core.go
+++ b/cmd/orchidjunction/core.go
@@ -52,8 +52,8 @@
 	missingListsUntilGone = 2
 )
 
-// replaceDivisor is the ratio of the allowed catch-up time to the delay before a replacement. Most
-// of that time is left for an election, catching up and two quorum rounds.
+// replaceDivisor divides the time within which a new core must count: a voter is replaced after
+// being silent for that part. The rest is left for an election, catching up and two quorum rounds.
 const replaceDivisor = 4
 
 // listInterval returns the interval between two reads of the list. It leaves most of the time to
--- a/cmd/orchidjunction/proxy.go
+++ b/cmd/orchidjunction/proxy.go
@@ -21,7 +21,8 @@
 	watchTimeout       = 2500 * time.Millisecond
 	pulseInterval      = 500 * time.Millisecond
 	checkReachInterval = 500 * time.Millisecond
-	// usageInterval is the interval at which usage counts are reported to the leader.
+	// usageInterval is the interval at which usage counts are reported to the leader. Until then
+	// only this process has them, and a crash loses them.
 	usageInterval = 250 * time.Millisecond
 	// backendUserTimeout is the maximum time until a backend acknowledges sent bytes.
 	backendUserTimeout = 700 * time.Millisecond
