--- a/operator/client.go
+++ b/operator/client.go
@@ -85,7 +85,7 @@
 }
 
 // Change is a whole (Put) or partial (Patch) version of the settings, built on the serial Base.
-// Change is its ID: one that was accepted is acknowledged again when it is resent.
+// The field Change is its ID: one that was accepted is acknowledged again when it is resent.
 type Change struct {
 	Base     uint64          `json:"base"`
 	Change   string          `json:"change"`
