--- a/cmd/ojbackend/main.go
+++ b/cmd/ojbackend/main.go
@@ -23,7 +23,7 @@
 	flags.Parser.Float64(&config.GentleRate, "", "gentle-rate", "tasks per second during warm-up")
 	flags.Parser.Int(&config.Room, "", "room", "number of concurrent tasks at which the reported load is 1")
 	flags.Parser.String(&config.Journal, "", "journal", "file in which charges are recorded")
-	flags.Parser.Int(&leaveMs, "", "leave-ms", "time from SIGTERM until the listener is drained, in milliseconds")
+	flags.Parser.Int(&leaveMs, "", "leave-ms", "time from SIGTERM until the backend stops accepting connections, in milliseconds")
 	flags.Parse()
 	flags.Exit(rpc.CheckAddress("--listen", listen))
 	if config.Service == "" || config.Instance == "" {
--- a/cmd/ojcluster/main.go
+++ b/cmd/ojcluster/main.go
@@ -90,7 +90,7 @@
 	flags.Parser.String(&opts.folder, "", "folder", "new folder for data and logs; default: a temporary one")
 	flags.Parser.Int(&opts.spec.BasePort, "", "base-port", "first port to use on 127.0.0.1")
 	flags.Parser.Float64(&opts.spec.Seconds, "", "seconds", "duration of the load in seconds")
-	flags.Parser.Int(&opts.rate, "", "rate", "tasks per second; default: that of the size")
+	flags.Parser.Int(&opts.rate, "", "rate", "tasks per second; 0 means that of the size")
 	flags.Parser.Int(&opts.seed, "", "seed", "seed of the random generators")
 	flags.Parser.Int(&opts.spec.Changes, "", "changes", "approximate number of settings changes per second")
 	flags.Parser.Int(&opts.spec.Tries, "", "tries", "maximum number of attempts of a caller per task")
