--- a/harness/checker/evidence.go
+++ b/harness/checker/evidence.go
@@ -33,7 +33,7 @@
 }
 
 // Evidence holds the records of one run. Planned says that only planned work was done,
-// Jumps that clocks were stepped; Codes are failed steps and process exits.
+// Jumps that clocks were stepped; Codes are failed steps and exit codes other than 0.
 type Evidence struct {
 	Callers  []standin.LoadReport
 	Backends []standin.BackendRecord
@@ -53,7 +53,7 @@
 	executedByTry map[string]standin.Arrival
 }
 
-// maxDelayMs is the 4 s within which changes must be in force, plus transit.
+// maxDelayMs is the 4 s within which changes must be in force, plus 500 ms for transit.
 const maxDelayMs = 4500
 
 // Judge returns one verdict per guarantee.
@@ -72,8 +72,8 @@
 		{"no task sent to another service's backend", false, evidence.checkService},
 		{"no task attributed to the wrong tenant", false, evidence.checkTenant},
 		{"no task served in a forbidden region", false, evidence.checkRegions},
-		{"no task sent to a backend leaving for 4 s", true, evidence.checkLeavingBackends},
-		{"no traffic 4 s after a drain or key withdrawal", true, evidence.checkDrained},
+		{"no task at a backend 4 s after it began to leave", true, evidence.checkLeavingBackends},
+		{"no traffic 4 s after a drain or key revocation", true, evidence.checkDrained},
 		{"no older settings at a backend 4 s after newer", true, evidence.checkSerialsPerBackend},
 		{"acknowledged settings in force within 4 s", true, evidence.checkInForce},
 		{"refused changes never applied", false, evidence.checkRefusedChanges},
@@ -85,7 +85,7 @@
 		{"classes served within their floor_rps", true, evidence.checkFloors},
 		{"usage reported within 5% and 10 s, none missing", true, evidence.checkUsage},
 		{"usage reports resent unchanged", false, evidence.checkUsageResends},
-		{"no failed step or process exit", false, func() ([]string, string) { return evidence.Codes, "" }},
+		{"no failed step, no exit code other than 0", false, func() ([]string, string) { return evidence.Codes, "" }},
 	} {
 		bad, detail := check.run()
 		if len(bad) > 0 {
--- a/harness/checker/evidence_test.go
+++ b/harness/checker/evidence_test.go
@@ -119,14 +119,14 @@
 		}},
 		{"no task served in a forbidden region", func(evidence *Evidence) { evidence.Zones["back"] = "w1" }},
 		{"no task served in a forbidden region", func(evidence *Evidence) { try(evidence, 3).Front = "other" }},
-		{"no task sent to a backend leaving for 4 s", func(evidence *Evidence) { arrival(4)(evidence).LeavingMs = 5000 }},
-		{"no traffic 4 s after a drain or key withdrawal", func(evidence *Evidence) {
+		{"no task at a backend 4 s after it began to leave", func(evidence *Evidence) { arrival(4)(evidence).LeavingMs = 5000 }},
+		{"no traffic 4 s after a drain or key revocation", func(evidence *Evidence) {
 			evidence.Windows = []Window{{Kind: "backend", Subject: "back", From: 9000}}
 		}},
-		{"no traffic 4 s after a drain or key withdrawal", func(evidence *Evidence) {
+		{"no traffic 4 s after a drain or key revocation", func(evidence *Evidence) {
 			evidence.Windows = []Window{{Kind: "front", Subject: "front", From: 9000, Until: 9500}}
 		}},
-		{"no traffic 4 s after a drain or key withdrawal", func(evidence *Evidence) {
+		{"no traffic 4 s after a drain or key revocation", func(evidence *Evidence) {
 			evidence.Windows = []Window{{Kind: "tenant", Subject: "alder", From: 9000}}
 		}},
 		{"no older settings at a backend 4 s after newer", func(evidence *Evidence) {
@@ -170,7 +170,7 @@
 		{"usage reports resent unchanged", func(evidence *Evidence) {
 			evidence.Reports["small-alder-3"] = append(evidence.Reports["small-alder-3"], "{}")
 		}},
-		{"no failed step or process exit", func(evidence *Evidence) { evidence.Codes = []string{"proxy exit 2"} }},
+		{"no failed step, no exit code other than 0", func(evidence *Evidence) { evidence.Codes = []string{"proxy exit 2"} }},
 	} {
 		evidence := cleanEvidence(test)
 		violation.inject(evidence)
--- a/harness/checker/ledger.go
+++ b/harness/checker/ledger.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Operate starts operators that each make a change every pace on average. Some changes
+// Operate starts operators that each change settings at intervals of pace on average. Some changes
 // are invalid, some race on the same base; a change with an unknown outcome is
 // retried unchanged.
 func (ledger *Ledger) Operate(operators int, pace time.Duration) {
--- a/harness/checker/settings.go
+++ b/harness/checker/settings.go
@@ -35,7 +35,7 @@
 }
 
 // checkInForce checks that no proxy sends and no directory places with a serial older than
-// one acknowledged 4 s before at any machine.
+// one that any machine acknowledged 4 s before.
 func (evidence *Evidence) checkInForce() (bad []string, detail string) {
 	if evidence.Ledger == nil {
 		return nil, "no operators"
@@ -87,7 +87,8 @@
 	)
 }
 
-// checkRefusedChanges checks that refused changes, as by a lost race, are not in the history.
+// checkRefusedChanges checks that changes that were refused, for instance for an outdated base, are
+// not in the history.
 func (evidence *Evidence) checkRefusedChanges() (bad []string, detail string) {
 	if evidence.Ledger == nil {
 		return nil, "no operators"
--- a/harness/checker/traffic.go
+++ b/harness/checker/traffic.go
@@ -102,7 +102,7 @@
 }
 
 // checkDrained looks for tasks at drained backends, responses of drained proxies, and
-// both for tenants whose keys are withdrawn.
+// both for tenants whose keys are revoked.
 func (evidence *Evidence) checkDrained() (bad []string, detail string) {
 	withinWindow := 0
 	for _, window := range evidence.Windows {
@@ -189,7 +189,7 @@
 }
 
 // checkPlannedWork checks that under planned work every task gets its response, if need be
-// from another proxy. Tasks refused as busy by all attempts are left to checkFloors.
+// from another proxy. Tasks of which all attempts were refused as busy are left to checkFloors.
 func (evidence *Evidence) checkPlannedWork() (bad []string, detail string) {
 	for _, callers := range evidence.Callers {
 		served, onlyBusy := map[string]bool{}, map[string]bool{}
--- a/harness/checker/usage.go
+++ b/harness/checker/usage.go
@@ -148,8 +148,8 @@
 	return tasks
 }
 
-// reportLag returns the longest time from a task to the report with which the total
-// reaches that task's rank, less the fraction maxUsageError that may be missing.
+// reportLag returns the longest time from a task to the report with which the reported total
+// reaches the number of tasks up to that one. A fraction maxUsageError of these may be missing.
 func reportLag(tasks []int64, reports []taskCount) int64 {
 	sort.Slice(reports, func(left, right int) bool { return reports[left].atMs < reports[right].atMs })
 	longest, reported, next := int64(0), 0, 0
