--- a/harness/soak/bounds.go
+++ b/harness/soak/bounds.go
@@ -4,7 +4,7 @@
 
 // Bounds are the bounds that the deployment's settings carry and the rules check.
 type Bounds struct {
-	Contact     time.Duration // without a disturbance before timed rules apply to a machine
+	Contact     time.Duration // from the last disturbance of a machine until timed rules apply to it
 	Acknowledge time.Duration // until an order is acknowledged
 	Apply       time.Duration // until an acknowledged configuration is in force
 	Drain       time.Duration // until a leaving backend gets no more requests
--- a/harness/soak/check.go
+++ b/harness/soak/check.go
@@ -207,7 +207,8 @@
 	)
 }
 
-// checkConfig checks that a request ran at a service that a version possibly in force allows.
+// checkConfig checks that a request ran at a service that some version allows which may have been
+// in force at that time.
 func (checker *ruleChecker) checkConfig(arrival *arrival, exchange *exchange) {
 	if exchange.routeService != "" {
 		checker.report.record(
--- a/harness/soak/check_limits.go
+++ b/harness/soak/check_limits.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// limitTolerance allows for late timers and scheduling on a busy machine.
+// limitTolerance is how much earlier or later than its limit a connection may end, as a busy
+// machine delays timers and processes.
 const limitTolerance = 500 * time.Millisecond
 
 // checkLimits checks that connections end and headers are refused by the limits in force only.
@@ -60,8 +61,9 @@
 		probe.proxy, probe.kind, roundedDuration(probe), probe.stillOpen, shortest, longest)
 }
 
-// matchesRecentIdleLimit allows the longest idle limit of the probe's span or its last moments:
-// a new, shorter limit ends connections that have been idle for longer.
+// matchesRecentIdleLimit reports whether a connection ended within the longest idle limit during
+// the probe or up to Bounds.Apply before its end. A new, shorter limit ends connections that have
+// been idle for longer.
 func (checker *ruleChecker) matchesRecentIdleLimit(probe *limitProbe) bool {
 	_, fullSpan := limitRange(
 		checker.possibleVersions(probe.begin, probe.end),
--- a/harness/soak/disturbances.go
+++ b/harness/soak/disturbances.go
@@ -17,7 +17,7 @@
 // disturbances is a log of disturbances, safe for concurrent use.
 type disturbances struct {
 	mutex      sync.Mutex
-	settleTime time.Duration
+	settleTime time.Duration // Bounds.Contact
 	spans      []*disturbance
 }
 
