--- a/harness/cluster/spec.go
+++ b/harness/cluster/spec.go
@@ -43,8 +43,8 @@
 // Both is the size that runs the fleets of both partners, which lend to each other.
 const Both = "both"
 
-// firstEphemeralPort is the first port of outgoing connections. One of these could hold the port
-// of a daemon that restarts, so all ports of the fleet are below.
+// firstEphemeralPort is the first port that outgoing connections use. All ports of the fleet are
+// below it, since a connection could otherwise use the port of a daemon that restarts.
 const firstEphemeralPort = 32768
 
 // maxAddedCores is the number of cores that a scenario may add.
--- a/harness/golden/golden.go
+++ b/harness/golden/golden.go
@@ -21,8 +21,8 @@
 // filler fills values deterministically. count makes the fields differ.
 type filler struct{ count int64 }
 
-// Fill recursively sets all exported fields of the structure that value points to to non-zero
-// values. Slices get two elements, maps one.
+// Fill gives non-zero values to all exported fields of the structure that value points to,
+// recursively. Slices get two elements, maps one.
 func Fill(value any) {
 	(&filler{}).set(reflect.ValueOf(value).Elem())
 }
--- a/harness/standin/load_generator.go
+++ b/harness/standin/load_generator.go
@@ -28,7 +28,7 @@
 	Class   string `json:"class"`
 }
 
-// Caller stands for all callers of a tenant, with its API key and its weight in the load.
+// Caller describes all callers of a tenant, with its API key and its weight in the load.
 type Caller struct {
 	Tenant string `json:"tenant"`
 	Key    string `json:"key"`
