--- a/harness/simulation/catchup_test.go
+++ b/harness/simulation/catchup_test.go
@@ -71,7 +71,7 @@
 func coreCatchesUp(test *testing.T, seed uint64, kind string, count int, isLeader bool) {
 	world := NewRegionalWorld(seed, 3)
 	defer world.CloseRegional()
-	world.startFar(test, 3)
+	world.startRegional(test, 3)
 	version := atomic.Uint64{}
 	version.Store(1)
 	index := world.waitStable(test)
@@ -146,7 +146,7 @@
 func memberCatchesUp(test *testing.T, seed uint64, kind string, count int) {
 	world := NewRegionalWorld(seed, 3)
 	defer world.CloseRegional()
-	world.startFar(test, 3)
+	world.startRegional(test, 3)
 	version := atomic.Uint64{}
 	version.Store(1)
 	member := world.Members[int(seed)%3]
@@ -214,7 +214,7 @@
 func returnedCoreLeads(test *testing.T, seed uint64, kind string, count int) bool {
 	world := NewRegionalWorld(seed, 3)
 	defer world.CloseRegional()
-	world.startFar(test, 3)
+	world.startRegional(test, 3)
 	version := atomic.Uint64{}
 	version.Store(1)
 	leader := world.waitStable(test)
--- a/harness/simulation/changes_during_partition_test.go
+++ b/harness/simulation/changes_during_partition_test.go
@@ -97,7 +97,7 @@
 // routing 1 in force.
 func (world *World) startWithSettings(test *testing.T) {
 	test.Helper()
-	world.startFar(test, 3)
+	world.startRegional(test, 3)
 	if err := world.Evacuate("z1", true); err != nil {
 		test.Fatal(err)
 	}
--- a/harness/simulation/clock_outage_test.go
+++ b/harness/simulation/clock_outage_test.go
@@ -13,7 +13,7 @@
 			world := NewRegionalWorld(seed, 3+2*int(seed%2))
 			meters := newUsageCollector(world)
 			meters.reliable = true
-			world.startFar(test, 6)
+			world.startRegional(test, 6)
 			load := func(span time.Duration) { meters.generateLoad(span, 10*time.Millisecond) }
 			load(12 * time.Second)
 			first := time.Now().UnixMilli()/meters.windowMs - 1
--- a/harness/simulation/combined_faults.go
+++ b/harness/simulation/combined_faults.go
@@ -29,7 +29,7 @@
 }
 
 // SystemFaults are the kinds of faults that CombinedFaults.Run chooses from; "core" stands for
-// one of CoreFaults.
+// a fault of one core, one of CoreFaults.
 var SystemFaults = []string{
 	"core",
 	"core",
--- a/harness/simulation/competing_candidates_test.go
+++ b/harness/simulation/competing_candidates_test.go
@@ -35,7 +35,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := NewRegionalWorld(seed, cores)
-			world.startFar(test, 0)
+			world.startRegional(test, 0)
 			spans := []time.Duration{}
 			for range 12 {
 				spans = append(spans, world.electionTime(test))
--- a/harness/simulation/control_test.go
+++ b/harness/simulation/control_test.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// resend repeats a request through other entry points, as an operator does that got no
+// resend repeats a request through other cores and members, as an operator does that got no
 // response.
 func (checker *ControlChecker) resend(forwarders []*agent.Forwarder, acknowledged *operatorRequest) {
 	request := checker.startRequest(&operatorRequest{target: acknowledged.target, base: acknowledged.base, version: acknowledged.version})
@@ -203,7 +203,7 @@
 	checker.finishRequest(request, response.Serial, nil)
 }
 
-// operatorLoop returns the step of an operator that uses all entry points in random order.
+// operatorLoop returns the step of an operator that uses all cores and members in random order.
 func (checker *ControlChecker) operatorLoop(number uint64) func() bool {
 	random := rand.New(rand.NewPCG(checker.world.Seed, 100+number))
 	zone, evacuate := fmt.Sprint("z", number), false
@@ -407,7 +407,7 @@
 	}
 	if state.History.Forgotten > 0 || acknowledged < 15 {
 		world.reportViolation(
-			"%d routings acknowledged, want at least 15; %d in the history, none forgotten",
+			"%d routings acknowledged, want at least 15; %d in the history, want none forgotten",
 			acknowledged,
 			state.History.Count,
 		)
@@ -442,12 +442,12 @@
 
 // Runs the control plane across regions under all faults: acknowledged changes last and are
 // in force in time, no version is rolled back, and usage reports have one holder at a time.
-func TestControlSideUnderEverything(test *testing.T) {
+func TestControlPlaneUnderAllFaults(test *testing.T) {
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3+2*int(seed%2))
 		checker := world.newControlChecker()
 		defer world.CloseRegional()
-		world.startFar(test, 6)
+		world.startRegional(test, 6)
 		world.Rest(settleTime)
 		checker.start()
 		faults, linkFaults := checker.newInjector(0, ControlFaults, CoreFaults), checker.newInjector(1, ControlLinkFaults, CoreLinkFaults)
--- a/harness/simulation/disk.go
+++ b/harness/simulation/disk.go
@@ -165,8 +165,8 @@
 	disk.mutex.Unlock()
 }
 
-// DieAfter makes the last of the given number of calls that change the disk fail, and all later ones, as
-// if the process had been killed there.
+// DieAfter counts calls that change the disk: the last of the given number and all later ones
+// fail, as if the process had been killed there.
 func (disk *Disk) DieAfter(calls int) {
 	disk.mutex.Lock()
 	disk.callsLeft = calls
--- a/harness/simulation/disk_failure_test.go
+++ b/harness/simulation/disk_failure_test.go
@@ -15,7 +15,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
-		world.startFar(test, 3)
+		world.startRegional(test, 3)
 		version := uint64(1)
 		for _, kind := range []string{"leader's disk fails", "follower's disk fails", "leader's disk is full", "follower restarts with a failing disk"} {
 			index := world.waitStable(test)
@@ -77,7 +77,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
-		world.startFar(test, 3)
+		world.startRegional(test, 3)
 		leader := world.waitStable(test)
 		index := (leader + 1) % 3
 		before := world.sumCounter("copies_mended")
@@ -110,7 +110,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
-		world.startFar(test, 3)
+		world.startRegional(test, 3)
 		leader := world.waitStable(test)
 		world.Cores[leader].Disk.Stall(true)
 		for version := uint64(1); version < 5; version++ {
--- a/harness/simulation/drain_test.go
+++ b/harness/simulation/drain_test.go
@@ -116,7 +116,7 @@
 			shape(machine, config)
 			config.TableInterval, config.ListInterval = 150*time.Millisecond, 630*time.Millisecond
 		}
-		world.startFar(test, 9)
+		world.startRegional(test, 9)
 		world.Rest(10 * time.Second)
 		for range drainsPerSeed {
 			world.Rest(time.Duration(random.IntN(5000)) * time.Millisecond)
@@ -140,7 +140,7 @@
 		defer world.CloseRegional()
 		list := newPagedList(world, listPage)
 		world.ListBackends = list.page
-		world.startFar(test, 9)
+		world.startRegional(test, 9)
 		for number := range drainsPerSeed {
 			world.Rest(5 * time.Second)
 			name := list.drain(number)
--- a/harness/simulation/injector_test.go
+++ b/harness/simulation/injector_test.go
@@ -28,7 +28,7 @@
 	return injector
 }
 
-// ControlFaults are the faults of the whole control plane; "core" draws one of a single core's.
+// ControlFaults are the faults of the whole control plane; "core" stands for a fault of one core.
 var ControlFaults = []string{
 	"core",
 	"core",
--- a/harness/simulation/large_state_test.go
+++ b/harness/simulation/large_state_test.go
@@ -41,7 +41,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, condition := range []string{"all have it", "one is behind", "one lost its disk"} {
 			world := NewRegionalWorld(seed, 3)
-			world.startFar(test, 0)
+			world.startRegional(test, 0)
 			leader := world.waitStable(test)
 			other := (leader + 1 + int(seed%2)) % 3
 			if condition == "one is behind" {
--- a/harness/simulation/leader_change_test.go
+++ b/harness/simulation/leader_change_test.go
@@ -11,7 +11,7 @@
 )
 
 // Measures how long an operator waits for a change sent through a daemon just as the leader
-// is stopped: with the platform's notice, killed without one, or frozen.
+// is stopped: by SIGTERM, killed, or frozen.
 func TestLeaderChangeAsOperatorsSeeIt(test *testing.T) {
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewWorld(seed, 3)
--- a/harness/simulation/leave_test.go
+++ b/harness/simulation/leave_test.go
@@ -79,7 +79,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
-		world.startFar(test, 0)
+		world.startRegional(test, 0)
 		caller := rpc.NewClient(world.Net.Transport("10.8.0.1"))
 		defer caller.Close()
 		const unknown rpc.Method[message.LeaveRequest, message.LeaveResponse] = "not-there"
--- a/harness/simulation/metered_usage_test.go
+++ b/harness/simulation/metered_usage_test.go
@@ -173,7 +173,7 @@
 		world := NewRegionalWorld(seed, 3)
 		collector := newUsageCollector(world)
 		defer world.CloseRegional()
-		world.startFar(test, 4)
+		world.startRegional(test, 4)
 		load := func(span time.Duration) { collector.generateLoad(span, 20*time.Millisecond) }
 		load(12 * time.Second)
 		firstWindow := time.Now().UnixMilli()/collector.windowMs - 1
@@ -222,7 +222,7 @@
 		world := NewRegionalWorld(seed, 3)
 		collector := newUsageCollector(world)
 		defer world.CloseRegional()
-		world.startFar(test, 2)
+		world.startRegional(test, 2)
 		world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%collector.windowMs < 10 })
 		world.Rest(10 * time.Second)
 		window := time.Now().UnixMilli() / collector.windowMs
@@ -292,7 +292,7 @@
 		collector := newUsageCollector(world)
 		collector.reliable = true
 		defer world.CloseRegional()
-		world.startFar(test, 2)
+		world.startRegional(test, 2)
 		for round := range 3 {
 			world.Until(6*time.Second, func() bool { return time.Now().UnixMilli()%collector.windowMs < 10 })
 			world.Rest(10 * time.Second)
@@ -405,7 +405,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
-		world.startFar(test, 5)
+		world.startRegional(test, 5)
 		listed := func(member *RegionalDaemon) bool {
 			for _, known := range world.Members[0].Daemon.Version().Table.Members {
 				if known.Name == member.Name {
--- a/harness/simulation/operator_race_test.go
+++ b/harness/simulation/operator_race_test.go
@@ -24,7 +24,7 @@
 }
 
 // run sends orders while isRunning returns true. An order without a definite answer is resent
-// unchanged through another daemon.
+// unchanged through another core or member.
 func (operators *operatorRace) run(number int, isRunning func() bool) {
 	world := operators.world
 	random := rand.New(rand.NewPCG(world.Seed, uint64(100+number)))
@@ -90,7 +90,7 @@
 		world := NewRegionalWorld(seed, 3+2*int(seed%2))
 		collector := newUsageCollector(world)
 		defer world.CloseRegional()
-		world.startFar(test, 4)
+		world.startRegional(test, 4)
 		operators := &operatorRace{world: world, baseByVersion: map[uint64]uint64{}, zones: map[string]bool{}, uncertain: map[string]bool{}}
 		stopped := false
 		isRunning := func() bool {
--- a/harness/simulation/operator_test.go
+++ b/harness/simulation/operator_test.go
@@ -129,7 +129,7 @@
 		for _, kind := range []string{"cut", "mute", "deaf"} {
 			for _, isLeader := range []bool{true, false} {
 				world := NewRegionalWorld(seed, 3)
-				world.startFar(test, 3)
+				world.startRegional(test, 3)
 				client := world.newOperatorClient()
 				isolated := world.waitStable(test)
 				if !isLeader {
@@ -213,7 +213,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
-		world.startFar(test, 1)
+		world.startRegional(test, 1)
 		client := world.newOperatorClient()
 		world.waitStable(test)
 		world.Net.SetMessageFaults(MessageFaults{Duplicate: 1000})
@@ -247,7 +247,7 @@
 			for _, evacuateFirst := range []bool{true, false} {
 				for _, wait := range []time.Duration{0, 20 * time.Millisecond, 80 * time.Millisecond, 180 * time.Millisecond} {
 					world := NewRegionalWorld(seed, 3)
-					world.startFar(test, 1)
+					world.startRegional(test, 1)
 					client := world.newOperatorClient()
 					leader := world.waitStable(test)
 					others := world.followers(leader)
--- a/harness/simulation/partition_reads_test.go
+++ b/harness/simulation/partition_reads_test.go
@@ -73,7 +73,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := &partitionedWorld{World: NewRegionalWorld(seed, cores), random: rand.New(rand.NewPCG(seed, 101))}
-			world.startFar(test, 3)
+			world.startRegional(test, 3)
 			world.acknowledged.Store(1)
 			end := time.Now().Add(40 * time.Second)
 			world.goroutines.Start(func() { world.sendChanges(end) })
--- a/harness/simulation/partitioned_leader_usage_test.go
+++ b/harness/simulation/partitioned_leader_usage_test.go
@@ -22,7 +22,7 @@
 				reported[report.Holder] = append(reported[report.Holder], time.Now())
 				return control.ReportRetry
 			}
-			world.startFar(test, 1)
+			world.startRegional(test, 1)
 			for range 5 {
 				leader := world.waitStable(test)
 				holder := world.Cores[leader].Host
--- a/harness/simulation/recovery_test.go
+++ b/harness/simulation/recovery_test.go
@@ -109,7 +109,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := NewRegionalWorld(seed, cores)
-			world.startFar(test, 4)
+			world.startRegional(test, 4)
 			version := uint64(1)
 			for round, kind := range []string{"killed", "power", "wiped", "leader stays down", "leader wiped, minority was cut off", "killed"} {
 				leader := world.waitStable(test)
@@ -204,7 +204,7 @@
 		for _, cores := range []int{3, 5} {
 			for _, isolated := range []bool{true, false} {
 				world := NewRegionalWorld(seed, cores)
-				world.startFar(test, 3)
+				world.startRegional(test, 3)
 				world.Rest(time.Second)
 				world.killAll(true, true)
 				accepted := map[int]bool{}
@@ -267,7 +267,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3+2*int(seed%2))
 		defer world.CloseRegional()
-		world.startFar(test, 2)
+		world.startRegional(test, 2)
 		leader := world.waitStableNotFirst(test)
 		before := world.leadershipCount()
 		for index := range world.Cores {
@@ -314,7 +314,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, cores := range []int{3, 5} {
 			world := NewRegionalWorld(seed, cores)
-			world.startFar(test, 0)
+			world.startRegional(test, 0)
 			longest := time.Duration(0)
 			for round := range 25 {
 				world.waitStable(test)
@@ -361,7 +361,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
-		world.startFar(test, 2)
+		world.startRegional(test, 2)
 		isolated, connected, isolatedMember := int(seed)%3, world.AddMember(0), world.AddMember(1)
 		world.Rest(time.Second)
 		world.KillCore(isolated, true)
@@ -430,7 +430,7 @@
 					message.Backend{Name: fmt.Sprint("b", index), Service: "desk", Address: "10.9.9.9:80", Capacity: 4},
 				)
 			}
-			world.startFar(test, 6)
+			world.startRegional(test, 6)
 			world.Rest(time.Second)
 			world.killAll(true, true)
 			world.isolateCores(true)
@@ -471,7 +471,7 @@
 		world.ListBackends = func(discovery.PageRequest) discovery.Page {
 			return discovery.Page{Backends: []message.Backend{{Name: "b", Service: "desk", Address: "10.9.9.9:80", Capacity: 4}}}
 		}
-		world.startFar(test, 5)
+		world.startRegional(test, 5)
 		world.Rest(3 * time.Second)
 		unreachable, versions := world.Members[int(seed)%5], map[string]message.TableVersion{}
 		for round := range 4 {
@@ -539,7 +539,7 @@
 		for range 4 {
 			world := NewRegionalWorld(seed, 3)
 			world.Net.SetLag(func(string, string) time.Duration { return 0 })
-			world.startFar(test, 0)
+			world.startRegional(test, 0)
 			leader := world.waitStableNotFirst(test)
 			world.Rest(time.Second)
 			world.isolateCore(leader, true)
--- a/harness/simulation/replace.go
+++ b/harness/simulation/replace.go
@@ -96,7 +96,7 @@
 }
 
 // StartReplacement starts an empty machine at another address in place of one that is removed
-// or about to leave. Nil seeds stand for those of the operators' list.
+// or about to leave. Without seeds it uses those of the operators' list.
 func (world *World) StartReplacement(index int, seeds []string) *Core {
 	former := world.machine(index)
 	if seeds == nil {
--- a/harness/simulation/replacement_faults_test.go
+++ b/harness/simulation/replacement_faults_test.go
@@ -220,7 +220,7 @@
 
 // Core replacements and all other faults hit the control plane, never more at a time than a
 // deployment tolerates: acknowledged orders last and come into force in time, also if an answer
-// was lost and the order was resent through another daemon.
+// was lost and the order was resent through another core or member.
 func TestControlPlaneUnderReplacement(test *testing.T) {
 	count := max(*seedsPerTest, minReplacementSeeds)
 	if raceEnabled {
@@ -231,7 +231,7 @@
 		side := world.newControlChecker()
 		side.resendsAcknowledged = true
 		defer world.CloseRegional()
-		world.startFar(test, 6)
+		world.startRegional(test, 6)
 		world.Rest(settleTime)
 		side.start()
 		losses := world.NewLossBudget(syncSpan)
--- a/harness/simulation/replacement_scenario_test.go
+++ b/harness/simulation/replacement_scenario_test.go
@@ -23,7 +23,7 @@
 	evacuatedZone      = "z-kept"
 )
 
-// replacementScenario is a far world whose cores are replaced while an operator orders a
+// replacementScenario is a regional world whose cores are replaced while an operator orders a
 // sequence of routings.
 type replacementScenario struct {
 	*World
@@ -44,7 +44,7 @@
 		random:        rand.New(rand.NewPCG(seed, 53)),
 		newestVersion: 1,
 	}
-	scenario.startFar(test, members)
+	scenario.startRegional(test, members)
 	scenario.waitStable(test)
 	if err := scenario.Evacuate(evacuatedZone, true); err != nil {
 		test.Fatal(scenario.name, err)
@@ -71,8 +71,8 @@
 
 func (scenario *replacementScenario) restUntil(at time.Time) { scenario.Rest(time.Until(at)) }
 
-// order sends one routing through all daemons in turn until it is acknowledged. For every third
-// order the first answer is lost on its way to the operator, who resends it.
+// order sends one routing through all running cores in turn until it is acknowledged. For one in
+// three orders the first answer is lost on its way to the operator, who resends it.
 func (scenario *replacementScenario) order(limit time.Duration) bool {
 	random := rand.New(rand.NewPCG(scenario.Seed, scenario.newestVersion))
 	lost := random.IntN(3) == 0
--- a/harness/simulation/replacement_test.go
+++ b/harness/simulation/replacement_test.go
@@ -593,8 +593,8 @@
 	scenario.Rest(syncSpan)
 }
 
-// checkNeverLeads checks that a core that is no voter runs, and has led in no leadership but
-// the first ones, whose number is given by before.
+// checkNeverLeads checks that a core that is no voter runs, and that none of the leaderships
+// after the first before ones was its own.
 func (scenario *replacementScenario) checkNeverLeads(machine *Core, before int) {
 	if core := machine.running(scenario.World); core == nil || core.Leads() {
 		scenario.reportViolation("%s: running %v, want a running core that does not lead", machine.Host, core != nil)
--- a/harness/simulation/rollout_test.go
+++ b/harness/simulation/rollout_test.go
@@ -52,7 +52,7 @@
 		steps:    map[string]message.Rollout{},
 	}
 	world.ListBackends = service.list
-	world.startFar(test, 0)
+	world.startRegional(test, 0)
 	for index := range rolloutMembers {
 		service.addMember(index % 3)
 	}
--- a/harness/simulation/routing_test.go
+++ b/harness/simulation/routing_test.go
@@ -13,8 +13,8 @@
 	"orchidjunction/rpc"
 )
 
-// startFar starts the cores and members of a far world and puts routing 1 in force.
-func (world *World) startFar(test *testing.T, members int) {
+// startRegional starts the cores and members of a regional world and puts routing 1 in force.
+func (world *World) startRegional(test *testing.T, members int) {
 	test.Helper()
 	for index := range world.Cores {
 		world.StartCore(index)
@@ -64,7 +64,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
-		world.startFar(test, 3)
+		world.startRegional(test, 3)
 		for _, step := range []struct {
 			version, base uint64
 			want          rpc.Code
@@ -138,7 +138,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
-		world.startFar(test, 1)
+		world.startRegional(test, 1)
 		if err := world.Evacuate("z1", true); err != nil {
 			test.Fatal(err)
 		}
@@ -168,11 +168,11 @@
 
 // Evacuated zones and the newest routing survive if the leader loses power, or its disk, just
 // after the acknowledgement, and if all cores lose power and one of them its disk.
-func TestAcknowledgedLastsEverything(test *testing.T) {
+func TestAcknowledgedSurvivesLeaderAndPowerLoss(test *testing.T) {
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
-		world.startFar(test, 2)
+		world.startRegional(test, 2)
 		version, want := uint64(1), map[string]bool{}
 		for round := range 9 {
 			zone := fmt.Sprint("z", round%4)
@@ -247,7 +247,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
-		world.startFar(test, 9)
+		world.startRegional(test, 9)
 		version := uint64(1)
 		for round := range 9 {
 			kind := []string{"calm", "planned", "killed", "frozen", "cut"}[round%5]
@@ -312,7 +312,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
-		world.startFar(test, 3)
+		world.startRegional(test, 3)
 		isolated := world.Members[int(seed)%3]
 		cut := func(shut bool) {
 			for _, core := range world.Cores {
@@ -356,7 +356,7 @@
 				call++
 				return discovery.Page{Backends: listed(call)}
 			}
-			scenario.startFar(test, 1)
+			scenario.startRegional(test, 1)
 			leaving, warmAtMs := false, int64(0)
 			for range 600 {
 				scenario.Rest(100 * time.Millisecond)
--- a/harness/simulation/total_loss_test.go
+++ b/harness/simulation/total_loss_test.go
@@ -43,7 +43,7 @@
 	loss.acknowledged.Store(1)
 	loss.list.Store(&listState{fault: listHealthy})
 	loss.ListBackends = loss.listed
-	loss.startFar(test, 6)
+	loss.startRegional(test, 6)
 	return loss
 }
 
--- a/harness/simulation/usage_loss_test.go
+++ b/harness/simulation/usage_loss_test.go
@@ -95,7 +95,7 @@
 			world := NewRegionalWorld(seed, 3+2*int(seed%2))
 			collector := newUsageCollector(world)
 			collector.reliable = true
-			world.startFar(test, 6)
+			world.startRegional(test, 6)
 			load := func(span time.Duration) { collector.generateLoad(span, 10*time.Millisecond) }
 			load(12 * time.Second)
 			first := time.Now().UnixMilli()/collector.windowMs - 1
--- a/harness/simulation/version_conflict_test.go
+++ b/harness/simulation/version_conflict_test.go
@@ -45,7 +45,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3+2*int(seed%2))
 		defer world.CloseRegional()
-		world.startFar(test, 1)
+		world.startRegional(test, 1)
 		client := world.newOperatorClient()
 		version, random := uint64(1), rand.New(rand.NewPCG(seed, 41))
 		for _, kind := range []string{"calm", "cut", "mute", "deaf", "frozen", "killed", "wiped", "cut", "deaf", "killed"} {
@@ -119,7 +119,7 @@
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		world := NewRegionalWorld(seed, 3)
 		defer world.CloseRegional()
-		world.startFar(test, 1)
+		world.startRegional(test, 1)
 		client := world.newOperatorClient()
 		type sentOrder struct{ method, body string }
 		orders, random := []sentOrder{}, rand.New(rand.NewPCG(seed, 43))
