--- a/harness/standin/backend.go
+++ b/harness/standin/backend.go
@@ -22,7 +22,8 @@
 // BackendConfig is the identity and behaviour of a Backend. WorkMs is the time per request
 // and ColdMs the warm-up time after the start, both in milliseconds. GentleRate is the number
 // of requests per second that it reports for the warm-up, Room the number of concurrent
-// requests at which its usage is 1. Journal, if set, is the file for its records.
+// requests at which its usage is 1 and above which it slows down. Journal, if set, is the file
+// for its records.
 type BackendConfig struct {
 	Service     string
 	Instance    string
--- a/harness/standin/load_generator.go
+++ b/harness/standin/load_generator.go
@@ -37,8 +37,8 @@
 
 // LoadPlan describes the load: who calls what, PerSecond times a second for Seconds, with up to
 // Tries attempts per request. Patient callers retry a request with a key after an unknown outcome
-// if the response has Retry-After. Hasty callers retry without a pause. Eager percent of the
-// attempts with a key are duplicated.
+// if the response has Retry-After. Hasty callers retry without a pause. With Eager all callers
+// retry unknown outcomes, and Eager percent of the attempts with a key are duplicated.
 type LoadPlan struct {
 	Directories []string `json:"directories"`
 	Callers     []Caller `json:"callers"`
