--- a/harness/checker/ledger.go
+++ b/harness/checker/ledger.go
@@ -16,10 +16,10 @@
 // System is the system under test, real or simulated.
 type System interface {
 	OperatorAddresses() []string
-	Client(door string) *operator.Client
+	Client(address string) *operator.Client
 	Serials() []uint64
 	Rest(span time.Duration) bool
-	Start(duty func())
+	Start(function func())
 }
 
 // Ack is an acknowledged change; AtMs is the time in milliseconds since the Unix epoch.
--- a/harness/simulation/proxy_lending_test.go
+++ b/harness/simulation/proxy_lending_test.go
@@ -48,25 +48,25 @@
 			borrower.reportViolation("%d of %d requests served, %d lent: %v", report.Served, report.Asked, lent, report.Statuses)
 		}
 		borrower.judge(nil, report)
-		stormReports := make(chan standin.LoadReport, 1)
-		lender.goroutines.Start(func() { stormReports <- runLoad(lender, 150, 6) })
+		overloadReports := make(chan standin.LoadReport, 1)
+		lender.goroutines.Start(func() { overloadReports <- runLoad(lender, 150, 6) })
 		borrower.Rest(2 * time.Second)
-		duringStorm := runLoad(borrower, 20, 3)
-		storm := <-stormReports
+		duringOverload := runLoad(borrower, 20, 3)
+		overload := <-overloadReports
 		refused := lender.Daemons[1].Counters.Get("lending_refused") + lender.Daemons[2].Counters.Get("lending_refused")
 		if refused == 0 {
 			lender.reportViolation("the lender refused no lending while overloaded")
 		}
-		if duringStorm.Served < duringStorm.Asked*9/10 {
+		if duringOverload.Served < duringOverload.Asked*9/10 {
 			borrower.reportViolation(
 				"%d of %d requests served while the lender was overloaded: %v",
-				duringStorm.Served,
-				duringStorm.Asked,
-				duringStorm.Statuses,
+				duringOverload.Served,
+				duringOverload.Asked,
+				duringOverload.Statuses,
 			)
 		}
-		if storm.Served < 6*40 {
-			lender.reportViolation("the lender served only %d requests under load, want 240: %v", storm.Served, storm.Statuses)
+		if overload.Served < 6*40 {
+			lender.reportViolation("the lender served only %d requests under load, want 240: %v", overload.Served, overload.Statuses)
 		}
 		for _, member := range guests[0].Daemon.Version().Table.Members {
 			if member.Guest && member.KeyReplica {
@@ -88,7 +88,7 @@
 				afterFailure.Statuses,
 			)
 		}
-		test.Logf("%d lent, %d refused, %d of %d served under load", lent, refused, storm.Served, storm.Asked)
+		test.Logf("%d lent, %d refused, %d of %d served under load", lent, refused, overload.Served, overload.Asked)
 		lender.reportFailures(test)
 		borrower.reportFailures(test)
 	})
--- a/harness/simulation/replacement_test.go
+++ b/harness/simulation/replacement_test.go
@@ -139,13 +139,13 @@
 		scenario.ReplaceCore(second, replacementDelay)
 		wait()
 	}
-	newcomerLost := func(scenario *replacementScenario, first, _ int) {
+	newCoreLost := func(scenario *replacementScenario, first, _ int) {
 		scenario.ReplaceCore(first, replacementDelay)
 		scenario.Rest(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
 		scenario.ReplaceCore(first, replacementDelay)
 	}
 	forEachSeed(test, func(test *testing.T, seed uint64) {
-		for _, overlapCase := range []overlap{{"both planned", 3, planned}, {"both planned", 5, planned}, {"both lost", 5, lost}, {"one planned, one lost", 5, mixed}, {"the new core is lost", 3, newcomerLost}} {
+		for _, overlapCase := range []overlap{{"both planned", 3, planned}, {"both planned", 5, planned}, {"both lost", 5, lost}, {"one planned, one lost", 5, mixed}, {"the new core is lost", 3, newCoreLost}} {
 			scenario := newScenario(test, seed, overlapCase.cores, 3, overlapCase.name)
 			first := scenario.indexAfter(scenario.leader(), int(seed)%2)
 			overlapCase.replace(scenario, first, scenario.indexAfter(first, 1))
@@ -407,14 +407,14 @@
 			setCut(true)
 			scenario.Rest(scenario.randomDuration(10*time.Millisecond, 2*time.Second))
 			for region := range 3 {
-				newcomer := scenario.newMachine(region, internalAddresses(minority))
+				newCore := scenario.newMachine(region, internalAddresses(minority))
 				for _, other := range majority {
-					scenario.Net.Cut(newcomer.Host, other.Host, true)
+					scenario.Net.Cut(newCore.Host, other.Host, true)
 				}
 				scenario.mutex.Lock()
-				scenario.Cores = append(scenario.Cores, newcomer)
+				scenario.Cores = append(scenario.Cores, newCore)
 				scenario.mutex.Unlock()
-				scenario.startMachine(newcomer)
+				scenario.startMachine(newCore)
 			}
 			scenario.Rest(2 * regionalSuspicionTimeout)
 			before := scenario.leadershipCount()
@@ -520,21 +520,21 @@
 			scenario.Net.Cut(scenario.Removed[0].Host, scenario.Removed[1].Host, false)
 			before := scenario.leadershipCount()
 			returned := []*Core{scenario.ReturnRemoved(0), scenario.ReturnRemoved(1)}
-			newcomer := scenario.newMachine(0, internalAddresses(returned))
+			newCore := scenario.newMachine(0, internalAddresses(returned))
 			for _, other := range current {
-				scenario.Net.Cut(newcomer.Host, other.Host, true)
+				scenario.Net.Cut(newCore.Host, other.Host, true)
 			}
-			scenario.startMachine(newcomer)
+			scenario.startMachine(newCore)
 			for range 5 {
 				scenario.Rest(2 * time.Second)
-				for _, machine := range append(returned, newcomer) {
+				for _, machine := range append(returned, newCore) {
 					scenario.checkRefuses(machine)
 				}
 			}
 			scenario.checkNeverLeads(returned[0], before)
 			scenario.checkNeverLeads(returned[1], before)
-			scenario.checkNeverLeads(newcomer, before)
-			scenario.killMachine(newcomer, false)
+			scenario.checkNeverLeads(newCore, before)
+			scenario.killMachine(newCore, false)
 			for _, machine := range returned {
 				scenario.isolateMachine(machine, false)
 			}
