--- a/harness/simulation/replacement_test.go
+++ b/harness/simulation/replacement_test.go
@@ -469,9 +469,9 @@
 }
 
 // A removed core returns with its old disk and seeds. It neither votes nor leads nor
-// acknowledges, and members and new cores whose only seed it is find the quorum. It may take
-// a vacant place like any new core, under an ID that it never had; when it is gone again,
-// another core takes its place.
+// acknowledges, and members and new cores that have it as their only seed find the quorum. It
+// may take a vacant place like any new core, under an ID that it never had; when it is gone
+// again, another core takes its place.
 func TestRemovedCoreReturns(test *testing.T) {
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"left as planned", "was lost"} {
