--- a/harness/checker/ledger.go
+++ b/harness/checker/ledger.go
@@ -16,10 +16,10 @@
 // System is the system under test, real or simulated.
 type System interface {
 	OperatorAddresses() []string
-	Client(door string) *operator.Client
+	Client(address string) *operator.Client
 	Serials() []uint64
 	Sleep(span time.Duration) bool
-	Start(duty func())
+	Start(function func())
 }
 
 // Ack is an acknowledged change; AtMs is the time in milliseconds since the Unix epoch.
@@ -67,7 +67,7 @@
 	}
 }
 
-// StartOperators starts operators that each make a change every pace on average. Some changes
+// StartOperators starts operators that each change settings at intervals of pace on average. Some changes
 // are invalid, some race on the same base; a change with an unknown outcome is
 // retried unchanged.
 func (ledger *ChangeRecorder) StartOperators(operators int, pace time.Duration) {
--- a/harness/simulation/replacement_test.go
+++ b/harness/simulation/replacement_test.go
@@ -139,13 +139,13 @@
 		scenario.ReplaceCore(second, replacementDelay)
 		wait()
 	}
-	newcomerLost := func(scenario *replacementScenario, first, _ int) {
+	newCoreLost := func(scenario *replacementScenario, first, _ int) {
 		scenario.ReplaceCore(first, replacementDelay)
 		scenario.Sleep(scenario.randomDuration(10*time.Millisecond, 1500*time.Millisecond))
 		scenario.ReplaceCore(first, replacementDelay)
 	}
 	forEachSeed(test, func(test *testing.T, seed uint64) {
-		for _, overlapCase := range []overlap{{"both planned", 3, planned}, {"both planned", 5, planned}, {"both lost", 5, lost}, {"one planned, one lost", 5, mixed}, {"the new core is lost", 3, newcomerLost}} {
+		for _, overlapCase := range []overlap{{"both planned", 3, planned}, {"both planned", 5, planned}, {"both lost", 5, lost}, {"one planned, one lost", 5, mixed}, {"the new core is lost", 3, newCoreLost}} {
 			scenario := newScenario(test, seed, overlapCase.cores, 3, overlapCase.name)
 			first := scenario.indexAfter(scenario.leader(), int(seed)%2)
 			overlapCase.replace(scenario, first, scenario.indexAfter(first, 1))
@@ -407,14 +407,14 @@
 			setCut(true)
 			scenario.Sleep(scenario.randomDuration(10*time.Millisecond, 2*time.Second))
 			for region := range 3 {
-				newcomer := scenario.newMachine(region, internalAddresses(minority))
+				newCore := scenario.newMachine(region, internalAddresses(minority))
 				for _, other := range majority {
-					scenario.Net.Cut(newcomer.Host, other.Host, true)
+					scenario.Net.Cut(newCore.Host, other.Host, true)
 				}
 				scenario.mutex.Lock()
-				scenario.Cores = append(scenario.Cores, newcomer)
+				scenario.Cores = append(scenario.Cores, newCore)
 				scenario.mutex.Unlock()
-				scenario.startMachine(newcomer)
+				scenario.startMachine(newCore)
 			}
 			scenario.Sleep(2 * regionalSuspicionTimeout)
 			before := scenario.leadershipCount()
@@ -469,9 +469,9 @@
 }
 
 // A removed core returns with its old disk and seeds. It neither votes nor leads nor
-// acknowledges, and members and new cores whose only seed it is find the quorum. It may take
-// a vacant place like any new core, under an ID that it never had; when it is gone again,
-// another core takes its place.
+// acknowledges, and members and new cores that have it as their only seed find the quorum. It
+// may take a vacant place like any new core, under an ID that it never had; when it is gone
+// again, another core takes its place.
 func TestRemovedCoreReturns(test *testing.T) {
 	forEachSeed(test, func(test *testing.T, seed uint64) {
 		for _, kind := range []string{"left as planned", "was lost"} {
@@ -520,21 +520,21 @@
 			scenario.Net.Cut(scenario.Removed[0].Host, scenario.Removed[1].Host, false)
 			before := scenario.leadershipCount()
 			returned := []*Core{scenario.ReturnRemoved(0), scenario.ReturnRemoved(1)}
-			newcomer := scenario.newMachine(0, internalAddresses(returned))
+			newCore := scenario.newMachine(0, internalAddresses(returned))
 			for _, other := range current {
-				scenario.Net.Cut(newcomer.Host, other.Host, true)
+				scenario.Net.Cut(newCore.Host, other.Host, true)
 			}
-			scenario.startMachine(newcomer)
+			scenario.startMachine(newCore)
 			for range 5 {
 				scenario.Sleep(2 * time.Second)
-				for _, machine := range append(returned, newcomer) {
+				for _, machine := range append(returned, newCore) {
 					scenario.checkRefuses(machine)
 				}
 			}
 			scenario.checkNeverLeads(returned[0], before)
 			scenario.checkNeverLeads(returned[1], before)
-			scenario.checkNeverLeads(newcomer, before)
-			scenario.killMachine(newcomer, false)
+			scenario.checkNeverLeads(newCore, before)
+			scenario.killMachine(newCore, false)
 			for _, machine := range returned {
 				scenario.isolateMachine(machine, false)
 			}
@@ -593,8 +593,8 @@
 	scenario.Sleep(syncSpan)
 }
 
-// checkNeverLeads checks that a core that is no voter runs, and has led in no leadership but
-// the first ones, whose number is given by before.
+// checkNeverLeads checks that a core that is no voter runs, and that none of the leaderships
+// after the first before ones was its own.
 func (scenario *replacementScenario) checkNeverLeads(machine *Core, before int) {
 	if core := machine.running(scenario.World); core == nil || core.Leads() {
 		scenario.reportViolation("%s: running %v, want a running core that does not lead", machine.Host, core != nil)
--- a/harness/standin/load_generator.go
+++ b/harness/standin/load_generator.go
@@ -28,7 +28,7 @@
 	Class   string `json:"class"`
 }
 
-// Caller stands for all callers of a tenant, with its API key and its weight in the load.
+// Caller describes all callers of a tenant, with its API key and its weight in the load.
 type Caller struct {
 	Tenant string `json:"tenant"`
 	Key    string `json:"key"`
@@ -37,8 +37,8 @@
 
 // LoadPlan describes the load: who calls what, PerSecond times a second for Seconds, with up to
 // Tries attempts per request. Patient callers retry a request with a key after an unknown outcome
-// if the response has Retry-After. Hasty callers retry without a pause. Eager percent of the
-// attempts with a key are duplicated.
+// if the response has Retry-After. Hasty callers retry without a pause. With Eager all callers
+// retry unknown outcomes, and Eager percent of the attempts with a key are duplicated.
 type LoadPlan struct {
 	Directories []string `json:"directories"`
 	Callers     []Caller `json:"callers"`
